--- /dev/null
+++ b/brain/golden_encode_test.go
@@ -0,0 +1,74 @@
+package brain_test
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+	"testing"
+
+	"gatetack/brain"
+)
+
+// goldenAction is an action in a form of its own, so that the golden files outlive renames and reorderings in the package.
+func goldenAction(t *testing.T, a *brain.Action) (decision []byte, logText string) {
+	t.Helper()
+	big := binary.BigEndian
+	name := func(text string) { decision = append(decision, text...) }
+	switch a.Kind {
+	case brain.ActSend:
+		name("send")
+	case brain.ActRefuse:
+		name("refuse")
+	case brain.ActFail:
+		name("fail")
+	case brain.ActCancel:
+		name("cancel")
+	case brain.ActTimer:
+		name("timer")
+	case brain.ActProbe:
+		name("probe")
+	case brain.ActClose:
+		name("close")
+	case brain.ActWatch:
+		name("watch")
+	case brain.ActFetch:
+		name("fetch")
+	case brain.ActTell:
+		name("tell")
+	case brain.ActLog:
+		name("log")
+	default:
+		t.Fatalf("action of unknown kind %d", a.Kind)
+	}
+	on := byte(0)
+	if a.On {
+		on = 1
+	}
+	decision = append(decision, 0, on)
+	decision = big.AppendUint16(decision, a.Attempt)
+	decision = big.AppendUint16(decision, a.To)
+	decision = big.AppendUint32(decision, a.Job)
+	decision = big.AppendUint32(decision, a.Worker)
+	decision = big.AppendUint32(decision, a.Token)
+	decision = big.AppendUint64(decision, math.Float64bits(a.For))
+	decision = big.AppendUint32(decision, uint32(len(a.Data)))
+	decision = append(decision, a.Data...)
+	return decision, a.Text
+}
+
+// goldenActionText is an action for people.
+func goldenActionText(t *testing.T, a *brain.Action) string {
+	decision, text := goldenAction(t, a)
+	kind, _, _ := cutZero(decision)
+	return fmt.Sprintf("%s on=%v job=%d attempt=%d executor=%d to=%d token=%d for=%v data=%x %s",
+		kind, a.On, a.Job, a.Attempt, a.Worker, a.To, a.Token, a.For, a.Data, text)
+}
+
+func cutZero(b []byte) (before, after []byte, found bool) {
+	for i, c := range b {
+		if c == 0 {
+			return b[:i], b[i+1:], true
+		}
+	}
+	return b, nil, false
+}
--- /dev/null
+++ b/brain/golden_test.go
@@ -0,0 +1,285 @@
+package brain_test
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"hash"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"gatetack/brain"
+)
+
+// The golden files of this package hold what the module decided, and told other nodes, before its code was reshaped. A
+// change of shape or name changes nothing of them. GOLDEN_UPDATE=1 writes them anew, for a change of behaviour that is
+// meant; GOLDEN_TRACE=FOLDER writes each step's actions as text there, so that two builds can be compared line by line.
+// They hold on amd64: other processors may round sums of products in another way.
+
+const (
+	goldenFolder     = "testdata/golden"
+	goldenStepBytes  = 2  // of each step's hash that are kept, to name the first step that differs
+	goldenPerKind    = 12 // messages of each kind that are kept whole
+	goldenMostTraced = 5  // steps that a failure shows
+)
+
+// goldenRun is what is kept of a run.
+type goldenRun struct {
+	Steps     int            `json:"steps"`
+	Decisions string         `json:"decisions"` // SHA-256 over all actions; of log lines only that there is one
+	LogLines  string         `json:"logLines"`  // SHA-256 over their texts
+	Actions   map[string]int `json:"actions"`
+	Events    map[string]int `json:"events"`
+}
+
+// goldenMessage is a message that a node told.
+type goldenMessage struct {
+	Kind string `json:"kind"`
+	Step int    `json:"step"`
+	From int    `json:"from"`
+	To   uint16 `json:"to"`
+	Data string `json:"data"`
+}
+
+type goldenRecorder struct {
+	t        *testing.T
+	run      goldenRun
+	whole    hash.Hash
+	logs     hash.Hash
+	steps    []byte
+	messages []goldenMessage
+	perKind  map[string]int
+	trace    *bytes.Buffer
+}
+
+func newGoldenRecorder(t *testing.T) *goldenRecorder {
+	r := &goldenRecorder{t: t, whole: sha256.New(), logs: sha256.New(), perKind: map[string]int{}}
+	r.run.Actions, r.run.Events = map[string]int{}, map[string]int{}
+	if os.Getenv("GOLDEN_TRACE") != "" {
+		r.trace = &bytes.Buffer{}
+	}
+	return r
+}
+
+func (r *goldenRecorder) step(node int, actions []brain.Action) {
+	one := sha256.New()
+	_ = binary.Write(one, binary.BigEndian, uint32(node))
+	for i := range actions {
+		a := &actions[i]
+		decision, text := goldenAction(r.t, a)
+		one.Write(decision)
+		kind, _, _ := cutZero(decision)
+		r.run.Actions[string(kind)]++
+		if a.Kind == brain.ActLog {
+			fmt.Fprintf(r.logs, "%d %s\n", r.run.Steps, text)
+		}
+		if a.Kind == brain.ActTell {
+			r.keep(node, a)
+		}
+		if r.trace != nil {
+			fmt.Fprintf(r.trace, "%d node=%d %s\n", r.run.Steps, node, goldenActionText(r.t, a))
+		}
+	}
+	sum := one.Sum(nil)
+	r.whole.Write(sum)
+	r.steps = append(r.steps, sum[:goldenStepBytes]...)
+	r.run.Steps++
+}
+
+func (r *goldenRecorder) keep(node int, a *brain.Action) {
+	kind := messageKind(a)
+	if r.perKind[kind]++; r.perKind[kind] <= goldenPerKind {
+		r.messages = append(r.messages, goldenMessage{kind, r.run.Steps, node, a.To, hex.EncodeToString(a.Data)})
+	}
+}
+
+// messageKind tells the kinds of messages apart by their bytes.
+func messageKind(a *brain.Action) string {
+	if a.To == brain.AllPeers {
+		if len(a.Data) == 0 {
+			return "gossip, nothing out"
+		}
+		return "gossip"
+	}
+	kind := []string{"change", "question", "question with all that is out", "answer"}[a.Data[0]>>6]
+	if a.Data[0]>>6 == 3 && a.Data[0]&0x3f == 0 {
+		kind = "answer of an aggregator that does not know yet"
+	}
+	marks := false
+	for i := 1; i+2 <= len(a.Data); i += 2 {
+		marks = marks || a.Data[i+1]&15 >= 12
+	}
+	switch {
+	case marks:
+		return kind + ", with marks"
+	case len(a.Data) > 1:
+		return kind + ", with entries"
+	}
+	return kind
+}
+
+func (r *goldenRecorder) finish(c *goldenCluster) {
+	r.run.Decisions = hex.EncodeToString(r.whole.Sum(nil))
+	r.run.LogLines = hex.EncodeToString(r.logs.Sum(nil))
+	names := map[brain.EventKind]string{brain.EvList: "list", brain.EvTimer: "timer", brain.EvGone: "gone", brain.EvNote: "note",
+		brain.EvPeer: "peer", brain.EvFirst: "first", brain.EvOutcome: "outcome", brain.EvRequest: "request", brain.EvProbed: "probed"}
+	for kind, n := range c.kinds {
+		r.run.Events[names[kind]] = n
+	}
+}
+
+func goldenPath(name string) string { return filepath.Join(goldenFolder, name) }
+
+func goldenUpdate() bool { return os.Getenv("GOLDEN_UPDATE") != "" }
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(goldenPath(name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+func writeGolden(t *testing.T, name string, data []byte) {
+	t.Helper()
+	if err := os.WriteFile(goldenPath(name), data, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func goldenJSON(t *testing.T, value any) []byte {
+	t.Helper()
+	data, err := json.MarshalIndent(value, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(data, '\n')
+}
+
+// What the module decides in runs of a cluster with faults of every kind, step by step, and each message between nodes.
+func TestGoldenDecisions(t *testing.T) {
+	for _, plan := range goldenPlans() {
+		t.Run(plan.name, func(t *testing.T) {
+			t.Parallel()
+			r := newGoldenRecorder(t)
+			c := newGoldenCluster(t, plan, r.step)
+			c.play()
+			r.finish(c)
+			if r.trace != nil {
+				if err := os.WriteFile(filepath.Join(os.Getenv("GOLDEN_TRACE"), plan.name+".txt"), r.trace.Bytes(), 0o644); err != nil {
+					t.Fatal(err)
+				}
+			}
+			summary, messages := goldenJSON(t, r.run), goldenJSON(t, r.messages)
+			if goldenUpdate() {
+				writeGolden(t, plan.name+".steps", r.steps)
+				writeGolden(t, plan.name+".json", summary)
+				writeGolden(t, plan.name+".messages.json", messages)
+				return
+			}
+			compareSteps(t, plan, readGolden(t, plan.name+".steps"), r.steps)
+			compareLines(t, plan.name+".json", string(readGolden(t, plan.name+".json")), string(summary))
+			compareLines(t, plan.name+".messages.json", string(readGolden(t, plan.name+".messages.json")), string(messages))
+		})
+	}
+}
+
+// compareSteps names the first step whose actions are others.
+func compareSteps(t *testing.T, plan goldenPlan, want, got []byte) {
+	t.Helper()
+	if bytes.Equal(want, got) {
+		return
+	}
+	first := 0
+	for first < min(len(want), len(got)) && want[first] == got[first] {
+		first++
+	}
+	first /= goldenStepBytes
+	t.Errorf("%s: the actions of step %d differ from the golden ones (%d steps, want %d)", plan.name, first,
+		len(got)/goldenStepBytes, len(want)/goldenStepBytes)
+	step := 0
+	newGoldenCluster(t, plan, func(node int, actions []brain.Action) {
+		if step >= first && step < first+goldenMostTraced {
+			for i := range actions {
+				t.Logf("step %d node %d: %s", step, node, goldenActionText(t, &actions[i]))
+			}
+		}
+		step++
+	}).play()
+}
+
+func compareLines(t *testing.T, name, want, got string) {
+	t.Helper()
+	if want == got {
+		return
+	}
+	a, b := strings.Split(want, "\n"), strings.Split(got, "\n")
+	shown := 0
+	for i := 0; i < max(len(a), len(b)) && shown < 10; i++ {
+		var x, y string
+		if i < len(a) {
+			x = a[i]
+		}
+		if i < len(b) {
+			y = b[i]
+		}
+		if x != y {
+			shown++
+			t.Errorf("%s:%d: %s, want %s", name, i+1, strings.TrimSpace(y), strings.TrimSpace(x))
+		}
+	}
+}
+
+// The runs bring every kind of event, action and message to the module, and a run repeated is the same to the last byte.
+func TestGoldenRunsAreWhole(t *testing.T) {
+	events, actions, messages := map[string]int{}, map[string]int{}, map[string]int{}
+	for _, plan := range goldenPlans() {
+		var run goldenRun
+		if err := json.Unmarshal(readGolden(t, plan.name+".json"), &run); err != nil {
+			t.Fatal(err)
+		}
+		for kind, n := range run.Events {
+			events[kind] += n
+		}
+		for kind, n := range run.Actions {
+			actions[kind] += n
+		}
+		var told []goldenMessage
+		if err := json.Unmarshal(readGolden(t, plan.name+".messages.json"), &told); err != nil {
+			t.Fatal(err)
+		}
+		for _, m := range told {
+			messages[m.Kind]++
+		}
+	}
+	least := func(what string, counts map[string]int, kinds ...string) {
+		for _, kind := range kinds {
+			if counts[kind] < 1 {
+				t.Errorf("no %s of kind %q in the golden runs; there are %v", what, kind, counts)
+			}
+		}
+	}
+	least("event", events, "list", "timer", "gone", "note", "peer", "first", "outcome", "request", "probed")
+	least("action", actions, "send", "refuse", "fail", "cancel", "timer", "probe", "watch", "tell", "log")
+	least("message", messages, "gossip", "gossip, nothing out", "change, with entries", "change, with marks",
+		"question, with entries", "question", "question with all that is out, with entries",
+		"answer of an aggregator that does not know yet", "answer, with entries", "answer, with marks")
+	plan := goldenPlans()[0]
+	plan.duration /= 4
+	var sums [][]byte
+	for range 2 {
+		r := newGoldenRecorder(t)
+		newGoldenCluster(t, plan, r.step).play()
+		sums = append(sums, r.steps)
+	}
+	if !slices.Equal(sums[0], sums[1]) {
+		t.Error("two equal runs differ")
+	}
+}
