--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -9,6 +9,11 @@
 // goes first, then the order of submission. An array takes part as one item, and never has more than MaxParallel
 // members out.
 //
+// # Time
+//
+// A start is a date: it follows the wall clock when that is set. The wait after a refusal is a span, and runs on the monotonic clock:
+// callers pass times that carry its reading, as time.Now returns them.
+//
 // # Memory
 //
 // An array is kept as its range and what is out of it, not as its members.
@@ -25,7 +30,7 @@
 	ID       string
 	Session  string
 	Priority int
-	Start    time.Time // not before it
+	Start    time.Time // a date, before which it is not handed out
 	Held     bool      // until it is released
 
 	// Of an array: the indices Begin, Begin+Step ... up to End, and how many may be out at a time, 0 for any number.
@@ -55,7 +60,8 @@
 type Queue struct {
 	items    map[string]*item
 	sessions map[string]*session
-	starts   *line // those with a time to come
+	starts   *line // items whose start date has not come, by date
+	retries  *line // items that wait after a refusal, by the monotonic clock
 	turn     uint64
 	seq      uint64
 	out      int
@@ -76,14 +82,17 @@
 	again []int        // members that came back refused
 	skip  map[int]bool // members that were taken away before their turn
 	out   map[int]bool
-	at    time.Time // not before it: its start, or after a refusal
+	start time.Time // a date, without a monotonic reading; zero once it has come
+	retry time.Time // after a refusal: not before it, by the monotonic clock
 	heap  int       // its place among the session's ready ones, -1 if it is not there
-	timed int       // its place among the starts, -1 likewise
+	timed int       // its place among the starts or the retries, -1 likewise
+	line  *line     // starts or retries, where timed is not -1
 }
 
 // New makes an empty queue.
 func New() *Queue {
-	return &Queue{items: map[string]*item{}, sessions: map[string]*session{}, starts: newStarts()}
+	return &Queue{items: map[string]*item{}, sessions: map[string]*session{}, starts: newTimed(func(it *item) time.Time { return it.start }),
+		retries: newTimed(func(it *item) time.Time { return it.retry })}
 }
 
 // Add takes an item in, and says whether its name was free.
@@ -102,8 +111,8 @@
 		return false
 	}
 	q.seq++
-	it := &item{Item: x, seq: q.seq, next: max(p.Next, x.Begin), again: p.Again, skip: map[int]bool{}, out: map[int]bool{}, at: x.Start,
-		heap: -1, timed: -1}
+	it := &item{Item: x, seq: q.seq, next: max(p.Next, x.Begin), again: p.Again, skip: map[int]bool{}, out: map[int]bool{},
+		start: x.Start.Round(0), heap: -1, timed: -1}
 	for _, index := range p.Skip {
 		if index >= it.next && index <= it.End {
 			it.skip[index] = true
@@ -146,36 +155,72 @@
 	return n
 }
 
-// place puts an item where it belongs: among the ready ones, those with a time to come, or neither.
+// place puts an item where it belongs: among the ready ones, those with a time to come, or neither. A start date that has come stays
+// come if the wall clock is set back afterwards.
 func (q *Queue) place(it *item, now time.Time) {
 	s := q.session(it.Session)
 	full := it.MaxParallel > 0 && len(it.out) >= it.MaxParallel
 	waits := it.left() > 0 && !it.Held
-	later := it.at.After(now)
-	if ready := waits && !full && !later; ready != (it.heap >= 0) {
+	if !it.start.After(now) {
+		it.start = time.Time{}
+	}
+	var timed *line
+	switch {
+	case !waits:
+	case !it.start.IsZero():
+		timed = q.starts
+	case it.retry.After(now):
+		timed = q.retries
+	}
+	if ready := waits && !full && timed == nil; ready != (it.heap >= 0) {
 		if ready {
 			heap.Push(s.ready, it)
 		} else {
 			heap.Remove(s.ready, it.heap)
 		}
 	}
-	if timed := waits && later; timed != (it.timed >= 0) {
-		if timed {
-			heap.Push(q.starts, it)
-		} else {
-			heap.Remove(q.starts, it.timed)
+	if it.timed >= 0 {
+		heap.Remove(it.line, it.timed)
+	}
+	if it.line = timed; timed != nil {
+		heap.Push(timed, it)
+	}
+}
+
+// dateCheckInterval is how often start dates are compared with the wall clock while any is to come. A timer for the whole wait would
+// not notice that the clock was set.
+const dateCheckInterval = time.Second
+
+// due moves items whose time has come to where they belong.
+func (q *Queue) due(now time.Time) {
+	for q.starts.Len() > 0 && !q.starts.items[0].start.After(now) {
+		q.place(q.starts.items[0], now)
+	}
+	for q.retries.Len() > 0 && !q.retries.items[0].retry.After(now) {
+		q.place(q.retries.items[0], now)
+	}
+}
+
+// wake is when Next is to be called again if nothing else happens; zero for never.
+func (q *Queue) wake(now time.Time) time.Time {
+	var wake time.Time
+	if q.retries.Len() > 0 {
+		wake = q.retries.items[0].retry
+	}
+	if q.starts.Len() > 0 {
+		// The date decides how long to wait; the wait itself runs on the clock that now was read from.
+		check := now.Add(min(q.starts.items[0].start.Sub(now), dateCheckInterval))
+		if wake.IsZero() || check.Before(wake) {
+			wake = check
 		}
-	} else if timed {
-		heap.Fix(q.starts, it.timed)
 	}
+	return wake
 }
 
 // Next gives up to room jobs that are to be handed to the core now, and when to ask again if nothing else happens; zero
 // for never.
 func (q *Queue) Next(now time.Time, room int) (refs []Ref, wake time.Time) {
-	for q.starts.Len() > 0 && !q.starts.items[0].at.After(now) {
-		q.place(q.starts.items[0], now)
-	}
+	q.due(now)
 	for len(refs) < room {
 		s := q.pick()
 		if s == nil {
@@ -190,10 +235,7 @@
 		q.waiting--
 		q.place(it, now)
 	}
-	if q.starts.Len() > 0 {
-		wake = q.starts.items[0].at
-	}
-	return refs, wake
+	return refs, q.wake(now)
 }
 
 // pick is the session whose turn it is.
@@ -320,8 +362,8 @@
 	if wait {
 		it.again = append(it.again, r.Index)
 		q.waiting++
-		if again.After(it.at) {
-			it.at = again
+		if again.After(it.retry) {
+			it.retry = again
 		}
 	}
 	q.place(it, now)
@@ -371,8 +413,9 @@
 	}, place: func(it *item) *int { return &it.heap }}
 }
 
-func newStarts() *line {
-	return &line{less: func(a, b *item) bool { return a.at.Before(b.at) }, place: func(it *item) *int { return &it.timed }}
+// newTimed returns a heap of items by a time of theirs.
+func newTimed(at func(*item) time.Time) *line {
+	return &line{less: func(a, b *item) bool { return at(a).Before(at(b)) }, place: func(it *item) *int { return &it.timed }}
 }
 
 func (l *line) Len() int           { return len(l.items) }
