--- a/internal/locality/placer.go
+++ b/internal/locality/placer.go
@@ -32,6 +32,7 @@
 	slotsPerExecutor float64
 	log              *slog.Logger
 	now              func() time.Time
+	started          time.Time
 
 	mu           sync.Mutex
 	site         *site.Site
@@ -53,7 +54,7 @@
 }
 
 func newPlacer(f *File, names node.Names, s brain.Settings, from MachineLister, log *slog.Logger) *Placer {
-	p := &Placer{names: names, settings: s, machines: from, slotsPerExecutor: float64(f.SlotsPerExecutor), log: log, now: time.Now, executorZone: map[string]int{},
+	p := &Placer{names: names, settings: s, machines: from, slotsPerExecutor: float64(f.SlotsPerExecutor), log: log, now: time.Now, started: time.Now(), executorZone: map[string]int{},
 		site: site.New(max(len(names.Zones), 1), maxDataSets)}
 	for _, c := range s.Classes {
 		p.meanRun = append(p.meanRun, max(1, c.Aim))
@@ -96,7 +97,10 @@
 	}
 }
 
-func (p *Placer) nowMillis() float64 { return float64(p.now().UnixMicro()) / 1000 }
+// nowMillis is the time in ms on a clock that nobody sets: it began with the wall clock and runs on with the monotonic one.
+func (p *Placer) nowMillis() float64 {
+	return float64(p.started.UnixMicro())/1000 + float64(p.now().Sub(p.started).Microseconds())/1000
+}
 
 // refresh takes in the listed executors: a zone's capacity is that of its executors that take work, and its wait is what this node has
 // there beyond its part of the capacity. A zone without such an executor takes no jobs.
