--- /dev/null
+++ b/internal/http1/accept.go
@@ -0,0 +1,154 @@
+package http1
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"syscall"
+	"time"
+
+	"gatetack/internal/sock"
+)
+
+const (
+	// acceptBackoffMin and acceptBackoffMax bound the pause after an accept that failed for want of memory, or for a reason that
+	// accept(2) does not name. It doubles with each such failure in a row.
+	acceptBackoffMin = time.Millisecond
+	acceptBackoffMax = 50 * time.Millisecond
+	// descriptorWait bounds the wait for a descriptor where no connection could be evicted.
+	descriptorWait = 5 * time.Millisecond
+	// evictionTimeout bounds the wait for an evicted connection to close. It is exceeded only by one whose request came in the
+	// moment of its eviction and is handled.
+	evictionTimeout = 50 * time.Millisecond
+)
+
+// acceptFailure says how the accept loop goes on after an error of accept.
+type acceptFailure uint8
+
+const (
+	acceptSkipped        acceptFailure = iota // it concerns one pending connection or a signal: accept the next at once
+	acceptDeadline                            // the listener's deadline passed
+	acceptNoDescriptor                        // EMFILE, ENFILE: the connection stays in the queue until one is free
+	acceptListenerClosed                      // nothing more can be accepted
+	acceptBackoff                             // short of memory, or not known: pause before the next
+)
+
+// acceptFailures are the errors that accept(2) documents. Network errors that were pending on the new socket are passed on by
+// accept, and are to be treated like EAGAIN (accept(2), "Error handling"); the connection that they belong to is gone.
+var acceptFailures = map[syscall.Errno]acceptFailure{
+	syscall.EINTR: acceptSkipped, syscall.EAGAIN: acceptSkipped,
+	syscall.ECONNABORTED: acceptSkipped, syscall.ECONNRESET: acceptSkipped, syscall.ETIMEDOUT: acceptSkipped,
+	syscall.EPROTO: acceptSkipped, syscall.EPERM: acceptSkipped,
+	syscall.ENETDOWN: acceptSkipped, syscall.ENOPROTOOPT: acceptSkipped, syscall.EHOSTDOWN: acceptSkipped, syscall.ENONET: acceptSkipped,
+	syscall.EHOSTUNREACH: acceptSkipped, syscall.EOPNOTSUPP: acceptSkipped, syscall.ENETUNREACH: acceptSkipped,
+	syscall.EMFILE: acceptNoDescriptor, syscall.ENFILE: acceptNoDescriptor,
+	syscall.ENOBUFS: acceptBackoff, syscall.ENOMEM: acceptBackoff,
+}
+
+func classifyAcceptError(err error) acceptFailure {
+	var errno syscall.Errno
+	switch {
+	case errors.Is(err, net.ErrClosed):
+		return acceptListenerClosed
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return acceptDeadline
+	case errors.Is(err, io.EOF):
+		return acceptSkipped
+	case errors.As(err, &errno):
+		if failure, documented := acceptFailures[errno]; documented {
+			return failure
+		}
+	}
+	return acceptBackoff
+}
+
+// acceptLoop accepts connections and has each of them served, until the context ends, the listener is closed, or a server that ends
+// has accepted all that waited.
+func (s *Server) acceptLoop(ctx context.Context, ln net.Listener, serve func(*conn)) error {
+	defer close(s.taken)
+	backoff := acceptBackoffMin
+	for {
+		last := s.lastAccept(ln)
+		accepted, err := ln.Accept()
+		if ctx.Err() != nil || err != nil && s.stopped.Load() {
+			return nil
+		}
+		if err == nil {
+			backoff = acceptBackoffMin
+			serve(s.register(accepted))
+			s.waitForDescriptor(ctx)
+			continue
+		}
+		switch classifyAcceptError(err) {
+		case acceptSkipped:
+			s.log.Debug("accept failed", "err", err)
+		case acceptDeadline:
+			if last {
+				s.StopTaking()
+				return nil
+			}
+		case acceptListenerClosed:
+			return fmt.Errorf("accepting: %w", err)
+		case acceptNoDescriptor:
+			s.log.Warn("accept failed", "err", err)
+			s.freeDescriptor(ctx)
+		case acceptBackoff:
+			s.log.Warn("accept failed", "err", err, "backoff", backoff)
+			s.sleep(ctx, backoff)
+			backoff = min(2*backoff, acceptBackoffMax)
+		}
+	}
+}
+
+// register makes a connection of the server's of one that was accepted.
+func (s *Server) register(accepted net.Conn) *conn {
+	sock.Bound(accepted, s.lim.Pace.SendBuf, 0)
+	sock.Forget(accepted, s.lim.Pace.Forget)
+	c := newConn(accepted, s.lim.Ring, s.lim.Pace.ClientIn, s.lim.Pace.ClientOut, s.lim.DropPause)
+	// Past the budget, where all others are busy, a connection gets one answer. Past the reserve too it is refused as soon as its
+	// request has come: its client waits for nothing, and a request that is left in the listener's queue is taken all the same.
+	s.admit(c)
+	return c
+}
+
+// waitForDescriptor returns once there is a descriptor for one more connection, however short-lived.
+func (s *Server) waitForDescriptor(ctx context.Context) {
+	for s.full() && ctx.Err() == nil {
+		s.closeIdle(false)
+		select {
+		case <-s.freed:
+		case <-time.After(s.lim.DoorWait / 4):
+		case <-ctx.Done():
+		}
+	}
+}
+
+// freeDescriptor closes the connection that makes place for another, as where the budget is used up, and waits for its end. Only
+// where there is none it pauses, until a connection ends by itself.
+func (s *Server) freeDescriptor(ctx context.Context) {
+	evicted := s.evict()
+	if evicted == nil {
+		s.sleep(ctx, descriptorWait)
+		return
+	}
+	timer := time.NewTimer(evictionTimeout)
+	defer timer.Stop()
+	select {
+	case <-evicted.ended:
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
+
+// sleep pauses for a while, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
--- /dev/null
+++ b/internal/http1/accept_test.go
@@ -0,0 +1,233 @@
+package http1
+
+import (
+	"context"
+	"io"
+	"net"
+	"os"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"gatetack/internal/limits"
+	"gatetack/internal/pace"
+)
+
+// faultyListener is a listener whose accept fails as next says, before it accepts for real.
+type faultyListener struct {
+	net.Listener
+	next func(call int) error
+
+	mu   sync.Mutex
+	call int
+}
+
+func (l *faultyListener) Accept() (net.Conn, error) {
+	l.mu.Lock()
+	l.call++
+	call := l.call
+	l.mu.Unlock()
+	if errno := l.next(call); errno != nil {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
+	}
+	return l.Listener.Accept()
+}
+
+// SetDeadline keeps the deadline of the listener itself.
+func (l *faultyListener) SetDeadline(t time.Time) error {
+	return l.Listener.(*net.TCPListener).SetDeadline(t)
+}
+
+// pauses notes those of a server's accept loop, and makes none.
+type pauses struct {
+	mu  sync.Mutex
+	all []time.Duration
+}
+
+func (p *pauses) sleep(_ context.Context, d time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.all = append(p.all, d)
+}
+
+func (p *pauses) made() []time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return append([]time.Duration(nil), p.all...)
+}
+
+// serveFaulty is serve with a listener whose accept fails as next says, and gives the pauses of its accept loop.
+func serveFaulty(t *testing.T, lim limits.Limits, h handler, next func(s *Server, call int) error) (*Server, string, *pauses) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	var g errgroup.Group
+	s, p := NewServer(lim, h, &pace.Tally{}, quietLog), &pauses{}
+	s.sleep = p.sleep
+	faulty := &faultyListener{Listener: ln, next: func(call int) error { return next(s, call) }}
+	g.Go(func() error { return s.Serve(ctx, faulty) })
+	t.Cleanup(func() {
+		cancel()
+		if err := g.Wait(); err != nil {
+			t.Error(err)
+		}
+	})
+	return s, ln.Addr().String(), p
+}
+
+// answers are those with status 200 that a client gets for one request and until its connection ends.
+func answers(t *testing.T, addr string) int {
+	t.Helper()
+	c := dial(t, addr)
+	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nConnection: close\r\n\r\n")
+	all, err := io.ReadAll(c)
+	if err != nil {
+		t.Errorf("%v", err)
+	}
+	return strings.Count(string(all), " 200 OK")
+}
+
+func ok(context.Context, *Message) Response { return Response{Status: 200} }
+
+// An error that concerns one pending connection, or a signal, delays none of the others: the next is accepted with no pause.
+func TestAcceptGoesOnAtOnceAfterErrorsOfOneConnection(t *testing.T) {
+	faults := []error{syscall.ECONNABORTED, syscall.EPROTO, syscall.EINTR, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN,
+		syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.EPERM, syscall.ECONNRESET}
+	_, addr, paused := serveFaulty(t, lim, ok, func(_ *Server, call int) error {
+		if call <= len(faults) {
+			return faults[call-1]
+		}
+		return nil
+	})
+	if n := answers(t, addr); n != 1 {
+		t.Errorf("%d answers after the errors", n)
+	}
+	if made := paused.made(); len(made) != 0 {
+		t.Errorf("pauses: %v", made)
+	}
+}
+
+// Without a descriptor for one more connection an idle one is closed before the next accept, with no pause; one whose request is
+// being handled stays, and only where all are such there is a pause.
+func TestAcceptFreesDescriptors(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			hold, began := make(chan bool), make(chan bool, 1)
+			open := []int{} // connections at the accept after each failure
+			_, addr, paused := serveFaulty(t, lim, func(_ context.Context, m *Message) Response {
+				if m.Target == "/hold" {
+					began <- true
+					<-hold
+				}
+				return Response{Status: 200, Known: true}
+			}, func(s *Server, call int) error {
+				switch call {
+				case 1, 2: // an idle connection and a busy one
+				case 3:
+					waitFor(t, "the first connection is idle", func() bool { return phases(s)[idle] == 1 && phases(s)[busy] == 1 })
+					return errno
+				case 5:
+					waitFor(t, "the busy connection is alone", func() bool { return s.Conns() == 1 })
+					return errno
+				case 4, 6:
+					open = append(open, s.Conns())
+				}
+				return nil
+			})
+			idler := dial(t, addr)
+			_, _ = io.WriteString(idler, get)
+			if m, err := NewParser(lim, true).Read(NewRing(512), idler); err != nil || m.Status != 200 {
+				t.Fatalf("%v %v", m, err)
+			}
+			held := dial(t, addr)
+			_, _ = io.WriteString(held, "GET /hold HTTP/1.1\r\n\r\n")
+			<-began
+			if rest, err := io.ReadAll(idler); err != nil || len(rest) > 0 {
+				t.Errorf("the idle connection: %q, %v", rest, err)
+			}
+			for range 2 {
+				if n := answers(t, addr); n != 1 {
+					t.Errorf("%d answers after the error", n)
+				}
+			}
+			if made := paused.made(); len(open) != 2 || open[0] != 1 || len(made) != 1 || made[0] != descriptorWait {
+				t.Errorf("connections at the accepts after the errors: %v; pauses: %v", open, made)
+			}
+			close(hold)
+			if _, err := NewParser(lim, true).Read(NewRing(512), held); err != nil {
+				t.Errorf("the request that was being handled: %v", err)
+			}
+		})
+	}
+}
+
+// phases counts a server's connections by phase.
+func phases(s *Server) map[phase]int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n := map[phase]int{}
+	for c := range s.conns {
+		n[c.phase]++
+	}
+	return n
+}
+
+// Short of memory, and after errors that accept(2) does not name, the pauses double up to a bound and begin anew after a connection.
+func TestAcceptBacksOffWhereMemoryIsShort(t *testing.T) {
+	const before = 8 // failures until the bound is reached, and some
+	_, addr, paused := serveFaulty(t, lim, ok, func(_ *Server, call int) error {
+		switch {
+		case call <= before:
+			return []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC}[call%3]
+		case call == before+2:
+			return syscall.ENOMEM
+		}
+		return nil
+	})
+	for range 2 {
+		if n := answers(t, addr); n != 1 {
+			t.Errorf("%d answers after the errors", n)
+		}
+	}
+	made := paused.made()
+	if len(made) != before+1 || made[before] != acceptBackoffMin {
+		t.Fatalf("pauses: %v", made)
+	}
+	for i, want := 0, acceptBackoffMin; i < before; i, want = i+1, min(2*want, acceptBackoffMax) {
+		if made[i] != want {
+			t.Errorf("pause %d: %v, want %v", i, made[i], want)
+		}
+	}
+}
+
+// A server that ends takes ETIMEDOUT of one pending connection for that, not for its own deadline: others still wait behind it.
+func TestFinishGoesOnAfterAnErrorOfOneConnection(t *testing.T) {
+	finishing := make(chan bool)
+	s, addr, _ := serveFaulty(t, lim, ok, func(_ *Server, call int) error {
+		switch call {
+		case 1: // it is called before the end begins
+			<-finishing
+			return syscall.ECONNABORTED
+		case 2:
+			return syscall.ETIMEDOUT
+		}
+		return nil
+	})
+	c := dial(t, addr) // it waits in the listener's queue
+	_, _ = io.WriteString(c, get)
+	done := make(chan bool)
+	go func() { s.Finish(t.Context()); close(done) }()
+	waitFor(t, "the server ends", s.finishing.Load)
+	close(finishing)
+	if all, err := io.ReadAll(c); err != nil || !strings.Contains(string(all), " 200 OK") {
+		t.Errorf("%q %v", all, err)
+	}
+	<-done
+}
--- a/internal/http1/admit.go
+++ b/internal/http1/admit.go
@@ -17,12 +17,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.standing >= s.lim.ClientConns {
-		if least := s.leastWorth(); least != nil {
-			if least.phase == answering {
-				s.tally.Add(pace.ClientCut)
-			}
-			s.shut(least)
-		}
+		s.evictLocked(0)
 	}
 	s.conns[c] = struct{}{}
 	s.standing++
@@ -46,12 +41,38 @@
 	}
 }
 
+// evict closes the connection that makes place for another, and returns it, nil if all are to stay. On one that has just been made
+// a request may be on its way, and the one that waits for a descriptor is worth no more: it stays.
+func (s *Server) evict() *conn {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.evictLocked(s.lim.DoorWait)
+}
+
+func (s *Server) evictLocked(youngest time.Duration) *conn {
+	least := s.leastWorth(youngest)
+	if least == nil {
+		return nil
+	}
+	switch least.phase {
+	case idle, reading:
+		s.retire(least)
+	case answering:
+		s.tally.Add(pace.ClientCut)
+		s.shut(least)
+	default:
+		s.shut(least)
+	}
+	return least
+}
+
 // leastWorth is the connection that makes place for another, nil if all are to stay. One on which bytes have come that nobody has
-// read yet is not idle, as it looks: a close would reset it, and a request on a new one would be lost.
-func (s *Server) leastWorth() *conn {
+// read yet is not idle, as it looks: a close would reset it, and a request on a new one would be lost. Those that carried nothing yet
+// count from the age of youngest on.
+func (s *Server) leastWorth(youngest time.Duration) *conn {
 	var passed [unreadLooks]*conn
 	for look := range passed {
-		least := s.leastBut(passed[:look])
+		least := s.leastBut(passed[:look], youngest)
 		if least == nil || least.phase != idle || least.quiet() {
 			return least
 		}
@@ -61,10 +82,11 @@
 }
 
 // leastBut is the connection of least worth, and of those the oldest, that is none of passed.
-func (s *Server) leastBut(passed []*conn) *conn {
+func (s *Server) leastBut(passed []*conn, youngest time.Duration) *conn {
 	var least *conn
+	now := time.Now()
 	for c := range s.conns {
-		if c.worth() >= kept || slices.Contains(passed, c) {
+		if c.worth() >= kept || slices.Contains(passed, c) || !c.served && now.Sub(c.since) < youngest {
 			continue
 		}
 		if least == nil || c.worth() < least.worth() || c.worth() == least.worth() && c.since.Before(least.since) {
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -40,6 +40,8 @@
 	unread bool      // the last answer is finished and not acknowledged
 	share  string    // the peer that it counts for
 	why    *pace.Slow
+
+	ended chan struct{} // closed once its descriptor is
 }
 
 type phase uint8
@@ -50,6 +52,7 @@
 	busy                   // one that came whole is being handled
 	answering              // its answer is being written: it holds no job and no request's place
 	lingering              // its last answer is written, and nothing more is taken from it
+	retiring               // it is to be closed: what has come on it is still taken, and nothing more is waited for
 	closed
 )
 
@@ -64,7 +67,7 @@
 
 func newConn(c net.Conn, ring int, in, out pace.Rate, pause time.Duration) *conn {
 	return &conn{Paced: NewPaced(c, in, out), in: NewRing(ring), want: make(chan struct{}, 1), got: make(chan struct{}, 1),
-		pause: pause, phase: idle}
+		pause: pause, phase: idle, ended: make(chan struct{})}
 }
 
 // read makes the reads that are asked for.
@@ -111,6 +114,33 @@
 	return m, err
 }
 
+// lastRequest takes in what has come on a connection that is to be closed, and gives the request that it makes whole, if any. A
+// read that is under way is called off first; whatever it took is with the parser then, too.
+func (c *conn) lastRequest(p *Parser) (*Message, error) {
+	if c.asked {
+		c.ReadBy(longAgo)
+		<-c.got
+		c.asked = false
+	}
+	for {
+		m, err := c.parse(p)
+		if m != nil || err != nil {
+			return m, err
+		}
+		n, _ := c.in.Fill(unread{c.Conn})
+		if n == 0 {
+			return nil, nil
+		}
+		c.unparsed.Add(int64(n))
+		c.times.came(n, time.Now())
+	}
+}
+
+// unread reads what has come on a connection already, whatever its deadline is. It never waits.
+type unread struct{ net.Conn }
+
+func (u unread) Read(b []byte) (int, error) { return sock.Take(u.Conn, b), nil }
+
 // quiet says that nothing has come that is not parsed yet, neither in the kernel nor with the reader. Bytes go from the first to the
 // second, so they are looked for in this order.
 func (c *conn) quiet() bool { return sock.Quiet(c.Conn) && c.unparsed.Load() == 0 }
--- a/internal/http1/ending.go
+++ b/internal/http1/ending.go
@@ -37,12 +37,28 @@
 	for c := range s.conns {
 		// One with bytes that nobody has read yet is not idle: a request is coming on it, or its client's end.
 		if c.phase == idle && (all || c.served || time.Since(c.since) >= s.lim.DoorWait) && c.quiet() {
-			s.shut(c)
+			s.retire(c)
 		}
 	}
 }
 
-// shut closes a connection under which no request is handled.
+// retire has a connection closed under which no request is handled. The goroutine that serves it does that, after a last read: a
+// request that came after the decision to close is answered first, and so is one that the reader had in hand.
+func (s *Server) retire(c *conn) {
+	c.phase = retiring
+	s.standing--
+	s.read(c)
+	c.ReadBy(longAgo)
+}
+
+// retired says whether a connection is to be closed.
+func (s *Server) retired(c *conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return c.phase == retiring
+}
+
+// shut closes a connection at once, whatever is still to be read or written on it.
 func (s *Server) shut(c *conn) {
 	c.phase = closed
 	s.standing--
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"log/slog"
 	"net"
@@ -15,7 +14,6 @@
 
 	"gatetack/internal/limits"
 	"gatetack/internal/pace"
-	"gatetack/internal/sock"
 )
 
 // Handler answers one request. Its context ends when the client has gone away: no answer is read then.
@@ -40,10 +38,11 @@
 	busy      atomic.Int64  // requests being handled
 	bodies    atomic.Int64  // bytes of bodies that are held
 	tally     *pace.Tally
+	sleep     func(context.Context, time.Duration) // pauses of the accept loop
 
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
-	standing int           // of them, those that are not closed yet
+	standing int           // of them, those that are neither closed nor retiring
 	freed    chan struct{} // told when one has ended or become idle
 	shares   *pace.Ledger[string]
 	last     time.Time // when a connection was last taken or a request last handled
@@ -51,7 +50,7 @@
 
 // NewServer makes a server.
 func NewServer(lim limits.Limits, h Handler, tally *pace.Tally, log *slog.Logger) *Server {
-	return &Server{lim: lim, h: h, tally: tally, log: log, conns: map[*conn]struct{}{}, freed: make(chan struct{}, 1), taken: make(chan struct{}),
+	return &Server{lim: lim, h: h, tally: tally, log: log, sleep: sleep, conns: map[*conn]struct{}{}, freed: make(chan struct{}, 1), taken: make(chan struct{}),
 		shares: pace.NewLedger[string](lim.ClientConns, lim.Pace.Least, lim.Pace.Alpha)}
 }
 
@@ -87,7 +86,7 @@
 			case slow != nil && (c.phase == idle || c.phase == reading):
 				c.why = slow
 				slowest = append(slowest, c)
-				s.shut(c)
+				s.retire(c)
 			}
 		}
 		s.mu.Unlock()
@@ -103,8 +102,15 @@
 func (s *Server) enter(c *conn, p phase) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.phase == closed {
+	switch {
+	case c.phase == closed:
+		return false
+	case c.phase != retiring:
+	case p == idle || p == reading:
 		return false
+	default: // its last read found a request: it is counted again, for one answer
+		s.standing++
+		c.how = max(c.how, once)
 	}
 	if p == busy {
 		s.read(c) // who asks for the next has read the last, or gives up on it
@@ -132,7 +138,7 @@
 func (s *Server) full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.standing >= s.lim.ClientConns+s.lim.SpareConns+s.lim.DoorConns
+	return len(s.conns) >= s.lim.ClientConns+s.lim.SpareConns+s.lim.DoorConns
 }
 
 // Conns is how many connections are open.
@@ -171,53 +177,12 @@
 	})
 	g.Go(func() error { s.follow(ctx); return nil })
 	g.Go(func() error {
-		defer close(s.taken)
-		for {
-			last := s.lastAccept(ln)
-			c, err := ln.Accept()
-			if ctx.Err() != nil || err != nil && s.stopped.Load() {
-				return nil
-			}
-			if err != nil {
-				if timeout(err) && last {
-					s.StopTaking()
-					return nil
-				}
-				if timeout(err) || errors.Is(err, io.EOF) {
-					continue
-				}
-				// Out of descriptors, or a connection reset before it was taken: the listener itself goes on.
-				s.log.Warn("accept", "err", err)
-				select {
-				case <-time.After(5 * time.Millisecond):
-				case <-ctx.Done():
-					return nil
-				}
-				if errors.Is(err, net.ErrClosed) {
-					return fmt.Errorf("accepting: %w", err)
-				}
-				continue
-			}
-			sock.Bound(c, s.lim.Pace.SendBuf, 0)
-			sock.Forget(c, s.lim.Pace.Forget)
-			nc := newConn(c, s.lim.Ring, s.lim.Pace.ClientIn, s.lim.Pace.ClientOut, s.lim.DropPause)
-			// Past the budget, where all others are busy, a connection gets one answer. Past the reserve too it is told so
-			// at the door: its client waits for nothing, and a request that is left in the listener's queue is taken all the
-			// same. Only at the end of that is there no descriptor for one more, until one at the door ends.
-			s.admit(nc)
+		return s.acceptLoop(ctx, ln, func(c *conn) {
 			g.Go(func() error {
-				s.serve(ctx, nc)
+				s.serve(ctx, c)
 				return nil
 			})
-			for s.full() && ctx.Err() == nil {
-				s.closeIdle(false)
-				select {
-				case <-s.freed:
-				case <-time.After(s.lim.DoorWait / 4):
-				case <-ctx.Done():
-				}
-			}
-		}
+		})
 	})
 	if err := g.Wait(); err != nil && !errors.Is(err, net.ErrClosed) {
 		return err
@@ -241,10 +206,11 @@
 		p.Release()
 		s.mu.Lock()
 		delete(s.conns, c)
-		if c.phase != closed {
+		if c.phase != closed && c.phase != retiring {
 			s.standing--
 			s.read(c)
 		}
+		close(c.ended)
 		if c.share != "" {
 			s.shares.Give(c.share, 1)
 		}
@@ -378,7 +344,7 @@
 			now = reading
 		}
 		if !s.enter(c, now) {
-			return nil, nil
+			return c.lastRequest(p)
 		}
 		c.ask()
 		<-c.got
@@ -388,6 +354,19 @@
 			if m != nil || err != nil || errors.Is(c.err, net.ErrClosed) {
 				return m, err
 			}
+			if timeout(c.err) {
+				// The bound may have passed with a request unread, on a machine that had no time to read.
+				m, err := c.lastRequest(p)
+				if m != nil || err != nil {
+					return m, err
+				}
+				if p.Begun() && !begun && !first {
+					continue
+				}
+				if s.retired(c) {
+					return nil, nil
+				}
+			}
 			if p.Begun() && timeout(c.err) {
 				s.slow(pace.ClientSends, c, c.Incoming())
 				return nil, bad(408, "the request did not come whole in time")
