--- /dev/null
+++ b/cmd/gatetack/relayed_test.go
@@ -0,0 +1,49 @@
+package main
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"gatetack/internal/batch"
+	"gatetack/internal/executor"
+	"gatetack/internal/handover"
+	"gatetack/internal/node"
+	"gatetack/internal/platform"
+	"gatetack/internal/standin"
+)
+
+// A callback of an attempt that this process does not know is refused while the directory that the other process takes
+// it from can not be used, and taken once it can.
+func TestUnknownCallbackIsRefusedWhileItCanNotBePassedOn(t *testing.T) {
+	blocked := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(blocked, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	relay := handover.New(filepath.Join(blocked, "handover"), time.Millisecond, time.Minute, standin.Quiet)
+	if err := relay.Register(); err == nil {
+		t.Fatal("registered below a file")
+	}
+	exec := executor.New(t.Context(), &errgroup.Group{}, standin.Lim, node.Names{}, nil, nil, standin.Quiet)
+	calls := relayed{exec: exec, relay: relay, late: &atomic.Pointer[batch.Front]{}}
+	callback := []byte(`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"done","result":"tile"}`)
+	err := calls.Callback(callback)
+	if _, ok := errors.AsType[*platform.CallbackRefusedError](err); !ok || !errors.Is(err, syscall.ENOTDIR) {
+		t.Fatalf("%v", err)
+	}
+	if err := os.Remove(blocked); err != nil {
+		t.Fatal(err)
+	}
+	if err := relay.Register(); err != nil {
+		t.Fatal(err)
+	}
+	if err := calls.Callback(callback); err != nil {
+		t.Errorf("with no other process: %v", err)
+	}
+}
--- a/cmd/gatetack/serve.go
+++ b/cmd/gatetack/serve.go
@@ -154,9 +154,9 @@
 	}
 	calls := relayed{exec: exec, late: &atomic.Pointer[batch.Front]{}}
 	if c.Passed >= 0 {
-		relay, err := handover.Open(filepath.Join(os.TempDir(), "gatetack-handover"), c.Limits.Follow, c.Limits.Stay, log)
-		if err != nil {
-			return err
+		relay := handover.New(filepath.Join(os.TempDir(), "gatetack-handover"), c.Limits.Follow, c.Limits.Stay, log)
+		if err := relay.Register(); err != nil { // tried again by Run
+			log.Error("handover directory not usable", "err", err)
 		}
 		defer func() { _ = relay.Close() }()
 		calls.relay = relay
@@ -272,7 +272,8 @@
 
 // relayed takes callbacks for the executors of this process, and leaves those of attempts it does not know for the
 // other process of the node, if one stands beside it: while one replaces the other, they all come to the new one. A
-// callback that is not this process's is answered as any other: it may be a repeat, or of an attempt that is over.
+// callback that is not this process's is answered as any other: it may be a repeat, or of an attempt that is over. One
+// that could not be stored for the other process is refused, so that the executor calls again.
 type relayed struct {
 	exec  *executor.Client
 	relay *handover.Relay
@@ -281,16 +282,19 @@
 
 func (r relayed) Callback(body []byte) error {
 	err := r.exec.Callback(body)
-	if errors.Is(err, executor.ErrNotOurs) {
-		if r.relay != nil {
-			r.relay.Pass(body)
-		}
-		if jobs := r.late.Load(); jobs != nil {
-			jobs.Late(body)
-		}
+	if !errors.Is(err, executor.ErrNotOurs) {
+		return err
+	}
+	if jobs := r.late.Load(); jobs != nil {
+		jobs.Late(body)
+	}
+	if r.relay == nil {
 		return nil
 	}
-	return err
+	if _, err := r.relay.Pass(body); err != nil {
+		return &platform.CallbackRefusedError{Err: err}
+	}
+	return nil
 }
 
 // listen takes the clients' listening socket: the one the platform passed, or a new one on the address.
--- /dev/null
+++ b/internal/handover/directory.go
@@ -0,0 +1,22 @@
+package handover
+
+import (
+	"io/fs"
+	"os"
+
+	"gatetack/internal/atomicfile"
+)
+
+// Directory is the part of a file system that a Relay needs. Programs use osDirectory; tests wrap it to make calls fail.
+type Directory interface {
+	atomicfile.FS
+	MkdirAll(path string, mode fs.FileMode) error
+	ReadDir(path string) ([]fs.DirEntry, error)
+	ReadFile(path string) ([]byte, error)
+}
+
+type osDirectory struct{ atomicfile.FS }
+
+func (osDirectory) MkdirAll(path string, mode fs.FileMode) error { return os.MkdirAll(path, mode) }
+func (osDirectory) ReadDir(path string) ([]fs.DirEntry, error)   { return os.ReadDir(path) }
+func (osDirectory) ReadFile(path string) ([]byte, error)         { return os.ReadFile(path) }
--- /dev/null
+++ b/internal/handover/errors.go
@@ -0,0 +1,28 @@
+package handover
+
+import (
+	"fmt"
+
+	"gatetack/internal/fault"
+)
+
+// NotStoredError reports that a callback could not be stored for the other process of the node. The executor must not be
+// told that it was taken, so that it calls again.
+type NotStoredError struct{ Err error }
+
+func (e *NotStoredError) Error() string {
+	return fmt.Sprintf("handover: a callback for the other process could not be stored: %v", e.Err)
+}
+
+// Unwrap returns the cause, such as syscall.ENOSPC.
+func (e *NotStoredError) Unwrap() error { return e.Err }
+
+// Code is its kind.
+func (*NotStoredError) Code() string { return "handover.not_stored" }
+
+// Do is what an operator can do.
+func (*NotStoredError) Do() string {
+	return "make room in the node's temporary directory, or make it writable; executors call again meanwhile"
+}
+
+var _ = fault.Kind(&NotStoredError{})
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -27,9 +27,18 @@
 	Counts(context.Context) (node.Counts, error)
 }
 
-// Callbacks takes what executors tell.
+// Callbacks takes what executors tell. After a CallbackRefusedError the executor is to call again; after any other error
+// the callback is of no use and is not wanted again.
 type Callbacks interface{ Callback(body []byte) error }
 
+// CallbackRefusedError reports a callback that may be needed and could not be taken in.
+type CallbackRefusedError struct{ Err error }
+
+func (e *CallbackRefusedError) Error() string { return "callback refused: " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *CallbackRefusedError) Unwrap() error { return e.Err }
+
 // Front answers the platform's requests.
 type Front struct {
 	core  Core
@@ -55,6 +64,9 @@
 		if err != nil {
 			f.log.Warn("callback", "err", err)
 		}
+		if _, refused := errors.AsType[*CallbackRefusedError](err); refused {
+			return http1.Text(503, "not taken, call again")
+		}
 		return http1.Response{Status: 204, Known: err == nil}
 	case path == "/healthz":
 		if f.core.Drained() {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -2,7 +2,10 @@
 
 import (
 	"context"
+	"errors"
+	"fmt"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -94,3 +97,27 @@
 		t.Errorf("healthz of a drained node: %d, want 503", s)
 	}
 }
+
+// callbacksThatFail fails each callback with an error.
+type callbacksThatFail struct{ err error }
+
+func (c callbacksThatFail) Callback([]byte) error { return c.err }
+
+// A callback that could not be taken in is answered with an error, so that the executor calls again; one that is of no use
+// is not wanted again.
+func TestRefusedCallbackIsNotAcknowledged(t *testing.T) {
+	for _, x := range []struct {
+		err    error
+		status int
+	}{
+		{nil, 204},
+		{errors.New("not JSON"), 204},
+		{&CallbackRefusedError{syscall.ENOSPC}, 503},
+		{fmt.Errorf("callback: %w", &CallbackRefusedError{syscall.EIO}), 503},
+	} {
+		f := New(&core{}, callbacksThatFail{x.err}, standin.Lim, standin.Quiet)
+		if r := f.Handle(t.Context(), &http1.Message{Method: "POST", Target: "/callback"}); r.Status != x.status {
+			t.Errorf("%v: %d, want %d", x.err, r.Status, x.status)
+		}
+	}
+}
--- a/test/errors_test.go
+++ b/test/errors_test.go
@@ -10,6 +10,7 @@
 	// All that have errors which reach an operator or a client.
 	_ "gatetack/internal/actor"
 	_ "gatetack/internal/actorhost"
+	_ "gatetack/internal/handover"
 	_ "gatetack/internal/locality"
 	_ "gatetack/internal/recovery"
 	_ "gatetack/internal/settings"
