--- a/cmd/gatetack/settings_serve.go
+++ b/cmd/gatetack/settings_serve.go
@@ -29,8 +29,12 @@
 	if !f.Settings.Enabled {
 		return nil, nil
 	}
-	feed := &settingsFeed{follower: settingsync.FollowerConfig{Process: c.Name, Life: life.UnixMilli(),
-		Cache: settingsync.Cache(f.Settings.Cache), Limits: c.Limits, Log: log}}
+	cache := settingsync.NewCache(f.Settings.Cache)
+	incarnation, err := cache.NextIncarnation(life.UnixMilli())
+	if err != nil {
+		log.Error("settings: the last incarnation of this process is not known or not kept", fault.Attrs(err))
+	}
+	feed := &settingsFeed{follower: settingsync.FollowerConfig{Process: c.Name, Life: incarnation, Cache: cache, Limits: c.Limits, Log: log}}
 	if len(f.Settings.Follow) > 0 {
 		call, err := memberCaller(f.Settings.Keys, c.Limits, log)
 		if err != nil {
@@ -40,7 +44,6 @@
 	} else {
 		c.Limits.ServeFollowers()
 	}
-	var err error
 	if feed.inForce, err = feed.follower.Cache.Load(); err != nil {
 		log.Error("settings: the cache can not be used", fault.Attrs(err))
 	}
--- a/internal/settings/rollout.go
+++ b/internal/settings/rollout.go
@@ -6,7 +6,13 @@
 	"time"
 )
 
-// Report is what a process says of itself. Of two reports the later one counts: by the life of the process, and in it by number.
+// incarnationTimeout is the silence after which a process counts as replaced by another incarnation of its name, whichever
+// number that has. Numbers come from wall clocks where no folder lasts, and a clock may have been stepped back before the
+// new process started. A process that runs reports several times within this span.
+const incarnationTimeout = 10 * time.Second
+
+// Report is what a process says of itself. Of two reports the later one counts: by the incarnation of the process, and in it
+// by number. Only where the later incarnation is silent does an earlier one count.
 type Report struct {
 	Process string  `json:"process"`
 	Life    int64   `json:"life"`   // when the process started, Unix ms
@@ -70,7 +76,8 @@
 // Hear takes a report in, unless a later one of the same process was heard.
 func (t *Rollout) Hear(r Report, now time.Duration) {
 	old, known := t.heard[r.Process]
-	if known && !r.after(&old.report) {
+	replaced := r.Life != old.report.Life && now-old.at > incarnationTimeout
+	if known && !r.after(&old.report) && !replaced {
 		return
 	}
 	if !known && len(t.heard) >= maxProcesses {
@@ -116,12 +123,25 @@
 	return max((now - t.accepted[i].at).Milliseconds(), 1)
 }
 
+// silent reports whether a process was not heard for so long that another incarnation of its name may run.
+func (p *Progress) silent() bool {
+	return p.SilentMs < 0 || p.SilentMs > incarnationTimeout.Milliseconds()
+}
+
+// supersedes reports whether one report on a process counts, and not another.
+func (p *Progress) supersedes(other *Progress) bool {
+	if p.Life != other.Life && p.silent() != other.silent() {
+		return other.silent()
+	}
+	return p.after(&other.Report)
+}
+
 // Newest merges what several trackers know: of each process the latest report.
 func Newest(all ...[]Progress) []Progress {
 	latest := map[string]Progress{}
 	for _, list := range all {
 		for _, p := range list {
-			if old, ok := latest[p.Process]; !ok || p.after(&old.Report) {
+			if old, ok := latest[p.Process]; !ok || p.supersedes(&old) {
 				latest[p.Process] = p
 			}
 		}
--- a/internal/settings/rollout_test.go
+++ b/internal/settings/rollout_test.go
@@ -74,3 +74,46 @@
 		t.Errorf("%d processes and %d versions are kept", len(got), len(tracker.accepted))
 	}
 }
+
+// A process that started after its clock was stepped back has a lower incarnation than its predecessor. Its reports count as
+// soon as the predecessor is silent, and the predecessor's count until then.
+func TestIncarnationAfterAStepBack(t *testing.T) {
+	for _, step := range []time.Duration{time.Second, 30 * time.Second, time.Hour} {
+		started := time.Now()
+		before := Report{Process: "p", Life: started.UnixMilli(), Number: 900, InForce: 9}
+		after := Report{Process: "p", Life: started.Add(-step).UnixMilli(), Number: 1, InForce: 3}
+		tracker := NewRollout()
+		tracker.Hear(before, 0)
+		tracker.Hear(after, incarnationTimeout)
+		if got := tracker.Progress(incarnationTimeout); got[0].Report != before {
+			t.Errorf("step of %v: %+v while the predecessor may still run", step, got)
+		}
+		tracker.Hear(after, incarnationTimeout+1)
+		if got := tracker.Progress(incarnationTimeout + 1); len(got) != 1 || got[0].Report != after {
+			t.Errorf("step of %v: %+v, want %+v", step, got, after)
+		}
+		silent, heard := []Progress{{Report: before, SilentMs: 10_001}}, []Progress{{Report: after, SilentMs: 10_000}}
+		for _, got := range [][]Progress{Newest(silent, heard), Newest(heard, silent)} {
+			if len(got) != 1 || got[0].Report != after {
+				t.Errorf("step of %v, of two members: %+v", step, got)
+			}
+		}
+		silent[0].SilentMs = 10_000
+		for _, got := range [][]Progress{Newest(silent, heard), Newest(heard, silent)} {
+			if len(got) != 1 || got[0].Report != before {
+				t.Errorf("step of %v, both are heard: %+v", step, got)
+			}
+		}
+	}
+}
+
+// A report that is older within one incarnation never counts, however long the process was silent.
+func TestOlderReportOfOneIncarnationNeverCounts(t *testing.T) {
+	tracker := NewRollout()
+	latest := Report{Process: "p", Life: 7, Number: 5}
+	tracker.Hear(latest, 0)
+	tracker.Hear(Report{Process: "p", Life: 7, Number: 4}, time.Hour)
+	if got := tracker.Progress(time.Hour); got[0].Report != latest {
+		t.Errorf("%+v", got)
+	}
+}
--- /dev/null
+++ b/internal/settingsync/cache_test.go
@@ -0,0 +1,172 @@
+package settingsync
+
+import (
+	"encoding/json"
+	"errors"
+	"os"
+	"path/filepath"
+	"strconv"
+	"syscall"
+	"testing"
+	"time"
+
+	"gatetack/internal/atomicfile"
+	"gatetack/internal/atomicfile/atomicfiletest"
+	"gatetack/internal/settings"
+)
+
+// faultyCache returns a cache on a file system whose calls fail on demand.
+func faultyCache(t *testing.T) (Cache, *atomicfiletest.FaultFS) {
+	t.Helper()
+	files := atomicfiletest.New()
+	return Cache{filepath.Join(t.TempDir(), "settings.json"), files}, files
+}
+
+// documentOf returns a document of a version with one item.
+func documentOf(t *testing.T, version uint64) *settings.Document {
+	t.Helper()
+	u := settings.Update{Version: version, Snapshot: true, Changes: []settings.Change{{Key: "class/a", Version: version, Value: json.RawMessage(`{"worth":2}`)}}}
+	d, err := settings.NewDocument().Apply(u)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return d
+}
+
+// loaded returns the version in the cache.
+func loaded(t *testing.T, c Cache) uint64 {
+	t.Helper()
+	d, err := c.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return d.Version()
+}
+
+// The content is synced before it gets its name, so that no power loss leaves an empty file under it.
+func TestCacheIsSyncedBeforeItIsNamed(t *testing.T) {
+	cache, files := faultyCache(t)
+	if err := cache.Save(documentOf(t, 7)); err != nil {
+		t.Fatal(err)
+	}
+	want := []atomicfiletest.Op{atomicfiletest.Create, atomicfiletest.Write, atomicfiletest.Sync, atomicfiletest.Rename, atomicfiletest.SyncDir}
+	got := files.Calls()
+	if len(got) != len(want) {
+		t.Fatalf("%v, want %v", got, want)
+	}
+	for i := range want {
+		if got[i] != want[i] {
+			t.Fatalf("%v, want %v", got, want)
+		}
+	}
+}
+
+// Whichever call fails, Save reports it, and the cache holds the document before or this one, whole.
+func TestCacheOnAFailingDisk(t *testing.T) {
+	for _, x := range []struct {
+		op    atomicfiletest.Op
+		cause error
+		holds uint64
+	}{
+		{atomicfiletest.Create, syscall.ENOSPC, 7},
+		{atomicfiletest.Write, syscall.ENOSPC, 7},
+		{atomicfiletest.Sync, syscall.EIO, 7},
+		{atomicfiletest.Rename, syscall.EIO, 7},
+		{atomicfiletest.SyncDir, syscall.EIO, 8},
+	} {
+		t.Run(string(x.op), func(t *testing.T) {
+			cache, files := faultyCache(t)
+			if err := cache.Save(documentOf(t, 7)); err != nil {
+				t.Fatal(err)
+			}
+			files.Fail(x.op, 1, x.cause)
+			err := cache.Save(documentOf(t, 8))
+			if _, ok := errors.AsType[*CacheError](err); !ok || !errors.Is(err, x.cause) {
+				t.Errorf("%v, want a CacheError of %v", err, x.cause)
+			}
+			if got := loaded(t, cache); got != x.holds {
+				t.Errorf("version %d, want %d", got, x.holds)
+			}
+			if err := cache.Save(documentOf(t, 9)); err != nil || loaded(t, cache) != 9 {
+				t.Errorf("after the disk works again: %v", err)
+			}
+		})
+	}
+}
+
+// A file that a power loss left empty or full of zeros, and whatever else Save did not write, counts as none, and the error
+// names the file and says what can be done.
+func TestDamagedCacheCountsAsNone(t *testing.T) {
+	for _, content := range []string{"", "\n", "{}", "null", "[]", string(make([]byte, 4096)), `{"version":7,"from":7,"changes":[]}`,
+		`{"version":7,"snapshot":true,"changes":[]}x`} {
+		cache, _ := faultyCache(t)
+		if err := os.WriteFile(cache.path, []byte(content), cacheMode); err != nil {
+			t.Fatal(err)
+		}
+		d, err := cache.Load()
+		damaged, ok := errors.AsType[*CacheError](err)
+		if !ok || damaged.Path != cache.path || damaged.Do() == "" || d == nil || d.Version() != 0 || d.Len() != 0 {
+			t.Errorf("%q: %v, %v", content, d, err)
+		}
+	}
+}
+
+// Settings that came while the disk was full are in the cache once it is not, without another change.
+func TestCacheIsWrittenOnceTheDiskWorksAgain(t *testing.T) {
+	cache, files := faultyCache(t)
+	s := startService(t, newFakeStore())
+	files.Fail(atomicfiletest.Write, -1, syscall.ENOSPC)
+	target := &fakeTarget{}
+	startFollower(t, "p", s, target, cache)
+	version := apply(t, s, one("class/a", `{"worth":2}`))
+	waitFor(t, "the write is tried twice", func() bool {
+		writes := 0
+		for _, op := range files.Calls() {
+			if op == atomicfiletest.Write {
+				writes++
+			}
+		}
+		return writes >= 2
+	})
+	if got := loaded(t, cache); got != 0 || target.latest() != version {
+		t.Fatalf("version %d in the cache, %d in force", got, target.latest())
+	}
+	files.Heal()
+	waitFor(t, "it is in the cache", func() bool { return loaded(t, cache) == version })
+}
+
+// Each start has a higher incarnation than the one before, also after the clock was stepped back, as long as the folder lasts.
+func TestIncarnationGrowsWhenTheClockIsSteppedBack(t *testing.T) {
+	cache, _ := faultyCache(t)
+	start := time.Now()
+	last := int64(0)
+	for _, at := range []time.Duration{0, -time.Second, -30 * time.Second, -time.Hour, time.Hour, 0} {
+		now := start.Add(at).UnixMilli()
+		got, err := cache.NextIncarnation(now)
+		if err != nil || got <= last || got < now {
+			t.Errorf("at %v: %d after %d, %v", at, got, last, err)
+		}
+		last = got
+	}
+}
+
+// An incarnation that could not be kept, or whose predecessor is not known, is the clock's, and the error says so.
+func TestIncarnationThatCanNotBeKept(t *testing.T) {
+	cache, files := faultyCache(t)
+	files.Fail(atomicfiletest.Sync, 1, syscall.ENOSPC)
+	if got, err := cache.NextIncarnation(1000); got != 1000 || !errors.Is(err, syscall.ENOSPC) {
+		t.Errorf("%d, %v", got, err)
+	}
+	if err := os.WriteFile(cache.path+incarnationSuffix, nil, cacheMode); err != nil {
+		t.Fatal(err)
+	}
+	if got, err := cache.NextIncarnation(1000); got != 1000 || !errors.Is(err, strconv.ErrSyntax) {
+		t.Errorf("%d, %v", got, err)
+	}
+	if got, err := cache.NextIncarnation(1000); got != 1001 || err != nil {
+		t.Errorf("it is not kept anew: %d, %v", got, err)
+	}
+	if got, err := (Cache{files: atomicfile.OS}).NextIncarnation(1000); got != 1000 || err != nil {
+		t.Errorf("without a cache: %d, %v", got, err)
+	}
+}
--- a/internal/settingsync/errors.go
+++ b/internal/settingsync/errors.go
@@ -6,6 +6,28 @@
 	"gatetack/internal/fault"
 )
 
+// CacheError reports that a file of the cache can not be read or written. A file that can not be read counts as none.
+type CacheError struct {
+	Op   string // "read" or "write"
+	Path string
+	Err  error
+}
+
+func (e *CacheError) Error() string {
+	return fmt.Sprintf("settings: cache %s: %s: %v", e.Path, e.Op, e.Err)
+}
+
+// Unwrap returns the cause, such as syscall.ENOSPC.
+func (e *CacheError) Unwrap() error { return e.Err }
+
+// Code is its kind.
+func (*CacheError) Code() string { return "settings.cache" }
+
+// Do is what can be done.
+func (*CacheError) Do() string {
+	return "nothing, where a member answers: the file is written anew; otherwise look at the disk, or remove the file"
+}
+
 // NotReadyError says that a member does not know what was accepted: it has not caught up, or knows no leader.
 type NotReadyError struct{}
 
@@ -111,4 +133,4 @@
 }
 
 var _ = []struct{}{fault.Kind(&NotReadyError{}), fault.Kind(&UnknownError{}), fault.Kind(&BusyError{}), fault.Kind(&StaleMemberError{}),
-	fault.Kind(&MemberError{}), fault.Kind(&ForceError{})}
+	fault.Kind(&MemberError{}), fault.Kind(&ForceError{}), fault.Kind(&CacheError{})}
--- a/internal/settingsync/follower.go
+++ b/internal/settingsync/follower.go
@@ -21,7 +21,7 @@
 // FollowerConfig is what a Follower needs.
 type FollowerConfig struct {
 	Process  string // its name, of which there is one in the fleet
-	Life     int64  // when it started, Unix ms
+	Life     int64  // its incarnation, see Cache.NextIncarnation
 	Upstream Upstream
 	Target   Target
 	Cache    Cache
@@ -39,6 +39,10 @@
 	failures int  // polls that failed, one after the other
 	refusals int  // tries to put what is held in force that failed
 	retryAt  time.Time
+
+	unsaved      *settings.Document // in force and not in the cache yet, nil for none
+	saveFailures int
+	saveAt       time.Time // when it is written again
 }
 
 // NewFollower returns a follower in whose process a document is in force already.
@@ -52,6 +56,9 @@
 		if f.replica.Pending() && !time.Now().Before(f.retryAt) {
 			f.putInForce(ctx)
 		}
+		if f.unsaved != nil && !time.Now().Before(f.saveAt) {
+			f.save()
+		}
 		if err := f.poll(ctx); err != nil && ctx.Err() == nil {
 			f.failures++
 			f.cfg.Log.Debug("settings: no answer that leads on", "failures", f.failures, fault.Attrs(err))
@@ -98,9 +105,20 @@
 	}
 	f.refusals, f.retryAt = 0, time.Time{}
 	f.cfg.Log.Info("settings: in force", "version", document.Version(), "items", document.Len())
-	if err := f.cfg.Cache.Save(document); err != nil {
-		f.cfg.Log.Warn("settings: the cache can not be written: the next start begins without these settings", "err", err)
+	f.unsaved, f.saveFailures, f.saveAt = document, 0, time.Time{}
+}
+
+// save writes what is in force to the cache. A disk that is full or fails is tried again: a process that starts meanwhile
+// begins with the settings before, and gets the others from a member.
+func (f *Follower) save() {
+	err := f.cfg.Cache.Save(f.unsaved)
+	if err == nil {
+		f.unsaved = nil
+		return
 	}
+	f.saveFailures++
+	f.saveAt = time.Now().Add(jittered(delay(f.cfg.Limits.SettingsRetry, f.saveFailures)))
+	f.cfg.Log.Warn("settings cache not written", "version", f.unsaved.Version(), "failures", f.saveFailures, fault.Attrs(err))
 }
 
 // poll reports how far this process is and takes in what follows.
@@ -132,7 +150,7 @@
 	return nil
 }
 
-// wait is how long a poll may wait: no longer than until what is held is tried again, and not at all after one that failed, so that
+// wait is how long a poll may wait: no longer than until what is held is put in force or written again, and not at all after one that failed, so that
 // of several members that are cut off each but the first costs only the time of a call.
 func (f *Follower) wait() time.Duration {
 	if f.failures > 0 {
@@ -142,6 +160,9 @@
 	if f.replica.Pending() {
 		wait = min(wait, max(0, time.Until(f.retryAt)))
 	}
+	if f.unsaved != nil {
+		wait = min(wait, max(0, time.Until(f.saveAt)))
+	}
 	return wait
 }
 
--- a/internal/settingsync/settingsync_test.go
+++ b/internal/settingsync/settingsync_test.go
@@ -36,7 +36,7 @@
 	s := startService(t, store)
 	targets := []*fakeTarget{{}, {}, {}}
 	for i, target := range targets {
-		startFollower(t, fmt.Sprint("p", i), s, target, "")
+		startFollower(t, fmt.Sprint("p", i), s, target, Cache{})
 	}
 	var last uint64
 	for i := range 20 {
@@ -113,7 +113,7 @@
 	store := newFakeStore()
 	services := []*Service{startService(t, store), startService(t, store)}
 	target := &fakeTarget{}
-	startFollower(t, "p", services[0], target, "")
+	startFollower(t, "p", services[0], target, Cache{})
 	var mu sync.Mutex
 	accepted := map[uint64]string{}
 	var all sync.WaitGroup
@@ -186,7 +186,7 @@
 	store := newFakeStore()
 	s := startService(t, store)
 	target := &fakeTarget{}
-	startFollower(t, "p", s, target, "")
+	startFollower(t, "p", s, target, Cache{})
 	first := apply(t, s, one("class/a", `{"worth":2}`))
 	waitFor(t, "the first version is in force", func() bool { return target.latest() == first })
 	store.mu.Lock()
@@ -277,7 +277,7 @@
 		give(delta(9, 12, 12)),
 	}}
 	target := &fakeTarget{}
-	startFollower(t, "p", up, target, "")
+	startFollower(t, "p", up, target, Cache{})
 	waitFor(t, "version 12 is in force", func() bool { return target.latest() == 12 })
 	if got := target.versions(); !slices.Equal(got, []uint64{3, 5, 9, 12}) {
 		t.Errorf("put in force: %v", got)
@@ -301,7 +301,7 @@
 		}
 		return nil
 	})
-	startFollower(t, "p", up, target, "")
+	startFollower(t, "p", up, target, Cache{})
 	waitFor(t, "it is reported", func() bool {
 		r := up.last()
 		return r.Held == 2 && r.InForce == 1 && r.Refused == settings.Refusal{Version: 2, Reason: "not with this base"}
@@ -322,7 +322,7 @@
 	targets[0].refuse(func(*settings.Document) error { return errors.New("no") })
 	targets[1].refuse(func(*settings.Document) error { <-stuck; return nil })
 	for i, target := range targets {
-		startFollower(t, fmt.Sprint("p", i), s, target, "")
+		startFollower(t, fmt.Sprint("p", i), s, target, Cache{})
 	}
 	var last uint64
 	for i := range 10 {
@@ -388,7 +388,7 @@
 	targets := make([]*fakeTarget, 12)
 	for i := range targets {
 		targets[i] = &fakeTarget{}
-		startFollower(t, fmt.Sprint("p", i), handled{s}, targets[i], "")
+		startFollower(t, fmt.Sprint("p", i), handled{s}, targets[i], Cache{})
 	}
 	for n := range 5 {
 		version := apply(t, s, one("class/a", fmt.Sprintf(`{"worth":%d}`, n+2)))
@@ -403,7 +403,7 @@
 	const polls = 10
 	up := &scripted{}
 	began := time.Now()
-	startFollower(t, "p", up, &fakeTarget{}, "")
+	startFollower(t, "p", up, &fakeTarget{}, Cache{})
 	waitFor(t, "it has polled", func() bool { return up.last().Number > polls })
 	if least := polls * testLimits().SettingsPoll / 2; time.Since(began) < least {
 		t.Errorf("%d polls in under %v", polls, least)
@@ -440,7 +440,7 @@
 }
 
 func TestCache(t *testing.T) {
-	cache := Cache(filepath.Join(t.TempDir(), "settings.json"))
+	cache := NewCache(filepath.Join(t.TempDir(), "settings.json"))
 	if d, err := cache.Load(); err != nil || d.Version() != 0 {
 		t.Fatalf("where none was kept: %v, %v", d, err)
 	}
@@ -449,12 +449,12 @@
 	startFollower(t, "p", s, target, cache)
 	version := apply(t, s, one("class/a", `{"worth":2}`))
 	waitFor(t, "it is kept", func() bool { d, err := cache.Load(); return err == nil && d.Version() == version && d.Len() == 1 })
-	data, err := os.ReadFile(string(cache))
+	data, err := os.ReadFile(cache.path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range len(data) { // cut anywhere
-		if err := os.WriteFile(string(cache), data[:n], 0o600); err != nil {
+		if err := os.WriteFile(cache.path, data[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if d, err := cache.Load(); err == nil || d.Version() != 0 {
