--- a/internal/clockcheck/allowed_test.go
+++ b/internal/clockcheck/allowed_test.go
@@ -30,7 +30,6 @@
 	"gatetack/internal/keys.Issue":                 "validity of certificates",
 	"(*gatetack/internal/inventory.Source).share":  "times of files, compared with one another",
 	"(*gatetack/internal/inventory.Source).shared": "times of files, compared with one another",
-	"(*gatetack/internal/handover.Relay).Run":      "the age of a file of an earlier process: no other clock outlives a process",
 	"(*gatetack/internal/batch.events).parse":      "incarnations of a node in a cursor, told apart and ordered",
 	"(*gatetack/internal/duty.Keeper).Step":        "incarnations of a node; one that began by an earlier clock than its predecessor is moved after it",
 	"(*gatetack/internal/settings.Report).after":   "incarnations of a process, ordered",
