--- a/brain/brain.go
+++ b/brain/brain.go
@@ -715,35 +715,6 @@
 	return min(d.s.MaxRetryAfter, comeBackRuns*d.run*j.slots/held)
 }
 
-// coldShare is the least part of its capacity that a worker has by now.
-func (d *Dispatcher) coldShare(w *worker) float64 {
-	if w.born <= 0 || d.s.WarmWithin <= 0 || d.now-w.born >= d.s.WarmWithin {
-		return 1
-	}
-	return min(1, d.s.ColdFrom+(1-d.s.ColdFrom)*max(0, d.now-w.born)/d.s.WarmWithin)
-}
-
-// coldOpen says whether our part of a cold worker's budget lets a job of ours go there. One of many nodes has
-// less than a job of it, and pays it off after one, from a random debt at first: all send the sum together.
-func (d *Dispatcher) coldOpen(w *worker, more float64) bool {
-	share := d.coldShare(w)
-	if share >= 1 {
-		return true
-	}
-	if w.coldAt < w.born { // what the list did not tell in time is ours to send as well, in part
-		w.coldAt = max(w.born, d.now-coldBurst*d.s.Fall)
-		w.coldCredit = -d.random()*d.held - d.sentSince(w, w.born)
-	}
-	part := min(d.ourPart(), coldPart/float64(d.s.Balancers))
-	rate := d.safety() * part * d.s.FallMultiple * share * max(1, w.slots, d.kinds[w.kind].slots)
-	most := rate * d.s.Fall * coldBurst
-	if w.coldCredit += rate * (d.now - w.coldAt); w.coldCredit > most {
-		w.coldCredit = min(most, w.coldCredit-max(0, d.held-most)) // else all keep a turn, and use it at once
-	}
-	w.coldAt = d.now
-	return w.coldCredit > min(more, coldKnown*most)
-}
-
 // ourPart is our part of what all nodes may do together: half of it even, half by our part of the traffic
 // that the quotas stand for. The parts of all nodes sum to 1 while traffic is at quota.
 func (d *Dispatcher) ourPart() float64 {
@@ -1145,6 +1116,9 @@
 		d.nextAsk = d.now + d.askBackoff() // many nodes that were killed together start together
 	}
 	d.applyRows(e)
+	if e.Form != ListCached && len(d.workers) > 0 {
+		d.confirmedAt = d.now
+	}
 }
 
 // askBackoff is until this node's turn in a round that all nodes have: calls that come together wait in vain.
--- a/brain/list.go
+++ b/brain/list.go
@@ -55,6 +55,9 @@
 		}
 	}
 	changed := d.changed[:0]
+	if d.confirmedAt == 0 {
+		d.newestStart = newestStart(e.Rows)
+	}
 	at := 0
 	for i := range e.Rows {
 		r := &e.Rows[i]
@@ -103,7 +106,8 @@
 	if w == nil {
 		w = &worker{id: r.Worker, soft: softStart, heard: d.now, fails: make([]failing, len(d.classes))}
 		d.byID[r.Worker] = w
-	} else if r.Born > w.born {
+		d.recallStart(w)
+	} else if r.Born != w.born { // also to an earlier one: the clock that told them may have been stepped back
 		// A new process: what was known of the old one no longer holds.
 		w.free, w.reported, w.soft, w.errs, w.strikes, w.badUntil = 0, 0, softStart, 0, 0, 0
 		w.linkFails, w.linkUntil, w.lateAt, w.lateUntil, w.hidden = 0, 0, 0, 0, 0
@@ -116,7 +120,8 @@
 	}
 	w.zone, w.kind, w.cell = int(r.Zone), int(r.Kind), r.Cell
 	w.group = d.groupOf(r.Kind, r.Zone)
-	w.cond, w.born, w.row = r.Condition, r.Born, *r
+	d.noteStart(w, r.Born)
+	w.cond, w.row = r.Condition, *r
 	d.coldOpen(w, 0) // from now on, not from our next job
 	return w
 }
@@ -131,6 +136,7 @@
 			d.workers = append(d.workers, w)
 			w.tag = d.tagOf(w.id)
 		case len(w.outs) == 0:
+			d.rememberStart(w)
 			delete(d.byID, id)
 		default:
 			d.left = append(d.left, w)
@@ -199,6 +205,7 @@
 func (d *Dispatcher) forgetLeft() {
 	d.left = slices.DeleteFunc(d.left, func(w *worker) bool {
 		if w.cond == Gone && len(w.outs) == 0 {
+			d.rememberStart(w)
 			delete(d.byID, w.id)
 		}
 		return w.cond != Gone || len(w.outs) == 0
--- a/brain/state.go
+++ b/brain/state.go
@@ -107,7 +107,8 @@
 	soft      float64
 	fullUntil float64
 	badUntil  float64
-	born      float64
+	born      float64 // its start as the list tells it, on the clock of another machine: it tells one process from another
+	startedAt float64 // its start by our clock, as estimated when it was notified; 0 for long ago
 	theirs    float64 // slots that other nodes told to have out here
 	waiting   float64 // slots of the attempts that were not started
 	waitsFrom float64 // since when the oldest of them
@@ -142,6 +143,8 @@
 	toldAt      float64 // and when
 	coldCredit  float64 // our part of its budget while it is cold, in slot-time on a warm one, as of
 	coldAt      float64 // then
+	coldUntil   float64 // the end of that budget
+	coldOpened  bool    // that budget was opened for the process that runs now
 	// The last probe, and its random part of the span to the next: the span itself follows the traffic, so
 	// that a node that was quiet at its start is not blind for long once requests come.
 	probeAt, probeTurn float64
@@ -258,6 +261,10 @@
 	hashes   []homeHash // likewise
 	changed  []*worker  // scratch of applyRows
 
+	confirmedAt float64               // when discovery last confirmed a list that holds executors, 0 for never
+	newestStart float64               // of the list at hand, on the clock of another machine
+	removed     map[uint32]knownStart // starts of executors that left the list a short while ago
+
 	tickAt  float64
 	lastTag uint32
 	dirty   bool
@@ -502,7 +509,7 @@
 		return nil, err
 	}
 	d := &Dispatcher{s: s, rng: seed, jobs: map[uint32]*job{}, byID: map[uint32]*worker{},
-		byTag: map[uint16]*worker{}, widest: 1, keyCount: map[uint64]float64{},
+		byTag: map[uint16]*worker{}, removed: map[uint32]knownStart{}, widest: 1, keyCount: map[uint64]float64{},
 		period: firstPeriod, lag: s.ConnectTimeout / 10, logLeft: maxLogs,
 		age: ageShare * firstPeriod, ageBest: 1}
 	d.share(s.Tenants)
