--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -29,6 +29,7 @@
 type Sink interface {
 	List(node.List)
 	ListCallFailed()
+	ListConfirmed() // nothing has changed since the last line of the watch
 }
 
 // Client speaks to discovery.
@@ -334,10 +335,11 @@
 	}
 }
 
-// line takes one line of an answer; an empty one only says that the watch lives.
+// line takes one line of an answer; an empty one says that the watch lives and that nothing has changed.
 func (c *Client) line(b []byte) error {
 	b = bytes.TrimSpace(b)
 	if len(b) == 0 {
+		c.sink.ListConfirmed()
 		return nil
 	}
 	if !gjson.ValidBytes(b) {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -461,3 +461,21 @@
 		t.Errorf("%+v", l)
 	}
 }
+
+// An empty line of a watch confirms the list; the line break of a list that was read before its break came does not.
+func TestEmptyLineConfirmsTheList(t *testing.T) {
+	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
+	line := `{"index":%d,"snapshot":false,"endpoints":[]}`
+	s, run := served(t, func(ctx context.Context, _ int, conn net.Conn) {
+		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+		for _, part := range []string{fmt.Sprintf(line, 1), "\n", "\n", fmt.Sprintf(line, 2), "\r\n", "\r\n", fmt.Sprintf(line, 3) + "\n"} {
+			_, _ = io.WriteString(conn, chunk(part))
+		}
+		<-ctx.Done()
+	})
+	run(standin.Lim)
+	standin.Until(t, "three lists", func() bool { return len(s.All()) == 3 })
+	if got := s.Confirmed(); got != 2 {
+		t.Errorf("the list was confirmed %d times, want 2", got)
+	}
+}
--- a/internal/discovery/splitter.go
+++ b/internal/discovery/splitter.go
@@ -21,6 +21,8 @@
 	depth int  // of brackets that are open
 	text  bool // within a string
 	skip  bool // after a backslash in one
+
+	unbroken bool // the last line was taken before its line break came
 }
 
 func (s *splitter) feed(b []byte) error {
@@ -43,8 +45,11 @@
 			}
 			s.buf = append(s.buf, '\n')
 			s.from = len(s.buf)
+		case broken && s.unbroken && len(bytes.TrimSpace(s.buf)) == 0: // the break of a line that was taken already
+			s.buf, s.unbroken = s.buf[:0], false
 		case broken || s.whole():
 			err = s.cut()
+			s.unbroken = !broken
 		}
 		if err != nil || len(b) == 0 {
 			return err
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -205,6 +205,8 @@
 				c.cut(j, leaves)
 			}
 		}
+	case listConfirmed:
+		c.listConfirmed()
 	case listCallFailed:
 		c.startup.Failed()
 	case retune:
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -9,6 +9,20 @@
 	"gatetack/internal/recovery"
 )
 
+// listConfirmed is the event that a watch said that nothing has changed since its last line.
+type listConfirmed struct{}
+
+// ListConfirmed takes in that the list of executors stands as it was last told.
+func (c *Core) ListConfirmed() { c.post(listConfirmed{}) }
+
+// listConfirmed tells the module that the list stands, as a change of no row: an executor's start that is notified later happened
+// after now. Before the first list of this process there is nothing to confirm.
+func (c *Core) listConfirmed() {
+	if c.heard.Load() {
+		c.event(brain.Event{Kind: brain.EvList, Form: brain.ListDelta})
+	}
+}
+
 func (c *Core) list(l List, now time.Time) {
 	e := brain.Event{Kind: brain.EvList, Form: l.Form, Version: uint32(l.Index)}
 	switch l.Form {
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -106,3 +106,22 @@
 		t.Error("not put in force after that")
 	}
 }
+
+// A watch that says that nothing has changed confirms the list to the module, once this process has had a list.
+func TestConfirmedListReachesTheModule(t *testing.T) {
+	h := newHost(t, box("s-1"))
+	confirm := func() []brain.Event {
+		h.c.ListConfirmed()
+		h.c.intake(<-h.c.in)
+		return h.c.batch
+	}
+	if batch := confirm(); len(batch) != 0 {
+		t.Errorf("%+v, though there is no list to confirm yet", batch)
+	}
+	h.c.List(List{Form: brain.ListFull, Entries: []Entry{box("s-1")}})
+	h.run(100 * time.Millisecond)
+	batch := confirm()
+	if len(batch) != 1 || batch[0].Kind != brain.EvList || batch[0].Form != brain.ListDelta || len(batch[0].Rows) != 0 {
+		t.Errorf("%+v, want one change of no row", batch)
+	}
+}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -49,8 +49,9 @@
 
 // Lists keeps the lists that are told to it, as the core would take them.
 type Lists struct {
-	mu  sync.Mutex
-	all []node.List
+	mu        sync.Mutex
+	all       []node.List
+	confirmed int
 }
 
 // List takes one.
@@ -63,6 +64,20 @@
 // ListCallFailed is of no interest here.
 func (s *Lists) ListCallFailed() {}
 
+// ListConfirmed counts the lines of a watch that told of no change.
+func (s *Lists) ListConfirmed() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.confirmed++
+}
+
+// Confirmed is how many lines told of no change so far.
+func (s *Lists) Confirmed() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.confirmed
+}
+
 // All are those that came so far.
 func (s *Lists) All() []node.List {
 	s.mu.Lock()
