--- a/internal/batch/adopt.go
+++ b/internal/batch/adopt.go
@@ -27,6 +27,9 @@
 		}
 		return nil
 	}
+	if err := f.beginIncarnation(ctx); err != nil {
+		return err
+	}
 	_, err := f.Adopt(ctx, f.ids.node)
 	return err
 }
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -94,7 +94,8 @@
 
 	dirty chan *job // whose states are to be recorded
 	// How many are not on record yet; dirty is empty already while the last one is being written.
-	unsaved atomic.Int64
+	unsaved    atomic.Int64
+	unrecorded unrecorded
 
 	late     chan struct{} // a place for each late callback that is looked into
 	settling sync.Mutex    // one decision on a job in doubt at a time
@@ -152,10 +153,14 @@
 	defer timer.Stop()
 	sweep := time.NewTicker(time.Minute)
 	defer sweep.Stop()
+	again := time.NewTicker(f.lim.StoreBeat)
+	defer again.Stop()
 	for {
 		select {
 		case j := <-f.dirty:
 			f.save(ctx, j)
+		case <-again.C:
+			f.saveUnrecorded(ctx)
 		case <-f.kick:
 			timer.Reset(f.pump(ctx))
 		case <-timer.C:
--- a/internal/batch/events.go
+++ b/internal/batch/events.go
@@ -23,9 +23,8 @@
 // events are the latest changes, numbered one after another within a life of the node. A client that comes back says
 // which one it saw last, and goes on without a gap or a repeat, or is told that it fell too far behind.
 type events struct {
-	life int64
-
 	mu    sync.Mutex
+	life  int64
 	ring  []Event
 	last  uint64        // the number of the latest
 	grown chan struct{} // closed at the next one
@@ -35,6 +34,14 @@
 	return &events{life: life, ring: make([]Event, max(size, 1)), grown: make(chan struct{})}
 }
 
+// begin gives the events of this process another incarnation. A client that has a cursor of the one before is told that
+// events were lost.
+func (e *events) begin(incarnation int64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.life = incarnation
+}
+
 func (e *events) cursor(n uint64) string { return fmt.Sprintf("%x.%d", e.life, n) }
 
 func (e *events) add(r *Record) {
@@ -67,12 +74,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case !ok || err1 != nil || err2 != nil || l > e.life || l == e.life && n > e.last:
-		return 0, false, fmt.Errorf("%q is no cursor that this node gave", text)
-	case l < e.life:
+	case !ok || err1 != nil || err2 != nil:
+	case predecessor(l, e.life):
 		return 0, true, nil
+	case l == e.life && n <= e.last:
+		return n, false, nil
 	}
-	return n, false, nil
+	return 0, false, fmt.Errorf("%q is no cursor that this node gave", text)
 }
 
 // after gives up to limit events that follow number n, the number to go on from, and a channel that is closed when
--- a/internal/batch/ids.go
+++ b/internal/batch/ids.go
@@ -88,14 +88,15 @@
 // origin tells where an id comes from.
 func (x *ids) origin(id string) origin {
 	n, ok := parseID(id)
+	current := x.life.Load()
 	switch {
 	case !ok:
 		return noID
 	case n.node != x.node:
 		return elsewhere
-	case n.life < x.life.Load():
+	case predecessor(n.life, current):
 		return formerly
-	case n.life == x.life.Load() && n.number <= x.last.Load():
+	case n.life == current && n.number <= x.last.Load():
 		return ours
 	}
 	return noID
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -124,6 +124,13 @@
 	return j.r, j.changed
 }
 
+// isLost reports whether the job is another node's by now.
+func (j *job) isLost() bool {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	return j.lost
+}
+
 func (j *job) coreID() uint32 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/batch/recording.go
+++ b/internal/batch/recording.go
@@ -2,16 +2,58 @@
 
 import (
 	"context"
+	"errors"
 	"sync"
+	"sync/atomic"
 
 	"gatetack/internal/failpoint"
+	"gatetack/internal/owner"
 	"gatetack/internal/records"
 )
 
+// maxSideBySide bounds the states that are written at a time: they share a sync of the disk.
+const maxSideBySide = 64
+
+// unrecorded holds the jobs whose states could not be written, for as long as a disk is full or the store has no leader.
+// They are written again: what a client was told is owed to it after a restart too.
+type unrecorded struct {
+	mu   sync.Mutex
+	jobs map[*job]bool
+}
+
+// add reports false where the job is held already.
+func (u *unrecorded) add(j *job) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.jobs[j] {
+		return false
+	}
+	if u.jobs == nil {
+		u.jobs = map[*job]bool{}
+	}
+	u.jobs[j] = true
+	return true
+}
+
+// take returns up to some of the jobs, which are then no longer held.
+func (u *unrecorded) take(limit int) []*job {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	var out []*job
+	for j := range u.jobs {
+		if len(out) == limit {
+			break
+		}
+		out = append(out, j)
+		delete(u.jobs, j)
+	}
+	return out
+}
+
 // save records a job as it is, with others that wait for the same.
 func (f *Front) save(ctx context.Context, j *job) {
 	batch := []*job{j}
-	for len(batch) < 64 {
+	for len(batch) < maxSideBySide {
 		select {
 		case k := <-f.dirty:
 			batch = append(batch, k)
@@ -20,19 +62,50 @@
 		}
 		break
 	}
+	f.saveAll(ctx, batch)
+}
+
+// saveUnrecorded writes those states again that could not be written, until a write fails.
+func (f *Front) saveUnrecorded(ctx context.Context) {
+	for {
+		batch := f.unrecorded.take(maxSideBySide)
+		if len(batch) == 0 || !f.saveAll(ctx, batch) {
+			return
+		}
+	}
+}
+
+// saveAll records jobs as they are, and reports whether all of them are on record.
+func (f *Front) saveAll(ctx context.Context, batch []*job) bool {
 	var g sync.WaitGroup
-	for _, k := range batch { // side by side: they share a sync of the disk
+	var failed atomic.Bool
+	for _, j := range batch {
 		g.Go(func() {
-			if k.record().State.over() {
-				failpoint.At(failpoint.Ended)
+			if !f.saveOne(ctx, j) {
+				failed.Store(true)
 			}
-			if err := f.put(ctx, k, nil); err != nil && ctx.Err() == nil {
-				f.log.Warn("a job's state was not recorded", "job", k.record().ID, "err", err)
-			}
-			f.unsaved.Add(-1)
 		})
 	}
 	g.Wait()
+	return !failed.Load()
+}
+
+// saveOne records a job as it is. One that can not be recorded is written again later, unless it is another node's by now.
+func (f *Front) saveOne(ctx context.Context, j *job) bool {
+	r := j.record()
+	if r.State.over() {
+		failpoint.At(failpoint.Ended)
+	}
+	err := f.put(ctx, j, nil)
+	if err == nil || ctx.Err() != nil {
+		f.unsaved.Add(-1)
+		return err == nil
+	}
+	f.log.Warn("job state not recorded", "job", r.ID, "err", err)
+	if j.isLost() || errors.Is(err, owner.ErrLost) && f.foreign(r.ID) || !f.unrecorded.add(j) {
+		f.unsaved.Add(-1)
+	}
+	return false
 }
 
 // put records a job as it is, or as change makes it. Records of one job follow one another: an end that was
