--- /dev/null
+++ b/test/clock_test.go
@@ -0,0 +1,426 @@
+package test
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"runtime"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/tidwall/gjson"
+
+	"gatetack/internal/clocktest"
+	"gatetack/internal/http1"
+	"gatetack/internal/standin"
+)
+
+// steppedProgram builds the program once with a package time whose wall clock can be set while the process runs. The monotonic clock
+// stays as it is, as on a machine whose clock an operator or a time server sets.
+var steppedProgram = sync.OnceValues(func() (string, error) {
+	source := filepath.Join(runtime.GOROOT(), "src", "time", "time.go")
+	text, err := os.ReadFile(source)
+	if err != nil {
+		return "", err
+	}
+	const reading = "\tsec, nsec, mono := runtimeNow()\n\tif mono == 0 {\n\t\treturn Time{uint64(nsec)"
+	if strings.Count(string(text), reading) != 1 {
+		return "", fmt.Errorf("%s does not read the clock as this test knows it", source)
+	}
+	changed := strings.Replace(string(text), reading, strings.Replace(reading, "\n", "\n\tsec += wallStep.Load()\n", 1), 1)
+	changed = strings.Replace(changed, "import (\n", "import (\n\t\"sync/atomic\"\n", 1) +
+		"\nvar wallStep atomic.Int64\n\nfunc SetWallStep(seconds int64) { wallStep.Store(seconds) }\n"
+	dir := filepath.Dir(program) // removed after all tests
+	copied, overlay := filepath.Join(dir, "time.go"), filepath.Join(dir, "overlay.json")
+	replace, err := json.Marshal(map[string]map[string]string{"Replace": {source: copied}})
+	if err != nil {
+		return "", err
+	}
+	for path, data := range map[string][]byte{copied: []byte(changed), overlay: replace} {
+		if err := os.WriteFile(path, data, 0o600); err != nil {
+			return "", err
+		}
+	}
+	built := filepath.Join(dir, "gatetack-stepped")
+	build := exec.Command("go", "build", "-overlay", overlay, "-tags", "faults,steppedclock", "-o", built, "gatetack/cmd/gatetack")
+	if out, err := build.CombinedOutput(); err != nil {
+		return "", fmt.Errorf("%w: %s", err, out)
+	}
+	return built, nil
+})
+
+// stepped makes a site run the program whose clock can be set.
+func (s *site) stepped() {
+	s.t.Helper()
+	built, err := steppedProgram()
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.program = built
+	s.env = append(s.env, "GATETACK_CLOCK_FILE="+s.clockFile())
+}
+
+func (s *site) clockFile() string { return filepath.Join(s.dir, "clock") }
+
+// step sets the process's wall clock off by a span from the machine's, and returns once that is in force.
+func (s *site) step(off time.Duration) {
+	s.t.Helper()
+	text := strconv.FormatInt(int64(off/time.Second), 10)
+	if err := os.WriteFile(s.clockFile()+".new", []byte(text), 0o600); err != nil {
+		s.t.Fatal(err)
+	}
+	if err := os.Rename(s.clockFile()+".new", s.clockFile()); err != nil {
+		s.t.Fatal(err)
+	}
+	s.until("the clock is set", func() bool {
+		done, _ := os.ReadFile(s.clockFile() + ".done")
+		return string(done) == text
+	})
+}
+
+// answer is what a client got.
+type answer struct {
+	status int
+	err    error
+}
+
+// send posts a job and gives its answer on a channel.
+func (s *site) send(class, id string, fields ...http1.Field) <-chan answer {
+	answers := make(chan answer, 1)
+	go func() {
+		m, err := s.post(class, id, fields...)
+		if err != nil {
+			answers <- answer{err: err}
+			return
+		}
+		answers <- answer{status: m.Status}
+	}()
+	return answers
+}
+
+// began waits until executors have got a job so many times in all.
+func (s *site) began(id string, times int) {
+	s.t.Helper()
+	s.until(fmt.Sprintf("attempt %d of %s has begun", times, id), func() bool { return len(s.starts()[id]) == times })
+}
+
+// report makes the callback of an executor that ends a job.
+func (s *site) report(b *standin.Box, id, state string) {
+	s.t.Helper()
+	body := fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"result":"made","load":{"queue":0,"x0":2}}`, id, b.Name, state)
+	if m, err := standin.Call(s.listen, "POST", "/callback", []byte(body)); err != nil || m.Status >= 300 {
+		s.t.Fatalf("callback for %s: %+v %v", id, m, err)
+	}
+}
+
+// muted makes executors take jobs and tell nothing: the test reports their ends.
+func (s *site) muted() {
+	for _, b := range s.boxes {
+		b.Set(func(how *standin.Behaviour) { how.Mute, how.Run = true, 0 })
+	}
+}
+
+// executorOf returns the executor that got an attempt of a job.
+func (s *site) executorOf(id string) *standin.Box {
+	s.t.Helper()
+	for _, b := range s.boxes {
+		for _, start := range b.Starts() {
+			if start.ID == id {
+				return b
+			}
+		}
+	}
+	s.t.Fatalf("no executor got %s", id)
+	return nil
+}
+
+func jobID(i int) string { return fmt.Sprintf("%016x", 0xc10c0000+i) }
+
+// The wall clock is set while a request is out: it is neither ended early nor sent again, and gets its result. One whose executor
+// says nothing ends by its deadline all the same, also where the clock was set back.
+func TestClockStepsDuringRequests(t *testing.T) {
+	s := newSite(t, 1, 0)
+	s.stepped()
+	s.muted()
+	s.start()
+	for i, step := range clocktest.Steps {
+		s.step(0)
+		id := jobID(2 * i)
+		answers := s.send("tile-charge", id)
+		s.began(id, 1)
+		s.step(step)
+		s.report(s.boxes[0], id, "done")
+		if got := <-answers; got.status != 200 {
+			t.Errorf("step %v during a request: %+v", step, got)
+		}
+		s.step(0)
+		id = jobID(2*i + 1)
+		answers = s.sendFor(id, 700)
+		s.began(id, 1)
+		s.step(step)
+		if got := <-answers; got.err != nil || got.status == 200 {
+			t.Errorf("step %v, an executor that says nothing: %+v", step, got)
+		}
+	}
+	for id, starts := range s.starts() {
+		if len(starts) != 1 {
+			t.Errorf("%s began %d times", id, len(starts))
+		}
+	}
+}
+
+// sendFor posts a job with so many ms left to its client.
+func (s *site) sendFor(id string, left int) <-chan answer {
+	answers := make(chan answer, 1)
+	go func() {
+		m, err := standin.Call(s.listen, "POST", "/tile-charge/cut", []byte("body of "+id), header("X-Trace-Id", id),
+			header("X-Customer", "pohjakaart"), header("X-Expires-In-Ms", strconv.Itoa(left)), header("Idempotency-Key", "key-"+id))
+		if err != nil {
+			answers <- answer{err: err}
+			return
+		}
+		answers <- answer{status: m.Status}
+	}()
+	return answers
+}
+
+// The wall clock is set while an attempt of a keyed request is out. It fails within the window for repeats: it is sent again, once.
+func TestClockStepsWithinARepeatWindow(t *testing.T) {
+	s := newSite(t, 2, 0)
+	s.stepped()
+	s.muted()
+	s.start()
+	for i, step := range clocktest.Steps {
+		s.step(0)
+		id := jobID(i)
+		answers := s.send("area-render", id)
+		s.began(id, 1)
+		first := s.executorOf(id)
+		s.step(step)
+		s.report(first, id, "failed")
+		s.began(id, 2)
+		second := s.boxes[0]
+		if second == first {
+			second = s.boxes[1]
+		}
+		s.report(second, id, "done")
+		if got := <-answers; got.status != 200 {
+			t.Errorf("step %v: %+v", step, got)
+		}
+		if n := len(s.starts()[id]); n != 2 {
+			t.Errorf("step %v: begun %d times", step, n)
+		}
+	}
+}
+
+// The window for repeats is over by the monotonic clock as the attempt fails: it is not sent again, however the wall clock was set.
+func TestClockStepsBeyondARepeatWindow(t *testing.T) {
+	const window = 400 * time.Millisecond
+	s := newSite(t, 2, 0)
+	s.stepped()
+	s.muted()
+	s.rules = strings.Replace(settings, `"window":40000.0`, fmt.Sprintf(`"window":%d`, window.Milliseconds()), 1)
+	s.start()
+	for i, step := range clocktest.Steps {
+		s.step(0)
+		id := jobID(i)
+		answers := s.send("area-render", id)
+		s.began(id, 1)
+		s.step(step)
+		<-time.After(window) // the window began before the attempt did
+		s.report(s.executorOf(id), id, "failed")
+		if got := <-answers; got.err != nil || got.status == 200 {
+			t.Errorf("step %v: %+v", step, got)
+		}
+		if n := len(s.starts()[id]); n != 1 {
+			t.Errorf("step %v: begun %d times", step, n)
+		}
+	}
+}
+
+// The wall clock is set while an executor drains: nothing new goes there, and what is out there gets its result.
+func TestClockStepsDuringADrain(t *testing.T) {
+	s := newSite(t, 2, 0)
+	s.stepped()
+	s.muted()
+	s.start()
+	listed := func(b *standin.Box, status string) {
+		s.list.Put(b, status)
+		s.until(b.Name+" is "+status, func() bool {
+			_, v := s.drmaa("GET", "/monitoring/machines", "")
+			return v.Get(`machines.#(name=="`+b.Name+`").status`).String() == status
+		})
+	}
+	for i, step := range clocktest.Steps {
+		s.step(0)
+		id := jobID(10 * i)
+		answers := s.send("tile-charge", id)
+		s.began(id, 1)
+		drains := s.executorOf(id)
+		listed(drains, "draining")
+		before := len(drains.Starts())
+		s.step(step)
+		for k := range 3 {
+			other := jobID(10*i + k + 1)
+			more := s.send("tile-charge", other)
+			s.began(other, 1)
+			s.report(s.executorOf(other), other, "done")
+			if got := <-more; got.status != 200 {
+				t.Errorf("step %v, beside a drain: %+v", step, got)
+			}
+		}
+		if n := len(drains.Starts()) - before; n != 0 {
+			t.Errorf("step %v: %d began at a draining executor", step, n)
+		}
+		s.report(drains, id, "done")
+		if got := <-answers; got.status != 200 {
+			t.Errorf("step %v, at a draining executor: %+v", step, got)
+		}
+		listed(drains, "ready")
+	}
+}
+
+// The wall clock is set while a process that was told to end waits for its last request: the request gets its result and the process
+// ends well.
+func TestClockStepsDuringShutdown(t *testing.T) {
+	for i, step := range clocktest.Steps {
+		s := newSite(t, 1, 0)
+		s.stepped()
+		s.muted()
+		s.start()
+		id := jobID(i)
+		answers := s.send("tile-charge", id)
+		s.began(id, 1)
+		ended := make(chan error, 1)
+		process := s.process
+		go func() { ended <- s.term() }()
+		s.until("it leaves", func() bool { return s.logged("msg=leaving") })
+		s.step(step)
+		s.report(s.boxes[0], id, "done")
+		if got := <-answers; got.status != 200 {
+			t.Errorf("step %v: %+v", step, got)
+		}
+		if err := <-ended; err != nil {
+			t.Errorf("step %v: process %d ended with %v", step, process.Process.Pid, err)
+		}
+	}
+}
+
+// A start time of a batch job and a timer of a desk are dates: they come when the wall clock is set past them, and not before.
+func TestDatesFollowTheWallClock(t *testing.T) {
+	f := makeFleet(t, 1, time.Millisecond)
+	s := f[0]
+	s.stepped()
+	s.start()
+	at := time.Now().Add(time.Hour).UTC()
+	id := s.take(t, fmt.Sprintf(`{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"dated","startTime":%q}`, at.Format(time.RFC3339Nano)))
+	const function = `start: {rung: 0}
+on:
+  call:
+    state: '{"rung": state.rung}'
+    answer: '{"rung": state.rung}'
+    timers: '{"bell": 3600000}'
+  timer:
+    state: '{"rung": state.rung + 1.0}'
+`
+	body, _ := json.Marshal(map[string]string{"id": "clock", "function": function})
+	s.until("the desk is made", func() bool {
+		m, err := standin.Call(s.batch, "POST", "/drmaa2/v1/desks", body)
+		return err == nil && (m.Status == 201 || m.Status == 409)
+	})
+	s.until("the desk's timer is set", func() bool {
+		status, _, err := s.deskCall("clock", 1, 0)
+		return err == nil && status == 200
+	})
+	read := func() (job string, rung int64) {
+		_, v := s.drmaa("GET", "/jobs/"+id, "")
+		m, err := standin.Call(s.batch, "GET", "/drmaa2/v1/desks/clock", nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return v.Get("jobState").String() + " " + v.Get("jobSubState").String(), gjson.GetBytes(m.Body, "state.rung").Int()
+	}
+	for _, step := range []time.Duration{-time.Hour, 30 * time.Minute} {
+		s.step(step)
+		// A job without a date goes through the same queue after the step: the queue has looked at its dates by then.
+		s.take(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"now"}`)
+		if job, rung := read(); job != "QUEUED deferred" || rung != 0 {
+			t.Errorf("step %v: the job is %s and the timer went off %d times", step, job, rung)
+		}
+	}
+	s.step(time.Hour + time.Minute)
+	s.until("the job has run and the timer gone off", func() bool {
+		job, rung := read()
+		return strings.HasPrefix(job, "DONE") && rung == 1
+	})
+	s.step(0)
+	if n := f.starts("dated"); n != 1 {
+		t.Errorf("the dated job began %d times", n)
+	}
+	if _, rung := read(); rung != 1 {
+		t.Errorf("the timer went off %d times", rung)
+	}
+}
+
+// Wall clocks are set while leases are held and while a lost node's partition is taken over: a holder whose clock moves keeps its
+// lease, and a lost node's partition is taken over once, with what waits in it run once.
+func TestClockStepsDuringLeaseAndTakeover(t *testing.T) {
+	f := makeFleet(t, 3, time.Millisecond)
+	for _, s := range f {
+		s.stepped()
+	}
+	f.startAll()
+	for _, s := range f {
+		s.until("it holds its own lease", func() bool { return strings.Contains(s.wholeLog(), `msg="duty taken"`) })
+	}
+	template := `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q,"submitAsHold":true}`
+	run := func(s *site, id string) {
+		t.Helper()
+		s.until("the job can be released", func() bool {
+			status, _ := s.drmaa("POST", "/jobs/"+id+"/release", "")
+			return status == 200
+		})
+		s.until("the job is done", func() bool {
+			_, v := s.drmaa("GET", "/jobs/"+id, "")
+			return v.Get("jobState").String() == "DONE"
+		})
+	}
+	var payloads []string
+	for i, step := range clocktest.Steps {
+		for k, s := range f {
+			payload := fmt.Sprintf("job %d %d", i, k)
+			payloads = append(payloads, payload)
+			id := s.take(t, fmt.Sprintf(template, payload))
+			s.step(step * time.Duration(1-k)) // one way, not at all, and the other way
+			run(s, id)
+		}
+	}
+	if n := f.claims(t); n != len(f) {
+		t.Errorf("%d claims while nobody was lost, want %d", n, len(f))
+	}
+	held := map[string]string{}
+	for i := range 3 {
+		payload := fmt.Sprintf("left %d", i)
+		payloads = append(payloads, payload)
+		held[payload] = f[0].take(t, fmt.Sprintf(template, payload))
+	}
+	f[0].kill()
+	f[1].step(time.Hour)
+	f[2].step(-time.Hour)
+	for _, id := range held {
+		run(f[1], id)
+	}
+	if n := f.claims(t); n != len(f)+1 {
+		t.Errorf("%d claims after one node was lost, want %d", n, len(f)+1)
+	}
+	for _, payload := range payloads {
+		if n := f.starts(payload); n != 1 {
+			t.Errorf("%s began %d times", payload, n)
+		}
+	}
+}
