--- /dev/null
+++ b/test/golden_test.go
@@ -0,0 +1,330 @@
+package test
+
+import (
+	"encoding/json"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/tidwall/gjson"
+
+	"gatetack/internal/fault"
+	"gatetack/internal/http1"
+	"gatetack/internal/standin"
+)
+
+// The golden files under testdata/golden hold what the program said, wrote and read before its code was reshaped. A change of
+// shape or name changes none of them. GOLDEN_UPDATE=1 writes them anew, for a change of behaviour that is meant.
+
+const goldenFolder = "testdata/golden"
+
+func goldenUpdate() bool { return os.Getenv("GOLDEN_UPDATE") != "" }
+
+// compareGolden compares a text with a golden file, line by line.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join(goldenFolder, name)
+	if goldenUpdate() {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := goldenDiff(string(data), got); diff != "" {
+		t.Errorf("%s:\n%s", name, diff)
+	}
+}
+
+// goldenDiff names the first lines that differ, the empty text where none does.
+func goldenDiff(want, got string) string {
+	a, b := strings.Split(want, "\n"), strings.Split(got, "\n")
+	var out []string
+	for i := 0; i < max(len(a), len(b)) && len(out) < 20; i++ {
+		var x, y string
+		if i < len(a) {
+			x = a[i]
+		}
+		if i < len(b) {
+			y = b[i]
+		}
+		if x != y {
+			out = append(out, "line "+strconv.Itoa(i+1)+": "+y+"\n    want "+x)
+		}
+	}
+	return strings.Join(out, "\n")
+}
+
+// goldenVolatile are the parts of answers that are others in each run.
+var goldenVolatile = []struct {
+	pattern *regexp.Regexp
+	text    string
+}{
+	{regexp.MustCompile(`\b(n0)\.[0-9a-f]{8,}\.`), "$1.LIFE."},
+	{regexp.MustCompile(`\b[0-9a-f]{9,12}\.(\d+)\b`), "LIFE.$1"}, // a cursor
+	{regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?(Z|[+-]\d\d:\d\d)`), "TIME"},
+	{regexp.MustCompile(`127\.0\.0\.1:\d+`), "ADDRESS"},
+	{regexp.MustCompile(`\b[0-9a-f]{16}\b`), "TRACE"},
+}
+
+func goldenText(text string) string {
+	for _, v := range goldenVolatile {
+		text = v.pattern.ReplaceAllString(text, v.text)
+	}
+	return text
+}
+
+// goldenValue is a JSON text by its value: keys in order, and what is volatile taken out; another text stays as it is.
+func goldenValue(text string) string {
+	var value any
+	if err := json.Unmarshal([]byte(text), &value); err != nil {
+		return goldenText(text)
+	}
+	data, err := json.MarshalIndent(value, "", "  ")
+	if err != nil {
+		return goldenText(text)
+	}
+	return goldenText(string(data))
+}
+
+// goldenAnswer is an answer with its fields, but for those that are others in each run.
+func goldenAnswer(m *http1.Message, err error) string {
+	if err != nil {
+		return "error: " + err.Error()
+	}
+	var out strings.Builder
+	out.WriteString(strconv.Itoa(m.Status) + "\n")
+	for _, f := range m.Fields {
+		if strings.EqualFold(f.Name, "Date") || strings.EqualFold(f.Name, "Content-Length") {
+			continue
+		}
+		value := goldenText(f.Value)
+		if f.Name == "Retry-After" {
+			value = goldenDigit.ReplaceAllString(value, "9")
+		}
+		out.WriteString(f.Name + ": " + value + "\n")
+	}
+	body := goldenValue(string(m.Body))
+	if gjson.GetBytes(m.Body, "taken").Exists() { // counts: their keys
+		body = goldenCount.ReplaceAllString(body, ": N")
+	}
+	return out.String() + body + "\n"
+}
+
+var (
+	goldenDigit = regexp.MustCompile(`[0-9]`)
+	goldenCount = regexp.MustCompile(`: \d+`)
+)
+
+var goldenSubcommand = regexp.MustCompile(`(?m)^  ([a-z][a-z-]*) +\S`)
+
+// helpOf appends the help of a command and of all below it.
+func helpOf(t *testing.T, out *strings.Builder, words ...string) {
+	t.Helper()
+	cmd := exec.Command(program, append(words, "--help")...)
+	cmd.Env = append(os.Environ(), "HOME=/nowhere")
+	text, err := cmd.CombinedOutput()
+	if err != nil {
+		t.Fatalf("%v --help: %v\n%s", words, err, text)
+	}
+	out.WriteString("$ gatetack " + strings.Join(append(words, "--help"), " ") + "\n" + string(text) + "\n")
+	_, below, ok := strings.Cut(string(text), "Available Commands:\n")
+	if !ok {
+		return
+	}
+	below, _, _ = strings.Cut(below, "\n\n")
+	for _, m := range goldenSubcommand.FindAllStringSubmatch(below, -1) {
+		if m[1] != "help" && m[1] != "completion" {
+			helpOf(t, out, append(words[:len(words):len(words)], m[1])...)
+		}
+	}
+}
+
+// The help of every command.
+func TestGoldenHelp(t *testing.T) {
+	var out strings.Builder
+	helpOf(t, &out)
+	compareGolden(t, "help.txt", out.String())
+}
+
+// The codes of all errors that reach an operator or a client.
+func TestGoldenErrorCodes(t *testing.T) {
+	var out strings.Builder
+	for _, kind := range fault.Kinds() {
+		out.WriteString(kind.Code() + "\n")
+	}
+	compareGolden(t, "error-codes.txt", out.String())
+}
+
+// The platform's answers, with their fields: served, refused, failed, and those to what is no job.
+func TestGoldenPlatformAnswers(t *testing.T) {
+	s := newSite(t, 1, 10*time.Millisecond)
+	s.start()
+	var out strings.Builder
+	note := func(what string, m *http1.Message, err error) {
+		out.WriteString("== " + what + "\n" + goldenAnswer(m, err))
+	}
+	call := func(method, path, body string, fields ...http1.Field) {
+		m, err := standin.Call(s.listen, method, path, []byte(body), fields...)
+		note(method+" "+path, m, err)
+	}
+	m, err := s.post("tile-charge", "0000000000000001")
+	note("served", m, err)
+	s.until("the count is there", func() bool { return s.count("open") == 0 })
+	call("GET", "/healthz", "")
+	call("GET", "/counts", "")
+	call("GET", "/nothing", "")
+	call("POST", "/nothing/cut", "x", header("X-Trace-Id", "0000000000000002"), header("X-Customer", "pohjakaart"),
+		header("X-Expires-In-Ms", "7500"))
+	call("POST", "/tile-charge/cut", "x", header("X-Trace-Id", "no trace"), header("X-Customer", "pohjakaart"),
+		header("X-Expires-In-Ms", "7500"))
+	call("POST", "/tile-charge/cut", "x", header("X-Trace-Id", "0000000000000003"), header("X-Customer", "nobody"),
+		header("X-Expires-In-Ms", "7500"))
+	call("POST", "/tile-charge/cut", "x", header("X-Trace-Id", "0000000000000004"), header("X-Customer", "pohjakaart"),
+		header("X-Expires-In-Ms", "soon"))
+	call("POST", "/tile-charge/cut", "x", header("X-Trace-Id", "0000000000000005"), header("X-Customer", "pohjakaart"),
+		header("X-Expires-In-Ms", "1"))
+	s.boxes[0].Set(func(h *standin.Behaviour) { h.Fail = true })
+	m, err = s.post("tile-charge", "0000000000000006")
+	note("failed", m, err)
+	s.boxes[0].Set(func(h *standin.Behaviour) { h.Fail, h.Full = false, true })
+	m, err = s.post("tile-charge", "0000000000000007")
+	note("refused", m, err)
+	compareGolden(t, "platform-answers.txt", out.String())
+}
+
+// goldenBatchSteps are calls of the batch front; ID and ARRAY stand for those of the job and the array that came last.
+var goldenBatchSteps = []struct{ method, path, body string }{
+	{"GET", "/manager", ""},
+	{"GET", "/manager/supports/BULK_JOBS_MAXPARALLEL", ""},
+	{"GET", "/manager/supports/ADVANCE_RESERVATION", ""},
+	{"GET", "/manager/supports/NOTHING", ""},
+	{"GET", "/categories", ""},
+	{"GET", "/sessions", ""},
+	{"POST", "/sessions", `{"sessionName":"night"}`},
+	{"POST", "/sessions", `{"sessionName":"night"}`},
+	{"GET", "/sessions/night", ""},
+	{"GET", "/sessions/day", ""},
+	{"POST", "/jobs", tile},
+	{"GET", "/jobs/ID/wait", ""},
+	{"GET", "/jobs/ID", ""},
+	{"GET", "/jobs/ID/template", ""},
+	{"GET", "/jobs/ID/state", ""},
+	{"DELETE", "/jobs/ID", ""},
+	{"POST", "/jobs/ID/hold", ""},
+	{"POST", "/jobs", `{"jobCategory":"area-render","accountingId":"maavaade","payload":"x","submitAsHold":true,"priority":7,"jobName":"later","idempotencyKey":"k1","args":["a","b c"]}`},
+	{"POST", "/jobs", `{"jobCategory":"area-render","accountingId":"maavaade","payload":"x","submitAsHold":true,"priority":7,"jobName":"later","idempotencyKey":"k1","args":["a","b c"]}`},
+	{"POST", "/jobs", `{"jobCategory":"area-render","accountingId":"maavaade","payload":"other","idempotencyKey":"k1"}`},
+	{"GET", "/jobs/ID", ""},
+	{"GET", "/jobs/ID/template", ""},
+	{"POST", "/jobs/ID/release", ""},
+	{"GET", "/jobs/ID/wait", ""},
+	{"POST", "/jobs", `{"jobCategory":"tile-charge","accountingId":"maavaade","submitAsHold":true}`},
+	{"POST", "/jobs/ID/terminate", ""},
+	{"GET", "/jobs/ID", ""},
+	{"POST", "/jobs/ID/suspend", ""},
+	{"POST", "/jobs/ID/reap", ""},
+	{"GET", "/jobs/ID", ""},
+	{"POST", "/arrays", `{"jobTemplate":` + tile + `,"endIndex":3,"maxParallel":1}`},
+	{"GET", "/arrays/ARRAY", "wait"},
+	{"GET", "/jobs/ARRAY-2", ""},
+	{"POST", "/arrays/ARRAY/hold", ""},
+	{"POST", "/arrays", `{"jobTemplate":` + tile + `,"beginIndex":2,"endIndex":8,"step":0}`},
+	{"POST", "/sessions/night/jobs", `{"jobCategory":"tile-charge","accountingId":"maavaade","submitAsHold":true,"jobName":"of the night"}`},
+	{"GET", "/sessions/night/jobs", ""},
+	{"DELETE", "/sessions/night", ""},
+	{"GET", "/jobs?jobState=DONE&limit=2", ""},
+	{"GET", "/jobs?filter=name%20%3D%20later", ""},
+	{"GET", "/jobs?filter=state%20%3D%20ASLEEP", ""},
+	{"GET", "/jobs?limit=0", ""},
+	{"GET", "/monitoring/queues", ""},
+	{"GET", "/monitoring/machines", ""},
+	{"GET", "/monitoring/nothing", ""},
+	{"GET", "/counts", ""},
+	{"GET", "/reservations", ""},
+	{"GET", "/events?after=nothing", ""},
+	{"POST", "/jobs", `{`},
+	{"POST", "/jobs", `[]`},
+	{"POST", "/jobs", `{"jobCategory":"nothing"}`},
+	{"POST", "/jobs", `{"jobCategory":"tile-charge"}`},
+	{"POST", "/jobs", `{"jobCategory":"tile-charge","accountingId":"maavaade","queueName":"x"}`},
+	{"POST", "/jobs", `{"jobCategory":"tile-charge","accountingId":"maavaade","priority":"x"}`},
+	{"POST", "/jobs", `{"jobCategory":"tile-charge","accountingId":"maavaade","colour":"x"}`},
+	{"POST", "/jobs", `{"jobCategory":"tile-charge","accountingId":"maavaade","rerunnable":true}`},
+	{"POST", "/jobs", `{"jobCategory":"tile-charge","accountingId":"maavaade","startTime":"2199-01-01T00:00:00Z"}`},
+	{"PUT", "/jobs", ""},
+	{"GET", "/jobs/n0.1.1", ""},
+	{"GET", "/jobs/n9.1.1", ""},
+	{"GET", "/nothing", ""},
+}
+
+// The batch front's answers, and the events of all that happened.
+func TestGoldenBatchAnswers(t *testing.T) {
+	s := newSite(t, 1, 10*time.Millisecond)
+	s.start()
+	var out strings.Builder
+	job, array := "", ""
+	first := s.nextCursor(t)
+	for _, step := range goldenBatchSteps {
+		path := strings.NewReplacer("ID", job, "ARRAY", array).Replace(step.path)
+		if step.body == "wait" {
+			s.until("the array has ended", func() bool {
+				_, v := s.drmaa("GET", path, "")
+				return v.Get("done").Int() == 3
+			})
+			step.body = ""
+		}
+		m, err := standin.Call(s.batch, step.method, "/drmaa2/v1"+path, []byte(step.body))
+		if err == nil && m.Status == 201 {
+			if id := gjson.GetBytes(m.Body, "jobId").String(); id != "" {
+				job = id
+			}
+			if id := gjson.GetBytes(m.Body, "jobArrayId").String(); id != "" {
+				array = id
+			}
+		}
+		out.WriteString("== " + step.method + " " + step.path + " " + step.body + "\n" + goldenAnswer(m, err))
+	}
+	out.WriteString("== events\n" + s.events(t, first))
+	compareGolden(t, "batch-answers.txt", out.String())
+}
+
+// nextCursor is that of the latest event.
+func (s *site) nextCursor(t *testing.T) string {
+	t.Helper()
+	m, err := standin.Call(s.batch, "GET", "/drmaa2/v1/events?timeoutMs=1", nil)
+	if err != nil || m.Status != 200 {
+		t.Fatalf("%v %+v", err, m)
+	}
+	return m.Get("X-Cursor")
+}
+
+// events are those after a cursor, each by its value.
+func (s *site) events(t *testing.T, after string) string {
+	t.Helper()
+	m, err := standin.Call(s.batch, "GET", "/drmaa2/v1/events?timeoutMs=100&after="+after, nil)
+	if err != nil || m.Status != 200 {
+		t.Fatalf("%v %+v", err, m)
+	}
+	var out strings.Builder
+	for line := range strings.Lines(string(m.Body)) {
+		var value map[string]any
+		if err := json.Unmarshal([]byte(line), &value); err != nil {
+			t.Fatalf("%q: %v", line, err)
+		}
+		data, err := json.Marshal(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		out.WriteString(goldenText(string(data)) + "\n")
+	}
+	return out.String()
+}
