--- a/brain/brain.go
+++ b/brain/brain.go
@@ -334,7 +334,7 @@
 		return false
 	}
 	for _, k := range slices.Backward(d.waiting) {
-		if k.done || k.out > 0 || k.mayHaveRun || !(k.borrowed || k.tenant == j.tenant) {
+		if k.done || k.out > 0 || k.mayHaveRun || (!k.borrowed && k.tenant != j.tenant) {
 			continue
 		}
 		if k.value < evictGain*j.value || d.now+k.work/speed > k.aimAt {
--- a/brain/learn.go
+++ b/brain/learn.go
@@ -270,9 +270,10 @@
 		}
 	case e.Outcome == Errored:
 		a.erred = true
-		if erred == 0 {
+		switch erred {
+		case 0:
 			d.blame(w, j.class, Errored)
-		} else if erred == 1 {
+		case 1:
 			for i := range j.attempts {
 				if x := &j.attempts[i]; x.erred && x != a {
 					x.w.fails[j.class].lift(d)
--- a/brain/script_test.go
+++ b/brain/script_test.go
@@ -95,7 +95,7 @@
 			c := x.s.Classes[j.class]
 			for _, at := range j.attempts {
 				harmless := c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll
-				if !(at.over && at.neverRan) && !harmless {
+				if (!at.over || !at.neverRan) && !harmless {
 					x.failf("request %d may have run and was refused", a.Job)
 				}
 			}
