--- a/internal/actorhost/timers_jobs.go
+++ b/internal/actorhost/timers_jobs.go
@@ -67,10 +67,10 @@
 		}
 		body, _ := json.Marshal(wish)
 		r := h.Front.Handle(ctx, &http1.Message{Method: "POST", Target: h.Prefix + "/jobs", Body: body})
-		switch {
-		case r.Status == 200 || r.Status == 201:
+		switch r.Status {
+		case 200, 201:
 			x.jobIDs[name] = gjson.GetBytes(r.Body, "jobId").String()
-		case r.Status == 400: // it can not be submitted at all: the function is told, and may go on
+		case 400: // it can not be submitted at all: the function is told, and may go on
 			why := gjson.GetBytes(r.Body, "message").String()
 			h.Log.Warn("a desk's job can not be handed in", "desk", id, "job", name, "field", gjson.GetBytes(r.Body, "field").String(), "why", why)
 			h.jobEnded(ctx, id, x, name, j, false, why)
