--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -205,7 +205,7 @@
 		c.log.Info("discovery", "call", "watch", "err", err, "begun", "anew", "in", next.At.Sub(now).Round(time.Millisecond))
 	}
 	// The agent of a pushed list bears any number of calls: it is called again soon, and sooner only where the clock must.
-	if again := now.Add(c.lim.PushAgain); c.push && !(next.Mine && next.At.Before(again)) {
+	if again := now.Add(c.lim.PushAgain); c.push && (!next.Mine || !next.At.Before(again)) {
 		return again
 	}
 	return next.At
