--- a/internal/executor/slow.go
+++ b/internal/executor/slow.go
@@ -122,7 +122,7 @@
 		case errors.As(err, &slow):
 			c.slow(pace.BoxDrips, t, conn, slow)
 			return nil, err
-		case !errors.As(err, &te) || !te.Timeout() || by == last:
+		case !errors.As(err, &te) || !te.Timeout() || by.Equal(last):
 			if m, end := conn.parse.End(); m != nil && end == nil {
 				return m, nil
 			}
