--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -119,7 +119,7 @@
 func (c *conn) drop() error {
 	b := buffers.Get().(*[]byte)
 	defer buffers.Put(b)
-	_, err := c.Paced.Read(*b)
+	_, err := c.Read(*b)
 	if err == nil {
 		c.mu.Lock()
 		c.over = true
--- a/internal/http1/ending.go
+++ b/internal/http1/ending.go
@@ -47,7 +47,7 @@
 	c.phase = closed
 	s.standing--
 	s.read(c)
-	_ = c.Paced.Close()
+	_ = c.Close()
 }
 
 // read marks that a connection's last answer is no longer followed.
--- a/internal/http1/paced.go
+++ b/internal/http1/paced.go
@@ -88,7 +88,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.aborted = true
-	_ = p.Conn.SetDeadline(longAgo)
+	_ = p.SetDeadline(longAgo)
 }
 
 // longAgo as a deadline ends what is under way at once.
@@ -96,7 +96,7 @@
 
 func (p *Paced) armRead() {
 	if !p.aborted {
-		_ = p.Conn.SetReadDeadline(sooner(p.inBy, &p.in))
+		_ = p.SetReadDeadline(sooner(p.inBy, &p.in))
 	}
 }
 
@@ -203,7 +203,7 @@
 			p.written, p.acked = 0, 0
 		}
 		p.blocked = now
-		_ = p.Conn.SetWriteDeadline(sooner(p.byAt, &p.out))
+		_ = p.SetWriteDeadline(sooner(p.byAt, &p.out))
 		p.mu.Unlock()
 		n, err := p.Conn.Write(b[done:])
 		done += n
--- a/internal/http1/paced_test.go
+++ b/internal/http1/paced_test.go
@@ -272,5 +272,7 @@
 		_ = c.Close()
 	}
 	cancel()
-	<-done
+	if err := <-done; err != nil {
+		b.Error("the server ended with", err)
+	}
 }
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -229,13 +229,13 @@
 	ctx, gone := context.WithCancel(ctx)
 	var g errgroup.Group
 	g.Go(func() error { c.read(gone); return nil })
-	stop := context.AfterFunc(ctx, func() { _ = c.Paced.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	p, w := NewParser(s.lim, false), NewWriter(c.Paced, s.lim.Ring)
 	p.Room = s.room
 	defer func() {
 		stop()
 		gone()
-		_ = c.Paced.Close()
+		_ = c.Close()
 		close(c.want)
 		_ = g.Wait()
 		p.Release()
