--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -53,7 +53,9 @@
 		return len(left) == 0
 	})
 	cancel()
-	<-done
+	if err := <-done; err != nil {
+		t.Error("the relay ended with", err)
+	}
 	if len(got) != 0 {
 		t.Errorf("a callback was taken twice")
 	}
