--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -277,7 +277,7 @@
 	if _, err = c.Submit(Job{Trace: "a"}, &client{t: t}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err = c.Submit(Job{Trace: "b"}, &client{t: t}); err != ErrFull || c.Open() != 1 {
+	if _, err = c.Submit(Job{Trace: "b"}, &client{t: t}); !errors.Is(err, ErrFull) || c.Open() != 1 {
 		t.Errorf("%v, %d open", err, c.Open())
 	}
 }
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -143,5 +143,7 @@
 		t.Errorf("%v %+v", err, c.Rules())
 	}
 	stop()
-	<-done
+	if err := <-done; err != nil {
+		t.Error("the core ended with", err)
+	}
 }
