--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -362,7 +362,7 @@
 		f.step(false)
 	}
 	x = f.nodes[0]
-	left = x.Owner.own.Partition()
+	left = x.own.Partition()
 	f.boot(x)
 	return f, x, left
 }
@@ -380,7 +380,7 @@
 	for range 80 {
 		f.step(false)
 	}
-	own := x.Owner.own.Partition()
+	own := x.own.Partition()
 	x.w.left = map[string]bool{was: true}
 	x.retire(t.Context())
 	if f.epoch(was) == 0 || f.epoch(own) == 0 {
