--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer first.conn.Close()
+	defer func() { _ = first.conn.Close() }()
 	at := first.conn.LocalAddr().String()
 	second, err := Listen(at, nil, "", standin.Lim, &sink{got: map[uint32]string{}}, standin.Quiet)
 	if err != nil {
