--- a/internal/settingsync/fake_test.go
+++ b/internal/settingsync/fake_test.go
@@ -128,7 +128,12 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx) }()
-	t.Cleanup(func() { cancel(); <-done })
+	t.Cleanup(func() {
+		cancel()
+		if err := <-done; err != nil {
+			t.Error("it ended with", err)
+		}
+	})
 	return s
 }
 
@@ -196,5 +201,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- f.Run(ctx) }()
-	t.Cleanup(func() { cancel(); <-done })
+	t.Cleanup(func() {
+		cancel()
+		if err := <-done; err != nil {
+			t.Error("it ended with", err)
+		}
+	})
 }
