--- a/internal/store/folder.go
+++ b/internal/store/folder.go
@@ -13,10 +13,11 @@
 	"sync"
 	"time"
 
-	"gatetack/internal/http1"
-	"gatetack/internal/member"
 	"github.com/hashicorp/raft"
 	boltdb "github.com/hashicorp/raft-boltdb/v2"
+
+	"gatetack/internal/http1"
+	"gatetack/internal/member"
 )
 
 // The folder's identity, and those of the others that this member was told of, stand beside raft's own votes: they are lost
--- a/internal/store/lies_test.go
+++ b/internal/store/lies_test.go
@@ -216,7 +216,9 @@
 			return ok
 		})
 		cancel()
-		<-done
+		if err := <-done; err != nil {
+			t.Logf("%s: it ended with %v", what, err)
+		}
 	}
 	if started < 12 {
 		t.Errorf("it started %d times of 24, and did not %d times", started, cut)
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -61,13 +61,13 @@
 		}
 	}
 	slices.Sort(others)
-	fmt.Fprintf(w, "the folder of %s holds all up to entry %d\n", name, last)
-	fmt.Fprintf(w, "lost is whatever the others (%s) acknowledged after entry %d without it; what it has and they had not yet "+
+	_, _ = fmt.Fprintf(w, "the folder of %s holds all up to entry %d\n", name, last)
+	_, _ = fmt.Fprintf(w, "lost is whatever the others (%s) acknowledged after entry %d without it; what it has and they had not yet "+
 		"acknowledged stands\n", strings.Join(others, ", "), last)
-	fmt.Fprintf(w, "the members will be %s: none of the others may be started again with its folder, or there are two stores\n",
+	_, _ = fmt.Fprintf(w, "the members will be %s: none of the others may be started again with its folder, or there are two stores\n",
 		strings.Join(slices.Sorted(maps.Keys(members)), ", "))
 	if dry {
-		fmt.Fprintln(w, "nothing was changed")
+		_, _ = fmt.Fprintln(w, "nothing was changed")
 		return nil
 	}
 	if err := raft.RecoverCluster(c, newFSM(lim), log, log, snaps, trans, voters(members)); err != nil {
@@ -78,6 +78,6 @@
 	if err := log.Set([]byte(folderKey), newIdentity()); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	fmt.Fprintln(w, "done: start its node")
+	_, _ = fmt.Fprintln(w, "done: start its node")
 	return nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	var under net.Listener = ln
+	under := ln
 	if cfg.Keys != nil {
 		under = cfg.Keys.Listen(ln)
 	}
--- a/internal/store/verify.go
+++ b/internal/store/verify.go
@@ -23,10 +23,10 @@
 	say := func(what string, err error, format string, args ...any) {
 		if err != nil {
 			bad++
-			fmt.Fprintf(w, "BAD   %s: %v\n", what, err)
+			_, _ = fmt.Fprintf(w, "BAD   %s: %v\n", what, err)
 			return
 		}
-		fmt.Fprintf(w, "good  %s: %s\n", what, fmt.Sprintf(format, args...))
+		_, _ = fmt.Fprintf(w, "good  %s: %s\n", what, fmt.Sprintf(format, args...))
 	}
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, hclog.NewNullLogger())
 	if err != nil {
