--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -97,7 +97,7 @@
 	if b, err = r.Read(); err != nil || b.Clock != 2 || len(b.Records) != 0 {
 		t.Errorf("empty batch: %+v, %v", b, err)
 	}
-	if _, err = r.Read(); err != io.EOF {
+	if _, err = r.Read(); !errors.Is(err, io.EOF) {
 		t.Errorf("at the end: %v, want EOF", err)
 	}
 }
@@ -107,7 +107,7 @@
 		whole := frame(240, s.hex)
 		for n := 1; n < len(whole); n++ {
 			// Cut off in the stream, and cut off within a frame whose length says so.
-			if _, err := NewReader(bytes.NewReader(whole[:n])).Read(); err == nil || err == io.EOF {
+			if _, err := NewReader(bytes.NewReader(whole[:n])).Read(); err == nil || errors.Is(err, io.EOF) {
 				t.Fatalf("%s cut to %d bytes: %v", s.name, n, err)
 			}
 			if n < 16 {
