--- a/internal/batch/template.go
+++ b/internal/batch/template.go
@@ -243,7 +243,7 @@
 	default:
 		return errors.New("no attribute of a job template")
 	}
-	ok := true
+	var ok bool
 	var err error
 	switch name {
 	case "jobName":
