--- a/test/deployments_test.go
+++ b/test/deployments_test.go
@@ -305,7 +305,7 @@
 	served := 0
 	for _, j := range jobs {
 		j := j
-		if j.status == 0 && !(j.begun.Before(up.Add(restartSlop)) && j.ended.After(killed.Add(-restartSlop))) {
+		if j.status == 0 && (!j.begun.Before(up.Add(restartSlop)) || !j.ended.After(killed.Add(-restartSlop))) {
 			t.Errorf("job %s of %s had no answer", j.id, j.class.name)
 		}
 		if late := j.ended.Sub(j.begun) - time.Duration(j.class.deadline)*time.Millisecond; late > clientSlack {
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -91,7 +91,7 @@
 	t.Cleanup(func() {
 		if s.process != nil {
 			_ = s.process.Process.Kill()
-			<-s.exited
+			_ = s.awaitExit() // killed
 		}
 		cancel()
 		_ = g.Wait()
@@ -175,10 +175,13 @@
 // kill ends the program at once, as a lost machine does.
 func (s *site) kill() {
 	_ = s.process.Process.Kill()
-	<-s.exited
+	_ = s.awaitExit() // killed
 	s.process = nil
 }
 
+// awaitExit waits until the program has ended and returns how.
+func (s *site) awaitExit() error { return <-s.exited }
+
 func (s *site) until(what string, ok func() bool) {
 	s.t.Helper()
 	standin.Until(s.t, what, ok)
--- a/test/links_test.go
+++ b/test/links_test.go
@@ -163,8 +163,11 @@
 			_ = s.process.Process.Signal(syscall.SIGTERM)
 			return func() {
 				select {
-				case <-s.exited:
+				case err := <-s.exited:
 					s.process = nil
+					if err != nil {
+						say("n%d ended with %v", i, err)
+					}
 				case <-time.After(2 * time.Second):
 					s.kill()
 				}
