--- a/internal/conform/cases.go
+++ b/internal/conform/cases.go
@@ -74,10 +74,10 @@
 		}
 		list, err := t.want("GET", "/sessions", "", 200, "", "")
 		if err != nil || !strings.Contains(list.Raw, strconv.Quote(name)) {
-			return fmt.Errorf("%v %s", err, list.Raw)
+			return unexpected(err, list)
 		}
 		if v, err := t.want("GET", "/sessions/"+name, "", 200, "", ""); err != nil || is(v, "sessionName", name) != nil {
-			return fmt.Errorf("%v %s", err, v.Raw)
+			return unexpected(err, v)
 		}
 		if _, err = t.want("DELETE", "/sessions/"+name, "", 409, "INVALID_STATE", ""); err != nil {
 			return err
@@ -113,11 +113,11 @@
 			return err
 		}
 		if m, v, err := t.call("GET", "/sessions/"+name+"/jobs", "", http1.Field{Name: "X-Session-Instance", Value: ib}); err != nil || m.Status != 200 {
-			return fmt.Errorf("the other instance: %v %s", err, v.Raw)
+			return fmt.Errorf("the other instance: %w", unexpected(err, v))
 		}
 		if m, v, err := t.call("GET", "/sessions/"+name+"/jobs", "", http1.Field{Name: "X-Session-Instance", Value: ia}); err != nil ||
 			m.Status != 409 || is(v, "error", "INVALID_SESSION") != nil {
-			return fmt.Errorf("the closed instance: %v %s", err, v.Raw)
+			return fmt.Errorf("the closed instance: %w", unexpected(err, v))
 		}
 		if err := t.closeSession(name, ia, 409); err != nil {
 			return err
@@ -352,10 +352,10 @@
 			return err
 		}
 		if v, err = t.want("POST", t.s("/jobs/"+id+"/hold"), "{}", 200, "", ""); err != nil || is(v, "jobState", "QUEUED_HELD") != nil {
-			return fmt.Errorf("%v %s", err, v.Raw)
+			return unexpected(err, v)
 		}
 		if v, err = t.want("POST", t.s("/jobs/"+id+"/release"), "{}", 200, "", ""); err != nil || is(v, "jobState", "QUEUED") != nil {
-			return fmt.Errorf("%v %s", err, v.Raw)
+			return unexpected(err, v)
 		}
 		_, err = t.want("DELETE", t.s("/jobs/"+id), "", 200, "", "")
 		return err
@@ -473,7 +473,7 @@
 		}
 		m, v, err := t.call("POST", t.s("/jobs"), t.template(key))
 		if err != nil || m.Status != 200 || is(v, "jobId", a) != nil {
-			return fmt.Errorf("%v, status %v, want job %s: %s", err, m, a, v.Raw)
+			return fmt.Errorf("status %v, want job %s: %w", m, a, unexpected(err, v))
 		}
 		return nil
 	})
@@ -588,7 +588,7 @@
 			return err
 		}
 		if m, err := t.want("GET", t.s("/jobs/"+id+"-2"), "", 200, "", ""); err != nil || is(m, "jobState", "QUEUED_HELD") != nil {
-			return fmt.Errorf("%v %s", err, m.Raw)
+			return unexpected(err, m)
 		}
 		if _, err := t.want("POST", t.s("/arrays/"+id+"/release"), "{}", 200, "", ""); err != nil {
 			return err
--- a/internal/conform/conform.go
+++ b/internal/conform/conform.go
@@ -67,7 +67,7 @@
 	}
 	t.session = "conform-" + strconv.FormatInt(time.Now().UnixNano(), 36)
 	if m, v, err = t.call("POST", "/sessions", `{"sessionName":`+strconv.Quote(t.session)+`}`); err != nil || m.Status != 201 {
-		return fmt.Errorf("conform: no session of its own: %v %s", err, v.Raw)
+		return fmt.Errorf("conform: no session of its own: %w", unexpected(err, v))
 	}
 	for _, c := range Cases() {
 		if ctx.Err() != nil {
@@ -241,13 +241,22 @@
 	return fmt.Errorf("%s is %q, want one of %v, in %.300s", path, got, want, v.Raw)
 }
 
+// unexpected is the error of an answer that is not the wanted one: of the call itself where that failed.
+func unexpected(err error, answer gjson.Result) error {
+	if err != nil {
+		return fmt.Errorf("%w: %s", err, answer.Raw)
+	}
+	return fmt.Errorf("unexpected answer %s", answer.Raw)
+}
+
 // Print writes a result as a row of a table.
-func (r *Result) Print(w io.Writer) {
+func (r *Result) Print(w io.Writer) error {
 	verdict, why := "pass", ""
 	if r.Err != nil {
 		verdict, why = "FAIL", ": "+r.Err.Error()
 	}
-	fmt.Fprintf(w, "%4d  %-4s  %-18s  %s%s\n", r.Number, verdict, r.Section, r.Title, why)
+	_, err := fmt.Fprintf(w, "%4d  %-4s  %-18s  %s%s\n", r.Number, verdict, r.Section, r.Title, why)
+	return err
 }
 
 func escaped(filter string) string { return url.QueryEscape(filter) }
--- a/internal/scale/fleet/description.go
+++ b/internal/scale/fleet/description.go
@@ -136,10 +136,10 @@
 // three have four, which makes 43.
 var acceleratorMix = func() (mix [31]int) {
 	for i := range mix {
-		switch {
-		case i%10 == 9:
+		switch i % 10 {
+		case 9:
 			mix[i] = 4
-		case i%10 == 4:
+		case 4:
 			mix[i] = 2
 		default:
 			mix[i] = 1
--- a/internal/scale/process/process.go
+++ b/internal/scale/process/process.go
@@ -119,7 +119,7 @@
 		select {
 		case <-time.After(pollEvery):
 		case <-p.ended:
-			return fmt.Errorf("%s: %w: %v", p.Name, ErrEnded, p.err)
+			return fmt.Errorf("%s: %w", p.Name, errors.Join(ErrEnded, p.err))
 		case <-timeout:
 			return fmt.Errorf("%s: not ready within %v", p.Name, within)
 		case <-ctx.Done():
