--- a/cmd/gatetack/conform.go
+++ b/cmd/gatetack/conform.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"time"
 
@@ -21,20 +22,21 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := context.WithTimeout(cmd.Context(), timeout)
 			defer cancel()
+			out := &printer{writer: cmd.OutOrStdout()}
 			all, bad := 0, 0
 			err := conform.Run(ctx, addr, func(r conform.Result) {
 				if all++; r.Err != nil {
 					bad++
 				}
 				if r.Err != nil || !failed {
-					r.Print(cmd.OutOrStdout())
+					_ = r.Print(out) // kept in out.err
 				}
 			})
-			fmt.Fprintf(cmd.OutOrStdout(), "%d cases, %d failed\n", all, bad)
+			out.printf("%d cases, %d failed\n", all, bad)
 			if err == nil && bad > 0 {
 				err = fmt.Errorf("%d of %d cases failed", bad, all)
 			}
-			return err
+			return errors.Join(err, out.err)
 		},
 	}
 	cmd.Flags().StringVar(&addr, "addr", "127.0.0.1:8480", "where the batch front listens")
--- a/cmd/gatetack/duty.go
+++ b/cmd/gatetack/duty.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"net/url"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -57,11 +56,12 @@
 				if err != nil {
 					return err
 				}
+				out := printer{writer: cmd.OutOrStdout()}
 				for _, e := range v.Get("entries").Array() {
 					l := lifeOf(e)
-					fmt.Fprintf(cmd.OutOrStdout(), "epoch %d: %s\n", e.Get("version").Uint(), whose(l))
+					out.printf("epoch %d: %s\n", e.Get("version").Uint(), whose(l))
 				}
-				return nil
+				return out.err
 			}
 			return usageError{fmt.Errorf("no duty is called %q: duty list names them", a[0])}
 		}})
@@ -107,8 +107,9 @@
 	if _, _, err := r.call(cmd.Context(), "PUT", path+"?if="+was, value); err != nil {
 		return err
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "%s %s; %s had it under epoch %s, and nothing it writes under that is taken any more\n", key, done, whose(lifeOf(v)), was)
-	return nil
+	_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s %s; %s had it under epoch %s, and nothing it writes under that is taken any more\n",
+		key, done, whose(lifeOf(v)), was)
+	return err
 }
 
 func oneDuty(cmd *cobra.Command, a []string) error {
@@ -176,14 +177,14 @@
 	default:
 		return usageError{fmt.Errorf("--output: %q is neither text nor json", output)}
 	}
-	w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "DUTY\tOWNER\tEPOCH\tBATCH FRONT\tWHY")
+	rows := newTable(cmd.OutOrStdout())
+	rows.println("DUTY\tOWNER\tEPOCH\tBATCH FRONT\tWHY")
 	for _, x := range all {
 		who := x.Owner
 		if who == "" {
 			who = "-"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", x.Duty, who, x.Epoch, x.Addr, x.Why)
+		rows.printf("%s\t%s\t%d\t%s\t%s\n", x.Duty, who, x.Epoch, x.Addr, x.Why)
 	}
-	return w.Flush()
+	return rows.flush()
 }
--- a/cmd/gatetack/job.go
+++ b/cmd/gatetack/job.go
@@ -42,14 +42,15 @@
 		c := &cobra.Command{Use: x.name + " ID...", Short: x.help, Args: someIDs,
 			RunE: r.run(func(ctx context.Context, c *drmaa2.Client, cmd *cobra.Command, args []string) error {
 				var all error
+				out := &printer{writer: cmd.OutOrStdout()}
 				for _, id := range args {
 					if err := c.Control(ctx, id, x.name, array); err != nil {
 						all = errors.Join(all, fmt.Errorf("%s: %w", id, err))
 					} else {
-						fmt.Fprintln(cmd.OutOrStdout(), id)
+						out.println(id)
 					}
 				}
-				return all
+				return errors.Join(all, out.err)
 			})}
 		if x.name != "reap" {
 			c.Flags().BoolVar(&array, "array", false, "the ids are of arrays")
@@ -212,8 +213,9 @@
 		RunE: r.run(func(ctx context.Context, c *drmaa2.Client, cmd *cobra.Command, _ []string) error {
 			err := c.Events(ctx, after, func(e drmaa2.Event) error {
 				if r.output == "table" {
-					fmt.Fprintln(cmd.OutOrStdout(), e.Cursor, e.Time.Local().Format(time.DateTime), e.Event, e.JobID, e.JobState, e.JobSubState+e.Message)
-					return nil
+					_, err := fmt.Fprintln(cmd.OutOrStdout(), e.Cursor, e.Time.Local().Format(time.DateTime), e.Event, e.JobID, e.JobState,
+						e.JobSubState+e.Message)
+					return err
 				}
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(e)
 			})
--- a/cmd/gatetack/job_submit.go
+++ b/cmd/gatetack/job_submit.go
@@ -175,7 +175,7 @@
 	return cmd
 }
 
-// progress draws a bar on a terminal, and nothing elsewhere.
+// progress draws a bar on a terminal, and nothing elsewhere. A bar that can not be drawn does not fail the command.
 func progress(cmd *cobra.Command, a *drmaa2.JobArray) {
 	f, ok := cmd.ErrOrStderr().(*os.File)
 	if !ok || !isatty.IsTerminal(f.Fd()) || a.Jobs == 0 {
@@ -183,9 +183,9 @@
 	}
 	const width = 40
 	done := (a.Done + a.Failed) * width / a.Jobs
-	fmt.Fprintf(f, "\r[%s%s] %d of %d, %d failed", strings.Repeat("#", done), strings.Repeat(".", width-done), a.Done+a.Failed, a.Jobs, a.Failed)
+	_, _ = fmt.Fprintf(f, "\r[%s%s] %d of %d, %d failed", strings.Repeat("#", done), strings.Repeat(".", width-done), a.Done+a.Failed, a.Jobs, a.Failed)
 	if a.Over() {
-		fmt.Fprintln(f)
+		_, _ = fmt.Fprintln(f)
 	}
 }
 
--- a/cmd/gatetack/listen_test.go
+++ b/cmd/gatetack/listen_test.go
@@ -17,38 +17,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	defer func() { _ = held.Close() }()
 	f, err := held.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	ln, err := listen(&config.Config{Listen: held.Addr().String(), Passed: int(f.Fd())}, standin.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	if ln.Addr().String() != held.Addr().String() {
 		t.Fatalf("listens at %s, the passed socket at %s", ln.Addr(), held.Addr())
 	}
 	go func() {
 		if c, err := net.Dial("tcp", held.Addr().String()); err == nil {
-			c.Close()
+			_ = c.Close()
 		}
 	}()
 	if c, err := ln.Accept(); err != nil {
 		t.Fatalf("accept on the passed socket: %v", err)
 	} else {
-		c.Close()
+		_ = c.Close()
 	}
 	plain, err := os.CreateTemp(t.TempDir(), "plain")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer plain.Close()
+	defer func() { _ = plain.Close() }()
 	for _, fd := range []int{int(plain.Fd()), 1 << 20} {
 		if ln, err := listen(&config.Config{Listen: "127.0.0.1:1", Passed: fd}, standin.Quiet); err == nil {
-			ln.Close()
+			_ = ln.Close()
 			t.Errorf("descriptor %d taken for a listening socket", fd)
 		} else if !strings.Contains(err.Error(), "EDGE_PASSED_SOCKET") {
 			t.Errorf("descriptor %d: %v does not name the variable", fd, err)
--- a/cmd/gatetack/main.go
+++ b/cmd/gatetack/main.go
@@ -149,28 +149,28 @@
 			if err != nil {
 				return err
 			}
-			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%s: %d classes, %d tenants, %d known executors, listens on %s\n",
+			out := printer{writer: cmd.OutOrStdout()}
+			out.printf("%s: %d classes, %d tenants, %d known executors, listens on %s\n",
 				c.Name, len(c.Names.Classes), len(c.Names.Tenants), len(c.Known.Entries), c.Listen)
 			if f.Batch.Listen != "" {
-				fmt.Fprintf(out, "batch front on %s\n", f.Batch.Listen)
+				out.printf("batch front on %s\n", f.Batch.Listen)
 			}
 			if f.Batch.Dir != "" && f.Store.Dir == "" {
-				fmt.Fprintf(out, "batch jobs on record in %s\n", f.Batch.Dir)
+				out.printf("batch jobs on record in %s\n", f.Batch.Dir)
 			}
 			if f.Inventory.File != "" {
 				if _, err := inventory.Open(f.Inventory.File, c.Names, c.Limits, nil, nil, slog.Default()); err != nil {
 					return err
 				}
-				fmt.Fprintf(out, "executors from %s\n", f.Inventory.File)
+				out.printf("executors from %s\n", f.Inventory.File)
 			}
 			if f.Store.Dir != "" {
-				fmt.Fprintf(out, "store in %s, %d members\n", f.Store.Dir, len(f.Store.Members))
+				out.printf("store in %s, %d members\n", f.Store.Dir, len(f.Store.Members))
 			}
 			if f.Settings.Enabled {
-				fmt.Fprintf(out, "settings from the store, %d members to follow\n", len(f.Settings.Follow))
+				out.printf("settings from the store, %d members to follow\n", len(f.Settings.Follow))
 			}
-			return nil
+			return out.err
 		},
 	}
 	configFlag(cmd, &path)
@@ -180,6 +180,9 @@
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "version", Short: "print the version", Args: noArgs,
-		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "gatetack", version) },
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			_, err := fmt.Fprintln(cmd.OutOrStdout(), "gatetack", version)
+			return err
+		},
 	}
 }
--- /dev/null
+++ b/cmd/gatetack/output_test.go
@@ -0,0 +1,52 @@
+package main
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+var errDiskFull = errors.New("no space left on device")
+
+// limitedWriter fails once it has taken a number of bytes.
+type limitedWriter struct {
+	strings.Builder
+	room int
+}
+
+func (w *limitedWriter) Write(data []byte) (int, error) {
+	if w.Len()+len(data) > w.room {
+		return 0, errDiskFull
+	}
+	return w.Builder.Write(data)
+}
+
+func TestPrinterKeepsFirstWriteError(t *testing.T) {
+	target := &limitedWriter{room: 4}
+	out := printer{writer: target}
+	out.println("one")
+	out.println("two")
+	target.room = 100
+	out.printf("%s\n", "three")
+	if !errors.Is(out.err, errDiskFull) {
+		t.Errorf("error %v, want %v", out.err, errDiskFull)
+	}
+	if got := target.String(); got != "one\n" {
+		t.Errorf("written %q, want only what came before the failure", got)
+	}
+}
+
+func TestTableAlignsColumnsAndReportsFailedFlush(t *testing.T) {
+	target := &limitedWriter{room: 100}
+	rows := newTable(target)
+	rows.println("ID\tSTATE")
+	rows.println("n0-17\tDONE")
+	if err := rows.flush(); err != nil || target.String() != "ID     STATE\nn0-17  DONE\n" {
+		t.Errorf("%v, written %q", err, target.String())
+	}
+	rows = newTable(&limitedWriter{room: 4})
+	rows.println("ID\tSTATE")
+	if err := rows.flush(); !errors.Is(err, errDiskFull) {
+		t.Errorf("error %v, want %v", err, errDiskFull)
+	}
+}
--- a/cmd/gatetack/reload_test.go
+++ b/cmd/gatetack/reload_test.go
@@ -61,7 +61,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- core.Run(ctx) }()
-	t.Cleanup(func() { cancel(); <-done })
+	t.Cleanup(func() {
+		cancel()
+		if err := <-done; err != nil {
+			t.Errorf("the core ended with %v", err)
+		}
+	})
 	return &tuner{core: core, lim: c.Limits, stay: &atomic.Int64{}, base: *c, document: settings.NewDocument()}
 }
 
--- a/cmd/gatetack/remote.go
+++ b/cmd/gatetack/remote.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"io"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -73,12 +72,12 @@
 	case "yaml":
 		return yaml.NewEncoder(w).Encode(v)
 	}
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, strings.Join(head, "\t"))
+	table := newTable(w)
+	table.println(strings.Join(head, "\t"))
 	for _, row := range rows {
-		fmt.Fprintln(t, strings.Join(row, "\t"))
+		table.println(strings.Join(row, "\t"))
 	}
-	return t.Flush()
+	return table.flush()
 }
 
 // failedJob ends a command whose job did.
--- a/cmd/gatetack/serve.go
+++ b/cmd/gatetack/serve.go
@@ -306,7 +306,7 @@
 	if f == nil {
 		return nil, fmt.Errorf("EDGE_PASSED_SOCKET: descriptor %d is not open; expected the clients' listening socket", c.Passed)
 	}
-	defer f.Close() // FileListener holds a copy of its own
+	defer func() { _ = f.Close() }() // FileListener holds a copy of its own
 	ln, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_PASSED_SOCKET: descriptor %d: %w; expected the clients' listening socket", c.Passed, err)
--- a/cmd/gatetack/session.go
+++ b/cmd/gatetack/session.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"strconv"
 	"time"
@@ -40,8 +41,8 @@
 				return err
 			}
 			defer s.Close()
-			fmt.Fprintln(cmd.OutOrStdout(), args[0])
-			return s.CloseSession(ctx) // a command keeps no instance open
+			_, err = fmt.Fprintln(cmd.OutOrStdout(), args[0])
+			return errors.Join(err, s.CloseSession(ctx)) // a command keeps no instance open
 		})})
 	cmd.AddCommand(&cobra.Command{Use: "destroy NAME", Short: "take a job session away whose jobs have ended", Args: one,
 		RunE: r.run(func(ctx context.Context, c *drmaa2.Client, _ *cobra.Command, args []string) error {
--- a/cmd/gatetack/settings.go
+++ b/cmd/gatetack/settings.go
@@ -8,7 +8,6 @@
 	"os"
 	"slices"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 	"go.yaml.in/yaml/v3"
@@ -119,8 +118,8 @@
 	if r.output == "json" {
 		return writeJSON(cmd.OutOrStdout(), accepted)
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "version %d accepted, %d items changed\n", accepted.Version, accepted.Changed)
-	return nil
+	_, err = fmt.Fprintf(cmd.OutOrStdout(), "version %d accepted, %d items changed\n", accepted.Version, accepted.Changed)
+	return err
 }
 
 func (r *settingsRemote) listCommand() *cobra.Command {
@@ -140,12 +139,12 @@
 			if r.output == "json" {
 				return writeJSON(cmd.OutOrStdout(), u)
 			}
-			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
-			fmt.Fprintf(table, "version %d\n", u.Version)
+			table := newTable(cmd.OutOrStdout())
+			table.printf("version %d\n", u.Version)
 			for _, c := range u.Changes {
-				fmt.Fprintf(table, "%s\t%d\t%s\n", c.Key, c.Version, c.Value)
+				table.printf("%s\t%d\t%s\n", c.Key, c.Version, c.Value)
 			}
-			return table.Flush()
+			return table.flush()
 		}}
 }
 
@@ -204,15 +203,15 @@
 			late = append(late, p)
 		}
 	}
-	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(table, "version %d accepted, in force at %d of %d processes\n", status.Version, len(status.Processes)-len(late), len(status.Processes))
+	table := newTable(out)
+	table.printf("version %d accepted, in force at %d of %d processes\n", status.Version, len(status.Processes)-len(late), len(status.Processes))
 	for _, p := range late {
-		fmt.Fprintf(table, "not yet in force at %s\tversion %d\tbehind for %d ms\t%s\t%s\n", p.Process, p.InForce, p.BehindMs, heard(p), p.Refused.Reason)
+		table.printf("not yet in force at %s\tversion %d\tbehind for %d ms\t%s\t%s\n", p.Process, p.InForce, p.BehindMs, heard(p), p.Refused.Reason)
 	}
 	for _, name := range status.Silent {
-		fmt.Fprintf(table, "not asked: %s\twho follows it may be missing here\n", name)
+		table.printf("not asked: %s\twho follows it may be missing here\n", name)
 	}
-	return table.Flush()
+	return table.flush()
 }
 
 func (r *settingsRemote) checkOutput() error {
--- a/cmd/gatetack/store.go
+++ b/cmd/gatetack/store.go
@@ -201,7 +201,9 @@
 			return nil
 		},
 		RunE: func(cmd *cobra.Command, a []string) error {
-			return r.each(cmd.Context(), a[0], prefix, *stale, func(e gjson.Result) { fmt.Fprintln(cmd.OutOrStdout(), e.Raw) })
+			out := printer{writer: cmd.OutOrStdout()}
+			err := r.each(cmd.Context(), a[0], prefix, *stale, func(e gjson.Result) { out.println(e.Raw) })
+			return errors.Join(err, out.err)
 		}}
 	cmd.Flags().StringVar(&prefix, "prefix", "", "keys that begin with it")
 	cmd.Flags().BoolVar(stale, "stale", false, "as this member has them, which may be old")
@@ -214,6 +216,7 @@
 	cmd := &cobra.Command{Use: "watch", Short: "follow changes, one a line", Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			began := time.Now()
+			out := printer{writer: cmd.OutOrStdout()}
 			for span == 0 || time.Since(began) < span {
 				q := url.Values{"table": {table}, "prefix": {prefix}, "timeoutMs": {"1000"}}
 				if after != "" {
@@ -225,7 +228,10 @@
 				}
 				after = v.Get("after").Raw
 				for _, e := range v.Get("events").Array() {
-					fmt.Fprintln(cmd.OutOrStdout(), e.Raw)
+					out.println(e.Raw)
+				}
+				if out.err != nil {
+					return out.err
 				}
 			}
 			return nil
@@ -276,7 +282,8 @@
 			if name == "" || len(members) == 0 {
 				return usageError{errors.New("recover: --name, whose folder it is, and --members of the store to be are expected")}
 			}
-			return store.Recover(a[0], name, members, dry, lim, cmd.OutOrStdout())
+			out := &printer{writer: cmd.OutOrStdout()}
+			return errors.Join(store.Recover(a[0], name, members, dry, lim, out), out.err)
 		}}
 	cmd.Flags().StringVar(&name, "name", "", "the member whose folder it is")
 	cmd.Flags().StringToStringVar(&members, "members", nil, "the members of the store to be: NAME=ADDRESS,...")
@@ -286,5 +293,8 @@
 
 func verifyCommand(lim limits.Limits) *cobra.Command {
 	return &cobra.Command{Use: "verify DIR", Short: "say what is wrong with a member's folder, while its node is down", Args: oneFile,
-		RunE: func(cmd *cobra.Command, a []string) error { return store.Verify(a[0], lim, cmd.OutOrStdout()) }}
+		RunE: func(cmd *cobra.Command, a []string) error {
+			out := &printer{writer: cmd.OutOrStdout()}
+			return errors.Join(store.Verify(a[0], lim, out), out.err)
+		}}
 }
