--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -111,7 +111,9 @@
 	}
 	standin.Until(t, "the file removed", func() bool { return len(callbacksIn(t, dir)) == 0 })
 	cancel()
-	<-done
+	if err := <-done; err != nil {
+		t.Error("the relay ended with", err)
+	}
 	if len(got) != 0 {
 		t.Errorf("a callback was taken twice")
 	}
