--- a/cmd/gatetack/store.go
+++ b/cmd/gatetack/store.go
@@ -15,6 +15,7 @@
 	"github.com/tidwall/gjson"
 
 	"gatetack/drmaa2"
+	"gatetack/internal/atomicfile"
 	"gatetack/internal/keys"
 	"gatetack/internal/limits"
 	"gatetack/internal/store"
