--- a/internal/clockcheck/analysis_test.go
+++ b/internal/clockcheck/analysis_test.go
@@ -16,7 +16,7 @@
 
 // finding is a decision on the wall clock.
 type finding struct {
-	function string // import path and name of the function that contains it
+	function string // that contains it, as nameOf has it
 	position token.Position
 	what     string
 }
@@ -25,16 +25,16 @@
 	return fmt.Sprintf("%s:%d: %s: %s", filepath.Base(f.position.Filename), f.position.Line, f.function, f.what)
 }
 
-// symbol identifies a variable, field, parameter or function result. Objects of one declaration differ between the package that was
-// checked from source and its importers, so that they are told apart by name and line.
+// symbol identifies a variable, field, parameter or function result. Objects of one declaration differ between the
+// package that was checked from source and its importers, so that they are told apart by name and line.
 type symbol struct {
 	file string
 	line int
 	name string
 }
 
-// analysis finds the symbols that hold readings of the wall clock, in any function, and the decisions that are made on them. It does
-// not follow calls of interface methods and function values.
+// analysis finds the symbols that hold readings of the wall clock, in any function, and the decisions that are made
+// on them. It does not follow calls of interface methods and function values.
 type analysis struct {
 	module   string
 	fileSet  *token.FileSet
@@ -153,8 +153,12 @@
 		return
 	}
 	parameters := callee.Signature().Params()
+	single := parameters.Len() // those before a variadic one
+	if callee.Signature().Variadic() {
+		single--
+	}
 	for i, argument := range call.Args {
-		if i < parameters.Len() && !(callee.Signature().Variadic() && i == parameters.Len()-1) && a.isWall(argument) {
+		if i < single && a.isWall(argument) {
 			a.add(a.symbolOf(parameters.At(i)))
 		}
 	}
@@ -229,7 +233,10 @@
 		return a.isWall(e.X)
 	case *ast.BinaryExpr:
 		x, y := a.isWall(e.X), a.isWall(e.Y)
-		return isArithmetic(e.Op) && (x || y) && !(e.Op == token.SUB && x && y)
+		if e.Op == token.SUB && x && y {
+			return false // a span, which is reported where it is made
+		}
+		return isArithmetic(e.Op) && (x || y)
 	}
 	return false
 }
@@ -289,7 +296,7 @@
 		return false
 	}
 	if a.ours(callee) {
-		return a.wall[a.resultOf(callee, i)] && monotonic[callee.FullName()] == ""
+		return a.wall[a.resultOf(callee, i)] && monotonic[nameOf(callee)] == ""
 	}
 	if isTimeMethod(callee) {
 		receiver := call.Fun.(*ast.SelectorExpr).X
@@ -302,7 +309,7 @@
 	if callee.Name() == "ModTime" {
 		return true
 	}
-	return callee.Pkg() != nil && callee.Pkg().Path() == "cmp" && callee.Name() == "Or" && slices.ContainsFunc(call.Args, a.isWall)
+	return callee.FullName() == "cmp.Or" && slices.ContainsFunc(call.Args, a.isWall)
 }
 
 func (a *analysis) checkCall(call *ast.CallExpr, pkg *packages.Package) {
@@ -348,13 +355,26 @@
 	if !a.reports {
 		return
 	}
-	name := pkg.PkgPath + ".init"
+	name := pkg.Name + ".init"
 	if a.function != nil {
-		name = a.function.FullName()
+		name = nameOf(a.function)
 	}
 	a.findings = append(a.findings, finding{name, a.fileSet.Position(n.Pos()), what})
 }
 
+// nameOf is the name of a function with those of its package and its receiver's type: package.Type.Method.
+func nameOf(function *types.Func) string {
+	name := function.Name()
+	if receiver := function.Signature().Recv(); receiver != nil {
+		receiverType := receiver.Type()
+		if pointer, ok := receiverType.(*types.Pointer); ok {
+			receiverType = pointer.Elem()
+		}
+		name = receiverType.(*types.Named).Obj().Name() + "." + name
+	}
+	return function.Pkg().Name() + "." + name
+}
+
 func isTimeMethod(function *types.Func) bool {
 	receiver := function.Signature().Recv()
 	return receiver != nil && isTime(element(receiver.Type()))
--- a/internal/clockcheck/clockcheck_test.go
+++ b/internal/clockcheck/clockcheck_test.go
@@ -1,7 +1,8 @@
-// Package clockcheck fails when a decision in the shipped program goes by the wall clock. An operator or a time server may set that
-// clock by an hour at any moment, so deadlines, windows, waits, leases and ages have to be measured on the monotonic clock, which
-// Go's time.Time carries beside the wall clock until it is converted, stored or parsed. The few decisions that are about dates, and
-// are to follow a clock that was set, are listed in allowed with the reason.
+// Package clockcheck fails when a decision in the shipped program goes by the wall clock. An operator or a time
+// server may set that clock by an hour at any moment, so deadlines, windows, waits, leases and ages have to be
+// measured on the monotonic clock, which Go's time.Time carries beside the wall clock until it is converted, stored
+// or parsed. The few decisions that are about dates, and are to follow a clock that was set, are listed in allowed
+// with the reason.
 package clockcheck
 
 import (
@@ -67,12 +68,12 @@
 	const path = module + "/internal/clockcheck/testdata/sample"
 	var bad []string
 	for _, f := range analyze(module, load(t, path)) {
-		bad = append(bad, strings.TrimPrefix(f.function, path+"."))
+		bad = append(bad, strings.TrimPrefix(f.function, "sample."))
 	}
 	slices.Sort(bad)
 	bad = slices.Compact(bad)
-	want := []string{"ageOfStored", "comparedNumbers", "connectionDeadline", "expiredAtParsed", "roundedBefore", "sinceUTC",
-		"spanOfNumbers", "throughField", "throughParameter", "throughResult", "untilUnix"}
+	want := []string{"ageOfStored", "comparedNumbers", "connectionDeadline", "expiredAtParsed", "roundedBefore",
+		"sinceUTC", "spanOfNumbers", "throughField", "throughParameter", "throughResult", "untilUnix"}
 	if !slices.Equal(bad, want) {
 		t.Errorf("found in %v, want %v", bad, want)
 	}
--- a/internal/limits/shutdown_test.go
+++ b/internal/limits/shutdown_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A process may be killed so long after SIGTERM as the longest deadline of its deployment, 3 s at most, and 0.7 s. It stops serving
-// 0.2 s before that, also where all deadlines are so short that it has 1 s in all.
+// A process may be killed so long after SIGTERM as the longest deadline of its deployment, 3 s at most, and 0.7 s. It
+// stops serving 0.2 s before that, also where all deadlines are so short that it has 1 s in all.
 func TestShutdownEndsBeforeTheKill(t *testing.T) {
 	for longest, killed := range map[time.Duration]time.Duration{
 		0:                       700 * time.Millisecond,
--- a/internal/node/clock_test.go
+++ b/internal/node/clock_test.go
@@ -7,8 +7,8 @@
 	"gatetack/internal/clocktest"
 )
 
-// The decision module's clock runs on with the monotonic clock: slow start, windows, ejections and patience, which are all spans of
-// it, do not see that the wall clock was set.
+// The decision module's clock runs on with the monotonic clock: slow start, windows, ejections and patience, which
+// are all spans of it, do not see that the wall clock was set.
 func TestModuleClockIgnoresWallClockSteps(t *testing.T) {
 	began := time.Now()
 	c := &Core{start: began, startMS: float64(began.UnixMicro()) / 1000}
--- a/internal/release/clock_test.go
+++ b/internal/release/clock_test.go
@@ -21,8 +21,8 @@
 	return false
 }
 
-// The wait after a refusal is a span: however the wall clock is set meanwhile, it is over when the monotonic clock says so, also
-// beside a job whose start date the step moved nearer or farther.
+// The wait after a refusal is a span: however the wall clock is set meanwhile, it is over when the monotonic clock
+// says so, also beside a job whose start date the step moved nearer or farther.
 func TestRetryDelayIgnoresWallClockSteps(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		for _, startsIn := range []time.Duration{10 * time.Second, 30 * time.Minute} {
@@ -63,7 +63,8 @@
 	}
 }
 
-// A start is a date: a step of the wall clock over it starts the job at the next look, and a look comes within a second.
+// A start is a date: a step of the wall clock over it starts the job at the next look, and a look comes within a
+// second.
 func TestStartDateFollowsTheWallClock(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		q, now := New(), time.Now()
--- a/internal/staleness/steps_test.go
+++ b/internal/staleness/steps_test.go
@@ -33,8 +33,8 @@
 	return Next{}
 }
 
-// However the wall clock is set between events, a clock gives the same times as one whose wall clock was left alone, on the monotonic
-// clock of both.
+// However the wall clock is set between events, a clock gives the same times as one whose wall clock was left alone,
+// on the monotonic clock of both.
 func TestDeadlinesIgnoreWallClockSteps(t *testing.T) {
 	began := time.Now()
 	same := func(a, b time.Time) bool {
--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -6,7 +6,6 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"runtime"
 	"strconv"
 	"strings"
 	"sync"
@@ -20,10 +19,14 @@
 	"gatetack/internal/standin"
 )
 
-// steppedProgram builds the program once with a package time whose wall clock can be set while the process runs. The monotonic clock
-// stays as it is, as on a machine whose clock an operator or a time server sets.
+// steppedProgram builds the program once with a package time whose wall clock can be set while the process runs. The
+// monotonic clock stays as it is, as on a machine whose clock an operator or a time server sets.
 var steppedProgram = sync.OnceValues(func() (string, error) {
-	source := filepath.Join(runtime.GOROOT(), "src", "time", "time.go")
+	root, err := exec.Command("go", "env", "GOROOT").Output()
+	if err != nil {
+		return "", err
+	}
+	source := filepath.Join(strings.TrimSpace(string(root)), "src", "time", "time.go")
 	text, err := os.ReadFile(source)
 	if err != nil {
 		return "", err
@@ -141,8 +144,8 @@
 
 func jobID(i int) string { return fmt.Sprintf("%016x", 0xc10c0000+i) }
 
-// The wall clock is set while a request is out: it is neither ended early nor sent again, and gets its result. One whose executor
-// says nothing ends by its deadline all the same, also where the clock was set back.
+// The wall clock is set while a request is out: it is neither ended early nor sent again, and gets its result. One
+// whose executor says nothing ends by its deadline all the same, also where the clock was set back.
 func TestClockStepsDuringRequests(t *testing.T) {
 	s := newSite(t, 1, 0)
 	s.stepped()
@@ -189,7 +192,8 @@
 	return answers
 }
 
-// The wall clock is set while an attempt of a keyed request is out. It fails within the window for repeats: it is sent again, once.
+// The wall clock is set while an attempt of a keyed request is out. It fails within the window for repeats: it is
+// sent again, once.
 func TestClockStepsWithinARepeatWindow(t *testing.T) {
 	s := newSite(t, 2, 0)
 	s.stepped()
@@ -218,7 +222,8 @@
 	}
 }
 
-// The window for repeats is over by the monotonic clock as the attempt fails: it is not sent again, however the wall clock was set.
+// The window for repeats is over by the monotonic clock as the attempt fails: it is not sent again, however the wall
+// clock was set.
 func TestClockStepsBeyondARepeatWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	s := newSite(t, 2, 0)
@@ -285,8 +290,8 @@
 	}
 }
 
-// The wall clock is set while a process that was told to end waits for its last request: the request gets its result and the process
-// ends well.
+// The wall clock is set while a process that was told to end waits for its last request: the request gets its result
+// and the process ends well.
 func TestClockStepsDuringShutdown(t *testing.T) {
 	for i, step := range clocktest.Steps {
 		s := newSite(t, 1, 0)
@@ -311,7 +316,8 @@
 	}
 }
 
-// A start time of a batch job and a timer of a desk are dates: they come when the wall clock is set past them, and not before.
+// A start time of a batch job and a timer of a desk are dates: they come when the wall clock is set past them, and
+// not before.
 func TestDatesFollowTheWallClock(t *testing.T) {
 	f := makeFleet(t, 1, time.Millisecond)
 	s := f[0]
@@ -371,8 +377,8 @@
 	}
 }
 
-// Wall clocks are set while leases are held and while a lost node's partition is taken over: a holder whose clock moves keeps its
-// lease, and a lost node's partition is taken over once, with what waits in it run once.
+// Wall clocks are set while leases are held and while a lost node's partition is taken over: a holder whose clock
+// moves keeps its lease, and a lost node's partition is taken over once, with what waits in it run once.
 func TestClockStepsDuringLeaseAndTakeover(t *testing.T) {
 	f := makeFleet(t, 3, time.Millisecond)
 	for _, s := range f {
