--- a/cmd/gatetack/store.go
+++ b/cmd/gatetack/store.go
@@ -15,6 +15,7 @@
 	"github.com/tidwall/gjson"
 
 	"gatetack/drmaa2"
+	"gatetack/internal/atomicfile"
 	"gatetack/internal/keys"
 	"gatetack/internal/limits"
 	"gatetack/internal/store"
@@ -251,10 +252,22 @@
 			if err != nil {
 				return err
 			}
-			return os.WriteFile(a[0], data, 0o600)
+			return writeSnapshot(a[0], data)
 		}}
 }
 
+// snapshotMode lets the operator alone read a snapshot: it holds what clients submitted.
+const snapshotMode = 0o600
+
+// writeSnapshot writes a snapshot durably, so that an earlier one under the same name is not lost to a full disk. What is
+// no regular file, as a terminal or a link, is written in place.
+func writeSnapshot(path string, data []byte) error {
+	if info, err := os.Lstat(path); err == nil && !info.Mode().IsRegular() {
+		return os.WriteFile(path, data, snapshotMode)
+	}
+	return atomicfile.Write(atomicfile.OS, path, data, snapshotMode)
+}
+
 func (r *storeRemote) restore() *cobra.Command {
 	return &cobra.Command{Use: "restore FILE", Short: "put a snapshot's values in the place of all that is in the store", Args: oneFile,
 		RunE: func(cmd *cobra.Command, a []string) error {
--- a/internal/atomicfile/atomicfiletest/faultfs.go
+++ b/internal/atomicfile/atomicfiletest/faultfs.go
@@ -30,18 +30,22 @@
 }
 
 type failure struct {
-	count int
-	err   error
+	passing int // calls that succeed before
+	count   int
+	err     error
 }
 
 // New returns a file system on which nothing fails.
 func New() *FaultFS { return &FaultFS{failures: map[Op]failure{}} }
 
 // Fail makes the next calls of an operation fail. A negative count makes all of them fail until Heal.
-func (f *FaultFS) Fail(op Op, count int, err error) {
+func (f *FaultFS) Fail(op Op, count int, err error) { f.FailAfter(op, 0, count, err) }
+
+// FailAfter makes calls of an operation fail as Fail does, after some that succeed.
+func (f *FaultFS) FailAfter(op Op, passing, count int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.failures[op] = failure{count, err}
+	f.failures[op] = failure{passing, count, err}
 }
 
 // ShortenWrites makes the next writes write only half of the data and report no error.
@@ -74,6 +78,11 @@
 	if next.count == 0 {
 		return nil
 	}
+	if next.passing > 0 {
+		next.passing--
+		f.failures[op] = next
+		return nil
+	}
 	next.count--
 	f.failures[op] = next
 	return next.err
--- /dev/null
+++ b/internal/keys/files.go
@@ -0,0 +1,65 @@
+package keys
+
+import (
+	"crypto/ecdsa"
+	"crypto/x509"
+	"encoding/pem"
+	"io/fs"
+	"path/filepath"
+
+	"gatetack/internal/atomicfile"
+)
+
+// files is the file system that keys are written to. Tests replace it.
+var files = atomicfile.OS
+
+// Modes of the files of a folder.
+const (
+	privateMode = 0o600
+	publicMode  = 0o644
+)
+
+// content is what a file is to hold.
+type content struct {
+	path string
+	data []byte
+	mode fs.FileMode
+}
+
+func keyContent(dir, name string, k *ecdsa.PrivateKey) (content, error) {
+	der, err := x509.MarshalECPrivateKey(k)
+	if err != nil {
+		return content{}, err
+	}
+	return content{filepath.Join(dir, name), pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: der}), privateMode}, nil
+}
+
+func certContent(dir, name string, der []byte) content {
+	return content{filepath.Join(dir, name), pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), publicMode}
+}
+
+// replaceAll replaces files one after another, once all of the new contents are on disk: a disk without room for one of
+// them changes none, so that a key never stands beside the certificate of another for want of space.
+func replaceAll(fsys atomicfile.FS, contents ...content) error {
+	staged := make([]*atomicfile.Staged, 0, len(contents))
+	discardFrom := func(first int) {
+		for _, s := range staged[first:] {
+			s.Discard()
+		}
+	}
+	for _, c := range contents {
+		s, err := atomicfile.Stage(fsys, c.path, c.data, c.mode)
+		if err != nil {
+			discardFrom(0)
+			return err
+		}
+		staged = append(staged, s)
+	}
+	for i, s := range staged {
+		if err := s.Commit(); err != nil {
+			discardFrom(i + 1)
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -21,6 +21,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"gatetack/internal/atomicfile"
 )
 
 // The files of a folder of keys. The authority's key is where certificates are issued, and nowhere else.
@@ -60,7 +62,12 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(writeKey(filepath.Join(dir, caKey), k), writeCert(filepath.Join(dir, caCert), der))
+	keyFile, err := keyContent(dir, caKey, k)
+	if err != nil {
+		return err
+	}
+	// The key goes last: with one in the folder, Init makes no other.
+	return replaceAll(files, certContent(dir, caCert, der), keyFile)
 }
 
 func template(name string, valid time.Duration, now time.Time) (*x509.Certificate, error) {
@@ -114,37 +121,12 @@
 	if err != nil {
 		return err
 	}
-	// The certificate goes last: a reader that finds a key and a certificate that do not fit keeps what it had.
-	return errors.Join(replace(filepath.Join(out, caCert), pub, 0o644), writeKey(filepath.Join(out, key), k), writeCert(filepath.Join(out, cert), der))
-}
-
-func writeKey(path string, k *ecdsa.PrivateKey) error {
-	der, err := x509.MarshalECPrivateKey(k)
-	if err != nil {
-		return err
-	}
-	return replace(path, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: der}), 0o600)
-}
-
-func writeCert(path string, der []byte) error {
-	return replace(path, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o644)
-}
-
-// replace puts a file in its place in one step.
-func replace(path string, data []byte, mode fs.FileMode) error {
-	f, err := os.CreateTemp(filepath.Dir(path), ".new")
+	keyFile, err := keyContent(out, key, k)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(data)
-	err = errors.Join(err, f.Chmod(mode), f.Sync(), f.Close())
-	if err == nil {
-		err = os.Rename(f.Name(), path)
-	}
-	if err != nil {
-		_ = os.Remove(f.Name())
-	}
-	return err
+	// The certificate goes last: a reader that finds a key and a certificate that do not fit keeps what it had.
+	return replaceAll(files, content{filepath.Join(out, caCert), pub, publicMode}, keyFile, certContent(out, cert, der))
 }
 
 // Revoke adds a certificate's serial number to a folder's list, which goes to every node.
@@ -158,7 +140,7 @@
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	return replace(path, append(old, (n.Text(16)+"\n")...), 0o644)
+	return atomicfile.Write(files, path, append(old, (n.Text(16)+"\n")...), publicMode)
 }
 
 // Shown is what there is to tell of a certificate: nothing secret.
--- /dev/null
+++ b/internal/records/disk_test.go
@@ -0,0 +1,78 @@
+package records
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"path/filepath"
+	"syscall"
+	"testing"
+
+	"gatetack/internal/atomicfile/atomicfiletest"
+)
+
+// A disk that is full, or that loses what it took until it is synced, fails writes of any size and acknowledges none of them.
+// What was acknowledged before is readable meanwhile and afterwards, writes succeed once the disk works, and what was
+// acknowledged then is there after the file is opened again.
+func TestBoltOnAFailingDisk(t *testing.T) {
+	for _, x := range []struct {
+		what, device string
+		cause        error
+	}{
+		{"full", atomicfiletest.FullDevice, syscall.ENOSPC},
+		{"loses unsynced writes", atomicfiletest.UnsyncedDevice, syscall.EINVAL},
+	} {
+		t.Run(x.what, func(t *testing.T) {
+			ctx, dir := context.Background(), t.TempDir()
+			b := open(t, dir)
+			before := bytes.Repeat([]byte("before"), 100)
+			put(t, b, "before", before)
+			restore, err := atomicfiletest.ReplaceOpenFile(filepath.Join(dir, "batch.db"), x.device)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for i, size := range []int{1, 100, 100_000} { // the last makes the file grow
+				change := Change{Kind: "job", Key: fmt.Sprint("lost", i), Value: make([]byte, size)}
+				if err := b.Write(ctx, change); err == nil {
+					t.Errorf("%d bytes were acknowledged", size)
+				} else if size < 1000 && !errors.Is(err, x.cause) {
+					t.Errorf("%d bytes: %v, want %v", size, err, x.cause)
+				}
+				expect(t, b, "before", before)
+			}
+			if err := restore(); err != nil {
+				t.Fatal(err)
+			}
+			put(t, b, "after", []byte("after"))
+			put(t, b, "grown", make([]byte, 100_000))
+			if err := b.Close(); err != nil {
+				t.Fatal(err)
+			}
+			b = open(t, dir)
+			expect(t, b, "before", before)
+			expect(t, b, "after", []byte("after"))
+			expect(t, b, "grown", make([]byte, 100_000))
+			for i := range 3 {
+				if _, found, err := b.Get(ctx, "job", fmt.Sprint("lost", i)); found || err != nil {
+					t.Errorf("write %d was refused and is there: %v", i, err)
+				}
+			}
+		})
+	}
+}
+
+func put(t *testing.T, b *Bolt, key string, value []byte) {
+	t.Helper()
+	if err := b.Write(context.Background(), Change{Kind: "job", Key: key, Value: value}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func expect(t *testing.T, b *Bolt, key string, value []byte) {
+	t.Helper()
+	got, found, err := b.Get(context.Background(), "job", key)
+	if err != nil || !found || !bytes.Equal(got, value) {
+		t.Errorf("%s: %d bytes, %v, %v, want %d", key, len(got), found, err, len(value))
+	}
+}
