--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -40,7 +40,8 @@
 	pool  *pool
 	owed  *owed
 	tally *pace.Tally
-	slots chan struct{} // connections that may be used to give up attempts at a time
+	slots chan struct{}                              // connections that may be used to give up attempts at a time
+	pause func(context.Context, time.Duration) error // between dials after a local fault
 
 	mu      sync.Mutex
 	workers map[uint32]*worker
@@ -83,7 +84,7 @@
 	return &Client{lim: lim, names: names, sink: sink, log: log, g: g, ctx: ctx, pool: newPool(lim, slow), tally: slow,
 		owed:  &owed{acks: pace.NewAcks(lim.Pace.Acks)},
 		slots: make(chan struct{}, lim.GiveUps), workers: map[uint32]*worker{}, live: map[uint64]*try{}, byName: map[liveKey]*try{},
-		returns: returns{}}
+		returns: returns{}, pause: pause}
 }
 
 // Told keeps an executor's address and, from its drain or end on, when sends to it stop.
@@ -243,19 +244,9 @@
 // job: what becomes of it comes by callback.
 func (c *Client) post(ctx context.Context, t *try) (brain.Outcome, []float32) {
 	for n := 0; ; n++ {
-		addr, ok := c.still(t)
-		if !ok {
-			return brain.Moot, nil
-		}
-		conn, err := c.pool.get(ctx, addr)
-		if err == nil && !conn.kept {
-			c.heard(t.Worker)
-		}
-		if err != nil {
-			if ctx.Err() == nil {
-				c.log.Debug("connect", "to", addr, "err", err)
-			}
-			return brain.ConnectFailed, nil
+		conn, failed := c.connect(ctx, t)
+		if conn == nil {
+			return failed, nil
 		}
 		o, report := c.postOn(ctx, t, conn)
 		// A kept connection can have ended on the other side without a sign, until the next request comes. Nothing
@@ -362,11 +353,11 @@
 
 // ask makes a short call that may fail.
 func (c *Client) ask(ctx context.Context, addr, method, target string) (*http1.Message, error) {
-	conn, err := c.pool.get(ctx, addr)
+	deadline, _ := ctx.Deadline()
+	conn, err := c.dial(ctx, deadline, func() (string, bool) { return addr, true })
 	if err != nil {
 		return nil, err
 	}
-	deadline, _ := ctx.Deadline()
 	conn.ReadBy(deadline)
 	conn.WriteBy(deadline)
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -386,8 +377,6 @@
 	return m, err
 }
 
-var errConnect = errors.New("no connection")
-
 // Probe asks an executor for its load.
 func (c *Client) Probe(id uint32) {
 	c.g.Go(func() error {
@@ -397,8 +386,11 @@
 		defer cancel()
 		m, err := c.ask(ctx, addr, "GET", "/load")
 		o, report := brain.Served, []float32(nil)
+		connect := (*ConnectError)(nil)
 		switch {
-		case errors.Is(err, errConnect):
+		case isLocalFault(err):
+			o = brain.Moot // it says nothing of the executor
+		case errors.As(err, &connect):
 			o = brain.ConnectFailed
 		case err != nil && ctx.Err() != nil:
 			o = brain.TimedOut
--- /dev/null
+++ b/internal/executor/localfault_test.go
@@ -0,0 +1,316 @@
+package executor
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"gatetack/brain"
+	"gatetack/internal/gate"
+	"gatetack/internal/node"
+	"gatetack/internal/standin"
+)
+
+// faultyDialer fails the first dials, each with the next error of a list, and counts dials and the pauses between them, which pass
+// at once.
+type faultyDialer struct {
+	mu     sync.Mutex
+	fails  []error // for each dial, nil or past the end: a real one
+	always error   // for all others
+	events []string
+	pauses []time.Duration
+	during func() // called in each pause
+}
+
+func (f *faultyDialer) install(c *Client) *faultyDialer {
+	real := c.pool.dial
+	c.pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		f.mu.Lock()
+		err := f.always
+		if len(f.fails) > 0 {
+			err, f.fails = f.fails[0], f.fails[1:]
+		}
+		f.events = append(f.events, "dial")
+		f.mu.Unlock()
+		if err != nil {
+			return nil, err
+		}
+		return real(ctx, network, addr)
+	}
+	c.pause = func(ctx context.Context, d time.Duration) error {
+		f.mu.Lock()
+		f.events, f.pauses = append(f.events, "pause"), append(f.pauses, d)
+		during := f.during
+		f.mu.Unlock()
+		if during != nil {
+			during()
+		}
+		return ctx.Err()
+	}
+	return f
+}
+
+func (f *faultyDialer) seen() ([]string, []time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.events), slices.Clone(f.pauses)
+}
+
+// systemError is an error as package net gives it.
+func systemError(call string, errno syscall.Errno) error {
+	return &net.OpError{Op: "dial", Net: "tcp", Addr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1}, Err: os.NewSyscallError(call, errno)}
+}
+
+var localFaults = map[string]error{
+	"EMFILE":        systemError("socket", syscall.EMFILE),
+	"ENFILE":        systemError("socket", syscall.ENFILE),
+	"ENOBUFS":       systemError("socket", syscall.ENOBUFS),
+	"ENOMEM":        systemError("socket", syscall.ENOMEM),
+	"EADDRNOTAVAIL": systemError("connect", syscall.EADDRNOTAVAIL),
+	"EAGAIN":        systemError("connect", syscall.EAGAIN),
+	"ENETUNREACH":   systemError("connect", syscall.ENETUNREACH),
+	"EPERM":         systemError("connect", syscall.EPERM),
+	"EACCES":        systemError("connect", syscall.EACCES),
+	"EINTR":         systemError("connect", syscall.EINTR),
+}
+
+// A fault of this machine that lasts ends the attempt as never sent, after a bounded number of dials with a doubling pause before
+// each further one. It is never passed on as a failed connection, which the module would hold against the executor.
+func TestLastingLocalFaultEndsTheAttemptAsNeverSent(t *testing.T) {
+	for name, fault := range localFaults {
+		t.Run(name, func(t *testing.T) {
+			c, s := setup(t, standin.Lim)
+			n := box(t, c, says(accepted))
+			dialer := (&faultyDialer{always: fault}).install(c)
+			c.Send(attempt(1))
+			standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+			if got := s.outcomes(1); len(got) != 1 || got[0] != brain.Moot || n() != 0 {
+				t.Errorf("outcomes %v, %d connections", got, n())
+			}
+			events, pauses := dialer.seen()
+			const wantEvents = "dial pause dial pause dial pause dial pause dial pause dial"
+			wantPauses := []time.Duration{10e6, 20e6, 40e6, 80e6, 160e6}
+			if strings.Join(events, " ") != wantEvents || !slices.Equal(pauses, wantPauses) {
+				t.Errorf("%v, pauses %v", events, pauses)
+			}
+			if used := c.pool.open.Used(); used != 0 {
+				t.Errorf("%d connections are still counted", used)
+			}
+		})
+	}
+}
+
+// A fault of this machine that ends in time costs the job nothing: the same attempt is sent once, and served.
+func TestPassingLocalFaultIsOvercome(t *testing.T) {
+	for name, fault := range localFaults {
+		t.Run(name, func(t *testing.T) {
+			c, s := setup(t, standin.Lim)
+			n := box(t, c, says(accepted))
+			dialer := (&faultyDialer{fails: []error{fault, fault}}).install(c)
+			c.Send(attempt(1))
+			standin.Until(t, "it is served", func() bool {
+				_ = c.Callback([]byte(done))
+				return len(s.outcomes(1)) > 0
+			})
+			if got := s.outcomes(1); len(got) != 1 || got[0] != brain.Served || n() != 1 {
+				t.Errorf("outcomes %v, %d connections", got, n())
+			}
+			if events, _ := dialer.seen(); strings.Join(events, " ") != "dial pause dial pause dial" {
+				t.Errorf("%v", events)
+			}
+		})
+	}
+}
+
+// What speaks of the executor or of the path to it is passed on at once, for the decision module to act on.
+func TestFaultOfTheExecutorIsPassedOn(t *testing.T) {
+	for name, fault := range map[string]error{
+		"ECONNREFUSED": systemError("connect", syscall.ECONNREFUSED),
+		"ECONNRESET":   systemError("connect", syscall.ECONNRESET),
+		"ETIMEDOUT":    systemError("connect", syscall.ETIMEDOUT),
+		"EHOSTUNREACH": systemError("connect", syscall.EHOSTUNREACH),
+		"time-out":     &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c, s := setup(t, standin.Lim)
+			box(t, c, says(accepted))
+			dialer := (&faultyDialer{always: fault}).install(c)
+			c.Send(attempt(1))
+			standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+			if got := s.outcomes(1); len(got) != 1 || got[0] != brain.ConnectFailed {
+				t.Errorf("outcomes %v", got)
+			}
+			if events, _ := dialer.seen(); strings.Join(events, " ") != "dial" {
+				t.Errorf("%v", events)
+			}
+		})
+	}
+}
+
+// Whatever ends an attempt during the pause after a local fault ends it before the next dial.
+func TestNoRedialAfterTheClientLeft(t *testing.T) {
+	c, s := setup(t, standin.Lim)
+	n := box(t, c, says(accepted))
+	client, leave := context.WithCancel(t.Context())
+	dialer := (&faultyDialer{always: localFaults["EADDRNOTAVAIL"], during: leave}).install(c)
+	a := attempt(1)
+	a.Job.Still = func() gate.Reason {
+		if client.Err() != nil {
+			return gate.Left
+		}
+		return gate.May
+	}
+	c.Send(a)
+	standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	events, _ := dialer.seen()
+	if got := s.outcomes(1); got[0] != brain.Moot || n() != 0 || strings.Join(events, " ") != "dial pause" {
+		t.Errorf("outcomes %v, %d connections, %v", got, n(), events)
+	}
+}
+
+// An attempt that is given up during the pause leaves it, and has no outcome.
+func TestGiveUpEndsThePauseAfterALocalFault(t *testing.T) {
+	c, s := setup(t, standin.Lim)
+	box(t, c, says(accepted))
+	paused, left := make(chan bool), make(chan error, 1)
+	(&faultyDialer{always: localFaults["ENOBUFS"]}).install(c)
+	c.pause = func(ctx context.Context, _ time.Duration) error {
+		paused <- true
+		err := pause(ctx, time.Hour)
+		left <- err
+		return err
+	}
+	c.Send(attempt(1))
+	<-paused
+	c.GiveUp(1)
+	if err := <-left; !errors.Is(err, context.Canceled) {
+		t.Error(err)
+	}
+	if got := s.outcomes(1); len(got) != 0 {
+		t.Errorf("outcomes %v", got)
+	}
+}
+
+// No pause outlasts the attempt: with less time left than it takes, the attempt ends as never sent, and the job's answer is still in
+// time.
+func TestNoPauseBeyondTheDeadline(t *testing.T) {
+	c, s := setup(t, standin.Lim)
+	box(t, c, says(accepted))
+	dialer := (&faultyDialer{always: localFaults["ENFILE"]}).install(c)
+	a := attempt(1)
+	a.Deadline = time.Now().Add(35 * time.Millisecond)
+	c.Send(a)
+	standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	_, pauses := dialer.seen() // 10 and 20 ms at most; the third, of 40 ms, would end after the deadline
+	if got := s.outcomes(1); got[0] != brain.Moot || len(pauses) > 2 {
+		t.Errorf("outcomes %v after pauses %v", got, pauses)
+	}
+}
+
+// Where descriptors are used up, one that stands idle is given back before the next dial; other faults close none.
+func TestIdleConnectionsMakeWayForDescriptors(t *testing.T) {
+	for name, want := range map[string]int{"EMFILE": 0, "ENFILE": 0, "EADDRNOTAVAIL": 1} {
+		t.Run(name, func(t *testing.T) {
+			c, s := setup(t, standin.Lim)
+			box(t, c, says(accepted))
+			c.Send(attempt(1))
+			standin.Until(t, "an idle connection", func() bool { return c.idleConnections() == 1 })
+			_ = c.Callback([]byte(done))
+			ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer func() { _ = ln.Close() }()
+			c.Told(8, node.Entry{Name: "s-8", Address: ln.Addr().String(), Status: "ready"}, time.Now())
+			(&faultyDialer{always: localFaults[name]}).install(c)
+			a := attempt(2)
+			a.Worker = 8
+			c.Send(a)
+			standin.Until(t, "an outcome", func() bool { return len(s.outcomes(2)) > 0 })
+			if got := c.idleConnections(); got != want {
+				t.Errorf("%d idle connections, want %d", got, want)
+			}
+		})
+	}
+}
+
+func (c *Client) idleConnections() (n int) {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	for _, l := range c.pool.idle {
+		n += len(l)
+	}
+	return n
+}
+
+// All connections that this node may have are in use: that is no fault of the executor that the next one was for.
+func TestUsedUpConnectionBudgetIsALocalFault(t *testing.T) {
+	lim := standin.Lim
+	lim.WorkerConns, lim.Pace.Least = 2, 2
+	c, s := setup(t, lim)
+	box(t, c, says(accepted))
+	dialer := (&faultyDialer{}).install(c)
+	c.pool.open.Take("10.0.0.1:1", 1)
+	c.pool.open.Take("10.0.0.2:1", 1)
+	c.Send(attempt(1))
+	standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	if got := s.outcomes(1); got[0] != brain.Moot {
+		t.Errorf("outcomes %v", got)
+	}
+	if _, pauses := dialer.seen(); len(pauses) != maxRedials {
+		t.Errorf("%d pauses", len(pauses))
+	}
+}
+
+// A health check that fails for a fault of this machine says nothing of the executor, and one that is refused does.
+func TestHealthCheckTellsLocalFaults(t *testing.T) {
+	for name, x := range map[string]struct {
+		fault error
+		want  brain.Outcome
+	}{
+		"EADDRNOTAVAIL": {localFaults["EADDRNOTAVAIL"], brain.Moot},
+		"EMFILE":        {localFaults["EMFILE"], brain.Moot},
+		"ECONNREFUSED":  {systemError("connect", syscall.ECONNREFUSED), brain.ConnectFailed},
+	} {
+		c, s := setup(t, standin.Lim)
+		box(t, c, says(accepted))
+		(&faultyDialer{always: x.fault}).install(c)
+		c.Probe(7)
+		const id = 7 + 1<<40
+		standin.Until(t, "its result", func() bool { return len(s.outcomes(id)) > 0 })
+		if got := s.outcomes(id); got[0] != x.want {
+			t.Errorf("%s: %v, want %d", name, got, x.want)
+		}
+	}
+}
+
+// The DELETE that gives up a job survives a passing local fault: an executor that is not told of it goes on with the job.
+func TestGiveUpSurvivesALocalFault(t *testing.T) {
+	c, _ := setup(t, standin.Lim)
+	got := make(chan string, 1)
+	box(t, c, func(conn net.Conn) {
+		r := bufio.NewReader(conn)
+		_, _ = request(r)
+		_, _ = io.WriteString(conn, accepted)
+		_, _ = r.ReadByte()
+	}, func(conn net.Conn) {
+		text, _ := request(bufio.NewReader(conn))
+		got <- text
+		_, _ = io.WriteString(conn, "HTTP/1.1 204 No Content\r\n\r\n")
+	})
+	c.Send(attempt(1))
+	standin.Until(t, "an idle connection", func() bool { return c.idleConnections() == 1 })
+	c.pool.drop(c.address(7)) // the DELETE needs one of its own
+	(&faultyDialer{fails: []error{localFaults["ENOBUFS"], localFaults["ENOBUFS"]}}).install(c)
+	c.GiveUp(1)
+	expectDelete(t, got)
+}
--- a/internal/executor/pool.go
+++ b/internal/executor/pool.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"math"
 	"net"
 	"slices"
@@ -76,8 +75,8 @@
 
 // pool keeps idle connections by address and holds all of them within the budget.
 type pool struct {
-	lim    limits.Limits
-	dialer net.Dialer
+	lim  limits.Limits
+	dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	mu    sync.Mutex
 	idle  map[string][]*conn   // the one used last at the end
@@ -135,7 +134,7 @@
 }
 
 func newPool(lim limits.Limits, tally *pace.Tally) *pool {
-	return &pool{lim: lim, dialer: net.Dialer{Timeout: lim.Connect}, idle: map[string][]*conn{}, tally: tally,
+	return &pool{lim: lim, dial: (&net.Dialer{Timeout: lim.Connect}).DialContext, idle: map[string][]*conn{}, tally: tally,
 		open: pace.NewLedger[string](lim.WorkerConns, lim.Pace.Least, lim.Pace.Alpha)}
 }
 
@@ -157,12 +156,12 @@
 		return nil, err
 	}
 	began := time.Now()
-	nc, err := p.dialer.DialContext(ctx, "tcp", addr)
+	nc, err := p.dial(ctx, "tcp", addr)
 	if err != nil {
 		p.mu.Lock()
 		p.open.Give(addr, 1)
 		p.mu.Unlock()
-		return nil, fmt.Errorf("%w: %w", errConnect, err)
+		return nil, newConnectError(addr, err)
 	}
 	c := http1.NewPaced(nc, p.lim.Pace.BoxIn, p.lim.Pace.BoxOut)
 	return &conn{Paced: c, addr: addr, in: http1.NewRing(p.lim.Ring), out: http1.NewWriter(c, p.lim.Ring),
@@ -192,30 +191,43 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	v := p.open.Take(addr, 1)
-	if v == pace.LetGo {
-		var oldest *conn
-		for _, l := range p.idle {
-			if len(l) > 0 && (oldest == nil || l[0].idle.Before(oldest.idle)) {
-				oldest = l[0]
-			}
-		}
-		if oldest != nil {
-			p.idle[oldest.addr] = p.idle[oldest.addr][1:]
-			_ = oldest.Close()
-			p.open.Give(oldest.addr, 1)
-			v = p.open.Take(addr, 1)
-		}
+	if v == pace.LetGo && p.closeOldestIdle() {
+		v = p.open.Take(addr, 1)
 	}
 	switch v {
 	case pace.HoldBack:
 		p.tally.Add(pace.BoxShare)
-		return fmt.Errorf("%w: %d of %d are open to %s, its share", errConnect, p.open.Held(addr), p.lim.WorkerConns, addr)
+		return &ConnectError{Address: addr, Err: errExecutorShare}
 	case pace.LetGo:
-		return fmt.Errorf("%w: %d are open", errConnect, p.lim.WorkerConns)
+		return &ConnectError{Address: addr, Local: true, Err: errConnectionBudget}
 	}
 	return nil
 }
 
+// evictIdle gives the descriptor of an idle connection back to the machine.
+func (p *pool) evictIdle() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closeOldestIdle()
+}
+
+// closeOldestIdle closes the connection that has been idle the longest, if there is one. The lock is held.
+func (p *pool) closeOldestIdle() bool {
+	var oldest *conn
+	for _, l := range p.idle {
+		if len(l) > 0 && (oldest == nil || l[0].idle.Before(oldest.idle)) {
+			oldest = l[0]
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	p.idle[oldest.addr] = p.idle[oldest.addr][1:]
+	_ = oldest.Close()
+	p.open.Give(oldest.addr, 1)
+	return true
+}
+
 // put gives back a connection that stands between requests.
 func (p *pool) put(c *conn) {
 	c.ReadBy(time.Time{})
