--- a/internal/executor/localfault_test.go
+++ b/internal/executor/localfault_test.go
@@ -190,7 +190,11 @@
 		return err
 	}
 	c.Send(attempt(1))
-	<-paused
+	select {
+	case <-paused:
+	case <-time.After(20 * time.Second):
+		t.Fatal("no pause after a local fault")
+	}
 	c.GiveUp(1)
 	if err := <-left; !errors.Is(err, context.Canceled) {
 		t.Error(err)
