--- a/brain/slowstart_test.go
+++ b/brain/slowstart_test.go
@@ -495,3 +495,28 @@
 		}
 	}
 }
+
+// An executor that starts again while it warms up begins a new budget, also where it is notified late: the nodes went on
+// taking their part of the old one until then.
+func TestStartAgainWhileWarmingOpensANewBudget(t *testing.T) {
+	row := ready(7, 0)
+	r := newRig(t, base(), row)
+	r.step(Event{Kind: EvList, Form: ListFull, Rows: []Row{row}})
+	row.Born = r.now + 1000
+	r.after(1001, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
+	w := r.d.byID[7]
+	for range 20 {
+		r.after(100, Event{Kind: EvList, Form: ListDelta, Rows: nil})
+		r.d.coldOpen(w, 0)
+	}
+	if w.coldCredit <= 0 {
+		t.Fatalf("credit %.0f ms after two seconds in which nothing was sent", w.coldCredit)
+	}
+	row.Born = r.now + 5
+	r.after(10)
+	r.d.coldOpen(w, 0)
+	r.after(10, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
+	if w.coldCredit > 0 {
+		t.Errorf("the new process begins with %.0f ms of the old one's credit", w.coldCredit)
+	}
+}
