--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -40,14 +40,14 @@
 			}
 			d.capacity, d.now = 100, 100000
 			for i := range d.tenants {
-				d.tenants[i].inflight, d.tenants[i].lastSeen = tt.inflight[i], d.now
+				d.tenants[i].reservedSlots, d.tenants[i].lastSeen = tt.inflight[i], d.now
 			}
-			j := &job{tenant: tt.tenant, slots: tt.slots, work: 200}
-			if got := d.admit(j); got != tt.admit {
+			job := &job{tenant: tt.tenant, slots: tt.slots, work: 200}
+			if got := d.admit(job); got != tt.admit {
 				t.Fatalf("admit = %v, want %v", got, tt.admit)
 			}
-			if tt.admit && j.borrowed != tt.borrowed {
-				t.Errorf("borrowed = %v, want %v", j.borrowed, tt.borrowed)
+			if tt.admit && job.borrowed != tt.borrowed {
+				t.Errorf("borrowed = %v, want %v", job.borrowed, tt.borrowed)
 			}
 		})
 	}
@@ -67,15 +67,15 @@
 			if len(find(r.step(request(1, 2, 0, 1)), ActSend, 1)) != 1 {
 				t.Fatal("not sent")
 			}
-			if got := r.d.tenants[0].inflight; got != 1 {
+			if got := r.d.tenants[0].reservedSlots; got != 1 {
 				t.Fatalf("in flight %v, want 1", got)
 			}
 			end(r)
-			if got := r.d.tenants[0].inflight; got != 0 {
+			if got := r.d.tenants[0].reservedSlots; got != 0 {
 				t.Errorf("in flight %v after the end, want 0", got)
 			}
-			if len(r.d.jobs) != 0 || r.d.workers[0].own != 0 {
-				t.Errorf("left behind: %d jobs, %v slots", len(r.d.jobs), r.d.workers[0].own)
+			if len(r.d.jobs) != 0 || r.d.workers[0].ownSlots != 0 {
+				t.Errorf("left behind: %d jobs, %v slots", len(r.d.jobs), r.d.workers[0].ownSlots)
 			}
 		})
 	}
@@ -110,15 +110,15 @@
 		s.Tenants[i].Quota = 1
 	}
 	r := newRig(t, s, ready(7, 0))
-	r.d.workers[0].free, r.d.workers[0].reported, r.d.workers[0].slots = 0, r.now, 4
+	r.d.workers[0].freeSlots, r.d.workers[0].reportedAt, r.d.workers[0].slots = 0, r.now, 4
 	var flood []Event
 	for id := uint32(1); id <= 60; id++ {
 		flood = append(flood, request(id, 0, 0, 1))
 	}
 	r.step(flood...)
 	over := 0
-	for _, j := range r.d.waiting {
-		if j.over {
+	for _, job := range r.d.waiting {
+		if job.overQuota {
 			over++
 		}
 	}
@@ -141,9 +141,9 @@
 	e := request(1, 0, 0, 1)
 	e.Flags, e.Work = 0, 0
 	r.step(e)
-	j := r.d.jobs[1]
+	job := r.d.jobs[1]
 	mean := r.d.classes[0].work
-	latest := j.aimAt - j.work/r.d.meanSpeed() - r.now // how long it may be held
+	latest := job.objectiveAt - job.work/r.d.meanSpeed() - r.now // how long it may be held
 	if short := 400 + 2*unhintedWork*mean; latest >= short {
 		t.Errorf("held for up to %v ms, want less than a short job's aim of %v", latest, short)
 	}
@@ -159,8 +159,8 @@
 		e := request(1, 0, 0, 1)
 		e.Flags, e.Work = 0, 0
 		r.step(e)
-		j := r.d.jobs[1]
-		return j.aimAt - j.work/r.d.meanSpeed() - r.now
+		job := r.d.jobs[1]
+		return job.objectiveAt - job.work/r.d.meanSpeed() - r.now
 	}
 	if each, work := held(false), held(true); work <= each {
 		t.Errorf("held for up to %v ms with worth by work, %v with worth by request: want longer", work, each)
@@ -172,7 +172,7 @@
 	s := base()
 	s.Classes[2].Worth = 3
 	r := newRig(t, s, ready(7, 0))
-	r.d.workers[0].free, r.d.workers[0].reported, r.d.workers[0].slots = 0, r.now, 4
+	r.d.workers[0].freeSlots, r.d.workers[0].reportedAt, r.d.workers[0].slots = 0, r.now, 4
 	var small []Event
 	for id := uint32(1); id <= 30; id++ {
 		small = append(small, request(id, 0, 0, 1))
@@ -202,7 +202,7 @@
 	s.Tenants, s.Classes[2].Worth = nil, 3
 	r := newRig(t, s, ready(7, 0))
 	r.d.capacity, r.d.value = 10, 2
-	r.d.tenants[0].inflight = 19 // of 20 tokens
+	r.d.tenants[0].reservedSlots = 19 // of 20 tokens
 	if r.d.admit(&job{class: 0, slots: 1, value: 1}) {
 		t.Error("work under the mean worth took the last tokens")
 	}
@@ -252,16 +252,16 @@
 	for i := range r.d.tenants {
 		r.d.tenants[i].lastSeen = r.now
 	}
-	r.d.tenants[0].inflight = 8 // all there is, and more than its reservation
+	r.d.tenants[0].reservedSlots = 8 // all there is, and more than its reservation
 	if !r.d.admit(&job{tenant: 2, slots: 2, value: 1}) {
 		t.Error("the first job was refused")
 	}
-	r.d.tenants[2].inflight = 2
+	r.d.tenants[2].reservedSlots = 2
 	if r.d.admit(&job{tenant: 2, slots: 2, value: 1}) {
 		t.Error("the second was admitted past the reservation while others hold the remainder")
 	}
-	r.d.tenants[2].inflight = 0
-	if r.d.admit(&job{tenant: 2, slots: 2, value: 1, over: true}) {
+	r.d.tenants[2].reservedSlots = 0
+	if r.d.admit(&job{tenant: 2, slots: 2, value: 1, overQuota: true}) {
 		t.Error("a first job beyond the share was admitted past the reservation")
 	}
 }
@@ -269,10 +269,10 @@
 // A node says what it goes by when it begins to refuse and when it has not for a while, and no more often.
 func TestLogsStateAtChanges(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
-	w := r.d.byID[7]
+	executor := r.d.byID[7]
 	lines := []string{}
 	for i := range 3000 {
-		w.free, w.reported, w.slots = 0, r.now, 2
+		executor.freeSlots, executor.reportedAt, executor.slots = 0, r.now, 2
 		var got []Action
 		if i < 1000 {
 			got = r.after(10, request(uint32(i+1), 0, 0, 1))
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -92,7 +92,7 @@
 	if d.dirty {
 		d.place()
 	}
-	if d.telling == tellHub {
+	if d.telling == gossipAggregator {
 		d.tellHub()
 	}
 	out, d.out = d.out, nil
@@ -101,82 +101,88 @@
 
 // ---- intake
 
-func (d *Dispatcher) intake(e *Event) {
-	switch e.Kind {
+func (d *Dispatcher) intake(event *Event) {
+	switch event.Kind {
 	case EvRequest:
-		d.request(e)
+		d.request(event)
 	case EvOutcome:
-		d.outcome(e)
+		d.outcome(event)
 	case EvNote:
-		d.note(e)
+		d.note(event)
 	case EvProbed:
-		d.probed(e)
+		d.probed(event)
 	case EvList:
-		d.list(e)
+		d.list(event)
 	case EvGone:
-		if j := d.jobs[e.Job]; j != nil && !j.done {
-			d.finish(j)
+		if job := d.jobs[event.Job]; job != nil && !job.done {
+			d.finish(job)
 		}
 	case EvFirst:
-		if j := d.jobs[e.Job]; j != nil && int(e.Attempt) < len(j.attempts) {
-			j.attempts[e.Attempt].w.heard = d.now
-			j.deadline = math.Inf(1)
+		if job := d.jobs[event.Job]; job != nil && int(event.Attempt) < len(job.attempts) {
+			job.attempts[event.Attempt].executor.lastHeard = d.now
+			job.deadline = math.Inf(1)
 		}
 	case EvPeer:
-		d.heardPeer(e)
+		d.heardPeer(event)
 	}
 }
 
-func (d *Dispatcher) request(e *Event) {
-	if d.jobs[e.Job] != nil {
+// newJob gives an empty job, one that has ended if there is one.
+func (d *Dispatcher) newJob() *job {
+	n := len(d.pool)
+	if n == 0 {
+		return &job{}
+	}
+	reused := d.pool[n-1]
+	d.pool = d.pool[:n-1]
+	*reused = job{attempts: reused.attempts[:0], candidates: reused.candidates[:0]}
+	return reused
+}
+
+func (d *Dispatcher) request(event *Event) {
+	if d.jobs[event.Job] != nil {
 		return
 	}
-	var j *job
-	if n := len(d.pool); n > 0 {
-		j, d.pool = d.pool[n-1], d.pool[:n-1]
-		*j = job{attempts: j.attempts[:0], homes: j.homes[:0]}
-	} else {
-		j = &job{}
-	}
-	j.id, j.key, j.arrived, j.most = e.Job, e.Key, d.now, d.s.MaxAttempts
-	j.class = min(int(e.Class), len(d.s.Classes)-1)
-	j.tenant = min(int(e.Tenant), len(d.tenants)-1)
-	c, st := &d.s.Classes[j.class], &d.classes[j.class]
-	slots, memory, left := e.sane()
-	j.slots, j.memory = slots, memory
-	likely := e.Work
-	if e.Flags&FlagWork != 0 && e.Work > 0 && !math.IsInf(e.Work, 0) {
-		j.work = e.Work
-		st.work += (j.work - st.work) * 0.02
+	job := d.newJob()
+	job.id, job.key, job.arrivedAt, job.maxAttempts = event.Job, event.Key, d.now, d.s.MaxAttempts
+	job.class = min(int(event.Class), len(d.s.Classes)-1)
+	job.tenant = min(int(event.Tenant), len(d.tenants)-1)
+	class, stats := &d.s.Classes[job.class], &d.classes[job.class]
+	slots, memory, left := event.sane()
+	job.slots, job.memory = slots, memory
+	likely := event.Work
+	if event.Flags&FlagWork != 0 && event.Work > 0 && !math.IsInf(event.Work, 0) {
+		job.work = event.Work
+		stats.work += (job.work - stats.work) * 0.02
 	} else {
 		// Most jobs are shorter than a heavy-tailed mean, and a short one's aim comes soon. Where worth goes
 		// by work, most of it lies in jobs as much longer than the mean, and their aim comes as much later.
-		if j.work, likely = st.work, unhintedWork*st.work; d.s.WorthByWork {
-			likely = st.work / unhintedWork
+		if job.work, likely = stats.work, unhintedWork*stats.work; d.s.WorthByWork {
+			likely = stats.work / unhintedWork
 		}
 	}
-	d.widest = max(d.widest, j.slots)
-	st.slots += (j.slots - st.slots) * 0.02
-	j.deadline = d.now + left
+	d.widest = max(d.widest, job.slots)
+	stats.slots += (job.slots - stats.slots) * 0.02
+	job.deadline = d.now + left
 	age := 0.0
-	if e.Flags&FlagRepeat != 0 { // its aim runs from the client's first try
-		age = max(0, c.Deadline-left)
+	if event.Flags&FlagRepeat != 0 { // its aim runs from the client's first try
+		age = max(0, class.Deadline-left)
 	}
-	j.aimAt = min(d.now-age+c.Aim+c.Stretch*likely+(j.work-likely)/d.meanSpeed(), j.deadline)
-	d.jobs[j.id] = j
-	j.over = d.meter(j, e.Flags&FlagRepeat != 0)
-	j.prices, j.value = e.Prices, c.Worth // the worth for each ms
+	job.objectiveAt = min(d.now-age+class.Aim+class.Stretch*likely+(job.work-likely)/d.meanSpeed(), job.deadline)
+	d.jobs[job.id] = job
+	job.overQuota = d.meter(job, event.Flags&FlagRepeat != 0)
+	job.zonePrices, job.value = event.Prices, class.Worth // the worth for each ms
 	if !d.s.WorthByWork {
-		j.value /= j.work
+		job.value /= job.work
 	}
-	if j.over {
+	if job.overQuota {
 		// A node tells only roughly what is beyond a share, so it is taken to be right half of the time.
-		j.value *= (1 + d.s.OverShareWorth) / 2
+		job.value *= (1 + d.s.OverShareWorth) / 2
 	}
-	d.value += (j.value - d.value) * 0.02
-	d.arrived = append(d.arrived, j)
-	d.countKey(j.key)
-	d.countArrival(e.Flags&FlagRepeat != 0)
+	d.value += (job.value - d.value) * 0.02
+	d.arrived = append(d.arrived, job)
+	d.countKey(job.key)
+	d.countArrival(event.Flags&FlagRepeat != 0)
 }
 
 // ---- admission
@@ -187,62 +193,62 @@
 		return
 	}
 	d.estimate()
-	for _, j := range d.arrived {
-		if j.done {
+	for _, job := range d.arrived {
+		if job.done {
 			continue
 		}
-		t := &d.tenants[j.tenant]
-		t.lastSeen = d.now
-		if d.hopeless(j) {
-			d.end(j, tooLate)
+		tenant := &d.tenants[job.tenant]
+		tenant.lastSeen = d.now
+		if d.hopeless(job) {
+			d.end(job, causeTooLate)
 			continue
 		}
-		fits := d.admit(j)
-		for n := 0.0; !fits && n <= j.slots && d.evict(j); n++ {
-			fits = d.admit(j)
+		fits := d.admit(job)
+		for n := 0.0; !fits && n <= job.slots && d.evict(job); n++ {
+			fits = d.admit(job)
 		}
 		if !fits {
-			d.end(j, noTokens)
+			d.end(job, causeNoTokens)
 			continue
 		}
-		j.admitted = true
-		t.inflight += j.slots
-		d.wait(j)
-		d.probeFor(j)
+		job.admitted = true
+		tenant.reservedSlots += job.slots
+		d.wait(job)
+		d.probeFor(job)
 	}
 	d.arrived = d.arrived[:0]
 }
 
-func (d *Dispatcher) admit(j *job) bool {
-	st := &d.classes[j.class]
-	tokens := d.capacity * (1 + min(waitMost, d.s.Classes[j.class].Aim/st.work))
-	if j.value < d.value {
+func (d *Dispatcher) admit(job *job) bool {
+	stats := &d.classes[job.class]
+	tokens := d.capacity * (1 + min(waitMost, d.s.Classes[job.class].Aim/stats.work))
+	if job.value < d.value {
 		tokens *= 1 - trunk // the last tokens are for work worth more than the mean
 	}
 	active := 0.0
 	for i := range d.tenants {
-		if t := &d.tenants[i]; d.now-t.lastSeen <= activeFor || t.inflight > 0 {
-			active += t.portion
+		if tenant := &d.tenants[i]; d.now-tenant.lastSeen <= activeFor || tenant.reservedSlots > 0 {
+			active += tenant.reservedShare
 		}
 	}
 	active = max(active, 1e-9)
 	unit := reserved * tokens / active
-	t := &d.tenants[j.tenant]
-	limit := tokens * (t.portion/active + limitBase*(1-t.portion/active))
-	if t.inflight+j.slots > limit {
+	tenant := &d.tenants[job.tenant]
+	limit := tokens * (tenant.reservedShare/active + limitBase*(1-tenant.reservedShare/active))
+	if tenant.reservedSlots+job.slots > limit {
 		return false
 	}
 	// A small tenant's reservation can be less than one wide job: its first job is within it all the same.
-	if t.inflight+j.slots <= unit*t.portion || t.inflight == 0 && !j.over {
-		j.borrowed = false
+	if tenant.reservedSlots+job.slots <= unit*tenant.reservedShare || tenant.reservedSlots == 0 && !job.overQuota {
+		job.borrowed = false
 		return true
 	}
 	borrowed := 0.0
 	for i := range d.tenants {
-		borrowed += max(0, d.tenants[i].inflight-unit*d.tenants[i].portion)
+		borrowed += max(0, d.tenants[i].reservedSlots-unit*d.tenants[i].reservedShare)
 	}
-	j.borrowed = true
-	return borrowed+j.slots <= tokens-reserved*tokens || len(d.waiting) == 0 && d.starved()
+	job.borrowed = true
+	return borrowed+job.slots <= tokens-reserved*tokens || len(d.waiting) == 0 && d.starved()
 }
 
 // estimate counts capacity: slots of our running jobs and free slots, by report or by what was served.
@@ -255,22 +261,22 @@
 	}
 	known := len(d.workers) <= lookAll || d.peersKnown() // what others hold
 	own, free, hoped, queued, total, assumed, most := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
-	for _, w := range d.workers {
-		own += w.own
-		if w.cond != Ready {
+	for _, executor := range d.workers {
+		own += executor.ownSlots
+		if executor.condition != Ready {
 			continue
 		}
-		n := max(w.slots, d.kinds[w.kind].slots)
+		n := max(executor.slots, d.kinds[executor.kind].slots)
 		total += n
 		assumed += max(n, d.widest, softStart)
 		most = max(most, n)
-		if known || w.reported > 0 && d.now-w.reported <= min(d.freshFor(), d.run) {
-			free += max(0, d.room(w))
+		if known || executor.reportedAt > 0 && d.now-executor.reportedAt <= min(d.freshFor(), d.run) {
+			free += max(0, d.room(executor))
 		} else {
-			hoped += max(0, d.room(w))
+			hoped += max(0, d.room(executor))
 		}
-		if !known && d.s.TellsStart && d.now-w.waitsFrom > d.startLag() {
-			queued += w.waiting
+		if !known && d.s.TellsStart && d.now-executor.oldestUnstarted > d.startLag() {
+			queued += executor.unstartedSlots
 		}
 	}
 	d.fair = pushShare * d.ourPart() * total
@@ -278,7 +284,7 @@
 		d.capacity = d.unseenCapacity(own-queued, queued, free, hoped, assumed)
 		d.fair = d.capacity
 	}
-	if d.telling == tellHub && d.peersKnown() && d.capacity < scarce*total {
+	if d.telling == gossipAggregator && d.peersKnown() && d.capacity < scarce*total {
 		most = min(most, max(d.widest, d.ourPart()*total)) // all see the same few slots
 		own := d.ownOut()
 		d.capacity = own + (d.capacity-own)*d.capacity/(scarce*total)
@@ -301,44 +307,44 @@
 
 // meter tells whether a request is beyond its tenant's share, by a bucket that fills at the part of the quota
 // that usually comes this way: nodes see only their own traffic, and it is uneven.
-func (d *Dispatcher) meter(j *job, repeat bool) bool {
-	t := &d.tenants[j.tenant]
-	if t.quota <= 0 {
+func (d *Dispatcher) meter(job *job, repeat bool) bool {
+	tenant := &d.tenants[job.tenant]
+	if tenant.quota <= 0 {
 		return false
 	}
-	rate := min(t.quota, max(shareSlack*t.usual, t.quota/(2*float64(d.s.Balancers))))
-	span := d.now - t.metered
-	t.metered = d.now
+	rate := min(tenant.quota, max(shareSlack*tenant.usualRate, tenant.quota/(2*float64(d.s.Balancers))))
+	span := d.now - tenant.refilledAt
+	tenant.refilledAt = d.now
 	deep := max(rate*shareDepth/1000, 2)
-	t.bucket = min(deep, t.bucket+rate*span/1000)
-	t.usual *= math.Exp(-span / shareMemory)
+	tenant.tokens = min(deep, tenant.tokens+rate*span/1000)
+	tenant.usualRate *= math.Exp(-span / shareMemory)
 	if !repeat {
-		t.usual += 1000 / shareMemory
-		if t.bucket < 1 {
+		tenant.usualRate += 1000 / shareMemory
+		if tenant.tokens < 1 {
 			return true
 		}
-		t.bucket--
+		tenant.tokens--
 	}
-	return t.bucket < 1
+	return tenant.tokens < 1
 }
 
 // hopeless says that a job cannot end before its client leaves, wherever it goes.
-func (d *Dispatcher) hopeless(j *job) bool {
-	return d.now+0.2*j.work/d.meanSpeed() > j.deadline-d.margin()
+func (d *Dispatcher) hopeless(job *job) bool {
+	return d.now+0.2*job.work/d.meanSpeed() > job.deadline-d.margin()
 }
 
 // evict refuses a waiting job, of the same tenant or a borrower, that is past its aim or worth less.
-func (d *Dispatcher) evict(j *job) bool {
+func (d *Dispatcher) evict(job *job) bool {
 	speed := d.meanSpeed()
-	if d.now+j.work/speed > j.aimAt {
+	if d.now+job.work/speed > job.objectiveAt {
 		return false
 	}
 	for _, k := range slices.Backward(d.waiting) {
-		if k.done || k.out > 0 || k.mayHaveRun || !(k.borrowed || k.tenant == j.tenant) {
+		if k.done || k.inFlight > 0 || k.mayHaveRun || !(k.borrowed || k.tenant == job.tenant) {
 			continue
 		}
-		if k.value < evictGain*j.value || d.now+k.work/speed > k.aimAt {
-			d.end(k, madePlace)
+		if k.value < evictGain*job.value || d.now+k.work/speed > k.objectiveAt {
+			d.end(k, causePreempted)
 			return true
 		}
 	}
@@ -347,10 +353,10 @@
 
 // ---- placement
 
-func (d *Dispatcher) wait(j *job) {
-	if !j.waiting {
-		j.waiting = true
-		d.waiting = append(d.waiting, j)
+func (d *Dispatcher) wait(job *job) {
+	if !job.queued {
+		job.queued = true
+		d.waiting = append(d.waiting, job)
 	}
 	d.dirty = true
 }
@@ -361,26 +367,26 @@
 	d.dirty = false
 	keep := d.waiting[:0]
 	speed := d.meanSpeed()
-	for _, j := range d.waiting {
-		if len(j.attempts) > 0 {
-			d.settle(j)
+	for _, job := range d.waiting {
+		if len(job.attempts) > 0 {
+			d.settle(job)
 		}
-		if j.done || !j.waiting {
-			j.waiting = false
-			d.release(j)
+		if job.done || !job.queued {
+			job.queued = false
+			d.release(job)
 			continue
 		}
-		start := j.aimAt - j.work/speed
-		j.rank = start
-		if d.now < j.holdUntil && d.probesOut > 0 {
-			j.rank = math.Inf(1)
+		start := job.objectiveAt - job.work/speed
+		job.rank = start
+		if d.now < job.holdUntil && d.probesOut > 0 {
+			job.rank = math.Inf(1)
 		}
 		if start < d.now {
-			j.rank += 2e9
-		} else if j.borrowed || j.over || j.out > 0 {
-			j.rank += 1e9
+			job.rank += 2e9
+		} else if job.borrowed || job.overQuota || job.inFlight > 0 {
+			job.rank += 1e9
 		}
-		keep = append(keep, j)
+		keep = append(keep, job)
 	}
 	d.waiting = keep
 	if len(keep) == 0 {
@@ -389,22 +395,22 @@
 	slices.SortStableFunc(keep, func(a, b *job) int { return cmp.Compare(a.rank, b.rank) })
 	d.open, d.seen, d.lookedAll, d.looks = d.open[:0], d.seen[:0], false, d.looks+1
 	left := keep[:0]
-	for _, j := range keep {
-		if math.IsInf(j.rank, 1) { // until its probes are back
-			left = append(left, j)
+	for _, job := range keep {
+		if math.IsInf(job.rank, 1) { // until its probes are back
+			left = append(left, job)
 			continue
 		}
-		w := d.choose(j)
-		if w == nil {
-			w = d.push(j)
+		executor := d.choose(job)
+		if executor == nil {
+			executor = d.push(job)
 		}
-		if w != nil {
-			d.send(j, w)
-			w.room = d.room(w)
-			j.waiting = false
+		if executor != nil {
+			d.send(job, executor)
+			executor.available = d.room(executor)
+			job.queued = false
 			continue
 		}
-		left = append(left, j)
+		left = append(left, job)
 	}
 	d.waiting = left
 }
@@ -417,8 +423,8 @@
 	}
 	d.lookedAll = true
 	if len(d.workers) <= lookAll {
-		for _, w := range d.workers {
-			d.lookAt(w)
+		for _, executor := range d.workers {
+			d.lookAt(executor)
 		}
 		return
 	}
@@ -426,9 +432,9 @@
 		d.lookAt(d.heardLast[i])
 		d.lookAt(d.usedLast[i])
 	}
-	for _, w := range d.workers {
-		if d.coldShare(w) < 1 {
-			d.lookAt(w) // for it is seldom our turn there, and then all the more wanted
+	for _, executor := range d.workers {
+		if d.coldShare(executor) < 1 {
+			d.lookAt(executor) // for it is seldom our turn there, and then all the more wanted
 		}
 	}
 	for n := 0; n < lookSome; n++ {
@@ -437,66 +443,66 @@
 }
 
 // lookAt adds a worker to those that waiting jobs choose among, once, if it may be sent to and has room.
-func (d *Dispatcher) lookAt(w *worker) {
-	if w == nil || w.looked == d.looks || !d.usable(w) {
+func (d *Dispatcher) lookAt(executor *executor) {
+	if executor == nil || executor.inspectedIn == d.looks || !d.usable(executor) {
 		return
 	}
-	w.looked = d.looks
-	d.seen = append(d.seen, w)
-	if w.room = d.room(w); w.room >= 1 && d.coldOpen(w, 0) {
-		d.open = append(d.open, w)
+	executor.inspectedIn = d.looks
+	d.seen = append(d.seen, executor)
+	if executor.available = d.room(executor); executor.available >= 1 && d.coldOpen(executor, 0) {
+		d.open = append(d.open, executor)
 	}
 }
 
 // choose picks the worker with room where the least is lost: little room to spare, a long run, prices.
-func (d *Dispatcher) choose(j *job) *worker {
-	var best *worker
+func (d *Dispatcher) choose(job *job) *executor {
+	var best *executor
 	least, bestMiss := math.Inf(1), 0.0
-	d.findHomes(j)
-	for _, w := range j.homes {
-		d.lookAt(w)
+	d.findHomes(job)
+	for _, executor := range job.candidates {
+		d.lookAt(executor)
 	}
 	mean := d.meanSpeed()
 	// Waiting a little for a worker that holds the key is better than a fetch: when the store behind the
 	// keys is short of capacity, fetches hold slots for long, and every job sent astray makes more of them.
-	forHome := j.key != 0 && (d.now < j.arrived+homeWait*(j.aimAt-j.work/mean-j.arrived) || d.fetchesFull(j))
-	var from []*worker
+	forHome := job.key != 0 && (d.now < job.arrivedAt+homeWait*(job.objectiveAt-job.work/mean-job.arrivedAt) || d.fetchesFull(job))
+	var from []*executor
 	if forHome && len(d.workers) > lookAll {
-		from = j.homes // of many workers the rest is not even looked at
+		from = job.candidates // of many workers the rest is not even looked at
 	} else {
 		d.look()
 		from = d.open
 	}
-	c, slack := &d.s.Classes[j.class], max(j.aimAt-d.now, 1)
-	for _, w := range from {
-		spare := w.room - j.slots
+	class, slack := &d.s.Classes[job.class], max(job.objectiveAt-d.now, 1)
+	for _, executor := range from {
+		spare := executor.available - job.slots
 		if spare < -1e-6 {
 			continue
 		}
-		if c.Kind >= 0 && w.kind != c.Kind || !d.usable(w) || !d.maySend(j, w) || d.fails(j, w) {
+		if class.Kind >= 0 && executor.kind != class.Kind || !d.usable(executor) || !d.maySend(job, executor) || d.fails(job, executor) {
 			continue
 		}
-		odds := d.lostFor(j, w)
-		if odds > errorEject || (w.silent || d.now < w.lateUntil && !d.panicking) && c.Effect == Unsafe {
+		odds := d.lostFor(job, executor)
+		if odds > errorEject || (executor.unresponsive || d.now < executor.ackOverdueUntil && !d.panicking) && class.Effect == Unsafe {
 			continue // it may well be lost there
 		}
-		if w.tellsMemory && j.memory > w.memory+1e-6 && w.own > 0 {
+		if executor.reportsMemory && job.memory > executor.freeMemory+1e-6 && executor.ownSlots > 0 {
 			continue // with nothing of ours out, a report that stays low must not shut a worker out for good
 		}
-		run := j.work / d.speed(w)
-		loss := crowdLoss/(1+spare) + slowLoss*min(max(0, run/slack-0.5), 1) + holdLoss*run*mean/j.work
-		loss += w.errs + odds + tieLoss*d.random()
-		loss += d.zonePrice(j, w.zone)
-		if d.s.Fees.Handshake > 0 && !d.warm(w) {
+		run := job.work / d.speed(executor)
+		loss := crowdLoss/(1+spare) + slowLoss*min(max(0, run/slack-0.5), 1) + holdLoss*run*mean/job.work
+		loss += executor.errorAverage + odds + tieLoss*d.random()
+		loss += d.zonePrice(job, executor.zone)
+		if d.s.Fees.Handshake > 0 && !d.warm(executor) {
 			loss += d.s.Fees.Handshake
 		}
 		miss := 0.0
-		if j.key != 0 {
-			miss = missing(j, w, d.s.Balancers)
+		if job.key != 0 {
+			miss = cacheMissProbability(job, executor, d.s.Balancers)
 			loss += miss * (d.s.Fees.Origin + setupLoss)
 		}
 		if loss < least {
-			least, best, bestMiss = loss, w, miss
+			least, best, bestMiss = loss, executor, miss
 		}
 	}
 	if best != nil && bestMiss >= homeMiss && forHome {
@@ -507,35 +513,35 @@
 
 // fetchesFull says that the pool for jobs that must fetch their key is used up while a home of it works.
 // Without it a short jam lasts: jobs go wherever room shows, fetch, hold slots longer, and keep all full.
-func (d *Dispatcher) fetchesFull(j *job) bool {
-	if d.fetching == 0 || d.fetching+j.slots <= fetchPool*d.capacity {
+func (d *Dispatcher) fetchesFull(job *job) bool {
+	if d.fetching == 0 || d.fetching+job.slots <= fetchPool*d.capacity {
 		return false
 	}
-	return slices.ContainsFunc(j.homes, d.usable)
+	return slices.ContainsFunc(job.candidates, d.usable)
 }
 
 // push finds a worker for a job of a starved node: one that has less than its part of all slots out, sees no
 // room, and held the job for a good part of its slack. Busy nodes refill a slot as their own job ends: no
 // report shows it. It takes the worker with fewest of our slots, and queues no more than one job there.
-func (d *Dispatcher) push(j *job) *worker {
-	held := pushAfter * (j.aimAt - j.work/d.meanSpeed() - j.arrived)
-	full := d.ownOut()+j.slots > d.fair && !d.starved()
-	if full || j.out > 0 || j.key != 0 || d.peersKnown() || d.now < j.arrived+held {
+func (d *Dispatcher) push(job *job) *executor {
+	held := pushAfter * (job.objectiveAt - job.work/d.meanSpeed() - job.arrivedAt)
+	full := d.ownOut()+job.slots > d.fair && !d.starved()
+	if full || job.inFlight > 0 || job.key != 0 || d.peersKnown() || d.now < job.arrivedAt+held {
 		return nil
 	}
-	var best *worker
-	for _, w := range d.seen {
-		n := max(w.slots, d.kinds[w.kind].slots)
-		if !d.usable(w) || w.silent || w.waits > 0 && d.s.TellsStart || d.now < w.fullUntil || d.fails(j, w) {
+	var best *executor
+	for _, executor := range d.seen {
+		n := max(executor.slots, d.kinds[executor.kind].slots)
+		if !d.usable(executor) || executor.unresponsive || executor.unstarted > 0 && d.s.TellsStart || d.now < executor.rejectedUntil || d.fails(job, executor) {
 			continue
 		}
-		c, part := &d.s.Classes[j.class], d.ourPart()*n+0.5
-		if c.Kind >= 0 && w.kind != c.Kind || d.lostFor(j, w) > errorEject || !d.maySend(j, w) ||
-			w.own > 0 && w.own+j.slots > part {
+		class, part := &d.s.Classes[job.class], d.ourPart()*n+0.5
+		if class.Kind >= 0 && executor.kind != class.Kind || d.lostFor(job, executor) > errorEject || !d.maySend(job, executor) ||
+			executor.ownSlots > 0 && executor.ownSlots+job.slots > part {
 			continue
 		}
-		if best == nil || w.own < best.own || w.own == best.own && w.room > best.room {
-			best = w
+		if best == nil || executor.ownSlots < best.ownSlots || executor.ownSlots == best.ownSlots && executor.available > best.available {
+			best = executor
 		}
 	}
 	return best
@@ -543,94 +549,94 @@
 
 // missing estimates the chance that a worker must fetch a key: homes of the key likely hold it, and so do
 // those we sent it to lately, unless others filled them since.
-func missing(j *job, w *worker, nodes int) float64 {
+func cacheMissProbability(job *job, executor *executor, nodes int) float64 {
 	miss := 1.0
-	if i := slices.Index(j.homes, w); i >= 0 {
+	if i := slices.Index(job.candidates, executor); i >= 0 {
 		miss = 0.1
-		if i == len(j.homes)-1 {
+		if i == len(job.candidates)-1 {
 			miss = homeMiss
 		}
 	}
-	if i := slices.Index(w.keys[:], j.key); i >= 0 {
-		miss = min(miss, float64(i*nodes)/float64(len(w.keys)))
+	if i := slices.Index(executor.affinityKeys[:], job.key); i >= 0 {
+		miss = min(miss, float64(i*nodes)/float64(len(executor.affinityKeys)))
 	}
 	return miss
 }
 
 // findHomes ranks workers for a job's key by rendezvous hashing weighted by size, so that all nodes agree: as
 // many homes as the key's share of our requests asks for, and one more to fall back on.
-func (d *Dispatcher) findHomes(j *job) {
-	if j.key == 0 || j.homesOf == d.listSerial {
+func (d *Dispatcher) findHomes(job *job) {
+	if job.key == 0 || job.candidatesRevision == d.listSerial {
 		return
 	}
-	j.homesOf, j.homes = d.listSerial, j.homes[:0]
-	share := d.keyCount[j.key] / max(d.keySum, keyMemory/10)
+	job.candidatesRevision, job.candidates = d.listSerial, job.candidates[:0]
+	share := d.keyCount[job.key] / max(d.keySum, keyMemory/10)
 	want := 2 + int(homeSpread*share*float64(len(d.workers)))
 	best := d.best[:0] // the greatest, in order
 	for i, x := range d.hashes {
-		h, scale := float64(mix(j.key^x.hash)>>11+1)/(1<<53), d.kinds[x.kind].scale
-		if !x.ready || len(best) == want && h-1 <= best[want-1].pull*scale {
+		h, scale := float64(mix64(job.key^x.hash)>>11+1)/(1<<53), d.kinds[x.kind].scale
+		if !x.ready || len(best) == want && h-1 <= best[want-1].weight*scale {
 			continue // h-1 is never less than the logarithm, which costs more
 		}
-		p := pull{i, math.Log(h) / scale}
+		p := rankedCandidate{i, math.Log(h) / scale}
 		if len(best) < want {
 			best = append(best, p)
-		} else if p.pull <= best[want-1].pull {
+		} else if p.weight <= best[want-1].weight {
 			continue
 		}
 		k := len(best) - 1
-		for ; k > 0 && best[k-1].pull < p.pull; k-- {
+		for ; k > 0 && best[k-1].weight < p.weight; k-- {
 			best[k] = best[k-1]
 		}
 		best[k] = p
 	}
 	for _, p := range best {
-		j.homes = append(j.homes, d.workers[p.at])
+		job.candidates = append(job.candidates, d.workers[p.position])
 	}
 	d.best = best
 }
 
 // room is how many more slots of ours a worker takes: by its report, else by what it took before.
-func (d *Dispatcher) room(w *worker) float64 {
-	if d.now < w.fullUntil {
+func (d *Dispatcher) room(executor *executor) float64 {
+	if d.now < executor.rejectedUntil {
 		return 0
 	}
-	if w.silent && !d.panicking {
+	if executor.unresponsive && !d.panicking {
 		return 1
 	}
-	if w.trial {
-		return 1 - w.own
+	if executor.onProbation {
+		return 1 - executor.ownSlots
 	}
 	// Reports come late and can hide a queue: a job of ours that was not started says there is no room,
 	// whatever free slots were last told or got back.
-	if d.s.TellsStart && w.waits > 0 && d.now-w.waitsFrom > d.startLag() {
+	if d.s.TellsStart && executor.unstarted > 0 && d.now-executor.oldestUnstarted > d.startLag() {
 		return 0
 	}
-	n := math.Round(d.slotsOf(w))
+	n := math.Round(d.slotsOf(executor))
 	if n > 0 && d.peersKnown() {
 		// This is newer than any report.
-		return math.Round(max(1, n*d.coldShare(w)) - w.own - d.foreign(w) - d.hidden(w))
+		return math.Round(max(1, n*d.coldShare(executor)) - executor.ownSlots - d.foreign(executor) - d.hidden(executor))
 	}
 	// A weight in the list is the same for all nodes and late: it is no reason to go to a worker, since all
 	// would, but one that tells of more requests than cores is a reason to stay away.
-	if w.at < len(d.rows) && d.rows[w.at].load >= max(loadMost, loadOver*d.load) {
+	if executor.position < len(d.rows) && d.rows[executor.position].liveLoad >= max(loadMost, loadOver*d.load) {
 		return 0
 	}
-	if w.reported > 0 && d.now-w.reported <= d.freshFor() {
-		return math.Round(d.relaxed(w)) // to the nearest: reports are a little noisy
+	if executor.reportedAt > 0 && d.now-executor.reportedAt <= d.freshFor() {
+		return math.Round(d.relaxed(executor)) // to the nearest: reports are a little noisy
 	}
-	most := math.Floor(w.soft)
+	most := math.Floor(executor.softLimit)
 	if n > 0 {
 		// Every node guesses at once when reports fail: none takes more than twice its even part.
 		most = min(most, max(1, math.Round(blindShare*n/float64(d.s.Balancers))))
 	}
-	if w.own == 0 {
+	if executor.ownSlots == 0 {
 		most = max(most, d.widest) // else a job wider than what was tried so far would never be sent
 	}
-	most -= w.own
-	if n > 0 && d.heardAt > 0 && d.now-d.heardAt <= staleFor*d.freshFor() && d.coldShare(w) == 1 {
+	most -= executor.ownSlots
+	if n > 0 && d.heardAt > 0 && d.now-d.heardAt <= staleFor*d.freshFor() && d.coldShare(executor) == 1 {
 		// Others tell what is usual: where the fleet is full, so is likely one not heard of, unless new.
-		most = min(most, math.Round(n*(1-d.usual(w))-w.own))
+		most = min(most, math.Round(n*(1-d.usual(executor))-executor.ownSlots))
 	}
 	return most
 }
@@ -645,74 +651,74 @@
 }
 
 // usable says whether new work may go to a worker at all.
-func (d *Dispatcher) usable(w *worker) bool {
-	if (w.linkFails > 0 && (d.now < w.linkUntil || w.opening > 0) || d.marked(w, noConns)) && !d.warm(w) {
+func (d *Dispatcher) usable(executor *executor) bool {
+	if (executor.dialFailures > 0 && (d.now < executor.dialBackoffUntil || executor.opening > 0) || d.marked(executor, noConns)) && !d.warm(executor) {
 		// A worker can serve over the connections it has and take no new one (its table is full, or new
 		// ones are cut): a served job says nothing of the next connect. One new connection tries at a time.
 		return false
 	}
 	// A silent worker is tried again with one job now and then: else one that was cut off and holds jobs
 	// whose end was lost would stay out until the last client's time is over (i3f1d0e).
-	return w.cond == Ready && (d.panicking || d.now >= w.badUntil && (!w.silent || d.now >= w.tryAt))
+	return executor.condition == Ready && (d.panicking || d.now >= executor.ejectedUntil && (!executor.unresponsive || d.now >= executor.retryAt))
 }
 
 // maySend is the one gate that every send passes: the request's state, what of it may have run, drains, and
 // a cold worker's budget.
-func (d *Dispatcher) maySend(j *job, w *worker) bool {
-	over := j.done || len(j.attempts) >= j.most || d.now >= j.deadline
-	if over || w.cond != Ready || j.out > 0 && !d.s.MayDuplicate {
+func (d *Dispatcher) maySend(job *job, executor *executor) bool {
+	over := job.done || len(job.attempts) >= job.maxAttempts || d.now >= job.deadline
+	if over || executor.condition != Ready || job.inFlight > 0 && !d.s.MayDuplicate {
 		return false
 	}
-	for i := range j.attempts {
-		if a := &j.attempts[i]; a.w == w && (!a.resolved || j.mayHaveRun) {
+	for i := range job.attempts {
+		if attempt := &job.attempts[i]; attempt.executor == executor && (!attempt.resolved || job.mayHaveRun) {
 			return false
 		}
 	}
-	if (j.out > 0 || j.mayHaveRun) && !d.repeatable(j, w) {
+	if (job.inFlight > 0 || job.mayHaveRun) && !d.repeatable(job, executor) {
 		return false
 	}
 	// Credit may be overdrawn by one slot's work, for all jobs cost some, not by a wide job's further slots.
-	return d.coldOpen(w, (j.slots-1)*j.work/d.kindSpeed(w.kind))
+	return d.coldOpen(executor, (job.slots-1)*job.work/d.kindSpeed(executor.kind))
 }
 
 // repeatable says whether a job that is out, or may have run, may go to w as well.
-func (d *Dispatcher) repeatable(j *job, w *worker) bool {
-	c := &d.s.Classes[j.class]
-	switch c.Effect {
+func (d *Dispatcher) repeatable(job *job, executor *executor) bool {
+	class := &d.s.Classes[job.class]
+	switch class.Effect {
 	case Safe:
 		return true
 	case Keyed:
-		ran, since := j.ranWorker, j.ranSince
-		for i := range j.attempts {
-			if a := &j.attempts[i]; !a.resolved && (ran == nil || a.sent < since) {
-				ran, since = a.w, a.sent
+		ran, since := job.ranOn, job.ranSince
+		for i := range job.attempts {
+			if attempt := &job.attempts[i]; !attempt.resolved && (ran == nil || attempt.sentAt < since) {
+				ran, since = attempt.executor, attempt.sentAt
 			}
 		}
-		if d.now-since >= c.Window-d.margin() {
+		if d.now-since >= class.Window-d.margin() {
 			return false
 		}
-		switch c.Scope {
+		switch class.Scope {
 		case ScopeAll:
 			return true
 		case ScopeZone:
-			return ran.zone == w.zone
+			return ran.zone == executor.zone
 		default:
-			return ran.zone == w.zone && ran.cell == w.cell
+			return ran.zone == executor.zone && ran.cell == executor.cell
 		}
 	}
 	return false
 }
 
 // mayRefuse is the one gate of refusals: nothing of the request may have run, or a repeat does no harm.
-func (d *Dispatcher) mayRefuse(j *job) bool {
-	c := &d.s.Classes[j.class]
-	return c.Effect == Safe || j.out == 0 && !j.mayHaveRun || c.Effect == Keyed && c.Scope == ScopeAll
+func (d *Dispatcher) mayRefuse(job *job) bool {
+	class := &d.s.Classes[job.class]
+	return class.Effect == Safe || job.inFlight == 0 && !job.mayHaveRun || class.Effect == Keyed && class.Scope == ScopeAll
 }
 
 // comeBack is how long a refused client should stay away: until a token of ours is back, at the pace of runs.
-func (d *Dispatcher) comeBack(j *job) float64 {
-	held := max(j.slots, d.inflight())
-	return min(d.s.MaxRetryAfter, comeBackRuns*d.run*j.slots/held)
+func (d *Dispatcher) comeBack(job *job) float64 {
+	held := max(job.slots, d.inflight())
+	return min(d.s.MaxRetryAfter, comeBackRuns*d.run*job.slots/held)
 }
 
 // ourPart is our part of what all nodes may do together: half of it even, half by our part of the traffic
@@ -725,311 +731,311 @@
 	return (even + min(1, d.quotaRate()/d.quota)) / 2
 }
 
-func (d *Dispatcher) send(j *job, w *worker) {
-	w.coldCredit -= j.slots * j.work / d.kindSpeed(w.kind)
-	shared := d.shares(w)
-	if w.silent {
-		w.tryAt = d.now + d.silence()/2*float64(int(1)<<min(w.tries, 3))*(0.75+0.5*d.random())
-		w.tries++
+func (d *Dispatcher) send(job *job, executor *executor) {
+	executor.slowStartCredit -= job.slots * job.work / d.kindSpeed(executor.kind)
+	shared := d.shares(executor)
+	if executor.unresponsive {
+		executor.retryAt = d.now + d.silence()/2*float64(int(1)<<min(executor.retries, 3))*(0.75+0.5*d.random())
+		executor.retries++
 	}
 	d.sentAt = d.now
-	d.out = append(d.out, Action{Kind: ActSend, Job: j.id, Worker: w.id})
-	j.attempts = append(j.attempts, attempt{w: w, sent: d.now, heard: d.now, hadRoom: w.free >= j.slots})
-	if j.key != 0 && missing(j, w, d.s.Balancers) >= homeMiss {
-		j.attempts[len(j.attempts)-1].fetches = true
-		d.fetching += j.slots
-	}
-	j.out++
-	if len(w.outs) == 0 {
-		d.busy = append(d.busy, w)
-	}
-	w.outs = append(w.outs, j)
-	w.own += j.slots
-	w.free -= j.slots
-	w.memory -= j.memory
-	d.countWaits(w)
-	if n := len(w.idle); n > 0 {
-		w.idle = w.idle[:n-1]
+	d.out = append(d.out, Action{Kind: ActSend, Job: job.id, Worker: executor.id})
+	job.attempts = append(job.attempts, attempt{executor: executor, sentAt: d.now, heardAt: d.now, hadFreeSlots: executor.freeSlots >= job.slots})
+	if job.key != 0 && cacheMissProbability(job, executor, d.s.Balancers) >= homeMiss {
+		job.attempts[len(job.attempts)-1].fetchesKey = true
+		d.fetching += job.slots
+	}
+	job.inFlight++
+	if len(executor.inFlight) == 0 {
+		d.busy = append(d.busy, executor)
+	}
+	executor.inFlight = append(executor.inFlight, job)
+	executor.ownSlots += job.slots
+	executor.freeSlots -= job.slots
+	executor.freeMemory -= job.memory
+	d.countWaits(executor)
+	if n := len(executor.idleSince); n > 0 {
+		executor.idleSince = executor.idleSince[:n-1]
 	} else if !shared {
-		j.attempts[len(j.attempts)-1].opened = true
-		w.opening++
+		job.attempts[len(job.attempts)-1].openedConnection = true
+		executor.opening++
 	}
-	if j.key != 0 {
-		w.touch(j.key)
+	if job.key != 0 {
+		executor.touchKey(job.key)
 	}
 }
 
 // ---- outcomes
 
-func (d *Dispatcher) outcome(e *Event) {
-	w := d.byID[e.Worker]
-	j := d.jobs[e.Job]
-	if j == nil || int(e.Attempt) >= len(j.attempts) || j.attempts[e.Attempt].resolved {
-		if w != nil {
-			d.report(w, e.Report)
+func (d *Dispatcher) outcome(event *Event) {
+	executor := d.byID[event.Worker]
+	job := d.jobs[event.Job]
+	if job == nil || int(event.Attempt) >= len(job.attempts) || job.attempts[event.Attempt].resolved {
+		if executor != nil {
+			d.report(executor, event.Report)
 		}
 		return
 	}
-	a := &j.attempts[e.Attempt]
-	w = a.w
-	a.resolved = true
-	j.out--
+	attempt := &job.attempts[event.Attempt]
+	executor = attempt.executor
+	attempt.resolved = true
+	job.inFlight--
 	d.dirty = true
-	if i := slices.Index(w.outs, j); i >= 0 {
-		w.outs = slices.Delete(w.outs, i, i+1)
-		if len(w.outs) == 0 {
-			w.silent = false
-			i := slices.Index(d.busy, w)
+	if i := slices.Index(executor.inFlight, job); i >= 0 {
+		executor.inFlight = slices.Delete(executor.inFlight, i, i+1)
+		if len(executor.inFlight) == 0 {
+			executor.unresponsive = false
+			i := slices.Index(d.busy, executor)
 			d.busy = slices.Delete(d.busy, i, i+1)
 		}
 	}
-	if !a.lost {
-		w.own -= j.slots
+	if !attempt.writtenOff {
+		executor.ownSlots -= job.slots
 	}
-	w.memory += j.memory
-	d.countWaits(w)
-	d.mark(j, a, e.Outcome)
-	if a.opened {
-		w.opening--
+	executor.freeMemory += job.memory
+	d.countWaits(executor)
+	d.mark(job, attempt, event.Outcome)
+	if attempt.openedConnection {
+		executor.opening--
 	}
-	if a.fetches {
-		d.fetching -= j.slots
+	if attempt.fetchesKey {
+		d.fetching -= job.slots
 	}
-	d.judge(j, a, e.Outcome)
-	d.fared(j, w, e)
-	d.report(w, e.Report)
-	if e.Final {
-		d.finish(j)
+	d.judge(job, attempt, event.Outcome)
+	d.fared(job, executor, event)
+	d.report(executor, event.Report)
+	if event.Final {
+		d.finish(job)
 	}
-	if j.done {
-		d.release(j)
+	if job.done {
+		d.release(job)
 		return
 	}
-	if j.out == 0 {
-		d.wait(j) // and settled once the batch is taken in: a later event of it may end the job
+	if job.inFlight == 0 {
+		d.wait(job) // and settled once the batch is taken in: a later event of it may end the job
 	}
 }
 
 // mark keeps, in one place, what of a request may have run.
-func (d *Dispatcher) mark(j *job, a *attempt, o Outcome) {
+func (d *Dispatcher) mark(job *job, attempt *attempt, o Outcome) {
 	if o.NeverRan() {
 		return
 	}
-	if !j.mayHaveRun || a.sent < j.ranSince {
-		j.mayHaveRun, j.ranWorker, j.ranSince = true, a.w, a.sent
+	if !job.mayHaveRun || attempt.sentAt < job.ranSince {
+		job.mayHaveRun, job.ranOn, job.ranSince = true, attempt.executor, attempt.sentAt
 	}
 }
 
 // settle ends a job with nothing out for which nothing more can be done.
-func (d *Dispatcher) settle(j *job) {
-	if j.done || j.out > 0 {
+func (d *Dispatcher) settle(job *job) {
+	if job.done || job.inFlight > 0 {
 		return
 	}
-	c := &d.s.Classes[j.class]
-	spent := len(j.attempts) >= j.most || d.now >= j.deadline-d.margin()
-	if j.mayHaveRun {
-		spent = spent || c.Effect == Unsafe || c.Effect == Keyed && d.now-j.ranSince >= c.Window-d.margin()
+	class := &d.s.Classes[job.class]
+	spent := len(job.attempts) >= job.maxAttempts || d.now >= job.deadline-d.margin()
+	if job.mayHaveRun {
+		spent = spent || class.Effect == Unsafe || class.Effect == Keyed && d.now-job.ranSince >= class.Window-d.margin()
 	}
-	if spent || d.hopeless(j) {
-		d.end(j, tooLate)
+	if spent || d.hopeless(job) {
+		d.end(job, causeTooLate)
 	}
 }
 
 // end gives the final answer that the gate allows: a refusal where a repeat is harmless, else a failure.
-func (d *Dispatcher) end(j *job, why cause) {
-	if j.done {
+func (d *Dispatcher) end(job *job, why rejectCause) {
+	if job.done {
 		return
 	}
 	d.ended[why]++
 	d.endedAt = d.now
-	a := Action{Kind: ActFail, Job: j.id}
-	if d.mayRefuse(j) {
-		a.Kind, a.For = ActRefuse, d.comeBack(j)
+	a := Action{Kind: ActFail, Job: job.id}
+	if d.mayRefuse(job) {
+		a.Kind, a.For = ActRefuse, d.comeBack(job)
 	}
 	d.out = append(d.out, a)
-	d.finish(j)
+	d.finish(job)
 }
 
 // finish returns a job's tokens, once, and calls off what is still out.
-func (d *Dispatcher) finish(j *job) {
-	if j.done {
+func (d *Dispatcher) finish(job *job) {
+	if job.done {
 		return
 	}
-	j.done = true
-	if j.admitted {
-		j.admitted = false
-		t := &d.tenants[j.tenant]
-		t.inflight = max(0, t.inflight-j.slots)
+	job.done = true
+	if job.admitted {
+		job.admitted = false
+		tenant := &d.tenants[job.tenant]
+		tenant.reservedSlots = max(0, tenant.reservedSlots-job.slots)
 	}
-	for i := range j.attempts {
-		if !j.attempts[i].resolved && d.s.MayCancel {
-			d.out = append(d.out, Action{Kind: ActCancel, Job: j.id, Attempt: uint16(i)})
+	for i := range job.attempts {
+		if !job.attempts[i].resolved && d.s.MayCancel {
+			d.out = append(d.out, Action{Kind: ActCancel, Job: job.id, Attempt: uint16(i)})
 		}
 	}
 	d.dirty = true
-	d.release(j)
+	d.release(job)
 }
 
 // release forgets a job that is done once nothing of it is out.
-func (d *Dispatcher) release(j *job) {
-	if j.done && j.out == 0 && !j.waiting && d.jobs[j.id] == j {
-		delete(d.jobs, j.id)
-		if !slices.Contains(d.arrived, j) {
-			d.pool = append(d.pool, j)
+func (d *Dispatcher) release(job *job) {
+	if job.done && job.inFlight == 0 && !job.queued && d.jobs[job.id] == job {
+		delete(d.jobs, job.id)
+		if !slices.Contains(d.arrived, job) {
+			d.pool = append(d.pool, job)
 		}
 	}
 }
 
-func (d *Dispatcher) note(e *Event) {
-	j := d.jobs[e.Job]
-	if j == nil || int(e.Attempt) >= len(j.attempts) || j.attempts[e.Attempt].resolved {
+func (d *Dispatcher) note(event *Event) {
+	job := d.jobs[event.Job]
+	if job == nil || int(event.Attempt) >= len(job.attempts) || job.attempts[event.Attempt].resolved {
 		return
 	}
-	a := &j.attempts[e.Attempt]
-	if e.Topic == NoteLate {
-		d.late(j, a)
+	attempt := &job.attempts[event.Attempt]
+	if event.Topic == NoteLate {
+		d.late(job, attempt)
 		return
 	}
-	d.alive(a.w)
-	a.heard, a.late = d.now, false
-	if a.lost {
-		a.lost = false
-		a.w.own += j.slots
+	d.alive(attempt.executor)
+	attempt.heardAt, attempt.ackOverdue = d.now, false
+	if attempt.writtenOff {
+		attempt.writtenOff = false
+		attempt.executor.ownSlots += job.slots
 	}
-	if a.started == 0 {
-		a.started = d.now
-		lag := d.now - a.sent
+	if attempt.startedAt == 0 {
+		attempt.startedAt = d.now
+		lag := d.now - attempt.sentAt
 		d.queued += (lag - d.queued) * 0.02
 		if lag < d.lag {
 			d.lag = lag
 		} else {
 			d.lag += (min(lag, 4*d.lag) - d.lag) * 0.01
 		}
-		d.countWaits(a.w)
+		d.countWaits(attempt.executor)
 		d.dirty = true
-		j.waiting = false // no second copy of what has begun
+		job.queued = false // no second copy of what has begun
 	}
 }
 
 // late takes in that a worker owes a sign that it took a job for longer than it and its peers usually do.
 // Beside others that are heard of, one such attempt is its connection's fault: the worker is kept. It holds
 // no slots in our books, and its job may be tried elsewhere too, where that is allowed.
-func (d *Dispatcher) late(j *job, a *attempt) {
-	w, owed := a.w, 0
-	if a.started > 0 || a.late || a.lost {
+func (d *Dispatcher) late(job *job, attempt *attempt) {
+	executor, owed := attempt.executor, 0
+	if attempt.startedAt > 0 || attempt.ackOverdue || attempt.writtenOff {
 		return
 	}
-	a.late, a.lost, d.dirty = true, true, true
-	w.own -= j.slots
-	d.countWaits(w)
-	for _, k := range w.outs {
-		if last := &k.attempts[len(k.attempts)-1]; last.w == w && last.late {
+	attempt.ackOverdue, attempt.writtenOff, d.dirty = true, true, true
+	executor.ownSlots -= job.slots
+	d.countWaits(executor)
+	for _, k := range executor.inFlight {
+		if last := &k.attempts[len(k.attempts)-1]; last.executor == executor && last.ackOverdue {
 			owed++
 		}
 	}
-	if w.heard <= a.sent || owed > 1 {
-		d.eject(w, "owing signs of jobs")
-		w.lateAt, w.lateUntil = d.now, 2*w.badUntil-d.now
+	if executor.lastHeard <= attempt.sentAt || owed > 1 {
+		d.eject(executor, "owing signs of jobs")
+		executor.ackOverdueAt, executor.ackOverdueUntil = d.now, 2*executor.ejectedUntil-d.now
 	}
 }
 
 // ---- health
 
 // judge draws from an outcome what it says of the worker: its room, speed, errors and connections.
-func (d *Dispatcher) judge(j *job, a *attempt, o Outcome) {
-	w := a.w
+func (d *Dispatcher) judge(job *job, attempt *attempt, o Outcome) {
+	executor := attempt.executor
 	switch o {
 	case Served, Errored, Reset:
-		w.free += j.slots
-		w.ended[w.endedAt%len(w.ended)] = ending{a.sent, d.now, j.slots}
-		w.endedAt++
+		executor.freeSlots += job.slots
+		executor.endedAttempts[executor.endedCount%len(executor.endedAttempts)] = endedAttempt{attempt.sentAt, d.now, job.slots}
+		executor.endedCount++
 	case Full:
-		w.free = min(w.free+j.slots, 0)
-		w.soft = max(1, softCut*w.own)
-		w.fullRun = min(w.fullRun+1, 6)
-		w.fullUntil = d.now + d.period*0.25*float64(int(1)<<(w.fullRun-1))*(0.5+d.random())
+		executor.freeSlots = min(executor.freeSlots+job.slots, 0)
+		executor.softLimit = max(1, softCut*executor.ownSlots)
+		executor.rejections = min(executor.rejections+1, 6)
+		executor.rejectedUntil = d.now + d.period*0.25*float64(int(1)<<(executor.rejections-1))*(0.5+d.random())
 	case ConnectFailed, Moot:
-		w.free += j.slots
+		executor.freeSlots += job.slots
 	}
 	switch o {
 	case Served:
-		d.alive(w)
-		w.errs *= errorKeep
-		if w.fullRun = 0; a.sent >= w.lateAt { // else it shows nothing of what came since
-			w.strikes, w.trial, w.lateUntil = 0, false, 0
-		}
-		late := d.now > j.aimAt && a.sent+j.work/d.meanSpeed() <= j.aimAt
-		blind := w.reported == 0 || d.now-w.reported > staleFor*d.freshFor() // a pause is not the end
-		if late && blind && a.sent > w.cutAt {
+		d.alive(executor)
+		executor.errorAverage *= errorKeep
+		if executor.rejections = 0; attempt.sentAt >= executor.ackOverdueAt { // else it shows nothing of what came since
+			executor.ejections, executor.onProbation, executor.ackOverdueUntil = 0, false, 0
+		}
+		late := d.now > job.objectiveAt && attempt.sentAt+job.work/d.meanSpeed() <= job.objectiveAt
+		blind := executor.reportedAt == 0 || d.now-executor.reportedAt > staleFor*d.freshFor() // a pause is not the end
+		if late && blind && attempt.sentAt > executor.softLimitCutAt {
 			// With no reports and no 'full' only lateness shows a queue: one cut for all sent before it.
-			w.soft, w.cutAt = max(1, softCut*w.soft), d.now
-		} else if !late && w.own+j.slots >= math.Floor(w.soft) {
-			w.soft += j.slots / w.soft
+			executor.softLimit, executor.softLimitCutAt = max(1, softCut*executor.softLimit), d.now
+		} else if !late && executor.ownSlots+job.slots >= math.Floor(executor.softLimit) {
+			executor.softLimit += job.slots / executor.softLimit
 		}
-		if a.opened {
-			w.linkFails = 0
+		if attempt.openedConnection {
+			executor.dialFailures = 0
 		}
-		d.clock(j, a)
-		if len(w.idle) > len(w.outs) && d.s.Multiplex > 1 {
-			w.idle = w.idle[:0] // jobs share connections: one idle entry stands for all
+		d.clock(job, attempt)
+		if len(executor.idleSince) > len(executor.inFlight) && d.s.Multiplex > 1 {
+			executor.idleSince = executor.idleSince[:0] // jobs share connections: one idle entry stands for all
 		}
-		w.idle = append(w.idle, d.now)
-		d.usedLast.add(w)
+		executor.idleSince = append(executor.idleSince, d.now)
+		d.usedLast.add(executor)
 	case Errored:
-		d.alive(w) // and else a matter of the job's class, see fared
+		d.alive(executor) // and else a matter of the job's class, see fared
 	case Reset:
-		d.alive(w)
-		w.errs = w.errs*errorKeep + 1 - errorKeep
-		if w.errs > errorEject || w.trial {
-			d.eject(w, "errors")
+		d.alive(executor)
+		executor.errorAverage = executor.errorAverage*errorKeep + 1 - errorKeep
+		if executor.errorAverage > errorEject || executor.onProbation {
+			d.eject(executor, "errors")
 		}
 	case ConnectFailed:
-		d.linkFailed(w)
+		d.linkFailed(executor)
 	}
 }
 
 // linkFailed backs off from new connections to a worker; those that are open go on being used.
-func (d *Dispatcher) linkFailed(w *worker) {
-	if d.find(w, noConns); d.now >= w.linkUntil {
-		back := max(d.s.ConnectTimeout, d.s.Step) * float64(int(1)<<min(w.linkFails, ejectMost))
-		w.linkUntil = d.now + back*(0.75+0.5*d.random())
-		if w.linkFails++; w.linkFails == 1 {
-			d.log("worker %d takes no new connections", w.id)
+func (d *Dispatcher) linkFailed(executor *executor) {
+	if d.find(executor, noConns); d.now >= executor.dialBackoffUntil {
+		back := max(d.s.ConnectTimeout, d.s.Step) * float64(int(1)<<min(executor.dialFailures, ejectMost))
+		executor.dialBackoffUntil = d.now + back*(0.75+0.5*d.random())
+		if executor.dialFailures++; executor.dialFailures == 1 {
+			d.log("worker %d takes no new connections", executor.id)
 		}
 	}
-	w.idle = w.idle[:0] // it was to use an idle one if there was one
+	executor.idleSince = executor.idleSince[:0] // it was to use an idle one if there was one
 }
 
 // eject keeps new work off a worker for a while, doubling, then lets it in one job at a time.
-func (d *Dispatcher) eject(w *worker, why string) {
-	if d.now < w.badUntil {
+func (d *Dispatcher) eject(executor *executor, why string) {
+	if d.now < executor.ejectedUntil {
 		return
 	}
 	base := ejectFirst * max(d.s.ConnectTimeout, d.s.Step)
-	w.badUntil = d.now + base*float64(int(1)<<min(w.strikes, ejectMost))*(0.75+0.5*d.random())
-	w.strikes++
-	w.trial = true
-	d.ejected = append(d.ejected, w)
-	w.errs = min(w.errs, errorEject)
-	d.log("eject worker %d for %s until %.0f, strike %d", w.id, why, w.badUntil, w.strikes)
+	executor.ejectedUntil = d.now + base*float64(int(1)<<min(executor.ejections, ejectMost))*(0.75+0.5*d.random())
+	executor.ejections++
+	executor.onProbation = true
+	d.ejected = append(d.ejected, executor)
+	executor.errorAverage = min(executor.errorAverage, errorEject)
+	d.log("eject worker %d for %s until %.0f, strike %d", executor.id, why, executor.ejectedUntil, executor.ejections)
 }
 
-func (d *Dispatcher) probed(e *Event) {
-	w := d.byID[e.Worker]
-	if w == nil {
+func (d *Dispatcher) probed(event *Event) {
+	executor := d.byID[event.Worker]
+	if executor == nil {
 		return
 	}
-	if w.probing {
-		w.probing = false
+	if executor.checkPending {
+		executor.checkPending = false
 		d.probesOut--
 		d.dirty = true
 	}
-	switch e.Outcome {
+	switch event.Outcome {
 	case Served:
-		d.alive(w)
-		d.report(w, e.Report)
+		d.alive(executor)
+		d.report(executor, event.Report)
 	case ConnectFailed:
-		d.linkFailed(w)
+		d.linkFailed(executor)
 	}
 }
 
@@ -1037,33 +1043,33 @@
 func (d *Dispatcher) watchHealth() {
 	limit := d.silence()
 	d.sumFails()
-	d.ejected = slices.DeleteFunc(d.ejected, func(w *worker) bool {
-		return d.now >= w.badUntil || w.cond != Ready
+	d.ejected = slices.DeleteFunc(d.ejected, func(executor *executor) bool {
+		return d.now >= executor.ejectedUntil || executor.condition != Ready
 	})
 	bad := len(d.ejected)
-	for _, w := range d.busy {
-		if w.cond != Ready {
+	for _, executor := range d.busy {
+		if executor.condition != Ready {
 			continue
 		}
 		silent := false
-		for _, j := range w.outs {
-			for i := range j.attempts {
-				if a := &j.attempts[i]; a.w == w && !a.resolved && !a.lost {
-					since := max(a.sent, w.heard)
-					if a.started == 0 && d.s.TellsStart {
+		for _, job := range executor.inFlight {
+			for i := range job.attempts {
+				if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && !attempt.writtenOff {
+					since := max(attempt.sentAt, executor.lastHeard)
+					if attempt.startedAt == 0 && d.s.TellsStart {
 						since += queueWaits * d.queued // a queued job tells nothing
 					}
 					silent = silent || d.now-since > limit
 				}
 			}
 		}
-		if silent && !w.silent {
-			d.log("worker %d silent", w.id)
-			w.tryAt = d.now + limit*(0.25+0.5*d.random())
+		if silent && !executor.unresponsive {
+			d.log("worker %d silent", executor.id)
+			executor.retryAt = d.now + limit*(0.25+0.5*d.random())
 		}
-		w.silent = silent
+		executor.unresponsive = silent
 		// All slow together still tell their progress: where it is told, silence is no sign of slowness.
-		if silent && d.s.Progress <= 0 && d.now >= w.badUntil {
+		if silent && d.s.Progress <= 0 && d.now >= executor.ejectedUntil {
 			bad++
 		}
 	}
@@ -1077,14 +1083,14 @@
 
 // hedge sends the jobs of a silent worker elsewhere too, where that is allowed.
 func (d *Dispatcher) hedge() {
-	for _, w := range d.busy {
-		for _, j := range w.outs {
+	for _, executor := range d.busy {
+		for _, job := range executor.inFlight {
 			// One that was sent to see whether the worker lives gets its time for that, and one that queues
 			// would only queue elsewhere too.
-			c, last := &d.s.Classes[j.class], &j.attempts[len(j.attempts)-1]
-			still := w.silent && d.now-last.sent > d.silence()/2 && (last.started > 0 || !d.s.TellsStart)
-			if (still || last.late) && !j.done && !j.waiting && j.out == 1 && c.Effect != Unsafe {
-				d.wait(j)
+			class, last := &d.s.Classes[job.class], &job.attempts[len(job.attempts)-1]
+			still := executor.unresponsive && d.now-last.sentAt > d.silence()/2 && (last.startedAt > 0 || !d.s.TellsStart)
+			if (still || last.ackOverdue) && !job.done && !job.queued && job.inFlight == 1 && class.Effect != Unsafe {
+				d.wait(job)
 			}
 		}
 	}
@@ -1092,9 +1098,9 @@
 
 // ---- list
 
-func (d *Dispatcher) list(e *Event) {
+func (d *Dispatcher) list(event *Event) {
 	d.dirty = true
-	if e.Form == ListFailed {
+	if event.Form == ListFailed {
 		if d.askFails == 0 {
 			d.log("list out of reach, last heard %.0f ms ago", d.now-d.listAt)
 		}
@@ -1103,7 +1109,7 @@
 		d.nextAsk = d.now + d.askBackoff()
 		return
 	}
-	if e.Form != ListCached {
+	if event.Form != ListCached {
 		if d.askFails > 0 {
 			d.log("list within reach again after %d failed calls", d.askFails)
 		}
@@ -1112,11 +1118,11 @@
 	if d.listAt == 0 {
 		d.hub.since = d.now
 	}
-	if d.listAt = d.now; e.Form == ListCached && float64(d.s.Balancers)*askSpread > askLeast {
+	if d.listAt = d.now; event.Form == ListCached && float64(d.s.Balancers)*askSpread > askLeast {
 		d.nextAsk = d.now + d.askBackoff() // many nodes that were killed together start together
 	}
-	d.applyRows(e)
-	if e.Form != ListCached && len(d.workers) > 0 {
+	d.applyRows(event)
+	if event.Form != ListCached && len(d.workers) > 0 {
 		d.confirmedAt = d.now
 	}
 }
@@ -1165,8 +1171,8 @@
 			d.hedge()
 		}
 	}
-	for _, j := range d.waiting {
-		d.settle(j)
+	for _, job := range d.waiting {
+		d.settle(job)
 	}
 	if len(d.waiting) > 0 {
 		d.dirty = true
@@ -1174,7 +1180,7 @@
 	}
 	d.probe()
 	d.tell()
-	if (d.peersFresh > 0 || d.telling == tellHub) && d.now >= d.peersAt {
+	if (d.peersFresh > 0 || d.telling == gossipAggregator) && d.now >= d.peersAt {
 		d.sumPeers()
 	}
 	d.logState()
@@ -1182,12 +1188,12 @@
 
 // awaitHub says whether jobs wait for what the hub tells: free slots known here are old, and others use them.
 func (d *Dispatcher) awaitHub() bool {
-	h, wait := &d.hub, d.hubWait()
-	if d.telling != tellHub || h.now == d.s.Me || d.now < max(h.deaf, h.answered+hubFresh*wait) {
+	aggregator, wait := &d.hub, d.hubWait()
+	if d.telling != gossipAggregator || aggregator.now == d.s.Me || d.now < max(aggregator.deaf, aggregator.answered+hubFresh*wait) {
 		return false
 	}
-	h.wanted = true
-	return d.now-d.arrived[0].arrived < wait
+	aggregator.wanted = true
+	return d.now-d.arrived[0].arrivedAt < wait
 }
 
 // probe asks workers for their load, about once a report period, within a number for each request.
@@ -1200,40 +1206,40 @@
 		rate = min(rate, 1000/quiet)
 	}
 	span := max(d.period*0.8, 1000*float64(len(d.workers))/(probesPerJob*max(rate, 0.5)))
-	for _, w := range d.workers {
-		if w.cond != Ready || w.probing || d.now-w.probeAt < span*w.probeTurn {
+	for _, executor := range d.workers {
+		if executor.condition != Ready || executor.checkPending || d.now-executor.checkedAt < span*executor.checkIntervalFactor {
 			continue
 		}
-		d.probeOne(w)
+		d.probeOne(executor)
 	}
 }
 
-func (d *Dispatcher) probeOne(w *worker) {
-	w.probing, w.probeAt, w.probeTurn = true, d.now, 0.8+0.4*d.random()
+func (d *Dispatcher) probeOne(executor *executor) {
+	executor.checkPending, executor.checkedAt, executor.checkIntervalFactor = true, d.now, 0.8+0.4*d.random()
 	d.probesOut++
-	d.out = append(d.out, Action{Kind: ActProbe, Worker: w.id})
+	d.out = append(d.out, Action{Kind: ActProbe, Worker: executor.id})
 }
 
 // probeFor asks, in a large fleet, some workers for each job that comes, which waits for their answers: by
 // turns each would be old when a job comes. Half are those used last, half are drawn.
-func (d *Dispatcher) probeFor(j *job) {
+func (d *Dispatcher) probeFor(job *job) {
 	if !d.s.MayProbe || d.s.Telemetry != ReportProbes || len(d.workers) <= lookAll {
 		return
 	}
 	n := 0
-	try := func(w *worker) {
-		if w != nil && w.cond == Ready && !w.probing && d.now-w.reported > d.period/2 && d.usable(w) {
-			d.probeOne(w)
+	try := func(executor *executor) {
+		if executor != nil && executor.condition == Ready && !executor.checkPending && d.now-executor.reportedAt > d.period/2 && d.usable(executor) {
+			d.probeOne(executor)
 			n++
 		}
 	}
 	for i := 0; i < len(d.usedLast) && n < probesPerJob/2; i++ {
-		if w := d.usedLast[i]; w != nil && d.warm(w) {
-			try(w)
+		if executor := d.usedLast[i]; executor != nil && d.warm(executor) {
+			try(executor)
 		}
 	}
 	for i := 0; i < 2*probesPerJob && n < probesPerJob; i++ {
 		try(d.workers[int(d.random()*float64(len(d.workers)))])
 	}
-	j.holdUntil = d.now + d.tickSpan()
+	job.holdUntil = d.now + d.tickSpan()
 }
--- a/brain/flaky_test.go
+++ b/brain/flaky_test.go
@@ -65,8 +65,8 @@
 		cold := ready(7, 0)
 		cold.Born = 100000
 		r := newRig(t, s, cold)
-		w := r.d.byID[7]
-		w.slots, r.d.kinds[0].slots = 4, 4
+		executor := r.d.byID[7]
+		executor.slots, r.d.kinds[0].slots = 4, 4
 		least := 0.0
 		for id := uint32(1); id < 60; id++ {
 			e := request(id, 0, 0, slots)
@@ -76,7 +76,7 @@
 					r.after(1, outcome(a.Job, 0, 7, Served, 4+float32(id)*1e-4))
 				}
 			}
-			least = min(least, w.coldCredit)
+			least = min(least, executor.slowStartCredit)
 		}
 		return -least
 	}
@@ -92,7 +92,7 @@
 	s := base()
 	s.Telemetry, s.MayProbe, s.TellsStart = ReportProbes, true, false
 	r := newRig(t, s, ready(1, 1))
-	w := r.d.byID[1]
+	executor := r.d.byID[1]
 	sends := 0
 	for i := range 200 { // 4 s
 		var events []Event
@@ -107,7 +107,7 @@
 			}
 		}
 	}
-	if w.fullRun < 2 || sends > 20 {
+	if executor.rejections < 2 || sends > 20 {
 		t.Errorf("%d sends in 4 s to a worker that turns all away, want 20 at most", sends)
 	}
 }
@@ -136,11 +136,11 @@
 			out = r.after(20, outcome(1, n, sends[0].Worker, o, 4+float32(n)*1e-4))
 		}
 		unsafe := &job{class: 2}
-		for _, w := range r.d.workers {
-			if d := r.d; d.now < w.fails[0].until {
+		for _, executor := range r.d.workers {
+			if d := r.d; d.now < executor.classes[0].awayUntil {
 				away++
 			}
-			odds = max(odds, r.d.lostFor(unsafe, w))
+			odds = max(odds, r.d.lostFor(unsafe, executor))
 		}
 		return away, odds
 	}
--- a/brain/health_test.go
+++ b/brain/health_test.go
@@ -7,17 +7,17 @@
 // Workers that take no new connection go on serving over open ones (ifa25c6).
 func TestFailedConnectLeavesOpenConnections(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
-	r.d.workers[0].free, r.d.workers[0].reported, r.d.workers[0].slots = 4, r.now, 4
+	r.d.workers[0].freeSlots, r.d.workers[0].reportedAt, r.d.workers[0].slots = 4, r.now, 4
 	r.step(request(1, 0, 0, 1))
 	got := r.after(10, outcome(1, 0, 7, ConnectFailed))
 	if len(find(got, ActSend, 1)) != 0 {
 		t.Error("tried a new connection at once")
 	}
-	r.d.workers[0].idle = append(r.d.workers[0].idle, r.now)
+	r.d.workers[0].idleSince = append(r.d.workers[0].idleSince, r.now)
 	if got := r.after(20, Event{Kind: EvTimer}); len(find(got, ActSend, 1)) != 1 {
 		t.Error("did not use the open connection")
 	}
-	if r.after(10, outcome(1, 1, 7, Served)); r.d.workers[0].linkFails == 0 {
+	if r.after(10, outcome(1, 1, 7, Served)); r.d.workers[0].dialFailures == 0 {
 		t.Error("a job served over an open connection says nothing of new ones")
 	}
 }
@@ -75,14 +75,14 @@
 	}
 	r.now += 60000
 	r.step()
-	if run(2, served); r.d.byID[1].fails[2].strikes != 0 || r.d.byID[1].fails[2].until != 0 {
-		t.Errorf("served again: %+v", r.d.byID[1].fails[2])
+	if run(2, served); r.d.byID[1].classes[2].consecutive != 0 || r.d.byID[1].classes[2].awayUntil != 0 {
+		t.Errorf("served again: %+v", r.d.byID[1].classes[2])
 	}
 	everywhere := func(uint32) Outcome { return Errored }
 	for range 5 {
 		run(2, everywhere)
 	}
-	if run(2, everywhere); !r.d.classes[2].failing {
+	if run(2, everywhere); !r.d.classes[2].failsEverywhere {
 		t.Error("a class that fails everywhere waits")
 	}
 }
@@ -114,9 +114,9 @@
 			}
 		}
 		r.after(1, events...)
-		w := r.d.byID[1]
-		if got := w.fails[2].until > r.now; got != x.away || w.fails[0].until > 0 {
-			t.Errorf("%s: kept away %v, want %v; another class %+v", x.name, got, x.away, w.fails[0])
+		executor := r.d.byID[1]
+		if got := executor.classes[2].awayUntil > r.now; got != x.away || executor.classes[0].awayUntil > 0 {
+			t.Errorf("%s: kept away %v, want %v; another class %+v", x.name, got, x.away, executor.classes[0])
 		}
 	}
 }
@@ -138,8 +138,8 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			r := newRig(t, base(), ready(7, 0), ready(8, 0), ready(9, 0))
-			for _, w := range r.d.workers {
-				w.free, w.reported, w.slots = 4, r.now, 4
+			for _, executor := range r.d.workers {
+				executor.freeSlots, executor.reportedAt, executor.slots = 4, r.now, 4
 			}
 			sent := find(r.step(request(1, tt.class, 0, 1)), ActSend, 1)
 			if tt.started {
@@ -148,7 +148,7 @@
 			got := 0
 			for range 30 {
 				if tt.heard { // another's answer says that the worker lives
-					r.d.byID[sent[0].Worker].heard = r.now
+					r.d.byID[sent[0].Worker].lastHeard = r.now
 				}
 				got += len(find(r.after(100, Event{Kind: EvTimer}), ActSend, 1))
 			}
@@ -173,18 +173,18 @@
 	}
 	s.MayDuplicate = false
 	r := newRig(t, s, ready(7, 0))
-	w := r.d.byID[7]
-	tell := func() { w.free, w.reported, w.slots = 4-w.own, r.now, 4 }
+	executor := r.d.byID[7]
+	tell := func() { executor.freeSlots, executor.reportedAt, executor.slots = 4-executor.ownSlots, r.now, 4 }
 	tell()
 	r.step(request(1, 0, 0, 1), request(2, 0, 0, 1), request(3, 0, 0, 1), request(4, 2, 0, 1))
 	for id := uint32(1); id <= 4; id++ {
 		r.step(Event{Kind: EvNote, Job: id, Topic: NoteStarted})
 	}
-	if w.own != 4 {
-		t.Fatalf("%v slots out, want 4", w.own)
+	if executor.ownSlots != 4 {
+		t.Fatalf("%v slots out, want 4", executor.ownSlots)
 	}
 	r.after(2600, Event{Kind: EvTimer})
-	if !w.silent {
+	if !executor.unresponsive {
 		t.Fatal("not silent after 2.6 progress periods")
 	}
 	if got := r.step(request(10, 2, 0, 1), request(11, 0, 0, 1), request(12, 0, 0, 1)); len(got) > 0 && got[0].Kind == ActSend {
@@ -202,25 +202,25 @@
 		t.Fatalf("tried %v, want one job that is safe to repeat", tried)
 	}
 	got := r.after(1, Event{Kind: EvNote, Job: tried[0], Topic: NoteStarted})
-	if w.silent || w.own < 1 || w.own > 4 || len(find(got, ActSend, 10)) != 1 {
-		t.Errorf("silent %v, %v slots out, actions %v: want it in use again", w.silent, w.own, got)
+	if executor.unresponsive || executor.ownSlots < 1 || executor.ownSlots > 4 || len(find(got, ActSend, 10)) != 1 {
+		t.Errorf("silent %v, %v slots out, actions %v: want it in use again", executor.unresponsive, executor.ownSlots, got)
 	}
-	before := w.own
+	before := executor.ownSlots
 	r.after(1, Event{Kind: EvNote, Job: 1, Topic: NoteProgress})
-	if w.own != before+1 {
-		t.Errorf("%v slots out once a lost job was heard of, want %v", w.own, before+1)
+	if executor.ownSlots != before+1 {
+		t.Errorf("%v slots out once a lost job was heard of, want %v", executor.ownSlots, before+1)
 	}
 	r.after(1, outcome(1, 0, 7, Served), outcome(2, 0, 7, TimedOut))
 	want := 0.0
-	for _, j := range w.outs {
-		for _, a := range j.attempts {
-			if !a.resolved && !a.lost {
-				want += j.slots
+	for _, job := range executor.inFlight {
+		for _, a := range job.attempts {
+			if !a.resolved && !a.writtenOff {
+				want += job.slots
 			}
 		}
 	}
-	if w.own != want {
-		t.Errorf("%v slots out, want %v", w.own, want)
+	if executor.ownSlots != want {
+		t.Errorf("%v slots out, want %v", executor.ownSlots, want)
 	}
 }
 
@@ -237,8 +237,8 @@
 			s.Classes[i].Deadline = 60000
 		}
 		r := newRig(t, s, ready(7, 0), ready(8, 0))
-		for _, w := range r.d.workers {
-			w.free, w.reported, w.slots = 4, r.now, 4
+		for _, executor := range r.d.workers {
+			executor.freeSlots, executor.reportedAt, executor.slots = 4, r.now, 4
 		}
 		r.step(request(1, 0, 0, 1), request(2, 0, 0, 1), request(3, 0, 0, 1), request(4, 0, 0, 1))
 		r.after(8000, Event{Kind: EvTimer})
--- a/brain/hub_test.go
+++ b/brain/hub_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if d.telling != tellHub {
+	if d.telling != gossipAggregator {
 		c.t.Fatalf("%d nodes tell in way %d, want by a hub", s.Balancers, d.telling)
 	}
 	c.nodes[i], c.down[i] = d, false
@@ -118,8 +118,8 @@
 // know gives all nodes the slots of all workers, as reports would with time.
 func (c *crowd) know(slots float64) {
 	for _, d := range c.nodes {
-		for _, w := range d.workers {
-			w.slots = slots
+		for _, executor := range d.workers {
+			executor.slots = slots
 		}
 		d.kinds[0].slots = slots
 	}
@@ -227,7 +227,7 @@
 	c.send(node, 300)
 	c.run(50) // before any reminder
 	held := 0.0
-	for _, x := range c.nodes[h].peers[node].out {
+	for _, x := range c.nodes[h].peers[node].loads {
 		if x.tag == c.nodes[h].tagOf(w) {
 			held = x.slots
 		}
@@ -257,7 +257,7 @@
 			}
 		}
 		for k := range d.peers {
-			if n := len(d.peers[k].out); n > mostPeerOut {
+			if n := len(d.peers[k].loads); n > mostPeerOut {
 				t.Fatalf("node %d keeps %d entries of node %d", i, n, k)
 			}
 		}
@@ -279,16 +279,16 @@
 		if i == d.hub.now {
 			continue
 		}
-		w := d.workers[30]
-		share := d.coldShare(w)
+		executor := d.workers[30]
+		share := d.coldShare(executor)
 		c.send(i, 300) // brings what the hub tells
-		if got, want := d.room(w), math.Round(4*share)-d.foreign(w)-w.own; got != want {
+		if got, want := d.room(executor), math.Round(4*share)-d.foreign(executor)-executor.ownSlots; got != want {
 			t.Errorf("node %d: room for %v more at a share of %.2f, want %v", i, got, share, want)
 		}
-		if n := w.own + d.foreign(w) + 1; n <= 4*share && d.speed(w) < d.kindSpeed(w.kind) {
+		if n := executor.ownSlots + d.foreign(executor) + 1; n <= 4*share && d.speed(executor) < d.kindSpeed(executor.kind) {
 			t.Errorf("node %d: job %v of 4 slots at a share of %.2f is taken to run slowly", i, n, share)
 		}
-		if w.coldAt == 0 {
+		if executor.slowStartCreditAt == 0 {
 			t.Errorf("node %d did not look at the cold worker", i)
 		}
 		break
@@ -449,7 +449,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.telling != tellHub {
+	if d.telling != gossipAggregator {
 		t.Errorf("told in way %d, want by a hub", d.telling)
 	}
 }
@@ -466,10 +466,10 @@
 		}
 		d := c.nodes[i]
 		d.hub.answered, d.estimateAt = d.now, 0
-		for k, w := range d.workers {
-			w.slots = 4
-			if d.hub.theirs[w.tag] = math.Floor(x.theirs); float64(k)/40 < x.theirs-math.Floor(x.theirs) {
-				d.hub.theirs[w.tag]++
+		for k, executor := range d.workers {
+			executor.slots = 4
+			if d.hub.theirs[executor.tag] = math.Floor(x.theirs); float64(k)/40 < x.theirs-math.Floor(x.theirs) {
+				d.hub.theirs[executor.tag]++
 			}
 		}
 		if d.estimate(); d.capacity < x.least || d.capacity > x.most {
@@ -490,7 +490,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	d.telling = tellHub // whatever the bound is
+	d.telling = gossipAggregator // whatever the bound is
 	d.s.Me = d.pickHub()
 	rows := fleet(200)
 	now := 100000.0
@@ -523,8 +523,8 @@
 	for _, c := range []struct {
 		nodes int
 		quota float64
-		want  telling
-	}{{4, 28, tellWhole}, {6, 28, tellWhole}, {9, 40, tellWhole}, {20, 26, tellHub}, {32, 26, tellHub}, {32, 40, tellHub}} {
+		want  gossipMode
+	}{{4, 28, gossipBroadcast}, {6, 28, gossipBroadcast}, {9, 40, gossipBroadcast}, {20, 26, gossipAggregator}, {32, 26, gossipAggregator}, {32, 40, gossipAggregator}} {
 		s := base()
 		s.Balancers, s.MayTell = c.nodes, true
 		s.Classes = s.Classes[:2]
--- a/brain/late_test.go
+++ b/brain/late_test.go
@@ -16,20 +16,20 @@
 	r := newRig(t, s, ready(7, 1), ready(8, 1), ready(9, 2))
 	tell := func(ids ...uint32) {
 		for _, id := range []uint32{7, 8, 9} {
-			w := r.d.byID[id]
-			w.free, w.reported, w.slots = 0, r.now, 4
+			executor := r.d.byID[id]
+			executor.freeSlots, executor.reportedAt, executor.slots = 0, r.now, 4
 			for _, x := range ids {
 				if x == id {
-					w.free = 4 - w.own
+					executor.freeSlots = 4 - executor.ownSlots
 				}
 			}
 		}
 	}
 	tell(7)
 	r.after(10, request(1, 1, 0, 1), request(2, 2, 0, 1))
-	w := r.d.byID[7]
-	if w.own != 2 {
-		t.Fatalf("%v slots out at the worker, want 2", w.own)
+	executor := r.d.byID[7]
+	if executor.ownSlots != 2 {
+		t.Fatalf("%v slots out at the worker, want 2", executor.ownSlots)
 	}
 	tell(7, 8, 9)
 	late := func(job uint32) Event { return Event{Kind: EvNote, Job: job, Worker: 7, Topic: NoteLate} }
@@ -43,8 +43,8 @@
 	if got := find(again, ActSend, 2); len(got) != 0 {
 		t.Errorf("the job that must not run twice was sent again: %v", got)
 	}
-	if w.own != 0 {
-		t.Errorf("%v slots out of what may never have come, want none", w.own)
+	if executor.ownSlots != 0 {
+		t.Errorf("%v slots out of what may never have come, want none", executor.ownSlots)
 	}
 	// While the worker tells of room, jobs go to the others, and none that may be lost goes there first.
 	sent := map[uint32][]uint32{}
@@ -54,7 +54,7 @@
 			class = 2
 		}
 		tell(7, 8, 9)
-		r.d.byID[8].free, r.d.byID[9].free = 1, 1 // as much room as a worker on trial has
+		r.d.byID[8].freeSlots, r.d.byID[9].freeSlots = 1, 1 // as much room as a worker on trial has
 		for _, a := range r.after(50, request(id, class, 0, 1)) {
 			if a.Kind == ActSend {
 				sent[a.Worker] = append(sent[a.Worker], a.Job)
@@ -72,13 +72,13 @@
 	}
 	r.after(10, Event{Kind: EvNote, Job: sent[7][0], Worker: 7, Topic: NoteStarted})
 	r.after(10, outcome(sent[7][0], 0, 7, Served))
-	if w.trial || r.d.now < w.lateUntil {
+	if executor.onProbation || r.d.now < executor.ackOverdueUntil {
 		t.Error("a job sent since ended well, and the worker is still kept away")
 	}
 	// The late one's result still counts: an answer, and no outcome is taken twice.
 	r.after(10, outcome(2, 0, 7, Served))
-	if r.d.jobs[2] != nil || w.own < 0 {
-		t.Errorf("job 2 is kept: %v, %v slots out", r.d.jobs[2], w.own)
+	if r.d.jobs[2] != nil || executor.ownSlots < 0 {
+		t.Errorf("job 2 is kept: %v, %v slots out", r.d.jobs[2], executor.ownSlots)
 	}
 }
 
@@ -87,29 +87,32 @@
 func TestLateConnection(t *testing.T) {
 	s := base()
 	r := newRig(t, s, ready(7, 1), ready(8, 1))
-	w := r.d.byID[7]
-	give := func() { w.free, w.reported, w.slots = 4-w.own, r.now, 4; r.d.byID[8].fullUntil = r.now + 1e6 }
+	executor := r.d.byID[7]
+	give := func() {
+		executor.freeSlots, executor.reportedAt, executor.slots = 4-executor.ownSlots, r.now, 4
+		r.d.byID[8].rejectedUntil = r.now + 1e6
+	}
 	give()
 	r.after(10, request(1, 1, 0, 1), request(2, 1, 0, 1), request(3, 1, 0, 1))
-	if w.own != 3 {
-		t.Fatalf("%v slots out, want 3", w.own)
+	if executor.ownSlots != 3 {
+		t.Fatalf("%v slots out, want 3", executor.ownSlots)
 	}
 	r.after(100, Event{Kind: EvNote, Job: 3, Worker: 7, Topic: NoteStarted})
 	r.after(400, Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteLate})
-	if r.now < w.badUntil || w.own != 2 {
-		t.Errorf("kept away until %v for one connection, %v slots out", w.badUntil, w.own)
+	if r.now < executor.ejectedUntil || executor.ownSlots != 2 {
+		t.Errorf("kept away until %v for one connection, %v slots out", executor.ejectedUntil, executor.ownSlots)
 	}
 	r.after(10, Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteLate}) // told again: nothing new
-	if r.now < w.badUntil || w.own != 2 {
+	if r.now < executor.ejectedUntil || executor.ownSlots != 2 {
 		t.Error("the same job counts twice")
 	}
 	r.after(10, Event{Kind: EvNote, Job: 2, Worker: 7, Topic: NoteLate})
-	if r.now >= w.badUntil {
+	if r.now >= executor.ejectedUntil {
 		t.Error("two late jobs, and the worker is still in use")
 	}
 	r.after(10, Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteStarted})
-	if w.own != 2 || r.d.jobs[1].attempts[0].late {
-		t.Errorf("%v slots out once a late job was heard of", w.own)
+	if executor.ownSlots != 2 || r.d.jobs[1].attempts[0].ackOverdue {
+		t.Errorf("%v slots out once a late job was heard of", executor.ownSlots)
 	}
 }
 
@@ -133,9 +136,9 @@
 			events = append(events, outcome(out[0].Job, 0, out[0].Worker, Served))
 			out = out[1:]
 		}
-		for _, w := range r.d.workers {
+		for _, executor := range r.d.workers {
 			busy := 3 + 0.3*rng.Float32()
-			r.d.report(w, []float32{busy, 8 - busy})
+			r.d.report(executor, []float32{busy, 8 - busy})
 		}
 		for _, a := range r.after(100, events...) {
 			if a.Kind == ActSend {
--- a/brain/learn.go
+++ b/brain/learn.go
@@ -7,14 +7,14 @@
 // the constants are in brain.go with the others.
 
 // report takes in a load report. One that is the same to the last digit is the same reading come again.
-func (d *Dispatcher) report(w *worker, values []float32) {
+func (d *Dispatcher) report(executor *executor, values []float32) {
 	if len(values) == 0 {
 		return
 	}
 	free, busy, pending, util, memory, service := math.NaN(), math.NaN(), math.NaN(), math.NaN(), math.NaN(), 0.0
 	sample := uint64(1)
 	for i, v := range values {
-		sample = mix(sample ^ uint64(math.Float32bits(v)))
+		sample = mix64(sample ^ uint64(math.Float32bits(v)))
 		if i >= len(d.s.Fields) {
 			break
 		}
@@ -37,14 +37,14 @@
 			service = x
 		}
 	}
-	if sample == w.sample && (w.own > 0 || d.now-w.reported < d.period) {
+	if sample == executor.sampleHash && (executor.ownSlots > 0 || d.now-executor.reportedAt < d.period) {
 		return // while nothing of ours is there, an idle worker may well report the same again
 	}
-	if service > 0 && d.coldShare(w) == 1 && w.time*d.meanSpeed() < speedShrink*d.classes[0].work {
+	if service > 0 && d.coldShare(executor) == 1 && executor.time*d.meanSpeed() < speedShrink*d.classes[0].work {
 		// Told without the wait: of a worker that always queues, and of one seldom used, our own runs tell little.
-		d.clocked(w, d.classes[0].work, service)
+		d.clocked(executor, d.classes[0].work, service)
 	}
-	slots := max(softStart, math.Round(w.slots), math.Round(d.kinds[w.kind].slots))
+	slots := max(softStart, math.Round(executor.slots), math.Round(d.kinds[executor.kind].slots))
 	width, told := d.classes[0].slots, free
 	if math.IsNaN(free) {
 		switch {
@@ -65,16 +65,16 @@
 			free = -pending * width
 		}
 	}
-	if w.reported > 0 && sample != w.sample {
-		gap := d.now - w.reported
+	if executor.reportedAt > 0 && sample != executor.sampleHash {
+		gap := d.now - executor.reportedAt
 		pull := 0.02
 		if gap < d.period {
 			pull = 0.1
 		}
 		d.period = max(d.period+(min(gap, 10*d.period)-d.period)*pull, d.s.Step, 1)
 	}
-	w.sample, w.reported = sample, d.now
-	d.heardLast.add(w)
+	executor.sampleHash, executor.reportedAt = sample, d.now
+	d.heardLast.add(executor)
 	held := busy
 	if math.IsNaN(busy) {
 		if math.IsNaN(told) {
@@ -82,22 +82,22 @@
 		}
 		held = max(0, slots-told)
 	}
-	d.learnAge(w, held, math.IsNaN(busy))
+	d.learnAge(executor, held, math.IsNaN(busy))
 	taken := d.now - d.age
-	w.free, w.memory, w.tellsMemory = free, memory, !math.IsNaN(memory)
-	for _, j := range w.outs {
-		for i := range j.attempts {
-			if a := &j.attempts[i]; a.w == w && !a.resolved {
-				if a.sent > taken {
-					w.free -= j.slots
-					w.memory -= j.memory
+	executor.freeSlots, executor.freeMemory, executor.reportsMemory = free, memory, !math.IsNaN(memory)
+	for _, job := range executor.inFlight {
+		for i := range job.attempts {
+			if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved {
+				if attempt.sentAt > taken {
+					executor.freeSlots -= job.slots
+					executor.freeMemory -= job.memory
 				}
 			}
 		}
 	}
-	for _, x := range w.ended {
-		if x.at > taken {
-			w.free += x.slots
+	for _, x := range executor.endedAttempts {
+		if x.endedAt > taken {
+			executor.freeSlots += x.slots
 		}
 	}
 	// With room for the widest job nothing is queued, and all that is held runs. Noise asks for a slow rise.
@@ -105,22 +105,22 @@
 	if free >= d.widest-0.5 && busy > 0 {
 		most += busy
 	}
-	if w.slots == 0 {
-		w.slots = max(0, math.Round(most))
-	} else if most > w.slots {
-		w.slots += (most - w.slots) * 0.3
+	if executor.slots == 0 {
+		executor.slots = max(0, math.Round(most))
+	} else if most > executor.slots {
+		executor.slots += (most - executor.slots) * 0.3
 	}
-	d.kinds[w.kind].slots = max(d.kinds[w.kind].slots, w.slots)
-	w.free = min(w.free, max(slots, w.slots)-w.own)
-	theirs := max(0, w.slots-w.own-w.free) / max(w.slots, 1)
+	d.kinds[executor.kind].slots = max(d.kinds[executor.kind].slots, executor.slots)
+	executor.freeSlots = min(executor.freeSlots, max(slots, executor.slots)-executor.ownSlots)
+	theirs := max(0, executor.slots-executor.ownSlots-executor.freeSlots) / max(executor.slots, 1)
 	d.occupied += (theirs - d.occupied) * 0.02
-	g, fade := w.group, max(0, 1-(d.now-w.group.at)/d.usualFor())
-	g.sum, g.n, g.at = g.sum*fade+theirs, g.n*fade+1, d.now
+	group, fade := executor.group, max(0, 1-(d.now-executor.group.updatedAt)/d.usualFor())
+	group.occupancySum, group.samples, group.updatedAt = group.occupancySum*fade+theirs, group.samples*fade+1, d.now
 	d.heardAt = d.now
 	// Room that a report tells ends a wait after one 'full', which a late report may have led to. A worker that turns
 	// away the next as well, beside free slots, drains and was not listed so yet: it is left alone for as long as ever.
-	if w.free >= 1 && w.fullRun < 2 {
-		w.fullUntil = 0
+	if executor.freeSlots >= 1 && executor.rejections < 2 {
+		executor.rejectedUntil = 0
 	}
 	d.dirty = true
 }
@@ -128,34 +128,34 @@
 // relaxed is a worker's free slots, with what others have there drawn from the report to the fleet's mean as
 // the report ages against a job's run. Where reports are older than jobs are long, each says who was idle and
 // not who is: all nodes storm the roomiest and shun the full, turn about.
-func (d *Dispatcher) relaxed(w *worker) float64 {
-	if d.s.Balancers < 2 || w.slots == 0 {
-		return w.free
+func (d *Dispatcher) relaxed(executor *executor) float64 {
+	if d.s.Balancers < 2 || executor.slots == 0 {
+		return executor.freeSlots
 	}
-	x := relax * (d.now - w.reported + d.age) / d.run
+	x := relax * (d.now - executor.reportedAt + d.age) / d.run
 	keep := 1 / (1 + x + x*x/2)
-	foreign, usual := w.slots-w.own-w.free, d.usual(w)*w.slots
-	return w.slots - w.own - usual - (foreign-usual)*keep + relaxHope*(1-keep)
+	foreign, usual := executor.slots-executor.ownSlots-executor.freeSlots, d.usual(executor)*executor.slots
+	return executor.slots - executor.ownSlots - usual - (foreign-usual)*keep + relaxHope*(1-keep)
 }
 
 // usual is the part of a worker's slots that others hold, as reports of its kind in its zone tell, drawn to
 // the fleet's while they are few. It can be over 1 where jobs are queued.
-func (d *Dispatcher) usual(w *worker) float64 {
+func (d *Dispatcher) usual(executor *executor) float64 {
 	if len(d.workers) <= lookAll {
 		return d.occupied // too few of a kind in a zone for a mean of their own
 	}
-	g := w.group
-	keep := max(0, 1-(d.now-g.at)/d.usualFor())
-	return (g.sum*keep + usualShrink*d.occupied) / (g.n*keep + usualShrink)
+	group := executor.group
+	keep := max(0, 1-(d.now-group.updatedAt)/d.usualFor())
+	return (group.occupancySum*keep + usualShrink*d.occupied) / (group.samples*keep + usualShrink)
 }
 
 func (d *Dispatcher) usualFor() float64 { return usualPeriods * d.period }
 
 // slotsOf is how many slots a worker has, as reports showed, 0 if none did. Where the hub tells what others have out it is
 // then as many as a first trial takes: else each of many nodes tries every worker of a kind that it has not met.
-func (d *Dispatcher) slotsOf(w *worker) float64 {
-	n := max(w.slots, d.kinds[w.kind].slots)
-	if n == 0 && d.telling == tellHub {
+func (d *Dispatcher) slotsOf(executor *executor) float64 {
+	n := max(executor.slots, d.kinds[executor.kind].slots)
+	if n == 0 && d.telling == gossipAggregator {
 		return softStart
 	}
 	return n
@@ -194,32 +194,32 @@
 }
 
 // clock learns speed from a served attempt.
-func (d *Dispatcher) clock(j *job, a *attempt) {
-	if d.coldShare(a.w) < 1 {
+func (d *Dispatcher) clock(job *job, attempt *attempt) {
+	if d.coldShare(attempt.executor) < 1 {
 		return
 	}
-	from := a.started
+	from := attempt.startedAt
 	if from == 0 {
-		if d.s.TellsStart || !a.hadRoom {
+		if d.s.TellsStart || !attempt.hadFreeSlots {
 			return // the wait cannot be told from the run
 		}
-		from = a.sent
+		from = attempt.sentAt
 	}
 	span := max(d.now-from, 0.1)
-	d.held += (j.slots*span - d.held) * 0.02
-	d.run += (j.slots*span*span/max(d.held, 1) - d.run) * 0.02
-	st := &d.classes[j.class]
-	if j.work == st.work { // no hint: the class's mean stands for the work
-		st.work += (span*d.meanSpeed() - st.work) * 0.02
+	d.held += (job.slots*span - d.held) * 0.02
+	d.run += (job.slots*span*span/max(d.held, 1) - d.run) * 0.02
+	stats := &d.classes[job.class]
+	if job.work == stats.work { // no hint: the class's mean stands for the work
+		stats.work += (span*d.meanSpeed() - stats.work) * 0.02
 	}
-	d.clocked(a.w, j.work, span)
+	d.clocked(attempt.executor, job.work, span)
 }
 
 // clocked takes in that a worker did some work in some time.
-func (d *Dispatcher) clocked(w *worker, work, span float64) {
-	k := &d.kinds[w.kind]
-	w.work, w.time = w.work*speedKeep+work, w.time*speedKeep+span
-	k.work, k.time = k.work*speedKeep+work, k.time*speedKeep+span
+func (d *Dispatcher) clocked(executor *executor, work, span float64) {
+	kind := &d.kinds[executor.kind]
+	executor.work, executor.time = executor.work*speedKeep+work, executor.time*speedKeep+span
+	kind.work, kind.time = kind.work*speedKeep+work, kind.time*speedKeep+span
 	d.all.work, d.all.time = d.all.work*speedKeep+work, d.all.time*speedKeep+span
 }
 
@@ -229,17 +229,17 @@
 }
 
 func (d *Dispatcher) kindSpeed(kind int) float64 {
-	k, mean := &d.kinds[kind], d.classes[0].work
-	return (k.work + mean*d.meanSpeed()) / (k.time + mean)
+	stats, mean := &d.kinds[kind], d.classes[0].work
+	return (stats.work + mean*d.meanSpeed()) / (stats.time + mean)
 }
 
 // speed is a worker's own, drawn to its kind's while little is known, and less while it is cold: it then has a part
 // of its capacity, which few jobs do not use up.
-func (d *Dispatcher) speed(w *worker) float64 {
+func (d *Dispatcher) speed(executor *executor) float64 {
 	mean := speedShrink * d.classes[0].work
-	speed, cold := (w.work+mean*d.kindSpeed(w.kind))/(w.time+mean), d.coldShare(w)
+	speed, cold := (executor.work+mean*d.kindSpeed(executor.kind))/(executor.time+mean), d.coldShare(executor)
 	if cold < 1 && d.peersKnown() {
-		cold = min(1, cold*max(1, w.slots, d.kinds[w.kind].slots)/(w.own+d.foreign(w)+1))
+		cold = min(1, cold*max(1, executor.slots, d.kinds[executor.kind].slots)/(executor.ownSlots+d.foreign(executor)+1))
 	}
 	return speed * cold
 }
@@ -249,91 +249,91 @@
 // tells of free slots. So classes are told apart. One 'full' beside free slots can come of a late report.
 // A job that errs at a second worker too may be one that errs wherever it goes: then the first is not to blame either,
 // or one bad request that may be tried six times puts its class out at six workers. It was theirs if a third serves it.
-func (d *Dispatcher) fared(j *job, w *worker, e *Event) {
-	f, a, erred := &w.fails[j.class], &j.attempts[e.Attempt], 0
-	for i := range j.attempts {
-		if j.attempts[i].erred {
+func (d *Dispatcher) fared(job *job, executor *executor, event *Event) {
+	f, attempt, erred := &executor.classes[job.class], &job.attempts[event.Attempt], 0
+	for i := range job.attempts {
+		if job.attempts[i].errored {
 			erred++
 		}
 	}
 	switch {
-	case e.Outcome == Served:
-		f.all.add(d, false)
-		w.all.add(d, false)
-		if a.sent >= f.at { // else it shows nothing of what came since
-			f.strikes, f.until = 0, 0
+	case event.Outcome == Served:
+		f.errors.add(d, false)
+		executor.errors.add(d, false)
+		if attempt.sentAt >= f.failedAt { // else it shows nothing of what came since
+			f.consecutive, f.awayUntil = 0, 0
 		}
-		for i := range j.attempts {
-			if erred > 1 && j.attempts[i].erred {
-				d.blame(j.attempts[i].w, j.class, Errored)
+		for i := range job.attempts {
+			if erred > 1 && job.attempts[i].errored {
+				d.blame(job.attempts[i].executor, job.class, Errored)
 			}
 		}
-	case e.Outcome == Errored:
-		a.erred = true
+	case event.Outcome == Errored:
+		attempt.errored = true
 		if erred == 0 {
-			d.blame(w, j.class, Errored)
+			d.blame(executor, job.class, Errored)
 		} else if erred == 1 {
-			for i := range j.attempts {
-				if x := &j.attempts[i]; x.erred && x != a {
-					x.w.fails[j.class].lift(d)
-					x.w.all.lift(d)
+			for i := range job.attempts {
+				if x := &job.attempts[i]; x.errored && x != attempt {
+					x.executor.classes[job.class].takeBack(d)
+					x.executor.errors.takeBack(d)
 				}
 			}
 		}
-	case e.Outcome == Full && d.tellsRoom(e.Report, j.slots):
-		d.blame(w, j.class, Full)
+	case event.Outcome == Full && d.tellsRoom(event.Report, job.slots):
+		d.blame(executor, job.class, Full)
 	}
 }
 
 // lift takes one error back.
-func (f *failing) lift(d *Dispatcher) {
-	f.all.lift(d)
-	if f.strikes = max(0, f.strikes-1); f.strikes == 0 {
-		f.until = 0
+func (f *classFailures) takeBack(d *Dispatcher) {
+	f.errors.takeBack(d)
+	if f.consecutive = max(0, f.consecutive-1); f.consecutive == 0 {
+		f.awayUntil = 0
 	}
 }
 
 // blame holds a job's end against a worker, for its class.
-func (d *Dispatcher) blame(w *worker, class int, o Outcome) {
-	f := &w.fails[class]
+func (d *Dispatcher) blame(executor *executor, class int, o Outcome) {
+	f := &executor.classes[class]
 	if o == Errored {
-		f.all.add(d, true)
-		w.all.add(d, true)
+		f.errors.add(d, true)
+		executor.errors.add(d, true)
 	}
-	if d.now < f.until {
+	if d.now < f.awayUntil {
 		return // it was sent before the last one failed
 	}
-	f.strikes++
-	f.at = d.now
-	if o == Full && f.strikes == 1 {
+	f.consecutive++
+	f.failedAt = d.now
+	if o == Full && f.consecutive == 1 {
 		return
 	}
 	base := classAway * max(d.s.ConnectTimeout, d.s.Step)
-	f.until = d.now + base*float64(int(1)<<min(f.strikes-1, ejectMost))*(0.75+0.5*d.random())
-	d.find(w, firstMark+class)
-	d.log("class %d fails at worker %d, kept away until %.0f", class, w.id, f.until)
+	f.awayUntil = d.now + base*float64(int(1)<<min(f.consecutive-1, ejectMost))*(0.75+0.5*d.random())
+	d.find(executor, firstMark+class)
+	d.log("class %d fails at worker %d, kept away until %.0f", class, executor.id, f.awayUntil)
 }
 
 // tally counts jobs that ended and those of them that erred, and forgets.
-type tally struct{ n, errs, at float64 }
+type errorTally struct{ total, errors, updatedAt float64 }
 
 // now is a tally as faded by now.
-func (t *tally) now(d *Dispatcher) (n, errs float64) {
-	f := math.Exp((t.at - d.now) / (flakyFor * max(d.s.ConnectTimeout, d.s.Step)))
-	return t.n * f, t.errs * f
+func (t *errorTally) faded(d *Dispatcher) (n, errs float64) {
+	f := math.Exp((t.updatedAt - d.now) / (flakyFor * max(d.s.ConnectTimeout, d.s.Step)))
+	return t.total * f, t.errors * f
 }
 
 // lift takes an error back.
-func (t *tally) lift(d *Dispatcher) {
-	n, errs := t.now(d)
-	t.n, t.errs, t.at = max(0, n-1), max(0, errs-1), d.now
+func (t *errorTally) takeBack(d *Dispatcher) {
+	n, errs := t.faded(d)
+	t.total, t.errors, t.updatedAt = max(0, n-1), max(0, errs-1), d.now
 }
 
-func (t *tally) add(d *Dispatcher, erred bool) {
-	t.n, t.errs = t.now(d)
-	t.n++
-	if t.at = d.now; erred {
-		t.errs++
+func (t *errorTally) add(d *Dispatcher, erred bool) {
+	t.total, t.errors = t.faded(d)
+	t.total++
+	if t.updatedAt = d.now; erred {
+		t.errors++
 	}
 }
 
@@ -342,12 +342,12 @@
 // are, and serve the next: an error kept away its class alone, until the next success, so that each class in turn lost
 // jobs there that can not be repeated, and lost them again. What other classes fared there counts until a class has
 // fared often enough itself.
-func (d *Dispatcher) lostFor(j *job, w *worker) float64 {
-	all, errs := w.all.now(d)
-	if errs < 0.01 || d.s.Classes[j.class].Effect != Unsafe || d.panicking || d.classes[j.class].failing {
+func (d *Dispatcher) lostFor(job *job, executor *executor) float64 {
+	all, errs := executor.errors.faded(d)
+	if errs < 0.01 || d.s.Classes[job.class].Effect != Unsafe || d.panicking || d.classes[job.class].failsEverywhere {
 		return 0
 	}
-	own, ownErrs := w.fails[j.class].all.now(d)
+	own, ownErrs := executor.classes[job.class].errors.faded(d)
 	return (ownErrs + flakyPrior*errs/(all+flakyPrior)) / (own + flakyPrior)
 }
 
@@ -367,25 +367,25 @@
 }
 
 // fails says whether a job's class failed at a worker lately, and not nearly everywhere.
-func (d *Dispatcher) fails(j *job, w *worker) bool {
-	return d.failing(w, j.class) && !d.classes[j.class].failing
+func (d *Dispatcher) fails(job *job, executor *executor) bool {
+	return d.failing(executor, job.class) && !d.classes[job.class].failsEverywhere
 }
 
 // failing says whether a class failed at a worker lately, here or as other nodes found.
-func (d *Dispatcher) failing(w *worker, class int) bool {
-	return d.now < w.fails[class].until || d.marked(w, firstMark+class)
+func (d *Dispatcher) failing(executor *executor, class int) bool {
+	return d.now < executor.classes[class].awayUntil || d.marked(executor, firstMark+class)
 }
 
 // sumFails finds the classes that fail at so many workers that it does not help to keep them away.
 func (d *Dispatcher) sumFails() {
 	for c := range d.classes {
 		n := 0
-		for _, w := range d.workers {
-			if d.failing(w, c) {
+		for _, executor := range d.workers {
+			if d.failing(executor, c) {
 				n++
 			}
 		}
-		d.classes[c].failing = float64(n) > panicShare*float64(len(d.workers))
+		d.classes[c].failsEverywhere = float64(n) > panicShare*float64(len(d.workers))
 	}
 }
 
@@ -403,7 +403,7 @@
 // without any sign of it: all nodes then fill workers that were idle seconds ago and shun those that were full
 // (iacbb5d). What a worker told to hold goes up and down with our own jobs there, as they were when the report
 // was taken; so of some ages, the one at which held less our own scatters least is the age.
-func (d *Dispatcher) learnAge(w *worker, held float64, inSlots bool) {
+func (d *Dispatcher) learnAge(executor *executor, held float64, inSlots bool) {
 	d.ageCount++
 	pull := max(1-ageKeep, 1/d.ageCount)
 	least, best := math.Inf(1), 0
@@ -417,15 +417,15 @@
 				ours++
 			}
 		}
-		for _, j := range w.outs {
-			for i := range j.attempts {
-				if a := &j.attempts[i]; a.w == w && !a.resolved && a.sent <= at {
-					add(j.slots)
+		for _, job := range executor.inFlight {
+			for i := range job.attempts {
+				if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && attempt.sentAt <= at {
+					add(job.slots)
 				}
 			}
 		}
-		for _, x := range w.ended {
-			if x.sent <= at && x.at > at {
+		for _, x := range executor.endedAttempts {
+			if x.sentAt <= at && x.endedAt > at {
 				add(x.slots)
 			}
 		}
--- a/brain/list_test.go
+++ b/brain/list_test.go
@@ -17,7 +17,7 @@
 		s.Balancers, s.MayTell = 60, true
 		first := fleet(300)
 		changes, sorted := newRig(t, s, first...), newRig(t, s, first...)
-		if changes.d.telling != tellHub {
+		if changes.d.telling != gossipAggregator {
 			t.Fatal("names of 16 bits: few workers share one")
 		}
 		rows := map[uint32]Row{}
@@ -83,8 +83,8 @@
 // listDiffers says in what two dispatchers hold different lists, "" if in nothing.
 func listDiffers(a, b *Dispatcher) string {
 	ids := func(d *Dispatcher) (ids []uint32) {
-		for _, w := range d.workers {
-			ids = append(ids, w.id)
+		for _, executor := range d.workers {
+			ids = append(ids, executor.id)
 		}
 		return ids
 	}
@@ -97,8 +97,8 @@
 	}
 	names := func(d *Dispatcher) map[uint16]uint32 {
 		names := map[uint16]uint32{}
-		for tag, w := range d.byTag {
-			names[tag] = w.id
+		for tag, executor := range d.byTag {
+			names[tag] = executor.id
 		}
 		return names
 	}
--- a/brain/peers.go
+++ b/brain/peers.go
@@ -38,12 +38,12 @@
 )
 
 // telling says how a node tells the others what it has out; all judge alike, by the settings.
-type telling uint8
+type gossipMode uint8
 
 const (
-	tellNothing telling = iota
-	tellWhole           // all of it, to all, now and then
-	tellHub             // each change, to the hub
+	gossipNone       gossipMode = iota
+	gossipBroadcast             // all of it, to all, now and then
+	gossipAggregator            // each change, to the hub
 )
 
 // Kinds of messages to and from a hub, in the upper bits of the head. The lower ones of an answer tell one life of the
@@ -69,74 +69,74 @@
 
 // peer is what another node told to have out.
 type peer struct {
-	at      float64 // when it told all, where all is told
-	fresh   bool    // counted in what all have out
-	out     []peerOut
-	until   float64 // suspected as a hub until then, for the time after
-	strikes int     // as many times running
+	heardAt        float64 // when it told all, where all is told
+	fresh          bool    // counted in what all have out
+	loads          []peerLoad
+	suspectedUntil float64 // suspected as a hub until then, for the time after
+	timeouts       int     // as many times running
 }
 
-type peerOut struct {
-	tag   uint16
-	slots float64
-	at    float64
+type peerLoad struct {
+	tag     uint16
+	slots   float64
+	heardAt float64
 }
 
 // hub is what a node that tells a hub knows of it.
-type hub struct {
-	order    []int              // of all nodes, the first hub first
-	now      int                // who it is, -1 before the first
-	life     int                // which of its lives answered, -1 for none
-	whole    bool               // it is to be told all
-	wanted   bool               // its answer is
-	asked    float64            // since when one is out, 0 for none
-	misses   int                // answers that did not come, running
-	answered float64            // when the last came
-	deaf     float64            // until when it is not asked, for it does not know yet
-	theirs   map[uint16]float64 // what the other nodes have out, by tag, as the hub answered
-	sums     map[uint16]float64 // likewise as they told us, where they take us for the hub
-	told     []*worker          // those of which the hub holds that we have slots there
-	scratch  []uint32           // of an answer
-	since    float64            // the start of this life
-	nonce    uint8              // of this life
-	found    []uint16           // marks that the hub is still to be told
-	away     map[uint16]bool    // marks that hold, as the hub answered
-	marks    map[uint16]*mark   // likewise as we hold them as the hub
+type aggregatorState struct {
+	order    []int                  // of all nodes, the first hub first
+	now      int                    // who it is, -1 before the first
+	life     int                    // which of its lives answered, -1 for none
+	whole    bool                   // it is to be told all
+	wanted   bool                   // its answer is
+	asked    float64                // since when one is out, 0 for none
+	misses   int                    // answers that did not come, running
+	answered float64                // when the last came
+	deaf     float64                // until when it is not asked, for it does not know yet
+	theirs   map[uint16]float64     // what the other nodes have out, by tag, as the hub answered
+	sums     map[uint16]float64     // likewise as they told us, where they take us for the hub
+	told     []*executor            // those of which the hub holds that we have slots there
+	scratch  []uint32               // of an answer
+	since    float64                // the start of this life
+	nonce    uint8                  // of this life
+	found    []uint16               // marks that the hub is still to be told
+	away     map[uint16]bool        // marks that hold, as the hub answered
+	marks    map[uint16]*quarantine // likewise as we hold them as the hub
 }
 
 // mark keeps a worker, or a class there, away from all nodes for a while, longer each time it is found again. 80 nodes
 // that find it out each for itself lose 80 jobs for it.
-type mark struct {
-	until   float64
-	strikes int
+type quarantine struct {
+	until       float64
+	consecutive int
 }
 
 // howToTell says what the other nodes are told: all, now and then; or, where nodes are so many that the bytes allow
 // that less often than a load report is old when it comes, a hub, unless it would have too much to do; or nothing.
-func (d *Dispatcher) howToTell() telling {
+func (d *Dispatcher) howToTell() gossipMode {
 	nodes := float64(d.s.Balancers)
 	each := max(d.quota/nodes, 1)
 	usual := 3 * (each*d.held/1000 + 1) * (nodes - 1)
 	switch {
 	case !d.s.MayTell || nodes < 2:
 	case 1000*usual/(tellBytes*each) <= d.age:
-		return tellWhole
+		return gossipBroadcast
 	case each*nodes <= hubMost:
-		return tellHub
+		return gossipAggregator
 	}
-	return tellNothing
+	return gossipNone
 }
 
 // tell sends the other nodes our slots out at each worker, about twice a report period, within a number of
 // bytes for each request.
 func (d *Dispatcher) tell() {
-	if d.telling != tellWhole || d.now < d.tellAt {
+	if d.telling != gossipBroadcast || d.now < d.tellAt {
 		return
 	}
 	var data []byte
-	for _, w := range d.busy {
-		if n := math.Round(w.own); n > 0 && len(data)+3 <= 255 {
-			data = append(data, byte(w.tag>>8), byte(w.tag), byte(min(n, 255)))
+	for _, executor := range d.busy {
+		if n := math.Round(executor.ownSlots); n > 0 && len(data)+3 <= 255 {
+			data = append(data, byte(executor.tag>>8), byte(executor.tag), byte(min(n, 255)))
 		}
 	}
 	d.out = append(d.out, Action{Kind: ActTell, To: AllPeers, Data: data})
@@ -146,19 +146,19 @@
 
 // startHub orders the hubs, alike at all nodes.
 func (d *Dispatcher) startHub() {
-	d.hub = hub{now: -1, life: -1, theirs: map[uint16]float64{}, sums: map[uint16]float64{},
-		away: map[uint16]bool{}, marks: map[uint16]*mark{}, order: make([]int, d.s.Balancers),
-		since: math.Inf(-1), nonce: 1 + uint8(mix(d.rng)%(hubKinds^0xff))}
+	d.hub = aggregatorState{now: -1, life: -1, theirs: map[uint16]float64{}, sums: map[uint16]float64{},
+		away: map[uint16]bool{}, marks: map[uint16]*quarantine{}, order: make([]int, d.s.Balancers),
+		since: math.Inf(-1), nonce: 1 + uint8(mix64(d.rng)%(hubKinds^0xff))}
 	for i := range d.hub.order {
 		d.hub.order[i] = i
 	}
-	slices.SortFunc(d.hub.order, func(a, b int) int { return cmp.Compare(mix(uint64(a)+1), mix(uint64(b)+1)) })
+	slices.SortFunc(d.hub.order, func(a, b int) int { return cmp.Compare(mix64(uint64(a)+1), mix64(uint64(b)+1)) })
 }
 
 // tagOf names a worker in messages: the same at all nodes.
 func (d *Dispatcher) tagOf(id uint32) uint16 {
-	tag := uint16(mix(uint64(id)))
-	if d.telling == tellHub {
+	tag := uint16(mix64(uint64(id)))
+	if d.telling == gossipAggregator {
 		tag &^= lowBits
 	}
 	return tag
@@ -167,7 +167,7 @@
 // pickHub gives the first hub that is not suspected.
 func (d *Dispatcher) pickHub() int {
 	for _, i := range d.hub.order {
-		if d.now >= d.peers[i].until {
+		if d.now >= d.peers[i].suspectedUntil {
 			return i
 		}
 	}
@@ -176,84 +176,84 @@
 
 // tellHub tells the hub what has changed, and asks it if its answer is wanted.
 func (d *Dispatcher) tellHub() {
-	h := &d.hub
-	if now := d.pickHub(); now != h.now {
-		h.now, h.life, h.whole, h.misses, h.asked, h.deaf = now, -1, true, 0, 0, 0
+	aggregator := &d.hub
+	if now := d.pickHub(); now != aggregator.now {
+		aggregator.now, aggregator.life, aggregator.whole, aggregator.misses, aggregator.asked, aggregator.deaf = now, -1, true, 0, 0, 0
 	}
-	if h.now == d.s.Me {
+	if aggregator.now == d.s.Me {
 		return
 	}
-	if h.asked > 0 && d.now-h.asked > d.hubWait() {
-		if h.asked, h.misses = 0, h.misses+1; h.misses >= hubMisses {
-			p := &d.peers[h.now]
-			p.until = d.now + hubAway*d.hubWait()*float64(int(1)<<min(p.strikes, ejectMost))*(0.75+0.5*d.random())
-			p.strikes++
-			d.log("node %d does not answer as the hub", h.now)
+	if aggregator.asked > 0 && d.now-aggregator.asked > d.hubWait() {
+		if aggregator.asked, aggregator.misses = 0, aggregator.misses+1; aggregator.misses >= hubMisses {
+			peer := &d.peers[aggregator.now]
+			peer.suspectedUntil = d.now + hubAway*d.hubWait()*float64(int(1)<<min(peer.timeouts, ejectMost))*(0.75+0.5*d.random())
+			peer.timeouts++
+			d.log("node %d does not answer as the hub", aggregator.now)
 			return
 		}
 	}
-	mayAsk, kind := h.asked == 0 && d.now >= h.deaf, byte(hubChange)
-	if h.wanted && mayAsk {
+	mayAsk, kind := aggregator.asked == 0 && d.now >= aggregator.deaf, byte(hubChange)
+	if aggregator.wanted && mayAsk {
 		kind = hubAsk
 	}
-	if h.whole {
-		for _, w := range h.told {
-			w.told = 0
+	if aggregator.whole {
+		for _, executor := range aggregator.told {
+			executor.notifiedSlots = 0
 		}
-		h.told = h.told[:0]
+		aggregator.told = aggregator.told[:0]
 	}
 	data := []byte{kind}
-	for _, x := range h.found {
+	for _, x := range aggregator.found {
 		data = binary.BigEndian.AppendUint16(data, x)
 	}
-	h.found = h.found[:0]
+	aggregator.found = aggregator.found[:0]
 	data = d.changes(data)
 	if len(data) == 1 && kind == hubChange {
 		return
 	}
-	if h.whole && mayAsk {
+	if aggregator.whole && mayAsk {
 		kind = hubWhole
 	}
 	if data[0] = kind; kind != hubChange {
-		h.asked, h.wanted = d.now, false
+		aggregator.asked, aggregator.wanted = d.now, false
 	}
-	d.out = append(d.out, Action{Kind: ActTell, To: uint16(h.now), Data: data})
+	d.out = append(d.out, Action{Kind: ActTell, To: uint16(aggregator.now), Data: data})
 }
 
 // changes appends what has changed since the hub was told, and what it is to be reminded of.
 func (d *Dispatcher) changes(data []byte) []byte {
-	tell := func(w *worker) {
-		n := min(math.Round(w.own+d.hidden(w)), mostTold)
-		if n == w.told && (n == 0 || d.now-w.toldAt < d.reminder()) || len(data) > 2*mostEntries-1 {
+	tell := func(executor *executor) {
+		n := min(math.Round(executor.ownSlots+d.hidden(executor)), mostTold)
+		if n == executor.notifiedSlots && (n == 0 || d.now-executor.notifiedAt < d.reminder()) || len(data) > 2*mostEntries-1 {
 			return
 		}
-		if w.told == 0 {
-			d.hub.told = append(d.hub.told, w)
+		if executor.notifiedSlots == 0 {
+			d.hub.told = append(d.hub.told, executor)
 		}
-		data = binary.BigEndian.AppendUint16(data, w.tag|uint16(n))
-		w.told, w.toldAt = n, d.now
+		data = binary.BigEndian.AppendUint16(data, executor.tag|uint16(n))
+		executor.notifiedSlots, executor.notifiedAt = n, d.now
 	}
-	for _, w := range d.busy {
-		tell(w)
+	for _, executor := range d.busy {
+		tell(executor)
 	}
-	for _, w := range d.hub.told {
-		tell(w)
+	for _, executor := range d.hub.told {
+		tell(executor)
 	}
-	d.hub.told = slices.DeleteFunc(d.hub.told, func(w *worker) bool { return w.told == 0 })
+	d.hub.told = slices.DeleteFunc(d.hub.told, func(executor *executor) bool { return executor.notifiedSlots == 0 })
 	return data
 }
 
 // hidden is what others hold at a worker that no message told of: a job of ours that is not started though there should
 // be room shows it, and it is taken to end over a run. Nodes that were killed, and hubs, leave such jobs behind, and to
 // tell of them spares every other node the same wait.
-func (d *Dispatcher) hidden(w *worker) float64 {
-	if d.s.TellsStart && w.waits > 0 && d.now-w.waitsFrom > d.startLag() {
-		n := d.slotsOf(w) * d.coldShare(w)
-		if full := n - w.own - d.foreign(w); full >= w.hidden {
-			w.hidden, w.hiddenAt = full, d.now
+func (d *Dispatcher) hidden(executor *executor) float64 {
+	if d.s.TellsStart && executor.unstarted > 0 && d.now-executor.oldestUnstarted > d.startLag() {
+		n := d.slotsOf(executor) * d.coldShare(executor)
+		if full := n - executor.ownSlots - d.foreign(executor); full >= executor.hiddenSlots {
+			executor.hiddenSlots, executor.hiddenAt = full, d.now
 		}
 	}
-	return max(0, w.hidden*(1-(d.now-w.hiddenAt)/d.run))
+	return max(0, executor.hiddenSlots*(1-(d.now-executor.hiddenAt)/d.run))
 }
 
 // reminder is after how long what is still out is told again. What is told lapses after twice that.
@@ -263,14 +263,14 @@
 func (d *Dispatcher) hubWait() float64 { return max(hubWaits*d.s.ConnectTimeout, d.s.Step) }
 
 // heardHub takes in a message to or from a hub.
-func (d *Dispatcher) heardHub(p *peer, e *Event) {
-	if len(e.Data) == 0 {
+func (d *Dispatcher) heardHub(peer *peer, event *Event) {
+	if len(event.Data) == 0 {
 		return
 	}
-	h, head := &d.hub, e.Data[0]
+	aggregator, head := &d.hub, event.Data[0]
 	each := func(take func(tag uint16, slots float64), mark func(uint16)) {
-		for i := 1; i+2 <= len(e.Data); i += 2 {
-			x := binary.BigEndian.Uint16(e.Data[i:])
+		for i := 1; i+2 <= len(event.Data); i += 2 {
+			x := binary.BigEndian.Uint16(event.Data[i:])
 			if x&lowBits >= firstMark {
 				mark(x)
 			} else {
@@ -279,33 +279,33 @@
 		}
 	}
 	if head&hubKinds == hubAnswer {
-		if int(e.From) != h.now || h.asked == 0 {
+		if int(event.From) != aggregator.now || aggregator.asked == 0 {
 			return // of one that is not asked any more
 		}
 		life := int(head &^ hubKinds)
-		h.whole = h.life >= 0 && life != h.life // it has begun anew, and knows nothing of us
-		h.life, h.asked, h.misses = life, 0, 0
+		aggregator.whole = aggregator.life >= 0 && life != aggregator.life // it has begun anew, and knows nothing of us
+		aggregator.life, aggregator.asked, aggregator.misses = life, 0, 0
 		if d.dirty = true; life == 0 {
-			h.deaf = d.now + hubDeaf*d.hubWait()
+			aggregator.deaf = d.now + hubDeaf*d.hubWait()
 			return
 		}
-		h.answered, p.strikes = d.now, 0
-		clear(h.theirs)
-		clear(h.away)
-		each(func(tag uint16, slots float64) { h.theirs[tag] += slots }, func(x uint16) { h.away[x] = true })
+		aggregator.answered, peer.timeouts = d.now, 0
+		clear(aggregator.theirs)
+		clear(aggregator.away)
+		each(func(tag uint16, slots float64) { aggregator.theirs[tag] += slots }, func(x uint16) { aggregator.away[x] = true })
 		d.estimateAt = 0
 		return
 	}
 	if head&hubKinds == hubWhole {
 		// What it does not name may have been sent before it was killed, and run on: it lapses after a run.
-		for i := range p.out {
-			p.out[i].at = min(p.out[i].at, d.now+d.run-2*d.reminder())
+		for i := range peer.loads {
+			peer.loads[i].heardAt = min(peer.loads[i].heardAt, d.now+d.run-2*d.reminder())
 		}
 	}
-	each(func(tag uint16, slots float64) { d.setPeer(p, peerOut{tag, slots, d.now}) }, d.setMark)
+	each(func(tag uint16, slots float64) { d.setPeer(peer, peerLoad{tag, slots, d.now}) }, d.setMark)
 	d.dirty = true
 	if head&hubKinds != hubChange {
-		d.out = append(d.out, Action{Kind: ActTell, To: uint16(e.From), Data: d.answer(p)})
+		d.out = append(d.out, Action{Kind: ActTell, To: uint16(event.From), Data: d.answer(peer)})
 	}
 }
 
@@ -313,13 +313,13 @@
 func (d *Dispatcher) hubKnows() bool { return d.now-d.hub.since > listenRuns*d.run }
 
 // markOf gives the entry that marks a worker, if a hub is told and entries have room for that mark.
-func (d *Dispatcher) markOf(w *worker, kind int) (x uint16, ok bool) {
-	return w.tag | uint16(kind), d.telling == tellHub && (kind <= lastMark || kind == noConns)
+func (d *Dispatcher) markOf(executor *executor, kind int) (x uint16, ok bool) {
+	return executor.tag | uint16(kind), d.telling == gossipAggregator && (kind <= lastMark || kind == noConns)
 }
 
 // find notes that a class fails at a worker, or that it takes no connections, for the hub to tell the others.
-func (d *Dispatcher) find(w *worker, kind int) {
-	x, ok := d.markOf(w, kind)
+func (d *Dispatcher) find(executor *executor, kind int) {
+	x, ok := d.markOf(executor, kind)
 	switch {
 	case !ok:
 	case d.hub.now == d.s.Me:
@@ -331,55 +331,55 @@
 
 // setMark takes in, as the hub, what a node found.
 func (d *Dispatcher) setMark(x uint16) {
-	m := d.hub.marks[x]
-	if m == nil {
+	entry := d.hub.marks[x]
+	if entry == nil {
 		if len(d.hub.marks) >= mostPeerOut {
-			maps.DeleteFunc(d.hub.marks, func(_ uint16, m *mark) bool { return d.now >= m.until })
+			maps.DeleteFunc(d.hub.marks, func(_ uint16, entry *quarantine) bool { return d.now >= entry.until })
 		}
 		if len(d.hub.marks) >= mostPeerOut {
 			return
 		}
-		m = &mark{}
-		d.hub.marks[x] = m
+		entry = &quarantine{}
+		d.hub.marks[x] = entry
 	}
-	if d.now < m.until {
+	if d.now < entry.until {
 		return // sent before the others were told
 	}
 	span := classAway * d.s.ConnectTimeout
 	if x&lowBits == noConns {
 		span = connAway * d.s.ConnectTimeout
 	}
-	if d.now-m.until > 2*span*float64(int(1)<<m.strikes) {
-		m.strikes = 0
+	if d.now-entry.until > 2*span*float64(int(1)<<entry.consecutive) {
+		entry.consecutive = 0
 	}
-	m.until = d.now + span*float64(int(1)<<m.strikes)
-	m.strikes = min(m.strikes+1, markMost)
+	entry.until = d.now + span*float64(int(1)<<entry.consecutive)
+	entry.consecutive = min(entry.consecutive+1, markMost)
 }
 
 // marked says that a node found lately that a class fails at a worker, or that it takes no connections.
-func (d *Dispatcher) marked(w *worker, kind int) bool {
-	x, ok := d.markOf(w, kind)
+func (d *Dispatcher) marked(executor *executor, kind int) bool {
+	x, ok := d.markOf(executor, kind)
 	if !ok {
 		return false
 	}
 	if d.hub.now == d.s.Me {
-		m := d.hub.marks[x]
-		return m != nil && d.now < m.until
+		entry := d.hub.marks[x]
+		return entry != nil && d.now < entry.until
 	}
 	return d.hub.away[x] && d.peersKnown()
 }
 
 // setPeer takes in what another node has out at one worker.
-func (d *Dispatcher) setPeer(p *peer, x peerOut) {
+func (d *Dispatcher) setPeer(peer *peer, x peerLoad) {
 	was := 0.0
-	i := slices.IndexFunc(p.out, func(o peerOut) bool { return o.tag == x.tag })
+	i := slices.IndexFunc(peer.loads, func(o peerLoad) bool { return o.tag == x.tag })
 	switch {
 	case i >= 0 && x.slots > 0:
-		was, p.out[i] = p.out[i].slots, x
+		was, peer.loads[i] = peer.loads[i].slots, x
 	case i >= 0:
-		was, p.out = p.out[i].slots, slices.Delete(p.out, i, i+1)
-	case x.slots > 0 && len(p.out) < mostPeerOut:
-		p.out = append(p.out, x)
+		was, peer.loads = peer.loads[i].slots, slices.Delete(peer.loads, i, i+1)
+	case x.slots > 0 && len(peer.loads) < mostPeerOut:
+		peer.loads = append(peer.loads, x)
 	default:
 		return
 	}
@@ -387,18 +387,18 @@
 }
 
 // answer tells a node what all others have out, those first where it is most.
-func (d *Dispatcher) answer(p *peer) []byte {
+func (d *Dispatcher) answer(peer *peer) []byte {
 	if !d.hubKnows() {
 		return []byte{hubAnswer}
 	}
 	// The hub answers for each job of all nodes: what it does here is most of its work.
 	more := map[uint16]float64{}
-	for _, w := range d.workers {
-		if n := w.own + d.hidden(w); n > 0 {
-			more[w.tag] += n
+	for _, executor := range d.workers {
+		if n := executor.ownSlots + d.hidden(executor); n > 0 {
+			more[executor.tag] += n
 		}
 	}
-	for _, x := range p.out {
+	for _, x := range peer.loads {
 		more[x.tag] -= x.slots
 	}
 	told := d.hub.scratch[:0] // those with most first, then by tag: in upper and lower bits
@@ -429,33 +429,33 @@
 }
 
 // heardPeer takes in what another node has out.
-func (d *Dispatcher) heardPeer(e *Event) {
-	if int(e.From) >= len(d.peers) || int(e.From) == d.s.Me {
+func (d *Dispatcher) heardPeer(event *Event) {
+	if int(event.From) >= len(d.peers) || int(event.From) == d.s.Me {
 		return
 	}
-	p := &d.peers[e.From]
-	if d.telling == tellHub {
-		d.heardHub(p, e)
+	peer := &d.peers[event.From]
+	if d.telling == gossipAggregator {
+		d.heardHub(peer, event)
 		return
 	}
-	if p.fresh {
-		d.addPeer(p, -1)
+	if peer.fresh {
+		d.addPeer(peer, -1)
 	} else {
 		d.peersFresh++
 	}
-	p.at, p.fresh, p.out = d.now, true, p.out[:0]
-	for i := 0; i+3 <= len(e.Data); i += 3 {
-		p.out = append(p.out, peerOut{uint16(e.Data[i])<<8 | uint16(e.Data[i+1]), float64(e.Data[i+2]), d.now})
+	peer.heardAt, peer.fresh, peer.loads = d.now, true, peer.loads[:0]
+	for i := 0; i+3 <= len(event.Data); i += 3 {
+		peer.loads = append(peer.loads, peerLoad{uint16(event.Data[i])<<8 | uint16(event.Data[i+1]), float64(event.Data[i+2]), d.now})
 	}
-	d.addPeer(p, 1)
+	d.addPeer(peer, 1)
 	d.dirty = true
 }
 
 // addPeer adds what another node has out to what all have, or takes it off.
-func (d *Dispatcher) addPeer(p *peer, sign float64) {
-	for _, x := range p.out {
-		if w := d.byTag[x.tag]; w != nil {
-			w.theirs += sign * x.slots
+func (d *Dispatcher) addPeer(peer *peer, sign float64) {
+	for _, x := range peer.loads {
+		if executor := d.byTag[x.tag]; executor != nil {
+			executor.peerSlots += sign * x.slots
 		}
 	}
 }
@@ -466,29 +466,29 @@
 	d.peersFresh, d.dirty = 0, true
 	d.peersAt = d.now + d.period/4
 	clear(d.hub.sums)
-	for _, w := range d.workers {
-		w.theirs = 0
+	for _, executor := range d.workers {
+		executor.peerSlots = 0
 	}
 	for i := range d.peers {
-		p := &d.peers[i]
-		if d.telling == tellHub {
-			p.out = slices.DeleteFunc(p.out, func(x peerOut) bool { return d.now-x.at > 2*d.reminder() })
-			for _, x := range p.out {
+		peer := &d.peers[i]
+		if d.telling == gossipAggregator {
+			peer.loads = slices.DeleteFunc(peer.loads, func(x peerLoad) bool { return d.now-x.heardAt > 2*d.reminder() })
+			for _, x := range peer.loads {
 				d.hub.sums[x.tag] += x.slots
 			}
 			continue
 		}
-		p.fresh = p.at > 0 && d.now-p.at <= freshPeriods*d.period
-		if p.fresh {
+		peer.fresh = peer.heardAt > 0 && d.now-peer.heardAt <= freshPeriods*d.period
+		if peer.fresh {
 			d.peersFresh++
-			d.addPeer(p, 1)
+			d.addPeer(peer, 1)
 		}
 	}
 }
 
 // peersKnown says that it is known what most other nodes have out: they told lately, or the hub answered lately.
 func (d *Dispatcher) peersKnown() bool {
-	if d.telling != tellHub {
+	if d.telling != gossipAggregator {
 		return 2*d.peersFresh >= len(d.peers) && len(d.peers) > 1
 	}
 	if d.hub.now == d.s.Me {
@@ -500,7 +500,7 @@
 // safety is the part of a cold worker's budget that is used: more while the hub tells what all have there, for then no
 // more is sent than it can do by then, and what is over is sent by nodes that ask at the same moment alone.
 func (d *Dispatcher) safety() float64 {
-	if d.telling == tellHub && d.peersKnown() {
+	if d.telling == gossipAggregator && d.peersKnown() {
 		return coldKnown
 	}
 	return coldSafety
@@ -508,12 +508,12 @@
 
 // foreign is what other nodes have out at a worker, by their last messages; nodes not heard of count as the
 // mean of the others.
-func (d *Dispatcher) foreign(w *worker) float64 {
-	if d.telling == tellHub {
+func (d *Dispatcher) foreign(executor *executor) float64 {
+	if d.telling == gossipAggregator {
 		if d.hub.now == d.s.Me {
-			return d.hub.sums[w.tag]
+			return d.hub.sums[executor.tag]
 		}
-		return d.hub.theirs[w.tag]
+		return d.hub.theirs[executor.tag]
 	}
-	return w.theirs * float64(len(d.peers)-1) / float64(max(d.peersFresh, 1))
+	return executor.peerSlots * float64(len(d.peers)-1) / float64(max(d.peersFresh, 1))
 }
--- a/brain/report_test.go
+++ b/brain/report_test.go
@@ -34,10 +34,10 @@
 	s.Balancers = 5
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	idle, full := r.d.workers[0], r.d.workers[1]
-	for _, w := range r.d.workers {
-		w.slots, w.reported = 4, r.now
+	for _, executor := range r.d.workers {
+		executor.slots, executor.reportedAt = 4, r.now
 	}
-	idle.free, full.free = 4, -2
+	idle.freeSlots, full.freeSlots = 4, -2
 	r.d.occupied, r.d.run, r.d.period = 0.5, 300, 600
 	if a, b := r.d.relaxed(idle), r.d.relaxed(full); a < 3 || b > 0 {
 		t.Errorf("fresh reports: %v and %v slots, want about 4 and -2", a, b)
@@ -78,14 +78,14 @@
 					events = append(events, outcome(sp.job, 0, sp.worker, Served))
 				}
 			}
-			for _, w := range r.d.workers {
+			for _, executor := range r.d.workers {
 				busy := float32(rng.Intn(2))
 				for _, sp := range spans {
-					if sp.worker == w.id && sp.from <= r.now-delay && sp.to > r.now-delay {
+					if sp.worker == executor.id && sp.from <= r.now-delay && sp.to > r.now-delay {
 						busy++
 					}
 				}
-				r.d.report(w, []float32{busy + 0.01*rng.Float32(), 8 - busy})
+				r.d.report(executor, []float32{busy + 0.01*rng.Float32(), 8 - busy})
 			}
 			for _, a := range r.step(events...) {
 				if a.Kind == ActSend {
@@ -119,9 +119,9 @@
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	rng := rand.New(rand.NewSource(9))
 	for i := range uint32(300) {
-		for _, w := range r.d.workers {
+		for _, executor := range r.d.workers {
 			busy := float32(rng.Intn(8))
-			r.d.report(w, []float32{busy + 0.01*rng.Float32(), 8 - busy})
+			r.d.report(executor, []float32{busy + 0.01*rng.Float32(), 8 - busy})
 		}
 		got := find(r.step(request(i+1, 0, 0, 1)), ActSend, i+1)
 		r.after(50)
@@ -139,15 +139,15 @@
 func TestFadingFollowsWhatIsHeld(t *testing.T) {
 	run := func(long bool) float64 {
 		r := newRig(t, base(), ready(7, 0))
-		w := r.d.workers[0]
+		executor := r.d.workers[0]
 		for i := range 2000 {
-			j, span := &job{slots: 1, work: 200}, 200.0
+			job, span := &job{slots: 1, work: 200}, 200.0
 			if long && i%10 == 0 {
-				j.slots, span = 4, 2000
+				job.slots, span = 4, 2000
 			}
 			r.now += 10
 			r.d.now = r.now
-			r.d.clock(j, &attempt{w: w, started: r.now - span})
+			r.d.clock(job, &attempt{executor: executor, startedAt: r.now - span})
 		}
 		return r.d.run
 	}
@@ -165,32 +165,32 @@
 	s := base()
 	s.Telemetry, s.Fields, s.TellsStart = ReportNone, nil, false
 	r := newRig(t, s, ready(7, 0))
-	w := r.d.byID[7]
-	w.soft = 8
+	executor := r.d.byID[7]
+	executor.softLimit = 8
 	for id := uint32(1); id <= 6; id++ {
 		e := request(id, 0, 0, 1)
 		e.Work, e.Flags = 200, FlagWork
 		r.step(e)
 	}
-	if len(w.outs) < 4 {
-		t.Fatalf("%d out, want some", len(w.outs))
+	if len(executor.inFlight) < 4 {
+		t.Fatalf("%d out, want some", len(executor.inFlight))
 	}
-	before := w.soft
+	before := executor.softLimit
 	r.after(3000, outcome(1, 0, 7, Served), outcome(2, 0, 7, Served), outcome(3, 0, 7, Served))
-	if want := softCut * before; math.Abs(w.soft-want) > 1e-9 {
-		t.Errorf("takes %v after three late answers to one burst, want %v", w.soft, want)
+	if want := softCut * before; math.Abs(executor.softLimit-want) > 1e-9 {
+		t.Errorf("takes %v after three late answers to one burst, want %v", executor.softLimit, want)
 	}
-	w.soft = 2
+	executor.softLimit = 2
 	e := request(20, 0, 0, 1)
 	e.Work, e.Flags = 200, FlagWork
-	for r.after(10, outcome(4, 0, 7, Served), outcome(5, 0, 7, Served), outcome(6, 0, 7, Served)); len(w.outs) > 0; {
+	for r.after(10, outcome(4, 0, 7, Served), outcome(5, 0, 7, Served), outcome(6, 0, 7, Served)); len(executor.inFlight) > 0; {
 		r.after(10, Event{Kind: EvTimer})
 	}
-	w.soft = 1
+	executor.softLimit = 1
 	r.after(10, e)
 	r.after(100, outcome(20, 0, 7, Served))
-	if w.soft <= 1 {
-		t.Errorf("takes %v after an answer in time, want more", w.soft)
+	if executor.softLimit <= 1 {
+		t.Errorf("takes %v after an answer in time, want more", executor.softLimit)
 	}
 }
 
--- a/brain/scale_test.go
+++ b/brain/scale_test.go
@@ -68,18 +68,18 @@
 		t.Fatalf("room %v before anything is known, want 1 or more", before)
 	}
 	r.d.kinds[0].slots = 4
-	for i, w := range r.d.workers[:40] {
-		w.slots = 4
+	for i, executor := range r.d.workers[:40] {
+		executor.slots = 4
 		r.after(5)
-		r.d.report(w, []float32{float32(i%2) * 0.01})
+		r.d.report(executor, []float32{float32(i%2) * 0.01})
 	}
 	if room := r.d.room(unheard); room >= 1 {
 		t.Errorf("room %v at a worker not heard of while 40 of its kind are full, want none", room)
 	}
-	for i, w := range r.d.workers[40:120] {
-		w.slots = 4
+	for i, executor := range r.d.workers[40:120] {
+		executor.slots = 4
 		r.after(20)
-		r.d.report(w, []float32{4 - float32(i%2)*0.01})
+		r.d.report(executor, []float32{4 - float32(i%2)*0.01})
 	}
 	if room := r.d.room(unheard); room < 1 {
 		t.Errorf("room %v though those heard of lately are idle, want 1 or more", room)
@@ -93,10 +93,10 @@
 	s.Balancers = 200
 	r := newRig(t, s, fleet(200)...)
 	r.d.kinds[0].slots = 4
-	for i, w := range r.d.workers {
-		w.slots = 4
-		r.d.report(w, []float32{float32(i%2) * 0.01})
-		w.free = -3
+	for i, executor := range r.d.workers {
+		executor.slots = 4
+		r.d.report(executor, []float32{float32(i%2) * 0.01})
+		executor.freeSlots = -3
 	}
 	if got := r.step(request(1, 0, 0, 1)); len(find(got, ActSend, 1)) != 0 {
 		t.Fatal("sent at once although no worker has room")
@@ -198,14 +198,14 @@
 	r.d.keySum = keyMemory // the key is a rare one
 	probe := &job{key: 77, slots: 1, work: 200}
 	r.d.findHomes(probe)
-	for _, w := range probe.homes {
-		w.fullUntil = r.now + 1e6
+	for _, executor := range probe.candidates {
+		executor.rejectedUntil = r.now + 1e6
 	}
 	if got := find(r.step(j), ActSend, 1); len(got) != 0 {
 		t.Fatal("sent astray at once")
 	}
-	if n := len(r.d.seen); n > len(probe.homes) {
-		t.Errorf("%d workers looked at while it waits for one of %d homes", n, len(probe.homes))
+	if n := len(r.d.seen); n > len(probe.candidates) {
+		t.Errorf("%d workers looked at while it waits for one of %d homes", n, len(probe.candidates))
 	}
 	for range 30 {
 		if len(find(r.after(40, Event{Kind: EvTimer}), ActSend, 1)) == 1 {
@@ -281,7 +281,7 @@
 			s.Classes[i].Aim, s.Classes[i].Deadline = 20000, 60000
 		}
 		r := newRig(t, s, ready(7, 0), ready(8, 0))
-		w := r.d.byID[7]
+		executor := r.d.byID[7]
 		for i := range uint32(200) {
 			job := request(100+i, 0, 0, 1)
 			job.TimeLeft = 60000
@@ -289,10 +289,10 @@
 			r.after(c.wait, Event{Kind: EvNote, Job: 100 + i, Topic: NoteStarted})
 			r.after(10, outcome(100+i, 0, sent[0].Worker, Served))
 		}
-		r.d.byID[8].badUntil = r.now + 1 // so that the next goes to the first
+		r.d.byID[8].ejectedUntil = r.now + 1 // so that the next goes to the first
 		job := request(1, 0, 0, 1)
 		job.TimeLeft = 60000
-		if len(find(r.step(job), ActSend, 1)) != 1 || w.own != 1 {
+		if len(find(r.step(job), ActSend, 1)) != 1 || executor.ownSlots != 1 {
 			t.Fatalf("%s: not sent to the first worker", c.name)
 		}
 		if c.started {
@@ -303,8 +303,8 @@
 			r.after(10, Event{Kind: EvTimer})
 			copied = copied || len(find(r.last, ActSend, 1)) > 0
 		}
-		if w.silent != c.silent || copied != c.started {
-			t.Errorf("%s: silent %v, copied %v, want %v, %v", c.name, w.silent, copied, c.silent, c.started)
+		if executor.unresponsive != c.silent || copied != c.started {
+			t.Errorf("%s: silent %v, copied %v, want %v, %v", c.name, executor.unresponsive, copied, c.silent, c.started)
 		}
 	}
 }
@@ -347,13 +347,13 @@
 	}
 	r.after(500, Event{Kind: EvList, Form: ListDelta, Rows: rows})
 	r.after(500, Event{Kind: EvList, Form: ListDelta, Rows: []Row{ready(500, 0)}})
-	for _, w := range r.d.workers {
+	for _, executor := range r.d.workers {
 		want := 3.0
-		if w.id == 500 {
+		if executor.id == 500 {
 			want = 0
 		}
-		if got := r.d.rows[w.at].load; got != want {
-			t.Fatalf("worker %d holds %v requests a core by its weight, want %v", w.id, got, want)
+		if got := r.d.rows[executor.position].liveLoad; got != want {
+			t.Fatalf("worker %d holds %v requests a core by its weight, want %v", executor.id, got, want)
 		}
 	}
 }
@@ -375,7 +375,7 @@
 			r.after(10, outcome(id, 0, sent[0].Worker, Served))
 		}
 	}
-	hot, rare := len(r.d.jobs[40].homes), len(r.d.jobs[39].homes)
+	hot, rare := len(r.d.jobs[40].candidates), len(r.d.jobs[39].candidates)
 	if hot < 25 || rare > 5 {
 		t.Errorf("%d homes of a key that every fourth job of 40 asks for, %d of one asked for once; want 25 at least, 5 at most", hot, rare)
 	}
--- a/brain/script_test.go
+++ b/brain/script_test.go
@@ -384,13 +384,13 @@
 	x.now += 100
 	x.step(nil)
 	for i, tn := range x.d.tenants {
-		if tn.inflight != 0 {
-			x.failf("tenant %d holds %v tokens when nothing is open", i, tn.inflight)
+		if tn.reservedSlots != 0 {
+			x.failf("tenant %d holds %v tokens when nothing is open", i, tn.reservedSlots)
 		}
 	}
-	for _, w := range x.d.workers {
-		if w.own != 0 || len(w.outs) != 0 || w.opening != 0 {
-			x.failf("worker %d holds %v slots when nothing is open", w.id, w.own)
+	for _, executor := range x.d.workers {
+		if executor.ownSlots != 0 || len(executor.inFlight) != 0 || executor.opening != 0 {
+			x.failf("worker %d holds %v slots when nothing is open", executor.id, executor.ownSlots)
 		}
 	}
 	if len(x.d.jobs) != 0 || len(x.d.waiting) != 0 || x.d.fetching != 0 {
--- a/brain/settings.go
+++ b/brain/settings.go
@@ -25,27 +25,27 @@
 	case len(next.Tenants) < len(d.s.Tenants) || len(next.Tenants) > math.MaxUint16 || len(d.s.Tenants) == 0 && len(next.Tenants) > 0:
 		return fmt.Errorf("brain: %d tenants in place of %d: places are kept", len(next.Tenants), len(d.s.Tenants))
 	}
-	for _, j := range d.jobs {
-		if next.Classes[j.class] != d.s.Classes[j.class] {
-			return fmt.Errorf("brain: class %d has open jobs, whose rules may not change", j.class)
+	for _, job := range d.jobs {
+		if next.Classes[job.class] != d.s.Classes[job.class] {
+			return fmt.Errorf("brain: class %d has open jobs, whose rules may not change", job.class)
 		}
 	}
-	classes := make([]classStat, len(next.Classes))
+	classes := make([]classStats, len(next.Classes))
 	for i, c := range next.Classes {
 		same := i < len(d.s.Classes) && c == d.s.Classes[i]
 		if same {
 			classes[i] = d.classes[i]
 			continue
 		}
-		classes[i] = newClass(c)
+		classes[i] = newClassStats(c)
 		if k, ok := from[i]; ok && k >= 0 && k < len(d.classes) {
 			classes[i] = d.classes[k]
 		}
-		for _, w := range d.byID {
-			if i < len(w.fails) {
-				w.fails[i] = failing{}
+		for _, executor := range d.byID {
+			if i < len(executor.classes) {
+				executor.classes[i] = classFailures{}
 			} else {
-				w.fails = append(w.fails, failing{})
+				executor.classes = append(executor.classes, classFailures{})
 			}
 		}
 	}
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -35,19 +35,19 @@
 }
 
 // noteStart takes in the start that the list tells of an executor. One that is known already keeps its estimated time.
-func (d *Dispatcher) noteStart(w *worker, listed float64) {
-	if listed == w.born {
+func (d *Dispatcher) noteStart(executor *executor, listed float64) {
+	if listed == executor.listedStart {
 		return
 	}
-	w.born = listed
-	w.startedAt = d.estimateStart(listed)
-	w.coldUntil = w.startedAt + d.s.WarmWithin
-	if w.startedAt > 0 && d.confirmedAt > 0 {
+	executor.listedStart = listed
+	executor.startedAt = d.estimateStart(listed)
+	executor.slowStartUntil = executor.startedAt + d.s.WarmWithin
+	if executor.startedAt > 0 && d.confirmedAt > 0 {
 		// The list's clock may be off by less than would show. A budget that ends too early lets all nodes send at once what waits
 		// for it, so that it ends as if the process had started when this node was notified.
-		w.coldUntil = d.now + d.s.WarmWithin
+		executor.slowStartUntil = d.now + d.s.WarmWithin
 	}
-	w.coldOpened = false
+	executor.slowStartOpened = false
 }
 
 // estimateStart gives the time on our clock of a start that has just been notified, 0 for one that was long ago.
@@ -80,60 +80,60 @@
 }
 
 // rememberStart keeps the start of an executor that is about to be forgotten.
-func (d *Dispatcher) rememberStart(w *worker) {
-	if w.born <= 0 {
+func (d *Dispatcher) rememberStart(executor *executor) {
+	if executor.listedStart <= 0 {
 		return
 	}
 	if len(d.removed) >= removedStartsBeforePurge {
 		maps.DeleteFunc(d.removed, func(_ uint32, s knownStart) bool { return d.now-s.removedAt > removedStartTTL })
 	}
-	d.removed[w.id] = knownStart{listed: w.born, startedAt: w.startedAt, coldUntil: w.coldUntil, removedAt: d.now}
+	d.removed[executor.id] = knownStart{listed: executor.listedStart, startedAt: executor.startedAt, coldUntil: executor.slowStartUntil, removedAt: d.now}
 }
 
 // recallStart gives an executor that comes back to the list the start that it had when it left.
-func (d *Dispatcher) recallStart(w *worker) {
-	if s, ok := d.removed[w.id]; ok {
-		w.born, w.startedAt, w.coldUntil = s.listed, s.startedAt, s.coldUntil
-		delete(d.removed, w.id)
+func (d *Dispatcher) recallStart(executor *executor) {
+	if s, ok := d.removed[executor.id]; ok {
+		executor.listedStart, executor.startedAt, executor.slowStartUntil = s.listed, s.startedAt, s.coldUntil
+		delete(d.removed, executor.id)
 	}
 }
 
 // coldShare is the least part of its capacity that an executor has by now.
-func (d *Dispatcher) coldShare(w *worker) float64 {
-	if w.startedAt <= 0 || d.s.WarmWithin <= 0 || d.now-w.startedAt >= d.s.WarmWithin {
+func (d *Dispatcher) coldShare(executor *executor) float64 {
+	if executor.startedAt <= 0 || d.s.WarmWithin <= 0 || d.now-executor.startedAt >= d.s.WarmWithin {
 		return 1
 	}
-	return min(1, d.s.ColdFrom+(1-d.s.ColdFrom)*max(0, d.now-w.startedAt)/d.s.WarmWithin)
+	return min(1, d.s.ColdFrom+(1-d.s.ColdFrom)*max(0, d.now-executor.startedAt)/d.s.WarmWithin)
 }
 
 // coldOpen says whether our part of a cold executor's budget lets a job of ours go there. One of many nodes has
 // less than a job of it, and pays it off after one, from a random debt at first: all send the sum together.
-func (d *Dispatcher) coldOpen(w *worker, more float64) bool {
-	if w.startedAt <= 0 || d.now >= w.coldUntil {
+func (d *Dispatcher) coldOpen(executor *executor, more float64) bool {
+	if executor.startedAt <= 0 || d.now >= executor.slowStartUntil {
 		return true
 	}
-	share := d.coldShare(w)
-	if !w.coldOpened {
-		d.openColdBudget(w)
+	share := d.coldShare(executor)
+	if !executor.slowStartOpened {
+		d.openColdBudget(executor)
 	}
 	part := min(d.ourPart(), coldPart/float64(d.s.Balancers))
-	rate := d.safety() * part * d.s.FallMultiple * share * max(1, w.slots, d.kinds[w.kind].slots)
+	rate := d.safety() * part * d.s.FallMultiple * share * max(1, executor.slots, d.kinds[executor.kind].slots)
 	most := rate * d.s.Fall * coldBurst
-	if w.coldCredit += rate * (d.now - w.coldAt); w.coldCredit > most {
-		w.coldCredit = min(most, w.coldCredit-max(0, d.held-most)) // else all keep a turn, and use it at once
+	if executor.slowStartCredit += rate * (d.now - executor.slowStartCreditAt); executor.slowStartCredit > most {
+		executor.slowStartCredit = min(most, executor.slowStartCredit-max(0, d.held-most)) // else all keep a turn, and use it at once
 	}
-	w.coldAt = d.now
-	return w.coldCredit > min(more, coldKnown*most)
+	executor.slowStartCreditAt = d.now
+	return executor.slowStartCredit > min(more, coldKnown*most)
 }
 
 // openColdBudget begins the budget of a process that has just been notified. Requests sent between its start and our
 // notification of it count against the budget, because the executor has already received them.
-func (d *Dispatcher) openColdBudget(w *worker) {
-	sentFrom := w.startedAt
-	if w.born <= d.now && d.now-w.born <= d.s.Fall {
-		sentFrom = min(sentFrom, w.born) // the list's clock tells of a start a moment ago, which is believed here
+func (d *Dispatcher) openColdBudget(executor *executor) {
+	sentFrom := executor.startedAt
+	if executor.listedStart <= d.now && d.now-executor.listedStart <= d.s.Fall {
+		sentFrom = min(sentFrom, executor.listedStart) // the list's clock tells of a start a moment ago, which is believed here
 	}
-	w.coldOpened = true
-	w.coldAt = max(w.startedAt, d.now-coldBurst*d.s.Fall)
-	w.coldCredit = -d.random()*d.held - d.sentSince(w, sentFrom)
+	executor.slowStartOpened = true
+	executor.slowStartCreditAt = max(executor.startedAt, d.now-coldBurst*d.s.Fall)
+	executor.slowStartCredit = -d.random()*d.held - d.sentSince(executor, sentFrom)
 }
--- a/brain/slowstart_test.go
+++ b/brain/slowstart_test.go
@@ -376,14 +376,14 @@
 	row.Born = 90000 - hourMS/100
 	r := newRig(t, base(), row)
 	r.step(Event{Kind: EvList, Form: ListFull, Rows: []Row{row}})
-	w := r.d.byID[7]
-	w.errs, w.strikes, w.slots = 0.4, 3, 4
+	executor := r.d.byID[7]
+	executor.errorAverage, executor.ejections, executor.slots = 0.4, 3, 4
 	row.Born -= 5000
 	r.after(500, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
-	if w.errs != 0 || w.strikes != 0 {
-		t.Errorf("the error average %v and %d strikes of the old process stand", w.errs, w.strikes)
+	if executor.errorAverage != 0 || executor.ejections != 0 {
+		t.Errorf("the error average %v and %d strikes of the old process stand", executor.errorAverage, executor.ejections)
 	}
-	if share := r.d.coldShare(w); share != r.d.s.ColdFrom {
+	if share := r.d.coldShare(executor); share != r.d.s.ColdFrom {
 		t.Errorf("its share of capacity is %.2f, want %.2f", share, r.d.s.ColdFrom)
 	}
 }
@@ -504,19 +504,19 @@
 	r.step(Event{Kind: EvList, Form: ListFull, Rows: []Row{row}})
 	row.Born = r.now + 1000
 	r.after(1001, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
-	w := r.d.byID[7]
+	executor := r.d.byID[7]
 	for range 20 {
 		r.after(100, Event{Kind: EvList, Form: ListDelta, Rows: nil})
-		r.d.coldOpen(w, 0)
+		r.d.coldOpen(executor, 0)
 	}
-	if w.coldCredit <= 0 {
-		t.Fatalf("credit %.0f ms after two seconds in which nothing was sent", w.coldCredit)
+	if executor.slowStartCredit <= 0 {
+		t.Fatalf("credit %.0f ms after two seconds in which nothing was sent", executor.slowStartCredit)
 	}
 	row.Born = r.now + 5
 	r.after(10)
-	r.d.coldOpen(w, 0)
+	r.d.coldOpen(executor, 0)
 	r.after(10, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
-	if w.coldCredit > 0 {
-		t.Errorf("the new process begins with %.0f ms of the old one's credit", w.coldCredit)
+	if executor.slowStartCredit > 0 {
+		t.Errorf("the new process begins with %.0f ms of the old one's credit", executor.slowStartCredit)
 	}
 }
--- a/brain/state.go
+++ b/brain/state.go
@@ -10,56 +10,56 @@
 
 // attempt is one send of a job.
 type attempt struct {
-	w        *worker
-	sent     float64
-	started  float64 // 0: not told
-	heard    float64 // last note
-	hadRoom  bool
-	fetches  bool // likely had to fetch its key
-	opened   bool // on a new connection
-	resolved bool
-	lost     bool // out when its worker fell silent, or late, and not heard of since
-	erred    bool // it ended in an error
-	late     bool // its worker owes a sign that it has taken the job
+	executor         *executor
+	sentAt           float64
+	startedAt        float64 // 0: not told
+	heardAt          float64 // last note
+	hadFreeSlots     bool
+	fetchesKey       bool // likely had to fetch its key
+	openedConnection bool // on a new connection
+	resolved         bool
+	writtenOff       bool // out when its worker fell silent, or late, and not heard of since
+	errored          bool // it ended in an error
+	ackOverdue       bool // its worker owes a sign that it has taken the job
 }
 
 // job is a request this node owes an answer, or whose attempts are still out.
 type job struct {
-	id       uint32
-	class    int
-	tenant   int
-	key      uint64
-	slots    float64
-	memory   float64
-	work     float64 // ms on a worker of speed 1
-	arrived  float64
-	most     int     // attempts, by the settings when it came
-	aimAt    float64 // full worth until then
-	deadline float64
-	attempts []attempt
-	out      int
-	admitted bool    // holds tokens
-	value    float64 // worth for each slot and time
-	over     bool    // beyond its tenant's share
-	borrowed bool    // admitted from the remainder
-	waiting  bool
-	done     bool
+	id          uint32
+	class       int
+	tenant      int
+	key         uint64
+	slots       float64
+	memory      float64
+	work        float64 // ms on a worker of speed 1
+	arrivedAt   float64
+	maxAttempts int     // attempts, by the settings when it came
+	objectiveAt float64 // full worth until then
+	deadline    float64
+	attempts    []attempt
+	inFlight    int
+	admitted    bool    // holds tokens
+	value       float64 // worth for each slot and time
+	overQuota   bool    // beyond its tenant's share
+	borrowed    bool    // admitted from the remainder
+	queued      bool
+	done        bool
 	// What may have run; set in mark, read by maySend and mayRefuse alone.
-	mayHaveRun bool
-	ranWorker  *worker
-	ranSince   float64
-	rank       float64
-	holdUntil  float64   // for answers to its probes, at most
-	homes      []*worker // of its key, the last to fall back on
-	homesOf    int       // the list they were drawn from
-	prices     []float64 // of zones, where they are the request's own
+	mayHaveRun         bool
+	ranOn              *executor
+	ranSince           float64
+	rank               float64
+	holdUntil          float64     // for answers to its probes, at most
+	candidates         []*executor // of its key, the last to fall back on
+	candidatesRevision int         // the list they were drawn from
+	zonePrices         []float64   // of zones, where they are the request's own
 }
 
 // zonePrice is what a worker's zone costs a job: what the request says of it, or else the price of crossing.
-func (d *Dispatcher) zonePrice(j *job, zone int) float64 {
+func (d *Dispatcher) zonePrice(job *job, zone int) float64 {
 	switch {
-	case zone < len(j.prices):
-		return j.prices[zone]
+	case zone < len(job.zonePrices):
+		return job.zonePrices[zone]
 	case zone != d.s.Zone:
 		return d.s.Fees.CrossZone
 	}
@@ -67,120 +67,120 @@
 }
 
 // sane are a request's slots, memory and time left; odd numbers count as the least.
-func (e *Event) sane() (slots, memory, left float64) {
+func (event *Event) sane() (slots, memory, left float64) {
 	slots = 1
-	if e.Slots > 0 && e.Slots < 1e6 {
-		slots = e.Slots
+	if event.Slots > 0 && event.Slots < 1e6 {
+		slots = event.Slots
 	}
-	if e.Memory > 0 && e.Memory < 1e6 {
-		memory = e.Memory
+	if event.Memory > 0 && event.Memory < 1e6 {
+		memory = event.Memory
 	}
-	if e.TimeLeft >= 0 {
-		left = e.TimeLeft
+	if event.TimeLeft >= 0 {
+		left = event.TimeLeft
 	}
 	return slots, memory, left
 }
 
-type ending struct{ sent, at, slots float64 }
+type endedAttempt struct{ sentAt, endedAt, slots float64 }
 
 // worker is what this node knows of one worker. What placement reads of each worker it looks at comes first and
 // close together: in a large fleet the memory it lies in is what a look costs.
-type worker struct {
-	id        uint32
-	tag       uint16 // its name in messages between nodes
-	cell      uint16
-	cond      Condition
-	silent    bool
-	trial     bool // after an ejection: one job at a time until one is served
-	probing   bool
-	zone      int
-	kind      int
-	at        int // its place in the list, where weights are live
-	linkFails int // new connections that failed since one was made
-	waits     int // attempts out that were not started
-	group     *group
-
-	own       float64
-	free      float64 // free slots as last reported, moved by what we sent and got back since
-	reported  float64 // when a new report came, 0 for never
-	slots     float64 // most free slots ever seen with our own
-	soft      float64
-	fullUntil float64
-	badUntil  float64
-	born      float64 // its start as the list tells it, on the clock of another machine: it tells one process from another
-	startedAt float64 // its start by our clock, as estimated when it was notified; 0 for long ago
-	theirs    float64 // slots that other nodes told to have out here
-	waiting   float64 // slots of the attempts that were not started
-	waitsFrom float64 // since when the oldest of them
-	tryAt     float64 // a silent worker gets one job from then on
-	looked    uint64  // the last look that took it in
-	room      float64 // slots that it takes now, while jobs are placed
-	work      float64
-	time      float64
-	errs      float64
-	fails     []failing // by class
-	all       tally     // of all classes
-	opening   int       // attempts out on connections opened for them
-	idle      []float64 // idle connections: since when
-	outs      []*job    // one entry for each attempt out
-	linkUntil float64   // no new one before
-
-	keys        [12]uint64
-	row         Row // the list's when it last changed but for its weight
-	sample      uint64
-	memory      float64 // free memory as last reported, moved likewise; NaN or of no meaning if not told
-	tellsMemory bool
-	lateAt      float64 // when it was last ejected for owing signs that it has taken jobs,
-	lateUntil   float64 // and until when nothing goes there that may be lost for good
-	cutAt       float64 // when soft was cut for lateness
-	fullRun     int
-	heard       float64 // last sign of life
-	strikes     int
-	tries       int
-	hidden      float64 // slots held here that no message told of, as was seen
-	hiddenAt    float64 // then
-	told        float64 // our slots out here as the others were told,
-	toldAt      float64 // and when
-	coldCredit  float64 // our part of its budget while it is cold, in slot-time on a warm one, as of
-	coldAt      float64 // then
-	coldUntil   float64 // the end of that budget
-	coldOpened  bool    // that budget was opened for the process that runs now
+type executor struct {
+	id           uint32
+	tag          uint16 // its name in messages between nodes
+	cell         uint16
+	condition    Condition
+	unresponsive bool
+	onProbation  bool // after an ejection: one job at a time until one is served
+	checkPending bool
+	zone         int
+	kind         int
+	position     int // its place in the list, where weights are live
+	dialFailures int // new connections that failed since one was made
+	unstarted    int // attempts out that were not started
+	group        *executorGroup
+
+	ownSlots         float64
+	freeSlots        float64 // free slots as last reported, moved by what we sent and got back since
+	reportedAt       float64 // when a new report came, 0 for never
+	slots            float64 // most free slots ever seen with our own
+	softLimit        float64
+	rejectedUntil    float64
+	ejectedUntil     float64
+	listedStart      float64 // its start as the list tells it, on the clock of another machine: it tells one process from another
+	startedAt        float64 // its start by our clock, as estimated when it was notified; 0 for long ago
+	peerSlots        float64 // slots that other nodes told to have out here
+	unstartedSlots   float64 // slots of the attempts that were not started
+	oldestUnstarted  float64 // since when the oldest of them
+	retryAt          float64 // a silent worker gets one job from then on
+	inspectedIn      uint64  // the last look that took it in
+	available        float64 // slots that it takes now, while jobs are placed
+	work             float64
+	time             float64
+	errorAverage     float64
+	classes          []classFailures // by class
+	errors           errorTally      // of all classes
+	opening          int             // attempts out on connections opened for them
+	idleSince        []float64       // idle connections: since when
+	inFlight         []*job          // one entry for each attempt out
+	dialBackoffUntil float64         // no new one before
+
+	affinityKeys      [12]uint64
+	row               Row // the list's when it last changed but for its weight
+	sampleHash        uint64
+	freeMemory        float64 // free memory as last reported, moved likewise; NaN or of no meaning if not told
+	reportsMemory     bool
+	ackOverdueAt      float64 // when it was last ejected for owing signs that it has taken jobs,
+	ackOverdueUntil   float64 // and until when nothing goes there that may be lost for good
+	softLimitCutAt    float64 // when soft was cut for lateness
+	rejections        int
+	lastHeard         float64 // last sign of life
+	ejections         int
+	retries           int
+	hiddenSlots       float64 // slots held here that no message told of, as was seen
+	hiddenAt          float64 // then
+	notifiedSlots     float64 // our slots out here as the others were told,
+	notifiedAt        float64 // and when
+	slowStartCredit   float64 // our part of its budget while it is cold, in slot-time on a warm one, as of
+	slowStartCreditAt float64 // then
+	slowStartUntil    float64 // the end of that budget
+	slowStartOpened   bool    // that budget was opened for the process that runs now
 	// The last probe, and its random part of the span to the next: the span itself follows the traffic, so
 	// that a node that was quiet at its start is not blind for long once requests come.
-	probeAt, probeTurn float64
-	ended              [24]ending // our jobs that ended lately
-	endedAt            int
+	checkedAt, checkIntervalFactor float64
+	endedAttempts                  [24]endedAttempt // our jobs that ended lately
+	endedCount                     int
 }
 
 // group is what is learned of the workers of one kind in one zone together.
-type group struct {
-	kind, zone int
-	sum, n, at float64
+type executorGroup struct {
+	kind, zone                       int
+	occupancySum, samples, updatedAt float64
 }
 
 // failing is how a class fares at a worker.
-type failing struct {
-	strikes int     // failures running
-	until   float64 // nothing of the class goes there before
-	at      float64 // when it failed last
-	all     tally
+type classFailures struct {
+	consecutive int     // failures running
+	awayUntil   float64 // nothing of the class goes there before
+	failedAt    float64 // when it failed last
+	errors      errorTally
 }
 
-type kindStat struct{ work, time, slots, scale float64 }
+type kindStats struct{ work, time, slots, scale float64 }
 
 type tenant struct {
-	portion  float64
-	inflight float64
-	lastSeen float64
-	quota    float64
-	usual    float64 // requests a second that come this way, over a while
-	bucket   float64 // requests still within the share
-	metered  float64
+	reservedShare float64
+	reservedSlots float64
+	lastSeen      float64
+	quota         float64
+	usualRate     float64 // requests a second that come this way, over a while
+	tokens        float64 // requests still within the share
+	refilledAt    float64
 }
 
-type classStat struct {
-	work, slots float64
-	failing     bool // at so many workers that it is not theirs
+type classStats struct {
+	work, slots     float64
+	failsEverywhere bool // at so many workers that it is not theirs
 }
 
 // Dispatcher decides for one node. See the package comment for what its host promises.
@@ -195,14 +195,14 @@
 	arrived []*job
 	waiting []*job
 
-	byID    map[uint32]*worker
-	workers []*worker // listed, by id
-	left    []*worker // gone from the list, and kept while attempts of ours are out there
-	kinds   [256]kindStat
-	all     kindStat
+	byID    map[uint32]*executor
+	workers []*executor // listed, by id
+	left    []*executor // gone from the list, and kept while attempts of ours are out there
+	kinds   [256]kindStats
+	all     kindStats
 
 	tenants []tenant
-	classes []classStat
+	classes []classStats
 
 	period    float64
 	age       float64   // of reports when they come
@@ -220,24 +220,24 @@
 	fair      float64 // our part of all slots
 	panicking bool
 
-	open       []*worker // those with room, while jobs are placed
-	seen       []*worker // those looked at for that
+	open       []*executor // those with room, while jobs are placed
+	seen       []*executor // those looked at for that
 	looks      uint64
 	lookedAll  bool // in this look, not only at homes
 	probesOut  int
-	healthAt   float64   // when health is next watched in a large fleet
-	busy       []*worker // those with attempts of ours out
-	ejected    []*worker // those that are, or were, since the last tick
-	heardLast  lastOnes  // those that reported last
-	usedLast   lastOnes  // those that served us last, and have a connection
-	estimateAt float64   // capacity is not estimated anew before
-	listSerial int       // counts changes of the list, from 1
-	peers      []peer    // by node number
+	healthAt   float64         // when health is next watched in a large fleet
+	busy       []*executor     // those with attempts of ours out
+	ejected    []*executor     // those that are, or were, since the last tick
+	heardLast  recentExecutors // those that reported last
+	usedLast   recentExecutors // those that served us last, and have a connection
+	estimateAt float64         // capacity is not estimated anew before
+	listSerial int             // counts changes of the list, from 1
+	peers      []peer          // by node number
 	peersFresh int
 	peersAt    float64 // when those not heard of are next left out
-	byTag      map[uint16]*worker
-	telling    telling
-	hub        hub
+	byTag      map[uint16]*executor
+	telling    gossipMode
+	hub        aggregatorState
 	tellAt     float64
 
 	watching bool
@@ -249,17 +249,17 @@
 	fetching float64 // slots out of jobs that likely fetch their key
 	run      float64 // mean run, each weighted by what it holds: how long what is held stays so
 	held     float64 // mean of slots times run
-	groups   []*group
+	groups   []*executorGroup
 	load     float64 // mean of the live weights' requests per core
 	heardAt  float64 // when any worker last reported anew
 	occupied float64 // part of a worker's slots that others hold, as reports tell
 	widest   float64 // most slots that a job asked for
 	keyCount map[uint64]float64
 	keySum   float64
-	best     []pull     // scratch of findHomes
-	rows     []listed   // of d.workers, in their order
-	hashes   []homeHash // likewise
-	changed  []*worker  // scratch of applyRows
+	best     []rankedCandidate // scratch of findHomes
+	rows     []endpointRow     // of d.workers, in their order
+	hashes   []affinityHash    // likewise
+	changed  []*executor       // scratch of applyRows
 
 	confirmedAt float64               // when discovery last confirmed a list that holds executors, 0 for never
 	newestStart float64               // of the list at hand, on the clock of another machine
@@ -269,7 +269,7 @@
 	lastTag uint32
 	dirty   bool
 
-	ended    [causes]int // jobs that this node ended itself, by cause
+	ended    [causeCount]int // jobs that this node ended itself, by cause
 	endedAt  float64
 	refusing bool    // as last logged
 	listAt   float64 // when the list was last heard of
@@ -278,50 +278,50 @@
 }
 
 // cause says why a node ended a job itself.
-type cause uint8
+type rejectCause uint8
 
 const (
-	noTokens  cause = iota // the admission steps left no room for it
-	tooLate                // it could not end usefully any more, or may not be tried again
-	madePlace              // it waited, and another took its tokens
-	causes
+	causeNoTokens  rejectCause = iota // the admission steps left no room for it
+	causeTooLate                      // it could not end usefully any more, or may not be tried again
+	causePreempted                    // it waited, and another took its tokens
+	causeCount
 )
 
 // lastOnes are workers of which something was seen last, the latest first.
-type lastOnes [8]*worker
+type recentExecutors [8]*executor
 
-func (l *lastOnes) add(w *worker) {
-	i := slices.Index(l[:], w)
+func (l *recentExecutors) add(executor *executor) {
+	i := slices.Index(l[:], executor)
 	if i < 0 {
 		i = len(l) - 1
 	}
 	copy(l[1:i+1], l[:i])
-	l[0] = w
+	l[0] = executor
 }
 
 // touch moves a key to the front of those the worker likely holds.
-func (w *worker) touch(key uint64) {
-	i := slices.Index(w.keys[:], key)
+func (executor *executor) touchKey(key uint64) {
+	i := slices.Index(executor.affinityKeys[:], key)
 	if i < 0 {
-		i = len(w.keys) - 1
+		i = len(executor.affinityKeys) - 1
 	}
-	copy(w.keys[1:i+1], w.keys[:i])
-	w.keys[0] = key
+	copy(executor.affinityKeys[1:i+1], executor.affinityKeys[:i])
+	executor.affinityKeys[0] = key
 }
 
 // warm says whether the next job to a worker needs no new connection.
-func (d *Dispatcher) warm(w *worker) bool {
-	n := len(w.idle)
-	for n > 0 && d.now-w.idle[0] >= d.s.ConnIdle {
-		w.idle = w.idle[:copy(w.idle, w.idle[1:])]
+func (d *Dispatcher) warm(executor *executor) bool {
+	n := len(executor.idleSince)
+	for n > 0 && d.now-executor.idleSince[0] >= d.s.ConnIdle {
+		executor.idleSince = executor.idleSince[:copy(executor.idleSince, executor.idleSince[1:])]
 		n--
 	}
-	return n > 0 || d.shares(w)
+	return n > 0 || d.shares(executor)
 }
 
 // shares says whether connections carry several jobs and one that is open has room for another.
-func (d *Dispatcher) shares(w *worker) bool {
-	open := len(w.outs) - w.opening // attempts on connections that stand, if each had its own
+func (d *Dispatcher) shares(executor *executor) bool {
+	open := len(executor.inFlight) - executor.opening // attempts on connections that stand, if each had its own
 	return d.s.Multiplex > 1 && open > 0 && open%d.s.Multiplex != 0
 }
 
@@ -343,12 +343,12 @@
 }
 
 // pull is how strongly a key is drawn to the worker at a place in the list.
-type pull struct {
-	at   int
-	pull float64
+type rankedCandidate struct {
+	position int
+	weight   float64
 }
 
-func mix(x uint64) uint64 {
+func mix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -359,7 +359,7 @@
 // random gives the next number of the instance's own sequence, in [0, 1).
 func (d *Dispatcher) random() float64 {
 	d.rng += 0x9e3779b97f4a7c15
-	return float64(mix(d.rng)>>11) / (1 << 53)
+	return float64(mix64(d.rng)>>11) / (1 << 53)
 }
 
 const (
@@ -379,8 +379,8 @@
 
 // ownOut is how many slots of ours are out at all workers.
 func (d *Dispatcher) ownOut() (slots float64) {
-	for _, w := range d.busy {
-		slots += w.own
+	for _, executor := range d.busy {
+		slots += executor.ownSlots
 	}
 	return slots
 }
@@ -389,7 +389,7 @@
 func (d *Dispatcher) inflight() float64 {
 	held := 0.0
 	for i := range d.tenants {
-		held += d.tenants[i].inflight
+		held += d.tenants[i].reservedSlots
 	}
 	return held
 }
@@ -402,49 +402,49 @@
 	}
 	d.refusing = refusing
 	held, bad := d.inflight(), 0
-	for _, w := range d.workers {
-		if !d.usable(w) {
+	for _, executor := range d.workers {
+		if !d.usable(executor) {
 			bad++
 		}
 	}
 	d.log("refusing %v: capacity %.0f slots, %.0f in flight, %d waiting, %d of %d workers unusable, "+
 		"list %.0f ms old; ended so far: %d no tokens, %d too late, %d made place", refusing, d.capacity, held,
-		len(d.waiting), bad, len(d.workers), d.now-d.listAt, d.ended[noTokens], d.ended[tooLate], d.ended[madePlace])
+		len(d.waiting), bad, len(d.workers), d.now-d.listAt, d.ended[causeNoTokens], d.ended[causeTooLate], d.ended[causePreempted])
 }
 
 // alive takes in a sign of life. After a silence, what was out there may have ended or never come without our
 // hearing of it, until its client's time is over: it holds no slots in our books unless it is heard of again.
-func (d *Dispatcher) alive(w *worker) {
-	w.heard = d.now
-	if !w.silent {
+func (d *Dispatcher) alive(executor *executor) {
+	executor.lastHeard = d.now
+	if !executor.unresponsive {
 		return
 	}
-	w.silent, w.tries = false, 0
+	executor.unresponsive, executor.retries = false, 0
 	d.dirty = true
-	d.log("worker %d heard of again", w.id)
-	for _, j := range w.outs {
-		for i := range j.attempts {
-			if a := &j.attempts[i]; a.w == w && !a.resolved && !a.lost {
-				a.lost = true
-				w.own -= j.slots
+	d.log("worker %d heard of again", executor.id)
+	for _, job := range executor.inFlight {
+		for i := range job.attempts {
+			if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && !attempt.writtenOff {
+				attempt.writtenOff = true
+				executor.ownSlots -= job.slots
 			}
 		}
 	}
-	d.countWaits(w)
+	d.countWaits(executor)
 }
 
 // sentSince is the slot-time of the attempts that were sent to a worker from a time on, with those that have ended.
-func (d *Dispatcher) sentSince(w *worker, from float64) (work float64) {
-	for _, j := range w.outs {
-		for i := range j.attempts {
-			if a := &j.attempts[i]; a.w == w && !a.resolved && a.sent >= from {
-				work += j.slots * j.work / d.kindSpeed(w.kind)
+func (d *Dispatcher) sentSince(executor *executor, from float64) (work float64) {
+	for _, job := range executor.inFlight {
+		for i := range job.attempts {
+			if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && attempt.sentAt >= from {
+				work += job.slots * job.work / d.kindSpeed(executor.kind)
 			}
 		}
 	}
-	for _, x := range w.ended {
-		if x.sent >= from {
-			work += x.slots * (x.at - x.sent)
+	for _, x := range executor.endedAttempts {
+		if x.sentAt >= from {
+			work += x.slots * (x.endedAt - x.sentAt)
 		}
 	}
 	return work
@@ -459,21 +459,21 @@
 }
 
 // countWaits counts a worker's attempts of ours that were not started.
-func (d *Dispatcher) countWaits(w *worker) {
-	w.waits, w.waiting, w.waitsFrom = 0, 0, d.now
-	for _, j := range w.outs {
-		for i := range j.attempts {
-			if a := &j.attempts[i]; a.w == w && !a.resolved && !a.lost && a.started == 0 {
-				w.waits++
-				w.waiting += j.slots
-				w.waitsFrom = min(w.waitsFrom, a.sent)
+func (d *Dispatcher) countWaits(executor *executor) {
+	executor.unstarted, executor.unstartedSlots, executor.oldestUnstarted = 0, 0, d.now
+	for _, job := range executor.inFlight {
+		for i := range job.attempts {
+			if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && !attempt.writtenOff && attempt.startedAt == 0 {
+				executor.unstarted++
+				executor.unstartedSlots += job.slots
+				executor.oldestUnstarted = min(executor.oldestUnstarted, attempt.sentAt)
 			}
 		}
 	}
 }
 
 // newClass is what is held of a class before its jobs are seen: an aim is the best hint at the work it was set for.
-func newClass(c Class) classStat { return classStat{work: max(1, c.Aim), slots: 1} }
+func newClassStats(c Class) classStats { return classStats{work: max(1, c.Aim), slots: 1} }
 
 // share takes over the tenants' shares. What was learned of those that are there already stays.
 func (d *Dispatcher) share(tenants []Tenant) {
@@ -486,18 +486,18 @@
 	for i := len(d.tenants); i < max(1, len(tenants)); i++ {
 		t := tenant{lastSeen: math.Inf(-1)}
 		if len(tenants) > 0 {
-			t.usual, t.bucket = tenants[i].Quota/2, tenants[i].Quota*shareDepth/1000
+			t.usualRate, t.tokens = tenants[i].Quota/2, tenants[i].Quota*shareDepth/1000
 		}
 		d.tenants = append(d.tenants, t)
 	}
 	for i := range d.tenants {
-		t := &d.tenants[i]
-		t.portion = 1 / float64(len(d.tenants))
+		tenant := &d.tenants[i]
+		tenant.reservedShare = 1 / float64(len(d.tenants))
 		if sum > 0 {
-			t.portion = tenants[i].Portion / sum
+			tenant.reservedShare = tenants[i].Portion / sum
 		}
 		if len(tenants) > 0 {
-			t.quota = tenants[i].Quota
+			tenant.quota = tenants[i].Quota
 		}
 	}
 }
@@ -508,18 +508,18 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{s: s, rng: seed, jobs: map[uint32]*job{}, byID: map[uint32]*worker{},
-		byTag: map[uint16]*worker{}, removed: map[uint32]knownStart{}, widest: 1, keyCount: map[uint64]float64{},
+	d := &Dispatcher{s: s, rng: seed, jobs: map[uint32]*job{}, byID: map[uint32]*executor{},
+		byTag: map[uint16]*executor{}, removed: map[uint32]knownStart{}, widest: 1, keyCount: map[uint64]float64{},
 		period: firstPeriod, lag: s.ConnectTimeout / 10, logLeft: maxLogs,
 		age: ageShare * firstPeriod, ageBest: 1}
 	d.share(s.Tenants)
 	d.tries.perSecond = d.quota / float64(s.Balancers)
 	d.firsts.perSecond = d.tries.perSecond
-	d.classes = make([]classStat, len(s.Classes))
+	d.classes = make([]classStats, len(s.Classes))
 	for i, c := range s.Classes {
 		d.run += max(1, c.Aim) / float64(len(s.Classes))
 		d.held = d.run
-		d.classes[i] = newClass(c)
+		d.classes[i] = newClassStats(c)
 	}
 	if d.telling = d.howToTell(); s.MayTell {
 		d.peers = make([]peer, s.Balancers)
