--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -74,8 +74,8 @@
 			if got := r.d.tenants[0].reservedSlots; got != 0 {
 				t.Errorf("in flight %v after the end, want 0", got)
 			}
-			if len(r.d.jobs) != 0 || r.d.workers[0].ownSlots != 0 {
-				t.Errorf("left behind: %d jobs, %v slots", len(r.d.jobs), r.d.workers[0].ownSlots)
+			if len(r.d.jobs) != 0 || r.d.executors[0].ownSlots != 0 {
+				t.Errorf("left behind: %d jobs, %v slots", len(r.d.jobs), r.d.executors[0].ownSlots)
 			}
 		})
 	}
@@ -110,14 +110,14 @@
 		s.Tenants[i].Quota = 1
 	}
 	r := newRig(t, s, ready(7, 0))
-	r.d.workers[0].freeSlots, r.d.workers[0].reportedAt, r.d.workers[0].slots = 0, r.now, 4
+	r.d.executors[0].freeSlots, r.d.executors[0].reportedAt, r.d.executors[0].slots = 0, r.now, 4
 	var flood []Event
 	for id := uint32(1); id <= 60; id++ {
 		flood = append(flood, request(id, 0, 0, 1))
 	}
 	r.step(flood...)
 	over := 0
-	for _, job := range r.d.waiting {
+	for _, job := range r.d.queue {
 		if job.overQuota {
 			over++
 		}
@@ -125,13 +125,13 @@
 	if over == 0 {
 		t.Fatal("no waiting request of the flood counts as beyond its share")
 	}
-	before := len(r.d.waiting)
+	before := len(r.d.queue)
 	got := r.after(1, request(100, 0, 0, 1), request(101, 0, 1, 1))
 	if len(find(got, ActRefuse, 101)) != 0 {
 		t.Error("a request within its share was refused in a flood of another tenant")
 	}
-	if len(r.d.waiting) > before+2 {
-		t.Errorf("%d wait, want the flood's to make place", len(r.d.waiting))
+	if len(r.d.queue) > before+2 {
+		t.Errorf("%d wait, want the flood's to make place", len(r.d.queue))
 	}
 }
 
@@ -172,7 +172,7 @@
 	s := base()
 	s.Classes[2].Worth = 3
 	r := newRig(t, s, ready(7, 0))
-	r.d.workers[0].freeSlots, r.d.workers[0].reportedAt, r.d.workers[0].slots = 0, r.now, 4
+	r.d.executors[0].freeSlots, r.d.executors[0].reportedAt, r.d.executors[0].slots = 0, r.now, 4
 	var small []Event
 	for id := uint32(1); id <= 30; id++ {
 		small = append(small, request(id, 0, 0, 1))
@@ -201,7 +201,7 @@
 	s := base()
 	s.Tenants, s.Classes[2].Worth = nil, 3
 	r := newRig(t, s, ready(7, 0))
-	r.d.capacity, r.d.value = 10, 2
+	r.d.capacity, r.d.meanValue = 10, 2
 	r.d.tenants[0].reservedSlots = 19 // of 20 tokens
 	if r.d.admit(&job{class: 0, slots: 1, value: 1}) {
 		t.Error("work under the mean worth took the last tokens")
@@ -269,7 +269,7 @@
 // A node says what it goes by when it begins to refuse and when it has not for a while, and no more often.
 func TestLogsStateAtChanges(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
-	executor := r.d.byID[7]
+	executor := r.d.executorsByID[7]
 	lines := []string{}
 	for i := range 3000 {
 		executor.freeSlots, executor.reportedAt, executor.slots = 0, r.now, 2
@@ -289,9 +289,9 @@
 		!strings.HasPrefix(lines[1], "refusing false: capacity ") || !strings.Contains(lines[1], "no tokens") {
 		t.Errorf("lines %q", lines)
 	}
-	r.d.logLeft, r.d.loggedAt = 0, r.now
+	r.d.logBudget, r.d.logBudgetAt = 0, r.now
 	for range 100 {
-		r.d.refusing = true // as if it had changed at every tick
+		r.d.rejecting = true // as if it had changed at every tick
 		if got := find(r.after(20, Event{Kind: EvTimer}), ActLog, 0); len(got) != 0 {
 			t.Fatal("a line past the bound")
 		}
--- a/brain/cold_test.go
+++ b/brain/cold_test.go
@@ -137,8 +137,8 @@
 	s.Balancers = 4
 	for seed := uint64(1); seed <= 20; seed++ { // whatever part of a job the node owes at first
 		r := newRig(t, s, ready(7, 0))
-		r.d.rng = seed
-		executor, born := r.d.byID[7], r.now+1
+		r.d.randomState = seed
+		executor, born := r.d.executorsByID[7], r.now+1
 		r.after(1)
 		executor.freeSlots, executor.reportedAt, executor.slots = 6, r.now, 6
 		var requests []Event
--- a/brain/flaky_test.go
+++ b/brain/flaky_test.go
@@ -65,7 +65,7 @@
 		cold := ready(7, 0)
 		cold.Born = 100000
 		r := newRig(t, s, cold)
-		executor := r.d.byID[7]
+		executor := r.d.executorsByID[7]
 		executor.slots, r.d.kinds[0].slots = 4, 4
 		least := 0.0
 		for id := uint32(1); id < 60; id++ {
@@ -92,7 +92,7 @@
 	s := base()
 	s.Telemetry, s.MayProbe, s.TellsStart = ReportProbes, true, false
 	r := newRig(t, s, ready(1, 1))
-	executor := r.d.byID[1]
+	executor := r.d.executorsByID[1]
 	sends := 0
 	for i := range 200 { // 4 s
 		var events []Event
@@ -136,11 +136,11 @@
 			out = r.after(20, outcome(1, n, sends[0].Worker, o, 4+float32(n)*1e-4))
 		}
 		unsafe := &job{class: 2}
-		for _, executor := range r.d.workers {
+		for _, executor := range r.d.executors {
 			if d := r.d; d.now < executor.classes[0].awayUntil {
 				away++
 			}
-			odds = max(odds, r.d.lostFor(unsafe, executor))
+			odds = max(odds, r.d.errorProbability(unsafe, executor))
 		}
 		return away, odds
 	}
--- a/brain/fresh_test.go
+++ b/brain/fresh_test.go
@@ -56,7 +56,7 @@
 		}
 		r.after(10, started...)
 	}
-	part := r.d.ourPart() * 200 * 5
+	part := r.d.fleetShare() * 200 * 5
 	if running < 4*part {
 		t.Errorf("%.0f jobs run after 5 s in which each that was sent started at once, want over %.0f", running, 4*part)
 	}
@@ -169,7 +169,7 @@
 	if longest >= 4000 {
 		t.Errorf("nothing was sent for %.0f ms", longest)
 	}
-	if least := starvedRuns * r.d.held; float64(sends) > 20000/least+3*r.d.ourPart()*200*softStart+2 {
+	if least := starvedRuns * r.d.meanSlotTime; float64(sends) > 20000/least+3*r.d.fleetShare()*200*softStart+2 {
 		t.Errorf("%d jobs sent that hang, one more each %.0f ms is meant", sends, least)
 	}
 }
--- a/brain/hub_test.go
+++ b/brain/hub_test.go
@@ -43,8 +43,8 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if d.telling != gossipAggregator {
-		c.t.Fatalf("%d nodes tell in way %d, want by a hub", s.Balancers, d.telling)
+	if d.gossipMode != gossipAggregator {
+		c.t.Fatalf("%d nodes tell in way %d, want by a hub", s.Balancers, d.gossipMode)
 	}
 	c.nodes[i], c.down[i] = d, false
 	c.in[i] = []Event{{Kind: EvList, Form: ListCached, Rows: rows}}
@@ -111,14 +111,14 @@
 	if slots > 0 {
 		c.know(slots)
 	}
-	c.run(listenRuns*c.nodes[0].run + 1000)
+	c.run(listenRuns*c.nodes[0].meanRun + 1000)
 	return c
 }
 
 // know gives all nodes the slots of all workers, as reports would with time.
 func (c *crowd) know(slots float64) {
 	for _, d := range c.nodes {
-		for _, executor := range d.workers {
+		for _, executor := range d.executors {
 			executor.slots = slots
 		}
 		d.kinds[0].slots = slots
@@ -132,10 +132,10 @@
 		if c.down[i] {
 			continue
 		}
-		if at >= 0 && d.hub.now != at {
+		if at >= 0 && d.aggregator.now != at {
 			return -1
 		}
-		at = d.hub.now
+		at = d.aggregator.now
 	}
 	return at
 }
@@ -186,7 +186,7 @@
 	}
 	c.down[first] = true
 	node := (first + 1) % 60
-	wait := c.nodes[node].hubWait()
+	wait := c.nodes[node].answerTimeout()
 	for k := range 4 {
 		from := c.now
 		if c.send(node, 1000) == 0 || c.now-from > wait+50 {
@@ -194,7 +194,7 @@
 		}
 		c.run(wait + 50)
 	}
-	if now := c.nodes[node].hub.now; now == first {
+	if now := c.nodes[node].aggregator.now; now == first {
 		t.Error("a hub that is gone is still asked")
 	}
 	from := c.now
@@ -206,7 +206,7 @@
 	c.run(1.5 * hubAway * wait)
 	c.send(node, 1000)
 	c.run(100)
-	if now := c.nodes[node].hub.now; now != first {
+	if now := c.nodes[node].aggregator.now; now != first {
 		t.Errorf("node %d is the hub, want %d, which is back", now, first)
 	}
 }
@@ -223,7 +223,7 @@
 	c.start(h, rows)
 	c.step(nil)
 	c.know(2)
-	c.run(listenRuns*c.nodes[0].run + 200)
+	c.run(listenRuns*c.nodes[0].meanRun + 200)
 	c.send(node, 300)
 	c.run(50) // before any reminder
 	held := 0.0
@@ -249,7 +249,7 @@
 		c.step(map[int]Event{node: {Kind: EvPeer, From: uint32(60 * rng.Intn(2) * rng.Intn(2)), Data: data}})
 	}
 	for i, d := range c.nodes {
-		for _, all := range []map[uint16]float64{d.hub.theirs, d.hub.sums} {
+		for _, all := range []map[uint16]float64{d.aggregator.theirs, d.aggregator.sums} {
 			for tag, n := range all {
 				if n < 0 {
 					t.Fatalf("node %d holds %v slots out under tag %d", i, n, tag)
@@ -262,7 +262,7 @@
 			}
 		}
 	}
-	c.run(4 * c.nodes[0].reminder())
+	c.run(4 * c.nodes[0].reminderInterval())
 	if c.send(7, 500) == 0 {
 		t.Error("nothing is sent any more")
 	}
@@ -276,16 +276,16 @@
 	rows[30].Born = 100000
 	c := listening(t, 60, 4, rows...)
 	for i, d := range c.nodes {
-		if i == d.hub.now {
+		if i == d.aggregator.now {
 			continue
 		}
-		executor := d.workers[30]
-		share := d.coldShare(executor)
+		executor := d.executors[30]
+		share := d.slowStartShare(executor)
 		c.send(i, 300) // brings what the hub tells
-		if got, want := d.room(executor), math.Round(4*share)-d.foreign(executor)-executor.ownSlots; got != want {
+		if got, want := d.availableSlots(executor), math.Round(4*share)-d.peerSlotsAt(executor)-executor.ownSlots; got != want {
 			t.Errorf("node %d: room for %v more at a share of %.2f, want %v", i, got, share, want)
 		}
-		if n := executor.ownSlots + d.foreign(executor) + 1; n <= 4*share && d.speed(executor) < d.kindSpeed(executor.kind) {
+		if n := executor.ownSlots + d.peerSlotsAt(executor) + 1; n <= 4*share && d.executorSpeed(executor) < d.kindSpeed(executor.kind) {
 			t.Errorf("node %d: job %v of 4 slots at a share of %.2f is taken to run slowly", i, n, share)
 		}
 		if executor.slowStartCreditAt == 0 {
@@ -308,7 +308,7 @@
 				t.Errorf("node %d sends to worker %d, where another's job waits already", i, w)
 			}
 		}
-		c.run(c.nodes[i].startLag() + 100)
+		c.run(c.nodes[i].startNoteTimeout() + 100)
 	}
 	if len(at) < 10 {
 		t.Errorf("%d workers were tried", len(at))
@@ -331,12 +331,12 @@
 	c.run(50)
 	c.send(other, 300)
 	d := c.nodes[other]
-	if n := d.foreign(d.byID[w]); n < 1 {
+	if n := d.peerSlotsAt(d.executorsByID[w]); n < 1 {
 		t.Error("the job of a node that was killed is forgotten while it runs")
 	}
-	c.run(2*d.run + 200)
+	c.run(2*d.meanRun + 200)
 	c.send(other, 300)
-	if n := d.foreign(d.byID[w]); n > 0 {
+	if n := d.peerSlotsAt(d.executorsByID[w]); n > 0 {
 		t.Errorf("the job of a node that was killed still counts %v two runs later", n)
 	}
 }
@@ -364,12 +364,12 @@
 		c.run(30)
 	}
 	d := c.nodes[29]
-	if !d.failing(d.byID[bad], 0) || d.failing(d.byID[bad], 1) {
+	if !d.isClassAway(d.executorsByID[bad], 0) || d.isClassAway(d.executorsByID[bad], 1) {
 		t.Error("the class that failed is to be kept away, and only that one")
 	}
 	c.run(2 * classAway * c.s.ConnectTimeout)
 	c.send(29, 300)
-	if d.failing(d.byID[bad], 0) || d.marked(d.byID[dead], noConns) {
+	if d.isClassAway(d.executorsByID[bad], 0) || d.isQuarantined(d.executorsByID[dead], noConns) {
 		t.Error("a mark that nobody found again still holds")
 	}
 }
@@ -449,8 +449,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.telling != gossipAggregator {
-		t.Errorf("told in way %d, want by a hub", d.telling)
+	if d.gossipMode != gossipAggregator {
+		t.Errorf("told in way %d, want by a hub", d.gossipMode)
 	}
 }
 
@@ -465,14 +465,14 @@
 			i++
 		}
 		d := c.nodes[i]
-		d.hub.answered, d.estimateAt = d.now, 0
-		for k, executor := range d.workers {
+		d.aggregator.answered, d.nextEstimate = d.now, 0
+		for k, executor := range d.executors {
 			executor.slots = 4
-			if d.hub.theirs[executor.tag] = math.Floor(x.theirs); float64(k)/40 < x.theirs-math.Floor(x.theirs) {
-				d.hub.theirs[executor.tag]++
+			if d.aggregator.theirs[executor.tag] = math.Floor(x.theirs); float64(k)/40 < x.theirs-math.Floor(x.theirs) {
+				d.aggregator.theirs[executor.tag]++
 			}
 		}
-		if d.estimate(); d.capacity < x.least || d.capacity > x.most {
+		if d.estimateCapacity(); d.capacity < x.least || d.capacity > x.most {
 			t.Errorf("with %v of 4 slots of each of 40 workers taken a node counts on %v, want %v to %v", x.theirs, d.capacity, x.least, x.most)
 		}
 	}
@@ -490,23 +490,23 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	d.telling = gossipAggregator // whatever the bound is
-	d.s.Me = d.pickHub()
+	d.gossipMode = gossipAggregator // whatever the bound is
+	d.settings.Me = d.pickAggregator()
 	rows := fleet(200)
 	now := 100000.0
 	out := d.Step(now, []Event{{Kind: EvList, Form: ListCached, Rows: rows}}, nil)
 	for i := range 900 { // what is out
 		n, w := i%300, rows[i%200]
-		if n != d.s.Me {
+		if n != d.settings.Me {
 			out = d.Step(now, []Event{{Kind: EvPeer, From: uint32(n), Data: []byte{hubChange, byte(d.tagOf(w.Worker) >> 8), byte(d.tagOf(w.Worker)) | 3}}}, out[:0])
 		}
 	}
-	now += 10 * d.run
+	now += 10 * d.meanRun
 	rng := rand.New(rand.NewSource(1))
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 2
-		from := uint32((d.s.Me + 1 + rng.Intn(298)) % 300)
+		from := uint32((d.settings.Me + 1 + rng.Intn(298)) % 300)
 		tag := d.tagOf(rows[rng.Intn(200)].Worker)
 		entry := func(kind byte, n uint16) Event {
 			return Event{Kind: EvPeer, From: from, Data: []byte{kind, byte(tag >> 8), byte(tag) | byte(n)}}
@@ -534,8 +534,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d.telling != c.want {
-			t.Errorf("%d nodes with %v requests a second tell in way %d, want %d", c.nodes, c.quota, d.telling, c.want)
+		if d.gossipMode != c.want {
+			t.Errorf("%d nodes with %v requests a second tell in way %d, want %d", c.nodes, c.quota, d.gossipMode, c.want)
 		}
 	}
 }
--- a/brain/late_test.go
+++ b/brain/late_test.go
@@ -16,7 +16,7 @@
 	r := newRig(t, s, ready(7, 1), ready(8, 1), ready(9, 2))
 	tell := func(ids ...uint32) {
 		for _, id := range []uint32{7, 8, 9} {
-			executor := r.d.byID[id]
+			executor := r.d.executorsByID[id]
 			executor.freeSlots, executor.reportedAt, executor.slots = 0, r.now, 4
 			for _, x := range ids {
 				if x == id {
@@ -27,7 +27,7 @@
 	}
 	tell(7)
 	r.after(10, request(1, 1, 0, 1), request(2, 2, 0, 1))
-	executor := r.d.byID[7]
+	executor := r.d.executorsByID[7]
 	if executor.ownSlots != 2 {
 		t.Fatalf("%v slots out at the worker, want 2", executor.ownSlots)
 	}
@@ -54,7 +54,7 @@
 			class = 2
 		}
 		tell(7, 8, 9)
-		r.d.byID[8].freeSlots, r.d.byID[9].freeSlots = 1, 1 // as much room as a worker on trial has
+		r.d.executorsByID[8].freeSlots, r.d.executorsByID[9].freeSlots = 1, 1 // as much room as a worker on trial has
 		for _, a := range r.after(50, request(id, class, 0, 1)) {
 			if a.Kind == ActSend {
 				sent[a.Worker] = append(sent[a.Worker], a.Job)
@@ -87,10 +87,10 @@
 func TestLateConnection(t *testing.T) {
 	s := base()
 	r := newRig(t, s, ready(7, 1), ready(8, 1))
-	executor := r.d.byID[7]
+	executor := r.d.executorsByID[7]
 	give := func() {
 		executor.freeSlots, executor.reportedAt, executor.slots = 4-executor.ownSlots, r.now, 4
-		r.d.byID[8].rejectedUntil = r.now + 1e6
+		r.d.executorsByID[8].rejectedUntil = r.now + 1e6
 	}
 	give()
 	r.after(10, request(1, 1, 0, 1), request(2, 1, 0, 1), request(3, 1, 0, 1))
@@ -136,18 +136,18 @@
 			events = append(events, outcome(out[0].Job, 0, out[0].Worker, Served))
 			out = out[1:]
 		}
-		for _, executor := range r.d.workers {
+		for _, executor := range r.d.executors {
 			busy := 3 + 0.3*rng.Float32()
-			r.d.report(executor, []float32{busy, 8 - busy})
+			r.d.handleLoadReport(executor, []float32{busy, 8 - busy})
 		}
 		for _, a := range r.after(100, events...) {
 			if a.Kind == ActSend {
 				out = append(out, a)
 			}
 		}
-		most = max(most, r.d.age)
+		most = max(most, r.d.reportAge)
 	}
-	if most > 10*ageShare*r.d.period || math.IsNaN(most) {
-		t.Errorf("reports are taken to be up to %.0f ms old, with a period of %.0f", most, r.d.period)
+	if most > 10*ageShare*r.d.reportInterval || math.IsNaN(most) {
+		t.Errorf("reports are taken to be up to %.0f ms old, with a period of %.0f", most, r.d.reportInterval)
 	}
 }
--- a/brain/learn.go
+++ b/brain/learn.go
@@ -7,7 +7,7 @@
 // the constants are in brain.go with the others.
 
 // report takes in a load report. One that is the same to the last digit is the same reading come again.
-func (d *Dispatcher) report(executor *executor, values []float32) {
+func (d *Dispatcher) handleLoadReport(executor *executor, values []float32) {
 	if len(values) == 0 {
 		return
 	}
@@ -15,14 +15,14 @@
 	sample := uint64(1)
 	for i, v := range values {
 		sample = mix64(sample ^ uint64(math.Float32bits(v)))
-		if i >= len(d.s.Fields) {
+		if i >= len(d.settings.Fields) {
 			break
 		}
 		x := float64(v)
 		if math.IsInf(x, 0) || x < 0 {
 			continue
 		}
-		switch d.s.Fields[i] {
+		switch d.settings.Fields[i] {
 		case FieldFree:
 			free = x
 		case FieldBusy:
@@ -37,12 +37,12 @@
 			service = x
 		}
 	}
-	if sample == executor.sampleHash && (executor.ownSlots > 0 || d.now-executor.reportedAt < d.period) {
+	if sample == executor.sampleHash && (executor.ownSlots > 0 || d.now-executor.reportedAt < d.reportInterval) {
 		return // while nothing of ours is there, an idle worker may well report the same again
 	}
-	if service > 0 && d.coldShare(executor) == 1 && executor.time*d.meanSpeed() < speedShrink*d.classes[0].work {
+	if service > 0 && d.slowStartShare(executor) == 1 && executor.time*d.meanSpeed() < speedShrink*d.classes[0].work {
 		// Told without the wait: of a worker that always queues, and of one seldom used, our own runs tell little.
-		d.clocked(executor, d.classes[0].work, service)
+		d.addServiceTime(executor, d.classes[0].work, service)
 	}
 	slots := max(softStart, math.Round(executor.slots), math.Round(d.kinds[executor.kind].slots))
 	width, told := d.classes[0].slots, free
@@ -55,7 +55,7 @@
 		default:
 			return
 		}
-	} else if free < d.widest-0.5 {
+	} else if free < d.widestRequest-0.5 {
 		// More requests than slots in use: the rest is queued. A wide one at the head keeps slots free that
 		// nobody behind it gets.
 		if math.IsNaN(pending) {
@@ -68,13 +68,13 @@
 	if executor.reportedAt > 0 && sample != executor.sampleHash {
 		gap := d.now - executor.reportedAt
 		pull := 0.02
-		if gap < d.period {
+		if gap < d.reportInterval {
 			pull = 0.1
 		}
-		d.period = max(d.period+(min(gap, 10*d.period)-d.period)*pull, d.s.Step, 1)
+		d.reportInterval = max(d.reportInterval+(min(gap, 10*d.reportInterval)-d.reportInterval)*pull, d.settings.Step, 1)
 	}
 	executor.sampleHash, executor.reportedAt = sample, d.now
-	d.heardLast.add(executor)
+	d.recentReporters.add(executor)
 	held := busy
 	if math.IsNaN(busy) {
 		if math.IsNaN(told) {
@@ -82,8 +82,8 @@
 		}
 		held = max(0, slots-told)
 	}
-	d.learnAge(executor, held, math.IsNaN(busy))
-	taken := d.now - d.age
+	d.learnReportAge(executor, held, math.IsNaN(busy))
+	taken := d.now - d.reportAge
 	executor.freeSlots, executor.freeMemory, executor.reportsMemory = free, memory, !math.IsNaN(memory)
 	for _, job := range executor.inFlight {
 		for i := range job.attempts {
@@ -102,7 +102,7 @@
 	}
 	// With room for the widest job nothing is queued, and all that is held runs. Noise asks for a slow rise.
 	most := free
-	if free >= d.widest-0.5 && busy > 0 {
+	if free >= d.widestRequest-0.5 && busy > 0 {
 		most += busy
 	}
 	if executor.slots == 0 {
@@ -113,56 +113,56 @@
 	d.kinds[executor.kind].slots = max(d.kinds[executor.kind].slots, executor.slots)
 	executor.freeSlots = min(executor.freeSlots, max(slots, executor.slots)-executor.ownSlots)
 	theirs := max(0, executor.slots-executor.ownSlots-executor.freeSlots) / max(executor.slots, 1)
-	d.occupied += (theirs - d.occupied) * 0.02
-	group, fade := executor.group, max(0, 1-(d.now-executor.group.updatedAt)/d.usualFor())
+	d.meanPeerOccupancy += (theirs - d.meanPeerOccupancy) * 0.02
+	group, fade := executor.group, max(0, 1-(d.now-executor.group.updatedAt)/d.occupancyWindow())
 	group.occupancySum, group.samples, group.updatedAt = group.occupancySum*fade+theirs, group.samples*fade+1, d.now
-	d.heardAt = d.now
+	d.lastReportAt = d.now
 	// Room that a report tells ends a wait after one 'full', which a late report may have led to. A worker that turns
 	// away the next as well, beside free slots, drains and was not listed so yet: it is left alone for as long as ever.
 	if executor.freeSlots >= 1 && executor.rejections < 2 {
 		executor.rejectedUntil = 0
 	}
-	d.dirty = true
+	d.needsPlacement = true
 }
 
 // relaxed is a worker's free slots, with what others have there drawn from the report to the fleet's mean as
 // the report ages against a job's run. Where reports are older than jobs are long, each says who was idle and
 // not who is: all nodes storm the roomiest and shun the full, turn about.
-func (d *Dispatcher) relaxed(executor *executor) float64 {
-	if d.s.Balancers < 2 || executor.slots == 0 {
+func (d *Dispatcher) decayedFreeSlots(executor *executor) float64 {
+	if d.settings.Balancers < 2 || executor.slots == 0 {
 		return executor.freeSlots
 	}
-	x := relax * (d.now - executor.reportedAt + d.age) / d.run
+	x := relax * (d.now - executor.reportedAt + d.reportAge) / d.meanRun
 	keep := 1 / (1 + x + x*x/2)
-	foreign, usual := executor.slots-executor.ownSlots-executor.freeSlots, d.usual(executor)*executor.slots
+	foreign, usual := executor.slots-executor.ownSlots-executor.freeSlots, d.peerOccupancyAt(executor)*executor.slots
 	return executor.slots - executor.ownSlots - usual - (foreign-usual)*keep + relaxHope*(1-keep)
 }
 
 // usual is the part of a worker's slots that others hold, as reports of its kind in its zone tell, drawn to
 // the fleet's while they are few. It can be over 1 where jobs are queued.
-func (d *Dispatcher) usual(executor *executor) float64 {
-	if len(d.workers) <= lookAll {
-		return d.occupied // too few of a kind in a zone for a mean of their own
+func (d *Dispatcher) peerOccupancyAt(executor *executor) float64 {
+	if len(d.executors) <= lookAll {
+		return d.meanPeerOccupancy // too few of a kind in a zone for a mean of their own
 	}
 	group := executor.group
-	keep := max(0, 1-(d.now-group.updatedAt)/d.usualFor())
-	return (group.occupancySum*keep + usualShrink*d.occupied) / (group.samples*keep + usualShrink)
+	keep := max(0, 1-(d.now-group.updatedAt)/d.occupancyWindow())
+	return (group.occupancySum*keep + usualShrink*d.meanPeerOccupancy) / (group.samples*keep + usualShrink)
 }
 
-func (d *Dispatcher) usualFor() float64 { return usualPeriods * d.period }
+func (d *Dispatcher) occupancyWindow() float64 { return usualPeriods * d.reportInterval }
 
 // slotsOf is how many slots a worker has, as reports showed, 0 if none did. Where the hub tells what others have out it is
 // then as many as a first trial takes: else each of many nodes tries every worker of a kind that it has not met.
-func (d *Dispatcher) slotsOf(executor *executor) float64 {
+func (d *Dispatcher) knownSlots(executor *executor) float64 {
 	n := max(executor.slots, d.kinds[executor.kind].slots)
-	if n == 0 && d.telling == gossipAggregator {
+	if n == 0 && d.gossipMode == gossipAggregator {
 		return softStart
 	}
 	return n
 }
 
 // startLag is how long a start note takes from a worker with room: learned, least lags seen.
-func (d *Dispatcher) startLag() float64 { return 2*d.lag + startGrace*d.s.Step }
+func (d *Dispatcher) startNoteTimeout() float64 { return 2*d.minStartLag + startGrace*d.settings.Step }
 
 // arrivals is how often something comes, as learned from the times between.
 type arrivals struct{ perSecond, last float64 }
@@ -177,9 +177,9 @@
 
 // countArrival takes in that a request came now.
 func (d *Dispatcher) countArrival(repeat bool) {
-	d.tries.add(d.now)
+	d.allArrivals.add(d.now)
 	if !repeat {
-		d.firsts.add(d.now)
+		d.firstArrivals.add(d.now)
 	}
 }
 
@@ -187,45 +187,45 @@
 // sends it again: in a storm of repeats the parts of all nodes summed to 2.7. Small fleets count each try: there a node
 // sees most workers itself, and its part bounds little.
 func (d *Dispatcher) quotaRate() float64 {
-	if len(d.workers) > lookAll {
-		return d.firsts.perSecond
+	if len(d.executors) > lookAll {
+		return d.firstArrivals.perSecond
 	}
-	return d.tries.perSecond
+	return d.allArrivals.perSecond
 }
 
 // clock learns speed from a served attempt.
-func (d *Dispatcher) clock(job *job, attempt *attempt) {
-	if d.coldShare(attempt.executor) < 1 {
+func (d *Dispatcher) learnServiceTime(job *job, attempt *attempt) {
+	if d.slowStartShare(attempt.executor) < 1 {
 		return
 	}
 	from := attempt.startedAt
 	if from == 0 {
-		if d.s.TellsStart || !attempt.hadFreeSlots {
+		if d.settings.TellsStart || !attempt.hadFreeSlots {
 			return // the wait cannot be told from the run
 		}
 		from = attempt.sentAt
 	}
 	span := max(d.now-from, 0.1)
-	d.held += (job.slots*span - d.held) * 0.02
-	d.run += (job.slots*span*span/max(d.held, 1) - d.run) * 0.02
+	d.meanSlotTime += (job.slots*span - d.meanSlotTime) * 0.02
+	d.meanRun += (job.slots*span*span/max(d.meanSlotTime, 1) - d.meanRun) * 0.02
 	stats := &d.classes[job.class]
 	if job.work == stats.work { // no hint: the class's mean stands for the work
 		stats.work += (span*d.meanSpeed() - stats.work) * 0.02
 	}
-	d.clocked(attempt.executor, job.work, span)
+	d.addServiceTime(attempt.executor, job.work, span)
 }
 
 // clocked takes in that a worker did some work in some time.
-func (d *Dispatcher) clocked(executor *executor, work, span float64) {
+func (d *Dispatcher) addServiceTime(executor *executor, work, span float64) {
 	kind := &d.kinds[executor.kind]
 	executor.work, executor.time = executor.work*speedKeep+work, executor.time*speedKeep+span
 	kind.work, kind.time = kind.work*speedKeep+work, kind.time*speedKeep+span
-	d.all.work, d.all.time = d.all.work*speedKeep+work, d.all.time*speedKeep+span
+	d.allKinds.work, d.allKinds.time = d.allKinds.work*speedKeep+work, d.allKinds.time*speedKeep+span
 }
 
 func (d *Dispatcher) meanSpeed() float64 {
 	mean := d.classes[0].work
-	return (d.all.work + mean) / (d.all.time + mean)
+	return (d.allKinds.work + mean) / (d.allKinds.time + mean)
 }
 
 func (d *Dispatcher) kindSpeed(kind int) float64 {
@@ -235,11 +235,11 @@
 
 // speed is a worker's own, drawn to its kind's while little is known, and less while it is cold: it then has a part
 // of its capacity, which few jobs do not use up.
-func (d *Dispatcher) speed(executor *executor) float64 {
+func (d *Dispatcher) executorSpeed(executor *executor) float64 {
 	mean := speedShrink * d.classes[0].work
-	speed, cold := (executor.work+mean*d.kindSpeed(executor.kind))/(executor.time+mean), d.coldShare(executor)
-	if cold < 1 && d.peersKnown() {
-		cold = min(1, cold*max(1, executor.slots, d.kinds[executor.kind].slots)/(executor.ownSlots+d.foreign(executor)+1))
+	speed, cold := (executor.work+mean*d.kindSpeed(executor.kind))/(executor.time+mean), d.slowStartShare(executor)
+	if cold < 1 && d.peerLoadsKnown() {
+		cold = min(1, cold*max(1, executor.slots, d.kinds[executor.kind].slots)/(executor.ownSlots+d.peerSlotsAt(executor)+1))
 	}
 	return speed * cold
 }
@@ -249,7 +249,7 @@
 // tells of free slots. So classes are told apart. One 'full' beside free slots can come of a late report.
 // A job that errs at a second worker too may be one that errs wherever it goes: then the first is not to blame either,
 // or one bad request that may be tried six times puts its class out at six workers. It was theirs if a third serves it.
-func (d *Dispatcher) fared(job *job, executor *executor, event *Event) {
+func (d *Dispatcher) learnClassOutcome(job *job, executor *executor, event *Event) {
 	f, attempt, erred := &executor.classes[job.class], &job.attempts[event.Attempt], 0
 	for i := range job.attempts {
 		if job.attempts[i].errored {
@@ -265,13 +265,13 @@
 		}
 		for i := range job.attempts {
 			if erred > 1 && job.attempts[i].errored {
-				d.blame(job.attempts[i].executor, job.class, Errored)
+				d.blameClass(job.attempts[i].executor, job.class, Errored)
 			}
 		}
 	case event.Outcome == Errored:
 		attempt.errored = true
 		if erred == 0 {
-			d.blame(executor, job.class, Errored)
+			d.blameClass(executor, job.class, Errored)
 		} else if erred == 1 {
 			for i := range job.attempts {
 				if x := &job.attempts[i]; x.errored && x != attempt {
@@ -280,8 +280,8 @@
 				}
 			}
 		}
-	case event.Outcome == Full && d.tellsRoom(event.Report, job.slots):
-		d.blame(executor, job.class, Full)
+	case event.Outcome == Full && d.reportsFreeSlots(event.Report, job.slots):
+		d.blameClass(executor, job.class, Full)
 	}
 }
 
@@ -294,7 +294,7 @@
 }
 
 // blame holds a job's end against a worker, for its class.
-func (d *Dispatcher) blame(executor *executor, class int, o Outcome) {
+func (d *Dispatcher) blameClass(executor *executor, class int, o Outcome) {
 	f := &executor.classes[class]
 	if o == Errored {
 		f.errors.add(d, true)
@@ -308,10 +308,10 @@
 	if o == Full && f.consecutive == 1 {
 		return
 	}
-	base := classAway * max(d.s.ConnectTimeout, d.s.Step)
+	base := classAway * max(d.settings.ConnectTimeout, d.settings.Step)
 	f.awayUntil = d.now + base*float64(int(1)<<min(f.consecutive-1, ejectMost))*(0.75+0.5*d.random())
-	d.find(executor, firstMark+class)
-	d.log("class %d fails at worker %d, kept away until %.0f", class, executor.id, f.awayUntil)
+	d.reportQuarantine(executor, firstMark+class)
+	d.logf("class %d fails at worker %d, kept away until %.0f", class, executor.id, f.awayUntil)
 }
 
 // tally counts jobs that ended and those of them that erred, and forgets.
@@ -319,7 +319,7 @@
 
 // now is a tally as faded by now.
 func (t *errorTally) faded(d *Dispatcher) (n, errs float64) {
-	f := math.Exp((t.updatedAt - d.now) / (flakyFor * max(d.s.ConnectTimeout, d.s.Step)))
+	f := math.Exp((t.updatedAt - d.now) / (flakyFor * max(d.settings.ConnectTimeout, d.settings.Step)))
 	return t.total * f, t.errors * f
 }
 
@@ -342,9 +342,9 @@
 // are, and serve the next: an error kept away its class alone, until the next success, so that each class in turn lost
 // jobs there that can not be repeated, and lost them again. What other classes fared there counts until a class has
 // fared often enough itself.
-func (d *Dispatcher) lostFor(job *job, executor *executor) float64 {
+func (d *Dispatcher) errorProbability(job *job, executor *executor) float64 {
 	all, errs := executor.errors.faded(d)
-	if errs < 0.01 || d.s.Classes[job.class].Effect != Unsafe || d.panicking || d.classes[job.class].failsEverywhere {
+	if errs < 0.01 || d.settings.Classes[job.class].Effect != Unsafe || d.panicking || d.classes[job.class].failsEverywhere {
 		return 0
 	}
 	own, ownErrs := executor.classes[job.class].errors.faded(d)
@@ -352,14 +352,14 @@
 }
 
 // tellsRoom says whether a report tells of free slots for a job, and of nothing that queues for them.
-func (d *Dispatcher) tellsRoom(values []float32, slots float64) bool {
+func (d *Dispatcher) reportsFreeSlots(values []float32, slots float64) bool {
 	room := false
 	for i, v := range values {
 		switch x := float64(v); {
-		case i >= len(d.s.Fields):
-		case d.s.Fields[i] == FieldFree:
+		case i >= len(d.settings.Fields):
+		case d.settings.Fields[i] == FieldFree:
 			room = x > slots-0.25
-		case d.s.Fields[i] == FieldPending && x >= 0.5:
+		case d.settings.Fields[i] == FieldPending && x >= 0.5:
 			return false
 		}
 	}
@@ -367,25 +367,25 @@
 }
 
 // fails says whether a job's class failed at a worker lately, and not nearly everywhere.
-func (d *Dispatcher) fails(job *job, executor *executor) bool {
-	return d.failing(executor, job.class) && !d.classes[job.class].failsEverywhere
+func (d *Dispatcher) classFailsAt(job *job, executor *executor) bool {
+	return d.isClassAway(executor, job.class) && !d.classes[job.class].failsEverywhere
 }
 
 // failing says whether a class failed at a worker lately, here or as other nodes found.
-func (d *Dispatcher) failing(executor *executor, class int) bool {
-	return d.now < executor.classes[class].awayUntil || d.marked(executor, firstMark+class)
+func (d *Dispatcher) isClassAway(executor *executor, class int) bool {
+	return d.now < executor.classes[class].awayUntil || d.isQuarantined(executor, firstMark+class)
 }
 
 // sumFails finds the classes that fail at so many workers that it does not help to keep them away.
-func (d *Dispatcher) sumFails() {
+func (d *Dispatcher) findFailingClasses() {
 	for c := range d.classes {
 		n := 0
-		for _, executor := range d.workers {
-			if d.failing(executor, c) {
+		for _, executor := range d.executors {
+			if d.isClassAway(executor, c) {
 				n++
 			}
 		}
-		d.classes[c].failsEverywhere = float64(n) > panicShare*float64(len(d.workers))
+		d.classes[c].failsEverywhere = float64(n) > panicShare*float64(len(d.executors))
 	}
 }
 
@@ -403,13 +403,13 @@
 // without any sign of it: all nodes then fill workers that were idle seconds ago and shun those that were full
 // (iacbb5d). What a worker told to hold goes up and down with our own jobs there, as they were when the report
 // was taken; so of some ages, the one at which held less our own scatters least is the age.
-func (d *Dispatcher) learnAge(executor *executor, held float64, inSlots bool) {
-	d.ageCount++
-	pull := max(1-ageKeep, 1/d.ageCount)
+func (d *Dispatcher) learnReportAge(executor *executor, held float64, inSlots bool) {
+	d.ageSamples++
+	pull := max(1-ageKeep, 1/d.ageSamples)
 	least, best := math.Inf(1), 0
-	plain := d.heldStat.add(held, pull) // what no jobs of ours explain
-	for k := range d.ages {
-		at, ours := d.now-d.period*ageShare*math.Pow(ageStep, float64(k-1)), 0.0
+	plain := d.reportedLoad.add(held, pull) // what no jobs of ours explain
+	for k := range d.ageCandidates {
+		at, ours := d.now-d.reportInterval*ageShare*math.Pow(ageStep, float64(k-1)), 0.0
 		add := func(slots float64) {
 			if inSlots {
 				ours += slots
@@ -429,25 +429,25 @@
 				add(x.slots)
 			}
 		}
-		scatter := d.ages[k].add(held-ours, pull)
+		scatter := d.ageCandidates[k].add(held-ours, pull)
 		// Beyond the oldest of our jobs that are remembered an age counts none of them, explains nothing, and still
 		// beats the usual one where ours are few: reports were taken to be half a minute old on a day of drains.
-		counts := d.heldStat.mean-d.ages[k].mean >= (d.heldStat.mean-d.ages[1].mean)/2
+		counts := d.reportedLoad.mean-d.ageCandidates[k].mean >= (d.reportedLoad.mean-d.ageCandidates[1].mean)/2
 		if scatter < least && counts {
 			least, best = scatter, k
 		}
 	}
 	sure := ageSure
-	if d.ageBest != 1 {
+	if d.bestAge != 1 {
 		sure = 1 // once believed, it holds until the usual one fits as well
 	}
-	if least > sure*d.ages[1].scatter || least > plain || d.ageCount < 1/(1-ageKeep) {
+	if least > sure*d.ageCandidates[1].scatter || least > plain || d.ageSamples < 1/(1-ageKeep) {
 		best = 1
 	}
-	age := ageShare * d.period * math.Pow(ageStep, float64(best-1))
-	if best != d.ageBest {
-		d.log("reports are %.0f ms old when they come, was %.0f", age, d.age)
-		d.ageBest = best
+	age := ageShare * d.reportInterval * math.Pow(ageStep, float64(best-1))
+	if best != d.bestAge {
+		d.logf("reports are %.0f ms old when they come, was %.0f", age, d.reportAge)
+		d.bestAge = best
 	}
-	d.age = age
+	d.reportAge = age
 }
--- a/brain/list.go
+++ b/brain/list.go
@@ -37,72 +37,72 @@
 }
 
 // weigh takes in a weight of the list.
-func (d *Dispatcher) weigh(x *endpointRow, scale float64) {
+func (d *Dispatcher) applyWeight(x *endpointRow, scale float64) {
 	x.row.Scale = scale
 	kind := &d.kinds[x.row.Kind]
 	kind.scale = max(kind.scale, scale, 1e-6)
-	if d.s.LiveWeights && scale > 0 {
+	if d.settings.LiveWeights && scale > 0 {
 		x.liveLoad = kind.scale/scale - 1
-		d.load += (x.liveLoad - d.load) / float64(len(d.rows)+1)
+		d.meanLiveLoad += (x.liveLoad - d.meanLiveLoad) / float64(len(d.endpointRows)+1)
 	}
 }
 
 // applyRows brings the workers up to date with a list.
 func (d *Dispatcher) applyRows(event *Event) {
 	if event.Form != ListDelta {
-		for _, executor := range d.workers {
+		for _, executor := range d.executors {
 			executor.condition = Gone
 		}
 	}
-	changed := d.changed[:0]
-	if d.confirmedAt == 0 {
-		d.newestStart = newestStart(event.Rows)
+	changed := d.changedScratch[:0]
+	if d.listConfirmedAt == 0 {
+		d.newestListedStart = newestStart(event.Rows)
 	}
 	at := 0
 	for i := range event.Rows {
 		r := &event.Rows[i]
-		if at >= len(d.rows) || d.rows[at].row.Worker != r.Worker {
-			at = d.placeOf(r.Worker)
+		if at >= len(d.endpointRows) || d.endpointRows[at].row.Worker != r.Worker {
+			at = d.positionOf(r.Worker)
 		}
-		if at < len(d.rows) && d.rows[at].row.Worker == r.Worker {
-			x := &d.rows[at]
+		if at < len(d.endpointRows) && d.endpointRows[at].row.Worker == r.Worker {
+			x := &d.endpointRows[at]
 			at++
 			same := *r
 			same.Scale = x.row.Scale
 			if same == x.row && event.Form == ListDelta {
-				d.weigh(x, r.Scale)
+				d.applyWeight(x, r.Scale)
 				continue
 			}
 			x.row.Scale = r.Scale
 		}
 		changed = append(changed, d.applyRow(r))
 	}
-	d.changed = changed
+	d.changedScratch = changed
 	switch {
-	case event.Form != ListDelta, len(changed) >= rebuildFrom, len(changed) > 0 && d.s.LiveWeights:
-		d.rebuild()
+	case event.Form != ListDelta, len(changed) >= rebuildFrom, len(changed) > 0 && d.settings.LiveWeights:
+		d.rebuildList()
 	case len(changed) > 0:
 		for _, executor := range changed {
-			d.enlist(executor)
+			d.updateListed(executor)
 		}
-		d.forgetLeft()
+		d.forgetRemoved()
 	default:
 		return // weights alone are told often
 	}
-	d.listSerial++
-	if d.peersFresh > 0 {
-		d.sumPeers()
+	d.listRevision++
+	if d.freshPeers > 0 {
+		d.sumPeerLoads()
 	}
 }
 
 // placeOf is where a worker stands in the list, or would.
-func (d *Dispatcher) placeOf(id uint32) int {
-	return sort.Search(len(d.rows), func(k int) bool { return d.rows[k].row.Worker >= id })
+func (d *Dispatcher) positionOf(id uint32) int {
+	return sort.Search(len(d.endpointRows), func(k int) bool { return d.endpointRows[k].row.Worker >= id })
 }
 
 func (d *Dispatcher) newExecutor(id uint32) *executor {
 	added := &executor{id: id, softLimit: softStart, lastHeard: d.now, classes: make([]classFailures, len(d.classes))}
-	d.byID[id] = added
+	d.executorsByID[id] = added
 	d.recallStart(added)
 	return added
 }
@@ -116,7 +116,7 @@
 	clear(executor.classes)
 	executor.errors = errorTally{}
 	for kind := uint16(firstMark); kind <= noConns; kind++ {
-		delete(d.hub.marks, executor.tag|kind)
+		delete(d.aggregator.marks, executor.tag|kind)
 	}
 	executor.onProbation, executor.unresponsive = false, false
 	executor.idleSince, executor.affinityKeys, executor.lastHeard = executor.idleSince[:0], [12]uint64{}, d.now
@@ -124,7 +124,7 @@
 
 // applyRow brings a worker up to date with its row, and makes it if it is new.
 func (d *Dispatcher) applyRow(r *Row) *executor {
-	executor := d.byID[r.Worker]
+	executor := d.executorsByID[r.Worker]
 	if executor == nil {
 		executor = d.newExecutor(r.Worker)
 	} else if r.Born != executor.listedStart { // also to an earlier one: the clock that told them may have been stepped back
@@ -134,91 +134,91 @@
 	executor.group = d.groupOf(r.Kind, r.Zone)
 	d.noteStart(executor, r.Born)
 	executor.condition, executor.row = r.Condition, *r
-	d.coldOpen(executor, 0) // from now on, not from our next job
+	d.slowStartAllows(executor, 0) // from now on, not from our next job
 	return executor
 }
 
 // rebuild puts all listed workers in order anew.
-func (d *Dispatcher) rebuild() {
-	clear(d.byTag)
-	d.workers, d.left = d.workers[:0], d.left[:0]
-	for id, executor := range d.byID {
+func (d *Dispatcher) rebuildList() {
+	clear(d.executorsByTag)
+	d.executors, d.removedExecutors = d.executors[:0], d.removedExecutors[:0]
+	for id, executor := range d.executorsByID {
 		switch {
 		case executor.condition != Gone:
-			d.workers = append(d.workers, executor)
+			d.executors = append(d.executors, executor)
 			executor.tag = d.tagOf(executor.id)
 		case len(executor.inFlight) == 0:
 			d.rememberStart(executor)
-			delete(d.byID, id)
+			delete(d.executorsByID, id)
 		default:
-			d.left = append(d.left, executor)
+			d.removedExecutors = append(d.removedExecutors, executor)
 		}
 	}
-	slices.SortFunc(d.workers, func(a, b *executor) int { return cmp.Compare(a.id, b.id) })
-	for i := range d.rows {
-		if executor := d.byID[d.rows[i].row.Worker]; executor != nil {
-			executor.row.Scale = d.rows[i].row.Scale // as last told
+	slices.SortFunc(d.executors, func(a, b *executor) int { return cmp.Compare(a.id, b.id) })
+	for i := range d.endpointRows {
+		if executor := d.executorsByID[d.endpointRows[i].row.Worker]; executor != nil {
+			executor.row.Scale = d.endpointRows[i].row.Scale // as last told
 		}
 	}
-	d.rows, d.hashes = d.rows[:0], d.hashes[:0]
-	for i, executor := range d.workers {
-		executor.position, d.byTag[executor.tag] = i, executor
-		d.rows = append(d.rows, endpointRow{row: executor.row})
-		d.hashes = append(d.hashes, affinityHashOf(executor))
-		d.weigh(&d.rows[i], executor.row.Scale)
+	d.endpointRows, d.affinityHashes = d.endpointRows[:0], d.affinityHashes[:0]
+	for i, executor := range d.executors {
+		executor.position, d.executorsByTag[executor.tag] = i, executor
+		d.endpointRows = append(d.endpointRows, endpointRow{row: executor.row})
+		d.affinityHashes = append(d.affinityHashes, affinityHashOf(executor))
+		d.applyWeight(&d.endpointRows[i], executor.row.Scale)
 	}
 }
 
 // enlist puts one worker whose row has changed in its place, or takes it out. Where weights are live all is rebuilt
 // instead: only there is a worker's own place, w.at, of use.
-func (d *Dispatcher) enlist(executor *executor) {
-	at := d.placeOf(executor.id)
-	listedNow := at < len(d.rows) && d.rows[at].row.Worker == executor.id
+func (d *Dispatcher) updateListed(executor *executor) {
+	at := d.positionOf(executor.id)
+	listedNow := at < len(d.endpointRows) && d.endpointRows[at].row.Worker == executor.id
 	switch {
 	case executor.condition == Gone && listedNow:
-		d.workers = slices.Delete(d.workers, at, at+1)
-		d.rows = slices.Delete(d.rows, at, at+1)
-		d.hashes = slices.Delete(d.hashes, at, at+1)
-		d.untag(executor)
-		d.left = append(d.left, executor)
+		d.executors = slices.Delete(d.executors, at, at+1)
+		d.endpointRows = slices.Delete(d.endpointRows, at, at+1)
+		d.affinityHashes = slices.Delete(d.affinityHashes, at, at+1)
+		d.releaseTag(executor)
+		d.removedExecutors = append(d.removedExecutors, executor)
 		return
 	case executor.condition == Gone:
-		d.left = append(d.left, executor)
+		d.removedExecutors = append(d.removedExecutors, executor)
 		return
 	case listedNow:
-		executor.row.Scale = d.rows[at].row.Scale // as last told
-		d.rows[at].row, d.hashes[at] = executor.row, affinityHashOf(executor)
+		executor.row.Scale = d.endpointRows[at].row.Scale // as last told
+		d.endpointRows[at].row, d.affinityHashes[at] = executor.row, affinityHashOf(executor)
 	default:
 		executor.tag = d.tagOf(executor.id)
-		if x := d.byTag[executor.tag]; x == nil || x.id < executor.id {
-			d.byTag[executor.tag] = executor
+		if x := d.executorsByTag[executor.tag]; x == nil || x.id < executor.id {
+			d.executorsByTag[executor.tag] = executor
 		}
-		d.workers = slices.Insert(d.workers, at, executor)
-		d.rows = slices.Insert(d.rows, at, endpointRow{row: executor.row})
-		d.hashes = slices.Insert(d.hashes, at, affinityHashOf(executor))
+		d.executors = slices.Insert(d.executors, at, executor)
+		d.endpointRows = slices.Insert(d.endpointRows, at, endpointRow{row: executor.row})
+		d.affinityHashes = slices.Insert(d.affinityHashes, at, affinityHashOf(executor))
 	}
-	d.weigh(&d.rows[at], executor.row.Scale)
+	d.applyWeight(&d.endpointRows[at], executor.row.Scale)
 }
 
 // untag gives a worker's name in messages to the last other one of that name, if there is one.
-func (d *Dispatcher) untag(executor *executor) {
-	if d.byTag[executor.tag] != executor {
+func (d *Dispatcher) releaseTag(executor *executor) {
+	if d.executorsByTag[executor.tag] != executor {
 		return
 	}
-	delete(d.byTag, executor.tag)
-	for i, x := range d.hashes {
+	delete(d.executorsByTag, executor.tag)
+	for i, x := range d.affinityHashes {
 		if x.tag == executor.tag {
-			d.byTag[executor.tag] = d.workers[i]
+			d.executorsByTag[executor.tag] = d.executors[i]
 		}
 	}
 }
 
 // forgetLeft forgets the workers that are gone once nothing of ours is out there.
-func (d *Dispatcher) forgetLeft() {
-	d.left = slices.DeleteFunc(d.left, func(executor *executor) bool {
+func (d *Dispatcher) forgetRemoved() {
+	d.removedExecutors = slices.DeleteFunc(d.removedExecutors, func(executor *executor) bool {
 		if executor.condition == Gone && len(executor.inFlight) == 0 {
 			d.rememberStart(executor)
-			delete(d.byID, executor.id)
+			delete(d.executorsByID, executor.id)
 		}
 		return executor.condition != Gone || len(executor.inFlight) == 0
 	})
--- a/brain/peers.go
+++ b/brain/peers.go
@@ -113,13 +113,13 @@
 
 // howToTell says what the other nodes are told: all, now and then; or, where nodes are so many that the bytes allow
 // that less often than a load report is old when it comes, a hub, unless it would have too much to do; or nothing.
-func (d *Dispatcher) howToTell() gossipMode {
-	nodes := float64(d.s.Balancers)
-	each := max(d.quota/nodes, 1)
-	usual := 3 * (each*d.held/1000 + 1) * (nodes - 1)
+func (d *Dispatcher) chooseGossipMode() gossipMode {
+	nodes := float64(d.settings.Balancers)
+	each := max(d.totalQuota/nodes, 1)
+	usual := 3 * (each*d.meanSlotTime/1000 + 1) * (nodes - 1)
 	switch {
-	case !d.s.MayTell || nodes < 2:
-	case 1000*usual/(tellBytes*each) <= d.age:
+	case !d.settings.MayTell || nodes < 2:
+	case 1000*usual/(tellBytes*each) <= d.reportAge:
 		return gossipBroadcast
 	case each*nodes <= hubMost:
 		return gossipAggregator
@@ -129,66 +129,66 @@
 
 // tell sends the other nodes our slots out at each worker, about twice a report period, within a number of
 // bytes for each request.
-func (d *Dispatcher) tell() {
-	if d.telling != gossipBroadcast || d.now < d.tellAt {
+func (d *Dispatcher) broadcastLoad() {
+	if d.gossipMode != gossipBroadcast || d.now < d.nextGossip {
 		return
 	}
 	var data []byte
-	for _, executor := range d.busy {
+	for _, executor := range d.busyExecutors {
 		if n := math.Round(executor.ownSlots); n > 0 && len(data)+3 <= 255 {
 			data = append(data, byte(executor.tag>>8), byte(executor.tag), byte(min(n, 255)))
 		}
 	}
-	d.out = append(d.out, Action{Kind: ActTell, To: AllPeers, Data: data})
-	bytes := float64(len(data) * (d.s.Balancers - 1))
-	d.tellAt = d.now + max(tellPeriods*d.period, 1000*bytes/(tellBytes*max(d.tries.perSecond, 1)))*(0.8+0.4*d.random())
+	d.actions = append(d.actions, Action{Kind: ActTell, To: AllPeers, Data: data})
+	bytes := float64(len(data) * (d.settings.Balancers - 1))
+	d.nextGossip = d.now + max(tellPeriods*d.reportInterval, 1000*bytes/(tellBytes*max(d.allArrivals.perSecond, 1)))*(0.8+0.4*d.random())
 }
 
 // startHub orders the hubs, alike at all nodes.
-func (d *Dispatcher) startHub() {
-	d.hub = aggregatorState{now: -1, life: -1, theirs: map[uint16]float64{}, sums: map[uint16]float64{},
-		away: map[uint16]bool{}, marks: map[uint16]*quarantine{}, order: make([]int, d.s.Balancers),
-		since: math.Inf(-1), nonce: 1 + uint8(mix64(d.rng)%(hubKinds^0xff))}
-	for i := range d.hub.order {
-		d.hub.order[i] = i
-	}
-	slices.SortFunc(d.hub.order, func(a, b int) int { return cmp.Compare(mix64(uint64(a)+1), mix64(uint64(b)+1)) })
+func (d *Dispatcher) startAggregator() {
+	d.aggregator = aggregatorState{now: -1, life: -1, theirs: map[uint16]float64{}, sums: map[uint16]float64{},
+		away: map[uint16]bool{}, marks: map[uint16]*quarantine{}, order: make([]int, d.settings.Balancers),
+		since: math.Inf(-1), nonce: 1 + uint8(mix64(d.randomState)%(hubKinds^0xff))}
+	for i := range d.aggregator.order {
+		d.aggregator.order[i] = i
+	}
+	slices.SortFunc(d.aggregator.order, func(a, b int) int { return cmp.Compare(mix64(uint64(a)+1), mix64(uint64(b)+1)) })
 }
 
 // tagOf names a worker in messages: the same at all nodes.
 func (d *Dispatcher) tagOf(id uint32) uint16 {
 	tag := uint16(mix64(uint64(id)))
-	if d.telling == gossipAggregator {
+	if d.gossipMode == gossipAggregator {
 		tag &^= lowBits
 	}
 	return tag
 }
 
 // pickHub gives the first hub that is not suspected.
-func (d *Dispatcher) pickHub() int {
-	for _, i := range d.hub.order {
+func (d *Dispatcher) pickAggregator() int {
+	for _, i := range d.aggregator.order {
 		if d.now >= d.peers[i].suspectedUntil {
 			return i
 		}
 	}
-	return d.hub.order[0]
+	return d.aggregator.order[0]
 }
 
 // tellHub tells the hub what has changed, and asks it if its answer is wanted.
-func (d *Dispatcher) tellHub() {
-	aggregator := &d.hub
-	if now := d.pickHub(); now != aggregator.now {
+func (d *Dispatcher) notifyAggregator() {
+	aggregator := &d.aggregator
+	if now := d.pickAggregator(); now != aggregator.now {
 		aggregator.now, aggregator.life, aggregator.whole, aggregator.misses, aggregator.asked, aggregator.deaf = now, -1, true, 0, 0, 0
 	}
-	if aggregator.now == d.s.Me {
+	if aggregator.now == d.settings.Me {
 		return
 	}
-	if aggregator.asked > 0 && d.now-aggregator.asked > d.hubWait() {
+	if aggregator.asked > 0 && d.now-aggregator.asked > d.answerTimeout() {
 		if aggregator.asked, aggregator.misses = 0, aggregator.misses+1; aggregator.misses >= hubMisses {
 			peer := &d.peers[aggregator.now]
-			peer.suspectedUntil = d.now + hubAway*d.hubWait()*float64(int(1)<<min(peer.timeouts, ejectMost))*(0.75+0.5*d.random())
+			peer.suspectedUntil = d.now + hubAway*d.answerTimeout()*float64(int(1)<<min(peer.timeouts, ejectMost))*(0.75+0.5*d.random())
 			peer.timeouts++
-			d.log("node %d does not answer as the hub", aggregator.now)
+			d.logf("node %d does not answer as the hub", aggregator.now)
 			return
 		}
 	}
@@ -207,7 +207,7 @@
 		data = binary.BigEndian.AppendUint16(data, x)
 	}
 	aggregator.found = aggregator.found[:0]
-	data = d.changes(data)
+	data = d.appendChanges(data)
 	if len(data) == 1 && kind == hubChange {
 		return
 	}
@@ -217,57 +217,59 @@
 	if data[0] = kind; kind != hubChange {
 		aggregator.asked, aggregator.wanted = d.now, false
 	}
-	d.out = append(d.out, Action{Kind: ActTell, To: uint16(aggregator.now), Data: data})
+	d.actions = append(d.actions, Action{Kind: ActTell, To: uint16(aggregator.now), Data: data})
 }
 
 // changes appends what has changed since the hub was told, and what it is to be reminded of.
-func (d *Dispatcher) changes(data []byte) []byte {
+func (d *Dispatcher) appendChanges(data []byte) []byte {
 	tell := func(executor *executor) {
-		n := min(math.Round(executor.ownSlots+d.hidden(executor)), mostTold)
-		if n == executor.notifiedSlots && (n == 0 || d.now-executor.notifiedAt < d.reminder()) || len(data) > 2*mostEntries-1 {
+		n := min(math.Round(executor.ownSlots+d.hiddenSlots(executor)), mostTold)
+		if n == executor.notifiedSlots && (n == 0 || d.now-executor.notifiedAt < d.reminderInterval()) || len(data) > 2*mostEntries-1 {
 			return
 		}
 		if executor.notifiedSlots == 0 {
-			d.hub.told = append(d.hub.told, executor)
+			d.aggregator.told = append(d.aggregator.told, executor)
 		}
 		data = binary.BigEndian.AppendUint16(data, executor.tag|uint16(n))
 		executor.notifiedSlots, executor.notifiedAt = n, d.now
 	}
-	for _, executor := range d.busy {
+	for _, executor := range d.busyExecutors {
 		tell(executor)
 	}
-	for _, executor := range d.hub.told {
+	for _, executor := range d.aggregator.told {
 		tell(executor)
 	}
-	d.hub.told = slices.DeleteFunc(d.hub.told, func(executor *executor) bool { return executor.notifiedSlots == 0 })
+	d.aggregator.told = slices.DeleteFunc(d.aggregator.told, func(executor *executor) bool { return executor.notifiedSlots == 0 })
 	return data
 }
 
 // hidden is what others hold at a worker that no message told of: a job of ours that is not started though there should
 // be room shows it, and it is taken to end over a run. Nodes that were killed, and hubs, leave such jobs behind, and to
 // tell of them spares every other node the same wait.
-func (d *Dispatcher) hidden(executor *executor) float64 {
-	if d.s.TellsStart && executor.unstarted > 0 && d.now-executor.oldestUnstarted > d.startLag() {
-		n := d.slotsOf(executor) * d.coldShare(executor)
-		if full := n - executor.ownSlots - d.foreign(executor); full >= executor.hiddenSlots {
+func (d *Dispatcher) hiddenSlots(executor *executor) float64 {
+	if d.settings.TellsStart && executor.unstarted > 0 && d.now-executor.oldestUnstarted > d.startNoteTimeout() {
+		n := d.knownSlots(executor) * d.slowStartShare(executor)
+		if full := n - executor.ownSlots - d.peerSlotsAt(executor); full >= executor.hiddenSlots {
 			executor.hiddenSlots, executor.hiddenAt = full, d.now
 		}
 	}
-	return max(0, executor.hiddenSlots*(1-(d.now-executor.hiddenAt)/d.run))
+	return max(0, executor.hiddenSlots*(1-(d.now-executor.hiddenAt)/d.meanRun))
 }
 
 // reminder is after how long what is still out is told again. What is told lapses after twice that.
-func (d *Dispatcher) reminder() float64 { return max(tellAgain*d.run, d.s.Step) }
+func (d *Dispatcher) reminderInterval() float64 { return max(tellAgain*d.meanRun, d.settings.Step) }
 
 // hubWait is how long an answer of the hub is waited for.
-func (d *Dispatcher) hubWait() float64 { return max(hubWaits*d.s.ConnectTimeout, d.s.Step) }
+func (d *Dispatcher) answerTimeout() float64 {
+	return max(hubWaits*d.settings.ConnectTimeout, d.settings.Step)
+}
 
 // heardHub takes in a message to or from a hub.
-func (d *Dispatcher) heardHub(peer *peer, event *Event) {
+func (d *Dispatcher) handleAggregatorMessage(peer *peer, event *Event) {
 	if len(event.Data) == 0 {
 		return
 	}
-	aggregator, head := &d.hub, event.Data[0]
+	aggregator, head := &d.aggregator, event.Data[0]
 	each := func(take func(tag uint16, slots float64), mark func(uint16)) {
 		for i := 1; i+2 <= len(event.Data); i += 2 {
 			x := binary.BigEndian.Uint16(event.Data[i:])
@@ -285,69 +287,69 @@
 		life := int(head &^ hubKinds)
 		aggregator.whole = aggregator.life >= 0 && life != aggregator.life // it has begun anew, and knows nothing of us
 		aggregator.life, aggregator.asked, aggregator.misses = life, 0, 0
-		if d.dirty = true; life == 0 {
-			aggregator.deaf = d.now + hubDeaf*d.hubWait()
+		if d.needsPlacement = true; life == 0 {
+			aggregator.deaf = d.now + hubDeaf*d.answerTimeout()
 			return
 		}
 		aggregator.answered, peer.timeouts = d.now, 0
 		clear(aggregator.theirs)
 		clear(aggregator.away)
 		each(func(tag uint16, slots float64) { aggregator.theirs[tag] += slots }, func(x uint16) { aggregator.away[x] = true })
-		d.estimateAt = 0
+		d.nextEstimate = 0
 		return
 	}
 	if head&hubKinds == hubWhole {
 		// What it does not name may have been sent before it was killed, and run on: it lapses after a run.
 		for i := range peer.loads {
-			peer.loads[i].heardAt = min(peer.loads[i].heardAt, d.now+d.run-2*d.reminder())
+			peer.loads[i].heardAt = min(peer.loads[i].heardAt, d.now+d.meanRun-2*d.reminderInterval())
 		}
 	}
-	each(func(tag uint16, slots float64) { d.setPeer(peer, peerLoad{tag, slots, d.now}) }, d.setMark)
-	d.dirty = true
+	each(func(tag uint16, slots float64) { d.setPeerLoad(peer, peerLoad{tag, slots, d.now}) }, d.addQuarantine)
+	d.needsPlacement = true
 	if head&hubKinds != hubChange {
-		d.out = append(d.out, Action{Kind: ActTell, To: uint16(event.From), Data: d.answer(peer)})
+		d.actions = append(d.actions, Action{Kind: ActTell, To: uint16(event.From), Data: d.encodeAnswer(peer)})
 	}
 }
 
 // hubKnows says that this node, as a hub, has listened for long enough to know what is out.
-func (d *Dispatcher) hubKnows() bool { return d.now-d.hub.since > listenRuns*d.run }
+func (d *Dispatcher) aggregatorIsReady() bool { return d.now-d.aggregator.since > listenRuns*d.meanRun }
 
 // markOf gives the entry that marks a worker, if a hub is told and entries have room for that mark.
-func (d *Dispatcher) markOf(executor *executor, kind int) (x uint16, ok bool) {
-	return executor.tag | uint16(kind), d.telling == gossipAggregator && (kind <= lastMark || kind == noConns)
+func (d *Dispatcher) quarantineOf(executor *executor, kind int) (x uint16, ok bool) {
+	return executor.tag | uint16(kind), d.gossipMode == gossipAggregator && (kind <= lastMark || kind == noConns)
 }
 
 // find notes that a class fails at a worker, or that it takes no connections, for the hub to tell the others.
-func (d *Dispatcher) find(executor *executor, kind int) {
-	x, ok := d.markOf(executor, kind)
+func (d *Dispatcher) reportQuarantine(executor *executor, kind int) {
+	x, ok := d.quarantineOf(executor, kind)
 	switch {
 	case !ok:
-	case d.hub.now == d.s.Me:
-		d.setMark(x)
-	case len(d.hub.found) < mostFound && !slices.Contains(d.hub.found, x):
-		d.hub.found = append(d.hub.found, x)
+	case d.aggregator.now == d.settings.Me:
+		d.addQuarantine(x)
+	case len(d.aggregator.found) < mostFound && !slices.Contains(d.aggregator.found, x):
+		d.aggregator.found = append(d.aggregator.found, x)
 	}
 }
 
 // setMark takes in, as the hub, what a node found.
-func (d *Dispatcher) setMark(x uint16) {
-	entry := d.hub.marks[x]
+func (d *Dispatcher) addQuarantine(x uint16) {
+	entry := d.aggregator.marks[x]
 	if entry == nil {
-		if len(d.hub.marks) >= mostPeerOut {
-			maps.DeleteFunc(d.hub.marks, func(_ uint16, entry *quarantine) bool { return d.now >= entry.until })
+		if len(d.aggregator.marks) >= mostPeerOut {
+			maps.DeleteFunc(d.aggregator.marks, func(_ uint16, entry *quarantine) bool { return d.now >= entry.until })
 		}
-		if len(d.hub.marks) >= mostPeerOut {
+		if len(d.aggregator.marks) >= mostPeerOut {
 			return
 		}
 		entry = &quarantine{}
-		d.hub.marks[x] = entry
+		d.aggregator.marks[x] = entry
 	}
 	if d.now < entry.until {
 		return // sent before the others were told
 	}
-	span := classAway * d.s.ConnectTimeout
+	span := classAway * d.settings.ConnectTimeout
 	if x&lowBits == noConns {
-		span = connAway * d.s.ConnectTimeout
+		span = connAway * d.settings.ConnectTimeout
 	}
 	if d.now-entry.until > 2*span*float64(int(1)<<entry.consecutive) {
 		entry.consecutive = 0
@@ -357,20 +359,20 @@
 }
 
 // marked says that a node found lately that a class fails at a worker, or that it takes no connections.
-func (d *Dispatcher) marked(executor *executor, kind int) bool {
-	x, ok := d.markOf(executor, kind)
+func (d *Dispatcher) isQuarantined(executor *executor, kind int) bool {
+	x, ok := d.quarantineOf(executor, kind)
 	if !ok {
 		return false
 	}
-	if d.hub.now == d.s.Me {
-		entry := d.hub.marks[x]
+	if d.aggregator.now == d.settings.Me {
+		entry := d.aggregator.marks[x]
 		return entry != nil && d.now < entry.until
 	}
-	return d.hub.away[x] && d.peersKnown()
+	return d.aggregator.away[x] && d.peerLoadsKnown()
 }
 
 // setPeer takes in what another node has out at one worker.
-func (d *Dispatcher) setPeer(peer *peer, x peerLoad) {
+func (d *Dispatcher) setPeerLoad(peer *peer, x peerLoad) {
 	was := 0.0
 	i := slices.IndexFunc(peer.loads, func(o peerLoad) bool { return o.tag == x.tag })
 	switch {
@@ -383,31 +385,31 @@
 	default:
 		return
 	}
-	d.hub.sums[x.tag] += x.slots - was
+	d.aggregator.sums[x.tag] += x.slots - was
 }
 
 // answer tells a node what all others have out, those first where it is most.
-func (d *Dispatcher) answer(peer *peer) []byte {
-	if !d.hubKnows() {
+func (d *Dispatcher) encodeAnswer(peer *peer) []byte {
+	if !d.aggregatorIsReady() {
 		return []byte{hubAnswer}
 	}
 	// The hub answers for each job of all nodes: what it does here is most of its work.
 	more := map[uint16]float64{}
-	for _, executor := range d.workers {
-		if n := executor.ownSlots + d.hidden(executor); n > 0 {
+	for _, executor := range d.executors {
+		if n := executor.ownSlots + d.hiddenSlots(executor); n > 0 {
 			more[executor.tag] += n
 		}
 	}
 	for _, x := range peer.loads {
 		more[x.tag] -= x.slots
 	}
-	told := d.hub.scratch[:0] // those with most first, then by tag: in upper and lower bits
+	told := d.aggregator.scratch[:0] // those with most first, then by tag: in upper and lower bits
 	add := func(tag uint16, slots float64) {
 		if n := math.Round(slots); n > 0 {
 			told = append(told, uint32(mostTold-min(n, mostTold))<<16|uint32(tag))
 		}
 	}
-	for tag, n := range d.hub.sums {
+	for tag, n := range d.aggregator.sums {
 		add(tag, n+more[tag])
 		delete(more, tag)
 	}
@@ -415,10 +417,10 @@
 		add(tag, n)
 	}
 	slices.Sort(told)
-	d.hub.scratch = told
-	data := []byte{hubAnswer | d.hub.nonce}
-	for _, x := range slices.Sorted(maps.Keys(d.hub.marks)) {
-		if d.now < d.hub.marks[x].until && len(data) < mostEntries {
+	d.aggregator.scratch = told
+	data := []byte{hubAnswer | d.aggregator.nonce}
+	for _, x := range slices.Sorted(maps.Keys(d.aggregator.marks)) {
+		if d.now < d.aggregator.marks[x].until && len(data) < mostEntries {
 			data = binary.BigEndian.AppendUint16(data, x)
 		}
 	}
@@ -429,32 +431,32 @@
 }
 
 // heardPeer takes in what another node has out.
-func (d *Dispatcher) heardPeer(event *Event) {
-	if int(event.From) >= len(d.peers) || int(event.From) == d.s.Me {
+func (d *Dispatcher) handlePeerMessage(event *Event) {
+	if int(event.From) >= len(d.peers) || int(event.From) == d.settings.Me {
 		return
 	}
 	peer := &d.peers[event.From]
-	if d.telling == gossipAggregator {
-		d.heardHub(peer, event)
+	if d.gossipMode == gossipAggregator {
+		d.handleAggregatorMessage(peer, event)
 		return
 	}
 	if peer.fresh {
-		d.addPeer(peer, -1)
+		d.addPeerLoad(peer, -1)
 	} else {
-		d.peersFresh++
+		d.freshPeers++
 	}
 	peer.heardAt, peer.fresh, peer.loads = d.now, true, peer.loads[:0]
 	for i := 0; i+3 <= len(event.Data); i += 3 {
 		peer.loads = append(peer.loads, peerLoad{uint16(event.Data[i])<<8 | uint16(event.Data[i+1]), float64(event.Data[i+2]), d.now})
 	}
-	d.addPeer(peer, 1)
-	d.dirty = true
+	d.addPeerLoad(peer, 1)
+	d.needsPlacement = true
 }
 
 // addPeer adds what another node has out to what all have, or takes it off.
-func (d *Dispatcher) addPeer(peer *peer, sign float64) {
+func (d *Dispatcher) addPeerLoad(peer *peer, sign float64) {
 	for _, x := range peer.loads {
-		if executor := d.byTag[x.tag]; executor != nil {
+		if executor := d.executorsByTag[x.tag]; executor != nil {
 			executor.peerSlots += sign * x.slots
 		}
 	}
@@ -462,45 +464,45 @@
 
 // sumPeers adds up what the other nodes have out, leaving out those not heard of for some periods, and what they did
 // not remind us of.
-func (d *Dispatcher) sumPeers() {
-	d.peersFresh, d.dirty = 0, true
-	d.peersAt = d.now + d.period/4
-	clear(d.hub.sums)
-	for _, executor := range d.workers {
+func (d *Dispatcher) sumPeerLoads() {
+	d.freshPeers, d.needsPlacement = 0, true
+	d.nextPeerSum = d.now + d.reportInterval/4
+	clear(d.aggregator.sums)
+	for _, executor := range d.executors {
 		executor.peerSlots = 0
 	}
 	for i := range d.peers {
 		peer := &d.peers[i]
-		if d.telling == gossipAggregator {
-			peer.loads = slices.DeleteFunc(peer.loads, func(x peerLoad) bool { return d.now-x.heardAt > 2*d.reminder() })
+		if d.gossipMode == gossipAggregator {
+			peer.loads = slices.DeleteFunc(peer.loads, func(x peerLoad) bool { return d.now-x.heardAt > 2*d.reminderInterval() })
 			for _, x := range peer.loads {
-				d.hub.sums[x.tag] += x.slots
+				d.aggregator.sums[x.tag] += x.slots
 			}
 			continue
 		}
-		peer.fresh = peer.heardAt > 0 && d.now-peer.heardAt <= freshPeriods*d.period
+		peer.fresh = peer.heardAt > 0 && d.now-peer.heardAt <= freshPeriods*d.reportInterval
 		if peer.fresh {
-			d.peersFresh++
-			d.addPeer(peer, 1)
+			d.freshPeers++
+			d.addPeerLoad(peer, 1)
 		}
 	}
 }
 
 // peersKnown says that it is known what most other nodes have out: they told lately, or the hub answered lately.
-func (d *Dispatcher) peersKnown() bool {
-	if d.telling != gossipAggregator {
-		return 2*d.peersFresh >= len(d.peers) && len(d.peers) > 1
+func (d *Dispatcher) peerLoadsKnown() bool {
+	if d.gossipMode != gossipAggregator {
+		return 2*d.freshPeers >= len(d.peers) && len(d.peers) > 1
 	}
-	if d.hub.now == d.s.Me {
-		return d.hubKnows()
+	if d.aggregator.now == d.settings.Me {
+		return d.aggregatorIsReady()
 	}
-	return d.hub.answered > 0 && d.now-d.hub.answered <= hubOld*d.hubWait()
+	return d.aggregator.answered > 0 && d.now-d.aggregator.answered <= hubOld*d.answerTimeout()
 }
 
 // safety is the part of a cold worker's budget that is used: more while the hub tells what all have there, for then no
 // more is sent than it can do by then, and what is over is sent by nodes that ask at the same moment alone.
-func (d *Dispatcher) safety() float64 {
-	if d.telling == gossipAggregator && d.peersKnown() {
+func (d *Dispatcher) slowStartSafetyFactor() float64 {
+	if d.gossipMode == gossipAggregator && d.peerLoadsKnown() {
 		return coldKnown
 	}
 	return coldSafety
@@ -508,12 +510,12 @@
 
 // foreign is what other nodes have out at a worker, by their last messages; nodes not heard of count as the
 // mean of the others.
-func (d *Dispatcher) foreign(executor *executor) float64 {
-	if d.telling == gossipAggregator {
-		if d.hub.now == d.s.Me {
-			return d.hub.sums[executor.tag]
+func (d *Dispatcher) peerSlotsAt(executor *executor) float64 {
+	if d.gossipMode == gossipAggregator {
+		if d.aggregator.now == d.settings.Me {
+			return d.aggregator.sums[executor.tag]
 		}
-		return d.hub.theirs[executor.tag]
+		return d.aggregator.theirs[executor.tag]
 	}
-	return executor.peerSlots * float64(len(d.peers)-1) / float64(max(d.peersFresh, 1))
+	return executor.peerSlots * float64(len(d.peers)-1) / float64(max(d.freshPeers, 1))
 }
--- a/brain/placement_test.go
+++ b/brain/placement_test.go
@@ -10,8 +10,8 @@
 	cold := ready(7, 0)
 	cold.Born = 100000 // the rig's first moment
 	r := newRig(t, s, cold)
-	r.d.workers[0].slots, r.d.kinds[0].slots = 4, 4
-	r.d.workers[0].freeSlots, r.d.workers[0].reportedAt = 4, r.now
+	r.d.executors[0].slots, r.d.kinds[0].slots = 4, 4
+	r.d.executors[0].freeSlots, r.d.executors[0].reportedAt = 4, r.now
 	// In any window no more than our part of the budget, by what it has at the end of it, and one job at its edge.
 	type send struct{ at, cost float64 }
 	var sends []send
@@ -47,7 +47,7 @@
 
 func TestHoldsUntilRoom(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
-	executor := r.d.workers[0]
+	executor := r.d.executors[0]
 	executor.freeSlots, executor.reportedAt, executor.slots = 1, r.now, 4
 	if len(find(r.step(request(1, 0, 0, 1)), ActSend, 1)) != 1 {
 		t.Fatal("not sent although there was room")
@@ -63,7 +63,7 @@
 func TestRoomiestFirst(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0), ready(8, 0), ready(9, 0))
 	for i, free := range []float64{1, 4, 2} {
-		executor := r.d.workers[i]
+		executor := r.d.executors[i]
 		executor.freeSlots, executor.reportedAt, executor.slots = free, r.now, 4
 	}
 	got := find(r.step(request(1, 0, 0, 1)), ActSend, 1)
@@ -93,14 +93,14 @@
 	s.Fields = []Field{FieldFree, FieldBusy}
 	r := newRig(t, s, ready(7, 0))
 	r.step(request(1, 0, 0, 4)) // there are wide jobs
-	r.d.workers[0].slots = 4
+	r.d.executors[0].slots = 4
 	r.after(10, outcome(1, 0, 7, Served, 2, 6)) // 2 free of 4, yet 6 held: 4 are queued
-	if room := r.d.room(r.d.workers[0]); room > 0 {
+	if room := r.d.availableSlots(r.d.executors[0]); room > 0 {
 		t.Errorf("room %v on a worker with a queue", room)
 	}
 	r.after(2000, request(2, 0, 0, 1))
 	r.after(10, outcome(2, 0, 7, Served, 2, 2))
-	if room := r.d.room(r.d.workers[0]); room < 1 {
+	if room := r.d.availableSlots(r.d.executors[0]); room < 1 {
 		t.Errorf("room %v on a worker with 2 free slots and no queue", room)
 	}
 }
@@ -108,14 +108,14 @@
 // A job of ours that was not started says there is no room (icb5b2f).
 func TestUnstartedJobMeansNoRoom(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
-	r.d.workers[0].freeSlots, r.d.workers[0].reportedAt = 4, r.now
+	r.d.executors[0].freeSlots, r.d.executors[0].reportedAt = 4, r.now
 	r.step(request(1, 0, 0, 1))
 	r.d.now += 400
-	if room := r.d.room(r.d.workers[0]); room > 0 {
+	if room := r.d.availableSlots(r.d.executors[0]); room > 0 {
 		t.Errorf("room %v although our job waits there", room)
 	}
 	r.step(Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteStarted})
-	if room := r.d.room(r.d.workers[0]); room < 1 {
+	if room := r.d.availableSlots(r.d.executors[0]); room < 1 {
 		t.Errorf("room %v after our job started", room)
 	}
 }
@@ -126,24 +126,24 @@
 	s.Fees.Origin = 0.1
 	rows := []Row{ready(7, 0), ready(8, 0), ready(9, 0), ready(10, 0), ready(11, 0), ready(12, 0)}
 	r := newRig(t, s, rows...)
-	for _, executor := range r.d.workers {
+	for _, executor := range r.d.executors {
 		executor.freeSlots, executor.reportedAt, executor.slots = 4, r.now, 4
 	}
 	e := request(1, 0, 0, 1)
 	e.Key = 5
 	first := find(r.step(e), ActSend, 1)
 	home := first[0].Worker
-	r.d.byID[home].freeSlots = 0
+	r.d.executorsByID[home].freeSlots = 0
 	e.Job = 2
 	if got := r.step(e); len(find(got, ActSend, 2)) != 0 {
 		t.Error("did not wait for the home of its key")
 	}
-	r.d.fetching = 1000
+	r.d.fetchingSlots = 1000
 	if got := r.after(900, Event{Kind: EvTimer}); len(find(got, ActSend, 2)) != 0 {
 		t.Error("fetched although the pool was full")
 	}
-	r.d.fetching = 0
-	for _, executor := range r.d.workers {
+	r.d.fetchingSlots = 0
+	for _, executor := range r.d.executors {
 		executor.reportedAt = r.now
 	}
 	if got := r.after(20, Event{Kind: EvTimer}); len(find(got, ActSend, 2)) != 1 {
@@ -156,9 +156,9 @@
 	s := base()
 	s.Balancers = 4
 	r := newRig(t, s, ready(7, 0))
-	executor := r.d.workers[0]
+	executor := r.d.executors[0]
 	executor.slots, executor.softLimit, executor.reportedAt = 4, 20, 1
-	if room := r.d.room(executor); room != 2 {
+	if room := r.d.availableSlots(executor); room != 2 {
 		t.Errorf("room %v without a fresh report, want 2: twice an even part of 4 slots", room)
 	}
 }
@@ -167,19 +167,19 @@
 	s := base()
 	s.Balancers, s.MayTell = 2, true
 	r := newRig(t, s, ready(7, 0))
-	executor := r.d.workers[0]
+	executor := r.d.executors[0]
 	executor.slots, executor.freeSlots, executor.reportedAt = 4, 4, r.now
 	r.step(Event{Kind: EvPeer, From: 1, Data: []byte{byte(executor.tag >> 8), byte(executor.tag), 3}})
-	if room := r.d.room(executor); room != 1 {
+	if room := r.d.availableSlots(executor); room != 1 {
 		t.Errorf("room %v, want 1: the other node has 3 of 4 slots out", room)
 	}
 	r.step(Event{Kind: EvPeer, From: 1, Data: []byte{1}}, Event{Kind: EvPeer, From: 77, Data: []byte{1, 2, 3}},
 		Event{Kind: EvPeer, From: 0, Data: []byte{byte(executor.tag >> 8), byte(executor.tag), 200}})
-	if room := r.d.room(executor); room != 4 {
+	if room := r.d.availableSlots(executor); room != 4 {
 		t.Errorf("room %v, want 4: nothing out by the last good message", room)
 	}
 	r.after(60000, Event{Kind: EvTimer})
-	if r.d.peersKnown() {
+	if r.d.peerLoadsKnown() {
 		t.Error("a node not heard of for a minute still counts as known")
 	}
 }
@@ -199,13 +199,13 @@
 	s := base()
 	s.Balancers = 2
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
-	for _, executor := range r.d.workers {
+	for _, executor := range r.d.executors {
 		executor.slots, executor.freeSlots, executor.reportedAt = 4, -3, r.now
 	}
 	if got := r.step(request(1, 0, 0, 1)); len(find(got, ActSend, 1)) != 0 {
 		t.Fatal("sent at once although no worker has room")
 	}
-	for _, executor := range r.d.workers {
+	for _, executor := range r.d.executors {
 		executor.reportedAt = r.now + 400
 	}
 	if got := r.after(400, Event{Kind: EvTimer}); len(find(got, ActSend, 1)) != 1 {
@@ -231,8 +231,8 @@
 	s.Fields = []Field{FieldFree, FieldMemory}
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	for id, memory := range map[uint32]float32{7: 1, 8: 4} { // 7 has more slots, 8 has the memory
-		executor := r.d.byID[id]
-		r.d.report(executor, []float32{float32(10 - id), memory})
+		executor := r.d.executorsByID[id]
+		r.d.handleLoadReport(executor, []float32{float32(10 - id), memory})
 		executor.ownSlots, executor.slots = 1, 8
 	}
 	wide := request(1, 0, 0, 1)
@@ -258,13 +258,13 @@
 		s := base()
 		s.Multiplex = tt.multiplex
 		r := newRig(t, s, ready(7, 0))
-		executor := r.d.byID[7]
+		executor := r.d.executorsByID[7]
 		executor.freeSlots, executor.reportedAt, executor.slots = 9, r.now, 9
 		r.step(request(1, 0, 0, 1))
 		executor.opening = 0 // its connection stands
 		r.d.jobs[1].attempts[0].openedConnection = false
 		for i, want := range tt.warm {
-			if got := r.d.warm(executor); got != want {
+			if got := r.d.hasOpenConnection(executor); got != want {
 				t.Errorf("multiplex %d, %d out: warm %v, want %v", tt.multiplex, i+1, got, want)
 			}
 			r.after(1, Event{Kind: EvNote, Job: uint32(i + 1), Topic: NoteStarted}, request(uint32(i+2), 0, 0, 1))
--- a/brain/report_test.go
+++ b/brain/report_test.go
@@ -33,17 +33,17 @@
 	s := base()
 	s.Balancers = 5
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
-	idle, full := r.d.workers[0], r.d.workers[1]
-	for _, executor := range r.d.workers {
+	idle, full := r.d.executors[0], r.d.executors[1]
+	for _, executor := range r.d.executors {
 		executor.slots, executor.reportedAt = 4, r.now
 	}
 	idle.freeSlots, full.freeSlots = 4, -2
-	r.d.occupied, r.d.run, r.d.period = 0.5, 300, 600
-	if a, b := r.d.relaxed(idle), r.d.relaxed(full); a < 3 || b > 0 {
+	r.d.meanPeerOccupancy, r.d.meanRun, r.d.reportInterval = 0.5, 300, 600
+	if a, b := r.d.decayedFreeSlots(idle), r.d.decayedFreeSlots(full); a < 3 || b > 0 {
 		t.Errorf("fresh reports: %v and %v slots, want about 4 and -2", a, b)
 	}
 	r.d.now += 2000
-	a, b := r.d.relaxed(idle), r.d.relaxed(full)
+	a, b := r.d.decayedFreeSlots(idle), r.d.decayedFreeSlots(full)
 	if a > 3 || b < 1 {
 		t.Errorf("old reports: %v and %v slots, want both near 2", a, b)
 	}
@@ -78,14 +78,14 @@
 					events = append(events, outcome(sp.job, 0, sp.worker, Served))
 				}
 			}
-			for _, executor := range r.d.workers {
+			for _, executor := range r.d.executors {
 				busy := float32(rng.Intn(2))
 				for _, sp := range spans {
 					if sp.worker == executor.id && sp.from <= r.now-delay && sp.to > r.now-delay {
 						busy++
 					}
 				}
-				r.d.report(executor, []float32{busy + 0.01*rng.Float32(), 8 - busy})
+				r.d.handleLoadReport(executor, []float32{busy + 0.01*rng.Float32(), 8 - busy})
 			}
 			for _, a := range r.step(events...) {
 				if a.Kind == ActSend {
@@ -95,20 +95,20 @@
 		}
 	}
 	play(20000, 60)
-	if r.d.age > 150 {
-		t.Errorf("reports of 60 ms are taken to be %.0f ms old", r.d.age)
+	if r.d.reportAge > 150 {
+		t.Errorf("reports of 60 ms are taken to be %.0f ms old", r.d.reportAge)
 	}
 	play(20000, 450)
-	if r.d.age < 250 || r.d.age > 750 {
-		t.Errorf("reports of 450 ms are taken to be %.0f ms old", r.d.age)
+	if r.d.reportAge < 250 || r.d.reportAge > 750 {
+		t.Errorf("reports of 450 ms are taken to be %.0f ms old", r.d.reportAge)
 	}
 	play(20000, 2400) // many periods: renewed as often as ever (i832aaf)
-	if r.d.age < 1500 || r.d.age > 4000 {
-		t.Errorf("reports of 2,400 ms are taken to be %.0f ms old", r.d.age)
+	if r.d.reportAge < 1500 || r.d.reportAge > 4000 {
+		t.Errorf("reports of 2,400 ms are taken to be %.0f ms old", r.d.reportAge)
 	}
 	play(20000, 60)
-	if r.d.age > 150 {
-		t.Errorf("reports of 60 ms are still taken to be %.0f ms old", r.d.age)
+	if r.d.reportAge > 150 {
+		t.Errorf("reports of 60 ms are still taken to be %.0f ms old", r.d.reportAge)
 	}
 }
 
@@ -119,17 +119,17 @@
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	rng := rand.New(rand.NewSource(9))
 	for i := range uint32(300) {
-		for _, executor := range r.d.workers {
+		for _, executor := range r.d.executors {
 			busy := float32(rng.Intn(8))
-			r.d.report(executor, []float32{busy + 0.01*rng.Float32(), 8 - busy})
+			r.d.handleLoadReport(executor, []float32{busy + 0.01*rng.Float32(), 8 - busy})
 		}
 		got := find(r.step(request(i+1, 0, 0, 1)), ActSend, i+1)
 		r.after(50)
 		for _, a := range got {
 			r.after(50, outcome(a.Job, 0, a.Worker, Served))
 		}
-		if r.d.ageBest != 1 {
-			t.Fatalf("after %d reports they are taken to be %.0f ms old", 2*i, r.d.age)
+		if r.d.bestAge != 1 {
+			t.Fatalf("after %d reports they are taken to be %.0f ms old", 2*i, r.d.reportAge)
 		}
 	}
 }
@@ -139,7 +139,7 @@
 func TestFadingFollowsWhatIsHeld(t *testing.T) {
 	run := func(long bool) float64 {
 		r := newRig(t, base(), ready(7, 0))
-		executor := r.d.workers[0]
+		executor := r.d.executors[0]
 		for i := range 2000 {
 			job, span := &job{slots: 1, work: 200}, 200.0
 			if long && i%10 == 0 {
@@ -147,9 +147,9 @@
 			}
 			r.now += 10
 			r.d.now = r.now
-			r.d.clock(job, &attempt{executor: executor, startedAt: r.now - span})
+			r.d.learnServiceTime(job, &attempt{executor: executor, startedAt: r.now - span})
 		}
-		return r.d.run
+		return r.d.meanRun
 	}
 	if got := run(false); math.Abs(got-200) > 20 {
 		t.Errorf("jobs of 200 ms: held for %.0f ms", got)
@@ -165,7 +165,7 @@
 	s := base()
 	s.Telemetry, s.Fields, s.TellsStart = ReportNone, nil, false
 	r := newRig(t, s, ready(7, 0))
-	executor := r.d.byID[7]
+	executor := r.d.executorsByID[7]
 	executor.softLimit = 8
 	for id := uint32(1); id <= 6; id++ {
 		e := request(id, 0, 0, 1)
@@ -212,8 +212,8 @@
 	if sent[7] > softStart || sent[8] > softStart || sent[7] == 0 {
 		t.Fatalf("sent %v before any report, want %v at most each", sent, softStart)
 	}
-	r.d.report(r.d.byID[7], []float32{0})
-	r.d.report(r.d.byID[8], []float32{5})
+	r.d.handleLoadReport(r.d.executorsByID[7], []float32{0})
+	r.d.handleLoadReport(r.d.executorsByID[8], []float32{5})
 	before := sent[7]
 	for id := uint32(21); id <= 40; id++ {
 		count(r.after(1, request(id, 0, uint16(id%3), 1)))
--- a/brain/retune_test.go
+++ b/brain/retune_test.go
@@ -35,10 +35,10 @@
 	changed := next
 	changed.Classes = append([]Class{}, next.Classes...)
 	changed.Classes[1].Effect = Unsafe
-	if err := r.d.Retune(changed, nil); err == nil || r.d.s.Classes[1].Effect != Keyed {
+	if err := r.d.Retune(changed, nil); err == nil || r.d.settings.Classes[1].Effect != Keyed {
 		t.Errorf("the rules of a class with an open job changed: %v", err)
 	}
-	if err := r.d.Retune(Settings{}, nil); err == nil || r.d.s.MaxAttempts != 1 {
+	if err := r.d.Retune(Settings{}, nil); err == nil || r.d.settings.MaxAttempts != 1 {
 		t.Errorf("no classes: %v", err)
 	}
 	fewer := next
--- a/brain/scale_test.go
+++ b/brain/scale_test.go
@@ -25,9 +25,9 @@
 		r.step(request(1, 0, 0, 1))
 		most := n
 		if n > lookAll {
-			most = lookSome + 2*len(r.d.heardLast)
+			most = lookSome + 2*len(r.d.recentReporters)
 		}
-		if got := len(r.d.seen); got == 0 || got > most {
+		if got := len(r.d.inspected); got == 0 || got > most {
 			t.Errorf("%d workers looked at of %d, want 1 to %d", got, n, most)
 		}
 		if len(find(r.last, ActSend, 1)) != 1 {
@@ -62,26 +62,26 @@
 	s := base()
 	s.Balancers = 100
 	r := newRig(t, s, fleet(400)...)
-	unheard := r.d.workers[200]
-	before := r.d.room(unheard)
+	unheard := r.d.executors[200]
+	before := r.d.availableSlots(unheard)
 	if before < 1 {
 		t.Fatalf("room %v before anything is known, want 1 or more", before)
 	}
 	r.d.kinds[0].slots = 4
-	for i, executor := range r.d.workers[:40] {
+	for i, executor := range r.d.executors[:40] {
 		executor.slots = 4
 		r.after(5)
-		r.d.report(executor, []float32{float32(i%2) * 0.01})
+		r.d.handleLoadReport(executor, []float32{float32(i%2) * 0.01})
 	}
-	if room := r.d.room(unheard); room >= 1 {
+	if room := r.d.availableSlots(unheard); room >= 1 {
 		t.Errorf("room %v at a worker not heard of while 40 of its kind are full, want none", room)
 	}
-	for i, executor := range r.d.workers[40:120] {
+	for i, executor := range r.d.executors[40:120] {
 		executor.slots = 4
 		r.after(20)
-		r.d.report(executor, []float32{4 - float32(i%2)*0.01})
+		r.d.handleLoadReport(executor, []float32{4 - float32(i%2)*0.01})
 	}
-	if room := r.d.room(unheard); room < 1 {
+	if room := r.d.availableSlots(unheard); room < 1 {
 		t.Errorf("room %v though those heard of lately are idle, want 1 or more", room)
 	}
 }
@@ -93,9 +93,9 @@
 	s.Balancers = 200
 	r := newRig(t, s, fleet(200)...)
 	r.d.kinds[0].slots = 4
-	for i, executor := range r.d.workers {
+	for i, executor := range r.d.executors {
 		executor.slots = 4
-		r.d.report(executor, []float32{float32(i%2) * 0.01})
+		r.d.handleLoadReport(executor, []float32{float32(i%2) * 0.01})
 		executor.freeSlots = -3
 	}
 	if got := r.step(request(1, 0, 0, 1)); len(find(got, ActSend, 1)) != 0 {
@@ -120,8 +120,8 @@
 	r := newRig(t, s, ready(7, 0), slow)
 	for i := range 30 {
 		r.after(500)
-		r.d.report(r.d.byID[7], []float32{200 + float32(i), 2})
-		r.d.report(r.d.byID[8], []float32{800 + float32(i), 2})
+		r.d.handleLoadReport(r.d.executorsByID[7], []float32{200 + float32(i), 2})
+		r.d.handleLoadReport(r.d.executorsByID[8], []float32{800 + float32(i), 2})
 	}
 	if fast, slow := r.d.kindSpeed(0), r.d.kindSpeed(1); fast < 2*slow {
 		t.Errorf("speeds %.2f and %.2f, want the first over twice the second", fast, slow)
@@ -143,21 +143,21 @@
 		}
 	}
 	r := newRig(t, s, fleet(30)...)
-	idle := r.d.room(r.d.byID[101])
+	idle := r.d.availableSlots(r.d.executorsByID[101])
 	weigh(r, func(i int) float64 {
 		if i == 0 {
 			return 0.2 // four requests a core
 		}
 		return 0.8
 	})
-	if room := r.d.room(r.d.byID[100]); room > 0 {
+	if room := r.d.availableSlots(r.d.executorsByID[100]); room > 0 {
 		t.Errorf("room %v at a worker told to hold four requests a core, want none", room)
 	}
-	if room := r.d.room(r.d.byID[101]); room != idle {
+	if room := r.d.availableSlots(r.d.executorsByID[101]); room != idle {
 		t.Errorf("room %v at another, want %v as without weights", room, idle)
 	}
 	weigh(r, func(int) float64 { return 0.2 })
-	if room := r.d.room(r.d.byID[100]); room != idle {
+	if room := r.d.availableSlots(r.d.executorsByID[100]); room != idle {
 		t.Errorf("room %v where all hold as many, want %v as without weights", room, idle)
 	}
 }
@@ -195,16 +195,16 @@
 	r := newRig(t, s, fleet(100)...)
 	j := request(1, 0, 0, 1)
 	j.Key = 77
-	r.d.keySum = keyMemory // the key is a rare one
+	r.d.keyTotal = keyMemory // the key is a rare one
 	probe := &job{key: 77, slots: 1, work: 200}
-	r.d.findHomes(probe)
+	r.d.findAffinityCandidates(probe)
 	for _, executor := range probe.candidates {
 		executor.rejectedUntil = r.now + 1e6
 	}
 	if got := find(r.step(j), ActSend, 1); len(got) != 0 {
 		t.Fatal("sent astray at once")
 	}
-	if n := len(r.d.seen); n > len(probe.candidates) {
+	if n := len(r.d.inspected); n > len(probe.candidates) {
 		t.Errorf("%d workers looked at while it waits for one of %d homes", n, len(probe.candidates))
 	}
 	for range 30 {
@@ -281,7 +281,7 @@
 			s.Classes[i].Aim, s.Classes[i].Deadline = 20000, 60000
 		}
 		r := newRig(t, s, ready(7, 0), ready(8, 0))
-		executor := r.d.byID[7]
+		executor := r.d.executorsByID[7]
 		for i := range uint32(200) {
 			job := request(100+i, 0, 0, 1)
 			job.TimeLeft = 60000
@@ -289,7 +289,7 @@
 			r.after(c.wait, Event{Kind: EvNote, Job: 100 + i, Topic: NoteStarted})
 			r.after(10, outcome(100+i, 0, sent[0].Worker, Served))
 		}
-		r.d.byID[8].ejectedUntil = r.now + 1 // so that the next goes to the first
+		r.d.executorsByID[8].ejectedUntil = r.now + 1 // so that the next goes to the first
 		job := request(1, 0, 0, 1)
 		job.TimeLeft = 60000
 		if len(find(r.step(job), ActSend, 1)) != 1 || executor.ownSlots != 1 {
@@ -347,12 +347,12 @@
 	}
 	r.after(500, Event{Kind: EvList, Form: ListDelta, Rows: rows})
 	r.after(500, Event{Kind: EvList, Form: ListDelta, Rows: []Row{ready(500, 0)}})
-	for _, executor := range r.d.workers {
+	for _, executor := range r.d.executors {
 		want := 3.0
 		if executor.id == 500 {
 			want = 0
 		}
-		if got := r.d.rows[executor.position].liveLoad; got != want {
+		if got := r.d.endpointRows[executor.position].liveLoad; got != want {
 			t.Fatalf("worker %d holds %v requests a core by its weight, want %v", executor.id, got, want)
 		}
 	}
--- a/brain/script_test.go
+++ b/brain/script_test.go
@@ -388,13 +388,13 @@
 			x.failf("tenant %d holds %v tokens when nothing is open", i, tn.reservedSlots)
 		}
 	}
-	for _, executor := range x.d.workers {
+	for _, executor := range x.d.executors {
 		if executor.ownSlots != 0 || len(executor.inFlight) != 0 || executor.opening != 0 {
 			x.failf("worker %d holds %v slots when nothing is open", executor.id, executor.ownSlots)
 		}
 	}
-	if len(x.d.jobs) != 0 || len(x.d.waiting) != 0 || x.d.fetching != 0 {
-		x.failf("%d jobs, %d waiting when nothing is open", len(x.d.jobs), len(x.d.waiting))
+	if len(x.d.jobs) != 0 || len(x.d.queue) != 0 || x.d.fetchingSlots != 0 {
+		x.failf("%d jobs, %d waiting when nothing is open", len(x.d.jobs), len(x.d.queue))
 	}
 }
 
--- a/brain/settings.go
+++ b/brain/settings.go
@@ -12,7 +12,7 @@
 // jobs tell what its jobs need; others begin with nothing learned. Jobs that are open keep the rules they came under: their
 // class may not change, and their attempts stay as many. An error names what can not be taken over, and changes nothing.
 func (d *Dispatcher) Retune(s Settings, from map[int]int) error {
-	next := d.s
+	next := d.settings
 	next.Classes, next.Tenants = s.Classes, s.Tenants
 	next.MaxAttempts, next.MaxRetryAfter, next.Fees = s.MaxAttempts, s.MaxRetryAfter, s.Fees
 	next.OverShareWorth, next.WorthByWork = s.OverShareWorth, s.WorthByWork
@@ -20,19 +20,19 @@
 		return err
 	}
 	switch {
-	case len(next.Classes) < len(d.s.Classes) || len(next.Classes) > math.MaxUint8:
-		return fmt.Errorf("brain: %d classes in place of %d: places are kept, and %d at most", len(next.Classes), len(d.s.Classes), math.MaxUint8)
-	case len(next.Tenants) < len(d.s.Tenants) || len(next.Tenants) > math.MaxUint16 || len(d.s.Tenants) == 0 && len(next.Tenants) > 0:
-		return fmt.Errorf("brain: %d tenants in place of %d: places are kept", len(next.Tenants), len(d.s.Tenants))
+	case len(next.Classes) < len(d.settings.Classes) || len(next.Classes) > math.MaxUint8:
+		return fmt.Errorf("brain: %d classes in place of %d: places are kept, and %d at most", len(next.Classes), len(d.settings.Classes), math.MaxUint8)
+	case len(next.Tenants) < len(d.settings.Tenants) || len(next.Tenants) > math.MaxUint16 || len(d.settings.Tenants) == 0 && len(next.Tenants) > 0:
+		return fmt.Errorf("brain: %d tenants in place of %d: places are kept", len(next.Tenants), len(d.settings.Tenants))
 	}
 	for _, job := range d.jobs {
-		if next.Classes[job.class] != d.s.Classes[job.class] {
+		if next.Classes[job.class] != d.settings.Classes[job.class] {
 			return fmt.Errorf("brain: class %d has open jobs, whose rules may not change", job.class)
 		}
 	}
 	classes := make([]classStats, len(next.Classes))
 	for i, c := range next.Classes {
-		same := i < len(d.s.Classes) && c == d.s.Classes[i]
+		same := i < len(d.settings.Classes) && c == d.settings.Classes[i]
 		if same {
 			classes[i] = d.classes[i]
 			continue
@@ -41,7 +41,7 @@
 		if k, ok := from[i]; ok && k >= 0 && k < len(d.classes) {
 			classes[i] = d.classes[k]
 		}
-		for _, executor := range d.byID {
+		for _, executor := range d.executorsByID {
 			if i < len(executor.classes) {
 				executor.classes[i] = classFailures{}
 			} else {
@@ -49,9 +49,9 @@
 			}
 		}
 	}
-	d.s, d.classes = next, classes
-	d.share(next.Tenants)
-	d.dirty = true
+	d.settings, d.classes = next, classes
+	d.setTenants(next.Tenants)
+	d.needsPlacement = true
 	return nil
 }
 
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -41,11 +41,11 @@
 	}
 	executor.listedStart = listed
 	executor.startedAt = d.estimateStart(listed)
-	executor.slowStartUntil = executor.startedAt + d.s.WarmWithin
-	if executor.startedAt > 0 && d.confirmedAt > 0 {
+	executor.slowStartUntil = executor.startedAt + d.settings.WarmWithin
+	if executor.startedAt > 0 && d.listConfirmedAt > 0 {
 		// The list's clock may be off by less than would show. A budget that ends too early lets all nodes send at once what waits
 		// for it, so that it ends as if the process had started when this node was notified.
-		executor.slowStartUntil = d.now + d.s.WarmWithin
+		executor.slowStartUntil = d.now + d.settings.WarmWithin
 	}
 	executor.slowStartOpened = false
 }
@@ -55,15 +55,15 @@
 	switch {
 	case listed <= 0:
 		return 0
-	case d.confirmedAt == 0:
+	case d.listConfirmedAt == 0:
 		return d.estimateFirstStart(listed)
 	case listed > d.now:
 		return d.now
-	case listed >= d.confirmedAt:
+	case listed >= d.listConfirmedAt:
 		return listed
-	case d.now-listed <= d.s.Fall:
+	case d.now-listed <= d.settings.Fall:
 		// The notification of the start took a little longer than that of another change.
-		return d.confirmedAt
+		return d.listConfirmedAt
 	}
 	// The clocks differ. The process may have started at any time since the last confirmed list; the latest is the safe one.
 	return d.now
@@ -76,7 +76,7 @@
 	if listed <= d.now {
 		return listed
 	}
-	return d.now - (max(d.newestStart, listed) - listed)
+	return d.now - (max(d.newestListedStart, listed) - listed)
 }
 
 // rememberStart keeps the start of an executor that is about to be forgotten.
@@ -84,43 +84,43 @@
 	if executor.listedStart <= 0 {
 		return
 	}
-	if len(d.removed) >= removedStartsBeforePurge {
-		maps.DeleteFunc(d.removed, func(_ uint32, s knownStart) bool { return d.now-s.removedAt > removedStartTTL })
+	if len(d.removedStarts) >= removedStartsBeforePurge {
+		maps.DeleteFunc(d.removedStarts, func(_ uint32, s knownStart) bool { return d.now-s.removedAt > removedStartTTL })
 	}
-	d.removed[executor.id] = knownStart{listed: executor.listedStart, startedAt: executor.startedAt, coldUntil: executor.slowStartUntil, removedAt: d.now}
+	d.removedStarts[executor.id] = knownStart{listed: executor.listedStart, startedAt: executor.startedAt, coldUntil: executor.slowStartUntil, removedAt: d.now}
 }
 
 // recallStart gives an executor that comes back to the list the start that it had when it left.
 func (d *Dispatcher) recallStart(executor *executor) {
-	if s, ok := d.removed[executor.id]; ok {
+	if s, ok := d.removedStarts[executor.id]; ok {
 		executor.listedStart, executor.startedAt, executor.slowStartUntil = s.listed, s.startedAt, s.coldUntil
-		delete(d.removed, executor.id)
+		delete(d.removedStarts, executor.id)
 	}
 }
 
 // coldShare is the least part of its capacity that an executor has by now.
-func (d *Dispatcher) coldShare(executor *executor) float64 {
-	if executor.startedAt <= 0 || d.s.WarmWithin <= 0 || d.now-executor.startedAt >= d.s.WarmWithin {
+func (d *Dispatcher) slowStartShare(executor *executor) float64 {
+	if executor.startedAt <= 0 || d.settings.WarmWithin <= 0 || d.now-executor.startedAt >= d.settings.WarmWithin {
 		return 1
 	}
-	return min(1, d.s.ColdFrom+(1-d.s.ColdFrom)*max(0, d.now-executor.startedAt)/d.s.WarmWithin)
+	return min(1, d.settings.ColdFrom+(1-d.settings.ColdFrom)*max(0, d.now-executor.startedAt)/d.settings.WarmWithin)
 }
 
 // coldOpen says whether our part of a cold executor's budget lets a job of ours go there. One of many nodes has
 // less than a job of it, and pays it off after one, from a random debt at first: all send the sum together.
-func (d *Dispatcher) coldOpen(executor *executor, more float64) bool {
+func (d *Dispatcher) slowStartAllows(executor *executor, more float64) bool {
 	if executor.startedAt <= 0 || d.now >= executor.slowStartUntil {
 		return true
 	}
-	share := d.coldShare(executor)
+	share := d.slowStartShare(executor)
 	if !executor.slowStartOpened {
-		d.openColdBudget(executor)
+		d.openSlowStartBudget(executor)
 	}
-	part := min(d.ourPart(), coldPart/float64(d.s.Balancers))
-	rate := d.safety() * part * d.s.FallMultiple * share * max(1, executor.slots, d.kinds[executor.kind].slots)
-	most := rate * d.s.Fall * coldBurst
+	part := min(d.fleetShare(), coldPart/float64(d.settings.Balancers))
+	rate := d.slowStartSafetyFactor() * part * d.settings.FallMultiple * share * max(1, executor.slots, d.kinds[executor.kind].slots)
+	most := rate * d.settings.Fall * coldBurst
 	if executor.slowStartCredit += rate * (d.now - executor.slowStartCreditAt); executor.slowStartCredit > most {
-		executor.slowStartCredit = min(most, executor.slowStartCredit-max(0, d.held-most)) // else all keep a turn, and use it at once
+		executor.slowStartCredit = min(most, executor.slowStartCredit-max(0, d.meanSlotTime-most)) // else all keep a turn, and use it at once
 	}
 	executor.slowStartCreditAt = d.now
 	return executor.slowStartCredit > min(more, coldKnown*most)
@@ -128,12 +128,12 @@
 
 // openColdBudget begins the budget of a process that has just been notified. Requests sent between its start and our
 // notification of it count against the budget, because the executor has already received them.
-func (d *Dispatcher) openColdBudget(executor *executor) {
+func (d *Dispatcher) openSlowStartBudget(executor *executor) {
 	sentFrom := executor.startedAt
-	if executor.listedStart <= d.now && d.now-executor.listedStart <= d.s.Fall {
+	if executor.listedStart <= d.now && d.now-executor.listedStart <= d.settings.Fall {
 		sentFrom = min(sentFrom, executor.listedStart) // the list's clock tells of a start a moment ago, which is believed here
 	}
 	executor.slowStartOpened = true
-	executor.slowStartCreditAt = max(executor.startedAt, d.now-coldBurst*d.s.Fall)
-	executor.slowStartCredit = -d.random()*d.held - d.sentSince(executor, sentFrom)
+	executor.slowStartCreditAt = max(executor.startedAt, d.now-coldBurst*d.settings.Fall)
+	executor.slowStartCredit = -d.random()*d.meanSlotTime - d.workSentSince(executor, sentFrom)
 }
--- a/brain/state.go
+++ b/brain/state.go
@@ -60,14 +60,14 @@
 	switch {
 	case zone < len(job.zonePrices):
 		return job.zonePrices[zone]
-	case zone != d.s.Zone:
-		return d.s.Fees.CrossZone
+	case zone != d.settings.Zone:
+		return d.settings.Fees.CrossZone
 	}
 	return 0
 }
 
 // sane are a request's slots, memory and time left; odd numbers count as the least.
-func (event *Event) sane() (slots, memory, left float64) {
+func (event *Event) sanitizedNeeds() (slots, memory, left float64) {
 	slots = 1
 	if event.Slots > 0 && event.Slots < 1e6 {
 		slots = event.Slots
@@ -185,96 +185,96 @@
 
 // Dispatcher decides for one node. See the package comment for what its host promises.
 type Dispatcher struct {
-	s   Settings
-	now float64
-	out []Action
-	rng uint64
+	settings    Settings
+	now         float64
+	actions     []Action
+	randomState uint64
 
 	jobs    map[uint32]*job
-	pool    []*job
+	jobPool []*job
 	arrived []*job
-	waiting []*job
+	queue   []*job
 
-	byID    map[uint32]*executor
-	workers []*executor // listed, by id
-	left    []*executor // gone from the list, and kept while attempts of ours are out there
-	kinds   [256]kindStats
-	all     kindStats
+	executorsByID    map[uint32]*executor
+	executors        []*executor // listed, by id
+	removedExecutors []*executor // gone from the list, and kept while attempts of ours are out there
+	kinds            [256]kindStats
+	allKinds         kindStats
 
 	tenants []tenant
 	classes []classStats
 
-	period    float64
-	age       float64   // of reports when they come
-	ages      [9]spread // of what workers told to hold less our own jobs, at each age
-	heldStat  spread    // of what they told to hold
-	ageBest   int
-	ageCount  float64
-	queued    float64  // mean time from a send to its start note
-	lag       float64  // usual time from a send to its start note where there was room
-	tries     arrivals // of requests here, those that clients send again counted each time
-	firsts    arrivals // likewise without those
-	quota     float64  // requests a second that all tenants may send to all nodes
-	capacity  float64
-	sentAt    float64 // when a job was last sent
-	fair      float64 // our part of all slots
-	panicking bool
-
-	open       []*executor // those with room, while jobs are placed
-	seen       []*executor // those looked at for that
-	looks      uint64
-	lookedAll  bool // in this look, not only at homes
-	probesOut  int
-	healthAt   float64         // when health is next watched in a large fleet
-	busy       []*executor     // those with attempts of ours out
-	ejected    []*executor     // those that are, or were, since the last tick
-	heardLast  recentExecutors // those that reported last
-	usedLast   recentExecutors // those that served us last, and have a connection
-	estimateAt float64         // capacity is not estimated anew before
-	listSerial int             // counts changes of the list, from 1
-	peers      []peer          // by node number
-	peersFresh int
-	peersAt    float64 // when those not heard of are next left out
-	byTag      map[uint16]*executor
-	telling    gossipMode
-	hub        aggregatorState
-	tellAt     float64
-
-	watching bool
-	asked    float64 // when the call that is out was made, 0 for none
-	nextAsk  float64
-	askFails int
-
-	value    float64 // mean worth of arrivals for each slot and time
-	fetching float64 // slots out of jobs that likely fetch their key
-	run      float64 // mean run, each weighted by what it holds: how long what is held stays so
-	held     float64 // mean of slots times run
-	groups   []*executorGroup
-	load     float64 // mean of the live weights' requests per core
-	heardAt  float64 // when any worker last reported anew
-	occupied float64 // part of a worker's slots that others hold, as reports tell
-	widest   float64 // most slots that a job asked for
-	keyCount map[uint64]float64
-	keySum   float64
-	best     []rankedCandidate // scratch of findHomes
-	rows     []endpointRow     // of d.workers, in their order
-	hashes   []affinityHash    // likewise
-	changed  []*executor       // scratch of applyRows
-
-	confirmedAt float64               // when discovery last confirmed a list that holds executors, 0 for never
-	newestStart float64               // of the list at hand, on the clock of another machine
-	removed     map[uint32]knownStart // starts of executors that left the list a short while ago
-
-	tickAt  float64
-	lastTag uint32
-	dirty   bool
-
-	ended    [causeCount]int // jobs that this node ended itself, by cause
-	endedAt  float64
-	refusing bool    // as last logged
-	listAt   float64 // when the list was last heard of
-	logLeft  float64
-	loggedAt float64
+	reportInterval float64
+	reportAge      float64   // of reports when they come
+	ageCandidates  [9]spread // of what workers told to hold less our own jobs, at each age
+	reportedLoad   spread    // of what they told to hold
+	bestAge        int
+	ageSamples     float64
+	startDelay     float64  // mean time from a send to its start note
+	minStartLag    float64  // usual time from a send to its start note where there was room
+	allArrivals    arrivals // of requests here, those that clients send again counted each time
+	firstArrivals  arrivals // likewise without those
+	totalQuota     float64  // requests a second that all tenants may send to all nodes
+	capacity       float64
+	lastDispatchAt float64 // when a job was last sent
+	fairSlots      float64 // our part of all slots
+	panicking      bool
+
+	eligible         []*executor // those with room, while jobs are placed
+	inspected        []*executor // those looked at for that
+	inspectionRound  uint64
+	inspectedAll     bool // in this look, not only at homes
+	checksInFlight   int
+	nextOutlierCheck float64         // when health is next watched in a large fleet
+	busyExecutors    []*executor     // those with attempts of ours out
+	ejectedExecutors []*executor     // those that are, or were, since the last tick
+	recentReporters  recentExecutors // those that reported last
+	recentServers    recentExecutors // those that served us last, and have a connection
+	nextEstimate     float64         // capacity is not estimated anew before
+	listRevision     int             // counts changes of the list, from 1
+	peers            []peer          // by node number
+	freshPeers       int
+	nextPeerSum      float64 // when those not heard of are next left out
+	executorsByTag   map[uint16]*executor
+	gossipMode       gossipMode
+	aggregator       aggregatorState
+	nextGossip       float64
+
+	watching    bool
+	pollSentAt  float64 // when the call that is out was made, 0 for none
+	nextPoll    float64
+	failedPolls int
+
+	meanValue         float64 // mean worth of arrivals for each slot and time
+	fetchingSlots     float64 // slots out of jobs that likely fetch their key
+	meanRun           float64 // mean run, each weighted by what it holds: how long what is held stays so
+	meanSlotTime      float64 // mean of slots times run
+	groups            []*executorGroup
+	meanLiveLoad      float64 // mean of the live weights' requests per core
+	lastReportAt      float64 // when any worker last reported anew
+	meanPeerOccupancy float64 // part of a worker's slots that others hold, as reports tell
+	widestRequest     float64 // most slots that a job asked for
+	keyCounts         map[uint64]float64
+	keyTotal          float64
+	rankedScratch     []rankedCandidate // scratch of findHomes
+	endpointRows      []endpointRow     // of d.workers, in their order
+	affinityHashes    []affinityHash    // likewise
+	changedScratch    []*executor       // scratch of applyRows
+
+	listConfirmedAt   float64               // when discovery last confirmed a list that holds executors, 0 for never
+	newestListedStart float64               // of the list at hand, on the clock of another machine
+	removedStarts     map[uint32]knownStart // starts of executors that left the list a short while ago
+
+	nextTick       float64
+	lastTimerToken uint32
+	needsPlacement bool
+
+	endedByCause  [causeCount]int // jobs that this node ended itself, by cause
+	lastEndedAt   float64
+	rejecting     bool    // as last logged
+	listUpdatedAt float64 // when the list was last heard of
+	logBudget     float64
+	logBudgetAt   float64
 }
 
 // cause says why a node ended a job itself.
@@ -310,19 +310,19 @@
 }
 
 // warm says whether the next job to a worker needs no new connection.
-func (d *Dispatcher) warm(executor *executor) bool {
+func (d *Dispatcher) hasOpenConnection(executor *executor) bool {
 	n := len(executor.idleSince)
-	for n > 0 && d.now-executor.idleSince[0] >= d.s.ConnIdle {
+	for n > 0 && d.now-executor.idleSince[0] >= d.settings.ConnIdle {
 		executor.idleSince = executor.idleSince[:copy(executor.idleSince, executor.idleSince[1:])]
 		n--
 	}
-	return n > 0 || d.shares(executor)
+	return n > 0 || d.sharesConnection(executor)
 }
 
 // shares says whether connections carry several jobs and one that is open has room for another.
-func (d *Dispatcher) shares(executor *executor) bool {
+func (d *Dispatcher) sharesConnection(executor *executor) bool {
 	open := len(executor.inFlight) - executor.opening // attempts on connections that stand, if each had its own
-	return d.s.Multiplex > 1 && open > 0 && open%d.s.Multiplex != 0
+	return d.settings.Multiplex > 1 && open > 0 && open%d.settings.Multiplex != 0
 }
 
 // countKey keeps how often keys are asked for.
@@ -330,14 +330,14 @@
 	if key == 0 {
 		return
 	}
-	d.keyCount[key]++
-	if d.keySum++; d.keySum < 2*keyMemory {
+	d.keyCounts[key]++
+	if d.keyTotal++; d.keyTotal < 2*keyMemory {
 		return
 	}
-	d.keySum /= 2
-	for k, n := range d.keyCount {
-		if d.keyCount[k] = n / 2; n < 1 {
-			delete(d.keyCount, k)
+	d.keyTotal /= 2
+	for k, n := range d.keyCounts {
+		if d.keyCounts[k] = n / 2; n < 1 {
+			delete(d.keyCounts, k)
 		}
 	}
 }
@@ -358,8 +358,8 @@
 
 // random gives the next number of the instance's own sequence, in [0, 1).
 func (d *Dispatcher) random() float64 {
-	d.rng += 0x9e3779b97f4a7c15
-	return float64(mix64(d.rng)>>11) / (1 << 53)
+	d.randomState += 0x9e3779b97f4a7c15
+	return float64(mix64(d.randomState)>>11) / (1 << 53)
 }
 
 const (
@@ -368,25 +368,25 @@
 )
 
 // log writes a line, at most maxLogs at once and one more each logEvery.
-func (d *Dispatcher) log(format string, args ...any) {
-	d.logLeft = min(maxLogs, d.logLeft+(d.now-d.loggedAt)/logEvery)
-	d.loggedAt = d.now
-	if d.logLeft >= 1 {
-		d.logLeft--
-		d.out = append(d.out, Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
+func (d *Dispatcher) logf(format string, args ...any) {
+	d.logBudget = min(maxLogs, d.logBudget+(d.now-d.logBudgetAt)/logEvery)
+	d.logBudgetAt = d.now
+	if d.logBudget >= 1 {
+		d.logBudget--
+		d.actions = append(d.actions, Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
 // ownOut is how many slots of ours are out at all workers.
-func (d *Dispatcher) ownOut() (slots float64) {
-	for _, executor := range d.busy {
+func (d *Dispatcher) ownSlotsInFlight() (slots float64) {
+	for _, executor := range d.busyExecutors {
 		slots += executor.ownSlots
 	}
 	return slots
 }
 
 // inflight is how many tokens are out.
-func (d *Dispatcher) inflight() float64 {
+func (d *Dispatcher) reservedTotal() float64 {
 	held := 0.0
 	for i := range d.tenants {
 		held += d.tenants[i].reservedSlots
@@ -395,33 +395,33 @@
 }
 
 // logState writes, when a node begins to end jobs itself and when it has not for a while, what it goes by.
-func (d *Dispatcher) logState() {
-	refusing := d.endedAt > 0 && d.now-d.endedAt < activeFor
-	if refusing == d.refusing {
+func (d *Dispatcher) logRejecting() {
+	refusing := d.lastEndedAt > 0 && d.now-d.lastEndedAt < activeFor
+	if refusing == d.rejecting {
 		return
 	}
-	d.refusing = refusing
-	held, bad := d.inflight(), 0
-	for _, executor := range d.workers {
-		if !d.usable(executor) {
+	d.rejecting = refusing
+	held, bad := d.reservedTotal(), 0
+	for _, executor := range d.executors {
+		if !d.isUsable(executor) {
 			bad++
 		}
 	}
-	d.log("refusing %v: capacity %.0f slots, %.0f in flight, %d waiting, %d of %d workers unusable, "+
+	d.logf("refusing %v: capacity %.0f slots, %.0f in flight, %d waiting, %d of %d workers unusable, "+
 		"list %.0f ms old; ended so far: %d no tokens, %d too late, %d made place", refusing, d.capacity, held,
-		len(d.waiting), bad, len(d.workers), d.now-d.listAt, d.ended[causeNoTokens], d.ended[causeTooLate], d.ended[causePreempted])
+		len(d.queue), bad, len(d.executors), d.now-d.listUpdatedAt, d.endedByCause[causeNoTokens], d.endedByCause[causeTooLate], d.endedByCause[causePreempted])
 }
 
 // alive takes in a sign of life. After a silence, what was out there may have ended or never come without our
 // hearing of it, until its client's time is over: it holds no slots in our books unless it is heard of again.
-func (d *Dispatcher) alive(executor *executor) {
+func (d *Dispatcher) noteAlive(executor *executor) {
 	executor.lastHeard = d.now
 	if !executor.unresponsive {
 		return
 	}
 	executor.unresponsive, executor.retries = false, 0
-	d.dirty = true
-	d.log("worker %d heard of again", executor.id)
+	d.needsPlacement = true
+	d.logf("worker %d heard of again", executor.id)
 	for _, job := range executor.inFlight {
 		for i := range job.attempts {
 			if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && !attempt.writtenOff {
@@ -430,11 +430,11 @@
 			}
 		}
 	}
-	d.countWaits(executor)
+	d.countUnstarted(executor)
 }
 
 // sentSince is the slot-time of the attempts that were sent to a worker from a time on, with those that have ended.
-func (d *Dispatcher) sentSince(executor *executor, from float64) (work float64) {
+func (d *Dispatcher) workSentSince(executor *executor, from float64) (work float64) {
 	for _, job := range executor.inFlight {
 		for i := range job.attempts {
 			if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && attempt.sentAt >= from {
@@ -451,15 +451,15 @@
 }
 
 // silence is how long a worker with jobs out may give no sign of life.
-func (d *Dispatcher) silence() float64 {
-	if d.s.Progress > 0 {
-		return silentAfter * d.s.Progress
+func (d *Dispatcher) unresponsiveTimeout() float64 {
+	if d.settings.Progress > 0 {
+		return silentAfter * d.settings.Progress
 	}
 	return silentAfter * 2 * d.classes[0].work / d.meanSpeed()
 }
 
 // countWaits counts a worker's attempts of ours that were not started.
-func (d *Dispatcher) countWaits(executor *executor) {
+func (d *Dispatcher) countUnstarted(executor *executor) {
 	executor.unstarted, executor.unstartedSlots, executor.oldestUnstarted = 0, 0, d.now
 	for _, job := range executor.inFlight {
 		for i := range job.attempts {
@@ -476,12 +476,12 @@
 func newClassStats(c Class) classStats { return classStats{work: max(1, c.Aim), slots: 1} }
 
 // share takes over the tenants' shares. What was learned of those that are there already stays.
-func (d *Dispatcher) share(tenants []Tenant) {
+func (d *Dispatcher) setTenants(tenants []Tenant) {
 	sum := 0.0
-	d.quota = 0
+	d.totalQuota = 0
 	for _, t := range tenants {
 		sum += t.Portion
-		d.quota += max(0, t.Quota)
+		d.totalQuota += max(0, t.Quota)
 	}
 	for i := len(d.tenants); i < max(1, len(tenants)); i++ {
 		t := tenant{lastSeen: math.Inf(-1)}
@@ -508,22 +508,22 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{s: s, rng: seed, jobs: map[uint32]*job{}, byID: map[uint32]*executor{},
-		byTag: map[uint16]*executor{}, removed: map[uint32]knownStart{}, widest: 1, keyCount: map[uint64]float64{},
-		period: firstPeriod, lag: s.ConnectTimeout / 10, logLeft: maxLogs,
-		age: ageShare * firstPeriod, ageBest: 1}
-	d.share(s.Tenants)
-	d.tries.perSecond = d.quota / float64(s.Balancers)
-	d.firsts.perSecond = d.tries.perSecond
+	d := &Dispatcher{settings: s, randomState: seed, jobs: map[uint32]*job{}, executorsByID: map[uint32]*executor{},
+		executorsByTag: map[uint16]*executor{}, removedStarts: map[uint32]knownStart{}, widestRequest: 1, keyCounts: map[uint64]float64{},
+		reportInterval: firstPeriod, minStartLag: s.ConnectTimeout / 10, logBudget: maxLogs,
+		reportAge: ageShare * firstPeriod, bestAge: 1}
+	d.setTenants(s.Tenants)
+	d.allArrivals.perSecond = d.totalQuota / float64(s.Balancers)
+	d.firstArrivals.perSecond = d.allArrivals.perSecond
 	d.classes = make([]classStats, len(s.Classes))
 	for i, c := range s.Classes {
-		d.run += max(1, c.Aim) / float64(len(s.Classes))
-		d.held = d.run
+		d.meanRun += max(1, c.Aim) / float64(len(s.Classes))
+		d.meanSlotTime = d.meanRun
 		d.classes[i] = newClassStats(c)
 	}
-	if d.telling = d.howToTell(); s.MayTell {
+	if d.gossipMode = d.chooseGossipMode(); s.MayTell {
 		d.peers = make([]peer, s.Balancers)
-		d.startHub()
+		d.startAggregator()
 	}
 	return d, nil
 }
