--- /dev/null
+++ b/internal/executor/deadline_test.go
@@ -0,0 +1,172 @@
+package executor
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"gatetack/brain"
+	"gatetack/internal/gate"
+	"gatetack/internal/node"
+	"gatetack/internal/standin"
+)
+
+// holdUp is how long a process may stand still between its clock and a write; shortHoldUp is less, and still more than the time that a
+// request tells may be off by.
+const (
+	holdUp      = 150 * time.Millisecond
+	shortHoldUp = 100 * time.Millisecond
+)
+
+// toldTime reads what a request's head tells its executor; ok is false where it tells nothing.
+func toldTime(head string) (told time.Duration, ok bool) {
+	_, rest, _ := strings.Cut(head, "\r\nX-Expires-In-Ms: ")
+	text, _, _ := strings.Cut(rest, "\r\n")
+	ms, err := strconv.Atoi(text)
+	return time.Duration(ms) * time.Millisecond, err == nil
+}
+
+// Nothing is written for an attempt with less than a millisecond left, or with no more than the pause before the last byte takes: in
+// whole milliseconds its executor could only be told more than that.
+func TestAttemptWithNoTimeToTellIsNotSent(t *testing.T) {
+	for name, x := range map[string]struct {
+		left   time.Duration
+		settle time.Duration
+	}{
+		"under a millisecond": {900 * time.Microsecond, 0},
+		"less than the pause": {300 * time.Millisecond, time.Second},
+	} {
+		t.Run(name, func(t *testing.T) {
+			lim := standin.Lim
+			lim.SettleLeast, lim.SettleMost = x.settle, x.settle
+			c, s := setup(t, lim)
+			came := make(chan string, 1)
+			box(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
+			a := attempt(1)
+			looks := 0
+			a.Job.Still = func() gate.Reason {
+				if looks++; looks == 2 { // before the first byte
+					c.live[1].Deadline = time.Now().Add(x.left)
+				}
+				return gate.May
+			}
+			c.Send(a)
+			standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+			c.pool.drop(c.address(7))
+			if got, text := s.outcomes(1), <-came; got[0] != brain.Moot || text != "" {
+				t.Errorf("outcomes %v, %q was written", got, text)
+			}
+		})
+	}
+}
+
+// sendsOnWire is what a client's connections wrote.
+type sendsOnWire struct {
+	mu    sync.Mutex
+	whole int // connections that carried the last byte
+}
+
+func (s *sendsOnWire) requests() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.whole
+}
+
+// watchWrites holds the process up in the moments that a test names, and checks at each last byte, before the hold-up there, that what
+// the request tells is at most what its client has left.
+func watchWrites(t *testing.T, c *Client, until func() time.Time, hold func(conn int, moment string)) *sendsOnWire {
+	seen := &sendsOnWire{}
+	scriptConns(c, func(n int, conn *scriptedConn) {
+		head := ""
+		conn.write = func(b []byte) (int, error) {
+			if last := strings.HasSuffix(head+string(b), "\r\n\r\nbody"); last {
+				left := time.Until(until())
+				if told, ok := toldTime(head); !ok || told > left {
+					t.Errorf("connection %d tells %v, its client has %v left", n, told, left)
+				}
+				hold(n, "last byte")
+				seen.mu.Lock()
+				seen.whole++
+				seen.mu.Unlock()
+			} else {
+				hold(n, "head")
+			}
+			head += string(b)
+			return conn.Conn.Write(b)
+		}
+		conn.read = func(b []byte) (int, error) {
+			if head != "" && !strings.HasSuffix(head, "\r\n\r\nbody") {
+				hold(n, "pause")
+			}
+			return conn.Conn.Read(b)
+		}
+	})
+	return seen
+}
+
+// The time that a request tells is at most what its client has left when its last byte is about to go, of first attempts, retries and
+// hedged requests alike, however long the process was held up between the clock and a write. What is told too late is made anew on
+// another connection; the connection before it never carries its last byte.
+func TestToldTimeHoldsWhenHeldUp(t *testing.T) {
+	kinds := map[string]func(a *node.Attempt){
+		"first": func(*node.Attempt) {},
+		"retry": func(a *node.Attempt) { a.Rules = gate.Rules{Number: 2, Most: 3, Effect: brain.Unsafe} },
+		"hedge": func(a *node.Attempt) {
+			a.Rules = gate.Rules{Number: 2, Most: 3, Effect: brain.Safe, Ran: true}
+			a.Deadline = time.Now().Add(4 * time.Second)
+		},
+	}
+	type holding struct {
+		moment string
+		length time.Duration
+		conns  int // that it takes
+	}
+	holdings := []holding{{"none", 0, 1}, {"head", holdUp, 2}, {"head", shortHoldUp, 2}, {"pause", holdUp, 2}, {"pause", shortHoldUp, 2},
+		{"last byte", holdUp, 1}}
+	for kind, set := range kinds {
+		for _, held := range holdings {
+			t.Run(fmt.Sprintf("%s/held up at %s for %v", kind, held.moment, held.length), func(t *testing.T) {
+				c, s := setup(t, standin.Lim)
+				n := box(t, c, says(accepted))
+				a := attempt(1)
+				a.Rules = gate.Rules{Number: 1, Most: 3}
+				set(&a)
+				client := a.Deadline.Add(standin.Lim.AnswerEarly)
+				seen := watchWrites(t, c, func() time.Time { return client }, func(conn int, at string) {
+					if at == held.moment && conn == 0 {
+						time.Sleep(held.length)
+					}
+				})
+				c.Send(a)
+				standin.Until(t, "it is sent", func() bool { return seen.requests() > 0 || len(s.outcomes(1)) > 0 })
+				_ = c.Callback([]byte(done))
+				if got := s.outcomes(1); len(got) != 1 || got[0] != brain.Served || seen.requests() != 1 || n() < held.conns {
+					t.Errorf("outcomes %v, %d requests whole over %d connections, want %d", got, seen.requests(), n(), held.conns)
+				}
+			})
+		}
+	}
+}
+
+// A process that is held up each time sends nothing rather than tell too much.
+func TestHeldUpEachTimeIsNotSent(t *testing.T) {
+	c, s := setup(t, standin.Lim)
+	box(t, c, says(accepted))
+	a := attempt(1)
+	client := a.Deadline.Add(standin.Lim.AnswerEarly)
+	seen := watchWrites(t, c, func() time.Time { return client }, func(_ int, moment string) {
+		if moment == "head" {
+			time.Sleep(holdUp)
+		}
+	})
+	c.Send(a)
+	standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	if got := s.outcomes(1); got[0] != brain.Moot || seen.requests() != 0 {
+		t.Errorf("outcomes %v, %d requests whole", got, seen.requests())
+	}
+}
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -52,6 +52,9 @@
 
 type liveKey struct{ trace, from string }
 
+// minToldTime is the least time that an executor is told: in whole milliseconds, less would be none.
+const minToldTime = time.Millisecond
+
 // statusAccepted is the status by which an executor takes a job.
 const statusAccepted = 202
 
@@ -275,10 +278,15 @@
 		keep = true
 		return brain.Moot, nil
 	}
-	left, j := time.Until(t.Deadline), t.Job
+	// The executor is told what will be left once the request's last byte can go.
+	j, told := t.Job, c.lim.TellableTime(time.Until(t.Deadline)-conn.settle(c.lim))
+	if told < minToldTime {
+		keep = true
+		return brain.Moot, nil
+	}
 	fields := append(make([]http1.Field, 0, 5), http1.Field{Name: "Host", Value: "api.internal"},
 		http1.Field{Name: "X-Trace-Id", Value: j.Trace},
-		http1.Field{Name: "X-Expires-In-Ms", Value: strconv.FormatInt(max(left.Milliseconds(), 1), 10)})
+		http1.Field{Name: "X-Expires-In-Ms", Value: strconv.FormatInt(told.Milliseconds(), 10)})
 	if j.Idempotency != "" {
 		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: j.Idempotency})
 	}
@@ -304,9 +312,13 @@
 		}
 		return brain.ConnectFailed, nil
 	}
-	// The request was made before that wait, and tells the time that was left then: it is made anew, once, on another connection.
-	if conn.stale = !t.renewed && left-time.Until(t.Deadline) > c.lim.TimeSpare; conn.stale {
-		t.renewed = true
+	// The request was made before these waits. Where it tells more than its client has left now, it is made anew, once, on another
+	// connection. The attempt ends AnswerEarly before its client leaves.
+	if told > time.Until(t.Deadline)+c.lim.AnswerEarly {
+		if t.renewed {
+			return brain.Moot, nil
+		}
+		t.renewed, conn.stale = true, true
 		return brain.ConnectFailed, nil
 	}
 	// All that may take a while lies behind.
--- /dev/null
+++ b/internal/executor/scriptedconn_test.go
@@ -0,0 +1,44 @@
+package executor
+
+import (
+	"context"
+	"net"
+	"sync"
+)
+
+// scriptedConn is a connection whose reads and writes a test takes over; those that it leaves out go through.
+type scriptedConn struct {
+	net.Conn
+	read, write func(b []byte) (int, error)
+}
+
+func (s *scriptedConn) Read(b []byte) (int, error) {
+	if s.read != nil {
+		return s.read(b)
+	}
+	return s.Conn.Read(b)
+}
+
+func (s *scriptedConn) Write(b []byte) (int, error) {
+	if s.write != nil {
+		return s.write(b)
+	}
+	return s.Conn.Write(b)
+}
+
+// scriptConns has every new connection of a client set up by a test, which is told its number, from 0.
+func scriptConns(c *Client, set func(n int, conn *scriptedConn)) {
+	real, mu, made := c.pool.dial, sync.Mutex{}, 0
+	c.pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		conn, err := real(ctx, network, addr)
+		if err != nil {
+			return nil, err
+		}
+		scripted := &scriptedConn{Conn: conn}
+		mu.Lock()
+		defer mu.Unlock()
+		set(made, scripted)
+		made++
+		return scripted, nil
+	}
+}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -86,7 +86,7 @@
 	KeptBroken   float64            // and the share of broken ones from which on a new connection is made instead
 	Rest         time.Duration      // after an answer, a second one may come on a connection to an executor: for so long it carries nothing new
 	WorkerIdle   time.Duration      // an idle connection to an executor is not used after it: well before connIdle
-	TimeSpare    time.Duration      // the time told to an executor may be so much more than what is left when its request's last byte goes
+	TimeSpare    time.Duration      // an executor is told so much less time than its attempt has, or an eighth of it: see TellableTime
 	Returns      time.Duration      // for so long it is kept that an executor handed a request back: longer than a client waits
 	Probe        time.Duration      // of a probe, and of giving up an attempt
 	ListCall     time.Duration      // of one call for the whole list, and of a connection to it
@@ -138,6 +138,12 @@
 // Backoff is the wait before a next try: it doubles from First up to Most.
 type Backoff struct{ First, Most time.Duration }
 
+// TellableTime is the time that an executor is told of what its attempt has left. It is less by what the last byte of the request may
+// be held up without the request being made anew, since its head cannot be changed any more then.
+func (l *Limits) TellableTime(left time.Duration) time.Duration {
+	return left - min(l.TimeSpare, left/8)
+}
+
 // ServeFollowers takes connections from those for clients and grants them to processes that follow the settings.
 func (l *Limits) ServeFollowers() {
 	l.StoreFollowers = l.ClientConns / 4
@@ -187,7 +193,7 @@
 		ClientIdle: 2 * time.Minute, StrangerIdle: 5 * time.Second, Linger: 500 * time.Millisecond, DoorWait: 50 * time.Millisecond, DropPause: time.Millisecond, Write: 5 * time.Second,
 		SettleLeast: 2 * time.Millisecond, SettleMost: 40 * time.Millisecond, Reconnects: 4,
 		KeptFirst: 32 * time.Millisecond, KeptMemory: 15 * time.Second, KeptSure: 10, KeptBroken: 0.05,
-		Connect: connectTimeout, Rest: 50 * time.Millisecond, WorkerIdle: connIdle * 2 / 3, TimeSpare: 120 * time.Millisecond, Returns: time.Minute, Probe: time.Second,
+		Connect: connectTimeout, Rest: 50 * time.Millisecond, WorkerIdle: connIdle * 2 / 3, TimeSpare: 40 * time.Millisecond, Returns: time.Minute, Probe: time.Second,
 		ListCall: 2500 * time.Millisecond, Staleness: stalenessTimeouts, PushAgain: 100 * time.Millisecond, DrainSpare: drainGrace / 2,
 		ReadyBy: 5 * time.Second, AnswerEarly: 30 * time.Millisecond, Stay: killAfter + killSpare - killEarly, Quiet: 700 * time.Millisecond,
 		Follow: 20 * time.Millisecond, Retired: 3 * time.Second,
