--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -2,10 +2,15 @@
 
 import (
 	"context"
+	"io"
+	"net"
 	"path/filepath"
+	"sync"
 	"testing"
 	"time"
 
+	"golang.org/x/sync/errgroup"
+
 	"gatetack/internal/atomicfile/atomicfiletest"
 	"gatetack/internal/standin"
 )
@@ -41,3 +46,76 @@
 		})
 	}
 }
+
+// silentMember takes connections at an address and never answers, as a member does whose process was stopped. It returns a
+// channel that is closed once raft has called.
+func silentMember(t *testing.T, address string) <-chan struct{} {
+	t.Helper()
+	ln, err := net.Listen("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var g errgroup.Group
+	called := make(chan struct{})
+	once := sync.OnceFunc(func() { close(called) })
+	var mu sync.Mutex
+	var taken []net.Conn
+	g.Go(func() error {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return nil
+			}
+			mu.Lock()
+			taken = append(taken, c)
+			mu.Unlock()
+			g.Go(func() error {
+				first := make([]byte, 2) // raft's mark, and the kind of its call
+				if _, err := io.ReadFull(c, first); err == nil && first[0] == raftMark {
+					once()
+				}
+				return nil
+			})
+		}
+	})
+	t.Cleanup(func() {
+		_ = ln.Close()
+		mu.Lock()
+		for _, c := range taken {
+			_ = c.Close()
+		}
+		mu.Unlock()
+		_ = g.Wait()
+	})
+	return called
+}
+
+// A member that leads ends while a call to a member that does not answer is under way: the call is given up, however long it
+// might take, and no disk is blamed for it.
+func TestShutdownWaitsForNoSilentMember(t *testing.T) {
+	all := cluster(t, 3)
+	put(t, all[0], "before", "x")
+	lead := leader(t, all)
+	silent := all[0]
+	if silent == lead {
+		silent = all[1]
+	}
+	silent.stop()
+	called := silentMember(t, silent.cfg.Listen)
+	select {
+	case <-called:
+	case <-time.After(20 * time.Second):
+		t.Fatal("raft does not call the silent member")
+	}
+	// A later call would be under way as well: its limit is an hour.
+	ended := make(chan struct{})
+	go func() { lead.stop(); close(ended) }()
+	standin.Until(t, "it ends", func() bool {
+		select {
+		case <-ended:
+			return true
+		default:
+			return false
+		}
+	})
+}
--- a/internal/store/mux.go
+++ b/internal/store/mux.go
@@ -27,6 +27,7 @@
 	done  chan struct{}
 	once  sync.Once
 	open  atomic.Bool // raft's streams are taken
+	out   streams     // raft's calls to other members
 }
 
 const raftMark = 0x01
@@ -122,6 +123,13 @@
 func (m *mux) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
+	go func() {
+		select {
+		case <-m.done: // at the end nobody waits for a connection
+			cancel()
+		case <-ctx.Done():
+		}
+	}()
 	c, err := dial(ctx, string(addr), m.keys)
 	if err != nil {
 		return nil, err
@@ -129,7 +137,7 @@
 	if _, err := c.Write([]byte{raftMark}); err != nil {
 		return nil, errors.Join(err, c.Close())
 	}
-	return c, nil
+	return m.out.add(c)
 }
 
 // queue is the listener of the members' calls.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -177,7 +177,9 @@
 // close ends. A write that does not come back is not waited for: the process is about to end.
 func (s *Store) close() error {
 	down := make(chan error, 1)
-	go func() { down <- s.raft.Shutdown().Error() }()
+	ending := s.raft.Shutdown()
+	go func() { down <- ending.Error() }()
+	s.mux.out.closeAll()
 	var err error
 	select {
 	case err = <-down:
