--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -144,7 +144,7 @@
 	job := r.d.jobs[1]
 	mean := r.d.classes[0].work
 	latest := job.objectiveAt - job.work/r.d.meanSpeed() - r.now // how long it may be held
-	if short := 400 + 2*unhintedWork*mean; latest >= short {
+	if short := 400 + 2*unhintedWorkFactor*mean; latest >= short {
 		t.Errorf("held for up to %v ms, want less than a short job's aim of %v", latest, short)
 	}
 }
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -12,71 +12,71 @@
 
 // Tunable constants. Each is a ratio to a setting or to something observed, unless it says otherwise.
 const (
-	reserved     = 0.7   // reservations together, of capacity: more protects small tenants, less lends more
-	limitBase    = 0.8   // a tenant's limit is its portion plus this part of the rest: lower stops floods
-	activeFor    = 5000  // ms a reservation outlives its tenant's last job: longer idles slots
-	shareSlack   = 1.3   // part of its quota that a tenant has at this node, of its usual rate
-	shareMemory  = 15000 // ms over which the usual rate is taken: shorter follows a flood
-	shareDepth   = 2000  // ms of the quota that may come at once
-	unhintedWork = 0.5   // of its class's mean, what half of all jobs stay under; by work, its inverse
-	hubFresh     = 1     // waits for the hub that its answer may be old for another job, and from how many
-	hubAgain     = 2     // on jobs that wait for room ask again
-	relax        = 0.5   // how fast reports fade, in runs weighted by what they hold: faster evens out
-	relaxHope    = 0.3   // slots hoped for where a report has faded: more sends sooner, less holds
-	trunk        = 0.15  // part of the tokens kept from work worth less than the mean
-	evictGain    = 0.7   // how much less, of an arrival's worth a slot, a waiting job must be worth to go
-	pushAfter    = 0.3   // part of its slack that a starved node holds a job before it queues it at a worker
-	pushShare    = 0.8   // part of our part of all slots under which a node without room counts as starved
-	starvedRuns  = 2     // mean runs without a send after which a node that knows little tries one more job
-	waitMost     = 1.0   // admitted work that may wait, of capacity: more waiting serves late what it serves
-	scarce       = 0.2   // part of all slots under which free ones are shared
-	softStart    = 2     // slots a worker without reports is tried with: more fills a cold start quicker
-	softCut      = 0.7   // what 'full' leaves of the slots we thought it takes
-	freshPeriods = 4     // report periods a report stays fresh: longer trusts old room
-	staleFor     = 4     // times that span until reports are taken to have ended
-	ageShare     = 0.7   // age of a report when it comes, of a period, while nothing else is learned
-	ageStep      = 1.75  // between the ages that are compared: finer ones tell less apart
-	ageKeep      = 0.99  // memory of that comparison: shorter follows a change sooner and errs more
-	ageSure      = 0.8   // part of the usual age's scatter under which another age is believed
-	firstPeriod  = 500   // ms between new reports until some are seen
-	probesPerJob = 4     // probes for each of our requests, at most: knowledge against their price
-	crowdLoss    = 0.2   // loss feared on a worker with no slot to spare; larger spreads more
-	slowLoss     = 0.5   // loss feared when a job's run would use up all the time its aim leaves
-	holdLoss     = 0.1   // loss for holding slots on a worker of mean speed; larger favours fast workers
-	setupLoss    = 0.1   // loss for a missed fetch besides its price
-	loadMost     = 1.1   // requests a core, as a live weight tells, from which on a worker has no room,
-	loadOver     = 1.5   // if that is this many times the mean: where all hold many, it says nothing
-	usualPeriods = 4     // report periods over which it is learned what others hold of workers of a kind
-	usualShrink  = 3     // reports' worth of the fleet's mean mixed into a kind's own
-	blindShare   = 2     // even parts of a worker's slots a node uses without a fresh report
-	startGrace   = 4     // batches a start note may take beyond a connection until a job counts as queued
-	homeWait     = 0.5   // part of the time its aim leaves that a job waits for a worker that holds its key
-	homeSpread   = 2.0   // homes of a key, in workers' worth of its traffic: more divides it, fewer keep it
-	keyMemory    = 1000  // requests after which the counts of keys are halved
-	fetchPool    = 0.25  // part of capacity for jobs that must fetch their key: less spares the store
-	homeMiss     = 0.5   // chance of a fetch from which on a worker is not worth waiting for
-	lookAll      = 24    // workers of a fleet that is looked at whole for the jobs waiting
-	lookSome     = 12    // drawn ones looked at of a larger one: more finds more room, costs CPU and herds
-	tieLoss      = 0.01  // random part that keeps nodes from choosing alike
-	coldSafety   = 0.6   // part of a cold worker's budget that is used: heavy tails need the rest
-	coldKnown    = 0.8   // likewise while the hub tells what all nodes have there: room bounds what is sent
-	coldPart     = 1.6   // even parts a node has at most, under 1/coldSafety: else all at once outgrow it
-	coldBurst    = 0.5   // of its span, what may be saved up: more fills sooner, and pushes over
-	silentAfter  = 2.5   // progress periods without a sign of life before a worker counts as standing still
-	queueWaits   = 8     // usual waits that a queued job may have: fewer finds the dead sooner, and copies
-	errorKeep    = 0.8   // memory of the error average: higher ejects later and forgives later
-	errorEject   = 0.45  // error average that ejects: three failures running
-	panicShare   = 0.5   // with more than this part of the workers ejected, ejection is ignored
-	ejectFirst   = 2     // first ejection, in connect time-outs; doubles each time
-	ejectMost    = 5     // doublings at most
-	classAway    = 16    // likewise for a class that fails at a worker: a trial may lose a job for good
-	flakyPrior   = 2     // jobs' worth of all classes' errors mixed into one class's
-	flakyFor     = 40    // connect time-outs in which errors fade: shorter tries a bad one sooner
-	speedKeep    = 0.98  // memory of the speed averages
-	speedShrink  = 6     // jobs' worth of the kind's speed mixed into a worker's own
-	askSpread    = 0.003 // of the time to ask within, for each node: a round of their asks,
-	askLeast     = 0.025 // and at least this part of it
-	comeBackRuns = 0.5   // mean runs, by tokens out, until a refused client may find one: fewer storms
+	reservedFraction        = 0.7   // reservations together, of capacity: more protects small tenants, less lends more
+	borrowableFraction      = 0.8   // a tenant's limit is its portion plus this part of the rest: lower stops floods
+	tenantActiveMs          = 5000  // ms a reservation outlives its tenant's last job: longer idles slots
+	usualRateSlack          = 1.3   // part of its quota that a tenant has at this node, of its usual rate
+	usualRateWindowMs       = 15000 // ms over which the usual rate is taken: shorter follows a flood
+	quotaBurstMs            = 2000  // ms of the quota that may come at once
+	unhintedWorkFactor      = 0.5   // of its class's mean, what half of all jobs stay under; by work, its inverse
+	answerFreshness         = 1     // waits for the hub that its answer may be old for another job, and from how many
+	queryRetryFactor        = 2     // on jobs that wait for room ask again
+	reportDecayRate         = 0.5   // how fast reports fade, in runs weighted by what they hold: faster evens out
+	hopedSlots              = 0.3   // slots hoped for where a report has faded: more sends sooner, less holds
+	trunkReservation        = 0.15  // part of the tokens kept from work worth less than the mean
+	preemptionGain          = 0.7   // how much less, of an arrival's worth a slot, a waiting job must be worth to go
+	speculationDelay        = 0.3   // part of its slack that a starved node holds a job before it queues it at a worker
+	starvationShare         = 0.8   // part of our part of all slots under which a node without room counts as starved
+	starvationThreshold     = 2     // mean runs without a send after which a node that knows little tries one more job
+	maxQueuedFraction       = 1.0   // admitted work that may wait, of capacity: more waiting serves late what it serves
+	scarcityThreshold       = 0.2   // part of all slots under which free ones are shared
+	initialSoftLimit        = 2     // slots a worker without reports is tried with: more fills a cold start quicker
+	softLimitBackoff        = 0.7   // what 'full' leaves of the slots we thought it takes
+	freshReportIntervals    = 4     // report periods a report stays fresh: longer trusts old room
+	reportsEndedFactor      = 4     // times that span until reports are taken to have ended
+	defaultReportAge        = 0.7   // age of a report when it comes, of a period, while nothing else is learned
+	reportAgeStep           = 1.75  // between the ages that are compared: finer ones tell less apart
+	reportAgeMemory         = 0.99  // memory of that comparison: shorter follows a change sooner and errs more
+	reportAgeConfidence     = 0.8   // part of the usual age's scatter under which another age is believed
+	initialReportIntervalMs = 500   // ms between new reports until some are seen
+	maxChecksPerRequest     = 4     // probes for each of our requests, at most: knowledge against their price
+	crowdingCost            = 0.2   // loss feared on a worker with no slot to spare; larger spreads more
+	latencyCost             = 0.5   // loss feared when a job's run would use up all the time its aim leaves
+	slotTimeCost            = 0.1   // loss for holding slots on a worker of mean speed; larger favours fast workers
+	cacheMissCost           = 0.1   // loss for a missed fetch besides its price
+	liveLoadLimit           = 1.1   // requests a core, as a live weight tells, from which on a worker has no room,
+	liveLoadExcess          = 1.5   // if that is this many times the mean: where all hold many, it says nothing
+	occupancyIntervals      = 4     // report periods over which it is learned what others hold of workers of a kind
+	occupancyPrior          = 3     // reports' worth of the fleet's mean mixed into a kind's own
+	blindShareFactor        = 2     // even parts of a worker's slots a node uses without a fresh report
+	startNoteGraceSteps     = 4     // batches a start note may take beyond a connection until a job counts as queued
+	affinityWait            = 0.5   // part of the time its aim leaves that a job waits for a worker that holds its key
+	affinitySpread          = 2.0   // homes of a key, in workers' worth of its traffic: more divides it, fewer keep it
+	keyCountWindow          = 1000  // requests after which the counts of keys are halved
+	cacheFetchPool          = 0.25  // part of capacity for jobs that must fetch their key: less spares the store
+	cacheMissThreshold      = 0.5   // chance of a fetch from which on a worker is not worth waiting for
+	fullScanLimit           = 24    // workers of a fleet that is looked at whole for the jobs waiting
+	sampledExecutors        = 12    // drawn ones looked at of a larger one: more finds more room, costs CPU and herds
+	tieBreakNoise           = 0.01  // random part that keeps nodes from choosing alike
+	slowStartSafety         = 0.6   // part of a cold worker's budget that is used: heavy tails need the rest
+	slowStartKnownSafety    = 0.8   // likewise while the hub tells what all nodes have there: room bounds what is sent
+	maxSlowStartPart        = 1.6   // even parts a node has at most, under 1/coldSafety: else all at once outgrow it
+	slowStartBurst          = 0.5   // of its span, what may be saved up: more fills sooner, and pushes over
+	unresponsiveIntervals   = 2.5   // progress periods without a sign of life before a worker counts as standing still
+	queuedGraceFactor       = 8     // usual waits that a queued job may have: fewer finds the dead sooner, and copies
+	errorAverageMemory      = 0.8   // memory of the error average: higher ejects later and forgives later
+	ejectionErrorRate       = 0.45  // error average that ejects: three failures running
+	panicThreshold          = 0.5   // with more than this part of the workers ejected, ejection is ignored
+	baseEjectionFactor      = 2     // first ejection, in connect time-outs; doubles each time
+	maxBackoffDoublings     = 5     // doublings at most
+	classQuarantineFactor   = 16    // likewise for a class that fails at a worker: a trial may lose a job for good
+	errorPrior              = 2     // jobs' worth of all classes' errors mixed into one class's
+	errorWindowFactor       = 40    // connect time-outs in which errors fade: shorter tries a bad one sooner
+	serviceTimeMemory       = 0.98  // memory of the speed averages
+	kindSpeedPrior          = 6     // jobs' worth of the kind's speed mixed into a worker's own
+	pollSpreadPerNode       = 0.003 // of the time to ask within, for each node: a round of their asks,
+	minPollSpread           = 0.025 // and at least this part of it
+	retryAfterRuns          = 0.5   // mean runs, by tokens out, until a refused client may find one: fewer storms
 )
 
 // Step takes in all that happened up to now, decides, and appends what to do to out.
@@ -157,8 +157,8 @@
 	} else {
 		// Most jobs are shorter than a heavy-tailed mean, and a short one's aim comes soon. Where worth goes
 		// by work, most of it lies in jobs as much longer than the mean, and their aim comes as much later.
-		if job.work, likely = stats.work, unhintedWork*stats.work; d.settings.WorthByWork {
-			likely = stats.work / unhintedWork
+		if job.work, likely = stats.work, unhintedWorkFactor*stats.work; d.settings.WorthByWork {
+			likely = stats.work / unhintedWorkFactor
 		}
 	}
 	d.widestRequest = max(d.widestRequest, job.slots)
@@ -221,20 +221,20 @@
 
 func (d *Dispatcher) admit(job *job) bool {
 	stats := &d.classes[job.class]
-	tokens := d.capacity * (1 + min(waitMost, d.settings.Classes[job.class].Aim/stats.work))
+	tokens := d.capacity * (1 + min(maxQueuedFraction, d.settings.Classes[job.class].Aim/stats.work))
 	if job.value < d.meanValue {
-		tokens *= 1 - trunk // the last tokens are for work worth more than the mean
+		tokens *= 1 - trunkReservation // the last tokens are for work worth more than the mean
 	}
 	active := 0.0
 	for i := range d.tenants {
-		if tenant := &d.tenants[i]; d.now-tenant.lastSeen <= activeFor || tenant.reservedSlots > 0 {
+		if tenant := &d.tenants[i]; d.now-tenant.lastSeen <= tenantActiveMs || tenant.reservedSlots > 0 {
 			active += tenant.reservedShare
 		}
 	}
 	active = max(active, 1e-9)
-	unit := reserved * tokens / active
+	unit := reservedFraction * tokens / active
 	tenant := &d.tenants[job.tenant]
-	limit := tokens * (tenant.reservedShare/active + limitBase*(1-tenant.reservedShare/active))
+	limit := tokens * (tenant.reservedShare/active + borrowableFraction*(1-tenant.reservedShare/active))
 	if tenant.reservedSlots+job.slots > limit {
 		return false
 	}
@@ -248,7 +248,7 @@
 		borrowed += max(0, d.tenants[i].reservedSlots-unit*d.tenants[i].reservedShare)
 	}
 	job.borrowed = true
-	return borrowed+job.slots <= tokens-reserved*tokens || len(d.queue) == 0 && d.isStarved()
+	return borrowed+job.slots <= tokens-reservedFraction*tokens || len(d.queue) == 0 && d.isStarved()
 }
 
 // estimate counts capacity: slots of our running jobs and free slots, by report or by what was served.
@@ -256,10 +256,10 @@
 	if d.now < d.nextEstimate {
 		return // sends move slots from free ones to our own: the sum stays
 	}
-	if n := float64(len(d.executors)); n > lookAll {
-		d.nextEstimate = d.now + d.tickInterval()*n/lookAll
+	if n := float64(len(d.executors)); n > fullScanLimit {
+		d.nextEstimate = d.now + d.tickInterval()*n/fullScanLimit
 	}
-	known := len(d.executors) <= lookAll || d.peerLoadsKnown() // what others hold
+	known := len(d.executors) <= fullScanLimit || d.peerLoadsKnown() // what others hold
 	own, free, hoped, queued, total, assumed, most := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
 	for _, executor := range d.executors {
 		own += executor.ownSlots
@@ -268,7 +268,7 @@
 		}
 		n := max(executor.slots, d.kinds[executor.kind].slots)
 		total += n
-		assumed += max(n, d.widestRequest, softStart)
+		assumed += max(n, d.widestRequest, initialSoftLimit)
 		most = max(most, n)
 		if known || executor.reportedAt > 0 && d.now-executor.reportedAt <= min(d.reportTTL(), d.meanRun) {
 			free += max(0, d.availableSlots(executor))
@@ -279,15 +279,15 @@
 			queued += executor.unstartedSlots
 		}
 	}
-	d.fairSlots = pushShare * d.fleetShare() * total
+	d.fairSlots = starvationShare * d.fleetShare() * total
 	if d.capacity = own + free; !known {
 		d.capacity = d.capacityWithoutPeers(own-queued, queued, free, hoped, assumed)
 		d.fairSlots = d.capacity
 	}
-	if d.gossipMode == gossipAggregator && d.peerLoadsKnown() && d.capacity < scarce*total {
+	if d.gossipMode == gossipAggregator && d.peerLoadsKnown() && d.capacity < scarcityThreshold*total {
 		most = min(most, max(d.widestRequest, d.fleetShare()*total)) // all see the same few slots
 		own := d.ownSlotsInFlight()
-		d.capacity = own + (d.capacity-own)*d.capacity/(scarce*total)
+		d.capacity = own + (d.capacity-own)*d.capacity/(scarcityThreshold*total)
 	}
 	d.capacity = max(d.capacity, most) // else a node that sees no room and has nothing out never begins
 }
@@ -296,13 +296,13 @@
 // and quotas show them; or what runs of its jobs, room it knows of, and while nothing queues as much again.
 func (d *Dispatcher) capacityWithoutPeers(running, queued, reported, hoped, assumed float64) float64 {
 	part := d.fleetShare() * max(assumed, d.totalQuota*d.meanSlotTime/1000)
-	return max(softStart, part, running+reported+max(0, min(hoped, running-queued)))
+	return max(initialSoftLimit, part, running+reported+max(0, min(hoped, running-queued)))
 }
 
 // starved says that such a node has sent nothing for long, for its jobs hang or run long. It may send one
 // more, else it would refuse all that comes for as long as their clients wait.
 func (d *Dispatcher) isStarved() bool {
-	return len(d.executors) > lookAll && !d.peerLoadsKnown() && d.now-d.lastDispatchAt > starvedRuns*d.meanSlotTime
+	return len(d.executors) > fullScanLimit && !d.peerLoadsKnown() && d.now-d.lastDispatchAt > starvationThreshold*d.meanSlotTime
 }
 
 // meter tells whether a request is beyond its tenant's share, by a bucket that fills at the part of the quota
@@ -312,14 +312,14 @@
 	if tenant.quota <= 0 {
 		return false
 	}
-	rate := min(tenant.quota, max(shareSlack*tenant.usualRate, tenant.quota/(2*float64(d.settings.Balancers))))
+	rate := min(tenant.quota, max(usualRateSlack*tenant.usualRate, tenant.quota/(2*float64(d.settings.Balancers))))
 	span := d.now - tenant.refilledAt
 	tenant.refilledAt = d.now
-	deep := max(rate*shareDepth/1000, 2)
+	deep := max(rate*quotaBurstMs/1000, 2)
 	tenant.tokens = min(deep, tenant.tokens+rate*span/1000)
-	tenant.usualRate *= math.Exp(-span / shareMemory)
+	tenant.usualRate *= math.Exp(-span / usualRateWindowMs)
 	if !repeat {
-		tenant.usualRate += 1000 / shareMemory
+		tenant.usualRate += 1000 / usualRateWindowMs
 		if tenant.tokens < 1 {
 			return true
 		}
@@ -343,7 +343,7 @@
 		if k.done || k.inFlight > 0 || k.mayHaveRun || !(k.borrowed || k.tenant == job.tenant) {
 			continue
 		}
-		if k.value < evictGain*job.value || d.now+k.work/speed > k.objectiveAt {
+		if k.value < preemptionGain*job.value || d.now+k.work/speed > k.objectiveAt {
 			d.endJob(k, causePreempted)
 			return true
 		}
@@ -422,7 +422,7 @@
 		return
 	}
 	d.inspectedAll = true
-	if len(d.executors) <= lookAll {
+	if len(d.executors) <= fullScanLimit {
 		for _, executor := range d.executors {
 			d.inspect(executor)
 		}
@@ -437,7 +437,7 @@
 			d.inspect(executor) // for it is seldom our turn there, and then all the more wanted
 		}
 	}
-	for n := 0; n < lookSome; n++ {
+	for n := 0; n < sampledExecutors; n++ {
 		d.inspect(d.executors[int(d.random()*float64(len(d.executors)))])
 	}
 }
@@ -465,9 +465,9 @@
 	mean := d.meanSpeed()
 	// Waiting a little for a worker that holds the key is better than a fetch: when the store behind the
 	// keys is short of capacity, fetches hold slots for long, and every job sent astray makes more of them.
-	forHome := job.key != 0 && (d.now < job.arrivedAt+homeWait*(job.objectiveAt-job.work/mean-job.arrivedAt) || d.cacheFetchesExhausted(job))
+	forHome := job.key != 0 && (d.now < job.arrivedAt+affinityWait*(job.objectiveAt-job.work/mean-job.arrivedAt) || d.cacheFetchesExhausted(job))
 	var from []*executor
-	if forHome && len(d.executors) > lookAll {
+	if forHome && len(d.executors) > fullScanLimit {
 		from = job.candidates // of many workers the rest is not even looked at
 	} else {
 		d.inspectExecutors()
@@ -483,15 +483,15 @@
 			continue
 		}
 		odds := d.errorProbability(job, executor)
-		if odds > errorEject || (executor.unresponsive || d.now < executor.ackOverdueUntil && !d.panicking) && class.Effect == Unsafe {
+		if odds > ejectionErrorRate || (executor.unresponsive || d.now < executor.ackOverdueUntil && !d.panicking) && class.Effect == Unsafe {
 			continue // it may well be lost there
 		}
 		if executor.reportsMemory && job.memory > executor.freeMemory+1e-6 && executor.ownSlots > 0 {
 			continue // with nothing of ours out, a report that stays low must not shut a worker out for good
 		}
 		run := job.work / d.executorSpeed(executor)
-		loss := crowdLoss/(1+spare) + slowLoss*min(max(0, run/slack-0.5), 1) + holdLoss*run*mean/job.work
-		loss += executor.errorAverage + odds + tieLoss*d.random()
+		loss := crowdingCost/(1+spare) + latencyCost*min(max(0, run/slack-0.5), 1) + slotTimeCost*run*mean/job.work
+		loss += executor.errorAverage + odds + tieBreakNoise*d.random()
 		loss += d.zonePrice(job, executor.zone)
 		if d.settings.Fees.Handshake > 0 && !d.hasOpenConnection(executor) {
 			loss += d.settings.Fees.Handshake
@@ -499,13 +499,13 @@
 		miss := 0.0
 		if job.key != 0 {
 			miss = cacheMissProbability(job, executor, d.settings.Balancers)
-			loss += miss * (d.settings.Fees.Origin + setupLoss)
+			loss += miss * (d.settings.Fees.Origin + cacheMissCost)
 		}
 		if loss < least {
 			least, best, bestMiss = loss, executor, miss
 		}
 	}
-	if best != nil && bestMiss >= homeMiss && forHome {
+	if best != nil && bestMiss >= cacheMissThreshold && forHome {
 		return nil
 	}
 	return best
@@ -514,7 +514,7 @@
 // fetchesFull says that the pool for jobs that must fetch their key is used up while a home of it works.
 // Without it a short jam lasts: jobs go wherever room shows, fetch, hold slots longer, and keep all full.
 func (d *Dispatcher) cacheFetchesExhausted(job *job) bool {
-	if d.fetchingSlots == 0 || d.fetchingSlots+job.slots <= fetchPool*d.capacity {
+	if d.fetchingSlots == 0 || d.fetchingSlots+job.slots <= cacheFetchPool*d.capacity {
 		return false
 	}
 	return slices.ContainsFunc(job.candidates, d.isUsable)
@@ -524,7 +524,7 @@
 // room, and held the job for a good part of its slack. Busy nodes refill a slot as their own job ends: no
 // report shows it. It takes the worker with fewest of our slots, and queues no more than one job there.
 func (d *Dispatcher) speculate(job *job) *executor {
-	held := pushAfter * (job.objectiveAt - job.work/d.meanSpeed() - job.arrivedAt)
+	held := speculationDelay * (job.objectiveAt - job.work/d.meanSpeed() - job.arrivedAt)
 	full := d.ownSlotsInFlight()+job.slots > d.fairSlots && !d.isStarved()
 	if full || job.inFlight > 0 || job.key != 0 || d.peerLoadsKnown() || d.now < job.arrivedAt+held {
 		return nil
@@ -536,7 +536,7 @@
 			continue
 		}
 		class, part := &d.settings.Classes[job.class], d.fleetShare()*n+0.5
-		if class.Kind >= 0 && executor.kind != class.Kind || d.errorProbability(job, executor) > errorEject || !d.isSendAllowed(job, executor) ||
+		if class.Kind >= 0 && executor.kind != class.Kind || d.errorProbability(job, executor) > ejectionErrorRate || !d.isSendAllowed(job, executor) ||
 			executor.ownSlots > 0 && executor.ownSlots+job.slots > part {
 			continue
 		}
@@ -554,7 +554,7 @@
 	if i := slices.Index(job.candidates, executor); i >= 0 {
 		miss = 0.1
 		if i == len(job.candidates)-1 {
-			miss = homeMiss
+			miss = cacheMissThreshold
 		}
 	}
 	if i := slices.Index(executor.affinityKeys[:], job.key); i >= 0 {
@@ -570,8 +570,8 @@
 		return
 	}
 	job.candidatesRevision, job.candidates = d.listRevision, job.candidates[:0]
-	share := d.keyCounts[job.key] / max(d.keyTotal, keyMemory/10)
-	want := 2 + int(homeSpread*share*float64(len(d.executors)))
+	share := d.keyCounts[job.key] / max(d.keyTotal, keyCountWindow/10)
+	want := 2 + int(affinitySpread*share*float64(len(d.executors)))
 	best := d.rankedScratch[:0] // the greatest, in order
 	for i, x := range d.affinityHashes {
 		h, scale := float64(mix64(job.key^x.hash)>>11+1)/(1<<53), d.kinds[x.kind].scale
@@ -619,7 +619,7 @@
 	}
 	// A weight in the list is the same for all nodes and late: it is no reason to go to a worker, since all
 	// would, but one that tells of more requests than cores is a reason to stay away.
-	if executor.position < len(d.endpointRows) && d.endpointRows[executor.position].liveLoad >= max(loadMost, loadOver*d.meanLiveLoad) {
+	if executor.position < len(d.endpointRows) && d.endpointRows[executor.position].liveLoad >= max(liveLoadLimit, liveLoadExcess*d.meanLiveLoad) {
 		return 0
 	}
 	if executor.reportedAt > 0 && d.now-executor.reportedAt <= d.reportTTL() {
@@ -628,13 +628,13 @@
 	most := math.Floor(executor.softLimit)
 	if n > 0 {
 		// Every node guesses at once when reports fail: none takes more than twice its even part.
-		most = min(most, max(1, math.Round(blindShare*n/float64(d.settings.Balancers))))
+		most = min(most, max(1, math.Round(blindShareFactor*n/float64(d.settings.Balancers))))
 	}
 	if executor.ownSlots == 0 {
 		most = max(most, d.widestRequest) // else a job wider than what was tried so far would never be sent
 	}
 	most -= executor.ownSlots
-	if n > 0 && d.lastReportAt > 0 && d.now-d.lastReportAt <= staleFor*d.reportTTL() && d.slowStartShare(executor) == 1 {
+	if n > 0 && d.lastReportAt > 0 && d.now-d.lastReportAt <= reportsEndedFactor*d.reportTTL() && d.slowStartShare(executor) == 1 {
 		// Others tell what is usual: where the fleet is full, so is likely one not heard of, unless new.
 		most = min(most, math.Round(n*(1-d.peerOccupancyAt(executor))-executor.ownSlots))
 	}
@@ -643,7 +643,7 @@
 
 // freshFor is how long a report holds: some periods, and at least a run where only answers bring reports.
 func (d *Dispatcher) reportTTL() float64 {
-	fresh := freshPeriods * d.reportInterval
+	fresh := freshReportIntervals * d.reportInterval
 	if d.settings.Telemetry == ReportAnswers {
 		fresh = max(fresh, d.classes[0].work/d.meanSpeed())
 	}
@@ -652,7 +652,7 @@
 
 // usable says whether new work may go to a worker at all.
 func (d *Dispatcher) isUsable(executor *executor) bool {
-	if (executor.dialFailures > 0 && (d.now < executor.dialBackoffUntil || executor.opening > 0) || d.isQuarantined(executor, noConns)) && !d.hasOpenConnection(executor) {
+	if (executor.dialFailures > 0 && (d.now < executor.dialBackoffUntil || executor.opening > 0) || d.isQuarantined(executor, connectionQuarantine)) && !d.hasOpenConnection(executor) {
 		// A worker can serve over the connections it has and take no new one (its table is full, or new
 		// ones are cut): a served job says nothing of the next connect. One new connection tries at a time.
 		return false
@@ -718,7 +718,7 @@
 // comeBack is how long a refused client should stay away: until a token of ours is back, at the pace of runs.
 func (d *Dispatcher) retryAfter(job *job) float64 {
 	held := max(job.slots, d.reservedTotal())
-	return min(d.settings.MaxRetryAfter, comeBackRuns*d.meanRun*job.slots/held)
+	return min(d.settings.MaxRetryAfter, retryAfterRuns*d.meanRun*job.slots/held)
 }
 
 // ourPart is our part of what all nodes may do together: half of it even, half by our part of the traffic
@@ -741,7 +741,7 @@
 	d.lastDispatchAt = d.now
 	d.actions = append(d.actions, Action{Kind: ActSend, Job: job.id, Worker: executor.id})
 	job.attempts = append(job.attempts, attempt{executor: executor, sentAt: d.now, heardAt: d.now, hadFreeSlots: executor.freeSlots >= job.slots})
-	if job.key != 0 && cacheMissProbability(job, executor, d.settings.Balancers) >= homeMiss {
+	if job.key != 0 && cacheMissProbability(job, executor, d.settings.Balancers) >= cacheMissThreshold {
 		job.attempts[len(job.attempts)-1].fetchesKey = true
 		d.fetchingSlots += job.slots
 	}
@@ -951,7 +951,7 @@
 		executor.endedCount++
 	case Full:
 		executor.freeSlots = min(executor.freeSlots+job.slots, 0)
-		executor.softLimit = max(1, softCut*executor.ownSlots)
+		executor.softLimit = max(1, softLimitBackoff*executor.ownSlots)
 		executor.rejections = min(executor.rejections+1, 6)
 		executor.rejectedUntil = d.now + d.reportInterval*0.25*float64(int(1)<<(executor.rejections-1))*(0.5+d.random())
 	case ConnectFailed, Moot:
@@ -960,15 +960,15 @@
 	switch o {
 	case Served:
 		d.noteAlive(executor)
-		executor.errorAverage *= errorKeep
+		executor.errorAverage *= errorAverageMemory
 		if executor.rejections = 0; attempt.sentAt >= executor.ackOverdueAt { // else it shows nothing of what came since
 			executor.ejections, executor.onProbation, executor.ackOverdueUntil = 0, false, 0
 		}
 		late := d.now > job.objectiveAt && attempt.sentAt+job.work/d.meanSpeed() <= job.objectiveAt
-		blind := executor.reportedAt == 0 || d.now-executor.reportedAt > staleFor*d.reportTTL() // a pause is not the end
+		blind := executor.reportedAt == 0 || d.now-executor.reportedAt > reportsEndedFactor*d.reportTTL() // a pause is not the end
 		if late && blind && attempt.sentAt > executor.softLimitCutAt {
 			// With no reports and no 'full' only lateness shows a queue: one cut for all sent before it.
-			executor.softLimit, executor.softLimitCutAt = max(1, softCut*executor.softLimit), d.now
+			executor.softLimit, executor.softLimitCutAt = max(1, softLimitBackoff*executor.softLimit), d.now
 		} else if !late && executor.ownSlots+job.slots >= math.Floor(executor.softLimit) {
 			executor.softLimit += job.slots / executor.softLimit
 		}
@@ -985,8 +985,8 @@
 		d.noteAlive(executor) // and else a matter of the job's class, see fared
 	case Reset:
 		d.noteAlive(executor)
-		executor.errorAverage = executor.errorAverage*errorKeep + 1 - errorKeep
-		if executor.errorAverage > errorEject || executor.onProbation {
+		executor.errorAverage = executor.errorAverage*errorAverageMemory + 1 - errorAverageMemory
+		if executor.errorAverage > ejectionErrorRate || executor.onProbation {
 			d.eject(executor, "errors")
 		}
 	case ConnectFailed:
@@ -996,8 +996,8 @@
 
 // linkFailed backs off from new connections to a worker; those that are open go on being used.
 func (d *Dispatcher) noteDialFailure(executor *executor) {
-	if d.reportQuarantine(executor, noConns); d.now >= executor.dialBackoffUntil {
-		back := max(d.settings.ConnectTimeout, d.settings.Step) * float64(int(1)<<min(executor.dialFailures, ejectMost))
+	if d.reportQuarantine(executor, connectionQuarantine); d.now >= executor.dialBackoffUntil {
+		back := max(d.settings.ConnectTimeout, d.settings.Step) * float64(int(1)<<min(executor.dialFailures, maxBackoffDoublings))
 		executor.dialBackoffUntil = d.now + back*(0.75+0.5*d.random())
 		if executor.dialFailures++; executor.dialFailures == 1 {
 			d.logf("worker %d takes no new connections", executor.id)
@@ -1011,12 +1011,12 @@
 	if d.now < executor.ejectedUntil {
 		return
 	}
-	base := ejectFirst * max(d.settings.ConnectTimeout, d.settings.Step)
-	executor.ejectedUntil = d.now + base*float64(int(1)<<min(executor.ejections, ejectMost))*(0.75+0.5*d.random())
+	base := baseEjectionFactor * max(d.settings.ConnectTimeout, d.settings.Step)
+	executor.ejectedUntil = d.now + base*float64(int(1)<<min(executor.ejections, maxBackoffDoublings))*(0.75+0.5*d.random())
 	executor.ejections++
 	executor.onProbation = true
 	d.ejectedExecutors = append(d.ejectedExecutors, executor)
-	executor.errorAverage = min(executor.errorAverage, errorEject)
+	executor.errorAverage = min(executor.errorAverage, ejectionErrorRate)
 	d.logf("eject worker %d for %s until %.0f, strike %d", executor.id, why, executor.ejectedUntil, executor.ejections)
 }
 
@@ -1057,7 +1057,7 @@
 				if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && !attempt.writtenOff {
 					since := max(attempt.sentAt, executor.lastHeard)
 					if attempt.startedAt == 0 && d.settings.TellsStart {
-						since += queueWaits * d.startDelay // a queued job tells nothing
+						since += queuedGraceFactor * d.startDelay // a queued job tells nothing
 					}
 					silent = silent || d.now-since > limit
 				}
@@ -1073,7 +1073,7 @@
 			bad++
 		}
 	}
-	panicking := float64(bad) > panicShare*float64(len(d.executors))
+	panicking := float64(bad) > panicThreshold*float64(len(d.executors))
 	if panicking != d.panicking {
 		d.panicking = panicking
 		d.needsPlacement = true
@@ -1116,9 +1116,9 @@
 		d.pollSentAt, d.watching, d.failedPolls = 0, true, 0
 	}
 	if d.listUpdatedAt == 0 {
-		d.aggregator.since = d.now
+		d.aggregator.startedAt = d.now
 	}
-	if d.listUpdatedAt = d.now; event.Form == ListCached && float64(d.settings.Balancers)*askSpread > askLeast {
+	if d.listUpdatedAt = d.now; event.Form == ListCached && float64(d.settings.Balancers)*pollSpreadPerNode > minPollSpread {
 		d.nextPoll = d.now + d.pollBackoff() // many nodes that were killed together start together
 	}
 	d.applyRows(event)
@@ -1129,7 +1129,7 @@
 
 // askBackoff is until this node's turn in a round that all nodes have: calls that come together wait in vain.
 func (d *Dispatcher) pollBackoff() float64 {
-	span := max(askLeast, askSpread*float64(d.settings.Balancers)) * float64(int(1)<<min(d.failedPolls, 3))
+	span := max(minPollSpread, pollSpreadPerNode*float64(d.settings.Balancers)) * float64(int(1)<<min(d.failedPolls, 3))
 	return recovery.TimeSlots{Me: d.settings.Me, Nodes: d.settings.Balancers}.After(d.now, d.settings.AskWithin*min(1, span))
 }
 
@@ -1147,7 +1147,7 @@
 
 // tickSpan is the time between ticks: longer in a large fleet, where a tick has more to look at.
 func (d *Dispatcher) tickInterval() float64 {
-	if len(d.executors) > lookAll {
+	if len(d.executors) > fullScanLimit {
 		return max(10*d.settings.Step, 40)
 	}
 	return max(5*d.settings.Step, 10)
@@ -1164,7 +1164,7 @@
 	d.lastTimerToken++
 	d.actions = append(d.actions, Action{Kind: ActTimer, For: d.tickInterval(), Token: d.lastTimerToken})
 	d.pollList()
-	if len(d.executors) <= lookAll || d.now >= d.nextOutlierCheck {
+	if len(d.executors) <= fullScanLimit || d.now >= d.nextOutlierCheck {
 		d.nextOutlierCheck = d.now + d.unresponsiveTimeout()/16
 		d.detectOutliers()
 		if d.settings.MayDuplicate && !d.panicking {
@@ -1176,7 +1176,7 @@
 	}
 	if len(d.queue) > 0 {
 		d.needsPlacement = true
-		d.aggregator.wanted = d.aggregator.wanted || d.now-d.aggregator.answered > hubAgain*d.answerTimeout()
+		d.aggregator.answerWanted = d.aggregator.answerWanted || d.now-d.aggregator.answeredAt > queryRetryFactor*d.answerTimeout()
 	}
 	d.checkHealth()
 	d.broadcastLoad()
@@ -1189,23 +1189,23 @@
 // awaitHub says whether jobs wait for what the hub tells: free slots known here are old, and others use them.
 func (d *Dispatcher) awaitsAggregator() bool {
 	aggregator, wait := &d.aggregator, d.answerTimeout()
-	if d.gossipMode != gossipAggregator || aggregator.now == d.settings.Me || d.now < max(aggregator.deaf, aggregator.answered+hubFresh*wait) {
+	if d.gossipMode != gossipAggregator || aggregator.current == d.settings.Me || d.now < max(aggregator.notReadyUntil, aggregator.answeredAt+answerFreshness*wait) {
 		return false
 	}
-	aggregator.wanted = true
+	aggregator.answerWanted = true
 	return d.now-d.arrived[0].arrivedAt < wait
 }
 
 // probe asks workers for their load, about once a report period, within a number for each request.
 func (d *Dispatcher) checkHealth() {
-	if n := len(d.executors); !d.settings.MayProbe || d.settings.Telemetry != ReportProbes || n == 0 || n > lookAll {
+	if n := len(d.executors); !d.settings.MayProbe || d.settings.Telemetry != ReportProbes || n == 0 || n > fullScanLimit {
 		return // of a large fleet probeFor asks for each job
 	}
 	rate := d.allArrivals.perSecond
 	if quiet := d.now - d.allArrivals.last; d.allArrivals.last > 0 && quiet > 1000 {
 		rate = min(rate, 1000/quiet)
 	}
-	span := max(d.reportInterval*0.8, 1000*float64(len(d.executors))/(probesPerJob*max(rate, 0.5)))
+	span := max(d.reportInterval*0.8, 1000*float64(len(d.executors))/(maxChecksPerRequest*max(rate, 0.5)))
 	for _, executor := range d.executors {
 		if executor.condition != Ready || executor.checkPending || d.now-executor.checkedAt < span*executor.checkIntervalFactor {
 			continue
@@ -1223,7 +1223,7 @@
 // probeFor asks, in a large fleet, some workers for each job that comes, which waits for their answers: by
 // turns each would be old when a job comes. Half are those used last, half are drawn.
 func (d *Dispatcher) checkHealthFor(job *job) {
-	if !d.settings.MayProbe || d.settings.Telemetry != ReportProbes || len(d.executors) <= lookAll {
+	if !d.settings.MayProbe || d.settings.Telemetry != ReportProbes || len(d.executors) <= fullScanLimit {
 		return
 	}
 	n := 0
@@ -1233,12 +1233,12 @@
 			n++
 		}
 	}
-	for i := 0; i < len(d.recentServers) && n < probesPerJob/2; i++ {
+	for i := 0; i < len(d.recentServers) && n < maxChecksPerRequest/2; i++ {
 		if executor := d.recentServers[i]; executor != nil && d.hasOpenConnection(executor) {
 			try(executor)
 		}
 	}
-	for i := 0; i < 2*probesPerJob && n < probesPerJob; i++ {
+	for i := 0; i < 2*maxChecksPerRequest && n < maxChecksPerRequest; i++ {
 		try(d.executors[int(d.random()*float64(len(d.executors)))])
 	}
 	job.holdUntil = d.now + d.tickInterval()
--- a/brain/fresh_test.go
+++ b/brain/fresh_test.go
@@ -169,7 +169,7 @@
 	if longest >= 4000 {
 		t.Errorf("nothing was sent for %.0f ms", longest)
 	}
-	if least := starvedRuns * r.d.meanSlotTime; float64(sends) > 20000/least+3*r.d.fleetShare()*200*softStart+2 {
+	if least := starvationThreshold * r.d.meanSlotTime; float64(sends) > 20000/least+3*r.d.fleetShare()*200*initialSoftLimit+2 {
 		t.Errorf("%d jobs sent that hang, one more each %.0f ms is meant", sends, least)
 	}
 }
--- a/brain/hub_test.go
+++ b/brain/hub_test.go
@@ -111,7 +111,7 @@
 	if slots > 0 {
 		c.know(slots)
 	}
-	c.run(listenRuns*c.nodes[0].meanRun + 1000)
+	c.run(aggregatorListenRuns*c.nodes[0].meanRun + 1000)
 	return c
 }
 
@@ -132,10 +132,10 @@
 		if c.down[i] {
 			continue
 		}
-		if at >= 0 && d.aggregator.now != at {
+		if at >= 0 && d.aggregator.current != at {
 			return -1
 		}
-		at = d.aggregator.now
+		at = d.aggregator.current
 	}
 	return at
 }
@@ -194,7 +194,7 @@
 		}
 		c.run(wait + 50)
 	}
-	if now := c.nodes[node].aggregator.now; now == first {
+	if now := c.nodes[node].aggregator.current; now == first {
 		t.Error("a hub that is gone is still asked")
 	}
 	from := c.now
@@ -203,10 +203,10 @@
 		t.Errorf("a job took %.0f ms although the next hub answers", c.now-from)
 	}
 	c.start(first, rows)
-	c.run(1.5 * hubAway * wait)
+	c.run(1.5 * aggregatorAwayFactor * wait)
 	c.send(node, 1000)
 	c.run(100)
-	if now := c.nodes[node].aggregator.now; now != first {
+	if now := c.nodes[node].aggregator.current; now != first {
 		t.Errorf("node %d is the hub, want %d, which is back", now, first)
 	}
 }
@@ -223,7 +223,7 @@
 	c.start(h, rows)
 	c.step(nil)
 	c.know(2)
-	c.run(listenRuns*c.nodes[0].meanRun + 200)
+	c.run(aggregatorListenRuns*c.nodes[0].meanRun + 200)
 	c.send(node, 300)
 	c.run(50) // before any reminder
 	held := 0.0
@@ -249,7 +249,7 @@
 		c.step(map[int]Event{node: {Kind: EvPeer, From: uint32(60 * rng.Intn(2) * rng.Intn(2)), Data: data}})
 	}
 	for i, d := range c.nodes {
-		for _, all := range []map[uint16]float64{d.aggregator.theirs, d.aggregator.sums} {
+		for _, all := range []map[uint16]float64{d.aggregator.peerSlots, d.aggregator.slotTotals} {
 			for tag, n := range all {
 				if n < 0 {
 					t.Fatalf("node %d holds %v slots out under tag %d", i, n, tag)
@@ -257,7 +257,7 @@
 			}
 		}
 		for k := range d.peers {
-			if n := len(d.peers[k].loads); n > mostPeerOut {
+			if n := len(d.peers[k].loads); n > maxPeerEntries {
 				t.Fatalf("node %d keeps %d entries of node %d", i, n, k)
 			}
 		}
@@ -276,7 +276,7 @@
 	rows[30].Born = 100000
 	c := listening(t, 60, 4, rows...)
 	for i, d := range c.nodes {
-		if i == d.aggregator.now {
+		if i == d.aggregator.current {
 			continue
 		}
 		executor := d.executors[30]
@@ -357,7 +357,7 @@
 		}
 		if i == 10 {
 			c.step(map[int]Event{i: outcome(c.next, 0, w, ConnectFailed)})
-			dead, lapses = w, c.now+connAway*c.s.ConnectTimeout
+			dead, lapses = w, c.now+connectionQuarantineFactor*c.s.ConnectTimeout
 		} else if w == dead && c.now < lapses {
 			t.Errorf("node %d sends to worker %d, which took no connection of another node", i, w)
 		}
@@ -367,9 +367,9 @@
 	if !d.isClassAway(d.executorsByID[bad], 0) || d.isClassAway(d.executorsByID[bad], 1) {
 		t.Error("the class that failed is to be kept away, and only that one")
 	}
-	c.run(2 * classAway * c.s.ConnectTimeout)
+	c.run(2 * classQuarantineFactor * c.s.ConnectTimeout)
 	c.send(29, 300)
-	if d.isClassAway(d.executorsByID[bad], 0) || d.isQuarantined(d.executorsByID[dead], noConns) {
+	if d.isClassAway(d.executorsByID[bad], 0) || d.isQuarantined(d.executorsByID[dead], connectionQuarantine) {
 		t.Error("a mark that nobody found again still holds")
 	}
 }
@@ -381,8 +381,8 @@
 	at := map[uint32]int{}
 	for i := range c.nodes {
 		if w := c.send(i, 200); w != 0 {
-			if at[w]++; at[w] > softStart {
-				t.Errorf("%d jobs at worker %d, of which nobody knows that it has more than %d slots", at[w], w, softStart)
+			if at[w]++; at[w] > initialSoftLimit {
+				t.Errorf("%d jobs at worker %d, of which nobody knows that it has more than %d slots", at[w], w, initialSoftLimit)
 			}
 		}
 		c.run(50)
@@ -465,11 +465,11 @@
 			i++
 		}
 		d := c.nodes[i]
-		d.aggregator.answered, d.nextEstimate = d.now, 0
+		d.aggregator.answeredAt, d.nextEstimate = d.now, 0
 		for k, executor := range d.executors {
 			executor.slots = 4
-			if d.aggregator.theirs[executor.tag] = math.Floor(x.theirs); float64(k)/40 < x.theirs-math.Floor(x.theirs) {
-				d.aggregator.theirs[executor.tag]++
+			if d.aggregator.peerSlots[executor.tag] = math.Floor(x.theirs); float64(k)/40 < x.theirs-math.Floor(x.theirs) {
+				d.aggregator.peerSlots[executor.tag]++
 			}
 		}
 		if d.estimateCapacity(); d.capacity < x.least || d.capacity > x.most {
@@ -498,7 +498,7 @@
 	for i := range 900 { // what is out
 		n, w := i%300, rows[i%200]
 		if n != d.settings.Me {
-			out = d.Step(now, []Event{{Kind: EvPeer, From: uint32(n), Data: []byte{hubChange, byte(d.tagOf(w.Worker) >> 8), byte(d.tagOf(w.Worker)) | 3}}}, out[:0])
+			out = d.Step(now, []Event{{Kind: EvPeer, From: uint32(n), Data: []byte{messageUpdate, byte(d.tagOf(w.Worker) >> 8), byte(d.tagOf(w.Worker)) | 3}}}, out[:0])
 		}
 	}
 	now += 10 * d.meanRun
@@ -511,9 +511,9 @@
 		entry := func(kind byte, n uint16) Event {
 			return Event{Kind: EvPeer, From: from, Data: []byte{kind, byte(tag >> 8), byte(tag) | byte(n)}}
 		}
-		out = d.Step(now, []Event{entry(hubAsk, 2)}, out[:0])
-		out = d.Step(now+0.5, []Event{entry(hubChange, 3)}, out[:0])
-		out = d.Step(now+1, []Event{entry(hubChange, 2)}, out[:0])
+		out = d.Step(now, []Event{entry(messageQuery, 2)}, out[:0])
+		out = d.Step(now+0.5, []Event{entry(messageUpdate, 3)}, out[:0])
+		out = d.Step(now+1, []Event{entry(messageUpdate, 2)}, out[:0])
 	}
 }
 
--- a/brain/late_test.go
+++ b/brain/late_test.go
@@ -147,7 +147,7 @@
 		}
 		most = max(most, r.d.reportAge)
 	}
-	if most > 10*ageShare*r.d.reportInterval || math.IsNaN(most) {
+	if most > 10*defaultReportAge*r.d.reportInterval || math.IsNaN(most) {
 		t.Errorf("reports are taken to be up to %.0f ms old, with a period of %.0f", most, r.d.reportInterval)
 	}
 }
--- a/brain/learn.go
+++ b/brain/learn.go
@@ -40,11 +40,11 @@
 	if sample == executor.sampleHash && (executor.ownSlots > 0 || d.now-executor.reportedAt < d.reportInterval) {
 		return // while nothing of ours is there, an idle worker may well report the same again
 	}
-	if service > 0 && d.slowStartShare(executor) == 1 && executor.time*d.meanSpeed() < speedShrink*d.classes[0].work {
+	if service > 0 && d.slowStartShare(executor) == 1 && executor.time*d.meanSpeed() < kindSpeedPrior*d.classes[0].work {
 		// Told without the wait: of a worker that always queues, and of one seldom used, our own runs tell little.
 		d.addServiceTime(executor, d.classes[0].work, service)
 	}
-	slots := max(softStart, math.Round(executor.slots), math.Round(d.kinds[executor.kind].slots))
+	slots := max(initialSoftLimit, math.Round(executor.slots), math.Round(d.kinds[executor.kind].slots))
 	width, told := d.classes[0].slots, free
 	if math.IsNaN(free) {
 		switch {
@@ -132,37 +132,39 @@
 	if d.settings.Balancers < 2 || executor.slots == 0 {
 		return executor.freeSlots
 	}
-	x := relax * (d.now - executor.reportedAt + d.reportAge) / d.meanRun
+	x := reportDecayRate * (d.now - executor.reportedAt + d.reportAge) / d.meanRun
 	keep := 1 / (1 + x + x*x/2)
 	foreign, usual := executor.slots-executor.ownSlots-executor.freeSlots, d.peerOccupancyAt(executor)*executor.slots
-	return executor.slots - executor.ownSlots - usual - (foreign-usual)*keep + relaxHope*(1-keep)
+	return executor.slots - executor.ownSlots - usual - (foreign-usual)*keep + hopedSlots*(1-keep)
 }
 
 // usual is the part of a worker's slots that others hold, as reports of its kind in its zone tell, drawn to
 // the fleet's while they are few. It can be over 1 where jobs are queued.
 func (d *Dispatcher) peerOccupancyAt(executor *executor) float64 {
-	if len(d.executors) <= lookAll {
+	if len(d.executors) <= fullScanLimit {
 		return d.meanPeerOccupancy // too few of a kind in a zone for a mean of their own
 	}
 	group := executor.group
 	keep := max(0, 1-(d.now-group.updatedAt)/d.occupancyWindow())
-	return (group.occupancySum*keep + usualShrink*d.meanPeerOccupancy) / (group.samples*keep + usualShrink)
+	return (group.occupancySum*keep + occupancyPrior*d.meanPeerOccupancy) / (group.samples*keep + occupancyPrior)
 }
 
-func (d *Dispatcher) occupancyWindow() float64 { return usualPeriods * d.reportInterval }
+func (d *Dispatcher) occupancyWindow() float64 { return occupancyIntervals * d.reportInterval }
 
 // slotsOf is how many slots a worker has, as reports showed, 0 if none did. Where the hub tells what others have out it is
 // then as many as a first trial takes: else each of many nodes tries every worker of a kind that it has not met.
 func (d *Dispatcher) knownSlots(executor *executor) float64 {
 	n := max(executor.slots, d.kinds[executor.kind].slots)
 	if n == 0 && d.gossipMode == gossipAggregator {
-		return softStart
+		return initialSoftLimit
 	}
 	return n
 }
 
 // startLag is how long a start note takes from a worker with room: learned, least lags seen.
-func (d *Dispatcher) startNoteTimeout() float64 { return 2*d.minStartLag + startGrace*d.settings.Step }
+func (d *Dispatcher) startNoteTimeout() float64 {
+	return 2*d.minStartLag + startNoteGraceSteps*d.settings.Step
+}
 
 // arrivals is how often something comes, as learned from the times between.
 type arrivals struct{ perSecond, last float64 }
@@ -187,7 +189,7 @@
 // sends it again: in a storm of repeats the parts of all nodes summed to 2.7. Small fleets count each try: there a node
 // sees most workers itself, and its part bounds little.
 func (d *Dispatcher) quotaRate() float64 {
-	if len(d.executors) > lookAll {
+	if len(d.executors) > fullScanLimit {
 		return d.firstArrivals.perSecond
 	}
 	return d.allArrivals.perSecond
@@ -218,9 +220,9 @@
 // clocked takes in that a worker did some work in some time.
 func (d *Dispatcher) addServiceTime(executor *executor, work, span float64) {
 	kind := &d.kinds[executor.kind]
-	executor.work, executor.time = executor.work*speedKeep+work, executor.time*speedKeep+span
-	kind.work, kind.time = kind.work*speedKeep+work, kind.time*speedKeep+span
-	d.allKinds.work, d.allKinds.time = d.allKinds.work*speedKeep+work, d.allKinds.time*speedKeep+span
+	executor.work, executor.time = executor.work*serviceTimeMemory+work, executor.time*serviceTimeMemory+span
+	kind.work, kind.time = kind.work*serviceTimeMemory+work, kind.time*serviceTimeMemory+span
+	d.allKinds.work, d.allKinds.time = d.allKinds.work*serviceTimeMemory+work, d.allKinds.time*serviceTimeMemory+span
 }
 
 func (d *Dispatcher) meanSpeed() float64 {
@@ -236,7 +238,7 @@
 // speed is a worker's own, drawn to its kind's while little is known, and less while it is cold: it then has a part
 // of its capacity, which few jobs do not use up.
 func (d *Dispatcher) executorSpeed(executor *executor) float64 {
-	mean := speedShrink * d.classes[0].work
+	mean := kindSpeedPrior * d.classes[0].work
 	speed, cold := (executor.work+mean*d.kindSpeed(executor.kind))/(executor.time+mean), d.slowStartShare(executor)
 	if cold < 1 && d.peerLoadsKnown() {
 		cold = min(1, cold*max(1, executor.slots, d.kinds[executor.kind].slots)/(executor.ownSlots+d.peerSlotsAt(executor)+1))
@@ -308,9 +310,9 @@
 	if o == Full && f.consecutive == 1 {
 		return
 	}
-	base := classAway * max(d.settings.ConnectTimeout, d.settings.Step)
-	f.awayUntil = d.now + base*float64(int(1)<<min(f.consecutive-1, ejectMost))*(0.75+0.5*d.random())
-	d.reportQuarantine(executor, firstMark+class)
+	base := classQuarantineFactor * max(d.settings.ConnectTimeout, d.settings.Step)
+	f.awayUntil = d.now + base*float64(int(1)<<min(f.consecutive-1, maxBackoffDoublings))*(0.75+0.5*d.random())
+	d.reportQuarantine(executor, firstClassQuarantine+class)
 	d.logf("class %d fails at worker %d, kept away until %.0f", class, executor.id, f.awayUntil)
 }
 
@@ -319,7 +321,7 @@
 
 // now is a tally as faded by now.
 func (t *errorTally) faded(d *Dispatcher) (n, errs float64) {
-	f := math.Exp((t.updatedAt - d.now) / (flakyFor * max(d.settings.ConnectTimeout, d.settings.Step)))
+	f := math.Exp((t.updatedAt - d.now) / (errorWindowFactor * max(d.settings.ConnectTimeout, d.settings.Step)))
 	return t.total * f, t.errors * f
 }
 
@@ -348,7 +350,7 @@
 		return 0
 	}
 	own, ownErrs := executor.classes[job.class].errors.faded(d)
-	return (ownErrs + flakyPrior*errs/(all+flakyPrior)) / (own + flakyPrior)
+	return (ownErrs + errorPrior*errs/(all+errorPrior)) / (own + errorPrior)
 }
 
 // tellsRoom says whether a report tells of free slots for a job, and of nothing that queues for them.
@@ -373,7 +375,7 @@
 
 // failing says whether a class failed at a worker lately, here or as other nodes found.
 func (d *Dispatcher) isClassAway(executor *executor, class int) bool {
-	return d.now < executor.classes[class].awayUntil || d.isQuarantined(executor, firstMark+class)
+	return d.now < executor.classes[class].awayUntil || d.isQuarantined(executor, firstClassQuarantine+class)
 }
 
 // sumFails finds the classes that fail at so many workers that it does not help to keep them away.
@@ -385,7 +387,7 @@
 				n++
 			}
 		}
-		d.classes[c].failsEverywhere = float64(n) > panicShare*float64(len(d.executors))
+		d.classes[c].failsEverywhere = float64(n) > panicThreshold*float64(len(d.executors))
 	}
 }
 
@@ -405,11 +407,11 @@
 // was taken; so of some ages, the one at which held less our own scatters least is the age.
 func (d *Dispatcher) learnReportAge(executor *executor, held float64, inSlots bool) {
 	d.ageSamples++
-	pull := max(1-ageKeep, 1/d.ageSamples)
+	pull := max(1-reportAgeMemory, 1/d.ageSamples)
 	least, best := math.Inf(1), 0
 	plain := d.reportedLoad.add(held, pull) // what no jobs of ours explain
 	for k := range d.ageCandidates {
-		at, ours := d.now-d.reportInterval*ageShare*math.Pow(ageStep, float64(k-1)), 0.0
+		at, ours := d.now-d.reportInterval*defaultReportAge*math.Pow(reportAgeStep, float64(k-1)), 0.0
 		add := func(slots float64) {
 			if inSlots {
 				ours += slots
@@ -437,14 +439,14 @@
 			least, best = scatter, k
 		}
 	}
-	sure := ageSure
+	sure := reportAgeConfidence
 	if d.bestAge != 1 {
 		sure = 1 // once believed, it holds until the usual one fits as well
 	}
-	if least > sure*d.ageCandidates[1].scatter || least > plain || d.ageSamples < 1/(1-ageKeep) {
+	if least > sure*d.ageCandidates[1].scatter || least > plain || d.ageSamples < 1/(1-reportAgeMemory) {
 		best = 1
 	}
-	age := ageShare * d.reportInterval * math.Pow(ageStep, float64(best-1))
+	age := defaultReportAge * d.reportInterval * math.Pow(reportAgeStep, float64(best-1))
 	if best != d.bestAge {
 		d.logf("reports are %.0f ms old when they come, was %.0f", age, d.reportAge)
 		d.bestAge = best
--- a/brain/list.go
+++ b/brain/list.go
@@ -9,7 +9,7 @@
 // This file keeps the workers as the list has them. Nothing is decided here.
 
 // rebuildFrom is how many rows of one change are put in their places one by one; for more, all is sorted anew.
-const rebuildFrom = 16
+const rebuildThreshold = 16
 
 // listed is what the list told of a worker, and what homes of keys are drawn by, kept apart from all else: lists
 // with live weights come often, and to touch each worker for each costs more CPU than all jobs do.
@@ -79,7 +79,7 @@
 	}
 	d.changedScratch = changed
 	switch {
-	case event.Form != ListDelta, len(changed) >= rebuildFrom, len(changed) > 0 && d.settings.LiveWeights:
+	case event.Form != ListDelta, len(changed) >= rebuildThreshold, len(changed) > 0 && d.settings.LiveWeights:
 		d.rebuildList()
 	case len(changed) > 0:
 		for _, executor := range changed {
@@ -101,7 +101,7 @@
 }
 
 func (d *Dispatcher) newExecutor(id uint32) *executor {
-	added := &executor{id: id, softLimit: softStart, lastHeard: d.now, classes: make([]classFailures, len(d.classes))}
+	added := &executor{id: id, softLimit: initialSoftLimit, lastHeard: d.now, classes: make([]classFailures, len(d.classes))}
 	d.executorsByID[id] = added
 	d.recallStart(added)
 	return added
@@ -109,14 +109,14 @@
 
 // forgetProcess drops what was learned of the former process of an executor that has started anew.
 func (d *Dispatcher) forgetProcess(executor *executor) {
-	executor.freeSlots, executor.reportedAt, executor.softLimit = 0, 0, softStart
+	executor.freeSlots, executor.reportedAt, executor.softLimit = 0, 0, initialSoftLimit
 	executor.errorAverage, executor.ejections, executor.ejectedUntil = 0, 0, 0
 	executor.dialFailures, executor.dialBackoffUntil = 0, 0
 	executor.ackOverdueAt, executor.ackOverdueUntil, executor.hiddenSlots = 0, 0, 0
 	clear(executor.classes)
 	executor.errors = errorTally{}
-	for kind := uint16(firstMark); kind <= noConns; kind++ {
-		delete(d.aggregator.marks, executor.tag|kind)
+	for kind := uint16(firstClassQuarantine); kind <= connectionQuarantine; kind++ {
+		delete(d.aggregator.quarantines, executor.tag|kind)
 	}
 	executor.onProbation, executor.unresponsive = false, false
 	executor.idleSince, executor.affinityKeys, executor.lastHeard = executor.idleSince[:0], [12]uint64{}, d.now
--- a/brain/peers.go
+++ b/brain/peers.go
@@ -23,18 +23,18 @@
 
 // Figures of what is told.
 const (
-	tellPeriods = 0.3  // report periods between messages to other nodes
-	tellBytes   = 192  // bytes of messages for each of our requests, at most: knowledge against price
-	tellAgain   = 3    // mean runs after which a hub is reminded of what is still out
-	listenRuns  = 1    // mean runs after a hub's start until it was told most of what is out
-	hubMost     = 1000 // requests a second of all nodes that one may serve as the hub: 500 take 0.06 s of CPU in a second, of 0.23
-	hubWaits    = 0.4  // of the connect time-out, how long the hub's answer is waited for, and of that time:
-	hubOld      = 10   // how old an answer is that tells nothing any more
-	hubAway     = 15   // how long a hub is not asked, at first: killed nodes are back soon, and all should meet again
-	hubMisses   = 2    // after so many answers that did not come, running
-	connAway    = 4    // connect time-outs for which a worker that took no connection is not tried by others
-	markMost    = 3    // doublings of that, and of the time for a class that fails, at most
-	hubDeaf     = 4    // how long one that has just begun is not asked
+	gossipIntervals            = 0.3  // report periods between messages to other nodes
+	maxGossipBytesPerRequest   = 192  // bytes of messages for each of our requests, at most: knowledge against price
+	reminderRuns               = 3    // mean runs after which a hub is reminded of what is still out
+	aggregatorListenRuns       = 1    // mean runs after a hub's start until it was told most of what is out
+	maxAggregatorRate          = 1000 // requests a second of all nodes that one may serve as the hub: 500 take 0.06 s of CPU in a second, of 0.23
+	answerTimeoutFactor        = 0.4  // of the connect time-out, how long the hub's answer is waited for, and of that time:
+	maxAnswerAge               = 10   // how old an answer is that tells nothing any more
+	aggregatorAwayFactor       = 15   // how long a hub is not asked, at first: killed nodes are back soon, and all should meet again
+	maxMissedAnswers           = 2    // after so many answers that did not come, running
+	connectionQuarantineFactor = 4    // connect time-outs for which a worker that took no connection is not tried by others
+	maxQuarantineDoublings     = 3    // doublings of that, and of the time for a class that fails, at most
+	notReadyFactor             = 4    // how long one that has just begun is not asked
 )
 
 // telling says how a node tells the others what it has out; all judge alike, by the settings.
@@ -49,22 +49,22 @@
 // Kinds of messages to and from a hub, in the upper bits of the head. The lower ones of an answer tell one life of the
 // hub from another; 0 is the answer of one that does not know yet.
 const (
-	hubChange = iota << 6 // what has changed
-	hubAsk                // likewise, and wants an answer
-	hubWhole              // all that is out, what is not in it lapses; and wants an answer
-	hubAnswer
-	hubKinds = 3 << 6
+	messageUpdate   = iota << 6 // what has changed
+	messageQuery                // likewise, and wants an answer
+	messageSnapshot             // all that is out, what is not in it lapses; and wants an answer
+	messageAnswer
+	messageKindMask = 3 << 6
 )
 
 const (
-	lowBits     = 15  // of an entry, beside its worker's tag: slots out, or from firstMark on a mark
-	mostTold    = 11  // slots at a worker that are told, at most
-	firstMark   = 12  // marks a worker at which class 0 fails; one more for each class
-	lastMark    = 14  // for the last class that can be told
-	noConns     = 15  // marks one that takes no connections
-	mostEntries = 127 // workers in a message to or from a hub
-	mostPeerOut = 256 // workers that are kept of one other node, and marks, whatever is sent
-	mostFound   = 16  // marks that wait for the next message to the hub
+	slotBits             = 15  // of an entry, beside its worker's tag: slots out, or from firstMark on a mark
+	maxEncodedSlots      = 11  // slots at a worker that are told, at most
+	firstClassQuarantine = 12  // marks a worker at which class 0 fails; one more for each class
+	lastClassQuarantine  = 14  // for the last class that can be told
+	connectionQuarantine = 15  // marks one that takes no connections
+	maxEntries           = 127 // workers in a message to or from a hub
+	maxPeerEntries       = 256 // workers that are kept of one other node, and marks, whatever is sent
+	maxNewQuarantines    = 16  // marks that wait for the next message to the hub
 )
 
 // peer is what another node told to have out.
@@ -84,24 +84,24 @@
 
 // hub is what a node that tells a hub knows of it.
 type aggregatorState struct {
-	order    []int                  // of all nodes, the first hub first
-	now      int                    // who it is, -1 before the first
-	life     int                    // which of its lives answered, -1 for none
-	whole    bool                   // it is to be told all
-	wanted   bool                   // its answer is
-	asked    float64                // since when one is out, 0 for none
-	misses   int                    // answers that did not come, running
-	answered float64                // when the last came
-	deaf     float64                // until when it is not asked, for it does not know yet
-	theirs   map[uint16]float64     // what the other nodes have out, by tag, as the hub answered
-	sums     map[uint16]float64     // likewise as they told us, where they take us for the hub
-	told     []*executor            // those of which the hub holds that we have slots there
-	scratch  []uint32               // of an answer
-	since    float64                // the start of this life
-	nonce    uint8                  // of this life
-	found    []uint16               // marks that the hub is still to be told
-	away     map[uint16]bool        // marks that hold, as the hub answered
-	marks    map[uint16]*quarantine // likewise as we hold them as the hub
+	order          []int                  // of all nodes, the first hub first
+	current        int                    // who it is, -1 before the first
+	incarnation    int                    // which of its lives answered, -1 for none
+	snapshotDue    bool                   // it is to be told all
+	answerWanted   bool                   // its answer is
+	querySentAt    float64                // since when one is out, 0 for none
+	missedAnswers  int                    // answers that did not come, running
+	answeredAt     float64                // when the last came
+	notReadyUntil  float64                // until when it is not asked, for it does not know yet
+	peerSlots      map[uint16]float64     // what the other nodes have out, by tag, as the hub answered
+	slotTotals     map[uint16]float64     // likewise as they told us, where they take us for the hub
+	notified       []*executor            // those of which the hub holds that we have slots there
+	scratch        []uint32               // of an answer
+	startedAt      float64                // the start of this life
+	incarnationTag uint8                  // of this life
+	newQuarantines []uint16               // marks that the hub is still to be told
+	quarantined    map[uint16]bool        // marks that hold, as the hub answered
+	quarantines    map[uint16]*quarantine // likewise as we hold them as the hub
 }
 
 // mark keeps a worker, or a class there, away from all nodes for a while, longer each time it is found again. 80 nodes
@@ -119,9 +119,9 @@
 	usual := 3 * (each*d.meanSlotTime/1000 + 1) * (nodes - 1)
 	switch {
 	case !d.settings.MayTell || nodes < 2:
-	case 1000*usual/(tellBytes*each) <= d.reportAge:
+	case 1000*usual/(maxGossipBytesPerRequest*each) <= d.reportAge:
 		return gossipBroadcast
-	case each*nodes <= hubMost:
+	case each*nodes <= maxAggregatorRate:
 		return gossipAggregator
 	}
 	return gossipNone
@@ -141,14 +141,14 @@
 	}
 	d.actions = append(d.actions, Action{Kind: ActTell, To: AllPeers, Data: data})
 	bytes := float64(len(data) * (d.settings.Balancers - 1))
-	d.nextGossip = d.now + max(tellPeriods*d.reportInterval, 1000*bytes/(tellBytes*max(d.allArrivals.perSecond, 1)))*(0.8+0.4*d.random())
+	d.nextGossip = d.now + max(gossipIntervals*d.reportInterval, 1000*bytes/(maxGossipBytesPerRequest*max(d.allArrivals.perSecond, 1)))*(0.8+0.4*d.random())
 }
 
 // startHub orders the hubs, alike at all nodes.
 func (d *Dispatcher) startAggregator() {
-	d.aggregator = aggregatorState{now: -1, life: -1, theirs: map[uint16]float64{}, sums: map[uint16]float64{},
-		away: map[uint16]bool{}, marks: map[uint16]*quarantine{}, order: make([]int, d.settings.Balancers),
-		since: math.Inf(-1), nonce: 1 + uint8(mix64(d.randomState)%(hubKinds^0xff))}
+	d.aggregator = aggregatorState{current: -1, incarnation: -1, peerSlots: map[uint16]float64{}, slotTotals: map[uint16]float64{},
+		quarantined: map[uint16]bool{}, quarantines: map[uint16]*quarantine{}, order: make([]int, d.settings.Balancers),
+		startedAt: math.Inf(-1), incarnationTag: 1 + uint8(mix64(d.randomState)%(messageKindMask^0xff))}
 	for i := range d.aggregator.order {
 		d.aggregator.order[i] = i
 	}
@@ -159,7 +159,7 @@
 func (d *Dispatcher) tagOf(id uint32) uint16 {
 	tag := uint16(mix64(uint64(id)))
 	if d.gossipMode == gossipAggregator {
-		tag &^= lowBits
+		tag &^= slotBits
 	}
 	return tag
 }
@@ -177,58 +177,58 @@
 // tellHub tells the hub what has changed, and asks it if its answer is wanted.
 func (d *Dispatcher) notifyAggregator() {
 	aggregator := &d.aggregator
-	if now := d.pickAggregator(); now != aggregator.now {
-		aggregator.now, aggregator.life, aggregator.whole, aggregator.misses, aggregator.asked, aggregator.deaf = now, -1, true, 0, 0, 0
+	if now := d.pickAggregator(); now != aggregator.current {
+		aggregator.current, aggregator.incarnation, aggregator.snapshotDue, aggregator.missedAnswers, aggregator.querySentAt, aggregator.notReadyUntil = now, -1, true, 0, 0, 0
 	}
-	if aggregator.now == d.settings.Me {
+	if aggregator.current == d.settings.Me {
 		return
 	}
-	if aggregator.asked > 0 && d.now-aggregator.asked > d.answerTimeout() {
-		if aggregator.asked, aggregator.misses = 0, aggregator.misses+1; aggregator.misses >= hubMisses {
-			peer := &d.peers[aggregator.now]
-			peer.suspectedUntil = d.now + hubAway*d.answerTimeout()*float64(int(1)<<min(peer.timeouts, ejectMost))*(0.75+0.5*d.random())
+	if aggregator.querySentAt > 0 && d.now-aggregator.querySentAt > d.answerTimeout() {
+		if aggregator.querySentAt, aggregator.missedAnswers = 0, aggregator.missedAnswers+1; aggregator.missedAnswers >= maxMissedAnswers {
+			peer := &d.peers[aggregator.current]
+			peer.suspectedUntil = d.now + aggregatorAwayFactor*d.answerTimeout()*float64(int(1)<<min(peer.timeouts, maxBackoffDoublings))*(0.75+0.5*d.random())
 			peer.timeouts++
-			d.logf("node %d does not answer as the hub", aggregator.now)
+			d.logf("node %d does not answer as the hub", aggregator.current)
 			return
 		}
 	}
-	mayAsk, kind := aggregator.asked == 0 && d.now >= aggregator.deaf, byte(hubChange)
-	if aggregator.wanted && mayAsk {
-		kind = hubAsk
+	mayAsk, kind := aggregator.querySentAt == 0 && d.now >= aggregator.notReadyUntil, byte(messageUpdate)
+	if aggregator.answerWanted && mayAsk {
+		kind = messageQuery
 	}
-	if aggregator.whole {
-		for _, executor := range aggregator.told {
+	if aggregator.snapshotDue {
+		for _, executor := range aggregator.notified {
 			executor.notifiedSlots = 0
 		}
-		aggregator.told = aggregator.told[:0]
+		aggregator.notified = aggregator.notified[:0]
 	}
 	data := []byte{kind}
-	for _, x := range aggregator.found {
+	for _, x := range aggregator.newQuarantines {
 		data = binary.BigEndian.AppendUint16(data, x)
 	}
-	aggregator.found = aggregator.found[:0]
+	aggregator.newQuarantines = aggregator.newQuarantines[:0]
 	data = d.appendChanges(data)
-	if len(data) == 1 && kind == hubChange {
+	if len(data) == 1 && kind == messageUpdate {
 		return
 	}
-	if aggregator.whole && mayAsk {
-		kind = hubWhole
+	if aggregator.snapshotDue && mayAsk {
+		kind = messageSnapshot
 	}
-	if data[0] = kind; kind != hubChange {
-		aggregator.asked, aggregator.wanted = d.now, false
+	if data[0] = kind; kind != messageUpdate {
+		aggregator.querySentAt, aggregator.answerWanted = d.now, false
 	}
-	d.actions = append(d.actions, Action{Kind: ActTell, To: uint16(aggregator.now), Data: data})
+	d.actions = append(d.actions, Action{Kind: ActTell, To: uint16(aggregator.current), Data: data})
 }
 
 // changes appends what has changed since the hub was told, and what it is to be reminded of.
 func (d *Dispatcher) appendChanges(data []byte) []byte {
 	tell := func(executor *executor) {
-		n := min(math.Round(executor.ownSlots+d.hiddenSlots(executor)), mostTold)
-		if n == executor.notifiedSlots && (n == 0 || d.now-executor.notifiedAt < d.reminderInterval()) || len(data) > 2*mostEntries-1 {
+		n := min(math.Round(executor.ownSlots+d.hiddenSlots(executor)), maxEncodedSlots)
+		if n == executor.notifiedSlots && (n == 0 || d.now-executor.notifiedAt < d.reminderInterval()) || len(data) > 2*maxEntries-1 {
 			return
 		}
 		if executor.notifiedSlots == 0 {
-			d.aggregator.told = append(d.aggregator.told, executor)
+			d.aggregator.notified = append(d.aggregator.notified, executor)
 		}
 		data = binary.BigEndian.AppendUint16(data, executor.tag|uint16(n))
 		executor.notifiedSlots, executor.notifiedAt = n, d.now
@@ -236,10 +236,10 @@
 	for _, executor := range d.busyExecutors {
 		tell(executor)
 	}
-	for _, executor := range d.aggregator.told {
+	for _, executor := range d.aggregator.notified {
 		tell(executor)
 	}
-	d.aggregator.told = slices.DeleteFunc(d.aggregator.told, func(executor *executor) bool { return executor.notifiedSlots == 0 })
+	d.aggregator.notified = slices.DeleteFunc(d.aggregator.notified, func(executor *executor) bool { return executor.notifiedSlots == 0 })
 	return data
 }
 
@@ -257,11 +257,11 @@
 }
 
 // reminder is after how long what is still out is told again. What is told lapses after twice that.
-func (d *Dispatcher) reminderInterval() float64 { return max(tellAgain*d.meanRun, d.settings.Step) }
+func (d *Dispatcher) reminderInterval() float64 { return max(reminderRuns*d.meanRun, d.settings.Step) }
 
 // hubWait is how long an answer of the hub is waited for.
 func (d *Dispatcher) answerTimeout() float64 {
-	return max(hubWaits*d.settings.ConnectTimeout, d.settings.Step)
+	return max(answerTimeoutFactor*d.settings.ConnectTimeout, d.settings.Step)
 }
 
 // heardHub takes in a message to or from a hub.
@@ -273,32 +273,32 @@
 	each := func(take func(tag uint16, slots float64), mark func(uint16)) {
 		for i := 1; i+2 <= len(event.Data); i += 2 {
 			x := binary.BigEndian.Uint16(event.Data[i:])
-			if x&lowBits >= firstMark {
+			if x&slotBits >= firstClassQuarantine {
 				mark(x)
 			} else {
-				take(x&^lowBits, float64(x&lowBits))
+				take(x&^slotBits, float64(x&slotBits))
 			}
 		}
 	}
-	if head&hubKinds == hubAnswer {
-		if int(event.From) != aggregator.now || aggregator.asked == 0 {
+	if head&messageKindMask == messageAnswer {
+		if int(event.From) != aggregator.current || aggregator.querySentAt == 0 {
 			return // of one that is not asked any more
 		}
-		life := int(head &^ hubKinds)
-		aggregator.whole = aggregator.life >= 0 && life != aggregator.life // it has begun anew, and knows nothing of us
-		aggregator.life, aggregator.asked, aggregator.misses = life, 0, 0
+		life := int(head &^ messageKindMask)
+		aggregator.snapshotDue = aggregator.incarnation >= 0 && life != aggregator.incarnation // it has begun anew, and knows nothing of us
+		aggregator.incarnation, aggregator.querySentAt, aggregator.missedAnswers = life, 0, 0
 		if d.needsPlacement = true; life == 0 {
-			aggregator.deaf = d.now + hubDeaf*d.answerTimeout()
+			aggregator.notReadyUntil = d.now + notReadyFactor*d.answerTimeout()
 			return
 		}
-		aggregator.answered, peer.timeouts = d.now, 0
-		clear(aggregator.theirs)
-		clear(aggregator.away)
-		each(func(tag uint16, slots float64) { aggregator.theirs[tag] += slots }, func(x uint16) { aggregator.away[x] = true })
+		aggregator.answeredAt, peer.timeouts = d.now, 0
+		clear(aggregator.peerSlots)
+		clear(aggregator.quarantined)
+		each(func(tag uint16, slots float64) { aggregator.peerSlots[tag] += slots }, func(x uint16) { aggregator.quarantined[x] = true })
 		d.nextEstimate = 0
 		return
 	}
-	if head&hubKinds == hubWhole {
+	if head&messageKindMask == messageSnapshot {
 		// What it does not name may have been sent before it was killed, and run on: it lapses after a run.
 		for i := range peer.loads {
 			peer.loads[i].heardAt = min(peer.loads[i].heardAt, d.now+d.meanRun-2*d.reminderInterval())
@@ -306,17 +306,19 @@
 	}
 	each(func(tag uint16, slots float64) { d.setPeerLoad(peer, peerLoad{tag, slots, d.now}) }, d.addQuarantine)
 	d.needsPlacement = true
-	if head&hubKinds != hubChange {
+	if head&messageKindMask != messageUpdate {
 		d.actions = append(d.actions, Action{Kind: ActTell, To: uint16(event.From), Data: d.encodeAnswer(peer)})
 	}
 }
 
 // hubKnows says that this node, as a hub, has listened for long enough to know what is out.
-func (d *Dispatcher) aggregatorIsReady() bool { return d.now-d.aggregator.since > listenRuns*d.meanRun }
+func (d *Dispatcher) aggregatorIsReady() bool {
+	return d.now-d.aggregator.startedAt > aggregatorListenRuns*d.meanRun
+}
 
 // markOf gives the entry that marks a worker, if a hub is told and entries have room for that mark.
 func (d *Dispatcher) quarantineOf(executor *executor, kind int) (x uint16, ok bool) {
-	return executor.tag | uint16(kind), d.gossipMode == gossipAggregator && (kind <= lastMark || kind == noConns)
+	return executor.tag | uint16(kind), d.gossipMode == gossipAggregator && (kind <= lastClassQuarantine || kind == connectionQuarantine)
 }
 
 // find notes that a class fails at a worker, or that it takes no connections, for the hub to tell the others.
@@ -324,38 +326,38 @@
 	x, ok := d.quarantineOf(executor, kind)
 	switch {
 	case !ok:
-	case d.aggregator.now == d.settings.Me:
+	case d.aggregator.current == d.settings.Me:
 		d.addQuarantine(x)
-	case len(d.aggregator.found) < mostFound && !slices.Contains(d.aggregator.found, x):
-		d.aggregator.found = append(d.aggregator.found, x)
+	case len(d.aggregator.newQuarantines) < maxNewQuarantines && !slices.Contains(d.aggregator.newQuarantines, x):
+		d.aggregator.newQuarantines = append(d.aggregator.newQuarantines, x)
 	}
 }
 
 // setMark takes in, as the hub, what a node found.
 func (d *Dispatcher) addQuarantine(x uint16) {
-	entry := d.aggregator.marks[x]
+	entry := d.aggregator.quarantines[x]
 	if entry == nil {
-		if len(d.aggregator.marks) >= mostPeerOut {
-			maps.DeleteFunc(d.aggregator.marks, func(_ uint16, entry *quarantine) bool { return d.now >= entry.until })
+		if len(d.aggregator.quarantines) >= maxPeerEntries {
+			maps.DeleteFunc(d.aggregator.quarantines, func(_ uint16, entry *quarantine) bool { return d.now >= entry.until })
 		}
-		if len(d.aggregator.marks) >= mostPeerOut {
+		if len(d.aggregator.quarantines) >= maxPeerEntries {
 			return
 		}
 		entry = &quarantine{}
-		d.aggregator.marks[x] = entry
+		d.aggregator.quarantines[x] = entry
 	}
 	if d.now < entry.until {
 		return // sent before the others were told
 	}
-	span := classAway * d.settings.ConnectTimeout
-	if x&lowBits == noConns {
-		span = connAway * d.settings.ConnectTimeout
+	span := classQuarantineFactor * d.settings.ConnectTimeout
+	if x&slotBits == connectionQuarantine {
+		span = connectionQuarantineFactor * d.settings.ConnectTimeout
 	}
 	if d.now-entry.until > 2*span*float64(int(1)<<entry.consecutive) {
 		entry.consecutive = 0
 	}
 	entry.until = d.now + span*float64(int(1)<<entry.consecutive)
-	entry.consecutive = min(entry.consecutive+1, markMost)
+	entry.consecutive = min(entry.consecutive+1, maxQuarantineDoublings)
 }
 
 // marked says that a node found lately that a class fails at a worker, or that it takes no connections.
@@ -364,11 +366,11 @@
 	if !ok {
 		return false
 	}
-	if d.aggregator.now == d.settings.Me {
-		entry := d.aggregator.marks[x]
+	if d.aggregator.current == d.settings.Me {
+		entry := d.aggregator.quarantines[x]
 		return entry != nil && d.now < entry.until
 	}
-	return d.aggregator.away[x] && d.peerLoadsKnown()
+	return d.aggregator.quarantined[x] && d.peerLoadsKnown()
 }
 
 // setPeer takes in what another node has out at one worker.
@@ -380,18 +382,18 @@
 		was, peer.loads[i] = peer.loads[i].slots, x
 	case i >= 0:
 		was, peer.loads = peer.loads[i].slots, slices.Delete(peer.loads, i, i+1)
-	case x.slots > 0 && len(peer.loads) < mostPeerOut:
+	case x.slots > 0 && len(peer.loads) < maxPeerEntries:
 		peer.loads = append(peer.loads, x)
 	default:
 		return
 	}
-	d.aggregator.sums[x.tag] += x.slots - was
+	d.aggregator.slotTotals[x.tag] += x.slots - was
 }
 
 // answer tells a node what all others have out, those first where it is most.
 func (d *Dispatcher) encodeAnswer(peer *peer) []byte {
 	if !d.aggregatorIsReady() {
-		return []byte{hubAnswer}
+		return []byte{messageAnswer}
 	}
 	// The hub answers for each job of all nodes: what it does here is most of its work.
 	more := map[uint16]float64{}
@@ -406,10 +408,10 @@
 	told := d.aggregator.scratch[:0] // those with most first, then by tag: in upper and lower bits
 	add := func(tag uint16, slots float64) {
 		if n := math.Round(slots); n > 0 {
-			told = append(told, uint32(mostTold-min(n, mostTold))<<16|uint32(tag))
+			told = append(told, uint32(maxEncodedSlots-min(n, maxEncodedSlots))<<16|uint32(tag))
 		}
 	}
-	for tag, n := range d.aggregator.sums {
+	for tag, n := range d.aggregator.slotTotals {
 		add(tag, n+more[tag])
 		delete(more, tag)
 	}
@@ -418,14 +420,14 @@
 	}
 	slices.Sort(told)
 	d.aggregator.scratch = told
-	data := []byte{hubAnswer | d.aggregator.nonce}
-	for _, x := range slices.Sorted(maps.Keys(d.aggregator.marks)) {
-		if d.now < d.aggregator.marks[x].until && len(data) < mostEntries {
+	data := []byte{messageAnswer | d.aggregator.incarnationTag}
+	for _, x := range slices.Sorted(maps.Keys(d.aggregator.quarantines)) {
+		if d.now < d.aggregator.quarantines[x].until && len(data) < maxEntries {
 			data = binary.BigEndian.AppendUint16(data, x)
 		}
 	}
-	for _, x := range told[:min(len(told), max(0, mostEntries-(len(data)-1)/2))] {
-		data = binary.BigEndian.AppendUint16(data, uint16(x)|uint16(mostTold-x>>16))
+	for _, x := range told[:min(len(told), max(0, maxEntries-(len(data)-1)/2))] {
+		data = binary.BigEndian.AppendUint16(data, uint16(x)|uint16(maxEncodedSlots-x>>16))
 	}
 	return data
 }
@@ -467,7 +469,7 @@
 func (d *Dispatcher) sumPeerLoads() {
 	d.freshPeers, d.needsPlacement = 0, true
 	d.nextPeerSum = d.now + d.reportInterval/4
-	clear(d.aggregator.sums)
+	clear(d.aggregator.slotTotals)
 	for _, executor := range d.executors {
 		executor.peerSlots = 0
 	}
@@ -476,11 +478,11 @@
 		if d.gossipMode == gossipAggregator {
 			peer.loads = slices.DeleteFunc(peer.loads, func(x peerLoad) bool { return d.now-x.heardAt > 2*d.reminderInterval() })
 			for _, x := range peer.loads {
-				d.aggregator.sums[x.tag] += x.slots
+				d.aggregator.slotTotals[x.tag] += x.slots
 			}
 			continue
 		}
-		peer.fresh = peer.heardAt > 0 && d.now-peer.heardAt <= freshPeriods*d.reportInterval
+		peer.fresh = peer.heardAt > 0 && d.now-peer.heardAt <= freshReportIntervals*d.reportInterval
 		if peer.fresh {
 			d.freshPeers++
 			d.addPeerLoad(peer, 1)
@@ -493,29 +495,29 @@
 	if d.gossipMode != gossipAggregator {
 		return 2*d.freshPeers >= len(d.peers) && len(d.peers) > 1
 	}
-	if d.aggregator.now == d.settings.Me {
+	if d.aggregator.current == d.settings.Me {
 		return d.aggregatorIsReady()
 	}
-	return d.aggregator.answered > 0 && d.now-d.aggregator.answered <= hubOld*d.answerTimeout()
+	return d.aggregator.answeredAt > 0 && d.now-d.aggregator.answeredAt <= maxAnswerAge*d.answerTimeout()
 }
 
 // safety is the part of a cold worker's budget that is used: more while the hub tells what all have there, for then no
 // more is sent than it can do by then, and what is over is sent by nodes that ask at the same moment alone.
 func (d *Dispatcher) slowStartSafetyFactor() float64 {
 	if d.gossipMode == gossipAggregator && d.peerLoadsKnown() {
-		return coldKnown
+		return slowStartKnownSafety
 	}
-	return coldSafety
+	return slowStartSafety
 }
 
 // foreign is what other nodes have out at a worker, by their last messages; nodes not heard of count as the
 // mean of the others.
 func (d *Dispatcher) peerSlotsAt(executor *executor) float64 {
 	if d.gossipMode == gossipAggregator {
-		if d.aggregator.now == d.settings.Me {
-			return d.aggregator.sums[executor.tag]
+		if d.aggregator.current == d.settings.Me {
+			return d.aggregator.slotTotals[executor.tag]
 		}
-		return d.aggregator.theirs[executor.tag]
+		return d.aggregator.peerSlots[executor.tag]
 	}
 	return executor.peerSlots * float64(len(d.peers)-1) / float64(max(d.freshPeers, 1))
 }
--- a/brain/report_test.go
+++ b/brain/report_test.go
@@ -177,7 +177,7 @@
 	}
 	before := executor.softLimit
 	r.after(3000, outcome(1, 0, 7, Served), outcome(2, 0, 7, Served), outcome(3, 0, 7, Served))
-	if want := softCut * before; math.Abs(executor.softLimit-want) > 1e-9 {
+	if want := softLimitBackoff * before; math.Abs(executor.softLimit-want) > 1e-9 {
 		t.Errorf("takes %v after three late answers to one burst, want %v", executor.softLimit, want)
 	}
 	executor.softLimit = 2
@@ -209,8 +209,8 @@
 	for id := uint32(1); id <= 20; id++ {
 		count(r.step(request(id, 0, uint16(id%3), 1)))
 	}
-	if sent[7] > softStart || sent[8] > softStart || sent[7] == 0 {
-		t.Fatalf("sent %v before any report, want %v at most each", sent, softStart)
+	if sent[7] > initialSoftLimit || sent[8] > initialSoftLimit || sent[7] == 0 {
+		t.Fatalf("sent %v before any report, want %v at most each", sent, initialSoftLimit)
 	}
 	r.d.handleLoadReport(r.d.executorsByID[7], []float32{0})
 	r.d.handleLoadReport(r.d.executorsByID[8], []float32{5})
@@ -218,7 +218,7 @@
 	for id := uint32(21); id <= 40; id++ {
 		count(r.after(1, request(id, 0, uint16(id%3), 1)))
 	}
-	if sent[7] != before || sent[8] <= softStart {
+	if sent[7] != before || sent[8] <= initialSoftLimit {
 		t.Errorf("sent %v, want no more to the worker that old jobs fill and more to the other", sent)
 	}
 }
--- a/brain/scale_test.go
+++ b/brain/scale_test.go
@@ -18,14 +18,14 @@
 // Of a large fleet no more workers are looked at than have a reason and some drawn ones, whatever its size: else
 // a node needs more CPU than it has, and all nodes storm the same roomiest worker (recife later big-1).
 func TestLargeFleetIsNotLookedAtWhole(t *testing.T) {
-	for _, n := range []int{lookAll, 400} {
+	for _, n := range []int{fullScanLimit, 400} {
 		s := base()
 		s.Balancers = 100
 		r := newRig(t, s, fleet(n)...)
 		r.step(request(1, 0, 0, 1))
 		most := n
-		if n > lookAll {
-			most = lookSome + 2*len(r.d.recentReporters)
+		if n > fullScanLimit {
+			most = sampledExecutors + 2*len(r.d.recentReporters)
 		}
 		if got := len(r.d.inspected); got == 0 || got > most {
 			t.Errorf("%d workers looked at of %d, want 1 to %d", got, n, most)
@@ -195,7 +195,7 @@
 	r := newRig(t, s, fleet(100)...)
 	j := request(1, 0, 0, 1)
 	j.Key = 77
-	r.d.keyTotal = keyMemory // the key is a rare one
+	r.d.keyTotal = keyCountWindow // the key is a rare one
 	probe := &job{key: 77, slots: 1, work: 200}
 	r.d.findAffinityCandidates(probe)
 	for _, executor := range probe.candidates {
@@ -235,8 +235,8 @@
 		}
 	}
 	asked := probes(r.after(1, request(1, 0, 0, 1)))
-	if len(asked) == 0 || len(asked) > probesPerJob {
-		t.Fatalf("%d probes for a job, want 1 to %d", len(asked), probesPerJob)
+	if len(asked) == 0 || len(asked) > maxChecksPerRequest {
+		t.Fatalf("%d probes for a job, want 1 to %d", len(asked), maxChecksPerRequest)
 	}
 	if len(find(r.last, ActSend, 1)) != 0 {
 		t.Fatal("sent before its probes were back")
@@ -316,7 +316,7 @@
 	s := base()
 	s.Balancers, s.MayDuplicate = 100, false
 	r := newRig(t, s, fleet(400)...)
-	const part = 400 * softStart / 100
+	const part = 400 * initialSoftLimit / 100
 	for id := uint32(1); id <= part; id++ {
 		r.step(request(id, 0, uint16(id%3), 1))
 		if n := len(find(r.last, ActSend, id)); n != 1 || r.d.capacity != part {
@@ -426,7 +426,7 @@
 		}
 	}
 	// Half of what the safety leaves of the budget: 0.6 x 4 x 0.65 x 4 slots over 9 s.
-	if got, want := 300*float64(len(sends)), coldSafety*s.FallMultiple*0.65*4*s.WarmWithin/2; got < want {
+	if got, want := 300*float64(len(sends)), slowStartSafety*s.FallMultiple*0.65*4*s.WarmWithin/2; got < want {
 		t.Errorf("all nodes sent %.0f ms of work while it warmed, want %.0f", got, want)
 	}
 }
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -116,14 +116,14 @@
 	if !executor.slowStartOpened {
 		d.openSlowStartBudget(executor)
 	}
-	part := min(d.fleetShare(), coldPart/float64(d.settings.Balancers))
+	part := min(d.fleetShare(), maxSlowStartPart/float64(d.settings.Balancers))
 	rate := d.slowStartSafetyFactor() * part * d.settings.FallMultiple * share * max(1, executor.slots, d.kinds[executor.kind].slots)
-	most := rate * d.settings.Fall * coldBurst
+	most := rate * d.settings.Fall * slowStartBurst
 	if executor.slowStartCredit += rate * (d.now - executor.slowStartCreditAt); executor.slowStartCredit > most {
 		executor.slowStartCredit = min(most, executor.slowStartCredit-max(0, d.meanSlotTime-most)) // else all keep a turn, and use it at once
 	}
 	executor.slowStartCreditAt = d.now
-	return executor.slowStartCredit > min(more, coldKnown*most)
+	return executor.slowStartCredit > min(more, slowStartKnownSafety*most)
 }
 
 // openColdBudget begins the budget of a process that has just been notified. Requests sent between its start and our
@@ -134,6 +134,6 @@
 		sentFrom = min(sentFrom, executor.listedStart) // the list's clock tells of a start a moment ago, which is believed here
 	}
 	executor.slowStartOpened = true
-	executor.slowStartCreditAt = max(executor.startedAt, d.now-coldBurst*d.settings.Fall)
+	executor.slowStartCreditAt = max(executor.startedAt, d.now-slowStartBurst*d.settings.Fall)
 	executor.slowStartCredit = -d.random()*d.meanSlotTime - d.workSentSince(executor, sentFrom)
 }
--- a/brain/state.go
+++ b/brain/state.go
@@ -331,7 +331,7 @@
 		return
 	}
 	d.keyCounts[key]++
-	if d.keyTotal++; d.keyTotal < 2*keyMemory {
+	if d.keyTotal++; d.keyTotal < 2*keyCountWindow {
 		return
 	}
 	d.keyTotal /= 2
@@ -363,13 +363,13 @@
 }
 
 const (
-	maxLogs  = 60    // log lines at once; one more each logEvery
-	logEvery = 10000 // ms
+	maxLogBurst   = 60    // log lines at once; one more each logEvery
+	logIntervalMs = 10000 // ms
 )
 
 // log writes a line, at most maxLogs at once and one more each logEvery.
 func (d *Dispatcher) logf(format string, args ...any) {
-	d.logBudget = min(maxLogs, d.logBudget+(d.now-d.logBudgetAt)/logEvery)
+	d.logBudget = min(maxLogBurst, d.logBudget+(d.now-d.logBudgetAt)/logIntervalMs)
 	d.logBudgetAt = d.now
 	if d.logBudget >= 1 {
 		d.logBudget--
@@ -396,7 +396,7 @@
 
 // logState writes, when a node begins to end jobs itself and when it has not for a while, what it goes by.
 func (d *Dispatcher) logRejecting() {
-	refusing := d.lastEndedAt > 0 && d.now-d.lastEndedAt < activeFor
+	refusing := d.lastEndedAt > 0 && d.now-d.lastEndedAt < tenantActiveMs
 	if refusing == d.rejecting {
 		return
 	}
@@ -453,9 +453,9 @@
 // silence is how long a worker with jobs out may give no sign of life.
 func (d *Dispatcher) unresponsiveTimeout() float64 {
 	if d.settings.Progress > 0 {
-		return silentAfter * d.settings.Progress
+		return unresponsiveIntervals * d.settings.Progress
 	}
-	return silentAfter * 2 * d.classes[0].work / d.meanSpeed()
+	return unresponsiveIntervals * 2 * d.classes[0].work / d.meanSpeed()
 }
 
 // countWaits counts a worker's attempts of ours that were not started.
@@ -486,7 +486,7 @@
 	for i := len(d.tenants); i < max(1, len(tenants)); i++ {
 		t := tenant{lastSeen: math.Inf(-1)}
 		if len(tenants) > 0 {
-			t.usualRate, t.tokens = tenants[i].Quota/2, tenants[i].Quota*shareDepth/1000
+			t.usualRate, t.tokens = tenants[i].Quota/2, tenants[i].Quota*quotaBurstMs/1000
 		}
 		d.tenants = append(d.tenants, t)
 	}
@@ -510,8 +510,8 @@
 	}
 	d := &Dispatcher{settings: s, randomState: seed, jobs: map[uint32]*job{}, executorsByID: map[uint32]*executor{},
 		executorsByTag: map[uint16]*executor{}, removedStarts: map[uint32]knownStart{}, widestRequest: 1, keyCounts: map[uint64]float64{},
-		reportInterval: firstPeriod, minStartLag: s.ConnectTimeout / 10, logBudget: maxLogs,
-		reportAge: ageShare * firstPeriod, bestAge: 1}
+		reportInterval: initialReportIntervalMs, minStartLag: s.ConnectTimeout / 10, logBudget: maxLogBurst,
+		reportAge: defaultReportAge * initialReportIntervalMs, bestAge: 1}
 	d.setTenants(s.Tenants)
 	d.allArrivals.perSecond = d.totalQuota / float64(s.Balancers)
 	d.firstArrivals.perSecond = d.allArrivals.perSecond
