--- /dev/null
+++ b/brain/attempt.go
@@ -0,0 +1,117 @@
+package brain
+
+import "slices"
+
+func (d *Dispatcher) sendAttempt(job *job, executor *executor) {
+	executor.slowStartCredit -= job.slots * job.work / d.kindSpeed(executor.kind)
+	shared := d.sharesConnection(executor)
+	if executor.unresponsive {
+		executor.retryAt = d.now + d.unresponsiveTimeout()/2*float64(int(1)<<min(executor.retries, 3))*(0.75+0.5*d.random())
+		executor.retries++
+	}
+	d.lastDispatchAt = d.now
+	d.actions = append(d.actions, Action{Kind: ActSend, Job: job.id, Worker: executor.id})
+	job.attempts = append(job.attempts, attempt{executor: executor, sentAt: d.now, heardAt: d.now, hadFreeSlots: executor.freeSlots >= job.slots})
+	if job.key != 0 && cacheMissProbability(job, executor, d.settings.Balancers) >= cacheMissThreshold {
+		job.attempts[len(job.attempts)-1].fetchesKey = true
+		d.fetchingSlots += job.slots
+	}
+	job.inFlight++
+	if len(executor.inFlight) == 0 {
+		d.busyExecutors = append(d.busyExecutors, executor)
+	}
+	executor.inFlight = append(executor.inFlight, job)
+	executor.ownSlots += job.slots
+	executor.freeSlots -= job.slots
+	executor.freeMemory -= job.memory
+	d.countUnstarted(executor)
+	if n := len(executor.idleSince); n > 0 {
+		executor.idleSince = executor.idleSince[:n-1]
+	} else if !shared {
+		job.attempts[len(job.attempts)-1].openedConnection = true
+		executor.opening++
+	}
+	if job.key != 0 {
+		executor.touchKey(job.key)
+	}
+}
+
+func (d *Dispatcher) handleOutcome(event *Event) {
+	executor := d.executorsByID[event.Worker]
+	job := d.jobs[event.Job]
+	if job == nil || int(event.Attempt) >= len(job.attempts) || job.attempts[event.Attempt].resolved {
+		if executor != nil {
+			d.handleLoadReport(executor, event.Report)
+		}
+		return
+	}
+	attempt := &job.attempts[event.Attempt]
+	executor = attempt.executor
+	attempt.resolved = true
+	job.inFlight--
+	d.needsPlacement = true
+	if i := slices.Index(executor.inFlight, job); i >= 0 {
+		executor.inFlight = slices.Delete(executor.inFlight, i, i+1)
+		if len(executor.inFlight) == 0 {
+			executor.unresponsive = false
+			i := slices.Index(d.busyExecutors, executor)
+			d.busyExecutors = slices.Delete(d.busyExecutors, i, i+1)
+		}
+	}
+	if !attempt.writtenOff {
+		executor.ownSlots -= job.slots
+	}
+	executor.freeMemory += job.memory
+	d.countUnstarted(executor)
+	d.noteMayHaveRun(job, attempt, event.Outcome)
+	if attempt.openedConnection {
+		executor.opening--
+	}
+	if attempt.fetchesKey {
+		d.fetchingSlots -= job.slots
+	}
+	d.judgeOutcome(job, attempt, event.Outcome)
+	d.learnClassOutcome(job, executor, event)
+	d.handleLoadReport(executor, event.Report)
+	if event.Final {
+		d.finishJob(job)
+	}
+	if job.done {
+		d.releaseJob(job)
+		return
+	}
+	if job.inFlight == 0 {
+		d.enqueue(job) // and settled once the batch is taken in: a later event of it may end the job
+	}
+}
+
+func (d *Dispatcher) handleNote(event *Event) {
+	job := d.jobs[event.Job]
+	if job == nil || int(event.Attempt) >= len(job.attempts) || job.attempts[event.Attempt].resolved {
+		return
+	}
+	attempt := &job.attempts[event.Attempt]
+	if event.Topic == NoteLate {
+		d.handleOverdueAck(job, attempt)
+		return
+	}
+	d.noteAlive(attempt.executor)
+	attempt.heardAt, attempt.ackOverdue = d.now, false
+	if attempt.writtenOff {
+		attempt.writtenOff = false
+		attempt.executor.ownSlots += job.slots
+	}
+	if attempt.startedAt == 0 {
+		attempt.startedAt = d.now
+		lag := d.now - attempt.sentAt
+		d.startDelay += (lag - d.startDelay) * 0.02
+		if lag < d.minStartLag {
+			d.minStartLag = lag
+		} else {
+			d.minStartLag += (min(lag, 4*d.minStartLag) - d.minStartLag) * 0.01
+		}
+		d.countUnstarted(attempt.executor)
+		d.needsPlacement = true
+		job.queued = false // no second copy of what has begun
+	}
+}
--- /dev/null
+++ b/brain/capacity.go
@@ -0,0 +1,153 @@
+package brain
+
+import "math"
+
+const (
+	reportDecayRate     = 0.5 // how fast reports fade, in runs weighted by what they hold: faster evens out
+	hopedSlots          = 0.3 // slots hoped for where a report has faded: more sends sooner, less holds
+	starvationShare     = 0.8 // part of our part of all slots under which a node without room counts as starved
+	starvationThreshold = 2   // mean runs without a send after which a node that knows little tries one more job
+	scarcityThreshold   = 0.2 // part of all slots under which free ones are shared
+	initialSoftLimit    = 2   // slots a worker without reports is tried with: more fills a cold start quicker
+	softLimitBackoff    = 0.7 // what 'full' leaves of the slots we thought it takes
+	liveLoadLimit       = 1.1 // requests a core, as a live weight tells, from which on a worker has no room,
+	liveLoadExcess      = 1.5 // if that is this many times the mean: where all hold many, it says nothing
+	occupancyIntervals  = 4   // report periods over which it is learned what others hold of workers of a kind
+	occupancyPrior      = 3   // reports' worth of the fleet's mean mixed into a kind's own
+	blindShareFactor    = 2   // even parts of a worker's slots a node uses without a fresh report
+)
+
+// estimate counts capacity: slots of our running jobs and free slots, by report or by what was served.
+func (d *Dispatcher) estimateCapacity() {
+	if d.now < d.nextEstimate {
+		return // sends move slots from free ones to our own: the sum stays
+	}
+	if n := float64(len(d.executors)); n > fullScanLimit {
+		d.nextEstimate = d.now + d.tickInterval()*n/fullScanLimit
+	}
+	known := len(d.executors) <= fullScanLimit || d.peerLoadsKnown() // what others hold
+	own, free, hoped, queued, total, assumed, most := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
+	for _, executor := range d.executors {
+		own += executor.ownSlots
+		if executor.condition != Ready {
+			continue
+		}
+		n := max(executor.slots, d.kinds[executor.kind].slots)
+		total += n
+		assumed += max(n, d.widestRequest, initialSoftLimit)
+		most = max(most, n)
+		if known || executor.reportedAt > 0 && d.now-executor.reportedAt <= min(d.reportTTL(), d.meanRun) {
+			free += max(0, d.availableSlots(executor))
+		} else {
+			hoped += max(0, d.availableSlots(executor))
+		}
+		if !known && d.settings.TellsStart && d.now-executor.oldestUnstarted > d.startNoteTimeout() {
+			queued += executor.unstartedSlots
+		}
+	}
+	d.fairSlots = starvationShare * d.fleetShare() * total
+	if d.capacity = own + free; !known {
+		d.capacity = d.capacityWithoutPeers(own-queued, queued, free, hoped, assumed)
+		d.fairSlots = d.capacity
+	}
+	if d.gossipMode == gossipAggregator && d.peerLoadsKnown() && d.capacity < scarcityThreshold*total {
+		most = min(most, max(d.widestRequest, d.fleetShare()*total)) // all see the same few slots
+		own := d.ownSlotsInFlight()
+		d.capacity = own + (d.capacity-own)*d.capacity/(scarcityThreshold*total)
+	}
+	d.capacity = max(d.capacity, most) // else a node that sees no room and has nothing out never begins
+}
+
+// unseenCapacity is the capacity of a node that is not told what others hold: its part of all slots, as list
+// and quotas show them; or what runs of its jobs, room it knows of, and while nothing queues as much again.
+func (d *Dispatcher) capacityWithoutPeers(running, queued, reported, hoped, assumed float64) float64 {
+	part := d.fleetShare() * max(assumed, d.totalQuota*d.meanSlotTime/1000)
+	return max(initialSoftLimit, part, running+reported+max(0, min(hoped, running-queued)))
+}
+
+// starved says that such a node has sent nothing for long, for its jobs hang or run long. It may send one
+// more, else it would refuse all that comes for as long as their clients wait.
+func (d *Dispatcher) isStarved() bool {
+	return len(d.executors) > fullScanLimit && !d.peerLoadsKnown() && d.now-d.lastDispatchAt > starvationThreshold*d.meanSlotTime
+}
+
+// room is how many more slots of ours a worker takes: by its report, else by what it took before.
+func (d *Dispatcher) availableSlots(executor *executor) float64 {
+	if d.now < executor.rejectedUntil {
+		return 0
+	}
+	if executor.unresponsive && !d.panicking {
+		return 1
+	}
+	if executor.onProbation {
+		return 1 - executor.ownSlots
+	}
+	// Reports come late and can hide a queue: a job of ours that was not started says there is no room,
+	// whatever free slots were last told or got back.
+	if d.settings.TellsStart && executor.unstarted > 0 && d.now-executor.oldestUnstarted > d.startNoteTimeout() {
+		return 0
+	}
+	n := math.Round(d.knownSlots(executor))
+	if n > 0 && d.peerLoadsKnown() {
+		// This is newer than any report.
+		return math.Round(max(1, n*d.slowStartShare(executor)) - executor.ownSlots - d.peerSlotsAt(executor) - d.hiddenSlots(executor))
+	}
+	// A weight in the list is the same for all nodes and late: it is no reason to go to a worker, since all
+	// would, but one that tells of more requests than cores is a reason to stay away.
+	if executor.position < len(d.endpointRows) && d.endpointRows[executor.position].liveLoad >= max(liveLoadLimit, liveLoadExcess*d.meanLiveLoad) {
+		return 0
+	}
+	if executor.reportedAt > 0 && d.now-executor.reportedAt <= d.reportTTL() {
+		return math.Round(d.decayedFreeSlots(executor)) // to the nearest: reports are a little noisy
+	}
+	most := math.Floor(executor.softLimit)
+	if n > 0 {
+		// Every node guesses at once when reports fail: none takes more than twice its even part.
+		most = min(most, max(1, math.Round(blindShareFactor*n/float64(d.settings.Balancers))))
+	}
+	if executor.ownSlots == 0 {
+		most = max(most, d.widestRequest) // else a job wider than what was tried so far would never be sent
+	}
+	most -= executor.ownSlots
+	if n > 0 && d.lastReportAt > 0 && d.now-d.lastReportAt <= reportsEndedFactor*d.reportTTL() && d.slowStartShare(executor) == 1 {
+		// Others tell what is usual: where the fleet is full, so is likely one not heard of, unless new.
+		most = min(most, math.Round(n*(1-d.peerOccupancyAt(executor))-executor.ownSlots))
+	}
+	return most
+}
+
+// relaxed is a worker's free slots, with what others have there drawn from the report to the fleet's mean as
+// the report ages against a job's run. Where reports are older than jobs are long, each says who was idle and
+// not who is: all nodes storm the roomiest and shun the full, turn about.
+func (d *Dispatcher) decayedFreeSlots(executor *executor) float64 {
+	if d.settings.Balancers < 2 || executor.slots == 0 {
+		return executor.freeSlots
+	}
+	x := reportDecayRate * (d.now - executor.reportedAt + d.reportAge) / d.meanRun
+	keep := 1 / (1 + x + x*x/2)
+	foreign, usual := executor.slots-executor.ownSlots-executor.freeSlots, d.peerOccupancyAt(executor)*executor.slots
+	return executor.slots - executor.ownSlots - usual - (foreign-usual)*keep + hopedSlots*(1-keep)
+}
+
+// usual is the part of a worker's slots that others hold, as reports of its kind in its zone tell, drawn to
+// the fleet's while they are few. It can be over 1 where jobs are queued.
+func (d *Dispatcher) peerOccupancyAt(executor *executor) float64 {
+	if len(d.executors) <= fullScanLimit {
+		return d.meanPeerOccupancy // too few of a kind in a zone for a mean of their own
+	}
+	group := executor.group
+	keep := max(0, 1-(d.now-group.updatedAt)/d.occupancyWindow())
+	return (group.occupancySum*keep + occupancyPrior*d.meanPeerOccupancy) / (group.samples*keep + occupancyPrior)
+}
+
+func (d *Dispatcher) occupancyWindow() float64 { return occupancyIntervals * d.reportInterval }
+
+// slotsOf is how many slots a worker has, as reports showed, 0 if none did. Where the hub tells what others have out it is
+// then as many as a first trial takes: else each of many nodes tries every worker of a kind that it has not met.
+func (d *Dispatcher) knownSlots(executor *executor) float64 {
+	n := max(executor.slots, d.kinds[executor.kind].slots)
+	if n == 0 && d.gossipMode == gossipAggregator {
+		return initialSoftLimit
+	}
+	return n
+}
--- /dev/null
+++ b/brain/connections.go
@@ -0,0 +1,29 @@
+package brain
+
+// linkFailed backs off from new connections to a worker; those that are open go on being used.
+func (d *Dispatcher) noteDialFailure(executor *executor) {
+	if d.reportQuarantine(executor, connectionQuarantine); d.now >= executor.dialBackoffUntil {
+		back := max(d.settings.ConnectTimeout, d.settings.Step) * float64(int(1)<<min(executor.dialFailures, maxBackoffDoublings))
+		executor.dialBackoffUntil = d.now + back*(0.75+0.5*d.random())
+		if executor.dialFailures++; executor.dialFailures == 1 {
+			d.logf("worker %d takes no new connections", executor.id)
+		}
+	}
+	executor.idleSince = executor.idleSince[:0] // it was to use an idle one if there was one
+}
+
+// warm says whether the next job to a worker needs no new connection.
+func (d *Dispatcher) hasOpenConnection(executor *executor) bool {
+	n := len(executor.idleSince)
+	for n > 0 && d.now-executor.idleSince[0] >= d.settings.ConnIdle {
+		executor.idleSince = executor.idleSince[:copy(executor.idleSince, executor.idleSince[1:])]
+		n--
+	}
+	return n > 0 || d.sharesConnection(executor)
+}
+
+// shares says whether connections carry several jobs and one that is open has room for another.
+func (d *Dispatcher) sharesConnection(executor *executor) bool {
+	open := len(executor.inFlight) - executor.opening // attempts on connections that stand, if each had its own
+	return d.settings.Multiplex > 1 && open > 0 && open%d.settings.Multiplex != 0
+}
--- a/brain/list.go
+++ b/brain/endpoints.go
@@ -2,11 +2,60 @@
 
 import (
 	"cmp"
+	"gatetack/internal/recovery"
 	"slices"
 	"sort"
 )
 
-// This file keeps the workers as the list has them. Nothing is decided here.
+const (
+	pollSpreadPerNode = 0.003 // of the time to ask within, for each node: a round of their asks,
+	minPollSpread     = 0.025 // and at least this part of it
+)
+
+func (d *Dispatcher) handleList(event *Event) {
+	d.needsPlacement = true
+	if event.Form == ListFailed {
+		if d.failedPolls == 0 {
+			d.logf("list out of reach, last heard %.0f ms ago", d.now-d.listUpdatedAt)
+		}
+		d.pollSentAt, d.watching = 0, false
+		d.failedPolls = min(d.failedPolls+1, 8)
+		d.nextPoll = d.now + d.pollBackoff()
+		return
+	}
+	if event.Form != ListCached {
+		if d.failedPolls > 0 {
+			d.logf("list within reach again after %d failed calls", d.failedPolls)
+		}
+		d.pollSentAt, d.watching, d.failedPolls = 0, true, 0
+	}
+	if d.listUpdatedAt == 0 {
+		d.aggregator.startedAt = d.now
+	}
+	if d.listUpdatedAt = d.now; event.Form == ListCached && float64(d.settings.Balancers)*pollSpreadPerNode > minPollSpread {
+		d.nextPoll = d.now + d.pollBackoff() // many nodes that were killed together start together
+	}
+	d.applyRows(event)
+	if event.Form != ListCached && len(d.executors) > 0 {
+		d.listConfirmedAt = d.now
+	}
+}
+
+// askBackoff is until this node's turn in a round that all nodes have: calls that come together wait in vain.
+func (d *Dispatcher) pollBackoff() float64 {
+	span := max(minPollSpread, pollSpreadPerNode*float64(d.settings.Balancers)) * float64(int(1)<<min(d.failedPolls, 3))
+	return recovery.TimeSlots{Me: d.settings.Me, Nodes: d.settings.Balancers}.After(d.now, d.settings.AskWithin*min(1, span))
+}
+
+// ask keeps a subscription to the list.
+func (d *Dispatcher) pollList() {
+	if !d.settings.Ask || d.watching || d.now < d.nextPoll || d.pollSentAt > 0 && d.now-d.pollSentAt < d.settings.AskWithin/2 {
+		return
+	}
+	d.pollSentAt = max(d.now, 1e-9)
+	d.nextPoll = d.now + d.pollBackoff()
+	d.actions = append(d.actions, Action{Kind: ActWatch, On: true})
+}
 
 // rebuildFrom is how many rows of one change are put in their places one by one; for more, all is sorted anew.
 const rebuildThreshold = 16
@@ -18,14 +67,6 @@
 	liveLoad float64 // requests held per core, as the live weight told
 }
 
-// homeHash is what the homes of keys are drawn by.
-type affinityHash struct {
-	hash  uint64
-	tag   uint16
-	kind  uint8
-	ready bool
-}
-
 func (d *Dispatcher) groupOf(kind, zone uint8) *executorGroup {
 	for _, group := range d.groups {
 		if group.kind == int(kind) && group.zone == int(zone) {
@@ -223,8 +264,3 @@
 		return executor.condition != Gone || len(executor.inFlight) == 0
 	})
 }
-
-// hashOf is what the homes of keys see of a worker.
-func affinityHashOf(executor *executor) affinityHash {
-	return affinityHash{mix64(uint64(executor.id) + 0x9e3779b97f4a7c15), executor.tag, executor.row.Kind, executor.condition == Ready}
-}
--- /dev/null
+++ b/brain/gossip.go
@@ -0,0 +1,171 @@
+package brain
+
+import (
+	"math"
+	"slices"
+)
+
+const (
+	gossipIntervals          = 0.3 // report periods between messages to other nodes
+	maxGossipBytesPerRequest = 192 // bytes of messages for each of our requests, at most: knowledge against price
+)
+
+// telling says how a node tells the others what it has out; all judge alike, by the settings.
+type gossipMode uint8
+
+const (
+	gossipNone       gossipMode = iota
+	gossipBroadcast             // all of it, to all, now and then
+	gossipAggregator            // each change, to the hub
+)
+
+// peer is what another node told to have out.
+type peer struct {
+	heardAt        float64 // when it told all, where all is told
+	fresh          bool    // counted in what all have out
+	loads          []peerLoad
+	suspectedUntil float64 // suspected as a hub until then, for the time after
+	timeouts       int     // as many times running
+}
+
+type peerLoad struct {
+	tag     uint16
+	slots   float64
+	heardAt float64
+}
+
+// howToTell says what the other nodes are told: all, now and then; or, where nodes are so many that the bytes allow
+// that less often than a load report is old when it comes, a hub, unless it would have too much to do; or nothing.
+func (d *Dispatcher) chooseGossipMode() gossipMode {
+	nodes := float64(d.settings.Balancers)
+	each := max(d.totalQuota/nodes, 1)
+	usual := 3 * (each*d.meanSlotTime/1000 + 1) * (nodes - 1)
+	switch {
+	case !d.settings.MayTell || nodes < 2:
+	case 1000*usual/(maxGossipBytesPerRequest*each) <= d.reportAge:
+		return gossipBroadcast
+	case each*nodes <= maxAggregatorRate:
+		return gossipAggregator
+	}
+	return gossipNone
+}
+
+// tell sends the other nodes our slots out at each worker, about twice a report period, within a number of
+// bytes for each request.
+func (d *Dispatcher) broadcastLoad() {
+	if d.gossipMode != gossipBroadcast || d.now < d.nextGossip {
+		return
+	}
+	var data []byte
+	for _, executor := range d.busyExecutors {
+		if n := math.Round(executor.ownSlots); n > 0 && len(data)+3 <= 255 {
+			data = append(data, byte(executor.tag>>8), byte(executor.tag), byte(min(n, 255)))
+		}
+	}
+	d.actions = append(d.actions, Action{Kind: ActTell, To: AllPeers, Data: data})
+	bytes := float64(len(data) * (d.settings.Balancers - 1))
+	d.nextGossip = d.now + max(gossipIntervals*d.reportInterval, 1000*bytes/(maxGossipBytesPerRequest*max(d.allArrivals.perSecond, 1)))*(0.8+0.4*d.random())
+}
+
+// tagOf names a worker in messages: the same at all nodes.
+func (d *Dispatcher) tagOf(id uint32) uint16 {
+	tag := uint16(mix64(uint64(id)))
+	if d.gossipMode == gossipAggregator {
+		tag &^= slotBits
+	}
+	return tag
+}
+
+// hidden is what others hold at a worker that no message told of: a job of ours that is not started though there should
+// be room shows it, and it is taken to end over a run. Nodes that were killed, and hubs, leave such jobs behind, and to
+// tell of them spares every other node the same wait.
+func (d *Dispatcher) hiddenSlots(executor *executor) float64 {
+	if d.settings.TellsStart && executor.unstarted > 0 && d.now-executor.oldestUnstarted > d.startNoteTimeout() {
+		n := d.knownSlots(executor) * d.slowStartShare(executor)
+		if full := n - executor.ownSlots - d.peerSlotsAt(executor); full >= executor.hiddenSlots {
+			executor.hiddenSlots, executor.hiddenAt = full, d.now
+		}
+	}
+	return max(0, executor.hiddenSlots*(1-(d.now-executor.hiddenAt)/d.meanRun))
+}
+
+// heardPeer takes in what another node has out.
+func (d *Dispatcher) handlePeerMessage(event *Event) {
+	if int(event.From) >= len(d.peers) || int(event.From) == d.settings.Me {
+		return
+	}
+	peer := &d.peers[event.From]
+	if d.gossipMode == gossipAggregator {
+		d.handleAggregatorMessage(peer, event)
+		return
+	}
+	if peer.fresh {
+		d.addPeerLoad(peer, -1)
+	} else {
+		d.freshPeers++
+	}
+	peer.heardAt, peer.fresh, peer.loads = d.now, true, peer.loads[:0]
+	for i := 0; i+3 <= len(event.Data); i += 3 {
+		peer.loads = append(peer.loads, peerLoad{uint16(event.Data[i])<<8 | uint16(event.Data[i+1]), float64(event.Data[i+2]), d.now})
+	}
+	d.addPeerLoad(peer, 1)
+	d.needsPlacement = true
+}
+
+// addPeer adds what another node has out to what all have, or takes it off.
+func (d *Dispatcher) addPeerLoad(peer *peer, sign float64) {
+	for _, x := range peer.loads {
+		if executor := d.executorsByTag[x.tag]; executor != nil {
+			executor.peerSlots += sign * x.slots
+		}
+	}
+}
+
+// sumPeers adds up what the other nodes have out, leaving out those not heard of for some periods, and what they did
+// not remind us of.
+func (d *Dispatcher) sumPeerLoads() {
+	d.freshPeers, d.needsPlacement = 0, true
+	d.nextPeerSum = d.now + d.reportInterval/4
+	clear(d.aggregator.slotTotals)
+	for _, executor := range d.executors {
+		executor.peerSlots = 0
+	}
+	for i := range d.peers {
+		peer := &d.peers[i]
+		if d.gossipMode == gossipAggregator {
+			peer.loads = slices.DeleteFunc(peer.loads, func(x peerLoad) bool { return d.now-x.heardAt > 2*d.reminderInterval() })
+			for _, x := range peer.loads {
+				d.aggregator.slotTotals[x.tag] += x.slots
+			}
+			continue
+		}
+		peer.fresh = peer.heardAt > 0 && d.now-peer.heardAt <= freshReportIntervals*d.reportInterval
+		if peer.fresh {
+			d.freshPeers++
+			d.addPeerLoad(peer, 1)
+		}
+	}
+}
+
+// peersKnown says that it is known what most other nodes have out: they told lately, or the hub answered lately.
+func (d *Dispatcher) peerLoadsKnown() bool {
+	if d.gossipMode != gossipAggregator {
+		return 2*d.freshPeers >= len(d.peers) && len(d.peers) > 1
+	}
+	if d.aggregator.current == d.settings.Me {
+		return d.aggregatorIsReady()
+	}
+	return d.aggregator.answeredAt > 0 && d.now-d.aggregator.answeredAt <= maxAnswerAge*d.answerTimeout()
+}
+
+// foreign is what other nodes have out at a worker, by their last messages; nodes not heard of count as the
+// mean of the others.
+func (d *Dispatcher) peerSlotsAt(executor *executor) float64 {
+	if d.gossipMode == gossipAggregator {
+		if d.aggregator.current == d.settings.Me {
+			return d.aggregator.slotTotals[executor.tag]
+		}
+		return d.aggregator.peerSlots[executor.tag]
+	}
+	return executor.peerSlots * float64(len(d.peers)-1) / float64(max(d.freshPeers, 1))
+}
--- /dev/null
+++ b/brain/healthcheck.go
@@ -0,0 +1,72 @@
+package brain
+
+const (
+	maxChecksPerRequest = 4 // probes for each of our requests, at most: knowledge against their price
+)
+
+func (d *Dispatcher) handleHealthCheck(event *Event) {
+	executor := d.executorsByID[event.Worker]
+	if executor == nil {
+		return
+	}
+	if executor.checkPending {
+		executor.checkPending = false
+		d.checksInFlight--
+		d.needsPlacement = true
+	}
+	switch event.Outcome {
+	case Served:
+		d.noteAlive(executor)
+		d.handleLoadReport(executor, event.Report)
+	case ConnectFailed:
+		d.noteDialFailure(executor)
+	}
+}
+
+// probe asks workers for their load, about once a report period, within a number for each request.
+func (d *Dispatcher) checkHealth() {
+	if n := len(d.executors); !d.settings.MayProbe || d.settings.Telemetry != ReportProbes || n == 0 || n > fullScanLimit {
+		return // of a large fleet probeFor asks for each job
+	}
+	rate := d.allArrivals.perSecond
+	if quiet := d.now - d.allArrivals.last; d.allArrivals.last > 0 && quiet > 1000 {
+		rate = min(rate, 1000/quiet)
+	}
+	span := max(d.reportInterval*0.8, 1000*float64(len(d.executors))/(maxChecksPerRequest*max(rate, 0.5)))
+	for _, executor := range d.executors {
+		if executor.condition != Ready || executor.checkPending || d.now-executor.checkedAt < span*executor.checkIntervalFactor {
+			continue
+		}
+		d.sendHealthCheck(executor)
+	}
+}
+
+func (d *Dispatcher) sendHealthCheck(executor *executor) {
+	executor.checkPending, executor.checkedAt, executor.checkIntervalFactor = true, d.now, 0.8+0.4*d.random()
+	d.checksInFlight++
+	d.actions = append(d.actions, Action{Kind: ActProbe, Worker: executor.id})
+}
+
+// probeFor asks, in a large fleet, some workers for each job that comes, which waits for their answers: by
+// turns each would be old when a job comes. Half are those used last, half are drawn.
+func (d *Dispatcher) checkHealthFor(job *job) {
+	if !d.settings.MayProbe || d.settings.Telemetry != ReportProbes || len(d.executors) <= fullScanLimit {
+		return
+	}
+	n := 0
+	try := func(executor *executor) {
+		if executor != nil && executor.condition == Ready && !executor.checkPending && d.now-executor.reportedAt > d.reportInterval/2 && d.isUsable(executor) {
+			d.sendHealthCheck(executor)
+			n++
+		}
+	}
+	for i := 0; i < len(d.recentServers) && n < maxChecksPerRequest/2; i++ {
+		if executor := d.recentServers[i]; executor != nil && d.hasOpenConnection(executor) {
+			try(executor)
+		}
+	}
+	for i := 0; i < 2*maxChecksPerRequest && n < maxChecksPerRequest; i++ {
+		try(d.executors[int(d.random()*float64(len(d.executors)))])
+	}
+	job.holdUntil = d.now + d.tickInterval()
+}
--- /dev/null
+++ b/brain/outlier.go
@@ -0,0 +1,166 @@
+package brain
+
+import (
+	"math"
+	"slices"
+)
+
+const (
+	unresponsiveIntervals = 2.5  // progress periods without a sign of life before a worker counts as standing still
+	queuedGraceFactor     = 8    // usual waits that a queued job may have: fewer finds the dead sooner, and copies
+	errorAverageMemory    = 0.8  // memory of the error average: higher ejects later and forgives later
+	ejectionErrorRate     = 0.45 // error average that ejects: three failures running
+	panicThreshold        = 0.5  // with more than this part of the workers ejected, ejection is ignored
+	baseEjectionFactor    = 2    // first ejection, in connect time-outs; doubles each time
+	maxBackoffDoublings   = 5    // doublings at most
+)
+
+// usable says whether new work may go to a worker at all.
+func (d *Dispatcher) isUsable(executor *executor) bool {
+	if (executor.dialFailures > 0 && (d.now < executor.dialBackoffUntil || executor.opening > 0) || d.isQuarantined(executor, connectionQuarantine)) && !d.hasOpenConnection(executor) {
+		// A worker can serve over the connections it has and take no new one (its table is full, or new
+		// ones are cut): a served job says nothing of the next connect. One new connection tries at a time.
+		return false
+	}
+	// A silent worker is tried again with one job now and then: else one that was cut off and holds jobs
+	// whose end was lost would stay out until the last client's time is over (i3f1d0e).
+	return executor.condition == Ready && (d.panicking || d.now >= executor.ejectedUntil && (!executor.unresponsive || d.now >= executor.retryAt))
+}
+
+// judge draws from an outcome what it says of the worker: its room, speed, errors and connections.
+func (d *Dispatcher) judgeOutcome(job *job, attempt *attempt, o Outcome) {
+	executor := attempt.executor
+	switch o {
+	case Served, Errored, Reset:
+		executor.freeSlots += job.slots
+		executor.endedAttempts[executor.endedCount%len(executor.endedAttempts)] = endedAttempt{attempt.sentAt, d.now, job.slots}
+		executor.endedCount++
+	case Full:
+		executor.freeSlots = min(executor.freeSlots+job.slots, 0)
+		executor.softLimit = max(1, softLimitBackoff*executor.ownSlots)
+		executor.rejections = min(executor.rejections+1, 6)
+		executor.rejectedUntil = d.now + d.reportInterval*0.25*float64(int(1)<<(executor.rejections-1))*(0.5+d.random())
+	case ConnectFailed, Moot:
+		executor.freeSlots += job.slots
+	}
+	switch o {
+	case Served:
+		d.noteAlive(executor)
+		executor.errorAverage *= errorAverageMemory
+		if executor.rejections = 0; attempt.sentAt >= executor.ackOverdueAt { // else it shows nothing of what came since
+			executor.ejections, executor.onProbation, executor.ackOverdueUntil = 0, false, 0
+		}
+		late := d.now > job.objectiveAt && attempt.sentAt+job.work/d.meanSpeed() <= job.objectiveAt
+		blind := executor.reportedAt == 0 || d.now-executor.reportedAt > reportsEndedFactor*d.reportTTL() // a pause is not the end
+		if late && blind && attempt.sentAt > executor.softLimitCutAt {
+			// With no reports and no 'full' only lateness shows a queue: one cut for all sent before it.
+			executor.softLimit, executor.softLimitCutAt = max(1, softLimitBackoff*executor.softLimit), d.now
+		} else if !late && executor.ownSlots+job.slots >= math.Floor(executor.softLimit) {
+			executor.softLimit += job.slots / executor.softLimit
+		}
+		if attempt.openedConnection {
+			executor.dialFailures = 0
+		}
+		d.learnServiceTime(job, attempt)
+		if len(executor.idleSince) > len(executor.inFlight) && d.settings.Multiplex > 1 {
+			executor.idleSince = executor.idleSince[:0] // jobs share connections: one idle entry stands for all
+		}
+		executor.idleSince = append(executor.idleSince, d.now)
+		d.recentServers.add(executor)
+	case Errored:
+		d.noteAlive(executor) // and else a matter of the job's class, see fared
+	case Reset:
+		d.noteAlive(executor)
+		executor.errorAverage = executor.errorAverage*errorAverageMemory + 1 - errorAverageMemory
+		if executor.errorAverage > ejectionErrorRate || executor.onProbation {
+			d.eject(executor, "errors")
+		}
+	case ConnectFailed:
+		d.noteDialFailure(executor)
+	}
+}
+
+// eject keeps new work off a worker for a while, doubling, then lets it in one job at a time.
+func (d *Dispatcher) eject(executor *executor, why string) {
+	if d.now < executor.ejectedUntil {
+		return
+	}
+	base := baseEjectionFactor * max(d.settings.ConnectTimeout, d.settings.Step)
+	executor.ejectedUntil = d.now + base*float64(int(1)<<min(executor.ejections, maxBackoffDoublings))*(0.75+0.5*d.random())
+	executor.ejections++
+	executor.onProbation = true
+	d.ejectedExecutors = append(d.ejectedExecutors, executor)
+	executor.errorAverage = min(executor.errorAverage, ejectionErrorRate)
+	d.logf("eject worker %d for %s until %.0f, strike %d", executor.id, why, executor.ejectedUntil, executor.ejections)
+}
+
+// watchHealth finds workers that stand still and jobs to be tried elsewhere meanwhile.
+func (d *Dispatcher) detectOutliers() {
+	limit := d.unresponsiveTimeout()
+	d.findFailingClasses()
+	d.ejectedExecutors = slices.DeleteFunc(d.ejectedExecutors, func(executor *executor) bool {
+		return d.now >= executor.ejectedUntil || executor.condition != Ready
+	})
+	bad := len(d.ejectedExecutors)
+	for _, executor := range d.busyExecutors {
+		if executor.condition != Ready {
+			continue
+		}
+		silent := false
+		for _, job := range executor.inFlight {
+			for i := range job.attempts {
+				if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && !attempt.writtenOff {
+					since := max(attempt.sentAt, executor.lastHeard)
+					if attempt.startedAt == 0 && d.settings.TellsStart {
+						since += queuedGraceFactor * d.startDelay // a queued job tells nothing
+					}
+					silent = silent || d.now-since > limit
+				}
+			}
+		}
+		if silent && !executor.unresponsive {
+			d.logf("worker %d silent", executor.id)
+			executor.retryAt = d.now + limit*(0.25+0.5*d.random())
+		}
+		executor.unresponsive = silent
+		// All slow together still tell their progress: where it is told, silence is no sign of slowness.
+		if silent && d.settings.Progress <= 0 && d.now >= executor.ejectedUntil {
+			bad++
+		}
+	}
+	panicking := float64(bad) > panicThreshold*float64(len(d.executors))
+	if panicking != d.panicking {
+		d.panicking = panicking
+		d.needsPlacement = true
+		d.logf("%d of %d workers ejected, ignored %v", bad, len(d.executors), panicking)
+	}
+}
+
+// alive takes in a sign of life. After a silence, what was out there may have ended or never come without our
+// hearing of it, until its client's time is over: it holds no slots in our books unless it is heard of again.
+func (d *Dispatcher) noteAlive(executor *executor) {
+	executor.lastHeard = d.now
+	if !executor.unresponsive {
+		return
+	}
+	executor.unresponsive, executor.retries = false, 0
+	d.needsPlacement = true
+	d.logf("worker %d heard of again", executor.id)
+	for _, job := range executor.inFlight {
+		for i := range job.attempts {
+			if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && !attempt.writtenOff {
+				attempt.writtenOff = true
+				executor.ownSlots -= job.slots
+			}
+		}
+	}
+	d.countUnstarted(executor)
+}
+
+// silence is how long a worker with jobs out may give no sign of life.
+func (d *Dispatcher) unresponsiveTimeout() float64 {
+	if d.settings.Progress > 0 {
+		return unresponsiveIntervals * d.settings.Progress
+	}
+	return unresponsiveIntervals * 2 * d.classes[0].work / d.meanSpeed()
+}
--- /dev/null
+++ b/brain/placement.go
@@ -0,0 +1,148 @@
+package brain
+
+import "math"
+
+const (
+	speculationDelay = 0.3  // part of its slack that a starved node holds a job before it queues it at a worker
+	crowdingCost     = 0.2  // loss feared on a worker with no slot to spare; larger spreads more
+	latencyCost      = 0.5  // loss feared when a job's run would use up all the time its aim leaves
+	slotTimeCost     = 0.1  // loss for holding slots on a worker of mean speed; larger favours fast workers
+	cacheMissCost    = 0.1  // loss for a missed fetch besides its price
+	fullScanLimit    = 24   // workers of a fleet that is looked at whole for the jobs waiting
+	sampledExecutors = 12   // drawn ones looked at of a larger one: more finds more room, costs CPU and herds
+	tieBreakNoise    = 0.01 // random part that keeps nodes from choosing alike
+)
+
+// look gathers the workers with room that waiting jobs choose among: all of a small fleet; of a large one
+// those heard of last and some drawn: to look at all takes CPU, and all would storm the same roomiest one.
+func (d *Dispatcher) inspectExecutors() {
+	if d.inspectedAll {
+		return
+	}
+	d.inspectedAll = true
+	if len(d.executors) <= fullScanLimit {
+		for _, executor := range d.executors {
+			d.inspect(executor)
+		}
+		return
+	}
+	for i := range d.recentReporters {
+		d.inspect(d.recentReporters[i])
+		d.inspect(d.recentServers[i])
+	}
+	for _, executor := range d.executors {
+		if d.slowStartShare(executor) < 1 {
+			d.inspect(executor) // for it is seldom our turn there, and then all the more wanted
+		}
+	}
+	for n := 0; n < sampledExecutors; n++ {
+		d.inspect(d.executors[int(d.random()*float64(len(d.executors)))])
+	}
+}
+
+// lookAt adds a worker to those that waiting jobs choose among, once, if it may be sent to and has room.
+func (d *Dispatcher) inspect(executor *executor) {
+	if executor == nil || executor.inspectedIn == d.inspectionRound || !d.isUsable(executor) {
+		return
+	}
+	executor.inspectedIn = d.inspectionRound
+	d.inspected = append(d.inspected, executor)
+	if executor.available = d.availableSlots(executor); executor.available >= 1 && d.slowStartAllows(executor, 0) {
+		d.eligible = append(d.eligible, executor)
+	}
+}
+
+// choose picks the worker with room where the least is lost: little room to spare, a long run, prices.
+func (d *Dispatcher) chooseExecutor(job *job) *executor {
+	var best *executor
+	least, bestMiss := math.Inf(1), 0.0
+	d.findAffinityCandidates(job)
+	for _, executor := range job.candidates {
+		d.inspect(executor)
+	}
+	mean := d.meanSpeed()
+	// Waiting a little for a worker that holds the key is better than a fetch: when the store behind the
+	// keys is short of capacity, fetches hold slots for long, and every job sent astray makes more of them.
+	forHome := job.key != 0 && (d.now < job.arrivedAt+affinityWait*(job.objectiveAt-job.work/mean-job.arrivedAt) || d.cacheFetchesExhausted(job))
+	var from []*executor
+	if forHome && len(d.executors) > fullScanLimit {
+		from = job.candidates // of many workers the rest is not even looked at
+	} else {
+		d.inspectExecutors()
+		from = d.eligible
+	}
+	class, slack := &d.settings.Classes[job.class], max(job.objectiveAt-d.now, 1)
+	for _, executor := range from {
+		spare := executor.available - job.slots
+		if spare < -1e-6 {
+			continue
+		}
+		if class.Kind >= 0 && executor.kind != class.Kind || !d.isUsable(executor) || !d.isSendAllowed(job, executor) || d.classFailsAt(job, executor) {
+			continue
+		}
+		odds := d.errorProbability(job, executor)
+		if odds > ejectionErrorRate || (executor.unresponsive || d.now < executor.ackOverdueUntil && !d.panicking) && class.Effect == Unsafe {
+			continue // it may well be lost there
+		}
+		if executor.reportsMemory && job.memory > executor.freeMemory+1e-6 && executor.ownSlots > 0 {
+			continue // with nothing of ours out, a report that stays low must not shut a worker out for good
+		}
+		run := job.work / d.executorSpeed(executor)
+		loss := crowdingCost/(1+spare) + latencyCost*min(max(0, run/slack-0.5), 1) + slotTimeCost*run*mean/job.work
+		loss += executor.errorAverage + odds + tieBreakNoise*d.random()
+		loss += d.zonePrice(job, executor.zone)
+		if d.settings.Fees.Handshake > 0 && !d.hasOpenConnection(executor) {
+			loss += d.settings.Fees.Handshake
+		}
+		miss := 0.0
+		if job.key != 0 {
+			miss = cacheMissProbability(job, executor, d.settings.Balancers)
+			loss += miss * (d.settings.Fees.Origin + cacheMissCost)
+		}
+		if loss < least {
+			least, best, bestMiss = loss, executor, miss
+		}
+	}
+	if best != nil && bestMiss >= cacheMissThreshold && forHome {
+		return nil
+	}
+	return best
+}
+
+// push finds a worker for a job of a starved node: one that has less than its part of all slots out, sees no
+// room, and held the job for a good part of its slack. Busy nodes refill a slot as their own job ends: no
+// report shows it. It takes the worker with fewest of our slots, and queues no more than one job there.
+func (d *Dispatcher) speculate(job *job) *executor {
+	held := speculationDelay * (job.objectiveAt - job.work/d.meanSpeed() - job.arrivedAt)
+	full := d.ownSlotsInFlight()+job.slots > d.fairSlots && !d.isStarved()
+	if full || job.inFlight > 0 || job.key != 0 || d.peerLoadsKnown() || d.now < job.arrivedAt+held {
+		return nil
+	}
+	var best *executor
+	for _, executor := range d.inspected {
+		n := max(executor.slots, d.kinds[executor.kind].slots)
+		if !d.isUsable(executor) || executor.unresponsive || executor.unstarted > 0 && d.settings.TellsStart || d.now < executor.rejectedUntil || d.classFailsAt(job, executor) {
+			continue
+		}
+		class, part := &d.settings.Classes[job.class], d.fleetShare()*n+0.5
+		if class.Kind >= 0 && executor.kind != class.Kind || d.errorProbability(job, executor) > ejectionErrorRate || !d.isSendAllowed(job, executor) ||
+			executor.ownSlots > 0 && executor.ownSlots+job.slots > part {
+			continue
+		}
+		if best == nil || executor.ownSlots < best.ownSlots || executor.ownSlots == best.ownSlots && executor.available > best.available {
+			best = executor
+		}
+	}
+	return best
+}
+
+// zonePrice is what a worker's zone costs a job: what the request says of it, or else the price of crossing.
+func (d *Dispatcher) zonePrice(job *job, zone int) float64 {
+	switch {
+	case zone < len(job.zonePrices):
+		return job.zonePrices[zone]
+	case zone != d.settings.Zone:
+		return d.settings.Fees.CrossZone
+	}
+	return 0
+}
--- /dev/null
+++ b/brain/servicetime.go
@@ -0,0 +1,73 @@
+package brain
+
+const (
+	startNoteGraceSteps = 4    // batches a start note may take beyond a connection until a job counts as queued
+	serviceTimeMemory   = 0.98 // memory of the speed averages
+	kindSpeedPrior      = 6    // jobs' worth of the kind's speed mixed into a worker's own
+)
+
+// startLag is how long a start note takes from a worker with room: learned, least lags seen.
+func (d *Dispatcher) startNoteTimeout() float64 {
+	return 2*d.minStartLag + startNoteGraceSteps*d.settings.Step
+}
+
+// clock learns speed from a served attempt.
+func (d *Dispatcher) learnServiceTime(job *job, attempt *attempt) {
+	if d.slowStartShare(attempt.executor) < 1 {
+		return
+	}
+	from := attempt.startedAt
+	if from == 0 {
+		if d.settings.TellsStart || !attempt.hadFreeSlots {
+			return // the wait cannot be told from the run
+		}
+		from = attempt.sentAt
+	}
+	span := max(d.now-from, 0.1)
+	d.meanSlotTime += (job.slots*span - d.meanSlotTime) * 0.02
+	d.meanRun += (job.slots*span*span/max(d.meanSlotTime, 1) - d.meanRun) * 0.02
+	stats := &d.classes[job.class]
+	if job.work == stats.work { // no hint: the class's mean stands for the work
+		stats.work += (span*d.meanSpeed() - stats.work) * 0.02
+	}
+	d.addServiceTime(attempt.executor, job.work, span)
+}
+
+// clocked takes in that a worker did some work in some time.
+func (d *Dispatcher) addServiceTime(executor *executor, work, span float64) {
+	kind := &d.kinds[executor.kind]
+	executor.work, executor.time = executor.work*serviceTimeMemory+work, executor.time*serviceTimeMemory+span
+	kind.work, kind.time = kind.work*serviceTimeMemory+work, kind.time*serviceTimeMemory+span
+	d.allKinds.work, d.allKinds.time = d.allKinds.work*serviceTimeMemory+work, d.allKinds.time*serviceTimeMemory+span
+}
+
+func (d *Dispatcher) meanSpeed() float64 {
+	mean := d.classes[0].work
+	return (d.allKinds.work + mean) / (d.allKinds.time + mean)
+}
+
+func (d *Dispatcher) kindSpeed(kind int) float64 {
+	stats, mean := &d.kinds[kind], d.classes[0].work
+	return (stats.work + mean*d.meanSpeed()) / (stats.time + mean)
+}
+
+// speed is a worker's own, drawn to its kind's while little is known, and less while it is cold: it then has a part
+// of its capacity, which few jobs do not use up.
+func (d *Dispatcher) executorSpeed(executor *executor) float64 {
+	mean := kindSpeedPrior * d.classes[0].work
+	speed, cold := (executor.work+mean*d.kindSpeed(executor.kind))/(executor.time+mean), d.slowStartShare(executor)
+	if cold < 1 && d.peerLoadsKnown() {
+		cold = min(1, cold*max(1, executor.slots, d.kinds[executor.kind].slots)/(executor.ownSlots+d.peerSlotsAt(executor)+1))
+	}
+	return speed * cold
+}
+
+type kindStats struct{ work, time, slots, scale float64 }
+
+type classStats struct {
+	work, slots     float64
+	failsEverywhere bool // at so many workers that it is not theirs
+}
+
+// newClass is what is held of a class before its jobs are seen: an aim is the best hint at the work it was set for.
+func newClassStats(c Class) classStats { return classStats{work: max(1, c.Aim), slots: 1} }
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -137,3 +137,19 @@
 	executor.slowStartCreditAt = max(executor.startedAt, d.now-slowStartBurst*d.settings.Fall)
 	executor.slowStartCredit = -d.random()*d.meanSlotTime - d.workSentSince(executor, sentFrom)
 }
+
+const (
+	slowStartSafety      = 0.6 // part of a cold worker's budget that is used: heavy tails need the rest
+	slowStartKnownSafety = 0.8 // likewise while the hub tells what all nodes have there: room bounds what is sent
+	maxSlowStartPart     = 1.6 // even parts a node has at most, under 1/coldSafety: else all at once outgrow it
+	slowStartBurst       = 0.5 // of its span, what may be saved up: more fills sooner, and pushes over
+)
+
+// safety is the part of a cold worker's budget that is used: more while the hub tells what all have there, for then no
+// more is sent than it can do by then, and what is over is sent by nodes that ask at the same moment alone.
+func (d *Dispatcher) slowStartSafetyFactor() float64 {
+	if d.gossipMode == gossipAggregator && d.peerLoadsKnown() {
+		return slowStartKnownSafety
+	}
+	return slowStartSafety
+}
