--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -74,8 +74,8 @@
 			if got := r.d.tenants[0].reservedSlots; got != 0 {
 				t.Errorf("in flight %v after the end, want 0", got)
 			}
-			if len(r.d.jobs) != 0 || r.d.executors[0].ownSlots != 0 {
-				t.Errorf("left behind: %d jobs, %v slots", len(r.d.jobs), r.d.executors[0].ownSlots)
+			if len(r.d.jobs) != 0 || r.d.executors[0].inFlight.slots != 0 {
+				t.Errorf("left behind: %d jobs, %v slots", len(r.d.jobs), r.d.executors[0].inFlight.slots)
 			}
 		})
 	}
@@ -110,7 +110,7 @@
 		s.Tenants[i].Quota = 1
 	}
 	r := newRig(t, s, ready(7, 0))
-	r.d.executors[0].freeSlots, r.d.executors[0].reportedAt, r.d.executors[0].slots = 0, r.now, 4
+	r.d.executors[0].load.freeSlots, r.d.executors[0].load.reportedAt, r.d.executors[0].load.slots = 0, r.now, 4
 	var flood []Event
 	for id := uint32(1); id <= 60; id++ {
 		flood = append(flood, request(id, 0, 0, 1))
@@ -172,7 +172,7 @@
 	s := base()
 	s.Classes[2].Worth = 3
 	r := newRig(t, s, ready(7, 0))
-	r.d.executors[0].freeSlots, r.d.executors[0].reportedAt, r.d.executors[0].slots = 0, r.now, 4
+	r.d.executors[0].load.freeSlots, r.d.executors[0].load.reportedAt, r.d.executors[0].load.slots = 0, r.now, 4
 	var small []Event
 	for id := uint32(1); id <= 30; id++ {
 		small = append(small, request(id, 0, 0, 1))
@@ -272,7 +272,7 @@
 	executor := r.d.executorsByID[7]
 	lines := []string{}
 	for i := range 3000 {
-		executor.freeSlots, executor.reportedAt, executor.slots = 0, r.now, 2
+		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 0, r.now, 2
 		var got []Action
 		if i < 1000 {
 			got = r.after(10, request(uint32(i+1), 0, 0, 1))
--- a/brain/affinity.go
+++ b/brain/affinity.go
@@ -81,7 +81,7 @@
 
 // hashOf is what the homes of keys see of a worker.
 func affinityHashOf(executor *executor) affinityHash {
-	return affinityHash{mix64(uint64(executor.id) + 0x9e3779b97f4a7c15), executor.tag, executor.row.Kind, executor.condition == Ready}
+	return affinityHash{mix64(uint64(executor.id) + 0x9e3779b97f4a7c15), executor.tag, executor.endpoint.row.Kind, executor.endpoint.condition == Ready}
 }
 
 // touch moves a key to the front of those the worker likely holds.
@@ -116,3 +116,6 @@
 	position int
 	weight   float64
 }
+
+// affinityKeysKept is how many keys are kept of those that an executor was last sent.
+const affinityKeysKept = 12
--- a/brain/aggregator_client.go
+++ b/brain/aggregator_client.go
@@ -106,7 +106,7 @@
 	}
 	if aggregator.snapshotDue {
 		for _, executor := range aggregator.notified {
-			executor.notifiedSlots = 0
+			executor.gossip.notifiedSlots = 0
 		}
 		aggregator.notified = aggregator.notified[:0]
 	}
@@ -131,15 +131,15 @@
 // changes appends what has changed since the hub was told, and what it is to be reminded of.
 func (d *Dispatcher) appendChanges(data []byte) []byte {
 	tell := func(executor *executor) {
-		n := min(math.Round(executor.ownSlots+d.hiddenSlots(executor)), maxEncodedSlots)
-		if n == executor.notifiedSlots && (n == 0 || d.now-executor.notifiedAt < d.reminderInterval()) || len(data) > 2*maxEntries-1 {
+		n := min(math.Round(executor.inFlight.slots+d.hiddenSlots(executor)), maxEncodedSlots)
+		if n == executor.gossip.notifiedSlots && (n == 0 || d.now-executor.gossip.notifiedAt < d.reminderInterval()) || len(data) > 2*maxEntries-1 {
 			return
 		}
-		if executor.notifiedSlots == 0 {
+		if executor.gossip.notifiedSlots == 0 {
 			d.aggregator.notified = append(d.aggregator.notified, executor)
 		}
 		data = binary.BigEndian.AppendUint16(data, executor.tag|uint16(n))
-		executor.notifiedSlots, executor.notifiedAt = n, d.now
+		executor.gossip.notifiedSlots, executor.gossip.notifiedAt = n, d.now
 	}
 	for _, executor := range d.busyExecutors {
 		tell(executor)
@@ -147,7 +147,7 @@
 	for _, executor := range d.aggregator.notified {
 		tell(executor)
 	}
-	d.aggregator.notified = slices.DeleteFunc(d.aggregator.notified, func(executor *executor) bool { return executor.notifiedSlots == 0 })
+	d.aggregator.notified = slices.DeleteFunc(d.aggregator.notified, func(executor *executor) bool { return executor.gossip.notifiedSlots == 0 })
 	return data
 }
 
--- a/brain/aggregator_server.go
+++ b/brain/aggregator_server.go
@@ -85,7 +85,7 @@
 	// The hub answers for each job of all nodes: what it does here is most of its work.
 	more := map[uint16]float64{}
 	for _, executor := range d.executors {
-		if n := executor.ownSlots + d.hiddenSlots(executor); n > 0 {
+		if n := executor.inFlight.slots + d.hiddenSlots(executor); n > 0 {
 			more[executor.tag] += n
 		}
 	}
--- a/brain/attempt.go
+++ b/brain/attempt.go
@@ -3,33 +3,33 @@
 import "slices"
 
 func (d *Dispatcher) sendAttempt(job *job, executor *executor) {
-	executor.slowStartCredit -= job.slots * job.work / d.kindSpeed(executor.kind)
+	executor.slowStart.credit -= job.slots * job.work / d.kindSpeed(executor.endpoint.kind)
 	shared := d.sharesConnection(executor)
-	if executor.unresponsive {
-		executor.retryAt = d.now + d.unresponsiveTimeout()/2*float64(int(1)<<min(executor.retries, 3))*(0.75+0.5*d.random())
-		executor.retries++
+	if executor.outlier.unresponsive {
+		executor.outlier.retryAt = d.now + d.unresponsiveTimeout()/2*float64(int(1)<<min(executor.outlier.retries, 3))*(0.75+0.5*d.random())
+		executor.outlier.retries++
 	}
 	d.lastDispatchAt = d.now
 	d.actions = append(d.actions, Action{Kind: ActSend, Job: job.id, Worker: executor.id})
-	job.attempts = append(job.attempts, attempt{executor: executor, sentAt: d.now, heardAt: d.now, hadFreeSlots: executor.freeSlots >= job.slots})
+	job.attempts = append(job.attempts, attempt{executor: executor, sentAt: d.now, heardAt: d.now, hadFreeSlots: executor.load.freeSlots >= job.slots})
 	if job.key != 0 && cacheMissProbability(job, executor, d.settings.Balancers) >= cacheMissThreshold {
 		job.attempts[len(job.attempts)-1].fetchesKey = true
 		d.fetchingSlots += job.slots
 	}
 	job.inFlight++
-	if len(executor.inFlight) == 0 {
+	if len(executor.inFlight.jobs) == 0 {
 		d.busyExecutors = append(d.busyExecutors, executor)
 	}
-	executor.inFlight = append(executor.inFlight, job)
-	executor.ownSlots += job.slots
-	executor.freeSlots -= job.slots
-	executor.freeMemory -= job.memory
+	executor.inFlight.jobs = append(executor.inFlight.jobs, job)
+	executor.inFlight.slots += job.slots
+	executor.load.freeSlots -= job.slots
+	executor.load.freeMemory -= job.memory
 	d.countUnstarted(executor)
-	if n := len(executor.idleSince); n > 0 {
-		executor.idleSince = executor.idleSince[:n-1]
+	if n := len(executor.connections.idleSince); n > 0 {
+		executor.connections.idleSince = executor.connections.idleSince[:n-1]
 	} else if !shared {
 		job.attempts[len(job.attempts)-1].openedConnection = true
-		executor.opening++
+		executor.connections.opening++
 	}
 	if job.key != 0 {
 		executor.touchKey(job.key)
@@ -50,22 +50,22 @@
 	attempt.resolved = true
 	job.inFlight--
 	d.needsPlacement = true
-	if i := slices.Index(executor.inFlight, job); i >= 0 {
-		executor.inFlight = slices.Delete(executor.inFlight, i, i+1)
-		if len(executor.inFlight) == 0 {
-			executor.unresponsive = false
+	if i := slices.Index(executor.inFlight.jobs, job); i >= 0 {
+		executor.inFlight.jobs = slices.Delete(executor.inFlight.jobs, i, i+1)
+		if len(executor.inFlight.jobs) == 0 {
+			executor.outlier.unresponsive = false
 			i := slices.Index(d.busyExecutors, executor)
 			d.busyExecutors = slices.Delete(d.busyExecutors, i, i+1)
 		}
 	}
 	if !attempt.writtenOff {
-		executor.ownSlots -= job.slots
+		executor.inFlight.slots -= job.slots
 	}
-	executor.freeMemory += job.memory
+	executor.load.freeMemory += job.memory
 	d.countUnstarted(executor)
 	d.noteMayHaveRun(job, attempt, event.Outcome)
 	if attempt.openedConnection {
-		executor.opening--
+		executor.connections.opening--
 	}
 	if attempt.fetchesKey {
 		d.fetchingSlots -= job.slots
@@ -99,7 +99,7 @@
 	attempt.heardAt, attempt.ackOverdue = d.now, false
 	if attempt.writtenOff {
 		attempt.writtenOff = false
-		attempt.executor.ownSlots += job.slots
+		attempt.executor.inFlight.slots += job.slots
 	}
 	if attempt.startedAt == 0 {
 		attempt.startedAt = d.now
--- a/brain/capacity.go
+++ b/brain/capacity.go
@@ -28,21 +28,21 @@
 	known := len(d.executors) <= fullScanLimit || d.peerLoadsKnown() // what others hold
 	own, free, hoped, queued, total, assumed, most := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
 	for _, executor := range d.executors {
-		own += executor.ownSlots
-		if executor.condition != Ready {
+		own += executor.inFlight.slots
+		if executor.endpoint.condition != Ready {
 			continue
 		}
-		n := max(executor.slots, d.kinds[executor.kind].slots)
+		n := max(executor.load.slots, d.kinds[executor.endpoint.kind].slots)
 		total += n
 		assumed += max(n, d.widestRequest, initialSoftLimit)
 		most = max(most, n)
-		if known || executor.reportedAt > 0 && d.now-executor.reportedAt <= min(d.reportTTL(), d.meanRun) {
+		if known || executor.load.reportedAt > 0 && d.now-executor.load.reportedAt <= min(d.reportTTL(), d.meanRun) {
 			free += max(0, d.availableSlots(executor))
 		} else {
 			hoped += max(0, d.availableSlots(executor))
 		}
-		if !known && d.settings.TellsStart && d.now-executor.oldestUnstarted > d.startNoteTimeout() {
-			queued += executor.unstartedSlots
+		if !known && d.settings.TellsStart && d.now-executor.inFlight.oldestUnstarted > d.startNoteTimeout() {
+			queued += executor.inFlight.unstartedSlots
 		}
 	}
 	d.fairSlots = starvationShare * d.fleetShare() * total
@@ -73,45 +73,45 @@
 
 // room is how many more slots of ours a worker takes: by its report, else by what it took before.
 func (d *Dispatcher) availableSlots(executor *executor) float64 {
-	if d.now < executor.rejectedUntil {
+	if d.now < executor.load.rejectedUntil {
 		return 0
 	}
-	if executor.unresponsive && !d.panicking {
+	if executor.outlier.unresponsive && !d.panicking {
 		return 1
 	}
-	if executor.onProbation {
-		return 1 - executor.ownSlots
+	if executor.outlier.onProbation {
+		return 1 - executor.inFlight.slots
 	}
 	// Reports come late and can hide a queue: a job of ours that was not started says there is no room,
 	// whatever free slots were last told or got back.
-	if d.settings.TellsStart && executor.unstarted > 0 && d.now-executor.oldestUnstarted > d.startNoteTimeout() {
+	if d.settings.TellsStart && executor.inFlight.unstarted > 0 && d.now-executor.inFlight.oldestUnstarted > d.startNoteTimeout() {
 		return 0
 	}
 	n := math.Round(d.knownSlots(executor))
 	if n > 0 && d.peerLoadsKnown() {
 		// This is newer than any report.
-		return math.Round(max(1, n*d.slowStartShare(executor)) - executor.ownSlots - d.peerSlotsAt(executor) - d.hiddenSlots(executor))
+		return math.Round(max(1, n*d.slowStartShare(executor)) - executor.inFlight.slots - d.peerSlotsAt(executor) - d.hiddenSlots(executor))
 	}
 	// A weight in the list is the same for all nodes and late: it is no reason to go to a worker, since all
 	// would, but one that tells of more requests than cores is a reason to stay away.
-	if executor.position < len(d.endpointRows) && d.endpointRows[executor.position].liveLoad >= max(liveLoadLimit, liveLoadExcess*d.meanLiveLoad) {
+	if executor.endpoint.position < len(d.endpointRows) && d.endpointRows[executor.endpoint.position].liveLoad >= max(liveLoadLimit, liveLoadExcess*d.meanLiveLoad) {
 		return 0
 	}
-	if executor.reportedAt > 0 && d.now-executor.reportedAt <= d.reportTTL() {
+	if executor.load.reportedAt > 0 && d.now-executor.load.reportedAt <= d.reportTTL() {
 		return math.Round(d.decayedFreeSlots(executor)) // to the nearest: reports are a little noisy
 	}
-	most := math.Floor(executor.softLimit)
+	most := math.Floor(executor.load.softLimit)
 	if n > 0 {
 		// Every node guesses at once when reports fail: none takes more than twice its even part.
 		most = min(most, max(1, math.Round(blindShareFactor*n/float64(d.settings.Balancers))))
 	}
-	if executor.ownSlots == 0 {
+	if executor.inFlight.slots == 0 {
 		most = max(most, d.widestRequest) // else a job wider than what was tried so far would never be sent
 	}
-	most -= executor.ownSlots
+	most -= executor.inFlight.slots
 	if n > 0 && d.lastReportAt > 0 && d.now-d.lastReportAt <= reportsEndedFactor*d.reportTTL() && d.slowStartShare(executor) == 1 {
 		// Others tell what is usual: where the fleet is full, so is likely one not heard of, unless new.
-		most = min(most, math.Round(n*(1-d.peerOccupancyAt(executor))-executor.ownSlots))
+		most = min(most, math.Round(n*(1-d.peerOccupancyAt(executor))-executor.inFlight.slots))
 	}
 	return most
 }
@@ -120,13 +120,13 @@
 // the report ages against a job's run. Where reports are older than jobs are long, each says who was idle and
 // not who is: all nodes storm the roomiest and shun the full, turn about.
 func (d *Dispatcher) decayedFreeSlots(executor *executor) float64 {
-	if d.settings.Balancers < 2 || executor.slots == 0 {
-		return executor.freeSlots
+	if d.settings.Balancers < 2 || executor.load.slots == 0 {
+		return executor.load.freeSlots
 	}
-	x := reportDecayRate * (d.now - executor.reportedAt + d.reportAge) / d.meanRun
+	x := reportDecayRate * (d.now - executor.load.reportedAt + d.reportAge) / d.meanRun
 	keep := 1 / (1 + x + x*x/2)
-	foreign, usual := executor.slots-executor.ownSlots-executor.freeSlots, d.peerOccupancyAt(executor)*executor.slots
-	return executor.slots - executor.ownSlots - usual - (foreign-usual)*keep + hopedSlots*(1-keep)
+	foreign, usual := executor.load.slots-executor.inFlight.slots-executor.load.freeSlots, d.peerOccupancyAt(executor)*executor.load.slots
+	return executor.load.slots - executor.inFlight.slots - usual - (foreign-usual)*keep + hopedSlots*(1-keep)
 }
 
 // usual is the part of a worker's slots that others hold, as reports of its kind in its zone tell, drawn to
@@ -145,9 +145,31 @@
 // slotsOf is how many slots a worker has, as reports showed, 0 if none did. Where the hub tells what others have out it is
 // then as many as a first trial takes: else each of many nodes tries every worker of a kind that it has not met.
 func (d *Dispatcher) knownSlots(executor *executor) float64 {
-	n := max(executor.slots, d.kinds[executor.kind].slots)
+	n := max(executor.load.slots, d.kinds[executor.endpoint.kind].slots)
 	if n == 0 && d.gossipMode == gossipAggregator {
 		return initialSoftLimit
 	}
 	return n
 }
+
+// loadEstimate is how much work an executor takes, by its load reports and by what became of this node's attempts.
+type loadEstimate struct {
+	slots          float64 // most free slots that were ever reported, with those in use then
+	freeSlots      float64 // as last reported, moved by what this node sent and what ended since
+	reportedAt     float64 // of the last new report, 0 for never
+	available      float64 // slots that may be sent now, while jobs are placed
+	softLimit      float64 // slots of this node's that it takes, learned without reports
+	softLimitCutAt float64 // when the limit was last cut for lateness
+	rejectedUntil  float64 // nothing is sent before, because it was full
+	rejections     int     // Full outcomes without a served one between
+	sampleHash     uint64  // of the values of the last report
+	freeMemory     float64 // as last reported, moved like freeSlots; of no meaning unless reportsMemory
+	reportsMemory  bool
+}
+
+// executorGroup is what is learned of the executors of one kind in one zone together: the mean part of their slots that other
+// nodes hold.
+type executorGroup struct {
+	kind, zone                       int
+	occupancySum, samples, updatedAt float64
+}
--- a/brain/classfailure.go
+++ b/brain/classfailure.go
@@ -14,7 +14,7 @@
 // A job that errs at a second worker too may be one that errs wherever it goes: then the first is not to blame either,
 // or one bad request that may be tried six times puts its class out at six workers. It was theirs if a third serves it.
 func (d *Dispatcher) learnClassOutcome(job *job, executor *executor, event *Event) {
-	f, attempt, erred := &executor.classes[job.class], &job.attempts[event.Attempt], 0
+	f, attempt, erred := &executor.failures.byClass[job.class], &job.attempts[event.Attempt], 0
 	for i := range job.attempts {
 		if job.attempts[i].errored {
 			erred++
@@ -23,7 +23,7 @@
 	switch {
 	case event.Outcome == Served:
 		f.errors.add(d, false)
-		executor.errors.add(d, false)
+		executor.failures.all.add(d, false)
 		if attempt.sentAt >= f.failedAt { // else it shows nothing of what came since
 			f.consecutive, f.awayUntil = 0, 0
 		}
@@ -39,8 +39,8 @@
 		} else if erred == 1 {
 			for i := range job.attempts {
 				if x := &job.attempts[i]; x.errored && x != attempt {
-					x.executor.classes[job.class].takeBack(d)
-					x.executor.errors.takeBack(d)
+					x.executor.failures.byClass[job.class].takeBack(d)
+					x.executor.failures.all.takeBack(d)
 				}
 			}
 		}
@@ -59,10 +59,10 @@
 
 // blame holds a job's end against a worker, for its class.
 func (d *Dispatcher) blameClass(executor *executor, class int, o Outcome) {
-	f := &executor.classes[class]
+	f := &executor.failures.byClass[class]
 	if o == Errored {
 		f.errors.add(d, true)
-		executor.errors.add(d, true)
+		executor.failures.all.add(d, true)
 	}
 	if d.now < f.awayUntil {
 		return // it was sent before the last one failed
@@ -99,11 +99,11 @@
 // jobs there that can not be repeated, and lost them again. What other classes fared there counts until a class has
 // fared often enough itself.
 func (d *Dispatcher) errorProbability(job *job, executor *executor) float64 {
-	all, errs := executor.errors.faded(d)
+	all, errs := executor.failures.all.faded(d)
 	if errs < 0.01 || d.settings.Classes[job.class].Effect != Unsafe || d.panicking || d.classes[job.class].failsEverywhere {
 		return 0
 	}
-	own, ownErrs := executor.classes[job.class].errors.faded(d)
+	own, ownErrs := executor.failures.byClass[job.class].errors.faded(d)
 	return (ownErrs + errorPrior*errs/(all+errorPrior)) / (own + errorPrior)
 }
 
@@ -114,7 +114,7 @@
 
 // failing says whether a class failed at a worker lately, here or as other nodes found.
 func (d *Dispatcher) isClassAway(executor *executor, class int) bool {
-	return d.now < executor.classes[class].awayUntil || d.isQuarantined(executor, firstClassQuarantine+class)
+	return d.now < executor.failures.byClass[class].awayUntil || d.isQuarantined(executor, firstClassQuarantine+class)
 }
 
 // sumFails finds the classes that fail at so many workers that it does not help to keep them away.
@@ -145,3 +145,9 @@
 		t.errors++
 	}
 }
+
+// failureState is how jobs fare at an executor.
+type failureState struct {
+	byClass []classFailures
+	all     errorTally // of all classes
+}
--- a/brain/cold_test.go
+++ b/brain/cold_test.go
@@ -140,7 +140,7 @@
 		r.d.randomState = seed
 		executor, born := r.d.executorsByID[7], r.now+1
 		r.after(1)
-		executor.freeSlots, executor.reportedAt, executor.slots = 6, r.now, 6
+		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 6, r.now, 6
 		var requests []Event
 		for id := uint32(1); id <= 6; id++ {
 			e := request(id, 0, 0, 1)
@@ -152,15 +152,15 @@
 				r.after(50, outcome(a.Job, 0, 7, Served))
 			}
 		}
-		if executor.ownSlots != 3 || executor.endedCount != 3 {
-			t.Fatalf("%v jobs out and %d ended, want 3 of each", executor.ownSlots, executor.endedCount)
+		if executor.inFlight.slots != 3 || executor.inFlight.endedCount != 3 {
+			t.Fatalf("%v jobs out and %d ended, want 3 of each", executor.inFlight.slots, executor.inFlight.endedCount)
 		}
 		cold := ready(7, 0)
 		cold.Born = born
 		r.after(10, Event{Kind: EvList, Form: ListDelta, Rows: []Row{cold}})
 		// Three jobs that are out take 400 ms each, and those that ended have held the worker for up to 150 ms.
-		if paid := 3 * 400.0; executor.slowStartCredit > -paid {
-			t.Errorf("seed %d: the budget stands at %.0f ms, want %.0f at most", seed, executor.slowStartCredit, -paid)
+		if paid := 3 * 400.0; executor.slowStart.credit > -paid {
+			t.Errorf("seed %d: the budget stands at %.0f ms, want %.0f at most", seed, executor.slowStart.credit, -paid)
 		}
 	}
 }
--- a/brain/config.go
+++ b/brain/config.go
@@ -42,10 +42,10 @@
 			classes[i] = d.classes[k]
 		}
 		for _, executor := range d.executorsByID {
-			if i < len(executor.classes) {
-				executor.classes[i] = classFailures{}
+			if i < len(executor.failures.byClass) {
+				executor.failures.byClass[i] = classFailures{}
 			} else {
-				executor.classes = append(executor.classes, classFailures{})
+				executor.failures.byClass = append(executor.failures.byClass, classFailures{})
 			}
 		}
 	}
--- a/brain/dispatcher.go
+++ b/brain/dispatcher.go
@@ -40,7 +40,7 @@
 		}
 	case EvFirst:
 		if job := d.jobs[event.Job]; job != nil && int(event.Attempt) < len(job.attempts) {
-			job.attempts[event.Attempt].executor.lastHeard = d.now
+			job.attempts[event.Attempt].executor.outlier.lastHeard = d.now
 			job.deadline = math.Inf(1)
 		}
 	case EvPeer:
--- a/brain/endpoints.go
+++ b/brain/endpoints.go
@@ -92,7 +92,7 @@
 func (d *Dispatcher) applyRows(event *Event) {
 	if event.Form != ListDelta {
 		for _, executor := range d.executors {
-			executor.condition = Gone
+			executor.endpoint.condition = Gone
 		}
 	}
 	changed := d.changedScratch[:0]
@@ -142,7 +142,10 @@
 }
 
 func (d *Dispatcher) newExecutor(id uint32) *executor {
-	added := &executor{id: id, softLimit: initialSoftLimit, lastHeard: d.now, classes: make([]classFailures, len(d.classes))}
+	added := &executor{id: id}
+	added.load.softLimit = initialSoftLimit
+	added.outlier.lastHeard = d.now
+	added.failures.byClass = make([]classFailures, len(d.classes))
 	d.executorsByID[id] = added
 	d.recallStart(added)
 	return added
@@ -150,17 +153,17 @@
 
 // forgetProcess drops what was learned of the former process of an executor that has started anew.
 func (d *Dispatcher) forgetProcess(executor *executor) {
-	executor.freeSlots, executor.reportedAt, executor.softLimit = 0, 0, initialSoftLimit
-	executor.errorAverage, executor.ejections, executor.ejectedUntil = 0, 0, 0
-	executor.dialFailures, executor.dialBackoffUntil = 0, 0
-	executor.ackOverdueAt, executor.ackOverdueUntil, executor.hiddenSlots = 0, 0, 0
-	clear(executor.classes)
-	executor.errors = errorTally{}
+	executor.load.freeSlots, executor.load.reportedAt, executor.load.softLimit = 0, 0, initialSoftLimit
+	executor.outlier.errorAverage, executor.outlier.ejections, executor.outlier.ejectedUntil = 0, 0, 0
+	executor.connections.dialFailures, executor.connections.dialBackoffUntil = 0, 0
+	executor.outlier.ackOverdueAt, executor.outlier.ackOverdueUntil, executor.gossip.hiddenSlots = 0, 0, 0
+	clear(executor.failures.byClass)
+	executor.failures.all = errorTally{}
 	for kind := uint16(firstClassQuarantine); kind <= connectionQuarantine; kind++ {
 		delete(d.aggregator.quarantines, executor.tag|kind)
 	}
-	executor.onProbation, executor.unresponsive = false, false
-	executor.idleSince, executor.affinityKeys, executor.lastHeard = executor.idleSince[:0], [12]uint64{}, d.now
+	executor.outlier.onProbation, executor.outlier.unresponsive = false, false
+	executor.connections.idleSince, executor.affinityKeys, executor.outlier.lastHeard = executor.connections.idleSince[:0], [affinityKeysKept]uint64{}, d.now
 }
 
 // applyRow brings a worker up to date with its row, and makes it if it is new.
@@ -168,13 +171,13 @@
 	executor := d.executorsByID[r.Worker]
 	if executor == nil {
 		executor = d.newExecutor(r.Worker)
-	} else if r.Born != executor.listedStart { // also to an earlier one: the clock that told them may have been stepped back
+	} else if r.Born != executor.slowStart.listedStart { // also to an earlier one: the clock that told them may have been stepped back
 		d.forgetProcess(executor)
 	}
-	executor.zone, executor.kind, executor.cell = int(r.Zone), int(r.Kind), r.Cell
+	executor.endpoint.zone, executor.endpoint.kind, executor.endpoint.cell = int(r.Zone), int(r.Kind), r.Cell
 	executor.group = d.groupOf(r.Kind, r.Zone)
 	d.noteStart(executor, r.Born)
-	executor.condition, executor.row = r.Condition, *r
+	executor.endpoint.condition, executor.endpoint.row = r.Condition, *r
 	d.slowStartAllows(executor, 0) // from now on, not from our next job
 	return executor
 }
@@ -185,10 +188,10 @@
 	d.executors, d.removedExecutors = d.executors[:0], d.removedExecutors[:0]
 	for id, executor := range d.executorsByID {
 		switch {
-		case executor.condition != Gone:
+		case executor.endpoint.condition != Gone:
 			d.executors = append(d.executors, executor)
 			executor.tag = d.tagOf(executor.id)
-		case len(executor.inFlight) == 0:
+		case len(executor.inFlight.jobs) == 0:
 			d.rememberStart(executor)
 			delete(d.executorsByID, id)
 		default:
@@ -198,15 +201,15 @@
 	slices.SortFunc(d.executors, func(a, b *executor) int { return cmp.Compare(a.id, b.id) })
 	for i := range d.endpointRows {
 		if executor := d.executorsByID[d.endpointRows[i].row.Worker]; executor != nil {
-			executor.row.Scale = d.endpointRows[i].row.Scale // as last told
+			executor.endpoint.row.Scale = d.endpointRows[i].row.Scale // as last told
 		}
 	}
 	d.endpointRows, d.affinityHashes = d.endpointRows[:0], d.affinityHashes[:0]
 	for i, executor := range d.executors {
-		executor.position, d.executorsByTag[executor.tag] = i, executor
-		d.endpointRows = append(d.endpointRows, endpointRow{row: executor.row})
+		executor.endpoint.position, d.executorsByTag[executor.tag] = i, executor
+		d.endpointRows = append(d.endpointRows, endpointRow{row: executor.endpoint.row})
 		d.affinityHashes = append(d.affinityHashes, affinityHashOf(executor))
-		d.applyWeight(&d.endpointRows[i], executor.row.Scale)
+		d.applyWeight(&d.endpointRows[i], executor.endpoint.row.Scale)
 	}
 }
 
@@ -216,29 +219,29 @@
 	at := d.positionOf(executor.id)
 	listedNow := at < len(d.endpointRows) && d.endpointRows[at].row.Worker == executor.id
 	switch {
-	case executor.condition == Gone && listedNow:
+	case executor.endpoint.condition == Gone && listedNow:
 		d.executors = slices.Delete(d.executors, at, at+1)
 		d.endpointRows = slices.Delete(d.endpointRows, at, at+1)
 		d.affinityHashes = slices.Delete(d.affinityHashes, at, at+1)
 		d.releaseTag(executor)
 		d.removedExecutors = append(d.removedExecutors, executor)
 		return
-	case executor.condition == Gone:
+	case executor.endpoint.condition == Gone:
 		d.removedExecutors = append(d.removedExecutors, executor)
 		return
 	case listedNow:
-		executor.row.Scale = d.endpointRows[at].row.Scale // as last told
-		d.endpointRows[at].row, d.affinityHashes[at] = executor.row, affinityHashOf(executor)
+		executor.endpoint.row.Scale = d.endpointRows[at].row.Scale // as last told
+		d.endpointRows[at].row, d.affinityHashes[at] = executor.endpoint.row, affinityHashOf(executor)
 	default:
 		executor.tag = d.tagOf(executor.id)
 		if x := d.executorsByTag[executor.tag]; x == nil || x.id < executor.id {
 			d.executorsByTag[executor.tag] = executor
 		}
 		d.executors = slices.Insert(d.executors, at, executor)
-		d.endpointRows = slices.Insert(d.endpointRows, at, endpointRow{row: executor.row})
+		d.endpointRows = slices.Insert(d.endpointRows, at, endpointRow{row: executor.endpoint.row})
 		d.affinityHashes = slices.Insert(d.affinityHashes, at, affinityHashOf(executor))
 	}
-	d.applyWeight(&d.endpointRows[at], executor.row.Scale)
+	d.applyWeight(&d.endpointRows[at], executor.endpoint.row.Scale)
 }
 
 // untag gives a worker's name in messages to the last other one of that name, if there is one.
@@ -257,10 +260,19 @@
 // forgetLeft forgets the workers that are gone once nothing of ours is out there.
 func (d *Dispatcher) forgetRemoved() {
 	d.removedExecutors = slices.DeleteFunc(d.removedExecutors, func(executor *executor) bool {
-		if executor.condition == Gone && len(executor.inFlight) == 0 {
+		if executor.endpoint.condition == Gone && len(executor.inFlight.jobs) == 0 {
 			d.rememberStart(executor)
 			delete(d.executorsByID, executor.id)
 		}
-		return executor.condition != Gone || len(executor.inFlight) == 0
+		return executor.endpoint.condition != Gone || len(executor.inFlight.jobs) == 0
 	})
 }
+
+// endpointState is what the endpoint list tells of an executor.
+type endpointState struct {
+	zone, kind int
+	cell       uint16
+	condition  Condition
+	position   int // in the list, where weights are live
+	row        Row // when it last changed but for its weight
+}
--- a/brain/flaky_test.go
+++ b/brain/flaky_test.go
@@ -66,7 +66,7 @@
 		cold.Born = 100000
 		r := newRig(t, s, cold)
 		executor := r.d.executorsByID[7]
-		executor.slots, r.d.kinds[0].slots = 4, 4
+		executor.load.slots, r.d.kinds[0].slots = 4, 4
 		least := 0.0
 		for id := uint32(1); id < 60; id++ {
 			e := request(id, 0, 0, slots)
@@ -76,7 +76,7 @@
 					r.after(1, outcome(a.Job, 0, 7, Served, 4+float32(id)*1e-4))
 				}
 			}
-			least = min(least, executor.slowStartCredit)
+			least = min(least, executor.slowStart.credit)
 		}
 		return -least
 	}
@@ -107,7 +107,7 @@
 			}
 		}
 	}
-	if executor.rejections < 2 || sends > 20 {
+	if executor.load.rejections < 2 || sends > 20 {
 		t.Errorf("%d sends in 4 s to a worker that turns all away, want 20 at most", sends)
 	}
 }
@@ -137,7 +137,7 @@
 		}
 		unsafe := &job{class: 2}
 		for _, executor := range r.d.executors {
-			if d := r.d; d.now < executor.classes[0].awayUntil {
+			if d := r.d; d.now < executor.failures.byClass[0].awayUntil {
 				away++
 			}
 			odds = max(odds, r.d.errorProbability(unsafe, executor))
--- a/brain/gossip.go
+++ b/brain/gossip.go
@@ -58,7 +58,7 @@
 	}
 	var data []byte
 	for _, executor := range d.busyExecutors {
-		if n := math.Round(executor.ownSlots); n > 0 && len(data)+3 <= 255 {
+		if n := math.Round(executor.inFlight.slots); n > 0 && len(data)+3 <= 255 {
 			data = append(data, byte(executor.tag>>8), byte(executor.tag), byte(min(n, 255)))
 		}
 	}
@@ -80,13 +80,13 @@
 // be room shows it, and it is taken to end over a run. Nodes that were killed, and hubs, leave such jobs behind, and to
 // tell of them spares every other node the same wait.
 func (d *Dispatcher) hiddenSlots(executor *executor) float64 {
-	if d.settings.TellsStart && executor.unstarted > 0 && d.now-executor.oldestUnstarted > d.startNoteTimeout() {
+	if d.settings.TellsStart && executor.inFlight.unstarted > 0 && d.now-executor.inFlight.oldestUnstarted > d.startNoteTimeout() {
 		n := d.knownSlots(executor) * d.slowStartShare(executor)
-		if full := n - executor.ownSlots - d.peerSlotsAt(executor); full >= executor.hiddenSlots {
-			executor.hiddenSlots, executor.hiddenAt = full, d.now
+		if full := n - executor.inFlight.slots - d.peerSlotsAt(executor); full >= executor.gossip.hiddenSlots {
+			executor.gossip.hiddenSlots, executor.gossip.hiddenAt = full, d.now
 		}
 	}
-	return max(0, executor.hiddenSlots*(1-(d.now-executor.hiddenAt)/d.meanRun))
+	return max(0, executor.gossip.hiddenSlots*(1-(d.now-executor.gossip.hiddenAt)/d.meanRun))
 }
 
 // heardPeer takes in what another node has out.
@@ -116,7 +116,7 @@
 func (d *Dispatcher) addPeerLoad(peer *peer, sign float64) {
 	for _, x := range peer.loads {
 		if executor := d.executorsByTag[x.tag]; executor != nil {
-			executor.peerSlots += sign * x.slots
+			executor.gossip.peerSlots += sign * x.slots
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	d.nextPeerSum = d.now + d.reportInterval/4
 	clear(d.aggregator.slotTotals)
 	for _, executor := range d.executors {
-		executor.peerSlots = 0
+		executor.gossip.peerSlots = 0
 	}
 	for i := range d.peers {
 		peer := &d.peers[i]
@@ -167,5 +167,14 @@
 		}
 		return d.aggregator.peerSlots[executor.tag]
 	}
-	return executor.peerSlots * float64(len(d.peers)-1) / float64(max(d.freshPeers, 1))
+	return executor.gossip.peerSlots * float64(len(d.peers)-1) / float64(max(d.freshPeers, 1))
+}
+
+// executorGossip is what nodes tell one another of an executor.
+type executorGossip struct {
+	peerSlots     float64 // that other nodes hold, where each broadcasts its load
+	hiddenSlots   float64 // held there and told by nobody, as was seen at hiddenAt
+	hiddenAt      float64
+	notifiedSlots float64 // ours, as the aggregator was last notified at notifiedAt
+	notifiedAt    float64
 }
--- a/brain/health_test.go
+++ b/brain/health_test.go
@@ -7,17 +7,17 @@
 // Workers that take no new connection go on serving over open ones (ifa25c6).
 func TestFailedConnectLeavesOpenConnections(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
-	r.d.executors[0].freeSlots, r.d.executors[0].reportedAt, r.d.executors[0].slots = 4, r.now, 4
+	r.d.executors[0].load.freeSlots, r.d.executors[0].load.reportedAt, r.d.executors[0].load.slots = 4, r.now, 4
 	r.step(request(1, 0, 0, 1))
 	got := r.after(10, outcome(1, 0, 7, ConnectFailed))
 	if len(find(got, ActSend, 1)) != 0 {
 		t.Error("tried a new connection at once")
 	}
-	r.d.executors[0].idleSince = append(r.d.executors[0].idleSince, r.now)
+	r.d.executors[0].connections.idleSince = append(r.d.executors[0].connections.idleSince, r.now)
 	if got := r.after(20, Event{Kind: EvTimer}); len(find(got, ActSend, 1)) != 1 {
 		t.Error("did not use the open connection")
 	}
-	if r.after(10, outcome(1, 1, 7, Served)); r.d.executors[0].dialFailures == 0 {
+	if r.after(10, outcome(1, 1, 7, Served)); r.d.executors[0].connections.dialFailures == 0 {
 		t.Error("a job served over an open connection says nothing of new ones")
 	}
 }
@@ -75,8 +75,8 @@
 	}
 	r.now += 60000
 	r.step()
-	if run(2, served); r.d.executorsByID[1].classes[2].consecutive != 0 || r.d.executorsByID[1].classes[2].awayUntil != 0 {
-		t.Errorf("served again: %+v", r.d.executorsByID[1].classes[2])
+	if run(2, served); r.d.executorsByID[1].failures.byClass[2].consecutive != 0 || r.d.executorsByID[1].failures.byClass[2].awayUntil != 0 {
+		t.Errorf("served again: %+v", r.d.executorsByID[1].failures.byClass[2])
 	}
 	everywhere := func(uint32) Outcome { return Errored }
 	for range 5 {
@@ -115,8 +115,8 @@
 		}
 		r.after(1, events...)
 		executor := r.d.executorsByID[1]
-		if got := executor.classes[2].awayUntil > r.now; got != x.away || executor.classes[0].awayUntil > 0 {
-			t.Errorf("%s: kept away %v, want %v; another class %+v", x.name, got, x.away, executor.classes[0])
+		if got := executor.failures.byClass[2].awayUntil > r.now; got != x.away || executor.failures.byClass[0].awayUntil > 0 {
+			t.Errorf("%s: kept away %v, want %v; another class %+v", x.name, got, x.away, executor.failures.byClass[0])
 		}
 	}
 }
@@ -139,7 +139,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			r := newRig(t, base(), ready(7, 0), ready(8, 0), ready(9, 0))
 			for _, executor := range r.d.executors {
-				executor.freeSlots, executor.reportedAt, executor.slots = 4, r.now, 4
+				executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4, r.now, 4
 			}
 			sent := find(r.step(request(1, tt.class, 0, 1)), ActSend, 1)
 			if tt.started {
@@ -148,7 +148,7 @@
 			got := 0
 			for range 30 {
 				if tt.heard { // another's answer says that the worker lives
-					r.d.executorsByID[sent[0].Worker].lastHeard = r.now
+					r.d.executorsByID[sent[0].Worker].outlier.lastHeard = r.now
 				}
 				got += len(find(r.after(100, Event{Kind: EvTimer}), ActSend, 1))
 			}
@@ -174,17 +174,19 @@
 	s.MayDuplicate = false
 	r := newRig(t, s, ready(7, 0))
 	executor := r.d.executorsByID[7]
-	tell := func() { executor.freeSlots, executor.reportedAt, executor.slots = 4-executor.ownSlots, r.now, 4 }
+	tell := func() {
+		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4-executor.inFlight.slots, r.now, 4
+	}
 	tell()
 	r.step(request(1, 0, 0, 1), request(2, 0, 0, 1), request(3, 0, 0, 1), request(4, 2, 0, 1))
 	for id := uint32(1); id <= 4; id++ {
 		r.step(Event{Kind: EvNote, Job: id, Topic: NoteStarted})
 	}
-	if executor.ownSlots != 4 {
-		t.Fatalf("%v slots out, want 4", executor.ownSlots)
+	if executor.inFlight.slots != 4 {
+		t.Fatalf("%v slots out, want 4", executor.inFlight.slots)
 	}
 	r.after(2600, Event{Kind: EvTimer})
-	if !executor.unresponsive {
+	if !executor.outlier.unresponsive {
 		t.Fatal("not silent after 2.6 progress periods")
 	}
 	if got := r.step(request(10, 2, 0, 1), request(11, 0, 0, 1), request(12, 0, 0, 1)); len(got) > 0 && got[0].Kind == ActSend {
@@ -202,25 +204,25 @@
 		t.Fatalf("tried %v, want one job that is safe to repeat", tried)
 	}
 	got := r.after(1, Event{Kind: EvNote, Job: tried[0], Topic: NoteStarted})
-	if executor.unresponsive || executor.ownSlots < 1 || executor.ownSlots > 4 || len(find(got, ActSend, 10)) != 1 {
-		t.Errorf("silent %v, %v slots out, actions %v: want it in use again", executor.unresponsive, executor.ownSlots, got)
+	if executor.outlier.unresponsive || executor.inFlight.slots < 1 || executor.inFlight.slots > 4 || len(find(got, ActSend, 10)) != 1 {
+		t.Errorf("silent %v, %v slots out, actions %v: want it in use again", executor.outlier.unresponsive, executor.inFlight.slots, got)
 	}
-	before := executor.ownSlots
+	before := executor.inFlight.slots
 	r.after(1, Event{Kind: EvNote, Job: 1, Topic: NoteProgress})
-	if executor.ownSlots != before+1 {
-		t.Errorf("%v slots out once a lost job was heard of, want %v", executor.ownSlots, before+1)
+	if executor.inFlight.slots != before+1 {
+		t.Errorf("%v slots out once a lost job was heard of, want %v", executor.inFlight.slots, before+1)
 	}
 	r.after(1, outcome(1, 0, 7, Served), outcome(2, 0, 7, TimedOut))
 	want := 0.0
-	for _, job := range executor.inFlight {
+	for _, job := range executor.inFlight.jobs {
 		for _, a := range job.attempts {
 			if !a.resolved && !a.writtenOff {
 				want += job.slots
 			}
 		}
 	}
-	if executor.ownSlots != want {
-		t.Errorf("%v slots out, want %v", executor.ownSlots, want)
+	if executor.inFlight.slots != want {
+		t.Errorf("%v slots out, want %v", executor.inFlight.slots, want)
 	}
 }
 
@@ -238,7 +240,7 @@
 		}
 		r := newRig(t, s, ready(7, 0), ready(8, 0))
 		for _, executor := range r.d.executors {
-			executor.freeSlots, executor.reportedAt, executor.slots = 4, r.now, 4
+			executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4, r.now, 4
 		}
 		r.step(request(1, 0, 0, 1), request(2, 0, 0, 1), request(3, 0, 0, 1), request(4, 0, 0, 1))
 		r.after(8000, Event{Kind: EvTimer})
--- a/brain/healthcheck.go
+++ b/brain/healthcheck.go
@@ -9,8 +9,8 @@
 	if executor == nil {
 		return
 	}
-	if executor.checkPending {
-		executor.checkPending = false
+	if executor.healthCheck.pending {
+		executor.healthCheck.pending = false
 		d.checksInFlight--
 		d.needsPlacement = true
 	}
@@ -34,7 +34,7 @@
 	}
 	span := max(d.reportInterval*0.8, 1000*float64(len(d.executors))/(maxChecksPerRequest*max(rate, 0.5)))
 	for _, executor := range d.executors {
-		if executor.condition != Ready || executor.checkPending || d.now-executor.checkedAt < span*executor.checkIntervalFactor {
+		if executor.endpoint.condition != Ready || executor.healthCheck.pending || d.now-executor.healthCheck.sentAt < span*executor.healthCheck.intervalFactor {
 			continue
 		}
 		d.sendHealthCheck(executor)
@@ -42,7 +42,7 @@
 }
 
 func (d *Dispatcher) sendHealthCheck(executor *executor) {
-	executor.checkPending, executor.checkedAt, executor.checkIntervalFactor = true, d.now, 0.8+0.4*d.random()
+	executor.healthCheck.pending, executor.healthCheck.sentAt, executor.healthCheck.intervalFactor = true, d.now, 0.8+0.4*d.random()
 	d.checksInFlight++
 	d.actions = append(d.actions, Action{Kind: ActProbe, Worker: executor.id})
 }
@@ -55,7 +55,7 @@
 	}
 	n := 0
 	try := func(executor *executor) {
-		if executor != nil && executor.condition == Ready && !executor.checkPending && d.now-executor.reportedAt > d.reportInterval/2 && d.isUsable(executor) {
+		if executor != nil && executor.endpoint.condition == Ready && !executor.healthCheck.pending && d.now-executor.load.reportedAt > d.reportInterval/2 && d.isUsable(executor) {
 			d.sendHealthCheck(executor)
 			n++
 		}
@@ -70,3 +70,11 @@
 	}
 	job.holdUntil = d.now + d.tickInterval()
 }
+
+// healthCheckState is the last health check of an executor. The interval to the next has a random factor of its own, and follows the
+// traffic otherwise: a node that was quiet at its start does not stay blind for long once requests come.
+type healthCheckState struct {
+	pending        bool
+	sentAt         float64
+	intervalFactor float64
+}
--- a/brain/hub_test.go
+++ b/brain/hub_test.go
@@ -119,7 +119,7 @@
 func (c *crowd) know(slots float64) {
 	for _, d := range c.nodes {
 		for _, executor := range d.executors {
-			executor.slots = slots
+			executor.load.slots = slots
 		}
 		d.kinds[0].slots = slots
 	}
@@ -282,13 +282,13 @@
 		executor := d.executors[30]
 		share := d.slowStartShare(executor)
 		c.send(i, 300) // brings what the hub tells
-		if got, want := d.availableSlots(executor), math.Round(4*share)-d.peerSlotsAt(executor)-executor.ownSlots; got != want {
+		if got, want := d.availableSlots(executor), math.Round(4*share)-d.peerSlotsAt(executor)-executor.inFlight.slots; got != want {
 			t.Errorf("node %d: room for %v more at a share of %.2f, want %v", i, got, share, want)
 		}
-		if n := executor.ownSlots + d.peerSlotsAt(executor) + 1; n <= 4*share && d.executorSpeed(executor) < d.kindSpeed(executor.kind) {
+		if n := executor.inFlight.slots + d.peerSlotsAt(executor) + 1; n <= 4*share && d.executorSpeed(executor) < d.kindSpeed(executor.endpoint.kind) {
 			t.Errorf("node %d: job %v of 4 slots at a share of %.2f is taken to run slowly", i, n, share)
 		}
-		if executor.slowStartCreditAt == 0 {
+		if executor.slowStart.creditAt == 0 {
 			t.Errorf("node %d did not look at the cold worker", i)
 		}
 		break
@@ -467,7 +467,7 @@
 		d := c.nodes[i]
 		d.aggregator.answeredAt, d.nextEstimate = d.now, 0
 		for k, executor := range d.executors {
-			executor.slots = 4
+			executor.load.slots = 4
 			if d.aggregator.peerSlots[executor.tag] = math.Floor(x.theirs); float64(k)/40 < x.theirs-math.Floor(x.theirs) {
 				d.aggregator.peerSlots[executor.tag]++
 			}
--- a/brain/late_test.go
+++ b/brain/late_test.go
@@ -17,10 +17,10 @@
 	tell := func(ids ...uint32) {
 		for _, id := range []uint32{7, 8, 9} {
 			executor := r.d.executorsByID[id]
-			executor.freeSlots, executor.reportedAt, executor.slots = 0, r.now, 4
+			executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 0, r.now, 4
 			for _, x := range ids {
 				if x == id {
-					executor.freeSlots = 4 - executor.ownSlots
+					executor.load.freeSlots = 4 - executor.inFlight.slots
 				}
 			}
 		}
@@ -28,8 +28,8 @@
 	tell(7)
 	r.after(10, request(1, 1, 0, 1), request(2, 2, 0, 1))
 	executor := r.d.executorsByID[7]
-	if executor.ownSlots != 2 {
-		t.Fatalf("%v slots out at the worker, want 2", executor.ownSlots)
+	if executor.inFlight.slots != 2 {
+		t.Fatalf("%v slots out at the worker, want 2", executor.inFlight.slots)
 	}
 	tell(7, 8, 9)
 	late := func(job uint32) Event { return Event{Kind: EvNote, Job: job, Worker: 7, Topic: NoteLate} }
@@ -43,8 +43,8 @@
 	if got := find(again, ActSend, 2); len(got) != 0 {
 		t.Errorf("the job that must not run twice was sent again: %v", got)
 	}
-	if executor.ownSlots != 0 {
-		t.Errorf("%v slots out of what may never have come, want none", executor.ownSlots)
+	if executor.inFlight.slots != 0 {
+		t.Errorf("%v slots out of what may never have come, want none", executor.inFlight.slots)
 	}
 	// While the worker tells of room, jobs go to the others, and none that may be lost goes there first.
 	sent := map[uint32][]uint32{}
@@ -54,7 +54,7 @@
 			class = 2
 		}
 		tell(7, 8, 9)
-		r.d.executorsByID[8].freeSlots, r.d.executorsByID[9].freeSlots = 1, 1 // as much room as a worker on trial has
+		r.d.executorsByID[8].load.freeSlots, r.d.executorsByID[9].load.freeSlots = 1, 1 // as much room as a worker on trial has
 		for _, a := range r.after(50, request(id, class, 0, 1)) {
 			if a.Kind == ActSend {
 				sent[a.Worker] = append(sent[a.Worker], a.Job)
@@ -72,13 +72,13 @@
 	}
 	r.after(10, Event{Kind: EvNote, Job: sent[7][0], Worker: 7, Topic: NoteStarted})
 	r.after(10, outcome(sent[7][0], 0, 7, Served))
-	if executor.onProbation || r.d.now < executor.ackOverdueUntil {
+	if executor.outlier.onProbation || r.d.now < executor.outlier.ackOverdueUntil {
 		t.Error("a job sent since ended well, and the worker is still kept away")
 	}
 	// The late one's result still counts: an answer, and no outcome is taken twice.
 	r.after(10, outcome(2, 0, 7, Served))
-	if r.d.jobs[2] != nil || executor.ownSlots < 0 {
-		t.Errorf("job 2 is kept: %v, %v slots out", r.d.jobs[2], executor.ownSlots)
+	if r.d.jobs[2] != nil || executor.inFlight.slots < 0 {
+		t.Errorf("job 2 is kept: %v, %v slots out", r.d.jobs[2], executor.inFlight.slots)
 	}
 }
 
@@ -89,30 +89,30 @@
 	r := newRig(t, s, ready(7, 1), ready(8, 1))
 	executor := r.d.executorsByID[7]
 	give := func() {
-		executor.freeSlots, executor.reportedAt, executor.slots = 4-executor.ownSlots, r.now, 4
-		r.d.executorsByID[8].rejectedUntil = r.now + 1e6
+		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4-executor.inFlight.slots, r.now, 4
+		r.d.executorsByID[8].load.rejectedUntil = r.now + 1e6
 	}
 	give()
 	r.after(10, request(1, 1, 0, 1), request(2, 1, 0, 1), request(3, 1, 0, 1))
-	if executor.ownSlots != 3 {
-		t.Fatalf("%v slots out, want 3", executor.ownSlots)
+	if executor.inFlight.slots != 3 {
+		t.Fatalf("%v slots out, want 3", executor.inFlight.slots)
 	}
 	r.after(100, Event{Kind: EvNote, Job: 3, Worker: 7, Topic: NoteStarted})
 	r.after(400, Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteLate})
-	if r.now < executor.ejectedUntil || executor.ownSlots != 2 {
-		t.Errorf("kept away until %v for one connection, %v slots out", executor.ejectedUntil, executor.ownSlots)
+	if r.now < executor.outlier.ejectedUntil || executor.inFlight.slots != 2 {
+		t.Errorf("kept away until %v for one connection, %v slots out", executor.outlier.ejectedUntil, executor.inFlight.slots)
 	}
 	r.after(10, Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteLate}) // told again: nothing new
-	if r.now < executor.ejectedUntil || executor.ownSlots != 2 {
+	if r.now < executor.outlier.ejectedUntil || executor.inFlight.slots != 2 {
 		t.Error("the same job counts twice")
 	}
 	r.after(10, Event{Kind: EvNote, Job: 2, Worker: 7, Topic: NoteLate})
-	if r.now >= executor.ejectedUntil {
+	if r.now >= executor.outlier.ejectedUntil {
 		t.Error("two late jobs, and the worker is still in use")
 	}
 	r.after(10, Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteStarted})
-	if executor.ownSlots != 2 || r.d.jobs[1].attempts[0].ackOverdue {
-		t.Errorf("%v slots out once a late job was heard of", executor.ownSlots)
+	if executor.inFlight.slots != 2 || r.d.jobs[1].attempts[0].ackOverdue {
+		t.Errorf("%v slots out once a late job was heard of", executor.inFlight.slots)
 	}
 }
 
--- a/brain/loadreport.go
+++ b/brain/loadreport.go
@@ -52,14 +52,14 @@
 			service = x
 		}
 	}
-	if sample == executor.sampleHash && (executor.ownSlots > 0 || d.now-executor.reportedAt < d.reportInterval) {
+	if sample == executor.load.sampleHash && (executor.inFlight.slots > 0 || d.now-executor.load.reportedAt < d.reportInterval) {
 		return // while nothing of ours is there, an idle worker may well report the same again
 	}
-	if service > 0 && d.slowStartShare(executor) == 1 && executor.time*d.meanSpeed() < kindSpeedPrior*d.classes[0].work {
+	if service > 0 && d.slowStartShare(executor) == 1 && executor.serviceTime.time*d.meanSpeed() < kindSpeedPrior*d.classes[0].work {
 		// Told without the wait: of a worker that always queues, and of one seldom used, our own runs tell little.
 		d.addServiceTime(executor, d.classes[0].work, service)
 	}
-	slots := max(initialSoftLimit, math.Round(executor.slots), math.Round(d.kinds[executor.kind].slots))
+	slots := max(initialSoftLimit, math.Round(executor.load.slots), math.Round(d.kinds[executor.endpoint.kind].slots))
 	width, told := d.classes[0].slots, free
 	if math.IsNaN(free) {
 		switch {
@@ -80,15 +80,15 @@
 			free = -pending * width
 		}
 	}
-	if executor.reportedAt > 0 && sample != executor.sampleHash {
-		gap := d.now - executor.reportedAt
+	if executor.load.reportedAt > 0 && sample != executor.load.sampleHash {
+		gap := d.now - executor.load.reportedAt
 		pull := 0.02
 		if gap < d.reportInterval {
 			pull = 0.1
 		}
 		d.reportInterval = max(d.reportInterval+(min(gap, 10*d.reportInterval)-d.reportInterval)*pull, d.settings.Step, 1)
 	}
-	executor.sampleHash, executor.reportedAt = sample, d.now
+	executor.load.sampleHash, executor.load.reportedAt = sample, d.now
 	d.recentReporters.add(executor)
 	held := busy
 	if math.IsNaN(busy) {
@@ -99,20 +99,20 @@
 	}
 	d.learnReportAge(executor, held, math.IsNaN(busy))
 	taken := d.now - d.reportAge
-	executor.freeSlots, executor.freeMemory, executor.reportsMemory = free, memory, !math.IsNaN(memory)
-	for _, job := range executor.inFlight {
+	executor.load.freeSlots, executor.load.freeMemory, executor.load.reportsMemory = free, memory, !math.IsNaN(memory)
+	for _, job := range executor.inFlight.jobs {
 		for i := range job.attempts {
 			if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved {
 				if attempt.sentAt > taken {
-					executor.freeSlots -= job.slots
-					executor.freeMemory -= job.memory
+					executor.load.freeSlots -= job.slots
+					executor.load.freeMemory -= job.memory
 				}
 			}
 		}
 	}
-	for _, x := range executor.endedAttempts {
+	for _, x := range executor.inFlight.ended {
 		if x.endedAt > taken {
-			executor.freeSlots += x.slots
+			executor.load.freeSlots += x.slots
 		}
 	}
 	// With room for the widest job nothing is queued, and all that is held runs. Noise asks for a slow rise.
@@ -120,22 +120,22 @@
 	if free >= d.widestRequest-0.5 && busy > 0 {
 		most += busy
 	}
-	if executor.slots == 0 {
-		executor.slots = max(0, math.Round(most))
-	} else if most > executor.slots {
-		executor.slots += (most - executor.slots) * 0.3
+	if executor.load.slots == 0 {
+		executor.load.slots = max(0, math.Round(most))
+	} else if most > executor.load.slots {
+		executor.load.slots += (most - executor.load.slots) * 0.3
 	}
-	d.kinds[executor.kind].slots = max(d.kinds[executor.kind].slots, executor.slots)
-	executor.freeSlots = min(executor.freeSlots, max(slots, executor.slots)-executor.ownSlots)
-	theirs := max(0, executor.slots-executor.ownSlots-executor.freeSlots) / max(executor.slots, 1)
+	d.kinds[executor.endpoint.kind].slots = max(d.kinds[executor.endpoint.kind].slots, executor.load.slots)
+	executor.load.freeSlots = min(executor.load.freeSlots, max(slots, executor.load.slots)-executor.inFlight.slots)
+	theirs := max(0, executor.load.slots-executor.inFlight.slots-executor.load.freeSlots) / max(executor.load.slots, 1)
 	d.meanPeerOccupancy += (theirs - d.meanPeerOccupancy) * 0.02
 	group, fade := executor.group, max(0, 1-(d.now-executor.group.updatedAt)/d.occupancyWindow())
 	group.occupancySum, group.samples, group.updatedAt = group.occupancySum*fade+theirs, group.samples*fade+1, d.now
 	d.lastReportAt = d.now
 	// Room that a report tells ends a wait after one 'full', which a late report may have led to. A worker that turns
 	// away the next as well, beside free slots, drains and was not listed so yet: it is left alone for as long as ever.
-	if executor.freeSlots >= 1 && executor.rejections < 2 {
-		executor.rejectedUntil = 0
+	if executor.load.freeSlots >= 1 && executor.load.rejections < 2 {
+		executor.load.rejectedUntil = 0
 	}
 	d.needsPlacement = true
 }
@@ -173,14 +173,14 @@
 				ours++
 			}
 		}
-		for _, job := range executor.inFlight {
+		for _, job := range executor.inFlight.jobs {
 			for i := range job.attempts {
 				if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && attempt.sentAt <= at {
 					add(job.slots)
 				}
 			}
 		}
-		for _, x := range executor.endedAttempts {
+		for _, x := range executor.inFlight.ended {
 			if x.sentAt <= at && x.endedAt > at {
 				add(x.slots)
 			}
--- a/brain/outlier.go
+++ b/brain/outlier.go
@@ -17,14 +17,14 @@
 
 // usable says whether new work may go to a worker at all.
 func (d *Dispatcher) isUsable(executor *executor) bool {
-	if (executor.dialFailures > 0 && (d.now < executor.dialBackoffUntil || executor.opening > 0) || d.isQuarantined(executor, connectionQuarantine)) && !d.hasOpenConnection(executor) {
+	if (executor.connections.dialFailures > 0 && (d.now < executor.connections.dialBackoffUntil || executor.connections.opening > 0) || d.isQuarantined(executor, connectionQuarantine)) && !d.hasOpenConnection(executor) {
 		// A worker can serve over the connections it has and take no new one (its table is full, or new
 		// ones are cut): a served job says nothing of the next connect. One new connection tries at a time.
 		return false
 	}
 	// A silent worker is tried again with one job now and then: else one that was cut off and holds jobs
 	// whose end was lost would stay out until the last client's time is over (i3f1d0e).
-	return executor.condition == Ready && (d.panicking || d.now >= executor.ejectedUntil && (!executor.unresponsive || d.now >= executor.retryAt))
+	return executor.endpoint.condition == Ready && (d.panicking || d.now >= executor.outlier.ejectedUntil && (!executor.outlier.unresponsive || d.now >= executor.outlier.retryAt))
 }
 
 // judge draws from an outcome what it says of the worker: its room, speed, errors and connections.
@@ -32,47 +32,47 @@
 	executor := attempt.executor
 	switch o {
 	case Served, Errored, Reset:
-		executor.freeSlots += job.slots
-		executor.endedAttempts[executor.endedCount%len(executor.endedAttempts)] = endedAttempt{attempt.sentAt, d.now, job.slots}
-		executor.endedCount++
+		executor.load.freeSlots += job.slots
+		executor.inFlight.ended[executor.inFlight.endedCount%len(executor.inFlight.ended)] = endedAttempt{attempt.sentAt, d.now, job.slots}
+		executor.inFlight.endedCount++
 	case Full:
-		executor.freeSlots = min(executor.freeSlots+job.slots, 0)
-		executor.softLimit = max(1, softLimitBackoff*executor.ownSlots)
-		executor.rejections = min(executor.rejections+1, 6)
-		executor.rejectedUntil = d.now + d.reportInterval*0.25*float64(int(1)<<(executor.rejections-1))*(0.5+d.random())
+		executor.load.freeSlots = min(executor.load.freeSlots+job.slots, 0)
+		executor.load.softLimit = max(1, softLimitBackoff*executor.inFlight.slots)
+		executor.load.rejections = min(executor.load.rejections+1, 6)
+		executor.load.rejectedUntil = d.now + d.reportInterval*0.25*float64(int(1)<<(executor.load.rejections-1))*(0.5+d.random())
 	case ConnectFailed, Moot:
-		executor.freeSlots += job.slots
+		executor.load.freeSlots += job.slots
 	}
 	switch o {
 	case Served:
 		d.noteAlive(executor)
-		executor.errorAverage *= errorAverageMemory
-		if executor.rejections = 0; attempt.sentAt >= executor.ackOverdueAt { // else it shows nothing of what came since
-			executor.ejections, executor.onProbation, executor.ackOverdueUntil = 0, false, 0
+		executor.outlier.errorAverage *= errorAverageMemory
+		if executor.load.rejections = 0; attempt.sentAt >= executor.outlier.ackOverdueAt { // else it shows nothing of what came since
+			executor.outlier.ejections, executor.outlier.onProbation, executor.outlier.ackOverdueUntil = 0, false, 0
 		}
 		late := d.now > job.objectiveAt && attempt.sentAt+job.work/d.meanSpeed() <= job.objectiveAt
-		blind := executor.reportedAt == 0 || d.now-executor.reportedAt > reportsEndedFactor*d.reportTTL() // a pause is not the end
-		if late && blind && attempt.sentAt > executor.softLimitCutAt {
+		blind := executor.load.reportedAt == 0 || d.now-executor.load.reportedAt > reportsEndedFactor*d.reportTTL() // a pause is not the end
+		if late && blind && attempt.sentAt > executor.load.softLimitCutAt {
 			// With no reports and no 'full' only lateness shows a queue: one cut for all sent before it.
-			executor.softLimit, executor.softLimitCutAt = max(1, softLimitBackoff*executor.softLimit), d.now
-		} else if !late && executor.ownSlots+job.slots >= math.Floor(executor.softLimit) {
-			executor.softLimit += job.slots / executor.softLimit
+			executor.load.softLimit, executor.load.softLimitCutAt = max(1, softLimitBackoff*executor.load.softLimit), d.now
+		} else if !late && executor.inFlight.slots+job.slots >= math.Floor(executor.load.softLimit) {
+			executor.load.softLimit += job.slots / executor.load.softLimit
 		}
 		if attempt.openedConnection {
-			executor.dialFailures = 0
+			executor.connections.dialFailures = 0
 		}
 		d.learnServiceTime(job, attempt)
-		if len(executor.idleSince) > len(executor.inFlight) && d.settings.Multiplex > 1 {
-			executor.idleSince = executor.idleSince[:0] // jobs share connections: one idle entry stands for all
+		if len(executor.connections.idleSince) > len(executor.inFlight.jobs) && d.settings.Multiplex > 1 {
+			executor.connections.idleSince = executor.connections.idleSince[:0] // jobs share connections: one idle entry stands for all
 		}
-		executor.idleSince = append(executor.idleSince, d.now)
+		executor.connections.idleSince = append(executor.connections.idleSince, d.now)
 		d.recentServers.add(executor)
 	case Errored:
 		d.noteAlive(executor) // and else a matter of the job's class, see fared
 	case Reset:
 		d.noteAlive(executor)
-		executor.errorAverage = executor.errorAverage*errorAverageMemory + 1 - errorAverageMemory
-		if executor.errorAverage > ejectionErrorRate || executor.onProbation {
+		executor.outlier.errorAverage = executor.outlier.errorAverage*errorAverageMemory + 1 - errorAverageMemory
+		if executor.outlier.errorAverage > ejectionErrorRate || executor.outlier.onProbation {
 			d.eject(executor, "errors")
 		}
 	case ConnectFailed:
@@ -82,16 +82,16 @@
 
 // eject keeps new work off a worker for a while, doubling, then lets it in one job at a time.
 func (d *Dispatcher) eject(executor *executor, why string) {
-	if d.now < executor.ejectedUntil {
+	if d.now < executor.outlier.ejectedUntil {
 		return
 	}
 	base := baseEjectionFactor * max(d.settings.ConnectTimeout, d.settings.Step)
-	executor.ejectedUntil = d.now + base*float64(int(1)<<min(executor.ejections, maxBackoffDoublings))*(0.75+0.5*d.random())
-	executor.ejections++
-	executor.onProbation = true
+	executor.outlier.ejectedUntil = d.now + base*float64(int(1)<<min(executor.outlier.ejections, maxBackoffDoublings))*(0.75+0.5*d.random())
+	executor.outlier.ejections++
+	executor.outlier.onProbation = true
 	d.ejectedExecutors = append(d.ejectedExecutors, executor)
-	executor.errorAverage = min(executor.errorAverage, ejectionErrorRate)
-	d.logf("eject worker %d for %s until %.0f, strike %d", executor.id, why, executor.ejectedUntil, executor.ejections)
+	executor.outlier.errorAverage = min(executor.outlier.errorAverage, ejectionErrorRate)
+	d.logf("eject worker %d for %s until %.0f, strike %d", executor.id, why, executor.outlier.ejectedUntil, executor.outlier.ejections)
 }
 
 // watchHealth finds workers that stand still and jobs to be tried elsewhere meanwhile.
@@ -99,18 +99,18 @@
 	limit := d.unresponsiveTimeout()
 	d.findFailingClasses()
 	d.ejectedExecutors = slices.DeleteFunc(d.ejectedExecutors, func(executor *executor) bool {
-		return d.now >= executor.ejectedUntil || executor.condition != Ready
+		return d.now >= executor.outlier.ejectedUntil || executor.endpoint.condition != Ready
 	})
 	bad := len(d.ejectedExecutors)
 	for _, executor := range d.busyExecutors {
-		if executor.condition != Ready {
+		if executor.endpoint.condition != Ready {
 			continue
 		}
 		silent := false
-		for _, job := range executor.inFlight {
+		for _, job := range executor.inFlight.jobs {
 			for i := range job.attempts {
 				if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && !attempt.writtenOff {
-					since := max(attempt.sentAt, executor.lastHeard)
+					since := max(attempt.sentAt, executor.outlier.lastHeard)
 					if attempt.startedAt == 0 && d.settings.TellsStart {
 						since += queuedGraceFactor * d.startDelay // a queued job tells nothing
 					}
@@ -118,13 +118,13 @@
 				}
 			}
 		}
-		if silent && !executor.unresponsive {
+		if silent && !executor.outlier.unresponsive {
 			d.logf("worker %d silent", executor.id)
-			executor.retryAt = d.now + limit*(0.25+0.5*d.random())
+			executor.outlier.retryAt = d.now + limit*(0.25+0.5*d.random())
 		}
-		executor.unresponsive = silent
+		executor.outlier.unresponsive = silent
 		// All slow together still tell their progress: where it is told, silence is no sign of slowness.
-		if silent && d.settings.Progress <= 0 && d.now >= executor.ejectedUntil {
+		if silent && d.settings.Progress <= 0 && d.now >= executor.outlier.ejectedUntil {
 			bad++
 		}
 	}
@@ -139,18 +139,18 @@
 // alive takes in a sign of life. After a silence, what was out there may have ended or never come without our
 // hearing of it, until its client's time is over: it holds no slots in our books unless it is heard of again.
 func (d *Dispatcher) noteAlive(executor *executor) {
-	executor.lastHeard = d.now
-	if !executor.unresponsive {
+	executor.outlier.lastHeard = d.now
+	if !executor.outlier.unresponsive {
 		return
 	}
-	executor.unresponsive, executor.retries = false, 0
+	executor.outlier.unresponsive, executor.outlier.retries = false, 0
 	d.needsPlacement = true
 	d.logf("worker %d heard of again", executor.id)
-	for _, job := range executor.inFlight {
+	for _, job := range executor.inFlight.jobs {
 		for i := range job.attempts {
 			if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && !attempt.writtenOff {
 				attempt.writtenOff = true
-				executor.ownSlots -= job.slots
+				executor.inFlight.slots -= job.slots
 			}
 		}
 	}
@@ -164,3 +164,17 @@
 	}
 	return unresponsiveIntervals * 2 * d.classes[0].work / d.meanSpeed()
 }
+
+// outlierState is whether an executor works at all, as its attempts show.
+type outlierState struct {
+	unresponsive    bool    // it gives no sign of life though attempts are in flight
+	onProbation     bool    // after an ejection: one job at a time until one is served
+	ejectedUntil    float64 // nothing is sent before
+	errorAverage    float64 // of resets, between 0 and 1
+	lastHeard       float64 // last sign of life
+	ejections       int     // without a served attempt between
+	retryAt         float64 // an unresponsive executor gets one job from then on
+	retries         int     // such jobs since it was last heard of
+	ackOverdueAt    float64 // when it was last ejected for overdue acknowledgements
+	ackOverdueUntil float64 // until then nothing goes there that must not be lost
+}
--- a/brain/placement.go
+++ b/brain/placement.go
@@ -47,7 +47,7 @@
 	}
 	executor.inspectedIn = d.inspectionRound
 	d.inspected = append(d.inspected, executor)
-	if executor.available = d.availableSlots(executor); executor.available >= 1 && d.slowStartAllows(executor, 0) {
+	if executor.load.available = d.availableSlots(executor); executor.load.available >= 1 && d.slowStartAllows(executor, 0) {
 		d.eligible = append(d.eligible, executor)
 	}
 }
@@ -73,24 +73,24 @@
 	}
 	class, slack := &d.settings.Classes[job.class], max(job.objectiveAt-d.now, 1)
 	for _, executor := range from {
-		spare := executor.available - job.slots
+		spare := executor.load.available - job.slots
 		if spare < -1e-6 {
 			continue
 		}
-		if class.Kind >= 0 && executor.kind != class.Kind || !d.isUsable(executor) || !d.isSendAllowed(job, executor) || d.classFailsAt(job, executor) {
+		if class.Kind >= 0 && executor.endpoint.kind != class.Kind || !d.isUsable(executor) || !d.isSendAllowed(job, executor) || d.classFailsAt(job, executor) {
 			continue
 		}
 		odds := d.errorProbability(job, executor)
-		if odds > ejectionErrorRate || (executor.unresponsive || d.now < executor.ackOverdueUntil && !d.panicking) && class.Effect == Unsafe {
+		if odds > ejectionErrorRate || (executor.outlier.unresponsive || d.now < executor.outlier.ackOverdueUntil && !d.panicking) && class.Effect == Unsafe {
 			continue // it may well be lost there
 		}
-		if executor.reportsMemory && job.memory > executor.freeMemory+1e-6 && executor.ownSlots > 0 {
+		if executor.load.reportsMemory && job.memory > executor.load.freeMemory+1e-6 && executor.inFlight.slots > 0 {
 			continue // with nothing of ours out, a report that stays low must not shut a worker out for good
 		}
 		run := job.work / d.executorSpeed(executor)
 		loss := crowdingCost/(1+spare) + latencyCost*min(max(0, run/slack-0.5), 1) + slotTimeCost*run*mean/job.work
-		loss += executor.errorAverage + odds + tieBreakNoise*d.random()
-		loss += d.zonePrice(job, executor.zone)
+		loss += executor.outlier.errorAverage + odds + tieBreakNoise*d.random()
+		loss += d.zonePrice(job, executor.endpoint.zone)
 		if d.settings.Fees.Handshake > 0 && !d.hasOpenConnection(executor) {
 			loss += d.settings.Fees.Handshake
 		}
@@ -120,16 +120,16 @@
 	}
 	var best *executor
 	for _, executor := range d.inspected {
-		n := max(executor.slots, d.kinds[executor.kind].slots)
-		if !d.isUsable(executor) || executor.unresponsive || executor.unstarted > 0 && d.settings.TellsStart || d.now < executor.rejectedUntil || d.classFailsAt(job, executor) {
+		n := max(executor.load.slots, d.kinds[executor.endpoint.kind].slots)
+		if !d.isUsable(executor) || executor.outlier.unresponsive || executor.inFlight.unstarted > 0 && d.settings.TellsStart || d.now < executor.load.rejectedUntil || d.classFailsAt(job, executor) {
 			continue
 		}
 		class, part := &d.settings.Classes[job.class], d.fleetShare()*n+0.5
-		if class.Kind >= 0 && executor.kind != class.Kind || d.errorProbability(job, executor) > ejectionErrorRate || !d.isSendAllowed(job, executor) ||
-			executor.ownSlots > 0 && executor.ownSlots+job.slots > part {
+		if class.Kind >= 0 && executor.endpoint.kind != class.Kind || d.errorProbability(job, executor) > ejectionErrorRate || !d.isSendAllowed(job, executor) ||
+			executor.inFlight.slots > 0 && executor.inFlight.slots+job.slots > part {
 			continue
 		}
-		if best == nil || executor.ownSlots < best.ownSlots || executor.ownSlots == best.ownSlots && executor.available > best.available {
+		if best == nil || executor.inFlight.slots < best.inFlight.slots || executor.inFlight.slots == best.inFlight.slots && executor.load.available > best.load.available {
 			best = executor
 		}
 	}
--- a/brain/placement_test.go
+++ b/brain/placement_test.go
@@ -10,8 +10,8 @@
 	cold := ready(7, 0)
 	cold.Born = 100000 // the rig's first moment
 	r := newRig(t, s, cold)
-	r.d.executors[0].slots, r.d.kinds[0].slots = 4, 4
-	r.d.executors[0].freeSlots, r.d.executors[0].reportedAt = 4, r.now
+	r.d.executors[0].load.slots, r.d.kinds[0].slots = 4, 4
+	r.d.executors[0].load.freeSlots, r.d.executors[0].load.reportedAt = 4, r.now
 	// In any window no more than our part of the budget, by what it has at the end of it, and one job at its edge.
 	type send struct{ at, cost float64 }
 	var sends []send
@@ -48,7 +48,7 @@
 func TestHoldsUntilRoom(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
 	executor := r.d.executors[0]
-	executor.freeSlots, executor.reportedAt, executor.slots = 1, r.now, 4
+	executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 1, r.now, 4
 	if len(find(r.step(request(1, 0, 0, 1)), ActSend, 1)) != 1 {
 		t.Fatal("not sent although there was room")
 	}
@@ -64,7 +64,7 @@
 	r := newRig(t, base(), ready(7, 0), ready(8, 0), ready(9, 0))
 	for i, free := range []float64{1, 4, 2} {
 		executor := r.d.executors[i]
-		executor.freeSlots, executor.reportedAt, executor.slots = free, r.now, 4
+		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = free, r.now, 4
 	}
 	got := find(r.step(request(1, 0, 0, 1)), ActSend, 1)
 	if len(got) != 1 || got[0].Worker != 8 {
@@ -93,7 +93,7 @@
 	s.Fields = []Field{FieldFree, FieldBusy}
 	r := newRig(t, s, ready(7, 0))
 	r.step(request(1, 0, 0, 4)) // there are wide jobs
-	r.d.executors[0].slots = 4
+	r.d.executors[0].load.slots = 4
 	r.after(10, outcome(1, 0, 7, Served, 2, 6)) // 2 free of 4, yet 6 held: 4 are queued
 	if room := r.d.availableSlots(r.d.executors[0]); room > 0 {
 		t.Errorf("room %v on a worker with a queue", room)
@@ -108,7 +108,7 @@
 // A job of ours that was not started says there is no room (icb5b2f).
 func TestUnstartedJobMeansNoRoom(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
-	r.d.executors[0].freeSlots, r.d.executors[0].reportedAt = 4, r.now
+	r.d.executors[0].load.freeSlots, r.d.executors[0].load.reportedAt = 4, r.now
 	r.step(request(1, 0, 0, 1))
 	r.d.now += 400
 	if room := r.d.availableSlots(r.d.executors[0]); room > 0 {
@@ -127,13 +127,13 @@
 	rows := []Row{ready(7, 0), ready(8, 0), ready(9, 0), ready(10, 0), ready(11, 0), ready(12, 0)}
 	r := newRig(t, s, rows...)
 	for _, executor := range r.d.executors {
-		executor.freeSlots, executor.reportedAt, executor.slots = 4, r.now, 4
+		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4, r.now, 4
 	}
 	e := request(1, 0, 0, 1)
 	e.Key = 5
 	first := find(r.step(e), ActSend, 1)
 	home := first[0].Worker
-	r.d.executorsByID[home].freeSlots = 0
+	r.d.executorsByID[home].load.freeSlots = 0
 	e.Job = 2
 	if got := r.step(e); len(find(got, ActSend, 2)) != 0 {
 		t.Error("did not wait for the home of its key")
@@ -144,7 +144,7 @@
 	}
 	r.d.fetchingSlots = 0
 	for _, executor := range r.d.executors {
-		executor.reportedAt = r.now
+		executor.load.reportedAt = r.now
 	}
 	if got := r.after(20, Event{Kind: EvTimer}); len(find(got, ActSend, 2)) != 1 {
 		t.Error("still waits although the pool has room")
@@ -157,7 +157,7 @@
 	s.Balancers = 4
 	r := newRig(t, s, ready(7, 0))
 	executor := r.d.executors[0]
-	executor.slots, executor.softLimit, executor.reportedAt = 4, 20, 1
+	executor.load.slots, executor.load.softLimit, executor.load.reportedAt = 4, 20, 1
 	if room := r.d.availableSlots(executor); room != 2 {
 		t.Errorf("room %v without a fresh report, want 2: twice an even part of 4 slots", room)
 	}
@@ -168,7 +168,7 @@
 	s.Balancers, s.MayTell = 2, true
 	r := newRig(t, s, ready(7, 0))
 	executor := r.d.executors[0]
-	executor.slots, executor.freeSlots, executor.reportedAt = 4, 4, r.now
+	executor.load.slots, executor.load.freeSlots, executor.load.reportedAt = 4, 4, r.now
 	r.step(Event{Kind: EvPeer, From: 1, Data: []byte{byte(executor.tag >> 8), byte(executor.tag), 3}})
 	if room := r.d.availableSlots(executor); room != 1 {
 		t.Errorf("room %v, want 1: the other node has 3 of 4 slots out", room)
@@ -200,13 +200,13 @@
 	s.Balancers = 2
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	for _, executor := range r.d.executors {
-		executor.slots, executor.freeSlots, executor.reportedAt = 4, -3, r.now
+		executor.load.slots, executor.load.freeSlots, executor.load.reportedAt = 4, -3, r.now
 	}
 	if got := r.step(request(1, 0, 0, 1)); len(find(got, ActSend, 1)) != 0 {
 		t.Fatal("sent at once although no worker has room")
 	}
 	for _, executor := range r.d.executors {
-		executor.reportedAt = r.now + 400
+		executor.load.reportedAt = r.now + 400
 	}
 	if got := r.after(400, Event{Kind: EvTimer}); len(find(got, ActSend, 1)) != 1 {
 		t.Error("held although the node has nothing of its part out")
@@ -233,7 +233,7 @@
 	for id, memory := range map[uint32]float32{7: 1, 8: 4} { // 7 has more slots, 8 has the memory
 		executor := r.d.executorsByID[id]
 		r.d.handleLoadReport(executor, []float32{float32(10 - id), memory})
-		executor.ownSlots, executor.slots = 1, 8
+		executor.inFlight.slots, executor.load.slots = 1, 8
 	}
 	wide := request(1, 0, 0, 1)
 	wide.Memory = 3
@@ -259,16 +259,16 @@
 		s.Multiplex = tt.multiplex
 		r := newRig(t, s, ready(7, 0))
 		executor := r.d.executorsByID[7]
-		executor.freeSlots, executor.reportedAt, executor.slots = 9, r.now, 9
+		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 9, r.now, 9
 		r.step(request(1, 0, 0, 1))
-		executor.opening = 0 // its connection stands
+		executor.connections.opening = 0 // its connection stands
 		r.d.jobs[1].attempts[0].openedConnection = false
 		for i, want := range tt.warm {
 			if got := r.d.hasOpenConnection(executor); got != want {
 				t.Errorf("multiplex %d, %d out: warm %v, want %v", tt.multiplex, i+1, got, want)
 			}
 			r.after(1, Event{Kind: EvNote, Job: uint32(i + 1), Topic: NoteStarted}, request(uint32(i+2), 0, 0, 1))
-			executor.opening = 0
+			executor.connections.opening = 0
 		}
 	}
 }
--- a/brain/queue.go
+++ b/brain/queue.go
@@ -81,7 +81,7 @@
 		}
 		if executor != nil {
 			d.sendAttempt(job, executor)
-			executor.available = d.availableSlots(executor)
+			executor.load.available = d.availableSlots(executor)
 			job.queued = false
 			continue
 		}
--- a/brain/report_test.go
+++ b/brain/report_test.go
@@ -35,9 +35,9 @@
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	idle, full := r.d.executors[0], r.d.executors[1]
 	for _, executor := range r.d.executors {
-		executor.slots, executor.reportedAt = 4, r.now
+		executor.load.slots, executor.load.reportedAt = 4, r.now
 	}
-	idle.freeSlots, full.freeSlots = 4, -2
+	idle.load.freeSlots, full.load.freeSlots = 4, -2
 	r.d.meanPeerOccupancy, r.d.meanRun, r.d.reportInterval = 0.5, 300, 600
 	if a, b := r.d.decayedFreeSlots(idle), r.d.decayedFreeSlots(full); a < 3 || b > 0 {
 		t.Errorf("fresh reports: %v and %v slots, want about 4 and -2", a, b)
@@ -166,31 +166,31 @@
 	s.Telemetry, s.Fields, s.TellsStart = ReportNone, nil, false
 	r := newRig(t, s, ready(7, 0))
 	executor := r.d.executorsByID[7]
-	executor.softLimit = 8
+	executor.load.softLimit = 8
 	for id := uint32(1); id <= 6; id++ {
 		e := request(id, 0, 0, 1)
 		e.Work, e.Flags = 200, FlagWork
 		r.step(e)
 	}
-	if len(executor.inFlight) < 4 {
-		t.Fatalf("%d out, want some", len(executor.inFlight))
+	if len(executor.inFlight.jobs) < 4 {
+		t.Fatalf("%d out, want some", len(executor.inFlight.jobs))
 	}
-	before := executor.softLimit
+	before := executor.load.softLimit
 	r.after(3000, outcome(1, 0, 7, Served), outcome(2, 0, 7, Served), outcome(3, 0, 7, Served))
-	if want := softLimitBackoff * before; math.Abs(executor.softLimit-want) > 1e-9 {
-		t.Errorf("takes %v after three late answers to one burst, want %v", executor.softLimit, want)
+	if want := softLimitBackoff * before; math.Abs(executor.load.softLimit-want) > 1e-9 {
+		t.Errorf("takes %v after three late answers to one burst, want %v", executor.load.softLimit, want)
 	}
-	executor.softLimit = 2
+	executor.load.softLimit = 2
 	e := request(20, 0, 0, 1)
 	e.Work, e.Flags = 200, FlagWork
-	for r.after(10, outcome(4, 0, 7, Served), outcome(5, 0, 7, Served), outcome(6, 0, 7, Served)); len(executor.inFlight) > 0; {
+	for r.after(10, outcome(4, 0, 7, Served), outcome(5, 0, 7, Served), outcome(6, 0, 7, Served)); len(executor.inFlight.jobs) > 0; {
 		r.after(10, Event{Kind: EvTimer})
 	}
-	executor.softLimit = 1
+	executor.load.softLimit = 1
 	r.after(10, e)
 	r.after(100, outcome(20, 0, 7, Served))
-	if executor.softLimit <= 1 {
-		t.Errorf("takes %v after an answer in time, want more", executor.softLimit)
+	if executor.load.softLimit <= 1 {
+		t.Errorf("takes %v after an answer in time, want more", executor.load.softLimit)
 	}
 }
 
--- a/brain/retry.go
+++ b/brain/retry.go
@@ -8,7 +8,7 @@
 // a cold worker's budget.
 func (d *Dispatcher) isSendAllowed(job *job, executor *executor) bool {
 	over := job.done || len(job.attempts) >= job.maxAttempts || d.now >= job.deadline
-	if over || executor.condition != Ready || job.inFlight > 0 && !d.settings.MayDuplicate {
+	if over || executor.endpoint.condition != Ready || job.inFlight > 0 && !d.settings.MayDuplicate {
 		return false
 	}
 	for i := range job.attempts {
@@ -20,7 +20,7 @@
 		return false
 	}
 	// Credit may be overdrawn by one slot's work, for all jobs cost some, not by a wide job's further slots.
-	return d.slowStartAllows(executor, (job.slots-1)*job.work/d.kindSpeed(executor.kind))
+	return d.slowStartAllows(executor, (job.slots-1)*job.work/d.kindSpeed(executor.endpoint.kind))
 }
 
 // repeatable says whether a job that is out, or may have run, may go to w as well.
@@ -43,9 +43,9 @@
 		case ScopeAll:
 			return true
 		case ScopeZone:
-			return ran.zone == executor.zone
+			return ran.endpoint.zone == executor.endpoint.zone
 		default:
-			return ran.zone == executor.zone && ran.cell == executor.cell
+			return ran.endpoint.zone == executor.endpoint.zone && ran.endpoint.cell == executor.endpoint.cell
 		}
 	}
 	return false
--- a/brain/scale_test.go
+++ b/brain/scale_test.go
@@ -69,7 +69,7 @@
 	}
 	r.d.kinds[0].slots = 4
 	for i, executor := range r.d.executors[:40] {
-		executor.slots = 4
+		executor.load.slots = 4
 		r.after(5)
 		r.d.handleLoadReport(executor, []float32{float32(i%2) * 0.01})
 	}
@@ -77,7 +77,7 @@
 		t.Errorf("room %v at a worker not heard of while 40 of its kind are full, want none", room)
 	}
 	for i, executor := range r.d.executors[40:120] {
-		executor.slots = 4
+		executor.load.slots = 4
 		r.after(20)
 		r.d.handleLoadReport(executor, []float32{4 - float32(i%2)*0.01})
 	}
@@ -94,9 +94,9 @@
 	r := newRig(t, s, fleet(200)...)
 	r.d.kinds[0].slots = 4
 	for i, executor := range r.d.executors {
-		executor.slots = 4
+		executor.load.slots = 4
 		r.d.handleLoadReport(executor, []float32{float32(i%2) * 0.01})
-		executor.freeSlots = -3
+		executor.load.freeSlots = -3
 	}
 	if got := r.step(request(1, 0, 0, 1)); len(find(got, ActSend, 1)) != 0 {
 		t.Fatal("sent at once although no worker has room")
@@ -199,7 +199,7 @@
 	probe := &job{key: 77, slots: 1, work: 200}
 	r.d.findAffinityCandidates(probe)
 	for _, executor := range probe.candidates {
-		executor.rejectedUntil = r.now + 1e6
+		executor.load.rejectedUntil = r.now + 1e6
 	}
 	if got := find(r.step(j), ActSend, 1); len(got) != 0 {
 		t.Fatal("sent astray at once")
@@ -289,10 +289,10 @@
 			r.after(c.wait, Event{Kind: EvNote, Job: 100 + i, Topic: NoteStarted})
 			r.after(10, outcome(100+i, 0, sent[0].Worker, Served))
 		}
-		r.d.executorsByID[8].ejectedUntil = r.now + 1 // so that the next goes to the first
+		r.d.executorsByID[8].outlier.ejectedUntil = r.now + 1 // so that the next goes to the first
 		job := request(1, 0, 0, 1)
 		job.TimeLeft = 60000
-		if len(find(r.step(job), ActSend, 1)) != 1 || executor.ownSlots != 1 {
+		if len(find(r.step(job), ActSend, 1)) != 1 || executor.inFlight.slots != 1 {
 			t.Fatalf("%s: not sent to the first worker", c.name)
 		}
 		if c.started {
@@ -303,8 +303,8 @@
 			r.after(10, Event{Kind: EvTimer})
 			copied = copied || len(find(r.last, ActSend, 1)) > 0
 		}
-		if executor.unresponsive != c.silent || copied != c.started {
-			t.Errorf("%s: silent %v, copied %v, want %v, %v", c.name, executor.unresponsive, copied, c.silent, c.started)
+		if executor.outlier.unresponsive != c.silent || copied != c.started {
+			t.Errorf("%s: silent %v, copied %v, want %v, %v", c.name, executor.outlier.unresponsive, copied, c.silent, c.started)
 		}
 	}
 }
@@ -352,7 +352,7 @@
 		if executor.id == 500 {
 			want = 0
 		}
-		if got := r.d.endpointRows[executor.position].liveLoad; got != want {
+		if got := r.d.endpointRows[executor.endpoint.position].liveLoad; got != want {
 			t.Fatalf("worker %d holds %v requests a core by its weight, want %v", executor.id, got, want)
 		}
 	}
--- a/brain/script_test.go
+++ b/brain/script_test.go
@@ -389,8 +389,8 @@
 		}
 	}
 	for _, executor := range x.d.executors {
-		if executor.ownSlots != 0 || len(executor.inFlight) != 0 || executor.opening != 0 {
-			x.failf("worker %d holds %v slots when nothing is open", executor.id, executor.ownSlots)
+		if executor.inFlight.slots != 0 || len(executor.inFlight.jobs) != 0 || executor.connections.opening != 0 {
+			x.failf("worker %d holds %v slots when nothing is open", executor.id, executor.inFlight.slots)
 		}
 	}
 	if len(x.d.jobs) != 0 || len(x.d.queue) != 0 || x.d.fetchingSlots != 0 {
--- a/brain/servicetime.go
+++ b/brain/servicetime.go
@@ -35,8 +35,8 @@
 
 // clocked takes in that a worker did some work in some time.
 func (d *Dispatcher) addServiceTime(executor *executor, work, span float64) {
-	kind := &d.kinds[executor.kind]
-	executor.work, executor.time = executor.work*serviceTimeMemory+work, executor.time*serviceTimeMemory+span
+	kind := &d.kinds[executor.endpoint.kind]
+	executor.serviceTime.work, executor.serviceTime.time = executor.serviceTime.work*serviceTimeMemory+work, executor.serviceTime.time*serviceTimeMemory+span
 	kind.work, kind.time = kind.work*serviceTimeMemory+work, kind.time*serviceTimeMemory+span
 	d.allKinds.work, d.allKinds.time = d.allKinds.work*serviceTimeMemory+work, d.allKinds.time*serviceTimeMemory+span
 }
@@ -55,9 +55,9 @@
 // of its capacity, which few jobs do not use up.
 func (d *Dispatcher) executorSpeed(executor *executor) float64 {
 	mean := kindSpeedPrior * d.classes[0].work
-	speed, cold := (executor.work+mean*d.kindSpeed(executor.kind))/(executor.time+mean), d.slowStartShare(executor)
+	speed, cold := (executor.serviceTime.work+mean*d.kindSpeed(executor.endpoint.kind))/(executor.serviceTime.time+mean), d.slowStartShare(executor)
 	if cold < 1 && d.peerLoadsKnown() {
-		cold = min(1, cold*max(1, executor.slots, d.kinds[executor.kind].slots)/(executor.ownSlots+d.peerSlotsAt(executor)+1))
+		cold = min(1, cold*max(1, executor.load.slots, d.kinds[executor.endpoint.kind].slots)/(executor.inFlight.slots+d.peerSlotsAt(executor)+1))
 	}
 	return speed * cold
 }
@@ -71,3 +71,6 @@
 
 // newClass is what is held of a class before its jobs are seen: an aim is the best hint at the work it was set for.
 func newClassStats(c Class) classStats { return classStats{work: max(1, c.Aim), slots: 1} }
+
+// observedWork is work that was done and the time that it took, both fading.
+type observedWork struct{ work, time float64 }
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -36,18 +36,18 @@
 
 // noteStart takes in the start that the list tells of an executor. One that is known already keeps its estimated time.
 func (d *Dispatcher) noteStart(executor *executor, listed float64) {
-	if listed == executor.listedStart {
+	if listed == executor.slowStart.listedStart {
 		return
 	}
-	executor.listedStart = listed
-	executor.startedAt = d.estimateStart(listed)
-	executor.slowStartUntil = executor.startedAt + d.settings.WarmWithin
-	if executor.startedAt > 0 && d.listConfirmedAt > 0 {
+	executor.slowStart.listedStart = listed
+	executor.slowStart.startedAt = d.estimateStart(listed)
+	executor.slowStart.until = executor.slowStart.startedAt + d.settings.WarmWithin
+	if executor.slowStart.startedAt > 0 && d.listConfirmedAt > 0 {
 		// The list's clock may be off by less than would show. A budget that ends too early lets all nodes send at once what waits
 		// for it, so that it ends as if the process had started when this node was notified.
-		executor.slowStartUntil = d.now + d.settings.WarmWithin
+		executor.slowStart.until = d.now + d.settings.WarmWithin
 	}
-	executor.slowStartOpened = false
+	executor.slowStart.opened = false
 }
 
 // estimateStart gives the time on our clock of a start that has just been notified, 0 for one that was long ago.
@@ -81,61 +81,61 @@
 
 // rememberStart keeps the start of an executor that is about to be forgotten.
 func (d *Dispatcher) rememberStart(executor *executor) {
-	if executor.listedStart <= 0 {
+	if executor.slowStart.listedStart <= 0 {
 		return
 	}
 	if len(d.removedStarts) >= removedStartsBeforePurge {
 		maps.DeleteFunc(d.removedStarts, func(_ uint32, s knownStart) bool { return d.now-s.removedAt > removedStartTTL })
 	}
-	d.removedStarts[executor.id] = knownStart{listed: executor.listedStart, startedAt: executor.startedAt, coldUntil: executor.slowStartUntil, removedAt: d.now}
+	d.removedStarts[executor.id] = knownStart{listed: executor.slowStart.listedStart, startedAt: executor.slowStart.startedAt, coldUntil: executor.slowStart.until, removedAt: d.now}
 }
 
 // recallStart gives an executor that comes back to the list the start that it had when it left.
 func (d *Dispatcher) recallStart(executor *executor) {
 	if s, ok := d.removedStarts[executor.id]; ok {
-		executor.listedStart, executor.startedAt, executor.slowStartUntil = s.listed, s.startedAt, s.coldUntil
+		executor.slowStart.listedStart, executor.slowStart.startedAt, executor.slowStart.until = s.listed, s.startedAt, s.coldUntil
 		delete(d.removedStarts, executor.id)
 	}
 }
 
 // coldShare is the least part of its capacity that an executor has by now.
 func (d *Dispatcher) slowStartShare(executor *executor) float64 {
-	if executor.startedAt <= 0 || d.settings.WarmWithin <= 0 || d.now-executor.startedAt >= d.settings.WarmWithin {
+	if executor.slowStart.startedAt <= 0 || d.settings.WarmWithin <= 0 || d.now-executor.slowStart.startedAt >= d.settings.WarmWithin {
 		return 1
 	}
-	return min(1, d.settings.ColdFrom+(1-d.settings.ColdFrom)*max(0, d.now-executor.startedAt)/d.settings.WarmWithin)
+	return min(1, d.settings.ColdFrom+(1-d.settings.ColdFrom)*max(0, d.now-executor.slowStart.startedAt)/d.settings.WarmWithin)
 }
 
 // coldOpen says whether our part of a cold executor's budget lets a job of ours go there. One of many nodes has
 // less than a job of it, and pays it off after one, from a random debt at first: all send the sum together.
 func (d *Dispatcher) slowStartAllows(executor *executor, more float64) bool {
-	if executor.startedAt <= 0 || d.now >= executor.slowStartUntil {
+	if executor.slowStart.startedAt <= 0 || d.now >= executor.slowStart.until {
 		return true
 	}
 	share := d.slowStartShare(executor)
-	if !executor.slowStartOpened {
+	if !executor.slowStart.opened {
 		d.openSlowStartBudget(executor)
 	}
 	part := min(d.fleetShare(), maxSlowStartPart/float64(d.settings.Balancers))
-	rate := d.slowStartSafetyFactor() * part * d.settings.FallMultiple * share * max(1, executor.slots, d.kinds[executor.kind].slots)
+	rate := d.slowStartSafetyFactor() * part * d.settings.FallMultiple * share * max(1, executor.load.slots, d.kinds[executor.endpoint.kind].slots)
 	most := rate * d.settings.Fall * slowStartBurst
-	if executor.slowStartCredit += rate * (d.now - executor.slowStartCreditAt); executor.slowStartCredit > most {
-		executor.slowStartCredit = min(most, executor.slowStartCredit-max(0, d.meanSlotTime-most)) // else all keep a turn, and use it at once
+	if executor.slowStart.credit += rate * (d.now - executor.slowStart.creditAt); executor.slowStart.credit > most {
+		executor.slowStart.credit = min(most, executor.slowStart.credit-max(0, d.meanSlotTime-most)) // else all keep a turn, and use it at once
 	}
-	executor.slowStartCreditAt = d.now
-	return executor.slowStartCredit > min(more, slowStartKnownSafety*most)
+	executor.slowStart.creditAt = d.now
+	return executor.slowStart.credit > min(more, slowStartKnownSafety*most)
 }
 
 // openColdBudget begins the budget of a process that has just been notified. Requests sent between its start and our
 // notification of it count against the budget, because the executor has already received them.
 func (d *Dispatcher) openSlowStartBudget(executor *executor) {
-	sentFrom := executor.startedAt
-	if executor.listedStart <= d.now && d.now-executor.listedStart <= d.settings.Fall {
-		sentFrom = min(sentFrom, executor.listedStart) // the list's clock tells of a start a moment ago, which is believed here
+	sentFrom := executor.slowStart.startedAt
+	if executor.slowStart.listedStart <= d.now && d.now-executor.slowStart.listedStart <= d.settings.Fall {
+		sentFrom = min(sentFrom, executor.slowStart.listedStart) // the list's clock tells of a start a moment ago, which is believed here
 	}
-	executor.slowStartOpened = true
-	executor.slowStartCreditAt = max(executor.startedAt, d.now-slowStartBurst*d.settings.Fall)
-	executor.slowStartCredit = -d.random()*d.meanSlotTime - d.workSentSince(executor, sentFrom)
+	executor.slowStart.opened = true
+	executor.slowStart.creditAt = max(executor.slowStart.startedAt, d.now-slowStartBurst*d.settings.Fall)
+	executor.slowStart.credit = -d.random()*d.meanSlotTime - d.workSentSince(executor, sentFrom)
 }
 
 const (
@@ -153,3 +153,13 @@
 	}
 	return slowStartSafety
 }
+
+// slowStartBudget is an executor's start and this node's part of what it may be sent while it warms up.
+type slowStartBudget struct {
+	listedStart float64 // as the list tells it, on another machine's clock: it tells one process from another
+	startedAt   float64 // by this node's clock, as estimated when it was notified; 0 for long ago
+	until       float64 // the end of the budget
+	opened      bool    // the budget was opened for the process that runs now
+	credit      float64 // slot-time, in ms on a warm executor, that may be sent as of creditAt
+	creditAt    float64
+}
--- a/brain/slowstart_test.go
+++ b/brain/slowstart_test.go
@@ -377,11 +377,11 @@
 	r := newRig(t, base(), row)
 	r.step(Event{Kind: EvList, Form: ListFull, Rows: []Row{row}})
 	executor := r.d.executorsByID[7]
-	executor.errorAverage, executor.ejections, executor.slots = 0.4, 3, 4
+	executor.outlier.errorAverage, executor.outlier.ejections, executor.load.slots = 0.4, 3, 4
 	row.Born -= 5000
 	r.after(500, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
-	if executor.errorAverage != 0 || executor.ejections != 0 {
-		t.Errorf("the error average %v and %d strikes of the old process stand", executor.errorAverage, executor.ejections)
+	if executor.outlier.errorAverage != 0 || executor.outlier.ejections != 0 {
+		t.Errorf("the error average %v and %d strikes of the old process stand", executor.outlier.errorAverage, executor.outlier.ejections)
 	}
 	if share := r.d.slowStartShare(executor); share != r.d.settings.ColdFrom {
 		t.Errorf("its share of capacity is %.2f, want %.2f", share, r.d.settings.ColdFrom)
@@ -404,12 +404,12 @@
 	r.step(Event{Kind: EvList, Form: ListFull, Rows: rows})
 	want := map[uint32]float64{1: 0, 2: now - 1000, 3: now, 4: now - 2000, 5: now - hourMS/2}
 	for id, at := range want {
-		if got := r.d.executorsByID[id].startedAt; got != at {
+		if got := r.d.executorsByID[id].slowStart.startedAt; got != at {
 			t.Errorf("executor %d: taken to have started at %.0f, want %.0f", id, got, at)
 		}
 	}
 	r.after(3000, Event{Kind: EvList, Form: ListFull, Rows: rows})
-	if got := r.d.executorsByID[3].startedAt; got != now {
+	if got := r.d.executorsByID[3].slowStart.startedAt; got != now {
 		t.Errorf("its age does not grow with our clock: started at %.0f, want %.0f", got, now)
 	}
 }
@@ -433,7 +433,7 @@
 		row := old
 		row.Born = c.listed
 		r.step(Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
-		if got := r.d.executorsByID[7].startedAt; got != c.want {
+		if got := r.d.executorsByID[7].slowStart.startedAt; got != c.want {
 			t.Errorf("%s: taken to have started %.0f ms after the confirmed list, want %.0f", c.name, got-confirmed, c.want-confirmed)
 		}
 	}
@@ -447,7 +447,7 @@
 	confirmed := r.now
 	old.Born = confirmed - 100
 	r.after(50, Event{Kind: EvList, Form: ListDelta, Rows: []Row{old}})
-	if got := r.d.executorsByID[7].startedAt; got != confirmed {
+	if got := r.d.executorsByID[7].slowStart.startedAt; got != confirmed {
 		t.Errorf("taken to have started at %.0f, want %.0f", got, confirmed)
 	}
 }
@@ -509,14 +509,14 @@
 		r.after(100, Event{Kind: EvList, Form: ListDelta, Rows: nil})
 		r.d.slowStartAllows(executor, 0)
 	}
-	if executor.slowStartCredit <= 0 {
-		t.Fatalf("credit %.0f ms after two seconds in which nothing was sent", executor.slowStartCredit)
+	if executor.slowStart.credit <= 0 {
+		t.Fatalf("credit %.0f ms after two seconds in which nothing was sent", executor.slowStart.credit)
 	}
 	row.Born = r.now + 5
 	r.after(10)
 	r.d.slowStartAllows(executor, 0)
 	r.after(10, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
-	if executor.slowStartCredit > 0 {
-		t.Errorf("the new process begins with %.0f ms of the old one's credit", executor.slowStartCredit)
+	if executor.slowStart.credit > 0 {
+		t.Errorf("the new process begins with %.0f ms of the old one's credit", executor.slowStart.credit)
 	}
 }
