--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -17,7 +17,9 @@
 type FS interface {
 	// CreateTemp creates a file with a name of its own, as os.CreateTemp does.
 	CreateTemp(dir, pattern string) (File, error)
+	// Rename gives a file another name, in one step, and removes the file that had it.
 	Rename(from, to string) error
+	// Remove removes a file.
 	Remove(name string) error
 	// SyncDir makes the names in a directory durable.
 	SyncDir(dir string) error
@@ -26,9 +28,13 @@
 // File is an open temporary file.
 type File interface {
 	io.Writer
+	// Name is the path that CreateTemp chose.
 	Name() string
+	// Chmod sets the permissions.
 	Chmod(mode fs.FileMode) error
+	// Sync makes the content durable.
 	Sync() error
+	// Close ends the use of the file.
 	Close() error
 }
 
--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -22,7 +22,8 @@
 	if err := atomicfile.Write(fsys, path, []byte("content"), testMode); err != nil {
 		t.Fatal(err)
 	}
-	want := []atomicfiletest.Op{atomicfiletest.Create, atomicfiletest.Write, atomicfiletest.Sync, atomicfiletest.Rename, atomicfiletest.SyncDir}
+	want := []atomicfiletest.Op{atomicfiletest.Create, atomicfiletest.Write, atomicfiletest.Sync, atomicfiletest.Rename,
+		atomicfiletest.SyncDir}
 	if got := fsys.Calls(); !slices.Equal(got, want) {
 		t.Errorf("calls %v, want %v", got, want)
 	}
@@ -31,8 +32,8 @@
 	}
 }
 
-// Whichever operation fails is reported with its cause, the former content stays unless the new one was in place before,
-// no temporary file is left, and the next write succeeds.
+// Whichever operation fails is reported with its cause, the former content stays unless the new one was in place
+// before, no temporary file is left, and the next write succeeds.
 func TestFailedWriteKeepsTheFormerContent(t *testing.T) {
 	for _, x := range []struct {
 		op    atomicfiletest.Op
@@ -72,7 +73,8 @@
 func TestShortWriteIsAnError(t *testing.T) {
 	fsys, dir := atomicfiletest.New(), t.TempDir()
 	fsys.ShortenWrites(1)
-	if err := atomicfile.Write(fsys, filepath.Join(dir, "file"), []byte("content"), testMode); !errors.Is(err, io.ErrShortWrite) {
+	err := atomicfile.Write(fsys, filepath.Join(dir, "file"), []byte("content"), testMode)
+	if !errors.Is(err, io.ErrShortWrite) {
 		t.Errorf("%v", err)
 	}
 	if left, _ := os.ReadDir(dir); len(left) != 0 {
@@ -80,8 +82,8 @@
 	}
 }
 
-// A process that is killed between two operations leaves the former content, and a temporary file whose name no reader of
-// the directory takes for the file.
+// A process that is killed between two operations leaves the former content, and a temporary file whose name no reader
+// of the directory takes for the file.
 func TestKilledBeforeTheRename(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "file")
