--- a/brain/list.go
+++ b/brain/endpoints.go
@@ -2,14 +2,63 @@
 
 import (
 	"cmp"
+	"gatetack/internal/recovery"
 	"slices"
 	"sort"
 )
 
-// This file keeps the workers as the list has them. Nothing is decided here.
+const (
+	pollSpreadPerNode = 0.003 // of the time to ask within, for each node: a round of their asks,
+	minPollSpread     = 0.025 // and at least this part of it
+)
+
+func (d *Dispatcher) handleList(event *Event) {
+	d.needsPlacement = true
+	if event.Form == ListFailed {
+		if d.failedPolls == 0 {
+			d.logf("list out of reach, last heard %.0f ms ago", d.now-d.listUpdatedAt)
+		}
+		d.pollSentAt, d.watching = 0, false
+		d.failedPolls = min(d.failedPolls+1, 8)
+		d.nextPoll = d.now + d.pollBackoff()
+		return
+	}
+	if event.Form != ListCached {
+		if d.failedPolls > 0 {
+			d.logf("list within reach again after %d failed calls", d.failedPolls)
+		}
+		d.pollSentAt, d.watching, d.failedPolls = 0, true, 0
+	}
+	if d.listUpdatedAt == 0 {
+		d.aggregator.startedAt = d.now
+	}
+	if d.listUpdatedAt = d.now; event.Form == ListCached && float64(d.settings.Balancers)*pollSpreadPerNode > minPollSpread {
+		d.nextPoll = d.now + d.pollBackoff() // many nodes that were killed together start together
+	}
+	d.applyRows(event)
+	if event.Form != ListCached && len(d.executors) > 0 {
+		d.listConfirmedAt = d.now
+	}
+}
+
+// askBackoff is until this node's turn in a round that all nodes have: calls that come together wait in vain.
+func (d *Dispatcher) pollBackoff() float64 {
+	span := max(minPollSpread, pollSpreadPerNode*float64(d.settings.Balancers)) * float64(int(1)<<min(d.failedPolls, 3))
+	return recovery.TimeSlots{Me: d.settings.Me, Nodes: d.settings.Balancers}.After(d.now, d.settings.AskWithin*min(1, span))
+}
+
+// ask keeps a subscription to the list.
+func (d *Dispatcher) pollList() {
+	if !d.settings.Ask || d.watching || d.now < d.nextPoll || d.pollSentAt > 0 && d.now-d.pollSentAt < d.settings.AskWithin/2 {
+		return
+	}
+	d.pollSentAt = max(d.now, 1e-9)
+	d.nextPoll = d.now + d.pollBackoff()
+	d.actions = append(d.actions, Action{Kind: ActWatch, On: true})
+}
 
 // rebuildFrom is how many rows of one change are put in their places one by one; for more, all is sorted anew.
-const rebuildFrom = 16
+const rebuildThreshold = 16
 
 // listed is what the list told of a worker, and what homes of keys are drawn by, kept apart from all else: lists
 // with live weights come often, and to touch each worker for each costs more CPU than all jobs do.
@@ -18,14 +67,6 @@
 	liveLoad float64 // requests held per core, as the live weight told
 }
 
-// homeHash is what the homes of keys are drawn by.
-type affinityHash struct {
-	hash  uint64
-	tag   uint16
-	kind  uint8
-	ready bool
-}
-
 func (d *Dispatcher) groupOf(kind, zone uint8) *executorGroup {
 	for _, group := range d.groups {
 		if group.kind == int(kind) && group.zone == int(zone) {
@@ -51,7 +92,7 @@
 func (d *Dispatcher) applyRows(event *Event) {
 	if event.Form != ListDelta {
 		for _, executor := range d.executors {
-			executor.condition = Gone
+			executor.endpoint.condition = Gone
 		}
 	}
 	changed := d.changedScratch[:0]
@@ -79,7 +120,7 @@
 	}
 	d.changedScratch = changed
 	switch {
-	case event.Form != ListDelta, len(changed) >= rebuildFrom, len(changed) > 0 && d.settings.LiveWeights:
+	case event.Form != ListDelta, len(changed) >= rebuildThreshold, len(changed) > 0 && d.settings.LiveWeights:
 		d.rebuildList()
 	case len(changed) > 0:
 		for _, executor := range changed {
@@ -101,7 +142,10 @@
 }
 
 func (d *Dispatcher) newExecutor(id uint32) *executor {
-	added := &executor{id: id, softLimit: softStart, lastHeard: d.now, classes: make([]classFailures, len(d.classes))}
+	added := &executor{id: id}
+	added.load.softLimit = initialSoftLimit
+	added.outlier.lastHeard = d.now
+	added.failures.byClass = make([]classFailures, len(d.classes))
 	d.executorsByID[id] = added
 	d.recallStart(added)
 	return added
@@ -109,17 +153,17 @@
 
 // forgetProcess drops what was learned of the former process of an executor that has started anew.
 func (d *Dispatcher) forgetProcess(executor *executor) {
-	executor.freeSlots, executor.reportedAt, executor.softLimit = 0, 0, softStart
-	executor.errorAverage, executor.ejections, executor.ejectedUntil = 0, 0, 0
-	executor.dialFailures, executor.dialBackoffUntil = 0, 0
-	executor.ackOverdueAt, executor.ackOverdueUntil, executor.hiddenSlots = 0, 0, 0
-	clear(executor.classes)
-	executor.errors = errorTally{}
-	for kind := uint16(firstMark); kind <= noConns; kind++ {
-		delete(d.aggregator.marks, executor.tag|kind)
+	executor.load.freeSlots, executor.load.reportedAt, executor.load.softLimit = 0, 0, initialSoftLimit
+	executor.outlier.errorAverage, executor.outlier.ejections, executor.outlier.ejectedUntil = 0, 0, 0
+	executor.connections.dialFailures, executor.connections.dialBackoffUntil = 0, 0
+	executor.outlier.ackOverdueAt, executor.outlier.ackOverdueUntil, executor.gossip.hiddenSlots = 0, 0, 0
+	clear(executor.failures.byClass)
+	executor.failures.all = errorTally{}
+	for kind := uint16(firstClassQuarantine); kind <= connectionQuarantine; kind++ {
+		delete(d.aggregator.quarantines, executor.tag|kind)
 	}
-	executor.onProbation, executor.unresponsive = false, false
-	executor.idleSince, executor.affinityKeys, executor.lastHeard = executor.idleSince[:0], [12]uint64{}, d.now
+	executor.outlier.onProbation, executor.outlier.unresponsive = false, false
+	executor.connections.idleSince, executor.affinityKeys, executor.outlier.lastHeard = executor.connections.idleSince[:0], [affinityKeysKept]uint64{}, d.now
 }
 
 // applyRow brings a worker up to date with its row, and makes it if it is new.
@@ -127,13 +171,13 @@
 	executor := d.executorsByID[r.Worker]
 	if executor == nil {
 		executor = d.newExecutor(r.Worker)
-	} else if r.Born != executor.listedStart { // also to an earlier one: the clock that told them may have been stepped back
+	} else if r.Born != executor.slowStart.listedStart { // also to an earlier one: the clock that told them may have been stepped back
 		d.forgetProcess(executor)
 	}
-	executor.zone, executor.kind, executor.cell = int(r.Zone), int(r.Kind), r.Cell
+	executor.endpoint.zone, executor.endpoint.kind, executor.endpoint.cell = int(r.Zone), int(r.Kind), r.Cell
 	executor.group = d.groupOf(r.Kind, r.Zone)
 	d.noteStart(executor, r.Born)
-	executor.condition, executor.row = r.Condition, *r
+	executor.endpoint.condition, executor.endpoint.row = r.Condition, *r
 	d.slowStartAllows(executor, 0) // from now on, not from our next job
 	return executor
 }
@@ -144,10 +188,10 @@
 	d.executors, d.removedExecutors = d.executors[:0], d.removedExecutors[:0]
 	for id, executor := range d.executorsByID {
 		switch {
-		case executor.condition != Gone:
+		case executor.endpoint.condition != Gone:
 			d.executors = append(d.executors, executor)
 			executor.tag = d.tagOf(executor.id)
-		case len(executor.inFlight) == 0:
+		case len(executor.inFlight.jobs) == 0:
 			d.rememberStart(executor)
 			delete(d.executorsByID, id)
 		default:
@@ -157,15 +201,15 @@
 	slices.SortFunc(d.executors, func(a, b *executor) int { return cmp.Compare(a.id, b.id) })
 	for i := range d.endpointRows {
 		if executor := d.executorsByID[d.endpointRows[i].row.Worker]; executor != nil {
-			executor.row.Scale = d.endpointRows[i].row.Scale // as last told
+			executor.endpoint.row.Scale = d.endpointRows[i].row.Scale // as last told
 		}
 	}
 	d.endpointRows, d.affinityHashes = d.endpointRows[:0], d.affinityHashes[:0]
 	for i, executor := range d.executors {
-		executor.position, d.executorsByTag[executor.tag] = i, executor
-		d.endpointRows = append(d.endpointRows, endpointRow{row: executor.row})
+		executor.endpoint.position, d.executorsByTag[executor.tag] = i, executor
+		d.endpointRows = append(d.endpointRows, endpointRow{row: executor.endpoint.row})
 		d.affinityHashes = append(d.affinityHashes, affinityHashOf(executor))
-		d.applyWeight(&d.endpointRows[i], executor.row.Scale)
+		d.applyWeight(&d.endpointRows[i], executor.endpoint.row.Scale)
 	}
 }
 
@@ -175,29 +219,29 @@
 	at := d.positionOf(executor.id)
 	listedNow := at < len(d.endpointRows) && d.endpointRows[at].row.Worker == executor.id
 	switch {
-	case executor.condition == Gone && listedNow:
+	case executor.endpoint.condition == Gone && listedNow:
 		d.executors = slices.Delete(d.executors, at, at+1)
 		d.endpointRows = slices.Delete(d.endpointRows, at, at+1)
 		d.affinityHashes = slices.Delete(d.affinityHashes, at, at+1)
 		d.releaseTag(executor)
 		d.removedExecutors = append(d.removedExecutors, executor)
 		return
-	case executor.condition == Gone:
+	case executor.endpoint.condition == Gone:
 		d.removedExecutors = append(d.removedExecutors, executor)
 		return
 	case listedNow:
-		executor.row.Scale = d.endpointRows[at].row.Scale // as last told
-		d.endpointRows[at].row, d.affinityHashes[at] = executor.row, affinityHashOf(executor)
+		executor.endpoint.row.Scale = d.endpointRows[at].row.Scale // as last told
+		d.endpointRows[at].row, d.affinityHashes[at] = executor.endpoint.row, affinityHashOf(executor)
 	default:
 		executor.tag = d.tagOf(executor.id)
 		if x := d.executorsByTag[executor.tag]; x == nil || x.id < executor.id {
 			d.executorsByTag[executor.tag] = executor
 		}
 		d.executors = slices.Insert(d.executors, at, executor)
-		d.endpointRows = slices.Insert(d.endpointRows, at, endpointRow{row: executor.row})
+		d.endpointRows = slices.Insert(d.endpointRows, at, endpointRow{row: executor.endpoint.row})
 		d.affinityHashes = slices.Insert(d.affinityHashes, at, affinityHashOf(executor))
 	}
-	d.applyWeight(&d.endpointRows[at], executor.row.Scale)
+	d.applyWeight(&d.endpointRows[at], executor.endpoint.row.Scale)
 }
 
 // untag gives a worker's name in messages to the last other one of that name, if there is one.
@@ -216,15 +260,19 @@
 // forgetLeft forgets the workers that are gone once nothing of ours is out there.
 func (d *Dispatcher) forgetRemoved() {
 	d.removedExecutors = slices.DeleteFunc(d.removedExecutors, func(executor *executor) bool {
-		if executor.condition == Gone && len(executor.inFlight) == 0 {
+		if executor.endpoint.condition == Gone && len(executor.inFlight.jobs) == 0 {
 			d.rememberStart(executor)
 			delete(d.executorsByID, executor.id)
 		}
-		return executor.condition != Gone || len(executor.inFlight) == 0
+		return executor.endpoint.condition != Gone || len(executor.inFlight.jobs) == 0
 	})
 }
 
-// hashOf is what the homes of keys see of a worker.
-func affinityHashOf(executor *executor) affinityHash {
-	return affinityHash{mix64(uint64(executor.id) + 0x9e3779b97f4a7c15), executor.tag, executor.row.Kind, executor.condition == Ready}
+// endpointState is what the endpoint list tells of an executor.
+type endpointState struct {
+	zone, kind int
+	cell       uint16
+	condition  Condition
+	position   int // in the list, where weights are live
+	row        Row // when it last changed but for its weight
 }
--- a/brain/scale_test.go
+++ b/brain/scale_test.go
@@ -18,14 +18,14 @@
 // Of a large fleet no more workers are looked at than have a reason and some drawn ones, whatever its size: else
 // a node needs more CPU than it has, and all nodes storm the same roomiest worker (recife later big-1).
 func TestLargeFleetIsNotLookedAtWhole(t *testing.T) {
-	for _, n := range []int{lookAll, 400} {
+	for _, n := range []int{fullScanLimit, 400} {
 		s := base()
 		s.Balancers = 100
 		r := newRig(t, s, fleet(n)...)
 		r.step(request(1, 0, 0, 1))
 		most := n
-		if n > lookAll {
-			most = lookSome + 2*len(r.d.recentReporters)
+		if n > fullScanLimit {
+			most = sampledExecutors + 2*len(r.d.recentReporters)
 		}
 		if got := len(r.d.inspected); got == 0 || got > most {
 			t.Errorf("%d workers looked at of %d, want 1 to %d", got, n, most)
@@ -69,7 +69,7 @@
 	}
 	r.d.kinds[0].slots = 4
 	for i, executor := range r.d.executors[:40] {
-		executor.slots = 4
+		executor.load.slots = 4
 		r.after(5)
 		r.d.handleLoadReport(executor, []float32{float32(i%2) * 0.01})
 	}
@@ -77,7 +77,7 @@
 		t.Errorf("room %v at a worker not heard of while 40 of its kind are full, want none", room)
 	}
 	for i, executor := range r.d.executors[40:120] {
-		executor.slots = 4
+		executor.load.slots = 4
 		r.after(20)
 		r.d.handleLoadReport(executor, []float32{4 - float32(i%2)*0.01})
 	}
@@ -94,9 +94,9 @@
 	r := newRig(t, s, fleet(200)...)
 	r.d.kinds[0].slots = 4
 	for i, executor := range r.d.executors {
-		executor.slots = 4
+		executor.load.slots = 4
 		r.d.handleLoadReport(executor, []float32{float32(i%2) * 0.01})
-		executor.freeSlots = -3
+		executor.load.freeSlots = -3
 	}
 	if got := r.step(request(1, 0, 0, 1)); len(find(got, ActSend, 1)) != 0 {
 		t.Fatal("sent at once although no worker has room")
@@ -195,11 +195,11 @@
 	r := newRig(t, s, fleet(100)...)
 	j := request(1, 0, 0, 1)
 	j.Key = 77
-	r.d.keyTotal = keyMemory // the key is a rare one
+	r.d.keyTotal = keyCountWindow // the key is a rare one
 	probe := &job{key: 77, slots: 1, work: 200}
 	r.d.findAffinityCandidates(probe)
 	for _, executor := range probe.candidates {
-		executor.rejectedUntil = r.now + 1e6
+		executor.load.rejectedUntil = r.now + 1e6
 	}
 	if got := find(r.step(j), ActSend, 1); len(got) != 0 {
 		t.Fatal("sent astray at once")
@@ -235,8 +235,8 @@
 		}
 	}
 	asked := probes(r.after(1, request(1, 0, 0, 1)))
-	if len(asked) == 0 || len(asked) > probesPerJob {
-		t.Fatalf("%d probes for a job, want 1 to %d", len(asked), probesPerJob)
+	if len(asked) == 0 || len(asked) > maxChecksPerRequest {
+		t.Fatalf("%d probes for a job, want 1 to %d", len(asked), maxChecksPerRequest)
 	}
 	if len(find(r.last, ActSend, 1)) != 0 {
 		t.Fatal("sent before its probes were back")
@@ -289,10 +289,10 @@
 			r.after(c.wait, Event{Kind: EvNote, Job: 100 + i, Topic: NoteStarted})
 			r.after(10, outcome(100+i, 0, sent[0].Worker, Served))
 		}
-		r.d.executorsByID[8].ejectedUntil = r.now + 1 // so that the next goes to the first
+		r.d.executorsByID[8].outlier.ejectedUntil = r.now + 1 // so that the next goes to the first
 		job := request(1, 0, 0, 1)
 		job.TimeLeft = 60000
-		if len(find(r.step(job), ActSend, 1)) != 1 || executor.ownSlots != 1 {
+		if len(find(r.step(job), ActSend, 1)) != 1 || executor.inFlight.slots != 1 {
 			t.Fatalf("%s: not sent to the first worker", c.name)
 		}
 		if c.started {
@@ -303,8 +303,8 @@
 			r.after(10, Event{Kind: EvTimer})
 			copied = copied || len(find(r.last, ActSend, 1)) > 0
 		}
-		if executor.unresponsive != c.silent || copied != c.started {
-			t.Errorf("%s: silent %v, copied %v, want %v, %v", c.name, executor.unresponsive, copied, c.silent, c.started)
+		if executor.outlier.unresponsive != c.silent || copied != c.started {
+			t.Errorf("%s: silent %v, copied %v, want %v, %v", c.name, executor.outlier.unresponsive, copied, c.silent, c.started)
 		}
 	}
 }
@@ -316,7 +316,7 @@
 	s := base()
 	s.Balancers, s.MayDuplicate = 100, false
 	r := newRig(t, s, fleet(400)...)
-	const part = 400 * softStart / 100
+	const part = 400 * initialSoftLimit / 100
 	for id := uint32(1); id <= part; id++ {
 		r.step(request(id, 0, uint16(id%3), 1))
 		if n := len(find(r.last, ActSend, id)); n != 1 || r.d.capacity != part {
@@ -352,7 +352,7 @@
 		if executor.id == 500 {
 			want = 0
 		}
-		if got := r.d.endpointRows[executor.position].liveLoad; got != want {
+		if got := r.d.endpointRows[executor.endpoint.position].liveLoad; got != want {
 			t.Fatalf("worker %d holds %v requests a core by its weight, want %v", executor.id, got, want)
 		}
 	}
@@ -426,7 +426,7 @@
 		}
 	}
 	// Half of what the safety leaves of the budget: 0.6 x 4 x 0.65 x 4 slots over 9 s.
-	if got, want := 300*float64(len(sends)), coldSafety*s.FallMultiple*0.65*4*s.WarmWithin/2; got < want {
+	if got, want := 300*float64(len(sends)), slowStartSafety*s.FallMultiple*0.65*4*s.WarmWithin/2; got < want {
 		t.Errorf("all nodes sent %.0f ms of work while it warmed, want %.0f", got, want)
 	}
 }
