--- a/cmd/gatetack/relayed_test.go
+++ b/cmd/gatetack/callbacks_test.go
@@ -4,14 +4,12 @@
 	"errors"
 	"os"
 	"path/filepath"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/internal/batch"
 	"gatetack/internal/executor"
 	"gatetack/internal/handover"
 	"gatetack/internal/node"
@@ -30,10 +28,10 @@
 	if err := relay.Register(); err == nil {
 		t.Fatal("registered below a file")
 	}
-	exec := executor.New(t.Context(), &errgroup.Group{}, standin.Lim, node.Names{}, nil, nil, standin.Quiet)
-	calls := relayed{exec: exec, relay: relay, late: &atomic.Pointer[batch.Front]{}}
+	executors := executor.New(t.Context(), &errgroup.Group{}, standin.Lim, node.Names{}, nil, nil, standin.Quiet)
+	router := &callbackRouter{executors: executors, relay: relay}
 	callback := []byte(`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"done","result":"tile"}`)
-	err := calls.Callback(callback)
+	err := router.Callback(callback)
 	if _, ok := errors.AsType[*platform.CallbackRefusedError](err); !ok || !errors.Is(err, syscall.ENOTDIR) {
 		t.Fatalf("%v", err)
 	}
@@ -43,7 +41,7 @@
 	if err := relay.Register(); err != nil {
 		t.Fatal(err)
 	}
-	if err := calls.Callback(callback); err != nil {
+	if err := router.Callback(callback); err != nil {
 		t.Errorf("with no other process: %v", err)
 	}
 }
--- /dev/null
+++ b/cmd/gatetack/configuration.go
@@ -0,0 +1,31 @@
+package main
+
+import (
+	"os"
+
+	"gatetack/internal/config"
+	"gatetack/internal/pace"
+)
+
+// load reads the platform's configuration and, where one is named, the operator's file. A file that names the node stands
+// for both: the node is alone then, and no variable of the platform's is needed.
+func load(path string) (*config.Config, *config.File, error) {
+	file := &config.File{Pace: pace.Default()}
+	var err error
+	if path != "" {
+		if file, err = config.ReadFile(path); err != nil {
+			return nil, nil, err
+		}
+	}
+	var cfg *config.Config
+	if file.Alone() {
+		cfg, err = file.Config()
+	} else {
+		cfg, err = config.FromEnv(os.Getenv)
+	}
+	if err != nil {
+		return nil, nil, err
+	}
+	cfg.Limits.Pace = file.Pace
+	return cfg, file, cfg.Check(file)
+}
--- /dev/null
+++ b/cmd/gatetack/listen.go
@@ -0,0 +1,43 @@
+package main
+
+import (
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+
+	"gatetack/internal/config"
+)
+
+// passedSocketVariable is the environment variable that names the descriptor of a listening socket passed to the process.
+const passedSocketVariable = "EDGE_PASSED_SOCKET"
+
+// listen returns the clients' listening socket: the one that the platform passed, or a new one on the address.
+func listen(cfg *config.Config, log *slog.Logger) (net.Listener, error) {
+	if cfg.Passed >= 0 {
+		return passedListener(cfg, log)
+	}
+	listener, err := net.Listen("tcp", cfg.Listen)
+	if err != nil {
+		return nil, fmt.Errorf("listening: %w", err)
+	}
+	return listener, nil
+}
+
+func passedListener(cfg *config.Config, log *slog.Logger) (net.Listener, error) {
+	file := os.NewFile(uintptr(cfg.Passed), passedSocketVariable)
+	if file == nil {
+		return nil, fmt.Errorf("%s: descriptor %d is not open; expected the clients' listening socket",
+			passedSocketVariable, cfg.Passed)
+	}
+	defer func() { _ = file.Close() }() // FileListener duplicates the descriptor
+	listener, err := net.FileListener(file)
+	if err != nil {
+		return nil, fmt.Errorf("%s: descriptor %d: %w; expected the clients' listening socket",
+			passedSocketVariable, cfg.Passed, err)
+	}
+	if passed := listener.Addr().String(); passed != cfg.Listen {
+		log.Warn("passed socket listens on another address than configured", "passed", passed, "configured", cfg.Listen)
+	}
+	return listener, nil
+}
--- /dev/null
+++ b/cmd/gatetack/process.go
@@ -0,0 +1,135 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"runtime"
+	"runtime/debug"
+	"sync/atomic"
+	"time"
+
+	"gatetack/internal/config"
+	"gatetack/internal/executor"
+	"gatetack/internal/failpoint"
+	"gatetack/internal/http1"
+	"gatetack/internal/node"
+	"gatetack/internal/records"
+	"gatetack/internal/store"
+)
+
+// process is one running node: it opens the parts one after the other, connects them, and owns the order in which they
+// end. Fields are written while it starts, before the goroutines that read them.
+type process struct {
+	config      *config.Config // with the store's settings over the platform's
+	file        *config.File
+	log         *slog.Logger
+	incarnation time.Time // the start of this process by the wall clock: tells it from earlier ones of the same node
+	life        *lifetime
+
+	// Control: decisions, and the state that they rest on.
+	core       *node.Core
+	tuner      *tuner
+	executors  *executor.Client
+	lists      listSource
+	store      *store.Store  // nil where the file names none
+	jobRecords records.Store // nil where batch jobs are not persisted
+	stay       atomic.Int64  // how long clients are served after SIGTERM; the tuner raises it with the longest deadline
+
+	// Fronts: listeners and what answers there.
+	callbacks *callbackRouter
+	clients   *http1.Server
+	accepting atomic.Bool  // the clients' front accepts connections
+	batch     *batchServer // nil where the file names none
+}
+
+// serve runs a node until ctx ends and all that it accepted is answered.
+func serve(ctx context.Context, hup <-chan os.Signal, c *config.Config, f *config.File, log *slog.Logger) error {
+	p := &process{config: c, file: f, log: log, incarnation: failpoint.Wall(), life: newLifetime(ctx)}
+	runtime.GOMAXPROCS(c.Limits.Cores)
+	debug.SetMemoryLimit(c.Limits.MemoryBytes)
+	if err := p.start(ctx, hup); err != nil {
+		p.life.stop()
+		_ = p.life.wait() // the parts end because one could not be opened: its error is the one to report
+		return err
+	}
+	err := p.life.wait()
+	log.Info("ended", "err", err)
+	return err
+}
+
+// start opens all parts. The listeners come last, so that no client is accepted that could not be served.
+func (p *process) start(ctx context.Context, hup <-chan os.Signal) error {
+	if err := p.startControl(ctx, hup); err != nil {
+		return err
+	}
+	failpoint.At(failpoint.Listen)
+	if ctx.Err() != nil {
+		p.log.Info("leaving", "before", "listening")
+		p.life.stop()
+		return nil
+	}
+	if err := p.startFronts(ctx); err != nil {
+		return err
+	}
+	p.log.Info("serving", "node", p.config.Name, "listen", p.config.Listen, "version", version)
+	p.life.start(func(running context.Context) error {
+		defer p.life.stop()
+		select {
+		case <-ctx.Done():
+			p.leave(running)
+		case <-running.Done():
+		}
+		return nil
+	})
+	return nil
+}
+
+// startControl opens all that decides and keeps state, and connects it.
+func (p *process) startControl(ctx context.Context, hup <-chan os.Signal) error {
+	base := *p.config // before the store's settings are laid over it
+	feed, err := openSettings(ctx, p.config, p.file, p.incarnation, p.log)
+	if err != nil {
+		return err
+	}
+	if err := p.openCore(); err != nil {
+		return err
+	}
+	if err := p.openStore(); err != nil {
+		return err
+	}
+	if err := p.startSettings(feed, base); err != nil {
+		return err
+	}
+	if err := p.startRecords(); err != nil {
+		return err
+	}
+	if err := p.openLists(hup); err != nil {
+		return err
+	}
+	peers, err := p.startPeers()
+	if err != nil {
+		return err
+	}
+	p.core.Connect(p.executors, p.lists, peers)
+	if p.file.Inventory.File == "" {
+		p.core.AwaitList(len(p.config.Known.Entries))
+	}
+	return nil
+}
+
+// startFronts opens the listeners and what answers there. The core runs from the first of them on.
+func (p *process) startFronts(ctx context.Context) error {
+	if err := p.startClients(); err != nil {
+		return err
+	}
+	if p.config.Operator != "" {
+		if err := p.startOperator(ctx); err != nil {
+			return err
+		}
+	}
+	if p.file.Batch.Listen == "" {
+		return nil
+	}
+	return p.startBatch()
+}
--- /dev/null
+++ b/cmd/gatetack/process_control.go
@@ -0,0 +1,155 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+	"os"
+
+	"gatetack/internal/config"
+	"gatetack/internal/discovery"
+	"gatetack/internal/executor"
+	"gatetack/internal/inventory"
+	"gatetack/internal/keys"
+	"gatetack/internal/node"
+	"gatetack/internal/pace"
+	"gatetack/internal/peer"
+	"gatetack/internal/records"
+	"gatetack/internal/settings"
+	"gatetack/internal/store"
+)
+
+// listSource brings the endpoint list to the core.
+type listSource interface {
+	node.Lists
+	// Run brings the list until the context ends.
+	Run(context.Context) error
+}
+
+// noPeers takes the place of the socket to other nodes where the settings allow no messages.
+type noPeers struct{}
+
+// Tell drops the message.
+func (noPeers) Tell(uint16, []byte) {}
+
+// openCore makes the core and the client of the executors, which call one another.
+func (p *process) openCore() error {
+	cfg := p.config
+	core, err := node.New(cfg.Settings, cfg.Seed, cfg.Known, cfg.Names, cfg.Limits, p.log)
+	if err != nil {
+		return err
+	}
+	p.core = core
+	p.executors = executor.New(p.life.ctx, p.life.group, cfg.Limits, cfg.Names, core, core.Slow(), p.log)
+	return nil
+}
+
+// openStore opens this node's member of the store, if the file names one. startRecords runs it.
+func (p *process) openStore() error {
+	member, err := openStore(p.config, p.file, p.core.Slow(), p.log)
+	if err != nil {
+		return err
+	}
+	p.store = member
+	return nil
+}
+
+func openStore(c *config.Config, f *config.File, slow *pace.Tally, log *slog.Logger) (*store.Store, error) {
+	if f.Store.Dir == "" {
+		return nil, nil
+	}
+	ring, err := openKeys(f.Store.Keys, "store", log)
+	if err != nil {
+		return nil, err
+	}
+	return store.Open(store.Config{Keys: ring, Name: c.Name, Dir: f.Store.Dir, Listen: f.Store.Listen,
+		Members: f.Store.Members, Join: f.Store.Join, Marks: f.StoreMarks(), Trust: f.Store.Trust}, c.Limits, slow, log)
+}
+
+// openKeys opens a folder of keys, and logs when keys that replace them can not be used. It returns nil where none is named.
+func openKeys(dir, user string, log *slog.Logger) (*keys.Ring, error) {
+	if dir == "" {
+		return nil, nil
+	}
+	return keys.Open(dir, func(err error) {
+		log.Error("replaced keys not usable, the former ones stay in use", "keys", user, "err", err)
+	})
+}
+
+// startSettings makes the tuner and has settings of the store come to it, where they do.
+func (p *process) startSettings(feed *settingsFeed, base config.Config) error {
+	p.stay.Store(int64(p.config.Limits.Stay))
+	p.tuner = &tuner{core: p.core, lim: p.config.Limits, stay: &p.stay, base: base, document: settings.NewDocument()}
+	if feed == nil {
+		return nil
+	}
+	p.tuner.document = feed.inForce
+	if p.store != nil {
+		if err := feed.serve(p.store, p.config, p.file, p.tuner.Validate, p.log); err != nil {
+			return err
+		}
+	}
+	p.life.start(func(ctx context.Context) error { return feed.run(ctx, p.tuner) })
+	return nil
+}
+
+// startRecords has batch jobs persisted in the store or, without one, in a file of this node.
+func (p *process) startRecords() error {
+	if p.store != nil {
+		p.jobRecords = p.store
+		p.life.start(p.store.Run)
+		return nil
+	}
+	if p.file.Batch.Dir == "" {
+		return nil
+	}
+	file, err := records.OpenBolt(p.file.Batch.Dir)
+	if err != nil {
+		return err
+	}
+	p.life.onEnd(func() {
+		if err := file.Close(); err != nil {
+			p.log.Error("job records not closed", "err", err)
+		}
+	})
+	p.jobRecords = file
+	return nil
+}
+
+// openLists chooses where the endpoint list comes from: the inventory if there is one, discovery otherwise. The
+// configuration is read again on each SIGHUP from then on.
+func (p *process) openLists(hup <-chan os.Signal) error {
+	cfg := p.config
+	source := discovery.New(cfg.Discovery, cfg.Known.Index, !cfg.Settings.Ask, cfg.Limits, p.core, p.core.Slow(), p.log)
+	p.life.start(func(ctx context.Context) error {
+		reload(ctx, hup, p.tuner, p.file, source.Move, p.log)
+		return nil
+	})
+	p.lists = source
+	if p.file.Inventory.File == "" {
+		return nil
+	}
+	var shared inventory.Keeper
+	if p.store != nil {
+		shared = p.store
+	}
+	list, err := inventory.Open(p.file.Inventory.File, cfg.Names, cfg.Limits, p.core, shared, p.log)
+	if err != nil {
+		return err
+	}
+	p.lists = list
+	return nil
+}
+
+// startPeers opens the socket to other nodes, where the settings allow messages.
+func (p *process) startPeers() (node.Peers, error) {
+	cfg := p.config
+	if !cfg.Settings.MayTell || cfg.PeerListen == "" {
+		return noPeers{}, nil
+	}
+	socket, err := peer.Listen(cfg.PeerListen, cfg.Peers, cfg.PeersAll, cfg.Limits, p.core, p.log)
+	if err != nil {
+		return nil, err
+	}
+	p.life.start(socket.Run)
+	return socket, nil
+}
--- /dev/null
+++ b/cmd/gatetack/process_fronts.go
@@ -0,0 +1,200 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"time"
+
+	"gatetack/internal/actorhost"
+	"gatetack/internal/batch"
+	"gatetack/internal/handover"
+	"gatetack/internal/http1"
+	"gatetack/internal/keys"
+	"gatetack/internal/limits"
+	"gatetack/internal/locality"
+	"gatetack/internal/migration"
+	"gatetack/internal/node"
+	"gatetack/internal/operator"
+	"gatetack/internal/owner"
+	"gatetack/internal/platform"
+)
+
+// handoverFolder is the folder under the system's temporary one in which two processes of a node exchange callbacks.
+const handoverFolder = "gatetack-handover"
+
+// Spare connections of a front, which get one answer and are closed, as a part of its connections.
+const (
+	operatorSparePart = 4
+	batchSparePart    = 8
+)
+
+// frontLimits are the limits of a front beside the clients' one.
+func frontLimits(lim limits.Limits, connections, sparePart int) limits.Limits {
+	lim.ClientConns, lim.SpareConns, lim.DoorConns = connections, connections/sparePart, 1
+	return lim
+}
+
+// startClients opens the platform's front, and starts the core and the endpoint list with it.
+func (p *process) startClients() error {
+	cfg := p.config
+	listener, err := listen(cfg, p.log)
+	if err != nil {
+		return err
+	}
+	p.callbacks = &callbackRouter{executors: p.executors}
+	if cfg.Passed >= 0 {
+		p.startRelay()
+	}
+	p.clients = http1.NewServer(cfg.Limits, platform.New(p.core, p.callbacks, cfg.Limits, p.log), p.core.Slow(), p.log)
+	p.life.start(p.core.Run)
+	p.life.start(p.lists.Run)
+	p.life.start(func(ctx context.Context) error {
+		p.accepting.Store(true)
+		return p.clients.Serve(ctx, listener)
+	})
+	return nil
+}
+
+// startRelay exchanges callbacks with the process of this node that runs beside this one while one replaces the other.
+func (p *process) startRelay() {
+	folder := filepath.Join(os.TempDir(), handoverFolder)
+	relay := handover.New(folder, p.config.Limits.Follow, p.config.Limits.Stay, p.log)
+	if err := relay.Register(); err != nil { // Run tries again
+		p.log.Error("handover directory not usable", "err", err)
+	}
+	p.life.onEnd(func() { _ = relay.Close() })
+	p.callbacks.relay = relay
+	p.life.start(func(ctx context.Context) error { return relay.Run(ctx, p.callbacks.take) })
+}
+
+// startOperator opens the operator's address.
+func (p *process) startOperator(ctx context.Context) error {
+	listener, err := net.Listen("tcp", p.config.Operator)
+	if err != nil {
+		return fmt.Errorf("operator: %w", err)
+	}
+	lim := frontLimits(p.config.Limits, p.config.Limits.Operators, operatorSparePart)
+	lim.Pace.PerPeer = false
+	server := http1.NewServer(lim, operator.New(p.core, p.accepting.Load, p.log), p.core.Slow(), p.log)
+	p.life.start(func(running context.Context) error { return server.Serve(running, listener) })
+	p.life.start(func(context.Context) error {
+		followDrain(ctx, p.core, p.clients, p.config.Limits.Follow)
+		return nil
+	})
+	return nil
+}
+
+// followDrain applies the core's drain state to the clients' front until the node is told to leave, when leave takes
+// over: while drained, each answer ends its connection and idle connections are closed, so that clients go elsewhere;
+// jobs under way are answered first.
+func followDrain(ctx context.Context, core *node.Core, front *http1.Server, interval time.Duration) {
+	tick := time.NewTicker(interval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-tick.C:
+		case <-ctx.Done():
+			return
+		}
+		if core.Drained() {
+			front.Drain()
+			front.CloseIdle()
+		} else {
+			front.Resume()
+		}
+	}
+}
+
+// batchServer is the batch front with its listener and, where the node is a member of the store, the owner of its
+// partitions and the host of its actors.
+type batchServer struct {
+	front  *batch.Front
+	server *http1.Server
+	owner  *owner.Owner    // nil without a store
+	actors *actorhost.Host // nil without a store
+}
+
+// startBatch opens the batch front.
+func (p *process) startBatch() error {
+	listener, ring, err := p.listenBatch()
+	if err != nil {
+		return err
+	}
+	options := batch.Options{Core: p.core, Store: p.jobRecords, Node: p.config.Name, Version: version,
+		Life: p.incarnation, Limits: p.config.Limits, Log: p.log}
+	b := &batchServer{}
+	if p.store != nil {
+		b.owner, err = owner.New(p.store, p.config.Name, p.incarnation.UnixMilli(), p.file.Batch.Listen, p.config.Limits, p.log)
+		if err != nil {
+			return err
+		}
+		options.Store, options.Fleet = b.owner, b.owner
+	}
+	if p.file.Data.File != "" {
+		if options.Placer, err = p.startPlacer(); err != nil {
+			return err
+		}
+	}
+	b.front = batch.New(options)
+	lim := frontLimits(p.config.Limits, p.config.Limits.BatchConns, batchSparePart)
+	b.server = http1.NewServer(lim, b.front, p.core.Slow(), p.log)
+	p.callbacks.batch.Store(b.front)
+	if b.owner != nil {
+		p.startActors(b, ring)
+	}
+	p.life.start(b.front.Run)
+	p.life.start(func(ctx context.Context) error { return b.server.Serve(ctx, listener) })
+	p.batch = b
+	return nil
+}
+
+// listenBatch opens the batch front's address, with mutual TLS where keys are named.
+func (p *process) listenBatch() (net.Listener, *keys.Ring, error) {
+	listener, err := net.Listen("tcp", p.file.Batch.Listen)
+	if err != nil {
+		return nil, nil, fmt.Errorf("batch front: %w", err)
+	}
+	ring, err := openKeys(p.file.Batch.Keys, "batch front", p.log)
+	if err != nil {
+		return nil, nil, err
+	}
+	if ring != nil {
+		listener = ring.Listen(listener)
+	}
+	return listener, ring, nil
+}
+
+// startPlacer prices zones for jobs that name their inputs.
+func (p *process) startPlacer() (batch.Placer, error) {
+	placer, err := locality.Open(p.file.Data.File, p.config.Names, p.config.Settings, p.core, p.log)
+	if err != nil {
+		return nil, err
+	}
+	p.life.start(func(ctx context.Context) error {
+		placer.Run(ctx)
+		return nil
+	})
+	return placer, nil
+}
+
+// startActors runs the owner of the node's partitions and the host of its actors, and connects both to the batch front.
+func (p *process) startActors(b *batchServer, ring *keys.Ring) {
+	b.owner.Connect(b.front, ring)
+	p.life.start(b.owner.Run)
+	b.actors = actorhost.New(actorhost.Config{Name: p.config.Name, Zone: p.zone(), Addr: p.file.Batch.Listen, Store: p.store,
+		Front: b.front, Forward: b.owner.Pass, Prefix: batch.Prefix, Capacity: p.config.Limits.StoreValues / 2,
+		Rules: migration.DefaultRules(), Limits: p.config.Limits, Log: p.log})
+	b.front.SetDesks(b.actors)
+	p.life.start(b.actors.Run)
+}
+
+// zone is the name of the node's zone, empty where the settings name none.
+func (p *process) zone() string {
+	if zones := p.config.Names.Zones; p.config.Settings.Zone < len(zones) {
+		return zones[p.config.Settings.Zone]
+	}
+	return ""
+}
--- a/cmd/gatetack/settings_serve.go
+++ b/cmd/gatetack/settings_serve.go
@@ -8,7 +8,6 @@
 	"gatetack/internal/config"
 	"gatetack/internal/fault"
 	"gatetack/internal/http1"
-	"gatetack/internal/keys"
 	"gatetack/internal/limits"
 	"gatetack/internal/settings"
 	"gatetack/internal/settingsync"
@@ -59,12 +58,9 @@
 
 // memberCaller calls members of the store, by the keys in a folder where one is named.
 func memberCaller(dir string, lim limits.Limits, log *slog.Logger) (settingsync.Caller, error) {
-	var ring *keys.Ring
-	if dir != "" {
-		var err error
-		if ring, err = keys.Open(dir, func(err error) { log.Error("settings: new keys can not be used, the old ones stay", "err", err) }); err != nil {
-			return nil, err
-		}
+	ring, err := openKeys(dir, "settings", log)
+	if err != nil {
+		return nil, err
 	}
 	return func(ctx context.Context, addr, verb, path string, body []byte) (*http1.Message, error) {
 		return store.Call(ctx, addr, verb, path, body, ring, lim)
