--- a/brain/admission.go
+++ b/brain/admission.go
@@ -15,15 +15,15 @@
 
 // admitArrived runs the design's steps for each arrival: limit, reservation, remainder, else refuse.
 func (d *Dispatcher) admitArrived() {
-	if len(d.arrived) == 0 || d.awaitsAggregator() {
+	if len(d.jobs.arrived) == 0 || d.awaitsAggregator() {
 		return
 	}
 	d.estimateCapacity()
-	for _, job := range d.arrived {
+	for _, job := range d.jobs.arrived {
 		if job.done {
 			continue
 		}
-		tenant := &d.tenants[job.tenant]
+		tenant := &d.admission.tenants[job.tenant]
 		tenant.lastSeen = d.now
 		if d.isHopeless(job) {
 			d.endJob(job, causeTooLate)
@@ -42,24 +42,24 @@
 		d.enqueue(job)
 		d.checkHealthFor(job)
 	}
-	d.arrived = d.arrived[:0]
+	d.jobs.arrived = d.jobs.arrived[:0]
 }
 
 func (d *Dispatcher) admit(job *job) bool {
-	stats := &d.classes[job.class]
-	tokens := d.capacity * (1 + min(maxQueuedFraction, d.settings.Classes[job.class].Aim/stats.work))
-	if job.value < d.meanValue {
+	stats := &d.serviceTimes.classes[job.class]
+	tokens := d.capacity.slots * (1 + min(maxQueuedFraction, d.settings.Classes[job.class].Aim/stats.work))
+	if job.value < d.admission.meanValue {
 		tokens *= 1 - trunkReservation // the last tokens are for work worth more than the mean
 	}
 	active := 0.0
-	for i := range d.tenants {
-		if tenant := &d.tenants[i]; d.now-tenant.lastSeen <= tenantActiveMs || tenant.reservedSlots > 0 {
+	for i := range d.admission.tenants {
+		if tenant := &d.admission.tenants[i]; d.now-tenant.lastSeen <= tenantActiveMs || tenant.reservedSlots > 0 {
 			active += tenant.reservedShare
 		}
 	}
 	active = max(active, 1e-9)
 	unit := reservedFraction * tokens / active
-	tenant := &d.tenants[job.tenant]
+	tenant := &d.admission.tenants[job.tenant]
 	limit := tokens * (tenant.reservedShare/active + borrowableFraction*(1-tenant.reservedShare/active))
 	if tenant.reservedSlots+job.slots > limit {
 		return false
@@ -70,17 +70,17 @@
 		return true
 	}
 	borrowed := 0.0
-	for i := range d.tenants {
-		borrowed += max(0, d.tenants[i].reservedSlots-unit*d.tenants[i].reservedShare)
+	for i := range d.admission.tenants {
+		borrowed += max(0, d.admission.tenants[i].reservedSlots-unit*d.admission.tenants[i].reservedShare)
 	}
 	job.borrowed = true
-	return borrowed+job.slots <= tokens-reservedFraction*tokens || len(d.queue) == 0 && d.isStarved()
+	return borrowed+job.slots <= tokens-reservedFraction*tokens || len(d.jobs.queue) == 0 && d.isStarved()
 }
 
 // meter tells whether a request is beyond its tenant's share, by a bucket that fills at the part of the quota
 // that usually comes this way: nodes see only their own traffic, and it is uneven.
 func (d *Dispatcher) isOverQuota(job *job, repeat bool) bool {
-	tenant := &d.tenants[job.tenant]
+	tenant := &d.admission.tenants[job.tenant]
 	if tenant.quota <= 0 {
 		return false
 	}
@@ -109,17 +109,17 @@
 // that the quotas stand for. The parts of all nodes sum to 1 while traffic is at quota.
 func (d *Dispatcher) fleetShare() float64 {
 	even := 1 / float64(d.settings.Balancers)
-	if d.totalQuota <= 0 {
+	if d.admission.totalQuota <= 0 {
 		return even
 	}
-	return (even + min(1, d.quotaRate()/d.totalQuota)) / 2
+	return (even + min(1, d.quotaRate()/d.admission.totalQuota)) / 2
 }
 
 // countArrival takes in that a request came now.
 func (d *Dispatcher) countArrival(repeat bool) {
-	d.allArrivals.add(d.now)
+	d.admission.allArrivals.add(d.now)
 	if !repeat {
-		d.firstArrivals.add(d.now)
+		d.admission.firstArrivals.add(d.now)
 	}
 }
 
@@ -127,10 +127,10 @@
 // sends it again: in a storm of repeats the parts of all nodes summed to 2.7. Small fleets count each try: there a node
 // sees most workers itself, and its part bounds little.
 func (d *Dispatcher) quotaRate() float64 {
-	if len(d.executors) > fullScanLimit {
-		return d.firstArrivals.perSecond
+	if len(d.endpoints.listed) > fullScanLimit {
+		return d.admission.firstArrivals.perSecond
 	}
-	return d.allArrivals.perSecond
+	return d.admission.allArrivals.perSecond
 }
 
 type tenant struct {
@@ -146,8 +146,8 @@
 // inflight is how many tokens are out.
 func (d *Dispatcher) reservedTotal() float64 {
 	held := 0.0
-	for i := range d.tenants {
-		held += d.tenants[i].reservedSlots
+	for i := range d.admission.tenants {
+		held += d.admission.tenants[i].reservedSlots
 	}
 	return held
 }
@@ -155,21 +155,21 @@
 // share takes over the tenants' shares. What was learned of those that are there already stays.
 func (d *Dispatcher) setTenants(tenants []Tenant) {
 	sum := 0.0
-	d.totalQuota = 0
+	d.admission.totalQuota = 0
 	for _, t := range tenants {
 		sum += t.Portion
-		d.totalQuota += max(0, t.Quota)
+		d.admission.totalQuota += max(0, t.Quota)
 	}
-	for i := len(d.tenants); i < max(1, len(tenants)); i++ {
+	for i := len(d.admission.tenants); i < max(1, len(tenants)); i++ {
 		t := tenant{lastSeen: math.Inf(-1)}
 		if len(tenants) > 0 {
 			t.usualRate, t.tokens = tenants[i].Quota/2, tenants[i].Quota*quotaBurstMs/1000
 		}
-		d.tenants = append(d.tenants, t)
+		d.admission.tenants = append(d.admission.tenants, t)
 	}
-	for i := range d.tenants {
-		tenant := &d.tenants[i]
-		tenant.reservedShare = 1 / float64(len(d.tenants))
+	for i := range d.admission.tenants {
+		tenant := &d.admission.tenants[i]
+		tenant.reservedShare = 1 / float64(len(d.admission.tenants))
 		if sum > 0 {
 			tenant.reservedShare = tenants[i].Portion / sum
 		}
@@ -178,3 +178,12 @@
 		}
 	}
 }
+
+// admission decides which jobs are taken in: the tenants' shares, and what is known of the traffic.
+type admission struct {
+	tenants       []tenant
+	totalQuota    float64  // requests a second that all tenants may send to all nodes
+	meanValue     float64  // mean priority weight of arrivals for each slot and time
+	allArrivals   arrivals // of requests here, those that clients send again counted each time
+	firstArrivals arrivals // likewise without those
+}
--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -38,9 +38,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.capacity, d.now = 100, 100000
-			for i := range d.tenants {
-				d.tenants[i].reservedSlots, d.tenants[i].lastSeen = tt.inflight[i], d.now
+			d.capacity.slots, d.now = 100, 100000
+			for i := range d.admission.tenants {
+				d.admission.tenants[i].reservedSlots, d.admission.tenants[i].lastSeen = tt.inflight[i], d.now
 			}
 			job := &job{tenant: tt.tenant, slots: tt.slots, work: 200}
 			if got := d.admit(job); got != tt.admit {
@@ -67,15 +67,15 @@
 			if len(find(r.step(request(1, 2, 0, 1)), ActSend, 1)) != 1 {
 				t.Fatal("not sent")
 			}
-			if got := r.d.tenants[0].reservedSlots; got != 1 {
+			if got := r.d.admission.tenants[0].reservedSlots; got != 1 {
 				t.Fatalf("in flight %v, want 1", got)
 			}
 			end(r)
-			if got := r.d.tenants[0].reservedSlots; got != 0 {
+			if got := r.d.admission.tenants[0].reservedSlots; got != 0 {
 				t.Errorf("in flight %v after the end, want 0", got)
 			}
-			if len(r.d.jobs) != 0 || r.d.executors[0].inFlight.slots != 0 {
-				t.Errorf("left behind: %d jobs, %v slots", len(r.d.jobs), r.d.executors[0].inFlight.slots)
+			if len(r.d.jobs.byID) != 0 || r.d.endpoints.listed[0].inFlight.slots != 0 {
+				t.Errorf("left behind: %d jobs, %v slots", len(r.d.jobs.byID), r.d.endpoints.listed[0].inFlight.slots)
 			}
 		})
 	}
@@ -110,14 +110,14 @@
 		s.Tenants[i].Quota = 1
 	}
 	r := newRig(t, s, ready(7, 0))
-	r.d.executors[0].load.freeSlots, r.d.executors[0].load.reportedAt, r.d.executors[0].load.slots = 0, r.now, 4
+	r.d.endpoints.listed[0].load.freeSlots, r.d.endpoints.listed[0].load.reportedAt, r.d.endpoints.listed[0].load.slots = 0, r.now, 4
 	var flood []Event
 	for id := uint32(1); id <= 60; id++ {
 		flood = append(flood, request(id, 0, 0, 1))
 	}
 	r.step(flood...)
 	over := 0
-	for _, job := range r.d.queue {
+	for _, job := range r.d.jobs.queue {
 		if job.overQuota {
 			over++
 		}
@@ -125,13 +125,13 @@
 	if over == 0 {
 		t.Fatal("no waiting request of the flood counts as beyond its share")
 	}
-	before := len(r.d.queue)
+	before := len(r.d.jobs.queue)
 	got := r.after(1, request(100, 0, 0, 1), request(101, 0, 1, 1))
 	if len(find(got, ActRefuse, 101)) != 0 {
 		t.Error("a request within its share was refused in a flood of another tenant")
 	}
-	if len(r.d.queue) > before+2 {
-		t.Errorf("%d wait, want the flood's to make place", len(r.d.queue))
+	if len(r.d.jobs.queue) > before+2 {
+		t.Errorf("%d wait, want the flood's to make place", len(r.d.jobs.queue))
 	}
 }
 
@@ -141,8 +141,8 @@
 	e := request(1, 0, 0, 1)
 	e.Flags, e.Work = 0, 0
 	r.step(e)
-	job := r.d.jobs[1]
-	mean := r.d.classes[0].work
+	job := r.d.jobs.byID[1]
+	mean := r.d.serviceTimes.classes[0].work
 	latest := job.objectiveAt - job.work/r.d.meanSpeed() - r.now // how long it may be held
 	if short := 400 + 2*unhintedWorkFactor*mean; latest >= short {
 		t.Errorf("held for up to %v ms, want less than a short job's aim of %v", latest, short)
@@ -159,7 +159,7 @@
 		e := request(1, 0, 0, 1)
 		e.Flags, e.Work = 0, 0
 		r.step(e)
-		job := r.d.jobs[1]
+		job := r.d.jobs.byID[1]
 		return job.objectiveAt - job.work/r.d.meanSpeed() - r.now
 	}
 	if each, work := held(false), held(true); work <= each {
@@ -172,7 +172,7 @@
 	s := base()
 	s.Classes[2].Worth = 3
 	r := newRig(t, s, ready(7, 0))
-	r.d.executors[0].load.freeSlots, r.d.executors[0].load.reportedAt, r.d.executors[0].load.slots = 0, r.now, 4
+	r.d.endpoints.listed[0].load.freeSlots, r.d.endpoints.listed[0].load.reportedAt, r.d.endpoints.listed[0].load.slots = 0, r.now, 4
 	var small []Event
 	for id := uint32(1); id <= 30; id++ {
 		small = append(small, request(id, 0, 0, 1))
@@ -201,8 +201,8 @@
 	s := base()
 	s.Tenants, s.Classes[2].Worth = nil, 3
 	r := newRig(t, s, ready(7, 0))
-	r.d.capacity, r.d.meanValue = 10, 2
-	r.d.tenants[0].reservedSlots = 19 // of 20 tokens
+	r.d.capacity.slots, r.d.admission.meanValue = 10, 2
+	r.d.admission.tenants[0].reservedSlots = 19 // of 20 tokens
 	if r.d.admit(&job{class: 0, slots: 1, value: 1}) {
 		t.Error("work under the mean worth took the last tokens")
 	}
@@ -235,10 +235,10 @@
 				r.after(100, Event{Kind: EvTimer})
 			}
 			got = r.after(10, outcome(1, 0, 7, Served))
-			if len(r.d.jobs) != 0 {
+			if len(r.d.jobs.byID) != 0 {
 				t.Errorf("job left: %v", got)
 			}
-			if c := r.d.capacity; math.IsNaN(c) || math.IsInf(c, 0) {
+			if c := r.d.capacity.slots; math.IsNaN(c) || math.IsInf(c, 0) {
 				t.Errorf("capacity %v", c)
 			}
 		})
@@ -248,19 +248,19 @@
 // A small tenant's reservation may be less than one wide job: its first is admitted all the same (id86762).
 func TestFirstJobOfASmallTenant(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
-	r.d.capacity = 4
-	for i := range r.d.tenants {
-		r.d.tenants[i].lastSeen = r.now
+	r.d.capacity.slots = 4
+	for i := range r.d.admission.tenants {
+		r.d.admission.tenants[i].lastSeen = r.now
 	}
-	r.d.tenants[0].reservedSlots = 8 // all there is, and more than its reservation
+	r.d.admission.tenants[0].reservedSlots = 8 // all there is, and more than its reservation
 	if !r.d.admit(&job{tenant: 2, slots: 2, value: 1}) {
 		t.Error("the first job was refused")
 	}
-	r.d.tenants[2].reservedSlots = 2
+	r.d.admission.tenants[2].reservedSlots = 2
 	if r.d.admit(&job{tenant: 2, slots: 2, value: 1}) {
 		t.Error("the second was admitted past the reservation while others hold the remainder")
 	}
-	r.d.tenants[2].reservedSlots = 0
+	r.d.admission.tenants[2].reservedSlots = 0
 	if r.d.admit(&job{tenant: 2, slots: 2, value: 1, overQuota: true}) {
 		t.Error("a first job beyond the share was admitted past the reservation")
 	}
@@ -269,7 +269,7 @@
 // A node says what it goes by when it begins to refuse and when it has not for a while, and no more often.
 func TestLogsStateAtChanges(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
-	executor := r.d.executorsByID[7]
+	executor := r.d.endpoints.byID[7]
 	lines := []string{}
 	for i := range 3000 {
 		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 0, r.now, 2
@@ -291,7 +291,7 @@
 	}
 	r.d.logBudget, r.d.logBudgetAt = 0, r.now
 	for range 100 {
-		r.d.rejecting = true // as if it had changed at every tick
+		r.d.rejections.active = true // as if it had changed at every tick
 		if got := find(r.after(20, Event{Kind: EvTimer}), ActLog, 0); len(got) != 0 {
 			t.Fatal("a line past the bound")
 		}
--- a/brain/affinity.go
+++ b/brain/affinity.go
@@ -16,7 +16,7 @@
 // fetchesFull says that the pool for jobs that must fetch their key is used up while a home of it works.
 // Without it a short jam lasts: jobs go wherever room shows, fetch, hold slots longer, and keep all full.
 func (d *Dispatcher) cacheFetchesExhausted(job *job) bool {
-	if d.fetchingSlots == 0 || d.fetchingSlots+job.slots <= cacheFetchPool*d.capacity {
+	if d.affinity.fetchingSlots == 0 || d.affinity.fetchingSlots+job.slots <= cacheFetchPool*d.capacity.slots {
 		return false
 	}
 	return slices.ContainsFunc(job.candidates, d.isUsable)
@@ -41,15 +41,15 @@
 // findHomes ranks workers for a job's key by rendezvous hashing weighted by size, so that all nodes agree: as
 // many homes as the key's share of our requests asks for, and one more to fall back on.
 func (d *Dispatcher) findAffinityCandidates(job *job) {
-	if job.key == 0 || job.candidatesRevision == d.listRevision {
+	if job.key == 0 || job.candidatesRevision == d.endpoints.revision {
 		return
 	}
-	job.candidatesRevision, job.candidates = d.listRevision, job.candidates[:0]
-	share := d.keyCounts[job.key] / max(d.keyTotal, keyCountWindow/10)
-	want := 2 + int(affinitySpread*share*float64(len(d.executors)))
-	best := d.rankedScratch[:0] // the greatest, in order
-	for i, x := range d.affinityHashes {
-		h, scale := float64(mix64(job.key^x.hash)>>11+1)/(1<<53), d.kinds[x.kind].scale
+	job.candidatesRevision, job.candidates = d.endpoints.revision, job.candidates[:0]
+	share := d.affinity.keyCounts[job.key] / max(d.affinity.keyTotal, keyCountWindow/10)
+	want := 2 + int(affinitySpread*share*float64(len(d.endpoints.listed)))
+	best := d.affinity.ranked[:0] // the greatest, in order
+	for i, x := range d.endpoints.hashes {
+		h, scale := float64(mix64(job.key^x.hash)>>11+1)/(1<<53), d.endpoints.kindScales[x.kind]
 		if !x.ready || len(best) == want && h-1 <= best[want-1].weight*scale {
 			continue // h-1 is never less than the logarithm, which costs more
 		}
@@ -66,9 +66,9 @@
 		best[k] = p
 	}
 	for _, p := range best {
-		job.candidates = append(job.candidates, d.executors[p.position])
+		job.candidates = append(job.candidates, d.endpoints.listed[p.position])
 	}
-	d.rankedScratch = best
+	d.affinity.ranked = best
 }
 
 // homeHash is what the homes of keys are drawn by.
@@ -99,14 +99,14 @@
 	if key == 0 {
 		return
 	}
-	d.keyCounts[key]++
-	if d.keyTotal++; d.keyTotal < 2*keyCountWindow {
+	d.affinity.keyCounts[key]++
+	if d.affinity.keyTotal++; d.affinity.keyTotal < 2*keyCountWindow {
 		return
 	}
-	d.keyTotal /= 2
-	for k, n := range d.keyCounts {
-		if d.keyCounts[k] = n / 2; n < 1 {
-			delete(d.keyCounts, k)
+	d.affinity.keyTotal /= 2
+	for k, n := range d.affinity.keyCounts {
+		if d.affinity.keyCounts[k] = n / 2; n < 1 {
+			delete(d.affinity.keyCounts, k)
 		}
 	}
 }
@@ -119,3 +119,11 @@
 
 // affinityKeysKept is how many keys are kept of those that an executor was last sent.
 const affinityKeysKept = 12
+
+// keyAffinity sends jobs with equal keys to the same few executors, which likely have their data cached.
+type keyAffinity struct {
+	keyCounts     map[uint64]float64 // requests of each key
+	keyTotal      float64
+	ranked        []rankedCandidate // scratch of findAffinityCandidates
+	fetchingSlots float64           // slots in flight of jobs that likely fetch the data of their key
+}
--- a/brain/aggregator_client.go
+++ b/brain/aggregator_client.go
@@ -21,12 +21,12 @@
 
 // awaitHub says whether jobs wait for what the hub tells: free slots known here are old, and others use them.
 func (d *Dispatcher) awaitsAggregator() bool {
-	aggregator, wait := &d.aggregator, d.answerTimeout()
-	if d.gossipMode != gossipAggregator || aggregator.current == d.settings.Me || d.now < max(aggregator.notReadyUntil, aggregator.answeredAt+answerFreshness*wait) {
+	aggregator, wait := &d.aggregatorClient, d.answerTimeout()
+	if d.gossip.mode != gossipAggregator || aggregator.current == d.settings.Me || d.now < max(aggregator.notReadyUntil, aggregator.answeredAt+answerFreshness*wait) {
 		return false
 	}
 	aggregator.answerWanted = true
-	return d.now-d.arrived[0].arrivedAt < wait
+	return d.now-d.jobs.arrived[0].arrivedAt < wait
 }
 
 // Kinds of messages to and from a hub, in the upper bits of the head. The lower ones of an answer tell one life of the
@@ -39,52 +39,48 @@
 	messageKindMask = 3 << 6
 )
 
-// hub is what a node that tells a hub knows of it.
-type aggregatorState struct {
-	order          []int                  // of all nodes, the first hub first
-	current        int                    // who it is, -1 before the first
-	incarnation    int                    // which of its lives answered, -1 for none
-	snapshotDue    bool                   // it is to be told all
-	answerWanted   bool                   // its answer is
-	querySentAt    float64                // since when one is out, 0 for none
-	missedAnswers  int                    // answers that did not come, running
-	answeredAt     float64                // when the last came
-	notReadyUntil  float64                // until when it is not asked, for it does not know yet
-	peerSlots      map[uint16]float64     // what the other nodes have out, by tag, as the hub answered
-	slotTotals     map[uint16]float64     // likewise as they told us, where they take us for the hub
-	notified       []*executor            // those of which the hub holds that we have slots there
-	scratch        []uint32               // of an answer
-	startedAt      float64                // the start of this life
-	incarnationTag uint8                  // of this life
-	newQuarantines []uint16               // marks that the hub is still to be told
-	quarantined    map[uint16]bool        // marks that hold, as the hub answered
-	quarantines    map[uint16]*quarantine // likewise as we hold them as the hub
+// aggregatorClient is what a node that reports to an aggregator knows of it.
+type aggregatorClient struct {
+	order          []int              // of all nodes, the first choice first
+	current        int                // the aggregator, -1 before the first
+	incarnation    int                // of it that answered last, -1 for none
+	snapshotDue    bool               // it is to be told all
+	answerWanted   bool               // something waits for its answer
+	querySentAt    float64            // since when an answer is out, 0 for none
+	missedAnswers  int                // in a row
+	answeredAt     float64            // when the last answer came
+	notReadyUntil  float64            // it is not asked before, because it does not know yet
+	peerSlots      map[uint16]float64 // that the other nodes hold, by tag, as it answered
+	notified       []*executor        // of which it holds that we have slots there
+	newQuarantines []uint16           // entries that it is still to be told
+	quarantined    map[uint16]bool    // entries that hold, as it answered
 }
 
 // startHub orders the hubs, alike at all nodes.
 func (d *Dispatcher) startAggregator() {
-	d.aggregator = aggregatorState{current: -1, incarnation: -1, peerSlots: map[uint16]float64{}, slotTotals: map[uint16]float64{},
-		quarantined: map[uint16]bool{}, quarantines: map[uint16]*quarantine{}, order: make([]int, d.settings.Balancers),
+	d.aggregatorClient = aggregatorClient{current: -1, incarnation: -1, peerSlots: map[uint16]float64{},
+		quarantined: map[uint16]bool{}, order: make([]int, d.settings.Balancers)}
+	d.aggregatorServer = aggregatorServer{slotTotals: map[uint16]float64{}, quarantines: map[uint16]*quarantine{},
 		startedAt: math.Inf(-1), incarnationTag: 1 + uint8(mix64(d.randomState)%(messageKindMask^0xff))}
-	for i := range d.aggregator.order {
-		d.aggregator.order[i] = i
+	for i := range d.aggregatorClient.order {
+		d.aggregatorClient.order[i] = i
 	}
-	slices.SortFunc(d.aggregator.order, func(a, b int) int { return cmp.Compare(mix64(uint64(a)+1), mix64(uint64(b)+1)) })
+	slices.SortFunc(d.aggregatorClient.order, func(a, b int) int { return cmp.Compare(mix64(uint64(a)+1), mix64(uint64(b)+1)) })
 }
 
 // pickHub gives the first hub that is not suspected.
 func (d *Dispatcher) pickAggregator() int {
-	for _, i := range d.aggregator.order {
-		if d.now >= d.peers[i].suspectedUntil {
+	for _, i := range d.aggregatorClient.order {
+		if d.now >= d.gossip.peers[i].suspectedUntil {
 			return i
 		}
 	}
-	return d.aggregator.order[0]
+	return d.aggregatorClient.order[0]
 }
 
 // tellHub tells the hub what has changed, and asks it if its answer is wanted.
 func (d *Dispatcher) notifyAggregator() {
-	aggregator := &d.aggregator
+	aggregator := &d.aggregatorClient
 	if now := d.pickAggregator(); now != aggregator.current {
 		aggregator.current, aggregator.incarnation, aggregator.snapshotDue, aggregator.missedAnswers, aggregator.querySentAt, aggregator.notReadyUntil = now, -1, true, 0, 0, 0
 	}
@@ -93,7 +89,7 @@
 	}
 	if aggregator.querySentAt > 0 && d.now-aggregator.querySentAt > d.answerTimeout() {
 		if aggregator.querySentAt, aggregator.missedAnswers = 0, aggregator.missedAnswers+1; aggregator.missedAnswers >= maxMissedAnswers {
-			peer := &d.peers[aggregator.current]
+			peer := &d.gossip.peers[aggregator.current]
 			peer.suspectedUntil = d.now + aggregatorAwayFactor*d.answerTimeout()*float64(int(1)<<min(peer.timeouts, maxBackoffDoublings))*(0.75+0.5*d.random())
 			peer.timeouts++
 			d.logf("node %d does not answer as the hub", aggregator.current)
@@ -136,23 +132,25 @@
 			return
 		}
 		if executor.gossip.notifiedSlots == 0 {
-			d.aggregator.notified = append(d.aggregator.notified, executor)
+			d.aggregatorClient.notified = append(d.aggregatorClient.notified, executor)
 		}
 		data = binary.BigEndian.AppendUint16(data, executor.tag|uint16(n))
 		executor.gossip.notifiedSlots, executor.gossip.notifiedAt = n, d.now
 	}
-	for _, executor := range d.busyExecutors {
+	for _, executor := range d.outliers.busy {
 		tell(executor)
 	}
-	for _, executor := range d.aggregator.notified {
+	for _, executor := range d.aggregatorClient.notified {
 		tell(executor)
 	}
-	d.aggregator.notified = slices.DeleteFunc(d.aggregator.notified, func(executor *executor) bool { return executor.gossip.notifiedSlots == 0 })
+	d.aggregatorClient.notified = slices.DeleteFunc(d.aggregatorClient.notified, func(executor *executor) bool { return executor.gossip.notifiedSlots == 0 })
 	return data
 }
 
 // reminder is after how long what is still out is told again. What is told lapses after twice that.
-func (d *Dispatcher) reminderInterval() float64 { return max(reminderRuns*d.meanRun, d.settings.Step) }
+func (d *Dispatcher) reminderInterval() float64 {
+	return max(reminderRuns*d.serviceTimes.meanRun, d.settings.Step)
+}
 
 // hubWait is how long an answer of the hub is waited for.
 func (d *Dispatcher) answerTimeout() float64 {
@@ -164,7 +162,7 @@
 	if len(event.Data) == 0 {
 		return
 	}
-	aggregator, head := &d.aggregator, event.Data[0]
+	aggregator, head := &d.aggregatorClient, event.Data[0]
 	each := func(take func(tag uint16, slots float64), mark func(uint16)) {
 		for i := 1; i+2 <= len(event.Data); i += 2 {
 			x := binary.BigEndian.Uint16(event.Data[i:])
@@ -190,13 +188,13 @@
 		clear(aggregator.peerSlots)
 		clear(aggregator.quarantined)
 		each(func(tag uint16, slots float64) { aggregator.peerSlots[tag] += slots }, func(x uint16) { aggregator.quarantined[x] = true })
-		d.nextEstimate = 0
+		d.capacity.nextEstimate = 0
 		return
 	}
 	if head&messageKindMask == messageSnapshot {
 		// What it does not name may have been sent before it was killed, and run on: it lapses after a run.
 		for i := range peer.loads {
-			peer.loads[i].heardAt = min(peer.loads[i].heardAt, d.now+d.meanRun-2*d.reminderInterval())
+			peer.loads[i].heardAt = min(peer.loads[i].heardAt, d.now+d.serviceTimes.meanRun-2*d.reminderInterval())
 		}
 	}
 	each(func(tag uint16, slots float64) { d.setPeerLoad(peer, peerLoad{tag, slots, d.now}) }, d.addQuarantine)
@@ -208,7 +206,7 @@
 
 // markOf gives the entry that marks a worker, if a hub is told and entries have room for that mark.
 func (d *Dispatcher) quarantineOf(executor *executor, kind int) (x uint16, ok bool) {
-	return executor.tag | uint16(kind), d.gossipMode == gossipAggregator && (kind <= lastClassQuarantine || kind == connectionQuarantine)
+	return executor.tag | uint16(kind), d.gossip.mode == gossipAggregator && (kind <= lastClassQuarantine || kind == connectionQuarantine)
 }
 
 // find notes that a class fails at a worker, or that it takes no connections, for the hub to tell the others.
@@ -216,10 +214,10 @@
 	x, ok := d.quarantineOf(executor, kind)
 	switch {
 	case !ok:
-	case d.aggregator.current == d.settings.Me:
+	case d.aggregatorClient.current == d.settings.Me:
 		d.addQuarantine(x)
-	case len(d.aggregator.newQuarantines) < maxNewQuarantines && !slices.Contains(d.aggregator.newQuarantines, x):
-		d.aggregator.newQuarantines = append(d.aggregator.newQuarantines, x)
+	case len(d.aggregatorClient.newQuarantines) < maxNewQuarantines && !slices.Contains(d.aggregatorClient.newQuarantines, x):
+		d.aggregatorClient.newQuarantines = append(d.aggregatorClient.newQuarantines, x)
 	}
 }
 
@@ -229,9 +227,9 @@
 	if !ok {
 		return false
 	}
-	if d.aggregator.current == d.settings.Me {
-		entry := d.aggregator.quarantines[x]
+	if d.aggregatorClient.current == d.settings.Me {
+		entry := d.aggregatorServer.quarantines[x]
 		return entry != nil && d.now < entry.until
 	}
-	return d.aggregator.quarantined[x] && d.peerLoadsKnown()
+	return d.aggregatorClient.quarantined[x] && d.peerLoadsKnown()
 }
--- a/brain/aggregator_server.go
+++ b/brain/aggregator_server.go
@@ -30,21 +30,21 @@
 
 // hubKnows says that this node, as a hub, has listened for long enough to know what is out.
 func (d *Dispatcher) aggregatorIsReady() bool {
-	return d.now-d.aggregator.startedAt > aggregatorListenRuns*d.meanRun
+	return d.now-d.aggregatorServer.startedAt > aggregatorListenRuns*d.serviceTimes.meanRun
 }
 
 // setMark takes in, as the hub, what a node found.
 func (d *Dispatcher) addQuarantine(x uint16) {
-	entry := d.aggregator.quarantines[x]
+	entry := d.aggregatorServer.quarantines[x]
 	if entry == nil {
-		if len(d.aggregator.quarantines) >= maxPeerEntries {
-			maps.DeleteFunc(d.aggregator.quarantines, func(_ uint16, entry *quarantine) bool { return d.now >= entry.until })
+		if len(d.aggregatorServer.quarantines) >= maxPeerEntries {
+			maps.DeleteFunc(d.aggregatorServer.quarantines, func(_ uint16, entry *quarantine) bool { return d.now >= entry.until })
 		}
-		if len(d.aggregator.quarantines) >= maxPeerEntries {
+		if len(d.aggregatorServer.quarantines) >= maxPeerEntries {
 			return
 		}
 		entry = &quarantine{}
-		d.aggregator.quarantines[x] = entry
+		d.aggregatorServer.quarantines[x] = entry
 	}
 	if d.now < entry.until {
 		return // sent before the others were told
@@ -74,7 +74,7 @@
 	default:
 		return
 	}
-	d.aggregator.slotTotals[x.tag] += x.slots - was
+	d.aggregatorServer.slotTotals[x.tag] += x.slots - was
 }
 
 // answer tells a node what all others have out, those first where it is most.
@@ -84,7 +84,7 @@
 	}
 	// The hub answers for each job of all nodes: what it does here is most of its work.
 	more := map[uint16]float64{}
-	for _, executor := range d.executors {
+	for _, executor := range d.endpoints.listed {
 		if n := executor.inFlight.slots + d.hiddenSlots(executor); n > 0 {
 			more[executor.tag] += n
 		}
@@ -92,13 +92,13 @@
 	for _, x := range peer.loads {
 		more[x.tag] -= x.slots
 	}
-	told := d.aggregator.scratch[:0] // those with most first, then by tag: in upper and lower bits
+	told := d.aggregatorServer.scratch[:0] // those with most first, then by tag: in upper and lower bits
 	add := func(tag uint16, slots float64) {
 		if n := math.Round(slots); n > 0 {
 			told = append(told, uint32(maxEncodedSlots-min(n, maxEncodedSlots))<<16|uint32(tag))
 		}
 	}
-	for tag, n := range d.aggregator.slotTotals {
+	for tag, n := range d.aggregatorServer.slotTotals {
 		add(tag, n+more[tag])
 		delete(more, tag)
 	}
@@ -106,10 +106,10 @@
 		add(tag, n)
 	}
 	slices.Sort(told)
-	d.aggregator.scratch = told
-	data := []byte{messageAnswer | d.aggregator.incarnationTag}
-	for _, x := range slices.Sorted(maps.Keys(d.aggregator.quarantines)) {
-		if d.now < d.aggregator.quarantines[x].until && len(data) < maxEntries {
+	d.aggregatorServer.scratch = told
+	data := []byte{messageAnswer | d.aggregatorServer.incarnationTag}
+	for _, x := range slices.Sorted(maps.Keys(d.aggregatorServer.quarantines)) {
+		if d.now < d.aggregatorServer.quarantines[x].until && len(data) < maxEntries {
 			data = binary.BigEndian.AppendUint16(data, x)
 		}
 	}
@@ -118,3 +118,12 @@
 	}
 	return data
 }
+
+// aggregatorServer is what a node knows that others take for the aggregator.
+type aggregatorServer struct {
+	slotTotals     map[uint16]float64     // that the other nodes hold, by tag
+	quarantines    map[uint16]*quarantine // by entry
+	scratch        []uint32               // of an answer
+	startedAt      float64                // of this incarnation
+	incarnationTag uint8                  // tells it from others
+}
--- a/brain/attempt.go
+++ b/brain/attempt.go
@@ -9,16 +9,16 @@
 		executor.outlier.retryAt = d.now + d.unresponsiveTimeout()/2*float64(int(1)<<min(executor.outlier.retries, 3))*(0.75+0.5*d.random())
 		executor.outlier.retries++
 	}
-	d.lastDispatchAt = d.now
+	d.placement.lastDispatchAt = d.now
 	d.actions = append(d.actions, Action{Kind: ActSend, Job: job.id, Worker: executor.id})
 	job.attempts = append(job.attempts, attempt{executor: executor, sentAt: d.now, heardAt: d.now, hadFreeSlots: executor.load.freeSlots >= job.slots})
 	if job.key != 0 && cacheMissProbability(job, executor, d.settings.Balancers) >= cacheMissThreshold {
 		job.attempts[len(job.attempts)-1].fetchesKey = true
-		d.fetchingSlots += job.slots
+		d.affinity.fetchingSlots += job.slots
 	}
 	job.inFlight++
 	if len(executor.inFlight.jobs) == 0 {
-		d.busyExecutors = append(d.busyExecutors, executor)
+		d.outliers.busy = append(d.outliers.busy, executor)
 	}
 	executor.inFlight.jobs = append(executor.inFlight.jobs, job)
 	executor.inFlight.slots += job.slots
@@ -37,8 +37,8 @@
 }
 
 func (d *Dispatcher) handleOutcome(event *Event) {
-	executor := d.executorsByID[event.Worker]
-	job := d.jobs[event.Job]
+	executor := d.endpoints.byID[event.Worker]
+	job := d.jobs.byID[event.Job]
 	if job == nil || int(event.Attempt) >= len(job.attempts) || job.attempts[event.Attempt].resolved {
 		if executor != nil {
 			d.handleLoadReport(executor, event.Report)
@@ -54,8 +54,8 @@
 		executor.inFlight.jobs = slices.Delete(executor.inFlight.jobs, i, i+1)
 		if len(executor.inFlight.jobs) == 0 {
 			executor.outlier.unresponsive = false
-			i := slices.Index(d.busyExecutors, executor)
-			d.busyExecutors = slices.Delete(d.busyExecutors, i, i+1)
+			i := slices.Index(d.outliers.busy, executor)
+			d.outliers.busy = slices.Delete(d.outliers.busy, i, i+1)
 		}
 	}
 	if !attempt.writtenOff {
@@ -68,7 +68,7 @@
 		executor.connections.opening--
 	}
 	if attempt.fetchesKey {
-		d.fetchingSlots -= job.slots
+		d.affinity.fetchingSlots -= job.slots
 	}
 	d.judgeOutcome(job, attempt, event.Outcome)
 	d.learnClassOutcome(job, executor, event)
@@ -86,7 +86,7 @@
 }
 
 func (d *Dispatcher) handleNote(event *Event) {
-	job := d.jobs[event.Job]
+	job := d.jobs.byID[event.Job]
 	if job == nil || int(event.Attempt) >= len(job.attempts) || job.attempts[event.Attempt].resolved {
 		return
 	}
@@ -104,11 +104,11 @@
 	if attempt.startedAt == 0 {
 		attempt.startedAt = d.now
 		lag := d.now - attempt.sentAt
-		d.startDelay += (lag - d.startDelay) * 0.02
-		if lag < d.minStartLag {
-			d.minStartLag = lag
+		d.serviceTimes.startDelay += (lag - d.serviceTimes.startDelay) * 0.02
+		if lag < d.serviceTimes.minStartLag {
+			d.serviceTimes.minStartLag = lag
 		} else {
-			d.minStartLag += (min(lag, 4*d.minStartLag) - d.minStartLag) * 0.01
+			d.serviceTimes.minStartLag += (min(lag, 4*d.serviceTimes.minStartLag) - d.serviceTimes.minStartLag) * 0.01
 		}
 		d.countUnstarted(attempt.executor)
 		d.needsPlacement = true
--- a/brain/capacity.go
+++ b/brain/capacity.go
@@ -19,24 +19,24 @@
 
 // estimate counts capacity: slots of our running jobs and free slots, by report or by what was served.
 func (d *Dispatcher) estimateCapacity() {
-	if d.now < d.nextEstimate {
+	if d.now < d.capacity.nextEstimate {
 		return // sends move slots from free ones to our own: the sum stays
 	}
-	if n := float64(len(d.executors)); n > fullScanLimit {
-		d.nextEstimate = d.now + d.tickInterval()*n/fullScanLimit
+	if n := float64(len(d.endpoints.listed)); n > fullScanLimit {
+		d.capacity.nextEstimate = d.now + d.tickInterval()*n/fullScanLimit
 	}
-	known := len(d.executors) <= fullScanLimit || d.peerLoadsKnown() // what others hold
+	known := len(d.endpoints.listed) <= fullScanLimit || d.peerLoadsKnown() // what others hold
 	own, free, hoped, queued, total, assumed, most := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
-	for _, executor := range d.executors {
+	for _, executor := range d.endpoints.listed {
 		own += executor.inFlight.slots
 		if executor.endpoint.condition != Ready {
 			continue
 		}
-		n := max(executor.load.slots, d.kinds[executor.endpoint.kind].slots)
+		n := max(executor.load.slots, d.capacity.kindSlots[executor.endpoint.kind])
 		total += n
-		assumed += max(n, d.widestRequest, initialSoftLimit)
+		assumed += max(n, d.capacity.widestRequest, initialSoftLimit)
 		most = max(most, n)
-		if known || executor.load.reportedAt > 0 && d.now-executor.load.reportedAt <= min(d.reportTTL(), d.meanRun) {
+		if known || executor.load.reportedAt > 0 && d.now-executor.load.reportedAt <= min(d.reportTTL(), d.serviceTimes.meanRun) {
 			free += max(0, d.availableSlots(executor))
 		} else {
 			hoped += max(0, d.availableSlots(executor))
@@ -45,30 +45,30 @@
 			queued += executor.inFlight.unstartedSlots
 		}
 	}
-	d.fairSlots = starvationShare * d.fleetShare() * total
-	if d.capacity = own + free; !known {
-		d.capacity = d.capacityWithoutPeers(own-queued, queued, free, hoped, assumed)
-		d.fairSlots = d.capacity
+	d.capacity.fairSlots = starvationShare * d.fleetShare() * total
+	if d.capacity.slots = own + free; !known {
+		d.capacity.slots = d.capacityWithoutPeers(own-queued, queued, free, hoped, assumed)
+		d.capacity.fairSlots = d.capacity.slots
 	}
-	if d.gossipMode == gossipAggregator && d.peerLoadsKnown() && d.capacity < scarcityThreshold*total {
-		most = min(most, max(d.widestRequest, d.fleetShare()*total)) // all see the same few slots
+	if d.gossip.mode == gossipAggregator && d.peerLoadsKnown() && d.capacity.slots < scarcityThreshold*total {
+		most = min(most, max(d.capacity.widestRequest, d.fleetShare()*total)) // all see the same few slots
 		own := d.ownSlotsInFlight()
-		d.capacity = own + (d.capacity-own)*d.capacity/(scarcityThreshold*total)
+		d.capacity.slots = own + (d.capacity.slots-own)*d.capacity.slots/(scarcityThreshold*total)
 	}
-	d.capacity = max(d.capacity, most) // else a node that sees no room and has nothing out never begins
+	d.capacity.slots = max(d.capacity.slots, most) // else a node that sees no room and has nothing out never begins
 }
 
 // unseenCapacity is the capacity of a node that is not told what others hold: its part of all slots, as list
 // and quotas show them; or what runs of its jobs, room it knows of, and while nothing queues as much again.
 func (d *Dispatcher) capacityWithoutPeers(running, queued, reported, hoped, assumed float64) float64 {
-	part := d.fleetShare() * max(assumed, d.totalQuota*d.meanSlotTime/1000)
+	part := d.fleetShare() * max(assumed, d.admission.totalQuota*d.serviceTimes.meanSlotTime/1000)
 	return max(initialSoftLimit, part, running+reported+max(0, min(hoped, running-queued)))
 }
 
 // starved says that such a node has sent nothing for long, for its jobs hang or run long. It may send one
 // more, else it would refuse all that comes for as long as their clients wait.
 func (d *Dispatcher) isStarved() bool {
-	return len(d.executors) > fullScanLimit && !d.peerLoadsKnown() && d.now-d.lastDispatchAt > starvationThreshold*d.meanSlotTime
+	return len(d.endpoints.listed) > fullScanLimit && !d.peerLoadsKnown() && d.now-d.placement.lastDispatchAt > starvationThreshold*d.serviceTimes.meanSlotTime
 }
 
 // room is how many more slots of ours a worker takes: by its report, else by what it took before.
@@ -76,7 +76,7 @@
 	if d.now < executor.load.rejectedUntil {
 		return 0
 	}
-	if executor.outlier.unresponsive && !d.panicking {
+	if executor.outlier.unresponsive && !d.outliers.panicking {
 		return 1
 	}
 	if executor.outlier.onProbation {
@@ -94,7 +94,7 @@
 	}
 	// A weight in the list is the same for all nodes and late: it is no reason to go to a worker, since all
 	// would, but one that tells of more requests than cores is a reason to stay away.
-	if executor.endpoint.position < len(d.endpointRows) && d.endpointRows[executor.endpoint.position].liveLoad >= max(liveLoadLimit, liveLoadExcess*d.meanLiveLoad) {
+	if executor.endpoint.position < len(d.endpoints.rows) && d.endpoints.rows[executor.endpoint.position].liveLoad >= max(liveLoadLimit, liveLoadExcess*d.endpoints.meanLiveLoad) {
 		return 0
 	}
 	if executor.load.reportedAt > 0 && d.now-executor.load.reportedAt <= d.reportTTL() {
@@ -106,10 +106,10 @@
 		most = min(most, max(1, math.Round(blindShareFactor*n/float64(d.settings.Balancers))))
 	}
 	if executor.inFlight.slots == 0 {
-		most = max(most, d.widestRequest) // else a job wider than what was tried so far would never be sent
+		most = max(most, d.capacity.widestRequest) // else a job wider than what was tried so far would never be sent
 	}
 	most -= executor.inFlight.slots
-	if n > 0 && d.lastReportAt > 0 && d.now-d.lastReportAt <= reportsEndedFactor*d.reportTTL() && d.slowStartShare(executor) == 1 {
+	if n > 0 && d.reports.lastAt > 0 && d.now-d.reports.lastAt <= reportsEndedFactor*d.reportTTL() && d.slowStartShare(executor) == 1 {
 		// Others tell what is usual: where the fleet is full, so is likely one not heard of, unless new.
 		most = min(most, math.Round(n*(1-d.peerOccupancyAt(executor))-executor.inFlight.slots))
 	}
@@ -123,7 +123,7 @@
 	if d.settings.Balancers < 2 || executor.load.slots == 0 {
 		return executor.load.freeSlots
 	}
-	x := reportDecayRate * (d.now - executor.load.reportedAt + d.reportAge) / d.meanRun
+	x := reportDecayRate * (d.now - executor.load.reportedAt + d.reports.age) / d.serviceTimes.meanRun
 	keep := 1 / (1 + x + x*x/2)
 	foreign, usual := executor.load.slots-executor.inFlight.slots-executor.load.freeSlots, d.peerOccupancyAt(executor)*executor.load.slots
 	return executor.load.slots - executor.inFlight.slots - usual - (foreign-usual)*keep + hopedSlots*(1-keep)
@@ -132,21 +132,21 @@
 // usual is the part of a worker's slots that others hold, as reports of its kind in its zone tell, drawn to
 // the fleet's while they are few. It can be over 1 where jobs are queued.
 func (d *Dispatcher) peerOccupancyAt(executor *executor) float64 {
-	if len(d.executors) <= fullScanLimit {
-		return d.meanPeerOccupancy // too few of a kind in a zone for a mean of their own
+	if len(d.endpoints.listed) <= fullScanLimit {
+		return d.capacity.meanPeerOccupancy // too few of a kind in a zone for a mean of their own
 	}
 	group := executor.group
 	keep := max(0, 1-(d.now-group.updatedAt)/d.occupancyWindow())
-	return (group.occupancySum*keep + occupancyPrior*d.meanPeerOccupancy) / (group.samples*keep + occupancyPrior)
+	return (group.occupancySum*keep + occupancyPrior*d.capacity.meanPeerOccupancy) / (group.samples*keep + occupancyPrior)
 }
 
-func (d *Dispatcher) occupancyWindow() float64 { return occupancyIntervals * d.reportInterval }
+func (d *Dispatcher) occupancyWindow() float64 { return occupancyIntervals * d.reports.interval }
 
 // slotsOf is how many slots a worker has, as reports showed, 0 if none did. Where the hub tells what others have out it is
 // then as many as a first trial takes: else each of many nodes tries every worker of a kind that it has not met.
 func (d *Dispatcher) knownSlots(executor *executor) float64 {
-	n := max(executor.load.slots, d.kinds[executor.endpoint.kind].slots)
-	if n == 0 && d.gossipMode == gossipAggregator {
+	n := max(executor.load.slots, d.capacity.kindSlots[executor.endpoint.kind])
+	if n == 0 && d.gossip.mode == gossipAggregator {
 		return initialSoftLimit
 	}
 	return n
@@ -173,3 +173,14 @@
 	kind, zone                       int
 	occupancySum, samples, updatedAt float64
 }
+
+// fleetCapacity is what all executors together take.
+type fleetCapacity struct {
+	slots             float64               // that this node may use
+	fairSlots         float64               // our part of all slots
+	nextEstimate      float64               // the slots are not estimated anew before
+	widestRequest     float64               // most slots that a job asked for
+	meanPeerOccupancy float64               // part of an executor's slots that other nodes hold, as reports tell
+	kindSlots         [machineKinds]float64 // most slots of an executor of each kind
+	groups            []*executorGroup
+}
--- a/brain/classfailure.go
+++ b/brain/classfailure.go
@@ -100,7 +100,7 @@
 // fared often enough itself.
 func (d *Dispatcher) errorProbability(job *job, executor *executor) float64 {
 	all, errs := executor.failures.all.faded(d)
-	if errs < 0.01 || d.settings.Classes[job.class].Effect != Unsafe || d.panicking || d.classes[job.class].failsEverywhere {
+	if errs < 0.01 || d.settings.Classes[job.class].Effect != Unsafe || d.outliers.panicking || d.outliers.failingClasses[job.class] {
 		return 0
 	}
 	own, ownErrs := executor.failures.byClass[job.class].errors.faded(d)
@@ -109,7 +109,7 @@
 
 // fails says whether a job's class failed at a worker lately, and not nearly everywhere.
 func (d *Dispatcher) classFailsAt(job *job, executor *executor) bool {
-	return d.isClassAway(executor, job.class) && !d.classes[job.class].failsEverywhere
+	return d.isClassAway(executor, job.class) && !d.outliers.failingClasses[job.class]
 }
 
 // failing says whether a class failed at a worker lately, here or as other nodes found.
@@ -119,14 +119,14 @@
 
 // sumFails finds the classes that fail at so many workers that it does not help to keep them away.
 func (d *Dispatcher) findFailingClasses() {
-	for c := range d.classes {
+	for c := range d.serviceTimes.classes {
 		n := 0
-		for _, executor := range d.executors {
+		for _, executor := range d.endpoints.listed {
 			if d.isClassAway(executor, c) {
 				n++
 			}
 		}
-		d.classes[c].failsEverywhere = float64(n) > panicThreshold*float64(len(d.executors))
+		d.outliers.failingClasses[c] = float64(n) > panicThreshold*float64(len(d.endpoints.listed))
 	}
 }
 
@@ -151,3 +151,12 @@
 	byClass []classFailures
 	all     errorTally // of all classes
 }
+
+// resetClass forgets how a class fared, and makes place for one more if it is new.
+func (f *failureState) resetClass(class int) {
+	if class < len(f.byClass) {
+		f.byClass[class] = classFailures{}
+		return
+	}
+	f.byClass = append(f.byClass, classFailures{})
+}
--- a/brain/cold_test.go
+++ b/brain/cold_test.go
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		d.Step(now, []Event{{Kind: EvList, Form: ListCached, Rows: []Row{cold}}}, nil)
-		d.kinds[0].slots = slots
+		d.capacity.kindSlots[0] = slots
 		nodes[i] = d
 	}
 	for i := f.late; i < f.nodes; i++ {
@@ -138,7 +138,7 @@
 	for seed := uint64(1); seed <= 20; seed++ { // whatever part of a job the node owes at first
 		r := newRig(t, s, ready(7, 0))
 		r.d.randomState = seed
-		executor, born := r.d.executorsByID[7], r.now+1
+		executor, born := r.d.endpoints.byID[7], r.now+1
 		r.after(1)
 		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 6, r.now, 6
 		var requests []Event
--- a/brain/config.go
+++ b/brain/config.go
@@ -6,11 +6,11 @@
 	"math"
 )
 
-// Retune takes over new classes, tenants, attempts, prices and worths while jobs are open; all else that the settings say
-// stays as New had it. A class or tenant keeps its place for as long as it stands, and new ones come behind the last, or
-// in the place of one of which nothing is open. From names, for the place of a class whose rules are new, the place whose
-// jobs tell what its jobs need; others begin with nothing learned. Jobs that are open keep the rules they came under: their
-// class may not change, and their attempts stay as many. An error names what can not be taken over, and changes nothing.
+// Retune takes over new classes, tenants, attempts, prices and weights while jobs are open; all other settings stay as New had
+// them. A class or tenant keeps its place for as long as it stands, and new ones come behind the last, or in the place of one of
+// which nothing is open. From names, for the place of a class whose rules are new, the place of the class whose statistics it
+// begins with; others begin with none. Open jobs keep the rules that they came under: their class may not change, and their
+// attempts stay as many. An error names what cannot be taken over, and nothing is changed then.
 func (d *Dispatcher) Retune(s Settings, from map[int]int) error {
 	next := d.settings
 	next.Classes, next.Tenants = s.Classes, s.Tenants
@@ -19,40 +19,53 @@
 	if err := next.check(); err != nil {
 		return err
 	}
+	if err := d.checkRetune(&next); err != nil {
+		return err
+	}
+	d.retuneClasses(&next, from)
+	d.settings = next
+	d.setTenants(next.Tenants)
+	d.needsPlacement = true
+	return nil
+}
+
+// checkRetune says why settings that are valid by themselves cannot follow those in force.
+func (d *Dispatcher) checkRetune(next *Settings) error {
+	was := &d.settings
 	switch {
-	case len(next.Classes) < len(d.settings.Classes) || len(next.Classes) > math.MaxUint8:
-		return fmt.Errorf("brain: %d classes in place of %d: places are kept, and %d at most", len(next.Classes), len(d.settings.Classes), math.MaxUint8)
-	case len(next.Tenants) < len(d.settings.Tenants) || len(next.Tenants) > math.MaxUint16 || len(d.settings.Tenants) == 0 && len(next.Tenants) > 0:
-		return fmt.Errorf("brain: %d tenants in place of %d: places are kept", len(next.Tenants), len(d.settings.Tenants))
+	case len(next.Classes) < len(was.Classes) || len(next.Classes) > math.MaxUint8:
+		return fmt.Errorf("brain: %d classes in place of %d: places are kept, and %d at most",
+			len(next.Classes), len(was.Classes), math.MaxUint8)
+	case len(next.Tenants) < len(was.Tenants) || len(next.Tenants) > math.MaxUint16 ||
+		len(was.Tenants) == 0 && len(next.Tenants) > 0:
+		return fmt.Errorf("brain: %d tenants in place of %d: places are kept", len(next.Tenants), len(was.Tenants))
 	}
-	for _, job := range d.jobs {
-		if next.Classes[job.class] != d.settings.Classes[job.class] {
+	for _, job := range d.jobs.byID {
+		if next.Classes[job.class] != was.Classes[job.class] {
 			return fmt.Errorf("brain: class %d has open jobs, whose rules may not change", job.class)
 		}
 	}
-	classes := make([]classStats, len(next.Classes))
+	return nil
+}
+
+// retuneClasses gives each class whose rules are new the statistics that it begins with.
+func (d *Dispatcher) retuneClasses(next *Settings, from map[int]int) {
+	known, knownFailing := d.serviceTimes.classes, d.outliers.failingClasses
+	classes, failing := make([]classStats, len(next.Classes)), make([]bool, len(next.Classes))
 	for i, c := range next.Classes {
-		same := i < len(d.settings.Classes) && c == d.settings.Classes[i]
-		if same {
-			classes[i] = d.classes[i]
+		if i < len(known) && c == d.settings.Classes[i] {
+			classes[i], failing[i] = known[i], knownFailing[i]
 			continue
 		}
 		classes[i] = newClassStats(c)
-		if k, ok := from[i]; ok && k >= 0 && k < len(d.classes) {
-			classes[i] = d.classes[k]
+		if k, ok := from[i]; ok && k >= 0 && k < len(known) {
+			classes[i], failing[i] = known[k], knownFailing[k]
 		}
-		for _, executor := range d.executorsByID {
-			if i < len(executor.failures.byClass) {
-				executor.failures.byClass[i] = classFailures{}
-			} else {
-				executor.failures.byClass = append(executor.failures.byClass, classFailures{})
-			}
+		for _, executor := range d.endpoints.byID {
+			executor.failures.resetClass(i)
 		}
 	}
-	d.settings, d.classes = next, classes
-	d.setTenants(next.Tenants)
-	d.needsPlacement = true
-	return nil
+	d.serviceTimes.classes, d.outliers.failingClasses = classes, failing
 }
 
 // check names the first setting that no Dispatcher can work with.
--- a/brain/dispatcher.go
+++ b/brain/dispatcher.go
@@ -15,7 +15,7 @@
 	if d.needsPlacement {
 		d.dispatchQueue()
 	}
-	if d.gossipMode == gossipAggregator {
+	if d.gossip.mode == gossipAggregator {
 		d.notifyAggregator()
 	}
 	out, d.actions = d.actions, nil
@@ -35,11 +35,11 @@
 	case EvList:
 		d.handleList(event)
 	case EvGone:
-		if job := d.jobs[event.Job]; job != nil && !job.done {
+		if job := d.jobs.byID[event.Job]; job != nil && !job.done {
 			d.finishJob(job)
 		}
 	case EvFirst:
-		if job := d.jobs[event.Job]; job != nil && int(event.Attempt) < len(job.attempts) {
+		if job := d.jobs.byID[event.Job]; job != nil && int(event.Attempt) < len(job.attempts) {
 			job.attempts[event.Attempt].executor.outlier.lastHeard = d.now
 			job.deadline = math.Inf(1)
 		}
@@ -50,7 +50,7 @@
 
 // tickSpan is the time between ticks: longer in a large fleet, where a tick has more to look at.
 func (d *Dispatcher) tickInterval() float64 {
-	if len(d.executors) > fullScanLimit {
+	if len(d.endpoints.listed) > fullScanLimit {
 		return max(10*d.settings.Step, 40)
 	}
 	return max(5*d.settings.Step, 10)
@@ -67,120 +67,52 @@
 	d.lastTimerToken++
 	d.actions = append(d.actions, Action{Kind: ActTimer, For: d.tickInterval(), Token: d.lastTimerToken})
 	d.pollList()
-	if len(d.executors) <= fullScanLimit || d.now >= d.nextOutlierCheck {
-		d.nextOutlierCheck = d.now + d.unresponsiveTimeout()/16
+	if len(d.endpoints.listed) <= fullScanLimit || d.now >= d.outliers.nextCheck {
+		d.outliers.nextCheck = d.now + d.unresponsiveTimeout()/16
 		d.detectOutliers()
-		if d.settings.MayDuplicate && !d.panicking {
+		if d.settings.MayDuplicate && !d.outliers.panicking {
 			d.hedgeUnresponsive()
 		}
 	}
-	for _, job := range d.queue {
+	for _, job := range d.jobs.queue {
 		d.endIfExhausted(job)
 	}
-	if len(d.queue) > 0 {
+	if len(d.jobs.queue) > 0 {
 		d.needsPlacement = true
-		d.aggregator.answerWanted = d.aggregator.answerWanted || d.now-d.aggregator.answeredAt > queryRetryFactor*d.answerTimeout()
+		d.aggregatorClient.answerWanted = d.aggregatorClient.answerWanted || d.now-d.aggregatorClient.answeredAt > queryRetryFactor*d.answerTimeout()
 	}
 	d.checkHealth()
 	d.broadcastLoad()
-	if (d.freshPeers > 0 || d.gossipMode == gossipAggregator) && d.now >= d.nextPeerSum {
+	if (d.gossip.freshPeers > 0 || d.gossip.mode == gossipAggregator) && d.now >= d.gossip.nextPeerSum {
 		d.sumPeerLoads()
 	}
 	d.logRejecting()
 }
 
-// Dispatcher decides for one node. See the package comment for what its host promises.
+// Dispatcher decides for one node. See the package comment for what its host promises. It holds the state of each concern, takes
+// events in and gives actions out; the concerns do not know one another.
 type Dispatcher struct {
-	settings    Settings
-	now         float64
-	actions     []Action
-	randomState uint64
-
-	jobs    map[uint32]*job
-	jobPool []*job
-	arrived []*job
-	queue   []*job
-
-	executorsByID    map[uint32]*executor
-	executors        []*executor // listed, by id
-	removedExecutors []*executor // gone from the list, and kept while attempts of ours are out there
-	kinds            [256]kindStats
-	allKinds         kindStats
-
-	tenants []tenant
-	classes []classStats
-
-	reportInterval float64
-	reportAge      float64   // of reports when they come
-	ageCandidates  [9]spread // of what workers told to hold less our own jobs, at each age
-	reportedLoad   spread    // of what they told to hold
-	bestAge        int
-	ageSamples     float64
-	startDelay     float64  // mean time from a send to its start note
-	minStartLag    float64  // usual time from a send to its start note where there was room
-	allArrivals    arrivals // of requests here, those that clients send again counted each time
-	firstArrivals  arrivals // likewise without those
-	totalQuota     float64  // requests a second that all tenants may send to all nodes
-	capacity       float64
-	lastDispatchAt float64 // when a job was last sent
-	fairSlots      float64 // our part of all slots
-	panicking      bool
-
-	eligible         []*executor // those with room, while jobs are placed
-	inspected        []*executor // those looked at for that
-	inspectionRound  uint64
-	inspectedAll     bool // in this look, not only at homes
-	checksInFlight   int
-	nextOutlierCheck float64         // when health is next watched in a large fleet
-	busyExecutors    []*executor     // those with attempts of ours out
-	ejectedExecutors []*executor     // those that are, or were, since the last tick
-	recentReporters  recentExecutors // those that reported last
-	recentServers    recentExecutors // those that served us last, and have a connection
-	nextEstimate     float64         // capacity is not estimated anew before
-	listRevision     int             // counts changes of the list, from 1
-	peers            []peer          // by node number
-	freshPeers       int
-	nextPeerSum      float64 // when those not heard of are next left out
-	executorsByTag   map[uint16]*executor
-	gossipMode       gossipMode
-	aggregator       aggregatorState
-	nextGossip       float64
-
-	watching    bool
-	pollSentAt  float64 // when the call that is out was made, 0 for none
-	nextPoll    float64
-	failedPolls int
-
-	meanValue         float64 // mean worth of arrivals for each slot and time
-	fetchingSlots     float64 // slots out of jobs that likely fetch their key
-	meanRun           float64 // mean run, each weighted by what it holds: how long what is held stays so
-	meanSlotTime      float64 // mean of slots times run
-	groups            []*executorGroup
-	meanLiveLoad      float64 // mean of the live weights' requests per core
-	lastReportAt      float64 // when any worker last reported anew
-	meanPeerOccupancy float64 // part of a worker's slots that others hold, as reports tell
-	widestRequest     float64 // most slots that a job asked for
-	keyCounts         map[uint64]float64
-	keyTotal          float64
-	rankedScratch     []rankedCandidate // scratch of findHomes
-	endpointRows      []endpointRow     // of d.workers, in their order
-	affinityHashes    []affinityHash    // likewise
-	changedScratch    []*executor       // scratch of applyRows
-
-	listConfirmedAt   float64               // when discovery last confirmed a list that holds executors, 0 for never
-	newestListedStart float64               // of the list at hand, on the clock of another machine
-	removedStarts     map[uint32]knownStart // starts of executors that left the list a short while ago
+	*environment
+
+	jobs             jobTable
+	admission        admission
+	capacity         fleetCapacity
+	reports          loadReports
+	serviceTimes     serviceTimes
+	affinity         keyAffinity
+	placement        placement
+	slowStart        slowStartTracker
+	outliers         outlierDetection
+	healthChecks     healthChecks
+	endpoints        endpointList
+	listWatch        listWatch
+	gossip           gossip
+	aggregatorClient aggregatorClient
+	aggregatorServer aggregatorServer
+	rejections       rejectionLog
 
 	nextTick       float64
 	lastTimerToken uint32
-	needsPlacement bool
-
-	endedByCause  [causeCount]int // jobs that this node ended itself, by cause
-	lastEndedAt   float64
-	rejecting     bool    // as last logged
-	listUpdatedAt float64 // when the list was last heard of
-	logBudget     float64
-	logBudgetAt   float64
 }
 
 // New makes a Dispatcher for one life of a node. Absent settings: no tenants means one; portions that are
@@ -189,21 +121,26 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{settings: s, randomState: seed, jobs: map[uint32]*job{}, executorsByID: map[uint32]*executor{},
-		executorsByTag: map[uint16]*executor{}, removedStarts: map[uint32]knownStart{}, widestRequest: 1, keyCounts: map[uint64]float64{},
-		reportInterval: initialReportIntervalMs, minStartLag: s.ConnectTimeout / 10, logBudget: maxLogBurst,
-		reportAge: defaultReportAge * initialReportIntervalMs, bestAge: 1}
+	d := &Dispatcher{environment: &environment{settings: s, randomState: seed, logBudget: maxLogBurst}}
+	d.jobs.byID = map[uint32]*job{}
+	d.endpoints.byID, d.endpoints.byTag = map[uint32]*executor{}, map[uint16]*executor{}
+	d.slowStart.removed = map[uint32]knownStart{}
+	d.capacity.widestRequest = 1
+	d.affinity.keyCounts = map[uint64]float64{}
+	d.reports.interval, d.reports.age, d.reports.bestAge = initialReportIntervalMs, defaultReportAge*initialReportIntervalMs, 1
+	d.serviceTimes.minStartLag = s.ConnectTimeout / 10
 	d.setTenants(s.Tenants)
-	d.allArrivals.perSecond = d.totalQuota / float64(s.Balancers)
-	d.firstArrivals.perSecond = d.allArrivals.perSecond
-	d.classes = make([]classStats, len(s.Classes))
+	d.admission.allArrivals.perSecond = d.admission.totalQuota / float64(s.Balancers)
+	d.admission.firstArrivals.perSecond = d.admission.allArrivals.perSecond
+	d.serviceTimes.classes = make([]classStats, len(s.Classes))
+	d.outliers.failingClasses = make([]bool, len(s.Classes))
 	for i, c := range s.Classes {
-		d.meanRun += max(1, c.Aim) / float64(len(s.Classes))
-		d.meanSlotTime = d.meanRun
-		d.classes[i] = newClassStats(c)
+		d.serviceTimes.meanRun += max(1, c.Aim) / float64(len(s.Classes))
+		d.serviceTimes.meanSlotTime = d.serviceTimes.meanRun
+		d.serviceTimes.classes[i] = newClassStats(c)
 	}
-	if d.gossipMode = d.chooseGossipMode(); s.MayTell {
-		d.peers = make([]peer, s.Balancers)
+	if d.gossip.mode = d.chooseGossipMode(); s.MayTell {
+		d.gossip.peers = make([]peer, s.Balancers)
 		d.startAggregator()
 	}
 	return d, nil
--- a/brain/executor.go
+++ b/brain/executor.go
@@ -45,7 +45,7 @@
 
 // ownOut is how many slots of ours are out at all workers.
 func (d *Dispatcher) ownSlotsInFlight() (slots float64) {
-	for _, executor := range d.busyExecutors {
+	for _, executor := range d.outliers.busy {
 		slots += executor.inFlight.slots
 	}
 	return slots
--- a/brain/flaky_test.go
+++ b/brain/flaky_test.go
@@ -65,8 +65,8 @@
 		cold := ready(7, 0)
 		cold.Born = 100000
 		r := newRig(t, s, cold)
-		executor := r.d.executorsByID[7]
-		executor.load.slots, r.d.kinds[0].slots = 4, 4
+		executor := r.d.endpoints.byID[7]
+		executor.load.slots, r.d.capacity.kindSlots[0] = 4, 4
 		least := 0.0
 		for id := uint32(1); id < 60; id++ {
 			e := request(id, 0, 0, slots)
@@ -92,7 +92,7 @@
 	s := base()
 	s.Telemetry, s.MayProbe, s.TellsStart = ReportProbes, true, false
 	r := newRig(t, s, ready(1, 1))
-	executor := r.d.executorsByID[1]
+	executor := r.d.endpoints.byID[1]
 	sends := 0
 	for i := range 200 { // 4 s
 		var events []Event
@@ -103,7 +103,7 @@
 		for _, a := range r.after(20, events...) {
 			if a.Kind == ActSend {
 				sends++
-				r.step(outcome(a.Job, uint16(len(r.d.jobs[a.Job].attempts)-1), 1, Full))
+				r.step(outcome(a.Job, uint16(len(r.d.jobs.byID[a.Job].attempts)-1), 1, Full))
 			}
 		}
 	}
@@ -136,7 +136,7 @@
 			out = r.after(20, outcome(1, n, sends[0].Worker, o, 4+float32(n)*1e-4))
 		}
 		unsafe := &job{class: 2}
-		for _, executor := range r.d.executors {
+		for _, executor := range r.d.endpoints.listed {
 			if d := r.d; d.now < executor.failures.byClass[0].awayUntil {
 				away++
 			}
--- a/brain/fresh_test.go
+++ b/brain/fresh_test.go
@@ -28,7 +28,7 @@
 		s.Me = i
 		r := newRig(t, s, fleet(workers)...)
 		r.step(request(1, 0, 0, 1))
-		sum += r.d.capacity
+		sum += r.d.capacity.slots
 	}
 	if least, most := 1.0*workers, 5.0*workers; sum < least || sum > most {
 		t.Errorf("%d nodes that have just begun count on %.0f slots of %d workers, want %.0f to %.0f", nodes, sum, workers, least, most)
@@ -63,8 +63,8 @@
 	for id++; id%3 != 0; id++ {
 	}
 	r.after(400, request(id, 0, 0, 1))
-	if r.d.capacity < running || r.d.capacity > 3*running+part {
-		t.Errorf("capacity %.0f with %.0f jobs running", r.d.capacity, running)
+	if r.d.capacity.slots < running || r.d.capacity.slots > 3*running+part {
+		t.Errorf("capacity %.0f with %.0f jobs running", r.d.capacity.slots, running)
 	}
 }
 
@@ -169,7 +169,7 @@
 	if longest >= 4000 {
 		t.Errorf("nothing was sent for %.0f ms", longest)
 	}
-	if least := starvationThreshold * r.d.meanSlotTime; float64(sends) > 20000/least+3*r.d.fleetShare()*200*initialSoftLimit+2 {
+	if least := starvationThreshold * r.d.serviceTimes.meanSlotTime; float64(sends) > 20000/least+3*r.d.fleetShare()*200*initialSoftLimit+2 {
 		t.Errorf("%d jobs sent that hang, one more each %.0f ms is meant", sends, least)
 	}
 }
--- a/brain/health_test.go
+++ b/brain/health_test.go
@@ -7,17 +7,17 @@
 // Workers that take no new connection go on serving over open ones (ifa25c6).
 func TestFailedConnectLeavesOpenConnections(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
-	r.d.executors[0].load.freeSlots, r.d.executors[0].load.reportedAt, r.d.executors[0].load.slots = 4, r.now, 4
+	r.d.endpoints.listed[0].load.freeSlots, r.d.endpoints.listed[0].load.reportedAt, r.d.endpoints.listed[0].load.slots = 4, r.now, 4
 	r.step(request(1, 0, 0, 1))
 	got := r.after(10, outcome(1, 0, 7, ConnectFailed))
 	if len(find(got, ActSend, 1)) != 0 {
 		t.Error("tried a new connection at once")
 	}
-	r.d.executors[0].connections.idleSince = append(r.d.executors[0].connections.idleSince, r.now)
+	r.d.endpoints.listed[0].connections.idleSince = append(r.d.endpoints.listed[0].connections.idleSince, r.now)
 	if got := r.after(20, Event{Kind: EvTimer}); len(find(got, ActSend, 1)) != 1 {
 		t.Error("did not use the open connection")
 	}
-	if r.after(10, outcome(1, 1, 7, Served)); r.d.executors[0].connections.dialFailures == 0 {
+	if r.after(10, outcome(1, 1, 7, Served)); r.d.endpoints.listed[0].connections.dialFailures == 0 {
 		t.Error("a job served over an open connection says nothing of new ones")
 	}
 }
@@ -75,14 +75,14 @@
 	}
 	r.now += 60000
 	r.step()
-	if run(2, served); r.d.executorsByID[1].failures.byClass[2].consecutive != 0 || r.d.executorsByID[1].failures.byClass[2].awayUntil != 0 {
-		t.Errorf("served again: %+v", r.d.executorsByID[1].failures.byClass[2])
+	if run(2, served); r.d.endpoints.byID[1].failures.byClass[2].consecutive != 0 || r.d.endpoints.byID[1].failures.byClass[2].awayUntil != 0 {
+		t.Errorf("served again: %+v", r.d.endpoints.byID[1].failures.byClass[2])
 	}
 	everywhere := func(uint32) Outcome { return Errored }
 	for range 5 {
 		run(2, everywhere)
 	}
-	if run(2, everywhere); !r.d.classes[2].failsEverywhere {
+	if run(2, everywhere); !r.d.outliers.failingClasses[2] {
 		t.Error("a class that fails everywhere waits")
 	}
 }
@@ -114,7 +114,7 @@
 			}
 		}
 		r.after(1, events...)
-		executor := r.d.executorsByID[1]
+		executor := r.d.endpoints.byID[1]
 		if got := executor.failures.byClass[2].awayUntil > r.now; got != x.away || executor.failures.byClass[0].awayUntil > 0 {
 			t.Errorf("%s: kept away %v, want %v; another class %+v", x.name, got, x.away, executor.failures.byClass[0])
 		}
@@ -138,7 +138,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			r := newRig(t, base(), ready(7, 0), ready(8, 0), ready(9, 0))
-			for _, executor := range r.d.executors {
+			for _, executor := range r.d.endpoints.listed {
 				executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4, r.now, 4
 			}
 			sent := find(r.step(request(1, tt.class, 0, 1)), ActSend, 1)
@@ -148,7 +148,7 @@
 			got := 0
 			for range 30 {
 				if tt.heard { // another's answer says that the worker lives
-					r.d.executorsByID[sent[0].Worker].outlier.lastHeard = r.now
+					r.d.endpoints.byID[sent[0].Worker].outlier.lastHeard = r.now
 				}
 				got += len(find(r.after(100, Event{Kind: EvTimer}), ActSend, 1))
 			}
@@ -173,7 +173,7 @@
 	}
 	s.MayDuplicate = false
 	r := newRig(t, s, ready(7, 0))
-	executor := r.d.executorsByID[7]
+	executor := r.d.endpoints.byID[7]
 	tell := func() {
 		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4-executor.inFlight.slots, r.now, 4
 	}
@@ -239,13 +239,13 @@
 			s.Classes[i].Deadline = 60000
 		}
 		r := newRig(t, s, ready(7, 0), ready(8, 0))
-		for _, executor := range r.d.executors {
+		for _, executor := range r.d.endpoints.listed {
 			executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4, r.now, 4
 		}
 		r.step(request(1, 0, 0, 1), request(2, 0, 0, 1), request(3, 0, 0, 1), request(4, 0, 0, 1))
 		r.after(8000, Event{Kind: EvTimer})
-		if r.d.panicking != tt.panics {
-			t.Errorf("progress %v: panicking %v, want %v", tt.progress, r.d.panicking, tt.panics)
+		if r.d.outliers.panicking != tt.panics {
+			t.Errorf("progress %v: panicking %v, want %v", tt.progress, r.d.outliers.panicking, tt.panics)
 		}
 	}
 }
--- a/brain/hedging.go
+++ b/brain/hedging.go
@@ -24,7 +24,7 @@
 
 // hedge sends the jobs of a silent worker elsewhere too, where that is allowed.
 func (d *Dispatcher) hedgeUnresponsive() {
-	for _, executor := range d.busyExecutors {
+	for _, executor := range d.outliers.busy {
 		for _, job := range executor.inFlight.jobs {
 			// One that was sent to see whether the worker lives gets its time for that, and one that queues
 			// would only queue elsewhere too.
--- a/brain/hub_test.go
+++ b/brain/hub_test.go
@@ -43,8 +43,8 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if d.gossipMode != gossipAggregator {
-		c.t.Fatalf("%d nodes tell in way %d, want by a hub", s.Balancers, d.gossipMode)
+	if d.gossip.mode != gossipAggregator {
+		c.t.Fatalf("%d nodes tell in way %d, want by a hub", s.Balancers, d.gossip.mode)
 	}
 	c.nodes[i], c.down[i] = d, false
 	c.in[i] = []Event{{Kind: EvList, Form: ListCached, Rows: rows}}
@@ -111,17 +111,17 @@
 	if slots > 0 {
 		c.know(slots)
 	}
-	c.run(aggregatorListenRuns*c.nodes[0].meanRun + 1000)
+	c.run(aggregatorListenRuns*c.nodes[0].serviceTimes.meanRun + 1000)
 	return c
 }
 
 // know gives all nodes the slots of all workers, as reports would with time.
 func (c *crowd) know(slots float64) {
 	for _, d := range c.nodes {
-		for _, executor := range d.executors {
+		for _, executor := range d.endpoints.listed {
 			executor.load.slots = slots
 		}
-		d.kinds[0].slots = slots
+		d.capacity.kindSlots[0] = slots
 	}
 }
 
@@ -132,10 +132,10 @@
 		if c.down[i] {
 			continue
 		}
-		if at >= 0 && d.aggregator.current != at {
+		if at >= 0 && d.aggregatorClient.current != at {
 			return -1
 		}
-		at = d.aggregator.current
+		at = d.aggregatorClient.current
 	}
 	return at
 }
@@ -194,7 +194,7 @@
 		}
 		c.run(wait + 50)
 	}
-	if now := c.nodes[node].aggregator.current; now == first {
+	if now := c.nodes[node].aggregatorClient.current; now == first {
 		t.Error("a hub that is gone is still asked")
 	}
 	from := c.now
@@ -206,7 +206,7 @@
 	c.run(1.5 * aggregatorAwayFactor * wait)
 	c.send(node, 1000)
 	c.run(100)
-	if now := c.nodes[node].aggregator.current; now != first {
+	if now := c.nodes[node].aggregatorClient.current; now != first {
 		t.Errorf("node %d is the hub, want %d, which is back", now, first)
 	}
 }
@@ -223,11 +223,11 @@
 	c.start(h, rows)
 	c.step(nil)
 	c.know(2)
-	c.run(aggregatorListenRuns*c.nodes[0].meanRun + 200)
+	c.run(aggregatorListenRuns*c.nodes[0].serviceTimes.meanRun + 200)
 	c.send(node, 300)
 	c.run(50) // before any reminder
 	held := 0.0
-	for _, x := range c.nodes[h].peers[node].loads {
+	for _, x := range c.nodes[h].gossip.peers[node].loads {
 		if x.tag == c.nodes[h].tagOf(w) {
 			held = x.slots
 		}
@@ -249,15 +249,15 @@
 		c.step(map[int]Event{node: {Kind: EvPeer, From: uint32(60 * rng.Intn(2) * rng.Intn(2)), Data: data}})
 	}
 	for i, d := range c.nodes {
-		for _, all := range []map[uint16]float64{d.aggregator.peerSlots, d.aggregator.slotTotals} {
+		for _, all := range []map[uint16]float64{d.aggregatorClient.peerSlots, d.aggregatorServer.slotTotals} {
 			for tag, n := range all {
 				if n < 0 {
 					t.Fatalf("node %d holds %v slots out under tag %d", i, n, tag)
 				}
 			}
 		}
-		for k := range d.peers {
-			if n := len(d.peers[k].loads); n > maxPeerEntries {
+		for k := range d.gossip.peers {
+			if n := len(d.gossip.peers[k].loads); n > maxPeerEntries {
 				t.Fatalf("node %d keeps %d entries of node %d", i, n, k)
 			}
 		}
@@ -276,10 +276,10 @@
 	rows[30].Born = 100000
 	c := listening(t, 60, 4, rows...)
 	for i, d := range c.nodes {
-		if i == d.aggregator.current {
+		if i == d.aggregatorClient.current {
 			continue
 		}
-		executor := d.executors[30]
+		executor := d.endpoints.listed[30]
 		share := d.slowStartShare(executor)
 		c.send(i, 300) // brings what the hub tells
 		if got, want := d.availableSlots(executor), math.Round(4*share)-d.peerSlotsAt(executor)-executor.inFlight.slots; got != want {
@@ -331,12 +331,12 @@
 	c.run(50)
 	c.send(other, 300)
 	d := c.nodes[other]
-	if n := d.peerSlotsAt(d.executorsByID[w]); n < 1 {
+	if n := d.peerSlotsAt(d.endpoints.byID[w]); n < 1 {
 		t.Error("the job of a node that was killed is forgotten while it runs")
 	}
-	c.run(2*d.meanRun + 200)
+	c.run(2*d.serviceTimes.meanRun + 200)
 	c.send(other, 300)
-	if n := d.peerSlotsAt(d.executorsByID[w]); n > 0 {
+	if n := d.peerSlotsAt(d.endpoints.byID[w]); n > 0 {
 		t.Errorf("the job of a node that was killed still counts %v two runs later", n)
 	}
 }
@@ -364,12 +364,12 @@
 		c.run(30)
 	}
 	d := c.nodes[29]
-	if !d.isClassAway(d.executorsByID[bad], 0) || d.isClassAway(d.executorsByID[bad], 1) {
+	if !d.isClassAway(d.endpoints.byID[bad], 0) || d.isClassAway(d.endpoints.byID[bad], 1) {
 		t.Error("the class that failed is to be kept away, and only that one")
 	}
 	c.run(2 * classQuarantineFactor * c.s.ConnectTimeout)
 	c.send(29, 300)
-	if d.isClassAway(d.executorsByID[bad], 0) || d.isQuarantined(d.executorsByID[dead], connectionQuarantine) {
+	if d.isClassAway(d.endpoints.byID[bad], 0) || d.isQuarantined(d.endpoints.byID[dead], connectionQuarantine) {
 		t.Error("a mark that nobody found again still holds")
 	}
 }
@@ -449,8 +449,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.gossipMode != gossipAggregator {
-		t.Errorf("told in way %d, want by a hub", d.gossipMode)
+	if d.gossip.mode != gossipAggregator {
+		t.Errorf("told in way %d, want by a hub", d.gossip.mode)
 	}
 }
 
@@ -465,15 +465,15 @@
 			i++
 		}
 		d := c.nodes[i]
-		d.aggregator.answeredAt, d.nextEstimate = d.now, 0
-		for k, executor := range d.executors {
+		d.aggregatorClient.answeredAt, d.capacity.nextEstimate = d.now, 0
+		for k, executor := range d.endpoints.listed {
 			executor.load.slots = 4
-			if d.aggregator.peerSlots[executor.tag] = math.Floor(x.theirs); float64(k)/40 < x.theirs-math.Floor(x.theirs) {
-				d.aggregator.peerSlots[executor.tag]++
+			if d.aggregatorClient.peerSlots[executor.tag] = math.Floor(x.theirs); float64(k)/40 < x.theirs-math.Floor(x.theirs) {
+				d.aggregatorClient.peerSlots[executor.tag]++
 			}
 		}
-		if d.estimateCapacity(); d.capacity < x.least || d.capacity > x.most {
-			t.Errorf("with %v of 4 slots of each of 40 workers taken a node counts on %v, want %v to %v", x.theirs, d.capacity, x.least, x.most)
+		if d.estimateCapacity(); d.capacity.slots < x.least || d.capacity.slots > x.most {
+			t.Errorf("with %v of 4 slots of each of 40 workers taken a node counts on %v, want %v to %v", x.theirs, d.capacity.slots, x.least, x.most)
 		}
 	}
 }
@@ -490,7 +490,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	d.gossipMode = gossipAggregator // whatever the bound is
+	d.gossip.mode = gossipAggregator // whatever the bound is
 	d.settings.Me = d.pickAggregator()
 	rows := fleet(200)
 	now := 100000.0
@@ -501,7 +501,7 @@
 			out = d.Step(now, []Event{{Kind: EvPeer, From: uint32(n), Data: []byte{messageUpdate, byte(d.tagOf(w.Worker) >> 8), byte(d.tagOf(w.Worker)) | 3}}}, out[:0])
 		}
 	}
-	now += 10 * d.meanRun
+	now += 10 * d.serviceTimes.meanRun
 	rng := rand.New(rand.NewSource(1))
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -534,8 +534,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d.gossipMode != c.want {
-			t.Errorf("%d nodes with %v requests a second tell in way %d, want %d", c.nodes, c.quota, d.gossipMode, c.want)
+		if d.gossip.mode != c.want {
+			t.Errorf("%d nodes with %v requests a second tell in way %d, want %d", c.nodes, c.quota, d.gossip.mode, c.want)
 		}
 	}
 }
--- a/brain/job.go
+++ b/brain/job.go
@@ -11,25 +11,25 @@
 
 // newJob gives an empty job, one that has ended if there is one.
 func (d *Dispatcher) newJob() *job {
-	n := len(d.jobPool)
+	n := len(d.jobs.pool)
 	if n == 0 {
 		return &job{}
 	}
-	reused := d.jobPool[n-1]
-	d.jobPool = d.jobPool[:n-1]
+	reused := d.jobs.pool[n-1]
+	d.jobs.pool = d.jobs.pool[:n-1]
 	*reused = job{attempts: reused.attempts[:0], candidates: reused.candidates[:0]}
 	return reused
 }
 
 func (d *Dispatcher) handleRequest(event *Event) {
-	if d.jobs[event.Job] != nil {
+	if d.jobs.byID[event.Job] != nil {
 		return
 	}
 	job := d.newJob()
 	job.id, job.key, job.arrivedAt, job.maxAttempts = event.Job, event.Key, d.now, d.settings.MaxAttempts
 	job.class = min(int(event.Class), len(d.settings.Classes)-1)
-	job.tenant = min(int(event.Tenant), len(d.tenants)-1)
-	class, stats := &d.settings.Classes[job.class], &d.classes[job.class]
+	job.tenant = min(int(event.Tenant), len(d.admission.tenants)-1)
+	class, stats := &d.settings.Classes[job.class], &d.serviceTimes.classes[job.class]
 	slots, memory, left := event.sanitizedNeeds()
 	job.slots, job.memory = slots, memory
 	likely := event.Work
@@ -43,7 +43,7 @@
 			likely = stats.work / unhintedWorkFactor
 		}
 	}
-	d.widestRequest = max(d.widestRequest, job.slots)
+	d.capacity.widestRequest = max(d.capacity.widestRequest, job.slots)
 	stats.slots += (job.slots - stats.slots) * 0.02
 	job.deadline = d.now + left
 	age := 0.0
@@ -51,7 +51,7 @@
 		age = max(0, class.Deadline-left)
 	}
 	job.objectiveAt = min(d.now-age+class.Aim+class.Stretch*likely+(job.work-likely)/d.meanSpeed(), job.deadline)
-	d.jobs[job.id] = job
+	d.jobs.byID[job.id] = job
 	job.overQuota = d.isOverQuota(job, event.Flags&FlagRepeat != 0)
 	job.zonePrices, job.value = event.Prices, class.Worth // the worth for each ms
 	if !d.settings.WorthByWork {
@@ -61,8 +61,8 @@
 		// A node tells only roughly what is beyond a share, so it is taken to be right half of the time.
 		job.value *= (1 + d.settings.OverShareWorth) / 2
 	}
-	d.meanValue += (job.value - d.meanValue) * 0.02
-	d.arrived = append(d.arrived, job)
+	d.admission.meanValue += (job.value - d.admission.meanValue) * 0.02
+	d.jobs.arrived = append(d.jobs.arrived, job)
 	d.countKey(job.key)
 	d.countArrival(event.Flags&FlagRepeat != 0)
 }
@@ -75,7 +75,7 @@
 	job.done = true
 	if job.admitted {
 		job.admitted = false
-		tenant := &d.tenants[job.tenant]
+		tenant := &d.admission.tenants[job.tenant]
 		tenant.reservedSlots = max(0, tenant.reservedSlots-job.slots)
 	}
 	for i := range job.attempts {
@@ -89,10 +89,10 @@
 
 // release forgets a job that is done once nothing of it is out.
 func (d *Dispatcher) releaseJob(job *job) {
-	if job.done && job.inFlight == 0 && !job.queued && d.jobs[job.id] == job {
-		delete(d.jobs, job.id)
-		if !slices.Contains(d.arrived, job) {
-			d.jobPool = append(d.jobPool, job)
+	if job.done && job.inFlight == 0 && !job.queued && d.jobs.byID[job.id] == job {
+		delete(d.jobs.byID, job.id)
+		if !slices.Contains(d.jobs.arrived, job) {
+			d.jobs.pool = append(d.jobs.pool, job)
 		}
 	}
 }
@@ -158,3 +158,11 @@
 	}
 	return slots, memory, left
 }
+
+// jobTable holds the jobs of this node.
+type jobTable struct {
+	byID    map[uint32]*job
+	pool    []*job // ended ones, to be used again
+	arrived []*job // that no admission decision was made of yet
+	queue   []*job // that wait for an executor
+}
--- a/brain/late_test.go
+++ b/brain/late_test.go
@@ -16,7 +16,7 @@
 	r := newRig(t, s, ready(7, 1), ready(8, 1), ready(9, 2))
 	tell := func(ids ...uint32) {
 		for _, id := range []uint32{7, 8, 9} {
-			executor := r.d.executorsByID[id]
+			executor := r.d.endpoints.byID[id]
 			executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 0, r.now, 4
 			for _, x := range ids {
 				if x == id {
@@ -27,7 +27,7 @@
 	}
 	tell(7)
 	r.after(10, request(1, 1, 0, 1), request(2, 2, 0, 1))
-	executor := r.d.executorsByID[7]
+	executor := r.d.endpoints.byID[7]
 	if executor.inFlight.slots != 2 {
 		t.Fatalf("%v slots out at the worker, want 2", executor.inFlight.slots)
 	}
@@ -54,7 +54,7 @@
 			class = 2
 		}
 		tell(7, 8, 9)
-		r.d.executorsByID[8].load.freeSlots, r.d.executorsByID[9].load.freeSlots = 1, 1 // as much room as a worker on trial has
+		r.d.endpoints.byID[8].load.freeSlots, r.d.endpoints.byID[9].load.freeSlots = 1, 1 // as much room as a worker on trial has
 		for _, a := range r.after(50, request(id, class, 0, 1)) {
 			if a.Kind == ActSend {
 				sent[a.Worker] = append(sent[a.Worker], a.Job)
@@ -77,8 +77,8 @@
 	}
 	// The late one's result still counts: an answer, and no outcome is taken twice.
 	r.after(10, outcome(2, 0, 7, Served))
-	if r.d.jobs[2] != nil || executor.inFlight.slots < 0 {
-		t.Errorf("job 2 is kept: %v, %v slots out", r.d.jobs[2], executor.inFlight.slots)
+	if r.d.jobs.byID[2] != nil || executor.inFlight.slots < 0 {
+		t.Errorf("job 2 is kept: %v, %v slots out", r.d.jobs.byID[2], executor.inFlight.slots)
 	}
 }
 
@@ -87,10 +87,10 @@
 func TestLateConnection(t *testing.T) {
 	s := base()
 	r := newRig(t, s, ready(7, 1), ready(8, 1))
-	executor := r.d.executorsByID[7]
+	executor := r.d.endpoints.byID[7]
 	give := func() {
 		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4-executor.inFlight.slots, r.now, 4
-		r.d.executorsByID[8].load.rejectedUntil = r.now + 1e6
+		r.d.endpoints.byID[8].load.rejectedUntil = r.now + 1e6
 	}
 	give()
 	r.after(10, request(1, 1, 0, 1), request(2, 1, 0, 1), request(3, 1, 0, 1))
@@ -111,7 +111,7 @@
 		t.Error("two late jobs, and the worker is still in use")
 	}
 	r.after(10, Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteStarted})
-	if executor.inFlight.slots != 2 || r.d.jobs[1].attempts[0].ackOverdue {
+	if executor.inFlight.slots != 2 || r.d.jobs.byID[1].attempts[0].ackOverdue {
 		t.Errorf("%v slots out once a late job was heard of", executor.inFlight.slots)
 	}
 }
@@ -136,7 +136,7 @@
 			events = append(events, outcome(out[0].Job, 0, out[0].Worker, Served))
 			out = out[1:]
 		}
-		for _, executor := range r.d.executors {
+		for _, executor := range r.d.endpoints.listed {
 			busy := 3 + 0.3*rng.Float32()
 			r.d.handleLoadReport(executor, []float32{busy, 8 - busy})
 		}
@@ -145,9 +145,9 @@
 				out = append(out, a)
 			}
 		}
-		most = max(most, r.d.reportAge)
+		most = max(most, r.d.reports.age)
 	}
-	if most > 10*defaultReportAge*r.d.reportInterval || math.IsNaN(most) {
-		t.Errorf("reports are taken to be up to %.0f ms old, with a period of %.0f", most, r.d.reportInterval)
+	if most > 10*defaultReportAge*r.d.reports.interval || math.IsNaN(most) {
+		t.Errorf("reports are taken to be up to %.0f ms old, with a period of %.0f", most, r.d.reports.interval)
 	}
 }
--- a/brain/list_test.go
+++ b/brain/list_test.go
@@ -17,7 +17,7 @@
 		s.Balancers, s.MayTell = 60, true
 		first := fleet(300)
 		changes, sorted := newRig(t, s, first...), newRig(t, s, first...)
-		if changes.d.gossipMode != gossipAggregator {
+		if changes.d.gossip.mode != gossipAggregator {
 			t.Fatal("names of 16 bits: few workers share one")
 		}
 		rows := map[uint32]Row{}
@@ -31,7 +31,7 @@
 				events = append(events, outcome(out[0].Job, 0, out[0].Worker, Served))
 				out = out[1:]
 			}
-			serial := sorted.d.listRevision
+			serial := sorted.d.endpoints.revision
 			if rng.Intn(2) == 0 {
 				events = append(events, Event{Kind: EvList, Form: ListDelta, Rows: randomChange(rng, rows, changes.now)})
 			}
@@ -39,14 +39,14 @@
 			if !reflect.DeepEqual(a, b) {
 				t.Fatalf("seed %d, job %d: actions %v, and with all sorted anew %v", seed, job, a, b)
 			}
-			if sorted.d.listRevision != serial {
+			if sorted.d.endpoints.revision != serial {
 				sorted.d.rebuildList()
 			}
 			if diff := listDiffers(changes.d, sorted.d); diff != "" {
 				t.Fatalf("seed %d, job %d: %s", seed, job, diff)
 			}
 			for _, x := range a {
-				if x.Kind == ActSend && len(changes.d.jobs[x.Job].attempts) == 1 {
+				if x.Kind == ActSend && len(changes.d.jobs.byID[x.Job].attempts) == 1 {
 					out = append(out, x)
 				}
 			}
@@ -83,13 +83,13 @@
 // listDiffers says in what two dispatchers hold different lists, "" if in nothing.
 func listDiffers(a, b *Dispatcher) string {
 	ids := func(d *Dispatcher) (ids []uint32) {
-		for _, executor := range d.executors {
+		for _, executor := range d.endpoints.listed {
 			ids = append(ids, executor.id)
 		}
 		return ids
 	}
 	known := func(d *Dispatcher) (ids []uint32) {
-		for id := range d.executorsByID {
+		for id := range d.endpoints.byID {
 			ids = append(ids, id)
 		}
 		slices.Sort(ids)
@@ -97,7 +97,7 @@
 	}
 	names := func(d *Dispatcher) map[uint16]uint32 {
 		names := map[uint16]uint32{}
-		for tag, executor := range d.executorsByTag {
+		for tag, executor := range d.endpoints.byTag {
 			names[tag] = executor.id
 		}
 		return names
@@ -107,10 +107,10 @@
 		return fmt.Sprintf("workers %v, want %v", ids(a), ids(b))
 	case !slices.Equal(known(a), known(b)):
 		return fmt.Sprintf("known workers %v, want %v", known(a), known(b))
-	case !slices.Equal(a.endpointRows, b.endpointRows):
-		return fmt.Sprintf("rows %v, want %v", a.endpointRows, b.endpointRows)
-	case !slices.Equal(a.affinityHashes, b.affinityHashes):
-		return fmt.Sprintf("hashes %v, want %v", a.affinityHashes, b.affinityHashes)
+	case !slices.Equal(a.endpoints.rows, b.endpoints.rows):
+		return fmt.Sprintf("rows %v, want %v", a.endpoints.rows, b.endpoints.rows)
+	case !slices.Equal(a.endpoints.hashes, b.endpoints.hashes):
+		return fmt.Sprintf("hashes %v, want %v", a.endpoints.hashes, b.endpoints.hashes)
 	case !reflect.DeepEqual(names(a), names(b)):
 		return fmt.Sprintf("names %v, want %v", names(a), names(b))
 	}
--- a/brain/loadreport.go
+++ b/brain/loadreport.go
@@ -14,9 +14,9 @@
 
 // freshFor is how long a report holds: some periods, and at least a run where only answers bring reports.
 func (d *Dispatcher) reportTTL() float64 {
-	fresh := freshReportIntervals * d.reportInterval
+	fresh := freshReportIntervals * d.reports.interval
 	if d.settings.Telemetry == ReportAnswers {
-		fresh = max(fresh, d.classes[0].work/d.meanSpeed())
+		fresh = max(fresh, d.serviceTimes.classes[0].work/d.meanSpeed())
 	}
 	return fresh
 }
@@ -52,15 +52,15 @@
 			service = x
 		}
 	}
-	if sample == executor.load.sampleHash && (executor.inFlight.slots > 0 || d.now-executor.load.reportedAt < d.reportInterval) {
+	if sample == executor.load.sampleHash && (executor.inFlight.slots > 0 || d.now-executor.load.reportedAt < d.reports.interval) {
 		return // while nothing of ours is there, an idle worker may well report the same again
 	}
-	if service > 0 && d.slowStartShare(executor) == 1 && executor.serviceTime.time*d.meanSpeed() < kindSpeedPrior*d.classes[0].work {
+	if service > 0 && d.slowStartShare(executor) == 1 && executor.serviceTime.time*d.meanSpeed() < kindSpeedPrior*d.serviceTimes.classes[0].work {
 		// Told without the wait: of a worker that always queues, and of one seldom used, our own runs tell little.
-		d.addServiceTime(executor, d.classes[0].work, service)
+		d.addServiceTime(executor, d.serviceTimes.classes[0].work, service)
 	}
-	slots := max(initialSoftLimit, math.Round(executor.load.slots), math.Round(d.kinds[executor.endpoint.kind].slots))
-	width, told := d.classes[0].slots, free
+	slots := max(initialSoftLimit, math.Round(executor.load.slots), math.Round(d.capacity.kindSlots[executor.endpoint.kind]))
+	width, told := d.serviceTimes.classes[0].slots, free
 	if math.IsNaN(free) {
 		switch {
 		case !math.IsNaN(busy):
@@ -70,7 +70,7 @@
 		default:
 			return
 		}
-	} else if free < d.widestRequest-0.5 {
+	} else if free < d.capacity.widestRequest-0.5 {
 		// More requests than slots in use: the rest is queued. A wide one at the head keeps slots free that
 		// nobody behind it gets.
 		if math.IsNaN(pending) {
@@ -83,13 +83,13 @@
 	if executor.load.reportedAt > 0 && sample != executor.load.sampleHash {
 		gap := d.now - executor.load.reportedAt
 		pull := 0.02
-		if gap < d.reportInterval {
+		if gap < d.reports.interval {
 			pull = 0.1
 		}
-		d.reportInterval = max(d.reportInterval+(min(gap, 10*d.reportInterval)-d.reportInterval)*pull, d.settings.Step, 1)
+		d.reports.interval = max(d.reports.interval+(min(gap, 10*d.reports.interval)-d.reports.interval)*pull, d.settings.Step, 1)
 	}
 	executor.load.sampleHash, executor.load.reportedAt = sample, d.now
-	d.recentReporters.add(executor)
+	d.reports.recentReporters.add(executor)
 	held := busy
 	if math.IsNaN(busy) {
 		if math.IsNaN(told) {
@@ -98,7 +98,7 @@
 		held = max(0, slots-told)
 	}
 	d.learnReportAge(executor, held, math.IsNaN(busy))
-	taken := d.now - d.reportAge
+	taken := d.now - d.reports.age
 	executor.load.freeSlots, executor.load.freeMemory, executor.load.reportsMemory = free, memory, !math.IsNaN(memory)
 	for _, job := range executor.inFlight.jobs {
 		for i := range job.attempts {
@@ -117,7 +117,7 @@
 	}
 	// With room for the widest job nothing is queued, and all that is held runs. Noise asks for a slow rise.
 	most := free
-	if free >= d.widestRequest-0.5 && busy > 0 {
+	if free >= d.capacity.widestRequest-0.5 && busy > 0 {
 		most += busy
 	}
 	if executor.load.slots == 0 {
@@ -125,13 +125,13 @@
 	} else if most > executor.load.slots {
 		executor.load.slots += (most - executor.load.slots) * 0.3
 	}
-	d.kinds[executor.endpoint.kind].slots = max(d.kinds[executor.endpoint.kind].slots, executor.load.slots)
+	d.capacity.kindSlots[executor.endpoint.kind] = max(d.capacity.kindSlots[executor.endpoint.kind], executor.load.slots)
 	executor.load.freeSlots = min(executor.load.freeSlots, max(slots, executor.load.slots)-executor.inFlight.slots)
 	theirs := max(0, executor.load.slots-executor.inFlight.slots-executor.load.freeSlots) / max(executor.load.slots, 1)
-	d.meanPeerOccupancy += (theirs - d.meanPeerOccupancy) * 0.02
+	d.capacity.meanPeerOccupancy += (theirs - d.capacity.meanPeerOccupancy) * 0.02
 	group, fade := executor.group, max(0, 1-(d.now-executor.group.updatedAt)/d.occupancyWindow())
 	group.occupancySum, group.samples, group.updatedAt = group.occupancySum*fade+theirs, group.samples*fade+1, d.now
-	d.lastReportAt = d.now
+	d.reports.lastAt = d.now
 	// Room that a report tells ends a wait after one 'full', which a late report may have led to. A worker that turns
 	// away the next as well, beside free slots, drains and was not listed so yet: it is left alone for as long as ever.
 	if executor.load.freeSlots >= 1 && executor.load.rejections < 2 {
@@ -160,12 +160,12 @@
 // (iacbb5d). What a worker told to hold goes up and down with our own jobs there, as they were when the report
 // was taken; so of some ages, the one at which held less our own scatters least is the age.
 func (d *Dispatcher) learnReportAge(executor *executor, held float64, inSlots bool) {
-	d.ageSamples++
-	pull := max(1-reportAgeMemory, 1/d.ageSamples)
+	d.reports.samples++
+	pull := max(1-reportAgeMemory, 1/d.reports.samples)
 	least, best := math.Inf(1), 0
-	plain := d.reportedLoad.add(held, pull) // what no jobs of ours explain
-	for k := range d.ageCandidates {
-		at, ours := d.now-d.reportInterval*defaultReportAge*math.Pow(reportAgeStep, float64(k-1)), 0.0
+	plain := d.reports.held.add(held, pull) // what no jobs of ours explain
+	for k := range d.reports.ageCandidates {
+		at, ours := d.now-d.reports.interval*defaultReportAge*math.Pow(reportAgeStep, float64(k-1)), 0.0
 		add := func(slots float64) {
 			if inSlots {
 				ours += slots
@@ -185,25 +185,37 @@
 				add(x.slots)
 			}
 		}
-		scatter := d.ageCandidates[k].add(held-ours, pull)
+		scatter := d.reports.ageCandidates[k].add(held-ours, pull)
 		// Beyond the oldest of our jobs that are remembered an age counts none of them, explains nothing, and still
 		// beats the usual one where ours are few: reports were taken to be half a minute old on a day of drains.
-		counts := d.reportedLoad.mean-d.ageCandidates[k].mean >= (d.reportedLoad.mean-d.ageCandidates[1].mean)/2
+		counts := d.reports.held.mean-d.reports.ageCandidates[k].mean >= (d.reports.held.mean-d.reports.ageCandidates[1].mean)/2
 		if scatter < least && counts {
 			least, best = scatter, k
 		}
 	}
 	sure := reportAgeConfidence
-	if d.bestAge != 1 {
+	if d.reports.bestAge != 1 {
 		sure = 1 // once believed, it holds until the usual one fits as well
 	}
-	if least > sure*d.ageCandidates[1].scatter || least > plain || d.ageSamples < 1/(1-reportAgeMemory) {
+	if least > sure*d.reports.ageCandidates[1].scatter || least > plain || d.reports.samples < 1/(1-reportAgeMemory) {
 		best = 1
 	}
-	age := defaultReportAge * d.reportInterval * math.Pow(reportAgeStep, float64(best-1))
-	if best != d.bestAge {
-		d.logf("reports are %.0f ms old when they come, was %.0f", age, d.reportAge)
-		d.bestAge = best
+	age := defaultReportAge * d.reports.interval * math.Pow(reportAgeStep, float64(best-1))
+	if best != d.reports.bestAge {
+		d.logf("reports are %.0f ms old when they come, was %.0f", age, d.reports.age)
+		d.reports.bestAge = best
 	}
-	d.reportAge = age
+	d.reports.age = age
+}
+
+// loadReports is what is learned of load reports: how often they come and how old they are then.
+type loadReports struct {
+	interval        float64   // between new reports of an executor
+	age             float64   // of a report when it comes
+	ageCandidates   [9]spread // of what executors reported to hold less our own jobs, at each age
+	held            spread    // of what they reported to hold
+	bestAge         int       // the candidate that is believed
+	samples         float64   // reports that were compared
+	lastAt          float64   // when any executor last sent a new report
+	recentReporters recentExecutors
 }
--- a/brain/outlier.go
+++ b/brain/outlier.go
@@ -24,7 +24,7 @@
 	}
 	// A silent worker is tried again with one job now and then: else one that was cut off and holds jobs
 	// whose end was lost would stay out until the last client's time is over (i3f1d0e).
-	return executor.endpoint.condition == Ready && (d.panicking || d.now >= executor.outlier.ejectedUntil && (!executor.outlier.unresponsive || d.now >= executor.outlier.retryAt))
+	return executor.endpoint.condition == Ready && (d.outliers.panicking || d.now >= executor.outlier.ejectedUntil && (!executor.outlier.unresponsive || d.now >= executor.outlier.retryAt))
 }
 
 // judge draws from an outcome what it says of the worker: its room, speed, errors and connections.
@@ -39,7 +39,7 @@
 		executor.load.freeSlots = min(executor.load.freeSlots+job.slots, 0)
 		executor.load.softLimit = max(1, softLimitBackoff*executor.inFlight.slots)
 		executor.load.rejections = min(executor.load.rejections+1, 6)
-		executor.load.rejectedUntil = d.now + d.reportInterval*0.25*float64(int(1)<<(executor.load.rejections-1))*(0.5+d.random())
+		executor.load.rejectedUntil = d.now + d.reports.interval*0.25*float64(int(1)<<(executor.load.rejections-1))*(0.5+d.random())
 	case ConnectFailed, Moot:
 		executor.load.freeSlots += job.slots
 	}
@@ -66,7 +66,7 @@
 			executor.connections.idleSince = executor.connections.idleSince[:0] // jobs share connections: one idle entry stands for all
 		}
 		executor.connections.idleSince = append(executor.connections.idleSince, d.now)
-		d.recentServers.add(executor)
+		d.placement.recentServers.add(executor)
 	case Errored:
 		d.noteAlive(executor) // and else a matter of the job's class, see fared
 	case Reset:
@@ -89,7 +89,7 @@
 	executor.outlier.ejectedUntil = d.now + base*float64(int(1)<<min(executor.outlier.ejections, maxBackoffDoublings))*(0.75+0.5*d.random())
 	executor.outlier.ejections++
 	executor.outlier.onProbation = true
-	d.ejectedExecutors = append(d.ejectedExecutors, executor)
+	d.outliers.ejected = append(d.outliers.ejected, executor)
 	executor.outlier.errorAverage = min(executor.outlier.errorAverage, ejectionErrorRate)
 	d.logf("eject worker %d for %s until %.0f, strike %d", executor.id, why, executor.outlier.ejectedUntil, executor.outlier.ejections)
 }
@@ -98,11 +98,11 @@
 func (d *Dispatcher) detectOutliers() {
 	limit := d.unresponsiveTimeout()
 	d.findFailingClasses()
-	d.ejectedExecutors = slices.DeleteFunc(d.ejectedExecutors, func(executor *executor) bool {
+	d.outliers.ejected = slices.DeleteFunc(d.outliers.ejected, func(executor *executor) bool {
 		return d.now >= executor.outlier.ejectedUntil || executor.endpoint.condition != Ready
 	})
-	bad := len(d.ejectedExecutors)
-	for _, executor := range d.busyExecutors {
+	bad := len(d.outliers.ejected)
+	for _, executor := range d.outliers.busy {
 		if executor.endpoint.condition != Ready {
 			continue
 		}
@@ -112,7 +112,7 @@
 				if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && !attempt.writtenOff {
 					since := max(attempt.sentAt, executor.outlier.lastHeard)
 					if attempt.startedAt == 0 && d.settings.TellsStart {
-						since += queuedGraceFactor * d.startDelay // a queued job tells nothing
+						since += queuedGraceFactor * d.serviceTimes.startDelay // a queued job tells nothing
 					}
 					silent = silent || d.now-since > limit
 				}
@@ -128,11 +128,11 @@
 			bad++
 		}
 	}
-	panicking := float64(bad) > panicThreshold*float64(len(d.executors))
-	if panicking != d.panicking {
-		d.panicking = panicking
+	panicking := float64(bad) > panicThreshold*float64(len(d.endpoints.listed))
+	if panicking != d.outliers.panicking {
+		d.outliers.panicking = panicking
 		d.needsPlacement = true
-		d.logf("%d of %d workers ejected, ignored %v", bad, len(d.executors), panicking)
+		d.logf("%d of %d workers ejected, ignored %v", bad, len(d.endpoints.listed), panicking)
 	}
 }
 
@@ -162,7 +162,7 @@
 	if d.settings.Progress > 0 {
 		return unresponsiveIntervals * d.settings.Progress
 	}
-	return unresponsiveIntervals * 2 * d.classes[0].work / d.meanSpeed()
+	return unresponsiveIntervals * 2 * d.serviceTimes.classes[0].work / d.meanSpeed()
 }
 
 // outlierState is whether an executor works at all, as its attempts show.
@@ -178,3 +178,12 @@
 	ackOverdueAt    float64 // when it was last ejected for overdue acknowledgements
 	ackOverdueUntil float64 // until then nothing goes there that must not be lost
 }
+
+// outlierDetection finds executors that do not work.
+type outlierDetection struct {
+	busy           []*executor // with attempts of ours in flight
+	ejected        []*executor // those that are, or were since the last check
+	nextCheck      float64     // in a large fleet
+	failingClasses []bool      // by class: it fails at so many executors that they are not to blame
+	panicking      bool        // so many are ejected that ejections are ignored
+}
--- a/brain/placement.go
+++ b/brain/placement.go
@@ -16,39 +16,39 @@
 // look gathers the workers with room that waiting jobs choose among: all of a small fleet; of a large one
 // those heard of last and some drawn: to look at all takes CPU, and all would storm the same roomiest one.
 func (d *Dispatcher) inspectExecutors() {
-	if d.inspectedAll {
+	if d.placement.inspectedAll {
 		return
 	}
-	d.inspectedAll = true
-	if len(d.executors) <= fullScanLimit {
-		for _, executor := range d.executors {
+	d.placement.inspectedAll = true
+	if len(d.endpoints.listed) <= fullScanLimit {
+		for _, executor := range d.endpoints.listed {
 			d.inspect(executor)
 		}
 		return
 	}
-	for i := range d.recentReporters {
-		d.inspect(d.recentReporters[i])
-		d.inspect(d.recentServers[i])
+	for i := range d.reports.recentReporters {
+		d.inspect(d.reports.recentReporters[i])
+		d.inspect(d.placement.recentServers[i])
 	}
-	for _, executor := range d.executors {
+	for _, executor := range d.endpoints.listed {
 		if d.slowStartShare(executor) < 1 {
 			d.inspect(executor) // for it is seldom our turn there, and then all the more wanted
 		}
 	}
 	for n := 0; n < sampledExecutors; n++ {
-		d.inspect(d.executors[int(d.random()*float64(len(d.executors)))])
+		d.inspect(d.endpoints.listed[int(d.random()*float64(len(d.endpoints.listed)))])
 	}
 }
 
 // lookAt adds a worker to those that waiting jobs choose among, once, if it may be sent to and has room.
 func (d *Dispatcher) inspect(executor *executor) {
-	if executor == nil || executor.inspectedIn == d.inspectionRound || !d.isUsable(executor) {
+	if executor == nil || executor.inspectedIn == d.placement.round || !d.isUsable(executor) {
 		return
 	}
-	executor.inspectedIn = d.inspectionRound
-	d.inspected = append(d.inspected, executor)
+	executor.inspectedIn = d.placement.round
+	d.placement.inspected = append(d.placement.inspected, executor)
 	if executor.load.available = d.availableSlots(executor); executor.load.available >= 1 && d.slowStartAllows(executor, 0) {
-		d.eligible = append(d.eligible, executor)
+		d.placement.eligible = append(d.placement.eligible, executor)
 	}
 }
 
@@ -65,11 +65,11 @@
 	// keys is short of capacity, fetches hold slots for long, and every job sent astray makes more of them.
 	forHome := job.key != 0 && (d.now < job.arrivedAt+affinityWait*(job.objectiveAt-job.work/mean-job.arrivedAt) || d.cacheFetchesExhausted(job))
 	var from []*executor
-	if forHome && len(d.executors) > fullScanLimit {
+	if forHome && len(d.endpoints.listed) > fullScanLimit {
 		from = job.candidates // of many workers the rest is not even looked at
 	} else {
 		d.inspectExecutors()
-		from = d.eligible
+		from = d.placement.eligible
 	}
 	class, slack := &d.settings.Classes[job.class], max(job.objectiveAt-d.now, 1)
 	for _, executor := range from {
@@ -81,7 +81,7 @@
 			continue
 		}
 		odds := d.errorProbability(job, executor)
-		if odds > ejectionErrorRate || (executor.outlier.unresponsive || d.now < executor.outlier.ackOverdueUntil && !d.panicking) && class.Effect == Unsafe {
+		if odds > ejectionErrorRate || (executor.outlier.unresponsive || d.now < executor.outlier.ackOverdueUntil && !d.outliers.panicking) && class.Effect == Unsafe {
 			continue // it may well be lost there
 		}
 		if executor.load.reportsMemory && job.memory > executor.load.freeMemory+1e-6 && executor.inFlight.slots > 0 {
@@ -114,13 +114,13 @@
 // report shows it. It takes the worker with fewest of our slots, and queues no more than one job there.
 func (d *Dispatcher) speculate(job *job) *executor {
 	held := speculationDelay * (job.objectiveAt - job.work/d.meanSpeed() - job.arrivedAt)
-	full := d.ownSlotsInFlight()+job.slots > d.fairSlots && !d.isStarved()
+	full := d.ownSlotsInFlight()+job.slots > d.capacity.fairSlots && !d.isStarved()
 	if full || job.inFlight > 0 || job.key != 0 || d.peerLoadsKnown() || d.now < job.arrivedAt+held {
 		return nil
 	}
 	var best *executor
-	for _, executor := range d.inspected {
-		n := max(executor.load.slots, d.kinds[executor.endpoint.kind].slots)
+	for _, executor := range d.placement.inspected {
+		n := max(executor.load.slots, d.capacity.kindSlots[executor.endpoint.kind])
 		if !d.isUsable(executor) || executor.outlier.unresponsive || executor.inFlight.unstarted > 0 && d.settings.TellsStart || d.now < executor.load.rejectedUntil || d.classFailsAt(job, executor) {
 			continue
 		}
@@ -146,3 +146,13 @@
 	}
 	return 0
 }
+
+// placement is which executors queued jobs choose among, in one round over the queue.
+type placement struct {
+	eligible       []*executor // with free slots
+	inspected      []*executor
+	round          uint64
+	inspectedAll   bool            // the fleet or a sample of it, not only affinity candidates
+	recentServers  recentExecutors // those that last served a job of ours, and have a connection
+	lastDispatchAt float64
+}
--- a/brain/placement_test.go
+++ b/brain/placement_test.go
@@ -10,8 +10,8 @@
 	cold := ready(7, 0)
 	cold.Born = 100000 // the rig's first moment
 	r := newRig(t, s, cold)
-	r.d.executors[0].load.slots, r.d.kinds[0].slots = 4, 4
-	r.d.executors[0].load.freeSlots, r.d.executors[0].load.reportedAt = 4, r.now
+	r.d.endpoints.listed[0].load.slots, r.d.capacity.kindSlots[0] = 4, 4
+	r.d.endpoints.listed[0].load.freeSlots, r.d.endpoints.listed[0].load.reportedAt = 4, r.now
 	// In any window no more than our part of the budget, by what it has at the end of it, and one job at its edge.
 	type send struct{ at, cost float64 }
 	var sends []send
@@ -47,7 +47,7 @@
 
 func TestHoldsUntilRoom(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
-	executor := r.d.executors[0]
+	executor := r.d.endpoints.listed[0]
 	executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 1, r.now, 4
 	if len(find(r.step(request(1, 0, 0, 1)), ActSend, 1)) != 1 {
 		t.Fatal("not sent although there was room")
@@ -63,7 +63,7 @@
 func TestRoomiestFirst(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0), ready(8, 0), ready(9, 0))
 	for i, free := range []float64{1, 4, 2} {
-		executor := r.d.executors[i]
+		executor := r.d.endpoints.listed[i]
 		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = free, r.now, 4
 	}
 	got := find(r.step(request(1, 0, 0, 1)), ActSend, 1)
@@ -93,14 +93,14 @@
 	s.Fields = []Field{FieldFree, FieldBusy}
 	r := newRig(t, s, ready(7, 0))
 	r.step(request(1, 0, 0, 4)) // there are wide jobs
-	r.d.executors[0].load.slots = 4
+	r.d.endpoints.listed[0].load.slots = 4
 	r.after(10, outcome(1, 0, 7, Served, 2, 6)) // 2 free of 4, yet 6 held: 4 are queued
-	if room := r.d.availableSlots(r.d.executors[0]); room > 0 {
+	if room := r.d.availableSlots(r.d.endpoints.listed[0]); room > 0 {
 		t.Errorf("room %v on a worker with a queue", room)
 	}
 	r.after(2000, request(2, 0, 0, 1))
 	r.after(10, outcome(2, 0, 7, Served, 2, 2))
-	if room := r.d.availableSlots(r.d.executors[0]); room < 1 {
+	if room := r.d.availableSlots(r.d.endpoints.listed[0]); room < 1 {
 		t.Errorf("room %v on a worker with 2 free slots and no queue", room)
 	}
 }
@@ -108,14 +108,14 @@
 // A job of ours that was not started says there is no room (icb5b2f).
 func TestUnstartedJobMeansNoRoom(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
-	r.d.executors[0].load.freeSlots, r.d.executors[0].load.reportedAt = 4, r.now
+	r.d.endpoints.listed[0].load.freeSlots, r.d.endpoints.listed[0].load.reportedAt = 4, r.now
 	r.step(request(1, 0, 0, 1))
 	r.d.now += 400
-	if room := r.d.availableSlots(r.d.executors[0]); room > 0 {
+	if room := r.d.availableSlots(r.d.endpoints.listed[0]); room > 0 {
 		t.Errorf("room %v although our job waits there", room)
 	}
 	r.step(Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteStarted})
-	if room := r.d.availableSlots(r.d.executors[0]); room < 1 {
+	if room := r.d.availableSlots(r.d.endpoints.listed[0]); room < 1 {
 		t.Errorf("room %v after our job started", room)
 	}
 }
@@ -126,24 +126,24 @@
 	s.Fees.Origin = 0.1
 	rows := []Row{ready(7, 0), ready(8, 0), ready(9, 0), ready(10, 0), ready(11, 0), ready(12, 0)}
 	r := newRig(t, s, rows...)
-	for _, executor := range r.d.executors {
+	for _, executor := range r.d.endpoints.listed {
 		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4, r.now, 4
 	}
 	e := request(1, 0, 0, 1)
 	e.Key = 5
 	first := find(r.step(e), ActSend, 1)
 	home := first[0].Worker
-	r.d.executorsByID[home].load.freeSlots = 0
+	r.d.endpoints.byID[home].load.freeSlots = 0
 	e.Job = 2
 	if got := r.step(e); len(find(got, ActSend, 2)) != 0 {
 		t.Error("did not wait for the home of its key")
 	}
-	r.d.fetchingSlots = 1000
+	r.d.affinity.fetchingSlots = 1000
 	if got := r.after(900, Event{Kind: EvTimer}); len(find(got, ActSend, 2)) != 0 {
 		t.Error("fetched although the pool was full")
 	}
-	r.d.fetchingSlots = 0
-	for _, executor := range r.d.executors {
+	r.d.affinity.fetchingSlots = 0
+	for _, executor := range r.d.endpoints.listed {
 		executor.load.reportedAt = r.now
 	}
 	if got := r.after(20, Event{Kind: EvTimer}); len(find(got, ActSend, 2)) != 1 {
@@ -156,7 +156,7 @@
 	s := base()
 	s.Balancers = 4
 	r := newRig(t, s, ready(7, 0))
-	executor := r.d.executors[0]
+	executor := r.d.endpoints.listed[0]
 	executor.load.slots, executor.load.softLimit, executor.load.reportedAt = 4, 20, 1
 	if room := r.d.availableSlots(executor); room != 2 {
 		t.Errorf("room %v without a fresh report, want 2: twice an even part of 4 slots", room)
@@ -167,7 +167,7 @@
 	s := base()
 	s.Balancers, s.MayTell = 2, true
 	r := newRig(t, s, ready(7, 0))
-	executor := r.d.executors[0]
+	executor := r.d.endpoints.listed[0]
 	executor.load.slots, executor.load.freeSlots, executor.load.reportedAt = 4, 4, r.now
 	r.step(Event{Kind: EvPeer, From: 1, Data: []byte{byte(executor.tag >> 8), byte(executor.tag), 3}})
 	if room := r.d.availableSlots(executor); room != 1 {
@@ -199,13 +199,13 @@
 	s := base()
 	s.Balancers = 2
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
-	for _, executor := range r.d.executors {
+	for _, executor := range r.d.endpoints.listed {
 		executor.load.slots, executor.load.freeSlots, executor.load.reportedAt = 4, -3, r.now
 	}
 	if got := r.step(request(1, 0, 0, 1)); len(find(got, ActSend, 1)) != 0 {
 		t.Fatal("sent at once although no worker has room")
 	}
-	for _, executor := range r.d.executors {
+	for _, executor := range r.d.endpoints.listed {
 		executor.load.reportedAt = r.now + 400
 	}
 	if got := r.after(400, Event{Kind: EvTimer}); len(find(got, ActSend, 1)) != 1 {
@@ -231,7 +231,7 @@
 	s.Fields = []Field{FieldFree, FieldMemory}
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	for id, memory := range map[uint32]float32{7: 1, 8: 4} { // 7 has more slots, 8 has the memory
-		executor := r.d.executorsByID[id]
+		executor := r.d.endpoints.byID[id]
 		r.d.handleLoadReport(executor, []float32{float32(10 - id), memory})
 		executor.inFlight.slots, executor.load.slots = 1, 8
 	}
@@ -258,11 +258,11 @@
 		s := base()
 		s.Multiplex = tt.multiplex
 		r := newRig(t, s, ready(7, 0))
-		executor := r.d.executorsByID[7]
+		executor := r.d.endpoints.byID[7]
 		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 9, r.now, 9
 		r.step(request(1, 0, 0, 1))
 		executor.connections.opening = 0 // its connection stands
-		r.d.jobs[1].attempts[0].openedConnection = false
+		r.d.jobs.byID[1].attempts[0].openedConnection = false
 		for i, want := range tt.warm {
 			if got := r.d.hasOpenConnection(executor); got != want {
 				t.Errorf("multiplex %d, %d out: warm %v, want %v", tt.multiplex, i+1, got, want)
--- a/brain/queue.go
+++ b/brain/queue.go
@@ -16,7 +16,7 @@
 	if d.now+job.work/speed > job.objectiveAt {
 		return false
 	}
-	for _, k := range slices.Backward(d.queue) {
+	for _, k := range slices.Backward(d.jobs.queue) {
 		if k.done || k.inFlight > 0 || k.mayHaveRun || !(k.borrowed || k.tenant == job.tenant) {
 			continue
 		}
@@ -31,7 +31,7 @@
 func (d *Dispatcher) enqueue(job *job) {
 	if !job.queued {
 		job.queued = true
-		d.queue = append(d.queue, job)
+		d.jobs.queue = append(d.jobs.queue, job)
 	}
 	d.needsPlacement = true
 }
@@ -40,9 +40,9 @@
 // those too late for their aim; among equals, the one that must start soonest.
 func (d *Dispatcher) dispatchQueue() {
 	d.needsPlacement = false
-	keep := d.queue[:0]
+	keep := d.jobs.queue[:0]
 	speed := d.meanSpeed()
-	for _, job := range d.queue {
+	for _, job := range d.jobs.queue {
 		if len(job.attempts) > 0 {
 			d.endIfExhausted(job)
 		}
@@ -53,7 +53,7 @@
 		}
 		start := job.objectiveAt - job.work/speed
 		job.rank = start
-		if d.now < job.holdUntil && d.checksInFlight > 0 {
+		if d.now < job.holdUntil && d.healthChecks.inFlight > 0 {
 			job.rank = math.Inf(1)
 		}
 		if start < d.now {
@@ -63,12 +63,12 @@
 		}
 		keep = append(keep, job)
 	}
-	d.queue = keep
+	d.jobs.queue = keep
 	if len(keep) == 0 {
 		return
 	}
 	slices.SortStableFunc(keep, func(a, b *job) int { return cmp.Compare(a.rank, b.rank) })
-	d.eligible, d.inspected, d.inspectedAll, d.inspectionRound = d.eligible[:0], d.inspected[:0], false, d.inspectionRound+1
+	d.placement.eligible, d.placement.inspected, d.placement.inspectedAll, d.placement.round = d.placement.eligible[:0], d.placement.inspected[:0], false, d.placement.round+1
 	left := keep[:0]
 	for _, job := range keep {
 		if math.IsInf(job.rank, 1) { // until its probes are back
@@ -87,5 +87,5 @@
 		}
 		left = append(left, job)
 	}
-	d.queue = left
+	d.jobs.queue = left
 }
--- a/brain/report_test.go
+++ b/brain/report_test.go
@@ -33,12 +33,12 @@
 	s := base()
 	s.Balancers = 5
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
-	idle, full := r.d.executors[0], r.d.executors[1]
-	for _, executor := range r.d.executors {
+	idle, full := r.d.endpoints.listed[0], r.d.endpoints.listed[1]
+	for _, executor := range r.d.endpoints.listed {
 		executor.load.slots, executor.load.reportedAt = 4, r.now
 	}
 	idle.load.freeSlots, full.load.freeSlots = 4, -2
-	r.d.meanPeerOccupancy, r.d.meanRun, r.d.reportInterval = 0.5, 300, 600
+	r.d.capacity.meanPeerOccupancy, r.d.serviceTimes.meanRun, r.d.reports.interval = 0.5, 300, 600
 	if a, b := r.d.decayedFreeSlots(idle), r.d.decayedFreeSlots(full); a < 3 || b > 0 {
 		t.Errorf("fresh reports: %v and %v slots, want about 4 and -2", a, b)
 	}
@@ -78,7 +78,7 @@
 					events = append(events, outcome(sp.job, 0, sp.worker, Served))
 				}
 			}
-			for _, executor := range r.d.executors {
+			for _, executor := range r.d.endpoints.listed {
 				busy := float32(rng.Intn(2))
 				for _, sp := range spans {
 					if sp.worker == executor.id && sp.from <= r.now-delay && sp.to > r.now-delay {
@@ -95,20 +95,20 @@
 		}
 	}
 	play(20000, 60)
-	if r.d.reportAge > 150 {
-		t.Errorf("reports of 60 ms are taken to be %.0f ms old", r.d.reportAge)
+	if r.d.reports.age > 150 {
+		t.Errorf("reports of 60 ms are taken to be %.0f ms old", r.d.reports.age)
 	}
 	play(20000, 450)
-	if r.d.reportAge < 250 || r.d.reportAge > 750 {
-		t.Errorf("reports of 450 ms are taken to be %.0f ms old", r.d.reportAge)
+	if r.d.reports.age < 250 || r.d.reports.age > 750 {
+		t.Errorf("reports of 450 ms are taken to be %.0f ms old", r.d.reports.age)
 	}
 	play(20000, 2400) // many periods: renewed as often as ever (i832aaf)
-	if r.d.reportAge < 1500 || r.d.reportAge > 4000 {
-		t.Errorf("reports of 2,400 ms are taken to be %.0f ms old", r.d.reportAge)
+	if r.d.reports.age < 1500 || r.d.reports.age > 4000 {
+		t.Errorf("reports of 2,400 ms are taken to be %.0f ms old", r.d.reports.age)
 	}
 	play(20000, 60)
-	if r.d.reportAge > 150 {
-		t.Errorf("reports of 60 ms are still taken to be %.0f ms old", r.d.reportAge)
+	if r.d.reports.age > 150 {
+		t.Errorf("reports of 60 ms are still taken to be %.0f ms old", r.d.reports.age)
 	}
 }
 
@@ -119,7 +119,7 @@
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	rng := rand.New(rand.NewSource(9))
 	for i := range uint32(300) {
-		for _, executor := range r.d.executors {
+		for _, executor := range r.d.endpoints.listed {
 			busy := float32(rng.Intn(8))
 			r.d.handleLoadReport(executor, []float32{busy + 0.01*rng.Float32(), 8 - busy})
 		}
@@ -128,8 +128,8 @@
 		for _, a := range got {
 			r.after(50, outcome(a.Job, 0, a.Worker, Served))
 		}
-		if r.d.bestAge != 1 {
-			t.Fatalf("after %d reports they are taken to be %.0f ms old", 2*i, r.d.reportAge)
+		if r.d.reports.bestAge != 1 {
+			t.Fatalf("after %d reports they are taken to be %.0f ms old", 2*i, r.d.reports.age)
 		}
 	}
 }
@@ -139,7 +139,7 @@
 func TestFadingFollowsWhatIsHeld(t *testing.T) {
 	run := func(long bool) float64 {
 		r := newRig(t, base(), ready(7, 0))
-		executor := r.d.executors[0]
+		executor := r.d.endpoints.listed[0]
 		for i := range 2000 {
 			job, span := &job{slots: 1, work: 200}, 200.0
 			if long && i%10 == 0 {
@@ -149,7 +149,7 @@
 			r.d.now = r.now
 			r.d.learnServiceTime(job, &attempt{executor: executor, startedAt: r.now - span})
 		}
-		return r.d.meanRun
+		return r.d.serviceTimes.meanRun
 	}
 	if got := run(false); math.Abs(got-200) > 20 {
 		t.Errorf("jobs of 200 ms: held for %.0f ms", got)
@@ -165,7 +165,7 @@
 	s := base()
 	s.Telemetry, s.Fields, s.TellsStart = ReportNone, nil, false
 	r := newRig(t, s, ready(7, 0))
-	executor := r.d.executorsByID[7]
+	executor := r.d.endpoints.byID[7]
 	executor.load.softLimit = 8
 	for id := uint32(1); id <= 6; id++ {
 		e := request(id, 0, 0, 1)
@@ -212,8 +212,8 @@
 	if sent[7] > initialSoftLimit || sent[8] > initialSoftLimit || sent[7] == 0 {
 		t.Fatalf("sent %v before any report, want %v at most each", sent, initialSoftLimit)
 	}
-	r.d.handleLoadReport(r.d.executorsByID[7], []float32{0})
-	r.d.handleLoadReport(r.d.executorsByID[8], []float32{5})
+	r.d.handleLoadReport(r.d.endpoints.byID[7], []float32{0})
+	r.d.handleLoadReport(r.d.endpoints.byID[8], []float32{5})
 	before := sent[7]
 	for id := uint32(21); id <= 40; id++ {
 		count(r.after(1, request(id, 0, uint16(id%3), 1)))
--- a/brain/retry.go
+++ b/brain/retry.go
@@ -60,7 +60,7 @@
 // comeBack is how long a refused client should stay away: until a token of ours is back, at the pace of runs.
 func (d *Dispatcher) retryAfter(job *job) float64 {
 	held := max(job.slots, d.reservedTotal())
-	return min(d.settings.MaxRetryAfter, retryAfterRuns*d.meanRun*job.slots/held)
+	return min(d.settings.MaxRetryAfter, retryAfterRuns*d.serviceTimes.meanRun*job.slots/held)
 }
 
 // mark keeps, in one place, what of a request may have run.
@@ -93,8 +93,8 @@
 	if job.done {
 		return
 	}
-	d.endedByCause[why]++
-	d.lastEndedAt = d.now
+	d.rejections.byCause[why]++
+	d.rejections.lastAt = d.now
 	a := Action{Kind: ActFail, Job: job.id}
 	if d.isRejectSafe(job) {
 		a.Kind, a.For = ActRefuse, d.retryAfter(job)
@@ -112,3 +112,10 @@
 	causePreempted                    // it waited, and another took its tokens
 	causeCount
 )
+
+// rejectionLog counts the jobs that this node ended itself.
+type rejectionLog struct {
+	byCause [causeCount]int
+	lastAt  float64
+	active  bool // as last logged
+}
--- a/brain/scale_test.go
+++ b/brain/scale_test.go
@@ -25,9 +25,9 @@
 		r.step(request(1, 0, 0, 1))
 		most := n
 		if n > fullScanLimit {
-			most = sampledExecutors + 2*len(r.d.recentReporters)
+			most = sampledExecutors + 2*len(r.d.reports.recentReporters)
 		}
-		if got := len(r.d.inspected); got == 0 || got > most {
+		if got := len(r.d.placement.inspected); got == 0 || got > most {
 			t.Errorf("%d workers looked at of %d, want 1 to %d", got, n, most)
 		}
 		if len(find(r.last, ActSend, 1)) != 1 {
@@ -62,13 +62,13 @@
 	s := base()
 	s.Balancers = 100
 	r := newRig(t, s, fleet(400)...)
-	unheard := r.d.executors[200]
+	unheard := r.d.endpoints.listed[200]
 	before := r.d.availableSlots(unheard)
 	if before < 1 {
 		t.Fatalf("room %v before anything is known, want 1 or more", before)
 	}
-	r.d.kinds[0].slots = 4
-	for i, executor := range r.d.executors[:40] {
+	r.d.capacity.kindSlots[0] = 4
+	for i, executor := range r.d.endpoints.listed[:40] {
 		executor.load.slots = 4
 		r.after(5)
 		r.d.handleLoadReport(executor, []float32{float32(i%2) * 0.01})
@@ -76,7 +76,7 @@
 	if room := r.d.availableSlots(unheard); room >= 1 {
 		t.Errorf("room %v at a worker not heard of while 40 of its kind are full, want none", room)
 	}
-	for i, executor := range r.d.executors[40:120] {
+	for i, executor := range r.d.endpoints.listed[40:120] {
 		executor.load.slots = 4
 		r.after(20)
 		r.d.handleLoadReport(executor, []float32{4 - float32(i%2)*0.01})
@@ -92,8 +92,8 @@
 	s := base()
 	s.Balancers = 200
 	r := newRig(t, s, fleet(200)...)
-	r.d.kinds[0].slots = 4
-	for i, executor := range r.d.executors {
+	r.d.capacity.kindSlots[0] = 4
+	for i, executor := range r.d.endpoints.listed {
 		executor.load.slots = 4
 		r.d.handleLoadReport(executor, []float32{float32(i%2) * 0.01})
 		executor.load.freeSlots = -3
@@ -120,8 +120,8 @@
 	r := newRig(t, s, ready(7, 0), slow)
 	for i := range 30 {
 		r.after(500)
-		r.d.handleLoadReport(r.d.executorsByID[7], []float32{200 + float32(i), 2})
-		r.d.handleLoadReport(r.d.executorsByID[8], []float32{800 + float32(i), 2})
+		r.d.handleLoadReport(r.d.endpoints.byID[7], []float32{200 + float32(i), 2})
+		r.d.handleLoadReport(r.d.endpoints.byID[8], []float32{800 + float32(i), 2})
 	}
 	if fast, slow := r.d.kindSpeed(0), r.d.kindSpeed(1); fast < 2*slow {
 		t.Errorf("speeds %.2f and %.2f, want the first over twice the second", fast, slow)
@@ -143,21 +143,21 @@
 		}
 	}
 	r := newRig(t, s, fleet(30)...)
-	idle := r.d.availableSlots(r.d.executorsByID[101])
+	idle := r.d.availableSlots(r.d.endpoints.byID[101])
 	weigh(r, func(i int) float64 {
 		if i == 0 {
 			return 0.2 // four requests a core
 		}
 		return 0.8
 	})
-	if room := r.d.availableSlots(r.d.executorsByID[100]); room > 0 {
+	if room := r.d.availableSlots(r.d.endpoints.byID[100]); room > 0 {
 		t.Errorf("room %v at a worker told to hold four requests a core, want none", room)
 	}
-	if room := r.d.availableSlots(r.d.executorsByID[101]); room != idle {
+	if room := r.d.availableSlots(r.d.endpoints.byID[101]); room != idle {
 		t.Errorf("room %v at another, want %v as without weights", room, idle)
 	}
 	weigh(r, func(int) float64 { return 0.2 })
-	if room := r.d.availableSlots(r.d.executorsByID[100]); room != idle {
+	if room := r.d.availableSlots(r.d.endpoints.byID[100]); room != idle {
 		t.Errorf("room %v where all hold as many, want %v as without weights", room, idle)
 	}
 }
@@ -195,7 +195,7 @@
 	r := newRig(t, s, fleet(100)...)
 	j := request(1, 0, 0, 1)
 	j.Key = 77
-	r.d.keyTotal = keyCountWindow // the key is a rare one
+	r.d.affinity.keyTotal = keyCountWindow // the key is a rare one
 	probe := &job{key: 77, slots: 1, work: 200}
 	r.d.findAffinityCandidates(probe)
 	for _, executor := range probe.candidates {
@@ -204,7 +204,7 @@
 	if got := find(r.step(j), ActSend, 1); len(got) != 0 {
 		t.Fatal("sent astray at once")
 	}
-	if n := len(r.d.inspected); n > len(probe.candidates) {
+	if n := len(r.d.placement.inspected); n > len(probe.candidates) {
 		t.Errorf("%d workers looked at while it waits for one of %d homes", n, len(probe.candidates))
 	}
 	for range 30 {
@@ -281,7 +281,7 @@
 			s.Classes[i].Aim, s.Classes[i].Deadline = 20000, 60000
 		}
 		r := newRig(t, s, ready(7, 0), ready(8, 0))
-		executor := r.d.executorsByID[7]
+		executor := r.d.endpoints.byID[7]
 		for i := range uint32(200) {
 			job := request(100+i, 0, 0, 1)
 			job.TimeLeft = 60000
@@ -289,7 +289,7 @@
 			r.after(c.wait, Event{Kind: EvNote, Job: 100 + i, Topic: NoteStarted})
 			r.after(10, outcome(100+i, 0, sent[0].Worker, Served))
 		}
-		r.d.executorsByID[8].outlier.ejectedUntil = r.now + 1 // so that the next goes to the first
+		r.d.endpoints.byID[8].outlier.ejectedUntil = r.now + 1 // so that the next goes to the first
 		job := request(1, 0, 0, 1)
 		job.TimeLeft = 60000
 		if len(find(r.step(job), ActSend, 1)) != 1 || executor.inFlight.slots != 1 {
@@ -319,20 +319,20 @@
 	const part = 400 * initialSoftLimit / 100
 	for id := uint32(1); id <= part; id++ {
 		r.step(request(id, 0, uint16(id%3), 1))
-		if n := len(find(r.last, ActSend, id)); n != 1 || r.d.capacity != part {
-			t.Fatalf("job %d was sent %d times, capacity %v: want once and %v, the even part", id, n, r.d.capacity, part)
+		if n := len(find(r.last, ActSend, id)); n != 1 || r.d.capacity.slots != part {
+			t.Fatalf("job %d was sent %d times, capacity %v: want once and %v, the even part", id, n, r.d.capacity.slots, part)
 		}
 	}
 	r.after(3000, request(101, 0, 0, 1))
-	if r.d.capacity != part {
-		t.Errorf("capacity %v while all jobs out are queued, want the even part, %v", r.d.capacity, part)
+	if r.d.capacity.slots != part {
+		t.Errorf("capacity %v while all jobs out are queued, want the even part, %v", r.d.capacity.slots, part)
 	}
 	for id := uint32(1); id <= part; id++ {
 		r.step(Event{Kind: EvNote, Job: id, Topic: NoteStarted})
 	}
 	r.after(4000, request(102, 0, 0, 1))
-	if want := 2.0*part - 1; r.d.capacity != want { // job 101 queues
-		t.Errorf("capacity %v while %v jobs run and one queues, want %v", r.d.capacity, part, want)
+	if want := 2.0*part - 1; r.d.capacity.slots != want { // job 101 queues
+		t.Errorf("capacity %v while %v jobs run and one queues, want %v", r.d.capacity.slots, part, want)
 	}
 }
 
@@ -347,12 +347,12 @@
 	}
 	r.after(500, Event{Kind: EvList, Form: ListDelta, Rows: rows})
 	r.after(500, Event{Kind: EvList, Form: ListDelta, Rows: []Row{ready(500, 0)}})
-	for _, executor := range r.d.executors {
+	for _, executor := range r.d.endpoints.listed {
 		want := 3.0
 		if executor.id == 500 {
 			want = 0
 		}
-		if got := r.d.endpointRows[executor.endpoint.position].liveLoad; got != want {
+		if got := r.d.endpoints.rows[executor.endpoint.position].liveLoad; got != want {
 			t.Fatalf("worker %d holds %v requests a core by its weight, want %v", executor.id, got, want)
 		}
 	}
@@ -375,7 +375,7 @@
 			r.after(10, outcome(id, 0, sent[0].Worker, Served))
 		}
 	}
-	hot, rare := len(r.d.jobs[40].candidates), len(r.d.jobs[39].candidates)
+	hot, rare := len(r.d.jobs.byID[40].candidates), len(r.d.jobs.byID[39].candidates)
 	if hot < 25 || rare > 5 {
 		t.Errorf("%d homes of a key that every fourth job of 40 asks for, %d of one asked for once; want 25 at least, 5 at most", hot, rare)
 	}
@@ -397,7 +397,7 @@
 			t.Fatal(err)
 		}
 		d.Step(now, []Event{{Kind: EvList, Form: ListCached, Rows: []Row{cold}}}, nil)
-		d.kinds[0].slots = 4
+		d.capacity.kindSlots[0] = 4
 		nodes[i] = d
 	}
 	var sends []float64 // each a job of 300 ms
--- a/brain/script_test.go
+++ b/brain/script_test.go
@@ -383,18 +383,18 @@
 	x.step(events)
 	x.now += 100
 	x.step(nil)
-	for i, tn := range x.d.tenants {
+	for i, tn := range x.d.admission.tenants {
 		if tn.reservedSlots != 0 {
 			x.failf("tenant %d holds %v tokens when nothing is open", i, tn.reservedSlots)
 		}
 	}
-	for _, executor := range x.d.executors {
+	for _, executor := range x.d.endpoints.listed {
 		if executor.inFlight.slots != 0 || len(executor.inFlight.jobs) != 0 || executor.connections.opening != 0 {
 			x.failf("worker %d holds %v slots when nothing is open", executor.id, executor.inFlight.slots)
 		}
 	}
-	if len(x.d.jobs) != 0 || len(x.d.queue) != 0 || x.d.fetchingSlots != 0 {
-		x.failf("%d jobs, %d waiting when nothing is open", len(x.d.jobs), len(x.d.queue))
+	if len(x.d.jobs.byID) != 0 || len(x.d.jobs.queue) != 0 || x.d.affinity.fetchingSlots != 0 {
+		x.failf("%d jobs, %d waiting when nothing is open", len(x.d.jobs.byID), len(x.d.jobs.queue))
 	}
 }
 
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -42,7 +42,7 @@
 	executor.slowStart.listedStart = listed
 	executor.slowStart.startedAt = d.estimateStart(listed)
 	executor.slowStart.until = executor.slowStart.startedAt + d.settings.WarmWithin
-	if executor.slowStart.startedAt > 0 && d.listConfirmedAt > 0 {
+	if executor.slowStart.startedAt > 0 && d.slowStart.confirmedAt > 0 {
 		// The list's clock may be off by less than would show. A budget that ends too early lets all nodes send at once what waits
 		// for it, so that it ends as if the process had started when this node was notified.
 		executor.slowStart.until = d.now + d.settings.WarmWithin
@@ -55,15 +55,15 @@
 	switch {
 	case listed <= 0:
 		return 0
-	case d.listConfirmedAt == 0:
+	case d.slowStart.confirmedAt == 0:
 		return d.estimateFirstStart(listed)
 	case listed > d.now:
 		return d.now
-	case listed >= d.listConfirmedAt:
+	case listed >= d.slowStart.confirmedAt:
 		return listed
 	case d.now-listed <= d.settings.Fall:
 		// The notification of the start took a little longer than that of another change.
-		return d.listConfirmedAt
+		return d.slowStart.confirmedAt
 	}
 	// The clocks differ. The process may have started at any time since the last confirmed list; the latest is the safe one.
 	return d.now
@@ -76,7 +76,7 @@
 	if listed <= d.now {
 		return listed
 	}
-	return d.now - (max(d.newestListedStart, listed) - listed)
+	return d.now - (max(d.slowStart.newestListedStart, listed) - listed)
 }
 
 // rememberStart keeps the start of an executor that is about to be forgotten.
@@ -84,17 +84,17 @@
 	if executor.slowStart.listedStart <= 0 {
 		return
 	}
-	if len(d.removedStarts) >= removedStartsBeforePurge {
-		maps.DeleteFunc(d.removedStarts, func(_ uint32, s knownStart) bool { return d.now-s.removedAt > removedStartTTL })
+	if len(d.slowStart.removed) >= removedStartsBeforePurge {
+		maps.DeleteFunc(d.slowStart.removed, func(_ uint32, s knownStart) bool { return d.now-s.removedAt > removedStartTTL })
 	}
-	d.removedStarts[executor.id] = knownStart{listed: executor.slowStart.listedStart, startedAt: executor.slowStart.startedAt, coldUntil: executor.slowStart.until, removedAt: d.now}
+	d.slowStart.removed[executor.id] = knownStart{listed: executor.slowStart.listedStart, startedAt: executor.slowStart.startedAt, coldUntil: executor.slowStart.until, removedAt: d.now}
 }
 
 // recallStart gives an executor that comes back to the list the start that it had when it left.
 func (d *Dispatcher) recallStart(executor *executor) {
-	if s, ok := d.removedStarts[executor.id]; ok {
+	if s, ok := d.slowStart.removed[executor.id]; ok {
 		executor.slowStart.listedStart, executor.slowStart.startedAt, executor.slowStart.until = s.listed, s.startedAt, s.coldUntil
-		delete(d.removedStarts, executor.id)
+		delete(d.slowStart.removed, executor.id)
 	}
 }
 
@@ -117,10 +117,10 @@
 		d.openSlowStartBudget(executor)
 	}
 	part := min(d.fleetShare(), maxSlowStartPart/float64(d.settings.Balancers))
-	rate := d.slowStartSafetyFactor() * part * d.settings.FallMultiple * share * max(1, executor.load.slots, d.kinds[executor.endpoint.kind].slots)
+	rate := d.slowStartSafetyFactor() * part * d.settings.FallMultiple * share * max(1, executor.load.slots, d.capacity.kindSlots[executor.endpoint.kind])
 	most := rate * d.settings.Fall * slowStartBurst
 	if executor.slowStart.credit += rate * (d.now - executor.slowStart.creditAt); executor.slowStart.credit > most {
-		executor.slowStart.credit = min(most, executor.slowStart.credit-max(0, d.meanSlotTime-most)) // else all keep a turn, and use it at once
+		executor.slowStart.credit = min(most, executor.slowStart.credit-max(0, d.serviceTimes.meanSlotTime-most)) // else all keep a turn, and use it at once
 	}
 	executor.slowStart.creditAt = d.now
 	return executor.slowStart.credit > min(more, slowStartKnownSafety*most)
@@ -135,7 +135,7 @@
 	}
 	executor.slowStart.opened = true
 	executor.slowStart.creditAt = max(executor.slowStart.startedAt, d.now-slowStartBurst*d.settings.Fall)
-	executor.slowStart.credit = -d.random()*d.meanSlotTime - d.workSentSince(executor, sentFrom)
+	executor.slowStart.credit = -d.random()*d.serviceTimes.meanSlotTime - d.workSentSince(executor, sentFrom)
 }
 
 const (
@@ -148,7 +148,7 @@
 // safety is the part of a cold worker's budget that is used: more while the hub tells what all have there, for then no
 // more is sent than it can do by then, and what is over is sent by nodes that ask at the same moment alone.
 func (d *Dispatcher) slowStartSafetyFactor() float64 {
-	if d.gossipMode == gossipAggregator && d.peerLoadsKnown() {
+	if d.gossip.mode == gossipAggregator && d.peerLoadsKnown() {
 		return slowStartKnownSafety
 	}
 	return slowStartSafety
@@ -163,3 +163,10 @@
 	credit      float64 // slot-time, in ms on a warm executor, that may be sent as of creditAt
 	creditAt    float64
 }
+
+// slowStartTracker holds what was observed of starts of executors.
+type slowStartTracker struct {
+	confirmedAt       float64               // when discovery last confirmed a list that holds executors, 0 for never
+	newestListedStart float64               // of the list at hand, on the list's clock
+	removed           map[uint32]knownStart // of executors that left the list a short while ago
+}
--- a/brain/slowstart_test.go
+++ b/brain/slowstart_test.go
@@ -111,7 +111,7 @@
 	}
 	rows := []Row{p.row(now)}
 	d.Step(now+p.clock(i), []Event{{Kind: EvList, Form: ListCached, Rows: rows}, {Kind: EvList, Form: ListFull, Rows: rows}}, nil)
-	d.kinds[0].slots = fleetSlots
+	d.capacity.kindSlots[0] = fleetSlots
 	p.nodes[i] = d
 	p.inbox[i] = nil
 }
@@ -211,7 +211,7 @@
 	case ActSend:
 		p.sends = append(p.sends, now)
 		p.countUse(now)
-		attempt := uint16(len(p.nodes[node].jobs[a.Job].attempts) - 1)
+		attempt := uint16(len(p.nodes[node].jobs.byID[a.Job].attempts) - 1)
 		if p.running {
 			p.held = append(p.held, runningRequest{node: node, job: a.Job, attempt: attempt})
 		} else {
@@ -376,7 +376,7 @@
 	row.Born = 90000 - hourMS/100
 	r := newRig(t, base(), row)
 	r.step(Event{Kind: EvList, Form: ListFull, Rows: []Row{row}})
-	executor := r.d.executorsByID[7]
+	executor := r.d.endpoints.byID[7]
 	executor.outlier.errorAverage, executor.outlier.ejections, executor.load.slots = 0.4, 3, 4
 	row.Born -= 5000
 	r.after(500, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
@@ -404,12 +404,12 @@
 	r.step(Event{Kind: EvList, Form: ListFull, Rows: rows})
 	want := map[uint32]float64{1: 0, 2: now - 1000, 3: now, 4: now - 2000, 5: now - hourMS/2}
 	for id, at := range want {
-		if got := r.d.executorsByID[id].slowStart.startedAt; got != at {
+		if got := r.d.endpoints.byID[id].slowStart.startedAt; got != at {
 			t.Errorf("executor %d: taken to have started at %.0f, want %.0f", id, got, at)
 		}
 	}
 	r.after(3000, Event{Kind: EvList, Form: ListFull, Rows: rows})
-	if got := r.d.executorsByID[3].slowStart.startedAt; got != now {
+	if got := r.d.endpoints.byID[3].slowStart.startedAt; got != now {
 		t.Errorf("its age does not grow with our clock: started at %.0f, want %.0f", got, now)
 	}
 }
@@ -433,7 +433,7 @@
 		row := old
 		row.Born = c.listed
 		r.step(Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
-		if got := r.d.executorsByID[7].slowStart.startedAt; got != c.want {
+		if got := r.d.endpoints.byID[7].slowStart.startedAt; got != c.want {
 			t.Errorf("%s: taken to have started %.0f ms after the confirmed list, want %.0f", c.name, got-confirmed, c.want-confirmed)
 		}
 	}
@@ -447,7 +447,7 @@
 	confirmed := r.now
 	old.Born = confirmed - 100
 	r.after(50, Event{Kind: EvList, Form: ListDelta, Rows: []Row{old}})
-	if got := r.d.executorsByID[7].slowStart.startedAt; got != confirmed {
+	if got := r.d.endpoints.byID[7].slowStart.startedAt; got != confirmed {
 		t.Errorf("taken to have started at %.0f, want %.0f", got, confirmed)
 	}
 }
@@ -461,17 +461,17 @@
 	left := row
 	left.Condition = Gone
 	r.after(1000, Event{Kind: EvList, Form: ListDelta, Rows: []Row{left}})
-	if r.d.executorsByID[7] != nil {
+	if r.d.endpoints.byID[7] != nil {
 		t.Fatal("the executor is still known")
 	}
 	r.after(1000, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
-	if share := r.d.slowStartShare(r.d.executorsByID[7]); share != 1 {
+	if share := r.d.slowStartShare(r.d.endpoints.byID[7]); share != 1 {
 		t.Errorf("its share of capacity is %.2f, want all", share)
 	}
 	r.after(1000, Event{Kind: EvList, Form: ListDelta, Rows: []Row{left}})
 	row.Born++
 	r.after(1000, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
-	if share := r.d.slowStartShare(r.d.executorsByID[7]); share == 1 {
+	if share := r.d.slowStartShare(r.d.endpoints.byID[7]); share == 1 {
 		t.Error("a new process is not cold")
 	}
 }
@@ -490,7 +490,7 @@
 		}
 		r.after(removedStartTTL, Event{Kind: EvList, Form: ListDelta, Rows: come})
 		r.after(removedStartTTL, Event{Kind: EvList, Form: ListDelta, Rows: leave})
-		if n := len(r.d.removedStarts); n > 3*removedStartsBeforePurge {
+		if n := len(r.d.slowStart.removed); n > 3*removedStartsBeforePurge {
 			t.Fatalf("%d starts are remembered", n)
 		}
 	}
@@ -504,7 +504,7 @@
 	r.step(Event{Kind: EvList, Form: ListFull, Rows: []Row{row}})
 	row.Born = r.now + 1000
 	r.after(1001, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
-	executor := r.d.executorsByID[7]
+	executor := r.d.endpoints.byID[7]
 	for range 20 {
 		r.after(100, Event{Kind: EvList, Form: ListDelta, Rows: nil})
 		r.d.slowStartAllows(executor, 0)
