--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -171,9 +171,9 @@
 	}
 }
 
-// What the page says of the hub by hand agrees with the constants in package brain, which no other package can read.
+// What the page says of the hub by hand agrees with the constants in package dispatch, which no other package can read.
 func TestPageNamesTheHubsLimits(t *testing.T) {
-	source, err := os.ReadFile("../../brain/peers.go")
+	source, err := os.ReadFile("../../internal/dispatch/aggregator_server.go")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,12 +182,12 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ constant, sentence string }{
-		{`hubMost\s+= 1000\b`, "up to 1,000 requests a second"},
-		{`mostTold\s+= 11\b`, "11 slots of an executor at most"},
-		{`lowBits\s+= 15\b`, "its tags have 12 bits"},
+		{`maxAggregatorRate\s+= 1000\b`, "up to 1,000 requests a second"},
+		{`maxEncodedSlots\s+= 11\b`, "11 slots of an executor at most"},
+		{`slotBits\s+= 15\b`, "its tags have 12 bits"},
 	} {
 		if !regexp.MustCompile(c.constant).Match(source) {
-			t.Errorf("brain/peers.go has no %s any more: docs/CAPACITY.md says %q", c.constant, c.sentence)
+			t.Errorf("internal/dispatch/aggregator_server.go has no %s any more: docs/CAPACITY.md says %q", c.constant, c.sentence)
 		}
 		if !strings.Contains(strings.Join(strings.Fields(string(page)), " "), c.sentence) {
 			t.Errorf("docs/CAPACITY.md does not say %q", c.sentence)
