--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"gatetack/internal/recovery"
 	"math"
 	"slices"
 	"sort"
+
+	"gatetack/internal/recovery"
 )
 
 const (
