--- a/brain/admission.go
+++ b/brain/admission.go
@@ -3,110 +3,219 @@
 import "math"
 
 const (
-	reservedFraction   = 0.7   // reservations together, of capacity: more protects small tenants, less lends more
-	borrowableFraction = 0.8   // a tenant's limit is its portion plus this part of the rest: lower stops floods
-	tenantActiveMs     = 5000  // ms a reservation outlives its tenant's last job: longer idles slots
-	usualRateSlack     = 1.3   // part of its quota that a tenant has at this node, of its usual rate
-	usualRateWindowMs  = 15000 // ms over which the usual rate is taken: shorter follows a flood
-	quotaBurstMs       = 2000  // ms of the quota that may come at once
-	trunkReservation   = 0.15  // part of the tokens kept from work worth less than the mean
-	maxQueuedFraction  = 1.0   // admitted work that may wait, of capacity: more waiting serves late what it serves
+	// reservedFraction is what the tenants' reserved shares are together, of the capacity. More protects small tenants, less lends more.
+	reservedFraction = 0.7
+
+	// borrowableFraction is the part of what others have reserved that a tenant's limit goes beyond its own share. Less stops floods.
+	borrowableFraction = 0.8
+
+	// tenantActiveMs is how long a reserved share outlives its tenant's last job. Longer leaves slots idle.
+	tenantActiveMs = 5000
+
+	// usualRateSlack is the part of its quota that a tenant has at this node, as a factor of its usual rate here.
+	usualRateSlack = 1.3
+
+	// usualRateWindowMs is the time over which the usual rate is taken. A shorter one follows a flood.
+	usualRateWindowMs = 15000
+
+	// quotaBurstMs is the time whose quota may come at once.
+	quotaBurstMs = 2000
+
+	// minBurst is the least number of requests of a tenant that may come at once.
+	minBurst = 2
+
+	// trunkReservation is the part of the slots that is kept from work worth less than the mean.
+	trunkReservation = 0.15
+
+	// maxQueuedFraction is how much admitted work may be queued, of the capacity. More serves late what it serves.
+	maxQueuedFraction = 1.0
+
+	// hopelessWorkFraction is the part of its expected work that a job needs at least, wherever it goes.
+	hopelessWorkFraction = 0.2
 )
 
-// admitArrived runs the design's steps for each arrival: limit, reservation, remainder, else refuse.
+// admission decides which jobs are taken in: the tenants' shares, and what is known of the traffic.
+type admission struct {
+	*environment
+
+	tenants       []tenant
+	totalQuota    float64  // requests a second that all tenants may send to all nodes
+	meanValue     float64  // mean priority weight of arrivals for each slot and time
+	allArrivals   arrivals // of requests here, those that clients send again counted each time
+	firstArrivals arrivals // likewise without those
+}
+
+// tenant is one tenant's share, and what it uses of it here.
+type tenant struct {
+	reservedShare float64 // of all tenants', between 0 and 1
+	reservedSlots float64 // held by its admitted jobs
+	lastSeen      float64
+	quota         float64 // requests a second, at all nodes together
+	usualRate     float64 // requests a second that come this way, over a while
+	tokens        float64 // requests that are still within the quota
+	refilledAt    float64
+}
+
+// setTenants takes over the tenants' shares. What was learned of those that are there already stays.
+func (a *admission) setTenants(tenants []Tenant) {
+	sum := 0.0
+	a.totalQuota = 0
+	for _, t := range tenants {
+		sum += t.Portion
+		a.totalQuota += max(0, t.Quota)
+	}
+	for i := len(a.tenants); i < max(1, len(tenants)); i++ {
+		added := tenant{lastSeen: math.Inf(-1)}
+		if len(tenants) > 0 {
+			added.usualRate, added.tokens = tenants[i].Quota/2, tenants[i].Quota*quotaBurstMs/1000
+		}
+		a.tenants = append(a.tenants, added)
+	}
+	for i := range a.tenants {
+		tenant := &a.tenants[i]
+		tenant.reservedShare = 1 / float64(len(a.tenants))
+		if sum > 0 {
+			tenant.reservedShare = tenants[i].Portion / sum
+		}
+		if len(tenants) > 0 {
+			tenant.quota = tenants[i].Quota
+		}
+	}
+}
+
+// reservedTotal is how many slots admitted jobs hold.
+func (a *admission) reservedTotal() float64 {
+	total := 0.0
+	for i := range a.tenants {
+		total += a.tenants[i].reservedSlots
+	}
+	return total
+}
+
+// activeShares is the sum of the reserved shares of tenants that use theirs.
+func (a *admission) activeShares() float64 {
+	active := 0.0
+	for i := range a.tenants {
+		tenant := &a.tenants[i]
+		if a.now-tenant.lastSeen <= tenantActiveMs || tenant.reservedSlots > 0 {
+			active += tenant.reservedShare
+		}
+	}
+	return max(active, 1e-9)
+}
+
+// isOverQuota says whether a request is beyond its tenant's quota, by a bucket that fills at the part of the quota that usually comes
+// this way: nodes see only their own traffic, and it is uneven.
+func (a *admission) isOverQuota(job *job, repeated bool) bool {
+	tenant := &a.tenants[job.tenant]
+	if tenant.quota <= 0 {
+		return false
+	}
+	evenHalf := tenant.quota / (2 * float64(a.settings.Balancers))
+	rate := min(tenant.quota, max(usualRateSlack*tenant.usualRate, evenHalf))
+	elapsed := a.now - tenant.refilledAt
+	tenant.refilledAt = a.now
+	depth := max(rate*quotaBurstMs/1000, minBurst)
+	tenant.tokens = min(depth, tenant.tokens+rate*elapsed/1000)
+	tenant.usualRate *= math.Exp(-elapsed / usualRateWindowMs)
+	if repeated {
+		return tenant.tokens < 1
+	}
+	// The usual rate should rise by 1000/usualRateWindowMs here. It never did, because as a division of integer constants that is 0;
+	// a mend changes which requests count as beyond a quota, and is left to a change of behaviour.
+	if tenant.tokens < 1 {
+		return true
+	}
+	tenant.tokens--
+	return tenant.tokens < 1
+}
+
+// countArrival takes in that a request came now.
+func (a *admission) countArrival(repeated bool) {
+	a.allArrivals.add(a.now)
+	if !repeated {
+		a.firstArrivals.add(a.now)
+	}
+}
+
+// admitArrived decides on each arrival: within its tenant's limit, within its reserved share, on slots that are not in use, or else in
+// place of a queued job; rejected if none of these. Arrivals wait for an answer of the aggregator where one is due.
 func (d *Dispatcher) admitArrived() {
 	if len(d.jobs.arrived) == 0 || d.awaitsAggregator() {
 		return
 	}
 	d.estimateCapacity()
 	for _, job := range d.jobs.arrived {
-		if job.done {
-			continue
-		}
-		tenant := &d.admission.tenants[job.tenant]
-		tenant.lastSeen = d.now
-		if d.isHopeless(job) {
-			d.endJob(job, causeTooLate)
-			continue
+		if !job.done {
+			d.decideArrival(job)
 		}
-		fits := d.admit(job)
-		for n := 0.0; !fits && n <= job.slots && d.preempt(job); n++ {
-			fits = d.admit(job)
-		}
-		if !fits {
-			d.endJob(job, causeNoTokens)
-			continue
-		}
-		job.admitted = true
-		tenant.reservedSlots += job.slots
-		d.enqueue(job)
-		d.checkHealthFor(job)
 	}
 	d.jobs.arrived = d.jobs.arrived[:0]
 }
 
-func (d *Dispatcher) admit(job *job) bool {
-	stats := &d.serviceTimes.classes[job.class]
-	tokens := d.capacity.slots * (1 + min(maxQueuedFraction, d.settings.Classes[job.class].Aim/stats.work))
-	if job.value < d.admission.meanValue {
-		tokens *= 1 - trunkReservation // the last tokens are for work worth more than the mean
+func (d *Dispatcher) decideArrival(job *job) {
+	tenant := &d.admission.tenants[job.tenant]
+	tenant.lastSeen = d.now
+	if d.isHopeless(job) {
+		d.endJob(job, causeTooLate)
+		return
 	}
-	active := 0.0
-	for i := range d.admission.tenants {
-		if tenant := &d.admission.tenants[i]; d.now-tenant.lastSeen <= tenantActiveMs || tenant.reservedSlots > 0 {
-			active += tenant.reservedShare
-		}
+	fits := d.admit(job)
+	for preempted := 0.0; !fits && preempted <= job.slots && d.preempt(job); preempted++ {
+		fits = d.admit(job)
+	}
+	if !fits {
+		d.endJob(job, causeNoTokens)
+		return
 	}
-	active = max(active, 1e-9)
-	unit := reservedFraction * tokens / active
+	job.admitted = true
+	tenant.reservedSlots += job.slots
+	d.enqueue(job)
+	d.checkHealthFor(job)
+}
+
+// admit says whether there are slots for a job, and notes on it whether they are borrowed.
+func (d *Dispatcher) admit(job *job) bool {
+	slots := d.admissionSlots(job)
+	active := d.admission.activeShares()
+	reserved := reservedFraction * slots / active // for a share of 1
 	tenant := &d.admission.tenants[job.tenant]
-	limit := tokens * (tenant.reservedShare/active + borrowableFraction*(1-tenant.reservedShare/active))
+	limit := slots * (tenant.reservedShare/active + borrowableFraction*(1-tenant.reservedShare/active))
 	if tenant.reservedSlots+job.slots > limit {
 		return false
 	}
-	// A small tenant's reservation can be less than one wide job: its first job is within it all the same.
-	if tenant.reservedSlots+job.slots <= unit*tenant.reservedShare || tenant.reservedSlots == 0 && !job.overQuota {
-		job.borrowed = false
+	// A small tenant's share can be less than one wide job: its first job is within it all the same.
+	withinShare := tenant.reservedSlots+job.slots <= reserved*tenant.reservedShare
+	job.borrowed = !withinShare && (tenant.reservedSlots != 0 || job.overQuota)
+	if !job.borrowed {
 		return true
 	}
 	borrowed := 0.0
 	for i := range d.admission.tenants {
-		borrowed += max(0, d.admission.tenants[i].reservedSlots-unit*d.admission.tenants[i].reservedShare)
+		other := &d.admission.tenants[i]
+		borrowed += max(0, other.reservedSlots-reserved*other.reservedShare)
 	}
-	job.borrowed = true
-	return borrowed+job.slots <= tokens-reservedFraction*tokens || len(d.jobs.queue) == 0 && d.isStarved()
+	return borrowed+job.slots <= slots-reservedFraction*slots || len(d.jobs.queue) == 0 && d.isStarved()
 }
 
-// meter tells whether a request is beyond its tenant's share, by a bucket that fills at the part of the quota
-// that usually comes this way: nodes see only their own traffic, and it is uneven.
-func (d *Dispatcher) isOverQuota(job *job, repeat bool) bool {
-	tenant := &d.admission.tenants[job.tenant]
-	if tenant.quota <= 0 {
-		return false
-	}
-	rate := min(tenant.quota, max(usualRateSlack*tenant.usualRate, tenant.quota/(2*float64(d.settings.Balancers))))
-	span := d.now - tenant.refilledAt
-	tenant.refilledAt = d.now
-	deep := max(rate*quotaBurstMs/1000, 2)
-	tenant.tokens = min(deep, tenant.tokens+rate*span/1000)
-	tenant.usualRate *= math.Exp(-span / usualRateWindowMs)
-	if !repeat {
-		tenant.usualRate += 1000 / usualRateWindowMs
-		if tenant.tokens < 1 {
-			return true
-		}
-		tenant.tokens--
+// admissionSlots is how many slots admitted jobs may hold, as far as a job is concerned: the capacity, and what may be queued.
+func (d *Dispatcher) admissionSlots(job *job) float64 {
+	objective := d.settings.Classes[job.class].Aim
+	slots := d.capacity.slots * (1 + min(maxQueuedFraction, objective/d.serviceTimes.classes[job.class].work))
+	if job.value < d.admission.meanValue {
+		slots *= 1 - trunkReservation
 	}
-	return tenant.tokens < 1
+	return slots
 }
 
-// hopeless says that a job cannot end before its client leaves, wherever it goes.
+// isHopeless says that a job cannot end before its client leaves, wherever it goes.
 func (d *Dispatcher) isHopeless(job *job) bool {
-	return d.now+0.2*job.work/d.meanSpeed() > job.deadline-d.answerMargin()
+	leastRun := hopelessWorkFraction * job.work / d.serviceTimes.meanSpeed()
+	return d.now+leastRun > job.deadline-d.answerMargin()
 }
 
-// ourPart is our part of what all nodes may do together: half of it even, half by our part of the traffic
-// that the quotas stand for. The parts of all nodes sum to 1 while traffic is at quota.
+// fleetShare is our part of what all nodes may do together: half of it even, half by our part of the traffic that the quotas stand
+// for. The parts of all nodes sum to 1 while traffic is at quota.
 func (d *Dispatcher) fleetShare() float64 {
 	even := 1 / float64(d.settings.Balancers)
 	if d.admission.totalQuota <= 0 {
@@ -115,75 +224,12 @@
 	return (even + min(1, d.quotaRate()/d.admission.totalQuota)) / 2
 }
 
-// countArrival takes in that a request came now.
-func (d *Dispatcher) countArrival(repeat bool) {
-	d.admission.allArrivals.add(d.now)
-	if !repeat {
-		d.admission.firstArrivals.add(d.now)
-	}
-}
-
-// quotaRate is the rate that our part of the quotas goes by. Quotas count a request once, however often its client
-// sends it again: in a storm of repeats the parts of all nodes summed to 2.7. Small fleets count each try: there a node
-// sees most workers itself, and its part bounds little.
+// quotaRate is the rate that our part of the quotas goes by. Quotas count a request once, however often its client sends it again: in
+// a storm of repeats the parts of all nodes would sum to more than 1. Small fleets count each attempt of a client: there a node sees
+// most executors itself, and its part bounds little.
 func (d *Dispatcher) quotaRate() float64 {
 	if len(d.endpoints.listed) > fullScanLimit {
 		return d.admission.firstArrivals.perSecond
 	}
 	return d.admission.allArrivals.perSecond
 }
-
-type tenant struct {
-	reservedShare float64
-	reservedSlots float64
-	lastSeen      float64
-	quota         float64
-	usualRate     float64 // requests a second that come this way, over a while
-	tokens        float64 // requests still within the share
-	refilledAt    float64
-}
-
-// inflight is how many tokens are out.
-func (d *Dispatcher) reservedTotal() float64 {
-	held := 0.0
-	for i := range d.admission.tenants {
-		held += d.admission.tenants[i].reservedSlots
-	}
-	return held
-}
-
-// share takes over the tenants' shares. What was learned of those that are there already stays.
-func (d *Dispatcher) setTenants(tenants []Tenant) {
-	sum := 0.0
-	d.admission.totalQuota = 0
-	for _, t := range tenants {
-		sum += t.Portion
-		d.admission.totalQuota += max(0, t.Quota)
-	}
-	for i := len(d.admission.tenants); i < max(1, len(tenants)); i++ {
-		t := tenant{lastSeen: math.Inf(-1)}
-		if len(tenants) > 0 {
-			t.usualRate, t.tokens = tenants[i].Quota/2, tenants[i].Quota*quotaBurstMs/1000
-		}
-		d.admission.tenants = append(d.admission.tenants, t)
-	}
-	for i := range d.admission.tenants {
-		tenant := &d.admission.tenants[i]
-		tenant.reservedShare = 1 / float64(len(d.admission.tenants))
-		if sum > 0 {
-			tenant.reservedShare = tenants[i].Portion / sum
-		}
-		if len(tenants) > 0 {
-			tenant.quota = tenants[i].Quota
-		}
-	}
-}
-
-// admission decides which jobs are taken in: the tenants' shares, and what is known of the traffic.
-type admission struct {
-	tenants       []tenant
-	totalQuota    float64  // requests a second that all tenants may send to all nodes
-	meanValue     float64  // mean priority weight of arrivals for each slot and time
-	allArrivals   arrivals // of requests here, those that clients send again counted each time
-	firstArrivals arrivals // likewise without those
-}
--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -143,7 +143,7 @@
 	r.step(e)
 	job := r.d.jobs.byID[1]
 	mean := r.d.serviceTimes.classes[0].work
-	latest := job.objectiveAt - job.work/r.d.meanSpeed() - r.now // how long it may be held
+	latest := job.objectiveAt - job.work/r.d.serviceTimes.meanSpeed() - r.now // how long it may be held
 	if short := 400 + 2*unhintedWorkFactor*mean; latest >= short {
 		t.Errorf("held for up to %v ms, want less than a short job's aim of %v", latest, short)
 	}
@@ -160,7 +160,7 @@
 		e.Flags, e.Work = 0, 0
 		r.step(e)
 		job := r.d.jobs.byID[1]
-		return job.objectiveAt - job.work/r.d.meanSpeed() - r.now
+		return job.objectiveAt - job.work/r.d.serviceTimes.meanSpeed() - r.now
 	}
 	if each, work := held(false), held(true); work <= each {
 		t.Errorf("held for up to %v ms with worth by work, %v with worth by request: want longer", work, each)
--- a/brain/affinity.go
+++ b/brain/affinity.go
@@ -6,28 +6,80 @@
 )
 
 const (
-	affinityWait       = 0.5  // part of the time its aim leaves that a job waits for a worker that holds its key
-	affinitySpread     = 2.0  // homes of a key, in workers' worth of its traffic: more divides it, fewer keep it
-	keyCountWindow     = 1000 // requests after which the counts of keys are halved
-	cacheFetchPool     = 0.25 // part of capacity for jobs that must fetch their key: less spares the store
-	cacheMissThreshold = 0.5  // chance of a fetch from which on a worker is not worth waiting for
+	// affinityWait is the part of the time that its objective leaves for which a job waits for an executor that has its key's data.
+	affinityWait = 0.5
+
+	// affinitySpread is how many candidates a key has, in executors' worth of its traffic. More divides it, fewer keep its data.
+	affinitySpread = 2.0
+
+	// leastCandidates is how many candidates each key has besides.
+	leastCandidates = 2
+
+	// keyCountWindow is the number of requests after which the counts of keys are halved.
+	keyCountWindow = 1000
+
+	// cacheFetchPool is the part of the capacity for jobs that must fetch their key's data. Less spares the store behind the keys.
+	cacheFetchPool = 0.25
+
+	// cacheMissThreshold is the chance of a fetch from which on an executor is not worth waiting for.
+	cacheMissThreshold = 0.5
+
+	// candidateMiss is the chance that a candidate of a key must fetch its data.
+	candidateMiss = 0.1
+
+	// affinityKeysKept is how many keys are kept of those that an executor was last sent.
+	affinityKeysKept = 12
 )
 
-// fetchesFull says that the pool for jobs that must fetch their key is used up while a home of it works.
-// Without it a short jam lasts: jobs go wherever room shows, fetch, hold slots longer, and keep all full.
-func (d *Dispatcher) cacheFetchesExhausted(job *job) bool {
-	if d.affinity.fetchingSlots == 0 || d.affinity.fetchingSlots+job.slots <= cacheFetchPool*d.capacity.slots {
-		return false
+// keyAffinity sends jobs with equal keys to the same few executors, which likely have their data cached.
+type keyAffinity struct {
+	keyCounts     map[uint64]float64 // requests of each key
+	keyTotal      float64
+	ranked        []rankedCandidate // scratch of findAffinityCandidates
+	fetchingSlots float64           // slots in flight of jobs that likely fetch the data of their key
+}
+
+// countKey keeps how often keys are asked for.
+func (a *keyAffinity) countKey(key uint64) {
+	if key == 0 {
+		return
 	}
-	return slices.ContainsFunc(job.candidates, d.isUsable)
+	a.keyCounts[key]++
+	a.keyTotal++
+	if a.keyTotal < 2*keyCountWindow {
+		return
+	}
+	a.keyTotal /= 2
+	for other, count := range a.keyCounts {
+		a.keyCounts[other] = count / 2
+		if count < 1 {
+			delete(a.keyCounts, other)
+		}
+	}
+}
+
+// shareOf is a key's part of the requests.
+func (a *keyAffinity) shareOf(key uint64) float64 {
+	return a.keyCounts[key] / max(a.keyTotal, keyCountWindow/10)
 }
 
-// missing estimates the chance that a worker must fetch a key: homes of the key likely hold it, and so do
-// those we sent it to lately, unless others filled them since.
+// touchKey moves a key to the front of those whose data the executor likely has.
+func (e *executor) touchKey(key uint64) {
+	keys := &e.affinityKeys
+	i := slices.Index(keys[:], key)
+	if i < 0 {
+		i = len(keys) - 1
+	}
+	copy(keys[1:i+1], keys[:i])
+	keys[0] = key
+}
+
+// cacheMissProbability estimates the chance that an executor must fetch the data of a job's key: candidates of the key likely have it,
+// and so do those that were sent it lately, unless other nodes filled them since.
 func cacheMissProbability(job *job, executor *executor, nodes int) float64 {
 	miss := 1.0
 	if i := slices.Index(job.candidates, executor); i >= 0 {
-		miss = 0.1
+		miss = candidateMiss
 		if i == len(job.candidates)-1 {
 			miss = cacheMissThreshold
 		}
@@ -38,40 +90,27 @@
 	return miss
 }
 
-// findHomes ranks workers for a job's key by rendezvous hashing weighted by size, so that all nodes agree: as
-// many homes as the key's share of our requests asks for, and one more to fall back on.
-func (d *Dispatcher) findAffinityCandidates(job *job) {
-	if job.key == 0 || job.candidatesRevision == d.endpoints.revision {
-		return
-	}
-	job.candidatesRevision, job.candidates = d.endpoints.revision, job.candidates[:0]
-	share := d.affinity.keyCounts[job.key] / max(d.affinity.keyTotal, keyCountWindow/10)
-	want := 2 + int(affinitySpread*share*float64(len(d.endpoints.listed)))
-	best := d.affinity.ranked[:0] // the greatest, in order
-	for i, x := range d.endpoints.hashes {
-		h, scale := float64(mix64(job.key^x.hash)>>11+1)/(1<<53), d.endpoints.kindScales[x.kind]
-		if !x.ready || len(best) == want && h-1 <= best[want-1].weight*scale {
-			continue // h-1 is never less than the logarithm, which costs more
-		}
-		p := rankedCandidate{i, math.Log(h) / scale}
-		if len(best) < want {
-			best = append(best, p)
-		} else if p.weight <= best[want-1].weight {
-			continue
-		}
-		k := len(best) - 1
-		for ; k > 0 && best[k-1].weight < p.weight; k-- {
-			best[k] = best[k-1]
-		}
-		best[k] = p
+// waitsForAffinity says that a job had better wait for an executor that has its key's data than have it fetched. When the store behind
+// the keys is short of capacity, fetches hold slots for long, and every job that goes elsewhere makes more of them.
+func (d *Dispatcher) waitsForAffinity(job *job) bool {
+	if job.key == 0 {
+		return false
 	}
-	for _, p := range best {
-		job.candidates = append(job.candidates, d.endpoints.listed[p.position])
+	slack := job.objectiveAt - job.work/d.serviceTimes.meanSpeed() - job.arrivedAt
+	return d.now < job.arrivedAt+affinityWait*slack || d.cacheFetchesExhausted(job)
+}
+
+// cacheFetchesExhausted says that the pool for jobs that must fetch their key's data is used up while a candidate of the key works.
+// Without the pool a short jam would last: jobs go wherever slots are free, fetch, hold slots longer, and keep all full.
+func (d *Dispatcher) cacheFetchesExhausted(job *job) bool {
+	fetching := d.affinity.fetchingSlots
+	if fetching == 0 || fetching+job.slots <= cacheFetchPool*d.capacity.slots {
+		return false
 	}
-	d.affinity.ranked = best
+	return slices.ContainsFunc(job.candidates, d.isUsable)
 }
 
-// homeHash is what the homes of keys are drawn by.
+// affinityHash is what the candidates of keys are drawn by, kept apart from all else of an executor: each key goes through all.
 type affinityHash struct {
 	hash  uint64
 	tag   uint16
@@ -79,51 +118,53 @@
 	ready bool
 }
 
-// hashOf is what the homes of keys see of a worker.
+// affinityHashSeed sets the hashes of executors apart from their tags, which are drawn from their numbers too.
+const affinityHashSeed = 0x9e3779b97f4a7c15
+
 func affinityHashOf(executor *executor) affinityHash {
-	return affinityHash{mix64(uint64(executor.id) + 0x9e3779b97f4a7c15), executor.tag, executor.endpoint.row.Kind, executor.endpoint.condition == Ready}
+	return affinityHash{hash: mix64(uint64(executor.id) + affinityHashSeed), tag: executor.tag,
+		kind: executor.endpoint.row.Kind, ready: executor.endpoint.condition == Ready}
 }
 
-// touch moves a key to the front of those the worker likely holds.
-func (executor *executor) touchKey(key uint64) {
-	i := slices.Index(executor.affinityKeys[:], key)
-	if i < 0 {
-		i = len(executor.affinityKeys) - 1
-	}
-	copy(executor.affinityKeys[1:i+1], executor.affinityKeys[:i])
-	executor.affinityKeys[0] = key
+// rankedCandidate is how strongly a key is drawn to the executor at a position in the list.
+type rankedCandidate struct {
+	position int
+	weight   float64
 }
 
-// countKey keeps how often keys are asked for.
-func (d *Dispatcher) countKey(key uint64) {
-	if key == 0 {
-		return
-	}
-	d.affinity.keyCounts[key]++
-	if d.affinity.keyTotal++; d.affinity.keyTotal < 2*keyCountWindow {
+// findAffinityCandidates ranks executors for a job's key by rendezvous hashing weighted by size, so that all nodes agree: as many as
+// the key's share of our requests asks for, and one more to fall back on.
+func (d *Dispatcher) findAffinityCandidates(job *job) {
+	if job.key == 0 || job.candidatesRevision == d.endpoints.revision {
 		return
 	}
-	d.affinity.keyTotal /= 2
-	for k, n := range d.affinity.keyCounts {
-		if d.affinity.keyCounts[k] = n / 2; n < 1 {
-			delete(d.affinity.keyCounts, k)
-		}
+	job.candidatesRevision, job.candidates = d.endpoints.revision, job.candidates[:0]
+	want := leastCandidates + int(affinitySpread*d.affinity.shareOf(job.key)*float64(len(d.endpoints.listed)))
+	d.affinity.ranked = d.endpoints.rank(job.key, want, d.affinity.ranked[:0])
+	for _, candidate := range d.affinity.ranked {
+		job.candidates = append(job.candidates, d.endpoints.listed[candidate.position])
 	}
 }
 
-// pull is how strongly a key is drawn to the worker at a place in the list.
-type rankedCandidate struct {
-	position int
-	weight   float64
-}
-
-// affinityKeysKept is how many keys are kept of those that an executor was last sent.
-const affinityKeysKept = 12
-
-// keyAffinity sends jobs with equal keys to the same few executors, which likely have their data cached.
-type keyAffinity struct {
-	keyCounts     map[uint64]float64 // requests of each key
-	keyTotal      float64
-	ranked        []rankedCandidate // scratch of findAffinityCandidates
-	fetchingSlots float64           // slots in flight of jobs that likely fetch the data of their key
+// rank appends the executors to which a key is drawn most, in that order.
+func (l *endpointList) rank(key uint64, want int, best []rankedCandidate) []rankedCandidate {
+	for i, x := range l.hashes {
+		uniform, scale := float64(mix64(key^x.hash)>>11+1)/(1<<53), l.kindScales[x.kind]
+		// uniform-1 is never less than the logarithm, which costs more.
+		if !x.ready || len(best) == want && uniform-1 <= best[want-1].weight*scale {
+			continue
+		}
+		candidate := rankedCandidate{i, math.Log(uniform) / scale}
+		if len(best) < want {
+			best = append(best, candidate)
+		} else if candidate.weight <= best[want-1].weight {
+			continue
+		}
+		k := len(best) - 1
+		for ; k > 0 && best[k-1].weight < candidate.weight; k-- {
+			best[k] = best[k-1]
+		}
+		best[k] = candidate
+	}
+	return best
 }
--- a/brain/aggregator_client.go
+++ b/brain/aggregator_client.go
@@ -2,41 +2,42 @@
 
 import (
 	"cmp"
-	"encoding/binary"
 	"math"
 	"slices"
 )
 
+// All nodes have the same order of aggregators, and each takes the first that it does not suspect. Nothing is agreed: while some
+// suspect an aggregator and others do not, or after an aggregator's start, each is told less than is held, for a second or so.
+
 const (
-	answerFreshness      = 1   // waits for the hub that its answer may be old for another job, and from how many
-	queryRetryFactor     = 2   // on jobs that wait for room ask again
-	reminderRuns         = 3   // mean runs after which a hub is reminded of what is still out
-	answerTimeoutFactor  = 0.4 // of the connect time-out, how long the hub's answer is waited for, and of that time:
-	maxAnswerAge         = 10  // how old an answer is that tells nothing any more
-	aggregatorAwayFactor = 15  // how long a hub is not asked, at first: killed nodes are back soon, and all should meet again
-	maxMissedAnswers     = 2   // after so many answers that did not come, running
-	notReadyFactor       = 4   // how long one that has just begun is not asked
-	maxNewQuarantines    = 16  // marks that wait for the next message to the hub
-)
+	// answerTimeoutFactor is how long an answer of the aggregator is waited for, in connect timeouts. The factors below are multiples
+	// of that time.
+	answerTimeoutFactor = 0.4
 
-// awaitHub says whether jobs wait for what the hub tells: free slots known here are old, and others use them.
-func (d *Dispatcher) awaitsAggregator() bool {
-	aggregator, wait := &d.aggregatorClient, d.answerTimeout()
-	if d.gossip.mode != gossipAggregator || aggregator.current == d.settings.Me || d.now < max(aggregator.notReadyUntil, aggregator.answeredAt+answerFreshness*wait) {
-		return false
-	}
-	aggregator.answerWanted = true
-	return d.now-d.jobs.arrived[0].arrivedAt < wait
-}
+	// answerFreshness is how old an answer may be for another job.
+	answerFreshness = 1
 
-// Kinds of messages to and from a hub, in the upper bits of the head. The lower ones of an answer tell one life of the
-// hub from another; 0 is the answer of one that does not know yet.
-const (
-	messageUpdate   = iota << 6 // what has changed
-	messageQuery                // likewise, and wants an answer
-	messageSnapshot             // all that is out, what is not in it lapses; and wants an answer
-	messageAnswer
-	messageKindMask = 3 << 6
+	// queryRetryFactor is how old an answer may be while jobs are queued; then the aggregator is asked again.
+	queryRetryFactor = 2
+
+	// maxAnswerAge is from how old on an answer tells nothing any more.
+	maxAnswerAge = 10
+
+	// aggregatorAwayFactor is how long an aggregator that does not answer is not asked, at first: killed nodes are back soon, and all
+	// should meet again.
+	aggregatorAwayFactor = 15
+
+	// notReadyFactor is how long an aggregator that has just begun is not asked.
+	notReadyFactor = 4
+
+	// maxMissedAnswers is how many answers in a row may not come until an aggregator is suspected.
+	maxMissedAnswers = 2
+
+	// reminderRuns is after how many mean runs the aggregator is reminded of what is still held.
+	reminderRuns = 3
+
+	// maxNewQuarantines is how many quarantines wait for the next message to the aggregator.
+	maxNewQuarantines = 16
 )
 
 // aggregatorClient is what a node that reports to an aggregator knows of it.
@@ -46,7 +47,7 @@
 	incarnation    int                // of it that answered last, -1 for none
 	snapshotDue    bool               // it is to be told all
 	answerWanted   bool               // something waits for its answer
-	querySentAt    float64            // since when an answer is out, 0 for none
+	querySentAt    float64            // of the query that is not answered yet, 0 for none
 	missedAnswers  int                // in a row
 	answeredAt     float64            // when the last answer came
 	notReadyUntil  float64            // it is not asked before, because it does not know yet
@@ -56,180 +57,210 @@
 	quarantined    map[uint16]bool    // entries that hold, as it answered
 }
 
-// startHub orders the hubs, alike at all nodes.
-func (d *Dispatcher) startAggregator() {
-	d.aggregatorClient = aggregatorClient{current: -1, incarnation: -1, peerSlots: map[uint16]float64{},
-		quarantined: map[uint16]bool{}, order: make([]int, d.settings.Balancers)}
-	d.aggregatorServer = aggregatorServer{slotTotals: map[uint16]float64{}, quarantines: map[uint16]*quarantine{},
-		startedAt: math.Inf(-1), incarnationTag: 1 + uint8(mix64(d.randomState)%(messageKindMask^0xff))}
-	for i := range d.aggregatorClient.order {
-		d.aggregatorClient.order[i] = i
+// newAggregatorClient orders the aggregators, alike at all nodes.
+func newAggregatorClient(nodes int) aggregatorClient {
+	client := aggregatorClient{current: -1, incarnation: -1, order: make([]int, nodes),
+		peerSlots: map[uint16]float64{}, quarantined: map[uint16]bool{}}
+	for i := range client.order {
+		client.order[i] = i
 	}
-	slices.SortFunc(d.aggregatorClient.order, func(a, b int) int { return cmp.Compare(mix64(uint64(a)+1), mix64(uint64(b)+1)) })
+	slices.SortFunc(client.order, func(a, b int) int { return cmp.Compare(mix64(uint64(a)+1), mix64(uint64(b)+1)) })
+	return client
 }
 
-// pickHub gives the first hub that is not suspected.
-func (d *Dispatcher) pickAggregator() int {
-	for _, i := range d.aggregatorClient.order {
-		if d.now >= d.gossip.peers[i].suspectedUntil {
-			return i
+// follow takes a node as the aggregator from now on.
+func (c *aggregatorClient) follow(node int) {
+	c.current, c.incarnation, c.snapshotDue = node, -1, true
+	c.missedAnswers, c.querySentAt, c.notReadyUntil = 0, 0, 0
+}
+
+// pick gives the first node that is not suspected.
+func (c *aggregatorClient) pick(peers []peer, now float64) int {
+	for _, node := range c.order {
+		if now >= peers[node].suspectedUntil {
+			return node
 		}
 	}
-	return d.aggregatorClient.order[0]
+	return c.order[0]
 }
 
-// tellHub tells the hub what has changed, and asks it if its answer is wanted.
-func (d *Dispatcher) notifyAggregator() {
-	aggregator := &d.aggregatorClient
-	if now := d.pickAggregator(); now != aggregator.current {
-		aggregator.current, aggregator.incarnation, aggregator.snapshotDue, aggregator.missedAnswers, aggregator.querySentAt, aggregator.notReadyUntil = now, -1, true, 0, 0, 0
-	}
-	if aggregator.current == d.settings.Me {
-		return
+// isAggregator says that this node takes itself for the aggregator.
+func (d *Dispatcher) isAggregator() bool { return d.aggregatorClient.current == d.settings.Me }
+
+// answerTimeout is how long an answer of the aggregator is waited for.
+func (d *Dispatcher) answerTimeout() float64 {
+	return max(answerTimeoutFactor*d.settings.ConnectTimeout, d.settings.Step)
+}
+
+// reminderInterval is after how long the aggregator is told again what is still held. What it was told lapses after twice that.
+func (d *Dispatcher) reminderInterval() float64 {
+	return max(reminderRuns*d.serviceTimes.meanRun, d.settings.Step)
+}
+
+// awaitsAggregator says whether arrivals wait for an answer of the aggregator: free slots that are known here are old, and others use
+// them.
+func (d *Dispatcher) awaitsAggregator() bool {
+	client, timeout := &d.aggregatorClient, d.answerTimeout()
+	if d.gossip.mode != gossipAggregator || d.isAggregator() {
+		return false
 	}
-	if aggregator.querySentAt > 0 && d.now-aggregator.querySentAt > d.answerTimeout() {
-		if aggregator.querySentAt, aggregator.missedAnswers = 0, aggregator.missedAnswers+1; aggregator.missedAnswers >= maxMissedAnswers {
-			peer := &d.gossip.peers[aggregator.current]
-			peer.suspectedUntil = d.now + aggregatorAwayFactor*d.answerTimeout()*float64(int(1)<<min(peer.timeouts, maxBackoffDoublings))*(0.75+0.5*d.random())
-			peer.timeouts++
-			d.logf("node %d does not answer as the hub", aggregator.current)
-			return
-		}
+	if d.now < max(client.notReadyUntil, client.answeredAt+answerFreshness*timeout) {
+		return false
 	}
-	mayAsk, kind := aggregator.querySentAt == 0 && d.now >= aggregator.notReadyUntil, byte(messageUpdate)
-	if aggregator.answerWanted && mayAsk {
-		kind = messageQuery
+	client.answerWanted = true
+	return d.now-d.jobs.arrived[0].arrivedAt < timeout
+}
+
+// wantAnswerForQueue has the aggregator asked again while jobs are queued.
+func (d *Dispatcher) wantAnswerForQueue() {
+	client := &d.aggregatorClient
+	if d.now-client.answeredAt > queryRetryFactor*d.answerTimeout() {
+		client.answerWanted = true
 	}
-	if aggregator.snapshotDue {
-		for _, executor := range aggregator.notified {
-			executor.gossip.notifiedSlots = 0
-		}
-		aggregator.notified = aggregator.notified[:0]
+}
+
+// notifyAggregator tells the aggregator what has changed, and asks it if its answer is wanted.
+func (d *Dispatcher) notifyAggregator() {
+	client := &d.aggregatorClient
+	if node := client.pick(d.gossip.peers, d.now); node != client.current {
+		client.follow(node)
 	}
-	data := []byte{kind}
-	for _, x := range aggregator.newQuarantines {
-		data = binary.BigEndian.AppendUint16(data, x)
+	if d.isAggregator() || d.suspectAggregator() {
+		return
 	}
-	aggregator.newQuarantines = aggregator.newQuarantines[:0]
-	data = d.appendChanges(data)
-	if len(data) == 1 && kind == messageUpdate {
+	askable := client.querySentAt == 0 && d.now >= client.notReadyUntil
+	asks := client.answerWanted && askable
+	data := d.encodeUpdate()
+	if len(data) == 1 && !asks {
 		return
 	}
-	if aggregator.snapshotDue && mayAsk {
-		kind = messageSnapshot
+	switch {
+	case client.snapshotDue && askable:
+		data[0] = messageSnapshot
+	case asks:
+		data[0] = messageQuery
 	}
-	if data[0] = kind; kind != messageUpdate {
-		aggregator.querySentAt, aggregator.answerWanted = d.now, false
+	if data[0] != messageUpdate {
+		client.querySentAt, client.answerWanted = d.now, false
 	}
-	d.actions = append(d.actions, Action{Kind: ActTell, To: uint16(aggregator.current), Data: data})
+	d.act(Action{Kind: ActTell, To: uint16(client.current), Data: data})
 }
 
-// changes appends what has changed since the hub was told, and what it is to be reminded of.
-func (d *Dispatcher) appendChanges(data []byte) []byte {
-	tell := func(executor *executor) {
-		n := min(math.Round(executor.inFlight.slots+d.hiddenSlots(executor)), maxEncodedSlots)
-		if n == executor.gossip.notifiedSlots && (n == 0 || d.now-executor.gossip.notifiedAt < d.reminderInterval()) || len(data) > 2*maxEntries-1 {
-			return
-		}
-		if executor.gossip.notifiedSlots == 0 {
-			d.aggregatorClient.notified = append(d.aggregatorClient.notified, executor)
+// suspectAggregator takes in that an answer did not come in time, and says whether the aggregator is suspected for it.
+func (d *Dispatcher) suspectAggregator() bool {
+	client := &d.aggregatorClient
+	if client.querySentAt <= 0 || d.now-client.querySentAt <= d.answerTimeout() {
+		return false
+	}
+	client.querySentAt = 0
+	client.missedAnswers++
+	if client.missedAnswers < maxMissedAnswers {
+		return false
+	}
+	peer := &d.gossip.peers[client.current]
+	away := aggregatorAwayFactor * d.answerTimeout() * doublings(peer.timeouts, maxBackoffDoublings)
+	peer.suspectedUntil = d.now + away*(0.75+0.5*d.random())
+	peer.timeouts++
+	d.logf("node %d does not answer as the hub", client.current)
+	return true
+}
+
+// encodeUpdate gives a message of what has changed since the aggregator was notified, and what it is to be reminded of.
+func (d *Dispatcher) encodeUpdate() []byte {
+	client := &d.aggregatorClient
+	if client.snapshotDue {
+		for _, executor := range client.notified {
+			executor.gossip.notifiedSlots = 0
 		}
-		data = binary.BigEndian.AppendUint16(data, executor.tag|uint16(n))
-		executor.gossip.notifiedSlots, executor.gossip.notifiedAt = n, d.now
+		client.notified = client.notified[:0]
+	}
+	data := []byte{messageUpdate}
+	for _, entry := range client.newQuarantines {
+		data = appendEntry(data, entry)
 	}
+	client.newQuarantines = client.newQuarantines[:0]
 	for _, executor := range d.outliers.busy {
-		tell(executor)
+		data = d.appendChange(data, executor)
 	}
-	for _, executor := range d.aggregatorClient.notified {
-		tell(executor)
+	for _, executor := range client.notified {
+		data = d.appendChange(data, executor)
 	}
-	d.aggregatorClient.notified = slices.DeleteFunc(d.aggregatorClient.notified, func(executor *executor) bool { return executor.gossip.notifiedSlots == 0 })
+	client.notified = slices.DeleteFunc(client.notified, func(executor *executor) bool {
+		return executor.gossip.notifiedSlots == 0
+	})
 	return data
 }
 
-// reminder is after how long what is still out is told again. What is told lapses after twice that.
-func (d *Dispatcher) reminderInterval() float64 {
-	return max(reminderRuns*d.serviceTimes.meanRun, d.settings.Step)
-}
-
-// hubWait is how long an answer of the hub is waited for.
-func (d *Dispatcher) answerTimeout() float64 {
-	return max(answerTimeoutFactor*d.settings.ConnectTimeout, d.settings.Step)
+// appendChange appends what this node holds at an executor, if the aggregator does not know it or is to be reminded.
+func (d *Dispatcher) appendChange(data []byte, executor *executor) []byte {
+	known := &executor.gossip
+	slots := min(math.Round(executor.inFlight.slots+d.hiddenSlots(executor)), maxEncodedSlots)
+	isKnown := slots == known.notifiedSlots && (slots == 0 || d.now-known.notifiedAt < d.reminderInterval())
+	if isKnown || len(data) > 2*maxEntries-1 {
+		return data
+	}
+	if known.notifiedSlots == 0 {
+		d.aggregatorClient.notified = append(d.aggregatorClient.notified, executor)
+	}
+	known.notifiedSlots, known.notifiedAt = slots, d.now
+	return appendEntry(data, executor.tag|uint16(slots))
 }
 
-// heardHub takes in a message to or from a hub.
+// handleAggregatorMessage takes in a message to an aggregator, or an answer of one.
 func (d *Dispatcher) handleAggregatorMessage(peer *peer, event *Event) {
 	if len(event.Data) == 0 {
 		return
 	}
-	aggregator, head := &d.aggregatorClient, event.Data[0]
-	each := func(take func(tag uint16, slots float64), mark func(uint16)) {
-		for i := 1; i+2 <= len(event.Data); i += 2 {
-			x := binary.BigEndian.Uint16(event.Data[i:])
-			if x&slotBits >= firstClassQuarantine {
-				mark(x)
-			} else {
-				take(x&^slotBits, float64(x&slotBits))
-			}
-		}
-	}
-	if head&messageKindMask == messageAnswer {
-		if int(event.From) != aggregator.current || aggregator.querySentAt == 0 {
-			return // of one that is not asked any more
-		}
-		life := int(head &^ messageKindMask)
-		aggregator.snapshotDue = aggregator.incarnation >= 0 && life != aggregator.incarnation // it has begun anew, and knows nothing of us
-		aggregator.incarnation, aggregator.querySentAt, aggregator.missedAnswers = life, 0, 0
-		if d.needsPlacement = true; life == 0 {
-			aggregator.notReadyUntil = d.now + notReadyFactor*d.answerTimeout()
-			return
-		}
-		aggregator.answeredAt, peer.timeouts = d.now, 0
-		clear(aggregator.peerSlots)
-		clear(aggregator.quarantined)
-		each(func(tag uint16, slots float64) { aggregator.peerSlots[tag] += slots }, func(x uint16) { aggregator.quarantined[x] = true })
-		d.capacity.nextEstimate = 0
+	if event.Data[0]&messageKindMask == messageAnswer {
+		d.handleAnswer(peer, event)
 		return
 	}
-	if head&messageKindMask == messageSnapshot {
-		// What it does not name may have been sent before it was killed, and run on: it lapses after a run.
-		for i := range peer.loads {
-			peer.loads[i].heardAt = min(peer.loads[i].heardAt, d.now+d.serviceTimes.meanRun-2*d.reminderInterval())
-		}
+	d.handleUpdate(peer, event)
+}
+
+// handleAnswer takes in what the aggregator answered.
+func (d *Dispatcher) handleAnswer(peer *peer, event *Event) {
+	client := &d.aggregatorClient
+	if int(event.From) != client.current || client.querySentAt == 0 {
+		return // of one that is not asked any more
 	}
-	each(func(tag uint16, slots float64) { d.setPeerLoad(peer, peerLoad{tag, slots, d.now}) }, d.addQuarantine)
+	incarnation := int(event.Data[0] &^ messageKindMask)
+	client.snapshotDue = client.incarnation >= 0 && incarnation != client.incarnation // it has begun anew, and knows nothing of us
+	client.incarnation, client.querySentAt, client.missedAnswers = incarnation, 0, 0
 	d.needsPlacement = true
-	if head&messageKindMask != messageUpdate {
-		d.actions = append(d.actions, Action{Kind: ActTell, To: uint16(event.From), Data: d.encodeAnswer(peer)})
+	if incarnation == 0 {
+		client.notReadyUntil = d.now + notReadyFactor*d.answerTimeout()
+		return
 	}
+	client.answeredAt, peer.timeouts = d.now, 0
+	clear(client.peerSlots)
+	clear(client.quarantined)
+	readEntries(event.Data, func(tag uint16, slots float64) { client.peerSlots[tag] += slots },
+		func(entry uint16) { client.quarantined[entry] = true })
+	d.capacity.nextEstimate = 0
 }
 
-// markOf gives the entry that marks a worker, if a hub is told and entries have room for that mark.
-func (d *Dispatcher) quarantineOf(executor *executor, kind int) (x uint16, ok bool) {
-	return executor.tag | uint16(kind), d.gossip.mode == gossipAggregator && (kind <= lastClassQuarantine || kind == connectionQuarantine)
-}
-
-// find notes that a class fails at a worker, or that it takes no connections, for the hub to tell the others.
+// reportQuarantine notes that a class fails at an executor, or that it takes no connections, for the aggregator to tell the others.
 func (d *Dispatcher) reportQuarantine(executor *executor, kind int) {
-	x, ok := d.quarantineOf(executor, kind)
+	entry, ok := d.quarantineEntry(executor, kind)
+	client := &d.aggregatorClient
 	switch {
 	case !ok:
-	case d.aggregatorClient.current == d.settings.Me:
-		d.addQuarantine(x)
-	case len(d.aggregatorClient.newQuarantines) < maxNewQuarantines && !slices.Contains(d.aggregatorClient.newQuarantines, x):
-		d.aggregatorClient.newQuarantines = append(d.aggregatorClient.newQuarantines, x)
+	case d.isAggregator():
+		d.aggregatorServer.addQuarantine(entry)
+	case len(client.newQuarantines) < maxNewQuarantines && !slices.Contains(client.newQuarantines, entry):
+		client.newQuarantines = append(client.newQuarantines, entry)
 	}
 }
 
-// marked says that a node found lately that a class fails at a worker, or that it takes no connections.
+// isQuarantined says that a node found lately that a class fails at an executor, or that it takes no connections.
 func (d *Dispatcher) isQuarantined(executor *executor, kind int) bool {
-	x, ok := d.quarantineOf(executor, kind)
-	if !ok {
+	entry, ok := d.quarantineEntry(executor, kind)
+	switch {
+	case !ok:
 		return false
+	case d.isAggregator():
+		return d.aggregatorServer.isQuarantined(entry)
 	}
-	if d.aggregatorClient.current == d.settings.Me {
-		entry := d.aggregatorServer.quarantines[x]
-		return entry != nil && d.now < entry.until
-	}
-	return d.aggregatorClient.quarantined[x] && d.peerLoadsKnown()
+	return d.aggregatorClient.quarantined[entry] && d.peerLoadsKnown()
 }
--- a/brain/aggregator_server.go
+++ b/brain/aggregator_server.go
@@ -1,129 +1,192 @@
 package brain
 
 import (
-	"encoding/binary"
 	"maps"
 	"math"
 	"slices"
 )
 
 const (
-	aggregatorListenRuns       = 1    // mean runs after a hub's start until it was told most of what is out
-	maxAggregatorRate          = 1000 // requests a second of all nodes that one may serve as the hub: 500 take 0.06 s of CPU in a second, of 0.23
-	connectionQuarantineFactor = 4    // connect time-outs for which a worker that took no connection is not tried by others
-	maxQuarantineDoublings     = 3    // doublings of that, and of the time for a class that fails, at most
-	slotBits                   = 15   // of an entry, beside its worker's tag: slots out, or from firstMark on a mark
-	maxEncodedSlots            = 11   // slots at a worker that are told, at most
-	firstClassQuarantine       = 12   // marks a worker at which class 0 fails; one more for each class
-	lastClassQuarantine        = 14   // for the last class that can be told
-	connectionQuarantine       = 15   // marks one that takes no connections
-	maxEntries                 = 127  // workers in a message to or from a hub
-	maxPeerEntries             = 256  // workers that are kept of one other node, and marks, whatever is sent
+	// maxAggregatorRate is how many requests a second of all nodes one aggregator may serve: 500 take a quarter of what a node uses.
+	maxAggregatorRate = 1000
+
+	// aggregatorListenRuns is how many mean runs after its start an aggregator was told most of what is held.
+	aggregatorListenRuns = 1
+
+	// connectionQuarantineFactor is for how many connect timeouts an executor that took no connection is not tried by others.
+	connectionQuarantineFactor = 4
+
+	// maxQuarantineDoublings is how often a quarantine doubles at most.
+	maxQuarantineDoublings = 3
 )
 
-// mark keeps a worker, or a class there, away from all nodes for a while, longer each time it is found again. 80 nodes
-// that find it out each for itself lose 80 jobs for it.
+// aggregatorServer is what a node knows that others take for the aggregator.
+type aggregatorServer struct {
+	*environment
+
+	slotTotals     map[uint16]float64     // that the other nodes hold, by tag
+	quarantines    map[uint16]*quarantine // by entry
+	answerScratch  []uint32
+	startedAt      float64 // of this incarnation
+	incarnationTag uint8   // tells it from others
+}
+
+// quarantine keeps an executor, or a class there, away from all nodes for a while, longer each time it is reported again. Nodes that
+// find it out each for itself lose a job each.
 type quarantine struct {
 	until       float64
 	consecutive int
 }
 
-// hubKnows says that this node, as a hub, has listened for long enough to know what is out.
-func (d *Dispatcher) aggregatorIsReady() bool {
-	return d.now-d.aggregatorServer.startedAt > aggregatorListenRuns*d.serviceTimes.meanRun
+// newAggregatorServer begins an incarnation.
+func newAggregatorServer(env *environment) aggregatorServer {
+	tags := uint64(messageKindMask ^ 0xff)
+	return aggregatorServer{environment: env, slotTotals: map[uint16]float64{}, quarantines: map[uint16]*quarantine{},
+		startedAt: math.Inf(-1), incarnationTag: 1 + uint8(mix64(env.randomState)%tags)}
 }
 
-// setMark takes in, as the hub, what a node found.
-func (d *Dispatcher) addQuarantine(x uint16) {
-	entry := d.aggregatorServer.quarantines[x]
-	if entry == nil {
-		if len(d.aggregatorServer.quarantines) >= maxPeerEntries {
-			maps.DeleteFunc(d.aggregatorServer.quarantines, func(_ uint16, entry *quarantine) bool { return d.now >= entry.until })
-		}
-		if len(d.aggregatorServer.quarantines) >= maxPeerEntries {
-			return
+// isReady says that this node has listened for long enough to know what is held.
+func (s *aggregatorServer) isReady(meanRun float64) bool {
+	return s.now-s.startedAt > aggregatorListenRuns*meanRun
+}
+
+// handleUpdate takes in, as the aggregator, what another node holds, and answers if it asks.
+func (d *Dispatcher) handleUpdate(peer *peer, event *Event) {
+	kind := event.Data[0] & messageKindMask
+	if kind == messageSnapshot {
+		// What it does not name may have been sent before it was killed, and run on: it lapses after a run.
+		lapses := d.now + d.serviceTimes.meanRun - 2*d.reminderInterval()
+		for i := range peer.loads {
+			peer.loads[i].heardAt = min(peer.loads[i].heardAt, lapses)
 		}
-		entry = &quarantine{}
-		d.aggregatorServer.quarantines[x] = entry
 	}
-	if d.now < entry.until {
-		return // sent before the others were told
+	server := &d.aggregatorServer
+	readEntries(event.Data, func(tag uint16, slots float64) {
+		server.setPeerLoad(peer, peerLoad{tag: tag, slots: slots, heardAt: d.now})
+	}, server.addQuarantine)
+	d.needsPlacement = true
+	if kind != messageUpdate {
+		d.act(Action{Kind: ActTell, To: uint16(event.From), Data: d.encodeAnswer(peer)})
 	}
-	span := classQuarantineFactor * d.settings.ConnectTimeout
-	if x&slotBits == connectionQuarantine {
-		span = connectionQuarantineFactor * d.settings.ConnectTimeout
-	}
-	if d.now-entry.until > 2*span*float64(int(1)<<entry.consecutive) {
-		entry.consecutive = 0
-	}
-	entry.until = d.now + span*float64(int(1)<<entry.consecutive)
-	entry.consecutive = min(entry.consecutive+1, maxQuarantineDoublings)
 }
 
-// setPeer takes in what another node has out at one worker.
-func (d *Dispatcher) setPeerLoad(peer *peer, x peerLoad) {
+// setPeerLoad takes in what another node holds at one executor.
+func (s *aggregatorServer) setPeerLoad(peer *peer, load peerLoad) {
 	was := 0.0
-	i := slices.IndexFunc(peer.loads, func(o peerLoad) bool { return o.tag == x.tag })
+	i := slices.IndexFunc(peer.loads, func(known peerLoad) bool { return known.tag == load.tag })
 	switch {
-	case i >= 0 && x.slots > 0:
-		was, peer.loads[i] = peer.loads[i].slots, x
+	case i >= 0 && load.slots > 0:
+		was, peer.loads[i] = peer.loads[i].slots, load
 	case i >= 0:
 		was, peer.loads = peer.loads[i].slots, slices.Delete(peer.loads, i, i+1)
-	case x.slots > 0 && len(peer.loads) < maxPeerEntries:
-		peer.loads = append(peer.loads, x)
+	case load.slots > 0 && len(peer.loads) < maxPeerEntries:
+		peer.loads = append(peer.loads, load)
 	default:
 		return
 	}
-	d.aggregatorServer.slotTotals[x.tag] += x.slots - was
+	s.slotTotals[load.tag] += load.slots - was
+}
+
+// sumLoads adds up anew what the other nodes hold, without what no reminder told in time.
+func (s *aggregatorServer) sumLoads(peers []peer, reminderInterval float64) {
+	clear(s.slotTotals)
+	for i := range peers {
+		peer := &peers[i]
+		peer.loads = slices.DeleteFunc(peer.loads, func(load peerLoad) bool { return s.now-load.heardAt > 2*reminderInterval })
+		for _, load := range peer.loads {
+			s.slotTotals[load.tag] += load.slots
+		}
+	}
+}
+
+// addQuarantine takes in what a node found.
+func (s *aggregatorServer) addQuarantine(entry uint16) {
+	known := s.quarantines[entry]
+	if known == nil {
+		if !s.makeRoomForQuarantine() {
+			return
+		}
+		known = &quarantine{}
+		s.quarantines[entry] = known
+	}
+	if s.now < known.until {
+		return // it was sent before the others were told
+	}
+	base := classQuarantineFactor * s.settings.ConnectTimeout
+	if entry&slotBits == connectionQuarantine {
+		base = connectionQuarantineFactor * s.settings.ConnectTimeout
+	}
+	if s.now-known.until > 2*base*float64(int(1)<<known.consecutive) {
+		known.consecutive = 0
+	}
+	known.until = s.now + base*float64(int(1)<<known.consecutive)
+	known.consecutive = min(known.consecutive+1, maxQuarantineDoublings)
+}
+
+// makeRoomForQuarantine drops quarantines that are over if there are too many, and says whether one more can be kept.
+func (s *aggregatorServer) makeRoomForQuarantine() bool {
+	if len(s.quarantines) >= maxPeerEntries {
+		maps.DeleteFunc(s.quarantines, func(_ uint16, known *quarantine) bool { return s.now >= known.until })
+	}
+	return len(s.quarantines) < maxPeerEntries
+}
+
+func (s *aggregatorServer) isQuarantined(entry uint16) bool {
+	known := s.quarantines[entry]
+	return known != nil && s.now < known.until
+}
+
+// dropQuarantines forgets the quarantines of an executor that has started anew.
+func (s *aggregatorServer) dropQuarantines(tag uint16) {
+	for kind := uint16(firstClassQuarantine); kind <= connectionQuarantine; kind++ {
+		delete(s.quarantines, tag|kind)
+	}
 }
 
-// answer tells a node what all others have out, those first where it is most.
+// encodeAnswer tells a node what all others hold. It is made for each job of all nodes, and is most of an aggregator's work.
 func (d *Dispatcher) encodeAnswer(peer *peer) []byte {
-	if !d.aggregatorIsReady() {
+	server := &d.aggregatorServer
+	if !server.isReady(d.serviceTimes.meanRun) {
 		return []byte{messageAnswer}
 	}
-	// The hub answers for each job of all nodes: what it does here is most of its work.
-	more := map[uint16]float64{}
+	others := map[uint16]float64{} // what this node holds, less what the asking one does
 	for _, executor := range d.endpoints.listed {
-		if n := executor.inFlight.slots + d.hiddenSlots(executor); n > 0 {
-			more[executor.tag] += n
+		if slots := executor.inFlight.slots + d.hiddenSlots(executor); slots > 0 {
+			others[executor.tag] += slots
 		}
 	}
-	for _, x := range peer.loads {
-		more[x.tag] -= x.slots
+	for _, load := range peer.loads {
+		others[load.tag] -= load.slots
 	}
-	told := d.aggregatorServer.scratch[:0] // those with most first, then by tag: in upper and lower bits
+	return server.encode(others)
+}
+
+// encode makes an answer of the quarantines and of the slots that are held, those executors first where most are.
+func (s *aggregatorServer) encode(others map[uint16]float64) []byte {
+	ranked := s.answerScratch[:0] // most first and then by tag: what is short of the greatest number in the upper bits, the tag in the lower
 	add := func(tag uint16, slots float64) {
 		if n := math.Round(slots); n > 0 {
-			told = append(told, uint32(maxEncodedSlots-min(n, maxEncodedSlots))<<16|uint32(tag))
+			ranked = append(ranked, uint32(maxEncodedSlots-min(n, maxEncodedSlots))<<16|uint32(tag))
 		}
 	}
-	for tag, n := range d.aggregatorServer.slotTotals {
-		add(tag, n+more[tag])
-		delete(more, tag)
+	for tag, slots := range s.slotTotals {
+		add(tag, slots+others[tag])
+		delete(others, tag)
 	}
-	for tag, n := range more {
-		add(tag, n)
+	for tag, slots := range others {
+		add(tag, slots)
 	}
-	slices.Sort(told)
-	d.aggregatorServer.scratch = told
-	data := []byte{messageAnswer | d.aggregatorServer.incarnationTag}
-	for _, x := range slices.Sorted(maps.Keys(d.aggregatorServer.quarantines)) {
-		if d.now < d.aggregatorServer.quarantines[x].until && len(data) < maxEntries {
-			data = binary.BigEndian.AppendUint16(data, x)
+	slices.Sort(ranked)
+	s.answerScratch = ranked
+	data := []byte{messageAnswer | s.incarnationTag}
+	for _, entry := range slices.Sorted(maps.Keys(s.quarantines)) {
+		if s.now < s.quarantines[entry].until && len(data) < maxEntries {
+			data = appendEntry(data, entry)
 		}
 	}
-	for _, x := range told[:min(len(told), max(0, maxEntries-(len(data)-1)/2))] {
-		data = binary.BigEndian.AppendUint16(data, uint16(x)|uint16(maxEncodedSlots-x>>16))
+	left := max(0, maxEntries-(len(data)-1)/2)
+	for _, x := range ranked[:min(len(ranked), left)] {
+		data = appendEntry(data, uint16(x)|uint16(maxEncodedSlots-x>>16))
 	}
 	return data
 }
-
-// aggregatorServer is what a node knows that others take for the aggregator.
-type aggregatorServer struct {
-	slotTotals     map[uint16]float64     // that the other nodes hold, by tag
-	quarantines    map[uint16]*quarantine // by entry
-	scratch        []uint32               // of an answer
-	startedAt      float64                // of this incarnation
-	incarnationTag uint8                  // tells it from others
-}
--- a/brain/classfailure.go
+++ b/brain/classfailure.go
@@ -2,161 +2,190 @@
 
 import "math"
 
+// Class failures are told apart from failures of an executor as a whole. An executor can fail one class at once and serve another
+// well: its errors then do not add up to an ejection, while it seems to have free slots and attracts more. It can also reject one
+// class while it reports free slots for all.
+
 const (
-	classQuarantineFactor = 16 // likewise for a class that fails at a worker: a trial may lose a job for good
-	errorPrior            = 2  // jobs' worth of all classes' errors mixed into one class's
-	errorWindowFactor     = 40 // connect time-outs in which errors fade: shorter tries a bad one sooner
+	// classQuarantineFactor is how long a class that failed at an executor is first kept away from it, in connect timeouts; the time
+	// doubles with each further failure. It is long because a trial may lose a job for good.
+	classQuarantineFactor = 16
+
+	// errorPrior is how many jobs' worth of all classes' error rate is mixed into the rate of one class. More lets what other classes
+	// met at an executor count for longer.
+	errorPrior = 2
+
+	// errorWindowFactor is the time constant with which errors fade, in connect timeouts. A shorter one tries a failing executor sooner.
+	errorWindowFactor = 40
+
+	// minErrors is the number of faded errors under which an executor counts as one without errors.
+	minErrors = 0.01
 )
 
-// fared takes in how a job of a class ended at a worker. A worker can fail one class at once and serve another well,
-// so that its errors do not add up to an ejection while it looks roomy and draws more; or turn one class away while it
-// tells of free slots. So classes are told apart. One 'full' beside free slots can come of a late report.
-// A job that errs at a second worker too may be one that errs wherever it goes: then the first is not to blame either,
-// or one bad request that may be tried six times puts its class out at six workers. It was theirs if a third serves it.
-func (d *Dispatcher) learnClassOutcome(job *job, executor *executor, event *Event) {
-	f, attempt, erred := &executor.failures.byClass[job.class], &job.attempts[event.Attempt], 0
-	for i := range job.attempts {
-		if job.attempts[i].errored {
-			erred++
-		}
+// failureState is how jobs fare at an executor.
+type failureState struct {
+	byClass []classFailures
+	all     errorTally // of all classes
+}
+
+// classFailures is how one class fares at an executor.
+type classFailures struct {
+	consecutive int     // failures in a row
+	awayUntil   float64 // no job of the class goes there before
+	failedAt    float64 // when it failed last
+	errors      errorTally
+}
+
+// resetClass forgets how a class fared, and makes place for one more if it is new.
+func (f *failureState) resetClass(class int) {
+	if class < len(f.byClass) {
+		f.byClass[class] = classFailures{}
+		return
 	}
+	f.byClass = append(f.byClass, classFailures{})
+}
+
+// takeBack withdraws one error of a class, which was not the executor's.
+func (f *failureState) takeBack(env *environment, class int) {
+	failures := &f.byClass[class]
+	failures.errors.takeBack(env)
+	failures.consecutive = max(0, failures.consecutive-1)
+	if failures.consecutive == 0 {
+		failures.awayUntil = 0
+	}
+	f.all.takeBack(env)
+}
+
+// add counts an ended job of a class.
+func (f *failureState) add(env *environment, class int, errored bool) {
+	f.byClass[class].errors.add(env, errored)
+	f.all.add(env, errored)
+}
+
+// errorTally counts jobs that ended, and those of them that ended in an error. Both counts fade.
+type errorTally struct{ total, errors, updatedAt float64 }
+
+// faded gives the counts as of now.
+func (t *errorTally) faded(env *environment) (total, errors float64) {
+	window := errorWindowFactor * max(env.settings.ConnectTimeout, env.settings.Step)
+	keep := math.Exp((t.updatedAt - env.now) / window)
+	return t.total * keep, t.errors * keep
+}
+
+func (t *errorTally) takeBack(env *environment) {
+	total, errors := t.faded(env)
+	t.total, t.errors, t.updatedAt = max(0, total-1), max(0, errors-1), env.now
+}
+
+func (t *errorTally) add(env *environment, errored bool) {
+	t.total, t.errors = t.faded(env)
+	t.updatedAt = env.now
+	t.total++
+	if errored {
+		t.errors++
+	}
+}
+
+// learnClassOutcome takes in how a job of a class ended at an executor. A single Full outcome beside free slots can come of a late
+// load report and is not held against the class. A job that errs at a second executor may be one that errs wherever it goes, so
+// that the first is not to blame either: one bad request that may be attempted six times would put its class out at six
+// executors. Once a third executor serves the job, the errors were the executors' own.
+func (d *Dispatcher) learnClassOutcome(job *job, executor *executor, event *Event) {
+	attempt := &job.attempts[event.Attempt]
 	switch {
 	case event.Outcome == Served:
-		f.errors.add(d, false)
-		executor.failures.all.add(d, false)
-		if attempt.sentAt >= f.failedAt { // else it shows nothing of what came since
-			f.consecutive, f.awayUntil = 0, 0
-		}
-		for i := range job.attempts {
-			if erred > 1 && job.attempts[i].errored {
-				d.blameClass(job.attempts[i].executor, job.class, Errored)
-			}
-		}
+		d.learnServed(job, executor, attempt)
 	case event.Outcome == Errored:
-		attempt.errored = true
-		if erred == 0 {
-			d.blameClass(executor, job.class, Errored)
-		} else if erred == 1 {
-			for i := range job.attempts {
-				if x := &job.attempts[i]; x.errored && x != attempt {
-					x.executor.failures.byClass[job.class].takeBack(d)
-					x.executor.failures.all.takeBack(d)
-				}
-			}
-		}
-	case event.Outcome == Full && d.reportsFreeSlots(event.Report, job.slots):
+		d.learnErrored(job, executor, attempt)
+	case event.Outcome == Full && d.reports.showFreeSlots(event.Report, job.slots):
 		d.blameClass(executor, job.class, Full)
 	}
 }
 
-// lift takes one error back.
-func (f *classFailures) takeBack(d *Dispatcher) {
-	f.errors.takeBack(d)
-	if f.consecutive = max(0, f.consecutive-1); f.consecutive == 0 {
-		f.awayUntil = 0
+func (d *Dispatcher) learnServed(job *job, executor *executor, attempt *attempt) {
+	executor.failures.add(d.environment, job.class, false)
+	failures := &executor.failures.byClass[job.class]
+	if attempt.sentAt >= failures.failedAt { // an earlier attempt shows nothing of what came since
+		failures.consecutive, failures.awayUntil = 0, 0
+	}
+	if job.erroredAttempts() <= 1 {
+		return
+	}
+	for i := range job.attempts {
+		if job.attempts[i].errored {
+			d.blameClass(job.attempts[i].executor, job.class, Errored)
+		}
 	}
 }
 
-// blame holds a job's end against a worker, for its class.
+func (d *Dispatcher) learnErrored(job *job, executor *executor, attempt *attempt) {
+	earlier := job.erroredAttempts()
+	attempt.errored = true
+	switch earlier {
+	case 0:
+		d.blameClass(executor, job.class, Errored)
+	case 1:
+		for i := range job.attempts {
+			if first := &job.attempts[i]; first.errored && first != attempt {
+				first.executor.failures.takeBack(d.environment, job.class)
+			}
+		}
+	}
+}
+
+// blameClass holds a job's end against an executor, for its class alone.
 func (d *Dispatcher) blameClass(executor *executor, class int, o Outcome) {
-	f := &executor.failures.byClass[class]
+	failures := &executor.failures.byClass[class]
 	if o == Errored {
-		f.errors.add(d, true)
-		executor.failures.all.add(d, true)
+		executor.failures.add(d.environment, class, true)
 	}
-	if d.now < f.awayUntil {
+	if d.now < failures.awayUntil {
 		return // it was sent before the last one failed
 	}
-	f.consecutive++
-	f.failedAt = d.now
-	if o == Full && f.consecutive == 1 {
+	failures.consecutive++
+	failures.failedAt = d.now
+	if o == Full && failures.consecutive == 1 {
 		return
 	}
 	base := classQuarantineFactor * max(d.settings.ConnectTimeout, d.settings.Step)
-	f.awayUntil = d.now + base*float64(int(1)<<min(f.consecutive-1, maxBackoffDoublings))*(0.75+0.5*d.random())
+	failures.awayUntil = d.now + base*doublings(failures.consecutive-1, maxBackoffDoublings)*(0.75+0.5*d.random())
 	d.reportQuarantine(executor, firstClassQuarantine+class)
-	d.logf("class %d fails at worker %d, kept away until %.0f", class, executor.id, f.awayUntil)
+	d.logf("class %d fails at worker %d, kept away until %.0f", class, executor.id, failures.awayUntil)
 }
 
-// tally counts jobs that ended and those of them that erred, and forgets.
-type errorTally struct{ total, errors, updatedAt float64 }
-
-// now is a tally as faded by now.
-func (t *errorTally) faded(d *Dispatcher) (n, errs float64) {
-	f := math.Exp((t.updatedAt - d.now) / (errorWindowFactor * max(d.settings.ConnectTimeout, d.settings.Step)))
-	return t.total * f, t.errors * f
-}
-
-// lift takes an error back.
-func (t *errorTally) takeBack(d *Dispatcher) {
-	n, errs := t.faded(d)
-	t.total, t.errors, t.updatedAt = max(0, n-1), max(0, errs-1), d.now
-}
-
-// lostFor is the chance that a job errs at a worker, for one that is lost with it: others are tried again, and so it is
-// they that show when a worker has mended. A worker can err for a part of its jobs, whichever they
-// are, and serve the next: an error kept away its class alone, until the next success, so that each class in turn lost
-// jobs there that can not be repeated, and lost them again. What other classes fared there counts until a class has
-// fared often enough itself.
+// errorProbability is the chance that a job errs at an executor, for a job that is lost with it; others are attempted again, and it
+// is they that show when an executor works again. An executor can err for a part of its jobs, whichever they are, and serve the
+// next. An error would then keep its class alone away, until the next success, and each class in turn would lose jobs there that
+// must not be retried. What other classes met there counts until a class has fared often enough itself.
 func (d *Dispatcher) errorProbability(job *job, executor *executor) float64 {
-	all, errs := executor.failures.all.faded(d)
-	if errs < 0.01 || d.settings.Classes[job.class].Effect != Unsafe || d.outliers.panicking || d.outliers.failingClasses[job.class] {
+	all, errors := executor.failures.all.faded(d.environment)
+	lostWithAnError := d.settings.Classes[job.class].Effect == Unsafe
+	if errors < minErrors || !lostWithAnError || d.outliers.panicking || d.outliers.failingClasses[job.class] {
 		return 0
 	}
-	own, ownErrs := executor.failures.byClass[job.class].errors.faded(d)
-	return (ownErrs + errorPrior*errs/(all+errorPrior)) / (own + errorPrior)
+	own, ownErrors := executor.failures.byClass[job.class].errors.faded(d.environment)
+	return (ownErrors + errorPrior*errors/(all+errorPrior)) / (own + errorPrior)
 }
 
-// fails says whether a job's class failed at a worker lately, and not nearly everywhere.
+// classFailsAt says whether a job's class failed at an executor lately, and not nearly everywhere.
 func (d *Dispatcher) classFailsAt(job *job, executor *executor) bool {
 	return d.isClassAway(executor, job.class) && !d.outliers.failingClasses[job.class]
 }
 
-// failing says whether a class failed at a worker lately, here or as other nodes found.
+// isClassAway says whether a class failed at an executor lately, here or as other nodes found.
 func (d *Dispatcher) isClassAway(executor *executor, class int) bool {
 	return d.now < executor.failures.byClass[class].awayUntil || d.isQuarantined(executor, firstClassQuarantine+class)
 }
 
-// sumFails finds the classes that fail at so many workers that it does not help to keep them away.
+// findFailingClasses finds the classes that fail at so many executors that it does not help to keep them away.
 func (d *Dispatcher) findFailingClasses() {
-	for c := range d.serviceTimes.classes {
-		n := 0
+	for class := range d.serviceTimes.classes {
+		away := 0
 		for _, executor := range d.endpoints.listed {
-			if d.isClassAway(executor, c) {
-				n++
+			if d.isClassAway(executor, class) {
+				away++
 			}
 		}
-		d.outliers.failingClasses[c] = float64(n) > panicThreshold*float64(len(d.endpoints.listed))
-	}
-}
-
-// failing is how a class fares at a worker.
-type classFailures struct {
-	consecutive int     // failures running
-	awayUntil   float64 // nothing of the class goes there before
-	failedAt    float64 // when it failed last
-	errors      errorTally
-}
-
-func (t *errorTally) add(d *Dispatcher, erred bool) {
-	t.total, t.errors = t.faded(d)
-	t.total++
-	if t.updatedAt = d.now; erred {
-		t.errors++
+		d.outliers.failingClasses[class] = float64(away) > panicThreshold*float64(len(d.endpoints.listed))
 	}
 }
-
-// failureState is how jobs fare at an executor.
-type failureState struct {
-	byClass []classFailures
-	all     errorTally // of all classes
-}
-
-// resetClass forgets how a class fared, and makes place for one more if it is new.
-func (f *failureState) resetClass(class int) {
-	if class < len(f.byClass) {
-		f.byClass[class] = classFailures{}
-		return
-	}
-	f.byClass = append(f.byClass, classFailures{})
-}
--- a/brain/config.go
+++ b/brain/config.go
@@ -24,7 +24,7 @@
 	}
 	d.retuneClasses(&next, from)
 	d.settings = next
-	d.setTenants(next.Tenants)
+	d.admission.setTenants(next.Tenants)
 	d.needsPlacement = true
 	return nil
 }
--- a/brain/connections.go
+++ b/brain/connections.go
@@ -1,37 +1,78 @@
 package brain
 
-// linkFailed backs off from new connections to a worker; those that are open go on being used.
-func (d *Dispatcher) noteDialFailure(executor *executor) {
-	if d.reportQuarantine(executor, connectionQuarantine); d.now >= executor.connections.dialBackoffUntil {
-		back := max(d.settings.ConnectTimeout, d.settings.Step) * float64(int(1)<<min(executor.connections.dialFailures, maxBackoffDoublings))
-		executor.connections.dialBackoffUntil = d.now + back*(0.75+0.5*d.random())
-		if executor.connections.dialFailures++; executor.connections.dialFailures == 1 {
-			d.logf("worker %d takes no new connections", executor.id)
-		}
+// connectionState is what this node knows of its connections to an executor.
+type connectionState struct {
+	idleSince        []float64 // of each idle connection, the oldest first
+	opening          int       // attempts in flight on connections that were opened for them
+	dialFailures     int       // since a connection was last made
+	dialBackoffUntil float64   // no connection is opened before
+}
+
+// take uses the last idle connection, if there is one, and says whether one is opened for an attempt instead. Shared says that an
+// open connection carries it beside others.
+func (c *connectionState) take(shared bool) (opened bool) {
+	if n := len(c.idleSince); n > 0 {
+		c.idleSince = c.idleSince[:n-1]
+		return false
+	}
+	if shared {
+		return false
 	}
-	executor.connections.idleSince = executor.connections.idleSince[:0] // it was to use an idle one if there was one
+	c.opening++
+	return true
 }
 
-// warm says whether the next job to a worker needs no new connection.
-func (d *Dispatcher) hasOpenConnection(executor *executor) bool {
-	n := len(executor.connections.idleSince)
-	for n > 0 && d.now-executor.connections.idleSince[0] >= d.settings.ConnIdle {
-		executor.connections.idleSince = executor.connections.idleSince[:copy(executor.connections.idleSince, executor.connections.idleSince[1:])]
-		n--
+// giveBack notes that a connection has become idle. Where jobs share connections, one entry stands for all.
+func (c *connectionState) giveBack(now float64, inFlight int, shared bool) {
+	if len(c.idleSince) > inFlight && shared {
+		c.idleSince = c.idleSince[:0]
+	}
+	c.idleSince = append(c.idleSince, now)
+}
+
+// dropExpired forgets the idle connections that have been idle for longer than the executor keeps them.
+func (c *connectionState) dropExpired(now, idleTimeout float64) {
+	expired := 0
+	for expired < len(c.idleSince) && now-c.idleSince[expired] >= idleTimeout {
+		expired++
 	}
-	return n > 0 || d.sharesConnection(executor)
+	if expired > 0 {
+		c.idleSince = c.idleSince[:copy(c.idleSince, c.idleSince[expired:])]
+	}
+}
+
+// hasOpenConnection says whether the next job to an executor needs no new connection.
+func (d *Dispatcher) hasOpenConnection(executor *executor) bool {
+	executor.connections.dropExpired(d.now, d.settings.ConnIdle)
+	return len(executor.connections.idleSince) > 0 || d.sharesConnection(executor)
 }
 
-// shares says whether connections carry several jobs and one that is open has room for another.
+// sharesConnection says whether connections carry several jobs and one that is open can take another.
 func (d *Dispatcher) sharesConnection(executor *executor) bool {
-	open := len(executor.inFlight.jobs) - executor.connections.opening // attempts on connections that stand, if each had its own
-	return d.settings.Multiplex > 1 && open > 0 && open%d.settings.Multiplex != 0
+	established := len(executor.inFlight.jobs) - executor.connections.opening // attempts on connections that were open before
+	return d.settings.Multiplex > 1 && established > 0 && established%d.settings.Multiplex != 0
 }
 
-// connectionState is what this node knows of its connections to an executor.
-type connectionState struct {
-	idleSince        []float64 // of each idle connection, the oldest first
-	opening          int       // attempts in flight on connections that were opened for them
-	dialFailures     int       // since a connection was last made
-	dialBackoffUntil float64   // no connection is opened before
+// noteDialFailure backs off from new connections to an executor; those that are open go on being used.
+func (d *Dispatcher) noteDialFailure(executor *executor) {
+	d.reportQuarantine(executor, connectionQuarantine)
+	connections := &executor.connections
+	if d.now >= connections.dialBackoffUntil {
+		backoff := max(d.settings.ConnectTimeout, d.settings.Step) * doublings(connections.dialFailures, maxBackoffDoublings)
+		connections.dialBackoffUntil = d.now + backoff*(0.75+0.5*d.random())
+		connections.dialFailures++
+		if connections.dialFailures == 1 {
+			d.logf("worker %d takes no new connections", executor.id)
+		}
+	}
+	// An idle connection would have been used if there had been one.
+	connections.idleSince = connections.idleSince[:0]
+}
+
+// isDialBlocked says that an executor takes no new connections. It can serve over those that it has and take no new one, because its
+// table is full or new ones are cut: a served job says nothing of the next dial. One new connection is tried at a time.
+func (d *Dispatcher) isDialBlocked(executor *executor) bool {
+	connections := &executor.connections
+	backsOff := connections.dialFailures > 0 && (d.now < connections.dialBackoffUntil || connections.opening > 0)
+	return backsOff || d.isQuarantined(executor, connectionQuarantine)
 }
--- a/brain/dispatcher.go
+++ b/brain/dispatcher.go
@@ -2,6 +2,75 @@
 
 import "math"
 
+// Dispatcher decides for one node. See the package comment for what its host promises. It holds the state of each concern, takes
+// events in and gives actions out; the concerns' own types do not know one another.
+type Dispatcher struct {
+	*environment
+
+	jobs             jobTable
+	admission        admission
+	capacity         fleetCapacity
+	reports          loadReports
+	serviceTimes     serviceTimes
+	affinity         keyAffinity
+	placement        placement
+	slowStart        slowStartTracker
+	outliers         outlierDetection
+	healthChecks     healthChecks
+	endpoints        endpointList
+	listWatch        listWatch
+	gossip           gossip
+	aggregatorClient aggregatorClient
+	aggregatorServer aggregatorServer
+	rejections       rejectionLog
+
+	nextTick       float64
+	lastTimerToken uint32
+}
+
+const (
+	// Times between ticks, in steps and in ms: a tick of a large fleet has more to inspect.
+	tickSteps           = 5
+	minTickMs           = 10
+	largeFleetTickSteps = 10
+	minLargeFleetTickMs = 40
+
+	// outlierChecksPerTimeout is how often outliers are looked for in a large fleet, in the time that an executor may be silent.
+	outlierChecksPerTimeout = 16
+)
+
+// New makes a Dispatcher for one life of a node. Absent settings: no tenants means one; portions that are
+// all zero are taken as equal; an error names any setting that cannot be used.
+func New(s Settings, seed uint64) (*Dispatcher, error) {
+	if err := s.check(); err != nil {
+		return nil, err
+	}
+	env := &environment{settings: s, randomState: seed, logBudget: maxLogBurst}
+	d := &Dispatcher{
+		environment:  env,
+		jobs:         jobTable{byID: map[uint32]*job{}},
+		admission:    admission{environment: env},
+		capacity:     fleetCapacity{widestRequest: 1},
+		reports:      newLoadReports(env),
+		serviceTimes: newServiceTimes(env),
+		affinity:     keyAffinity{keyCounts: map[uint64]float64{}},
+		slowStart:    slowStartTracker{environment: env, removed: map[uint32]knownStart{}},
+		outliers:     outlierDetection{failingClasses: make([]bool, len(s.Classes))},
+		endpoints:    endpointList{environment: env, byID: map[uint32]*executor{}, byTag: map[uint16]*executor{}},
+		listWatch:    listWatch{environment: env},
+	}
+	d.admission.setTenants(s.Tenants)
+	d.admission.allArrivals.perSecond = d.admission.totalQuota / float64(s.Balancers)
+	d.admission.firstArrivals.perSecond = d.admission.allArrivals.perSecond
+	d.gossip.mode = d.chooseGossipMode()
+	if s.MayTell {
+		d.gossip.peers = make([]peer, s.Balancers)
+		d.aggregatorClient = newAggregatorClient(s.Balancers)
+		d.aggregatorServer = newAggregatorServer(env)
+	}
+	return d, nil
+}
+
 // Step takes in all that happened up to now, decides, and appends what to do to out.
 func (d *Dispatcher) Step(now float64, events []Event, out []Action) []Action {
 	d.now, d.actions = now, out
@@ -35,40 +104,42 @@
 	case EvList:
 		d.handleList(event)
 	case EvGone:
-		if job := d.jobs.byID[event.Job]; job != nil && !job.done {
+		if job := d.jobs.byID[event.Job]; job != nil {
 			d.finishJob(job)
 		}
 	case EvFirst:
-		if job := d.jobs.byID[event.Job]; job != nil && int(event.Attempt) < len(job.attempts) {
-			job.attempts[event.Attempt].executor.outlier.lastHeard = d.now
-			job.deadline = math.Inf(1)
-		}
+		d.handleStreamStart(event)
 	case EvPeer:
 		d.handlePeerMessage(event)
 	}
 }
 
-// tickSpan is the time between ticks: longer in a large fleet, where a tick has more to look at.
-func (d *Dispatcher) tickInterval() float64 {
-	if len(d.endpoints.listed) > fullScanLimit {
-		return max(10*d.settings.Step, 40)
+// handleStreamStart takes in that an answer has begun: its client has it, however long the rest takes.
+func (d *Dispatcher) handleStreamStart(event *Event) {
+	job := d.jobs.byID[event.Job]
+	if job == nil || int(event.Attempt) >= len(job.attempts) {
+		return
 	}
-	return max(5*d.settings.Step, 10)
+	job.attempts[event.Attempt].executor.outlier.lastHeard = d.now
+	job.deadline = math.Inf(1)
 }
 
-// margin is how long before a client leaves its answer is given: two ticks and a batch.
-func (d *Dispatcher) answerMargin() float64 {
-	return d.tickInterval() + max(d.tickInterval(), d.nextTick-d.now) + d.settings.Step
+// tickInterval is the time between ticks.
+func (d *Dispatcher) tickInterval() float64 {
+	if len(d.endpoints.listed) > fullScanLimit {
+		return max(largeFleetTickSteps*d.settings.Step, minLargeFleetTickMs)
+	}
+	return max(tickSteps*d.settings.Step, minTickMs)
 }
 
 // tick does all that goes by time.
 func (d *Dispatcher) tick() {
 	d.nextTick = d.now + d.tickInterval()
 	d.lastTimerToken++
-	d.actions = append(d.actions, Action{Kind: ActTimer, For: d.tickInterval(), Token: d.lastTimerToken})
-	d.pollList()
+	d.act(Action{Kind: ActTimer, For: d.tickInterval(), Token: d.lastTimerToken})
+	d.listWatch.poll()
 	if len(d.endpoints.listed) <= fullScanLimit || d.now >= d.outliers.nextCheck {
-		d.outliers.nextCheck = d.now + d.unresponsiveTimeout()/16
+		d.outliers.nextCheck = d.now + d.unresponsiveTimeout()/outlierChecksPerTimeout
 		d.detectOutliers()
 		if d.settings.MayDuplicate && !d.outliers.panicking {
 			d.hedgeUnresponsive()
@@ -79,7 +150,7 @@
 	}
 	if len(d.jobs.queue) > 0 {
 		d.needsPlacement = true
-		d.aggregatorClient.answerWanted = d.aggregatorClient.answerWanted || d.now-d.aggregatorClient.answeredAt > queryRetryFactor*d.answerTimeout()
+		d.wantAnswerForQueue()
 	}
 	d.checkHealth()
 	d.broadcastLoad()
@@ -88,60 +159,3 @@
 	}
 	d.logRejecting()
 }
-
-// Dispatcher decides for one node. See the package comment for what its host promises. It holds the state of each concern, takes
-// events in and gives actions out; the concerns do not know one another.
-type Dispatcher struct {
-	*environment
-
-	jobs             jobTable
-	admission        admission
-	capacity         fleetCapacity
-	reports          loadReports
-	serviceTimes     serviceTimes
-	affinity         keyAffinity
-	placement        placement
-	slowStart        slowStartTracker
-	outliers         outlierDetection
-	healthChecks     healthChecks
-	endpoints        endpointList
-	listWatch        listWatch
-	gossip           gossip
-	aggregatorClient aggregatorClient
-	aggregatorServer aggregatorServer
-	rejections       rejectionLog
-
-	nextTick       float64
-	lastTimerToken uint32
-}
-
-// New makes a Dispatcher for one life of a node. Absent settings: no tenants means one; portions that are
-// all zero are taken as equal; an error names any setting that cannot be used.
-func New(s Settings, seed uint64) (*Dispatcher, error) {
-	if err := s.check(); err != nil {
-		return nil, err
-	}
-	d := &Dispatcher{environment: &environment{settings: s, randomState: seed, logBudget: maxLogBurst}}
-	d.jobs.byID = map[uint32]*job{}
-	d.endpoints.byID, d.endpoints.byTag = map[uint32]*executor{}, map[uint16]*executor{}
-	d.slowStart.removed = map[uint32]knownStart{}
-	d.capacity.widestRequest = 1
-	d.affinity.keyCounts = map[uint64]float64{}
-	d.reports.interval, d.reports.age, d.reports.bestAge = initialReportIntervalMs, defaultReportAge*initialReportIntervalMs, 1
-	d.serviceTimes.minStartLag = s.ConnectTimeout / 10
-	d.setTenants(s.Tenants)
-	d.admission.allArrivals.perSecond = d.admission.totalQuota / float64(s.Balancers)
-	d.admission.firstArrivals.perSecond = d.admission.allArrivals.perSecond
-	d.serviceTimes.classes = make([]classStats, len(s.Classes))
-	d.outliers.failingClasses = make([]bool, len(s.Classes))
-	for i, c := range s.Classes {
-		d.serviceTimes.meanRun += max(1, c.Aim) / float64(len(s.Classes))
-		d.serviceTimes.meanSlotTime = d.serviceTimes.meanRun
-		d.serviceTimes.classes[i] = newClassStats(c)
-	}
-	if d.gossip.mode = d.chooseGossipMode(); s.MayTell {
-		d.gossip.peers = make([]peer, s.Balancers)
-		d.startAggregator()
-	}
-	return d, nil
-}
--- a/brain/executor.go
+++ b/brain/executor.go
@@ -40,48 +40,71 @@
 // endedAttempt is an attempt that has ended.
 type endedAttempt struct{ sentAt, endedAt, slots float64 }
 
-// lastOnes are workers of which something was seen last, the latest first.
-type recentExecutors [8]*executor
+// isOpen says whether an attempt of a job is in flight at an executor, and was not written off.
+func (a *attempt) isOpen(executor *executor) bool {
+	return a.executor == executor && !a.resolved && !a.writtenOff
+}
 
-// ownOut is how many slots of ours are out at all workers.
-func (d *Dispatcher) ownSlotsInFlight() (slots float64) {
-	for _, executor := range d.outliers.busy {
-		slots += executor.inFlight.slots
+// removeJob takes one attempt of a job out of those in flight, and says whether there was one.
+func (e *executor) removeJob(job *job) bool {
+	i := slices.Index(e.inFlight.jobs, job)
+	if i < 0 {
+		return false
 	}
-	return slots
+	e.inFlight.jobs = slices.Delete(e.inFlight.jobs, i, i+1)
+	return true
+}
+
+// countUnstarted counts the attempts in flight that the executor has not said it started.
+func (e *executor) countUnstarted(now float64) {
+	unstarted, slots, oldest := 0, 0.0, now
+	for _, job := range e.inFlight.jobs {
+		for i := range job.attempts {
+			if attempt := &job.attempts[i]; attempt.isOpen(e) && attempt.startedAt == 0 {
+				unstarted++
+				slots += job.slots
+				oldest = min(oldest, attempt.sentAt)
+			}
+		}
+	}
+	e.inFlight.unstarted, e.inFlight.unstartedSlots, e.inFlight.oldestUnstarted = unstarted, slots, oldest
 }
 
-// sentSince is the slot-time of the attempts that were sent to a worker from a time on, with those that have ended.
+// recordEnded keeps an attempt that has ended and used slots of the executor.
+func (a *inFlightAttempts) recordEnded(ended endedAttempt) {
+	a.ended[a.endedCount%endedAttemptsKept] = ended
+	a.endedCount++
+}
+
+// workSentSince is the slot-time of the attempts that were sent to an executor from a time on, with those that have ended.
 func (d *Dispatcher) workSentSince(executor *executor, from float64) (work float64) {
+	speed := d.serviceTimes.kindSpeed(executor.endpoint.kind)
 	for _, job := range executor.inFlight.jobs {
 		for i := range job.attempts {
 			if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && attempt.sentAt >= from {
-				work += job.slots * job.work / d.kindSpeed(executor.endpoint.kind)
+				work += job.slots * job.work / speed
 			}
 		}
 	}
-	for _, x := range executor.inFlight.ended {
-		if x.sentAt >= from {
-			work += x.slots * (x.endedAt - x.sentAt)
+	for _, attempt := range executor.inFlight.ended {
+		if attempt.sentAt >= from {
+			work += attempt.slots * (attempt.endedAt - attempt.sentAt)
 		}
 	}
 	return work
 }
 
-// countWaits counts a worker's attempts of ours that were not started.
-func (d *Dispatcher) countUnstarted(executor *executor) {
-	executor.inFlight.unstarted, executor.inFlight.unstartedSlots, executor.inFlight.oldestUnstarted = 0, 0, d.now
-	for _, job := range executor.inFlight.jobs {
-		for i := range job.attempts {
-			if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && !attempt.writtenOff && attempt.startedAt == 0 {
-				executor.inFlight.unstarted++
-				executor.inFlight.unstartedSlots += job.slots
-				executor.inFlight.oldestUnstarted = min(executor.inFlight.oldestUnstarted, attempt.sentAt)
-			}
-		}
+// ownSlotsInFlight is how many slots this node holds at all executors.
+func (d *Dispatcher) ownSlotsInFlight() (slots float64) {
+	for _, executor := range d.outliers.busy {
+		slots += executor.inFlight.slots
 	}
+	return slots
 }
 
+// recentExecutors are executors of which something was seen last, the latest first.
+type recentExecutors [8]*executor
+
 func (l *recentExecutors) add(executor *executor) {
 	i := slices.Index(l[:], executor)
 	if i < 0 {
--- a/brain/gossip.go
+++ b/brain/gossip.go
@@ -2,72 +2,92 @@
 
 import (
 	"math"
-	"slices"
 )
 
+// Nodes tell one another of the slots that they hold. A few nodes tell all others, now and then, of each executor where they hold
+// some: 3 bytes, of its tag and the number. Where nodes are so many that this is dear or long over, one of them, the aggregator, is
+// notified of each change, and answers what all others hold when it is asked, which a node does when a job comes. That costs the same
+// for each request however many nodes there are. Numbers are whole and not steps: what a lost message told comes with the next of
+// that executor or with a reminder, and what no reminder tells lapses.
+
 const (
-	gossipIntervals          = 0.3 // report periods between messages to other nodes
-	maxGossipBytesPerRequest = 192 // bytes of messages for each of our requests, at most: knowledge against price
+	// gossipIntervals is the time between broadcasts, in report intervals.
+	gossipIntervals = 0.3
+
+	// maxGossipBytesPerRequest is how many bytes of messages are paid for by each of our requests: knowledge against its price.
+	maxGossipBytesPerRequest = 192
+
+	// broadcastEntryBytes is the length of an entry of a broadcast: two bytes of tag and one of slots.
+	broadcastEntryBytes = 3
+
+	// maxBroadcastBytes is the greatest length of a broadcast.
+	maxBroadcastBytes = 255
+
+	// maxBroadcastSlots is the greatest number of slots that an entry can tell.
+	maxBroadcastSlots = 255
 )
 
-// telling says how a node tells the others what it has out; all judge alike, by the settings.
+// gossipMode says how a node tells the others what it holds. All nodes judge alike, by the settings.
 type gossipMode uint8
 
+// The modes.
 const (
 	gossipNone       gossipMode = iota
 	gossipBroadcast             // all of it, to all, now and then
-	gossipAggregator            // each change, to the hub
+	gossipAggregator            // each change, to the aggregator
 )
 
-// peer is what another node told to have out.
+// gossip is what other nodes tell of the slots that they hold.
+type gossip struct {
+	mode          gossipMode
+	peers         []peer  // by node number
+	freshPeers    int     // that were heard of lately
+	nextPeerSum   float64 // when those not heard of are next left out
+	nextBroadcast float64
+}
+
+// peer is what another node told that it holds.
 type peer struct {
-	heardAt        float64 // when it told all, where all is told
-	fresh          bool    // counted in what all have out
+	heardAt        float64 // of its last broadcast
+	fresh          bool    // its loads are counted in what all hold
 	loads          []peerLoad
-	suspectedUntil float64 // suspected as a hub until then, for the time after
-	timeouts       int     // as many times running
+	suspectedUntil float64 // it is not used as the aggregator before
+	timeouts       int     // as the aggregator, in a row
 }
 
+// peerLoad is how many slots another node holds at one executor.
 type peerLoad struct {
 	tag     uint16
 	slots   float64
 	heardAt float64
 }
 
-// howToTell says what the other nodes are told: all, now and then; or, where nodes are so many that the bytes allow
-// that less often than a load report is old when it comes, a hub, unless it would have too much to do; or nothing.
+// executorGossip is what nodes tell one another of an executor.
+type executorGossip struct {
+	peerSlots     float64 // that other nodes hold, where each broadcasts its load
+	hiddenSlots   float64 // held there and told by nobody, as was seen at hiddenAt
+	hiddenAt      float64
+	notifiedSlots float64 // ours, as the aggregator was last notified at notifiedAt
+	notifiedAt    float64
+}
+
+// chooseGossipMode says what the other nodes are told: all, now and then; or, where nodes are so many that the bytes allow that less
+// often than a load report is old when it comes, an aggregator, unless it would have too much to do; or nothing.
 func (d *Dispatcher) chooseGossipMode() gossipMode {
 	nodes := float64(d.settings.Balancers)
-	each := max(d.admission.totalQuota/nodes, 1)
-	usual := 3 * (each*d.serviceTimes.meanSlotTime/1000 + 1) * (nodes - 1)
+	rate := max(d.admission.totalQuota/nodes, 1)
+	usualBytes := broadcastEntryBytes * (rate*d.serviceTimes.meanSlotTime/1000 + 1) * (nodes - 1)
 	switch {
 	case !d.settings.MayTell || nodes < 2:
-	case 1000*usual/(maxGossipBytesPerRequest*each) <= d.reports.age:
+	case 1000*usualBytes/(maxGossipBytesPerRequest*rate) <= d.reports.age:
 		return gossipBroadcast
-	case each*nodes <= maxAggregatorRate:
+	case rate*nodes <= maxAggregatorRate:
 		return gossipAggregator
 	}
 	return gossipNone
 }
 
-// tell sends the other nodes our slots out at each worker, about twice a report period, within a number of
-// bytes for each request.
-func (d *Dispatcher) broadcastLoad() {
-	if d.gossip.mode != gossipBroadcast || d.now < d.gossip.nextBroadcast {
-		return
-	}
-	var data []byte
-	for _, executor := range d.outliers.busy {
-		if n := math.Round(executor.inFlight.slots); n > 0 && len(data)+3 <= 255 {
-			data = append(data, byte(executor.tag>>8), byte(executor.tag), byte(min(n, 255)))
-		}
-	}
-	d.actions = append(d.actions, Action{Kind: ActTell, To: AllPeers, Data: data})
-	bytes := float64(len(data) * (d.settings.Balancers - 1))
-	d.gossip.nextBroadcast = d.now + max(gossipIntervals*d.reports.interval, 1000*bytes/(maxGossipBytesPerRequest*max(d.admission.allArrivals.perSecond, 1)))*(0.8+0.4*d.random())
-}
-
-// tagOf names a worker in messages: the same at all nodes.
+// tagOf names an executor in messages, alike at all nodes.
 func (d *Dispatcher) tagOf(id uint32) uint16 {
 	tag := uint16(mix64(uint64(id)))
 	if d.gossip.mode == gossipAggregator {
@@ -76,20 +96,26 @@
 	return tag
 }
 
-// hidden is what others hold at a worker that no message told of: a job of ours that is not started though there should
-// be room shows it, and it is taken to end over a run. Nodes that were killed, and hubs, leave such jobs behind, and to
-// tell of them spares every other node the same wait.
-func (d *Dispatcher) hiddenSlots(executor *executor) float64 {
-	if d.settings.TellsStart && executor.inFlight.unstarted > 0 && d.now-executor.inFlight.oldestUnstarted > d.startNoteTimeout() {
-		n := d.knownSlots(executor) * d.slowStartShare(executor)
-		if full := n - executor.inFlight.slots - d.peerSlotsAt(executor); full >= executor.gossip.hiddenSlots {
-			executor.gossip.hiddenSlots, executor.gossip.hiddenAt = full, d.now
+// broadcastLoad tells the other nodes what this one holds at each executor, within a number of bytes for each request.
+func (d *Dispatcher) broadcastLoad() {
+	if d.gossip.mode != gossipBroadcast || d.now < d.gossip.nextBroadcast {
+		return
+	}
+	var data []byte
+	for _, executor := range d.outliers.busy {
+		slots := math.Round(executor.inFlight.slots)
+		if slots > 0 && len(data)+broadcastEntryBytes <= maxBroadcastBytes {
+			data = append(data, byte(executor.tag>>8), byte(executor.tag), byte(min(slots, maxBroadcastSlots)))
 		}
 	}
-	return max(0, executor.gossip.hiddenSlots*(1-(d.now-executor.gossip.hiddenAt)/d.serviceTimes.meanRun))
+	d.act(Action{Kind: ActTell, To: AllPeers, Data: data})
+	bytes := float64(len(data) * (d.settings.Balancers - 1))
+	affordable := 1000 * bytes / (maxGossipBytesPerRequest * max(d.admission.allArrivals.perSecond, 1))
+	interval := max(gossipIntervals*d.reports.interval, affordable)
+	d.gossip.nextBroadcast = d.now + interval*(0.8+0.4*d.random())
 }
 
-// heardPeer takes in what another node has out.
+// handlePeerMessage takes in what another node holds.
 func (d *Dispatcher) handlePeerMessage(event *Event) {
 	if int(event.From) >= len(d.gossip.peers) || int(event.From) == d.settings.Me {
 		return
@@ -105,40 +131,38 @@
 		d.gossip.freshPeers++
 	}
 	peer.heardAt, peer.fresh, peer.loads = d.now, true, peer.loads[:0]
-	for i := 0; i+3 <= len(event.Data); i += 3 {
-		peer.loads = append(peer.loads, peerLoad{uint16(event.Data[i])<<8 | uint16(event.Data[i+1]), float64(event.Data[i+2]), d.now})
+	for i := 0; i+broadcastEntryBytes <= len(event.Data); i += broadcastEntryBytes {
+		tag := uint16(event.Data[i])<<8 | uint16(event.Data[i+1])
+		peer.loads = append(peer.loads, peerLoad{tag: tag, slots: float64(event.Data[i+2]), heardAt: d.now})
 	}
 	d.addPeerLoad(peer, 1)
 	d.needsPlacement = true
 }
 
-// addPeer adds what another node has out to what all have, or takes it off.
+// addPeerLoad adds what another node holds to what all hold, or takes it off.
 func (d *Dispatcher) addPeerLoad(peer *peer, sign float64) {
-	for _, x := range peer.loads {
-		if executor := d.endpoints.byTag[x.tag]; executor != nil {
-			executor.gossip.peerSlots += sign * x.slots
+	for _, load := range peer.loads {
+		if executor := d.endpoints.byTag[load.tag]; executor != nil {
+			executor.gossip.peerSlots += sign * load.slots
 		}
 	}
 }
 
-// sumPeers adds up what the other nodes have out, leaving out those not heard of for some periods, and what they did
-// not remind us of.
+// sumPeerLoads adds up what the other nodes hold, leaving out those not heard of for some intervals, and what no reminder told.
 func (d *Dispatcher) sumPeerLoads() {
 	d.gossip.freshPeers, d.needsPlacement = 0, true
 	d.gossip.nextPeerSum = d.now + d.reports.interval/4
-	clear(d.aggregatorServer.slotTotals)
+	if d.gossip.mode == gossipAggregator {
+		d.aggregatorServer.sumLoads(d.gossip.peers, d.reminderInterval())
+	}
 	for _, executor := range d.endpoints.listed {
 		executor.gossip.peerSlots = 0
 	}
+	if d.gossip.mode == gossipAggregator {
+		return
+	}
 	for i := range d.gossip.peers {
 		peer := &d.gossip.peers[i]
-		if d.gossip.mode == gossipAggregator {
-			peer.loads = slices.DeleteFunc(peer.loads, func(x peerLoad) bool { return d.now-x.heardAt > 2*d.reminderInterval() })
-			for _, x := range peer.loads {
-				d.aggregatorServer.slotTotals[x.tag] += x.slots
-			}
-			continue
-		}
 		peer.fresh = peer.heardAt > 0 && d.now-peer.heardAt <= freshReportIntervals*d.reports.interval
 		if peer.fresh {
 			d.gossip.freshPeers++
@@ -147,43 +171,39 @@
 	}
 }
 
-// peersKnown says that it is known what most other nodes have out: they told lately, or the hub answered lately.
+// peerLoadsKnown says that it is known what most other nodes hold: they told lately, or the aggregator answered lately.
 func (d *Dispatcher) peerLoadsKnown() bool {
 	if d.gossip.mode != gossipAggregator {
 		return 2*d.gossip.freshPeers >= len(d.gossip.peers) && len(d.gossip.peers) > 1
 	}
-	if d.aggregatorClient.current == d.settings.Me {
-		return d.aggregatorIsReady()
+	if d.isAggregator() {
+		return d.aggregatorServer.isReady(d.serviceTimes.meanRun)
 	}
-	return d.aggregatorClient.answeredAt > 0 && d.now-d.aggregatorClient.answeredAt <= maxAnswerAge*d.answerTimeout()
+	client := &d.aggregatorClient
+	return client.answeredAt > 0 && d.now-client.answeredAt <= maxAnswerAge*d.answerTimeout()
 }
 
-// foreign is what other nodes have out at a worker, by their last messages; nodes not heard of count as the
-// mean of the others.
+// peerSlotsAt is what other nodes hold at an executor, by their last messages; nodes not heard of count as the mean of the others.
 func (d *Dispatcher) peerSlotsAt(executor *executor) float64 {
-	if d.gossip.mode == gossipAggregator {
-		if d.aggregatorClient.current == d.settings.Me {
-			return d.aggregatorServer.slotTotals[executor.tag]
-		}
-		return d.aggregatorClient.peerSlots[executor.tag]
+	switch {
+	case d.gossip.mode != gossipAggregator:
+		return executor.gossip.peerSlots * float64(len(d.gossip.peers)-1) / float64(max(d.gossip.freshPeers, 1))
+	case d.isAggregator():
+		return d.aggregatorServer.slotTotals[executor.tag]
 	}
-	return executor.gossip.peerSlots * float64(len(d.gossip.peers)-1) / float64(max(d.gossip.freshPeers, 1))
+	return d.aggregatorClient.peerSlots[executor.tag]
 }
 
-// executorGossip is what nodes tell one another of an executor.
-type executorGossip struct {
-	peerSlots     float64 // that other nodes hold, where each broadcasts its load
-	hiddenSlots   float64 // held there and told by nobody, as was seen at hiddenAt
-	hiddenAt      float64
-	notifiedSlots float64 // ours, as the aggregator was last notified at notifiedAt
-	notifiedAt    float64
-}
-
-// gossip is what other nodes tell of the slots that they hold.
-type gossip struct {
-	mode          gossipMode
-	peers         []peer  // by node number
-	freshPeers    int     // that were heard of lately
-	nextPeerSum   float64 // when those not heard of are next left out
-	nextBroadcast float64
+// hiddenSlots is what others hold at an executor that no message told of: a job of ours that is not started though there should be a
+// free slot shows it, and it is taken to end over a run. Nodes and aggregators that were killed leave such jobs behind, and to tell of
+// them spares every other node the same wait.
+func (d *Dispatcher) hiddenSlots(executor *executor) float64 {
+	known := &executor.gossip
+	if executor.inFlight.unstarted > 0 && d.isStartOverdue(executor) {
+		slots := d.knownSlots(executor) * d.slowStart.share(executor)
+		if hidden := slots - executor.inFlight.slots - d.peerSlotsAt(executor); hidden >= known.hiddenSlots {
+			known.hiddenSlots, known.hiddenAt = hidden, d.now
+		}
+	}
+	return max(0, known.hiddenSlots*(1-(d.now-known.hiddenAt)/d.serviceTimes.meanRun))
 }
--- a/brain/healthcheck.go
+++ b/brain/healthcheck.go
@@ -1,9 +1,30 @@
 package brain
 
 const (
-	maxChecksPerRequest = 4 // probes for each of our requests, at most: knowledge against their price
+	// maxChecksPerRequest is how many health checks are paid for by each of our requests, at most: knowledge against its price.
+	maxChecksPerRequest = 4
+
+	// checkIntervalFactor is the least time between checks of an executor, in report intervals.
+	checkIntervalFactor = 0.8
+
+	// minCheckedRate is the rate of requests, a second, that pays for checks even where fewer come.
+	minCheckedRate = 0.5
+
+	// quietMs is the time without a request from which on the rate of requests is known to have fallen.
+	quietMs = 1000
 )
 
+// healthCheckState is the last health check of an executor. The interval to the next has a random factor of its own, and follows the
+// traffic otherwise: a node that was quiet at its start does not stay blind for long once requests come.
+type healthCheckState struct {
+	pending        bool
+	sentAt         float64
+	intervalFactor float64
+}
+
+// healthChecks counts the checks that no answer came to yet.
+type healthChecks struct{ inFlight int }
+
 func (d *Dispatcher) handleHealthCheck(event *Event) {
 	executor := d.endpoints.byID[event.Worker]
 	if executor == nil {
@@ -23,61 +44,61 @@
 	}
 }
 
-// probe asks workers for their load, about once a report period, within a number for each request.
+func (d *Dispatcher) checksAreAllowed() bool {
+	return d.settings.MayProbe && d.settings.Telemetry == ReportProbes
+}
+
+// checkHealth asks the executors of a small fleet for their load, about once a report interval, within a number of checks for each
+// request. In a large fleet, checkHealthFor asks for each job.
 func (d *Dispatcher) checkHealth() {
-	if n := len(d.endpoints.listed); !d.settings.MayProbe || d.settings.Telemetry != ReportProbes || n == 0 || n > fullScanLimit {
-		return // of a large fleet probeFor asks for each job
+	executors := len(d.endpoints.listed)
+	if !d.checksAreAllowed() || executors == 0 || executors > fullScanLimit {
+		return
 	}
 	rate := d.admission.allArrivals.perSecond
-	if quiet := d.now - d.admission.allArrivals.last; d.admission.allArrivals.last > 0 && quiet > 1000 {
+	if quiet := d.now - d.admission.allArrivals.last; d.admission.allArrivals.last > 0 && quiet > quietMs {
 		rate = min(rate, 1000/quiet)
 	}
-	span := max(d.reports.interval*0.8, 1000*float64(len(d.endpoints.listed))/(maxChecksPerRequest*max(rate, 0.5)))
+	affordable := 1000 * float64(executors) / (maxChecksPerRequest * max(rate, minCheckedRate))
+	interval := max(d.reports.interval*checkIntervalFactor, affordable)
 	for _, executor := range d.endpoints.listed {
-		if executor.endpoint.condition != Ready || executor.healthCheck.pending || d.now-executor.healthCheck.sentAt < span*executor.healthCheck.intervalFactor {
-			continue
+		check := &executor.healthCheck
+		if executor.endpoint.condition == Ready && !check.pending && d.now-check.sentAt >= interval*check.intervalFactor {
+			d.sendHealthCheck(executor)
 		}
-		d.sendHealthCheck(executor)
 	}
 }
 
 func (d *Dispatcher) sendHealthCheck(executor *executor) {
-	executor.healthCheck.pending, executor.healthCheck.sentAt, executor.healthCheck.intervalFactor = true, d.now, 0.8+0.4*d.random()
+	executor.healthCheck = healthCheckState{pending: true, sentAt: d.now, intervalFactor: 0.8 + 0.4*d.random()}
 	d.healthChecks.inFlight++
-	d.actions = append(d.actions, Action{Kind: ActProbe, Worker: executor.id})
+	d.act(Action{Kind: ActProbe, Worker: executor.id})
 }
 
-// probeFor asks, in a large fleet, some workers for each job that comes, which waits for their answers: by
-// turns each would be old when a job comes. Half are those used last, half are drawn.
+// checkHealthFor asks, in a large fleet, some executors for each job that comes, which waits for their answers: an answer that was
+// asked for in turn would be old when a job comes. Half are those used last, half are drawn.
 func (d *Dispatcher) checkHealthFor(job *job) {
-	if !d.settings.MayProbe || d.settings.Telemetry != ReportProbes || len(d.endpoints.listed) <= fullScanLimit {
+	if !d.checksAreAllowed() || len(d.endpoints.listed) <= fullScanLimit {
 		return
 	}
-	n := 0
-	try := func(executor *executor) {
-		if executor != nil && executor.endpoint.condition == Ready && !executor.healthCheck.pending && d.now-executor.load.reportedAt > d.reports.interval/2 && d.isUsable(executor) {
+	sent := 0
+	for i := 0; i < len(d.placement.recentServers) && sent < maxChecksPerRequest/2; i++ {
+		executor := d.placement.recentServers[i]
+		if executor != nil && d.hasOpenConnection(executor) && d.isCheckDue(executor) {
 			d.sendHealthCheck(executor)
-			n++
+			sent++
 		}
 	}
-	for i := 0; i < len(d.placement.recentServers) && n < maxChecksPerRequest/2; i++ {
-		if executor := d.placement.recentServers[i]; executor != nil && d.hasOpenConnection(executor) {
-			try(executor)
+	for i := 0; i < 2*maxChecksPerRequest && sent < maxChecksPerRequest; i++ {
+		if executor := d.drawExecutor(); d.isCheckDue(executor) {
+			d.sendHealthCheck(executor)
+			sent++
 		}
 	}
-	for i := 0; i < 2*maxChecksPerRequest && n < maxChecksPerRequest; i++ {
-		try(d.endpoints.listed[int(d.random()*float64(len(d.endpoints.listed)))])
-	}
 	job.holdUntil = d.now + d.tickInterval()
 }
 
-// healthCheckState is the last health check of an executor. The interval to the next has a random factor of its own, and follows the
-// traffic otherwise: a node that was quiet at its start does not stay blind for long once requests come.
-type healthCheckState struct {
-	pending        bool
-	sentAt         float64
-	intervalFactor float64
+func (d *Dispatcher) isCheckDue(executor *executor) bool {
+	return executor.endpoint.condition == Ready && !executor.healthCheck.pending &&
+		d.now-executor.load.reportedAt > d.reports.interval/2 && d.isUsable(executor)
 }
-
-// healthChecks counts the checks that no answer came to yet.
-type healthChecks struct{ inFlight int }
--- a/brain/hedging.go
+++ b/brain/hedging.go
@@ -1,38 +1,48 @@
 package brain
 
-// late takes in that a worker owes a sign that it took a job for longer than it and its peers usually do.
-// Beside others that are heard of, one such attempt is its connection's fault: the worker is kept. It holds
-// no slots in our books, and its job may be tried elsewhere too, where that is allowed.
+// handleOverdueAck takes in that an executor has not said that it took a job for longer than it and its peers usually need. Beside
+// other attempts that are heard of, a single one is its connection's fault, and the executor is kept. The attempt counts as holding
+// no slots, and its job may be hedged, where that is allowed.
 func (d *Dispatcher) handleOverdueAck(job *job, attempt *attempt) {
-	executor, owed := attempt.executor, 0
 	if attempt.startedAt > 0 || attempt.ackOverdue || attempt.writtenOff {
 		return
 	}
+	executor := attempt.executor
 	attempt.ackOverdue, attempt.writtenOff, d.needsPlacement = true, true, true
 	executor.inFlight.slots -= job.slots
-	d.countUnstarted(executor)
-	for _, k := range executor.inFlight.jobs {
-		if last := &k.attempts[len(k.attempts)-1]; last.executor == executor && last.ackOverdue {
-			owed++
+	executor.countUnstarted(d.now)
+	overdue := 0
+	for _, other := range executor.inFlight.jobs {
+		if last := other.lastAttempt(); last.executor == executor && last.ackOverdue {
+			overdue++
 		}
 	}
-	if executor.outlier.lastHeard <= attempt.sentAt || owed > 1 {
+	if executor.outlier.lastHeard <= attempt.sentAt || overdue > 1 {
 		d.eject(executor, "owing signs of jobs")
 		executor.outlier.ackOverdueAt, executor.outlier.ackOverdueUntil = d.now, 2*executor.outlier.ejectedUntil-d.now
 	}
 }
 
-// hedge sends the jobs of a silent worker elsewhere too, where that is allowed.
+func (j *job) lastAttempt() *attempt { return &j.attempts[len(j.attempts)-1] }
+
+// hedgeUnresponsive queues the jobs of unresponsive executors to be sent elsewhere as well, where that is allowed.
 func (d *Dispatcher) hedgeUnresponsive() {
 	for _, executor := range d.outliers.busy {
 		for _, job := range executor.inFlight.jobs {
-			// One that was sent to see whether the worker lives gets its time for that, and one that queues
-			// would only queue elsewhere too.
-			class, last := &d.settings.Classes[job.class], &job.attempts[len(job.attempts)-1]
-			still := executor.outlier.unresponsive && d.now-last.sentAt > d.unresponsiveTimeout()/2 && (last.startedAt > 0 || !d.settings.TellsStart)
-			if (still || last.ackOverdue) && !job.done && !job.queued && job.inFlight == 1 && class.Effect != Unsafe {
+			if d.isHedgeDue(executor, job) {
 				d.enqueue(job)
 			}
 		}
 	}
 }
+
+func (d *Dispatcher) isHedgeDue(executor *executor, job *job) bool {
+	if job.done || job.queued || job.inFlight != 1 || d.settings.Classes[job.class].Effect == Unsafe {
+		return false
+	}
+	last := job.lastAttempt()
+	// A job that was sent to see whether the executor lives gets its time for that, and one that queues would only queue elsewhere too.
+	stuck := executor.outlier.unresponsive && d.now-last.sentAt > d.unresponsiveTimeout()/2 &&
+		(last.startedAt > 0 || !d.settings.TellsStart)
+	return stuck || last.ackOverdue
+}
--- a/brain/hub_test.go
+++ b/brain/hub_test.go
@@ -280,12 +280,12 @@
 			continue
 		}
 		executor := d.endpoints.listed[30]
-		share := d.slowStartShare(executor)
+		share := d.slowStart.share(executor)
 		c.send(i, 300) // brings what the hub tells
 		if got, want := d.availableSlots(executor), math.Round(4*share)-d.peerSlotsAt(executor)-executor.inFlight.slots; got != want {
 			t.Errorf("node %d: room for %v more at a share of %.2f, want %v", i, got, share, want)
 		}
-		if n := executor.inFlight.slots + d.peerSlotsAt(executor) + 1; n <= 4*share && d.executorSpeed(executor) < d.kindSpeed(executor.endpoint.kind) {
+		if n := executor.inFlight.slots + d.peerSlotsAt(executor) + 1; n <= 4*share && d.executorSpeed(executor) < d.serviceTimes.kindSpeed(executor.endpoint.kind) {
 			t.Errorf("node %d: job %v of 4 slots at a share of %.2f is taken to run slowly", i, n, share)
 		}
 		if executor.slowStart.creditAt == 0 {
@@ -308,7 +308,7 @@
 				t.Errorf("node %d sends to worker %d, where another's job waits already", i, w)
 			}
 		}
-		c.run(c.nodes[i].startNoteTimeout() + 100)
+		c.run(c.nodes[i].serviceTimes.startNoteTimeout() + 100)
 	}
 	if len(at) < 10 {
 		t.Errorf("%d workers were tried", len(at))
@@ -491,7 +491,7 @@
 		b.Fatal(err)
 	}
 	d.gossip.mode = gossipAggregator // whatever the bound is
-	d.settings.Me = d.pickAggregator()
+	d.settings.Me = d.aggregatorClient.pick(d.gossip.peers, d.now)
 	rows := fleet(200)
 	now := 100000.0
 	out := d.Step(now, []Event{{Kind: EvList, Form: ListCached, Rows: rows}}, nil)
--- a/brain/outlier.go
+++ b/brain/outlier.go
@@ -6,138 +6,234 @@
 )
 
 const (
-	unresponsiveIntervals = 2.5  // progress periods without a sign of life before a worker counts as standing still
-	queuedGraceFactor     = 8    // usual waits that a queued job may have: fewer finds the dead sooner, and copies
-	errorAverageMemory    = 0.8  // memory of the error average: higher ejects later and forgives later
-	ejectionErrorRate     = 0.45 // error average that ejects: three failures running
-	panicThreshold        = 0.5  // with more than this part of the workers ejected, ejection is ignored
-	baseEjectionFactor    = 2    // first ejection, in connect time-outs; doubles each time
-	maxBackoffDoublings   = 5    // doublings at most
+	// unresponsiveIntervals is how long an executor may give no sign of life while attempts are in flight there, in intervals of
+	// progress notes.
+	unresponsiveIntervals = 2.5
+
+	// unnotedIntervalFactor is how many times the mean run of the first class stands for that interval where there are no notes.
+	unnotedIntervalFactor = 2
+
+	// queuedGraceFactor is how much longer a job that has not started may be silent, in usual waits for a start. Fewer finds dead
+	// executors sooner, and hedges more jobs that only queue.
+	queuedGraceFactor = 8
+
+	// errorAverageMemory is the memory of an executor's error average. More ejects later and forgives later.
+	errorAverageMemory = 0.8
+
+	// ejectionErrorRate is the error average that ejects: three failures in a row.
+	ejectionErrorRate = 0.45
+
+	// panicThreshold is the part of the executors from which on ejections are ignored: so many do not fail by themselves.
+	panicThreshold = 0.5
+
+	// baseEjectionFactor is the length of a first ejection, in connect timeouts. It doubles each time.
+	baseEjectionFactor = 2
+
+	// maxBackoffDoublings is how often an ejection or a backoff doubles at most.
+	maxBackoffDoublings = 5
+
+	// maxRejectionDoublings bounds the backoff from an executor that is full.
+	maxRejectionDoublings = 5
+
+	// rejectionBackoffFactor is the mean of the first such backoff, twice, in report intervals.
+	rejectionBackoffFactor = 0.25
 )
 
-// usable says whether new work may go to a worker at all.
+// outlierState is whether an executor works at all, as its attempts show.
+type outlierState struct {
+	unresponsive    bool    // it gives no sign of life though attempts are in flight
+	onProbation     bool    // after an ejection: one job at a time until one is served
+	ejectedUntil    float64 // nothing is sent before
+	errorAverage    float64 // of resets, between 0 and 1
+	lastHeard       float64 // last sign of life
+	ejections       int     // without a served attempt between
+	retryAt         float64 // an unresponsive executor gets one job from then on
+	retries         int     // such jobs since it was last heard of
+	ackOverdueAt    float64 // when it was last ejected for overdue acknowledgements
+	ackOverdueUntil float64 // until then nothing goes there that must not be lost
+}
+
+// outlierDetection finds executors that do not work.
+type outlierDetection struct {
+	busy           []*executor // with attempts of ours in flight
+	ejected        []*executor // those that are, or were since the last check
+	nextCheck      float64     // in a large fleet
+	failingClasses []bool      // by class: it fails at so many executors that they are not to blame
+	panicking      bool        // so many are ejected that ejections are ignored
+}
+
+func (o *outlierDetection) removeBusy(executor *executor) {
+	i := slices.Index(o.busy, executor)
+	o.busy = slices.Delete(o.busy, i, i+1)
+}
+
+// isUsable says whether new work may go to an executor at all.
 func (d *Dispatcher) isUsable(executor *executor) bool {
-	if (executor.connections.dialFailures > 0 && (d.now < executor.connections.dialBackoffUntil || executor.connections.opening > 0) || d.isQuarantined(executor, connectionQuarantine)) && !d.hasOpenConnection(executor) {
-		// A worker can serve over the connections it has and take no new one (its table is full, or new
-		// ones are cut): a served job says nothing of the next connect. One new connection tries at a time.
+	if d.isDialBlocked(executor) && !d.hasOpenConnection(executor) {
 		return false
 	}
-	// A silent worker is tried again with one job now and then: else one that was cut off and holds jobs
-	// whose end was lost would stay out until the last client's time is over (i3f1d0e).
-	return executor.endpoint.condition == Ready && (d.outliers.panicking || d.now >= executor.outlier.ejectedUntil && (!executor.outlier.unresponsive || d.now >= executor.outlier.retryAt))
+	if executor.endpoint.condition != Ready {
+		return false
+	}
+	// An unresponsive executor gets one job now and then. One that was cut off, and holds jobs whose end was lost, would otherwise
+	// stay out until the last client's time is over.
+	outlier := &executor.outlier
+	return d.outliers.panicking || d.now >= outlier.ejectedUntil && (!outlier.unresponsive || d.now >= outlier.retryAt)
 }
 
-// judge draws from an outcome what it says of the worker: its room, speed, errors and connections.
+// judgeOutcome draws from an outcome what it says of the executor: its free slots, speed, errors and connections.
 func (d *Dispatcher) judgeOutcome(job *job, attempt *attempt, o Outcome) {
 	executor := attempt.executor
 	switch o {
-	case Served, Errored, Reset:
-		executor.load.freeSlots += job.slots
-		executor.inFlight.ended[executor.inFlight.endedCount%len(executor.inFlight.ended)] = endedAttempt{attempt.sentAt, d.now, job.slots}
-		executor.inFlight.endedCount++
-	case Full:
-		executor.load.freeSlots = min(executor.load.freeSlots+job.slots, 0)
-		executor.load.softLimit = max(1, softLimitBackoff*executor.inFlight.slots)
-		executor.load.rejections = min(executor.load.rejections+1, 6)
-		executor.load.rejectedUntil = d.now + d.reports.interval*0.25*float64(int(1)<<(executor.load.rejections-1))*(0.5+d.random())
-	case ConnectFailed, Moot:
-		executor.load.freeSlots += job.slots
-	}
-	switch o {
 	case Served:
-		d.noteAlive(executor)
-		executor.outlier.errorAverage *= errorAverageMemory
-		if executor.load.rejections = 0; attempt.sentAt >= executor.outlier.ackOverdueAt { // else it shows nothing of what came since
-			executor.outlier.ejections, executor.outlier.onProbation, executor.outlier.ackOverdueUntil = 0, false, 0
-		}
-		late := d.now > job.objectiveAt && attempt.sentAt+job.work/d.meanSpeed() <= job.objectiveAt
-		blind := executor.load.reportedAt == 0 || d.now-executor.load.reportedAt > reportsEndedFactor*d.reportTTL() // a pause is not the end
-		if late && blind && attempt.sentAt > executor.load.softLimitCutAt {
-			// With no reports and no 'full' only lateness shows a queue: one cut for all sent before it.
-			executor.load.softLimit, executor.load.softLimitCutAt = max(1, softLimitBackoff*executor.load.softLimit), d.now
-		} else if !late && executor.inFlight.slots+job.slots >= math.Floor(executor.load.softLimit) {
-			executor.load.softLimit += job.slots / executor.load.softLimit
-		}
-		if attempt.openedConnection {
-			executor.connections.dialFailures = 0
-		}
-		d.learnServiceTime(job, attempt)
-		if len(executor.connections.idleSince) > len(executor.inFlight.jobs) && d.settings.Multiplex > 1 {
-			executor.connections.idleSince = executor.connections.idleSince[:0] // jobs share connections: one idle entry stands for all
-		}
-		executor.connections.idleSince = append(executor.connections.idleSince, d.now)
-		d.placement.recentServers.add(executor)
+		d.endAttempt(job, attempt)
+		d.judgeServed(job, attempt)
 	case Errored:
-		d.noteAlive(executor) // and else a matter of the job's class, see fared
-	case Reset:
+		// Whether it is to blame is a matter of the job's class, see learnClassOutcome.
+		d.endAttempt(job, attempt)
 		d.noteAlive(executor)
-		executor.outlier.errorAverage = executor.outlier.errorAverage*errorAverageMemory + 1 - errorAverageMemory
-		if executor.outlier.errorAverage > ejectionErrorRate || executor.outlier.onProbation {
-			d.eject(executor, "errors")
-		}
+	case Reset:
+		d.endAttempt(job, attempt)
+		d.judgeReset(executor)
+	case Full:
+		d.judgeFull(job, executor)
 	case ConnectFailed:
+		executor.load.freeSlots += job.slots
 		d.noteDialFailure(executor)
+	case Moot:
+		executor.load.freeSlots += job.slots
 	}
 }
 
-// eject keeps new work off a worker for a while, doubling, then lets it in one job at a time.
-func (d *Dispatcher) eject(executor *executor, why string) {
-	if d.now < executor.outlier.ejectedUntil {
+// endAttempt gives back the slots of an attempt that ran.
+func (d *Dispatcher) endAttempt(job *job, attempt *attempt) {
+	executor := attempt.executor
+	executor.load.freeSlots += job.slots
+	executor.inFlight.recordEnded(endedAttempt{attempt.sentAt, d.now, job.slots})
+}
+
+func (d *Dispatcher) judgeServed(job *job, attempt *attempt) {
+	executor := attempt.executor
+	d.noteAlive(executor)
+	outlier := &executor.outlier
+	outlier.errorAverage *= errorAverageMemory
+	executor.load.rejections = 0
+	if attempt.sentAt >= outlier.ackOverdueAt { // an earlier attempt shows nothing of what came since
+		outlier.ejections, outlier.onProbation, outlier.ackOverdueUntil = 0, false, 0
+	}
+	d.adaptSoftLimit(job, attempt)
+	if attempt.openedConnection {
+		executor.connections.dialFailures = 0
+	}
+	if d.slowStart.share(executor) >= 1 {
+		d.serviceTimes.learn(job, attempt)
+	}
+	executor.connections.giveBack(d.now, len(executor.inFlight.jobs), d.settings.Multiplex > 1)
+	d.placement.recentServers.add(executor)
+}
+
+// adaptSoftLimit learns how many slots of ours an executor takes where there are no reports and no Full outcomes: only lateness shows
+// a queue there. The limit is cut once for all attempts that were sent before the cut.
+func (d *Dispatcher) adaptSoftLimit(job *job, attempt *attempt) {
+	executor := attempt.executor
+	load := &executor.load
+	late := d.now > job.objectiveAt && attempt.sentAt+job.work/d.serviceTimes.meanSpeed() <= job.objectiveAt
+	// A pause of the reports is not their end.
+	blind := load.reportedAt == 0 || d.now-load.reportedAt > reportsEndedFactor*d.reportTTL()
+	switch {
+	case late && blind && attempt.sentAt > load.softLimitCutAt:
+		load.softLimit, load.softLimitCutAt = max(1, softLimitBackoff*load.softLimit), d.now
+	case !late && executor.inFlight.slots+job.slots >= math.Floor(load.softLimit):
+		load.softLimit += job.slots / load.softLimit
+	}
+}
+
+// judgeFull backs off from an executor that had no free slot for a job.
+func (d *Dispatcher) judgeFull(job *job, executor *executor) {
+	load := &executor.load
+	load.freeSlots = min(load.freeSlots+job.slots, 0)
+	load.softLimit = max(1, softLimitBackoff*executor.inFlight.slots)
+	load.rejections = min(load.rejections+1, maxRejectionDoublings+1)
+	backoff := d.reports.interval * rejectionBackoffFactor * doublings(load.rejections-1, maxRejectionDoublings)
+	load.rejectedUntil = d.now + backoff*(0.5+d.random())
+}
+
+// judgeReset counts a broken connection, which may have lost a job.
+func (d *Dispatcher) judgeReset(executor *executor) {
+	d.noteAlive(executor)
+	outlier := &executor.outlier
+	outlier.errorAverage = outlier.errorAverage*errorAverageMemory + 1 - errorAverageMemory
+	if outlier.errorAverage > ejectionErrorRate || outlier.onProbation {
+		d.eject(executor, "errors")
+	}
+}
+
+// eject keeps new work away from an executor for a while, longer each time, and then lets it in one job at a time.
+func (d *Dispatcher) eject(executor *executor, reason string) {
+	outlier := &executor.outlier
+	if d.now < outlier.ejectedUntil {
 		return
 	}
 	base := baseEjectionFactor * max(d.settings.ConnectTimeout, d.settings.Step)
-	executor.outlier.ejectedUntil = d.now + base*float64(int(1)<<min(executor.outlier.ejections, maxBackoffDoublings))*(0.75+0.5*d.random())
-	executor.outlier.ejections++
-	executor.outlier.onProbation = true
+	outlier.ejectedUntil = d.now + base*doublings(outlier.ejections, maxBackoffDoublings)*(0.75+0.5*d.random())
+	outlier.ejections++
+	outlier.onProbation = true
 	d.outliers.ejected = append(d.outliers.ejected, executor)
-	executor.outlier.errorAverage = min(executor.outlier.errorAverage, ejectionErrorRate)
-	d.logf("eject worker %d for %s until %.0f, strike %d", executor.id, why, executor.outlier.ejectedUntil, executor.outlier.ejections)
+	outlier.errorAverage = min(outlier.errorAverage, ejectionErrorRate)
+	d.logf("eject worker %d for %s until %.0f, strike %d", executor.id, reason, outlier.ejectedUntil, outlier.ejections)
 }
 
-// watchHealth finds workers that stand still and jobs to be tried elsewhere meanwhile.
+// detectOutliers finds unresponsive executors, and whether so many are out that ejections are ignored.
 func (d *Dispatcher) detectOutliers() {
-	limit := d.unresponsiveTimeout()
 	d.findFailingClasses()
 	d.outliers.ejected = slices.DeleteFunc(d.outliers.ejected, func(executor *executor) bool {
 		return d.now >= executor.outlier.ejectedUntil || executor.endpoint.condition != Ready
 	})
-	bad := len(d.outliers.ejected)
+	out := len(d.outliers.ejected)
 	for _, executor := range d.outliers.busy {
 		if executor.endpoint.condition != Ready {
 			continue
 		}
-		silent := false
-		for _, job := range executor.inFlight.jobs {
-			for i := range job.attempts {
-				if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && !attempt.writtenOff {
-					since := max(attempt.sentAt, executor.outlier.lastHeard)
-					if attempt.startedAt == 0 && d.settings.TellsStart {
-						since += queuedGraceFactor * d.serviceTimes.startDelay // a queued job tells nothing
-					}
-					silent = silent || d.now-since > limit
-				}
-			}
-		}
-		if silent && !executor.outlier.unresponsive {
-			d.logf("worker %d silent", executor.id)
-			executor.outlier.retryAt = d.now + limit*(0.25+0.5*d.random())
-		}
-		executor.outlier.unresponsive = silent
-		// All slow together still tell their progress: where it is told, silence is no sign of slowness.
-		if silent && d.settings.Progress <= 0 && d.now >= executor.outlier.ejectedUntil {
-			bad++
+		d.updateResponsiveness(executor)
+		// Executors that are all slow together still send progress notes: where there are notes, silence does not come of slowness.
+		if executor.outlier.unresponsive && d.settings.Progress <= 0 && d.now >= executor.outlier.ejectedUntil {
+			out++
 		}
 	}
-	panicking := float64(bad) > panicThreshold*float64(len(d.endpoints.listed))
+	panicking := float64(out) > panicThreshold*float64(len(d.endpoints.listed))
 	if panicking != d.outliers.panicking {
 		d.outliers.panicking = panicking
 		d.needsPlacement = true
-		d.logf("%d of %d workers ejected, ignored %v", bad, len(d.endpoints.listed), panicking)
+		d.logf("%d of %d workers ejected, ignored %v", out, len(d.endpoints.listed), panicking)
+	}
+}
+
+// updateResponsiveness marks an executor as unresponsive if an attempt there has been silent for too long.
+func (d *Dispatcher) updateResponsiveness(executor *executor) {
+	timeout := d.unresponsiveTimeout()
+	unresponsive := false
+	for _, job := range executor.inFlight.jobs {
+		for i := range job.attempts {
+			attempt := &job.attempts[i]
+			if !attempt.isOpen(executor) {
+				continue
+			}
+			since := max(attempt.sentAt, executor.outlier.lastHeard)
+			if attempt.startedAt == 0 && d.settings.TellsStart {
+				since += queuedGraceFactor * d.serviceTimes.startDelay // nothing is heard of a queued job
+			}
+			unresponsive = unresponsive || d.now-since > timeout
+		}
 	}
+	if unresponsive && !executor.outlier.unresponsive {
+		d.logf("worker %d silent", executor.id)
+		executor.outlier.retryAt = d.now + timeout*(0.25+0.5*d.random())
+	}
+	executor.outlier.unresponsive = unresponsive
 }
 
-// alive takes in a sign of life. After a silence, what was out there may have ended or never come without our
-// hearing of it, until its client's time is over: it holds no slots in our books unless it is heard of again.
+// noteAlive takes in a sign of life. After a silence, what is in flight there may have ended or never arrived without this node
+// hearing of it, until its client's time is over: it counts as holding no slots unless it is heard of again.
 func (d *Dispatcher) noteAlive(executor *executor) {
 	executor.outlier.lastHeard = d.now
 	if !executor.outlier.unresponsive {
@@ -148,42 +244,19 @@
 	d.logf("worker %d heard of again", executor.id)
 	for _, job := range executor.inFlight.jobs {
 		for i := range job.attempts {
-			if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && !attempt.writtenOff {
+			if attempt := &job.attempts[i]; attempt.isOpen(executor) {
 				attempt.writtenOff = true
 				executor.inFlight.slots -= job.slots
 			}
 		}
 	}
-	d.countUnstarted(executor)
+	executor.countUnstarted(d.now)
 }
 
-// silence is how long a worker with jobs out may give no sign of life.
+// unresponsiveTimeout is how long an executor with attempts in flight may give no sign of life.
 func (d *Dispatcher) unresponsiveTimeout() float64 {
 	if d.settings.Progress > 0 {
 		return unresponsiveIntervals * d.settings.Progress
 	}
-	return unresponsiveIntervals * 2 * d.serviceTimes.classes[0].work / d.meanSpeed()
-}
-
-// outlierState is whether an executor works at all, as its attempts show.
-type outlierState struct {
-	unresponsive    bool    // it gives no sign of life though attempts are in flight
-	onProbation     bool    // after an ejection: one job at a time until one is served
-	ejectedUntil    float64 // nothing is sent before
-	errorAverage    float64 // of resets, between 0 and 1
-	lastHeard       float64 // last sign of life
-	ejections       int     // without a served attempt between
-	retryAt         float64 // an unresponsive executor gets one job from then on
-	retries         int     // such jobs since it was last heard of
-	ackOverdueAt    float64 // when it was last ejected for overdue acknowledgements
-	ackOverdueUntil float64 // until then nothing goes there that must not be lost
-}
-
-// outlierDetection finds executors that do not work.
-type outlierDetection struct {
-	busy           []*executor // with attempts of ours in flight
-	ejected        []*executor // those that are, or were since the last check
-	nextCheck      float64     // in a large fleet
-	failingClasses []bool      // by class: it fails at so many executors that they are not to blame
-	panicking      bool        // so many are ejected that ejections are ignored
+	return unresponsiveIntervals * unnotedIntervalFactor * d.serviceTimes.classes[0].work / d.serviceTimes.meanSpeed()
 }
--- a/brain/queue.go
+++ b/brain/queue.go
@@ -6,28 +6,37 @@
 	"slices"
 )
 
+// preemptionGain is how much less than an arrival's a queued job's weight for each slot and time must be for the arrival to take its
+// place, as a factor.
+const preemptionGain = 0.7
+
+// What is added to a job's rank in the queue, in ms: more than any time of day, so that the groups do not mix.
 const (
-	preemptionGain = 0.7 // how much less, of an arrival's worth a slot, a waiting job must be worth to go
+	borrowedRank = 1e9 // jobs on borrowed slots, beyond their quota, or hedged
+	lateRank     = 2e9 // jobs that are too late for their objective
 )
 
-// evict refuses a waiting job, of the same tenant or a borrower, that is past its aim or worth less.
-func (d *Dispatcher) preempt(job *job) bool {
-	speed := d.meanSpeed()
-	if d.now+job.work/speed > job.objectiveAt {
+// preempt rejects a queued job, of the same tenant or on borrowed slots, that is past its objective or worth less than an arrival. It
+// says whether there was one.
+func (d *Dispatcher) preempt(arrival *job) bool {
+	speed := d.serviceTimes.meanSpeed()
+	if d.now+arrival.work/speed > arrival.objectiveAt {
 		return false
 	}
-	for _, k := range slices.Backward(d.jobs.queue) {
-		if k.done || k.inFlight > 0 || k.mayHaveRun || !(k.borrowed || k.tenant == job.tenant) {
+	for _, queued := range slices.Backward(d.jobs.queue) {
+		started := queued.done || queued.inFlight > 0 || queued.mayHaveRun
+		if started || !queued.borrowed && queued.tenant != arrival.tenant {
 			continue
 		}
-		if k.value < preemptionGain*job.value || d.now+k.work/speed > k.objectiveAt {
-			d.endJob(k, causePreempted)
+		if queued.value < preemptionGain*arrival.value || d.now+queued.work/speed > queued.objectiveAt {
+			d.endJob(queued, causePreempted)
 			return true
 		}
 	}
 	return false
 }
 
+// enqueue puts a job into the queue of those that wait for an executor.
 func (d *Dispatcher) enqueue(job *job) {
 	if !job.queued {
 		job.queued = true
@@ -36,56 +45,74 @@
 	d.needsPlacement = true
 }
 
-// place sends waiting jobs to workers with room: those within a reservation, then those that borrow, then
-// those too late for their aim; among equals, the one that must start soonest.
+// dispatchQueue sends queued jobs to executors with free slots: those within a reserved share, then those on borrowed slots, then
+// those too late for their objective; among equals, the one that must start soonest.
 func (d *Dispatcher) dispatchQueue() {
 	d.needsPlacement = false
-	keep := d.jobs.queue[:0]
-	speed := d.meanSpeed()
+	d.rankQueue()
+	if len(d.jobs.queue) == 0 {
+		return
+	}
+	d.placement.beginRound()
+	left := d.jobs.queue[:0]
+	for _, job := range d.jobs.queue {
+		if !d.dispatch(job) {
+			left = append(left, job)
+		}
+	}
+	d.jobs.queue = left
+}
+
+// rankQueue drops the jobs that no longer wait, and orders the others.
+func (d *Dispatcher) rankQueue() {
+	kept := d.jobs.queue[:0]
+	speed := d.serviceTimes.meanSpeed()
 	for _, job := range d.jobs.queue {
 		if len(job.attempts) > 0 {
 			d.endIfExhausted(job)
 		}
 		if job.done || !job.queued {
 			job.queued = false
-			d.releaseJob(job)
+			d.jobs.release(job)
 			continue
 		}
-		start := job.objectiveAt - job.work/speed
-		job.rank = start
-		if d.now < job.holdUntil && d.healthChecks.inFlight > 0 {
-			job.rank = math.Inf(1)
-		}
-		if start < d.now {
-			job.rank += 2e9
-		} else if job.borrowed || job.overQuota || job.inFlight > 0 {
-			job.rank += 1e9
-		}
-		keep = append(keep, job)
+		job.rank = d.rankOf(job, speed)
+		kept = append(kept, job)
 	}
-	d.jobs.queue = keep
-	if len(keep) == 0 {
-		return
+	d.jobs.queue = kept
+	slices.SortStableFunc(kept, func(a, b *job) int { return cmp.Compare(a.rank, b.rank) })
+}
+
+// rankOf is when a job must start at the latest, behind all of the groups before its own; infinite while it waits for answers to its
+// health checks.
+func (d *Dispatcher) rankOf(job *job, speed float64) float64 {
+	if d.now < job.holdUntil && d.healthChecks.inFlight > 0 {
+		return math.Inf(1)
 	}
-	slices.SortStableFunc(keep, func(a, b *job) int { return cmp.Compare(a.rank, b.rank) })
-	d.placement.eligible, d.placement.inspected, d.placement.inspectedAll, d.placement.round = d.placement.eligible[:0], d.placement.inspected[:0], false, d.placement.round+1
-	left := keep[:0]
-	for _, job := range keep {
-		if math.IsInf(job.rank, 1) { // until its probes are back
-			left = append(left, job)
-			continue
-		}
-		executor := d.chooseExecutor(job)
-		if executor == nil {
-			executor = d.speculate(job)
-		}
-		if executor != nil {
-			d.sendAttempt(job, executor)
-			executor.load.available = d.availableSlots(executor)
-			job.queued = false
-			continue
-		}
-		left = append(left, job)
+	latestStart := job.objectiveAt - job.work/speed
+	switch {
+	case latestStart < d.now:
+		return latestStart + lateRank
+	case job.borrowed || job.overQuota || job.inFlight > 0:
+		return latestStart + borrowedRank
 	}
-	d.jobs.queue = left
+	return latestStart
+}
+
+// dispatch sends a job to an executor, if there is one for it.
+func (d *Dispatcher) dispatch(job *job) bool {
+	if math.IsInf(job.rank, 1) {
+		return false
+	}
+	executor := d.chooseExecutor(job)
+	if executor == nil {
+		executor = d.speculate(job)
+	}
+	if executor == nil {
+		return false
+	}
+	d.sendAttempt(job, executor)
+	executor.load.available = d.availableSlots(executor)
+	job.queued = false
+	return true
 }
--- a/brain/report_test.go
+++ b/brain/report_test.go
@@ -147,7 +147,7 @@
 			}
 			r.now += 10
 			r.d.now = r.now
-			r.d.learnServiceTime(job, &attempt{executor: executor, startedAt: r.now - span})
+			r.d.serviceTimes.learn(job, &attempt{executor: executor, startedAt: r.now - span})
 		}
 		return r.d.serviceTimes.meanRun
 	}
--- a/brain/retry.go
+++ b/brain/retry.go
@@ -1,14 +1,33 @@
 package brain
 
+// The rules that protect requests from running twice: which job may be sent where, and which answer may promise that nothing ran.
+
+// retryAfterRuns is how long a rejected client stays away, in mean run times by the slots reserved. More spreads storms of repeats.
+const retryAfterRuns = 0.5
+
+// rejectCause says why a node ended a job itself.
+type rejectCause uint8
+
+// The causes.
 const (
-	retryAfterRuns = 0.5 // mean runs, by tokens out, until a refused client may find one: fewer storms
+	causeNoTokens  rejectCause = iota // admission had no slots for it
+	causeTooLate                      // it could not end usefully any more, or must not be attempted again
+	causePreempted                    // it was queued, and another took its slots
+	causeCount
 )
 
-// maySend is the one gate that every send passes: the request's state, what of it may have run, drains, and
-// a cold worker's budget.
+// rejectionLog counts the jobs that this node ended itself.
+type rejectionLog struct {
+	byCause [causeCount]int
+	lastAt  float64
+	active  bool // as last logged
+}
+
+// isSendAllowed is the one check that every send passes: the request's state, what of it may have run, drains, and the budget of an
+// executor that warms up.
 func (d *Dispatcher) isSendAllowed(job *job, executor *executor) bool {
-	over := job.done || len(job.attempts) >= job.maxAttempts || d.now >= job.deadline
-	if over || executor.endpoint.condition != Ready || job.inFlight > 0 && !d.settings.MayDuplicate {
+	spent := job.done || len(job.attempts) >= job.maxAttempts || d.now >= job.deadline
+	if spent || executor.endpoint.condition != Ready || job.inFlight > 0 && !d.settings.MayDuplicate {
 		return false
 	}
 	for i := range job.attempts {
@@ -19,51 +38,61 @@
 	if (job.inFlight > 0 || job.mayHaveRun) && !d.isRetrySafe(job, executor) {
 		return false
 	}
-	// Credit may be overdrawn by one slot's work, for all jobs cost some, not by a wide job's further slots.
-	return d.slowStartAllows(executor, (job.slots-1)*job.work/d.kindSpeed(executor.endpoint.kind))
+	// The budget may be overdrawn by one slot's work, because every job costs some, but not by a wide job's further slots.
+	furtherWork := (job.slots - 1) * job.work / d.serviceTimes.kindSpeed(executor.endpoint.kind)
+	return d.slowStartAllows(executor, furtherWork)
 }
 
-// repeatable says whether a job that is out, or may have run, may go to w as well.
+// isRetrySafe says whether a job that is in flight, or may have run, may go to an executor as well.
 func (d *Dispatcher) isRetrySafe(job *job, executor *executor) bool {
 	class := &d.settings.Classes[job.class]
 	switch class.Effect {
 	case Safe:
 		return true
 	case Keyed:
-		ran, since := job.ranOn, job.ranSince
-		for i := range job.attempts {
-			if attempt := &job.attempts[i]; !attempt.resolved && (ran == nil || attempt.sentAt < since) {
-				ran, since = attempt.executor, attempt.sentAt
-			}
-		}
-		if d.now-since >= class.Window-d.answerMargin() {
-			return false
-		}
-		switch class.Scope {
-		case ScopeAll:
-			return true
-		case ScopeZone:
-			return ran.endpoint.zone == executor.endpoint.zone
-		default:
-			return ran.endpoint.zone == executor.endpoint.zone && ran.endpoint.cell == executor.endpoint.cell
-		}
+		ran, since := job.firstRun()
+		return d.now-since < class.Window-d.answerMargin() && sharesKeys(class.Scope, ran, executor)
 	}
 	return false
 }
 
-// mayRefuse is the one gate of refusals: nothing of the request may have run, or a repeat does no harm.
+// firstRun gives where and since when a job may have run first, with the attempts that are still in flight.
+func (j *job) firstRun() (ran *executor, since float64) {
+	ran, since = j.ranOn, j.ranSince
+	for i := range j.attempts {
+		if attempt := &j.attempts[i]; !attempt.resolved && (ran == nil || attempt.sentAt < since) {
+			ran, since = attempt.executor, attempt.sentAt
+		}
+	}
+	return ran, since
+}
+
+// sharesKeys says whether two executors are of a group that drops repeats of a keyed request.
+func sharesKeys(scope Scope, a, b *executor) bool {
+	switch scope {
+	case ScopeAll:
+		return true
+	case ScopeZone:
+		return a.endpoint.zone == b.endpoint.zone
+	default:
+		return a.endpoint.zone == b.endpoint.zone && a.endpoint.cell == b.endpoint.cell
+	}
+}
+
+// isRejectSafe is the one check of rejections: nothing of the request may have run, or a repeat does no harm.
 func (d *Dispatcher) isRejectSafe(job *job) bool {
 	class := &d.settings.Classes[job.class]
-	return class.Effect == Safe || job.inFlight == 0 && !job.mayHaveRun || class.Effect == Keyed && class.Scope == ScopeAll
+	neverRan := job.inFlight == 0 && !job.mayHaveRun
+	return class.Effect == Safe || neverRan || class.Effect == Keyed && class.Scope == ScopeAll
 }
 
-// comeBack is how long a refused client should stay away: until a token of ours is back, at the pace of runs.
+// retryAfter is how long a rejected client should stay away: until reserved slots of this node are free again, at the pace of runs.
 func (d *Dispatcher) retryAfter(job *job) float64 {
-	held := max(job.slots, d.reservedTotal())
-	return min(d.settings.MaxRetryAfter, retryAfterRuns*d.serviceTimes.meanRun*job.slots/held)
+	reserved := max(job.slots, d.admission.reservedTotal())
+	return min(d.settings.MaxRetryAfter, retryAfterRuns*d.serviceTimes.meanRun*job.slots/reserved)
 }
 
-// mark keeps, in one place, what of a request may have run.
+// noteMayHaveRun records, in one place, what of a request may have run.
 func (d *Dispatcher) noteMayHaveRun(job *job, attempt *attempt, o Outcome) {
 	if o.NeverRan() {
 		return
@@ -73,7 +102,7 @@
 	}
 }
 
-// settle ends a job with nothing out for which nothing more can be done.
+// endIfExhausted ends a job with nothing in flight for which nothing more can be done.
 func (d *Dispatcher) endIfExhausted(job *job) {
 	if job.done || job.inFlight > 0 {
 		return
@@ -81,41 +110,50 @@
 	class := &d.settings.Classes[job.class]
 	spent := len(job.attempts) >= job.maxAttempts || d.now >= job.deadline-d.answerMargin()
 	if job.mayHaveRun {
-		spent = spent || class.Effect == Unsafe || class.Effect == Keyed && d.now-job.ranSince >= class.Window-d.answerMargin()
+		windowOver := class.Effect == Keyed && d.now-job.ranSince >= class.Window-d.answerMargin()
+		spent = spent || class.Effect == Unsafe || windowOver
 	}
 	if spent || d.isHopeless(job) {
 		d.endJob(job, causeTooLate)
 	}
 }
 
-// end gives the final answer that the gate allows: a refusal where a repeat is harmless, else a failure.
-func (d *Dispatcher) endJob(job *job, why rejectCause) {
+// endJob gives the final answer that the rules allow: a rejection where a repeat is harmless, else a failure.
+func (d *Dispatcher) endJob(job *job, cause rejectCause) {
 	if job.done {
 		return
 	}
-	d.rejections.byCause[why]++
+	d.rejections.byCause[cause]++
 	d.rejections.lastAt = d.now
-	a := Action{Kind: ActFail, Job: job.id}
+	answer := Action{Kind: ActFail, Job: job.id}
 	if d.isRejectSafe(job) {
-		a.Kind, a.For = ActRefuse, d.retryAfter(job)
+		answer.Kind, answer.For = ActRefuse, d.retryAfter(job)
 	}
-	d.actions = append(d.actions, a)
+	d.act(answer)
 	d.finishJob(job)
 }
 
-// cause says why a node ended a job itself.
-type rejectCause uint8
-
-const (
-	causeNoTokens  rejectCause = iota // the admission steps left no room for it
-	causeTooLate                      // it could not end usefully any more, or may not be tried again
-	causePreempted                    // it waited, and another took its tokens
-	causeCount
-)
+// answerMargin is how long before a client leaves its answer is given: two ticks and a batch.
+func (d *Dispatcher) answerMargin() float64 {
+	return d.tickInterval() + max(d.tickInterval(), d.nextTick-d.now) + d.settings.Step
+}
 
-// rejectionLog counts the jobs that this node ended itself.
-type rejectionLog struct {
-	byCause [causeCount]int
-	lastAt  float64
-	active  bool // as last logged
+// logRejecting writes, when a node begins to end jobs itself and when it has not for a while, what it goes by.
+func (d *Dispatcher) logRejecting() {
+	rejecting := d.rejections.lastAt > 0 && d.now-d.rejections.lastAt < tenantActiveMs
+	if rejecting == d.rejections.active {
+		return
+	}
+	d.rejections.active = rejecting
+	unusable := 0
+	for _, executor := range d.endpoints.listed {
+		if !d.isUsable(executor) {
+			unusable++
+		}
+	}
+	causes := &d.rejections.byCause
+	d.logf("refusing %v: capacity %.0f slots, %.0f in flight, %d waiting, %d of %d workers unusable, "+
+		"list %.0f ms old; ended so far: %d no tokens, %d too late, %d made place", rejecting, d.capacity.slots,
+		d.admission.reservedTotal(), len(d.jobs.queue), unusable, len(d.endpoints.listed), d.now-d.listWatch.updatedAt,
+		causes[causeNoTokens], causes[causeTooLate], causes[causePreempted])
 }
--- a/brain/scale_test.go
+++ b/brain/scale_test.go
@@ -123,7 +123,7 @@
 		r.d.handleLoadReport(r.d.endpoints.byID[7], []float32{200 + float32(i), 2})
 		r.d.handleLoadReport(r.d.endpoints.byID[8], []float32{800 + float32(i), 2})
 	}
-	if fast, slow := r.d.kindSpeed(0), r.d.kindSpeed(1); fast < 2*slow {
+	if fast, slow := r.d.serviceTimes.kindSpeed(0), r.d.serviceTimes.kindSpeed(1); fast < 2*slow {
 		t.Errorf("speeds %.2f and %.2f, want the first over twice the second", fast, slow)
 	}
 }
--- a/brain/slowstart_test.go
+++ b/brain/slowstart_test.go
@@ -383,7 +383,7 @@
 	if executor.outlier.errorAverage != 0 || executor.outlier.ejections != 0 {
 		t.Errorf("the error average %v and %d strikes of the old process stand", executor.outlier.errorAverage, executor.outlier.ejections)
 	}
-	if share := r.d.slowStartShare(executor); share != r.d.settings.ColdFrom {
+	if share := r.d.slowStart.share(executor); share != r.d.settings.ColdFrom {
 		t.Errorf("its share of capacity is %.2f, want %.2f", share, r.d.settings.ColdFrom)
 	}
 }
@@ -465,13 +465,13 @@
 		t.Fatal("the executor is still known")
 	}
 	r.after(1000, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
-	if share := r.d.slowStartShare(r.d.endpoints.byID[7]); share != 1 {
+	if share := r.d.slowStart.share(r.d.endpoints.byID[7]); share != 1 {
 		t.Errorf("its share of capacity is %.2f, want all", share)
 	}
 	r.after(1000, Event{Kind: EvList, Form: ListDelta, Rows: []Row{left}})
 	row.Born++
 	r.after(1000, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
-	if share := r.d.slowStartShare(r.d.endpoints.byID[7]); share == 1 {
+	if share := r.d.slowStart.share(r.d.endpoints.byID[7]); share == 1 {
 		t.Error("a new process is not cold")
 	}
 }
