--- a/brain/endpoints.go
+++ b/brain/endpoints.go
@@ -190,6 +190,7 @@
 	executor.group = d.capacity.groupOf(row.Kind, row.Zone)
 	d.slowStart.noteStart(executor, row.Born)
 	endpoint.condition, endpoint.row = row.Condition, *row
+	d.slowStart.track(executor)
 	d.slowStartAllows(executor, 0) // the budget runs from now on, and not from our next job
 	return executor
 }
--- a/brain/placement.go
+++ b/brain/placement.go
@@ -69,10 +69,8 @@
 		d.inspect(d.reports.recentReporters[i])
 		d.inspect(d.placement.recentServers[i])
 	}
-	for _, executor := range d.endpoints.listed {
-		if d.slowStart.share(executor) < 1 {
-			d.inspect(executor) // its budget seldom lets a job of this node go there, which is then all the more wanted
-		}
+	for _, executor := range d.slowStart.warmingUp() {
+		d.inspect(executor) // its budget seldom lets a job of this node go there, which is then all the more wanted
 	}
 	for range sampledExecutors {
 		d.inspect(d.drawExecutor())
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -1,6 +1,10 @@
 package brain
 
-import "maps"
+import (
+	"cmp"
+	"maps"
+	"slices"
+)
 
 // This file holds slow start: how old an executor's process is by our own clock, and how much it may be sent while it warms up.
 //
@@ -48,6 +52,7 @@
 	confirmedAt       float64               // when discovery last confirmed a list that holds executors, 0 for never
 	newestListedStart float64               // of the list at hand, on the list's clock
 	removed           map[uint32]knownStart // of executors that left the list a short while ago
+	warming           []*executor           // those of the list that warm up, by id; others among them are dropped when it is read
 }
 
 // knownStart is the start of an executor that left the list.
@@ -118,6 +123,29 @@
 	return s.now - (max(s.newestListedStart, listed) - listed)
 }
 
+// track keeps an executor whose row has changed among those that warm up, if it does.
+func (s *slowStartTracker) track(changed *executor) {
+	if s.share(changed) >= 1 {
+		return
+	}
+	at, known := slices.BinarySearchFunc(s.warming, changed.id, func(other *executor, id uint32) int {
+		return cmp.Compare(other.id, id)
+	})
+	if known {
+		s.warming[at] = changed
+		return
+	}
+	s.warming = slices.Insert(s.warming, at, changed)
+}
+
+// warmingUp gives the executors of the list that warm up, by id.
+func (s *slowStartTracker) warmingUp() []*executor {
+	s.warming = slices.DeleteFunc(s.warming, func(executor *executor) bool {
+		return executor.endpoint.condition == Gone || s.share(executor) >= 1
+	})
+	return s.warming
+}
+
 // rememberStart keeps the start of an executor that is about to be forgotten.
 func (s *slowStartTracker) rememberStart(executor *executor) {
 	start := &executor.slowStart
--- a/brain/slowstart_test.go
+++ b/brain/slowstart_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"math/rand"
+	"slices"
 	"testing"
 )
 
@@ -520,3 +521,46 @@
 		t.Errorf("the new process begins with %.0f ms of the old one's credit", executor.slowStart.credit)
 	}
 }
+
+// The executors that are kept as warming up are those of the list with less than their whole capacity, in the list's order, through
+// starts, drains, removals and returns.
+func TestWarmingExecutorsAreThoseOfTheList(t *testing.T) {
+	rng := rand.New(rand.NewSource(5))
+	first := fleet(300)
+	r := newRig(t, base(), first...)
+	r.step(Event{Kind: EvList, Form: ListFull, Rows: first})
+	rows := map[uint32]Row{}
+	for _, row := range first {
+		rows[row.Worker] = row
+	}
+	most := 0
+	for range 400 {
+		event := Event{Kind: EvList, Form: ListDelta, Rows: randomChange(rng, rows, r.now)}
+		if rng.Intn(20) == 0 {
+			event.Form, event.Rows = ListFull, nil
+			for id := uint32(0); id < 1000; id++ {
+				if row, ok := rows[id]; ok && row.Condition != Gone {
+					event.Rows = append(event.Rows, row)
+				}
+			}
+		}
+		r.after(100, event)
+		var want []uint32
+		for _, executor := range r.d.endpoints.listed {
+			if r.d.slowStart.share(executor) < 1 {
+				want = append(want, executor.id)
+			}
+		}
+		var got []uint32
+		for _, executor := range r.d.slowStart.warmingUp() {
+			got = append(got, executor.id)
+		}
+		if !slices.Equal(got, want) {
+			t.Fatalf("%v warm up, want %v", got, want)
+		}
+		most = max(most, len(got))
+	}
+	if most < 10 {
+		t.Errorf("at most %d executors warmed up at a time: the test shows little", most)
+	}
+}
