--- a/cmd/gatetack/settings_serve.go
+++ b/cmd/gatetack/settings_serve.go
@@ -8,7 +8,6 @@
 	"gatetack/internal/config"
 	"gatetack/internal/fault"
 	"gatetack/internal/http1"
-	"gatetack/internal/keys"
 	"gatetack/internal/limits"
 	"gatetack/internal/settings"
 	"gatetack/internal/settingsync"
@@ -29,8 +28,12 @@
 	if !f.Settings.Enabled {
 		return nil, nil
 	}
-	feed := &settingsFeed{follower: settingsync.FollowerConfig{Process: c.Name, Life: life.UnixMilli(),
-		Cache: settingsync.Cache(f.Settings.Cache), Limits: c.Limits, Log: log}}
+	cache := settingsync.NewCache(f.Settings.Cache)
+	incarnation, err := cache.NextIncarnation(life.UnixMilli())
+	if err != nil {
+		log.Error("settings: the last incarnation of this process is not known or not kept", fault.Attrs(err))
+	}
+	feed := &settingsFeed{follower: settingsync.FollowerConfig{Process: c.Name, Life: incarnation, Cache: cache, Limits: c.Limits, Log: log}}
 	if len(f.Settings.Follow) > 0 {
 		call, err := memberCaller(f.Settings.Keys, c.Limits, log)
 		if err != nil {
@@ -40,7 +43,6 @@
 	} else {
 		c.Limits.ServeFollowers()
 	}
-	var err error
 	if feed.inForce, err = feed.follower.Cache.Load(); err != nil {
 		log.Error("settings: the cache can not be used", fault.Attrs(err))
 	}
@@ -56,12 +58,9 @@
 
 // memberCaller calls members of the store, by the keys in a folder where one is named.
 func memberCaller(dir string, lim limits.Limits, log *slog.Logger) (settingsync.Caller, error) {
-	var ring *keys.Ring
-	if dir != "" {
-		var err error
-		if ring, err = keys.Open(dir, func(err error) { log.Error("settings: new keys can not be used, the old ones stay", "err", err) }); err != nil {
-			return nil, err
-		}
+	ring, err := openKeys(dir, "settings", log)
+	if err != nil {
+		return nil, err
 	}
 	return func(ctx context.Context, addr, verb, path string, body []byte) (*http1.Message, error) {
 		return store.Call(ctx, addr, verb, path, body, ring, lim)
