--- a/brain/coldsplit_test.go
+++ b/brain/coldsplit_test.go
@@ -50,7 +50,7 @@
 			t.Fatal(err)
 		}
 		d.Step(longStarted-longStep, []Event{{Kind: EvList, Form: ListFull, Rows: []Row{warm}}}, nil)
-		d.kinds[0].slots = longSlots
+		d.capacity.kindSlots[0] = longSlots
 		d.Step(longStarted, []Event{{Kind: EvList, Form: ListDelta, Rows: []Row{cold}}}, nil)
 		nodes[i] = d
 	}
@@ -79,7 +79,7 @@
 				if a.Kind != ActSend {
 					continue
 				}
-				attempt := uint16(len(d.jobs[a.Job].attempts) - 1)
+				attempt := uint16(len(d.jobs.byID[a.Job].attempts) - 1)
 				events[i] = append(events[i], Event{Kind: EvNote, Job: a.Job, Attempt: attempt, Worker: a.Worker, Topic: NoteStarted})
 				running = append(running, ended{i, now + random.ExpFloat64()*longWork, outcome(a.Job, attempt, a.Worker, Served)})
 				sends = append(sends, now)
