--- /dev/null
+++ b/internal/executor/clientleft_test.go
@@ -0,0 +1,296 @@
+package executor
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"gatetack/brain"
+	"gatetack/internal/gate"
+	"gatetack/internal/limits"
+	"gatetack/internal/node"
+	"gatetack/internal/pace"
+	"gatetack/internal/standin"
+)
+
+// coreSettings allow retries, hedged requests and cancelling.
+func coreSettings() brain.Settings {
+	return brain.Settings{Balancers: 1, Step: 4, MaxAttempts: 3, MayDuplicate: true, MayCancel: true, Multiplex: 1, ConnIdle: 60000,
+		ConnectTimeout: 250, MaxRetryAfter: 2000, AskWithin: 10000, DrainGrace: 500, FallMultiple: 2.5, Fall: 2000, ColdFrom: 0.3,
+		WarmWithin: 8400, Classes: []brain.Class{{Aim: 1500, Deadline: 25000, Worth: 1, Effect: brain.Safe, Kind: -1}}}
+}
+
+// quietClient stands for a client that waits for its answer.
+type quietClient struct{ answers chan node.Answer }
+
+func newQuietClient() quietClient { return quietClient{make(chan node.Answer, 1)} }
+
+func (quietClient) Sent(string)            {}
+func (quietClient) Started()               {}
+func (quietClient) Returned(bool)          {}
+func (q quietClient) Answer(a node.Answer) { q.answers <- a }
+
+// standingCore is what a core's sends and their results go through. At the send of a number the core's goroutine stands still, its
+// events are full, and the client leaves; the core goes on once the attempt has ended.
+type standingCore struct {
+	*Client
+	core     *node.Core
+	standsAt int // counted from 1
+	leave    func()
+
+	sends int
+	ended chan brain.Outcome
+	at    uint64 // the attempt at whose send the core stands
+	mu    sync.Mutex
+}
+
+func (s *standingCore) Send(a node.Attempt) {
+	if s.sends++; s.sends != s.standsAt {
+		s.Client.Send(a)
+		return
+	}
+	s.mu.Lock()
+	s.at = a.ID
+	s.mu.Unlock()
+	for i := 0; ; i++ { // by the requests of others
+		if _, err := s.core.Submit(node.Job{Left: time.Second, Slots: 1, Trace: string(rune('a' + i))}, newQuietClient()); err != nil {
+			break
+		}
+	}
+	s.leave()
+	s.Client.Send(a)
+	select {
+	case o := <-s.ended:
+		s.ended <- o
+	case <-time.After(20 * time.Second):
+	}
+}
+
+func (s *standingCore) Result(r node.Result) {
+	s.mu.Lock()
+	here := r.Attempt == s.at && r.Outcome != 0
+	s.mu.Unlock()
+	if here {
+		s.ended <- r.Outcome
+	}
+	s.core.Result(r)
+}
+
+func (s *standingCore) Probed(w uint32, o brain.Outcome, elapsed time.Duration, report []float32) {
+	s.core.Probed(w, o, elapsed, report)
+}
+
+// rawExecutor listens and counts the whole requests with a body that come, and answers all alike.
+type rawExecutor struct {
+	name, addr string
+	mu         sync.Mutex
+	requests   int
+}
+
+func (x *rawExecutor) count() int { x.mu.Lock(); defer x.mu.Unlock(); return x.requests }
+
+func startExecutor(t *testing.T, name, answer string) *rawExecutor {
+	t.Helper()
+	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	x, g := &rawExecutor{name: name, addr: ln.Addr().String()}, errgroup.Group{}
+	g.Go(func() error {
+		for {
+			conn, err := ln.Accept()
+			if err != nil {
+				return nil
+			}
+			g.Go(func() error {
+				defer context.AfterFunc(t.Context(), func() { _ = conn.Close() })()
+				defer func() { _ = conn.Close() }()
+				for r := bufio.NewReader(conn); ; {
+					text, err := request(r)
+					if err != nil {
+						return nil
+					}
+					if strings.Contains(text, "body") { // the others are there to fill the core's events
+						x.mu.Lock()
+						x.requests++
+						x.mu.Unlock()
+					}
+					_, _ = io.WriteString(conn, answer)
+				}
+			})
+		}
+	})
+	t.Cleanup(func() { _ = ln.Close(); _ = g.Wait() })
+	return x
+}
+
+func (x *rawExecutor) entry() node.Entry {
+	return node.Entry{Name: x.name, Address: x.addr, Status: "ready", Weight: 1}
+}
+
+// startNode runs a core that stands still at the send of a number, 0 for none.
+func startNode(t *testing.T, lim limits.Limits, standsAt int, leave func(), known ...node.Entry) *standingCore {
+	t.Helper()
+	core, err := node.New(coreSettings(), 1, node.List{Entries: known}, node.Names{}, lim, standin.Quiet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	g := &errgroup.Group{}
+	s := &standingCore{core: core, standsAt: standsAt, leave: leave, ended: make(chan brain.Outcome, 1)}
+	s.Client = New(ctx, g, lim, node.Names{}, s, &pace.Tally{}, standin.Quiet)
+	core.Connect(s, noLists{}, noPeers{})
+	g.Go(func() error { return core.Run(ctx) })
+	t.Cleanup(func() { cancel(); _ = g.Wait() })
+	return s
+}
+
+type noLists struct{}
+
+func (noLists) Watch(bool) {}
+func (noLists) Fetch()     {}
+
+type noPeers struct{}
+
+func (noPeers) Tell(uint16, []byte) {}
+
+// No attempt begins after its client has left, whatever it is made for, though the core has not heard of that and can't: its events are
+// full, and its goroutine stands still until the attempt has ended.
+func TestNoAttemptBeginsAfterTheClientLeft(t *testing.T) {
+	const rejected = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
+	for name, x := range map[string]struct {
+		answer   string
+		standsAt int
+		queued   bool // no executor is known at first
+	}{
+		"first attempt":             {accepted, 1, false},
+		"after a wait in the queue": {accepted, 1, true},
+		"retry":                     {rejected, 2, false},
+		"hedged request":            {"", 2, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			lim := hasty()
+			lim.Events = 8
+			one, two := startExecutor(t, "s-1", x.answer), startExecutor(t, "s-2", x.answer)
+			client, leave := context.WithCancel(t.Context())
+			defer leave()
+			known := []node.Entry{one.entry(), two.entry()}
+			first := known
+			if x.queued {
+				first = nil
+			}
+			n := startNode(t, lim, x.standsAt, leave, first...)
+			job := node.Job{Left: 20 * time.Second, Slots: 1, Trace: "00000000000000aa", Method: "POST", Target: "/x/y", Body: []byte("body")}
+			job.Still = func() gate.Reason {
+				if client.Err() != nil {
+					return gate.Left
+				}
+				return gate.May
+			}
+			id, err := n.core.Submit(job, newQuietClient())
+			if err != nil {
+				t.Fatal(err)
+			}
+			if x.queued {
+				n.core.List(node.List{Form: brain.ListFull, Entries: known})
+			}
+			select {
+			case <-client.Done():
+			case <-time.After(20 * time.Second):
+				t.Fatal("the send does not come")
+			}
+			n.core.Gone(id) // it waits for a place among the events, until the core goes on
+			standin.Until(t, "the core has heard of it", func() bool {
+				counts, err := n.core.Counts(t.Context())
+				return err == nil && counts.Gone == 1
+			})
+			if o := <-n.ended; o != brain.Moot || one.count()+two.count() != x.standsAt-1 {
+				t.Errorf("the attempt ended with %d; %d requests came, want %d", o, one.count()+two.count(), x.standsAt-1)
+			}
+		})
+	}
+}
+
+// A dial that comes up late, after its client has left, carries nothing.
+func TestLateDialAfterTheClientLeftCarriesNothing(t *testing.T) {
+	c, s := setup(t, standin.Lim)
+	came := make(chan string, 1)
+	box(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
+	client, leave := context.WithCancel(t.Context())
+	real := c.pool.dial
+	c.pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		conn, err := real(ctx, network, addr)
+		leave() // while it came up
+		return conn, err
+	}
+	a := attempt(1)
+	a.Job.Still = func() gate.Reason {
+		if client.Err() != nil {
+			return gate.Left
+		}
+		return gate.May
+	}
+	c.Send(a)
+	standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	c.pool.drop(c.address(7)) // one that carried nothing is kept
+	if got, text := s.outcomes(1), <-came; got[0] != brain.Moot || text != "" {
+		t.Errorf("outcomes %v, %q was written", got, text)
+	}
+}
+
+// A job that was terminated while it waited is sent nowhere, though an executor comes up then.
+func TestTerminatedJobIsNotSent(t *testing.T) {
+	x := startExecutor(t, "s-1", accepted)
+	n := startNode(t, standin.Lim, 0, nil)
+	waiting := newQuietClient()
+	job := node.Job{Left: 20 * time.Second, Slots: 1, Trace: "00000000000000aa", Method: "POST", Target: "/x/y", Body: []byte("body")}
+	id, err := n.core.Submit(job, waiting)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := n.core.Terminate(t.Context(), id); err != nil {
+		t.Fatal(err)
+	}
+	if a := <-waiting.answers; a.End != node.Terminated {
+		t.Errorf("%+v", a)
+	}
+	n.core.List(node.List{Form: brain.ListFull, Entries: []node.Entry{x.entry()}})
+	job.Trace = "00000000000000bb"
+	if _, err := n.core.Submit(job, newQuietClient()); err != nil {
+		t.Fatal(err)
+	}
+	standin.Until(t, "the next job is sent", func() bool { return x.count() == 1 })
+	if counts, err := n.core.Counts(t.Context()); err != nil || counts.Sends != 1 {
+		t.Errorf("%d sends, %v", counts.Sends, err)
+	}
+}
+
+// An attempt of a job that was answered or terminated after it was decided on is not sent, though the core can take nothing: the job's
+// own mark is read at the last moment.
+func TestAnsweredJobIsNotSentThoughTheEventsAreFull(t *testing.T) {
+	c, s := setup(t, standin.Lim)
+	came := make(chan string, 1)
+	box(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
+	a := attempt(1)
+	a.Answered = &atomic.Bool{}
+	looks := 0
+	a.Job.Still = func() gate.Reason {
+		if looks++; looks == 3 { // before the last byte
+			a.Answered.Store(true)
+		}
+		return gate.May
+	}
+	c.Send(a)
+	standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	if got, text := s.outcomes(1), <-came; got[0] != brain.Moot || !strings.HasSuffix(text, "\r\n\r\nbod") {
+		t.Errorf("outcomes %v, %q was written", got, text)
+	}
+}
