--- /dev/null
+++ b/internal/executor/connfault_test.go
@@ -0,0 +1,184 @@
+package executor
+
+import (
+	"net"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"gatetack/brain"
+	"gatetack/internal/limits"
+	"gatetack/internal/node"
+	"gatetack/internal/standin"
+)
+
+// connError is an error as package net gives it on a connection.
+func connError(call string, errno syscall.Errno) error {
+	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, errno)}
+}
+
+// brokenConnection are the errors of read(2) and write(2) by which Linux tells that a connection is over.
+var brokenConnection = map[string]syscall.Errno{"ECONNRESET": syscall.ECONNRESET, "EPIPE": syscall.EPIPE,
+	"EHOSTUNREACH": syscall.EHOSTUNREACH, "ENETUNREACH": syscall.ENETUNREACH, "ENOBUFS": syscall.ENOBUFS, "ENOMEM": syscall.ENOMEM}
+
+// wholeRequest says whether what was written ends the request of attempt.
+func wholeRequest(text string) bool { return strings.HasSuffix(text, "\r\n\r\nbody") }
+
+// Requests and answers pass whole though each read and each write moves one byte, interrupted or not ready in between.
+func TestConnectionThatMovesOneByteAtATime(t *testing.T) {
+	for name, between := range map[string]error{"short": nil, "EAGAIN": connError("read", syscall.EAGAIN)} {
+		t.Run(name, func(t *testing.T) {
+			c, s := setup(t, standin.Lim)
+			n := box(t, c, says(accepted))
+			scriptConns(c, func(_ int, conn *scriptedConn) {
+				reads := 0
+				conn.read = func(b []byte) (int, error) {
+					if reads++; between != nil && reads%2 == 1 {
+						return 0, between
+					}
+					return conn.Conn.Read(b[:min(1, len(b))])
+				}
+				conn.write = func(b []byte) (int, error) {
+					for i := range b {
+						if _, err := conn.Conn.Write(b[i : i+1]); err != nil {
+							return i, err
+						}
+					}
+					return len(b), nil
+				}
+			})
+			c.Send(attempt(1))
+			standin.Until(t, "it is taken", func() bool { return c.isTaken(1) || len(s.outcomes(1)) > 0 })
+			_ = c.Callback([]byte(done))
+			if got := s.outcomes(1); len(got) != 1 || got[0] != brain.Served || n() != 1 {
+				t.Errorf("outcomes %v over %d connections", got, n())
+			}
+		})
+	}
+}
+
+// isTaken says whether an attempt's 202 was read.
+func (c *Client) isTaken(id uint64) bool {
+	c.mu.Lock()
+	x := c.live[id]
+	c.mu.Unlock()
+	if x == nil {
+		return false
+	}
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	return x.taken
+}
+
+// A connection that breaks ends its attempt with one outcome, at once: before the last byte is written as one that could not connect,
+// since nothing ran; once that is out as a reset, since it may have run.
+func TestBrokenConnectionEndsTheAttempt(t *testing.T) {
+	type moment struct {
+		name string
+		want brain.Outcome
+		set  func(conn *scriptedConn, errno syscall.Errno)
+	}
+	moments := []moment{
+		{"write of the head", brain.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
+			conn.write = func([]byte) (int, error) { return 0, connError("write", errno) }
+		}},
+		{"half a write of the head", brain.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
+			conn.write = func(b []byte) (int, error) {
+				n, _ := conn.Conn.Write(b[:len(b)/2])
+				return n, connError("write", errno)
+			}
+		}},
+		{"pause before the last byte", brain.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
+			conn.read = func([]byte) (int, error) { return 0, connError("read", errno) }
+		}},
+		// write(2) takes a byte or fails: where it fails for the only one that is left, that was not written.
+		{"write of the last byte", brain.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
+			sent := ""
+			conn.write = func(b []byte) (int, error) {
+				if sent += string(b); wholeRequest(sent) {
+					return 0, connError("write", errno)
+				}
+				return conn.Conn.Write(b)
+			}
+		}},
+		{"read of the answer", brain.Reset, func(conn *scriptedConn, errno syscall.Errno) {
+			sent := ""
+			conn.write = func(b []byte) (int, error) { sent += string(b); return conn.Conn.Write(b) }
+			conn.read = func(b []byte) (int, error) {
+				if wholeRequest(sent) {
+					return 0, connError("read", errno)
+				}
+				return conn.Conn.Read(b)
+			}
+		}},
+	}
+	for _, at := range moments {
+		for name, errno := range brokenConnection {
+			t.Run(at.name+"/"+name, func(t *testing.T) {
+				c, s := setup(t, standin.Lim)
+				n := box(t, c, silent)
+				scriptConns(c, func(_ int, conn *scriptedConn) { at.set(conn, errno) })
+				a := attempt(1)
+				a.Deadline = time.Now().Add(time.Hour) // the end of it is no verdict here
+				c.Send(a)
+				standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+				if got := s.outcomes(1); len(got) != 1 || got[0] != at.want || n() != 1 {
+					t.Errorf("outcomes %v over %d connections, want %d", got, n(), at.want)
+				}
+				standin.Until(t, "the connection is given back", func() bool { return c.pool.open.Used() == 0 })
+			})
+		}
+	}
+}
+
+// silent reads a request and says nothing.
+func silent(conn net.Conn) {
+	for b := make([]byte, 4096); ; {
+		if _, err := conn.Read(b); err != nil {
+			return
+		}
+	}
+}
+
+// Every error on the way of an attempt ends in the job's one final answer, whatever the class: a refusal where nothing ran, a failure
+// where it may have run and must not run twice.
+func TestEachFaultEndsInOneFinalAnswer(t *testing.T) {
+	for name, fault := range map[string]func(*scriptedConn){
+		"write of the head": func(conn *scriptedConn) {
+			conn.write = func([]byte) (int, error) { return 0, connError("write", syscall.EPIPE) }
+		},
+		"read": func(conn *scriptedConn) {
+			conn.read = func([]byte) (int, error) { return 0, connError("read", syscall.ETIMEDOUT) }
+		},
+		"never answers": func(*scriptedConn) {},
+	} {
+		t.Run(name, func(t *testing.T) {
+			lim := limits.New(0, 0, 0, 0, 0)
+			x := startExecutor(t, "s-1", "")
+			n := startNode(t, lim, 0, nil, x.entry())
+			scriptConns(n.Client, func(_ int, conn *scriptedConn) { fault(conn) })
+			client := newQuietClient()
+			job := node.Job{Left: 500 * time.Millisecond, Slots: 1, Trace: "00000000000000aa", Method: "POST", Target: "/x/y", Body: []byte("body")}
+			if _, err := n.core.Submit(job, client); err != nil {
+				t.Fatal(err)
+			}
+			select {
+			case a := <-client.answers:
+				if a.End != node.Failed && a.End != node.Refused {
+					t.Errorf("%+v", a)
+				}
+			case <-time.After(20 * time.Second):
+				t.Fatal("no answer")
+			}
+			standin.Until(t, "nothing is out", func() bool { return n.core.Open() == 0 && n.liveAttempts() == 0 })
+		})
+	}
+}
+
+func (c *Client) liveAttempts() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.live)
+}
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -6,7 +6,6 @@
 	"context"
 	"errors"
 	"log/slog"
-	"net"
 	"strconv"
 	"sync"
 	"time"
@@ -334,9 +333,8 @@
 	m, err := c.answer(ctx, t, conn)
 	// A connection that was forgotten breaks as soon as the request gets there; one that breaks later was in use.
 	c.saw(ctx, conn, err != nil && !conn.parse.Begun() && time.Since(wrote) < conn.settle(c.lim))
-	te := net.Error(nil)
 	switch {
-	case errors.As(err, &te) && te.Timeout() && conn.parse.Status() == statusAccepted:
+	case isTimeout(err) && conn.parse.Status() == statusAccepted:
 		return 0, nil // it has taken the job, however slowly it says the rest
 	case err != nil && conn.parse.Status() == 500:
 		return brain.Errored, nil
--- a/internal/executor/pool.go
+++ b/internal/executor/pool.go
@@ -5,6 +5,7 @@
 	"errors"
 	"math"
 	"net"
+	"os"
 	"slices"
 	"sync"
 	"time"
@@ -47,8 +48,14 @@
 	c.ReadBy(time.Now().Add(c.settle(lim)))
 	n, err := c.in.Fill(c.Paced)
 	c.ReadBy(time.Time{})
-	te := net.Error(nil)
-	return n == 0 && errors.As(err, &te) && te.Timeout()
+	return n == 0 && isTimeout(err)
+}
+
+// isTimeout says whether a bound of ours ended a read or a write: its deadline, or the least rate. The kernel's ETIMEDOUT is no such
+// thing, though it calls itself a time-out: the connection has broken.
+func isTimeout(err error) bool {
+	slow := (*pace.Slow)(nil)
+	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &slow)
 }
 
 // reaches waits until the machine at the other end takes what was written so far, for as long as a box may leave a
--- a/internal/executor/slow.go
+++ b/internal/executor/slow.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"net"
 	"sync"
 	"time"
 
@@ -117,12 +116,12 @@
 			c.lastLook(t, conn)
 			return nil, err
 		}
-		switch slow, te := (*pace.Slow)(nil), net.Error(nil); {
+		switch slow := (*pace.Slow)(nil); {
 		case err == nil:
 		case errors.As(err, &slow):
 			c.slow(pace.BoxDrips, t, conn, slow)
 			return nil, err
-		case !errors.As(err, &te) || !te.Timeout() || by == last:
+		case !isTimeout(err) || by == last:
 			if m, end := conn.parse.End(); m != nil && end == nil {
 				return m, nil
 			}
