--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -496,3 +496,16 @@
 		t.Errorf("%v", s.all)
 	}
 }
+
+// A send that can't be recorded is not made, and its attempt ends as never sent.
+func TestUnrecordedSendIsNotMade(t *testing.T) {
+	c, s := setup(t, standin.Lim)
+	n := box(t, c, says(accepted))
+	a := attempt(1)
+	a.Job.Before = func(string) error { return errors.New("no space is left on the disk") }
+	c.Send(a)
+	standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	if got := s.outcomes(1); len(got) != 1 || got[0] != brain.Moot || n() != 0 {
+		t.Errorf("outcomes %v over %d connections", got, n())
+	}
+}
