--- a/internal/executor/slow.go
+++ b/internal/executor/slow.go
@@ -121,7 +121,7 @@
 		case errors.As(err, &slow):
 			c.slow(pace.BoxDrips, t, conn, slow)
 			return nil, err
-		case !isTimeout(err) || by == last:
+		case !isTimeout(err) || by.Equal(last):
 			if m, end := conn.parse.End(); m != nil && end == nil {
 				return m, nil
 			}
