--- a/internal/batch/hard_test.go
+++ b/internal/batch/hard_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/tidwall/gjson"
 
+	"gatetack/internal/jobstore"
 	"gatetack/internal/node"
-	"gatetack/internal/records"
 )
 
 // engine is a core that takes jobs and ends them as it is told.
@@ -383,7 +383,7 @@
 
 // Records of long ago, and the first where there are too many, go; those of open jobs stay.
 func TestRetention(t *testing.T) {
-	b, err := records.OpenBolt(t.TempDir())
+	b, err := jobstore.OpenBolt(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -421,7 +421,11 @@
 	}
 	m.slow <- true // the record is made after all,
 	m.slow <- true // and taken away
-	eventually(t, "nothing is on record", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return len(m.values) == 0 && len(m.log) == 1 })
+	eventually(t, "nothing but the node's incarnation is on record", func() bool {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		return len(m.values) == 1 && m.values[kindIncarnation+" n0"] != nil && len(m.log) == 1
+	})
 	if clients, _ := e.take(); len(clients) != 0 || f.queue.Waiting() != 0 {
 		t.Errorf("%d jobs reached the core, %d wait", len(clients), f.queue.Waiting())
 	}
--- a/internal/batch/ids.go
+++ b/internal/batch/ids.go
@@ -6,7 +6,7 @@
 	"strings"
 	"sync/atomic"
 
-	"gatetack/internal/duty"
+	"gatetack/internal/lease"
 )
 
 // ids name jobs by node and life, so that after a restart a job of an earlier life is told from one of this.
@@ -65,7 +65,7 @@
 }
 
 // partition names the jobs of one life of one node: their keys begin with it.
-func (n name) partition() string { return duty.Life{Node: n.node, Born: n.life}.Partition() }
+func (n name) partition() string { return lease.Life{Node: n.node, Born: n.life}.Partition() }
 
 // key is that of an id that one of this front's own.
 func key(id string) string {
@@ -88,14 +88,15 @@
 // origin tells where an id comes from.
 func (x *ids) origin(id string) origin {
 	n, ok := parseID(id)
+	current := x.life.Load()
 	switch {
 	case !ok:
 		return noID
 	case n.node != x.node:
 		return elsewhere
-	case n.life < x.life.Load():
+	case predecessor(n.life, current):
 		return formerly
-	case n.life == x.life.Load() && n.number <= x.last.Load():
+	case n.life == current && n.number <= x.last.Load():
 		return ours
 	}
 	return noID
--- a/brain/health_test.go
+++ b/internal/dispatch/health_test.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 import "testing"
 
@@ -7,17 +7,17 @@
 // Workers that take no new connection go on serving over open ones (ifa25c6).
 func TestFailedConnectLeavesOpenConnections(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
-	r.d.workers[0].free, r.d.workers[0].reported, r.d.workers[0].slots = 4, r.now, 4
+	r.d.endpoints.listed[0].load.freeSlots, r.d.endpoints.listed[0].load.reportedAt, r.d.endpoints.listed[0].load.slots = 4, r.now, 4
 	r.step(request(1, 0, 0, 1))
 	got := r.after(10, outcome(1, 0, 7, ConnectFailed))
 	if len(find(got, ActSend, 1)) != 0 {
 		t.Error("tried a new connection at once")
 	}
-	r.d.workers[0].idle = append(r.d.workers[0].idle, r.now)
+	r.d.endpoints.listed[0].connections.idleSince = append(r.d.endpoints.listed[0].connections.idleSince, r.now)
 	if got := r.after(20, Event{Kind: EvTimer}); len(find(got, ActSend, 1)) != 1 {
 		t.Error("did not use the open connection")
 	}
-	if r.after(10, outcome(1, 1, 7, Served)); r.d.workers[0].linkFails == 0 {
+	if r.after(10, outcome(1, 1, 7, Served)); r.d.endpoints.listed[0].connections.dialFailures == 0 {
 		t.Error("a job served over an open connection says nothing of new ones")
 	}
 }
@@ -75,14 +75,14 @@
 	}
 	r.now += 60000
 	r.step()
-	if run(2, served); r.d.byID[1].fails[2].strikes != 0 || r.d.byID[1].fails[2].until != 0 {
-		t.Errorf("served again: %+v", r.d.byID[1].fails[2])
+	if run(2, served); r.d.endpoints.byID[1].failures.byClass[2].consecutive != 0 || r.d.endpoints.byID[1].failures.byClass[2].awayUntil != 0 {
+		t.Errorf("served again: %+v", r.d.endpoints.byID[1].failures.byClass[2])
 	}
 	everywhere := func(uint32) Outcome { return Errored }
 	for range 5 {
 		run(2, everywhere)
 	}
-	if run(2, everywhere); !r.d.classes[2].failing {
+	if run(2, everywhere); !r.d.outliers.failingClasses[2] {
 		t.Error("a class that fails everywhere waits")
 	}
 }
@@ -114,9 +114,9 @@
 			}
 		}
 		r.after(1, events...)
-		w := r.d.byID[1]
-		if got := w.fails[2].until > r.now; got != x.away || w.fails[0].until > 0 {
-			t.Errorf("%s: kept away %v, want %v; another class %+v", x.name, got, x.away, w.fails[0])
+		executor := r.d.endpoints.byID[1]
+		if got := executor.failures.byClass[2].awayUntil > r.now; got != x.away || executor.failures.byClass[0].awayUntil > 0 {
+			t.Errorf("%s: kept away %v, want %v; another class %+v", x.name, got, x.away, executor.failures.byClass[0])
 		}
 	}
 }
@@ -138,8 +138,8 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			r := newRig(t, base(), ready(7, 0), ready(8, 0), ready(9, 0))
-			for _, w := range r.d.workers {
-				w.free, w.reported, w.slots = 4, r.now, 4
+			for _, executor := range r.d.endpoints.listed {
+				executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4, r.now, 4
 			}
 			sent := find(r.step(request(1, tt.class, 0, 1)), ActSend, 1)
 			if tt.started {
@@ -148,7 +148,7 @@
 			got := 0
 			for range 30 {
 				if tt.heard { // another's answer says that the worker lives
-					r.d.byID[sent[0].Worker].heard = r.now
+					r.d.endpoints.byID[sent[0].Worker].outlier.lastHeard = r.now
 				}
 				got += len(find(r.after(100, Event{Kind: EvTimer}), ActSend, 1))
 			}
@@ -173,18 +173,20 @@
 	}
 	s.MayDuplicate = false
 	r := newRig(t, s, ready(7, 0))
-	w := r.d.byID[7]
-	tell := func() { w.free, w.reported, w.slots = 4-w.own, r.now, 4 }
+	executor := r.d.endpoints.byID[7]
+	tell := func() {
+		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4-executor.inFlight.slots, r.now, 4
+	}
 	tell()
 	r.step(request(1, 0, 0, 1), request(2, 0, 0, 1), request(3, 0, 0, 1), request(4, 2, 0, 1))
 	for id := uint32(1); id <= 4; id++ {
 		r.step(Event{Kind: EvNote, Job: id, Topic: NoteStarted})
 	}
-	if w.own != 4 {
-		t.Fatalf("%v slots out, want 4", w.own)
+	if executor.inFlight.slots != 4 {
+		t.Fatalf("%v slots out, want 4", executor.inFlight.slots)
 	}
 	r.after(2600, Event{Kind: EvTimer})
-	if !w.silent {
+	if !executor.outlier.unresponsive {
 		t.Fatal("not silent after 2.6 progress periods")
 	}
 	if got := r.step(request(10, 2, 0, 1), request(11, 0, 0, 1), request(12, 0, 0, 1)); len(got) > 0 && got[0].Kind == ActSend {
@@ -202,25 +204,25 @@
 		t.Fatalf("tried %v, want one job that is safe to repeat", tried)
 	}
 	got := r.after(1, Event{Kind: EvNote, Job: tried[0], Topic: NoteStarted})
-	if w.silent || w.own < 1 || w.own > 4 || len(find(got, ActSend, 10)) != 1 {
-		t.Errorf("silent %v, %v slots out, actions %v: want it in use again", w.silent, w.own, got)
+	if executor.outlier.unresponsive || executor.inFlight.slots < 1 || executor.inFlight.slots > 4 || len(find(got, ActSend, 10)) != 1 {
+		t.Errorf("silent %v, %v slots out, actions %v: want it in use again", executor.outlier.unresponsive, executor.inFlight.slots, got)
 	}
-	before := w.own
+	before := executor.inFlight.slots
 	r.after(1, Event{Kind: EvNote, Job: 1, Topic: NoteProgress})
-	if w.own != before+1 {
-		t.Errorf("%v slots out once a lost job was heard of, want %v", w.own, before+1)
+	if executor.inFlight.slots != before+1 {
+		t.Errorf("%v slots out once a lost job was heard of, want %v", executor.inFlight.slots, before+1)
 	}
 	r.after(1, outcome(1, 0, 7, Served), outcome(2, 0, 7, TimedOut))
 	want := 0.0
-	for _, j := range w.outs {
-		for _, a := range j.attempts {
-			if !a.resolved && !a.lost {
-				want += j.slots
+	for _, job := range executor.inFlight.jobs {
+		for _, a := range job.attempts {
+			if !a.resolved && !a.writtenOff {
+				want += job.slots
 			}
 		}
 	}
-	if w.own != want {
-		t.Errorf("%v slots out, want %v", w.own, want)
+	if executor.inFlight.slots != want {
+		t.Errorf("%v slots out, want %v", executor.inFlight.slots, want)
 	}
 }
 
@@ -237,13 +239,13 @@
 			s.Classes[i].Deadline = 60000
 		}
 		r := newRig(t, s, ready(7, 0), ready(8, 0))
-		for _, w := range r.d.workers {
-			w.free, w.reported, w.slots = 4, r.now, 4
+		for _, executor := range r.d.endpoints.listed {
+			executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4, r.now, 4
 		}
 		r.step(request(1, 0, 0, 1), request(2, 0, 0, 1), request(3, 0, 0, 1), request(4, 0, 0, 1))
 		r.after(8000, Event{Kind: EvTimer})
-		if r.d.panicking != tt.panics {
-			t.Errorf("progress %v: panicking %v, want %v", tt.progress, r.d.panicking, tt.panics)
+		if r.d.outliers.panicking != tt.panics {
+			t.Errorf("progress %v: panicking %v, want %v", tt.progress, r.d.outliers.panicking, tt.panics)
 		}
 	}
 }
--- a/internal/executor/clientleft_test.go
+++ b/internal/executor/clientleft_test.go
@@ -13,19 +13,19 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/brain"
-	"gatetack/internal/gate"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/limits"
 	"gatetack/internal/node"
-	"gatetack/internal/pace"
-	"gatetack/internal/standin"
+	"gatetack/internal/precheck"
+	"gatetack/internal/slowpeer"
+	"gatetack/internal/testenv"
 )
 
 // coreSettings allow retries, hedged requests and cancelling.
-func coreSettings() brain.Settings {
-	return brain.Settings{Balancers: 1, Step: 4, MaxAttempts: 3, MayDuplicate: true, MayCancel: true, Multiplex: 1, ConnIdle: 60000,
+func coreSettings() dispatch.Settings {
+	return dispatch.Settings{Balancers: 1, Step: 4, MaxAttempts: 3, MayDuplicate: true, MayCancel: true, Multiplex: 1, ConnIdle: 60000,
 		ConnectTimeout: 250, MaxRetryAfter: 2000, AskWithin: 10000, DrainGrace: 500, FallMultiple: 2.5, Fall: 2000, ColdFrom: 0.3,
-		WarmWithin: 8400, Classes: []brain.Class{{Aim: 1500, Deadline: 25000, Worth: 1, Effect: brain.Safe, Kind: -1}}}
+		WarmWithin: 8400, Classes: []dispatch.Class{{Aim: 1500, Deadline: 25000, Worth: 1, Effect: dispatch.Safe, Kind: -1}}}
 }
 
 // quietClient stands for a client that waits for its answer.
@@ -47,7 +47,7 @@
 	leave    func()
 
 	sends int
-	ended chan brain.Outcome
+	ended chan dispatch.Outcome
 	at    uint64 // the attempt at whose send the core stands
 	mu    sync.Mutex
 }
@@ -84,7 +84,7 @@
 	s.core.Result(r)
 }
 
-func (s *standingCore) Probed(w uint32, o brain.Outcome, elapsed time.Duration, report []float32) {
+func (s *standingCore) Probed(w uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
 	s.core.Probed(w, o, elapsed, report)
 }
 
@@ -139,14 +139,14 @@
 // startNode runs a core that stands still at the send of a number, 0 for none.
 func startNode(t *testing.T, lim limits.Limits, standsAt int, leave func(), known ...node.Entry) *standingCore {
 	t.Helper()
-	core, err := node.New(coreSettings(), 1, node.List{Entries: known}, node.Names{}, lim, standin.Quiet)
+	core, err := node.New(coreSettings(), 1, node.List{Entries: known}, node.Names{}, lim, testenv.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
-	s := &standingCore{core: core, standsAt: standsAt, leave: leave, ended: make(chan brain.Outcome, 1)}
-	s.Client = New(ctx, g, lim, node.Names{}, s, &pace.Tally{}, standin.Quiet)
+	s := &standingCore{core: core, standsAt: standsAt, leave: leave, ended: make(chan dispatch.Outcome, 1)}
+	s.Client = New(ctx, g, lim, node.Names{}, s, &slowpeer.Tally{}, testenv.Quiet)
 	core.Connect(s, noLists{}, noPeers{})
 	g.Go(func() error { return core.Run(ctx) })
 	t.Cleanup(func() { cancel(); _ = g.Wait() })
@@ -189,18 +189,18 @@
 			}
 			n := startNode(t, lim, x.standsAt, leave, first...)
 			job := node.Job{Left: 20 * time.Second, Slots: 1, Trace: "00000000000000aa", Method: "POST", Target: "/x/y", Body: []byte("body")}
-			job.Still = func() gate.Reason {
+			job.Still = func() precheck.Reason {
 				if client.Err() != nil {
-					return gate.Left
+					return precheck.Left
 				}
-				return gate.May
+				return precheck.May
 			}
 			id, err := n.core.Submit(job, newQuietClient())
 			if err != nil {
 				t.Fatal(err)
 			}
 			if x.queued {
-				n.core.List(node.List{Form: brain.ListFull, Entries: known})
+				n.core.List(node.List{Form: dispatch.ListFull, Entries: known})
 			}
 			select {
 			case <-client.Done():
@@ -208,11 +208,11 @@
 				t.Fatal("the send does not come")
 			}
 			n.core.Gone(id) // it waits for a place among the events, until the core goes on
-			standin.Until(t, "the core has heard of it", func() bool {
+			testenv.Until(t, "the core has heard of it", func() bool {
 				counts, err := n.core.Counts(t.Context())
 				return err == nil && counts.Gone == 1
 			})
-			if o := <-n.ended; o != brain.Moot || one.count()+two.count() != x.standsAt-1 {
+			if o := <-n.ended; o != dispatch.Moot || one.count()+two.count() != x.standsAt-1 {
 				t.Errorf("the attempt ended with %d; %d requests came, want %d", o, one.count()+two.count(), x.standsAt-1)
 			}
 		})
@@ -221,7 +221,7 @@
 
 // A dial that comes up late, after its client has left, carries nothing.
 func TestLateDialAfterTheClientLeftCarriesNothing(t *testing.T) {
-	c, s := setup(t, standin.Lim)
+	c, s := setup(t, testenv.Lim)
 	came := make(chan string, 1)
 	box(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
 	client, leave := context.WithCancel(t.Context())
@@ -232,16 +232,16 @@
 		return conn, err
 	}
 	a := attempt(1)
-	a.Job.Still = func() gate.Reason {
+	a.Job.Still = func() precheck.Reason {
 		if client.Err() != nil {
-			return gate.Left
+			return precheck.Left
 		}
-		return gate.May
+		return precheck.May
 	}
 	c.Send(a)
-	standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	c.pool.drop(c.address(7)) // one that carried nothing is kept
-	if got, text := s.outcomes(1), <-came; got[0] != brain.Moot || text != "" {
+	if got, text := s.outcomes(1), <-came; got[0] != dispatch.Moot || text != "" {
 		t.Errorf("outcomes %v, %q was written", got, text)
 	}
 }
@@ -249,7 +249,7 @@
 // A job that was terminated while it waited is sent nowhere, though an executor comes up then.
 func TestTerminatedJobIsNotSent(t *testing.T) {
 	x := startExecutor(t, "s-1", accepted)
-	n := startNode(t, standin.Lim, 0, nil)
+	n := startNode(t, testenv.Lim, 0, nil)
 	waiting := newQuietClient()
 	job := node.Job{Left: 20 * time.Second, Slots: 1, Trace: "00000000000000aa", Method: "POST", Target: "/x/y", Body: []byte("body")}
 	id, err := n.core.Submit(job, waiting)
@@ -262,12 +262,12 @@
 	if a := <-waiting.answers; a.End != node.Terminated {
 		t.Errorf("%+v", a)
 	}
-	n.core.List(node.List{Form: brain.ListFull, Entries: []node.Entry{x.entry()}})
+	n.core.List(node.List{Form: dispatch.ListFull, Entries: []node.Entry{x.entry()}})
 	job.Trace = "00000000000000bb"
 	if _, err := n.core.Submit(job, newQuietClient()); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "the next job is sent", func() bool { return x.count() == 1 })
+	testenv.Until(t, "the next job is sent", func() bool { return x.count() == 1 })
 	if counts, err := n.core.Counts(t.Context()); err != nil || counts.Sends != 1 {
 		t.Errorf("%d sends, %v", counts.Sends, err)
 	}
@@ -276,21 +276,21 @@
 // An attempt of a job that was answered or terminated after it was decided on is not sent, though the core can take nothing: the job's
 // own mark is read at the last moment.
 func TestAnsweredJobIsNotSentThoughTheEventsAreFull(t *testing.T) {
-	c, s := setup(t, standin.Lim)
+	c, s := setup(t, testenv.Lim)
 	came := make(chan string, 1)
 	box(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
 	a := attempt(1)
 	a.Answered = &atomic.Bool{}
 	looks := 0
-	a.Job.Still = func() gate.Reason {
+	a.Job.Still = func() precheck.Reason {
 		if looks++; looks == 3 { // before the last byte
 			a.Answered.Store(true)
 		}
-		return gate.May
+		return precheck.May
 	}
 	c.Send(a)
-	standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	if got, text := s.outcomes(1), <-came; got[0] != brain.Moot || !strings.HasSuffix(text, "\r\n\r\nbod") {
+	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	if got, text := s.outcomes(1), <-came; got[0] != dispatch.Moot || !strings.HasSuffix(text, "\r\n\r\nbod") {
 		t.Errorf("outcomes %v, %q was written", got, text)
 	}
 }
--- a/internal/executor/connfault_test.go
+++ b/internal/executor/connfault_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/limits"
 	"gatetack/internal/node"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // connError is an error as package net gives it on a connection.
@@ -20,7 +20,7 @@
 }
 
 // brokenConnection are the errors of read(2) and write(2) by which Linux tells that a connection is over.
-var brokenConnection = map[string]syscall.Errno{"ECONNRESET": syscall.ECONNRESET, "EPIPE": syscall.EPIPE,
+var brokenConnection = map[string]syscall.Errno{"ECONNRESET": syscall.ECONNRESET, "EPIPE": syscall.EPIPE, "ETIMEDOUT": syscall.ETIMEDOUT,
 	"EHOSTUNREACH": syscall.EHOSTUNREACH, "ENETUNREACH": syscall.ENETUNREACH, "ENOBUFS": syscall.ENOBUFS, "ENOMEM": syscall.ENOMEM}
 
 // wholeRequest says whether what was written ends the request of attempt.
@@ -30,7 +30,7 @@
 func TestConnectionThatMovesOneByteAtATime(t *testing.T) {
 	for name, between := range map[string]error{"short": nil, "EAGAIN": connError("read", syscall.EAGAIN)} {
 		t.Run(name, func(t *testing.T) {
-			c, s := setup(t, standin.Lim)
+			c, s := setup(t, testenv.Lim)
 			n := box(t, c, says(accepted))
 			scriptConns(c, func(_ int, conn *scriptedConn) {
 				reads := 0
@@ -50,9 +50,9 @@
 				}
 			})
 			c.Send(attempt(1))
-			standin.Until(t, "it is taken", func() bool { return c.isTaken(1) || len(s.outcomes(1)) > 0 })
+			testenv.Until(t, "it is taken", func() bool { return c.isTaken(1) || len(s.outcomes(1)) > 0 })
 			_ = c.Callback([]byte(done))
-			if got := s.outcomes(1); len(got) != 1 || got[0] != brain.Served || n() != 1 {
+			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served || n() != 1 {
 				t.Errorf("outcomes %v over %d connections", got, n())
 			}
 		})
@@ -77,24 +77,24 @@
 func TestBrokenConnectionEndsTheAttempt(t *testing.T) {
 	type moment struct {
 		name string
-		want brain.Outcome
+		want dispatch.Outcome
 		set  func(conn *scriptedConn, errno syscall.Errno)
 	}
 	moments := []moment{
-		{"write of the head", brain.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
+		{"write of the head", dispatch.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
 			conn.write = func([]byte) (int, error) { return 0, connError("write", errno) }
 		}},
-		{"half a write of the head", brain.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
+		{"half a write of the head", dispatch.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
 			conn.write = func(b []byte) (int, error) {
 				n, _ := conn.Conn.Write(b[:len(b)/2])
 				return n, connError("write", errno)
 			}
 		}},
-		{"pause before the last byte", brain.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
+		{"pause before the last byte", dispatch.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
 			conn.read = func([]byte) (int, error) { return 0, connError("read", errno) }
 		}},
 		// write(2) takes a byte or fails: where it fails for the only one that is left, that was not written.
-		{"write of the last byte", brain.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
+		{"write of the last byte", dispatch.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
 			sent := ""
 			conn.write = func(b []byte) (int, error) {
 				if sent += string(b); wholeRequest(sent) {
@@ -103,7 +103,7 @@
 				return conn.Conn.Write(b)
 			}
 		}},
-		{"read of the answer", brain.Reset, func(conn *scriptedConn, errno syscall.Errno) {
+		{"read of the answer", dispatch.Reset, func(conn *scriptedConn, errno syscall.Errno) {
 			sent := ""
 			conn.write = func(b []byte) (int, error) { sent += string(b); return conn.Conn.Write(b) }
 			conn.read = func(b []byte) (int, error) {
@@ -117,17 +117,17 @@
 	for _, at := range moments {
 		for name, errno := range brokenConnection {
 			t.Run(at.name+"/"+name, func(t *testing.T) {
-				c, s := setup(t, standin.Lim)
+				c, s := setup(t, testenv.Lim)
 				n := box(t, c, silent)
 				scriptConns(c, func(_ int, conn *scriptedConn) { at.set(conn, errno) })
 				a := attempt(1)
 				a.Deadline = time.Now().Add(time.Hour) // the end of it is no verdict here
 				c.Send(a)
-				standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+				testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 				if got := s.outcomes(1); len(got) != 1 || got[0] != at.want || n() != 1 {
 					t.Errorf("outcomes %v over %d connections, want %d", got, n(), at.want)
 				}
-				standin.Until(t, "the connection is given back", func() bool { return c.pool.open.Used() == 0 })
+				testenv.Until(t, "the connection is given back", func() bool { return c.pool.open.Used() == 0 })
 			})
 		}
 	}
@@ -172,7 +172,7 @@
 			case <-time.After(20 * time.Second):
 				t.Fatal("no answer")
 			}
-			standin.Until(t, "nothing is out", func() bool { return n.core.Open() == 0 && n.liveAttempts() == 0 })
+			testenv.Until(t, "nothing is out", func() bool { return n.core.Open() == 0 && n.liveAttempts() == 0 })
 		})
 	}
 }
--- a/internal/http1/races_test.go
+++ b/internal/http1/races_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"gatetack/internal/sock"
+	"gatetack/internal/tcpinfo"
 )
 
 const get = "GET / HTTP/1.1\r\n\r\n"
@@ -149,11 +149,11 @@
 		s.admit(server[i])
 		if i == 0 {
 			_, _ = io.WriteString(c, get[:1])
-			waitFor(t, "the byte has come", func() bool { return !sock.Quiet(nc) })
+			waitFor(t, "the byte has come", func() bool { return !tcpinfo.Quiet(nc) })
 		}
 	}
 	s.CloseIdle()
-	if server[0].phase != idle || server[1].phase != closed {
+	if server[0].phase != idle || server[1].phase != retiring {
 		t.Errorf("phases %d and %d", server[0].phase, server[1].phase)
 	}
 }
--- a/internal/locality/placer.go
+++ b/internal/locality/placer.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/node"
 	"gatetack/internal/site"
 )
@@ -27,11 +27,12 @@
 // Placer prices the zones for the jobs of one node.
 type Placer struct {
 	names            node.Names
-	settings         brain.Settings
+	settings         dispatch.Settings
 	machines         MachineLister
 	slotsPerExecutor float64
 	log              *slog.Logger
 	now              func() time.Time
+	started          time.Time
 
 	mu           sync.Mutex
 	site         *site.Site
@@ -40,7 +41,7 @@
 }
 
 // Open reads the operators' file and returns a Placer that goes by it.
-func Open(path string, names node.Names, s brain.Settings, from MachineLister, log *slog.Logger) (*Placer, error) {
+func Open(path string, names node.Names, s dispatch.Settings, from MachineLister, log *slog.Logger) (*Placer, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, &FileError{path, "data.file", err.Error()}
@@ -52,8 +53,8 @@
 	return newPlacer(f, names, s, from, log), nil
 }
 
-func newPlacer(f *File, names node.Names, s brain.Settings, from MachineLister, log *slog.Logger) *Placer {
-	p := &Placer{names: names, settings: s, machines: from, slotsPerExecutor: float64(f.SlotsPerExecutor), log: log, now: time.Now, executorZone: map[string]int{},
+func newPlacer(f *File, names node.Names, s dispatch.Settings, from MachineLister, log *slog.Logger) *Placer {
+	p := &Placer{names: names, settings: s, machines: from, slotsPerExecutor: float64(f.SlotsPerExecutor), log: log, now: time.Now, started: time.Now(), executorZone: map[string]int{},
 		site: site.New(max(len(names.Zones), 1), maxDataSets)}
 	for _, c := range s.Classes {
 		p.meanRun = append(p.meanRun, max(1, c.Aim))
@@ -96,7 +97,10 @@
 	}
 }
 
-func (p *Placer) nowMillis() float64 { return float64(p.now().UnixMicro()) / 1000 }
+// nowMillis is the time in ms on a clock that nobody sets: it began with the wall clock and runs on with the monotonic one.
+func (p *Placer) nowMillis() float64 {
+	return float64(p.started.UnixMicro())/1000 + float64(p.now().Sub(p.started).Microseconds())/1000
+}
 
 // refresh takes in the listed executors: a zone's capacity is that of its executors that take work, and its wait is what this node has
 // there beyond its part of the capacity. A zone without such an executor takes no jobs.
@@ -112,7 +116,7 @@
 		}
 		p.executorZone[m.Name] = z
 		out[z] += float64(m.Out)
-		if m.Condition() == brain.Ready {
+		if m.Condition() == dispatch.Ready {
 			ready[z]++
 		}
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -11,10 +11,10 @@
 	"strings"
 	"time"
 
-	"gatetack/internal/gate"
 	"gatetack/internal/http1"
 	"gatetack/internal/limits"
 	"gatetack/internal/node"
+	"gatetack/internal/precheck"
 )
 
 // Core takes jobs.
@@ -27,9 +27,18 @@
 	Counts(context.Context) (node.Counts, error)
 }
 
-// Callbacks takes what executors tell.
+// Callbacks takes what executors tell. After a CallbackRefusedError the executor is to call again; after any other error
+// the callback is of no use and is not wanted again.
 type Callbacks interface{ Callback(body []byte) error }
 
+// CallbackRefusedError reports a callback that may be needed and could not be taken in.
+type CallbackRefusedError struct{ Err error }
+
+func (e *CallbackRefusedError) Error() string { return "callback refused: " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *CallbackRefusedError) Unwrap() error { return e.Err }
+
 // Front answers the platform's requests.
 type Front struct {
 	core  Core
@@ -55,6 +64,9 @@
 		if err != nil {
 			f.log.Warn("callback", "err", err)
 		}
+		if _, refused := errors.AsType[*CallbackRefusedError](err); refused {
+			return http1.Text(503, "not taken, call again")
+		}
 		return http1.Response{Status: 204, Known: err == nil}
 	case path == "/healthz":
 		if f.core.Drained() {
@@ -84,11 +96,11 @@
 	if err != nil {
 		return http1.Text(400, "%v", err)
 	}
-	j.Still = func() gate.Reason {
+	j.Still = func() precheck.Reason {
 		if ctx.Err() != nil {
-			return gate.Left
+			return precheck.Left
 		}
-		return gate.May
+		return precheck.May
 	}
 	w := make(waiter, 1)
 	id, err := f.core.Submit(j, w)
--- a/internal/store/mux.go
+++ b/internal/store/mux.go
@@ -12,26 +12,27 @@
 	"github.com/hashicorp/raft"
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/internal/keys"
 	"gatetack/internal/limits"
+	"gatetack/internal/pki"
 )
 
 // mux lets raft's streams and the members' calls share one address: a stream of raft's begins with a byte that
 // no request begins with.
 type mux struct {
 	net.Listener
-	keys  *keys.Ring
+	keys  *pki.Ring
 	lim   limits.Limits
 	raft  chan net.Conn
 	calls *queue
 	done  chan struct{}
 	once  sync.Once
 	open  atomic.Bool // raft's streams are taken
+	out   streams     // raft's calls to other members
 }
 
 const raftMark = 0x01
 
-func newMux(ln net.Listener, ring *keys.Ring, lim limits.Limits) *mux {
+func newMux(ln net.Listener, ring *pki.Ring, lim limits.Limits) *mux {
 	done := make(chan struct{})
 	return &mux{Listener: ln, keys: ring, lim: lim, raft: make(chan net.Conn), done: done,
 		calls: &queue{addr: ln.Addr(), in: make(chan net.Conn), done: make(chan struct{})}}
@@ -122,6 +123,13 @@
 func (m *mux) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
+	go func() {
+		select {
+		case <-m.done: // at the end nobody waits for a connection
+			cancel()
+		case <-ctx.Done():
+		}
+	}()
 	c, err := dial(ctx, string(addr), m.keys)
 	if err != nil {
 		return nil, err
@@ -129,7 +137,7 @@
 	if _, err := c.Write([]byte{raftMark}); err != nil {
 		return nil, errors.Join(err, c.Close())
 	}
-	return c, nil
+	return m.out.add(c)
 }
 
 // queue is the listener of the members' calls.
