--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -29,15 +29,15 @@
 // Items returns all items in the order of their keys.
 func (d *Document) Items() []Change {
 	out := make([]Change, 0, d.Len())
-	d.each("", func(item *Item) bool {
+	d.walk("", func(item *Item) bool {
 		out = append(out, item.Change)
 		return true
 	})
 	return out
 }
 
-// each calls a function for the items whose keys begin with a prefix, in their order, until it returns false.
-func (d *Document) each(prefix string, do func(*Item) bool) {
+// walk calls a function for the items whose keys begin with a prefix, in their order, until it returns false.
+func (d *Document) walk(prefix string, do func(*Item) bool) {
 	it := d.items.Root().Iterator()
 	it.SeekPrefix([]byte(prefix))
 	for _, item, ok := it.Next(); ok && do(item); _, item, ok = it.Next() {
--- a/internal/settings/item.go
+++ b/internal/settings/item.go
@@ -37,14 +37,14 @@
 	}
 }
 
-func (o overlay[T]) has(field string) bool {
+func (o overlay[T]) contains(field string) bool {
 	return slices.ContainsFunc(o, func(x overlaid[T]) bool { return x.field == field })
 }
 
-// lacks returns the first of some fields that the overlay does not have.
-func (o overlay[T]) lacks(required []string) string {
+// missing returns the first of some fields that the overlay does not have.
+func (o overlay[T]) missing(required []string) string {
 	for _, field := range required {
-		if !o.has(field) {
+		if !o.contains(field) {
 			return field
 		}
 	}
@@ -91,7 +91,7 @@
 		name := prefix + key.String()
 		f, known := fields[name]
 		switch {
-		case out.has(name):
+		case out.contains(name):
 			err = &InvalidError{Item: item, Field: name, Got: "stands twice", Expected: "one value"}
 		case known:
 			assign, ok := f.parse(value)
--- a/internal/settings/merge.go
+++ b/internal/settings/merge.go
@@ -28,7 +28,7 @@
 	out.Settings.Classes, out.Classes = slices.Clone(base.Settings.Classes), slices.Clone(base.Classes)
 	out.Settings.Tenants, out.Tenants = slices.Clone(base.Settings.Tenants), slices.Clone(base.Tenants)
 	var err error
-	d.each("", func(item *Item) bool {
+	d.walk("", func(item *Item) bool {
 		err = item.err
 		return err == nil
 	})
@@ -58,11 +58,11 @@
 		place[name] = i
 	}
 	var err error
-	d.each(prefix, func(item *Item) bool {
+	d.walk(prefix, func(item *Item) bool {
 		name := strings.TrimPrefix(item.Key, prefix)
 		at, known := place[name]
 		if !known {
-			if lacking := of(item).lacks(required); lacking != "" {
+			if lacking := of(item).missing(required); lacking != "" {
 				err = &InvalidError{Item: item.Key, Field: lacking, Got: "absent", Expected: "a value, as the base configuration has none of this name"}
 				return false
 			}
--- a/internal/settings/replica.go
+++ b/internal/settings/replica.go
@@ -3,9 +3,9 @@
 // Replica is the document as one process has it: what it holds, and what of it is in force. It is not safe for use by several
 // goroutines at a time.
 type Replica struct {
-	document *Document
-	inForce  uint64
-	refused  Refusal
+	document      *Document
+	activeVersion uint64
+	rejected      Refusal
 }
 
 // Refusal is a version that a process could not put in force, and why.
@@ -15,19 +15,19 @@
 }
 
 // NewReplica returns a replica that begins with a document which is in force.
-func NewReplica(d *Document) *Replica { return &Replica{document: d, inForce: d.Version()} }
+func NewReplica(d *Document) *Replica { return &Replica{document: d, activeVersion: d.Version()} }
 
 // Document is the one that is held, in force or not.
 func (r *Replica) Document() *Document { return r.document }
 
 // InForce is the version that is in force.
-func (r *Replica) InForce() uint64 { return r.inForce }
+func (r *Replica) InForce() uint64 { return r.activeVersion }
 
 // Refused is the version that could not be put in force, the zero Refusal for none.
-func (r *Replica) Refused() Refusal { return r.refused }
+func (r *Replica) Refused() Refusal { return r.rejected }
 
 // Pending reports whether the document that is held is still to be put in force.
-func (r *Replica) Pending() bool { return r.document.Version() != r.inForce }
+func (r *Replica) Pending() bool { return r.document.Version() != r.activeVersion }
 
 // Offer takes an update in. ErrStale and ErrGap leave the replica as it was.
 func (r *Replica) Offer(u Update) error {
@@ -41,8 +41,8 @@
 // Settle notes what came of putting the document that is held in force.
 func (r *Replica) Settle(err error) {
 	if err != nil {
-		r.refused = Refusal{r.document.Version(), err.Error()}
+		r.rejected = Refusal{r.document.Version(), err.Error()}
 		return
 	}
-	r.inForce, r.refused = r.document.Version(), Refusal{}
+	r.activeVersion, r.rejected = r.document.Version(), Refusal{}
 }
--- a/internal/settings/rollout.go
+++ b/internal/settings/rollout.go
@@ -40,7 +40,7 @@
 // time.
 type Rollout struct {
 	accepted []acceptance
-	heard    map[string]heard
+	observed map[string]observation
 }
 
 type acceptance struct {
@@ -48,7 +48,7 @@
 	at      time.Duration
 }
 
-type heard struct {
+type observation struct {
 	report Report
 	at     time.Duration
 }
@@ -60,7 +60,7 @@
 )
 
 // NewRollout returns a tracker that has heard of nothing.
-func NewRollout() *Rollout { return &Rollout{heard: map[string]heard{}} }
+func NewRollout() *Rollout { return &Rollout{observed: map[string]observation{}} }
 
 // Accept notes that a version was accepted.
 func (t *Rollout) Accept(version uint64, now time.Duration) {
@@ -75,31 +75,31 @@
 
 // Hear takes a report in, unless a later one of the same process was heard.
 func (t *Rollout) Hear(r Report, now time.Duration) {
-	old, known := t.heard[r.Process]
+	old, known := t.observed[r.Process]
 	replaced := r.Life != old.report.Life && now-old.at > incarnationTimeout
 	if known && !r.after(&old.report) && !replaced {
 		return
 	}
-	if !known && len(t.heard) >= maxProcesses {
+	if !known && len(t.observed) >= maxProcesses {
 		t.forgetOldest()
 	}
-	t.heard[r.Process] = heard{r, now}
+	t.observed[r.Process] = observation{r, now}
 }
 
 func (t *Rollout) forgetOldest() {
 	oldest, at := "", time.Duration(0)
-	for name, h := range t.heard {
+	for name, h := range t.observed {
 		if oldest == "" || h.at < at {
 			oldest, at = name, h.at
 		}
 	}
-	delete(t.heard, oldest)
+	delete(t.observed, oldest)
 }
 
 // Progress returns how far each process is, in the order of their names.
 func (t *Rollout) Progress(now time.Duration) []Progress {
-	out := make([]Progress, 0, len(t.heard))
-	for _, h := range t.heard {
+	out := make([]Progress, 0, len(t.observed))
+	for _, h := range t.observed {
 		out = append(out, Progress{Report: h.report, SilentMs: (now - h.at).Milliseconds(), BehindMs: t.behind(h.report.InForce, now)})
 	}
 	slices.SortFunc(out, func(a, b Progress) int { return strings.Compare(a.Process, b.Process) })
--- a/internal/settingsync/accept.go
+++ b/internal/settingsync/accept.go
@@ -9,20 +9,20 @@
 	"gatetack/internal/settings"
 )
 
-// maxTries bounds how often a change is tried while others change the settings.
-const maxTries = 16
+// maxAttempts bounds how often a change is tried while others change the settings.
+const maxAttempts = 16
 
 // Apply accepts all of some changes, or none. They are validated against the whole document as it will be, and are made only if it
 // still is as it was then: so of two changes that are good alone and not together one is refused.
 func (s *Service) Apply(ctx context.Context, request ApplyRequest) (Accepted, error) {
-	for try := range maxTries {
+	for try := range maxAttempts {
 		if try > 0 {
-			pause(ctx, jittered(delay(s.cfg.Limits.SettingsBackoff, try)))
+			sleep(ctx, jittered(backoffAfter(s.cfg.Limits.SettingsBackoff, try)))
 		}
 		if err := s.cfg.Store.CatchUp(ctx); err != nil {
 			return Accepted{}, &UnknownError{err}
 		}
-		document := s.current()
+		document := s.currentDocument()
 		if request.If != nil && *request.If != document.Version() {
 			return Accepted{}, &settings.ConflictError{Wanted: *request.If, Version: document.Version()}
 		}
@@ -43,11 +43,11 @@
 			return Accepted{Version: result.Version, Changed: len(changes)}, nil
 		}
 	}
-	return Accepted{}, &BusyError{maxTries}
+	return Accepted{}, &BusyError{maxAttempts}
 }
 
-// current is the document as this member has it in the store.
-func (s *Service) current() *settings.Document {
+// currentDocument is the document as this member has it in the store.
+func (s *Service) currentDocument() *settings.Document {
 	view := s.cfg.Store.View()
 	version := uint64(0)
 	if head, ok := view.Get(settings.Table, settings.HeadKey); ok {
@@ -90,8 +90,8 @@
 	return t
 }
 
-// refusedByRequest reports whether an error lies in the request, so that the same one will fail again.
-func refusedByRequest(err error) (status int, version uint64) {
+// rejectionStatus reports whether an error lies in the request, so that the same one will fail again.
+func rejectionStatus(err error) (status int, version uint64) {
 	var invalid *settings.InvalidError
 	var conflict *settings.ConflictError
 	switch {
--- a/internal/settingsync/cut_test.go
+++ b/internal/settingsync/cut_test.go
@@ -15,7 +15,7 @@
 )
 
 // An answer that is cut after any of its bytes is an error; only the whole one is taken.
-func TestAnswerCutAnywhere(t *testing.T) {
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	const body = `{"version":7,"from":5,"changes":[{"key":"class/a","version":7,"value":{"worth":1}},{"key":"class/b","version":6}]}`
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,7 +26,7 @@
 	served := make(chan error, 1)
 	go func() {
 		for n := range len(whole) + 1 {
-			if err := answerWith(ln, whole[:n]); err != nil {
+			if err := respondWith(ln, whole[:n]); err != nil {
 				served <- err
 				return
 			}
@@ -49,8 +49,8 @@
 	}
 }
 
-// answerWith takes one connection, reads what comes first, and answers with a text.
-func answerWith(ln net.Listener, text string) error {
+// respondWith takes one connection, reads what comes first, and answers with a text.
+func respondWith(ln net.Listener, text string) error {
 	c, err := ln.Accept()
 	if err != nil {
 		return err
--- a/internal/settingsync/fake_test.go
+++ b/internal/settingsync/fake_test.go
@@ -18,14 +18,14 @@
 
 // fakeStore is the store's state machine with nothing around it.
 type fakeStore struct {
-	mu     sync.Mutex
-	state  *kv.State
-	events []kv.Event
-	first  uint64
-	grown  chan struct{}
-	away   bool   // no leader
-	meets  func() // called before a transaction is made
-	writes int    // to the table of settings
+	mu          sync.Mutex
+	state       *kv.State
+	events      []kv.Event
+	first       uint64
+	changed     chan struct{}
+	unavailable bool   // no leader
+	beforeTxn   func() // called before a transaction is made
+	writes      int    // to the table of settings
 }
 
 func (f *fakeStore) written() int {
@@ -36,7 +36,7 @@
 
 func newFakeStore() *fakeStore {
 	b := kv.Bounds{Values: 4096, Bytes: 16 << 20, History: 8, Key: 512, Value: 256 << 10, Ops: 256, Done: 64}
-	return &fakeStore{state: kv.New(b), grown: make(chan struct{})}
+	return &fakeStore{state: kv.New(b), changed: make(chan struct{})}
 }
 
 func (f *fakeStore) Changes(after uint64, table string) (out []kv.Event, upTo uint64, lost bool, more <-chan struct{}) {
@@ -47,13 +47,13 @@
 			out = append(out, e)
 		}
 	}
-	return out, f.state.Snapshot().Index(), after < f.first, f.grown
+	return out, f.state.Snapshot().Index(), after < f.first, f.changed
 }
 
 func (f *fakeStore) CatchUp(context.Context) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.away {
+	if f.unavailable {
 		return errors.New("no leader")
 	}
 	return nil
@@ -61,10 +61,10 @@
 
 func (f *fakeStore) HasLeader() bool { return f.CatchUp(context.Background()) == nil }
 
-func (f *fakeStore) setAway(away bool) {
+func (f *fakeStore) setUnavailable(away bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.away = away
+	f.unavailable = away
 }
 
 func (f *fakeStore) View() *kv.View {
@@ -74,8 +74,8 @@
 }
 
 func (f *fakeStore) Txn(_ context.Context, t *kv.Txn) (*kv.Result, error) {
-	if f.meets != nil {
-		f.meets()
+	if f.beforeTxn != nil {
+		f.beforeTxn()
 	}
 	return f.apply(t), nil
 }
@@ -88,8 +88,8 @@
 	}
 	r := f.state.Apply(f.state.Snapshot().Index()+1, t)
 	f.events = append(f.events, f.state.Events()...)
-	close(f.grown)
-	f.grown = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 	return &r
 }
 
@@ -149,33 +149,33 @@
 
 // fakeTarget notes what is put in force.
 type fakeTarget struct {
-	mu      sync.Mutex
-	inForce []*settings.Document
-	refuses func(*settings.Document) error
+	mu           sync.Mutex
+	active       []*settings.Document
+	rejectReason func(*settings.Document) error
 }
 
 func (f *fakeTarget) PutInForce(_ context.Context, d *settings.Document) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.refuses != nil {
-		if err := f.refuses(d); err != nil {
+	if f.rejectReason != nil {
+		if err := f.rejectReason(d); err != nil {
 			return err
 		}
 	}
-	f.inForce = append(f.inForce, d)
+	f.active = append(f.active, d)
 	return nil
 }
 
-func (f *fakeTarget) refuse(reason func(*settings.Document) error) {
+func (f *fakeTarget) rejectWith(reason func(*settings.Document) error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.refuses = reason
+	f.rejectReason = reason
 }
 
 func (f *fakeTarget) versions() (out []uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, d := range f.inForce {
+	for _, d := range f.active {
 		out = append(out, d.Version())
 	}
 	return out
--- a/internal/settingsync/follower.go
+++ b/internal/settingsync/follower.go
@@ -35,10 +35,10 @@
 	replica *settings.Replica
 	reports uint64
 
-	anew     bool // what is held does not lead on: a snapshot is asked for
-	failures int  // polls that failed, one after the other
-	refusals int  // tries to put what is held in force that failed
-	retryAt  time.Time
+	needsSnapshot bool // what is held does not lead on: a snapshot is asked for
+	failures      int  // polls that failed, one after the other
+	rejections    int  // tries to put what is held in force that failed
+	retryAt       time.Time
 
 	unsaved      *settings.Document // in force and not in the cache yet, nil for none
 	saveFailures int
@@ -54,7 +54,7 @@
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if f.replica.Pending() && !time.Now().Before(f.retryAt) {
-			f.putInForce(ctx)
+			f.activate(ctx)
 		}
 		if f.unsaved != nil && !time.Now().Before(f.saveAt) {
 			f.save()
@@ -62,7 +62,7 @@
 		if err := f.poll(ctx); err != nil && ctx.Err() == nil {
 			f.failures++
 			f.cfg.Log.Debug("settings: no answer that leads on", "failures", f.failures, fault.Attrs(err))
-			pause(ctx, jittered(delay(f.cfg.Limits.SettingsBackoff, f.failures)))
+			sleep(ctx, jittered(backoffAfter(f.cfg.Limits.SettingsBackoff, f.failures)))
 		}
 	}
 	return nil
@@ -83,14 +83,14 @@
 			}
 		}
 		cfg.Log.Debug("settings: no answer before the start", "failures", failures, fault.Attrs(err))
-		pause(ctx, jittered(delay(cfg.Limits.SettingsBackoff, failures)))
+		sleep(ctx, jittered(backoffAfter(cfg.Limits.SettingsBackoff, failures)))
 	}
 	cfg.Log.Warn("settings: no member answered before the start")
 	return none
 }
 
-// putInForce has the target act on the document that is held.
-func (f *Follower) putInForce(ctx context.Context) {
+// activate has the target act on the document that is held.
+func (f *Follower) activate(ctx context.Context) {
 	document := f.replica.Document()
 	err := f.cfg.Target.PutInForce(ctx, document)
 	if err != nil && ctx.Err() != nil {
@@ -98,12 +98,12 @@
 	}
 	f.replica.Settle(err)
 	if err != nil {
-		f.refusals++
-		f.retryAt = time.Now().Add(jittered(delay(f.cfg.Limits.SettingsRetry, f.refusals)))
+		f.rejections++
+		f.retryAt = time.Now().Add(jittered(backoffAfter(f.cfg.Limits.SettingsRetry, f.rejections)))
 		f.cfg.Log.Error("settings: what is in force stays", "inForce", f.replica.InForce(), fault.Attrs(&ForceError{document.Version(), err}))
 		return
 	}
-	f.refusals, f.retryAt = 0, time.Time{}
+	f.rejections, f.retryAt = 0, time.Time{}
 	f.cfg.Log.Info("settings: in force", "version", document.Version(), "items", document.Len())
 	f.unsaved, f.saveFailures, f.saveAt = document, 0, time.Time{}
 }
@@ -117,7 +117,7 @@
 		return
 	}
 	f.saveFailures++
-	f.saveAt = time.Now().Add(jittered(delay(f.cfg.Limits.SettingsRetry, f.saveFailures)))
+	f.saveAt = time.Now().Add(jittered(backoffAfter(f.cfg.Limits.SettingsRetry, f.saveFailures)))
 	f.cfg.Log.Warn("settings cache not written", "version", f.unsaved.Version(), "failures", f.saveFailures, fault.Attrs(err))
 }
 
@@ -126,7 +126,7 @@
 	f.reports++
 	report := settings.Report{Process: f.cfg.Process, Life: f.cfg.Life, Number: f.reports, Held: f.replica.Document().Version(),
 		InForce: f.replica.InForce(), Refused: f.replica.Refused()}
-	if f.anew {
+	if f.needsSnapshot {
 		report.Held = 0
 	}
 	began, wait := time.Now(), f.wait()
@@ -136,16 +136,16 @@
 	}
 	before := f.replica.Document().Version()
 	if err := f.replica.Offer(u); err != nil {
-		f.anew = errors.Is(err, settings.ErrGap)
+		f.needsSnapshot = errors.Is(err, settings.ErrGap)
 		return err
 	}
-	f.anew, f.failures = false, 0
+	f.needsSnapshot, f.failures = false, 0
 	if f.replica.Document().Version() != before { // what is new is tried at once
-		f.refusals, f.retryAt = 0, time.Time{}
+		f.rejections, f.retryAt = 0, time.Time{}
 		return nil
 	}
 	if left := wait - time.Since(began); left > 0 { // the member has no room for those who wait
-		pause(ctx, jittered(left))
+		sleep(ctx, jittered(left))
 	}
 	return nil
 }
@@ -166,8 +166,8 @@
 	return wait
 }
 
-// delay is the wait after so many failures.
-func delay(b limits.Backoff, failures int) time.Duration {
+// backoffAfter is the wait after so many failures.
+func backoffAfter(b limits.Backoff, failures int) time.Duration {
 	wait := b.First
 	for range failures - 1 {
 		if wait = 2 * wait; wait >= b.Most {
--- a/internal/settingsync/handler.go
+++ b/internal/settingsync/handler.go
@@ -22,7 +22,7 @@
 	_, text, _ := strings.Cut(m.Target, "?")
 	query, err := url.ParseQuery(text)
 	if err != nil {
-		return answer(400, failure{Error: "query: " + err.Error()})
+		return jsonResponse(400, errorBody{Error: "query: " + err.Error()})
 	}
 	switch m.Method + " " + m.Path() {
 	case "POST " + pollPath:
@@ -36,83 +36,83 @@
 	case "GET " + statusPath:
 		return s.handleStatus(ctx, query.Get("local") == "1")
 	}
-	return answer(404, failure{Error: "no such path, or not by " + m.Method})
+	return jsonResponse(404, errorBody{Error: "no such path, or not by " + m.Method})
 }
 
 func (s *Service) handlePoll(ctx context.Context, body []byte) http1.Response {
 	var request pollRequest
 	if err := decodeStrict(body, &request); err != nil {
-		return answer(400, failure{Error: err.Error()})
+		return jsonResponse(400, errorBody{Error: err.Error()})
 	}
 	if request.Process == "" {
-		return answer(400, failure{Error: "process: absent, expected the name of the process that follows"})
+		return jsonResponse(400, errorBody{Error: "process: absent, expected the name of the process that follows"})
 	}
 	wait := time.Duration(request.WaitMs) * time.Millisecond
-	if waiting := s.waiting.Add(1); waiting > s.mostWaiting() {
+	if waiting := s.waitingPolls.Add(1); waiting > s.maxWaiting() {
 		wait = 0
 	}
-	defer s.waiting.Add(-1)
+	defer s.waitingPolls.Add(-1)
 	u, err := s.Poll(ctx, request.Report, wait)
 	if err != nil {
-		return s.refuse("a poll", err)
+		return s.reject("a poll", err)
 	}
-	return answer(200, u)
+	return jsonResponse(200, u)
 }
 
-// mostWaiting bounds the polls of other processes that wait here at a time, so that connections are left for those that come: where more
+// maxWaiting bounds the polls of other processes that wait here at a time, so that connections are left for those that come: where more
 // follow than there are connections, as when another member is lost, some are answered at once and come again after their wait.
-func (s *Service) mostWaiting() int64 { return int64(s.cfg.Limits.StoreFollowers) * 3 / 4 }
+func (s *Service) maxWaiting() int64 { return int64(s.cfg.Limits.StoreFollowers) * 3 / 4 }
 
 func (s *Service) handleApply(ctx context.Context, body []byte) http1.Response {
 	var request ApplyRequest
 	if err := decodeStrict(body, &request); err != nil {
-		return answer(400, failure{Error: err.Error()})
+		return jsonResponse(400, errorBody{Error: err.Error()})
 	}
 	began := time.Now()
 	accepted, err := s.Apply(ctx, request)
 	if err != nil {
-		return s.refuse("a change", err)
+		return s.reject("a change", err)
 	}
 	s.cfg.Log.Info("settings: accepted", "version", accepted.Version, "changed", accepted.Changed, "took", time.Since(began))
-	return answer(200, accepted)
+	return jsonResponse(200, accepted)
 }
 
 func (s *Service) handleItems(ctx context.Context) http1.Response {
 	if err := s.cfg.Store.CatchUp(ctx); err != nil {
-		return s.refuse("a list", &NotReadyError{})
+		return s.reject("a list", &NotReadyError{})
 	}
-	return answer(200, s.current().Snapshot())
+	return jsonResponse(200, s.currentDocument().Snapshot())
 }
 
 func (s *Service) handleForget(ctx context.Context, body []byte) http1.Response {
 	var request ForgetRequest
 	if err := decodeStrict(body, &request); err != nil {
-		return answer(400, failure{Error: err.Error()})
+		return jsonResponse(400, errorBody{Error: err.Error()})
 	}
 	if !s.enrolled(request.Process) {
-		return answer(400, failure{Error: "process: none of the name " + strconv.Quote(request.Process) + " is known"})
+		return jsonResponse(400, errorBody{Error: "process: none of the name " + strconv.Quote(request.Process) + " is known"})
 	}
 	if err := s.Forget(ctx, request.Process); err != nil {
-		return s.refuse("a process", err)
+		return s.reject("a process", err)
 	}
-	return answer(200, request)
+	return jsonResponse(200, request)
 }
 
 func (s *Service) handleStatus(ctx context.Context, local bool) http1.Response {
 	if local {
-		return answer(200, s.localStatus())
+		return jsonResponse(200, s.localStatus())
 	}
-	return answer(200, s.fleetStatus(ctx))
+	return jsonResponse(200, s.fleetStatus(ctx))
 }
 
-func (s *Service) refuse(what string, err error) http1.Response {
+func (s *Service) reject(what string, err error) http1.Response {
 	s.logFailure(what, err)
-	status, version := refusedByRequest(err)
-	f := failure{Error: err.Error(), Do: fault.Do(err), Version: version}
+	status, version := rejectionStatus(err)
+	f := errorBody{Error: err.Error(), Do: fault.Do(err), Version: version}
 	if told, ok := errors.AsType[fault.Told](err); ok {
 		f.Code = told.Code()
 	}
-	return answer(status, f)
+	return jsonResponse(status, f)
 }
 
 // decodeStrict reads a request; a field that is not known may be a typing error in one that is.
@@ -132,7 +132,7 @@
 func (s *Service) localStatus() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Status{Version: s.history.Document().Version(), Processes: s.rollout.Progress(s.now())}
+	return Status{Version: s.history.Document().Version(), Processes: s.rollout.Progress(s.elapsed())}
 }
 
 // fleetStatus is what all members that answer know.
--- a/internal/settingsync/protocol.go
+++ b/internal/settingsync/protocol.go
@@ -53,8 +53,8 @@
 	Silent    []string            `json:"silent,omitempty"` // members that could not be asked: who follows them may be missing
 }
 
-// failure is the body of an answer that is not 200.
-type failure struct {
+// errorBody is the body of an answer that is not 200.
+type errorBody struct {
 	Error   string `json:"error"`
 	Code    string `json:"code,omitempty"`
 	Do      string `json:"do,omitempty"`
@@ -64,7 +64,7 @@
 // Caller makes a call to a member and returns the body of its answer.
 type Caller func(ctx context.Context, addr, verb, path string, body []byte) (*http1.Message, error)
 
-func answer(status int, v any) http1.Response {
+func jsonResponse(status int, v any) http1.Response {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return http1.Text(500, "%v", err)
--- a/internal/settingsync/remote.go
+++ b/internal/settingsync/remote.go
@@ -22,18 +22,18 @@
 	members []string
 	current int
 	call    Caller
-	limit   time.Duration // of a call beyond its wait
+	timeout time.Duration // of a call beyond its wait
 }
 
 // NewRemote returns an upstream at some members. Processes begin at different ones.
 func NewRemote(members []string, call Caller, limit time.Duration) *Remote {
-	return &Remote{members: members, current: rand.IntN(len(members)), call: call, limit: limit}
+	return &Remote{members: members, current: rand.IntN(len(members)), call: call, timeout: limit}
 }
 
 // Poll asks one member.
 func (r *Remote) Poll(ctx context.Context, report settings.Report, wait time.Duration) (settings.Update, error) {
 	member := r.members[r.current]
-	u, err := r.ask(ctx, member, pollRequest{Report: report, WaitMs: wait.Milliseconds()}, wait+r.limit)
+	u, err := r.fetch(ctx, member, pollRequest{Report: report, WaitMs: wait.Milliseconds()}, wait+r.timeout)
 	if err == nil && u.Version < report.Held {
 		err = &StaleMemberError{member, u.Version, report.Held}
 	}
@@ -44,7 +44,7 @@
 	return u, nil
 }
 
-func (r *Remote) ask(ctx context.Context, member string, request pollRequest, limit time.Duration) (settings.Update, error) {
+func (r *Remote) fetch(ctx context.Context, member string, request pollRequest, limit time.Duration) (settings.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	body, err := json.Marshal(request)
--- a/internal/settingsync/rollout_bench_test.go
+++ b/internal/settingsync/rollout_bench_test.go
@@ -73,16 +73,16 @@
 	}
 }
 
-// BenchmarkInForce measures the time from when a member is asked for a change until the last of all processes has it in force.
-func BenchmarkInForce(b *testing.B) {
+// BenchmarkActivation measures the time from when a member is asked for a change until the last of all processes has it in force.
+func BenchmarkActivation(b *testing.B) {
 	for _, processes := range []int{4, 30, 300} {
 		for _, tenants := range []int{4, 450} {
-			b.Run(fmt.Sprintf("processes=%d/tenants=%d", processes, tenants), func(b *testing.B) { benchmarkInForce(b, processes, tenants) })
+			b.Run(fmt.Sprintf("processes=%d/tenants=%d", processes, tenants), func(b *testing.B) { benchmarkActivation(b, processes, tenants) })
 		}
 	}
 }
 
-func benchmarkInForce(b *testing.B, processes, tenants int) {
+func benchmarkActivation(b *testing.B, processes, tenants int) {
 	f := newBenchFleet(b, processes, tenants)
 	var took []time.Duration
 	for n := 1; b.Loop(); n++ {
--- a/internal/settingsync/roster.go
+++ b/internal/settingsync/roster.go
@@ -12,8 +12,8 @@
 // first heard and stays until it is forgotten, so that one which is lost, with the member that heard it, is not lost to sight.
 const RosterTable = "settings-process"
 
-// maxNewcomers bounds the processes that wait to be put on the roster; the others are when they are heard again.
-const maxNewcomers = 256
+// maxUnenrolled bounds the processes that wait to be put on the roster; the others are when they are heard again.
+const maxUnenrolled = 256
 
 // rosterEntry is the value of a process on the roster.
 type rosterEntry struct {
@@ -24,7 +24,7 @@
 func (s *Service) enroll(ctx context.Context) {
 	for {
 		select {
-		case r := <-s.newcomers:
+		case r := <-s.unenrolled:
 			s.enrollOne(ctx, r)
 		case <-ctx.Done():
 			return
@@ -53,16 +53,16 @@
 	return ok
 }
 
-// hear takes a report in.
-func (s *Service) hear(r settings.Report) {
+// observe takes a report in.
+func (s *Service) observe(r settings.Report) {
 	s.mu.Lock()
-	s.rollout.Hear(r, s.now())
+	s.rollout.Hear(r, s.elapsed())
 	s.mu.Unlock()
 	if s.enrolled(r.Process) {
 		return
 	}
 	select {
-	case s.newcomers <- r:
+	case s.unenrolled <- r:
 	default: // it will be heard again
 	}
 }
@@ -89,11 +89,11 @@
 	}
 	for _, e := range s.cfg.Store.View().List(RosterTable, "", "", maxItems) {
 		if !names[e.Key] {
-			missing = append(missing, settings.Progress{Report: settings.Report{Process: e.Key}, SilentMs: neverHeard})
+			missing = append(missing, settings.Progress{Report: settings.Report{Process: e.Key}, SilentMs: neverObserved})
 		}
 	}
 	return settings.Newest(out, missing)
 }
 
-// neverHeard stands for the silence of a process that no member has heard since the member's start.
-const neverHeard = -1
+// neverObserved stands for the silence of a process that no member has heard since the member's start.
+const neverObserved = -1
--- a/internal/settingsync/service.go
+++ b/internal/settingsync/service.go
@@ -40,8 +40,8 @@
 
 // Service answers for the settings on one member of the store.
 type Service struct {
-	cfg   ServiceConfig
-	began time.Time
+	cfg       ServiceConfig
+	startedAt time.Time
 
 	mu      sync.Mutex
 	ready   bool // this member had once all that was written
@@ -49,17 +49,17 @@
 	rollout *settings.Rollout
 	changed chan struct{} // closed at the next version
 
-	newcomers chan settings.Report // of processes that are to be put on the roster
-	waiting   atomic.Int64         // polls of other processes
+	unenrolled   chan settings.Report // of processes that are to be put on the roster
+	waitingPolls atomic.Int64         // polls of other processes
 }
 
 // NewService returns a service. It answers polls once Run has caught up with the store.
 func NewService(cfg ServiceConfig) *Service {
-	return &Service{cfg: cfg, began: time.Now(), history: settings.NewHistory(), rollout: settings.NewRollout(), changed: make(chan struct{}),
-		newcomers: make(chan settings.Report, maxNewcomers)}
+	return &Service{cfg: cfg, startedAt: time.Now(), history: settings.NewHistory(), rollout: settings.NewRollout(), changed: make(chan struct{}),
+		unenrolled: make(chan settings.Report, maxUnenrolled)}
 }
 
-func (s *Service) now() time.Duration { return time.Since(s.began) }
+func (s *Service) elapsed() time.Duration { return time.Since(s.startedAt) }
 
 // Run serves until the context ends.
 func (s *Service) Run(ctx context.Context) error {
@@ -80,7 +80,7 @@
 	s.mu.Unlock()
 	for {
 		events, upTo, lost, more := s.cfg.Store.Changes(cursor, settings.Table)
-		if lost || !s.take(events) {
+		if lost || !s.applyEvents(events) {
 			cursor = s.reload()
 			continue
 		}
@@ -102,7 +102,7 @@
 			return true
 		}
 		s.cfg.Log.Debug("settings: this member has not caught up yet", "err", err)
-		pause(ctx, wait)
+		sleep(ctx, wait)
 		wait = min(2*wait, s.cfg.Limits.SettingsBackoff.Most)
 	}
 	return false
@@ -111,7 +111,7 @@
 // reload reads the whole table and returns the store's version up to which that is.
 func (s *Service) reload() uint64 {
 	view := s.cfg.Store.View()
-	s.append(snapshotOf(view))
+	s.appendUpdate(snapshotOf(view))
 	return view.Index()
 }
 
@@ -131,15 +131,15 @@
 // maxItems bounds the items that are read from the store, which keeps fewer in a table.
 const maxItems = 1 << 16
 
-// take makes updates of the store's events, in their order. False says that they do not follow the version that is held.
-func (s *Service) take(events []kv.Event) bool {
+// applyEvents makes updates of the store's events, in their order. False says that they do not follow the version that is held.
+func (s *Service) applyEvents(events []kv.Event) bool {
 	for len(events) > 0 {
 		n := 1
 		for n < len(events) && events[n].Version == events[0].Version {
 			n++
 		}
 		u, ok := updateOf(events[:n])
-		if !ok || !s.append(u) {
+		if !ok || !s.appendUpdate(u) {
 			return false
 		}
 		events = events[n:]
@@ -166,8 +166,8 @@
 	return u, hasHead
 }
 
-// append takes an update in and wakes who waits for it. False says that it does not follow what is held.
-func (s *Service) append(u settings.Update) bool {
+// appendUpdate takes an update in and wakes who waits for it. False says that it does not follow what is held.
+func (s *Service) appendUpdate(u settings.Update) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.history.Document().Version()
@@ -180,7 +180,7 @@
 	if s.history.Document().Version() == before {
 		return true
 	}
-	s.rollout.Accept(u.Version, s.now())
+	s.rollout.Accept(u.Version, s.elapsed())
 	close(s.changed)
 	s.changed = make(chan struct{})
 	return true
@@ -192,9 +192,9 @@
 func (s *Service) Poll(ctx context.Context, report settings.Report, wait time.Duration) (settings.Update, error) {
 	timer := time.NewTimer(min(max(wait, 0), s.cfg.Limits.SettingsPoll))
 	defer timer.Stop()
-	s.hear(report)
+	s.observe(report)
 	for {
-		u, changed, err := s.after(report.Held)
+		u, changed, err := s.updateAfter(report.Held)
 		if err != nil || u.Version > report.Held {
 			return u, err
 		}
@@ -214,8 +214,8 @@
 	}
 }
 
-// after returns what follows a version, and what is closed at the next one.
-func (s *Service) after(held uint64) (settings.Update, <-chan struct{}, error) {
+// updateAfter returns what follows a version, and what is closed at the next one.
+func (s *Service) updateAfter(held uint64) (settings.Update, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ready {
@@ -233,8 +233,8 @@
 	s.cfg.Log.Debug("settings: "+what, fault.Attrs(err))
 }
 
-// pause waits, or until the context ends.
-func pause(ctx context.Context, span time.Duration) {
+// sleep waits, or until the context ends.
+func sleep(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
--- a/internal/settingsync/settingsync_test.go
+++ b/internal/settingsync/settingsync_test.go
@@ -69,7 +69,7 @@
 	}
 	apply(t, s, fill)
 	crossed := false
-	store.meets = func() { // as another member would, between the validation and the write
+	store.beforeTxn = func() { // as another member would, between the validation and the write
 		if crossed {
 			return
 		}
@@ -84,7 +84,7 @@
 	if !errors.As(err, &invalid) || !strings.Contains(err.Error(), "256 classes with it, expected 255 at most") {
 		t.Errorf("the 256th class: %v", err)
 	}
-	if d := s.current(); d.Len() != 254 {
+	if d := s.currentDocument(); d.Len() != 254 {
 		t.Errorf("%d items", d.Len())
 	}
 }
@@ -108,7 +108,7 @@
 
 // Changes made at once at two members: each that is accepted is in the document, under a version of its own, and each version that a
 // follower puts in force is one of them.
-func TestChangesMadeAtOnce(t *testing.T) {
+func TestConcurrentChangesAreAllApplied(t *testing.T) {
 	const clients, changes = 4, 10
 	store := newFakeStore()
 	services := []*Service{startService(t, store), startService(t, store)}
@@ -142,7 +142,7 @@
 	if len(accepted) < clients*changes/2 {
 		t.Errorf("%d of %d changes were accepted: too few to show anything", len(accepted), clients*changes)
 	}
-	latest := services[1].current()
+	latest := services[1].currentDocument()
 	for version, key := range accepted {
 		if item, ok := latest.Get(key); !ok || item.Version != version {
 			t.Errorf("%s of version %d is not in the document", key, version)
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestRefusedCallsChangeNothing(t *testing.T) {
+func TestRejectedCallsChangeNothing(t *testing.T) {
 	store := newFakeStore()
 	s := startService(t, store)
 	for _, x := range []struct{ body, want string }{
@@ -176,13 +176,13 @@
 			t.Errorf("%s: %d %s, expected %q", x.body, r.Status, r.Body, x.want)
 		}
 	}
-	if store.written() != 0 || s.current().Version() != 0 {
-		t.Errorf("%d writes, version %d", store.written(), s.current().Version())
+	if store.written() != 0 || s.currentDocument().Version() != 0 {
+		t.Errorf("%d writes, version %d", store.written(), s.currentDocument().Version())
 	}
 }
 
 // The store no longer keeps the changes since, and one of the table that has no head: both times the table is read anew.
-func TestCompactedHistory(t *testing.T) {
+func TestCompactedHistoryIsReplacedByASnapshot(t *testing.T) {
 	store := newFakeStore()
 	s := startService(t, store)
 	target := &fakeTarget{}
@@ -190,7 +190,7 @@
 	first := apply(t, s, one("class/a", `{"worth":2}`))
 	waitFor(t, "the first version is in force", func() bool { return target.latest() == first })
 	store.mu.Lock()
-	grown := store.grown
+	grown := store.changed
 	store.mu.Unlock()
 	store.compact()
 	second := store.apply(transaction(first, []settings.Change{{Key: "class/a", Value: json.RawMessage(`{"worth":3}`)}})).Version
@@ -203,9 +203,9 @@
 }
 
 // A member that has not caught up tells nothing.
-func TestNotReady(t *testing.T) {
+func TestMemberThatHasNotCaughtUpRejectsPolls(t *testing.T) {
 	store := newFakeStore()
-	store.away = true
+	store.unavailable = true
 	s := startService(t, store)
 	var notReady *NotReadyError
 	if _, err := s.Poll(t.Context(), settings.Report{Process: "p"}, 0); !errors.As(err, &notReady) {
@@ -214,11 +214,11 @@
 	if _, err := s.Apply(t.Context(), one("class/a", `{"worth":2}`)); err == nil {
 		t.Error("a change without a leader is accepted")
 	}
-	store.setAway(false)
+	store.setUnavailable(false)
 	waitFor(t, "it is ready", func() bool { _, err := s.Poll(t.Context(), settings.Report{Process: "p"}, 0); return err == nil })
 	// Later without a leader: what it has is told, and not that there is nothing more.
 	version := apply(t, s, one("class/a", `{"worth":2}`))
-	store.setAway(true)
+	store.setUnavailable(true)
 	waitFor(t, "what it has is told", func() bool {
 		u, err := s.Poll(t.Context(), settings.Report{Process: "p"}, 0)
 		return err == nil && u.Version == version
@@ -245,7 +245,7 @@
 		return next(r)
 	}
 	s.mu.Unlock()
-	pause(ctx, min(wait, 5*time.Millisecond))
+	sleep(ctx, min(wait, 5*time.Millisecond))
 	return settings.Update{Version: r.Held, From: r.Held}, ctx.Err()
 }
 
@@ -263,7 +263,7 @@
 }
 
 // Answers that come twice, in another order, of an older version, of another version than the one held, or not at all.
-func TestAnswersOutOfOrder(t *testing.T) {
+func TestOutOfOrderResponsesAreIgnored(t *testing.T) {
 	give := func(u settings.Update) func(settings.Report) (settings.Update, error) {
 		return func(settings.Report) (settings.Update, error) { return u, nil }
 	}
@@ -289,13 +289,13 @@
 }
 
 // A version that can not be put in force is reported with its reason and tried again; the next one is tried at once.
-func TestVersionThatIsRefused(t *testing.T) {
+func TestRejectedVersionStaysInactive(t *testing.T) {
 	up := &scripted{answers: []func(settings.Report) (settings.Update, error){
 		func(settings.Report) (settings.Update, error) { return delta(0, 1, 1), nil },
 		func(settings.Report) (settings.Update, error) { return delta(1, 2, 2), nil },
 	}}
 	target := &fakeTarget{}
-	target.refuse(func(d *settings.Document) error {
+	target.rejectWith(func(d *settings.Document) error {
 		if d.Version() == 2 {
 			return errors.New("not with this base")
 		}
@@ -306,7 +306,7 @@
 		r := up.last()
 		return r.Held == 2 && r.InForce == 1 && r.Refused == settings.Refusal{Version: 2, Reason: "not with this base"}
 	})
-	target.refuse(nil)
+	target.rejectWith(nil)
 	waitFor(t, "it is tried again", func() bool { return up.last().InForce == 2 })
 	if r := up.last(); r.Refused != (settings.Refusal{}) {
 		t.Errorf("still told as refused: %+v", r)
@@ -314,13 +314,13 @@
 }
 
 // One process that refuses a version, and one that does not come back from putting it in force, hold up no other.
-func TestSlowAndRefusingProcessesHoldUpNobody(t *testing.T) {
+func TestSlowAndRejectingProcessesDelayNoOther(t *testing.T) {
 	s := startService(t, newFakeStore())
 	stuck := make(chan struct{})
 	defer close(stuck)
 	targets := []*fakeTarget{{}, {}, {}}
-	targets[0].refuse(func(*settings.Document) error { return errors.New("no") })
-	targets[1].refuse(func(*settings.Document) error { <-stuck; return nil })
+	targets[0].rejectWith(func(*settings.Document) error { return errors.New("no") })
+	targets[1].rejectWith(func(*settings.Document) error { <-stuck; return nil })
 	for i, target := range targets {
 		startFollower(t, fmt.Sprint("p", i), s, target, Cache{})
 	}
@@ -336,7 +336,7 @@
 }
 
 // A member that does not answer, answers an error or nonsense, or is behind: the next one is asked.
-func TestRemoteGoesOnToTheNextMember(t *testing.T) {
+func TestRemoteFailsOverToTheNextMember(t *testing.T) {
 	answers := map[string]func() (*http1.Message, error){
 		"down":    func() (*http1.Message, error) { return nil, errors.New("connection refused") },
 		"busy":    func() (*http1.Message, error) { return &http1.Message{Status: 503, Body: []byte("busy")}, nil },
@@ -381,7 +381,7 @@
 }
 
 // More processes follow a member than may wait there: the others are answered at once and come again, and all get what is accepted.
-func TestMoreFollowersThanMayWait(t *testing.T) {
+func TestWaitingPollsAreBounded(t *testing.T) {
 	store := newFakeStore()
 	s := startService(t, store)
 	s.cfg.Limits.StoreFollowers = 4
@@ -399,7 +399,7 @@
 }
 
 // A follower that is answered at once with nothing new does not come again before half of its wait is over.
-func TestFollowerThatIsAnsweredAtOnce(t *testing.T) {
+func TestFollowerPacesItselfWhenAnsweredAtOnce(t *testing.T) {
 	const polls = 10
 	up := &scripted{}
 	began := time.Now()
@@ -411,7 +411,7 @@
 }
 
 // A process that was heard stays on the roster, also for a member that was started anew, until it is forgotten.
-func TestRoster(t *testing.T) {
+func TestRosterOutlivesItsMember(t *testing.T) {
 	store := newFakeStore()
 	s := startService(t, store)
 	if _, err := s.Poll(t.Context(), settings.Report{Process: "p", Life: 5, Number: 1}, 0); err != nil {
@@ -425,7 +425,7 @@
 	anew := startService(t, store)
 	waitFor(t, "the new member has caught up", func() bool { return anew.localStatus().Version == version })
 	status := anew.fleetStatus(t.Context())
-	if len(status.Processes) != 1 || status.Processes[0].Process != "p" || status.Processes[0].InForce != 0 || status.Processes[0].SilentMs != neverHeard {
+	if len(status.Processes) != 1 || status.Processes[0].Process != "p" || status.Processes[0].InForce != 0 || status.Processes[0].SilentMs != neverObserved {
 		t.Errorf("%+v", status)
 	}
 	if r := anew.Handle(t.Context(), &http1.Message{Method: "POST", Target: forgetPath, Body: []byte(`{"process":"q"}`)}); r.Status != 400 {
@@ -439,7 +439,7 @@
 	}
 }
 
-func TestCache(t *testing.T) {
+func TestTruncatedCacheCountsAsNone(t *testing.T) {
 	cache := NewCache(filepath.Join(t.TempDir(), "settings.json"))
 	if d, err := cache.Load(); err != nil || d.Version() != 0 {
 		t.Fatalf("where none was kept: %v, %v", d, err)
