--- a/cmd/gatetack/reload.go
+++ b/cmd/gatetack/reload.go
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// PutInForce has the core act on the settings of the store from now on.
-func (t *tuner) PutInForce(ctx context.Context, d *settings.Document) error {
+// Activate has the core act on the settings of the store from now on.
+func (t *tuner) Activate(ctx context.Context, d *settings.Document) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err := t.retune(ctx, t.base, d); err != nil {
--- a/cmd/gatetack/reload_test.go
+++ b/cmd/gatetack/reload_test.go
@@ -107,7 +107,7 @@
 	})
 	crossing.Go(func() {
 		for n := range rounds {
-			if err := tune.PutInForce(t.Context(), quotaDocument(t, 2, uint64(n+1), 200+n)); err != nil {
+			if err := tune.Activate(t.Context(), quotaDocument(t, 2, uint64(n+1), 200+n)); err != nil {
 				t.Error(err)
 			}
 		}
@@ -129,7 +129,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := tune.PutInForce(t.Context(), good); err != nil {
+	if err := tune.Activate(t.Context(), good); err != nil {
 		t.Fatal(err)
 	}
 	before := tune.core.Rules()
@@ -137,7 +137,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := tune.PutInForce(t.Context(), bad); err == nil || !strings.Contains(err.Error(), "class/new: deadline: absent") {
+	if err := tune.Activate(t.Context(), bad); err == nil || !strings.Contains(err.Error(), "class/new: deadline: absent") {
 		t.Errorf("a document that can not be used: %v", err)
 	}
 	if _, err := tune.follow(t.Context(), configOf(t, 1, 1)); err == nil || !strings.Contains(err.Error(), "tenant/tenant-0001: portion: absent") {
@@ -171,7 +171,7 @@
 	if err := tune.Validate(document(1, 0)); err != nil {
 		t.Fatal(err)
 	}
-	if err := tune.PutInForce(t.Context(), document(1, 0)); err != nil {
+	if err := tune.Activate(t.Context(), document(1, 0)); err != nil {
 		t.Fatal(err)
 	}
 	if err := tune.Validate(document(2, 54)); err != nil {
@@ -198,7 +198,7 @@
 				if d, err = d.Apply(settings.Update{From: version - 1, Version: version, Changes: []settings.Change{change}}); err != nil {
 					b.Fatal(err)
 				}
-				if err := tune.PutInForce(b.Context(), d); err != nil {
+				if err := tune.Activate(b.Context(), d); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/cmd/gatetack/serve.go
+++ b/cmd/gatetack/serve.go
@@ -92,7 +92,7 @@
 	stay.Store(int64(c.Limits.Stay))
 	tune := &tuner{core: core, lim: c.Limits, stay: &stay, base: base, document: settings.NewDocument()}
 	if feed != nil {
-		tune.document = feed.inForce
+		tune.document = feed.active
 		if members != nil {
 			if err := feed.serve(members, c, f, tune.Validate, log); err != nil {
 				return err
--- a/cmd/gatetack/settings.go
+++ b/cmd/gatetack/settings.go
@@ -101,7 +101,7 @@
 	request := settingsync.ApplyRequest{Changes: changes}
 	if r.version >= 0 {
 		version := uint64(r.version)
-		request.If = &version
+		request.IfVersion = &version
 	}
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -199,16 +199,16 @@
 func showStatus(out io.Writer, status settingsync.Status) error {
 	var late []settings.Progress
 	for _, p := range status.Processes {
-		if p.InForce < status.Version {
+		if p.ActiveVersion < status.Version {
 			late = append(late, p)
 		}
 	}
 	table := newTable(out)
 	table.printf("version %d accepted, in force at %d of %d processes\n", status.Version, len(status.Processes)-len(late), len(status.Processes))
 	for _, p := range late {
-		table.printf("not yet in force at %s\tversion %d\tbehind for %d ms\t%s\t%s\n", p.Process, p.InForce, p.BehindMs, heard(p), p.Refused.Reason)
+		table.printf("not yet in force at %s\tversion %d\tbehind for %d ms\t%s\t%s\n", p.Process, p.ActiveVersion, p.BehindMs, heard(p), p.Rejected.Reason)
 	}
-	for _, name := range status.Silent {
+	for _, name := range status.Unreachable {
 		table.printf("not asked: %s\twho follows it may be missing here\n", name)
 	}
 	return table.flush()
--- a/cmd/gatetack/settings_serve.go
+++ b/cmd/gatetack/settings_serve.go
@@ -18,7 +18,7 @@
 // settingsFeed brings the store's settings to this process.
 type settingsFeed struct {
 	follower settingsync.FollowerConfig
-	inForce  *settings.Document // from the start on
+	active   *settings.Document // from the start on
 	service  *settingsync.Service
 }
 
@@ -34,7 +34,7 @@
 	if err != nil {
 		log.Error("settings: the last incarnation of this process is not known or not kept", fault.Attrs(err))
 	}
-	feed := &settingsFeed{follower: settingsync.FollowerConfig{Process: c.Name, Life: incarnation, Cache: cache, Limits: c.Limits, Log: log}}
+	feed := &settingsFeed{follower: settingsync.FollowerConfig{Process: c.Name, Incarnation: incarnation, Cache: cache, Limits: c.Limits, Log: log}}
 	if len(f.Settings.Follow) > 0 {
 		call, err := memberCaller(f.Settings.Keys, c.Limits, log)
 		if err != nil {
@@ -44,15 +44,15 @@
 	} else {
 		c.Limits.ServeFollowers()
 	}
-	if feed.inForce, err = feed.follower.Cache.Load(); err != nil {
+	if feed.active, err = feed.follower.Cache.Load(); err != nil {
 		log.Error("settings: the cache can not be used", fault.Attrs(err))
 	}
-	if feed.inForce.Version() == 0 && feed.follower.Upstream != nil {
-		feed.inForce = settingsync.Fetch(ctx, feed.follower)
+	if feed.active.Version() == 0 && feed.follower.Upstream != nil {
+		feed.active = settingsync.Fetch(ctx, feed.follower)
 	}
-	if err := layOver(c, feed.inForce); err != nil {
+	if err := layOver(c, feed.active); err != nil {
 		log.Error("settings: the process starts with its base configuration", fault.Attrs(err))
-		feed.inForce = settings.NewDocument()
+		feed.active = settings.NewDocument()
 	}
 	return feed, nil
 }
@@ -87,7 +87,7 @@
 // run brings settings until the context ends.
 func (s *settingsFeed) run(ctx context.Context, target settingsync.Target) error {
 	s.follower.Target = target
-	follower := settingsync.NewFollower(s.follower, s.inForce)
+	follower := settingsync.NewFollower(s.follower, s.active)
 	if s.service == nil {
 		return follower.Run(ctx)
 	}
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -17,7 +17,7 @@
 // NewDocument returns the empty document, version 0.
 func NewDocument() *Document { return &Document{items: iradix.New[*Item]()} }
 
-// Version is the document's.
+// Actual is the document's.
 func (d *Document) Version() uint64 { return d.version }
 
 // Len is the number of items.
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -33,11 +33,11 @@
 
 // ConflictError says that the document has another version than a change was made for.
 type ConflictError struct {
-	Wanted, Version uint64
+	Expected, Actual uint64
 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("settings: version %d was expected, and version %d stands", e.Wanted, e.Version)
+	return fmt.Sprintf("settings: version %d was expected, and version %d stands", e.Expected, e.Actual)
 }
 
 // Code is its kind.
--- a/internal/settings/replica.go
+++ b/internal/settings/replica.go
@@ -5,11 +5,11 @@
 type Replica struct {
 	document      *Document
 	activeVersion uint64
-	rejected      Refusal
+	rejected      Rejection
 }
 
-// Refusal is a version that a process could not put in force, and why.
-type Refusal struct {
+// Rejection is a version that a process could not put in force, and why.
+type Rejection struct {
 	Version uint64 `json:"version,omitempty"`
 	Reason  string `json:"reason,omitempty"`
 }
@@ -20,17 +20,17 @@
 // Document is the one that is held, in force or not.
 func (r *Replica) Document() *Document { return r.document }
 
-// InForce is the version that is in force.
-func (r *Replica) InForce() uint64 { return r.activeVersion }
+// ActiveVersion is the version that is in force.
+func (r *Replica) ActiveVersion() uint64 { return r.activeVersion }
 
-// Refused is the version that could not be put in force, the zero Refusal for none.
-func (r *Replica) Refused() Refusal { return r.rejected }
+// Rejected is the version that could not be put in force, the zero Refusal for none.
+func (r *Replica) Rejected() Rejection { return r.rejected }
 
 // Pending reports whether the document that is held is still to be put in force.
 func (r *Replica) Pending() bool { return r.document.Version() != r.activeVersion }
 
-// Offer takes an update in. ErrStale and ErrGap leave the replica as it was.
-func (r *Replica) Offer(u Update) error {
+// Receive takes an update in. ErrStale and ErrGap leave the replica as it was.
+func (r *Replica) Receive(u Update) error {
 	next, err := r.document.Apply(u)
 	if err == nil {
 		r.document = next
@@ -38,11 +38,11 @@
 	return err
 }
 
-// Settle notes what came of putting the document that is held in force.
-func (r *Replica) Settle(err error) {
+// NoteActivation notes what came of putting the document that is held in force.
+func (r *Replica) NoteActivation(err error) {
 	if err != nil {
-		r.rejected = Refusal{r.document.Version(), err.Error()}
+		r.rejected = Rejection{r.document.Version(), err.Error()}
 		return
 	}
-	r.activeVersion, r.rejected = r.document.Version(), Refusal{}
+	r.activeVersion, r.rejected = r.document.Version(), Rejection{}
 }
--- a/internal/settings/rollout.go
+++ b/internal/settings/rollout.go
@@ -14,19 +14,19 @@
 // Report is what a process says of itself. Of two reports the later one counts: by the incarnation of the process, and in it
 // by number. Only where the later incarnation is silent does an earlier one count.
 type Report struct {
-	Process string  `json:"process"`
-	Life    int64   `json:"life"`   // when the process started, Unix ms
-	Number  uint64  `json:"number"` // of the report in this life
-	Held    uint64  `json:"held"`   // the version it has
-	InForce uint64  `json:"inForce"`
-	Refused Refusal `json:"refused,omitzero"`
+	Process         string    `json:"process"`
+	Incarnation     int64     `json:"life"`   // when the process started, Unix ms
+	Sequence        uint64    `json:"number"` // of the report in this life
+	ReceivedVersion uint64    `json:"held"`   // the version it has
+	ActiveVersion   uint64    `json:"inForce"`
+	Rejected        Rejection `json:"refused,omitzero"`
 }
 
 func (r *Report) after(other *Report) bool {
-	if r.Life != other.Life {
-		return r.Life > other.Life
+	if r.Incarnation != other.Incarnation {
+		return r.Incarnation > other.Incarnation
 	}
-	return r.Number > other.Number
+	return r.Sequence > other.Sequence
 }
 
 // Progress is how far a process is.
@@ -73,10 +73,10 @@
 	}
 }
 
-// Hear takes a report in, unless a later one of the same process was heard.
-func (t *Rollout) Hear(r Report, now time.Duration) {
+// Observe takes a report in, unless a later one of the same process was heard.
+func (t *Rollout) Observe(r Report, now time.Duration) {
 	old, known := t.observed[r.Process]
-	replaced := r.Life != old.report.Life && now-old.at > incarnationTimeout
+	replaced := r.Incarnation != old.report.Incarnation && now-old.at > incarnationTimeout
 	if known && !r.after(&old.report) && !replaced {
 		return
 	}
@@ -100,7 +100,7 @@
 func (t *Rollout) Progress(now time.Duration) []Progress {
 	out := make([]Progress, 0, len(t.observed))
 	for _, h := range t.observed {
-		out = append(out, Progress{Report: h.report, SilentMs: (now - h.at).Milliseconds(), BehindMs: t.behind(h.report.InForce, now)})
+		out = append(out, Progress{Report: h.report, SilentMs: (now - h.at).Milliseconds(), BehindMs: t.behind(h.report.ActiveVersion, now)})
 	}
 	slices.SortFunc(out, func(a, b Progress) int { return strings.Compare(a.Process, b.Process) })
 	return out
@@ -130,7 +130,7 @@
 
 // supersedes reports whether one report on a process counts, and not another.
 func (p *Progress) supersedes(other *Progress) bool {
-	if p.Life != other.Life && p.silent() != other.silent() {
+	if p.Incarnation != other.Incarnation && p.silent() != other.silent() {
 		return other.silent()
 	}
 	return p.after(&other.Report)
--- a/internal/settings/rollout_test.go
+++ b/internal/settings/rollout_test.go
@@ -25,10 +25,10 @@
 				tracker.Accept(version, now+time.Second) // told twice
 				continue
 			}
-			r := Report{Process: fmt.Sprint("p", rapid.IntRange(0, 3).Draw(t, "process")), Life: rapid.Int64Range(1, 3).Draw(t, "life"),
-				Number: rapid.Uint64Range(1, 9).Draw(t, "number"), InForce: rapid.Uint64Range(0, version).Draw(t, "version")}
-			tracker.Hear(r, now)
-			if old, ok := latest[r.Process]; !ok || r.Life > old.Life || r.Life == old.Life && r.Number > old.Number {
+			r := Report{Process: fmt.Sprint("p", rapid.IntRange(0, 3).Draw(t, "process")), Incarnation: rapid.Int64Range(1, 3).Draw(t, "life"),
+				Sequence: rapid.Uint64Range(1, 9).Draw(t, "number"), ActiveVersion: rapid.Uint64Range(0, version).Draw(t, "version")}
+			tracker.Observe(r, now)
+			if old, ok := latest[r.Process]; !ok || r.Incarnation > old.Incarnation || r.Incarnation == old.Incarnation && r.Sequence > old.Sequence {
 				latest[r.Process] = r
 			}
 		}
@@ -42,7 +42,7 @@
 			}
 			behind := int64(0)
 			for v, at := range accepted {
-				if v > p.InForce {
+				if v > p.ActiveVersion {
 					behind = max(behind, (now - at).Milliseconds(), 1)
 				}
 			}
@@ -54,10 +54,10 @@
 }
 
 func TestNewestReportWins(t *testing.T) {
-	a := []Progress{{Report: Report{Process: "p", Life: 1, Number: 9, InForce: 9}}, {Report: Report{Process: "q", Life: 1, Number: 2, InForce: 5}}}
-	b := []Progress{{Report: Report{Process: "q", Life: 1, Number: 3, InForce: 7}}, {Report: Report{Process: "p", Life: 2, Number: 1, InForce: 3}}}
+	a := []Progress{{Report: Report{Process: "p", Incarnation: 1, Sequence: 9, ActiveVersion: 9}}, {Report: Report{Process: "q", Incarnation: 1, Sequence: 2, ActiveVersion: 5}}}
+	b := []Progress{{Report: Report{Process: "q", Incarnation: 1, Sequence: 3, ActiveVersion: 7}}, {Report: Report{Process: "p", Incarnation: 2, Sequence: 1, ActiveVersion: 3}}}
 	for _, got := range [][]Progress{Newest(a, b), Newest(b, a)} {
-		if len(got) != 2 || got[0].InForce != 3 || got[1].InForce != 7 {
+		if len(got) != 2 || got[0].ActiveVersion != 3 || got[1].ActiveVersion != 7 {
 			t.Errorf("%+v", got)
 		}
 	}
@@ -67,7 +67,7 @@
 func TestRolloutIsBounded(t *testing.T) {
 	tracker := NewRollout()
 	for i := range maxProcesses + 1 {
-		tracker.Hear(Report{Process: fmt.Sprint("p", i), Number: 1}, time.Duration(i))
+		tracker.Observe(Report{Process: fmt.Sprint("p", i), Sequence: 1}, time.Duration(i))
 		tracker.Accept(uint64(i+1), time.Duration(i))
 	}
 	if got := tracker.Progress(0); len(got) != maxProcesses || len(tracker.accepted) > maxAcceptances {
@@ -80,15 +80,15 @@
 func TestIncarnationAfterAStepBack(t *testing.T) {
 	for _, step := range []time.Duration{time.Second, 30 * time.Second, time.Hour} {
 		started := time.Now()
-		before := Report{Process: "p", Life: started.UnixMilli(), Number: 900, InForce: 9}
-		after := Report{Process: "p", Life: started.Add(-step).UnixMilli(), Number: 1, InForce: 3}
+		before := Report{Process: "p", Incarnation: started.UnixMilli(), Sequence: 900, ActiveVersion: 9}
+		after := Report{Process: "p", Incarnation: started.Add(-step).UnixMilli(), Sequence: 1, ActiveVersion: 3}
 		tracker := NewRollout()
-		tracker.Hear(before, 0)
-		tracker.Hear(after, incarnationTimeout)
+		tracker.Observe(before, 0)
+		tracker.Observe(after, incarnationTimeout)
 		if got := tracker.Progress(incarnationTimeout); got[0].Report != before {
 			t.Errorf("step of %v: %+v while the predecessor may still run", step, got)
 		}
-		tracker.Hear(after, incarnationTimeout+1)
+		tracker.Observe(after, incarnationTimeout+1)
 		if got := tracker.Progress(incarnationTimeout + 1); len(got) != 1 || got[0].Report != after {
 			t.Errorf("step of %v: %+v, want %+v", step, got, after)
 		}
@@ -110,9 +110,9 @@
 // A report that is older within one incarnation never counts, however long the process was silent.
 func TestOlderReportOfOneIncarnationNeverCounts(t *testing.T) {
 	tracker := NewRollout()
-	latest := Report{Process: "p", Life: 7, Number: 5}
-	tracker.Hear(latest, 0)
-	tracker.Hear(Report{Process: "p", Life: 7, Number: 4}, time.Hour)
+	latest := Report{Process: "p", Incarnation: 7, Sequence: 5}
+	tracker.Observe(latest, 0)
+	tracker.Observe(Report{Process: "p", Incarnation: 7, Sequence: 4}, time.Hour)
 	if got := tracker.Progress(time.Hour); got[0].Report != latest {
 		t.Errorf("%+v", got)
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -227,9 +227,9 @@
 				if rapid.Bool().Draw(t, "fails") {
 					err = errors.New("no")
 				}
-				before := r.InForce()
-				r.Settle(err)
-				if err == nil && r.InForce() != r.Document().Version() || err != nil && (r.InForce() != before || r.Refused().Version != r.Document().Version()) {
+				before := r.ActiveVersion()
+				r.NoteActivation(err)
+				if err == nil && r.ActiveVersion() != r.Document().Version() || err != nil && (r.ActiveVersion() != before || r.Rejected().Version != r.Document().Version()) {
 					t.Fatalf("after %v: %+v", err, r)
 				}
 			default:
@@ -238,7 +238,7 @@
 				}
 				u := rapid.SampledFrom(sent).Draw(t, "update")
 				before := r.Document()
-				err := r.Offer(u)
+				err := r.Receive(u)
 				switch now := r.Document(); {
 				case now.Version() < before.Version():
 					t.Fatalf("from version %d back to %d", before.Version(), now.Version())
--- a/internal/settingsync/accept.go
+++ b/internal/settingsync/accept.go
@@ -23,8 +23,8 @@
 			return Accepted{}, &UnknownError{err}
 		}
 		document := s.currentDocument()
-		if request.If != nil && *request.If != document.Version() {
-			return Accepted{}, &settings.ConflictError{Wanted: *request.If, Version: document.Version()}
+		if request.IfVersion != nil && *request.IfVersion != document.Version() {
+			return Accepted{}, &settings.ConflictError{Expected: *request.IfVersion, Actual: document.Version()}
 		}
 		changes, err := document.Effective(request.Changes)
 		if err != nil || len(changes) == 0 {
@@ -98,7 +98,7 @@
 	case errors.As(err, &invalid):
 		return 400, 0
 	case errors.As(err, &conflict):
-		return 409, conflict.Version
+		return 409, conflict.Actual
 	}
 	return 503, 0
 }
--- a/internal/settingsync/cut_test.go
+++ b/internal/settingsync/cut_test.go
@@ -39,7 +39,7 @@
 	}
 	remote := settingsync.NewRemote([]string{ln.Addr().String()}, call, 5*time.Second)
 	for n := range len(whole) + 1 {
-		u, err := remote.Poll(t.Context(), settings.Report{Process: "p", Held: 5}, 0)
+		u, err := remote.Poll(t.Context(), settings.Report{Process: "p", ReceivedVersion: 5}, 0)
 		if (err == nil) != (n == len(whole)) {
 			t.Errorf("after %d of %d bytes: %+v, %v", n, len(whole), u, err)
 		}
--- a/internal/settingsync/errors.go
+++ b/internal/settingsync/errors.go
@@ -61,10 +61,10 @@
 }
 
 // BusyError says that others changed the settings each time that a change was tried.
-type BusyError struct{ Tries int }
+type BusyError struct{ Attempts int }
 
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("settings: others changed the settings during each of %d tries", e.Tries)
+	return fmt.Sprintf("settings: others changed the settings during each of %d tries", e.Attempts)
 }
 
 // Code is its kind.
@@ -77,12 +77,12 @@
 
 // StaleMemberError says that a member holds an older version than the one that is held here.
 type StaleMemberError struct {
-	Member     string
-	Has, Holds uint64
+	Member                      string
+	MemberVersion, LocalVersion uint64
 }
 
 func (e *StaleMemberError) Error() string {
-	return fmt.Sprintf("settings: member %s has version %d, and version %d is held here", e.Member, e.Has, e.Holds)
+	return fmt.Sprintf("settings: member %s has version %d, and version %d is held here", e.Member, e.MemberVersion, e.LocalVersion)
 }
 
 // Code is its kind.
@@ -112,25 +112,25 @@
 	return "look at that member and the link to it; another one is asked meanwhile"
 }
 
-// ForceError says that a process could not put a version in force.
-type ForceError struct {
+// ActivationError says that a process could not put a version in force.
+type ActivationError struct {
 	Version uint64
 	Err     error
 }
 
-func (e *ForceError) Error() string {
+func (e *ActivationError) Error() string {
 	return fmt.Sprintf("settings: version %d can not be put in force here: %v", e.Version, e.Err)
 }
 
-func (e *ForceError) Unwrap() error { return e.Err }
+func (e *ActivationError) Unwrap() error { return e.Err }
 
 // Code is its kind.
-func (*ForceError) Code() string { return "settings.not_in_force" }
+func (*ActivationError) Code() string { return "settings.not_in_force" }
 
 // Do is what can be done.
-func (*ForceError) Do() string {
+func (*ActivationError) Do() string {
 	return "compare this process's base configuration with that of the others, or set what is named to what it can use; it tries again by itself"
 }
 
 var _ = []struct{}{fault.Kind(&NotReadyError{}), fault.Kind(&UnknownError{}), fault.Kind(&BusyError{}), fault.Kind(&StaleMemberError{}),
-	fault.Kind(&MemberError{}), fault.Kind(&ForceError{}), fault.Kind(&CacheError{})}
+	fault.Kind(&MemberError{}), fault.Kind(&ActivationError{}), fault.Kind(&CacheError{})}
--- a/internal/settingsync/fake_test.go
+++ b/internal/settingsync/fake_test.go
@@ -154,7 +154,7 @@
 	rejectReason func(*settings.Document) error
 }
 
-func (f *fakeTarget) PutInForce(_ context.Context, d *settings.Document) error {
+func (f *fakeTarget) Activate(_ context.Context, d *settings.Document) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.rejectReason != nil {
@@ -196,7 +196,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := NewFollower(FollowerConfig{Process: process, Life: 1, Upstream: upstream, Target: target, Cache: cache, Limits: testLimits(),
+	f := NewFollower(FollowerConfig{Process: process, Incarnation: 1, Upstream: upstream, Target: target, Cache: cache, Limits: testLimits(),
 		Log: slog.New(slog.DiscardHandler)}, inForce)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
--- a/internal/settingsync/follower.go
+++ b/internal/settingsync/follower.go
@@ -14,19 +14,19 @@
 
 // Target is what acts on the settings.
 type Target interface {
-	// PutInForce returns once a document is in force. After an error all is as it was.
-	PutInForce(ctx context.Context, d *settings.Document) error
+	// Activate returns once a document is in force. After an error all is as it was.
+	Activate(ctx context.Context, d *settings.Document) error
 }
 
 // FollowerConfig is what a Follower needs.
 type FollowerConfig struct {
-	Process  string // its name, of which there is one in the fleet
-	Life     int64  // its incarnation, see Cache.NextIncarnation
-	Upstream Upstream
-	Target   Target
-	Cache    Cache
-	Limits   limits.Limits
-	Log      *slog.Logger
+	Process     string // its name, of which there is one in the fleet
+	Incarnation int64  // its incarnation, see Cache.NextIncarnation
+	Upstream    Upstream
+	Target      Target
+	Cache       Cache
+	Limits      limits.Limits
+	Log         *slog.Logger
 }
 
 // Follower keeps a process's settings at the latest version that is accepted.
@@ -75,7 +75,7 @@
 	defer cancel()
 	none := settings.NewDocument()
 	for failures := 1; ctx.Err() == nil; failures++ {
-		u, err := cfg.Upstream.Poll(ctx, settings.Report{Process: cfg.Process, Life: cfg.Life}, 0)
+		u, err := cfg.Upstream.Poll(ctx, settings.Report{Process: cfg.Process, Incarnation: cfg.Incarnation}, 0)
 		if err == nil {
 			document, err := none.Apply(u)
 			if err == nil {
@@ -92,15 +92,15 @@
 // activate has the target act on the document that is held.
 func (f *Follower) activate(ctx context.Context) {
 	document := f.replica.Document()
-	err := f.cfg.Target.PutInForce(ctx, document)
+	err := f.cfg.Target.Activate(ctx, document)
 	if err != nil && ctx.Err() != nil {
 		return
 	}
-	f.replica.Settle(err)
+	f.replica.NoteActivation(err)
 	if err != nil {
 		f.rejections++
 		f.retryAt = time.Now().Add(jittered(backoffAfter(f.cfg.Limits.SettingsRetry, f.rejections)))
-		f.cfg.Log.Error("settings: what is in force stays", "inForce", f.replica.InForce(), fault.Attrs(&ForceError{document.Version(), err}))
+		f.cfg.Log.Error("settings: what is in force stays", "inForce", f.replica.ActiveVersion(), fault.Attrs(&ActivationError{document.Version(), err}))
 		return
 	}
 	f.rejections, f.retryAt = 0, time.Time{}
@@ -124,10 +124,10 @@
 // poll reports how far this process is and takes in what follows.
 func (f *Follower) poll(ctx context.Context) error {
 	f.reports++
-	report := settings.Report{Process: f.cfg.Process, Life: f.cfg.Life, Number: f.reports, Held: f.replica.Document().Version(),
-		InForce: f.replica.InForce(), Refused: f.replica.Refused()}
+	report := settings.Report{Process: f.cfg.Process, Incarnation: f.cfg.Incarnation, Sequence: f.reports, ReceivedVersion: f.replica.Document().Version(),
+		ActiveVersion: f.replica.ActiveVersion(), Rejected: f.replica.Rejected()}
 	if f.needsSnapshot {
-		report.Held = 0
+		report.ReceivedVersion = 0
 	}
 	began, wait := time.Now(), f.wait()
 	u, err := f.cfg.Upstream.Poll(ctx, report, wait)
@@ -135,7 +135,7 @@
 		return err
 	}
 	before := f.replica.Document().Version()
-	if err := f.replica.Offer(u); err != nil {
+	if err := f.replica.Receive(u); err != nil {
 		f.needsSnapshot = errors.Is(err, settings.ErrGap)
 		return err
 	}
--- a/internal/settingsync/handler.go
+++ b/internal/settingsync/handler.go
@@ -140,7 +140,7 @@
 	out := s.localStatus()
 	members, err := s.cfg.Store.Members()
 	if err != nil {
-		out.Silent, out.Processes = append(out.Silent, "all others: "+err.Error()), s.withRoster(out.Processes)
+		out.Unreachable, out.Processes = append(out.Unreachable, "all others: "+err.Error()), s.withRoster(out.Processes)
 		return out
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.Limits.SettingsPoll)
@@ -157,7 +157,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				out.Silent = append(out.Silent, other.Name)
+				out.Unreachable = append(out.Unreachable, other.Name)
 				return
 			}
 			out.Version = max(out.Version, status.Version)
--- a/internal/settingsync/protocol.go
+++ b/internal/settingsync/protocol.go
@@ -31,8 +31,8 @@
 
 // ApplyRequest asks for all of some changes, or none.
 type ApplyRequest struct {
-	Changes []settings.Change `json:"changes"`
-	If      *uint64           `json:"if,omitempty"` // only if this is the document's version
+	Changes   []settings.Change `json:"changes"`
+	IfVersion *uint64           `json:"if,omitempty"` // only if this is the document's version
 }
 
 // Accepted is what came of an ApplyRequest.
@@ -48,9 +48,9 @@
 
 // Status tells which version is accepted and how far each process is.
 type Status struct {
-	Version   uint64              `json:"version"`
-	Processes []settings.Progress `json:"processes"`
-	Silent    []string            `json:"silent,omitempty"` // members that could not be asked: who follows them may be missing
+	Version     uint64              `json:"version"`
+	Processes   []settings.Progress `json:"processes"`
+	Unreachable []string            `json:"silent,omitempty"` // members that could not be asked: who follows them may be missing
 }
 
 // errorBody is the body of an answer that is not 200.
--- a/internal/settingsync/remote.go
+++ b/internal/settingsync/remote.go
@@ -34,8 +34,8 @@
 func (r *Remote) Poll(ctx context.Context, report settings.Report, wait time.Duration) (settings.Update, error) {
 	member := r.members[r.current]
 	u, err := r.fetch(ctx, member, pollRequest{Report: report, WaitMs: wait.Milliseconds()}, wait+r.timeout)
-	if err == nil && u.Version < report.Held {
-		err = &StaleMemberError{member, u.Version, report.Held}
+	if err == nil && u.Version < report.ReceivedVersion {
+		err = &StaleMemberError{member, u.Version, report.ReceivedVersion}
 	}
 	if err != nil {
 		r.current = (r.current + 1) % len(r.members)
--- a/internal/settingsync/rollout_bench_test.go
+++ b/internal/settingsync/rollout_bench_test.go
@@ -48,7 +48,7 @@
 	fleet *benchFleet
 }
 
-func (m merging) PutInForce(_ context.Context, d *settings.Document) error {
+func (m merging) Activate(_ context.Context, d *settings.Document) error {
 	if _, err := settings.Merge(m.fleet.base, d); err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 	f.expect(processes)
 	for i := range processes {
 		name := fmt.Sprint("p", i)
-		follower := settingsync.NewFollower(settingsync.FollowerConfig{Process: name, Life: 1, Target: merging{name, f}, Limits: f.lim,
+		follower := settingsync.NewFollower(settingsync.FollowerConfig{Process: name, Incarnation: 1, Target: merging{name, f}, Limits: f.lim,
 			Log: slog.New(slog.DiscardHandler), Upstream: settingsync.NewRemote(f.addresses, f.call, f.lim.SettingsCall-f.lim.SettingsPoll)},
 			settings.NewDocument())
 		f.running.Go(func() { _ = follower.Run(f.ctx) })
@@ -192,7 +192,7 @@
 	proxy.up.Store(0)
 	proxy.down.Store(0)
 	for n := uint64(1); b.Loop(); n++ {
-		report := settings.Report{Process: "dispatcher-000", Life: time.Now().UnixMilli(), Number: n, Held: first.Version, InForce: first.Version}
+		report := settings.Report{Process: "dispatcher-000", Incarnation: time.Now().UnixMilli(), Sequence: n, ReceivedVersion: first.Version, ActiveVersion: first.Version}
 		if _, err := remote.Poll(b.Context(), report, 0); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/settingsync/roster.go
+++ b/internal/settingsync/roster.go
@@ -36,7 +36,7 @@
 	if s.enrolled(r.Process) {
 		return
 	}
-	value, err := json.Marshal(rosterEntry{Since: r.Life})
+	value, err := json.Marshal(rosterEntry{Since: r.Incarnation})
 	if err != nil {
 		s.logFailure("the roster", err)
 		return
@@ -56,7 +56,7 @@
 // observe takes a report in.
 func (s *Service) observe(r settings.Report) {
 	s.mu.Lock()
-	s.rollout.Hear(r, s.elapsed())
+	s.rollout.Observe(r, s.elapsed())
 	s.mu.Unlock()
 	if s.enrolled(r.Process) {
 		return
--- a/internal/settingsync/service.go
+++ b/internal/settingsync/service.go
@@ -194,8 +194,8 @@
 	defer timer.Stop()
 	s.observe(report)
 	for {
-		u, changed, err := s.updateAfter(report.Held)
-		if err != nil || u.Version > report.Held {
+		u, changed, err := s.updateAfter(report.ReceivedVersion)
+		if err != nil || u.Version > report.ReceivedVersion {
 			return u, err
 		}
 		if !s.cfg.Store.HasLeader() {
--- a/internal/settingsync/settingsync_test.go
+++ b/internal/settingsync/settingsync_test.go
@@ -50,7 +50,7 @@
 	}
 	waitFor(t, "all are told as up to date", func() bool {
 		status := s.localStatus()
-		return len(status.Processes) == 3 && !slices.ContainsFunc(status.Processes, func(p settings.Progress) bool { return p.InForce != last || p.BehindMs != 0 })
+		return len(status.Processes) == 3 && !slices.ContainsFunc(status.Processes, func(p settings.Progress) bool { return p.ActiveVersion != last || p.BehindMs != 0 })
 	})
 	// A change that is made twice has one effect.
 	writes := store.written()
@@ -93,11 +93,11 @@
 	s := startService(t, newFakeStore())
 	version := apply(t, s, one("class/a", `{"worth":2}`))
 	request := one("class/a", `{"worth":3}`)
-	request.If = &version
+	request.IfVersion = &version
 	next := apply(t, s, request)
 	_, err := s.Apply(t.Context(), request)
 	var conflict *settings.ConflictError
-	if !errors.As(err, &conflict) || conflict.Version != next {
+	if !errors.As(err, &conflict) || conflict.Actual != next {
 		t.Errorf("for a version that is over: %v", err)
 	}
 	r := s.Handle(t.Context(), &http1.Message{Method: "POST", Target: applyPath, Body: []byte(fmt.Sprintf(`{"changes":[{"key":"class/a","value":{"worth":4}}],"if":%d}`, version))})
@@ -223,7 +223,7 @@
 		u, err := s.Poll(t.Context(), settings.Report{Process: "p"}, 0)
 		return err == nil && u.Version == version
 	})
-	if _, err := s.Poll(t.Context(), settings.Report{Process: "p", Held: version}, 0); !errors.As(err, &notReady) {
+	if _, err := s.Poll(t.Context(), settings.Report{Process: "p", ReceivedVersion: version}, 0); !errors.As(err, &notReady) {
 		t.Errorf("without a leader it says that nothing follows: %v", err)
 	}
 }
@@ -246,7 +246,7 @@
 	}
 	s.mu.Unlock()
 	sleep(ctx, min(wait, 5*time.Millisecond))
-	return settings.Update{Version: r.Held, From: r.Held}, ctx.Err()
+	return settings.Update{Version: r.ReceivedVersion, From: r.ReceivedVersion}, ctx.Err()
 }
 
 func (s *scripted) last() settings.Report {
@@ -271,7 +271,7 @@
 	asked := uint64(99)
 	up := &scripted{answers: []func(settings.Report) (settings.Update, error){
 		give(delta(0, 3, 3)), give(delta(0, 3, 3)), give(delta(3, 5, 5)), give(delta(0, 3, 3)), give(delta(3, 5, 5)), give(delta(7, 8, 8)),
-		func(r settings.Report) (settings.Update, error) { asked = r.Held; return snapshot, nil },
+		func(r settings.Report) (settings.Update, error) { asked = r.ReceivedVersion; return snapshot, nil },
 		give(delta(5, 6, 6)),
 		func(settings.Report) (settings.Update, error) { return settings.Update{}, errors.New("no answer") },
 		give(delta(9, 12, 12)),
@@ -285,7 +285,7 @@
 	if asked != 0 {
 		t.Errorf("after a gap it says that it holds %d: no snapshot comes of that", asked)
 	}
-	waitFor(t, "it is reported", func() bool { return up.last().InForce == 12 })
+	waitFor(t, "it is reported", func() bool { return up.last().ActiveVersion == 12 })
 }
 
 // A version that can not be put in force is reported with its reason and tried again; the next one is tried at once.
@@ -304,11 +304,11 @@
 	startFollower(t, "p", up, target, Cache{})
 	waitFor(t, "it is reported", func() bool {
 		r := up.last()
-		return r.Held == 2 && r.InForce == 1 && r.Refused == settings.Refusal{Version: 2, Reason: "not with this base"}
+		return r.ReceivedVersion == 2 && r.ActiveVersion == 1 && r.Rejected == settings.Rejection{Version: 2, Reason: "not with this base"}
 	})
 	target.rejectWith(nil)
-	waitFor(t, "it is tried again", func() bool { return up.last().InForce == 2 })
-	if r := up.last(); r.Refused != (settings.Refusal{}) {
+	waitFor(t, "it is tried again", func() bool { return up.last().ActiveVersion == 2 })
+	if r := up.last(); r.Rejected != (settings.Rejection{}) {
 		t.Errorf("still told as refused: %+v", r)
 	}
 }
@@ -331,7 +331,7 @@
 	waitFor(t, "the third has it", func() bool { return targets[2].latest() == last })
 	waitFor(t, "the first is told by its reason", func() bool {
 		p := s.localStatus().Processes
-		return len(p) == 3 && p[0].Refused.Reason == "no" && p[0].BehindMs > 0 && p[1].BehindMs > 0 && p[2].InForce == last
+		return len(p) == 3 && p[0].Rejected.Reason == "no" && p[0].BehindMs > 0 && p[1].BehindMs > 0 && p[2].ActiveVersion == last
 	})
 }
 
@@ -357,14 +357,14 @@
 	r.current = 0
 	var got settings.Update
 	for range members {
-		if u, err := r.Poll(t.Context(), settings.Report{Process: "p", Held: 5}, 0); err == nil {
+		if u, err := r.Poll(t.Context(), settings.Report{Process: "p", ReceivedVersion: 5}, 0); err == nil {
 			got = u
 		}
 	}
 	if got.Version != 7 || len(asked) != len(members) {
 		t.Errorf("got %+v; asked %v", got, asked)
 	}
-	if _, err := r.Poll(t.Context(), settings.Report{Process: "p", Held: 5}, 0); err != nil || asked["good"] != 2 {
+	if _, err := r.Poll(t.Context(), settings.Report{Process: "p", ReceivedVersion: 5}, 0); err != nil || asked["good"] != 2 {
 		t.Errorf("it does not stay with the one that answers: %v, %v", err, asked)
 	}
 }
@@ -404,7 +404,7 @@
 	up := &scripted{}
 	began := time.Now()
 	startFollower(t, "p", up, &fakeTarget{}, Cache{})
-	waitFor(t, "it has polled", func() bool { return up.last().Number > polls })
+	waitFor(t, "it has polled", func() bool { return up.last().Sequence > polls })
 	if least := polls * testLimits().SettingsPoll / 2; time.Since(began) < least {
 		t.Errorf("%d polls in under %v", polls, least)
 	}
@@ -414,9 +414,9 @@
 func TestRosterOutlivesItsMember(t *testing.T) {
 	store := newFakeStore()
 	s := startService(t, store)
-	if _, err := s.Poll(t.Context(), settings.Report{Process: "p", Life: 5, Number: 1}, 0); err != nil {
+	if _, err := s.Poll(t.Context(), settings.Report{Process: "p", Incarnation: 5, Sequence: 1}, 0); err != nil {
 		waitFor(t, "it is ready", func() bool {
-			_, err := s.Poll(t.Context(), settings.Report{Process: "p", Life: 5, Number: 1}, 0)
+			_, err := s.Poll(t.Context(), settings.Report{Process: "p", Incarnation: 5, Sequence: 1}, 0)
 			return err == nil
 		})
 	}
@@ -425,7 +425,7 @@
 	anew := startService(t, store)
 	waitFor(t, "the new member has caught up", func() bool { return anew.localStatus().Version == version })
 	status := anew.fleetStatus(t.Context())
-	if len(status.Processes) != 1 || status.Processes[0].Process != "p" || status.Processes[0].InForce != 0 || status.Processes[0].SilentMs != neverObserved {
+	if len(status.Processes) != 1 || status.Processes[0].Process != "p" || status.Processes[0].ActiveVersion != 0 || status.Processes[0].SilentMs != neverObserved {
 		t.Errorf("%+v", status)
 	}
 	if r := anew.Handle(t.Context(), &http1.Message{Method: "POST", Target: forgetPath, Body: []byte(`{"process":"q"}`)}); r.Status != 400 {
