--- a/internal/settings/bench_test.go
+++ b/internal/settings/bench_test.go
@@ -26,8 +26,8 @@
 	return Change{Key: fmt.Sprintf("tenant/tenant-%04d", tenant), Version: version, Value: json.RawMessage(value)}
 }
 
-// BenchmarkOneChange makes one change of a tenant's quota in a document that has an item for each tenant, and carries it to a replica
-// as a delta and as the whole document, beside one another. Merge is what follows in both cases.
+// BenchmarkOneChange makes one change of a tenant's quota in a document that has an item for each tenant, and carries
+// it to a replica as a delta and as the whole document, beside one another. Merge is what follows in both cases.
 func BenchmarkOneChange(b *testing.B) {
 	for _, tenants := range []int{4, 50, 450} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) { benchmarkOneChange(b, tenants) })
@@ -43,7 +43,7 @@
 	if err := h.Append(first); err != nil {
 		b.Fatal(err)
 	}
-	held := h.Document()
+	document := h.Document()
 	var delta, whole, merge time.Duration
 	var deltaBytes, wholeBytes int
 	for version := uint64(2); b.Loop(); version++ {
@@ -52,11 +52,11 @@
 			b.Fatal(err)
 		}
 		began := time.Now()
-		next, n := carry(b, held, h.After(held.Version()))
+		next, n := carry(b, document, h.After(document.Version()))
 		delta += time.Since(began)
 		deltaBytes += n
 		began = time.Now()
-		_, n = carry(b, held, h.Document().Snapshot())
+		_, n = carry(b, document, h.Document().Snapshot())
 		whole += time.Since(began)
 		wholeBytes += n
 		began = time.Now()
@@ -64,7 +64,7 @@
 			b.Fatal(err)
 		}
 		merge += time.Since(began)
-		held = next
+		document = next
 	}
 	each := func(v float64) float64 { return v / float64(b.N) }
 	b.ReportMetric(each(float64(delta.Nanoseconds())), "delta-ns")
@@ -77,7 +77,7 @@
 }
 
 // carry takes an update from a member to a replica, but for the wire.
-func carry(b *testing.B, held *Document, u Update) (*Document, int) {
+func carry(b *testing.B, document *Document, u Update) (*Document, int) {
 	text, err := json.Marshal(u)
 	if err != nil {
 		b.Fatal(err)
@@ -86,7 +86,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	next, err := held.Apply(read)
+	next, err := document.Apply(read)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -8,7 +8,8 @@
 	"io"
 )
 
-// DecodeUpdate reads an update as another process sent it or a file holds it. What the items say is not looked at: see Merge.
+// DecodeUpdate decodes an update from another process or from a file. It does not look at the items' values; Merge
+// does.
 func DecodeUpdate(data []byte) (Update, error) {
 	var u Update
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -22,7 +23,7 @@
 	return u, u.check()
 }
 
-// check says what is wrong with an update's form.
+// check validates an update's form.
 func (u *Update) check() error {
 	if u.Snapshot && u.From != 0 || u.From > u.Version {
 		return fmt.Errorf("settings: an update from version %d to %d, snapshot %v", u.From, u.Version, u.Snapshot)
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -8,7 +8,7 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Document is all items at one version. It is never changed: an update makes another, which shares what did not change.
+// Document is all items at one version. It is immutable: an update returns another, which shares what did not change.
 type Document struct {
 	version uint64
 	items   *iradix.Tree[*Item]
@@ -17,16 +17,16 @@
 // NewDocument returns the empty document, version 0.
 func NewDocument() *Document { return &Document{items: iradix.New[*Item]()} }
 
-// Actual is the document's.
+// Version returns the document's version, 0 for the empty document.
 func (d *Document) Version() uint64 { return d.version }
 
-// Len is the number of items.
+// Len returns the number of items.
 func (d *Document) Len() int { return d.items.Len() }
 
-// Get returns an item.
+// Get returns the item of a key.
 func (d *Document) Get(key string) (*Item, bool) { return d.items.Get([]byte(key)) }
 
-// Items returns all items in the order of their keys.
+// Items returns all items in key order.
 func (d *Document) Items() []Change {
 	out := make([]Change, 0, d.Len())
 	d.walk("", func(item *Item) bool {
@@ -36,7 +36,7 @@
 	return out
 }
 
-// walk calls a function for the items whose keys begin with a prefix, in their order, until it returns false.
+// walk calls a function for the items whose keys begin with a prefix, in key order, until it returns false.
 func (d *Document) walk(prefix string, do func(*Item) bool) {
 	it := d.items.Root().Iterator()
 	it.SeekPrefix([]byte(prefix))
@@ -49,8 +49,8 @@
 	return Update{Version: d.version, Snapshot: true, Changes: d.Items()}
 }
 
-// Apply returns the document that an update leads to. An update to an older version is ErrStale, and a delta from another version
-// ErrGap; one to the version that is held changes nothing.
+// Apply returns the document that an update leads to. An update to an older version is ErrStale, a delta from another
+// version ErrGap, and one to the same version changes nothing.
 func (d *Document) Apply(u Update) (*Document, error) {
 	switch {
 	case u.Version < d.version:
@@ -71,18 +71,18 @@
 			continue
 		}
 		item := newItem(c)
-		if old, ok := d.Get(c.Key); ok && bytes.Equal(old.Value, c.Value) { // decoded already
-			kept := *old
-			kept.Version = c.Version
-			item = &kept
+		if old, ok := d.Get(c.Key); ok && bytes.Equal(old.Value, c.Value) { // already decoded
+			decoded := *old
+			decoded.Version = c.Version
+			item = &decoded
 		}
 		txn.Insert([]byte(c.Key), item)
 	}
 	return &Document{version: u.Version, items: txn.Commit()}, nil
 }
 
-// Effective returns those of some changes that would change the document, with their values in the shortest form. A key that stands
-// twice is refused, and so is a value that can not be used by itself.
+// Effective returns the changes that would change the document, with their values in compact form. It rejects a key
+// that occurs twice and a value that is invalid by itself.
 func (d *Document) Effective(changes []Change) ([]Change, error) {
 	if len(changes) > MaxChanges {
 		return nil, &InvalidError{Item: changes[MaxChanges].Key, Got: fmt.Sprintf("%d items in one change", len(changes)),
@@ -98,8 +98,8 @@
 		if err := c.normalize(); err != nil {
 			return nil, err
 		}
-		old, stands := d.Get(c.Key)
-		if c.Deleted() && !stands || stands && !c.Deleted() && bytes.Equal(old.Value, c.Value) {
+		old, exists := d.Get(c.Key)
+		if c.Deleted() && !exists || exists && !c.Deleted() && bytes.Equal(old.Value, c.Value) {
 			continue
 		}
 		out = append(out, c)
@@ -107,7 +107,7 @@
 	return out, nil
 }
 
-// normalize checks a change by itself and brings its value to the shortest form. Null deletes, as no value does.
+// normalize checks a change by itself and compacts its value. A null deletes, as no value does.
 func (c *Change) normalize() error {
 	if string(bytes.TrimSpace(c.Value)) == "null" {
 		c.Value = nil
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -7,10 +7,10 @@
 	"gatetack/internal/fault"
 )
 
-// InvalidError names a setting that can not be used, and what was expected.
+// InvalidError reports a setting that can not be used, and what was expected.
 type InvalidError struct {
 	Item     string // the item's key
-	Field    string // of it, "" where the item as a whole is meant
+	Field    string // of the item, empty where the item as a whole is meant
 	Got      string
 	Expected string
 }
@@ -23,15 +23,15 @@
 	return fmt.Sprintf("settings: %s: %s, expected %s", place, e.Got, e.Expected)
 }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*InvalidError) Code() string { return "settings.invalid" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*InvalidError) Do() string {
 	return "correct the field that is named and set it again; nothing was changed"
 }
 
-// ConflictError says that the document has another version than a change was made for.
+// ConflictError reports that a change was made for another version of the document.
 type ConflictError struct {
 	Expected, Actual uint64
 }
@@ -40,10 +40,10 @@
 	return fmt.Sprintf("settings: version %d was expected, and version %d stands", e.Expected, e.Actual)
 }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*ConflictError) Code() string { return "settings.conflict" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*ConflictError) Do() string {
 	return "look at what stands (`gatetack settings list`) and make the change again for that version"
 }
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -13,19 +13,19 @@
 	"gatetack/internal/wire"
 )
 
-// maxAttempts bounds how often a job may be tried.
+// maxAttempts bounds the attempts at a job that may be set.
 const maxAttempts = 1000
 
-// assignment writes one decoded value to its place.
+// assignment writes a decoded value to a field of a T.
 type assignment[T any] func(*T)
 
-// field is one field that an item may have.
+// field describes a field that an item may have.
 type field[T any] struct {
 	expected string
 	parse    func(gjson.Result) (assignment[T], bool)
 }
 
-// number is a field that holds a number of at least a least one.
+// number describes a field of a number that is accepted.
 func number[T any](expected string, accept func(float64) bool, place func(*T) *float64) field[T] {
 	return field[T]{expected, func(v gjson.Result) (assignment[T], bool) {
 		n, ok := finite(v)
@@ -41,7 +41,7 @@
 	return number("milliseconds over 0", func(n float64) bool { return n > 0 }, place)
 }
 
-// word is a field that holds one of some words.
+// word describes a field that has one of some words.
 func word[T, V any](words map[string]V, place func(*T) *V) field[T] {
 	expected := "one of " + strings.Join(slices.Sorted(maps.Keys(words)), ", ")
 	return field[T]{expected, func(v gjson.Result) (assignment[T], bool) {
@@ -50,7 +50,7 @@
 	}}
 }
 
-// finite reads a number. Text in place of one is refused.
+// finite parses a finite number. A string in place of one is rejected.
 func finite(v gjson.Result) (float64, bool) {
 	if v.Type != gjson.Number {
 		return 0, false
@@ -88,11 +88,8 @@
 	"fees.handshake":       amount(func(s *brain.Settings) *float64 { return &s.Fees.Handshake }),
 	"fees.origin":          amount(func(s *brain.Settings) *float64 { return &s.Fees.Origin }),
 	"overShareWorth":       amount(func(s *brain.Settings) *float64 { return &s.OverShareWorth }),
-	"worthBy":              word(map[string]bool{"request": false, "work": true}, func(s *brain.Settings) *bool { return &s.WorthByWork }),
+	"worthBy": word(
+		map[string]bool{"request": false, "work": true},
+		func(s *brain.Settings) *bool { return &s.WorthByWork },
+	),
 }
-
-// Required fields of an item whose class or tenant the base configuration does not have.
-var (
-	classRequired  = []string{"deadline", "effect"}
-	tenantRequired = []string{"portion", "quotaRps"}
-)
--- a/internal/settings/history.go
+++ b/internal/settings/history.go
@@ -2,24 +2,24 @@
 
 import "sort"
 
-// maxHistory bounds the changes that are kept for deltas.
+// maxHistory bounds the changes that are kept for deltas, over all updates.
 const maxHistory = 1024
 
-// History is the latest document with the changes that led to it, from which deltas are made. It is not safe for use by several
-// goroutines at a time.
+// History is the latest document and the changes that led to it, from which it makes deltas. It is not safe for
+// concurrent use.
 type History struct {
 	document *Document
 	updates  []Update // deltas, each from the version of the one before it
 	changes  int      // in them
 }
 
-// NewHistory returns a history that begins with the empty document.
+// NewHistory returns a history that starts with the empty document.
 func NewHistory() *History { return &History{document: NewDocument()} }
 
-// Document is the latest one.
+// Document returns the latest document.
 func (h *History) Document() *Document { return h.document }
 
-// Append takes an update in. After a snapshot the history begins anew.
+// Append applies an update. A snapshot replaces the history.
 func (h *History) Append(u Update) error {
 	next, err := h.document.Apply(u)
 	if err != nil || next == h.document {
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// After returns what leads from a version to the latest: a delta where the changes since are kept and fewer than all items are,
-// else a snapshot. The cost of a delta is that of what changed.
+// After returns the update that leads from a version to the latest: a delta where all changes since are kept and
+// concern no more items than the document has, else a snapshot. A delta costs as much as what changed.
 func (h *History) After(version uint64) Update {
 	latest := h.document.Version()
 	if version == latest {
--- a/internal/settings/item.go
+++ b/internal/settings/item.go
@@ -12,8 +12,8 @@
 	"gatetack/brain"
 )
 
-// Item is one item of a document. Its value is decoded once, when it comes; what is wrong with it is told when the document is
-// merged, so that a process which can not use an item can still hand it on.
+// Item is one item of a document. Its value is decoded once, at its arrival. An invalid value is an error of Merge
+// alone, so that a process which can not use an item can still forward it.
 type Item struct {
 	Change
 	class   overlay[brain.Class]
@@ -22,7 +22,7 @@
 	err     error
 }
 
-// overlay is what an item writes over a value of the base configuration, in the order of its fields.
+// overlay is the fields of an item that override a value of the base configuration, in their order.
 type overlay[T any] []overlaid[T]
 
 // overlaid is one field of an overlay.
@@ -41,7 +41,7 @@
 	return slices.ContainsFunc(o, func(x overlaid[T]) bool { return x.field == field })
 }
 
-// missing returns the first of some fields that the overlay does not have.
+// missing returns the first of the required fields that the overlay does not have, empty for none.
 func (o overlay[T]) missing(required []string) string {
 	for _, field := range required {
 		if !o.contains(field) {
@@ -68,10 +68,14 @@
 	return item
 }
 
-// decode reads an item's value by the fields that it may have.
+// decode decodes an item's value by the fields that it may have.
 func decode[T any](c Change, fields map[string]field[T]) (overlay[T], error) {
 	if len(c.Value) > MaxValue {
-		return nil, &InvalidError{Item: c.Key, Got: strconv.Itoa(len(c.Value)) + " bytes", Expected: strconv.Itoa(MaxValue) + " at most"}
+		return nil, &InvalidError{
+			Item:     c.Key,
+			Got:      strconv.Itoa(len(c.Value)) + " bytes",
+			Expected: strconv.Itoa(MaxValue) + " at most",
+		}
 	}
 	if !json.Valid(c.Value) {
 		return nil, &InvalidError{Item: c.Key, Got: "not valid JSON", Expected: "a JSON object"}
@@ -110,12 +114,12 @@
 	return err
 }
 
-// shownBytes bounds what of a wrong value an error shows.
-const shownBytes = 40
+// maxShownBytes bounds how much of an invalid value an error shows.
+const maxShownBytes = 40
 
 func shorten(text string) string {
-	if len(text) <= shownBytes {
+	if len(text) <= maxShownBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:shownBytes], "") + "..."
+	return strings.ToValidUTF8(text[:maxShownBytes], "") + "..."
 }
--- a/internal/settings/merge.go
+++ b/internal/settings/merge.go
@@ -9,24 +9,36 @@
 	"gatetack/brain"
 )
 
-// Rules are the settings of a process with the names of its classes and tenants, by their places.
+// Rules is the settings of a process with the names of its classes and tenants, by index.
 type Rules struct {
 	Settings brain.Settings
 	Classes  []string
 	Tenants  []string
 }
 
-// defaultClass is what a class has under the fields that its item does not name, as in the platform's settings.
+// defaultClass is the class that an item of a new class overrides, as in the platform's settings.
 func defaultClass() brain.Class {
 	return brain.Class{Worth: 1, Effect: brain.Unsafe, Scope: brain.ScopeCell, Kind: -1}
 }
 
-// Merge returns a base configuration with a document's items over it. Classes and tenants that the base does not have come behind
-// its own, in the order of their names. The base stays as it is.
+var classKind = kind[brain.Class]{
+	prefix:   ClassPrefix,
+	required: []string{"deadline", "effect"},
+	absent:   defaultClass,
+	overlay:  func(item *Item) overlay[brain.Class] { return item.class },
+}
+
+var tenantKind = kind[brain.Tenant]{
+	prefix:   TenantPrefix,
+	required: []string{"portion", "quotaRps"},
+	absent:   func() brain.Tenant { return brain.Tenant{} },
+	overlay:  func(item *Item) overlay[brain.Tenant] { return item.tenant },
+}
+
+// Merge returns a base configuration with a document's items applied to it. Classes and tenants that the base does not
+// have follow its own, in the order of their names. The base is not changed.
 func Merge(base Rules, d *Document) (Rules, error) {
 	out := base
-	out.Settings.Classes, out.Classes = slices.Clone(base.Settings.Classes), slices.Clone(base.Classes)
-	out.Settings.Tenants, out.Tenants = slices.Clone(base.Settings.Tenants), slices.Clone(base.Tenants)
 	var err error
 	d.walk("", func(item *Item) bool {
 		err = item.err
@@ -38,44 +50,60 @@
 	if item, ok := d.Get(GeneralKey); ok {
 		item.general.apply(&out.Settings)
 	}
-	out.Settings.Classes, out.Classes, err = lay(d, ClassPrefix, out.Settings.Classes, out.Classes, classRequired, defaultClass,
-		func(item *Item) overlay[brain.Class] { return item.class })
+	classes, err := classKind.override(d, named[brain.Class]{base.Settings.Classes, base.Classes})
 	if err != nil {
 		return Rules{}, err
 	}
-	out.Settings.Tenants, out.Tenants, err = lay(d, TenantPrefix, out.Settings.Tenants, out.Tenants, tenantRequired,
-		func() brain.Tenant { return brain.Tenant{} }, func(item *Item) overlay[brain.Tenant] { return item.tenant })
+	tenants, err := tenantKind.override(d, named[brain.Tenant]{base.Settings.Tenants, base.Tenants})
 	if err != nil {
 		return Rules{}, err
 	}
+	out.Settings.Classes, out.Classes = classes.values, classes.names
+	out.Settings.Tenants, out.Tenants = tenants.values, tenants.names
 	return out, nil
 }
 
-// lay writes the items of one kind over the values of the base.
-func lay[T any](d *Document, prefix string, values []T, names, required []string, absent func() T, of func(*Item) overlay[T]) ([]T, []string, error) {
-	place := make(map[string]int, len(names))
-	for i, name := range names {
-		place[name] = i
+// kind is how the items of classes, or of tenants, override the values of the base configuration.
+type kind[T any] struct {
+	prefix   string
+	required []string // fields of an item whose name the base does not have
+	absent   func() T // the value that such an item overrides
+	overlay  func(*Item) overlay[T]
+}
+
+// named is the values of one kind with their names, by index.
+type named[T any] struct {
+	values []T
+	names  []string
+}
+
+// override applies the items of one kind to the values of the base.
+func (k *kind[T]) override(d *Document, base named[T]) (named[T], error) {
+	out := named[T]{slices.Clone(base.values), slices.Clone(base.names)}
+	index := make(map[string]int, len(out.names))
+	for i, name := range out.names {
+		index[name] = i
 	}
 	var err error
-	d.walk(prefix, func(item *Item) bool {
-		name := strings.TrimPrefix(item.Key, prefix)
-		at, known := place[name]
+	d.walk(k.prefix, func(item *Item) bool {
+		name := strings.TrimPrefix(item.Key, k.prefix)
+		i, known := index[name]
 		if !known {
-			if lacking := of(item).missing(required); lacking != "" {
-				err = &InvalidError{Item: item.Key, Field: lacking, Got: "absent", Expected: "a value, as the base configuration has none of this name"}
+			if field := k.overlay(item).missing(k.required); field != "" {
+				err = &InvalidError{Item: item.Key, Field: field, Got: "absent",
+					Expected: "a value, as the base configuration has none of this name"}
 				return false
 			}
-			at = len(names)
-			names, values = append(names, name), append(values, absent())
+			i = len(out.names)
+			out.names, out.values = append(out.names, name), append(out.values, k.absent())
 		}
-		of(item).apply(&values[at])
+		k.overlay(item).apply(&out.values[i])
 		return true
 	})
-	return values, names, err
+	return out, err
 }
 
-// Validate says whether a process with a base configuration can put a document in force.
+// Validate checks whether a process with a base configuration can activate a document.
 func Validate(base Rules, d *Document) error {
 	merged, err := Merge(base, d)
 	if err != nil {
@@ -84,19 +112,35 @@
 	return merged.check(base)
 }
 
-// check says what of the whole can not be used.
+// check validates the merged settings as a whole.
 func (r *Rules) check(base Rules) error {
 	if n := len(r.Classes); n > math.MaxUint8 {
-		return &InvalidError{Item: ClassPrefix + r.Classes[n-1], Got: fmt.Sprintf("%d classes with it", n), Expected: fmt.Sprintf("%d at most", math.MaxUint8)}
+		return &InvalidError{
+			Item:     ClassPrefix + r.Classes[n-1],
+			Got:      fmt.Sprintf("%d classes with it", n),
+			Expected: fmt.Sprintf("%d at most", math.MaxUint8),
+		}
 	}
 	if n := len(r.Tenants); n > math.MaxUint16 {
-		return &InvalidError{Item: TenantPrefix + r.Tenants[n-1], Got: fmt.Sprintf("%d tenants with it", n), Expected: fmt.Sprintf("%d at most", math.MaxUint16)}
+		return &InvalidError{
+			Item:     TenantPrefix + r.Tenants[n-1],
+			Got:      fmt.Sprintf("%d tenants with it", n),
+			Expected: fmt.Sprintf("%d at most", math.MaxUint16),
+		}
 	}
 	if len(base.Tenants) == 0 && len(r.Tenants) > 0 {
-		return &InvalidError{Item: TenantPrefix + r.Tenants[0], Got: "the first tenant", Expected: "none, as in the base configuration"}
+		return &InvalidError{
+			Item:     TenantPrefix + r.Tenants[0],
+			Got:      "the first tenant",
+			Expected: "none, as in the base configuration",
+		}
 	}
 	if _, err := brain.New(r.Settings, 0); err != nil {
-		return &InvalidError{Item: "the merged settings", Got: err.Error(), Expected: "settings that the decision module can use"}
+		return &InvalidError{
+			Item:     "the merged settings",
+			Got:      err.Error(),
+			Expected: "settings that the decision module can use",
+		}
 	}
 	return nil
 }
--- a/internal/settings/replica.go
+++ b/internal/settings/replica.go
@@ -1,35 +1,35 @@
 package settings
 
-// Replica is the document as one process has it: what it holds, and what of it is in force. It is not safe for use by several
-// goroutines at a time.
+// Replica is the document as one process has it: the version that was received last, and the version that is active. It
+// is not safe for concurrent use.
 type Replica struct {
 	document      *Document
 	activeVersion uint64
 	rejected      Rejection
 }
 
-// Rejection is a version that a process could not put in force, and why.
+// Rejection is a version that a process could not activate, and why.
 type Rejection struct {
 	Version uint64 `json:"version,omitempty"`
 	Reason  string `json:"reason,omitempty"`
 }
 
-// NewReplica returns a replica that begins with a document which is in force.
+// NewReplica returns a replica that starts with an active document.
 func NewReplica(d *Document) *Replica { return &Replica{document: d, activeVersion: d.Version()} }
 
-// Document is the one that is held, in force or not.
+// Document returns the document that was received last, active or not.
 func (r *Replica) Document() *Document { return r.document }
 
-// ActiveVersion is the version that is in force.
+// ActiveVersion returns the version that is active.
 func (r *Replica) ActiveVersion() uint64 { return r.activeVersion }
 
-// Rejected is the version that could not be put in force, the zero Refusal for none.
+// Rejected returns the version that could not be activated, the zero Rejection for none.
 func (r *Replica) Rejected() Rejection { return r.rejected }
 
-// Pending reports whether the document that is held is still to be put in force.
+// Pending reports whether the received document is still to be activated.
 func (r *Replica) Pending() bool { return r.document.Version() != r.activeVersion }
 
-// Receive takes an update in. ErrStale and ErrGap leave the replica as it was.
+// Receive applies an update. ErrStale and ErrGap leave the replica unchanged.
 func (r *Replica) Receive(u Update) error {
 	next, err := r.document.Apply(u)
 	if err == nil {
@@ -38,7 +38,7 @@
 	return err
 }
 
-// NoteActivation notes what came of putting the document that is held in force.
+// NoteActivation records the result of activating the received document.
 func (r *Replica) NoteActivation(err error) {
 	if err != nil {
 		r.rejected = Rejection{r.document.Version(), err.Error()}
--- a/internal/settings/rollout.go
+++ b/internal/settings/rollout.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// incarnationTimeout is the silence after which a process counts as replaced by another incarnation of its name, whichever
-// number that has. Numbers come from wall clocks where no folder lasts, and a clock may have been stepped back before the
-// new process started. A process that runs reports several times within this span.
+// incarnationTimeout is the silence after which a process counts as replaced by another incarnation of its name, even
+// one with a lower number. Numbers come from wall clocks where no folder lasts, and a clock may have been stepped back
+// before the new process started. A process that runs reports several times within this span.
 const incarnationTimeout = 10 * time.Second
 
-// Report is what a process says of itself. Of two reports the later one counts: by the incarnation of the process, and in it
-// by number. Only where the later incarnation is silent does an earlier one count.
+// Report is the state of a process as it reports it. Of two reports the later one counts, by incarnation and then by
+// sequence. Only where the later incarnation is silent does an earlier one count.
 type Report struct {
 	Process         string    `json:"process"`
-	Incarnation     int64     `json:"life"`   // when the process started, Unix ms
-	Sequence        uint64    `json:"number"` // of the report in this life
-	ReceivedVersion uint64    `json:"held"`   // the version it has
+	Incarnation     int64     `json:"life"`   // see settingsync.Cache.NextIncarnation
+	Sequence        uint64    `json:"number"` // within the incarnation
+	ReceivedVersion uint64    `json:"held"`   // active or not
 	ActiveVersion   uint64    `json:"inForce"`
 	Rejected        Rejection `json:"refused,omitzero"`
 }
@@ -29,15 +29,15 @@
 	return r.Sequence > other.Sequence
 }
 
-// Progress is how far a process is.
+// Progress is a process's latest report and its age.
 type Progress struct {
 	Report
-	SilentMs int64 `json:"silentMs"` // since it was heard
-	BehindMs int64 `json:"behindMs"` // since the first version was accepted that it has not in force; 0: it has the latest
+	SilentMs int64 `json:"silentMs"` // since the last report
+	BehindMs int64 `json:"behindMs"` // since the first version was accepted that is not active there, 0 if the latest is
 }
 
-// Rollout tracks which process has which version in force. Time is passed in. It is not safe for use by several goroutines at a
-// time.
+// Rollout tracks which process has which version active. Callers pass the time in, as a span on a monotonic clock. It
+// is not safe for concurrent use.
 type Rollout struct {
 	accepted []acceptance
 	observed map[string]observation
@@ -53,16 +53,16 @@
 	at     time.Duration
 }
 
-// Bounds of the tracker. Processes that were not heard for longest make place for new ones.
+// Bounds of a Rollout. The process that reported least recently is dropped for a new one.
 const (
 	maxAcceptances = 4096
 	maxProcesses   = 4096
 )
 
-// NewRollout returns a tracker that has heard of nothing.
+// NewRollout returns a tracker without versions and reports.
 func NewRollout() *Rollout { return &Rollout{observed: map[string]observation{}} }
 
-// Accept notes that a version was accepted.
+// Accept records that a version was accepted.
 func (t *Rollout) Accept(version uint64, now time.Duration) {
 	if n := len(t.accepted); n > 0 && t.accepted[n-1].version >= version {
 		return
@@ -73,7 +73,7 @@
 	}
 }
 
-// Observe takes a report in, unless a later one of the same process was heard.
+// Observe records a report, unless a later one of the same process is known.
 func (t *Rollout) Observe(r Report, now time.Duration) {
 	old, known := t.observed[r.Process]
 	replaced := r.Incarnation != old.report.Incarnation && now-old.at > incarnationTimeout
@@ -96,19 +96,23 @@
 	delete(t.observed, oldest)
 }
 
-// Progress returns how far each process is, in the order of their names.
+// Progress returns the progress of each process, sorted by name.
 func (t *Rollout) Progress(now time.Duration) []Progress {
 	out := make([]Progress, 0, len(t.observed))
 	for _, h := range t.observed {
-		out = append(out, Progress{Report: h.report, SilentMs: (now - h.at).Milliseconds(), BehindMs: t.behind(h.report.ActiveVersion, now)})
+		out = append(
+			out,
+			Progress{Report: h.report, SilentMs: (now - h.at).Milliseconds(), BehindMs: t.behind(h.report.ActiveVersion, now)},
+		)
 	}
 	slices.SortFunc(out, func(a, b Progress) int { return strings.Compare(a.Process, b.Process) })
 	return out
 }
 
-// behind is the time in milliseconds since the first version was accepted that comes after one in force: 1 at least, 0 for none.
-func (t *Rollout) behind(inForce uint64, now time.Duration) int64 {
-	i, _ := slices.BinarySearchFunc(t.accepted, inForce+1, func(a acceptance, v uint64) int {
+// behind returns the milliseconds, at least 1, since the first version was accepted that follows an active one, 0 for
+// none.
+func (t *Rollout) behind(active uint64, now time.Duration) int64 {
+	i, _ := slices.BinarySearchFunc(t.accepted, active+1, func(a acceptance, v uint64) int {
 		switch {
 		case a.version < v:
 			return -1
@@ -123,12 +127,12 @@
 	return max((now - t.accepted[i].at).Milliseconds(), 1)
 }
 
-// silent reports whether a process was not heard for so long that another incarnation of its name may run.
+// silent reports whether the last report is so old that another incarnation of the name may run.
 func (p *Progress) silent() bool {
 	return p.SilentMs < 0 || p.SilentMs > incarnationTimeout.Milliseconds()
 }
 
-// supersedes reports whether one report on a process counts, and not another.
+// supersedes reports whether a process's progress counts and the other one, of the same process, does not.
 func (p *Progress) supersedes(other *Progress) bool {
 	if p.Incarnation != other.Incarnation && p.silent() != other.silent() {
 		return other.silent()
@@ -136,7 +140,7 @@
 	return p.after(&other.Report)
 }
 
-// Newest merges what several trackers know: of each process the latest report.
+// Newest merges the progress that several trackers know: of each process the report that counts.
 func Newest(all ...[]Progress) []Progress {
 	latest := map[string]Progress{}
 	for _, list := range all {
--- a/internal/settings/rollout_test.go
+++ b/internal/settings/rollout_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The tracker against a plain model: of each process the latest report counts, whatever the order in which reports come, and it is
-// behind since the first version was accepted that it has not in force.
+// The tracker against a plain model: of each process the latest report counts, whatever the order in which reports
+// come, and it is behind since the first version was accepted that is not active there.
 func TestRolloutAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := NewRollout()
@@ -22,13 +22,24 @@
 				version += rapid.Uint64Range(1, 3).Draw(t, "step")
 				accepted[version] = now
 				tracker.Accept(version, now)
-				tracker.Accept(version, now+time.Second) // told twice
+				tracker.Accept(version, now+time.Second) // accepted twice
 				continue
 			}
-			r := Report{Process: fmt.Sprint("p", rapid.IntRange(0, 3).Draw(t, "process")), Incarnation: rapid.Int64Range(1, 3).Draw(t, "life"),
-				Sequence: rapid.Uint64Range(1, 9).Draw(t, "number"), ActiveVersion: rapid.Uint64Range(0, version).Draw(t, "version")}
+			r := Report{
+				Process:     fmt.Sprint("p", rapid.IntRange(0, 3).Draw(t, "process")),
+				Incarnation: rapid.Int64Range(1, 3).Draw(t, "life"),
+				Sequence: rapid.Uint64Range(
+					1,
+					9,
+				).Draw(
+					t,
+					"number",
+				),
+				ActiveVersion: rapid.Uint64Range(0, version).Draw(t, "version"),
+			}
 			tracker.Observe(r, now)
-			if old, ok := latest[r.Process]; !ok || r.Incarnation > old.Incarnation || r.Incarnation == old.Incarnation && r.Sequence > old.Sequence {
+			if old, ok := latest[r.Process]; !ok || r.Incarnation > old.Incarnation ||
+				r.Incarnation == old.Incarnation && r.Sequence > old.Sequence {
 				latest[r.Process] = r
 			}
 		}
@@ -54,8 +65,14 @@
 }
 
 func TestNewestReportWins(t *testing.T) {
-	a := []Progress{{Report: Report{Process: "p", Incarnation: 1, Sequence: 9, ActiveVersion: 9}}, {Report: Report{Process: "q", Incarnation: 1, Sequence: 2, ActiveVersion: 5}}}
-	b := []Progress{{Report: Report{Process: "q", Incarnation: 1, Sequence: 3, ActiveVersion: 7}}, {Report: Report{Process: "p", Incarnation: 2, Sequence: 1, ActiveVersion: 3}}}
+	a := []Progress{
+		{Report: Report{Process: "p", Incarnation: 1, Sequence: 9, ActiveVersion: 9}},
+		{Report: Report{Process: "q", Incarnation: 1, Sequence: 2, ActiveVersion: 5}},
+	}
+	b := []Progress{
+		{Report: Report{Process: "q", Incarnation: 1, Sequence: 3, ActiveVersion: 7}},
+		{Report: Report{Process: "p", Incarnation: 2, Sequence: 1, ActiveVersion: 3}},
+	}
 	for _, got := range [][]Progress{Newest(a, b), Newest(b, a)} {
 		if len(got) != 2 || got[0].ActiveVersion != 3 || got[1].ActiveVersion != 7 {
 			t.Errorf("%+v", got)
@@ -63,7 +80,7 @@
 	}
 }
 
-// A process that is not heard for longest makes place for a new one.
+// The process that reported least recently is dropped for a new one.
 func TestRolloutIsBounded(t *testing.T) {
 	tracker := NewRollout()
 	for i := range maxProcesses + 1 {
@@ -75,8 +92,8 @@
 	}
 }
 
-// A process that started after its clock was stepped back has a lower incarnation than its predecessor. Its reports count as
-// soon as the predecessor is silent, and the predecessor's count until then.
+// A process that started after its clock was stepped back has a lower incarnation than its predecessor. Its reports
+// count as soon as the predecessor is silent, and the predecessor's count until then.
 func TestIncarnationAfterAStepBack(t *testing.T) {
 	for _, step := range []time.Duration{time.Second, 30 * time.Second, time.Hour} {
 		started := time.Now()
@@ -92,16 +109,16 @@
 		if got := tracker.Progress(incarnationTimeout + 1); len(got) != 1 || got[0].Report != after {
 			t.Errorf("step of %v: %+v, want %+v", step, got, after)
 		}
-		silent, heard := []Progress{{Report: before, SilentMs: 10_001}}, []Progress{{Report: after, SilentMs: 10_000}}
-		for _, got := range [][]Progress{Newest(silent, heard), Newest(heard, silent)} {
+		silent, reporting := []Progress{{Report: before, SilentMs: 10_001}}, []Progress{{Report: after, SilentMs: 10_000}}
+		for _, got := range [][]Progress{Newest(silent, reporting), Newest(reporting, silent)} {
 			if len(got) != 1 || got[0].Report != after {
 				t.Errorf("step of %v, of two members: %+v", step, got)
 			}
 		}
 		silent[0].SilentMs = 10_000
-		for _, got := range [][]Progress{Newest(silent, heard), Newest(heard, silent)} {
+		for _, got := range [][]Progress{Newest(silent, reporting), Newest(reporting, silent)} {
 			if len(got) != 1 || got[0].Report != before {
-				t.Errorf("step of %v, both are heard: %+v", step, got)
+				t.Errorf("step of %v, both report: %+v", step, got)
 			}
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,11 @@
-// Package settings holds the rules of settings that come through the replicated store: what may be set, how it lies over a process's
-// base configuration, which changes lead from one version to another, and which process has which version in force. It does no I/O,
-// reads no clock and starts no goroutine.
+// Package settings has the rules of settings that come through the replicated store: what may be set, how it overrides
+// a process's base configuration, which updates lead from one version to another, and which process has which version
+// active. It does no I/O, reads no clock and starts no goroutine; its callers own all state.
 //
-// Settings are items, each with a key and a JSON object whose fields have the platform's names. An item lies over what the base
-// configuration says under the same name: a field that it does not have stays as the base has it, and an item that is deleted
-// leaves the base as it was. Each accepted change makes a new version of the whole document, the number of the store's transaction.
+// Settings are items, each with a key and a JSON object whose fields have the platform's names. An item overrides the
+// base configuration's entry of the same name: fields that it does not have keep the base's values, and an item that is
+// deleted restores them all. Each accepted change makes a new version of the whole document, the number of the store's
+// transaction.
 package settings
 
 import (
@@ -17,42 +18,42 @@
 // Table is the store's table of the items.
 const Table = "settings"
 
-// HeadKey is the key of the document's head in the table. Each change writes it, in one transaction with the items: its version is
-// the document's.
+// HeadKey is the key of the document's head in the table. Each change writes it in one transaction with the items, so
+// that its version is the document's.
 const HeadKey = "head"
 
-// GeneralKey is the key of the item with settings that belong to no class and no tenant.
+// GeneralKey is the key of the item with the settings that belong to no class and no tenant.
 const GeneralKey = "general"
 
-// Prefixes of the keys of items for classes and tenants; the name follows.
+// Prefixes of the keys of items for classes and tenants. The name follows.
 const (
 	ClassPrefix  = "class/"
 	TenantPrefix = "tenant/"
 )
 
-// Bounds of what may be set.
+// Bounds of a change.
 const (
 	MaxName    = 128     // bytes of a class's or tenant's name
 	MaxValue   = 4 << 10 // bytes of an item's value
-	MaxChanges = 255     // items in one change: with the head, as many operations as a transaction may have
+	MaxChanges = 255     // items in one change; with the head, a transaction's maximum of operations
 )
 
 // Head is the value of the document's head.
 type Head struct {
-	Previous uint64 `json:"previous"` // the version that stood before, 0 for none
+	Previous uint64 `json:"previous"` // the version before, 0 for none
 }
 
-// Change is one item as it is from a version on.
+// Change is the value of one item from a version on.
 type Change struct {
 	Key     string          `json:"key"`
-	Version uint64          `json:"version,omitempty"` // that wrote it
-	Value   json.RawMessage `json:"value,omitempty"`   // absent: the item was deleted
+	Version uint64          `json:"version,omitempty"` // of the document that wrote it
+	Value   json.RawMessage `json:"value,omitempty"`   // absent where the item was deleted
 }
 
-// Deleted reports whether the change takes the item away.
+// Deleted reports whether the change deletes the item.
 func (c *Change) Deleted() bool { return len(c.Value) == 0 }
 
-// Update leads from one version of the document to another: a snapshot from any, a delta from the version From.
+// Update leads to a version of the document: a snapshot from any version, a delta from the version From.
 type Update struct {
 	Version  uint64   `json:"version"`
 	From     uint64   `json:"from,omitempty"`
@@ -60,7 +61,7 @@
 	Changes  []Change `json:"changes"`
 }
 
-// validKey says what is wrong with an item's key, nil for nothing.
+// validKey checks an item's key.
 func validKey(key string) error {
 	if key == GeneralKey {
 		return nil
@@ -73,7 +74,11 @@
 		}
 	}
 	if !validName(name) {
-		return &InvalidError{Item: key, Got: "not a name", Expected: "1 to 128 bytes without spaces, commas, slashes and control characters"}
+		return &InvalidError{
+			Item:     key,
+			Got:      "not a name",
+			Expected: "1 to 128 bytes without spaces, commas, slashes and control characters",
+		}
 	}
 	return nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -41,19 +41,30 @@
 
 func TestMergeLaysItemsOverTheBase(t *testing.T) {
 	base := baseRules()
-	got, err := Merge(base, documentOf(t,
-		change("class/area-render", `{"worth":3}`), change("class/draft", `{"deadline":5000,"effect":"free","dedupScope":"all"}`),
-		change("tenant/maavaade", `{"quotaRps":5}`), change("tenant/new", `{"portion":0.1,"quotaRps":1}`),
-		change("general", `{"limits":{"maxAttempts":7},"fees":{"crossZone":0.5},"worthBy":"work","overShareWorth":0}`)))
+	got, err := Merge(base, documentOf(
+		t,
+		change(
+			"class/area-render",
+			`{"worth":3}`,
+		),
+		change("class/draft", `{"deadline":5000,"effect":"free","dedupScope":"all"}`),
+		change("tenant/maavaade", `{"quotaRps":5}`),
+		change("tenant/new", `{"portion":0.1,"quotaRps":1}`),
+		change("general", `{"limits":{"maxAttempts":7},"fees":{"crossZone":0.5},"worthBy":"work","overShareWorth":0}`),
+	))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := baseRules()
 	want.Settings.Classes[1].Worth = 3
-	want.Settings.Classes = append(want.Settings.Classes, brain.Class{Deadline: 5000, Worth: 1, Effect: brain.Safe, Scope: brain.ScopeAll, Kind: -1})
+	want.Settings.Classes = append(
+		want.Settings.Classes,
+		brain.Class{Deadline: 5000, Worth: 1, Effect: brain.Safe, Scope: brain.ScopeAll, Kind: -1},
+	)
 	want.Settings.Tenants[1].Quota = 5
 	want.Settings.Tenants = append(want.Settings.Tenants, brain.Tenant{Portion: 0.1, Quota: 1})
-	want.Settings.MaxAttempts, want.Settings.Fees.CrossZone, want.Settings.WorthByWork, want.Settings.OverShareWorth = 7, 0.5, true, 0
+	want.Settings.MaxAttempts, want.Settings.Fees.CrossZone = 7, 0.5
+	want.Settings.WorthByWork, want.Settings.OverShareWorth = true, 0
 	want.Classes, want.Tenants = append(want.Classes, "draft"), append(want.Tenants, "new")
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v\nwant %+v", got, want)
@@ -77,10 +88,13 @@
 		{"class/x", `{"deadline":0,"effect":"free"}`, "class/x: deadline: 0, expected milliseconds over 0"},
 		{"class/x", `{"deadline":"5000","effect":"free"}`, `class/x: deadline: "5000", expected milliseconds over 0`},
 		{"class/x", `{"deadline":1e999,"effect":"free"}`, "class/x: deadline: 1e999, expected milliseconds over 0"},
-		{"class/x", `{"deadline":5000,"effect":"none"}`, `class/x: effect: "none", expected one of free, guarded, single_shot`},
+		{"class/x", `{"deadline":5000,"effect":"none"}`,
+			`class/x: effect: "none", expected one of free, guarded, single_shot`},
 		{"class/x", `{"deadline":5000,"deadline":6000}`, "class/x: deadline: stands twice, expected one value"},
-		{"class/x", `{"deadline":5000}`, "class/x: effect: absent, expected a value, as the base configuration has none of this name"},
-		{"class/x", `{"dedline":5000}`, "class/x: dedline: not a field that can be set here, expected one of aim, aimStretch, deadline"},
+		{"class/x", `{"deadline":5000}`,
+			"class/x: effect: absent, expected a value, as the base configuration has none of this name"},
+		{"class/x", `{"dedline":5000}`,
+			"class/x: dedline: not a field that can be set here, expected one of aim, aimStretch, deadline"},
 		{"class/tile-charge", `{"window":-1}`, "class/tile-charge: window: -1, expected a number of 0 or more"},
 		{"tenant/x", `{"portion":0.1}`, "tenant/x: quotaRps: absent, expected a value"},
 		{"tenant/maavaade", `{"portion":null}`, "tenant/maavaade: portion: null, expected a number of 0 or more"},
@@ -106,7 +120,11 @@
 	if err := Validate(baseRules(), documentOf(t, many[:253]...)); err != nil {
 		t.Errorf("255 classes: %v", err)
 	}
-	if err := Validate(baseRules(), documentOf(t, many...)); err == nil || !strings.Contains(err.Error(), "256 classes with it, expected 255 at most") {
+	if err := Validate(
+		baseRules(),
+		documentOf(t, many...),
+	); err == nil ||
+		!strings.Contains(err.Error(), "256 classes with it, expected 255 at most") {
 		t.Errorf("256 classes: %v", err)
 	}
 	alone := baseRules()
@@ -117,7 +135,16 @@
 }
 
 // values that the model tests draw from: good ones, and ones that can not be used.
-var drawnValues = []string{`{"worth":1}`, `{"worth":2}`, `{"deadline":5000,"effect":"free"}`, `{"portion":0.5,"quotaRps":3}`, `{"quotaRps":4}`, `{}`, `{"worth":-1}`, `7`}
+var drawnValues = []string{
+	`{"worth":1}`,
+	`{"worth":2}`,
+	`{"deadline":5000,"effect":"free"}`,
+	`{"portion":0.5,"quotaRps":3}`,
+	`{"quotaRps":4}`,
+	`{}`,
+	`{"worth":-1}`,
+	`7`,
+}
 
 func drawChanges(t *rapid.T) []Change {
 	keys := []string{"class/a", "class/b", "class/tile-charge", "tenant/a", "tenant/maavaade", "general"}
@@ -163,7 +190,8 @@
 	return out
 }
 
-// From any version that was, whatever History gives leads to the latest, and it is a delta where the changes since are kept.
+// From any version that was, whatever History gives leads to the latest, and it is a delta where the changes since are
+// kept.
 func TestHistoryLeadsToTheLatest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{at: map[uint64]map[string]Change{0: {}}, versions: []uint64{0}}
@@ -206,8 +234,8 @@
 	})
 }
 
-// A replica to which updates come in any order, twice, late or not at all never goes back and holds what the model has under its
-// version; and what is in force was held.
+// A replica to which updates come in any order, twice, late or not at all never goes back and holds what the model has
+// under its version; and what is active was received before.
 func TestReplicaNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{at: map[uint64]map[string]Change{0: {}}, versions: []uint64{0}}
@@ -223,30 +251,12 @@
 				}
 				sent = append(sent, u, h.After(rapid.SampledFrom(m.versions).Draw(t, "from")), h.Document().Snapshot())
 			case 1:
-				var err error
-				if rapid.Bool().Draw(t, "fails") {
-					err = errors.New("no")
-				}
-				before := r.ActiveVersion()
-				r.NoteActivation(err)
-				if err == nil && r.ActiveVersion() != r.Document().Version() || err != nil && (r.ActiveVersion() != before || r.Rejected().Version != r.Document().Version()) {
-					t.Fatalf("after %v: %+v", err, r)
-				}
+				checkActivation(t, r, rapid.Bool().Draw(t, "fails"))
 			default:
 				if len(sent) == 0 {
 					continue
 				}
-				u := rapid.SampledFrom(sent).Draw(t, "update")
-				before := r.Document()
-				err := r.Receive(u)
-				switch now := r.Document(); {
-				case now.Version() < before.Version():
-					t.Fatalf("from version %d back to %d", before.Version(), now.Version())
-				case err != nil && now != before:
-					t.Fatal("an update that failed changed what is held")
-				case (err == nil) != (u.Version == before.Version() || u.Version > before.Version() && (u.Snapshot || u.From == before.Version())):
-					t.Fatalf("an update from %d to %d, snapshot %v, at %d: %v", u.From, u.Version, u.Snapshot, before.Version(), err)
-				}
+				checkReceive(t, r, rapid.SampledFrom(sent).Draw(t, "update"))
 			}
 			if got := contents(r.Document()); !reflect.DeepEqual(got, m.at[r.Document().Version()]) {
 				t.Fatalf("version %d: %v, expected %v", r.Document().Version(), got, m.at[r.Document().Version()])
@@ -255,6 +265,36 @@
 	})
 }
 
+// checkActivation records the result of an activation: a success makes the document active, a failure rejects it.
+func checkActivation(t *rapid.T, r *Replica, fails bool) {
+	var err error
+	if fails {
+		err = errors.New("no")
+	}
+	before := r.ActiveVersion()
+	r.NoteActivation(err)
+	if err == nil && r.ActiveVersion() != r.Document().Version() ||
+		err != nil && (r.ActiveVersion() != before || r.Rejected().Version != r.Document().Version()) {
+		t.Fatalf("after %v: %+v", err, r)
+	}
+}
+
+// checkReceive applies an update: the version never goes back, and exactly an update that follows it is applied.
+func checkReceive(t *rapid.T, r *Replica, u Update) {
+	before := r.Document()
+	version := before.Version()
+	follows := u.Version == version || u.Version > version && (u.Snapshot || u.From == version)
+	err := r.Receive(u)
+	switch now := r.Document(); {
+	case now.Version() < version:
+		t.Fatalf("from version %d back to %d", version, now.Version())
+	case err != nil && now != before:
+		t.Fatal("an update that failed changed the document")
+	case (err == nil) != follows:
+		t.Fatalf("an update from %d to %d, snapshot %v, at %d: %v", u.From, u.Version, u.Snapshot, version, err)
+	}
+}
+
 // Merge against the model: the items one by one over the base, and an error exactly where one of them can not be used.
 func TestMergeAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -277,67 +317,89 @@
 	})
 }
 
-// mergeModel reads the drawn values by the standard library alone.
+// modelValue is a drawn value, decoded by the standard library alone.
+type modelValue struct {
+	Worth, Deadline, Portion, QuotaRps *float64
+	Effect                             *string
+}
+
+func (v *modelValue) ofClass() bool  { return v.Worth != nil || v.Deadline != nil || v.Effect != nil }
+func (v *modelValue) ofTenant() bool { return v.Portion != nil || v.QuotaRps != nil }
+
+// mergeModel merges drawn items one by one, and reports whether all of them are valid.
 func mergeModel(base Rules, items map[string]Change) (Rules, bool) {
 	for _, key := range slices.Sorted(maps.Keys(items)) {
-		var value struct {
-			Worth, Deadline, Portion, QuotaRps *float64
-			Effect                             *string
-		}
+		var value modelValue
 		if json.Unmarshal(items[key].Value, &value) != nil || value.Worth != nil && *value.Worth < 0 {
 			return Rules{}, false
 		}
-		ofClass := value.Worth != nil || value.Deadline != nil || value.Effect != nil
-		ofTenant := value.Portion != nil || value.QuotaRps != nil
-		switch {
-		case strings.HasPrefix(key, "class/"):
-			name := strings.TrimPrefix(key, "class/")
-			at := slices.Index(base.Classes, name)
-			if ofTenant || at < 0 && (value.Deadline == nil || value.Effect == nil) {
-				return Rules{}, false
-			}
-			if at < 0 {
-				at = len(base.Classes)
-				base.Classes = append(base.Classes, name)
-				base.Settings.Classes = append(base.Settings.Classes, brain.Class{Worth: 1, Kind: -1, Scope: brain.ScopeCell})
-			}
-			c := &base.Settings.Classes[at]
-			if value.Worth != nil {
-				c.Worth = *value.Worth
-			}
-			if value.Deadline != nil {
-				c.Deadline = *value.Deadline
-			}
-			if value.Effect != nil {
-				c.Effect = brain.Safe
-			}
-		case strings.HasPrefix(key, "tenant/"):
-			name := strings.TrimPrefix(key, "tenant/")
-			at := slices.Index(base.Tenants, name)
-			if ofClass || at < 0 && (value.Portion == nil || value.QuotaRps == nil) {
-				return Rules{}, false
-			}
-			if at < 0 {
-				at = len(base.Tenants)
-				base.Tenants, base.Settings.Tenants = append(base.Tenants, name), append(base.Settings.Tenants, brain.Tenant{})
-			}
-			c := &base.Settings.Tenants[at]
-			if value.Portion != nil {
-				c.Portion = *value.Portion
-			}
-			if value.QuotaRps != nil {
-				c.Quota = *value.QuotaRps
-			}
-		case ofClass || ofTenant:
+		good := !value.ofClass() && !value.ofTenant()
+		if name, ok := strings.CutPrefix(key, "class/"); ok {
+			good = mergeClassModel(&base, name, &value)
+		} else if name, ok := strings.CutPrefix(key, "tenant/"); ok {
+			good = mergeTenantModel(&base, name, &value)
+		}
+		if !good {
 			return Rules{}, false
 		}
 	}
 	return base, true
 }
 
+func mergeClassModel(base *Rules, name string, value *modelValue) bool {
+	at := slices.Index(base.Classes, name)
+	if value.ofTenant() || at < 0 && (value.Deadline == nil || value.Effect == nil) {
+		return false
+	}
+	if at < 0 {
+		at = len(base.Classes)
+		base.Classes = append(base.Classes, name)
+		added := brain.Class{Worth: 1, Kind: -1, Scope: brain.ScopeCell}
+		base.Settings.Classes = append(base.Settings.Classes, added)
+	}
+	c := &base.Settings.Classes[at]
+	if value.Worth != nil {
+		c.Worth = *value.Worth
+	}
+	if value.Deadline != nil {
+		c.Deadline = *value.Deadline
+	}
+	if value.Effect != nil {
+		c.Effect = brain.Safe
+	}
+	return true
+}
+
+func mergeTenantModel(base *Rules, name string, value *modelValue) bool {
+	at := slices.Index(base.Tenants, name)
+	if value.ofClass() || at < 0 && (value.Portion == nil || value.QuotaRps == nil) {
+		return false
+	}
+	if at < 0 {
+		at = len(base.Tenants)
+		base.Tenants = append(base.Tenants, name)
+		base.Settings.Tenants = append(base.Settings.Tenants, brain.Tenant{})
+	}
+	c := &base.Settings.Tenants[at]
+	if value.Portion != nil {
+		c.Portion = *value.Portion
+	}
+	if value.QuotaRps != nil {
+		c.Quota = *value.QuotaRps
+	}
+	return true
+}
+
 func TestEffectiveChanges(t *testing.T) {
 	d := documentOf(t, change("class/a", `{"worth":1}`), change("general", `{"overShareWorth":1}`))
-	got, err := d.Effective([]Change{change("class/a", ` { "worth" : 1 } `), change("general", `null`), {Key: "tenant/none"}, change("class/b", `{"worth": 2}`)})
+	got, err := d.Effective(
+		[]Change{
+			change("class/a", ` { "worth" : 1 } `),
+			change("general", `null`),
+			{Key: "tenant/none"},
+			change("class/b", `{"worth": 2}`),
+		},
+	)
 	want := []Change{{Key: "general"}, change("class/b", `{"worth":2}`)}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v, %v, expected %v", got, err, want)
@@ -350,11 +412,15 @@
 	}
 }
 
-// Whatever bytes come, the decoder does not fail otherwise than by an error, and what it takes can be applied and is written the
-// same again.
+// Whatever bytes come, the decoder does not fail otherwise than by an error, and what it takes can be applied and is
+// written the same again.
 func FuzzDecodeUpdate(f *testing.F) {
-	for _, text := range []string{`{"version":3,"snapshot":true,"changes":[{"key":"class/a","version":2,"value":{"worth":1}}]}`,
-		`{"version":3,"from":2,"changes":[{"key":"class/a","version":3}]}`, `{}`, `{"version":1}{}`, `{"changes":[{"key":"head"}]}`,
+	for _, text := range []string{
+		`{"version":3,"snapshot":true,"changes":[{"key":"class/a","version":2,"value":{"worth":1}}]}`,
+		`{"version":3,"from":2,"changes":[{"key":"class/a","version":3}]}`,
+		`{}`,
+		`{"version":1}{}`,
+		`{"changes":[{"key":"head"}]}`,
 		`{"version":3,"from":2,"changes":[{"key":"general","version":3,"value":{"limits":{"maxAttempts":[]}}}]}`} {
 		f.Add([]byte(text))
 	}
--- a/internal/settingsync/accept.go
+++ b/internal/settingsync/apply.go
@@ -9,11 +9,11 @@
 	"gatetack/internal/settings"
 )
 
-// maxAttempts bounds how often a change is tried while others change the settings.
+// maxAttempts bounds the attempts at a change while others change the settings.
 const maxAttempts = 16
 
-// Apply accepts all of some changes, or none. They are validated against the whole document as it will be, and are made only if it
-// still is as it was then: so of two changes that are good alone and not together one is refused.
+// Apply accepts all changes of a request, or none. They are validated against the document that results, and committed
+// only if the document did not change in between: of two changes that are valid alone and not together one is rejected.
 func (s *Service) Apply(ctx context.Context, request ApplyRequest) (Accepted, error) {
 	for try := range maxAttempts {
 		if try > 0 {
@@ -38,7 +38,11 @@
 		case err != nil:
 			return Accepted{}, &UnknownError{err}
 		case result.Err != "":
-			return Accepted{}, &settings.InvalidError{Item: changes[0].Key, Got: result.Err, Expected: "a change that the store can keep"}
+			return Accepted{}, &settings.InvalidError{
+				Item:     changes[0].Key,
+				Got:      result.Err,
+				Expected: "a change that the store can keep",
+			}
 		case result.OK():
 			return Accepted{Version: result.Version, Changed: len(changes)}, nil
 		}
@@ -46,7 +50,7 @@
 	return Accepted{}, &BusyError{maxAttempts}
 }
 
-// currentDocument is the document as this member has it in the store.
+// currentDocument returns the document as this member has it in the store.
 func (s *Service) currentDocument() *settings.Document {
 	view := s.cfg.Store.View()
 	version := uint64(0)
@@ -54,19 +58,19 @@
 		version = head.Version
 	}
 	s.mu.Lock()
-	held := s.history.Document()
+	document := s.history.Document()
 	s.mu.Unlock()
-	if held.Version() == version {
-		return held
+	if document.Version() == version {
+		return document
 	}
 	read, err := settings.NewDocument().Apply(snapshotOf(view))
-	if err != nil { // of a snapshot to an empty document there is none
+	if err != nil { // a snapshot always applies to the empty document
 		return settings.NewDocument()
 	}
 	return read
 }
 
-// validate says whether this member could put the document with the changes in force.
+// validate checks whether this member could activate the document with the changes.
 func (s *Service) validate(document *settings.Document, changes []settings.Change) error {
 	version := document.Version()
 	next, err := document.Apply(settings.Update{Version: version + 1, From: version, Changes: changes})
@@ -76,10 +80,14 @@
 	return s.cfg.Validate(next)
 }
 
-// transaction writes the changes and the head, if the head is of a version.
+// transaction writes the changes and the head, on the condition that the head has a version.
 func transaction(version uint64, changes []settings.Change) *kv.Txn {
-	head, _ := json.Marshal(settings.Head{Previous: version}) // a number
-	t := &kv.Txn{Ops: []kv.Op{{Verb: kv.Put, Table: settings.Table, Key: settings.HeadKey, Value: head, Keep: true, Cond: true, If: version}}}
+	head, _ := json.Marshal(settings.Head{Previous: version}) // a struct of one number always encodes
+	t := &kv.Txn{
+		Ops: []kv.Op{
+			{Verb: kv.Put, Table: settings.Table, Key: settings.HeadKey, Value: head, Keep: true, Cond: true, If: version},
+		},
+	}
 	for _, c := range changes {
 		op := kv.Op{Verb: kv.Put, Table: settings.Table, Key: c.Key, Value: c.Value, Keep: true}
 		if c.Deleted() {
@@ -90,7 +98,8 @@
 	return t
 }
 
-// rejectionStatus reports whether an error lies in the request, so that the same one will fail again.
+// rejectionStatus returns the HTTP status of an error, and the version that a conflict found. A status below 500 says
+// that the same request will fail again.
 func rejectionStatus(err error) (status int, version uint64) {
 	var invalid *settings.InvalidError
 	var conflict *settings.ConflictError
--- a/internal/settingsync/cache.go
+++ b/internal/settingsync/cache.go
@@ -12,7 +12,7 @@
 	"gatetack/internal/settings"
 )
 
-// Cache is a file that keeps the settings in force, with which the process starts again. The zero value keeps none.
+// Cache is a file that keeps the active settings, with which the process starts again. The zero value keeps none.
 type Cache struct {
 	path  string
 	files atomicfile.FS
@@ -72,11 +72,11 @@
 	return nil
 }
 
-// NextIncarnation returns the number of a process that starts at a time of the wall clock, in Unix milliseconds: that time,
-// or one more than the predecessor's number where the clock was stepped back since. It is on disk before it is returned.
-// An error says that the predecessor is not known or that the number is not kept; the highest number known is returned all
-// the same. It is then left to settings.Rollout to recognize the new process by the
-// silence of its predecessor, as where no cache is kept.
+// NextIncarnation returns the number of a process that starts at a time of the wall clock, in Unix milliseconds: that
+// time, or one more than the predecessor's number where the clock was stepped back since. It is on disk before it is
+// returned. An error says that the predecessor is not known or that the number is not kept; the highest number known is
+// returned all the same. It is then left to settings.Rollout to recognize the new process by the silence of its
+// predecessor, as where no cache is kept.
 func (c Cache) NextIncarnation(now int64) (int64, error) {
 	if c.path == "" {
 		return now, nil
--- a/internal/settingsync/cache_test.go
+++ b/internal/settingsync/cache_test.go
@@ -25,7 +25,11 @@
 // documentOf returns a document of a version with one item.
 func documentOf(t *testing.T, version uint64) *settings.Document {
 	t.Helper()
-	u := settings.Update{Version: version, Snapshot: true, Changes: []settings.Change{{Key: "class/a", Version: version, Value: json.RawMessage(`{"worth":2}`)}}}
+	u := settings.Update{
+		Version:  version,
+		Snapshot: true,
+		Changes:  []settings.Change{{Key: "class/a", Version: version, Value: json.RawMessage(`{"worth":2}`)}},
+	}
 	d, err := settings.NewDocument().Apply(u)
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +53,13 @@
 	if err := cache.Save(documentOf(t, 7)); err != nil {
 		t.Fatal(err)
 	}
-	want := []atomicfiletest.Op{atomicfiletest.Create, atomicfiletest.Write, atomicfiletest.Sync, atomicfiletest.Rename, atomicfiletest.SyncDir}
+	want := []atomicfiletest.Op{
+		atomicfiletest.Create,
+		atomicfiletest.Write,
+		atomicfiletest.Sync,
+		atomicfiletest.Rename,
+		atomicfiletest.SyncDir,
+	}
 	got := files.Calls()
 	if len(got) != len(want) {
 		t.Fatalf("%v, want %v", got, want)
@@ -94,10 +104,12 @@
 	}
 }
 
-// A file that a power loss left empty or full of zeros, and whatever else Save did not write, counts as none, and the error
-// names the file and says what can be done.
+// A file that a power loss left empty or full of zeros, and whatever else Save did not write, counts as none, and the
+// error names the file and says what can be done.
 func TestDamagedCacheCountsAsNone(t *testing.T) {
-	for _, content := range []string{"", "\n", "{}", "null", "[]", string(make([]byte, 4096)), `{"version":7,"from":7,"changes":[]}`,
+	for _, content := range []string{
+		"", "\n", "{}", "null", "[]", string(make([]byte, 4096)),
+		`{"version":7,"from":7,"changes":[]}`,
 		`{"version":7,"snapshot":true,"changes":[]}x`} {
 		cache, _ := faultyCache(t)
 		if err := os.WriteFile(cache.path, []byte(content), cacheMode); err != nil {
@@ -129,13 +141,14 @@
 		return writes >= 2
 	})
 	if got := loaded(t, cache); got != 0 || target.latest() != version {
-		t.Fatalf("version %d in the cache, %d in force", got, target.latest())
+		t.Fatalf("version %d in the cache, %d active", got, target.latest())
 	}
 	files.Heal()
 	waitFor(t, "it is in the cache", func() bool { return loaded(t, cache) == version })
 }
 
-// Each start has a higher incarnation than the one before, also after the clock was stepped back, as long as the folder lasts.
+// Each start has a higher incarnation than the one before, also after the clock was stepped back, as long as the folder
+// lasts.
 func TestIncarnationGrowsWhenTheClockIsSteppedBack(t *testing.T) {
 	cache, _ := faultyCache(t)
 	start := time.Now()
--- a/internal/settingsync/errors.go
+++ b/internal/settingsync/errors.go
@@ -20,30 +20,30 @@
 // Unwrap returns the cause, such as syscall.ENOSPC.
 func (e *CacheError) Unwrap() error { return e.Err }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*CacheError) Code() string { return "settings.cache" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*CacheError) Do() string {
 	return "nothing, where a member answers: the file is written anew; otherwise look at the disk, or remove the file"
 }
 
-// NotReadyError says that a member does not know what was accepted: it has not caught up, or knows no leader.
+// NotReadyError reports that a member does not know what was accepted: it has not caught up, or knows no leader.
 type NotReadyError struct{}
 
 func (*NotReadyError) Error() string {
 	return "settings: this member has not caught up with the store, or knows no leader"
 }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*NotReadyError) Code() string { return "settings.not_ready" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*NotReadyError) Do() string {
 	return "ask another member, or wait until the store has a leader (`gatetack store status`)"
 }
 
-// UnknownError says that it is not known whether a change was accepted.
+// UnknownError reports that it is not known whether a change was accepted.
 type UnknownError struct{ Err error }
 
 func (e *UnknownError) Error() string {
@@ -52,51 +52,57 @@
 
 func (e *UnknownError) Unwrap() error { return e.Err }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*UnknownError) Code() string { return "settings.unknown" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*UnknownError) Do() string {
 	return "set the same values again: what is set already is not changed a second time"
 }
 
-// BusyError says that others changed the settings each time that a change was tried.
+// BusyError reports that others changed the settings during each attempt at a change.
 type BusyError struct{ Attempts int }
 
 func (e *BusyError) Error() string {
 	return fmt.Sprintf("settings: others changed the settings during each of %d tries", e.Attempts)
 }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*BusyError) Code() string { return "settings.busy" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*BusyError) Do() string {
 	return "set it again; several items can be changed at once with `apply`"
 }
 
-// StaleMemberError says that a member holds an older version than the one that is held here.
+// StaleMemberError reports that a member has an older version than the process that polls it.
 type StaleMemberError struct {
 	Member                      string
 	MemberVersion, LocalVersion uint64
 }
 
 func (e *StaleMemberError) Error() string {
-	return fmt.Sprintf("settings: member %s has version %d, and version %d is held here", e.Member, e.MemberVersion, e.LocalVersion)
+	return fmt.Sprintf(
+		"settings: member %s has version %d, and version %d is held here",
+		e.Member,
+		e.MemberVersion,
+		e.LocalVersion,
+	)
 }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*StaleMemberError) Code() string { return "settings.stale_member" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*StaleMemberError) Do() string {
-	return "nothing, where the member catches up; after a restore of the store, make any change to the settings: it gets a newer version"
+	return "nothing, where the member catches up; " +
+		"after a restore of the store, make any change to the settings: it gets a newer version"
 }
 
-// MemberError says that a member did not answer as it should.
+// MemberError reports a response of a member that is not as expected.
 type MemberError struct {
 	Member string
-	Status int // of its answer, 0 for none
+	Status int // of the response, 0 for none
 	Reason string
 }
 
@@ -104,15 +110,15 @@
 	return fmt.Sprintf("settings: member %s: status %d: %s", e.Member, e.Status, e.Reason)
 }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*MemberError) Code() string { return "settings.member" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*MemberError) Do() string {
 	return "look at that member and the link to it; another one is asked meanwhile"
 }
 
-// ActivationError says that a process could not put a version in force.
+// ActivationError reports that a process could not activate a version.
 type ActivationError struct {
 	Version uint64
 	Err     error
@@ -124,13 +130,21 @@
 
 func (e *ActivationError) Unwrap() error { return e.Err }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*ActivationError) Code() string { return "settings.not_in_force" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*ActivationError) Do() string {
-	return "compare this process's base configuration with that of the others, or set what is named to what it can use; it tries again by itself"
+	return "compare this process's base configuration with that of the others, " +
+		"or set what is named to what it can use; it tries again by itself"
 }
 
-var _ = []struct{}{fault.Kind(&NotReadyError{}), fault.Kind(&UnknownError{}), fault.Kind(&BusyError{}), fault.Kind(&StaleMemberError{}),
-	fault.Kind(&MemberError{}), fault.Kind(&ActivationError{}), fault.Kind(&CacheError{})}
+var _ = []struct{}{
+	fault.Kind(&NotReadyError{}),
+	fault.Kind(&UnknownError{}),
+	fault.Kind(&BusyError{}),
+	fault.Kind(&StaleMemberError{}),
+	fault.Kind(&MemberError{}),
+	fault.Kind(&ActivationError{}),
+	fault.Kind(&CacheError{}),
+}
--- a/internal/settingsync/fake_test.go
+++ b/internal/settingsync/fake_test.go
@@ -113,9 +113,15 @@
 
 func testRules() settings.Rules {
 	return settings.Rules{
-		Settings: brain.Settings{Balancers: 1, MaxAttempts: 3, FallMultiple: 2, Classes: []brain.Class{{Deadline: 5000, Worth: 1}},
-			Tenants: []brain.Tenant{{Portion: 1, Quota: 10}}},
-		Classes: []string{"a"}, Tenants: []string{"t"},
+		Settings: brain.Settings{
+			Balancers:    1,
+			MaxAttempts:  3,
+			FallMultiple: 2,
+			Classes:      []brain.Class{{Deadline: 5000, Worth: 1}},
+			Tenants:      []brain.Tenant{{Portion: 1, Quota: 10}},
+		},
+		Classes: []string{"a"},
+		Tenants: []string{"t"},
 	}
 }
 
@@ -124,7 +130,9 @@
 // startService runs a service until the test ends.
 func startService(t *testing.T, store *fakeStore) *Service {
 	t.Helper()
-	s := NewService(ServiceConfig{Name: "n0", Store: store, Validate: validate, Limits: testLimits(), Log: slog.New(slog.DiscardHandler)})
+	s := NewService(
+		ServiceConfig{Name: "n0", Store: store, Validate: validate, Limits: testLimits(), Log: slog.New(slog.DiscardHandler)},
+	)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx) }()
@@ -147,7 +155,7 @@
 	}
 }
 
-// fakeTarget notes what is put in force.
+// fakeTarget records what is activated.
 type fakeTarget struct {
 	mu           sync.Mutex
 	active       []*settings.Document
@@ -196,8 +204,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := NewFollower(FollowerConfig{Process: process, Incarnation: 1, Upstream: upstream, Target: target, Cache: cache, Limits: testLimits(),
-		Log: slog.New(slog.DiscardHandler)}, inForce)
+	f := NewFollower(
+		FollowerConfig{
+			Process:     process,
+			Incarnation: 1,
+			Upstream:    upstream,
+			Target:      target,
+			Cache:       cache,
+			Limits:      testLimits(),
+			Log:         slog.New(slog.DiscardHandler),
+		},
+		inForce,
+	)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- f.Run(ctx) }()
--- a/internal/settingsync/follower.go
+++ b/internal/settingsync/follower.go
@@ -14,14 +14,14 @@
 
 // Target is what acts on the settings.
 type Target interface {
-	// Activate returns once a document is in force. After an error all is as it was.
+	// Activate returns once a document is active. After an error the document before is.
 	Activate(ctx context.Context, d *settings.Document) error
 }
 
-// FollowerConfig is what a Follower needs.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
-	Process     string // its name, of which there is one in the fleet
-	Incarnation int64  // its incarnation, see Cache.NextIncarnation
+	Process     string // unique in the fleet
+	Incarnation int64  // see Cache.NextIncarnation
 	Upstream    Upstream
 	Target      Target
 	Cache       Cache
@@ -29,67 +29,94 @@
 	Log         *slog.Logger
 }
 
-// Follower keeps a process's settings at the latest version that is accepted.
+// Follower keeps a process's settings at the latest accepted version: it polls its upstream, activates what comes, and
+// writes what is active to the cache. All of it happens in the goroutine of Run.
 type Follower struct {
 	cfg     FollowerConfig
 	replica *settings.Replica
-	reports uint64
 
-	needsSnapshot bool // what is held does not lead on: a snapshot is asked for
-	failures      int  // polls that failed, one after the other
-	rejections    int  // tries to put what is held in force that failed
-	retryAt       time.Time
+	polls      pollState
+	activation retryState // of the received document, while it is not active
+	cache      cacheState
+}
+
+// pollState is what the next poll depends on.
+type pollState struct {
+	sequence      uint64 // of the last report
+	failures      int    // consecutive
+	needsSnapshot bool   // the last delta did not follow the received version
+}
+
+// cacheState is what is still to be written to the cache.
+type cacheState struct {
+	unsaved *settings.Document // active and not in the cache, nil for none
+	retry   retryState
+}
+
+// retryState says when something that failed is tried again.
+type retryState struct {
+	failures int // consecutive
+	at       time.Time
+}
 
-	unsaved      *settings.Document // in force and not in the cache yet, nil for none
-	saveFailures int
-	saveAt       time.Time // when it is written again
+// failed notes a failure and schedules the next attempt.
+func (r *retryState) failed(backoff limits.Backoff) {
+	r.failures++
+	r.at = time.Now().Add(jittered(backoffAfter(backoff, r.failures)))
 }
 
-// NewFollower returns a follower in whose process a document is in force already.
-func NewFollower(cfg FollowerConfig, inForce *settings.Document) *Follower {
-	return &Follower{cfg: cfg, replica: settings.NewReplica(inForce)}
+// due reports whether the next attempt may be made.
+func (r *retryState) due() bool { return !time.Now().Before(r.at) }
+
+// remaining is the time until the next attempt.
+func (r *retryState) remaining() time.Duration { return max(0, time.Until(r.at)) }
+
+// NewFollower returns a follower of a process in which a document is active already.
+func NewFollower(cfg FollowerConfig, active *settings.Document) *Follower {
+	return &Follower{cfg: cfg, replica: settings.NewReplica(active)}
 }
 
 // Run follows until the context ends.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if f.replica.Pending() && !time.Now().Before(f.retryAt) {
+		if f.replica.Pending() && f.activation.due() {
 			f.activate(ctx)
 		}
-		if f.unsaved != nil && !time.Now().Before(f.saveAt) {
+		if f.cache.unsaved != nil && f.cache.retry.due() {
 			f.save()
 		}
 		if err := f.poll(ctx); err != nil && ctx.Err() == nil {
-			f.failures++
-			f.cfg.Log.Debug("settings: no answer that leads on", "failures", f.failures, fault.Attrs(err))
-			sleep(ctx, jittered(backoffAfter(f.cfg.Limits.SettingsBackoff, f.failures)))
+			f.polls.failures++
+			f.cfg.Log.Debug("settings poll failed", "failures", f.polls.failures, fault.Attrs(err))
+			sleep(ctx, jittered(backoffAfter(f.cfg.Limits.SettingsBackoff, f.polls.failures)))
 		}
 	}
 	return nil
 }
 
-// Fetch asks for the latest settings before a process starts. It gives up after one call's time: the process then
-// starts without them.
+// Fetch gets the latest settings before a process starts. It gives up after the time of one call and returns the empty
+// document: the process then starts with its base configuration.
 func Fetch(ctx context.Context, cfg FollowerConfig) *settings.Document {
 	ctx, cancel := context.WithTimeout(ctx, cfg.Limits.SettingsCall)
 	defer cancel()
-	none := settings.NewDocument()
+	empty := settings.NewDocument()
+	report := settings.Report{Process: cfg.Process, Incarnation: cfg.Incarnation}
 	for failures := 1; ctx.Err() == nil; failures++ {
-		u, err := cfg.Upstream.Poll(ctx, settings.Report{Process: cfg.Process, Incarnation: cfg.Incarnation}, 0)
+		u, err := cfg.Upstream.Poll(ctx, report, 0)
 		if err == nil {
-			document, err := none.Apply(u)
+			document, err := empty.Apply(u)
 			if err == nil {
 				return document
 			}
 		}
-		cfg.Log.Debug("settings: no answer before the start", "failures", failures, fault.Attrs(err))
+		cfg.Log.Debug("settings poll before the start failed", "failures", failures, fault.Attrs(err))
 		sleep(ctx, jittered(backoffAfter(cfg.Limits.SettingsBackoff, failures)))
 	}
-	cfg.Log.Warn("settings: no member answered before the start")
-	return none
+	cfg.Log.Warn("no settings from any member before the start")
+	return empty
 }
 
-// activate has the target act on the document that is held.
+// activate has the target act on the received document.
 func (f *Follower) activate(ctx context.Context) {
 	document := f.replica.Document()
 	err := f.cfg.Target.Activate(ctx, document)
@@ -98,37 +125,49 @@
 	}
 	f.replica.NoteActivation(err)
 	if err != nil {
-		f.rejections++
-		f.retryAt = time.Now().Add(jittered(backoffAfter(f.cfg.Limits.SettingsRetry, f.rejections)))
-		f.cfg.Log.Error("settings: what is in force stays", "inForce", f.replica.ActiveVersion(), fault.Attrs(&ActivationError{document.Version(), err}))
+		f.activation.failed(f.cfg.Limits.SettingsRetry)
+		f.cfg.Log.Error("settings not activated", "active", f.replica.ActiveVersion(),
+			fault.Attrs(&ActivationError{document.Version(), err}))
 		return
 	}
-	f.rejections, f.retryAt = 0, time.Time{}
-	f.cfg.Log.Info("settings: in force", "version", document.Version(), "items", document.Len())
-	f.unsaved, f.saveFailures, f.saveAt = document, 0, time.Time{}
+	f.activation = retryState{}
+	f.cache = cacheState{unsaved: document}
+	f.cfg.Log.Info("settings activated", "version", document.Version(), "items", document.Len())
 }
 
-// save writes what is in force to the cache. A disk that is full or fails is tried again: a process that starts meanwhile
-// begins with the settings before, and gets the others from a member.
+// save writes the active document to the cache. On a disk that is full or fails it is written again later: a process
+// that starts meanwhile begins with the settings before, and gets the others from a member.
 func (f *Follower) save() {
-	err := f.cfg.Cache.Save(f.unsaved)
+	err := f.cfg.Cache.Save(f.cache.unsaved)
 	if err == nil {
-		f.unsaved = nil
+		f.cache = cacheState{}
 		return
 	}
-	f.saveFailures++
-	f.saveAt = time.Now().Add(jittered(backoffAfter(f.cfg.Limits.SettingsRetry, f.saveFailures)))
-	f.cfg.Log.Warn("settings cache not written", "version", f.unsaved.Version(), "failures", f.saveFailures, fault.Attrs(err))
+	f.cache.retry.failed(f.cfg.Limits.SettingsRetry)
+	f.cfg.Log.Warn("settings cache not written", "version", f.cache.unsaved.Version(),
+		"failures", f.cache.retry.failures, fault.Attrs(err))
 }
 
-// poll reports how far this process is and takes in what follows.
-func (f *Follower) poll(ctx context.Context) error {
-	f.reports++
-	report := settings.Report{Process: f.cfg.Process, Incarnation: f.cfg.Incarnation, Sequence: f.reports, ReceivedVersion: f.replica.Document().Version(),
-		ActiveVersion: f.replica.ActiveVersion(), Rejected: f.replica.Rejected()}
-	if f.needsSnapshot {
+// report returns the next report of this process.
+func (f *Follower) report() settings.Report {
+	f.polls.sequence++
+	report := settings.Report{
+		Process:         f.cfg.Process,
+		Incarnation:     f.cfg.Incarnation,
+		Sequence:        f.polls.sequence,
+		ReceivedVersion: f.replica.Document().Version(),
+		ActiveVersion:   f.replica.ActiveVersion(),
+		Rejected:        f.replica.Rejected(),
+	}
+	if f.polls.needsSnapshot {
 		report.ReceivedVersion = 0
 	}
+	return report
+}
+
+// poll reports the state of this process and applies the update that comes back.
+func (f *Follower) poll(ctx context.Context) error {
+	report := f.report()
 	began, wait := time.Now(), f.wait()
 	u, err := f.cfg.Upstream.Poll(ctx, report, wait)
 	if err != nil {
@@ -136,37 +175,38 @@
 	}
 	before := f.replica.Document().Version()
 	if err := f.replica.Receive(u); err != nil {
-		f.needsSnapshot = errors.Is(err, settings.ErrGap)
+		f.polls.needsSnapshot = errors.Is(err, settings.ErrGap)
 		return err
 	}
-	f.needsSnapshot, f.failures = false, 0
-	if f.replica.Document().Version() != before { // what is new is tried at once
-		f.rejections, f.retryAt = 0, time.Time{}
+	f.polls.needsSnapshot, f.polls.failures = false, 0
+	if f.replica.Document().Version() != before { // a new document is activated at once
+		f.activation = retryState{}
 		return nil
 	}
-	if left := wait - time.Since(began); left > 0 { // the member has no room for those who wait
+	if left := wait - time.Since(began); left > 0 { // the member had no capacity for another poll that waits
 		sleep(ctx, jittered(left))
 	}
 	return nil
 }
 
-// wait is how long a poll may wait: no longer than until what is held is put in force or written again, and not at all after one that failed, so that
-// of several members that are cut off each but the first costs only the time of a call.
+// wait is how long a poll may wait at the member: no longer than until the received document is activated again or the
+// active one is saved again. After a failure it does not wait, so that each of several unreachable members but the
+// first costs only the time of a call.
 func (f *Follower) wait() time.Duration {
-	if f.failures > 0 {
+	if f.polls.failures > 0 {
 		return 0
 	}
 	wait := f.cfg.Limits.SettingsPoll
 	if f.replica.Pending() {
-		wait = min(wait, max(0, time.Until(f.retryAt)))
+		wait = min(wait, f.activation.remaining())
 	}
-	if f.unsaved != nil {
-		wait = min(wait, max(0, time.Until(f.saveAt)))
+	if f.cache.unsaved != nil {
+		wait = min(wait, f.cache.retry.remaining())
 	}
 	return wait
 }
 
-// backoffAfter is the wait after so many failures.
+// backoffAfter is the wait after a number of consecutive failures.
 func backoffAfter(b limits.Backoff, failures int) time.Duration {
 	wait := b.First
 	for range failures - 1 {
@@ -177,7 +217,8 @@
 	return wait
 }
 
-// jittered draws a wait of half a span or more, so that processes which failed together do not come back together.
+// jittered draws a wait between half a span and all of it, so that processes which failed together do not come back
+// together.
 func jittered(span time.Duration) time.Duration {
 	return span/2 + rand.N(span/2+1)
 }
--- a/internal/settingsync/handler.go
+++ b/internal/settingsync/handler.go
@@ -54,13 +54,14 @@
 	defer s.waitingPolls.Add(-1)
 	u, err := s.Poll(ctx, request.Report, wait)
 	if err != nil {
-		return s.reject("a poll", err)
+		return s.reject("poll", err)
 	}
 	return jsonResponse(200, u)
 }
 
-// maxWaiting bounds the polls of other processes that wait here at a time, so that connections are left for those that come: where more
-// follow than there are connections, as when another member is lost, some are answered at once and come again after their wait.
+// maxWaiting bounds the polls that wait here at a time, so that connections are left for new ones: where more processes
+// follow than there are connections, as after the loss of another member, some are answered at once and poll again
+// after the wait.
 func (s *Service) maxWaiting() int64 { return int64(s.cfg.Limits.StoreFollowers) * 3 / 4 }
 
 func (s *Service) handleApply(ctx context.Context, body []byte) http1.Response {
@@ -71,15 +72,23 @@
 	began := time.Now()
 	accepted, err := s.Apply(ctx, request)
 	if err != nil {
-		return s.reject("a change", err)
-	}
-	s.cfg.Log.Info("settings: accepted", "version", accepted.Version, "changed", accepted.Changed, "took", time.Since(began))
+		return s.reject("apply", err)
+	}
+	s.cfg.Log.Info(
+		"settings accepted",
+		"version",
+		accepted.Version,
+		"changed",
+		accepted.Changed,
+		"took",
+		time.Since(began),
+	)
 	return jsonResponse(200, accepted)
 }
 
 func (s *Service) handleItems(ctx context.Context) http1.Response {
 	if err := s.cfg.Store.CatchUp(ctx); err != nil {
-		return s.reject("a list", &NotReadyError{})
+		return s.reject("items", &NotReadyError{})
 	}
 	return jsonResponse(200, s.currentDocument().Snapshot())
 }
@@ -90,10 +99,13 @@
 		return jsonResponse(400, errorBody{Error: err.Error()})
 	}
 	if !s.enrolled(request.Process) {
-		return jsonResponse(400, errorBody{Error: "process: none of the name " + strconv.Quote(request.Process) + " is known"})
+		return jsonResponse(
+			400,
+			errorBody{Error: "process: none of the name " + strconv.Quote(request.Process) + " is known"},
+		)
 	}
 	if err := s.Forget(ctx, request.Process); err != nil {
-		return s.reject("a process", err)
+		return s.reject("forget", err)
 	}
 	return jsonResponse(200, request)
 }
@@ -105,17 +117,17 @@
 	return jsonResponse(200, s.fleetStatus(ctx))
 }
 
-func (s *Service) reject(what string, err error) http1.Response {
-	s.logFailure(what, err)
+func (s *Service) reject(operation string, err error) http1.Response {
+	s.logFailure(operation, err)
 	status, version := rejectionStatus(err)
 	f := errorBody{Error: err.Error(), Do: fault.Do(err), Version: version}
-	if told, ok := errors.AsType[fault.Told](err); ok {
-		f.Code = told.Code()
+	if coded, ok := errors.AsType[fault.Told](err); ok {
+		f.Code = coded.Code()
 	}
 	return jsonResponse(status, f)
 }
 
-// decodeStrict reads a request; a field that is not known may be a typing error in one that is.
+// decodeStrict decodes a request and rejects unknown fields: one may be a misspelled optional field.
 func decodeStrict(body []byte, to any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -128,14 +140,14 @@
 	return nil
 }
 
-// localStatus is what this member knows.
+// localStatus returns what this member knows.
 func (s *Service) localStatus() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Status{Version: s.history.Document().Version(), Processes: s.rollout.Progress(s.elapsed())}
 }
 
-// fleetStatus is what all members that answer know.
+// fleetStatus merges what all members know that answer.
 func (s *Service) fleetStatus(ctx context.Context) Status {
 	out := s.localStatus()
 	members, err := s.cfg.Store.Members()
@@ -169,7 +181,7 @@
 	return out
 }
 
-// statusOf asks another member for what it knows.
+// statusOf gets the local status of another member.
 func (s *Service) statusOf(ctx context.Context, addr string) (Status, error) {
 	var status Status
 	m, err := s.cfg.Call(ctx, addr, "GET", statusPath+"?local=1", nil)
--- a/internal/settingsync/protocol.go
+++ b/internal/settingsync/protocol.go
@@ -1,6 +1,10 @@
-// Package settingsync carries settings from the replicated store to the processes that act on them. A Service on each member of the
-// store accepts changes and answers those who follow; a Follower in each process puts in force what comes. What the settings mean,
-// and which update follows which, is decided by package settings.
+// Package settingsync carries settings from the replicated store to the processes that use them. A Service on each
+// member of the store accepts changes and answers polls; a Follower in each process activates the updates that it
+// polls, and keeps the active settings in a Cache for the next start. What settings mean, and which update follows
+// which, is decided by package settings.
+//
+// A Service's state belongs to its mutex, a Follower's to the goroutine of its Run. Both start their goroutines in Run,
+// which returns after they have ended.
 package settingsync
 
 import (
@@ -11,7 +15,7 @@
 	"gatetack/internal/settings"
 )
 
-// Name is the first word of the paths of the calls, after /v1/, and the name of the store's table.
+// Name is the first element of the calls' paths after /v1/, and the name of the store's table.
 const Name = settings.Table
 
 // Paths of the calls.
@@ -23,45 +27,45 @@
 	statusPath = "/v1/" + Name + "/status" // GET: Status; with local=1 of this member alone
 )
 
-// pollRequest tells how far a process is, and asks for what follows the version that it holds.
+// pollRequest reports the state of a process and asks for the update that follows its received version.
 type pollRequest struct {
 	settings.Report
-	WaitMs int64 `json:"waitMs"` // the answer may take so long while nothing follows
+	WaitMs int64 `json:"waitMs"` // how long the response may be held back while there is no update
 }
 
-// ApplyRequest asks for all of some changes, or none.
+// ApplyRequest asks for all of its changes to be accepted, or none.
 type ApplyRequest struct {
 	Changes   []settings.Change `json:"changes"`
-	IfVersion *uint64           `json:"if,omitempty"` // only if this is the document's version
+	IfVersion *uint64           `json:"if,omitempty"` // apply only if this is the document's version
 }
 
-// Accepted is what came of an ApplyRequest.
+// Accepted is the response to an ApplyRequest.
 type Accepted struct {
-	Version uint64 `json:"version"` // in which the changes are
-	Changed int    `json:"changed"` // items that were not so before
+	Version uint64 `json:"version"` // that has the changes
+	Changed int    `json:"changed"` // items that differed before
 }
 
-// ForgetRequest asks to take a process off the roster.
+// ForgetRequest asks to remove a process from the roster.
 type ForgetRequest struct {
 	Process string `json:"process"`
 }
 
-// Status tells which version is accepted and how far each process is.
+// Status is the accepted version and the progress of each process.
 type Status struct {
 	Version     uint64              `json:"version"`
 	Processes   []settings.Progress `json:"processes"`
-	Unreachable []string            `json:"silent,omitempty"` // members that could not be asked: who follows them may be missing
+	Unreachable []string            `json:"silent,omitempty"` // members that did not answer, with their processes
 }
 
-// errorBody is the body of an answer that is not 200.
+// errorBody is the body of a response that is not 200.
 type errorBody struct {
 	Error   string `json:"error"`
 	Code    string `json:"code,omitempty"`
 	Do      string `json:"do,omitempty"`
-	Version uint64 `json:"version,omitempty"` // that stands, of a conflict
+	Version uint64 `json:"version,omitempty"` // of the document, after a conflict
 }
 
-// Caller makes a call to a member and returns the body of its answer.
+// Caller makes a call to a member of the store.
 type Caller func(ctx context.Context, addr, verb, path string, body []byte) (*http1.Message, error)
 
 func jsonResponse(status int, v any) http1.Response {
@@ -69,5 +73,9 @@
 	if err != nil {
 		return http1.Text(500, "%v", err)
 	}
-	return http1.Response{Status: status, Fields: []http1.Field{{Name: "Content-Type", Value: "application/json"}}, Body: body}
+	return http1.Response{
+		Status: status,
+		Fields: []http1.Field{{Name: "Content-Type", Value: "application/json"}},
+		Body:   body,
+	}
 }
--- a/internal/settingsync/remote.go
+++ b/internal/settingsync/remote.go
@@ -12,25 +12,26 @@
 
 // Upstream is where a process gets updates from.
 type Upstream interface {
-	// Poll tells how far the process is, and returns what follows the version that it holds, once there is any or the wait is over.
+	// Poll reports the state of the process and returns the update that follows its received version, once there is one
+	// or the wait is over.
 	Poll(ctx context.Context, report settings.Report, wait time.Duration) (settings.Update, error)
 }
 
-// Remote follows members of the store from a process that is none. One that does not answer, or is behind, makes place for the
-// next. It is not safe for use by several goroutines at a time.
+// Remote follows members of the store from a process that is not a member. After a member that does not answer or is
+// behind it tries the next. It is not safe for concurrent use.
 type Remote struct {
 	members []string
 	current int
 	call    Caller
-	timeout time.Duration // of a call beyond its wait
+	timeout time.Duration // of a call, beyond the wait at the member
 }
 
-// NewRemote returns an upstream at some members. Processes begin at different ones.
+// NewRemote returns an upstream at the members. It begins at a random one, so that processes spread over them.
 func NewRemote(members []string, call Caller, limit time.Duration) *Remote {
 	return &Remote{members: members, current: rand.IntN(len(members)), call: call, timeout: limit}
 }
 
-// Poll asks one member.
+// Poll polls the current member.
 func (r *Remote) Poll(ctx context.Context, report settings.Report, wait time.Duration) (settings.Update, error) {
 	member := r.members[r.current]
 	u, err := r.fetch(ctx, member, pollRequest{Report: report, WaitMs: wait.Milliseconds()}, wait+r.timeout)
@@ -44,12 +45,17 @@
 	return u, nil
 }
 
-func (r *Remote) fetch(ctx context.Context, member string, request pollRequest, limit time.Duration) (settings.Update, error) {
+func (r *Remote) fetch(
+	ctx context.Context,
+	member string,
+	request pollRequest,
+	limit time.Duration,
+) (settings.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	body, err := json.Marshal(request)
 	if err != nil {
-		return settings.Update{}, fmt.Errorf("settings: a poll: %w", err)
+		return settings.Update{}, fmt.Errorf("settings: poll: %w", err)
 	}
 	m, err := r.call(ctx, member, "POST", pollPath, body)
 	if err != nil {
--- a/internal/settingsync/rollout_bench_test.go
+++ b/internal/settingsync/rollout_bench_test.go
@@ -25,8 +25,8 @@
 
 const benchMembers = 3
 
-// benchFleet is members of a real store and processes that follow them over loopback, all in one process of the operating system. What
-// a process does with a document is to merge it.
+// benchFleet is members of a real store and processes that follow them over loopback, all in one process of the
+// operating system. What a process does with a document is to merge it.
 type benchFleet struct {
 	b        *testing.B
 	base     settings.Rules
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// expect makes done be closed once each process has put a document in force.
+// expect makes done be closed once each process has activated a document.
 func (f *benchFleet) expect(processes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,11 +73,15 @@
 	}
 }
 
-// BenchmarkActivation measures the time from when a member is asked for a change until the last of all processes has it in force.
+// BenchmarkActivation measures the time from when a member is asked for a change until the last of all processes has it
+// in force.
 func BenchmarkActivation(b *testing.B) {
 	for _, processes := range []int{4, 30, 300} {
 		for _, tenants := range []int{4, 450} {
-			b.Run(fmt.Sprintf("processes=%d/tenants=%d", processes, tenants), func(b *testing.B) { benchmarkActivation(b, processes, tenants) })
+			b.Run(
+				fmt.Sprintf("processes=%d/tenants=%d", processes, tenants),
+				func(b *testing.B) { benchmarkActivation(b, processes, tenants) },
+			)
 		}
 	}
 }
@@ -101,7 +105,9 @@
 // change sets one tenant's quota at one of the members.
 func (f *benchFleet) change(n int) {
 	value := json.RawMessage(fmt.Sprintf(`{"quotaRps":%d}`, n+1))
-	request := settingsync.ApplyRequest{Changes: []settings.Change{{Key: fmt.Sprint("tenant/t", n%len(f.base.Tenants)), Value: value}}}
+	request := settingsync.ApplyRequest{
+		Changes: []settings.Change{{Key: fmt.Sprint("tenant/t", n%len(f.base.Tenants)), Value: value}},
+	}
 	if _, err := f.services[n%benchMembers].Apply(f.b.Context(), request); err != nil {
 		f.b.Fatal(err)
 	}
@@ -113,9 +119,19 @@
 	f.expect(processes)
 	for i := range processes {
 		name := fmt.Sprint("p", i)
-		follower := settingsync.NewFollower(settingsync.FollowerConfig{Process: name, Incarnation: 1, Target: merging{name, f}, Limits: f.lim,
-			Log: slog.New(slog.DiscardHandler), Upstream: settingsync.NewRemote(f.addresses, f.call, f.lim.SettingsCall-f.lim.SettingsPoll)},
-			settings.NewDocument())
+		follower := settingsync.NewFollower(
+			settingsync.FollowerConfig{
+				Process:     name,
+				Incarnation: 1,
+				Target:      merging{name, f},
+				Limits:      f.lim,
+				Log: slog.New(
+					slog.DiscardHandler,
+				),
+				Upstream: settingsync.NewRemote(f.addresses, f.call, f.lim.SettingsCall-f.lim.SettingsPoll),
+			},
+			settings.NewDocument(),
+		)
 		f.running.Go(func() { _ = follower.Run(f.ctx) })
 	}
 	<-f.done
@@ -144,19 +160,37 @@
 	var members map[string]string
 	members, f.addresses = memberAddresses(b)
 	for name, addr := range members {
-		s, err := store.Open(store.Config{Name: name, Dir: filepath.Join(b.TempDir(), name), Listen: addr, Members: members}, f.lim, &pace.Tally{}, log)
+		s, err := store.Open(
+			store.Config{Name: name, Dir: filepath.Join(b.TempDir(), name), Listen: addr, Members: members},
+			f.lim,
+			&pace.Tally{},
+			log,
+		)
 		if err != nil {
 			b.Fatal(err)
 		}
-		service := settingsync.NewService(settingsync.ServiceConfig{Name: name, Store: s, Validate: func(d *settings.Document) error { return settings.Validate(f.base, d) },
-			Call: f.call, Limits: f.lim, Log: log})
+		service := settingsync.NewService(
+			settingsync.ServiceConfig{
+				Name:     name,
+				Store:    s,
+				Validate: func(d *settings.Document) error { return settings.Validate(f.base, d) },
+				Call:     f.call,
+				Limits:   f.lim,
+				Log:      log,
+			},
+		)
 		s.Mount(settingsync.Name, service)
 		f.services = append(f.services, service)
 		f.running.Go(func() { _ = s.Run(f.ctx) })
 		f.running.Go(func() { _ = service.Run(f.ctx) })
 	}
 	for n := 0; ; n++ { // until the store has a leader
-		_, err := f.services[0].Apply(b.Context(), settingsync.ApplyRequest{Changes: []settings.Change{{Key: "general", Value: json.RawMessage(`{"overShareWorth":1}`)}}})
+		_, err := f.services[0].Apply(
+			b.Context(),
+			settingsync.ApplyRequest{
+				Changes: []settings.Change{{Key: "general", Value: json.RawMessage(`{"overShareWorth":1}`)}},
+			},
+		)
 		if err == nil {
 			break
 		}
@@ -179,8 +213,8 @@
 	return members, addresses
 }
 
-// BenchmarkIdlePoll makes polls that tell nothing, each on a connection of its own, and counts the bytes of HTTP in each direction. The
-// time is that of both sides. A process makes one each SettingsPoll.
+// BenchmarkIdlePoll makes polls that tell nothing, each on a connection of its own, and counts the bytes of HTTP in
+// each direction. The time is that of both sides. A process makes one each SettingsPoll.
 func BenchmarkIdlePoll(b *testing.B) {
 	f := newBenchMembers(b, 4)
 	proxy := newCountingProxy(b, f.addresses[0])
@@ -192,7 +226,13 @@
 	proxy.up.Store(0)
 	proxy.down.Store(0)
 	for n := uint64(1); b.Loop(); n++ {
-		report := settings.Report{Process: "dispatcher-000", Incarnation: time.Now().UnixMilli(), Sequence: n, ReceivedVersion: first.Version, ActiveVersion: first.Version}
+		report := settings.Report{
+			Process:         "dispatcher-000",
+			Incarnation:     time.Now().UnixMilli(),
+			Sequence:        n,
+			ReceivedVersion: first.Version,
+			ActiveVersion:   first.Version,
+		}
 		if _, err := remote.Poll(b.Context(), report, 0); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/settingsync/roster.go
+++ b/internal/settingsync/roster.go
@@ -8,19 +8,20 @@
 	"gatetack/internal/settings"
 )
 
-// RosterTable is the store's table of the processes that act on the settings, by their names. A process is put there when it is
-// first heard and stays until it is forgotten, so that one which is lost, with the member that heard it, is not lost to sight.
+// RosterTable is the store's table of the processes that follow the settings, by name. A process is enrolled at its
+// first report and stays until an operator removes it, so that a process which is lost together with its member is
+// still listed.
 const RosterTable = "settings-process"
 
-// maxUnenrolled bounds the processes that wait to be put on the roster; the others are when they are heard again.
+// maxUnenrolled bounds the processes that wait to be enrolled. The others are enrolled at a later report.
 const maxUnenrolled = 256
 
-// rosterEntry is the value of a process on the roster.
+// rosterEntry is the value of a process in RosterTable.
 type rosterEntry struct {
-	Since int64 `json:"since"` // when its life began in which it was first heard, Unix ms
+	Since int64 `json:"since"` // the incarnation that was first observed
 }
 
-// enroll puts processes on the roster that are not there yet, until the context ends.
+// enroll puts processes on the roster until the context ends.
 func (s *Service) enroll(ctx context.Context) {
 	for {
 		select {
@@ -38,22 +39,22 @@
 	}
 	value, err := json.Marshal(rosterEntry{Since: r.Incarnation})
 	if err != nil {
-		s.logFailure("the roster", err)
+		s.logFailure("enroll", err)
 		return
 	}
 	op := kv.Op{Verb: kv.Put, Table: RosterTable, Key: r.Process, Value: value, Keep: true, Cond: true}
 	if _, err := s.cfg.Store.Txn(ctx, &kv.Txn{Ops: []kv.Op{op}}); err != nil {
-		s.logFailure("the roster", err)
+		s.logFailure("enroll", err)
 	}
 }
 
-// enrolled reports whether a process is on the roster, as this member has it.
+// enrolled reports whether a process is on the roster as this member has it.
 func (s *Service) enrolled(process string) bool {
 	_, ok := s.cfg.Store.View().Get(RosterTable, process)
 	return ok
 }
 
-// observe takes a report in.
+// observe records a report.
 func (s *Service) observe(r settings.Report) {
 	s.mu.Lock()
 	s.rollout.Observe(r, s.elapsed())
@@ -63,11 +64,11 @@
 	}
 	select {
 	case s.unenrolled <- r:
-	default: // it will be heard again
+	default: // its next report is tried
 	}
 }
 
-// Forget takes a process off the roster. One that lives comes back when it is heard.
+// Forget removes a process from the roster. One that still runs is enrolled again at its next report.
 func (s *Service) Forget(ctx context.Context, process string) error {
 	op := kv.Op{Verb: kv.Delete, Table: RosterTable, Key: process}
 	_, err := s.cfg.Store.Txn(ctx, &kv.Txn{Ops: []kv.Op{op}})
@@ -77,12 +78,13 @@
 	return nil
 }
 
-// withRoster adds the processes of the roster that no member has heard, and takes out those that are forgotten and silent.
-func (s *Service) withRoster(heard []settings.Progress) []settings.Progress {
+// withRoster adds the processes of the roster that no member observed, and removes those that were forgotten and are
+// unresponsive.
+func (s *Service) withRoster(observed []settings.Progress) []settings.Progress {
 	recent := 2 * s.cfg.Limits.SettingsCall.Milliseconds()
 	var out, missing []settings.Progress
 	names := map[string]bool{}
-	for _, p := range heard {
+	for _, p := range observed {
 		if names[p.Process] = true; s.enrolled(p.Process) || p.SilentMs < recent {
 			out = append(out, p)
 		}
@@ -95,5 +97,5 @@
 	return settings.Newest(out, missing)
 }
 
-// neverObserved stands for the silence of a process that no member has heard since the member's start.
+// neverObserved is the SilentMs of a process that no member observed since the member's start.
 const neverObserved = -1
--- a/internal/settingsync/service.go
+++ b/internal/settingsync/service.go
@@ -20,43 +20,57 @@
 
 // Store is the part of a member of the replicated store that settings need.
 type Store interface {
+	// Changes returns the events of a table after a version, the version up to which they reach, whether events between
+	// are no longer kept, and what is closed at the next event.
 	Changes(after uint64, table string) (events []kv.Event, upTo uint64, lost bool, more <-chan struct{})
+	// CatchUp returns once this member has all that was committed before the call.
 	CatchUp(ctx context.Context) error
+	// HasLeader reports whether this member knows a leader.
 	HasLeader() bool
+	// View returns the state as this member has it.
 	View() *kv.View
+	// Txn commits a transaction.
 	Txn(ctx context.Context, t *kv.Txn) (*kv.Result, error)
+	// Members returns the members of the store.
 	Members() (member.Cluster, error)
 }
 
-// ServiceConfig is what a Service needs.
+// ServiceConfig configures a Service.
 type ServiceConfig struct {
 	Name     string // of this member
 	Store    Store
-	Validate func(*settings.Document) error // whether this member could put a document in force
+	Validate func(*settings.Document) error // whether this member could activate a document
 	Call     Caller
 	Limits   limits.Limits
 	Log      *slog.Logger
 }
 
-// Service answers for the settings on one member of the store.
+// Service serves the settings on one member of the store. Run has two goroutines: one follows the store's table, the
+// other puts processes on the roster. Calls come from the goroutines of the member's listener.
 type Service struct {
 	cfg       ServiceConfig
 	startedAt time.Time
 
 	mu      sync.Mutex
-	ready   bool // this member had once all that was written
+	ready   bool // this member has caught up with the store once
 	history *settings.History
 	rollout *settings.Rollout
 	changed chan struct{} // closed at the next version
 
-	unenrolled   chan settings.Report // of processes that are to be put on the roster
-	waitingPolls atomic.Int64         // polls of other processes
+	unenrolled   chan settings.Report // of processes that are not on the roster yet
+	waitingPolls atomic.Int64         // of other processes
 }
 
 // NewService returns a service. It answers polls once Run has caught up with the store.
 func NewService(cfg ServiceConfig) *Service {
-	return &Service{cfg: cfg, startedAt: time.Now(), history: settings.NewHistory(), rollout: settings.NewRollout(), changed: make(chan struct{}),
-		unenrolled: make(chan settings.Report, maxUnenrolled)}
+	return &Service{
+		cfg:        cfg,
+		startedAt:  time.Now(),
+		history:    settings.NewHistory(),
+		rollout:    settings.NewRollout(),
+		changed:    make(chan struct{}),
+		unenrolled: make(chan settings.Report, maxUnenrolled),
+	}
 }
 
 func (s *Service) elapsed() time.Duration { return time.Since(s.startedAt) }
@@ -69,7 +83,7 @@
 	return g.Wait()
 }
 
-// follow takes in what changes in the store until the context ends.
+// follow applies the changes of the store's table to the history until the context ends.
 func (s *Service) follow(ctx context.Context) {
 	if !s.catchUp(ctx) {
 		return
@@ -93,7 +107,7 @@
 	}
 }
 
-// catchUp returns once this member has all that was written before, false when the context ends.
+// catchUp returns true once this member has all that was committed before, false when the context ends.
 func (s *Service) catchUp(ctx context.Context) bool {
 	wait := s.cfg.Limits.SettingsBackoff.First
 	for ctx.Err() == nil {
@@ -101,14 +115,14 @@
 		if err == nil {
 			return true
 		}
-		s.cfg.Log.Debug("settings: this member has not caught up yet", "err", err)
+		s.cfg.Log.Debug("settings not caught up", "err", err)
 		sleep(ctx, wait)
 		wait = min(2*wait, s.cfg.Limits.SettingsBackoff.Most)
 	}
 	return false
 }
 
-// reload reads the whole table and returns the store's version up to which that is.
+// reload reads the whole table and returns the version of the store that it has.
 func (s *Service) reload() uint64 {
 	view := s.cfg.Store.View()
 	s.appendUpdate(snapshotOf(view))
@@ -128,10 +142,11 @@
 	return u
 }
 
-// maxItems bounds the items that are read from the store, which keeps fewer in a table.
+// maxItems bounds a read of a table. It is above the number of items that the store keeps in one.
 const maxItems = 1 << 16
 
-// applyEvents makes updates of the store's events, in their order. False says that they do not follow the version that is held.
+// applyEvents makes an update of each transaction's events, in order. It returns false if one does not follow the
+// history.
 func (s *Service) applyEvents(events []kv.Event) bool {
 	for len(events) > 0 {
 		n := 1
@@ -147,7 +162,7 @@
 	return true
 }
 
-// updateOf makes an update of one transaction's events. False: it has no head, or one that can not be read.
+// updateOf makes an update of one transaction's events. It returns false if the head is absent or not readable.
 func updateOf(events []kv.Event) (settings.Update, bool) {
 	u := settings.Update{Version: events[0].Version}
 	hasHead := false
@@ -166,14 +181,15 @@
 	return u, hasHead
 }
 
-// appendUpdate takes an update in and wakes who waits for it. False says that it does not follow what is held.
+// appendUpdate appends an update to the history and wakes the polls that wait for it. It returns false if the update
+// does not follow the history.
 func (s *Service) appendUpdate(u settings.Update) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.history.Document().Version()
 	switch err := s.history.Append(u); {
 	case errors.Is(err, settings.ErrStale):
-		return true // of a log that is read once more, or of a store that was restored
+		return true // the log was read again, or the store was restored
 	case err != nil:
 		return false
 	}
@@ -186,9 +202,9 @@
 	return true
 }
 
-// Poll takes a report in and returns what follows the version that its process holds, once there is any or the wait is over. The
-// version of the answer is older than that where this member is behind. A member that knows no leader can not tell whether there is
-// any, and its answer is an error: another may be asked.
+// Poll records a report and returns the update that follows the received version, once there is one or the wait is
+// over. The update's version is lower than the received one where this member is behind. A member that knows no leader
+// can not tell whether there is an update and returns a NotReadyError, so that the process tries another member.
 func (s *Service) Poll(ctx context.Context, report settings.Report, wait time.Duration) (settings.Update, error) {
 	timer := time.NewTimer(min(max(wait, 0), s.cfg.Limits.SettingsPoll))
 	defer timer.Stop()
@@ -214,26 +230,26 @@
 	}
 }
 
-// updateAfter returns what follows a version, and what is closed at the next one.
-func (s *Service) updateAfter(held uint64) (settings.Update, <-chan struct{}, error) {
+// updateAfter returns the update that follows a version, and a channel that is closed at the next one.
+func (s *Service) updateAfter(received uint64) (settings.Update, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ready {
 		return settings.Update{}, nil, &NotReadyError{}
 	}
 	latest := s.history.Document().Version()
-	if latest < held {
+	if latest < received {
 		return settings.Update{Version: latest, From: latest, Changes: []settings.Change{}}, s.changed, nil
 	}
-	return s.history.After(held), s.changed, nil
+	return s.history.After(received), s.changed, nil
 }
 
-// logFailure notes what a caller is told anyway.
-func (s *Service) logFailure(what string, err error) {
-	s.cfg.Log.Debug("settings: "+what, fault.Attrs(err))
+// logFailure logs an error that the caller gets as well.
+func (s *Service) logFailure(operation string, err error) {
+	s.cfg.Log.Debug("settings call failed", "operation", operation, fault.Attrs(err))
 }
 
-// sleep waits, or until the context ends.
+// sleep returns after a span, or when the context ends.
 func sleep(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
--- a/internal/settingsync/settingsync_test.go
+++ b/internal/settingsync/settingsync_test.go
@@ -43,14 +43,18 @@
 		last = apply(t, s, one("class/a", fmt.Sprintf(`{"worth":%d}`, i+2)))
 	}
 	for _, target := range targets {
-		waitFor(t, "the last version is in force", func() bool { return target.latest() == last })
+		waitFor(t, "the last version is active", func() bool { return target.latest() == last })
 		if got := target.versions(); !slices.IsSorted(got) {
-			t.Errorf("put in force in this order: %v", got)
+			t.Errorf("activated in this order: %v", got)
 		}
 	}
-	waitFor(t, "all are told as up to date", func() bool {
+	waitFor(t, "all are reported as up to date", func() bool {
 		status := s.localStatus()
-		return len(status.Processes) == 3 && !slices.ContainsFunc(status.Processes, func(p settings.Progress) bool { return p.ActiveVersion != last || p.BehindMs != 0 })
+		return len(status.Processes) == 3 &&
+			!slices.ContainsFunc(
+				status.Processes,
+				func(p settings.Progress) bool { return p.ActiveVersion != last || p.BehindMs != 0 },
+			)
 	})
 	// A change that is made twice has one effect.
 	writes := store.written()
@@ -59,13 +63,16 @@
 	}
 }
 
-// Two changes that are good alone and not together: the one that comes second is refused, however they cross.
+// Two changes that are good alone and not together: the one that comes second is rejected, however they cross.
 func TestChangesThatCrossAreValidatedAgain(t *testing.T) {
 	store := newFakeStore()
 	s := startService(t, store)
 	fill := ApplyRequest{}
 	for i := range 253 {
-		fill.Changes = append(fill.Changes, settings.Change{Key: fmt.Sprintf("class/c%03d", i), Value: json.RawMessage(`{"deadline":1,"effect":"free"}`)})
+		fill.Changes = append(
+			fill.Changes,
+			settings.Change{Key: fmt.Sprintf("class/c%03d", i), Value: json.RawMessage(`{"deadline":1,"effect":"free"}`)},
+		)
 	}
 	apply(t, s, fill)
 	crossed := false
@@ -100,14 +107,21 @@
 	if !errors.As(err, &conflict) || conflict.Actual != next {
 		t.Errorf("for a version that is over: %v", err)
 	}
-	r := s.Handle(t.Context(), &http1.Message{Method: "POST", Target: applyPath, Body: []byte(fmt.Sprintf(`{"changes":[{"key":"class/a","value":{"worth":4}}],"if":%d}`, version))})
+	r := s.Handle(
+		t.Context(),
+		&http1.Message{
+			Method: "POST",
+			Target: applyPath,
+			Body:   []byte(fmt.Sprintf(`{"changes":[{"key":"class/a","value":{"worth":4}}],"if":%d}`, version)),
+		},
+	)
 	if r.Status != 409 || !strings.Contains(string(r.Body), fmt.Sprintf(`"version":%d`, next)) {
 		t.Errorf("%d %s", r.Status, r.Body)
 	}
 }
 
-// Changes made at once at two members: each that is accepted is in the document, under a version of its own, and each version that a
-// follower puts in force is one of them.
+// Changes made at once at two members: each that is accepted is in the document, under a version of its own, and each
+// version that a follower activates is one of them.
 func TestConcurrentChangesAreAllApplied(t *testing.T) {
 	const clients, changes = 4, 10
 	store := newFakeStore()
@@ -131,7 +145,7 @@
 				}
 				mu.Lock()
 				if other, ok := accepted[a.Version]; ok {
-					t.Errorf("version %d is told of %s and %s", a.Version, other, key)
+					t.Errorf("version %d is reported for %s and %s", a.Version, other, key)
 				}
 				accepted[a.Version] = key
 				mu.Unlock()
@@ -151,10 +165,10 @@
 	if latest.Len() != len(accepted) {
 		t.Errorf("%d items of %d changes", latest.Len(), len(accepted))
 	}
-	waitFor(t, "the latest is in force", func() bool { return target.latest() == latest.Version() })
+	waitFor(t, "the latest is active", func() bool { return target.latest() == latest.Version() })
 	for _, version := range target.versions() {
 		if _, ok := accepted[version]; !ok {
-			t.Errorf("version %d, which was never accepted, was put in force", version)
+			t.Errorf("version %d, which was never accepted, was activated", version)
 		}
 	}
 }
@@ -163,8 +177,10 @@
 	store := newFakeStore()
 	s := startService(t, store)
 	for _, x := range []struct{ body, want string }{
-		{`{"changes":[{"key":"class/a","value":{"worth":2}},{"key":"class/a","value":{"worth":3}}]}`, "stands twice in one change"},
-		{`{"changes":[{"key":"class/a","value":{"worth":2}},{"key":"class/b","value":{"worth":3}}]}`, "class/b: deadline: absent"},
+		{`{"changes":[{"key":"class/a","value":{"worth":2}},{"key":"class/a","value":{"worth":3}}]}`,
+			"stands twice in one change"},
+		{`{"changes":[{"key":"class/a","value":{"worth":2}},{"key":"class/b","value":{"worth":3}}]}`,
+			"class/b: deadline: absent"},
 		{`{"changes":[{"key":"class/a","value":{"worth":-2}}]}`, "class/a: worth: -2, expected a number of 0 or more"},
 		{`{"changes":[{"key":"class/a","vaule":{"worth":2}}]}`, "vaule"},
 		{`{"changes":[]}{}`, "behind the request"},
@@ -181,25 +197,32 @@
 	}
 }
 
-// The store no longer keeps the changes since, and one of the table that has no head: both times the table is read anew.
+// The store no longer keeps the changes since, and one of the table that has no head: both times the table is read
+// anew.
 func TestCompactedHistoryIsReplacedByASnapshot(t *testing.T) {
 	store := newFakeStore()
 	s := startService(t, store)
 	target := &fakeTarget{}
 	startFollower(t, "p", s, target, Cache{})
 	first := apply(t, s, one("class/a", `{"worth":2}`))
-	waitFor(t, "the first version is in force", func() bool { return target.latest() == first })
+	waitFor(t, "the first version is active", func() bool { return target.latest() == first })
 	store.mu.Lock()
 	grown := store.changed
 	store.mu.Unlock()
 	store.compact()
-	second := store.apply(transaction(first, []settings.Change{{Key: "class/a", Value: json.RawMessage(`{"worth":3}`)}})).Version
+	second := store.apply(
+		transaction(first, []settings.Change{{Key: "class/a", Value: json.RawMessage(`{"worth":3}`)}}),
+	).Version
 	store.compact()
 	<-grown
-	waitFor(t, "the second version is in force", func() bool { return target.latest() == second })
-	store.apply(&kv.Txn{Ops: []kv.Op{{Verb: kv.Put, Table: settings.Table, Key: "class/x", Value: []byte("written beside"), Keep: true}}})
+	waitFor(t, "the second version is active", func() bool { return target.latest() == second })
+	store.apply(
+		&kv.Txn{
+			Ops: []kv.Op{{Verb: kv.Put, Table: settings.Table, Key: "class/x", Value: []byte("written beside"), Keep: true}},
+		},
+	)
 	third := apply(t, s, ApplyRequest{Changes: []settings.Change{{Key: "class/x"}}})
-	waitFor(t, "the third version is in force", func() bool { return target.latest() == third })
+	waitFor(t, "the third version is active", func() bool { return target.latest() == third })
 }
 
 // A member that has not caught up tells nothing.
@@ -215,15 +238,26 @@
 		t.Error("a change without a leader is accepted")
 	}
 	store.setUnavailable(false)
-	waitFor(t, "it is ready", func() bool { _, err := s.Poll(t.Context(), settings.Report{Process: "p"}, 0); return err == nil })
-	// Later without a leader: what it has is told, and not that there is nothing more.
+	waitFor(
+		t,
+		"it is ready",
+		func() bool { _, err := s.Poll(t.Context(), settings.Report{Process: "p"}, 0); return err == nil },
+	)
+	// Later without a leader: it reports what it has, and not that there is nothing more.
 	version := apply(t, s, one("class/a", `{"worth":2}`))
 	store.setUnavailable(true)
-	waitFor(t, "what it has is told", func() bool {
+	waitFor(t, "what it has is reported", func() bool {
 		u, err := s.Poll(t.Context(), settings.Report{Process: "p"}, 0)
 		return err == nil && u.Version == version
 	})
-	if _, err := s.Poll(t.Context(), settings.Report{Process: "p", ReceivedVersion: version}, 0); !errors.As(err, &notReady) {
+	if _, err := s.Poll(
+		t.Context(),
+		settings.Report{Process: "p", ReceivedVersion: version},
+		0,
+	); !errors.As(
+		err,
+		&notReady,
+	) {
 		t.Errorf("without a leader it says that nothing follows: %v", err)
 	}
 }
@@ -259,18 +293,34 @@
 }
 
 func delta(from, to uint64, worth int) settings.Update {
-	return settings.Update{From: from, Version: to, Changes: []settings.Change{{Key: "class/a", Version: to, Value: json.RawMessage(fmt.Sprintf(`{"worth":%d}`, worth))}}}
+	return settings.Update{
+		From:    from,
+		Version: to,
+		Changes: []settings.Change{{Key: "class/a", Version: to, Value: json.RawMessage(fmt.Sprintf(`{"worth":%d}`, worth))}},
+	}
 }
 
-// Answers that come twice, in another order, of an older version, of another version than the one held, or not at all.
+// Answers that come twice, in another order, of an older version, of another version than the received one, or not at
+// all.
 func TestOutOfOrderResponsesAreIgnored(t *testing.T) {
 	give := func(u settings.Update) func(settings.Report) (settings.Update, error) {
 		return func(settings.Report) (settings.Update, error) { return u, nil }
 	}
-	snapshot := settings.Update{Version: 9, Snapshot: true, Changes: []settings.Change{{Key: "class/a", Version: 9, Value: json.RawMessage(`{"worth":9}`)}}}
+	snapshot := settings.Update{
+		Version:  9,
+		Snapshot: true,
+		Changes:  []settings.Change{{Key: "class/a", Version: 9, Value: json.RawMessage(`{"worth":9}`)}},
+	}
 	asked := uint64(99)
 	up := &scripted{answers: []func(settings.Report) (settings.Update, error){
-		give(delta(0, 3, 3)), give(delta(0, 3, 3)), give(delta(3, 5, 5)), give(delta(0, 3, 3)), give(delta(3, 5, 5)), give(delta(7, 8, 8)),
+		give(
+			delta(0, 3, 3),
+		),
+		give(delta(0, 3, 3)),
+		give(delta(3, 5, 5)),
+		give(delta(0, 3, 3)),
+		give(delta(3, 5, 5)),
+		give(delta(7, 8, 8)),
 		func(r settings.Report) (settings.Update, error) { asked = r.ReceivedVersion; return snapshot, nil },
 		give(delta(5, 6, 6)),
 		func(settings.Report) (settings.Update, error) { return settings.Update{}, errors.New("no answer") },
@@ -278,9 +328,9 @@
 	}}
 	target := &fakeTarget{}
 	startFollower(t, "p", up, target, Cache{})
-	waitFor(t, "version 12 is in force", func() bool { return target.latest() == 12 })
+	waitFor(t, "version 12 is active", func() bool { return target.latest() == 12 })
 	if got := target.versions(); !slices.Equal(got, []uint64{3, 5, 9, 12}) {
-		t.Errorf("put in force: %v", got)
+		t.Errorf("activated: %v", got)
 	}
 	if asked != 0 {
 		t.Errorf("after a gap it says that it holds %d: no snapshot comes of that", asked)
@@ -288,7 +338,7 @@
 	waitFor(t, "it is reported", func() bool { return up.last().ActiveVersion == 12 })
 }
 
-// A version that can not be put in force is reported with its reason and tried again; the next one is tried at once.
+// A version that can not be activated is reported with its reason and tried again; the next one is tried at once.
 func TestRejectedVersionStaysInactive(t *testing.T) {
 	up := &scripted{answers: []func(settings.Report) (settings.Update, error){
 		func(settings.Report) (settings.Update, error) { return delta(0, 1, 1), nil },
@@ -304,16 +354,17 @@
 	startFollower(t, "p", up, target, Cache{})
 	waitFor(t, "it is reported", func() bool {
 		r := up.last()
-		return r.ReceivedVersion == 2 && r.ActiveVersion == 1 && r.Rejected == settings.Rejection{Version: 2, Reason: "not with this base"}
+		return r.ReceivedVersion == 2 && r.ActiveVersion == 1 &&
+			r.Rejected == settings.Rejection{Version: 2, Reason: "not with this base"}
 	})
 	target.rejectWith(nil)
 	waitFor(t, "it is tried again", func() bool { return up.last().ActiveVersion == 2 })
 	if r := up.last(); r.Rejected != (settings.Rejection{}) {
-		t.Errorf("still told as refused: %+v", r)
+		t.Errorf("still reported as rejected: %+v", r)
 	}
 }
 
-// One process that refuses a version, and one that does not come back from putting it in force, hold up no other.
+// One process that rejects a version, and one whose activation does not return, delay no other.
 func TestSlowAndRejectingProcessesDelayNoOther(t *testing.T) {
 	s := startService(t, newFakeStore())
 	stuck := make(chan struct{})
@@ -329,9 +380,10 @@
 		last = apply(t, s, one("class/a", fmt.Sprintf(`{"worth":%d}`, i+2)))
 	}
 	waitFor(t, "the third has it", func() bool { return targets[2].latest() == last })
-	waitFor(t, "the first is told by its reason", func() bool {
+	waitFor(t, "the first is reported with its reason", func() bool {
 		p := s.localStatus().Processes
-		return len(p) == 3 && p[0].Rejected.Reason == "no" && p[0].BehindMs > 0 && p[1].BehindMs > 0 && p[2].ActiveVersion == last
+		return len(p) == 3 && p[0].Rejected.Reason == "no" && p[0].BehindMs > 0 && p[1].BehindMs > 0 &&
+			p[2].ActiveVersion == last
 	})
 }
 
@@ -364,7 +416,12 @@
 	if got.Version != 7 || len(asked) != len(members) {
 		t.Errorf("got %+v; asked %v", got, asked)
 	}
-	if _, err := r.Poll(t.Context(), settings.Report{Process: "p", ReceivedVersion: 5}, 0); err != nil || asked["good"] != 2 {
+	if _, err := r.Poll(
+		t.Context(),
+		settings.Report{Process: "p", ReceivedVersion: 5},
+		0,
+	); err != nil ||
+		asked["good"] != 2 {
 		t.Errorf("it does not stay with the one that answers: %v, %v", err, asked)
 	}
 }
@@ -373,14 +430,19 @@
 type handled struct{ service *Service }
 
 func (h handled) Poll(ctx context.Context, r settings.Report, wait time.Duration) (settings.Update, error) {
-	remote := NewRemote([]string{"n0"}, func(ctx context.Context, _, verb, path string, body []byte) (*http1.Message, error) {
-		answer := h.service.Handle(ctx, &http1.Message{Method: verb, Target: path, Body: body})
-		return &http1.Message{Status: answer.Status, Body: answer.Body}, nil
-	}, time.Second)
+	remote := NewRemote(
+		[]string{"n0"},
+		func(ctx context.Context, _, verb, path string, body []byte) (*http1.Message, error) {
+			answer := h.service.Handle(ctx, &http1.Message{Method: verb, Target: path, Body: body})
+			return &http1.Message{Status: answer.Status, Body: answer.Body}, nil
+		},
+		time.Second,
+	)
 	return remote.Poll(ctx, r, wait)
 }
 
-// More processes follow a member than may wait there: the others are answered at once and come again, and all get what is accepted.
+// More processes follow a member than may wait there: the others are answered at once and come again, and all get what
+// is accepted.
 func TestWaitingPollsAreBounded(t *testing.T) {
 	store := newFakeStore()
 	s := startService(t, store)
@@ -393,7 +455,7 @@
 	for n := range 5 {
 		version := apply(t, s, one("class/a", fmt.Sprintf(`{"worth":%d}`, n+2)))
 		for _, target := range targets {
-			waitFor(t, "each has it in force", func() bool { return target.latest() == version })
+			waitFor(t, "it is active at each", func() bool { return target.latest() == version })
 		}
 	}
 }
@@ -410,7 +472,7 @@
 	}
 }
 
-// A process that was heard stays on the roster, also for a member that was started anew, until it is forgotten.
+// A process that reported stays on the roster, also at a member that was restarted, until an operator removes it.
 func TestRosterOutlivesItsMember(t *testing.T) {
 	store := newFakeStore()
 	s := startService(t, store)
@@ -425,13 +487,20 @@
 	anew := startService(t, store)
 	waitFor(t, "the new member has caught up", func() bool { return anew.localStatus().Version == version })
 	status := anew.fleetStatus(t.Context())
-	if len(status.Processes) != 1 || status.Processes[0].Process != "p" || status.Processes[0].ActiveVersion != 0 || status.Processes[0].SilentMs != neverObserved {
+	if len(status.Processes) != 1 || status.Processes[0].Process != "p" || status.Processes[0].ActiveVersion != 0 ||
+		status.Processes[0].SilentMs != neverObserved {
 		t.Errorf("%+v", status)
 	}
-	if r := anew.Handle(t.Context(), &http1.Message{Method: "POST", Target: forgetPath, Body: []byte(`{"process":"q"}`)}); r.Status != 400 {
+	if r := anew.Handle(
+		t.Context(),
+		&http1.Message{Method: "POST", Target: forgetPath, Body: []byte(`{"process":"q"}`)},
+	); r.Status != 400 {
 		t.Errorf("a process that is not known: %d %s", r.Status, r.Body)
 	}
-	if r := anew.Handle(t.Context(), &http1.Message{Method: "POST", Target: forgetPath, Body: []byte(`{"process":"p"}`)}); r.Status != 200 {
+	if r := anew.Handle(
+		t.Context(),
+		&http1.Message{Method: "POST", Target: forgetPath, Body: []byte(`{"process":"p"}`)},
+	); r.Status != 200 {
 		t.Errorf("forget: %d %s", r.Status, r.Body)
 	}
 	if status := anew.fleetStatus(t.Context()); len(status.Processes) != 0 {
@@ -448,7 +517,11 @@
 	target := &fakeTarget{}
 	startFollower(t, "p", s, target, cache)
 	version := apply(t, s, one("class/a", `{"worth":2}`))
-	waitFor(t, "it is kept", func() bool { d, err := cache.Load(); return err == nil && d.Version() == version && d.Len() == 1 })
+	waitFor(
+		t,
+		"it is kept",
+		func() bool { d, err := cache.Load(); return err == nil && d.Version() == version && d.Len() == 1 },
+	)
 	data, err := os.ReadFile(cache.path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settingsync/cut_test.go
+++ b/internal/settingsync/truncated_test.go
@@ -16,8 +16,13 @@
 
 // An answer that is cut after any of its bytes is an error; only the whole one is taken.
 func TestTruncatedResponseIsAnError(t *testing.T) {
-	const body = `{"version":7,"from":5,"changes":[{"key":"class/a","version":7,"value":{"worth":1}},{"key":"class/b","version":6}]}`
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	const body = `{"version":7,"from":5,"changes":[` +
+		`{"key":"class/a","version":7,"value":{"worth":1}},{"key":"class/b","version":6}]}`
+	whole := fmt.Sprintf(
+		"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
+		len(body),
+		body,
+	)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -126,8 +126,8 @@
 }
 
 var (
-	loggedInForce  = regexp.MustCompile(`time=(\S+) \S+ msg="settings: in force" version=(\d+)`)
-	loggedAccepted = regexp.MustCompile(`time=(\S+) \S+ msg="settings: accepted" version=(\d+) changed=[1-9]\d* took=(\S+)`)
+	loggedInForce  = regexp.MustCompile(`time=(\S+) \S+ msg="settings activated" version=(\d+)`)
+	loggedAccepted = regexp.MustCompile(`time=(\S+) \S+ msg="settings accepted" version=(\d+) changed=[1-9]\d* took=(\S+)`)
 )
 
 // reportRollout tells how long after a member was asked for a change the last process had it in force, by the processes' logs. It
@@ -260,7 +260,7 @@
 	}
 }
 
-var putInForce = regexp.MustCompile(`msg="settings: in force" version=(\d+)`)
+var putInForce = regexp.MustCompile(`msg="settings activated" version=(\d+)`)
 
 // inForceOrders reads from the logs which versions a process put in force, one after the other, in each of its lives.
 func (s *site) inForceOrders() (lives [][]uint64) {
