--- a/cmd/gatetack/serve.go
+++ b/cmd/gatetack/serve.go
@@ -291,7 +291,7 @@
 	if r.relay == nil {
 		return nil
 	}
-	if _, err := r.relay.Pass(body); err != nil {
+	if _, err := r.relay.Forward(body); err != nil {
 		return &platform.CallbackRefusedError{Err: err}
 	}
 	return nil
--- a/internal/handover/directory.go
+++ b/internal/handover/directory.go
@@ -7,11 +7,15 @@
 	"gatetack/internal/atomicfile"
 )
 
-// Directory is the part of a file system that a Relay needs. Programs use osDirectory; tests wrap it to make calls fail.
+// Directory is the part of a file system that a Relay needs. Programs use osDirectory; tests wrap it to make calls
+// fail.
 type Directory interface {
 	atomicfile.FS
+	// MkdirAll creates a directory and those above it.
 	MkdirAll(path string, mode fs.FileMode) error
+	// ReadDir returns the entries of a directory.
 	ReadDir(path string) ([]fs.DirEntry, error)
+	// ReadFile returns a file's content.
 	ReadFile(path string) ([]byte, error)
 }
 
--- a/internal/handover/errors.go
+++ b/internal/handover/errors.go
@@ -6,8 +6,8 @@
 	"gatetack/internal/fault"
 )
 
-// NotStoredError reports that a callback could not be stored for the other process of the node. The executor must not be
-// told that it was taken, so that it calls again.
+// NotStoredError reports that a callback could not be stored for the other process of the node. The executor must not
+// be told that it was taken, so that it calls again.
 type NotStoredError struct{ Err error }
 
 func (e *NotStoredError) Error() string {
@@ -17,10 +17,10 @@
 // Unwrap returns the cause, such as syscall.ENOSPC.
 func (e *NotStoredError) Unwrap() error { return e.Err }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*NotStoredError) Code() string { return "handover.not_stored" }
 
-// Do is what an operator can do.
+// Do says what an operator can do.
 func (*NotStoredError) Do() string {
 	return "make room in the node's temporary directory, or make it writable; executors call again meanwhile"
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,7 +1,10 @@
-// Package handover carries callbacks between the processes of one node while one replaces the other. Both have the same
-// listening socket, and once the old one takes no connections every callback of an executor reaches the new one, the
-// callbacks of the old one's attempts too. A process that gets a callback which is not its own stores it in the directory
-// they share ($TMPDIR), and the other takes it from there. Nothing is stored while a process is alone.
+// Package handover forwards callbacks between the processes of one node while one replaces the other. Both have the
+// same listening socket, and once the old one accepts no connections every callback of an executor reaches the new one,
+// the callbacks of the old one's attempts too. A process that gets a callback which is not its own stores it in a
+// directory that both share ($TMPDIR), and the other takes it from there. Nothing is stored while only one process
+// runs.
+//
+// A Relay's scans, and the state that they keep, belong to the goroutine of Run; Forward may be called by any.
 package handover
 
 import (
@@ -59,11 +62,20 @@
 
 func newRelay(files Directory, dir string, pid int, interval, ttl time.Duration, log *slog.Logger) *Relay {
 	name := fmt.Sprintf("%s%d-%x-", callbackPrefix, pid, rand.Uint64())
-	return &Relay{files: files, dir: dir, pid: pid, name: name, interval: interval, ttl: ttl, log: log, firstSeen: map[string]time.Time{}}
+	return &Relay{
+		files:     files,
+		dir:       dir,
+		pid:       pid,
+		name:      name,
+		interval:  interval,
+		ttl:       ttl,
+		log:       log,
+		firstSeen: map[string]time.Time{},
+	}
 }
 
-// Register marks this process as running. Where that fails the node serves all the same, and Run tries again: until then
-// the other process stores nothing for this one.
+// Register marks this process as running. Where that fails the node serves all the same, and Run tries again: until
+// then the other process stores nothing for this one.
 func (r *Relay) Register() error {
 	if err := r.files.MkdirAll(r.dir, directoryMode); err != nil {
 		return fmt.Errorf("handover: %w", err)
@@ -100,10 +112,10 @@
 	return running, nil
 }
 
-// Pass stores a callback that is not this process's for another process of the node, and reports whether one runs. Its
-// error is a NotStoredError: a process that the callback may belong to runs, or it is not known that none does, and the
-// callback is not on disk.
-func (r *Relay) Pass(body []byte) (bool, error) {
+// Forward stores a callback that is not this process's for another process of the node, and reports whether one runs.
+// Its error is a NotStoredError: a process that the callback may belong to runs, or it is not known that none does, and
+// the callback is not on disk.
+func (r *Relay) Forward(body []byte) (bool, error) {
 	running, err := r.othersRunning()
 	if err != nil {
 		return false, &NotStoredError{err}
@@ -158,7 +170,7 @@
 			registered = true
 			continue
 		}
-		if r.keep(entry.Name(), take) {
+		if r.examine(entry.Name(), take) {
 			present[entry.Name()] = r.firstSeen[entry.Name()]
 		}
 	}
@@ -169,9 +181,10 @@
 	return nil
 }
 
-// keep has a callback of another process taken, and reports whether the file is still to be looked at. Age counts from
-// when this process first saw the file: a file's own time follows the wall clock, which may be stepped past the TTL.
-func (r *Relay) keep(name string, take func(body []byte) bool) bool {
+// examine has a callback of another process taken, and reports whether the file is still to be looked at. Age counts
+// from when this process first saw the file: a file's own time follows the wall clock, which may be stepped past the
+// TTL.
+func (r *Relay) examine(name string, take func(body []byte) bool) bool {
 	if !strings.HasPrefix(name, callbackPrefix) && !strings.HasPrefix(name, atomicfile.TempPrefix) {
 		return false
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -78,24 +78,24 @@
 	return names
 }
 
-// A process alone leaves nothing; beside another, what it passes reaches the other once and whole, and is gone from
-// the directory then; a marker of a process that is gone does not count.
-func TestPass(t *testing.T) {
+// A process alone stores nothing. Beside another one, what it forwards reaches the other once and whole, and is then
+// removed from the directory. The marker of a process that has ended does not count.
+func TestForwardedCallbackIsTakenOnce(t *testing.T) {
 	dir := t.TempDir()
 	old := register(t, osDirectory{atomicfile.OS}, dir, os.Getpid())
-	if passed, err := old.Pass([]byte("x")); passed || err != nil {
-		t.Fatalf("a callback was left while the process stood alone: %v", err)
+	if passed, err := old.Forward([]byte("x")); passed || err != nil {
+		t.Fatalf("a callback was stored while the process was alone: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "p999999999"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if passed, err := old.Pass([]byte("x")); passed || err != nil {
-		t.Fatalf("a callback was left for a process that is gone: %v", err)
+	if passed, err := old.Forward([]byte("x")); passed || err != nil {
+		t.Fatalf("a callback was stored for a process that has ended: %v", err)
 	}
 	// The new process: another pid on the same directory.
 	next := register(t, osDirectory{atomicfile.OS}, dir, os.Getppid())
-	if passed, err := next.Pass([]byte(testCallback)); !passed || err != nil {
-		t.Fatalf("nothing was left beside a process that stands: %v", err)
+	if passed, err := next.Forward([]byte(testCallback)); !passed || err != nil {
+		t.Fatalf("nothing was stored beside a process that runs: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	got := make(chan string, 4)
@@ -104,7 +104,7 @@
 	select {
 	case b := <-got:
 		if b != testCallback {
-			t.Errorf("took %q, left %q", b, testCallback)
+			t.Errorf("took %q, want %q", b, testCallback)
 		}
 	case <-time.After(10 * time.Second):
 		t.Fatal("the old process never took the callback")
@@ -119,8 +119,8 @@
 	}
 }
 
-// A callback that can not be written is an error, whichever call fails, nothing of it is ever taken, and the executor's next
-// call succeeds once the disk does.
+// A callback that can not be written is an error, whichever call fails, nothing of it is ever taken, and the executor's
+// next call succeeds once the disk does.
 func TestCallbackThatCanNotBeStoredIsRefused(t *testing.T) {
 	for _, x := range []struct {
 		op    atomicfiletest.Op
@@ -137,14 +137,14 @@
 			old := register(t, osDirectory{atomicfile.OS}, dir, os.Getpid())
 			next := register(t, files, dir, os.Getppid())
 			files.Fail(x.op, 1, x.cause)
-			passed, err := next.Pass([]byte(testCallback))
+			passed, err := next.Forward([]byte(testCallback))
 			if _, ok := errors.AsType[*NotStoredError](err); passed || !ok || !errors.Is(err, x.cause) {
 				t.Fatalf("passed %v, %v, want a NotStoredError of %v", passed, err, x.cause)
 			}
 			if got := scanned(t, old); len(got) != 0 {
 				t.Errorf("taken: %q", got)
 			}
-			if passed, err := next.Pass([]byte(testCallback)); !passed || err != nil {
+			if passed, err := next.Forward([]byte(testCallback)); !passed || err != nil {
 				t.Fatalf("called again: %v, %v", passed, err)
 			}
 			if got := scanned(t, old); len(got) != 1 || got[0] != testCallback {
@@ -159,17 +159,17 @@
 	files := newFaultyDirectory()
 	r := register(t, files, t.TempDir(), os.Getpid())
 	files.list = syscall.EIO
-	if _, err := r.Pass([]byte(testCallback)); !errors.Is(err, syscall.EIO) {
+	if _, err := r.Forward([]byte(testCallback)); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("%v", err)
 	}
 	files.list = nil
-	if _, err := r.Pass([]byte(testCallback)); err != nil {
+	if _, err := r.Forward([]byte(testCallback)); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // A process whose directory fails at the start goes on without it, and is registered once the directory is usable.
-func TestDirectoryThatFailsAtTheStart(t *testing.T) {
+func TestRegistrationIsRetriedOnAFailingDirectory(t *testing.T) {
 	for _, x := range []struct {
 		what string
 		fail func(*faultyDirectory)
@@ -194,15 +194,15 @@
 				t.Errorf("taken: %q", got)
 			}
 			other := register(t, osDirectory{atomicfile.OS}, dir, os.Getppid())
-			if passed, err := other.Pass([]byte(testCallback)); !passed || err != nil {
+			if passed, err := other.Forward([]byte(testCallback)); !passed || err != nil {
 				t.Errorf("it is not seen: %v, %v", passed, err)
 			}
 		})
 	}
 }
 
-// A process that was killed at any point of a write leaves nothing that is taken for a callback, of either version of the
-// temporary names, and what it left is removed.
+// A process that was killed at any point of a write leaves nothing that is taken for a callback, of either version of
+// the temporary names, and what it left is removed.
 func TestHalfWrittenCallbackIsNotTaken(t *testing.T) {
 	dir := t.TempDir()
 	r := register(t, osDirectory{atomicfile.OS}, dir, os.Getpid())
@@ -225,11 +225,11 @@
 }
 
 // A callback that waits is not removed for its file's date, which a step of the wall clock makes old at once.
-func TestStepOfTheClockRemovesNoCallback(t *testing.T) {
+func TestClockStepRemovesNoCallback(t *testing.T) {
 	dir := t.TempDir()
 	old := register(t, osDirectory{atomicfile.OS}, dir, os.Getpid())
 	next := register(t, osDirectory{atomicfile.OS}, dir, os.Getppid())
-	if passed, err := next.Pass([]byte(testCallback)); !passed || err != nil {
+	if passed, err := next.Forward([]byte(testCallback)); !passed || err != nil {
 		t.Fatal(err)
 	}
 	hourAgo := time.Now().Add(-time.Hour)
@@ -245,13 +245,13 @@
 }
 
 // A process with the pid of an earlier one takes what that one stored, and replaces none of it.
-func TestPidIsUsedAgain(t *testing.T) {
+func TestReusedPidTakesItsPredecessorsCallbacks(t *testing.T) {
 	dir := t.TempDir()
 	register(t, osDirectory{atomicfile.OS}, dir, os.Getpid())
 	earlier := register(t, osDirectory{atomicfile.OS}, dir, os.Getppid())
 	later := register(t, osDirectory{atomicfile.OS}, dir, os.Getppid())
 	for _, r := range []*Relay{earlier, later} {
-		if passed, err := r.Pass([]byte(testCallback)); !passed || err != nil {
+		if passed, err := r.Forward([]byte(testCallback)); !passed || err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -268,7 +268,7 @@
 	dir, files := t.TempDir(), newFaultyDirectory()
 	old := register(t, files, dir, os.Getpid())
 	next := register(t, osDirectory{atomicfile.OS}, dir, os.Getppid())
-	if passed, err := next.Pass([]byte(testCallback)); !passed || err != nil {
+	if passed, err := next.Forward([]byte(testCallback)); !passed || err != nil {
 		t.Fatal(err)
 	}
 	files.read = syscall.EIO
