--- a/internal/handover/handover.go
+++ b/internal/callbackrelay/handover.go
@@ -1,11 +1,11 @@
-// Package handover forwards callbacks between the processes of one node while one replaces the other. Both have the
+// Package callbackrelay forwards callbacks between the processes of one node while one replaces the other. Both have the
 // same listening socket, and once the old one accepts no connections every callback of an executor reaches the new one,
 // the callbacks of the old one's attempts too. A process that gets a callback which is not its own stores it in a
 // directory that both share ($TMPDIR), and the other takes it from there. Nothing is stored while only one process
 // runs.
 //
 // A Relay's scans, and the state that they keep, belong to the goroutine of Run; Forward may be called by any.
-package handover
+package callbackrelay
 
 import (
 	"context"
@@ -25,7 +25,7 @@
 	"golang.org/x/sys/unix"
 
 	"gatetack/internal/atomicfile"
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 )
 
 // Names of files in the directory. Processes of two versions of the program share it, so they can not change.
@@ -148,7 +148,7 @@
 func (r *Relay) noteScan(err error) {
 	switch {
 	case err != nil && !r.failing:
-		r.log.Error("handover directory not usable", "dir", r.dir, fault.Attrs(err))
+		r.log.Error("handover directory not usable", "dir", r.dir, operr.Attrs(err))
 	case err == nil && r.failing:
 		r.log.Info("handover directory usable again", "dir", r.dir)
 	}
--- a/internal/settings/item.go
+++ b/internal/settings/item.go
@@ -9,16 +9,16 @@
 
 	"github.com/tidwall/gjson"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // Item is one item of a document. Its value is decoded once, at its arrival. An invalid value is an error of Merge
 // alone, so that a process which can not use an item can still forward it.
 type Item struct {
 	Change
-	class   overlay[brain.Class]
-	tenant  overlay[brain.Tenant]
-	general overlay[brain.Settings]
+	class   overlay[dispatch.Class]
+	tenant  overlay[dispatch.Tenant]
+	general overlay[dispatch.Settings]
 	err     error
 }
 
--- a/internal/settings/merge.go
+++ b/internal/settings/merge.go
@@ -6,33 +6,33 @@
 	"slices"
 	"strings"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // Rules is the settings of a process with the names of its classes and tenants, by index.
 type Rules struct {
-	Settings brain.Settings
+	Settings dispatch.Settings
 	Classes  []string
 	Tenants  []string
 }
 
 // defaultClass is the class that an item of a new class overrides, as in the platform's settings.
-func defaultClass() brain.Class {
-	return brain.Class{Worth: 1, Effect: brain.Unsafe, Scope: brain.ScopeCell, Kind: -1}
+func defaultClass() dispatch.Class {
+	return dispatch.Class{Worth: 1, Effect: dispatch.Unsafe, Scope: dispatch.ScopeCell, Kind: -1}
 }
 
-var classKind = kind[brain.Class]{
+var classKind = kind[dispatch.Class]{
 	prefix:   ClassPrefix,
 	required: []string{"deadline", "effect"},
 	absent:   defaultClass,
-	overlay:  func(item *Item) overlay[brain.Class] { return item.class },
+	overlay:  func(item *Item) overlay[dispatch.Class] { return item.class },
 }
 
-var tenantKind = kind[brain.Tenant]{
+var tenantKind = kind[dispatch.Tenant]{
 	prefix:   TenantPrefix,
 	required: []string{"portion", "quotaRps"},
-	absent:   func() brain.Tenant { return brain.Tenant{} },
-	overlay:  func(item *Item) overlay[brain.Tenant] { return item.tenant },
+	absent:   func() dispatch.Tenant { return dispatch.Tenant{} },
+	overlay:  func(item *Item) overlay[dispatch.Tenant] { return item.tenant },
 }
 
 // Merge returns a base configuration with a document's items applied to it. Classes and tenants that the base does not
@@ -50,11 +50,11 @@
 	if item, ok := d.Get(GeneralKey); ok {
 		item.general.apply(&out.Settings)
 	}
-	classes, err := classKind.override(d, named[brain.Class]{base.Settings.Classes, base.Classes})
+	classes, err := classKind.override(d, named[dispatch.Class]{base.Settings.Classes, base.Classes})
 	if err != nil {
 		return Rules{}, err
 	}
-	tenants, err := tenantKind.override(d, named[brain.Tenant]{base.Settings.Tenants, base.Tenants})
+	tenants, err := tenantKind.override(d, named[dispatch.Tenant]{base.Settings.Tenants, base.Tenants})
 	if err != nil {
 		return Rules{}, err
 	}
@@ -135,7 +135,7 @@
 			Expected: "none, as in the base configuration",
 		}
 	}
-	if _, err := brain.New(r.Settings, 0); err != nil {
+	if _, err := dispatch.New(r.Settings, 0); err != nil {
 		return &InvalidError{
 			Item:     "the merged settings",
 			Got:      err.Error(),
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,17 +12,17 @@
 
 	"pgregory.net/rapid"
 
-	"gatetack/brain"
-	_ "gatetack/internal/seeds"
+	"gatetack/internal/dispatch"
+	_ "gatetack/internal/testrand"
 )
 
 // baseRules are those of a process with two classes and two tenants.
 func baseRules() Rules {
 	return Rules{
-		Settings: brain.Settings{Balancers: 1, MaxAttempts: 3, FallMultiple: 2, Step: 4, OverShareWorth: 0.2,
-			Classes: []brain.Class{{Aim: 400, Deadline: 7500, Worth: 8, Effect: brain.Unsafe, Kind: -1},
-				{Aim: 1500, Deadline: 25000, Worth: 24, Effect: brain.Keyed, Window: 40000, Kind: -1}},
-			Tenants: []brain.Tenant{{Portion: 0.6, Quota: 20}, {Portion: 0.4, Quota: 12}}},
+		Settings: dispatch.Settings{Balancers: 1, MaxAttempts: 3, FallMultiple: 2, Step: 4, OverShareWorth: 0.2,
+			Classes: []dispatch.Class{{Aim: 400, Deadline: 7500, Worth: 8, Effect: dispatch.Unsafe, Kind: -1},
+				{Aim: 1500, Deadline: 25000, Worth: 24, Effect: dispatch.Keyed, Window: 40000, Kind: -1}},
+			Tenants: []dispatch.Tenant{{Portion: 0.6, Quota: 20}, {Portion: 0.4, Quota: 12}}},
 		Classes: []string{"tile-charge", "area-render"}, Tenants: []string{"pohjakaart", "maavaade"},
 	}
 }
@@ -59,10 +59,10 @@
 	want.Settings.Classes[1].Worth = 3
 	want.Settings.Classes = append(
 		want.Settings.Classes,
-		brain.Class{Deadline: 5000, Worth: 1, Effect: brain.Safe, Scope: brain.ScopeAll, Kind: -1},
+		dispatch.Class{Deadline: 5000, Worth: 1, Effect: dispatch.Safe, Scope: dispatch.ScopeAll, Kind: -1},
 	)
 	want.Settings.Tenants[1].Quota = 5
-	want.Settings.Tenants = append(want.Settings.Tenants, brain.Tenant{Portion: 0.1, Quota: 1})
+	want.Settings.Tenants = append(want.Settings.Tenants, dispatch.Tenant{Portion: 0.1, Quota: 1})
 	want.Settings.MaxAttempts, want.Settings.Fees.CrossZone = 7, 0.5
 	want.Settings.WorthByWork, want.Settings.OverShareWorth = true, 0
 	want.Classes, want.Tenants = append(want.Classes, "draft"), append(want.Tenants, "new")
@@ -354,7 +354,7 @@
 	if at < 0 {
 		at = len(base.Classes)
 		base.Classes = append(base.Classes, name)
-		added := brain.Class{Worth: 1, Kind: -1, Scope: brain.ScopeCell}
+		added := dispatch.Class{Worth: 1, Kind: -1, Scope: dispatch.ScopeCell}
 		base.Settings.Classes = append(base.Settings.Classes, added)
 	}
 	c := &base.Settings.Classes[at]
@@ -365,7 +365,7 @@
 		c.Deadline = *value.Deadline
 	}
 	if value.Effect != nil {
-		c.Effect = brain.Safe
+		c.Effect = dispatch.Safe
 	}
 	return true
 }
@@ -378,7 +378,7 @@
 	if at < 0 {
 		at = len(base.Tenants)
 		base.Tenants = append(base.Tenants, name)
-		base.Settings.Tenants = append(base.Settings.Tenants, brain.Tenant{})
+		base.Settings.Tenants = append(base.Settings.Tenants, dispatch.Tenant{})
 	}
 	c := &base.Settings.Tenants[at]
 	if value.Portion != nil {
--- a/internal/settingsync/errors.go
+++ b/internal/settingsync/errors.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 )
 
 // CacheError reports that a file of the cache can not be read or written. A file that can not be read counts as none.
@@ -140,11 +140,11 @@
 }
 
 var _ = []struct{}{
-	fault.Kind(&NotReadyError{}),
-	fault.Kind(&UnknownError{}),
-	fault.Kind(&BusyError{}),
-	fault.Kind(&StaleMemberError{}),
-	fault.Kind(&MemberError{}),
-	fault.Kind(&ActivationError{}),
-	fault.Kind(&CacheError{}),
+	operr.Kind(&NotReadyError{}),
+	operr.Kind(&UnknownError{}),
+	operr.Kind(&BusyError{}),
+	operr.Kind(&StaleMemberError{}),
+	operr.Kind(&MemberError{}),
+	operr.Kind(&ActivationError{}),
+	operr.Kind(&CacheError{}),
 }
--- a/internal/settingsync/follower.go
+++ b/internal/settingsync/follower.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"time"
 
-	"gatetack/internal/fault"
 	"gatetack/internal/limits"
+	"gatetack/internal/operr"
 	"gatetack/internal/settings"
 )
 
@@ -87,7 +87,7 @@
 		}
 		if err := f.poll(ctx); err != nil && ctx.Err() == nil {
 			f.polls.failures++
-			f.cfg.Log.Debug("settings poll failed", "failures", f.polls.failures, fault.Attrs(err))
+			f.cfg.Log.Debug("settings poll failed", "failures", f.polls.failures, operr.Attrs(err))
 			sleep(ctx, jittered(backoffAfter(f.cfg.Limits.SettingsBackoff, f.polls.failures)))
 		}
 	}
@@ -109,7 +109,7 @@
 				return document
 			}
 		}
-		cfg.Log.Debug("settings poll before the start failed", "failures", failures, fault.Attrs(err))
+		cfg.Log.Debug("settings poll before the start failed", "failures", failures, operr.Attrs(err))
 		sleep(ctx, jittered(backoffAfter(cfg.Limits.SettingsBackoff, failures)))
 	}
 	cfg.Log.Warn("no settings from any member before the start")
@@ -127,7 +127,7 @@
 	if err != nil {
 		f.activation.failed(f.cfg.Limits.SettingsRetry)
 		f.cfg.Log.Error("settings not activated", "active", f.replica.ActiveVersion(),
-			fault.Attrs(&ActivationError{document.Version(), err}))
+			operr.Attrs(&ActivationError{document.Version(), err}))
 		return
 	}
 	f.activation = retryState{}
@@ -145,7 +145,7 @@
 	}
 	f.cache.retry.failed(f.cfg.Limits.SettingsRetry)
 	f.cfg.Log.Warn("settings cache not written", "version", f.cache.unsaved.Version(),
-		"failures", f.cache.retry.failures, fault.Attrs(err))
+		"failures", f.cache.retry.failures, operr.Attrs(err))
 }
 
 // report returns the next report of this process.
--- a/internal/settingsync/handler.go
+++ b/internal/settingsync/handler.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"gatetack/internal/fault"
 	"gatetack/internal/http1"
+	"gatetack/internal/operr"
 	"gatetack/internal/settings"
 )
 
@@ -120,8 +120,8 @@
 func (s *Service) reject(operation string, err error) http1.Response {
 	s.logFailure(operation, err)
 	status, version := rejectionStatus(err)
-	f := errorBody{Error: err.Error(), Do: fault.Do(err), Version: version}
-	if coded, ok := errors.AsType[fault.Told](err); ok {
+	f := errorBody{Error: err.Error(), Do: operr.Do(err), Version: version}
+	if coded, ok := errors.AsType[operr.Told](err); ok {
 		f.Code = coded.Code()
 	}
 	return jsonResponse(status, f)
--- a/internal/settingsync/service.go
+++ b/internal/settingsync/service.go
@@ -11,10 +11,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/internal/fault"
 	"gatetack/internal/kv"
 	"gatetack/internal/limits"
-	"gatetack/internal/member"
+	"gatetack/internal/membership"
+	"gatetack/internal/operr"
 	"gatetack/internal/settings"
 )
 
@@ -32,7 +32,7 @@
 	// Txn commits a transaction.
 	Txn(ctx context.Context, t *kv.Txn) (*kv.Result, error)
 	// Members returns the members of the store.
-	Members() (member.Cluster, error)
+	Members() (membership.Cluster, error)
 }
 
 // ServiceConfig configures a Service.
@@ -246,7 +246,7 @@
 
 // logFailure logs an error that the caller gets as well.
 func (s *Service) logFailure(operation string, err error) {
-	s.cfg.Log.Debug("settings call failed", "operation", operation, fault.Attrs(err))
+	s.cfg.Log.Debug("settings call failed", "operation", operation, operr.Attrs(err))
 }
 
 // sleep returns after a span, or when the context ends.
