--- a/cmd/gatetack/process_fronts.go
+++ b/cmd/gatetack/process_fronts.go
@@ -63,7 +63,7 @@
 	folder := filepath.Join(os.TempDir(), handoverFolder)
 	relay := callbackrelay.New(folder, p.config.Limits.Follow, p.config.Limits.Stay, p.log)
 	if err := relay.Register(); err != nil { // Run tries again
-		p.log.Error("handover directory not usable", "err", err)
+		p.log.Error("callback directory not usable", "err", err)
 	}
 	p.life.onEnd(func() { _ = relay.Close() })
 	p.callbacks.relay = relay
--- a/internal/callbackrelay/handover.go
+++ b/internal/callbackrelay/callbackrelay.go
@@ -1,6 +1,6 @@
-// Package callbackrelay forwards callbacks between the processes of one node while one replaces the other. Both have the
-// same listening socket, and once the old one accepts no connections every callback of an executor reaches the new one,
-// the callbacks of the old one's attempts too. A process that gets a callback which is not its own stores it in a
+// Package callbackrelay forwards callbacks between the processes of one node while one replaces the other. Both have
+// the same listening socket, and once the old one accepts no connections every callback of an executor reaches the new
+// one, the callbacks of the old one's attempts too. A process that gets a callback which is not its own stores it in a
 // directory that both share ($TMPDIR), and the other takes it from there. Nothing is stored while only one process
 // runs.
 //
@@ -148,9 +148,9 @@
 func (r *Relay) noteScan(err error) {
 	switch {
 	case err != nil && !r.failing:
-		r.log.Error("handover directory not usable", "dir", r.dir, operr.Attrs(err))
+		r.log.Error("callback directory not usable", "dir", r.dir, operr.Attrs(err))
 	case err == nil && r.failing:
-		r.log.Info("handover directory usable again", "dir", r.dir)
+		r.log.Info("callback directory usable again", "dir", r.dir)
 	}
 	r.failing = err != nil
 }
