--- a/cmd/gatetack/process_control.go
+++ b/cmd/gatetack/process_control.go
@@ -82,7 +82,7 @@
 	if feed == nil {
 		return nil
 	}
-	p.tuner.document = feed.inForce
+	p.tuner.document = feed.active
 	if p.store != nil {
 		if err := feed.serve(p.store, p.config, p.file, p.tuner.Validate, p.log); err != nil {
 			return err
--- a/internal/settingsync/settingsync_test.go
+++ b/internal/settingsync/settingsync_test.go
@@ -43,14 +43,18 @@
 		last = apply(t, s, one("class/a", fmt.Sprintf(`{"worth":%d}`, i+2)))
 	}
 	for _, target := range targets {
-		waitFor(t, "the last version is in force", func() bool { return target.latest() == last })
+		waitFor(t, "the last version is active", func() bool { return target.latest() == last })
 		if got := target.versions(); !slices.IsSorted(got) {
-			t.Errorf("put in force in this order: %v", got)
+			t.Errorf("activated in this order: %v", got)
 		}
 	}
-	waitFor(t, "all are told as up to date", func() bool {
+	waitFor(t, "all are reported as up to date", func() bool {
 		status := s.localStatus()
-		return len(status.Processes) == 3 && !slices.ContainsFunc(status.Processes, func(p settings.Progress) bool { return p.InForce != last || p.BehindMs != 0 })
+		return len(status.Processes) == 3 &&
+			!slices.ContainsFunc(
+				status.Processes,
+				func(p settings.Progress) bool { return p.ActiveVersion != last || p.BehindMs != 0 },
+			)
 	})
 	// A change that is made twice has one effect.
 	writes := store.written()
@@ -59,17 +63,20 @@
 	}
 }
 
-// Two changes that are good alone and not together: the one that comes second is refused, however they cross.
+// Two changes that are good alone and not together: the one that comes second is rejected, however they cross.
 func TestChangesThatCrossAreValidatedAgain(t *testing.T) {
 	store := newFakeStore()
 	s := startService(t, store)
 	fill := ApplyRequest{}
 	for i := range 253 {
-		fill.Changes = append(fill.Changes, settings.Change{Key: fmt.Sprintf("class/c%03d", i), Value: json.RawMessage(`{"deadline":1,"effect":"free"}`)})
+		fill.Changes = append(
+			fill.Changes,
+			settings.Change{Key: fmt.Sprintf("class/c%03d", i), Value: json.RawMessage(`{"deadline":1,"effect":"free"}`)},
+		)
 	}
 	apply(t, s, fill)
 	crossed := false
-	store.meets = func() { // as another member would, between the validation and the write
+	store.beforeTxn = func() { // as another member would, between the validation and the write
 		if crossed {
 			return
 		}
@@ -84,7 +91,7 @@
 	if !errors.As(err, &invalid) || !strings.Contains(err.Error(), "256 classes with it, expected 255 at most") {
 		t.Errorf("the 256th class: %v", err)
 	}
-	if d := s.current(); d.Len() != 254 {
+	if d := s.currentDocument(); d.Len() != 254 {
 		t.Errorf("%d items", d.Len())
 	}
 }
@@ -93,22 +100,29 @@
 	s := startService(t, newFakeStore())
 	version := apply(t, s, one("class/a", `{"worth":2}`))
 	request := one("class/a", `{"worth":3}`)
-	request.If = &version
+	request.IfVersion = &version
 	next := apply(t, s, request)
 	_, err := s.Apply(t.Context(), request)
 	var conflict *settings.ConflictError
-	if !errors.As(err, &conflict) || conflict.Version != next {
+	if !errors.As(err, &conflict) || conflict.Actual != next {
 		t.Errorf("for a version that is over: %v", err)
 	}
-	r := s.Handle(t.Context(), &http1.Message{Method: "POST", Target: applyPath, Body: []byte(fmt.Sprintf(`{"changes":[{"key":"class/a","value":{"worth":4}}],"if":%d}`, version))})
+	r := s.Handle(
+		t.Context(),
+		&http1.Message{
+			Method: "POST",
+			Target: applyPath,
+			Body:   []byte(fmt.Sprintf(`{"changes":[{"key":"class/a","value":{"worth":4}}],"if":%d}`, version)),
+		},
+	)
 	if r.Status != 409 || !strings.Contains(string(r.Body), fmt.Sprintf(`"version":%d`, next)) {
 		t.Errorf("%d %s", r.Status, r.Body)
 	}
 }
 
-// Changes made at once at two members: each that is accepted is in the document, under a version of its own, and each version that a
-// follower puts in force is one of them.
-func TestChangesMadeAtOnce(t *testing.T) {
+// Changes made at once at two members: each that is accepted is in the document, under a version of its own, and each
+// version that a follower activates is one of them.
+func TestConcurrentChangesAreAllApplied(t *testing.T) {
 	const clients, changes = 4, 10
 	store := newFakeStore()
 	services := []*Service{startService(t, store), startService(t, store)}
@@ -131,7 +145,7 @@
 				}
 				mu.Lock()
 				if other, ok := accepted[a.Version]; ok {
-					t.Errorf("version %d is told of %s and %s", a.Version, other, key)
+					t.Errorf("version %d is reported for %s and %s", a.Version, other, key)
 				}
 				accepted[a.Version] = key
 				mu.Unlock()
@@ -142,7 +156,7 @@
 	if len(accepted) < clients*changes/2 {
 		t.Errorf("%d of %d changes were accepted: too few to show anything", len(accepted), clients*changes)
 	}
-	latest := services[1].current()
+	latest := services[1].currentDocument()
 	for version, key := range accepted {
 		if item, ok := latest.Get(key); !ok || item.Version != version {
 			t.Errorf("%s of version %d is not in the document", key, version)
@@ -151,20 +165,22 @@
 	if latest.Len() != len(accepted) {
 		t.Errorf("%d items of %d changes", latest.Len(), len(accepted))
 	}
-	waitFor(t, "the latest is in force", func() bool { return target.latest() == latest.Version() })
+	waitFor(t, "the latest is active", func() bool { return target.latest() == latest.Version() })
 	for _, version := range target.versions() {
 		if _, ok := accepted[version]; !ok {
-			t.Errorf("version %d, which was never accepted, was put in force", version)
+			t.Errorf("version %d, which was never accepted, was activated", version)
 		}
 	}
 }
 
-func TestRefusedCallsChangeNothing(t *testing.T) {
+func TestRejectedCallsChangeNothing(t *testing.T) {
 	store := newFakeStore()
 	s := startService(t, store)
 	for _, x := range []struct{ body, want string }{
-		{`{"changes":[{"key":"class/a","value":{"worth":2}},{"key":"class/a","value":{"worth":3}}]}`, "stands twice in one change"},
-		{`{"changes":[{"key":"class/a","value":{"worth":2}},{"key":"class/b","value":{"worth":3}}]}`, "class/b: deadline: absent"},
+		{`{"changes":[{"key":"class/a","value":{"worth":2}},{"key":"class/a","value":{"worth":3}}]}`,
+			"stands twice in one change"},
+		{`{"changes":[{"key":"class/a","value":{"worth":2}},{"key":"class/b","value":{"worth":3}}]}`,
+			"class/b: deadline: absent"},
 		{`{"changes":[{"key":"class/a","value":{"worth":-2}}]}`, "class/a: worth: -2, expected a number of 0 or more"},
 		{`{"changes":[{"key":"class/a","vaule":{"worth":2}}]}`, "vaule"},
 		{`{"changes":[]}{}`, "behind the request"},
@@ -176,36 +192,43 @@
 			t.Errorf("%s: %d %s, expected %q", x.body, r.Status, r.Body, x.want)
 		}
 	}
-	if store.written() != 0 || s.current().Version() != 0 {
-		t.Errorf("%d writes, version %d", store.written(), s.current().Version())
+	if store.written() != 0 || s.currentDocument().Version() != 0 {
+		t.Errorf("%d writes, version %d", store.written(), s.currentDocument().Version())
 	}
 }
 
-// The store no longer keeps the changes since, and one of the table that has no head: both times the table is read anew.
-func TestCompactedHistory(t *testing.T) {
+// The store no longer keeps the changes since, and one of the table that has no head: both times the table is read
+// anew.
+func TestCompactedHistoryIsReplacedByASnapshot(t *testing.T) {
 	store := newFakeStore()
 	s := startService(t, store)
 	target := &fakeTarget{}
 	startFollower(t, "p", s, target, Cache{})
 	first := apply(t, s, one("class/a", `{"worth":2}`))
-	waitFor(t, "the first version is in force", func() bool { return target.latest() == first })
+	waitFor(t, "the first version is active", func() bool { return target.latest() == first })
 	store.mu.Lock()
-	grown := store.grown
+	grown := store.changed
 	store.mu.Unlock()
 	store.compact()
-	second := store.apply(transaction(first, []settings.Change{{Key: "class/a", Value: json.RawMessage(`{"worth":3}`)}})).Version
+	second := store.apply(
+		transaction(first, []settings.Change{{Key: "class/a", Value: json.RawMessage(`{"worth":3}`)}}),
+	).Version
 	store.compact()
 	<-grown
-	waitFor(t, "the second version is in force", func() bool { return target.latest() == second })
-	store.apply(&kv.Txn{Ops: []kv.Op{{Verb: kv.Put, Table: settings.Table, Key: "class/x", Value: []byte("written beside"), Keep: true}}})
+	waitFor(t, "the second version is active", func() bool { return target.latest() == second })
+	store.apply(
+		&kv.Txn{
+			Ops: []kv.Op{{Verb: kv.Put, Table: settings.Table, Key: "class/x", Value: []byte("written beside"), Keep: true}},
+		},
+	)
 	third := apply(t, s, ApplyRequest{Changes: []settings.Change{{Key: "class/x"}}})
-	waitFor(t, "the third version is in force", func() bool { return target.latest() == third })
+	waitFor(t, "the third version is active", func() bool { return target.latest() == third })
 }
 
 // A member that has not caught up tells nothing.
-func TestNotReady(t *testing.T) {
+func TestMemberThatHasNotCaughtUpRejectsPolls(t *testing.T) {
 	store := newFakeStore()
-	store.away = true
+	store.unavailable = true
 	s := startService(t, store)
 	var notReady *NotReadyError
 	if _, err := s.Poll(t.Context(), settings.Report{Process: "p"}, 0); !errors.As(err, &notReady) {
@@ -214,16 +237,27 @@
 	if _, err := s.Apply(t.Context(), one("class/a", `{"worth":2}`)); err == nil {
 		t.Error("a change without a leader is accepted")
 	}
-	store.setAway(false)
-	waitFor(t, "it is ready", func() bool { _, err := s.Poll(t.Context(), settings.Report{Process: "p"}, 0); return err == nil })
-	// Later without a leader: what it has is told, and not that there is nothing more.
+	store.setUnavailable(false)
+	waitFor(
+		t,
+		"it is ready",
+		func() bool { _, err := s.Poll(t.Context(), settings.Report{Process: "p"}, 0); return err == nil },
+	)
+	// Later without a leader: it reports what it has, and not that there is nothing more.
 	version := apply(t, s, one("class/a", `{"worth":2}`))
-	store.setAway(true)
-	waitFor(t, "what it has is told", func() bool {
+	store.setUnavailable(true)
+	waitFor(t, "what it has is reported", func() bool {
 		u, err := s.Poll(t.Context(), settings.Report{Process: "p"}, 0)
 		return err == nil && u.Version == version
 	})
-	if _, err := s.Poll(t.Context(), settings.Report{Process: "p", Held: version}, 0); !errors.As(err, &notReady) {
+	if _, err := s.Poll(
+		t.Context(),
+		settings.Report{Process: "p", ReceivedVersion: version},
+		0,
+	); !errors.As(
+		err,
+		&notReady,
+	) {
 		t.Errorf("without a leader it says that nothing follows: %v", err)
 	}
 }
@@ -245,8 +279,8 @@
 		return next(r)
 	}
 	s.mu.Unlock()
-	pause(ctx, min(wait, 5*time.Millisecond))
-	return settings.Update{Version: r.Held, From: r.Held}, ctx.Err()
+	sleep(ctx, min(wait, 5*time.Millisecond))
+	return settings.Update{Version: r.ReceivedVersion, From: r.ReceivedVersion}, ctx.Err()
 }
 
 func (s *scripted) last() settings.Report {
@@ -259,43 +293,59 @@
 }
 
 func delta(from, to uint64, worth int) settings.Update {
-	return settings.Update{From: from, Version: to, Changes: []settings.Change{{Key: "class/a", Version: to, Value: json.RawMessage(fmt.Sprintf(`{"worth":%d}`, worth))}}}
+	return settings.Update{
+		From:    from,
+		Version: to,
+		Changes: []settings.Change{{Key: "class/a", Version: to, Value: json.RawMessage(fmt.Sprintf(`{"worth":%d}`, worth))}},
+	}
 }
 
-// Answers that come twice, in another order, of an older version, of another version than the one held, or not at all.
-func TestAnswersOutOfOrder(t *testing.T) {
+// Answers that come twice, in another order, of an older version, of another version than the received one, or not at
+// all.
+func TestOutOfOrderResponsesAreIgnored(t *testing.T) {
 	give := func(u settings.Update) func(settings.Report) (settings.Update, error) {
 		return func(settings.Report) (settings.Update, error) { return u, nil }
 	}
-	snapshot := settings.Update{Version: 9, Snapshot: true, Changes: []settings.Change{{Key: "class/a", Version: 9, Value: json.RawMessage(`{"worth":9}`)}}}
+	snapshot := settings.Update{
+		Version:  9,
+		Snapshot: true,
+		Changes:  []settings.Change{{Key: "class/a", Version: 9, Value: json.RawMessage(`{"worth":9}`)}},
+	}
 	asked := uint64(99)
 	up := &scripted{answers: []func(settings.Report) (settings.Update, error){
-		give(delta(0, 3, 3)), give(delta(0, 3, 3)), give(delta(3, 5, 5)), give(delta(0, 3, 3)), give(delta(3, 5, 5)), give(delta(7, 8, 8)),
-		func(r settings.Report) (settings.Update, error) { asked = r.Held; return snapshot, nil },
+		give(
+			delta(0, 3, 3),
+		),
+		give(delta(0, 3, 3)),
+		give(delta(3, 5, 5)),
+		give(delta(0, 3, 3)),
+		give(delta(3, 5, 5)),
+		give(delta(7, 8, 8)),
+		func(r settings.Report) (settings.Update, error) { asked = r.ReceivedVersion; return snapshot, nil },
 		give(delta(5, 6, 6)),
 		func(settings.Report) (settings.Update, error) { return settings.Update{}, errors.New("no answer") },
 		give(delta(9, 12, 12)),
 	}}
 	target := &fakeTarget{}
 	startFollower(t, "p", up, target, Cache{})
-	waitFor(t, "version 12 is in force", func() bool { return target.latest() == 12 })
+	waitFor(t, "version 12 is active", func() bool { return target.latest() == 12 })
 	if got := target.versions(); !slices.Equal(got, []uint64{3, 5, 9, 12}) {
-		t.Errorf("put in force: %v", got)
+		t.Errorf("activated: %v", got)
 	}
 	if asked != 0 {
 		t.Errorf("after a gap it says that it holds %d: no snapshot comes of that", asked)
 	}
-	waitFor(t, "it is reported", func() bool { return up.last().InForce == 12 })
+	waitFor(t, "it is reported", func() bool { return up.last().ActiveVersion == 12 })
 }
 
-// A version that can not be put in force is reported with its reason and tried again; the next one is tried at once.
-func TestVersionThatIsRefused(t *testing.T) {
+// A version that can not be activated is reported with its reason and tried again; the next one is tried at once.
+func TestRejectedVersionStaysInactive(t *testing.T) {
 	up := &scripted{answers: []func(settings.Report) (settings.Update, error){
 		func(settings.Report) (settings.Update, error) { return delta(0, 1, 1), nil },
 		func(settings.Report) (settings.Update, error) { return delta(1, 2, 2), nil },
 	}}
 	target := &fakeTarget{}
-	target.refuse(func(d *settings.Document) error {
+	target.rejectWith(func(d *settings.Document) error {
 		if d.Version() == 2 {
 			return errors.New("not with this base")
 		}
@@ -304,23 +354,24 @@
 	startFollower(t, "p", up, target, Cache{})
 	waitFor(t, "it is reported", func() bool {
 		r := up.last()
-		return r.Held == 2 && r.InForce == 1 && r.Refused == settings.Refusal{Version: 2, Reason: "not with this base"}
+		return r.ReceivedVersion == 2 && r.ActiveVersion == 1 &&
+			r.Rejected == settings.Rejection{Version: 2, Reason: "not with this base"}
 	})
-	target.refuse(nil)
-	waitFor(t, "it is tried again", func() bool { return up.last().InForce == 2 })
-	if r := up.last(); r.Refused != (settings.Refusal{}) {
-		t.Errorf("still told as refused: %+v", r)
+	target.rejectWith(nil)
+	waitFor(t, "it is tried again", func() bool { return up.last().ActiveVersion == 2 })
+	if r := up.last(); r.Rejected != (settings.Rejection{}) {
+		t.Errorf("still reported as rejected: %+v", r)
 	}
 }
 
-// One process that refuses a version, and one that does not come back from putting it in force, hold up no other.
-func TestSlowAndRefusingProcessesHoldUpNobody(t *testing.T) {
+// One process that rejects a version, and one whose activation does not return, delay no other.
+func TestSlowAndRejectingProcessesDelayNoOther(t *testing.T) {
 	s := startService(t, newFakeStore())
 	stuck := make(chan struct{})
 	defer close(stuck)
 	targets := []*fakeTarget{{}, {}, {}}
-	targets[0].refuse(func(*settings.Document) error { return errors.New("no") })
-	targets[1].refuse(func(*settings.Document) error { <-stuck; return nil })
+	targets[0].rejectWith(func(*settings.Document) error { return errors.New("no") })
+	targets[1].rejectWith(func(*settings.Document) error { <-stuck; return nil })
 	for i, target := range targets {
 		startFollower(t, fmt.Sprint("p", i), s, target, Cache{})
 	}
@@ -329,14 +380,15 @@
 		last = apply(t, s, one("class/a", fmt.Sprintf(`{"worth":%d}`, i+2)))
 	}
 	waitFor(t, "the third has it", func() bool { return targets[2].latest() == last })
-	waitFor(t, "the first is told by its reason", func() bool {
+	waitFor(t, "the first is reported with its reason", func() bool {
 		p := s.localStatus().Processes
-		return len(p) == 3 && p[0].Refused.Reason == "no" && p[0].BehindMs > 0 && p[1].BehindMs > 0 && p[2].InForce == last
+		return len(p) == 3 && p[0].Rejected.Reason == "no" && p[0].BehindMs > 0 && p[1].BehindMs > 0 &&
+			p[2].ActiveVersion == last
 	})
 }
 
 // A member that does not answer, answers an error or nonsense, or is behind: the next one is asked.
-func TestRemoteGoesOnToTheNextMember(t *testing.T) {
+func TestRemoteFailsOverToTheNextMember(t *testing.T) {
 	answers := map[string]func() (*http1.Message, error){
 		"down":    func() (*http1.Message, error) { return nil, errors.New("connection refused") },
 		"busy":    func() (*http1.Message, error) { return &http1.Message{Status: 503, Body: []byte("busy")}, nil },
@@ -357,14 +409,19 @@
 	r.current = 0
 	var got settings.Update
 	for range members {
-		if u, err := r.Poll(t.Context(), settings.Report{Process: "p", Held: 5}, 0); err == nil {
+		if u, err := r.Poll(t.Context(), settings.Report{Process: "p", ReceivedVersion: 5}, 0); err == nil {
 			got = u
 		}
 	}
 	if got.Version != 7 || len(asked) != len(members) {
 		t.Errorf("got %+v; asked %v", got, asked)
 	}
-	if _, err := r.Poll(t.Context(), settings.Report{Process: "p", Held: 5}, 0); err != nil || asked["good"] != 2 {
+	if _, err := r.Poll(
+		t.Context(),
+		settings.Report{Process: "p", ReceivedVersion: 5},
+		0,
+	); err != nil ||
+		asked["good"] != 2 {
 		t.Errorf("it does not stay with the one that answers: %v, %v", err, asked)
 	}
 }
@@ -373,15 +430,20 @@
 type handled struct{ service *Service }
 
 func (h handled) Poll(ctx context.Context, r settings.Report, wait time.Duration) (settings.Update, error) {
-	remote := NewRemote([]string{"n0"}, func(ctx context.Context, _, verb, path string, body []byte) (*http1.Message, error) {
-		answer := h.service.Handle(ctx, &http1.Message{Method: verb, Target: path, Body: body})
-		return &http1.Message{Status: answer.Status, Body: answer.Body}, nil
-	}, time.Second)
+	remote := NewRemote(
+		[]string{"n0"},
+		func(ctx context.Context, _, verb, path string, body []byte) (*http1.Message, error) {
+			answer := h.service.Handle(ctx, &http1.Message{Method: verb, Target: path, Body: body})
+			return &http1.Message{Status: answer.Status, Body: answer.Body}, nil
+		},
+		time.Second,
+	)
 	return remote.Poll(ctx, r, wait)
 }
 
-// More processes follow a member than may wait there: the others are answered at once and come again, and all get what is accepted.
-func TestMoreFollowersThanMayWait(t *testing.T) {
+// More processes follow a member than may wait there: the others are answered at once and come again, and all get what
+// is accepted.
+func TestWaitingPollsAreBounded(t *testing.T) {
 	store := newFakeStore()
 	s := startService(t, store)
 	s.cfg.Limits.StoreFollowers = 4
@@ -393,30 +455,30 @@
 	for n := range 5 {
 		version := apply(t, s, one("class/a", fmt.Sprintf(`{"worth":%d}`, n+2)))
 		for _, target := range targets {
-			waitFor(t, "each has it in force", func() bool { return target.latest() == version })
+			waitFor(t, "it is active at each", func() bool { return target.latest() == version })
 		}
 	}
 }
 
 // A follower that is answered at once with nothing new does not come again before half of its wait is over.
-func TestFollowerThatIsAnsweredAtOnce(t *testing.T) {
+func TestFollowerPacesItselfWhenAnsweredAtOnce(t *testing.T) {
 	const polls = 10
 	up := &scripted{}
 	began := time.Now()
 	startFollower(t, "p", up, &fakeTarget{}, Cache{})
-	waitFor(t, "it has polled", func() bool { return up.last().Number > polls })
+	waitFor(t, "it has polled", func() bool { return up.last().Sequence > polls })
 	if least := polls * testLimits().SettingsPoll / 2; time.Since(began) < least {
 		t.Errorf("%d polls in under %v", polls, least)
 	}
 }
 
-// A process that was heard stays on the roster, also for a member that was started anew, until it is forgotten.
-func TestRoster(t *testing.T) {
+// A process that reported stays on the roster, also at a member that was restarted, until an operator removes it.
+func TestRosterOutlivesItsMember(t *testing.T) {
 	store := newFakeStore()
 	s := startService(t, store)
-	if _, err := s.Poll(t.Context(), settings.Report{Process: "p", Life: 5, Number: 1}, 0); err != nil {
+	if _, err := s.Poll(t.Context(), settings.Report{Process: "p", Incarnation: 5, Sequence: 1}, 0); err != nil {
 		waitFor(t, "it is ready", func() bool {
-			_, err := s.Poll(t.Context(), settings.Report{Process: "p", Life: 5, Number: 1}, 0)
+			_, err := s.Poll(t.Context(), settings.Report{Process: "p", Incarnation: 5, Sequence: 1}, 0)
 			return err == nil
 		})
 	}
@@ -425,13 +487,20 @@
 	anew := startService(t, store)
 	waitFor(t, "the new member has caught up", func() bool { return anew.localStatus().Version == version })
 	status := anew.fleetStatus(t.Context())
-	if len(status.Processes) != 1 || status.Processes[0].Process != "p" || status.Processes[0].InForce != 0 || status.Processes[0].SilentMs != neverHeard {
+	if len(status.Processes) != 1 || status.Processes[0].Process != "p" || status.Processes[0].ActiveVersion != 0 ||
+		status.Processes[0].SilentMs != neverObserved {
 		t.Errorf("%+v", status)
 	}
-	if r := anew.Handle(t.Context(), &http1.Message{Method: "POST", Target: forgetPath, Body: []byte(`{"process":"q"}`)}); r.Status != 400 {
+	if r := anew.Handle(
+		t.Context(),
+		&http1.Message{Method: "POST", Target: forgetPath, Body: []byte(`{"process":"q"}`)},
+	); r.Status != 400 {
 		t.Errorf("a process that is not known: %d %s", r.Status, r.Body)
 	}
-	if r := anew.Handle(t.Context(), &http1.Message{Method: "POST", Target: forgetPath, Body: []byte(`{"process":"p"}`)}); r.Status != 200 {
+	if r := anew.Handle(
+		t.Context(),
+		&http1.Message{Method: "POST", Target: forgetPath, Body: []byte(`{"process":"p"}`)},
+	); r.Status != 200 {
 		t.Errorf("forget: %d %s", r.Status, r.Body)
 	}
 	if status := anew.fleetStatus(t.Context()); len(status.Processes) != 0 {
@@ -439,7 +508,7 @@
 	}
 }
 
-func TestCache(t *testing.T) {
+func TestTruncatedCacheCountsAsNone(t *testing.T) {
 	cache := NewCache(filepath.Join(t.TempDir(), "settings.json"))
 	if d, err := cache.Load(); err != nil || d.Version() != 0 {
 		t.Fatalf("where none was kept: %v, %v", d, err)
@@ -448,7 +517,11 @@
 	target := &fakeTarget{}
 	startFollower(t, "p", s, target, cache)
 	version := apply(t, s, one("class/a", `{"worth":2}`))
-	waitFor(t, "it is kept", func() bool { d, err := cache.Load(); return err == nil && d.Version() == version && d.Len() == 1 })
+	waitFor(
+		t,
+		"it is kept",
+		func() bool { d, err := cache.Load(); return err == nil && d.Version() == version && d.Len() == 1 },
+	)
 	data, err := os.ReadFile(cache.path)
 	if err != nil {
 		t.Fatal(err)
