--- a/cmd/gatetack/duty.go
+++ b/cmd/gatetack/duty.go
@@ -67,7 +67,7 @@
 		}})
 	cmd.AddCommand(&cobra.Command{Use: "release DUTY", Short: "take a duty from its owner: another node claims it", Args: oneDuty,
 		RunE: func(cmd *cobra.Command, a []string) error {
-			return r.giveDuty(cmd, a[0], duty.Life{}, "is nobody's")
+			return r.giveDuty(cmd, a[0], duty.Incarnation{}, "is nobody's")
 		}})
 	cmd.AddCommand(&cobra.Command{Use: "move DUTY NODE", Short: "give a duty to a node that is alive",
 		Args: func(cmd *cobra.Command, a []string) error {
@@ -96,7 +96,7 @@
 }
 
 // giveDuty writes a duty as a life's, or nobody's, in the place of what stands there, and says what was done.
-func (r *storeRemote) giveDuty(cmd *cobra.Command, key string, to duty.Life, done string) error {
+func (r *storeRemote) giveDuty(cmd *cobra.Command, key string, to duty.Incarnation, done string) error {
 	path := "kv/" + owner.Duties + "/" + url.PathEscape(key)
 	v, _, err := r.call(cmd.Context(), "GET", path, nil)
 	if err != nil {
@@ -119,24 +119,24 @@
 	return nil
 }
 
-func lifeOf(e gjson.Result) (l duty.Life) {
+func lifeOf(e gjson.Result) (l duty.Incarnation) {
 	_ = json.Unmarshal([]byte(e.Get("value").String()), &l)
 	return l
 }
 
-func whose(l duty.Life) string {
-	if l.Zero() {
+func whose(l duty.Incarnation) string {
+	if l.IsZero() {
 		return "nobody"
 	}
-	return fmt.Sprintf("%s, begun %s", l.Node, time.UnixMilli(l.Born).UTC().Format(time.RFC3339))
+	return fmt.Sprintf("%s, begun %s", l.Node, time.UnixMilli(l.StartedMs).UTC().Format(time.RFC3339))
 }
 
 // living are the lives that have a lease, with where their batch fronts are.
-func (r *storeRemote) living(cmd *cobra.Command) (map[duty.Life]string, error) {
-	out := map[duty.Life]string{}
+func (r *storeRemote) living(cmd *cobra.Command) (map[duty.Incarnation]string, error) {
+	out := map[duty.Incarnation]string{}
 	return out, r.each(cmd.Context(), owner.Leases, "", false, func(e gjson.Result) {
 		v := gjson.Parse(e.Get("value").String())
-		out[duty.Life{Node: e.Get("key").String(), Born: v.Get("born").Int()}] = v.Get("addr").String()
+		out[duty.Incarnation{Node: e.Get("key").String(), StartedMs: v.Get("born").Int()}] = v.Get("addr").String()
 	})
 }
 
@@ -148,12 +148,12 @@
 	all := []standing{}
 	err = r.each(cmd.Context(), owner.Duties, "", false, func(e gjson.Result) {
 		l := lifeOf(e)
-		of, _ := duty.ParsePartition(e.Get("key").String())
+		of, _ := duty.ParsePartitionKey(e.Get("key").String())
 		addr, alive := living[l]
 		x := standing{Duty: e.Get("key").String(), Owner: l.Node, Addr: addr, Epoch: e.Get("version").Uint(), Of: of.Node,
-			Since: time.UnixMilli(of.Born).UTC(), Living: alive}
+			Since: time.UnixMilli(of.StartedMs).UTC(), Living: alive}
 		switch {
-		case l.Zero():
+		case l.IsZero():
 			x.Why = "handed over, and nobody has claimed it yet"
 		case !alive:
 			x.Why = "its owner has no lease: another is to claim it"
--- a/internal/batch/ids.go
+++ b/internal/batch/ids.go
@@ -65,7 +65,7 @@
 }
 
 // partition names the jobs of one life of one node: their keys begin with it.
-func (n name) partition() string { return duty.Life{Node: n.node, Born: n.life}.Partition() }
+func (n name) partition() string { return duty.Incarnation{Node: n.node, StartedMs: n.life}.PartitionKey() }
 
 // key is that of an id that one of this front's own.
 func key(id string) string {
--- a/internal/capacity/measure/duties.go
+++ b/internal/capacity/measure/duties.go
@@ -85,8 +85,8 @@
 func DutySteps(nodes int) (DutyCost, error) {
 	s := &fleetStore{state: kv.New(kv.Bounds{Key: 512, Value: 1 << 16, Ops: 256, Done: 8192})}
 	for i := range nodes - 1 {
-		life := duty.Life{Node: fmt.Sprintf("node-%d", i+1), Born: int64(1 + i)}
-		lease, err := json.Marshal(map[string]any{"born": life.Born, "addr": "10.0.0.1:8443"})
+		life := duty.Incarnation{Node: fmt.Sprintf("node-%d", i+1), StartedMs: int64(1 + i)}
+		lease, err := json.Marshal(map[string]any{"born": life.StartedMs, "addr": "10.0.0.1:8443"})
 		if err != nil {
 			return DutyCost{}, err
 		}
@@ -96,7 +96,7 @@
 		}
 		if _, err := s.Txn(context.Background(), &kv.Txn{Ops: []kv.Op{
 			{Verb: kv.Put, Table: owner.Leases, Key: life.Node, Value: lease, Keep: true},
-			{Verb: kv.Put, Table: owner.Duties, Key: life.Partition(), Value: held, Keep: true}}}); err != nil {
+			{Verb: kv.Put, Table: owner.Duties, Key: life.PartitionKey(), Value: held, Keep: true}}}); err != nil {
 			return DutyCost{}, err
 		}
 	}
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -30,131 +30,131 @@
 )
 
 // Life is one life of a node: a process from its start to its end. Two of one name are two.
-type Life struct {
+type Incarnation struct {
 	Node string `json:"node"`
-	Born int64  `json:"born"` // Unix ms
+	StartedMs int64  `json:"born"` // Unix ms
 }
 
 // Partition names the jobs that a life takes: their ids begin with it.
-func (l Life) Partition() string { return fmt.Sprintf("%s.%012x", l.Node, l.Born) }
+func (l Incarnation) PartitionKey() string { return fmt.Sprintf("%s.%012x", l.Node, l.StartedMs) }
 
 // Zero says that no life is meant.
-func (l Life) Zero() bool { return l.Node == "" }
+func (l Incarnation) IsZero() bool { return l.Node == "" }
 
 // ParsePartition reads what Partition gave.
-func ParsePartition(text string) (Life, bool) {
+func ParsePartitionKey(text string) (Incarnation, bool) {
 	at := strings.LastIndexByte(text, '.')
 	if at <= 0 {
-		return Life{}, false
+		return Incarnation{}, false
 	}
 	born, err := strconv.ParseInt(text[at+1:], 16, 64)
-	l := Life{text[:at], born}
-	return l, err == nil && born >= 0 && l.Partition() == text
+	l := Incarnation{text[:at], born}
+	return l, err == nil && born >= 0 && l.PartitionKey() == text
 }
 
 // Lease is a node's, as it stands in the store.
 type Lease struct {
-	Life
+	Incarnation
 	Addr    string // of its batch front
 	Version uint64
 }
 
 // Duty is a piece of work, as it stands in the store.
-type Duty struct {
+type Partition struct {
 	Key   string
-	Owner Life // zero: handed over, and nobody's yet
+	Owner Incarnation // zero: handed over, and nobody's yet
 	Epoch uint64
 }
 
 // View is what a node sees of the store: it may be old. What is decided by it is made only if it still holds.
 type View struct {
 	Leases map[string]Lease // by node
-	Duties []Duty
+	Partitions []Partition
 }
 
 // Times are those of leases and claims.
-type Times struct {
+type Timing struct {
 	TTL   time.Duration // of a lease
-	Renew time.Duration // after which it is renewed
-	Drift time.Duration // of the lease that an owner leaves unused
-	Rank  time.Duration // that a node waits for each one that is to claim before it
-	Again time.Duration // after a duty was lost, its former owner does not claim it
+	RenewInterval time.Duration // after which it is renewed
+	MaxClockDrift time.Duration // of the lease that an owner leaves unused
+	RankDelay  time.Duration // that a node waits for each one that is to claim before it
+	ReclaimDelay time.Duration // after a duty was lost, its former owner does not claim it
 }
 
 // Check says whether times can work: an owner must have stopped by when another may claim.
-func (t Times) Check() error {
-	if t.TTL <= 0 || t.Renew <= 0 || t.Renew*2 > t.TTL-t.Drift || t.Drift <= 0 || t.Rank <= 0 {
+func (t Timing) Validate() error {
+	if t.TTL <= 0 || t.RenewInterval <= 0 || t.RenewInterval*2 > t.TTL-t.MaxClockDrift || t.MaxClockDrift <= 0 || t.RankDelay <= 0 {
 		return fmt.Errorf("duty: leases of %v renewed after %v with %v unused and %v a rank: a lease must last two renewals, and "+
-			"all be over 0", t.TTL, t.Renew, t.Drift, t.Rank)
+			"all be over 0", t.TTL, t.RenewInterval, t.MaxClockDrift, t.RankDelay)
 	}
 	return nil
 }
 
 // Verb is what is to be done.
-type Verb uint8
+type ActionKind uint8
 
 // The verbs.
 const (
-	Renew Verb = iota + 1 // write the own lease, in the place of the version If
-	Claim                 // write the duty as ours, if its epoch is If, the owner's lease is as Owner says, and ours as Mine
-	Take                  // do the duty, under Epoch
-	Stop                  // it is no longer ours: let go of it
-	Leave                 // this life was replaced by another of its name: nothing of it is done any more
-	Later                 // Self is called by a later time than it was: what it takes belongs to that
+	RenewLease ActionKind = iota + 1 // write the own lease, in the place of the version If
+	ClaimPartition                 // write the duty as ours, if its epoch is If, the owner's lease is as Owner says, and ours as Mine
+	StartPartition                  // do the duty, under Epoch
+	StopPartition                  // it is no longer ours: let go of it
+	Superseded                 // this life was replaced by another of its name: nothing of it is done any more
+	AdvanceIncarnation                 // Self is called by a later time than it was: what it takes belongs to that
 )
 
 // Action is one.
 type Action struct {
-	Verb  Verb
-	Key   string
-	If    uint64 // Renew: of the lease that stands there, 0 for none; Claim: the epoch
-	Owner string // Claim: the node whose lease must have the version Lease, 0 for none; "" for no condition
-	Lease uint64
-	Mine  uint64 // Claim: the version of our lease
+	Kind  ActionKind
+	Partition   string
+	ExpectedVersion    uint64 // Renew: of the lease that stands there, 0 for none; Claim: the epoch
+	OwnerNode string // Claim: the node whose lease must have the version Lease, 0 for none; "" for no condition
+	OwnerLease uint64
+	OwnLease  uint64 // Claim: the version of our lease
 	Epoch uint64
 }
 
 // Keeper decides for one life of a node. All times are spans on one clock of the caller's that never runs backwards and
 // goes on while the machine sleeps.
-type Keeper struct {
-	self  Life
-	t     Times
-	asked time.Duration // when the lease was last asked for
-	mine  uint64        // the version of our lease, 0 for none
-	until time.Duration // our lease, by our clock
-	held  map[string]uint64
-	idle  map[string]time.Duration // since when a duty was seen without an owner
-	lost  map[string]time.Duration
-	out   map[string]bool // claims under way
-	gone  bool
-	began bool // our lease stood once
+type Manager struct {
+	self  Incarnation
+	timing     Timing
+	lastRenewal time.Duration // when the lease was last asked for
+	ownLease  uint64        // the version of our lease, 0 for none
+	expiresAt time.Duration // our lease, by our clock
+	epochs  map[string]uint64
+	unownedSince  map[string]time.Duration // since when a duty was seen without an owner
+	lostAt  map[string]time.Duration
+	claiming   map[string]bool // claims under way
+	superseded  bool
+	established bool // our lease stood once
 }
 
 // New makes a keeper.
-func New(self Life, t Times) *Keeper {
-	return &Keeper{self: self, t: t, asked: -t.TTL, held: map[string]uint64{}, idle: map[string]time.Duration{},
-		lost: map[string]time.Duration{}, out: map[string]bool{}}
+func New(self Incarnation, t Timing) *Manager {
+	return &Manager{self: self, timing: t, lastRenewal: -t.TTL, epochs: map[string]uint64{}, unownedSince: map[string]time.Duration{},
+		lostAt: map[string]time.Duration{}, claiming: map[string]bool{}}
 }
 
 // Self is the life that is kept.
-func (k *Keeper) Self() Life { return k.self }
+func (k *Manager) Incarnation() Incarnation { return k.self }
 
 // Mine is the version of our lease, 0 for none.
-func (k *Keeper) Mine() uint64 { return k.mine }
+func (k *Manager) OwnLease() uint64 { return k.ownLease }
 
 // Valid says whether our lease stands by our own clock: new effects are begun only then.
-func (k *Keeper) Valid(now time.Duration) bool { return !k.gone && k.mine != 0 && now < k.until }
+func (k *Manager) HoldsLease(now time.Duration) bool { return !k.superseded && k.ownLease != 0 && now < k.expiresAt }
 
 // Epoch is that under which a duty is held here.
-func (k *Keeper) Epoch(key string) (uint64, bool) {
-	e, ok := k.held[key]
-	return e, ok && !k.gone
+func (k *Manager) Epoch(key string) (uint64, bool) {
+	e, ok := k.epochs[key]
+	return e, ok && !k.superseded
 }
 
 // Held are the duties held here, in their order.
-func (k *Keeper) Held() []string {
+func (k *Manager) Partitions() []string {
 	var out []string
-	for key := range k.held {
+	for key := range k.epochs {
 		out = append(out, key)
 	}
 	slices.Sort(out)
@@ -162,133 +162,133 @@
 }
 
 // Renewed takes in that the lease that was asked for at a time stands, with a version.
-func (k *Keeper) Renewed(asked time.Duration, version uint64) {
-	k.mine, k.until, k.began = version, asked+k.t.TTL-k.t.Drift, true
+func (k *Manager) LeaseRenewed(asked time.Duration, version uint64) {
+	k.ownLease, k.expiresAt, k.established = version, asked+k.timing.TTL-k.timing.MaxClockDrift, true
 }
 
 // Unrenewed takes in that another version stands where ours did, 0 for none: ours has ended. It is asked for anew.
-func (k *Keeper) Unrenewed() { k.mine, k.asked = 0, -k.t.TTL }
+func (k *Manager) LeaseLost() { k.ownLease, k.lastRenewal = 0, -k.timing.TTL }
 
 // Claimed takes in what came of a claim: the epoch, or 0 for a claim that failed.
-func (k *Keeper) Claimed(key string, epoch uint64, now time.Duration) []Action {
-	delete(k.out, key)
-	delete(k.idle, key)
-	if epoch == 0 || k.gone {
+func (k *Manager) ClaimCompleted(key string, epoch uint64, now time.Duration) []Action {
+	delete(k.claiming, key)
+	delete(k.unownedSince, key)
+	if epoch == 0 || k.superseded {
 		return nil
 	}
-	k.held[key] = epoch
-	return []Action{{Verb: Take, Key: key, Epoch: epoch}}
+	k.epochs[key] = epoch
+	return []Action{{Kind: StartPartition, Partition: key, Epoch: epoch}}
 }
 
 // Fenced takes in that a write under a duty's epoch failed for the epoch: it is another's. Whoever was fenced under an epoch
 // that is not the one held now was late, and nothing follows.
-func (k *Keeper) Fenced(key string, epoch uint64, now time.Duration) []Action {
-	if k.held[key] != epoch {
+func (k *Manager) WriteFenced(key string, epoch uint64, now time.Duration) []Action {
+	if k.epochs[key] != epoch {
 		return nil
 	}
-	delete(k.held, key)
-	k.lost[key] = now
-	return []Action{{Verb: Stop, Key: key, Epoch: epoch}}
+	delete(k.epochs, key)
+	k.lostAt[key] = now
+	return []Action{{Kind: StopPartition, Partition: key, Epoch: epoch}}
 }
 
 // Release lets go of a duty of our own accord; the caller writes it as nobody's, or takes it away.
-func (k *Keeper) Release(key string) { delete(k.held, key) }
+func (k *Manager) ReleasePartition(key string) { delete(k.epochs, key) }
 
 // Step decides by a view.
-func (k *Keeper) Step(now time.Duration, v View) []Action {
-	if k.gone {
+func (k *Manager) Step(now time.Duration, v View) []Action {
+	if k.superseded {
 		return nil
 	}
 	var out []Action
 	mine, standing := v.Leases[k.self.Node]
-	if !k.began {
+	if !k.established {
 		// Lives are in the order in which they come to the store, whatever the clocks say that they began by: one that was
 		// started with its clock set back is no earlier one.
-		if born := k.latest(v); born >= k.self.Born {
-			k.self.Born = born + 1
-			out = append(out, Action{Verb: Later})
+		if born := k.latestStart(v); born >= k.self.StartedMs {
+			k.self.StartedMs = born + 1
+			out = append(out, Action{Kind: AdvanceIncarnation})
 		}
 	}
-	if standing && mine.Born > k.self.Born {
+	if standing && mine.StartedMs > k.self.StartedMs {
 		// A name that was started twice: the later life has all that is written under the name from now on.
-		k.gone = true
-		for _, key := range k.Held() {
-			out = append(out, Action{Verb: Stop, Key: key, Epoch: k.held[key]})
+		k.superseded = true
+		for _, key := range k.Partitions() {
+			out = append(out, Action{Kind: StopPartition, Partition: key, Epoch: k.epochs[key]})
 		}
-		clear(k.held)
-		return append(out, Action{Verb: Leave})
+		clear(k.epochs)
+		return append(out, Action{Kind: Superseded})
 	}
-	if now-k.asked >= k.t.Renew {
-		k.asked = now
+	if now-k.lastRenewal >= k.timing.RenewInterval {
+		k.lastRenewal = now
 		at := uint64(0)
 		if standing {
 			at = mine.Version
 		}
-		if k.Valid(now) {
-			at = max(at, k.mine) // the view may be older than what came of the last renewal
+		if k.HoldsLease(now) {
+			at = max(at, k.ownLease) // the view may be older than what came of the last renewal
 		}
-		out = append(out, Action{Verb: Renew, If: at})
+		out = append(out, Action{Kind: RenewLease, ExpectedVersion: at})
 	}
 	seen := map[string]bool{} // of those without an owner: there are few, and duties are many
-	for _, d := range v.Duties {
-		if _, ok := k.idle[d.Key]; ok {
+	for _, d := range v.Partitions {
+		if _, ok := k.unownedSince[d.Key]; ok {
 			seen[d.Key] = true
 		}
-		if epoch, ok := k.held[d.Key]; ok && d.Epoch > epoch {
-			out = append(out, k.Fenced(d.Key, epoch, now)...)
+		if epoch, ok := k.epochs[d.Key]; ok && d.Epoch > epoch {
+			out = append(out, k.WriteFenced(d.Key, epoch, now)...)
 		}
 		if a, ok := k.claim(now, v, d); ok {
-			k.out[d.Key] = true
+			k.claiming[d.Key] = true
 			out = append(out, a)
 		}
 	}
-	for key, since := range k.idle {
+	for key, since := range k.unownedSince {
 		if !seen[key] && since != now {
-			delete(k.idle, key)
+			delete(k.unownedSince, key)
 		}
 	}
 	return out
 }
 
 // latest is when the latest other life of our node began, as far as a view shows.
-func (k *Keeper) latest(v View) int64 {
-	born := v.Leases[k.self.Node].Born
-	for _, d := range v.Duties {
-		if l, ok := ParsePartition(d.Key); ok && l.Node == k.self.Node {
-			born = max(born, l.Born)
+func (k *Manager) latestStart(v View) int64 {
+	born := v.Leases[k.self.Node].StartedMs
+	for _, d := range v.Partitions {
+		if l, ok := ParsePartitionKey(d.Key); ok && l.Node == k.self.Node {
+			born = max(born, l.StartedMs)
 		}
 	}
 	return born
 }
 
 // claim decides whether to claim a duty.
-func (k *Keeper) claim(now time.Duration, v View, d Duty) (Action, bool) {
-	if _, ok := k.held[d.Key]; ok || k.out[d.Key] || !k.Valid(now) {
+func (k *Manager) claim(now time.Duration, v View, d Partition) (Action, bool) {
+	if _, ok := k.epochs[d.Key]; ok || k.claiming[d.Key] || !k.HoldsLease(now) {
 		return Action{}, false
 	}
-	if at, ok := k.lost[d.Key]; ok && now-at < k.t.Again {
+	if at, ok := k.lostAt[d.Key]; ok && now-at < k.timing.ReclaimDelay {
 		return Action{}, false
 	}
 	if d.Owner == k.self {
 		// Ours in the store and not here: the answer to a claim was lost. Claimed again it has an epoch that is known.
-		return Action{Verb: Claim, Key: d.Key, If: d.Epoch, Mine: k.mine}, true
+		return Action{Kind: ClaimPartition, Partition: d.Key, ExpectedVersion: d.Epoch, OwnLease: k.ownLease}, true
 	}
 	lease, standing := v.Leases[d.Owner.Node]
-	if standing && lease.Life == d.Owner {
-		delete(k.idle, d.Key)
+	if standing && lease.Incarnation == d.Owner {
+		delete(k.unownedSince, d.Key)
 		return Action{}, false // its owner is alive, as far as is known
 	}
-	since, known := k.idle[d.Key]
+	since, known := k.unownedSince[d.Key]
 	if !known {
 		since = now
-		k.idle[d.Key] = now
+		k.unownedSince[d.Key] = now
 	}
-	if now-since < time.Duration(k.rank(v, d))*k.t.Rank {
+	if now-since < time.Duration(k.rank(v, d))*k.timing.RankDelay {
 		return Action{}, false
 	}
-	a := Action{Verb: Claim, Key: d.Key, If: d.Epoch, Mine: k.mine}
-	if !d.Owner.Zero() && d.Owner.Node != k.self.Node {
-		a.Owner, a.Lease = d.Owner.Node, lease.Version // none, or that of a later life: the owner's has ended
+	a := Action{Kind: ClaimPartition, Partition: d.Key, ExpectedVersion: d.Epoch, OwnLease: k.ownLease}
+	if !d.Owner.IsZero() && d.Owner.Node != k.self.Node {
+		a.OwnerNode, a.OwnerLease = d.Owner.Node, lease.Version // none, or that of a later life: the owner's has ended
 	}
 	return a, true
 }
@@ -296,7 +296,7 @@
 // rank is how many living nodes are to claim a duty before us. A later life of the owner is first, for it has its disk and
 // its address; then whom rendezvous hashing names, so that a lost node's duties are spread over all, and few move when one
 // comes or goes.
-func (k *Keeper) rank(v View, d Duty) int {
+func (k *Manager) rank(v View, d Partition) int {
 	var alive []string
 	for name := range v.Leases {
 		alive = append(alive, name)
@@ -313,7 +313,7 @@
 		alive, rank = slices.Delete(alive, at, at+1), 4 // it needs its time to start
 	}
 	for len(alive) > 0 {
-		next := Place(d.Key, alive)
+		next := PreferredNode(d.Key, alive)
 		if next == k.self.Node {
 			return rank
 		}
@@ -324,7 +324,7 @@
 }
 
 // Place is the node that a key belongs to, of some: the same for all that ask, whatever their order.
-func Place(key string, nodes []string) string {
+func PreferredNode(key string, nodes []string) string {
 	sorted := slices.Sorted(slices.Values(nodes))
 	return rendezvous.New(sorted, xxhash.Sum64String).Lookup(key)
 }
--- a/internal/owner/claims.go
+++ b/internal/owner/claims.go
@@ -18,24 +18,24 @@
 	do := o.spawn
 	o.mu.Unlock()
 	for _, a := range acts {
-		switch a.Verb {
-		case duty.Renew:
+		switch a.Kind {
+		case duty.RenewLease:
 			asked := o.clock()
-			do(func() { o.renew(ctx, asked, a.If) })
-		case duty.Claim:
+			do(func() { o.renew(ctx, asked, a.ExpectedVersion) })
+		case duty.ClaimPartition:
 			do(func() { o.claim(ctx, a, "its owner has no lease") })
-		case duty.Take:
+		case duty.StartPartition:
 			do(func() { o.adopt(ctx, a) })
-		case duty.Stop:
+		case duty.StopPartition:
 			o.release(a)
-		case duty.Later:
+		case duty.AdvanceIncarnation:
 			o.mu.Lock()
-			o.own = o.keeper.Self()
-			born := o.own.Born
+			o.own = o.keeper.Incarnation()
+			born := o.own.StartedMs
 			o.mu.Unlock()
 			o.front.Reborn(born)
 			o.log.Warn("an earlier life of this node began later by its clock: this one is called by a later time", "node", o.name, "born", born)
-		case duty.Leave:
+		case duty.Superseded:
 			o.mu.Lock()
 			o.gone = true
 			o.mu.Unlock()
@@ -48,7 +48,7 @@
 func (o *Owner) renew(ctx context.Context, asked time.Duration, at uint64) {
 	o.mu.Lock()
 	l := lease{Addr: o.addr}
-	l.Born = o.keeper.Self().Born
+	l.Born = o.keeper.Incarnation().StartedMs
 	o.mu.Unlock()
 	value, _ := json.Marshal(l)
 	r, err := o.store.Txn(ctx, &kv.Txn{Ops: []kv.Op{{Verb: kv.Put, Table: Leases, Key: o.name, Value: value, Keep: true,
@@ -58,9 +58,9 @@
 	switch {
 	case err != nil: // not known: it stands until it ends, and is asked for again
 	case r.OK():
-		o.keeper.Renewed(asked, r.Version)
+		o.keeper.LeaseRenewed(asked, r.Version)
 	default:
-		o.keeper.Unrenewed()
+		o.keeper.LeaseLost()
 	}
 }
 
@@ -68,23 +68,23 @@
 // be taken for what an earlier life left.
 func (o *Owner) claim(ctx context.Context, a duty.Action, why string) {
 	o.mu.Lock()
-	self := o.keeper.Self()
+	self := o.keeper.Incarnation()
 	o.mu.Unlock()
 	value, _ := json.Marshal(self)
-	t := &kv.Txn{Ops: []kv.Op{{Verb: kv.Check, Table: Leases, Key: o.name, Cond: true, If: a.Mine}}}
-	if a.Owner != "" {
-		t.Ops = append(t.Ops, kv.Op{Verb: kv.Check, Table: Leases, Key: a.Owner, Cond: true, If: a.Lease})
+	t := &kv.Txn{Ops: []kv.Op{{Verb: kv.Check, Table: Leases, Key: o.name, Cond: true, If: a.OwnLease}}}
+	if a.OwnerNode != "" {
+		t.Ops = append(t.Ops, kv.Op{Verb: kv.Check, Table: Leases, Key: a.OwnerNode, Cond: true, If: a.OwnerLease})
 	}
-	t.Ops = append(t.Ops, kv.Op{Verb: kv.Put, Table: Duties, Key: a.Key, Value: value, Keep: true, Cond: true, If: a.If})
+	t.Ops = append(t.Ops, kv.Op{Verb: kv.Put, Table: Duties, Key: a.Partition, Value: value, Keep: true, Cond: true, If: a.ExpectedVersion})
 	r, err := o.store.Txn(ctx, t)
 	epoch := uint64(0)
 	if err == nil && r.OK() {
 		epoch = r.Version
-		o.log.Info("duty taken", "duty", a.Key, "epoch", epoch, "was", a.If, "why", why)
+		o.log.Info("duty taken", "duty", a.Partition, "epoch", epoch, "was", a.ExpectedVersion, "why", why)
 	}
 	o.mu.Lock()
-	acts := o.keeper.Claimed(a.Key, epoch, o.clock())
-	if a.Key == o.own.Partition() {
+	acts := o.keeper.ClaimCompleted(a.Partition, epoch, o.clock())
+	if a.Partition == o.own.PartitionKey() {
 		o.born, acts = o.born || len(acts) > 0, nil
 	}
 	o.mu.Unlock()
@@ -104,18 +104,18 @@
 		return
 	}
 	for {
-		open, err := o.front.Adopt(ctx, a.Key)
+		open, err := o.front.Adopt(ctx, a.Partition)
 		if err == nil {
-			o.log.Info("duty taken up", "duty", a.Key, "epoch", a.Epoch, "open", open)
+			o.log.Info("duty taken up", "duty", a.Partition, "epoch", a.Epoch, "open", open)
 			break
 		}
 		o.mu.Lock()
-		epoch, ours := o.keeper.Epoch(a.Key)
+		epoch, ours := o.keeper.Epoch(a.Partition)
 		o.mu.Unlock()
 		if !ours || epoch != a.Epoch || ctx.Err() != nil {
 			return
 		}
-		o.log.Warn("a duty can not be taken up yet", "duty", a.Key, "err", err)
+		o.log.Warn("a duty can not be taken up yet", "duty", a.Partition, "err", err)
 		select {
 		case <-time.After(o.lim.StoreBeat):
 		case <-ctx.Done():
@@ -124,30 +124,30 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.old = slices.DeleteFunc(o.old, func(key string) bool { return key == a.Key })
+	o.old = slices.DeleteFunc(o.old, func(key string) bool { return key == a.Partition })
 }
 
 // release gives up a duty that was lost. If it was that of this life's own jobs, jobs taken from now on belong to another life.
 func (o *Owner) release(a duty.Action) {
-	o.log.Warn("duty lost", "duty", a.Key, "epoch", a.Epoch)
+	o.log.Warn("duty lost", "duty", a.Partition, "epoch", a.Epoch)
 	if failpoint.Without == failpoint.Fence {
 		return
 	}
-	o.front.Drop(a.Key)
+	o.front.Drop(a.Partition)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if a.Key != o.own.Partition() {
+	if a.Partition != o.own.PartitionKey() {
 		return
 	}
-	o.own.Born, o.born = max(o.own.Born+1, time.Now().UnixMilli()), false
-	o.front.Reborn(o.own.Born)
+	o.own.StartedMs, o.born = max(o.own.StartedMs+1, time.Now().UnixMilli()), false
+	o.front.Reborn(o.own.StartedMs)
 }
 
 // retire deletes duties held here of ended lives that have nothing on record any more: a fleet that is restarted every day would
 // collect them for good.
 func (o *Owner) retire(ctx context.Context) {
 	o.mu.Lock()
-	held, own := o.keeper.Held(), o.own.Partition()
+	held, own := o.keeper.Partitions(), o.own.PartitionKey()
 	o.mu.Unlock()
 	for _, key := range held {
 		if key == own {
@@ -165,7 +165,7 @@
 		r, err := o.store.Txn(ctx, &kv.Txn{Ops: []kv.Op{{Verb: kv.Delete, Table: Duties, Key: key, Cond: true, If: epoch}}})
 		if err == nil && r.OK() {
 			o.mu.Lock()
-			o.keeper.Release(key)
+			o.keeper.ReleasePartition(key)
 			o.mu.Unlock()
 			o.log.Info("duty retired: nothing of it is on record", "duty", key, "epoch", epoch)
 		}
@@ -178,13 +178,13 @@
 	o.mu.Lock()
 	o.leaving = true
 	t := &kv.Txn{}
-	none, _ := json.Marshal(duty.Life{})
-	for _, key := range o.keeper.Held() {
+	none, _ := json.Marshal(duty.Incarnation{})
+	for _, key := range o.keeper.Partitions() {
 		epoch, _ := o.keeper.Epoch(key)
 		t.Ops = append(t.Ops, kv.Op{Verb: kv.Put, Table: Duties, Key: key, Value: none, Keep: true, Cond: true, If: epoch})
-		o.keeper.Release(key)
+		o.keeper.ReleasePartition(key)
 	}
-	if mine := o.keeper.Mine(); mine != 0 {
+	if mine := o.keeper.OwnLease(); mine != 0 {
 		t.Ops = append(t.Ops, kv.Op{Verb: kv.Delete, Table: Leases, Key: o.name, Cond: true, If: mine})
 	}
 	o.mu.Unlock()
--- a/internal/owner/fence.go
+++ b/internal/owner/fence.go
@@ -26,7 +26,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.own.Partition()
+	return o.own.PartitionKey()
 }
 
 // Write commits all changes or none, under the epoch of the duty that they belong to.
@@ -37,7 +37,7 @@
 	key := o.partition(changes)
 	o.mu.Lock()
 	epoch, ok := o.keeper.Epoch(key)
-	ok = ok && o.keeper.Valid(o.clock())
+	ok = ok && o.keeper.HoldsLease(o.clock())
 	o.mu.Unlock()
 	if !ok {
 		return fmt.Errorf("%w: %s", ErrLost, key)
@@ -51,7 +51,7 @@
 	case r.Failed == 0:
 		o.refused.Add(1)
 		o.mu.Lock()
-		acts, do := o.keeper.Fenced(key, epoch, o.clock()), o.spawn
+		acts, do := o.keeper.WriteFenced(key, epoch, o.clock()), o.spawn
 		o.mu.Unlock()
 		o.log.Warn("a write was refused by its epoch", "duty", key, "epoch", epoch, "now", r.Current)
 		do(func() { o.execute(context.WithoutCancel(ctx), acts) }) // not in this goroutine: the caller may hold a job's lock
--- a/internal/owner/fence_test.go
+++ b/internal/owner/fence_test.go
@@ -45,7 +45,7 @@
 	o.Connect(&work{adopted: map[string]bool{}}, nil)
 	g.Go(func() { _ = o.Run(ctx) })
 	standin.Until(b, "the duty is held", o.Ready)
-	own := duty.Life{Node: "n0", Born: 1}.Partition()
+	own := duty.Incarnation{Node: "n0", StartedMs: 1}.PartitionKey()
 	var n int
 	for _, x := range []struct {
 		name string
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -65,8 +65,8 @@
 	taking  chan struct{} // a semaphore for adopting duties: their records are read at the leader
 
 	mu     sync.Mutex
-	keeper *duty.Keeper
-	own    duty.Life // under which new jobs are taken
+	keeper *duty.Manager
+	own    duty.Incarnation // under which new jobs are taken
 	born   bool      // its duty is held by this node
 	asked  bool      // which partitions this node's earlier lives left was found out,
 	old    []string  // and these are still to be taken up
@@ -75,16 +75,16 @@
 	leaving bool
 
 	stamp  any         // of the table of duties, and
-	duties []duty.Duty // what was read of it: leases change all the time, and duties seldom
+	duties []duty.Partition // what was read of it: leases change all the time, and duties seldom
 }
 
 // New returns an Owner for one life of a node.
 func New(s Store, name string, born int64, addr string, lim limits.Limits, log *slog.Logger) (*Owner, error) {
-	t := duty.Times{TTL: lim.LeaseTTL, Renew: lim.LeaseTTL / 3, Drift: lim.LeaseTTL / 6, Rank: lim.LeaseTTL / 6, Again: 2 * lim.LeaseTTL}
-	if err := t.Check(); err != nil {
+	t := duty.Timing{TTL: lim.LeaseTTL, RenewInterval: lim.LeaseTTL / 3, MaxClockDrift: lim.LeaseTTL / 6, RankDelay: lim.LeaseTTL / 6, ReclaimDelay: 2 * lim.LeaseTTL}
+	if err := t.Validate(); err != nil {
 		return nil, err
 	}
-	self := duty.Life{Node: name, Born: born}
+	self := duty.Incarnation{Node: name, StartedMs: born}
 	return &Owner{store: s, addr: addr, name: name, lim: lim, log: log, clock: store.BootTime, spawn: func(f func()) { go f() }, taking: make(chan struct{}, maxAdoptions), keeper: duty.New(self, t), own: self}, nil
 }
 
@@ -133,29 +133,29 @@
 	o.begin(ctx, v)
 	o.mu.Lock()
 	if len(o.old) > 0 {
-		for _, d := range v.Duties {
+		for _, d := range v.Partitions {
 			// What an earlier life left and another node has or was quicker to claim is that one's to take up: waited for
 			// here, this life would take no job ever. An earlier life of our own, whose lease may still stand, is not another.
-			if l, ok := v.Leases[d.Owner.Node]; ok && l.Life == d.Owner && d.Owner.Node != o.name {
+			if l, ok := v.Leases[d.Owner.Node]; ok && l.Incarnation == d.Owner && d.Owner.Node != o.name {
 				o.old = slices.DeleteFunc(o.old, func(key string) bool { return key == d.Key })
 			}
 		}
 	}
-	v.Duties = append(v.Duties, o.unborn(v)...)
+	v.Partitions = append(v.Partitions, o.unborn(v)...)
 	acts := o.keeper.Step(o.clock(), v)
 	o.mu.Unlock()
 	o.execute(ctx, acts)
 }
 
 // unborn are partitions of earlier lives that are on record and have no duty yet: a version that had none left them.
-func (o *Owner) unborn(v duty.View) (out []duty.Duty) {
+func (o *Owner) unborn(v duty.View) (out []duty.Partition) {
 	for _, key := range o.old {
 		known := false
-		for _, d := range v.Duties {
+		for _, d := range v.Partitions {
 			known = known || d.Key == key
 		}
 		if _, held := o.keeper.Epoch(key); !known && !held {
-			out = append(out, duty.Duty{Key: key})
+			out = append(out, duty.Partition{Key: key})
 		}
 	}
 	return out
@@ -166,25 +166,25 @@
 	o.mu.Lock()
 	now, own, asked := o.clock(), o.own, o.asked
 	mine, standing := v.Leases[o.name]
-	wants := !o.born && !o.gone && o.keeper.Valid(now) && standing
+	wants := !o.born && !o.gone && o.keeper.HoldsLease(now) && standing
 	o.mu.Unlock()
 	if !asked {
 		parts, err := o.front.Open(ctx, o.name)
 		if err != nil {
 			return
 		}
-		for _, d := range v.Duties {
+		for _, d := range v.Partitions {
 			if d.Owner.Node == o.name && !slices.Contains(parts, d.Key) {
 				parts = append(parts, d.Key)
 			}
 		}
 		o.mu.Lock()
-		o.old = slices.DeleteFunc(parts, func(p string) bool { return p == own.Partition() })
+		o.old = slices.DeleteFunc(parts, func(p string) bool { return p == own.PartitionKey() })
 		o.asked = true
 		o.mu.Unlock()
 	}
 	if !wants {
 		return
 	}
-	o.claim(ctx, duty.Action{Key: own.Partition(), Mine: mine.Version}, "this life's own")
+	o.claim(ctx, duty.Action{Partition: own.PartitionKey(), OwnLease: mine.Version}, "this life's own")
 }
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -186,14 +186,14 @@
 
 // check looks at the store's log of effects, which stand under key "PARTITION.x" with who wrote them under which epoch.
 func (f *fleet) write(x *one, last map[string]uint64, by map[string]string) {
-	for _, p := range x.keeper.Held() {
+	for _, p := range x.keeper.Partitions() {
 		epoch, _ := x.keeper.Epoch(p)
 		err := x.Write(context.Background(), records.Change{Kind: "job", Key: p + ".x", Value: []byte(x.name)})
 		if err != nil {
 			continue
 		}
 		id := fmt.Sprintf("%s %d", p, epoch)
-		who := fmt.Sprintf("%s %d", x.name, x.keeper.Self().Born)
+		who := fmt.Sprintf("%s %d", x.name, x.keeper.Incarnation().StartedMs)
 		if epoch < last[p] {
 			f.t.Fatalf("%s wrote for %s under epoch %d after %d\n%v", x.name, p, epoch, last[p], f.trace)
 		}
@@ -231,22 +231,22 @@
 		}
 		held := map[string]string{}
 		for _, x := range f.nodes {
-			for _, p := range x.keeper.Held() {
+			for _, p := range x.keeper.Partitions() {
 				if was, ok := held[p]; ok {
 					t.Errorf("seed %d: %s and %s both hold %s\n%v", seed, was, x.name, p, f.trace)
 				}
 				held[p] = x.name
-				if !x.w.adopted[p] && p != x.own.Partition() {
+				if !x.w.adopted[p] && p != x.own.PartitionKey() {
 					t.Errorf("seed %d: %s holds %s and does not do it", seed, x.name, p)
 				}
 			}
 		}
 		all := f.nodes[0].view()
-		for _, d := range all.Duties {
+		for _, d := range all.Partitions {
 			if held[d.Key] == "" {
 				t.Errorf("seed %d: nobody has %s\n%v", seed, d.Key, f.trace)
 			}
-			if l, ok := duty.ParsePartition(d.Key); ok && l.Node != held[d.Key] {
+			if l, ok := duty.ParsePartitionKey(d.Key); ok && l.Node != held[d.Key] {
 				takeovers++
 			}
 		}
@@ -269,7 +269,7 @@
 	}
 	settle()
 	a, b := f.nodes[0], f.nodes[1]
-	p := a.own.Partition()
+	p := a.own.PartitionKey()
 	epoch, ok := a.keeper.Epoch(p)
 	if !ok {
 		t.Fatal("a node without its own duty")
@@ -281,7 +281,7 @@
 	}
 	// Woken late, it believes in its lease (its clock stood still) and writes.
 	a.clock = func() time.Duration { return 0 }
-	a.keeper.Renewed(0, 1)
+	a.keeper.LeaseRenewed(0, 1)
 	change := records.Change{Kind: "job", Key: p + ".x", Value: []byte("late")}
 	if err := a.Write(context.Background(), change); !errors.Is(err, ErrLost) {
 		t.Fatalf("a late owner's write: %v", err)
@@ -306,7 +306,7 @@
 		f.step(false)
 	}
 	a := f.nodes[0]
-	p := a.own.Partition()
+	p := a.own.PartitionKey()
 	a.Release(context.Background())
 	from := f.at
 	taken := func() bool {
@@ -331,7 +331,7 @@
 	f, x, left := restarted(t, 2)
 	x.old, x.asked = []string{left}, true
 	other := f.nodes[1]
-	other.claim(t.Context(), duty.Action{Key: left, Mine: other.keeper.Mine(), If: f.epoch(left)}, "quicker")
+	other.claim(t.Context(), duty.Action{Partition: left, OwnLease: other.keeper.OwnLease(), ExpectedVersion: f.epoch(left)}, "quicker")
 	for range 60 {
 		f.step(false)
 	}
@@ -362,7 +362,7 @@
 		f.step(false)
 	}
 	x = f.nodes[0]
-	left = x.own.Partition()
+	left = x.own.PartitionKey()
 	f.boot(x)
 	return f, x, left
 }
@@ -380,7 +380,7 @@
 	for range 80 {
 		f.step(false)
 	}
-	own := x.own.Partition()
+	own := x.own.PartitionKey()
 	x.w.left = map[string]bool{was: true}
 	x.retire(t.Context())
 	if f.epoch(was) == 0 || f.epoch(own) == 0 {
--- a/internal/owner/routing.go
+++ b/internal/owner/routing.go
@@ -20,7 +20,7 @@
 	now := o.store.View()
 	d, known := dutyOf(now.Get(Duties, partition))
 	if known {
-		if l, ok := leaseOf(now.Get(Leases, d.Owner.Node)); ok && l.Life == d.Owner {
+		if l, ok := leaseOf(now.Get(Leases, d.Owner.Node)); ok && l.Incarnation == d.Owner {
 			return l.Addr, false, true
 		}
 	}
--- a/internal/owner/scale_test.go
+++ b/internal/owner/scale_test.go
@@ -42,10 +42,10 @@
 	for i, x := range f.nodes { // what a hundred earlier lives of each left, held by it
 		value, _ := json.Marshal(x.own)
 		for k := range 100 {
-			key := duty.Life{Node: fmt.Sprintf("n%d", i), Born: int64(1000 + k)}.Partition()
+			key := duty.Incarnation{Node: fmt.Sprintf("n%d", i), StartedMs: int64(1000 + k)}.PartitionKey()
 			f.s.index++
 			f.s.state.Apply(f.s.index, &kv.Txn{At: f.s.now, Ops: []kv.Op{{Verb: kv.Put, Table: Duties, Key: key, Value: value}}})
-			x.keeper.Claimed(key, f.s.index, f.at)
+			x.keeper.ClaimCompleted(key, f.s.index, f.at)
 			holds[key] = x.name
 		}
 	}
--- a/internal/owner/view.go
+++ b/internal/owner/view.go
@@ -31,7 +31,7 @@
 			}
 		}
 	}
-	v.Duties = slices.Clip(o.duties) // what is added to it is a copy's
+	v.Partitions = slices.Clip(o.duties) // what is added to it is a copy's
 	return v
 }
 
@@ -41,14 +41,14 @@
 	if !found || json.Unmarshal(e.Value, &l) != nil {
 		return duty.Lease{}, false
 	}
-	return duty.Lease{Life: duty.Life{Node: e.Key, Born: l.Born}, Addr: l.Addr, Version: e.Version}, true
+	return duty.Lease{Incarnation: duty.Incarnation{Node: e.Key, StartedMs: l.Born}, Addr: l.Addr, Version: e.Version}, true
 }
 
 // dutyOf decodes the entry of a duty, if there is one and it is valid.
-func dutyOf(e *kv.Entry, found bool) (duty.Duty, bool) {
-	var owner duty.Life
+func dutyOf(e *kv.Entry, found bool) (duty.Partition, bool) {
+	var owner duty.Incarnation
 	if !found || json.Unmarshal(e.Value, &owner) != nil {
-		return duty.Duty{}, false
+		return duty.Partition{}, false
 	}
-	return duty.Duty{Key: e.Key, Owner: owner, Epoch: e.Version}, true
+	return duty.Partition{Key: e.Key, Owner: owner, Epoch: e.Version}, true
 }
