--- a/internal/clockcheck/allowed_test.go
+++ b/internal/clockcheck/allowed_test.go
@@ -31,7 +31,8 @@
 	"inventory.Source.share":  "times of files, compared with one another",
 	"inventory.Source.shared": "times of files, compared with one another",
 	"batch.predecessor":       "incarnations of a node in a cursor, told apart and ordered",
-	"duty.Keeper.Step":        "incarnations of a node, ordered; one whose clock was set back is moved on",
+	"duty.Manager.Step":       "incarnations of a node, ordered; one whose clock was set back is moved on",
+	"duty.Manager.advance":    "incarnations of a node, ordered; one whose clock was set back is moved on",
 	"settings.Report.after":   "incarnations of a process, ordered",
 	"store.logTime.read":      "the log's time against that of this member's replica",
 
--- /dev/null
+++ b/internal/duty/placement_test.go
@@ -0,0 +1,33 @@
+package duty
+
+import (
+	"fmt"
+	"testing"
+)
+
+// Ten thousand partitions are spread evenly over a hundred nodes, and when a node goes only its own move.
+func TestPlacementIsEvenAndMovesOnlyPartitionsOfALostNode(t *testing.T) {
+	var nodes []string
+	for i := range 100 {
+		nodes = append(nodes, fmt.Sprintf("n%d", i))
+	}
+	count, moved, lost := map[string]int{}, 0, 0
+	for i := range 10000 {
+		key := fmt.Sprintf("n%d.%012x", i, i)
+		before, after := PreferredNode(key, nodes), PreferredNode(key, nodes[1:])
+		count[before]++
+		if before == nodes[0] {
+			lost++
+		} else if after != before {
+			moved++
+		}
+	}
+	for node, n := range count {
+		if n < 60 || n > 145 {
+			t.Errorf("%s has %d of 10,000 partitions of a hundred nodes", node, n)
+		}
+	}
+	if moved > 0 || lost == 0 {
+		t.Errorf("%d partitions of others moved when one node went, which had %d", moved, lost)
+	}
+}
--- /dev/null
+++ b/internal/duty/timing_test.go
@@ -0,0 +1,18 @@
+package duty
+
+import (
+	"errors"
+	"testing"
+	"time"
+)
+
+func TestTimingWithoutRoomForTwoRenewalsIsRejected(t *testing.T) {
+	if err := timing.Validate(); err != nil {
+		t.Error(err)
+	}
+	bad := Timing{TTL: time.Second, RenewInterval: time.Second, MaxClockDrift: 1, RankDelay: 1}
+	var rejected *TimingError
+	if err := bad.Validate(); !errors.As(err, &rejected) || rejected.Timing != bad {
+		t.Errorf("a lease that is renewed when it ends: %v", err)
+	}
+}
--- a/internal/owner/claims.go
+++ b/internal/owner/claims.go
@@ -83,7 +83,7 @@
 		o.log.Info("duty taken", "duty", a.Partition, "epoch", epoch, "was", a.ExpectedVersion, "why", why)
 	}
 	o.mu.Lock()
-	acts := o.keeper.ClaimCompleted(a.Partition, epoch, o.clock())
+	acts := o.keeper.ClaimCompleted(a.Partition, epoch)
 	if a.Partition == o.own.PartitionKey() {
 		o.born, acts = o.born || len(acts) > 0, nil
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -67,14 +67,14 @@
 	mu     sync.Mutex
 	keeper *duty.Manager
 	own    duty.Incarnation // under which new jobs are taken
-	born   bool      // its duty is held by this node
-	asked  bool      // which partitions this node's earlier lives left was found out,
-	old    []string  // and these are still to be taken up
+	born   bool             // its duty is held by this node
+	asked  bool             // which partitions this node's earlier lives left was found out,
+	old    []string         // and these are still to be taken up
 	gone   bool
 
 	leaving bool
 
-	stamp  any         // of the table of duties, and
+	stamp  any              // of the table of duties, and
 	duties []duty.Partition // what was read of it: leases change all the time, and duties seldom
 }
 
--- a/internal/owner/scale_test.go
+++ b/internal/owner/scale_test.go
@@ -45,7 +45,7 @@
 			key := duty.Incarnation{Node: fmt.Sprintf("n%d", i), StartedMs: int64(1000 + k)}.PartitionKey()
 			f.s.index++
 			f.s.state.Apply(f.s.index, &kv.Txn{At: f.s.now, Ops: []kv.Op{{Verb: kv.Put, Table: Duties, Key: key, Value: value}}})
-			x.keeper.ClaimCompleted(key, f.s.index, f.at)
+			x.keeper.ClaimCompleted(key, f.s.index)
 			holds[key] = x.name
 		}
 	}
