--- a/brain/list.go
+++ b/brain/list.go
@@ -13,206 +13,218 @@
 
 // listed is what the list told of a worker, and what homes of keys are drawn by, kept apart from all else: lists
 // with live weights come often, and to touch each worker for each costs more CPU than all jobs do.
-type listed struct {
-	row  Row
-	load float64 // requests held per core, as the live weight told
+type endpointRow struct {
+	row      Row
+	liveLoad float64 // requests held per core, as the live weight told
 }
 
 // homeHash is what the homes of keys are drawn by.
-type homeHash struct {
+type affinityHash struct {
 	hash  uint64
 	tag   uint16
 	kind  uint8
 	ready bool
 }
 
-func (d *Dispatcher) groupOf(kind, zone uint8) *group {
-	for _, g := range d.groups {
-		if g.kind == int(kind) && g.zone == int(zone) {
-			return g
+func (d *Dispatcher) groupOf(kind, zone uint8) *executorGroup {
+	for _, group := range d.groups {
+		if group.kind == int(kind) && group.zone == int(zone) {
+			return group
 		}
 	}
-	d.groups = append(d.groups, &group{kind: int(kind), zone: int(zone)})
+	d.groups = append(d.groups, &executorGroup{kind: int(kind), zone: int(zone)})
 	return d.groups[len(d.groups)-1]
 }
 
 // weigh takes in a weight of the list.
-func (d *Dispatcher) weigh(x *listed, scale float64) {
+func (d *Dispatcher) applyWeight(x *endpointRow, scale float64) {
 	x.row.Scale = scale
-	k := &d.kinds[x.row.Kind]
-	k.scale = max(k.scale, scale, 1e-6)
-	if d.s.LiveWeights && scale > 0 {
-		x.load = k.scale/scale - 1
-		d.load += (x.load - d.load) / float64(len(d.rows)+1)
+	kind := &d.kinds[x.row.Kind]
+	kind.scale = max(kind.scale, scale, 1e-6)
+	if d.settings.LiveWeights && scale > 0 {
+		x.liveLoad = kind.scale/scale - 1
+		d.meanLiveLoad += (x.liveLoad - d.meanLiveLoad) / float64(len(d.endpointRows)+1)
 	}
 }
 
 // applyRows brings the workers up to date with a list.
-func (d *Dispatcher) applyRows(e *Event) {
-	if e.Form != ListDelta {
-		for _, w := range d.workers {
-			w.cond = Gone
+func (d *Dispatcher) applyRows(event *Event) {
+	if event.Form != ListDelta {
+		for _, executor := range d.executors {
+			executor.condition = Gone
 		}
 	}
-	changed := d.changed[:0]
-	if d.confirmedAt == 0 {
-		d.newestStart = newestStart(e.Rows)
+	changed := d.changedScratch[:0]
+	if d.listConfirmedAt == 0 {
+		d.newestListedStart = newestStart(event.Rows)
 	}
 	at := 0
-	for i := range e.Rows {
-		r := &e.Rows[i]
-		if at >= len(d.rows) || d.rows[at].row.Worker != r.Worker {
-			at = d.placeOf(r.Worker)
+	for i := range event.Rows {
+		r := &event.Rows[i]
+		if at >= len(d.endpointRows) || d.endpointRows[at].row.Worker != r.Worker {
+			at = d.positionOf(r.Worker)
 		}
-		if at < len(d.rows) && d.rows[at].row.Worker == r.Worker {
-			x := &d.rows[at]
+		if at < len(d.endpointRows) && d.endpointRows[at].row.Worker == r.Worker {
+			x := &d.endpointRows[at]
 			at++
 			same := *r
 			same.Scale = x.row.Scale
-			if same == x.row && e.Form == ListDelta {
-				d.weigh(x, r.Scale)
+			if same == x.row && event.Form == ListDelta {
+				d.applyWeight(x, r.Scale)
 				continue
 			}
 			x.row.Scale = r.Scale
 		}
 		changed = append(changed, d.applyRow(r))
 	}
-	d.changed = changed
+	d.changedScratch = changed
 	switch {
-	case e.Form != ListDelta, len(changed) >= rebuildFrom, len(changed) > 0 && d.s.LiveWeights:
-		d.rebuild()
+	case event.Form != ListDelta, len(changed) >= rebuildFrom, len(changed) > 0 && d.settings.LiveWeights:
+		d.rebuildList()
 	case len(changed) > 0:
-		for _, w := range changed {
-			d.enlist(w)
+		for _, executor := range changed {
+			d.updateListed(executor)
 		}
-		d.forgetLeft()
+		d.forgetRemoved()
 	default:
 		return // weights alone are told often
 	}
-	d.listSerial++
-	if d.peersFresh > 0 {
-		d.sumPeers()
+	d.listRevision++
+	if d.freshPeers > 0 {
+		d.sumPeerLoads()
 	}
 }
 
 // placeOf is where a worker stands in the list, or would.
-func (d *Dispatcher) placeOf(id uint32) int {
-	return sort.Search(len(d.rows), func(k int) bool { return d.rows[k].row.Worker >= id })
+func (d *Dispatcher) positionOf(id uint32) int {
+	return sort.Search(len(d.endpointRows), func(k int) bool { return d.endpointRows[k].row.Worker >= id })
+}
+
+func (d *Dispatcher) newExecutor(id uint32) *executor {
+	added := &executor{id: id, softLimit: softStart, lastHeard: d.now, classes: make([]classFailures, len(d.classes))}
+	d.executorsByID[id] = added
+	d.recallStart(added)
+	return added
+}
+
+// forgetProcess drops what was learned of the former process of an executor that has started anew.
+func (d *Dispatcher) forgetProcess(executor *executor) {
+	executor.freeSlots, executor.reportedAt, executor.softLimit = 0, 0, softStart
+	executor.errorAverage, executor.ejections, executor.ejectedUntil = 0, 0, 0
+	executor.dialFailures, executor.dialBackoffUntil = 0, 0
+	executor.ackOverdueAt, executor.ackOverdueUntil, executor.hiddenSlots = 0, 0, 0
+	clear(executor.classes)
+	executor.errors = errorTally{}
+	for kind := uint16(firstMark); kind <= noConns; kind++ {
+		delete(d.aggregator.marks, executor.tag|kind)
+	}
+	executor.onProbation, executor.unresponsive = false, false
+	executor.idleSince, executor.affinityKeys, executor.lastHeard = executor.idleSince[:0], [12]uint64{}, d.now
 }
 
 // applyRow brings a worker up to date with its row, and makes it if it is new.
-func (d *Dispatcher) applyRow(r *Row) *worker {
-	w := d.byID[r.Worker]
-	if w == nil {
-		w = &worker{id: r.Worker, soft: softStart, heard: d.now, fails: make([]failing, len(d.classes))}
-		d.byID[r.Worker] = w
-		d.recallStart(w)
-	} else if r.Born != w.born { // also to an earlier one: the clock that told them may have been stepped back
-		// A new process: what was known of the old one no longer holds.
-		w.free, w.reported, w.soft, w.errs, w.strikes, w.badUntil = 0, 0, softStart, 0, 0, 0
-		w.linkFails, w.linkUntil, w.lateAt, w.lateUntil, w.hidden = 0, 0, 0, 0, 0
-		clear(w.fails)
-		w.all = tally{}
-		for kind := uint16(firstMark); kind <= noConns; kind++ {
-			delete(d.hub.marks, w.tag|kind)
-		}
-		w.trial, w.silent, w.idle, w.keys, w.heard = false, false, w.idle[:0], [12]uint64{}, d.now
+func (d *Dispatcher) applyRow(r *Row) *executor {
+	executor := d.executorsByID[r.Worker]
+	if executor == nil {
+		executor = d.newExecutor(r.Worker)
+	} else if r.Born != executor.listedStart { // also to an earlier one: the clock that told them may have been stepped back
+		d.forgetProcess(executor)
 	}
-	w.zone, w.kind, w.cell = int(r.Zone), int(r.Kind), r.Cell
-	w.group = d.groupOf(r.Kind, r.Zone)
-	d.noteStart(w, r.Born)
-	w.cond, w.row = r.Condition, *r
-	d.coldOpen(w, 0) // from now on, not from our next job
-	return w
+	executor.zone, executor.kind, executor.cell = int(r.Zone), int(r.Kind), r.Cell
+	executor.group = d.groupOf(r.Kind, r.Zone)
+	d.noteStart(executor, r.Born)
+	executor.condition, executor.row = r.Condition, *r
+	d.slowStartAllows(executor, 0) // from now on, not from our next job
+	return executor
 }
 
 // rebuild puts all listed workers in order anew.
-func (d *Dispatcher) rebuild() {
-	clear(d.byTag)
-	d.workers, d.left = d.workers[:0], d.left[:0]
-	for id, w := range d.byID {
+func (d *Dispatcher) rebuildList() {
+	clear(d.executorsByTag)
+	d.executors, d.removedExecutors = d.executors[:0], d.removedExecutors[:0]
+	for id, executor := range d.executorsByID {
 		switch {
-		case w.cond != Gone:
-			d.workers = append(d.workers, w)
-			w.tag = d.tagOf(w.id)
-		case len(w.outs) == 0:
-			d.rememberStart(w)
-			delete(d.byID, id)
+		case executor.condition != Gone:
+			d.executors = append(d.executors, executor)
+			executor.tag = d.tagOf(executor.id)
+		case len(executor.inFlight) == 0:
+			d.rememberStart(executor)
+			delete(d.executorsByID, id)
 		default:
-			d.left = append(d.left, w)
+			d.removedExecutors = append(d.removedExecutors, executor)
 		}
 	}
-	slices.SortFunc(d.workers, func(a, b *worker) int { return cmp.Compare(a.id, b.id) })
-	for i := range d.rows {
-		if w := d.byID[d.rows[i].row.Worker]; w != nil {
-			w.row.Scale = d.rows[i].row.Scale // as last told
+	slices.SortFunc(d.executors, func(a, b *executor) int { return cmp.Compare(a.id, b.id) })
+	for i := range d.endpointRows {
+		if executor := d.executorsByID[d.endpointRows[i].row.Worker]; executor != nil {
+			executor.row.Scale = d.endpointRows[i].row.Scale // as last told
 		}
 	}
-	d.rows, d.hashes = d.rows[:0], d.hashes[:0]
-	for i, w := range d.workers {
-		w.at, d.byTag[w.tag] = i, w
-		d.rows = append(d.rows, listed{row: w.row})
-		d.hashes = append(d.hashes, hashOf(w))
-		d.weigh(&d.rows[i], w.row.Scale)
+	d.endpointRows, d.affinityHashes = d.endpointRows[:0], d.affinityHashes[:0]
+	for i, executor := range d.executors {
+		executor.position, d.executorsByTag[executor.tag] = i, executor
+		d.endpointRows = append(d.endpointRows, endpointRow{row: executor.row})
+		d.affinityHashes = append(d.affinityHashes, affinityHashOf(executor))
+		d.applyWeight(&d.endpointRows[i], executor.row.Scale)
 	}
 }
 
 // enlist puts one worker whose row has changed in its place, or takes it out. Where weights are live all is rebuilt
 // instead: only there is a worker's own place, w.at, of use.
-func (d *Dispatcher) enlist(w *worker) {
-	at := d.placeOf(w.id)
-	listedNow := at < len(d.rows) && d.rows[at].row.Worker == w.id
+func (d *Dispatcher) updateListed(executor *executor) {
+	at := d.positionOf(executor.id)
+	listedNow := at < len(d.endpointRows) && d.endpointRows[at].row.Worker == executor.id
 	switch {
-	case w.cond == Gone && listedNow:
-		d.workers = slices.Delete(d.workers, at, at+1)
-		d.rows = slices.Delete(d.rows, at, at+1)
-		d.hashes = slices.Delete(d.hashes, at, at+1)
-		d.untag(w)
-		d.left = append(d.left, w)
+	case executor.condition == Gone && listedNow:
+		d.executors = slices.Delete(d.executors, at, at+1)
+		d.endpointRows = slices.Delete(d.endpointRows, at, at+1)
+		d.affinityHashes = slices.Delete(d.affinityHashes, at, at+1)
+		d.releaseTag(executor)
+		d.removedExecutors = append(d.removedExecutors, executor)
 		return
-	case w.cond == Gone:
-		d.left = append(d.left, w)
+	case executor.condition == Gone:
+		d.removedExecutors = append(d.removedExecutors, executor)
 		return
 	case listedNow:
-		w.row.Scale = d.rows[at].row.Scale // as last told
-		d.rows[at].row, d.hashes[at] = w.row, hashOf(w)
+		executor.row.Scale = d.endpointRows[at].row.Scale // as last told
+		d.endpointRows[at].row, d.affinityHashes[at] = executor.row, affinityHashOf(executor)
 	default:
-		w.tag = d.tagOf(w.id)
-		if x := d.byTag[w.tag]; x == nil || x.id < w.id {
-			d.byTag[w.tag] = w
+		executor.tag = d.tagOf(executor.id)
+		if x := d.executorsByTag[executor.tag]; x == nil || x.id < executor.id {
+			d.executorsByTag[executor.tag] = executor
 		}
-		d.workers = slices.Insert(d.workers, at, w)
-		d.rows = slices.Insert(d.rows, at, listed{row: w.row})
-		d.hashes = slices.Insert(d.hashes, at, hashOf(w))
+		d.executors = slices.Insert(d.executors, at, executor)
+		d.endpointRows = slices.Insert(d.endpointRows, at, endpointRow{row: executor.row})
+		d.affinityHashes = slices.Insert(d.affinityHashes, at, affinityHashOf(executor))
 	}
-	d.weigh(&d.rows[at], w.row.Scale)
+	d.applyWeight(&d.endpointRows[at], executor.row.Scale)
 }
 
 // untag gives a worker's name in messages to the last other one of that name, if there is one.
-func (d *Dispatcher) untag(w *worker) {
-	if d.byTag[w.tag] != w {
+func (d *Dispatcher) releaseTag(executor *executor) {
+	if d.executorsByTag[executor.tag] != executor {
 		return
 	}
-	delete(d.byTag, w.tag)
-	for i, x := range d.hashes {
-		if x.tag == w.tag {
-			d.byTag[w.tag] = d.workers[i]
+	delete(d.executorsByTag, executor.tag)
+	for i, x := range d.affinityHashes {
+		if x.tag == executor.tag {
+			d.executorsByTag[executor.tag] = d.executors[i]
 		}
 	}
 }
 
 // forgetLeft forgets the workers that are gone once nothing of ours is out there.
-func (d *Dispatcher) forgetLeft() {
-	d.left = slices.DeleteFunc(d.left, func(w *worker) bool {
-		if w.cond == Gone && len(w.outs) == 0 {
-			d.rememberStart(w)
-			delete(d.byID, w.id)
+func (d *Dispatcher) forgetRemoved() {
+	d.removedExecutors = slices.DeleteFunc(d.removedExecutors, func(executor *executor) bool {
+		if executor.condition == Gone && len(executor.inFlight) == 0 {
+			d.rememberStart(executor)
+			delete(d.executorsByID, executor.id)
 		}
-		return w.cond != Gone || len(w.outs) == 0
+		return executor.condition != Gone || len(executor.inFlight) == 0
 	})
 }
 
 // hashOf is what the homes of keys see of a worker.
-func hashOf(w *worker) homeHash {
-	return homeHash{mix(uint64(w.id) + 0x9e3779b97f4a7c15), w.tag, w.row.Kind, w.cond == Ready}
+func affinityHashOf(executor *executor) affinityHash {
+	return affinityHash{mix64(uint64(executor.id) + 0x9e3779b97f4a7c15), executor.tag, executor.row.Kind, executor.condition == Ready}
 }
