--- a/cmd/gatetack/duty.go
+++ b/cmd/gatetack/duty.go
@@ -52,7 +52,7 @@
 				if err := showDuties(cmd, output, []standing{x}); err != nil {
 					return err
 				}
-				v, _, err := r.call(cmd.Context(), "GET", "kv/"+owner.Duties+"/"+url.PathEscape(a[0])+"?history=1", nil)
+				v, _, err := r.call(cmd.Context(), "GET", "kv/"+owner.PartitionTable+"/"+url.PathEscape(a[0])+"?history=1", nil)
 				if err != nil {
 					return err
 				}
@@ -97,7 +97,7 @@
 
 // giveDuty writes a duty as a life's, or nobody's, in the place of what stands there, and says what was done.
 func (r *storeRemote) giveDuty(cmd *cobra.Command, key string, to duty.Incarnation, done string) error {
-	path := "kv/" + owner.Duties + "/" + url.PathEscape(key)
+	path := "kv/" + owner.PartitionTable + "/" + url.PathEscape(key)
 	v, _, err := r.call(cmd.Context(), "GET", path, nil)
 	if err != nil {
 		return err
@@ -134,7 +134,7 @@
 // living are the lives that have a lease, with where their batch fronts are.
 func (r *storeRemote) living(cmd *cobra.Command) (map[duty.Incarnation]string, error) {
 	out := map[duty.Incarnation]string{}
-	return out, r.each(cmd.Context(), owner.Leases, "", false, func(e gjson.Result) {
+	return out, r.each(cmd.Context(), owner.LeaseTable, "", false, func(e gjson.Result) {
 		v := gjson.Parse(e.Get("value").String())
 		out[duty.Incarnation{Node: e.Get("key").String(), StartedMs: v.Get("born").Int()}] = v.Get("addr").String()
 	})
@@ -146,7 +146,7 @@
 		return nil, err
 	}
 	all := []standing{}
-	err = r.each(cmd.Context(), owner.Duties, "", false, func(e gjson.Result) {
+	err = r.each(cmd.Context(), owner.PartitionTable, "", false, func(e gjson.Result) {
 		l := lifeOf(e)
 		of, _ := duty.ParsePartitionKey(e.Get("key").String())
 		addr, alive := living[l]
--- a/cmd/gatetack/serve.go
+++ b/cmd/gatetack/serve.go
@@ -182,7 +182,7 @@
 		g.Go(func() error { followDrain(ctx, core, front, c.Limits.Follow); return nil })
 	}
 	var jobs *batch.Front
-	var duties *owner.Owner
+	var duties *owner.Holder
 	var held *actorhost.Host
 	if f.Batch.Listen != "" {
 		var ring *keys.Ring
@@ -226,7 +226,7 @@
 			if c.Settings.Zone < len(c.Names.Zones) {
 				zone = c.Names.Zones[c.Settings.Zone]
 			}
-			held = actorhost.New(actorhost.Config{Name: c.Name, Zone: zone, Addr: f.Batch.Listen, Store: members, Front: jobs, Forward: duties.Pass,
+			held = actorhost.New(actorhost.Config{Name: c.Name, Zone: zone, Addr: f.Batch.Listen, Store: members, Front: jobs, Forward: duties.Forward,
 				Prefix: batch.Prefix, Capacity: c.Limits.StoreValues / 2, Rules: migration.DefaultRules(), Limits: c.Limits, Log: log})
 			jobs.SetDesks(held)
 			g.Go(func() error { return held.Run(hard) })
--- a/internal/actorhost/http.go
+++ b/internal/actorhost/http.go
@@ -68,7 +68,7 @@
 		}
 		return jsonResponse(201, map[string]any{"id": id, "node": h.Name})
 	case len(p) == 2 && p[1] == "calls" && m.Method == "POST":
-		via, hop := h.Zone, m.Get(owner.Hop) != ""
+		via, hop := h.Zone, m.Get(owner.ForwardedByHeader) != ""
 		if z := m.Get(zoneHeader); hop && z != "" {
 			via = z
 		}
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -33,8 +33,8 @@
 // node. Store then makes only what is written for a partition that this node has.
 type Fleet interface {
 	Ready() bool                                            // what earlier lives of this node left was taken up
-	Place(partition string) (addr string, ours, known bool) // known: it has, or had, an owner; what none has is not on record
-	Pass(ctx context.Context, addr string, m *http1.Message) (*http1.Message, error)
+	Locate(partition string) (addr string, ours, known bool) // known: it has, or had, an owner; what none has is not on record
+	Forward(ctx context.Context, addr string, m *http1.Message) (*http1.Message, error)
 }
 
 // Placer says what each zone costs a job that names its inputs, and why. It is told once how the job ended: at which box, if any,
--- a/internal/batch/fleet.go
+++ b/internal/batch/fleet.go
@@ -29,7 +29,7 @@
 	if !ok {
 		return false
 	}
-	_, ours, _ := f.fleet.Place(p)
+	_, ours, _ := f.fleet.Locate(p)
 	return !ours
 }
 
@@ -57,7 +57,7 @@
 // still, it is looked at whether the job is still there: if not, the call is made where it is now. What the late one may do
 // with the first call is fenced.
 func (f *Front) passed(ctx context.Context, m *http1.Message, p []string) (http1.Response, bool) {
-	if f.fleet == nil || len(p) < 2 || p[0] != "jobs" && p[0] != "arrays" || m.Get(owner.Hop) != "" {
+	if f.fleet == nil || len(p) < 2 || p[0] != "jobs" && p[0] != "arrays" || m.Get(owner.ForwardedByHeader) != "" {
 		return http1.Response{}, false
 	}
 	part, ok := partitionOf(p[1])
@@ -73,7 +73,7 @@
 		}
 	}
 	for {
-		addr, ours, known := f.fleet.Place(part)
+		addr, ours, known := f.fleet.Locate(part)
 		switch {
 		case ours || !known || addr == "" && m.Method == "GET": // of what nobody knows there is nothing on record
 			return http1.Response{}, false
@@ -81,7 +81,7 @@
 			return tryLater("no node has the job at the moment"), true
 		}
 		got, err := f.passTo(ctx, part, addr, m)
-		if now, ours, _ := f.fleet.Place(part); err != nil && ctx.Err() == nil && (ours || now != addr) {
+		if now, ours, _ := f.fleet.Locate(part); err != nil && ctx.Err() == nil && (ours || now != addr) {
 			continue // bounded: each change of owner takes a lease's end
 		}
 		if err != nil {
@@ -110,13 +110,13 @@
 			case <-ctx.Done():
 				return
 			}
-			if now, ours, _ := f.fleet.Place(part); ours || now != addr {
+			if now, ours, _ := f.fleet.Locate(part); ours || now != addr {
 				cancel()
 				return
 			}
 		}
 	}()
-	return f.fleet.Pass(ctx, addr, m)
+	return f.fleet.Forward(ctx, addr, m)
 }
 
 // Open names the partitions of a node of which something is open on record.
--- a/internal/batch/fleet_test.go
+++ b/internal/batch/fleet_test.go
@@ -28,18 +28,18 @@
 
 func (s *shared) Ready() bool { return true }
 
-func (s *shared) Place(string) (string, bool, bool) {
+func (s *shared) Locate(string) (string, bool, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return "", !s.lost, true
 }
 
-func (s *shared) Pass(context.Context, string, *http1.Message) (*http1.Message, error) {
+func (s *shared) Forward(context.Context, string, *http1.Message) (*http1.Message, error) {
 	return nil, errors.New("no other node")
 }
 
 func (s *shared) Write(ctx context.Context, changes ...records.Change) error {
-	if _, ours, _ := s.Place(""); !ours {
+	if _, ours, _ := s.Locate(""); !ours {
 		return errors.New("the duty is another node's")
 	}
 	return s.memory.Write(ctx, changes...)
--- a/internal/batch/late.go
+++ b/internal/batch/late.go
@@ -59,7 +59,7 @@
 		return true
 	}
 	if f.fleet != nil {
-		addr, ours, known := f.fleet.Place(part)
+		addr, ours, known := f.fleet.Locate(part)
 		if !known {
 			return true
 		}
@@ -67,7 +67,7 @@
 			if addr == "" {
 				return false
 			}
-			m, err := f.fleet.Pass(ctx, addr, &http1.Message{Method: "POST", Target: Prefix + "/jobs/" + id + "/callback", Body: body})
+			m, err := f.fleet.Forward(ctx, addr, &http1.Message{Method: "POST", Target: Prefix + "/jobs/" + id + "/callback", Body: body})
 			return err == nil && m.Status != 503
 		}
 	}
--- a/internal/batch/monitor.go
+++ b/internal/batch/monitor.go
@@ -399,7 +399,7 @@
 	case "reap":
 		return f.reap(ctx, session, id)
 	case "callback":
-		if m.Get(owner.Hop) == "" {
+		if m.Get(owner.ForwardedByHeader) == "" {
 			return problem(404, "INVALID_ARGUMENT", "", "boxes call the platform's front")
 		}
 		return f.callback(ctx, id, m.Body)
--- a/internal/batch/recording.go
+++ b/internal/batch/recording.go
@@ -102,7 +102,7 @@
 		return err == nil
 	}
 	f.log.Warn("job state not recorded", "job", r.ID, "err", err)
-	if j.isLost() || errors.Is(err, owner.ErrLost) && f.foreign(r.ID) || !f.unrecorded.add(j) {
+	if j.isLost() || errors.Is(err, owner.ErrNotOwner) && f.foreign(r.ID) || !f.unrecorded.add(j) {
 		f.unsaved.Add(-1)
 	}
 	return false
--- a/internal/capacity/measure/duties.go
+++ b/internal/capacity/measure/duties.go
@@ -95,8 +95,8 @@
 			return DutyCost{}, err
 		}
 		if _, err := s.Txn(context.Background(), &kv.Txn{Ops: []kv.Op{
-			{Verb: kv.Put, Table: owner.Leases, Key: life.Node, Value: lease, Keep: true},
-			{Verb: kv.Put, Table: owner.Duties, Key: life.PartitionKey(), Value: held, Keep: true}}}); err != nil {
+			{Verb: kv.Put, Table: owner.LeaseTable, Key: life.Node, Value: lease, Keep: true},
+			{Verb: kv.Put, Table: owner.PartitionTable, Key: life.PartitionKey(), Value: held, Keep: true}}}); err != nil {
 			return DutyCost{}, err
 		}
 	}
@@ -111,7 +111,7 @@
 }
 
 // loop runs the owner for a while and counts.
-func (s *fleetStore) loop(o *owner.Owner) (DutyCost, error) {
+func (s *fleetStore) loop(o *owner.Holder) (DutyCost, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dutySpan+dutyLease)
 	defer cancel()
 	done := make(chan error, 1)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -23,8 +23,8 @@
 
 // The tables of leases, by node, and of duties, by key. A duty's version is its epoch, a fencing token.
 const (
-	Leases = "lease"
-	Duties = "duty"
+	LeaseTable     = "lease"
+	PartitionTable = "duty"
 )
 
 // Store is the part of a member of the replicated store that duties need.
@@ -50,61 +50,61 @@
 }
 
 // Owner holds the lease and the duties of one node.
-type Owner struct {
-	store Store
-	front Front
-	addr  string // of this node's batch front
-	name  string
-	lim   limits.Limits
-	log   *slog.Logger
-	ring  *keys.Ring
-	clock func() time.Duration
-	spawn func(func()) // runs what waits for the store outside the loop
-
-	refused atomic.Int64  // writes that were fenced off
-	taking  chan struct{} // a semaphore for adopting duties: their records are read at the leader
-
-	mu     sync.Mutex
-	keeper *duty.Manager
-	own    duty.Incarnation // under which new jobs are taken
-	born   bool             // its duty is held by this node
-	asked  bool             // which partitions this node's earlier lives left was found out,
-	old    []string         // and these are still to be taken up
-	gone   bool
-
-	leaving bool
-
-	stamp  any              // of the table of duties, and
-	duties []duty.Partition // what was read of it: leases change all the time, and duties seldom
+type Holder struct {
+	store  Store
+	front  Front
+	addr   string // of this node's batch front
+	name   string
+	limits limits.Limits
+	log    *slog.Logger
+	ring   *keys.Ring
+	now    func() time.Duration
+	spawn  func(func()) // runs what waits for the store outside the loop
+
+	fencedWrites atomic.Int64  // writes that were fenced off
+	adoptions    chan struct{} // a semaphore for adopting duties: their records are read at the leader
+
+	mu                 sync.Mutex
+	manager            *duty.Manager
+	self               duty.Incarnation // under which new jobs are taken
+	ownsSelf           bool             // its duty is held by this node
+	predecessorsListed bool             // which partitions this node's earlier lives left was found out,
+	predecessors       []string         // and these are still to be taken up
+	superseded         bool
+
+	released bool
+
+	cachedStamp      any              // of the table of duties, and
+	cachedPartitions []duty.Partition // what was read of it: leases change all the time, and duties seldom
 }
 
 // New returns an Owner for one life of a node.
-func New(s Store, name string, born int64, addr string, lim limits.Limits, log *slog.Logger) (*Owner, error) {
+func New(s Store, name string, born int64, addr string, lim limits.Limits, log *slog.Logger) (*Holder, error) {
 	t := duty.Timing{TTL: lim.LeaseTTL, RenewInterval: lim.LeaseTTL / 3, MaxClockDrift: lim.LeaseTTL / 6, RankDelay: lim.LeaseTTL / 6, ReclaimDelay: 2 * lim.LeaseTTL}
 	if err := t.Validate(); err != nil {
 		return nil, err
 	}
 	self := duty.Incarnation{Node: name, StartedMs: born}
-	return &Owner{store: s, addr: addr, name: name, lim: lim, log: log, clock: store.BootTime, spawn: func(f func()) { go f() }, taking: make(chan struct{}, maxAdoptions), keeper: duty.New(self, t), own: self}, nil
+	return &Holder{store: s, addr: addr, name: name, limits: lim, log: log, now: store.BootTime, spawn: func(f func()) { go f() }, adoptions: make(chan struct{}, maxAdoptions), manager: duty.New(self, t), self: self}, nil
 }
 
 // Connect sets the front. It must be called before Run.
-func (o *Owner) Connect(f Front, ring *keys.Ring) { o.front, o.ring = f, ring }
+func (o *Holder) Connect(f Front, ring *keys.Ring) { o.front, o.ring = f, ring }
 
 // Ready reports whether this life holds its own duty, and everything that earlier lives of this node left was adopted by some node.
-func (o *Owner) Ready() bool {
+func (o *Holder) Ready() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.born && o.asked && len(o.old) == 0
+	return o.ownsSelf && o.predecessorsListed && len(o.predecessors) == 0
 }
 
 // Run keeps the lease and the duties until the context ends.
-func (o *Owner) Run(ctx context.Context) error {
+func (o *Holder) Run(ctx context.Context) error {
 	var g errgroup.Group
 	o.mu.Lock()
 	o.spawn = func(f func()) { g.Go(func() error { f(); return nil }) }
 	o.mu.Unlock()
-	tick, clear := time.NewTicker(o.lim.LeaseTTL/30), time.NewTicker(o.lim.LeaseTTL*10)
+	tick, clear := time.NewTicker(o.limits.LeaseTTL/30), time.NewTicker(o.limits.LeaseTTL*10)
 	defer tick.Stop()
 	defer clear.Stop()
 	for {
@@ -122,39 +122,39 @@
 }
 
 // step looks at the store and does what is due.
-func (o *Owner) step(ctx context.Context) {
+func (o *Holder) step(ctx context.Context) {
 	o.mu.Lock()
-	leaving := o.leaving
+	leaving := o.released
 	o.mu.Unlock()
 	if leaving {
 		return
 	}
 	v := o.view()
-	o.begin(ctx, v)
+	o.claimSelf(ctx, v)
 	o.mu.Lock()
-	if len(o.old) > 0 {
+	if len(o.predecessors) > 0 {
 		for _, d := range v.Partitions {
 			// What an earlier life left and another node has or was quicker to claim is that one's to take up: waited for
 			// here, this life would take no job ever. An earlier life of our own, whose lease may still stand, is not another.
 			if l, ok := v.Leases[d.Owner.Node]; ok && l.Incarnation == d.Owner && d.Owner.Node != o.name {
-				o.old = slices.DeleteFunc(o.old, func(key string) bool { return key == d.Key })
+				o.predecessors = slices.DeleteFunc(o.predecessors, func(key string) bool { return key == d.Key })
 			}
 		}
 	}
-	v.Partitions = append(v.Partitions, o.unborn(v)...)
-	acts := o.keeper.Step(o.clock(), v)
+	v.Partitions = append(v.Partitions, o.unclaimedPredecessors(v)...)
+	acts := o.manager.Step(o.now(), v)
 	o.mu.Unlock()
 	o.execute(ctx, acts)
 }
 
 // unborn are partitions of earlier lives that are on record and have no duty yet: a version that had none left them.
-func (o *Owner) unborn(v duty.View) (out []duty.Partition) {
-	for _, key := range o.old {
+func (o *Holder) unclaimedPredecessors(v duty.View) (out []duty.Partition) {
+	for _, key := range o.predecessors {
 		known := false
 		for _, d := range v.Partitions {
 			known = known || d.Key == key
 		}
-		if _, held := o.keeper.Epoch(key); !known && !held {
+		if _, held := o.manager.Epoch(key); !known && !held {
 			out = append(out, duty.Partition{Key: key})
 		}
 	}
@@ -162,11 +162,11 @@
 }
 
 // begin finds out what earlier lives of this node left, once, and makes this life's own duty.
-func (o *Owner) begin(ctx context.Context, v duty.View) {
+func (o *Holder) claimSelf(ctx context.Context, v duty.View) {
 	o.mu.Lock()
-	now, own, asked := o.clock(), o.own, o.asked
+	now, own, asked := o.now(), o.self, o.predecessorsListed
 	mine, standing := v.Leases[o.name]
-	wants := !o.born && !o.gone && o.keeper.HoldsLease(now) && standing
+	wants := !o.ownsSelf && !o.superseded && o.manager.HoldsLease(now) && standing
 	o.mu.Unlock()
 	if !asked {
 		parts, err := o.front.Open(ctx, o.name)
@@ -179,8 +179,8 @@
 			}
 		}
 		o.mu.Lock()
-		o.old = slices.DeleteFunc(parts, func(p string) bool { return p == own.PartitionKey() })
-		o.asked = true
+		o.predecessors = slices.DeleteFunc(parts, func(p string) bool { return p == own.PartitionKey() })
+		o.predecessorsListed = true
 		o.mu.Unlock()
 	}
 	if !wants {
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -95,7 +95,7 @@
 }
 
 type one struct {
-	*Owner
+	*Holder
 	name    string
 	m       *member
 	w       *work
@@ -125,9 +125,9 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	x.Owner = o
+	x.Holder = o
 	o.Connect(x.w, nil)
-	o.clock = func() time.Duration { return f.at + x.ahead }
+	o.now = func() time.Duration { return f.at + x.ahead }
 	o.spawn = func(g func()) { x.waiting = append(x.waiting, g) }
 }
 
@@ -186,14 +186,14 @@
 
 // check looks at the store's log of effects, which stand under key "PARTITION.x" with who wrote them under which epoch.
 func (f *fleet) write(x *one, last map[string]uint64, by map[string]string) {
-	for _, p := range x.keeper.Partitions() {
-		epoch, _ := x.keeper.Epoch(p)
+	for _, p := range x.manager.Partitions() {
+		epoch, _ := x.manager.Epoch(p)
 		err := x.Write(context.Background(), records.Change{Kind: "job", Key: p + ".x", Value: []byte(x.name)})
 		if err != nil {
 			continue
 		}
 		id := fmt.Sprintf("%s %d", p, epoch)
-		who := fmt.Sprintf("%s %d", x.name, x.keeper.Incarnation().StartedMs)
+		who := fmt.Sprintf("%s %d", x.name, x.manager.Incarnation().StartedMs)
 		if epoch < last[p] {
 			f.t.Fatalf("%s wrote for %s under epoch %d after %d\n%v", x.name, p, epoch, last[p], f.trace)
 		}
@@ -231,12 +231,12 @@
 		}
 		held := map[string]string{}
 		for _, x := range f.nodes {
-			for _, p := range x.keeper.Partitions() {
+			for _, p := range x.manager.Partitions() {
 				if was, ok := held[p]; ok {
 					t.Errorf("seed %d: %s and %s both hold %s\n%v", seed, was, x.name, p, f.trace)
 				}
 				held[p] = x.name
-				if !x.w.adopted[p] && p != x.own.PartitionKey() {
+				if !x.w.adopted[p] && p != x.self.PartitionKey() {
 					t.Errorf("seed %d: %s holds %s and does not do it", seed, x.name, p)
 				}
 			}
@@ -269,28 +269,28 @@
 	}
 	settle()
 	a, b := f.nodes[0], f.nodes[1]
-	p := a.own.PartitionKey()
-	epoch, ok := a.keeper.Epoch(p)
+	p := a.self.PartitionKey()
+	epoch, ok := a.manager.Epoch(p)
 	if !ok {
 		t.Fatal("a node without its own duty")
 	}
 	a.paused = true
 	settle()
-	if _, ok := b.keeper.Epoch(p); !ok {
+	if _, ok := b.manager.Epoch(p); !ok {
 		t.Fatal("the other did not take over")
 	}
 	// Woken late, it believes in its lease (its clock stood still) and writes.
-	a.clock = func() time.Duration { return 0 }
-	a.keeper.LeaseRenewed(0, 1)
+	a.now = func() time.Duration { return 0 }
+	a.manager.LeaseRenewed(0, 1)
 	change := records.Change{Kind: "job", Key: p + ".x", Value: []byte("late")}
-	if err := a.Write(context.Background(), change); !errors.Is(err, ErrLost) {
+	if err := a.Write(context.Background(), change); !errors.Is(err, ErrNotOwner) {
 		t.Fatalf("a late owner's write: %v", err)
 	}
 	if _, found, _ := b.m.Get(context.Background(), "job", p+".x"); found {
 		t.Error("a late owner's write stands")
 	}
-	if a.Refused() != 1 {
-		t.Errorf("%d writes counted as refused", a.Refused())
+	if a.FencedWrites() != 1 {
+		t.Errorf("%d writes counted as refused", a.FencedWrites())
 	}
 	bare := &kv.Txn{Ops: []kv.Op{{Verb: kv.Put, Table: "job", Key: p + ".x", Value: []byte("late")}}}
 	if r, err := a.m.Txn(context.Background(), bare); err != nil || !r.OK() {
@@ -306,12 +306,12 @@
 		f.step(false)
 	}
 	a := f.nodes[0]
-	p := a.own.PartitionKey()
+	p := a.self.PartitionKey()
 	a.Release(context.Background())
 	from := f.at
 	taken := func() bool {
 		for _, x := range f.nodes[1:] {
-			if _, ok := x.keeper.Epoch(p); ok {
+			if _, ok := x.manager.Epoch(p); ok {
 				return true
 			}
 		}
@@ -329,29 +329,29 @@
 // it would never take a job again.
 func TestAnotherWasQuicker(t *testing.T) {
 	f, x, left := restarted(t, 2)
-	x.old, x.asked = []string{left}, true
+	x.predecessors, x.predecessorsListed = []string{left}, true
 	other := f.nodes[1]
-	other.claim(t.Context(), duty.Action{Partition: left, OwnLease: other.keeper.OwnLease(), ExpectedVersion: f.epoch(left)}, "quicker")
+	other.claim(t.Context(), duty.Action{Partition: left, OwnLease: other.manager.OwnLease(), ExpectedVersion: f.epoch(left)}, "quicker")
 	for range 60 {
 		f.step(false)
 	}
 	if !x.Ready() {
-		t.Errorf("it waits for %v, which %s has", x.old, other.name)
+		t.Errorf("it waits for %v, which %s has", x.predecessors, other.name)
 	}
 }
 
 // A node that starts again while its earlier life's lease still stands waits for what that life left, until it has it.
 func TestOwnLeaseStillStands(t *testing.T) {
 	f, x, left := restarted(t, 1)
-	x.old, x.asked = []string{left}, true
-	if x.step(t.Context()); x.Ready() || !slices.Contains(x.old, left) {
-		t.Fatalf("it does not wait for %s: %v", left, x.old)
+	x.predecessors, x.predecessorsListed = []string{left}, true
+	if x.step(t.Context()); x.Ready() || !slices.Contains(x.predecessors, left) {
+		t.Fatalf("it does not wait for %s: %v", left, x.predecessors)
 	}
 	for range 80 {
 		f.step(false)
 	}
 	if !x.Ready() || !x.w.adopted[left] {
-		t.Errorf("it has not taken up %s: %v", left, x.old)
+		t.Errorf("it has not taken up %s: %v", left, x.predecessors)
 	}
 }
 
@@ -362,13 +362,13 @@
 		f.step(false)
 	}
 	x = f.nodes[0]
-	left = x.own.PartitionKey()
+	left = x.self.PartitionKey()
 	f.boot(x)
 	return f, x, left
 }
 
 func (f *fleet) epoch(key string) uint64 {
-	if e, ok := f.s.state.Snapshot().Get(Duties, key); ok {
+	if e, ok := f.s.state.Snapshot().Get(PartitionTable, key); ok {
 		return e.Version
 	}
 	return 0
@@ -380,7 +380,7 @@
 	for range 80 {
 		f.step(false)
 	}
-	own := x.own.PartitionKey()
+	own := x.self.PartitionKey()
 	x.w.left = map[string]bool{was: true}
 	x.retire(t.Context())
 	if f.epoch(was) == 0 || f.epoch(own) == 0 {
@@ -392,7 +392,7 @@
 		t.Errorf("%s stands by %d, %s by %d", was, f.epoch(was), own, f.epoch(own))
 	}
 	x.m.view = f.s.state.Snapshot()
-	if _, ours, known := x.Place(was); ours || known {
+	if _, ours, known := x.Locate(was); ours || known {
 		t.Error("a duty that was retired is still known")
 	}
 }
--- a/internal/owner/routing.go
+++ b/internal/owner/routing.go
@@ -10,17 +10,17 @@
 
 // Place returns who owns a partition: this node, or the node whose batch front listens at addr. Neither, if nobody owns it at the
 // moment; known is false if there is no such duty.
-func (o *Owner) Place(partition string) (addr string, ours, known bool) {
+func (o *Holder) Locate(partition string) (addr string, ours, known bool) {
 	o.mu.Lock()
-	_, ours = o.keeper.Epoch(partition)
+	_, ours = o.manager.Epoch(partition)
 	o.mu.Unlock()
 	if ours {
 		return "", true, true
 	}
 	now := o.store.View()
-	d, known := dutyOf(now.Get(Duties, partition))
+	d, known := decodePartition(now.Get(PartitionTable, partition))
 	if known {
-		if l, ok := leaseOf(now.Get(Leases, d.Owner.Node)); ok && l.Incarnation == d.Owner {
+		if l, ok := decodeLease(now.Get(LeaseTable, d.Owner.Node)); ok && l.Incarnation == d.Owner {
 			return l.Addr, false, true
 		}
 	}
@@ -28,18 +28,18 @@
 }
 
 // Pass forwards a client's call to another node, once: a forwarded call is not forwarded again.
-func (o *Owner) Pass(ctx context.Context, addr string, m *http1.Message) (*http1.Message, error) {
-	fields := []http1.Field{{Name: Hop, Value: o.name}}
+func (o *Holder) Forward(ctx context.Context, addr string, m *http1.Message) (*http1.Message, error) {
+	fields := []http1.Field{{Name: ForwardedByHeader, Value: o.name}}
 	for _, x := range m.Fields {
-		if strings.HasPrefix(x.Name, own) && x.Name != Hop {
+		if strings.HasPrefix(x.Name, nodeHeaderPrefix) && x.Name != ForwardedByHeader {
 			fields = append(fields, x)
 		}
 	}
-	return store.Call(ctx, addr, m.Method, m.Target, m.Body, o.ring, o.lim, fields...)
+	return store.Call(ctx, addr, m.Method, m.Target, m.Body, o.ring, o.limits, fields...)
 }
 
 // Hop is the header of a forwarded call. It names the node that forwarded it.
-const Hop = own + "Hop"
+const ForwardedByHeader = nodeHeaderPrefix + "Hop"
 
 // own begins the names of headers that nodes add for one another.
-const own = "X-Gatetack-"
+const nodeHeaderPrefix = "X-Gatetack-"
--- a/internal/owner/scale_test.go
+++ b/internal/owner/scale_test.go
@@ -40,12 +40,12 @@
 	}
 	holds := map[string]string{}
 	for i, x := range f.nodes { // what a hundred earlier lives of each left, held by it
-		value, _ := json.Marshal(x.own)
+		value, _ := json.Marshal(x.self)
 		for k := range 100 {
 			key := duty.Incarnation{Node: fmt.Sprintf("n%d", i), StartedMs: int64(1000 + k)}.PartitionKey()
 			f.s.index++
-			f.s.state.Apply(f.s.index, &kv.Txn{At: f.s.now, Ops: []kv.Op{{Verb: kv.Put, Table: Duties, Key: key, Value: value}}})
-			x.keeper.ClaimCompleted(key, f.s.index)
+			f.s.state.Apply(f.s.index, &kv.Txn{At: f.s.now, Ops: []kv.Op{{Verb: kv.Put, Table: PartitionTable, Key: key, Value: value}}})
+			x.manager.ClaimCompleted(key, f.s.index)
 			holds[key] = x.name
 		}
 	}
@@ -66,7 +66,7 @@
 	}
 	moved, by := 0, map[string]int{}
 	for key, was := range holds {
-		d, _ := dutyOf(f.s.state.Snapshot().Get(Duties, key))
+		d, _ := decodePartition(f.s.state.Snapshot().Get(PartitionTable, key))
 		if d.Owner.Node != was {
 			moved++
 			by[d.Owner.Node]++
--- a/internal/owner/view.go
+++ b/internal/owner/view.go
@@ -9,43 +9,43 @@
 )
 
 // lease is the stored value of a lease.
-type lease struct {
-	Born int64  `json:"born"`
-	Addr string `json:"addr"`
+type leaseRecord struct {
+	StartedMs int64  `json:"born"`
+	Addr      string `json:"addr"`
 }
 
 // view reads leases and duties as this member has them. Only the loop calls it.
-func (o *Owner) view() duty.View {
+func (o *Holder) view() duty.View {
 	now := o.store.View()
 	v := duty.View{Leases: map[string]duty.Lease{}}
-	for _, e := range now.List(Leases, "", "", 1<<16) {
-		if l, ok := leaseOf(e, true); ok {
+	for _, e := range now.List(LeaseTable, "", "", 1<<16) {
+		if l, ok := decodeLease(e, true); ok {
 			v.Leases[l.Node] = l
 		}
 	}
-	if at := now.Stamp(Duties); at != o.stamp || o.stamp == nil {
-		o.stamp, o.duties = at, nil
-		for _, e := range now.List(Duties, "", "", 1<<16) {
-			if d, ok := dutyOf(e, true); ok {
-				o.duties = append(o.duties, d)
+	if at := now.Stamp(PartitionTable); at != o.cachedStamp || o.cachedStamp == nil {
+		o.cachedStamp, o.cachedPartitions = at, nil
+		for _, e := range now.List(PartitionTable, "", "", 1<<16) {
+			if d, ok := decodePartition(e, true); ok {
+				o.cachedPartitions = append(o.cachedPartitions, d)
 			}
 		}
 	}
-	v.Partitions = slices.Clip(o.duties) // what is added to it is a copy's
+	v.Partitions = slices.Clip(o.cachedPartitions) // what is added to it is a copy's
 	return v
 }
 
 // leaseOf decodes the entry of a lease, if there is one and it is valid.
-func leaseOf(e *kv.Entry, found bool) (duty.Lease, bool) {
-	var l lease
+func decodeLease(e *kv.Entry, found bool) (duty.Lease, bool) {
+	var l leaseRecord
 	if !found || json.Unmarshal(e.Value, &l) != nil {
 		return duty.Lease{}, false
 	}
-	return duty.Lease{Incarnation: duty.Incarnation{Node: e.Key, StartedMs: l.Born}, Addr: l.Addr, Version: e.Version}, true
+	return duty.Lease{Incarnation: duty.Incarnation{Node: e.Key, StartedMs: l.StartedMs}, Addr: l.Addr, Version: e.Version}, true
 }
 
 // dutyOf decodes the entry of a duty, if there is one and it is valid.
-func dutyOf(e *kv.Entry, found bool) (duty.Partition, bool) {
+func decodePartition(e *kv.Entry, found bool) (duty.Partition, bool) {
 	var owner duty.Incarnation
 	if !found || json.Unmarshal(e.Value, &owner) != nil {
 		return duty.Partition{}, false
