--- a/cmd/gatetack/serve.go
+++ b/cmd/gatetack/serve.go
@@ -19,6 +19,7 @@
 	"gatetack/internal/batch"
 	"gatetack/internal/config"
 	"gatetack/internal/discovery"
+	"gatetack/internal/duty"
 	"gatetack/internal/executor"
 	"gatetack/internal/failpoint"
 	"gatetack/internal/handover"
@@ -199,7 +200,7 @@
 		}
 		var fleet batch.Fleet
 		if members != nil {
-			if duties, err = owner.New(members, c.Name, life.UnixMilli(), f.Batch.Listen, c.Limits, log); err != nil {
+			if duties, err = owner.New(members, duty.Incarnation{Node: c.Name, StartedMs: life.UnixMilli()}, f.Batch.Listen, c.Limits, log); err != nil {
 				return err
 			}
 			kept, fleet = duties, duties
--- a/internal/capacity/measure/duties.go
+++ b/internal/capacity/measure/duties.go
@@ -102,7 +102,7 @@
 	}
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.LeaseTTL = dutyLease
-	o, err := owner.New(s, "node-0", 1, "10.0.0.1:8443", lim, slog.New(slog.DiscardHandler))
+	o, err := owner.New(s, duty.Incarnation{Node: "node-0", StartedMs: 1}, "10.0.0.1:8443", lim, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return DutyCost{}, err
 	}
--- /dev/null
+++ b/internal/owner/actions.go
@@ -0,0 +1,207 @@
+package owner
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"gatetack/internal/duty"
+	"gatetack/internal/failpoint"
+	"gatetack/internal/kv"
+)
+
+// execute carries out actions. Calls to the store run outside the loop: one that waits for a leader must not delay
+// noticing that a lease has expired.
+func (h *Holder) execute(ctx context.Context, actions []duty.Action) {
+	h.mu.Lock()
+	spawn := h.spawn
+	h.mu.Unlock()
+	for _, action := range actions {
+		switch action.Kind {
+		case duty.RenewLease:
+			begunAt := h.bootTime()
+			spawn(func() { h.renewLease(ctx, begunAt, action.ExpectedVersion) })
+		case duty.ClaimPartition:
+			spawn(func() { h.claim(ctx, action, "owner has no lease") })
+		case duty.StartPartition:
+			spawn(func() { h.adopt(ctx, action) })
+		case duty.StopPartition:
+			h.stop(action)
+		case duty.AdvanceIncarnation:
+			h.advanceIncarnation()
+		case duty.Superseded:
+			h.mu.Lock()
+			h.self.superseded = true
+			h.mu.Unlock()
+			h.log.Error("another process runs under this node's name and started later, no batch jobs are taken any more", "node", h.node)
+		}
+	}
+}
+
+// advanceIncarnation adopts the incarnation that the Manager moved after an earlier one with a later clock.
+func (h *Holder) advanceIncarnation() {
+	h.mu.Lock()
+	h.self.incarnation = h.manager.Incarnation()
+	started := h.self.incarnation.StartedMs
+	h.mu.Unlock()
+	h.front.Reborn(started)
+	h.log.Warn("wall clock behind an earlier incarnation's, incarnation moved after it", "node", h.node, "incarnation", started)
+}
+
+// renewLease writes this node's lease over the one with a version.
+func (h *Holder) renewLease(ctx context.Context, begunAt time.Duration, version uint64) {
+	h.mu.Lock()
+	record := leaseRecord{StartedMs: h.manager.Incarnation().StartedMs, Addr: h.addr}
+	h.mu.Unlock()
+	value, _ := json.Marshal(record) // a number and a string: it can not fail
+	put := kv.Op{Verb: kv.Put, Table: LeaseTable, Key: h.node, Value: value, Keep: true, TTL: h.limits.LeaseTTL.Milliseconds(),
+		Cond: true, If: version}
+	result, err := h.store.Txn(ctx, &kv.Txn{Ops: []kv.Op{put}})
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	switch {
+	case err != nil: // indeterminate: the last lease is valid until it expires, and the next renewal tells
+	case result.OK():
+		h.manager.LeaseRenewed(begunAt, result.Version)
+	default:
+		h.manager.LeaseLost()
+	}
+}
+
+// claim writes this node as the owner of a partition. This incarnation's own partition is not adopted afterwards: its
+// records are jobs in progress here, which would be taken for what an earlier incarnation left.
+func (h *Holder) claim(ctx context.Context, action duty.Action, reason string) {
+	h.mu.Lock()
+	incarnation := h.manager.Incarnation()
+	h.mu.Unlock()
+	value, _ := json.Marshal(incarnation)
+	ops := []kv.Op{{Verb: kv.Check, Table: LeaseTable, Key: h.node, Cond: true, If: action.OwnLease}}
+	if action.OwnerNode != "" {
+		ops = append(ops, kv.Op{Verb: kv.Check, Table: LeaseTable, Key: action.OwnerNode, Cond: true, If: action.OwnerLease})
+	}
+	ops = append(ops, kv.Op{Verb: kv.Put, Table: PartitionTable, Key: action.Partition, Value: value, Keep: true,
+		Cond: true, If: action.ExpectedVersion})
+	result, err := h.store.Txn(ctx, &kv.Txn{Ops: ops})
+	epoch := uint64(0)
+	if err == nil && result.OK() {
+		epoch = result.Version
+		h.log.Info("partition claimed", "partition", action.Partition, "epoch", epoch, "previous_epoch", action.ExpectedVersion, "reason", reason)
+	}
+	h.mu.Lock()
+	actions := h.manager.ClaimCompleted(action.Partition, epoch)
+	if action.Partition == h.self.incarnation.PartitionKey() {
+		h.self.owned, actions = h.self.owned || len(actions) > 0, nil
+	}
+	h.mu.Unlock()
+	h.execute(ctx, actions)
+}
+
+// adopt adopts the jobs of a claimed partition. It tries again until it succeeds, the partition is lost or the
+// context ends.
+func (h *Holder) adopt(ctx context.Context, action duty.Action) {
+	select {
+	case h.adoptions <- struct{}{}:
+		defer func() { <-h.adoptions }()
+	case <-ctx.Done():
+		return
+	}
+	for {
+		open, err := h.front.Adopt(ctx, action.Partition)
+		if err == nil {
+			h.log.Info("partition adopted", "partition", action.Partition, "epoch", action.Epoch, "open", open)
+			break
+		}
+		h.mu.Lock()
+		epoch, owned := h.manager.Epoch(action.Partition)
+		h.mu.Unlock()
+		if !owned || epoch != action.Epoch || ctx.Err() != nil {
+			return
+		}
+		h.log.Warn("partition not adopted, trying again", "partition", action.Partition, "err", err)
+		select {
+		case <-time.After(h.limits.StoreBeat):
+		case <-ctx.Done():
+			return
+		}
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.adopted(action.Partition)
+}
+
+// stop gives up a partition that was lost. If it was that of this incarnation's own jobs, jobs that are taken from
+// now on belong to another incarnation.
+func (h *Holder) stop(action duty.Action) {
+	h.log.Warn("partition lost", "partition", action.Partition, "epoch", action.Epoch)
+	if failpoint.Without == failpoint.Fence {
+		return
+	}
+	h.front.Drop(action.Partition)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	self := &h.self.incarnation
+	if action.Partition != self.PartitionKey() {
+		return
+	}
+	self.StartedMs, h.self.owned = max(self.StartedMs+1, time.Now().UnixMilli()), false
+	h.front.Reborn(self.StartedMs)
+}
+
+// retire deletes partitions of ended incarnations that this node owns and that have no records any more. A fleet that
+// is restarted every day would collect them for good.
+func (h *Holder) retire(ctx context.Context) {
+	h.mu.Lock()
+	owned, self := h.manager.Partitions(), h.self.incarnation.PartitionKey()
+	h.mu.Unlock()
+	for _, key := range owned {
+		if key == self {
+			continue
+		}
+		if left, err := h.front.Left(ctx, key); err == nil && !left {
+			h.deletePartition(ctx, key)
+		}
+	}
+}
+
+// deletePartition deletes a partition that this node owns.
+func (h *Holder) deletePartition(ctx context.Context, key string) {
+	h.mu.Lock()
+	epoch, owned := h.manager.Epoch(key)
+	h.mu.Unlock()
+	if !owned {
+		return
+	}
+	remove := kv.Op{Verb: kv.Delete, Table: PartitionTable, Key: key, Cond: true, If: epoch}
+	result, err := h.store.Txn(ctx, &kv.Txn{Ops: []kv.Op{remove}})
+	if err != nil || !result.OK() {
+		return // the next look finds it again
+	}
+	h.mu.Lock()
+	h.manager.ReleasePartition(key)
+	h.mu.Unlock()
+	h.log.Info("partition without records deleted", "partition", key, "epoch", epoch)
+}
+
+// Release releases all partitions and the lease at a planned shutdown, so that other nodes need not wait for the
+// lease to expire. Nothing is claimed after that.
+func (h *Holder) Release(ctx context.Context) {
+	h.mu.Lock()
+	h.released = true
+	var ops []kv.Op
+	nobody, _ := json.Marshal(duty.Incarnation{})
+	for _, key := range h.manager.Partitions() {
+		epoch, _ := h.manager.Epoch(key)
+		ops = append(ops, kv.Op{Verb: kv.Put, Table: PartitionTable, Key: key, Value: nobody, Keep: true, Cond: true, If: epoch})
+		h.manager.ReleasePartition(key)
+	}
+	if version := h.manager.OwnLease(); version != 0 {
+		ops = append(ops, kv.Op{Verb: kv.Delete, Table: LeaseTable, Key: h.node, Cond: true, If: version})
+	}
+	h.mu.Unlock()
+	if len(ops) == 0 {
+		return
+	}
+	if result, err := h.store.Txn(ctx, &kv.Txn{Ops: ops}); err != nil || !result.OK() {
+		h.log.Info("partitions not handed over, others wait for the lease to expire", "err", err)
+	}
+}
--- a/internal/owner/fence.go
+++ b/internal/owner/fence.go
@@ -12,66 +12,72 @@
 	"gatetack/internal/store"
 )
 
-// ErrLost reports that this node does not, or no longer, hold a duty. Nothing was written.
-var ErrNotOwner = errors.New("owner: the duty is another node's")
+// ErrNotOwner reports that this node does not, or no longer, own a partition. Nothing was written.
+var ErrNotOwner = errors.New("partition owned by another node")
 
-// partition returns the partition of changes: that of their jobs or, if they have none, that of this life.
-func (o *Holder) partitionOf(changes []records.Change) string {
-	for _, c := range changes {
-		if c.Kind == "job" || c.Kind == "open" || c.Kind == "array" {
-			if at := strings.LastIndexByte(c.Key, '.'); at > 0 {
-				return c.Key[:at]
+// partitionOf returns the partition of changes: that of the jobs that they belong to, or this incarnation's own if
+// they belong to none.
+func (h *Holder) partitionOf(changes []records.Change) string {
+	for _, change := range changes {
+		if change.Kind == "job" || change.Kind == "open" || change.Kind == "array" {
+			if at := strings.LastIndexByte(change.Key, '.'); at > 0 {
+				return change.Key[:at]
 			}
 		}
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.self.PartitionKey()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.self.incarnation.PartitionKey()
 }
 
-// Write commits all changes or none, under the epoch of the duty that they belong to.
-func (o *Holder) Write(ctx context.Context, changes ...records.Change) error {
+// Write commits all changes or none, under the epoch of the partition that they belong to.
+func (h *Holder) Write(ctx context.Context, changes ...records.Change) error {
 	if failpoint.Without == failpoint.Fence {
-		return o.store.Write(ctx, changes...)
+		return h.store.Write(ctx, changes...)
 	}
-	key := o.partitionOf(changes)
-	o.mu.Lock()
-	epoch, ok := o.manager.Epoch(key)
-	ok = ok && o.manager.HoldsLease(o.now())
-	o.mu.Unlock()
-	if !ok {
+	key := h.partitionOf(changes)
+	h.mu.Lock()
+	epoch, owned := h.manager.Epoch(key)
+	owned = owned && h.manager.HoldsLease(h.bootTime())
+	h.mu.Unlock()
+	if !owned {
 		return fmt.Errorf("%w: %s", ErrNotOwner, key)
 	}
-	t := &kv.Txn{Ops: []kv.Op{{Verb: kv.Check, Table: PartitionTable, Key: key, Cond: true, If: epoch}}}
-	t.Ops = append(t.Ops, store.Ops(changes)...)
-	r, err := o.store.Txn(ctx, t)
-	switch {
-	case err != nil:
+	ops := []kv.Op{{Verb: kv.Check, Table: PartitionTable, Key: key, Cond: true, If: epoch}}
+	result, err := h.store.Txn(ctx, &kv.Txn{Ops: append(ops, store.Ops(changes)...)})
+	if err != nil {
 		return err
-	case r.Failed == 0:
-		o.fencedWrites.Add(1)
-		o.mu.Lock()
-		acts, do := o.manager.WriteFenced(key, epoch, o.now()), o.spawn
-		o.mu.Unlock()
-		o.log.Warn("a write was refused by its epoch", "duty", key, "epoch", epoch, "now", r.Current)
-		do(func() { o.execute(context.WithoutCancel(ctx), acts) }) // not in this goroutine: the caller may hold a job's lock
+	}
+	if result.Failed == 0 { // the first operation, the check of the epoch
+		h.writeFenced(ctx, key, epoch, result.Current)
 		return fmt.Errorf("%w: %s", ErrNotOwner, key)
 	}
-	return store.Refusal(r)
+	return store.Refusal(result)
+}
+
+// writeFenced takes in that a write failed because its partition has another epoch by now.
+func (h *Holder) writeFenced(ctx context.Context, key string, epoch, current uint64) {
+	h.fencedWrites.Add(1)
+	h.mu.Lock()
+	actions, spawn := h.manager.WriteFenced(key, epoch, h.bootTime()), h.spawn
+	h.mu.Unlock()
+	h.log.Warn("write fenced", "partition", key, "epoch", epoch, "current_epoch", current)
+	// Not in this goroutine: the caller may hold the lock of a job, which giving up its partition needs.
+	spawn(func() { h.execute(context.WithoutCancel(ctx), actions) })
 }
 
 // Get reads a value from the store. Reads are not fenced.
-func (o *Holder) Get(ctx context.Context, kind, key string) ([]byte, bool, error) {
-	return o.store.Get(ctx, kind, key)
+func (h *Holder) Get(ctx context.Context, kind, key string) ([]byte, bool, error) {
+	return h.store.Get(ctx, kind, key)
 }
 
 // Page returns rows in the order of their keys.
-func (o *Holder) Page(ctx context.Context, kind, after string, limit int) ([]records.Row, error) {
-	return o.store.Page(ctx, kind, after, limit)
+func (h *Holder) Page(ctx context.Context, kind, after string, limit int) ([]records.Row, error) {
+	return h.store.Page(ctx, kind, after, limit)
 }
 
 // Local returns a value as this member has it, which may be stale.
-func (o *Holder) Local(kind, key string) ([]byte, bool) { return o.store.Local(kind, key) }
+func (h *Holder) Local(kind, key string) ([]byte, bool) { return h.store.Local(kind, key) }
 
-// Refused returns the number of writes that were fenced off.
-func (o *Holder) FencedWrites() int64 { return o.fencedWrites.Load() }
+// FencedWrites returns the number of writes that failed because their partition had another epoch.
+func (h *Holder) FencedWrites() int64 { return h.fencedWrites.Load() }
--- a/internal/owner/fence_test.go
+++ b/internal/owner/fence_test.go
@@ -16,70 +16,88 @@
 	"gatetack/internal/store"
 )
 
-// BenchmarkFence writes what a submission does, a job's two records, by sixteen clients to a store of three members on this
-// machine's disk: as the store takes it, and under a duty's epoch.
+// benchmarkClients is how many clients write at a time.
+const benchmarkClients = 16
+
+// BenchmarkFence writes what a submission does, the two records of a job, to a store of three members on this
+// machine's disk: as the store takes it, and under a partition's epoch.
 func BenchmarkFence(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
+	var running sync.WaitGroup
+	defer running.Wait()
+	defer cancel()
+	member := startMembers(ctx, b, &running)
+	self := duty.Incarnation{Node: "n0", StartedMs: 1}
+	holder, err := New(member, self, "addr", testLimits, slog.New(slog.DiscardHandler))
+	if err != nil {
+		b.Fatal(err)
+	}
+	holder.Connect(newFakeFront(), nil)
+	running.Go(func() { _ = holder.Run(ctx) })
+	standin.Until(b, "the partition is owned", holder.Ready)
+	var n int
+	for _, variant := range []struct {
+		name  string
+		store records.Store
+	}{{"off", member}, {"on", holder}} {
+		b.Run(variant.name, func(b *testing.B) {
+			benchmarkWrites(ctx, b, variant.store, func() string {
+				n++
+				return fmt.Sprintf("%s.%08d", self.PartitionKey(), n)
+			})
+		})
+	}
+}
+
+// startMembers starts a store of three members and returns one of them.
+func startMembers(ctx context.Context, b *testing.B, running *sync.WaitGroup) *store.Store {
 	ports, err := standin.Ports(3)
 	if err != nil {
 		b.Fatal(err)
 	}
 	members := map[string]string{"n0": ports[0], "n1": ports[1], "n2": ports[2]}
-	var all []*store.Store
-	var g sync.WaitGroup
+	var started []*store.Store
 	dir := b.TempDir()
 	for name, addr := range members {
-		s, err := store.Open(store.Config{Name: name, Dir: filepath.Join(dir, name), Listen: addr, Members: members}, lim, nil, slog.New(slog.DiscardHandler))
+		config := store.Config{Name: name, Dir: filepath.Join(dir, name), Listen: addr, Members: members}
+		member, err := store.Open(config, testLimits, nil, slog.New(slog.DiscardHandler))
 		if err != nil {
 			b.Fatal(err)
 		}
-		g.Go(func() { _ = s.Run(ctx) })
-		all = append(all, s)
+		running.Go(func() { _ = member.Run(ctx) })
+		started = append(started, member)
 	}
-	defer g.Wait()
-	defer cancel()
-	o, err := New(all[0], "n0", 1, "addr", lim, slog.New(slog.DiscardHandler))
-	if err != nil {
-		b.Fatal(err)
-	}
-	o.Connect(&work{adopted: map[string]bool{}}, nil)
-	g.Go(func() { _ = o.Run(ctx) })
-	standin.Until(b, "the duty is held", o.Ready)
-	own := duty.Incarnation{Node: "n0", StartedMs: 1}.PartitionKey()
-	var n int
-	for _, x := range []struct {
-		name string
-		to   records.Store
-	}{{"off", all[0]}, {"on", o}} {
-		b.Run(x.name, func(b *testing.B) {
-			var mu sync.Mutex
-			var took []time.Duration
-			var clients sync.WaitGroup
-			next := make(chan string)
-			for range 16 {
-				clients.Go(func() {
-					for key := range next {
-						began := time.Now()
-						err := x.to.Write(ctx, records.Change{Kind: "job", Key: key, Value: make([]byte, 600)}, records.Change{Kind: "open", Key: key, Value: []byte(key)})
-						mu.Lock()
-						took = append(took, time.Since(began))
-						if err != nil {
-							b.Error(err)
-						}
-						mu.Unlock()
-					}
-				})
-			}
-			for range b.N {
-				n++
-				next <- fmt.Sprintf("%s.%08d", own, n)
+	return started[0]
+}
+
+// benchmarkWrites writes b.N jobs by benchmarkClients clients, and reports their rate and latency.
+func benchmarkWrites(ctx context.Context, b *testing.B, to records.Store, nextKey func() string) {
+	var mu sync.Mutex
+	var took []time.Duration
+	var clients sync.WaitGroup
+	keys := make(chan string)
+	for range benchmarkClients {
+		clients.Go(func() {
+			for key := range keys {
+				began := time.Now()
+				err := to.Write(ctx, records.Change{Kind: "job", Key: key, Value: make([]byte, 600)},
+					records.Change{Kind: "open", Key: key, Value: []byte(key)})
+				mu.Lock()
+				took = append(took, time.Since(began))
+				if err != nil {
+					b.Error(err)
+				}
+				mu.Unlock()
 			}
-			close(next)
-			clients.Wait()
-			slices.Sort(took)
-			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "writes/s")
-			b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "median-ms")
-			b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
 		})
 	}
+	for range b.N {
+		keys <- nextKey()
+	}
+	close(keys)
+	clients.Wait()
+	slices.Sort(took)
+	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "writes/s")
+	b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "median-ms")
+	b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
 }
--- a/internal/owner/routing.go
+++ b/internal/owner/routing.go
@@ -8,38 +8,39 @@
 	"gatetack/internal/store"
 )
 
-// Place returns who owns a partition: this node, or the node whose batch front listens at addr. Neither, if nobody owns it at the
-// moment; known is false if there is no such duty.
-func (o *Holder) Locate(partition string) (addr string, ours, known bool) {
-	o.mu.Lock()
-	_, ours = o.manager.Epoch(partition)
-	o.mu.Unlock()
-	if ours {
+// nodeHeaderPrefix begins the names of headers that nodes add for one another.
+const nodeHeaderPrefix = "X-Gatetack-"
+
+// ForwardedByHeader is the header of a forwarded call. It names the node that forwarded it.
+const ForwardedByHeader = nodeHeaderPrefix + "Hop"
+
+// Locate returns who owns a partition: this node, or the node whose batch front listens at addr. It is neither if
+// nobody owns the partition at the moment. Known reports whether there is such a partition.
+func (h *Holder) Locate(key string) (addr string, here, known bool) {
+	h.mu.Lock()
+	_, here = h.manager.Epoch(key)
+	h.mu.Unlock()
+	if here {
 		return "", true, true
 	}
-	now := o.store.View()
-	d, known := decodePartition(now.Get(PartitionTable, partition))
-	if known {
-		if l, ok := decodeLease(now.Get(LeaseTable, d.Owner.Node)); ok && l.Incarnation == d.Owner {
-			return l.Addr, false, true
-		}
+	view := h.store.View()
+	partition, known := decodePartition(view.Get(PartitionTable, key))
+	if !known {
+		return "", false, false
 	}
-	return "", false, known
+	if owner, ok := decodeLease(view.Get(LeaseTable, partition.Owner.Node)); ok && owner.Incarnation == partition.Owner {
+		return owner.Addr, false, true
+	}
+	return "", false, true
 }
 
-// Pass forwards a client's call to another node, once: a forwarded call is not forwarded again.
-func (o *Holder) Forward(ctx context.Context, addr string, m *http1.Message) (*http1.Message, error) {
-	fields := []http1.Field{{Name: ForwardedByHeader, Value: o.name}}
-	for _, x := range m.Fields {
-		if strings.HasPrefix(x.Name, nodeHeaderPrefix) && x.Name != ForwardedByHeader {
-			fields = append(fields, x)
+// Forward makes a client's call at another node. A forwarded call is not forwarded again.
+func (h *Holder) Forward(ctx context.Context, addr string, call *http1.Message) (*http1.Message, error) {
+	fields := []http1.Field{{Name: ForwardedByHeader, Value: h.node}}
+	for _, field := range call.Fields {
+		if strings.HasPrefix(field.Name, nodeHeaderPrefix) && field.Name != ForwardedByHeader {
+			fields = append(fields, field)
 		}
 	}
-	return store.Call(ctx, addr, m.Method, m.Target, m.Body, o.ring, o.limits, fields...)
+	return store.Call(ctx, addr, call.Method, call.Target, call.Body, h.ring, h.limits, fields...)
 }
-
-// Hop is the header of a forwarded call. It names the node that forwarded it.
-const ForwardedByHeader = nodeHeaderPrefix + "Hop"
-
-// own begins the names of headers that nodes add for one another.
-const nodeHeaderPrefix = "X-Gatetack-"
--- a/internal/owner/view.go
+++ b/internal/owner/view.go
@@ -8,47 +8,61 @@
 	"gatetack/internal/kv"
 )
 
-// lease is the stored value of a lease.
+// maxEntries bounds how many leases and partitions a view has: more than a fleet ever has.
+const maxEntries = 1 << 16
+
+// leaseRecord is the stored value of a lease.
 type leaseRecord struct {
 	StartedMs int64  `json:"born"`
 	Addr      string `json:"addr"`
 }
 
-// view reads leases and duties as this member has them. Only the loop calls it.
-func (o *Holder) view() duty.View {
-	now := o.store.View()
-	v := duty.View{Leases: map[string]duty.Lease{}}
-	for _, e := range now.List(LeaseTable, "", "", 1<<16) {
-		if l, ok := decodeLease(e, true); ok {
-			v.Leases[l.Node] = l
+// partitionCache keeps what was read of the partition table. Leases change all the time, and partitions seldom.
+type partitionCache struct {
+	stamp      any // of the table when it was read
+	partitions []duty.Partition
+}
+
+// read returns the partitions of a view of the store. The caller may append to them.
+func (c *partitionCache) read(view *kv.View) []duty.Partition {
+	if stamp := view.Stamp(PartitionTable); stamp != c.stamp || c.stamp == nil {
+		c.stamp, c.partitions = stamp, nil
+		for _, entry := range view.List(PartitionTable, "", "", maxEntries) {
+			if partition, ok := decodePartition(entry, true); ok {
+				c.partitions = append(c.partitions, partition)
+			}
 		}
 	}
-	if at := now.Stamp(PartitionTable); at != o.cachedStamp || o.cachedStamp == nil {
-		o.cachedStamp, o.cachedPartitions = at, nil
-		for _, e := range now.List(PartitionTable, "", "", 1<<16) {
-			if d, ok := decodePartition(e, true); ok {
-				o.cachedPartitions = append(o.cachedPartitions, d)
-			}
+	return slices.Clip(c.partitions) // what is appended goes to a copy
+}
+
+// view reads leases and partitions as this member has them. Only the loop calls it.
+func (h *Holder) view() duty.View {
+	stored := h.store.View()
+	view := duty.View{Leases: map[string]duty.Lease{}, Partitions: h.partitions.read(stored)}
+	for _, entry := range stored.List(LeaseTable, "", "", maxEntries) {
+		if decoded, ok := decodeLease(entry, true); ok {
+			view.Leases[decoded.Node] = decoded
 		}
 	}
-	v.Partitions = slices.Clip(o.cachedPartitions) // what is added to it is a copy's
-	return v
+	return view
 }
 
-// leaseOf decodes the entry of a lease, if there is one and it is valid.
-func decodeLease(e *kv.Entry, found bool) (duty.Lease, bool) {
-	var l leaseRecord
-	if !found || json.Unmarshal(e.Value, &l) != nil {
+// decodeLease decodes the entry of a lease, if there is one and it is valid.
+func decodeLease(entry *kv.Entry, found bool) (duty.Lease, bool) {
+	var record leaseRecord
+	if !found || json.Unmarshal(entry.Value, &record) != nil {
 		return duty.Lease{}, false
 	}
-	return duty.Lease{Incarnation: duty.Incarnation{Node: e.Key, StartedMs: l.StartedMs}, Addr: l.Addr, Version: e.Version}, true
+	incarnation := duty.Incarnation{Node: entry.Key, StartedMs: record.StartedMs}
+	return duty.Lease{Incarnation: incarnation, Addr: record.Addr, Version: entry.Version}, true
 }
 
-// dutyOf decodes the entry of a duty, if there is one and it is valid.
-func decodePartition(e *kv.Entry, found bool) (duty.Partition, bool) {
+// decodePartition decodes the entry of a partition, if there is one and it is valid.
+func decodePartition(entry *kv.Entry, found bool) (duty.Partition, bool) {
 	var owner duty.Incarnation
-	if !found || json.Unmarshal(e.Value, &owner) != nil {
+	if !found || json.Unmarshal(entry.Value, &owner) != nil {
 		return duty.Partition{}, false
 	}
-	return duty.Partition{Key: e.Key, Owner: owner, Epoch: e.Version}, true
+	return duty.Partition{Key: entry.Key, Owner: owner, Epoch: entry.Version}, true
 }
--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -386,7 +386,7 @@
 	}
 	f.startAll()
 	for _, s := range f {
-		s.until("it holds its own lease", func() bool { return strings.Contains(s.wholeLog(), `msg="duty taken"`) })
+		s.until("it holds its own lease", func() bool { return strings.Contains(s.wholeLog(), `msg="partition claimed"`) })
 	}
 	template := `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q,"submitAsHold":true}`
 	run := func(s *site, id string) {
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -334,7 +334,7 @@
 			}
 			heir.until("another has the job", func() bool {
 				got := state(heir)
-				return heir.logged("duty taken up") || f[2].logged("duty taken up") || got == "UNDETERMINED"
+				return heir.logged("partition adopted") || f[2].logged("partition adopted") || got == "UNDETERMINED"
 			})
 			if x.want == "DONE" {
 				heir.until("it can be released there", func() bool {
--- a/test/links_test.go
+++ b/test/links_test.go
@@ -261,7 +261,7 @@
 	return state == "DONE" || state == "FAILED" || state == "UNDETERMINED"
 }
 
-var taken = regexp.MustCompile(`msg="duty taken" duty=(\S+) epoch=(\d+) was=(\d+)`)
+var taken = regexp.MustCompile(`msg="partition claimed" partition=(\S+) epoch=(\d+) previous_epoch=(\d+)`)
 
 // claims reads all claims from the processes' logs, and checks that each duty's are one chain: each epoch once, and each made
 // in the place of what stood after the one before it.
