--- a/cmd/gatetack/conform.go
+++ b/cmd/gatetack/conform.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"gatetack/internal/conform"
+	"gatetack/internal/conformance"
 )
 
 func conformCommand() *cobra.Command {
@@ -24,7 +24,7 @@
 			defer cancel()
 			out := &printer{writer: cmd.OutOrStdout()}
 			all, bad := 0, 0
-			err := conform.Run(ctx, addr, func(r conform.Result) {
+			err := conformance.Run(ctx, addr, func(r conformance.Result) {
 				if all++; r.Err != nil {
 					bad++
 				}
--- a/cmd/gatetack/duty.go
+++ b/cmd/gatetack/duty.go
@@ -10,8 +10,8 @@
 	"github.com/spf13/cobra"
 	"github.com/tidwall/gjson"
 
-	"gatetack/internal/duty"
-	"gatetack/internal/owner"
+	"gatetack/internal/lease"
+	"gatetack/internal/leaseholder"
 )
 
 // standing is a duty as commands show it.
@@ -52,7 +52,7 @@
 				if err := showDuties(cmd, output, []standing{x}); err != nil {
 					return err
 				}
-				v, _, err := r.call(cmd.Context(), "GET", "kv/"+owner.PartitionTable+"/"+url.PathEscape(a[0])+"?history=1", nil)
+				v, _, err := r.call(cmd.Context(), "GET", "kv/"+leaseholder.PartitionTable+"/"+url.PathEscape(a[0])+"?history=1", nil)
 				if err != nil {
 					return err
 				}
@@ -67,7 +67,7 @@
 		}})
 	cmd.AddCommand(&cobra.Command{Use: "release DUTY", Short: "take a duty from its owner: another node claims it", Args: oneDuty,
 		RunE: func(cmd *cobra.Command, a []string) error {
-			return r.giveDuty(cmd, a[0], duty.Incarnation{}, "is nobody's")
+			return r.giveDuty(cmd, a[0], lease.Incarnation{}, "is nobody's")
 		}})
 	cmd.AddCommand(&cobra.Command{Use: "move DUTY NODE", Short: "give a duty to a node that is alive",
 		Args: func(cmd *cobra.Command, a []string) error {
@@ -96,8 +96,8 @@
 }
 
 // giveDuty writes a duty as a life's, or nobody's, in the place of what stands there, and says what was done.
-func (r *storeRemote) giveDuty(cmd *cobra.Command, key string, to duty.Incarnation, done string) error {
-	path := "kv/" + owner.PartitionTable + "/" + url.PathEscape(key)
+func (r *storeRemote) giveDuty(cmd *cobra.Command, key string, to lease.Incarnation, done string) error {
+	path := "kv/" + leaseholder.PartitionTable + "/" + url.PathEscape(key)
 	v, _, err := r.call(cmd.Context(), "GET", path, nil)
 	if err != nil {
 		return err
@@ -119,12 +119,12 @@
 	return nil
 }
 
-func lifeOf(e gjson.Result) (l duty.Incarnation) {
+func lifeOf(e gjson.Result) (l lease.Incarnation) {
 	_ = json.Unmarshal([]byte(e.Get("value").String()), &l)
 	return l
 }
 
-func whose(l duty.Incarnation) string {
+func whose(l lease.Incarnation) string {
 	if l.IsZero() {
 		return "nobody"
 	}
@@ -132,11 +132,11 @@
 }
 
 // living are the lives that have a lease, with where their batch fronts are.
-func (r *storeRemote) living(cmd *cobra.Command) (map[duty.Incarnation]string, error) {
-	out := map[duty.Incarnation]string{}
-	return out, r.each(cmd.Context(), owner.LeaseTable, "", false, func(e gjson.Result) {
+func (r *storeRemote) living(cmd *cobra.Command) (map[lease.Incarnation]string, error) {
+	out := map[lease.Incarnation]string{}
+	return out, r.each(cmd.Context(), leaseholder.LeaseTable, "", false, func(e gjson.Result) {
 		v := gjson.Parse(e.Get("value").String())
-		out[duty.Incarnation{Node: e.Get("key").String(), StartedMs: v.Get("born").Int()}] = v.Get("addr").String()
+		out[lease.Incarnation{Node: e.Get("key").String(), StartedMs: v.Get("born").Int()}] = v.Get("addr").String()
 	})
 }
 
@@ -146,9 +146,9 @@
 		return nil, err
 	}
 	all := []standing{}
-	err = r.each(cmd.Context(), owner.PartitionTable, "", false, func(e gjson.Result) {
+	err = r.each(cmd.Context(), leaseholder.PartitionTable, "", false, func(e gjson.Result) {
 		l := lifeOf(e)
-		of, _ := duty.ParsePartitionKey(e.Get("key").String())
+		of, _ := lease.ParsePartitionKey(e.Get("key").String())
 		addr, alive := living[l]
 		x := standing{Duty: e.Get("key").String(), Owner: l.Node, Addr: addr, Epoch: e.Get("version").Uint(), Of: of.Node,
 			Since: time.UnixMilli(of.StartedMs).UTC(), Living: alive}
--- a/brain/connections.go
+++ b/internal/dispatch/connections.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // linkFailed backs off from new connections to a worker; those that are open go on being used.
 func (d *Dispatcher) noteDialFailure(executor *executor) {
--- a/brain/healthcheck.go
+++ b/internal/dispatch/healthcheck.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 const (
 	maxChecksPerRequest = 4 // probes for each of our requests, at most: knowledge against their price
--- a/brain/hedging.go
+++ b/internal/dispatch/hedging.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // late takes in that a worker owes a sign that it took a job for longer than it and its peers usually do.
 // Beside others that are heard of, one such attempt is its connection's fault: the worker is kept. It holds
--- a/brain/retry.go
+++ b/internal/dispatch/retry.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 const (
 	retryAfterRuns = 0.5 // mean runs, by tokens out, until a refused client may find one: fewer storms
--- a/brain/servicetime.go
+++ b/internal/dispatch/servicetime.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 const (
 	startNoteGraceSteps = 4    // batches a start note may take beyond a connection until a job counts as queued
--- a/brain/window.go
+++ b/internal/dispatch/window.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // arrivals is how often something comes, as learned from the times between.
 type arrivals struct{ perSecond, last float64 }
--- a/internal/executor/deadline_test.go
+++ b/internal/executor/deadline_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"gatetack/brain"
-	"gatetack/internal/gate"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/node"
-	"gatetack/internal/standin"
+	"gatetack/internal/precheck"
+	"gatetack/internal/testenv"
 )
 
 // holdUp is how long a process may stand still between its clock and a write; shortHoldUp is less, and still more than the time that a
@@ -42,23 +42,23 @@
 		"less than the pause": {300 * time.Millisecond, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lim := standin.Lim
+			lim := testenv.Lim
 			lim.SettleLeast, lim.SettleMost = x.settle, x.settle
 			c, s := setup(t, lim)
 			came := make(chan string, 1)
 			box(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
 			a := attempt(1)
 			looks := 0
-			a.Job.Still = func() gate.Reason {
+			a.Job.Still = func() precheck.Reason {
 				if looks++; looks == 2 { // before the first byte
 					c.live[1].Deadline = time.Now().Add(x.left)
 				}
-				return gate.May
+				return precheck.May
 			}
 			c.Send(a)
-			standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 			c.pool.drop(c.address(7))
-			if got, text := s.outcomes(1), <-came; got[0] != brain.Moot || text != "" {
+			if got, text := s.outcomes(1), <-came; got[0] != dispatch.Moot || text != "" {
 				t.Errorf("outcomes %v, %q was written", got, text)
 			}
 		})
@@ -115,9 +115,9 @@
 func TestToldTimeHoldsWhenHeldUp(t *testing.T) {
 	kinds := map[string]func(a *node.Attempt){
 		"first": func(*node.Attempt) {},
-		"retry": func(a *node.Attempt) { a.Rules = gate.Rules{Number: 2, Most: 3, Effect: brain.Unsafe} },
+		"retry": func(a *node.Attempt) { a.Rules = precheck.Rules{Number: 2, Most: 3, Effect: dispatch.Unsafe} },
 		"hedge": func(a *node.Attempt) {
-			a.Rules = gate.Rules{Number: 2, Most: 3, Effect: brain.Safe, Ran: true}
+			a.Rules = precheck.Rules{Number: 2, Most: 3, Effect: dispatch.Safe, Ran: true}
 			a.Deadline = time.Now().Add(4 * time.Second)
 		},
 	}
@@ -131,21 +131,21 @@
 	for kind, set := range kinds {
 		for _, held := range holdings {
 			t.Run(fmt.Sprintf("%s/held up at %s for %v", kind, held.moment, held.length), func(t *testing.T) {
-				c, s := setup(t, standin.Lim)
+				c, s := setup(t, testenv.Lim)
 				n := box(t, c, says(accepted))
 				a := attempt(1)
-				a.Rules = gate.Rules{Number: 1, Most: 3}
+				a.Rules = precheck.Rules{Number: 1, Most: 3}
 				set(&a)
-				client := a.Deadline.Add(standin.Lim.AnswerEarly)
+				client := a.Deadline.Add(testenv.Lim.AnswerEarly)
 				seen := watchWrites(t, c, func() time.Time { return client }, func(conn int, at string) {
 					if at == held.moment && conn == 0 {
 						time.Sleep(held.length)
 					}
 				})
 				c.Send(a)
-				standin.Until(t, "it is sent", func() bool { return seen.requests() > 0 || len(s.outcomes(1)) > 0 })
+				testenv.Until(t, "it is sent", func() bool { return seen.requests() > 0 || len(s.outcomes(1)) > 0 })
 				_ = c.Callback([]byte(done))
-				if got := s.outcomes(1); len(got) != 1 || got[0] != brain.Served || seen.requests() != 1 || n() < held.conns {
+				if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served || seen.requests() != 1 || n() < held.conns {
 					t.Errorf("outcomes %v, %d requests whole over %d connections, want %d", got, seen.requests(), n(), held.conns)
 				}
 			})
@@ -155,18 +155,18 @@
 
 // A process that is held up each time sends nothing rather than tell too much.
 func TestHeldUpEachTimeIsNotSent(t *testing.T) {
-	c, s := setup(t, standin.Lim)
+	c, s := setup(t, testenv.Lim)
 	box(t, c, says(accepted))
 	a := attempt(1)
-	client := a.Deadline.Add(standin.Lim.AnswerEarly)
+	client := a.Deadline.Add(testenv.Lim.AnswerEarly)
 	seen := watchWrites(t, c, func() time.Time { return client }, func(_ int, moment string) {
 		if moment == "head" {
 			time.Sleep(holdUp)
 		}
 	})
 	c.Send(a)
-	standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	if got := s.outcomes(1); got[0] != brain.Moot || seen.requests() != 0 {
+	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	if got := s.outcomes(1); got[0] != dispatch.Moot || seen.requests() != 0 {
 		t.Errorf("outcomes %v, %d requests whole", got, seen.requests())
 	}
 }
--- a/internal/duty/action.go
+++ b/internal/lease/action.go
@@ -1,4 +1,4 @@
-package duty
+package lease
 
 // Lease is a node's lease as the store has it.
 type Lease struct {
--- a/internal/duty/doc.go
+++ b/internal/lease/doc.go
@@ -1,6 +1,6 @@
-// Package duty decides which node of a fleet owns which partition of the batch jobs: who holds a lease, who may claim
+// Package lease decides which node of a fleet owns which partition of the batch jobs: who holds a lease, who may claim
 // a partition whose owner has none, and under which epoch. It does no I/O, reads no clock and starts no goroutine;
-// package owner carries out what it decides and owns the only Manager of a process.
+// package leaseholder carries out what it decides and owns the only Manager of a process.
 //
 // # Safety
 //
@@ -18,4 +18,4 @@
 // committed, on its leader's clock. As long as the two clocks drift apart by less than MaxClockDrift in a TTL, an
 // owner has stopped before another node may claim. With worse clocks two nodes act for a while, and the epoch
 // decides.
-package duty
+package lease
--- a/internal/owner/actions.go
+++ b/internal/leaseholder/actions.go
@@ -1,35 +1,35 @@
-package owner
+package leaseholder
 
 import (
 	"context"
 	"encoding/json"
 	"time"
 
-	"gatetack/internal/duty"
 	"gatetack/internal/failpoint"
 	"gatetack/internal/kv"
+	"gatetack/internal/lease"
 )
 
 // execute carries out actions. Calls to the store run outside the loop: one that waits for a leader must not delay
 // noticing that a lease has expired.
-func (h *Holder) execute(ctx context.Context, actions []duty.Action) {
+func (h *Holder) execute(ctx context.Context, actions []lease.Action) {
 	h.mu.Lock()
 	spawn := h.spawn
 	h.mu.Unlock()
 	for _, action := range actions {
 		switch action.Kind {
-		case duty.RenewLease:
+		case lease.RenewLease:
 			begunAt := h.bootTime()
 			spawn(func() { h.renewLease(ctx, begunAt, action.ExpectedVersion) })
-		case duty.ClaimPartition:
+		case lease.ClaimPartition:
 			spawn(func() { h.claim(ctx, action, "owner has no lease") })
-		case duty.StartPartition:
+		case lease.StartPartition:
 			spawn(func() { h.adopt(ctx, action) })
-		case duty.StopPartition:
+		case lease.StopPartition:
 			h.stop(action)
-		case duty.AdvanceIncarnation:
+		case lease.AdvanceIncarnation:
 			h.advanceIncarnation()
-		case duty.Superseded:
+		case lease.Superseded:
 			h.mu.Lock()
 			h.self.superseded = true
 			h.mu.Unlock()
@@ -70,7 +70,7 @@
 
 // claim writes this node as the owner of a partition. This incarnation's own partition is not adopted afterwards: its
 // records are jobs in progress here, which would be taken for what an earlier incarnation left.
-func (h *Holder) claim(ctx context.Context, action duty.Action, reason string) {
+func (h *Holder) claim(ctx context.Context, action lease.Action, reason string) {
 	h.mu.Lock()
 	incarnation := h.manager.Incarnation()
 	h.mu.Unlock()
@@ -98,7 +98,7 @@
 
 // adopt adopts the jobs of a claimed partition. It tries again until it succeeds, the partition is lost or the
 // context ends.
-func (h *Holder) adopt(ctx context.Context, action duty.Action) {
+func (h *Holder) adopt(ctx context.Context, action lease.Action) {
 	select {
 	case h.adoptions <- struct{}{}:
 		defer func() { <-h.adoptions }()
@@ -131,7 +131,7 @@
 
 // stop gives up a partition that was lost. If it was that of this incarnation's own jobs, jobs that are taken from
 // now on belong to another incarnation.
-func (h *Holder) stop(action duty.Action) {
+func (h *Holder) stop(action lease.Action) {
 	h.log.Warn("partition lost", "partition", action.Partition, "epoch", action.Epoch)
 	if failpoint.Without == failpoint.Fence {
 		return
@@ -188,7 +188,7 @@
 	h.mu.Lock()
 	h.released = true
 	var ops []kv.Op
-	nobody, _ := json.Marshal(duty.Incarnation{})
+	nobody, _ := json.Marshal(lease.Incarnation{})
 	for _, key := range h.manager.Partitions() {
 		epoch, _ := h.manager.Epoch(key)
 		ops = append(ops, kv.Op{Verb: kv.Put, Table: PartitionTable, Key: key, Value: nobody, Keep: true, Cond: true, If: epoch})
--- a/internal/owner/fence.go
+++ b/internal/leaseholder/fence.go
@@ -1,4 +1,4 @@
-package owner
+package leaseholder
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"strings"
 
 	"gatetack/internal/failpoint"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/kv"
-	"gatetack/internal/records"
 	"gatetack/internal/store"
 )
 
@@ -17,7 +17,7 @@
 
 // partitionOf returns the partition of changes: that of the jobs that they belong to, or this incarnation's own if
 // they belong to none.
-func (h *Holder) partitionOf(changes []records.Change) string {
+func (h *Holder) partitionOf(changes []jobstore.Change) string {
 	for _, change := range changes {
 		if change.Kind == "job" || change.Kind == "open" || change.Kind == "array" {
 			if at := strings.LastIndexByte(change.Key, '.'); at > 0 {
@@ -31,7 +31,7 @@
 }
 
 // Write commits all changes or none, under the epoch of the partition that they belong to.
-func (h *Holder) Write(ctx context.Context, changes ...records.Change) error {
+func (h *Holder) Write(ctx context.Context, changes ...jobstore.Change) error {
 	if failpoint.Without == failpoint.Fence {
 		return h.store.Write(ctx, changes...)
 	}
@@ -72,7 +72,7 @@
 }
 
 // Page returns rows in the order of their keys.
-func (h *Holder) Page(ctx context.Context, kind, after string, limit int) ([]records.Row, error) {
+func (h *Holder) Page(ctx context.Context, kind, after string, limit int) ([]jobstore.Row, error) {
 	return h.store.Page(ctx, kind, after, limit)
 }
 
--- a/internal/owner/fence_test.go
+++ b/internal/leaseholder/fence_test.go
@@ -1,4 +1,4 @@
-package owner
+package leaseholder
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"gatetack/internal/duty"
-	"gatetack/internal/records"
-	"gatetack/internal/standin"
+	"gatetack/internal/jobstore"
+	"gatetack/internal/lease"
 	"gatetack/internal/store"
+	"gatetack/internal/testenv"
 )
 
 // benchmarkClients is how many clients write at a time.
@@ -27,18 +27,18 @@
 	defer running.Wait()
 	defer cancel()
 	member := startMembers(ctx, b, &running)
-	self := duty.Incarnation{Node: "n0", StartedMs: 1}
+	self := lease.Incarnation{Node: "n0", StartedMs: 1}
 	holder, err := New(member, self, "addr", testLimits, slog.New(slog.DiscardHandler))
 	if err != nil {
 		b.Fatal(err)
 	}
 	holder.Connect(newFakeFront(), nil)
 	running.Go(func() { _ = holder.Run(ctx) })
-	standin.Until(b, "the partition is owned", holder.Ready)
+	testenv.Until(b, "the partition is owned", holder.Ready)
 	var n int
 	for _, variant := range []struct {
 		name  string
-		store records.Store
+		store jobstore.Store
 	}{{"off", member}, {"on", holder}} {
 		b.Run(variant.name, func(b *testing.B) {
 			benchmarkWrites(ctx, b, variant.store, func() string {
@@ -51,7 +51,7 @@
 
 // startMembers starts a store of three members and returns one of them.
 func startMembers(ctx context.Context, b *testing.B, running *sync.WaitGroup) *store.Store {
-	ports, err := standin.Ports(3)
+	ports, err := testenv.Ports(3)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 }
 
 // benchmarkWrites writes b.N jobs by benchmarkClients clients, and reports their rate and latency.
-func benchmarkWrites(ctx context.Context, b *testing.B, to records.Store, nextKey func() string) {
+func benchmarkWrites(ctx context.Context, b *testing.B, to jobstore.Store, nextKey func() string) {
 	var mu sync.Mutex
 	var took []time.Duration
 	var clients sync.WaitGroup
@@ -80,8 +80,8 @@
 		clients.Go(func() {
 			for key := range keys {
 				began := time.Now()
-				err := to.Write(ctx, records.Change{Kind: "job", Key: key, Value: make([]byte, 600)},
-					records.Change{Kind: "open", Key: key, Value: []byte(key)})
+				err := to.Write(ctx, jobstore.Change{Kind: "job", Key: key, Value: make([]byte, 600)},
+					jobstore.Change{Kind: "open", Key: key, Value: []byte(key)})
 				mu.Lock()
 				took = append(took, time.Since(began))
 				if err != nil {
--- a/internal/owner/fleet_test.go
+++ b/internal/leaseholder/fleet_test.go
@@ -1,4 +1,4 @@
-package owner
+package leaseholder
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"gatetack/internal/duty"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/kv"
+	"gatetack/internal/lease"
 	"gatetack/internal/limits"
-	"gatetack/internal/records"
 )
 
 var testLimits = limits.New(0, 0, 0, 0, 0)
@@ -58,7 +58,7 @@
 	return entry.Value, true
 }
 
-func (m *fakeMember) Write(context.Context, ...records.Change) error {
+func (m *fakeMember) Write(context.Context, ...jobstore.Change) error {
 	return errors.New("writes of a holder are transactions")
 }
 
@@ -73,7 +73,7 @@
 	return entry.Value, true, nil
 }
 
-func (m *fakeMember) Page(context.Context, string, string, int) ([]records.Row, error) {
+func (m *fakeMember) Page(context.Context, string, string, int) ([]jobstore.Row, error) {
 	return nil, nil
 }
 
@@ -149,7 +149,7 @@
 	node.member = &fakeMember{sharedStore: f.store, view: f.store.state.Snapshot()}
 	node.front = newFakeFront()
 	node.paused, node.calls = false, nil
-	self := duty.Incarnation{Node: node.name, StartedMs: f.incarnations}
+	self := lease.Incarnation{Node: node.name, StartedMs: f.incarnations}
 	holder, err := New(node.member, self, "addr of "+node.name, testLimits, slog.New(slog.DiscardHandler))
 	if err != nil {
 		f.t.Fatal(err)
--- a/internal/owner/holder.go
+++ b/internal/leaseholder/holder.go
@@ -1,10 +1,10 @@
-// Package owner carries out what package duty decides: it renews this node's lease in the replicated store, claims
+// Package leaseholder carries out what package lease decides: it renews this node's lease in the replicated store, claims
 // and releases partitions of batch jobs, and fences all that is written for them. It is the store of the batch front:
 // a write commits only if the partition that it belongs to still has the epoch under which this node owns it.
 //
-// A Holder owns the only duty.Manager of its process. Its Run is the one loop that steps the Manager; calls to the
+// A Holder owns the only lease.Manager of its process. Its Run is the one loop that steps the Manager; calls to the
 // store run in goroutines that Run starts and waits for.
-package owner
+package leaseholder
 
 import (
 	"context"
@@ -16,11 +16,11 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/internal/duty"
-	"gatetack/internal/keys"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/kv"
+	"gatetack/internal/lease"
 	"gatetack/internal/limits"
-	"gatetack/internal/records"
+	"gatetack/internal/pki"
 	"gatetack/internal/store"
 )
 
@@ -45,7 +45,7 @@
 
 // Store is the part of a member of the replicated store that a Holder needs.
 type Store interface {
-	records.Store
+	jobstore.Store
 	Txn(context.Context, *kv.Txn) (*kv.Result, error)
 	View() *kv.View
 	Local(kind, key string) ([]byte, bool)
@@ -73,7 +73,7 @@
 	node     string
 	limits   limits.Limits
 	log      *slog.Logger
-	ring     *keys.Ring
+	ring     *pki.Ring
 	bootTime func() time.Duration // a clock that runs on while the machine sleeps
 
 	fencedWrites atomic.Int64
@@ -82,7 +82,7 @@
 
 	mu           sync.Mutex
 	spawn        func(func()) // runs a call to the store outside the loop
-	manager      *duty.Manager
+	manager      *lease.Manager
 	self         selfState
 	predecessors predecessorState
 	released     bool // at a planned shutdown: nothing is claimed any more
@@ -90,7 +90,7 @@
 
 // selfState is what a Holder knows of the partition for its own new jobs.
 type selfState struct {
-	incarnation duty.Incarnation // under which new jobs are taken
+	incarnation lease.Incarnation // under which new jobs are taken
 	owned       bool
 	superseded  bool // a later incarnation of this node runs
 }
@@ -102,8 +102,8 @@
 }
 
 // New returns a Holder for an incarnation of a node, whose batch front listens at an address.
-func New(s Store, self duty.Incarnation, addr string, lim limits.Limits, log *slog.Logger) (*Holder, error) {
-	timing := duty.Timing{
+func New(s Store, self lease.Incarnation, addr string, lim limits.Limits, log *slog.Logger) (*Holder, error) {
+	timing := lease.Timing{
 		TTL:           lim.LeaseTTL,
 		RenewInterval: lim.LeaseTTL / renewalsPerTTL,
 		MaxClockDrift: lim.LeaseTTL / driftsPerTTL,
@@ -122,13 +122,13 @@
 		bootTime:  store.BootTime,
 		spawn:     func(call func()) { go call() },
 		adoptions: make(chan struct{}, maxAdoptions),
-		manager:   duty.New(self, timing),
+		manager:   lease.New(self, timing),
 		self:      selfState{incarnation: self},
 	}, nil
 }
 
 // Connect sets the front and the keys for calls to other nodes. It must be called before Run.
-func (h *Holder) Connect(front Front, ring *keys.Ring) { h.front, h.ring = front, ring }
+func (h *Holder) Connect(front Front, ring *pki.Ring) { h.front, h.ring = front, ring }
 
 // Ready reports whether this incarnation owns its own partition, and everything that earlier incarnations of this
 // node left was adopted by some node.
@@ -179,7 +179,7 @@
 }
 
 // listPredecessors finds out, once, which partitions earlier incarnations of this node left.
-func (h *Holder) listPredecessors(ctx context.Context, view duty.View) {
+func (h *Holder) listPredecessors(ctx context.Context, view lease.View) {
 	h.mu.Lock()
 	listed, self := h.predecessors.listed, h.self.incarnation
 	h.mu.Unlock()
@@ -202,21 +202,21 @@
 }
 
 // claimSelf makes the partition of this incarnation, once it has a lease.
-func (h *Holder) claimSelf(ctx context.Context, view duty.View) {
+func (h *Holder) claimSelf(ctx context.Context, view lease.View) {
 	stored, found := view.Leases[h.node]
 	h.mu.Lock()
 	due := h.predecessors.listed && !h.self.owned && !h.self.superseded && h.manager.HoldsLease(h.bootTime()) && found
 	key := h.self.incarnation.PartitionKey()
 	h.mu.Unlock()
 	if due {
-		h.claim(ctx, duty.Action{Partition: key, OwnLease: stored.Version}, "own incarnation")
+		h.claim(ctx, lease.Action{Partition: key, OwnLease: stored.Version}, "own incarnation")
 	}
 }
 
 // forgetAdoptedElsewhere forgets partitions of earlier incarnations that another node has claimed: it adopts them,
 // and waiting for them here would keep this incarnation from taking jobs for good. A partition whose owner is an
 // earlier incarnation of this very node, whose lease has not expired yet, is not among them. The lock is held.
-func (h *Holder) forgetAdoptedElsewhere(view duty.View) {
+func (h *Holder) forgetAdoptedElsewhere(view lease.View) {
 	if len(h.predecessors.unadopted) == 0 {
 		return
 	}
@@ -235,11 +235,11 @@
 
 // unclaimedPredecessors returns partitions of earlier incarnations that are on record without an entry in the
 // partition table: a version of the program that had no such table left them. The lock is held.
-func (h *Holder) unclaimedPredecessors(view duty.View) (out []duty.Partition) {
+func (h *Holder) unclaimedPredecessors(view lease.View) (out []lease.Partition) {
 	for _, key := range h.predecessors.unadopted {
-		known := slices.ContainsFunc(view.Partitions, func(p duty.Partition) bool { return p.Key == key })
+		known := slices.ContainsFunc(view.Partitions, func(p lease.Partition) bool { return p.Key == key })
 		if _, owned := h.manager.Epoch(key); !known && !owned {
-			out = append(out, duty.Partition{Key: key})
+			out = append(out, lease.Partition{Key: key})
 		}
 	}
 	return out
--- a/internal/owner/holder_test.go
+++ b/internal/leaseholder/holder_test.go
@@ -1,4 +1,4 @@
-package owner
+package leaseholder
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"gatetack/internal/duty"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/kv"
-	"gatetack/internal/records"
+	"gatetack/internal/lease"
 )
 
 // writes is what was written for partitions so far: the latest epoch of each, and who wrote under which.
@@ -24,7 +24,7 @@
 func (f *fleet) write(node *testNode, so *writes) {
 	for _, key := range node.manager.Partitions() {
 		epoch, _ := node.manager.Epoch(key)
-		change := records.Change{Kind: "job", Key: key + ".x", Value: []byte(node.name)}
+		change := jobstore.Change{Kind: "job", Key: key + ".x", Value: []byte(node.name)}
 		if node.Write(context.Background(), change) != nil {
 			continue
 		}
@@ -69,7 +69,7 @@
 		if owners[partition.Key] == "" {
 			f.t.Errorf("seed %d: nobody owns %s\n%v", seed, partition.Key, f.history)
 		}
-		first, ok := duty.ParsePartitionKey(partition.Key)
+		first, ok := lease.ParsePartitionKey(partition.Key)
 		if ok && first.Node != owners[partition.Key] {
 			takeovers++
 		}
@@ -124,7 +124,7 @@
 	}
 	late.bootTime = func() time.Duration { return 0 } // its clock stood still
 	late.manager.LeaseRenewed(0, 1)
-	change := records.Change{Kind: "job", Key: key + ".x", Value: []byte("late")}
+	change := jobstore.Change{Kind: "job", Key: key + ".x", Value: []byte("late")}
 	if err := late.Write(context.Background(), change); !errors.Is(err, ErrNotOwner) {
 		t.Fatalf("a late owner's write: %v", err)
 	}
@@ -165,7 +165,7 @@
 	f, restarted, left := newRestartedFleet(t, 2)
 	restarted.predecessors = predecessorState{listed: true, unadopted: []string{left}}
 	other := f.nodes[1]
-	claim := duty.Action{Partition: left, OwnLease: other.manager.OwnLease(), ExpectedVersion: f.epoch(left)}
+	claim := lease.Action{Partition: left, OwnLease: other.manager.OwnLease(), ExpectedVersion: f.epoch(left)}
 	other.claim(t.Context(), claim, "test")
 	f.steps(60)
 	if !restarted.Ready() {
--- a/internal/owner/scale_test.go
+++ b/internal/leaseholder/scale_test.go
@@ -1,4 +1,4 @@
-package owner
+package leaseholder
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"gatetack/internal/duty"
 	"gatetack/internal/kv"
+	"gatetack/internal/lease"
 )
 
 var scaleNodes = flag.Int("scale", 20, "nodes of the scale test; the figures in docs/design/duties.md are of 100")
@@ -46,7 +46,7 @@
 		f.t.Fatal(err)
 	}
 	for i := range partitionsPerNode {
-		key := duty.Incarnation{Node: node.name, StartedMs: int64(1000 + i)}.PartitionKey()
+		key := lease.Incarnation{Node: node.name, StartedMs: int64(1000 + i)}.PartitionKey()
 		put := kv.Op{Verb: kv.Put, Table: PartitionTable, Key: key, Value: value}
 		f.store.index++
 		f.store.state.Apply(f.store.index, &kv.Txn{At: f.store.nowMs, Ops: []kv.Op{put}})
--- a/internal/owner/view.go
+++ b/internal/leaseholder/view.go
@@ -1,11 +1,11 @@
-package owner
+package leaseholder
 
 import (
 	"encoding/json"
 	"slices"
 
-	"gatetack/internal/duty"
 	"gatetack/internal/kv"
+	"gatetack/internal/lease"
 )
 
 // maxEntries bounds how many leases and partitions a view has: more than a fleet ever has.
@@ -20,11 +20,11 @@
 // partitionCache keeps what was read of the partition table. Leases change all the time, and partitions seldom.
 type partitionCache struct {
 	stamp      any // of the table when it was read
-	partitions []duty.Partition
+	partitions []lease.Partition
 }
 
 // read returns the partitions of a view of the store. The caller may append to them.
-func (c *partitionCache) read(view *kv.View) []duty.Partition {
+func (c *partitionCache) read(view *kv.View) []lease.Partition {
 	if stamp := view.Stamp(PartitionTable); stamp != c.stamp || c.stamp == nil {
 		c.stamp, c.partitions = stamp, nil
 		for _, entry := range view.List(PartitionTable, "", "", maxEntries) {
@@ -37,9 +37,9 @@
 }
 
 // view reads leases and partitions as this member has them. Only the loop calls it.
-func (h *Holder) view() duty.View {
+func (h *Holder) view() lease.View {
 	stored := h.store.View()
-	view := duty.View{Leases: map[string]duty.Lease{}, Partitions: h.partitions.read(stored)}
+	view := lease.View{Leases: map[string]lease.Lease{}, Partitions: h.partitions.read(stored)}
 	for _, entry := range stored.List(LeaseTable, "", "", maxEntries) {
 		if decoded, ok := decodeLease(entry, true); ok {
 			view.Leases[decoded.Node] = decoded
@@ -49,20 +49,20 @@
 }
 
 // decodeLease decodes the entry of a lease, if there is one and it is valid.
-func decodeLease(entry *kv.Entry, found bool) (duty.Lease, bool) {
+func decodeLease(entry *kv.Entry, found bool) (lease.Lease, bool) {
 	var record leaseRecord
 	if !found || json.Unmarshal(entry.Value, &record) != nil {
-		return duty.Lease{}, false
+		return lease.Lease{}, false
 	}
-	incarnation := duty.Incarnation{Node: entry.Key, StartedMs: record.StartedMs}
-	return duty.Lease{Incarnation: incarnation, Addr: record.Addr, Version: entry.Version}, true
+	incarnation := lease.Incarnation{Node: entry.Key, StartedMs: record.StartedMs}
+	return lease.Lease{Incarnation: incarnation, Addr: record.Addr, Version: entry.Version}, true
 }
 
 // decodePartition decodes the entry of a partition, if there is one and it is valid.
-func decodePartition(entry *kv.Entry, found bool) (duty.Partition, bool) {
-	var owner duty.Incarnation
+func decodePartition(entry *kv.Entry, found bool) (lease.Partition, bool) {
+	var owner lease.Incarnation
 	if !found || json.Unmarshal(entry.Value, &owner) != nil {
-		return duty.Partition{}, false
+		return lease.Partition{}, false
 	}
-	return duty.Partition{Key: entry.Key, Owner: owner, Epoch: entry.Version}, true
+	return lease.Partition{Key: entry.Key, Owner: owner, Epoch: entry.Version}, true
 }
--- a/internal/node/deadline_test.go
+++ b/internal/node/deadline_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // First attempts, retries and hedged requests all end AnswerEarly before their client leaves, whenever they are made: the time that an
@@ -16,16 +16,16 @@
 	}
 	for name, x := range map[string]kind{
 		"first": {1, func(*host, uint32) {}},
-		"retry": {2, func(h *host, _ uint32) { h.c.Result(Result{Attempt: h.live[0].ID, Outcome: brain.Full}) }},
+		"retry": {2, func(h *host, _ uint32) { h.c.Result(Result{Attempt: h.live[0].ID, Outcome: dispatch.Full}) }},
 		"hedge": {2, func(h *host, id uint32) {
 			other := WorkerID("s-1")
 			if h.live[0].Worker == other {
 				other = WorkerID("s-2")
 			}
-			h.c.act(&brain.Action{Kind: brain.ActSend, Job: id, Worker: other}, h.at)
+			h.c.act(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Worker: other}, h.at)
 		}},
 		"bounded hedge": {2, func(h *host, id uint32) {
-			h.c.act(&brain.Action{Kind: brain.ActSend, Job: id, Worker: h.live[0].Worker, For: 60_000}, h.at)
+			h.c.act(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Worker: h.live[0].Worker, For: 60_000}, h.at)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"gatetack/internal/atomicfile/atomicfiletest"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // A store of one member whose disk is full, or loses what it took until it is synced, acknowledges nothing meanwhile, keeps
@@ -37,7 +37,7 @@
 			if err := restore(); err != nil {
 				t.Fatal(err)
 			}
-			standin.Until(t, "it leads again", m.s.Leads)
+			testenv.Until(t, "it leads again", m.s.Leads)
 			put(t, m, "after", "z")
 			m.stop()
 			m.start(t)
@@ -110,7 +110,7 @@
 	// A later call would be under way as well: its limit is an hour.
 	ended := make(chan struct{})
 	go func() { lead.stop(); close(ended) }()
-	standin.Until(t, "it ends", func() bool {
+	testenv.Until(t, "it ends", func() bool {
 		select {
 		case <-ended:
 			return true
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -15,7 +15,7 @@
 
 	"gatetack/internal/kv"
 	"gatetack/internal/limits"
-	"gatetack/internal/member"
+	"gatetack/internal/membership"
 )
 
 // goldenEntries are entries of the log as raft hands them over.
@@ -79,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &mark{folder: 0x1122334455667788, boot: 0x99aabbccddeeff00, last: member.Point{Term: 2, Index: 4}, term: 3}
+	m := &mark{folder: 0x1122334455667788, boot: 0x99aabbccddeeff00, last: membership.Point{Term: 2, Index: 4}, term: 3}
 	fmt.Fprintf(&out, "mark %x\n", m.bytes())
 	compareGolden(t, "disk.txt", out.String())
 }
--- a/test/golden/decisions.sh
+++ b/test/golden/decisions.sh
@@ -21,10 +21,10 @@
 }
 trap finish EXIT
 
-(cd "$here/../.." && go build -o "$work/simhost" ./cmd/simhost)
+(cd "$here/../.." && go build -o "$work/simadapter" ./cmd/simadapter)
 cat > "$work/adapter" <<END
 #!/bin/bash
-tee "$work/events" | "$work/simhost" | tee "$work/replies"
+tee "$work/events" | "$work/simadapter" | tee "$work/replies"
 END
 chmod +x "$work/adapter"
 printf 'build = "true"\nrun = "true"\nsim = "exec %s"\npolicy = []\nnode = []\npackages = []\n' "$work/adapter" > "$work/balancer.toml"
--- a/test/golden_written_test.go
+++ b/test/golden_written_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // goldenWritten are the parts of stored values and members' answers that are others in each run, beside goldenVolatile.
@@ -91,10 +91,10 @@
 		{"POST", "/v1/members", `{}`},
 		{"GET", "/v1/nothing", ""},
 	} {
-		m, err := standin.Call(s.store, call.method, call.path, []byte(call.body))
+		m, err := testenv.Call(s.store, call.method, call.path, []byte(call.body))
 		out.WriteString("== " + call.method + " " + call.path + " " + call.body + "\n" + goldenCounted(goldenAnswer(m, err)))
 	}
-	status, err := standin.Call(s.store, "GET", "/v1/status", nil)
+	status, err := testenv.Call(s.store, "GET", "/v1/status", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
