--- a/internal/capacity/measure/duties.go
+++ b/internal/capacity/measure/duties.go
@@ -86,7 +86,7 @@
 	s := &fleetStore{state: kv.New(kv.Bounds{Key: 512, Value: 1 << 16, Ops: 256, Done: 8192})}
 	for i := range nodes - 1 {
 		life := lease.Incarnation{Node: fmt.Sprintf("node-%d", i+1), StartedMs: int64(1 + i)}
-		lease, err := json.Marshal(map[string]any{"born": life.StartedMs, "addr": "10.0.0.1:8443"})
+		record, err := json.Marshal(map[string]any{"born": life.StartedMs, "addr": "10.0.0.1:8443"})
 		if err != nil {
 			return DutyCost{}, err
 		}
@@ -95,7 +95,7 @@
 			return DutyCost{}, err
 		}
 		if _, err := s.Txn(context.Background(), &kv.Txn{Ops: []kv.Op{
-			{Verb: kv.Put, Table: leaseholder.LeaseTable, Key: life.Node, Value: lease, Keep: true},
+			{Verb: kv.Put, Table: leaseholder.LeaseTable, Key: life.Node, Value: record, Keep: true},
 			{Verb: kv.Put, Table: leaseholder.PartitionTable, Key: life.PartitionKey(), Value: held, Keep: true}}}); err != nil {
 			return DutyCost{}, err
 		}
--- a/internal/capacity/measure/hub.go
+++ b/internal/capacity/measure/hub.go
@@ -9,7 +9,7 @@
 	"gatetack/internal/dispatch"
 )
 
-// The form of messages to and from a hub, as internal/dispatch/peers.go writes them: a head, then entries of a worker's tag and the number
+// The form of messages to and from a hub, as internal/dispatch/aggregator_server.go writes them: a head, then entries of a worker's tag and the number
 // of slots out there.
 const (
 	hubChange   = 0
