--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -247,7 +247,7 @@
 		longest = max(longest, class.Deadline)
 	}
 	c.Limits.Longest(node.Span(longest))
-	c.Limits.Staleness.Ask = node.Span(c.Settings.AskWithin)
+	c.Limits.Staleness.PollInterval = node.Span(c.Settings.AskWithin)
 	if n, err := strconv.ParseFloat(pairs["limits.maxOpen"], 64); err == nil && n >= 1 {
 		c.Limits.MaxOpen = min(c.Limits.MaxOpen, int(n))
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -42,8 +42,8 @@
 	calls chan call
 	index atomic.Uint64 // of the list last held
 
-	clock   endpointwatch.Clock // that of the watch which runs: one at a time
-	calling atomic.Bool         // a call of it is under way
+	clock   endpointwatch.Tracker // that of the watch which runs: one at a time
+	calling atomic.Bool           // a call of it is under way
 
 	mu sync.Mutex
 	at place
@@ -121,7 +121,7 @@
 		})
 	}
 	now := time.Now()
-	c.clock.Begin(now)
+	c.clock.Started(now)
 	c.calling.Store(true) // the first call is made at once, and answers what the module asks for meanwhile
 	begin(now)
 	for {
@@ -172,7 +172,7 @@
 	case <-ctx.Done():
 	}
 	if at.ctx.Err() != nil {
-		c.clock.Moved(time.Now())
+		c.clock.SourceMoved(time.Now())
 	}
 	return ctx.Err() == nil
 }
@@ -183,7 +183,7 @@
 	stop := context.AfterFunc(at.ctx, cancel)
 	c.calling.Store(true)
 	defer c.calling.Store(false)
-	c.clock.Call(time.Now())
+	c.clock.CallStarted(time.Now())
 	err := c.list(here, at.addr, "/v1/servers?stream=1&index="+strconv.FormatUint(c.index.Load(), 10), &c.clock)
 	stop()
 	cancel()
@@ -191,7 +191,7 @@
 	if at.ctx.Err() != nil {
 		return now // rest notes it
 	}
-	next := c.clock.Ended(now, endOf(err), rand.Float64())
+	next := c.clock.CallEnded(now, endOf(err), rand.Float64())
 	if ctx.Err() != nil {
 		return now
 	}
@@ -199,30 +199,30 @@
 		err = errors.New("it ended")
 	}
 	c.sink.ListCallFailed()
-	if !next.Mine {
+	if !next.Owned {
 		c.calling.Store(false) // before the module hears of it: what it asks for then is another call
 		c.failed("watch", err)
 	} else {
 		c.log.Info("discovery", "call", "watch", "err", err, "begun", "anew", "in", next.At.Sub(now).Round(time.Millisecond))
 	}
 	// The agent of a pushed list bears any number of calls: it is called again soon, and sooner only where the clock must.
-	if again := now.Add(c.lim.PushAgain); c.push && (!next.Mine || !next.At.Before(again)) {
+	if again := now.Add(c.lim.PushAgain); c.push && (!next.Owned || !next.At.Before(again)) {
 		return again
 	}
 	return next.At
 }
 
 // endOf says how a call ended that had this error.
-func endOf(err error) endpointwatch.End {
+func endOf(err error) endpointwatch.CallEnd {
 	switch {
 	case errors.Is(err, errRefused):
-		return endpointwatch.Refused
+		return endpointwatch.CallRejected
 	case errors.Is(err, errCut):
-		return endpointwatch.Cut
+		return endpointwatch.CallCut
 	case timedOut(err):
-		return endpointwatch.Silent
+		return endpointwatch.CallSilent
 	}
-	return endpointwatch.Ended
+	return endpointwatch.CallClosed
 }
 
 func timedOut(err error) bool {
@@ -253,10 +253,10 @@
 
 // list makes a call and hands on each line of its answer. Silence is a failure: a machine that was cut off leaves a
 // connection open and tells nothing. How much of it, a watch's clock says; a call for the whole list has none.
-func (c *Client) list(ctx context.Context, addr, target string, clock *endpointwatch.Clock) error {
+func (c *Client) list(ctx context.Context, addr, target string, clock *endpointwatch.Tracker) error {
 	by := func() time.Time { return time.Now().Add(c.lim.ListCall) }
 	if clock != nil {
-		by = clock.SilentBy
+		by = clock.SilenceDeadline
 	}
 	d := net.Dialer{Timeout: c.lim.ListCall}
 	dialed, err := d.DialContext(ctx, "tcp", addr)
@@ -284,7 +284,7 @@
 	lines := splitter{max: c.lim.WatchLine, line: func(b []byte) error {
 		err := c.line(b)
 		if clock != nil && err == nil {
-			clock.Line(time.Now())
+			clock.UpdateReceived(time.Now())
 		}
 		return err
 	}}
@@ -306,7 +306,7 @@
 			}
 			if _, err = in.Fill(conn); err == nil {
 				if clock != nil {
-					clock.Sign(time.Now())
+					clock.BytesReceived(time.Now())
 				}
 				conn.ReadBy(by())
 			}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -91,7 +91,7 @@
 // for asking, and the module's turns go up to that; changes count as told after six.)
 func TestCallsThatMustBeMadeAreMadeHere(t *testing.T) {
 	lim := testenv.Lim
-	lim.Staleness.Silence, lim.Staleness.Wait, lim.Staleness.Slow = 60*time.Millisecond, 10*time.Millisecond, 10*time.Millisecond
+	lim.Staleness.MaxStaleness, lim.Staleness.PollWait, lim.Staleness.AnswerTimeout = 60*time.Millisecond, 10*time.Millisecond, 10*time.Millisecond
 	line := `{"index":3,"snapshot":false,"endpoints":[]}`
 	s, run := served(t, func(ctx context.Context, n int, conn net.Conn) {
 		switch n {
@@ -161,7 +161,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			lim := testenv.Lim
-			lim.Staleness.Beat, lim.Staleness.Late, lim.Staleness.Wait, lim.Staleness.Slow, lim.Staleness.Least = 20*time.Millisecond, 30*time.Millisecond, 30*time.Millisecond, 20*time.Millisecond, time.Millisecond
+			lim.Staleness.HeartbeatInterval, lim.Staleness.HeartbeatSlack, lim.Staleness.PollWait, lim.Staleness.AnswerTimeout, lim.Staleness.MinBackoff = 20*time.Millisecond, 30*time.Millisecond, 30*time.Millisecond, 20*time.Millisecond, time.Millisecond
 			s, run := served(t, func(ctx context.Context, n int, conn net.Conn) {
 				switch {
 				case n == 0:
@@ -194,7 +194,7 @@
 // before its line break, which may never come. Both carry drains that count as told.
 func TestWatchIsRenewed(t *testing.T) {
 	lim := testenv.Lim
-	lim.Staleness.Stood = 0
+	lim.Staleness.StableAfter = 0
 	var s *testenv.Lists
 	s, run := served(t, func(ctx context.Context, n int, conn net.Conn) {
 		text := fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[]}`, n+1)
@@ -220,7 +220,7 @@
 // told: the module would wait before it asks again, while drains count as told.
 func TestMove(t *testing.T) {
 	lim := testenv.Lim
-	lim.Staleness.Silence = time.Hour // no call is made but those that are asked for, and at moves
+	lim.Staleness.MaxStaleness = time.Hour // no call is made but those that are asked for, and at moves
 	for _, old := range []string{"serves", "mute", "deaf", "gone"} {
 		c, s, list, box, run := prepare(t, lim)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -271,7 +271,7 @@
 			l := s.All()
 			return len(l) > 0 && len(l[len(l)-1].Entries) == 1 && l[len(l)-1].Entries[0].Status == "draining"
 		})
-		if d := time.Since(began); d > testenv.Lim.Staleness.Beat {
+		if d := time.Since(began); d > testenv.Lim.Staleness.HeartbeatInterval {
 			t.Errorf("%s: it took %v", old, d)
 		}
 		for _, l := range s.All() {
@@ -326,7 +326,7 @@
 // when the next is made.
 func TestRefusedAfterAWaitIsNotBegunAnew(t *testing.T) {
 	lim := testenv.Lim
-	lim.Staleness.Stood = 0 // any wait is longer
+	lim.Staleness.StableAfter = 0 // any wait is longer
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/endpointwatch/clock_test.go
+++ b/internal/endpointwatch/clock_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-var timeouts = Timeouts{Silence: 6000 * ms, Wait: 2000 * ms, After: 2000 * ms, Reload: 4000 * ms, Ask: 10000 * ms, Failed: 4,
-	Beat: 2000 * ms, Late: 1200 * ms, Slow: 500 * ms, Stood: 1000 * ms, Least: 100 * ms}
+var timeouts = Timeouts{MaxStaleness: 6000 * ms, PollWait: 2000 * ms, PollGrace: 2000 * ms, ReloadGrace: 4000 * ms, PollInterval: 10000 * ms, FailedPollFactor: 4,
+	HeartbeatInterval: 2000 * ms, HeartbeatSlack: 1200 * ms, AnswerTimeout: 500 * ms, StableAfter: 1000 * ms, MinBackoff: 100 * ms}
 
 var zero = time.Unix(1000, 0)
 
@@ -23,50 +23,50 @@
 func TestSentences(t *testing.T) {
 	for _, x := range []struct {
 		what  string
-		went  func(*Clock)
+		went  func(*Tracker)
 		ended int
-		how   End
+		how   CallEnd
 		held  int // -1: never
 		mine  bool
 		by    int
 	}{
-		{"silent while it waits: 6 s from the call, for the wait and 2 s are sooner over", func(c *Clock) { c.Call(at(0)) }, 2500, Silent, 6000, true, 2500},
-		{"silent after its head", func(c *Clock) { c.Call(at(0)); c.Sign(at(500)) }, 3700, Silent, 6500, true, 3700},
-		{"silent after a line", func(c *Clock) { c.Call(at(0)); c.Line(at(500)) }, 3700, Silent, 6500, true, 3700},
-		{"silent within a line: from its last byte", func(c *Clock) { c.Call(at(0)); c.Line(at(500)); c.Sign(at(900)) }, 4100, Silent, 6900, true, 4100},
-		{"refused after a wait: the module's", func(c *Clock) { c.Call(at(0)) }, 2000, Refused, 40000, false, 0},
-		{"refused at once: the module's", func(c *Clock) { c.Call(at(0)) }, 1, Refused, 40000, false, 0},
-		{"ended before it stood: the module's", func(c *Clock) { c.Call(at(0)); c.Line(at(500)) }, 900, Ended, 40000, false, 0},
-		{"ended after it stood: at once", func(c *Clock) { c.Call(at(0)); c.Line(at(500)) }, 9000, Ended, 40000, true, 9000},
-		{"cut within a line: what it told was written", func(c *Clock) { c.Call(at(0)); c.Line(at(100)); c.Sign(at(300)) }, 300, Cut, 300, true, 400},
-		{"moved, and the new list turns the call away", func(c *Clock) { c.Moved(at(0)); c.Call(at(0)) }, 10, Refused, 4000, true, 110},
-		{"silent, and the call after it is turned away", func(c *Clock) {
-			c.Call(at(0))
-			c.Line(at(500))
-			c.Ended(at(3700), Silent, 0)
-			c.Call(at(3700))
-		}, 3701, Refused, 6500, true, 4000},
-		{"likewise, and late: only what an answer's wait leaves", func(c *Clock) {
-			c.Call(at(0))
-			c.Line(at(500))
-			c.Ended(at(3700), Silent, 0)
-			c.Call(at(3700))
-		}, 3990, Refused, 6500, true, 4000},
+		{"silent while it waits: 6 s from the call, for the wait and 2 s are sooner over", func(c *Tracker) { c.CallStarted(at(0)) }, 2500, CallSilent, 6000, true, 2500},
+		{"silent after its head", func(c *Tracker) { c.CallStarted(at(0)); c.BytesReceived(at(500)) }, 3700, CallSilent, 6500, true, 3700},
+		{"silent after a line", func(c *Tracker) { c.CallStarted(at(0)); c.UpdateReceived(at(500)) }, 3700, CallSilent, 6500, true, 3700},
+		{"silent within a line: from its last byte", func(c *Tracker) { c.CallStarted(at(0)); c.UpdateReceived(at(500)); c.BytesReceived(at(900)) }, 4100, CallSilent, 6900, true, 4100},
+		{"refused after a wait: the module's", func(c *Tracker) { c.CallStarted(at(0)) }, 2000, CallRejected, 40000, false, 0},
+		{"refused at once: the module's", func(c *Tracker) { c.CallStarted(at(0)) }, 1, CallRejected, 40000, false, 0},
+		{"ended before it stood: the module's", func(c *Tracker) { c.CallStarted(at(0)); c.UpdateReceived(at(500)) }, 900, CallClosed, 40000, false, 0},
+		{"ended after it stood: at once", func(c *Tracker) { c.CallStarted(at(0)); c.UpdateReceived(at(500)) }, 9000, CallClosed, 40000, true, 9000},
+		{"cut within a line: what it told was written", func(c *Tracker) { c.CallStarted(at(0)); c.UpdateReceived(at(100)); c.BytesReceived(at(300)) }, 300, CallCut, 300, true, 400},
+		{"moved, and the new list turns the call away", func(c *Tracker) { c.SourceMoved(at(0)); c.CallStarted(at(0)) }, 10, CallRejected, 4000, true, 110},
+		{"silent, and the call after it is turned away", func(c *Tracker) {
+			c.CallStarted(at(0))
+			c.UpdateReceived(at(500))
+			c.CallEnded(at(3700), CallSilent, 0)
+			c.CallStarted(at(3700))
+		}, 3701, CallRejected, 6500, true, 4000},
+		{"likewise, and late: only what an answer's wait leaves", func(c *Tracker) {
+			c.CallStarted(at(0))
+			c.UpdateReceived(at(500))
+			c.CallEnded(at(3700), CallSilent, 0)
+			c.CallStarted(at(3700))
+		}, 3990, CallRejected, 6500, true, 4000},
 	} {
-		c := Clock{Timeouts: timeouts}
+		c := Tracker{Timeouts: timeouts}
 		x.went(&c)
-		next := c.Ended(at(x.ended), x.how, 0.999)
-		if held := c.Held(); held != at(x.held) || next.Mine != x.mine || x.mine && next.At.After(at(x.by)) {
-			t.Errorf("%s: held from %v, next %v in %v; want %v, %v by %d", x.what, held.Sub(zero), next.Mine, next.At.Sub(zero), x.held, x.mine, x.by)
+		next := c.CallEnded(at(x.ended), x.how, 0.999)
+		if held := c.NotifiedFrom(); held != at(x.held) || next.Owned != x.mine || x.mine && next.At.After(at(x.by)) {
+			t.Errorf("%s: held from %v, next %v in %v; want %v, %v by %d", x.what, held.Sub(zero), next.Owned, next.At.Sub(zero), x.held, x.mine, x.by)
 		}
 	}
-	c := Clock{Timeouts: timeouts}
-	if !c.Held().IsZero() {
+	c := Tracker{Timeouts: timeouts}
+	if !c.NotifiedFrom().IsZero() {
 		t.Error("held before its first call")
 	}
-	c.Call(at(0))
-	c.Line(at(10))
-	if by := c.SilentBy(); by != at(3210) {
+	c.CallStarted(at(0))
+	c.UpdateReceived(at(10))
+	if by := c.SilenceDeadline(); by != at(3210) {
 		t.Errorf("given up at %v", by.Sub(zero))
 	}
 }
@@ -76,60 +76,60 @@
 // no more calls away than the time leaves room for. And without silence, a cut or a move each failure is the module's.
 func TestToldInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Clock{Timeouts: timeouts}
+		c := Tracker{Timeouts: timeouts}
 		draw := rapid.Float64Range(0, 0.999)
 		within := func(what string, least, most int) time.Duration {
 			return time.Duration(rapid.IntRange(least, most).Draw(t, what)) * ms
 		}
 		now := zero
-		c.Call(now)
+		c.CallStarted(now)
 		// How the watch goes before it falls silent.
 		fell := now
 		if rapid.Bool().Draw(t, "answered") {
 			now = now.Add(within("wait", 0, 2000))
 			for range rapid.IntRange(1, 5).Draw(t, "lines") {
-				c.Line(now)
+				c.UpdateReceived(now)
 				fell = now
 				now = now.Add(within("beat", 0, 2000))
 			}
 			if rapid.Bool().Draw(t, "mid-line") {
-				c.Sign(now)
+				c.BytesReceived(now)
 				fell = now
 			}
 		}
 		held := fell.Add(6 * time.Second) // the page's words, not the code's
-		if c.Held() != held {
-			t.Fatalf("held from %v, the page says %v", c.Held().Sub(zero), held.Sub(zero))
+		if c.NotifiedFrom() != held {
+			t.Fatalf("held from %v, the page says %v", c.NotifiedFrom().Sub(zero), held.Sub(zero))
 		}
-		now = c.SilentBy()
-		next := c.Ended(now, Silent, draw.Draw(t, "draw"))
+		now = c.SilenceDeadline()
+		next := c.CallEnded(now, CallSilent, draw.Draw(t, "draw"))
 		for range rapid.IntRange(0, 3).Draw(t, "turned away") {
-			if !next.Mine {
+			if !next.Owned {
 				t.Fatal("the module is left to call again")
 			}
 			now = next.At
-			c.Call(now)
+			c.CallStarted(now)
 			now = now.Add(within("until it is turned away", 0, 50))
-			next = c.Ended(now, Refused, draw.Draw(t, "draw"))
+			next = c.CallEnded(now, CallRejected, draw.Draw(t, "draw"))
 		}
-		if !next.Mine {
+		if !next.Owned {
 			t.Fatal("the module is left to call again")
 		}
-		c.Call(next.At)
+		c.CallStarted(next.At)
 		now = next.At.Add(within("last wait", 0, 2000))
 		if now.After(held) {
 			t.Fatalf("told at %v, held to it from %v", now.Sub(zero), held.Sub(zero))
 		}
-		c.Line(now)
-		if c.Held().Before(now.Add(6 * time.Second)) {
+		c.UpdateReceived(now)
+		if c.NotifiedFrom().Before(now.Add(6 * time.Second)) {
 			t.Fatal("told, and held to it all the same")
 		}
 		// From here on it is a list that turns all away.
-		if next := c.Ended(now.Add(ms), Refused, 0.5); next.Mine && !c.told {
+		if next := c.CallEnded(now.Add(ms), CallRejected, 0.5); next.Owned && !c.updated {
 			t.Fatal("a failure without a debt is the module's")
 		}
-		c.Call(now)
-		if next := c.Ended(now.Add(within("refused", 0, 2000)), Refused, 0.5); next.Mine {
+		c.CallStarted(now)
+		if next := c.CallEnded(now.Add(within("refused", 0, 2000)), CallRejected, 0.5); next.Owned {
 			t.Fatal("a failure without a debt is the module's")
 		}
 	})
@@ -138,18 +138,18 @@
 // While the list turns all calls away, the calls made here grow rarer, as far as two of them, with their waits, fit into the time
 // after which changes count as told; they are spread over half of their gaps.
 func TestCallsGrowRarer(t *testing.T) {
-	c := Clock{Timeouts: timeouts}
-	c.Call(at(0))
+	c := Tracker{Timeouts: timeouts}
+	c.CallStarted(at(0))
 	now, gaps := at(0), []time.Duration{}
-	c.Sign(now)
-	next := c.Ended(c.SilentBy(), Silent, 0)
+	c.BytesReceived(now)
+	next := c.CallEnded(c.SilenceDeadline(), CallSilent, 0)
 	for range 12 {
-		c.Call(next.At)
+		c.CallStarted(next.At)
 		now = next.At
-		next = c.Ended(now, Refused, 0.999)
+		next = c.CallEnded(now, CallRejected, 0.999)
 		gaps = append(gaps, next.At.Sub(now))
 	}
-	most := timeouts.Silence - 2*timeouts.Wait - timeouts.Slow
+	most := timeouts.MaxStaleness - 2*timeouts.PollWait - timeouts.AnswerTimeout
 	for i, g := range gaps {
 		if g > most || i > 6 && g < most*9/10 || i > 0 && g < gaps[i-1]*9/10 && at(6000).Before(now) && i > 6 {
 			t.Fatalf("gaps %v", gaps)
@@ -162,37 +162,37 @@
 // a process on. Of one that fails then as well, another follows within that time.
 func TestReachedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Clock{Timeouts: timeouts}
+		c := Tracker{Timeouts: timeouts}
 		draw := func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "draw") }
 		span := func(what string, most int) time.Duration {
 			return time.Duration(rapid.IntRange(0, most).Draw(t, what)) * ms
 		}
-		c.Begin(zero) // the first call is made at once
+		c.Started(zero) // the first call is made at once
 		now, back := zero, zero
 		for n := rapid.IntRange(0, 12).Draw(t, "calls that fail"); n > 0; n-- {
-			c.Call(now)
+			c.CallStarted(now)
 			began := now
-			how := rapid.SampledFrom([]End{Ended, Refused, Silent, Cut}).Draw(t, "end")
+			how := rapid.SampledFrom([]CallEnd{CallClosed, CallRejected, CallSilent, CallCut}).Draw(t, "end")
 			switch {
-			case how == Silent:
+			case how == CallSilent:
 				if rapid.Bool().Draw(t, "told") {
 					now = now.Add(span("wait", 2000))
-					c.Line(now)
+					c.UpdateReceived(now)
 					began = now
 				}
-				now = c.SilentBy()
+				now = c.SilenceDeadline()
 			case rapid.Bool().Draw(t, "told"):
 				now = now.Add(span("wait", 2000))
-				c.Line(now)
+				c.UpdateReceived(now)
 				now = now.Add(span("stood", 2000))
 				began = now
 			default:
 				now = now.Add(span("wait", 2000))
 			}
 			back = began.Add(ms) // just too late for this call, or for what it told
-			now = c.Ended(now, how, draw()).At
+			now = c.CallEnded(now, how, draw()).At
 		}
-		c.Call(now)
+		c.CallStarted(now)
 		if now = now.Add(span("wait", 2000)); now.After(back.Add(6 * time.Second)) {
 			t.Fatalf("within reach from %v on, told at %v", back.Sub(zero), now.Sub(zero))
 		}
--- a/internal/endpointwatch/startup.go
+++ b/internal/endpointwatch/startup.go
@@ -8,22 +8,22 @@
 // fails, which shows that discovery is down, overbooked or cut off, does the process go on with the list it has: the clock's
 // deadline for the next good look bounds how long. A zero Startup holds nothing.
 type Startup struct {
-	until time.Time // nothing is held from then on, zero: nothing is held
+	holdUntil time.Time // nothing is held from then on, zero: nothing is held
 }
 
 // Begin notes that the process begins with a list that nobody has confirmed. It holds jobs for as long as a call may take.
-func (s *Startup) Begin(now time.Time, timeouts Timeouts) {
-	s.until = now.Add(timeouts.Wait + 2*timeouts.Slow)
+func (s *Startup) Started(now time.Time, timeouts Timeouts) {
+	s.holdUntil = now.Add(timeouts.PollWait + 2*timeouts.AnswerTimeout)
 }
 
 // Confirmed notes that a list has come in this life of the process.
-func (s *Startup) Confirmed() { s.until = time.Time{} }
+func (s *Startup) Confirmed() { s.holdUntil = time.Time{} }
 
 // Failed notes that a call for the list has failed.
-func (s *Startup) Failed() { s.until = time.Time{} }
+func (s *Startup) CallFailed() { s.holdUntil = time.Time{} }
 
 // Holds says whether jobs are held now.
-func (s *Startup) Holds(now time.Time) bool { return now.Before(s.until) }
+func (s *Startup) Holding(now time.Time) bool { return now.Before(s.holdUntil) }
 
 // Until is when the hold ends at the latest.
-func (s *Startup) Until() time.Time { return s.until }
+func (s *Startup) HoldUntil() time.Time { return s.holdUntil }
--- a/internal/endpointwatch/startup_test.go
+++ b/internal/endpointwatch/startup_test.go
@@ -6,10 +6,10 @@
 // than a call may take.
 func TestStartupHolds(t *testing.T) {
 	var none Startup
-	if none.Holds(at(0)) {
+	if none.Holding(at(0)) {
 		t.Error("a process without an old list holds jobs")
 	}
-	most := int((timeouts.Wait + 2*timeouts.Slow) / ms)
+	most := int((timeouts.PollWait + 2*timeouts.AnswerTimeout) / ms)
 	for _, x := range []struct {
 		what  string
 		event func(*Startup)
@@ -17,16 +17,16 @@
 	}{
 		{"no answer", func(*Startup) {}, most},
 		{"a list", (*Startup).Confirmed, 1},
-		{"a call that failed", (*Startup).Failed, 1},
+		{"a call that failed", (*Startup).CallFailed, 1},
 	} {
 		var s Startup
-		s.Begin(at(0), timeouts)
-		if !s.Holds(at(0)) {
+		s.Started(at(0), timeouts)
+		if !s.Holding(at(0)) {
 			t.Errorf("%s: does not hold at the start", x.what)
 		}
 		x.event(&s)
-		if s.Holds(at(x.from)) || x.from == most && !s.Holds(at(most-1)) {
-			t.Errorf("%s: held until %v", x.what, s.Until().Sub(zero))
+		if s.Holding(at(x.from)) || x.from == most && !s.Holding(at(most-1)) {
+			t.Errorf("%s: held until %v", x.what, s.HoldUntil().Sub(zero))
 		}
 	}
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -131,9 +131,9 @@
 // stalenessTimeouts are the protocol's: one clock for silence (6 s), discovery's own wait (2 s) and 2 s past it, 4 s from a SIGHUP,
 // an empty line every 2 s, four times the asking time after a call that failed. The settings bring the asking time itself.
 // What is late by Late is given up so that a call made then is answered, at the end of its wait too, within the 6 s.
-var stalenessTimeouts = endpointwatch.Timeouts{Silence: 6 * time.Second, Wait: 2 * time.Second, After: 2 * time.Second, Reload: 4 * time.Second,
-	Failed: 4, Beat: 2 * time.Second, Late: 1200 * time.Millisecond, Slow: 500 * time.Millisecond,
-	Stood: time.Second, Least: 100 * time.Millisecond}
+var stalenessTimeouts = endpointwatch.Timeouts{MaxStaleness: 6 * time.Second, PollWait: 2 * time.Second, PollGrace: 2 * time.Second, ReloadGrace: 4 * time.Second,
+	FailedPollFactor: 4, HeartbeatInterval: 2 * time.Second, HeartbeatSlack: 1200 * time.Millisecond, AnswerTimeout: 500 * time.Millisecond,
+	StableAfter: time.Second, MinBackoff: 100 * time.Millisecond}
 
 // Backoff is the wait before a next try: it doubles from First up to Most.
 type Backoff struct{ First, Most time.Duration }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -101,8 +101,8 @@
 		attempts: map[uint64]*attempt{}, workers: map[uint32]Entry{}}
 	c.rules.Store(&Rules{s, names})
 	// A list that must be asked for is held to be as it was for the time to ask within, and four times that after a failed call.
-	fresh := max(Span(s.AskWithin), lim.Staleness.Silence)
-	c.book = recovery.NewKnowledge(map[recovery.Kind]recovery.AgeBounds{recovery.List: {Fresh: fresh, Usable: time.Duration(lim.Staleness.Failed) * fresh}})
+	fresh := max(Span(s.AskWithin), lim.Staleness.MaxStaleness)
+	c.book = recovery.NewKnowledge(map[recovery.Kind]recovery.AgeBounds{recovery.List: {Fresh: fresh, Usable: time.Duration(lim.Staleness.FailedPollFactor) * fresh}})
 	c.tenants = make([]atomic.Int64, len(names.Tenants))
 	known.Form = dispatch.ListCached
 	c.in <- known
@@ -208,7 +208,7 @@
 	case listConfirmed:
 		c.listConfirmed()
 	case listCallFailed:
-		c.startup.Failed()
+		c.startup.CallFailed()
 	case retune:
 		if c.holds(now) {
 			c.retunes = append(c.retunes, ev)
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -18,7 +18,7 @@
 	if known == 0 {
 		return
 	}
-	c.startup.Begin(c.start, c.lim.Staleness)
+	c.startup.Started(c.start, c.lim.Staleness)
 	c.holding.Store(true)
 }
 
@@ -27,7 +27,7 @@
 	if !c.holding.Load() {
 		return false
 	}
-	if c.startup.Holds(now) {
+	if c.startup.Holding(now) {
 		return true
 	}
 	c.holding.Store(false)
@@ -73,7 +73,7 @@
 	}
 	switch {
 	case c.holding.Load():
-		return earlier(next, c.startup.Until())
+		return earlier(next, c.startup.HoldUntil())
 	case len(c.batch) > 0:
 		return c.stepAt
 	}
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -50,7 +50,7 @@
 func TestCoreGoesOnWithTheOldList(t *testing.T) {
 	for what, wait := range map[string]func(h *host){
 		"the call fails": func(h *host) { h.c.ListCallFailed(); h.run(time.Second) },
-		"no answer":      func(h *host) { h.run(lim.Staleness.Wait + 2*lim.Staleness.Slow + time.Second) },
+		"no answer":      func(h *host) { h.run(lim.Staleness.PollWait + 2*lim.Staleness.AnswerTimeout + time.Second) },
 	} {
 		h := restarted(t, box("s-old"))
 		if _, err := h.c.Submit(Job{Trace: "a", Class: 0, Left: 7 * time.Second, Slots: 1}, &client{t: t}); err != nil {
