--- a/internal/leaseholder/view.go
+++ b/internal/leaseholder/view.go
@@ -8,47 +8,61 @@
 	"gatetack/internal/lease"
 )
 
+// maxEntries bounds how many leases and partitions a view has: more than a fleet ever has.
+const maxEntries = 1 << 16
+
 // leaseRecord is the stored value of a lease.
 type leaseRecord struct {
-	Born int64  `json:"born"`
-	Addr string `json:"addr"`
+	StartedMs int64  `json:"born"`
+	Addr      string `json:"addr"`
+}
+
+// partitionCache keeps what was read of the partition table. Leases change all the time, and partitions seldom.
+type partitionCache struct {
+	stamp      any // of the table when it was read
+	partitions []lease.Partition
 }
 
-// view reads leases and duties as this member has them. Only the loop calls it.
-func (o *Owner) view() lease.View {
-	now := o.store.View()
-	v := lease.View{Leases: map[string]lease.Lease{}}
-	for _, e := range now.List(Leases, "", "", 1<<16) {
-		if l, ok := leaseOf(e, true); ok {
-			v.Leases[l.Node] = l
+// read returns the partitions of a view of the store. The caller may append to them.
+func (c *partitionCache) read(view *kv.View) []lease.Partition {
+	if stamp := view.Stamp(PartitionTable); stamp != c.stamp || c.stamp == nil {
+		c.stamp, c.partitions = stamp, nil
+		for _, entry := range view.List(PartitionTable, "", "", maxEntries) {
+			if partition, ok := decodePartition(entry, true); ok {
+				c.partitions = append(c.partitions, partition)
+			}
 		}
 	}
-	if at := now.Stamp(Duties); at != o.stamp || o.stamp == nil {
-		o.stamp, o.duties = at, nil
-		for _, e := range now.List(Duties, "", "", 1<<16) {
-			if d, ok := dutyOf(e, true); ok {
-				o.duties = append(o.duties, d)
-			}
+	return slices.Clip(c.partitions) // what is appended goes to a copy
+}
+
+// view reads leases and partitions as this member has them. Only the loop calls it.
+func (h *Holder) view() lease.View {
+	stored := h.store.View()
+	view := lease.View{Leases: map[string]lease.Lease{}, Partitions: h.partitions.read(stored)}
+	for _, entry := range stored.List(LeaseTable, "", "", maxEntries) {
+		if decoded, ok := decodeLease(entry, true); ok {
+			view.Leases[decoded.Node] = decoded
 		}
 	}
-	v.Duties = slices.Clip(o.duties) // what is added to it is a copy's
-	return v
+	return view
 }
 
-// leaseOf decodes the entry of a lease, if there is one and it is valid.
-func leaseOf(e *kv.Entry, found bool) (lease.Lease, bool) {
-	var l leaseRecord
-	if !found || json.Unmarshal(e.Value, &l) != nil {
+// decodeLease decodes the entry of a lease, if there is one and it is valid.
+func decodeLease(entry *kv.Entry, found bool) (lease.Lease, bool) {
+	var record leaseRecord
+	if !found || json.Unmarshal(entry.Value, &record) != nil {
 		return lease.Lease{}, false
 	}
-	return lease.Lease{Life: lease.Life{Node: e.Key, Born: l.Born}, Addr: l.Addr, Version: e.Version}, true
+	incarnation := lease.Incarnation{Node: entry.Key, StartedMs: record.StartedMs}
+	return lease.Lease{Incarnation: incarnation, Addr: record.Addr, Version: entry.Version}, true
 }
 
-// dutyOf decodes the entry of a duty, if there is one and it is valid.
-func dutyOf(e *kv.Entry, found bool) (lease.Duty, bool) {
-	var owner lease.Life
-	if !found || json.Unmarshal(e.Value, &owner) != nil {
-		return lease.Duty{}, false
+// decodePartition decodes the entry of a partition, if there is one and it is valid.
+func decodePartition(entry *kv.Entry, found bool) (lease.Partition, bool) {
+	var owner lease.Incarnation
+	if !found || json.Unmarshal(entry.Value, &owner) != nil {
+		return lease.Partition{}, false
 	}
-	return lease.Duty{Key: e.Key, Owner: owner, Epoch: e.Version}, true
+	return lease.Partition{Key: entry.Key, Owner: owner, Epoch: entry.Version}, true
 }
