--- a/cmd/gatetack/callbacks.go
+++ b/cmd/gatetack/callbacks.go
@@ -10,10 +10,10 @@
 	"gatetack/internal/platform"
 )
 
-// callbackRouter takes callbacks for the executors of this process and stores those of attempts that it does not know for
-// the other process of the node, if one runs beside it: while one replaces the other, all of them come to the new one. A
-// callback of neither process is answered as any other, because it may be a duplicate or belong to an attempt that has
-// ended. One that could not be stored for the other process is rejected, so that the executor calls again.
+// callbackRouter takes callbacks for the executors of this process and stores those of attempts that it does not know
+// for the other process of the node, if one runs beside it: while one replaces the other, all of them come to the new
+// one. A callback of neither process is answered as any other, because it may be a duplicate or belong to an attempt
+// that has ended. One that could not be stored for the other process is rejected, so that the executor calls again.
 type callbackRouter struct {
 	executors *executor.Client
 	relay     *handover.Relay             // nil: no other process of the node can run
--- a/cmd/gatetack/configuration.go
+++ b/cmd/gatetack/configuration.go
@@ -7,8 +7,8 @@
 	"gatetack/internal/pace"
 )
 
-// load reads the platform's configuration and, where one is named, the operator's file. A file that names the node stands
-// for both: the node is alone then, and no variable of the platform's is needed.
+// load reads the platform's configuration and, where one is named, the operator's file. A file that names the node
+// stands for both: the node is alone then, and no variable of the platform's is needed.
 func load(path string) (*config.Config, *config.File, error) {
 	file := &config.File{Pace: pace.Default()}
 	var err error
--- a/cmd/gatetack/conform.go
+++ b/cmd/gatetack/conform.go
@@ -11,36 +11,43 @@
 	"gatetack/internal/conform"
 )
 
+// conformTimeout bounds a run of the conformance suite, unless its flag says otherwise.
+const conformTimeout = 5 * time.Minute
+
 func conformCommand() *cobra.Command {
-	var addr string
+	var address string
 	var timeout time.Duration
-	var failed bool
+	var failedOnly bool
 	cmd := &cobra.Command{
-		Use: "conform", Short: "play the conformance suite against a batch front", Args: noArgs,
-		Long: "Plays numbered cases taken from DRMAAv2's specification and from docs/batch.md against any endpoint, prints a\n" +
+		Use:   "conform",
+		Short: "play the conformance suite against a batch front",
+		Args:  noArgs,
+		Long: "Plays numbered cases taken from DRMAAv2's specification and from docs/batch.md against any endpoint, " +
+			"prints a\n" +
 			"table, and fails if a case does. The endpoint must serve jobs of the categories it names.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := context.WithTimeout(cmd.Context(), timeout)
 			defer cancel()
 			out := &printer{writer: cmd.OutOrStdout()}
-			all, bad := 0, 0
-			err := conform.Run(ctx, addr, func(r conform.Result) {
-				if all++; r.Err != nil {
-					bad++
+			cases, failed := 0, 0
+			err := conform.Run(ctx, address, func(result conform.Result) {
+				cases++
+				if result.Err != nil {
+					failed++
 				}
-				if r.Err != nil || !failed {
-					_ = r.Print(out) // kept in out.err
+				if result.Err != nil || !failedOnly {
+					_ = result.Print(out) // kept in out.err
 				}
 			})
-			out.printf("%d cases, %d failed\n", all, bad)
-			if err == nil && bad > 0 {
-				err = fmt.Errorf("%d of %d cases failed", bad, all)
+			out.printf("%d cases, %d failed\n", cases, failed)
+			if err == nil && failed > 0 {
+				err = fmt.Errorf("%d of %d cases failed", failed, cases)
 			}
 			return errors.Join(err, out.err)
 		},
 	}
-	cmd.Flags().StringVar(&addr, "addr", "127.0.0.1:8480", "where the batch front listens")
-	cmd.Flags().DurationVar(&timeout, "timeout", 5*time.Minute, "give up after so long")
-	cmd.Flags().BoolVar(&failed, "failed", false, "print the cases that fail alone")
+	cmd.Flags().StringVar(&address, "addr", "127.0.0.1:8480", "where the batch front listens")
+	cmd.Flags().DurationVar(&timeout, "timeout", conformTimeout, "give up after so long")
+	cmd.Flags().BoolVar(&failedOnly, "failed", false, "print the cases that fail alone")
 	return cmd
 }
--- /dev/null
+++ b/cmd/gatetack/duty_list.go
@@ -0,0 +1,83 @@
+package main
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/spf13/cobra"
+	"github.com/tidwall/gjson"
+
+	"gatetack/internal/duty"
+	"gatetack/internal/owner"
+)
+
+// aliveNodes are the incarnations that have a lease, with the addresses of their batch fronts.
+func (r *storeRemote) aliveNodes(cmd *cobra.Command) (map[duty.Life]string, error) {
+	alive := map[duty.Life]string{}
+	err := r.each(cmd.Context(), tableQuery{table: owner.Leases}, func(e entry) {
+		lease := gjson.Parse(e.value)
+		alive[duty.Life{Node: e.key, Born: lease.Get("born").Int()}] = lease.Get("addr").String()
+	})
+	return alive, err
+}
+
+// partitions are all partitions with their owners.
+func (r *storeRemote) partitions(cmd *cobra.Command) ([]partitionStatus, error) {
+	alive, err := r.aliveNodes(cmd)
+	if err != nil {
+		return nil, err
+	}
+	all := []partitionStatus{}
+	err = r.each(cmd.Context(), tableQuery{table: owner.Duties}, func(e entry) {
+		all = append(all, statusOf(e, alive))
+	})
+	return all, err
+}
+
+// statusOf is the status of the partition that an entry describes.
+func statusOf(e entry, alive map[duty.Life]string) partitionStatus {
+	holder := ownerOf(e)
+	partition, _ := duty.ParsePartition(e.key)
+	address, ownerAlive := alive[holder]
+	status := partitionStatus{Partition: e.key, Owner: holder.Node, BatchAddress: address, Epoch: e.version,
+		Node: partition.Node, Since: time.UnixMilli(partition.Born).UTC(), OwnerAlive: ownerAlive}
+	switch {
+	case holder.Zero():
+		status.Reason = "handed over, and nobody has claimed it yet"
+	case !ownerAlive:
+		status.Reason = "its owner has no lease: another is to claim it"
+	case partition.Node != holder.Node:
+		status.Reason = "taken over from " + partition.Node
+	default:
+		status.Reason = "its own jobs"
+	}
+	return status
+}
+
+// showPartitions prints partitions as --output says.
+func showPartitions(cmd *cobra.Command, format string, all []partitionStatus) error {
+	switch format {
+	case "json":
+		return writeJSON(cmd.OutOrStdout(), all)
+	case "text":
+	default:
+		return usageError{fmt.Errorf("--output: %q is neither text nor json", format)}
+	}
+	rows := newTable(cmd.OutOrStdout())
+	rows.println("DUTY\tOWNER\tEPOCH\tBATCH FRONT\tWHY")
+	for _, partition := range all {
+		owner := partition.Owner
+		if owner == "" {
+			owner = "-"
+		}
+		rows.printf(
+			"%s\t%s\t%d\t%s\t%s\n",
+			partition.Partition,
+			owner,
+			partition.Epoch,
+			partition.BatchAddress,
+			partition.Reason,
+		)
+	}
+	return rows.flush()
+}
--- a/cmd/gatetack/keys.go
+++ b/cmd/gatetack/keys.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -9,41 +8,66 @@
 	"gatetack/internal/keys"
 )
 
+// Validity of certificates unless a flag says otherwise.
+const (
+	year              = 365 * 24 * time.Hour
+	authorityValidity = 10 * year
+	nodeValidity      = year
+)
+
 func keysCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "keys", Short: "make, renew and revoke the keys of the store and the batch front"}
-	run := func(use, help string, words int, usual time.Duration, do func(cmd *cobra.Command, a []string, valid time.Duration) error) {
-		var valid time.Duration
-		c := &cobra.Command{Use: use, Short: help,
-			Args: func(cmd *cobra.Command, a []string) error {
-				if err := cobra.ExactArgs(words)(cmd, a); err != nil {
-					return usageError{err}
-				}
-				return nil
-			}, RunE: func(cmd *cobra.Command, a []string) error { return do(cmd, a, valid) }}
-		if usual > 0 {
-			c.Flags().DurationVar(&valid, "valid", usual, "for so long")
-		}
-		cmd.AddCommand(c)
-	}
-	const year = 365 * 24 * time.Hour
-	run("init DIR NAME", "make an authority in a folder", 2, 10*year, func(_ *cobra.Command, a []string, valid time.Duration) error {
-		return keys.Init(a[0], a[1], valid, time.Now())
-	})
-	issue := func(_ *cobra.Command, a []string, valid time.Duration) error {
-		return keys.Issue(a[0], a[1], a[2], valid, time.Now())
+	cmd.AddCommand(
+		certificateCommand("init DIR NAME", "make an authority in a folder", 2, authorityValidity,
+			func(args []string, valid time.Duration) error { return keys.Init(args[0], args[1], valid, time.Now()) }),
+		certificateCommand("issue CA OUT NAME",
+			"make a node's key and certificate, signed by the authority in CA, in the folder OUT", 3, nodeValidity, issueKeys),
+		certificateCommand(
+			"renew CA OUT NAME",
+			"likewise, in the place of those that are there; nodes take them at the next connection",
+			3,
+			nodeValidity,
+			issueKeys,
+		),
+		&cobra.Command{Use: "revoke DIR SERIAL", Args: exactArgs(2),
+			Short: "refuse a certificate from the next connection on; DIR is the folder of each node's keys",
+			RunE:  func(_ *cobra.Command, args []string) error { return keys.Revoke(args[0], args[1]) }},
+		&cobra.Command{Use: "show DIR", Args: exactArgs(1),
+			Short: "tell of a folder's certificates: nothing secret",
+			RunE:  showKeys})
+	return cmd
+}
+
+// certificateCommand is a command that makes certificates which are valid for as long as its flag says.
+func certificateCommand(
+	use, short string, arguments int, usual time.Duration, do func(args []string, valid time.Duration) error,
+) *cobra.Command {
+	var valid time.Duration
+	cmd := &cobra.Command{Use: use, Short: short, Args: exactArgs(arguments),
+		RunE: func(_ *cobra.Command, args []string) error { return do(args, valid) }}
+	cmd.Flags().DurationVar(&valid, "valid", usual, "for so long")
+	return cmd
+}
+
+func issueKeys(args []string, valid time.Duration) error {
+	return keys.Issue(args[0], args[1], args[2], valid, time.Now())
+}
+
+func showKeys(cmd *cobra.Command, args []string) error {
+	certificates, err := keys.Show(args[0])
+	if err != nil {
+		return err
 	}
-	run("issue CA OUT NAME", "make a node's key and certificate, signed by the authority in CA, in the folder OUT", 3, year, issue)
-	run("renew CA OUT NAME", "likewise, in the place of those that are there; nodes take them at the next connection", 3, year, issue)
-	run("revoke DIR SERIAL", "refuse a certificate from the next connection on; DIR is the folder of each node's keys", 2, 0,
-		func(_ *cobra.Command, a []string, _ time.Duration) error { return keys.Revoke(a[0], a[1]) })
-	run("show DIR", "tell of a folder's certificates: nothing secret", 1, 0, func(cmd *cobra.Command, a []string, _ time.Duration) error {
-		all, err := keys.Show(a[0])
-		if err != nil {
-			return err
+	return writeJSON(cmd.OutOrStdout(), certificates)
+}
+
+// exactArgs rejects another number of arguments, in cobra's words.
+func exactArgs(number int) cobra.PositionalArgs {
+	check := cobra.ExactArgs(number)
+	return func(cmd *cobra.Command, args []string) error {
+		if err := check(cmd, args); err != nil {
+			return usageError{err}
 		}
-		e := json.NewEncoder(cmd.OutOrStdout())
-		e.SetIndent("", "  ")
-		return e.Encode(all)
-	})
-	return cmd
+		return nil
+	}
 }
--- a/cmd/gatetack/lifetime.go
+++ b/cmd/gatetack/lifetime.go
@@ -16,8 +16,8 @@
 	closers []func()
 }
 
-// newLifetime returns a lifetime that does not end with ctx: a process that is told to leave goes on until all that it
-// has accepted is answered.
+// newLifetime returns a lifetime that does not end with ctx: a process that is notified to leave goes on until all
+// that it has accepted is answered.
 func newLifetime(ctx context.Context) *lifetime {
 	ctx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	group, ctx := errgroup.WithContext(ctx)
--- a/cmd/gatetack/listen.go
+++ b/cmd/gatetack/listen.go
@@ -9,7 +9,8 @@
 	"gatetack/internal/config"
 )
 
-// passedSocketVariable is the environment variable that names the descriptor of a listening socket passed to the process.
+// passedSocketVariable is the environment variable that names the descriptor of a listening socket passed to the
+// process.
 const passedSocketVariable = "EDGE_PASSED_SOCKET"
 
 // listen returns the clients' listening socket: the one that the platform passed, or a new one on the address.
--- a/cmd/gatetack/listen_test.go
+++ b/cmd/gatetack/listen_test.go
@@ -12,27 +12,27 @@
 
 // A passed listening socket is taken as it is, and connections to it reach the node; a descriptor that is no listening
 // socket, or not open, is an error at the start that names it, never a listener of its own.
-func TestPassedSocket(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+func TestPassedSocketIsServedAndAnyOtherDescriptorIsAnError(t *testing.T) {
+	passed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = held.Close() }()
-	f, err := held.(*net.TCPListener).File()
+	defer func() { _ = passed.Close() }()
+	f, err := passed.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = f.Close() }()
-	ln, err := listen(&config.Config{Listen: held.Addr().String(), Passed: int(f.Fd())}, standin.Quiet)
+	ln, err := listen(&config.Config{Listen: passed.Addr().String(), Passed: int(f.Fd())}, standin.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
-	if ln.Addr().String() != held.Addr().String() {
-		t.Fatalf("listens at %s, the passed socket at %s", ln.Addr(), held.Addr())
+	if ln.Addr().String() != passed.Addr().String() {
+		t.Fatalf("listens at %s, the passed socket at %s", ln.Addr(), passed.Addr())
 	}
 	go func() {
-		if c, err := net.Dial("tcp", held.Addr().String()); err == nil {
+		if c, err := net.Dial("tcp", passed.Addr().String()); err == nil {
 			_ = c.Close()
 		}
 	}()
--- a/cmd/gatetack/machine.go
+++ b/cmd/gatetack/machine.go
@@ -12,7 +12,7 @@
 func machineCommand() *cobra.Command {
 	r := &remote{}
 	cmd := &cobra.Command{Use: "machine", Short: "executors as the node sees them"}
-	r.flags(cmd)
+	r.addFlags(cmd)
 	var filter string
 	list := &cobra.Command{Use: "list", Short: "list executors", Args: noArgs,
 		RunE: r.run(func(ctx context.Context, c *drmaa2.Client, cmd *cobra.Command, _ []string) error {
@@ -22,7 +22,10 @@
 			}
 			var rows [][]string
 			for _, m := range all {
-				rows = append(rows, []string{m.Name, m.Status, m.Zone, m.Type, strconv.Itoa(m.Group), strconv.Itoa(m.Out), m.Address})
+				rows = append(
+					rows,
+					[]string{m.Name, m.Status, m.Zone, m.Type, strconv.Itoa(m.Group), strconv.Itoa(m.Out), m.Address},
+				)
 			}
 			return r.print(cmd.OutOrStdout(), all, []string{"NAME", "STATUS", "ZONE", "TYPE", "RACK", "OUT", "ADDRESS"}, rows)
 		})}
--- a/cmd/gatetack/main.go
+++ b/cmd/gatetack/main.go
@@ -1,5 +1,5 @@
-// Command gatetack is one node: it takes jobs from clients and brings them to executors as package brain decides. Beside
-// that it is the command line of the batch front.
+// Command gatetack is one node: it takes jobs from clients and brings them to executors as package brain decides.
+// Beside that it is the command line of the batch front.
 package main
 
 import (
@@ -15,6 +15,7 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
+	"gatetack/internal/config"
 	"gatetack/internal/fault"
 	"gatetack/internal/inventory"
 )
@@ -25,17 +26,17 @@
 // Exit codes, as docs/batch.md has them.
 const (
 	exitFailed  = 1 // the command failed
-	exitUsage   = 2 // its words are off
-	exitRefused = 3 // the node refused it: the state, the session or an argument does not allow it
+	exitUsage   = 2 // its command line is wrong
+	exitRefused = 3 // the node rejected it: the state, the session or an argument does not allow it
 	exitLater   = 4 // the node can not now: try again
 	exitJob     = 5 // the job that was waited for has failed
-	exitUnknown = 6 // and what became of it is not known
+	exitUnknown = 6 // the outcome of the job that was waited for is indeterminate
 )
 
 func main() {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	if err := root().ExecuteContext(ctx); err != nil {
+	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "gatetack:", err)
 		if do := fault.Do(err); do != "" {
 			fmt.Fprintln(os.Stderr, "what can be done:", do)
@@ -44,10 +45,10 @@
 	}
 }
 
-// usageError is one of the command's words.
+// usageError is an error of the command line: an unknown command or flag, or a wrong argument.
 type usageError struct{ error }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "gatetack",
 		Short: "gatetack brings jobs to executors",
@@ -65,25 +66,26 @@
 		Args: cobra.ArbitraryArgs,
 	}
 	cmd.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	cmd.AddCommand(serveCommand(), checkCommand(), versionCommand(), jobCommand(), sessionCommand(), machineCommand(), storeCommand(), settingsCommand(), dutyCommand(), keysCommand(), conformCommand())
+	cmd.AddCommand(serveCommand(), checkCommand(), versionCommand(), jobCommand(), sessionCommand(), machineCommand(),
+		storeCommand(), settingsCommand(), dutyCommand(), keysCommand(), conformCommand())
 	return cmd
 }
 
 // fromEnvironment gives flags that were not set the value of their variable, if there is one.
 func fromEnvironment(flags *pflag.FlagSet) error {
-	var bad error
+	var firstError error
 	flags.VisitAll(func(f *pflag.Flag) {
 		name := "GATETACK_" + strings.ToUpper(strings.ReplaceAll(f.Name, "-", "_"))
 		if text, ok := os.LookupEnv(name); ok && !f.Changed && f.Name != "help" {
-			if err := flags.Set(f.Name, text); err != nil && bad == nil {
-				bad = usageError{fmt.Errorf("%s: %w", name, err)}
+			if err := flags.Set(f.Name, text); err != nil && firstError == nil {
+				firstError = usageError{fmt.Errorf("%s: %w", name, err)}
 			}
 		}
 	})
-	return bad
+	return firstError
 }
 
-// noArgs refuses words that a command has no use for.
+// noArgs rejects arguments.
 func noArgs(cmd *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("%s: %q is not expected", cmd.Name(), args[0])}
@@ -92,7 +94,7 @@
 }
 
 func serveCommand() *cobra.Command {
-	var path, level, form string
+	var path, level, format string
 	cmd := &cobra.Command{
 		Use: "serve", Short: "run a node", Args: noArgs,
 		Long: "Runs a node. On the platform EDGE_CONFIG names its configuration, and --config what runs beside it; a file\n" +
@@ -101,22 +103,22 @@
 			// Taken before anything else: until then a reload would end the process.
 			hup := make(chan os.Signal, 1)
 			signal.Notify(hup, syscall.SIGHUP)
-			log, err := logger(level, form)
+			log, err := newLogger(level, format)
 			if err != nil {
 				return err
 			}
-			c, f, err := load(path)
+			cfg, file, err := load(path)
 			if err != nil {
 				return err
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			return serve(ctx, hup, c, f, log)
+			return serve(ctx, hup, cfg, file, log)
 		},
 	}
 	configFlag(cmd, &path)
 	cmd.Flags().StringVar(&level, "log-level", "info", "what is logged: debug, info, warn or error")
-	cmd.Flags().StringVar(&form, "log-format", "text", "how: text or json")
+	cmd.Flags().StringVar(&format, "log-format", "text", "how: text or json")
 	return cmd
 }
 
@@ -124,20 +126,20 @@
 	cmd.Flags().StringVar(path, "config", "", "a file like deploy/gatetack.yaml; what it would turn on is off without it")
 }
 
-// logger writes structured lines to standard error.
-func logger(level, form string) (*slog.Logger, error) {
-	var lv slog.Level
-	if err := lv.UnmarshalText([]byte(level)); err != nil {
+// newLogger returns a logger that writes structured lines to standard error.
+func newLogger(level, format string) (*slog.Logger, error) {
+	var lowest slog.Level
+	if err := lowest.UnmarshalText([]byte(level)); err != nil {
 		return nil, usageError{fmt.Errorf("--log-level: %w", err)}
 	}
-	o := &slog.HandlerOptions{Level: lv}
-	switch form {
+	options := &slog.HandlerOptions{Level: lowest}
+	switch format {
 	case "text":
-		return slog.New(slog.NewTextHandler(os.Stderr, o)), nil
+		return slog.New(slog.NewTextHandler(os.Stderr, options)), nil
 	case "json":
-		return slog.New(slog.NewJSONHandler(os.Stderr, o)), nil
+		return slog.New(slog.NewJSONHandler(os.Stderr, options)), nil
 	}
-	return nil, usageError{fmt.Errorf("--log-format: %q is neither text nor json", form)}
+	return nil, usageError{fmt.Errorf("--log-format: %q is neither text nor json", format)}
 }
 
 func checkCommand() *cobra.Command {
@@ -145,31 +147,19 @@
 	cmd := &cobra.Command{
 		Use: "check-config", Short: "read a node's configuration and say what is wrong with it", Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			c, f, err := load(path)
+			cfg, file, err := load(path)
 			if err != nil {
 				return err
 			}
 			out := printer{writer: cmd.OutOrStdout()}
-			out.printf("%s: %d classes, %d tenants, %d known executors, listens on %s\n",
-				c.Name, len(c.Names.Classes), len(c.Names.Tenants), len(c.Known.Entries), c.Listen)
-			if f.Batch.Listen != "" {
-				out.printf("batch front on %s\n", f.Batch.Listen)
-			}
-			if f.Batch.Dir != "" && f.Store.Dir == "" {
-				out.printf("batch jobs on record in %s\n", f.Batch.Dir)
-			}
-			if f.Inventory.File != "" {
-				if _, err := inventory.Open(f.Inventory.File, c.Names, c.Limits, nil, nil, slog.Default()); err != nil {
+			describeNode(&out, cfg, file)
+			if file.Inventory.File != "" {
+				if _, err := inventory.Open(file.Inventory.File, cfg.Names, cfg.Limits, nil, nil, slog.Default()); err != nil {
 					return err
 				}
-				out.printf("executors from %s\n", f.Inventory.File)
-			}
-			if f.Store.Dir != "" {
-				out.printf("store in %s, %d members\n", f.Store.Dir, len(f.Store.Members))
-			}
-			if f.Settings.Enabled {
-				out.printf("settings from the store, %d members to follow\n", len(f.Settings.Follow))
+				out.printf("executors from %s\n", file.Inventory.File)
 			}
+			describeStore(&out, file)
 			return out.err
 		},
 	}
@@ -177,6 +167,28 @@
 	return cmd
 }
 
+// describeNode prints what a node would listen on and persist.
+func describeNode(out *printer, cfg *config.Config, file *config.File) {
+	out.printf("%s: %d classes, %d tenants, %d known executors, listens on %s\n",
+		cfg.Name, len(cfg.Names.Classes), len(cfg.Names.Tenants), len(cfg.Known.Entries), cfg.Listen)
+	if file.Batch.Listen != "" {
+		out.printf("batch front on %s\n", file.Batch.Listen)
+	}
+	if file.Batch.Dir != "" && file.Store.Dir == "" {
+		out.printf("batch jobs on record in %s\n", file.Batch.Dir)
+	}
+}
+
+// describeStore prints what a node would have of the replicated store.
+func describeStore(out *printer, file *config.File) {
+	if file.Store.Dir != "" {
+		out.printf("store in %s, %d members\n", file.Store.Dir, len(file.Store.Members))
+	}
+	if file.Settings.Enabled {
+		out.printf("settings from the store, %d members to follow\n", len(file.Settings.Follow))
+	}
+}
+
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "version", Short: "print the version", Args: noArgs,
--- a/cmd/gatetack/output_test.go
+++ b/cmd/gatetack/output_test.go
@@ -11,22 +11,22 @@
 // limitedWriter fails once it has taken a number of bytes.
 type limitedWriter struct {
 	strings.Builder
-	room int
+	capacity int
 }
 
 func (w *limitedWriter) Write(data []byte) (int, error) {
-	if w.Len()+len(data) > w.room {
+	if w.Len()+len(data) > w.capacity {
 		return 0, errDiskFull
 	}
 	return w.Builder.Write(data)
 }
 
 func TestPrinterKeepsFirstWriteError(t *testing.T) {
-	target := &limitedWriter{room: 4}
+	target := &limitedWriter{capacity: 4}
 	out := printer{writer: target}
 	out.println("one")
 	out.println("two")
-	target.room = 100
+	target.capacity = 100
 	out.printf("%s\n", "three")
 	if !errors.Is(out.err, errDiskFull) {
 		t.Errorf("error %v, want %v", out.err, errDiskFull)
@@ -37,14 +37,14 @@
 }
 
 func TestTableAlignsColumnsAndReportsFailedFlush(t *testing.T) {
-	target := &limitedWriter{room: 100}
+	target := &limitedWriter{capacity: 100}
 	rows := newTable(target)
 	rows.println("ID\tSTATE")
 	rows.println("n0-17\tDONE")
 	if err := rows.flush(); err != nil || target.String() != "ID     STATE\nn0-17  DONE\n" {
 		t.Errorf("%v, written %q", err, target.String())
 	}
-	rows = newTable(&limitedWriter{room: 4})
+	rows = newTable(&limitedWriter{capacity: 4})
 	rows.println("ID\tSTATE")
 	if err := rows.flush(); !errors.Is(err, errDiskFull) {
 		t.Errorf("error %v, want %v", err, errDiskFull)
--- a/cmd/gatetack/process.go
+++ b/cmd/gatetack/process.go
@@ -25,16 +25,16 @@
 	file        *config.File
 	log         *slog.Logger
 	incarnation time.Time // the start of this process by the wall clock: tells it from earlier ones of the same node
-	life        *lifetime
+	lifetime    *lifetime
 
 	// Control: decisions, and the state that they rest on.
 	core       *node.Core
-	tuner      *tuner
+	applier    *settingsApplier
 	executors  *executor.Client
 	lists      listSource
 	store      *store.Store  // nil where the file names none
 	jobRecords records.Store // nil where batch jobs are not persisted
-	stay       atomic.Int64  // how long clients are served after SIGTERM; the tuner raises it with the longest deadline
+	stay       atomic.Int64  // how long clients are served after SIGTERM; the applier raises it with the longest deadline
 
 	// Fronts: listeners and what answers there.
 	callbacks *callbackRouter
@@ -45,15 +45,15 @@
 
 // serve runs a node until ctx ends and all that it accepted is answered.
 func serve(ctx context.Context, hup <-chan os.Signal, c *config.Config, f *config.File, log *slog.Logger) error {
-	p := &process{config: c, file: f, log: log, incarnation: failpoint.Wall(), life: newLifetime(ctx)}
+	p := &process{config: c, file: f, log: log, incarnation: failpoint.Wall(), lifetime: newLifetime(ctx)}
 	runtime.GOMAXPROCS(c.Limits.Cores)
 	debug.SetMemoryLimit(c.Limits.MemoryBytes)
 	if err := p.start(ctx, hup); err != nil {
-		p.life.stop()
-		_ = p.life.wait() // the parts end because one could not be opened: its error is the one to report
+		p.lifetime.stop()
+		_ = p.lifetime.wait() // the parts end because one could not be opened: its error is the one to report
 		return err
 	}
-	err := p.life.wait()
+	err := p.lifetime.wait()
 	log.Info("ended", "err", err)
 	return err
 }
@@ -66,15 +66,15 @@
 	failpoint.At(failpoint.Listen)
 	if ctx.Err() != nil {
 		p.log.Info("leaving", "before", "listening")
-		p.life.stop()
+		p.lifetime.stop()
 		return nil
 	}
 	if err := p.startFronts(ctx); err != nil {
 		return err
 	}
 	p.log.Info("serving", "node", p.config.Name, "listen", p.config.Listen, "version", version)
-	p.life.start(func(running context.Context) error {
-		defer p.life.stop()
+	p.lifetime.start(func(running context.Context) error {
+		defer p.lifetime.stop()
 		select {
 		case <-ctx.Done():
 			p.leave(running)
@@ -107,7 +107,7 @@
 	if err := p.openLists(hup); err != nil {
 		return err
 	}
-	peers, err := p.startPeers()
+	peers, err := p.startPeers() //nolint:contextcheck // opening a socket does not block
 	if err != nil {
 		return err
 	}
--- a/cmd/gatetack/process_control.go
+++ b/cmd/gatetack/process_control.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	p.core = core
-	p.executors = executor.New(p.life.ctx, p.life.group, cfg.Limits, cfg.Names, core, core.Slow(), p.log)
+	p.executors = executor.New(p.lifetime.ctx, p.lifetime.group, cfg.Limits, cfg.Names, core, core.Slow(), p.log)
 	return nil
 }
 
@@ -65,7 +65,8 @@
 		Members: f.Store.Members, Join: f.Store.Join, Marks: f.StoreMarks(), Trust: f.Store.Trust}, c.Limits, slow, log)
 }
 
-// openKeys opens a folder of keys, and logs when keys that replace them can not be used. It returns nil where none is named.
+// openKeys opens a folder of keys, and logs when keys that replace them can not be used. It returns nil where none is
+// named.
 func openKeys(dir, user string, log *slog.Logger) (*keys.Ring, error) {
 	if dir == "" {
 		return nil, nil
@@ -75,20 +76,26 @@
 	})
 }
 
-// startSettings makes the tuner and has settings of the store come to it, where they do.
+// startSettings makes the applier and has settings of the store come to it, where they do.
 func (p *process) startSettings(feed *settingsFeed, base config.Config) error {
 	p.stay.Store(int64(p.config.Limits.Stay))
-	p.tuner = &tuner{core: p.core, lim: p.config.Limits, stay: &p.stay, base: base, document: settings.NewDocument()}
+	p.applier = &settingsApplier{
+		core:     p.core,
+		limits:   p.config.Limits,
+		stay:     &p.stay,
+		base:     base,
+		document: settings.NewDocument(),
+	}
 	if feed == nil {
 		return nil
 	}
-	p.tuner.document = feed.inForce
+	p.applier.document = feed.inForce
 	if p.store != nil {
-		if err := feed.serve(p.store, p.config, p.file, p.tuner.Validate, p.log); err != nil {
+		if err := feed.serve(p.store, p.config, p.file, p.applier.Validate, p.log); err != nil {
 			return err
 		}
 	}
-	p.life.start(func(ctx context.Context) error { return feed.run(ctx, p.tuner) })
+	p.lifetime.start(func(ctx context.Context) error { return feed.run(ctx, p.applier) })
 	return nil
 }
 
@@ -96,7 +103,7 @@
 func (p *process) startRecords() error {
 	if p.store != nil {
 		p.jobRecords = p.store
-		p.life.start(p.store.Run)
+		p.lifetime.start(p.store.Run)
 		return nil
 	}
 	if p.file.Batch.Dir == "" {
@@ -106,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	p.life.onEnd(func() {
+	p.lifetime.onEnd(func() {
 		if err := file.Close(); err != nil {
 			p.log.Error("job records not closed", "err", err)
 		}
@@ -120,8 +127,9 @@
 func (p *process) openLists(hup <-chan os.Signal) error {
 	cfg := p.config
 	source := discovery.New(cfg.Discovery, cfg.Known.Index, !cfg.Settings.Ask, cfg.Limits, p.core, p.core.Slow(), p.log)
-	p.life.start(func(ctx context.Context) error {
-		reload(ctx, hup, p.tuner, p.file, source.Move, p.log)
+	reloads := &reloader{applier: p.applier, file: p.file, move: source.Move, log: p.log}
+	p.lifetime.start(func(ctx context.Context) error {
+		reloads.run(ctx, hup)
 		return nil
 	})
 	p.lists = source
@@ -150,6 +158,6 @@
 	if err != nil {
 		return nil, err
 	}
-	p.life.start(socket.Run)
+	p.lifetime.start(socket.Run)
 	return socket, nil
 }
--- a/cmd/gatetack/process_fronts.go
+++ b/cmd/gatetack/process_fronts.go
@@ -49,9 +49,9 @@
 		p.startRelay()
 	}
 	p.clients = http1.NewServer(cfg.Limits, platform.New(p.core, p.callbacks, cfg.Limits, p.log), p.core.Slow(), p.log)
-	p.life.start(p.core.Run)
-	p.life.start(p.lists.Run)
-	p.life.start(func(ctx context.Context) error {
+	p.lifetime.start(p.core.Run)
+	p.lifetime.start(p.lists.Run)
+	p.lifetime.start(func(ctx context.Context) error {
 		p.accepting.Store(true)
 		return p.clients.Serve(ctx, listener)
 	})
@@ -65,9 +65,9 @@
 	if err := relay.Register(); err != nil { // Run tries again
 		p.log.Error("handover directory not usable", "err", err)
 	}
-	p.life.onEnd(func() { _ = relay.Close() })
+	p.lifetime.onEnd(func() { _ = relay.Close() })
 	p.callbacks.relay = relay
-	p.life.start(func(ctx context.Context) error { return relay.Run(ctx, p.callbacks.take) })
+	p.lifetime.start(func(ctx context.Context) error { return relay.Run(ctx, p.callbacks.take) })
 }
 
 // startOperator opens the operator's address.
@@ -79,17 +79,17 @@
 	lim := frontLimits(p.config.Limits, p.config.Limits.Operators, operatorSparePart)
 	lim.Pace.PerPeer = false
 	server := http1.NewServer(lim, operator.New(p.core, p.accepting.Load, p.log), p.core.Slow(), p.log)
-	p.life.start(func(running context.Context) error { return server.Serve(running, listener) })
-	p.life.start(func(context.Context) error {
+	p.lifetime.start(func(running context.Context) error { return server.Serve(running, listener) })
+	p.lifetime.start(func(context.Context) error {
 		followDrain(ctx, p.core, p.clients, p.config.Limits.Follow)
 		return nil
 	})
 	return nil
 }
 
-// followDrain applies the core's drain state to the clients' front until the node is told to leave, when leave takes
-// over: while drained, each answer ends its connection and idle connections are closed, so that clients go elsewhere;
-// jobs under way are answered first.
+// followDrain applies the core's drain state to the clients' front until the node is notified to leave, when leave
+// takes over: while drained, each answer ends its connection and idle connections are closed, so that clients go
+// elsewhere; jobs under way are answered first.
 func followDrain(ctx context.Context, core *node.Core, front *http1.Server, interval time.Duration) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -127,7 +127,14 @@
 		Life: p.incarnation, Limits: p.config.Limits, Log: p.log}
 	b := &batchServer{}
 	if p.store != nil {
-		b.owner, err = owner.New(p.store, p.config.Name, p.incarnation.UnixMilli(), p.file.Batch.Listen, p.config.Limits, p.log)
+		b.owner, err = owner.New(
+			p.store,
+			p.config.Name,
+			p.incarnation.UnixMilli(),
+			p.file.Batch.Listen,
+			p.config.Limits,
+			p.log,
+		)
 		if err != nil {
 			return err
 		}
@@ -145,8 +152,8 @@
 	if b.owner != nil {
 		p.startActors(b, ring)
 	}
-	p.life.start(b.front.Run)
-	p.life.start(func(ctx context.Context) error { return b.server.Serve(ctx, listener) })
+	p.lifetime.start(b.front.Run)
+	p.lifetime.start(func(ctx context.Context) error { return b.server.Serve(ctx, listener) })
 	p.batch = b
 	return nil
 }
@@ -173,7 +180,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.life.start(func(ctx context.Context) error {
+	p.lifetime.start(func(ctx context.Context) error {
 		placer.Run(ctx)
 		return nil
 	})
@@ -183,12 +190,14 @@
 // startActors runs the owner of the node's partitions and the host of its actors, and connects both to the batch front.
 func (p *process) startActors(b *batchServer, ring *keys.Ring) {
 	b.owner.Connect(b.front, ring)
-	p.life.start(b.owner.Run)
-	b.actors = actorhost.New(actorhost.Config{Name: p.config.Name, Zone: p.zone(), Addr: p.file.Batch.Listen, Store: p.store,
-		Front: b.front, Forward: b.owner.Pass, Prefix: batch.Prefix, Capacity: p.config.Limits.StoreValues / 2,
-		Rules: migration.DefaultRules(), Limits: p.config.Limits, Log: p.log})
+	p.lifetime.start(b.owner.Run)
+	b.actors = actorhost.New(
+		actorhost.Config{Name: p.config.Name, Zone: p.zone(), Addr: p.file.Batch.Listen, Store: p.store,
+			Front: b.front, Forward: b.owner.Pass, Prefix: batch.Prefix, Capacity: p.config.Limits.StoreValues / 2,
+			Rules: migration.DefaultRules(), Limits: p.config.Limits, Log: p.log},
+	)
 	b.front.SetDesks(b.actors)
-	p.life.start(b.actors.Run)
+	p.lifetime.start(b.actors.Run)
 }
 
 // zone is the name of the node's zone, empty where the settings name none.
--- a/cmd/gatetack/process_test.go
+++ b/cmd/gatetack/process_test.go
@@ -12,8 +12,8 @@
 	"gatetack/internal/standin"
 )
 
-// A node that was told to leave before it listened does not listen: whoever has its address meanwhile keeps it.
-func TestServeToldToLeaveDoesNotListen(t *testing.T) {
+// A node that was notified to leave before it listened does not listen: whoever has its address meanwhile keeps it.
+func TestServeNotifiedBeforeListeningDoesNotListen(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -35,9 +35,17 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	text := strings.NewReplacer("127.0.0.1:8443", addr, "/var/lib/gatetack/batch", filepath.Join(dir, "batch")).Replace(string(shipped))
+	text := strings.NewReplacer(
+		"127.0.0.1:8443",
+		addr,
+		"/var/lib/gatetack/batch",
+		filepath.Join(dir, "batch"),
+	).Replace(
+		string(shipped),
+	)
 	path := filepath.Join(dir, "standalone.yaml")
-	for name, text := range map[string]string{path: text, filepath.Join(dir, "boxes.csv"): "name,address,zone,type,group,status\n"} {
+	inventory := filepath.Join(dir, "boxes.csv")
+	for name, text := range map[string]string{path: text, inventory: "name,address,zone,type,group,status\n"} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/gatetack/remote.go
+++ b/cmd/gatetack/remote.go
@@ -15,61 +15,75 @@
 	"gatetack/drmaa2"
 )
 
+// Formats of --output.
+const (
+	formatTable = "table"
+	formatJSON  = "json"
+	formatYAML  = "yaml"
+)
+
 // remote is what all commands that speak to a batch front share.
 type remote struct {
-	addr, session, output, keys string
-	timeout                     time.Duration
+	address string
+	session string
+	format  string // of the output
+	keysDir string
+	timeout time.Duration // 0: none
 }
 
-func (r *remote) flags(cmd *cobra.Command) {
-	cmd.PersistentFlags().StringVar(&r.addr, "addr", "127.0.0.1:8480", "where the node's batch front listens")
-	cmd.PersistentFlags().StringVar(&r.keys, "keys", "", "a folder of keys, where the batch front has them")
-	cmd.PersistentFlags().StringVar(&r.session, "session", "", "the job session; empty for the default one")
-	cmd.PersistentFlags().StringVarP(&r.output, "output", "o", "table", "table, json or yaml")
-	cmd.PersistentFlags().DurationVar(&r.timeout, "timeout", 0, "give up after so long; 0: never")
+// addFlags gives a command the flags that say which front to speak to, and how.
+func (r *remote) addFlags(cmd *cobra.Command) {
+	flags := cmd.PersistentFlags()
+	flags.StringVar(&r.address, "addr", "127.0.0.1:8480", "where the node's batch front listens")
+	flags.StringVar(&r.keysDir, "keys", "", "a folder of keys, where the batch front has them")
+	flags.StringVar(&r.session, "session", "", "the job session; empty for the default one")
+	flags.StringVarP(&r.format, "output", "o", formatTable, "table, json or yaml")
+	flags.DurationVar(&r.timeout, "timeout", 0, "give up after so long; 0: never")
 }
 
-func (r *remote) client(cmd *cobra.Command) (*drmaa2.Client, context.Context, context.CancelFunc, error) {
-	if r.output != "table" && r.output != "json" && r.output != "yaml" {
-		return nil, nil, nil, usageError{fmt.Errorf("--output: %q is none of table, json and yaml", r.output)}
-	}
-	ctx, cancel := cmd.Context(), context.CancelFunc(func() {})
-	if r.timeout > 0 {
-		ctx, cancel = context.WithTimeout(ctx, r.timeout)
-	}
-	c := drmaa2.New(r.addr, r.session)
-	ring, err := ringOf(r.keys)
+// newClient returns a client of the batch front that the flags name.
+func (r *remote) newClient() (*drmaa2.Client, error) {
+	client := drmaa2.New(r.address, r.session)
+	ring, err := clientKeys(r.keysDir)
 	if err != nil {
-		cancel()
-		return nil, nil, nil, err
+		return nil, err
 	}
 	if ring != nil {
-		c.WithTLS(ring.Client())
+		client.WithTLS(ring.Client())
 	}
-	return c, ctx, cancel, nil
+	return client, nil
 }
 
-// run makes a command's function of one that has a client.
-func (r *remote) run(do func(ctx context.Context, c *drmaa2.Client, cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
+// clientCommand is what a command does with a client of the batch front.
+type clientCommand func(ctx context.Context, client *drmaa2.Client, cmd *cobra.Command, args []string) error
+
+// run is the RunE of a command that speaks to the batch front: it opens the client and bounds the command's time.
+func (r *remote) run(do clientCommand) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
-		c, ctx, cancel, err := r.client(cmd)
+		if r.format != formatTable && r.format != formatJSON && r.format != formatYAML {
+			return usageError{fmt.Errorf("--output: %q is none of table, json and yaml", r.format)}
+		}
+		ctx := cmd.Context()
+		if r.timeout > 0 {
+			var cancel context.CancelFunc
+			ctx, cancel = context.WithTimeout(ctx, r.timeout)
+			defer cancel()
+		}
+		client, err := r.newClient()
 		if err != nil {
 			return err
 		}
-		defer cancel()
-		defer c.Close()
-		return do(ctx, c, cmd, args)
+		defer client.Close()
+		return do(ctx, client, cmd, args)
 	}
 }
 
 // print writes a value as --output says: rows of a table, or the value itself.
 func (r *remote) print(w io.Writer, v any, head []string, rows [][]string) error {
-	switch r.output {
-	case "json":
-		e := json.NewEncoder(w)
-		e.SetIndent("", "  ")
-		return e.Encode(v)
-	case "yaml":
+	switch r.format {
+	case formatJSON:
+		return writeJSON(w, v)
+	case formatYAML:
 		return yaml.NewEncoder(w).Encode(v)
 	}
 	table := newTable(w)
@@ -80,28 +94,38 @@
 	return table.flush()
 }
 
-// failedJob ends a command whose job did.
+// writeJSON writes a value as indented JSON.
+func writeJSON(w io.Writer, v any) error {
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
+}
+
+// failedJob is the error of a command whose job failed.
 type failedJob struct{ drmaa2.JobInfo }
 
+// Error names the job and how it ended.
 func (f *failedJob) Error() string {
 	return fmt.Sprintf("job %s: %s %s %s", f.JobID, f.JobState, f.JobSubState, f.Annotation)
 }
 
-// exitCode tells what a command's failure comes to.
+// exitCode is the exit code of a command that failed.
 func exitCode(err error) int {
-	var usage usageError
-	var job *failedJob
-	var e *drmaa2.Error
-	switch {
-	case errors.As(err, &usage):
+	if _, ok := errors.AsType[usageError](err); ok {
 		return exitUsage
-	case errors.As(err, &job) && job.JobState == "UNDETERMINED":
-		return exitUnknown
-	case errors.As(err, &job):
+	}
+	if job, ok := errors.AsType[*failedJob](err); ok {
+		if job.JobState == drmaa2.StateUndetermined {
+			return exitUnknown
+		}
 		return exitJob
-	case errors.As(err, &e) && (e.Code == "TRY_LATER" || e.Code == "TIMEOUT"), errors.Is(err, context.DeadlineExceeded):
+	}
+	rejection, rejected := errors.AsType[*drmaa2.Error](err)
+	switch {
+	case rejected && (rejection.Code == "TRY_LATER" || rejection.Code == "TIMEOUT"),
+		errors.Is(err, context.DeadlineExceeded):
 		return exitLater
-	case errors.As(err, &e):
+	case rejected:
 		return exitRefused
 	}
 	return exitFailed
--- a/cmd/gatetack/session.go
+++ b/cmd/gatetack/session.go
@@ -15,7 +15,7 @@
 func sessionCommand() *cobra.Command {
 	r := &remote{}
 	cmd := &cobra.Command{Use: "session", Short: "list, create and destroy job sessions"}
-	r.flags(cmd)
+	r.addFlags(cmd)
 	cmd.AddCommand(&cobra.Command{Use: "list", Short: "list job sessions", Args: noArgs,
 		RunE: r.run(func(ctx context.Context, c *drmaa2.Client, cmd *cobra.Command, _ []string) error {
 			all, err := c.Sessions(ctx)
--- a/cmd/gatetack/settings.go
+++ b/cmd/gatetack/settings.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"net/http"
 	"os"
 	"slices"
 	"strings"
@@ -19,30 +20,27 @@
 // settingsRemote is what the commands on settings share.
 type settingsRemote struct {
 	*storeRemote
-	output  string
-	version int64 // that must stand, below 0 for any
+	format string // of the output
 }
 
 func settingsCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "settings", Short: "look at and change the settings that come through the replicated store"}
 	r := &settingsRemote{storeRemote: newStoreRemote(cmd)}
-	cmd.PersistentFlags().StringVar(&r.output, "output", "text", "text or json")
+	cmd.PersistentFlags().StringVar(&r.format, "output", "text", "text or json")
 	cmd.AddCommand(r.listCommand(), r.statusCommand(), r.forgetCommand(),
-		r.changeCommand("set KEY VALUE", "set one item: class/NAME, tenant/NAME or general; its value is a JSON object, @FILE reads it", 2, oneItem),
-		r.changeCommand("delete KEY", "take one item away: what the base configuration says holds again", 1,
-			func(args []string) ([]settings.Change, error) { return []settings.Change{{Key: args[0]}}, nil }),
-		r.changeCommand("apply FILE", "make all changes of a YAML or JSON file, or none: keys with their values, null deletes", 1, itemsOfFile))
+		r.changeCommand("set KEY VALUE",
+			"set one item: class/NAME, tenant/NAME or general; its value is a JSON object, @FILE reads it", 2, changeOfItem),
+		r.changeCommand("delete KEY", "take one item away: what the base configuration says holds again", 1, deletionOfItem),
+		r.changeCommand("apply FILE",
+			"make all changes of a YAML or JSON file, or none: keys with their values, null deletes", 1, changesOfFile))
 	return cmd
 }
 
-// oneItem is the change of `set`.
-func oneItem(args []string) ([]settings.Change, error) {
-	value := []byte(args[1])
-	if name, ok := strings.CutPrefix(args[1], "@"); ok {
-		var err error
-		if value, err = os.ReadFile(name); err != nil {
-			return nil, err
-		}
+// changeOfItem is the change of `set`.
+func changeOfItem(args []string) ([]settings.Change, error) {
+	value, err := valueOrFile(args[1])
+	if err != nil {
+		return nil, err
 	}
 	if !json.Valid(value) {
 		return nil, &settings.InvalidError{Item: args[0], Got: "not valid JSON", Expected: "a JSON object"}
@@ -50,8 +48,13 @@
 	return []settings.Change{{Key: args[0], Value: value}}, nil
 }
 
-// itemsOfFile are the changes of `apply`.
-func itemsOfFile(args []string) ([]settings.Change, error) {
+// deletionOfItem is the change of `delete`.
+func deletionOfItem(args []string) ([]settings.Change, error) {
+	return []settings.Change{{Key: args[0]}}, nil
+}
+
+// changesOfFile are the changes of `apply`, in the order of their keys.
+func changesOfFile(args []string) ([]settings.Change, error) {
 	data, err := os.ReadFile(args[0])
 	if err != nil {
 		return nil, err
@@ -75,47 +78,45 @@
 	return changes, nil
 }
 
-func (r *settingsRemote) changeCommand(use, help string, words int, changes func(args []string) ([]settings.Change, error)) *cobra.Command {
-	cmd := &cobra.Command{Use: use, Short: help,
-		Args: func(cmd *cobra.Command, args []string) error {
-			if len(args) != words {
-				return usageError{fmt.Errorf("%s: %d words are expected", cmd.Name(), words)}
-			}
-			return nil
-		},
+// changeCommand is a command that changes items, by its arguments.
+func (r *settingsRemote) changeCommand(
+	use, short string, arguments int, changes func(args []string) ([]settings.Change, error),
+) *cobra.Command {
+	version := int64(-1)
+	cmd := &cobra.Command{Use: use, Short: short, Args: exactWords(arguments),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			list, err := changes(args)
 			if err != nil {
 				return err
 			}
-			return r.apply(cmd, list)
+			request := settingsync.ApplyRequest{Changes: list}
+			if version >= 0 {
+				condition := uint64(version)
+				request.If = &condition
+			}
+			return r.apply(cmd, request)
 		}}
-	cmd.Flags().Int64Var(&r.version, "if", -1, "only if this is the version of the settings")
+	cmd.Flags().Int64Var(&version, "if", -1, "only if this is the version of the settings")
 	return cmd
 }
 
-func (r *settingsRemote) apply(cmd *cobra.Command, changes []settings.Change) error {
-	if err := r.checkOutput(); err != nil {
+func (r *settingsRemote) apply(cmd *cobra.Command, request settingsync.ApplyRequest) error {
+	if err := r.checkFormat(); err != nil {
 		return err
 	}
-	request := settingsync.ApplyRequest{Changes: changes}
-	if r.version >= 0 {
-		version := uint64(r.version)
-		request.If = &version
-	}
 	body, err := json.Marshal(request)
 	if err != nil {
 		return err
 	}
-	_, data, err := r.call(cmd.Context(), "POST", settingsync.Name+"/apply", body)
+	_, answer, err := r.call(cmd.Context(), http.MethodPost, settingsync.Name+"/apply", body)
 	if err != nil {
 		return err
 	}
 	var accepted settingsync.Accepted
-	if err := json.Unmarshal(data, &accepted); err != nil {
+	if err := json.Unmarshal(answer, &accepted); err != nil {
 		return err
 	}
-	if r.output == "json" {
+	if r.format == formatJSON {
 		return writeJSON(cmd.OutOrStdout(), accepted)
 	}
 	_, err = fmt.Fprintf(cmd.OutOrStdout(), "version %d accepted, %d items changed\n", accepted.Version, accepted.Changed)
@@ -125,53 +126,57 @@
 func (r *settingsRemote) listCommand() *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "list the items, with the version that wrote each", Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := r.checkOutput(); err != nil {
+			if err := r.checkFormat(); err != nil {
 				return err
 			}
-			_, data, err := r.call(cmd.Context(), "GET", settingsync.Name+"/items", nil)
+			_, answer, err := r.call(cmd.Context(), http.MethodGet, settingsync.Name+"/items", nil)
 			if err != nil {
 				return err
 			}
-			u, err := settings.DecodeUpdate(data)
+			update, err := settings.DecodeUpdate(answer)
 			if err != nil {
 				return err
 			}
-			if r.output == "json" {
-				return writeJSON(cmd.OutOrStdout(), u)
+			if r.format == formatJSON {
+				return writeJSON(cmd.OutOrStdout(), update)
 			}
-			table := newTable(cmd.OutOrStdout())
-			table.printf("version %d\n", u.Version)
-			for _, c := range u.Changes {
-				table.printf("%s\t%d\t%s\n", c.Key, c.Version, c.Value)
+			rows := newTable(cmd.OutOrStdout())
+			rows.printf("version %d\n", update.Version)
+			for _, change := range update.Changes {
+				rows.printf("%s\t%d\t%s\n", change.Key, change.Version, change.Value)
 			}
-			return table.flush()
+			return rows.flush()
 		}}
 }
 
 func (r *settingsRemote) statusCommand() *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "tell which version is accepted, and where it is not yet in force", Args: noArgs,
+	return &cobra.Command{
+		Use:   "status",
+		Short: "tell which version is accepted, and where it is not yet in force",
+		Args:  noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := r.checkOutput(); err != nil {
+			if err := r.checkFormat(); err != nil {
 				return err
 			}
-			_, data, err := r.call(cmd.Context(), "GET", settingsync.Name+"/status", nil)
+			_, answer, err := r.call(cmd.Context(), http.MethodGet, settingsync.Name+"/status", nil)
 			if err != nil {
 				return err
 			}
 			var status settingsync.Status
-			if err := json.Unmarshal(data, &status); err != nil {
+			if err := json.Unmarshal(answer, &status); err != nil {
 				return err
 			}
-			if r.output == "json" {
+			if r.format == formatJSON {
 				return writeJSON(cmd.OutOrStdout(), status)
 			}
 			return showStatus(cmd.OutOrStdout(), status)
-		}}
+		},
+	}
 }
 
 func (r *settingsRemote) forgetCommand() *cobra.Command {
 	return &cobra.Command{Use: "forget PROCESS", Short: "no longer wait for a process that is gone for good",
-		Args: func(cmd *cobra.Command, args []string) error {
+		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) != 1 {
 				return usageError{errors.New("forget: the name of a process is expected")}
 			}
@@ -182,13 +187,13 @@
 			if err != nil {
 				return err
 			}
-			_, _, err = r.call(cmd.Context(), "POST", settingsync.Name+"/forget", body)
+			_, _, err = r.call(cmd.Context(), http.MethodPost, settingsync.Name+"/forget", body)
 			return err
 		}}
 }
 
-// heard says when a process was last heard.
-func heard(p settings.Progress) string {
+// lastHeard says when a process was last heard of.
+func lastHeard(p settings.Progress) string {
 	if p.SilentMs < 0 {
 		return "not heard"
 	}
@@ -197,32 +202,28 @@
 
 // showStatus writes a line on the whole, and one on each process that is behind.
 func showStatus(out io.Writer, status settingsync.Status) error {
-	var late []settings.Progress
+	var behind []settings.Progress
 	for _, p := range status.Processes {
 		if p.InForce < status.Version {
-			late = append(late, p)
+			behind = append(behind, p)
 		}
 	}
-	table := newTable(out)
-	table.printf("version %d accepted, in force at %d of %d processes\n", status.Version, len(status.Processes)-len(late), len(status.Processes))
-	for _, p := range late {
-		table.printf("not yet in force at %s\tversion %d\tbehind for %d ms\t%s\t%s\n", p.Process, p.InForce, p.BehindMs, heard(p), p.Refused.Reason)
+	rows := newTable(out)
+	rows.printf("version %d accepted, in force at %d of %d processes\n",
+		status.Version, len(status.Processes)-len(behind), len(status.Processes))
+	for _, p := range behind {
+		rows.printf("not yet in force at %s\tversion %d\tbehind for %d ms\t%s\t%s\n",
+			p.Process, p.InForce, p.BehindMs, lastHeard(p), p.Refused.Reason)
 	}
 	for _, name := range status.Silent {
-		table.printf("not asked: %s\twho follows it may be missing here\n", name)
+		rows.printf("not asked: %s\twho follows it may be missing here\n", name)
 	}
-	return table.flush()
+	return rows.flush()
 }
 
-func (r *settingsRemote) checkOutput() error {
-	if r.output != "text" && r.output != "json" {
+func (r *settingsRemote) checkFormat() error {
+	if r.format != "text" && r.format != formatJSON {
 		return usageError{errors.New("--output: expected text or json")}
 	}
 	return nil
 }
-
-func writeJSON(out io.Writer, v any) error {
-	e := json.NewEncoder(out)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
-}
--- a/cmd/gatetack/reload_test.go
+++ b/cmd/gatetack/settings_applier_test.go
@@ -37,9 +37,16 @@
 	for i := range tenants {
 		list = append(list, map[string]any{"name": fmt.Sprintf("tenant-%04d", i), "portion": 0.01, "quotaRps": quota})
 	}
-	text, err := json.Marshal(map[string]any{"name": "n0", "settings": map[string]any{"balancers": 1, "step": 4,
-		"limits": map[string]any{"maxAttempts": 3}, "invariants": map[string]any{"fallMultiple": 2.5},
-		"requestClasses": []map[string]any{{"name": "tile", "aim": 400, "deadline": 7500, "effect": "free"}}, "tenants": list}})
+	text, err := json.Marshal(map[string]any{"name": "n0", "settings": map[string]any{
+		"balancers":  1,
+		"step":       4,
+		"limits":     map[string]any{"maxAttempts": 3},
+		"invariants": map[string]any{"fallMultiple": 2.5},
+		"requestClasses": []map[string]any{
+			{"name": "tile", "aim": 400, "deadline": 7500, "effect": "free"},
+		},
+		"tenants": list,
+	}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,8 +57,8 @@
 	return c
 }
 
-// startTuner runs a core with a tuner until the test ends.
-func startTuner(t testing.TB, c *config.Config) *tuner {
+// startApplier runs a core with an applier until the test ends.
+func startApplier(t testing.TB, c *config.Config) *settingsApplier {
 	t.Helper()
 	core, err := node.New(c.Settings, 1, node.List{}, c.Names, c.Limits, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -67,7 +74,13 @@
 			t.Errorf("the core ended with %v", err)
 		}
 	})
-	return &tuner{core: core, lim: c.Limits, stay: &atomic.Int64{}, base: *c, document: settings.NewDocument()}
+	return &settingsApplier{
+		core:     core,
+		limits:   c.Limits,
+		stay:     &atomic.Int64{},
+		base:     *c,
+		document: settings.NewDocument(),
+	}
 }
 
 // quotaDocument has an item for each tenant of a configuration.
@@ -75,7 +88,13 @@
 	t.Helper()
 	u := settings.Update{Version: version, Snapshot: true}
 	for i := range tenants {
-		u.Changes = append(u.Changes, settings.Change{Key: fmt.Sprintf("tenant/tenant-%04d", i), Value: json.RawMessage(fmt.Sprintf(`{"quotaRps":%d}`, quota))})
+		u.Changes = append(
+			u.Changes,
+			settings.Change{
+				Key:   fmt.Sprintf("tenant/tenant-%04d", i),
+				Value: json.RawMessage(fmt.Sprintf(`{"quotaRps":%d}`, quota)),
+			},
+		)
 	}
 	d, err := settings.NewDocument().Apply(u)
 	if err != nil {
@@ -92,66 +111,91 @@
 	return out
 }
 
-// A base that is read again and a document that comes cross many times: what is in force in the end is the last of both, the document
-// over the base.
-func TestBaseAndDocumentCross(t *testing.T) {
+// A base that is read again and a document that comes cross many times: what is in force in the end is the last of
+// both, the document over the base.
+func TestConcurrentBaseAndDocumentEndWithTheLastOfBoth(t *testing.T) {
 	const rounds = 50
-	tune := startTuner(t, configOf(t, 3, 1))
+	applier := startApplier(t, configOf(t, 3, 1))
 	var crossing sync.WaitGroup
 	crossing.Go(func() {
 		for n := range rounds {
-			if _, err := tune.follow(t.Context(), configOf(t, 3, float64(100+n))); err != nil {
+			if _, err := applier.replaceBase(t.Context(), configOf(t, 3, float64(100+n))); err != nil {
 				t.Error(err)
 			}
 		}
 	})
 	crossing.Go(func() {
 		for n := range rounds {
-			if err := tune.PutInForce(t.Context(), quotaDocument(t, 2, uint64(n+1), 200+n)); err != nil {
+			if err := applier.PutInForce(t.Context(), quotaDocument(t, 2, uint64(n+1), 200+n)); err != nil {
 				t.Error(err)
 			}
 		}
 	})
 	crossing.Wait()
-	if got, want := quotas(tune.core), []float64{200 + rounds - 1, 200 + rounds - 1, 100 + rounds - 1}; !slices.Equal(got, want) {
+	if got, want := quotas(
+		applier.core,
+	), []float64{
+		200 + rounds - 1,
+		200 + rounds - 1,
+		100 + rounds - 1,
+	}; !slices.Equal(
+		got,
+		want,
+	) {
 		t.Errorf("quotas in force: %v, expected %v", got, want)
 	}
-	if got := tune.current().Settings.Tenants[0].Quota; got != 100+rounds-1 {
+	if got := applier.baseConfig().Settings.Tenants[0].Quota; got != 100+rounds-1 {
 		t.Errorf("the base's quota is %v", got)
 	}
 }
 
 // What can not be used, as a document or as a base beneath one, leaves all as it was.
-func TestTunerRefuses(t *testing.T) {
-	tune := startTuner(t, configOf(t, 2, 1))
+func TestApplierRejectsUnusableSettings(t *testing.T) {
+	applier := startApplier(t, configOf(t, 2, 1))
 	good, err := settings.NewDocument().Apply(settings.Update{Version: 1, Snapshot: true,
 		Changes: []settings.Change{{Key: "tenant/tenant-0001", Value: json.RawMessage(`{"quotaRps":7}`)}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := tune.PutInForce(t.Context(), good); err != nil {
+	if err := applier.PutInForce(t.Context(), good); err != nil {
 		t.Fatal(err)
 	}
-	before := tune.core.Rules()
-	bad, err := good.Apply(settings.Update{From: 1, Version: 2, Changes: []settings.Change{{Key: "class/new", Value: json.RawMessage(`{"worth":1}`)}}})
+	before := applier.core.Rules()
+	bad, err := good.Apply(
+		settings.Update{
+			From:    1,
+			Version: 2,
+			Changes: []settings.Change{{Key: "class/new", Value: json.RawMessage(`{"worth":1}`)}},
+		},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := tune.PutInForce(t.Context(), bad); err == nil || !strings.Contains(err.Error(), "class/new: deadline: absent") {
+	if err := applier.PutInForce(
+		t.Context(),
+		bad,
+	); err == nil ||
+		!strings.Contains(err.Error(), "class/new: deadline: absent") {
 		t.Errorf("a document that can not be used: %v", err)
 	}
-	if _, err := tune.follow(t.Context(), configOf(t, 1, 1)); err == nil || !strings.Contains(err.Error(), "tenant/tenant-0001: portion: absent") {
+	if _, err := applier.replaceBase(
+		t.Context(),
+		configOf(t, 1, 1),
+	); err == nil ||
+		!strings.Contains(err.Error(), "tenant/tenant-0001: portion: absent") {
 		t.Errorf("a base without the tenant of an item: %v", err)
 	}
-	if !reflect.DeepEqual(tune.core.Rules(), before) || tune.document != good || len(tune.current().Names.Tenants) != 2 {
+	if !reflect.DeepEqual(applier.core.Rules(), before) || applier.document != good ||
+		len(applier.baseConfig().Names.Tenants) != 2 {
 		t.Error("something has changed")
 	}
 }
 
-// A change of more classes than there are places, beside those that jobs of the former rules may hold, is refused before it is accepted.
-func TestValidateCountsPlaces(t *testing.T) {
+// A change of more classes than there are places, beside those that jobs of the former rules may hold, is refused
+// before it is accepted.
+func TestValidateCountsPlacesOfOpenJobs(t *testing.T) {
 	const classes = 200
-	tune := startTuner(t, configOf(t, 1, 1))
+	applier := startApplier(t, configOf(t, 1, 1))
 	document := func(version uint64, changed int) *settings.Document {
 		u := settings.Update{Version: version, Snapshot: true}
 		for i := range classes {
@@ -168,20 +212,23 @@
 		}
 		return d
 	}
-	if err := tune.Validate(document(1, 0)); err != nil {
+	if err := applier.Validate(document(1, 0)); err != nil {
 		t.Fatal(err)
 	}
-	if err := tune.PutInForce(t.Context(), document(1, 0)); err != nil {
+	if err := applier.PutInForce(t.Context(), document(1, 0)); err != nil {
 		t.Fatal(err)
 	}
-	if err := tune.Validate(document(2, 54)); err != nil {
+	if err := applier.Validate(document(2, 54)); err != nil {
 		t.Errorf("as many as there are places: %v", err)
 	}
-	before := tune.core.Rules()
-	if err := tune.Validate(document(2, 55)); err == nil || !strings.Contains(err.Error(), "256 rules would stand at a time, expected 255 at most") {
+	before := applier.core.Rules()
+	if err := applier.Validate(
+		document(2, 55),
+	); err == nil ||
+		!strings.Contains(err.Error(), "256 rules would stand at a time, expected 255 at most") {
 		t.Errorf("one more: %v", err)
 	}
-	if tune.core.Rules() != before {
+	if applier.core.Rules() != before {
 		t.Error("a validation has changed what is in force")
 	}
 }
@@ -190,15 +237,20 @@
 func BenchmarkPutInForce(b *testing.B) {
 	for _, tenants := range []int{4, 50, 450} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
-			tune := startTuner(b, configOf(b, tenants, 1))
+			applier := startApplier(b, configOf(b, tenants, 1))
 			d := quotaDocument(b, tenants, 1, 5)
 			for version := uint64(2); b.Loop(); version++ {
-				change := settings.Change{Key: fmt.Sprintf("tenant/tenant-%04d", int(version)%tenants), Value: json.RawMessage(fmt.Sprintf(`{"quotaRps":%d}`, version))}
+				change := settings.Change{
+					Key:   fmt.Sprintf("tenant/tenant-%04d", int(version)%tenants),
+					Value: json.RawMessage(fmt.Sprintf(`{"quotaRps":%d}`, version)),
+				}
 				var err error
-				if d, err = d.Apply(settings.Update{From: version - 1, Version: version, Changes: []settings.Change{change}}); err != nil {
+				if d, err = d.Apply(
+					settings.Update{From: version - 1, Version: version, Changes: []settings.Change{change}},
+				); err != nil {
 					b.Fatal(err)
 				}
-				if err := tune.PutInForce(b.Context(), d); err != nil {
+				if err := applier.PutInForce(b.Context(), d); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/cmd/gatetack/settings_serve.go
+++ b/cmd/gatetack/settings_feed.go
@@ -21,19 +21,27 @@
 	service  *settingsync.Service
 }
 
-// openSettings finds the settings that the process starts with, from its cache or, where there are none, from a member that it
-// follows, and lays them over the configuration. Without any the process starts with its base configuration. It returns nil where
-// settings do not come through the store.
-func openSettings(ctx context.Context, c *config.Config, f *config.File, life time.Time, log *slog.Logger) (*settingsFeed, error) {
+// openSettings finds the settings that the process starts with, from its cache or, where there are none, from a
+// member that it follows, and lays them over the configuration. Without any the process starts with its base
+// configuration. It returns nil where settings do not come through the store.
+func openSettings(
+	ctx context.Context,
+	c *config.Config,
+	f *config.File,
+	started time.Time,
+	log *slog.Logger,
+) (*settingsFeed, error) {
 	if !f.Settings.Enabled {
 		return nil, nil
 	}
 	cache := settingsync.NewCache(f.Settings.Cache)
-	incarnation, err := cache.NextIncarnation(life.UnixMilli())
+	incarnation, err := cache.NextIncarnation(started.UnixMilli())
 	if err != nil {
 		log.Error("settings: the last incarnation of this process is not known or not kept", fault.Attrs(err))
 	}
-	feed := &settingsFeed{follower: settingsync.FollowerConfig{Process: c.Name, Life: incarnation, Cache: cache, Limits: c.Limits, Log: log}}
+	feed := &settingsFeed{
+		follower: settingsync.FollowerConfig{Process: c.Name, Life: incarnation, Cache: cache, Limits: c.Limits, Log: log},
+	}
 	if len(f.Settings.Follow) > 0 {
 		call, err := memberCaller(f.Settings.Keys, c.Limits, log)
 		if err != nil {
@@ -49,7 +57,7 @@
 	if feed.inForce.Version() == 0 && feed.follower.Upstream != nil {
 		feed.inForce = settingsync.Fetch(ctx, feed.follower)
 	}
-	if err := layOver(c, feed.inForce); err != nil {
+	if err := overlay(c, feed.inForce); err != nil {
 		log.Error("settings: the process starts with its base configuration", fault.Attrs(err))
 		feed.inForce = settings.NewDocument()
 	}
@@ -68,13 +76,21 @@
 }
 
 // serve mounts the calls for settings on this process's member of the store, and has the process follow it.
-func (s *settingsFeed) serve(member *store.Store, c *config.Config, f *config.File, validate func(*settings.Document) error, log *slog.Logger) error {
+func (s *settingsFeed) serve(
+	member *store.Store,
+	c *config.Config,
+	f *config.File,
+	validate func(*settings.Document) error,
+	log *slog.Logger,
+) error {
 	call, err := memberCaller(f.Store.Keys, c.Limits, log)
 	if err != nil {
 		return err
 	}
-	s.service = settingsync.NewService(settingsync.ServiceConfig{Name: c.Name, Store: member, Validate: validate, Call: call,
-		Limits: c.Limits, Log: log})
+	s.service = settingsync.NewService(
+		settingsync.ServiceConfig{Name: c.Name, Store: member, Validate: validate, Call: call,
+			Limits: c.Limits, Log: log},
+	)
 	member.Mount(settingsync.Name, s.service)
 	s.follower.Upstream = s.service
 	return nil
--- a/cmd/gatetack/shutdown.go
+++ b/cmd/gatetack/shutdown.go
@@ -43,8 +43,8 @@
 	p.batch.owner.Release(ctx)
 }
 
-// finishFronts ends the fronts within a bound: what came in the moment in which the process decided to end still gets its
-// answer.
+// finishFronts ends the fronts within a bound: what came in the moment in which the process decided to end still gets
+// its answer.
 func (p *process) finishFronts(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.config.Limits.Stay)
 	defer cancel()
@@ -54,10 +54,10 @@
 	}
 }
 
-// awaitQuiet returns once nothing is open and nothing new has come for a while. Clients go on using the connections they
-// have for as long as those are open, and new ones go elsewhere or nowhere: so the clients' front serves on until the
-// process may be killed, and only then are answers given early and connections closed between requests. (Closing them at
-// once lost all requests of a client that has one node, from the signal to the node's next start.)
+// awaitQuiet returns once nothing is open and nothing new has come for a while. Clients go on using the connections
+// they have for as long as those are open, and new ones go elsewhere or nowhere: so the clients' front serves on
+// until the process may be killed, and only then are answers given early and connections closed between requests.
+// (Closing them at once lost all requests of a client that has one node, from the signal to the node's next start.)
 func (p *process) awaitQuiet(ctx context.Context) {
 	notified, rejecting := time.Now(), false
 	tick := time.NewTicker(quietPollInterval)
--- a/cmd/gatetack/store.go
+++ b/cmd/gatetack/store.go
@@ -1,10 +1,10 @@
 package main
 
 import (
-	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
+	"net/http"
 	"net/url"
 	"os"
 	"strconv"
@@ -12,198 +12,172 @@
 	"time"
 
 	"github.com/spf13/cobra"
-	"github.com/tidwall/gjson"
-
-	"gatetack/drmaa2"
-	"gatetack/internal/atomicfile"
-	"gatetack/internal/keys"
-	"gatetack/internal/limits"
-	"gatetack/internal/store"
 )
 
-// storeRemote is what commands that speak to a member of the store share.
-type storeRemote struct {
-	addr    string
-	keys    string
-	timeout time.Duration
-	lim     limits.Limits
+func storeCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "store", Short: "look at and change the replicated store, and its members"}
+	r := newStoreRemote(cmd)
+	stale := false
+	cmd.AddCommand(r.memberCommands()...)
+	cmd.AddCommand(r.getCommand(&stale), r.historyCommand(), r.setCommand(), r.deleteCommand(), r.listCommand(&stale),
+		r.watchCommand(), r.snapshotCommand(), r.restoreCommand(), verifyCommand(r.limits), recoverCommand(r.limits))
+	return cmd
 }
 
-// call speaks to a member, and makes what it refuses an error of the kind that its exit code says.
-func (r *storeRemote) call(ctx context.Context, verb, path string, body []byte) (gjson.Result, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, r.timeout)
-	defer cancel()
-	ring, err := ringOf(r.keys)
-	if err != nil {
-		return gjson.Result{}, nil, err
-	}
-	m, err := store.Call(ctx, r.addr, verb, "/v1/"+path, body, ring, r.lim)
-	if err != nil {
-		return gjson.Result{}, nil, err
-	}
-	if m.Status != 200 {
-		e := &drmaa2.Error{Status: m.Status, Code: "REFUSED", Message: gjson.GetBytes(m.Body, "error").String()}
-		if m.Status == 503 {
-			e.Code = "TRY_LATER"
-		}
-		if v := gjson.GetBytes(m.Body, "version"); v.Exists() {
-			e.Message += ": version " + v.Raw
-		}
-		return gjson.Result{}, nil, e
-	}
-	return gjson.ParseBytes(m.Body), m.Body, nil
+// storeCall is one call to a member, made from a command's arguments.
+type storeCall struct {
+	verb string
+	path func(args []string) string
+	body func(args []string) ([]byte, error) // nil: none
 }
 
-// newStoreRemote gives a command the flags that say which member to speak to, and how.
-func newStoreRemote(cmd *cobra.Command) *storeRemote {
-	r := &storeRemote{lim: limits.New(0, 0, 0, 0, 0)}
-	cmd.PersistentFlags().StringVar(&r.addr, "store-addr", "127.0.0.1:7480", "where a member of the store listens")
-	cmd.PersistentFlags().StringVar(&r.keys, "keys", "", "a folder of keys, where the store has them")
-	cmd.PersistentFlags().DurationVar(&r.timeout, "timeout", 30*time.Second, "give up after so long")
-	return r
+// callCommand is a command that makes one call to a member and prints its answer.
+func (r *storeRemote) callCommand(use, short string, arguments int, call storeCall) *cobra.Command {
+	return &cobra.Command{Use: use, Short: short, Args: exactWords(arguments),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			var body []byte
+			var err error
+			if call.body != nil {
+				if body, err = call.body(args); err != nil {
+					return err
+				}
+			}
+			_, answer, err := r.call(cmd.Context(), call.verb, call.path(args), body)
+			if err != nil {
+				return err
+			}
+			var v any
+			if err := json.Unmarshal(answer, &v); err != nil {
+				return err
+			}
+			return writeJSON(cmd.OutOrStdout(), v)
+		}}
 }
 
-// each tells of all entries of a table whose keys begin with a prefix, page by page.
-func (r *storeRemote) each(ctx context.Context, table, prefix string, stale bool, tell func(gjson.Result)) error {
-	for after := ""; ; {
-		q := url.Values{"prefix": {prefix}, "after": {after}}
-		v, _, err := r.call(ctx, "GET", "kv/"+url.PathEscape(table)+"?"+q.Encode()+staleQuery(stale, "&"), nil)
-		if err != nil {
-			return err
-		}
-		all := v.Get("entries").Array()
-		for _, e := range all {
-			tell(e)
-			after = e.Get("key").String()
-		}
-		if len(all) == 0 {
-			return nil
+// exactWords rejects another number of arguments.
+func exactWords(number int) cobra.PositionalArgs {
+	return func(cmd *cobra.Command, args []string) error {
+		if len(args) != number {
+			return usageError{fmt.Errorf("%s: %d words are expected", cmd.Name(), number)}
 		}
+		return nil
 	}
 }
 
-func storeCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "store", Short: "look at and change the replicated store, and its members"}
-	r := newStoreRemote(cmd)
-	show := func(cmd *cobra.Command, body []byte) error {
-		var v any
-		if err := json.Unmarshal(body, &v); err != nil {
-			return err
-		}
-		e := json.NewEncoder(cmd.OutOrStdout())
-		e.SetIndent("", "  ")
-		return e.Encode(v)
-	}
-	plain := func(use, help, verb string, args int, path func(args []string) string, body func(args []string) []byte) *cobra.Command {
-		return &cobra.Command{Use: use, Short: help,
-			Args: func(cmd *cobra.Command, a []string) error {
-				if len(a) != args {
-					return usageError{fmt.Errorf("%s: %d words are expected", cmd.Name(), args)}
-				}
-				return nil
-			},
-			RunE: func(cmd *cobra.Command, a []string) error {
-				var b []byte
-				if body != nil {
-					b = body(a)
-				}
-				_, out, err := r.call(cmd.Context(), verb, path(a), b)
-				if err != nil {
-					return err
-				}
-				return show(cmd, out)
-			}}
-	}
-	at := func(text string) func([]string) string { return func([]string) string { return text } }
-	key := func(a []string) string { return "kv/" + url.PathEscape(a[0]) + "/" + url.PathEscape(a[1]) }
-	change := func(verb string, force *bool) func([]string) []byte {
-		return func(a []string) []byte {
-			m := map[string]any{"verb": verb, "name": a[0], "force": force != nil && *force}
-			if len(a) > 1 {
-				m["address"] = a[1]
+// memberChange is the body of a call that changes the members of the store.
+type memberChange struct {
+	Address string `json:"address,omitempty"`
+	Force   bool   `json:"force"`
+	Name    string `json:"name"`
+	Verb    string `json:"verb"`
+}
+
+func (r *storeRemote) memberCommands() []*cobra.Command {
+	to := func(path string) func([]string) string { return func([]string) string { return path } }
+	change := func(verb string, force *bool) storeCall {
+		return storeCall{verb: http.MethodPost, path: to("members"), body: func(args []string) ([]byte, error) {
+			c := memberChange{Verb: verb, Name: args[0], Force: force != nil && *force}
+			if len(args) > 1 {
+				c.Address = args[1]
 			}
-			b, _ := json.Marshal(m)
-			return b
-		}
+			return json.Marshal(c)
+		}}
 	}
-	cmd.AddCommand(
-		plain("status", "tell how a member stands", "GET", 0, at("status"), nil),
-		plain("members", "list the members", "GET", 0, at("members"), nil),
-		plain("join NAME ADDRESS", "let a node be a member; it votes once it has caught up", "POST", 2, at("members"), change("join", nil)),
-		plain("leave NAME", "take a member out that is alive", "POST", 1, at("members"), change("leave", nil)),
-		plain("history TABLE KEY", "tell a key's former values", "GET", 2, func(a []string) string { return key(a) + "?history=1" }, nil),
-	)
 	force := false
-	remove := plain("remove NAME", "take a dead member out", "POST", 1, at("members"), change("remove", &force))
+	remove := r.callCommand("remove NAME", "take a dead member out", 1, change("remove", &force))
 	remove.Flags().BoolVar(&force, "force", false, "also one that is alive")
-	stale := false
-	get := plain("get TABLE KEY", "tell a value", "GET", 2, func(a []string) string { return key(a) + staleQuery(stale, "?") }, nil)
-	get.Flags().BoolVar(&stale, "stale", false, "as this member has it, which may be old")
-	var cond string
-	var ttl time.Duration
-	query := func() string {
-		q := url.Values{}
-		if cond != "" {
-			q.Set("if", cond)
-		}
-		if ttl > 0 {
-			q.Set("ttlMs", strconv.FormatInt(ttl.Milliseconds(), 10))
-		}
-		if len(q) == 0 {
-			return ""
-		}
-		return "?" + q.Encode()
+	return []*cobra.Command{
+		r.callCommand("status", "tell how a member stands", 0, storeCall{verb: http.MethodGet, path: to("status")}),
+		r.callCommand("members", "list the members", 0, storeCall{verb: http.MethodGet, path: to("members")}),
+		r.callCommand("join NAME ADDRESS", "let a node be a member; it votes once it has caught up", 2, change("join", nil)),
+		r.callCommand("leave NAME", "take a member out that is alive", 1, change("leave", nil)),
+		remove,
 	}
-	set := plain("set TABLE KEY VALUE", "set a value; @FILE reads it", "PUT", 3, func(a []string) string { return key(a) + query() }, nil)
-	set.RunE = func(cmd *cobra.Command, a []string) error {
-		value := []byte(a[2])
-		if name, ok := strings.CutPrefix(a[2], "@"); ok {
-			var err error
-			if value, err = os.ReadFile(name); err != nil {
-				return err
+}
+
+func (r *storeRemote) historyCommand() *cobra.Command {
+	return r.callCommand("history TABLE KEY", "tell a key's former values", 2, storeCall{verb: http.MethodGet,
+		path: func(args []string) string { return keyPath(args[0], args[1]) + "?history=1" }})
+}
+
+// getCommand shares its flag with the list command: both read as the called member has it.
+func (r *storeRemote) getCommand(stale *bool) *cobra.Command {
+	cmd := r.callCommand("get TABLE KEY", "tell a value", 2, storeCall{verb: http.MethodGet,
+		path: func(args []string) string {
+			if *stale {
+				return keyPath(args[0], args[1]) + "?stale=1"
 			}
-		}
-		_, out, err := r.call(cmd.Context(), "PUT", key(a)+query(), value)
-		if err != nil {
-			return err
-		}
-		return show(cmd, out)
-	}
-	set.Flags().StringVar(&cond, "if", "", "only if this version stands there; 0: only if nothing does")
-	set.Flags().DurationVar(&ttl, "ttl", 0, "it expires after so long")
-	del := plain("delete TABLE KEY", "take a value away", "DELETE", 2, func(a []string) string { return key(a) + query() }, nil)
-	del.Flags().StringVar(&cond, "if", "", "only if this version stands there")
-	cmd.AddCommand(remove, get, set, del, r.list(&stale), r.watch(), r.snapshot(), r.restore(), verifyCommand(r.lim), recoverCommand(r.lim))
+			return keyPath(args[0], args[1])
+		}})
+	cmd.Flags().BoolVar(stale, "stale", false, "as this member has it, which may be old")
 	return cmd
 }
 
-// ringOf opens a folder of keys; none is named where none are wanted.
-func ringOf(dir string) (*keys.Ring, error) {
-	if dir == "" {
-		return nil, nil
+// writeCondition is what a write depends on, and how long its value stays.
+type writeCondition struct {
+	version string // that must stand there; empty: any
+	ttl     time.Duration
+}
+
+// path is that of a write to a key under the condition.
+func (c *writeCondition) path(args []string) string {
+	query := url.Values{}
+	if c.version != "" {
+		query.Set("if", c.version)
+	}
+	if c.ttl > 0 {
+		query.Set("ttlMs", strconv.FormatInt(c.ttl.Milliseconds(), 10))
 	}
-	return keys.Open(dir, func(error) {})
+	path := keyPath(args[0], args[1])
+	if len(query) == 0 {
+		return path
+	}
+	return path + "?" + query.Encode()
+}
+
+func (r *storeRemote) setCommand() *cobra.Command {
+	var condition writeCondition
+	cmd := r.callCommand("set TABLE KEY VALUE", "set a value; @FILE reads it", 3, storeCall{verb: http.MethodPut,
+		path: condition.path,
+		body: func(args []string) ([]byte, error) { return valueOrFile(args[2]) }})
+	cmd.Flags().StringVar(&condition.version, "if", "", "only if this version stands there; 0: only if nothing does")
+	cmd.Flags().DurationVar(&condition.ttl, "ttl", 0, "it expires after so long")
+	return cmd
+}
+
+func (r *storeRemote) deleteCommand() *cobra.Command {
+	var condition writeCondition
+	cmd := r.callCommand(
+		"delete TABLE KEY",
+		"take a value away",
+		2,
+		storeCall{verb: http.MethodDelete, path: condition.path},
+	)
+	cmd.Flags().StringVar(&condition.version, "if", "", "only if this version stands there")
+	return cmd
 }
 
-func staleQuery(stale bool, sep string) string {
-	if stale {
-		return sep + "stale=1"
+// valueOrFile is a value given as an argument: its text, or what is in the file that it names with @.
+func valueOrFile(argument string) ([]byte, error) {
+	if name, ok := strings.CutPrefix(argument, "@"); ok {
+		return os.ReadFile(name)
 	}
-	return ""
+	return []byte(argument), nil
 }
 
-func (r *storeRemote) list(stale *bool) *cobra.Command {
+func (r *storeRemote) listCommand(stale *bool) *cobra.Command {
 	var prefix string
 	cmd := &cobra.Command{Use: "list TABLE", Short: "list a table's values",
-		Args: func(cmd *cobra.Command, a []string) error {
-			if len(a) != 1 {
+		Args: func(_ *cobra.Command, args []string) error {
+			if len(args) != 1 {
 				return usageError{errors.New("list: one table is expected")}
 			}
 			return nil
 		},
-		RunE: func(cmd *cobra.Command, a []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			out := printer{writer: cmd.OutOrStdout()}
-			err := r.each(cmd.Context(), a[0], prefix, *stale, func(e gjson.Result) { out.println(e.Raw) })
+			query := tableQuery{table: args[0], prefix: prefix, stale: *stale}
+			err := r.each(cmd.Context(), query, func(e entry) { out.println(e.raw) })
 			return errors.Join(err, out.err)
 		}}
 	cmd.Flags().StringVar(&prefix, "prefix", "", "keys that begin with it")
@@ -211,103 +185,49 @@
 	return cmd
 }
 
-func (r *storeRemote) watch() *cobra.Command {
-	var table, prefix, after string
-	var span time.Duration
+// storeWatch selects the changes that a watch shows.
+type storeWatch struct {
+	table, prefix string
+	after         string // a version; empty: from now on
+	span          time.Duration
+}
+
+// watchPollMs is how long a member holds back the answer to one poll when nothing changes.
+const watchPollMs = "1000"
+
+func (r *storeRemote) watchCommand() *cobra.Command {
+	var w storeWatch
 	cmd := &cobra.Command{Use: "watch", Short: "follow changes, one a line", Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			began := time.Now()
 			out := printer{writer: cmd.OutOrStdout()}
-			for span == 0 || time.Since(began) < span {
-				q := url.Values{"table": {table}, "prefix": {prefix}, "timeoutMs": {"1000"}}
-				if after != "" {
-					q.Set("after", after)
-				}
-				v, _, err := r.call(cmd.Context(), "GET", "watch?"+q.Encode(), nil)
-				if err != nil {
+			for w.span == 0 || time.Since(began) < w.span {
+				if err := r.pollChanges(cmd, &w, &out); err != nil {
 					return err
 				}
-				after = v.Get("after").Raw
-				for _, e := range v.Get("events").Array() {
-					out.println(e.Raw)
-				}
-				if out.err != nil {
-					return out.err
-				}
 			}
 			return nil
 		}}
-	cmd.Flags().StringVar(&table, "table", "", "of one table")
-	cmd.Flags().StringVar(&prefix, "prefix", "", "of keys that begin with it")
-	cmd.Flags().StringVar(&after, "after", "", "the version after which to begin; empty: now")
-	cmd.Flags().DurationVar(&span, "for", 0, "for so long; 0: until it is ended")
+	cmd.Flags().StringVar(&w.table, "table", "", "of one table")
+	cmd.Flags().StringVar(&w.prefix, "prefix", "", "of keys that begin with it")
+	cmd.Flags().StringVar(&w.after, "after", "", "the version after which to begin; empty: now")
+	cmd.Flags().DurationVar(&w.span, "for", 0, "for so long; 0: until it is ended")
 	return cmd
 }
 
-func oneFile(cmd *cobra.Command, a []string) error {
-	if len(a) != 1 {
-		return usageError{fmt.Errorf("%s: one path is expected", cmd.Name())}
+// pollChanges prints the next changes of a watch and moves it past them.
+func (r *storeRemote) pollChanges(cmd *cobra.Command, w *storeWatch, out *printer) error {
+	query := url.Values{"table": {w.table}, "prefix": {w.prefix}, "timeoutMs": {watchPollMs}}
+	if w.after != "" {
+		query.Set("after", w.after)
 	}
-	return nil
-}
-
-func (r *storeRemote) snapshot() *cobra.Command {
-	return &cobra.Command{Use: "snapshot FILE", Short: "write all values of a member to a file", Args: oneFile,
-		RunE: func(cmd *cobra.Command, a []string) error {
-			_, data, err := r.call(cmd.Context(), "GET", "snapshot", nil)
-			if err != nil {
-				return err
-			}
-			return writeSnapshot(a[0], data)
-		}}
-}
-
-// snapshotMode lets the operator alone read a snapshot: it holds what clients submitted.
-const snapshotMode = 0o600
-
-// writeSnapshot writes a snapshot durably, so that an earlier one under the same name is not lost to a full disk. What is
-// no regular file, as a terminal or a link, is written in place.
-func writeSnapshot(path string, data []byte) error {
-	if info, err := os.Lstat(path); err == nil && !info.Mode().IsRegular() {
-		return os.WriteFile(path, data, snapshotMode)
+	answer, _, err := r.call(cmd.Context(), http.MethodGet, "watch?"+query.Encode(), nil)
+	if err != nil {
+		return err
 	}
-	return atomicfile.Write(atomicfile.OS, path, data, snapshotMode)
-}
-
-func (r *storeRemote) restore() *cobra.Command {
-	return &cobra.Command{Use: "restore FILE", Short: "put a snapshot's values in the place of all that is in the store", Args: oneFile,
-		RunE: func(cmd *cobra.Command, a []string) error {
-			data, err := os.ReadFile(a[0])
-			if err != nil {
-				return err
-			}
-			_, _, err = r.call(cmd.Context(), "POST", "restore", data)
-			return err
-		}}
-}
-
-func recoverCommand(lim limits.Limits) *cobra.Command {
-	var name string
-	var members map[string]string
-	var dry bool
-	cmd := &cobra.Command{Use: "recover DIR", Short: "begin the store anew from one member's folder, when most are lost for good", Args: oneFile,
-		RunE: func(cmd *cobra.Command, a []string) error {
-			if name == "" || len(members) == 0 {
-				return usageError{errors.New("recover: --name, whose folder it is, and --members of the store to be are expected")}
-			}
-			out := &printer{writer: cmd.OutOrStdout()}
-			return errors.Join(store.Recover(a[0], name, members, dry, lim, out), out.err)
-		}}
-	cmd.Flags().StringVar(&name, "name", "", "the member whose folder it is")
-	cmd.Flags().StringToStringVar(&members, "members", nil, "the members of the store to be: NAME=ADDRESS,...")
-	cmd.Flags().BoolVar(&dry, "dry-run", false, "say what it would do, and what may be lost")
-	return cmd
-}
-
-func verifyCommand(lim limits.Limits) *cobra.Command {
-	return &cobra.Command{Use: "verify DIR", Short: "say what is wrong with a member's folder, while its node is down", Args: oneFile,
-		RunE: func(cmd *cobra.Command, a []string) error {
-			out := &printer{writer: cmd.OutOrStdout()}
-			return errors.Join(store.Verify(a[0], lim, out), out.err)
-		}}
+	w.after = answer.Get("after").Raw
+	for _, e := range answer.Get("events").Array() {
+		out.println(e.Raw)
+	}
+	return out.err
 }
--- /dev/null
+++ b/cmd/gatetack/store_remote.go
@@ -0,0 +1,129 @@
+package main
+
+import (
+	"context"
+	"net/http"
+	"net/url"
+	"time"
+
+	"github.com/spf13/cobra"
+	"github.com/tidwall/gjson"
+
+	"gatetack/drmaa2"
+	"gatetack/internal/keys"
+	"gatetack/internal/limits"
+	"gatetack/internal/store"
+)
+
+// storeTimeout bounds a command that speaks to a member of the store, unless its flag says otherwise.
+const storeTimeout = 30 * time.Second
+
+// storeRemote is what commands that speak to a member of the store share.
+type storeRemote struct {
+	address string
+	keysDir string
+	timeout time.Duration
+	limits  limits.Limits
+}
+
+// newStoreRemote gives a command the flags that say which member to speak to, and how.
+func newStoreRemote(cmd *cobra.Command) *storeRemote {
+	r := &storeRemote{limits: limits.New(0, 0, 0, 0, 0)}
+	flags := cmd.PersistentFlags()
+	flags.StringVar(&r.address, "store-addr", "127.0.0.1:7480", "where a member of the store listens")
+	flags.StringVar(&r.keysDir, "keys", "", "a folder of keys, where the store has them")
+	flags.DurationVar(&r.timeout, "timeout", storeTimeout, "give up after so long")
+	return r
+}
+
+// call speaks to a member, and returns a rejection as an error of the kind that its exit code says.
+func (r *storeRemote) call(ctx context.Context, verb, path string, body []byte) (gjson.Result, []byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, r.timeout)
+	defer cancel()
+	ring, err := clientKeys(r.keysDir)
+	if err != nil {
+		return gjson.Result{}, nil, err
+	}
+	answer, err := store.Call(ctx, r.address, verb, "/v1/"+path, body, ring, r.limits)
+	if err != nil {
+		return gjson.Result{}, nil, err
+	}
+	if answer.Status != http.StatusOK {
+		return gjson.Result{}, nil, storeRejection(answer.Status, answer.Body)
+	}
+	return gjson.ParseBytes(answer.Body), answer.Body, nil
+}
+
+// storeRejection is the error of an answer of the store that is not 200.
+func storeRejection(status int, body []byte) error {
+	rejection := &drmaa2.Error{Status: status, Code: "REFUSED", Message: gjson.GetBytes(body, "error").String()}
+	if status == http.StatusServiceUnavailable {
+		rejection.Code = "TRY_LATER"
+	}
+	if version := gjson.GetBytes(body, "version"); version.Exists() {
+		rejection.Message += ": version " + version.Raw
+	}
+	return rejection
+}
+
+// entry is one entry of a table, as the store's answers have it.
+type entry struct {
+	key     string
+	value   string
+	version uint64
+	raw     string // the JSON of all of it
+}
+
+func parseEntry(v gjson.Result) entry {
+	return entry{key: v.Get("key").String(), value: v.Get("value").String(), version: v.Get("version").Uint(), raw: v.Raw}
+}
+
+// each calls visit for all entries of a table whose keys begin with a prefix, page by page. With stale they are as the
+// called member has them, which may be old.
+func (r *storeRemote) each(ctx context.Context, table tableQuery, visit func(entry)) error {
+	for after := ""; ; {
+		page, _, err := r.call(ctx, http.MethodGet, table.path(after), nil)
+		if err != nil {
+			return err
+		}
+		entries := page.Get("entries").Array()
+		for _, v := range entries {
+			e := parseEntry(v)
+			visit(e)
+			after = e.key
+		}
+		if len(entries) == 0 {
+			return nil
+		}
+	}
+}
+
+// tableQuery selects entries of a table.
+type tableQuery struct {
+	table  string
+	prefix string // of the keys
+	stale  bool   // as the called member has them, which may be old
+}
+
+// path is that of the page of entries after a key.
+func (q tableQuery) path(after string) string {
+	query := url.Values{"prefix": {q.prefix}, "after": {after}}
+	path := "kv/" + url.PathEscape(q.table) + "?" + query.Encode()
+	if q.stale {
+		path += "&stale=1"
+	}
+	return path
+}
+
+// keyPath is the path of one key of a table.
+func keyPath(table, key string) string {
+	return "kv/" + url.PathEscape(table) + "/" + url.PathEscape(key)
+}
+
+// clientKeys opens a folder of keys for one call. It returns nil where none is named.
+func clientKeys(dir string) (*keys.Ring, error) {
+	if dir == "" {
+		return nil, nil
+	}
+	return keys.Open(dir, func(error) {})
+}
