--- /dev/null
+++ b/internal/conform/templates.go
@@ -0,0 +1,52 @@
+package conform
+
+import (
+	"strconv"
+	"strings"
+	"time"
+)
+
+// template is a job template that the endpoint accepts, with more attributes as JSON. One that gives the category or
+// the account has no other.
+func (t *tester) template(more string) string {
+	var attributes []string
+	if !contains(more, "jobCategory") {
+		attributes = append(attributes, `"jobCategory":`+strconv.Quote(t.category))
+	}
+	if t.account != "" && !contains(more, "accountingId") {
+		attributes = append(attributes, `"accountingId":`+strconv.Quote(t.account))
+	}
+	if more != "" {
+		attributes = append(attributes, more)
+	}
+	return "{" + strings.Join(attributes, ",") + "}"
+}
+
+// withMarker begins a template with more attributes in the text of a case.
+const withMarker = "{with:"
+
+// arrayTail is what stands after the template in the text of a case on arrays.
+const arrayTail = `},"endIndex":4}`
+
+// expand puts the run's own names in the places of a path or a body: {good} is a template, {with:MORE} one with more,
+// {unique} a name, {later} and {soon} are times.
+func (t *tester) expand(s string) string {
+	if begin := strings.Index(s, withMarker); begin >= 0 {
+		end := strings.LastIndex(s, "}")
+		if strings.HasSuffix(s, arrayTail) {
+			end = len(s) - len(arrayTail)
+		}
+		s = s[:begin] + t.template(s[begin+len(withMarker):end]) + s[end+1:]
+	}
+	if strings.Contains(s, "{unique}") {
+		s = strings.ReplaceAll(s, "{unique}", t.uniqueName("u"))
+	}
+	now := time.Now().UTC()
+	return strings.NewReplacer("{good}", t.template(""), "{category}", t.category, "{session}", t.session,
+		"{later}", now.Add(time.Hour).Format(time.RFC3339Nano),
+		"{soon}", now.Add(10*time.Minute).Format(time.RFC3339Nano)).Replace(s)
+}
+
+func (t *tester) expandRequest(r request) request {
+	return request{r.verb, t.expand(r.path), t.expand(r.body)}
+}
