--- a/cmd/gatetack/callbacks.go
+++ b/cmd/gatetack/callbacks.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 
 	"gatetack/internal/batch"
+	"gatetack/internal/callbackrelay"
 	"gatetack/internal/executor"
-	"gatetack/internal/handover"
 	"gatetack/internal/platform"
 )
 
@@ -16,7 +16,7 @@
 // that has ended. One that could not be stored for the other process is rejected, so that the executor calls again.
 type callbackRouter struct {
 	executors *executor.Client
-	relay     *handover.Relay             // nil: no other process of the node can run
+	relay     *callbackrelay.Relay        // nil: no other process of the node can run
 	batch     atomic.Pointer[batch.Front] // nil until the batch front is open
 }
 
--- a/cmd/gatetack/callbacks_test.go
+++ b/cmd/gatetack/callbacks_test.go
@@ -10,11 +10,11 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"gatetack/internal/callbackrelay"
 	"gatetack/internal/executor"
-	"gatetack/internal/handover"
 	"gatetack/internal/node"
 	"gatetack/internal/platform"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // A callback of an attempt that this process does not know is refused while the directory that the other process takes
@@ -24,11 +24,11 @@
 	if err := os.WriteFile(blocked, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	relay := handover.New(filepath.Join(blocked, "handover"), time.Millisecond, time.Minute, standin.Quiet)
+	relay := callbackrelay.New(filepath.Join(blocked, "handover"), time.Millisecond, time.Minute, testenv.Quiet)
 	if err := relay.Register(); err == nil {
 		t.Fatal("registered below a file")
 	}
-	executors := executor.New(t.Context(), &errgroup.Group{}, standin.Lim, node.Names{}, nil, nil, standin.Quiet)
+	executors := executor.New(t.Context(), &errgroup.Group{}, testenv.Lim, node.Names{}, nil, nil, testenv.Quiet)
 	router := &callbackRouter{executors: executors, relay: relay}
 	callback := []byte(`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"done","result":"tile"}`)
 	err := router.Callback(callback)
--- a/cmd/gatetack/configuration.go
+++ b/cmd/gatetack/configuration.go
@@ -4,13 +4,13 @@
 	"os"
 
 	"gatetack/internal/config"
-	"gatetack/internal/pace"
+	"gatetack/internal/slowpeer"
 )
 
 // load reads the platform's configuration and, where one is named, the operator's file. A file that names the node
 // stands for both: the node is alone then, and no variable of the platform's is needed.
 func load(path string) (*config.Config, *config.File, error) {
-	file := &config.File{Pace: pace.Default()}
+	file := &config.File{Pace: slowpeer.Default()}
 	var err error
 	if path != "" {
 		if file, err = config.ReadFile(path); err != nil {
--- a/cmd/gatetack/conform.go
+++ b/cmd/gatetack/conform.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"gatetack/internal/conform"
+	"gatetack/internal/conformance"
 )
 
 // conformTimeout bounds a run of the conformance suite, unless its flag says otherwise.
@@ -30,7 +30,7 @@
 			defer cancel()
 			out := &printer{writer: cmd.OutOrStdout()}
 			cases, failed := 0, 0
-			err := conform.Run(ctx, address, func(result conform.Result) {
+			err := conformance.Run(ctx, address, func(result conformance.Result) {
 				cases++
 				if result.Err != nil {
 					failed++
--- a/cmd/gatetack/duty.go
+++ b/cmd/gatetack/duty.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"gatetack/internal/duty"
-	"gatetack/internal/owner"
+	"gatetack/internal/lease"
+	"gatetack/internal/leaseholder"
 )
 
 // partitionStatus is a partition of the job records, which the command line calls a duty, as commands show it.
@@ -43,7 +43,7 @@
 			RunE: func(cmd *cobra.Command, args []string) error { return r.showPartition(cmd, format, args[0]) }},
 		&cobra.Command{Use: "release DUTY", Short: "take a duty from its owner: another node claims it", Args: oneDuty,
 			RunE: func(cmd *cobra.Command, args []string) error {
-				return r.assignPartition(cmd, args[0], duty.Life{}, "is nobody's")
+				return r.assignPartition(cmd, args[0], lease.Life{}, "is nobody's")
 			}},
 		&cobra.Command{Use: "move DUTY NODE", Short: "give a duty to a node that is alive",
 			Args: func(_ *cobra.Command, args []string) error {
@@ -83,7 +83,7 @@
 
 // showOwners prints who had a partition under which epoch.
 func (r *storeRemote) showOwners(cmd *cobra.Command, key string) error {
-	history, _, err := r.call(cmd.Context(), http.MethodGet, keyPath(owner.Duties, key)+"?history=1", nil)
+	history, _, err := r.call(cmd.Context(), http.MethodGet, keyPath(leaseholder.Duties, key)+"?history=1", nil)
 	if err != nil {
 		return err
 	}
@@ -111,8 +111,8 @@
 }
 
 // assignPartition writes a partition's owner, or that it has none, over the present one, and prints what was done.
-func (r *storeRemote) assignPartition(cmd *cobra.Command, key string, to duty.Life, done string) error {
-	path := keyPath(owner.Duties, key)
+func (r *storeRemote) assignPartition(cmd *cobra.Command, key string, to lease.Life, done string) error {
+	path := keyPath(leaseholder.Duties, key)
 	answer, _, err := r.call(cmd.Context(), http.MethodGet, path, nil)
 	if err != nil {
 		return err
@@ -132,12 +132,12 @@
 }
 
 // ownerOf is the owner that a partition's entry names, zero for none.
-func ownerOf(e entry) (owner duty.Life) {
+func ownerOf(e entry) (owner lease.Life) {
 	_ = json.Unmarshal([]byte(e.value), &owner)
 	return owner
 }
 
-func describeOwner(owner duty.Life) string {
+func describeOwner(owner lease.Life) string {
 	if owner.Zero() {
 		return "nobody"
 	}
--- a/cmd/gatetack/duty_list.go
+++ b/cmd/gatetack/duty_list.go
@@ -7,16 +7,16 @@
 	"github.com/spf13/cobra"
 	"github.com/tidwall/gjson"
 
-	"gatetack/internal/duty"
-	"gatetack/internal/owner"
+	"gatetack/internal/lease"
+	"gatetack/internal/leaseholder"
 )
 
 // aliveNodes are the incarnations that have a lease, with the addresses of their batch fronts.
-func (r *storeRemote) aliveNodes(cmd *cobra.Command) (map[duty.Life]string, error) {
-	alive := map[duty.Life]string{}
-	err := r.each(cmd.Context(), tableQuery{table: owner.Leases}, func(e entry) {
-		lease := gjson.Parse(e.value)
-		alive[duty.Life{Node: e.key, Born: lease.Get("born").Int()}] = lease.Get("addr").String()
+func (r *storeRemote) aliveNodes(cmd *cobra.Command) (map[lease.Life]string, error) {
+	alive := map[lease.Life]string{}
+	err := r.each(cmd.Context(), tableQuery{table: leaseholder.Leases}, func(e entry) {
+		stored := gjson.Parse(e.value)
+		alive[lease.Life{Node: e.key, Born: stored.Get("born").Int()}] = stored.Get("addr").String()
 	})
 	return alive, err
 }
@@ -28,16 +28,16 @@
 		return nil, err
 	}
 	all := []partitionStatus{}
-	err = r.each(cmd.Context(), tableQuery{table: owner.Duties}, func(e entry) {
+	err = r.each(cmd.Context(), tableQuery{table: leaseholder.Duties}, func(e entry) {
 		all = append(all, statusOf(e, alive))
 	})
 	return all, err
 }
 
 // statusOf is the status of the partition that an entry describes.
-func statusOf(e entry, alive map[duty.Life]string) partitionStatus {
+func statusOf(e entry, alive map[lease.Life]string) partitionStatus {
 	holder := ownerOf(e)
-	partition, _ := duty.ParsePartition(e.key)
+	partition, _ := lease.ParsePartition(e.key)
 	address, ownerAlive := alive[holder]
 	status := partitionStatus{Partition: e.key, Owner: holder.Node, BatchAddress: address, Epoch: e.version,
 		Node: partition.Node, Since: time.UnixMilli(partition.Born).UTC(), OwnerAlive: ownerAlive}
--- a/cmd/gatetack/keys.go
+++ b/cmd/gatetack/keys.go
@@ -5,7 +5,7 @@
 
 	"github.com/spf13/cobra"
 
-	"gatetack/internal/keys"
+	"gatetack/internal/pki"
 )
 
 // Validity of certificates unless a flag says otherwise.
@@ -19,7 +19,7 @@
 	cmd := &cobra.Command{Use: "keys", Short: "make, renew and revoke the keys of the store and the batch front"}
 	cmd.AddCommand(
 		certificateCommand("init DIR NAME", "make an authority in a folder", 2, authorityValidity,
-			func(args []string, valid time.Duration) error { return keys.Init(args[0], args[1], valid, time.Now()) }),
+			func(args []string, valid time.Duration) error { return pki.Init(args[0], args[1], valid, time.Now()) }),
 		certificateCommand("issue CA OUT NAME",
 			"make a node's key and certificate, signed by the authority in CA, in the folder OUT", 3, nodeValidity, issueKeys),
 		certificateCommand(
@@ -31,7 +31,7 @@
 		),
 		&cobra.Command{Use: "revoke DIR SERIAL", Args: exactArgs(2),
 			Short: "refuse a certificate from the next connection on; DIR is the folder of each node's keys",
-			RunE:  func(_ *cobra.Command, args []string) error { return keys.Revoke(args[0], args[1]) }},
+			RunE:  func(_ *cobra.Command, args []string) error { return pki.Revoke(args[0], args[1]) }},
 		&cobra.Command{Use: "show DIR", Args: exactArgs(1),
 			Short: "tell of a folder's certificates: nothing secret",
 			RunE:  showKeys})
@@ -50,11 +50,11 @@
 }
 
 func issueKeys(args []string, valid time.Duration) error {
-	return keys.Issue(args[0], args[1], args[2], valid, time.Now())
+	return pki.Issue(args[0], args[1], args[2], valid, time.Now())
 }
 
 func showKeys(cmd *cobra.Command, args []string) error {
-	certificates, err := keys.Show(args[0])
+	certificates, err := pki.Show(args[0])
 	if err != nil {
 		return err
 	}
--- a/cmd/gatetack/main.go
+++ b/cmd/gatetack/main.go
@@ -1,4 +1,4 @@
-// Command gatetack is one node: it takes jobs from clients and brings them to executors as package brain decides.
+// Command gatetack is one node: it takes jobs from clients and brings them to executors as package dispatch decides.
 // Beside that it is the command line of the batch front.
 package main
 
@@ -16,8 +16,8 @@
 	"github.com/spf13/pflag"
 
 	"gatetack/internal/config"
-	"gatetack/internal/fault"
 	"gatetack/internal/inventory"
+	"gatetack/internal/operr"
 )
 
 // version is set by the build with -ldflags "-X main.version=...".
@@ -38,7 +38,7 @@
 	defer stop()
 	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "gatetack:", err)
-		if do := fault.Do(err); do != "" {
+		if do := operr.Do(err); do != "" {
 			fmt.Fprintln(os.Stderr, "what can be done:", do)
 		}
 		os.Exit(exitCode(err))
--- a/cmd/gatetack/process.go
+++ b/cmd/gatetack/process.go
@@ -13,8 +13,8 @@
 	"gatetack/internal/executor"
 	"gatetack/internal/failpoint"
 	"gatetack/internal/http1"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/node"
-	"gatetack/internal/records"
 	"gatetack/internal/store"
 )
 
@@ -32,9 +32,9 @@
 	applier    *settingsApplier
 	executors  *executor.Client
 	lists      listSource
-	store      *store.Store  // nil where the file names none
-	jobRecords records.Store // nil where batch jobs are not persisted
-	stay       atomic.Int64  // how long clients are served after SIGTERM; the applier raises it with the longest deadline
+	store      *store.Store   // nil where the file names none
+	jobRecords jobstore.Store // nil where batch jobs are not persisted
+	stay       atomic.Int64   // how long clients are served after SIGTERM; the applier raises it with the longest deadline
 
 	// Fronts: listeners and what answers there.
 	callbacks *callbackRouter
--- a/cmd/gatetack/process_control.go
+++ b/cmd/gatetack/process_control.go
@@ -9,12 +9,12 @@
 	"gatetack/internal/discovery"
 	"gatetack/internal/executor"
 	"gatetack/internal/inventory"
-	"gatetack/internal/keys"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/node"
-	"gatetack/internal/pace"
 	"gatetack/internal/peer"
-	"gatetack/internal/records"
+	"gatetack/internal/pki"
 	"gatetack/internal/settings"
+	"gatetack/internal/slowpeer"
 	"gatetack/internal/store"
 )
 
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func openStore(c *config.Config, f *config.File, slow *pace.Tally, log *slog.Logger) (*store.Store, error) {
+func openStore(c *config.Config, f *config.File, slow *slowpeer.Tally, log *slog.Logger) (*store.Store, error) {
 	if f.Store.Dir == "" {
 		return nil, nil
 	}
@@ -67,11 +67,11 @@
 
 // openKeys opens a folder of keys, and logs when keys that replace them can not be used. It returns nil where none is
 // named.
-func openKeys(dir, user string, log *slog.Logger) (*keys.Ring, error) {
+func openKeys(dir, user string, log *slog.Logger) (*pki.Ring, error) {
 	if dir == "" {
 		return nil, nil
 	}
-	return keys.Open(dir, func(err error) {
+	return pki.Open(dir, func(err error) {
 		log.Error("replaced keys not usable, the former ones stay in use", "keys", user, "err", err)
 	})
 }
@@ -109,7 +109,7 @@
 	if p.file.Batch.Dir == "" {
 		return nil
 	}
-	file, err := records.OpenBolt(p.file.Batch.Dir)
+	file, err := jobstore.OpenBolt(p.file.Batch.Dir)
 	if err != nil {
 		return err
 	}
--- a/cmd/gatetack/process_fronts.go
+++ b/cmd/gatetack/process_fronts.go
@@ -10,15 +10,15 @@
 
 	"gatetack/internal/actorhost"
 	"gatetack/internal/batch"
-	"gatetack/internal/handover"
+	"gatetack/internal/callbackrelay"
 	"gatetack/internal/http1"
-	"gatetack/internal/keys"
+	"gatetack/internal/leaseholder"
 	"gatetack/internal/limits"
 	"gatetack/internal/locality"
 	"gatetack/internal/migration"
 	"gatetack/internal/node"
 	"gatetack/internal/operator"
-	"gatetack/internal/owner"
+	"gatetack/internal/pki"
 	"gatetack/internal/platform"
 )
 
@@ -61,7 +61,7 @@
 // startRelay exchanges callbacks with the process of this node that runs beside this one while one replaces the other.
 func (p *process) startRelay() {
 	folder := filepath.Join(os.TempDir(), handoverFolder)
-	relay := handover.New(folder, p.config.Limits.Follow, p.config.Limits.Stay, p.log)
+	relay := callbackrelay.New(folder, p.config.Limits.Follow, p.config.Limits.Stay, p.log)
 	if err := relay.Register(); err != nil { // Run tries again
 		p.log.Error("handover directory not usable", "err", err)
 	}
@@ -113,8 +113,8 @@
 type batchServer struct {
 	front  *batch.Front
 	server *http1.Server
-	owner  *owner.Owner    // nil without a store
-	actors *actorhost.Host // nil without a store
+	owner  *leaseholder.Owner // nil without a store
+	actors *actorhost.Host    // nil without a store
 }
 
 // startBatch opens the batch front.
@@ -127,7 +127,7 @@
 		Life: p.incarnation, Limits: p.config.Limits, Log: p.log}
 	b := &batchServer{}
 	if p.store != nil {
-		b.owner, err = owner.New(
+		b.owner, err = leaseholder.New(
 			p.store,
 			p.config.Name,
 			p.incarnation.UnixMilli(),
@@ -159,7 +159,7 @@
 }
 
 // listenBatch opens the batch front's address, with mutual TLS where keys are named.
-func (p *process) listenBatch() (net.Listener, *keys.Ring, error) {
+func (p *process) listenBatch() (net.Listener, *pki.Ring, error) {
 	listener, err := net.Listen("tcp", p.file.Batch.Listen)
 	if err != nil {
 		return nil, nil, fmt.Errorf("batch front: %w", err)
@@ -188,7 +188,7 @@
 }
 
 // startActors runs the owner of the node's partitions and the host of its actors, and connects both to the batch front.
-func (p *process) startActors(b *batchServer, ring *keys.Ring) {
+func (p *process) startActors(b *batchServer, ring *pki.Ring) {
 	b.owner.Connect(b.front, ring)
 	p.lifetime.start(b.owner.Run)
 	b.actors = actorhost.New(
--- a/cmd/gatetack/settings_feed.go
+++ b/cmd/gatetack/settings_feed.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"gatetack/internal/config"
-	"gatetack/internal/fault"
 	"gatetack/internal/http1"
 	"gatetack/internal/limits"
+	"gatetack/internal/operr"
 	"gatetack/internal/settings"
 	"gatetack/internal/settingsync"
 	"gatetack/internal/store"
@@ -37,7 +37,7 @@
 	cache := settingsync.NewCache(f.Settings.Cache)
 	incarnation, err := cache.NextIncarnation(started.UnixMilli())
 	if err != nil {
-		log.Error("settings: the last incarnation of this process is not known or not kept", fault.Attrs(err))
+		log.Error("settings: the last incarnation of this process is not known or not kept", operr.Attrs(err))
 	}
 	feed := &settingsFeed{
 		follower: settingsync.FollowerConfig{Process: c.Name, Life: incarnation, Cache: cache, Limits: c.Limits, Log: log},
@@ -52,13 +52,13 @@
 		c.Limits.ServeFollowers()
 	}
 	if feed.inForce, err = feed.follower.Cache.Load(); err != nil {
-		log.Error("settings: the cache can not be used", fault.Attrs(err))
+		log.Error("settings: the cache can not be used", operr.Attrs(err))
 	}
 	if feed.inForce.Version() == 0 && feed.follower.Upstream != nil {
 		feed.inForce = settingsync.Fetch(ctx, feed.follower)
 	}
 	if err := overlay(c, feed.inForce); err != nil {
-		log.Error("settings: the process starts with its base configuration", fault.Attrs(err))
+		log.Error("settings: the process starts with its base configuration", operr.Attrs(err))
 		feed.inForce = settings.NewDocument()
 	}
 	return feed, nil
--- a/cmd/gatetack/store_remote.go
+++ b/cmd/gatetack/store_remote.go
@@ -10,8 +10,8 @@
 	"github.com/tidwall/gjson"
 
 	"gatetack/drmaa2"
-	"gatetack/internal/keys"
 	"gatetack/internal/limits"
+	"gatetack/internal/pki"
 	"gatetack/internal/store"
 )
 
@@ -121,9 +121,9 @@
 }
 
 // clientKeys opens a folder of keys for one call. It returns nil where none is named.
-func clientKeys(dir string) (*keys.Ring, error) {
+func clientKeys(dir string) (*pki.Ring, error) {
 	if dir == "" {
 		return nil, nil
 	}
-	return keys.Open(dir, func(error) {})
+	return pki.Open(dir, func(error) {})
 }
--- a/internal/batch/incarnation.go
+++ b/internal/batch/incarnation.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"gatetack/internal/records"
+	"gatetack/internal/jobstore"
 )
 
 // kindIncarnation is the kind of the record of a node's last incarnation, by the node's name.
@@ -24,7 +24,7 @@
 
 // beginIncarnation gives this process a higher incarnation than all earlier ones had whose records it uses, also where the
 // clock was stepped back since: ids of jobs, and the order of their records, follow from it. The number is on record before
-// the first job gets it. Where several nodes share records, package owner sees to the same by leases.
+// the first job gets it. Where several nodes share records, package leaseholder sees to the same by leases.
 func (f *Front) beginIncarnation(ctx context.Context) error {
 	value, found, err := f.store.Get(ctx, kindIncarnation, f.ids.node)
 	if err != nil {
@@ -39,7 +39,7 @@
 			next = max(next, last+1)
 		}
 	}
-	change := records.Change{Kind: kindIncarnation, Key: f.ids.node, Value: strconv.AppendInt(nil, next, 10), Keep: true}
+	change := jobstore.Change{Kind: kindIncarnation, Key: f.ids.node, Value: strconv.AppendInt(nil, next, 10), Keep: true}
 	if err := f.store.Write(ctx, change); err != nil {
 		return fmt.Errorf("incarnation: %w", err)
 	}
--- a/internal/batch/recording.go
+++ b/internal/batch/recording.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 
 	"gatetack/internal/failpoint"
-	"gatetack/internal/owner"
-	"gatetack/internal/records"
+	"gatetack/internal/jobstore"
+	"gatetack/internal/leaseholder"
 )
 
 // maxSideBySide bounds the states that are written at a time: they share a sync of the disk.
@@ -102,7 +102,7 @@
 		return err == nil
 	}
 	f.log.Warn("job state not recorded", "job", r.ID, "err", err)
-	if j.isLost() || errors.Is(err, owner.ErrLost) && f.foreign(r.ID) || !f.unrecorded.add(j) {
+	if j.isLost() || errors.Is(err, leaseholder.ErrLost) && f.foreign(r.ID) || !f.unrecorded.add(j) {
 		f.unsaved.Add(-1)
 	}
 	return false
@@ -110,7 +110,7 @@
 
 // put records a job as it is, or as change makes it. Records of one job follow one another: an end that was
 // recorded must not be overwritten by a send that was decided before it.
-func (f *Front) put(ctx context.Context, j *job, change func(*Record) error, more ...records.Change) error {
+func (f *Front) put(ctx context.Context, j *job, change func(*Record) error, more ...jobstore.Change) error {
 	if f.store == nil {
 		return nil
 	}
--- a/internal/handover/directory.go
+++ b/internal/callbackrelay/directory.go
@@ -1,4 +1,4 @@
-package handover
+package callbackrelay
 
 import (
 	"io/fs"
--- a/internal/handover/errors.go
+++ b/internal/callbackrelay/errors.go
@@ -1,9 +1,9 @@
-package handover
+package callbackrelay
 
 import (
 	"fmt"
 
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 )
 
 // NotStoredError reports that a callback could not be stored for the other process of the node. The executor must not be
@@ -25,4 +25,4 @@
 	return "make room in the node's temporary directory, or make it writable; executors call again meanwhile"
 }
 
-var _ = fault.Kind(&NotStoredError{})
+var _ = operr.Kind(&NotStoredError{})
--- a/internal/handover/handover.go
+++ b/internal/callbackrelay/handover.go
@@ -1,8 +1,8 @@
-// Package handover carries callbacks between the processes of one node while one replaces the other. Both have the same
+// Package callbackrelay carries callbacks between the processes of one node while one replaces the other. Both have the same
 // listening socket, and once the old one takes no connections every callback of an executor reaches the new one, the
 // callbacks of the old one's attempts too. A process that gets a callback which is not its own stores it in the directory
 // they share ($TMPDIR), and the other takes it from there. Nothing is stored while a process is alone.
-package handover
+package callbackrelay
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 	"golang.org/x/sys/unix"
 
 	"gatetack/internal/atomicfile"
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 )
 
 // Names of files in the directory. Processes of two versions of the program share it, so they can not change.
@@ -136,7 +136,7 @@
 func (r *Relay) noteScan(err error) {
 	switch {
 	case err != nil && !r.failing:
-		r.log.Error("handover directory not usable", "dir", r.dir, fault.Attrs(err))
+		r.log.Error("handover directory not usable", "dir", r.dir, operr.Attrs(err))
 	case err == nil && r.failing:
 		r.log.Info("handover directory usable again", "dir", r.dir)
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/callbackrelay/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package callbackrelay
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"gatetack/internal/atomicfile"
 	"gatetack/internal/atomicfile/atomicfiletest"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // testCallback is a callback as an executor sends it.
@@ -53,7 +53,7 @@
 // register returns a relay of this process. Its parent's pid stands for the other process of the node.
 func register(t *testing.T, files Directory, dir string, pid int) *Relay {
 	t.Helper()
-	r := newRelay(files, dir, pid, time.Millisecond, time.Minute, standin.Quiet)
+	r := newRelay(files, dir, pid, time.Millisecond, time.Minute, testenv.Quiet)
 	if err := r.Register(); err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("the old process never took the callback")
 	}
-	standin.Until(t, "the file removed", func() bool { return len(callbacksIn(t, dir)) == 0 })
+	testenv.Until(t, "the file removed", func() bool { return len(callbacksIn(t, dir)) == 0 })
 	cancel()
 	if err := <-done; err != nil {
 		t.Error("the relay ended with", err)
@@ -181,7 +181,7 @@
 		t.Run(x.what, func(t *testing.T) {
 			dir, files := filepath.Join(t.TempDir(), "handover"), newFaultyDirectory()
 			x.fail(files)
-			r := newRelay(files, dir, os.Getpid(), time.Millisecond, time.Minute, standin.Quiet)
+			r := newRelay(files, dir, os.Getpid(), time.Millisecond, time.Minute, testenv.Quiet)
 			if err := r.Register(); err == nil {
 				t.Fatal("registered on a directory that fails")
 			}
--- a/brain/golden_cluster_test.go
+++ b/internal/dispatch/golden_cluster_test.go
@@ -1,4 +1,4 @@
-package brain_test
+package dispatch_test
 
 import (
 	"container/heap"
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // This file is a small, fully deterministic cluster around many Dispatchers. It is not a model of a real one: it is to
@@ -45,11 +45,11 @@
 	hints     float64 // part of the requests with a hint of their work
 	faults    float64 // 1: the usual number of faults
 	retunes   bool
-	settings  func(node int) brain.Settings
+	settings  func(node int) dispatch.Settings
 }
 
 type goldenExecutor struct {
-	row     brain.Row
+	row     dispatch.Row
 	slots   float64
 	busy    float64
 	queue   []*goldenAttempt
@@ -84,19 +84,19 @@
 }
 
 type goldenRequest struct {
-	event    brain.Event
+	event    dispatch.Event
 	attempts []*goldenAttempt
 	done     bool
 	due      float64
 }
 
 type goldenNode struct {
-	dispatcher *brain.Dispatcher
+	dispatcher *dispatch.Dispatcher
 	life       int
 	down       bool
 	cut        bool // hears no peer
 	requests   map[uint32]*goldenRequest
-	pending    []brain.Event
+	pending    []dispatch.Event
 	watching   bool
 }
 
@@ -133,19 +133,19 @@
 	version   uint32
 	discovery bool // answers
 	nextJob   uint32
-	kinds     map[brain.EventKind]int // events that the module was given
-	step      func(node int, actions []brain.Action)
+	kinds     map[dispatch.EventKind]int // events that the module was given
+	step      func(node int, actions []dispatch.Action)
 }
 
 const goldenStart = 1_000_000 // ms, the clock at the start of each run
 
-func newGoldenCluster(t *testing.T, plan goldenPlan, step func(node int, actions []brain.Action)) *goldenCluster {
+func newGoldenCluster(t *testing.T, plan goldenPlan, step func(node int, actions []dispatch.Action)) *goldenCluster {
 	c := &goldenCluster{t: t, plan: plan, random: goldenRandom(plan.seed), now: goldenStart, discovery: true,
-		kinds: map[brain.EventKind]int{}, step: step, nextJob: 1}
+		kinds: map[dispatch.EventKind]int{}, step: step, nextJob: 1}
 	for i := range plan.executors {
 		e := &goldenExecutor{slots: float64(2 + i%3), speed: 0.6 + 0.2*float64(i%5), badKind: -1, memory: 16}
-		e.row = brain.Row{Worker: uint32(100 + 3*i), Zone: uint8(i % 3), Kind: uint8(i % 2), Cell: uint16(i % 5),
-			Condition: brain.Ready, Scale: float64(1 + i%3)}
+		e.row = dispatch.Row{Worker: uint32(100 + 3*i), Zone: uint8(i % 3), Kind: uint8(i % 2), Cell: uint16(i % 5),
+			Condition: dispatch.Ready, Scale: float64(1 + i%3)}
 		c.executors = append(c.executors, e)
 	}
 	for i := range plan.nodes {
@@ -207,7 +207,7 @@
 }
 
 // give hands an event to a life of a node, after a while.
-func (c *goldenCluster) give(node, life int, after float64, e brain.Event) {
+func (c *goldenCluster) give(node, life int, after float64, e dispatch.Event) {
 	c.at(after, func() {
 		if n := c.nodes[node]; n.life == life && !n.down {
 			n.pending = append(n.pending, e)
@@ -215,10 +215,10 @@
 	})
 }
 
-func (c *goldenCluster) rows() []brain.Row {
-	rows := make([]brain.Row, 0, len(c.executors))
+func (c *goldenCluster) rows() []dispatch.Row {
+	rows := make([]dispatch.Row, 0, len(c.executors))
 	for _, e := range c.executors {
-		if e.row.Condition != brain.Gone {
+		if e.row.Condition != dispatch.Gone {
 			rows = append(rows, e.row)
 		}
 	}
@@ -231,7 +231,7 @@
 	n.down, n.requests, n.pending = false, map[uint32]*goldenRequest{}, nil
 	s := c.plan.settings(i)
 	n.watching = !s.Ask
-	d, err := brain.New(s, c.random.next())
+	d, err := dispatch.New(s, c.random.next())
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -240,7 +240,7 @@
 	if n.life > 1 && len(rows) > 3 {
 		rows = rows[:len(rows)-1] // what was held is old
 	}
-	n.pending = []brain.Event{{Kind: brain.EvList, Form: brain.ListCached, Version: c.version, Rows: rows}}
+	n.pending = []dispatch.Event{{Kind: dispatch.EvList, Form: dispatch.ListCached, Version: c.version, Rows: rows}}
 }
 
 // ---- clients
@@ -258,7 +258,7 @@
 		}
 		s := c.plan.settings(node)
 		class := c.random.below(len(s.Classes))
-		e := brain.Event{Kind: brain.EvRequest, Job: c.nextJob, Class: uint8(class), Slots: 1,
+		e := dispatch.Event{Kind: dispatch.EvRequest, Job: c.nextJob, Class: uint8(class), Slots: 1,
 			TimeLeft: s.Classes[class].Deadline}
 		c.nextJob++
 		if len(s.Tenants) > 0 {
@@ -269,7 +269,7 @@
 			e.Work *= 6
 		}
 		if c.random.chance(c.plan.hints) {
-			e.Flags |= brain.FlagWork
+			e.Flags |= dispatch.FlagWork
 		}
 		if c.random.chance(0.1) {
 			e.Slots = float64(1 + c.random.below(3))
@@ -287,7 +287,7 @@
 	}
 }
 
-func (c *goldenCluster) ask(node int, e brain.Event) {
+func (c *goldenCluster) ask(node int, e dispatch.Event) {
 	n := c.nodes[node]
 	if n.down {
 		return
@@ -296,7 +296,7 @@
 	n.requests[e.Job] = r
 	n.pending = append(n.pending, e)
 	life, job := n.life, e.Job
-	if e.Flags&brain.FlagWork == 0 {
+	if e.Flags&dispatch.FlagWork == 0 {
 		r.event.Work = e.Work
 	}
 	if c.random.chance(0.04) {
@@ -315,57 +315,57 @@
 		return
 	}
 	r.done = true
-	n.pending = append(n.pending, brain.Event{Kind: brain.EvGone, Job: job})
+	n.pending = append(n.pending, dispatch.Event{Kind: dispatch.EvGone, Job: job})
 	for _, a := range r.attempts {
 		if !a.ended {
-			c.end(a, brain.TimedOut, 1)
+			c.end(a, dispatch.TimedOut, 1)
 		}
 	}
 }
 
 // ---- what actions lead to
 
-func (c *goldenCluster) carryOut(i int, n *goldenNode, a *brain.Action) {
+func (c *goldenCluster) carryOut(i int, n *goldenNode, a *dispatch.Action) {
 	switch a.Kind {
-	case brain.ActSend:
+	case dispatch.ActSend:
 		c.send(i, n, a)
-	case brain.ActRefuse, brain.ActFail:
+	case dispatch.ActRefuse, dispatch.ActFail:
 		r := n.requests[a.Job]
 		if r == nil || r.done {
 			return
 		}
 		r.done = true
-		if a.Kind == brain.ActRefuse && c.random.chance(0.5) {
+		if a.Kind == dispatch.ActRefuse && c.random.chance(0.5) {
 			again := r.event
 			wait := max(a.For, 20)
 			if again.TimeLeft = r.due - c.now - wait; again.TimeLeft > 50 {
 				again.Job = c.nextJob
 				c.nextJob++
-				again.Flags |= brain.FlagRepeat
+				again.Flags |= dispatch.FlagRepeat
 				node := c.random.below(len(c.nodes))
 				c.at(wait, func() { c.ask(node, again) })
 			}
 		}
-	case brain.ActCancel:
+	case dispatch.ActCancel:
 		if r := n.requests[a.Job]; r != nil && int(a.Attempt) < len(r.attempts) {
 			x := r.attempts[a.Attempt]
 			c.at(2, func() {
 				switch {
 				case x.ended:
 				case x.began || x.executor.hung:
-					c.end(x, brain.Cancelled, 1)
+					c.end(x, dispatch.Cancelled, 1)
 				default:
-					c.end(x, brain.Moot, 1)
+					c.end(x, dispatch.Moot, 1)
 				}
 			})
 		}
-	case brain.ActTimer:
-		c.give(i, n.life, a.For, brain.Event{Kind: brain.EvTimer, Token: a.Token})
-	case brain.ActProbe:
+	case dispatch.ActTimer:
+		c.give(i, n.life, a.For, dispatch.Event{Kind: dispatch.EvTimer, Token: a.Token})
+	case dispatch.ActProbe:
 		c.probe(i, n, a.Worker)
-	case brain.ActWatch:
+	case dispatch.ActWatch:
 		c.watch(i, n.life)
-	case brain.ActTell:
+	case dispatch.ActTell:
 		c.tell(i, a)
 	}
 }
@@ -379,7 +379,7 @@
 	return nil
 }
 
-func (c *goldenCluster) send(i int, n *goldenNode, action *brain.Action) {
+func (c *goldenCluster) send(i int, n *goldenNode, action *dispatch.Action) {
 	e, r := c.executor(action.Worker), n.requests[action.Job]
 	if e == nil || r == nil {
 		c.t.Fatalf("node %d sends job %d to executor %d: one of them is unknown", i, action.Job, action.Worker)
@@ -392,20 +392,20 @@
 	c.at(c.random.span(1, 5), func() { c.reach(a, s) })
 }
 
-func (c *goldenCluster) reach(a *goldenAttempt, s brain.Settings) {
+func (c *goldenCluster) reach(a *goldenAttempt, s dispatch.Settings) {
 	e := a.executor
 	switch {
 	case a.ended:
-	case e.down || e.row.Condition == brain.Gone || e.deaf && c.random.chance(0.7):
-		c.end(a, brain.ConnectFailed, s.ConnectTimeout)
+	case e.down || e.row.Condition == dispatch.Gone || e.deaf && c.random.chance(0.7):
+		c.end(a, dispatch.ConnectFailed, s.ConnectTimeout)
 	case e.drains, len(e.queue) > 6:
-		c.end(a, brain.Full, 1)
+		c.end(a, dispatch.Full, 1)
 	case c.random.chance(0.005):
-		c.end(a, brain.Moot, 3)
+		c.end(a, dispatch.Moot, 3)
 	case e.hung:
 		if s.TellsStart {
-			c.give(a.node, a.life, 120, brain.Event{Kind: brain.EvNote, Job: a.job, Attempt: a.number,
-				Worker: e.row.Worker, Topic: brain.NoteLate})
+			c.give(a.node, a.life, 120, dispatch.Event{Kind: dispatch.EvNote, Job: a.job, Attempt: a.number,
+				Worker: e.row.Worker, Topic: dispatch.NoteLate})
 		}
 	default:
 		e.queue = append(e.queue, a)
@@ -434,12 +434,12 @@
 func (c *goldenCluster) begin(a *goldenAttempt) {
 	e, s := a.executor, c.plan.settings(a.node)
 	run := max(1, a.work/e.speed*c.random.span(0.8, 1.3))
-	note := brain.Event{Kind: brain.EvNote, Job: a.job, Attempt: a.number, Worker: e.row.Worker, Topic: brain.NoteStarted}
+	note := dispatch.Event{Kind: dispatch.EvNote, Job: a.job, Attempt: a.number, Worker: e.row.Worker, Topic: dispatch.NoteStarted}
 	if s.TellsStart {
 		c.give(a.node, a.life, 1, note)
 	}
 	if s.Progress > 0 {
-		note.Topic = brain.NoteProgress
+		note.Topic = dispatch.NoteProgress
 		for at := s.Progress; at < run; at += s.Progress {
 			note.Amount = at / run
 			progress := note
@@ -451,17 +451,17 @@
 		}
 	}
 	if c.plan.streams && c.random.chance(0.1) {
-		c.give(a.node, a.life, run/2, brain.Event{Kind: brain.EvFirst, Job: a.job, Attempt: a.number,
+		c.give(a.node, a.life, run/2, dispatch.Event{Kind: dispatch.EvFirst, Job: a.job, Attempt: a.number,
 			Worker: e.row.Worker, Elapsed: run / 2})
 	}
-	outcome := brain.Served
+	outcome := dispatch.Served
 	switch {
 	case e.badKind == a.class || c.random.chance(e.errs):
-		outcome, run = brain.Errored, min(run, 20)
+		outcome, run = dispatch.Errored, min(run, 20)
 	case c.random.chance(0.004):
-		outcome = brain.Reset
+		outcome = dispatch.Reset
 	case c.random.chance(0.01):
-		outcome = brain.Errored
+		outcome = dispatch.Errored
 	}
 	a.stop = c.now + run
 	c.at(run, func() {
@@ -472,13 +472,13 @@
 }
 
 // end tells a node how an attempt ended and frees what it held.
-func (c *goldenCluster) end(a *goldenAttempt, outcome brain.Outcome, after float64) {
+func (c *goldenCluster) end(a *goldenAttempt, outcome dispatch.Outcome, after float64) {
 	e, n := a.executor, c.nodes[a.node]
 	a.ended = true
 	if a.began && a.execLife == e.life {
 		e.busy -= a.slots
 		e.running--
-		if outcome == brain.Served {
+		if outcome == dispatch.Served {
 			e.served++
 		}
 		c.advance(e)
@@ -488,15 +488,15 @@
 	}
 	r := n.requests[a.job]
 	final := false
-	if outcome == brain.Served && !r.done {
+	if outcome == dispatch.Served && !r.done {
 		r.done, final = true, true
 	}
-	event := brain.Event{Kind: brain.EvOutcome, Job: a.job, Attempt: a.number, Worker: e.row.Worker, Outcome: outcome,
+	event := dispatch.Event{Kind: dispatch.EvOutcome, Job: a.job, Attempt: a.number, Worker: e.row.Worker, Outcome: outcome,
 		Elapsed: after, Final: final}
 	s := c.plan.settings(a.node)
 	switch outcome {
-	case brain.Served, brain.Errored, brain.Full:
-		if s.Telemetry == brain.ReportAnswers {
+	case dispatch.Served, dispatch.Errored, dispatch.Full:
+		if s.Telemetry == dispatch.ReportAnswers {
 			event.Report = c.report(e, s)
 		}
 	}
@@ -504,7 +504,7 @@
 }
 
 // report is a load report, taken once in a while, as executors do.
-func (c *goldenCluster) report(e *goldenExecutor, s brain.Settings) []float32 {
+func (c *goldenCluster) report(e *goldenExecutor, s dispatch.Settings) []float32 {
 	if c.now-e.sampled >= 100 || e.sampled == 0 {
 		e.sampled = c.now
 		queued := 0.0
@@ -512,10 +512,10 @@
 			queued += a.slots
 		}
 		noise := float32(c.random.float()) * 0.01
-		for f, v := range map[brain.Field]float64{brain.FieldBusy: float64(e.running + len(e.queue)),
-			brain.FieldPending: float64(len(e.queue)), brain.FieldUtil: min(1, e.busy/e.slots),
-			brain.FieldLatency: 200 / e.speed, brain.FieldServed: float64(e.served), brain.FieldErrors: e.errs,
-			brain.FieldFree: e.slots - queued - e.busy, brain.FieldMemory: e.memory - 2*e.busy} {
+		for f, v := range map[dispatch.Field]float64{dispatch.FieldBusy: float64(e.running + len(e.queue)),
+			dispatch.FieldPending: float64(len(e.queue)), dispatch.FieldUtil: min(1, e.busy/e.slots),
+			dispatch.FieldLatency: 200 / e.speed, dispatch.FieldServed: float64(e.served), dispatch.FieldErrors: e.errs,
+			dispatch.FieldFree: e.slots - queued - e.busy, dispatch.FieldMemory: e.memory - 2*e.busy} {
 			e.sample[f] = float32(v) + noise
 		}
 	}
@@ -529,14 +529,14 @@
 func (c *goldenCluster) probe(i int, n *goldenNode, id uint32) {
 	e, s, life := c.executor(id), c.plan.settings(i), n.life
 	c.at(c.random.span(1, 6), func() {
-		event := brain.Event{Kind: brain.EvProbed, Worker: id, Elapsed: 4}
+		event := dispatch.Event{Kind: dispatch.EvProbed, Worker: id, Elapsed: 4}
 		switch {
 		case e == nil || e.down:
-			event.Outcome = brain.ConnectFailed
+			event.Outcome = dispatch.ConnectFailed
 		case e.hung:
-			event.Outcome = brain.TimedOut
+			event.Outcome = dispatch.TimedOut
 		default:
-			event.Outcome, event.Report = brain.Served, c.report(e, s)
+			event.Outcome, event.Report = dispatch.Served, c.report(e, s)
 		}
 		c.give(i, life, 1, event)
 	})
@@ -548,36 +548,36 @@
 		if n.life != life {
 			return
 		}
-		e := brain.Event{Kind: brain.EvList, Form: brain.ListFailed}
+		e := dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListFailed}
 		if c.discovery {
-			e = brain.Event{Kind: brain.EvList, Form: brain.ListFull, Version: c.version, Rows: c.rows()}
+			e = dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListFull, Version: c.version, Rows: c.rows()}
 			n.watching = true
 		}
 		n.pending = append(n.pending, e)
 	})
 }
 
-func (c *goldenCluster) tell(i int, a *brain.Action) {
+func (c *goldenCluster) tell(i int, a *dispatch.Action) {
 	for k, n := range c.nodes {
-		if k == i || int(a.To) != k && a.To != brain.AllPeers {
+		if k == i || int(a.To) != k && a.To != dispatch.AllPeers {
 			continue
 		}
 		if n.cut || c.nodes[i].cut || c.random.chance(0.01) {
 			continue
 		}
-		c.give(k, n.life, c.random.span(1, 4), brain.Event{Kind: brain.EvPeer, From: uint32(i), Data: append([]byte(nil), a.Data...)})
+		c.give(k, n.life, c.random.span(1, 4), dispatch.Event{Kind: dispatch.EvPeer, From: uint32(i), Data: append([]byte(nil), a.Data...)})
 	}
 }
 
 // ---- faults
 
 // listed sends changed rows to all who watch.
-func (c *goldenCluster) listed(rows ...brain.Row) {
+func (c *goldenCluster) listed(rows ...dispatch.Row) {
 	c.version++
 	for i, n := range c.nodes {
 		if n.watching {
-			c.give(i, n.life, c.random.span(1, 30), brain.Event{Kind: brain.EvList, Form: brain.ListDelta, Version: c.version,
-				Rows: append([]brain.Row(nil), rows...)})
+			c.give(i, n.life, c.random.span(1, 30), dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListDelta, Version: c.version,
+				Rows: append([]dispatch.Row(nil), rows...)})
 		}
 	}
 }
@@ -600,7 +600,7 @@
 			e.hung = false
 			for _, a := range slices.Clone(e.outs) {
 				if a.began && !a.ended && c.now >= a.stop {
-					c.end(a, brain.Served, 1)
+					c.end(a, dispatch.Served, 1)
 				}
 			}
 			c.advance(e)
@@ -632,9 +632,9 @@
 		if a.ended {
 			continue
 		}
-		outcome := brain.Reset
+		outcome := dispatch.Reset
 		if c.random.chance(0.2) {
-			outcome = brain.TimedOut
+			outcome = dispatch.TimedOut
 		}
 		c.end(a, outcome, 1)
 	}
@@ -642,30 +642,30 @@
 
 func (c *goldenCluster) restartExecutor() {
 	e := c.anyExecutor()
-	if e.row.Condition == brain.Gone {
+	if e.row.Condition == dispatch.Gone {
 		return
 	}
 	c.kill(e)
 	e.down = true
 	c.at(c.random.span(20, 300), func() {
-		e.down, e.row.Born, e.row.Condition = false, c.now, brain.Ready
+		e.down, e.row.Born, e.row.Condition = false, c.now, dispatch.Ready
 		c.listed(e.row)
 	})
 }
 
 func (c *goldenCluster) drainExecutor() {
 	e := c.anyExecutor()
-	if e.row.Condition != brain.Ready {
+	if e.row.Condition != dispatch.Ready {
 		return
 	}
-	e.row.Condition = brain.Draining
+	e.row.Condition = dispatch.Draining
 	c.listed(e.row)
 	c.at(400, func() {
-		e.row.Condition = brain.Gone
+		e.row.Condition = dispatch.Gone
 		c.kill(e)
 		c.listed(e.row)
 		c.at(700, func() {
-			e.row.Condition, e.row.Born = brain.Ready, c.now
+			e.row.Condition, e.row.Born = dispatch.Ready, c.now
 			e.row.Zone = uint8(c.random.below(3))
 			c.listed(e.row)
 		})
@@ -694,7 +694,7 @@
 	for i, n := range c.nodes {
 		if n.watching && c.plan.settings(i).Ask {
 			n.watching = false
-			c.give(i, n.life, 2, brain.Event{Kind: brain.EvList, Form: brain.ListFailed})
+			c.give(i, n.life, 2, dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListFailed})
 		}
 	}
 	c.at(c.random.span(300, 1500), func() { c.discovery = true })
@@ -702,9 +702,9 @@
 
 // weights changes sizes as a list with live weights does: often, and nothing else.
 func (c *goldenCluster) weights() {
-	var rows []brain.Row
+	var rows []dispatch.Row
 	for i, e := range c.executors {
-		if e.row.Condition != brain.Gone {
+		if e.row.Condition != dispatch.Gone {
 			e.row.Scale = float64(1+i%3) / (1 + float64(e.running+len(e.queue))/e.slots)
 			rows = append(rows, e.row)
 		}
@@ -722,26 +722,26 @@
 		return
 	}
 	job := uint32(c.random.below(int(c.nextJob)))
-	odd := []brain.Event{
-		{Kind: brain.EvOutcome, Job: 1 << 30, Worker: 100, Outcome: brain.Served, Report: []float32{1, 2, 3}},
-		{Kind: brain.EvOutcome, Job: job, Attempt: 77, Worker: 103, Outcome: brain.Full},
-		{Kind: brain.EvNote, Job: job, Attempt: 9, Topic: brain.NoteProgress},
-		{Kind: brain.EvFirst, Job: 1 << 30},
-		{Kind: brain.EvGone, Job: 1 << 30},
-		{Kind: brain.EvPeer, From: 5000, Data: []byte{1, 2, 3}},
-		{Kind: brain.EvPeer, From: uint32(c.random.below(len(c.nodes))), Data: []byte{byte(c.random.next()), byte(c.random.next()), 5, 1}},
-		{Kind: brain.EvPeer, From: uint32(c.random.below(len(c.nodes)))},
-		{Kind: brain.EvProbed, Worker: 1 << 30, Outcome: brain.Served},
-		{Kind: brain.EvProbed, Worker: 100, Outcome: brain.Served, Report: []float32{float32(math.NaN()), float32(math.Inf(1)), -1}},
-		{Kind: brain.EvTimer, Token: 1 << 30},
-		{Kind: brain.EvList, Form: brain.ListFull, Version: c.version, Rows: c.rows()},
-		{Kind: brain.EvList, Form: brain.ListDelta, Rows: []brain.Row{{Worker: 1 << 30, Condition: brain.Gone}}},
+	odd := []dispatch.Event{
+		{Kind: dispatch.EvOutcome, Job: 1 << 30, Worker: 100, Outcome: dispatch.Served, Report: []float32{1, 2, 3}},
+		{Kind: dispatch.EvOutcome, Job: job, Attempt: 77, Worker: 103, Outcome: dispatch.Full},
+		{Kind: dispatch.EvNote, Job: job, Attempt: 9, Topic: dispatch.NoteProgress},
+		{Kind: dispatch.EvFirst, Job: 1 << 30},
+		{Kind: dispatch.EvGone, Job: 1 << 30},
+		{Kind: dispatch.EvPeer, From: 5000, Data: []byte{1, 2, 3}},
+		{Kind: dispatch.EvPeer, From: uint32(c.random.below(len(c.nodes))), Data: []byte{byte(c.random.next()), byte(c.random.next()), 5, 1}},
+		{Kind: dispatch.EvPeer, From: uint32(c.random.below(len(c.nodes)))},
+		{Kind: dispatch.EvProbed, Worker: 1 << 30, Outcome: dispatch.Served},
+		{Kind: dispatch.EvProbed, Worker: 100, Outcome: dispatch.Served, Report: []float32{float32(math.NaN()), float32(math.Inf(1)), -1}},
+		{Kind: dispatch.EvTimer, Token: 1 << 30},
+		{Kind: dispatch.EvList, Form: dispatch.ListFull, Version: c.version, Rows: c.rows()},
+		{Kind: dispatch.EvList, Form: dispatch.ListDelta, Rows: []dispatch.Row{{Worker: 1 << 30, Condition: dispatch.Gone}}},
 	}
 	n.pending = append(n.pending, odd[c.random.below(len(odd))])
 	if c.random.chance(0.3) { // numbers of no sense; nobody waits for its answer
-		n.requests[c.nextJob] = &goldenRequest{due: c.now + 300, event: brain.Event{Work: 50, TimeLeft: 300}}
-		n.pending = append(n.pending, brain.Event{Kind: brain.EvRequest, Job: c.nextJob, Class: 250, Tenant: 60000, Slots: math.NaN(),
-			Memory: -3, TimeLeft: 300, Work: math.Inf(1), Flags: brain.FlagWork})
+		n.requests[c.nextJob] = &goldenRequest{due: c.now + 300, event: dispatch.Event{Work: 50, TimeLeft: 300}}
+		n.pending = append(n.pending, dispatch.Event{Kind: dispatch.EvRequest, Job: c.nextJob, Class: 250, Tenant: 60000, Slots: math.NaN(),
+			Memory: -3, TimeLeft: 300, Work: math.Inf(1), Flags: dispatch.FlagWork})
 		life, id := n.life, c.nextJob
 		c.at(305, func() { c.leave(i, life, id) })
 		c.nextJob++
@@ -760,16 +760,16 @@
 	s.MaxAttempts = 2 + c.random.below(3)
 	s.OverShareWorth = 0.25 * float64(c.random.below(4))
 	if c.random.chance(0.5) && len(s.Tenants) > 0 {
-		s.Tenants = append(append([]brain.Tenant(nil), s.Tenants...), brain.Tenant{Portion: 0.1, Quota: 3})
+		s.Tenants = append(append([]dispatch.Tenant(nil), s.Tenants...), dispatch.Tenant{Portion: 0.1, Quota: 3})
 	}
 	if c.random.chance(0.5) {
-		s.Classes = append(append([]brain.Class(nil), s.Classes...), brain.Class{Aim: 700, Deadline: 3000, Worth: 2, Kind: -1})
+		s.Classes = append(append([]dispatch.Class(nil), s.Classes...), dispatch.Class{Aim: 700, Deadline: 3000, Worth: 2, Kind: -1})
 	}
 	if c.random.chance(0.2) {
 		s.MaxAttempts = 0 // refused
 	}
 	// A smaller list than what stands is refused as well, and so is a class with open jobs: that is part of the run.
 	if err := n.dispatcher.Retune(s, map[int]int{len(s.Classes) - 1: 0}); err == nil {
-		n.pending = append(n.pending, brain.Event{Kind: brain.EvTimer})
+		n.pending = append(n.pending, dispatch.Event{Kind: dispatch.EvTimer})
 	}
 }
--- a/brain/golden_encode_test.go
+++ b/internal/dispatch/golden_encode_test.go
@@ -1,4 +1,4 @@
-package brain_test
+package dispatch_test
 
 import (
 	"encoding/binary"
@@ -6,36 +6,36 @@
 	"math"
 	"testing"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // goldenAction is an action in a form of its own, so that the golden files outlive renames and reorderings in the package.
-func goldenAction(t *testing.T, a *brain.Action) (decision []byte, logText string) {
+func goldenAction(t *testing.T, a *dispatch.Action) (decision []byte, logText string) {
 	t.Helper()
 	big := binary.BigEndian
 	name := func(text string) { decision = append(decision, text...) }
 	switch a.Kind {
-	case brain.ActSend:
+	case dispatch.ActSend:
 		name("send")
-	case brain.ActRefuse:
+	case dispatch.ActRefuse:
 		name("refuse")
-	case brain.ActFail:
+	case dispatch.ActFail:
 		name("fail")
-	case brain.ActCancel:
+	case dispatch.ActCancel:
 		name("cancel")
-	case brain.ActTimer:
+	case dispatch.ActTimer:
 		name("timer")
-	case brain.ActProbe:
+	case dispatch.ActProbe:
 		name("probe")
-	case brain.ActClose:
+	case dispatch.ActClose:
 		name("close")
-	case brain.ActWatch:
+	case dispatch.ActWatch:
 		name("watch")
-	case brain.ActFetch:
+	case dispatch.ActFetch:
 		name("fetch")
-	case brain.ActTell:
+	case dispatch.ActTell:
 		name("tell")
-	case brain.ActLog:
+	case dispatch.ActLog:
 		name("log")
 	default:
 		t.Fatalf("action of unknown kind %d", a.Kind)
@@ -57,7 +57,7 @@
 }
 
 // goldenActionText is an action for people.
-func goldenActionText(t *testing.T, a *brain.Action) string {
+func goldenActionText(t *testing.T, a *dispatch.Action) string {
 	decision, text := goldenAction(t, a)
 	kind, _, _ := cutZero(decision)
 	return fmt.Sprintf("%s on=%v job=%d attempt=%d executor=%d to=%d token=%d for=%v data=%x %s",
--- a/brain/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -1,4 +1,4 @@
-package brain_test
+package dispatch_test
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"strings"
 	"testing"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // The golden files of this package hold what the module decided, and told other nodes, before its code was reshaped. A
@@ -67,7 +67,7 @@
 	return r
 }
 
-func (r *goldenRecorder) step(node int, actions []brain.Action) {
+func (r *goldenRecorder) step(node int, actions []dispatch.Action) {
 	one := sha256.New()
 	_ = binary.Write(one, binary.BigEndian, uint32(node))
 	for i := range actions {
@@ -76,10 +76,10 @@
 		one.Write(decision)
 		kind, _, _ := cutZero(decision)
 		r.run.Actions[string(kind)]++
-		if a.Kind == brain.ActLog {
+		if a.Kind == dispatch.ActLog {
 			fmt.Fprintf(r.logs, "%d %s\n", r.run.Steps, text)
 		}
-		if a.Kind == brain.ActTell {
+		if a.Kind == dispatch.ActTell {
 			r.keep(node, a)
 		}
 		if r.trace != nil {
@@ -92,7 +92,7 @@
 	r.run.Steps++
 }
 
-func (r *goldenRecorder) keep(node int, a *brain.Action) {
+func (r *goldenRecorder) keep(node int, a *dispatch.Action) {
 	kind := messageKind(a)
 	if r.perKind[kind]++; r.perKind[kind] <= goldenPerKind {
 		r.messages = append(r.messages, goldenMessage{kind, r.run.Steps, node, a.To, hex.EncodeToString(a.Data)})
@@ -100,8 +100,8 @@
 }
 
 // messageKind tells the kinds of messages apart by their bytes.
-func messageKind(a *brain.Action) string {
-	if a.To == brain.AllPeers {
+func messageKind(a *dispatch.Action) string {
+	if a.To == dispatch.AllPeers {
 		if len(a.Data) == 0 {
 			return "gossip, nothing out"
 		}
@@ -127,8 +127,8 @@
 func (r *goldenRecorder) finish(c *goldenCluster) {
 	r.run.Decisions = hex.EncodeToString(r.whole.Sum(nil))
 	r.run.LogLines = hex.EncodeToString(r.logs.Sum(nil))
-	names := map[brain.EventKind]string{brain.EvList: "list", brain.EvTimer: "timer", brain.EvGone: "gone", brain.EvNote: "note",
-		brain.EvPeer: "peer", brain.EvFirst: "first", brain.EvOutcome: "outcome", brain.EvRequest: "request", brain.EvProbed: "probed"}
+	names := map[dispatch.EventKind]string{dispatch.EvList: "list", dispatch.EvTimer: "timer", dispatch.EvGone: "gone", dispatch.EvNote: "note",
+		dispatch.EvPeer: "peer", dispatch.EvFirst: "first", dispatch.EvOutcome: "outcome", dispatch.EvRequest: "request", dispatch.EvProbed: "probed"}
 	for kind, n := range c.kinds {
 		r.run.Events[names[kind]] = n
 	}
@@ -205,7 +205,7 @@
 	t.Errorf("%s: the actions of step %d differ from the golden ones (%d steps, want %d)", plan.name, first,
 		len(got)/goldenStepBytes, len(want)/goldenStepBytes)
 	step := 0
-	newGoldenCluster(t, plan, func(node int, actions []brain.Action) {
+	newGoldenCluster(t, plan, func(node int, actions []dispatch.Action) {
 		if step >= first && step < first+goldenMostTraced {
 			for i := range actions {
 				t.Logf("step %d node %d: %s", step, node, goldenActionText(t, &actions[i]))
--- a/internal/executor/connect.go
+++ b/internal/executor/connect.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // After a local fault a dial is made again after a pause that doubles, so that a fault which lasts costs few system calls. Once the
@@ -32,7 +32,7 @@
 
 // connect gives an attempt a connection, or the outcome that it ends with. A fault of this machine is no sign of the executor: the
 // attempt never ran, and the decision module hears of nothing that it would hold against the executor.
-func (c *Client) connect(ctx context.Context, t *try) (*conn, brain.Outcome) {
+func (c *Client) connect(ctx context.Context, t *try) (*conn, dispatch.Outcome) {
 	conn, err := c.dial(ctx, t.Deadline, func() (string, bool) { return c.still(t) })
 	switch {
 	case err == nil:
@@ -41,14 +41,14 @@
 		}
 		return conn, 0
 	case errors.Is(err, errNotAllowed):
-		return nil, brain.Moot
+		return nil, dispatch.Moot
 	case isLocalFault(err):
 		c.log.Warn("executor connect failed locally", "executor", t.key.from, "job", t.Job.Trace, "err", err)
-		return nil, brain.Moot
+		return nil, dispatch.Moot
 	case ctx.Err() == nil:
 		c.log.Debug("executor connect failed", "executor", t.key.from, "job", t.Job.Trace, "err", err)
 	}
-	return nil, brain.ConnectFailed
+	return nil, dispatch.ConnectFailed
 }
 
 // dial takes a connection from the pool, again after local faults, while there is time for it. It asks before each dial whether and
--- a/internal/executor/localfault_test.go
+++ b/internal/executor/localfault_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
-	"gatetack/brain"
-	"gatetack/internal/gate"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/node"
-	"gatetack/internal/standin"
+	"gatetack/internal/precheck"
+	"gatetack/internal/testenv"
 )
 
 // faultyDialer fails the first dials, each with the next error of a list, and counts dials and the pauses between them, which pass
@@ -88,12 +88,12 @@
 func TestLastingLocalFaultEndsTheAttemptAsNeverSent(t *testing.T) {
 	for name, fault := range localFaults {
 		t.Run(name, func(t *testing.T) {
-			c, s := setup(t, standin.Lim)
+			c, s := setup(t, testenv.Lim)
 			n := box(t, c, says(accepted))
 			dialer := (&faultyDialer{always: fault}).install(c)
 			c.Send(attempt(1))
-			standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-			if got := s.outcomes(1); len(got) != 1 || got[0] != brain.Moot || n() != 0 {
+			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Moot || n() != 0 {
 				t.Errorf("outcomes %v, %d connections", got, n())
 			}
 			events, pauses := dialer.seen()
@@ -113,15 +113,15 @@
 func TestPassingLocalFaultIsOvercome(t *testing.T) {
 	for name, fault := range localFaults {
 		t.Run(name, func(t *testing.T) {
-			c, s := setup(t, standin.Lim)
+			c, s := setup(t, testenv.Lim)
 			n := box(t, c, says(accepted))
 			dialer := (&faultyDialer{fails: []error{fault, fault}}).install(c)
 			c.Send(attempt(1))
-			standin.Until(t, "it is served", func() bool {
+			testenv.Until(t, "it is served", func() bool {
 				_ = c.Callback([]byte(done))
 				return len(s.outcomes(1)) > 0
 			})
-			if got := s.outcomes(1); len(got) != 1 || got[0] != brain.Served || n() != 1 {
+			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served || n() != 1 {
 				t.Errorf("outcomes %v, %d connections", got, n())
 			}
 			if events, _ := dialer.seen(); strings.Join(events, " ") != "dial pause dial pause dial" {
@@ -141,12 +141,12 @@
 		"time-out":     &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, s := setup(t, standin.Lim)
+			c, s := setup(t, testenv.Lim)
 			box(t, c, says(accepted))
 			dialer := (&faultyDialer{always: fault}).install(c)
 			c.Send(attempt(1))
-			standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-			if got := s.outcomes(1); len(got) != 1 || got[0] != brain.ConnectFailed {
+			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.ConnectFailed {
 				t.Errorf("outcomes %v", got)
 			}
 			if events, _ := dialer.seen(); strings.Join(events, " ") != "dial" {
@@ -158,28 +158,28 @@
 
 // Whatever ends an attempt during the pause after a local fault ends it before the next dial.
 func TestNoRedialAfterTheClientLeft(t *testing.T) {
-	c, s := setup(t, standin.Lim)
+	c, s := setup(t, testenv.Lim)
 	n := box(t, c, says(accepted))
 	client, leave := context.WithCancel(t.Context())
 	dialer := (&faultyDialer{always: localFaults["EADDRNOTAVAIL"], during: leave}).install(c)
 	a := attempt(1)
-	a.Job.Still = func() gate.Reason {
+	a.Job.Still = func() precheck.Reason {
 		if client.Err() != nil {
-			return gate.Left
+			return precheck.Left
 		}
-		return gate.May
+		return precheck.May
 	}
 	c.Send(a)
-	standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	events, _ := dialer.seen()
-	if got := s.outcomes(1); got[0] != brain.Moot || n() != 0 || strings.Join(events, " ") != "dial pause" {
+	if got := s.outcomes(1); got[0] != dispatch.Moot || n() != 0 || strings.Join(events, " ") != "dial pause" {
 		t.Errorf("outcomes %v, %d connections, %v", got, n(), events)
 	}
 }
 
 // An attempt that is given up during the pause leaves it, and has no outcome.
 func TestGiveUpEndsThePauseAfterALocalFault(t *testing.T) {
-	c, s := setup(t, standin.Lim)
+	c, s := setup(t, testenv.Lim)
 	box(t, c, says(accepted))
 	paused, left := make(chan bool), make(chan error, 1)
 	(&faultyDialer{always: localFaults["ENOBUFS"]}).install(c)
@@ -207,15 +207,15 @@
 // No pause outlasts the attempt: with less time left than it takes, the attempt ends as never sent, and the job's answer is still in
 // time.
 func TestNoPauseBeyondTheDeadline(t *testing.T) {
-	c, s := setup(t, standin.Lim)
+	c, s := setup(t, testenv.Lim)
 	box(t, c, says(accepted))
 	dialer := (&faultyDialer{always: localFaults["ENFILE"]}).install(c)
 	a := attempt(1)
 	a.Deadline = time.Now().Add(35 * time.Millisecond)
 	c.Send(a)
-	standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	_, pauses := dialer.seen() // 10 and 20 ms at most; the third, of 40 ms, would end after the deadline
-	if got := s.outcomes(1); got[0] != brain.Moot || len(pauses) > 2 {
+	if got := s.outcomes(1); got[0] != dispatch.Moot || len(pauses) > 2 {
 		t.Errorf("outcomes %v after pauses %v", got, pauses)
 	}
 }
@@ -224,10 +224,10 @@
 func TestIdleConnectionsMakeWayForDescriptors(t *testing.T) {
 	for name, want := range map[string]int{"EMFILE": 0, "ENFILE": 0, "EADDRNOTAVAIL": 1} {
 		t.Run(name, func(t *testing.T) {
-			c, s := setup(t, standin.Lim)
+			c, s := setup(t, testenv.Lim)
 			box(t, c, says(accepted))
 			c.Send(attempt(1))
-			standin.Until(t, "an idle connection", func() bool { return c.idleConnections() == 1 })
+			testenv.Until(t, "an idle connection", func() bool { return c.idleConnections() == 1 })
 			_ = c.Callback([]byte(done))
 			ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			if err != nil {
@@ -239,7 +239,7 @@
 			a := attempt(2)
 			a.Worker = 8
 			c.Send(a)
-			standin.Until(t, "an outcome", func() bool { return len(s.outcomes(2)) > 0 })
+			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(2)) > 0 })
 			if got := c.idleConnections(); got != want {
 				t.Errorf("%d idle connections, want %d", got, want)
 			}
@@ -258,7 +258,7 @@
 
 // All connections that this node may have are in use: that is no fault of the executor that the next one was for.
 func TestUsedUpConnectionBudgetIsALocalFault(t *testing.T) {
-	lim := standin.Lim
+	lim := testenv.Lim
 	lim.WorkerConns, lim.Pace.Least = 2, 2
 	c, s := setup(t, lim)
 	box(t, c, says(accepted))
@@ -266,8 +266,8 @@
 	c.pool.open.Take("10.0.0.1:1", 1)
 	c.pool.open.Take("10.0.0.2:1", 1)
 	c.Send(attempt(1))
-	standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	if got := s.outcomes(1); got[0] != brain.Moot {
+	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	if got := s.outcomes(1); got[0] != dispatch.Moot {
 		t.Errorf("outcomes %v", got)
 	}
 	if _, pauses := dialer.seen(); len(pauses) != maxRedials {
@@ -279,18 +279,18 @@
 func TestHealthCheckTellsLocalFaults(t *testing.T) {
 	for name, x := range map[string]struct {
 		fault error
-		want  brain.Outcome
+		want  dispatch.Outcome
 	}{
-		"EADDRNOTAVAIL": {localFaults["EADDRNOTAVAIL"], brain.Moot},
-		"EMFILE":        {localFaults["EMFILE"], brain.Moot},
-		"ECONNREFUSED":  {systemError("connect", syscall.ECONNREFUSED), brain.ConnectFailed},
+		"EADDRNOTAVAIL": {localFaults["EADDRNOTAVAIL"], dispatch.Moot},
+		"EMFILE":        {localFaults["EMFILE"], dispatch.Moot},
+		"ECONNREFUSED":  {systemError("connect", syscall.ECONNREFUSED), dispatch.ConnectFailed},
 	} {
-		c, s := setup(t, standin.Lim)
+		c, s := setup(t, testenv.Lim)
 		box(t, c, says(accepted))
 		(&faultyDialer{always: x.fault}).install(c)
 		c.Probe(7)
 		const id = 7 + 1<<40
-		standin.Until(t, "its result", func() bool { return len(s.outcomes(id)) > 0 })
+		testenv.Until(t, "its result", func() bool { return len(s.outcomes(id)) > 0 })
 		if got := s.outcomes(id); got[0] != x.want {
 			t.Errorf("%s: %v, want %d", name, got, x.want)
 		}
@@ -299,7 +299,7 @@
 
 // The DELETE that gives up a job survives a passing local fault: an executor that is not told of it goes on with the job.
 func TestGiveUpSurvivesALocalFault(t *testing.T) {
-	c, _ := setup(t, standin.Lim)
+	c, _ := setup(t, testenv.Lim)
 	got := make(chan string, 1)
 	box(t, c, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
@@ -312,7 +312,7 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 	})
 	c.Send(attempt(1))
-	standin.Until(t, "an idle connection", func() bool { return c.idleConnections() == 1 })
+	testenv.Until(t, "an idle connection", func() bool { return c.idleConnections() == 1 })
 	c.pool.drop(c.address(7)) // the DELETE needs one of its own
 	(&faultyDialer{fails: []error{localFaults["ENOBUFS"], localFaults["ENOBUFS"]}}).install(c)
 	c.GiveUp(1)
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"gatetack/internal/pace"
-	"gatetack/internal/sock"
+	"gatetack/internal/slowpeer"
+	"gatetack/internal/tcpinfo"
 )
 
 // conn is one client's connection. One goroutine reads, when it is asked to, and one parses, handles and
@@ -39,7 +39,7 @@
 	known  bool      // and was one of the front's own clients'
 	unread bool      // the last answer is finished and not acknowledged
 	share  string    // the peer that it counts for
-	why    *pace.Slow
+	why    *slowpeer.Slow
 
 	ended chan struct{} // closed once its descriptor is
 }
@@ -65,7 +65,7 @@
 	refused         // one refusal
 )
 
-func newConn(c net.Conn, ring int, in, out pace.Rate, pause time.Duration) *conn {
+func newConn(c net.Conn, ring int, in, out slowpeer.Rate, pause time.Duration) *conn {
 	return &conn{Paced: NewPaced(c, in, out), in: NewRing(ring), want: make(chan struct{}, 1), got: make(chan struct{}, 1),
 		pause: pause, phase: idle, ended: make(chan struct{})}
 }
@@ -139,11 +139,11 @@
 // unread reads what has come on a connection already, whatever its deadline is. It never waits.
 type unread struct{ net.Conn }
 
-func (u unread) Read(b []byte) (int, error) { return sock.Take(u.Conn, b), nil }
+func (u unread) Read(b []byte) (int, error) { return tcpinfo.Take(u.Conn, b), nil }
 
 // quiet says that nothing has come that is not parsed yet, neither in the kernel nor with the reader. Bytes go from the first to the
 // second, so they are looked for in this order.
-func (c *conn) quiet() bool { return sock.Quiet(c.Conn) && c.unparsed.Load() == 0 }
+func (c *conn) quiet() bool { return tcpinfo.Quiet(c.Conn) && c.unparsed.Load() == 0 }
 
 // drop takes in bytes for which there is no place, not faster than a flood may cost.
 func (c *conn) drop() error {
--- a/internal/release/clock_test.go
+++ b/internal/jobqueue/clock_test.go
@@ -1,4 +1,4 @@
-package release
+package jobqueue
 
 import (
 	"testing"
--- a/internal/records/disk_test.go
+++ b/internal/jobstore/disk_test.go
@@ -1,4 +1,4 @@
-package records
+package jobstore
 
 import (
 	"bytes"
--- a/internal/node/localfault_test.go
+++ b/internal/node/localfault_test.go
@@ -4,18 +4,18 @@
 	"testing"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // An attempt that was cancelled before it was sent says nothing of its executor: the same job goes there again with the next step, and
 // so does the next job. After a failed connection, for comparison, the executor gets neither for a while.
 func TestCancelledBeforeSendMarksNoExecutor(t *testing.T) {
 	for name, x := range map[string]struct {
-		outcome brain.Outcome
+		outcome dispatch.Outcome
 		sends   int // to the only executor, within 50 ms of the outcome
 	}{
-		"cancelled before send": {brain.Moot, 2},
-		"failed connection":     {brain.ConnectFailed, 0},
+		"cancelled before send": {dispatch.Moot, 2},
+		"failed connection":     {dispatch.ConnectFailed, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t, box("s-1"))
@@ -50,7 +50,7 @@
 		}
 		for ended := 0; h.at.Before(h.c.start.Add(8 * time.Second)); h.run(2 * time.Millisecond) {
 			for ; ended < len(h.live); ended++ {
-				h.c.Result(Result{Attempt: h.live[ended].ID, Outcome: brain.Moot})
+				h.c.Result(Result{Attempt: h.live[ended].ID, Outcome: dispatch.Moot})
 			}
 		}
 		if len(cl.answers) != 1 || cl.answers[0].End != Refused || h.sent() > settings().MaxAttempts {
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // restarted is a core that was started with an old list, which nobody has confirmed.
@@ -36,7 +36,7 @@
 	if h.sent() != 0 || h.c.Ready() {
 		t.Fatalf("%d sends and ready %v on a list that nobody has confirmed", h.sent(), h.c.Ready())
 	}
-	h.c.List(List{Form: brain.ListFull, Entries: []Entry{box("s-new")}})
+	h.c.List(List{Form: dispatch.ListFull, Entries: []Entry{box("s-new")}})
 	h.run(time.Second)
 	if !h.c.Ready() || h.sent() != 1 || h.live[0].Worker != WorkerID("s-new") {
 		t.Fatalf("ready %v, sent %v", h.c.Ready(), h.sends)
@@ -81,7 +81,7 @@
 		if end(h); len(cl.answers) != 1 || cl.answers[0].End != Refused {
 			t.Errorf("%s: %+v", what, cl.answers)
 		}
-		h.c.List(List{Form: brain.ListFull, Entries: []Entry{box("s-old")}})
+		h.c.List(List{Form: dispatch.ListFull, Entries: []Entry{box("s-old")}})
 		if h.run(time.Second); h.sent() != 0 {
 			t.Errorf("%s: sent after its answer", what)
 		}
@@ -110,7 +110,7 @@
 // A watch that says that nothing has changed confirms the list to the module, once this process has had a list.
 func TestConfirmedListReachesTheModule(t *testing.T) {
 	h := newHost(t, box("s-1"))
-	confirm := func() []brain.Event {
+	confirm := func() []dispatch.Event {
 		h.c.ListConfirmed()
 		h.c.intake(<-h.c.in)
 		return h.c.batch
@@ -118,10 +118,10 @@
 	if batch := confirm(); len(batch) != 0 {
 		t.Errorf("%+v, though there is no list to confirm yet", batch)
 	}
-	h.c.List(List{Form: brain.ListFull, Entries: []Entry{box("s-1")}})
+	h.c.List(List{Form: dispatch.ListFull, Entries: []Entry{box("s-1")}})
 	h.run(100 * time.Millisecond)
 	batch := confirm()
-	if len(batch) != 1 || batch[0].Kind != brain.EvList || batch[0].Form != brain.ListDelta || len(batch[0].Rows) != 0 {
+	if len(batch) != 1 || batch[0].Kind != dispatch.EvList || batch[0].Form != dispatch.ListDelta || len(batch[0].Rows) != 0 {
 		t.Errorf("%+v, want one change of no row", batch)
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/http1"
 	"gatetack/internal/node"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // core takes every job and refuses it at once.
@@ -30,7 +30,7 @@
 func (c *core) Ready() bool   { return true }
 func (c *core) Drained() bool { return c.drained }
 func (c *core) Rules() *node.Rules {
-	return &node.Rules{Settings: brain.Settings{MaxRetryAfter: 1000},
+	return &node.Rules{Settings: dispatch.Settings{MaxRetryAfter: 1000},
 		Names: node.Names{Classes: []string{"tile-charge"}, Tenants: []string{"maavaade"}}}
 }
 func (c *core) Counts(context.Context) (node.Counts, error) { return node.Counts{}, nil }
@@ -40,7 +40,7 @@
 // does, and a refusal tells when to come back, within the settings' bound.
 func TestWhatIsAJob(t *testing.T) {
 	c := &core{}
-	f := New(c, c, standin.Lim, standin.Quiet)
+	f := New(c, c, testenv.Lim, testenv.Quiet)
 	ask := func(method, target string, change map[string]string) http1.Response {
 		m := &http1.Message{Method: method, Target: target}
 		for name, value := range map[string]string{"X-Trace-Id": "9b1f03aa5c7e2d41", "X-Customer": "maavaade", "X-Expires-In-Ms": "7500"} {
@@ -85,7 +85,7 @@
 // A drained node says no to the front's health checks, so that clients are sent elsewhere.
 func TestDrainedIsNotHealthy(t *testing.T) {
 	c := &core{}
-	f := New(c, c, standin.Lim, standin.Quiet)
+	f := New(c, c, testenv.Lim, testenv.Quiet)
 	health := func() int {
 		return f.Handle(context.Background(), &http1.Message{Method: "GET", Target: "/healthz"}).Status
 	}
@@ -115,7 +115,7 @@
 		{&CallbackRefusedError{syscall.ENOSPC}, 503},
 		{fmt.Errorf("callback: %w", &CallbackRefusedError{syscall.EIO}), 503},
 	} {
-		f := New(&core{}, callbacksThatFail{x.err}, standin.Lim, standin.Quiet)
+		f := New(&core{}, callbacksThatFail{x.err}, testenv.Lim, testenv.Quiet)
 		if r := f.Handle(t.Context(), &http1.Message{Method: "POST", Target: "/callback"}); r.Status != x.status {
 			t.Errorf("%v: %d, want %d", x.err, r.Status, x.status)
 		}
--- a/internal/settingsync/errors.go
+++ b/internal/settingsync/errors.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 )
 
 // CacheError reports that a file of the cache can not be read or written. A file that can not be read counts as none.
@@ -132,5 +132,5 @@
 	return "compare this process's base configuration with that of the others, or set what is named to what it can use; it tries again by itself"
 }
 
-var _ = []struct{}{fault.Kind(&NotReadyError{}), fault.Kind(&UnknownError{}), fault.Kind(&BusyError{}), fault.Kind(&StaleMemberError{}),
-	fault.Kind(&MemberError{}), fault.Kind(&ForceError{}), fault.Kind(&CacheError{})}
+var _ = []struct{}{operr.Kind(&NotReadyError{}), operr.Kind(&UnknownError{}), operr.Kind(&BusyError{}), operr.Kind(&StaleMemberError{}),
+	operr.Kind(&MemberError{}), operr.Kind(&ForceError{}), operr.Kind(&CacheError{})}
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"gatetack/internal/atomicfile/atomicfiletest"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // A store of one member whose disk is full, or loses what it took until it is synced, acknowledges nothing meanwhile, keeps
@@ -32,7 +32,7 @@
 			if err := restore(); err != nil {
 				t.Fatal(err)
 			}
-			standin.Until(t, "it leads again", m.s.Leads)
+			testenv.Until(t, "it leads again", m.s.Leads)
 			put(t, m, "after", "z")
 			m.stop()
 			m.start(t)
--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -16,7 +16,7 @@
 
 	"gatetack/internal/clocktest"
 	"gatetack/internal/http1"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // steppedProgram builds the program once with a package time whose wall clock can be set while the process runs. The
@@ -113,10 +113,10 @@
 }
 
 // report makes the callback of an executor that ends a job.
-func (s *site) report(b *standin.Box, id, state string) {
+func (s *site) report(b *testenv.Box, id, state string) {
 	s.t.Helper()
 	body := fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"result":"made","load":{"queue":0,"x0":2}}`, id, b.Name, state)
-	if m, err := standin.Call(s.listen, "POST", "/callback", []byte(body)); err != nil || m.Status >= 300 {
+	if m, err := testenv.Call(s.listen, "POST", "/callback", []byte(body)); err != nil || m.Status >= 300 {
 		s.t.Fatalf("callback for %s: %+v %v", id, m, err)
 	}
 }
@@ -124,12 +124,12 @@
 // muted makes executors take jobs and tell nothing: the test reports their ends.
 func (s *site) muted() {
 	for _, b := range s.boxes {
-		b.Set(func(how *standin.Behaviour) { how.Mute, how.Run = true, 0 })
+		b.Set(func(how *testenv.Behaviour) { how.Mute, how.Run = true, 0 })
 	}
 }
 
 // executorOf returns the executor that got an attempt of a job.
-func (s *site) executorOf(id string) *standin.Box {
+func (s *site) executorOf(id string) *testenv.Box {
 	s.t.Helper()
 	for _, b := range s.boxes {
 		for _, start := range b.Starts() {
@@ -181,7 +181,7 @@
 func (s *site) sendFor(id string, left int) <-chan answer {
 	answers := make(chan answer, 1)
 	go func() {
-		m, err := standin.Call(s.listen, "POST", "/tile-charge/cut", []byte("body of "+id), header("X-Trace-Id", id),
+		m, err := testenv.Call(s.listen, "POST", "/tile-charge/cut", []byte("body of "+id), header("X-Trace-Id", id),
 			header("X-Customer", "pohjakaart"), header("X-Expires-In-Ms", strconv.Itoa(left)), header("Idempotency-Key", "key-"+id))
 		if err != nil {
 			answers <- answer{err: err}
@@ -254,7 +254,7 @@
 	s.stepped()
 	s.muted()
 	s.start()
-	listed := func(b *standin.Box, status string) {
+	listed := func(b *testenv.Box, status string) {
 		s.list.Put(b, status)
 		s.until(b.Name+" is "+status, func() bool {
 			_, v := s.drmaa("GET", "/monitoring/machines", "")
@@ -336,7 +336,7 @@
 `
 	body, _ := json.Marshal(map[string]string{"id": "clock", "function": function})
 	s.until("the desk is made", func() bool {
-		m, err := standin.Call(s.batch, "POST", "/drmaa2/v1/desks", body)
+		m, err := testenv.Call(s.batch, "POST", "/drmaa2/v1/desks", body)
 		return err == nil && (m.Status == 201 || m.Status == 409)
 	})
 	s.until("the desk's timer is set", func() bool {
@@ -345,7 +345,7 @@
 	})
 	read := func() (job string, rung int64) {
 		_, v := s.drmaa("GET", "/jobs/"+id, "")
-		m, err := standin.Call(s.batch, "GET", "/drmaa2/v1/desks/clock", nil)
+		m, err := testenv.Call(s.batch, "GET", "/drmaa2/v1/desks/clock", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/test/errors_test.go
+++ b/test/errors_test.go
@@ -5,12 +5,12 @@
 	"strings"
 	"testing"
 
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 
 	// All that have errors which reach an operator or a client.
 	_ "gatetack/internal/actor"
 	_ "gatetack/internal/actorhost"
-	_ "gatetack/internal/handover"
+	_ "gatetack/internal/callbackrelay"
 	_ "gatetack/internal/locality"
 	_ "gatetack/internal/recovery"
 	_ "gatetack/internal/settings"
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kinds := fault.Kinds()
+	kinds := operr.Kinds()
 	if len(kinds) < 15 {
 		t.Fatalf("%d kinds", len(kinds))
 	}
--- a/test/golden_folder_test.go
+++ b/test/golden_folder_test.go
@@ -20,7 +20,7 @@
 	"github.com/tidwall/gjson"
 	bolt "go.etcd.io/bbolt"
 
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // The archives under testdata/golden are what the program at 46e7a41 left on disk when it was killed: jobs that had ended, that
@@ -104,7 +104,7 @@
 // run sets for how long each box runs a job.
 func (s *site) run(span time.Duration) {
 	for _, b := range s.boxes {
-		b.Set(func(h *standin.Behaviour) { h.Run = span })
+		b.Set(func(h *testenv.Behaviour) { h.Run = span })
 	}
 }
 
@@ -113,7 +113,7 @@
 	s.t.Helper()
 	var out strings.Builder
 	read := func(path string) {
-		m, err := standin.Call(s.batch, "GET", "/drmaa2/v1"+path, nil)
+		m, err := testenv.Call(s.batch, "GET", "/drmaa2/v1"+path, nil)
 		out.WriteString("== " + goldenText(path) + "\n" + goldenAnswer(m, err))
 	}
 	read("/sessions")
--- a/test/golden_test.go
+++ b/test/golden_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/tidwall/gjson"
 
-	"gatetack/internal/fault"
 	"gatetack/internal/http1"
-	"gatetack/internal/standin"
+	"gatetack/internal/operr"
+	"gatetack/internal/testenv"
 )
 
 // The golden files under testdata/golden hold what the program said, wrote and read before its code was reshaped. A change of
@@ -158,7 +158,7 @@
 // The codes of all errors that reach an operator or a client.
 func TestGoldenErrorCodes(t *testing.T) {
 	var out strings.Builder
-	for _, kind := range fault.Kinds() {
+	for _, kind := range operr.Kinds() {
 		out.WriteString(kind.Code() + "\n")
 	}
 	compareGolden(t, "error-codes.txt", out.String())
@@ -173,7 +173,7 @@
 		out.WriteString("== " + what + "\n" + goldenAnswer(m, err))
 	}
 	call := func(method, path, body string, fields ...http1.Field) {
-		m, err := standin.Call(s.listen, method, path, []byte(body), fields...)
+		m, err := testenv.Call(s.listen, method, path, []byte(body), fields...)
 		note(method+" "+path, m, err)
 	}
 	m, err := s.post("tile-charge", "0000000000000001")
@@ -192,10 +192,10 @@
 		header("X-Expires-In-Ms", "soon"))
 	call("POST", "/tile-charge/cut", "x", header("X-Trace-Id", "0000000000000005"), header("X-Customer", "pohjakaart"),
 		header("X-Expires-In-Ms", "1"))
-	s.boxes[0].Set(func(h *standin.Behaviour) { h.Fail = true })
+	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Fail = true })
 	m, err = s.post("tile-charge", "0000000000000006")
 	note("failed", m, err)
-	s.boxes[0].Set(func(h *standin.Behaviour) { h.Fail, h.Full = false, true })
+	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Fail, h.Full = false, true })
 	m, err = s.post("tile-charge", "0000000000000007")
 	note("refused", m, err)
 	compareGolden(t, "platform-answers.txt", out.String())
@@ -282,7 +282,7 @@
 			})
 			step.body = ""
 		}
-		m, err := standin.Call(s.batch, step.method, "/drmaa2/v1"+path, []byte(step.body))
+		m, err := testenv.Call(s.batch, step.method, "/drmaa2/v1"+path, []byte(step.body))
 		if err == nil && m.Status == 201 {
 			if id := gjson.GetBytes(m.Body, "jobId").String(); id != "" {
 				job = id
@@ -300,7 +300,7 @@
 // nextCursor is that of the latest event.
 func (s *site) nextCursor(t *testing.T) string {
 	t.Helper()
-	m, err := standin.Call(s.batch, "GET", "/drmaa2/v1/events?timeoutMs=1", nil)
+	m, err := testenv.Call(s.batch, "GET", "/drmaa2/v1/events?timeoutMs=1", nil)
 	if err != nil || m.Status != 200 {
 		t.Fatalf("%v %+v", err, m)
 	}
@@ -310,7 +310,7 @@
 // events are those after a cursor, each by its value.
 func (s *site) events(t *testing.T, after string) string {
 	t.Helper()
-	m, err := standin.Call(s.batch, "GET", "/drmaa2/v1/events?timeoutMs=100&after="+after, nil)
+	m, err := testenv.Call(s.batch, "GET", "/drmaa2/v1/events?timeoutMs=100&after="+after, nil)
 	if err != nil || m.Status != 200 {
 		t.Fatalf("%v %+v", err, m)
 	}
