--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -13,9 +13,10 @@
 	"testing"
 )
 
-// The recordings under testdata/golden are the input of the adapter's pipe on days of the simulator, cut after some frames,
-// and for each frame the first bytes of the SHA-256 of the reply that the program gave before its code was reshaped.
-// Texts of log lines are left out of it: only that a line is there counts. GOLDEN_UPDATE=1 writes the hashes anew.
+// The recordings under testdata/golden are the input of the adapter's pipe on days of the simulator, cut after some
+// frames, and for each frame the first bytes of the SHA-256 of the reply that the program gave before its code was
+// reshaped. Texts of log lines are left out of it: only that a line is there counts. GOLDEN_UPDATE=1 writes the
+// hashes anew.
 
 const (
 	goldenFrameBytes = 4  // of each reply's hash that are kept
@@ -30,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	reader, err := gzip.NewReader(file)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -3,10 +3,12 @@
 import "math"
 
 const (
-	// reservedFraction is what the tenants' reserved shares are together, of the capacity. More protects small tenants, less lends more.
+	// reservedFraction is what the tenants' reserved shares are together, of the capacity. More protects small tenants,
+	// less lends more.
 	reservedFraction = 0.7
 
-	// borrowableFraction is the part of what others have reserved that a tenant's limit goes beyond its own share. Less stops floods.
+	// borrowableFraction is the part of what others have reserved that a tenant's limit goes beyond its own share. Less
+	// stops floods.
 	borrowableFraction = 0.8
 
 	// tenantActiveMs is how long a reserved share outlives its tenant's last job. Longer leaves slots idle.
@@ -104,8 +106,8 @@
 	return max(active, 1e-9)
 }
 
-// isOverQuota says whether a request is beyond its tenant's quota, by a bucket that fills at the part of the quota that usually comes
-// this way: nodes see only their own traffic, and it is uneven.
+// isOverQuota says whether a request is beyond its tenant's quota, by a bucket that fills at the part of the quota
+// that usually comes this way: nodes see only their own traffic, and it is uneven.
 func (a *admission) isOverQuota(job *job, repeated bool) bool {
 	tenant := &a.tenants[job.tenant]
 	if tenant.quota <= 0 {
@@ -121,8 +123,8 @@
 	if repeated {
 		return tenant.tokens < 1
 	}
-	// The usual rate should rise by 1000/usualRateWindowMs here. It never did, because as a division of integer constants that is 0;
-	// a mend changes which requests count as beyond a quota, and is left to a change of behaviour.
+	// The usual rate should rise by 1000/usualRateWindowMs here. It never did, because as a division of integer
+	// constants that is 0; a mend changes which requests count as beyond a quota, and is left to a change of behaviour.
 	if tenant.tokens < 1 {
 		return true
 	}
@@ -138,8 +140,9 @@
 	}
 }
 
-// admitArrived decides on each arrival: within its tenant's limit, within its reserved share, on slots that are not in use, or else in
-// place of a queued job; rejected if none of these. Arrivals wait for an answer of the aggregator where one is due.
+// admitArrived decides on each arrival: within its tenant's limit, within its reserved share, on slots that are not
+// in use, or else in place of a queued job; rejected if none of these. Arrivals wait for an answer of the aggregator
+// where one is due.
 func (d *Dispatcher) admitArrived() {
 	if len(d.jobs.arrived) == 0 || d.awaitsAggregator() {
 		return
@@ -198,7 +201,8 @@
 	return borrowed+job.slots <= slots-reservedFraction*slots || len(d.jobs.queue) == 0 && d.isStarved()
 }
 
-// admissionSlots is how many slots admitted jobs may hold, as far as a job is concerned: the capacity, and what may be queued.
+// admissionSlots is how many slots admitted jobs may hold, as far as a job is concerned: the capacity, and what may
+// be queued.
 func (d *Dispatcher) admissionSlots(job *job) float64 {
 	objective := d.settings.Classes[job.class].Aim
 	slots := d.capacity.slots * (1 + min(maxQueuedFraction, objective/d.serviceTimes.classes[job.class].work))
@@ -214,8 +218,8 @@
 	return d.now+leastRun > job.deadline-d.answerMargin()
 }
 
-// fleetShare is our part of what all nodes may do together: half of it even, half by our part of the traffic that the quotas stand
-// for. The parts of all nodes sum to 1 while traffic is at quota.
+// fleetShare is our part of what all nodes may do together: half of it even, half by our part of the traffic that the
+// quotas stand for. The parts of all nodes sum to 1 while traffic is at quota.
 func (d *Dispatcher) fleetShare() float64 {
 	even := 1 / float64(d.settings.Balancers)
 	if d.admission.totalQuota <= 0 {
@@ -224,9 +228,9 @@
 	return (even + min(1, d.quotaRate()/d.admission.totalQuota)) / 2
 }
 
-// quotaRate is the rate that our part of the quotas goes by. Quotas count a request once, however often its client sends it again: in
-// a storm of repeats the parts of all nodes would sum to more than 1. Small fleets count each attempt of a client: there a node sees
-// most executors itself, and its part bounds little.
+// quotaRate is the rate that our part of the quotas goes by. Quotas count a request once, however often its client
+// sends it again: in a storm of repeats the parts of all nodes would sum to more than 1. Small fleets count each
+// attempt of a client: there a node sees most executors itself, and its part bounds little.
 func (d *Dispatcher) quotaRate() float64 {
 	if len(d.endpoints.listed) > fullScanLimit {
 		return d.admission.firstArrivals.perSecond
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -110,7 +110,8 @@
 		s.Tenants[i].Quota = 1
 	}
 	r := newRig(t, s, ready(7, 0))
-	r.d.endpoints.listed[0].load.freeSlots, r.d.endpoints.listed[0].load.reportedAt, r.d.endpoints.listed[0].load.slots = 0, r.now, 4
+	load := &r.d.endpoints.listed[0].load
+	load.freeSlots, load.reportedAt, load.slots = 0, r.now, 4
 	var flood []Event
 	for id := uint32(1); id <= 60; id++ {
 		flood = append(flood, request(id, 0, 0, 1))
@@ -172,7 +173,8 @@
 	s := base()
 	s.Classes[2].Worth = 3
 	r := newRig(t, s, ready(7, 0))
-	r.d.endpoints.listed[0].load.freeSlots, r.d.endpoints.listed[0].load.reportedAt, r.d.endpoints.listed[0].load.slots = 0, r.now, 4
+	load := &r.d.endpoints.listed[0].load
+	load.freeSlots, load.reportedAt, load.slots = 0, r.now, 4
 	var small []Event
 	for id := uint32(1); id <= 30; id++ {
 		small = append(small, request(id, 0, 0, 1))
--- a/internal/dispatch/affinity.go
+++ b/internal/dispatch/affinity.go
@@ -6,10 +6,12 @@
 )
 
 const (
-	// affinityWait is the part of the time that its objective leaves for which a job waits for an executor that has its key's data.
+	// affinityWait is the part of the time that its objective leaves for which a job waits for an executor that has its
+	// key's data.
 	affinityWait = 0.5
 
-	// affinitySpread is how many candidates a key has, in executors' worth of its traffic. More divides it, fewer keep its data.
+	// affinitySpread is how many candidates a key has, in executors' worth of its traffic. More divides it, fewer keep
+	// its data.
 	affinitySpread = 2.0
 
 	// leastCandidates is how many candidates each key has besides.
@@ -18,7 +20,8 @@
 	// keyCountWindow is the number of requests after which the counts of keys are halved.
 	keyCountWindow = 1000
 
-	// cacheFetchPool is the part of the capacity for jobs that must fetch their key's data. Less spares the store behind the keys.
+	// cacheFetchPool is the part of the capacity for jobs that must fetch their key's data. Less spares the store behind
+	// the keys.
 	cacheFetchPool = 0.25
 
 	// cacheMissThreshold is the chance of a fetch from which on an executor is not worth waiting for.
@@ -74,8 +77,8 @@
 	keys[0] = key
 }
 
-// cacheMissProbability estimates the chance that an executor must fetch the data of a job's key: candidates of the key likely have it,
-// and so do those that were sent it lately, unless other nodes filled them since.
+// cacheMissProbability estimates the chance that an executor must fetch the data of a job's key: candidates of the
+// key likely have it, and so do those that were sent it lately, unless other nodes filled them since.
 func cacheMissProbability(job *job, executor *executor, nodes int) float64 {
 	miss := 1.0
 	if i := slices.Index(job.candidates, executor); i >= 0 {
@@ -90,8 +93,9 @@
 	return miss
 }
 
-// waitsForAffinity says that a job had better wait for an executor that has its key's data than have it fetched. When the store behind
-// the keys is short of capacity, fetches hold slots for long, and every job that goes elsewhere makes more of them.
+// waitsForAffinity says that a job had better wait for an executor that has its key's data than have it fetched. When
+// the store behind the keys is short of capacity, fetches hold slots for long, and every job that goes elsewhere
+// makes more of them.
 func (d *Dispatcher) waitsForAffinity(job *job) bool {
 	if job.key == 0 {
 		return false
@@ -100,8 +104,9 @@
 	return d.now < job.arrivedAt+affinityWait*slack || d.cacheFetchesExhausted(job)
 }
 
-// cacheFetchesExhausted says that the pool for jobs that must fetch their key's data is used up while a candidate of the key works.
-// Without the pool a short jam would last: jobs go wherever slots are free, fetch, hold slots longer, and keep all full.
+// cacheFetchesExhausted says that the pool for jobs that must fetch their key's data is used up while a candidate of
+// the key works. Without the pool a short jam would last: jobs go wherever slots are free, fetch, hold slots longer,
+// and keep all full.
 func (d *Dispatcher) cacheFetchesExhausted(job *job) bool {
 	fetching := d.affinity.fetchingSlots
 	if fetching == 0 || fetching+job.slots <= cacheFetchPool*d.capacity.slots {
@@ -110,7 +115,8 @@
 	return slices.ContainsFunc(job.candidates, d.isUsable)
 }
 
-// affinityHash is what the candidates of keys are drawn by, kept apart from all else of an executor: each key goes through all.
+// affinityHash is what the candidates of keys are drawn by, kept apart from all else of an executor: each key goes
+// through all.
 type affinityHash struct {
 	hash  uint64
 	tag   uint16
@@ -132,8 +138,8 @@
 	weight   float64
 }
 
-// findAffinityCandidates ranks executors for a job's key by rendezvous hashing weighted by size, so that all nodes agree: as many as
-// the key's share of our requests asks for, and one more to fall back on.
+// findAffinityCandidates ranks executors for a job's key by rendezvous hashing weighted by size, so that all nodes
+// agree: as many as the key's share of our requests asks for, and one more to fall back on.
 func (d *Dispatcher) findAffinityCandidates(job *job) {
 	if job.key == 0 || job.candidatesRevision == d.endpoints.revision {
 		return
--- a/internal/dispatch/aggregator_client.go
+++ b/internal/dispatch/aggregator_client.go
@@ -6,12 +6,13 @@
 	"slices"
 )
 
-// All nodes have the same order of aggregators, and each takes the first that it does not suspect. Nothing is agreed: while some
-// suspect an aggregator and others do not, or after an aggregator's start, each is told less than is held, for a second or so.
+// All nodes have the same order of aggregators, and each takes the first that it does not suspect. Nothing is agreed:
+// while some suspect an aggregator and others do not, or after an aggregator's start, each is told less than is held,
+// for a second or so.
 
 const (
-	// answerTimeoutFactor is how long an answer of the aggregator is waited for, in connect timeouts. The factors below are multiples
-	// of that time.
+	// answerTimeoutFactor is how long an answer of the aggregator is waited for, in connect timeouts. The factors below
+	// are multiples of that time.
 	answerTimeoutFactor = 0.4
 
 	// answerFreshness is how old an answer may be for another job.
@@ -23,8 +24,8 @@
 	// maxAnswerAge is from how old on an answer tells nothing any more.
 	maxAnswerAge = 10
 
-	// aggregatorAwayFactor is how long an aggregator that does not answer is not asked, at first: killed nodes are back soon, and all
-	// should meet again.
+	// aggregatorAwayFactor is how long an aggregator that does not answer is not asked, at first: killed nodes are back
+	// soon, and all should meet again.
 	aggregatorAwayFactor = 15
 
 	// notReadyFactor is how long an aggregator that has just begun is not asked.
@@ -92,13 +93,14 @@
 	return max(answerTimeoutFactor*d.settings.ConnectTimeout, d.settings.Step)
 }
 
-// reminderInterval is after how long the aggregator is told again what is still held. What it was told lapses after twice that.
+// reminderInterval is after how long the aggregator is told again what is still held. What it was told lapses after
+// twice that.
 func (d *Dispatcher) reminderInterval() float64 {
 	return max(reminderRuns*d.serviceTimes.meanRun, d.settings.Step)
 }
 
-// awaitsAggregator says whether arrivals wait for an answer of the aggregator: free slots that are known here are old, and others use
-// them.
+// awaitsAggregator says whether arrivals wait for an answer of the aggregator: free slots that are known here are
+// old, and others use them.
 func (d *Dispatcher) awaitsAggregator() bool {
 	client, timeout := &d.aggregatorClient, d.answerTimeout()
 	if d.gossip.mode != gossipAggregator || d.isAggregator() {
@@ -225,7 +227,8 @@
 		return // of one that is not asked any more
 	}
 	incarnation := int(event.Data[0] &^ messageKindMask)
-	client.snapshotDue = client.incarnation >= 0 && incarnation != client.incarnation // it has begun anew, and knows nothing of us
+	// A new incarnation knows nothing of us.
+	client.snapshotDue = client.incarnation >= 0 && incarnation != client.incarnation
 	client.incarnation, client.querySentAt, client.missedAnswers = incarnation, 0, 0
 	d.needsPlacement = true
 	if incarnation == 0 {
@@ -240,7 +243,8 @@
 	d.capacity.nextEstimate = 0
 }
 
-// reportQuarantine notes that a class fails at an executor, or that it takes no connections, for the aggregator to tell the others.
+// reportQuarantine notes that a class fails at an executor, or that it takes no connections, for the aggregator to
+// tell the others.
 func (d *Dispatcher) reportQuarantine(executor *executor, kind int) {
 	entry, ok := d.quarantineEntry(executor, kind)
 	client := &d.aggregatorClient
--- a/internal/dispatch/aggregator_message.go
+++ b/internal/dispatch/aggregator_message.go
@@ -2,9 +2,9 @@
 
 import "encoding/binary"
 
-// A message to an aggregator, or an answer of one, is a head byte and entries of 2 bytes. The head holds the kind, and in an answer
-// a tag of the aggregator's incarnation. An entry holds 12 bits of an executor's tag, and the number of slots held there or a mark of
-// a quarantine.
+// A message to an aggregator, or an answer of one, is a head byte and entries of 2 bytes. The head holds the kind,
+// and in an answer a tag of the aggregator's incarnation. An entry holds 12 bits of an executor's tag, and the number
+// of slots held there or a mark of a quarantine.
 
 // Kinds of messages, in the upper bits of the head.
 const (
@@ -47,7 +47,8 @@
 	}
 }
 
-// quarantineEntry gives the entry for a quarantine of an executor, if there is an aggregator and entries have a mark for that kind.
+// quarantineEntry gives the entry for a quarantine of an executor, if there is an aggregator and entries have a mark
+// for that kind.
 func (d *Dispatcher) quarantineEntry(executor *executor, kind int) (entry uint16, ok bool) {
 	encodable := kind <= lastClassQuarantine || kind == connectionQuarantine
 	return executor.tag | uint16(kind), d.gossip.mode == gossipAggregator && encodable
--- a/internal/dispatch/aggregator_server.go
+++ b/internal/dispatch/aggregator_server.go
@@ -7,13 +7,15 @@
 )
 
 const (
-	// maxAggregatorRate is how many requests a second of all nodes one aggregator may serve: 500 take a quarter of what a node uses.
+	// maxAggregatorRate is how many requests a second of all nodes one aggregator may serve: 500 take a quarter of what
+	// a node uses.
 	maxAggregatorRate = 1000
 
 	// aggregatorListenRuns is how many mean runs after its start an aggregator was told most of what is held.
 	aggregatorListenRuns = 1
 
-	// connectionQuarantineFactor is for how many connect timeouts an executor that took no connection is not tried by others.
+	// connectionQuarantineFactor is for how many connect timeouts an executor that took no connection is not tried by
+	// others.
 	connectionQuarantineFactor = 4
 
 	// maxQuarantineDoublings is how often a quarantine doubles at most.
@@ -31,8 +33,8 @@
 	incarnationTag uint8   // tells it from others
 }
 
-// quarantine keeps an executor, or a class there, away from all nodes for a while, longer each time it is reported again. Nodes that
-// find it out each for itself lose a job each.
+// quarantine keeps an executor, or a class there, away from all nodes for a while, longer each time it is reported
+// again. Nodes that find it out each for itself lose a job each.
 type quarantine struct {
 	until       float64
 	consecutive int
@@ -92,7 +94,9 @@
 	clear(s.slotTotals)
 	for i := range peers {
 		peer := &peers[i]
-		peer.loads = slices.DeleteFunc(peer.loads, func(load peerLoad) bool { return s.now-load.heardAt > 2*reminderInterval })
+		peer.loads = slices.DeleteFunc(peer.loads, func(load peerLoad) bool {
+			return s.now-load.heardAt > 2*reminderInterval
+		})
 		for _, load := range peer.loads {
 			s.slotTotals[load.tag] += load.slots
 		}
@@ -143,7 +147,8 @@
 	}
 }
 
-// encodeAnswer tells a node what all others hold. It is made for each job of all nodes, and is most of an aggregator's work.
+// encodeAnswer tells a node what all others hold. It is made for each job of all nodes, and is most of an
+// aggregator's work.
 func (d *Dispatcher) encodeAnswer(peer *peer) []byte {
 	server := &d.aggregatorServer
 	if !server.isReady(d.serviceTimes.meanRun) {
@@ -163,7 +168,8 @@
 
 // encode makes an answer of the quarantines and of the slots that are held, those executors first where most are.
 func (s *aggregatorServer) encode(others map[uint16]float64) []byte {
-	ranked := s.answerScratch[:0] // most first and then by tag: what is short of the greatest number in the upper bits, the tag in the lower
+	// Most first and then by tag: what is short of the greatest number is in the upper bits, the tag in the lower.
+	ranked := s.answerScratch[:0]
 	add := func(tag uint16, slots float64) {
 		if n := math.Round(slots); n > 0 {
 			ranked = append(ranked, uint32(maxEncodedSlots-min(n, maxEncodedSlots))<<16|uint32(tag))
--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -12,21 +12,22 @@
 	// starvationShare is the part of our part of all slots under which a node that sees no free slots counts as starved.
 	starvationShare = 0.8
 
-	// starvationThreshold is how long a node without load information goes without dispatching before it dispatches one request
-	// speculatively, in mean slot times.
+	// starvationThreshold is how long a node without load information goes without dispatching before it dispatches one
+	// request speculatively, in mean slot times.
 	starvationThreshold = 2
 
 	// scarcityThreshold is the part of all slots under which free ones are shared among the nodes that see the same few.
 	scarcityThreshold = 0.2
 
-	// initialSoftLimit is how many slots an executor without reports is tried with. More fills the fleet quicker at a start.
+	// initialSoftLimit is how many slots an executor without reports is tried with. More fills the fleet quicker at a
+	// start.
 	initialSoftLimit = 2
 
 	// softLimitBackoff is what a Full outcome, or lateness, leaves of the slots that an executor was thought to take.
 	softLimitBackoff = 0.7
 
-	// liveLoadLimit is how many requests a core, as a live weight tells, shut an executor out, if they are liveLoadExcess times the
-	// mean as well: where all hold many, the number says nothing.
+	// liveLoadLimit is how many requests a core, as a live weight tells, shut an executor out, if they are
+	// liveLoadExcess times the mean as well: where all hold many, the number says nothing.
 	liveLoadLimit  = 1.1
 	liveLoadExcess = 1.5
 
@@ -55,8 +56,8 @@
 	reportsMemory  bool
 }
 
-// executorGroup is what is learned of the executors of one kind in one zone together: the mean part of their slots that other
-// nodes hold.
+// executorGroup is what is learned of the executors of one kind in one zone together: the mean part of their slots
+// that other nodes hold.
 type executorGroup struct {
 	kind, zone                       int
 	occupancySum, samples, updatedAt float64
@@ -132,8 +133,9 @@
 	}
 }
 
-// estimateCapacity counts the slots of this node's running jobs and the free ones, by reports or by what was served. Sends move slots
-// from the free ones to our own, so that the sum stays for a while; a large fleet is counted less often.
+// estimateCapacity counts the slots of this node's running jobs and the free ones, by reports or by what was served.
+// Sends move slots from the free ones to our own, so that the sum stays for a while; a large fleet is counted less
+// often.
 func (d *Dispatcher) estimateCapacity() {
 	if d.now < d.capacity.nextEstimate {
 		return
@@ -170,23 +172,24 @@
 	c.slots = max(c.slots, least) // a node that sees no free slots and has nothing in flight would never begin
 }
 
-// capacityWithoutPeers is the capacity of a node that does not know what others hold: its part of all slots, as list and quotas show
-// them; or what runs of its jobs, free slots that it knows of, and, while nothing queues, as much again.
+// capacityWithoutPeers is the capacity of a node that does not know what others hold: its part of all slots, as list
+// and quotas show them; or what runs of its jobs, free slots that it knows of, and, while nothing queues, as much
+// again.
 func (d *Dispatcher) capacityWithoutPeers(totals *capacityTotals) float64 {
 	part := d.fleetShare() * max(totals.assumed, d.admission.totalQuota*d.serviceTimes.meanSlotTime/1000)
 	running := totals.own - totals.queued
 	return max(initialSoftLimit, part, running+totals.reported+max(0, min(totals.hoped, running-totals.queued)))
 }
 
-// isStarved says that such a node has sent nothing for long, because its jobs hang or run long. It may send one more; it would
-// otherwise reject all that comes for as long as their clients wait.
+// isStarved says that such a node has sent nothing for long, because its jobs hang or run long. It may send one more;
+// it would otherwise reject all that comes for as long as their clients wait.
 func (d *Dispatcher) isStarved() bool {
 	return len(d.endpoints.listed) > fullScanLimit && !d.peerLoadsKnown() &&
 		d.now-d.placement.lastDispatchAt > starvationThreshold*d.serviceTimes.meanSlotTime
 }
 
-// isStartOverdue says that an executor has not started an attempt of ours in the usual time: it queues, whatever a late report tells
-// of free slots.
+// isStartOverdue says that an executor has not started an attempt of ours in the usual time: it queues, whatever a
+// late report tells of free slots.
 func (d *Dispatcher) isStartOverdue(executor *executor) bool {
 	return d.settings.TellsStart && d.now-executor.inFlight.oldestUnstarted > d.serviceTimes.startNoteTimeout()
 }
@@ -218,8 +221,9 @@
 	return d.slotsWithoutReport(executor, slots)
 }
 
-// isOverloadedByWeight says that an executor's live weight tells of more requests than cores. A weight is the same for all nodes, and
-// late: a high one is no reason to go to an executor, since all would, but a low one is a reason to stay away.
+// isOverloadedByWeight says that an executor's live weight tells of more requests than cores. A weight is the same
+// for all nodes, and late: a high one is no reason to go to an executor, since all would, but a low one is a reason
+// to stay away.
 func (d *Dispatcher) isOverloadedByWeight(executor *executor) bool {
 	position := executor.endpoint.position
 	return position < len(d.endpoints.rows) &&
@@ -246,9 +250,9 @@
 	return limit
 }
 
-// decayedFreeSlots is an executor's free slots, with what others hold there drawn from the report to the fleet's mean as the report
-// ages against a job's run. Where reports are older than jobs are long, each says who was idle and not who is, and all nodes would
-// storm the idlest and shun the full, turn about.
+// decayedFreeSlots is an executor's free slots, with what others hold there drawn from the report to the fleet's mean
+// as the report ages against a job's run. Where reports are older than jobs are long, each says who was idle and not
+// who is, and all nodes would storm the idlest and shun the full, turn about.
 func (d *Dispatcher) decayedFreeSlots(executor *executor) float64 {
 	load := &executor.load
 	if d.settings.Balancers < 2 || load.slots == 0 {
@@ -261,8 +265,8 @@
 	return load.slots - executor.inFlight.slots - usual - (reported-usual)*keep + hopedSlots*(1-keep)
 }
 
-// peerOccupancyAt is the part of an executor's slots that others hold, as reports of its kind in its zone tell, drawn to the fleet's
-// while they are few. It can be over 1 where jobs are queued.
+// peerOccupancyAt is the part of an executor's slots that others hold, as reports of its kind in its zone tell, drawn
+// to the fleet's while they are few. It can be over 1 where jobs are queued.
 func (d *Dispatcher) peerOccupancyAt(executor *executor) float64 {
 	if len(d.endpoints.listed) <= fullScanLimit {
 		return d.capacity.meanPeerOccupancy // too few of a kind in a zone for a mean of their own
@@ -274,9 +278,9 @@
 
 func (d *Dispatcher) occupancyWindow() float64 { return occupancyIntervals * d.reports.interval }
 
-// knownSlots is how many slots an executor has, as reports showed, 0 if none did. Where an aggregator tells what others hold, an
-// unknown number counts as what a first trial takes: each of many nodes would otherwise try every executor of a kind that it has not
-// met.
+// knownSlots is how many slots an executor has, as reports showed, 0 if none did. Where an aggregator tells what
+// others hold, an unknown number counts as what a first trial takes: each of many nodes would otherwise try every
+// executor of a kind that it has not met.
 func (d *Dispatcher) knownSlots(executor *executor) float64 {
 	slots := max(executor.load.slots, d.capacity.kindSlots[executor.endpoint.kind])
 	if slots == 0 && d.gossip.mode == gossipAggregator {
--- a/internal/dispatch/classfailure.go
+++ b/internal/dispatch/classfailure.go
@@ -2,20 +2,21 @@
 
 import "math"
 
-// Class failures are told apart from failures of an executor as a whole. An executor can fail one class at once and serve another
-// well: its errors then do not add up to an ejection, while it seems to have free slots and attracts more. It can also reject one
-// class while it reports free slots for all.
+// Class failures are told apart from failures of an executor as a whole. An executor can fail one class at once and
+// serve another well: its errors then do not add up to an ejection, while it seems to have free slots and attracts
+// more. It can also reject one class while it reports free slots for all.
 
 const (
-	// classQuarantineFactor is how long a class that failed at an executor is first kept away from it, in connect timeouts; the time
-	// doubles with each further failure. It is long because a trial may lose a job for good.
+	// classQuarantineFactor is how long a class that failed at an executor is first kept away from it, in connect
+	// timeouts; the time doubles with each further failure. It is long because a trial may lose a job for good.
 	classQuarantineFactor = 16
 
-	// errorPrior is how many jobs' worth of all classes' error rate is mixed into the rate of one class. More lets what other classes
-	// met at an executor count for longer.
+	// errorPrior is how many jobs' worth of all classes' error rate is mixed into the rate of one class. More lets what
+	// other classes met at an executor count for longer.
 	errorPrior = 2
 
-	// errorWindowFactor is the time constant with which errors fade, in connect timeouts. A shorter one tries a failing executor sooner.
+	// errorWindowFactor is the time constant with which errors fade, in connect timeouts. A shorter one tries a failing
+	// executor sooner.
 	errorWindowFactor = 40
 
 	// minErrors is the number of faded errors under which an executor counts as one without errors.
@@ -86,10 +87,10 @@
 	}
 }
 
-// learnClassOutcome takes in how a job of a class ended at an executor. A single Full outcome beside free slots can come of a late
-// load report and is not held against the class. A job that errs at a second executor may be one that errs wherever it goes, so
-// that the first is not to blame either: one bad request that may be attempted six times would put its class out at six
-// executors. Once a third executor serves the job, the errors were the executors' own.
+// learnClassOutcome takes in how a job of a class ended at an executor. A single Full outcome beside free slots can
+// come of a late load report and is not held against the class. A job that errs at a second executor may be one that
+// errs wherever it goes, so that the first is not to blame either: one bad request that may be attempted six times
+// would put its class out at six executors. Once a third executor serves the job, the errors were the executors' own.
 func (d *Dispatcher) learnClassOutcome(job *job, executor *executor, event *Event) {
 	attempt := &job.attempts[event.Attempt]
 	switch {
@@ -153,10 +154,11 @@
 	d.logf("class %d fails at worker %d, kept away until %.0f", class, executor.id, failures.awayUntil)
 }
 
-// errorProbability is the chance that a job errs at an executor, for a job that is lost with it; others are attempted again, and it
-// is they that show when an executor works again. An executor can err for a part of its jobs, whichever they are, and serve the
-// next. An error would then keep its class alone away, until the next success, and each class in turn would lose jobs there that
-// must not be retried. What other classes met there counts until a class has fared often enough itself.
+// errorProbability is the chance that a job errs at an executor, for a job that is lost with it; others are attempted
+// again, and it is they that show when an executor works again. An executor can err for a part of its jobs, whichever
+// they are, and serve the next. An error would then keep its class alone away, until the next success, and each class
+// in turn would lose jobs there that must not be retried. What other classes met there counts until a class has fared
+// often enough itself.
 func (d *Dispatcher) errorProbability(job *job, executor *executor) float64 {
 	all, errors := executor.failures.all.faded(d.environment)
 	lostWithAnError := d.settings.Classes[job.class].Effect == Unsafe
--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -6,11 +6,12 @@
 	"math"
 )
 
-// Retune takes over new classes, tenants, attempts, prices and weights while jobs are open; all other settings stay as New had
-// them. A class or tenant keeps its place for as long as it stands, and new ones come behind the last, or in the place of one of
-// which nothing is open. From names, for the place of a class whose rules are new, the place of the class whose statistics it
-// begins with; others begin with none. Open jobs keep the rules that they came under: their class may not change, and their
-// attempts stay as many. An error names what cannot be taken over, and nothing is changed then.
+// Retune takes over new classes, tenants, attempts, prices and weights while jobs are open; all other settings stay
+// as New had them. A class or tenant keeps its place for as long as it stands, and new ones come behind the last, or
+// in the place of one of which nothing is open. From names, for the place of a class whose rules are new, the place
+// of the class whose statistics it begins with; others begin with none. Open jobs keep the rules that they came
+// under: their class may not change, and their attempts stay as many. An error names what cannot be taken over, and
+// nothing is changed then.
 func (d *Dispatcher) Retune(s Settings, from map[int]int) error {
 	next := d.settings
 	next.Classes, next.Tenants = s.Classes, s.Tenants
@@ -79,36 +80,52 @@
 	if s.MaxAttempts < 1 {
 		return fmt.Errorf("brain: limits.maxAttempts: %d is under 1", s.MaxAttempts)
 	}
-	type limit struct {
-		key   string
-		value float64
+	for _, number := range s.numbers() {
+		if !(number.value >= 0) || math.IsInf(number.value, 0) {
+			return fmt.Errorf("brain: %s: %v is not a number of 0 or more", number.key, number.value)
+		}
+	}
+	if s.FallMultiple == 0 {
+		return errors.New("brain: invariants.fallMultiple: 0 lets no cold worker be used")
 	}
-	limits := []limit{
-		{"step", s.Step}, {"overShareWorth", s.OverShareWorth}, {"familyInfo.progress", s.Progress}, {"limits.connIdle", s.ConnIdle},
-		{"limits.connectTimeout", s.ConnectTimeout}, {"limits.maxRetryAfter", s.MaxRetryAfter}, {"invariants.answerSlack", s.AnswerSlack},
-		{"invariants.askWithin", s.AskWithin}, {"invariants.drainGrace", s.DrainGrace},
-		{"invariants.fall", s.Fall}, {"invariants.coldFrom", s.ColdFrom},
+	return nil
+}
+
+// setting is a number of the settings with its key in the settings document.
+type setting struct {
+	key   string
+	value float64
+}
+
+// numbers gives all of the settings that must be numbers of 0 or more.
+func (s *Settings) numbers() []setting {
+	numbers := []setting{
+		{"step", s.Step},
+		{"overShareWorth", s.OverShareWorth},
+		{"familyInfo.progress", s.Progress},
+		{"limits.connIdle", s.ConnIdle},
+		{"limits.connectTimeout", s.ConnectTimeout},
+		{"limits.maxRetryAfter", s.MaxRetryAfter},
+		{"invariants.answerSlack", s.AnswerSlack},
+		{"invariants.askWithin", s.AskWithin},
+		{"invariants.drainGrace", s.DrainGrace},
+		{"invariants.fall", s.Fall},
+		{"invariants.coldFrom", s.ColdFrom},
 		{"invariants.warmWithin", s.WarmWithin},
-		{"fees.crossZone", s.Fees.CrossZone}, {"fees.handshake", s.Fees.Handshake},
+		{"fees.crossZone", s.Fees.CrossZone},
+		{"fees.handshake", s.Fees.Handshake},
 		{"fees.origin", s.Fees.Origin},
 		{"invariants.fallMultiple", s.FallMultiple},
 	}
-	for i, c := range s.Classes {
-		p := fmt.Sprintf("requestClasses.%d.", i)
-		limits = append(limits, limit{p + "aim", c.Aim}, limit{p + "deadline", c.Deadline},
-			limit{p + "worth", c.Worth}, limit{p + "window", c.Window}, limit{p + "aimStretch", c.Stretch})
-	}
-	for i, t := range s.Tenants {
-		limits = append(limits, limit{fmt.Sprintf("tenants.%d.portion", i), t.Portion},
-			limit{fmt.Sprintf("tenants.%d.quotaRps", i), t.Quota})
+	for i, class := range s.Classes {
+		key := fmt.Sprintf("requestClasses.%d.", i)
+		numbers = append(numbers, setting{key + "aim", class.Aim}, setting{key + "deadline", class.Deadline},
+			setting{key + "worth", class.Worth}, setting{key + "window", class.Window},
+			setting{key + "aimStretch", class.Stretch})
 	}
-	for _, l := range limits {
-		if !(l.value >= 0) || math.IsInf(l.value, 0) {
-			return fmt.Errorf("brain: %s: %v is not a number of 0 or more", l.key, l.value)
-		}
+	for i, tenant := range s.Tenants {
+		key := fmt.Sprintf("tenants.%d.", i)
+		numbers = append(numbers, setting{key + "portion", tenant.Portion}, setting{key + "quotaRps", tenant.Quota})
 	}
-	if s.FallMultiple == 0 {
-		return errors.New("brain: invariants.fallMultiple: 0 lets no cold worker be used")
-	}
-	return nil
+	return numbers
 }
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -8,8 +8,8 @@
 	dialBackoffUntil float64   // no connection is opened before
 }
 
-// take uses the last idle connection, if there is one, and says whether one is opened for an attempt instead. Shared says that an
-// open connection carries it beside others.
+// take uses the last idle connection, if there is one, and says whether one is opened for an attempt instead. Shared
+// says that an open connection carries it beside others.
 func (c *connectionState) take(shared bool) (opened bool) {
 	if n := len(c.idleSince); n > 0 {
 		c.idleSince = c.idleSince[:n-1]
@@ -49,7 +49,8 @@
 
 // sharesConnection says whether connections carry several jobs and one that is open can take another.
 func (d *Dispatcher) sharesConnection(executor *executor) bool {
-	established := len(executor.inFlight.jobs) - executor.connections.opening // attempts on connections that were open before
+	// Attempts on connections that were open before, if each had its own.
+	established := len(executor.inFlight.jobs) - executor.connections.opening
 	return d.settings.Multiplex > 1 && established > 0 && established%d.settings.Multiplex != 0
 }
 
@@ -69,8 +70,9 @@
 	connections.idleSince = connections.idleSince[:0]
 }
 
-// isDialBlocked says that an executor takes no new connections. It can serve over those that it has and take no new one, because its
-// table is full or new ones are cut: a served job says nothing of the next dial. One new connection is tried at a time.
+// isDialBlocked says that an executor takes no new connections. It can serve over those that it has and take no new
+// one, because its table is full or new ones are cut: a served job says nothing of the next dial. One new connection
+// is tried at a time.
 func (d *Dispatcher) isDialBlocked(executor *executor) bool {
 	connections := &executor.connections
 	backsOff := connections.dialFailures > 0 && (d.now < connections.dialBackoffUntil || connections.opening > 0)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Dispatcher decides for one node. See the package comment for what its host promises. It holds the state of each concern, takes
-// events in and gives actions out; the concerns' own types do not know one another.
+// Dispatcher decides for one node. See the package comment for what its host promises. It holds the state of each
+// concern, takes events in and gives actions out; the concerns' own types do not know one another.
 type Dispatcher struct {
 	*environment
 
@@ -35,7 +35,8 @@
 	largeFleetTickSteps = 10
 	minLargeFleetTickMs = 40
 
-	// outlierChecksPerTimeout is how often outliers are looked for in a large fleet, in the time that an executor may be silent.
+	// outlierChecksPerTimeout is how often outliers are looked for in a large fleet, in the time that an executor may be
+	// silent.
 	outlierChecksPerTimeout = 16
 )
 
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -7,7 +7,8 @@
 	"sort"
 )
 
-// rebuildThreshold is the number of rows of one change up to which each is put in its place; with more, all is sorted anew.
+// rebuildThreshold is the number of rows of one change up to which each is put in its place; with more, all is sorted
+// anew.
 const rebuildThreshold = 16
 
 // minWeight is the least weight of a kind's largest executor.
@@ -32,8 +33,8 @@
 	meanLiveLoad float64               // requests per core, as live weights tell
 }
 
-// endpointRow is what the list told of an executor, kept apart from all else: lists with live weights come often, and to touch each
-// executor for each would cost more CPU than all jobs do.
+// endpointRow is what the list told of an executor, kept apart from all else: lists with live weights come often, and
+// to touch each executor for each would cost more CPU than all jobs do.
 type endpointRow struct {
 	row      Row
 	liveLoad float64 // requests held per core, as the live weight told
@@ -151,7 +152,8 @@
 	}
 }
 
-// applyChanges brings the executors up to date whose rows have changed, and gives them. Rows mostly come in the order of the list.
+// applyChanges brings the executors up to date whose rows have changed, and gives them. Rows mostly come in the order
+// of the list.
 func (d *Dispatcher) applyChanges(event *Event) []*executor {
 	list := &d.endpoints
 	changed := list.changed[:0]
@@ -252,8 +254,8 @@
 	}
 }
 
-// updateListed puts one executor whose row has changed in its place, or takes it out. Where weights are live all is rebuilt instead:
-// only there is an executor's own position of use.
+// updateListed puts one executor whose row has changed in its place, or takes it out. Where weights are live all is
+// rebuilt instead: only there is an executor's own position of use.
 func (d *Dispatcher) updateListed(executor *executor) {
 	list := &d.endpoints
 	at := list.positionOf(executor.id)
--- a/internal/dispatch/environment.go
+++ b/internal/dispatch/environment.go
@@ -7,8 +7,8 @@
 	logIntervalMs = 10000 // after which one more line may be logged
 )
 
-// environment is what every concern of a Dispatcher shares: the settings, the time of the step, random numbers, and the actions that
-// the step returns.
+// environment is what every concern of a Dispatcher shares: the settings, the time of the step, random numbers, and
+// the actions that the step returns.
 type environment struct {
 	settings       Settings
 	now            float64 // of this step
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// executor is what this node knows of one executor, by who writes it. What placement reads of each executor that it inspects comes
-// first and close together: in a large fleet, the memory that it lies in is most of what an inspection costs.
+// executor is what this node knows of one executor, by who writes it. What placement reads of each executor that it
+// inspects comes first and close together: in a large fleet, the memory that it lies in is most of what an inspection
+// costs.
 type executor struct {
 	id           uint32
 	tag          uint16 // its name in messages between nodes
@@ -33,8 +34,8 @@
 	endedCount      int // all that ended, also those no longer kept
 }
 
-// endedAttemptsKept is how many ended attempts are kept for each executor. They explain load reports that were taken before they
-// ended; a report is seldom older than so many requests of one node.
+// endedAttemptsKept is how many ended attempts are kept for each executor. They explain load reports that were taken
+// before they ended; a report is seldom older than so many requests of one node.
 const endedAttemptsKept = 24
 
 // endedAttempt is an attempt that has ended.
@@ -76,7 +77,8 @@
 	a.endedCount++
 }
 
-// workSentSince is the slot-time of the attempts that were sent to an executor from a time on, with those that have ended.
+// workSentSince is the slot-time of the attempts that were sent to an executor from a time on, with those that have
+// ended.
 func (d *Dispatcher) workSentSince(executor *executor, from float64) (work float64) {
 	speed := d.serviceTimes.kindSpeed(executor.endpoint.kind)
 	for _, job := range executor.inFlight.jobs {
--- a/internal/dispatch/flaky_test.go
+++ b/internal/dispatch/flaky_test.go
@@ -15,7 +15,8 @@
 	run := func(class uint8) (lost, at1 bool) {
 		t.Helper()
 		job++
-		for n, out := uint16(0), r.after(20, Event{Kind: EvRequest, Job: job, Class: class, TimeLeft: 6000, Slots: 1}); n < 3; n++ {
+		out := r.after(20, Event{Kind: EvRequest, Job: job, Class: class, TimeLeft: 6000, Slots: 1})
+		for n := uint16(0); n < 3; n++ {
 			sends := find(out, ActSend, job)
 			if len(sends) != 1 {
 				return true, at1
@@ -27,8 +28,11 @@
 					o = Errored
 				}
 			}
-			out = r.after(20, Event{Kind: EvOutcome, Job: job, Attempt: n, Worker: sends[0].Worker, Outcome: o, Final: o == Served,
-				Report: []float32{4 + float32(job)*1e-4}})
+			out = r.after(
+				20,
+				Event{Kind: EvOutcome, Job: job, Attempt: n, Worker: sends[0].Worker, Outcome: o, Final: o == Served,
+					Report: []float32{4 + float32(job)*1e-4}},
+			)
 			if o == Served {
 				return false, at1
 			}
@@ -112,8 +116,9 @@
 	}
 }
 
-// A bad request that errs wherever it goes is not held against the workers that it was tried at: it put its class out at as
-// many as its attempts allow (abuja-booking's rude day, six). Errors of a job that a third worker then serves are.
+// A bad request that errs wherever it goes is not held against the workers that it was tried at: it put its class out
+// at as many as its attempts allow (abuja-booking's rude day, six). Errors of a job that a third worker then serves
+// are.
 func TestJobThatErrsEverywhereIsNotTheWorkers(t *testing.T) {
 	s := base()
 	s.MaxAttempts = 6
@@ -148,9 +153,15 @@
 		t.Errorf("after a job that erred at all six, its class is away from %d workers, odds %.2f", away, odds)
 	}
 	if away, _ := kept(1); away != 1 {
-		t.Errorf("after a job that erred at one and was served at the next, its class is away from %d workers, want that one", away)
+		t.Errorf(
+			"after a job that erred at one and was served at the next, its class is away from %d workers, want that one",
+			away,
+		)
 	}
 	if away, _ := kept(2); away != 2 {
-		t.Errorf("after a job that erred at two and was served at a third, its class is away from %d workers, want those two", away)
+		t.Errorf(
+			"after a job that erred at two and was served at a third, its class is away from %d workers, want those two",
+			away,
+		)
 	}
 }
--- a/internal/dispatch/fresh_test.go
+++ b/internal/dispatch/fresh_test.go
@@ -7,10 +7,14 @@
 
 // Tests of nodes that are told nothing of what the others hold, in a fleet of which each sees little.
 
-// blindSettings are those of a fleet of n nodes and 200 workers, sized for its quotas, whose nodes tell one another nothing.
-func blindSettings(n int) Settings {
+// blindNodes is how many nodes the fleets of these tests have.
+const blindNodes = 100
+
+// blindSettings are those of a fleet of 100 nodes and 200 executors, sized for its quotas, whose nodes tell one another
+// nothing.
+func blindSettings() Settings {
 	s := base()
-	s.Balancers, s.MayDuplicate = n, false
+	s.Balancers, s.MayDuplicate = blindNodes, false
 	s.Fields = []Field{FieldPending, FieldFree}
 	for i := range s.Tenants {
 		s.Tenants[i].Quota = 1000 * s.Tenants[i].Portion
@@ -21,24 +25,31 @@
 // Nodes that have just begun counted the free slots of the whole fleet as their own, each of them: under a burst they
 // took in four times what all workers could run, and the jobs queued there for half a minute (austin-flags roll+mass).
 func TestFreshNodesTogetherCountOnTheFleet(t *testing.T) {
-	const nodes, workers = 100, 200
+	const nodes, workers = blindNodes, 200
 	sum := 0.0
 	for i := range nodes {
-		s := blindSettings(nodes)
+		s := blindSettings()
 		s.Me = i
 		r := newRig(t, s, fleet(workers)...)
 		r.step(request(1, 0, 0, 1))
 		sum += r.d.capacity.slots
 	}
 	if least, most := 1.0*workers, 5.0*workers; sum < least || sum > most {
-		t.Errorf("%d nodes that have just begun count on %.0f slots of %d workers, want %.0f to %.0f", nodes, sum, workers, least, most)
+		t.Errorf(
+			"%d nodes that have just begun count on %.0f slots of %d workers, want %.0f to %.0f",
+			nodes,
+			sum,
+			workers,
+			least,
+			most,
+		)
 	}
 }
 
 // What runs of a node's jobs lets it take as many again, so that one with several times the mean of the traffic is not
 // held to an even part; what queues takes that back, down to its part.
 func TestCapacityGrowsWithStartedJobs(t *testing.T) {
-	r := newRig(t, blindSettings(100), fleet(200)...)
+	r := newRig(t, blindSettings(), fleet(200)...)
 	id, running := uint32(0), 0.0
 	for range 12 { // more come than it takes, and all that is sent starts at once
 		var started []Event
@@ -68,8 +79,8 @@
 	}
 }
 
-// queueing is a fleet as one of many like nodes sees it: it runs as many of the node's jobs as are its part of all slots, in
-// the order they were sent, and each answer tells of a full worker.
+// queueing is a fleet as one of many like nodes sees it: it runs as many of the node's jobs as are its part of all
+// slots, in the order they were sent, and each answer tells of a full worker.
 type queueing struct {
 	slots    int
 	runs     float64 // ms of each job
@@ -95,12 +106,13 @@
 	return events
 }
 
-// Under a burst a node that has just begun took in all, for it saw none of the workers full; when its jobs queued there it
-// counted on little more than what ran, and refused all that came until they were through (austin-flags roll+mass: 57 to 68
-// of 288 nodes refused all for 4 s, with lines such as "capacity 7 slots, 26 in flight, 0 waiting"). It takes in its part.
+// Under a burst a node that has just begun took in all, for it saw none of the workers full; when its jobs queued
+// there it counted on little more than what ran, and refused all that came until they were through (austin-flags
+// roll+mass: 57 to 68 of 288 nodes refused all for 4 s, with lines such as "capacity 7 slots, 26 in flight, 0
+// waiting"). It takes in its part.
 func TestFreshNodeServesThroughABurst(t *testing.T) {
-	const nodes, workers, slots = 100, 200, 5
-	r := newRig(t, blindSettings(nodes), fleet(workers)...)
+	const nodes, workers, slots = blindNodes, 200, 5
+	r := newRig(t, blindSettings(), fleet(workers)...)
 	q := &queueing{slots: workers * slots / nodes, runs: 2500}
 	first, id, inARow, most, since := r.now, uint32(0), 0, 0, r.now
 	longest := 0.0
@@ -144,10 +156,11 @@
 	}
 }
 
-// A node whose jobs all queue at workers that hang had its tokens out for as long as the clients waited, and refused all that
-// came until then (austin-flags roll+mass, one node in ten). It tries one more job after some runs, and no flood of them.
+// A node whose jobs all queue at workers that hang had its tokens out for as long as the clients waited, and refused
+// all that came until then (austin-flags roll+mass, one node in ten). It tries one more job after some runs, and no
+// flood of them.
 func TestNodeWhoseJobsHangGoesOnTrying(t *testing.T) {
-	r := newRig(t, blindSettings(100), fleet(200)...)
+	r := newRig(t, blindSettings(), fleet(200)...)
 	first, last, longest, sends := r.now, r.now, 0.0, 0
 	hang := map[uint32]Action{}
 	for id := uint32(1); r.now < first+20000; id++ {
@@ -169,7 +182,8 @@
 	if longest >= 4000 {
 		t.Errorf("nothing was sent for %.0f ms", longest)
 	}
-	if least := starvationThreshold * r.d.serviceTimes.meanSlotTime; float64(sends) > 20000/least+3*r.d.fleetShare()*200*initialSoftLimit+2 {
+	least := starvationThreshold * r.d.serviceTimes.meanSlotTime
+	if float64(sends) > 20000/least+3*r.d.fleetShare()*200*initialSoftLimit+2 {
 		t.Errorf("%d jobs sent that hang, one more each %.0f ms is meant", sends, least)
 	}
 }
--- a/internal/dispatch/golden_encode_test.go
+++ b/internal/dispatch/golden_encode_test.go
@@ -1,6 +1,7 @@
 package dispatch_test
 
 import (
+	"bytes"
 	"encoding/binary"
 	"fmt"
 	"math"
@@ -9,7 +10,8 @@
 	"gatetack/internal/dispatch"
 )
 
-// goldenAction is an action in a form of its own, so that the golden files outlive renames and reorderings in the package.
+// goldenAction is an action in a form of its own, so that the golden files outlive renames and reorderings in the
+// package.
 func goldenAction(t *testing.T, a *dispatch.Action) (decision []byte, logText string) {
 	t.Helper()
 	big := binary.BigEndian
@@ -59,16 +61,7 @@
 // goldenActionText is an action for people.
 func goldenActionText(t *testing.T, a *dispatch.Action) string {
 	decision, text := goldenAction(t, a)
-	kind, _, _ := cutZero(decision)
+	kind, _, _ := bytes.Cut(decision, []byte{0})
 	return fmt.Sprintf("%s on=%v job=%d attempt=%d executor=%d to=%d token=%d for=%v data=%x %s",
 		kind, a.On, a.Job, a.Attempt, a.Worker, a.To, a.Token, a.For, a.Data, text)
 }
-
-func cutZero(b []byte) (before, after []byte, found bool) {
-	for i, c := range b {
-		if c == 0 {
-			return b[:i], b[i+1:], true
-		}
-	}
-	return b, nil, false
-}
--- a/internal/dispatch/golden_plans_test.go
+++ b/internal/dispatch/golden_plans_test.go
@@ -8,7 +8,16 @@
 		Me: node, Balancers: nodes, Zone: node % 3, Step: 1,
 		Classes: []dispatch.Class{
 			{Aim: 300, Stretch: 2, Deadline: 2500, Worth: 1, Effect: dispatch.Safe, Kind: -1},
-			{Aim: 400, Stretch: 1, Deadline: 3000, Worth: 2, Effect: dispatch.Keyed, Scope: dispatch.ScopeCell, Window: 2000, Kind: -1},
+			{
+				Aim:      400,
+				Stretch:  1,
+				Deadline: 3000,
+				Worth:    2,
+				Effect:   dispatch.Keyed,
+				Scope:    dispatch.ScopeCell,
+				Window:   2000,
+				Kind:     -1,
+			},
 			{Aim: 500, Stretch: 2, Deadline: 2500, Worth: 1, Effect: dispatch.Unsafe, Kind: -1},
 			{Aim: 300, Deadline: 2000, Worth: 0.5, Effect: dispatch.Keyed, Scope: dispatch.ScopeZone, Window: 1500, Kind: 1},
 			{Aim: 600, Deadline: 4000, Worth: 1.5, Effect: dispatch.Keyed, Scope: dispatch.ScopeAll, Window: 2500, Kind: -1},
@@ -24,7 +33,7 @@
 }
 
 // goldenPlans are the runs: few nodes and many, small fleets and large, each way of reports, messages and lists.
-func goldenPlans() []goldenPlan {
+func goldenPlans() []goldenPlan { //nolint:funlen // a table
 	return []goldenPlan{
 		{name: "gossip", seed: 11, nodes: 3, executors: 10, duration: 12000, rate: 60, hints: 0.7, faults: 1, memory: true,
 			prices: true, streams: true, retunes: true, settings: func(node int) dispatch.Settings {
@@ -69,13 +78,23 @@
 				s.Tenants = nil
 				return s
 			}},
-		{name: "live-weights", seed: 17, nodes: 12, executors: 40, duration: 5000, rate: 180, hints: 0.5, faults: 1, keys: 80,
+		{
+			name:      "live-weights",
+			seed:      17,
+			nodes:     12,
+			executors: 40,
+			duration:  5000,
+			rate:      180,
+			hints:     0.5,
+			faults:    1,
+			keys:      80,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 12)
 				s.LiveWeights, s.Ask, s.MayTell = true, true, false
 				s.Fields = []dispatch.Field{dispatch.FieldBusy}
 				return s
-			}},
+			},
+		},
 		{name: "no-reports", seed: 18, nodes: 5, executors: 9, duration: 9000, rate: 70, hints: 0.4, faults: 1.5,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 5)
@@ -84,7 +103,16 @@
 				s.WarmWithin = 0
 				return s
 			}},
-		{name: "overload", seed: 19, nodes: 30, executors: 30, duration: 3500, rate: 500, hints: 1, faults: 0.5, memory: true,
+		{
+			name:      "overload",
+			seed:      19,
+			nodes:     30,
+			executors: 30,
+			duration:  3500,
+			rate:      500,
+			hints:     1,
+			faults:    0.5,
+			memory:    true,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 30)
 				s.MayTell = false
@@ -93,7 +121,8 @@
 					s.Tenants[i].Quota *= 3
 				}
 				return s
-			}},
+			},
+		},
 		{name: "many-keys", seed: 20, nodes: 1, executors: 6, duration: 8000, rate: 400, hints: 1, faults: 0.1, keys: 90,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 1)
--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -74,10 +74,10 @@
 		a := &actions[i]
 		decision, text := goldenAction(r.t, a)
 		one.Write(decision)
-		kind, _, _ := cutZero(decision)
+		kind, _, _ := bytes.Cut(decision, []byte{0})
 		r.run.Actions[string(kind)]++
 		if a.Kind == dispatch.ActLog {
-			fmt.Fprintf(r.logs, "%d %s\n", r.run.Steps, text)
+			_, _ = fmt.Fprintf(r.logs, "%d %s\n", r.run.Steps, text)
 		}
 		if a.Kind == dispatch.ActTell {
 			r.keep(node, a)
@@ -127,8 +127,17 @@
 func (r *goldenRecorder) finish(c *goldenCluster) {
 	r.run.Decisions = hex.EncodeToString(r.whole.Sum(nil))
 	r.run.LogLines = hex.EncodeToString(r.logs.Sum(nil))
-	names := map[dispatch.EventKind]string{dispatch.EvList: "list", dispatch.EvTimer: "timer", dispatch.EvGone: "gone", dispatch.EvNote: "note",
-		dispatch.EvPeer: "peer", dispatch.EvFirst: "first", dispatch.EvOutcome: "outcome", dispatch.EvRequest: "request", dispatch.EvProbed: "probed"}
+	names := map[dispatch.EventKind]string{
+		dispatch.EvList:    "list",
+		dispatch.EvTimer:   "timer",
+		dispatch.EvGone:    "gone",
+		dispatch.EvNote:    "note",
+		dispatch.EvPeer:    "peer",
+		dispatch.EvFirst:   "first",
+		dispatch.EvOutcome: "outcome",
+		dispatch.EvRequest: "request",
+		dispatch.EvProbed:  "probed",
+	}
 	for kind, n := range c.kinds {
 		r.run.Events[names[kind]] = n
 	}
@@ -173,7 +182,8 @@
 			c.play()
 			r.finish(c)
 			if r.trace != nil {
-				if err := os.WriteFile(filepath.Join(os.Getenv("GOLDEN_TRACE"), plan.name+".txt"), r.trace.Bytes(), 0o644); err != nil {
+				path := filepath.Join(os.Getenv("GOLDEN_TRACE"), plan.name+".txt")
+				if err := os.WriteFile(path, r.trace.Bytes(), 0o644); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -237,7 +247,8 @@
 	}
 }
 
-// The runs bring every kind of event, action and message to the module, and a run repeated is the same to the last byte.
+// The runs bring every kind of event, action and message to the module, and a run repeated is the same to the last
+// byte.
 func TestGoldenRunsAreWhole(t *testing.T) {
 	events, actions, messages := map[string]int{}, map[string]int{}, map[string]int{}
 	for _, plan := range goldenPlans() {
--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -4,17 +4,19 @@
 	"math"
 )
 
-// Nodes tell one another of the slots that they hold. A few nodes tell all others, now and then, of each executor where they hold
-// some: 3 bytes, of its tag and the number. Where nodes are so many that this is dear or long over, one of them, the aggregator, is
-// notified of each change, and answers what all others hold when it is asked, which a node does when a job comes. That costs the same
-// for each request however many nodes there are. Numbers are whole and not steps: what a lost message told comes with the next of
-// that executor or with a reminder, and what no reminder tells lapses.
+// Nodes tell one another of the slots that they hold. A few nodes tell all others, now and then, of each executor
+// where they hold some: 3 bytes, of its tag and the number. Where nodes are so many that this is dear or long over,
+// one of them, the aggregator, is notified of each change, and answers what all others hold when it is asked, which a
+// node does when a job comes. That costs the same for each request however many nodes there are. Numbers are whole
+// and not steps: what a lost message told comes with the next of that executor or with a reminder, and what no
+// reminder tells lapses.
 
 const (
 	// gossipIntervals is the time between broadcasts, in report intervals.
 	gossipIntervals = 0.3
 
-	// maxGossipBytesPerRequest is how many bytes of messages are paid for by each of our requests: knowledge against its price.
+	// maxGossipBytesPerRequest is how many bytes of messages are paid for by each of our requests: knowledge against its
+	// price.
 	maxGossipBytesPerRequest = 192
 
 	// broadcastEntryBytes is the length of an entry of a broadcast: two bytes of tag and one of slots.
@@ -71,8 +73,9 @@
 	notifiedAt    float64
 }
 
-// chooseGossipMode says what the other nodes are told: all, now and then; or, where nodes are so many that the bytes allow that less
-// often than a load report is old when it comes, an aggregator, unless it would have too much to do; or nothing.
+// chooseGossipMode says what the other nodes are told: all, now and then; or, where nodes are so many that the bytes
+// allow that less often than a load report is old when it comes, an aggregator, unless it would have too much to do;
+// or nothing.
 func (d *Dispatcher) chooseGossipMode() gossipMode {
 	nodes := float64(d.settings.Balancers)
 	rate := max(d.admission.totalQuota/nodes, 1)
@@ -148,7 +151,8 @@
 	}
 }
 
-// sumPeerLoads adds up what the other nodes hold, leaving out those not heard of for some intervals, and what no reminder told.
+// sumPeerLoads adds up what the other nodes hold, leaving out those not heard of for some intervals, and what no
+// reminder told.
 func (d *Dispatcher) sumPeerLoads() {
 	d.gossip.freshPeers, d.needsPlacement = 0, true
 	d.gossip.nextPeerSum = d.now + d.reports.interval/4
@@ -183,7 +187,8 @@
 	return client.answeredAt > 0 && d.now-client.answeredAt <= maxAnswerAge*d.answerTimeout()
 }
 
-// peerSlotsAt is what other nodes hold at an executor, by their last messages; nodes not heard of count as the mean of the others.
+// peerSlotsAt is what other nodes hold at an executor, by their last messages; nodes not heard of count as the mean
+// of the others.
 func (d *Dispatcher) peerSlotsAt(executor *executor) float64 {
 	switch {
 	case d.gossip.mode != gossipAggregator:
@@ -194,9 +199,9 @@
 	return d.aggregatorClient.peerSlots[executor.tag]
 }
 
-// hiddenSlots is what others hold at an executor that no message told of: a job of ours that is not started though there should be a
-// free slot shows it, and it is taken to end over a run. Nodes and aggregators that were killed leave such jobs behind, and to tell of
-// them spares every other node the same wait.
+// hiddenSlots is what others hold at an executor that no message told of: a job of ours that is not started though
+// there should be a free slot shows it, and it is taken to end over a run. Nodes and aggregators that were killed
+// leave such jobs behind, and to tell of them spares every other node the same wait.
 func (d *Dispatcher) hiddenSlots(executor *executor) float64 {
 	known := &executor.gossip
 	if executor.inFlight.unstarted > 0 && d.isStartOverdue(executor) {
--- a/internal/dispatch/health_test.go
+++ b/internal/dispatch/health_test.go
@@ -7,7 +7,8 @@
 // Workers that take no new connection go on serving over open ones (ifa25c6).
 func TestFailedConnectLeavesOpenConnections(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
-	r.d.endpoints.listed[0].load.freeSlots, r.d.endpoints.listed[0].load.reportedAt, r.d.endpoints.listed[0].load.slots = 4, r.now, 4
+	load := &r.d.endpoints.listed[0].load
+	load.freeSlots, load.reportedAt, load.slots = 4, r.now, 4
 	r.step(request(1, 0, 0, 1))
 	got := r.after(10, outcome(1, 0, 7, ConnectFailed))
 	if len(find(got, ActSend, 1)) != 0 {
@@ -75,7 +76,8 @@
 	}
 	r.now += 60000
 	r.step()
-	if run(2, served); r.d.endpoints.byID[1].failures.byClass[2].consecutive != 0 || r.d.endpoints.byID[1].failures.byClass[2].awayUntil != 0 {
+	if run(2, served); r.d.endpoints.byID[1].failures.byClass[2].consecutive != 0 ||
+		r.d.endpoints.byID[1].failures.byClass[2].awayUntil != 0 {
 		t.Errorf("served again: %+v", r.d.endpoints.byID[1].failures.byClass[2])
 	}
 	everywhere := func(uint32) Outcome { return Errored }
@@ -115,7 +117,8 @@
 		}
 		r.after(1, events...)
 		executor := r.d.endpoints.byID[1]
-		if got := executor.failures.byClass[2].awayUntil > r.now; got != x.away || executor.failures.byClass[0].awayUntil > 0 {
+		if got := executor.failures.byClass[2].awayUntil > r.now; got != x.away ||
+			executor.failures.byClass[0].awayUntil > 0 {
 			t.Errorf("%s: kept away %v, want %v; another class %+v", x.name, got, x.away, executor.failures.byClass[0])
 		}
 	}
@@ -166,7 +169,7 @@
 
 // A worker that was cut off is tried again with one job that may be lost, and what got lost on it holds no slots
 // any more; else it stays out until the last client's time is over (i3f1d0e).
-func TestSilentWorkerIsTriedAgain(t *testing.T) {
+func TestSilentWorkerIsTriedAgain(t *testing.T) { //nolint:funlen // one course of events
 	s := base()
 	for i := range s.Classes {
 		s.Classes[i].Aim, s.Classes[i].Deadline = 20000, 60000
@@ -189,7 +192,8 @@
 	if !executor.outlier.unresponsive {
 		t.Fatal("not silent after 2.6 progress periods")
 	}
-	if got := r.step(request(10, 2, 0, 1), request(11, 0, 0, 1), request(12, 0, 0, 1)); len(got) > 0 && got[0].Kind == ActSend {
+	if got := r.step(request(10, 2, 0, 1), request(11, 0, 0, 1), request(12, 0, 0, 1)); len(got) > 0 &&
+		got[0].Kind == ActSend {
 		t.Fatal("sent to a silent worker at once")
 	}
 	tried := []uint32{}
@@ -204,8 +208,14 @@
 		t.Fatalf("tried %v, want one job that is safe to repeat", tried)
 	}
 	got := r.after(1, Event{Kind: EvNote, Job: tried[0], Topic: NoteStarted})
-	if executor.outlier.unresponsive || executor.inFlight.slots < 1 || executor.inFlight.slots > 4 || len(find(got, ActSend, 10)) != 1 {
-		t.Errorf("silent %v, %v slots out, actions %v: want it in use again", executor.outlier.unresponsive, executor.inFlight.slots, got)
+	if executor.outlier.unresponsive || executor.inFlight.slots < 1 || executor.inFlight.slots > 4 ||
+		len(find(got, ActSend, 10)) != 1 {
+		t.Errorf(
+			"silent %v, %v slots out, actions %v: want it in use again",
+			executor.outlier.unresponsive,
+			executor.inFlight.slots,
+			got,
+		)
 	}
 	before := executor.inFlight.slots
 	r.after(1, Event{Kind: EvNote, Job: 1, Topic: NoteProgress})
--- a/internal/dispatch/healthcheck.go
+++ b/internal/dispatch/healthcheck.go
@@ -1,7 +1,8 @@
 package dispatch
 
 const (
-	// maxChecksPerRequest is how many health checks are paid for by each of our requests, at most: knowledge against its price.
+	// maxChecksPerRequest is how many health checks are paid for by each of our requests, at most: knowledge against its
+	// price.
 	maxChecksPerRequest = 4
 
 	// checkIntervalFactor is the least time between checks of an executor, in report intervals.
@@ -14,8 +15,9 @@
 	quietMs = 1000
 )
 
-// healthCheckState is the last health check of an executor. The interval to the next has a random factor of its own, and follows the
-// traffic otherwise: a node that was quiet at its start does not stay blind for long once requests come.
+// healthCheckState is the last health check of an executor. The interval to the next has a random factor of its own,
+// and follows the traffic otherwise: a node that was quiet at its start does not stay blind for long once requests
+// come.
 type healthCheckState struct {
 	pending        bool
 	sentAt         float64
@@ -48,8 +50,8 @@
 	return d.settings.MayProbe && d.settings.Telemetry == ReportProbes
 }
 
-// checkHealth asks the executors of a small fleet for their load, about once a report interval, within a number of checks for each
-// request. In a large fleet, checkHealthFor asks for each job.
+// checkHealth asks the executors of a small fleet for their load, about once a report interval, within a number of
+// checks for each request. In a large fleet, checkHealthFor asks for each job.
 func (d *Dispatcher) checkHealth() {
 	executors := len(d.endpoints.listed)
 	if !d.checksAreAllowed() || executors == 0 || executors > fullScanLimit {
@@ -75,8 +77,8 @@
 	d.act(Action{Kind: ActProbe, Worker: executor.id})
 }
 
-// checkHealthFor asks, in a large fleet, some executors for each job that comes, which waits for their answers: an answer that was
-// asked for in turn would be old when a job comes. Half are those used last, half are drawn.
+// checkHealthFor asks, in a large fleet, some executors for each job that comes, which waits for their answers: an
+// answer that was asked for in turn would be old when a job comes. Half are those used last, half are drawn.
 func (d *Dispatcher) checkHealthFor(job *job) {
 	if !d.checksAreAllowed() || len(d.endpoints.listed) <= fullScanLimit {
 		return
--- a/internal/dispatch/hedging.go
+++ b/internal/dispatch/hedging.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// handleOverdueAck takes in that an executor has not said that it took a job for longer than it and its peers usually need. Beside
-// other attempts that are heard of, a single one is its connection's fault, and the executor is kept. The attempt counts as holding
-// no slots, and its job may be hedged, where that is allowed.
+// handleOverdueAck takes in that an executor has not said that it took a job for longer than it and its peers usually
+// need. Beside other attempts that are heard of, a single one is its connection's fault, and the executor is kept.
+// The attempt counts as holding no slots, and its job may be hedged, where that is allowed.
 func (d *Dispatcher) handleOverdueAck(job *job, attempt *attempt) {
 	if attempt.startedAt > 0 || attempt.ackOverdue || attempt.writtenOff {
 		return
@@ -41,7 +41,8 @@
 		return false
 	}
 	last := job.lastAttempt()
-	// A job that was sent to see whether the executor lives gets its time for that, and one that queues would only queue elsewhere too.
+	// A job that was sent to see whether the executor lives gets its time for that, and one that queues would only queue
+	// elsewhere too.
 	stuck := executor.outlier.unresponsive && d.now-last.sentAt > d.unresponsiveTimeout()/2 &&
 		(last.startedAt > 0 || !d.settings.TellsStart)
 	return stuck || last.ackOverdue
--- a/internal/dispatch/hub_test.go
+++ b/internal/dispatch/hub_test.go
@@ -282,10 +282,12 @@
 		executor := d.endpoints.listed[30]
 		share := d.slowStart.share(executor)
 		c.send(i, 300) // brings what the hub tells
-		if got, want := d.availableSlots(executor), math.Round(4*share)-d.peerSlotsAt(executor)-executor.inFlight.slots; got != want {
+		got, want := d.availableSlots(executor), math.Round(4*share)-d.peerSlotsAt(executor)-executor.inFlight.slots
+		if got != want {
 			t.Errorf("node %d: room for %v more at a share of %.2f, want %v", i, got, share, want)
 		}
-		if n := executor.inFlight.slots + d.peerSlotsAt(executor) + 1; n <= 4*share && d.executorSpeed(executor) < d.serviceTimes.kindSpeed(executor.endpoint.kind) {
+		if n := executor.inFlight.slots + d.peerSlotsAt(executor) + 1; n <= 4*share &&
+			d.executorSpeed(executor) < d.serviceTimes.kindSpeed(executor.endpoint.kind) {
 			t.Errorf("node %d: job %v of 4 slots at a share of %.2f is taken to run slowly", i, n, share)
 		}
 		if executor.slowStart.creditAt == 0 {
@@ -341,8 +343,8 @@
 	}
 }
 
-// What one node finds of a worker keeps all others away for a while: a class that fails there, another still served, and
-// connections refused. By itself each of 80 nodes loses a job for it (zone+vast: 280 errors of two bad workers).
+// What one node finds of a worker keeps all others away for a while: a class that fails there, another still served,
+// and connections refused. By itself each of 80 nodes loses a job for it (zone+vast: 280 errors of two bad workers).
 func TestHubTellsWhatNodesFind(t *testing.T) {
 	c := listening(t, 60, 20, fleet(3)...)
 	bad := c.send(0, 300)
@@ -374,8 +376,8 @@
 	}
 }
 
-// A node that has met no worker of a kind knows nothing of its slots. It must go by what the hub tells all the same: each
-// of 80 nodes sent a first job blindly, and 13 queued at one slow worker (join+vast, seed 245395339836).
+// A node that has met no worker of a kind knows nothing of its slots. It must go by what the hub tells all the same:
+// each of 80 nodes sent a first job blindly, and 13 queued at one slow worker (join+vast, seed 245395339836).
 func TestHubHoldsForKindsNotMet(t *testing.T) {
 	c := listening(t, 60, 0, fleet(20)...)
 	at := map[uint32]int{}
@@ -437,8 +439,9 @@
 	}
 }
 
-// A fleet of 318 nodes with 504 requests a second in all tells a hub. (The bound stood at 300, and the whole fleet told nothing:
-// its nodes refused a tenth to a quarter of the jobs of a restart's or a release's seconds beside free slots.)
+// A fleet of 318 nodes with 504 requests a second in all tells a hub. (The bound stood at 300, and the whole fleet
+// told nothing: its nodes refused a tenth to a quarter of the jobs of a restart's or a release's seconds beside free
+// slots.)
 func TestWholeFleetTellsAHub(t *testing.T) {
 	s := base()
 	s.Balancers, s.MayTell, s.Tenants = 318, true, nil
@@ -454,9 +457,9 @@
 	}
 }
 
-// Where all know that the fleet is full or nearly so, a node counts on its part of the free slots and not on all of them, which
-// every other sees as well. (With a zone lost 230 nodes admitted for the same few: half of what they admitted ended late.) In a
-// fleet with room each counts on all of it.
+// Where all know that the fleet is full or nearly so, a node counts on its part of the free slots and not on all of
+// them, which every other sees as well. (With a zone lost 230 nodes admitted for the same few: half of what they
+// admitted ended late.) In a fleet with room each counts on all of it.
 func TestScarceSlotsAreShared(t *testing.T) {
 	for _, x := range []struct{ theirs, least, most float64 }{{4, 1, 4}, {3.75, 1, 5}, {1, 100, 200}} {
 		c := listening(t, 40, 4, fleet(40)...)
@@ -468,18 +471,28 @@
 		d.aggregatorClient.answeredAt, d.capacity.nextEstimate = d.now, 0
 		for k, executor := range d.endpoints.listed {
 			executor.load.slots = 4
-			if d.aggregatorClient.peerSlots[executor.tag] = math.Floor(x.theirs); float64(k)/40 < x.theirs-math.Floor(x.theirs) {
+			if d.aggregatorClient.peerSlots[executor.tag] = math.Floor(x.theirs); float64(
+				k,
+			)/40 < x.theirs-math.Floor(
+				x.theirs,
+			) {
 				d.aggregatorClient.peerSlots[executor.tag]++
 			}
 		}
 		if d.estimateCapacity(); d.capacity.slots < x.least || d.capacity.slots > x.most {
-			t.Errorf("with %v of 4 slots of each of 40 workers taken a node counts on %v, want %v to %v", x.theirs, d.capacity.slots, x.least, x.most)
+			t.Errorf(
+				"with %v of 4 slots of each of 40 workers taken a node counts on %v, want %v to %v",
+				x.theirs,
+				d.capacity.slots,
+				x.least,
+				x.most,
+			)
 		}
 	}
 }
 
-// BenchmarkHub is a hub's work for one job of a fleet of 300 nodes and 200 workers: the node asks with what it has out, is
-// answered, tells of a send and of an end.
+// BenchmarkHub is a hub's work for one job of a fleet of 300 nodes and 200 workers: the node asks with what it has
+// out, is answered, tells of a send and of an end.
 func BenchmarkHub(b *testing.B) {
 	s := base()
 	s.Balancers, s.MayTell = 300, true
@@ -498,7 +511,17 @@
 	for i := range 900 { // what is out
 		n, w := i%300, rows[i%200]
 		if n != d.settings.Me {
-			out = d.Step(now, []Event{{Kind: EvPeer, From: uint32(n), Data: []byte{messageUpdate, byte(d.tagOf(w.Worker) >> 8), byte(d.tagOf(w.Worker)) | 3}}}, out[:0])
+			out = d.Step(
+				now,
+				[]Event{
+					{
+						Kind: EvPeer,
+						From: uint32(n),
+						Data: []byte{messageUpdate, byte(d.tagOf(w.Worker) >> 8), byte(d.tagOf(w.Worker)) | 3},
+					},
+				},
+				out[:0],
+			)
 		}
 	}
 	now += 10 * d.serviceTimes.meanRun
@@ -517,14 +540,18 @@
 	}
 }
 
-// Some dozen nodes at a dozen workers told one another all that they had out, about once a run, for the bytes allowed no more: each of 32
-// saw the same free slots for a second, and jobs queued for seconds beside idle slots (tallinn-tiles throng+brink).
+// Some dozen nodes at a dozen workers told one another all that they had out, about once a run, for the bytes allowed
+// no more: each of 32 saw the same free slots for a second, and jobs queued for seconds beside idle slots
+// (tallinn-tiles throng+brink).
 func TestNodesTellAHubWhereWholeMessagesAreOlderThanReports(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
 		quota float64
 		want  gossipMode
-	}{{4, 28, gossipBroadcast}, {6, 28, gossipBroadcast}, {9, 40, gossipBroadcast}, {20, 26, gossipAggregator}, {32, 26, gossipAggregator}, {32, 40, gossipAggregator}} {
+	}{
+		{4, 28, gossipBroadcast}, {6, 28, gossipBroadcast}, {9, 40, gossipBroadcast},
+		{20, 26, gossipAggregator}, {32, 26, gossipAggregator}, {32, 40, gossipAggregator},
+	} {
 		s := base()
 		s.Balancers, s.MayTell = c.nodes, true
 		s.Classes = s.Classes[:2]
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// unhintedWorkFactor is the part of its class's mean work that a request without a hint likely is: half of all jobs stay under it.
-	// Where weights go by work, its inverse is used.
+	// unhintedWorkFactor is the part of its class's mean work that a request without a hint likely is: half of all jobs
+	// stay under it. Where weights go by work, its inverse is used.
 	unhintedWorkFactor = 0.5
 
 	// classMeanWeight is the weight of one request in the means of its class. More follows a change sooner and errs more.
@@ -61,7 +61,7 @@
 	fetchesKey       bool    // the executor likely had to fetch the data of the job's key
 	openedConnection bool    // it was sent on a new connection
 	resolved         bool    // its outcome has come
-	writtenOff       bool    // its executor became unresponsive or overdue, and nothing was heard of it since: it counts as holding no slots
+	writtenOff       bool    // it counts as holding no slots: its executor is unresponsive, or it is overdue
 	errored          bool    // it ended in an error
 	ackOverdue       bool    // its executor has not said in the usual time that it has taken the job
 }
@@ -151,8 +151,8 @@
 		job.work = event.Work
 		stats.work += (job.work - stats.work) * classMeanWeight
 	} else {
-		// Most jobs are shorter than a heavy-tailed mean, and a short one's objective comes soon. Where weights go by work, most of the
-		// weight lies in jobs as much longer than the mean, and their objective comes as much later.
+		// Most jobs are shorter than a heavy-tailed mean, and a short one's objective comes soon. Where weights go by work,
+		// most of the weight lies in jobs as much longer than the mean, and their objective comes as much later.
 		job.work, likely = stats.work, unhintedWorkFactor*stats.work
 		if d.settings.WorthByWork {
 			likely = stats.work / unhintedWorkFactor
--- a/internal/dispatch/late_test.go
+++ b/internal/dispatch/late_test.go
@@ -8,7 +8,7 @@
 
 // A worker that owes signs of jobs stops drawing work at once: its jobs that may be repeated go elsewhere in its cell,
 // others are not sent twice, nothing that may be lost for good goes there, and one that ends well brings it back.
-func TestLateWorker(t *testing.T) {
+func TestLateWorker(t *testing.T) { //nolint:funlen,gocognit // one course of events
 	s := base()
 	for i := range s.Classes {
 		s.Classes[i].Aim, s.Classes[i].Deadline, s.Classes[i].Window = 20000, 60000, 50000
@@ -54,7 +54,8 @@
 			class = 2
 		}
 		tell(7, 8, 9)
-		r.d.endpoints.byID[8].load.freeSlots, r.d.endpoints.byID[9].load.freeSlots = 1, 1 // as much room as a worker on trial has
+		// As many as an executor on probation has.
+		r.d.endpoints.byID[8].load.freeSlots, r.d.endpoints.byID[9].load.freeSlots = 1, 1
 		for _, a := range r.after(50, request(id, class, 0, 1)) {
 			if a.Kind == ActSend {
 				sent[a.Worker] = append(sent[a.Worker], a.Job)
@@ -100,7 +101,11 @@
 	r.after(100, Event{Kind: EvNote, Job: 3, Worker: 7, Topic: NoteStarted})
 	r.after(400, Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteLate})
 	if r.now < executor.outlier.ejectedUntil || executor.inFlight.slots != 2 {
-		t.Errorf("kept away until %v for one connection, %v slots out", executor.outlier.ejectedUntil, executor.inFlight.slots)
+		t.Errorf(
+			"kept away until %v for one connection, %v slots out",
+			executor.outlier.ejectedUntil,
+			executor.inFlight.slots,
+		)
 	}
 	r.after(10, Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteLate}) // told again: nothing new
 	if r.now < executor.outlier.ejectedUntil || executor.inFlight.slots != 2 {
--- a/internal/dispatch/list_test.go
+++ b/internal/dispatch/list_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// A change of a few rows leaves the same workers, rows, hashes and names as sorting all anew, and leads to the same actions: drains,
-// starts anew, workers that leave with jobs out and come back, and names that two workers share.
-func TestListChangesAsIfSortedAnew(t *testing.T) {
+// A change of a few rows leaves the same workers, rows, hashes and names as sorting all anew, and leads to the same
+// actions: drains, starts anew, workers that leave with jobs out and come back, and names that two workers share.
+func TestListChangesAsIfSortedAnew(t *testing.T) { //nolint:gocognit // one course of events
 	for seed := int64(1); seed <= 6; seed++ {
 		rng := rand.New(rand.NewSource(seed))
 		s := base()
@@ -117,7 +117,8 @@
 	return ""
 }
 
-// BenchmarkListChange compares a change of one row, a drain and its end or a worker that leaves and comes back, with sorting all anew.
+// BenchmarkListChange compares a change of one row, a drain and its end or a worker that leaves and comes back, with
+// sorting all anew.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{200, 1000, 6200} {
 		for _, c := range []struct {
--- a/internal/dispatch/listwatch.go
+++ b/internal/dispatch/listwatch.go
@@ -3,7 +3,8 @@
 import "gatetack/internal/recovery"
 
 const (
-	// pollSpreadPerNode is, for each node, the part of the time to ask within over which the polls of all nodes are spread.
+	// pollSpreadPerNode is, for each node, the part of the time to ask within over which the polls of all nodes are
+	// spread.
 	pollSpreadPerNode = 0.003
 
 	// minPollSpread is the least part of that time.
@@ -54,7 +55,13 @@
 
 // backoff is the time until this node's turn in a round that all nodes have: calls that come together wait in vain.
 func (w *listWatch) backoff() float64 {
-	spread := max(minPollSpread, pollSpreadPerNode*float64(w.settings.Balancers)) * doublings(w.failedPolls, maxPollDoublings)
+	spread := max(
+		minPollSpread,
+		pollSpreadPerNode*float64(w.settings.Balancers),
+	) * doublings(
+		w.failedPolls,
+		maxPollDoublings,
+	)
 	slots := recovery.TimeSlots{Me: w.settings.Me, Nodes: w.settings.Balancers}
 	return slots.After(w.now, w.settings.AskWithin*min(1, spread))
 }
--- a/internal/dispatch/loadreport.go
+++ b/internal/dispatch/loadreport.go
@@ -27,7 +27,8 @@
 	// initialReportIntervalMs is the time between new reports until some are seen.
 	initialReportIntervalMs = 500
 
-	// Weights of one gap between new reports in the interval: gaps that are shorter tell more, because a report can be missed.
+	// Weights of one gap between new reports in the interval: gaps that are shorter tell more, because a report can be
+	// missed.
 	shortGapWeight = 0.1
 	longGapWeight  = 0.02
 
@@ -103,8 +104,8 @@
 	}
 }
 
-// freeSlots is how many slots a report shows to be free, negative where jobs queue, of slots in all. A job holds width of them in the
-// mean, and widest at most. It gives false if the report does not tell.
+// freeSlots is how many slots a report shows to be free, negative where jobs queue, of slots in all. A job holds
+// width of them in the mean, and widest at most. It gives false if the report does not tell.
 func (l *loadReport) freeSlots(slots, width, widest float64) (free float64, ok bool) {
 	switch {
 	case !math.IsNaN(l.free):
@@ -120,8 +121,8 @@
 	return 0, false
 }
 
-// queuedJobs is how many jobs a report with free slots shows to be queued: more requests than slots in use. A wide job at the head
-// keeps slots free that none behind it gets.
+// queuedJobs is how many jobs a report with free slots shows to be queued: more requests than slots in use. A wide
+// job at the head keeps slots free that none behind it gets.
 func (l *loadReport) queuedJobs(slots, widest float64) float64 {
 	if !(l.free < widest-reportedSlack) {
 		return 0
@@ -169,10 +170,10 @@
 	return free
 }
 
-// learnAge learns how old reports are when they come. Reports can be delayed by far more than they usually are without any sign of
-// it: all nodes then fill executors that were idle seconds ago and shun those that were full. What an executor reports to hold goes
-// up and down with our own jobs there, as they were when the report was taken; so of some ages, the one at which the reported load
-// less our own scatters least is the age.
+// learnAge learns how old reports are when they come. Reports can be delayed by far more than they usually are
+// without any sign of it: all nodes then fill executors that were idle seconds ago and shun those that were full.
+// What an executor reports to hold goes up and down with our own jobs there, as they were when the report was taken;
+// so of some ages, the one at which the reported load less our own scatters least is the age.
 func (r *loadReports) learnAge(executor *executor, held float64, inSlots bool) {
 	r.samples++
 	weight := max(1-reportAgeMemory, 1/r.samples)
@@ -181,8 +182,8 @@
 	for k := range r.ageCandidates {
 		taken := r.now - r.candidateAge(k)
 		scatter := r.ageCandidates[k].add(held-executor.heldAt(taken, inSlots), weight)
-		// Beyond the oldest of our jobs that are remembered an age counts none of them, explains nothing, and may still beat the usual
-		// one where ours are few.
+		// Beyond the oldest of our jobs that are remembered an age counts none of them, explains nothing, and may still
+		// beat the usual one where ours are few.
 		explained := r.held.mean - r.ageCandidates[k].mean
 		if scatter < least && explained >= (r.held.mean-r.ageCandidates[usualAge].mean)/2 {
 			least, best = scatter, k
@@ -240,8 +241,8 @@
 	return fresh
 }
 
-// handleLoadReport takes in a load report. One that is the same to the last digit is the same reading come again; but while nothing
-// of ours is there, an idle executor may well report the same anew.
+// handleLoadReport takes in a load report. One that is the same to the last digit is the same reading come again; but
+// while nothing of ours is there, an idle executor may well report the same anew.
 func (d *Dispatcher) handleLoadReport(executor *executor, values []float32) {
 	if len(values) == 0 {
 		return
@@ -272,8 +273,9 @@
 	d.setFreeSlots(executor, &report, free)
 	d.learnSlots(executor, &report, free, slots)
 	d.learnOccupancy(executor)
-	// Free slots in a report end the backoff after one Full outcome, to which a late report may have led. An executor that rejects the
-	// next attempt as well, beside free slots, drains and is not listed so yet: its backoff stays as long as ever.
+	// Free slots in a report end the backoff after one Full outcome, to which a late report may have led. An executor
+	// that rejects the next attempt as well, beside free slots, drains and is not listed so yet: its backoff stays as
+	// long as ever.
 	if load.freeSlots >= 1 && load.rejections < 2 {
 		load.rejectedUntil = 0
 	}
@@ -300,7 +302,8 @@
 	}
 }
 
-// learnSlots learns how many slots an executor has. With free slots for the widest job nothing is queued, and all that is held runs.
+// learnSlots learns how many slots an executor has. With free slots for the widest job nothing is queued, and all
+// that is held runs.
 func (d *Dispatcher) learnSlots(executor *executor, report *loadReport, free, slots float64) {
 	load := &executor.load
 	seen := free
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// unresponsiveIntervals is how long an executor may give no sign of life while attempts are in flight there, in intervals of
-	// progress notes.
+	// unresponsiveIntervals is how long an executor may give no sign of life while attempts are in flight there, in
+	// intervals of progress notes.
 	unresponsiveIntervals = 2.5
 
-	// unnotedIntervalFactor is how many times the mean run of the first class stands for that interval where there are no notes.
+	// unnotedIntervalFactor is how many times the mean run of the first class stands for that interval where there are
+	// no notes.
 	unnotedIntervalFactor = 2
 
-	// queuedGraceFactor is how much longer a job that has not started may be silent, in usual waits for a start. Fewer finds dead
-	// executors sooner, and hedges more jobs that only queue.
+	// queuedGraceFactor is how much longer a job that has not started may be silent, in usual waits for a start. Fewer
+	// finds dead executors sooner, and hedges more jobs that only queue.
 	queuedGraceFactor = 8
 
 	// errorAverageMemory is the memory of an executor's error average. More ejects later and forgives later.
@@ -75,8 +76,8 @@
 	if executor.endpoint.condition != Ready {
 		return false
 	}
-	// An unresponsive executor gets one job now and then. One that was cut off, and holds jobs whose end was lost, would otherwise
-	// stay out until the last client's time is over.
+	// An unresponsive executor gets one job now and then. One that was cut off, and holds jobs whose end was lost, would
+	// otherwise stay out until the last client's time is over.
 	outlier := &executor.outlier
 	return d.outliers.panicking || d.now >= outlier.ejectedUntil && (!outlier.unresponsive || d.now >= outlier.retryAt)
 }
@@ -132,8 +133,8 @@
 	d.placement.recentServers.add(executor)
 }
 
-// adaptSoftLimit learns how many slots of ours an executor takes where there are no reports and no Full outcomes: only lateness shows
-// a queue there. The limit is cut once for all attempts that were sent before the cut.
+// adaptSoftLimit learns how many slots of ours an executor takes where there are no reports and no Full outcomes:
+// only lateness shows a queue there. The limit is cut once for all attempts that were sent before the cut.
 func (d *Dispatcher) adaptSoftLimit(job *job, attempt *attempt) {
 	executor := attempt.executor
 	load := &executor.load
@@ -195,7 +196,8 @@
 			continue
 		}
 		d.updateResponsiveness(executor)
-		// Executors that are all slow together still send progress notes: where there are notes, silence does not come of slowness.
+		// Executors that are all slow together still send progress notes: where there are notes, silence does not come of
+		// slowness.
 		if executor.outlier.unresponsive && d.settings.Progress <= 0 && d.now >= executor.outlier.ejectedUntil {
 			out++
 		}
@@ -232,8 +234,9 @@
 	executor.outlier.unresponsive = unresponsive
 }
 
-// noteAlive takes in a sign of life. After a silence, what is in flight there may have ended or never arrived without this node
-// hearing of it, until its client's time is over: it counts as holding no slots unless it is heard of again.
+// noteAlive takes in a sign of life. After a silence, what is in flight there may have ended or never arrived without
+// this node hearing of it, until its client's time is over: it counts as holding no slots unless it is heard of
+// again.
 func (d *Dispatcher) noteAlive(executor *executor) {
 	executor.outlier.lastHeard = d.now
 	if !executor.outlier.unresponsive {
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -51,9 +51,9 @@
 	p.round++
 }
 
-// inspectExecutors gathers the executors with free slots that queued jobs choose among: all of a small fleet; of a large one those
-// heard of last, those that warm up and some that are drawn. To inspect all takes CPU, and all nodes would storm the same one with
-// most free slots.
+// inspectExecutors gathers the executors with free slots that queued jobs choose among: all of a small fleet; of a
+// large one those heard of last, those that warm up and some that are drawn. To inspect all takes CPU, and all nodes
+// would storm the same one with most free slots.
 func (d *Dispatcher) inspectExecutors() {
 	if d.placement.inspectedAll {
 		return
@@ -95,8 +95,8 @@
 	}
 }
 
-// chooseExecutor picks, of the executors with free slots, the one where the least is lost. It gives none where a job had better wait
-// for an executor that has its key's data.
+// chooseExecutor picks, of the executors with free slots, the one where the least is lost. It gives none where a job
+// had better wait for an executor that has its key's data.
 func (d *Dispatcher) chooseExecutor(job *job) *executor {
 	d.findAffinityCandidates(job)
 	for _, executor := range job.candidates {
@@ -183,9 +183,9 @@
 	return 0
 }
 
-// speculate finds an executor for a job of a starved node: one that holds less than its part of all slots, sees none free, and has
-// held the job for a good part of its slack. Busy nodes refill a slot as their own job ends, so that no report shows it. It takes the
-// executor with fewest of our slots, and queues no more than one job there.
+// speculate finds an executor for a job of a starved node: one that holds less than its part of all slots, sees none
+// free, and has held the job for a good part of its slack. Busy nodes refill a slot as their own job ends, so that no
+// report shows it. It takes the executor with fewest of our slots, and queues no more than one job there.
 func (d *Dispatcher) speculate(job *job) *executor {
 	slack := job.objectiveAt - job.work/d.serviceTimes.meanSpeed() - job.arrivedAt
 	hasItsPart := d.ownSlotsInFlight()+job.slots > d.capacity.fairSlots && !d.isStarved()
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -273,8 +273,8 @@
 	}
 }
 
-// A request's own prices of zones stand in the place of the price of crossing: where its data are is where it goes while there
-// is room, and a request without any goes as it always did.
+// A request's own prices of zones stand in the place of the price of crossing: where its data are is where it goes
+// while there is room, and a request without any goes as it always did.
 func TestPricesOfZones(t *testing.T) {
 	s := base()
 	s.Fees.CrossZone = 0.1
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// preemptionGain is how much less than an arrival's a queued job's weight for each slot and time must be for the arrival to take its
-// place, as a factor.
+// preemptionGain is how much less than an arrival's a queued job's weight for each slot and time must be for the
+// arrival to take its place, as a factor.
 const preemptionGain = 0.7
 
 // What is added to a job's rank in the queue, in ms: more than any time of day, so that the groups do not mix.
@@ -16,8 +16,8 @@
 	lateRank     = 2e9 // jobs that are too late for their objective
 )
 
-// preempt rejects a queued job, of the same tenant or on borrowed slots, that is past its objective or worth less than an arrival. It
-// says whether there was one.
+// preempt rejects a queued job, of the same tenant or on borrowed slots, that is past its objective or worth less
+// than an arrival. It says whether there was one.
 func (d *Dispatcher) preempt(arrival *job) bool {
 	speed := d.serviceTimes.meanSpeed()
 	if d.now+arrival.work/speed > arrival.objectiveAt {
@@ -45,8 +45,8 @@
 	d.needsPlacement = true
 }
 
-// dispatchQueue sends queued jobs to executors with free slots: those within a reserved share, then those on borrowed slots, then
-// those too late for their objective; among equals, the one that must start soonest.
+// dispatchQueue sends queued jobs to executors with free slots: those within a reserved share, then those on borrowed
+// slots, then those too late for their objective; among equals, the one that must start soonest.
 func (d *Dispatcher) dispatchQueue() {
 	d.needsPlacement = false
 	d.rankQueue()
@@ -83,8 +83,8 @@
 	slices.SortStableFunc(kept, func(a, b *job) int { return cmp.Compare(a.rank, b.rank) })
 }
 
-// rankOf is when a job must start at the latest, behind all of the groups before its own; infinite while it waits for answers to its
-// health checks.
+// rankOf is when a job must start at the latest, behind all of the groups before its own; infinite while it waits for
+// answers to its health checks.
 func (d *Dispatcher) rankOf(job *job, speed float64) float64 {
 	if d.now < job.holdUntil && d.healthChecks.inFlight > 0 {
 		return math.Inf(1)
--- a/internal/dispatch/report_test.go
+++ b/internal/dispatch/report_test.go
@@ -16,7 +16,8 @@
 	r.step(Event{Kind: EvProbed, Worker: 7, Outcome: Served, Report: []float32{4}})
 	probes := 0
 	for id := uint32(1); id <= 100; id++ {
-		for _, a := range r.after(20, request(id, 0, 0, 1), Event{Kind: EvProbed, Worker: 7, Outcome: Served, Report: []float32{3}}) {
+		probed := Event{Kind: EvProbed, Worker: 7, Outcome: Served, Report: []float32{3}}
+		for _, a := range r.after(20, request(id, 0, 0, 1), probed) {
 			if a.Kind == ActProbe {
 				probes++
 			}
@@ -54,7 +55,7 @@
 
 // Reports can be delayed by seconds without any sign of it (iacbb5d): all nodes then fill the workers that were
 // idle once. Their age is learned from how what a worker holds follows our own jobs there, and forgotten again.
-func TestAgeOfReportsIsLearned(t *testing.T) {
+func TestAgeOfReportsIsLearned(t *testing.T) { //nolint:gocognit // one course of events
 	s := base()
 	s.Balancers = 3
 	s.Fields = []Field{FieldBusy, FieldFree}
@@ -183,7 +184,8 @@
 	executor.load.softLimit = 2
 	e := request(20, 0, 0, 1)
 	e.Work, e.Flags = 200, FlagWork
-	for r.after(10, outcome(4, 0, 7, Served), outcome(5, 0, 7, Served), outcome(6, 0, 7, Served)); len(executor.inFlight.jobs) > 0; {
+	r.after(10, outcome(4, 0, 7, Served), outcome(5, 0, 7, Served), outcome(6, 0, 7, Served))
+	for len(executor.inFlight.jobs) > 0 {
 		r.after(10, Event{Kind: EvTimer})
 	}
 	executor.load.softLimit = 1
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -1,8 +1,10 @@
 package dispatch
 
-// The rules that protect requests from running twice: which job may be sent where, and which answer may promise that nothing ran.
+// The rules that protect requests from running twice: which job may be sent where, and which answer may promise that
+// nothing ran.
 
-// retryAfterRuns is how long a rejected client stays away, in mean run times by the slots reserved. More spreads storms of repeats.
+// retryAfterRuns is how long a rejected client stays away, in mean run times by the slots reserved. More spreads
+// storms of repeats.
 const retryAfterRuns = 0.5
 
 // rejectCause says why a node ended a job itself.
@@ -23,8 +25,8 @@
 	active  bool // as last logged
 }
 
-// isSendAllowed is the one check that every send passes: the request's state, what of it may have run, drains, and the budget of an
-// executor that warms up.
+// isSendAllowed is the one check that every send passes: the request's state, what of it may have run, drains, and
+// the budget of an executor that warms up.
 func (d *Dispatcher) isSendAllowed(job *job, executor *executor) bool {
 	spent := job.done || len(job.attempts) >= job.maxAttempts || d.now >= job.deadline
 	if spent || executor.endpoint.condition != Ready || job.inFlight > 0 && !d.settings.MayDuplicate {
@@ -86,7 +88,8 @@
 	return class.Effect == Safe || neverRan || class.Effect == Keyed && class.Scope == ScopeAll
 }
 
-// retryAfter is how long a rejected client should stay away: until reserved slots of this node are free again, at the pace of runs.
+// retryAfter is how long a rejected client should stay away: until reserved slots of this node are free again, at the
+// pace of runs.
 func (d *Dispatcher) retryAfter(job *job) float64 {
 	reserved := max(job.slots, d.admission.reservedTotal())
 	return min(d.settings.MaxRetryAfter, retryAfterRuns*d.serviceTimes.meanRun*job.slots/reserved)
--- a/internal/dispatch/retune_test.go
+++ b/internal/dispatch/retune_test.go
@@ -2,14 +2,18 @@
 
 import "testing"
 
-// Open jobs keep the rules they came under, new ones have the new rules, and what can not be taken over changes nothing.
+// Open jobs keep the rules they came under, new ones have the new rules, and what can not be taken over changes
+// nothing.
 func TestRetune(t *testing.T) {
 	s := base()
 	r := newRig(t, s, ready(1, 0), ready(2, 0))
 	r.step(request(1, 0, 0, 1)) // class 0 is safe: it may be tried up to four times
 	next := s
 	next.MaxAttempts = 1
-	next.Classes = append(append([]Class{}, s.Classes...), Class{Aim: 500, Deadline: 6000, Worth: 1, Effect: Unsafe, Kind: -1})
+	next.Classes = append(
+		append([]Class{}, s.Classes...),
+		Class{Aim: 500, Deadline: 6000, Worth: 1, Effect: Unsafe, Kind: -1},
+	)
 	if err := r.d.Retune(next, map[int]int{3: 2}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatch/rules_test.go
+++ b/internal/dispatch/rules_test.go
@@ -62,8 +62,12 @@
 		{"window over", ScopeCell, Reset, 2000, 8, false, false},
 		{"window over, group of all", ScopeAll, Reset, 2000, 8, false, true},
 	}
-	rows := map[uint32]Row{7: {Worker: 7, Zone: 1, Cell: 1, Condition: Ready}, 8: {Worker: 8, Zone: 1, Cell: 1, Condition: Ready},
-		9: {Worker: 9, Zone: 1, Cell: 2, Condition: Ready}, 10: {Worker: 10, Zone: 2, Cell: 3, Condition: Ready}}
+	rows := map[uint32]Row{
+		7:  {Worker: 7, Zone: 1, Cell: 1, Condition: Ready},
+		8:  {Worker: 8, Zone: 1, Cell: 1, Condition: Ready},
+		9:  {Worker: 9, Zone: 1, Cell: 2, Condition: Ready},
+		10: {Worker: 10, Zone: 2, Cell: 3, Condition: Ready},
+	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := base()
--- a/internal/dispatch/scale_test.go
+++ b/internal/dispatch/scale_test.go
@@ -304,7 +304,14 @@
 			copied = copied || len(find(r.last, ActSend, 1)) > 0
 		}
 		if executor.outlier.unresponsive != c.silent || copied != c.started {
-			t.Errorf("%s: silent %v, copied %v, want %v, %v", c.name, executor.outlier.unresponsive, copied, c.silent, c.started)
+			t.Errorf(
+				"%s: silent %v, copied %v, want %v, %v",
+				c.name,
+				executor.outlier.unresponsive,
+				copied,
+				c.silent,
+				c.started,
+			)
 		}
 	}
 }
@@ -377,7 +384,11 @@
 	}
 	hot, rare := len(r.d.jobs.byID[40].candidates), len(r.d.jobs.byID[39].candidates)
 	if hot < 25 || rare > 5 {
-		t.Errorf("%d homes of a key that every fourth job of 40 asks for, %d of one asked for once; want 25 at least, 5 at most", hot, rare)
+		t.Errorf(
+			"%d homes of a key that every fourth job of 40 asks for, %d of one asked for once; want 25 at least, 5 at most",
+			hot,
+			rare,
+		)
 	}
 }
 
@@ -468,6 +479,10 @@
 		}
 	}
 	if per := float64(late) / 20; per > 25 || per < 80*20/s.AskWithin {
-		t.Errorf("%.0f asks a second after 20 s of refusals, want no more than 25 and one of each node in %.0f ms", per, s.AskWithin)
+		t.Errorf(
+			"%.0f asks a second after 20 s of refusals, want no more than 25 and one of each node in %.0f ms",
+			per,
+			s.AskWithin,
+		)
 	}
 }
--- a/internal/dispatch/script_test.go
+++ b/internal/dispatch/script_test.go
@@ -73,7 +73,7 @@
 	return j
 }
 
-func (x *script) check(a Action) {
+func (x *script) check(a Action) { //nolint:gocognit // one case for each action
 	x.t.Helper()
 	switch a.Kind {
 	case ActTimer:
@@ -121,7 +121,7 @@
 	}
 }
 
-func (x *script) checkSend(a Action) {
+func (x *script) checkSend(a Action) { //nolint:gocognit // one case for each rule
 	x.t.Helper()
 	j, w := x.job(a.Job), x.workers[a.Worker]
 	c := x.s.Classes[j.class]
@@ -303,70 +303,96 @@
 	x.step([]Event{x.list(ListCached)})
 	for end := x.now + 20000; x.now < end; {
 		x.now += float64(1 + x.rng.Intn(10))
-		var events []Event
-		for i := 0; i < len(x.timers); i++ {
-			if x.timers[i] <= x.now {
-				events = append(events, Event{Kind: EvTimer, Token: x.tokens[i]})
-				x.timers = append(x.timers[:i], x.timers[i+1:]...)
-				x.tokens = append(x.tokens[:i], x.tokens[i+1:]...)
-				i--
-			}
-		}
+		events := x.dueTimers()
 		for range x.rng.Intn(3) {
 			events = append(events, x.request())
 		}
 		for _, id := range x.order {
-			j := x.jobs[id]
-			for n := range j.attempts {
-				switch {
-				case j.attempts[n].over:
-				case !j.ended && x.now >= j.deadline:
-					events = append(events, x.outcome(id, n, TimedOut))
-				case x.rng.Intn(40) == 0:
-					events = append(events, x.outcome(id, n, scriptOutcomes[x.rng.Intn(len(scriptOutcomes))]))
-				case x.rng.Intn(20) == 0:
-					events = append(events, Event{Kind: EvNote, Job: id, Attempt: uint16(n),
-						Worker: j.attempts[n].worker, Topic: uint8(1 + x.rng.Intn(3)), Amount: 0.5})
-				}
-			}
-			if !j.ended && x.rng.Intn(4000) == 0 {
-				j.ended = true
-				events = append(events, Event{Kind: EvGone, Job: id})
-			}
-		}
-		switch x.rng.Intn(60) {
-		case 0:
-			events = append(events, x.list(ListDelta))
-		case 1:
-			events = append(events, x.list(ListFull))
-		case 2:
-			events = append(events, x.list(ListFailed))
-		case 3, 4, 5:
-			events = append(events, x.odd())
-		}
-		for id := uint32(77); id <= 8*77 && x.s.MayProbe; id += 77 {
-			if x.rng.Intn(30) == 0 && x.workers[id] != nil {
-				events = append(events, Event{Kind: EvProbed, Worker: id, Outcome: Served, Report: x.report()})
-			}
+			events = x.jobEvents(events, id)
 		}
+		events = x.fleetEvents(events)
 		x.step(events)
-		keep := x.order[:0]
-		for _, id := range x.order {
-			j := x.jobs[id]
-			if !j.ended && x.now > j.deadline+x.s.AnswerSlack {
-				x.failf("request %d was lost: no answer %v ms after its deadline", id, x.now-j.deadline)
-			}
-			out := false
-			for _, at := range j.attempts {
-				out = out || !at.over
-			}
-			if !j.ended || out {
-				keep = append(keep, id)
-			}
+		x.dropEnded()
+	}
+	x.endAll()
+	x.checkNothingIsHeld()
+}
+
+func (x *script) dueTimers() (events []Event) {
+	for i := 0; i < len(x.timers); i++ {
+		if x.timers[i] <= x.now {
+			events = append(events, Event{Kind: EvTimer, Token: x.tokens[i]})
+			x.timers = append(x.timers[:i], x.timers[i+1:]...)
+			x.tokens = append(x.tokens[:i], x.tokens[i+1:]...)
+			i--
+		}
+	}
+	return events
+}
+
+// jobEvents draws what happens to a request and its attempts.
+func (x *script) jobEvents(events []Event, id uint32) []Event {
+	j := x.jobs[id]
+	for n := range j.attempts {
+		switch {
+		case j.attempts[n].over:
+		case !j.ended && x.now >= j.deadline:
+			events = append(events, x.outcome(id, n, TimedOut))
+		case x.rng.Intn(40) == 0:
+			events = append(events, x.outcome(id, n, scriptOutcomes[x.rng.Intn(len(scriptOutcomes))]))
+		case x.rng.Intn(20) == 0:
+			events = append(events, Event{Kind: EvNote, Job: id, Attempt: uint16(n),
+				Worker: j.attempts[n].worker, Topic: uint8(1 + x.rng.Intn(3)), Amount: 0.5})
+		}
+	}
+	if !j.ended && x.rng.Intn(4000) == 0 {
+		j.ended = true
+		events = append(events, Event{Kind: EvGone, Job: id})
+	}
+	return events
+}
+
+// fleetEvents draws what happens to the list and to health checks, and odd events.
+func (x *script) fleetEvents(events []Event) []Event {
+	switch x.rng.Intn(60) {
+	case 0:
+		events = append(events, x.list(ListDelta))
+	case 1:
+		events = append(events, x.list(ListFull))
+	case 2:
+		events = append(events, x.list(ListFailed))
+	case 3, 4, 5:
+		events = append(events, x.odd())
+	}
+	for id := uint32(77); id <= 8*77 && x.s.MayProbe; id += 77 {
+		if x.rng.Intn(30) == 0 && x.workers[id] != nil {
+			events = append(events, Event{Kind: EvProbed, Worker: id, Outcome: Served, Report: x.report()})
 		}
-		x.order = keep
 	}
-	// All that is open ends: no token and no slot may be left behind.
+	return events
+}
+
+// dropEnded forgets the requests of which nothing is open, and fails for one that got no answer in time.
+func (x *script) dropEnded() {
+	keep := x.order[:0]
+	for _, id := range x.order {
+		j := x.jobs[id]
+		if !j.ended && x.now > j.deadline+x.s.AnswerSlack {
+			x.failf("request %d was lost: no answer %v ms after its deadline", id, x.now-j.deadline)
+		}
+		out := false
+		for _, at := range j.attempts {
+			out = out || !at.over
+		}
+		if !j.ended || out {
+			keep = append(keep, id)
+		}
+	}
+	x.order = keep
+}
+
+// endAll ends all that is open.
+func (x *script) endAll() {
 	var events []Event
 	for _, id := range x.order {
 		j := x.jobs[id]
@@ -383,14 +409,19 @@
 	x.step(events)
 	x.now += 100
 	x.step(nil)
+}
+
+// checkNothingIsHeld fails if a reservation or a slot is left behind when nothing is open.
+func (x *script) checkNothingIsHeld() {
 	for i, tn := range x.d.admission.tenants {
 		if tn.reservedSlots != 0 {
 			x.failf("tenant %d holds %v tokens when nothing is open", i, tn.reservedSlots)
 		}
 	}
 	for _, executor := range x.d.endpoints.listed {
-		if executor.inFlight.slots != 0 || len(executor.inFlight.jobs) != 0 || executor.connections.opening != 0 {
-			x.failf("worker %d holds %v slots when nothing is open", executor.id, executor.inFlight.slots)
+		held := executor.inFlight.slots
+		if held != 0 || len(executor.inFlight.jobs) != 0 || executor.connections.opening != 0 {
+			x.failf("executor %d holds %v slots when nothing is open", executor.id, held)
 		}
 	}
 	if len(x.d.jobs.byID) != 0 || len(x.d.jobs.queue) != 0 || x.d.affinity.fetchingSlots != 0 {
--- a/internal/dispatch/servicetime.go
+++ b/internal/dispatch/servicetime.go
@@ -47,7 +47,8 @@
 // classStats are the means of a class's requests.
 type classStats struct{ work, slots float64 }
 
-// newClassStats is what is held of a class before its jobs are seen: an objective is the best hint at the work that it was set for.
+// newClassStats is what is held of a class before its jobs are seen: an objective is the best hint at the work that
+// it was set for.
 func newClassStats(c Class) classStats { return classStats{work: max(1, c.Aim), slots: 1} }
 
 // observedWork is work that was done and the time that it took, both fading.
@@ -62,8 +63,8 @@
 	return 2*s.minStartLag + startNoteGraceSteps*s.settings.Step
 }
 
-// learnStart takes in how long an executor needed to say that it started an attempt. Lags over the least count little, because they
-// tell of a queue.
+// learnStart takes in how long an executor needed to say that it started an attempt. Lags over the least count
+// little, because they tell of a queue.
 func (s *serviceTimes) learnStart(lag float64) {
 	s.startDelay += (lag - s.startDelay) * startDelayWeight
 	if lag < s.minStartLag {
@@ -116,8 +117,8 @@
 	return executor.serviceTime.time*s.meanSpeed() < kindSpeedPrior*s.classes[0].work
 }
 
-// executorSpeed is an executor's own speed, drawn to its kind's while little is known, and less while it warms up: it then has a part
-// of its capacity, which few jobs do not use up.
+// executorSpeed is an executor's own speed, drawn to its kind's while little is known, and less while it warms up: it
+// then has a part of its capacity, which few jobs do not use up.
 func (d *Dispatcher) executorSpeed(executor *executor) float64 {
 	prior := kindSpeedPrior * d.serviceTimes.classes[0].work
 	observed := &executor.serviceTime
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -6,29 +6,32 @@
 	"slices"
 )
 
-// This file holds slow start: how old an executor's process is by our own clock, and how much it may be sent while it warms up.
+// This file holds slow start: how old an executor's process is by our own clock, and how much it may be sent while it
+// warms up.
 //
-// The start of a process comes with the list, on the wall clock of the machine that keeps the list. That clock, or ours, may be
-// wrong by hours or be stepped at any moment. A start is therefore compared with the last one for equality only, to tell one
-// process from the next, and is turned into a time of our own monotonic clock once, when it is notified. A start that appears
-// in a change of a confirmed list happened after that list was confirmed and before now; a time outside of these bounds is not
-// believed.
+// The start of a process comes with the list, on the wall clock of the machine that keeps the list. That clock, or
+// ours, may be wrong by hours or be stepped at any moment. A start is therefore compared with the last one for
+// equality only, to tell one process from the next, and is turned into a time of our own monotonic clock once, when
+// it is notified. A start that appears in a change of a confirmed list happened after that list was confirmed and
+// before now; a time outside of these bounds is not believed.
 
 const (
 	// slowStartSafety is the part of a budget that is used: heavy tails need the rest.
 	slowStartSafety = 0.6
 
-	// slowStartKnownSafety is likewise, while an aggregator tells what all nodes hold: then the free slots bound what is sent.
+	// slowStartKnownSafety is likewise, while an aggregator tells what all nodes hold: then the free slots bound what is
+	// sent.
 	slowStartKnownSafety = 0.8
 
-	// maxSlowStartPart is how many even parts a node has at most. It is under 1/slowStartSafety; all at once would outgrow it.
+	// maxSlowStartPart is how many even parts a node has at most. It is under 1/slowStartSafety; all at once would
+	// outgrow it.
 	maxSlowStartPart = 1.6
 
 	// slowStartBurst is the part of a budget's span that may be saved up. More fills sooner, and overloads.
 	slowStartBurst = 0.5
 
-	// removedStartTTL is how long, in ms, the start of an executor that left the list is remembered. An executor that comes back
-	// within this time with the same start was not restarted, and does not warm up anew.
+	// removedStartTTL is how long, in ms, the start of an executor that left the list is remembered. An executor that
+	// comes back within this time with the same start was not restarted, and does not warm up anew.
 	removedStartTTL = 600000
 
 	// removedStartsBeforePurge is the number of remembered starts from which on expired ones are looked for.
@@ -52,7 +55,7 @@
 	confirmedAt       float64               // when discovery last confirmed a list that holds executors, 0 for never
 	newestListedStart float64               // of the list at hand, on the list's clock
 	removed           map[uint32]knownStart // of executors that left the list a short while ago
-	warming           []*executor           // those of the list that warm up, by id; others among them are dropped when it is read
+	warming           []*executor           // those of the list that warm up, by id; see warmingUp
 }
 
 // knownStart is the start of an executor that left the list.
@@ -88,8 +91,8 @@
 	start.listedStart, start.startedAt, start.opened = listed, s.estimateStart(listed), false
 	start.until = start.startedAt + s.settings.WarmWithin
 	if start.startedAt > 0 && s.confirmedAt > 0 {
-		// The list's clock may be off by less than would show. A budget that ends too early lets all nodes send at once what waits
-		// for it, so that it ends as if the process had started when this node was notified.
+		// The list's clock may be off by less than would show. A budget that ends too early lets all nodes send at once
+		// what waits for it, so that it ends as if the process had started when this node was notified.
 		start.until = s.now + s.settings.WarmWithin
 	}
 }
@@ -109,13 +112,15 @@
 		// The notification of the start took a little longer than that of another change.
 		return s.confirmedAt
 	}
-	// The clocks differ. The process may have started at any time since the last confirmed list; the latest is the safe one.
+	// The clocks differ. The process may have started at any time since the last confirmed list; the latest is the safe
+	// one.
 	return s.now
 }
 
-// estimateFirstStart is estimateStart for the first lists of a node, which has observed nothing yet: the clocks are believed,
-// but for a start in the future. Then the latest start of the list is taken to be now, and the others that lie in the future as
-// much earlier as the list's own clock says, so that a wrong clock does not make executors cold that have run for long.
+// estimateFirstStart is estimateStart for the first lists of a node, which has observed nothing yet: the clocks are
+// believed, but for a start in the future. Then the latest start of the list is taken to be now, and the others that
+// lie in the future as much earlier as the list's own clock says, so that a wrong clock does not make executors cold
+// that have run for long.
 func (s *slowStartTracker) estimateFirstStart(listed float64) float64 {
 	if listed <= s.now {
 		return listed
@@ -178,9 +183,9 @@
 	return min(1, s.settings.ColdFrom+(1-s.settings.ColdFrom)*max(0, s.now-startedAt)/warmsWithin)
 }
 
-// slowStartAllows says whether our part of the budget of an executor that warms up lets a job of ours go there, with further work
-// beside that of one slot. One of many nodes has less than a job of it, and pays a job off afterwards, from a random debt at first:
-// all nodes send the sum together.
+// slowStartAllows says whether our part of the budget of an executor that warms up lets a job of ours go there, with
+// further work beside that of one slot. One of many nodes has less than a job of it, and pays a job off afterwards,
+// from a random debt at first: all nodes send the sum together.
 func (d *Dispatcher) slowStartAllows(executor *executor, furtherWork float64) bool {
 	budget := &executor.slowStart
 	if budget.startedAt <= 0 || d.now >= budget.until {
@@ -198,8 +203,8 @@
 	return budget.credit > min(furtherWork, slowStartKnownSafety*maxCredit)
 }
 
-// accrue adds what has come to a budget since its last use. Credit over the most that may be saved up is lost, with what a job more
-// than that costs: all nodes would otherwise save up a job, and send it at once.
+// accrue adds what has come to a budget since its last use. Credit over the most that may be saved up is lost, with
+// what a job more than that costs: all nodes would otherwise save up a job, and send it at once.
 func (b *slowStartBudget) accrue(now, rate, maxCredit, turnCost float64) {
 	b.credit += rate * (now - b.creditAt)
 	if b.credit > maxCredit {
@@ -208,8 +213,8 @@
 	b.creditAt = now
 }
 
-// openSlowStartBudget begins the budget of a process that has just been notified. Requests sent between its start and our
-// notification of it count against the budget, because the executor has already received them.
+// openSlowStartBudget begins the budget of a process that has just been notified. Requests sent between its start and
+// our notification of it count against the budget, because the executor has already received them.
 func (d *Dispatcher) openSlowStartBudget(executor *executor) {
 	budget := &executor.slowStart
 	sentFrom := budget.startedAt
@@ -221,8 +226,9 @@
 	budget.credit = -d.random()*d.slowStartTurnCost(executor) - d.workSentSince(executor, sentFrom)
 }
 
-// slowStartTurnCost is the slot-time that the mean request takes at an executor, which a node pays off between two requests: more
-// where its kind is slow. A fast kind counts as a mean one, for a few nodes with many executors know its speed by chance.
+// slowStartTurnCost is the slot-time that the mean request takes at an executor, which a node pays off between two
+// requests: more where its kind is slow. A fast kind counts as a mean one, for a few nodes with many executors know
+// its speed by chance.
 func (d *Dispatcher) slowStartTurnCost(executor *executor) float64 {
 	slowness := max(1, d.serviceTimes.meanSpeed()/d.serviceTimes.kindSpeed(executor.endpoint.kind))
 	return d.serviceTimes.meanSlotTime * slowness * d.slowStartCostScale()
@@ -236,11 +242,12 @@
 	}
 }
 
-// slowStartCostScale is by how much requests take longer than this node has learned, as the quotas tell: the slots of the fleet
-// serve about as many requests a second as the quotas of all tenants allow. A node with little traffic has learned the slot-time
-// of a request from the latency objectives and from short requests, which end first. Where requests carry no hint of their work,
-// both are too low by a multiple, at all nodes alike, and they would send a cold executor that much more than its budget. Where it
-// is known what all nodes have in flight at the executor, that bounds what it gets, and the learned time will do.
+// slowStartCostScale is by how much requests take longer than this node has learned, as the quotas tell: the slots of
+// the fleet serve about as many requests a second as the quotas of all tenants allow. A node with little traffic has
+// learned the slot-time of a request from the latency objectives and from short requests, which end first. Where
+// requests carry no hint of their work, both are too low by a multiple, at all nodes alike, and they would send a
+// cold executor that much more than its budget. Where it is known what all nodes have in flight at the executor, that
+// bounds what it gets, and the learned time will do.
 func (d *Dispatcher) slowStartCostScale() float64 {
 	if d.admission.totalQuota <= 0 || d.peerLoadsKnown() {
 		return 1
@@ -248,8 +255,9 @@
 	return max(1, 1000*d.countFleetSlots()/(d.admission.totalQuota*max(d.serviceTimes.meanSlotTime, 1)))
 }
 
-// slowStartSafetyFactor is the part of a budget that is used: more while an aggregator tells what all nodes hold there, because then
-// no more is sent than the executor can do by then, and what is over is sent by nodes that ask at the same moment alone.
+// slowStartSafetyFactor is the part of a budget that is used: more while an aggregator tells what all nodes hold
+// there, because then no more is sent than the executor can do by then, and what is over is sent by nodes that ask at
+// the same moment alone.
 func (d *Dispatcher) slowStartSafetyFactor() float64 {
 	if d.gossip.mode == gossipAggregator && d.peerLoadsKnown() {
 		return slowStartKnownSafety
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -21,7 +21,7 @@
 type slowStartFleet struct {
 	nodes        int
 	gossip       bool      // nodes may send one another messages
-	running      bool      // requests run for a while in the slots that the executor has by then; else they are served at once
+	running      bool      // requests run for a while in the slots of the executor; else they are served at once
 	restarts     int       // further starts of the executor, restartEvery apart
 	restartEvery float64   // ms
 	newNodes     bool      // half of the nodes are restarted in the middle of the slow start
@@ -111,7 +111,11 @@
 		p.t.Fatal(err)
 	}
 	rows := []Row{p.row(now)}
-	d.Step(now+p.clock(i), []Event{{Kind: EvList, Form: ListCached, Rows: rows}, {Kind: EvList, Form: ListFull, Rows: rows}}, nil)
+	d.Step(
+		now+p.clock(i),
+		[]Event{{Kind: EvList, Form: ListCached, Rows: rows}, {Kind: EvList, Form: ListFull, Rows: rows}},
+		nil,
+	)
 	d.capacity.kindSlots[0] = fleetSlots
 	p.nodes[i] = d
 	p.inbox[i] = nil
@@ -133,7 +137,7 @@
 		}
 	}
 	p.notify(now)
-	p.arrive(now)
+	p.arrive()
 	p.serve(now)
 	for i, d := range p.nodes {
 		events := p.inbox[i]
@@ -173,7 +177,7 @@
 }
 
 // arrive brings 2.5 times the requests that the executor can do once it is warm, to nodes by chance.
-func (p *slowStartPlay) arrive(now float64) {
+func (p *slowStartPlay) arrive() {
 	for n := 2.5 * fleetSlots / fleetWorkMS * fleetStepMS; n > 0; n-- {
 		if n < 1 && p.rnd.Float64() > n {
 			return
@@ -195,7 +199,10 @@
 			if !p.running {
 				r.ends = now
 			}
-			p.inbox[r.node] = append(p.inbox[r.node], Event{Kind: EvNote, Job: r.job, Attempt: r.attempt, Worker: 7, Topic: NoteStarted})
+			p.inbox[r.node] = append(
+				p.inbox[r.node],
+				Event{Kind: EvNote, Job: r.job, Attempt: r.attempt, Worker: 7, Topic: NoteStarted},
+			)
 		}
 		if r.ends > 0 && now >= r.ends {
 			free := slots - float64(len(kept)+min(len(p.held)-i-1, int(slots))) + float64(r.job%97)*1e-4
@@ -302,7 +309,8 @@
 	}
 }
 
-// All nodes together keep within what a cold executor bears, however many they are and without any message between them.
+// All nodes together keep within what a cold executor bears, however many they are and without any message between
+// them.
 func TestSlowStartBoundWithoutPeers(t *testing.T) {
 	verifyFleets(t, func(*slowStartFleet) {})
 }
@@ -358,8 +366,8 @@
 	}
 }
 
-// A wrong clock changes little of what a fresh executor gets in its first two seconds. (With a list an hour ahead it got nothing
-// at all, and with one an hour behind as much as a warm one.)
+// A wrong clock changes little of what a fresh executor gets in its first two seconds. (With a list an hour ahead it
+// got nothing at all, and with one an hour behind as much as a warm one.)
 func TestWrongClocksChangeLittleOfASlowStart(t *testing.T) {
 	right := slowStartFleet{nodes: 1, running: true}.play(t, 1).early
 	for _, clock := range []float64{-hourMS, -30000, -1000, 1000, 30000, hourMS} {
@@ -370,8 +378,8 @@
 	}
 }
 
-// A start that differs from the known one is that of a new process, also an earlier one, as a list tells whose clock was stepped
-// back: what was learned of the old process is dropped, and the new one warms up.
+// A start that differs from the known one is that of a new process, also an earlier one, as a list tells whose clock
+// was stepped back: what was learned of the old process is dropped, and the new one warms up.
 func TestEarlierStartIsANewProcess(t *testing.T) {
 	row := ready(7, 0)
 	row.Born = 90000 - hourMS/100
@@ -382,15 +390,19 @@
 	row.Born -= 5000
 	r.after(500, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
 	if executor.outlier.errorAverage != 0 || executor.outlier.ejections != 0 {
-		t.Errorf("the error average %v and %d strikes of the old process stand", executor.outlier.errorAverage, executor.outlier.ejections)
+		t.Errorf(
+			"the error average %v and %d strikes of the old process stand",
+			executor.outlier.errorAverage,
+			executor.outlier.ejections,
+		)
 	}
 	if share := r.d.slowStart.share(executor); share != r.d.settings.ColdFrom {
 		t.Errorf("its share of capacity is %.2f, want %.2f", share, r.d.settings.ColdFrom)
 	}
 }
 
-// In the first list of a node the clocks are all there is: a start in the future is taken to be now if it is the latest, and the
-// others there as much earlier as the list says.
+// In the first list of a node the clocks are all there is: a start in the future is taken to be now if it is the
+// latest, and the others there as much earlier as the list says.
 func TestFirstListWithStartsInTheFuture(t *testing.T) {
 	const now = 100 * hourMS
 	starts := map[uint32]float64{1: 0, 2: now - 1000, 3: now + hourMS, 4: now + hourMS - 2000, 5: now + hourMS/2}
@@ -435,7 +447,12 @@
 		row.Born = c.listed
 		r.step(Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
 		if got := r.d.endpoints.byID[7].slowStart.startedAt; got != c.want {
-			t.Errorf("%s: taken to have started %.0f ms after the confirmed list, want %.0f", c.name, got-confirmed, c.want-confirmed)
+			t.Errorf(
+				"%s: taken to have started %.0f ms after the confirmed list, want %.0f",
+				c.name,
+				got-confirmed,
+				c.want-confirmed,
+			)
 		}
 	}
 }
@@ -497,8 +514,8 @@
 	}
 }
 
-// An executor that starts again while it warms up begins a new budget, also where it is notified late: the nodes went on
-// taking their part of the old one until then.
+// An executor that starts again while it warms up begins a new budget, also where it is notified late: the nodes went
+// on taking their part of the old one until then.
 func TestStartAgainWhileWarmingOpensANewBudget(t *testing.T) {
 	row := ready(7, 0)
 	r := newRig(t, base(), row)
@@ -522,8 +539,8 @@
 	}
 }
 
-// The executors that are kept as warming up are those of the list with less than their whole capacity, in the list's order, through
-// starts, drains, removals and returns.
+// The executors that are kept as warming up are those of the list with less than their whole capacity, in the list's
+// order, through starts, drains, removals and returns.
 func TestWarmingExecutorsAreThoseOfTheList(t *testing.T) {
 	rng := rand.New(rand.NewSource(5))
 	first := fleet(300)
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -58,17 +58,15 @@
 	return int(v)
 }
 
-func (s *settings) flag(key string, absent bool) bool {
+func (s *settings) flag(key string) bool {
 	switch s.m[key] {
 	case "true", "1":
 		return true
-	case "false", "0":
+	case "false", "0", "":
 		return false
-	case "":
-		return absent
 	}
 	s.fail(key, fmt.Errorf("neither true nor false: %q", s.m[key]))
-	return absent
+	return false
 }
 
 func (s *settings) list(key string) []string {
@@ -146,10 +144,10 @@
 		LiveWeights: s.m["weights"] == "live",
 		Telemetry: choice(s, "telemetry.how", dispatch.ReportNone, map[string]dispatch.Telemetry{
 			"piggyback": dispatch.ReportAnswers, "pull": dispatch.ReportProbes}),
-		Progress: s.num("familyInfo.progress", 0), TellsStart: s.flag("familyInfo.tellsStart", false),
-		MaxAttempts: s.count("limits.maxAttempts", 1), MayDuplicate: s.flag("limits.mayDuplicate", false),
-		MayCancel: s.flag("limits.cancelling", false), MayProbe: s.flag("limits.probing", false),
-		MayTell: s.flag("limits.peers", false), ConnIdle: s.num("limits.connIdle", 0),
+		Progress: s.num("familyInfo.progress", 0), TellsStart: s.flag("familyInfo.tellsStart"),
+		MaxAttempts: s.count("limits.maxAttempts", 1), MayDuplicate: s.flag("limits.mayDuplicate"),
+		MayCancel: s.flag("limits.cancelling"), MayProbe: s.flag("limits.probing"),
+		MayTell: s.flag("limits.peers"), ConnIdle: s.num("limits.connIdle", 0),
 		ConnectTimeout: s.num("limits.connectTimeout", 0), Multiplex: s.count("limits.multiplex", 1),
 		AnswerSlack: s.num("invariants.answerSlack", 0), AskWithin: s.num("invariants.askWithin", 0),
 		DrainGrace: s.num("invariants.drainGrace", 0), FallMultiple: s.num("invariants.fallMultiple", 1),
@@ -158,7 +156,7 @@
 		Fees: dispatch.Fees{CrossZone: s.num("fees.crossZone", 0), Handshake: s.num("fees.handshake", 0),
 			Origin: s.num("fees.origin", 0)},
 	}
-	if s.flag("limits.retryAfter", false) {
+	if s.flag("limits.retryAfter") {
 		v.MaxRetryAfter = s.num("limits.maxRetryAfter", 0)
 	}
 	for _, name := range s.list("telemetry.fields") {
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -205,7 +205,8 @@
 	if got := hex.EncodeToString(p.Bytes()); got != "0000000000000000" {
 		t.Errorf("empty reply %s", got)
 	}
-	if p.Add(3, &dispatch.Action{Kind: 99}) == nil || p.Add(3, &dispatch.Action{Kind: dispatch.ActTell, Data: make([]byte, 257)}) == nil {
+	if p.Add(3, &dispatch.Action{Kind: 99}) == nil ||
+		p.Add(3, &dispatch.Action{Kind: dispatch.ActTell, Data: make([]byte, 257)}) == nil {
 		t.Error("an action that the wire does not know was written")
 	}
 }
@@ -282,16 +283,16 @@
 
 func TestSettingsThatCannotBeRead(t *testing.T) {
 	for line, key := range map[string]string{
-		"balancers=many":                 "balancers",
-		"balancers=1.5":                  "balancers",
-		"invariants.fall=NaN":            "invariants.fall",
-		"requestClasses.0.aim=":          "",
-		"requestClasses.count=-1":        "requestClasses.count",
-		"requestClasses.count=99999999":  "requestClasses.count",
-		"limits.mayDuplicate=perhaps":    "limits.mayDuplicate",
-		"familyInfo.classStretch=a,b":    "familyInfo.classStretch",
-		"tenants.0.portion=+Inf":         "tenants.0.portion",
-		"requestClasses.1.effect=unkown": "",
+		"balancers=many":                  "balancers",
+		"balancers=1.5":                   "balancers",
+		"invariants.fall=NaN":             "invariants.fall",
+		"requestClasses.0.aim=":           "",
+		"requestClasses.count=-1":         "requestClasses.count",
+		"requestClasses.count=99999999":   "requestClasses.count",
+		"limits.mayDuplicate=perhaps":     "limits.mayDuplicate",
+		"familyInfo.classStretch=a,b":     "familyInfo.classStretch",
+		"tenants.0.portion=+Inf":          "tenants.0.portion",
+		"requestClasses.1.effect=perhaps": "",
 	} {
 		s, err := ParseSettings([]byte(info + line + "\n"))
 		if key == "" {
