--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -173,9 +173,13 @@
 
 // What the page says of the hub by hand agrees with the constants in package dispatch, which no other package can read.
 func TestPageNamesTheHubsLimits(t *testing.T) {
-	source, err := os.ReadFile("../../internal/dispatch/aggregator_server.go")
-	if err != nil {
-		t.Fatal(err)
+	var source []byte
+	for _, file := range []string{"aggregator_server.go", "aggregator_message.go"} {
+		part, err := os.ReadFile("../../internal/dispatch/" + file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		source = append(source, part...)
 	}
 	page, err := os.ReadFile(pagePath)
 	if err != nil {
@@ -187,7 +191,7 @@
 		{`slotBits\s+= 15\b`, "its tags have 12 bits"},
 	} {
 		if !regexp.MustCompile(c.constant).Match(source) {
-			t.Errorf("internal/dispatch/aggregator_server.go has no %s any more: docs/CAPACITY.md says %q", c.constant, c.sentence)
+			t.Errorf("internal/dispatch/aggregator_*.go have no %s any more: docs/CAPACITY.md says %q", c.constant, c.sentence)
 		}
 		if !strings.Contains(strings.Join(strings.Fields(string(page)), " "), c.sentence) {
 			t.Errorf("docs/CAPACITY.md does not say %q", c.sentence)
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestTokensReturnOnce(t *testing.T) {
+func TestReservedSlotsAreReleasedOnce(t *testing.T) {
 	ends := map[string]func(r *rig){
 		"served":  func(r *rig) { r.after(10, outcome(1, 0, 7, Served)) },
 		"gone":    func(r *rig) { r.after(10, Event{Kind: EvGone, Job: 1}); r.after(10, outcome(1, 0, 7, Cancelled)) },
@@ -64,7 +64,7 @@
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, base(), ready(7, 0))
-			if len(find(r.step(request(1, 2, 0, 1)), ActSend, 1)) != 1 {
+			if len(actionsOf(r.step(request(1, 2, 0, 1)), ActSend, 1)) != 1 {
 				t.Fatal("not sent")
 			}
 			if got := r.d.admission.tenants[0].reservedSlots; got != 1 {
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestNewNamesTheKey(t *testing.T) {
+func TestNewNamesTheSettingThatIsWrong(t *testing.T) {
 	tests := map[string]func(*Settings){
 		"requestClasses.count":    func(s *Settings) { s.Classes = nil },
 		"balancers":               func(s *Settings) { s.Balancers = 0 },
@@ -104,7 +104,7 @@
 }
 
 // A flooding tenant's requests beyond its share make place for those within a share (recife rough-2).
-func TestOverShareGoesFirst(t *testing.T) {
+func TestRequestsBeyondTheQuotaArePreemptedFirst(t *testing.T) {
 	s := base()
 	for i := range s.Tenants {
 		s.Tenants[i].Quota = 1
@@ -128,7 +128,7 @@
 	}
 	before := len(r.d.jobs.queue)
 	got := r.after(1, request(100, 0, 0, 1), request(101, 0, 1, 1))
-	if len(find(got, ActRefuse, 101)) != 0 {
+	if len(actionsOf(got, ActRefuse, 101)) != 0 {
 		t.Error("a request within its share was refused in a flood of another tenant")
 	}
 	if len(r.d.jobs.queue) > before+2 {
@@ -137,7 +137,7 @@
 }
 
 // Without a hint the aim is that of a short job: heavy tails put the mean far over most jobs (i6b19c9).
-func TestUnhintedAimIsThatOfAShortJob(t *testing.T) {
+func TestUnhintedObjectiveIsThatOfAShortJob(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
 	e := request(1, 0, 0, 1)
 	e.Flags, e.Work = 0, 0
@@ -152,7 +152,7 @@
 
 // Where worth goes by work, a job without a hint may wait for as long as one of those that carry the worth could:
 // else half of a burst's worth is put out of the queue as too late while it would still be in time.
-func TestUnhintedAimFollowsTheWorthByWork(t *testing.T) {
+func TestUnhintedObjectiveFollowsWeightsByWork(t *testing.T) {
 	held := func(byWork bool) float64 {
 		s := base()
 		s.WorthByWork = byWork
@@ -169,7 +169,7 @@
 }
 
 // A wide job worth more gets the tokens of several waiting ones that borrow and are worth less (recife rough-2).
-func TestWorthyJobEvictsBorrowers(t *testing.T) {
+func TestJobOfMoreWeightPreemptsBorrowers(t *testing.T) {
 	s := base()
 	s.Classes[2].Worth = 3
 	r := newRig(t, s, ready(7, 0))
@@ -180,11 +180,11 @@
 		small = append(small, request(id, 0, 0, 1))
 	}
 	r.step(small...)
-	if got := r.after(1, request(100, 0, 0, 2)); len(find(got, ActRefuse, 100)) != 1 {
+	if got := r.after(1, request(100, 0, 0, 2)); len(actionsOf(got, ActRefuse, 100)) != 1 {
 		t.Fatal("a job worth no more than the others was let in although tokens lack")
 	}
 	got := r.after(1, request(101, 2, 0, 2))
-	if len(find(got, ActRefuse, 101)) != 0 {
+	if len(actionsOf(got, ActRefuse, 101)) != 0 {
 		t.Error("the worthier job was refused")
 	}
 	refused := 0
@@ -214,7 +214,7 @@
 }
 
 // Settings that are odd but usable: no division by zero, no panic, and jobs are answered.
-func TestOddSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	tests := map[string]func(*Settings){
 		"no tenants":      func(s *Settings) { s.Tenants = nil },
 		"zero portions":   func(s *Settings) { s.Tenants = []Tenant{{}, {}} },
@@ -230,7 +230,7 @@
 			change(&s)
 			r := newRig(t, s, ready(7, 0))
 			got := r.step(request(1, 0, 0, 1))
-			if len(find(got, ActSend, 1)) != 1 {
+			if len(actionsOf(got, ActSend, 1)) != 1 {
 				t.Fatalf("not sent: %v", got)
 			}
 			for range 20 {
@@ -248,7 +248,7 @@
 }
 
 // A small tenant's reservation may be less than one wide job: its first is admitted all the same (id86762).
-func TestFirstJobOfASmallTenant(t *testing.T) {
+func TestFirstJobOfASmallTenantIsAdmitted(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
 	r.d.capacity.slots = 4
 	for i := range r.d.admission.tenants {
@@ -269,7 +269,7 @@
 }
 
 // A node says what it goes by when it begins to refuse and when it has not for a while, and no more often.
-func TestLogsStateAtChanges(t *testing.T) {
+func TestRejectingIsLoggedAtChanges(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
 	executor := r.d.endpoints.byID[7]
 	lines := []string{}
@@ -294,7 +294,7 @@
 	r.d.logBudget, r.d.logBudgetAt = 0, r.now
 	for range 100 {
 		r.d.rejections.active = true // as if it had changed at every tick
-		if got := find(r.after(20, Event{Kind: EvTimer}), ActLog, 0); len(got) != 0 {
+		if got := actionsOf(r.after(20, Event{Kind: EvTimer}), ActLog, 0); len(got) != 0 {
 			t.Fatal("a line past the bound")
 		}
 	}
--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -87,8 +87,8 @@
 	return group
 }
 
-// countFleetSlots gives how many slots the executors that are ready have, as far as reports showed them. In a large fleet they
-// are counted less often, because a count looks at all.
+// countFleetSlots gives how many slots the executors that are ready have, as far as reports showed them. In a large
+// fleet they are counted less often, because a count looks at all.
 func (d *Dispatcher) countFleetSlots() float64 {
 	capacity := &d.capacity
 	if d.now < capacity.nextFleetSlots {
--- a/internal/dispatch/cold_test.go
+++ b/internal/dispatch/cold_test.go
@@ -8,7 +8,7 @@
 )
 
 // coldFleet is a fleet with one worker, which has just started.
-type coldFleet struct {
+type servedFleet struct {
 	nodes int     // that there are
 	told  int     // and by the settings of each; 0: as many
 	load  float64 // requests a second of all nodes, as a multiple of the quota
@@ -20,7 +20,7 @@
 // play gives by how much the requests that all nodes sent within any window outgrew the budget and what chance
 // allows, which is twice the root of the budget and two, and how much of the budget was used in all. Jobs are told as
 // served at once: only the budget bounds what is sent.
-func (f coldFleet) play(t *testing.T, seed int64) (beyond, used float64) { //nolint:funlen,gocognit // one course of events
+func (f servedFleet) play(t *testing.T, seed int64) (beyond, used float64) { //nolint:funlen,gocognit // one course
 	beyond = math.Inf(-1)
 	const slots, work, step = 4.0, 300.0, 20.0
 	s := base()
@@ -104,9 +104,9 @@
 // another. However many they are, whoever the traffic comes to, however much there is, and though some begin or end
 // meanwhile or the settings count them wrongly by a fifth. (Where a node's part went by its traffic without a bound,
 // 20 nodes with five times the quota sent 1.6 times the budget.)
-func TestColdWorkerBearsTheSumOfAllNodes(t *testing.T) {
+func TestSlowStartBearsTheSumOfAllNodes(t *testing.T) {
 	for _, n := range []int{1, 3, 20, 30, 300} {
-		for _, f := range []coldFleet{
+		for _, f := range []servedFleet{
 			{nodes: n, load: 0.8}, {nodes: n, load: 2.5}, {nodes: n, load: 5}, {nodes: n, load: 2.5, skew: 0.8},
 			{nodes: n, load: 5, skew: 0.3},
 			{nodes: n, load: 2.5, late: n / 2}, {nodes: n, load: 2.5, gone: n / 2}, {nodes: n, load: 2.5, told: max(1, n*4/5)},
@@ -134,7 +134,7 @@
 // just begun with an old list, or one that is told late, sent as to a warm worker, and then began with all of its
 // part (austin-flags zone+mass: one executor got 9 of 18 jobs in 2 s from such processes, which then had their part
 // of the budget as well).
-func TestSendsBeforeAStartIsToldCount(t *testing.T) {
+func TestSendsBeforeAStartIsNotifiedCount(t *testing.T) {
 	s := base()
 	s.Balancers = 4
 	for seed := uint64(1); seed <= 20; seed++ { // whatever part of a job the node owes at first
--- a/internal/dispatch/coldsplit_test.go
+++ b/internal/dispatch/coldsplit_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Figures of a fleet whose requests carry no hint of their work and take far longer than the aims of their classes suggest.
+// Figures of a fleet whose requests carry no hint of their work and take far longer than the aims of their classes
+// suggest.
 const (
 	longSlots   = 5.0
 	longAim     = 400.0  // ms
@@ -80,7 +81,10 @@
 					continue
 				}
 				attempt := uint16(len(d.jobs.byID[a.Job].attempts) - 1)
-				events[i] = append(events[i], Event{Kind: EvNote, Job: a.Job, Attempt: attempt, Worker: a.Worker, Topic: NoteStarted})
+				events[i] = append(
+					events[i],
+					Event{Kind: EvNote, Job: a.Job, Attempt: attempt, Worker: a.Worker, Topic: NoteStarted},
+				)
 				running = append(running, ended{i, now + random.ExpFloat64()*longWork, outcome(a.Job, attempt, a.Worker, Served)})
 				sends = append(sends, now)
 			}
@@ -89,10 +93,10 @@
 	return sends
 }
 
-// Where requests carry no hint of their work, nodes with little traffic know the mean slot-time of a request from the aims and from
-// the short requests, which end first. Counted with that, a cold executor's budget bought several times the requests that it stands
-// for: in austin-flags split+mass nodes took 0.8 s for the mean, where the classes have 1.7 s of work, and sent small executors up to
-// 27 requests within 2 s.
+// Where requests carry no hint of their work, nodes with little traffic know the mean slot-time of a request from the
+// aims and from the short requests, which end first. Counted with that, a cold executor's budget bought several times
+// the requests that it stands for: in austin-flags split+mass nodes took 0.8 s for the mean, where the classes have
+// 1.7 s of work, and sent small executors up to 27 requests within 2 s.
 func TestColdExecutorBearsRequestsLongerThanLearned(t *testing.T) {
 	const seeds = 5
 	for _, nodes := range []int{1, 5, 30, 288} {
--- a/internal/dispatch/flaky_test.go
+++ b/internal/dispatch/flaky_test.go
@@ -6,7 +6,7 @@
 // one of each class again and again: what one class fared there counts for the others, and a success in between does
 // not wipe it out. Jobs that can be repeated go on showing how it fares, and bring it back once it has mended (seen on
 // abuja-booking's reload day, where two such workers lost 3% of all worth).
-func TestWorkerThatErrsForAPartOfItsJobs(t *testing.T) {
+func TestExecutorThatErrsForAPartOfItsJobs(t *testing.T) {
 	s := base()
 	s.Fees.CrossZone = 1 // worker 1 is in the node's own zone: all goes there unless it is kept away
 	s.Classes = append(s.Classes, s.Classes[2], s.Classes[2])
@@ -17,7 +17,7 @@
 		job++
 		out := r.after(20, Event{Kind: EvRequest, Job: job, Class: class, TimeLeft: 6000, Slots: 1})
 		for n := uint16(0); n < 3; n++ {
-			sends := find(out, ActSend, job)
+			sends := actionsOf(out, ActSend, job)
 			if len(sends) != 1 {
 				return true, at1
 			}
@@ -62,7 +62,7 @@
 
 // A wide job costs a cold worker as much as its slots together: credit that is overdrawn by one slot's work is not by
 // the further ones', or one job of four slots spends more than the whole of a window's budget.
-func TestWideJobsDoNotOverdrawAColdWorker(t *testing.T) {
+func TestWideJobsDoNotOverdrawSlowStart(t *testing.T) {
 	most := func(slots float64) float64 {
 		s := base()
 		s.Balancers, s.TellsStart, s.Progress = 1, false, 0
@@ -92,7 +92,7 @@
 
 // A worker that drains turns all away while its reports go on telling of free slots, until the list says so: where
 // reports come by probe, each of them put an end to its back-off, and every job went there first.
-func TestDrainingWorkerThatTellsOfRoomIsLeftAlone(t *testing.T) {
+func TestDrainingExecutorThatReportsFreeSlotsIsLeftAlone(t *testing.T) {
 	s := base()
 	s.Telemetry, s.MayProbe, s.TellsStart = ReportProbes, true, false
 	r := newRig(t, s, ready(1, 1))
@@ -119,7 +119,7 @@
 // A bad request that errs wherever it goes is not held against the workers that it was tried at: it put its class out
 // at as many as its attempts allow (abuja-booking's rude day, six). Errors of a job that a third worker then serves
 // are.
-func TestJobThatErrsEverywhereIsNotTheWorkers(t *testing.T) {
+func TestJobThatErrsEverywhereIsNotTheExecutorsFault(t *testing.T) {
 	s := base()
 	s.MaxAttempts = 6
 	var rows []Row
@@ -130,7 +130,7 @@
 		r := newRig(t, s, rows...)
 		out := r.step(request(1, 0, 0, 1))
 		for n := uint16(0); n < 6; n++ {
-			sends := find(out, ActSend, 1)
+			sends := actionsOf(out, ActSend, 1)
 			if len(sends) != 1 {
 				break
 			}
--- a/internal/dispatch/fresh_test.go
+++ b/internal/dispatch/fresh_test.go
@@ -24,7 +24,7 @@
 
 // Nodes that have just begun counted the free slots of the whole fleet as their own, each of them: under a burst they
 // took in four times what all workers could run, and the jobs queued there for half a minute (austin-flags roll+mass).
-func TestFreshNodesTogetherCountOnTheFleet(t *testing.T) {
+func TestNewNodesTogetherCountOnTheFleet(t *testing.T) {
 	const nodes, workers = blindNodes, 200
 	sum := 0.0
 	for i := range nodes {
@@ -81,7 +81,7 @@
 
 // queueing is a fleet as one of many like nodes sees it: it runs as many of the node's jobs as are its part of all
 // slots, in the order they were sent, and each answer tells of a full worker.
-type queueing struct {
+type queueingFleet struct {
 	slots    int
 	runs     float64 // ms of each job
 	sent     []Action
@@ -90,7 +90,7 @@
 }
 
 // events are the starts and ends that are due.
-func (q *queueing) events(now float64) (events []Event) {
+func (q *queueingFleet) events(now float64) (events []Event) {
 	for q.resolved < len(q.ends) && now >= q.ends[q.resolved] {
 		a := q.sent[q.resolved]
 		e := outcome(a.Job, 0, a.Worker, Served, 4, float32(a.Job%7)/100)
@@ -110,10 +110,10 @@
 // there it counted on little more than what ran, and refused all that came until they were through (austin-flags
 // roll+mass: 57 to 68 of 288 nodes refused all for 4 s, with lines such as "capacity 7 slots, 26 in flight, 0
 // waiting"). It takes in its part.
-func TestFreshNodeServesThroughABurst(t *testing.T) {
+func TestNewNodeServesThroughABurst(t *testing.T) {
 	const nodes, workers, slots = blindNodes, 200, 5
 	r := newRig(t, blindSettings(), fleet(workers)...)
-	q := &queueing{slots: workers * slots / nodes, runs: 2500}
+	q := &queueingFleet{slots: workers * slots / nodes, runs: 2500}
 	first, id, inARow, most, since := r.now, uint32(0), 0, 0, r.now
 	longest := 0.0
 	for r.now < first+20000 {
@@ -159,7 +159,7 @@
 // A node whose jobs all queue at workers that hang had its tokens out for as long as the clients waited, and refused
 // all that came until then (austin-flags roll+mass, one node in ten). It tries one more job after some runs, and no
 // flood of them.
-func TestNodeWhoseJobsHangGoesOnTrying(t *testing.T) {
+func TestStarvedNodeGoesOnDispatching(t *testing.T) {
 	r := newRig(t, blindSettings(), fleet(200)...)
 	first, last, longest, sends := r.now, r.now, 0.0, 0
 	hang := map[uint32]Action{}
--- a/internal/dispatch/golden_cluster_test.go
+++ b/internal/dispatch/golden_cluster_test.go
@@ -434,7 +434,13 @@
 func (c *goldenCluster) begin(a *goldenAttempt) {
 	e, s := a.executor, c.plan.settings(a.node)
 	run := max(1, a.work/e.speed*c.random.span(0.8, 1.3))
-	note := dispatch.Event{Kind: dispatch.EvNote, Job: a.job, Attempt: a.number, Worker: e.row.Worker, Topic: dispatch.NoteStarted}
+	note := dispatch.Event{
+		Kind:    dispatch.EvNote,
+		Job:     a.job,
+		Attempt: a.number,
+		Worker:  e.row.Worker,
+		Topic:   dispatch.NoteStarted,
+	}
 	if s.TellsStart {
 		c.give(a.node, a.life, 1, note)
 	}
@@ -491,8 +497,15 @@
 	if outcome == dispatch.Served && !r.done {
 		r.done, final = true, true
 	}
-	event := dispatch.Event{Kind: dispatch.EvOutcome, Job: a.job, Attempt: a.number, Worker: e.row.Worker, Outcome: outcome,
-		Elapsed: after, Final: final}
+	event := dispatch.Event{
+		Kind:    dispatch.EvOutcome,
+		Job:     a.job,
+		Attempt: a.number,
+		Worker:  e.row.Worker,
+		Outcome: outcome,
+		Elapsed: after,
+		Final:   final,
+	}
 	s := c.plan.settings(a.node)
 	switch outcome {
 	case dispatch.Served, dispatch.Errored, dispatch.Full:
@@ -581,8 +594,13 @@
 	c.version++
 	for i, n := range c.nodes {
 		if n.watching {
-			c.give(i, n.life, c.random.span(1, 30), dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListDelta, Version: c.version,
-				Rows: append([]dispatch.Row(nil), rows...)})
+			c.give(
+				i,
+				n.life,
+				c.random.span(1, 30),
+				dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListDelta, Version: c.version,
+					Rows: append([]dispatch.Row(nil), rows...)},
+			)
 		}
 	}
 }
--- a/internal/dispatch/health_test.go
+++ b/internal/dispatch/health_test.go
@@ -5,17 +5,17 @@
 // Tests of workers that fail, err or fall silent.
 
 // Workers that take no new connection go on serving over open ones (ifa25c6).
-func TestFailedConnectLeavesOpenConnections(t *testing.T) {
+func TestFailedDialLeavesOpenConnections(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
 	load := &r.d.endpoints.listed[0].load
 	load.freeSlots, load.reportedAt, load.slots = 4, r.now, 4
 	r.step(request(1, 0, 0, 1))
 	got := r.after(10, outcome(1, 0, 7, ConnectFailed))
-	if len(find(got, ActSend, 1)) != 0 {
+	if len(actionsOf(got, ActSend, 1)) != 0 {
 		t.Error("tried a new connection at once")
 	}
 	r.d.endpoints.listed[0].connections.idleSince = append(r.d.endpoints.listed[0].connections.idleSince, r.now)
-	if got := r.after(20, Event{Kind: EvTimer}); len(find(got, ActSend, 1)) != 1 {
+	if got := r.after(20, Event{Kind: EvTimer}); len(actionsOf(got, ActSend, 1)) != 1 {
 		t.Error("did not use the open connection")
 	}
 	if r.after(10, outcome(1, 1, 7, Served)); r.d.endpoints.listed[0].connections.dialFailures == 0 {
@@ -26,7 +26,7 @@
 // What other nodes told to have out is not room, with or without a late report (i046e05).
 // A worker can fail one class at once and serve another: the class keeps away from it, at once and for longer each
 // time it fails again, while the other still goes there; where a class fails nearly everywhere, it is not the workers'.
-func TestClassThatFailsAtAWorker(t *testing.T) {
+func TestClassThatFailsAtAnExecutorIsKeptAway(t *testing.T) {
 	s := base()
 	// Worker 1 is in the node's own zone, so that all goes there unless it is kept away.
 	s.Fees.CrossZone = 1
@@ -91,7 +91,7 @@
 
 // A worker that turns one class away while it tells of free slots is left to the other classes from the second time
 // on; 'full' from one that tells of none, or of jobs that queue, says nothing of the class.
-func TestClassThatIsTurnedAway(t *testing.T) {
+func TestClassThatIsRejectedBesideFreeSlotsIsKeptAway(t *testing.T) {
 	for _, x := range []struct {
 		name          string
 		pending, free float32
@@ -127,7 +127,7 @@
 // A job that is safe to repeat and sits on a worker that stands still is sent elsewhere too, an unsafe one
 // never. One that only waits in a queue is not, heard of or not: a copy would take a slot that others need and queue
 // there too (i9c57dc, i3f1d0e, nordeste later).
-func TestSecondCopyOnlyFromASilentWorker(t *testing.T) {
+func TestHedgeOnlyOfAnUnresponsiveExecutor(t *testing.T) {
 	for _, tt := range []struct {
 		name           string
 		class          uint8
@@ -144,7 +144,7 @@
 			for _, executor := range r.d.endpoints.listed {
 				executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4, r.now, 4
 			}
-			sent := find(r.step(request(1, tt.class, 0, 1)), ActSend, 1)
+			sent := actionsOf(r.step(request(1, tt.class, 0, 1)), ActSend, 1)
 			if tt.started {
 				r.step(Event{Kind: EvNote, Job: 1, Topic: NoteStarted})
 			}
@@ -153,13 +153,13 @@
 				if tt.heard { // another's answer says that the worker lives
 					r.d.endpoints.byID[sent[0].Worker].outlier.lastHeard = r.now
 				}
-				got += len(find(r.after(100, Event{Kind: EvTimer}), ActSend, 1))
+				got += len(actionsOf(r.after(100, Event{Kind: EvTimer}), ActSend, 1))
 			}
 			if got != tt.want {
 				t.Errorf("%d second copies, want %d", got, tt.want)
 			}
 			if tt.want == 1 {
-				if got := r.after(1, outcome(1, 1, 8, Served)); len(find(got, ActCancel, 1)) != 1 {
+				if got := r.after(1, outcome(1, 1, 8, Served)); len(actionsOf(got, ActCancel, 1)) != 1 {
 					t.Error("the first copy was not called off")
 				}
 			}
@@ -169,7 +169,7 @@
 
 // A worker that was cut off is tried again with one job that may be lost, and what got lost on it holds no slots
 // any more; else it stays out until the last client's time is over (i3f1d0e).
-func TestSilentWorkerIsTriedAgain(t *testing.T) { //nolint:funlen // one course of events
+func TestUnresponsiveExecutorIsTriedAgain(t *testing.T) { //nolint:funlen // one course of events
 	s := base()
 	for i := range s.Classes {
 		s.Classes[i].Aim, s.Classes[i].Deadline = 20000, 60000
@@ -209,7 +209,7 @@
 	}
 	got := r.after(1, Event{Kind: EvNote, Job: tried[0], Topic: NoteStarted})
 	if executor.outlier.unresponsive || executor.inFlight.slots < 1 || executor.inFlight.slots > 4 ||
-		len(find(got, ActSend, 10)) != 1 {
+		len(actionsOf(got, ActSend, 10)) != 1 {
 		t.Errorf(
 			"silent %v, %v slots out, actions %v: want it in use again",
 			executor.outlier.unresponsive,
@@ -238,7 +238,7 @@
 
 // All workers that stand still at once are all silent where progress is told, and none is stormed; where it is not
 // told, all may only be slow, and all are used.
-func TestAllSilent(t *testing.T) {
+func TestAllUnresponsiveExecutorsAreUsed(t *testing.T) {
 	for _, tt := range []struct {
 		progress float64
 		panics   bool
--- a/internal/dispatch/hub_test.go
+++ b/internal/dispatch/hub_test.go
@@ -9,7 +9,7 @@
 // Tests of what many nodes tell one another through a hub.
 
 // crowd is a fleet of nodes that hear one another's messages 10 ms later, as long as both are up.
-type crowd struct {
+type cluster struct {
 	t     *testing.T
 	s     Settings
 	now   float64
@@ -22,8 +22,8 @@
 	stuck bool
 }
 
-func newCrowd(t *testing.T, n int, rows ...Row) *crowd {
-	c := &crowd{t: t, s: base(), now: 100000, down: make([]bool, n), in: make([][]Event, n),
+func newCluster(t *testing.T, n int, rows ...Row) *cluster {
+	c := &cluster{t: t, s: base(), now: 100000, down: make([]bool, n), in: make([][]Event, n),
 		sends: make([][]Action, n), nodes: make([]*Dispatcher, n)}
 	c.s.Balancers, c.s.MayTell, c.s.Progress = n, true, 60000
 	for i := range c.s.Tenants {
@@ -35,7 +35,7 @@
 	return c
 }
 
-func (c *crowd) start(i int, rows []Row) {
+func (c *cluster) start(i int, rows []Row) {
 	c.t.Helper()
 	s := c.s
 	s.Me = i
@@ -51,7 +51,7 @@
 }
 
 // step takes all nodes 10 ms on; each may also be given an event.
-func (c *crowd) step(more map[int]Event) {
+func (c *cluster) step(more map[int]Event) {
 	c.now += 10
 	in := c.in
 	c.in = make([][]Event, len(c.nodes))
@@ -85,14 +85,14 @@
 	}
 }
 
-func (c *crowd) run(ms float64) {
+func (c *cluster) run(ms float64) {
 	for end := c.now + ms; c.now < end; {
 		c.step(nil)
 	}
 }
 
 // send has a node take a job and gives the worker that it goes to, 0 if it goes nowhere within some time.
-func (c *crowd) send(node int, within float64) (worker uint32) {
+func (c *cluster) send(node int, within float64) (worker uint32) {
 	c.next++
 	c.step(map[int]Event{node: request(c.next, 0, 0, 1)})
 	for end := c.now + within; len(c.sends[node]) == 0; c.step(nil) {
@@ -105,8 +105,8 @@
 
 // listening makes a crowd whose nodes know the workers' slots, 0 for nodes that do not, and that has listened for long
 // enough for any of them to be the hub.
-func listening(t *testing.T, n int, slots float64, rows ...Row) *crowd {
-	c := newCrowd(t, n, rows...)
+func listeningCluster(t *testing.T, n int, slots float64, rows ...Row) *cluster {
+	c := newCluster(t, n, rows...)
 	c.step(nil)
 	if slots > 0 {
 		c.know(slots)
@@ -116,7 +116,7 @@
 }
 
 // know gives all nodes the slots of all workers, as reports would with time.
-func (c *crowd) know(slots float64) {
+func (c *cluster) know(slots float64) {
 	for _, d := range c.nodes {
 		for _, executor := range d.endpoints.listed {
 			executor.load.slots = slots
@@ -126,7 +126,7 @@
 }
 
 // hub gives the node that is told by all that are up, -1 if they differ.
-func (c *crowd) hub() int {
+func (c *cluster) aggregator() int {
 	at := -1
 	for i, d := range c.nodes {
 		if c.down[i] {
@@ -143,8 +143,8 @@
 // Nodes that never met at a worker see what the others have out there: each of 80 sends one job, and no worker gets
 // more than it has slots for. Each by its own knowledge, many queue while slots are free (join+vast: 30 to 120 queued
 // beside 60 free slots).
-func TestHubTellsWhatOthersHold(t *testing.T) {
-	c := listening(t, 80, 2, fleet(50)...)
+func TestAggregatorTellsWhatOthersHold(t *testing.T) {
+	c := listeningCluster(t, 80, 2, fleet(50)...)
 	at := map[uint32]int{}
 	for i := range c.nodes {
 		w := c.send(i, 300)
@@ -159,9 +159,9 @@
 }
 
 // What a request costs in messages does not grow with the number of nodes, and idle nodes say nothing.
-func TestHubCostsTheSameForManyNodes(t *testing.T) {
+func TestAggregatorCostsTheSameForManyNodes(t *testing.T) {
 	for _, n := range []int{60, 240} {
-		c := listening(t, n, 2, fleet(50)...)
+		c := listeningCluster(t, n, 2, fleet(50)...)
 		if c.bytes > 0 {
 			t.Errorf("%d bytes told while nothing came", c.bytes)
 		}
@@ -176,11 +176,11 @@
 
 // A hub that is gone costs a job one wait for its answer, and not the next ones; another takes its place, and is left
 // again once the first is back.
-func TestHubIsReplaced(t *testing.T) {
+func TestAggregatorIsReplaced(t *testing.T) {
 	rows := fleet(50)
-	c := listening(t, 60, 2, rows...)
+	c := listeningCluster(t, 60, 2, rows...)
 	c.send(3, 300)
-	first := c.hub()
+	first := c.aggregator()
 	if first < 0 {
 		t.Fatal("nodes differ about the hub from the start")
 	}
@@ -212,11 +212,11 @@
 }
 
 // A hub that was started anew in between holds nothing of us: it says so, and is told all again.
-func TestHubBeginsAnew(t *testing.T) {
+func TestAggregatorBeginsAnew(t *testing.T) {
 	rows := fleet(50)
-	c := listening(t, 60, 2, rows...)
+	c := listeningCluster(t, 60, 2, rows...)
 	c.send(0, 300)
-	h := c.hub()
+	h := c.aggregator()
 	node := (h + 1) % 60
 	w := c.send(node, 300)
 	c.run(100)
@@ -239,8 +239,8 @@
 
 // Messages of chance, cut or of the wrong kind do no harm: no panic, nothing below nothing, bounded memory, and jobs
 // are sent.
-func TestHubMessagesOfChance(t *testing.T) {
-	c := listening(t, 60, 2, fleet(50)...)
+func TestAggregatorBearsRandomMessages(t *testing.T) {
+	c := listeningCluster(t, 60, 2, fleet(50)...)
 	rng := rand.New(rand.NewSource(5))
 	for range 4000 {
 		node := rng.Intn(60)
@@ -271,10 +271,10 @@
 // While it is cold a worker is given what it can do by then, all nodes' jobs counted, and a job is not taken to run
 // slowly there while few others do: it was used to a tenth while old workers queued (join+vast, herd+vast). It is
 // looked at whenever it is our turn, not only when it is drawn.
-func TestColdWorkerIsUsedAsItWarms(t *testing.T) {
+func TestExecutorIsUsedAsItWarmsUp(t *testing.T) {
 	rows := fleet(60)
 	rows[30].Born = 100000
-	c := listening(t, 60, 4, rows...)
+	c := listeningCluster(t, 60, 4, rows...)
 	for i, d := range c.nodes {
 		if i == d.aggregatorClient.current {
 			continue
@@ -300,8 +300,8 @@
 // Jobs that nodes or hubs left behind when they were killed are told by none. A job of ours that is not started shows
 // that a worker is full all the same, and all others then keep away too, for about a run (herd+vast: each node of 80
 // found out for itself, by a job that waited).
-func TestHiddenJobsAreTold(t *testing.T) {
-	c := listening(t, 60, 2, fleet(50)...)
+func TestHiddenSlotsAreTold(t *testing.T) {
+	c := listeningCluster(t, 60, 2, fleet(50)...)
 	c.stuck = true
 	at := map[uint32]int{}
 	for i := range 40 {
@@ -320,9 +320,9 @@
 // What a killed node had out runs on: its next life does not make the hub forget it at once.
 func TestKilledNodesJobsRunOn(t *testing.T) {
 	rows := fleet(50)
-	c := listening(t, 60, 2, rows...)
+	c := listeningCluster(t, 60, 2, rows...)
 	c.send(0, 300)
-	h := c.hub()
+	h := c.aggregator()
 	node, other := (h+1)%60, (h+2)%60
 	w := c.send(node, 300)
 	c.run(50)
@@ -345,8 +345,8 @@
 
 // What one node finds of a worker keeps all others away for a while: a class that fails there, another still served,
 // and connections refused. By itself each of 80 nodes loses a job for it (zone+vast: 280 errors of two bad workers).
-func TestHubTellsWhatNodesFind(t *testing.T) {
-	c := listening(t, 60, 20, fleet(3)...)
+func TestAggregatorTellsQuarantines(t *testing.T) {
+	c := listeningCluster(t, 60, 20, fleet(3)...)
 	bad := c.send(0, 300)
 	c.step(map[int]Event{0: outcome(c.next, 0, bad, Errored)})
 	c.run(50)
@@ -378,8 +378,8 @@
 
 // A node that has met no worker of a kind knows nothing of its slots. It must go by what the hub tells all the same:
 // each of 80 nodes sent a first job blindly, and 13 queued at one slow worker (join+vast, seed 245395339836).
-func TestHubHoldsForKindsNotMet(t *testing.T) {
-	c := listening(t, 60, 0, fleet(20)...)
+func TestAggregatorBoundsKindsNotMet(t *testing.T) {
+	c := listeningCluster(t, 60, 0, fleet(20)...)
 	at := map[uint32]int{}
 	for i := range c.nodes {
 		if w := c.send(i, 200); w != 0 {
@@ -396,9 +396,9 @@
 
 // With the hub more of a cold worker's budget is used, and it is kept in every window, though 2.5 times the quota
 // comes and no other worker is there. Each job holds a slot for its time.
-func TestColdBudgetIsKeptWithTheHub(t *testing.T) {
+func TestSlowStartBudgetIsKeptWithTheAggregator(t *testing.T) {
 	cold := ready(7, 0)
-	c := listening(t, 60, 4, cold)
+	c := listeningCluster(t, 60, 4, cold)
 	cold.Born = c.now
 	for i := range c.nodes {
 		c.in[i] = append(c.in[i], Event{Kind: EvList, Form: ListDelta, Rows: []Row{cold}})
@@ -442,7 +442,7 @@
 // A fleet of 318 nodes with 504 requests a second in all tells a hub. (The bound stood at 300, and the whole fleet
 // told nothing: its nodes refused a tenth to a quarter of the jobs of a restart's or a release's seconds beside free
 // slots.)
-func TestWholeFleetTellsAHub(t *testing.T) {
+func TestLargestFleetUsesAnAggregator(t *testing.T) {
 	s := base()
 	s.Balancers, s.MayTell, s.Tenants = 318, true, nil
 	for _, quota := range []float64{151, 131, 116, 106} {
@@ -462,9 +462,9 @@
 // admitted ended late.) In a fleet with room each counts on all of it.
 func TestScarceSlotsAreShared(t *testing.T) {
 	for _, x := range []struct{ theirs, least, most float64 }{{4, 1, 4}, {3.75, 1, 5}, {1, 100, 200}} {
-		c := listening(t, 40, 4, fleet(40)...)
+		c := listeningCluster(t, 40, 4, fleet(40)...)
 		i := 0
-		for i == c.hub() {
+		for i == c.aggregator() {
 			i++
 		}
 		d := c.nodes[i]
@@ -493,7 +493,7 @@
 
 // BenchmarkHub is a hub's work for one job of a fleet of 300 nodes and 200 workers: the node asks with what it has
 // out, is answered, tells of a send and of an end.
-func BenchmarkHub(b *testing.B) {
+func BenchmarkAggregator(b *testing.B) {
 	s := base()
 	s.Balancers, s.MayTell = 300, true
 	for i := range s.Tenants {
@@ -543,7 +543,7 @@
 // Some dozen nodes at a dozen workers told one another all that they had out, about once a run, for the bytes allowed
 // no more: each of 32 saw the same free slots for a second, and jobs queued for seconds beside idle slots
 // (tallinn-tiles throng+brink).
-func TestNodesTellAHubWhereWholeMessagesAreOlderThanReports(t *testing.T) {
+func TestAggregatorWhereBroadcastsAreOlderThanReports(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
 		quota float64
--- a/internal/dispatch/late_test.go
+++ b/internal/dispatch/late_test.go
@@ -8,7 +8,7 @@
 
 // A worker that owes signs of jobs stops drawing work at once: its jobs that may be repeated go elsewhere in its cell,
 // others are not sent twice, nothing that may be lost for good goes there, and one that ends well brings it back.
-func TestLateWorker(t *testing.T) { //nolint:funlen,gocognit // one course of events
+func TestExecutorWithOverdueAcknowledgements(t *testing.T) { //nolint:funlen,gocognit // one course of events
 	s := base()
 	for i := range s.Classes {
 		s.Classes[i].Aim, s.Classes[i].Deadline, s.Classes[i].Window = 20000, 60000, 50000
@@ -37,10 +37,10 @@
 	for range 50 {
 		again = append(again, r.after(10, Event{Kind: EvTimer})...)
 	}
-	if got := find(again, ActSend, 1); len(got) != 1 || got[0].Worker != 8 {
+	if got := actionsOf(again, ActSend, 1); len(got) != 1 || got[0].Worker != 8 {
 		t.Errorf("the keyed job: %v, want one more send to the cell's other worker", got)
 	}
-	if got := find(again, ActSend, 2); len(got) != 0 {
+	if got := actionsOf(again, ActSend, 2); len(got) != 0 {
 		t.Errorf("the job that must not run twice was sent again: %v", got)
 	}
 	if executor.inFlight.slots != 0 {
@@ -85,7 +85,7 @@
 
 // One late job beside others that are heard of is its connection's fault: the worker stays in use, and the job may be
 // tried elsewhere. A second one makes it the worker's.
-func TestLateConnection(t *testing.T) {
+func TestConnectionWithAnOverdueAcknowledgement(t *testing.T) {
 	s := base()
 	r := newRig(t, s, ready(7, 1), ready(8, 1))
 	executor := r.d.endpoints.byID[7]
@@ -123,7 +123,7 @@
 
 // Where our jobs explain nothing of what workers hold, no age does: one that counts none of our jobs fits such reports
 // best, and was believed, on a day of drains, until all that ran counted as not in them.
-func TestAgeThatExplainsNothing(t *testing.T) {
+func TestReportAgeThatExplainsNothing(t *testing.T) {
 	s := base()
 	s.Balancers = 3
 	s.Fields = []Field{FieldBusy, FieldFree}
--- a/internal/dispatch/list_test.go
+++ b/internal/dispatch/list_test.go
@@ -10,7 +10,7 @@
 
 // A change of a few rows leaves the same workers, rows, hashes and names as sorting all anew, and leads to the same
 // actions: drains, starts anew, workers that leave with jobs out and come back, and names that two workers share.
-func TestListChangesAsIfSortedAnew(t *testing.T) { //nolint:gocognit // one course of events
+func TestListChangesEqualARebuild(t *testing.T) { //nolint:gocognit // one course of events
 	for seed := int64(1); seed <= 6; seed++ {
 		rng := rand.New(rand.NewSource(seed))
 		s := base()
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -4,7 +4,7 @@
 
 // Tests of where a job is sent, and when it is held.
 
-func TestColdWorkerBudget(t *testing.T) {
+func TestSlowStartBudget(t *testing.T) {
 	s := base()
 	s.Balancers = 2
 	cold := ready(7, 0)
@@ -45,38 +45,38 @@
 	}
 }
 
-func TestHoldsUntilRoom(t *testing.T) {
+func TestJobIsHeldUntilASlotIsFree(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
 	executor := r.d.endpoints.listed[0]
 	executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 1, r.now, 4
-	if len(find(r.step(request(1, 0, 0, 1)), ActSend, 1)) != 1 {
+	if len(actionsOf(r.step(request(1, 0, 0, 1)), ActSend, 1)) != 1 {
 		t.Fatal("not sent although there was room")
 	}
-	if got := r.step(request(2, 0, 0, 1)); len(find(got, ActSend, 2)) != 0 {
+	if got := r.step(request(2, 0, 0, 1)); len(actionsOf(got, ActSend, 2)) != 0 {
 		t.Fatal("sent without room")
 	}
-	if got := r.after(10, outcome(1, 0, 7, Served)); len(find(got, ActSend, 2)) != 1 {
+	if got := r.after(10, outcome(1, 0, 7, Served)); len(actionsOf(got, ActSend, 2)) != 1 {
 		t.Error("not sent once there was room")
 	}
 }
 
-func TestRoomiestFirst(t *testing.T) {
+func TestExecutorWithMostFreeSlotsFirst(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0), ready(8, 0), ready(9, 0))
 	for i, free := range []float64{1, 4, 2} {
 		executor := r.d.endpoints.listed[i]
 		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = free, r.now, 4
 	}
-	got := find(r.step(request(1, 0, 0, 1)), ActSend, 1)
+	got := actionsOf(r.step(request(1, 0, 0, 1)), ActSend, 1)
 	if len(got) != 1 || got[0].Worker != 8 {
 		t.Errorf("sent to %v, want the roomiest, 8", got)
 	}
 }
 
-func TestFewestOutWithoutReports(t *testing.T) {
+func TestFewestInFlightWithoutReports(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0), ready(8, 0))
 	count := map[uint32]int{}
 	for id := uint32(1); id <= 4; id++ {
-		for _, a := range find(r.step(request(id, 0, 0, 1)), ActSend, id) {
+		for _, a := range actionsOf(r.step(request(id, 0, 0, 1)), ActSend, id) {
 			count[a.Worker]++
 		}
 	}
@@ -106,7 +106,7 @@
 }
 
 // A job of ours that was not started says there is no room (icb5b2f).
-func TestUnstartedJobMeansNoRoom(t *testing.T) {
+func TestUnstartedJobMeansNoFreeSlot(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
 	r.d.endpoints.listed[0].load.freeSlots, r.d.endpoints.listed[0].load.reportedAt = 4, r.now
 	r.step(request(1, 0, 0, 1))
@@ -121,7 +121,7 @@
 }
 
 // Jobs wait for a home of their key, and those that must fetch stay within a pool (icb5b2f, id3d613).
-func TestFetchPool(t *testing.T) {
+func TestCacheFetchPool(t *testing.T) {
 	s := base()
 	s.Fees.Origin = 0.1
 	rows := []Row{ready(7, 0), ready(8, 0), ready(9, 0), ready(10, 0), ready(11, 0), ready(12, 0)}
@@ -131,28 +131,28 @@
 	}
 	e := request(1, 0, 0, 1)
 	e.Key = 5
-	first := find(r.step(e), ActSend, 1)
+	first := actionsOf(r.step(e), ActSend, 1)
 	home := first[0].Worker
 	r.d.endpoints.byID[home].load.freeSlots = 0
 	e.Job = 2
-	if got := r.step(e); len(find(got, ActSend, 2)) != 0 {
+	if got := r.step(e); len(actionsOf(got, ActSend, 2)) != 0 {
 		t.Error("did not wait for the home of its key")
 	}
 	r.d.affinity.fetchingSlots = 1000
-	if got := r.after(900, Event{Kind: EvTimer}); len(find(got, ActSend, 2)) != 0 {
+	if got := r.after(900, Event{Kind: EvTimer}); len(actionsOf(got, ActSend, 2)) != 0 {
 		t.Error("fetched although the pool was full")
 	}
 	r.d.affinity.fetchingSlots = 0
 	for _, executor := range r.d.endpoints.listed {
 		executor.load.reportedAt = r.now
 	}
-	if got := r.after(20, Event{Kind: EvTimer}); len(find(got, ActSend, 2)) != 1 {
+	if got := r.after(20, Event{Kind: EvTimer}); len(actionsOf(got, ActSend, 2)) != 1 {
 		t.Error("still waits although the pool has room")
 	}
 }
 
 // Without a fresh report no node takes more than its blind part of a worker (i9622f9).
-func TestBlindPart(t *testing.T) {
+func TestShareWithoutReports(t *testing.T) {
 	s := base()
 	s.Balancers = 4
 	r := newRig(t, s, ready(7, 0))
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestPeersTakeRoom(t *testing.T) {
+func TestPeersTakeSlots(t *testing.T) {
 	s := base()
 	s.Balancers, s.MayTell = 2, true
 	r := newRig(t, s, ready(7, 0))
@@ -189,26 +189,26 @@
 	s := base()
 	s.Telemetry, s.Fields, s.TellsStart = ReportNone, nil, false
 	r := newRig(t, s, ready(7, 0), ready(8, 0), ready(9, 0))
-	if got := r.step(request(1, 0, 0, 4)); len(find(got, ActSend, 1)) != 1 {
+	if got := r.step(request(1, 0, 0, 4)); len(actionsOf(got, ActSend, 1)) != 1 {
 		t.Error("held although no worker has anything of ours")
 	}
 }
 
 // A node that sees no room and has less than its part of the slots out is not starved for good (iaba16b).
-func TestStarvedNodePushes(t *testing.T) {
+func TestStarvedNodeSpeculates(t *testing.T) {
 	s := base()
 	s.Balancers = 2
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	for _, executor := range r.d.endpoints.listed {
 		executor.load.slots, executor.load.freeSlots, executor.load.reportedAt = 4, -3, r.now
 	}
-	if got := r.step(request(1, 0, 0, 1)); len(find(got, ActSend, 1)) != 0 {
+	if got := r.step(request(1, 0, 0, 1)); len(actionsOf(got, ActSend, 1)) != 0 {
 		t.Fatal("sent at once although no worker has room")
 	}
 	for _, executor := range r.d.endpoints.listed {
 		executor.load.reportedAt = r.now + 400
 	}
-	if got := r.after(400, Event{Kind: EvTimer}); len(find(got, ActSend, 1)) != 1 {
+	if got := r.after(400, Event{Kind: EvTimer}); len(actionsOf(got, ActSend, 1)) != 1 {
 		t.Error("held although the node has nothing of its part out")
 	}
 	sent := 0
@@ -226,7 +226,7 @@
 }
 
 // Memory that workers tell is room as well: a job waits for a worker that has enough of it.
-func TestMemoryIsRoom(t *testing.T) {
+func TestFreeMemoryBoundsJobs(t *testing.T) {
 	s := base()
 	s.Fields = []Field{FieldFree, FieldMemory}
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
@@ -237,20 +237,20 @@
 	}
 	wide := request(1, 0, 0, 1)
 	wide.Memory = 3
-	if got := find(r.step(wide), ActSend, 1); len(got) != 1 || got[0].Worker != 8 {
+	if got := actionsOf(r.step(wide), ActSend, 1); len(got) != 1 || got[0].Worker != 8 {
 		t.Fatalf("sent %v, want worker 8", got)
 	}
 	wide.Job = 2 // worker 8 has one unit left
-	if got := find(r.step(wide), ActSend, 2); len(got) != 0 {
+	if got := actionsOf(r.step(wide), ActSend, 2); len(got) != 0 {
 		t.Errorf("sent %v where no worker has the memory", got)
 	}
-	if got := find(r.after(5, outcome(1, 0, 8, Served)), ActSend, 2); len(got) != 1 || got[0].Worker != 8 {
+	if got := actionsOf(r.after(5, outcome(1, 0, 8, Served)), ActSend, 2); len(got) != 1 || got[0].Worker != 8 {
 		t.Errorf("sent %v after memory came back, want worker 8", got)
 	}
 }
 
 // Where a connection carries several attempts, only the first of them needs a new one.
-func TestSharedConnectionIsWarm(t *testing.T) {
+func TestSharedConnectionNeedsNoHandshake(t *testing.T) {
 	for _, tt := range []struct {
 		multiplex int
 		warm      []bool // for the second, third and fourth attempt while the first is out
@@ -275,7 +275,7 @@
 
 // A request's own prices of zones stand in the place of the price of crossing: where its data are is where it goes
 // while there is room, and a request without any goes as it always did.
-func TestPricesOfZones(t *testing.T) {
+func TestZonePrices(t *testing.T) {
 	s := base()
 	s.Fees.CrossZone = 0.1
 	far, near := ready(1, 0), ready(2, 0)
--- a/internal/dispatch/refuse_test.go
+++ b/internal/dispatch/refuse_test.go
@@ -4,7 +4,7 @@
 
 // A refused client is told when to come back, and never for longer than the settings allow. A node that told
 // nothing made its clients come back at their own pace, all while nothing was free.
-func TestRefusalsTellWhenToComeBack(t *testing.T) {
+func TestRejectionsTellRetryAfter(t *testing.T) {
 	for _, most := range []float64{0, 50, 2000} {
 		s := base()
 		s.MaxRetryAfter = most
--- a/internal/dispatch/report_test.go
+++ b/internal/dispatch/report_test.go
@@ -9,7 +9,7 @@
 // Tests of what is learned from load reports and probes.
 
 // A node that was quiet at its start is not blind once requests come (nordeste big-2).
-func TestProbesFollowTraffic(t *testing.T) {
+func TestHealthChecksFollowTraffic(t *testing.T) {
 	s := base()
 	s.Telemetry, s.MayProbe = ReportProbes, true
 	r := newRig(t, s, ready(7, 0))
@@ -30,7 +30,7 @@
 
 // Where reports are older than runs are long, they fade to the mean: the worker last seen idle is not stormed
 // and the one last seen full is not shunned for good (i9c57dc, ifd594e).
-func TestReportsFade(t *testing.T) {
+func TestReportsDecay(t *testing.T) {
 	s := base()
 	s.Balancers = 5
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
@@ -55,7 +55,7 @@
 
 // Reports can be delayed by seconds without any sign of it (iacbb5d): all nodes then fill the workers that were
 // idle once. Their age is learned from how what a worker holds follows our own jobs there, and forgotten again.
-func TestAgeOfReportsIsLearned(t *testing.T) { //nolint:gocognit // one course of events
+func TestReportAgeIsLearned(t *testing.T) { //nolint:gocognit // one course of events
 	s := base()
 	s.Balancers = 3
 	s.Fields = []Field{FieldBusy, FieldFree}
@@ -114,7 +114,7 @@
 }
 
 // What workers hold may have nothing to do with our own few jobs: then no other age is believed (i3f1d0e).
-func TestAgeIsNotGuessedFromOthersJobs(t *testing.T) {
+func TestReportAgeIsNotGuessedFromOthersJobs(t *testing.T) {
 	s := base()
 	s.Fields = []Field{FieldBusy, FieldFree}
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
@@ -124,7 +124,7 @@
 			busy := float32(rng.Intn(8))
 			r.d.handleLoadReport(executor, []float32{busy + 0.01*rng.Float32(), 8 - busy})
 		}
-		got := find(r.step(request(i+1, 0, 0, 1)), ActSend, i+1)
+		got := actionsOf(r.step(request(i+1, 0, 0, 1)), ActSend, i+1)
 		r.after(50)
 		for _, a := range got {
 			r.after(50, outcome(a.Job, 0, a.Worker, Served))
@@ -137,7 +137,7 @@
 
 // What is held stays so for as long as the jobs that hold most of it run: a few long, wide jobs among many short
 // ones make reports fade slowly (nordeste), jobs of one kind fast (ceara).
-func TestFadingFollowsWhatIsHeld(t *testing.T) {
+func TestReportDecayFollowsWhatIsHeld(t *testing.T) {
 	run := func(long bool) float64 {
 		r := newRig(t, base(), ready(7, 0))
 		executor := r.d.endpoints.listed[0]
@@ -162,7 +162,7 @@
 
 // Without reports, and before any 'full', only late answers show that a worker queues what it is sent: what it is
 // thought to take falls, once for all that was sent before, and grows again with jobs served in time.
-func TestLateAnswersCutWithoutReports(t *testing.T) {
+func TestLateAnswersCutTheSoftLimit(t *testing.T) {
 	s := base()
 	s.Telemetry, s.Fields, s.TellsStart = ReportNone, nil, false
 	r := newRig(t, s, ready(7, 0))
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -67,7 +67,7 @@
 }
 
 // find gives the actions of a kind for a job.
-func find(actions []Action, kind ActionKind, job uint32) []Action {
+func actionsOf(actions []Action, kind ActionKind, job uint32) []Action {
 	var got []Action
 	for _, a := range actions {
 		if a.Kind == kind && a.Job == job {
--- a/internal/dispatch/rules_test.go
+++ b/internal/dispatch/rules_test.go
@@ -4,15 +4,15 @@
 
 // Tests of the rules on repeats, drains and the list.
 
-func TestUnsafeIsNeverSentOrRefusedOnceItMayHaveRun(t *testing.T) {
+func TestAtMostOnceIsNeverRetriedOrRejectedOnceItMayHaveRun(t *testing.T) {
 	for _, o := range []Outcome{Errored, Full, TimedOut, ConnectFailed, Reset, Cancelled, Moot} {
 		r := newRig(t, base(), ready(7, 0), ready(8, 0))
-		first := find(r.step(request(1, 2, 0, 1)), ActSend, 1)
+		first := actionsOf(r.step(request(1, 2, 0, 1)), ActSend, 1)
 		if len(first) != 1 {
 			t.Fatal("not sent")
 		}
 		got := r.after(10, outcome(1, 0, first[0].Worker, o))
-		sent, refused, failed := find(got, ActSend, 1), find(got, ActRefuse, 1), find(got, ActFail, 1)
+		sent, refused, failed := actionsOf(got, ActSend, 1), actionsOf(got, ActRefuse, 1), actionsOf(got, ActFail, 1)
 		if o.NeverRan() && (len(sent) != 1 || len(failed) != 0) {
 			t.Errorf("%d proves it never ran: want another try, got %v", o, got)
 		}
@@ -22,14 +22,14 @@
 	}
 }
 
-func TestDrainIsKeptAtOnce(t *testing.T) {
+func TestDrainingExecutorGetsNothing(t *testing.T) {
 	for _, form := range []Form{ListDelta, ListFull} {
 		for _, c := range []Condition{Draining, Gone} {
 			row := ready(7, 0)
 			r := newRig(t, base(), row)
 			row.Condition = c
 			got := r.after(1, request(1, 0, 0, 1), Event{Kind: EvList, Form: form, Rows: []Row{row}})
-			if len(find(got, ActSend, 1)) != 0 {
+			if len(actionsOf(got, ActSend, 1)) != 0 {
 				t.Errorf("sent in the batch that told of condition %d", c)
 			}
 		}
@@ -37,12 +37,12 @@
 	// A worker that a full list does not name is gone.
 	r := newRig(t, base(), ready(7, 0))
 	got := r.after(1, request(1, 0, 0, 1), Event{Kind: EvList, Form: ListFull})
-	if len(find(got, ActSend, 1)) != 0 {
+	if len(actionsOf(got, ActSend, 1)) != 0 {
 		t.Error("sent to a worker that the full list left out")
 	}
 }
 
-func TestKeyedStaysInItsGroupAndWindow(t *testing.T) {
+func TestKeyedRetryStaysInItsScopeAndWindow(t *testing.T) {
 	tests := []struct {
 		name    string
 		scope   Scope
@@ -73,15 +73,15 @@
 			s := base()
 			s.Classes[1].Scope = tt.scope
 			r := newRig(t, s, rows[7])
-			if len(find(r.step(request(1, 1, 0, 1)), ActSend, 1)) != 1 {
+			if len(actionsOf(r.step(request(1, 1, 0, 1)), ActSend, 1)) != 1 {
 				t.Fatal("not sent")
 			}
 			got := r.after(tt.after, Event{Kind: EvList, Form: ListFull, Rows: []Row{rows[tt.to]}},
 				outcome(1, 0, 7, tt.outcome))
-			if n := len(find(got, ActSend, 1)); (n == 1) != tt.sent {
+			if n := len(actionsOf(got, ActSend, 1)); (n == 1) != tt.sent {
 				t.Errorf("%d sends, want sent %v", n, tt.sent)
 			}
-			if n := len(find(got, ActRefuse, 1)); (n == 1) != tt.refused {
+			if n := len(actionsOf(got, ActRefuse, 1)); (n == 1) != tt.refused {
 				t.Errorf("%d refusals, want refused %v", n, tt.refused)
 			}
 		})
--- a/internal/dispatch/scale_test.go
+++ b/internal/dispatch/scale_test.go
@@ -17,7 +17,7 @@
 
 // Of a large fleet no more workers are looked at than have a reason and some drawn ones, whatever its size: else
 // a node needs more CPU than it has, and all nodes storm the same roomiest worker (recife later big-1).
-func TestLargeFleetIsNotLookedAtWhole(t *testing.T) {
+func TestLargeFleetIsSampled(t *testing.T) {
 	for _, n := range []int{fullScanLimit, 400} {
 		s := base()
 		s.Balancers = 100
@@ -30,25 +30,25 @@
 		if got := len(r.d.placement.inspected); got == 0 || got > most {
 			t.Errorf("%d workers looked at of %d, want 1 to %d", got, n, most)
 		}
-		if len(find(r.last, ActSend, 1)) != 1 {
+		if len(actionsOf(r.last, ActSend, 1)) != 1 {
 			t.Errorf("not sent although all of %d workers are idle", n)
 		}
 	}
 }
 
 // The worker that served us last has an open connection and is always looked at (nordeste later: handshakes).
-func TestWorkerUsedLastIsLookedAt(t *testing.T) {
+func TestExecutorUsedLastIsInspected(t *testing.T) {
 	s := base()
 	s.Balancers, s.Fees.Handshake, s.Telemetry = 100, 0.5, ReportProbes
 	r := newRig(t, s, fleet(400)...)
-	sent := find(r.step(request(1, 0, 0, 1)), ActSend, 1)
+	sent := actionsOf(r.step(request(1, 0, 0, 1)), ActSend, 1)
 	if len(sent) != 1 {
 		t.Fatal("not sent")
 	}
 	first := sent[0].Worker
 	r.after(100, outcome(1, 0, first, Served))
 	for id := uint32(2); id < 12; id++ {
-		got := find(r.after(100, request(id, 0, 0, 1)), ActSend, id)
+		got := actionsOf(r.after(100, request(id, 0, 0, 1)), ActSend, id)
 		if len(got) != 1 || got[0].Worker != first {
 			t.Fatalf("job %d: %v, want one send to %d, where a connection is open", id, got, first)
 		}
@@ -58,7 +58,7 @@
 
 // Where those heard of are full, one not heard of is taken to be full too: small nodes sent blindly into a full
 // fleet while large ones, who had reports, refused nine of ten (ceara later big-2).
-func TestFullFleetIsFullUnheard(t *testing.T) {
+func TestFullFleetIsFullWithoutReports(t *testing.T) {
 	s := base()
 	s.Balancers = 100
 	r := newRig(t, s, fleet(400)...)
@@ -88,7 +88,7 @@
 
 // A node that takes all for full and has nothing out hears nothing and would stay so for good: it queues a job
 // where it has none, however small its part of the fleet is (ceara later big-2).
-func TestStarvedNodeOfManyPushes(t *testing.T) {
+func TestStarvedNodeOfManySpeculates(t *testing.T) {
 	s := base()
 	s.Balancers = 200
 	r := newRig(t, s, fleet(200)...)
@@ -98,11 +98,11 @@
 		r.d.handleLoadReport(executor, []float32{float32(i%2) * 0.01})
 		executor.load.freeSlots = -3
 	}
-	if got := r.step(request(1, 0, 0, 1)); len(find(got, ActSend, 1)) != 0 {
+	if got := r.step(request(1, 0, 0, 1)); len(actionsOf(got, ActSend, 1)) != 0 {
 		t.Fatal("sent at once although no worker has room")
 	}
 	for range 20 {
-		if len(find(r.after(40, Event{Kind: EvTimer}), ActSend, 1)) == 1 {
+		if len(actionsOf(r.after(40, Event{Kind: EvTimer}), ActSend, 1)) == 1 {
 			return
 		}
 	}
@@ -111,7 +111,7 @@
 
 // Reports that tell how long jobs run, waits left out, set the speeds: of a worker that always queues our own
 // runs tell nothing, and slow ones were overrun (ceara later big-2).
-func TestToldServiceTimesSetSpeeds(t *testing.T) {
+func TestReportedServiceTimesSetSpeeds(t *testing.T) {
 	s := base()
 	s.TellsStart = false
 	s.Fields = []Field{FieldLatency, FieldFree}
@@ -130,7 +130,7 @@
 
 // A live weight is a reason to stay away from a worker, not to go to one, and none where all hold many: all
 // nodes see the same weights, late (recife later).
-func TestLiveWeightVetoes(t *testing.T) {
+func TestLiveWeightShutsOut(t *testing.T) {
 	s := base()
 	s.Balancers, s.LiveWeights = 100, true
 	weigh := func(r *rig, scale func(i int) float64) {
@@ -164,7 +164,7 @@
 
 // Messages that the bytes allow only when what they told is long over mislead: half of the sends of nodes that
 // trusted them were turned away as full (recife later big-2). Few nodes tell, many do not.
-func TestManyNodesDoNotTell(t *testing.T) {
+func TestManyNodesDoNotBroadcast(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
 		tells bool
@@ -189,7 +189,7 @@
 
 // A job that waits for a home of its key does not look at a large fleet each tick, and still gets elsewhere when
 // it has waited its part (recife later: CPU).
-func TestHomesOnlyWhileWaitingForOne(t *testing.T) {
+func TestCandidatesOnlyWhileWaitingForOne(t *testing.T) {
 	s := base()
 	s.Balancers = 100
 	r := newRig(t, s, fleet(100)...)
@@ -201,14 +201,14 @@
 	for _, executor := range probe.candidates {
 		executor.load.rejectedUntil = r.now + 1e6
 	}
-	if got := find(r.step(j), ActSend, 1); len(got) != 0 {
+	if got := actionsOf(r.step(j), ActSend, 1); len(got) != 0 {
 		t.Fatal("sent astray at once")
 	}
 	if n := len(r.d.placement.inspected); n > len(probe.candidates) {
 		t.Errorf("%d workers looked at while it waits for one of %d homes", n, len(probe.candidates))
 	}
 	for range 30 {
-		if len(find(r.after(40, Event{Kind: EvTimer}), ActSend, 1)) == 1 {
+		if len(actionsOf(r.after(40, Event{Kind: EvTimer}), ActSend, 1)) == 1 {
 			return
 		}
 	}
@@ -217,7 +217,7 @@
 
 // Probes of a large fleet asked in turn are old when a job comes, and a node with little traffic pays for many it
 // never uses (i601dc3: 11 for each request): some are asked for each job, which waits for them, but not for long.
-func TestLargeFleetProbesForEachJob(t *testing.T) {
+func TestLargeFleetIsCheckedForEachJob(t *testing.T) {
 	s := base()
 	s.Balancers, s.MayProbe, s.Telemetry = 100, true, ReportProbes
 	r := newRig(t, s, fleet(200)...)
@@ -238,7 +238,7 @@
 	if len(asked) == 0 || len(asked) > maxChecksPerRequest {
 		t.Fatalf("%d probes for a job, want 1 to %d", len(asked), maxChecksPerRequest)
 	}
-	if len(find(r.last, ActSend, 1)) != 0 {
+	if len(actionsOf(r.last, ActSend, 1)) != 0 {
 		t.Fatal("sent before its probes were back")
 	}
 	for i, id := range asked {
@@ -248,14 +248,14 @@
 		}
 		r.after(1, Event{Kind: EvProbed, Worker: id, Outcome: Served, Report: []float32{free}})
 	}
-	if got := find(r.last, ActSend, 1); len(got) != 1 || got[0].Worker != asked[1] {
+	if got := actionsOf(r.last, ActSend, 1); len(got) != 1 || got[0].Worker != asked[1] {
 		t.Errorf("%v, want one send to %d, which told of room", got, asked[1])
 	}
 	asked = probes(r.after(1, request(2, 0, 0, 1)))
 	if len(asked) == 0 {
 		t.Fatal("no probes for the second job")
 	}
-	if got := find(r.after(100, Event{Kind: EvTimer}), ActSend, 2); len(got) != 1 {
+	if got := actionsOf(r.after(100, Event{Kind: EvTimer}), ActSend, 2); len(got) != 1 {
 		t.Error("held for good for probes that do not come back")
 	}
 }
@@ -263,7 +263,7 @@
 // A job that queues tells nothing. Where jobs usually wait long for their start, one that was not started is no
 // sign that its worker stands still: copies of queued jobs queue too (recife later at full size: 3,000 of 17,000
 // sends were copies). A started one that tells no progress still is, and so is a wait far past the usual.
-func TestQueuedJobIsNoSilence(t *testing.T) {
+func TestQueuedJobIsNoSignOfAnUnresponsiveExecutor(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		wait    float64 // that jobs usually have before they start
@@ -285,14 +285,14 @@
 		for i := range uint32(200) {
 			job := request(100+i, 0, 0, 1)
 			job.TimeLeft = 60000
-			sent := find(r.after(10, job), ActSend, 100+i)
+			sent := actionsOf(r.after(10, job), ActSend, 100+i)
 			r.after(c.wait, Event{Kind: EvNote, Job: 100 + i, Topic: NoteStarted})
 			r.after(10, outcome(100+i, 0, sent[0].Worker, Served))
 		}
 		r.d.endpoints.byID[8].outlier.ejectedUntil = r.now + 1 // so that the next goes to the first
 		job := request(1, 0, 0, 1)
 		job.TimeLeft = 60000
-		if len(find(r.step(job), ActSend, 1)) != 1 || executor.inFlight.slots != 1 {
+		if len(actionsOf(r.step(job), ActSend, 1)) != 1 || executor.inFlight.slots != 1 {
 			t.Fatalf("%s: not sent to the first worker", c.name)
 		}
 		if c.started {
@@ -301,7 +301,7 @@
 		copied := false
 		for range int(c.after / 10) {
 			r.after(10, Event{Kind: EvTimer})
-			copied = copied || len(find(r.last, ActSend, 1)) > 0
+			copied = copied || len(actionsOf(r.last, ActSend, 1)) > 0
 		}
 		if executor.outlier.unresponsive != c.silent || copied != c.started {
 			t.Errorf(
@@ -326,7 +326,7 @@
 	const part = 400 * initialSoftLimit / 100
 	for id := uint32(1); id <= part; id++ {
 		r.step(request(id, 0, uint16(id%3), 1))
-		if n := len(find(r.last, ActSend, id)); n != 1 || r.d.capacity.slots != part {
+		if n := len(actionsOf(r.last, ActSend, id)); n != 1 || r.d.capacity.slots != part {
 			t.Fatalf("job %d was sent %d times, capacity %v: want once and %v, the even part", id, n, r.d.capacity.slots, part)
 		}
 	}
@@ -367,7 +367,7 @@
 
 // A node of many sees few requests: were a key's share taken of more than it has seen, hot keys would stay on two or
 // three homes for a minute, as at all other nodes, and storm them (recife later h238d8e: busiest 9 times the mean).
-func TestHotKeysSpreadSoonAtSmallNodes(t *testing.T) {
+func TestHotKeysSpreadSoonAtNodesWithLittleTraffic(t *testing.T) {
 	s := base()
 	s.Balancers = 150
 	r := newRig(t, s, fleet(150)...)
@@ -378,7 +378,7 @@
 			job.Key = 7
 		}
 		r.after(200, job)
-		if sent := find(r.last, ActSend, id); len(sent) == 1 && id < 39 {
+		if sent := actionsOf(r.last, ActSend, id); len(sent) == 1 && id < 39 {
 			r.after(10, outcome(id, 0, sent[0].Worker, Served))
 		}
 	}
@@ -395,7 +395,7 @@
 // The part that one of 80 nodes has of a cold worker's budget is less than a job: held to it exactly, none sent
 // anything until the worker was warm, and replaced workers stood idle beside queues (join+vast, zone+vast). All
 // together must use the budget, and keep it.
-func TestManyNodesShareAColdWorker(t *testing.T) {
+func TestManyNodesShareASlowStart(t *testing.T) {
 	s := base()
 	s.Balancers = 80
 	nodes := make([]*Dispatcher, s.Balancers)
@@ -444,7 +444,7 @@
 
 // Where many nodes are refused by an overbooked discovery, their asks spread out and thin out: retries at a fixed pace
 // kept it overbooked to the end of the day (herd+vast: 69 of 80 nodes never had a watch again).
-func TestManyNodesAskApart(t *testing.T) {
+func TestManyNodesPollApart(t *testing.T) {
 	s := base()
 	s.Balancers, s.Ask = 80, true
 	asked := map[int]int{} // by half second
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -160,7 +160,9 @@
 	if len(s.removed) >= removedStartsBeforePurge {
 		maps.DeleteFunc(s.removed, func(_ uint32, known knownStart) bool { return s.now-known.removedAt > removedStartTTL })
 	}
-	s.removed[executor.id] = knownStart{listed: start.listedStart, startedAt: start.startedAt, until: start.until, removedAt: s.now}
+	s.removed[executor.id] = knownStart{
+		listed: start.listedStart, startedAt: start.startedAt, until: start.until, removedAt: s.now,
+	}
 }
 
 // recallStart gives an executor that comes back to the list the start that it had when it left.
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -1,18 +1,19 @@
-// Package dispatch decides for one dispatcher: which jobs it admits, where and when it sends them, when it
-// tries again and how each ends. This file is the whole interface; every decision is in brain.go.
+// Package dispatch decides for one dispatcher: which jobs it admits, where and when it sends them, when it tries
+// again and how each ends. This file is the whole interface; the concerns of the decision have a file each, and
+// dispatcher.go joins them.
 //
 // # What a host does
 //
-// A host makes one Dispatcher with New for each life of a node, with a new seed each time, and keeps nothing of
-// the old one. It calls Step with every batch of events it has, in the order they happened, and carries out
-// the returned actions in order, before the next call. A call with no events is harmless.
+// A host makes one Dispatcher with New for each life of a node, with a new seed each time, and keeps nothing of the
+// old one. It calls Step with every batch of events it has, in the order they happened, and carries out the returned
+// actions in order, before the next call. A call with no events is harmless.
 //
 // # Units and ids
 //
-// All times and spans are milliseconds as float64, on one clock that starts anywhere and never runs backwards.
-// Work is the time a job runs on a worker of speed 1. Worker and job ids are opaque; a job id is used once in a
-// life. Attempts of a job are numbered from 0 in the order of their ActSend. Class, tenant, zone and kind are
-// positions in the host's own lists; those of class and tenant follow Settings. Keys are opaque, 0 for none.
+// All times and spans are milliseconds as float64, on one clock that starts anywhere and never runs backwards. Work
+// is the time a job runs on a worker of speed 1. Worker and job ids are opaque; a job id is used once in a life.
+// Attempts of a job are numbered from 0 in the order of their ActSend. Class, tenant, zone and kind are positions in
+// the host's own lists; those of class and tenant follow Settings. Keys are opaque, 0 for none.
 //
 // # What a host promises
 //
@@ -31,14 +32,14 @@
 //
 // # Lifetimes
 //
-// Slices inside events (Report, Rows, Data) are read only during the call. Data of an ActTell is the host's to
-// keep. A Dispatcher does no I/O, starts no goroutine, reads no clock and must not be called from two goroutines
-// at a time; Dispatchers share nothing. Equal settings, seed and events give equal actions.
+// Slices inside events (Report, Rows, Data) are read only during the call. Data of an ActTell is the host's to keep.
+// A Dispatcher does no I/O, starts no goroutine, reads no clock and must not be called from two goroutines at a time;
+// Dispatchers share nothing. Equal settings, seed and events give equal actions.
 //
 // # Bad input
 //
-// Events about unknown jobs, attempts or workers, of odd numbers or out of place, are passed over. A class or
-// tenant past the end of its list is taken as the last.
+// Events about unknown jobs, attempts or workers, of odd numbers or out of place, are passed over. A class or tenant
+// past the end of its list is taken as the last.
 package dispatch
 
 // Effect says what a repeat of a request may do.
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -110,10 +110,14 @@
 }
 
 // Effects are the words for what a class's jobs do when they run twice.
-var Effects = map[string]dispatch.Effect{"free": dispatch.Safe, "guarded": dispatch.Keyed, "single_shot": dispatch.Unsafe}
+var Effects = map[string]dispatch.Effect{
+	"free": dispatch.Safe, "guarded": dispatch.Keyed, "single_shot": dispatch.Unsafe,
+}
 
 // Scopes are the words for where a repeat of a class's jobs is recognized.
-var Scopes = map[string]dispatch.Scope{"all": dispatch.ScopeAll, "zone": dispatch.ScopeZone, "cell": dispatch.ScopeCell}
+var Scopes = map[string]dispatch.Scope{
+	"all": dispatch.ScopeAll, "zone": dispatch.ScopeZone, "cell": dispatch.ScopeCell,
+}
 
 var fieldNames = map[string]dispatch.Field{
 	"busy_reqs": dispatch.FieldBusy, "pending": dispatch.FieldPending, "cpu_share": dispatch.FieldUtil,
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -45,9 +45,13 @@
 		Record{Code: CodeGone, Instance: 5, Event: dispatch.Event{Kind: dispatch.EvGone, Job: 0x0e6f2b19}}},
 	{"list", "00 0003 00000029 02 00000002 03124a07 00 00 0000 01 3f800000 0000000000000000 " +
 		"2c9011f2 01 00 0000 01 3fc00000 40b7d40000000000",
-		Record{Code: CodeList, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvList, Version: 41, Form: dispatch.ListCached,
-			Rows: []dispatch.Row{{Worker: 0x03124a07, Condition: dispatch.Ready, Scale: 1},
-				{Worker: 0x2c9011f2, Zone: 1, Condition: dispatch.Ready, Scale: 1.5, Born: 6100}}}}},
+		Record{
+			Code:     CodeList,
+			Instance: 3,
+			Event: dispatch.Event{Kind: dispatch.EvList, Version: 41, Form: dispatch.ListCached,
+				Rows: []dispatch.Row{{Worker: 0x03124a07, Condition: dispatch.Ready, Scale: 1},
+					{Worker: 0x2c9011f2, Zone: 1, Condition: dispatch.Ready, Scale: 1.5, Born: 6100}}},
+		}},
 	{"note", "03 0003 5d3a91c4 0000 03124a07 01 3f000000",
 		Record{Code: CodeNote, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvNote, Job: 0x5d3a91c4,
 			Worker: 0x03124a07, Topic: 1, Amount: 0.5}}},
@@ -176,7 +180,10 @@
 		{dispatch.Action{Kind: dispatch.ActSend, Job: 0x5d3a91c4, Worker: 0x03124a07, For: 80},
 			"07 0003 5d3a91c4 03124a07 4054000000000000"},
 		{dispatch.Action{Kind: dispatch.ActTimer, For: 500, Token: 77}, "05 0003 407f400000000000 0000004d"},
-		{dispatch.Action{Kind: dispatch.ActLog, Text: "two servers known"}, "08 0003 0011 74776f2073657276657273206b6e6f776e"},
+		{
+			dispatch.Action{Kind: dispatch.ActLog, Text: "two servers known"},
+			"08 0003 0011 74776f2073657276657273206b6e6f776e",
+		},
 		{dispatch.Action{Kind: dispatch.ActFetch}, "04 0003"},
 		{dispatch.Action{Kind: dispatch.ActProbe, Worker: 0x2c9011f2}, "0a 0003 2c9011f2"},
 		{dispatch.Action{Kind: dispatch.ActCancel, Job: 0x5d3a91c4}, "06 0003 5d3a91c4 0000"},
@@ -262,7 +269,13 @@
 	if !reflect.DeepEqual(s.Classes, want) {
 		t.Errorf("classes %+v", s.Classes)
 	}
-	fields := []dispatch.Field{dispatch.FieldErrors, dispatch.FieldBusy, dispatch.FieldUtil, dispatch.FieldFree, dispatch.FieldOther}
+	fields := []dispatch.Field{
+		dispatch.FieldErrors,
+		dispatch.FieldBusy,
+		dispatch.FieldUtil,
+		dispatch.FieldFree,
+		dispatch.FieldOther,
+	}
 	if !reflect.DeepEqual(s.Fields, fields) || s.Telemetry != dispatch.ReportProbes {
 		t.Errorf("fields %v, how %v", s.Fields, s.Telemetry)
 	}
