--- /dev/null
+++ b/brain/golden_actions_test.go
@@ -0,0 +1,253 @@
+package brain_test
+
+import (
+	"slices"
+
+	"gatetack/brain"
+)
+
+// This file holds what the actions of the module lead to at the executors, at discovery and at other nodes.
+
+func (c *goldenCluster) carryOut(i int, n *goldenNode, a *brain.Action) {
+	switch a.Kind {
+	case brain.ActSend:
+		c.send(i, n, a)
+	case brain.ActRefuse, brain.ActFail:
+		r := n.requests[a.Job]
+		if r == nil || r.done {
+			return
+		}
+		r.done = true
+		if a.Kind == brain.ActRefuse && c.random.chance(0.5) {
+			again := r.event
+			wait := max(a.For, 20)
+			if again.TimeLeft = r.due - c.now - wait; again.TimeLeft > 50 {
+				again.Job = c.nextJob
+				c.nextJob++
+				again.Flags |= brain.FlagRepeat
+				node := c.random.below(len(c.nodes))
+				c.at(wait, func() { c.ask(node, again) })
+			}
+		}
+	case brain.ActCancel:
+		if r := n.requests[a.Job]; r != nil && int(a.Attempt) < len(r.attempts) {
+			x := r.attempts[a.Attempt]
+			c.at(2, func() {
+				switch {
+				case x.ended:
+				case x.began || x.executor.hung:
+					c.end(x, brain.Cancelled, 1)
+				default:
+					c.end(x, brain.Moot, 1)
+				}
+			})
+		}
+	case brain.ActTimer:
+		c.give(i, n.life, a.For, brain.Event{Kind: brain.EvTimer, Token: a.Token})
+	case brain.ActProbe:
+		c.probe(i, n, a.Worker)
+	case brain.ActWatch:
+		c.watch(i, n.life)
+	case brain.ActTell:
+		c.tell(i, a)
+	}
+}
+
+func (c *goldenCluster) executor(id uint32) *goldenExecutor {
+	for _, e := range c.executors {
+		if e.row.Worker == id {
+			return e
+		}
+	}
+	return nil
+}
+
+func (c *goldenCluster) send(i int, n *goldenNode, action *brain.Action) {
+	e, r := c.executor(action.Worker), n.requests[action.Job]
+	if e == nil || r == nil {
+		c.t.Fatalf("node %d sends job %d to executor %d: one of them is unknown", i, action.Job, action.Worker)
+	}
+	a := &goldenAttempt{node: i, life: n.life, job: action.Job, number: uint16(len(r.attempts)), executor: e,
+		execLife: e.life, work: r.event.Work, slots: max(1, r.event.Slots), class: int(r.event.Class)}
+	r.attempts = append(r.attempts, a)
+	e.outs = slices.DeleteFunc(append(e.outs, a), func(a *goldenAttempt) bool { return a.ended })
+	s := c.plan.settings(i)
+	c.at(c.random.span(1, 5), func() { c.reach(a, s) })
+}
+
+func (c *goldenCluster) reach(a *goldenAttempt, s brain.Settings) {
+	e := a.executor
+	switch {
+	case a.ended:
+	case e.down || e.row.Condition == brain.Gone || e.deaf && c.random.chance(0.7):
+		c.end(a, brain.ConnectFailed, s.ConnectTimeout)
+	case e.drains, len(e.queue) > 6:
+		c.end(a, brain.Full, 1)
+	case c.random.chance(0.005):
+		c.end(a, brain.Moot, 3)
+	case e.hung:
+		if s.TellsStart {
+			c.give(a.node, a.life, 120, brain.Event{Kind: brain.EvNote, Job: a.job, Attempt: a.number,
+				Worker: e.row.Worker, Topic: brain.NoteLate})
+		}
+	default:
+		e.queue = append(e.queue, a)
+		c.advance(e)
+	}
+}
+
+// advance begins what has room at an executor.
+func (c *goldenCluster) advance(e *goldenExecutor) {
+	for len(e.queue) > 0 && !e.hung {
+		a := e.queue[0]
+		if e.busy > 0 && e.busy+a.slots > e.slots {
+			return
+		}
+		e.queue = e.queue[1:]
+		if a.ended {
+			continue
+		}
+		a.began = true
+		e.busy += a.slots
+		e.running++
+		c.begin(a)
+	}
+}
+
+func (c *goldenCluster) begin(a *goldenAttempt) {
+	e, s := a.executor, c.plan.settings(a.node)
+	run := max(1, a.work/e.speed*c.random.span(0.8, 1.3))
+	note := brain.Event{Kind: brain.EvNote, Job: a.job, Attempt: a.number, Worker: e.row.Worker, Topic: brain.NoteStarted}
+	if s.TellsStart {
+		c.give(a.node, a.life, 1, note)
+	}
+	if s.Progress > 0 {
+		note.Topic = brain.NoteProgress
+		for at := s.Progress; at < run; at += s.Progress {
+			note.Amount = at / run
+			progress := note
+			c.at(at, func() {
+				if n := c.nodes[a.node]; !a.ended && !e.hung && n.life == a.life && !n.down {
+					n.pending = append(n.pending, progress)
+				}
+			})
+		}
+	}
+	if c.plan.streams && c.random.chance(0.1) {
+		c.give(a.node, a.life, run/2, brain.Event{Kind: brain.EvFirst, Job: a.job, Attempt: a.number,
+			Worker: e.row.Worker, Elapsed: run / 2})
+	}
+	outcome := brain.Served
+	switch {
+	case e.badKind == a.class || c.random.chance(e.errs):
+		outcome, run = brain.Errored, min(run, 20)
+	case c.random.chance(0.004):
+		outcome = brain.Reset
+	case c.random.chance(0.01):
+		outcome = brain.Errored
+	}
+	a.stop = c.now + run
+	c.at(run, func() {
+		if !a.ended && !e.hung && a.execLife == e.life {
+			c.end(a, outcome, 1)
+		}
+	})
+}
+
+// end tells a node how an attempt ended and frees what it held.
+func (c *goldenCluster) end(a *goldenAttempt, outcome brain.Outcome, after float64) {
+	e, n := a.executor, c.nodes[a.node]
+	a.ended = true
+	if a.began && a.execLife == e.life {
+		e.busy -= a.slots
+		e.running--
+		if outcome == brain.Served {
+			e.served++
+		}
+		c.advance(e)
+	}
+	if n.life != a.life {
+		return
+	}
+	r := n.requests[a.job]
+	final := false
+	if outcome == brain.Served && !r.done {
+		r.done, final = true, true
+	}
+	event := brain.Event{Kind: brain.EvOutcome, Job: a.job, Attempt: a.number, Worker: e.row.Worker, Outcome: outcome,
+		Elapsed: after, Final: final}
+	s := c.plan.settings(a.node)
+	switch outcome {
+	case brain.Served, brain.Errored, brain.Full:
+		if s.Telemetry == brain.ReportAnswers {
+			event.Report = c.report(e, s)
+		}
+	}
+	c.give(a.node, a.life, after, event)
+}
+
+// report is a load report, taken once in a while, as executors do.
+func (c *goldenCluster) report(e *goldenExecutor, s brain.Settings) []float32 {
+	if c.now-e.sampled >= 100 || e.sampled == 0 {
+		e.sampled = c.now
+		queued := 0.0
+		for _, a := range e.queue {
+			queued += a.slots
+		}
+		noise := float32(c.random.float()) * 0.01
+		for f, v := range map[brain.Field]float64{brain.FieldBusy: float64(e.running + len(e.queue)),
+			brain.FieldPending: float64(len(e.queue)), brain.FieldUtil: min(1, e.busy/e.slots),
+			brain.FieldLatency: 200 / e.speed, brain.FieldServed: float64(e.served), brain.FieldErrors: e.errs,
+			brain.FieldFree: e.slots - queued - e.busy, brain.FieldMemory: e.memory - 2*e.busy} {
+			e.sample[f] = float32(v) + noise
+		}
+	}
+	out := make([]float32, len(s.Fields))
+	for i, f := range s.Fields {
+		out[i] = e.sample[f]
+	}
+	return out
+}
+
+func (c *goldenCluster) probe(i int, n *goldenNode, id uint32) {
+	e, s, life := c.executor(id), c.plan.settings(i), n.life
+	c.at(c.random.span(1, 6), func() {
+		event := brain.Event{Kind: brain.EvProbed, Worker: id, Elapsed: 4}
+		switch {
+		case e == nil || e.down:
+			event.Outcome = brain.ConnectFailed
+		case e.hung:
+			event.Outcome = brain.TimedOut
+		default:
+			event.Outcome, event.Report = brain.Served, c.report(e, s)
+		}
+		c.give(i, life, 1, event)
+	})
+}
+
+func (c *goldenCluster) watch(i, life int) {
+	c.at(3, func() {
+		n := c.nodes[i]
+		if n.life != life {
+			return
+		}
+		e := brain.Event{Kind: brain.EvList, Form: brain.ListFailed}
+		if c.discovery {
+			e = brain.Event{Kind: brain.EvList, Form: brain.ListFull, Version: c.version, Rows: c.rows()}
+			n.watching = true
+		}
+		n.pending = append(n.pending, e)
+	})
+}
+
+func (c *goldenCluster) tell(i int, a *brain.Action) {
+	for k, n := range c.nodes {
+		if k == i || int(a.To) != k && a.To != brain.AllPeers {
+			continue
+		}
+		if n.cut || c.nodes[i].cut || c.random.chance(0.01) {
+			continue
+		}
+		c.give(k, n.life, c.random.span(1, 4), brain.Event{Kind: brain.EvPeer, From: uint32(i), Data: append([]byte(nil), a.Data...)})
+	}
+}
--- /dev/null
+++ b/brain/golden_faults_test.go
@@ -0,0 +1,213 @@
+package brain_test
+
+import (
+	"math"
+	"slices"
+
+	"gatetack/brain"
+)
+
+// This file holds the faults of the golden runs: executors, nodes, discovery, and what no host should give.
+
+// listed sends changed rows to all who watch.
+func (c *goldenCluster) listed(rows ...brain.Row) {
+	c.version++
+	for i, n := range c.nodes {
+		if n.watching {
+			c.give(i, n.life, c.random.span(1, 30), brain.Event{Kind: brain.EvList, Form: brain.ListDelta, Version: c.version,
+				Rows: append([]brain.Row(nil), rows...)})
+		}
+	}
+}
+
+func (c *goldenCluster) anyExecutor() *goldenExecutor {
+	return c.executors[c.random.below(len(c.executors))]
+}
+
+func (c *goldenCluster) faultAtExecutor() {
+	e := c.anyExecutor()
+	span := c.random.span(200, 1500)
+	var mend func()
+	switch c.random.below(6) {
+	case 0:
+		e.down = true
+		mend = func() { e.down = false }
+	case 1:
+		e.hung = true
+		mend = func() {
+			e.hung = false
+			for _, a := range slices.Clone(e.outs) {
+				if a.began && !a.ended && c.now >= a.stop {
+					c.end(a, brain.Served, 1)
+				}
+			}
+			c.advance(e)
+		}
+	case 2:
+		e.deaf = true
+		mend = func() { e.deaf = false }
+	case 3:
+		e.errs = 0.7
+		mend = func() { e.errs = 0 }
+	case 4:
+		e.badKind = c.random.below(4)
+		span *= 3
+		mend = func() { e.badKind = -1 }
+	default:
+		e.drains = true
+		mend = func() { e.drains = false }
+	}
+	c.at(span, mend)
+}
+
+// kill ends a process of an executor: what is out there is lost.
+func (c *goldenCluster) kill(e *goldenExecutor) {
+	e.life++
+	e.busy, e.running, e.queue, e.hung = 0, 0, nil, false
+	outs := e.outs
+	e.outs = nil
+	for _, a := range outs {
+		if a.ended {
+			continue
+		}
+		outcome := brain.Reset
+		if c.random.chance(0.2) {
+			outcome = brain.TimedOut
+		}
+		c.end(a, outcome, 1)
+	}
+}
+
+func (c *goldenCluster) restartExecutor() {
+	e := c.anyExecutor()
+	if e.row.Condition == brain.Gone {
+		return
+	}
+	c.kill(e)
+	e.down = true
+	c.at(c.random.span(20, 300), func() {
+		e.down, e.row.Born, e.row.Condition = false, c.now, brain.Ready
+		c.listed(e.row)
+	})
+}
+
+func (c *goldenCluster) drainExecutor() {
+	e := c.anyExecutor()
+	if e.row.Condition != brain.Ready {
+		return
+	}
+	e.row.Condition = brain.Draining
+	c.listed(e.row)
+	c.at(400, func() {
+		e.row.Condition = brain.Gone
+		c.kill(e)
+		c.listed(e.row)
+		c.at(700, func() {
+			e.row.Condition, e.row.Born = brain.Ready, c.now
+			e.row.Zone = uint8(c.random.below(3))
+			c.listed(e.row)
+		})
+	})
+}
+
+func (c *goldenCluster) restartNode() {
+	i := c.random.below(len(c.nodes))
+	n := c.nodes[i]
+	if n.down {
+		return
+	}
+	n.down = true
+	n.life++
+	c.at(c.random.span(50, 900), func() { c.startNode(i) })
+}
+
+func (c *goldenCluster) cutNode() {
+	n := c.nodes[c.random.below(len(c.nodes))]
+	n.cut = true
+	c.at(c.random.span(200, 2500), func() { n.cut = false })
+}
+
+func (c *goldenCluster) stopDiscovery() {
+	c.discovery = false
+	for i, n := range c.nodes {
+		if n.watching && c.plan.settings(i).Ask {
+			n.watching = false
+			c.give(i, n.life, 2, brain.Event{Kind: brain.EvList, Form: brain.ListFailed})
+		}
+	}
+	c.at(c.random.span(300, 1500), func() { c.discovery = true })
+}
+
+// weights changes sizes as a list with live weights does: often, and nothing else.
+func (c *goldenCluster) weights() {
+	var rows []brain.Row
+	for i, e := range c.executors {
+		if e.row.Condition != brain.Gone {
+			e.row.Scale = float64(1+i%3) / (1 + float64(e.running+len(e.queue))/e.slots)
+			rows = append(rows, e.row)
+		}
+	}
+	if len(c.nodes) > 0 && c.plan.settings(0).LiveWeights {
+		c.listed(rows...)
+	}
+}
+
+// oddEvent gives a node what no host should.
+func (c *goldenCluster) oddEvent() {
+	i := c.random.below(len(c.nodes))
+	n := c.nodes[i]
+	if n.down {
+		return
+	}
+	job := uint32(c.random.below(int(c.nextJob)))
+	odd := []brain.Event{
+		{Kind: brain.EvOutcome, Job: 1 << 30, Worker: 100, Outcome: brain.Served, Report: []float32{1, 2, 3}},
+		{Kind: brain.EvOutcome, Job: job, Attempt: 77, Worker: 103, Outcome: brain.Full},
+		{Kind: brain.EvNote, Job: job, Attempt: 9, Topic: brain.NoteProgress},
+		{Kind: brain.EvFirst, Job: 1 << 30},
+		{Kind: brain.EvGone, Job: 1 << 30},
+		{Kind: brain.EvPeer, From: 5000, Data: []byte{1, 2, 3}},
+		{Kind: brain.EvPeer, From: uint32(c.random.below(len(c.nodes))), Data: []byte{byte(c.random.next()), byte(c.random.next()), 5, 1}},
+		{Kind: brain.EvPeer, From: uint32(c.random.below(len(c.nodes)))},
+		{Kind: brain.EvProbed, Worker: 1 << 30, Outcome: brain.Served},
+		{Kind: brain.EvProbed, Worker: 100, Outcome: brain.Served, Report: []float32{float32(math.NaN()), float32(math.Inf(1)), -1}},
+		{Kind: brain.EvTimer, Token: 1 << 30},
+		{Kind: brain.EvList, Form: brain.ListFull, Version: c.version, Rows: c.rows()},
+		{Kind: brain.EvList, Form: brain.ListDelta, Rows: []brain.Row{{Worker: 1 << 30, Condition: brain.Gone}}},
+	}
+	n.pending = append(n.pending, odd[c.random.below(len(odd))])
+	if c.random.chance(0.3) { // numbers of no sense; nobody waits for its answer
+		n.requests[c.nextJob] = &goldenRequest{due: c.now + 300, event: brain.Event{Work: 50, TimeLeft: 300}}
+		n.pending = append(n.pending, brain.Event{Kind: brain.EvRequest, Job: c.nextJob, Class: 250, Tenant: 60000, Slots: math.NaN(),
+			Memory: -3, TimeLeft: 300, Work: math.Inf(1), Flags: brain.FlagWork})
+		life, id := n.life, c.nextJob
+		c.at(305, func() { c.leave(i, life, id) })
+		c.nextJob++
+	}
+}
+
+// retune gives a node new classes, tenants and prices while jobs are open.
+func (c *goldenCluster) retune() {
+	i := c.random.below(len(c.nodes))
+	n := c.nodes[i]
+	if n.down {
+		return
+	}
+	s := c.plan.settings(i)
+	s.Fees.CrossZone += 0.1 * float64(c.random.below(3))
+	s.MaxAttempts = 2 + c.random.below(3)
+	s.OverShareWorth = 0.25 * float64(c.random.below(4))
+	if c.random.chance(0.5) && len(s.Tenants) > 0 {
+		s.Tenants = append(append([]brain.Tenant(nil), s.Tenants...), brain.Tenant{Portion: 0.1, Quota: 3})
+	}
+	if c.random.chance(0.5) {
+		s.Classes = append(append([]brain.Class(nil), s.Classes...), brain.Class{Aim: 700, Deadline: 3000, Worth: 2, Kind: -1})
+	}
+	if c.random.chance(0.2) {
+		s.MaxAttempts = 0 // refused
+	}
+	// A smaller list than what stands is refused as well, and so is a class with open jobs: that is part of the run.
+	if err := n.dispatcher.Retune(s, map[int]int{len(s.Classes) - 1: 0}); err == nil {
+		n.pending = append(n.pending, brain.Event{Kind: brain.EvTimer})
+	}
+}
