--- a/internal/executor/callback.go
+++ b/internal/executor/callback.go
@@ -14,7 +14,7 @@
 )
 
 // header reads a load report from an answer: TEXT name=value, name=value.
-func (c *Client) header(m *http1.Message) []float32 {
+func (c *Client) reportFromHeader(m *http1.Message) []float32 {
 	text := strings.TrimPrefix(m.Get("Endpoint-Load-Metrics"), "TEXT ")
 	if text == "" {
 		return nil
@@ -29,7 +29,7 @@
 	return c.names.Report(func(name string) (float64, bool) { v, ok := values[name]; return v, ok })
 }
 
-func (c *Client) object(v gjson.Result) []float32 {
+func (c *Client) reportFromJSON(v gjson.Result) []float32 {
 	if !v.IsObject() {
 		return nil
 	}
@@ -51,45 +51,45 @@
 		return errors.New("a callback that is not JSON")
 	}
 	v := gjson.ParseBytes(body)
-	key := liveKey{v.Get("id").String(), v.Get("from").String()}
+	key := attemptKey{v.Get("id").String(), v.Get("from").String()}
 	c.mu.Lock()
-	t := c.byName[key]
+	t := c.attemptByKey[key]
 	c.mu.Unlock()
 	if t == nil {
 		return ErrNotOurs
 	}
 	t.mu.Lock()
-	written := t.written
+	written := t.lastByteCommitted
 	t.mu.Unlock()
 	if written {
-		c.heard(t.Worker)
-		c.owed.signed(t, time.Now()) // whatever it says of the job, it has it
+		c.recordContact(t.Worker)
+		c.acks.acknowledge(t, time.Now()) // whatever it says of the job, it has it
 	} else {
 		return nil // stale: of an earlier attempt there, since nothing of this one was written
 	}
-	report := c.object(v.Get("load"))
+	report := c.reportFromJSON(v.Get("load"))
 	switch v.Get("state").String() {
 	case "started":
-		c.sink.Result(node.Result{Attempt: t.ID, Topic: dispatch.NoteStarted})
+		c.handler.Result(node.Result{Attempt: t.ID, Topic: dispatch.NoteStarted})
 	case "running":
-		c.sink.Result(node.Result{Attempt: t.ID, Topic: dispatch.NoteProgress, Amount: v.Get("share").Float()})
+		c.handler.Result(node.Result{Attempt: t.ID, Topic: dispatch.NoteProgress, Amount: v.Get("share").Float()})
 	case "done":
 		result := v.Get("result")
 		if result.Type != gjson.String {
 			// Whatever was passed on for it would be a result that no executor made.
-			c.log.Warn("a callback says done without a result", "from", key.from, "job", key.trace)
-			c.end(t, dispatch.Errored, report, nil)
+			c.log.Warn("a callback says done without a result", "from", key.executor, "job", key.trace)
+			c.finish(t, dispatch.Errored, report, nil)
 			break
 		}
-		c.end(t, dispatch.Served, report, []byte(result.Str))
+		c.finish(t, dispatch.Served, report, []byte(result.Str))
 	case "failed":
-		c.end(t, dispatch.Errored, report, nil)
+		c.finish(t, dispatch.Errored, report, nil)
 	case "returned":
-		if c.handedBack(t) {
-			c.end(t, dispatch.Full, report, nil)
+		if c.isFirstReturn(t) {
+			c.finish(t, dispatch.Full, report, nil)
 		}
 	case "lost":
-		c.end(t, dispatch.Reset, report, nil)
+		c.finish(t, dispatch.Reset, report, nil)
 	default:
 		c.log.Warn("a callback with an unknown state", "state", v.Get("state").String())
 	}
--- a/internal/executor/clientleft_test.go
+++ b/internal/executor/clientleft_test.go
@@ -114,7 +114,7 @@
 				defer context.AfterFunc(t.Context(), func() { _ = conn.Close() })()
 				defer func() { _ = conn.Close() }()
 				for r := bufio.NewReader(conn); ; {
-					text, err := request(r)
+					text, err := readRequest(r)
 					if err != nil {
 						return nil
 					}
@@ -171,13 +171,13 @@
 		standsAt int
 		queued   bool // no executor is known at first
 	}{
-		"first attempt":             {accepted, 1, false},
-		"after a wait in the queue": {accepted, 1, true},
+		"first attempt":             {acceptedAnswer, 1, false},
+		"after a wait in the queue": {acceptedAnswer, 1, true},
 		"retry":                     {rejected, 2, false},
 		"hedged request":            {"", 2, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lim := hasty()
+			lim := withShortAcks()
 			lim.Events = 8
 			one, two := startExecutor(t, "s-1", x.answer), startExecutor(t, "s-2", x.answer)
 			client, leave := context.WithCancel(t.Context())
@@ -221,9 +221,9 @@
 
 // A dial that comes up late, after its client has left, carries nothing.
 func TestLateDialAfterTheClientLeftCarriesNothing(t *testing.T) {
-	c, s := setup(t, testenv.Lim)
+	c, s := newClient(t, testenv.Lim)
 	came := make(chan string, 1)
-	box(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
+	startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
 	client, leave := context.WithCancel(t.Context())
 	real := c.pool.dial
 	c.pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -231,7 +231,7 @@
 		leave() // while it came up
 		return conn, err
 	}
-	a := attempt(1)
+	a := newAttempt(1)
 	a.Job.Still = func() precheck.Reason {
 		if client.Err() != nil {
 			return precheck.Left
@@ -240,7 +240,7 @@
 	}
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	c.pool.drop(c.address(7)) // one that carried nothing is kept
+	c.pool.closeIdle(c.address(7)) // one that carried nothing is kept
 	if got, text := s.outcomes(1), <-came; got[0] != dispatch.Moot || text != "" {
 		t.Errorf("outcomes %v, %q was written", got, text)
 	}
@@ -248,7 +248,7 @@
 
 // A job that was terminated while it waited is sent nowhere, though an executor comes up then.
 func TestTerminatedJobIsNotSent(t *testing.T) {
-	x := startExecutor(t, "s-1", accepted)
+	x := startExecutor(t, "s-1", acceptedAnswer)
 	n := startNode(t, testenv.Lim, 0, nil)
 	waiting := newQuietClient()
 	job := node.Job{Left: 20 * time.Second, Slots: 1, Trace: "00000000000000aa", Method: "POST", Target: "/x/y", Body: []byte("body")}
@@ -276,10 +276,10 @@
 // An attempt of a job that was answered or terminated after it was decided on is not sent, though the core can take nothing: the job's
 // own mark is read at the last moment.
 func TestAnsweredJobIsNotSentThoughTheEventsAreFull(t *testing.T) {
-	c, s := setup(t, testenv.Lim)
+	c, s := newClient(t, testenv.Lim)
 	came := make(chan string, 1)
-	box(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
-	a := attempt(1)
+	startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
+	a := newAttempt(1)
 	a.Answered = &atomic.Bool{}
 	looks := 0
 	a.Job.Still = func() precheck.Reason {
--- a/internal/executor/connect.go
+++ b/internal/executor/connect.go
@@ -19,7 +19,7 @@
 var errNotAllowed = errors.New("executor: the attempt may not go any more")
 
 // pause waits for a while, or until the context ends.
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -32,28 +32,28 @@
 
 // connect gives an attempt a connection, or the outcome that it ends with. A fault of this machine is no sign of the executor: the
 // attempt never ran, and the decision module hears of nothing that it would hold against the executor.
-func (c *Client) connect(ctx context.Context, t *try) (*conn, dispatch.Outcome) {
-	conn, err := c.dial(ctx, t.Deadline, func() (string, bool) { return c.still(t) })
+func (c *Client) connect(ctx context.Context, t *activeAttempt) (*connection, dispatch.Outcome) {
+	conn, err := c.dial(ctx, t.Deadline, func() (string, bool) { return c.allowed(t) })
 	switch {
 	case err == nil:
-		if !conn.kept {
-			c.heard(t.Worker)
+		if !conn.reused {
+			c.recordContact(t.Worker)
 		}
 		return conn, 0
 	case errors.Is(err, errNotAllowed):
 		return nil, dispatch.Moot
 	case isLocalFault(err):
-		c.log.Warn("executor connect failed locally", "executor", t.key.from, "job", t.Job.Trace, "err", err)
+		c.log.Warn("executor connect failed locally", "executor", t.key.executor, "job", t.Job.Trace, "err", err)
 		return nil, dispatch.Moot
 	case ctx.Err() == nil:
-		c.log.Debug("executor connect failed", "executor", t.key.from, "job", t.Job.Trace, "err", err)
+		c.log.Debug("executor connect failed", "executor", t.key.executor, "job", t.Job.Trace, "err", err)
 	}
 	return nil, dispatch.ConnectFailed
 }
 
 // dial takes a connection from the pool, again after local faults, while there is time for it. It asks before each dial whether and
 // where to.
-func (c *Client) dial(ctx context.Context, by time.Time, target func() (string, bool)) (*conn, error) {
+func (c *Client) dial(ctx context.Context, by time.Time, target func() (string, bool)) (*connection, error) {
 	for n := 0; ; n++ {
 		addr, ok := target()
 		if !ok {
@@ -67,7 +67,7 @@
 			c.pool.evictIdle()
 		}
 		wait := firstRedialPause << n
-		if n == maxRedials || time.Until(by) <= wait || c.pause(ctx, wait) != nil {
+		if n == maxRedials || time.Until(by) <= wait || c.sleep(ctx, wait) != nil {
 			return nil, err
 		}
 	}
--- a/internal/executor/connfault_test.go
+++ b/internal/executor/connfault_test.go
@@ -30,8 +30,8 @@
 func TestConnectionThatMovesOneByteAtATime(t *testing.T) {
 	for name, between := range map[string]error{"short": nil, "EAGAIN": connError("read", syscall.EAGAIN)} {
 		t.Run(name, func(t *testing.T) {
-			c, s := setup(t, testenv.Lim)
-			n := box(t, c, says(accepted))
+			c, s := newClient(t, testenv.Lim)
+			n := startRawExecutor(t, c, answering(acceptedAnswer))
 			scriptConns(c, func(_ int, conn *scriptedConn) {
 				reads := 0
 				conn.read = func(b []byte) (int, error) {
@@ -49,9 +49,9 @@
 					return len(b), nil
 				}
 			})
-			c.Send(attempt(1))
+			c.Send(newAttempt(1))
 			testenv.Until(t, "it is taken", func() bool { return c.isTaken(1) || len(s.outcomes(1)) > 0 })
-			_ = c.Callback([]byte(done))
+			_ = c.Callback([]byte(doneCallback))
 			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served || n() != 1 {
 				t.Errorf("outcomes %v over %d connections", got, n())
 			}
@@ -62,14 +62,14 @@
 // isTaken says whether an attempt's 202 was read.
 func (c *Client) isTaken(id uint64) bool {
 	c.mu.Lock()
-	x := c.live[id]
+	x := c.attempts[id]
 	c.mu.Unlock()
 	if x == nil {
 		return false
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.taken
+	return x.accepted
 }
 
 // A connection that breaks ends its attempt with one outcome, at once: before the last byte is written as one that could not connect,
@@ -117,10 +117,10 @@
 	for _, at := range moments {
 		for name, errno := range brokenConnection {
 			t.Run(at.name+"/"+name, func(t *testing.T) {
-				c, s := setup(t, testenv.Lim)
-				n := box(t, c, silent)
+				c, s := newClient(t, testenv.Lim)
+				n := startRawExecutor(t, c, silent)
 				scriptConns(c, func(_ int, conn *scriptedConn) { at.set(conn, errno) })
-				a := attempt(1)
+				a := newAttempt(1)
 				a.Deadline = time.Now().Add(time.Hour) // the end of it is no verdict here
 				c.Send(a)
 				testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
@@ -180,5 +180,5 @@
 func (c *Client) liveAttempts() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.live)
+	return len(c.attempts)
 }
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -22,33 +22,33 @@
 )
 
 // pausing is a sink that stands still while it is told that a sign of an attempt is owed: whoever reads the answer stands with it.
-type pausing struct {
-	*sink
-	told, on chan bool
+type pausingHandler struct {
+	*resultRecorder
+	standing, release chan bool
 }
 
-func (p *pausing) Result(r node.Result) {
+func (p *pausingHandler) Result(r node.Result) {
 	if r.Topic == dispatch.NoteLate && r.Outcome == 0 {
-		p.told <- true
-		<-p.on
+		p.standing <- true
+		<-p.release
 	}
-	p.sink.Result(r)
+	p.resultRecorder.Result(r)
 }
 
 // executorThatTakesLate reads a request, takes it once it is told to, and hands on whatever request comes next on any connection.
 func executorThatTakesLate(t *testing.T, c *Client, accept <-chan bool) (taken <-chan bool, next <-chan string) {
 	t.Helper()
 	told, came := make(chan bool, 1), make(chan string, 4)
-	box(t, c, func(conn net.Conn) {
+	startRawExecutor(t, c, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
-		_, _ = request(r)
+		_, _ = readRequest(r)
 		<-accept
-		_, _ = io.WriteString(conn, accepted)
+		_, _ = io.WriteString(conn, acceptedAnswer)
 		testenv.Until(t, "the other side has the 202", func() bool { return tcpinfo.Queued(conn) == 0 })
 		told <- true
 		_, _ = r.ReadByte() // until it is closed
 	}, func(conn net.Conn) {
-		text, _ := request(bufio.NewReader(conn))
+		text, _ := readRequest(bufio.NewReader(conn))
 		came <- text
 		_, _ = io.WriteString(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 	})
@@ -58,17 +58,17 @@
 // A 202 that crosses the giving up of its attempt: the executor has the job, and a close of the connection is no sign to it any
 // more. It is told by DELETE. The 202 is on this machine, unread, in the moment of the giving up.
 func TestCancelCrossesA202(t *testing.T) {
-	c, s := setup(t, hasty())
-	sink := &pausing{s, make(chan bool), make(chan bool)}
-	c.sink = sink
+	c, s := newClient(t, withShortAcks())
+	sink := &pausingHandler{s, make(chan bool), make(chan bool)}
+	c.handler = sink
 	accept := make(chan bool)
 	taken, next := executorThatTakesLate(t, c, accept)
-	c.Send(attempt(1))
-	<-sink.told // nothing is read from here on
+	c.Send(newAttempt(1))
+	<-sink.standing // nothing is read from here on
 	accept <- true
 	<-taken
 	c.GiveUp(1)
-	sink.on <- true
+	sink.release <- true
 	expectDelete(t, next)
 	if got := s.outcomes(1); len(got) != 0 {
 		t.Errorf("%v", got)
@@ -77,18 +77,18 @@
 
 // The same where the 202 has been read and is noted only after the giving up; noted once more, it makes no second DELETE.
 func TestCancelCrossesTheNoteOfA202(t *testing.T) {
-	c, _ := setup(t, testenv.Lim)
+	c, _ := newClient(t, testenv.Lim)
 	asked := make(chan bool, 1)
 	next := make(chan string, 4)
-	box(t, c, func(conn net.Conn) {
+	startRawExecutor(t, c, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
-		_, _ = request(r)
+		_, _ = readRequest(r)
 		asked <- true
 		_, _ = r.ReadByte()
 	}, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
 		for {
-			text, err := request(r)
+			text, err := readRequest(r)
 			if err != nil {
 				return
 			}
@@ -96,16 +96,16 @@
 			_, _ = io.WriteString(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 		}
 	})
-	c.Send(attempt(1))
+	c.Send(newAttempt(1))
 	<-asked
 	c.mu.Lock()
-	given := c.live[1]
+	given := c.attempts[1]
 	c.mu.Unlock()
 	c.GiveUp(1)
-	c.take(given)
-	c.take(given)
+	c.recordAccepted(given)
+	c.recordAccepted(given)
 	expectDelete(t, next)
-	testenv.Until(t, "all is told", func() bool { return len(c.slots) == 0 })
+	testenv.Until(t, "all is told", func() bool { return len(c.cancelSlots) == 0 })
 	if len(next) != 0 {
 		t.Errorf("%d further calls", len(next))
 	}
@@ -126,8 +126,8 @@
 // An executor handed a request back, was sent it again, and says once more that it handed it back, since the answer to its first
 // call was lost: the second attempt goes on, to its result. Another executor's word is its own.
 func TestRepeatedReturnEndsNothing(t *testing.T) {
-	c, s := setup(t, testenv.Lim)
-	box(t, c, says(accepted))
+	c, s := newClient(t, testenv.Lim)
+	startRawExecutor(t, c, answering(acceptedAnswer))
 	word := func(from, rest string) {
 		t.Helper()
 		if err := c.Callback([]byte(`{"id":"00000000000000aa","from":"` + from + `",` + rest + `}`)); err != nil {
@@ -139,27 +139,27 @@
 		c.Send(a)
 		testenv.Until(t, "its last byte is out", func() bool {
 			c.mu.Lock()
-			x := c.live[a.ID]
+			x := c.attempts[a.ID]
 			c.mu.Unlock()
 			x.mu.Lock()
 			defer x.mu.Unlock()
-			return x.taken
+			return x.accepted
 		})
 	}
 	const returned = `"state":"returned"`
-	send(attempt(1))
+	send(newAttempt(1))
 	word("s-7", returned)
 	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Full {
 		t.Fatalf("handed back: %v", got)
 	}
-	send(attempt(2))
+	send(newAttempt(2))
 	word("s-7", returned)
 	word("s-7", returned)
 	if got := s.outcomes(2); len(got) != 0 {
 		t.Fatalf("the second attempt ended with %v by a word on the first", got)
 	}
 	c.Told(8, node.Entry{Name: "s-8", Address: c.address(7), Status: "ready"}, time.Now())
-	third := attempt(3)
+	third := newAttempt(3)
 	third.Worker = 8
 	send(third)
 	word("s-8", returned)
@@ -174,13 +174,13 @@
 
 // What is kept of requests that were handed back is let go of once no attempt of theirs can be out.
 func TestReturnsAreForgotten(t *testing.T) {
-	r, now := returns{}, time.Now()
+	r, now := returnedRequests{}, time.Now()
 	for i := range 100 {
-		if key := (liveKey{fmt.Sprint(i), "s-7"}); !r.first(key, now, now.Add(time.Second)) || r.first(key, now, now.Add(time.Second)) {
+		if key := (attemptKey{fmt.Sprint(i), "s-7"}); !r.record(key, now, now.Add(time.Second)) || r.record(key, now, now.Add(time.Second)) {
 			t.Fatal(i)
 		}
 	}
-	if r.first(liveKey{"next", "s-7"}, now.Add(time.Second), now.Add(2*time.Second)); len(r) != 1 {
+	if r.record(attemptKey{"next", "s-7"}, now.Add(time.Second), now.Add(2*time.Second)); len(r) != 1 {
 		t.Errorf("%d are kept", len(r))
 	}
 }
@@ -188,13 +188,13 @@
 // An attempt tells its executor no more time than is left when its bytes are made, however long it waited before: here in the
 // look before its first byte.
 func TestToldTimeIsWhatIsLeft(t *testing.T) {
-	c, _ := setupExactly(t, testenv.Lim)
+	c, _ := newClientWithLimits(t, testenv.Lim)
 	came := make(chan string, 1)
-	box(t, c, func(conn net.Conn) {
-		text, _ := request(bufio.NewReader(conn))
+	startRawExecutor(t, c, func(conn net.Conn) {
+		text, _ := readRequest(bufio.NewReader(conn))
 		came <- text
 	})
-	a := attempt(1)
+	a := newAttempt(1)
 	looks, left := 0, time.Duration(0)
 	a.Job.Still = func() precheck.Reason {
 		if looks++; looks == 2 { // before its first byte
@@ -217,13 +217,13 @@
 	lim := testenv.Lim
 	lim.TimeSpare = 20 * time.Millisecond
 	lim.Pace.BoxOut = slowpeer.Rate{Bytes: 1, Grace: 20 * time.Second}
-	c, s := setupExactly(t, lim)
+	c, s := newClientWithLimits(t, lim)
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	smallBuffer(t, ln)
-	a := attempt(1)
+	a := newAttempt(1)
 	a.Job.Body = []byte(strings.Repeat("b", 60<<10))
 	type got struct {
 		text string
@@ -254,7 +254,7 @@
 			return nil
 		}
 		second <- got{m.Get("X-Expires-In-Ms"), left}
-		_, _ = io.WriteString(next, accepted)
+		_, _ = io.WriteString(next, acceptedAnswer)
 		return nil
 	})
 	c.Told(7, node.Entry{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
@@ -275,5 +275,5 @@
 	if got := s.outcomes(1); len(got) != 0 {
 		t.Errorf("%v", got)
 	}
-	_ = c.Callback([]byte(done))
+	_ = c.Callback([]byte(doneCallback))
 }
--- a/internal/executor/deadline_test.go
+++ b/internal/executor/deadline_test.go
@@ -44,20 +44,20 @@
 		t.Run(name, func(t *testing.T) {
 			lim := testenv.Lim
 			lim.SettleLeast, lim.SettleMost = x.settle, x.settle
-			c, s := setupExactly(t, lim)
+			c, s := newClientWithLimits(t, lim)
 			came := make(chan string, 1)
-			box(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
-			a := attempt(1)
+			startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
+			a := newAttempt(1)
 			looks := 0
 			a.Job.Still = func() precheck.Reason {
 				if looks++; looks == 2 { // before the first byte
-					c.live[1].Deadline = time.Now().Add(x.left)
+					c.attempts[1].Deadline = time.Now().Add(x.left)
 				}
 				return precheck.May
 			}
 			c.Send(a)
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-			c.pool.drop(c.address(7))
+			c.pool.closeIdle(c.address(7))
 			if got, text := s.outcomes(1), <-came; got[0] != dispatch.Moot || text != "" {
 				t.Errorf("outcomes %v, %q was written", got, text)
 			}
@@ -132,9 +132,9 @@
 		for _, held := range holdings {
 			t.Run(fmt.Sprintf("%s/held up at %s for %v", kind, held.moment, held.length), func(t *testing.T) {
 				for range 5 { // a busy machine may hold it up further, and then nothing is sent
-					c, s := setupExactly(t, testenv.Lim)
-					n := box(t, c, says(accepted))
-					a := attempt(1)
+					c, s := newClientWithLimits(t, testenv.Lim)
+					n := startRawExecutor(t, c, answering(acceptedAnswer))
+					a := newAttempt(1)
 					a.Rules = precheck.Rules{Number: 1, Most: 3}
 					set(&a)
 					client := a.Deadline.Add(testenv.Lim.AnswerEarly)
@@ -145,7 +145,7 @@
 					})
 					c.Send(a)
 					testenv.Until(t, "it is sent", func() bool { return seen.requests() > 0 || len(s.outcomes(1)) > 0 })
-					_ = c.Callback([]byte(done))
+					_ = c.Callback([]byte(doneCallback))
 					got := s.outcomes(1)
 					if len(got) == 1 && got[0] == dispatch.Moot && seen.requests() == 0 {
 						continue
@@ -163,9 +163,9 @@
 
 // A process that is held up each time sends nothing rather than tell too much.
 func TestHeldUpEachTimeIsNotSent(t *testing.T) {
-	c, s := setupExactly(t, testenv.Lim)
-	box(t, c, says(accepted))
-	a := attempt(1)
+	c, s := newClientWithLimits(t, testenv.Lim)
+	startRawExecutor(t, c, answering(acceptedAnswer))
+	a := newAttempt(1)
 	client := a.Deadline.Add(testenv.Lim.AnswerEarly)
 	seen := watchWrites(t, c, func() time.Time { return client }, func(_ int, moment string) {
 		if moment == "head" {
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -23,25 +23,25 @@
 )
 
 // sink keeps what the client tells the core.
-type sink struct {
-	mu  sync.Mutex
-	all []node.Result
+type resultRecorder struct {
+	mu      sync.Mutex
+	results []node.Result
 }
 
-func (s *sink) Result(r node.Result) {
+func (s *resultRecorder) Result(r node.Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all = append(s.all, r)
+	s.results = append(s.results, r)
 }
 
-func (s *sink) Probed(w uint32, o dispatch.Outcome, _ time.Duration, report []float32) {
+func (s *resultRecorder) Probed(w uint32, o dispatch.Outcome, _ time.Duration, report []float32) {
 	s.Result(node.Result{Attempt: uint64(w) + 1<<40, Outcome: o, Report: report})
 }
 
-func (s *sink) outcomes(id uint64) (out []dispatch.Outcome) {
+func (s *resultRecorder) outcomes(id uint64) (out []dispatch.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, r := range s.all {
+	for _, r := range s.results {
 		if r.Attempt == id && r.Outcome != 0 {
 			out = append(out, r.Outcome)
 		}
@@ -51,34 +51,34 @@
 
 // setup makes a client for tests of all but the time that executors are told: a busy machine that holds one of them up makes no request
 // anew.
-func setup(t *testing.T, lim limits.Limits) (*Client, *sink) {
+func newClient(t *testing.T, lim limits.Limits) (*Client, *resultRecorder) {
 	lim.TimeSpare = time.Hour
-	return setupExactly(t, lim)
+	return newClientWithLimits(t, lim)
 }
 
 // setupExactly makes a client with the limits as they are.
-func setupExactly(t *testing.T, lim limits.Limits) (*Client, *sink) {
+func newClientWithLimits(t *testing.T, lim limits.Limits) (*Client, *resultRecorder) {
 	ctx, cancel := context.WithCancel(context.Background())
-	g, s := &errgroup.Group{}, &sink{}
+	g, s := &errgroup.Group{}, &resultRecorder{}
 	c := New(ctx, g, lim, node.Names{Fields: []string{"pending", "x0"}}, s, &slowpeer.Tally{}, testenv.Quiet)
 	t.Cleanup(func() { cancel(); _ = g.Wait() })
 	return c, s
 }
 
 // restless are limits by which a connection is used again at once, for tests of what is seen of the connection itself.
-func restless() limits.Limits {
+func withoutRest() limits.Limits {
 	lim := testenv.Lim
 	lim.Rest = 0
 	return lim
 }
 
-func attempt(id uint64) node.Attempt {
+func newAttempt(id uint64) node.Attempt {
 	return node.Attempt{ID: id, Worker: 7, Deadline: time.Now().Add(10 * time.Second),
 		Job: &node.Job{Trace: "00000000000000aa", Method: "POST", Target: "/tile-charge/x", Body: []byte("body")}}
 }
 
 // box is a raw executor: it reads a request's end and does what script says, one connection after another.
-func box(t *testing.T, c *Client, script ...func(net.Conn)) (accepted func() int) {
+func startRawExecutor(t *testing.T, c *Client, script ...func(net.Conn)) (accepted func() int) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -119,7 +119,7 @@
 }
 
 // request reads one whole request with a body of four bytes, or none.
-func request(r *bufio.Reader) (string, error) {
+func readRequest(r *bufio.Reader) (string, error) {
 	var all strings.Builder
 	length := 0
 	for {
@@ -139,11 +139,11 @@
 	}
 }
 
-func says(answers ...string) func(net.Conn) {
+func answering(answers ...string) func(net.Conn) {
 	return func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for _, a := range answers {
-			if _, err := request(r); err != nil {
+			if _, err := readRequest(r); err != nil {
 				return
 			}
 			if _, err := io.WriteString(c, a); err != nil {
@@ -153,7 +153,7 @@
 	}
 }
 
-const accepted = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
+const acceptedAnswer = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
 // What an executor says at once, and what that says of whether the job ran.
 func TestAnswers(t *testing.T) {
@@ -162,29 +162,29 @@
 		script func(net.Conn)
 		want   dispatch.Outcome
 	}{
-		{"turned away", says("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT queue=4, x0=0.5\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
-		{"turned away late", says("HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
+		{"turned away", answering("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT queue=4, x0=0.5\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
+		{"turned away late", answering("HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
 		// A 503 without the word may have run: taken as never run, a tile-charge could be sent twice.
-		{"503 alone", says("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), dispatch.Errored},
-		{"500", says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), dispatch.Errored},
-		{"breaks before its answer", says(), dispatch.Reset},
-		{"breaks within its answer", says("HTTP/1.1 202 Acc"), dispatch.Reset},
-		{"garbage", says("what?\r\n\r\n"), dispatch.Reset},
+		{"503 alone", answering("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), dispatch.Errored},
+		{"500", answering("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), dispatch.Errored},
+		{"breaks before its answer", answering(), dispatch.Reset},
+		{"breaks within its answer", answering("HTTP/1.1 202 Acc"), dispatch.Reset},
+		{"garbage", answering("what?\r\n\r\n"), dispatch.Reset},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c, s := setup(t, testenv.Lim)
+			c, s := newClient(t, testenv.Lim)
 			script := x.script
 			if x.name == "breaks before its answer" {
-				script = func(conn net.Conn) { _, _ = request(bufio.NewReader(conn)) }
+				script = func(conn net.Conn) { _, _ = readRequest(bufio.NewReader(conn)) }
 			}
-			box(t, c, script)
-			c.Send(attempt(1))
+			startRawExecutor(t, c, script)
+			c.Send(newAttempt(1))
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 			if got := s.outcomes(1); len(got) != 1 || got[0] != x.want {
 				t.Errorf("%v, want %d", got, x.want)
 			}
-			if x.name == "turned away" && (len(s.all[0].Report) != 2 || s.all[0].Report[0] != 4 || s.all[0].Report[1] != 0.5) {
-				t.Errorf("load report %v", s.all[0].Report)
+			if x.name == "turned away" && (len(s.results[0].Report) != 2 || s.results[0].Report[0] != 4 || s.results[0].Report[1] != 0.5) {
+				t.Errorf("load report %v", s.results[0].Report)
 			}
 		})
 	}
@@ -192,13 +192,13 @@
 
 // Callbacks: one may come before the 202, they repeat, and stale ones are passed over. Each attempt has one end.
 func TestCallbacks(t *testing.T) {
-	c, s := setup(t, testenv.Lim)
+	c, s := newClient(t, testenv.Lim)
 	early := make(chan bool)
-	box(t, c, func(conn net.Conn) {
-		if _, err := request(bufio.NewReader(conn)); err == nil {
+	startRawExecutor(t, c, func(conn net.Conn) {
+		if _, err := readRequest(bufio.NewReader(conn)); err == nil {
 			early <- true
 			<-early
-			_, _ = io.WriteString(conn, accepted)
+			_, _ = io.WriteString(conn, acceptedAnswer)
 		}
 	})
 	tell := func(from, state string) {
@@ -207,7 +207,7 @@
 		}
 	}
 	tell("s-7", "done") // of nothing that is live
-	c.Send(attempt(1))
+	c.Send(newAttempt(1))
 	<-early
 	tell("s-8", "done") // of another executor
 	tell("s-7", "started")
@@ -219,18 +219,18 @@
 	testenv.Until(t, "the connection is back", func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 })
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.all) != 2 || s.all[0].Topic != dispatch.NoteStarted || s.all[1].Outcome != dispatch.Served ||
-		string(s.all[1].Body) != "tile" || len(s.all[1].Report) != 2 {
-		t.Errorf("%+v", s.all)
+	if len(s.results) != 2 || s.results[0].Topic != dispatch.NoteStarted || s.results[1].Outcome != dispatch.Served ||
+		string(s.results[1].Body) != "tile" || len(s.results[1].Report) != 2 {
+		t.Errorf("%+v", s.results)
 	}
 }
 
 // A callback that says done and brings no result must not become an answer that no executor made.
 func TestDoneWithoutAResult(t *testing.T) {
 	for _, rest := range []string{``, `,"result":null`, `,"result":7`, `,"result":{}`} {
-		c, s := setup(t, testenv.Lim)
-		box(t, c, says(accepted))
-		c.Send(attempt(1))
+		c, s := newClient(t, testenv.Lim)
+		startRawExecutor(t, c, answering(acceptedAnswer))
+		c.Send(newAttempt(1))
 		testenv.Until(t, "an outcome", func() bool {
 			_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done"` + rest + `}`))
 			return len(s.outcomes(1)) > 0
@@ -244,9 +244,9 @@
 // A callback that comes before anything of an attempt was written is of an earlier one: after "returned", a
 // repeat of that word must not end the next attempt at the same executor.
 func TestStaleCallbackBeforeTheSend(t *testing.T) {
-	c, s := setup(t, testenv.Lim)
-	n := box(t, c, says(accepted))
-	a := attempt(2)
+	c, s := newClient(t, testenv.Lim)
+	n := startRawExecutor(t, c, answering(acceptedAnswer))
+	a := newAttempt(2)
 	hold, held := make(chan bool), make(chan bool)
 	a.Job.Before = func(string) error { held <- true; <-hold; return nil }
 	c.Send(a)
@@ -269,9 +269,9 @@
 func TestDrainAtTheMomentOfSending(t *testing.T) {
 	lim := testenv.Lim
 	lim.DrainSpare = 0
-	c, s := setup(t, lim)
-	n := box(t, c, says(accepted))
-	a := attempt(1)
+	c, s := newClient(t, lim)
+	n := startRawExecutor(t, c, answering(acceptedAnswer))
+	a := newAttempt(1)
 	a.Job.Before = func(string) error {
 		c.Told(7, node.Entry{Name: "s-7", Status: "draining"}, time.Now().Add(-time.Millisecond))
 		return nil
@@ -285,14 +285,14 @@
 
 // A connection that the executor closed while it stood idle is not used: what is written to it counts as sent.
 func TestClosedIdleConnections(t *testing.T) {
-	c, s := setup(t, restless())
+	c, s := newClient(t, withoutRest())
 	closed := make(chan bool)
-	n := box(t, c, func(conn net.Conn) { says(accepted)(conn); _ = conn.Close(); close(closed) }, says(accepted, accepted))
-	c.Send(attempt(1))
+	n := startRawExecutor(t, c, func(conn net.Conn) { answering(acceptedAnswer)(conn); _ = conn.Close(); close(closed) }, answering(acceptedAnswer, acceptedAnswer))
+	c.Send(newAttempt(1))
 	<-closed
 	testenv.Until(t, "the connection is back", func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 })
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":""}`))
-	c.Send(attempt(2))
+	c.Send(newAttempt(2))
 	testenv.Until(t, "a second connection", func() bool { return n() == 2 })
 	if got := s.outcomes(2); len(got) != 0 {
 		t.Errorf("%v", got)
@@ -300,7 +300,7 @@
 }
 
 // reset ends a connection as a machine does that has forgotten it, once something of a request has come.
-func reset(c net.Conn) {
+func resetConnection(c net.Conn) {
 	_, _ = c.Read(make([]byte, 1))
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
@@ -312,9 +312,9 @@
 func TestBrokenBeforeTheLastByte(t *testing.T) {
 	lim := testenv.Lim
 	lim.SettleLeast, lim.SettleMost = 20*time.Second, 20*time.Second // each verdict below comes of what the box does
-	c, s := setup(t, lim)
+	c, s := newClient(t, lim)
 	came := make(chan string, 1)
-	n := box(t, c, reset, reset, func(conn net.Conn) {
+	n := startRawExecutor(t, c, resetConnection, resetConnection, func(conn net.Conn) {
 		b := make([]byte, 4096)
 		k := 0
 		for !strings.HasSuffix(string(b[:k]), "\r\n\r\nbod") { // and no more
@@ -328,7 +328,7 @@
 		_, _ = conn.Read(b)
 	})
 	addr := c.address(7)
-	var kept []*conn
+	var kept []*connection
 	for range 2 {
 		conn, err := c.pool.get(context.Background(), addr)
 		if err != nil {
@@ -338,9 +338,9 @@
 	}
 	testenv.Until(t, "both are taken", func() bool { return n() == 2 })
 	for _, conn := range kept {
-		c.pool.put(conn)
+		c.pool.release(conn)
 	}
-	lasting := attempt(1)
+	lasting := newAttempt(1)
 	lasting.Deadline = time.Now().Add(time.Minute) // or its time would be over before the pause is
 	c.Send(lasting)
 	if text := <-came; !strings.HasSuffix(text, "\r\n\r\nbod") || !strings.HasPrefix(text, "POST /tile-charge/x HTTP/1.1\r\n") {
@@ -351,13 +351,13 @@
 	}
 	c.GiveUp(1)
 
-	for name, script := range map[string]func(net.Conn){"new and reset": reset, "new and garbled": func(conn net.Conn) {
+	for name, script := range map[string]func(net.Conn){"new and reset": resetConnection, "new and garbled": func(conn net.Conn) {
 		_, _ = conn.Read(make([]byte, 1))
-		_, _ = io.WriteString(conn, accepted) // of what?
+		_, _ = io.WriteString(conn, acceptedAnswer) // of what?
 		_, _ = io.Copy(io.Discard, conn)
 	}} {
-		c, s := setup(t, lim)
-		n := box(t, c, script)
+		c, s := newClient(t, lim)
+		n := startRawExecutor(t, c, script)
 		c.Send(lasting)
 		testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 		if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.ConnectFailed || n() != 1 {
@@ -373,12 +373,12 @@
 	now := time.Now()
 	saw := func(stood time.Duration, broke bool, n int) {
 		for range n {
-			p.saw(&conn{stood: stood}, broke, now)
+			p.recordReuse(&connection{idleFor: stood}, broke, now)
 		}
 	}
 	want := func(what string, d time.Duration) {
 		t.Helper()
-		if got := p.trust(now); got != d {
+		if got := p.maxIdleTime(now); got != d {
 			t.Errorf("%s: trusted for %v, want %v", what, got, d)
 		}
 	}
@@ -399,12 +399,12 @@
 
 // Attempts follow one another on one connection; one that has stood idle for too long is not used again.
 func TestConnectionsAreKept(t *testing.T) {
-	lim := restless()
+	lim := withoutRest()
 	lim.WorkerIdle = time.Hour
-	c, s := setup(t, lim)
-	n := box(t, c, says(accepted, accepted, accepted))
+	c, s := newClient(t, lim)
+	n := startRawExecutor(t, c, answering(acceptedAnswer, acceptedAnswer, acceptedAnswer))
 	for id := range uint64(3) {
-		c.Send(attempt(id + 1))
+		c.Send(newAttempt(id + 1))
 		testenv.Until(t, "the attempt's end", func() bool {
 			_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":""}`))
 			return len(s.outcomes(id+1)) == 1
@@ -422,22 +422,22 @@
 			t.Fatalf("%d connections after %d attempts", n(), id+1)
 		}
 	}
-	c.pool.lim.WorkerIdle = 0
-	c.Send(attempt(9))
+	c.pool.limits.WorkerIdle = 0
+	c.Send(newAttempt(9))
 	testenv.Until(t, "a new connection", func() bool { return n() == 2 })
 }
 
 // An address where nobody listens: never ran. No executor of that number: never sent.
 func TestNoConnection(t *testing.T) {
-	c, s := setup(t, restless())
+	c, s := newClient(t, withoutRest())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Told(7, node.Entry{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
 	_ = ln.Close()
-	c.Send(attempt(1))
-	b := attempt(2)
+	c.Send(newAttempt(1))
+	b := newAttempt(2)
 	b.Worker = 8
 	c.Send(b)
 	testenv.Until(t, "two outcomes", func() bool { return len(s.outcomes(1)) == 1 && len(s.outcomes(2)) == 1 })
@@ -448,27 +448,27 @@
 
 // Giving up: before the 202 by closing the connection, after it by DELETE. Neither has an outcome of its own.
 func TestGiveUp(t *testing.T) {
-	c, s := setup(t, restless())
+	c, s := newClient(t, withoutRest())
 	got, ended := make(chan string, 4), make(chan bool, 1)
-	box(t, c, func(conn net.Conn) {
+	startRawExecutor(t, c, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
-		_, _ = request(r)
+		_, _ = readRequest(r)
 		got <- "first"
 		_, _ = r.ReadByte()
 		ended <- true
 	}, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
-		_, _ = request(r)
-		_, _ = io.WriteString(conn, accepted)
-		text, _ := request(r)
+		_, _ = readRequest(r)
+		_, _ = io.WriteString(conn, acceptedAnswer)
+		text, _ := readRequest(r)
 		got <- text
 		_, _ = io.WriteString(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 	})
-	c.Send(attempt(1))
+	c.Send(newAttempt(1))
 	<-got
 	c.GiveUp(1)
 	<-ended
-	c.Send(attempt(2))
+	c.Send(newAttempt(2))
 	testenv.Until(t, "the connection is back", func() bool {
 		c.pool.mu.Lock()
 		defer c.pool.mu.Unlock()
@@ -491,7 +491,7 @@
 
 // Garbage for callbacks and load reports is refused or passed over.
 func TestGarbage(t *testing.T) {
-	c, s := setup(t, testenv.Lim)
+	c, s := newClient(t, testenv.Lim)
 	good := `{"id":"00000000000000aa","from":"s-7","state":"done","result":"x","load":{"queue":1}}`
 	rapid.Check(t, func(t *rapid.T) {
 		b := []byte(good)
@@ -500,16 +500,16 @@
 		}
 		_ = c.Callback(b[:rapid.IntRange(0, len(b)).Draw(t, "cut")])
 	})
-	if len(s.all) != 0 {
-		t.Errorf("%v", s.all)
+	if len(s.results) != 0 {
+		t.Errorf("%v", s.results)
 	}
 }
 
 // A send that can't be recorded is not made, and its attempt ends as never sent.
 func TestUnrecordedSendIsNotMade(t *testing.T) {
-	c, s := setup(t, testenv.Lim)
-	n := box(t, c, says(accepted))
-	a := attempt(1)
+	c, s := newClient(t, testenv.Lim)
+	n := startRawExecutor(t, c, answering(acceptedAnswer))
+	a := newAttempt(1)
 	a.Job.Before = func(string) error { return errors.New("no space is left on the disk") }
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
--- a/internal/executor/localfault_test.go
+++ b/internal/executor/localfault_test.go
@@ -23,12 +23,12 @@
 // faultyDialer fails the first dials, each with the next error of a list, and counts dials and the pauses between them, which pass
 // at once.
 type faultyDialer struct {
-	mu     sync.Mutex
-	fails  []error // for each dial, nil or past the end: a real one
-	always error   // for all others
-	events []string
-	pauses []time.Duration
-	during func() // called in each pause
+	mu          sync.Mutex
+	first       []error // for each dial, nil or past the end: a real one
+	always      error   // for all others
+	events      []string
+	pauses      []time.Duration
+	duringPause func() // called in each pause
 }
 
 func (f *faultyDialer) install(c *Client) *faultyDialer {
@@ -36,8 +36,8 @@
 	c.pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		f.mu.Lock()
 		err := f.always
-		if len(f.fails) > 0 {
-			err, f.fails = f.fails[0], f.fails[1:]
+		if len(f.first) > 0 {
+			err, f.first = f.first[0], f.first[1:]
 		}
 		f.events = append(f.events, "dial")
 		f.mu.Unlock()
@@ -46,10 +46,10 @@
 		}
 		return real(ctx, network, addr)
 	}
-	c.pause = func(ctx context.Context, d time.Duration) error {
+	c.sleep = func(ctx context.Context, d time.Duration) error {
 		f.mu.Lock()
 		f.events, f.pauses = append(f.events, "pause"), append(f.pauses, d)
-		during := f.during
+		during := f.duringPause
 		f.mu.Unlock()
 		if during != nil {
 			during()
@@ -88,10 +88,10 @@
 func TestLastingLocalFaultEndsTheAttemptAsNeverSent(t *testing.T) {
 	for name, fault := range localFaults {
 		t.Run(name, func(t *testing.T) {
-			c, s := setup(t, testenv.Lim)
-			n := box(t, c, says(accepted))
+			c, s := newClient(t, testenv.Lim)
+			n := startRawExecutor(t, c, answering(acceptedAnswer))
 			dialer := (&faultyDialer{always: fault}).install(c)
-			c.Send(attempt(1))
+			c.Send(newAttempt(1))
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Moot || n() != 0 {
 				t.Errorf("outcomes %v, %d connections", got, n())
@@ -113,12 +113,12 @@
 func TestPassingLocalFaultIsOvercome(t *testing.T) {
 	for name, fault := range localFaults {
 		t.Run(name, func(t *testing.T) {
-			c, s := setup(t, testenv.Lim)
-			n := box(t, c, says(accepted))
-			dialer := (&faultyDialer{fails: []error{fault, fault}}).install(c)
-			c.Send(attempt(1))
+			c, s := newClient(t, testenv.Lim)
+			n := startRawExecutor(t, c, answering(acceptedAnswer))
+			dialer := (&faultyDialer{first: []error{fault, fault}}).install(c)
+			c.Send(newAttempt(1))
 			testenv.Until(t, "it is served", func() bool {
-				_ = c.Callback([]byte(done))
+				_ = c.Callback([]byte(doneCallback))
 				return len(s.outcomes(1)) > 0
 			})
 			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served || n() != 1 {
@@ -141,10 +141,10 @@
 		"time-out":     &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, s := setup(t, testenv.Lim)
-			box(t, c, says(accepted))
+			c, s := newClient(t, testenv.Lim)
+			startRawExecutor(t, c, answering(acceptedAnswer))
 			dialer := (&faultyDialer{always: fault}).install(c)
-			c.Send(attempt(1))
+			c.Send(newAttempt(1))
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.ConnectFailed {
 				t.Errorf("outcomes %v", got)
@@ -158,11 +158,11 @@
 
 // Whatever ends an attempt during the pause after a local fault ends it before the next dial.
 func TestNoRedialAfterTheClientLeft(t *testing.T) {
-	c, s := setup(t, testenv.Lim)
-	n := box(t, c, says(accepted))
+	c, s := newClient(t, testenv.Lim)
+	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	client, leave := context.WithCancel(t.Context())
-	dialer := (&faultyDialer{always: localFaults["EADDRNOTAVAIL"], during: leave}).install(c)
-	a := attempt(1)
+	dialer := (&faultyDialer{always: localFaults["EADDRNOTAVAIL"], duringPause: leave}).install(c)
+	a := newAttempt(1)
 	a.Job.Still = func() precheck.Reason {
 		if client.Err() != nil {
 			return precheck.Left
@@ -179,17 +179,17 @@
 
 // An attempt that is given up during the pause leaves it, and has no outcome.
 func TestGiveUpEndsThePauseAfterALocalFault(t *testing.T) {
-	c, s := setup(t, testenv.Lim)
-	box(t, c, says(accepted))
+	c, s := newClient(t, testenv.Lim)
+	startRawExecutor(t, c, answering(acceptedAnswer))
 	paused, left := make(chan bool), make(chan error, 1)
 	(&faultyDialer{always: localFaults["ENOBUFS"]}).install(c)
-	c.pause = func(ctx context.Context, _ time.Duration) error {
+	c.sleep = func(ctx context.Context, _ time.Duration) error {
 		paused <- true
-		err := pause(ctx, time.Hour)
+		err := sleep(ctx, time.Hour)
 		left <- err
 		return err
 	}
-	c.Send(attempt(1))
+	c.Send(newAttempt(1))
 	select {
 	case <-paused:
 	case <-time.After(20 * time.Second):
@@ -207,10 +207,10 @@
 // No pause outlasts the attempt: with less time left than it takes, the attempt ends as never sent, and the job's answer is still in
 // time.
 func TestNoPauseBeyondTheDeadline(t *testing.T) {
-	c, s := setup(t, testenv.Lim)
-	box(t, c, says(accepted))
+	c, s := newClient(t, testenv.Lim)
+	startRawExecutor(t, c, answering(acceptedAnswer))
 	dialer := (&faultyDialer{always: localFaults["ENFILE"]}).install(c)
-	a := attempt(1)
+	a := newAttempt(1)
 	a.Deadline = time.Now().Add(35 * time.Millisecond)
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
@@ -224,11 +224,11 @@
 func TestIdleConnectionsMakeWayForDescriptors(t *testing.T) {
 	for name, want := range map[string]int{"EMFILE": 0, "ENFILE": 0, "EADDRNOTAVAIL": 1} {
 		t.Run(name, func(t *testing.T) {
-			c, s := setup(t, testenv.Lim)
-			box(t, c, says(accepted))
-			c.Send(attempt(1))
+			c, s := newClient(t, testenv.Lim)
+			startRawExecutor(t, c, answering(acceptedAnswer))
+			c.Send(newAttempt(1))
 			testenv.Until(t, "an idle connection", func() bool { return c.idleConnections() == 1 })
-			_ = c.Callback([]byte(done))
+			_ = c.Callback([]byte(doneCallback))
 			ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -236,7 +236,7 @@
 			defer func() { _ = ln.Close() }()
 			c.Told(8, node.Entry{Name: "s-8", Address: ln.Addr().String(), Status: "ready"}, time.Now())
 			(&faultyDialer{always: localFaults[name]}).install(c)
-			a := attempt(2)
+			a := newAttempt(2)
 			a.Worker = 8
 			c.Send(a)
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(2)) > 0 })
@@ -260,12 +260,12 @@
 func TestUsedUpConnectionBudgetIsALocalFault(t *testing.T) {
 	lim := testenv.Lim
 	lim.WorkerConns, lim.Pace.Least = 2, 2
-	c, s := setup(t, lim)
-	box(t, c, says(accepted))
+	c, s := newClient(t, lim)
+	startRawExecutor(t, c, answering(acceptedAnswer))
 	dialer := (&faultyDialer{}).install(c)
 	c.pool.open.Take("10.0.0.1:1", 1)
 	c.pool.open.Take("10.0.0.2:1", 1)
-	c.Send(attempt(1))
+	c.Send(newAttempt(1))
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	if got := s.outcomes(1); got[0] != dispatch.Moot {
 		t.Errorf("outcomes %v", got)
@@ -285,8 +285,8 @@
 		"EMFILE":        {localFaults["EMFILE"], dispatch.Moot},
 		"ECONNREFUSED":  {systemError("connect", syscall.ECONNREFUSED), dispatch.ConnectFailed},
 	} {
-		c, s := setup(t, testenv.Lim)
-		box(t, c, says(accepted))
+		c, s := newClient(t, testenv.Lim)
+		startRawExecutor(t, c, answering(acceptedAnswer))
 		(&faultyDialer{always: x.fault}).install(c)
 		c.Probe(7)
 		const id = 7 + 1<<40
@@ -299,22 +299,22 @@
 
 // The DELETE that gives up a job survives a passing local fault: an executor that is not told of it goes on with the job.
 func TestGiveUpSurvivesALocalFault(t *testing.T) {
-	c, _ := setup(t, testenv.Lim)
+	c, _ := newClient(t, testenv.Lim)
 	got := make(chan string, 1)
-	box(t, c, func(conn net.Conn) {
+	startRawExecutor(t, c, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
-		_, _ = request(r)
-		_, _ = io.WriteString(conn, accepted)
+		_, _ = readRequest(r)
+		_, _ = io.WriteString(conn, acceptedAnswer)
 		_, _ = r.ReadByte()
 	}, func(conn net.Conn) {
-		text, _ := request(bufio.NewReader(conn))
+		text, _ := readRequest(bufio.NewReader(conn))
 		got <- text
 		_, _ = io.WriteString(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 	})
-	c.Send(attempt(1))
+	c.Send(newAttempt(1))
 	testenv.Until(t, "an idle connection", func() bool { return c.idleConnections() == 1 })
-	c.pool.drop(c.address(7)) // the DELETE needs one of its own
-	(&faultyDialer{fails: []error{localFaults["ENOBUFS"], localFaults["ENOBUFS"]}}).install(c)
+	c.pool.closeIdle(c.address(7)) // the DELETE needs one of its own
+	(&faultyDialer{first: []error{localFaults["ENOBUFS"], localFaults["ENOBUFS"]}}).install(c)
 	c.GiveUp(1)
 	expectDelete(t, got)
 }
--- a/internal/executor/pool.go
+++ b/internal/executor/pool.go
@@ -17,36 +17,36 @@
 )
 
 // conn is a connection to an executor, with one ring buffer a direction.
-type conn struct {
+type connection struct {
 	*http1.Paced
-	addr  string
-	in    *http1.Ring
-	out   *http1.Writer
-	parse *http1.Parser
-	idle  time.Time     // since when
-	kept  bool          // it carried a request before,
-	stood time.Duration // and had stood idle for so long when it was taken
-	trip  time.Duration // what connecting took: a round trip, about
-	stale bool          // the request on it told more time than was left once its last byte could go
+	addr        string
+	input       *http1.Ring
+	output      *http1.Writer
+	parser      *http1.Parser
+	idleSince   time.Time     // since when
+	reused      bool          // it carried a request before,
+	idleFor     time.Duration // and had stood idle for so long when it was taken
+	connectTime time.Duration // what connecting took: a round trip, about
+	rebuild     bool          // the request on it told more time than was left once its last byte could go
 }
 
 // read gives the next response.
-func (c *conn) read() (*http1.Message, error) { return c.parse.Read(c.in, c.Paced) }
+func (c *connection) readResponse() (*http1.Message, error) { return c.parser.Read(c.input, c.Paced) }
 
 // quiet says that the other side has neither closed an idle connection nor written to it. A request written to
 // one that it has closed would count as sent, and might have run.
-func (c *conn) quiet() bool { return c.in.Len() == 0 && tcpinfo.Quiet(c.Conn) }
+func (c *connection) isIdle() bool { return c.input.Len() == 0 && tcpinfo.Quiet(c.Conn) }
 
 // settle is a round trip, about.
-func (c *conn) settle(lim limits.Limits) time.Duration {
-	return min(max(c.trip, lim.SettleLeast), lim.SettleMost)
+func (c *connection) lastBytePause(lim limits.Limits) time.Duration {
+	return min(max(c.connectTime, lim.SettleLeast), lim.SettleMost)
 }
 
 // stands waits a moment, while a request's last byte is held back, for the other side to show that it does not take
 // it: by ending the connection, or by saying something before it has the whole of it.
-func (c *conn) stands(lim limits.Limits) bool {
-	c.ReadBy(time.Now().Add(c.settle(lim)))
-	n, err := c.in.Fill(c.Paced)
+func (c *connection) isOpenAfterPause(lim limits.Limits) bool {
+	c.ReadBy(time.Now().Add(c.lastBytePause(lim)))
+	n, err := c.input.Fill(c.Paced)
 	c.ReadBy(time.Time{})
 	return n == 0 && isTimeout(err)
 }
@@ -62,9 +62,9 @@
 // request unread: while the last byte is held back, what it does not take is proof that nothing ran. Bytes that were not
 // even sent wait for its window; those that were sent count, where all is true, until it has acknowledged them, which it
 // may delay by 40 ms where nothing else is to be sent.
-func (c *conn) reaches(ctx context.Context, lim limits.Limits, all bool) (left int, ok bool) {
+func (c *connection) isAcknowledged(ctx context.Context, lim limits.Limits, all bool) (left int, ok bool) {
 	end := time.Now().Add(lim.Pace.BoxOut.Grace)
-	for look := c.settle(lim); ; look = min(2*look, 50*time.Millisecond) {
+	for look := c.lastBytePause(lim); ; look = min(2*look, 50*time.Millisecond) {
 		info, known := tcpinfo.Of(c.Conn)
 		if !known || info.Queued == 0 || info.Unsent == 0 && !all {
 			return 0, true
@@ -82,28 +82,28 @@
 
 // pool keeps idle connections by address and holds all of them within the budget.
 type pool struct {
-	lim  limits.Limits
-	dial func(ctx context.Context, network, addr string) (net.Conn, error)
+	limits limits.Limits
+	dial   func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	mu    sync.Mutex
-	idle  map[string][]*conn       // the one used last at the end
-	open  *slowpeer.Ledger[string] // connections by address: one box that holds all it gets must leave some to the others
-	tally *slowpeer.Tally
-	ages  ages
+	mu        sync.Mutex
+	idle      map[string][]*connection // the one used last at the end
+	open      *slowpeer.Ledger[string] // connections by address: one box that holds all it gets must leave some to the others
+	slowPeers *slowpeer.Tally
+	reuse     reuseHistory
 }
 
 // ages counts how many kept connections broke at the next request, by the time they had stood idle: doubling spans,
 // the first up to KeptFirst. Boxes, or what stands before them, may forget idle connections long before connIdle, and
 // show nothing of it until the next request; what breaks then may have run, and a tile-charge is lost with it.
-type ages struct {
-	at           time.Time
+type reuseHistory struct {
+	fadedAt      time.Time
 	uses, breaks [12]float64
 }
 
 // fade lets what was learned be forgotten with time.
-func (a *ages) fade(now time.Time, memory time.Duration) {
-	f := math.Exp2(-float64(now.Sub(a.at)) / float64(memory))
-	a.at = now
+func (a *reuseHistory) fade(now time.Time, memory time.Duration) {
+	f := math.Exp2(-float64(now.Sub(a.fadedAt)) / float64(memory))
+	a.fadedAt = now
 	for i := range a.uses {
 		a.uses[i] *= f
 		a.breaks[i] *= f
@@ -111,50 +111,50 @@
 }
 
 // saw takes in what came of a kept connection.
-func (p *pool) saw(c *conn, broke bool, now time.Time) {
+func (p *pool) recordReuse(c *connection, broke bool, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ages.fade(now, p.lim.KeptMemory)
-	i, edge := 0, p.lim.KeptFirst
-	for ; i < len(p.ages.uses)-1 && c.stood >= edge; i++ {
+	p.reuse.fade(now, p.limits.KeptMemory)
+	i, edge := 0, p.limits.KeptFirst
+	for ; i < len(p.reuse.uses)-1 && c.idleFor >= edge; i++ {
 		edge *= 2
 	}
-	p.ages.uses[i]++
+	p.reuse.uses[i]++
 	if broke {
-		p.ages.breaks[i]++
+		p.reuse.breaks[i]++
 	}
 }
 
 // trust is how long a connection may have stood idle and still be used: up to the first span in which too many broke.
-func (p *pool) trust(now time.Time) time.Duration {
+func (p *pool) maxIdleTime(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ages.fade(now, p.lim.KeptMemory)
-	from, to := time.Duration(0), p.lim.KeptFirst
-	for i := range p.ages.uses {
-		if p.ages.breaks[i] > p.lim.KeptBroken*(p.ages.uses[i]+p.lim.KeptSure) {
-			return min(from, p.lim.WorkerIdle)
+	p.reuse.fade(now, p.limits.KeptMemory)
+	from, to := time.Duration(0), p.limits.KeptFirst
+	for i := range p.reuse.uses {
+		if p.reuse.breaks[i] > p.limits.KeptBroken*(p.reuse.uses[i]+p.limits.KeptSure) {
+			return min(from, p.limits.WorkerIdle)
 		}
 		from, to = to, 2*to
 	}
-	return p.lim.WorkerIdle
+	return p.limits.WorkerIdle
 }
 
 func newPool(lim limits.Limits, tally *slowpeer.Tally) *pool {
-	return &pool{lim: lim, dial: (&net.Dialer{Timeout: lim.Connect}).DialContext, idle: map[string][]*conn{}, tally: tally,
+	return &pool{limits: lim, dial: (&net.Dialer{Timeout: lim.Connect}).DialContext, idle: map[string][]*connection{}, slowPeers: tally,
 		open: slowpeer.NewLedger[string](lim.WorkerConns, lim.Pace.Least, lim.Pace.Alpha)}
 }
 
 // get gives an idle connection that still stands, or a new one.
-func (p *pool) get(ctx context.Context, addr string) (*conn, error) {
-	trust := p.trust(time.Now())
+func (p *pool) get(ctx context.Context, addr string) (*connection, error) {
+	trust := p.maxIdleTime(time.Now())
 	for {
-		c := p.take(addr)
+		c := p.takeIdle(addr)
 		if c == nil {
 			break
 		}
-		c.kept, c.stood = true, time.Since(c.idle)
-		if c.stood < trust && c.quiet() {
+		c.reused, c.idleFor = true, time.Since(c.idleSince)
+		if c.idleFor < trust && c.isIdle() {
 			return c, nil
 		}
 		p.close(c)
@@ -170,12 +170,12 @@
 		p.mu.Unlock()
 		return nil, newConnectError(addr, err)
 	}
-	c := http1.NewPaced(nc, p.lim.Pace.BoxIn, p.lim.Pace.BoxOut)
-	return &conn{Paced: c, addr: addr, in: http1.NewRing(p.lim.Ring), out: http1.NewWriter(c, p.lim.Ring),
-		parse: http1.NewParser(p.lim, true), trip: time.Since(began)}, nil
+	c := http1.NewPaced(nc, p.limits.Pace.BoxIn, p.limits.Pace.BoxOut)
+	return &connection{Paced: c, addr: addr, input: http1.NewRing(p.limits.Ring), output: http1.NewWriter(c, p.limits.Ring),
+		parser: http1.NewParser(p.limits, true), connectTime: time.Since(began)}, nil
 }
 
-func (p *pool) take(addr string) *conn {
+func (p *pool) takeIdle(addr string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.idle[addr]
@@ -185,7 +185,7 @@
 	// The one used last that has rested: a second answer can follow the first by some milliseconds, and would be taken for
 	// that of the next request, which then runs here and is sent elsewhere too, or is waited for in vain.
 	for i := len(l) - 1; i >= 0; i-- {
-		if c := l[i]; time.Since(c.idle) >= p.lim.Rest {
+		if c := l[i]; time.Since(c.idleSince) >= p.limits.Rest {
 			p.idle[addr] = slices.Delete(l, i, i+1)
 			return c
 		}
@@ -203,7 +203,7 @@
 	}
 	switch v {
 	case slowpeer.HoldBack:
-		p.tally.Add(slowpeer.BoxShare)
+		p.slowPeers.Add(slowpeer.BoxShare)
 		return &ConnectError{Address: addr, Err: errExecutorShare}
 	case slowpeer.LetGo:
 		return &ConnectError{Address: addr, Local: true, Err: errConnectionBudget}
@@ -220,9 +220,9 @@
 
 // closeOldestIdle closes the connection that has been idle the longest, if there is one. The lock is held.
 func (p *pool) closeOldestIdle() bool {
-	var oldest *conn
+	var oldest *connection
 	for _, l := range p.idle {
-		if len(l) > 0 && (oldest == nil || l[0].idle.Before(oldest.idle)) {
+		if len(l) > 0 && (oldest == nil || l[0].idleSince.Before(oldest.idleSince)) {
 			oldest = l[0]
 		}
 	}
@@ -236,15 +236,15 @@
 }
 
 // put gives back a connection that stands between requests.
-func (p *pool) put(c *conn) {
+func (p *pool) release(c *connection) {
 	c.ReadBy(time.Time{})
 	c.WriteBy(time.Time{})
-	c.idle = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.idle[c.addr]
 	// Those idle for too long are at the front, the longest first.
-	for len(l) > 0 && (len(l) >= p.lim.IdleConns || c.idle.Sub(l[0].idle) >= p.lim.WorkerIdle) {
+	for len(l) > 0 && (len(l) >= p.limits.IdleConns || c.idleSince.Sub(l[0].idleSince) >= p.limits.WorkerIdle) {
 		_ = l[0].Close()
 		p.open.Give(c.addr, 1)
 		l = l[1:]
@@ -252,7 +252,7 @@
 	p.idle[c.addr] = append(l, c)
 }
 
-func (p *pool) close(c *conn) {
+func (p *pool) close(c *connection) {
 	_ = c.Close()
 	p.mu.Lock()
 	p.open.Give(c.addr, 1)
@@ -260,7 +260,7 @@
 }
 
 // drop closes the idle connections to an address.
-func (p *pool) drop(addr string) {
+func (p *pool) closeIdle(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[addr] {
--- a/internal/executor/races_test.go
+++ b/internal/executor/races_test.go
@@ -32,23 +32,23 @@
 		{"the executor is gone", func(c *Client, _ *node.Attempt) precheck.Reason { entry(c, "gone", 0); return precheck.May }},
 		{"the executor starts anew", func(c *Client, _ *node.Attempt) precheck.Reason { entry(c, "ready", 5000); return precheck.May }},
 		{"the window ends", func(c *Client, a *node.Attempt) precheck.Reason {
-			c.live[a.ID].Rules = precheck.Rules{Number: 2, Most: 3, Effect: dispatch.Keyed, Ran: true, RepeatBy: time.Now()}
+			c.attempts[a.ID].Rules = precheck.Rules{Number: 2, Most: 3, Effect: dispatch.Keyed, Ran: true, RepeatBy: time.Now()}
 			return precheck.May
 		}},
 		{"its time ends", func(c *Client, a *node.Attempt) precheck.Reason {
-			c.live[a.ID].Deadline = time.Now()
+			c.attempts[a.ID].Deadline = time.Now()
 			return precheck.May
 		}},
 	} {
 		for look, when := range []string{"before it dials", "before its first byte", "before its last byte"} {
 			t.Run(x.what+" "+when, func(t *testing.T) {
-				c, s := setup(t, testenv.Lim)
+				c, s := newClient(t, testenv.Lim)
 				came := make(chan string, 1)
-				n := box(t, c, func(conn net.Conn) {
+				n := startRawExecutor(t, c, func(conn net.Conn) {
 					all, _ := io.ReadAll(conn)
 					came <- string(all)
 				})
-				a := attempt(1)
+				a := newAttempt(1)
 				a.Answered = &atomic.Bool{}
 				looks := 0
 				a.Job.Still = func() precheck.Reason { // asked under the try's lock, by one goroutine
@@ -68,7 +68,7 @@
 					}
 					return
 				}
-				c.pool.drop(c.address(7)) // one that carried nothing is kept
+				c.pool.closeIdle(c.address(7)) // one that carried nothing is kept
 				switch text := <-came; {
 				case look == 1 && text != "":
 					t.Errorf("%q was written", text)
@@ -83,18 +83,18 @@
 // A second answer that comes after the first is nobody's: the next request goes over another connection while one may still
 // come. Here the box says it once it has the next request, as late as can be.
 func TestSecondAnswerIsNotTheNextOnes(t *testing.T) {
-	c, s := setup(t, testenv.Lim)
+	c, s := newClient(t, testenv.Lim)
 	const never = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
-	n := box(t, c, says(accepted, never), says(accepted))
-	c.Send(attempt(1))
+	n := startRawExecutor(t, c, answering(acceptedAnswer, never), answering(acceptedAnswer))
+	c.Send(newAttempt(1))
 	testenv.Until(t, "the connection is back", func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 })
 	c.pool.mu.Lock()
 	for _, l := range c.pool.idle { // its answer came now, however long this took
-		l[0].idle = time.Now().Add(time.Hour)
+		l[0].idleSince = time.Now().Add(time.Hour)
 	}
 	c.pool.mu.Unlock()
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":""}`))
-	c.Send(attempt(2))
+	c.Send(newAttempt(2))
 	testenv.Until(t, "it is taken", func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle[c.address(7)]) == 2 })
 	if got := s.outcomes(2); n() != 2 || len(got) != 0 {
 		t.Errorf("%d connections, %v", n(), got)
@@ -103,10 +103,10 @@
 
 // Once it has rested a connection carries the next request, and no other is made.
 func TestRestedConnectionsAreUsed(t *testing.T) {
-	c, s := setup(t, testenv.Lim)
-	n := box(t, c, says(accepted, accepted))
+	c, s := newClient(t, testenv.Lim)
+	n := startRawExecutor(t, c, answering(acceptedAnswer, acceptedAnswer))
 	for id := uint64(1); id <= 2; id++ {
-		c.Send(attempt(id))
+		c.Send(newAttempt(id))
 		testenv.Until(t, "it is served", func() bool {
 			_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":""}`))
 			return len(s.outcomes(id)) == 1
@@ -114,8 +114,8 @@
 		testenv.Until(t, "the connection is back", func() bool {
 			c.pool.mu.Lock()
 			defer c.pool.mu.Unlock()
-			for _, x := range c.pool.idle[c.workers[7].addr] {
-				x.idle = x.idle.Add(-testenv.Lim.Rest)
+			for _, x := range c.pool.idle[c.executors[7].address] {
+				x.idleSince = x.idleSince.Add(-testenv.Lim.Rest)
 				return true
 			}
 			return false
@@ -129,17 +129,17 @@
 // The idle connections of an executor that started anew under its name and address lead to a process that has ended, or to a
 // machine that forgot them: they are closed at once, and the next request takes a new one.
 func TestIdleConnectionsOfAnEarlierLife(t *testing.T) {
-	c, _ := setup(t, testenv.Lim)
+	c, _ := newClient(t, testenv.Lim)
 	ended := make(chan bool, 1)
-	box(t, c, func(conn net.Conn) {
+	startRawExecutor(t, c, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
-		if _, err := request(r); err == nil {
-			_, _ = io.WriteString(conn, accepted)
+		if _, err := readRequest(r); err == nil {
+			_, _ = io.WriteString(conn, acceptedAnswer)
 		}
 		_, _ = r.ReadByte()
 		ended <- true
 	})
-	c.Send(attempt(1))
+	c.Send(newAttempt(1))
 	testenv.Until(t, "the connection is back", func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 })
 	c.Told(7, node.Entry{Name: "s-7", Address: c.address(7), Status: "ready", SinceMS: 1000}, time.Now())
 	select {
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -21,17 +21,17 @@
 )
 
 // hasty are limits under which a box is late after 50 ms.
-func hasty() limits.Limits {
+func withShortAcks() limits.Limits {
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.Pace.Acks = slowpeer.AckRule{Least: 50 * time.Millisecond, Most: 200 * time.Millisecond, Times: 3, Memory: time.Minute, Crowd: 0.5}
 	return lim
 }
 
 // late counts how often the sink was told that a box owes a sign of an attempt.
-func (s *sink) late(id uint64) (n int) {
+func (s *resultRecorder) lateNotes(id uint64) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, r := range s.all {
+	for _, r := range s.results {
 		if r.Attempt == id && r.Outcome == 0 && r.Topic == dispatch.NoteLate {
 			n++
 		}
@@ -39,7 +39,7 @@
 	return n
 }
 
-const done = `{"id":"00000000000000aa","from":"s-7","state":"done","result":"tile"}`
+const doneCallback = `{"id":"00000000000000aa","from":"s-7","state":"done","result":"tile"}`
 
 // A box that says nothing, or lets its 202 drip, is told of as late, once. The attempt is not let go for it: the result
 // that comes by callback is its one outcome.
@@ -47,34 +47,34 @@
 	for name, script := range map[string]func(net.Conn){
 		"says nothing": func(c net.Conn) {
 			r := bufio.NewReader(c)
-			_, _ = request(r)
+			_, _ = readRequest(r)
 			_, _ = r.ReadByte() // until the other side closes
 		},
 		"drips": func(c net.Conn) {
-			_, _ = request(bufio.NewReader(c))
+			_, _ = readRequest(bufio.NewReader(c))
 			for i := range 12 { // "HTTP/1.1 202", and no end of the line
-				_, _ = io.WriteString(c, accepted[i:i+1])
+				_, _ = io.WriteString(c, acceptedAnswer[i:i+1])
 				time.Sleep(20 * time.Millisecond)
 			}
 			_, _ = c.Read(make([]byte, 1))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, s := setup(t, hasty())
-			box(t, c, script)
-			c.Send(attempt(1))
-			testenv.Until(t, "the word of it", func() bool { return s.late(1) > 0 })
+			c, s := newClient(t, withShortAcks())
+			startRawExecutor(t, c, script)
+			c.Send(newAttempt(1))
+			testenv.Until(t, "the word of it", func() bool { return s.lateNotes(1) > 0 })
 			time.Sleep(300 * time.Millisecond) // longer than it takes to be told again, were it told again
-			if got := s.outcomes(1); len(got) != 0 || s.late(1) != 1 {
-				t.Errorf("told %d times, outcomes %v", s.late(1), got)
+			if got := s.outcomes(1); len(got) != 0 || s.lateNotes(1) != 1 {
+				t.Errorf("told %d times, outcomes %v", s.lateNotes(1), got)
 			}
 			for range 3 {
-				if err := c.Callback([]byte(done)); err != nil && !errors.Is(err, ErrNotOurs) { // repeats of one that ended
+				if err := c.Callback([]byte(doneCallback)); err != nil && !errors.Is(err, ErrNotOurs) { // repeats of one that ended
 					t.Error(err)
 				}
 			}
-			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served || c.owed.acks.Late("s-7") != 0 {
-				t.Errorf("%v, %d still owed", got, c.owed.acks.Late("s-7"))
+			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served || c.acks.estimates.Late("s-7") != 0 {
+				t.Errorf("%v, %d still owed", got, c.acks.estimates.Late("s-7"))
 			}
 		})
 	}
@@ -82,37 +82,37 @@
 
 // A callback is a sign of its own: a job that was told started is not late, however late its 202.
 func TestCallbackIsASign(t *testing.T) {
-	c, s := setup(t, hasty())
+	c, s := newClient(t, withShortAcks())
 	got := make(chan bool)
-	box(t, c, func(conn net.Conn) {
+	startRawExecutor(t, c, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
-		_, _ = request(r)
+		_, _ = readRequest(r)
 		got <- true
 		_, _ = r.ReadByte()
 	})
-	c.Send(attempt(1))
+	c.Send(newAttempt(1))
 	<-got
 	testenv.Until(t, "the start is taken", func() bool {
 		_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"started"}`))
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return len(s.all) > 0
+		return len(s.results) > 0
 	})
 	time.Sleep(400 * time.Millisecond)
-	if s.late(1) != 0 || len(s.outcomes(1)) != 0 {
-		t.Errorf("late %d times, outcomes %v", s.late(1), s.outcomes(1))
+	if s.lateNotes(1) != 0 || len(s.outcomes(1)) != 0 {
+		t.Errorf("late %d times, outcomes %v", s.lateNotes(1), s.outcomes(1))
 	}
 }
 
 // The first line of a 202 says that the box has the job. The rest may drip: its connection is let go below the least
 // rate and counted, and the attempt goes on to its result.
 func TestRestOfA202Drips(t *testing.T) {
-	lim := hasty()
+	lim := withShortAcks()
 	lim.Pace.BoxIn = slowpeer.Rate{Bytes: 1 << 20, Grace: 60 * time.Millisecond}
-	c, s := setup(t, lim)
+	c, s := newClient(t, lim)
 	closed := make(chan bool)
-	box(t, c, func(conn net.Conn) {
-		_, _ = request(bufio.NewReader(conn))
+	startRawExecutor(t, c, func(conn net.Conn) {
+		_, _ = readRequest(bufio.NewReader(conn))
 		_, _ = io.WriteString(conn, "HTTP/1.1 202 Accepted\r\nX-")
 		for {
 			if _, err := io.WriteString(conn, "a"); err != nil {
@@ -122,12 +122,12 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	})
-	c.Send(attempt(1))
+	c.Send(newAttempt(1))
 	<-closed
-	if got := s.outcomes(1); len(got) != 0 || s.late(1) != 0 || c.tally.Count(slowpeer.BoxDrips) != 1 {
-		t.Errorf("outcomes %v, late %d, drips %d", got, s.late(1), c.tally.Count(slowpeer.BoxDrips))
+	if got := s.outcomes(1); len(got) != 0 || s.lateNotes(1) != 0 || c.slowPeers.Count(slowpeer.BoxDrips) != 1 {
+		t.Errorf("outcomes %v, late %d, drips %d", got, s.lateNotes(1), c.slowPeers.Count(slowpeer.BoxDrips))
 	}
-	_ = c.Callback([]byte(done))
+	_ = c.Callback([]byte(doneCallback))
 	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served {
 		t.Errorf("%v", got)
 	}
@@ -138,9 +138,9 @@
 func TestBoxThatDoesNotRead(t *testing.T) {
 	for name, size := range map[string]int{"the kernel takes all": 60 << 10, "the write stalls": 32 << 20} {
 		t.Run(name, func(t *testing.T) {
-			lim := hasty()
+			lim := withShortAcks()
 			lim.Pace.BoxOut = slowpeer.Rate{Bytes: 1 << 30, Grace: 100 * time.Millisecond}
-			c, s := setup(t, lim)
+			c, s := newClient(t, lim)
 			release := make(chan bool)
 			defer close(release)
 			ln, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -159,12 +159,12 @@
 				return conn.Close()
 			})
 			c.Told(7, node.Entry{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
-			a := attempt(1)
+			a := newAttempt(1)
 			a.Job.Body = []byte(strings.Repeat("b", size))
 			c.Send(a)
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-			if got := s.outcomes(1); got[0] != dispatch.ConnectFailed || c.tally.Count(slowpeer.BoxReads)+c.tally.Count(slowpeer.BoxUnacked) != 1 {
-				t.Errorf("%v, %s", got, c.tally.JSON())
+			if got := s.outcomes(1); got[0] != dispatch.ConnectFailed || c.slowPeers.Count(slowpeer.BoxReads)+c.slowPeers.Count(slowpeer.BoxUnacked) != 1 {
+				t.Errorf("%v, %s", got, c.slowPeers.JSON())
 			}
 			release <- true
 		})
@@ -182,7 +182,7 @@
 
 // All boxes late at once are told of as a crowd, and none of them to the module; the one that is late alone is.
 func TestCrowdOfLateBoxes(t *testing.T) {
-	c, s := setup(t, hasty())
+	c, s := newClient(t, withShortAcks())
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
 	defer func() { cancel(); _ = g.Wait() }()
@@ -201,15 +201,15 @@
 	var mu sync.Mutex
 	told := 0
 	for i := range uint64(4) {
-		a := attempt(i + 1)
+		a := newAttempt(i + 1)
 		a.Worker, a.Job.Trace = 20+uint32(i), "00000000000000a"+string('0'+rune(i))
 		c.Send(a)
 	}
-	testenv.Until(t, "the crowd is seen", func() bool { return c.tally.Count(slowpeer.BoxCrowd) >= 8 })
+	testenv.Until(t, "the crowd is seen", func() bool { return c.slowPeers.Count(slowpeer.BoxCrowd) >= 8 })
 	mu.Lock()
 	defer mu.Unlock()
 	for i := range uint64(4) {
-		told += s.late(i + 1)
+		told += s.lateNotes(i + 1)
 	}
 	// The first one or two come due while the others are not late yet; from then on nobody is told of.
 	if told > 2 {
@@ -219,17 +219,17 @@
 
 // One box cannot hold all connections: past its share an attempt could not connect, and another box still gets one.
 func TestBoxShare(t *testing.T) {
-	lim := hasty()
+	lim := withShortAcks()
 	lim.WorkerConns, lim.Pace.Least, lim.Pace.Alpha = 12, 2, 2
-	c, s := setup(t, lim)
-	accepted := box(t, c, func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) })
+	c, s := newClient(t, lim)
+	accepted := startRawExecutor(t, c, func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) })
 	for id := range uint64(12) {
-		a := attempt(id + 1)
+		a := newAttempt(id + 1)
 		a.Job.Trace = "00000000000000" + string('a'+rune(id)) + "0"
 		c.Send(a)
 	}
-	testenv.Until(t, "some are held back", func() bool { return c.tally.Count(slowpeer.BoxShare) > 0 })
-	testenv.Until(t, "the others are out", func() bool { return accepted()+int(c.tally.Count(slowpeer.BoxShare)) == 12 })
+	testenv.Until(t, "some are held back", func() bool { return c.slowPeers.Count(slowpeer.BoxShare) > 0 })
+	testenv.Until(t, "the others are out", func() bool { return accepted()+int(c.slowPeers.Count(slowpeer.BoxShare)) == 12 })
 	if n := accepted(); n < 6 || n > 9 {
 		t.Errorf("one box holds %d of 12 connections", n)
 	}
@@ -241,7 +241,7 @@
 		t.Fatal(err)
 	}
 	c.Told(8, node.Entry{Name: "s-8", Address: b.Addr, Status: "ready"}, time.Now())
-	a := attempt(50)
+	a := newAttempt(50)
 	a.Worker = 8
 	c.Send(a)
 	testenv.Until(t, "another box gets its job", func() bool { return len(b.Starts()) == 1 })
