--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -9,7 +9,7 @@
 )
 
 // act carries out one action.
-func (c *Core) act(a *dispatch.Action, now time.Time) {
+func (c *Core) execute(a *dispatch.Action, now time.Time) {
 	switch a.Kind {
 	case dispatch.ActSend:
 		c.send(a, now)
@@ -25,25 +25,25 @@
 		c.answer(j, ans)
 	case dispatch.ActCancel:
 		j := c.jobs[a.Job]
-		if j == nil || int(a.Attempt) >= len(j.tries) {
+		if j == nil || int(a.Attempt) >= len(j.attempts) {
 			return
 		}
-		if t := j.tries[a.Attempt]; !t.over {
-			c.exec.GiveUp(t.id)
-			c.end(t, dispatch.Cancelled, nil, nil, now)
+		if t := j.attempts[a.Attempt]; !t.ended {
+			c.executors.GiveUp(t.id)
+			c.finish(t, dispatch.Cancelled, nil, nil, now)
 		}
 	case dispatch.ActTimer:
-		c.at(now.Add(Span(a.For)), token(a.Token))
+		c.startTimer(now.Add(Span(a.For)), moduleTimer(a.Token))
 	case dispatch.ActProbe:
-		c.exec.Probe(a.Worker)
+		c.executors.Probe(a.Worker)
 	case dispatch.ActClose:
-		c.exec.CloseIdle(a.Worker)
+		c.executors.CloseIdle(a.Worker)
 	case dispatch.ActWatch:
-		c.lists.Watch(a.On)
+		c.endpointSource.Watch(a.On)
 	case dispatch.ActFetch:
-		c.lists.Fetch()
+		c.endpointSource.Fetch()
 	case dispatch.ActTell:
-		c.peers.Tell(a.To, a.Data)
+		c.peerMessenger.Tell(a.To, a.Data)
 	case dispatch.ActLog:
 		c.log.Info("module", "says", a.Text)
 	}
@@ -54,23 +54,23 @@
 	if j == nil {
 		return
 	}
-	c.lastTry++
-	t := &attempt{id: c.lastTry, n: uint16(len(j.tries)), j: j, worker: a.Worker, sent: now, ran: true}
-	rules := j.repeats()
-	j.tries = append(j.tries, t)
-	j.live++
+	c.lastAttemptID++
+	t := &attempt{id: c.lastAttemptID, index: uint16(len(j.attempts)), job: j, executor: a.Worker, sentAt: now, mayHaveRun: true}
+	rules := j.retryRules()
+	j.attempts = append(j.attempts, t)
+	j.inFlight++
 	c.attempts[t.id] = t
-	w, ok := c.workers[a.Worker]
-	until := j.deadline.Add(-c.lim.AnswerEarly)
+	w, ok := c.endpoints[a.Worker]
+	until := j.deadline.Add(-c.limits.AnswerEarly)
 	if a.For > 0 {
 		until = earlier(until, now.Add(Span(a.For)))
 	}
 	if j.answered.Load() || !ok || !until.After(now) {
-		c.end(t, dispatch.Moot, nil, nil, now)
+		c.finish(t, dispatch.Moot, nil, nil, now)
 		return
 	}
 	c.counts.Sends++
 	j.client.Sent(w.Name)
-	c.at(until, timeout(t.id))
-	c.exec.Send(Attempt{ID: t.id, Worker: a.Worker, Deadline: until, Job: &j.in, Answered: &j.answered, Born: w.SinceMS, Rules: rules})
+	c.startTimer(until, attemptTimeout(t.id))
+	c.executors.Send(Attempt{ID: t.id, Worker: a.Worker, Deadline: until, Job: &j.request, Answered: &j.answered, Born: w.SinceMS, Rules: rules})
 }
--- a/internal/node/clock_test.go
+++ b/internal/node/clock_test.go
@@ -13,7 +13,7 @@
 	began := time.Now()
 	c := &Core{start: began, startMS: float64(began.UnixMicro()) / 1000}
 	for _, step := range clocktest.Steps {
-		if got := c.clock(clocktest.Step(began.Add(1500*time.Millisecond), step)) - c.startMS; got != 1500 {
+		if got := c.unixMillis(clocktest.Step(began.Add(1500*time.Millisecond), step)) - c.startMS; got != 1500 {
 			t.Errorf("step %v: 1500 ms are %v ms", step, got)
 		}
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -25,68 +25,68 @@
 
 // Core owns the decision module. Everything in it but the channels belongs to the goroutine of Run.
 type Core struct {
-	lim   limits.Limits
-	s     dispatch.Settings
-	names Names // of zones and kinds, which stay; those of classes and tenants are in rules
-	d     *dispatch.Dispatcher
-	log   *slog.Logger
-	exec  Executors
-	lists Lists
-	peers Peers
-
-	in      chan any
-	lastID  atomic.Uint32
-	rules   atomic.Pointer[Rules]
-	ready   atomic.Bool // the list names an executor that takes work
-	holding atomic.Bool // nobody has confirmed the list yet: jobs are held
-	heard   atomic.Bool // a list of this life has come
-	drained atomic.Bool // by the operator: clients are sent elsewhere, what was taken is answered
-	open    atomic.Int64
-	tenants []atomic.Int64 // open jobs by tenant, where the file bounds them
-	done    chan struct{}
-
-	now      func() time.Time
-	start    time.Time
-	startMS  float64
-	jobs     map[uint32]*job
-	traces   map[string]*job
-	attempts map[uint64]*attempt
-	lastTry  uint64
-	timers   timers
-	batch    []dispatch.Event
-	actions  []dispatch.Action
-	stepAt   time.Time // no step before
-	workers  map[uint32]Entry
-	counts   Counts
-	slow     slowpeer.Tally
-	leaving  bool // nothing more is taken
-	book     *recovery.Knowledge
-	startup  endpointwatch.Startup // while it holds, the module takes no step
-	retunes  []retune              // that came meanwhile
+	limits         limits.Limits
+	settings       dispatch.Settings
+	names          Names // of zones and kinds, which stay; those of classes and tenants are in rules
+	dispatcher     *dispatch.Dispatcher
+	log            *slog.Logger
+	executors      Executors
+	endpointSource Lists
+	peerMessenger  Peers
+
+	events             chan any
+	lastJobID          atomic.Uint32
+	rules              atomic.Pointer[Rules]
+	hasReadyExecutor   atomic.Bool // the list names an executor that takes work
+	holdsJobs          atomic.Bool // nobody has confirmed the list yet: jobs are held
+	endpointsConfirmed atomic.Bool // a list of this life has come
+	drained            atomic.Bool // by the operator: clients are sent elsewhere, what was taken is answered
+	openJobs           atomic.Int64
+	openByTenant       []atomic.Int64 // open jobs by tenant, where the file bounds them
+	stopped            chan struct{}
+
+	now            func() time.Time
+	start          time.Time
+	startMS        float64
+	jobs           map[uint32]*job
+	jobByTrace     map[string]*job
+	attempts       map[uint64]*attempt
+	lastAttemptID  uint64
+	timers         timers
+	batch          []dispatch.Event
+	actions        []dispatch.Action
+	nextStepAt     time.Time // no step before
+	endpoints      map[uint32]Entry
+	counts         Counts
+	slowPeers      slowpeer.Tally
+	shuttingDown   bool // nothing more is taken
+	knowledge      *recovery.Knowledge
+	startup        endpointwatch.Startup // while it holds, the module takes no step
+	waitingChanges []configChange        // that came meanwhile
 }
 
 type job struct {
-	id       uint32
-	in       Job
-	client   Client
-	taken    time.Time
-	deadline time.Time
-	rules    *Rules
-	answered atomic.Bool // or gone: nothing is owed
-	live     int         // attempts out
-	ran      bool
-	tries    []*attempt
+	id         uint32
+	request    Job
+	client     Client
+	acceptedAt time.Time
+	deadline   time.Time
+	rules      *Rules
+	answered   atomic.Bool // or gone: nothing is owed
+	inFlight   int         // attempts out
+	mayHaveRun bool
+	attempts   []*attempt
 }
 
 type attempt struct {
-	id      uint64
-	n       uint16
-	j       *job
-	worker  uint32
-	sent    time.Time
-	over    bool
-	ran     bool // it is out, or may have run
-	started bool
+	id         uint64
+	index      uint16
+	job        *job
+	executor   uint32
+	sentAt     time.Time
+	ended      bool
+	mayHaveRun bool // it is out, or may have run
+	started    bool
 }
 
 // New makes a core. The known list is its first event.
@@ -96,27 +96,29 @@
 		return nil, fmt.Errorf("node: %w", err)
 	}
 	now := time.Now()
-	c := &Core{now: time.Now, lim: lim, s: s, names: names, d: d, log: log, in: make(chan any, lim.Events), done: make(chan struct{}),
-		start: now, startMS: float64(now.UnixMicro()) / 1000, jobs: map[uint32]*job{}, traces: map[string]*job{},
-		attempts: map[uint64]*attempt{}, workers: map[uint32]Entry{}}
+	c := &Core{now: time.Now, limits: lim, settings: s, names: names, dispatcher: d, log: log, events: make(chan any, lim.Events), stopped: make(chan struct{}),
+		start: now, startMS: float64(now.UnixMicro()) / 1000, jobs: map[uint32]*job{}, jobByTrace: map[string]*job{},
+		attempts: map[uint64]*attempt{}, endpoints: map[uint32]Entry{}}
 	c.rules.Store(&Rules{s, names})
 	// A list that must be asked for is held to be as it was for the time to ask within, and four times that after a failed call.
 	fresh := max(Span(s.AskWithin), lim.Staleness.Silence)
-	c.book = recovery.NewKnowledge(map[recovery.Kind]recovery.AgeBounds{recovery.List: {Fresh: fresh, Usable: time.Duration(lim.Staleness.Failed) * fresh}})
-	c.tenants = make([]atomic.Int64, len(names.Tenants))
+	c.knowledge = recovery.NewKnowledge(map[recovery.Kind]recovery.AgeBounds{recovery.List: {Fresh: fresh, Usable: time.Duration(lim.Staleness.Failed) * fresh}})
+	c.openByTenant = make([]atomic.Int64, len(names.Tenants))
 	known.Form = dispatch.ListCached
-	c.in <- known
+	c.events <- known
 	return c, nil
 }
 
 // Connect sets what carries out the core's actions. It must be called before Run.
-func (c *Core) Connect(e Executors, l Lists, p Peers) { c.exec, c.lists, c.peers = e, l, p }
+func (c *Core) Connect(e Executors, l Lists, p Peers) {
+	c.executors, c.endpointSource, c.peerMessenger = e, l, p
+}
 
 // Slow counts the slow peers that the core's carriers and fronts find; the counts show them.
-func (c *Core) Slow() *slowpeer.Tally { return &c.slow }
+func (c *Core) Slow() *slowpeer.Tally { return &c.slowPeers }
 
 // clock is Unix time in milliseconds that never runs backwards: lists tell starts in it.
-func (c *Core) clock(t time.Time) float64 {
+func (c *Core) unixMillis(t time.Time) float64 {
 	return c.startMS + float64(t.Sub(c.start).Microseconds())/1000
 }
 
@@ -128,18 +130,18 @@
 
 // Run owns the decision module until the context ends.
 func (c *Core) Run(ctx context.Context) error {
-	defer close(c.done)
+	defer close(c.stopped)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case ev := <-c.in:
-			c.intake(ev)
+		case ev := <-c.events:
+			c.handle(ev)
 			// Drain is bounded: under a flood the step must still come in time.
 			for n := 0; n < 256; n++ {
 				select {
-				case ev := <-c.in:
-					c.intake(ev)
+				case ev := <-c.events:
+					c.handle(ev)
 					continue
 				default:
 				}
@@ -149,90 +151,90 @@
 		case <-ctx.Done():
 			return nil
 		}
-		c.turn(c.now())
-		timer.Reset(max(time.Until(c.wake()), 0))
+		c.runDue(c.now())
+		timer.Reset(max(time.Until(c.nextWake()), 0))
 	}
 }
 
 // turn takes in the timers that are due, and steps if there is something to step for and it is time.
-func (c *Core) turn(now time.Time) {
-	c.fire(now)
-	if c.holds(now) {
+func (c *Core) runDue(now time.Time) {
+	c.fireTimers(now)
+	if c.stillHolds(now) {
 		return
 	}
-	if len(c.batch) > 0 && !now.Before(c.stepAt) {
+	if len(c.batch) > 0 && !now.Before(c.nextStepAt) {
 		c.step(now)
 	}
 }
 
 // step gives the batch to the module and carries out its actions.
 func (c *Core) step(now time.Time) {
-	c.stepAt = now.Add(Span(c.s.Step))
-	c.actions = c.d.Step(c.clock(now), c.batch, c.actions[:0])
+	c.nextStepAt = now.Add(Span(c.settings.Step))
+	c.actions = c.dispatcher.Step(c.unixMillis(now), c.batch, c.actions[:0])
 	clear(c.batch)
 	c.batch = c.batch[:0]
 	for i := range c.actions {
-		c.act(&c.actions[i], now)
+		c.execute(&c.actions[i], now)
 	}
 }
 
-func (c *Core) intake(ev any) {
+func (c *Core) handle(ev any) {
 	now := c.now()
 	switch ev := ev.(type) {
-	case submitted:
-		c.submitted(ev.j, now)
-	case gone:
+	case submittedJob:
+		c.admit(ev.job, now)
+	case clientLeft:
 		if j := c.jobs[uint32(ev)]; j != nil && !j.answered.Load() {
 			c.counts.Gone++
-			c.settle(j)
-			c.event(dispatch.Event{Kind: dispatch.EvGone, Job: j.id})
-			c.forget(j)
+			c.markAnswered(j)
+			c.queueEvent(dispatch.Event{Kind: dispatch.EvGone, Job: j.id})
+			c.release(j)
 		}
 	case Result:
-		c.result(ev, now)
+		c.handleResult(ev, now)
 	case List:
-		c.list(ev, now)
-	case peerData:
-		c.event(dispatch.Event{Kind: dispatch.EvPeer, From: ev.from, Data: ev.data})
+		c.updateEndpoints(ev, now)
+	case peerMessage:
+		c.queueEvent(dispatch.Event{Kind: dispatch.EvPeer, From: ev.from, Data: ev.data})
 	case dispatch.Event:
-		c.event(ev)
-	case terminate:
-		ev.to <- c.terminate(ev.id)
-	case leave:
-		c.leaving = true
+		c.queueEvent(ev)
+	case terminateRequest:
+		ev.done <- c.terminate(ev.id)
+	case shutdown:
+		c.shuttingDown = true
 		for _, j := range c.jobs {
-			if !j.answered.Load() && (j.taken.After(time.Time(ev)) || j.live == 0 && !j.ran) {
-				c.cut(j, leaves)
+			if !j.answered.Load() && (j.acceptedAt.After(time.Time(ev)) || j.inFlight == 0 && !j.mayHaveRun) {
+				c.answerUndecided(j, shuttingDownReason)
 			}
 		}
 	case listConfirmed:
 		c.listConfirmed()
 	case listCallFailed:
 		c.startup.Failed()
-	case retune:
-		if c.holds(now) {
-			c.retunes = append(c.retunes, ev)
+	case configChange:
+		if c.stillHolds(now) {
+			c.waitingChanges = append(c.waitingChanges, ev)
 			return
 		}
-		c.retune(ev, now)
-	case machinesTo:
+		c.reconfigure(ev, now)
+	case machinesRequest:
 		out := map[uint32]int{}
 		for _, a := range c.attempts {
-			out[a.worker]++
+			out[a.executor]++
 		}
 		var all []Machine
-		for id, w := range c.workers {
+		for id, w := range c.endpoints {
 			all = append(all, Machine{w, out[id]})
 		}
 		slices.SortFunc(all, func(a, b Machine) int { return strings.Compare(a.Name, b.Name) })
 		ev <- all
-	case countsTo:
+	case countsRequest:
 		n := c.counts
-		n.Slow = c.slow.JSON()
-		n.Knows = c.book.Stages(now.Sub(c.start))
+		n.Slow = c.slowPeers.JSON()
+		n.Knows = c.knowledge.Stages(now.Sub(c.start))
 		n.Open = c.Open()
 		for _, j := range c.jobs {
-			if !j.answered.Load() && j.live > 0 {
+			if !j.answered.Load() && j.inFlight > 0 {
 				n.Running++
 			}
 		}
@@ -241,4 +243,4 @@
 	}
 }
 
-func (c *Core) event(e dispatch.Event) { c.batch = append(c.batch, e) }
+func (c *Core) queueEvent(e dispatch.Event) { c.batch = append(c.batch, e) }
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -31,78 +31,78 @@
 }
 
 // host drives a core without its goroutine, on a clock of its own, and stands for all it speaks to.
-type host struct {
-	c       *Core
-	at      time.Time
-	live    []Attempt
-	gaveUp  map[uint64]bool
-	sends   map[*Job][]uint32 // where each job went
-	watches int
-	told    map[string]string
+type fakeCarriers struct {
+	core           *Core
+	now            time.Time
+	attempts       []Attempt
+	canceled       map[uint64]bool
+	sends          map[*Job][]uint32 // where each job went
+	watches        int
+	endpointStatus map[string]string
 }
 
-func (h *host) Told(_ uint32, e Entry, _ time.Time) { h.told[e.Name] = e.Status }
-func (h *host) Send(a Attempt) {
-	h.live = append(h.live, a)
+func (h *fakeCarriers) Told(_ uint32, e Entry, _ time.Time) { h.endpointStatus[e.Name] = e.Status }
+func (h *fakeCarriers) Send(a Attempt) {
+	h.attempts = append(h.attempts, a)
 	h.sends[a.Job] = append(h.sends[a.Job], a.Worker)
 }
-func (h *host) GiveUp(id uint64)    { h.gaveUp[id] = true }
-func (h *host) Probe(uint32)        {}
-func (h *host) CloseIdle(uint32)    {}
-func (h *host) Watch(bool)          { h.watches++ }
-func (h *host) Fetch()              {}
-func (h *host) Tell(uint16, []byte) {}
+func (h *fakeCarriers) GiveUp(id uint64)    { h.canceled[id] = true }
+func (h *fakeCarriers) Probe(uint32)        {}
+func (h *fakeCarriers) CloseIdle(uint32)    {}
+func (h *fakeCarriers) Watch(bool)          { h.watches++ }
+func (h *fakeCarriers) Fetch()              {}
+func (h *fakeCarriers) Tell(uint16, []byte) {}
 
 type fatal interface{ Fatal(...any) }
 
-func newHost(t fatal, rows ...Entry) *host {
-	h := startHost(t, rows...)
+func newFakeCarriers(t fatal, rows ...Entry) *fakeCarriers {
+	h := startFakeCarriers(t, rows...)
 	h.run(0)
 	return h
 }
 
 // startHost makes one that has taken in nothing yet.
-func startHost(t fatal, rows ...Entry) *host {
-	h := &host{gaveUp: map[uint64]bool{}, sends: map[*Job][]uint32{}, told: map[string]string{}}
+func startFakeCarriers(t fatal, rows ...Entry) *fakeCarriers {
+	h := &fakeCarriers{canceled: map[uint64]bool{}, sends: map[*Job][]uint32{}, endpointStatus: map[string]string{}}
 	c, err := New(settings(), 1, List{Entries: rows}, Names{Zones: []string{"tallinn"}, Kinds: []string{"type-a"}}, lim,
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Connect(h, h, h)
-	h.c, h.at = c, c.start
-	c.now = func() time.Time { return h.at }
+	h.core, h.now = c, c.start
+	c.now = func() time.Time { return h.now }
 	return h
 }
 
 // run lets time pass in small steps and takes in what is queued.
-func (h *host) run(d time.Duration) {
-	for end := h.at.Add(d); ; h.at = h.at.Add(2 * time.Millisecond) {
-		for len(h.c.in) > 0 {
-			h.c.intake(<-h.c.in)
+func (h *fakeCarriers) run(d time.Duration) {
+	for end := h.now.Add(d); ; h.now = h.now.Add(2 * time.Millisecond) {
+		for len(h.core.events) > 0 {
+			h.core.handle(<-h.core.events)
 		}
-		h.c.turn(h.at)
-		if !h.at.Before(end) {
+		h.core.runDue(h.now)
+		if !h.now.Before(end) {
 			return
 		}
 	}
 }
 
-func box(name string) Entry {
+func readyEndpoint(name string) Entry {
 	return Entry{Name: name, Address: "127.0.0.1:1", Zone: "tallinn", Kind: "type-a", Group: 1, Status: "ready", Weight: 1}
 }
 
 // client counts what a job's client is told.
-type client struct {
+type recordingClient struct {
 	answers                 []Answer
 	sent, started, returned int
 	t                       fatal
 }
 
-func (c *client) Sent(string)   { c.sent++ }
-func (c *client) Started()      { c.started++ }
-func (c *client) Returned(bool) { c.returned++ }
-func (c *client) Answer(a Answer) {
+func (c *recordingClient) Sent(string)   { c.sent++ }
+func (c *recordingClient) Started()      { c.started++ }
+func (c *recordingClient) Returned(bool) { c.returned++ }
+func (c *recordingClient) Answer(a Answer) {
 	if c.answers = append(c.answers, a); len(c.answers) > 1 {
 		c.t.Fatal("a second answer", c.answers)
 	}
@@ -114,11 +114,11 @@
 func TestOneAnswer(t *testing.T) {
 	outcomes := []dispatch.Outcome{dispatch.Served, dispatch.Errored, dispatch.Full, dispatch.ConnectFailed, dispatch.Reset, dispatch.Moot}
 	rapid.Check(t, func(t *rapid.T) {
-		h := newHost(t, box("s-1"), box("s-2"))
+		h := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2"))
 		type made struct {
 			id    uint32
 			class int
-			cl    *client
+			cl    *recordingClient
 			until time.Time
 			ran   bool
 			gone  bool
@@ -129,46 +129,46 @@
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1:
-				m := &made{class: rapid.IntRange(0, 1).Draw(t, "class"), cl: &client{t: t}}
+				m := &made{class: rapid.IntRange(0, 1).Draw(t, "class"), cl: &recordingClient{t: t}}
 				left := time.Duration(rapid.IntRange(0, 3000).Draw(t, "left")) * time.Millisecond
 				in := Job{Class: m.class, Left: left, Slots: 1, Trace: string(rune('a' + i))}
-				id, err := h.c.Submit(in, m.cl)
+				id, err := h.core.Submit(in, m.cl)
 				if err != nil {
 					t.Fatal(err)
 				}
-				m.id, m.until = id, h.at.Add(left)
+				m.id, m.until = id, h.now.Add(left)
 				jobs, byTrace[in.Trace] = append(jobs, m), m
 			case 2, 3: // an outcome, now and then of an attempt that is over
-				if len(h.live) == 0 {
+				if len(h.attempts) == 0 {
 					continue
 				}
-				a := rapid.SampledFrom(h.live).Draw(t, "attempt")
+				a := rapid.SampledFrom(h.attempts).Draw(t, "attempt")
 				o := rapid.SampledFrom(outcomes).Draw(t, "outcome")
-				if _, open := h.c.attempts[a.ID]; open && !o.NeverRan() {
+				if _, open := h.core.attempts[a.ID]; open && !o.NeverRan() {
 					byTrace[a.Job.Trace].ran = true
 				}
-				h.c.Result(Result{Attempt: a.ID, Outcome: o, Body: []byte("tile"), Report: []float32{0, 2}})
+				h.core.Result(Result{Attempt: a.ID, Outcome: o, Body: []byte("tile"), Report: []float32{0, 2}})
 			case 4:
-				if len(h.live) > 0 {
-					h.c.Result(Result{Attempt: rapid.SampledFrom(h.live).Draw(t, "attempt").ID, Topic: dispatch.NoteStarted})
+				if len(h.attempts) > 0 {
+					h.core.Result(Result{Attempt: rapid.SampledFrom(h.attempts).Draw(t, "attempt").ID, Topic: dispatch.NoteStarted})
 				}
 			case 5:
 				if len(jobs) > 0 {
 					m := rapid.SampledFrom(jobs).Draw(t, "job")
 					m.gone = true
-					h.c.Gone(m.id)
+					h.core.Gone(m.id)
 				}
 			case 6:
 				h.run(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
 			}
 			h.run(0)
-			all = h.live
+			all = h.attempts
 		}
-		for end := h.at.Add(3100 * time.Millisecond); h.at.Before(end); {
+		for end := h.now.Add(3100 * time.Millisecond); h.now.Before(end); {
 			h.run(2 * time.Millisecond)
 			for _, m := range jobs {
-				if h.at.After(m.until) && len(m.cl.answers) == 0 && !m.gone && m.until.Sub(h.c.start) > 0 {
-					if late := h.at.Sub(m.until); late > 10*time.Millisecond {
+				if h.now.After(m.until) && len(m.cl.answers) == 0 && !m.gone && m.until.Sub(h.core.start) > 0 {
+					if late := h.now.Sub(m.until); late > 10*time.Millisecond {
 						t.Fatal("a job without an answer", late, "after its client gave up")
 					}
 				}
@@ -191,8 +191,8 @@
 				t.Fatal("more than three attempts")
 			}
 		}
-		if len(h.c.attempts) != 0 || len(h.c.jobs) != 0 || len(h.c.traces) != 0 || h.c.Open() != 0 {
-			t.Fatal("something is kept of jobs that are over:", len(h.c.attempts), len(h.c.jobs), len(h.c.traces), h.c.Open())
+		if len(h.core.attempts) != 0 || len(h.core.jobs) != 0 || len(h.core.jobByTrace) != 0 || h.core.Open() != 0 {
+			t.Fatal("something is kept of jobs that are over:", len(h.core.attempts), len(h.core.jobs), len(h.core.jobByTrace), h.core.Open())
 		}
 	})
 }
@@ -200,52 +200,52 @@
 // A tile-charge that may have run is never sent again, and is failed at once: its client must not be held.
 func TestTileChargeRunsOnce(t *testing.T) {
 	for _, o := range []dispatch.Outcome{dispatch.Errored, dispatch.Reset} {
-		h, cl := newHost(t, box("s-1"), box("s-2")), &client{t: t}
-		if _, err := h.c.Submit(Job{Left: 7500 * time.Millisecond, Slots: 1, Trace: "a"}, cl); err != nil {
+		h, cl := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
+		if _, err := h.core.Submit(Job{Left: 7500 * time.Millisecond, Slots: 1, Trace: "a"}, cl); err != nil {
 			t.Fatal(err)
 		}
 		h.run(10 * time.Millisecond)
-		if len(h.live) != 1 {
-			t.Fatalf("%d sends", len(h.live))
+		if len(h.attempts) != 1 {
+			t.Fatalf("%d sends", len(h.attempts))
 		}
-		h.c.Result(Result{Attempt: h.live[0].ID, Outcome: o})
+		h.core.Result(Result{Attempt: h.attempts[0].ID, Outcome: o})
 		h.run(50 * time.Millisecond)
-		if len(h.live) != 1 || len(cl.answers) != 1 || cl.answers[0].End != Failed {
-			t.Errorf("after %d: %d sends, answers %v", o, len(h.live), cl.answers)
+		if len(h.attempts) != 1 || len(cl.answers) != 1 || cl.answers[0].End != Failed {
+			t.Errorf("after %d: %d sends, answers %v", o, len(h.attempts), cl.answers)
 		}
 	}
 }
 
 // A box that has been told to drain, or is missing from a whole list, gets nothing new.
 func TestListsReachTheModule(t *testing.T) {
-	h := newHost(t, box("s-1"), box("s-2"))
-	if !h.c.Ready() || h.watches != 1 {
-		t.Fatalf("ready %v, %d watches", h.c.Ready(), h.watches)
+	h := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2"))
+	if !h.core.Ready() || h.watches != 1 {
+		t.Fatalf("ready %v, %d watches", h.core.Ready(), h.watches)
 	}
-	gone := box("s-1")
+	gone := readyEndpoint("s-1")
 	gone.Status = "draining"
-	h.c.List(List{Form: dispatch.ListDelta, Entries: []Entry{gone}})
+	h.core.List(List{Form: dispatch.ListDelta, Entries: []Entry{gone}})
 	h.run(10 * time.Millisecond)
 	for i := range 4 {
-		if _, err := h.c.Submit(Job{Left: 7500 * time.Millisecond, Slots: 1, Trace: string(rune('a' + i))}, &client{t: t}); err != nil {
+		if _, err := h.core.Submit(Job{Left: 7500 * time.Millisecond, Slots: 1, Trace: string(rune('a' + i))}, &recordingClient{t: t}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	h.run(20 * time.Millisecond)
-	if len(h.live) == 0 {
+	if len(h.attempts) == 0 {
 		t.Fatal("nothing was sent")
 	}
-	for _, a := range h.live {
+	for _, a := range h.attempts {
 		if a.Worker == WorkerID("s-1") {
 			t.Error("a draining box got a job")
 		}
 	}
-	h.c.List(List{Form: dispatch.ListFull, Entries: []Entry{gone}})
+	h.core.List(List{Form: dispatch.ListFull, Entries: []Entry{gone}})
 	h.run(10 * time.Millisecond)
-	if h.told["s-2"] != "gone" || h.c.Ready() {
-		t.Errorf("a box that a whole list lacks is %q; ready %v", h.told["s-2"], h.c.Ready())
+	if h.endpointStatus["s-2"] != "gone" || h.core.Ready() {
+		t.Errorf("a box that a whole list lacks is %q; ready %v", h.endpointStatus["s-2"], h.core.Ready())
 	}
-	h.c.List(List{Form: dispatch.ListFailed})
+	h.core.List(List{Form: dispatch.ListFailed})
 	h.run(3 * time.Second)
 	if h.watches < 2 {
 		t.Error("a failed watch was not begun anew")
@@ -254,15 +254,15 @@
 
 // A second job of an id that is open fails: callbacks name a job by its id alone.
 func TestIDsAreNotShared(t *testing.T) {
-	h, first, second := newHost(t, box("s-1")), &client{t: t}, &client{t: t}
-	for _, cl := range []*client{first, second} {
-		if _, err := h.c.Submit(Job{Left: time.Second, Slots: 1, Trace: "a"}, cl); err != nil {
+	h, first, second := newFakeCarriers(t, readyEndpoint("s-1")), &recordingClient{t: t}, &recordingClient{t: t}
+	for _, cl := range []*recordingClient{first, second} {
+		if _, err := h.core.Submit(Job{Left: time.Second, Slots: 1, Trace: "a"}, cl); err != nil {
 			t.Fatal(err)
 		}
 	}
 	h.run(10 * time.Millisecond)
-	if len(second.answers) != 1 || second.answers[0].End != Failed || len(first.answers) != 0 || len(h.live) != 1 {
-		t.Errorf("first %v, second %v, %d sends", first.answers, second.answers, len(h.live))
+	if len(second.answers) != 1 || second.answers[0].End != Failed || len(first.answers) != 0 || len(h.attempts) != 1 {
+		t.Errorf("first %v, second %v, %d sends", first.answers, second.answers, len(h.attempts))
 	}
 }
 
@@ -274,10 +274,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err = c.Submit(Job{Trace: "a"}, &client{t: t}); err != nil {
+	if _, err = c.Submit(Job{Trace: "a"}, &recordingClient{t: t}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err = c.Submit(Job{Trace: "b"}, &client{t: t}); !errors.Is(err, ErrFull) || c.Open() != 1 {
+	if _, err = c.Submit(Job{Trace: "b"}, &recordingClient{t: t}); !errors.Is(err, ErrFull) || c.Open() != 1 {
 		t.Errorf("%v, %d open", err, c.Open())
 	}
 }
@@ -320,63 +320,63 @@
 // Two copies that are both served at the same moment give one answer: without the guard in Core.answer the client
 // would get a second one, and the counts would be wrong.
 func TestTwoCopiesOneAnswer(t *testing.T) {
-	h, cl := newHost(t, box("s-1"), box("s-2")), &client{t: t}
-	id, err := h.c.Submit(Job{Class: 1, Left: 25 * time.Second, Slots: 1, Trace: "a"}, cl)
+	h, cl := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
+	id, err := h.core.Submit(Job{Class: 1, Left: 25 * time.Second, Slots: 1, Trace: "a"}, cl)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.run(10 * time.Millisecond)
 	other := WorkerID("s-1")
-	if h.live[0].Worker == other {
+	if h.attempts[0].Worker == other {
 		other = WorkerID("s-2")
 	}
-	h.c.act(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Worker: other}, h.at)
-	if len(h.live) != 2 {
-		t.Fatalf("%d sends", len(h.live))
+	h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Worker: other}, h.now)
+	if len(h.attempts) != 2 {
+		t.Fatalf("%d sends", len(h.attempts))
 	}
-	for _, a := range h.live {
-		h.c.Result(Result{Attempt: a.ID, Outcome: dispatch.Served, Body: []byte("tile")})
+	for _, a := range h.attempts {
+		h.core.Result(Result{Attempt: a.ID, Outcome: dispatch.Served, Body: []byte("tile")})
 	}
-	h.c.Gone(id) // and the client leaves as its answer is on the way
+	h.core.Gone(id) // and the client leaves as its answer is on the way
 	h.run(50 * time.Millisecond)
-	if n := h.c.counts; len(cl.answers) != 1 || n.Served != 1 || n.Gone != 0 || h.c.Open() != 0 || len(h.c.jobs) != 0 {
-		t.Errorf("answers %v, counts %+v, %d open", cl.answers, n, h.c.Open())
+	if n := h.core.counts; len(cl.answers) != 1 || n.Served != 1 || n.Gone != 0 || h.core.Open() != 0 || len(h.core.jobs) != 0 {
+		t.Errorf("answers %v, counts %+v, %d open", cl.answers, n, h.core.Open())
 	}
 }
 
 // An attempt of which nothing is heard ends as timed out, is given up, and the job is failed while its client
 // still waits; the module's own word comes before the core's last resort.
 func TestTimeOut(t *testing.T) {
-	h, cl := newHost(t, box("s-1")), &client{t: t}
-	if _, err := h.c.Submit(Job{Left: time.Second, Slots: 1, Trace: "a"}, cl); err != nil {
+	h, cl := newFakeCarriers(t, readyEndpoint("s-1")), &recordingClient{t: t}
+	if _, err := h.core.Submit(Job{Left: time.Second, Slots: 1, Trace: "a"}, cl); err != nil {
 		t.Fatal(err)
 	}
 	h.run(960 * time.Millisecond)
-	if len(cl.answers) != 0 || len(h.live) != 1 {
-		t.Fatalf("too early: %v, %d sends", cl.answers, len(h.live))
+	if len(cl.answers) != 0 || len(h.attempts) != 1 {
+		t.Fatalf("too early: %v, %d sends", cl.answers, len(h.attempts))
 	}
 	h.run(25 * time.Millisecond)
-	if len(cl.answers) != 1 || cl.answers[0].End != Failed || !h.gaveUp[h.live[0].ID] {
-		t.Errorf("15 ms before the client gives up: %v, given up %v", cl.answers, h.gaveUp)
+	if len(cl.answers) != 1 || cl.answers[0].End != Failed || !h.canceled[h.attempts[0].ID] {
+		t.Errorf("15 ms before the client gives up: %v, given up %v", cl.answers, h.canceled)
 	}
 }
 
 // A node that may be killed any moment answers what came after its signal: unanswered, that would count as lost.
 // What nothing was sent of is refused, what came before may still be served, and nothing more is taken.
 func TestLeave(t *testing.T) {
-	h := newHost(t, box("s-1"))
-	submit := func(trace string) *client {
-		cl := &client{t: t}
-		if _, err := h.c.Submit(Job{Trace: trace, Left: 7 * time.Second, Slots: 1}, cl); err != nil {
+	h := newFakeCarriers(t, readyEndpoint("s-1"))
+	submit := func(trace string) *recordingClient {
+		cl := &recordingClient{t: t}
+		if _, err := h.core.Submit(Job{Trace: trace, Left: 7 * time.Second, Slots: 1}, cl); err != nil {
 			t.Fatal(err)
 		}
 		h.run(20 * time.Millisecond)
 		return cl
 	}
 	old := submit("old")
-	told := h.at
+	told := h.now
 	h.run(4 * time.Millisecond)
-	sent, held := submit("sent"), (*client)(nil)
+	sent, held := submit("sent"), (*recordingClient)(nil)
 	for i := 0; held == nil; i++ {
 		if i > 20 {
 			t.Fatal("the module holds nothing: the test would show nothing")
@@ -388,10 +388,10 @@
 	if old.sent != 1 || sent.sent != 1 {
 		t.Fatalf("sent %d and %d, want one each: the test would show nothing", old.sent, sent.sent)
 	}
-	h.c.Leave(told)
+	h.core.Leave(told)
 	h.run(20 * time.Millisecond)
 	late := submit("late")
-	for what, cl := range map[string]*client{"held": held, "late": late} {
+	for what, cl := range map[string]*recordingClient{"held": held, "late": late} {
 		if len(cl.answers) != 1 || cl.answers[0].End != Refused || cl.answers[0].RetryAfter <= 0 || cl.sent != 0 {
 			t.Errorf("%s: %+v, sent %d", what, cl.answers, cl.sent)
 		}
@@ -402,7 +402,7 @@
 	if len(old.answers) != 0 {
 		t.Fatalf("a job from before: %+v", old.answers)
 	}
-	h.c.Result(Result{Attempt: h.live[0].ID, Outcome: dispatch.Served, Body: []byte("tile")})
+	h.core.Result(Result{Attempt: h.attempts[0].ID, Outcome: dispatch.Served, Body: []byte("tile")})
 	h.run(20 * time.Millisecond)
 	if len(old.answers) != 1 || old.answers[0].End != Served {
 		t.Errorf("a job from before that was served: %+v", old.answers)
@@ -412,49 +412,49 @@
 // Where the operators' file bounds the jobs that one customer may have open, one more is turned away at once, others are
 // not, and an end makes room.
 func TestCustomersShare(t *testing.T) {
-	h := newHost(t, box("s-1"))
-	h.c.lim.Pace.Requests = 2
-	h.c.tenants = make([]atomic.Int64, 2)
+	h := newFakeCarriers(t, readyEndpoint("s-1"))
+	h.core.limits.Pace.Requests = 2
+	h.core.openByTenant = make([]atomic.Int64, 2)
 	submit := func(id string, tenant int) (uint32, error) {
-		return h.c.Submit(Job{Trace: id, Class: 1, Tenant: tenant, Left: 5 * time.Second, Slots: 1}, &client{t: t})
+		return h.core.Submit(Job{Trace: id, Class: 1, Tenant: tenant, Left: 5 * time.Second, Slots: 1}, &recordingClient{t: t})
 	}
 	for i, id := range []string{"a", "b"} {
 		if _, err := submit(id, 0); err != nil {
 			t.Fatal(i, err)
 		}
 	}
-	if _, err := submit("c", 0); !errors.Is(err, ErrShare) || h.c.Open() != 2 || h.c.Slow().Count(slowpeer.ClientShare) != 1 {
-		t.Errorf("%v, %d open", err, h.c.Open())
+	if _, err := submit("c", 0); !errors.Is(err, ErrShare) || h.core.Open() != 2 || h.core.Slow().Count(slowpeer.ClientShare) != 1 {
+		t.Errorf("%v, %d open", err, h.core.Open())
 	}
 	if _, err := submit("d", 1); err != nil {
 		t.Errorf("another customer: %v", err)
 	}
 	h.run(6 * time.Second)
-	if _, err := submit("e", 0); err != nil || h.c.Open() != 1 {
-		t.Errorf("after their ends: %v, %d open", err, h.c.Open())
+	if _, err := submit("e", 0); err != nil || h.core.Open() != 1 {
+		t.Errorf("after their ends: %v, %d open", err, h.core.Open())
 	}
 }
 
 // A node that starts while discovery is down is ready after a while, with no list or one that names nobody who takes work; once a list
 // of this life has come, that says.
 func TestReadyWithoutAList(t *testing.T) {
-	drains := box("s-1")
+	drains := readyEndpoint("s-1")
 	drains.Status = "draining"
 	for _, known := range [][]Entry{nil, {drains}} {
-		h := newHost(t, known...)
-		c := h.c
-		c.intake(List{Form: dispatch.ListFailed})
-		h.at = c.start.Add(c.lim.ReadyBy - 1)
+		h := newFakeCarriers(t, known...)
+		c := h.core
+		c.handle(List{Form: dispatch.ListFailed})
+		h.now = c.start.Add(c.limits.ReadyBy - 1)
 		if c.Ready() {
 			t.Error("ready before")
 		}
-		if h.at = h.at.Add(1); !c.Ready() {
+		if h.now = h.now.Add(1); !c.Ready() {
 			t.Error("not ready")
 		}
-		if c.intake(List{Form: dispatch.ListFull}); c.Ready() {
+		if c.handle(List{Form: dispatch.ListFull}); c.Ready() {
 			t.Error("ready though the list names nobody")
 		}
-		if c.intake(List{Form: dispatch.ListFull, Entries: []Entry{box("s-1")}}); !c.Ready() {
+		if c.handle(List{Form: dispatch.ListFull, Entries: []Entry{readyEndpoint("s-1")}}); !c.Ready() {
 			t.Error("not ready with a list")
 		}
 	}
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -18,61 +18,61 @@
 // listConfirmed tells the module that the list stands, as a change of no row: an executor's start that is notified later happened
 // after now. Before the first list of this process there is nothing to confirm.
 func (c *Core) listConfirmed() {
-	if c.heard.Load() {
-		c.event(dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListDelta})
+	if c.endpointsConfirmed.Load() {
+		c.queueEvent(dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListDelta})
 	}
 }
 
-func (c *Core) list(l List, now time.Time) {
+func (c *Core) updateEndpoints(l List, now time.Time) {
 	e := dispatch.Event{Kind: dispatch.EvList, Form: l.Form, Version: uint32(l.Index)}
 	switch l.Form {
 	case dispatch.ListFailed:
 	case dispatch.ListCached:
-		c.book.Confirm(recovery.List, recovery.Restored, l.Index, now.Sub(c.start))
+		c.knowledge.Confirm(recovery.List, recovery.Restored, l.Index, now.Sub(c.start))
 	default:
-		c.heard.Store(true)
+		c.endpointsConfirmed.Store(true)
 		c.startup.Confirmed()
-		c.book.Confirm(recovery.List, recovery.Current, l.Index, now.Sub(c.start))
+		c.knowledge.Confirm(recovery.List, recovery.Current, l.Index, now.Sub(c.start))
 	}
 	if l.Form == dispatch.ListFull || l.Form == dispatch.ListCached {
 		listed := map[uint32]bool{}
 		for i := range l.Entries {
 			listed[WorkerID(l.Entries[i].Name)] = true
 		}
-		for id, w := range c.workers {
+		for id, w := range c.endpoints {
 			if !listed[id] { // who is not in a whole list is gone
 				w.Status = "gone"
-				c.exec.Told(id, w, now)
-				delete(c.workers, id)
+				c.executors.Told(id, w, now)
+				delete(c.endpoints, id)
 			}
 		}
 	}
 	for i := range l.Entries {
 		x := &l.Entries[i]
 		id := WorkerID(x.Name)
-		if was, ok := c.workers[id]; ok && was.Name != x.Name {
+		if was, ok := c.endpoints[id]; ok && was.Name != x.Name {
 			c.log.Error("two executors share a number, the later one is left out", "one", was.Name, "other", x.Name)
 			continue
 		}
 		if x.Condition() == dispatch.Gone {
-			delete(c.workers, id)
+			delete(c.endpoints, id)
 		} else {
-			c.workers[id] = *x
+			c.endpoints[id] = *x
 		}
-		c.exec.Told(id, *x, now)
-		e.Rows = append(e.Rows, dispatch.Row{Worker: id, Zone: place(c.names.Zones, x.Zone), Kind: place(c.names.Kinds, x.Kind),
+		c.executors.Told(id, *x, now)
+		e.Rows = append(e.Rows, dispatch.Row{Worker: id, Zone: position(c.names.Zones, x.Zone), Kind: position(c.names.Kinds, x.Kind),
 			Cell: uint16(x.Group), Condition: x.Condition(), Scale: x.Weight, Born: x.SinceMS})
 	}
 	able := false
-	for _, w := range c.workers {
+	for _, w := range c.endpoints {
 		able = able || w.Condition() == dispatch.Ready
 	}
-	c.ready.Store(able)
-	c.event(e)
+	c.hasReadyExecutor.Store(able)
+	c.queueEvent(e)
 }
 
 // place of a name in a list, 255 for one that is not in it.
-func place(names []string, name string) uint8 {
+func position(names []string, name string) uint8 {
 	for i, n := range names {
 		if n == name {
 			return uint8(min(i, 254))
--- a/internal/node/localfault_test.go
+++ b/internal/node/localfault_test.go
@@ -18,9 +18,9 @@
 		"failed connection":     {dispatch.ConnectFailed, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHost(t, box("s-1"))
+			h := newFakeCarriers(t, readyEndpoint("s-1"))
 			submit := func(trace string) {
-				if _, err := h.c.Submit(Job{Left: 7 * time.Second, Slots: 1, Trace: trace}, &client{t: t}); err != nil {
+				if _, err := h.core.Submit(Job{Left: 7 * time.Second, Slots: 1, Trace: trace}, &recordingClient{t: t}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -29,7 +29,7 @@
 			if h.sent() != 1 {
 				t.Fatalf("%d sends at first", h.sent())
 			}
-			h.c.Result(Result{Attempt: h.live[0].ID, Outcome: x.outcome})
+			h.core.Result(Result{Attempt: h.attempts[0].ID, Outcome: x.outcome})
 			h.run(10 * time.Millisecond)
 			submit("b")
 			h.run(40 * time.Millisecond)
@@ -44,13 +44,13 @@
 // are made than the settings allow, however soon each ends.
 func TestCancelledBeforeSendIsBounded(t *testing.T) {
 	for class := range settings().Classes {
-		h, cl := newHost(t, box("s-1"), box("s-2")), &client{t: t}
-		if _, err := h.c.Submit(Job{Class: class, Left: 7 * time.Second, Slots: 1, Trace: "a"}, cl); err != nil {
+		h, cl := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
+		if _, err := h.core.Submit(Job{Class: class, Left: 7 * time.Second, Slots: 1, Trace: "a"}, cl); err != nil {
 			t.Fatal(err)
 		}
-		for ended := 0; h.at.Before(h.c.start.Add(8 * time.Second)); h.run(2 * time.Millisecond) {
-			for ; ended < len(h.live); ended++ {
-				h.c.Result(Result{Attempt: h.live[ended].ID, Outcome: dispatch.Moot})
+		for ended := 0; h.now.Before(h.core.start.Add(8 * time.Second)); h.run(2 * time.Millisecond) {
+			for ; ended < len(h.attempts); ended++ {
+				h.core.Result(Result{Attempt: h.attempts[ended].ID, Outcome: dispatch.Moot})
 			}
 		}
 		if len(cl.answers) != 1 || cl.answers[0].End != Refused || h.sent() > settings().MaxAttempts {
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -10,40 +10,40 @@
 	"gatetack/internal/slowpeer"
 )
 
-type submitted struct {
-	j  *job
-	at time.Time
+type submittedJob struct {
+	job *job
+	at  time.Time
 }
-type gone uint32
-type terminate struct {
-	id uint32
-	to chan error
+type clientLeft uint32
+type terminateRequest struct {
+	id   uint32
+	done chan error
 }
-type peerData struct {
+type peerMessage struct {
 	from uint32
 	data []byte
 }
-type countsTo chan Counts
-type machinesTo chan []Machine
-type leave time.Time
-type retune struct {
-	rules *Rules
-	from  map[int]int
-	to    chan error
+type countsRequest chan Counts
+type machinesRequest chan []Machine
+type shutdown time.Time
+type configChange struct {
+	rules   *Rules
+	origins map[int]int
+	done    chan error
 }
 
 // Submit hands in a job. Unless it fails, the client gets one answer, or Gone is called. It never blocks.
 func (c *Core) Submit(in Job, client Client) (uint32, error) {
 	now := c.now()
-	j := &job{id: c.lastID.Add(1), in: in, client: client, taken: now, deadline: now.Add(in.Left)}
+	j := &job{id: c.lastJobID.Add(1), request: in, client: client, acceptedAt: now, deadline: now.Add(in.Left)}
 	if err := c.reserve(j); err != nil {
 		return 0, err
 	}
 	select {
-	case c.in <- submitted{j, now}:
+	case c.events <- submittedJob{j, now}:
 		return j.id, nil
 	default:
-		c.free(j)
+		c.unreserve(j)
 		return 0, ErrFull
 	}
 }
@@ -51,64 +51,64 @@
 // reserve counts an open job, unless there are too many: of all, or of its customer where the file bounds those. Which
 // job is admitted is the module's to say; this keeps what waits to be told to it from growing without bound.
 func (c *Core) reserve(j *job) error {
-	if int(c.open.Add(1)) > c.lim.MaxOpen {
-		c.open.Add(-1)
+	if int(c.openJobs.Add(1)) > c.limits.MaxOpen {
+		c.openJobs.Add(-1)
 		return ErrFull
 	}
-	if most := c.lim.Pace.Requests; most > 0 && j.in.Tenant < len(c.tenants) && int(c.tenants[j.in.Tenant].Add(1)) > most {
-		c.free(j)
-		c.slow.Add(slowpeer.ClientShare)
+	if most := c.limits.Pace.Requests; most > 0 && j.request.Tenant < len(c.openByTenant) && int(c.openByTenant[j.request.Tenant].Add(1)) > most {
+		c.unreserve(j)
+		c.slowPeers.Add(slowpeer.ClientShare)
 		return ErrShare
 	}
 	return nil
 }
 
 // free gives back what reserve counted.
-func (c *Core) free(j *job) {
-	c.open.Add(-1)
-	if c.lim.Pace.Requests > 0 && j.in.Tenant < len(c.tenants) {
-		c.tenants[j.in.Tenant].Add(-1)
+func (c *Core) unreserve(j *job) {
+	c.openJobs.Add(-1)
+	if c.limits.Pace.Requests > 0 && j.request.Tenant < len(c.openByTenant) {
+		c.openByTenant[j.request.Tenant].Add(-1)
 	}
 }
 
 // post hands an event in that must not be lost. Only the core's end makes it give up.
 func (c *Core) post(ev any) {
 	select {
-	case c.in <- ev:
-	case <-c.done:
+	case c.events <- ev:
+	case <-c.stopped:
 	}
 }
 
 // Gone says that a job's client has left. Its answer may cross with it.
-func (c *Core) Gone(id uint32) { c.post(gone(id)) }
+func (c *Core) Gone(id uint32) { c.post(clientLeft(id)) }
 
 // Leave says that the node may end any moment. What it took after a time, and whatever nothing was sent of, is
 // answered now, and so is all that still comes; what is older may yet be served.
-func (c *Core) Leave(after time.Time) { c.post(leave(after)) }
+func (c *Core) Leave(after time.Time) { c.post(shutdown(after)) }
 
 // Result takes what came of an attempt.
 func (c *Core) Result(r Result) { c.post(r) }
 
 // Probed takes what came of a probe.
 func (c *Core) Probed(worker uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
-	c.post(dispatch.Event{Kind: dispatch.EvProbed, Worker: worker, Outcome: o, Elapsed: millis(elapsed), Report: report})
+	c.post(dispatch.Event{Kind: dispatch.EvProbed, Worker: worker, Outcome: o, Elapsed: milliseconds(elapsed), Report: report})
 }
 
 // List takes a list or a change of it.
 func (c *Core) List(l List) { c.post(l) }
 
 // Peer takes a message of another node.
-func (c *Core) Peer(from uint32, data []byte) { c.post(peerData{from, data}) }
+func (c *Core) Peer(from uint32, data []byte) { c.post(peerMessage{from, data}) }
 
 // Terminate ends a job of which nothing was sent, or else says why not. A job that was sent goes on: nothing
 // stops it at an executor.
 func (c *Core) Terminate(ctx context.Context, id uint32) error {
 	to := make(chan error, 1)
-	c.post(terminate{id, to})
+	c.post(terminateRequest{id, to})
 	select {
 	case err := <-to:
 		return err
-	case <-c.done:
+	case <-c.stopped:
 		return ErrUnknown
 	case <-ctx.Done():
 		return ctx.Err()
@@ -117,12 +117,12 @@
 
 // Counts tells what was done so far.
 func (c *Core) Counts(ctx context.Context) (Counts, error) {
-	to := make(countsTo, 1)
+	to := make(countsRequest, 1)
 	c.post(to)
 	select {
 	case n := <-to:
 		return n, nil
-	case <-c.done:
+	case <-c.stopped:
 		return Counts{}, context.Canceled
 	case <-ctx.Done():
 		return Counts{}, ctx.Err()
@@ -131,12 +131,12 @@
 
 // Machines tells which executors are listed, by name, and what of this node is out there.
 func (c *Core) Machines(ctx context.Context) ([]Machine, error) {
-	to := make(machinesTo, 1)
+	to := make(machinesRequest, 1)
 	c.post(to)
 	select {
 	case all := <-to:
 		return all, nil
-	case <-c.done:
+	case <-c.stopped:
 		return nil, context.Canceled
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -154,11 +154,11 @@
 		return err
 	}
 	to := make(chan error, 1)
-	c.post(retune{next, from, to})
+	c.post(configChange{next, from, to})
 	select {
 	case err := <-to:
 		return err
-	case <-c.done:
+	case <-c.stopped:
 		return context.Canceled
 	case <-ctx.Done():
 		return ctx.Err()
@@ -168,10 +168,10 @@
 // Ready says whether the node can serve: it runs and its list names an executor that takes work. For a list it does not wait
 // longer than a while: discovery may be down, and a node that refuses what it can not send is of more use than none.
 func (c *Core) Ready() bool {
-	if c.holding.Load() {
+	if c.holdsJobs.Load() {
 		return false
 	}
-	return c.ready.Load() || !c.heard.Load() && c.now().Sub(c.start) >= c.lim.ReadyBy
+	return c.hasReadyExecutor.Load() || !c.endpointsConfirmed.Load() && c.now().Sub(c.start) >= c.limits.ReadyBy
 }
 
 // Drain marks the node as drained by its operator: it tells clients to go elsewhere, and goes on answering what it
@@ -185,4 +185,4 @@
 func (c *Core) Drained() bool { return c.drained.Load() }
 
 // Open is how many jobs are owed an answer.
-func (c *Core) Open() int { return int(c.open.Load()) }
+func (c *Core) Open() int { return int(c.openJobs.Load()) }
--- a/internal/node/rules.go
+++ b/internal/node/rules.go
@@ -77,11 +77,11 @@
 	for _, i := range free { // until another takes the place
 		next.Names.Retired = append(next.Names.Retired, Retired{Class: i})
 	}
-	return next, from, next.tenants(r, s, names)
+	return next, from, next.retuneTenants(r, s, names)
 }
 
 // tenants keeps the tenants' places by name; one that is no longer named keeps its place with no share.
-func (r *Rules) tenants(was *Rules, s dispatch.Settings, names Names) error {
+func (r *Rules) retuneTenants(was *Rules, s dispatch.Settings, names Names) error {
 	r.Names.Tenants = slices.Clone(was.Names.Tenants)
 	r.Settings.Tenants = make([]dispatch.Tenant, len(was.Settings.Tenants))
 	if len(was.Settings.Tenants) == 0 && len(s.Tenants) > 0 || len(was.Settings.Tenants) > 0 && len(s.Tenants) == 0 {
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &host{told: map[string]string{}}
+	h := &fakeCarriers{endpointStatus: map[string]string{}}
 	c.Connect(h, h, h)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -18,27 +18,27 @@
 	if known == 0 {
 		return
 	}
-	c.startup.Begin(c.start, c.lim.Staleness)
-	c.holding.Store(true)
+	c.startup.Begin(c.start, c.limits.Staleness)
+	c.holdsJobs.Store(true)
 }
 
 // holds says whether jobs are held now. When they no longer are, it lets them go to the module.
-func (c *Core) holds(now time.Time) bool {
-	if !c.holding.Load() {
+func (c *Core) stillHolds(now time.Time) bool {
+	if !c.holdsJobs.Load() {
 		return false
 	}
 	if c.startup.Holds(now) {
 		return true
 	}
-	c.holding.Store(false)
-	c.log.Info("list", "confirmed", c.heard.Load(), "after", now.Sub(c.start).Round(time.Millisecond), "held", len(c.jobs))
+	c.holdsJobs.Store(false)
+	c.log.Info("list", "confirmed", c.endpointsConfirmed.Load(), "after", now.Sub(c.start).Round(time.Millisecond), "held", len(c.jobs))
 	for i := range c.batch {
 		c.refreshTimeLeft(&c.batch[i], now)
 	}
-	for _, r := range c.retunes {
-		c.retune(r, now)
+	for _, r := range c.waitingChanges {
+		c.reconfigure(r, now)
 	}
-	c.retunes = nil
+	c.waitingChanges = nil
 	return false
 }
 
@@ -48,34 +48,34 @@
 		return
 	}
 	if j := c.jobs[e.Job]; j != nil {
-		e.TimeLeft = max(0, millis(j.deadline.Sub(now)))
+		e.TimeLeft = max(0, milliseconds(j.deadline.Sub(now)))
 	}
 }
 
 // retune puts new rules in force. What came before them is the module's to decide by the old ones.
-func (c *Core) retune(r retune, now time.Time) {
+func (c *Core) reconfigure(r configChange, now time.Time) {
 	if len(c.batch) > 0 {
 		c.step(now)
 	}
-	err := c.d.Retune(r.rules.Settings, r.from)
+	err := c.dispatcher.Retune(r.rules.Settings, r.origins)
 	if err == nil {
-		c.s = r.rules.Settings
+		c.settings = r.rules.Settings
 		c.rules.Store(r.rules)
 	}
-	r.to <- err
+	r.done <- err
 }
 
 // wake is when the core has something to do next, if nothing comes before.
-func (c *Core) wake() time.Time {
+func (c *Core) nextWake() time.Time {
 	next := time.Now().Add(time.Hour)
 	if len(c.timers) > 0 {
 		next = c.timers[0].at
 	}
 	switch {
-	case c.holding.Load():
+	case c.holdsJobs.Load():
 		return earlier(next, c.startup.Until())
 	case len(c.batch) > 0:
-		return c.stepAt
+		return c.nextStepAt
 	}
 	return next
 }
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -10,7 +10,7 @@
 	"gatetack/internal/dispatch"
 )
 
-func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 // Span makes a time of the milliseconds that the module and its settings count in.
 func Span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
@@ -22,9 +22,9 @@
 	return a
 }
 
-type token uint32    // of the module
-type timeout uint64  // of an attempt
-type deadline uint32 // of a job
+type moduleTimer uint32    // of the module
+type attemptTimeout uint64 // of an attempt
+type jobDeadline uint32    // of a job
 
 type timer struct {
 	at   time.Time
@@ -44,21 +44,21 @@
 	return x
 }
 
-func (c *Core) at(t time.Time, what any) { heap.Push(&c.timers, timer{t, what}) }
+func (c *Core) startTimer(t time.Time, what any) { heap.Push(&c.timers, timer{t, what}) }
 
 // fire takes in the timers that are due.
-func (c *Core) fire(now time.Time) {
+func (c *Core) fireTimers(now time.Time) {
 	for len(c.timers) > 0 && !c.timers[0].at.After(now) {
 		switch what := heap.Pop(&c.timers).(timer).what.(type) {
-		case token:
-			c.event(dispatch.Event{Kind: dispatch.EvTimer, Token: uint32(what)})
-		case timeout:
-			if a := c.attempts[uint64(what)]; a != nil && !a.over {
-				c.exec.GiveUp(a.id)
-				c.end(a, dispatch.TimedOut, nil, nil, now)
+		case moduleTimer:
+			c.queueEvent(dispatch.Event{Kind: dispatch.EvTimer, Token: uint32(what)})
+		case attemptTimeout:
+			if a := c.attempts[uint64(what)]; a != nil && !a.ended {
+				c.executors.GiveUp(a.id)
+				c.finish(a, dispatch.TimedOut, nil, nil, now)
 			}
-		case deadline:
-			c.overdue(uint32(what), now)
+		case jobDeadline:
+			c.answerOverdue(uint32(what), now)
 		}
 	}
 }
