--- /dev/null
+++ b/internal/executor/attempt.go
@@ -0,0 +1,198 @@
+package executor
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"gatetack/internal/dispatch"
+	"gatetack/internal/node"
+	"gatetack/internal/precheck"
+)
+
+// attemptKey names an attempt as callbacks do: an executor gets one attempt of a request at a time.
+type attemptKey struct{ trace, executor string }
+
+// activeAttempt is an attempt that has neither ended nor been canceled. Its lock comes before those of the tables.
+type activeAttempt struct {
+	node.Attempt
+	key    attemptKey
+	cancel context.CancelFunc // of its connection, until the executor has accepted it
+
+	rebuilt bool // its request was made anew since it told too much time; only the sending goroutine uses it
+
+	mu                 sync.Mutex
+	lastByteCommitted  bool      // its last byte is being written or was
+	lastByteAt         time.Time // when, zero before
+	accepted           bool      // the executor's 202 was read
+	canceledUnaccepted bool      // it was canceled before a 202 was read
+	acknowledged       bool      // the executor has shown that it has the job, or the attempt ended without that
+	overdue            bool      // the acknowledgement has been pending for too long
+	ended              bool
+}
+
+// awaitsAck says whether the executor's acknowledgement of the job is still pending.
+func (a *activeAttempt) awaitsAck() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return !a.acknowledged && !a.ended
+}
+
+// hasLastByteCommitted says whether the executor may have the whole request.
+func (a *activeAttempt) hasLastByteCommitted() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.lastByteCommitted
+}
+
+// attemptTable holds the active attempts.
+type attemptTable struct {
+	mu       sync.Mutex
+	byID     map[uint64]*activeAttempt
+	byKey    map[attemptKey]*activeAttempt
+	returned returnedRequests
+}
+
+func newAttemptTable() attemptTable {
+	return attemptTable{
+		byID:     map[uint64]*activeAttempt{},
+		byKey:    map[attemptKey]*activeAttempt{},
+		returned: returnedRequests{},
+	}
+}
+
+func (t *attemptTable) add(a *activeAttempt) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.byID[a.ID], t.byKey[a.key] = a, a
+}
+
+func (t *attemptTable) remove(a *activeAttempt) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.byID, a.ID)
+	if t.byKey[a.key] == a {
+		delete(t.byKey, a.key)
+	}
+}
+
+// withID gives an attempt by its number, nil for one that is not active.
+func (t *attemptTable) withID(id uint64) *activeAttempt {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.byID[id]
+}
+
+// withKey gives the attempt that a callback names, nil for one that is not active.
+func (t *attemptTable) withKey(key attemptKey) *activeAttempt {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.byKey[key]
+}
+
+// Send starts an attempt. Its result goes to the sink, unless GiveUp comes first.
+func (c *Client) Send(request node.Attempt) {
+	endpoint, known := c.endpoints.get(request.Worker)
+	if !known {
+		c.group.Go(func() error {
+			c.handler.Result(node.Result{Attempt: request.ID, Outcome: dispatch.Moot})
+			return nil
+		})
+		return
+	}
+	ctx, cancel := context.WithCancel(c.ctx)
+	attempt := &activeAttempt{Attempt: request, key: attemptKey{request.Job.Trace, endpoint.name}, cancel: cancel}
+	c.attempts.add(attempt) // before a byte is written: the first callback can come before the 202
+	c.group.Go(func() error {
+		defer cancel()
+		c.run(ctx, attempt)
+		return nil
+	})
+}
+
+// run records an attempt, sends it, and passes its outcome on.
+func (c *Client) run(ctx context.Context, attempt *activeAttempt) {
+	if before := attempt.Job.Before; before != nil {
+		if err := before(attempt.key.executor); err != nil {
+			c.log.Warn(
+				"attempt not recorded and not sent",
+				"job",
+				attempt.key.trace,
+				"executor",
+				attempt.key.executor,
+				"err",
+				err,
+			)
+			c.finish(attempt, dispatch.Moot, nil, nil)
+			return
+		}
+	}
+	if sent := c.send(ctx, attempt); sent.outcome != 0 {
+		c.finish(attempt, sent.outcome, sent.report, nil)
+	}
+}
+
+// finish ends an attempt and passes its outcome on, once.
+func (c *Client) finish(attempt *activeAttempt, outcome dispatch.Outcome, report []float32, body []byte) {
+	if c.remove(attempt) {
+		c.handler.Result(node.Result{Attempt: attempt.ID, Outcome: outcome, Report: report, Body: body})
+	}
+}
+
+// remove ends an attempt without a result. It says whether the attempt had not ended before.
+func (c *Client) remove(attempt *activeAttempt) bool {
+	attempt.mu.Lock()
+	ended := attempt.ended
+	attempt.ended = true
+	attempt.mu.Unlock()
+	if ended {
+		return false
+	}
+	c.acks.abandon(attempt)
+	c.attempts.remove(attempt)
+	return true
+}
+
+// precheck asks, with what is known at this moment, whether an attempt may still be sent, and where to. It is the only
+// place that asks, before each connection and again after whatever takes a while. The attempt's lock is held, or nobody
+// else knows of the attempt.
+func (c *Client) precheck(attempt *activeAttempt) (string, precheck.Reason) {
+	reason := precheck.May
+	if attempt.Job.Still != nil {
+		reason = attempt.Job.Still() // it may take a lock: what follows is read after it
+	}
+	ask := precheck.Ask{
+		Now:      time.Now(),
+		Over:     attempt.ended || attempt.Answered != nil && attempt.Answered.Load(),
+		Job:      reason,
+		Deadline: attempt.Deadline,
+		Was:      attempt.Born,
+		Rules:    attempt.Rules,
+	}
+	endpoint, known := c.endpoints.get(attempt.Worker)
+	ask.Listed, ask.StopAt, ask.Began = known, endpoint.sendsEndAt, endpoint.startedAt
+	if reason = ask.May(); reason != precheck.May {
+		c.log.Debug("attempt not sent", "job", attempt.key.trace, "executor", attempt.key.executor, "reason", reason)
+	}
+	return endpoint.address, reason
+}
+
+// allowed is precheck for an attempt that others know of.
+func (c *Client) allowed(attempt *activeAttempt) (address string, ok bool) {
+	attempt.mu.Lock()
+	defer attempt.mu.Unlock()
+	address, reason := c.precheck(attempt)
+	return address, reason == precheck.May
+}
+
+// commit is precheck for the last time: an attempt that may be sent counts as sent from here on, before its last byte
+// is written.
+func (c *Client) commit(attempt *activeAttempt) bool {
+	attempt.mu.Lock()
+	defer attempt.mu.Unlock()
+	if _, reason := c.precheck(attempt); reason != precheck.May {
+		return false
+	}
+	attempt.lastByteCommitted, attempt.lastByteAt = true, time.Now()
+	return true
+}
--- a/internal/executor/callback.go
+++ b/internal/executor/callback.go
@@ -2,96 +2,82 @@
 
 import (
 	"errors"
-	"strconv"
-	"strings"
 	"time"
 
 	"github.com/tidwall/gjson"
 
 	"gatetack/internal/dispatch"
-	"gatetack/internal/http1"
 	"gatetack/internal/node"
 )
 
-// header reads a load report from an answer: TEXT name=value, name=value.
-func (c *Client) reportFromHeader(m *http1.Message) []float32 {
-	text := strings.TrimPrefix(m.Get("Endpoint-Load-Metrics"), "TEXT ")
-	if text == "" {
-		return nil
-	}
-	values := map[string]float64{}
-	for pair := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		if v, err := strconv.ParseFloat(value, 64); err == nil {
-			values[name] = v
-		}
-	}
-	return c.names.Report(func(name string) (float64, bool) { v, ok := values[name]; return v, ok })
-}
+// ErrNotOurs is the answer to a callback of an attempt that this process does not know: stale, or of another process of
+// the node that listens on the same socket.
+var ErrNotOurs = errors.New("executor: callback of an attempt that is not this process's")
 
-func (c *Client) reportFromJSON(v gjson.Result) []float32 {
-	if !v.IsObject() {
-		return nil
-	}
-	return c.names.Report(func(name string) (float64, bool) {
-		x := v.Get(name)
-		return x.Float(), x.Type == gjson.Number
-	})
-}
+var errCallbackNotJSON = errors.New("executor: callback is not JSON")
 
-// ErrNotOurs is the answer to a callback of an attempt that this process does not know: stale, or of another process
-// of the node that stands on the same socket.
-var ErrNotOurs = errors.New("executor: a callback of an attempt that is not this process's")
+// The states of a job that a callback tells.
+const (
+	stateStarted  = "started"
+	stateRunning  = "running"
+	stateDone     = "done"
+	stateFailed   = "failed"
+	stateReturned = "returned"
+	stateLost     = "lost"
+)
 
-// Callback takes what an executor tells of a job. The call is answered alike whether it fits a live attempt or
-// not: it may be a repeat, or be about an attempt that is over. ErrNotOurs says that no attempt here has its id and
+// Callback takes what an executor tells of a job. The call is answered alike whether it fits an active attempt or not:
+// it may be a repeat, or be about an attempt that has ended. ErrNotOurs says that no attempt here has its id and
 // executor.
 func (c *Client) Callback(body []byte) error {
 	if !gjson.ValidBytes(body) {
-		return errors.New("a callback that is not JSON")
+		return errCallbackNotJSON
 	}
-	v := gjson.ParseBytes(body)
-	key := attemptKey{v.Get("id").String(), v.Get("from").String()}
-	c.mu.Lock()
-	t := c.attemptByKey[key]
-	c.mu.Unlock()
-	if t == nil {
+	callback := gjson.ParseBytes(body)
+	attempt := c.attempts.withKey(attemptKey{callback.Get("id").String(), callback.Get("from").String()})
+	if attempt == nil {
 		return ErrNotOurs
 	}
-	t.mu.Lock()
-	written := t.lastByteCommitted
-	t.mu.Unlock()
-	if written {
-		c.recordContact(t.Worker)
-		c.acks.acknowledge(t, time.Now()) // whatever it says of the job, it has it
-	} else {
+	if !attempt.hasLastByteCommitted() {
 		return nil // stale: of an earlier attempt there, since nothing of this one was written
 	}
-	report := c.reportFromJSON(v.Get("load"))
-	switch v.Get("state").String() {
-	case "started":
-		c.handler.Result(node.Result{Attempt: t.ID, Topic: dispatch.NoteStarted})
-	case "running":
-		c.handler.Result(node.Result{Attempt: t.ID, Topic: dispatch.NoteProgress, Amount: v.Get("share").Float()})
-	case "done":
-		result := v.Get("result")
-		if result.Type != gjson.String {
-			// Whatever was passed on for it would be a result that no executor made.
-			c.log.Warn("a callback says done without a result", "from", key.executor, "job", key.trace)
-			c.finish(t, dispatch.Errored, report, nil)
-			break
-		}
-		c.finish(t, dispatch.Served, report, []byte(result.Str))
-	case "failed":
-		c.finish(t, dispatch.Errored, report, nil)
-	case "returned":
-		if c.isFirstReturn(t) {
-			c.finish(t, dispatch.Full, report, nil)
+	c.endpoints.recordContact(attempt.Worker)
+	c.acks.acknowledge(attempt, time.Now()) // whatever the executor tells of the job, it has it
+	c.takeState(attempt, callback)
+	return nil
+}
+
+// takeState passes on what a callback tells.
+func (c *Client) takeState(attempt *activeAttempt, callback gjson.Result) {
+	report := c.reportFromJSON(callback.Get("load"))
+	switch state := callback.Get("state").String(); state {
+	case stateStarted:
+		c.handler.Result(node.Result{Attempt: attempt.ID, Topic: dispatch.NoteStarted})
+	case stateRunning:
+		share := callback.Get("share").Float()
+		c.handler.Result(node.Result{Attempt: attempt.ID, Topic: dispatch.NoteProgress, Amount: share})
+	case stateDone:
+		c.takeResult(attempt, report, callback.Get("result"))
+	case stateFailed:
+		c.finish(attempt, dispatch.Errored, report, nil)
+	case stateReturned:
+		if c.isFirstReturn(attempt) {
+			c.finish(attempt, dispatch.Full, report, nil)
 		}
-	case "lost":
-		c.finish(t, dispatch.Reset, report, nil)
+	case stateLost:
+		c.finish(attempt, dispatch.Reset, report, nil)
 	default:
-		c.log.Warn("a callback with an unknown state", "state", v.Get("state").String())
+		c.log.Warn("callback with unknown state", "state", state, "executor", attempt.key.executor, "job", attempt.key.trace)
 	}
-	return nil
+}
+
+// takeResult ends an attempt whose job is done. Without a result it failed: whatever was passed on for it would be a
+// result that no executor made.
+func (c *Client) takeResult(attempt *activeAttempt, report []float32, result gjson.Result) {
+	if result.Type != gjson.String {
+		c.log.Warn("callback without result", "executor", attempt.key.executor, "job", attempt.key.trace)
+		c.finish(attempt, dispatch.Errored, report, nil)
+		return
+	}
+	c.finish(attempt, dispatch.Served, report, []byte(result.Str))
 }
--- a/internal/executor/clientleft_test.go
+++ b/internal/executor/clientleft_test.go
@@ -23,9 +23,24 @@
 
 // coreSettings allow retries, hedged requests and cancelling.
 func coreSettings() dispatch.Settings {
-	return dispatch.Settings{Balancers: 1, Step: 4, MaxAttempts: 3, MayDuplicate: true, MayCancel: true, Multiplex: 1, ConnIdle: 60000,
-		ConnectTimeout: 250, MaxRetryAfter: 2000, AskWithin: 10000, DrainGrace: 500, FallMultiple: 2.5, Fall: 2000, ColdFrom: 0.3,
-		WarmWithin: 8400, Classes: []dispatch.Class{{Aim: 1500, Deadline: 25000, Worth: 1, Effect: dispatch.Safe, Kind: -1}}}
+	return dispatch.Settings{
+		Balancers:      1,
+		Step:           4,
+		MaxAttempts:    3,
+		MayDuplicate:   true,
+		MayCancel:      true,
+		Multiplex:      1,
+		ConnIdle:       60000,
+		ConnectTimeout: 250,
+		MaxRetryAfter:  2000,
+		AskWithin:      10000,
+		DrainGrace:     500,
+		FallMultiple:   2.5,
+		Fall:           2000,
+		ColdFrom:       0.3,
+		WarmWithin:     8400,
+		Classes:        []dispatch.Class{{Aim: 1500, Deadline: 25000, Worth: 1, Effect: dispatch.Safe, Kind: -1}},
+	}
 }
 
 // quietClient stands for a client that waits for its answer.
@@ -38,8 +53,8 @@
 func (quietClient) Returned(bool)          {}
 func (q quietClient) Answer(a node.Answer) { q.answers <- a }
 
-// standingCore is what a core's sends and their results go through. At the send of a number the core's goroutine stands still, its
-// events are full, and the client leaves; the core goes on once the attempt has ended.
+// standingCore is what a core's sends and their results go through. At the send of a number the core's goroutine stands
+// still, its events are full, and the client leaves; the core goes on once the attempt has ended.
 type standingCore struct {
 	*Client
 	core     *node.Core
@@ -61,7 +76,10 @@
 	s.at = a.ID
 	s.mu.Unlock()
 	for i := 0; ; i++ { // by the requests of others
-		if _, err := s.core.Submit(node.Job{Left: time.Second, Slots: 1, Trace: string(rune('a' + i))}, newQuietClient()); err != nil {
+		if _, err := s.core.Submit(
+			node.Job{Left: time.Second, Slots: 1, Trace: string(rune('a' + i))},
+			newQuietClient(),
+		); err != nil {
 			break
 		}
 	}
@@ -162,8 +180,8 @@
 
 func (noPeers) Tell(uint16, []byte) {}
 
-// No attempt begins after its client has left, whatever it is made for, though the core has not heard of that and can't: its events are
-// full, and its goroutine stands still until the attempt has ended.
+// No attempt begins after its client has left, whatever it is made for, though the core has not heard of that and
+// can't: its events are full, and its goroutine stands still until the attempt has ended.
 func TestNoAttemptBeginsAfterTheClientLeft(t *testing.T) {
 	const rejected = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, x := range map[string]struct {
@@ -188,7 +206,14 @@
 				first = nil
 			}
 			n := startNode(t, lim, x.standsAt, leave, first...)
-			job := node.Job{Left: 20 * time.Second, Slots: 1, Trace: "00000000000000aa", Method: "POST", Target: "/x/y", Body: []byte("body")}
+			job := node.Job{
+				Left:   20 * time.Second,
+				Slots:  1,
+				Trace:  "00000000000000aa",
+				Method: "POST",
+				Target: "/x/y",
+				Body:   []byte("body"),
+			}
 			job.Still = func() precheck.Reason {
 				if client.Err() != nil {
 					return precheck.Left
@@ -251,7 +276,14 @@
 	x := startExecutor(t, "s-1", acceptedAnswer)
 	n := startNode(t, testenv.Lim, 0, nil)
 	waiting := newQuietClient()
-	job := node.Job{Left: 20 * time.Second, Slots: 1, Trace: "00000000000000aa", Method: "POST", Target: "/x/y", Body: []byte("body")}
+	job := node.Job{
+		Left:   20 * time.Second,
+		Slots:  1,
+		Trace:  "00000000000000aa",
+		Method: "POST",
+		Target: "/x/y",
+		Body:   []byte("body"),
+	}
 	id, err := n.core.Submit(job, waiting)
 	if err != nil {
 		t.Fatal(err)
@@ -273,8 +305,8 @@
 	}
 }
 
-// An attempt of a job that was answered or terminated after it was decided on is not sent, though the core can take nothing: the job's
-// own mark is read at the last moment.
+// An attempt of a job that was answered or terminated after it was decided on is not sent, though the core can take
+// nothing: the job's own mark is read at the last moment.
 func TestAnsweredJobIsNotSentThoughTheEventsAreFull(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	came := make(chan string, 1)
--- a/internal/executor/connfault_test.go
+++ b/internal/executor/connfault_test.go
@@ -20,8 +20,15 @@
 }
 
 // brokenConnection are the errors of read(2) and write(2) by which Linux tells that a connection is over.
-var brokenConnection = map[string]syscall.Errno{"ECONNRESET": syscall.ECONNRESET, "EPIPE": syscall.EPIPE, "ETIMEDOUT": syscall.ETIMEDOUT,
-	"EHOSTUNREACH": syscall.EHOSTUNREACH, "ENETUNREACH": syscall.ENETUNREACH, "ENOBUFS": syscall.ENOBUFS, "ENOMEM": syscall.ENOMEM}
+var brokenConnection = map[string]syscall.Errno{
+	"ECONNRESET":   syscall.ECONNRESET,
+	"EPIPE":        syscall.EPIPE,
+	"ETIMEDOUT":    syscall.ETIMEDOUT,
+	"EHOSTUNREACH": syscall.EHOSTUNREACH,
+	"ENETUNREACH":  syscall.ENETUNREACH,
+	"ENOBUFS":      syscall.ENOBUFS,
+	"ENOMEM":       syscall.ENOMEM,
+}
 
 // wholeRequest says whether what was written ends the request of attempt.
 func wholeRequest(text string) bool { return strings.HasSuffix(text, "\r\n\r\nbody") }
@@ -61,9 +68,9 @@
 
 // isTaken says whether an attempt's 202 was read.
 func (c *Client) isTaken(id uint64) bool {
-	c.mu.Lock()
-	x := c.attempts[id]
-	c.mu.Unlock()
+	c.attempts.mu.Lock()
+	x := c.attempts.byID[id]
+	c.attempts.mu.Unlock()
 	if x == nil {
 		return false
 	}
@@ -72,8 +79,8 @@
 	return x.accepted
 }
 
-// A connection that breaks ends its attempt with one outcome, at once: before the last byte is written as one that could not connect,
-// since nothing ran; once that is out as a reset, since it may have run.
+// A connection that breaks ends its attempt with one outcome, at once: before the last byte is written as one that
+// could not connect, since nothing ran; once that is out as a reset, since it may have run.
 func TestBrokenConnectionEndsTheAttempt(t *testing.T) {
 	type moment struct {
 		name string
@@ -124,6 +131,7 @@
 				a.Deadline = time.Now().Add(time.Hour) // the end of it is no verdict here
 				c.Send(a)
 				testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+				testenv.Until(t, "its connection is accepted", func() bool { return n() > 0 })
 				if got := s.outcomes(1); len(got) != 1 || got[0] != at.want || n() != 1 {
 					t.Errorf("outcomes %v over %d connections, want %d", got, n(), at.want)
 				}
@@ -142,8 +150,8 @@
 	}
 }
 
-// Every error on the way of an attempt ends in the job's one final answer, whatever the class: a refusal where nothing ran, a failure
-// where it may have run and must not run twice.
+// Every error on the way of an attempt ends in the job's one final answer, whatever the class: a refusal where nothing
+// ran, a failure where it may have run and must not run twice.
 func TestEachFaultEndsInOneFinalAnswer(t *testing.T) {
 	for name, fault := range map[string]func(*scriptedConn){
 		"write of the head": func(conn *scriptedConn) {
@@ -160,7 +168,14 @@
 			n := startNode(t, lim, 0, nil, x.entry())
 			scriptConns(n.Client, func(_ int, conn *scriptedConn) { fault(conn) })
 			client := newQuietClient()
-			job := node.Job{Left: 500 * time.Millisecond, Slots: 1, Trace: "00000000000000aa", Method: "POST", Target: "/x/y", Body: []byte("body")}
+			job := node.Job{
+				Left:   500 * time.Millisecond,
+				Slots:  1,
+				Trace:  "00000000000000aa",
+				Method: "POST",
+				Target: "/x/y",
+				Body:   []byte("body"),
+			}
 			if _, err := n.core.Submit(job, client); err != nil {
 				t.Fatal(err)
 			}
@@ -178,7 +193,7 @@
 }
 
 func (c *Client) liveAttempts() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.attempts)
+	c.attempts.mu.Lock()
+	defer c.attempts.mu.Unlock()
+	return len(c.attempts.byID)
 }
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -21,7 +21,8 @@
 	"gatetack/internal/testenv"
 )
 
-// pausing is a sink that stands still while it is told that a sign of an attempt is owed: whoever reads the answer stands with it.
+// pausing is a sink that stands still while it is told that a sign of an attempt is owed: whoever reads the answer
+// stands with it.
 type pausingHandler struct {
 	*resultRecorder
 	standing, release chan bool
@@ -35,7 +36,8 @@
 	p.resultRecorder.Result(r)
 }
 
-// executorThatTakesLate reads a request, takes it once it is told to, and hands on whatever request comes next on any connection.
+// executorThatTakesLate reads a request, takes it once it is told to, and hands on whatever request comes next on any
+// connection.
 func executorThatTakesLate(t *testing.T, c *Client, accept <-chan bool) (taken <-chan bool, next <-chan string) {
 	t.Helper()
 	told, came := make(chan bool, 1), make(chan string, 4)
@@ -55,8 +57,8 @@
 	return told, came
 }
 
-// A 202 that crosses the giving up of its attempt: the executor has the job, and a close of the connection is no sign to it any
-// more. It is told by DELETE. The 202 is on this machine, unread, in the moment of the giving up.
+// A 202 that crosses the giving up of its attempt: the executor has the job, and a close of the connection is no sign
+// to it any more. It is told by DELETE. The 202 is on this machine, unread, in the moment of the giving up.
 func TestCancelCrossesA202(t *testing.T) {
 	c, s := newClient(t, withShortAcks())
 	sink := &pausingHandler{s, make(chan bool), make(chan bool)}
@@ -75,7 +77,8 @@
 	}
 }
 
-// The same where the 202 has been read and is noted only after the giving up; noted once more, it makes no second DELETE.
+// The same where the 202 has been read and is noted only after the giving up; noted once more, it makes no second
+// DELETE.
 func TestCancelCrossesTheNoteOfA202(t *testing.T) {
 	c, _ := newClient(t, testenv.Lim)
 	asked := make(chan bool, 1)
@@ -98,9 +101,9 @@
 	})
 	c.Send(newAttempt(1))
 	<-asked
-	c.mu.Lock()
-	given := c.attempts[1]
-	c.mu.Unlock()
+	c.attempts.mu.Lock()
+	given := c.attempts.byID[1]
+	c.attempts.mu.Unlock()
 	c.GiveUp(1)
 	c.recordAccepted(given)
 	c.recordAccepted(given)
@@ -123,8 +126,8 @@
 	}
 }
 
-// An executor handed a request back, was sent it again, and says once more that it handed it back, since the answer to its first
-// call was lost: the second attempt goes on, to its result. Another executor's word is its own.
+// An executor handed a request back, was sent it again, and says once more that it handed it back, since the answer to
+// its first call was lost: the second attempt goes on, to its result. Another executor's word is its own.
 func TestRepeatedReturnEndsNothing(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	startRawExecutor(t, c, answering(acceptedAnswer))
@@ -138,9 +141,9 @@
 		t.Helper()
 		c.Send(a)
 		testenv.Until(t, "its last byte is out", func() bool {
-			c.mu.Lock()
-			x := c.attempts[a.ID]
-			c.mu.Unlock()
+			c.attempts.mu.Lock()
+			x := c.attempts.byID[a.ID]
+			c.attempts.mu.Unlock()
 			x.mu.Lock()
 			defer x.mu.Unlock()
 			return x.accepted
@@ -176,7 +179,8 @@
 func TestReturnsAreForgotten(t *testing.T) {
 	r, now := returnedRequests{}, time.Now()
 	for i := range 100 {
-		if key := (attemptKey{fmt.Sprint(i), "s-7"}); !r.record(key, now, now.Add(time.Second)) || r.record(key, now, now.Add(time.Second)) {
+		if key := (attemptKey{fmt.Sprint(i), "s-7"}); !r.record(key, now, now.Add(time.Second)) ||
+			r.record(key, now, now.Add(time.Second)) {
 			t.Fatal(i)
 		}
 	}
@@ -185,8 +189,8 @@
 	}
 }
 
-// An attempt tells its executor no more time than is left when its bytes are made, however long it waited before: here in the
-// look before its first byte.
+// An attempt tells its executor no more time than is left when its bytes are made, however long it waited before: here
+// in the look before its first byte.
 func TestToldTimeIsWhatIsLeft(t *testing.T) {
 	c, _ := newClientWithLimits(t, testenv.Lim)
 	came := make(chan string, 1)
@@ -211,8 +215,8 @@
 	}
 }
 
-// A request whose last byte could go only long after it was made, since the other machine took the rest of it slowly, is made anew
-// on another connection, with the time that is left then. The first one never gets its last byte.
+// A request whose last byte could go only long after it was made, since the other machine took the rest of it slowly,
+// is made anew on another connection, with the time that is left then. The first one never gets its last byte.
 func TestToldTimeIsRenewedAfterAWait(t *testing.T) {
 	lim := testenv.Lim
 	lim.TimeSpare = 20 * time.Millisecond
--- a/internal/executor/deadline_test.go
+++ b/internal/executor/deadline_test.go
@@ -16,8 +16,8 @@
 	"gatetack/internal/testenv"
 )
 
-// holdUp is how long a process may stand still between its clock and a write; shortHoldUp is less, and still more than the time that a
-// request tells may be off by.
+// holdUp is how long a process may stand still between its clock and a write; shortHoldUp is less, and still more than
+// the time that a request tells may be off by.
 const (
 	holdUp      = 150 * time.Millisecond
 	shortHoldUp = 100 * time.Millisecond
@@ -31,8 +31,8 @@
 	return time.Duration(ms) * time.Millisecond, err == nil
 }
 
-// Nothing is written for an attempt with less than a millisecond left, or with no more than the pause before the last byte takes: in
-// whole milliseconds its executor could only be told more than that.
+// Nothing is written for an attempt with less than a millisecond left, or with no more than the pause before the last
+// byte takes: in whole milliseconds its executor could only be told more than that.
 func TestAttemptWithNoTimeToTellIsNotSent(t *testing.T) {
 	for name, x := range map[string]struct {
 		left   time.Duration
@@ -51,7 +51,7 @@
 			looks := 0
 			a.Job.Still = func() precheck.Reason {
 				if looks++; looks == 2 { // before the first byte
-					c.attempts[1].Deadline = time.Now().Add(x.left)
+					c.attempts.byID[1].Deadline = time.Now().Add(x.left)
 				}
 				return precheck.May
 			}
@@ -77,8 +77,8 @@
 	return s.whole
 }
 
-// watchWrites holds the process up in the moments that a test names, and checks at each last byte, before the hold-up there, that what
-// the request tells is at most what its client has left.
+// watchWrites holds the process up in the moments that a test names, and checks at each last byte, before the hold-up
+// there, that what the request tells is at most what its client has left.
 func watchWrites(t *testing.T, c *Client, until func() time.Time, hold func(conn int, moment string)) *sendsOnWire {
 	seen := &sendsOnWire{}
 	scriptConns(c, func(n int, conn *scriptedConn) {
@@ -109,9 +109,9 @@
 	return seen
 }
 
-// The time that a request tells is at most what its client has left when its last byte is about to go, of first attempts, retries and
-// hedged requests alike, however long the process was held up between the clock and a write. What is told too late is made anew on
-// another connection; the connection before it never carries its last byte.
+// The time that a request tells is at most what its client has left when its last byte is about to go, of first
+// attempts, retries and hedged requests alike, however long the process was held up between the clock and a write. What
+// is told too late is made anew on another connection; the connection before it never carries its last byte.
 func TestToldTimeHoldsWhenHeldUp(t *testing.T) {
 	kinds := map[string]func(a *node.Attempt){
 		"first": func(*node.Attempt) {},
@@ -126,8 +126,14 @@
 		length time.Duration
 		conns  int // that it takes
 	}
-	holdings := []holding{{"none", 0, 1}, {"head", holdUp, 2}, {"head", shortHoldUp, 2}, {"pause", holdUp, 2}, {"pause", shortHoldUp, 2},
-		{"last byte", holdUp, 1}}
+	holdings := []holding{
+		{"none", 0, 1},
+		{"head", holdUp, 2},
+		{"head", shortHoldUp, 2},
+		{"pause", holdUp, 2},
+		{"pause", shortHoldUp, 2},
+		{"last byte", holdUp, 1},
+	}
 	for kind, set := range kinds {
 		for _, held := range holdings {
 			t.Run(fmt.Sprintf("%s/held up at %s for %v", kind, held.moment, held.length), func(t *testing.T) {
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -49,8 +49,8 @@
 	return out
 }
 
-// setup makes a client for tests of all but the time that executors are told: a busy machine that holds one of them up makes no request
-// anew.
+// setup makes a client for tests of all but the time that executors are told: a busy machine that holds one of them up
+// makes no request anew.
 func newClient(t *testing.T, lim limits.Limits) (*Client, *resultRecorder) {
 	lim.TimeSpare = time.Hour
 	return newClientWithLimits(t, lim)
@@ -162,7 +162,8 @@
 		script func(net.Conn)
 		want   dispatch.Outcome
 	}{
-		{"turned away", answering("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT queue=4, x0=0.5\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
+		{"turned away", answering("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\n" +
+			"Endpoint-Load-Metrics: TEXT queue=4, x0=0.5\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
 		{"turned away late", answering("HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
 		// A 503 without the word may have run: taken as never run, a tile-charge could be sent twice.
 		{"503 alone", answering("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), dispatch.Errored},
@@ -183,7 +184,8 @@
 			if got := s.outcomes(1); len(got) != 1 || got[0] != x.want {
 				t.Errorf("%v, want %d", got, x.want)
 			}
-			if x.name == "turned away" && (len(s.results[0].Report) != 2 || s.results[0].Report[0] != 4 || s.results[0].Report[1] != 0.5) {
+			if x.name == "turned away" &&
+				(len(s.results[0].Report) != 2 || s.results[0].Report[0] != 4 || s.results[0].Report[1] != 0.5) {
 				t.Errorf("load report %v", s.results[0].Report)
 			}
 		})
@@ -202,7 +204,12 @@
 		}
 	})
 	tell := func(from, state string) {
-		if err := c.Callback([]byte(`{"id":"00000000000000aa","from":"` + from + `","state":"` + state + `","result":"tile","load":{"queue":1,"x0":2}}`)); err != nil && !errors.Is(err, ErrNotOurs) {
+		if err := c.Callback(
+			[]byte(
+				`{"id":"00000000000000aa","from":"` + from + `","state":"` + state + `","result":"tile","load":{"queue":1,"x0":2}}`,
+			),
+		); err != nil &&
+			!errors.Is(err, ErrNotOurs) {
 			t.Error(err)
 		}
 	}
@@ -216,7 +223,11 @@
 	}
 	tell("s-7", "lost")
 	early <- true
-	testenv.Until(t, "the connection is back", func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 })
+	testenv.Until(
+		t,
+		"the connection is back",
+		func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 },
+	)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.results) != 2 || s.results[0].Topic != dispatch.NoteStarted || s.results[1].Outcome != dispatch.Served ||
@@ -287,10 +298,19 @@
 func TestClosedIdleConnections(t *testing.T) {
 	c, s := newClient(t, withoutRest())
 	closed := make(chan bool)
-	n := startRawExecutor(t, c, func(conn net.Conn) { answering(acceptedAnswer)(conn); _ = conn.Close(); close(closed) }, answering(acceptedAnswer, acceptedAnswer))
+	n := startRawExecutor(
+		t,
+		c,
+		func(conn net.Conn) { answering(acceptedAnswer)(conn); _ = conn.Close(); close(closed) },
+		answering(acceptedAnswer, acceptedAnswer),
+	)
 	c.Send(newAttempt(1))
 	<-closed
-	testenv.Until(t, "the connection is back", func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 })
+	testenv.Until(
+		t,
+		"the connection is back",
+		func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 },
+	)
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":""}`))
 	c.Send(newAttempt(2))
 	testenv.Until(t, "a second connection", func() bool { return n() == 2 })
@@ -343,7 +363,8 @@
 	lasting := newAttempt(1)
 	lasting.Deadline = time.Now().Add(time.Minute) // or its time would be over before the pause is
 	c.Send(lasting)
-	if text := <-came; !strings.HasSuffix(text, "\r\n\r\nbod") || !strings.HasPrefix(text, "POST /tile-charge/x HTTP/1.1\r\n") {
+	if text := <-came; !strings.HasSuffix(text, "\r\n\r\nbod") ||
+		!strings.HasPrefix(text, "POST /tile-charge/x HTTP/1.1\r\n") {
 		t.Errorf("before the last byte: %q", text)
 	}
 	if got := s.outcomes(1); len(got) != 0 || n() != 3 {
@@ -351,11 +372,13 @@
 	}
 	c.GiveUp(1)
 
-	for name, script := range map[string]func(net.Conn){"new and reset": resetConnection, "new and garbled": func(conn net.Conn) {
+	garbled := func(conn net.Conn) {
 		_, _ = conn.Read(make([]byte, 1))
 		_, _ = io.WriteString(conn, acceptedAnswer) // of what?
 		_, _ = io.Copy(io.Discard, conn)
-	}} {
+	}
+	scripts := map[string]func(net.Conn){"new and reset": resetConnection, "new and garbled": garbled}
+	for name, script := range scripts {
 		c, s := newClient(t, lim)
 		n := startRawExecutor(t, c, script)
 		c.Send(lasting)
--- /dev/null
+++ b/internal/executor/healthcheck.go
@@ -0,0 +1,64 @@
+package executor
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/tidwall/gjson"
+
+	"gatetack/internal/dispatch"
+	"gatetack/internal/http1"
+)
+
+// call makes a short request without a body, on an executor's address, within the context's deadline.
+func (c *Client) call(ctx context.Context, address, method, target string) (*http1.Message, error) {
+	deadline, _ := ctx.Deadline()
+	conn, err := c.dial(ctx, deadline, func() (string, bool) { return address, true })
+	if err != nil {
+		return nil, err
+	}
+	conn.ReadBy(deadline)
+	conn.WriteBy(deadline)
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
+	message, err := conn.roundTrip(method, target)
+	if stop() && err == nil && !message.Close {
+		c.pool.release(conn)
+	} else {
+		c.pool.close(conn)
+	}
+	return message, err
+}
+
+// Probe checks an executor's health and asks for its load report. The result goes to the sink.
+func (c *Client) Probe(id uint32) {
+	c.group.Go(func() error {
+		began := time.Now()
+		ctx, cancel := context.WithTimeout(c.ctx, c.limits.Probe)
+		defer cancel()
+		message, err := c.call(ctx, c.address(id), "GET", "/load")
+		outcome, report := outcomeOfHealthCheck(ctx, message, err), []float32(nil)
+		if outcome == dispatch.Served {
+			report = c.reportFromJSON(gjson.ParseBytes(message.Body))
+		}
+		c.handler.Probed(id, outcome, time.Since(began), report)
+		return nil
+	})
+}
+
+func outcomeOfHealthCheck(ctx context.Context, message *http1.Message, err error) dispatch.Outcome {
+	connect := (*ConnectError)(nil)
+	switch {
+	case isLocalFault(err):
+		return dispatch.Moot // it says nothing of the executor
+	case errors.As(err, &connect):
+		return dispatch.ConnectFailed
+	case err != nil && ctx.Err() != nil:
+		return dispatch.TimedOut
+	case err != nil:
+		return dispatch.Reset
+	case message.Status == 200:
+		return dispatch.Served
+	}
+	return dispatch.Errored
+}
--- /dev/null
+++ b/internal/executor/loadreport.go
@@ -0,0 +1,45 @@
+package executor
+
+import (
+	"strconv"
+	"strings"
+
+	"github.com/tidwall/gjson"
+
+	"gatetack/internal/http1"
+)
+
+const (
+	loadReportHeader = "Endpoint-Load-Metrics"
+	loadReportFormat = "TEXT " // name=value, name=value
+)
+
+// reportFromHeader reads a load report from an answer, nil for none.
+func (c *Client) reportFromHeader(message *http1.Message) []float32 {
+	text := strings.TrimPrefix(message.Get(loadReportHeader), loadReportFormat)
+	if text == "" {
+		return nil
+	}
+	values := map[string]float64{}
+	for pair := range strings.SplitSeq(text, ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
+		if number, err := strconv.ParseFloat(value, 64); err == nil {
+			values[name] = number
+		}
+	}
+	return c.names.Report(func(name string) (float64, bool) {
+		value, ok := values[name]
+		return value, ok
+	})
+}
+
+// reportFromJSON reads a load report from an object, nil for none.
+func (c *Client) reportFromJSON(object gjson.Result) []float32 {
+	if !object.IsObject() {
+		return nil
+	}
+	return c.names.Report(func(name string) (float64, bool) {
+		value := object.Get(name)
+		return value.Float(), value.Type == gjson.Number
+	})
+}
--- a/internal/executor/localfault_test.go
+++ b/internal/executor/localfault_test.go
@@ -20,8 +20,8 @@
 	"gatetack/internal/testenv"
 )
 
-// faultyDialer fails the first dials, each with the next error of a list, and counts dials and the pauses between them, which pass
-// at once.
+// faultyDialer fails the first dials, each with the next error of a list, and counts dials and the pauses between them,
+// which pass at once.
 type faultyDialer struct {
 	mu          sync.Mutex
 	first       []error // for each dial, nil or past the end: a real one
@@ -67,7 +67,12 @@
 
 // systemError is an error as package net gives it.
 func systemError(call string, errno syscall.Errno) error {
-	return &net.OpError{Op: "dial", Net: "tcp", Addr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1}, Err: os.NewSyscallError(call, errno)}
+	return &net.OpError{
+		Op:   "dial",
+		Net:  "tcp",
+		Addr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1},
+		Err:  os.NewSyscallError(call, errno),
+	}
 }
 
 var localFaults = map[string]error{
@@ -83,8 +88,9 @@
 	"EINTR":         systemError("connect", syscall.EINTR),
 }
 
-// A fault of this machine that lasts ends the attempt as never sent, after a bounded number of dials with a doubling pause before
-// each further one. It is never passed on as a failed connection, which the module would hold against the executor.
+// A fault of this machine that lasts ends the attempt as never sent, after a bounded number of dials with a doubling
+// pause before each further one. It is never passed on as a failed connection, which the module would hold against the
+// executor.
 func TestLastingLocalFaultEndsTheAttemptAsNeverSent(t *testing.T) {
 	for name, fault := range localFaults {
 		t.Run(name, func(t *testing.T) {
@@ -204,8 +210,8 @@
 	}
 }
 
-// No pause outlasts the attempt: with less time left than it takes, the attempt ends as never sent, and the job's answer is still in
-// time.
+// No pause outlasts the attempt: with less time left than it takes, the attempt ends as never sent, and the job's
+// answer is still in time.
 func TestNoPauseBeyondTheDeadline(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	startRawExecutor(t, c, answering(acceptedAnswer))
@@ -297,7 +303,8 @@
 	}
 }
 
-// The DELETE that gives up a job survives a passing local fault: an executor that is not told of it goes on with the job.
+// The DELETE that gives up a job survives a passing local fault: an executor that is not told of it goes on with the
+// job.
 func TestGiveUpSurvivesALocalFault(t *testing.T) {
 	c, _ := newClient(t, testenv.Lim)
 	got := make(chan string, 1)
--- a/internal/executor/races_test.go
+++ b/internal/executor/races_test.go
@@ -15,31 +15,52 @@
 	"gatetack/internal/testenv"
 )
 
-// Whatever is told of an attempt while it waits, dials or writes stops it at the next look, and the last look is before the last
-// byte: what the box has then never ran. Each change is made in the very moment of a look, by the job's own answer to it.
-func TestLastQuestion(t *testing.T) {
-	entry := func(c *Client, status string, born float64) {
-		c.Told(7, node.Entry{Name: "s-7", Status: status, SinceMS: born}, time.Now().Add(-time.Hour))
+// change makes a change in the moment of a look, and gives the job's own answer to it.
+type change func(c *Client, a *node.Attempt) precheck.Reason
+
+type namedChange struct {
+	what string
+	at   change
+}
+
+// changesBeforeTheSend are the changes that each forbid an attempt.
+func changesBeforeTheSend() []namedChange {
+	reason := func(r precheck.Reason) change {
+		return func(*Client, *node.Attempt) precheck.Reason { return r }
+	}
+	listed := func(status string, startedAt float64) change {
+		return func(c *Client, _ *node.Attempt) precheck.Reason {
+			c.Told(7, node.Entry{Name: "s-7", Status: status, SinceMS: startedAt}, time.Now().Add(-time.Hour))
+			return precheck.May
+		}
 	}
-	for _, x := range []struct {
-		what string
-		at   func(c *Client, a *node.Attempt) precheck.Reason
-	}{
-		{"the client leaves", func(*Client, *node.Attempt) precheck.Reason { return precheck.Left }},
-		{"the duty is lost", func(*Client, *node.Attempt) precheck.Reason { return precheck.Lost }},
-		{"the job is answered", func(_ *Client, a *node.Attempt) precheck.Reason { a.Answered.Store(true); return precheck.May }},
-		{"the executor drains", func(c *Client, _ *node.Attempt) precheck.Reason { entry(c, "draining", 0); return precheck.May }},
-		{"the executor is gone", func(c *Client, _ *node.Attempt) precheck.Reason { entry(c, "gone", 0); return precheck.May }},
-		{"the executor starts anew", func(c *Client, _ *node.Attempt) precheck.Reason { entry(c, "ready", 5000); return precheck.May }},
+	return []namedChange{
+		{"the client leaves", reason(precheck.Left)},
+		{"the lease is lost", reason(precheck.Lost)},
+		{"the job is answered", func(_ *Client, a *node.Attempt) precheck.Reason {
+			a.Answered.Store(true)
+			return precheck.May
+		}},
+		{"the executor drains", listed("draining", 0)},
+		{"the executor is gone", listed("gone", 0)},
+		{"the executor starts anew", listed("ready", 5000)},
 		{"the window ends", func(c *Client, a *node.Attempt) precheck.Reason {
-			c.attempts[a.ID].Rules = precheck.Rules{Number: 2, Most: 3, Effect: dispatch.Keyed, Ran: true, RepeatBy: time.Now()}
+			rules := precheck.Rules{Number: 2, Most: 3, Effect: dispatch.Keyed, Ran: true, RepeatBy: time.Now()}
+			c.attempts.byID[a.ID].Rules = rules
 			return precheck.May
 		}},
 		{"its time ends", func(c *Client, a *node.Attempt) precheck.Reason {
-			c.attempts[a.ID].Deadline = time.Now()
+			c.attempts.byID[a.ID].Deadline = time.Now()
 			return precheck.May
 		}},
-	} {
+	}
+}
+
+// Whatever is told of an attempt while it waits, dials or writes stops it at the next look, and the last look is before
+// the last byte: what the box has then never ran. Each change is made in the very moment of a look, by the job's own
+// answer to it.
+func TestLastQuestion(t *testing.T) {
+	for _, x := range changesBeforeTheSend() {
 		for look, when := range []string{"before it dials", "before its first byte", "before its last byte"} {
 			t.Run(x.what+" "+when, func(t *testing.T) {
 				c, s := newClient(t, testenv.Lim)
@@ -80,14 +101,18 @@
 	}
 }
 
-// A second answer that comes after the first is nobody's: the next request goes over another connection while one may still
-// come. Here the box says it once it has the next request, as late as can be.
+// A second answer that comes after the first is nobody's: the next request goes over another connection while one may
+// still come. Here the box says it once it has the next request, as late as can be.
 func TestSecondAnswerIsNotTheNextOnes(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	const never = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 	n := startRawExecutor(t, c, answering(acceptedAnswer, never), answering(acceptedAnswer))
 	c.Send(newAttempt(1))
-	testenv.Until(t, "the connection is back", func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 })
+	testenv.Until(
+		t,
+		"the connection is back",
+		func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 },
+	)
 	c.pool.mu.Lock()
 	for _, l := range c.pool.idle { // its answer came now, however long this took
 		l[0].idleSince = time.Now().Add(time.Hour)
@@ -95,7 +120,11 @@
 	c.pool.mu.Unlock()
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":""}`))
 	c.Send(newAttempt(2))
-	testenv.Until(t, "it is taken", func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle[c.address(7)]) == 2 })
+	testenv.Until(
+		t,
+		"it is taken",
+		func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle[c.address(7)]) == 2 },
+	)
 	if got := s.outcomes(2); n() != 2 || len(got) != 0 {
 		t.Errorf("%d connections, %v", n(), got)
 	}
@@ -114,7 +143,7 @@
 		testenv.Until(t, "the connection is back", func() bool {
 			c.pool.mu.Lock()
 			defer c.pool.mu.Unlock()
-			for _, x := range c.pool.idle[c.executors[7].address] {
+			for _, x := range c.pool.idle[c.address(7)] {
 				x.idleSince = x.idleSince.Add(-testenv.Lim.Rest)
 				return true
 			}
@@ -126,8 +155,8 @@
 	}
 }
 
-// The idle connections of an executor that started anew under its name and address lead to a process that has ended, or to a
-// machine that forgot them: they are closed at once, and the next request takes a new one.
+// The idle connections of an executor that started anew under its name and address lead to a process that has ended, or
+// to a machine that forgot them: they are closed at once, and the next request takes a new one.
 func TestIdleConnectionsOfAnEarlierLife(t *testing.T) {
 	c, _ := newClient(t, testenv.Lim)
 	ended := make(chan bool, 1)
@@ -140,7 +169,11 @@
 		ended <- true
 	})
 	c.Send(newAttempt(1))
-	testenv.Until(t, "the connection is back", func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 })
+	testenv.Until(
+		t,
+		"the connection is back",
+		func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 },
+	)
 	c.Told(7, node.Entry{Name: "s-7", Address: c.address(7), Status: "ready", SinceMS: 1000}, time.Now())
 	select {
 	case <-ended:
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -23,7 +23,13 @@
 // hasty are limits under which a box is late after 50 ms.
 func withShortAcks() limits.Limits {
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.Pace.Acks = slowpeer.AckRule{Least: 50 * time.Millisecond, Most: 200 * time.Millisecond, Times: 3, Memory: time.Minute, Crowd: 0.5}
+	lim.Pace.Acks = slowpeer.AckRule{
+		Least:  50 * time.Millisecond,
+		Most:   200 * time.Millisecond,
+		Times:  3,
+		Memory: time.Minute,
+		Crowd:  0.5,
+	}
 	return lim
 }
 
@@ -163,7 +169,10 @@
 			a.Job.Body = []byte(strings.Repeat("b", size))
 			c.Send(a)
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-			if got := s.outcomes(1); got[0] != dispatch.ConnectFailed || c.slowPeers.Count(slowpeer.BoxReads)+c.slowPeers.Count(slowpeer.BoxUnacked) != 1 {
+			if got := s.outcomes(
+				1,
+			); got[0] != dispatch.ConnectFailed ||
+				c.slowPeers.Count(slowpeer.BoxReads)+c.slowPeers.Count(slowpeer.BoxUnacked) != 1 {
 				t.Errorf("%v, %s", got, c.slowPeers.JSON())
 			}
 			release <- true
@@ -229,7 +238,11 @@
 		c.Send(a)
 	}
 	testenv.Until(t, "some are held back", func() bool { return c.slowPeers.Count(slowpeer.BoxShare) > 0 })
-	testenv.Until(t, "the others are out", func() bool { return accepted()+int(c.slowPeers.Count(slowpeer.BoxShare)) == 12 })
+	testenv.Until(
+		t,
+		"the others are out",
+		func() bool { return accepted()+int(c.slowPeers.Count(slowpeer.BoxShare)) == 12 },
+	)
 	if n := accepted(); n < 6 || n > 9 {
 		t.Errorf("one box holds %d of 12 connections", n)
 	}
