--- a/internal/http1/paced.go
+++ b/internal/http1/paced.go
@@ -202,7 +202,7 @@
 		// or the time that a kept connection stood idle would count as debt, and its next answer be cut off.
 		if !p.out.Waiting() || done == 0 && p.look(now) == 0 {
 			p.out.Start(now)
-			p.written, p.acked = 0, 0
+			p.written, p.acked = int64(sock.Queued(p.Conn)), 0
 		}
 		p.blocked = now
 		_ = p.Conn.SetWriteDeadline(sooner(p.byAt, &p.out))
@@ -255,6 +255,13 @@
 	return left, nil
 }
 
+// Forgive begins what is asked for writes anew with the next of them: what the peer owes for earlier ones counts no more.
+func (p *Paced) Forgive() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.out.Stop()
+}
+
 // Stalled says since how long a write has waited for the peer.
 func (p *Paced) Stalled(now time.Time) time.Duration {
 	p.mu.Lock()
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -114,6 +114,7 @@
 	}
 	if p == busy {
 		s.read(c) // who asks for the next has read the last, or gives up on it
+		c.Forgive()
 	}
 	if p == idle && c.phase != p && c.served {
 		s.free()
