--- a/internal/http1/arrivals.go
+++ b/internal/http1/arrivals.go
@@ -31,6 +31,16 @@
 	a.marks = append(a.marks, arrival{a.in, now})
 }
 
+// first tells when the next byte that is not taken yet came; zero where there is none.
+func (a *arrivals) first() time.Time {
+	for _, mark := range a.marks {
+		if mark.upTo > a.out {
+			return mark.at
+		}
+	}
+	return time.Time{}
+}
+
 // take notes that the next n bytes were taken, and tells when the last of them came; zero for none.
 func (a *arrivals) take(n int) time.Time {
 	if n <= 0 {
--- a/internal/http1/closing_test.go
+++ b/internal/http1/closing_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"golang.org/x/sync/errgroup"
+	"golang.org/x/sys/unix"
 
 	"gatetack/internal/limits"
 	"gatetack/internal/pace"
@@ -22,7 +23,7 @@
 type watchedConn struct {
 	*net.TCPConn
 	timedOut func()
-	received func(n int)
+	received func(n int) error // what the read returns beside the bytes
 	once     sync.Once
 	waits    atomic.Int64 // that began
 }
@@ -35,7 +36,7 @@
 func (c *watchedConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	if n > 0 && c.received != nil {
-		c.received(n)
+		err = c.received(n)
 	}
 	return n, err
 }
@@ -224,7 +225,7 @@
 	defer goOn()
 	w := serveWatched(t, one, ok, func(_ net.Conn, c *watchedConn) {
 		var once sync.Once
-		c.received = func(int) { once.Do(func() { close(taken); <-on }) }
+		c.received = func(int) error { once.Do(func() { close(taken); <-on }); return nil }
 	})
 	_, _ = io.WriteString(w.client, get)
 	receive(t, taken)
@@ -256,3 +257,18 @@
 		t.Errorf("%d slow readers, want 1", n)
 	}
 }
+
+// endHasCome says whether the client's side of a connection was closed, whatever stands unread before that.
+func endHasCome(c *net.TCPConn) bool {
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return false
+	}
+	state := uint8(0)
+	_ = raw.Control(func(fd uintptr) {
+		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
+			state = info.State
+		}
+	})
+	return state == unix.BPF_TCP_CLOSE_WAIT
+}
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"errors"
+	"io"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -21,6 +23,7 @@
 	err   error // of the read that got told of
 	asked bool  // a read is under way, and the ring and its arrivals are the reader's
 	times arrivals
+	began time.Time // when the first byte came of the request that is being parsed
 
 	unparsed atomic.Int64 // bytes that the reader has taken and the parser has not
 
@@ -30,6 +33,7 @@
 	came    bool // bytes behind it came
 	over    bool // more than the ring holds: the rest is dropped, and the connection ends with the answer
 	pause   time.Duration
+	sleep   func(time.Duration)
 
 	// Under the server's lock.
 	phase  phase
@@ -67,7 +71,7 @@
 
 func newConn(c net.Conn, ring int, in, out pace.Rate, pause time.Duration) *conn {
 	return &conn{Paced: NewPaced(c, in, out), in: NewRing(ring), want: make(chan struct{}, 1), got: make(chan struct{}, 1),
-		pause: pause, phase: idle, ended: make(chan struct{})}
+		pause: pause, sleep: time.Sleep, phase: idle, ended: make(chan struct{})}
 }
 
 // read makes the reads that are asked for.
@@ -104,6 +108,9 @@
 // another that was handled.
 func (c *conn) parse(p *Parser) (*Message, error) {
 	before := c.in.Len()
+	if !p.Begun() && before > 0 {
+		c.began = c.times.first()
+	}
 	m, err := p.Feed(c.in)
 	taken := before - c.in.Len()
 	c.unparsed.Add(int64(-taken))
@@ -141,20 +148,36 @@
 
 func (u unread) Read(b []byte) (int, error) { return sock.Take(u.Conn, b), nil }
 
+// halfClosed says whether the client has closed its side in order, as one does that still waits for an answer. One that has closed
+// the whole connection looks the same until something is written to it. The client is known to have gone.
+func (c *conn) halfClosed() bool {
+	if c.asked {
+		<-c.got
+		c.asked = false
+	}
+	return errors.Is(c.err, io.EOF)
+}
+
 // quiet says that nothing has come that is not parsed yet, neither in the kernel nor with the reader. Bytes go from the first to the
 // second, so they are looked for in this order.
 func (c *conn) quiet() bool { return sock.Quiet(c.Conn) && c.unparsed.Load() == 0 }
 
+// dropBytes is how much is dropped at a time, with one pause after it. A client's end stands behind all that it sent, some MB at
+// most with the kernels' usual buffers, and is to be seen well within 0.1 s: so it is more than a ring holds.
+const dropBytes = 64 << 10
+
+var dropBuffers = sync.Pool{New: func() any { b := make([]byte, dropBytes); return &b }}
+
 // drop takes in bytes for which there is no place, not faster than a flood may cost.
 func (c *conn) drop() error {
-	b := buffers.Get().(*[]byte)
-	defer buffers.Put(b)
+	b := dropBuffers.Get().(*[]byte)
+	defer dropBuffers.Put(b)
 	_, err := c.Paced.Read(*b)
 	if err == nil {
 		c.mu.Lock()
 		c.over = true
 		c.mu.Unlock()
-		time.Sleep(c.pause)
+		c.sleep(c.pause)
 	}
 	return err
 }
--- a/internal/http1/paced.go
+++ b/internal/http1/paced.go
@@ -132,6 +132,9 @@
 func (p *Paced) Read(b []byte) (int, error) {
 	for {
 		n, err := p.Conn.Read(b)
+		if n == 0 && errors.Is(err, syscall.EINTR) {
+			continue
+		}
 		if n > 0 || err == nil {
 			p.mu.Lock()
 			if p.in.Waiting() {
@@ -212,6 +215,9 @@
 		p.mu.Lock()
 		p.blocked = time.Time{}
 		p.written += int64(n)
+		if errors.Is(err, syscall.EINTR) {
+			err = nil
+		}
 		if err != nil && timeout(err) {
 			now = time.Now()
 			left := p.look(now)
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -191,11 +191,12 @@
 	return nil
 }
 
-func (s *Server) serve(ctx context.Context, c *conn) {
-	ctx, gone := context.WithCancel(ctx)
+func (s *Server) serve(server context.Context, c *conn) {
+	ctx, gone := context.WithCancel(server)
 	var g errgroup.Group
 	g.Go(func() error { c.read(gone); return nil })
-	stop := context.AfterFunc(ctx, func() { _ = c.Paced.Close() })
+	// The end of its client alone does not close it: a client that closed its side only still gets an answer.
+	stop := context.AfterFunc(server, func() { _ = c.Paced.Close() })
 	p, w := NewParser(s.lim, false), NewWriter(c.Paced, s.lim.Ring)
 	p.Room = s.room
 	defer func() {
@@ -232,7 +233,11 @@
 			return
 		}
 		// A client that has closed is gone, whatever of its requests came before the close.
-		if ctx.Err() != nil || !s.enter(c, busy) {
+		if ctx.Err() != nil {
+			s.answerGone(server, c, w, Text(503, "the connection was closed before the request began"))
+			return
+		}
+		if !s.enter(c, busy) {
 			return
 		}
 		s.busy.Add(1)
@@ -249,6 +254,7 @@
 		over := c.unwatch()
 		if ctx.Err() != nil {
 			s.busy.Add(-1)
+			s.answerGone(server, c, w, r)
 			return
 		}
 		r.Close = r.Close || m.Close || c.how != usual || over || s.draining.Load()
@@ -273,6 +279,19 @@
 	}
 }
 
+// answerGone writes a last answer to a client that has closed its side of the connection, should it still read. Its request was called
+// off: a client that closed its side is taken to have gone, since no system call tells the one from the other.
+func (s *Server) answerGone(ctx context.Context, c *conn, w *Writer, r Response) {
+	if ctx.Err() != nil || r.Stream != nil || !c.halfClosed() || !s.enter(c, answering) {
+		return
+	}
+	if r.Status == 0 {
+		r = Text(500, "the connection was closed before the answer")
+	}
+	r.Close = true
+	s.write(ctx, c, w, &r)
+}
+
 // room takes n bytes for bodies, or gives them back, and says whether they were to be had. Beyond it a body is turned
 // away: hundreds of connections with a large one each would take the memory of all.
 func (s *Server) room(n int) bool {
@@ -333,7 +352,7 @@
 		if p.Begun() && !begun {
 			begun = true
 			if !first {
-				c.ReadBy(time.Now().Add(s.lim.Pace.Request))
+				c.ReadBy(c.began.Add(s.lim.Pace.Request)) // also where it came behind another, which was handled
 			}
 			c.Await()
 		}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -102,7 +102,10 @@
 		return r
 	case <-ctx.Done():
 		f.core.Gone(id)
-		return http1.Response{Status: 503, Close: true} // nobody reads it
+		// A client that closed its side only may still read it. An attempt may have begun: it is no refusal.
+		r := http1.Text(500, "the connection was closed before the answer")
+		r.Close = true
+		return r
 	}
 }
 
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"gatetack/brain"
+	"gatetack/internal/gate"
 	"gatetack/internal/http1"
 	"gatetack/internal/node"
 	"gatetack/internal/standin"
@@ -94,3 +95,40 @@
 		t.Errorf("healthz of a drained node: %d, want 503", s)
 	}
 }
+
+// blockedCore takes jobs, and its event channel is full: nothing that a front tells it comes through.
+type blockedCore struct {
+	core
+	told chan bool
+}
+
+func (c *blockedCore) Submit(j node.Job, _ node.Client) (uint32, error) {
+	c.jobs = append(c.jobs, j)
+	return 1, nil
+}
+
+func (c *blockedCore) Gone(uint32) {
+	c.told <- true
+	<-c.told
+}
+
+// The check before an attempt's bytes knows of a client's end from the request's context alone, though the core can not be told of it.
+func TestCheckBeforeSendKnowsOfAClientsEndWhileTheCoreIsBusy(t *testing.T) {
+	c := &blockedCore{told: make(chan bool)}
+	f := New(c, c, standin.Lim, standin.Quiet)
+	ctx, leave := context.WithCancel(t.Context())
+	answered := make(chan http1.Response)
+	go func() {
+		answered <- f.Handle(ctx, &http1.Message{Method: "POST", Target: "/tile-charge", Fields: []http1.Field{
+			{Name: "X-Trace-Id", Value: "9b1f03aa5c7e2d41"}, {Name: "X-Customer", Value: "maavaade"}, {Name: "X-Expires-In-Ms", Value: "7500"}}})
+	}()
+	leave()
+	<-c.told // and its event waits from here on
+	if why := c.jobs[0].Still(); why != gate.Left {
+		t.Errorf("the check says that %v", why)
+	}
+	c.told <- true
+	if r := <-answered; r.Status != 500 || !r.Close {
+		t.Errorf("%+v", r) // it may have run: no refusal
+	}
+}
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -74,17 +74,26 @@
 // Readable looks whether a read would return, with bytes or the connection's end.
 func Readable(fd uintptr) bool {
 	var b [1]byte
-	_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	_, err := receive(int(fd), b[:], unix.MSG_PEEK)
 	return err != unix.EAGAIN
 }
 
 // Take reads into b what has come on a connection, without waiting and whatever its deadlines are, and tells how much that was.
 func Take(c net.Conn, b []byte) int {
 	n := 0
-	control(c, func(fd int) { n, _, _ = unix.Recvfrom(fd, b, unix.MSG_DONTWAIT) })
+	control(c, func(fd int) { n, _ = receive(fd, b, 0) })
 	return max(n, 0)
 }
 
+// receive receives without waiting, and again where a signal came between.
+func receive(fd int, b []byte, flags int) (n int, err error) {
+	for {
+		if n, _, err = unix.Recvfrom(fd, b, flags|unix.MSG_DONTWAIT); err != unix.EINTR {
+			return n, err
+		}
+	}
+}
+
 func control(c net.Conn, f func(fd int)) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
