--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -39,6 +39,8 @@
 	slow  *pace.Tally
 	log   *slog.Logger
 	calls chan call
+	dial  func(ctx context.Context, network, addr string) (net.Conn, error)
+	sleep func(context.Context, time.Duration)
 	index atomic.Uint64 // of the list last held
 
 	clock   staleness.Clock // that of the watch which runs: one at a time
@@ -67,6 +69,8 @@
 // the module asks for nothing. A watch on it is kept from the start on.
 func New(addr string, index uint64, pushed bool, lim limits.Limits, sink Sink, slow *pace.Tally, log *slog.Logger) *Client {
 	c := &Client{lim: lim, push: pushed, sink: sink, slow: slow, log: log, calls: make(chan call, 16), at: newPlace(addr)}
+	c.dial = (&net.Dialer{Timeout: lim.ListCall}).DialContext
+	c.sleep = sleep
 	c.clock.Timeouts = lim.Staleness
 	c.index.Store(index)
 	return c
@@ -257,8 +261,7 @@
 	if clock != nil {
 		by = clock.SilentBy
 	}
-	d := net.Dialer{Timeout: c.lim.ListCall}
-	dialed, err := d.DialContext(ctx, "tcp", addr)
+	dialed, err := c.connect(ctx, addr, clock)
 	if err != nil {
 		return fmt.Errorf("connecting: %w", err)
 	}
