--- /dev/null
+++ b/internal/peer/faults_test.go
@@ -0,0 +1,110 @@
+package peer
+
+import (
+	"context"
+	"net"
+	"net/netip"
+	"os"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"gatetack/internal/standin"
+)
+
+// faultyConn is a socket whose first reads and writes fail as a test says.
+type faultyConn struct {
+	datagramConn
+	mu     sync.Mutex
+	reads  []syscall.Errno
+	writes []syscall.Errno
+}
+
+// next takes the first error of a queue.
+func (c *faultyConn) next(queue *[]syscall.Errno) (syscall.Errno, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(*queue) == 0 {
+		return 0, false
+	}
+	errno := (*queue)[0]
+	*queue = (*queue)[1:]
+	return errno, true
+}
+
+func (c *faultyConn) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
+	if errno, fails := c.next(&c.reads); fails {
+		return 0, netip.AddrPort{}, &net.OpError{Op: "read", Err: os.NewSyscallError("recvfrom", errno)}
+	}
+	return c.datagramConn.ReadFromUDPAddrPort(b)
+}
+
+func (c *faultyConn) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
+	if errno, fails := c.next(&c.writes); fails {
+		return 0, &net.OpError{Op: "write", Err: os.NewSyscallError("sendto", errno)}
+	}
+	return c.datagramConn.WriteToUDPAddrPort(b, to)
+}
+
+// Errors of single datagrams end neither the reads nor the writes of a node; a write that a signal interrupts is made again.
+func TestErrorsOfDatagramsEndNeitherReadsNorWrites(t *testing.T) {
+	errnos := []syscall.Errno{syscall.ENOBUFS, syscall.EPERM, syscall.ECONNREFUSED, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
+		syscall.ENOMEM, syscall.EAGAIN, syscall.EMSGSIZE, syscall.EINTR}
+	var addrs []string
+	var sockets []*Socket
+	var sinks []*sink
+	for range 2 {
+		k := &sink{got: map[uint32]string{}}
+		s, err := Listen("127.0.0.1:0", nil, "", standin.Lim, k, standin.Quiet)
+		if err != nil {
+			t.Fatal(err)
+		}
+		addrs, sockets, sinks = append(addrs, s.conn.LocalAddr().String()), append(sockets, s), append(sinks, k)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	var g errgroup.Group
+	defer func() {
+		cancel()
+		if err := g.Wait(); err != nil {
+			t.Error(err)
+		}
+	}()
+	faulty := make([]*faultyConn, len(sockets))
+	for i, s := range sockets {
+		for _, a := range addrs {
+			s.peers = append(s.peers, netip.MustParseAddrPort(a))
+		}
+		faulty[i] = &faultyConn{datagramConn: s.conn, reads: append([]syscall.Errno(nil), errnos...), writes: append([]syscall.Errno(nil), errnos...)}
+		s.conn = faulty[i]
+		g.Go(func() error { return s.Run(ctx) })
+	}
+	// One message each is lost, but for the one of EINTR.
+	for _, errno := range errnos {
+		sockets[0].Tell(1, []byte(errno.Error()))
+	}
+	standin.Until(t, "the message that a signal interrupted", func() bool { return sinks[1].has(0, syscall.EINTR.Error()) })
+	sockets[0].Tell(1, []byte("last"))
+	standin.Until(t, "the last message", func() bool { return sinks[1].has(0, "last") })
+	if _, left := faulty[0].next(&faulty[0].writes); left {
+		t.Error("not all writes were made")
+	}
+	if _, left := faulty[1].next(&faulty[1].reads); left {
+		t.Error("not all reads were made")
+	}
+}
+
+// An error that an earlier datagram brought back delays no read; one of memory does, or the loop would spin.
+func TestReadErrorsOfEarlierDatagramsCauseNoPause(t *testing.T) {
+	for errno, want := range map[syscall.Errno]bool{syscall.ECONNREFUSED: true, syscall.EHOSTUNREACH: true, syscall.ENETUNREACH: true,
+		syscall.EINTR: true, syscall.ENOMEM: false, syscall.ENOBUFS: false, syscall.EIO: false} {
+		if got := isSendersError(&net.OpError{Op: "read", Err: os.NewSyscallError("recvfrom", errno)}); got != want {
+			t.Errorf("%v: %v", errno, got)
+		}
+	}
+	if readBackoff <= 0 || readBackoff > 10*time.Millisecond {
+		t.Errorf("the pause after other errors is %v", readBackoff)
+	}
+}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -25,7 +25,7 @@
 
 // Socket is the node's place among its peers.
 type Socket struct {
-	conn  *net.UDPConn
+	conn  datagramConn
 	lim   limits.Limits
 	sink  Sink
 	log   *slog.Logger
@@ -34,6 +34,17 @@
 	out   chan message
 }
 
+// datagramConn is the part of a UDP socket that is used here.
+type datagramConn interface {
+	ReadFromUDPAddrPort(b []byte) (n int, from netip.AddrPort, err error)
+	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
+	LocalAddr() net.Addr
+	Close() error
+}
+
+// readBackoff is the pause after a read that failed for want of memory, or for a reason that recv(2) does not name.
+const readBackoff = time.Millisecond
+
 type message struct {
 	to   netip.AddrPort
 	data []byte
@@ -70,7 +81,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	s.conn = pc.(*net.UDPConn)
+	udp, ok := pc.(*net.UDPConn)
+	if !ok {
+		return nil, fmt.Errorf("peers: %T is no UDP socket", pc)
+	}
+	s.conn = udp
 	return s, nil
 }
 
@@ -108,9 +123,7 @@
 		for {
 			select {
 			case m := <-s.out:
-				if _, err := s.conn.WriteToUDPAddrPort(m.data, m.to); err != nil && ctx.Err() == nil {
-					s.log.Debug("peer", "to", m.to, "err", err)
-				}
+				s.write(ctx, m)
 			case <-ctx.Done():
 				return nil
 			}
@@ -124,8 +137,10 @@
 				return nil
 			}
 			if err != nil {
-				s.log.Debug("peer", "err", err) // a refused datagram of ours comes back as an error of the next read
-				time.Sleep(time.Millisecond)
+				s.log.Debug("peer read failed", "err", err)
+				if !isSendersError(err) {
+					time.Sleep(readBackoff)
+				}
 				continue
 			}
 			from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
@@ -137,6 +152,32 @@
 	return g.Wait()
 }
 
+// write sends one message. What the socket does not take is lost, as it may be on the way, whatever the reason: no memory (ENOBUFS), a
+// firewall of this machine (EPERM), no route, or an answer to an earlier datagram that nobody listens there (ECONNREFUSED).
+func (s *Socket) write(ctx context.Context, m message) {
+	for {
+		_, err := s.conn.WriteToUDPAddrPort(m.data, m.to)
+		if errors.Is(err, syscall.EINTR) && ctx.Err() == nil {
+			continue
+		}
+		if err != nil && ctx.Err() == nil {
+			s.log.Debug("peer write failed", "peer", m.to, "err", err)
+		}
+		return
+	}
+}
+
+// isSendersError says whether a read failed for an earlier datagram of ours, whose error the network gave back (udp(7)), or for a signal.
+// Each such error comes once, so the next read can follow at once.
+func isSendersError(err error) bool {
+	for _, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EINTR} {
+		if errors.Is(err, errno) {
+			return true
+		}
+	}
+	return false
+}
+
 func (s *Socket) number(from netip.AddrPort) int {
 	for i, p := range s.peers {
 		if p == from {
