--- a/cmd/batchbench/main.go
+++ b/cmd/batchbench/main.go
@@ -18,8 +18,8 @@
 
 	"gatetack/drmaa2"
 	"gatetack/internal/batch"
-	"gatetack/internal/records"
-	"gatetack/internal/standin"
+	"gatetack/internal/jobstore"
+	"gatetack/internal/testenv"
 )
 
 func main() {
@@ -52,32 +52,32 @@
 	g             *errgroup.Group
 	cancel        func()
 	listen, batch string
-	node          *standin.Node
+	node          *testenv.Node
 	began         time.Duration
 }
 
 func start(program, dir string) (*place, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &place{ctx: ctx, g: &errgroup.Group{}, cancel: cancel}
-	ports, err := standin.Ports(2)
+	ports, err := testenv.Ports(2)
 	if err != nil {
 		return nil, err
 	}
 	p.listen, p.batch = ports[0], ports[1]
-	list, err := standin.NewList(ctx, p.g)
+	list, err := testenv.NewList(ctx, p.g)
 	if err != nil {
 		return nil, err
 	}
 	for i := range 6 {
-		b, err := standin.NewBox(ctx, p.g, fmt.Sprintf("s-%08x", i+1), p.listen, 100*time.Millisecond)
+		b, err := testenv.NewBox(ctx, p.g, fmt.Sprintf("s-%08x", i+1), p.listen, 100*time.Millisecond)
 		if err != nil {
 			return nil, err
 		}
-		b.Set(func(h *standin.Behaviour) { h.Slots, h.Free = 4, 4 })
+		b.Set(func(h *testenv.Behaviour) { h.Slots, h.Free = 4, 4 })
 		list.Put(b, "ready")
 	}
 	began := time.Now()
-	p.node, err = standin.StartNode(standin.Process{Program: program, Listen: p.listen, Discovery: list.Addr, MemoryMB: 192, Sockets: 1024,
+	p.node, err = testenv.StartNode(testenv.Process{Program: program, Listen: p.listen, Discovery: list.Addr, MemoryMB: 192, Sockets: 1024,
 		File: "batch:\n  listen: " + p.batch + "\n  dir: " + dir + "\n"})
 	p.began = time.Since(began)
 	return p, err
@@ -91,14 +91,14 @@
 
 // fill writes so many ended jobs of an earlier life.
 func fill(dir string, n int) error {
-	b, err := records.OpenBolt(dir)
+	b, err := jobstore.OpenBolt(dir)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = b.Close() }()
 	ctx := context.Background()
 	zero, result := 0, "tile of a job that ended long ago"
-	changes := make([]records.Change, 0, 10000)
+	changes := make([]jobstore.Change, 0, 10000)
 	at := time.Now().Add(-time.Hour)
 	for i := 1; i <= n; i++ {
 		id := fmt.Sprintf("n0.%x.%d", at.UnixMilli(), i)
@@ -107,7 +107,7 @@
 		if err != nil {
 			return err
 		}
-		changes = append(changes, records.Change{Kind: "job", Key: fmt.Sprintf("n0.%012x.%012x", at.UnixMilli(), i), Value: v})
+		changes = append(changes, jobstore.Change{Kind: "job", Key: fmt.Sprintf("n0.%012x.%012x", at.UnixMilli(), i), Value: v})
 		if len(changes) == cap(changes) || i == n {
 			if err := b.Write(ctx, changes...); err != nil {
 				return err
@@ -230,7 +230,7 @@
 			return nil
 		})
 	}
-	load := standin.Load{Addr: p.listen, Clients: 10, Class: "area-render", Deadline: 25 * time.Second, Aim: 1700 * time.Millisecond, Prefix: "10adc1e0"}
+	load := testenv.Load{Addr: p.listen, Clients: 10, Class: "area-render", Deadline: 25 * time.Second, Aim: 1700 * time.Millisecond, Prefix: "10adc1e0"}
 	d := load.Run(ctx)
 	_ = g.Wait()
 	fmt.Printf("| %d | %d | %d | %.0f | %.0f | %.0f |\n", n, d.InTime, d.Refused, float64(d.Latency.ValueAtQuantile(50))/1000,
--- a/cmd/gatetack/conform.go
+++ b/cmd/gatetack/conform.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"gatetack/internal/conform"
+	"gatetack/internal/conformance"
 )
 
 func conformCommand() *cobra.Command {
@@ -22,7 +22,7 @@
 			ctx, cancel := context.WithTimeout(cmd.Context(), timeout)
 			defer cancel()
 			all, bad := 0, 0
-			err := conform.Run(ctx, addr, func(r conform.Result) {
+			err := conformance.Run(ctx, addr, func(r conformance.Result) {
 				if all++; r.Err != nil {
 					bad++
 				}
--- a/cmd/gatetack/duty.go
+++ b/cmd/gatetack/duty.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 	"github.com/tidwall/gjson"
 
-	"gatetack/internal/duty"
-	"gatetack/internal/owner"
+	"gatetack/internal/lease"
+	"gatetack/internal/leaseholder"
 )
 
 // standing is a duty as commands show it.
@@ -53,7 +53,7 @@
 				if err := showDuties(cmd, output, []standing{x}); err != nil {
 					return err
 				}
-				v, _, err := r.call(cmd.Context(), "GET", "kv/"+owner.Duties+"/"+url.PathEscape(a[0])+"?history=1", nil)
+				v, _, err := r.call(cmd.Context(), "GET", "kv/"+leaseholder.Duties+"/"+url.PathEscape(a[0])+"?history=1", nil)
 				if err != nil {
 					return err
 				}
@@ -67,7 +67,7 @@
 		}})
 	cmd.AddCommand(&cobra.Command{Use: "release DUTY", Short: "take a duty from its owner: another node claims it", Args: oneDuty,
 		RunE: func(cmd *cobra.Command, a []string) error {
-			return r.giveDuty(cmd, a[0], duty.Life{}, "is nobody's")
+			return r.giveDuty(cmd, a[0], lease.Life{}, "is nobody's")
 		}})
 	cmd.AddCommand(&cobra.Command{Use: "move DUTY NODE", Short: "give a duty to a node that is alive",
 		Args: func(cmd *cobra.Command, a []string) error {
@@ -96,8 +96,8 @@
 }
 
 // giveDuty writes a duty as a life's, or nobody's, in the place of what stands there, and says what was done.
-func (r *storeRemote) giveDuty(cmd *cobra.Command, key string, to duty.Life, done string) error {
-	path := "kv/" + owner.Duties + "/" + url.PathEscape(key)
+func (r *storeRemote) giveDuty(cmd *cobra.Command, key string, to lease.Life, done string) error {
+	path := "kv/" + leaseholder.Duties + "/" + url.PathEscape(key)
 	v, _, err := r.call(cmd.Context(), "GET", path, nil)
 	if err != nil {
 		return err
@@ -118,12 +118,12 @@
 	return nil
 }
 
-func lifeOf(e gjson.Result) (l duty.Life) {
+func lifeOf(e gjson.Result) (l lease.Life) {
 	_ = json.Unmarshal([]byte(e.Get("value").String()), &l)
 	return l
 }
 
-func whose(l duty.Life) string {
+func whose(l lease.Life) string {
 	if l.Zero() {
 		return "nobody"
 	}
@@ -131,11 +131,11 @@
 }
 
 // living are the lives that have a lease, with where their batch fronts are.
-func (r *storeRemote) living(cmd *cobra.Command) (map[duty.Life]string, error) {
-	out := map[duty.Life]string{}
-	return out, r.each(cmd.Context(), owner.Leases, "", false, func(e gjson.Result) {
+func (r *storeRemote) living(cmd *cobra.Command) (map[lease.Life]string, error) {
+	out := map[lease.Life]string{}
+	return out, r.each(cmd.Context(), leaseholder.Leases, "", false, func(e gjson.Result) {
 		v := gjson.Parse(e.Get("value").String())
-		out[duty.Life{Node: e.Get("key").String(), Born: v.Get("born").Int()}] = v.Get("addr").String()
+		out[lease.Life{Node: e.Get("key").String(), Born: v.Get("born").Int()}] = v.Get("addr").String()
 	})
 }
 
@@ -145,9 +145,9 @@
 		return nil, err
 	}
 	all := []standing{}
-	err = r.each(cmd.Context(), owner.Duties, "", false, func(e gjson.Result) {
+	err = r.each(cmd.Context(), leaseholder.Duties, "", false, func(e gjson.Result) {
 		l := lifeOf(e)
-		of, _ := duty.ParsePartition(e.Get("key").String())
+		of, _ := lease.ParsePartition(e.Get("key").String())
 		addr, alive := living[l]
 		x := standing{Duty: e.Get("key").String(), Owner: l.Node, Addr: addr, Epoch: e.Get("version").Uint(), Of: of.Node,
 			Since: time.UnixMilli(of.Born).UTC(), Living: alive}
--- a/cmd/gatetack/keys.go
+++ b/cmd/gatetack/keys.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"gatetack/internal/keys"
+	"gatetack/internal/pki"
 )
 
 func keysCommand() *cobra.Command {
@@ -27,17 +27,17 @@
 	}
 	const year = 365 * 24 * time.Hour
 	run("init DIR NAME", "make an authority in a folder", 2, 10*year, func(_ *cobra.Command, a []string, valid time.Duration) error {
-		return keys.Init(a[0], a[1], valid, time.Now())
+		return pki.Init(a[0], a[1], valid, time.Now())
 	})
 	issue := func(_ *cobra.Command, a []string, valid time.Duration) error {
-		return keys.Issue(a[0], a[1], a[2], valid, time.Now())
+		return pki.Issue(a[0], a[1], a[2], valid, time.Now())
 	}
 	run("issue CA OUT NAME", "make a node's key and certificate, signed by the authority in CA, in the folder OUT", 3, year, issue)
 	run("renew CA OUT NAME", "likewise, in the place of those that are there; nodes take them at the next connection", 3, year, issue)
 	run("revoke DIR SERIAL", "refuse a certificate from the next connection on; DIR is the folder of each node's keys", 2, 0,
-		func(_ *cobra.Command, a []string, _ time.Duration) error { return keys.Revoke(a[0], a[1]) })
+		func(_ *cobra.Command, a []string, _ time.Duration) error { return pki.Revoke(a[0], a[1]) })
 	run("show DIR", "tell of a folder's certificates: nothing secret", 1, 0, func(cmd *cobra.Command, a []string, _ time.Duration) error {
-		all, err := keys.Show(a[0])
+		all, err := pki.Show(a[0])
 		if err != nil {
 			return err
 		}
--- a/cmd/gatetack/listen_test.go
+++ b/cmd/gatetack/listen_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"gatetack/internal/config"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // A passed listening socket is taken as it is, and connections to it reach the node; a descriptor that is no listening
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	ln, err := listen(&config.Config{Listen: held.Addr().String(), Passed: int(f.Fd())}, standin.Quiet)
+	ln, err := listen(&config.Config{Listen: held.Addr().String(), Passed: int(f.Fd())}, testenv.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	}
 	defer plain.Close()
 	for _, fd := range []int{int(plain.Fd()), 1 << 20} {
-		if ln, err := listen(&config.Config{Listen: "127.0.0.1:1", Passed: fd}, standin.Quiet); err == nil {
+		if ln, err := listen(&config.Config{Listen: "127.0.0.1:1", Passed: fd}, testenv.Quiet); err == nil {
 			ln.Close()
 			t.Errorf("descriptor %d taken for a listening socket", fd)
 		} else if !strings.Contains(err.Error(), "EDGE_PASSED_SOCKET") {
--- a/cmd/gatetack/main.go
+++ b/cmd/gatetack/main.go
@@ -1,4 +1,4 @@
-// Command gatetack is one node: it takes jobs from clients and brings them to executors as package brain decides. Beside
+// Command gatetack is one node: it takes jobs from clients and brings them to executors as package dispatch decides. Beside
 // that it is the command line of the batch front.
 package main
 
@@ -15,8 +15,8 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"gatetack/internal/fault"
 	"gatetack/internal/inventory"
+	"gatetack/internal/operr"
 )
 
 // version is set by the build with -ldflags "-X main.version=...".
@@ -37,7 +37,7 @@
 	defer stop()
 	if err := root().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "gatetack:", err)
-		if do := fault.Do(err); do != "" {
+		if do := operr.Do(err); do != "" {
 			fmt.Fprintln(os.Stderr, "what can be done:", do)
 		}
 		os.Exit(exitCode(err))
--- a/cmd/gatetack/serve.go
+++ b/cmd/gatetack/serve.go
@@ -17,31 +17,31 @@
 
 	"gatetack/internal/actorhost"
 	"gatetack/internal/batch"
+	"gatetack/internal/callbackrelay"
 	"gatetack/internal/config"
 	"gatetack/internal/discovery"
 	"gatetack/internal/executor"
 	"gatetack/internal/failpoint"
-	"gatetack/internal/handover"
 	"gatetack/internal/http1"
 	"gatetack/internal/inventory"
-	"gatetack/internal/keys"
+	"gatetack/internal/jobstore"
+	"gatetack/internal/leaseholder"
 	"gatetack/internal/locality"
 	"gatetack/internal/migration"
 	"gatetack/internal/node"
 	"gatetack/internal/operator"
-	"gatetack/internal/owner"
-	"gatetack/internal/pace"
 	"gatetack/internal/peer"
+	"gatetack/internal/pki"
 	"gatetack/internal/platform"
-	"gatetack/internal/records"
 	"gatetack/internal/settings"
+	"gatetack/internal/slowpeer"
 	"gatetack/internal/store"
 )
 
 // load reads the platform's configuration and, where one is named, the operator's file. A file that names the node stands
 // for both: the node is alone then, and no variable of the platform's is needed.
 func load(path string) (*config.Config, *config.File, error) {
-	f := &config.File{Pace: pace.Default()}
+	f := &config.File{Pace: slowpeer.Default()}
 	var err error
 	if path != "" {
 		if f, err = config.ReadFile(path); err != nil {
@@ -100,14 +100,14 @@
 		}
 		g.Go(func() error { return feed.run(hard, tune) })
 	}
-	var kept records.Store
+	var kept jobstore.Store
 	var shared inventory.Keeper
 	switch {
 	case members != nil:
 		kept, shared = members, members
 		g.Go(func() error { return members.Run(hard) })
 	case f.Batch.Dir != "":
-		own, err := records.OpenBolt(f.Batch.Dir)
+		own, err := jobstore.OpenBolt(f.Batch.Dir)
 		if err != nil {
 			return err
 		}
@@ -154,7 +154,7 @@
 	}
 	calls := relayed{exec: exec, late: &atomic.Pointer[batch.Front]{}}
 	if c.Passed >= 0 {
-		relay, err := handover.Open(filepath.Join(os.TempDir(), "gatetack-handover"), c.Limits.Follow, c.Limits.Stay, log)
+		relay, err := callbackrelay.Open(filepath.Join(os.TempDir(), "gatetack-handover"), c.Limits.Follow, c.Limits.Stay, log)
 		if err != nil {
 			return err
 		}
@@ -182,16 +182,16 @@
 		g.Go(func() error { followDrain(ctx, core, front, c.Limits.Follow); return nil })
 	}
 	var jobs *batch.Front
-	var duties *owner.Owner
+	var duties *leaseholder.Owner
 	var held *actorhost.Host
 	if f.Batch.Listen != "" {
-		var ring *keys.Ring
+		var ring *pki.Ring
 		ln, err := net.Listen("tcp", f.Batch.Listen)
 		if err != nil {
 			return fmt.Errorf("batch front: %w", err)
 		}
 		if f.Batch.Keys != "" {
-			ring, err = keys.Open(f.Batch.Keys, func(err error) { log.Error("batch: new keys can not be used, the old ones stay", "err", err) })
+			ring, err = pki.Open(f.Batch.Keys, func(err error) { log.Error("batch: new keys can not be used, the old ones stay", "err", err) })
 			if err != nil {
 				return err
 			}
@@ -199,7 +199,7 @@
 		}
 		var fleet batch.Fleet
 		if members != nil {
-			if duties, err = owner.New(members, c.Name, life.UnixMilli(), f.Batch.Listen, c.Limits, log); err != nil {
+			if duties, err = leaseholder.New(members, c.Name, life.UnixMilli(), f.Batch.Listen, c.Limits, log); err != nil {
 				return err
 			}
 			kept, fleet = duties, duties
@@ -275,7 +275,7 @@
 // callback that is not this process's is answered as any other: it may be a repeat, or of an attempt that is over.
 type relayed struct {
 	exec  *executor.Client
-	relay *handover.Relay
+	relay *callbackrelay.Relay
 	late  *atomic.Pointer[batch.Front]
 }
 
@@ -339,14 +339,14 @@
 }
 
 // openStore starts this node's member of the store, if the file names one.
-func openStore(c *config.Config, f *config.File, slow *pace.Tally, log *slog.Logger) (*store.Store, error) {
+func openStore(c *config.Config, f *config.File, slow *slowpeer.Tally, log *slog.Logger) (*store.Store, error) {
 	if f.Store.Dir == "" {
 		return nil, nil
 	}
-	var ring *keys.Ring
+	var ring *pki.Ring
 	if f.Store.Keys != "" {
 		var err error
-		if ring, err = keys.Open(f.Store.Keys, func(err error) { log.Error("store: new keys can not be used, the old ones stay", "err", err) }); err != nil {
+		if ring, err = pki.Open(f.Store.Keys, func(err error) { log.Error("store: new keys can not be used, the old ones stay", "err", err) }); err != nil {
 			return nil, err
 		}
 	}
--- a/cmd/gatetack/serve_test.go
+++ b/cmd/gatetack/serve_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"gatetack/internal/config"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // A node that was told to leave before it listened does not listen: whoever has its address meanwhile keeps it.
@@ -22,7 +22,7 @@
 	c, f := standaloneAt(t, ln.Addr().String())
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
-	if err := serve(ctx, make(chan os.Signal), c, f, standin.Quiet); err != nil {
+	if err := serve(ctx, make(chan os.Signal), c, f, testenv.Quiet); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 }
--- a/cmd/gatetack/settings_serve.go
+++ b/cmd/gatetack/settings_serve.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"gatetack/internal/config"
-	"gatetack/internal/fault"
 	"gatetack/internal/http1"
-	"gatetack/internal/keys"
 	"gatetack/internal/limits"
+	"gatetack/internal/operr"
+	"gatetack/internal/pki"
 	"gatetack/internal/settings"
 	"gatetack/internal/settingsync"
 	"gatetack/internal/store"
@@ -42,13 +42,13 @@
 	}
 	var err error
 	if feed.inForce, err = feed.follower.Cache.Load(); err != nil {
-		log.Error("settings: the cache can not be used", fault.Attrs(err))
+		log.Error("settings: the cache can not be used", operr.Attrs(err))
 	}
 	if feed.inForce.Version() == 0 && feed.follower.Upstream != nil {
 		feed.inForce = settingsync.Fetch(ctx, feed.follower)
 	}
 	if err := layOver(c, feed.inForce); err != nil {
-		log.Error("settings: the process starts with its base configuration", fault.Attrs(err))
+		log.Error("settings: the process starts with its base configuration", operr.Attrs(err))
 		feed.inForce = settings.NewDocument()
 	}
 	return feed, nil
@@ -56,10 +56,10 @@
 
 // memberCaller calls members of the store, by the keys in a folder where one is named.
 func memberCaller(dir string, lim limits.Limits, log *slog.Logger) (settingsync.Caller, error) {
-	var ring *keys.Ring
+	var ring *pki.Ring
 	if dir != "" {
 		var err error
-		if ring, err = keys.Open(dir, func(err error) { log.Error("settings: new keys can not be used, the old ones stay", "err", err) }); err != nil {
+		if ring, err = pki.Open(dir, func(err error) { log.Error("settings: new keys can not be used, the old ones stay", "err", err) }); err != nil {
 			return nil, err
 		}
 	}
--- a/cmd/gatetack/store.go
+++ b/cmd/gatetack/store.go
@@ -15,8 +15,8 @@
 	"github.com/tidwall/gjson"
 
 	"gatetack/drmaa2"
-	"gatetack/internal/keys"
 	"gatetack/internal/limits"
+	"gatetack/internal/pki"
 	"gatetack/internal/store"
 )
 
@@ -177,11 +177,11 @@
 }
 
 // ringOf opens a folder of keys; none is named where none are wanted.
-func ringOf(dir string) (*keys.Ring, error) {
+func ringOf(dir string) (*pki.Ring, error) {
 	if dir == "" {
 		return nil, nil
 	}
-	return keys.Open(dir, func(error) {})
+	return pki.Open(dir, func(error) {})
 }
 
 func staleQuery(stale bool, sep string) string {
--- a/cmd/simhost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simhost carries batches of the simulator's wire from standard input to one Dispatcher for each
+// Command simadapter carries batches of the simulator's wire from standard input to one Dispatcher for each
 // instance, and their actions to standard output. It decides nothing and shares nothing between instances.
 package main
 
@@ -9,13 +9,13 @@
 	"io"
 	"os"
 
-	"gatetack/brain"
-	"gatetack/internal/wire"
+	"gatetack/internal/dispatch"
+	"gatetack/internal/simprotocol"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
@@ -23,18 +23,18 @@
 // instance is one node: its Dispatcher and its events of the batch at hand.
 type instance struct {
 	id     uint16
-	brain  *brain.Dispatcher
-	events []brain.Event
+	brain  *dispatch.Dispatcher
+	events []dispatch.Event
 	listed bool // already in the batch's order
 }
 
 func run(in io.Reader, out io.Writer) error {
-	r := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
+	r := simprotocol.NewReader(bufio.NewReaderSize(in, 1<<16))
 	w := bufio.NewWriterSize(out, 1<<16)
 	all := make(map[uint16]*instance)
 	var order []*instance
-	var reply wire.Reply
-	var actions []brain.Action
+	var reply simprotocol.Reply
+	var actions []dispatch.Action
 	for {
 		batch, err := r.Read()
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
@@ -56,16 +56,16 @@
 				order = append(order, n)
 			}
 			switch rec.Code {
-			case wire.CodeInit:
-				s, err := wire.ParseSettings(rec.Info)
+			case simprotocol.CodeInit:
+				s, err := simprotocol.ParseSettings(rec.Info)
 				if err != nil {
 					return fmt.Errorf("instance %d: %w", rec.Instance, err)
 				}
-				if n.brain, err = brain.New(s, rec.Seed); err != nil {
+				if n.brain, err = dispatch.New(s, rec.Seed); err != nil {
 					return fmt.Errorf("instance %d: %w", rec.Instance, err)
 				}
 				n.events = n.events[:0]
-			case wire.CodeStop:
+			case simprotocol.CodeStop:
 				n.brain, n.events = nil, n.events[:0]
 			default:
 				n.events = append(n.events, rec.Event)
--- a/cmd/slowpeers/main.go
+++ b/cmd/slowpeerbench/main.go
@@ -15,7 +15,7 @@
 	"github.com/tidwall/gjson"
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 type options struct {
@@ -54,10 +54,10 @@
 	kinds := o.kinds
 	if len(kinds) == 0 {
 		kinds = []string{"none", "box-202", "box-mute", "box-unread"}
-		for _, k := range standin.Kinds {
+		for _, k := range testenv.Kinds {
 			kinds = append(kinds, string(k))
 		}
-		kinds = append(kinds, string(standin.Quick), "mixed")
+		kinds = append(kinds, string(testenv.Quick), "mixed")
 	}
 	fmt.Println("| case | peers | in time | served | refused | failed | p50 ms | p99 ms | memory MB | descriptors | answered | let go | still there | slow |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -83,35 +83,35 @@
 	defer cancel()
 	g := &errgroup.Group{}
 	defer func() { cancel(); _ = g.Wait() }()
-	ports, err := standin.Ports(1)
+	ports, err := testenv.Ports(1)
 	if err != nil {
 		return err
 	}
-	list, err := standin.NewList(ctx, g)
+	list, err := testenv.NewList(ctx, g)
 	if err != nil {
 		return err
 	}
 	for i := range o.executors {
-		b, err := standin.NewBox(ctx, g, fmt.Sprintf("s-%08x", i+1), ports[0], o.run)
+		b, err := testenv.NewBox(ctx, g, fmt.Sprintf("s-%08x", i+1), ports[0], o.run)
 		if err != nil {
 			return err
 		}
-		b.Set(func(h *standin.Behaviour) { h.Slots, h.Free, h.Result = 4, 4, o.result })
+		b.Set(func(h *testenv.Behaviour) { h.Slots, h.Free, h.Result = 4, 4, o.result })
 		if i == 0 && strings.HasPrefix(kind, "box-") {
-			var up, down standin.Script
+			var up, down testenv.Script
 			switch kind {
 			case "box-202": // takes jobs, and says so at one byte a second; what it ran it never tells
 				down.Rate = 1
-				b.Set(func(h *standin.Behaviour) { h.Mute = true })
+				b.Set(func(h *testenv.Behaviour) { h.Mute = true })
 			case "box-mute":
 				down.Stall = 1
-				b.Set(func(h *standin.Behaviour) { h.Mute = true })
+				b.Set(func(h *testenv.Behaviour) { h.Mute = true })
 			case "box-unread":
 				up.Stall = 1
 			default:
 				return fmt.Errorf("no case is named %q", kind)
 			}
-			slow, err := standin.NewSlow(ctx, g, b.Addr, up, down, 1)
+			slow, err := testenv.NewSlow(ctx, g, b.Addr, up, down, 1)
 			if err != nil {
 				return err
 			}
@@ -119,7 +119,7 @@
 		}
 		list.Put(b, "ready")
 	}
-	node, err := standin.StartNode(standin.Process{Program: o.program, Listen: ports[0], Discovery: list.Addr, MemoryMB: o.memory, Sockets: o.sockets, Log: o.log})
+	node, err := testenv.StartNode(testenv.Process{Program: o.program, Listen: ports[0], Discovery: list.Addr, MemoryMB: o.memory, Sockets: o.sockets, Log: o.log})
 	if err != nil {
 		return err
 	}
@@ -127,24 +127,24 @@
 	pctx, over := context.WithTimeout(ctx, o.span)
 	defer over()
 	var mu sync.Mutex
-	var ended []standin.Ended
+	var ended []testenv.Ended
 	var slow errgroup.Group
 	for i := range peers {
-		k := standin.Kind(kind)
+		k := testenv.Kind(kind)
 		if kind == "mixed" {
-			k = standin.Kinds[i%len(standin.Kinds)]
+			k = testenv.Kinds[i%len(testenv.Kinds)]
 		}
 		slow.Go(func() error {
-			e := standin.SlowPeer(pctx, ports[0], k, i, 25*time.Second)
+			e := testenv.SlowPeer(pctx, ports[0], k, i, 25*time.Second)
 			mu.Lock()
 			defer mu.Unlock()
 			ended = append(ended, e)
 			return nil
 		})
 	}
-	load := standin.Load{Addr: ports[0], Clients: o.clients, Class: "area-render", Deadline: 25 * time.Second, Aim: 1900 * time.Millisecond,
+	load := testenv.Load{Addr: ports[0], Clients: o.clients, Class: "area-render", Deadline: 25 * time.Second, Aim: 1900 * time.Millisecond,
 		Prefix: "10adc1e0"}
-	var done *standin.Done
+	var done *testenv.Done
 	var play errgroup.Group
 	play.Go(func() error { done = load.Run(pctx); return nil })
 	most, fds := 0, 0
@@ -176,7 +176,7 @@
 
 // counts asks the node for its counts, and for those of slow peers that are not zero.
 func counts(addr string) (gjson.Result, string) {
-	m, err := standin.Call(addr, "GET", "/counts", nil)
+	m, err := testenv.Call(addr, "GET", "/counts", nil)
 	if err != nil {
 		return gjson.Result{}, err.Error()
 	}
--- a/internal/actor/encoding.go
+++ b/internal/actor/encoding.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 )
 
 // encodingHeader begins an encoded actor; a checksum and the actor's JSON follow.
@@ -48,4 +48,4 @@
 	return "look at its earlier versions (`gatetack store history desk ID`) and put the last good one back"
 }
 
-var _ = fault.Kind(&StoredError{})
+var _ = operr.Kind(&StoredError{})
--- a/internal/actor/function.go
+++ b/internal/actor/function.go
@@ -14,7 +14,7 @@
 	"go.yaml.in/yaml/v3"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 )
 
 // Limits of a function and of its results.
@@ -86,7 +86,7 @@
 	return "call with the number that is next; what was answered to much earlier calls is no longer kept"
 }
 
-var _ = []struct{}{fault.Kind(&FunctionError{}), fault.Kind(&CallError{}), fault.Kind(&OrderError{})}
+var _ = []struct{}{operr.Kind(&FunctionError{}), operr.Kind(&CallError{}), operr.Kind(&OrderError{})}
 
 // env declares what an expression may name: the state and the event.
 var env = sync.OnceValues(func() (*cel.Env, error) {
--- a/internal/actorhost/errors.go
+++ b/internal/actorhost/errors.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 )
 
 // errNotOwner reports that this node does not, or no longer, own an actor. The caller looks its owner up again.
@@ -47,4 +47,4 @@
 // Do is what can be done.
 func (*ExistsError) Do() string { return "call it, or choose another name" }
 
-var _ = []struct{}{fault.Kind(&NotFoundError{}), fault.Kind(&UnavailableError{}), fault.Kind(&ExistsError{})}
+var _ = []struct{}{operr.Kind(&NotFoundError{}), operr.Kind(&UnavailableError{}), operr.Kind(&ExistsError{})}
--- a/internal/actorhost/http.go
+++ b/internal/actorhost/http.go
@@ -9,9 +9,9 @@
 	"github.com/tidwall/gjson"
 
 	"gatetack/internal/actor"
-	"gatetack/internal/fault"
 	"gatetack/internal/http1"
-	"gatetack/internal/owner"
+	"gatetack/internal/leaseholder"
+	"gatetack/internal/operr"
 )
 
 // jsonResponse returns a response with a JSON body.
@@ -25,9 +25,9 @@
 
 // errorResponse returns the response for an error, with its code and what can be done.
 func errorResponse(err error) http1.Response {
-	status, v := 503, map[string]any{"error": "TRY_LATER", "message": err.Error(), "do": fault.Do(err)}
+	status, v := 503, map[string]any{"error": "TRY_LATER", "message": err.Error(), "do": operr.Do(err)}
 	var order *actor.OrderError
-	var t fault.Told
+	var t operr.Told
 	if errors.As(err, &t) {
 		v["code"] = t.Code()
 	}
@@ -68,7 +68,7 @@
 		}
 		return jsonResponse(201, map[string]any{"id": id, "node": h.Name})
 	case len(p) == 2 && p[1] == "calls" && m.Method == "POST":
-		via, hop := h.Zone, m.Get(owner.Hop) != ""
+		via, hop := h.Zone, m.Get(leaseholder.Hop) != ""
 		if z := m.Get(zoneHeader); hop && z != "" {
 			via = z
 		}
--- a/internal/actorhost/timers_jobs.go
+++ b/internal/actorhost/timers_jobs.go
@@ -12,8 +12,8 @@
 	"github.com/tidwall/gjson"
 
 	"gatetack/internal/actor"
-	"gatetack/internal/fault"
 	"gatetack/internal/http1"
+	"gatetack/internal/operr"
 )
 
 // hasWork reports whether an actor has to be loaded, has a timer that is due, or has open jobs. The lock of x is held.
@@ -37,7 +37,7 @@
 	}
 	if name, due, ok := x.state.NextTimer(); ok && due <= time.Now().UnixMilli() {
 		if _, err := h.applyEvent(ctx, id, x, &actor.Event{Kind: actor.TimerFired, At: time.Now().UnixMilli(), Name: name, Due: due}); err != nil {
-			h.Log.Warn("a desk's timer", "desk", id, "timer", name, fault.Attrs(err))
+			h.Log.Warn("a desk's timer", "desk", id, "timer", name, operr.Attrs(err))
 			return
 		}
 	}
@@ -91,6 +91,6 @@
 // jobEnded applies the end of a job.
 func (h *Host) jobEnded(ctx context.Context, id string, x *hostedActor, name string, j actor.OpenJob, served bool, result string) {
 	if _, err := h.applyEvent(ctx, id, x, &actor.Event{Kind: actor.JobEnded, At: time.Now().UnixMilli(), Job: name, Key: j.Key, Served: served, Result: result}); err != nil && !errors.Is(err, errNotOwner) {
-		h.Log.Warn("a desk's job has ended", "desk", id, "job", name, fault.Attrs(err))
+		h.Log.Warn("a desk's job has ended", "desk", id, "job", name, operr.Attrs(err))
 	}
 }
--- a/internal/batch/adopt.go
+++ b/internal/batch/adopt.go
@@ -10,8 +10,8 @@
 
 	"github.com/tidwall/gjson"
 
-	"gatetack/internal/records"
-	"gatetack/internal/release"
+	"gatetack/internal/jobqueue"
+	"gatetack/internal/jobstore"
 )
 
 // load takes up what an earlier life of this node left: its sessions, arrays, and jobs that wait here. What may have been
@@ -68,7 +68,7 @@
 }
 
 func (a *adoption) readArrays(ctx context.Context) error {
-	return a.front.pages(ctx, kindArray, a.prefix, func(row records.Row) error {
+	return a.front.pages(ctx, kindArray, a.prefix, func(row jobstore.Row) error {
 		x := &adoptedArray{array: &array{}, open: map[int]bool{}}
 		if err := json.Unmarshal(row.Value, &x.r); err != nil {
 			return err
@@ -79,7 +79,7 @@
 }
 
 func (a *adoption) readOpen(ctx context.Context) error {
-	return a.front.pages(ctx, kindOpen, a.prefix, func(row records.Row) error {
+	return a.front.pages(ctx, kindOpen, a.prefix, func(row jobstore.Row) error {
 		value, found, err := a.front.store.Get(ctx, kindJob, row.Key)
 		if err != nil || !found {
 			return err
@@ -151,7 +151,7 @@
 	if bad != nil {
 		return
 	}
-	j := &job{f: a.front, queue: true, ref: release.Ref{ID: r.ID}, in: t.job, until: r.Deadline, hash: t.hash,
+	j := &job{f: a.front, queue: true, ref: jobqueue.Ref{ID: r.ID}, in: t.job, until: r.Deadline, hash: t.hash,
 		changed: make(chan struct{}), ready: closed, r: *r}
 	j.in.Method = "POST"
 	if j.in.Idempotency == "" {
@@ -169,7 +169,7 @@
 		f.arrays[id] = x.array
 		if !x.over() {
 			unfinished++
-			f.queue.Restore(x.r.item(), release.Progress{Next: x.r.Next, Again: x.again, Skip: x.apart}, a.now)
+			f.queue.Restore(x.r.item(), jobqueue.Progress{Next: x.r.Next, Again: x.again, Skip: x.apart}, a.now)
 		}
 		if len(x.again) > 0 { // others take theirs up at the same moment
 			f.ramp.Restart()
@@ -181,7 +181,7 @@
 		}
 		f.keep(j)
 		f.waits[j.r.ID] = j
-		f.queue.Add(release.Item{ID: j.r.ID, Session: j.r.Session, Priority: j.r.Priority, Start: j.r.Start, Held: j.r.State == QueuedHeld}, a.now)
+		f.queue.Add(jobqueue.Item{ID: j.r.ID, Session: j.r.Session, Priority: j.r.Priority, Start: j.r.Start, Held: j.r.State == QueuedHeld}, a.now)
 	}
 	if len(a.waiting) > 0 {
 		f.ramp.Restart()
@@ -192,12 +192,12 @@
 }
 
 // pages calls each for all rows of a kind whose keys begin with a prefix.
-func (f *Front) pages(ctx context.Context, kind, prefix string, each func(records.Row) error) error {
+func (f *Front) pages(ctx context.Context, kind, prefix string, each func(jobstore.Row) error) error {
 	return f.pagesAfter(ctx, kind, prefix, prefix, each)
 }
 
 // pagesAfter calls each for those of them whose keys come after one that need not be there.
-func (f *Front) pagesAfter(ctx context.Context, kind, prefix, after string, each func(records.Row) error) error {
+func (f *Front) pagesAfter(ctx context.Context, kind, prefix, after string, each func(jobstore.Row) error) error {
 	for {
 		rows, err := f.store.Page(ctx, kind, after, 256)
 		if err != nil {
--- a/internal/batch/adopt_test.go
+++ b/internal/batch/adopt_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/tidwall/gjson"
 
+	"gatetack/internal/jobstore"
 	"gatetack/internal/node"
-	"gatetack/internal/records"
 )
 
 // shelf is a store with the records of an array of four members, as a process that was killed left them.
@@ -46,7 +46,7 @@
 	s.write(r.changes()...)
 }
 
-func (s *shelf) write(changes ...records.Change) {
+func (s *shelf) write(changes ...jobstore.Change) {
 	s.t.Helper()
 	if err := s.store.Write(context.Background(), changes...); err != nil {
 		s.t.Fatal(err)
@@ -162,7 +162,7 @@
 	came, on chan bool
 }
 
-func (s *slowHold) Write(ctx context.Context, changes ...records.Change) error {
+func (s *slowHold) Write(ctx context.Context, changes ...jobstore.Change) error {
 	if c := changes[len(changes)-1]; c.Kind == kindArray && gjson.GetBytes(c.Value, "held").Bool() && gjson.GetBytes(c.Value, "done").Int() == 0 &&
 		len(changes) == 1 {
 		s.came <- true
--- a/internal/batch/array.go
+++ b/internal/batch/array.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"gatetack/internal/records"
-	"gatetack/internal/release"
+	"gatetack/internal/jobqueue"
+	"gatetack/internal/jobstore"
 )
 
 // arrayRecord is what is known of a job array (DRMAAv2, section 8.2): its range, and how many of its members have ended
@@ -56,14 +56,14 @@
 	change(&a.r)
 }
 
-func (a *array) change() records.Change {
+func (a *array) change() jobstore.Change {
 	r := a.record()
 	return r.change()
 }
 
-func (r *arrayRecord) change() records.Change {
+func (r *arrayRecord) change() jobstore.Change {
 	v, _ := json.Marshal(r)
-	return records.Change{Kind: kindArray, Key: key(r.ID), Value: v, Keep: r.Done+r.Failed < r.Jobs}
+	return jobstore.Change{Kind: kindArray, Key: key(r.ID), Value: v, Keep: r.Done+r.Failed < r.Jobs}
 }
 
 // recordArray puts an array on record as it is.
@@ -118,13 +118,13 @@
 	return out
 }
 
-func (r *arrayRecord) item() release.Item {
-	return release.Item{ID: r.ID, Session: r.Session, Priority: r.Priority, Start: r.Start, Held: r.Held, Array: true,
+func (r *arrayRecord) item() jobqueue.Item {
+	return jobqueue.Item{ID: r.ID, Session: r.Session, Priority: r.Priority, Start: r.Start, Held: r.Held, Array: true,
 		Begin: r.Begin, End: r.End, Step: r.Step, MaxParallel: r.MaxParallel}
 }
 
 // member makes the job of a member whose turn has come, or finds it if it had one before. The front's lock is held.
-func (f *Front) member(a *array, ref release.Ref, now time.Time) *job {
+func (f *Front) member(a *array, ref jobqueue.Ref, now time.Time) *job {
 	id := memberID(ref.ID, ref.Index)
 	if j := f.jobs[id]; j != nil {
 		return j
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -1,6 +1,6 @@
 // Package batch is the front for DRMAA-style batch submission: an HTTP/1.1 + JSON binding of DRMAAv2's interfaces
 // (GFD.194: session manager, job sessions, jobs, arrays, monitoring). Jobs go through the same core as the platform's;
-// those that wait - on hold, for a time, or for their turn in an array - wait here, and internal/release says which goes
+// those that wait - on hold, for a time, or for their turn in an array - wait here, and internal/jobqueue says which goes
 // next.
 package batch
 
@@ -11,13 +11,13 @@
 	"sync/atomic"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/http1"
+	"gatetack/internal/jobqueue"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/limits"
 	"gatetack/internal/node"
-	"gatetack/internal/records"
 	"gatetack/internal/recovery"
-	"gatetack/internal/release"
 )
 
 // Core takes jobs.
@@ -54,9 +54,9 @@
 // Options are what a front is made of.
 type Options struct {
 	Core    Core
-	Store   records.Store // nil: nothing outlives the node
-	Fleet   Fleet         // nil: this node alone has what is on record
-	Placer  Placer        // nil: no zone costs a job more for its inputs
+	Store   jobstore.Store // nil: nothing outlives the node
+	Fleet   Fleet          // nil: this node alone has what is on record
+	Placer  Placer         // nil: no zone costs a job more for its inputs
 	Node    string
 	Version string
 	Life    time.Time
@@ -67,7 +67,7 @@
 // Front answers batch clients.
 type Front struct {
 	core    Core
-	store   records.Store
+	store   jobstore.Store
 	lim     limits.Limits
 	log     *slog.Logger
 	version string
@@ -83,7 +83,7 @@
 	jobs     map[string]*job
 	order    []*job // as they came; those that are over go first
 	bytes    int    // of results kept
-	queue    *release.Queue
+	queue    *jobqueue.Queue
 	waits    map[string]*job // by the queue's name
 	arrays   map[string]*array
 	ended    []string // arrays whose members have all ended, and that are kept
@@ -104,7 +104,7 @@
 func New(o Options) *Front {
 	f := &Front{core: o.Core, store: o.Store, lim: o.Limits, log: o.Log,
 		version: o.Version, fleet: o.Fleet, placer: o.Placer, ids: ids{node: o.Node}, events: newEvents(o.Life.UnixMilli(), o.Limits.BatchEvents),
-		kick: make(chan struct{}, 1), jobs: map[string]*job{}, queue: release.New(), waits: map[string]*job{},
+		kick: make(chan struct{}, 1), jobs: map[string]*job{}, queue: jobqueue.New(), waits: map[string]*job{},
 		arrays: map[string]*array{}, sessions: map[string]*session{}, same: map[string]*job{},
 		dirty: make(chan *job, o.Limits.MaxOpen), late: make(chan struct{}, o.Limits.BatchLate)}
 	f.ids.life.Store(o.Life.UnixMilli())
@@ -120,7 +120,7 @@
 
 func (f *Front) names() *node.Names { return &f.core.Rules().Names }
 
-func (f *Front) class(i int) *brain.Class { return &f.core.Rules().Settings.Classes[i] }
+func (f *Front) class(i int) *dispatch.Class { return &f.core.Rules().Settings.Classes[i] }
 
 // most is how long a client may be told to stay away.
 func (f *Front) most() time.Duration { return node.Span(f.core.Rules().Settings.MaxRetryAfter) }
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -15,12 +15,12 @@
 	"github.com/tidwall/gjson"
 	"pgregory.net/rapid"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/http1"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/node"
-	"gatetack/internal/records"
-	_ "gatetack/internal/seeds"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
+	_ "gatetack/internal/testrand"
 )
 
 var names = node.Names{Classes: []string{"tile-charge", "area-render"}, Tenants: []string{"maavaade"}}
@@ -44,8 +44,8 @@
 	return []node.Machine{{Entry: node.Entry{Name: "s-1", Status: "ready", Zone: "tartu"}, Out: 2}, {Entry: node.Entry{Name: "s-2", Status: "draining"}}}, nil
 }
 func (c *core) Rules() *node.Rules {
-	return &node.Rules{Names: names, Settings: brain.Settings{MaxRetryAfter: 2000,
-		Classes: []brain.Class{{Deadline: 7500, Effect: brain.Unsafe}, {Deadline: 25000, Effect: brain.Keyed}}}}
+	return &node.Rules{Names: names, Settings: dispatch.Settings{MaxRetryAfter: 2000,
+		Classes: []dispatch.Class{{Deadline: 7500, Effect: dispatch.Unsafe}, {Deadline: 25000, Effect: dispatch.Keyed}}}}
 }
 func (c *core) Counts(context.Context) (node.Counts, error) { return node.Counts{}, nil }
 
@@ -58,7 +58,7 @@
 	log    []string // sub-states in the order they were recorded
 }
 
-func (m *memory) Write(_ context.Context, changes ...records.Change) error {
+func (m *memory) Write(_ context.Context, changes ...jobstore.Change) error {
 	if m.slow != nil {
 		<-m.slow
 	}
@@ -69,7 +69,7 @@
 	}
 	for _, c := range changes {
 		if _, there := m.values[c.Kind+" "+c.Key]; there && c.New {
-			return records.ErrExists
+			return jobstore.ErrExists
 		}
 	}
 	for _, c := range changes {
@@ -92,20 +92,20 @@
 	return v, ok, m.err
 }
 
-func (m *memory) Page(_ context.Context, kind, after string, limit int) (rows []records.Row, err error) {
+func (m *memory) Page(_ context.Context, kind, after string, limit int) (rows []jobstore.Row, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, k := range slices.Sorted(maps.Keys(m.values)) {
 		if key, ok := strings.CutPrefix(k, kind+" "); ok && key > after && len(rows) < limit {
-			rows = append(rows, records.Row{Key: key, Value: m.values[k]})
+			rows = append(rows, jobstore.Row{Key: key, Value: m.values[k]})
 		}
 	}
 	return rows, m.err
 }
 
 // front makes one that has read what is on record.
-func front(c Core, s records.Store, life time.Time) *Front {
-	f := New(Options{Core: c, Store: s, Node: "n0", Version: "test", Life: life, Limits: standin.Lim, Log: standin.Quiet})
+func front(c Core, s jobstore.Store, life time.Time) *Front {
+	f := New(Options{Core: c, Store: s, Node: "n0", Version: "test", Life: life, Limits: testenv.Lim, Log: testenv.Quiet})
 	if s != nil {
 		if err := f.load(context.Background()); err == nil {
 			close(f.loaded)
--- a/internal/batch/control.go
+++ b/internal/batch/control.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"gatetack/internal/http1"
+	"gatetack/internal/jobqueue"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/node"
-	"gatetack/internal/records"
-	"gatetack/internal/release"
 )
 
 func (f *Front) info(ctx context.Context, session, id string) http1.Response {
@@ -98,7 +98,7 @@
 	now := time.Now()
 	f.mu.Lock()
 	a := f.arrays[r.Array]
-	ref := release.Ref{ID: r.Array, Index: *r.Index}
+	ref := jobqueue.Ref{ID: r.Array, Index: *r.Index}
 	if a == nil || !f.queue.RemoveOne(ref, now) {
 		f.mu.Unlock()
 		if _, r, ok := f.find(ctx, r.ID); ok { // its turn has come meanwhile
@@ -114,7 +114,7 @@
 }
 
 // endedMember makes the job of a member that ends without a turn in this life. The front's lock is held.
-func (f *Front) endedMember(a *array, ref release.Ref) *job {
+func (f *Front) endedMember(a *array, ref jobqueue.Ref) *job {
 	x := a.record()
 	j := &job{f: f, array: a, ref: ref, changed: make(chan struct{}), ready: closed, r: a.memberRecord(&x, ref.Index)}
 	f.keep(j)
@@ -184,9 +184,9 @@
 		defer j.putting.Unlock()
 	}
 	if f.store != nil {
-		gone := []records.Change{{Kind: kindJob, Key: key(id)}, {Kind: kindOpen, Key: key(id)}}
+		gone := []jobstore.Change{{Kind: kindJob, Key: key(id)}, {Kind: kindOpen, Key: key(id)}}
 		if r.Trace != "" { // of one in doubt
-			gone = append(gone, records.Change{Kind: kindSent, Key: r.Trace})
+			gone = append(gone, jobstore.Change{Kind: kindSent, Key: r.Trace})
 		}
 		if err := f.store.Write(ctx, gone...); err != nil {
 			return tryLater("its end could not be recorded: " + err.Error())
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"gatetack/internal/failpoint"
-	"gatetack/internal/gate"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/node"
-	"gatetack/internal/records"
+	"gatetack/internal/precheck"
 )
 
 // refused takes back a job that the core refused, to wait for a while.
@@ -104,11 +104,11 @@
 	}
 	id := j.record().ID
 	if f.fleet != nil && failpoint.Without != failpoint.Fence {
-		in.Still = func() gate.Reason {
+		in.Still = func() precheck.Reason {
 			if f.foreign(id) {
-				return gate.Lost
+				return precheck.Lost
 			}
-			return gate.May
+			return precheck.May
 		}
 	}
 	core, err := f.core.Submit(in, j)
@@ -131,9 +131,9 @@
 	was := j.r.Trace
 	j.r.Trace = trace
 	j.mu.Unlock()
-	var more []records.Change
+	var more []jobstore.Change
 	if was != "" && was != trace {
-		more = append(more, records.Change{Kind: kindSent, Key: was})
+		more = append(more, jobstore.Change{Kind: kindSent, Key: was})
 	}
 	err := f.put(ctx, j, func(r *Record) error {
 		if r.State.over() {
--- a/internal/batch/fleet.go
+++ b/internal/batch/fleet.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"gatetack/internal/http1"
-	"gatetack/internal/owner"
-	"gatetack/internal/records"
-	"gatetack/internal/release"
+	"gatetack/internal/jobqueue"
+	"gatetack/internal/jobstore"
+	"gatetack/internal/leaseholder"
 )
 
-// This file is what the front does where several nodes share what is on record: see package duty for who has what.
+// This file is what the front does where several nodes share what is on record: see package lease for who has what.
 
 // partitionOf is the partition that an id's job belongs to.
 func partitionOf(id string) (string, bool) {
@@ -49,7 +49,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.queue.Waits(release.Ref{ID: r.Array, Index: *r.Index})
+	return f.queue.Waits(jobqueue.Ref{ID: r.Array, Index: *r.Index})
 }
 
 // passed makes a call about a job or array that another node has at that node, once. A call that was passed on already is
@@ -57,7 +57,7 @@
 // still, it is looked at whether the job is still there: if not, the call is made where it is now. What the late one may do
 // with the first call is fenced.
 func (f *Front) passed(ctx context.Context, m *http1.Message, p []string) (http1.Response, bool) {
-	if f.fleet == nil || len(p) < 2 || p[0] != "jobs" && p[0] != "arrays" || m.Get(owner.Hop) != "" {
+	if f.fleet == nil || len(p) < 2 || p[0] != "jobs" && p[0] != "arrays" || m.Get(leaseholder.Hop) != "" {
 		return http1.Response{}, false
 	}
 	part, ok := partitionOf(p[1])
@@ -123,7 +123,7 @@
 func (f *Front) Open(ctx context.Context, node string) ([]string, error) {
 	var out []string
 	for _, kind := range []string{kindOpen, kindArray} {
-		if err := f.pages(ctx, kind, node+".", func(r records.Row) error {
+		if err := f.pages(ctx, kind, node+".", func(r jobstore.Row) error {
 			if n, ok := partitionOfKey(r.Key); ok && !slices.Contains(out, n) {
 				out = append(out, n)
 			}
--- a/internal/batch/fleet_test.go
+++ b/internal/batch/fleet_test.go
@@ -12,9 +12,9 @@
 	"github.com/tidwall/gjson"
 
 	"gatetack/internal/http1"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/node"
-	"gatetack/internal/records"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // shared is a fleet that has every partition, or none any more: its store then makes no write.
@@ -38,7 +38,7 @@
 	return nil, errors.New("no other node")
 }
 
-func (s *shared) Write(ctx context.Context, changes ...records.Change) error {
+func (s *shared) Write(ctx context.Context, changes ...jobstore.Change) error {
 	if _, ours, _ := s.Place(""); !ours {
 		return errors.New("the duty is another node's")
 	}
@@ -57,7 +57,7 @@
 	held := strings.Replace(good, "{", `{"submitAsHold":true,`, 1)
 	begin := func() (*engine, *shared, *Front, string, string) {
 		e, s := &engine{}, &shared{memory: &memory{values: map[string][]byte{}}}
-		f := New(Options{Core: e, Store: s, Fleet: s, Node: "n0", Version: "test", Life: time.Now(), Limits: standin.Lim, Log: standin.Quiet})
+		f := New(Options{Core: e, Store: s, Fleet: s, Node: "n0", Version: "test", Life: time.Now(), Limits: testenv.Lim, Log: testenv.Quiet})
 		if err := f.load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
@@ -159,7 +159,7 @@
 	s := &shared{memory: &memory{values: map[string][]byte{}}}
 	var fronts []*Front
 	for i := range 2 {
-		f := New(Options{Core: &engine{}, Store: s, Fleet: s, Node: fmt.Sprint("n", i), Version: "test", Life: time.Now(), Limits: standin.Lim, Log: standin.Quiet})
+		f := New(Options{Core: &engine{}, Store: s, Fleet: s, Node: fmt.Sprint("n", i), Version: "test", Life: time.Now(), Limits: testenv.Lim, Log: testenv.Quiet})
 		if err := f.load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/batch/hard_test.go
+++ b/internal/batch/hard_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/tidwall/gjson"
 
+	"gatetack/internal/jobstore"
 	"gatetack/internal/node"
-	"gatetack/internal/records"
 )
 
 // engine is a core that takes jobs and ends them as it is told.
@@ -383,7 +383,7 @@
 
 // Records of long ago, and the first where there are too many, go; those of open jobs stay.
 func TestRetention(t *testing.T) {
-	b, err := records.OpenBolt(t.TempDir())
+	b, err := jobstore.OpenBolt(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/batch/ids.go
+++ b/internal/batch/ids.go
@@ -6,7 +6,7 @@
 	"strings"
 	"sync/atomic"
 
-	"gatetack/internal/duty"
+	"gatetack/internal/lease"
 )
 
 // ids name jobs by node and life, so that after a restart a job of an earlier life is told from one of this.
@@ -65,7 +65,7 @@
 }
 
 // partition names the jobs of one life of one node: their keys begin with it.
-func (n name) partition() string { return duty.Life{Node: n.node, Born: n.life}.Partition() }
+func (n name) partition() string { return lease.Life{Node: n.node, Born: n.life}.Partition() }
 
 // key is that of an id that one of this front's own.
 func key(id string) string {
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
+	"gatetack/internal/jobqueue"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/node"
-	"gatetack/internal/records"
-	"gatetack/internal/release"
 )
 
 // State is a job's state in DRMAAv2's words (GFD.194, section 8.1).
@@ -79,8 +79,8 @@
 // share it.
 type job struct {
 	f     *Front
-	ref   release.Ref // its name in the queue, where it came from there
-	queue bool        // it waits here until it is handed to the core, also after a refusal
+	ref   jobqueue.Ref // its name in the queue, where it came from there
+	queue bool         // it waits here until it is handed to the core, also after a refusal
 	array *array
 	in    node.Job
 	until time.Time // the client's deadline; zero for the class's, from when it is handed over
@@ -231,23 +231,23 @@
 
 // changes are those that put a job on record: among the open ones until it has ended. Until then no bound of the store's
 // takes it away, nor its idempotency key; after that it stays for as long as there is room.
-func (r *Record) changes() []records.Change {
+func (r *Record) changes() []jobstore.Change {
 	k, v := key(r.ID), r.json()
-	open := records.Change{Kind: kindOpen, Key: k, Keep: true}
+	open := jobstore.Change{Kind: kindOpen, Key: k, Keep: true}
 	if !r.State.over() {
 		open.Value = []byte(r.ID)
 	}
 	kept := !r.State.over() && r.State != Undetermined
-	out := []records.Change{{Kind: kindJob, Key: k, Value: v, Keep: kept}, open}
+	out := []jobstore.Change{{Kind: kindJob, Key: k, Value: v, Keep: kept}, open}
 	if r.Trace != "" { // also while it is in doubt: its box may tell
-		sent := records.Change{Kind: kindSent, Key: r.Trace, Keep: kept}
+		sent := jobstore.Change{Kind: kindSent, Key: r.Trace, Keep: kept}
 		if !r.State.over() {
 			sent.Value = []byte(r.ID)
 		}
 		out = append(out, sent)
 	}
 	if r.Same != "" && !kept {
-		out = append(out, records.Change{Kind: kindSame, Key: r.Same, Value: sameRecord{r.ID, r.Hash}.json()})
+		out = append(out, jobstore.Change{Kind: kindSame, Key: r.Same, Value: sameRecord{r.ID, r.Hash}.json()})
 	}
 	return out
 }
--- a/internal/batch/monitor.go
+++ b/internal/batch/monitor.go
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/filter"
 	"gatetack/internal/http1"
+	"gatetack/internal/leaseholder"
 	"gatetack/internal/node"
-	"gatetack/internal/owner"
 )
 
 // Capabilities are DRMAAv2's optional ones (GFD.194, section 4.5), and whether this node has them.
@@ -44,7 +44,7 @@
 	return reply(200, map[string]any{"jobCategories": slices.DeleteFunc(slices.Clone(f.names().Classes), func(name string) bool { return name == "" })})
 }
 
-var effects = map[brain.Effect]string{brain.Safe: "free", brain.Keyed: "guarded", brain.Unsafe: "single_shot"}
+var effects = map[dispatch.Effect]string{dispatch.Safe: "free", dispatch.Keyed: "guarded", dispatch.Unsafe: "single_shot"}
 
 // queues are the classes as queues, with what waits and runs of each (MonitoringSession::getAllQueues).
 func (f *Front) queues() http1.Response {
@@ -399,7 +399,7 @@
 	case "reap":
 		return f.reap(ctx, session, id)
 	case "callback":
-		if m.Get(owner.Hop) == "" {
+		if m.Get(leaseholder.Hop) == "" {
 			return problem(404, "INVALID_ARGUMENT", "", "boxes call the platform's front")
 		}
 		return f.callback(ctx, id, m.Body)
--- a/internal/batch/reconcile.go
+++ b/internal/batch/reconcile.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"gatetack/internal/records"
+	"gatetack/internal/jobstore"
 )
 
 // adoptedArray is an array on record while it is taken up. Members and their array are written by several calls at a time, and a
@@ -77,7 +77,7 @@
 	if from > 0 {
 		after = key(memberID(x.ID, from-1))
 	}
-	return f.pagesAfter(ctx, kindJob, prefix, after, func(row records.Row) error {
+	return f.pagesAfter(ctx, kindJob, prefix, after, func(row jobstore.Row) error {
 		if r := parseRecord(row.Value); r.member() {
 			each(&r)
 		}
--- a/internal/batch/recording.go
+++ b/internal/batch/recording.go
@@ -5,7 +5,7 @@
 	"sync"
 
 	"gatetack/internal/failpoint"
-	"gatetack/internal/records"
+	"gatetack/internal/jobstore"
 )
 
 // save records a job as it is, with others that wait for the same.
@@ -37,7 +37,7 @@
 
 // put records a job as it is, or as change makes it. Records of one job follow one another: an end that was
 // recorded must not be overwritten by a send that was decided before it.
-func (f *Front) put(ctx context.Context, j *job, change func(*Record) error, more ...records.Change) error {
+func (f *Front) put(ctx context.Context, j *job, change func(*Record) error, more ...jobstore.Change) error {
 	if f.store == nil {
 		return nil
 	}
--- a/internal/batch/session.go
+++ b/internal/batch/session.go
@@ -11,7 +11,7 @@
 	"github.com/tidwall/gjson"
 
 	"gatetack/internal/http1"
-	"gatetack/internal/records"
+	"gatetack/internal/jobstore"
 )
 
 // defaultSession is the one that jobs belong to whose clients name none. It always is, and is never destroyed.
@@ -43,7 +43,7 @@
 
 // sessionsOnRecord gives each session on record to a function that holds the front's lock.
 func (f *Front) sessionsOnRecord(ctx context.Context, each func(sessionRecord)) error {
-	return f.pages(ctx, kindSession, "", func(r records.Row) error {
+	return f.pages(ctx, kindSession, "", func(r jobstore.Row) error {
 		var x sessionRecord
 		if err := json.Unmarshal(r.Value, &x); err != nil {
 			return err
@@ -96,7 +96,7 @@
 	}
 	open := false
 	for _, kind := range []string{kindJob, kindArray} {
-		if err := f.pages(ctx, kind, "", func(r records.Row) error {
+		if err := f.pages(ctx, kind, "", func(r jobstore.Row) error {
 			v := gjson.ParseBytes(r.Value)
 			over := v.Get("finishTime").Exists() // also of one that is in doubt
 			if kind == kindArray {
@@ -176,11 +176,11 @@
 	f.mu.Unlock()
 	if f.store != nil {
 		v, _ := json.Marshal(r)
-		if err := f.store.Write(ctx, records.Change{Kind: kindSession, Key: r.Name, Value: v, New: true, Keep: true}); err != nil {
+		if err := f.store.Write(ctx, jobstore.Change{Kind: kindSession, Key: r.Name, Value: v, New: true, Keep: true}); err != nil {
 			f.mu.Lock()
 			delete(f.sessions, r.Name)
 			f.mu.Unlock()
-			if errors.Is(err, records.ErrExists) {
+			if errors.Is(err, jobstore.ErrExists) {
 				return problem(409, "INVALID_ARGUMENT", "sessionName", "a job session of this name exists")
 			}
 			return tryLater("the session could not be recorded: " + err.Error())
@@ -267,7 +267,7 @@
 	delete(f.sessions, name)
 	f.mu.Unlock()
 	if f.store != nil {
-		if err := f.store.Write(ctx, records.Change{Kind: kindSession, Key: name}); err != nil {
+		if err := f.store.Write(ctx, jobstore.Change{Kind: kindSession, Key: name}); err != nil {
 			f.mu.Lock()
 			f.sessions[name] = s
 			f.mu.Unlock()
--- a/internal/batch/submit.go
+++ b/internal/batch/submit.go
@@ -13,8 +13,8 @@
 	"github.com/tidwall/gjson"
 
 	"gatetack/internal/http1"
-	"gatetack/internal/records"
-	"gatetack/internal/release"
+	"gatetack/internal/jobqueue"
+	"gatetack/internal/jobstore"
 )
 
 func quote(s string) string { return strconv.Quote(s) }
@@ -91,14 +91,14 @@
 			delete(f.same, k)
 		}
 		f.mu.Unlock()
-		if mine && f.store != nil && !errors.Is(err, records.ErrExists) {
+		if mine && f.store != nil && !errors.Is(err, jobstore.ErrExists) {
 			if err := f.unsame(ctx, k, j.r.ID); err != nil {
 				f.log.Warn("an idempotency key of a job that was not taken stays on record", "err", err)
 			}
 		}
 	}
 	close(j.ready)
-	if errors.Is(err, records.ErrExists) {
+	if errors.Is(err, jobstore.ErrExists) {
 		return f.submit(ctx, session, body) // another node took a job under this key meanwhile: it is found now
 	}
 	return r
@@ -111,7 +111,7 @@
 	if err != nil || !found || gjson.GetBytes(value, "id").String() != id {
 		return err
 	}
-	return f.store.Write(ctx, records.Change{Kind: kindSame, Key: k})
+	return f.store.Write(ctx, jobstore.Change{Kind: kindSame, Key: k})
 }
 
 func (f *Front) newJob(session string, t *template, now time.Time) *job {
@@ -127,7 +127,7 @@
 	case j.queue:
 		j.r.SubState = subDeferred
 	}
-	j.r.Template, j.ref = t.raw, release.Ref{ID: j.r.ID}
+	j.r.Template, j.ref = t.raw, jobqueue.Ref{ID: j.r.ID}
 	j.in.Trace, j.in.Method = trace(), "POST"
 	if j.in.Idempotency == "" {
 		j.in.Idempotency = trace() + trace()
@@ -197,10 +197,10 @@
 
 // take puts a job on record, and then gives it to the core or lets it wait. A job that was not taken comes with an error.
 func (f *Front) take(ctx context.Context, session string, t *template, j *job, now time.Time) (http1.Response, error) {
-	var more []records.Change
+	var more []jobstore.Change
 	if t.same != "" {
 		j.r.Same, j.r.Hash = sameKey(session, t.same), fmt.Sprintf("%016x", t.hash)
-		more = append(more, records.Change{Kind: kindSame, Key: j.r.Same, Value: sameRecord{j.r.ID, j.r.Hash}.json(), New: true, Keep: true})
+		more = append(more, jobstore.Change{Kind: kindSame, Key: j.r.Same, Value: sameRecord{j.r.ID, j.r.Hash}.json(), New: true, Keep: true})
 	}
 	if !f.enter(session) {
 		return noSession(session), errors.New("no such session")
@@ -214,7 +214,7 @@
 		f.mu.Lock()
 		f.keep(j)
 		f.waits[j.r.ID] = j
-		f.queue.Add(release.Item{ID: j.r.ID, Session: session, Priority: t.priority, Start: t.start, Held: t.hold}, now)
+		f.queue.Add(jobqueue.Item{ID: j.r.ID, Session: session, Priority: t.priority, Start: t.start, Held: t.hold}, now)
 		f.mu.Unlock()
 		f.wake()
 		return f.created(j), nil
@@ -232,7 +232,7 @@
 
 // inTime puts a new job on record, or refuses it once that takes too long. What is written after all is taken away again:
 // a job that was refused must not be found after a restart as one that was taken.
-func (f *Front) inTime(ctx context.Context, j *job, more []records.Change) error {
+func (f *Front) inTime(ctx context.Context, j *job, more []jobstore.Change) error {
 	done := make(chan error, 1)
 	go func() { done <- f.put(context.WithoutCancel(ctx), j, nil, more...) }()
 	timer := time.NewTimer(f.lim.StoreCall)
@@ -298,7 +298,7 @@
 		}
 		return bad == nil
 	})
-	item := release.Item{Array: true, Begin: x.Begin, End: x.End, Step: x.Step}
+	item := jobqueue.Item{Array: true, Begin: x.Begin, End: x.End, Step: x.Step}
 	switch {
 	case bad != nil:
 	case t == nil:
--- a/internal/batch/sweep.go
+++ b/internal/batch/sweep.go
@@ -5,12 +5,12 @@
 
 	"github.com/tidwall/gjson"
 
-	"gatetack/internal/records"
+	"gatetack/internal/jobstore"
 )
 
 // sweeper is a store that can take old records away.
 type sweeper interface {
-	Sweep(kind string, most records.Tally, limit int, fate func(key string, value []byte) records.Fate) (int, error)
+	Sweep(kind string, most jobstore.Tally, limit int, fate func(key string, value []byte) jobstore.Fate) (int, error)
 }
 
 // sweep takes away records of jobs that ended long ago, or the first ones where there are too many.
@@ -20,15 +20,15 @@
 		return
 	}
 	before := time.Now().Add(-f.lim.BatchAge)
-	gone, err := s.Sweep(kindJob, records.Tally{Values: f.lim.BatchValues, Bytes: f.lim.BatchRecords}, 10000,
-		func(_ string, v []byte) records.Fate {
+	gone, err := s.Sweep(kindJob, jobstore.Tally{Values: f.lim.BatchValues, Bytes: f.lim.BatchRecords}, 10000,
+		func(_ string, v []byte) jobstore.Fate {
 			switch end := gjson.GetBytes(v, "finishTime"); {
 			case !end.Exists():
-				return records.Hold
+				return jobstore.Hold
 			case end.Time().Before(before):
-				return records.Drop
+				return jobstore.Drop
 			}
-			return records.Stay
+			return jobstore.Stay
 		})
 	if err != nil || gone > 0 {
 		f.log.Info("old records of batch jobs", "gone", gone, "err", err)
--- a/internal/handover/handover.go
+++ b/internal/callbackrelay/handover.go
@@ -1,9 +1,9 @@
-// Package handover carries callbacks between the processes of one node while one replaces the other. Both stand on
+// Package callbackrelay carries callbacks between the processes of one node while one replaces the other. Both stand on
 // the same listening socket, and once the old one takes no connections every callback of an executor reaches the
 // new one, the callbacks of the old one's attempts too. A process that gets a callback which is not its own leaves
 // it in the directory they share ($TMPDIR), and the other takes it from there; nothing is written while a process
 // stands alone.
-package handover
+package callbackrelay
 
 import (
 	"context"
--- a/internal/handover/handover_test.go
+++ b/internal/callbackrelay/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package callbackrelay
 
 import (
 	"context"
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // A process alone leaves nothing; beside another, what it passes reaches the other once and whole, and is gone from
 // the directory then; a marker of a process that is gone does not count.
 func TestPass(t *testing.T) {
 	dir := t.TempDir()
-	old, err := Open(dir, time.Millisecond, time.Minute, standin.Quiet)
+	old, err := Open(dir, time.Millisecond, time.Minute, testenv.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 		t.Fatal("a callback was left for a process that is gone")
 	}
 	// The new process: another pid on the same directory.
-	next := &Relay{dir: dir, pid: old.pid + 1, every: time.Millisecond, stale: time.Minute, log: standin.Quiet}
+	next := &Relay{dir: dir, pid: old.pid + 1, every: time.Millisecond, stale: time.Minute, log: testenv.Quiet}
 	if err := os.WriteFile(next.path("p", os.Getppid(), ""), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("the old process never took the callback")
 	}
-	standin.Until(t, "the file removed", func() bool {
+	testenv.Until(t, "the file removed", func() bool {
 		left, _ := filepath.Glob(filepath.Join(dir, "c*"))
 		return len(left) == 0
 	})
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -171,9 +171,9 @@
 	}
 }
 
-// What the page says of the hub by hand agrees with the constants in package brain, which no other package can read.
+// What the page says of the hub by hand agrees with the constants in package dispatch, which no other package can read.
 func TestPageNamesTheHubsLimits(t *testing.T) {
-	source, err := os.ReadFile("../../brain/peers.go")
+	source, err := os.ReadFile("../../internal/dispatch/peers.go")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +187,7 @@
 		{`lowBits\s+= 15\b`, "its tags have 12 bits"},
 	} {
 		if !regexp.MustCompile(c.constant).Match(source) {
-			t.Errorf("brain/peers.go has no %s any more: docs/CAPACITY.md says %q", c.constant, c.sentence)
+			t.Errorf("internal/dispatch/peers.go has no %s any more: docs/CAPACITY.md says %q", c.constant, c.sentence)
 		}
 		if !strings.Contains(strings.Join(strings.Fields(string(page)), " "), c.sentence) {
 			t.Errorf("docs/CAPACITY.md does not say %q", c.sentence)
--- a/internal/capacity/measure/decision.go
+++ b/internal/capacity/measure/decision.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"runtime"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // Settings of the fleet whose decision module is measured. Tenants get equal portions.
@@ -30,14 +30,14 @@
 }
 
 // settings are those of one process of the fleet.
-func (f Fleet) settings() brain.Settings {
-	s := brain.Settings{
+func (f Fleet) settings() dispatch.Settings {
+	s := dispatch.Settings{
 		Balancers: f.Processes, Step: 1,
-		Classes: []brain.Class{
-			{Aim: classAimMS, Stretch: 2, Deadline: classDeadlineMS, Worth: 1, Effect: brain.Safe, Kind: -1},
-			{Aim: classAimMS, Stretch: 2, Deadline: classDeadlineMS, Worth: 1, Effect: brain.Unsafe, Kind: -1},
+		Classes: []dispatch.Class{
+			{Aim: classAimMS, Stretch: 2, Deadline: classDeadlineMS, Worth: 1, Effect: dispatch.Safe, Kind: -1},
+			{Aim: classAimMS, Stretch: 2, Deadline: classDeadlineMS, Worth: 1, Effect: dispatch.Unsafe, Kind: -1},
 		},
-		Telemetry: brain.ReportAnswers, Fields: []brain.Field{brain.FieldFree},
+		Telemetry: dispatch.ReportAnswers, Fields: []dispatch.Field{dispatch.FieldFree},
 		Progress: 1000, TellsStart: true,
 		MaxAttempts: 4, MayDuplicate: true, MayCancel: true, Multiplex: 1,
 		ConnIdle: 5000, ConnectTimeout: 250,
@@ -45,30 +45,30 @@
 		FallMultiple: 4, Fall: 1500, ColdFrom: 0.3, WarmWithin: 9000,
 	}
 	for range f.Tenants {
-		s.Tenants = append(s.Tenants, brain.Tenant{Portion: 1 / float64(f.Tenants), Quota: 1e6})
+		s.Tenants = append(s.Tenants, dispatch.Tenant{Portion: 1 / float64(f.Tenants), Quota: 1e6})
 	}
 	return s
 }
 
-func (f Fleet) rows() []brain.Row {
-	rows := make([]brain.Row, f.Executors)
+func (f Fleet) rows() []dispatch.Row {
+	rows := make([]dispatch.Row, f.Executors)
 	for i := range rows {
 		zone := i % zones
-		rows[i] = brain.Row{Worker: uint32(firstWorker + i), Zone: uint8(zone), Cell: uint16(zone*cellsPerZone + i/zones%cellsPerZone),
-			Condition: brain.Ready, Scale: 1}
+		rows[i] = dispatch.Row{Worker: uint32(firstWorker + i), Zone: uint8(zone), Cell: uint16(zone*cellsPerZone + i/zones%cellsPerZone),
+			Condition: dispatch.Ready, Scale: 1}
 	}
 	return rows
 }
 
 // dispatcher is one process's decision module in the middle of its work.
 type dispatcher struct {
-	module  *brain.Dispatcher
-	rows    []brain.Row
+	module  *dispatch.Dispatcher
+	rows    []dispatch.Row
 	fleet   Fleet
 	random  *rand.Rand
 	now     float64
 	nextJob uint32
-	actions []brain.Action
+	actions []dispatch.Action
 	out     []placement // the oldest first
 	refused int
 }
@@ -81,23 +81,23 @@
 }
 
 func newDispatcher(f Fleet) (*dispatcher, error) {
-	module, err := brain.New(f.settings(), f.Seed)
+	module, err := dispatch.New(f.settings(), f.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("measure: %w", err)
 	}
 	d := &dispatcher{module: module, rows: f.rows(), fleet: f, random: rand.New(rand.NewPCG(f.Seed, 1)), now: startMS}
-	d.step(brain.Event{Kind: brain.EvList, Form: brain.ListCached, Rows: d.rows})
+	d.step(dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListCached, Rows: d.rows})
 	return d, nil
 }
 
 // step hands events over and keeps what is out.
-func (d *dispatcher) step(events ...brain.Event) {
+func (d *dispatcher) step(events ...dispatch.Event) {
 	d.actions = d.module.Step(d.now, events, d.actions[:0])
 	for _, action := range d.actions {
 		switch action.Kind {
-		case brain.ActSend:
+		case dispatch.ActSend:
 			d.out = append(d.out, placement{action.Job, action.Attempt, action.Worker})
-		case brain.ActRefuse, brain.ActFail:
+		case dispatch.ActRefuse, dispatch.ActFail:
 			d.refused++
 		}
 	}
@@ -106,8 +106,8 @@
 // submit hands one job over.
 func (d *dispatcher) submit() {
 	d.nextJob++
-	d.step(brain.Event{Kind: brain.EvRequest, Job: d.nextJob, Class: uint8(d.nextJob % 2), Tenant: uint16(d.random.IntN(max(d.fleet.Tenants, 1))),
-		TimeLeft: classDeadlineMS, Work: jobWorkMS, Flags: brain.FlagWork, Slots: 1})
+	d.step(dispatch.Event{Kind: dispatch.EvRequest, Job: d.nextJob, Class: uint8(d.nextJob % 2), Tenant: uint16(d.random.IntN(max(d.fleet.Tenants, 1))),
+		TimeLeft: classDeadlineMS, Work: jobWorkMS, Flags: dispatch.FlagWork, Slots: 1})
 }
 
 // finish ends the attempt that is out for the longest time.
@@ -117,7 +117,7 @@
 	}
 	first := d.out[0]
 	d.out = d.out[1:]
-	d.step(brain.Event{Kind: brain.EvOutcome, Job: first.job, Attempt: first.attempt, Worker: first.worker, Outcome: brain.Served,
+	d.step(dispatch.Event{Kind: dispatch.EvOutcome, Job: first.job, Attempt: first.attempt, Worker: first.worker, Outcome: dispatch.Served,
 		Elapsed: jobWorkMS, Final: true, Report: []float32{slotsPerWorker / 2}})
 }
 
@@ -127,7 +127,7 @@
 	d.submit()
 	if len(d.out) > 0 {
 		last := d.out[len(d.out)-1]
-		d.step(brain.Event{Kind: brain.EvNote, Topic: brain.NoteStarted, Job: last.job, Attempt: last.attempt, Worker: last.worker})
+		d.step(dispatch.Event{Kind: dispatch.EvNote, Topic: dispatch.NoteStarted, Job: last.job, Attempt: last.attempt, Worker: last.worker})
 	}
 	d.finish()
 }
@@ -171,7 +171,7 @@
 			row := d.rows[d.random.IntN(len(d.rows))]
 			d.now += 10
 			row.Born = d.now
-			d.step(brain.Event{Kind: brain.EvList, Form: brain.ListDelta, Rows: []brain.Row{row}})
+			d.step(dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListDelta, Rows: []dispatch.Row{row}})
 		}
 		return nil
 	})
--- a/internal/capacity/measure/dispatcher.go
+++ b/internal/capacity/measure/dispatcher.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"gatetack/internal/scale/process"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // DispatcherCost is what the built program uses, front, core, decision and carriers together.
@@ -51,21 +51,21 @@
 		cancel()
 		_ = group.Wait()
 	}()
-	ports, err := standin.Ports(1)
+	ports, err := testenv.Ports(1)
 	if err != nil {
 		return DispatcherCost{}, err
 	}
-	list, err := standin.NewList(ctx, group)
+	list, err := testenv.NewList(ctx, group)
 	if err != nil {
 		return DispatcherCost{}, err
 	}
 	executors := map[string]bool{}
 	for i := range siteExecutors {
-		executor, err := standin.NewBox(ctx, group, fmt.Sprintf("s-%08x", i+1), ports[0], siteRun)
+		executor, err := testenv.NewBox(ctx, group, fmt.Sprintf("s-%08x", i+1), ports[0], siteRun)
 		if err != nil {
 			return DispatcherCost{}, err
 		}
-		executor.Set(func(b *standin.Behaviour) { b.Slots, b.Free = siteSlots, siteSlots })
+		executor.Set(func(b *testenv.Behaviour) { b.Slots, b.Free = siteSlots, siteSlots })
 		list.Put(executor, "ready")
 		executors[executor.Addr] = true
 	}
@@ -74,7 +74,7 @@
 
 // siteSettings are the small site's, with quotas that no measured load passes.
 func siteSettings() string {
-	return strings.NewReplacer(`"quotaRps":20.0`, `"quotaRps":2000.0`, `"quotaRps":12.0`, `"quotaRps":2000.0`).Replace(standin.Settings)
+	return strings.NewReplacer(`"quotaRps":20.0`, `"quotaRps":2000.0`, `"quotaRps":12.0`, `"quotaRps":2000.0`).Replace(testenv.Settings)
 }
 
 // startAndLoad starts the program, loads it and ends it.
@@ -99,7 +99,7 @@
 	}
 	defer node.Kill()
 	for end := time.Now().Add(memberWait); ; time.Sleep(20 * time.Millisecond) {
-		if message, err := standin.Call(listen, "GET", "/healthz", nil); err == nil && message.Status == 200 {
+		if message, err := testenv.Call(listen, "GET", "/healthz", nil); err == nil && message.Status == 200 {
 			break
 		}
 		if node.Gone() || time.Now().After(end) {
@@ -178,7 +178,7 @@
 
 // connection hands in what is due, one job after another.
 func (l *openLoad) connection(ctx context.Context, address string, due <-chan int) {
-	var conn *standin.Conn
+	var conn *testenv.Conn
 	hangUp := func() {
 		if conn == nil {
 			return
@@ -197,12 +197,12 @@
 		}
 		if conn == nil {
 			var err error
-			if conn, err = standin.Dial(address); err != nil {
+			if conn, err = testenv.Dial(address); err != nil {
 				conn = nil
 				continue
 			}
 		}
-		message, err := conn.Do("POST", "/"+siteClass+"/cut", []byte("scene"), standin.Job(fmt.Sprintf("ca9ac17e%08x", n), siteDeadline)...)
+		message, err := conn.Do("POST", "/"+siteClass+"/cut", []byte("scene"), testenv.Job(fmt.Sprintf("ca9ac17e%08x", n), siteDeadline)...)
 		if err == nil {
 			l.answered.Add(1)
 		}
--- a/internal/capacity/measure/duties.go
+++ b/internal/capacity/measure/duties.go
@@ -9,11 +9,11 @@
 	"sync"
 	"time"
 
-	"gatetack/internal/duty"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/kv"
+	"gatetack/internal/lease"
+	"gatetack/internal/leaseholder"
 	"gatetack/internal/limits"
-	"gatetack/internal/owner"
-	"gatetack/internal/records"
 )
 
 // fleetStore is the store as one owner sees it: the leases and duties of all nodes, which stand still but for the owner's own.
@@ -52,11 +52,11 @@
 
 var errNotUsed = errors.New("measure: the owner's loop needs none of this")
 
-func (s *fleetStore) Write(context.Context, ...records.Change) error { return errNotUsed }
+func (s *fleetStore) Write(context.Context, ...jobstore.Change) error { return errNotUsed }
 func (s *fleetStore) Get(context.Context, string, string) ([]byte, bool, error) {
 	return nil, false, errNotUsed
 }
-func (s *fleetStore) Page(context.Context, string, string, int) ([]records.Row, error) {
+func (s *fleetStore) Page(context.Context, string, string, int) ([]jobstore.Row, error) {
 	return nil, errNotUsed
 }
 
@@ -85,7 +85,7 @@
 func DutySteps(nodes int) (DutyCost, error) {
 	s := &fleetStore{state: kv.New(kv.Bounds{Key: 512, Value: 1 << 16, Ops: 256, Done: 8192})}
 	for i := range nodes - 1 {
-		life := duty.Life{Node: fmt.Sprintf("node-%d", i+1), Born: int64(1 + i)}
+		life := lease.Life{Node: fmt.Sprintf("node-%d", i+1), Born: int64(1 + i)}
 		lease, err := json.Marshal(map[string]any{"born": life.Born, "addr": "10.0.0.1:8443"})
 		if err != nil {
 			return DutyCost{}, err
@@ -95,14 +95,14 @@
 			return DutyCost{}, err
 		}
 		if _, err := s.Txn(context.Background(), &kv.Txn{Ops: []kv.Op{
-			{Verb: kv.Put, Table: owner.Leases, Key: life.Node, Value: lease, Keep: true},
-			{Verb: kv.Put, Table: owner.Duties, Key: life.Partition(), Value: held, Keep: true}}}); err != nil {
+			{Verb: kv.Put, Table: leaseholder.Leases, Key: life.Node, Value: lease, Keep: true},
+			{Verb: kv.Put, Table: leaseholder.Duties, Key: life.Partition(), Value: held, Keep: true}}}); err != nil {
 			return DutyCost{}, err
 		}
 	}
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.LeaseTTL = dutyLease
-	o, err := owner.New(s, "node-0", 1, "10.0.0.1:8443", lim, slog.New(slog.DiscardHandler))
+	o, err := leaseholder.New(s, "node-0", 1, "10.0.0.1:8443", lim, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return DutyCost{}, err
 	}
@@ -111,7 +111,7 @@
 }
 
 // loop runs the owner for a while and counts.
-func (s *fleetStore) loop(o *owner.Owner) (DutyCost, error) {
+func (s *fleetStore) loop(o *leaseholder.Owner) (DutyCost, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dutySpan+dutyLease)
 	defer cancel()
 	done := make(chan error, 1)
--- a/internal/capacity/measure/hub.go
+++ b/internal/capacity/measure/hub.go
@@ -6,10 +6,10 @@
 	"math/rand/v2"
 	"runtime"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
-// The form of messages to and from a hub, as brain/peers.go writes them: a head, then entries of a worker's tag and the number
+// The form of messages to and from a hub, as internal/dispatch/peers.go writes them: a head, then entries of a worker's tag and the number
 // of slots out there.
 const (
 	hubChange   = 0
@@ -28,7 +28,7 @@
 )
 
 // hubSettings are those of a fleet whose processes tell a hub.
-func (f Fleet) hubSettings() brain.Settings {
+func (f Fleet) hubSettings() dispatch.Settings {
 	s := f.settings()
 	s.MayTell = true
 	for i := range s.Tenants {
@@ -45,14 +45,14 @@
 
 // findHub gives the process that all take for the hub.
 func findHub(f Fleet) (int, error) {
-	module, err := brain.New(f.hubSettings(), f.Seed)
+	module, err := dispatch.New(f.hubSettings(), f.Seed)
 	if err != nil {
 		return 0, err
 	}
-	actions := module.Step(startMS, []brain.Event{{Kind: brain.EvList, Form: brain.ListCached, Rows: f.rows()},
-		{Kind: brain.EvRequest, Job: 1, TimeLeft: classDeadlineMS, Work: jobWorkMS, Flags: brain.FlagWork, Slots: 1}}, nil)
+	actions := module.Step(startMS, []dispatch.Event{{Kind: dispatch.EvList, Form: dispatch.ListCached, Rows: f.rows()},
+		{Kind: dispatch.EvRequest, Job: 1, TimeLeft: classDeadlineMS, Work: jobWorkMS, Flags: dispatch.FlagWork, Slots: 1}}, nil)
 	for _, action := range actions {
-		if action.Kind == brain.ActTell && action.To != brain.AllPeers {
+		if action.Kind == dispatch.ActTell && action.To != dispatch.AllPeers {
 			return int(action.To), nil
 		}
 	}
@@ -62,12 +62,12 @@
 
 // hub is the decision module of the process that is the hub, with what the others told it.
 type hub struct {
-	module  *brain.Dispatcher
+	module  *dispatch.Dispatcher
 	me      int
 	fleet   Fleet
 	random  *rand.Rand
 	now     float64
-	actions []brain.Action
+	actions []dispatch.Action
 	tagOf   []uint16
 	// What went through it since it was made.
 	messagesIn, messagesOut, bytesIn, bytesOut int
@@ -80,12 +80,12 @@
 	}
 	s := f.hubSettings()
 	s.Me = me
-	module, err := brain.New(s, f.Seed)
+	module, err := dispatch.New(s, f.Seed)
 	if err != nil {
 		return nil, err
 	}
 	h := &hub{module: module, me: me, fleet: f, random: rand.New(rand.NewPCG(f.Seed, 2)), now: startMS}
-	h.actions = module.Step(h.now, []brain.Event{{Kind: brain.EvList, Form: brain.ListCached, Rows: f.rows()}}, nil)
+	h.actions = module.Step(h.now, []dispatch.Event{{Kind: dispatch.EvList, Form: dispatch.ListCached, Rows: f.rows()}}, nil)
 	for range f.Executors {
 		h.tagOf = append(h.tagOf, uint16(h.random.IntN(tags)*tagStep))
 	}
@@ -123,9 +123,9 @@
 func (h *hub) deliver(from int, data []byte) {
 	h.messagesIn++
 	h.bytesIn += len(data) + datagramOverhead
-	h.actions = h.module.Step(h.now, []brain.Event{{Kind: brain.EvPeer, From: uint32(from), Data: data}}, h.actions[:0])
+	h.actions = h.module.Step(h.now, []dispatch.Event{{Kind: dispatch.EvPeer, From: uint32(from), Data: data}}, h.actions[:0])
 	for _, action := range h.actions {
-		if action.Kind == brain.ActTell {
+		if action.Kind == dispatch.ActTell {
 			h.messagesOut++
 			h.bytesOut += len(action.Data) + datagramOverhead
 		}
--- a/internal/capacity/measure/settings.go
+++ b/internal/capacity/measure/settings.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // RetunePerChange is the processor time, in microseconds, that a process takes to put one changed quota in force in its decision
@@ -25,7 +25,7 @@
 				return fmt.Errorf("measure: %w", err)
 			}
 			d.now++
-			d.step(brain.Event{Kind: brain.EvTimer})
+			d.step(dispatch.Event{Kind: dispatch.EvTimer})
 		}
 		return nil
 	})
--- a/internal/capacity/measure/store.go
+++ b/internal/capacity/measure/store.go
@@ -316,7 +316,7 @@
 	return all, nil
 }
 
-// write makes the measured writes. Each goes under the epoch of its duty, as package owner has it.
+// write makes the measured writes. Each goes under the epoch of its duty, as package leaseholder has it.
 func (c *cluster) write(ctx context.Context, load StoreLoad, epoch uint64) (StoreCost, error) {
 	c.mu.Lock()
 	err := c.findLeader()
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -222,7 +222,7 @@
 	list, _, okList := all.Series("list.bytes.executors")
 	var rows [][]string
 	for _, f := range Faults {
-		cells := []string{f.What, f.Often, short(math.Round(f.Rows)), notMeasured, notMeasured, "`" + "brain" + "`, `internal/discovery`"}
+		cells := []string{f.What, f.Often, short(math.Round(f.Rows)), notMeasured, notMeasured, "`" + "internal/dispatch" + "`, `internal/discovery`"}
 		if okRow && okList {
 			rowFit, err := FitSeries(row.Points)
 			if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
 // Package config reads what a node is told at its start: the EDGE_* variables and the JSON they name. The
-// settings in it become path=value pairs, as the simulator sends them, and go through wire.FromPairs.
+// settings in it become path=value pairs, as the simulator sends them, and go through simprotocol.FromPairs.
 package config
 
 import (
@@ -15,10 +15,10 @@
 
 	"github.com/tidwall/gjson"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/limits"
 	"gatetack/internal/node"
-	"gatetack/internal/wire"
+	"gatetack/internal/simprotocol"
 )
 
 // Config is a node's start. Settings are the decision module's own; beside them stands only what the module
@@ -33,7 +33,7 @@
 	Peers                []string
 	Seed                 uint64
 	Known                node.List
-	Settings             brain.Settings
+	Settings             dispatch.Settings
 	Names                node.Names
 	Limits               limits.Limits
 
@@ -169,10 +169,10 @@
 	c.Discovery, c.Settings, c.Names, c.doc = next.Discovery, next.Settings, next.Names, next.doc
 }
 
-// fixed is what a retune leaves alone, see brain.Dispatcher.Retune.
+// fixed is what a retune leaves alone, see dispatch.Dispatcher.Retune.
 func fixed(c *Config) any {
 	s := c.Settings
-	s.Classes, s.Tenants, s.MaxAttempts, s.MaxRetryAfter, s.Fees = nil, nil, 0, 0, brain.Fees{}
+	s.Classes, s.Tenants, s.MaxAttempts, s.MaxRetryAfter, s.Fees = nil, nil, 0, 0, dispatch.Fees{}
 	s.OverShareWorth, s.WorthByWork = 0, false
 	return []any{s, c.Names.Zones, c.Names.Kinds, c.Names.Fields}
 }
@@ -215,7 +215,7 @@
 	pairs := map[string]string{}
 	flatten(pairs, "", root.Get("settings"))
 	var err error
-	if c.Settings, err = wire.FromPairs(pairs); err != nil {
+	if c.Settings, err = simprotocol.FromPairs(pairs); err != nil {
 		return nil, err
 	}
 	for i, class := range c.Settings.Classes {
@@ -224,7 +224,7 @@
 			return nil, fmt.Errorf("settings.%s: %v, expected milliseconds over 0", key, class.Deadline)
 		}
 	}
-	if _, err = brain.New(c.Settings, 0); err != nil { // its own check of what it can work with
+	if _, err = dispatch.New(c.Settings, 0); err != nil { // its own check of what it can work with
 		return nil, err
 	}
 	if known := root.Get("known"); known.IsObject() {
@@ -232,7 +232,7 @@
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	c.Known.Form = brain.ListCached
+	c.Known.Form = dispatch.ListCached
 	c.Names = node.Names{Zones: list(pairs["zones"]), Kinds: list(pairs["kinds"]), Fields: list(pairs["telemetry.fields"])}
 	for i := range c.Settings.Classes {
 		c.Names.Classes = append(c.Names.Classes, pairs["requestClasses."+strconv.Itoa(i)+".name"])
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,9 +9,9 @@
 
 	"pgregory.net/rapid"
 
-	"gatetack/brain"
-	_ "gatetack/internal/seeds"
-	"gatetack/internal/wire"
+	"gatetack/internal/dispatch"
+	"gatetack/internal/simprotocol"
+	_ "gatetack/internal/testrand"
 )
 
 const sample = `{"name":"n3","listen":"127.0.0.4:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -39,11 +39,11 @@
 		"requestClasses.count=2", "requestClasses.0.name=tile-charge", "requestClasses.0.aim=400.0", "requestClasses.0.effect=single_shot",
 		"requestClasses.1.aim=1500.0", "requestClasses.1.effect=guarded", "requestClasses.1.dedupScope=cell", "requestClasses.1.window=40000.0",
 		"tenants.count=1", "tenants.0.name=acme", "tenants.0.portion=0.3", "tenants.0.quotaRps=8.0"}, "\n")
-	want, err := wire.ParseSettings([]byte(pipe))
+	want, err := simprotocol.ParseSettings([]byte(pipe))
 	if err != nil || !reflect.DeepEqual(c.Settings, want) {
 		t.Errorf("%v\ngot  %+v\nwant %+v", err, c.Settings, want)
 	}
-	if c.Seed != 0x8c1f30d27a5be964 || c.Known.Form != brain.ListCached || c.Known.Index != 41 || c.Known.Entries[0].Weight != 1.5 ||
+	if c.Seed != 0x8c1f30d27a5be964 || c.Known.Form != dispatch.ListCached || c.Known.Index != 41 || c.Known.Entries[0].Weight != 1.5 ||
 		!reflect.DeepEqual(c.Names.Classes, []string{"tile-charge", "area-render"}) || !reflect.DeepEqual(c.Names.Tenants, []string{"acme"}) ||
 		!reflect.DeepEqual(c.Names.Zones, []string{"a", "b"}) || c.PeersAll != "127.3.255.1:7946" {
 		t.Errorf("%+v", c)
@@ -121,7 +121,7 @@
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
 		if c, err := Parse(b); err == nil {
-			if _, err := brain.New(c.Settings, c.Seed); err != nil {
+			if _, err := dispatch.New(c.Settings, c.Seed); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -16,7 +16,7 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"gatetack/internal/pace"
+	"gatetack/internal/slowpeer"
 )
 
 // File is what an operator sets beside the platform's configuration: what is off without it.
@@ -55,7 +55,7 @@
 	Data struct {
 		File string `yaml:"file"` // which data sets stand where, and the links between halls; empty: no hall costs a job more for its inputs
 	} `yaml:"data"`
-	Pace pace.Policy `yaml:"pace"` // what is asked of slow peers; a figure that is left out stays as it is without the file
+	Pace slowpeer.Policy `yaml:"pace"` // what is asked of slow peers; a figure that is left out stays as it is without the file
 }
 
 // ReadFile reads the file that serve --config names. A key that is not known is an error: it may be a typing
@@ -73,7 +73,7 @@
 }
 
 func parseFile(data []byte, dir string) (*File, error) {
-	f := &File{Pace: pace.Default()}
+	f := &File{Pace: slowpeer.Default()}
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
 	if err := dec.Decode(f); err != nil && !errors.Is(err, io.EOF) {
--- a/internal/conform/conform_test.go
+++ b/internal/conformance/conform_test.go
@@ -1,4 +1,4 @@
-package conform
+package conformance
 
 import (
 	"context"
--- a/internal/discovery/connect.go
+++ b/internal/discovery/connect.go
@@ -5,8 +5,8 @@
 	"net"
 	"time"
 
-	"gatetack/internal/sock"
-	"gatetack/internal/staleness"
+	"gatetack/internal/endpointwatch"
+	"gatetack/internal/tcpinfo"
 )
 
 // A connection that this machine itself could not make is tried again after a pause that doubles between these bounds. The largest is
@@ -18,11 +18,11 @@
 
 // connect makes the connection of one call. A lack of this machine (ports, descriptors, memory, a route) is no answer of discovery's
 // and ends no call: it is tried again for as long as a call may take, and a watch's call counts as made with the last try.
-func (c *Client) connect(ctx context.Context, addr string, clock *staleness.Clock) (net.Conn, error) {
+func (c *Client) connect(ctx context.Context, addr string, clock *endpointwatch.Clock) (net.Conn, error) {
 	waited := time.Duration(0)
 	for backoff := connectBackoffMin; ; backoff = min(2*backoff, connectBackoffMax) {
 		conn, err := c.dial(ctx, "tcp", addr)
-		if err == nil || !sock.IsLocalConnectError(err) || waited >= c.lim.ListCall || ctx.Err() != nil {
+		if err == nil || !tcpinfo.IsLocalConnectError(err) || waited >= c.lim.ListCall || ctx.Err() != nil {
 			return conn, err
 		}
 		c.log.Info("discovery connect failed", "err", err, "backoff", backoff)
--- a/internal/discovery/connect_test.go
+++ b/internal/discovery/connect_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"gatetack/brain"
-	"gatetack/internal/standin"
+	"gatetack/internal/dispatch"
+	"gatetack/internal/testenv"
 )
 
 // failingDialer fails as often as a test says before it connects, and notes the pauses between.
@@ -45,13 +45,13 @@
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
 		syscall.ENOMEM, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EINTR} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			c, sink, list, box, run := prepare(t, standin.Lim)
+			c, sink, list, box, run := prepare(t, testenv.Lim)
 			dialer := &failingDialer{errno: errno, failures: 7}
 			c.dial, c.sleep = dialer.dial, dialer.sleep
 			list.Put(box, "ready")
 			run()
-			standin.Until(t, "the list", func() bool { return len(sink.All()) == 1 })
-			if first := sink.All()[0]; first.Form != brain.ListFull {
+			testenv.Until(t, "the list", func() bool { return len(sink.All()) == 1 })
+			if first := sink.All()[0]; first.Form != dispatch.ListFull {
 				t.Errorf("first notified: %+v", first)
 			}
 			dialer.mu.Lock()
@@ -71,14 +71,14 @@
 // A lack that lasts ends the call once its time is over, as one that failed, and the next is made: the pauses of a call and the wait
 // for the next stay within the time by which changes count as notified.
 func TestLocalConnectErrorsThatLastEndTheCall(t *testing.T) {
-	c, sink, list, box, run := prepare(t, standin.Lim)
+	c, sink, list, box, run := prepare(t, testenv.Lim)
 	dialer := &failingDialer{errno: syscall.EADDRNOTAVAIL, failures: 100}
 	c.dial, c.sleep = dialer.dial, dialer.sleep
 	list.Put(box, "ready")
 	run()
-	standin.Until(t, "the failure and the list", func() bool {
+	testenv.Until(t, "the failure and the list", func() bool {
 		all := sink.All()
-		return len(all) > 1 && all[0].Form == brain.ListFailed && all[len(all)-1].Form == brain.ListFull
+		return len(all) > 1 && all[0].Form == dispatch.ListFailed && all[len(all)-1].Form == dispatch.ListFull
 	})
 	dialer.mu.Lock()
 	defer dialer.mu.Unlock()
@@ -87,7 +87,7 @@
 		if pause == connectBackoffMin {
 			inOneCall = 0 // the next call has begun
 		}
-		if inOneCall += pause; inOneCall > standin.Lim.ListCall+connectBackoffMax {
+		if inOneCall += pause; inOneCall > testenv.Lim.ListCall+connectBackoffMax {
 			t.Fatalf("pauses of one call: over %v", inOneCall)
 		}
 	}
@@ -97,13 +97,13 @@
 func TestRemoteConnectErrorsEndTheCall(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			c, sink, list, box, run := prepare(t, standin.Lim)
+			c, sink, list, box, run := prepare(t, testenv.Lim)
 			dialer := &failingDialer{errno: errno, failures: 1}
 			c.dial, c.sleep = dialer.dial, dialer.sleep
 			list.Put(box, "ready")
 			run()
-			standin.Until(t, "the list, by another call", func() bool { all := sink.All(); return len(all) > 0 && all[len(all)-1].Form == brain.ListFull })
-			if failed := sink.All()[0].Form == brain.ListFailed; failed != (errno != syscall.ETIMEDOUT) { // silence is made up for here
+			testenv.Until(t, "the list, by another call", func() bool { all := sink.All(); return len(all) > 0 && all[len(all)-1].Form == dispatch.ListFull })
+			if failed := sink.All()[0].Form == dispatch.ListFailed; failed != (errno != syscall.ETIMEDOUT) { // silence is made up for here
 				t.Errorf("notified of a failure: %v", failed)
 			}
 			dialer.mu.Lock()
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -17,12 +17,12 @@
 	"github.com/tidwall/gjson"
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
+	"gatetack/internal/endpointwatch"
 	"gatetack/internal/http1"
 	"gatetack/internal/limits"
 	"gatetack/internal/node"
-	"gatetack/internal/pace"
-	"gatetack/internal/staleness"
+	"gatetack/internal/slowpeer"
 )
 
 // Sink takes lists, and hears of each call for one that failed.
@@ -36,15 +36,15 @@
 	lim   limits.Limits
 	push  bool // changes come unasked: the carrier follows them from its start on, whatever the module asks for
 	sink  Sink
-	slow  *pace.Tally
+	slow  *slowpeer.Tally
 	log   *slog.Logger
 	calls chan call
 	dial  func(ctx context.Context, network, addr string) (net.Conn, error)
 	sleep func(context.Context, time.Duration)
 	index atomic.Uint64 // of the list last held
 
-	clock   staleness.Clock // that of the watch which runs: one at a time
-	calling atomic.Bool     // a call of it is under way
+	clock   endpointwatch.Clock // that of the watch which runs: one at a time
+	calling atomic.Bool         // a call of it is under way
 
 	mu sync.Mutex
 	at place
@@ -67,7 +67,7 @@
 // New makes a client that knows the list up to a version. Pushed says that the settings have lists come unasked: then the
 // address is that of an agent on the node's own machine, which tells what it was sent to whoever watches, at no cost, and
 // the module asks for nothing. A watch on it is kept from the start on.
-func New(addr string, index uint64, pushed bool, lim limits.Limits, sink Sink, slow *pace.Tally, log *slog.Logger) *Client {
+func New(addr string, index uint64, pushed bool, lim limits.Limits, sink Sink, slow *slowpeer.Tally, log *slog.Logger) *Client {
 	c := &Client{lim: lim, push: pushed, sink: sink, slow: slow, log: log, calls: make(chan call, 16), at: newPlace(addr)}
 	c.dial = (&net.Dialer{Timeout: lim.ListCall}).DialContext
 	c.sleep = sleep
@@ -154,7 +154,7 @@
 	if c.push {
 		return // who did not ask is told of no failure: the old list stands
 	}
-	c.sink.List(node.List{Form: brain.ListFailed})
+	c.sink.List(node.List{Form: dispatch.ListFailed})
 }
 
 // watch follows changes from a moment on until it is called off. When calls are given up, which of their ends the module is told
@@ -216,16 +216,16 @@
 }
 
 // endOf says how a call ended that had this error.
-func endOf(err error) staleness.End {
+func endOf(err error) endpointwatch.End {
 	switch {
 	case errors.Is(err, errRefused):
-		return staleness.Refused
+		return endpointwatch.Refused
 	case errors.Is(err, errCut):
-		return staleness.Cut
+		return endpointwatch.Cut
 	case timedOut(err):
-		return staleness.Silent
+		return endpointwatch.Silent
 	}
-	return staleness.Ended
+	return endpointwatch.Ended
 }
 
 func timedOut(err error) bool {
@@ -256,7 +256,7 @@
 
 // list makes a call and hands on each line of its answer. Silence is a failure: a machine that was cut off leaves a
 // connection open and tells nothing. How much of it, a watch's clock says; a call for the whole list has none.
-func (c *Client) list(ctx context.Context, addr, target string, clock *staleness.Clock) error {
+func (c *Client) list(ctx context.Context, addr, target string, clock *endpointwatch.Clock) error {
 	by := func() time.Time { return time.Now().Add(c.lim.ListCall) }
 	if clock != nil {
 		by = clock.SilentBy
@@ -312,9 +312,9 @@
 				}
 				conn.ReadBy(by())
 			}
-			if slow := (*pace.Slow)(nil); errors.As(err, &slow) {
-				c.slow.Add(pace.ListDrips)
-				c.log.Info("slow list", "kind", pace.ListDrips.String(), "from", addr, "why", slow)
+			if slow := (*slowpeer.Slow)(nil); errors.As(err, &slow) {
+				c.slow.Add(slowpeer.ListDrips)
+				c.log.Info("slow list", "kind", slowpeer.ListDrips.String(), "from", addr, "why", slow)
 			}
 			if err != nil {
 				if m, _ = p.End(); m == nil {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,50 +13,50 @@
 	"golang.org/x/sync/errgroup"
 	"pgregory.net/rapid"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/limits"
-	_ "gatetack/internal/seeds"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
+	_ "gatetack/internal/testrand"
 )
 
 // prepare makes a client of a list that names nobody yet. Run has it make its first call.
-func prepare(t *testing.T, lim limits.Limits) (c *Client, s *standin.Lists, list *standin.List, box *standin.Box, run func()) {
+func prepare(t *testing.T, lim limits.Limits) (c *Client, s *testenv.Lists, list *testenv.List, box *testenv.Box, run func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
 	t.Cleanup(func() { cancel(); _ = g.Wait() })
-	list, err := standin.NewList(ctx, g)
+	list, err := testenv.NewList(ctx, g)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if box, err = standin.NewBox(ctx, g, "s-1", "127.0.0.1:1", 0); err != nil {
+	if box, err = testenv.NewBox(ctx, g, "s-1", "127.0.0.1:1", 0); err != nil {
 		t.Fatal(err)
 	}
-	s = &standin.Lists{}
-	c = New(list.Addr, 7, false, lim, s, nil, standin.Quiet)
+	s = &testenv.Lists{}
+	c = New(list.Addr, 7, false, lim, s, nil, testenv.Quiet)
 	return c, s, list, box, func() { g.Go(func() error { return c.Run(ctx) }) }
 }
 
 // A watch brings the list and then its changes.
 func TestWatch(t *testing.T) {
-	c, s, list, box, run := prepare(t, standin.Lim)
+	c, s, list, box, run := prepare(t, testenv.Lim)
 	list.Put(box, "ready")
 	run()
-	standin.Until(t, "the list", func() bool { return len(s.All()) == 1 })
+	testenv.Until(t, "the list", func() bool { return len(s.All()) == 1 })
 	list.Put(box, "draining")
-	standin.Until(t, "a change", func() bool { return len(s.All()) == 2 })
+	testenv.Until(t, "a change", func() bool { return len(s.All()) == 2 })
 	l := s.All()
-	if l[0].Entries[0].Status != "ready" || l[1].Entries[0].Status != "draining" || l[1].Index != 2 || l[0].Form != brain.ListFull {
+	if l[0].Entries[0].Status != "ready" || l[1].Entries[0].Status != "draining" || l[1].Index != 2 || l[0].Form != dispatch.ListFull {
 		t.Errorf("%+v", l)
 	}
 	c.Watch(false)
 	c.Fetch()
-	standin.Until(t, "the list once", func() bool { return len(s.All()) == 3 })
+	testenv.Until(t, "the list once", func() bool { return len(s.All()) == 3 })
 }
 
 // served is a list whose calls a test answers by itself: serve has each with its number, and ends once ctx does. The module asks
 // for nothing.
-func served(t *testing.T, serve func(ctx context.Context, n int, conn net.Conn)) (s *standin.Lists, run func(limits.Limits)) {
+func served(t *testing.T, serve func(ctx context.Context, n int, conn net.Conn)) (s *testenv.Lists, run func(limits.Limits)) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,9 +79,9 @@
 		}
 	})
 	t.Cleanup(func() { cancel(); _ = ln.Close(); _ = g.Wait() })
-	s = &standin.Lists{}
+	s = &testenv.Lists{}
 	return s, func(lim limits.Limits) {
-		c := New(ln.Addr().String(), 0, false, lim, s, nil, standin.Quiet)
+		c := New(ln.Addr().String(), 0, false, lim, s, nil, testenv.Quiet)
 		g.Go(func() error { return c.Run(ctx) })
 	}
 }
@@ -90,7 +90,7 @@
 // made here in time, and so is each after calls that were turned away, broke off or found nobody. (The settings give ten seconds
 // for asking, and the module's turns go up to that; changes count as told after six.)
 func TestCallsThatMustBeMadeAreMadeHere(t *testing.T) {
-	lim := standin.Lim
+	lim := testenv.Lim
 	lim.Staleness.Silence, lim.Staleness.Wait, lim.Staleness.Slow = 60*time.Millisecond, 10*time.Millisecond, 10*time.Millisecond
 	line := `{"index":3,"snapshot":false,"endpoints":[]}`
 	s, run := served(t, func(ctx context.Context, n int, conn net.Conn) {
@@ -106,9 +106,9 @@
 		}
 	})
 	run(lim)
-	standin.Until(t, "the list", func() bool { l := s.All(); return len(l) == 4 && l[3].Index == 3 })
+	testenv.Until(t, "the list", func() bool { l := s.All(); return len(l) == 4 && l[3].Index == 3 })
 	for i, l := range s.All()[:3] {
-		if l.Form != brain.ListFailed {
+		if l.Form != dispatch.ListFailed {
 			t.Errorf("call %d: %+v", i, l)
 		}
 	}
@@ -123,8 +123,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
 	defer func() { cancel(); _ = ln.Close(); _ = g.Wait() }()
-	s := &standin.Lists{}
-	c := New(ln.Addr().String(), 0, false, standin.Lim, s, nil, standin.Quiet)
+	s := &testenv.Lists{}
+	c := New(ln.Addr().String(), 0, false, testenv.Lim, s, nil, testenv.Quiet)
 	g.Go(func() error { return c.Run(ctx) })
 	c.Watch(true)
 	conn, err := ln.Accept()
@@ -136,10 +136,10 @@
 	for range cap(c.calls) {
 		c.Watch(true)
 	}
-	standin.Until(t, "all are looked at", func() bool { return len(c.calls) == 0 })
+	testenv.Until(t, "all are looked at", func() bool { return len(c.calls) == 0 })
 	line := `{"index":3,"snapshot":false,"endpoints":[]}`
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(line)+1, line)
-	standin.Until(t, "the list by the first call", func() bool { return len(s.All()) == 1 && s.All()[0].Index == 3 })
+	testenv.Until(t, "the list by the first call", func() bool { return len(s.All()) == 1 && s.All()[0].Index == 3 })
 }
 
 // A watch falls silent at any point: while the call waits, after the head, within a line, between lines. It is given up and
@@ -160,7 +160,7 @@
 		"cut within a line": {head + chunk(line[:17]), 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lim := standin.Lim
+			lim := testenv.Lim
 			lim.Staleness.Beat, lim.Staleness.Late, lim.Staleness.Wait, lim.Staleness.Slow, lim.Staleness.Least = 20*time.Millisecond, 30*time.Millisecond, 30*time.Millisecond, 20*time.Millisecond, time.Millisecond
 			s, run := served(t, func(ctx context.Context, n int, conn net.Conn) {
 				switch {
@@ -182,7 +182,7 @@
 				<-ctx.Done()
 			})
 			run(lim)
-			standin.Until(t, "the list again", func() bool { l := s.All(); return len(l) > 0 && l[len(l)-1].Index == 9 })
+			testenv.Until(t, "the list again", func() bool { l := s.All(); return len(l) > 0 && l[len(l)-1].Index == 9 })
 			if l := s.All(); len(l) != x.lists+1 {
 				t.Errorf("%+v, want %d lists and then the last, with no failure", l, x.lists)
 			}
@@ -193,9 +193,9 @@
 // A watch that had stood and ends is begun anew at once, without a failure; and an object that came whole is taken
 // before its line break, which may never come. Both carry drains that count as told.
 func TestWatchIsRenewed(t *testing.T) {
-	lim := standin.Lim
+	lim := testenv.Lim
 	lim.Staleness.Stood = 0
-	var s *standin.Lists
+	var s *testenv.Lists
 	s, run := served(t, func(ctx context.Context, n int, conn net.Conn) {
 		text := fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[]}`, n+1)
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s", len(text)+1, text)
@@ -208,9 +208,9 @@
 		<-ctx.Done()
 	})
 	run(lim)
-	standin.Until(t, "three lists", func() bool { return len(s.All()) == 3 })
+	testenv.Until(t, "three lists", func() bool { return len(s.All()) == 3 })
 	for i, l := range s.All() {
-		if l.Form != brain.ListDelta || l.Index != uint64(i+1) {
+		if l.Form != dispatch.ListDelta || l.Index != uint64(i+1) {
 			t.Errorf("%d: %+v", i, l)
 		}
 	}
@@ -219,13 +219,13 @@
 // Where discovery moves, the watch goes on at the new address, be the old one deaf, mute or gone, and no failure is
 // told: the module would wait before it asks again, while drains count as told.
 func TestMove(t *testing.T) {
-	lim := standin.Lim
+	lim := testenv.Lim
 	lim.Staleness.Silence = time.Hour // no call is made but those that are asked for, and at moves
 	for _, old := range []string{"serves", "mute", "deaf", "gone"} {
 		c, s, list, box, run := prepare(t, lim)
 		ctx, cancel := context.WithCancel(context.Background())
 		var g errgroup.Group
-		next, err := standin.NewList(ctx, &g)
+		next, err := testenv.NewList(ctx, &g)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -235,7 +235,7 @@
 		case "deaf", "gone": // takes connections and says nothing, or takes none; a watch that stood moves there by itself
 			list.Mute(true)
 			run()
-			standin.Until(t, "the watch", func() bool { return list.Watches() == 1 })
+			testenv.Until(t, "the watch", func() bool { return list.Watches() == 1 })
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -259,23 +259,23 @@
 		}
 		switch old {
 		case "serves":
-			standin.Until(t, "the list", func() bool { return len(s.All()) == 1 })
+			testenv.Until(t, "the list", func() bool { return len(s.All()) == 1 })
 		case "mute":
-			standin.Until(t, "the watch", func() bool { return list.Watches() == 1 })
+			testenv.Until(t, "the watch", func() bool { return list.Watches() == 1 })
 		case "gone":
 			<-ended
 		}
 		began := time.Now()
 		c.Move(next.Addr)
-		standin.Until(t, old+": the list at the new address", func() bool {
+		testenv.Until(t, old+": the list at the new address", func() bool {
 			l := s.All()
 			return len(l) > 0 && len(l[len(l)-1].Entries) == 1 && l[len(l)-1].Entries[0].Status == "draining"
 		})
-		if d := time.Since(began); d > standin.Lim.Staleness.Beat {
+		if d := time.Since(began); d > testenv.Lim.Staleness.Beat {
 			t.Errorf("%s: it took %v", old, d)
 		}
 		for _, l := range s.All() {
-			if l.Form == brain.ListFailed {
+			if l.Form == dispatch.ListFailed {
 				t.Errorf("%s: a failure was told", old)
 			}
 		}
@@ -308,15 +308,15 @@
 			}
 			return ln.Close()
 		})
-		s := &standin.Lists{}
-		c := New(ln.Addr().String(), 0, false, standin.Lim, s, nil, standin.Quiet)
+		s := &testenv.Lists{}
+		c := New(ln.Addr().String(), 0, false, testenv.Lim, s, nil, testenv.Quiet)
 		g.Go(func() error { return c.Run(ctx) })
-		standin.Until(t, name, func() bool { return len(s.All()) > 0 })
+		testenv.Until(t, name, func() bool { return len(s.All()) > 0 })
 		c.Watch(true) // nobody is there any more
-		standin.Until(t, name+", and the call that is asked for", func() bool { return len(s.All()) > 1 })
+		testenv.Until(t, name+", and the call that is asked for", func() bool { return len(s.All()) > 1 })
 		cancel()
 		_ = g.Wait()
-		if l := s.All(); len(l) != 2 || l[0].Form != brain.ListFailed || l[1].Form != brain.ListFailed {
+		if l := s.All(); len(l) != 2 || l[0].Form != dispatch.ListFailed || l[1].Form != dispatch.ListFailed {
 			t.Errorf("%s: %+v", name, l)
 		}
 	}
@@ -325,7 +325,7 @@
 // A call that waited for its turn and was refused has not stood, however long it waited: it fails, and the module says
 // when the next is made.
 func TestRefusedAfterAWaitIsNotBegunAnew(t *testing.T) {
-	lim := standin.Lim
+	lim := testenv.Lim
 	lim.Staleness.Stood = 0 // any wait is longer
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -347,10 +347,10 @@
 			_ = conn.Close()
 		}
 	})
-	s := &standin.Lists{}
-	c := New(ln.Addr().String(), 0, false, lim, s, nil, standin.Quiet)
+	s := &testenv.Lists{}
+	c := New(ln.Addr().String(), 0, false, lim, s, nil, testenv.Quiet)
 	g.Go(func() error { return c.Run(ctx) })
-	standin.Until(t, "the failure", func() bool { return len(s.All()) == 1 && s.All()[0].Form == brain.ListFailed })
+	testenv.Until(t, "the failure", func() bool { return len(s.All()) == 1 && s.All()[0].Form == dispatch.ListFailed })
 	if n := len(calls); n != 1 {
 		t.Errorf("%d calls, want the one that a new process makes", n)
 	}
@@ -454,8 +454,8 @@
 		_, _ = io.WriteString(conn, chunk(text[:30])+chunk(text[30:]))
 		<-ctx.Done()
 	})
-	run(standin.Lim)
-	standin.Until(t, "both", func() bool { return len(s.All()) >= 2 })
+	run(testenv.Lim)
+	testenv.Until(t, "both", func() bool { return len(s.All()) >= 2 })
 	l := s.All()
 	if len(l) != 2 || len(l[0].Entries) != 1 || len(l[1].Entries) != 1 || l[0].Entries[0].Status != "ready" || l[1].Entries[0].Status != "draining" {
 		t.Errorf("%+v", l)
--- a/internal/discovery/push_test.go
+++ b/internal/discovery/push_test.go
@@ -7,8 +7,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/brain"
-	"gatetack/internal/standin"
+	"gatetack/internal/dispatch"
+	"gatetack/internal/testenv"
 )
 
 // Where lists are pushed nobody asks for them: the carrier follows the agent from the start on, goes on after the agent was
@@ -19,32 +19,32 @@
 	agent, away := context.WithCancel(ctx)
 	var g errgroup.Group
 	defer func() { cancel(); _ = g.Wait() }()
-	list, err := standin.NewList(agent, &g)
+	list, err := testenv.NewList(agent, &g)
 	if err != nil {
 		t.Fatal(err)
 	}
-	box := &standin.Box{Name: "s-1", Addr: "127.0.0.1:1"}
+	box := &testenv.Box{Name: "s-1", Addr: "127.0.0.1:1"}
 	list.Put(box, "ready")
-	lim := standin.Lim
+	lim := testenv.Lim
 	lim.PushAgain = 5 * time.Millisecond
-	s := &standin.Lists{}
-	c := New(list.Addr, 0, true, lim, s, nil, standin.Quiet)
+	s := &testenv.Lists{}
+	c := New(list.Addr, 0, true, lim, s, nil, testenv.Quiet)
 	g.Go(func() error { return c.Run(ctx) })
-	standin.Until(t, "the list comes unasked", func() bool { return len(s.All()) == 1 })
+	testenv.Until(t, "the list comes unasked", func() bool { return len(s.All()) == 1 })
 	list.Put(box, "draining")
-	standin.Until(t, "a change comes", func() bool { return len(s.All()) == 2 })
+	testenv.Until(t, "a change comes", func() bool { return len(s.All()) == 2 })
 	c.Watch(true) // what the module may ask for changes nothing
 	away()
-	next, err := standin.NewList(ctx, &g)
+	next, err := testenv.NewList(ctx, &g)
 	if err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(30 * time.Millisecond) // while nothing listens there
 	next.Put(box, "gone")
 	c.Move(next.Addr)
-	standin.Until(t, "the next agent is followed", func() bool { return len(s.All()) >= 3 })
+	testenv.Until(t, "the next agent is followed", func() bool { return len(s.All()) >= 3 })
 	for _, l := range s.All() {
-		if l.Form == brain.ListFailed {
+		if l.Form == dispatch.ListFailed {
 			t.Error("a failure was told of a list that nobody asked for")
 		}
 	}
--- a/brain/brain.go
+++ b/internal/dispatch/brain.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 // Every decision is here, in a job's order: intake, admission, placement, outcomes, health, list, timers.
 
--- /dev/null
+++ b/internal/dispatch/example_test.go
@@ -0,0 +1,47 @@
+package dispatch_test
+
+import (
+	"fmt"
+
+	"gatetack/internal/dispatch"
+)
+
+// A host feeds events in and carries actions out. Here a node with one worker gets a request, is told that
+// it was served, and has nothing left to answer.
+func Example() {
+	settings := dispatch.Settings{
+		Balancers:   1,
+		MaxAttempts: 2, FallMultiple: 3,
+		Classes: []dispatch.Class{{Aim: 400, Deadline: 5000, Worth: 1, Effect: dispatch.Safe, Kind: -1}},
+	}
+	d, err := dispatch.New(settings, 42)
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	var actions []dispatch.Action
+	carryOut := func(now float64, events ...dispatch.Event) {
+		actions = d.Step(now, events, actions[:0])
+		for _, a := range actions {
+			switch a.Kind {
+			case dispatch.ActSend:
+				fmt.Printf("%.0f ms: send job %d to worker %d\n", now, a.Job, a.Worker)
+			case dispatch.ActRefuse:
+				fmt.Printf("%.0f ms: refuse job %d\n", now, a.Job)
+			case dispatch.ActFail:
+				fmt.Printf("%.0f ms: fail job %d\n", now, a.Job)
+			case dispatch.ActTimer:
+				// A real host delivers EvTimer with a.Token after a.For ms.
+			}
+		}
+	}
+	carryOut(1000, dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListCached,
+		Rows: []dispatch.Row{{Worker: 7, Condition: dispatch.Ready, Scale: 1}}})
+	carryOut(1010, dispatch.Event{Kind: dispatch.EvRequest, Job: 1, TimeLeft: 5000, Slots: 1})
+	carryOut(1300, dispatch.Event{Kind: dispatch.EvOutcome, Job: 1, Worker: 7, Outcome: dispatch.Served, Final: true})
+	carryOut(1400, dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListFull}) // the worker has left
+	carryOut(1500, dispatch.Event{Kind: dispatch.EvRequest, Job: 2, TimeLeft: 10, Slots: 1})
+	// Output:
+	// 1010 ms: send job 1 to worker 7
+	// 1500 ms: refuse job 2
+}
--- a/brain/refuse_test.go
+++ b/internal/dispatch/refuse_test.go
@@ -1,4 +1,4 @@
-package brain
+package dispatch
 
 import "testing"
 
--- a/brain/types.go
+++ b/internal/dispatch/types.go
@@ -1,4 +1,4 @@
-// Package brain decides for one dispatcher: which jobs it admits, where and when it sends them, when it
+// Package dispatch decides for one dispatcher: which jobs it admits, where and when it sends them, when it
 // tries again and how each ends. This file is the whole interface; every decision is in brain.go.
 //
 // # What a host does
@@ -39,7 +39,7 @@
 //
 // Events about unknown jobs, attempts or workers, of odd numbers or out of place, are passed over. A class or
 // tenant past the end of its list is taken as the last.
-package brain
+package dispatch
 
 // Effect says what a repeat of a request may do.
 type Effect uint8
--- a/internal/staleness/clock.go
+++ b/internal/endpointwatch/clock.go
@@ -1,4 +1,4 @@
-// Package staleness decides when a node that follows the list of executors calls discovery, gives a call up and calls again, so
+// Package endpointwatch decides when a node that follows the list of executors calls discovery, gives a call up and calls again, so
 // that it never acts on a list that is staler than the protocol allows. It does no I/O, reads no clock and starts no goroutine:
 // package discovery tells it what happened and does what it says.
 //
@@ -17,7 +17,7 @@
 // last there is one deadline: Silence after the last good look (the start of the process, where there was none), less the time
 // that an answer may take. The module may call sooner; if it has not, the call is made here then. Once that is past, since the
 // list could not be reached, calls are made here so often that two fit into the time from its return on.
-package staleness
+package endpointwatch
 
 import "time"
 
--- a/internal/staleness/clock_test.go
+++ b/internal/endpointwatch/clock_test.go
@@ -1,4 +1,4 @@
-package staleness
+package endpointwatch
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "gatetack/internal/seeds"
+	_ "gatetack/internal/testrand"
 )
 
 const ms = time.Millisecond
--- a/internal/staleness/startup.go
+++ b/internal/endpointwatch/startup.go
@@ -1,4 +1,4 @@
-package staleness
+package endpointwatch
 
 import "time"
 
--- a/internal/executor/callback.go
+++ b/internal/executor/callback.go
@@ -8,7 +8,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/http1"
 	"gatetack/internal/node"
 )
@@ -70,26 +70,26 @@
 	report := c.object(v.Get("load"))
 	switch v.Get("state").String() {
 	case "started":
-		c.sink.Result(node.Result{Attempt: t.ID, Topic: brain.NoteStarted})
+		c.sink.Result(node.Result{Attempt: t.ID, Topic: dispatch.NoteStarted})
 	case "running":
-		c.sink.Result(node.Result{Attempt: t.ID, Topic: brain.NoteProgress, Amount: v.Get("share").Float()})
+		c.sink.Result(node.Result{Attempt: t.ID, Topic: dispatch.NoteProgress, Amount: v.Get("share").Float()})
 	case "done":
 		result := v.Get("result")
 		if result.Type != gjson.String {
 			// Whatever was passed on for it would be a result that no executor made.
 			c.log.Warn("a callback says done without a result", "from", key.from, "job", key.trace)
-			c.end(t, brain.Errored, report, nil)
+			c.end(t, dispatch.Errored, report, nil)
 			break
 		}
-		c.end(t, brain.Served, report, []byte(result.Str))
+		c.end(t, dispatch.Served, report, []byte(result.Str))
 	case "failed":
-		c.end(t, brain.Errored, report, nil)
+		c.end(t, dispatch.Errored, report, nil)
 	case "returned":
 		if c.handedBack(t) {
-			c.end(t, brain.Full, report, nil)
+			c.end(t, dispatch.Full, report, nil)
 		}
 	case "lost":
-		c.end(t, brain.Reset, report, nil)
+		c.end(t, dispatch.Reset, report, nil)
 	default:
 		c.log.Warn("a callback with an unknown state", "state", v.Get("state").String())
 	}
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -12,13 +12,13 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/brain"
-	"gatetack/internal/gate"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/http1"
 	"gatetack/internal/node"
-	"gatetack/internal/pace"
-	"gatetack/internal/sock"
-	"gatetack/internal/standin"
+	"gatetack/internal/precheck"
+	"gatetack/internal/slowpeer"
+	"gatetack/internal/tcpinfo"
+	"gatetack/internal/testenv"
 )
 
 // pausing is a sink that stands still while it is told that a sign of an attempt is owed: whoever reads the answer stands with it.
@@ -28,7 +28,7 @@
 }
 
 func (p *pausing) Result(r node.Result) {
-	if r.Topic == brain.NoteLate && r.Outcome == 0 {
+	if r.Topic == dispatch.NoteLate && r.Outcome == 0 {
 		p.told <- true
 		<-p.on
 	}
@@ -44,7 +44,7 @@
 		_, _ = request(r)
 		<-accept
 		_, _ = io.WriteString(conn, accepted)
-		standin.Until(t, "the other side has the 202", func() bool { return sock.Queued(conn) == 0 })
+		testenv.Until(t, "the other side has the 202", func() bool { return tcpinfo.Queued(conn) == 0 })
 		told <- true
 		_, _ = r.ReadByte() // until it is closed
 	}, func(conn net.Conn) {
@@ -77,7 +77,7 @@
 
 // The same where the 202 has been read and is noted only after the giving up; noted once more, it makes no second DELETE.
 func TestCancelCrossesTheNoteOfA202(t *testing.T) {
-	c, _ := setup(t, standin.Lim)
+	c, _ := setup(t, testenv.Lim)
 	asked := make(chan bool, 1)
 	next := make(chan string, 4)
 	box(t, c, func(conn net.Conn) {
@@ -105,7 +105,7 @@
 	c.take(given)
 	c.take(given)
 	expectDelete(t, next)
-	standin.Until(t, "all is told", func() bool { return len(c.slots) == 0 })
+	testenv.Until(t, "all is told", func() bool { return len(c.slots) == 0 })
 	if len(next) != 0 {
 		t.Errorf("%d further calls", len(next))
 	}
@@ -126,7 +126,7 @@
 // An executor handed a request back, was sent it again, and says once more that it handed it back, since the answer to its first
 // call was lost: the second attempt goes on, to its result. Another executor's word is its own.
 func TestRepeatedReturnEndsNothing(t *testing.T) {
-	c, s := setup(t, standin.Lim)
+	c, s := setup(t, testenv.Lim)
 	box(t, c, says(accepted))
 	word := func(from, rest string) {
 		t.Helper()
@@ -137,7 +137,7 @@
 	send := func(a node.Attempt) {
 		t.Helper()
 		c.Send(a)
-		standin.Until(t, "its last byte is out", func() bool {
+		testenv.Until(t, "its last byte is out", func() bool {
 			c.mu.Lock()
 			x := c.live[a.ID]
 			c.mu.Unlock()
@@ -149,7 +149,7 @@
 	const returned = `"state":"returned"`
 	send(attempt(1))
 	word("s-7", returned)
-	if got := s.outcomes(1); len(got) != 1 || got[0] != brain.Full {
+	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Full {
 		t.Fatalf("handed back: %v", got)
 	}
 	send(attempt(2))
@@ -163,11 +163,11 @@
 	third.Worker = 8
 	send(third)
 	word("s-8", returned)
-	if got := s.outcomes(3); len(got) != 1 || got[0] != brain.Full {
+	if got := s.outcomes(3); len(got) != 1 || got[0] != dispatch.Full {
 		t.Errorf("another executor hands it back: %v", got)
 	}
 	word("s-7", `"state":"done","result":"tile"`)
-	if got := s.outcomes(2); len(got) != 1 || got[0] != brain.Served {
+	if got := s.outcomes(2); len(got) != 1 || got[0] != dispatch.Served {
 		t.Errorf("the second attempt: %v", got)
 	}
 }
@@ -188,7 +188,7 @@
 // An attempt tells its executor no more time than is left when its bytes are made, however long it waited before: here in the
 // look before its first byte.
 func TestToldTimeIsWhatIsLeft(t *testing.T) {
-	c, _ := setup(t, standin.Lim)
+	c, _ := setup(t, testenv.Lim)
 	came := make(chan string, 1)
 	box(t, c, func(conn net.Conn) {
 		text, _ := request(bufio.NewReader(conn))
@@ -196,12 +196,12 @@
 	})
 	a := attempt(1)
 	looks, left := 0, time.Duration(0)
-	a.Job.Still = func() gate.Reason {
+	a.Job.Still = func() precheck.Reason {
 		if looks++; looks == 2 { // before its first byte
 			time.Sleep(20 * time.Millisecond)
 			left = time.Until(a.Deadline)
 		}
-		return gate.May
+		return precheck.May
 	}
 	c.Send(a)
 	_, rest, _ := strings.Cut(<-came, "\r\nX-Expires-In-Ms: ")
@@ -214,9 +214,9 @@
 // A request whose last byte could go only long after it was made, since the other machine took the rest of it slowly, is made anew
 // on another connection, with the time that is left then. The first one never gets its last byte.
 func TestToldTimeIsRenewedAfterAWait(t *testing.T) {
-	lim := standin.Lim
+	lim := testenv.Lim
 	lim.TimeSpare = 20 * time.Millisecond
-	lim.Pace.BoxOut = pace.Rate{Bytes: 1, Grace: 20 * time.Second}
+	lim.Pace.BoxOut = slowpeer.Rate{Bytes: 1, Grace: 20 * time.Second}
 	c, s := setup(t, lim)
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -14,19 +14,19 @@
 	"github.com/tidwall/gjson"
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/failpoint"
-	"gatetack/internal/gate"
 	"gatetack/internal/http1"
 	"gatetack/internal/limits"
 	"gatetack/internal/node"
-	"gatetack/internal/pace"
+	"gatetack/internal/precheck"
+	"gatetack/internal/slowpeer"
 )
 
 // Sink takes what came of attempts and probes.
 type Sink interface {
 	Result(node.Result)
-	Probed(worker uint32, o brain.Outcome, elapsed time.Duration, report []float32)
+	Probed(worker uint32, o dispatch.Outcome, elapsed time.Duration, report []float32)
 }
 
 // Client speaks to all executors.
@@ -39,7 +39,7 @@
 	ctx   context.Context
 	pool  *pool
 	owed  *owed
-	tally *pace.Tally
+	tally *slowpeer.Tally
 	slots chan struct{} // connections that may be used to give up attempts at a time
 
 	mu      sync.Mutex
@@ -78,10 +78,10 @@
 }
 
 // New makes a client whose goroutines belong to g and end with ctx.
-func New(ctx context.Context, g *errgroup.Group, lim limits.Limits, names node.Names, sink Sink, slow *pace.Tally,
+func New(ctx context.Context, g *errgroup.Group, lim limits.Limits, names node.Names, sink Sink, slow *slowpeer.Tally,
 	log *slog.Logger) *Client {
 	return &Client{lim: lim, names: names, sink: sink, log: log, g: g, ctx: ctx, pool: newPool(lim, slow), tally: slow,
-		owed:  &owed{acks: pace.NewAcks(lim.Pace.Acks)},
+		owed:  &owed{acks: slowpeer.NewAcks(lim.Pace.Acks)},
 		slots: make(chan struct{}, lim.GiveUps), workers: map[uint32]*worker{}, live: map[uint64]*try{}, byName: map[liveKey]*try{},
 		returns: returns{}}
 }
@@ -95,7 +95,7 @@
 		w = &worker{name: e.Name}
 		c.workers[id] = w
 	}
-	listed := e.Condition() != brain.Gone
+	listed := e.Condition() != dispatch.Gone
 	if e.Address != "" && e.Address != w.addr || listed && e.SinceMS != w.born {
 		c.pool.drop(w.addr) // they lead to another machine, or to a process that has ended
 	}
@@ -106,12 +106,12 @@
 		w.born = e.SinceMS
 	}
 	switch {
-	case e.Condition() == brain.Ready:
+	case e.Condition() == dispatch.Ready:
 		w.stopAt = time.Time{}
 	case w.stopAt.IsZero():
 		w.stopAt = at.Add(c.lim.DrainSpare)
 	}
-	if e.Condition() == brain.Gone {
+	if e.Condition() == dispatch.Gone {
 		c.pool.drop(w.addr)
 	}
 }
@@ -128,19 +128,19 @@
 
 // may asks, with what stands at this moment, whether an attempt may still go, and where to. It is the only place that asks,
 // before each connection and again after whatever takes a while. A try's lock is held, or nobody else knows of the try.
-func (c *Client) may(t *try) (string, gate.Reason) {
-	why := gate.May
+func (c *Client) may(t *try) (string, precheck.Reason) {
+	why := precheck.May
 	if t.Job.Still != nil {
 		why = t.Job.Still() // it may take a lock: what follows is looked at after it
 	}
-	a := gate.Ask{Now: time.Now(), Over: t.over || t.Answered != nil && t.Answered.Load(), Job: why, Deadline: t.Deadline, Was: t.Born, Rules: t.Rules}
+	a := precheck.Ask{Now: time.Now(), Over: t.over || t.Answered != nil && t.Answered.Load(), Job: why, Deadline: t.Deadline, Was: t.Born, Rules: t.Rules}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	addr := ""
 	if w := c.workers[t.Worker]; w != nil {
 		addr, a.Listed, a.StopAt, a.Began = w.addr, true, w.stopAt, w.born
 	}
-	if why = a.May(); why != gate.May {
+	if why = a.May(); why != precheck.May {
 		c.log.Debug("an attempt does not go", "job", t.Job.Trace, "to", t.key.from, "why", why)
 	}
 	return addr, why
@@ -151,14 +151,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	addr, why := c.may(t)
-	return addr, why == gate.May
+	return addr, why == precheck.May
 }
 
 // commit is may for the last time: if the attempt goes, it counts as written from here on, before its last byte is.
 func (c *Client) commit(t *try) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, why := c.may(t); why != gate.May {
+	if _, why := c.may(t); why != precheck.May {
 		return false
 	}
 	t.written, t.wrote = true, time.Now()
@@ -188,7 +188,7 @@
 	w := c.workers[a.Worker]
 	if w == nil {
 		c.mu.Unlock()
-		c.g.Go(func() error { c.sink.Result(node.Result{Attempt: a.ID, Outcome: brain.Moot}); return nil })
+		c.g.Go(func() error { c.sink.Result(node.Result{Attempt: a.ID, Outcome: dispatch.Moot}); return nil })
 		return
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
@@ -202,7 +202,7 @@
 		if a.Job.Before != nil {
 			if err := a.Job.Before(name); err != nil {
 				c.log.Warn("a send was not recorded and is not made", "job", a.Job.Trace, "err", err)
-				c.end(t, brain.Moot, nil, nil)
+				c.end(t, dispatch.Moot, nil, nil)
 				return nil
 			}
 		}
@@ -215,7 +215,7 @@
 }
 
 // end takes an attempt off and tells its outcome, once.
-func (c *Client) end(t *try, o brain.Outcome, report []float32, body []byte) {
+func (c *Client) end(t *try, o dispatch.Outcome, report []float32, body []byte) {
 	if c.takeOff(t) {
 		c.sink.Result(node.Result{Attempt: t.ID, Outcome: o, Report: report, Body: body})
 	}
@@ -241,11 +241,11 @@
 
 // post writes the job and reads what the executor says at once. An outcome of 0 means that it has taken the
 // job: what becomes of it comes by callback.
-func (c *Client) post(ctx context.Context, t *try) (brain.Outcome, []float32) {
+func (c *Client) post(ctx context.Context, t *try) (dispatch.Outcome, []float32) {
 	for n := 0; ; n++ {
 		addr, ok := c.still(t)
 		if !ok {
-			return brain.Moot, nil
+			return dispatch.Moot, nil
 		}
 		conn, err := c.pool.get(ctx, addr)
 		if err == nil && !conn.kept {
@@ -255,20 +255,20 @@
 			if ctx.Err() == nil {
 				c.log.Debug("connect", "to", addr, "err", err)
 			}
-			return brain.ConnectFailed, nil
+			return dispatch.ConnectFailed, nil
 		}
 		o, report := c.postOn(ctx, t, conn)
 		// A kept connection can have ended on the other side without a sign, until the next request comes. Nothing
 		// was sent then - the last byte was not written - and the attempt takes another connection. One that was
 		// made for it and broke says something of the executor: the module hears of that.
-		if o != brain.ConnectFailed || !conn.kept && !conn.stale || n >= c.lim.Reconnects || ctx.Err() != nil {
+		if o != dispatch.ConnectFailed || !conn.kept && !conn.stale || n >= c.lim.Reconnects || ctx.Err() != nil {
 			return o, report
 		}
 	}
 }
 
 // postOn is post over one connection.
-func (c *Client) postOn(ctx context.Context, t *try, conn *conn) (brain.Outcome, []float32) {
+func (c *Client) postOn(ctx context.Context, t *try, conn *conn) (dispatch.Outcome, []float32) {
 	// From here on, giving the attempt up ends what is under way on the connection, which is closed then.
 	stop := context.AfterFunc(ctx, conn.Abort)
 	keep := false
@@ -282,7 +282,7 @@
 	// Much may have been told while the connection was being made: a drain is counted from the first byte.
 	if _, ok := c.still(t); !ok {
 		keep = true
-		return brain.Moot, nil
+		return dispatch.Moot, nil
 	}
 	left, j := time.Until(t.Deadline), t.Job
 	fields := append(make([]http1.Field, 0, 5), http1.Field{Name: "Host", Value: "api.internal"},
@@ -298,33 +298,33 @@
 	}
 	// What breaks before the last byte is written never ran there, and what breaks after it may have: so the last
 	// byte waits until a connection that the other side has forgotten, or resets, has had time to show it.
-	if slow := (*pace.Slow)(nil); errors.As(err, &slow) {
-		c.slow(pace.BoxReads, t, conn, slow)
-		return brain.ConnectFailed, nil
+	if slow := (*slowpeer.Slow)(nil); errors.As(err, &slow) {
+		c.slow(slowpeer.BoxReads, t, conn, slow)
+		return dispatch.ConnectFailed, nil
 	}
 	if err != nil || !conn.stands(c.lim) {
 		c.saw(ctx, conn, true)
-		return brain.ConnectFailed, nil
+		return dispatch.ConnectFailed, nil
 	}
 	// At a box that has not been heard of for a while, which may be cut off, acknowledgements are waited for.
 	if left, ok := conn.reaches(ctx, c.lim, c.unheard(t.Worker)); !ok {
 		if ctx.Err() == nil {
-			c.slow(pace.BoxUnacked, t, conn, &pace.Slow{Direction: "out", Left: left})
+			c.slow(slowpeer.BoxUnacked, t, conn, &slowpeer.Slow{Direction: "out", Left: left})
 		}
-		return brain.ConnectFailed, nil
+		return dispatch.ConnectFailed, nil
 	}
 	// The request was made before that wait, and tells the time that was left then: it is made anew, once, on another connection.
 	if conn.stale = !t.renewed && left-time.Until(t.Deadline) > c.lim.TimeSpare; conn.stale {
 		t.renewed = true
-		return brain.ConnectFailed, nil
+		return dispatch.ConnectFailed, nil
 	}
 	// All that may take a while lies behind.
 	if !c.commit(t) {
-		return brain.Moot, nil
+		return dispatch.Moot, nil
 	}
 	c.owed.sent(t) // before the byte that a callback can follow
 	if err = conn.out.Flush(); err != nil {
-		return brain.ConnectFailed, nil
+		return dispatch.ConnectFailed, nil
 	}
 	failpoint.At(failpoint.Byte)
 	wrote := time.Now()
@@ -336,21 +336,21 @@
 	case errors.As(err, &te) && te.Timeout() && conn.parse.Status() == statusAccepted:
 		return 0, nil // it has taken the job, however slowly it says the rest
 	case err != nil && conn.parse.Status() == 500:
-		return brain.Errored, nil
+		return dispatch.Errored, nil
 	case err != nil:
-		return brain.Reset, nil // its last byte was written: it may have run
+		return dispatch.Reset, nil // its last byte was written: it may have run
 	}
 	keep = !m.Close
 	switch {
 	case m.Status == statusAccepted:
 		return 0, nil
 	case (m.Status == 503 || m.Status == 504) && m.Get("X-Never-Ran") == "1":
-		return brain.Full, c.header(m)
+		return dispatch.Full, c.header(m)
 	}
 	if m.Status != 500 {
 		c.log.Warn("an executor's answer is none of the protocol's", "status", m.Status, "to", conn.addr, "job", j.Trace)
 	}
-	return brain.Errored, c.header(m)
+	return dispatch.Errored, c.header(m)
 }
 
 // saw lets the pool learn from a kept connection, unless its attempt was given up.
@@ -396,18 +396,18 @@
 		ctx, cancel := context.WithTimeout(c.ctx, c.lim.Probe)
 		defer cancel()
 		m, err := c.ask(ctx, addr, "GET", "/load")
-		o, report := brain.Served, []float32(nil)
+		o, report := dispatch.Served, []float32(nil)
 		switch {
 		case errors.Is(err, errConnect):
-			o = brain.ConnectFailed
+			o = dispatch.ConnectFailed
 		case err != nil && ctx.Err() != nil:
-			o = brain.TimedOut
+			o = dispatch.TimedOut
 		case err != nil:
-			o = brain.Reset
+			o = dispatch.Reset
 		case m.Status == 200:
 			report = c.object(gjson.ParseBytes(m.Body))
 		default:
-			o = brain.Errored
+			o = dispatch.Errored
 		}
 		c.sink.Probed(id, o, time.Since(began), report)
 		return nil
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -14,12 +14,12 @@
 	"golang.org/x/sync/errgroup"
 	"pgregory.net/rapid"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/limits"
 	"gatetack/internal/node"
-	"gatetack/internal/pace"
-	_ "gatetack/internal/seeds"
-	"gatetack/internal/standin"
+	"gatetack/internal/slowpeer"
+	"gatetack/internal/testenv"
+	_ "gatetack/internal/testrand"
 )
 
 // sink keeps what the client tells the core.
@@ -34,11 +34,11 @@
 	s.all = append(s.all, r)
 }
 
-func (s *sink) Probed(w uint32, o brain.Outcome, _ time.Duration, report []float32) {
+func (s *sink) Probed(w uint32, o dispatch.Outcome, _ time.Duration, report []float32) {
 	s.Result(node.Result{Attempt: uint64(w) + 1<<40, Outcome: o, Report: report})
 }
 
-func (s *sink) outcomes(id uint64) (out []brain.Outcome) {
+func (s *sink) outcomes(id uint64) (out []dispatch.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range s.all {
@@ -52,14 +52,14 @@
 func setup(t *testing.T, lim limits.Limits) (*Client, *sink) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g, s := &errgroup.Group{}, &sink{}
-	c := New(ctx, g, lim, node.Names{Fields: []string{"pending", "x0"}}, s, &pace.Tally{}, standin.Quiet)
+	c := New(ctx, g, lim, node.Names{Fields: []string{"pending", "x0"}}, s, &slowpeer.Tally{}, testenv.Quiet)
 	t.Cleanup(func() { cancel(); _ = g.Wait() })
 	return c, s
 }
 
 // restless are limits by which a connection is used again at once, for tests of what is seen of the connection itself.
 func restless() limits.Limits {
-	lim := standin.Lim
+	lim := testenv.Lim
 	lim.Rest = 0
 	return lim
 }
@@ -152,26 +152,26 @@
 	for _, x := range []struct {
 		name   string
 		script func(net.Conn)
-		want   brain.Outcome
+		want   dispatch.Outcome
 	}{
-		{"turned away", says("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT queue=4, x0=0.5\r\nContent-Length: 0\r\n\r\n"), brain.Full},
-		{"turned away late", says("HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"), brain.Full},
+		{"turned away", says("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT queue=4, x0=0.5\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
+		{"turned away late", says("HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
 		// A 503 without the word may have run: taken as never run, a tile-charge could be sent twice.
-		{"503 alone", says("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), brain.Errored},
-		{"500", says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), brain.Errored},
-		{"breaks before its answer", says(), brain.Reset},
-		{"breaks within its answer", says("HTTP/1.1 202 Acc"), brain.Reset},
-		{"garbage", says("what?\r\n\r\n"), brain.Reset},
+		{"503 alone", says("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), dispatch.Errored},
+		{"500", says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), dispatch.Errored},
+		{"breaks before its answer", says(), dispatch.Reset},
+		{"breaks within its answer", says("HTTP/1.1 202 Acc"), dispatch.Reset},
+		{"garbage", says("what?\r\n\r\n"), dispatch.Reset},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c, s := setup(t, standin.Lim)
+			c, s := setup(t, testenv.Lim)
 			script := x.script
 			if x.name == "breaks before its answer" {
 				script = func(conn net.Conn) { _, _ = request(bufio.NewReader(conn)) }
 			}
 			box(t, c, script)
 			c.Send(attempt(1))
-			standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 			if got := s.outcomes(1); len(got) != 1 || got[0] != x.want {
 				t.Errorf("%v, want %d", got, x.want)
 			}
@@ -184,7 +184,7 @@
 
 // Callbacks: one may come before the 202, they repeat, and stale ones are passed over. Each attempt has one end.
 func TestCallbacks(t *testing.T) {
-	c, s := setup(t, standin.Lim)
+	c, s := setup(t, testenv.Lim)
 	early := make(chan bool)
 	box(t, c, func(conn net.Conn) {
 		if _, err := request(bufio.NewReader(conn)); err == nil {
@@ -208,10 +208,10 @@
 	}
 	tell("s-7", "lost")
 	early <- true
-	standin.Until(t, "the connection is back", func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 })
+	testenv.Until(t, "the connection is back", func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 })
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.all) != 2 || s.all[0].Topic != brain.NoteStarted || s.all[1].Outcome != brain.Served ||
+	if len(s.all) != 2 || s.all[0].Topic != dispatch.NoteStarted || s.all[1].Outcome != dispatch.Served ||
 		string(s.all[1].Body) != "tile" || len(s.all[1].Report) != 2 {
 		t.Errorf("%+v", s.all)
 	}
@@ -220,14 +220,14 @@
 // A callback that says done and brings no result must not become an answer that no executor made.
 func TestDoneWithoutAResult(t *testing.T) {
 	for _, rest := range []string{``, `,"result":null`, `,"result":7`, `,"result":{}`} {
-		c, s := setup(t, standin.Lim)
+		c, s := setup(t, testenv.Lim)
 		box(t, c, says(accepted))
 		c.Send(attempt(1))
-		standin.Until(t, "an outcome", func() bool {
+		testenv.Until(t, "an outcome", func() bool {
 			_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done"` + rest + `}`))
 			return len(s.outcomes(1)) > 0
 		})
-		if got := s.outcomes(1); got[0] != brain.Errored {
+		if got := s.outcomes(1); got[0] != dispatch.Errored {
 			t.Errorf("%q: %v", rest, got)
 		}
 	}
@@ -236,7 +236,7 @@
 // A callback that comes before anything of an attempt was written is of an earlier one: after "returned", a
 // repeat of that word must not end the next attempt at the same executor.
 func TestStaleCallbackBeforeTheSend(t *testing.T) {
-	c, s := setup(t, standin.Lim)
+	c, s := setup(t, testenv.Lim)
 	n := box(t, c, says(accepted))
 	a := attempt(2)
 	hold, held := make(chan bool), make(chan bool)
@@ -245,13 +245,13 @@
 	<-held
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"returned"}`))
 	hold <- true
-	standin.Until(t, "the send", func() bool { return n() == 1 })
+	testenv.Until(t, "the send", func() bool { return n() == 1 })
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":"x"}`))
-	standin.Until(t, "an outcome", func() bool {
+	testenv.Until(t, "an outcome", func() bool {
 		err := c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":"x"}`))
 		return len(s.outcomes(2)) > 0 || err != nil && !errors.Is(err, ErrNotOurs)
 	})
-	if got := s.outcomes(2); len(got) != 1 || got[0] != brain.Served {
+	if got := s.outcomes(2); len(got) != 1 || got[0] != dispatch.Served {
 		t.Errorf("%v", got)
 	}
 }
@@ -259,7 +259,7 @@
 // Nothing is written to an executor whose drain was told, not even over a connection that was being made; and
 // a drain that was told a moment ago still lets through what was decided before.
 func TestDrainAtTheMomentOfSending(t *testing.T) {
-	lim := standin.Lim
+	lim := testenv.Lim
 	lim.DrainSpare = 0
 	c, s := setup(t, lim)
 	n := box(t, c, says(accepted))
@@ -269,8 +269,8 @@
 		return nil
 	}
 	c.Send(a)
-	standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	if got := s.outcomes(1); got[0] != brain.Moot || n() != 0 {
+	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	if got := s.outcomes(1); got[0] != dispatch.Moot || n() != 0 {
 		t.Errorf("%v, %d connections", got, n())
 	}
 }
@@ -282,10 +282,10 @@
 	n := box(t, c, func(conn net.Conn) { says(accepted)(conn); _ = conn.Close(); close(closed) }, says(accepted, accepted))
 	c.Send(attempt(1))
 	<-closed
-	standin.Until(t, "the connection is back", func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 })
+	testenv.Until(t, "the connection is back", func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 })
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":""}`))
 	c.Send(attempt(2))
-	standin.Until(t, "a second connection", func() bool { return n() == 2 })
+	testenv.Until(t, "a second connection", func() bool { return n() == 2 })
 	if got := s.outcomes(2); len(got) != 0 {
 		t.Errorf("%v", got)
 	}
@@ -302,7 +302,7 @@
 // got the request: on a kept one the attempt goes on over another, on a new one it could not connect. Taken as a
 // reset, each would end a tile-charge for good.
 func TestBrokenBeforeTheLastByte(t *testing.T) {
-	lim := standin.Lim
+	lim := testenv.Lim
 	lim.SettleLeast, lim.SettleMost = 20*time.Second, 20*time.Second // each verdict below comes of what the box does
 	c, s := setup(t, lim)
 	came := make(chan string, 1)
@@ -328,7 +328,7 @@
 		}
 		kept = append(kept, conn)
 	}
-	standin.Until(t, "both are taken", func() bool { return n() == 2 })
+	testenv.Until(t, "both are taken", func() bool { return n() == 2 })
 	for _, conn := range kept {
 		c.pool.put(conn)
 	}
@@ -349,8 +349,8 @@
 		c, s := setup(t, lim)
 		n := box(t, c, script)
 		c.Send(attempt(1))
-		standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-		if got := s.outcomes(1); len(got) != 1 || got[0] != brain.ConnectFailed || n() != 1 {
+		testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+		if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.ConnectFailed || n() != 1 {
 			t.Errorf("%s: %v over %d connections, want one that could not connect", name, got, n())
 		}
 	}
@@ -359,7 +359,7 @@
 // Where connections break after some idle time, those that stood as long are no longer used; those that stood for
 // less are, a break now and then among many uses says nothing, and in time the others are tried again.
 func TestTrustInKeptConnections(t *testing.T) {
-	p := newPool(standin.Lim, nil)
+	p := newPool(testenv.Lim, nil)
 	now := time.Now()
 	saw := func(stood time.Duration, broke bool, n int) {
 		for range n {
@@ -372,19 +372,19 @@
 			t.Errorf("%s: trusted for %v, want %v", what, got, d)
 		}
 	}
-	want("at first", standin.Lim.WorkerIdle)
+	want("at first", testenv.Lim.WorkerIdle)
 	saw(10*time.Millisecond, false, 60)
 	saw(10*time.Millisecond, true, 1)
-	want("one break in many uses", standin.Lim.WorkerIdle)
+	want("one break in many uses", testenv.Lim.WorkerIdle)
 	saw(300*time.Millisecond, true, 1)
 	want("one break in few uses", 256*time.Millisecond)
 	saw(200*time.Millisecond, false, 3)
 	saw(200*time.Millisecond, true, 2)
 	want("breaks of younger ones", 128*time.Millisecond)
-	now = now.Add(10 * standin.Lim.KeptMemory)
-	want("long after", standin.Lim.WorkerIdle)
+	now = now.Add(10 * testenv.Lim.KeptMemory)
+	want("long after", testenv.Lim.WorkerIdle)
 	saw(time.Hour, true, 3)
-	want("the longest span", min(standin.Lim.KeptFirst<<10, standin.Lim.WorkerIdle))
+	want("the longest span", min(testenv.Lim.KeptFirst<<10, testenv.Lim.WorkerIdle))
 }
 
 // Attempts follow one another on one connection; one that has stood idle for too long is not used again.
@@ -395,11 +395,11 @@
 	n := box(t, c, says(accepted, accepted, accepted))
 	for id := range uint64(3) {
 		c.Send(attempt(id + 1))
-		standin.Until(t, "the attempt's end", func() bool {
+		testenv.Until(t, "the attempt's end", func() bool {
 			_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":""}`))
 			return len(s.outcomes(id+1)) == 1
 		})
-		standin.Until(t, "the connection is back", func() bool {
+		testenv.Until(t, "the connection is back", func() bool {
 			c.pool.mu.Lock()
 			defer c.pool.mu.Unlock()
 			idle := 0
@@ -414,7 +414,7 @@
 	}
 	c.pool.lim.WorkerIdle = 0
 	c.Send(attempt(9))
-	standin.Until(t, "a new connection", func() bool { return n() == 2 })
+	testenv.Until(t, "a new connection", func() bool { return n() == 2 })
 }
 
 // An address where nobody listens: never ran. No executor of that number: never sent.
@@ -430,8 +430,8 @@
 	b := attempt(2)
 	b.Worker = 8
 	c.Send(b)
-	standin.Until(t, "two outcomes", func() bool { return len(s.outcomes(1)) == 1 && len(s.outcomes(2)) == 1 })
-	if s.outcomes(1)[0] != brain.ConnectFailed || s.outcomes(2)[0] != brain.Moot {
+	testenv.Until(t, "two outcomes", func() bool { return len(s.outcomes(1)) == 1 && len(s.outcomes(2)) == 1 })
+	if s.outcomes(1)[0] != dispatch.ConnectFailed || s.outcomes(2)[0] != dispatch.Moot {
 		t.Errorf("%v %v", s.outcomes(1), s.outcomes(2))
 	}
 }
@@ -459,7 +459,7 @@
 	c.GiveUp(1)
 	<-ended
 	c.Send(attempt(2))
-	standin.Until(t, "the connection is back", func() bool {
+	testenv.Until(t, "the connection is back", func() bool {
 		c.pool.mu.Lock()
 		defer c.pool.mu.Unlock()
 		for _, l := range c.pool.idle {
@@ -481,7 +481,7 @@
 
 // Garbage for callbacks and load reports is refused or passed over.
 func TestGarbage(t *testing.T) {
-	c, s := setup(t, standin.Lim)
+	c, s := setup(t, testenv.Lim)
 	good := `{"id":"00000000000000aa","from":"s-7","state":"done","result":"x","load":{"queue":1}}`
 	rapid.Check(t, func(t *rapid.T) {
 		b := []byte(good)
--- a/internal/executor/giveup.go
+++ b/internal/executor/giveup.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"gatetack/internal/sock"
+	"gatetack/internal/tcpinfo"
 )
 
 // GiveUp ends an attempt without a result: before the 202 by closing its connection, later by DELETE.
@@ -54,7 +54,7 @@
 // the giving up says that the executor has the job, and a close is no sign to it any more: it is told by DELETE.
 func (c *Client) lastLook(t *try, conn *conn) {
 	unread := make([]byte, conn.in.Free())
-	conn.in.Put(unread[:sock.Take(conn.Conn, unread)])
+	conn.in.Put(unread[:tcpinfo.Take(conn.Conn, unread)])
 	m, _ := conn.parse.Feed(conn.in) // an answer that is broken concerns nobody: the attempt is over
 	if m != nil && m.Status == statusAccepted || m == nil && conn.parse.Status() == statusAccepted {
 		c.take(t)
--- a/internal/executor/pool.go
+++ b/internal/executor/pool.go
@@ -12,8 +12,8 @@
 
 	"gatetack/internal/http1"
 	"gatetack/internal/limits"
-	"gatetack/internal/pace"
-	"gatetack/internal/sock"
+	"gatetack/internal/slowpeer"
+	"gatetack/internal/tcpinfo"
 )
 
 // conn is a connection to an executor, with one ring buffer a direction.
@@ -35,7 +35,7 @@
 
 // quiet says that the other side has neither closed an idle connection nor written to it. A request written to
 // one that it has closed would count as sent, and might have run.
-func (c *conn) quiet() bool { return c.in.Len() == 0 && sock.Quiet(c.Conn) }
+func (c *conn) quiet() bool { return c.in.Len() == 0 && tcpinfo.Quiet(c.Conn) }
 
 // settle is a round trip, about.
 func (c *conn) settle(lim limits.Limits) time.Duration {
@@ -59,7 +59,7 @@
 func (c *conn) reaches(ctx context.Context, lim limits.Limits, all bool) (left int, ok bool) {
 	end := time.Now().Add(lim.Pace.BoxOut.Grace)
 	for look := c.settle(lim); ; look = min(2*look, 50*time.Millisecond) {
-		info, known := sock.Of(c.Conn)
+		info, known := tcpinfo.Of(c.Conn)
 		if !known || info.Queued == 0 || info.Unsent == 0 && !all {
 			return 0, true
 		}
@@ -80,9 +80,9 @@
 	dialer net.Dialer
 
 	mu    sync.Mutex
-	idle  map[string][]*conn   // the one used last at the end
-	open  *pace.Ledger[string] // connections by address: one box that holds all it gets must leave some to the others
-	tally *pace.Tally
+	idle  map[string][]*conn       // the one used last at the end
+	open  *slowpeer.Ledger[string] // connections by address: one box that holds all it gets must leave some to the others
+	tally *slowpeer.Tally
 	ages  ages
 }
 
@@ -134,9 +134,9 @@
 	return p.lim.WorkerIdle
 }
 
-func newPool(lim limits.Limits, tally *pace.Tally) *pool {
+func newPool(lim limits.Limits, tally *slowpeer.Tally) *pool {
 	return &pool{lim: lim, dialer: net.Dialer{Timeout: lim.Connect}, idle: map[string][]*conn{}, tally: tally,
-		open: pace.NewLedger[string](lim.WorkerConns, lim.Pace.Least, lim.Pace.Alpha)}
+		open: slowpeer.NewLedger[string](lim.WorkerConns, lim.Pace.Least, lim.Pace.Alpha)}
 }
 
 // get gives an idle connection that still stands, or a new one.
@@ -192,7 +192,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	v := p.open.Take(addr, 1)
-	if v == pace.LetGo {
+	if v == slowpeer.LetGo {
 		var oldest *conn
 		for _, l := range p.idle {
 			if len(l) > 0 && (oldest == nil || l[0].idle.Before(oldest.idle)) {
@@ -207,10 +207,10 @@
 		}
 	}
 	switch v {
-	case pace.HoldBack:
-		p.tally.Add(pace.BoxShare)
+	case slowpeer.HoldBack:
+		p.tally.Add(slowpeer.BoxShare)
 		return fmt.Errorf("%w: %d of %d are open to %s, its share", errConnect, p.open.Held(addr), p.lim.WorkerConns, addr)
-	case pace.LetGo:
+	case slowpeer.LetGo:
 		return fmt.Errorf("%w: %d are open", errConnect, p.lim.WorkerConns)
 	}
 	return nil
--- a/internal/executor/slow.go
+++ b/internal/executor/slow.go
@@ -7,17 +7,17 @@
 	"sync"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/http1"
 	"gatetack/internal/node"
-	"gatetack/internal/pace"
+	"gatetack/internal/slowpeer"
 )
 
 // owed keeps what boxes owe signs of: jobs whose last byte went to them, until a 202, another answer or a callback
 // shows that they have it. Its own lock comes after a try's.
 type owed struct {
 	mu   sync.Mutex
-	acks *pace.Acks
+	acks *slowpeer.Acks
 }
 
 func (o *owed) sent(t *try) {
@@ -57,11 +57,11 @@
 
 // overdue takes in that no sign came in time, and says what that makes of the box. Of a job that was signed for
 // meanwhile, or is over, it makes nothing.
-func (o *owed) overdue(t *try, now time.Time) pace.Verdict {
+func (o *owed) overdue(t *try, now time.Time) slowpeer.Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.signed || t.over {
-		return pace.Keep
+		return slowpeer.Keep
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -78,7 +78,7 @@
 }
 
 // slow counts and logs what a box is slow at.
-func (c *Client) slow(k pace.Kind, t *try, conn *conn, why *pace.Slow) {
+func (c *Client) slow(k slowpeer.Kind, t *try, conn *conn, why *slowpeer.Slow) {
 	c.tally.Add(k)
 	c.log.Info("slow box", "kind", k.String(), "box", t.key.from, "to", conn.addr, "job", t.Job.Trace, "why", why)
 }
@@ -117,10 +117,10 @@
 			c.lastLook(t, conn)
 			return nil, err
 		}
-		switch slow, te := (*pace.Slow)(nil), net.Error(nil); {
+		switch slow, te := (*slowpeer.Slow)(nil), net.Error(nil); {
 		case err == nil:
 		case errors.As(err, &slow):
-			c.slow(pace.BoxDrips, t, conn, slow)
+			c.slow(slowpeer.BoxDrips, t, conn, slow)
 			return nil, err
 		case !errors.As(err, &te) || !te.Timeout() || by == last:
 			if m, end := conn.parse.End(); m != nil && end == nil {
@@ -130,13 +130,13 @@
 		default:
 			now := time.Now()
 			switch c.owed.overdue(t, now) {
-			case pace.HoldBack:
+			case slowpeer.HoldBack:
 				told = true
-				c.slow(pace.BoxLate, t, conn, &pace.Slow{Direction: "in"})
-				c.sink.Result(node.Result{Attempt: t.ID, Topic: brain.NoteLate})
+				c.slow(slowpeer.BoxLate, t, conn, &slowpeer.Slow{Direction: "in"})
+				c.sink.Result(node.Result{Attempt: t.ID, Topic: dispatch.NoteLate})
 			default:
 				if t.open() {
-					c.tally.Add(pace.BoxCrowd)
+					c.tally.Add(slowpeer.BoxCrowd)
 				}
 				ask = now.Add(c.owed.due(t))
 			}
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -13,17 +13,17 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/limits"
 	"gatetack/internal/node"
-	"gatetack/internal/pace"
-	"gatetack/internal/standin"
+	"gatetack/internal/slowpeer"
+	"gatetack/internal/testenv"
 )
 
 // hasty are limits under which a box is late after 50 ms.
 func hasty() limits.Limits {
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.Pace.Acks = pace.AckRule{Least: 50 * time.Millisecond, Most: 200 * time.Millisecond, Times: 3, Memory: time.Minute, Crowd: 0.5}
+	lim.Pace.Acks = slowpeer.AckRule{Least: 50 * time.Millisecond, Most: 200 * time.Millisecond, Times: 3, Memory: time.Minute, Crowd: 0.5}
 	return lim
 }
 
@@ -32,7 +32,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range s.all {
-		if r.Attempt == id && r.Outcome == 0 && r.Topic == brain.NoteLate {
+		if r.Attempt == id && r.Outcome == 0 && r.Topic == dispatch.NoteLate {
 			n++
 		}
 	}
@@ -63,7 +63,7 @@
 			c, s := setup(t, hasty())
 			box(t, c, script)
 			c.Send(attempt(1))
-			standin.Until(t, "the word of it", func() bool { return s.late(1) > 0 })
+			testenv.Until(t, "the word of it", func() bool { return s.late(1) > 0 })
 			time.Sleep(300 * time.Millisecond) // longer than it takes to be told again, were it told again
 			if got := s.outcomes(1); len(got) != 0 || s.late(1) != 1 {
 				t.Errorf("told %d times, outcomes %v", s.late(1), got)
@@ -73,7 +73,7 @@
 					t.Error(err)
 				}
 			}
-			if got := s.outcomes(1); len(got) != 1 || got[0] != brain.Served || c.owed.acks.Late("s-7") != 0 {
+			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served || c.owed.acks.Late("s-7") != 0 {
 				t.Errorf("%v, %d still owed", got, c.owed.acks.Late("s-7"))
 			}
 		})
@@ -92,7 +92,7 @@
 	})
 	c.Send(attempt(1))
 	<-got
-	standin.Until(t, "the start is taken", func() bool {
+	testenv.Until(t, "the start is taken", func() bool {
 		_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"started"}`))
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -108,7 +108,7 @@
 // rate and counted, and the attempt goes on to its result.
 func TestRestOfA202Drips(t *testing.T) {
 	lim := hasty()
-	lim.Pace.BoxIn = pace.Rate{Bytes: 1 << 20, Grace: 60 * time.Millisecond}
+	lim.Pace.BoxIn = slowpeer.Rate{Bytes: 1 << 20, Grace: 60 * time.Millisecond}
 	c, s := setup(t, lim)
 	closed := make(chan bool)
 	box(t, c, func(conn net.Conn) {
@@ -124,11 +124,11 @@
 	})
 	c.Send(attempt(1))
 	<-closed
-	if got := s.outcomes(1); len(got) != 0 || s.late(1) != 0 || c.tally.Count(pace.BoxDrips) != 1 {
-		t.Errorf("outcomes %v, late %d, drips %d", got, s.late(1), c.tally.Count(pace.BoxDrips))
+	if got := s.outcomes(1); len(got) != 0 || s.late(1) != 0 || c.tally.Count(slowpeer.BoxDrips) != 1 {
+		t.Errorf("outcomes %v, late %d, drips %d", got, s.late(1), c.tally.Count(slowpeer.BoxDrips))
 	}
 	_ = c.Callback([]byte(done))
-	if got := s.outcomes(1); len(got) != 1 || got[0] != brain.Served {
+	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served {
 		t.Errorf("%v", got)
 	}
 }
@@ -139,7 +139,7 @@
 	for name, size := range map[string]int{"the kernel takes all": 60 << 10, "the write stalls": 32 << 20} {
 		t.Run(name, func(t *testing.T) {
 			lim := hasty()
-			lim.Pace.BoxOut = pace.Rate{Bytes: 1 << 30, Grace: 100 * time.Millisecond}
+			lim.Pace.BoxOut = slowpeer.Rate{Bytes: 1 << 30, Grace: 100 * time.Millisecond}
 			c, s := setup(t, lim)
 			release := make(chan bool)
 			defer close(release)
@@ -162,8 +162,8 @@
 			a := attempt(1)
 			a.Job.Body = []byte(strings.Repeat("b", size))
 			c.Send(a)
-			standin.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-			if got := s.outcomes(1); got[0] != brain.ConnectFailed || c.tally.Count(pace.BoxReads)+c.tally.Count(pace.BoxUnacked) != 1 {
+			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+			if got := s.outcomes(1); got[0] != dispatch.ConnectFailed || c.tally.Count(slowpeer.BoxReads)+c.tally.Count(slowpeer.BoxUnacked) != 1 {
 				t.Errorf("%v, %s", got, c.tally.JSON())
 			}
 			release <- true
@@ -187,12 +187,12 @@
 	g := &errgroup.Group{}
 	defer func() { cancel(); _ = g.Wait() }()
 	for i := range uint32(4) {
-		b, err := standin.NewBox(ctx, g, "s-"+string('a'+rune(i)), "127.0.0.1:1", time.Millisecond)
+		b, err := testenv.NewBox(ctx, g, "s-"+string('a'+rune(i)), "127.0.0.1:1", time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Set(func(h *standin.Behaviour) { h.Mute = true })
-		slow, err := standin.NewSlow(ctx, g, b.Addr, standin.Script{}, standin.Script{Delay: time.Hour}, 1)
+		b.Set(func(h *testenv.Behaviour) { h.Mute = true })
+		slow, err := testenv.NewSlow(ctx, g, b.Addr, testenv.Script{}, testenv.Script{Delay: time.Hour}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -205,7 +205,7 @@
 		a.Worker, a.Job.Trace = 20+uint32(i), "00000000000000a"+string('0'+rune(i))
 		c.Send(a)
 	}
-	standin.Until(t, "the crowd is seen", func() bool { return c.tally.Count(pace.BoxCrowd) >= 8 })
+	testenv.Until(t, "the crowd is seen", func() bool { return c.tally.Count(slowpeer.BoxCrowd) >= 8 })
 	mu.Lock()
 	defer mu.Unlock()
 	for i := range uint64(4) {
@@ -228,15 +228,15 @@
 		a.Job.Trace = "00000000000000" + string('a'+rune(id)) + "0"
 		c.Send(a)
 	}
-	standin.Until(t, "some are held back", func() bool { return c.tally.Count(pace.BoxShare) > 0 })
-	standin.Until(t, "the others are out", func() bool { return accepted()+int(c.tally.Count(pace.BoxShare)) == 12 })
+	testenv.Until(t, "some are held back", func() bool { return c.tally.Count(slowpeer.BoxShare) > 0 })
+	testenv.Until(t, "the others are out", func() bool { return accepted()+int(c.tally.Count(slowpeer.BoxShare)) == 12 })
 	if n := accepted(); n < 6 || n > 9 {
 		t.Errorf("one box holds %d of 12 connections", n)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
 	defer func() { cancel(); _ = g.Wait() }()
-	b, err := standin.NewBox(ctx, g, "s-8", "127.0.0.1:1", time.Millisecond)
+	b, err := testenv.NewBox(ctx, g, "s-8", "127.0.0.1:1", time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -244,7 +244,7 @@
 	a := attempt(50)
 	a.Worker = 8
 	c.Send(a)
-	standin.Until(t, "another box gets its job", func() bool { return len(b.Starts()) == 1 })
+	testenv.Until(t, "another box gets its job", func() bool { return len(b.Starts()) == 1 })
 	if got := s.outcomes(50); len(got) != 0 {
 		t.Errorf("%v", got)
 	}
--- a/internal/filter/filter_test.go
+++ b/internal/filter/filter_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "gatetack/internal/seeds"
+	_ "gatetack/internal/testrand"
 )
 
 var schema = Schema{{Name: "state", Kind: Word, Words: []string{"QUEUED", "RUNNING", "DONE"}}, {Name: "category", Kind: Text}, {Name: "priority", Kind: Number},
--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"gatetack/internal/sock"
+	"gatetack/internal/tcpinfo"
 )
 
 const (
@@ -105,8 +105,8 @@
 
 // register makes a connection of the server's of one that was accepted.
 func (s *Server) register(accepted net.Conn) *conn {
-	sock.Bound(accepted, s.lim.Pace.SendBuf, 0)
-	sock.Forget(accepted, s.lim.Pace.Forget)
+	tcpinfo.Bound(accepted, s.lim.Pace.SendBuf, 0)
+	tcpinfo.Forget(accepted, s.lim.Pace.Forget)
 	c := newConn(accepted, s.lim.Ring, s.lim.Pace.ClientIn, s.lim.Pace.ClientOut, s.lim.DropPause)
 	// Past the budget, where all others are busy, a connection gets one answer. Past the reserve too it is refused as soon as its
 	// request has come: its client waits for nothing, and a request that is left in the listener's queue is taken all the same.
--- a/internal/http1/accept_test.go
+++ b/internal/http1/accept_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"gatetack/internal/limits"
-	"gatetack/internal/pace"
+	"gatetack/internal/slowpeer"
 )
 
 // faultyListener is a listener whose accept fails as next says, before it accepts for real.
@@ -69,7 +69,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
-	s, p := NewServer(lim, h, &pace.Tally{}, quietLog), &pauses{}
+	s, p := NewServer(lim, h, &slowpeer.Tally{}, quietLog), &pauses{}
 	s.sleep = p.sleep
 	faulty := &faultyListener{Listener: ln, next: func(call int) error { return next(s, call) }}
 	g.Go(func() error { return s.Serve(ctx, faulty) })
--- a/internal/http1/admit.go
+++ b/internal/http1/admit.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gatetack/internal/pace"
+	"gatetack/internal/slowpeer"
 )
 
 // unreadLooks bounds how many connections with unread bytes are passed over where one is looked for to make place.
@@ -32,10 +32,10 @@
 	if s.lim.Pace.PerPeer {
 		host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 		// One past its share gets one answer, as all do past the budget, and its connections stay countable.
-		if v := s.shares.Take(host, 1); v == pace.Keep {
+		if v := s.shares.Take(host, 1); v == slowpeer.Keep {
 			c.share = host
 		} else {
-			s.tally.Add(pace.ClientShare)
+			s.tally.Add(slowpeer.ClientShare)
 			c.how = max(c.how, once)
 		}
 	}
@@ -58,7 +58,7 @@
 	case idle, reading:
 		s.retire(least)
 	case answering:
-		s.tally.Add(pace.ClientCut)
+		s.tally.Add(slowpeer.ClientCut)
 		s.shut(least)
 	default:
 		s.shut(least)
--- a/internal/http1/closing_test.go
+++ b/internal/http1/closing_test.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 
 	"gatetack/internal/limits"
-	"gatetack/internal/pace"
-	"gatetack/internal/sock"
+	"gatetack/internal/slowpeer"
+	"gatetack/internal/tcpinfo"
 )
 
 // watchedConn is a server's side of a connection on which a test acts at two moments: once a wait for bytes has timed out or was
@@ -93,7 +93,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
-	w := &watched{s: NewServer(lim, h, &pace.Tally{}, quietLog), addr: ln.Addr().String(), exhaust: make(chan bool, 1)}
+	w := &watched{s: NewServer(lim, h, &slowpeer.Tally{}, quietLog), addr: ln.Addr().String(), exhaust: make(chan bool, 1)}
 	listener := &watchingListener{accepted: make(chan *watchedConn), watch: make(chan *watchedConn)}
 	listener.Listener = ln
 	listener.next = func(int) error {
@@ -125,7 +125,7 @@
 	if _, err := io.WriteString(client, part); err != nil {
 		t.Error(err)
 	}
-	waitFor(t, "the bytes have come", func() bool { return !sock.Quiet(c.TCPConn) })
+	waitFor(t, "the bytes have come", func() bool { return !tcpinfo.Quiet(c.TCPConn) })
 }
 
 // receive waits for a signal of the test's.
@@ -176,7 +176,7 @@
 	{name: "bound of a request, half of it read", first: get[:7], phase: reading, late: get[7:],
 		limit: func(l *limits.Limits) { l.Pace.Request = 50 * time.Millisecond }},
 	{name: "least rate of a request, half of it read", first: get[:7], phase: reading, late: get[7:],
-		limit: func(l *limits.Limits) { l.Pace.ClientIn = pace.Rate{Bytes: 1 << 20, Grace: 50 * time.Millisecond} }},
+		limit: func(l *limits.Limits) { l.Pace.ClientIn = slowpeer.Rate{Bytes: 1 << 20, Grace: 50 * time.Millisecond} }},
 	{name: "drain", late: get, limit: func(*limits.Limits) {}, begin: func(_ *testing.T, w *watched) { w.s.CloseIdle() }},
 	{name: "end of the server", late: get, limit: func(l *limits.Limits) { l.DoorWait = 0 },
 		begin: func(t *testing.T, w *watched) {
@@ -239,7 +239,7 @@
 // client reads on.
 func TestRequestOfASlowReaderIsAnsweredAsItIsLetGo(t *testing.T) {
 	slow := lim
-	slow.Pace.ClientOut, slow.Pace.Look = pace.Rate{Bytes: 1 << 20, Grace: 150 * time.Millisecond}, 20*time.Millisecond
+	slow.Pace.ClientOut, slow.Pace.Look = slowpeer.Rate{Bytes: 1 << 20, Grace: 150 * time.Millisecond}, 20*time.Millisecond
 	late := make(chan bool)
 	w := serveWatched(t, slow, func(_ context.Context, m *Message) Response {
 		if m.Target == "/small" {
@@ -253,7 +253,7 @@
 	_, _ = io.WriteString(w.client, get)
 	receive(t, late)
 	expect(t, w.client, 2)
-	if n := w.s.tally.Count(pace.ClientReads); n != 1 {
+	if n := w.s.tally.Count(slowpeer.ClientReads); n != 1 {
 		t.Errorf("%d slow readers, want 1", n)
 	}
 }
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"gatetack/internal/pace"
-	"gatetack/internal/sock"
+	"gatetack/internal/slowpeer"
+	"gatetack/internal/tcpinfo"
 )
 
 // conn is one client's connection. One goroutine reads, when it is asked to, and one parses, handles and
@@ -43,7 +43,7 @@
 	known  bool      // and was one of the front's own clients'
 	unread bool      // the last answer is finished and not acknowledged
 	share  string    // the peer that it counts for
-	why    *pace.Slow
+	why    *slowpeer.Slow
 
 	ended chan struct{} // closed once its descriptor is
 }
@@ -69,7 +69,7 @@
 	refused         // one refusal
 )
 
-func newConn(c net.Conn, ring int, in, out pace.Rate, pause time.Duration) *conn {
+func newConn(c net.Conn, ring int, in, out slowpeer.Rate, pause time.Duration) *conn {
 	return &conn{Paced: NewPaced(c, in, out), in: NewRing(ring), want: make(chan struct{}, 1), got: make(chan struct{}, 1),
 		pause: pause, sleep: time.Sleep, phase: idle, ended: make(chan struct{})}
 }
@@ -146,7 +146,7 @@
 // unread reads what has come on a connection already, whatever its deadline is. It never waits.
 type unread struct{ net.Conn }
 
-func (u unread) Read(b []byte) (int, error) { return sock.Take(u.Conn, b), nil }
+func (u unread) Read(b []byte) (int, error) { return tcpinfo.Take(u.Conn, b), nil }
 
 // halfClosed says whether the client has closed its side in order, as one does that still waits for an answer. One that has closed
 // the whole connection looks the same until something is written to it. The client is known to have gone.
@@ -160,7 +160,7 @@
 
 // quiet says that nothing has come that is not parsed yet, neither in the kernel nor with the reader. Bytes go from the first to the
 // second, so they are looked for in this order.
-func (c *conn) quiet() bool { return sock.Quiet(c.Conn) && c.unparsed.Load() == 0 }
+func (c *conn) quiet() bool { return tcpinfo.Quiet(c.Conn) && c.unparsed.Load() == 0 }
 
 // dropBytes is how much is dropped at a time, with one pause after it. A client's end stands behind all that it sent, some MB at
 // most with the kernels' usual buffers, and is to be seen well within 0.1 s: so it is more than a ring holds.
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -18,8 +18,8 @@
 	"pgregory.net/rapid"
 
 	"gatetack/internal/limits"
-	"gatetack/internal/pace"
-	_ "gatetack/internal/seeds"
+	"gatetack/internal/slowpeer"
+	_ "gatetack/internal/testrand"
 )
 
 var lim = limits.New(0, 0, 0, 0, 0)
@@ -209,7 +209,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
-	s := NewServer(lim, h, &pace.Tally{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := NewServer(lim, h, &slowpeer.Tally{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	g.Go(func() error { return s.Serve(ctx, ln) })
 	t.Cleanup(func() {
 		cancel()
--- a/internal/http1/leaving_test.go
+++ b/internal/http1/leaving_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"gatetack/internal/pace"
+	"gatetack/internal/slowpeer"
 )
 
 // script is a connection whose reads are those of a test, one a call. It goes on with the last.
@@ -123,7 +123,7 @@
 func TestInterruptedAndShortCallsGoOn(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = ours.Close() }()
-	c := NewPaced(&stutter{Conn: ours}, pace.Rate{}, pace.Rate{})
+	c := NewPaced(&stutter{Conn: ours}, slowpeer.Rate{}, slowpeer.Rate{})
 	text := strings.Repeat("x", 20)
 	go func() { _, _ = io.WriteString(theirs, text) }()
 	got := make([]byte, len(text))
@@ -186,7 +186,7 @@
 func TestWriteErrorsEndOneConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			c := NewPaced(failingWrites{errno: errno}, pace.Rate{}, pace.Rate{Bytes: 1, Grace: time.Hour})
+			c := NewPaced(failingWrites{errno: errno}, slowpeer.Rate{}, slowpeer.Rate{Bytes: 1, Grace: time.Hour})
 			if n, err := c.Write([]byte("answer")); n != 0 || !errors.Is(err, errno) {
 				t.Errorf("%d, %v", n, err)
 			}
@@ -238,7 +238,7 @@
 // The bound of a request counts from its own first byte, also where that came while another was handled: its client stopped then.
 func TestBoundOfARequestBehindAnotherCountsFromItsFirstByte(t *testing.T) {
 	long := lim
-	long.Pace.Request, long.Pace.ClientIn = time.Hour, pace.Rate{}
+	long.Pace.Request, long.Pace.ClientIn = time.Hour, slowpeer.Rate{}
 	began, on := make(chan bool, 1), make(chan bool)
 	s, addr := serve(t, long, func(context.Context, *Message) Response {
 		began <- true
--- a/internal/http1/moments_test.go
+++ b/internal/http1/moments_test.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"gatetack/internal/sock"
+	"gatetack/internal/tcpinfo"
 )
 
 // takenIn says whether all that a server's only connection was sent has been taken in, behind a request that is handled.
@@ -24,7 +24,7 @@
 		c.mu.Lock()
 		came := c.came
 		c.mu.Unlock()
-		return came && sock.Quiet(c.Conn)
+		return came && tcpinfo.Quiet(c.Conn)
 	}
 	return false
 }
@@ -122,7 +122,7 @@
 			t.Fatal(err)
 		}
 		if bytes != "" {
-			waitFor(t, "the bytes have come", func() bool { return !sock.Quiet(c.Conn) })
+			waitFor(t, "the bytes have come", func() bool { return !tcpinfo.Quiet(c.Conn) })
 		}
 		return c
 	}
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	waitFor(t, "the reader has told", func() bool { return len(oldest.got) == 1 })
-	if !sock.Quiet(oldest.Conn) {
+	if !tcpinfo.Quiet(oldest.Conn) {
 		t.Fatal("bytes are left in the kernel")
 	}
 	if _, _ = admit(); oldest.phase != idle {
--- a/internal/http1/paced.go
+++ b/internal/http1/paced.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"gatetack/internal/pace"
-	"gatetack/internal/sock"
+	"gatetack/internal/slowpeer"
+	"gatetack/internal/tcpinfo"
 )
 
 // Paced is a connection whose directions are held to a least rate while something is waited for: what comes in, from
@@ -23,19 +23,19 @@
 	net.Conn
 
 	mu         sync.Mutex
-	in, out    pace.Meter
+	in, out    slowpeer.Meter
 	inBy, byAt time.Time // bounds of reads and of writes, zero for none
 	written    int64     // since the out meter began
 	acked      int64     // of it, by the last look
 	blocked    time.Time // since when a write waits, zero while none does
-	inRate     pace.Rate
-	outRate    pace.Rate
+	inRate     slowpeer.Rate
+	outRate    slowpeer.Rate
 	aborted    bool
 }
 
 // NewPaced makes a connection paced.
-func NewPaced(c net.Conn, in, out pace.Rate) *Paced {
-	return &Paced{Conn: c, in: pace.NewMeter(in), out: pace.NewMeter(out), inRate: in, outRate: out}
+func NewPaced(c net.Conn, in, out slowpeer.Rate) *Paced {
+	return &Paced{Conn: c, in: slowpeer.NewMeter(in), out: slowpeer.NewMeter(out), inRate: in, outRate: out}
 }
 
 // Await says that from now on bytes are waited for.
@@ -71,7 +71,7 @@
 	p.byAt = t
 }
 
-// Press tightens the rates as a budget fills, see pace.Meter.
+// Press tightens the rates as a budget fills, see slowpeer.Meter.
 func (p *Paced) Press(full float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,7 +101,7 @@
 }
 
 // sooner is the earlier of a bound and of when a meter would let go, zero for neither.
-func sooner(by time.Time, m *pace.Meter) time.Time {
+func sooner(by time.Time, m *slowpeer.Meter) time.Time {
 	if until, asked := m.Until(); asked && (by.IsZero() || until.Before(by)) {
 		return until
 	}
@@ -111,16 +111,16 @@
 // timeout says whether a deadline of ours ended a call, or a peer was found slow. ETIMEDOUT is neither: the kernel has given the
 // connection up.
 func timeout(err error) bool {
-	slow := (*pace.Slow)(nil)
+	slow := (*slowpeer.Slow)(nil)
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &slow)
 }
 
 // settled says what a time-out means: nothing while neither the bound nor the rate is broken, since either may have
 // moved while the call waited.
-func settled(by time.Time, m *pace.Meter, direction string, asked, left int, now time.Time, err error) error {
-	if m.Judge(now) == pace.LetGo {
+func settled(by time.Time, m *slowpeer.Meter, direction string, asked, left int, now time.Time, err error) error {
+	if m.Judge(now) == slowpeer.LetGo {
 		moved, rate := m.Figures(now)
-		return &pace.Slow{Direction: direction, Bytes: moved, Rate: rate, Asked: asked, Left: left}
+		return &slowpeer.Slow{Direction: direction, Bytes: moved, Rate: rate, Asked: asked, Left: left}
 	}
 	if !by.IsZero() && !now.Before(by) {
 		return err
@@ -154,11 +154,11 @@
 }
 
 // Incoming tells how what is waited for has come so far.
-func (p *Paced) Incoming() *pace.Slow {
+func (p *Paced) Incoming() *slowpeer.Slow {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	moved, rate := p.in.Figures(time.Now())
-	return &pace.Slow{Direction: "in", Bytes: moved, Rate: rate, Asked: p.inRate.Bytes}
+	return &slowpeer.Slow{Direction: "in", Bytes: moved, Rate: rate, Asked: p.inRate.Bytes}
 }
 
 // late judges a read that timed out.
@@ -183,7 +183,7 @@
 	}
 	raw, err := s.SyscallConn()
 	for err == nil {
-		if err = raw.Read(sock.Readable); err == nil || !timeout(err) {
+		if err = raw.Read(tcpinfo.Readable); err == nil || !timeout(err) {
 			return err
 		}
 		err = p.late(err)
@@ -205,7 +205,7 @@
 		// or the time that a kept connection stood idle would count as debt, and its next answer be cut off.
 		if !p.out.Waiting() || done == 0 && p.look(now) == 0 {
 			p.out.Start(now)
-			p.written, p.acked = int64(sock.Queued(p.Conn)), 0
+			p.written, p.acked = int64(tcpinfo.Queued(p.Conn)), 0
 		}
 		p.blocked = now
 		_ = p.Conn.SetWriteDeadline(sooner(p.byAt, &p.out))
@@ -232,7 +232,7 @@
 
 // look takes in what the peer's machine has acknowledged, and tells what it has not. The lock is held.
 func (p *Paced) look(now time.Time) int {
-	left := sock.Queued(p.Conn)
+	left := tcpinfo.Queued(p.Conn)
 	if acked := p.written - int64(left); acked > p.acked {
 		p.out.Moved(int(acked-p.acked), now)
 		p.acked = acked
@@ -242,7 +242,7 @@
 
 // Left looks at what was written and not acknowledged, in bytes, and says what becomes of a peer that leaves it so. At
 // none the matter is closed.
-func (p *Paced) Left() (int, *pace.Slow) {
+func (p *Paced) Left() (int, *slowpeer.Slow) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.out.Waiting() {
@@ -254,9 +254,9 @@
 		p.out.Stop()
 		return 0, nil
 	}
-	if p.out.Judge(now) == pace.LetGo {
+	if p.out.Judge(now) == slowpeer.LetGo {
 		moved, rate := p.out.Figures(now)
-		return left, &pace.Slow{Direction: "out", Bytes: moved, Rate: rate, Asked: p.outRate.Bytes, Left: left}
+		return left, &slowpeer.Slow{Direction: "out", Bytes: moved, Rate: rate, Asked: p.outRate.Bytes, Left: left}
 	}
 	return left, nil
 }
--- a/internal/http1/paced_test.go
+++ b/internal/http1/paced_test.go
@@ -12,12 +12,12 @@
 	"time"
 
 	"gatetack/internal/limits"
-	"gatetack/internal/pace"
-	"gatetack/internal/sock"
+	"gatetack/internal/slowpeer"
+	"gatetack/internal/tcpinfo"
 )
 
 // pair gives both ends of a connection, ours paced.
-func pair(t *testing.T, in, out pace.Rate) (*Paced, net.Conn) {
+func pair(t *testing.T, in, out slowpeer.Rate) (*Paced, net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 // What was written and acknowledged is no debt, whether somebody looked then or not: the next answer on a connection
 // that stood idle for longer than the grace was cut off, and with it a request was lost.
 func TestIdleTimeIsNoDebt(t *testing.T) {
-	c, theirs := pair(t, pace.Rate{}, pace.Rate{Bytes: 1 << 30, Grace: 20 * time.Millisecond})
+	c, theirs := pair(t, slowpeer.Rate{}, slowpeer.Rate{Bytes: 1 << 30, Grace: 20 * time.Millisecond})
 	for range 3 {
 		if _, err := c.Write([]byte("answer")); err != nil {
 			t.Fatal(err)
@@ -51,7 +51,7 @@
 	}
 }
 
-func queued(c *Paced) int { return sock.Queued(c.Conn) }
+func queued(c *Paced) int { return tcpinfo.Queued(c.Conn) }
 
 var quietLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
@@ -66,7 +66,7 @@
 // A drip starts no time anew: reading ends with what moved and how fast, and a bound set meanwhile holds for the read
 // that is under way.
 func TestDripIsLetGo(t *testing.T) {
-	c, theirs := pair(t, pace.Rate{Bytes: 1 << 20, Grace: 100 * time.Millisecond}, pace.Rate{})
+	c, theirs := pair(t, slowpeer.Rate{Bytes: 1 << 20, Grace: 100 * time.Millisecond}, slowpeer.Rate{})
 	stop := make(chan bool)
 	defer close(stop)
 	go func() {
@@ -82,7 +82,7 @@
 		}
 	}()
 	c.Await()
-	slow, buf := (*pace.Slow)(nil), make([]byte, 64)
+	slow, buf := (*slowpeer.Slow)(nil), make([]byte, 64)
 	for {
 		if _, err := c.Read(buf); err != nil {
 			if !errors.As(err, &slow) || slow.Direction != "in" || slow.Bytes == 0 || !timeout(err) {
@@ -95,7 +95,7 @@
 	if _, err := c.Read(buf); err != nil {
 		t.Errorf("at rest: %v", err)
 	}
-	quiet, _ := pair(t, pace.Rate{}, pace.Rate{})
+	quiet, _ := pair(t, slowpeer.Rate{}, slowpeer.Rate{})
 	done := make(chan error)
 	go func() { _, err := quiet.Read(buf); done <- err }()
 	quiet.ReadBy(time.Now().Add(time.Hour))
@@ -107,10 +107,10 @@
 
 // A write to a peer that does not read ends once its machine takes nothing more; what it took counts as progress.
 func TestStalledWriteIsLetGo(t *testing.T) {
-	c, theirs := pair(t, pace.Rate{}, pace.Rate{Bytes: 4096, Grace: 50 * time.Millisecond})
+	c, theirs := pair(t, slowpeer.Rate{}, slowpeer.Rate{Bytes: 4096, Grace: 50 * time.Millisecond})
 	_ = theirs.(*net.TCPConn).SetReadBuffer(4096)
 	_ = c.Conn.(*net.TCPConn).SetWriteBuffer(4096)
-	slow := (*pace.Slow)(nil)
+	slow := (*slowpeer.Slow)(nil)
 	n, err := c.Write(make([]byte, 8<<20))
 	if !errors.As(err, &slow) || slow.Direction != "out" || slow.Left == 0 || n >= 8<<20 {
 		t.Fatalf("%d bytes, %v", n, err)
@@ -142,7 +142,7 @@
 // and counted; others are served meanwhile, and an answer that is whole in the kernel still comes to one that reads on.
 func TestReadersThatStop(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.Pace.ClientOut = pace.Rate{Bytes: 1 << 20, Grace: 150 * time.Millisecond}
+	lim.Pace.ClientOut = slowpeer.Rate{Bytes: 1 << 20, Grace: 150 * time.Millisecond}
 	lim.Pace.Look = 20 * time.Millisecond
 	lim.Pace.SendBuf = 16 << 10
 	size := 1 << 20
@@ -163,19 +163,19 @@
 	if m, err := NewParser(lim, true).Read(NewRing(4096), c); err != nil || string(m.Body) != "small" {
 		t.Errorf("beside those that stopped: %v %v", m, err)
 	}
-	until(t, "they are let go", func() bool { return s.tally.Count(pace.ClientReads) == 5 && s.Conns() == 1 })
-	if n := s.tally.Count(pace.ClientCut); n != 5 {
+	until(t, "they are let go", func() bool { return s.tally.Count(slowpeer.ClientReads) == 5 && s.Conns() == 1 })
+	if n := s.tally.Count(slowpeer.ClientCut); n != 5 {
 		t.Errorf("%d answers were cut, want the 5 that were not whole in the kernel", n)
 	}
 
 	size = 20 << 10 // goes whole into the kernel, which holds it for a client that has let it wait
 	slow := readsSlowly(t, addr)
-	until(t, "its connection is let go", func() bool { return s.tally.Count(pace.ClientReads) == 6 && s.Conns() == 1 })
+	until(t, "its connection is let go", func() bool { return s.tally.Count(slowpeer.ClientReads) == 6 && s.Conns() == 1 })
 	rest, err := io.ReadAll(slow)
 	if err != nil || !strings.HasSuffix(string(rest), strings.Repeat("\x00", size)) {
 		t.Errorf("of a finished answer %d bytes came, %v", len(rest), err)
 	}
-	if s.tally.Count(pace.ClientCut) != 5 {
+	if s.tally.Count(slowpeer.ClientCut) != 5 {
 		t.Error("a finished answer counts as cut")
 	}
 }
@@ -183,7 +183,7 @@
 // A head and a body that drip end with an error in time, and are counted.
 func TestSendersThatDrip(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.Pace.ClientIn = pace.Rate{Bytes: 1 << 20, Grace: 100 * time.Millisecond}
+	lim.Pace.ClientIn = slowpeer.Rate{Bytes: 1 << 20, Grace: 100 * time.Millisecond}
 	lim.Pace.Request = time.Hour
 	s, addr := serve(t, lim, func(context.Context, *Message) Response {
 		t.Error("a request that never came whole was handled")
@@ -203,7 +203,7 @@
 		if err != nil || m.Status != 408 || !m.Close {
 			t.Errorf("%d: %v %v", i, m, err)
 		}
-		if n := s.tally.Count(pace.ClientSends); n != int64(i+1) {
+		if n := s.tally.Count(slowpeer.ClientSends); n != int64(i+1) {
 			t.Errorf("%d counted, want %d", n, i+1)
 		}
 	}
@@ -217,7 +217,7 @@
 	for range 40 {
 		dial(t, addr)
 	}
-	until(t, "all are taken", func() bool { return s.tally.Count(pace.ClientShare) > 0 && s.Conns() >= 24 })
+	until(t, "all are taken", func() bool { return s.tally.Count(slowpeer.ClientShare) > 0 && s.Conns() >= 24 })
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9)}}
 	c, err := d.Dial("tcp", addr)
 	if err != nil {
--- a/internal/http1/races_test.go
+++ b/internal/http1/races_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"gatetack/internal/sock"
+	"gatetack/internal/tcpinfo"
 )
 
 const get = "GET / HTTP/1.1\r\n\r\n"
@@ -149,7 +149,7 @@
 		s.admit(server[i])
 		if i == 0 {
 			_, _ = io.WriteString(c, get[:1])
-			waitFor(t, "the byte has come", func() bool { return !sock.Quiet(nc) })
+			waitFor(t, "the byte has come", func() bool { return !tcpinfo.Quiet(nc) })
 		}
 	}
 	s.CloseIdle()
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"gatetack/internal/limits"
-	"gatetack/internal/pace"
+	"gatetack/internal/slowpeer"
 )
 
 // Handler answers one request. Its context ends when the client has gone away: no answer is read then.
@@ -37,25 +37,25 @@
 	taken     chan struct{} // closed once the last connection was taken
 	busy      atomic.Int64  // requests being handled
 	bodies    atomic.Int64  // bytes of bodies that are held
-	tally     *pace.Tally
+	tally     *slowpeer.Tally
 	sleep     func(context.Context, time.Duration) // pauses of the accept loop
 
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
 	standing int           // of them, those that are neither closed nor retiring
 	freed    chan struct{} // told when one has ended or become idle
-	shares   *pace.Ledger[string]
+	shares   *slowpeer.Ledger[string]
 	last     time.Time // when a connection was last taken or a request last handled
 }
 
 // NewServer makes a server.
-func NewServer(lim limits.Limits, h Handler, tally *pace.Tally, log *slog.Logger) *Server {
+func NewServer(lim limits.Limits, h Handler, tally *slowpeer.Tally, log *slog.Logger) *Server {
 	return &Server{lim: lim, h: h, tally: tally, log: log, sleep: sleep, conns: map[*conn]struct{}{}, freed: make(chan struct{}, 1), taken: make(chan struct{}),
-		shares: pace.NewLedger[string](lim.ClientConns, lim.Pace.Least, lim.Pace.Alpha)}
+		shares: slowpeer.NewLedger[string](lim.ClientConns, lim.Pace.Least, lim.Pace.Alpha)}
 }
 
 // slow counts a peer that was found slow, and logs it.
-func (s *Server) slow(k pace.Kind, c *conn, err *pace.Slow) {
+func (s *Server) slow(k slowpeer.Kind, c *conn, err *slowpeer.Slow) {
 	s.tally.Add(k)
 	s.log.Info("slow peer", "kind", k.String(), "peer", c.RemoteAddr().String(), "why", err)
 }
@@ -91,7 +91,7 @@
 		}
 		s.mu.Unlock()
 		for _, c := range slowest {
-			s.slow(pace.ClientReads, c, c.why)
+			s.slow(slowpeer.ClientReads, c, c.why)
 		}
 	}
 }
@@ -311,9 +311,9 @@
 	} else {
 		err = w.Response(r)
 	}
-	if slow := (*pace.Slow)(nil); errors.As(err, &slow) {
-		s.tally.Add(pace.ClientReads)
-		s.slow(pace.ClientCut, c, slow)
+	if slow := (*slowpeer.Slow)(nil); errors.As(err, &slow) {
+		s.tally.Add(slowpeer.ClientReads)
+		s.slow(slowpeer.ClientCut, c, slow)
 	}
 	return err == nil
 }
@@ -388,7 +388,7 @@
 				}
 			}
 			if p.Begun() && timeout(c.err) {
-				s.slow(pace.ClientSends, c, c.Incoming())
+				s.slow(slowpeer.ClientSends, c, c.Incoming())
 				return nil, bad(408, "the request did not come whole in time")
 			}
 			return nil, nil
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -23,7 +23,7 @@
 	"go.yaml.in/yaml/v3"
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/limits"
 	"gatetack/internal/node"
 )
@@ -370,7 +370,7 @@
 		case <-ctx.Done():
 			return
 		}
-		s.sink.List(node.List{Form: brain.ListFull, Index: s.index, Entries: slices.Clone(s.entries)})
+		s.sink.List(node.List{Form: dispatch.ListFull, Index: s.index, Entries: slices.Clone(s.entries)})
 		if fresh {
 			s.log.Info("inventory", "file", s.path, "rows", len(s.entries))
 		}
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -16,8 +16,8 @@
 	"pgregory.net/rapid"
 
 	"gatetack/internal/node"
-	_ "gatetack/internal/seeds"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
+	_ "gatetack/internal/testrand"
 )
 
 var names = node.Names{Zones: []string{"tallinn", "tartu"}, Kinds: []string{"type-a", "type-b"}}
@@ -43,7 +43,7 @@
 		{Name: "s-1", Address: "127.0.0.1:9001", Zone: "tallinn", Kind: "type-a", Group: 1, Status: "ready", Weight: 1},
 		{Name: "s-2", Address: "127.0.0.1:9002", Zone: "tartu", Kind: "type-b", Group: 2, Status: "draining", Weight: 1}}
 	for name, text := range map[string]string{"a.csv": asCSV, "a.yaml": asYAML, "a.YML": asYAML} {
-		got, err := Parse(name, []byte(text), names, standin.Lim)
+		got, err := Parse(name, []byte(text), names, testenv.Lim)
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %+v %v", name, got, err)
 		}
@@ -73,7 +73,7 @@
 		{"a.yaml", strings.Replace(asYAML, "  zone:", "  hall:", 1), 4, "hall"},
 		{"a.yaml", "boxes: 3", 1, "list"},
 	} {
-		_, err := Parse(c.name, []byte(c.text), names, standin.Lim)
+		_, err := Parse(c.name, []byte(c.text), names, testenv.Lim)
 		var re *RowError
 		if !errors.As(err, &re) || re.Line != c.line || !strings.Contains(err.Error(), c.about) {
 			t.Errorf("%v, want line %d about %s\n%s", err, c.line, c.about, c.text)
@@ -92,7 +92,7 @@
 		for range rapid.IntRange(1, 5).Draw(t, "hits") {
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
-		rows, err := Parse(name, b[:rapid.IntRange(0, len(b)).Draw(t, "cut")], names, standin.Lim)
+		rows, err := Parse(name, b[:rapid.IntRange(0, len(b)).Draw(t, "cut")], names, testenv.Lim)
 		for _, r := range rows {
 			if err != nil || r.Name == "" || r.Address == "" || r.Status != "ready" && r.Status != "draining" {
 				t.Fatal(rows, err)
@@ -112,19 +112,19 @@
 			t.Fatal(err)
 		}
 	}
-	lim := standin.Lim
+	lim := testenv.Lim
 	lim.InventoryLook = time.Millisecond
 	write(strings.SplitAfter(asCSV, "\n")[1])
-	s := &standin.Lists{}
-	if _, err := Open(path, names, lim, s, nil, standin.Quiet); err != nil {
+	s := &testenv.Lists{}
+	if _, err := Open(path, names, lim, s, nil, testenv.Quiet); err != nil {
 		t.Errorf("a header alone is an empty list: %v", err)
 	}
 	write("name,address,zone,type,group,status\nx,,,,,\n")
-	if _, err := Open(path, names, lim, s, nil, standin.Quiet); err == nil {
+	if _, err := Open(path, names, lim, s, nil, testenv.Quiet); err == nil {
 		t.Error("a bad row at the start")
 	}
 	write(asCSV)
-	src, err := Open(path, names, lim, s, nil, standin.Quiet)
+	src, err := Open(path, names, lim, s, nil, testenv.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +134,7 @@
 	defer func() { cancel(); _ = g.Wait() }()
 	until := func(what string, ok func([]node.List) bool) {
 		t.Helper()
-		standin.Until(t, what, func() bool { return ok(s.All()) })
+		testenv.Until(t, what, func() bool { return ok(s.All()) })
 	}
 	src.Watch(true)
 	until("the list", func(l []node.List) bool { return len(l) == 1 && len(l[0].Entries) == 2 })
@@ -172,11 +172,11 @@
 
 // A store that does not answer holds up nothing of what the file tells: a drain must be told at once.
 func TestStuckStoreHoldsNothingUp(t *testing.T) {
-	path, s := filepath.Join(t.TempDir(), "boxes.csv"), &standin.Lists{}
+	path, s := filepath.Join(t.TempDir(), "boxes.csv"), &testenv.Lists{}
 	if err := os.WriteFile(path, []byte(asCSV), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	src, err := Open(path, names, standin.Lim, s, &stuck{}, standin.Quiet)
+	src, err := Open(path, names, testenv.Lim, s, &stuck{}, testenv.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,11 +185,11 @@
 	g.Go(func() error { return src.Run(ctx) })
 	defer func() { cancel(); _ = g.Wait() }()
 	src.Watch(true)
-	standin.Until(t, "the list", func() bool { return len(s.All()) == 1 })
+	testenv.Until(t, "the list", func() bool { return len(s.All()) == 1 })
 	if err := os.WriteFile(path, []byte(strings.Replace(asCSV, "1,ready", "1,draining", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "the drain", func() bool {
+	testenv.Until(t, "the drain", func() bool {
 		l := s.All()
 		return len(l) == 2 && l[1].Entries[0].Status == "draining"
 	})
@@ -198,18 +198,18 @@
 // With a store, what one node takes in reaches the others; rows of the store that can not be used leave the list
 // as it was.
 func TestSharedRows(t *testing.T) {
-	lim := standin.Lim
+	lim := testenv.Lim
 	lim.InventoryLook = time.Millisecond
 	k := &store{}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
 	defer func() { cancel(); _ = g.Wait() }()
-	begin := func(text string, at time.Time) (string, *standin.Lists) {
-		path, s := filepath.Join(t.TempDir(), "boxes.csv"), &standin.Lists{}
+	begin := func(text string, at time.Time) (string, *testenv.Lists) {
+		path, s := filepath.Join(t.TempDir(), "boxes.csv"), &testenv.Lists{}
 		if err := errors.Join(os.WriteFile(path, []byte(text), 0o600), os.Chtimes(path, at, at)); err != nil {
 			t.Fatal(err)
 		}
-		src, err := Open(path, names, lim, s, k, standin.Quiet)
+		src, err := Open(path, names, lim, s, k, testenv.Quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -217,15 +217,15 @@
 		src.Watch(true)
 		return path, s
 	}
-	last := func(s *standin.Lists, rows int) func() bool {
+	last := func(s *testenv.Lists, rows int) func() bool {
 		return func() bool { l := s.All(); return len(l) > 0 && len(l[len(l)-1].Entries) == rows }
 	}
 	now := time.Now()
 	short := strings.Join(strings.SplitAfter(asCSV, "\n")[:3], "")
 	path, a := begin(asCSV, now.Add(-time.Hour))
-	standin.Until(t, "its own rows", last(a, 2))
+	testenv.Until(t, "its own rows", last(a, 2))
 	_, b := begin(short, now.Add(-time.Minute))
-	standin.Until(t, "the later rows of another", last(a, 1))
+	testenv.Until(t, "the later rows of another", last(a, 1))
 	k.mu.Lock()
 	k.value = []byte(`{"at":` + strconv.FormatInt(now.UnixMilli(), 10) + `,"rows":[{"Name":"s-9"}]}`)
 	k.mu.Unlock()
@@ -233,8 +233,8 @@
 		os.Chtimes(path+".new", now.Add(time.Minute), now.Add(time.Minute)), os.Rename(path+".new", path)); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "the newest rows at both", func() bool { return last(a, 3)() && last(b, 3)() })
-	for _, s := range []*standin.Lists{a, b} {
+	testenv.Until(t, "the newest rows at both", func() bool { return last(a, 3)() && last(b, 3)() })
+	for _, s := range []*testenv.Lists{a, b} {
 		for _, l := range s.All() {
 			for _, e := range l.Entries {
 				if e.Name == "s-9" {
--- a/internal/release/release.go
+++ b/internal/jobqueue/release.go
@@ -1,4 +1,4 @@
-// Package release decides when batch jobs that wait at this node are handed to its core: those on hold, those with a
+// Package jobqueue decides when batch jobs that wait at this node are handed to its core: those on hold, those with a
 // start time, and the members of job arrays. It does no I/O, reads no clock and starts no goroutine; the batch front
 // carries out what it says. Which box gets a job, and whether it is admitted at all, stays the decision module's.
 //
@@ -12,7 +12,7 @@
 // # Memory
 //
 // An array is kept as its range and what is out of it, not as its members.
-package release
+package jobqueue
 
 import (
 	"container/heap"
--- a/internal/release/release_test.go
+++ b/internal/jobqueue/release_test.go
@@ -1,4 +1,4 @@
-package release
+package jobqueue
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "gatetack/internal/seeds"
+	_ "gatetack/internal/testrand"
 )
 
 var epoch = time.Unix(1_700_000_000, 0)
--- a/internal/records/records.go
+++ b/internal/jobstore/records.go
@@ -1,6 +1,6 @@
-// Package records is where the batch front keeps what outlives a node: job sessions, arrays, jobs and their ends. It is
+// Package jobstore is where the batch front keeps what outlives a node: job sessions, arrays, jobs and their ends. It is
 // one interface with two carriers: a file of the node's own (Bolt), and the replicated store.
-package records
+package jobstore
 
 import (
 	"context"
--- a/internal/records/records_test.go
+++ b/internal/jobstore/records_test.go
@@ -1,4 +1,4 @@
-package records
+package jobstore
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "gatetack/internal/seeds"
+	_ "gatetack/internal/testrand"
 )
 
 func open(t testing.TB, dir string) *Bolt {
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "gatetack/internal/seeds"
+	_ "gatetack/internal/testrand"
 )
 
 var bounds = Bounds{Values: 6, Bytes: 200, History: 3, Key: 20, Value: 60, Ops: 8, Done: 5}
--- a/internal/duty/duty.go
+++ b/internal/lease/duty.go
@@ -1,4 +1,4 @@
-// Package duty decides who of a fleet's nodes does which piece of its work: who owns it, under which epoch, until when, who
+// Package lease decides who of a fleet's nodes does which piece of its work: who owns it, under which epoch, until when, who
 // is next and when a claim may be made. It does no I/O, reads no clock and starts no goroutine.
 //
 // # What holds
@@ -15,7 +15,7 @@
 // stops Drift before its end; the store ends it TTL after it took it in, by its leader's clock. With clocks that drift apart
 // by less than Drift in a TTL the owner has stopped before another may claim. With worse clocks both act for a while, and
 // the fence decides.
-package duty
+package lease
 
 import (
 	"cmp"
--- a/internal/duty/explore_test.go
+++ b/internal/lease/explore_test.go
@@ -1,4 +1,4 @@
-package duty
+package lease
 
 import (
 	"flag"
--- a/internal/owner/claims.go
+++ b/internal/leaseholder/claims.go
@@ -1,4 +1,4 @@
-package owner
+package leaseholder
 
 import (
 	"context"
@@ -6,36 +6,36 @@
 	"slices"
 	"time"
 
-	"gatetack/internal/duty"
 	"gatetack/internal/failpoint"
 	"gatetack/internal/kv"
+	"gatetack/internal/lease"
 )
 
 // execute carries out actions. Calls to the store run outside the loop: one that waits for a leader must not delay noticing that a
 // lease has ended.
-func (o *Owner) execute(ctx context.Context, acts []duty.Action) {
+func (o *Owner) execute(ctx context.Context, acts []lease.Action) {
 	o.mu.Lock()
 	do := o.spawn
 	o.mu.Unlock()
 	for _, a := range acts {
 		switch a.Verb {
-		case duty.Renew:
+		case lease.Renew:
 			asked := o.clock()
 			do(func() { o.renew(ctx, asked, a.If) })
-		case duty.Claim:
+		case lease.Claim:
 			do(func() { o.claim(ctx, a, "its owner has no lease") })
-		case duty.Take:
+		case lease.Take:
 			do(func() { o.adopt(ctx, a) })
-		case duty.Stop:
+		case lease.Stop:
 			o.release(a)
-		case duty.Later:
+		case lease.Later:
 			o.mu.Lock()
 			o.own = o.keeper.Self()
 			born := o.own.Born
 			o.mu.Unlock()
 			o.front.Reborn(born)
 			o.log.Warn("an earlier life of this node began later by its clock: this one is called by a later time", "node", o.name, "born", born)
-		case duty.Leave:
+		case lease.Leave:
 			o.mu.Lock()
 			o.gone = true
 			o.mu.Unlock()
@@ -47,7 +47,7 @@
 // renew renews this node's lease.
 func (o *Owner) renew(ctx context.Context, asked time.Duration, at uint64) {
 	o.mu.Lock()
-	l := lease{Addr: o.addr}
+	l := leaseRecord{Addr: o.addr}
 	l.Born = o.keeper.Self().Born
 	o.mu.Unlock()
 	value, _ := json.Marshal(l)
@@ -66,7 +66,7 @@
 
 // claim writes this node as the owner of a duty. This life's own duty is not adopted: its records are jobs in progress here, which would
 // be taken for what an earlier life left.
-func (o *Owner) claim(ctx context.Context, a duty.Action, why string) {
+func (o *Owner) claim(ctx context.Context, a lease.Action, why string) {
 	o.mu.Lock()
 	self := o.keeper.Self()
 	o.mu.Unlock()
@@ -96,7 +96,7 @@
 const maxAdoptions = 2
 
 // adopt adopts the jobs of a claimed duty.
-func (o *Owner) adopt(ctx context.Context, a duty.Action) {
+func (o *Owner) adopt(ctx context.Context, a lease.Action) {
 	select {
 	case o.taking <- struct{}{}:
 		defer func() { <-o.taking }()
@@ -128,7 +128,7 @@
 }
 
 // release gives up a duty that was lost. If it was that of this life's own jobs, jobs taken from now on belong to another life.
-func (o *Owner) release(a duty.Action) {
+func (o *Owner) release(a lease.Action) {
 	o.log.Warn("duty lost", "duty", a.Key, "epoch", a.Epoch)
 	if failpoint.Without == failpoint.Fence {
 		return
@@ -178,7 +178,7 @@
 	o.mu.Lock()
 	o.leaving = true
 	t := &kv.Txn{}
-	none, _ := json.Marshal(duty.Life{})
+	none, _ := json.Marshal(lease.Life{})
 	for _, key := range o.keeper.Held() {
 		epoch, _ := o.keeper.Epoch(key)
 		t.Ops = append(t.Ops, kv.Op{Verb: kv.Put, Table: Duties, Key: key, Value: none, Keep: true, Cond: true, If: epoch})
--- a/internal/owner/fence.go
+++ b/internal/leaseholder/fence.go
@@ -1,4 +1,4 @@
-package owner
+package leaseholder
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"strings"
 
 	"gatetack/internal/failpoint"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/kv"
-	"gatetack/internal/records"
 	"gatetack/internal/store"
 )
 
@@ -16,7 +16,7 @@
 var ErrLost = errors.New("owner: the duty is another node's")
 
 // partition returns the partition of changes: that of their jobs or, if they have none, that of this life.
-func (o *Owner) partition(changes []records.Change) string {
+func (o *Owner) partition(changes []jobstore.Change) string {
 	for _, c := range changes {
 		if c.Kind == "job" || c.Kind == "open" || c.Kind == "array" {
 			if at := strings.LastIndexByte(c.Key, '.'); at > 0 {
@@ -30,7 +30,7 @@
 }
 
 // Write commits all changes or none, under the epoch of the duty that they belong to.
-func (o *Owner) Write(ctx context.Context, changes ...records.Change) error {
+func (o *Owner) Write(ctx context.Context, changes ...jobstore.Change) error {
 	if failpoint.Without == failpoint.Fence {
 		return o.store.Write(ctx, changes...)
 	}
@@ -66,7 +66,7 @@
 }
 
 // Page returns rows in the order of their keys.
-func (o *Owner) Page(ctx context.Context, kind, after string, limit int) ([]records.Row, error) {
+func (o *Owner) Page(ctx context.Context, kind, after string, limit int) ([]jobstore.Row, error) {
 	return o.store.Page(ctx, kind, after, limit)
 }
 
--- a/internal/owner/fence_test.go
+++ b/internal/leaseholder/fence_test.go
@@ -1,4 +1,4 @@
-package owner
+package leaseholder
 
 import (
 	"context"
@@ -10,17 +10,17 @@
 	"testing"
 	"time"
 
-	"gatetack/internal/duty"
-	"gatetack/internal/records"
-	"gatetack/internal/standin"
+	"gatetack/internal/jobstore"
+	"gatetack/internal/lease"
 	"gatetack/internal/store"
+	"gatetack/internal/testenv"
 )
 
 // BenchmarkFence writes what a submission does, a job's two records, by sixteen clients to a store of three members on this
 // machine's disk: as the store takes it, and under a duty's epoch.
 func BenchmarkFence(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
-	ports, err := standin.Ports(3)
+	ports, err := testenv.Ports(3)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -44,12 +44,12 @@
 	}
 	o.Connect(&work{adopted: map[string]bool{}}, nil)
 	g.Go(func() { _ = o.Run(ctx) })
-	standin.Until(b, "the duty is held", o.Ready)
-	own := duty.Life{Node: "n0", Born: 1}.Partition()
+	testenv.Until(b, "the duty is held", o.Ready)
+	own := lease.Life{Node: "n0", Born: 1}.Partition()
 	var n int
 	for _, x := range []struct {
 		name string
-		to   records.Store
+		to   jobstore.Store
 	}{{"off", all[0]}, {"on", o}} {
 		b.Run(x.name, func(b *testing.B) {
 			var mu sync.Mutex
@@ -60,7 +60,7 @@
 				clients.Go(func() {
 					for key := range next {
 						began := time.Now()
-						err := x.to.Write(ctx, records.Change{Kind: "job", Key: key, Value: make([]byte, 600)}, records.Change{Kind: "open", Key: key, Value: []byte(key)})
+						err := x.to.Write(ctx, jobstore.Change{Kind: "job", Key: key, Value: make([]byte, 600)}, jobstore.Change{Kind: "open", Key: key, Value: []byte(key)})
 						mu.Lock()
 						took = append(took, time.Since(began))
 						if err != nil {
