--- a/internal/owner/owner.go
+++ b/internal/leaseholder/owner.go
@@ -1,7 +1,7 @@
-// Package owner carries out what package duty decides: it keeps this node's lease in the replicated store, claims and releases duties,
+// Package leaseholder carries out what package lease decides: it keeps this node's lease in the replicated store, claims and releases duties,
 // and fences all that is written on their behalf. It is the batch front's store: a write is committed only if the duty that it belongs
 // to still has the epoch under which this node holds it, in the same transaction.
-package owner
+package leaseholder
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/internal/duty"
-	"gatetack/internal/keys"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/kv"
+	"gatetack/internal/lease"
 	"gatetack/internal/limits"
-	"gatetack/internal/records"
+	"gatetack/internal/pki"
 	"gatetack/internal/store"
 )
 
@@ -29,7 +29,7 @@
 
 // Store is the part of a member of the replicated store that duties need.
 type Store interface {
-	records.Store
+	jobstore.Store
 	Txn(context.Context, *kv.Txn) (*kv.Result, error)
 	View() *kv.View
 	Local(kind, key string) ([]byte, bool)
@@ -57,7 +57,7 @@
 	name  string
 	lim   limits.Limits
 	log   *slog.Logger
-	ring  *keys.Ring
+	ring  *pki.Ring
 	clock func() time.Duration
 	spawn func(func()) // runs what waits for the store outside the loop
 
@@ -65,31 +65,31 @@
 	taking  chan struct{} // a semaphore for adopting duties: their records are read at the leader
 
 	mu     sync.Mutex
-	keeper *duty.Keeper
-	own    duty.Life // under which new jobs are taken
-	born   bool      // its duty is held by this node
-	asked  bool      // which partitions this node's earlier lives left was found out,
-	old    []string  // and these are still to be taken up
+	keeper *lease.Keeper
+	own    lease.Life // under which new jobs are taken
+	born   bool       // its duty is held by this node
+	asked  bool       // which partitions this node's earlier lives left was found out,
+	old    []string   // and these are still to be taken up
 	gone   bool
 
 	leaving bool
 
-	stamp  any         // of the table of duties, and
-	duties []duty.Duty // what was read of it: leases change all the time, and duties seldom
+	stamp  any          // of the table of duties, and
+	duties []lease.Duty // what was read of it: leases change all the time, and duties seldom
 }
 
 // New returns an Owner for one life of a node.
 func New(s Store, name string, born int64, addr string, lim limits.Limits, log *slog.Logger) (*Owner, error) {
-	t := duty.Times{TTL: lim.LeaseTTL, Renew: lim.LeaseTTL / 3, Drift: lim.LeaseTTL / 6, Rank: lim.LeaseTTL / 6, Again: 2 * lim.LeaseTTL}
+	t := lease.Times{TTL: lim.LeaseTTL, Renew: lim.LeaseTTL / 3, Drift: lim.LeaseTTL / 6, Rank: lim.LeaseTTL / 6, Again: 2 * lim.LeaseTTL}
 	if err := t.Check(); err != nil {
 		return nil, err
 	}
-	self := duty.Life{Node: name, Born: born}
-	return &Owner{store: s, addr: addr, name: name, lim: lim, log: log, clock: store.BootTime, spawn: func(f func()) { go f() }, taking: make(chan struct{}, maxAdoptions), keeper: duty.New(self, t), own: self}, nil
+	self := lease.Life{Node: name, Born: born}
+	return &Owner{store: s, addr: addr, name: name, lim: lim, log: log, clock: store.BootTime, spawn: func(f func()) { go f() }, taking: make(chan struct{}, maxAdoptions), keeper: lease.New(self, t), own: self}, nil
 }
 
 // Connect sets the front. It must be called before Run.
-func (o *Owner) Connect(f Front, ring *keys.Ring) { o.front, o.ring = f, ring }
+func (o *Owner) Connect(f Front, ring *pki.Ring) { o.front, o.ring = f, ring }
 
 // Ready reports whether this life holds its own duty, and everything that earlier lives of this node left was adopted by some node.
 func (o *Owner) Ready() bool {
@@ -148,21 +148,21 @@
 }
 
 // unborn are partitions of earlier lives that are on record and have no duty yet: a version that had none left them.
-func (o *Owner) unborn(v duty.View) (out []duty.Duty) {
+func (o *Owner) unborn(v lease.View) (out []lease.Duty) {
 	for _, key := range o.old {
 		known := false
 		for _, d := range v.Duties {
 			known = known || d.Key == key
 		}
 		if _, held := o.keeper.Epoch(key); !known && !held {
-			out = append(out, duty.Duty{Key: key})
+			out = append(out, lease.Duty{Key: key})
 		}
 	}
 	return out
 }
 
 // begin finds out what earlier lives of this node left, once, and makes this life's own duty.
-func (o *Owner) begin(ctx context.Context, v duty.View) {
+func (o *Owner) begin(ctx context.Context, v lease.View) {
 	o.mu.Lock()
 	now, own, asked := o.clock(), o.own, o.asked
 	mine, standing := v.Leases[o.name]
@@ -186,5 +186,5 @@
 	if !wants {
 		return
 	}
-	o.claim(ctx, duty.Action{Key: own.Partition(), Mine: mine.Version}, "this life's own")
+	o.claim(ctx, lease.Action{Key: own.Partition(), Mine: mine.Version}, "this life's own")
 }
--- a/internal/owner/owner_test.go
+++ b/internal/leaseholder/owner_test.go
@@ -1,4 +1,4 @@
-package owner
+package leaseholder
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"gatetack/internal/duty"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/kv"
+	"gatetack/internal/lease"
 	"gatetack/internal/limits"
-	"gatetack/internal/records"
 )
 
 var lim = limits.New(0, 0, 0, 0, 0)
@@ -55,7 +55,7 @@
 	}
 	return e.Value, true
 }
-func (m *member) Write(context.Context, ...records.Change) error {
+func (m *member) Write(context.Context, ...jobstore.Change) error {
 	return errors.New("an owner's writes are transactions")
 }
 func (m *member) Get(_ context.Context, kind, key string) ([]byte, bool, error) {
@@ -68,7 +68,7 @@
 	}
 	return e.Value, true, nil
 }
-func (m *member) Page(context.Context, string, string, int) ([]records.Row, error) { return nil, nil }
+func (m *member) Page(context.Context, string, string, int) ([]jobstore.Row, error) { return nil, nil }
 
 // work stands for the batch front.
 type work struct {
@@ -188,7 +188,7 @@
 func (f *fleet) write(x *one, last map[string]uint64, by map[string]string) {
 	for _, p := range x.keeper.Held() {
 		epoch, _ := x.keeper.Epoch(p)
-		err := x.Write(context.Background(), records.Change{Kind: "job", Key: p + ".x", Value: []byte(x.name)})
+		err := x.Write(context.Background(), jobstore.Change{Kind: "job", Key: p + ".x", Value: []byte(x.name)})
 		if err != nil {
 			continue
 		}
@@ -246,7 +246,7 @@
 			if held[d.Key] == "" {
 				t.Errorf("seed %d: nobody has %s\n%v", seed, d.Key, f.trace)
 			}
-			if l, ok := duty.ParsePartition(d.Key); ok && l.Node != held[d.Key] {
+			if l, ok := lease.ParsePartition(d.Key); ok && l.Node != held[d.Key] {
 				takeovers++
 			}
 		}
@@ -282,7 +282,7 @@
 	// Woken late, it believes in its lease (its clock stood still) and writes.
 	a.clock = func() time.Duration { return 0 }
 	a.keeper.Renewed(0, 1)
-	change := records.Change{Kind: "job", Key: p + ".x", Value: []byte("late")}
+	change := jobstore.Change{Kind: "job", Key: p + ".x", Value: []byte("late")}
 	if err := a.Write(context.Background(), change); !errors.Is(err, ErrLost) {
 		t.Fatalf("a late owner's write: %v", err)
 	}
@@ -331,7 +331,7 @@
 	f, x, left := restarted(t, 2)
 	x.old, x.asked = []string{left}, true
 	other := f.nodes[1]
-	other.claim(t.Context(), duty.Action{Key: left, Mine: other.keeper.Mine(), If: f.epoch(left)}, "quicker")
+	other.claim(t.Context(), lease.Action{Key: left, Mine: other.keeper.Mine(), If: f.epoch(left)}, "quicker")
 	for range 60 {
 		f.step(false)
 	}
--- a/internal/owner/routing.go
+++ b/internal/leaseholder/routing.go
@@ -1,4 +1,4 @@
-package owner
+package leaseholder
 
 import (
 	"context"
--- a/internal/owner/scale_test.go
+++ b/internal/leaseholder/scale_test.go
@@ -1,4 +1,4 @@
-package owner
+package leaseholder
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"gatetack/internal/duty"
 	"gatetack/internal/kv"
+	"gatetack/internal/lease"
 )
 
 var scale = flag.Int("scale", 20, "nodes of TestScale, with a hundred duties each; the figures on the page are of 100")
@@ -42,7 +42,7 @@
 	for i, x := range f.nodes { // what a hundred earlier lives of each left, held by it
 		value, _ := json.Marshal(x.own)
 		for k := range 100 {
-			key := duty.Life{Node: fmt.Sprintf("n%d", i), Born: int64(1000 + k)}.Partition()
+			key := lease.Life{Node: fmt.Sprintf("n%d", i), Born: int64(1000 + k)}.Partition()
 			f.s.index++
 			f.s.state.Apply(f.s.index, &kv.Txn{At: f.s.now, Ops: []kv.Op{{Verb: kv.Put, Table: Duties, Key: key, Value: value}}})
 			x.keeper.Claimed(key, f.s.index, f.at)
--- a/internal/owner/view.go
+++ b/internal/leaseholder/view.go
@@ -1,23 +1,23 @@
-package owner
+package leaseholder
 
 import (
 	"encoding/json"
 	"slices"
 
-	"gatetack/internal/duty"
 	"gatetack/internal/kv"
+	"gatetack/internal/lease"
 )
 
-// lease is the stored value of a lease.
-type lease struct {
+// leaseRecord is the stored value of a lease.
+type leaseRecord struct {
 	Born int64  `json:"born"`
 	Addr string `json:"addr"`
 }
 
 // view reads leases and duties as this member has them. Only the loop calls it.
-func (o *Owner) view() duty.View {
+func (o *Owner) view() lease.View {
 	now := o.store.View()
-	v := duty.View{Leases: map[string]duty.Lease{}}
+	v := lease.View{Leases: map[string]lease.Lease{}}
 	for _, e := range now.List(Leases, "", "", 1<<16) {
 		if l, ok := leaseOf(e, true); ok {
 			v.Leases[l.Node] = l
@@ -36,19 +36,19 @@
 }
 
 // leaseOf decodes the entry of a lease, if there is one and it is valid.
-func leaseOf(e *kv.Entry, found bool) (duty.Lease, bool) {
-	var l lease
+func leaseOf(e *kv.Entry, found bool) (lease.Lease, bool) {
+	var l leaseRecord
 	if !found || json.Unmarshal(e.Value, &l) != nil {
-		return duty.Lease{}, false
+		return lease.Lease{}, false
 	}
-	return duty.Lease{Life: duty.Life{Node: e.Key, Born: l.Born}, Addr: l.Addr, Version: e.Version}, true
+	return lease.Lease{Life: lease.Life{Node: e.Key, Born: l.Born}, Addr: l.Addr, Version: e.Version}, true
 }
 
 // dutyOf decodes the entry of a duty, if there is one and it is valid.
-func dutyOf(e *kv.Entry, found bool) (duty.Duty, bool) {
-	var owner duty.Life
+func dutyOf(e *kv.Entry, found bool) (lease.Duty, bool) {
+	var owner lease.Life
 	if !found || json.Unmarshal(e.Value, &owner) != nil {
-		return duty.Duty{}, false
+		return lease.Duty{}, false
 	}
-	return duty.Duty{Key: e.Key, Owner: owner, Epoch: e.Version}, true
+	return lease.Duty{Key: e.Key, Owner: owner, Epoch: e.Version}, true
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -5,8 +5,8 @@
 import (
 	"time"
 
-	"gatetack/internal/pace"
-	"gatetack/internal/staleness"
+	"gatetack/internal/endpointwatch"
+	"gatetack/internal/slowpeer"
 )
 
 // Limits bounds a node. Get one from New; a zero value bounds everything to nothing.
@@ -70,35 +70,35 @@
 	StoreCall      time.Duration // of one call, a change of the leader included
 
 	// Times.
-	ClientIdle   time.Duration      // a client's connection between requests,
-	StrangerIdle time.Duration      // and one that carried nothing that the front took for its clients'
-	Linger       time.Duration      // after a connection's last answer, what its client still sends is taken in unread
-	DoorWait     time.Duration      // a connection on which nothing has come for so long makes place where all are in use
-	DropPause    time.Duration      // between reads of what a client sends behind an open request and beyond its ring
-	Write        time.Duration      // of one short message to another member, and past an attempt's end
-	Connect      time.Duration      // to an executor; the settings' connectTimeout
-	SettleLeast  time.Duration      // the last byte of a request to an executor waits for a round trip,
-	SettleMost   time.Duration      // within these, to see whether the connection still stands
-	Reconnects   int                // connections that one attempt may find broken before its last byte is written
-	KeptFirst    time.Duration      // bounds the shortest idle times told apart to learn how long kept connections stand,
-	KeptMemory   time.Duration      // over which half of what was learned is forgotten,
-	KeptSure     float64            // uses that stand for none having broken,
-	KeptBroken   float64            // and the share of broken ones from which on a new connection is made instead
-	Rest         time.Duration      // after an answer, a second one may come on a connection to an executor: for so long it carries nothing new
-	WorkerIdle   time.Duration      // an idle connection to an executor is not used after it: well before connIdle
-	TimeSpare    time.Duration      // the time told to an executor may be so much more than what is left when its request's last byte goes
-	Returns      time.Duration      // for so long it is kept that an executor handed a request back: longer than a client waits
-	Probe        time.Duration      // of a probe, and of giving up an attempt
-	ListCall     time.Duration      // of one call for the whole list, and of a connection to it
-	Staleness    staleness.Timeouts // when changes of the list count as told, and calls are given up and made again
-	PushAgain    time.Duration      // between watches on the agent of a pushed list, which cost it nothing
-	DrainSpare   time.Duration      // after a drain was told, a send that is under way may still be written
-	ReadyBy      time.Duration      // after the start, the node is ready though no list has come
-	AnswerEarly  time.Duration      // before a client gives up, a request that is still out is answered
-	Stay         time.Duration      // after SIGTERM, clients are served on the connections they have
-	Follow       time.Duration      // between looks at the drain state, at which idle connections of a drained node close
-	Retired      time.Duration      // after a retune, jobs of a class that it dropped are still taken
-	Quiet        time.Duration      // at the end, nothing may come for so long before the node exits
+	ClientIdle   time.Duration          // a client's connection between requests,
+	StrangerIdle time.Duration          // and one that carried nothing that the front took for its clients'
+	Linger       time.Duration          // after a connection's last answer, what its client still sends is taken in unread
+	DoorWait     time.Duration          // a connection on which nothing has come for so long makes place where all are in use
+	DropPause    time.Duration          // between reads of what a client sends behind an open request and beyond its ring
+	Write        time.Duration          // of one short message to another member, and past an attempt's end
+	Connect      time.Duration          // to an executor; the settings' connectTimeout
+	SettleLeast  time.Duration          // the last byte of a request to an executor waits for a round trip,
+	SettleMost   time.Duration          // within these, to see whether the connection still stands
+	Reconnects   int                    // connections that one attempt may find broken before its last byte is written
+	KeptFirst    time.Duration          // bounds the shortest idle times told apart to learn how long kept connections stand,
+	KeptMemory   time.Duration          // over which half of what was learned is forgotten,
+	KeptSure     float64                // uses that stand for none having broken,
+	KeptBroken   float64                // and the share of broken ones from which on a new connection is made instead
+	Rest         time.Duration          // after an answer, a second one may come on a connection to an executor: for so long it carries nothing new
+	WorkerIdle   time.Duration          // an idle connection to an executor is not used after it: well before connIdle
+	TimeSpare    time.Duration          // the time told to an executor may be so much more than what is left when its request's last byte goes
+	Returns      time.Duration          // for so long it is kept that an executor handed a request back: longer than a client waits
+	Probe        time.Duration          // of a probe, and of giving up an attempt
+	ListCall     time.Duration          // of one call for the whole list, and of a connection to it
+	Staleness    endpointwatch.Timeouts // when changes of the list count as told, and calls are given up and made again
+	PushAgain    time.Duration          // between watches on the agent of a pushed list, which cost it nothing
+	DrainSpare   time.Duration          // after a drain was told, a send that is under way may still be written
+	ReadyBy      time.Duration          // after the start, the node is ready though no list has come
+	AnswerEarly  time.Duration          // before a client gives up, a request that is still out is answered
+	Stay         time.Duration          // after SIGTERM, clients are served on the connections they have
+	Follow       time.Duration          // between looks at the drain state, at which idle connections of a drained node close
+	Retired      time.Duration          // after a retune, jobs of a class that it dropped are still taken
+	Quiet        time.Duration          // at the end, nothing may come for so long before the node exits
 
 	// Settings that come through the store.
 	SettingsPoll    time.Duration // a process that follows waits so long for a change in one call
@@ -107,7 +107,7 @@
 	SettingsRetry   Backoff       // between tries to put in force what could not be
 
 	// Slow peers.
-	Pace pace.Policy
+	Pace slowpeer.Policy
 
 	// The process.
 	Cores       int
@@ -131,7 +131,7 @@
 // stalenessTimeouts are the protocol's: one clock for silence (6 s), discovery's own wait (2 s) and 2 s past it, 4 s from a SIGHUP,
 // an empty line every 2 s, four times the asking time after a call that failed. The settings bring the asking time itself.
 // What is late by Late is given up so that a call made then is answered, at the end of its wait too, within the 6 s.
-var stalenessTimeouts = staleness.Timeouts{Silence: 6 * time.Second, Wait: 2 * time.Second, After: 2 * time.Second, Reload: 4 * time.Second,
+var stalenessTimeouts = endpointwatch.Timeouts{Silence: 6 * time.Second, Wait: 2 * time.Second, After: 2 * time.Second, Reload: 4 * time.Second,
 	Failed: 4, Beat: 2 * time.Second, Late: 1200 * time.Millisecond, Slow: 500 * time.Millisecond,
 	Stood: time.Second, Least: 100 * time.Millisecond}
 
@@ -193,7 +193,7 @@
 		Follow: 20 * time.Millisecond, Retired: 3 * time.Second,
 		SettingsPoll: 2 * time.Second, SettingsCall: 3 * time.Second,
 		SettingsBackoff: Backoff{50 * time.Millisecond, 2 * time.Second}, SettingsRetry: Backoff{time.Second, 30 * time.Second},
-		Pace:  pace.Default(),
+		Pace:  slowpeer.Default(),
 		Cores: 1, MemoryBytes: int64(memoryMB) << 20 * 3 / 4, PeerBytes: 256,
 	}
 }
--- a/internal/locality/file.go
+++ b/internal/locality/file.go
@@ -10,8 +10,8 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"gatetack/internal/fault"
 	"gatetack/internal/node"
+	"gatetack/internal/operr"
 )
 
 // Limits of the file.
@@ -48,7 +48,7 @@
 // Do is what can be done.
 func (*FileError) Do() string { return "correct the field in the file that data.file names" }
 
-var _ = fault.Kind(&FileError{})
+var _ = operr.Kind(&FileError{})
 
 // parse reads and checks the file's text.
 func parse(path string, data []byte, names node.Names) (*File, error) {
--- a/internal/locality/placer.go
+++ b/internal/locality/placer.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/node"
 	"gatetack/internal/site"
 )
@@ -27,7 +27,7 @@
 // Placer prices the zones for the jobs of one node.
 type Placer struct {
 	names            node.Names
-	settings         brain.Settings
+	settings         dispatch.Settings
 	machines         MachineLister
 	slotsPerExecutor float64
 	log              *slog.Logger
@@ -40,7 +40,7 @@
 }
 
 // Open reads the operators' file and returns a Placer that goes by it.
-func Open(path string, names node.Names, s brain.Settings, from MachineLister, log *slog.Logger) (*Placer, error) {
+func Open(path string, names node.Names, s dispatch.Settings, from MachineLister, log *slog.Logger) (*Placer, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, &FileError{path, "data.file", err.Error()}
@@ -52,7 +52,7 @@
 	return newPlacer(f, names, s, from, log), nil
 }
 
-func newPlacer(f *File, names node.Names, s brain.Settings, from MachineLister, log *slog.Logger) *Placer {
+func newPlacer(f *File, names node.Names, s dispatch.Settings, from MachineLister, log *slog.Logger) *Placer {
 	p := &Placer{names: names, settings: s, machines: from, slotsPerExecutor: float64(f.SlotsPerExecutor), log: log, now: time.Now, executorZone: map[string]int{},
 		site: site.New(max(len(names.Zones), 1), maxDataSets)}
 	for _, c := range s.Classes {
@@ -112,7 +112,7 @@
 		}
 		p.executorZone[m.Name] = z
 		out[z] += float64(m.Out)
-		if m.Condition() == brain.Ready {
+		if m.Condition() == dispatch.Ready {
 			ready[z]++
 		}
 	}
--- a/internal/locality/placer_test.go
+++ b/internal/locality/placer_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/node"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 type boxes []node.Machine
@@ -20,8 +20,8 @@
 
 var names = node.Names{Zones: []string{"tallinn", "tartu"}}
 
-func settings() brain.Settings {
-	return brain.Settings{Balancers: 1, Zone: 0, Classes: []brain.Class{{Aim: 400, Stretch: 2}}, Fees: brain.Fees{CrossZone: 0.03}}
+func settings() dispatch.Settings {
+	return dispatch.Settings{Balancers: 1, Zone: 0, Classes: []dispatch.Class{{Aim: 400, Stretch: 2}}, Fees: dispatch.Fees{CrossZone: 0.03}}
 }
 
 const good = "links: [{from: tallinn, to: tartu, gbits: 1}]\nsets:\n- {name: scene, bytes: 2e9, halls: [tartu]}\n- {name: near, bytes: 2e9, halls: [tallinn]}\n"
@@ -32,7 +32,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return Open(path, names, settings(), boxes{}, standin.Quiet)
+	return Open(path, names, settings(), boxes{}, testenv.Quiet)
 }
 
 func machine(name, zone, status string, out int) node.Machine {
--- a/internal/member/folder.go
+++ b/internal/membership/folder.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import "slices"
 
--- a/internal/member/member.go
+++ b/internal/membership/member.go
@@ -1,6 +1,6 @@
-// Package member decides about the store's membership: who may join, become a voter, or go, so that no change asked for
+// Package membership decides about the store's membership: who may join, become a voter, or go, so that no change asked for
 // costs the store its quorum. It does no I/O and reads no clock; the leader of the store carries out what it says.
-package member
+package membership
 
 import (
 	"errors"
--- a/internal/member/member_test.go
+++ b/internal/membership/member_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "gatetack/internal/seeds"
+	_ "gatetack/internal/testrand"
 )
 
 func five(dead ...string) Cluster {
--- a/internal/migration/planner_test.go
+++ b/internal/migration/planner_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "gatetack/internal/seeds"
+	_ "gatetack/internal/testrand"
 )
 
 func nodes(loads ...float64) (out []Node) {
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -5,51 +5,51 @@
 import (
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // act carries out one action.
-func (c *Core) act(a *brain.Action, now time.Time) {
+func (c *Core) act(a *dispatch.Action, now time.Time) {
 	switch a.Kind {
-	case brain.ActSend:
+	case dispatch.ActSend:
 		c.send(a, now)
-	case brain.ActRefuse, brain.ActFail:
+	case dispatch.ActRefuse, dispatch.ActFail:
 		j := c.jobs[a.Job]
 		if j == nil {
 			return
 		}
 		ans := Answer{End: Failed, Why: "it may have run, and can not be tried again in time"}
-		if a.Kind == brain.ActRefuse {
+		if a.Kind == dispatch.ActRefuse {
 			ans = Answer{End: Refused, RetryAfter: Span(a.For), Why: "no room for it in time"}
 		}
 		c.answer(j, ans)
-	case brain.ActCancel:
+	case dispatch.ActCancel:
 		j := c.jobs[a.Job]
 		if j == nil || int(a.Attempt) >= len(j.tries) {
 			return
 		}
 		if t := j.tries[a.Attempt]; !t.over {
 			c.exec.GiveUp(t.id)
-			c.end(t, brain.Cancelled, nil, nil, now)
+			c.end(t, dispatch.Cancelled, nil, nil, now)
 		}
-	case brain.ActTimer:
+	case dispatch.ActTimer:
 		c.at(now.Add(Span(a.For)), token(a.Token))
-	case brain.ActProbe:
+	case dispatch.ActProbe:
 		c.exec.Probe(a.Worker)
-	case brain.ActClose:
+	case dispatch.ActClose:
 		c.exec.CloseIdle(a.Worker)
-	case brain.ActWatch:
+	case dispatch.ActWatch:
 		c.lists.Watch(a.On)
-	case brain.ActFetch:
+	case dispatch.ActFetch:
 		c.lists.Fetch()
-	case brain.ActTell:
+	case dispatch.ActTell:
 		c.peers.Tell(a.To, a.Data)
-	case brain.ActLog:
+	case dispatch.ActLog:
 		c.log.Info("module", "says", a.Text)
 	}
 }
 
-func (c *Core) send(a *brain.Action, now time.Time) {
+func (c *Core) send(a *dispatch.Action, now time.Time) {
 	j := c.jobs[a.Job]
 	if j == nil {
 		return
@@ -66,7 +66,7 @@
 		until = earlier(until, now.Add(Span(a.For)))
 	}
 	if j.answered.Load() || !ok || !until.After(now) {
-		c.end(t, brain.Moot, nil, nil, now)
+		c.end(t, dispatch.Moot, nil, nil, now)
 		return
 	}
 	c.counts.Sends++
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -10,11 +10,11 @@
 	"sync/atomic"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
+	"gatetack/internal/endpointwatch"
 	"gatetack/internal/limits"
-	"gatetack/internal/pace"
 	"gatetack/internal/recovery"
-	"gatetack/internal/staleness"
+	"gatetack/internal/slowpeer"
 )
 
 // ErrFull is the answer to a job for which the core's queue has no place.
@@ -26,9 +26,9 @@
 // Core owns the decision module. Everything in it but the channels belongs to the goroutine of Run.
 type Core struct {
 	lim   limits.Limits
-	s     brain.Settings
+	s     dispatch.Settings
 	names Names // of zones and kinds, which stay; those of classes and tenants are in rules
-	d     *brain.Dispatcher
+	d     *dispatch.Dispatcher
 	log   *slog.Logger
 	exec  Executors
 	lists Lists
@@ -53,16 +53,16 @@
 	attempts map[uint64]*attempt
 	lastTry  uint64
 	timers   timers
-	batch    []brain.Event
-	actions  []brain.Action
+	batch    []dispatch.Event
+	actions  []dispatch.Action
 	stepAt   time.Time // no step before
 	workers  map[uint32]Entry
 	counts   Counts
-	slow     pace.Tally
+	slow     slowpeer.Tally
 	leaving  bool // nothing more is taken
 	book     *recovery.Knowledge
-	startup  staleness.Startup // while it holds, the module takes no step
-	retunes  []retune          // that came meanwhile
+	startup  endpointwatch.Startup // while it holds, the module takes no step
+	retunes  []retune              // that came meanwhile
 }
 
 type job struct {
@@ -90,8 +90,8 @@
 }
 
 // New makes a core. The known list is its first event.
-func New(s brain.Settings, seed uint64, known List, names Names, lim limits.Limits, log *slog.Logger) (*Core, error) {
-	d, err := brain.New(s, seed)
+func New(s dispatch.Settings, seed uint64, known List, names Names, lim limits.Limits, log *slog.Logger) (*Core, error) {
+	d, err := dispatch.New(s, seed)
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
@@ -104,7 +104,7 @@
 	fresh := max(Span(s.AskWithin), lim.Staleness.Silence)
 	c.book = recovery.NewKnowledge(map[recovery.Kind]recovery.AgeBounds{recovery.List: {Fresh: fresh, Usable: time.Duration(lim.Staleness.Failed) * fresh}})
 	c.tenants = make([]atomic.Int64, len(names.Tenants))
-	known.Form = brain.ListCached
+	known.Form = dispatch.ListCached
 	c.in <- known
 	return c, nil
 }
@@ -113,7 +113,7 @@
 func (c *Core) Connect(e Executors, l Lists, p Peers) { c.exec, c.lists, c.peers = e, l, p }
 
 // Slow counts the slow peers that the core's carriers and fronts find; the counts show them.
-func (c *Core) Slow() *pace.Tally { return &c.slow }
+func (c *Core) Slow() *slowpeer.Tally { return &c.slow }
 
 // clock is Unix time in milliseconds that never runs backwards: lists tell starts in it.
 func (c *Core) clock(t time.Time) float64 {
@@ -185,7 +185,7 @@
 		if j := c.jobs[uint32(ev)]; j != nil && !j.answered.Load() {
 			c.counts.Gone++
 			c.settle(j)
-			c.event(brain.Event{Kind: brain.EvGone, Job: j.id})
+			c.event(dispatch.Event{Kind: dispatch.EvGone, Job: j.id})
 			c.forget(j)
 		}
 	case Result:
@@ -193,8 +193,8 @@
 	case List:
 		c.list(ev, now)
 	case peerData:
-		c.event(brain.Event{Kind: brain.EvPeer, From: ev.from, Data: ev.data})
-	case brain.Event:
+		c.event(dispatch.Event{Kind: dispatch.EvPeer, From: ev.from, Data: ev.data})
+	case dispatch.Event:
 		c.event(ev)
 	case terminate:
 		ev.to <- c.terminate(ev.id)
@@ -239,4 +239,4 @@
 	}
 }
 
-func (c *Core) event(e brain.Event) { c.batch = append(c.batch, e) }
+func (c *Core) event(e dispatch.Event) { c.batch = append(c.batch, e) }
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -11,23 +11,23 @@
 	"github.com/tidwall/gjson"
 	"pgregory.net/rapid"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/limits"
-	"gatetack/internal/pace"
-	_ "gatetack/internal/seeds"
+	"gatetack/internal/slowpeer"
+	_ "gatetack/internal/testrand"
 )
 
 var lim = limits.New(0, 0, 0, 0, 0)
 
-func settings() brain.Settings {
-	return brain.Settings{Balancers: 1, Step: 4, Ask: true, Telemetry: brain.ReportAnswers,
-		Fields: []brain.Field{brain.FieldPending, brain.FieldFree}, TellsStart: true, Progress: 1000,
+func settings() dispatch.Settings {
+	return dispatch.Settings{Balancers: 1, Step: 4, Ask: true, Telemetry: dispatch.ReportAnswers,
+		Fields: []dispatch.Field{dispatch.FieldPending, dispatch.FieldFree}, TellsStart: true, Progress: 1000,
 		MaxAttempts: 3, MayDuplicate: true, MayCancel: true, Multiplex: 1, ConnIdle: 60000, ConnectTimeout: 250,
 		MaxRetryAfter: 2000, AskWithin: 10000, DrainGrace: 500, FallMultiple: 2.5, Fall: 2000, ColdFrom: 0.3, WarmWithin: 8400,
-		Classes: []brain.Class{
-			{Aim: 400, Stretch: 2, Deadline: 7500, Worth: 8, Effect: brain.Unsafe, Kind: -1},
-			{Aim: 1500, Stretch: 2, Deadline: 25000, Worth: 24, Effect: brain.Keyed, Scope: brain.ScopeCell, Window: 40000, Kind: -1}},
-		Tenants: []brain.Tenant{{Portion: 1, Quota: 20}}}
+		Classes: []dispatch.Class{
+			{Aim: 400, Stretch: 2, Deadline: 7500, Worth: 8, Effect: dispatch.Unsafe, Kind: -1},
+			{Aim: 1500, Stretch: 2, Deadline: 25000, Worth: 24, Effect: dispatch.Keyed, Scope: dispatch.ScopeCell, Window: 40000, Kind: -1}},
+		Tenants: []dispatch.Tenant{{Portion: 1, Quota: 20}}}
 }
 
 // host drives a core without its goroutine, on a clock of its own, and stands for all it speaks to.
@@ -112,7 +112,7 @@
 // the client left; a tile-charge is sent again only where no attempt of it may have run; and a refusal is given
 // only then, too.
 func TestOneAnswer(t *testing.T) {
-	outcomes := []brain.Outcome{brain.Served, brain.Errored, brain.Full, brain.ConnectFailed, brain.Reset, brain.Moot}
+	outcomes := []dispatch.Outcome{dispatch.Served, dispatch.Errored, dispatch.Full, dispatch.ConnectFailed, dispatch.Reset, dispatch.Moot}
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHost(t, box("s-1"), box("s-2"))
 		type made struct {
@@ -150,7 +150,7 @@
 				h.c.Result(Result{Attempt: a.ID, Outcome: o, Body: []byte("tile"), Report: []float32{0, 2}})
 			case 4:
 				if len(h.live) > 0 {
-					h.c.Result(Result{Attempt: rapid.SampledFrom(h.live).Draw(t, "attempt").ID, Topic: brain.NoteStarted})
+					h.c.Result(Result{Attempt: rapid.SampledFrom(h.live).Draw(t, "attempt").ID, Topic: dispatch.NoteStarted})
 				}
 			case 5:
 				if len(jobs) > 0 {
@@ -199,7 +199,7 @@
 
 // A tile-charge that may have run is never sent again, and is failed at once: its client must not be held.
 func TestTileChargeRunsOnce(t *testing.T) {
-	for _, o := range []brain.Outcome{brain.Errored, brain.Reset} {
+	for _, o := range []dispatch.Outcome{dispatch.Errored, dispatch.Reset} {
 		h, cl := newHost(t, box("s-1"), box("s-2")), &client{t: t}
 		if _, err := h.c.Submit(Job{Left: 7500 * time.Millisecond, Slots: 1, Trace: "a"}, cl); err != nil {
 			t.Fatal(err)
@@ -224,7 +224,7 @@
 	}
 	gone := box("s-1")
 	gone.Status = "draining"
-	h.c.List(List{Form: brain.ListDelta, Entries: []Entry{gone}})
+	h.c.List(List{Form: dispatch.ListDelta, Entries: []Entry{gone}})
 	h.run(10 * time.Millisecond)
 	for i := range 4 {
 		if _, err := h.c.Submit(Job{Left: 7500 * time.Millisecond, Slots: 1, Trace: string(rune('a' + i))}, &client{t: t}); err != nil {
@@ -240,12 +240,12 @@
 			t.Error("a draining box got a job")
 		}
 	}
-	h.c.List(List{Form: brain.ListFull, Entries: []Entry{gone}})
+	h.c.List(List{Form: dispatch.ListFull, Entries: []Entry{gone}})
 	h.run(10 * time.Millisecond)
 	if h.told["s-2"] != "gone" || h.c.Ready() {
 		t.Errorf("a box that a whole list lacks is %q; ready %v", h.told["s-2"], h.c.Ready())
 	}
-	h.c.List(List{Form: brain.ListFailed})
+	h.c.List(List{Form: dispatch.ListFailed})
 	h.run(3 * time.Second)
 	if h.watches < 2 {
 		t.Error("a failed watch was not begun anew")
@@ -286,7 +286,7 @@
 func TestParseListOnGarbage(t *testing.T) {
 	good := `{"index":41,"snapshot":true,"endpoints":[{"name":"s-5be2a07c","address":"10.1.0.18:8443","zone":"a","type":"m2","group":3,"status":"ready","weight":1.0,"since_ms":0}]}`
 	l, err := ParseList(gjson.Parse(good))
-	if err != nil || l.Index != 41 || l.Form != brain.ListFull || len(l.Entries) != 1 || l.Entries[0].Group != 3 {
+	if err != nil || l.Index != 41 || l.Form != dispatch.ListFull || len(l.Entries) != 1 || l.Entries[0].Group != 3 {
 		t.Fatalf("%+v %v", l, err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -330,12 +330,12 @@
 	if h.live[0].Worker == other {
 		other = WorkerID("s-2")
 	}
-	h.c.act(&brain.Action{Kind: brain.ActSend, Job: id, Worker: other}, h.at)
+	h.c.act(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Worker: other}, h.at)
 	if len(h.live) != 2 {
 		t.Fatalf("%d sends", len(h.live))
 	}
 	for _, a := range h.live {
-		h.c.Result(Result{Attempt: a.ID, Outcome: brain.Served, Body: []byte("tile")})
+		h.c.Result(Result{Attempt: a.ID, Outcome: dispatch.Served, Body: []byte("tile")})
 	}
 	h.c.Gone(id) // and the client leaves as its answer is on the way
 	h.run(50 * time.Millisecond)
@@ -402,7 +402,7 @@
 	if len(old.answers) != 0 {
 		t.Fatalf("a job from before: %+v", old.answers)
 	}
-	h.c.Result(Result{Attempt: h.live[0].ID, Outcome: brain.Served, Body: []byte("tile")})
+	h.c.Result(Result{Attempt: h.live[0].ID, Outcome: dispatch.Served, Body: []byte("tile")})
 	h.run(20 * time.Millisecond)
 	if len(old.answers) != 1 || old.answers[0].End != Served {
 		t.Errorf("a job from before that was served: %+v", old.answers)
@@ -423,7 +423,7 @@
 			t.Fatal(i, err)
 		}
 	}
-	if _, err := submit("c", 0); !errors.Is(err, ErrShare) || h.c.Open() != 2 || h.c.Slow().Count(pace.ClientShare) != 1 {
+	if _, err := submit("c", 0); !errors.Is(err, ErrShare) || h.c.Open() != 2 || h.c.Slow().Count(slowpeer.ClientShare) != 1 {
 		t.Errorf("%v, %d open", err, h.c.Open())
 	}
 	if _, err := submit("d", 1); err != nil {
@@ -443,7 +443,7 @@
 	for _, known := range [][]Entry{nil, {drains}} {
 		h := newHost(t, known...)
 		c := h.c
-		c.intake(List{Form: brain.ListFailed})
+		c.intake(List{Form: dispatch.ListFailed})
 		h.at = c.start.Add(c.lim.ReadyBy - 1)
 		if c.Ready() {
 			t.Error("ready before")
@@ -451,10 +451,10 @@
 		if h.at = h.at.Add(1); !c.Ready() {
 			t.Error("not ready")
 		}
-		if c.intake(List{Form: brain.ListFull}); c.Ready() {
+		if c.intake(List{Form: dispatch.ListFull}); c.Ready() {
 			t.Error("ready though the list names nobody")
 		}
-		if c.intake(List{Form: brain.ListFull, Entries: []Entry{box("s-1")}}); !c.Ready() {
+		if c.intake(List{Form: dispatch.ListFull, Entries: []Entry{box("s-1")}}); !c.Ready() {
 			t.Error("not ready with a list")
 		}
 	}
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -5,8 +5,8 @@
 import (
 	"time"
 
-	"gatetack/brain"
-	"gatetack/internal/gate"
+	"gatetack/internal/dispatch"
+	"gatetack/internal/precheck"
 )
 
 func (c *Core) submitted(j *job, now time.Time) {
@@ -24,12 +24,12 @@
 	c.jobs[j.id], c.traces[j.in.Trace] = j, j
 	flags := uint8(0)
 	if j.in.Work > 0 {
-		flags |= brain.FlagWork
+		flags |= dispatch.FlagWork
 	}
 	if j.in.Repeat {
-		flags |= brain.FlagRepeat
+		flags |= dispatch.FlagRepeat
 	}
-	c.event(brain.Event{Kind: brain.EvRequest, Job: j.id, Class: uint8(j.in.Class), Tenant: uint16(j.in.Tenant),
+	c.event(dispatch.Event{Kind: dispatch.EvRequest, Job: j.id, Class: uint8(j.in.Class), Tenant: uint16(j.in.Tenant),
 		Key: j.in.Key, TimeLeft: millis(j.deadline.Sub(now)), Work: j.in.Work, Slots: j.in.Slots,
 		Memory: j.in.Memory, Flags: flags, Prices: j.in.Prices})
 	c.at(j.deadline.Add(-c.lim.AnswerEarly), deadline(j.id))
@@ -78,7 +78,7 @@
 		return ErrRunning
 	}
 	// The module hears that the client left: that ends a job without an answer of its own.
-	c.event(brain.Event{Kind: brain.EvGone, Job: id})
+	c.event(dispatch.Event{Kind: dispatch.EvGone, Job: id})
 	c.answer(j, Answer{End: Terminated, Why: "terminated before it was sent"})
 	return nil
 }
@@ -91,19 +91,19 @@
 		return
 	}
 	if r.Outcome == 0 {
-		if r.Topic == brain.NoteStarted && !a.started {
+		if r.Topic == dispatch.NoteStarted && !a.started {
 			a.started = true
 			if !a.j.answered.Load() {
 				a.j.client.Started()
 			}
 		}
-		c.event(brain.Event{Kind: brain.EvNote, Job: a.j.id, Attempt: a.n, Worker: a.worker, Topic: r.Topic, Amount: r.Amount})
+		c.event(dispatch.Event{Kind: dispatch.EvNote, Job: a.j.id, Attempt: a.n, Worker: a.worker, Topic: r.Topic, Amount: r.Amount})
 		return
 	}
 	c.end(a, r.Outcome, r.Report, r.Body, now)
 }
 
-func (c *Core) end(a *attempt, o brain.Outcome, report []float32, body []byte, now time.Time) {
+func (c *Core) end(a *attempt, o dispatch.Outcome, report []float32, body []byte, now time.Time) {
 	j := a.j
 	a.over = true
 	j.live--
@@ -111,22 +111,22 @@
 	if a.ran = !o.NeverRan(); a.ran {
 		j.ran = true
 	}
-	if o == brain.Served {
+	if o == dispatch.Served {
 		c.answer(j, Answer{End: Served, Result: body})
 	}
 	if !j.answered.Load() && j.live == 0 {
 		j.client.Returned(!j.ran)
 	}
-	c.event(brain.Event{Kind: brain.EvOutcome, Job: j.id, Attempt: a.n, Worker: a.worker, Outcome: o,
+	c.event(dispatch.Event{Kind: dispatch.EvOutcome, Job: j.id, Attempt: a.n, Worker: a.worker, Outcome: o,
 		Elapsed: millis(now.Sub(a.sent)), Final: j.answered.Load(), Report: report})
 	c.forget(j)
 }
 
 // repeats are the rules for the next attempt of a job, by those it came under and what became of the ones before.
-func (j *job) repeats() gate.Rules {
+func (j *job) repeats() precheck.Rules {
 	s := &j.rules.Settings
 	class := s.Classes[min(j.in.Class, len(s.Classes)-1)]
-	r := gate.Rules{Number: len(j.tries) + 1, Most: s.MaxAttempts, Effect: class.Effect}
+	r := precheck.Rules{Number: len(j.tries) + 1, Most: s.MaxAttempts, Effect: class.Effect}
 	for _, t := range j.tries { // in the order of their sending: the first that counts is the earliest
 		if t.ran && !r.Ran {
 			r.Ran, r.RepeatBy = true, t.sent.Add(Span(class.Window))
@@ -160,6 +160,6 @@
 	if j.live == 0 && !j.ran {
 		a.End, a.RetryAfter = Refused, Span(c.s.MaxRetryAfter)
 	}
-	c.event(brain.Event{Kind: brain.EvGone, Job: j.id})
+	c.event(dispatch.Event{Kind: dispatch.EvGone, Job: j.id})
 	c.answer(j, a)
 }
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -5,22 +5,22 @@
 import (
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/recovery"
 )
 
 func (c *Core) list(l List, now time.Time) {
-	e := brain.Event{Kind: brain.EvList, Form: l.Form, Version: uint32(l.Index)}
+	e := dispatch.Event{Kind: dispatch.EvList, Form: l.Form, Version: uint32(l.Index)}
 	switch l.Form {
-	case brain.ListFailed:
-	case brain.ListCached:
+	case dispatch.ListFailed:
+	case dispatch.ListCached:
 		c.book.Confirm(recovery.List, recovery.Restored, l.Index, now.Sub(c.start))
 	default:
 		c.heard.Store(true)
 		c.startup.Confirmed()
 		c.book.Confirm(recovery.List, recovery.Current, l.Index, now.Sub(c.start))
 	}
-	if l.Form == brain.ListFull || l.Form == brain.ListCached {
+	if l.Form == dispatch.ListFull || l.Form == dispatch.ListCached {
 		listed := map[uint32]bool{}
 		for i := range l.Entries {
 			listed[WorkerID(l.Entries[i].Name)] = true
@@ -40,18 +40,18 @@
 			c.log.Error("two executors share a number, the later one is left out", "one", was.Name, "other", x.Name)
 			continue
 		}
-		if x.Condition() == brain.Gone {
+		if x.Condition() == dispatch.Gone {
 			delete(c.workers, id)
 		} else {
 			c.workers[id] = *x
 		}
 		c.exec.Told(id, *x, now)
-		e.Rows = append(e.Rows, brain.Row{Worker: id, Zone: place(c.names.Zones, x.Zone), Kind: place(c.names.Kinds, x.Kind),
+		e.Rows = append(e.Rows, dispatch.Row{Worker: id, Zone: place(c.names.Zones, x.Zone), Kind: place(c.names.Kinds, x.Kind),
 			Cell: uint16(x.Group), Condition: x.Condition(), Scale: x.Weight, Born: x.SinceMS})
 	}
 	able := false
 	for _, w := range c.workers {
-		able = able || w.Condition() == brain.Ready
+		able = able || w.Condition() == dispatch.Ready
 	}
 	c.ready.Store(able)
 	c.event(e)
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -6,8 +6,8 @@
 	"context"
 	"time"
 
-	"gatetack/brain"
-	"gatetack/internal/pace"
+	"gatetack/internal/dispatch"
+	"gatetack/internal/slowpeer"
 )
 
 type submitted struct {
@@ -57,7 +57,7 @@
 	}
 	if most := c.lim.Pace.Requests; most > 0 && j.in.Tenant < len(c.tenants) && int(c.tenants[j.in.Tenant].Add(1)) > most {
 		c.free(j)
-		c.slow.Add(pace.ClientShare)
+		c.slow.Add(slowpeer.ClientShare)
 		return ErrShare
 	}
 	return nil
@@ -90,8 +90,8 @@
 func (c *Core) Result(r Result) { c.post(r) }
 
 // Probed takes what came of a probe.
-func (c *Core) Probed(worker uint32, o brain.Outcome, elapsed time.Duration, report []float32) {
-	c.post(brain.Event{Kind: brain.EvProbed, Worker: worker, Outcome: o, Elapsed: millis(elapsed), Report: report})
+func (c *Core) Probed(worker uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
+	c.post(dispatch.Event{Kind: dispatch.EvProbed, Worker: worker, Outcome: o, Elapsed: millis(elapsed), Report: report})
 }
 
 // List takes a list or a change of it.
@@ -148,7 +148,7 @@
 
 // Retune puts settings read anew in force: new jobs come under them, open ones keep the rules they came under. Late is how
 // long jobs of a class that is no longer named are still taken. After an error all is as it was. Calls must not overlap.
-func (c *Core) Retune(ctx context.Context, s brain.Settings, names Names, late time.Duration) error {
+func (c *Core) Retune(ctx context.Context, s dispatch.Settings, names Names, late time.Duration) error {
 	next, from, err := c.Rules().Retune(s, names, c.now(), late)
 	if err != nil {
 		return err
--- a/internal/node/rules.go
+++ b/internal/node/rules.go
@@ -6,12 +6,12 @@
 	"slices"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // Rules are the settings in force and the names of their positions. One value is never changed: a retune makes another.
 type Rules struct {
-	Settings brain.Settings
+	Settings dispatch.Settings
 	Names    Names
 }
 
@@ -26,9 +26,9 @@
 
 // Retune makes rules of those in force and of settings read anew. A class or tenant is the same if its name is; a class
 // whose rules differ gets a place of its own, so that open jobs keep those they came under. It says where the places
-// whose rules are new take what was learned from. Everything but classes, tenants and what brain.Dispatcher.Retune takes
+// whose rules are new take what was learned from. Everything but classes, tenants and what dispatch.Dispatcher.Retune takes
 // over stays as it is. Late is how long a class that is no longer named is still taken.
-func (r *Rules) Retune(s brain.Settings, names Names, now time.Time, late time.Duration) (*Rules, map[int]int, error) {
+func (r *Rules) Retune(s dispatch.Settings, names Names, now time.Time, late time.Duration) (*Rules, map[int]int, error) {
 	next := &Rules{Settings: s, Names: r.Names}
 	next.Names.Classes = make([]string, len(r.Names.Classes))
 	next.Settings.Classes = slices.Clone(r.Settings.Classes)
@@ -56,7 +56,7 @@
 			at, free = free[0], free[1:]
 		} else {
 			next.Names.Classes = append(next.Names.Classes, "")
-			next.Settings.Classes = append(next.Settings.Classes, brain.Class{})
+			next.Settings.Classes = append(next.Settings.Classes, dispatch.Class{})
 		}
 		next.Names.Classes[at], next.Settings.Classes[at] = name, s.Classes[i]
 		if was >= 0 {
@@ -81,9 +81,9 @@
 }
 
 // tenants keeps the tenants' places by name; one that is no longer named keeps its place with no share.
-func (r *Rules) tenants(was *Rules, s brain.Settings, names Names) error {
+func (r *Rules) tenants(was *Rules, s dispatch.Settings, names Names) error {
 	r.Names.Tenants = slices.Clone(was.Names.Tenants)
-	r.Settings.Tenants = make([]brain.Tenant, len(was.Settings.Tenants))
+	r.Settings.Tenants = make([]dispatch.Tenant, len(was.Settings.Tenants))
 	if len(was.Settings.Tenants) == 0 && len(s.Tenants) > 0 || len(was.Settings.Tenants) > 0 && len(s.Tenants) == 0 {
 		return fmt.Errorf("settings.tenants: %d in place of %d, expected some or none as at the start", len(s.Tenants), len(was.Settings.Tenants))
 	}
@@ -92,7 +92,7 @@
 		if at < 0 {
 			at = len(r.Names.Tenants)
 			r.Names.Tenants = append(r.Names.Tenants, name)
-			r.Settings.Tenants = append(r.Settings.Tenants, brain.Tenant{})
+			r.Settings.Tenants = append(r.Settings.Tenants, dispatch.Tenant{})
 		}
 		r.Settings.Tenants[at] = s.Tenants[i]
 	}
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -9,12 +9,12 @@
 
 	"pgregory.net/rapid"
 
-	"gatetack/brain"
-	_ "gatetack/internal/seeds"
+	"gatetack/internal/dispatch"
+	_ "gatetack/internal/testrand"
 )
 
-func rulesOf(classes map[string]brain.Class, order ...string) (brain.Settings, Names) {
-	s := brain.Settings{Balancers: 1, MaxAttempts: 3, FallMultiple: 2}
+func rulesOf(classes map[string]dispatch.Class, order ...string) (dispatch.Settings, Names) {
+	s := dispatch.Settings{Balancers: 1, MaxAttempts: 3, FallMultiple: 2}
 	var n Names
 	for _, name := range order {
 		s.Classes, n.Classes = append(s.Classes, classes[name]), append(n.Classes, name)
@@ -25,7 +25,7 @@
 // A class keeps its place while its rules stay; one that is new, or whose rules are, gets a place of its own, and what its
 // name stood for is still taken for a while. A place is used again only once nothing of it can be open.
 func TestRetuneKeepsPlaces(t *testing.T) {
-	classes := map[string]brain.Class{"a": {Deadline: 1000, Effect: brain.Unsafe}, "b": {Deadline: 2000}, "c": {Deadline: 500}}
+	classes := map[string]dispatch.Class{"a": {Deadline: 1000, Effect: dispatch.Unsafe}, "b": {Deadline: 2000}, "c": {Deadline: 500}}
 	s, n := rulesOf(classes, "a", "b")
 	now := time.Now()
 	r := &Rules{s, n}
@@ -40,16 +40,16 @@
 	if _, ok := r.Names.Class(""); ok {
 		t.Error("a place without a name is found by no name")
 	}
-	classes["b"] = brain.Class{Deadline: 2000, Effect: brain.Unsafe}
+	classes["b"] = dispatch.Class{Deadline: 2000, Effect: dispatch.Unsafe}
 	s, n = rulesOf(classes, "c", "b")
 	if r, from, err = r.Retune(s, n, now.Add(time.Second), time.Minute); err != nil || !reflect.DeepEqual(from, map[int]int{3: 1}) {
 		t.Fatalf("%v %v %+v", err, from, r)
 	}
-	if i, _ := r.Names.Class("b"); i != 3 || r.Settings.Classes[1].Effect != brain.Safe || r.Settings.Classes[3].Effect != brain.Unsafe {
+	if i, _ := r.Names.Class("b"); i != 3 || r.Settings.Classes[1].Effect != dispatch.Safe || r.Settings.Classes[3].Effect != dispatch.Unsafe {
 		t.Errorf("b is at %d of %+v", i, r.Settings.Classes)
 	}
 	// A minute and the deadline after it was dropped, a's place is free; b's old one is not for a second more.
-	classes["d"] = brain.Class{Deadline: 70}
+	classes["d"] = dispatch.Class{Deadline: 70}
 	s, n = rulesOf(classes, "c", "b", "d")
 	if r, _, err = r.Retune(s, n, now.Add(62*time.Second+time.Millisecond), time.Minute); err != nil || r.Names.Classes[0] != "d" || len(r.Names.Classes) != 4 {
 		t.Errorf("%v %+v", err, r)
@@ -64,13 +64,13 @@
 // and each class that a file names is found with that file's rules.
 func TestRetuneNeverChangesAnOpenPlace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func() (brain.Settings, Names) {
-			classes, order := map[string]brain.Class{}, []string{}
+		draw := func() (dispatch.Settings, Names) {
+			classes, order := map[string]dispatch.Class{}, []string{}
 			for _, name := range []string{"a", "b", "c", "d"} {
 				if len(order) == 0 || rapid.Bool().Draw(t, "has "+name) {
 					order = append(order, name)
-					classes[name] = brain.Class{Deadline: float64(rapid.IntRange(1, 3).Draw(t, "deadline")) * 1000,
-						Effect: brain.Effect(rapid.IntRange(0, 2).Draw(t, "effect"))}
+					classes[name] = dispatch.Class{Deadline: float64(rapid.IntRange(1, 3).Draw(t, "deadline")) * 1000,
+						Effect: dispatch.Effect(rapid.IntRange(0, 2).Draw(t, "effect"))}
 				}
 			}
 			return rulesOf(classes, order...)
@@ -79,7 +79,7 @@
 		r, now := &Rules{s, n}, time.Now()
 		type open struct {
 			class int
-			rules brain.Class
+			rules dispatch.Class
 			until time.Time
 		}
 		var jobs []open
@@ -119,7 +119,7 @@
 
 // A retune reaches the module, where open jobs keep their rules; one that the module can not take changes nothing.
 func TestCoreRetunes(t *testing.T) {
-	s, n := rulesOf(map[string]brain.Class{"a": {Deadline: 1000}}, "a")
+	s, n := rulesOf(map[string]dispatch.Class{"a": {Deadline: 1000}}, "a")
 	c, err := New(s, 1, List{}, n, lim, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -129,7 +129,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- c.Run(ctx) }()
-	next, names := rulesOf(map[string]brain.Class{"a": {Deadline: 1000}, "b": {Deadline: 10}}, "b", "a")
+	next, names := rulesOf(map[string]dispatch.Class{"a": {Deadline: 1000}, "b": {Deadline: 10}}, "b", "a")
 	next.MaxAttempts = 1
 	if err := c.Retune(ctx, next, names, time.Second); err != nil || c.Rules().Settings.MaxAttempts != 1 {
 		t.Errorf("%v %+v", err, c.Rules())
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // listCallFailed is the event that a call for the list of executors failed.
@@ -12,7 +12,7 @@
 // ListCallFailed takes in that a call for the list of executors failed.
 func (c *Core) ListCallFailed() { c.post(listCallFailed{}) }
 
-// AwaitList makes the core hold what it takes until the list that it was started with is confirmed, or staleness.Startup says that it
+// AwaitList makes the core hold what it takes until the list that it was started with is confirmed, or endpointwatch.Startup says that it
 // is not waited for any more. It must be called before Run. A core that knows of no executor sends nothing and holds nothing.
 func (c *Core) AwaitList(known int) {
 	if known == 0 {
@@ -43,8 +43,8 @@
 }
 
 // refreshTimeLeft counts the time that a held job's client still waits from now on.
-func (c *Core) refreshTimeLeft(e *brain.Event, now time.Time) {
-	if e.Kind != brain.EvRequest {
+func (c *Core) refreshTimeLeft(e *dispatch.Event, now time.Time) {
+	if e.Kind != dispatch.EvRequest {
 		return
 	}
 	if j := c.jobs[e.Job]; j != nil {
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // restarted is a core that was started with an old list, which nobody has confirmed.
@@ -36,7 +36,7 @@
 	if h.sent() != 0 || h.c.Ready() {
 		t.Fatalf("%d sends and ready %v on a list that nobody has confirmed", h.sent(), h.c.Ready())
 	}
-	h.c.List(List{Form: brain.ListFull, Entries: []Entry{box("s-new")}})
+	h.c.List(List{Form: dispatch.ListFull, Entries: []Entry{box("s-new")}})
 	h.run(time.Second)
 	if !h.c.Ready() || h.sent() != 1 || h.live[0].Worker != WorkerID("s-new") {
 		t.Fatalf("ready %v, sent %v", h.c.Ready(), h.sends)
@@ -81,7 +81,7 @@
 		if end(h); len(cl.answers) != 1 || cl.answers[0].End != Refused {
 			t.Errorf("%s: %+v", what, cl.answers)
 		}
-		h.c.List(List{Form: brain.ListFull, Entries: []Entry{box("s-old")}})
+		h.c.List(List{Form: dispatch.ListFull, Entries: []Entry{box("s-old")}})
 		if h.run(time.Second); h.sent() != 0 {
 			t.Errorf("%s: sent after its answer", what)
 		}
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
@@ -51,11 +51,11 @@
 	for len(c.timers) > 0 && !c.timers[0].at.After(now) {
 		switch what := heap.Pop(&c.timers).(timer).what.(type) {
 		case token:
-			c.event(brain.Event{Kind: brain.EvTimer, Token: uint32(what)})
+			c.event(dispatch.Event{Kind: dispatch.EvTimer, Token: uint32(what)})
 		case timeout:
 			if a := c.attempts[uint64(what)]; a != nil && !a.over {
 				c.exec.GiveUp(a.id)
-				c.end(a, brain.TimedOut, nil, nil, now)
+				c.end(a, dispatch.TimedOut, nil, nil, now)
 			}
 		case deadline:
 			c.overdue(uint32(what), now)
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -14,8 +14,8 @@
 
 	"github.com/tidwall/gjson"
 
-	"gatetack/brain"
-	"gatetack/internal/gate"
+	"gatetack/internal/dispatch"
+	"gatetack/internal/precheck"
 )
 
 // Names are the names that the settings give to the positions the decision module counts by.
@@ -77,16 +77,16 @@
 
 // List is what discovery or an inventory tells: the whole list or changes of it.
 type List struct {
-	Form    brain.Form
+	Form    dispatch.Form
 	Index   uint64
 	Entries []Entry
 }
 
 // ParseList reads a list in discovery's form. Form is full or delta.
 func ParseList(v gjson.Result) (List, error) {
-	l := List{Form: brain.ListDelta, Index: v.Get("index").Uint()}
+	l := List{Form: dispatch.ListDelta, Index: v.Get("index").Uint()}
 	if v.Get("snapshot").Bool() {
-		l.Form = brain.ListFull
+		l.Form = dispatch.ListFull
 	}
 	entries := v.Get("endpoints")
 	if !entries.IsArray() {
@@ -105,14 +105,14 @@
 }
 
 // Condition of an entry. A word that is not known is taken as draining: nothing new goes there.
-func (e *Entry) Condition() brain.Condition {
+func (e *Entry) Condition() dispatch.Condition {
 	switch e.Status {
 	case "ready":
-		return brain.Ready
+		return dispatch.Ready
 	case "gone":
-		return brain.Gone
+		return dispatch.Gone
 	}
-	return brain.Draining
+	return dispatch.Draining
 }
 
 // WorkerID is an executor's number at every node: peers name executors to one another by it.
@@ -141,7 +141,7 @@
 	// Before, if set, is called before each send, and the send is not made if it fails.
 	Before func(executor string) error
 	// Still, if set, is asked at the last moment before a send's bytes: May, or why the job is its front's no longer.
-	Still func() gate.Reason
+	Still func() precheck.Reason
 }
 
 // End is how a job ended.
@@ -179,13 +179,13 @@
 	Job      *Job
 	Answered *atomic.Bool // nothing is owed for the job any more
 	Born     float64      // when the executor's life began for which this was decided, as the list has it
-	Rules    gate.Rules
+	Rules    precheck.Rules
 }
 
 // Result is what came of an attempt, a note on its way, or of a probe.
 type Result struct {
 	Attempt uint64
-	Outcome brain.Outcome // 0 for a note
+	Outcome dispatch.Outcome // 0 for a note
 	Topic   uint8
 	Amount  float64
 	Report  []float32
@@ -222,7 +222,7 @@
 type Counts struct {
 	Taken, Served, Refused, Failed, Terminated, Gone int
 	Sends, Open, Queued, Running                     int
-	Slow                                             []byte            // slow peers by kind, as JSON; see pace.Tally
+	Slow                                             []byte            // slow peers by kind, as JSON; see slowpeer.Tally
 	Knows                                            map[string]string // how far the node has come with what it goes by; see recovery.Knowledge
 }
 
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"gatetack/internal/http1"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 type core struct{ drained atomic.Bool }
@@ -21,7 +21,7 @@
 func TestCalls(t *testing.T) {
 	c := &core{}
 	var taken atomic.Bool
-	f := New(c, taken.Load, standin.Quiet)
+	f := New(c, taken.Load, testenv.Quiet)
 	call := func(method, target string) http1.Response {
 		return f.Handle(context.Background(), &http1.Message{Method: method, Target: target})
 	}
--- a/internal/fault/fault.go
+++ b/internal/operr/fault.go
@@ -1,6 +1,6 @@
-// Package fault is what errors that reach an operator, a client or another package have in common: each is of a type of its own
+// Package operr is what errors that reach an operator, a client or another package have in common: each is of a type of its own
 // in the package that finds it, has a code by which docs/on-call.md lists it, and says what can be done.
-package fault
+package operr
 
 import (
 	"errors"
--- a/internal/peer/faults_test.go
+++ b/internal/peer/faults_test.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // faultyConn is a socket whose first reads and writes fail as a test says.
@@ -58,7 +58,7 @@
 	var sinks []*sink
 	for range 2 {
 		k := &sink{got: map[uint32]string{}}
-		s, err := Listen("127.0.0.1:0", nil, "", standin.Lim, k, standin.Quiet)
+		s, err := Listen("127.0.0.1:0", nil, "", testenv.Lim, k, testenv.Quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,9 +85,9 @@
 	for _, errno := range errnos {
 		sockets[0].Tell(1, []byte(errno.Error()))
 	}
-	standin.Until(t, "the message that a signal interrupted", func() bool { return sinks[1].has(0, syscall.EINTR.Error()) })
+	testenv.Until(t, "the message that a signal interrupted", func() bool { return sinks[1].has(0, syscall.EINTR.Error()) })
 	sockets[0].Tell(1, []byte("last"))
-	standin.Until(t, "the last message", func() bool { return sinks[1].has(0, "last") })
+	testenv.Until(t, "the last message", func() bool { return sinks[1].has(0, "last") })
 	if _, left := faulty[0].next(&faulty[0].writes); left {
 		t.Error("not all writes were made")
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/sys/unix"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/limits"
 )
 
@@ -97,7 +97,7 @@
 		return
 	}
 	m := message{s.all, data}
-	if to != brain.AllPeers {
+	if to != dispatch.AllPeers {
 		if int(to) >= len(s.peers) {
 			return
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -9,8 +9,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/brain"
-	"gatetack/internal/standin"
+	"gatetack/internal/dispatch"
+	"gatetack/internal/testenv"
 )
 
 type sink struct {
@@ -53,7 +53,7 @@
 	var sinks []*sink
 	for i := range 2 {
 		k := &sink{got: map[uint32]string{}}
-		s, err := Listen(addrs[i], addrs, addrs[1-i], standin.Lim, k, standin.Quiet)
+		s, err := Listen(addrs[i], addrs, addrs[1-i], testenv.Lim, k, testenv.Quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,7 +70,7 @@
 	}
 	sockets[0].Tell(1, []byte("to one"))
 	until("a message to one", func() bool { return sinks[1].has(0, "to one") })
-	sockets[1].Tell(brain.AllPeers, []byte("to all"))
+	sockets[1].Tell(dispatch.AllPeers, []byte("to all"))
 	until("a message to all", func() bool { return sinks[0].has(1, "to all") })
 	stranger, err := net.Dial("udp", addrs[0])
 	if err != nil {
@@ -93,13 +93,13 @@
 
 // While a process replaces this one, both listen on the same address: the second may not fail for the first.
 func TestTwoProcessesOnOneAddress(t *testing.T) {
-	first, err := Listen("127.0.0.1:0", nil, "", standin.Lim, &sink{got: map[uint32]string{}}, standin.Quiet)
+	first, err := Listen("127.0.0.1:0", nil, "", testenv.Lim, &sink{got: map[uint32]string{}}, testenv.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.conn.Close()
 	at := first.conn.LocalAddr().String()
-	second, err := Listen(at, nil, "", standin.Lim, &sink{got: map[uint32]string{}}, standin.Quiet)
+	second, err := Listen(at, nil, "", testenv.Lim, &sink{got: map[uint32]string{}}, testenv.Quiet)
 	if err != nil {
 		t.Fatalf("a second socket on %s: %v", at, err)
 	}
--- a/internal/keys/keys.go
+++ b/internal/pki/keys.go
@@ -1,7 +1,7 @@
-// Package keys has the certificates by which members of the store, and clients of the batch front, know one another:
+// Package pki has the certificates by which members of the store, and clients of the batch front, know one another:
 // mutual TLS with the standard library, from files of an authority of the operators' own. Files that change are read
 // again at the next connection: a key is rotated, and one revoked, without a restart.
-package keys
+package pki
 
 import (
 	"crypto/ecdsa"
--- a/internal/keys/keys_test.go
+++ b/internal/pki/keys_test.go
@@ -1,4 +1,4 @@
-package keys
+package pki
 
 import (
 	"crypto/tls"
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -11,10 +11,10 @@
 	"strings"
 	"time"
 
-	"gatetack/internal/gate"
 	"gatetack/internal/http1"
 	"gatetack/internal/limits"
 	"gatetack/internal/node"
+	"gatetack/internal/precheck"
 )
 
 // Core takes jobs.
@@ -84,11 +84,11 @@
 	if err != nil {
 		return http1.Text(400, "%v", err)
 	}
-	j.Still = func() gate.Reason {
+	j.Still = func() precheck.Reason {
 		if ctx.Err() != nil {
-			return gate.Left
+			return precheck.Left
 		}
-		return gate.May
+		return precheck.May
 	}
 	w := make(waiter, 1)
 	id, err := f.core.Submit(j, w)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"gatetack/brain"
-	"gatetack/internal/gate"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/http1"
 	"gatetack/internal/node"
-	"gatetack/internal/standin"
+	"gatetack/internal/precheck"
+	"gatetack/internal/testenv"
 )
 
 // core takes every job and refuses it at once.
@@ -28,7 +28,7 @@
 func (c *core) Ready() bool   { return true }
 func (c *core) Drained() bool { return c.drained }
 func (c *core) Rules() *node.Rules {
-	return &node.Rules{Settings: brain.Settings{MaxRetryAfter: 1000},
+	return &node.Rules{Settings: dispatch.Settings{MaxRetryAfter: 1000},
 		Names: node.Names{Classes: []string{"tile-charge"}, Tenants: []string{"maavaade"}}}
 }
 func (c *core) Counts(context.Context) (node.Counts, error) { return node.Counts{}, nil }
@@ -38,7 +38,7 @@
 // does, and a refusal tells when to come back, within the settings' bound.
 func TestWhatIsAJob(t *testing.T) {
 	c := &core{}
-	f := New(c, c, standin.Lim, standin.Quiet)
+	f := New(c, c, testenv.Lim, testenv.Quiet)
 	ask := func(method, target string, change map[string]string) http1.Response {
 		m := &http1.Message{Method: method, Target: target}
 		for name, value := range map[string]string{"X-Trace-Id": "9b1f03aa5c7e2d41", "X-Customer": "maavaade", "X-Expires-In-Ms": "7500"} {
@@ -83,7 +83,7 @@
 // A drained node says no to the front's health checks, so that clients are sent elsewhere.
 func TestDrainedIsNotHealthy(t *testing.T) {
 	c := &core{}
-	f := New(c, c, standin.Lim, standin.Quiet)
+	f := New(c, c, testenv.Lim, testenv.Quiet)
 	health := func() int {
 		return f.Handle(context.Background(), &http1.Message{Method: "GET", Target: "/healthz"}).Status
 	}
@@ -115,7 +115,7 @@
 // The check before an attempt's bytes knows of a client's end from the request's context alone, though the core can not be told of it.
 func TestCheckBeforeSendKnowsOfAClientsEndWhileTheCoreIsBusy(t *testing.T) {
 	c := &blockedCore{told: make(chan bool)}
-	f := New(c, c, standin.Lim, standin.Quiet)
+	f := New(c, c, testenv.Lim, testenv.Quiet)
 	ctx, leave := context.WithCancel(t.Context())
 	answered := make(chan http1.Response)
 	go func() {
@@ -124,7 +124,7 @@
 	}()
 	leave()
 	<-c.told // and its event waits from here on
-	if why := c.jobs[0].Still(); why != gate.Left {
+	if why := c.jobs[0].Still(); why != precheck.Left {
 		t.Errorf("the check says that %v", why)
 	}
 	c.told <- true
--- a/internal/gate/gate.go
+++ b/internal/precheck/gate.go
@@ -1,13 +1,13 @@
-// Package gate holds the last question before an attempt's bytes are written: whether it may still go. Waits, dials, records
+// Package precheck holds the last question before an attempt's bytes are written: whether it may still go. Waits, dials, records
 // and backoffs lie between a decision and its bytes, and each can outlast what the decision rested on. So whoever is about to
 // write asks here, once more and last, with all that may have changed; no other place has reasons of its own. It does no I/O
 // and reads no clock.
-package gate
+package precheck
 
 import (
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // Reason is why an attempt may not go.
@@ -52,7 +52,7 @@
 // Rules are those of the request that this attempt is one of, as they stood when it was decided on.
 type Rules struct {
 	Number, Most int // this attempt, from 1, and how many there may be
-	Effect       brain.Effect
+	Effect       dispatch.Effect
 	Ran          bool      // an earlier attempt is out, or may have run
 	RepeatBy     time.Time // of a keyed request that may have run: the end of the window, counted from its first such attempt
 }
@@ -76,9 +76,9 @@
 	switch r := &a.Rules; {
 	case r.Number > r.Most:
 		return Spent
-	case r.Ran && r.Effect == brain.Unsafe:
+	case r.Ran && r.Effect == dispatch.Unsafe:
 		return Twice
-	case r.Ran && r.Effect == brain.Keyed && !a.Now.Before(r.RepeatBy):
+	case r.Ran && r.Effect == dispatch.Keyed && !a.Now.Before(r.RepeatBy):
 		return Window
 	}
 	return May
--- a/internal/gate/gate_test.go
+++ b/internal/precheck/gate_test.go
@@ -1,4 +1,4 @@
-package gate
+package precheck
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 
 	"pgregory.net/rapid"
 
-	"gatetack/brain"
-	_ "gatetack/internal/seeds"
+	"gatetack/internal/dispatch"
+	_ "gatetack/internal/testrand"
 )
 
 // forbids is the oracle: each reason by itself, in the words of the protocol, without an order among them.
@@ -30,9 +30,9 @@
 	case Spent:
 		return a.Rules.Number >= a.Rules.Most+1
 	case Twice:
-		return repeat && a.Rules.Effect != brain.Safe && a.Rules.Effect != brain.Keyed
+		return repeat && a.Rules.Effect != dispatch.Safe && a.Rules.Effect != dispatch.Keyed
 	case Window:
-		return repeat && a.Rules.Effect == brain.Keyed && at(a.Rules.RepeatBy)
+		return repeat && a.Rules.Effect == dispatch.Keyed && at(a.Rules.RepeatBy)
 	}
 	return false
 }
@@ -60,7 +60,7 @@
 			a.Began = float64(rapid.IntRange(6, 8).Draw(t, "began"))
 		}
 		a.Rules = Rules{Most: 3, Number: rapid.IntRange(1, 4).Draw(t, "number"), Ran: rapid.Bool().Draw(t, "ran"),
-			Effect: rapid.SampledFrom([]brain.Effect{brain.Safe, brain.Keyed, brain.Unsafe}).Draw(t, "effect"), RepeatBy: near("window")}
+			Effect: rapid.SampledFrom([]dispatch.Effect{dispatch.Safe, dispatch.Keyed, dispatch.Unsafe}).Draw(t, "effect"), RepeatBy: near("window")}
 		got := a.May()
 		seen[got]++
 		if got != May && !forbids(got, a) {
--- a/internal/recovery/knowledge.go
+++ b/internal/recovery/knowledge.go
@@ -20,7 +20,7 @@
 	"fmt"
 	"time"
 
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 )
 
 // Kind is a kind of knowledge.
@@ -214,4 +214,4 @@
 	return "nothing: it is decided anew by what holds now; a client may try again at once"
 }
 
-var _ = []struct{}{fault.Kind(&StaleError{}), fault.Kind(&ChangedError{})}
+var _ = []struct{}{operr.Kind(&StaleError{}), operr.Kind(&ChangedError{})}
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "gatetack/internal/seeds"
+	_ "gatetack/internal/testrand"
 )
 
 const sec = time.Second
--- a/internal/scale/hollow/clients_test.go
+++ b/internal/scale/hollow/clients_test.go
@@ -14,7 +14,7 @@
 	"gatetack/internal/scale/fleet"
 	"gatetack/internal/scale/verdict"
 	"gatetack/internal/scale/workload"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // front stands in for a dispatcher's front.
@@ -36,7 +36,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		server := http1.NewServer(standin.Lim, answer, nil, standin.Quiet)
+		server := http1.NewServer(testenv.Lim, answer, nil, testenv.Quiet)
 		g.Go(func() error { return server.Serve(ctx, ln) })
 	}
 	t.Cleanup(func() { cancel(); _ = g.Wait(); _ = n.Close() })
@@ -144,11 +144,11 @@
 	if again, _ := s.since(999, 0); !again.Snapshot || len(again.Endpoints) != 29 {
 		t.Errorf("a version that never was: %d rows, whole %v", len(again.Endpoints), again.Snapshot)
 	}
-	m, err := standin.Call(n.Discovery(1), "GET", "/v1/servers", nil)
+	m, err := testenv.Call(n.Discovery(1), "GET", "/v1/servers", nil)
 	if err != nil || m.Status != 200 {
 		t.Fatalf("%+v %v", m, err)
 	}
-	standin.Until(t, "what was told is on record", func() bool { return len(record.Events()) == 29 })
+	testenv.Until(t, "what was told is on record", func() bool { return len(record.Events()) == 29 })
 	for _, e := range record.Events() {
 		if e.Dispatcher != 1 || e.Kind != verdict.Listed || e.Condition != verdict.Ready {
 			t.Fatalf("%+v", e)
--- a/internal/scale/hollow/executor_test.go
+++ b/internal/scale/hollow/executor_test.go
@@ -17,7 +17,7 @@
 	"gatetack/internal/scale/fleet"
 	"gatetack/internal/scale/verdict"
 	"gatetack/internal/scale/workload"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := http1.NewServer(standin.Lim, w.dispatcher, nil, standin.Quiet)
+	server := http1.NewServer(testenv.Lim, w.dispatcher, nil, testenv.Quiet)
 	g.Go(func() error { return server.Serve(ctx, ln) })
 	s.Rules, s.QueuePerSlot = testRules, max(s.QueuePerSlot, 1)
 	s.ExpectedRun = func(int) time.Duration { return time.Second }
@@ -100,7 +100,7 @@
 // hand hands a task to an address as a dispatcher does.
 func hand(addr string, number uint64, run time.Duration) (*http1.Message, error) {
 	task := workload.Task{Number: int(number), Class: fleet.ClassOnce, Slots: 1, Run: run}
-	return standin.Call(addr, "POST", target(task), []byte("task"), http1.Field{Name: "X-Trace-Id", Value: verdict.ID(RequestID(0, number))},
+	return testenv.Call(addr, "POST", target(task), []byte("task"), http1.Field{Name: "X-Trace-Id", Value: verdict.ID(RequestID(0, number))},
 		http1.Field{Name: "X-Expires-In-Ms", Value: "9000"})
 }
 
@@ -140,7 +140,7 @@
 					t.Fatalf("%v %v", m, err)
 				}
 			}
-			standin.Until(t, "all tasks are told done", func() bool { return d.count("done") == size })
+			testenv.Until(t, "all tasks are told done", func() bool { return d.count("done") == size })
 			if d.count("started") != size || d.count("running") != size {
 				t.Errorf("%d tasks: %v", size, d.states)
 			}
@@ -160,11 +160,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
 	defer func() { cancel(); _ = g.Wait() }()
-	real, err := standin.NewBox(ctx, g, "s-00000001", w.network.Dispatcher(0), run)
+	real, err := testenv.NewBox(ctx, g, "s-00000001", w.network.Dispatcher(0), run)
 	if err != nil {
 		t.Fatal(err)
 	}
-	real.Set(func(b *standin.Behaviour) { b.Slots = 4 })
+	real.Set(func(b *testenv.Behaviour) { b.Slots = 4 })
 	realMessages, realBytes := measure(t, real.Addr, w.dispatcher)
 
 	if a, b := slope(sizes, hollowMessages), slope(sizes, realMessages); a != b || a != 3 {
@@ -206,7 +206,7 @@
 	if err != nil || m.Status != 503 || m.Get("X-Never-Ran") != "1" || !strings.Contains(m.Get("Endpoint-Load-Metrics"), "queue=2, x0=0") {
 		t.Errorf("%+v %v", m, err)
 	}
-	standin.Until(t, "two starts are told", func() bool { return w.count("started") == 2 })
+	testenv.Until(t, "two starts are told", func() bool { return w.count("started") == 2 })
 	if n := w.events(verdict.Started); n != 2 || w.events(verdict.Taken) != 4 || w.events(verdict.TurnedAway) != 1 {
 		t.Errorf("%d started, %d taken, %d turned away", n, w.events(verdict.Taken), w.events(verdict.TurnedAway))
 	}
@@ -231,7 +231,7 @@
 	}
 	began := time.Now()
 	w.hand(t, 0, 3, 100*time.Millisecond)
-	standin.Until(t, "the task of the next life is done", func() bool { return w.count("done") == 1 })
+	testenv.Until(t, "the task of the next life is done", func() bool { return w.count("done") == 1 })
 	if took := time.Since(began); took < 195*time.Millisecond {
 		t.Errorf("a task of 100ms took %v on an executor that has half of its capacity", took)
 	}
@@ -269,7 +269,7 @@
 				}
 				answered <- err
 			}()
-			standin.Until(t, "the task has come to the executor", func() bool { return w.traffic.Sum()["executor"].MessagesOut == 1 })
+			testenv.Until(t, "the task has come to the executor", func() bool { return w.traffic.Sum()["executor"].MessagesOut == 1 })
 			time.Sleep(50 * time.Millisecond)
 			select {
 			case err := <-answered:
@@ -283,7 +283,7 @@
 			if err := <-answered; err != nil {
 				t.Error(err)
 			}
-			standin.Until(t, "the task is told done", func() bool { return w.count("done") == 1 })
+			testenv.Until(t, "the task is told done", func() bool { return w.count("done") == 1 })
 		})
 	}
 }
@@ -308,7 +308,7 @@
 		{"GET", "/load", id, 200},
 		{"DELETE", "/jobs/" + verdict.ID(1), id, 204},
 	} {
-		m, err := standin.Call(w.network.Executor(0, everybody), c.method, c.target, nil, c.id)
+		m, err := testenv.Call(w.network.Executor(0, everybody), c.method, c.target, nil, c.id)
 		if err != nil || m.Status != c.want {
 			t.Errorf("%s %s: %+v %v, want %d", c.method, c.target, m, err, c.want)
 		}
--- a/internal/scale/verdict/judge_test.go
+++ b/internal/scale/verdict/judge_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	_ "gatetack/internal/seeds"
+	_ "gatetack/internal/testrand"
 )
 
 const (
--- a/internal/scale/virtual/dispatcher.go
+++ b/internal/scale/virtual/dispatcher.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/scale/verdict"
 	"gatetack/internal/scale/workload"
 )
@@ -13,10 +13,10 @@
 type dispatcher struct {
 	world   *World
 	number  int
-	module  *brain.Dispatcher
+	module  *dispatch.Dispatcher
 	step    time.Duration // least time between steps
-	batch   []brain.Event
-	actions []brain.Action
+	batch   []dispatch.Event
+	actions []dispatch.Action
 	stepAt  time.Duration
 	planned bool // a step is on the agenda
 	jobs    map[uint32]*job
@@ -53,20 +53,20 @@
 	if err != nil {
 		return nil, err
 	}
-	module, err := brain.New(c.Settings, c.Seed)
+	module, err := dispatch.New(c.Settings, c.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("dispatcher %d: %w", number, err)
 	}
 	d := &dispatcher{world: w, number: number, module: module, step: span(c.Settings.Step), jobs: map[uint32]*job{}}
-	d.event(brain.Event{Kind: brain.EvList, Form: brain.ListCached, Version: w.listVersion, Rows: w.rows()})
+	d.event(dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListCached, Version: w.listVersion, Rows: w.rows()})
 	return d, nil
 }
 
 // rows are the whole list.
-func (w *World) rows() []brain.Row {
-	var out []brain.Row
+func (w *World) rows() []dispatch.Row {
+	var out []dispatch.Row
 	for _, x := range w.executors {
-		if x.status != brain.Gone {
+		if x.status != dispatch.Gone {
 			out = append(out, x.row())
 		}
 	}
@@ -74,7 +74,7 @@
 }
 
 // event puts an event into the next step's batch.
-func (d *dispatcher) event(e brain.Event) {
+func (d *dispatcher) event(e dispatch.Event) {
 	d.batch = append(d.batch, e)
 	if d.planned {
 		return
@@ -103,59 +103,59 @@
 	}
 }
 
-func (d *dispatcher) act(a *brain.Action) {
+func (d *dispatcher) act(a *dispatch.Action) {
 	w := d.world
 	switch a.Kind {
-	case brain.ActSend:
+	case dispatch.ActSend:
 		d.send(a)
-	case brain.ActRefuse:
+	case dispatch.ActRefuse:
 		d.answer(d.jobs[a.Job], verdict.Refused, span(a.For))
-	case brain.ActFail:
+	case dispatch.ActFail:
 		d.answer(d.jobs[a.Job], verdict.Failed, 0)
-	case brain.ActCancel:
+	case dispatch.ActCancel:
 		if j := d.jobs[a.Job]; j != nil && int(a.Attempt) < len(j.tries) {
-			d.end(j.tries[a.Attempt], brain.Cancelled, nil)
+			d.end(j.tries[a.Attempt], dispatch.Cancelled, nil)
 		}
-	case brain.ActTimer:
+	case dispatch.ActTimer:
 		token := a.Token
-		w.after(span(a.For), func() { d.event(brain.Event{Kind: brain.EvTimer, Token: token}) })
-	case brain.ActProbe:
+		w.after(span(a.For), func() { d.event(dispatch.Event{Kind: dispatch.EvTimer, Token: token}) })
+	case dispatch.ActProbe:
 		d.probe(a.Worker)
-	case brain.ActWatch:
+	case dispatch.ActWatch:
 		d.watches = a.On
 		if a.On {
 			w.after(listLate, func() {
-				d.event(brain.Event{Kind: brain.EvList, Form: brain.ListFull, Version: w.listVersion, Rows: w.rows()})
+				d.event(dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListFull, Version: w.listVersion, Rows: w.rows()})
 			})
 		}
-	case brain.ActTell:
+	case dispatch.ActTell:
 		d.tell(a)
 	}
 }
 
 // told tells of a change of the list, where the module watches it.
-func (d *dispatcher) told(e brain.Event, executors []int, c brain.Condition) {
+func (d *dispatcher) told(e dispatch.Event, executors []int, c dispatch.Condition) {
 	d.world.after(listLate, func() {
 		if d.watches {
 			d.event(e)
 		}
-		condition := map[brain.Condition]verdict.Condition{brain.Ready: verdict.Ready, brain.Draining: verdict.Draining, brain.Gone: verdict.Gone}[c]
+		condition := map[dispatch.Condition]verdict.Condition{dispatch.Ready: verdict.Ready, dispatch.Draining: verdict.Draining, dispatch.Gone: verdict.Gone}[c]
 		for _, x := range executors {
 			d.world.see(verdict.Event{Kind: verdict.Listed, Dispatcher: int16(d.number), Executor: int32(x), Condition: condition})
 		}
 	})
 }
 
-func (d *dispatcher) tell(a *brain.Action) {
+func (d *dispatcher) tell(a *dispatch.Action) {
 	w := d.world
 	data := append([]byte(nil), a.Data...)
 	w.counts.Tells++
 	for _, other := range w.dispatchers {
-		if other == d || a.To != brain.AllPeers && int(a.To) != other.number {
+		if other == d || a.To != dispatch.AllPeers && int(a.To) != other.number {
 			continue
 		}
 		w.counts.TellBytes += len(data)
-		w.after(hopPeer, func() { other.event(brain.Event{Kind: brain.EvPeer, From: uint32(d.number), Data: data}) })
+		w.after(hopPeer, func() { other.event(dispatch.Event{Kind: dispatch.EvPeer, From: uint32(d.number), Data: data}) })
 	}
 }
 
@@ -169,16 +169,16 @@
 	x := w.executors[i]
 	trip := 2 * w.hop(d.number, x)
 	w.after(trip, func() {
-		e := brain.Event{Kind: brain.EvProbed, Worker: worker, Outcome: brain.ConnectFailed, Elapsed: millis(trip)}
+		e := dispatch.Event{Kind: dispatch.EvProbed, Worker: worker, Outcome: dispatch.ConnectFailed, Elapsed: millis(trip)}
 		if x.up {
-			e.Outcome, e.Report = brain.Served, x.report()
+			e.Outcome, e.Report = dispatch.Served, x.report()
 		}
 		d.event(e)
 	})
 }
 
 // send begins an attempt.
-func (d *dispatcher) send(a *brain.Action) {
+func (d *dispatcher) send(a *dispatch.Action) {
 	w := d.world
 	j := d.jobs[a.Job]
 	i, known := w.byID[a.Worker]
@@ -194,25 +194,25 @@
 		until = min(until, w.now+span(a.For))
 	}
 	if j.answered || until <= w.now {
-		d.end(t, brain.Moot, nil)
+		d.end(t, dispatch.Moot, nil)
 		return
 	}
-	w.at(until, func() { d.end(t, brain.TimedOut, nil) })
+	w.at(until, func() { d.end(t, dispatch.TimedOut, nil) })
 	w.after(w.hop(d.number, t.executor), func() { t.executor.arrive(t) })
 }
 
 // end takes the outcome of an attempt in, once.
-func (d *dispatcher) end(t *attempt, o brain.Outcome, report []float32) {
+func (d *dispatcher) end(t *attempt, o dispatch.Outcome, report []float32) {
 	if t.over {
 		return
 	}
 	t.over = true
 	j := t.job
 	j.live--
-	if o == brain.Served {
+	if o == dispatch.Served {
 		d.answer(j, verdict.Served, 0)
 	}
-	d.event(brain.Event{Kind: brain.EvOutcome, Job: j.id, Attempt: t.number, Worker: t.executor.id, Outcome: o, Elapsed: millis(d.world.now - t.sent),
+	d.event(dispatch.Event{Kind: dispatch.EvOutcome, Job: j.id, Attempt: t.number, Worker: t.executor.id, Outcome: o, Elapsed: millis(d.world.now - t.sent),
 		Final: j.answered, Report: report})
 	d.forget(j)
 }
@@ -240,7 +240,7 @@
 	d.last++
 	j.id = d.last
 	d.jobs[j.id] = j
-	d.event(brain.Event{Kind: brain.EvRequest, Job: j.id, Class: uint8(j.task.Class), Tenant: uint16(j.task.Tenant), TimeLeft: millis(j.deadline - w.now),
+	d.event(dispatch.Event{Kind: dispatch.EvRequest, Job: j.id, Class: uint8(j.task.Class), Tenant: uint16(j.task.Tenant), TimeLeft: millis(j.deadline - w.now),
 		Slots: float64(j.task.Slots)})
 	w.at(j.deadline-overdueBy, func() { d.overdue(j) })
 }
@@ -254,6 +254,6 @@
 	if len(j.tries) == 0 {
 		answer = verdict.Refused
 	}
-	d.event(brain.Event{Kind: brain.EvGone, Job: j.id})
+	d.event(dispatch.Event{Kind: dispatch.EvGone, Job: j.id})
 	d.answer(j, answer, 0)
 }
--- a/internal/scale/virtual/executor.go
+++ b/internal/scale/virtual/executor.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/scale/fleet"
 	"gatetack/internal/scale/verdict"
 )
@@ -14,7 +14,7 @@
 	plan    fleet.Executor
 	id      uint32
 	up      bool
-	status  brain.Condition // as the list has it
+	status  dispatch.Condition // as the list has it
 	cold    bool
 	booted  time.Duration
 	life    int
@@ -22,8 +22,8 @@
 	waiting []*attempt
 }
 
-func (x *executor) row() brain.Row {
-	r := brain.Row{Worker: x.id, Zone: uint8(x.plan.Zone), Kind: uint8(x.plan.Kind), Cell: uint16(x.plan.Rack), Condition: x.status, Scale: float64(x.plan.Slots)}
+func (x *executor) row() dispatch.Row {
+	r := dispatch.Row{Worker: x.id, Zone: uint8(x.plan.Zone), Kind: uint8(x.plan.Kind), Cell: uint16(x.plan.Rack), Condition: x.status, Scale: float64(x.plan.Slots)}
 	if x.cold {
 		r.Born = clock(x.booted)
 	}
@@ -79,12 +79,12 @@
 	case t.over:
 		return // given up on its way
 	case !x.up:
-		w.after(back, func() { t.dispatcher.end(t, brain.ConnectFailed, nil) })
+		w.after(back, func() { t.dispatcher.end(t, dispatch.ConnectFailed, nil) })
 		return
 	case len(x.waiting) >= queueOfSlot*x.plan.Slots || t.job.task.Slots > x.plan.Slots:
 		w.see(t.event(verdict.TurnedAway))
 		report := x.report()
-		w.after(back, func() { t.dispatcher.end(t, brain.Full, report) })
+		w.after(back, func() { t.dispatcher.end(t, dispatch.Full, report) })
 		return
 	}
 	w.see(t.event(verdict.Taken))
@@ -115,7 +115,7 @@
 			t.started = true
 			w.counts.Told[t.job.task.Kind] = append(w.counts.Told[t.job.task.Kind], w.now-t.job.due)
 		}
-		x.note(t, brain.NoteStarted, 0)
+		x.note(t, dispatch.NoteStarted, 0)
 	})
 	run := time.Duration(float64(t.job.task.Run) / x.speed())
 	x.progress(t, run, w.d.ProgressEvery(), w.d.ProgressEvery())
@@ -125,7 +125,7 @@
 // note tells of an attempt that has not ended.
 func (x *executor) note(t *attempt, topic uint8, amount float64) {
 	if !t.over {
-		t.dispatcher.event(brain.Event{Kind: brain.EvNote, Job: t.job.id, Attempt: t.number, Worker: x.id, Topic: topic, Amount: amount})
+		t.dispatcher.event(dispatch.Event{Kind: dispatch.EvNote, Job: t.job.id, Attempt: t.number, Worker: x.id, Topic: topic, Amount: amount})
 	}
 }
 
@@ -137,7 +137,7 @@
 		if t.life != x.life || !x.up {
 			return
 		}
-		x.note(t, brain.NoteProgress, float64(done)/float64(run))
+		x.note(t, dispatch.NoteProgress, float64(done)/float64(run))
 		x.progress(t, run, done+every, every)
 	})
 }
@@ -152,5 +152,5 @@
 	w.see(t.event(verdict.Ended))
 	x.next()
 	report := x.report()
-	w.after(w.hop(t.dispatcher.number, x), func() { t.dispatcher.end(t, brain.Served, report) })
+	w.after(w.hop(t.dispatcher.number, x), func() { t.dispatcher.end(t, dispatch.Served, report) })
 }
--- a/internal/scale/virtual/world.go
+++ b/internal/scale/virtual/world.go
@@ -8,8 +8,8 @@
 	"fmt"
 	"time"
 
-	"gatetack/brain"
 	"gatetack/internal/config"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/node"
 	"gatetack/internal/scale/faults"
 	"gatetack/internal/scale/fleet"
@@ -74,7 +74,7 @@
 			return nil, fmt.Errorf("executors: two share the number %d", id)
 		}
 		w.byID[id] = x.Number
-		w.executors = append(w.executors, &executor{world: w, plan: x, id: id, up: true, status: brain.Ready})
+		w.executors = append(w.executors, &executor{world: w, plan: x, id: id, up: true, status: dispatch.Ready})
 	}
 	for i := range d.AllDispatchers() {
 		x, err := newDispatcher(w, i)
@@ -120,28 +120,28 @@
 			w.executors[x].boot()
 		}
 	case faults.ListDraining:
-		w.list(a.Executors, brain.Draining)
+		w.list(a.Executors, dispatch.Draining)
 	case faults.ListGone:
-		w.list(a.Executors, brain.Gone)
+		w.list(a.Executors, dispatch.Gone)
 	case faults.ListReady:
-		w.list(a.Executors, brain.Ready)
+		w.list(a.Executors, dispatch.Ready)
 	}
 }
 
 // list changes rows and tells all dispatchers.
-func (w *World) list(executors []int, c brain.Condition) {
+func (w *World) list(executors []int, c dispatch.Condition) {
 	w.listVersion++
-	var rows []brain.Row
+	var rows []dispatch.Row
 	for _, i := range executors {
 		x := w.executors[i]
-		if c == brain.Ready && !x.up {
+		if c == dispatch.Ready && !x.up {
 			continue
 		}
 		x.status = c
 		rows = append(rows, x.row())
 	}
 	for _, d := range w.dispatchers {
-		d.told(brain.Event{Kind: brain.EvList, Form: brain.ListDelta, Version: w.listVersion, Rows: rows}, executors, c)
+		d.told(dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListDelta, Version: w.listVersion, Rows: rows}, executors, c)
 	}
 }
 
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 )
 
 // InvalidError names a setting that can not be used, and what was expected.
@@ -54,4 +54,4 @@
 	ErrGap   = errors.New("settings: an update that does not follow the version that is held")
 )
 
-var _ = []struct{}{fault.Kind(&InvalidError{}), fault.Kind(&ConflictError{})}
+var _ = []struct{}{operr.Kind(&InvalidError{}), operr.Kind(&ConflictError{})}
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -9,8 +9,8 @@
 
 	"github.com/tidwall/gjson"
 
-	"gatetack/brain"
-	"gatetack/internal/wire"
+	"gatetack/internal/dispatch"
+	"gatetack/internal/simprotocol"
 )
 
 // maxAttempts bounds how often a job may be tried.
@@ -59,36 +59,36 @@
 	return n, err == nil && !math.IsInf(n, 0) && !math.IsNaN(n)
 }
 
-var classFields = map[string]field[brain.Class]{
-	"aim":        amount(func(c *brain.Class) *float64 { return &c.Aim }),
-	"deadline":   period(func(c *brain.Class) *float64 { return &c.Deadline }),
-	"worth":      amount(func(c *brain.Class) *float64 { return &c.Worth }),
-	"window":     amount(func(c *brain.Class) *float64 { return &c.Window }),
-	"aimStretch": amount(func(c *brain.Class) *float64 { return &c.Stretch }),
-	"effect":     word(wire.Effects, func(c *brain.Class) *brain.Effect { return &c.Effect }),
-	"dedupScope": word(wire.Scopes, func(c *brain.Class) *brain.Scope { return &c.Scope }),
+var classFields = map[string]field[dispatch.Class]{
+	"aim":        amount(func(c *dispatch.Class) *float64 { return &c.Aim }),
+	"deadline":   period(func(c *dispatch.Class) *float64 { return &c.Deadline }),
+	"worth":      amount(func(c *dispatch.Class) *float64 { return &c.Worth }),
+	"window":     amount(func(c *dispatch.Class) *float64 { return &c.Window }),
+	"aimStretch": amount(func(c *dispatch.Class) *float64 { return &c.Stretch }),
+	"effect":     word(simprotocol.Effects, func(c *dispatch.Class) *dispatch.Effect { return &c.Effect }),
+	"dedupScope": word(simprotocol.Scopes, func(c *dispatch.Class) *dispatch.Scope { return &c.Scope }),
 }
 
-var tenantFields = map[string]field[brain.Tenant]{
-	"portion":  amount(func(t *brain.Tenant) *float64 { return &t.Portion }),
-	"quotaRps": amount(func(t *brain.Tenant) *float64 { return &t.Quota }),
+var tenantFields = map[string]field[dispatch.Tenant]{
+	"portion":  amount(func(t *dispatch.Tenant) *float64 { return &t.Portion }),
+	"quotaRps": amount(func(t *dispatch.Tenant) *float64 { return &t.Quota }),
 }
 
 // generalFields are named as in the platform's settings, with a dot for each level.
-var generalFields = map[string]field[brain.Settings]{
+var generalFields = map[string]field[dispatch.Settings]{
 	"limits.maxAttempts": {
 		expected: "a whole number from 1 to " + strconv.Itoa(maxAttempts),
-		parse: func(v gjson.Result) (assignment[brain.Settings], bool) {
+		parse: func(v gjson.Result) (assignment[dispatch.Settings], bool) {
 			n, ok := finite(v)
-			return func(s *brain.Settings) { s.MaxAttempts = int(n) }, ok && n == math.Trunc(n) && n >= 1 && n <= maxAttempts
+			return func(s *dispatch.Settings) { s.MaxAttempts = int(n) }, ok && n == math.Trunc(n) && n >= 1 && n <= maxAttempts
 		},
 	},
-	"limits.maxRetryAfter": amount(func(s *brain.Settings) *float64 { return &s.MaxRetryAfter }),
-	"fees.crossZone":       amount(func(s *brain.Settings) *float64 { return &s.Fees.CrossZone }),
-	"fees.handshake":       amount(func(s *brain.Settings) *float64 { return &s.Fees.Handshake }),
-	"fees.origin":          amount(func(s *brain.Settings) *float64 { return &s.Fees.Origin }),
-	"overShareWorth":       amount(func(s *brain.Settings) *float64 { return &s.OverShareWorth }),
-	"worthBy":              word(map[string]bool{"request": false, "work": true}, func(s *brain.Settings) *bool { return &s.WorthByWork }),
+	"limits.maxRetryAfter": amount(func(s *dispatch.Settings) *float64 { return &s.MaxRetryAfter }),
+	"fees.crossZone":       amount(func(s *dispatch.Settings) *float64 { return &s.Fees.CrossZone }),
+	"fees.handshake":       amount(func(s *dispatch.Settings) *float64 { return &s.Fees.Handshake }),
+	"fees.origin":          amount(func(s *dispatch.Settings) *float64 { return &s.Fees.Origin }),
+	"overShareWorth":       amount(func(s *dispatch.Settings) *float64 { return &s.OverShareWorth }),
+	"worthBy":              word(map[string]bool{"request": false, "work": true}, func(s *dispatch.Settings) *bool { return &s.WorthByWork }),
 }
 
 // Required fields of an item whose class or tenant the base configuration does not have.
--- a/internal/settings/item.go
+++ b/internal/settings/item.go
@@ -9,16 +9,16 @@
 
 	"github.com/tidwall/gjson"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // Item is one item of a document. Its value is decoded once, when it comes; what is wrong with it is told when the document is
 // merged, so that a process which can not use an item can still hand it on.
 type Item struct {
 	Change
-	class   overlay[brain.Class]
-	tenant  overlay[brain.Tenant]
-	general overlay[brain.Settings]
+	class   overlay[dispatch.Class]
+	tenant  overlay[dispatch.Tenant]
+	general overlay[dispatch.Settings]
 	err     error
 }
 
--- a/internal/settings/merge.go
+++ b/internal/settings/merge.go
@@ -6,19 +6,19 @@
 	"slices"
 	"strings"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // Rules are the settings of a process with the names of its classes and tenants, by their places.
 type Rules struct {
-	Settings brain.Settings
+	Settings dispatch.Settings
 	Classes  []string
 	Tenants  []string
 }
 
 // defaultClass is what a class has under the fields that its item does not name, as in the platform's settings.
-func defaultClass() brain.Class {
-	return brain.Class{Worth: 1, Effect: brain.Unsafe, Scope: brain.ScopeCell, Kind: -1}
+func defaultClass() dispatch.Class {
+	return dispatch.Class{Worth: 1, Effect: dispatch.Unsafe, Scope: dispatch.ScopeCell, Kind: -1}
 }
 
 // Merge returns a base configuration with a document's items over it. Classes and tenants that the base does not have come behind
@@ -39,12 +39,12 @@
 		item.general.apply(&out.Settings)
 	}
 	out.Settings.Classes, out.Classes, err = lay(d, ClassPrefix, out.Settings.Classes, out.Classes, classRequired, defaultClass,
-		func(item *Item) overlay[brain.Class] { return item.class })
+		func(item *Item) overlay[dispatch.Class] { return item.class })
 	if err != nil {
 		return Rules{}, err
 	}
 	out.Settings.Tenants, out.Tenants, err = lay(d, TenantPrefix, out.Settings.Tenants, out.Tenants, tenantRequired,
-		func() brain.Tenant { return brain.Tenant{} }, func(item *Item) overlay[brain.Tenant] { return item.tenant })
+		func() dispatch.Tenant { return dispatch.Tenant{} }, func(item *Item) overlay[dispatch.Tenant] { return item.tenant })
 	if err != nil {
 		return Rules{}, err
 	}
@@ -95,7 +95,7 @@
 	if len(base.Tenants) == 0 && len(r.Tenants) > 0 {
 		return &InvalidError{Item: TenantPrefix + r.Tenants[0], Got: "the first tenant", Expected: "none, as in the base configuration"}
 	}
-	if _, err := brain.New(r.Settings, 0); err != nil {
+	if _, err := dispatch.New(r.Settings, 0); err != nil {
 		return &InvalidError{Item: "the merged settings", Got: err.Error(), Expected: "settings that the decision module can use"}
 	}
 	return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,17 +12,17 @@
 
 	"pgregory.net/rapid"
 
-	"gatetack/brain"
-	_ "gatetack/internal/seeds"
+	"gatetack/internal/dispatch"
+	_ "gatetack/internal/testrand"
 )
 
 // baseRules are those of a process with two classes and two tenants.
 func baseRules() Rules {
 	return Rules{
-		Settings: brain.Settings{Balancers: 1, MaxAttempts: 3, FallMultiple: 2, Step: 4, OverShareWorth: 0.2,
-			Classes: []brain.Class{{Aim: 400, Deadline: 7500, Worth: 8, Effect: brain.Unsafe, Kind: -1},
-				{Aim: 1500, Deadline: 25000, Worth: 24, Effect: brain.Keyed, Window: 40000, Kind: -1}},
-			Tenants: []brain.Tenant{{Portion: 0.6, Quota: 20}, {Portion: 0.4, Quota: 12}}},
+		Settings: dispatch.Settings{Balancers: 1, MaxAttempts: 3, FallMultiple: 2, Step: 4, OverShareWorth: 0.2,
+			Classes: []dispatch.Class{{Aim: 400, Deadline: 7500, Worth: 8, Effect: dispatch.Unsafe, Kind: -1},
+				{Aim: 1500, Deadline: 25000, Worth: 24, Effect: dispatch.Keyed, Window: 40000, Kind: -1}},
+			Tenants: []dispatch.Tenant{{Portion: 0.6, Quota: 20}, {Portion: 0.4, Quota: 12}}},
 		Classes: []string{"tile-charge", "area-render"}, Tenants: []string{"pohjakaart", "maavaade"},
 	}
 }
@@ -50,9 +50,9 @@
 	}
 	want := baseRules()
 	want.Settings.Classes[1].Worth = 3
-	want.Settings.Classes = append(want.Settings.Classes, brain.Class{Deadline: 5000, Worth: 1, Effect: brain.Safe, Scope: brain.ScopeAll, Kind: -1})
+	want.Settings.Classes = append(want.Settings.Classes, dispatch.Class{Deadline: 5000, Worth: 1, Effect: dispatch.Safe, Scope: dispatch.ScopeAll, Kind: -1})
 	want.Settings.Tenants[1].Quota = 5
-	want.Settings.Tenants = append(want.Settings.Tenants, brain.Tenant{Portion: 0.1, Quota: 1})
+	want.Settings.Tenants = append(want.Settings.Tenants, dispatch.Tenant{Portion: 0.1, Quota: 1})
 	want.Settings.MaxAttempts, want.Settings.Fees.CrossZone, want.Settings.WorthByWork, want.Settings.OverShareWorth = 7, 0.5, true, 0
 	want.Classes, want.Tenants = append(want.Classes, "draft"), append(want.Tenants, "new")
 	if !reflect.DeepEqual(got, want) {
@@ -299,7 +299,7 @@
 			if at < 0 {
 				at = len(base.Classes)
 				base.Classes = append(base.Classes, name)
-				base.Settings.Classes = append(base.Settings.Classes, brain.Class{Worth: 1, Kind: -1, Scope: brain.ScopeCell})
+				base.Settings.Classes = append(base.Settings.Classes, dispatch.Class{Worth: 1, Kind: -1, Scope: dispatch.ScopeCell})
 			}
 			c := &base.Settings.Classes[at]
 			if value.Worth != nil {
@@ -309,7 +309,7 @@
 				c.Deadline = *value.Deadline
 			}
 			if value.Effect != nil {
-				c.Effect = brain.Safe
+				c.Effect = dispatch.Safe
 			}
 		case strings.HasPrefix(key, "tenant/"):
 			name := strings.TrimPrefix(key, "tenant/")
@@ -319,7 +319,7 @@
 			}
 			if at < 0 {
 				at = len(base.Tenants)
-				base.Tenants, base.Settings.Tenants = append(base.Tenants, name), append(base.Settings.Tenants, brain.Tenant{})
+				base.Tenants, base.Settings.Tenants = append(base.Tenants, name), append(base.Settings.Tenants, dispatch.Tenant{})
 			}
 			c := &base.Settings.Tenants[at]
 			if value.Portion != nil {
--- a/internal/settingsync/errors.go
+++ b/internal/settingsync/errors.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 )
 
 // NotReadyError says that a member does not know what was accepted: it has not caught up, or knows no leader.
@@ -110,5 +110,5 @@
 	return "compare this process's base configuration with that of the others, or set what is named to what it can use; it tries again by itself"
 }
 
-var _ = []struct{}{fault.Kind(&NotReadyError{}), fault.Kind(&UnknownError{}), fault.Kind(&BusyError{}), fault.Kind(&StaleMemberError{}),
-	fault.Kind(&MemberError{}), fault.Kind(&ForceError{})}
+var _ = []struct{}{operr.Kind(&NotReadyError{}), operr.Kind(&UnknownError{}), operr.Kind(&BusyError{}), operr.Kind(&StaleMemberError{}),
+	operr.Kind(&MemberError{}), operr.Kind(&ForceError{})}
--- a/internal/settingsync/fake_test.go
+++ b/internal/settingsync/fake_test.go
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/kv"
 	"gatetack/internal/limits"
-	"gatetack/internal/member"
-	_ "gatetack/internal/seeds"
+	"gatetack/internal/membership"
 	"gatetack/internal/settings"
+	_ "gatetack/internal/testrand"
 )
 
 // fakeStore is the store's state machine with nothing around it.
@@ -100,7 +100,7 @@
 	f.events, f.first = nil, f.state.Snapshot().Index()
 }
 
-func (f *fakeStore) Members() (member.Cluster, error) { return nil, nil }
+func (f *fakeStore) Members() (membership.Cluster, error) { return nil, nil }
 
 func testLimits() limits.Limits {
 	lim := limits.New(0, 0, 0, 0, 0)
@@ -113,8 +113,8 @@
 
 func testRules() settings.Rules {
 	return settings.Rules{
-		Settings: brain.Settings{Balancers: 1, MaxAttempts: 3, FallMultiple: 2, Classes: []brain.Class{{Deadline: 5000, Worth: 1}},
-			Tenants: []brain.Tenant{{Portion: 1, Quota: 10}}},
+		Settings: dispatch.Settings{Balancers: 1, MaxAttempts: 3, FallMultiple: 2, Classes: []dispatch.Class{{Deadline: 5000, Worth: 1}},
+			Tenants: []dispatch.Tenant{{Portion: 1, Quota: 10}}},
 		Classes: []string{"a"}, Tenants: []string{"t"},
 	}
 }
--- a/internal/settingsync/follower.go
+++ b/internal/settingsync/follower.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"time"
 
-	"gatetack/internal/fault"
 	"gatetack/internal/limits"
+	"gatetack/internal/operr"
 	"gatetack/internal/settings"
 )
 
@@ -54,7 +54,7 @@
 		}
 		if err := f.poll(ctx); err != nil && ctx.Err() == nil {
 			f.failures++
-			f.cfg.Log.Debug("settings: no answer that leads on", "failures", f.failures, fault.Attrs(err))
+			f.cfg.Log.Debug("settings: no answer that leads on", "failures", f.failures, operr.Attrs(err))
 			pause(ctx, jittered(delay(f.cfg.Limits.SettingsBackoff, f.failures)))
 		}
 	}
@@ -75,7 +75,7 @@
 				return document
 			}
 		}
-		cfg.Log.Debug("settings: no answer before the start", "failures", failures, fault.Attrs(err))
+		cfg.Log.Debug("settings: no answer before the start", "failures", failures, operr.Attrs(err))
 		pause(ctx, jittered(delay(cfg.Limits.SettingsBackoff, failures)))
 	}
 	cfg.Log.Warn("settings: no member answered before the start")
@@ -93,7 +93,7 @@
 	if err != nil {
 		f.refusals++
 		f.retryAt = time.Now().Add(jittered(delay(f.cfg.Limits.SettingsRetry, f.refusals)))
-		f.cfg.Log.Error("settings: what is in force stays", "inForce", f.replica.InForce(), fault.Attrs(&ForceError{document.Version(), err}))
+		f.cfg.Log.Error("settings: what is in force stays", "inForce", f.replica.InForce(), operr.Attrs(&ForceError{document.Version(), err}))
 		return
 	}
 	f.refusals, f.retryAt = 0, time.Time{}
--- a/internal/settingsync/handler.go
+++ b/internal/settingsync/handler.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"gatetack/internal/fault"
 	"gatetack/internal/http1"
+	"gatetack/internal/operr"
 	"gatetack/internal/settings"
 )
 
@@ -108,8 +108,8 @@
 func (s *Service) refuse(what string, err error) http1.Response {
 	s.logFailure(what, err)
 	status, version := refusedByRequest(err)
-	f := failure{Error: err.Error(), Do: fault.Do(err), Version: version}
-	if told, ok := errors.AsType[fault.Told](err); ok {
+	f := failure{Error: err.Error(), Do: operr.Do(err), Version: version}
+	if told, ok := errors.AsType[operr.Told](err); ok {
 		f.Code = told.Code()
 	}
 	return answer(status, f)
--- a/internal/settingsync/rollout_bench_test.go
+++ b/internal/settingsync/rollout_bench_test.go
@@ -14,12 +14,12 @@
 	"testing"
 	"time"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 	"gatetack/internal/http1"
 	"gatetack/internal/limits"
-	"gatetack/internal/pace"
 	"gatetack/internal/settings"
 	"gatetack/internal/settingsync"
+	"gatetack/internal/slowpeer"
 	"gatetack/internal/store"
 )
 
@@ -129,11 +129,11 @@
 
 // newBenchMembers starts the members, and returns once they accept changes.
 func newBenchMembers(b *testing.B, tenants int) *benchFleet {
-	f := &benchFleet{b: b, base: settings.Rules{Settings: brain.Settings{Balancers: 1, MaxAttempts: 3, FallMultiple: 2,
-		Classes: []brain.Class{{Deadline: 5000, Worth: 1}}}, Classes: []string{"a"}}}
+	f := &benchFleet{b: b, base: settings.Rules{Settings: dispatch.Settings{Balancers: 1, MaxAttempts: 3, FallMultiple: 2,
+		Classes: []dispatch.Class{{Deadline: 5000, Worth: 1}}}, Classes: []string{"a"}}}
 	for i := range tenants {
 		f.base.Tenants = append(f.base.Tenants, fmt.Sprint("t", i))
-		f.base.Settings.Tenants = append(f.base.Settings.Tenants, brain.Tenant{Portion: 1, Quota: 1})
+		f.base.Settings.Tenants = append(f.base.Settings.Tenants, dispatch.Tenant{Portion: 1, Quota: 1})
 	}
 	var cancel context.CancelFunc
 	f.ctx, cancel = context.WithCancel(context.Background())
@@ -144,7 +144,7 @@
 	var members map[string]string
 	members, f.addresses = memberAddresses(b)
 	for name, addr := range members {
-		s, err := store.Open(store.Config{Name: name, Dir: filepath.Join(b.TempDir(), name), Listen: addr, Members: members}, f.lim, &pace.Tally{}, log)
+		s, err := store.Open(store.Config{Name: name, Dir: filepath.Join(b.TempDir(), name), Listen: addr, Members: members}, f.lim, &slowpeer.Tally{}, log)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/settingsync/service.go
+++ b/internal/settingsync/service.go
@@ -11,10 +11,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/internal/fault"
 	"gatetack/internal/kv"
 	"gatetack/internal/limits"
-	"gatetack/internal/member"
+	"gatetack/internal/membership"
+	"gatetack/internal/operr"
 	"gatetack/internal/settings"
 )
 
@@ -25,7 +25,7 @@
 	HasLeader() bool
 	View() *kv.View
 	Txn(ctx context.Context, t *kv.Txn) (*kv.Result, error)
-	Members() (member.Cluster, error)
+	Members() (membership.Cluster, error)
 }
 
 // ServiceConfig is what a Service needs.
@@ -230,7 +230,7 @@
 
 // logFailure notes what a caller is told anyway.
 func (s *Service) logFailure(what string, err error) {
-	s.cfg.Log.Debug("settings: "+what, fault.Attrs(err))
+	s.cfg.Log.Debug("settings: "+what, operr.Attrs(err))
 }
 
 // pause waits, or until the context ends.
--- a/internal/wire/settings.go
+++ b/internal/simprotocol/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // SettingError names the key of a setting that cannot be used.
@@ -112,19 +112,19 @@
 }
 
 // Effects are the words for what a class's jobs do when they run twice.
-var Effects = map[string]brain.Effect{"free": brain.Safe, "guarded": brain.Keyed, "single_shot": brain.Unsafe}
+var Effects = map[string]dispatch.Effect{"free": dispatch.Safe, "guarded": dispatch.Keyed, "single_shot": dispatch.Unsafe}
 
 // Scopes are the words for where a repeat of a class's jobs is recognized.
-var Scopes = map[string]brain.Scope{"all": brain.ScopeAll, "zone": brain.ScopeZone, "cell": brain.ScopeCell}
+var Scopes = map[string]dispatch.Scope{"all": dispatch.ScopeAll, "zone": dispatch.ScopeZone, "cell": dispatch.ScopeCell}
 
-var fieldNames = map[string]brain.Field{
-	"busy_reqs": brain.FieldBusy, "pending": brain.FieldPending, "cpu_share": brain.FieldUtil,
-	"svc_ms": brain.FieldLatency, "served_ps": brain.FieldServed, "failed_ps": brain.FieldErrors,
+var fieldNames = map[string]dispatch.Field{
+	"busy_reqs": dispatch.FieldBusy, "pending": dispatch.FieldPending, "cpu_share": dispatch.FieldUtil,
+	"svc_ms": dispatch.FieldLatency, "served_ps": dispatch.FieldServed, "failed_ps": dispatch.FieldErrors,
 }
 
 // ParseSettings reads the settings of a start. Keys it does not know are passed over; absent ones get the
-// values that brain.Settings documents. A value that cannot be read is an error that names its key.
-func ParseSettings(info []byte) (brain.Settings, error) {
+// values that dispatch.Settings documents. A value that cannot be read is an error that names its key.
+func ParseSettings(info []byte) (dispatch.Settings, error) {
 	pairs := make(map[string]string)
 	for line := range strings.Lines(string(info)) {
 		if key, value, ok := strings.Cut(strings.TrimRight(line, "\r\n"), "="); ok {
@@ -134,18 +134,18 @@
 	return FromPairs(pairs)
 }
 
-// FromPairs is the one way from path=value pairs to brain.Settings, for the simulator's pipe and for a node's
+// FromPairs is the one way from path=value pairs to dispatch.Settings, for the simulator's pipe and for a node's
 // JSON alike.
-func FromPairs(pairs map[string]string) (brain.Settings, error) {
+func FromPairs(pairs map[string]string) (dispatch.Settings, error) {
 	s := &settings{m: pairs}
-	v := brain.Settings{
+	v := dispatch.Settings{
 		Me: s.count("me", 0), Balancers: s.count("balancers", 1),
 		Zone: s.count("zone", 0), Step: s.num("step", 0),
 		OverShareWorth: s.num("overShareWorth", 1), WorthByWork: s.m["worthBy"] == "work",
 		Ask:         s.m["discovery"] == "subscribe",
 		LiveWeights: s.m["weights"] == "live",
-		Telemetry: choice(s, "telemetry.how", brain.ReportNone, map[string]brain.Telemetry{
-			"piggyback": brain.ReportAnswers, "pull": brain.ReportProbes}),
+		Telemetry: choice(s, "telemetry.how", dispatch.ReportNone, map[string]dispatch.Telemetry{
+			"piggyback": dispatch.ReportAnswers, "pull": dispatch.ReportProbes}),
 		Progress: s.num("familyInfo.progress", 0), TellsStart: s.flag("familyInfo.tellsStart", false),
 		MaxAttempts: s.count("limits.maxAttempts", 1), MayDuplicate: s.flag("limits.mayDuplicate", false),
 		MayCancel: s.flag("limits.cancelling", false), MayProbe: s.flag("limits.probing", false),
@@ -155,7 +155,7 @@
 		DrainGrace: s.num("invariants.drainGrace", 0), FallMultiple: s.num("invariants.fallMultiple", 1),
 		Fall: s.num("invariants.fall", 0), ColdFrom: s.num("invariants.coldFrom", 0),
 		WarmWithin: s.num("invariants.warmWithin", 0),
-		Fees: brain.Fees{CrossZone: s.num("fees.crossZone", 0), Handshake: s.num("fees.handshake", 0),
+		Fees: dispatch.Fees{CrossZone: s.num("fees.crossZone", 0), Handshake: s.num("fees.handshake", 0),
 			Origin: s.num("fees.origin", 0)},
 	}
 	if s.flag("limits.retryAfter", false) {
@@ -166,30 +166,30 @@
 		switch meaning := strings.ToLower(s.m["familyInfo.report"+strings.ToUpper(name)]); {
 		case name != "x0" && name != "x1":
 		case strings.Contains(meaning, "slot"):
-			f = brain.FieldFree
+			f = dispatch.FieldFree
 		case strings.Contains(meaning, "memory"):
-			f = brain.FieldMemory
+			f = dispatch.FieldMemory
 		}
 		v.Fields = append(v.Fields, f)
 	}
 	for i := range s.items("requestClasses.count") {
 		p := "requestClasses." + strconv.Itoa(i) + "."
-		v.Classes = append(v.Classes, brain.Class{
+		v.Classes = append(v.Classes, dispatch.Class{
 			Aim: s.num(p+"aim", 0), Deadline: s.num(p+"deadline", 0), Worth: s.num(p+"worth", 1),
 			Stretch: s.num(p+"aimStretch", s.numAt("familyInfo.classStretch", i, 0)),
 			Window:  s.num(p+"window", 0),
 			// An effect or a scope that is absent or unknown is taken as the strictest one.
-			Effect: choice(s, p+"effect", brain.Unsafe, Effects),
-			Scope:  choice(s, p+"dedupScope", brain.ScopeCell, Scopes),
+			Effect: choice(s, p+"effect", dispatch.Unsafe, Effects),
+			Scope:  choice(s, p+"dedupScope", dispatch.ScopeCell, Scopes),
 			Kind:   int(s.numAt("familyInfo.classKind", i, -1)),
 		})
 	}
 	for i := range s.items("tenants.count") {
 		p := "tenants." + strconv.Itoa(i) + "."
-		v.Tenants = append(v.Tenants, brain.Tenant{Portion: s.num(p+"portion", 0), Quota: s.num(p+"quotaRps", 0)})
+		v.Tenants = append(v.Tenants, dispatch.Tenant{Portion: s.num(p+"portion", 0), Quota: s.num(p+"quotaRps", 0)})
 	}
 	if s.err != nil {
-		return brain.Settings{}, fmt.Errorf("wire: %w", s.err)
+		return dispatch.Settings{}, fmt.Errorf("wire: %w", s.err)
 	}
 	return v, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/simprotocol/wire.go
@@ -1,5 +1,5 @@
-// Package wire turns frames and settings into the types of package brain and back. It decides nothing.
-package wire
+// Package simprotocol turns frames and settings into the types of package dispatch and back. It decides nothing.
+package simprotocol
 
 import (
 	"encoding/binary"
@@ -8,7 +8,7 @@
 	"io"
 	"math"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // Code is a record code of a batch.
@@ -43,7 +43,7 @@
 	Instance uint16
 	Seed     uint64
 	Info     []byte
-	Event    brain.Event
+	Event    dispatch.Event
 }
 
 // Batch is one frame from the simulator. Its slices are reused by the next Read.
@@ -57,7 +57,7 @@
 	r      io.Reader
 	offset int64 // of the frame being read
 	buf    []byte
-	rows   []brain.Row
+	rows   []dispatch.Row
 	floats []float32
 	batch  Batch
 }
@@ -225,26 +225,26 @@
 	return c.r.floats[from:len(c.r.floats):len(c.r.floats)]
 }
 
-func (c *cursor) list(e *brain.Event) {
+func (c *cursor) list(e *dispatch.Event) {
 	e.Version = c.u32()
 	form := c.u8()
 	n := c.u32()
 	if c.err != nil {
 		return
 	}
-	if form > uint8(brain.ListFailed) {
+	if form > uint8(dispatch.ListFailed) {
 		c.err = fmt.Errorf("unknown list form %d", form)
 		return
 	}
-	e.Form = brain.Form(form)
+	e.Form = dispatch.Form(form)
 	if int64(n)*rowSize > int64(len(c.b)-c.at) {
 		c.err = fmt.Errorf("%d list entries: %w", n, errCount)
 		return
 	}
 	from := len(c.r.rows)
 	for range n {
-		row := brain.Row{Worker: c.u32(), Zone: c.u8(), Kind: c.u8(), Cell: c.u16()}
-		row.Condition, row.Scale, row.Born = brain.Condition(c.u8()), c.f32(), c.f64()
+		row := dispatch.Row{Worker: c.u32(), Zone: c.u8(), Kind: c.u8(), Cell: c.u16()}
+		row.Condition, row.Scale, row.Born = dispatch.Condition(c.u8()), c.f32(), c.f64()
 		c.r.rows = append(c.r.rows, row)
 	}
 	e.Rows = c.r.rows[from:len(c.r.rows):len(c.r.rows)]
@@ -255,38 +255,38 @@
 	e := &rec.Event
 	switch rec.Code {
 	case CodeList:
-		e.Kind = brain.EvList
+		e.Kind = dispatch.EvList
 		c.list(e)
 	case CodeTimer:
-		e.Kind, e.Token = brain.EvTimer, c.u32()
+		e.Kind, e.Token = dispatch.EvTimer, c.u32()
 	case CodeGone:
-		e.Kind, e.Job = brain.EvGone, c.u32()
+		e.Kind, e.Job = dispatch.EvGone, c.u32()
 	case CodeNote:
-		e.Kind = brain.EvNote
+		e.Kind = dispatch.EvNote
 		e.Job, e.Attempt, e.Worker, e.Topic, e.Amount = c.u32(), c.u16(), c.u32(), c.u8(), c.f32()
 	case CodePeer:
-		e.Kind, e.From = brain.EvPeer, c.u32()
+		e.Kind, e.From = dispatch.EvPeer, c.u32()
 		e.Data = c.bytes(int(c.u16()))
 	case CodeInit:
 		rec.Seed = c.u64()
 		rec.Info = c.bytes(int(c.u32()))
 	case CodeFirst:
-		e.Kind = brain.EvFirst
+		e.Kind = dispatch.EvFirst
 		e.Job, e.Elapsed, e.Worker, e.Attempt = c.u32(), c.f64(), c.u32(), c.u16()
 	case CodeStop:
 	case CodeOutcome:
-		e.Kind = brain.EvOutcome
+		e.Kind = dispatch.EvOutcome
 		e.Job, e.Attempt, e.Worker = c.u32(), c.u16(), c.u32()
-		e.Outcome, e.Elapsed, e.Final = brain.Outcome(c.u16()), c.f64(), c.u8() != 0
+		e.Outcome, e.Elapsed, e.Final = dispatch.Outcome(c.u16()), c.f64(), c.u8() != 0
 		c.u32()
 		e.Report = c.report()
 	case CodeRequest:
-		e.Kind = brain.EvRequest
+		e.Kind = dispatch.EvRequest
 		e.Job, e.Class, e.Tenant, e.Key = c.u32(), c.u8(), c.u16(), c.u64()
 		e.TimeLeft, e.Work, e.Slots, e.Memory, e.Flags = c.f64(), c.f64(), c.f32(), c.f32(), c.u8()
 	case CodeProbed:
-		e.Kind = brain.EvProbed
-		e.Worker, e.Elapsed, e.Outcome = c.u32(), c.f64(), brain.Outcome(c.u16())
+		e.Kind = dispatch.EvProbed
+		e.Worker, e.Elapsed, e.Outcome = c.u32(), c.f64(), dispatch.Outcome(c.u16())
 		e.Report = c.report()
 	default:
 		if c.err == nil {
@@ -322,52 +322,52 @@
 }
 
 // Add writes an action of an instance.
-func (p *Reply) Add(instance uint16, a *brain.Action) error {
+func (p *Reply) Add(instance uint16, a *dispatch.Action) error {
 	be := binary.BigEndian
 	head := func(code byte) { p.buf = be.AppendUint16(append(p.buf, code), instance) }
 	f64 := func(v float64) { p.buf = be.AppendUint64(p.buf, math.Float64bits(v)) }
 	switch a.Kind {
-	case brain.ActSend:
+	case dispatch.ActSend:
 		head(codeSend)
 		p.buf = be.AppendUint32(be.AppendUint32(p.buf, a.Job), a.Worker)
 		f64(a.For)
-	case brain.ActRefuse:
+	case dispatch.ActRefuse:
 		head(codeRefuse)
 		p.buf = be.AppendUint32(p.buf, a.Job)
 		f64(a.For)
-	case brain.ActFail:
+	case dispatch.ActFail:
 		head(codeFail)
 		p.buf = be.AppendUint32(p.buf, a.Job)
-	case brain.ActCancel:
+	case dispatch.ActCancel:
 		head(codeCancel)
 		p.buf = be.AppendUint16(be.AppendUint32(p.buf, a.Job), a.Attempt)
-	case brain.ActTimer:
+	case dispatch.ActTimer:
 		head(codeDefer)
 		f64(a.For)
 		p.buf = be.AppendUint32(p.buf, a.Token)
-	case brain.ActProbe:
+	case dispatch.ActProbe:
 		head(codeProbe)
 		p.buf = be.AppendUint32(p.buf, a.Worker)
-	case brain.ActClose:
+	case dispatch.ActClose:
 		head(codeClose)
 		p.buf = be.AppendUint32(p.buf, a.Worker)
-	case brain.ActWatch:
+	case dispatch.ActWatch:
 		head(codeWatch)
 		on := byte(0)
 		if a.On {
 			on = 1
 		}
 		p.buf = append(p.buf, on)
-	case brain.ActFetch:
+	case dispatch.ActFetch:
 		head(codeFetch)
-	case brain.ActTell:
+	case dispatch.ActTell:
 		if len(a.Data) > maxTellBytes {
 			return fmt.Errorf("wire: a message of %d bytes is longer than %d", len(a.Data), maxTellBytes)
 		}
 		head(codeTell)
 		p.buf = be.AppendUint16(be.AppendUint16(p.buf, a.To), uint16(len(a.Data)))
 		p.buf = append(p.buf, a.Data...)
-	case brain.ActLog:
+	case dispatch.ActLog:
 		head(codeLog)
 		text := a.Text[:min(len(a.Text), math.MaxUint16)]
 		p.buf = append(be.AppendUint16(p.buf, uint16(len(text))), text...)
--- a/internal/wire/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"gatetack/brain"
+	"gatetack/internal/dispatch"
 )
 
 // frame builds a batch from records in hex.
@@ -37,33 +37,33 @@
 	want Record
 }{
 	{"request", "09 0003 5d3a91c4 00 0000 91f03b7c55d20a64 406e000000000000 4028000000000000 40000000 00000000 01",
-		Record{Code: CodeRequest, Instance: 3, Event: brain.Event{Kind: brain.EvRequest, Job: 0x5d3a91c4,
+		Record{Code: CodeRequest, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvRequest, Job: 0x5d3a91c4,
 			Key: 0x91f03b7c55d20a64, TimeLeft: 240, Work: 12, Slots: 2, Flags: 1}}},
 	{"timer", "01 0003 0000004d",
-		Record{Code: CodeTimer, Instance: 3, Event: brain.Event{Kind: brain.EvTimer, Token: 77}}},
+		Record{Code: CodeTimer, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvTimer, Token: 77}}},
 	{"gone", "02 0005 0e6f2b19",
-		Record{Code: CodeGone, Instance: 5, Event: brain.Event{Kind: brain.EvGone, Job: 0x0e6f2b19}}},
+		Record{Code: CodeGone, Instance: 5, Event: dispatch.Event{Kind: dispatch.EvGone, Job: 0x0e6f2b19}}},
 	{"list", "00 0003 00000029 02 00000002 03124a07 00 00 0000 01 3f800000 0000000000000000 " +
 		"2c9011f2 01 00 0000 01 3fc00000 40b7d40000000000",
-		Record{Code: CodeList, Instance: 3, Event: brain.Event{Kind: brain.EvList, Version: 41, Form: brain.ListCached,
-			Rows: []brain.Row{{Worker: 0x03124a07, Condition: brain.Ready, Scale: 1},
-				{Worker: 0x2c9011f2, Zone: 1, Condition: brain.Ready, Scale: 1.5, Born: 6100}}}}},
+		Record{Code: CodeList, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvList, Version: 41, Form: dispatch.ListCached,
+			Rows: []dispatch.Row{{Worker: 0x03124a07, Condition: dispatch.Ready, Scale: 1},
+				{Worker: 0x2c9011f2, Zone: 1, Condition: dispatch.Ready, Scale: 1.5, Born: 6100}}}}},
 	{"note", "03 0003 5d3a91c4 0000 03124a07 01 3f000000",
-		Record{Code: CodeNote, Instance: 3, Event: brain.Event{Kind: brain.EvNote, Job: 0x5d3a91c4,
+		Record{Code: CodeNote, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvNote, Job: 0x5d3a91c4,
 			Worker: 0x03124a07, Topic: 1, Amount: 0.5}}},
 	{"outcome", "08 0003 5d3a91c4 0000 03124a07 0064 4032800000000000 01 00000000 00",
-		Record{Code: CodeOutcome, Instance: 3, Event: brain.Event{Kind: brain.EvOutcome, Job: 0x5d3a91c4,
-			Worker: 0x03124a07, Outcome: brain.Served, Elapsed: 18.5, Final: true}}},
+		Record{Code: CodeOutcome, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvOutcome, Job: 0x5d3a91c4,
+			Worker: 0x03124a07, Outcome: dispatch.Served, Elapsed: 18.5, Final: true}}},
 	{"outcome with a report", "08 0003 5d3a91c4 0002 03124a07 012e 4032800000000000 00 00000007 02 3f800000 40000000",
-		Record{Code: CodeOutcome, Instance: 3, Event: brain.Event{Kind: brain.EvOutcome, Job: 0x5d3a91c4, Attempt: 2,
-			Worker: 0x03124a07, Outcome: brain.Full, Elapsed: 18.5, Report: []float32{1, 2}}}},
+		Record{Code: CodeOutcome, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvOutcome, Job: 0x5d3a91c4, Attempt: 2,
+			Worker: 0x03124a07, Outcome: dispatch.Full, Elapsed: 18.5, Report: []float32{1, 2}}}},
 	{"probed", "0a 0003 2c9011f2 3ff6666666666666 0064 04 3f00000040e000003f1eb8523ecccccd",
-		Record{Code: CodeProbed, Instance: 3, Event: brain.Event{Kind: brain.EvProbed, Worker: 0x2c9011f2,
-			Elapsed: 1.4, Outcome: brain.Served, Report: []float32{0.5, 7, 0.62, 0.4}}}},
+		Record{Code: CodeProbed, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvProbed, Worker: 0x2c9011f2,
+			Elapsed: 1.4, Outcome: dispatch.Served, Report: []float32{0.5, 7, 0.62, 0.4}}}},
 	{"peer", "04 0003 00000002 0004 68692037",
-		Record{Code: CodePeer, Instance: 3, Event: brain.Event{Kind: brain.EvPeer, From: 2, Data: []byte("hi 7")}}},
+		Record{Code: CodePeer, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvPeer, From: 2, Data: []byte("hi 7")}}},
 	{"first", "06 0003 5d3a91c4 4022800000000000 03124a07 0001",
-		Record{Code: CodeFirst, Instance: 3, Event: brain.Event{Kind: brain.EvFirst, Job: 0x5d3a91c4, Elapsed: 9.25,
+		Record{Code: CodeFirst, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvFirst, Job: 0x5d3a91c4, Elapsed: 9.25,
 			Worker: 0x03124a07, Attempt: 1}}},
 	{"stop", "07 0003", Record{Code: CodeStop, Instance: 3}},
 	{"init", "05 0003 0000000000000009 00000004 6d653d31",
@@ -170,21 +170,21 @@
 
 func TestReply(t *testing.T) {
 	tests := []struct {
-		action brain.Action
+		action dispatch.Action
 		want   string
 	}{
-		{brain.Action{Kind: brain.ActSend, Job: 0x5d3a91c4, Worker: 0x03124a07, For: 80},
+		{dispatch.Action{Kind: dispatch.ActSend, Job: 0x5d3a91c4, Worker: 0x03124a07, For: 80},
 			"07 0003 5d3a91c4 03124a07 4054000000000000"},
-		{brain.Action{Kind: brain.ActTimer, For: 500, Token: 77}, "05 0003 407f400000000000 0000004d"},
-		{brain.Action{Kind: brain.ActLog, Text: "two servers known"}, "08 0003 0011 74776f2073657276657273206b6e6f776e"},
-		{brain.Action{Kind: brain.ActFetch}, "04 0003"},
-		{brain.Action{Kind: brain.ActProbe, Worker: 0x2c9011f2}, "0a 0003 2c9011f2"},
-		{brain.Action{Kind: brain.ActCancel, Job: 0x5d3a91c4}, "06 0003 5d3a91c4 0000"},
-		{brain.Action{Kind: brain.ActFail, Job: 0x0e6f2b19}, "0b 0003 0e6f2b19"},
-		{brain.Action{Kind: brain.ActClose, Worker: 0x2c9011f2}, "01 0003 2c9011f2"},
-		{brain.Action{Kind: brain.ActTell, To: brain.AllPeers, Data: []byte("hi 7")}, "00 0003 ffff 0004 68692037"},
-		{brain.Action{Kind: brain.ActRefuse, Job: 0x0e6f2b19, For: 500}, "02 0003 0e6f2b19 407f400000000000"},
-		{brain.Action{Kind: brain.ActWatch, On: true}, "03 0003 01"},
+		{dispatch.Action{Kind: dispatch.ActTimer, For: 500, Token: 77}, "05 0003 407f400000000000 0000004d"},
+		{dispatch.Action{Kind: dispatch.ActLog, Text: "two servers known"}, "08 0003 0011 74776f2073657276657273206b6e6f776e"},
+		{dispatch.Action{Kind: dispatch.ActFetch}, "04 0003"},
+		{dispatch.Action{Kind: dispatch.ActProbe, Worker: 0x2c9011f2}, "0a 0003 2c9011f2"},
+		{dispatch.Action{Kind: dispatch.ActCancel, Job: 0x5d3a91c4}, "06 0003 5d3a91c4 0000"},
+		{dispatch.Action{Kind: dispatch.ActFail, Job: 0x0e6f2b19}, "0b 0003 0e6f2b19"},
+		{dispatch.Action{Kind: dispatch.ActClose, Worker: 0x2c9011f2}, "01 0003 2c9011f2"},
+		{dispatch.Action{Kind: dispatch.ActTell, To: dispatch.AllPeers, Data: []byte("hi 7")}, "00 0003 ffff 0004 68692037"},
+		{dispatch.Action{Kind: dispatch.ActRefuse, Job: 0x0e6f2b19, For: 500}, "02 0003 0e6f2b19 407f400000000000"},
+		{dispatch.Action{Kind: dispatch.ActWatch, On: true}, "03 0003 01"},
 	}
 	var p Reply
 	for _, tt := range tests {
@@ -205,7 +205,7 @@
 	if got := hex.EncodeToString(p.Bytes()); got != "0000000000000000" {
 		t.Errorf("empty reply %s", got)
 	}
-	if p.Add(3, &brain.Action{Kind: 99}) == nil || p.Add(3, &brain.Action{Kind: brain.ActTell, Data: make([]byte, 257)}) == nil {
+	if p.Add(3, &dispatch.Action{Kind: 99}) == nil || p.Add(3, &dispatch.Action{Kind: dispatch.ActTell, Data: make([]byte, 257)}) == nil {
 		t.Error("an action that the wire does not know was written")
 	}
 }
@@ -253,19 +253,19 @@
 		s.ColdFrom != 0.31 || s.MaxAttempts != 4 || !s.MayDuplicate || !s.WorthByWork {
 		t.Errorf("got %+v", s)
 	}
-	want := []brain.Class{
-		{Aim: 400, Stretch: 2, Deadline: 6000, Worth: 1, Effect: brain.Safe, Scope: brain.ScopeAll, Kind: -1},
-		{Aim: 250, Stretch: 1.75, Deadline: 5000, Worth: 1, Effect: brain.Keyed, Scope: brain.ScopeCell,
+	want := []dispatch.Class{
+		{Aim: 400, Stretch: 2, Deadline: 6000, Worth: 1, Effect: dispatch.Safe, Scope: dispatch.ScopeAll, Kind: -1},
+		{Aim: 250, Stretch: 1.75, Deadline: 5000, Worth: 1, Effect: dispatch.Keyed, Scope: dispatch.ScopeCell,
 			Window: 40000, Kind: 1},
 	}
 	if !reflect.DeepEqual(s.Classes, want) {
 		t.Errorf("classes %+v", s.Classes)
 	}
-	fields := []brain.Field{brain.FieldErrors, brain.FieldBusy, brain.FieldUtil, brain.FieldFree, brain.FieldOther}
-	if !reflect.DeepEqual(s.Fields, fields) || s.Telemetry != brain.ReportProbes {
+	fields := []dispatch.Field{dispatch.FieldErrors, dispatch.FieldBusy, dispatch.FieldUtil, dispatch.FieldFree, dispatch.FieldOther}
+	if !reflect.DeepEqual(s.Fields, fields) || s.Telemetry != dispatch.ReportProbes {
 		t.Errorf("fields %v, how %v", s.Fields, s.Telemetry)
 	}
-	if len(s.Tenants) != 1 || s.Tenants[0] != (brain.Tenant{Portion: 0.23, Quota: 13}) {
+	if len(s.Tenants) != 1 || s.Tenants[0] != (dispatch.Tenant{Portion: 0.23, Quota: 13}) {
 		t.Errorf("tenants %+v", s.Tenants)
 	}
 }
@@ -298,7 +298,7 @@
 			if err != nil {
 				t.Errorf("%s: %v, want the documented default", line, err)
 			}
-			if strings.Contains(line, "effect") && s.Classes[1].Effect != brain.Unsafe {
+			if strings.Contains(line, "effect") && s.Classes[1].Effect != dispatch.Unsafe {
 				t.Error("an unknown effect must be taken as the strictest")
 			}
 			continue
--- a/internal/site/choice.go
+++ b/internal/site/choice.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 )
 
 // Term is the cost of a zone for a job.
@@ -55,7 +55,7 @@
 	return "submit it with a later deadline, or copy its inputs to a hall with room first"
 }
 
-var _ = fault.Kind(&NoZoneError{})
+var _ = operr.Kind(&NoZoneError{})
 
 // Prices returns the price of each zone for the decision module, on the scale of its price for crossing. A zone that takes no work has
 // the worst.
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "gatetack/internal/seeds"
+	_ "gatetack/internal/testrand"
 )
 
 func three() *Site {
--- a/internal/pace/ledger.go
+++ b/internal/slowpeer/ledger.go
@@ -1,4 +1,4 @@
-package pace
+package slowpeer
 
 import "fmt"
 
--- a/internal/pace/meter.go
+++ b/internal/slowpeer/meter.go
@@ -1,4 +1,4 @@
-// Package pace decides about slow peers: whether one that is waited for is kept, held back or let go. It does no I/O,
+// Package slowpeer decides about slow peers: whether one that is waited for is kept, held back or let go. It does no I/O,
 // reads no clock and starts no goroutine; who asks gives it the time. Its carriers are http1 (both directions of every
 // connection) and executor (what executors owe); what it finds out about executors goes to the decision module, which alone
 // decides what follows for jobs.
@@ -8,7 +8,7 @@
 //   - Meter: does one direction of one connection move at its least rate?
 //   - Ledger: may one peer take more of a budget that all peers share?
 //   - Acks: is an executor late to acknowledge, against its own usual and its peers'?
-package pace
+package slowpeer
 
 import "time"
 
--- a/internal/pace/pace_test.go
+++ b/internal/slowpeer/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package slowpeer
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "gatetack/internal/seeds"
+	_ "gatetack/internal/testrand"
 )
 
 var epoch = time.Unix(1_700_000_000, 0)
--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -19,19 +19,19 @@
 
 	"gatetack/internal/failpoint"
 	"gatetack/internal/http1"
-	"gatetack/internal/keys"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/kv"
 	"gatetack/internal/limits"
-	"gatetack/internal/records"
+	"gatetack/internal/pki"
 )
 
 // Put sets a value, and returns once most members have it.
 func (s *Store) Put(ctx context.Context, kind, key string, value []byte) error {
-	return s.Write(ctx, records.Change{Kind: kind, Key: key, Value: value, Keep: true})
+	return s.Write(ctx, jobstore.Change{Kind: kind, Key: key, Value: value, Keep: true})
 }
 
 // Write makes all changes or none, as one entry of the log, and returns once most members have it.
-func (s *Store) Write(ctx context.Context, changes ...records.Change) error {
+func (s *Store) Write(ctx context.Context, changes ...jobstore.Change) error {
 	r, err := s.Txn(ctx, &kv.Txn{Ops: Ops(changes)})
 	if err != nil {
 		return err
@@ -45,15 +45,15 @@
 	case r.OK():
 		return nil
 	case r.Failed >= 0:
-		return records.ErrExists
+		return jobstore.ErrExists
 	case strings.HasPrefix(r.Err, kv.Full):
-		return fmt.Errorf("%w: %s", records.ErrFull, r.Err)
+		return fmt.Errorf("%w: %s", jobstore.ErrFull, r.Err)
 	}
 	return fmt.Errorf("store: %s", r.Err)
 }
 
 // Ops are the operations that make changes.
-func Ops(changes []records.Change) (ops []kv.Op) {
+func Ops(changes []jobstore.Change) (ops []kv.Op) {
 	for _, c := range changes {
 		op := kv.Op{Verb: kv.Put, Table: c.Kind, Key: c.Key, Value: c.Value, Keep: c.Keep, Cond: c.New}
 		if c.Value == nil {
@@ -94,12 +94,12 @@
 }
 
 // Page gives rows of a kind in the order of their keys, as the leader has them.
-func (s *Store) Page(ctx context.Context, kind, after string, limit int) ([]records.Row, error) {
+func (s *Store) Page(ctx context.Context, kind, after string, limit int) ([]jobstore.Row, error) {
 	m, err := s.ask(ctx, "/page?"+url.Values{"table": {kind}, "after": {after}, "limit": {strconv.Itoa(limit)}}.Encode(), nil)
 	if err != nil {
 		return nil, err
 	}
-	var rows []records.Row
+	var rows []jobstore.Row
 	if err := json.Unmarshal(m.Body, &rows); err != nil {
 		return nil, fmt.Errorf("store: a page: %w", err)
 	}
@@ -164,7 +164,7 @@
 }
 
 // dial connects, by keys where there are any.
-func dial(ctx context.Context, addr string, ring *keys.Ring) (net.Conn, error) {
+func dial(ctx context.Context, addr string, ring *pki.Ring) (net.Conn, error) {
 	addr = failpoint.Via(addr)
 	if ring == nil {
 		var d net.Dialer
@@ -175,7 +175,7 @@
 }
 
 // Call makes one call to a member, on a connection of its own, by keys where there are any.
-func Call(ctx context.Context, addr, verb, path string, body []byte, ring *keys.Ring, lim limits.Limits,
+func Call(ctx context.Context, addr, verb, path string, body []byte, ring *pki.Ring, lim limits.Limits,
 	fields ...http1.Field) (*http1.Message, error) {
 	dialed, err := dial(ctx, addr, ring)
 	if err != nil {
@@ -227,12 +227,12 @@
 			return http1.Response{Status: 404}
 		}
 		limit, _ := strconv.Atoi(q.Get("limit"))
-		rows, room := []records.Row{}, s.lim.StoreBody
+		rows, room := []jobstore.Row{}, s.lim.StoreBody
 		for _, e := range v.List(q.Get("table"), "", q.Get("after"), limit) {
 			if room -= len(e.Value); room < 0 && len(rows) > 0 {
 				break
 			}
-			rows = append(rows, records.Row{Key: e.Key, Value: e.Value})
+			rows = append(rows, jobstore.Row{Key: e.Key, Value: e.Value})
 		}
 		return answerJSON(200, rows)
 	case "/members":
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -14,7 +14,7 @@
 	boltdb "github.com/hashicorp/raft-boltdb/v2"
 
 	"gatetack/internal/failpoint"
-	"gatetack/internal/member"
+	"gatetack/internal/membership"
 )
 
 // disk is the store's log, votes and snapshots as raft sees them. What goes in carries a checksum, and what comes out is held to
@@ -100,12 +100,12 @@
 // StoreLogs writes entries. Raft calls it, and counts them as acknowledged once it returns.
 func (d *disk) StoreLogs(logs []*raft.Log) error {
 	sealed := make([]*raft.Log, len(logs))
-	var last member.Point
+	var last membership.Point
 	for i, l := range logs {
 		x := *l
 		x.Extensions = seal(&x)
 		sealed[i] = &x
-		last = member.Point{Term: l.Term, Index: l.Index}
+		last = membership.Point{Term: l.Term, Index: l.Index}
 	}
 	return d.write(func() error {
 		if err := d.BoltStore.StoreLogs(sealed); err != nil {
@@ -144,7 +144,7 @@
 			if err := d.BoltStore.SetUint64(key, value); err != nil {
 				return err
 			}
-			return d.mark.note(member.Point{}, value)
+			return d.mark.note(membership.Point{}, value)
 		})
 		if err == nil {
 			return nil
@@ -164,13 +164,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &noted{SnapshotSink: sink, d: d, last: member.Point{Term: term, Index: index}}, nil
+	return &noted{SnapshotSink: sink, d: d, last: membership.Point{Term: term, Index: index}}, nil
 }
 
 type noted struct {
 	raft.SnapshotSink
 	d    *disk
-	last member.Point
+	last membership.Point
 }
 
 // Close ends a snapshot.
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 )
 
-// The errors of the store that reach an operator, or another package. See package fault.
+// The errors of the store that reach an operator, or another package. See package operr.
 
 // NoLeaderError says that the store has no leader, so that nothing can be written or told for certain.
 type NoLeaderError struct{}
@@ -100,5 +100,5 @@
 	return "set store.listen to the address that store.members has under this node's name, or correct that"
 }
 
-var _ = []struct{}{fault.Kind(&NoLeaderError{}), fault.Kind(&DamagedError{}), fault.Kind(&StalledError{}), fault.Kind(&DiskError{}),
-	fault.Kind(&VoteError{}), fault.Kind(&AddressError{})}
+var _ = []struct{}{operr.Kind(&NoLeaderError{}), operr.Kind(&DamagedError{}), operr.Kind(&StalledError{}), operr.Kind(&DiskError{}),
+	operr.Kind(&VoteError{}), operr.Kind(&AddressError{})}
--- a/internal/store/folder.go
+++ b/internal/store/folder.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"gatetack/internal/http1"
-	"gatetack/internal/member"
+	"gatetack/internal/membership"
 	"github.com/hashicorp/raft"
 	boltdb "github.com/hashicorp/raft-boltdb/v2"
 )
@@ -68,12 +68,12 @@
 // witnessed is what a member answers: which folder it knows under a name, and where it stands itself.
 type witnessed struct {
 	Known string `json:"known"`
-	member.Standing
+	membership.Standing
 }
 
 // identities are the folders that were named.
-func identities(answers map[string]witnessed) member.Known {
-	out := member.Known{}
+func identities(answers map[string]witnessed) membership.Known {
+	out := membership.Known{}
 	for name, w := range answers {
 		out[name] = w.Known
 	}
@@ -115,8 +115,8 @@
 func (s *Store) begin(ctx context.Context) {
 	names := slices.Sorted(maps.Keys(s.cfg.Members))
 	for said := false; s.cfg.Join == ""; said = true {
-		verdict, missing := member.Judge(s.cfg.Name, s.folder, names, identities(s.asked(ctx, s.cfg.Members)))
-		if verdict == member.Begin {
+		verdict, missing := membership.Judge(s.cfg.Name, s.folder, names, identities(s.asked(ctx, s.cfg.Members)))
+		if verdict == membership.Begin {
 			if err := s.bootstrap(); err != nil {
 				s.log.Error("store: it can not begin", "err", err)
 				return
@@ -125,7 +125,7 @@
 			s.mux.open.Store(true)
 			return
 		}
-		if verdict == member.Forgot {
+		if verdict == membership.Forgot {
 			s.log.Warn("store: this member has forgotten what it held: its folder is empty, and others know another under its name. "+
 				"It does not vote, and asks those who remember to be let in anew", "name", s.cfg.Name)
 			break
--- a/internal/store/guard.go
+++ b/internal/store/guard.go
@@ -12,10 +12,10 @@
 	"github.com/hashicorp/raft"
 
 	"gatetack/internal/failpoint"
-	"gatetack/internal/member"
+	"gatetack/internal/membership"
 )
 
-// guard stands between raft and its transport. It holds this member's votes to what it may have forgotten (package member,
+// guard stands between raft and its transport. It holds this member's votes to what it may have forgotten (package membership,
 // Recall), those that it asks for included, and it keeps a leader whose disk does not answer from telling the others that it
 // leads: raft writes to its own log in the loop that would give up the lead, and its heartbeats go on beside it.
 type guard struct {
@@ -26,7 +26,7 @@
 
 	mu    sync.Mutex
 	sure  bool
-	floor member.Floor
+	floor membership.Floor
 }
 
 // errVote says why a vote is not asked for, or not given.
@@ -85,17 +85,17 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.sure && g.floor.May(term, member.Point{Term: lastTerm, Index: lastIndex})
+	return g.sure && g.floor.May(term, membership.Point{Term: lastTerm, Index: lastIndex})
 }
 
-func (g *guard) set(r member.Recollection) {
+func (g *guard) set(r membership.Recollection) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sure, g.floor = r.Sure, r.Floor
 }
 
 // state tells how this member's votes stand.
-func (g *guard) state() (sure bool, floor member.Floor) {
+func (g *guard) state() (sure bool, floor membership.Floor) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.sure, g.floor
@@ -184,9 +184,9 @@
 	for said := ""; ; {
 		at := s.addresses()
 		all := slices.Sorted(maps.Keys(at))
-		r := member.Recall(s.held, s.known, all, nil)
+		r := membership.Recall(s.held, s.known, all, nil)
 		if !r.Sure { // no mark makes it needless to ask
-			r = member.Recall(s.held, s.known, all, s.heard(ctx, at))
+			r = membership.Recall(s.held, s.known, all, s.heard(ctx, at))
 		}
 		s.guard.set(r)
 		if r.Forgot && said == "" {
@@ -235,8 +235,8 @@
 }
 
 // heard asks the others where they stand.
-func (s *Store) heard(ctx context.Context, at map[string]string) map[string]member.Standing {
-	out := map[string]member.Standing{}
+func (s *Store) heard(ctx context.Context, at map[string]string) map[string]membership.Standing {
+	out := map[string]membership.Standing{}
 	for name, a := range s.asked(ctx, at) {
 		out[name] = a.Standing
 	}
@@ -257,22 +257,22 @@
 }
 
 // stand is where this member stands.
-func (s *Store) stand() member.Standing {
+func (s *Store) stand() membership.Standing {
 	last, term := s.disk.end()
-	return member.Standing{Last: last, Term: term}
+	return membership.Standing{Last: last, Term: term}
 }
 
 // end is how far the log on the disk goes, snapshots included, and the last term in which a vote may have been given.
-func (d *disk) end() (last member.Point, term uint64) {
+func (d *disk) end() (last membership.Point, term uint64) {
 	if index, err := d.LastIndex(); err == nil && index > 0 {
 		var l raft.Log
 		if d.GetLog(index, &l) == nil {
-			last = member.Point{Term: l.Term, Index: l.Index}
+			last = membership.Point{Term: l.Term, Index: l.Index}
 		}
 	}
 	if metas, err := d.List(); err == nil {
 		for _, m := range metas {
-			if p := (member.Point{Term: m.Term, Index: m.Index}); last.Less(p) {
+			if p := (membership.Point{Term: m.Term, Index: m.Index}); last.Less(p) {
 				last = p
 			}
 		}
@@ -285,7 +285,7 @@
 	return last, term
 }
 
-func later(p, q member.Point) member.Point {
+func later(p, q membership.Point) membership.Point {
 	if p.Less(q) {
 		return q
 	}
--- a/internal/store/lies_test.go
+++ b/internal/store/lies_test.go
@@ -15,14 +15,14 @@
 	"pgregory.net/rapid"
 
 	"gatetack/internal/failpoint"
-	"gatetack/internal/fault"
-	"gatetack/internal/member"
-	"gatetack/internal/standin"
+	"gatetack/internal/membership"
+	"gatetack/internal/operr"
+	"gatetack/internal/testenv"
 )
 
 func leader(t *testing.T, all []*node) (lead *node) {
 	t.Helper()
-	standin.Until(t, "a leader", func() bool {
+	testenv.Until(t, "a leader", func() bool {
 		lead = nil
 		for _, m := range all {
 			if m.s.Leads() {
@@ -62,14 +62,14 @@
 				}
 			}
 			put(t, others[0], "after", "y")
-			standin.Until(t, "another leads", func() bool { return others[0].s.Leads() || others[1].s.Leads() })
+			testenv.Until(t, "another leads", func() bool { return others[0].s.Leads() || others[1].s.Leads() })
 			want(t, others[1], "before", "x")
 			if x.disk.Waits < 0 { // for good, also where it lost the lead before it met the disk, and meets it as a follower
-				standin.Until(t, "its disk is told", func() bool { return lead.s.Status().Disk != "answers" })
+				testenv.Until(t, "its disk is told", func() bool { return lead.s.Status().Disk != "answers" })
 			}
 			if x.heals {
 				disk.Store(&failpoint.Disk{})
-				standin.Until(t, "it has what it missed", func() bool { v, ok := lead.s.Local("job", "after"); return ok && string(v) == "y" })
+				testenv.Until(t, "it has what it missed", func() bool { v, ok := lead.s.Local("job", "after"); return ok && string(v) == "y" })
 			}
 		})
 	}
@@ -136,12 +136,12 @@
 		put(t, all[i%3], fmt.Sprint("k", i), fmt.Sprint("value ", i, " of some length"))
 	}
 	m := all[1]
-	standin.Until(t, "it has all", func() bool { _, ok := m.s.Local("job", "k59"); return ok })
+	testenv.Until(t, "it has all", func() bool { _, ok := m.s.Local("job", "k59"); return ok })
 	if err := m.s.raft.Snapshot().Error(); err != nil {
 		t.Fatal(err)
 	}
 	put(t, all[0], "last", "after the snapshot")
-	standin.Until(t, "it has the last", func() bool { _, ok := m.s.Local("job", "last"); return ok })
+	testenv.Until(t, "it has the last", func() bool { _, ok := m.s.Local("job", "last"); return ok })
 	m.stop()
 	good := t.TempDir()
 	if err := os.CopyFS(good, os.DirFS(m.cfg.Dir)); err != nil {
@@ -190,9 +190,9 @@
 		}
 		what := fmt.Sprintf("%s at %d of %d", file, at, len(data))
 		m.cfg.Dir = dir
-		s, err := Open(m.cfg, standin.Lim, nil, standin.Quiet)
+		s, err := Open(m.cfg, testenv.Lim, nil, testenv.Quiet)
 		if err != nil {
-			if fault.Do(err) == "" && !errors.Is(err, os.ErrNotExist) {
+			if operr.Do(err) == "" && !errors.Is(err, os.ErrNotExist) {
 				t.Logf("%s: it does not start: %v", what, err)
 			}
 			cut++
@@ -207,7 +207,7 @@
 				t.Errorf("%s: %s is told as %q", what, key, v)
 			}
 		}
-		standin.Until(t, what+": it has all again", func() bool {
+		testenv.Until(t, what+": it has all again", func() bool {
 			for i := range 60 {
 				check(fmt.Sprint("k", i), fmt.Sprint("value ", i, " of some length"))
 			}
@@ -259,7 +259,7 @@
 
 // FuzzMark reads marks: one that was written is read back, and any other text is none.
 func FuzzMark(f *testing.F) {
-	m := mark{folder: 7, boot: 9, last: member.Point{Term: 3, Index: 12}, term: 4}
+	m := mark{folder: 7, boot: 9, last: membership.Point{Term: 3, Index: 12}, term: 4}
 	f.Add(m.bytes())
 	f.Add([]byte{})
 	f.Add(make([]byte, markBytes))
@@ -282,7 +282,7 @@
 	if err != nil || known != nil {
 		t.Fatalf("%v %v", known, err)
 	}
-	again := func(boot string) *member.Mark {
+	again := func(boot string) *membership.Mark {
 		t.Helper()
 		x, known, err := openMark(dir, "f", boot)
 		if err != nil {
@@ -291,20 +291,20 @@
 		x.close()
 		return known
 	}
-	_ = m.note(member.Point{Term: 1, Index: 5}, 1)
+	_ = m.note(membership.Point{Term: 1, Index: 5}, 1)
 	if k := again("boot"); k != nil {
 		t.Errorf("%+v vouches before it is armed", k)
 	}
-	_ = m.arm(member.Point{Term: 2, Index: 3}, 2)
-	_ = m.note(member.Point{Term: 1, Index: 9}, 0) // behind
-	if k := again("boot"); k == nil || k.Last != (member.Point{Term: 2, Index: 3}) || k.Term != 2 {
+	_ = m.arm(membership.Point{Term: 2, Index: 3}, 2)
+	_ = m.note(membership.Point{Term: 1, Index: 9}, 0) // behind
+	if k := again("boot"); k == nil || k.Last != (membership.Point{Term: 2, Index: 3}) || k.Term != 2 {
 		t.Errorf("%+v", k)
 	}
 	if k := again("another"); k != nil {
 		t.Errorf("%+v of another boot", k)
 	}
 	_ = m.file.Close()
-	if err := m.note(member.Point{Term: 2, Index: 4}, 0); err != nil {
+	if err := m.note(membership.Point{Term: 2, Index: 4}, 0); err != nil {
 		t.Errorf("it could be taken away: %v", err)
 	}
 	if k := again("boot"); k != nil {
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"gatetack/internal/kv"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 var span = flag.Duration("span", 6*time.Second, "how long TestLinearizable kills members; the long run takes 10m")
@@ -159,7 +159,7 @@
 		t.Errorf("%d calls with %d kills: %v", len(history), kills, r)
 	}
 	t.Logf("%d calls, %d of them with a known end, %d kills", len(history), known, kills)
-	standin.Until(t, "all agree in the end", func() bool {
+	testenv.Until(t, "all agree in the end", func() bool {
 		want := all[0].s.Status().Applied
 		for _, m := range all {
 			if m.s.Status().Applied != want {
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -11,7 +11,7 @@
 	"github.com/tidwall/gjson"
 
 	"gatetack/internal/http1"
-	"gatetack/internal/member"
+	"gatetack/internal/membership"
 )
 
 const (
@@ -51,7 +51,7 @@
 }
 
 // Members are all, as this one sees them; who is alive only the leader knows.
-func (s *Store) Members() (member.Cluster, error) {
+func (s *Store) Members() (membership.Cluster, error) {
 	f := s.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
 		return nil, err
@@ -59,9 +59,9 @@
 	_, leader := s.raft.LeaderWithID()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var all member.Cluster
+	var all membership.Cluster
 	for _, x := range f.Configuration().Servers {
-		all = append(all, member.Server{Name: string(x.ID), Address: string(x.Address), Voter: x.Suffrage == raft.Voter,
+		all = append(all, membership.Server{Name: string(x.ID), Address: string(x.Address), Voter: x.Suffrage == raft.Voter,
 			Alive: !s.dead[x.ID], Leader: x.ID == leader})
 	}
 	return all, nil
@@ -74,7 +74,7 @@
 		return http1.Text(503, "%v", err)
 	}
 	name := v.Get("name").String()
-	var x member.Change
+	var x membership.Change
 	switch verb := v.Get("verb").String(); verb {
 	case "join":
 		x, err = all.Join(name, v.Get("address").String(), v.Get("anew").Bool())
@@ -94,7 +94,7 @@
 	if err := s.make(x); err != nil {
 		return http1.Text(503, "%v", err)
 	}
-	if x.Verb != member.Nothing {
+	if x.Verb != membership.Nothing {
 		s.log.Info("store: the membership has changed", "verb", v.Get("verb").String(), "name", x.Name, "address", x.Address)
 	}
 	if all, err = s.Members(); err != nil {
@@ -103,7 +103,7 @@
 	return answerJSON(200, all)
 }
 
-func (s *Store) make(x member.Change) error {
+func (s *Store) make(x membership.Change) error {
 	id, addr, wait := raft.ServerID(x.Name), raft.ServerAddress(x.Address), s.lim.StoreCall
 	defer func() { // what failed before was another process: the new one's heartbeats say nothing until they fail
 		s.mu.Lock()
@@ -111,13 +111,13 @@
 		delete(s.dead, id)
 	}()
 	switch x.Verb {
-	case member.AddNonvoter:
+	case membership.AddNonvoter:
 		return s.raft.AddNonvoter(id, addr, 0, wait).Error()
-	case member.AddVoter:
+	case membership.AddVoter:
 		return s.raft.AddVoter(id, addr, 0, wait).Error()
-	case member.Remove:
+	case membership.Remove:
 		return s.raft.RemoveServer(id, 0, wait).Error()
-	case member.Replace:
+	case membership.Replace:
 		return errors.Join(s.raft.RemoveServer(id, 0, wait).Error(), s.raft.AddNonvoter(id, addr, 0, wait).Error())
 	}
 	return nil
--- a/internal/store/mux.go
+++ b/internal/store/mux.go
@@ -12,15 +12,15 @@
 	"github.com/hashicorp/raft"
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/internal/keys"
 	"gatetack/internal/limits"
+	"gatetack/internal/pki"
 )
 
 // mux lets raft's streams and the members' calls share one address: a stream of raft's begins with a byte that
 // no request begins with.
 type mux struct {
 	net.Listener
-	keys  *keys.Ring
+	keys  *pki.Ring
 	lim   limits.Limits
 	raft  chan net.Conn
 	calls *queue
@@ -31,7 +31,7 @@
 
 const raftMark = 0x01
 
-func newMux(ln net.Listener, ring *keys.Ring, lim limits.Limits) *mux {
+func newMux(ln net.Listener, ring *pki.Ring, lim limits.Limits) *mux {
 	done := make(chan struct{})
 	return &mux{Listener: ln, keys: ring, lim: lim, raft: make(chan net.Conn), done: done,
 		calls: &queue{addr: ln.Addr(), in: make(chan net.Conn), done: make(chan struct{})}}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -20,11 +20,11 @@
 
 	"gatetack/internal/failpoint"
 	"gatetack/internal/http1"
-	"gatetack/internal/keys"
 	"gatetack/internal/kv"
 	"gatetack/internal/limits"
-	"gatetack/internal/member"
-	"gatetack/internal/pace"
+	"gatetack/internal/membership"
+	"gatetack/internal/pki"
+	"gatetack/internal/slowpeer"
 )
 
 // Config is one member's.
@@ -33,7 +33,7 @@
 	Dir     string
 	Listen  string
 	Members map[string]string // addresses by name, our own among them, of a store that begins
-	Keys    *keys.Ring        // by which members know one another; nil: by nothing
+	Keys    *pki.Ring         // by which members know one another; nil: by nothing
 	Join    string            // a member of a store that is there, which this one is to join; empty: it begins with Members
 	Marks   string            // a folder in the machine's memory, where how far this member got is kept; empty: nowhere
 	Trust   bool              // the disk's word is taken where no mark is found
@@ -53,10 +53,10 @@
 	disk   *disk
 	guard  *guard
 
-	folder string        // its identity
-	empty  bool          // it held nothing when it was opened
-	held   member.Folder // what it held,
-	known  *member.Mark  // and what the machine remembers of it
+	folder string            // its identity
+	empty  bool              // it held nothing when it was opened
+	held   membership.Folder // what it held,
+	known  *membership.Mark  // and what the machine remembers of it
 
 	mu   sync.Mutex
 	dead map[raft.ServerID]bool // members whose heartbeats fail, as this one sees it while it leads
@@ -70,7 +70,7 @@
 var ErrNoLeader error = &NoLeaderError{}
 
 // Open starts a member. What it held before it reads from its folder.
-func Open(cfg Config, lim limits.Limits, slow *pace.Tally, log *slog.Logger) (*Store, error) {
+func Open(cfg Config, lim limits.Limits, slow *slowpeer.Tally, log *slog.Logger) (*Store, error) {
 	if cfg.Join == "" && cfg.Members[cfg.Name] != cfg.Listen {
 		return nil, &AddressError{cfg.Name, cfg.Listen, cfg.Members[cfg.Name]}
 	}
@@ -132,14 +132,14 @@
 		s.log.Warn("store: how far this member gets can not be kept in the machine's memory: at its next start others are asked", "dir", s.cfg.Marks, "err", err)
 	}
 	last, term := s.disk.end()
-	s.held = member.Folder{Name: s.cfg.Name, Identity: s.folder, Last: last, Term: term, Lost: lost, Boot: boot, Trust: s.cfg.Trust}
-	// An empty folder is silent towards the others until it is known that none is missing: see package member.
+	s.held = membership.Folder{Name: s.cfg.Name, Identity: s.folder, Last: last, Term: term, Lost: lost, Boot: boot, Trust: s.cfg.Trust}
+	// An empty folder is silent towards the others until it is known that none is missing: see package membership.
 	s.empty = !known
 	s.mux.open.Store(known)
 	s.guard = newGuard(raft.NewNetworkTransportWithLogger(s.mux, 2, s.lim.StoreCall, quiet), s.disk, s.lim.StoreBeat)
 	if s.empty { // nothing was acknowledged under its identity
-		s.guard.set(member.Recollection{Sure: true})
-		if err := s.disk.mark.arm(member.Point{}, 0); err != nil {
+		s.guard.set(membership.Recollection{Sure: true})
+		if err := s.disk.mark.arm(membership.Point{}, 0); err != nil {
 			return err
 		}
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -19,10 +19,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"gatetack/internal/failpoint"
-	"gatetack/internal/keys"
+	"gatetack/internal/jobstore"
 	"gatetack/internal/kv"
-	"gatetack/internal/records"
-	"gatetack/internal/standin"
+	"gatetack/internal/pki"
+	"gatetack/internal/testenv"
 )
 
 // member is one that a test can end and start anew.
@@ -35,12 +35,12 @@
 
 func (m *node) start(t *testing.T) {
 	t.Helper()
-	lim := standin.Lim
+	lim := testenv.Lim
 	lim.StoreCall = 20 * time.Second
 	// Filled before the first write: a member writes whenever others send, also while a test changes what its disk does.
 	m.disk.Store(&failpoint.Disk{})
 	m.cfg.meets = func() failpoint.Disk { return *m.disk.Load() }
-	s, err := Open(m.cfg, lim, nil, standin.Quiet)
+	s, err := Open(m.cfg, lim, nil, testenv.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 
 func cluster(t *testing.T, n int) []*node {
 	addrs, dir := map[string]string{}, t.TempDir()
-	ports, err := standin.Ports(n)
+	ports, err := testenv.Ports(n)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +157,7 @@
 
 // A log and a snapshot that version 0.2 wrote are read; noise in the log changes nothing.
 func TestOldForms(t *testing.T) {
-	f := newFSM(standin.Lim)
+	f := newFSM(testenv.Lim)
 	f.Apply(&raft.Log{Index: 3, Data: []byte(`{"kind":"job","key":"a","value":"dg=="}`)})
 	if r := f.Apply(&raft.Log{Index: 4, Data: []byte("noise")}).(*kv.Result); r.OK() {
 		t.Error("noise was taken in")
@@ -166,7 +166,7 @@
 		t.Errorf("%+v", e)
 	}
 	old := "{\"kind\":\"job\",\"key\":\"a\",\"value\":\"dg==\"}\n{\"kind\":\"config\",\"key\":\"b\",\"value\":\"dw==\"}\n"
-	g := newFSM(standin.Lim)
+	g := newFSM(testenv.Lim)
 	if err := g.Restore(io.NopCloser(strings.NewReader(old))); err != nil {
 		t.Fatal(err)
 	}
@@ -226,7 +226,7 @@
 	if r, err := all[1].s.Txn(t.Context(), &kv.Txn{Ops: []kv.Op{{Verb: kv.Put, Table: "mark", Key: "k", Value: []byte("v"), TTL: 300}}}); err != nil || !r.OK() {
 		t.Fatal(r, err)
 	}
-	standin.Until(t, "it ends everywhere", func() bool {
+	testenv.Until(t, "it ends everywhere", func() bool {
 		for _, m := range all {
 			if _, ok := m.s.Local("mark", "k"); ok {
 				return false
@@ -239,7 +239,7 @@
 // operate makes an operator's call at a member.
 func operate(t *testing.T, m *node, verb, path, body string) (int, gjson.Result) {
 	t.Helper()
-	r, err := Call(t.Context(), m.cfg.Listen, verb, "/v1/"+path, []byte(body), m.cfg.Keys, standin.Lim)
+	r, err := Call(t.Context(), m.cfg.Listen, verb, "/v1/"+path, []byte(body), m.cfg.Keys, testenv.Lim)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -252,7 +252,7 @@
 	for i := range 50 {
 		put(t, all[0], fmt.Sprint("k", i), "v")
 	}
-	ports, err := standin.Ports(2)
+	ports, err := testenv.Ports(2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -263,7 +263,7 @@
 		status, v := operate(t, all[0], "GET", "members", "")
 		return status == 200 && v.Get(`#(name=="`+name+`").voter`).Bool()
 	}
-	standin.Until(t, "it votes", func() bool { return vote("n9") })
+	testenv.Until(t, "it votes", func() bool { return vote("n9") })
 	want(t, late, "k49", "v")
 	put(t, late, "by the new one", "v")
 	twin := &node{cfg: Config{Name: "n9", Dir: t.TempDir(), Listen: ports[1], Join: all[1].cfg.Listen}}
@@ -290,7 +290,7 @@
 			alive = append(alive, m)
 		}
 	}
-	standin.Until(t, "the dead one is removed", func() bool {
+	testenv.Until(t, "the dead one is removed", func() bool {
 		status, _ := operate(t, alive[0], "POST", "members", `{"verb":"remove","name":"`+dead.cfg.Name+`"}`)
 		return status == 200
 	})
@@ -325,7 +325,7 @@
 	if status, v := operate(t, m, "GET", "status", ""); status != 200 || v.Get("state").String() != "leader" || v.Get("tables.job.0").Int() != 1 {
 		t.Errorf("%d %s", status, v.Raw)
 	}
-	backup, err := Call(t.Context(), m.cfg.Listen, "GET", "/v1/snapshot", nil, m.cfg.Keys, standin.Lim)
+	backup, err := Call(t.Context(), m.cfg.Listen, "GET", "/v1/snapshot", nil, m.cfg.Keys, testenv.Lim)
 	if err != nil || backup.Status != 200 {
 		t.Fatal(backup, err)
 	}
@@ -353,7 +353,7 @@
 	}
 	m.stop()
 	var report bytes.Buffer
-	if err := Verify(m.cfg.Dir, standin.Lim, &report); err != nil {
+	if err := Verify(m.cfg.Dir, testenv.Lim, &report); err != nil {
 		t.Errorf("%v\n%s", err, report.String())
 	}
 	snaps, _ := filepath.Glob(filepath.Join(m.cfg.Dir, "snapshots", "*", "state.bin"))
@@ -371,7 +371,7 @@
 		}
 	}
 	report.Reset()
-	if err := Verify(m.cfg.Dir, standin.Lim, &report); !errors.Is(err, ErrDamaged) || !strings.Contains(report.String(), "BAD   snapshot") {
+	if err := Verify(m.cfg.Dir, testenv.Lim, &report); !errors.Is(err, ErrDamaged) || !strings.Contains(report.String(), "BAD   snapshot") {
 		t.Errorf("%v\n%s", err, report.String())
 	}
 }
@@ -380,10 +380,10 @@
 // nothing; keys are renewed on all members while it is written.
 func TestKeys(t *testing.T) {
 	ca := filepath.Join(t.TempDir(), "ca")
-	if err := keys.Init(ca, "test", 24*time.Hour, time.Now()); err != nil {
+	if err := pki.Init(ca, "test", 24*time.Hour, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	ports, err := standin.Ports(3)
+	ports, err := testenv.Ports(3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -392,10 +392,10 @@
 	var all []*node
 	for name, addr := range addrs {
 		dirs[name] = filepath.Join(t.TempDir(), name)
-		if err := keys.Issue(ca, dirs[name], name, time.Hour, time.Now()); err != nil {
+		if err := pki.Issue(ca, dirs[name], name, time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		ring, err := keys.Open(dirs[name], func(error) {})
+		ring, err := pki.Open(dirs[name], func(error) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -405,34 +405,34 @@
 		all = append(all, m)
 	}
 	put(t, all[0], "k", "v")
-	if _, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, nil, standin.Lim); err == nil {
+	if _, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, nil, testenv.Lim); err == nil {
 		t.Error("an operator without a key was answered")
 	}
 	stranger := filepath.Join(t.TempDir(), "stranger")
-	if err := keys.Issue(ca, stranger, "stranger", time.Hour, time.Now()); err != nil {
+	if err := pki.Issue(ca, stranger, "stranger", time.Hour, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	ring, err := keys.Open(stranger, nil)
+	ring, err := pki.Open(stranger, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, ring, standin.Lim); err != nil || m.Status != 200 {
+	if m, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, ring, testenv.Lim); err != nil || m.Status != 200 {
 		t.Errorf("an operator with a key: %v %v", m, err)
 	}
-	shown, err := keys.Show(stranger)
+	shown, err := pki.Show(stranger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, dir := range dirs {
-		if err := keys.Revoke(dir, shown[1].Serial); err != nil {
+		if err := pki.Revoke(dir, shown[1].Serial); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, ring, standin.Lim); err == nil {
+	if _, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, ring, testenv.Lim); err == nil {
 		t.Error("a revoked operator was answered")
 	}
 	for name, dir := range dirs {
-		if err := keys.Issue(ca, dir, name, time.Hour, time.Now()); err != nil {
+		if err := pki.Issue(ca, dir, name, time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		put(t, all[1], "renewed "+name, "v")
@@ -489,23 +489,23 @@
 func TestPromisedIsKept(t *testing.T) {
 	all := cluster(t, 1)
 	s := all[0].s
-	most := standin.Lim.StoreValues
+	most := testenv.Lim.StoreValues
 	write := func(i int, keep bool) error {
-		return s.Write(t.Context(), records.Change{Kind: "job", Key: fmt.Sprintf("j%05d", i), Value: []byte("x"), Keep: keep})
+		return s.Write(t.Context(), jobstore.Change{Kind: "job", Key: fmt.Sprintf("j%05d", i), Value: []byte("x"), Keep: keep})
 	}
 	for i := range most {
 		if i%64 == 0 {
-			var changes []records.Change
+			var changes []jobstore.Change
 			for k := i; k < min(i+64, most); k++ {
-				changes = append(changes, records.Change{Kind: "job", Key: fmt.Sprintf("j%05d", k), Value: []byte("x"), Keep: true})
+				changes = append(changes, jobstore.Change{Kind: "job", Key: fmt.Sprintf("j%05d", k), Value: []byte("x"), Keep: true})
 			}
 			if err := s.Write(t.Context(), changes...); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if err := write(most, true); !errors.Is(err, records.ErrFull) {
-		t.Errorf("one more than may be kept: %v, want %v", err, records.ErrFull)
+	if err := write(most, true); !errors.Is(err, jobstore.ErrFull) {
+		t.Errorf("one more than may be kept: %v, want %v", err, jobstore.ErrFull)
 	}
 	if _, ok, err := s.Get(t.Context(), "job", "j00000"); !ok || err != nil {
 		t.Errorf("the first one: %v %v", ok, err)
@@ -531,34 +531,34 @@
 func TestRecover(t *testing.T) {
 	all := cluster(t, 3)
 	put(t, all[0], "k", "kept")
-	standin.Until(t, "all have it", func() bool { v, ok := all[2].s.Local("job", "k"); return ok && string(v) == "kept" })
+	testenv.Until(t, "all have it", func() bool { v, ok := all[2].s.Local("job", "k"); return ok && string(v) == "kept" })
 	last := all[2].cfg
 	alone := map[string]string{last.Name: last.Listen}
 	var said bytes.Buffer
-	if err := Recover(last.Dir, last.Name, alone, true, standin.Lim, &said); err == nil {
+	if err := Recover(last.Dir, last.Name, alone, true, testenv.Lim, &said); err == nil {
 		t.Error("a folder in use is taken")
 	}
 	for _, m := range all {
 		m.stop()
 	}
-	if err := Recover(t.TempDir(), last.Name, alone, true, standin.Lim, &said); err == nil {
+	if err := Recover(t.TempDir(), last.Name, alone, true, testenv.Lim, &said); err == nil {
 		t.Error("an empty folder is taken")
 	}
-	if err := Recover(last.Dir, last.Name, map[string]string{"n9": "127.0.0.1:1"}, true, standin.Lim, &said); err == nil {
+	if err := Recover(last.Dir, last.Name, map[string]string{"n9": "127.0.0.1:1"}, true, testenv.Lim, &said); err == nil {
 		t.Error("a store without the member whose folder it is")
 	}
 	said.Reset()
-	if err := Recover(last.Dir, last.Name, alone, true, standin.Lim, &said); err != nil || !strings.Contains(said.String(), "(n0, n1)") ||
+	if err := Recover(last.Dir, last.Name, alone, true, testenv.Lim, &said); err != nil || !strings.Contains(said.String(), "(n0, n1)") ||
 		!strings.Contains(said.String(), "nothing was changed") {
 		t.Errorf("%v: %s", err, &said)
 	}
 	all[2].start(t)
-	time.Sleep(3 * standin.Lim.StoreBeat)
+	time.Sleep(3 * testenv.Lim.StoreBeat)
 	if all[2].s.Leads() {
 		t.Error("a dry run has changed the members")
 	}
 	all[2].stop()
-	if err := Recover(last.Dir, last.Name, alone, false, standin.Lim, &said); err != nil {
+	if err := Recover(last.Dir, last.Name, alone, false, testenv.Lim, &said); err != nil {
 		t.Fatal(err)
 	}
 	all[2].start(t)
--- a/internal/sock/connect.go
+++ b/internal/tcpinfo/connect.go
@@ -1,4 +1,4 @@
-package sock
+package tcpinfo
 
 import (
 	"errors"
--- a/internal/sock/sock.go
+++ b/internal/tcpinfo/sock.go
@@ -1,7 +1,7 @@
-// Package sock asks the kernel about TCP connections: what was written and not yet read by the peer's machine, whether
+// Package tcpinfo asks the kernel about TCP connections: what was written and not yet read by the peer's machine, whether
 // an idle connection still stands, and how much the kernel may hold. A write that has returned says only that the bytes
 // are in this machine's buffers; a peer that reads one byte a second looks, to the writer, like any other.
-package sock
+package tcpinfo
 
 import (
 	"net"
--- a/internal/standin/load.go
+++ b/internal/testenv/load.go
@@ -1,4 +1,4 @@
-package standin
+package testenv
 
 import (
 	"context"
--- a/internal/standin/standin.go
+++ b/internal/testenv/standin.go
@@ -1,8 +1,8 @@
-// Package standin has small stand-ins for render boxes and for the list of them, for tests of this project
+// Package testenv has small stand-ins for render boxes and for the list of them, for tests of this project
 // alone. They keep to the protocol's page and record what comes. They are no test file since the tests of a dozen packages and two
 // measuring tools share them, and a test file can not be imported; the program that is shipped does not link them, and they do not
 // import testing.
-package standin
+package testenv
 
 import (
 	"context"
--- a/test/array_test.go
+++ b/test/array_test.go
@@ -7,7 +7,7 @@
 	"github.com/tidwall/gjson"
 
 	"gatetack/internal/failpoint"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // A node is killed once a member of an array has ended and was counted, the array's record with it, and before the record of the
@@ -55,7 +55,7 @@
 			s.kill()
 		}
 	}
-	s.boxes[0].Set(func(h *standin.Behaviour) { h.Run = 10 * time.Millisecond })
+	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Run = 10 * time.Millisecond })
 	if status, v := s.drmaa("POST", "/arrays/"+id+"/release", ""); status != 200 {
 		t.Fatalf("release: %d %s", status, v.Raw)
 	}
--- a/test/batch_test.go
+++ b/test/batch_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"gatetack/drmaa2"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 var kills = flag.Int("kills", 3, "how often the node is killed in TestKilledUnderLoad; the long run takes 20")
@@ -25,7 +25,7 @@
 func TestKilledUnderLoad(t *testing.T) {
 	s := newSite(t, 4, 25*time.Millisecond)
 	for _, b := range s.boxes {
-		b.Set(func(h *standin.Behaviour) { h.Free, h.Slots = 4, 4 })
+		b.Set(func(h *testenv.Behaviour) { h.Free, h.Slots = 4, 4 })
 	}
 	s.extra = "  dir: " + filepath.Join(s.dir, "batch") + "\n"
 	s.start()
@@ -46,7 +46,7 @@
 		arrays = append(arrays, a.JobArrayID)
 		var g errgroup.Group
 		lctx, stop := context.WithCancel(ctx)
-		load := standin.Load{Addr: s.listen, Clients: 3, Class: "tile-charge", Deadline: 5 * time.Second, Aim: time.Second, Prefix: fmt.Sprintf("10ad%04x", life)}
+		load := testenv.Load{Addr: s.listen, Clients: 3, Class: "tile-charge", Deadline: 5 * time.Second, Aim: time.Second, Prefix: fmt.Sprintf("10ad%04x", life)}
 		g.Go(func() error { load.Run(lctx); return nil })
 		for range 12 {
 			if info, _, err := c.RunJob(ctx, tileJob); err == nil {
@@ -108,7 +108,7 @@
 func TestArrayWhileBoxesDrain(t *testing.T) {
 	s := newSite(t, 4, 10*time.Millisecond)
 	for _, b := range s.boxes {
-		b.Set(func(h *standin.Behaviour) { h.Free = 16 })
+		b.Set(func(h *testenv.Behaviour) { h.Free = 16 })
 	}
 	s.start()
 	c := drmaa2.New(s.batch, "")
@@ -202,7 +202,7 @@
 	gatetack(0, "completion", "bash")
 
 	// The watch: a proxy cuts its connection now and then.
-	cut, err := standin.NewSlow(s.ctx, s.g, s.batch, standin.Script{}, standin.Script{Stall: 900, End: standin.Reset}, 1)
+	cut, err := testenv.NewSlow(s.ctx, s.g, s.batch, testenv.Script{}, testenv.Script{Stall: 900, End: testenv.Reset}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -251,14 +251,14 @@
 // A node that is alone starts from the operators' file, with no variable of the platform's.
 func TestStandalone(t *testing.T) {
 	dir := t.TempDir()
-	ports, err := standin.Ports(2)
+	ports, err := testenv.Ports(2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
 	defer func() { cancel(); _ = g.Wait() }()
-	b, err := standin.NewBox(ctx, &g, "render1", ports[0], 20*time.Millisecond)
+	b, err := testenv.NewBox(ctx, &g, "render1", ports[0], 20*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -295,8 +295,8 @@
 	defer func() { _ = cmd.Process.Kill(); _ = cmd.Wait() }()
 	c := drmaa2.New(ports[1], "")
 	defer c.Close()
-	standin.Until(t, "the node serves", func() bool { _, err := c.Manager(ctx); return err == nil })
-	standin.Until(t, "a job is done", func() bool {
+	testenv.Until(t, "the node serves", func() bool { _, err := c.Manager(ctx); return err == nil })
+	testenv.Until(t, "a job is done", func() bool {
 		info, _, err := c.RunJob(ctx, drmaa2.Template{JobCategory: "tile-charge", AccountingID: "pohjakaart"})
 		if err != nil {
 			return false
--- a/test/deployments_test.go
+++ b/test/deployments_test.go
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 
 	"gatetack/internal/http1"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // class is one class of a deployment of our own making.
@@ -117,18 +117,18 @@
 }
 
 // place gives a box its zone and rack: racks of two boxes.
-func (d *deployment) place(b *standin.Box, i int) {
+func (d *deployment) place(b *testenv.Box, i int) {
 	b.Zone, b.Type, b.Group = d.zones[i%len(d.zones)], "k1", i/2
-	b.Set(func(how *standin.Behaviour) {
+	b.Set(func(how *testenv.Behaviour) {
 		how.Free, how.Slots, how.Untold, how.Bare = boxSlots, boxSlots, !d.told, d.reports != "piggyback"
 	})
 }
 
 // mortal is a box that can be made to die as a process does: its connections break and new ones are refused.
-func mortal(t *testing.T, s *site, name string) (*standin.Box, context.CancelFunc) {
+func mortal(t *testing.T, s *site, name string) (*testenv.Box, context.CancelFunc) {
 	t.Helper()
 	ctx, kill := context.WithCancel(s.ctx)
-	b, err := standin.NewBox(ctx, s.g, name, s.listen, jobTime)
+	b, err := testenv.NewBox(ctx, s.g, name, s.listen, jobTime)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -200,7 +200,7 @@
 		s.boxes, kills = append(s.boxes, b), append(kills, kill)
 		s.list.Put(b, "ready")
 	}
-	next, err := standin.NewList(s.ctx, s.g)
+	next, err := testenv.NewList(s.ctx, s.g)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -225,7 +225,7 @@
 				if w := j.class.widths; len(w) > 0 {
 					j.slots = w[rng.Intn(len(w))]
 				}
-				m, err := standin.Call(s.listen, "POST", "/"+j.class.name+"/x", []byte("body"), header("X-Trace-Id", j.id),
+				m, err := testenv.Call(s.listen, "POST", "/"+j.class.name+"/x", []byte("body"), header("X-Trace-Id", j.id),
 					header("X-Customer", "pohjakaart"), header("X-Expires-In-Ms", strconv.Itoa(j.class.deadline)),
 					header("Idempotency-Key", "key-"+j.id), header("X-Props", "slots="+strconv.Itoa(j.slots)))
 				j.ended = time.Now()
@@ -252,7 +252,7 @@
 		s.until(what, func() bool { return answered.Load() >= from+n })
 	}
 	after(60, "a first load is answered")
-	s.boxes[1].Set(func(how *standin.Behaviour) { how.Still = time.Now().Add(400 * time.Millisecond) })
+	s.boxes[1].Set(func(how *testenv.Behaviour) { how.Still = time.Now().Add(400 * time.Millisecond) })
 	after(30, "jobs are answered beside a box that stands still")
 	kills[2]()
 	after(30, "jobs are answered beside a box that died")
@@ -276,7 +276,7 @@
 	cold.Born = time.Now()
 	d.place(cold, 6)
 	for _, b := range s.boxes[1:] {
-		b.Set(func(how *standin.Behaviour) { how.Full = true })
+		b.Set(func(how *testenv.Behaviour) { how.Full = true })
 	}
 	s.boxes = append(s.boxes, cold)
 	next.Put(cold, "ready")
@@ -285,7 +285,7 @@
 		time.Sleep(fall * time.Millisecond)
 	}
 	for _, b := range s.boxes[1:] {
-		b.Set(func(how *standin.Behaviour) { how.Full = false })
+		b.Set(func(how *testenv.Behaviour) { how.Full = false })
 	}
 	after(30, "jobs are answered once the others take work again")
 
@@ -337,7 +337,7 @@
 // repeats checks that a job started as often, and where, as its class allows.
 func (d *deployment) repeats(t *testing.T, s *site, j *handed) {
 	t.Helper()
-	var at []*standin.Box
+	var at []*testenv.Box
 	first, last := time.Time{}, time.Time{}
 	for _, b := range s.boxes {
 		for _, x := range b.Starts() {
@@ -370,7 +370,7 @@
 }
 
 // pushed checks the budget of a box that came cold: what was sent to it in any window against what it could do then.
-func pushed(t *testing.T, cold *standin.Box, width map[string]int, multiple float64) {
+func pushed(t *testing.T, cold *testenv.Box, width map[string]int, multiple float64) {
 	t.Helper()
 	all := cold.Starts()
 	for i := range all {
@@ -405,7 +405,7 @@
 			for i := range 4 {
 				b, _ := mortal(t, s, fmt.Sprintf("s-%08x", i+1))
 				d.place(b, i)
-				b.Set(func(how *standin.Behaviour) { how.Run, how.Free, how.Slots = 20*time.Millisecond, 16, 0 })
+				b.Set(func(how *testenv.Behaviour) { how.Run, how.Free, how.Slots = 20*time.Millisecond, 16, 0 })
 				s.boxes = append(s.boxes, b)
 				s.list.Put(b, "ready")
 			}
--- a/test/desks_test.go
+++ b/test/desks_test.go
@@ -19,7 +19,7 @@
 	"github.com/tidwall/gjson"
 
 	"gatetack/internal/actor"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 var (
@@ -43,7 +43,7 @@
 // deskCall makes one call at a process, as a device does that is in its zone.
 func (s *site) deskCall(id string, n uint64, v int) (int, gjson.Result, error) {
 	body, _ := json.Marshal(map[string]any{"number": n, "body": map[string]int{"v": v}})
-	m, err := standin.Call(s.batch, "POST", "/drmaa2/v1/desks/"+id+"/calls", body)
+	m, err := testenv.Call(s.batch, "POST", "/drmaa2/v1/desks/"+id+"/calls", body)
 	if err != nil {
 		return 0, gjson.Result{}, err
 	}
@@ -66,7 +66,7 @@
 	f := zoned(t, 3)
 	body, _ := json.Marshal(map[string]string{"id": "crew", "function": counter})
 	f[0].until("the desk is made", func() bool {
-		m, err := standin.Call(f[0].batch, "POST", "/drmaa2/v1/desks", body)
+		m, err := testenv.Call(f[0].batch, "POST", "/drmaa2/v1/desks", body)
 		return err == nil && (m.Status == 201 || m.Status == 409)
 	})
 	n, at := uint64(0), ""
@@ -125,7 +125,7 @@
 	for d := range devices {
 		id := fmt.Sprint("crew-", d)
 		f[0].until("a desk is made", func() bool {
-			m, err := standin.Call(f[d%5].batch, "POST", "/drmaa2/v1/desks", body(id))
+			m, err := testenv.Call(f[d%5].batch, "POST", "/drmaa2/v1/desks", body(id))
 			return err == nil && (m.Status == 201 || m.Status == 409)
 		})
 	}
@@ -251,7 +251,7 @@
 		}
 		want, state := gjson.ParseBytes(oracle.State), gjson.Result{}
 		f[0].until(id+" has ended all its jobs", func() bool {
-			m, err := standin.Call(f[0].batch, "GET", "/drmaa2/v1/desks/"+id, nil)
+			m, err := testenv.Call(f[0].batch, "GET", "/drmaa2/v1/desks/"+id, nil)
 			if err != nil || m.Status != 200 {
 				return false
 			}
--- a/test/errors_test.go
+++ b/test/errors_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"gatetack/internal/fault"
+	"gatetack/internal/operr"
 
 	// All that have errors which reach an operator or a client.
 	_ "gatetack/internal/actor"
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kinds := fault.Kinds()
+	kinds := operr.Kinds()
 	if len(kinds) < 15 {
 		t.Fatalf("%d kinds", len(kinds))
 	}
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/tidwall/gjson"
 
 	"gatetack/internal/failpoint"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // fleet is processes of the program that are members of one store. Each has boxes of its own addresses, by the same names:
@@ -104,7 +104,7 @@
 	f := newFleet(t, 3, 50*time.Millisecond)
 	old := f[0]
 	for _, b := range old.boxes {
-		b.Set(func(h *standin.Behaviour) { h.Run = time.Hour }) // what it sends stays out
+		b.Set(func(h *testenv.Behaviour) { h.Run = time.Hour }) // what it sends stays out
 	}
 	template := `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q%s}`
 	sent := old.take(t, fmt.Sprintf(template, "sent", ""))
@@ -325,7 +325,7 @@
 			old, heir := f[0], f[1]
 			id := old.take(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"the job","submitAsHold":true}`)
 			go func() { // its answer may never come
-				_, _ = standin.Call(old.batch, "POST", "/drmaa2/v1/jobs/"+id+"/release", nil)
+				_, _ = testenv.Call(old.batch, "POST", "/drmaa2/v1/jobs/"+id+"/release", nil)
 			}()
 			old.until("the owner stands at the point", old.stopped)
 			state := func(s *site) string {
@@ -367,7 +367,7 @@
 	f.startAll()
 	old, heir := f[0], f[1]
 	id := old.take(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"the job","submitAsHold":true}`)
-	go func() { _, _ = standin.Call(old.batch, "POST", "/drmaa2/v1/jobs/"+id+"/release", nil) }()
+	go func() { _, _ = testenv.Call(old.batch, "POST", "/drmaa2/v1/jobs/"+id+"/release", nil) }()
 	old.until("the owner stands at the point", old.stopped)
 	heir.until("it is done at another", func() bool {
 		_, _ = heir.drmaa("POST", "/jobs/"+id+"/release", "")
--- a/test/fronts_test.go
+++ b/test/fronts_test.go
@@ -11,14 +11,14 @@
 	"github.com/tidwall/gjson"
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // Jobs go through both fronts at a time; the counts are the same at both, and no box gets a job twice.
 func TestBothFronts(t *testing.T) {
 	s := newSite(t, 3, 30*time.Millisecond)
 	for _, b := range s.boxes { // callbacks may repeat, and may come before the 202
-		b.Set(func(h *standin.Behaviour) { h.Early, h.Repeat = b == s.boxes[0], 3 })
+		b.Set(func(h *testenv.Behaviour) { h.Early, h.Repeat = b == s.boxes[0], 3 })
 	}
 	s.start()
 	// The module refuses what comes beyond its tokens, so both ends are seen; what a client is told is what counts.
@@ -50,7 +50,7 @@
 		})
 		id := s.submit(tile)
 		g.Go(func() error {
-			m, err := standin.Call(s.batch, "GET", "/drmaa2/v1/jobs/"+id+"/wait", nil)
+			m, err := testenv.Call(s.batch, "GET", "/drmaa2/v1/jobs/"+id+"/wait", nil)
 			if err != nil {
 				return err
 			}
@@ -65,7 +65,7 @@
 		t.Error(err)
 	}
 	_, batch := s.drmaa("GET", "/counts", "")
-	platform, err := standin.Call(s.listen, "GET", "/counts", nil)
+	platform, err := testenv.Call(s.listen, "GET", "/counts", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,7 +195,7 @@
 	old := s.submit(tile)
 	s.until("the job runs", func() bool { return len(s.boxes[0].Starts()) == 1 })
 	s.kill()
-	if _, err := standin.Call(s.batch, "GET", "/drmaa2/v1/jobs/"+old, nil); err == nil {
+	if _, err := testenv.Call(s.batch, "GET", "/drmaa2/v1/jobs/"+old, nil); err == nil {
 		t.Fatal("a killed node answers")
 	}
 	s.start()
@@ -278,7 +278,7 @@
 func TestLeave(t *testing.T) {
 	s := newSite(t, 1, 600*time.Millisecond)
 	s.start()
-	old, err := standin.Dial(s.listen) // a connection that stands idle while the program leaves
+	old, err := testenv.Dial(s.listen) // a connection that stands idle while the program leaves
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -286,7 +286,7 @@
 	if m, err := old.Do("GET", "/healthz", nil); err != nil || m.Status != 200 {
 		t.Fatalf("%v %v", m, err)
 	}
-	used, err := standin.Dial(s.listen) // one whose client goes on using it: it may have no other node to go to
+	used, err := testenv.Dial(s.listen) // one whose client goes on using it: it may have no other node to go to
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -19,7 +19,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"gatetack/internal/http1"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 var program string
@@ -48,8 +48,8 @@
 	ctx     context.Context
 	g       *errgroup.Group
 	dir     string
-	list    *standin.List
-	boxes   []*standin.Box
+	list    *testenv.List
+	boxes   []*testenv.Box
 	listen  string
 	batch   string
 	store   string
@@ -67,21 +67,21 @@
 }
 
 // settings of the site, as the simulator's first message has them.
-const settings = standin.Settings
+const settings = testenv.Settings
 
 func newSite(t *testing.T, boxes int, run time.Duration) *site {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
-	ports, err := standin.Ports(3)
+	ports, err := testenv.Ports(3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &site{t: t, ctx: ctx, g: g, name: "n0", dir: t.TempDir(), listen: ports[0], batch: ports[1], store: ports[2]}
-	if s.list, err = standin.NewList(ctx, g); err != nil {
+	if s.list, err = testenv.NewList(ctx, g); err != nil {
 		t.Fatal(err)
 	}
 	for i := range boxes {
-		b, err := standin.NewBox(ctx, g, fmt.Sprintf("s-%08x", i+1), s.listen, run)
+		b, err := testenv.NewBox(ctx, g, fmt.Sprintf("s-%08x", i+1), s.listen, run)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -128,7 +128,7 @@
 	s.t.Helper()
 	s.startAnew()
 	s.until("the node serves", func() bool {
-		m, err := standin.Call(s.listen, "GET", "/healthz", nil)
+		m, err := testenv.Call(s.listen, "GET", "/healthz", nil)
 		return err == nil && m.Status == 200
 	})
 }
@@ -181,14 +181,14 @@
 
 func (s *site) until(what string, ok func() bool) {
 	s.t.Helper()
-	standin.Until(s.t, what, ok)
+	testenv.Until(s.t, what, ok)
 }
 
 // post hands a job in through the platform's front and waits for its answer.
 func (s *site) post(class, id string, fields ...http1.Field) (*http1.Message, error) {
 	fields = append(fields, header("X-Trace-Id", id), header("X-Customer", "pohjakaart"),
 		header("X-Expires-In-Ms", "7500"), header("Idempotency-Key", "key-"+id))
-	return standin.Call(s.listen, "POST", "/"+class+"/cut?z=3", []byte("body of "+id), fields...)
+	return testenv.Call(s.listen, "POST", "/"+class+"/cut?z=3", []byte("body of "+id), fields...)
 }
 
 func header(name, value string) http1.Field { return http1.Field{Name: name, Value: value} }
@@ -200,7 +200,7 @@
 	if body != "" {
 		b = []byte(body)
 	}
-	m, err := standin.Call(s.batch, method, "/drmaa2/v1"+path, b)
+	m, err := testenv.Call(s.batch, method, "/drmaa2/v1"+path, b)
 	if err != nil {
 		s.t.Fatalf("%s %s: %v", method, path, err)
 	}
@@ -217,8 +217,8 @@
 }
 
 // starts are the requests that all boxes got, by id.
-func (s *site) starts() map[string][]standin.Start {
-	out := map[string][]standin.Start{}
+func (s *site) starts() map[string][]testenv.Start {
+	out := map[string][]testenv.Start{}
 	for _, b := range s.boxes {
 		for _, x := range b.Starts() {
 			out[x.ID] = append(out[x.ID], x)
@@ -245,7 +245,7 @@
 
 // count is one of the program's counts, -1 where it does not tell them.
 func (s *site) count(name string) int {
-	m, err := standin.Call(s.listen, "GET", "/counts", nil)
+	m, err := testenv.Call(s.listen, "GET", "/counts", nil)
 	if err != nil || m.Status != 200 {
 		return -1
 	}
--- a/test/links_test.go
+++ b/test/links_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 var (
@@ -28,17 +28,17 @@
 // linked is a fleet with a proxy on each link: between each two processes, by both their addresses, and to boxes and lists.
 type linked struct {
 	fleet
-	between map[[2]int][]*standin.Link // from, to
-	own     [][]*standin.Link          // to the boxes and the list of each
+	between map[[2]int][]*testenv.Link // from, to
+	own     [][]*testenv.Link          // to the boxes and the list of each
 	steps   []string
 	rng     *rand.Rand
 }
 
 func newLinked(t *testing.T, n int, seed uint64, run time.Duration) *linked {
 	t.Helper()
-	l := &linked{between: map[[2]int][]*standin.Link{}, own: make([][]*standin.Link, n), rng: rand.New(rand.NewPCG(seed, 0))}
-	link := func(s *site, target string) *standin.Link {
-		x, err := standin.NewLink(s.ctx, s.g, target)
+	l := &linked{between: map[[2]int][]*testenv.Link{}, own: make([][]*testenv.Link, n), rng: rand.New(rand.NewPCG(seed, 0))}
+	link := func(s *site, target string) *testenv.Link {
+		x, err := testenv.NewLink(s.ctx, s.g, target)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,7 +60,7 @@
 		for rack, b := range s.boxes {
 			x := link(s, b.Addr)
 			l.own[i] = append(l.own[i], x)
-			s.list.Put(&standin.Box{Name: b.Name, Addr: x.Addr, Zone: "tallinn", Type: "type-a", Group: rack + 1}, "ready")
+			s.list.Put(&testenv.Box{Name: b.Name, Addr: x.Addr, Zone: "tallinn", Type: "type-a", Group: rack + 1}, "ready")
 		}
 		x := link(s, s.list.Addr)
 		s.list.Addr = x.Addr
@@ -78,14 +78,14 @@
 // cut sets what passes from one process to another, whoever of them connected.
 func (l *linked) cut(from, to int, on bool) {
 	for _, x := range l.between[[2]int{from, to}] {
-		x.Set(standin.Fault{Up: on})
+		x.Set(testenv.Fault{Up: on})
 	}
 	for _, x := range l.between[[2]int{to, from}] {
-		x.Set(standin.Fault{Down: on})
+		x.Set(testenv.Fault{Down: on})
 	}
 }
 
-func (l *linked) each(i int, do func(*standin.Link)) {
+func (l *linked) each(i int, do func(*testenv.Link)) {
 	for k := range l.fleet {
 		for _, x := range append(l.between[[2]int{i, k}], l.between[[2]int{k, i}]...) {
 			do(x)
@@ -104,9 +104,9 @@
 		l.steps = append(l.steps, fmt.Sprintf("%3d %s", len(l.steps)+1, fmt.Sprintf(format, args...)))
 	}
 	heal := func() { l.cut(i, k, false); l.cut(k, i, false) }
-	alone := func(f standin.Fault) func() {
-		l.each(i, func(x *standin.Link) { x.Set(f) })
-		return func() { l.each(i, func(x *standin.Link) { x.Set(standin.Fault{}) }) }
+	alone := func(f testenv.Fault) func() {
+		l.each(i, func(x *testenv.Link) { x.Set(f) })
+		return func() { l.each(i, func(x *testenv.Link) { x.Set(testenv.Fault{}) }) }
 	}
 	s := l.fleet[i]
 	switch kind := l.rng.IntN(14); {
@@ -121,34 +121,34 @@
 		return heal
 	case kind == 2:
 		say("n%d is cut off from all others", i)
-		return alone(standin.Fault{Up: true, Down: true})
+		return alone(testenv.Fault{Up: true, Down: true})
 	case kind == 3:
 		say("n%d hears and is not heard", i)
 		for k := range n {
 			l.cut(i, k, true)
 		}
-		return alone(standin.Fault{Up: false})
+		return alone(testenv.Fault{Up: false})
 	case kind == 4:
 		say("delay at n%d", i)
-		return alone(standin.Fault{Delay: time.Duration(20+l.rng.IntN(200)) * time.Millisecond})
+		return alone(testenv.Fault{Delay: time.Duration(20+l.rng.IntN(200)) * time.Millisecond})
 	case kind == 5:
 		say("resets at n%d", i)
-		l.each(i, (*standin.Link).Reset)
+		l.each(i, (*testenv.Link).Reset)
 	case kind == 6:
 		after := 500 + l.rng.IntN(4000)
 		say("connections of n%d end after %d bytes", i, after)
-		return alone(standin.Fault{After: after})
+		return alone(testenv.Fault{After: after})
 	case kind == 7:
 		x := l.own[i][l.rng.IntN(len(l.own[i]))]
-		f := standin.Fault{Up: l.rng.IntN(2) == 0, Down: l.rng.IntN(2) == 0, After: 100}
+		f := testenv.Fault{Up: l.rng.IntN(2) == 0, Down: l.rng.IntN(2) == 0, After: 100}
 		say("a box or the list of n%d: %+v", i, f)
 		x.Set(f)
 		x.Reset()
-		return func() { x.Set(standin.Fault{}) }
+		return func() { x.Set(testenv.Fault{}) }
 	case down[i] || len(down) > n/2-1:
 		say("resets at n%d and n%d", i, k)
-		l.each(i, (*standin.Link).Reset)
-		l.each(k, (*standin.Link).Reset)
+		l.each(i, (*testenv.Link).Reset)
+		l.each(k, (*testenv.Link).Reset)
 	case kind <= 9:
 		say("n%d stands still", i)
 		s.signal(syscall.SIGSTOP)
@@ -192,7 +192,7 @@
 
 // call makes a call that may fail, at a node that may not be there.
 func (s *site) call(verb, path, body string) (int, gjson.Result) {
-	m, err := standin.CallFor(s.batch, 6*time.Second, verb, "/drmaa2/v1"+path, []byte(body))
+	m, err := testenv.CallFor(s.batch, 6*time.Second, verb, "/drmaa2/v1"+path, []byte(body))
 	if err != nil {
 		return 0, gjson.Result{}
 	}
@@ -389,14 +389,14 @@
 func TestTimeWithoutOwner(t *testing.T) {
 	l := newLinked(t, 3, 1, 20*time.Millisecond)
 	old, other := l.fleet[0], l.fleet[1]
-	alone := func(f standin.Fault) { l.each(0, func(x *standin.Link) { x.Set(f) }) }
+	alone := func(f testenv.Fault) { l.each(0, func(x *testenv.Link) { x.Set(f) }) }
 	for _, x := range []struct {
 		what        string
 		cause, lift func()
 	}{
 		{"killed", old.kill, func() { old.startAnew() }},
 		{"stopped", func() { old.signal(syscall.SIGSTOP) }, func() { old.signal(syscall.SIGCONT) }},
-		{"cut off", func() { alone(standin.Fault{Up: true, Down: true}) }, func() { alone(standin.Fault{}) }},
+		{"cut off", func() { alone(testenv.Fault{Up: true, Down: true}) }, func() { alone(testenv.Fault{}) }},
 	} {
 		var took []time.Duration
 		for n := range *rounds {
@@ -411,7 +411,7 @@
 			at := strings.LastIndexByte(part, '.')
 			key := fmt.Sprintf("%s.%012s", part[:at], part[at+1:])
 			owner := func() string {
-				m, err := standin.CallFor(other.store, time.Second, "GET", "/v1/kv/duty/"+key+"?stale=1", nil)
+				m, err := testenv.CallFor(other.store, time.Second, "GET", "/v1/kv/duty/"+key+"?stale=1", nil)
 				if err != nil || m.Status != 200 {
 					return ""
 				}
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // SIGHUP under load: the node goes on with the discovery that the replaced file names, although EDGE_DISCOVERY still
@@ -18,7 +18,7 @@
 // be used, and leaves on SIGTERM as ever.
 func TestReload(t *testing.T) {
 	s := newSite(t, 2, 20*time.Millisecond)
-	next, err := standin.NewList(s.ctx, s.g)
+	next, err := testenv.NewList(s.ctx, s.g)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // settingsFleet is members of a store that act on its settings, and processes beside them that follow.
@@ -287,12 +287,12 @@
 // A follower whose links to its members are cut, first all but one and then all, is told by name as behind while it is; the others
 // are not held up; and it has the latest once one link is back.
 func TestSettingsFollowerCut(t *testing.T) {
-	var links []*standin.Link
+	var links []*testenv.Link
 	f := newSettingsFleet(t, 3, 2, func(f *settingsFleet) {
 		s := f.fleet[3]
 		var routes []string
 		for _, m := range f.fleet[:3] {
-			link, err := standin.NewLink(s.ctx, s.g, m.store)
+			link, err := testenv.NewLink(s.ctx, s.g, m.store)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -301,13 +301,13 @@
 		}
 		s.env = append(s.env, "GATETACK_LINKS="+strings.Join(routes, ","))
 	})
-	cut := standin.Fault{Up: true, Down: true}
+	cut := testenv.Fault{Up: true, Down: true}
 	set := func(aim int) uint64 {
 		return f.fleet[0].accept("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, aim))
 	}
 	for i := range links { // each in turn is the one that is left
 		for k, link := range links {
-			if link.Set(standin.Fault{}); k != i {
+			if link.Set(testenv.Fault{}); k != i {
 				link.Set(cut)
 			}
 		}
@@ -322,7 +322,7 @@
 		out, err := f.fleet[2].settings("status")
 		return err == nil && strings.Contains(out, "not yet in force at f0") && strings.Count(out, "not yet in force") == 1
 	})
-	links[1].Set(standin.Fault{})
+	links[1].Set(testenv.Fault{})
 	f.fleet[2].inForce(version, f.names()...)
 }
 
@@ -442,7 +442,7 @@
 	}
 	follower.signal(syscall.SIGCONT)
 	member.inForce(last, f.names()...)
-	m, err := standin.Call(follower.listen, "POST", "/tile-charge/cut", []byte("x"), header("X-Trace-Id", "00000000000000f1"), header("X-Customer", "t1019"),
+	m, err := testenv.Call(follower.listen, "POST", "/tile-charge/cut", []byte("x"), header("X-Trace-Id", "00000000000000f1"), header("X-Customer", "t1019"),
 		header("X-Expires-In-Ms", "7500"), header("Idempotency-Key", "k1"))
 	if err != nil || m.Status != 200 {
 		t.Errorf("a job of the last tenant: %v, %+v", err, m)
@@ -452,12 +452,12 @@
 // A member is cut off from the other members and not from the process that follows it: that goes on to another member, and has what is
 // accepted there. Once the link is back the member itself has it.
 func TestSettingsMemberCutOff(t *testing.T) {
-	cut := standin.Fault{Up: true, Down: true}
-	var around []*standin.Link // between n2 and the other members
-	var away *standin.Link     // from the follower to n0
+	cut := testenv.Fault{Up: true, Down: true}
+	var around []*testenv.Link // between n2 and the other members
+	var away *testenv.Link     // from the follower to n0
 	f := newSettingsFleet(t, 3, 1, func(f *settingsFleet) {
-		link := func(from, to *site) *standin.Link {
-			x, err := standin.NewLink(from.ctx, from.g, to.store)
+		link := func(from, to *site) *testenv.Link {
+			x, err := testenv.NewLink(from.ctx, from.g, to.store)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -478,7 +478,7 @@
 	}
 	away.Set(cut)
 	n1.inForce(set(100), f.names()...) // now it follows n2
-	away.Set(standin.Fault{})
+	away.Set(testenv.Fault{})
 	for _, link := range around {
 		link.Set(cut)
 	}
@@ -488,7 +488,7 @@
 		t.Errorf("status: %v %s", err, out)
 	}
 	for _, link := range around {
-		link.Set(standin.Fault{})
+		link.Set(testenv.Fault{})
 	}
 	n1.inForce(version, f.names()...)
 	n2.until("n2 tells the same", func() bool {
--- a/test/slow_test.go
+++ b/test/slow_test.go
@@ -11,20 +11,20 @@
 	"github.com/tidwall/gjson"
 	"golang.org/x/sync/errgroup"
 
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // load plays jobs, a fixed number for each client, and gives what came of them.
-func (s *site) load(class, prefix string, clients, jobs int) *standin.Done {
+func (s *site) load(class, prefix string, clients, jobs int) *testenv.Done {
 	s.t.Helper()
-	l := standin.Load{Addr: s.listen, Clients: clients, Class: class, Deadline: 7500 * time.Millisecond, Aim: 7 * time.Second,
+	l := testenv.Load{Addr: s.listen, Clients: clients, Class: class, Deadline: 7500 * time.Millisecond, Aim: 7 * time.Second,
 		Jobs: jobs, Prefix: prefix}
 	return l.Run(s.ctx)
 }
 
 func (s *site) counts() gjson.Result {
 	s.t.Helper()
-	m, err := standin.Call(s.listen, "GET", "/counts", nil)
+	m, err := testenv.Call(s.listen, "GET", "/counts", nil)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -51,9 +51,9 @@
 }
 
 // slowBox puts a proxy in front of a box, told to the node as its address.
-func (s *site) slowBox(i int, up, down standin.Script) *standin.Slow {
+func (s *site) slowBox(i int, up, down testenv.Script) *testenv.Slow {
 	s.t.Helper()
-	p, err := standin.NewSlow(s.ctx, s.g, s.boxes[i].Addr, up, down, 1)
+	p, err := testenv.NewSlow(s.ctx, s.g, s.boxes[i].Addr, up, down, 1)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -63,21 +63,21 @@
 }
 
 // slowPeers plays n slow clients of mixed kinds until stop is called, which gives how each one's time ended.
-func (s *site) slowPeers(n int) (stop func() []standin.Ended) {
+func (s *site) slowPeers(n int) (stop func() []testenv.Ended) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	var g errgroup.Group
 	var mu sync.Mutex
-	var all []standin.Ended
+	var all []testenv.Ended
 	for i := range n {
 		g.Go(func() error {
-			e := standin.SlowPeer(ctx, s.listen, standin.Kinds[i%len(standin.Kinds)], i, 7500*time.Millisecond)
+			e := testenv.SlowPeer(ctx, s.listen, testenv.Kinds[i%len(testenv.Kinds)], i, 7500*time.Millisecond)
 			mu.Lock()
 			defer mu.Unlock()
 			all = append(all, e)
 			return nil
 		})
 	}
-	return func() []standin.Ended { cancel(); _ = g.Wait(); return all }
+	return func() []testenv.Ended { cancel(); _ = g.Wait(); return all }
 }
 
 // Twenty slow peers of mixed kinds cost the others nothing: as many of their jobs are served as without them, within
@@ -87,10 +87,10 @@
 	for _, beside := range []bool{false, true} {
 		s := newSite(t, 4, 30*time.Millisecond)
 		for _, b := range s.boxes {
-			b.Set(func(h *standin.Behaviour) { h.Result, h.Free = 60000, 16 })
+			b.Set(func(h *testenv.Behaviour) { h.Result, h.Free = 60000, 16 })
 		}
 		s.start()
-		stop := func() []standin.Ended { return nil }
+		stop := func() []testenv.Ended { return nil }
 		if beside {
 			stop = s.slowPeers(20)
 			s.until("the slow peers are there", func() bool { return s.counts().Get("taken").Int() >= 8 })
@@ -119,8 +119,8 @@
 // tried elsewhere in its rack, and it stops drawing work. Well again, it gets work back.
 func TestTricklingBox(t *testing.T) {
 	s := newSite(t, 5, 30*time.Millisecond)
-	drip := s.slowBox(0, standin.Script{}, standin.Script{Rate: 1})
-	s.boxes[0].Set(func(h *standin.Behaviour) { h.Mute = true })
+	drip := s.slowBox(0, testenv.Script{}, testenv.Script{Rate: 1})
+	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Mute = true })
 	s.start()
 	d := s.load("area-render", "10adc1e0", 4, 25)
 	if d.Served < 98 || d.Broken+d.Failed > 0 {
@@ -136,8 +136,8 @@
 	if n := s.counts(); n.Get("slow.box_late").Int() == 0 {
 		t.Errorf("no late sign was counted: %s", n.Raw)
 	}
-	drip.Set(standin.Script{}, standin.Script{})
-	s.boxes[0].Set(func(h *standin.Behaviour) { h.Mute = false })
+	drip.Set(testenv.Script{}, testenv.Script{})
+	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Mute = false })
 	round := 0
 	s.until("the box has work again", func() bool {
 		round++
@@ -150,8 +150,8 @@
 // A box that accepts connections and never speaks: a tile-charge that went there is not sent again, and has one answer.
 func TestMuteBoxAndTileCharges(t *testing.T) {
 	s := newSite(t, 3, 20*time.Millisecond)
-	s.slowBox(0, standin.Script{}, standin.Script{Delay: time.Hour})
-	s.boxes[0].Set(func(h *standin.Behaviour) { h.Mute = true })
+	s.slowBox(0, testenv.Script{}, testenv.Script{Delay: time.Hour})
+	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Mute = true })
 	s.start()
 	d := s.load("tile-charge", "10adc1e0", 4, 30)
 	if d.All() != 120 || d.Broken != 0 || d.Failed > len(s.boxes[0].Starts()) || d.Served < 100 {
@@ -164,7 +164,7 @@
 func TestAllBoxesSlow(t *testing.T) {
 	s := newSite(t, 3, 20*time.Millisecond)
 	for i := range s.boxes {
-		s.slowBox(i, standin.Script{}, standin.Script{Delay: 700 * time.Millisecond, Rate: 2000, Chunk: 8})
+		s.slowBox(i, testenv.Script{}, testenv.Script{Delay: 700 * time.Millisecond, Rate: 2000, Chunk: 8})
 	}
 	s.start()
 	if d := s.load("tile-charge", "10adc1e0", 6, 8); d.Served < 46 || d.Broken+d.Failed > 0 {
@@ -176,7 +176,7 @@
 // A drain told while attempts drip at the box holds for it all the same.
 func TestDrainWhileDripping(t *testing.T) {
 	s := newSite(t, 2, 20*time.Millisecond)
-	s.slowBox(0, standin.Script{}, standin.Script{Rate: 1})
+	s.slowBox(0, testenv.Script{}, testenv.Script{Rate: 1})
 	s.start()
 	var g errgroup.Group
 	g.Go(func() error { s.load("area-render", "10adc1e0", 4, 60); return nil })
@@ -201,7 +201,7 @@
 	stop := s.slowPeers(300)
 	defer stop()
 	s.until("the node is crowded", func() bool { // it may well turn a stranger away that asks for its counts
-		m, err := standin.Call(s.listen, "GET", "/counts", nil)
+		m, err := testenv.Call(s.listen, "GET", "/counts", nil)
 		return err == nil && gjson.GetBytes(m.Body, "taken").Int() > 0
 	})
 	if err := s.process.Process.Signal(syscall.SIGHUP); err != nil {
--- a/test/startup_test.go
+++ b/test/startup_test.go
@@ -8,23 +8,23 @@
 	"time"
 
 	"gatetack/internal/http1"
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // restartWithOldList starts a process whose former life knew one executor, which is gone since. Discovery leaves each call to
 // answer. The job is handed in before anything was answered.
-func restartWithOldList(t *testing.T, answer http.HandlerFunc) (s *site, old, current *standin.Box, done chan *http1.Message) {
+func restartWithOldList(t *testing.T, answer http.HandlerFunc) (s *site, old, current *testenv.Box, done chan *http1.Message) {
 	t.Helper()
 	s = newSite(t, 2, 10*time.Millisecond)
 	old, current = s.boxes[0], s.boxes[1]
 	discovery := httptest.NewServer(answer)
 	t.Cleanup(discovery.CloseClientConnections)
 	s.list.Addr = strings.TrimPrefix(discovery.URL, "http://")
-	s.known = `{"index":3,"snapshot":true,"endpoints":[` + standin.Row(old, "ready") + `]}`
+	s.known = `{"index":3,"snapshot":true,"endpoints":[` + testenv.Row(old, "ready") + `]}`
 	s.startAnew()
 	done = make(chan *http1.Message, 1)
 	s.until("the process listens", func() bool {
-		_, err := standin.Call(s.listen, "GET", "/healthz", nil)
+		_, err := testenv.Call(s.listen, "GET", "/healthz", nil)
 		return err == nil
 	})
 	s.g.Go(func() error {
@@ -54,13 +54,13 @@
 	})
 	<-asked
 	s.until("the job is taken", func() bool { return s.count("taken") == 1 })
-	if m, err := standin.Call(s.listen, "GET", "/healthz", nil); err != nil || m.Status == 200 {
+	if m, err := testenv.Call(s.listen, "GET", "/healthz", nil); err != nil || m.Status == 200 {
 		t.Errorf("ready before discovery has answered: %v, %v", m, err)
 	}
 	if n := s.count("sends"); n != 0 {
 		t.Errorf("%d sends before discovery has answered", n)
 	}
-	release <- `{"index":9,"snapshot":true,"endpoints":[` + standin.Row(current, "ready") + "]}\n"
+	release <- `{"index":9,"snapshot":true,"endpoints":[` + testenv.Row(current, "ready") + "]}\n"
 	if m := <-done; m == nil || m.Status != 200 {
 		t.Errorf("%+v", m)
 	}
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"gatetack/internal/standin"
+	"gatetack/internal/testenv"
 )
 
 // With a store, a restart loses no answer: what ended is told as it ended, what was sent is undetermined, only
@@ -24,7 +24,7 @@
 	if _, v := s.drmaa("GET", "/jobs/"+done+"/wait", ""); v.Get("jobState").String() != "DONE" {
 		t.Fatalf("the first job: %s", v.Raw)
 	}
-	s.boxes[0].Set(func(h *standin.Behaviour) { h.Run = time.Minute })
+	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Run = time.Minute })
 	ids := map[string]string{} // by payload
 	for i := range 12 {
 		payload := fmt.Sprintf("job %d", i)
@@ -113,7 +113,7 @@
 	if s.list.Watches() != 0 {
 		t.Error("discovery was asked although an inventory is named")
 	}
-	if m, err := standin.Call(s.listen, "GET", "/healthz", nil); err != nil || m.Status != 200 {
+	if m, err := testenv.Call(s.listen, "GET", "/healthz", nil); err != nil || m.Status != 200 {
 		t.Errorf("%v %v", m, err)
 	}
 }
