--- /dev/null
+++ b/cmd/gatetack/callbacks_test.go
@@ -0,0 +1,47 @@
+package main
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"gatetack/internal/callbackrelay"
+	"gatetack/internal/executor"
+	"gatetack/internal/node"
+	"gatetack/internal/platform"
+	"gatetack/internal/testenv"
+)
+
+// A callback of an attempt that this process does not know is refused while the directory that the other process takes
+// it from can not be used, and taken once it can.
+func TestUnknownCallbackIsRefusedWhileItCanNotBePassedOn(t *testing.T) {
+	blocked := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(blocked, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	relay := callbackrelay.New(filepath.Join(blocked, "handover"), time.Millisecond, time.Minute, testenv.Quiet)
+	if err := relay.Register(); err == nil {
+		t.Fatal("registered below a file")
+	}
+	executors := executor.New(t.Context(), &errgroup.Group{}, testenv.Lim, node.Names{}, nil, nil, testenv.Quiet)
+	router := &callbackRouter{executors: executors, relay: relay}
+	callback := []byte(`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"done","result":"tile"}`)
+	err := router.Callback(callback)
+	if _, ok := errors.AsType[*platform.CallbackRefusedError](err); !ok || !errors.Is(err, syscall.ENOTDIR) {
+		t.Fatalf("%v", err)
+	}
+	if err := os.Remove(blocked); err != nil {
+		t.Fatal(err)
+	}
+	if err := relay.Register(); err != nil {
+		t.Fatal(err)
+	}
+	if err := router.Callback(callback); err != nil {
+		t.Errorf("with no other process: %v", err)
+	}
+}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -29,6 +29,7 @@
 type Sink interface {
 	List(node.List)
 	ListCallFailed()
+	ListConfirmed() // nothing has changed since the last line of the watch
 }
 
 // Client speaks to discovery.
@@ -209,7 +210,7 @@
 		c.log.Info("discovery", "call", "watch", "err", err, "begun", "anew", "in", next.At.Sub(now).Round(time.Millisecond))
 	}
 	// The agent of a pushed list bears any number of calls: it is called again soon, and sooner only where the clock must.
-	if again := now.Add(c.lim.PushAgain); c.push && !(next.Mine && next.At.Before(again)) {
+	if again := now.Add(c.lim.PushAgain); c.push && (!next.Mine || !next.At.Before(again)) {
 		return again
 	}
 	return next.At
@@ -337,10 +338,11 @@
 	}
 }
 
-// line takes one line of an answer; an empty one only says that the watch lives.
+// line takes one line of an answer; an empty one says that the watch lives and that nothing has changed.
 func (c *Client) line(b []byte) error {
 	b = bytes.TrimSpace(b)
 	if len(b) == 0 {
+		c.sink.ListConfirmed()
 		return nil
 	}
 	if !gjson.ValidBytes(b) {
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -172,7 +172,7 @@
 func (c *conn) drop() error {
 	b := dropBuffers.Get().(*[]byte)
 	defer dropBuffers.Put(b)
-	_, err := c.Paced.Read(*b)
+	_, err := c.Read(*b)
 	if err == nil {
 		c.mu.Lock()
 		c.over = true
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -196,13 +196,13 @@
 	var g errgroup.Group
 	g.Go(func() error { c.read(gone); return nil })
 	// The end of its client alone does not close it: a client that closed its side only still gets an answer.
-	stop := context.AfterFunc(server, func() { _ = c.Paced.Close() })
+	stop := context.AfterFunc(server, func() { _ = c.Close() })
 	p, w := NewParser(s.lim, false), NewWriter(c.Paced, s.lim.Ring)
 	p.Room = s.room
 	defer func() {
 		stop()
 		gone()
-		_ = c.Paced.Close()
+		_ = c.Close()
 		close(c.want)
 		_ = g.Wait()
 		p.Release()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	var under net.Listener = ln
+	under := ln
 	if cfg.Keys != nil {
 		under = cfg.Keys.Listen(ln)
 	}
@@ -177,7 +177,9 @@
 // close ends. A write that does not come back is not waited for: the process is about to end.
 func (s *Store) close() error {
 	down := make(chan error, 1)
-	go func() { down <- s.raft.Shutdown().Error() }()
+	ending := s.raft.Shutdown()
+	go func() { down <- ending.Error() }()
+	s.mux.out.closeAll()
 	var err error
 	select {
 	case err = <-down:
