--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -68,10 +68,10 @@
 // acceptLoop accepts connections and has each of them served, until the context ends, the listener is closed, or a server that ends
 // has accepted all that waited.
 func (s *Server) acceptLoop(ctx context.Context, ln net.Listener, serve func(*conn)) error {
-	defer close(s.taken)
+	defer close(s.acceptDone)
 	backoff := acceptBackoffMin
 	for {
-		last := s.lastAccept(ln)
+		last := s.prepareFinalAccept(ln)
 		accepted, err := ln.Accept()
 		if ctx.Err() != nil || err != nil && s.stopped.Load() {
 			return nil
@@ -105,9 +105,9 @@
 
 // register makes a connection of the server's of one that was accepted.
 func (s *Server) register(accepted net.Conn) *conn {
-	tcpinfo.Bound(accepted, s.lim.Pace.SendBuf, 0)
-	tcpinfo.Forget(accepted, s.lim.Pace.Forget)
-	c := newConn(accepted, s.lim.Ring, s.lim.Pace.ClientIn, s.lim.Pace.ClientOut, s.lim.DropPause)
+	tcpinfo.Bound(accepted, s.limits.Pace.SendBuf, 0)
+	tcpinfo.Forget(accepted, s.limits.Pace.Forget)
+	c := newConn(accepted, s.limits.Ring, s.limits.Pace.ClientIn, s.limits.Pace.ClientOut, s.limits.DropPause)
 	// Past the budget, where all others are busy, a connection gets one answer. Past the reserve too it is refused as soon as its
 	// request has come: its client waits for nothing, and a request that is left in the listener's queue is taken all the same.
 	s.admit(c)
@@ -116,11 +116,11 @@
 
 // waitForDescriptor returns once there is a descriptor for one more connection, however short-lived.
 func (s *Server) waitForDescriptor(ctx context.Context) {
-	for s.full() && ctx.Err() == nil {
+	for s.descriptorsExhausted() && ctx.Err() == nil {
 		s.closeIdle(false)
 		select {
-		case <-s.freed:
-		case <-time.After(s.lim.DoorWait / 4):
+		case <-s.descriptorFreed:
+		case <-time.After(s.limits.DoorWait / 4):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/http1/accept_test.go
+++ b/internal/http1/accept_test.go
@@ -131,7 +131,7 @@
 				switch call {
 				case 1, 2: // an idle connection and a busy one
 				case 3:
-					waitFor(t, "the first connection is idle", func() bool { return phases(s)[idle] == 1 && phases(s)[busy] == 1 })
+					waitFor(t, "the first connection is idle", func() bool { return phases(s)[idle] == 1 && phases(s)[handling] == 1 })
 					return errno
 				case 5:
 					waitFor(t, "the busy connection is alone", func() bool { return s.Conns() == 1 })
--- a/internal/http1/admit.go
+++ b/internal/http1/admit.go
@@ -9,34 +9,34 @@
 )
 
 // unreadLooks bounds how many connections with unread bytes are passed over where one is looked for to make place.
-const unreadLooks = 8
+const maxUnreadSkips = 8
 
 // admit counts a new connection in and settles how it is served: as usual within the budget, and within its peer's share where shares
 // are kept; else once, or at the door. Over the budget another makes place, if one can.
 func (s *Server) admit(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.standing >= s.lim.ClientConns {
+	if s.open >= s.limits.ClientConns {
 		s.evictLocked(0)
 	}
 	s.conns[c] = struct{}{}
-	s.standing++
-	c.since = time.Now()
-	s.last = c.since
+	s.open++
+	c.phaseSince = time.Now()
+	s.lastActive = c.phaseSince
 	switch {
-	case s.standing > s.lim.ClientConns+s.lim.SpareConns:
-		c.how = refused
-	case s.standing > s.lim.ClientConns:
-		c.how = once
+	case s.open > s.limits.ClientConns+s.limits.SpareConns:
+		c.service = rejectOnly
+	case s.open > s.limits.ClientConns:
+		c.service = singleAnswer
 	}
-	if s.lim.Pace.PerPeer {
+	if s.limits.Pace.PerPeer {
 		host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 		// One past its share gets one answer, as all do past the budget, and its connections stay countable.
 		if v := s.shares.Take(host, 1); v == slowpeer.Keep {
-			c.share = host
+			c.shareOwner = host
 		} else {
 			s.tally.Add(slowpeer.ClientShare)
-			c.how = max(c.how, once)
+			c.service = max(c.service, singleAnswer)
 		}
 	}
 }
@@ -46,11 +46,11 @@
 func (s *Server) evict() *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.evictLocked(s.lim.DoorWait)
+	return s.evictLocked(s.limits.DoorWait)
 }
 
 func (s *Server) evictLocked(youngest time.Duration) *conn {
-	least := s.leastWorth(youngest)
+	least := s.evictionCandidate(youngest)
 	if least == nil {
 		return nil
 	}
@@ -59,9 +59,9 @@
 		s.retire(least)
 	case answering:
 		s.tally.Add(slowpeer.ClientCut)
-		s.shut(least)
+		s.closeNow(least)
 	default:
-		s.shut(least)
+		s.closeNow(least)
 	}
 	return least
 }
@@ -69,11 +69,11 @@
 // leastWorth is the connection that makes place for another, nil if all are to stay. One on which bytes have come that nobody has
 // read yet is not idle, as it looks: a close would reset it, and a request on a new one would be lost. Those that carried nothing yet
 // count from the age of youngest on.
-func (s *Server) leastWorth(youngest time.Duration) *conn {
-	var passed [unreadLooks]*conn
+func (s *Server) evictionCandidate(youngest time.Duration) *conn {
+	var passed [maxUnreadSkips]*conn
 	for look := range passed {
-		least := s.leastBut(passed[:look], youngest)
-		if least == nil || least.phase != idle || least.quiet() {
+		least := s.lowestRanked(passed[:look], youngest)
+		if least == nil || least.phase != idle || least.nothingUnread() {
 			return least
 		}
 		passed[look] = least
@@ -82,14 +82,14 @@
 }
 
 // leastBut is the connection of least worth, and of those the oldest, that is none of passed.
-func (s *Server) leastBut(passed []*conn, youngest time.Duration) *conn {
+func (s *Server) lowestRanked(passed []*conn, youngest time.Duration) *conn {
 	var least *conn
 	now := time.Now()
 	for c := range s.conns {
-		if c.worth() >= kept || slices.Contains(passed, c) || !c.served && now.Sub(c.since) < youngest {
+		if c.evictionRank() >= rankNotEvictable || slices.Contains(passed, c) || !c.hadRequest && now.Sub(c.phaseSince) < youngest {
 			continue
 		}
-		if least == nil || c.worth() < least.worth() || c.worth() == least.worth() && c.since.Before(least.since) {
+		if least == nil || c.evictionRank() < least.evictionRank() || c.evictionRank() == least.evictionRank() && c.phaseSince.Before(least.phaseSince) {
 			least = c
 		}
 	}
--- a/internal/http1/closing_test.go
+++ b/internal/http1/closing_test.go
@@ -49,7 +49,7 @@
 func (r watchedRaw) Read(ready func(fd uintptr) bool) error {
 	r.c.waits.Add(1)
 	err := r.RawConn.Read(ready)
-	if timeout(err) && r.c.timedOut != nil {
+	if isTimeout(err) && r.c.timedOut != nil {
 		r.c.once.Do(r.c.timedOut)
 	}
 	return err
--- a/internal/http1/ending.go
+++ b/internal/http1/ending.go
@@ -18,7 +18,7 @@
 	if s.stopped.Swap(true) {
 		return
 	}
-	if ln := s.ln.Load(); ln != nil {
+	if ln := s.listener.Load(); ln != nil {
 		_ = (*ln).Close()
 	}
 }
@@ -36,7 +36,7 @@
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		// One with bytes that nobody has read yet is not idle: a request is coming on it, or its client's end.
-		if c.phase == idle && (all || c.served || time.Since(c.since) >= s.lim.DoorWait) && c.quiet() {
+		if c.phase == idle && (all || c.hadRequest || time.Since(c.phaseSince) >= s.limits.DoorWait) && c.nothingUnread() {
 			s.retire(c)
 		}
 	}
@@ -46,47 +46,47 @@
 // request that came after the decision to close is answered first, and so is one that the reader had in hand.
 func (s *Server) retire(c *conn) {
 	c.phase = retiring
-	s.standing--
-	s.read(c)
-	c.ReadBy(longAgo)
+	s.open--
+	s.clearUnreadAnswer(c)
+	c.ReadBy(expiredDeadline)
 }
 
 // retired says whether a connection is to be closed.
-func (s *Server) retired(c *conn) bool {
+func (s *Server) isRetiring(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.phase == retiring
 }
 
 // shut closes a connection at once, whatever is still to be read or written on it.
-func (s *Server) shut(c *conn) {
+func (s *Server) closeNow(c *conn) {
 	c.phase = closed
-	s.standing--
-	s.read(c)
+	s.open--
+	s.clearUnreadAnswer(c)
 	_ = c.Close()
 }
 
 // read marks that a connection's last answer is no longer followed.
-func (s *Server) read(c *conn) {
-	c.unread = false
+func (s *Server) clearUnreadAnswer(c *conn) {
+	c.unreadAnswer = false
 }
 
 // linger ends a connection after its last answer: it says so, and takes in unread what the client still sends until that has
 // seen the end, or for a bounded time. To close over unread bytes would reset the connection, and an answer that is on its way
 // goes with a reset. What is read here was not taken: its client sends it once more elsewhere.
 func (s *Server) linger(c *conn) {
-	if !s.enter(c, lingering) || c.closeWrite() != nil {
+	if !s.setPhase(c, lingering) || c.closeWrite() != nil {
 		return
 	}
 	c.Rest()
-	for by := time.Now().Add(s.lim.Linger); time.Now().Before(by); {
+	for by := time.Now().Add(s.limits.Linger); time.Now().Before(by); {
 		c.ReadBy(by)
-		if !c.asked {
-			c.in.Drop(c.in.Len())
+		if !c.readPending {
+			c.ring.Drop(c.ring.Len())
 		}
-		c.ask()
-		<-c.got
-		if c.asked = false; c.err != nil { // the reader's until it has told
+		c.requestRead()
+		<-c.readDone
+		if c.readPending = false; c.readErr != nil { // the reader's until it has told
 			return
 		}
 	}
@@ -97,40 +97,42 @@
 // end would else be reset with its connection, or with the queue.
 func (s *Server) Finish(ctx context.Context) {
 	s.finishing.Store(true)
-	if ln := s.ln.Load(); ln == nil || !boundAccept(*ln) {
+	if ln := s.listener.Load(); ln == nil || !setAcceptDeadline(*ln) {
 		s.StopTaking()
 	}
 	select {
-	case <-s.taken:
+	case <-s.acceptDone:
 	case <-ctx.Done():
 		return
 	}
 	s.Drain()
-	for s.Conns() > 0 && pause(ctx) {
+	for s.Conns() > 0 && waitForNextPoll(ctx) {
 		s.closeIdle(false)
 	}
 }
 
 // lastAccept bounds the wait for the next connection once the server ends, and says whether it did: if none comes then, none waits.
-func (s *Server) lastAccept(ln net.Listener) bool { return s.finishing.Load() && boundAccept(ln) }
+func (s *Server) prepareFinalAccept(ln net.Listener) bool {
+	return s.finishing.Load() && setAcceptDeadline(ln)
+}
 
 // acceptWait is for how long a server that ends waits for one more connection. It is not zero: whoever takes a connection looks
 // into the queue only if its time is not over yet.
-const acceptWait = 5 * time.Millisecond
+const finalAcceptTimeout = 5 * time.Millisecond
 
 // boundAccept bounds the wait for a connection, and says whether the listener allows for that.
-func boundAccept(ln net.Listener) bool {
+func setAcceptDeadline(ln net.Listener) bool {
 	d, ok := ln.(interface{ SetDeadline(time.Time) error })
-	return ok && d.SetDeadline(time.Now().Add(acceptWait)) == nil
+	return ok && d.SetDeadline(time.Now().Add(finalAcceptTimeout)) == nil
 }
 
 // finishLook is between looks at what is still open at the end.
-const finishLook = time.Millisecond
+const finishPollInterval = time.Millisecond
 
 // pause waits for the next look, and says whether there is one.
-func pause(ctx context.Context) bool {
+func waitForNextPoll(ctx context.Context) bool {
 	select {
-	case <-time.After(finishLook):
+	case <-time.After(finishPollInterval):
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -437,7 +437,7 @@
 	s, addr := serve(t, small, func(_ context.Context, m *Message) Response { return Response{Status: 200, Body: m.Body} })
 	first := dial(t, addr)
 	_, _ = io.WriteString(first, "POST / HTTP/1.1\r\nContent-Length: 60\r\n\r\n")
-	for end := time.Now().Add(20 * time.Second); s.bodies.Load() != 60; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); s.bodyBytes.Load() != 60; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no room was taken")
 		}
@@ -453,9 +453,9 @@
 	if m, err := NewParser(lim, true).Read(NewRing(512), first); err != nil || len(m.Body) != 60 {
 		t.Errorf("%v %v", m, err)
 	}
-	for end := time.Now().Add(20 * time.Second); s.bodies.Load() != 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); s.bodyBytes.Load() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("room was not given back:", s.bodies.Load())
+			t.Fatal("room was not given back:", s.bodyBytes.Load())
 		}
 	}
 }
--- a/internal/http1/leaving_test.go
+++ b/internal/http1/leaving_test.go
@@ -38,15 +38,15 @@
 			c := newConn(&script{reads: []func([]byte) (int, error){
 				func([]byte) (int, error) { return 0, &net.OpError{Op: "read", Err: os.NewSyscallError("read", end)} },
 			}}, lim.Ring, lim.Pace.ClientIn, lim.Pace.ClientOut, 0)
-			c.got = make(chan struct{}) // nobody takes in that it has read: its handler is busy
+			c.readDone = make(chan struct{}) // nobody takes in that it has read: its handler is busy
 			ctx, gone := context.WithCancel(t.Context())
 			defer gone()
 			done := make(chan bool)
-			go func() { c.read(gone); close(done) }()
-			c.watch()
+			go func() { c.readLoop(gone); close(done) }()
+			c.watchClient()
 			<-ctx.Done()
-			<-c.got
-			close(c.want)
+			<-c.readDone
+			close(c.readRequested)
 			<-done
 		})
 	}
@@ -66,12 +66,12 @@
 		return n, nil
 	}}}, lim.Ring, lim.Pace.ClientIn, lim.Pace.ClientOut, lim.DropPause)
 	c.sleep = func(d time.Duration) { paused += d }
-	c.handled = true
+	c.handling = true
 	if err := c.fill(); !errors.Is(err, io.EOF) || left != 0 {
 		t.Errorf("%v with %d bytes left", err, left)
 	}
-	if paused > most || !c.over {
-		t.Errorf("paused for %v, want at most %v; bytes were dropped: %v", paused, most, c.over)
+	if paused > most || !c.overflowed {
+		t.Errorf("paused for %v, want at most %v; bytes were dropped: %v", paused, most, c.overflowed)
 	}
 }
 
@@ -257,7 +257,7 @@
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		c.Paced.mu.Lock()
-		if by := c.inBy; by.IsZero() || by.After(behind.Add(time.Hour)) {
+		if by := c.readBound; by.IsZero() || by.After(behind.Add(time.Hour)) {
 			t.Errorf("bounded by %v, and its bytes had come by %v", by, behind)
 		}
 		c.Paced.mu.Unlock()
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -34,7 +34,7 @@
 }
 
 // has says whether a comma-separated header holds a word.
-func (m *Message) has(name, word string) bool {
+func (m *Message) headerContains(name, word string) bool {
 	for i := range m.Fields {
 		if !strings.EqualFold(m.Fields[i].Name, name) {
 			continue
@@ -99,7 +99,7 @@
 // FlushBut sends what the ring holds but for its last byte, which only Flush sends.
 func (w *Writer) FlushBut() error { return w.ring.Flush(w.dst, 1) }
 
-func (w *Writer) fields(fields []Field, body []byte, bare bool) error {
+func (w *Writer) writeFields(fields []Field, body []byte, bare bool) error {
 	for _, f := range fields {
 		if _, err := io.WriteString(w, f.Name+": "+f.Value+"\r\n"); err != nil {
 			return err
@@ -121,12 +121,12 @@
 	if _, err := io.WriteString(w, method+" "+target+" HTTP/1.1\r\n"); err != nil {
 		return err
 	}
-	return w.fields(fields, body, len(body) == 0 && method != "POST" && method != "PUT")
+	return w.writeFields(fields, body, len(body) == 0 && method != "POST" && method != "PUT")
 }
 
 // Response sends a response.
 func (w *Writer) Response(r *Response) error {
-	line := "HTTP/1.1 " + strconv.Itoa(r.Status) + " " + reason(r.Status) + "\r\n"
+	line := "HTTP/1.1 " + strconv.Itoa(r.Status) + " " + reasonPhrase(r.Status) + "\r\n"
 	if _, err := io.WriteString(w, line); err != nil {
 		return err
 	}
@@ -134,7 +134,7 @@
 	if r.Close {
 		fields = append(fields[:len(fields):len(fields)], Field{"Connection", "close"})
 	}
-	if err := w.fields(fields, r.Body, r.Status == 204); err != nil {
+	if err := w.writeFields(fields, r.Body, r.Status == 204); err != nil {
 		return err
 	}
 	return w.Flush()
@@ -153,8 +153,8 @@
 }
 
 // stream sends a response whose body is written as it comes.
-func (w *Writer) stream(ctx context.Context, r *Response) error {
-	head := "HTTP/1.1 " + strconv.Itoa(r.Status) + " " + reason(r.Status) + "\r\n"
+func (w *Writer) writeStream(ctx context.Context, r *Response) error {
+	head := "HTTP/1.1 " + strconv.Itoa(r.Status) + " " + reasonPhrase(r.Status) + "\r\n"
 	for _, f := range append(r.Fields[:len(r.Fields):len(r.Fields)], Field{"Transfer-Encoding", "chunked"}, Field{"Connection", "close"}) {
 		head += f.Name + ": " + f.Value + "\r\n"
 	}
@@ -164,7 +164,7 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if err := r.Stream(ctx, chunks{w}); err != nil {
+	if err := r.Stream(ctx, chunkWriter{w}); err != nil {
 		return err
 	}
 	if _, err := io.WriteString(w, "0\r\n\r\n"); err != nil {
@@ -174,9 +174,9 @@
 }
 
 // chunks writes each piece as a chunk, and sends it at once.
-type chunks struct{ w *Writer }
+type chunkWriter struct{ w *Writer }
 
-func (c chunks) Write(p []byte) (int, error) {
+func (c chunkWriter) Write(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil // it would end the body
 	}
@@ -197,14 +197,14 @@
 		Body: []byte(fmt.Sprintf(format, args...) + "\n")}
 }
 
-func reason(status int) string {
-	if text, ok := reasons[status]; ok {
+func reasonPhrase(status int) string {
+	if text, ok := reasonPhrases[status]; ok {
 		return text
 	}
 	return "Status"
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 202: "Accepted", 204: "No Content", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
 	429: "Too Many Requests", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
--- a/internal/http1/moments_test.go
+++ b/internal/http1/moments_test.go
@@ -22,7 +22,7 @@
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		c.mu.Lock()
-		came := c.came
+		came := c.bytesBehind
 		c.mu.Unlock()
 		return came && tcpinfo.Quiet(c.Conn)
 	}
@@ -57,7 +57,7 @@
 		t.Errorf("the second came at %v, known by the server at %v", came, behind)
 	}
 	on <- true
-	time.Sleep(2 * arrivalGrain)
+	time.Sleep(2 * arrivalResolution)
 	later := time.Now()
 	_, _ = io.WriteString(c, get[7:])
 	if came := <-began; came.Before(later) {
@@ -71,14 +71,14 @@
 	var a arrivals
 	at := func(ms int) time.Time { return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond) }
 	for i, n := range []int{10, 1, 1, 100} {
-		a.came(n, at(10*i))
+		a.record(n, at(10*i))
 	}
-	a.came(5, at(30).Add(arrivalGrain/2)) // with the ones before
+	a.record(5, at(30).Add(arrivalResolution/2)) // with the ones before
 	for i, x := range []struct {
 		take int
 		at   time.Time
 	}{{4, at(0)}, {6, at(0)}, {0, time.Time{}}, {2, at(20)}, {1, at(30)}, {104, at(30)}} {
-		if got := a.take(x.take); !got.Equal(x.at) {
+		if got := a.consume(x.take); !got.Equal(x.at) {
 			t.Errorf("%d: %v, want %v", i, got, x.at)
 		}
 	}
@@ -140,13 +140,13 @@
 func TestUnparsedConnectionMakesNoPlace(t *testing.T) {
 	admit := admitter(t, 1)
 	client, oldest := admit()
-	go oldest.read(func() {})
-	defer close(oldest.want)
-	oldest.ask()
+	go oldest.readLoop(func() {})
+	defer close(oldest.readRequested)
+	oldest.requestRead()
 	if _, err := io.WriteString(client, get); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the reader has told", func() bool { return len(oldest.got) == 1 })
+	waitFor(t, "the reader has told", func() bool { return len(oldest.readDone) == 1 })
 	if !tcpinfo.Quiet(oldest.Conn) {
 		t.Fatal("bytes are left in the kernel")
 	}
--- a/internal/http1/paced.go
+++ b/internal/http1/paced.go
@@ -22,28 +22,28 @@
 type Paced struct {
 	net.Conn
 
-	mu         sync.Mutex
-	in, out    slowpeer.Meter
-	inBy, byAt time.Time // bounds of reads and of writes, zero for none
-	written    int64     // since the out meter began
-	acked      int64     // of it, by the last look
-	blocked    time.Time // since when a write waits, zero while none does
-	inRate     slowpeer.Rate
-	outRate    slowpeer.Rate
-	aborted    bool
+	mu                      sync.Mutex
+	receiveMeter, sendMeter slowpeer.Meter
+	readBound, writeBound   time.Time // bounds of reads and of writes, zero for none
+	written                 int64     // since the out meter began
+	acked                   int64     // of it, by the last look
+	writeBlockedSince       time.Time // since when a write waits, zero while none does
+	minReceiveRate          slowpeer.Rate
+	minSendRate             slowpeer.Rate
+	aborted                 bool
 }
 
 // NewPaced makes a connection paced.
 func NewPaced(c net.Conn, in, out slowpeer.Rate) *Paced {
-	return &Paced{Conn: c, in: slowpeer.NewMeter(in), out: slowpeer.NewMeter(out), inRate: in, outRate: out}
+	return &Paced{Conn: c, receiveMeter: slowpeer.NewMeter(in), sendMeter: slowpeer.NewMeter(out), minReceiveRate: in, minSendRate: out}
 }
 
 // Await says that from now on bytes are waited for.
 func (p *Paced) Await() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.in.Waiting() {
-		p.in.Start(time.Now())
+	if !p.receiveMeter.Waiting() {
+		p.receiveMeter.Start(time.Now())
 		p.armRead()
 	}
 }
@@ -52,7 +52,7 @@
 func (p *Paced) Rest() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.in.Stop()
+	p.receiveMeter.Stop()
 	p.armRead()
 }
 
@@ -60,7 +60,7 @@
 func (p *Paced) ReadBy(t time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.inBy = t
+	p.readBound = t
 	p.armRead()
 }
 
@@ -68,7 +68,7 @@
 func (p *Paced) WriteBy(t time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.byAt = t
+	p.writeBound = t
 }
 
 // Press tightens the rates as a budget fills, see slowpeer.Meter.
@@ -76,9 +76,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.in.Press(full, now)
-	p.out.Press(full, now)
-	if p.in.Waiting() {
+	p.receiveMeter.Press(full, now)
+	p.sendMeter.Press(full, now)
+	if p.receiveMeter.Waiting() {
 		p.armRead()
 	}
 }
@@ -88,20 +88,20 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.aborted = true
-	_ = p.SetDeadline(longAgo)
+	_ = p.SetDeadline(expiredDeadline)
 }
 
 // longAgo as a deadline ends what is under way at once.
-var longAgo = time.Unix(1, 0)
+var expiredDeadline = time.Unix(1, 0)
 
 func (p *Paced) armRead() {
 	if !p.aborted {
-		_ = p.SetReadDeadline(sooner(p.inBy, &p.in))
+		_ = p.SetReadDeadline(earlierDeadline(p.readBound, &p.receiveMeter))
 	}
 }
 
 // sooner is the earlier of a bound and of when a meter would let go, zero for neither.
-func sooner(by time.Time, m *slowpeer.Meter) time.Time {
+func earlierDeadline(by time.Time, m *slowpeer.Meter) time.Time {
 	if until, asked := m.Until(); asked && (by.IsZero() || until.Before(by)) {
 		return until
 	}
@@ -110,7 +110,7 @@
 
 // timeout says whether a deadline of ours ended a call, or a peer was found slow. ETIMEDOUT is neither: the kernel has given the
 // connection up.
-func timeout(err error) bool {
+func isTimeout(err error) bool {
 	slow := (*slowpeer.Slow)(nil)
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &slow) ||
 		errors.Is(err, syscall.EAGAIN) // nothing has come yet
@@ -118,7 +118,7 @@
 
 // settled says what a time-out means: nothing while neither the bound nor the rate is broken, since either may have
 // moved while the call waited.
-func settled(by time.Time, m *slowpeer.Meter, direction string, asked, left int, now time.Time, err error) error {
+func judgeTimeout(by time.Time, m *slowpeer.Meter, direction string, asked, left int, now time.Time, err error) error {
 	if m.Judge(now) == slowpeer.LetGo {
 		moved, rate := m.Figures(now)
 		return &slowpeer.Slow{Direction: direction, Bytes: moved, Rate: rate, Asked: asked, Left: left}
@@ -138,17 +138,17 @@
 		}
 		if n > 0 || err == nil {
 			p.mu.Lock()
-			if p.in.Waiting() {
-				p.in.Moved(n, time.Now())
+			if p.receiveMeter.Waiting() {
+				p.receiveMeter.Moved(n, time.Now())
 				p.armRead()
 			}
 			p.mu.Unlock()
 			return n, err
 		}
-		if !timeout(err) {
+		if !isTimeout(err) {
 			return n, err
 		}
-		if err = p.late(err); err != nil {
+		if err = p.readTimedOut(err); err != nil {
 			return 0, err
 		}
 	}
@@ -158,18 +158,18 @@
 func (p *Paced) Incoming() *slowpeer.Slow {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	moved, rate := p.in.Figures(time.Now())
-	return &slowpeer.Slow{Direction: "in", Bytes: moved, Rate: rate, Asked: p.inRate.Bytes}
+	moved, rate := p.receiveMeter.Figures(time.Now())
+	return &slowpeer.Slow{Direction: "in", Bytes: moved, Rate: rate, Asked: p.minReceiveRate.Bytes}
 }
 
 // late judges a read that timed out.
-func (p *Paced) late(err error) error {
+func (p *Paced) readTimedOut(err error) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.aborted {
 		return err
 	}
-	if err = settled(p.inBy, &p.in, "in", p.inRate.Bytes, 0, time.Now(), err); err == nil {
+	if err = judgeTimeout(p.readBound, &p.receiveMeter, "in", p.minReceiveRate.Bytes, 0, time.Now(), err); err == nil {
 		p.armRead()
 	}
 	return err
@@ -184,10 +184,10 @@
 	}
 	raw, err := s.SyscallConn()
 	for err == nil {
-		if err = raw.Read(tcpinfo.Readable); err == nil || !timeout(err) {
+		if err = raw.Read(tcpinfo.Readable); err == nil || !isTimeout(err) {
 			return err
 		}
-		err = p.late(err)
+		err = p.readTimedOut(err)
 	}
 	return err
 }
@@ -204,25 +204,25 @@
 		now := time.Now()
 		// What was written before may have been acknowledged long ago, with nobody looking: what is asked begins anew then,
 		// or the time that a kept connection stood idle would count as debt, and its next answer be cut off.
-		if !p.out.Waiting() || done == 0 && p.look(now) == 0 {
-			p.out.Start(now)
+		if !p.sendMeter.Waiting() || done == 0 && p.observeAcknowledged(now) == 0 {
+			p.sendMeter.Start(now)
 			p.written, p.acked = int64(tcpinfo.Queued(p.Conn)), 0
 		}
-		p.blocked = now
-		_ = p.SetWriteDeadline(sooner(p.byAt, &p.out))
+		p.writeBlockedSince = now
+		_ = p.SetWriteDeadline(earlierDeadline(p.writeBound, &p.sendMeter))
 		p.mu.Unlock()
 		n, err := p.Conn.Write(b[done:])
 		done += n
 		p.mu.Lock()
-		p.blocked = time.Time{}
+		p.writeBlockedSince = time.Time{}
 		p.written += int64(n)
 		if errors.Is(err, syscall.EINTR) {
 			err = nil
 		}
-		if err != nil && timeout(err) {
+		if err != nil && isTimeout(err) {
 			now = time.Now()
-			left := p.look(now)
-			err = settled(p.byAt, &p.out, "out", p.outRate.Bytes, left+len(b)-done, now, err)
+			left := p.observeAcknowledged(now)
+			err = judgeTimeout(p.writeBound, &p.sendMeter, "out", p.minSendRate.Bytes, left+len(b)-done, now, err)
 		}
 		p.mu.Unlock()
 		if err != nil || done == len(b) {
@@ -232,10 +232,10 @@
 }
 
 // look takes in what the peer's machine has acknowledged, and tells what it has not. The lock is held.
-func (p *Paced) look(now time.Time) int {
+func (p *Paced) observeAcknowledged(now time.Time) int {
 	left := tcpinfo.Queued(p.Conn)
 	if acked := p.written - int64(left); acked > p.acked {
-		p.out.Moved(int(acked-p.acked), now)
+		p.sendMeter.Moved(int(acked-p.acked), now)
 		p.acked = acked
 	}
 	return left
@@ -246,18 +246,18 @@
 func (p *Paced) Left() (int, *slowpeer.Slow) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.out.Waiting() {
+	if !p.sendMeter.Waiting() {
 		return 0, nil
 	}
 	now := time.Now()
-	left := p.look(now)
+	left := p.observeAcknowledged(now)
 	if left == 0 {
-		p.out.Stop()
+		p.sendMeter.Stop()
 		return 0, nil
 	}
-	if p.out.Judge(now) == slowpeer.LetGo {
-		moved, rate := p.out.Figures(now)
-		return left, &slowpeer.Slow{Direction: "out", Bytes: moved, Rate: rate, Asked: p.outRate.Bytes, Left: left}
+	if p.sendMeter.Judge(now) == slowpeer.LetGo {
+		moved, rate := p.sendMeter.Figures(now)
+		return left, &slowpeer.Slow{Direction: "out", Bytes: moved, Rate: rate, Asked: p.minSendRate.Bytes, Left: left}
 	}
 	return left, nil
 }
@@ -266,15 +266,15 @@
 func (p *Paced) Forgive() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.out.Stop()
+	p.sendMeter.Stop()
 }
 
 // Stalled says since how long a write has waited for the peer.
 func (p *Paced) Stalled(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.blocked.IsZero() {
+	if p.writeBlockedSince.IsZero() {
 		return 0
 	}
-	return now.Sub(p.blocked)
+	return now.Sub(p.writeBlockedSince)
 }
--- a/internal/http1/paced_test.go
+++ b/internal/http1/paced_test.go
@@ -85,7 +85,7 @@
 	slow, buf := (*slowpeer.Slow)(nil), make([]byte, 64)
 	for {
 		if _, err := c.Read(buf); err != nil {
-			if !errors.As(err, &slow) || slow.Direction != "in" || slow.Bytes == 0 || !timeout(err) {
+			if !errors.As(err, &slow) || slow.Direction != "in" || slow.Bytes == 0 || !isTimeout(err) {
 				t.Fatalf("%v", err)
 			}
 			break
@@ -100,7 +100,7 @@
 	go func() { _, err := quiet.Read(buf); done <- err }()
 	quiet.ReadBy(time.Now().Add(time.Hour))
 	quiet.ReadBy(time.Now())
-	if err := <-done; !timeout(err) || errors.As(err, &slow) && slow == nil {
+	if err := <-done; !isTimeout(err) || errors.As(err, &slow) && slow == nil {
 		t.Errorf("a bound that has passed: %v", err)
 	}
 }
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -17,14 +17,14 @@
 
 func (e *Error) Error() string { return "http1: " + e.Text }
 
-func bad(status int, format string, args ...any) error {
+func newError(status int, format string, args ...any) error {
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
-type state uint8
+type parseState uint8
 
 const (
-	startLine state = iota
+	startLine parseState = iota
 	headerLine
 	fixedBody
 	chunkSize
@@ -38,7 +38,7 @@
 // Parser reads one message at a time from a ring, however its bytes are cut. An error sticks: the connection
 // is of no further use.
 type Parser struct {
-	lim      limits.Limits
+	limits   limits.Limits
 	response bool
 	// Sink, if set, gets the body's bytes as they come; they are neither kept nor bounded then.
 	Sink func([]byte) error
@@ -46,25 +46,25 @@
 	// Release gives them back as a negative number.
 	Room func(n int) bool
 
-	held   int // bytes that Room gave
-	st     state
-	line   []byte
-	header int // bytes of header lines so far
-	left   int // bytes of the body or chunk still to come
-	m      Message
-	err    error
+	reservedBody  int // bytes that Room gave
+	state         parseState
+	line          []byte
+	headerSize    int // bytes of header lines so far
+	bodyRemaining int // bytes of the body or chunk still to come
+	message       Message
+	err           error
 }
 
 // NewParser makes a parser of requests, or of responses.
 func NewParser(lim limits.Limits, response bool) *Parser {
-	return &Parser{lim: lim, response: response}
+	return &Parser{limits: lim, response: response}
 }
 
 // Release gives back what Room gave for the message that is being read or was read last.
 func (p *Parser) Release() {
-	if p.held > 0 {
-		p.Room(-p.held)
-		p.held = 0
+	if p.reservedBody > 0 {
+		p.Room(-p.reservedBody)
+		p.reservedBody = 0
 	}
 }
 
@@ -76,40 +76,40 @@
 		p.fail(503, "no room for a body of %d bytes now", n)
 		return false
 	}
-	p.held += n
+	p.reservedBody += n
 	return true
 }
 
 // Begun says whether a part of a message has come.
-func (p *Parser) Begun() bool { return p.st != startLine || len(p.line) > 0 }
+func (p *Parser) Begun() bool { return p.state != startLine || len(p.line) > 0 }
 
 // Expects says whether the sender holds the body back until it is asked for (Expect: 100-continue).
 func (p *Parser) Expects() bool {
-	return (p.st == fixedBody || p.st == chunkSize) && len(p.m.Body) == 0 && p.m.has("Expect", "100-continue")
+	return (p.state == fixedBody || p.state == chunkSize) && len(p.message.Body) == 0 && p.message.headerContains("Expect", "100-continue")
 }
 
 // Status is that of a response whose first line has come, else 0.
 func (p *Parser) Status() int {
-	if !p.response || p.st == startLine {
+	if !p.response || p.state == startLine {
 		return 0
 	}
-	return p.m.Status
+	return p.message.Status
 }
 
 // Head gives the message whose headers have come, or nil.
 func (p *Parser) Head() *Message {
-	if p.st <= headerLine {
+	if p.state <= headerLine {
 		return nil
 	}
-	return &p.m
+	return &p.message
 }
 
 // Feed takes bytes from the ring until a message is whole, which it returns, or the ring is empty: nil.
 func (p *Parser) Feed(r *Ring) (*Message, error) {
 	for p.err == nil && r.Len() > 0 {
-		n := p.take(r.Next())
+		n := p.consume(r.Next())
 		r.Drop(n)
-		if p.st == complete {
+		if p.state == complete {
 			return p.finish(), nil
 		}
 	}
@@ -121,10 +121,10 @@
 	switch {
 	case p.err != nil:
 		return nil, p.err
-	case p.st == untilClose:
+	case p.state == untilClose:
 		return p.finish(), nil
 	case p.Begun():
-		return nil, bad(400, "the connection ended within a message")
+		return nil, newError(400, "the connection ended within a message")
 	}
 	return nil, nil
 }
@@ -147,25 +147,25 @@
 }
 
 func (p *Parser) finish() *Message {
-	m := p.m
-	p.st, p.m, p.header, p.left = startLine, Message{}, 0, 0
+	m := p.message
+	p.state, p.message, p.headerSize, p.bodyRemaining = startLine, Message{}, 0, 0
 	return &m
 }
 
 // take uses some of b, at least one byte, and tells how many.
-func (p *Parser) take(b []byte) int {
-	switch p.st {
+func (p *Parser) consume(b []byte) int {
+	switch p.state {
 	case fixedBody, chunkData, untilClose:
 		n := len(b)
-		if p.st != untilClose {
-			n = min(n, p.left)
+		if p.state != untilClose {
+			n = min(n, p.bodyRemaining)
 		}
-		p.left -= n
-		p.body(b[:n])
-		if p.left == 0 && p.st == fixedBody {
-			p.st = complete
-		} else if p.left == 0 && p.st == chunkData {
-			p.st = chunkEnd
+		p.bodyRemaining -= n
+		p.appendBody(b[:n])
+		if p.bodyRemaining == 0 && p.state == fixedBody {
+			p.state = complete
+		} else if p.bodyRemaining == 0 && p.state == chunkData {
+			p.state = chunkEnd
 		}
 		return n
 	}
@@ -174,8 +174,8 @@
 			p.endLine()
 			return i + 1
 		}
-		if len(p.line) >= p.lim.Line {
-			p.fail(431, "a line is longer than %d bytes", p.lim.Line)
+		if len(p.line) >= p.limits.Line {
+			p.fail(431, "a line is longer than %d bytes", p.limits.Line)
 			return i + 1
 		}
 		p.line = append(p.line, c)
@@ -185,22 +185,22 @@
 
 func (p *Parser) fail(status int, format string, args ...any) {
 	if p.err == nil {
-		p.err = bad(status, format, args...)
+		p.err = newError(status, format, args...)
 	}
 }
 
-func (p *Parser) body(b []byte) {
+func (p *Parser) appendBody(b []byte) {
 	if p.Sink != nil {
 		if err := p.Sink(b); err != nil && p.err == nil {
 			p.err = err
 		}
 		return
 	}
-	if len(p.m.Body)+len(b) > p.lim.Body {
-		p.fail(413, "a body is longer than %d bytes", p.lim.Body)
+	if len(p.message.Body)+len(b) > p.limits.Body {
+		p.fail(413, "a body is longer than %d bytes", p.limits.Body)
 		return
 	}
-	p.m.Body = append(p.m.Body, b...)
+	p.message.Body = append(p.message.Body, b...)
 }
 
 func (p *Parser) endLine() {
@@ -218,42 +218,42 @@
 			return
 		}
 	}
-	switch p.st {
+	switch p.state {
 	case startLine:
 		if len(line) == 0 && !p.response {
 			return // RFC 9112 2.2: an empty line before a request is passed over
 		}
-		p.start(string(line))
+		p.parseStartLine(string(line))
 	case headerLine:
 		if len(line) == 0 {
 			p.headersDone()
 			return
 		}
-		p.headerBytes(line)
-		p.field(string(line))
+		p.countHeaderBytes(line)
+		p.parseField(string(line))
 	case chunkSize:
-		p.chunk(string(line))
+		p.parseChunkSize(string(line))
 	case chunkEnd:
 		if len(line) != 0 {
 			p.fail(400, "a chunk is longer than its size says")
 			return
 		}
-		p.st = chunkSize
+		p.state = chunkSize
 	case trailer:
-		p.headerBytes(line)
+		p.countHeaderBytes(line)
 		if len(line) == 0 {
-			p.st = complete
+			p.state = complete
 		}
 	}
 }
 
-func (p *Parser) headerBytes(line []byte) {
-	if p.header += len(line) + 2; p.header > p.lim.HeaderBytes {
-		p.fail(431, "headers are longer than %d bytes", p.lim.HeaderBytes)
+func (p *Parser) countHeaderBytes(line []byte) {
+	if p.headerSize += len(line) + 2; p.headerSize > p.limits.HeaderBytes {
+		p.fail(431, "headers are longer than %d bytes", p.limits.HeaderBytes)
 	}
 }
 
-func (p *Parser) start(line string) {
+func (p *Parser) parseStartLine(line string) {
 	first, rest, ok := strings.Cut(line, " ")
 	second, third, ok2 := strings.Cut(rest, " ")
 	version := third
@@ -265,7 +265,7 @@
 		p.fail(400, "a malformed start line")
 		return
 	case version == "HTTP/1.1":
-		p.m.Minor = 1
+		p.message.Minor = 1
 	case version == "HTTP/1.0":
 	case strings.HasPrefix(version, "HTTP/"):
 		p.fail(505, "version %q", version)
@@ -274,70 +274,70 @@
 		p.fail(400, "a malformed start line")
 		return
 	}
-	p.m.Close = p.m.Minor == 0
+	p.message.Close = p.message.Minor == 0
 	if p.response {
 		status, err := strconv.Atoi(second)
 		if err != nil || len(second) != 3 || status < 100 {
 			p.fail(400, "a malformed status")
 			return
 		}
-		p.m.Status = status
+		p.message.Status = status
 	} else {
-		if !token(first) || !Visible(second) {
+		if !isToken(first) || !Visible(second) {
 			p.fail(400, "a malformed start line")
 			return
 		}
-		p.m.Method, p.m.Target = first, second
+		p.message.Method, p.message.Target = first, second
 	}
-	p.st = headerLine
+	p.state = headerLine
 }
 
-func (p *Parser) field(line string) {
+func (p *Parser) parseField(line string) {
 	name, value, ok := strings.Cut(line, ":")
-	if !ok || !token(name) {
+	if !ok || !isToken(name) {
 		p.fail(400, "a malformed header line")
 		return
 	}
-	if len(p.m.Fields) >= p.lim.Headers {
-		p.fail(431, "more than %d headers", p.lim.Headers)
+	if len(p.message.Fields) >= p.limits.Headers {
+		p.fail(431, "more than %d headers", p.limits.Headers)
 		return
 	}
-	p.m.Fields = append(p.m.Fields, Field{name, strings.Trim(value, " \t")})
+	p.message.Fields = append(p.message.Fields, Field{name, strings.Trim(value, " \t")})
 }
 
 func (p *Parser) headersDone() {
-	m := &p.m
-	if m.has("Connection", "close") {
+	m := &p.message
+	if m.headerContains("Connection", "close") {
 		m.Close = true
-	} else if m.Minor == 0 && m.has("Connection", "keep-alive") {
+	} else if m.Minor == 0 && m.headerContains("Connection", "keep-alive") {
 		m.Close = false
 	}
 	if p.response && (m.Status < 200 || m.Status == 204 || m.Status == 304) {
 		if m.Status < 200 && m.Status != 101 {
-			*m, p.st = Message{}, startLine // an interim response: the real one follows
+			*m, p.state = Message{}, startLine // an interim response: the real one follows
 			return
 		}
-		p.st = complete
+		p.state = complete
 		return
 	}
 	length, chunked, ok := p.framing()
 	switch {
 	case !ok:
 	case chunked:
-		p.st = chunkSize
+		p.state = chunkSize
 	case length > 0:
-		if p.Sink == nil && length > p.lim.Body {
-			p.fail(413, "a body of %d bytes is longer than %d", length, p.lim.Body)
+		if p.Sink == nil && length > p.limits.Body {
+			p.fail(413, "a body of %d bytes is longer than %d", length, p.limits.Body)
 			return
 		}
 		if !p.reserve(length) {
 			return
 		}
-		p.left, p.st = length, fixedBody
+		p.bodyRemaining, p.state = length, fixedBody
 	case length == 0 || !p.response:
-		p.st = complete
+		p.state = complete
 	default:
-		m.Close, p.st = true, untilClose
+		m.Close, p.state = true, untilClose
 	}
 }
 
@@ -345,17 +345,17 @@
 // one another or with chunks, are refused: they let a request hide inside another.
 func (p *Parser) framing() (length int, chunked, ok bool) {
 	length = -1
-	for _, f := range p.m.Fields {
+	for _, f := range p.message.Fields {
 		switch {
 		case strings.EqualFold(f.Name, "Content-Length"):
-			n, valid := decimal(f.Value)
+			n, valid := parseDecimal(f.Value)
 			if !valid || length >= 0 && n != length {
 				p.fail(400, "Content-Length: %q", f.Value)
 				return 0, false, false
 			}
 			length = n
 		case strings.EqualFold(f.Name, "Transfer-Encoding"):
-			if !strings.EqualFold(f.Value, "chunked") || chunked || p.m.Minor == 0 {
+			if !strings.EqualFold(f.Value, "chunked") || chunked || p.message.Minor == 0 {
 				p.fail(501, "Transfer-Encoding: %q", f.Value)
 				return 0, false, false
 			}
@@ -369,7 +369,7 @@
 	return length, chunked, true
 }
 
-func (p *Parser) chunk(line string) {
+func (p *Parser) parseChunkSize(line string) {
 	size, _, _ := strings.Cut(line, ";")
 	size = strings.TrimRight(size, " \t")
 	n, err := strconv.ParseUint(size, 16, 31)
@@ -378,20 +378,20 @@
 		return
 	}
 	if n == 0 {
-		p.st = trailer
+		p.state = trailer
 		return
 	}
-	if p.Sink == nil && len(p.m.Body)+int(n) > p.lim.Body {
-		p.fail(413, "a body is longer than %d bytes", p.lim.Body)
+	if p.Sink == nil && len(p.message.Body)+int(n) > p.limits.Body {
+		p.fail(413, "a body is longer than %d bytes", p.limits.Body)
 		return
 	}
 	if !p.reserve(int(n)) {
 		return
 	}
-	p.left, p.st = int(n), chunkData
+	p.bodyRemaining, p.state = int(n), chunkData
 }
 
-func decimal(s string) (int, bool) {
+func parseDecimal(s string) (int, bool) {
 	if s == "" || len(s) > 9 {
 		return 0, false
 	}
@@ -415,7 +415,7 @@
 }
 
 // token says whether s is a method or header name as RFC 9110 5.6.2 has it.
-func token(s string) bool {
+func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
 		if c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0 {
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -27,35 +27,35 @@
 // budget the server closes the connection that is worth least. So each has a phase, and whether it is known: that it
 // carried a request which the handler took for one of its own clients'.
 type Server struct {
-	lim       limits.Limits
-	h         Handler
-	log       *slog.Logger
-	draining  atomic.Bool
-	stopped   atomic.Bool // no connection is taken any more
-	ln        atomic.Pointer[net.Listener]
-	finishing atomic.Bool   // and only those are that wait already
-	taken     chan struct{} // closed once the last connection was taken
-	busy      atomic.Int64  // requests being handled
-	bodies    atomic.Int64  // bytes of bodies that are held
-	tally     *slowpeer.Tally
-	sleep     func(context.Context, time.Duration) // pauses of the accept loop
+	limits     limits.Limits
+	handler    Handler
+	log        *slog.Logger
+	draining   atomic.Bool
+	stopped    atomic.Bool // no connection is taken any more
+	listener   atomic.Pointer[net.Listener]
+	finishing  atomic.Bool   // and only those are that wait already
+	acceptDone chan struct{} // closed once the last connection was taken
+	handling   atomic.Int64  // requests being handled
+	bodyBytes  atomic.Int64  // bytes of bodies that are held
+	tally      *slowpeer.Tally
+	sleep      func(context.Context, time.Duration) // pauses of the accept loop
 
-	mu       sync.Mutex
-	conns    map[*conn]struct{}
-	standing int           // of them, those that are neither closed nor retiring
-	freed    chan struct{} // told when one has ended or become idle
-	shares   *slowpeer.Ledger[string]
-	last     time.Time // when a connection was last taken or a request last handled
+	mu              sync.Mutex
+	conns           map[*conn]struct{}
+	open            int           // of them, those that are neither closed nor retiring
+	descriptorFreed chan struct{} // told when one has ended or become idle
+	shares          *slowpeer.Ledger[string]
+	lastActive      time.Time // when a connection was last taken or a request last handled
 }
 
 // NewServer makes a server.
 func NewServer(lim limits.Limits, h Handler, tally *slowpeer.Tally, log *slog.Logger) *Server {
-	return &Server{lim: lim, h: h, tally: tally, log: log, sleep: sleep, conns: map[*conn]struct{}{}, freed: make(chan struct{}, 1), taken: make(chan struct{}),
+	return &Server{limits: lim, handler: h, tally: tally, log: log, sleep: sleep, conns: map[*conn]struct{}{}, descriptorFreed: make(chan struct{}, 1), acceptDone: make(chan struct{}),
 		shares: slowpeer.NewLedger[string](lim.ClientConns, lim.Pace.Least, lim.Pace.Alpha)}
 }
 
 // slow counts a peer that was found slow, and logs it.
-func (s *Server) slow(k slowpeer.Kind, c *conn, err *slowpeer.Slow) {
+func (s *Server) reportSlowClient(k slowpeer.Kind, c *conn, err *slowpeer.Slow) {
 	s.tally.Add(k)
 	s.log.Info("slow peer", "kind", k.String(), "peer", c.RemoteAddr().String(), "why", err)
 }
@@ -63,8 +63,8 @@
 // follow looks after answers that are finished here and not read there. They hold no job, no request's place and no
 // buffer of the node's, but the kernel holds their bytes: a client that reads below the least rate is let go. Its
 // connection is closed, and what the kernel holds still goes out for a while, should the client come to read it.
-func (s *Server) follow(ctx context.Context) {
-	tick := time.NewTicker(s.lim.Pace.Look)
+func (s *Server) monitorUnreadAnswers(ctx context.Context) {
+	tick := time.NewTicker(s.limits.Pace.Look)
 	defer tick.Stop()
 	for {
 		select {
@@ -73,25 +73,25 @@
 			return
 		}
 		s.mu.Lock()
-		full := s.lim.Pace.Full(s.standing, s.lim.ClientConns)
+		full := s.limits.Pace.Full(s.open, s.limits.ClientConns)
 		var slowest []*conn
 		for c := range s.conns {
-			if !c.unread {
+			if !c.unreadAnswer {
 				continue
 			}
 			c.Press(full)
 			switch left, slow := c.Left(); {
 			case left == 0:
-				s.read(c)
+				s.clearUnreadAnswer(c)
 			case slow != nil && (c.phase == idle || c.phase == reading):
-				c.why = slow
+				c.slowReader = slow
 				slowest = append(slowest, c)
 				s.retire(c)
 			}
 		}
 		s.mu.Unlock()
 		for _, c := range slowest {
-			s.slow(slowpeer.ClientReads, c, c.why)
+			s.reportSlowClient(slowpeer.ClientReads, c, c.slowReader)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 // enter moves a connection to a phase, unless it was closed meanwhile. A connection is closed between requests, or
 // while one comes, and never once it came whole: a request that was taken and then lost with its connection would be
 // sent again by its client, and run twice. So closing and taking a request exclude one another.
-func (s *Server) enter(c *conn, p phase) bool {
+func (s *Server) setPhase(c *conn, p phase) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -109,37 +109,37 @@
 	case p == idle || p == reading:
 		return false
 	default: // its last read found a request: it is counted again, for one answer
-		s.standing++
-		c.how = max(c.how, once)
+		s.open++
+		c.service = max(c.service, singleAnswer)
 	}
-	if p == busy {
-		s.read(c) // who asks for the next has read the last, or gives up on it
+	if p == handling {
+		s.clearUnreadAnswer(c) // who asks for the next has read the last, or gives up on it
 		c.Forgive()
 	}
-	if p == idle && c.phase != p && c.served {
-		s.free()
+	if p == idle && c.phase != p && c.hadRequest {
+		s.signalFreed()
 	}
-	if c.phase != p && c.served {
-		c.since = time.Now() // on a new one, since it was taken: a head that never ends grows no younger
+	if c.phase != p && c.hadRequest {
+		c.phaseSince = time.Now() // on a new one, since it was taken: a head that never ends grows no younger
 	}
 	c.phase = p
-	c.served = c.served || p == busy
+	c.hadRequest = c.hadRequest || p == handling
 	return true
 }
 
 // free tells the accept loop, should it wait for it, that a connection has ended or become idle.
-func (s *Server) free() {
+func (s *Server) signalFreed() {
 	select {
-	case s.freed <- struct{}{}:
+	case s.descriptorFreed <- struct{}{}:
 	default:
 	}
 }
 
 // full says whether there is no descriptor for one more connection, however short.
-func (s *Server) full() bool {
+func (s *Server) descriptorsExhausted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.conns) >= s.lim.ClientConns+s.lim.SpareConns+s.lim.DoorConns
+	return len(s.conns) >= s.limits.ClientConns+s.limits.SpareConns+s.limits.DoorConns
 }
 
 // Conns is how many connections are open.
@@ -150,25 +150,25 @@
 }
 
 // Busy is how many requests are being handled.
-func (s *Server) Busy() int { return int(s.busy.Load()) }
+func (s *Server) Busy() int { return int(s.handling.Load()) }
 
 // LastUse tells when a connection was last taken or a request last began or ended.
 func (s *Server) LastUse() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.last
+	return s.lastActive
 }
 
-func (s *Server) touch() {
+func (s *Server) markActive() {
 	s.mu.Lock()
-	s.last = time.Now()
+	s.lastActive = time.Now()
 	s.mu.Unlock()
 }
 
 // Serve takes connections until the context ends, then closes all of them.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	g, ctx := errgroup.WithContext(ctx)
-	s.ln.Store(&ln)
+	s.listener.Store(&ln)
 	if s.stopped.Load() {
 		_ = ln.Close()
 	}
@@ -176,11 +176,11 @@
 		<-ctx.Done()
 		return ln.Close() // net.ErrClosed where StopTaking closed it first
 	})
-	g.Go(func() error { s.follow(ctx); return nil })
+	g.Go(func() error { s.monitorUnreadAnswers(ctx); return nil })
 	g.Go(func() error {
 		return s.acceptLoop(ctx, ln, func(c *conn) {
 			g.Go(func() error {
-				s.serve(ctx, c)
+				s.serveConn(ctx, c)
 				return nil
 			})
 		})
@@ -191,36 +191,36 @@
 	return nil
 }
 
-func (s *Server) serve(server context.Context, c *conn) {
+func (s *Server) serveConn(server context.Context, c *conn) {
 	ctx, gone := context.WithCancel(server)
 	var g errgroup.Group
-	g.Go(func() error { c.read(gone); return nil })
+	g.Go(func() error { c.readLoop(gone); return nil })
 	// The end of its client alone does not close it: a client that closed its side only still gets an answer.
 	stop := context.AfterFunc(server, func() { _ = c.Close() })
-	p, w := NewParser(s.lim, false), NewWriter(c.Paced, s.lim.Ring)
-	p.Room = s.room
+	p, w := NewParser(s.limits, false), NewWriter(c.Paced, s.limits.Ring)
+	p.Room = s.reserveBody
 	defer func() {
 		stop()
 		gone()
 		_ = c.Close()
-		close(c.want)
+		close(c.readRequested)
 		_ = g.Wait()
 		p.Release()
 		s.mu.Lock()
 		delete(s.conns, c)
 		if c.phase != closed && c.phase != retiring {
-			s.standing--
-			s.read(c)
+			s.open--
+			s.clearUnreadAnswer(c)
 		}
 		close(c.ended)
-		if c.share != "" {
-			s.shares.Give(c.share, 1)
+		if c.shareOwner != "" {
+			s.shares.Give(c.shareOwner, 1)
 		}
 		s.mu.Unlock()
-		s.free()
+		s.signalFreed()
 	}()
 	for {
-		m, err := s.next(ctx, c, p, w)
+		m, err := s.readRequest(ctx, c, p, w)
 		if m == nil {
 			if bad := (*Error)(nil); errors.As(err, &bad) {
 				s.log.Debug("bad request", "err", err)
@@ -237,36 +237,36 @@
 			s.answerGone(server, c, w, Text(503, "the connection was closed before the request began"))
 			return
 		}
-		if !s.enter(c, busy) {
+		if !s.setPhase(c, handling) {
 			return
 		}
-		s.busy.Add(1)
-		s.touch()
+		s.handling.Add(1)
+		s.markActive()
 		c.Rest()
 		c.ReadBy(time.Time{})
-		c.watch()
+		c.watchClient()
 		var r Response
-		if c.how == refused {
+		if c.service == rejectOnly {
 			r = Text(503, "all connections are in use")
 		} else {
-			r = s.h.Handle(ctx, m)
+			r = s.handler.Handle(ctx, m)
 		}
-		over := c.unwatch()
+		over := c.stopWatching()
 		if ctx.Err() != nil {
-			s.busy.Add(-1)
+			s.handling.Add(-1)
 			s.answerGone(server, c, w, r)
 			return
 		}
-		r.Close = r.Close || m.Close || c.how != usual || over || s.draining.Load()
+		r.Close = r.Close || m.Close || c.service != keepAlive || over || s.draining.Load()
 		p.Release()
-		s.busy.Add(-1)
-		ok := s.enter(c, answering) && s.write(ctx, c, w, &r)
-		s.touch()
+		s.handling.Add(-1)
+		ok := s.setPhase(c, answering) && s.write(ctx, c, w, &r)
+		s.markActive()
 		if left, _ := c.Left(); ok && left > 0 || r.Known {
 			s.mu.Lock()
-			c.known = c.known || r.Known
+			c.knownClient = c.knownClient || r.Known
 			if left > 0 && c.phase != closed {
-				c.unread = true
+				c.unreadAnswer = true
 			}
 			s.mu.Unlock()
 		}
@@ -282,7 +282,7 @@
 // answerGone writes a last answer to a client that has closed its side of the connection, should it still read. Its request was called
 // off: a client that closed its side is taken to have gone, since no system call tells the one from the other.
 func (s *Server) answerGone(ctx context.Context, c *conn, w *Writer, r Response) {
-	if ctx.Err() != nil || r.Stream != nil || !c.halfClosed() || !s.enter(c, answering) {
+	if ctx.Err() != nil || r.Stream != nil || !c.halfClosed() || !s.setPhase(c, answering) {
 		return
 	}
 	if r.Status == 0 {
@@ -294,9 +294,9 @@
 
 // room takes n bytes for bodies, or gives them back, and says whether they were to be had. Beyond it a body is turned
 // away: hundreds of connections with a large one each would take the memory of all.
-func (s *Server) room(n int) bool {
-	if s.bodies.Add(int64(n)) > int64(s.lim.Bodies) && n > 0 {
-		s.bodies.Add(int64(-n))
+func (s *Server) reserveBody(n int) bool {
+	if s.bodyBytes.Add(int64(n)) > int64(s.limits.Bodies) && n > 0 {
+		s.bodyBytes.Add(int64(-n))
 		return false
 	}
 	return true
@@ -307,37 +307,37 @@
 	var err error
 	if r.Stream != nil {
 		r.Close = true
-		err = w.stream(ctx, r)
+		err = w.writeStream(ctx, r)
 	} else {
 		err = w.Response(r)
 	}
 	if slow := (*slowpeer.Slow)(nil); errors.As(err, &slow) {
 		s.tally.Add(slowpeer.ClientReads)
-		s.slow(slowpeer.ClientCut, c, slow)
+		s.reportSlowClient(slowpeer.ClientCut, c, slow)
 	}
 	return err == nil
 }
 
 // next reads the next request. Without one and without an error the client is done.
-func (s *Server) next(ctx context.Context, c *conn, p *Parser, w *Writer) (*Message, error) {
+func (s *Server) readRequest(ctx context.Context, c *conn, p *Parser, w *Writer) (*Message, error) {
 	continued, begun := false, false
 	s.mu.Lock()
-	wait, from := s.lim.ClientIdle, time.Now()
+	wait, from := s.limits.ClientIdle, time.Now()
 	switch {
-	case !c.served: // from when it was taken, not from its first byte
-		wait, from = s.lim.Pace.Request, c.since
-		if c.how == refused {
-			wait = s.lim.Linger // the door is not to be held
+	case !c.hadRequest: // from when it was taken, not from its first byte
+		wait, from = s.limits.Pace.Request, c.phaseSince
+		if c.service == rejectOnly {
+			wait = s.limits.Linger // the door is not to be held
 		}
-	case !c.known:
-		wait = s.lim.StrangerIdle
+	case !c.knownClient:
+		wait = s.limits.StrangerIdle
 	}
-	first := !c.served
+	first := !c.hadRequest
 	s.mu.Unlock()
 	c.Rest()
 	c.ReadBy(from.Add(wait))
 	for {
-		if !c.asked {
+		if !c.readPending {
 			m, err := c.parse(p)
 			if m != nil || err != nil {
 				return m, err
@@ -352,29 +352,29 @@
 		if p.Begun() && !begun {
 			begun = true
 			if !first {
-				c.ReadBy(c.began.Add(s.lim.Pace.Request)) // also where it came behind another, which was handled
+				c.ReadBy(c.requestStart.Add(s.limits.Pace.Request)) // also where it came behind another, which was handled
 			}
 			c.Await()
 		}
-		if ctx.Err() != nil && !c.asked {
+		if ctx.Err() != nil && !c.readPending {
 			return nil, nil
 		}
 		now := idle
 		if begun {
 			now = reading
 		}
-		if !s.enter(c, now) {
+		if !s.setPhase(c, now) {
 			return c.lastRequest(p)
 		}
-		c.ask()
-		<-c.got
-		c.asked = false
-		if c.err != nil {
+		c.requestRead()
+		<-c.readDone
+		c.readPending = false
+		if c.readErr != nil {
 			m, err := c.parse(p) // what came with the end
-			if m != nil || err != nil || errors.Is(c.err, net.ErrClosed) {
+			if m != nil || err != nil || errors.Is(c.readErr, net.ErrClosed) {
 				return m, err
 			}
-			if timeout(c.err) {
+			if isTimeout(c.readErr) {
 				// The bound may have passed with a request unread, on a machine that had no time to read.
 				m, err := c.lastRequest(p)
 				if m != nil || err != nil {
@@ -383,13 +383,13 @@
 				if p.Begun() && !begun && !first {
 					continue
 				}
-				if s.retired(c) {
+				if s.isRetiring(c) {
 					return nil, nil
 				}
 			}
-			if p.Begun() && timeout(c.err) {
-				s.slow(slowpeer.ClientSends, c, c.Incoming())
-				return nil, bad(408, "the request did not come whole in time")
+			if p.Begun() && isTimeout(c.readErr) {
+				s.reportSlowClient(slowpeer.ClientSends, c, c.Incoming())
+				return nil, newError(408, "the request did not come whole in time")
 			}
 			return nil, nil
 		}
