--- a/internal/kv/codec.go
+++ b/internal/kv/codec.go
@@ -17,9 +17,9 @@
 
 const txnForm = 0x02
 
-var handle = &codec.MsgpackHandle{}
+var msgpackHandle = &codec.MsgpackHandle{}
 
-var table = crc64.MakeTable(crc64.ECMA)
+var checksumTable = crc64.MakeTable(crc64.ECMA)
 
 // ErrForm says that data is of another form than this package's.
 var ErrForm = errors.New("kv: another form")
@@ -28,7 +28,7 @@
 func (t *Txn) Marshal() ([]byte, error) {
 	out := []byte{txnForm}
 	var body []byte
-	if err := codec.NewEncoderBytes(&body, handle).Encode(t); err != nil {
+	if err := codec.NewEncoderBytes(&body, msgpackHandle).Encode(t); err != nil {
 		return nil, err
 	}
 	return append(out, body...), nil
@@ -39,16 +39,16 @@
 	if len(b) == 0 || b[0] != txnForm {
 		return ErrForm
 	}
-	defer recovered(&err)
-	if err := codec.NewDecoderBytes(b[1:], handle).Decode(t); err != nil {
+	defer recoverMalformed(&err)
+	if err := codec.NewDecoderBytes(b[1:], msgpackHandle).Decode(t); err != nil {
 		return fmt.Errorf("kv: a transaction: %w", err)
 	}
 	return nil
 }
 
-// recovered turns a decoder's panic on malformed data into an error: a record that was damaged must be told, and not take
+// recoverMalformed turns a decoder's panic on malformed data into an error: a record that was damaged must be told, and not take
 // the node down.
-func recovered(err *error) {
+func recoverMalformed(err *error) {
 	if r := recover(); r != nil {
 		*err = fmt.Errorf("kv: malformed: %v", r)
 	}
@@ -69,7 +69,7 @@
 	if _, err := out.WriteString(snapshotForm); err != nil {
 		return err
 	}
-	if err := block(out, &header{v.index, v.now, v.entries.Len()}); err != nil {
+	if err := writeBlock(out, &header{v.index, v.now, v.entries.Len()}); err != nil {
 		return err
 	}
 	batch := make([]*Entry, 0, 256)
@@ -77,11 +77,11 @@
 		if len(batch) == 0 {
 			return nil
 		}
-		err := block(out, batch)
+		err := writeBlock(out, batch)
 		batch = batch[:0]
 		return err
 	}
-	for _, tree := range []*iradix.Tree[*Entry]{v.entries, v.history} {
+	for _, tree := range []*iradix.Tree[*Entry]{v.entries, v.formerValues} {
 		it := tree.Root().Iterator()
 		for _, e, ok := it.Next(); ok; _, e, ok = it.Next() {
 			if batch = append(batch, e); len(batch) == cap(batch) {
@@ -93,44 +93,44 @@
 		if err := flush(); err != nil {
 			return err
 		}
-		if err := block(out, nil); err != nil { // the end of one part
+		if err := writeBlock(out, nil); err != nil { // the end of one part
 			return err
 		}
 	}
-	var done []result
-	it := v.latest.Root().Iterator()
+	var done []storedResult
+	it := v.resultOrder.Root().Iterator()
 	for k, id, ok := it.Next(); ok; k, id, ok = it.Next() {
-		r, _ := v.done.Get([]byte(id))
-		done = append(done, result{binary.BigEndian.Uint64(k), id, *r})
+		r, _ := v.results.Get([]byte(id))
+		done = append(done, storedResult{binary.BigEndian.Uint64(k), id, *r})
 	}
 	if len(done) > 0 {
-		if err := block(out, done); err != nil {
+		if err := writeBlock(out, done); err != nil {
 			return err
 		}
 	}
-	if err := block(out, nil); err != nil {
+	if err := writeBlock(out, nil); err != nil {
 		return err
 	}
 	return out.Flush()
 }
 
-// result is that of a transaction that may come again.
-type result struct {
+// storedResult is that of a transaction that may come again.
+type storedResult struct {
 	Index  uint64
 	ID     string
 	Result Result
 }
 
-// block writes one value with its length and checksum; nil is the empty one that ends a part.
-func block(w io.Writer, v any) error {
+// writeBlock writes one value with its length and checksum; nil is the empty one that ends a part.
+func writeBlock(w io.Writer, v any) error {
 	var body []byte
 	if v != nil {
-		if err := codec.NewEncoderBytes(&body, handle).Encode(v); err != nil {
+		if err := codec.NewEncoderBytes(&body, msgpackHandle).Encode(v); err != nil {
 			return err
 		}
 	}
 	head := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
-	head = binary.BigEndian.AppendUint64(head, crc64.Checksum(body, table))
+	head = binary.BigEndian.AppendUint64(head, crc64.Checksum(body, checksumTable))
 	if _, err := w.Write(head); err != nil {
 		return err
 	}
@@ -138,7 +138,7 @@
 	return err
 }
 
-const mostBlock = 256 << 20
+const maxBlockBytes = 256 << 20
 
 func readBlock(r io.Reader, to any) (end bool, err error) {
 	var head [12]byte
@@ -146,21 +146,21 @@
 		return false, fmt.Errorf("kv: a snapshot that was cut off: %w", err)
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > mostBlock {
+	if n > maxBlockBytes {
 		return false, fmt.Errorf("kv: a snapshot's block of %d bytes", n)
 	}
 	body, err := io.ReadAll(io.LimitReader(r, int64(n))) // no more is taken than comes
 	if err != nil || len(body) != int(n) {
 		return false, fmt.Errorf("kv: a snapshot that was cut off: %w", errors.Join(err, io.ErrUnexpectedEOF))
 	}
-	if crc64.Checksum(body, table) != binary.BigEndian.Uint64(head[4:]) {
+	if crc64.Checksum(body, checksumTable) != binary.BigEndian.Uint64(head[4:]) {
 		return false, errors.New("kv: a snapshot that was damaged: its checksum differs")
 	}
 	if n == 0 {
 		return true, nil
 	}
-	defer recovered(&err)
-	return false, codec.NewDecoderBytes(body, handle).Decode(to)
+	defer recoverMalformed(&err)
+	return false, codec.NewDecoderBytes(body, msgpackHandle).Decode(to)
 }
 
 // Read gives the state that Write wrote. A damaged or cut off one gives none.
@@ -177,8 +177,8 @@
 	s := New(b)
 	s.index, s.now = h.Index, h.Now
 	// Transactions, which are not shared yet, make this linear: no root is kept between entries.
-	entries, order, leases := s.entries.Txn(), s.order.Txn(), s.leases.Txn()
-	history := s.history.Txn()
+	entries, order, leases := s.entries.Txn(), s.evictionOrder.Txn(), s.leases.Txn()
+	history := s.formerValues.Txn()
 	for part := range 2 {
 		for {
 			var batch []*Entry
@@ -200,17 +200,17 @@
 				}
 				entries.Insert(p, e)
 				if !e.Keep {
-					order.Insert(orderKey(e), e.Key)
+					order.Insert(evictionKey(e), e.Key)
 				}
 				if e.Expires > 0 {
 					leases.Insert(leaseKey(e), e.Key)
 				}
-				s.grow(e, 1)
+				s.addToVolume(e, 1)
 			}
 		}
 	}
 	for {
-		var done []result
+		var done []storedResult
 		end, err := readBlock(in, &done)
 		if err != nil {
 			return nil, err
@@ -219,10 +219,10 @@
 			break
 		}
 		for _, r := range done {
-			s.remember(r.Index, r.ID, &r.Result)
+			s.cacheResult(r.Index, r.ID, &r.Result)
 		}
 	}
-	s.entries, s.order, s.leases, s.history = entries.Commit(), order.Commit(), leases.Commit(), history.Commit()
+	s.entries, s.evictionOrder, s.leases, s.formerValues = entries.Commit(), order.Commit(), leases.Commit(), history.Commit()
 	if s.entries.Len() != h.Entries {
 		return nil, fmt.Errorf("kv: a snapshot with %d entries where it says %d", s.entries.Len(), h.Entries)
 	}
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -99,30 +99,30 @@
 // State is what the log adds up to. Its methods are for one goroutine, but for those of Snapshot's result.
 type State struct {
 	bounds Bounds
-	view
+	roots
 	events []Event // of the latest transaction
 }
 
-// view is a state as it stood: nothing in it is ever changed.
-type view struct {
-	index   uint64 // of the latest transaction
-	now     int64
-	entries *iradix.Tree[*Entry]  // table, key
-	order   *iradix.Tree[string]  // table, created: key, of those that may go
-	leases  *iradix.Tree[string]  // expires, table, key: table's entry
-	history *iradix.Tree[*Entry]  // table, key, version
-	tables  *iradix.Tree[*volume] // table
-	done    *iradix.Tree[*Result] // transaction's ID
-	latest  *iradix.Tree[string]  // version: ID
+// roots is a state as it stood: nothing in it is ever changed.
+type roots struct {
+	index         uint64 // of the latest transaction
+	now           int64
+	entries       *iradix.Tree[*Entry]  // table, key
+	evictionOrder *iradix.Tree[string]  // table, created: key, of those that may go
+	leases        *iradix.Tree[string]  // expires, table, key: table's entry
+	formerValues  *iradix.Tree[*Entry]  // table, key, version
+	tables        *iradix.Tree[*volume] // table
+	results       *iradix.Tree[*Result] // transaction's ID
+	resultOrder   *iradix.Tree[string]  // version: ID
 }
 
 // volume is how much a table holds.
-type volume struct{ values, bytes, kept, keptBytes int }
+type volume struct{ values, bytes, reserved, reservedBytes int }
 
 // New makes an empty state.
 func New(b Bounds) *State {
-	return &State{bounds: b, view: view{entries: iradix.New[*Entry](), order: iradix.New[string](), leases: iradix.New[string](),
-		history: iradix.New[*Entry](), tables: iradix.New[*volume](), done: iradix.New[*Result](), latest: iradix.New[string]()}}
+	return &State{bounds: b, roots: roots{entries: iradix.New[*Entry](), evictionOrder: iradix.New[string](), leases: iradix.New[string](),
+		formerValues: iradix.New[*Entry](), tables: iradix.New[*volume](), results: iradix.New[*Result](), resultOrder: iradix.New[string]()}}
 }
 
 // path of a key in a table: no name holds a zero byte.
@@ -136,9 +136,9 @@
 	return append(binary.BigEndian.AppendUint64(nil, uint64(e.Expires)), path(e.Table, e.Key)...)
 }
 
-var errName = errors.New("a name that is empty, too long, or holds a zero byte")
+var errInvalidName = errors.New("a name that is empty, too long, or holds a zero byte")
 
-func (s *State) check(t *Txn) error {
+func (s *State) validate(t *Txn) error {
 	if len(t.Ops) > s.bounds.Ops {
 		return fmt.Errorf("%d operations, %d at most", len(t.Ops), s.bounds.Ops)
 	}
@@ -146,7 +146,7 @@
 		op := &t.Ops[i]
 		for _, name := range []string{op.Table, op.Key} {
 			if name == "" || len(name) > s.bounds.Key || strings.IndexByte(name, 0) >= 0 {
-				return fmt.Errorf("operation %d: %w", i, errName)
+				return fmt.Errorf("operation %d: %w", i, errInvalidName)
 			}
 		}
 		switch {
@@ -173,27 +173,27 @@
 	if t.ID == "" {
 		return s.apply(index, t)
 	}
-	if r, ok := s.done.Get([]byte(t.ID)); ok {
+	if r, ok := s.results.Get([]byte(t.ID)); ok {
 		return *r
 	}
 	r := s.apply(index, t)
-	s.remember(index, t.ID, &r)
+	s.cacheResult(index, t.ID, &r)
 	return r
 }
 
-// remember keeps a transaction's result, and lets the oldest go.
-func (s *State) remember(index uint64, id string, r *Result) {
-	s.done, _, _ = s.done.Insert([]byte(id), r)
-	s.latest, _, _ = s.latest.Insert(binary.BigEndian.AppendUint64(nil, index), id)
-	for s.done.Len() > s.bounds.Done {
-		k, old, _ := s.latest.Root().Minimum()
-		s.latest, _, _ = s.latest.Delete(k)
-		s.done, _, _ = s.done.Delete([]byte(old))
+// cacheResult keeps a transaction's result, and lets the oldest go.
+func (s *State) cacheResult(index uint64, id string, r *Result) {
+	s.results, _, _ = s.results.Insert([]byte(id), r)
+	s.resultOrder, _, _ = s.resultOrder.Insert(binary.BigEndian.AppendUint64(nil, index), id)
+	for s.results.Len() > s.bounds.Done {
+		k, old, _ := s.resultOrder.Root().Minimum()
+		s.resultOrder, _, _ = s.resultOrder.Delete(k)
+		s.results, _, _ = s.results.Delete([]byte(old))
 	}
 }
 
 func (s *State) apply(index uint64, t *Txn) Result {
-	if err := s.check(t); err != nil {
+	if err := s.validate(t); err != nil {
 		return Result{Failed: -1, Err: err.Error()}
 	}
 	for i := range t.Ops {
@@ -207,7 +207,7 @@
 			}
 		}
 	}
-	if table := s.full(t); table != "" {
+	if table := s.fullTable(t); table != "" {
 		return Result{Failed: -1, Err: Full + table + " holds as much as may be kept there"}
 	}
 	for i := range t.Ops {
@@ -223,9 +223,9 @@
 	return Result{Version: index, Failed: -1}
 }
 
-// full names a table that a transaction would put more into than may be kept there. What is there already can always be
+// fullTable names a table that a transaction would put more into than may be kept there. What is there already can always be
 // changed, and let go of: what was promised must be able to end.
-func (s *State) full(t *Txn) string {
+func (s *State) fullTable(t *Txn) string {
 	with := map[string]volume{} // by table, with what is new there so far
 	for i := range t.Ops {
 		op := &t.Ops[i]
@@ -239,10 +239,10 @@
 		if at, ok := s.tables.Get([]byte(op.Table)); ok && !seen {
 			v = *at
 		}
-		v.kept++
-		v.keptBytes += len(op.Key) + len(op.Value)
+		v.reserved++
+		v.reservedBytes += len(op.Key) + len(op.Value)
 		with[op.Table] = v
-		if s.bounds.Values > 0 && v.kept > s.bounds.Values || s.bounds.Bytes > 0 && v.keptBytes > s.bounds.Bytes {
+		if s.bounds.Values > 0 && v.reserved > s.bounds.Values || s.bounds.Bytes > 0 && v.reservedBytes > s.bounds.Bytes {
 			return op.Table
 		}
 	}
@@ -257,16 +257,16 @@
 	p := path(op.Table, op.Key)
 	if old, ok := s.entries.Get(p); ok {
 		e.Created = old.Created
-		s.grow(old, -1)
-		s.order, _, _ = s.order.Delete(orderKey(old))
+		s.addToVolume(old, -1)
+		s.evictionOrder, _, _ = s.evictionOrder.Delete(evictionKey(old))
 		if old.Expires > 0 {
 			s.leases, _, _ = s.leases.Delete(leaseKey(old))
 		}
-		s.keep(old)
+		s.archive(old)
 	}
-	s.grow(e, 1)
+	s.addToVolume(e, 1)
 	if !e.Keep {
-		s.order, _, _ = s.order.Insert(orderKey(e), op.Key)
+		s.evictionOrder, _, _ = s.evictionOrder.Insert(evictionKey(e), op.Key)
 	}
 	s.entries, _, _ = s.entries.Insert(p, e)
 	if e.Expires > 0 {
@@ -276,13 +276,13 @@
 	s.evict(op.Table, op.Key)
 }
 
-// orderKey is where an entry stands among its table's by their coming: those of one transaction by their keys.
-func orderKey(e *Entry) []byte {
+// evictionKey is where an entry stands among its table's by their coming: those of one transaction by their keys.
+func evictionKey(e *Entry) []byte {
 	return append(ordinal(append([]byte(e.Table), 0), e.Created), e.Key...)
 }
 
-// grow counts an entry that comes, or that goes where by is -1.
-func (s *State) grow(e *Entry, by int) {
+// addToVolume counts an entry that comes, or that goes where by is -1.
+func (s *State) addToVolume(e *Entry, by int) {
 	v, size := volume{}, by*(len(e.Key)+len(e.Value))
 	if old, ok := s.tables.Get([]byte(e.Table)); ok {
 		v = *old
@@ -290,22 +290,22 @@
 	v.values += by
 	v.bytes += size
 	if e.Keep {
-		v.kept += by
-		v.keptBytes += size
+		v.reserved += by
+		v.reservedBytes += size
 	}
 	s.tables, _, _ = s.tables.Insert([]byte(e.Table), &v)
 }
 
-// keep takes a former value into the history, and lets the oldest of it go.
-func (s *State) keep(old *Entry) {
+// archive takes a former value into the history, and lets the oldest of it go.
+func (s *State) archive(old *Entry) {
 	if s.bounds.History <= 0 {
 		return
 	}
 	p := path(old.Table, old.Key)
-	s.history, _, _ = s.history.Insert(ordinal(p, old.Version), old)
+	s.formerValues, _, _ = s.formerValues.Insert(ordinal(p, old.Version), old)
 	n := 0
 	var first []byte
-	it := s.history.Root().Iterator()
+	it := s.formerValues.Root().Iterator()
 	it.SeekPrefix(append(append([]byte{}, p...), 0))
 	for k, _, ok := it.Next(); ok; k, _, ok = it.Next() {
 		if n++; n == 1 {
@@ -313,19 +313,19 @@
 		}
 	}
 	if n > s.bounds.History {
-		s.history, _, _ = s.history.Delete(first)
+		s.formerValues, _, _ = s.formerValues.Delete(first)
 	}
 }
 
 func (s *State) remove(e *Entry, why string) {
 	p := path(e.Table, e.Key)
 	s.entries, _, _ = s.entries.Delete(p)
-	s.order, _, _ = s.order.Delete(orderKey(e))
+	s.evictionOrder, _, _ = s.evictionOrder.Delete(evictionKey(e))
 	if e.Expires > 0 {
 		s.leases, _, _ = s.leases.Delete(leaseKey(e))
 	}
-	s.history, _ = s.history.DeletePrefix(append(append([]byte{}, p...), 0))
-	s.grow(e, -1)
+	s.formerValues, _ = s.formerValues.DeletePrefix(append(append([]byte{}, p...), 0))
+	s.addToVolume(e, -1)
 	s.events = append(s.events, Event{Version: s.index, Verb: Delete, Table: e.Table, Key: e.Key, Why: why})
 }
 
@@ -353,7 +353,7 @@
 		if !ok || v.values <= 1 || (s.bounds.Values <= 0 || v.values <= s.bounds.Values) && (s.bounds.Bytes <= 0 || v.bytes <= s.bounds.Bytes) {
 			return
 		}
-		it := s.order.Root().Iterator()
+		it := s.evictionOrder.Root().Iterator()
 		it.SeekPrefix(append([]byte(table), 0, 0))
 		_, key, ok := it.Next()
 		if ok && key == but {
@@ -382,10 +382,10 @@
 }
 
 // View is a state as it stood when it was taken. It may be read by any goroutine for as long as it is kept.
-type View struct{ view }
+type View struct{ roots }
 
 // Snapshot gives the state as it stands, at no cost.
-func (s *State) Snapshot() *View { return &View{s.view} }
+func (s *State) Snapshot() *View { return &View{s.roots} }
 
 // Index is the number of the latest transaction in it.
 func (v *View) Index() uint64 { return v.index }
@@ -426,7 +426,7 @@
 // History gives a key's former values, the oldest first, and the one that stands.
 func (v *View) History(table, key string) []*Entry {
 	var out []*Entry
-	it := v.history.Root().Iterator()
+	it := v.formerValues.Root().Iterator()
 	it.SeekPrefix(append(path(table, key), 0))
 	for _, e, ok := it.Next(); ok; _, e, ok = it.Next() {
 		out = append(out, e)
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -85,7 +85,7 @@
 	return -1, 0
 }
 
-// full says whether a table would hold more to be kept than its bounds, with what is new there.
+// fullTable says whether a table would hold more to be kept than its bounds, with what is new there.
 func (m *model) full(t *Txn) bool {
 	for _, table := range []string{"a", "ab"} {
 		n, size, more := 0, 0, false
