--- a/internal/kv/golden_test.go
+++ b/internal/kv/golden_test.go
@@ -11,34 +11,44 @@
 	"testing"
 )
 
-// The golden files hold the bytes that the program wrote before its code was reshaped: transactions as the log's entries have them,
-// what came of each, and the snapshot of the state that they add up to. GOLDEN_UPDATE=1 writes them anew, for a change of the stored
-// form that is meant.
+// The golden files hold the bytes that the program wrote before its code was reshaped: transactions as the log's
+// entries have them, what came of each, and the snapshot of the state that they add up to. GOLDEN_UPDATE=1 writes them
+// anew, for a change of the stored form that is meant.
 
 const goldenTransactions = "transactions.txt"
 
 var goldenBounds = Bounds{Values: 6, Bytes: 200, History: 3, Key: 40, Value: 64, Ops: 8, Done: 4}
 
-// goldenTxns are transactions of each kind: all verbs, conditions that hold and fail, leases, values that are kept or pushed out,
-// repeats, and ones that none could make.
+// goldenTxns are transactions of each kind: all verbs, conditions that hold and fail, leases, values that are kept or
+// pushed out, repeats, and ones that none could make.
 func goldenTxns() []Txn {
 	txns := []Txn{
 		{At: 1000, Ops: []Op{{Verb: Put, Table: "job", Key: "a", Value: []byte("one")}}},
 		{At: 1010, ID: "first", Ops: []Op{{Verb: Put, Table: "job", Key: "a", Value: []byte("two"), Cond: true, If: 1},
 			{Verb: Put, Table: "open", Key: "a", Value: []byte{0, 1, 0xff}, Keep: true}}},
 		{At: 1010, ID: "first", Ops: []Op{{Verb: Put, Table: "job", Key: "a", Value: []byte("two"), Cond: true, If: 1}}},
-		{At: 1020, ID: "second", Ops: []Op{{Verb: Check, Table: "job", Key: "a", Cond: true, If: 1}, {Verb: Delete, Table: "open", Key: "a"}}},
+		{
+			At:  1020,
+			ID:  "second",
+			Ops: []Op{{Verb: Check, Table: "job", Key: "a", Cond: true, If: 1}, {Verb: Delete, Table: "open", Key: "a"}},
+		},
 		{At: 1030, Ops: []Op{{Verb: Put, Table: "lease", Key: "n0", Value: []byte(`{"born":5}`), TTL: 3000}}},
 		{At: 1040, Ops: []Op{{Verb: Delete, Table: "job", Key: "nothing"}}},
-		{At: 900, Ops: []Op{{Verb: Put, Table: "duty", Key: "n0.000000000005", Value: []byte(`{"node":"n0","born":5}`), Keep: true}}},
+		{
+			At:  900,
+			Ops: []Op{{Verb: Put, Table: "duty", Key: "n0.000000000005", Value: []byte(`{"node":"n0","born":5}`), Keep: true}},
+		},
 		{At: 1050, Ops: []Op{{Verb: Put, Table: "", Key: "a"}}},
 		{At: 1050, Ops: []Op{{Verb: 9, Table: "job", Key: "a"}}},
 		{At: 1060, Ops: []Op{{Verb: Put, Table: "job", Key: "long", Value: bytes.Repeat([]byte("x"), 65)}}},
 		{At: 4031, ID: "third", Ops: []Op{{Verb: Delete, Table: "job", Key: "a"}}},
 	}
 	for i := range 9 {
-		txns = append(txns, Txn{At: 5000, ID: fmt.Sprint("of ", i%6), Ops: []Op{{Verb: Put, Table: "many", Key: fmt.Sprint("key ", i%8),
-			Value: []byte(strings.Repeat("v", 20+i)), Keep: i == 2}}})
+		txns = append(
+			txns,
+			Txn{At: 5000, ID: fmt.Sprint("of ", i%6), Ops: []Op{{Verb: Put, Table: "many", Key: fmt.Sprint("key ", i%8),
+				Value: []byte(strings.Repeat("v", 20+i)), Keep: i == 2}}},
+		)
 	}
 	return txns
 }
@@ -63,7 +73,15 @@
 			}
 		}
 		result := state.Apply(uint64(i+1), &txn)
-		fmt.Fprintf(&out, "entry %x\nresult version=%d failed=%d current=%d %s\nevents", data, result.Version, result.Failed, result.Current, result.Err)
+		fmt.Fprintf(
+			&out,
+			"entry %x\nresult version=%d failed=%d current=%d %s\nevents",
+			data,
+			result.Version,
+			result.Failed,
+			result.Current,
+			result.Err,
+		)
 		for _, e := range state.Events() {
 			fmt.Fprintf(&out, " [%d %d %s/%s %q %s]", e.Version, e.Verb, e.Table, e.Key, e.Value, e.Why)
 		}
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -17,7 +17,7 @@
 var bounds = Bounds{Values: 6, Bytes: 200, History: 3, Key: 20, Value: 60, Ops: 8, Done: 5}
 
 // made is a transaction with what came of it.
-type made struct {
+type appliedTxn struct {
 	txn    Txn
 	result Result
 }
@@ -56,28 +56,10 @@
 			}
 			if old, ok := m.entries[p]; ok {
 				e.Created = old.Created
-				h := m.history[p]
-				if n := len(h); n == 0 || h[n-1].Version != old.Version {
-					h = append(h, old)
-				} else {
-					h[n-1] = old
-				}
-				m.history[p] = h[max(0, len(h)-bounds.History):]
+				m.archive(p, old)
 			}
 			m.entries[p] = e
-			for m.over(op.Table) {
-				first := ""
-				for q, x := range m.entries {
-					y := m.entries[first]
-					if x.Table == op.Table && q != p && !x.Keep && (first == "" || x.Created < y.Created || x.Created == y.Created && x.Key < y.Key) {
-						first = q
-					}
-				}
-				if first == "" {
-					break
-				}
-				m.drop(first)
-			}
+			m.evict(op.Table, p)
 		case Delete:
 			m.drop(p)
 		}
@@ -85,7 +67,44 @@
 	return -1, 0
 }
 
-// fullTable says whether a table would hold more to be kept than its bounds, with what is new there.
+// archive adds a former value.
+func (m *model) archive(p string, old Entry) {
+	h := m.history[p]
+	if n := len(h); n == 0 || h[n-1].Version != old.Version {
+		h = append(h, old)
+	} else {
+		h[n-1] = old
+	}
+	m.history[p] = h[max(0, len(h)-bounds.History):]
+}
+
+// evict drops the oldest entries of a table, except one, until it is within its bounds.
+func (m *model) evict(table, except string) {
+	for m.over(table) {
+		first := m.oldest(table, except)
+		if first == "" {
+			return
+		}
+		m.drop(first)
+	}
+}
+
+// oldest returns the path of the entry that is evicted next, empty for none.
+func (m *model) oldest(table, except string) string {
+	first := ""
+	for q, x := range m.entries {
+		if x.Table != table || q == except || x.Keep {
+			continue
+		}
+		y := m.entries[first]
+		if first == "" || x.Created < y.Created || x.Created == y.Created && x.Key < y.Key {
+			first = q
+		}
+	}
+	return first
+}
+
+// full reports whether a table would exceed its bounds with entries that are never evicted.
 func (m *model) full(t *Txn) bool {
 	for _, table := range []string{"a", "ab"} {
 		n, size, more := 0, 0, false
@@ -119,79 +138,115 @@
 	return n > 1 && (n > bounds.Values || size > bounds.Bytes)
 }
 
-// Whatever transactions come, the state is the model's; a snapshot taken on the way stays as it was, and comes back from
-// its bytes as it is.
+// drawOp draws one operation. Its condition holds in most cases.
+func drawOp(t *rapid.T, m *model) Op {
+	op := Op{
+		Verb:  Verb(rapid.IntRange(1, 3).Draw(t, "verb")),
+		Table: rapid.SampledFrom([]string{"a", "ab"}).Draw(t, "table"),
+		Key:   fmt.Sprint("k", rapid.IntRange(0, 9).Draw(t, "key")),
+	}
+	if op.Verb == Put {
+		op.Value = rapid.SliceOfN(rapid.Byte(), 1, 60).Draw(t, "value")
+		op.Keep = rapid.IntRange(0, 2).Draw(t, "kept") == 0
+		op.TTL = int64(rapid.SampledFrom([]int{0, 0, 5, 50}).Draw(t, "ttl"))
+	}
+	if op.Cond = rapid.IntRange(0, 3).Draw(t, "cond") == 0; op.Cond {
+		op.If = m.entries[op.Table+"/"+op.Key].Version
+		if rapid.IntRange(0, 3).Draw(t, "wrong") == 0 {
+			op.If += uint64(rapid.IntRange(0, 2).Draw(t, "off"))
+		}
+	}
+	return op
+}
+
+// drawTxn draws a transaction.
+func drawTxn(t *rapid.T, m *model) *Txn {
+	txn := &Txn{At: int64(rapid.IntRange(0, 100).Draw(t, "at"))}
+	for range rapid.IntRange(0, 4).Draw(t, "ops") {
+		txn.Ops = append(txn.Ops, drawOp(t, m))
+	}
+	return txn
+}
+
+// encoded returns what a member decodes of a transaction.
+func encoded(t *rapid.T, txn *Txn) Txn {
+	data, err := txn.Marshal()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out Txn
+	if err := out.Unmarshal(data); err != nil {
+		t.Fatal(err)
+	}
+	return out
+}
+
+// checkApply applies a transaction to the state and to the model, and expects the same result of both.
+func checkApply(t *rapid.T, s *State, m *model, index uint64, txn *Txn) appliedTxn {
+	decoded := encoded(t, txn)
+	decoded.ID = fmt.Sprint("id", index)
+	got := s.Apply(index, &decoded)
+	failed, current := m.apply(index, txn)
+	switch {
+	case failed == -2:
+		if !strings.HasPrefix(got.Err, Full) {
+			t.Fatalf("%+v, want a refusal: it is full", got)
+		}
+	case got.Err != "" || got.Failed != failed || failed >= 0 && got.Current != current:
+		t.Fatalf("%+v, want %d %d", got, failed, current)
+	}
+	if r := s.Apply(index, &decoded); r.OK() {
+		t.Fatal("a transaction was made twice")
+	}
+	return appliedTxn{Txn{ID: decoded.ID, Ops: decoded.Ops}, got}
+}
+
+// checkRepeat applies one of the latest transactions again: it has the same result, and no effect.
+func checkRepeat(t *rapid.T, s *State, index uint64, applied []appliedTxn) {
+	x := applied[rapid.IntRange(max(0, len(applied)-bounds.Done), len(applied)-1).Draw(t, "which")]
+	if r := s.Apply(index, &x.txn); r != x.result || len(s.Events()) != 0 {
+		t.Fatalf("%+v, the first time %+v, events %+v", r, x.result, s.Events())
+	}
+}
+
+// checkSnapshot decodes a state's snapshot and expects the same state.
+func checkSnapshot(t *rapid.T, s *State, m *model) {
+	back, err := Read(bytes.NewReader(written(t, s.Snapshot())), bounds)
+	if err != nil {
+		t.Fatal(err)
+	}
+	same(t, back.Snapshot(), m)
+	if back.index != s.index || back.now != s.now || back.Due() != s.Due() ||
+		!reflect.DeepEqual(back.Snapshot().Tables(), s.Snapshot().Tables()) {
+		t.Fatal("a state that was read differs")
+	}
+}
+
+// The state is the model's after any transactions. A snapshot that is taken in between does not change, and is decoded
+// to the same state.
 func TestAgainstAModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, m := New(bounds), &model{entries: map[string]Entry{}, history: map[string][]Entry{}}
-		var kept *View
-		var keptBytes []byte
+		var snapshot *View
+		var snapshotBytes []byte
 		index := uint64(0)
-		var asked []made
+		var applied []appliedTxn
 		for range rapid.IntRange(1, 40).Draw(t, "transactions") {
 			index += uint64(rapid.IntRange(1, 3).Draw(t, "gap"))
-			txn := &Txn{At: int64(rapid.IntRange(0, 100).Draw(t, "at"))}
-			for range rapid.IntRange(0, 4).Draw(t, "ops") {
-				op := Op{Verb: Verb(rapid.IntRange(1, 3).Draw(t, "verb")), Table: rapid.SampledFrom([]string{"a", "ab"}).Draw(t, "table"),
-					Key: fmt.Sprint("k", rapid.IntRange(0, 9).Draw(t, "key"))}
-				if op.Verb == Put {
-					op.Value = rapid.SliceOfN(rapid.Byte(), 1, 60).Draw(t, "value")
-					op.Keep = rapid.IntRange(0, 2).Draw(t, "kept") == 0
-					op.TTL = int64(rapid.SampledFrom([]int{0, 0, 5, 50}).Draw(t, "ttl"))
-				}
-				if op.Cond = rapid.IntRange(0, 3).Draw(t, "cond") == 0; op.Cond {
-					op.If = m.entries[op.Table+"/"+op.Key].Version
-					if rapid.IntRange(0, 3).Draw(t, "wrong") == 0 {
-						op.If += uint64(rapid.IntRange(0, 2).Draw(t, "off"))
-					}
-				}
-				txn.Ops = append(txn.Ops, op)
-			}
-			data, err := txn.Marshal()
-			if err != nil {
-				t.Fatal(err)
-			}
-			var again Txn
-			if err := again.Unmarshal(data); err != nil {
-				t.Fatal(err)
-			}
-			again.ID = fmt.Sprint("id", index)
-			got := s.Apply(index, &again)
-			asked = append(asked, made{Txn{At: 0, ID: again.ID, Ops: again.Ops}, got})
-			failed, current := m.apply(index, txn)
-			if failed == -2 {
-				if !strings.HasPrefix(got.Err, Full) {
-					t.Fatalf("%+v, want a refusal: it is full", got)
-				}
-			} else if got.Err != "" || got.Failed != failed || failed >= 0 && got.Current != current {
-				t.Fatalf("%+v, want %d %d", got, failed, current)
-			}
-			if r := s.Apply(index, &again); r.OK() {
-				t.Fatal("a transaction was made twice")
-			}
-			if rapid.IntRange(0, 2).Draw(t, "again") == 0 && len(asked) > 0 { // one that came before comes again
-				x := asked[rapid.IntRange(max(0, len(asked)-bounds.Done), len(asked)-1).Draw(t, "which")]
+			applied = append(applied, checkApply(t, s, m, index, drawTxn(t, m)))
+			if rapid.IntRange(0, 2).Draw(t, "again") == 0 {
 				index++
-				if r := s.Apply(index, &x.txn); r != x.result || len(s.Events()) != 0 {
-					t.Fatalf("%+v, the first time %+v, events %+v", r, x.result, s.Events())
-				}
+				checkRepeat(t, s, index, applied)
 			}
 			same(t, s.Snapshot(), m)
 			if rapid.IntRange(0, 5).Draw(t, "keep") == 0 {
-				kept, keptBytes = s.Snapshot(), written(t, s.Snapshot())
+				snapshot, snapshotBytes = s.Snapshot(), written(t, s.Snapshot())
 			}
 		}
-		if kept != nil && !bytes.Equal(written(t, kept), keptBytes) {
+		if snapshot != nil && !bytes.Equal(written(t, snapshot), snapshotBytes) {
 			t.Fatal("a snapshot changed after it was taken")
 		}
-		back, err := Read(bytes.NewReader(written(t, s.Snapshot())), bounds)
-		if err != nil {
-			t.Fatal(err)
-		}
-		same(t, back.Snapshot(), m)
-		if back.index != s.index || back.now != s.now || back.Due() != s.Due() || !reflect.DeepEqual(back.Snapshot().Tables(), s.Snapshot().Tables()) {
-			t.Fatal("a state that was read differs")
-		}
+		checkSnapshot(t, s, m)
 	})
 }
 
@@ -228,7 +283,7 @@
 }
 
 // Pages of a prefix hold each key once.
-func TestList(t *testing.T) {
+func TestPagesHoldEachKeyOnce(t *testing.T) {
 	s := New(Bounds{Key: 20, Value: 20, Ops: 100})
 	var ops []Op
 	for _, k := range []string{"a", "b/1", "b/2", "b/3", "b0", "c"} {
@@ -256,10 +311,18 @@
 	}
 }
 
-// Transactions that none could make do nothing and say why.
-func TestRefuses(t *testing.T) {
-	for i, ops := range [][]Op{{{Verb: Put, Key: "k"}}, {{Verb: Put, Table: "t"}}, {{Verb: 9, Table: "t", Key: "k"}}, {{Verb: Put, Table: "t", Key: "a\x00b"}},
-		{{Verb: Put, Table: "t", Key: "k", Value: make([]byte, 61)}}, make([]Op, 9), {{Verb: Put, Table: "t", Key: "k", TTL: -1}}, {{Verb: Delete, Table: "t", Key: "k", TTL: 1}}} {
+// Transactions that are invalid in any state have no effect and say why.
+func TestInvalidTransactionsHaveNoEffect(t *testing.T) {
+	for i, ops := range [][]Op{
+		{{Verb: Put, Key: "k"}},
+		{{Verb: Put, Table: "t"}},
+		{{Verb: 9, Table: "t", Key: "k"}},
+		{{Verb: Put, Table: "t", Key: "a\x00b"}},
+		{{Verb: Put, Table: "t", Key: "k", Value: make([]byte, 61)}},
+		make([]Op, 9),
+		{{Verb: Put, Table: "t", Key: "k", TTL: -1}},
+		{{Verb: Delete, Table: "t", Key: "k", TTL: 1}},
+	} {
 		s := New(bounds)
 		if r := s.Apply(1, &Txn{Ops: ops}); r.Err == "" || len(s.Snapshot().Tables()) != 0 || len(s.Events()) != 0 {
 			t.Errorf("%d: %+v", i, r)
@@ -267,8 +330,8 @@
 	}
 }
 
-// A snapshot with any byte changed, or cut off anywhere, is known as damaged.
-func TestDamagedSnapshots(t *testing.T) {
+// A snapshot with any byte changed, or truncated anywhere, is an error.
+func TestDamagedSnapshotIsAnError(t *testing.T) {
 	s := New(bounds)
 	for i := range uint64(5) {
 		s.Apply(i+1, &Txn{At: 5, Ops: []Op{{Verb: Put, Table: "t", Key: fmt.Sprint(i % 3), Value: []byte("value"), TTL: 99}}})
@@ -289,7 +352,7 @@
 	}
 }
 
-// No bytes take the decoders down.
+// No input makes the decoders panic.
 func FuzzDecoders(f *testing.F) {
 	txn, _ := (&Txn{At: 1, Ops: []Op{{Verb: Put, Table: "t", Key: "k", Value: []byte("v")}}}).Marshal()
 	f.Add(txn)
