--- a/internal/batch/sweep.go
+++ b/internal/batch/sweep.go
@@ -10,7 +10,7 @@
 
 // sweeper is a store that can take old records away.
 type sweeper interface {
-	Sweep(kind string, most jobstore.Tally, limit int, fate func(key string, value []byte) jobstore.Fate) (int, error)
+	Sweep(kind string, most jobstore.Usage, limit int, fate func(key string, value []byte) jobstore.Retention) (int, error)
 }
 
 // sweep takes away records of jobs that ended long ago, or the first ones where there are too many.
@@ -20,15 +20,15 @@
 		return
 	}
 	before := time.Now().Add(-f.lim.BatchAge)
-	gone, err := s.Sweep(kindJob, jobstore.Tally{Values: f.lim.BatchValues, Bytes: f.lim.BatchRecords}, 10000,
-		func(_ string, v []byte) jobstore.Fate {
+	gone, err := s.Sweep(kindJob, jobstore.Usage{Values: f.lim.BatchValues, Bytes: f.lim.BatchRecords}, 10000,
+		func(_ string, v []byte) jobstore.Retention {
 			switch end := gjson.GetBytes(v, "finishTime"); {
 			case !end.Exists():
-				return jobstore.Hold
+				return jobstore.Retained
 			case end.Time().Before(before):
-				return jobstore.Drop
+				return jobstore.Expired
 			}
-			return jobstore.Stay
+			return jobstore.Evictable
 		})
 	if err != nil || gone > 0 {
 		f.log.Info("old records of batch jobs", "gone", gone, "err", err)
--- a/internal/jobstore/records.go
+++ b/internal/jobstore/records.go
@@ -55,7 +55,7 @@
 	db *bolt.DB
 }
 
-var tallies = []byte("\x00tallies") // of each kind: how many values, and their bytes
+var usageBucket = []byte("\x00tallies") // of each kind: how many values, and their bytes
 
 // OpenBolt opens a folder's file, or makes it. Only one process has it at a time: another is told so within a second.
 func OpenBolt(dir string) (*Bolt, error) {
@@ -81,7 +81,7 @@
 	}
 	err := b.db.Batch(func(tx *bolt.Tx) error {
 		for i := range changes {
-			if err := write(tx, &changes[i]); err != nil {
+			if err := applyChange(tx, &changes[i]); err != nil {
 				return err
 			}
 		}
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func write(tx *bolt.Tx, c *Change) error {
+func applyChange(tx *bolt.Tx, c *Change) error {
 	if c.Key == "" || c.Kind == "" || c.Kind[0] == 0 {
 		return fmt.Errorf("a change of %q %q", c.Kind, c.Key)
 	}
@@ -104,11 +104,11 @@
 	if err != nil {
 		return err
 	}
-	sums, err := tx.CreateBucketIfNotExists(tallies)
+	sums, err := tx.CreateBucketIfNotExists(usageBucket)
 	if err != nil {
 		return err
 	}
-	t := tallyOf(sums.Get([]byte(c.Kind)))
+	t := decodeUsage(sums.Get([]byte(c.Kind)))
 	if old := bucket.Get([]byte(c.Key)); old != nil {
 		if c.New {
 			return ErrExists
@@ -126,29 +126,29 @@
 	if err != nil {
 		return err
 	}
-	return sums.Put([]byte(c.Kind), t.bytes())
+	return sums.Put([]byte(c.Kind), t.encode())
 }
 
-// Tally is how much of a kind is on record.
-type Tally struct{ Values, Bytes int64 }
+// Usage is how much of a kind is on record.
+type Usage struct{ Values, Bytes int64 }
 
-func tallyOf(b []byte) (t Tally) {
+func decodeUsage(b []byte) (t Usage) {
 	if len(b) == 16 {
 		t.Values, t.Bytes = int64(binary.BigEndian.Uint64(b)), int64(binary.BigEndian.Uint64(b[8:]))
 	}
 	return t
 }
 
-func (t Tally) bytes() []byte {
+func (t Usage) encode() []byte {
 	b := binary.BigEndian.AppendUint64(nil, uint64(t.Values))
 	return binary.BigEndian.AppendUint64(b, uint64(t.Bytes))
 }
 
-// Tally tells how much of a kind is on record.
-func (b *Bolt) Tally(kind string) (t Tally, err error) {
+// Usage tells how much of a kind is on record.
+func (b *Bolt) Usage(kind string) (t Usage, err error) {
 	err = b.db.View(func(tx *bolt.Tx) error {
-		if sums := tx.Bucket(tallies); sums != nil {
-			t = tallyOf(sums.Get([]byte(kind)))
+		if sums := tx.Bucket(usageBucket); sums != nil {
+			t = decodeUsage(sums.Get([]byte(kind)))
 		}
 		return nil
 	})
@@ -197,21 +197,21 @@
 // Sweep takes the first values of a kind away, in the order of their keys, while there are more than most of them, or
 // more bytes, or drop says that one is too old. It passes over those that keep says must stay, looks at no more than
 // limit values a call, and tells how many went.
-func (b *Bolt) Sweep(kind string, most Tally, limit int, fate func(key string, value []byte) Fate) (gone int, err error) {
+func (b *Bolt) Sweep(kind string, most Usage, limit int, fate func(key string, value []byte) Retention) (gone int, err error) {
 	err = b.db.Update(func(tx *bolt.Tx) error {
-		bucket, sums := tx.Bucket([]byte(kind)), tx.Bucket(tallies)
+		bucket, sums := tx.Bucket([]byte(kind)), tx.Bucket(usageBucket)
 		if bucket == nil || sums == nil {
 			return nil
 		}
-		t := tallyOf(sums.Get([]byte(kind)))
+		t := decodeUsage(sums.Get([]byte(kind)))
 		c := bucket.Cursor()
 		for k, v := c.First(); k != nil && limit > 0; limit-- {
 			over := most.Values > 0 && t.Values > most.Values || most.Bytes > 0 && t.Bytes > most.Bytes
 			f := fate(string(k), v)
-			if f == Stay && !over {
+			if f == Evictable && !over {
 				break // those after it are younger
 			}
-			if f == Hold || f == Stay && !over {
+			if f == Retained || f == Evictable && !over {
 				k, v = c.Next()
 				continue
 			}
@@ -224,17 +224,17 @@
 			}
 			k, v = c.Seek(key) // a cursor that has deleted stands on what follows, or before it
 		}
-		return sums.Put([]byte(kind), t.bytes())
+		return sums.Put([]byte(kind), t.encode())
 	})
 	return gone, err
 }
 
-// Fate is what Sweep is told of a value.
-type Fate uint8
+// Retention is what Sweep is told of a value.
+type Retention uint8
 
 // The fates.
 const (
-	Stay Fate = iota // it may go if there is too much
-	Drop             // it is too old
-	Hold             // it must stay
+	Evictable Retention = iota // it may go if there is too much
+	Expired                    // it is too old
+	Retained                   // it must stay
 )
--- a/internal/jobstore/records_test.go
+++ b/internal/jobstore/records_test.go
@@ -71,7 +71,7 @@
 				t.Fatalf("%s: %q %v %v, want %q", k, got, ok, err, v)
 			}
 		}
-		if got, err := b.Tally("job"); err != nil || got != (Tally{int64(len(want)), bytes}) {
+		if got, err := b.Usage("job"); err != nil || got != (Usage{int64(len(want)), bytes}) {
 			t.Fatalf("%+v %v, want %d values of %d bytes", got, err, len(want), bytes)
 		}
 		after, seen := "", 0
@@ -106,16 +106,16 @@
 			t.Fatal(err)
 		}
 	}
-	fate := func(key string, _ []byte) Fate {
+	fate := func(key string, _ []byte) Retention {
 		switch {
 		case key == "k03" || key == "k07":
-			return Hold
+			return Retained
 		case key < "k05":
-			return Drop
+			return Expired
 		}
-		return Stay
+		return Evictable
 	}
-	gone, err := b.Sweep("job", Tally{Values: 10}, 100, fate)
+	gone, err := b.Sweep("job", Usage{Values: 10}, 100, fate)
 	if err != nil || gone != 10 {
 		t.Errorf("%d went, %v", gone, err)
 	}
@@ -127,7 +127,7 @@
 	if got := fmt.Sprint(keys); got != "[k03 k07 k12 k13 k14 k15 k16 k17 k18 k19]" {
 		t.Errorf("left: %s", got)
 	}
-	if got, _ := b.Tally("job"); got.Values != 10 {
+	if got, _ := b.Usage("job"); got.Values != 10 {
 		t.Errorf("%+v", got)
 	}
 }
