--- /dev/null
+++ b/internal/jobstore/bolt.go
@@ -0,0 +1,141 @@
+package jobstore
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	bolt "go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
+)
+
+const (
+	boltFile = "batch.db"
+	fileMode = 0o600
+	dirMode  = 0o700
+
+	openTimeout = time.Second // for the lock of a file that another process has open
+
+	// maxBatchDelay is how long a write waits for others to share its sync of the disk.
+	maxBatchDelay = 2 * time.Millisecond
+)
+
+// Bolt is a Store in one file. Its pages are mapped from the file, so that it uses no memory of the process's own but
+// for the pages in use.
+type Bolt struct {
+	db *bolt.DB
+}
+
+// OpenBolt opens the file in a directory, or creates both. One process can have it open at a time: for another it
+// returns an error within a second.
+func OpenBolt(dir string) (*Bolt, error) {
+	if err := os.MkdirAll(dir, dirMode); err != nil {
+		return nil, fmt.Errorf("records: %w", err)
+	}
+	path := filepath.Join(dir, boltFile)
+	db, err := bolt.Open(path, fileMode, &bolt.Options{Timeout: openTimeout, FreelistType: bolt.FreelistMapType})
+	if err != nil {
+		return nil, fmt.Errorf("records: %s: %w", path, err)
+	}
+	db.MaxBatchDelay = maxBatchDelay
+	return &Bolt{db}, nil
+}
+
+// Close closes the file. Writes that follow return ErrClosed.
+func (b *Bolt) Close() error { return b.db.Close() }
+
+// Write commits changes in one transaction, which concurrent writes share.
+func (b *Bolt) Write(ctx context.Context, changes ...Change) error {
+	if err := ctx.Err(); err != nil {
+		return err
+	}
+	err := b.db.Batch(func(tx *bolt.Tx) error {
+		for i := range changes {
+			if err := applyChange(tx, &changes[i]); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+	if errors.Is(err, bolterrors.ErrDatabaseNotOpen) {
+		return ErrClosed
+	}
+	if err != nil {
+		return fmt.Errorf("records: %w", err)
+	}
+	return nil
+}
+
+func applyChange(tx *bolt.Tx, c *Change) error {
+	if c.Key == "" || c.Kind == "" || c.Kind[0] == usageBucket[0] {
+		return fmt.Errorf("a change of %q %q", c.Kind, c.Key)
+	}
+	values, err := tx.CreateBucketIfNotExists([]byte(c.Kind))
+	if err != nil {
+		return err
+	}
+	usages, err := tx.CreateBucketIfNotExists(usageBucket)
+	if err != nil {
+		return err
+	}
+	usage := decodeUsage(usages.Get([]byte(c.Kind)))
+	if old := values.Get([]byte(c.Key)); old != nil {
+		if c.New {
+			return ErrExists
+		}
+		usage.remove(c.Key, old)
+	}
+	if c.Value == nil {
+		err = values.Delete([]byte(c.Key))
+	} else {
+		usage.add(c.Key, c.Value)
+		err = values.Put([]byte(c.Key), c.Value)
+	}
+	if err != nil {
+		return err
+	}
+	return usages.Put([]byte(c.Kind), usage.encode())
+}
+
+// Get returns a copy of a value.
+func (b *Bolt) Get(_ context.Context, kind, key string) (value []byte, found bool, err error) {
+	err = b.db.View(func(tx *bolt.Tx) error {
+		if bucket := tx.Bucket([]byte(kind)); bucket != nil {
+			if v := bucket.Get([]byte(key)); v != nil {
+				value, found = append([]byte{}, v...), true
+			}
+		}
+		return nil
+	})
+	return value, found, err
+}
+
+// Local returns a value. Here it is the same as Get; a member of the replicated store returns what it has, which may be
+// stale.
+func (b *Bolt) Local(kind, key string) ([]byte, bool) {
+	value, found, err := b.Get(context.Background(), kind, key)
+	return value, found && err == nil
+}
+
+// Page returns rows in key order.
+func (b *Bolt) Page(_ context.Context, kind, after string, limit int) (rows []Row, err error) {
+	err = b.db.View(func(tx *bolt.Tx) error {
+		bucket := tx.Bucket([]byte(kind))
+		if bucket == nil {
+			return nil
+		}
+		c := bucket.Cursor()
+		k, v := c.Seek([]byte(after))
+		if after != "" && string(k) == after {
+			k, v = c.Next()
+		}
+		for ; k != nil && len(rows) < limit; k, v = c.Next() {
+			rows = append(rows, Row{string(k), append([]byte{}, v...)})
+		}
+		return nil
+	})
+	return rows, err
+}
--- a/internal/jobstore/disk_test.go
+++ b/internal/jobstore/disk_test.go
@@ -12,9 +12,9 @@
 	"gatetack/internal/atomicfile/atomicfiletest"
 )
 
-// A disk that is full, or that loses what it took until it is synced, fails writes of any size and acknowledges none of them.
-// What was acknowledged before is readable meanwhile and afterwards, writes succeed once the disk works, and what was
-// acknowledged then is there after the file is opened again.
+// A disk that is full, or that loses what it took until it is synced, fails writes of any size and acknowledges none of
+// them. What was acknowledged before is readable meanwhile and afterwards, writes succeed once the disk works, and what
+// was acknowledged then is there after the file is opened again.
 func TestBoltOnAFailingDisk(t *testing.T) {
 	for _, x := range []struct {
 		what, device string
