--- a/cmd/gatetack/keys.go
+++ b/cmd/gatetack/keys.go
@@ -37,7 +37,7 @@
 	run("revoke DIR SERIAL", "refuse a certificate from the next connection on; DIR is the folder of each node's keys", 2, 0,
 		func(_ *cobra.Command, a []string, _ time.Duration) error { return pki.Revoke(a[0], a[1]) })
 	run("show DIR", "tell of a folder's certificates: nothing secret", 1, 0, func(cmd *cobra.Command, a []string, _ time.Duration) error {
-		all, err := pki.Show(a[0])
+		all, err := pki.Describe(a[0])
 		if err != nil {
 			return err
 		}
--- a/internal/pki/files.go
+++ b/internal/pki/files.go
@@ -26,7 +26,7 @@
 	mode fs.FileMode
 }
 
-func keyContent(dir, name string, k *ecdsa.PrivateKey) (content, error) {
+func encodeKey(dir, name string, k *ecdsa.PrivateKey) (content, error) {
 	der, err := x509.MarshalECPrivateKey(k)
 	if err != nil {
 		return content{}, err
@@ -34,7 +34,7 @@
 	return content{filepath.Join(dir, name), pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: der}), privateMode}, nil
 }
 
-func certContent(dir, name string, der []byte) content {
+func encodeCert(dir, name string, der []byte) content {
 	return content{filepath.Join(dir, name), pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), publicMode}
 }
 
--- a/internal/pki/files_test.go
+++ b/internal/pki/files_test.go
@@ -34,7 +34,7 @@
 		{atomicfiletest.Sync, syscall.EIO},
 	} {
 		for file := range 3 {
-			ca, nodes := folder(t, "n0")
+			ca, nodes := newFolders(t, "n0")
 			before := serialIn(t, nodes[0])
 			fsys := withFaults(t)
 			fsys.FailAfter(x.op, file, 1, x.cause)
@@ -86,7 +86,7 @@
 	if err := Revoke(dir, "c3"); err != nil {
 		t.Fatal(err)
 	}
-	list, err := readRevoked(filepath.Join(dir, revoked))
+	list, err := readRevoked(filepath.Join(dir, revokedFile))
 	if err != nil || len(list) != 2 || !list["a1"] || !list["c3"] {
 		t.Errorf("%v, %v", list, err)
 	}
@@ -95,7 +95,7 @@
 // serialIn returns the serial number of the certificate in a folder.
 func serialIn(t *testing.T, dir string) string {
 	t.Helper()
-	shown, err := Show(dir)
+	shown, err := Describe(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/pki/keys.go
+++ b/internal/pki/keys.go
@@ -27,11 +27,11 @@
 
 // The files of a folder of keys. The authority's key is where certificates are issued, and nowhere else.
 const (
-	caCert  = "ca.pem"
-	caKey   = "ca.key"
-	cert    = "node.pem"
-	key     = "node.key"
-	revoked = "revoked" // serial numbers, one a line; # begins a comment
+	caCertFile  = "ca.pem"
+	caKeyFile   = "ca.key"
+	certFile    = "node.pem"
+	keyFile     = "node.key"
+	revokedFile = "revoked" // serial numbers, one a line; # begins a comment
 )
 
 // Errors that a peer's certificate leads to.
@@ -45,14 +45,14 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	if _, err := os.Stat(filepath.Join(dir, caKey)); err == nil {
+	if _, err := os.Stat(filepath.Join(dir, caKeyFile)); err == nil {
 		return fmt.Errorf("keys: %s has an authority already", dir)
 	}
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return err
 	}
-	t, err := template(name, valid, now)
+	t, err := newTemplate(name, valid, now)
 	if err != nil {
 		return err
 	}
@@ -62,15 +62,15 @@
 	if err != nil {
 		return err
 	}
-	keyFile, err := keyContent(dir, caKey, k)
+	keyFile, err := encodeKey(dir, caKeyFile, k)
 	if err != nil {
 		return err
 	}
 	// The key goes last: with one in the folder, Init makes no other.
-	return replaceAll(files, certContent(dir, caCert, der), keyFile)
+	return replaceAll(files, encodeCert(dir, caCertFile, der), keyFile)
 }
 
-func template(name string, valid time.Duration, now time.Time) (*x509.Certificate, error) {
+func newTemplate(name string, valid time.Duration, now time.Time) (*x509.Certificate, error) {
 	if name == "" || len(name) > 64 {
 		return nil, errors.New("keys: a name of 1 to 64 characters is needed")
 	}
@@ -85,11 +85,11 @@
 // Issue makes a key and a certificate for a node, signed by the authority in dir, into a folder out. Renewing is issuing
 // again: the new files take the old ones' place, each in one step.
 func Issue(dir, out, name string, valid time.Duration, now time.Time) error {
-	ca, err := tls.LoadX509KeyPair(filepath.Join(dir, caCert), filepath.Join(dir, caKey))
+	ca, err := tls.LoadX509KeyPair(filepath.Join(dir, caCertFile), filepath.Join(dir, caKeyFile))
 	if err != nil {
 		return fmt.Errorf("keys: the authority: %w", err)
 	}
-	if err := private(filepath.Join(dir, caKey)); err != nil {
+	if err := checkPrivate(filepath.Join(dir, caKeyFile)); err != nil {
 		return err
 	}
 	root, err := x509.ParseCertificate(ca.Certificate[0])
@@ -103,7 +103,7 @@
 	if err != nil {
 		return err
 	}
-	t, err := template(name, valid, now)
+	t, err := newTemplate(name, valid, now)
 	if err != nil {
 		return err
 	}
@@ -117,16 +117,16 @@
 	if err := os.MkdirAll(out, 0o700); err != nil {
 		return err
 	}
-	pub, err := os.ReadFile(filepath.Join(dir, caCert))
+	pub, err := os.ReadFile(filepath.Join(dir, caCertFile))
 	if err != nil {
 		return err
 	}
-	keyFile, err := keyContent(out, key, k)
+	keyFile, err := encodeKey(out, keyFile, k)
 	if err != nil {
 		return err
 	}
 	// The certificate goes last: a reader that finds a key and a certificate that do not fit keeps what it had.
-	return replaceAll(files, content{filepath.Join(out, caCert), pub, publicMode}, keyFile, certContent(out, cert, der))
+	return replaceAll(files, content{filepath.Join(out, caCertFile), pub, publicMode}, keyFile, encodeCert(out, certFile, der))
 }
 
 // Revoke adds a certificate's serial number to a folder's list, which goes to every node.
@@ -135,7 +135,7 @@
 	if !ok {
 		return fmt.Errorf("keys: %q is no serial number in hexadecimal", serial)
 	}
-	path := filepath.Join(dir, revoked)
+	path := filepath.Join(dir, revokedFile)
 	old, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -143,22 +143,22 @@
 	return atomicfile.Write(files, path, append(old, (n.Text(16)+"\n")...), publicMode)
 }
 
-// Shown is what there is to tell of a certificate: nothing secret.
-type Shown struct {
-	File, Name, Serial string
-	From, Until        time.Time
-	Authority          bool
-	Revoked            bool
+// CertificateInfo is what there is to tell of a certificate: nothing secret.
+type CertificateInfo struct {
+	File, Name, Serial  string
+	NotBefore, NotAfter time.Time
+	Authority           bool
+	Revoked             bool
 }
 
-// Show tells of a folder's certificates.
-func Show(dir string) ([]Shown, error) {
-	list, err := readRevoked(filepath.Join(dir, revoked))
+// Describe tells of a folder's certificates.
+func Describe(dir string) ([]CertificateInfo, error) {
+	list, err := readRevoked(filepath.Join(dir, revokedFile))
 	if err != nil {
 		return nil, err
 	}
-	var out []Shown
-	for _, name := range []string{caCert, cert} {
+	var out []CertificateInfo
+	for _, name := range []string{caCertFile, certFile} {
 		data, err := os.ReadFile(filepath.Join(dir, name))
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
@@ -170,7 +170,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("keys: %s: %w", name, err)
 		}
-		out = append(out, Shown{File: name, Name: c.Subject.CommonName, Serial: c.SerialNumber.Text(16), From: c.NotBefore, Until: c.NotAfter,
+		out = append(out, CertificateInfo{File: name, Name: c.Subject.CommonName, Serial: c.SerialNumber.Text(16), NotBefore: c.NotBefore, NotAfter: c.NotAfter,
 			Authority: c.IsCA, Revoked: list[c.SerialNumber.Text(16)]})
 	}
 	if len(out) == 0 {
@@ -187,7 +187,7 @@
 	return x509.ParseCertificate(b.Bytes)
 }
 
-func private(path string) error {
+func checkPrivate(path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
@@ -226,27 +226,27 @@
 // Ring is a folder's keys in use. Before each connection it looks whether a file has changed; one that can not be read
 // leaves the last good keys in force, and is told of.
 type Ring struct {
-	dir string
-	bad func(error)
+	dir     string
+	onError func(error)
 
-	mu    sync.Mutex
-	stamp string
-	pair  *tls.Certificate
-	roots *x509.CertPool
-	list  map[string]bool
+	mu              sync.Mutex
+	readFingerprint string
+	pair            *tls.Certificate
+	roots           *x509.CertPool
+	revoked         map[string]bool
 }
 
 // Open reads a folder's keys. Bad is told of files that can not be read later on.
 func Open(dir string, bad func(error)) (*Ring, error) {
-	r := &Ring{dir: dir, bad: bad}
-	r.stamp = r.look()
+	r := &Ring{dir: dir, onError: bad}
+	r.readFingerprint = r.fingerprint()
 	return r, r.read()
 }
 
-// look is what changes with the files.
-func (r *Ring) look() string {
+// fingerprint is what changes with the files.
+func (r *Ring) fingerprint() string {
 	out := ""
-	for _, name := range []string{caCert, cert, key, revoked} {
+	for _, name := range []string{caCertFile, certFile, keyFile, revokedFile} {
 		if info, err := os.Stat(filepath.Join(r.dir, name)); err == nil {
 			out += fmt.Sprintf("%s %d %d %v;", name, info.Size(), info.ModTime().UnixNano(), info.Mode())
 		}
@@ -255,45 +255,45 @@
 }
 
 func (r *Ring) read() error {
-	if err := private(filepath.Join(r.dir, key)); err != nil {
+	if err := checkPrivate(filepath.Join(r.dir, keyFile)); err != nil {
 		return err
 	}
-	pair, err := tls.LoadX509KeyPair(filepath.Join(r.dir, cert), filepath.Join(r.dir, key))
+	pair, err := tls.LoadX509KeyPair(filepath.Join(r.dir, certFile), filepath.Join(r.dir, keyFile))
 	if err != nil {
 		return fmt.Errorf("keys: %s: %w", r.dir, err)
 	}
-	root, err := os.ReadFile(filepath.Join(r.dir, caCert))
+	root, err := os.ReadFile(filepath.Join(r.dir, caCertFile))
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(root) {
-		return fmt.Errorf("keys: no certificate in %s", filepath.Join(r.dir, caCert))
+		return fmt.Errorf("keys: no certificate in %s", filepath.Join(r.dir, caCertFile))
 	}
-	list, err := readRevoked(filepath.Join(r.dir, revoked))
+	list, err := readRevoked(filepath.Join(r.dir, revokedFile))
 	if err != nil {
 		return err
 	}
-	r.pair, r.roots, r.list = &pair, pool, list
+	r.pair, r.roots, r.revoked = &pair, pool, list
 	return nil
 }
 
 // now gives the keys as the files have them.
-func (r *Ring) now() (*tls.Certificate, *x509.CertPool, map[string]bool) {
+func (r *Ring) current() (*tls.Certificate, *x509.CertPool, map[string]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if stamp := r.look(); stamp != r.stamp {
+	if stamp := r.fingerprint(); stamp != r.readFingerprint {
 		if err := r.read(); err != nil {
-			r.bad(err) // and looked at again next time: files are replaced one after another
+			r.onError(err) // and looked at again next time: files are replaced one after another
 		} else {
-			r.stamp = stamp
+			r.readFingerprint = stamp
 		}
 	}
-	return r.pair, r.roots, r.list
+	return r.pair, r.roots, r.revoked
 }
 
-// check refuses a peer whose certificate was revoked. That it is signed, in time and of use is seen to before.
-func check(list map[string]bool) func(tls.ConnectionState) error {
+// rejectRevoked refuses a peer whose certificate was revoked. That it is signed, in time and of use is seen to before.
+func rejectRevoked(list map[string]bool) func(tls.ConnectionState) error {
 	return func(s tls.ConnectionState) error {
 		for _, c := range s.PeerCertificates {
 			if list[c.SerialNumber.Text(16)] {
@@ -307,17 +307,17 @@
 // Server is the configuration of a listener: a peer must show a certificate of the authority's.
 func (r *Ring) Server() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		pair, roots, list := r.now()
+		pair, roots, list := r.current()
 		// Tickets would let a peer come back by what it was before it was revoked.
 		return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*pair}, ClientCAs: roots,
-			ClientAuth: tls.RequireAndVerifyClientCert, VerifyConnection: check(list), SessionTicketsDisabled: true}, nil
+			ClientAuth: tls.RequireAndVerifyClientCert, VerifyConnection: rejectRevoked(list), SessionTicketsDisabled: true}, nil
 	}}
 }
 
 // Client is the configuration of a connection. The peer's certificate must be the authority's; whose it is is not asked,
 // since members are known by addresses that change, and all of the authority's are trusted alike.
 func (r *Ring) Client() *tls.Config {
-	pair, roots, list := r.now()
+	pair, roots, list := r.current()
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*pair}, InsecureSkipVerify: true, // verified below, without a name
 		VerifyConnection: func(s tls.ConnectionState) error {
 			if len(s.PeerCertificates) == 0 {
@@ -326,7 +326,7 @@
 			if _, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: roots, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}}); err != nil {
 				return err
 			}
-			return check(list)(s)
+			return rejectRevoked(list)(s)
 		}}
 }
 
--- a/internal/pki/keys_test.go
+++ b/internal/pki/keys_test.go
@@ -15,8 +15,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// folder gives an authority's folder and one for each node.
-func folder(t *testing.T, names ...string) (ca string, nodes []string) {
+// newFolders gives an authority's folder and one for each node.
+func newFolders(t *testing.T, names ...string) (ca string, nodes []string) {
 	t.Helper()
 	ca = filepath.Join(t.TempDir(), "ca")
 	if err := Init(ca, "Põhjakaart", 10*365*24*time.Hour, time.Now()); err != nil {
@@ -62,8 +62,8 @@
 	return ln.Addr().String()
 }
 
-// talk sends a word and wants it back.
-func talk(addr string, c *tls.Config) error {
+// exchange sends a word and wants it back.
+func exchange(addr string, c *tls.Config) error {
 	conn, err := tls.Dial("tcp", addr, c)
 	if err != nil {
 		return err
@@ -77,65 +77,65 @@
 	return err
 }
 
-func TestMutual(t *testing.T) {
-	ca, nodes := folder(t, "n0", "n1")
+func TestPeersNeedAValidCertificate(t *testing.T) {
+	ca, nodes := newFolders(t, "n0", "n1")
 	server := open(t, nodes[0])
 	addr := serve(t, server)
 	client := open(t, nodes[1])
-	if err := talk(addr, client.Client()); err != nil {
+	if err := exchange(addr, client.Client()); err != nil {
 		t.Fatal(err)
 	}
 	// One with no certificate, one of another authority, one that has expired: refused, with a reason, and the next is served.
-	if err := talk(addr, &tls.Config{InsecureSkipVerify: true}); err == nil {
+	if err := exchange(addr, &tls.Config{InsecureSkipVerify: true}); err == nil {
 		t.Error("without a certificate")
 	}
-	_, strangers := folder(t, "n1")
-	if err := talk(addr, open(t, strangers[0]).Client()); err == nil {
+	_, strangers := newFolders(t, "n1")
+	if err := exchange(addr, open(t, strangers[0]).Client()); err == nil {
 		t.Error("of another authority")
 	}
 	expired := filepath.Join(t.TempDir(), "expired")
 	if err := Issue(ca, expired, "n1", time.Minute, time.Now().Add(-time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	if err := talk(addr, open(t, expired).Client()); err == nil {
+	if err := exchange(addr, open(t, expired).Client()); err == nil {
 		t.Error("an expired one")
 	}
-	if err := talk(serve(t, open(t, expired)), client.Client()); err == nil || !strings.Contains(err.Error(), "expired") {
+	if err := exchange(serve(t, open(t, expired)), client.Client()); err == nil || !strings.Contains(err.Error(), "expired") {
 		t.Errorf("an expired server: %v", err)
 	}
-	if err := talk(serve(t, open(t, strangers[0])), client.Client()); err == nil {
+	if err := exchange(serve(t, open(t, strangers[0])), client.Client()); err == nil {
 		t.Error("a server of another authority")
 	}
 	// Revoked: refused from the next connection on, on both sides.
-	shown, err := Show(nodes[1])
+	shown, err := Describe(nodes[1])
 	if err != nil || len(shown) != 2 || !shown[0].Authority || shown[1].Name != "n1" {
 		t.Fatalf("%+v %v", shown, err)
 	}
 	if err := Revoke(nodes[0], shown[1].Serial); err != nil {
 		t.Fatal(err)
 	}
-	if err := talk(addr, client.Client()); err == nil {
+	if err := exchange(addr, client.Client()); err == nil {
 		t.Error("a revoked one")
 	}
-	if err := talk(serve(t, client), server.Client()); !errors.Is(err, ErrRevoked) {
+	if err := exchange(serve(t, client), server.Client()); !errors.Is(err, ErrRevoked) {
 		t.Errorf("a revoked server: %v", err)
 	}
 	// Renewed: served again, without a restart of either.
 	if err := Issue(ca, nodes[1], "n1", time.Hour, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	if err := talk(addr, client.Client()); err != nil {
+	if err := exchange(addr, client.Client()); err != nil {
 		t.Errorf("a renewed one: %v", err)
 	}
-	if err := talk(addr, open(t, nodes[0]).Client()); err != nil {
+	if err := exchange(addr, open(t, nodes[0]).Client()); err != nil {
 		t.Errorf("the next: %v", err)
 	}
 }
 
 // Files that can not be read, a key that others may read, a key that does not fit: refused at the start, and later the
 // last good keys stay in force, and it is told.
-func TestBadFiles(t *testing.T) {
-	ca, nodes := folder(t, "n0", "n1")
+func TestUnusableFilesLeaveTheLastGoodKeys(t *testing.T) {
+	ca, nodes := newFolders(t, "n0", "n1")
 	var told atomic.Int32
 	r, err := Open(nodes[0], func(error) { told.Add(1) })
 	if err != nil {
@@ -143,14 +143,16 @@
 	}
 	addr, client := serve(t, r), open(t, nodes[1])
 	for what, spoil := range map[string]func(dir string) error{
-		"a key that others may read": func(dir string) error { return os.Chmod(filepath.Join(dir, key), 0o644) },
-		"half a certificate":         func(dir string) error { return os.Truncate(filepath.Join(dir, cert), 100) },
-		"no authority":               func(dir string) error { return os.Remove(filepath.Join(dir, caCert)) },
+		"a key that others may read": func(dir string) error { return os.Chmod(filepath.Join(dir, keyFile), 0o644) },
+		"half a certificate":         func(dir string) error { return os.Truncate(filepath.Join(dir, certFile), 100) },
+		"no authority":               func(dir string) error { return os.Remove(filepath.Join(dir, caCertFile)) },
 		"another's key": func(dir string) error {
-			data, err := os.ReadFile(filepath.Join(nodes[1], key))
-			return errors.Join(err, os.WriteFile(filepath.Join(dir, key), data, 0o600))
+			data, err := os.ReadFile(filepath.Join(nodes[1], keyFile))
+			return errors.Join(err, os.WriteFile(filepath.Join(dir, keyFile), data, 0o600))
+		},
+		"a list of no numbers": func(dir string) error {
+			return os.WriteFile(filepath.Join(dir, revokedFile), []byte("render1\n"), 0o644)
 		},
-		"a list of no numbers": func(dir string) error { return os.WriteFile(filepath.Join(dir, revoked), []byte("render1\n"), 0o644) },
 	} {
 		bad := filepath.Join(t.TempDir(), "bad")
 		if err := errors.Join(Issue(ca, bad, "n2", time.Hour, time.Now()), spoil(bad)); err != nil {
@@ -163,10 +165,10 @@
 		if err := spoil(nodes[0]); err != nil {
 			t.Fatal(err)
 		}
-		if err := talk(addr, client.Client()); err != nil || told.Load() == before {
+		if err := exchange(addr, client.Client()); err != nil || told.Load() == before {
 			t.Errorf("%s: %v, told %v", what, err, told.Load() > before)
 		}
-		_ = os.Remove(filepath.Join(nodes[0], revoked))
+		_ = os.Remove(filepath.Join(nodes[0], revokedFile))
 		if err := Issue(ca, nodes[0], "n0", time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
 		}
@@ -180,7 +182,7 @@
 	if err := Revoke(ca, "no number"); err == nil {
 		t.Error("no number was revoked")
 	}
-	info, err := os.Stat(filepath.Join(ca, caKey))
+	info, err := os.Stat(filepath.Join(ca, caKeyFile))
 	if err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("the authority's key: %v %v", info.Mode(), err)
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -419,7 +419,7 @@
 	if m, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, ring, testenv.Lim); err != nil || m.Status != 200 {
 		t.Errorf("an operator with a key: %v %v", m, err)
 	}
-	shown, err := pki.Show(stranger)
+	shown, err := pki.Describe(stranger)
 	if err != nil {
 		t.Fatal(err)
 	}
