--- /dev/null
+++ b/internal/pki/authority.go
@@ -0,0 +1,111 @@
+package pki
+
+import (
+	"crypto/ecdsa"
+	"crypto/elliptic"
+	"crypto/rand"
+	"crypto/tls"
+	"crypto/x509"
+	"crypto/x509/pkix"
+	"errors"
+	"fmt"
+	"math/big"
+	"os"
+	"path/filepath"
+	"time"
+)
+
+// Init creates an authority in a folder that has none.
+func Init(dir, name string, valid time.Duration, now time.Time) error {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return fmt.Errorf("keys: %w", err)
+	}
+	if _, err := os.Stat(filepath.Join(dir, caKeyFile)); err == nil {
+		return fmt.Errorf("keys: %s has an authority already", dir)
+	}
+	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	if err != nil {
+		return err
+	}
+	t, err := newTemplate(name, valid, now)
+	if err != nil {
+		return err
+	}
+	t.IsCA, t.BasicConstraintsValid, t.KeyUsage = true, true, x509.KeyUsageCertSign|x509.KeyUsageCRLSign
+	t.MaxPathLenZero = true
+	der, err := x509.CreateCertificate(rand.Reader, t, t, &k.PublicKey, k)
+	if err != nil {
+		return err
+	}
+	encodedKey, err := encodeKey(dir, caKeyFile, k)
+	if err != nil {
+		return err
+	}
+	// The key is committed last, because Init refuses a folder that has one.
+	return replaceAll(files, encodeCert(dir, caCertFile, der), encodedKey)
+}
+
+func newTemplate(name string, valid time.Duration, now time.Time) (*x509.Certificate, error) {
+	if name == "" || len(name) > 64 {
+		return nil, errors.New("keys: a name of 1 to 64 characters is needed")
+	}
+	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
+	if err != nil {
+		return nil, err
+	}
+	return &x509.Certificate{
+		SerialNumber: serial,
+		Subject:      pkix.Name{CommonName: name, Organization: []string{"gatetack"}},
+		NotBefore:    now.Add(-time.Minute),
+		NotAfter:     now.Add(valid),
+	}, nil
+}
+
+// Issue creates a key and a certificate for a node, signed by the authority in dir, in the folder out. A renewal is
+// another Issue: each of the new files replaces the old one atomically.
+func Issue(dir, out, name string, valid time.Duration, now time.Time) error {
+	ca, err := tls.LoadX509KeyPair(filepath.Join(dir, caCertFile), filepath.Join(dir, caKeyFile))
+	if err != nil {
+		return fmt.Errorf("keys: the authority: %w", err)
+	}
+	if err := checkPrivate(filepath.Join(dir, caKeyFile)); err != nil {
+		return err
+	}
+	root, err := x509.ParseCertificate(ca.Certificate[0])
+	if err != nil {
+		return err
+	}
+	if now.Add(valid).After(root.NotAfter) {
+		return fmt.Errorf("keys: the authority ends on %s, before the certificate would", root.NotAfter.Format(time.DateOnly))
+	}
+	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	if err != nil {
+		return err
+	}
+	t, err := newTemplate(name, valid, now)
+	if err != nil {
+		return err
+	}
+	t.KeyUsage = x509.KeyUsageDigitalSignature
+	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
+	t.DNSNames = []string{name}
+	der, err := x509.CreateCertificate(rand.Reader, t, root, &k.PublicKey, ca.PrivateKey)
+	if err != nil {
+		return err
+	}
+	if err := os.MkdirAll(out, 0o700); err != nil {
+		return err
+	}
+	pub, err := os.ReadFile(filepath.Join(dir, caCertFile))
+	if err != nil {
+		return err
+	}
+	encodedKey, err := encodeKey(out, keyFile, k)
+	if err != nil {
+		return err
+	}
+	// The certificate is committed last. A process that reads a key and a certificate which do not match keeps those that
+	// it has.
+	return replaceAll(files, content{filepath.Join(out, caCertFile), pub, publicMode}, encodedKey,
+		encodeCert(out, certFile, der))
+}
--- a/internal/pki/files.go
+++ b/internal/pki/files.go
@@ -31,7 +31,11 @@
 	if err != nil {
 		return content{}, err
 	}
-	return content{filepath.Join(dir, name), pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: der}), privateMode}, nil
+	return content{
+		filepath.Join(dir, name),
+		pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: der}),
+		privateMode,
+	}, nil
 }
 
 func encodeCert(dir, name string, der []byte) content {
--- a/internal/pki/files_test.go
+++ b/internal/pki/files_test.go
@@ -22,8 +22,9 @@
 	return fsys
 }
 
-// A disk that fails while keys are renewed, at any of the three files and any call before the first is in its place, leaves
-// the keys that were there, with which a process starts; the next renewal succeeds, and nothing else is left in the folder.
+// A disk that fails while keys are renewed, at any of the three files and any call before the first is in its place,
+// leaves the keys that were there, with which a process starts; the next renewal succeeds, and nothing else is left in
+// the folder.
 func TestRenewalOnAFailingDiskKeepsTheKeys(t *testing.T) {
 	for _, x := range []struct {
 		op    atomicfiletest.Op
--- a/internal/pki/keys_test.go
+++ b/internal/pki/pki_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// newFolders gives an authority's folder and one for each node.
+// newFolders creates an authority's folder and one for each node.
 func newFolders(t *testing.T, names ...string) (ca string, nodes []string) {
 	t.Helper()
 	ca = filepath.Join(t.TempDir(), "ca")
@@ -41,7 +41,7 @@
 	return r
 }
 
-// serve echoes on a listener with a ring's keys.
+// serve echoes on a listener with the keys of a ring.
 func serve(t *testing.T, r *Ring) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,7 +62,7 @@
 	return ln.Addr().String()
 }
 
-// exchange sends a word and wants it back.
+// exchange sends a word and expects it back.
 func exchange(addr string, c *tls.Config) error {
 	conn, err := tls.Dial("tcp", addr, c)
 	if err != nil {
@@ -77,6 +77,8 @@
 	return err
 }
 
+// Peers exchange data with a valid certificate of the same authority on both sides, and with no other. A revocation and
+// a renewal take effect at the next connection.
 func TestPeersNeedAValidCertificate(t *testing.T) {
 	ca, nodes := newFolders(t, "n0", "n1")
 	server := open(t, nodes[0])
@@ -85,7 +87,8 @@
 	if err := exchange(addr, client.Client()); err != nil {
 		t.Fatal(err)
 	}
-	// One with no certificate, one of another authority, one that has expired: refused, with a reason, and the next is served.
+	// One with no certificate, one of another authority, one that has expired: refused, with a reason, and the next is
+	// served.
 	if err := exchange(addr, &tls.Config{InsecureSkipVerify: true}); err == nil {
 		t.Error("without a certificate")
 	}
@@ -100,7 +103,11 @@
 	if err := exchange(addr, open(t, expired).Client()); err == nil {
 		t.Error("an expired one")
 	}
-	if err := exchange(serve(t, open(t, expired)), client.Client()); err == nil || !strings.Contains(err.Error(), "expired") {
+	if err := exchange(
+		serve(t, open(t, expired)),
+		client.Client(),
+	); err == nil ||
+		!strings.Contains(err.Error(), "expired") {
 		t.Errorf("an expired server: %v", err)
 	}
 	if err := exchange(serve(t, open(t, strangers[0])), client.Client()); err == nil {
@@ -132,12 +139,12 @@
 	}
 }
 
-// Files that can not be read, a key that others may read, a key that does not fit: refused at the start, and later the
-// last good keys stay in force, and it is told.
+// Files that can not be used, a key that others may read, a key that does not match: Open rejects them, and a ring that
+// finds them later keeps the last good keys and reports the error.
 func TestUnusableFilesLeaveTheLastGoodKeys(t *testing.T) {
 	ca, nodes := newFolders(t, "n0", "n1")
-	var told atomic.Int32
-	r, err := Open(nodes[0], func(error) { told.Add(1) })
+	var reported atomic.Int32
+	r, err := Open(nodes[0], func(error) { reported.Add(1) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,12 +168,12 @@
 		if _, err := Open(bad, nil); err == nil {
 			t.Errorf("%s: opened", what)
 		}
-		before := told.Load()
+		before := reported.Load()
 		if err := spoil(nodes[0]); err != nil {
 			t.Fatal(err)
 		}
-		if err := exchange(addr, client.Client()); err != nil || told.Load() == before {
-			t.Errorf("%s: %v, told %v", what, err, told.Load() > before)
+		if err := exchange(addr, client.Client()); err != nil || reported.Load() == before {
+			t.Errorf("%s: %v, reported %v", what, err, reported.Load() > before)
 		}
 		_ = os.Remove(filepath.Join(nodes[0], revokedFile))
 		if err := Issue(ca, nodes[0], "n0", time.Hour, time.Now()); err != nil {
--- /dev/null
+++ b/internal/pki/ring.go
@@ -0,0 +1,129 @@
+package pki
+
+import (
+	"crypto/tls"
+	"crypto/x509"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+)
+
+// Ring is the keys of a folder in use. Before each connection it checks whether a file has changed. If the files can
+// not be used it reports that and keeps the last good keys.
+type Ring struct {
+	dir     string
+	onError func(error)
+
+	mu              sync.Mutex
+	readFingerprint string
+	pair            *tls.Certificate
+	roots           *x509.CertPool
+	revoked         map[string]bool
+}
+
+// Open reads a folder's keys. onError gets the errors of files that can not be used later on.
+func Open(dir string, onError func(error)) (*Ring, error) {
+	r := &Ring{dir: dir, onError: onError}
+	r.readFingerprint = r.fingerprint()
+	return r, r.read()
+}
+
+// fingerprint changes with the files.
+func (r *Ring) fingerprint() string {
+	out := ""
+	for _, name := range []string{caCertFile, certFile, keyFile, revokedFile} {
+		if info, err := os.Stat(filepath.Join(r.dir, name)); err == nil {
+			out += fmt.Sprintf("%s %d %d %v;", name, info.Size(), info.ModTime().UnixNano(), info.Mode())
+		}
+	}
+	return out
+}
+
+func (r *Ring) read() error {
+	if err := checkPrivate(filepath.Join(r.dir, keyFile)); err != nil {
+		return err
+	}
+	pair, err := tls.LoadX509KeyPair(filepath.Join(r.dir, certFile), filepath.Join(r.dir, keyFile))
+	if err != nil {
+		return fmt.Errorf("keys: %s: %w", r.dir, err)
+	}
+	root, err := os.ReadFile(filepath.Join(r.dir, caCertFile))
+	if err != nil {
+		return fmt.Errorf("keys: %w", err)
+	}
+	pool := x509.NewCertPool()
+	if !pool.AppendCertsFromPEM(root) {
+		return fmt.Errorf("keys: no certificate in %s", filepath.Join(r.dir, caCertFile))
+	}
+	list, err := readRevoked(filepath.Join(r.dir, revokedFile))
+	if err != nil {
+		return err
+	}
+	r.pair, r.roots, r.revoked = &pair, pool, list
+	return nil
+}
+
+// current returns the keys of the files as they are.
+func (r *Ring) current() (*tls.Certificate, *x509.CertPool, map[string]bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if stamp := r.fingerprint(); stamp != r.readFingerprint {
+		if err := r.read(); err != nil {
+			r.onError(err) // read again at the next connection: files are replaced one after another
+		} else {
+			r.readFingerprint = stamp
+		}
+	}
+	return r.pair, r.roots, r.revoked
+}
+
+func checkPrivate(path string) error {
+	info, err := os.Stat(path)
+	if err != nil {
+		return fmt.Errorf("keys: %w", err)
+	}
+	if info.Mode().Perm()&0o077 != 0 {
+		return fmt.Errorf("%w: %s", ErrOpen, path)
+	}
+	return nil
+}
+
+// Server returns the configuration of a listener, which requires a certificate of the authority of its peers.
+func (r *Ring) Server() *tls.Config {
+	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
+		pair, roots, list := r.current()
+		// With session tickets a peer could resume a session from before it was revoked.
+		return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*pair}, ClientCAs: roots,
+			ClientAuth: tls.RequireAndVerifyClientCert, VerifyConnection: rejectRevoked(list), SessionTicketsDisabled: true}, nil
+	}}
+}
+
+// Client returns the configuration of a connection to a listener. The peer's certificate must be of the authority. Its
+// name is not verified, because members are known by addresses that change, and all of the authority's are trusted
+// alike.
+func (r *Ring) Client() *tls.Config {
+	pair, roots, list := r.current()
+	return &tls.Config{
+		MinVersion:         tls.VersionTLS13,
+		Certificates:       []tls.Certificate{*pair},
+		InsecureSkipVerify: true, // verified below
+		VerifyConnection: func(s tls.ConnectionState) error {
+			if len(s.PeerCertificates) == 0 {
+				return errors.New("keys: the peer shows no certificate")
+			}
+			if _, err := s.PeerCertificates[0].Verify(
+				x509.VerifyOptions{Roots: roots, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}},
+			); err != nil {
+				return err
+			}
+			return rejectRevoked(list)(s)
+		},
+	}
+}
+
+// Listen wraps a listener. A handshake is made when a connection is first read, not when it is accepted, so that a peer
+// which never begins one delays no other.
+func (r *Ring) Listen(ln net.Listener) net.Listener { return tls.NewListener(ln, r.Server()) }
