--- a/internal/discovery/connect.go
+++ b/internal/discovery/connect.go
@@ -18,7 +18,7 @@
 
 // connect makes the connection of one call. A lack of this machine (ports, descriptors, memory, a route) is no answer of discovery's
 // and ends no call: it is tried again for as long as a call may take, and a watch's call counts as made with the last try.
-func (c *Client) connect(ctx context.Context, addr string, clock *endpointwatch.Clock) (net.Conn, error) {
+func (c *Client) connect(ctx context.Context, addr string, clock *endpointwatch.Tracker) (net.Conn, error) {
 	waited := time.Duration(0)
 	for backoff := connectBackoffMin; ; backoff = min(2*backoff, connectBackoffMax) {
 		conn, err := c.dial(ctx, "tcp", addr)
@@ -29,7 +29,7 @@
 		c.sleep(ctx, backoff)
 		waited += backoff
 		if clock != nil {
-			clock.Call(time.Now())
+			clock.CallStarted(time.Now())
 		}
 	}
 }
--- a/internal/pki/files_test.go
+++ b/internal/pki/files_test.go
@@ -22,8 +22,9 @@
 	return fsys
 }
 
-// A disk that fails while keys are renewed, at any of the three files and any call before the first is in its place, leaves
-// the keys that were there, with which a process starts; the next renewal succeeds, and nothing else is left in the folder.
+// A disk that fails while keys are renewed, at any of the three files and any call before the first is in its place,
+// leaves the keys that were there, with which a process starts; the next renewal succeeds, and nothing else is left in
+// the folder.
 func TestRenewalOnAFailingDiskKeepsTheKeys(t *testing.T) {
 	for _, x := range []struct {
 		op    atomicfiletest.Op
@@ -34,7 +35,7 @@
 		{atomicfiletest.Sync, syscall.EIO},
 	} {
 		for file := range 3 {
-			ca, nodes := folder(t, "n0")
+			ca, nodes := newFolders(t, "n0")
 			before := serialIn(t, nodes[0])
 			fsys := withFaults(t)
 			fsys.FailAfter(x.op, file, 1, x.cause)
@@ -86,7 +87,7 @@
 	if err := Revoke(dir, "c3"); err != nil {
 		t.Fatal(err)
 	}
-	list, err := readRevoked(filepath.Join(dir, revoked))
+	list, err := readRevoked(filepath.Join(dir, revokedFile))
 	if err != nil || len(list) != 2 || !list["a1"] || !list["c3"] {
 		t.Errorf("%v, %v", list, err)
 	}
@@ -95,7 +96,7 @@
 // serialIn returns the serial number of the certificate in a folder.
 func serialIn(t *testing.T, dir string) string {
 	t.Helper()
-	shown, err := Show(dir)
+	shown, err := Describe(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
