--- /dev/null
+++ b/internal/endpointwatch/clock_steps_test.go
@@ -0,0 +1,73 @@
+package endpointwatch
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"gatetack/internal/clocktest"
+)
+
+// event is one event that a Tracker is notified of.
+type event struct {
+	kind int // an index into the cases of apply
+	at   time.Time
+	end  CallEnd
+	draw float64
+}
+
+const eventKinds = 5
+
+// apply notifies a Tracker of an event, and returns what follows from it.
+func (e event) apply(tracker *Tracker) NextCall {
+	switch e.kind {
+	case 0:
+		tracker.CallStarted(e.at)
+	case 1:
+		tracker.BytesReceived(e.at)
+	case 2:
+		tracker.UpdateReceived(e.at)
+	case 3:
+		tracker.SourceMoved(e.at)
+	case 4:
+		return tracker.CallEnded(e.at, e.end, e.draw)
+	}
+	return NextCall{}
+}
+
+// However the wall clock is set between events, a Tracker gives the same times, on the monotonic clock, as one whose
+// wall clock was left alone.
+func TestDeadlinesIgnoreWallClockSteps(t *testing.T) {
+	began := time.Now()
+	same := func(a, b time.Time) bool {
+		return a.IsZero() == b.IsZero() && (a.IsZero() || a.Sub(began) == b.Sub(began))
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		offset, now := time.Duration(0), began
+		plain, stepped := Tracker{Timeouts: timeouts}, Tracker{Timeouts: timeouts}
+		plain.Started(now)
+		stepped.Started(now)
+		for range rapid.IntRange(1, 40).Draw(t, "events") {
+			now = now.Add(time.Duration(rapid.IntRange(1, 7000).Draw(t, "ms")) * ms)
+			offset += rapid.SampledFrom(clocktest.Steps).Draw(t, "step")
+			e := event{
+				kind: rapid.IntRange(0, eventKinds-1).Draw(t, "event"),
+				at:   now,
+				end:  CallEnd(rapid.IntRange(0, int(CallCut)).Draw(t, "end")),
+				draw: draws.Draw(t, "draw"),
+			}
+			want := e.apply(&plain)
+			e.at = clocktest.Step(now, offset)
+			if got := e.apply(&stepped); got.Owned != want.Owned || !same(got.At, want.At) {
+				t.Fatalf("after event %d the next call is %+v, want %+v", e.kind, got, want)
+			}
+			if !same(plain.NotifiedFrom(), stepped.NotifiedFrom()) {
+				t.Fatalf("after event %d notified from %v, want %v", e.kind, stepped.NotifiedFrom(), plain.NotifiedFrom())
+			}
+			if !same(plain.SilenceDeadline(), stepped.SilenceDeadline()) {
+				t.Fatalf("after event %d silent from %v, want %v", e.kind, stepped.SilenceDeadline(), plain.SilenceDeadline())
+			}
+		}
+	})
+}
--- a/internal/endpointwatch/startup_test.go
+++ b/internal/endpointwatch/startup_test.go
@@ -2,31 +2,31 @@
 
 import "testing"
 
-// A process that begins with a list that nobody has confirmed holds jobs until a list comes or a call for it fails, and no longer
-// than a call may take.
-func TestStartupHolds(t *testing.T) {
+// A process that starts with an unconfirmed list holds requests until a list comes or a call for it fails, and no
+// longer than a call may take.
+func TestRequestsAreHeldUntilTheListIsConfirmedOrTheCallFails(t *testing.T) {
 	var none Startup
 	if none.Holding(at(0)) {
-		t.Error("a process without an old list holds jobs")
+		t.Error("a process without an unconfirmed list holds requests")
 	}
-	most := int((timeouts.PollWait + 2*timeouts.AnswerTimeout) / ms)
-	for _, x := range []struct {
-		what  string
-		event func(*Startup)
-		from  int // nothing is held from then on
+	longest := int((timeouts.PollWait + 2*timeouts.AnswerTimeout) / ms)
+	for _, c := range []struct {
+		name         string
+		event        func(*Startup)
+		releasedFrom int
 	}{
-		{"no answer", func(*Startup) {}, most},
+		{"no answer", func(*Startup) {}, longest},
 		{"a list", (*Startup).Confirmed, 1},
-		{"a call that failed", (*Startup).CallFailed, 1},
+		{"a failed call", (*Startup).CallFailed, 1},
 	} {
-		var s Startup
-		s.Started(at(0), timeouts)
-		if !s.Holding(at(0)) {
-			t.Errorf("%s: does not hold at the start", x.what)
+		var startup Startup
+		startup.Started(at(0), timeouts)
+		if !startup.Holding(at(0)) {
+			t.Errorf("%s: does not hold at the start", c.name)
 		}
-		x.event(&s)
-		if s.Holding(at(x.from)) || x.from == most && !s.Holding(at(most-1)) {
-			t.Errorf("%s: held until %v", x.what, s.HoldUntil().Sub(zero))
+		c.event(&startup)
+		if startup.Holding(at(c.releasedFrom)) || c.releasedFrom == longest && !startup.Holding(at(longest-1)) {
+			t.Errorf("%s: held until %v", c.name, startup.HoldUntil().Sub(start))
 		}
 	}
 }
--- /dev/null
+++ b/internal/endpointwatch/tracker_test.go
@@ -0,0 +1,245 @@
+package endpointwatch
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	_ "gatetack/internal/testrand"
+)
+
+const ms = time.Millisecond
+
+var timeouts = Timeouts{
+	MaxStaleness:      6000 * ms,
+	PollWait:          2000 * ms,
+	PollGrace:         2000 * ms,
+	ReloadGrace:       4000 * ms,
+	PollInterval:      10000 * ms,
+	FailedPollFactor:  4,
+	HeartbeatInterval: 2000 * ms,
+	HeartbeatSlack:    1200 * ms,
+	AnswerTimeout:     500 * ms,
+	StableAfter:       1000 * ms,
+	MinBackoff:        100 * ms,
+}
+
+var start = time.Unix(1000, 0)
+
+// at returns a time so many ms after the start.
+func at(n int) time.Time { return start.Add(time.Duration(n) * ms) }
+
+// callCase is a call with its end, and what follows from it. Times are in ms from the start.
+type callCase struct {
+	name         string
+	call         func(*Tracker)
+	endedAt      int
+	end          CallEnd
+	notifiedFrom int
+	owned        bool // the next call is the Tracker's,
+	nextBy       int  // and made by then
+}
+
+// called starts a call at 0, has updates and other bytes come at times after it.
+func called(updateAt, bytesAt int) func(*Tracker) {
+	return func(t *Tracker) {
+		t.CallStarted(at(0))
+		if updateAt > 0 {
+			t.UpdateReceived(at(updateAt))
+		}
+		if bytesAt > 0 {
+			t.BytesReceived(at(bytesAt))
+		}
+	}
+}
+
+// calledAfterSilence is a call that follows a watch which fell silent.
+func calledAfterSilence(t *Tracker) {
+	called(500, 0)(t)
+	t.CallEnded(at(3700), CallSilent, 0)
+	t.CallStarted(at(3700))
+}
+
+var callCases = []callCase{
+	{"silent while it waits: 6 s, its wait and 2 s are shorter", called(0, 0), 2500, CallSilent, 6000, true, 2500},
+	{"silent after its head", called(0, 500), 3700, CallSilent, 6500, true, 3700},
+	{"silent after a line", called(500, 0), 3700, CallSilent, 6500, true, 3700},
+	{"silent within a line: from its last byte", called(500, 900), 4100, CallSilent, 6900, true, 4100},
+	{"rejected after a wait: the module's", called(0, 0), 2000, CallRejected, 40000, false, 0},
+	{"rejected at once: the module's", called(0, 0), 1, CallRejected, 40000, false, 0},
+	{"closed before it was stable: the module's", called(500, 0), 900, CallClosed, 40000, false, 0},
+	{"closed after it was stable: at once", called(500, 0), 9000, CallClosed, 40000, true, 9000},
+	{"cut within a line: the line was written", called(100, 300), 300, CallCut, 300, true, 400},
+	{"moved, and the new source rejects the call", func(t *Tracker) { t.SourceMoved(at(0)); t.CallStarted(at(0)) },
+		10, CallRejected, 4000, true, 110},
+	{"silent, and the call after it is rejected", calledAfterSilence, 3701, CallRejected, 6500, true, 4000},
+	{"likewise, and late: what the wait for an answer leaves", calledAfterSilence, 3990, CallRejected, 6500, true, 4000},
+}
+
+// Each way in which a call ends: from when on missed changes count as notified, whose the next call is, and by when
+// it is made.
+func TestNextCallFollowsFromTheEndOfACall(t *testing.T) {
+	for _, c := range callCases {
+		tracker := Tracker{Timeouts: timeouts}
+		c.call(&tracker)
+		next := tracker.CallEnded(at(c.endedAt), c.end, 0.999)
+		from := tracker.NotifiedFrom()
+		if from != at(c.notifiedFrom) || next.Owned != c.owned || c.owned && next.At.After(at(c.nextBy)) {
+			t.Errorf("%s: notified from %v, next call owned %v at %v; want %v, %v by %d", c.name, from.Sub(start), next.Owned,
+				next.At.Sub(start), c.notifiedFrom, c.owned, c.nextBy)
+		}
+	}
+}
+
+func TestNothingCountsAsNotifiedBeforeTheFirstCall(t *testing.T) {
+	tracker := Tracker{Timeouts: timeouts}
+	if !tracker.NotifiedFrom().IsZero() {
+		t.Error("notified before its first call")
+	}
+	called(10, 0)(&tracker)
+	if deadline := tracker.SilenceDeadline(); deadline != at(3210) {
+		t.Errorf("given up at %v", deadline.Sub(start))
+	}
+}
+
+// draws are the random numbers that a Tracker is given.
+var draws = rapid.Float64Range(0, 0.999)
+
+// drawMs draws a span of up to so many ms.
+func drawMs(t *rapid.T, label string, limit int) time.Duration {
+	return time.Duration(rapid.IntRange(0, limit).Draw(t, label)) * ms
+}
+
+// watchUntilSilence lets a watch answer or not, and returns when its last byte came.
+func watchUntilSilence(t *rapid.T, tracker *Tracker) (lastByteAt time.Time) {
+	now := start
+	tracker.CallStarted(now)
+	lastByteAt = now
+	if !rapid.Bool().Draw(t, "answered") {
+		return lastByteAt
+	}
+	now = now.Add(drawMs(t, "wait", 2000))
+	for range rapid.IntRange(1, 5).Draw(t, "lines") {
+		tracker.UpdateReceived(now)
+		lastByteAt = now
+		now = now.Add(drawMs(t, "heartbeat", 2000))
+	}
+	if rapid.Bool().Draw(t, "mid-line") {
+		tracker.BytesReceived(now)
+		lastByteAt = now
+	}
+	return lastByteAt
+}
+
+// Watches fall silent at any point, once or after rejected calls, and answers come at any time within their wait. The
+// protocol says from when on each change counts as notified; an update has come by then as long as discovery rejects
+// no more calls than the time leaves room for. Without silence, a cut or a move each failure is the module's.
+func TestUpdateComesBeforeMissedChangesCountAsNotified(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		tracker := Tracker{Timeouts: timeouts}
+		notified := watchUntilSilence(t, &tracker).Add(6 * time.Second) // as the protocol says, not the code
+		if tracker.NotifiedFrom() != notified {
+			t.Fatalf("notified from %v, the protocol says %v", tracker.NotifiedFrom().Sub(start), notified.Sub(start))
+		}
+		next := tracker.CallEnded(tracker.SilenceDeadline(), CallSilent, draws.Draw(t, "draw"))
+		for range rapid.IntRange(0, 3).Draw(t, "rejected calls") {
+			if !next.Owned {
+				t.Fatal("the module is left to call again")
+			}
+			tracker.CallStarted(next.At)
+			rejectedAt := next.At.Add(drawMs(t, "until it is rejected", 50))
+			next = tracker.CallEnded(rejectedAt, CallRejected, draws.Draw(t, "draw"))
+		}
+		if !next.Owned {
+			t.Fatal("the module is left to call again")
+		}
+		tracker.CallStarted(next.At)
+		now := next.At.Add(drawMs(t, "last wait", 2000))
+		if now.After(notified) {
+			t.Fatalf("updated at %v, notified from %v", now.Sub(start), notified.Sub(start))
+		}
+		tracker.UpdateReceived(now)
+		if tracker.NotifiedFrom().Before(now.Add(6 * time.Second)) {
+			t.Fatal("updated, and notified all the same")
+		}
+		checkModuleOwnsCalls(t, &tracker, now)
+	})
+}
+
+// checkModuleOwnsCalls fails the test unless calls that fail after an update are the module's.
+func checkModuleOwnsCalls(t *rapid.T, tracker *Tracker, now time.Time) {
+	if next := tracker.CallEnded(now.Add(ms), CallRejected, 0.5); next.Owned && !tracker.call.updated {
+		t.Fatal("a failure while nothing was missed is the module's")
+	}
+	tracker.CallStarted(now)
+	if next := tracker.CallEnded(now.Add(drawMs(t, "rejected", 2000)), CallRejected, 0.5); next.Owned {
+		t.Fatal("a failure while nothing was missed is the module's")
+	}
+}
+
+// While discovery rejects all calls they become rarer, as far as two of them, with their waits, fit into
+// MaxStaleness, and are spread over half of their gaps.
+func TestRejectedCallsBackOffWithinMaxStaleness(t *testing.T) {
+	tracker := Tracker{Timeouts: timeouts}
+	tracker.CallStarted(at(0))
+	tracker.BytesReceived(at(0))
+	now, gaps := at(0), []time.Duration{}
+	next := tracker.CallEnded(tracker.SilenceDeadline(), CallSilent, 0)
+	for range 12 {
+		tracker.CallStarted(next.At)
+		now = next.At
+		next = tracker.CallEnded(now, CallRejected, 0.999)
+		gaps = append(gaps, next.At.Sub(now))
+	}
+	longest := timeouts.MaxStaleness - 2*timeouts.PollWait - timeouts.AnswerTimeout
+	for i, gap := range gaps {
+		if gap > longest || i > 6 && gap < longest*9/10 ||
+			i > 0 && gap < gaps[i-1]*9/10 && at(6000).Before(now) && i > 6 {
+			t.Fatalf("gaps %v", gaps)
+		}
+	}
+}
+
+// Calls fail in any way and after any time, and then discovery can be reached again. Whatever happened before, a call
+// is made and answered, even at the end of its wait, within 6 s of that, although the module asks for none. The same
+// holds from the start of a process, and if one more call fails.
+func TestReachableDiscoveryIsAskedWithinMaxStaleness(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		tracker := Tracker{Timeouts: timeouts}
+		tracker.Started(start) // the first call is made at once
+		now, reachableFrom := start, start
+		for range rapid.IntRange(0, 12).Draw(t, "calls that fail") {
+			tracker.CallStarted(now)
+			missed, endedAt, end := failedCall(t, &tracker, now)
+			reachableFrom = missed.Add(ms) // just too late for this call, or for what it reported
+			now = tracker.CallEnded(endedAt, end, draws.Draw(t, "draw")).At
+		}
+		tracker.CallStarted(now)
+		if now = now.Add(drawMs(t, "wait", 2000)); now.After(reachableFrom.Add(6 * time.Second)) {
+			t.Fatalf("reachable from %v, updated at %v", reachableFrom.Sub(start), now.Sub(start))
+		}
+	})
+}
+
+// failedCall lets a call that was started fail in some way. It returns the latest time at which the call saw the
+// list, and when and how it ended.
+func failedCall(t *rapid.T, tracker *Tracker, startedAt time.Time) (seenAt, endedAt time.Time, end CallEnd) {
+	end = rapid.SampledFrom([]CallEnd{CallClosed, CallRejected, CallSilent, CallCut}).Draw(t, "end")
+	updated := rapid.Bool().Draw(t, "updated")
+	now, seenAt := startedAt, startedAt
+	switch {
+	case end == CallSilent && updated:
+		now = now.Add(drawMs(t, "wait", 2000))
+		tracker.UpdateReceived(now)
+		return now, tracker.SilenceDeadline(), end
+	case end == CallSilent:
+		return seenAt, tracker.SilenceDeadline(), end
+	case updated:
+		now = now.Add(drawMs(t, "wait", 2000))
+		tracker.UpdateReceived(now)
+		now = now.Add(drawMs(t, "open for", 2000))
+		return now, now, end
+	}
+	return seenAt, now.Add(drawMs(t, "wait", 2000)), end
+}
--- a/internal/leaseholder/actions.go
+++ b/internal/leaseholder/actions.go
@@ -30,14 +30,19 @@
 		case lease.AdvanceIncarnation:
 			h.advanceIncarnation()
 		case lease.Superseded:
-			h.mu.Lock()
-			h.self.superseded = true
-			h.mu.Unlock()
-			h.log.Error("another process runs under this node's name and started later, no batch jobs are taken any more", "node", h.node)
+			h.supersede()
 		}
 	}
 }
 
+// supersede notes that a later incarnation of this node runs.
+func (h *Holder) supersede() {
+	h.mu.Lock()
+	h.self.superseded = true
+	h.mu.Unlock()
+	h.log.Error("another process runs under this node's name, no batch jobs are taken any more", "node", h.node)
+}
+
 // advanceIncarnation adopts the incarnation that the Manager moved after an earlier one with a later clock.
 func (h *Holder) advanceIncarnation() {
 	h.mu.Lock()
@@ -45,7 +50,8 @@
 	started := h.self.incarnation.StartedMs
 	h.mu.Unlock()
 	h.front.Reborn(started)
-	h.log.Warn("wall clock behind an earlier incarnation's, incarnation moved after it", "node", h.node, "incarnation", started)
+	h.log.Warn("wall clock behind an earlier incarnation's, incarnation moved after it",
+		"node", h.node, "incarnation", started)
 }
 
 // renewLease writes this node's lease over the one with a version.
@@ -54,8 +60,8 @@
 	record := leaseRecord{StartedMs: h.manager.Incarnation().StartedMs, Addr: h.addr}
 	h.mu.Unlock()
 	value, _ := json.Marshal(record) // a number and a string: it can not fail
-	put := kv.Op{Verb: kv.Put, Table: LeaseTable, Key: h.node, Value: value, Keep: true, TTL: h.limits.LeaseTTL.Milliseconds(),
-		Cond: true, If: version}
+	put := kv.Op{Verb: kv.Put, Table: LeaseTable, Key: h.node, Value: value, Keep: true,
+		TTL: h.limits.LeaseTTL.Milliseconds(), Cond: true, If: version}
 	result, err := h.store.Txn(ctx, &kv.Txn{Ops: []kv.Op{put}})
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -85,7 +91,8 @@
 	epoch := uint64(0)
 	if err == nil && result.OK() {
 		epoch = result.Version
-		h.log.Info("partition claimed", "partition", action.Partition, "epoch", epoch, "previous_epoch", action.ExpectedVersion, "reason", reason)
+		h.log.Info("partition claimed", "partition", action.Partition, "epoch", epoch,
+			"previous_epoch", action.ExpectedVersion, "reason", reason)
 	}
 	h.mu.Lock()
 	actions := h.manager.ClaimCompleted(action.Partition, epoch)
@@ -191,7 +198,8 @@
 	nobody, _ := json.Marshal(lease.Incarnation{})
 	for _, key := range h.manager.Partitions() {
 		epoch, _ := h.manager.Epoch(key)
-		ops = append(ops, kv.Op{Verb: kv.Put, Table: PartitionTable, Key: key, Value: nobody, Keep: true, Cond: true, If: epoch})
+		ops = append(ops, kv.Op{Verb: kv.Put, Table: PartitionTable, Key: key, Value: nobody, Keep: true,
+			Cond: true, If: epoch})
 		h.manager.ReleasePartition(key)
 	}
 	if version := h.manager.OwnLease(); version != 0 {
--- a/internal/leaseholder/holder.go
+++ b/internal/leaseholder/holder.go
@@ -1,6 +1,6 @@
-// Package leaseholder carries out what package lease decides: it renews this node's lease in the replicated store, claims
-// and releases partitions of batch jobs, and fences all that is written for them. It is the store of the batch front:
-// a write commits only if the partition that it belongs to still has the epoch under which this node owns it.
+// Package leaseholder carries out what package lease decides: it renews this node's lease in the replicated store,
+// claims and releases partitions of batch jobs, and fences all that is written for them. It is the store of the batch
+// front: a write commits only if the partition that it belongs to still has the epoch under which this node owns it.
 //
 // A Holder owns the only lease.Manager of its process. Its Run is the one loop that steps the Manager; calls to the
 // store run in goroutines that Run starts and waits for.
@@ -46,8 +46,11 @@
 // Store is the part of a member of the replicated store that a Holder needs.
 type Store interface {
 	jobstore.Store
+	// Txn commits all operations of a transaction or none.
 	Txn(context.Context, *kv.Txn) (*kv.Result, error)
+	// View returns the state as this member has it, which may be stale.
 	View() *kv.View
+	// Local returns a value as this member has it, which may be stale.
 	Local(kind, key string) ([]byte, bool)
 }
 
--- a/internal/leaseholder/scale_test.go
+++ b/internal/leaseholder/scale_test.go
@@ -83,7 +83,8 @@
 		total, largest = total+count, max(largest, count)
 	}
 	t.Logf("%d nodes, %d partitions: %d writes in 10 s, %v a step; one lost: %d moved to %d nodes, %d at most to one, "+
-		"%d writes beside renewals", n, partitionsPerNode*n, written, step.Round(time.Microsecond), total, len(moved), largest, claims)
+		"%d writes beside renewals", n, partitionsPerNode*n, written, step.Round(time.Microsecond), total, len(moved),
+		largest, claims)
 	if total != partitionsPerNode || len(moved) < min(n-1, partitionsPerNode)/2 || claims > 2*(partitionsPerNode+1)+n {
 		t.Errorf("%d moved to %d nodes by %d writes", total, len(moved), claims)
 	}
