--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -49,7 +49,15 @@
 	return out
 }
 
+// setup makes a client for tests of all but the time that executors are told: a busy machine that holds one of them up makes no request
+// anew.
 func setup(t *testing.T, lim limits.Limits) (*Client, *sink) {
+	lim.TimeSpare = time.Hour
+	return setupExactly(t, lim)
+}
+
+// setupExactly makes a client with the limits as they are.
+func setupExactly(t *testing.T, lim limits.Limits) (*Client, *sink) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g, s := &errgroup.Group{}, &sink{}
 	c := New(ctx, g, lim, node.Names{Fields: []string{"pending", "x0"}}, s, &slowpeer.Tally{}, testenv.Quiet)
@@ -496,3 +504,16 @@
 		t.Errorf("%v", s.all)
 	}
 }
+
+// A send that can't be recorded is not made, and its attempt ends as never sent.
+func TestUnrecordedSendIsNotMade(t *testing.T) {
+	c, s := setup(t, testenv.Lim)
+	n := box(t, c, says(accepted))
+	a := attempt(1)
+	a.Job.Before = func(string) error { return errors.New("no space is left on the disk") }
+	c.Send(a)
+	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Moot || n() != 0 {
+		t.Errorf("outcomes %v over %d connections", got, n())
+	}
+}
--- a/internal/http1/paced.go
+++ b/internal/http1/paced.go
@@ -112,7 +112,8 @@
 // connection up.
 func timeout(err error) bool {
 	slow := (*slowpeer.Slow)(nil)
-	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &slow)
+	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &slow) ||
+		errors.Is(err, syscall.EAGAIN) // nothing has come yet
 }
 
 // settled says what a time-out means: nothing while neither the bound nor the rate is broken, since either may have
