--- a/internal/dispatch/listwatch.go
+++ b/internal/dispatch/listwatch.go
@@ -55,7 +55,7 @@
 // backoff is the time until this node's turn in a round that all nodes have: calls that come together wait in vain.
 func (w *listWatch) backoff() float64 {
 	spread := max(minPollSpread, pollSpreadPerNode*float64(w.settings.Balancers)) * doublings(w.failedPolls, maxPollDoublings)
-	slots := recovery.TimeSlots{Me: w.settings.Me, Nodes: w.settings.Balancers}
+	slots := recovery.TimeSlots{Node: w.settings.Me, Nodes: w.settings.Balancers}
 	return slots.After(w.now, w.settings.AskWithin*min(1, spread))
 }
 
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -102,7 +102,7 @@
 	c.rules.Store(&Rules{s, names})
 	// A list that must be asked for is held to be as it was for the time to ask within, and four times that after a failed call.
 	fresh := max(Span(s.AskWithin), lim.Staleness.MaxStaleness)
-	c.book = recovery.NewKnowledge(map[recovery.Kind]recovery.AgeBounds{recovery.List: {Fresh: fresh, Usable: time.Duration(lim.Staleness.FailedPollFactor) * fresh}})
+	c.book = recovery.NewKnowledge(map[recovery.Kind]recovery.AgeBounds{recovery.EndpointList: {Fresh: fresh, Usable: time.Duration(lim.Staleness.FailedPollFactor) * fresh}})
 	c.tenants = make([]atomic.Int64, len(names.Tenants))
 	known.Form = dispatch.ListCached
 	c.in <- known
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -28,11 +28,11 @@
 	switch l.Form {
 	case dispatch.ListFailed:
 	case dispatch.ListCached:
-		c.book.Confirm(recovery.List, recovery.Restored, l.Index, now.Sub(c.start))
+		c.book.Confirm(recovery.EndpointList, recovery.Restored, l.Index, now.Sub(c.start))
 	default:
 		c.heard.Store(true)
 		c.startup.Confirmed()
-		c.book.Confirm(recovery.List, recovery.Current, l.Index, now.Sub(c.start))
+		c.book.Confirm(recovery.EndpointList, recovery.Current, l.Index, now.Sub(c.start))
 	}
 	if l.Form == dispatch.ListFull || l.Form == dispatch.ListCached {
 		listed := map[uint32]bool{}
--- a/internal/recovery/concurrency_ramp.go
+++ b/internal/recovery/concurrency_ramp.go
@@ -3,32 +3,32 @@
 // ConcurrencyRamp limits concurrency (slow start): low at first, doubled each time as many as are allowed have succeeded, and halved
 // after each rejection.
 type ConcurrencyRamp struct {
-	Min, Max    int
-	now, served int
+	Min, Max         int
+	limit, succeeded int
 }
 
 // Allowed returns how many may be in progress now.
 func (r *ConcurrencyRamp) Allowed() int {
-	r.now = min(max(r.now, r.Min, 1), max(r.Max, 1))
-	return r.now
+	r.limit = min(max(r.limit, r.Min, 1), max(r.Max, 1))
+	return r.limit
 }
 
 // Succeeded records a success.
 func (r *ConcurrencyRamp) Succeeded() {
-	if r.served++; r.served >= r.Allowed() {
-		r.served, r.now = 0, min(2*r.now, max(r.Max, 1))
+	if r.succeeded++; r.succeeded >= r.Allowed() {
+		r.succeeded, r.limit = 0, min(2*r.limit, max(r.Max, 1))
 	}
 }
 
 // Rejected records a rejection. At the maximum it changes nothing: then it has nothing to do with a recovery.
 func (r *ConcurrencyRamp) Rejected() {
 	if r.Allowed() < r.Max {
-		r.served, r.now = 0, max(r.now/2, r.Min, 1)
+		r.succeeded, r.limit = 0, max(r.limit/2, r.Min, 1)
 	}
 }
 
 // JumpToMax ends the ramp.
-func (r *ConcurrencyRamp) JumpToMax() { r.served, r.now = 0, r.Max }
+func (r *ConcurrencyRamp) JumpToMax() { r.succeeded, r.limit = 0, r.Max }
 
 // Restart starts again at the minimum.
-func (r *ConcurrencyRamp) Restart() { r.served, r.now = 0, 0 }
+func (r *ConcurrencyRamp) Restart() { r.succeeded, r.limit = 0, 0 }
--- a/internal/recovery/knowledge.go
+++ b/internal/recovery/knowledge.go
@@ -28,19 +28,19 @@
 
 // The kinds.
 const (
-	List     Kind = iota // of executors
-	Drains               // drain marks, set by operators or the list
-	Room                 // free slots of executors
-	Duties               // who has which
-	Records              // of jobs
-	Settings             // of the node
-	Sites                // which zone has which data
-	kinds
+	EndpointList  Kind = iota // of executors
+	DrainMarks                // drain marks, set by operators or the list
+	FreeSlots                 // free slots of executors
+	Partitions                // who has which
+	JobRecords                // of jobs
+	Settings                  // of the node
+	DataPlacement             // which zone has which data
+	kindCount
 )
 
-var kindNames = [kinds]string{"list", "drains", "room", "duties", "records", "settings", "sites"}
+var kindNames = [kindCount]string{"list", "drains", "room", "duties", "records", "settings", "sites"}
 
-func (k Kind) String() string { return kindNames[min(k, kinds-1)] }
+func (k Kind) String() string { return kindNames[min(k, kindCount-1)] }
 
 // Stage is how much a node knows of a kind.
 type Stage uint8
@@ -72,8 +72,8 @@
 
 // Knowledge is what a node has learnt since its start. All times are durations on one monotonic clock of the caller.
 type Knowledge struct {
-	bounds [kinds]AgeBounds
-	items  [kinds]item
+	bounds [kindCount]AgeBounds
+	items  [kindCount]item
 }
 
 type item struct {
@@ -166,7 +166,7 @@
 // Stages returns the name of each kind's stage, for logs and counts.
 func (b *Knowledge) Stages(now time.Duration) map[string]string {
 	out := map[string]string{}
-	for k := range kinds {
+	for k := range kindCount {
 		if b.bounds[k] != (AgeBounds{}) {
 			out[k.String()] = b.Stage(k, now).String()
 		}
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -19,7 +19,7 @@
 // the furthest stage, nothing older than its bound is decided on, and a decision stands only while what it rests on does.
 func TestBookAgainstAModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bounds := map[Kind]AgeBounds{List: {4 * sec, 10 * sec}, Drains: {2 * sec, 3 * sec}}
+		bounds := map[Kind]AgeBounds{EndpointList: {4 * sec, 10 * sec}, DrainMarks: {2 * sec, 3 * sec}}
 		b := NewKnowledge(bounds)
 		type telling struct {
 			stage   Stage
@@ -143,7 +143,7 @@
 
 // A thing that refuses sees fewer calls the longer it does, and a ramp falls and rises.
 func TestFailingSeesLess(t *testing.T) {
-	s := SlotBackoff{TimeSlots: TimeSlots{Me: 3, Nodes: 10, Salt: 7}, Round: 1000, MaxSkipped: 60}
+	s := SlotBackoff{TimeSlots: TimeSlots{Node: 3, Nodes: 10, Salt: 7}, Round: 1000, MaxSkipped: 60}
 	now, last := s.First(0), 0.0
 	var gaps []float64
 	for range 12 {
--- a/internal/recovery/time_slots.go
+++ b/internal/recovery/time_slots.go
@@ -4,8 +4,8 @@
 
 // TimeSlots divides a round into one time slot for each node of a fleet.
 type TimeSlots struct {
-	Me, Nodes int
-	Salt      uint64 // of the shared resource: neighbours in one resource's round are not neighbours in another's
+	Node, Nodes int
+	Salt        uint64 // of the shared resource: neighbours in one resource's round are not neighbours in another's
 }
 
 // place returns this node's part of the round, from 0 to 1, no two alike: a step through the ring that meets every place once.
@@ -15,7 +15,7 @@
 	for gcd(step, n) != 1 {
 		step = step%n + 1
 	}
-	return float64(int(uint64(t.Me%n)*uint64(step)%uint64(n))) / float64(n)
+	return float64(int(uint64(t.Node%n)*uint64(step)%uint64(n))) / float64(n)
 }
 
 func gcd(a, b int) int {
@@ -53,24 +53,24 @@
 	TimeSlots
 	Round      float64 // in ms: the number of nodes over the resource's capacity in calls a second
 	MaxSkipped int     // rounds skipped at most
-	fails      int
+	failures   int
 }
 
 // spare is how many consecutive failures are not yet a sign of overload.
-const spare = 2
+const toleratedFailures = 2
 
 // First returns the ms from now to the first call.
 func (s *SlotBackoff) First(now float64) float64 { return s.Next(now, s.Round) }
 
 // Succeeded records that a call succeeded.
-func (s *SlotBackoff) Succeeded() { s.fails = 0 }
+func (s *SlotBackoff) Succeeded() { s.failures = 0 }
 
 // Retry records that a call failed and returns the ms from now to the next attempt.
 func (s *SlotBackoff) Retry(now float64) float64 {
-	s.fails++
+	s.failures++
 	skip := 0
-	if s.fails > spare {
-		skip = min(1<<min(s.fails-spare-1, 16), s.MaxSkipped)
+	if s.failures > toleratedFailures {
+		skip = min(1<<min(s.failures-toleratedFailures-1, 16), s.MaxSkipped)
 	}
 	return s.After(now, s.Round) + float64(skip)*s.Round // the current slot may be that of the failed call
 }
