--- a/internal/recovery/concurrency_ramp.go
+++ b/internal/recovery/concurrency_ramp.go
@@ -1,7 +1,7 @@
 package recovery
 
-// ConcurrencyRamp limits concurrency (slow start): low at first, doubled each time as many as are allowed have succeeded, and halved
-// after each rejection.
+// ConcurrencyRamp limits concurrency (slow start): low at first, doubled each time as many as are allowed have
+// succeeded, and halved after each rejection.
 type ConcurrencyRamp struct {
 	Min, Max         int
 	limit, succeeded int
--- a/internal/recovery/knowledge.go
+++ b/internal/recovery/knowledge.go
@@ -1,45 +1,26 @@
-// Package recovery decides what a node may do while it recovers, after most of a fleet was restarted at once or stored state was
-// lost: which decisions its knowledge allows (Knowledge), and when it may call a resource that all recovering nodes share
-// (TimeSlots, SlotBackoff, ConcurrencyRamp, DeadlineQueue, RetryDelay). It does no I/O, reads no clock and starts no goroutine.
-//
-// # Which decisions are allowed
-//
-// For each kind of knowledge a node is at one of four stages. A decision is based on items of some version; this basis is kept
-// with the decision and validated again when the decision is carried out. An item older than its age bound is not a basis for any
-// decision, however complete it is.
-//
-// # No thundering herd
-//
-// Nodes that were killed together come back together. Drawing a start time from an interval (full jitter) spreads them only on
-// average: of n calls in an interval some second gets many more than the mean. All nodes share a clock and know how many they
-// are, so each has its own time slot in a round that begins at the same moments for all: no two slots coincide, whoever calls
-// and whenever the nodes came back. The length of a round follows the capacity of the shared resource.
 package recovery
 
-import (
-	"fmt"
-	"time"
-
-	"gatetack/internal/operr"
-)
+import "time"
 
 // Kind is a kind of knowledge.
 type Kind uint8
 
 // The kinds.
 const (
-	EndpointList  Kind = iota // of executors
-	DrainMarks                // drain marks, set by operators or the list
-	FreeSlots                 // free slots of executors
-	Partitions                // who has which
-	JobRecords                // of jobs
-	Settings                  // of the node
-	DataPlacement             // which zone has which data
+	EndpointList Kind = iota // of executors
+	DrainMarks               // set by operators or by the endpoint list
+	FreeSlots                // of executors
+	Partitions               // and which node owns them
+	JobRecords
+	Settings
+	DataPlacement // which zone has which data
 	kindCount
 )
 
+// kindNames are the names in counts and logs, which operators know.
 var kindNames = [kindCount]string{"list", "drains", "room", "duties", "records", "settings", "sites"}
 
+// String returns the name of a kind in counts and logs.
 func (k Kind) String() string { return kindNames[min(k, kindCount-1)] }
 
 // Stage is how much a node knows of a kind.
@@ -53,8 +34,10 @@
 	Current               // everything, confirmed
 )
 
+// stageNames are the names in counts and logs, which operators know.
 var stageNames = []string{"nothing", "former", "heard", "current"}
 
+// String returns the name of a stage in counts and logs.
 func (s Stage) String() string { return stageNames[min(int(s), len(stageNames)-1)] }
 
 // Caution limits what may be decided.
@@ -76,55 +59,56 @@
 	items  [kindCount]item
 }
 
+// item is what is known of one kind.
 type item struct {
-	stage     Stage
-	version   uint64
-	confirmed time.Duration
+	stage       Stage
+	version     uint64
+	confirmedAt time.Duration
 }
 
 // NewKnowledge returns an empty Knowledge. A kind without bounds allows no decision.
 func NewKnowledge(bounds map[Kind]AgeBounds) *Knowledge {
-	b := &Knowledge{}
-	for k, x := range bounds {
-		b.bounds[k] = x
+	knowledge := &Knowledge{}
+	for kind, ages := range bounds {
+		knowledge.bounds[kind] = ages
 	}
-	return b
+	return knowledge
 }
 
-// Confirm records that a kind was at a version at a time. A late report of an earlier version, or of an earlier stage of the same
-// version, changes nothing: restored state never replaces newer state.
-func (b *Knowledge) Confirm(k Kind, s Stage, version uint64, at time.Duration) bool {
-	x := &b.items[k]
-	if version < x.version || version == x.version && s < x.stage {
+// Confirm records that a kind was at a version at a time, and returns whether that is news. A late report of an earlier
+// version, or of an earlier stage of the same version, changes nothing: restored state never replaces newer state.
+func (k *Knowledge) Confirm(kind Kind, stage Stage, version uint64, at time.Duration) bool {
+	known := &k.items[kind]
+	if version < known.version || version == known.version && stage < known.stage {
 		return false
 	}
-	if version == x.version && s == x.stage && at < x.confirmed {
+	if version == known.version && stage == known.stage && at < known.confirmedAt {
 		return false
 	}
-	*x = item{s, version, at}
+	*known = item{stage, version, at}
 	return true
 }
 
 // Forget records that the knowledge of a kind was lost. Only a version that is not older brings it back.
-func (b *Knowledge) Forget(k Kind) { b.items[k].stage = Unknown }
+func (k *Knowledge) Forget(kind Kind) { k.items[kind].stage = Unknown }
 
 // Stage returns the stage of a kind at a time. Knowledge that is no longer fresh is no longer current.
-func (b *Knowledge) Stage(k Kind, now time.Duration) Stage {
-	x := b.items[k]
-	if x.stage == Current && now-x.confirmed > b.bounds[k].Fresh {
+func (k *Knowledge) Stage(kind Kind, now time.Duration) Stage {
+	known := k.items[kind]
+	if known.stage == Current && now-known.confirmedAt > k.bounds[kind].Fresh {
 		return Restored
 	}
-	return x.stage
+	return known.stage
 }
 
 // Caution returns the caution with which a decision may be based on a kind.
-func (b *Knowledge) Caution(k Kind, now time.Duration) Caution {
-	x := b.items[k]
-	age := now - x.confirmed
+func (k *Knowledge) Caution(kind Kind, now time.Duration) Caution {
+	known := k.items[kind]
+	age := now - known.confirmedAt
 	switch {
-	case x.stage == Unknown || age > b.bounds[k].Usable:
+	case known.stage == Unknown || age > k.bounds[kind].Usable:
 		return Refused
-	case x.stage == Current && age <= b.bounds[k].Fresh:
+	case known.stage == Current && age <= k.bounds[kind].Fresh:
 		return Unrestricted
 	}
 	return Limited
@@ -138,80 +122,43 @@
 }
 
 // BasisOf returns the basis of a decision on some kinds, or a *StaleError where none may be made.
-func (b *Knowledge) BasisOf(now time.Duration, on ...Kind) ([]Basis, error) {
-	var out []Basis
-	for _, k := range on {
-		x := b.items[k]
-		if b.Caution(k, now) == Refused {
-			return nil, &StaleError{k, b.Stage(k, now), now - x.confirmed, b.bounds[k].Usable}
+func (k *Knowledge) BasisOf(now time.Duration, kinds ...Kind) ([]Basis, error) {
+	var basis []Basis
+	for _, kind := range kinds {
+		if k.Caution(kind, now) == Refused {
+			return nil, k.stale(kind, now)
 		}
-		out = append(out, Basis{k, x.version, x.confirmed})
+		known := k.items[kind]
+		basis = append(basis, Basis{kind, known.version, known.confirmedAt})
 	}
-	return out, nil
+	return basis, nil
 }
 
 // Revalidate checks the basis of a decision when it is carried out. The error is a *ChangedError or a *StaleError.
-func (b *Knowledge) Revalidate(now time.Duration, basis []Basis) error {
-	for _, r := range basis {
-		if x := b.items[r.Kind]; x.version != r.Version {
-			return &ChangedError{r.Kind, r.Version, x.version}
+func (k *Knowledge) Revalidate(now time.Duration, basis []Basis) error {
+	for _, b := range basis {
+		if version := k.items[b.Kind].version; version != b.Version {
+			return &ChangedError{b.Kind, b.Version, version}
 		}
-		if b.Caution(r.Kind, now) == Refused {
-			return &StaleError{r.Kind, b.Stage(r.Kind, now), now - b.items[r.Kind].confirmed, b.bounds[r.Kind].Usable}
+		if k.Caution(b.Kind, now) == Refused {
+			return k.stale(b.Kind, now)
 		}
 	}
 	return nil
 }
 
-// Stages returns the name of each kind's stage, for logs and counts.
-func (b *Knowledge) Stages(now time.Duration) map[string]string {
-	out := map[string]string{}
-	for k := range kindCount {
-		if b.bounds[k] != (AgeBounds{}) {
-			out[k.String()] = b.Stage(k, now).String()
-		}
-	}
-	return out
-}
-
-// StaleError reports that the basis of a decision is too old or not known.
-type StaleError struct {
-	Kind     Kind
-	Stage    Stage
-	Age, Max time.Duration
+// stale returns the error for a decision on a kind that is too old or not known.
+func (k *Knowledge) stale(kind Kind, now time.Duration) *StaleError {
+	return &StaleError{kind, k.Stage(kind, now), now - k.items[kind].confirmedAt, k.bounds[kind].Usable}
 }
 
-func (e *StaleError) Error() string {
-	if e.Stage == Unknown {
-		return fmt.Sprintf("comeback: nothing is known of %v", e.Kind)
+// Stages returns the name of each kind's stage, for logs and counts.
+func (k *Knowledge) Stages(now time.Duration) map[string]string {
+	stages := map[string]string{}
+	for kind := range kindCount {
+		if k.bounds[kind] != (AgeBounds{}) {
+			stages[kind.String()] = k.Stage(kind, now).String()
+		}
 	}
-	return fmt.Sprintf("comeback: what is known of %v is %v old, %v at most", e.Kind, e.Age.Round(time.Millisecond), e.Max)
-}
-
-// Code is its kind. The codes keep the prefix under which operators know them.
-func (*StaleError) Code() string { return "comeback.stale" }
-
-// Do is what can be done.
-func (*StaleError) Do() string {
-	return "wait until the node has caught up, as its counts tell; if it does not, look at what it hears this from (the list, the store)"
-}
-
-// ChangedError reports that the basis of a decision has changed before it was carried out.
-type ChangedError struct {
-	Kind     Kind
-	Was, Now uint64
-}
-
-func (e *ChangedError) Error() string {
-	return fmt.Sprintf("comeback: %v moved from version %d to %d before what rests on it was carried out", e.Kind, e.Was, e.Now)
+	return stages
 }
-
-// Code is its kind.
-func (*ChangedError) Code() string { return "comeback.moved" }
-
-// Do is what can be done.
-func (*ChangedError) Do() string {
-	return "nothing: it is decided anew by what holds now; a client may try again at once"
-}
-
-var _ = []struct{}{operr.Kind(&StaleError{}), operr.Kind(&ChangedError{})}
--- a/internal/recovery/time_slots.go
+++ b/internal/recovery/time_slots.go
@@ -8,7 +8,8 @@
 	Salt        uint64 // of the shared resource: neighbours in one resource's round are not neighbours in another's
 }
 
-// place returns this node's part of the round, from 0 to 1, no two alike: a step through the ring that meets every place once.
+// place returns this node's part of the round, from 0 to 1, no two alike: a step through the ring that meets every
+// place once.
 func (t TimeSlots) place() float64 {
 	n := max(t.Nodes, 1)
 	step := 1 + int(t.Salt%uint64(n))
@@ -30,14 +31,17 @@
 	if round <= 0 || t.Nodes < 2 {
 		return 0
 	}
-	at := math.Mod(t.place()*round-math.Mod(now, round)+2*round, round)
-	return at
+	return math.Mod(t.place()*round-math.Mod(now, round)+2*round, round)
 }
 
-// After returns the ms from now to this node's next slot other than the current one. A single node has one in each round.
+// singleNodeWait is how long a node that is alone waits for its next slot, in rounds.
+const singleNodeWait = 0.75
+
+// After returns the ms from now to this node's next slot other than the current one. A single node has one in each
+// round.
 func (t TimeSlots) After(now, round float64) float64 {
 	if t.Nodes < 2 {
-		return 0.75 * round
+		return singleNodeWait * round
 	}
 	wait := t.Next(now, round)
 	if wait < round/float64(2*t.Nodes) {
@@ -46,9 +50,9 @@
 	return wait
 }
 
-// SlotBackoff schedules a node's calls to a shared resource: one call a round at most, in the node's own slot. While calls fail it
-// skips rounds, twice as many each time, so that a failing resource gets fewer calls. The length of a round stays the same for all
-// nodes, which keeps the slots of failing and other nodes apart.
+// SlotBackoff schedules a node's calls to a shared resource: one call a round at most, in the node's own slot. While
+// calls fail it skips rounds, twice as many each time, so that a failing resource gets fewer calls. The length of a
+// round stays the same for all nodes, which keeps the slots of failing and other nodes apart.
 type SlotBackoff struct {
 	TimeSlots
 	Round      float64 // in ms: the number of nodes over the resource's capacity in calls a second
@@ -56,9 +60,12 @@
 	failures   int
 }
 
-// spare is how many consecutive failures are not yet a sign of overload.
+// toleratedFailures is how many consecutive failures are not yet a sign of overload.
 const toleratedFailures = 2
 
+// maxDoublings bounds the exponent of the backoff; MaxSkipped is reached long before.
+const maxDoublings = 16
+
 // First returns the ms from now to the first call.
 func (s *SlotBackoff) First(now float64) float64 { return s.Next(now, s.Round) }
 
@@ -70,7 +77,7 @@
 	s.failures++
 	skip := 0
 	if s.failures > toleratedFailures {
-		skip = min(1<<min(s.failures-toleratedFailures-1, 16), s.MaxSkipped)
+		skip = min(1<<min(s.failures-toleratedFailures-1, maxDoublings), s.MaxSkipped)
 	}
 	return s.After(now, s.Round) + float64(skip)*s.Round // the current slot may be that of the failed call
 }
