--- a/internal/batch/adopt.go
+++ b/internal/batch/adopt.go
@@ -154,7 +154,7 @@
 	if bad != nil {
 		return
 	}
-	j := &job{f: a.front, queue: true, ref: jobqueue.Ref{ID: r.ID}, in: t.job, until: r.Deadline, hash: t.hash,
+	j := &job{f: a.front, queue: true, ref: jobqueue.JobRef{ID: r.ID}, in: t.job, until: r.Deadline, hash: t.hash,
 		changed: make(chan struct{}), ready: closed, r: *r}
 	j.in.Method = "POST"
 	if j.in.Idempotency == "" {
@@ -172,7 +172,7 @@
 		f.arrays[id] = x.array
 		if !x.over() {
 			unfinished++
-			f.queue.Restore(x.r.item(), jobqueue.Progress{Next: x.r.Next, Again: x.again, Skip: x.apart}, a.now)
+			f.queue.Restore(x.r.item(), jobqueue.Progress{Next: x.r.Next, Requeued: x.again, Skipped: x.apart}, a.now)
 		}
 		if len(x.again) > 0 { // others take theirs up at the same moment
 			f.ramp.Restart()
--- a/internal/batch/array.go
+++ b/internal/batch/array.go
@@ -124,7 +124,7 @@
 }
 
 // member makes the job of a member whose turn has come, or finds it if it had one before. The front's lock is held.
-func (f *Front) member(a *array, ref jobqueue.Ref, now time.Time) *job {
+func (f *Front) member(a *array, ref jobqueue.JobRef, now time.Time) *job {
 	id := memberID(ref.ID, ref.Index)
 	if j := f.jobs[id]; j != nil {
 		return j
--- a/internal/batch/arraycontrol.go
+++ b/internal/batch/arraycontrol.go
@@ -39,7 +39,7 @@
 	now := time.Now()
 	f.mu.Lock()
 	id := a.record().ID
-	was := f.queue.Held(id)
+	was := f.queue.IsHeld(id)
 	done := false
 	if held {
 		done = f.queue.Hold(id, now)
--- a/internal/batch/control.go
+++ b/internal/batch/control.go
@@ -98,7 +98,7 @@
 	now := time.Now()
 	f.mu.Lock()
 	a := f.arrays[r.Array]
-	ref := jobqueue.Ref{ID: r.Array, Index: *r.Index}
+	ref := jobqueue.JobRef{ID: r.Array, Index: *r.Index}
 	if a == nil || !f.queue.RemoveOne(ref, now) {
 		f.mu.Unlock()
 		if _, r, ok := f.find(ctx, r.ID); ok { // its turn has come meanwhile
@@ -114,7 +114,7 @@
 }
 
 // endedMember makes the job of a member that ends without a turn in this life. The front's lock is held.
-func (f *Front) endedMember(a *array, ref jobqueue.Ref) *job {
+func (f *Front) endedMember(a *array, ref jobqueue.JobRef) *job {
 	x := a.record()
 	j := &job{f: f, array: a, ref: ref, changed: make(chan struct{}), ready: closed, r: a.memberRecord(&x, ref.Index)}
 	f.keep(j)
@@ -136,7 +136,7 @@
 	}
 	now := time.Now()
 	f.mu.Lock()
-	was := f.queue.Held(j.ref.ID)
+	was := f.queue.IsHeld(j.ref.ID)
 	done := f.queue.Hold(j.ref.ID, now)
 	if !held {
 		done = was && f.queue.Release(j.ref.ID, now)
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -24,7 +24,7 @@
 		f.mu.Unlock()
 		return // let go of while it was out: to wait here again it would have to be this node's
 	}
-	f.queue.Refused(j.ref, now.Add(after), now)
+	f.queue.Rejected(j.ref, now.Add(after), now)
 	f.ramp.Rejected()
 	f.mu.Unlock()
 	f.later(j) // that nothing of it is out any more
@@ -39,7 +39,7 @@
 	}
 	now := time.Now()
 	f.mu.Lock()
-	refs, wake := f.queue.Next(now, f.ramp.Allowed()-f.queue.Out())
+	refs, wake := f.queue.Next(now, f.ramp.Allowed()-f.queue.InFlight())
 	jobs := make([]*job, 0, len(refs))
 	for _, ref := range refs {
 		j := f.waits[ref.ID]
--- a/internal/batch/fleet.go
+++ b/internal/batch/fleet.go
@@ -49,7 +49,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.queue.Waits(jobqueue.Ref{ID: r.Array, Index: *r.Index})
+	return f.queue.IsRequeued(jobqueue.JobRef{ID: r.Array, Index: *r.Index})
 }
 
 // passed makes a call about a job or array that another node has at that node, once. A call that was passed on already is
--- a/internal/batch/fleet_test.go
+++ b/internal/batch/fleet_test.go
@@ -48,7 +48,7 @@
 func (f *Front) counts() (waiting, out, known, jobs int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.queue.Waiting(), f.queue.Out(), len(f.waits), len(f.jobs)
+	return f.queue.Waiting(), f.queue.InFlight(), len(f.waits), len(f.jobs)
 }
 
 // A partition is lost at each point of a job's way: while its hand-over is being written, while it is with the core, and while
--- a/internal/batch/hard_test.go
+++ b/internal/batch/hard_test.go
@@ -148,8 +148,8 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.queue.Waiting()+f.queue.Out()+len(f.waits) != 0 {
-		t.Errorf("%d wait, %d out, %d known", f.queue.Waiting(), f.queue.Out(), len(f.waits))
+	if f.queue.Waiting()+f.queue.InFlight()+len(f.waits) != 0 {
+		t.Errorf("%d wait, %d out, %d known", f.queue.Waiting(), f.queue.InFlight(), len(f.waits))
 	}
 	if clients, _ := e.take(); len(clients) != 0 {
 		t.Errorf("%d jobs that were terminated reached the core", len(clients))
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -79,8 +79,8 @@
 // share it.
 type job struct {
 	f     *Front
-	ref   jobqueue.Ref // its name in the queue, where it came from there
-	queue bool         // it waits here until it is handed to the core, also after a refusal
+	ref   jobqueue.JobRef // its name in the queue, where it came from there
+	queue bool            // it waits here until it is handed to the core, also after a refusal
 	array *array
 	in    node.Job
 	until time.Time // the client's deadline; zero for the class's, from when it is handed over
--- a/internal/batch/submit.go
+++ b/internal/batch/submit.go
@@ -127,7 +127,7 @@
 	case j.queue:
 		j.r.SubState = subDeferred
 	}
-	j.r.Template, j.ref = t.raw, jobqueue.Ref{ID: j.r.ID}
+	j.r.Template, j.ref = t.raw, jobqueue.JobRef{ID: j.r.ID}
 	j.in.Trace, j.in.Method = trace(), "POST"
 	if j.in.Idempotency == "" {
 		j.in.Idempotency = trace() + trace()
--- a/internal/jobqueue/clock_test.go
+++ b/internal/jobqueue/clock_test.go
@@ -32,7 +32,7 @@
 			refs, _ := q.Next(now, 1)
 			// Refused after the step, and before it in the monotonic order of all that follows.
 			now = clocktest.Step(now.Add(time.Millisecond), step)
-			q.Refused(refs[0], now.Add(retryDelay), now)
+			q.Rejected(refs[0], now.Add(retryDelay), now)
 			if handedOut(q, "refused", now.Add(retryDelay-time.Millisecond)) {
 				t.Errorf("step %v, start in %v: handed out before its wait was over", step, startsIn)
 			}
@@ -50,7 +50,7 @@
 		q.Add(Item{ID: "refused", Session: "s"}, now)
 		q.Add(Item{ID: "dated", Session: "s", Start: now.Round(0).Add(30 * time.Minute)}, now)
 		refs, _ := q.Next(now, 1)
-		q.Refused(refs[0], now.Add(retryDelay), now)
+		q.Rejected(refs[0], now.Add(retryDelay), now)
 		now = clocktest.Step(now.Add(time.Millisecond), step)
 		// An item that comes after the step is ordered beside those from before it.
 		q.Add(Item{ID: "later", Session: "s", Start: now.Round(0).Add(10 * time.Second)}, now)
--- a/internal/jobqueue/release.go
+++ b/internal/jobqueue/release.go
@@ -51,48 +51,48 @@
 }
 
 // Ref names a job that is to be handed to the core: an item's, or the member of an array with an index.
-type Ref struct {
+type JobRef struct {
 	ID    string
 	Index int // of an array's member
 }
 
 // Queue holds the items that wait, and counts what of them is out.
 type Queue struct {
-	items    map[string]*item
-	sessions map[string]*session
-	starts   *line // items whose start date has not come, by date
-	retries  *line // items that wait after a refusal, by the monotonic clock
-	turn     uint64
-	seq      uint64
-	out      int
-	waiting  int // jobs that wait, held ones among them
+	items       map[string]*queuedItem
+	sessions    map[string]*session
+	starts      *itemHeap // items whose start date has not come, by date
+	retries     *itemHeap // items that wait after a refusal, by the monotonic clock
+	turns       uint64
+	submissions uint64
+	inFlight    int
+	waiting     int // jobs that wait, held ones among them
 }
 
 type session struct {
-	items  int
-	out    int
-	served uint64 // the turn in which it was last served
-	ready  *line
+	items      int
+	inFlight   int
+	servedTurn uint64 // the turn in which it was last served
+	ready      *itemHeap
 }
 
-type item struct {
+type queuedItem struct {
 	Item
-	seq   uint64
-	next  int          // of an array: the next index
-	again []int        // members that came back refused
-	skip  map[int]bool // members that were taken away before their turn
-	out   map[int]bool
-	start time.Time // a date, without a monotonic reading; zero once it has come
-	retry time.Time // after a refusal: not before it, by the monotonic clock
-	heap  int       // its place among the session's ready ones, -1 if it is not there
-	timed int       // its place among the starts or the retries, -1 likewise
-	line  *line     // starts or retries, where timed is not -1
+	submission uint64
+	next       int          // of an array: the next index
+	requeued   []int        // members that came back refused
+	skipped    map[int]bool // members that were taken away before their turn
+	inFlight   map[int]bool
+	start      time.Time // a date, without a monotonic reading; zero once it has come
+	retryAt    time.Time // after a refusal: not before it, by the monotonic clock
+	heap       int       // its place among the session's ready ones, -1 if it is not there
+	timed      int       // its place among the starts or the retries, -1 likewise
+	line       *itemHeap // starts or retries, where timed is not -1
 }
 
 // New makes an empty queue.
 func New() *Queue {
-	return &Queue{items: map[string]*item{}, sessions: map[string]*session{}, starts: newTimed(func(it *item) time.Time { return it.start }),
-		retries: newTimed(func(it *item) time.Time { return it.retry })}
+	return &Queue{items: map[string]*queuedItem{}, sessions: map[string]*session{}, starts: newTimed(func(it *queuedItem) time.Time { return it.start }),
+		retries: newTimed(func(it *queuedItem) time.Time { return it.retryAt })}
 }
 
 // Add takes an item in, and says whether its name was free.
@@ -100,9 +100,9 @@
 
 // Progress is how far an array has come.
 type Progress struct {
-	Next  int   // the index whose turn is next
-	Again []int // members that had their turn and wait again
-	Skip  []int // members from Next on that get no turn of the range's
+	Next     int   // the index whose turn is next
+	Requeued []int // members that had their turn and wait again
+	Skipped  []int // members from Next on that get no turn of the range's
 }
 
 // Restore takes in an item of which some is done, and says whether its name was free.
@@ -110,25 +110,25 @@
 	if q.items[x.ID] != nil || x.Size() == 0 {
 		return false
 	}
-	q.seq++
-	it := &item{Item: x, seq: q.seq, next: max(p.Next, x.Begin), again: p.Again, skip: map[int]bool{}, out: map[int]bool{},
+	q.submissions++
+	it := &queuedItem{Item: x, submission: q.submissions, next: max(p.Next, x.Begin), requeued: p.Requeued, skipped: map[int]bool{}, inFlight: map[int]bool{},
 		start: x.Start.Round(0), heap: -1, timed: -1}
-	for _, index := range p.Skip {
+	for _, index := range p.Skipped {
 		if index >= it.next && index <= it.End {
-			it.skip[index] = true
+			it.skipped[index] = true
 		}
 	}
 	q.items[x.ID] = it
-	q.waiting += it.left()
+	q.waiting += it.waiting()
 	q.session(x.Session).items++
 	q.place(it, now)
 	return true
 }
 
 // Waits says whether a member of an array that had its turn waits again.
-func (q *Queue) Waits(r Ref) bool {
+func (q *Queue) IsRequeued(r JobRef) bool {
 	it := q.items[r.ID]
-	return it != nil && slices.Contains(it.again, r.Index)
+	return it != nil && slices.Contains(it.requeued, r.Index)
 }
 
 func (q *Queue) session(name string) *session {
@@ -141,35 +141,35 @@
 }
 
 // left is how many of an item's jobs wait.
-func (it *item) left() int {
+func (it *queuedItem) waiting() int {
 	if !it.Array {
 		if it.next > it.Begin {
-			return len(it.again)
+			return len(it.requeued)
 		}
 		return 1
 	}
-	n := len(it.again)
+	n := len(it.requeued)
 	if it.next <= it.End {
-		n += (it.End-it.next)/it.Step + 1 - len(it.skip)
+		n += (it.End-it.next)/it.Step + 1 - len(it.skipped)
 	}
 	return n
 }
 
 // place puts an item where it belongs: among the ready ones, those with a time to come, or neither. A start date that has come stays
 // come if the wall clock is set back afterwards.
-func (q *Queue) place(it *item, now time.Time) {
+func (q *Queue) place(it *queuedItem, now time.Time) {
 	s := q.session(it.Session)
-	full := it.MaxParallel > 0 && len(it.out) >= it.MaxParallel
-	waits := it.left() > 0 && !it.Held
+	full := it.MaxParallel > 0 && len(it.inFlight) >= it.MaxParallel
+	waits := it.waiting() > 0 && !it.Held
 	if !it.start.After(now) {
 		it.start = time.Time{}
 	}
-	var timed *line
+	var timed *itemHeap
 	switch {
 	case !waits:
 	case !it.start.IsZero():
 		timed = q.starts
-	case it.retry.After(now):
+	case it.retryAt.After(now):
 		timed = q.retries
 	}
 	if ready := waits && !full && timed == nil; ready != (it.heap >= 0) {
@@ -192,20 +192,20 @@
 const dateCheckInterval = time.Second
 
 // due moves items whose time has come to where they belong.
-func (q *Queue) due(now time.Time) {
+func (q *Queue) moveDue(now time.Time) {
 	for q.starts.Len() > 0 && !q.starts.items[0].start.After(now) {
 		q.place(q.starts.items[0], now)
 	}
-	for q.retries.Len() > 0 && !q.retries.items[0].retry.After(now) {
+	for q.retries.Len() > 0 && !q.retries.items[0].retryAt.After(now) {
 		q.place(q.retries.items[0], now)
 	}
 }
 
 // wake is when Next is to be called again if nothing else happens; zero for never.
-func (q *Queue) wake(now time.Time) time.Time {
+func (q *Queue) nextCheck(now time.Time) time.Time {
 	var wake time.Time
 	if q.retries.Len() > 0 {
-		wake = q.retries.items[0].retry
+		wake = q.retries.items[0].retryAt
 	}
 	if q.starts.Len() > 0 {
 		// The date decides how long to wait; the wait itself runs on the clock that now was read from.
@@ -219,23 +219,23 @@
 
 // Next gives up to room jobs that are to be handed to the core now, and when to ask again if nothing else happens; zero
 // for never.
-func (q *Queue) Next(now time.Time, room int) (refs []Ref, wake time.Time) {
-	q.due(now)
+func (q *Queue) Next(now time.Time, room int) (refs []JobRef, wake time.Time) {
+	q.moveDue(now)
 	for len(refs) < room {
 		s := q.pick()
 		if s == nil {
 			break
 		}
 		it := s.ready.items[0]
-		refs = append(refs, Ref{it.ID, it.take()})
-		q.turn++
-		s.served = q.turn
-		s.out++
-		q.out++
+		refs = append(refs, JobRef{it.ID, it.take()})
+		q.turns++
+		s.servedTurn = q.turns
+		s.inFlight++
+		q.inFlight++
 		q.waiting--
 		q.place(it, now)
 	}
-	return refs, q.wake(now)
+	return refs, q.nextCheck(now)
 }
 
 // pick is the session whose turn it is.
@@ -247,8 +247,8 @@
 		}
 		// Two sessions were never served in the same turn but before their first: what then decides is whose first item
 		// came first, and not the order of a map.
-		if best == nil || s.out < best.out || s.out == best.out && (s.served < best.served ||
-			s.served == best.served && s.ready.items[0].seq < best.ready.items[0].seq) {
+		if best == nil || s.inFlight < best.inFlight || s.inFlight == best.inFlight && (s.servedTurn < best.servedTurn ||
+			s.servedTurn == best.servedTurn && s.ready.items[0].submission < best.ready.items[0].submission) {
 			best = s
 		}
 	}
@@ -256,32 +256,32 @@
 }
 
 // take gives the next job of an item: what came back first, then the range.
-func (it *item) take() int {
+func (it *queuedItem) take() int {
 	index := it.next
-	if n := len(it.again); n > 0 {
-		index, it.again = it.again[0], it.again[1:]
+	if n := len(it.requeued); n > 0 {
+		index, it.requeued = it.requeued[0], it.requeued[1:]
 	} else if it.Array {
-		for it.skip[index] {
-			delete(it.skip, index)
+		for it.skipped[index] {
+			delete(it.skipped, index)
 			index += it.Step
 		}
 		it.next = index + it.Step
 	} else {
 		it.next++
 	}
-	it.out[index] = true
+	it.inFlight[index] = true
 	return index
 }
 
 // Hold keeps an item back, and says whether any of it still waits.
-func (q *Queue) Hold(id string, now time.Time) bool { return q.hold(id, true, now) }
+func (q *Queue) Hold(id string, now time.Time) bool { return q.setHeld(id, true, now) }
 
 // Release lets a held item go.
-func (q *Queue) Release(id string, now time.Time) bool { return q.hold(id, false, now) }
+func (q *Queue) Release(id string, now time.Time) bool { return q.setHeld(id, false, now) }
 
-func (q *Queue) hold(id string, held bool, now time.Time) bool {
+func (q *Queue) setHeld(id string, held bool, now time.Time) bool {
 	it := q.items[id]
-	if it == nil || it.left() == 0 {
+	if it == nil || it.waiting() == 0 {
 		return false
 	}
 	it.Held = held
@@ -290,89 +290,89 @@
 }
 
 // Held says whether an item waits on hold.
-func (q *Queue) Held(id string) bool {
+func (q *Queue) IsHeld(id string) bool {
 	it := q.items[id]
-	return it != nil && it.Held && it.left() > 0
+	return it != nil && it.Held && it.waiting() > 0
 }
 
 // Remove takes away what of an item still waits, and tells which jobs that were: an array's from Index next on, and
 // those that came back. Jobs that are out stay out, and end as they end.
-func (q *Queue) Remove(id string, now time.Time) (refs []Ref) {
+func (q *Queue) Remove(id string, now time.Time) (refs []JobRef) {
 	it := q.items[id]
 	if it == nil {
 		return nil
 	}
-	for _, i := range it.again {
-		refs = append(refs, Ref{id, i})
+	for _, i := range it.requeued {
+		refs = append(refs, JobRef{id, i})
 	}
 	if it.Array {
 		for ; it.next <= it.End; it.next += it.Step {
-			if !it.skip[it.next] {
-				refs = append(refs, Ref{id, it.next})
+			if !it.skipped[it.next] {
+				refs = append(refs, JobRef{id, it.next})
 			}
 		}
-		it.skip = nil
+		it.skipped = nil
 	} else if it.next == it.Begin {
-		refs = append(refs, Ref{id, it.next})
+		refs = append(refs, JobRef{id, it.next})
 		it.next++
 	}
-	it.again = nil
+	it.requeued = nil
 	q.waiting -= len(refs)
 	q.place(it, now)
-	q.drop(it)
+	q.dropIfDone(it)
 	return refs
 }
 
 // RemoveOne takes one member of an array away, and says whether it waited.
-func (q *Queue) RemoveOne(r Ref, now time.Time) bool {
+func (q *Queue) RemoveOne(r JobRef, now time.Time) bool {
 	it := q.items[r.ID]
 	if it == nil || !it.Array || r.Index < it.Begin || r.Index > it.End || (r.Index-it.Begin)%it.Step != 0 {
 		return false
 	}
-	if i := slices.Index(it.again, r.Index); i >= 0 {
-		it.again = slices.Delete(it.again, i, i+1)
-	} else if r.Index >= it.next && !it.skip[r.Index] {
-		if it.skip == nil {
-			it.skip = map[int]bool{}
+	if i := slices.Index(it.requeued, r.Index); i >= 0 {
+		it.requeued = slices.Delete(it.requeued, i, i+1)
+	} else if r.Index >= it.next && !it.skipped[r.Index] {
+		if it.skipped == nil {
+			it.skipped = map[int]bool{}
 		}
-		it.skip[r.Index] = true
+		it.skipped[r.Index] = true
 	} else {
 		return false
 	}
 	q.waiting--
 	q.place(it, now)
-	q.drop(it)
+	q.dropIfDone(it)
 	return true
 }
 
 // Ended takes in that a job that was out has ended.
-func (q *Queue) Ended(r Ref, now time.Time) { q.back(r, false, time.Time{}, now) }
+func (q *Queue) Ended(r JobRef, now time.Time) { q.returned(r, false, time.Time{}, now) }
 
 // Refused takes in that a job that was out was refused, and that nothing of it ran: it waits again, not before a time.
-func (q *Queue) Refused(r Ref, again, now time.Time) { q.back(r, true, again, now) }
+func (q *Queue) Rejected(r JobRef, again, now time.Time) { q.returned(r, true, again, now) }
 
-func (q *Queue) back(r Ref, wait bool, again, now time.Time) {
+func (q *Queue) returned(r JobRef, wait bool, again, now time.Time) {
 	it := q.items[r.ID]
-	if it == nil || !it.out[r.Index] {
+	if it == nil || !it.inFlight[r.Index] {
 		return
 	}
-	delete(it.out, r.Index)
-	q.sessions[it.Session].out--
-	q.out--
+	delete(it.inFlight, r.Index)
+	q.sessions[it.Session].inFlight--
+	q.inFlight--
 	if wait {
-		it.again = append(it.again, r.Index)
+		it.requeued = append(it.requeued, r.Index)
 		q.waiting++
-		if again.After(it.retry) {
-			it.retry = again
+		if again.After(it.retryAt) {
+			it.retryAt = again
 		}
 	}
 	q.place(it, now)
-	q.drop(it)
+	q.dropIfDone(it)
 }
 
 // drop forgets an item of which nothing waits or is out, and a session without items.
-func (q *Queue) drop(it *item) {
-	if it.left() > 0 || len(it.out) > 0 {
+func (q *Queue) dropIfDone(it *queuedItem) {
+	if it.waiting() > 0 || len(it.inFlight) > 0 {
 		return
 	}
 	delete(q.items, it.ID)
@@ -386,7 +386,7 @@
 func (q *Queue) Waiting() int { return q.waiting }
 
 // Out is how many jobs are out.
-func (q *Queue) Out() int { return q.out }
+func (q *Queue) InFlight() int { return q.inFlight }
 
 // State tells of an item: its next index, the members that wait again, and whether it is known.
 func (q *Queue) State(id string) (next int, again []int, held, ok bool) {
@@ -394,45 +394,45 @@
 	if it == nil {
 		return 0, nil, false, false
 	}
-	return it.next, append([]int(nil), it.again...), it.Held, true
+	return it.next, append([]int(nil), it.requeued...), it.Held, true
 }
 
 // line is a heap of items, the next one first. Each item knows its place in it, -1 while it is not there.
-type line struct {
-	items []*item
-	less  func(a, b *item) bool
-	place func(*item) *int
+type itemHeap struct {
+	items []*queuedItem
+	less  func(a, b *queuedItem) bool
+	place func(*queuedItem) *int
 }
 
-func newReady() *line {
-	return &line{less: func(a, b *item) bool {
+func newReady() *itemHeap {
+	return &itemHeap{less: func(a, b *queuedItem) bool {
 		if a.Priority != b.Priority {
 			return a.Priority > b.Priority
 		}
-		return a.seq < b.seq
-	}, place: func(it *item) *int { return &it.heap }}
+		return a.submission < b.submission
+	}, place: func(it *queuedItem) *int { return &it.heap }}
 }
 
 // newTimed returns a heap of items by a time of theirs.
-func newTimed(at func(*item) time.Time) *line {
-	return &line{less: func(a, b *item) bool { return at(a).Before(at(b)) }, place: func(it *item) *int { return &it.timed }}
+func newTimed(at func(*queuedItem) time.Time) *itemHeap {
+	return &itemHeap{less: func(a, b *queuedItem) bool { return at(a).Before(at(b)) }, place: func(it *queuedItem) *int { return &it.timed }}
 }
 
-func (l *line) Len() int           { return len(l.items) }
-func (l *line) Less(i, k int) bool { return l.less(l.items[i], l.items[k]) }
-func (l *line) Swap(i, k int) {
+func (l *itemHeap) Len() int           { return len(l.items) }
+func (l *itemHeap) Less(i, k int) bool { return l.less(l.items[i], l.items[k]) }
+func (l *itemHeap) Swap(i, k int) {
 	l.items[i], l.items[k] = l.items[k], l.items[i]
 	*l.place(l.items[i]), *l.place(l.items[k]) = i, k
 }
 
 // Push and Pop are package heap's.
-func (l *line) Push(x any) {
-	it := x.(*item)
+func (l *itemHeap) Push(x any) {
+	it := x.(*queuedItem)
 	*l.place(it) = len(l.items)
 	l.items = append(l.items, it)
 }
 
-func (l *line) Pop() any {
+func (l *itemHeap) Pop() any {
 	n := len(l.items) - 1
 	it := l.items[n]
 	l.items[n] = nil
--- a/internal/jobqueue/release_test.go
+++ b/internal/jobqueue/release_test.go
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q, now := New(), epoch
 		type fate struct{ waits, out, over int }
-		items, fates, out := map[string]*Item{}, map[string]*fate{}, []Ref{}
+		items, fates, out := map[string]*Item{}, map[string]*fate{}, []JobRef{}
 		notBefore := map[string]time.Time{}
 		total := func() (waits, outs int) {
 			for _, f := range fates {
@@ -75,7 +75,7 @@
 					if again.After(notBefore[r.ID]) {
 						notBefore[r.ID] = again
 					}
-					q.Refused(r, again, now)
+					q.Rejected(r, again, now)
 				} else {
 					f.over++
 					q.Ended(r, now)
@@ -95,7 +95,7 @@
 			case 7:
 				f := fates[id]
 				if x := items[id]; x != nil && x.Array && rapid.Bool().Draw(t, "one") {
-					if q.RemoveOne(Ref{id, rapid.IntRange(0, 30).Draw(t, "index")}, now) {
+					if q.RemoveOne(JobRef{id, rapid.IntRange(0, 30).Draw(t, "index")}, now) {
 						f.waits--
 					}
 				} else if refs := q.Remove(id, now); f != nil && len(refs) != f.waits || f == nil && len(refs) > 0 {
@@ -105,8 +105,8 @@
 				}
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "seconds")) * time.Second)
-			if waits, outs := total(); q.Waiting() != waits || q.Out() != outs {
-				t.Fatalf("%d wait and %d out, want %d and %d", q.Waiting(), q.Out(), waits, outs)
+			if waits, outs := total(); q.Waiting() != waits || q.InFlight() != outs {
+				t.Fatalf("%d wait and %d out, want %d and %d", q.Waiting(), q.InFlight(), waits, outs)
 			}
 		}
 		// All that is not held comes out in the end, whatever was done before.
@@ -128,8 +128,8 @@
 				t.Fatalf("%d jobs never come out", q.Waiting())
 			}
 		}
-		if q.Out() != 0 || len(q.items) != 0 || len(q.sessions) != 0 {
-			t.Fatalf("left over: %d out, %d items, %d sessions", q.Out(), len(q.items), len(q.sessions))
+		if q.InFlight() != 0 || len(q.items) != 0 || len(q.sessions) != 0 {
+			t.Fatalf("left over: %d out, %d items, %d sessions", q.InFlight(), len(q.items), len(q.sessions))
 		}
 	})
 }
@@ -141,7 +141,7 @@
 	q.Add(Item{ID: "low", Session: "b"}, epoch)
 	q.Add(Item{ID: "high", Session: "b", Priority: 5}, epoch)
 	refs, _ := q.Next(epoch, 5)
-	want := []Ref{{"big", 1}, {"high", 0}, {"big", 2}, {"low", 0}, {"big", 3}}
+	want := []JobRef{{"big", 1}, {"high", 0}, {"big", 2}, {"low", 0}, {"big", 3}}
 	for i := range want {
 		if i >= len(refs) || refs[i] != want[i] {
 			t.Fatalf("%v, want %v", refs, want)
@@ -168,7 +168,7 @@
 	if len(refs) != 1 || !wake.IsZero() {
 		t.Fatalf("%v, ask again at %v", refs, wake)
 	}
-	q.Refused(refs[0], at.Add(time.Second), at)
+	q.Rejected(refs[0], at.Add(time.Second), at)
 	if refs, wake = q.Next(at, 9); len(refs) != 0 || wake != at.Add(time.Second) {
 		t.Fatalf("%v, ask again at %v", refs, wake)
 	}
