--- a/internal/batch/arraycontrol.go
+++ b/internal/batch/arraycontrol.go
@@ -65,7 +65,7 @@
 	now := time.Now()
 	x := a.record()
 	f.mu.Lock()
-	_, again, _, _ := f.queue.State(x.ID)
+	again := f.queue.Requeued(x.ID)
 	refs := f.queue.Remove(x.ID, now)
 	var back []*job // members that had their turn, came back, and wait again
 	ended := 0
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -215,7 +215,7 @@
 	if j.array != nil {
 		// After a kill a member can be counted that was counted before: the array goes only once none of it waits or is out.
 		j.array.ended(&r)
-		if _, _, _, left := f.queue.State(r.Array); j.array.over() && !left {
+		if j.array.over() && !f.queue.Contains(r.Array) {
 			f.finished(j.array)
 		}
 	}
--- /dev/null
+++ b/internal/jobqueue/queue.go
@@ -0,0 +1,209 @@
+package jobqueue
+
+import "time"
+
+// dateCheckInterval is how often start dates are compared with the wall clock while any is to come. A timer for the whole
+// wait would not notice that the clock was set.
+const dateCheckInterval = time.Second
+
+// Queue holds the items that wait, and counts their jobs in flight. It is not safe for concurrent use.
+type Queue struct {
+	items       map[string]*queuedItem
+	sessions    map[string]*session
+	starts      *itemHeap // items whose start date has not come, by date
+	retries     *itemHeap // items that wait after a rejection, by the monotonic clock
+	turns       uint64    // of sessions, so far
+	submissions uint64
+	inFlight    int // jobs
+	waiting     int // jobs, held ones among them
+}
+
+// session is the items of one session.
+type session struct {
+	items      int
+	inFlight   int    // jobs
+	servedTurn uint64 // the turn in which it was last served, 0 for never
+	ready      *itemHeap
+}
+
+// New returns an empty Queue.
+func New() *Queue {
+	return &Queue{
+		items:    map[string]*queuedItem{},
+		sessions: map[string]*session{},
+		starts:   newDelayedHeap(func(i *queuedItem) time.Time { return i.start }),
+		retries:  newDelayedHeap(func(i *queuedItem) time.Time { return i.retryAt }),
+	}
+}
+
+// Add adds an item, and returns whether its id was free.
+func (q *Queue) Add(item Item, now time.Time) bool { return q.Restore(item, Progress{}, now) }
+
+// Restore adds an item of which some is done, and returns whether its id was free.
+func (q *Queue) Restore(item Item, progress Progress, now time.Time) bool {
+	if q.items[item.ID] != nil || item.Size() == 0 {
+		return false
+	}
+	q.submissions++
+	queued := newQueuedItem(item, progress, q.submissions)
+	q.items[item.ID] = queued
+	q.waiting += queued.waiting()
+	q.session(item.Session).items++
+	q.place(queued, now)
+	return true
+}
+
+func (q *Queue) session(name string) *session {
+	if q.sessions[name] == nil {
+		q.sessions[name] = &session{ready: newReadyHeap()}
+	}
+	return q.sessions[name]
+}
+
+// Next returns up to limit jobs that are to be handed to the dispatcher now, and when to call it again if nothing else
+// happens; zero for never.
+func (q *Queue) Next(now time.Time, limit int) (refs []JobRef, callAgain time.Time) {
+	q.moveDue(now)
+	for len(refs) < limit {
+		next := q.nextSession()
+		if next == nil {
+			break
+		}
+		item := next.ready.first()
+		refs = append(refs, JobRef{item.ID, item.take()})
+		q.turns++
+		next.servedTurn = q.turns
+		next.inFlight++
+		q.inFlight++
+		q.waiting--
+		q.place(item, now)
+	}
+	return refs, q.nextCheck(now)
+}
+
+// nextSession returns the session whose turn it is, nil if none has a job that is ready.
+func (q *Queue) nextSession() *session {
+	var best *session
+	for _, s := range q.sessions {
+		if s.ready.Len() > 0 && (best == nil || s.before(best)) {
+			best = s
+		}
+	}
+	return best
+}
+
+// before reports whether a session's turn comes before another's. Only before their first turn can two have the same
+// servedTurn: then the session goes first whose item was submitted first, and not the one that a map gives first.
+func (s *session) before(other *session) bool {
+	switch {
+	case s.inFlight != other.inFlight:
+		return s.inFlight < other.inFlight
+	case s.servedTurn != other.servedTurn:
+		return s.servedTurn < other.servedTurn
+	}
+	return s.ready.first().submission < other.ready.first().submission
+}
+
+// place puts an item where it belongs: among the ready ones, those that are delayed, or neither. A start date that has
+// come stays come if the wall clock is set back afterwards.
+func (q *Queue) place(item *queuedItem, now time.Time) {
+	if !item.start.After(now) {
+		item.start = time.Time{}
+	}
+	waits := item.waiting() > 0 && !item.Held
+	var delayed *itemHeap
+	switch {
+	case !waits:
+	case !item.start.IsZero():
+		delayed = q.starts
+	case item.retryAt.After(now):
+		delayed = q.retries
+	}
+	readyItems := q.session(item.Session).ready
+	ready := waits && delayed == nil && !item.atMaxParallel()
+	switch queued := item.readyAt != notQueued; {
+	case ready && !queued:
+		readyItems.add(item)
+	case !ready && queued:
+		readyItems.remove(item)
+	}
+	if item.delayedAt != notQueued {
+		item.delayedIn.remove(item)
+	}
+	if item.delayedIn = delayed; delayed != nil {
+		delayed.add(item)
+	}
+}
+
+// moveDue moves items whose time has come to where they belong.
+func (q *Queue) moveDue(now time.Time) {
+	for item := q.starts.first(); item != nil && !item.start.After(now); item = q.starts.first() {
+		q.place(item, now)
+	}
+	for item := q.retries.first(); item != nil && !item.retryAt.After(now); item = q.retries.first() {
+		q.place(item, now)
+	}
+}
+
+// nextCheck returns when delayed items are to be looked at next; zero for never.
+func (q *Queue) nextCheck(now time.Time) time.Time {
+	var next time.Time
+	if item := q.retries.first(); item != nil {
+		next = item.retryAt
+	}
+	if item := q.starts.first(); item != nil {
+		// The date decides how long to wait; the wait itself runs on the clock that now was read from.
+		check := now.Add(min(item.start.Sub(now), dateCheckInterval))
+		if next.IsZero() || check.Before(next) {
+			next = check
+		}
+	}
+	return next
+}
+
+// Ended records that a job in flight has ended.
+func (q *Queue) Ended(ref JobRef, now time.Time) {
+	if item := q.landed(ref); item != nil {
+		q.place(item, now)
+		q.forgetIfDone(item)
+	}
+}
+
+// Rejected records that a job in flight was rejected and that nothing of it ran: it waits again, not before a time.
+func (q *Queue) Rejected(ref JobRef, retryAt, now time.Time) {
+	item := q.landed(ref)
+	if item == nil {
+		return
+	}
+	item.requeued = append(item.requeued, ref.Index)
+	q.waiting++
+	if retryAt.After(item.retryAt) {
+		item.retryAt = retryAt
+	}
+	q.place(item, now)
+	q.forgetIfDone(item)
+}
+
+// landed records that a job is no longer in flight, and returns its item, nil if it was not.
+func (q *Queue) landed(ref JobRef) *queuedItem {
+	item := q.items[ref.ID]
+	if item == nil || !item.inFlight[ref.Index] {
+		return nil
+	}
+	delete(item.inFlight, ref.Index)
+	q.sessions[item.Session].inFlight--
+	q.inFlight--
+	return item
+}
+
+// forgetIfDone forgets an item of which nothing waits or is in flight, and a session without items.
+func (q *Queue) forgetIfDone(item *queuedItem) {
+	if item.waiting() > 0 || len(item.inFlight) > 0 {
+		return
+	}
+	delete(q.items, item.ID)
+	s := q.sessions[item.Session]
+	if s.items--; s.items == 0 {
+		delete(q.sessions, item.Session)
+	}
+}
--- a/internal/jobqueue/release_test.go
+++ b/internal/jobqueue/queue_test.go
@@ -176,7 +176,7 @@
 		t.Fatal("a refused job never comes back")
 	}
 	q.Ended(refs[0], at)
-	if _, _, _, ok := q.State("later"); ok || q.Waiting() != 0 {
+	if q.Contains("later") || q.Waiting() != 0 {
 		t.Error("it is kept after its end")
 	}
 }
