--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	reader, err := gzip.NewReader(file)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/conformance/conform.go
+++ b/internal/conformance/conform.go
@@ -1,7 +1,7 @@
-// Package conformance is a suite of numbered cases that a DRMAAv2 endpoint over HTTP must pass. Each names the section of
-// the specification that it is taken from (GFD.194 for DRMAAv2, GFD.133 for version 1, RFC 9110 for HTTP, or this
-// binding's own page, docs/batch.md), and needs nothing of the endpoint but that it serves jobs of the categories it
-// names. The package keeps no state and has no goroutine of its own.
+// Package conformance is a suite of numbered cases that a DRMAAv2 endpoint over HTTP must pass. Each names the
+// section of the specification that it is taken from (GFD.194 for DRMAAv2, GFD.133 for version 1, RFC 9110 for HTTP,
+// or this binding's own page, docs/batch.md), and needs nothing of the endpoint but that it serves jobs of the
+// categories it names. The package keeps no state and has no goroutine of its own.
 package conformance
 
 import (
--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -77,7 +77,7 @@
 		kind, _, _ := cutZero(decision)
 		r.run.Actions[string(kind)]++
 		if a.Kind == dispatch.ActLog {
-			fmt.Fprintf(r.logs, "%d %s\n", r.run.Steps, text)
+			_, _ = fmt.Fprintf(r.logs, "%d %s\n", r.run.Steps, text) // a hash does not fail
 		}
 		if a.Kind == dispatch.ActTell {
 			r.keep(node, a)
