--- a/cmd/gatetack/reload.go
+++ b/cmd/gatetack/reload.go
@@ -39,7 +39,7 @@
 // reload reads the configuration once.
 func (r *reloader) reload(ctx context.Context) error {
 	former := r.applier.baseConfig()
-	next, err := former.Again(os.Getenv)
+	next, err := former.Reload(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -50,8 +50,8 @@
 	if err != nil {
 		return err
 	}
-	if unchanged := former.Stays(next); len(unchanged) > 0 {
-		r.log.Warn("reload: holds from the next start on", "changed", unchanged)
+	if needRestart := former.NeedRestart(next); len(needRestart) > 0 {
+		r.log.Warn("reload: holds from the next start on", "changed", needRestart)
 	}
 	r.log.Info("reload", "discovery", next.Discovery, "was", former.Discovery, "retuned", changed,
 		"classes", next.Names.Classes)
--- a/cmd/gatetack/settings_applier.go
+++ b/cmd/gatetack/settings_applier.go
@@ -95,13 +95,13 @@
 func (a *settingsApplier) replaceBase(ctx context.Context, next *config.Config) (changed bool, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	changed = a.base.Retuned(next)
+	changed = a.base.RulesDiffer(next)
 	if changed {
 		if err := a.apply(ctx, *next, a.document); err != nil {
 			return false, err
 		}
 	}
-	a.base.Follow(next)
+	a.base.Adopt(next)
 	return changed, nil
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,13 +17,16 @@
 const sample = `{"name":"n3","listen":"127.0.0.4:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "peer_listen":"127.0.0.4:7946","peers":["127.3.0.1:7946"],"peers_all":"127.3.255.1:7946",
-"known":{"index":41,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.1.0.18:8443","zone":"b","type":"m2","group":3,"status":"ready","weight":1.5,"since_ms":0}]},
+"known":{"index":41,"snapshot":true,"endpoints":[{"name":"s-1",
+  "address":"127.1.0.18:8443","zone":"b","type":"m2","group":3,"status":"ready","weight":1.5,"since_ms":0}]},
 "settings":{"balancers":4,"me":3,"zone":1,"zones":["a","b"],"kinds":["m1","m2"],"step":4.0,"discovery":"subscribe",
  "telemetry":{"how":"piggyback","fields":["pending","x0"]},
- "familyInfo":{"classKind":[-1,-1],"classStretch":[2.0,1.5],"reportX0":"free slots","tellsStart":true,"notes":"1 it has started, 2 share done"},
+ "familyInfo":{"classKind":[-1,-1],"classStretch":[2.0,1.5],"reportX0":"free slots",
+  "tellsStart":true,"notes":"1 it has started, 2 share done"},
  "limits":{"maxAttempts":3,"maxOpen":20000,"retryAfter":true,"maxRetryAfter":2000.0,"connIdle":60000.0},
  "invariants":{"fallMultiple":2.5,"drainGrace":500.0},
- "requestClasses":[{"name":"tile-charge","aim":400.0,"effect":"single_shot"},{"name":"area-render","aim":1500.0,"effect":"guarded","dedupScope":"cell","window":40000.0}],
+ "requestClasses":[{"name":"tile-charge","aim":400.0,"effect":"single_shot"},
+  {"name":"area-render","aim":1500.0,"effect":"guarded","dedupScope":"cell","window":40000.0}],
  "tenants":[{"name":"acme","portion":0.3,"quotaRps":8.0}]}}`
 
 // The JSON of a node and the pairs of the simulator's pipe give the same settings.
@@ -32,20 +35,52 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pipe := strings.Join([]string{"balancers=4", "me=3", "zone=1", "zones=a,b", "kinds=m1,m2", "step=4.0", "discovery=subscribe",
-		"telemetry.how=piggyback", "telemetry.fields=pending,x0", "familyInfo.classKind=-1,-1", "familyInfo.classStretch=2.0,1.5",
-		"familyInfo.reportX0=free_slots", "familyInfo.tellsStart=true", "limits.maxAttempts=3", "limits.retryAfter=true",
-		"limits.maxRetryAfter=2000.0", "limits.connIdle=60000.0", "invariants.fallMultiple=2.5", "invariants.drainGrace=500.0",
-		"requestClasses.count=2", "requestClasses.0.name=tile-charge", "requestClasses.0.aim=400.0", "requestClasses.0.effect=single_shot",
-		"requestClasses.1.aim=1500.0", "requestClasses.1.effect=guarded", "requestClasses.1.dedupScope=cell", "requestClasses.1.window=40000.0",
-		"tenants.count=1", "tenants.0.name=acme", "tenants.0.portion=0.3", "tenants.0.quotaRps=8.0"}, "\n")
+	pipe := strings.Join(
+		[]string{
+			"balancers=4",
+			"me=3",
+			"zone=1",
+			"zones=a,b",
+			"kinds=m1,m2",
+			"step=4.0",
+			"discovery=subscribe",
+			"telemetry.how=piggyback",
+			"telemetry.fields=pending,x0",
+			"familyInfo.classKind=-1,-1",
+			"familyInfo.classStretch=2.0,1.5",
+			"familyInfo.reportX0=free_slots",
+			"familyInfo.tellsStart=true",
+			"limits.maxAttempts=3",
+			"limits.retryAfter=true",
+			"limits.maxRetryAfter=2000.0",
+			"limits.connIdle=60000.0",
+			"invariants.fallMultiple=2.5",
+			"invariants.drainGrace=500.0",
+			"requestClasses.count=2",
+			"requestClasses.0.name=tile-charge",
+			"requestClasses.0.aim=400.0",
+			"requestClasses.0.effect=single_shot",
+			"requestClasses.1.aim=1500.0",
+			"requestClasses.1.effect=guarded",
+			"requestClasses.1.dedupScope=cell",
+			"requestClasses.1.window=40000.0",
+			"tenants.count=1",
+			"tenants.0.name=acme",
+			"tenants.0.portion=0.3",
+			"tenants.0.quotaRps=8.0",
+		},
+		"\n",
+	)
 	want, err := simprotocol.ParseSettings([]byte(pipe))
 	if err != nil || !reflect.DeepEqual(c.Settings, want) {
 		t.Errorf("%v\ngot  %+v\nwant %+v", err, c.Settings, want)
 	}
-	if c.Seed != 0x8c1f30d27a5be964 || c.Known.Form != dispatch.ListCached || c.Known.Index != 41 || c.Known.Entries[0].Weight != 1.5 ||
-		!reflect.DeepEqual(c.Names.Classes, []string{"tile-charge", "area-render"}) || !reflect.DeepEqual(c.Names.Tenants, []string{"acme"}) ||
-		!reflect.DeepEqual(c.Names.Zones, []string{"a", "b"}) || c.PeersAll != "127.3.255.1:7946" {
+	if c.Seed != 0x8c1f30d27a5be964 || c.Known.Form != dispatch.ListCached || c.Known.Index != 41 ||
+		c.Known.Entries[0].Weight != 1.5 ||
+		!reflect.DeepEqual(c.Names.Classes, []string{"tile-charge", "area-render"}) ||
+		!reflect.DeepEqual(c.Names.Tenants, []string{"acme"}) ||
+		!reflect.DeepEqual(c.Names.Zones, []string{"a", "b"}) ||
+		c.PeersAll != "127.3.255.1:7946" {
 		t.Errorf("%+v", c)
 	}
 	if l := c.Limits; l.ClientConns+l.SpareConns+l.WorkerConns+l.GiveUps+l.BatchConns*5/4 > 1024-60 {
@@ -54,7 +89,7 @@
 }
 
 // Read again, the file says where discovery is: EDGE_DISCOVERY is as old as the file that it came with.
-func TestAgain(t *testing.T) {
+func TestReloadRejectsFilesThatLackKeysAndFollowsDiscovery(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"EDGE_CONFIG": path, "EDGE_DISCOVERY": "127.0.0.1:8500", "EDGE_NAME": "n3"}
 	getenv := func(name string) string { return env[name] }
@@ -70,19 +105,19 @@
 	}
 	moved := strings.Replace(sample, "127.0.0.1:8500", "127.0.0.9:8500", 1)
 	put(moved)
-	next, err := c.Again(getenv)
-	if err != nil || next.Discovery != "127.0.0.9:8500" || len(c.Stays(next)) != 0 {
+	next, err := c.Reload(getenv)
+	if err != nil || next.Discovery != "127.0.0.9:8500" || len(c.NeedRestart(next)) != 0 {
 		t.Errorf("%v %+v", err, next)
 	}
 	put(strings.Replace(moved, `"aim":400.0`, `"aim":500.0`, 1))
-	if next, err = c.Again(getenv); err != nil || len(c.Stays(next)) != 0 || !c.Retuned(next) {
-		t.Errorf("%v %v", err, c.Stays(next))
+	if next, err = c.Reload(getenv); err != nil || len(c.NeedRestart(next)) != 0 || !c.RulesDiffer(next) {
+		t.Errorf("%v %v", err, c.NeedRestart(next))
 	}
 	put(strings.Replace(moved, `"step":4.0`, `"step":5.0`, 1))
-	if next, err = c.Again(getenv); err != nil || len(c.Stays(next)) != 1 {
-		t.Errorf("%v %v", err, c.Stays(next))
+	if next, err = c.Reload(getenv); err != nil || len(c.NeedRestart(next)) != 1 {
+		t.Errorf("%v %v", err, c.NeedRestart(next))
 	}
-	c.Follow(next)
+	c.Adopt(next)
 	// A file that is short of a key, or of what a key must be, says so by the file, the field and what was expected.
 	for _, x := range []struct{ old, new, want string }{
 		{`"discovery":"127.0.0.1:8500",`, "", "discovery: absent"},
@@ -98,23 +133,26 @@
 		{sample, "{}", "settings: absent"},
 	} {
 		put(strings.Replace(sample, x.old, x.new, 1))
-		if _, err := c.Again(getenv); err == nil || !strings.Contains(err.Error(), x.want) || !strings.Contains(err.Error(), path) {
+		if _, err := c.Reload(
+			getenv,
+		); err == nil || !strings.Contains(err.Error(), x.want) ||
+			!strings.Contains(err.Error(), path) {
 			t.Errorf("%s: %v, want %q", x.old, err, x.want)
 		}
 	}
 	more := `{"name":"draft","aim":90.0,"effect":"free"},`
 	put(strings.Replace(sample, `{"name":"tile-charge"`, more+`{"name":"tile-charge"`, 1))
-	if next, err = c.Again(getenv); err != nil || len(next.Names.Classes) != 3 {
+	if next, err = c.Reload(getenv); err != nil || len(next.Names.Classes) != 3 {
 		t.Errorf("a class more: %v", err)
 	}
 	put(moved[:200])
-	if _, err = c.Again(getenv); err == nil {
+	if _, err = c.Reload(getenv); err == nil {
 		t.Error("half a file was read")
 	}
 }
 
 // Garbage ends in an error or in settings that the module can work with.
-func TestParseOnGarbage(t *testing.T) {
+func TestParseOfCorruptedFileFailsOrGivesUsableSettings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := []byte(sample)
 		for range rapid.IntRange(1, 6).Draw(t, "hits") {
@@ -129,7 +167,7 @@
 }
 
 // The variables stand for what the JSON says otherwise; an address that is none is refused by its name.
-func TestFromEnv(t *testing.T) {
+func TestVariablesGoBeforeTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(sample), 0o600); err != nil {
 		t.Fatal(err)
@@ -154,7 +192,7 @@
 }
 
 // The operator's file: unknown keys and addresses beyond this machine are refused.
-func TestFile(t *testing.T) {
+func TestOperatorsFileRejectsUnknownKeysAndForeignAddresses(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                    "",
 		"batch:\n  listen: 127.0.0.1:8480\n":  "",
@@ -163,17 +201,23 @@
 		"batch:\n  lisen: 127.0.0.1:8480\n":   "lisen",
 		"batch: [":                            "yaml",
 		"pace:\n  client_out: {rate: 4096}\n": "",
-		"pace:\n  box_out:\n    rate: 1\n    grace: 1ms\n":                                                 "line 4: pace.box_out.grace: 1ms is not between",
-		"pace:\n  look: 250ms\n  acks: {least: 2s, most: 1s}\n":                                            "line 3: pace.acks.most",
-		"settings: {enabled: true, follow: [\"127.0.0.1:1\"], cache: c}\n":                                 "",
-		"batch: {}\nsettings: {enabled: true}\n":                                                           "line 2: settings.follow: absent, expected addresses of members",
-		"settings: {follow: [\"127.0.0.1:1\"]}\n":                                                          "line 1: settings.enabled: false, expected true",
-		"settings: {enabled: true, follow: [\"10.0.0.1:1\"]}\n":                                            "line 1: settings.follow.0: \"10.0.0.1\" is no loopback address",
-		"settings: {enabled: true, follow: [\"10.0.0.1:1\"], keys: k}\n":                                   "",
-		"settings: {enabled: true, folow: [\"127.0.0.1:1\"]}\n":                                            "folow",
-		"store: {dir: d, listen: \"127.0.0.1:1\"}\nsettings: {enabled: true, follow: [\"127.0.0.1:1\"]}\n": "line 2: settings.follow: a member of the store follows its own",
-		"store: {dir: d, listen: \"127.0.0.1:1\"}\nsettings: {enabled: true}\n":                            "",
-		"pace:\n  client_out: {speed: 1}\n":                                                                "speed",
+		"pace:\n  box_out:\n    rate: 1\n    grace: 1ms\n": "" +
+			"line 4: pace.box_out.grace: 1ms is not between",
+		"pace:\n  look: 250ms\n  acks: {least: 2s, most: 1s}\n": "" +
+			"line 3: pace.acks.most",
+		"settings: {enabled: true, follow: [\"127.0.0.1:1\"], cache: c}\n": "",
+		"batch: {}\nsettings: {enabled: true}\n": "" +
+			"line 2: settings.follow: absent, expected addresses of members",
+		"settings: {follow: [\"127.0.0.1:1\"]}\n": "" +
+			"line 1: settings.enabled: false, expected true",
+		"settings: {enabled: true, follow: [\"10.0.0.1:1\"]}\n": "" +
+			"line 1: settings.follow.0: \"10.0.0.1\" is no loopback address",
+		"settings: {enabled: true, follow: [\"10.0.0.1:1\"], keys: k}\n": "",
+		"settings: {enabled: true, folow: [\"127.0.0.1:1\"]}\n":          "folow",
+		"store: {dir: d, listen: \"127.0.0.1:1\"}\nsettings: {enabled: true, follow: [\"127.0.0.1:1\"]}\n": "" +
+			"line 2: settings.follow: a member of the store follows its own",
+		"store: {dir: d, listen: \"127.0.0.1:1\"}\nsettings: {enabled: true}\n": "",
+		"pace:\n  client_out: {speed: 1}\n":                                     "speed",
 	} {
 		_, err := parseFile([]byte(text), "")
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
@@ -186,13 +230,13 @@
 }
 
 // EDGE_PASSED_SOCKET names a descriptor, or the socket that comes as descriptor 3; a standard stream is no socket.
-func TestPassed(t *testing.T) {
+func TestPassedDescriptorIsANumberOrTheFirst(t *testing.T) {
 	for text, want := range map[string]int{"": -1, "3": 3, " 7 ": 7, "clients": 3} {
-		if got, err := passed(text); err != nil || got != want {
+		if got, err := passedDescriptor(text); err != nil || got != want {
 			t.Errorf("%q: %d %v, want %d", text, got, err, want)
 		}
 	}
-	if _, err := passed("1"); err == nil {
+	if _, err := passedDescriptor("1"); err == nil {
 		t.Error("standard output taken for the passed socket")
 	}
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -32,30 +32,38 @@
 	Batch struct {
 		Listen string `yaml:"listen"` // where batch clients connect; empty: no batch front
 		Keys   string `yaml:"keys"`   // a folder of keys: clients need one of the same authority's
-		Dir    string `yaml:"dir"`    // where its jobs are on record, for a node without the replicated store; empty: nowhere
+		// where its jobs are on record, for a node without the replicated store; empty: nowhere
+		Dir string `yaml:"dir"`
 	} `yaml:"batch"`
 	Inventory struct {
 		File string `yaml:"file"` // .csv or .yaml, in place of discovery; empty: discovery
 	} `yaml:"inventory"`
 	Store struct {
-		Dir     string            `yaml:"dir"` // empty: no store
-		Listen  string            `yaml:"listen"`
-		Members map[string]string `yaml:"members"` // addresses by node name, this node's among them, of a store that begins
-		Keys    string            `yaml:"keys"`    // a folder of keys, by which members know one another; without it only loopback addresses are taken
-		Join    string            `yaml:"join"`    // a member of a store that is there, which this node is to join
-		Marks   *string           `yaml:"marks"`   // a folder in the machine's memory: how far this member got; empty: nowhere; left out: /dev/shm
-		Trust   bool              `yaml:"trust_disk"`
+		Dir    string `yaml:"dir"` // empty: no store
+		Listen string `yaml:"listen"`
+		// addresses by node name, this node's among them, of a store that begins
+		Members map[string]string `yaml:"members"`
+		// a folder of keys, by which members know one another; without it only loopback addresses are taken
+		Keys string `yaml:"keys"`
+		Join string `yaml:"join"` // a member of a store that is there, which this node is to join
+		// a folder in the machine's memory: how far this member got; empty: nowhere; left out: /dev/shm
+		Marks *string `yaml:"marks"`
+		Trust bool    `yaml:"trust_disk"`
 	} `yaml:"store"`
 	Settings struct {
-		Enabled bool     `yaml:"enabled"` // settings come through the store: this node's own member, or those it follows
-		Follow  []string `yaml:"follow"`  // members of the store to follow, for a node that is none
-		Keys    string   `yaml:"keys"`    // a folder of keys, by which the members know who follows; without it only loopback addresses are taken
-		Cache   string   `yaml:"cache"`   // a file that keeps the settings in force, with which the node starts; empty: none
+		// settings come through the store: this node's own member, or those it follows
+		Enabled bool     `yaml:"enabled"`
+		Follow  []string `yaml:"follow"` // members of the store to follow, for a node that is none
+		// a folder of keys, by which the members know who follows; without it only loopback addresses are taken
+		Keys  string `yaml:"keys"`
+		Cache string `yaml:"cache"` // a file that keeps the settings in force, with which the node starts; empty: none
 	} `yaml:"settings"`
 	Data struct {
-		File string `yaml:"file"` // which data sets stand where, and the links between halls; empty: no hall costs a job more for its inputs
+		// which data sets stand where, and the links between halls; empty: no hall costs a job more for its inputs
+		File string `yaml:"file"`
 	} `yaml:"data"`
-	Pace slowpeer.Policy `yaml:"pace"` // what is asked of slow peers; a figure that is left out stays as it is without the file
+	// what is asked of slow peers; a figure that is left out stays as it is without the file
+	Pace slowpeer.Policy `yaml:"pace"`
 }
 
 // ReadFile reads the file that serve --config names. A key that is not known is an error: it may be a typing
@@ -81,53 +89,77 @@
 	}
 	if err := f.Pace.Check(); err != nil {
 		field, _, _ := strings.Cut(err.Error(), ":")
-		return nil, fmt.Errorf("line %d: pace.%w", lineOf(data, append([]string{"pace"}, strings.Split(field, ".")...)), err)
+		path := append([]string{"pace"}, strings.Split(field, ".")...)
+		return nil, fmt.Errorf("line %d: pace.%w", lineOf(data, path), err)
 	}
+	f.resolvePaths(dir)
 	if f.Batch.Listen != "" && f.Batch.Keys == "" {
-		if err := loopback(f.Batch.Listen); err != nil {
+		if err := checkLoopback(f.Batch.Listen); err != nil {
 			return nil, fmt.Errorf("batch.listen: %w", err)
 		}
 	}
-	// A file is named as it stands to the one that names it.
-	for _, path := range []*string{&f.Inventory.File, &f.Store.Dir, &f.Batch.Dir, &f.Store.Keys, &f.Batch.Keys, &f.Data.File,
-		&f.Settings.Keys, &f.Settings.Cache} {
+	if err := f.checkNode(data); err != nil {
+		return nil, err
+	}
+	if err := f.checkStore(data); err != nil {
+		return nil, err
+	}
+	if err := f.checkSettings(); err != nil {
+		return nil, fmt.Errorf("line %d: settings.%w", lineOf(data, []string{"settings"}), err)
+	}
+	return f, nil
+}
+
+// resolvePaths makes relative paths those below the folder of the file that names them.
+func (f *File) resolvePaths(dir string) {
+	paths := []*string{&f.Inventory.File, &f.Store.Dir, &f.Batch.Dir, &f.Store.Keys, &f.Batch.Keys, &f.Data.File,
+		&f.Settings.Keys, &f.Settings.Cache}
+	if f.Store.Marks != nil {
+		paths = append(paths, f.Store.Marks)
+	}
+	for _, path := range paths {
 		if *path != "" && !filepath.IsAbs(*path) {
 			*path = filepath.Join(dir, *path)
 		}
 	}
-	if m := f.Store.Marks; m != nil && *m != "" && !filepath.IsAbs(*m) {
-		*m = filepath.Join(dir, *m)
+}
+
+// checkNode reports what is wrong with the section on a node that is alone.
+func (f *File) checkNode(data []byte) error {
+	if !f.Alone() {
+		return nil
+	}
+	if err := checkLoopback(f.Node.Listen); err != nil {
+		return fmt.Errorf("line %d: node.listen: %w", lineOf(data, []string{"node", "listen"}), err)
 	}
-	if f.Alone() {
-		if err := loopback(f.Node.Listen); err != nil {
-			return nil, fmt.Errorf("line %d: node.listen: %w", lineOf(data, []string{"node", "listen"}), err)
-		}
-		if _, err := f.Config(); err != nil {
-			return nil, fmt.Errorf("line %d: node.%w", lineOf(data, []string{"node", "settings"}), err)
-		}
+	if _, err := f.Config(); err != nil {
+		return fmt.Errorf("line %d: node.%w", lineOf(data, []string{"node", "settings"}), err)
 	}
-	if f.Store.Dir != "" && f.Store.Keys == "" {
-		if err := loopback(f.Store.Listen); err != nil {
-			return nil, fmt.Errorf("store.listen: %w", err)
-		}
-		if f.Store.Join != "" {
-			if err := loopback(f.Store.Join); err != nil {
-				return nil, fmt.Errorf("line %d: store.join: %w", lineOf(data, []string{"store", "join"}), err)
-			}
-		}
-		for name, addr := range f.Store.Members {
-			if err := loopback(addr); err != nil {
-				return nil, fmt.Errorf("store.members.%s: %w", name, err)
-			}
+	return nil
+}
+
+// checkStore reports what is wrong with the section on the replicated store.
+func (f *File) checkStore(data []byte) error {
+	if f.Store.Dir == "" || f.Store.Keys != "" {
+		return nil
+	}
+	if err := checkLoopback(f.Store.Listen); err != nil {
+		return fmt.Errorf("store.listen: %w", err)
+	}
+	if f.Store.Join != "" {
+		if err := checkLoopback(f.Store.Join); err != nil {
+			return fmt.Errorf("line %d: store.join: %w", lineOf(data, []string{"store", "join"}), err)
 		}
 	}
-	if err := f.checkSettings(); err != nil {
-		return nil, fmt.Errorf("line %d: settings.%w", lineOf(data, []string{"settings"}), err)
+	for name, address := range f.Store.Members {
+		if err := checkLoopback(address); err != nil {
+			return fmt.Errorf("store.members.%s: %w", name, err)
+		}
 	}
-	return f, nil
+	return nil
 }
 
-// checkSettings says what is wrong with the section on settings through the store.
+// checkSettings reports what is wrong with the section on settings through the store.
 func (f *File) checkSettings() error {
 	isMember := f.Store.Dir != ""
 	switch s := &f.Settings; {
@@ -142,15 +174,16 @@
 		return nil
 	}
 	for i, addr := range f.Settings.Follow {
-		if err := loopback(addr); err != nil {
+		if err := checkLoopback(addr); err != nil {
 			return fmt.Errorf("follow.%d: %w", i, err)
 		}
 	}
 	return nil
 }
 
-// loopback says whether an address is one that only this machine reaches: neither the front nor the store has a log-in.
-func loopback(addr string) error {
+// checkLoopback reports whether an address is one that only this machine reaches: neither the front nor the store has
+// a log-in.
+func checkLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
@@ -161,49 +194,71 @@
 	return nil
 }
 
-// Alone says whether the file names the node, and so stands for all that the platform would tell it.
+// Alone reports whether the file names the node, and so stands for all that the platform would tell it.
 func (f *File) Alone() bool { return f.Node.Name != "" }
 
+// nodeDocument is the part of the platform's JSON that a file's section node gives.
+type nodeDocument struct {
+	Name      string         `json:"name"`
+	Listen    string         `json:"listen"`
+	Discovery string         `json:"discovery"`
+	Seed      string         `json:"seed"`
+	Limits    map[string]any `json:"limits"`
+	Settings  map[string]any `json:"settings"`
+}
+
 // Config makes of the file's section node what the platform's JSON would have been, and reads it as that: settings have
 // one path, whoever gives them.
 func (f *File) Config() (*Config, error) {
-	data, err := json.Marshal(map[string]any{"name": f.Node.Name, "listen": f.Node.Listen, "discovery": f.Node.Discovery,
-		"seed": strconv.FormatUint(rand.Uint64(), 16), "limits": f.Node.Limits, "settings": f.Node.Settings})
+	data, err := json.Marshal(nodeDocument{Name: f.Node.Name, Listen: f.Node.Listen, Discovery: f.Node.Discovery,
+		Seed: strconv.FormatUint(rand.Uint64(), 16), Limits: f.Node.Limits, Settings: f.Node.Settings})
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return Parse(data)
 }
 
-// lineOf finds the line on which a field stands in a file that can be read; the last one on its way that does.
+// lineOf returns the line of a field in a file that can be read, or that of its innermost parent there.
 func lineOf(data []byte, path []string) int {
 	var doc yaml.Node
 	if yaml.Unmarshal(data, &doc) != nil || len(doc.Content) == 0 {
 		return 1
 	}
-	at, line := doc.Content[0], 1
+	node, line := doc.Content[0], 1
 	for _, name := range path {
-		found := false
-		for i := 0; i+1 < len(at.Content) && at.Kind == yaml.MappingNode; i += 2 {
-			if at.Content[i].Value == name {
-				line, at, found = at.Content[i].Line, at.Content[i+1], true
-				break
-			}
-		}
-		if !found {
+		key, value := child(node, name)
+		if key == nil {
 			break
 		}
+		line, node = key.Line, value
 	}
 	return line
 }
 
-// StoreMarks is where the store keeps how far this member got: memory that outlives the process and not the machine's boot.
+// child returns the key and the value of a name in a mapping, nil where there is none.
+func child(mapping *yaml.Node, name string) (key, value *yaml.Node) {
+	if mapping.Kind != yaml.MappingNode {
+		return nil, nil
+	}
+	for i := 0; i+1 < len(mapping.Content); i += 2 {
+		if mapping.Content[i].Value == name {
+			return mapping.Content[i], mapping.Content[i+1]
+		}
+	}
+	return nil, nil
+}
+
+// sharedMemory is a folder in the machine's memory.
+const sharedMemory = "/dev/shm"
+
+// StoreMarks is where the store keeps how far this member got: memory that outlives the process and not the machine's
+// boot.
 func (f *File) StoreMarks() string {
 	if f.Store.Marks != nil {
 		return *f.Store.Marks
 	}
-	if info, err := os.Stat("/dev/shm"); err == nil && info.IsDir() {
-		return "/dev/shm"
+	if info, err := os.Stat(sharedMemory); err == nil && info.IsDir() {
+		return sharedMemory
 	}
 	return ""
 }
--- /dev/null
+++ b/internal/config/pairs.go
@@ -0,0 +1,73 @@
+package config
+
+import (
+	"strconv"
+	"strings"
+
+	"github.com/tidwall/gjson"
+)
+
+// flatten writes nested JSON as the pairs of the simulator's first message: a list of plain values is joined with
+// commas, a list of objects has its length under .count and its items under their numbers.
+func flatten(pairs map[string]string, path string, v gjson.Result) {
+	switch {
+	case v.IsObject():
+		v.ForEach(func(key, item gjson.Result) bool {
+			flatten(pairs, below(path, key.String()), item)
+			return true
+		})
+	case v.IsArray():
+		flattenList(pairs, path, v.Array())
+	case v.Type == gjson.Null:
+	default:
+		pairs[path] = plainText(v)
+	}
+}
+
+func flattenList(pairs map[string]string, path string, items []gjson.Result) {
+	if len(items) > 0 && (items[0].IsObject() || items[0].IsArray()) {
+		pairs[below(path, "count")] = strconv.Itoa(len(items))
+		for i, item := range items {
+			flatten(pairs, below(path, strconv.Itoa(i)), item)
+		}
+		return
+	}
+	texts := make([]string, len(items))
+	for i, item := range items {
+		texts[i] = plainText(item)
+	}
+	pairs[path] = strings.Join(texts, ",")
+}
+
+// below is the path of a key of the value at a path.
+func below(path, key string) string {
+	if path == "" {
+		return key
+	}
+	return path + "." + key
+}
+
+// plainText is a plain value as a pair has it: blanks and commas separate pairs and items there.
+func plainText(v gjson.Result) string {
+	if v.Type == gjson.String {
+		return strings.NewReplacer(" ", "_", ",", "_").Replace(v.Str)
+	}
+	return v.Raw
+}
+
+// splitList is the list of a pair.
+func splitList(text string) []string {
+	if text == "" {
+		return nil
+	}
+	return strings.Split(text, ",")
+}
+
+// namesOf are the names of the items of a list of objects.
+func namesOf(pairs map[string]string, list string, items int) []string {
+	var names []string
+	for i := range items {
+		names = append(names, pairs[list+"."+strconv.Itoa(i)+".name"])
+	}
+	return names
+}
