--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/source_test.go
@@ -38,7 +38,7 @@
 `
 
 // Both forms give the same rows.
-func TestForms(t *testing.T) {
+func TestCSVAndYAMLGiveTheSameRows(t *testing.T) {
 	want := []node.Entry{
 		{Name: "s-1", Address: "127.0.0.1:9001", Zone: "tallinn", Kind: "type-a", Group: 1, Status: "ready", Weight: 1},
 		{Name: "s-2", Address: "127.0.0.1:9002", Zone: "tartu", Kind: "type-b", Group: 2, Status: "draining", Weight: 1}}
@@ -51,7 +51,7 @@
 }
 
 // A bad row is refused with its line.
-func TestBadRows(t *testing.T) {
+func TestBadRowIsRejectedWithItsLine(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		line       int
@@ -82,7 +82,7 @@
 }
 
 // Garbage gives rows that are whole, or an error.
-func TestGarbage(t *testing.T) {
+func TestCorruptedFileGivesWholeRowsOrAnError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name, text := "a.csv", asCSV
 		if rapid.Bool().Draw(t, "yaml") {
@@ -101,8 +101,8 @@
 	})
 }
 
-// A change of the file is told; a bad one is not, and what was told before stands.
-func TestSource(t *testing.T) {
+// A change of the file is delivered; a bad one is not, and leaves the former list in use.
+func TestChangeOfFileIsDelivered(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boxes.csv")
 	write := func(text string) {
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
@@ -170,8 +170,8 @@
 
 func (*stuck) Put(ctx context.Context, _, _ string, _ []byte) error { <-ctx.Done(); return ctx.Err() }
 
-// A store that does not answer holds up nothing of what the file tells: a drain must be told at once.
-func TestStuckStoreHoldsNothingUp(t *testing.T) {
+// A store that does not answer holds up nothing of what the file tells: a drain must be delivered at once.
+func TestStoreWithoutLeaderDelaysNothing(t *testing.T) {
 	path, s := filepath.Join(t.TempDir(), "boxes.csv"), &testenv.Lists{}
 	if err := os.WriteFile(path, []byte(asCSV), 0o600); err != nil {
 		t.Fatal(err)
@@ -197,7 +197,7 @@
 
 // With a store, what one node takes in reaches the others; rows of the store that can not be used leave the list
 // as it was.
-func TestSharedRows(t *testing.T) {
+func TestLaterRowsReachOtherNodes(t *testing.T) {
 	lim := testenv.Lim
 	lim.InventoryLook = time.Millisecond
 	k := &store{}
@@ -244,3 +244,23 @@
 		}
 	}
 }
+
+// The inventory in the store is stored data: other versions of the program read it by these keys.
+func TestStoredInventoryKeepsItsForm(t *testing.T) {
+	entries, err := Parse("a.csv", []byte(asCSV), names, testenv.Lim)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := inventory{at: 1700000000123, entries: entries}.encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	const want = `{"at":1700000000123,"rows":[` +
+		`{"Name":"s-1","Address":"127.0.0.1:9001","Zone":"tallinn","Kind":"type-a","Group":1,"Status":"ready",` +
+		`"Weight":1,"SinceMS":0},` +
+		`{"Name":"s-2","Address":"127.0.0.1:9002","Zone":"tartu","Kind":"type-b","Group":2,"Status":"draining",` +
+		`"Weight":1,"SinceMS":0}]}`
+	if string(got) != want {
+		t.Errorf("%s\nwant %s", got, want)
+	}
+}
