--- a/internal/actorhost/http.go
+++ b/internal/actorhost/http.go
@@ -27,7 +27,7 @@
 func errorResponse(err error) http1.Response {
 	status, v := 503, map[string]any{"error": "TRY_LATER", "message": err.Error(), "do": operr.Do(err)}
 	var order *actor.OrderError
-	var t operr.Told
+	var t operr.Error
 	if errors.As(err, &t) {
 		v["code"] = t.Code()
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -18,10 +18,10 @@
 
 // Each call is answered at once and closes its connection; drain and activate, repeated or out of order, leave the
 // state that the last one asked for; readyz says no until the clients' listener is served.
-func TestCalls(t *testing.T) {
+func TestCallsChangeTheDrainStateAndCloseTheirConnection(t *testing.T) {
 	c := &core{}
-	var taken atomic.Bool
-	f := New(c, taken.Load, testenv.Quiet)
+	var accepting atomic.Bool
+	f := New(c, accepting.Load, testenv.Quiet)
 	call := func(method, target string) http1.Response {
 		return f.Handle(context.Background(), &http1.Message{Method: method, Target: target})
 	}
@@ -46,7 +46,7 @@
 				r.Close, c.Drained(), x.status, x.body, x.drained)
 		}
 	}
-	taken.Store(true)
+	accepting.Store(true)
 	if r := call("GET", "/v1/readyz"); r.Status != 200 {
 		t.Errorf("readyz once clients are taken: %d %q", r.Status, r.Body)
 	}
--- /dev/null
+++ b/internal/operr/operr_test.go
@@ -0,0 +1,50 @@
+package operr
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+)
+
+type fullError struct{ code string }
+
+func (e *fullError) Error() string { return "the disk is full" }
+func (e *fullError) Code() string  { return e.code }
+func (e *fullError) Do() string    { return "make place on it" }
+
+func TestRemedyIsFoundInWrappedErrors(t *testing.T) {
+	err := fmt.Errorf("writing: %w", &fullError{"test.full"})
+	if got := Do(err); got != "make place on it" {
+		t.Errorf("%q", got)
+	}
+	if got := Do(errors.New("plain")); got != "" {
+		t.Errorf("%q of an error that has no remedy", got)
+	}
+}
+
+func TestAttrsOfLogLine(t *testing.T) {
+	var out bytes.Buffer
+	log := slog.New(slog.NewTextHandler(&out, nil))
+	log.Error("failed", Attrs(&fullError{"test.full"}))
+	log.Error("failed", Attrs(errors.New("plain")))
+	lines := strings.Split(out.String(), "\n")
+	if !strings.HasSuffix(lines[0], `err="the disk is full" code=test.full do="make place on it"`) {
+		t.Error(lines[0])
+	}
+	if !strings.HasSuffix(lines[1], "err=plain") {
+		t.Error(lines[1])
+	}
+}
+
+func TestSecondKindOfOneCodePanics(t *testing.T) {
+	Kind(&fullError{"test.second"})
+	defer func() {
+		if recover() == nil {
+			t.Error("a code was registered twice")
+		}
+	}()
+	Kind(&fullError{"test.second"})
+}
--- a/internal/settingsync/handler.go
+++ b/internal/settingsync/handler.go
@@ -109,7 +109,7 @@
 	s.logFailure(what, err)
 	status, version := refusedByRequest(err)
 	f := failure{Error: err.Error(), Do: operr.Do(err), Version: version}
-	if told, ok := errors.AsType[operr.Told](err); ok {
+	if told, ok := errors.AsType[operr.Error](err); ok {
 		f.Code = told.Code()
 	}
 	return answer(status, f)
