--- a/internal/executor/deadline_test.go
+++ b/internal/executor/deadline_test.go
@@ -16,8 +16,8 @@
 	"gatetack/internal/testenv"
 )
 
-// holdUp is how long a process may stand still between its clock and a write; shortHoldUp is less, and still more than the time that a
-// request tells may be off by.
+// holdUp is how long a process may stand still between its clock and a write; shortHoldUp is less, and still more than
+// the time that a request tells may be off by.
 const (
 	holdUp      = 150 * time.Millisecond
 	shortHoldUp = 100 * time.Millisecond
@@ -31,8 +31,8 @@
 	return time.Duration(ms) * time.Millisecond, err == nil
 }
 
-// Nothing is written for an attempt with less than a millisecond left, or with no more than the pause before the last byte takes: in
-// whole milliseconds its executor could only be told more than that.
+// Nothing is written for an attempt with less than a millisecond left, or with no more than the pause before the last
+// byte takes: in whole milliseconds its executor could only be told more than that.
 func TestAttemptWithNoTimeToTellIsNotSent(t *testing.T) {
 	for name, x := range map[string]struct {
 		left   time.Duration
@@ -44,20 +44,20 @@
 		t.Run(name, func(t *testing.T) {
 			lim := testenv.Lim
 			lim.SettleLeast, lim.SettleMost = x.settle, x.settle
-			c, s := setupExactly(t, lim)
+			c, s := newClientWithLimits(t, lim)
 			came := make(chan string, 1)
-			box(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
-			a := attempt(1)
+			startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
+			a := newAttempt(1)
 			looks := 0
 			a.Job.Still = func() precheck.Reason {
 				if looks++; looks == 2 { // before the first byte
-					c.live[1].Deadline = time.Now().Add(x.left)
+					c.attempts.byID[1].Deadline = time.Now().Add(x.left)
 				}
 				return precheck.May
 			}
 			c.Send(a)
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-			c.pool.drop(c.address(7))
+			c.pool.closeIdle(c.address(7))
 			if got, text := s.outcomes(1), <-came; got[0] != dispatch.Moot || text != "" {
 				t.Errorf("outcomes %v, %q was written", got, text)
 			}
@@ -77,8 +77,8 @@
 	return s.whole
 }
 
-// watchWrites holds the process up in the moments that a test names, and checks at each last byte, before the hold-up there, that what
-// the request tells is at most what its client has left.
+// watchWrites holds the process up in the moments that a test names, and checks at each last byte, before the hold-up
+// there, that what the request tells is at most what its client has left.
 func watchWrites(t *testing.T, c *Client, until func() time.Time, hold func(conn int, moment string)) *sendsOnWire {
 	seen := &sendsOnWire{}
 	scriptConns(c, func(n int, conn *scriptedConn) {
@@ -109,9 +109,9 @@
 	return seen
 }
 
-// The time that a request tells is at most what its client has left when its last byte is about to go, of first attempts, retries and
-// hedged requests alike, however long the process was held up between the clock and a write. What is told too late is made anew on
-// another connection; the connection before it never carries its last byte.
+// The time that a request tells is at most what its client has left when its last byte is about to go, of first
+// attempts, retries and hedged requests alike, however long the process was held up between the clock and a write. What
+// is told too late is made anew on another connection; the connection before it never carries its last byte.
 func TestToldTimeHoldsWhenHeldUp(t *testing.T) {
 	kinds := map[string]func(a *node.Attempt){
 		"first": func(*node.Attempt) {},
@@ -126,15 +126,21 @@
 		length time.Duration
 		conns  int // that it takes
 	}
-	holdings := []holding{{"none", 0, 1}, {"head", holdUp, 2}, {"head", shortHoldUp, 2}, {"pause", holdUp, 2}, {"pause", shortHoldUp, 2},
-		{"last byte", holdUp, 1}}
+	holdings := []holding{
+		{"none", 0, 1},
+		{"head", holdUp, 2},
+		{"head", shortHoldUp, 2},
+		{"pause", holdUp, 2},
+		{"pause", shortHoldUp, 2},
+		{"last byte", holdUp, 1},
+	}
 	for kind, set := range kinds {
 		for _, held := range holdings {
 			t.Run(fmt.Sprintf("%s/held up at %s for %v", kind, held.moment, held.length), func(t *testing.T) {
 				for range 5 { // a busy machine may hold it up further, and then nothing is sent
-					c, s := setupExactly(t, testenv.Lim)
-					n := box(t, c, says(accepted))
-					a := attempt(1)
+					c, s := newClientWithLimits(t, testenv.Lim)
+					n := startRawExecutor(t, c, answering(acceptedAnswer))
+					a := newAttempt(1)
 					a.Rules = precheck.Rules{Number: 1, Most: 3}
 					set(&a)
 					client := a.Deadline.Add(testenv.Lim.AnswerEarly)
@@ -145,7 +151,7 @@
 					})
 					c.Send(a)
 					testenv.Until(t, "it is sent", func() bool { return seen.requests() > 0 || len(s.outcomes(1)) > 0 })
-					_ = c.Callback([]byte(done))
+					_ = c.Callback([]byte(doneCallback))
 					got := s.outcomes(1)
 					if len(got) == 1 && got[0] == dispatch.Moot && seen.requests() == 0 {
 						continue
@@ -163,9 +169,9 @@
 
 // A process that is held up each time sends nothing rather than tell too much.
 func TestHeldUpEachTimeIsNotSent(t *testing.T) {
-	c, s := setupExactly(t, testenv.Lim)
-	box(t, c, says(accepted))
-	a := attempt(1)
+	c, s := newClientWithLimits(t, testenv.Lim)
+	startRawExecutor(t, c, answering(acceptedAnswer))
+	a := newAttempt(1)
 	client := a.Deadline.Add(testenv.Lim.AnswerEarly)
 	seen := watchWrites(t, c, func() time.Time { return client }, func(_ int, moment string) {
 		if moment == "head" {
