--- a/internal/dispatch/aggregator_client.go
+++ b/internal/dispatch/aggregator_client.go
@@ -163,7 +163,7 @@
 	away := aggregatorAwayFactor * d.answerTimeout() * doublings(peer.timeouts, maxBackoffDoublings)
 	peer.suspectedUntil = d.now + away*(0.75+0.5*d.random())
 	peer.timeouts++
-	d.logf("node %d does not answer as the hub", client.current)
+	d.logf("aggregator suspected node=%d", client.current)
 	return true
 }
 
--- a/internal/dispatch/classfailure.go
+++ b/internal/dispatch/classfailure.go
@@ -151,7 +151,7 @@
 	base := classQuarantineFactor * max(d.settings.ConnectTimeout, d.settings.Step)
 	failures.awayUntil = d.now + base*doublings(failures.consecutive-1, maxBackoffDoublings)*(0.75+0.5*d.random())
 	d.reportQuarantine(executor, firstClassQuarantine+class)
-	d.logf("class %d fails at worker %d, kept away until %.0f", class, executor.id, failures.awayUntil)
+	d.logf("class kept away executor=%d class=%d until=%.0f", executor.id, class, failures.awayUntil)
 }
 
 // errorProbability is the chance that a job errs at an executor, for a job that is lost with it; others are attempted
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -63,7 +63,7 @@
 		connections.dialBackoffUntil = d.now + backoff*(0.75+0.5*d.random())
 		connections.dialFailures++
 		if connections.dialFailures == 1 {
-			d.logf("worker %d takes no new connections", executor.id)
+			d.logf("executor takes no connections executor=%d", executor.id)
 		}
 	}
 	// An idle connection would have been used if there had been one.
--- a/internal/dispatch/hedging.go
+++ b/internal/dispatch/hedging.go
@@ -18,7 +18,7 @@
 		}
 	}
 	if executor.outlier.lastHeard <= attempt.sentAt || overdue > 1 {
-		d.eject(executor, "owing signs of jobs")
+		d.eject(executor, "overdue acknowledgements")
 		executor.outlier.ackOverdueAt, executor.outlier.ackOverdueUntil = d.now, 2*executor.outlier.ejectedUntil-d.now
 	}
 }
--- a/internal/dispatch/listwatch.go
+++ b/internal/dispatch/listwatch.go
@@ -32,7 +32,7 @@
 // noteFailed takes in that a call failed or the subscription broke.
 func (w *listWatch) noteFailed() {
 	if w.failedPolls == 0 {
-		w.logf("list out of reach, last heard %.0f ms ago", w.now-w.updatedAt)
+		w.logf("endpoint list unreachable age_ms=%.0f", w.now-w.updatedAt)
 	}
 	w.pollSentAt, w.watching = 0, false
 	w.failedPolls = min(w.failedPolls+1, maxFailedPolls)
@@ -43,7 +43,7 @@
 func (w *listWatch) noteList(form Form) {
 	if form != ListCached {
 		if w.failedPolls > 0 {
-			w.logf("list within reach again after %d failed calls", w.failedPolls)
+			w.logf("endpoint list reachable failed_calls=%d", w.failedPolls)
 		}
 		w.pollSentAt, w.watching, w.failedPolls = 0, true, 0
 	}
--- a/internal/dispatch/loadreport.go
+++ b/internal/dispatch/loadreport.go
@@ -199,7 +199,7 @@
 	}
 	age := defaultReportAge * r.interval * math.Pow(reportAgeStep, float64(best-usualAge))
 	if best != r.bestAge {
-		r.logf("reports are %.0f ms old when they come, was %.0f", age, r.age)
+		r.logf("load report age changed age_ms=%.0f previous_ms=%.0f", age, r.age)
 		r.bestAge = best
 	}
 	r.age = age
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -181,7 +181,8 @@
 	outlier.onProbation = true
 	d.outliers.ejected = append(d.outliers.ejected, executor)
 	outlier.errorAverage = min(outlier.errorAverage, ejectionErrorRate)
-	d.logf("eject worker %d for %s until %.0f, strike %d", executor.id, reason, outlier.ejectedUntil, outlier.ejections)
+	d.logf("executor ejected executor=%d reason=%q until=%.0f consecutive_ejections=%d",
+		executor.id, reason, outlier.ejectedUntil, outlier.ejections)
 }
 
 // detectOutliers finds unresponsive executors, and whether so many are out that ejections are ignored.
@@ -206,7 +207,7 @@
 	if panicking != d.outliers.panicking {
 		d.outliers.panicking = panicking
 		d.needsPlacement = true
-		d.logf("%d of %d workers ejected, ignored %v", out, len(d.endpoints.listed), panicking)
+		d.logf("ejections ignored active=%v ejected=%d executors=%d", panicking, out, len(d.endpoints.listed))
 	}
 }
 
@@ -228,7 +229,7 @@
 		}
 	}
 	if unresponsive && !executor.outlier.unresponsive {
-		d.logf("worker %d silent", executor.id)
+		d.logf("executor unresponsive executor=%d", executor.id)
 		executor.outlier.retryAt = d.now + timeout*(0.25+0.5*d.random())
 	}
 	executor.outlier.unresponsive = unresponsive
@@ -244,7 +245,7 @@
 	}
 	executor.outlier.unresponsive, executor.outlier.retries = false, 0
 	d.needsPlacement = true
-	d.logf("worker %d heard of again", executor.id)
+	d.logf("executor responsive executor=%d", executor.id)
 	for _, job := range executor.inFlight.jobs {
 		for i := range job.attempts {
 			if attempt := &job.attempts[i]; attempt.isOpen(executor) {
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -155,8 +155,8 @@
 		}
 	}
 	causes := &d.rejections.byCause
-	d.logf("refusing %v: capacity %.0f slots, %.0f in flight, %d waiting, %d of %d workers unusable, "+
-		"list %.0f ms old; ended so far: %d no tokens, %d too late, %d made place", rejecting, d.capacity.slots,
-		d.admission.reservedTotal(), len(d.jobs.queue), unusable, len(d.endpoints.listed), d.now-d.listWatch.updatedAt,
-		causes[causeNoTokens], causes[causeTooLate], causes[causePreempted])
+	d.logf("load shedding active=%v capacity_slots=%.0f reserved_slots=%.0f queued=%d executors=%d unusable=%d "+
+		"list_age_ms=%.0f ended_without_slots=%d ended_too_late=%d ended_by_preemption=%d",
+		rejecting, d.capacity.slots, d.admission.reservedTotal(), len(d.jobs.queue), len(d.endpoints.listed), unusable,
+		d.now-d.listWatch.updatedAt, causes[causeNoTokens], causes[causeTooLate], causes[causePreempted])
 }
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -19,13 +19,14 @@
 			got = r.after(10, Event{Kind: EvTimer})
 		}
 		for _, a := range got {
-			if a.Kind == ActLog && strings.HasPrefix(a.Text, "refusing") {
+			if a.Kind == ActLog && strings.HasPrefix(a.Text, "load shedding") {
 				lines = append(lines, a.Text)
 			}
 		}
 	}
-	if len(lines) < 2 || len(lines) > 4 || !strings.HasPrefix(lines[0], "refusing true: capacity ") ||
-		!strings.HasPrefix(lines[1], "refusing false: capacity ") || !strings.Contains(lines[1], "no tokens") {
+	if len(lines) < 2 || len(lines) > 4 || !strings.HasPrefix(lines[0], "load shedding active=true capacity_slots=") ||
+		!strings.HasPrefix(lines[1], "load shedding active=false capacity_slots=") ||
+		!strings.Contains(lines[1], "ended_without_slots=") {
 		t.Errorf("lines %q", lines)
 	}
 	r.d.logBudget, r.d.logBudgetAt = 0, r.now
