--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -28,11 +28,11 @@
 	switch l.Form {
 	case dispatch.ListFailed:
 	case dispatch.ListCached:
-		c.knowledge.Confirm(recovery.List, recovery.Restored, l.Index, now.Sub(c.start))
+		c.knowledge.Confirm(recovery.EndpointList, recovery.Restored, l.Index, now.Sub(c.start))
 	default:
 		c.endpointsConfirmed.Store(true)
 		c.startup.Confirmed()
-		c.knowledge.Confirm(recovery.List, recovery.Current, l.Index, now.Sub(c.start))
+		c.knowledge.Confirm(recovery.EndpointList, recovery.Current, l.Index, now.Sub(c.start))
 	}
 	if l.Form == dispatch.ListFull || l.Form == dispatch.ListCached {
 		listed := map[uint32]bool{}
