--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -101,8 +101,8 @@
 		attempts: map[uint64]*attempt{}, endpoints: map[uint32]Entry{}}
 	c.rules.Store(&Rules{s, names})
 	// A list that must be asked for is held to be as it was for the time to ask within, and four times that after a failed call.
-	fresh := max(Span(s.AskWithin), lim.Staleness.Silence)
-	c.knowledge = recovery.NewKnowledge(map[recovery.Kind]recovery.AgeBounds{recovery.List: {Fresh: fresh, Usable: time.Duration(lim.Staleness.Failed) * fresh}})
+	fresh := max(Span(s.AskWithin), lim.Staleness.MaxStaleness)
+	c.knowledge = recovery.NewKnowledge(map[recovery.Kind]recovery.AgeBounds{recovery.List: {Fresh: fresh, Usable: time.Duration(lim.Staleness.FailedPollFactor) * fresh}})
 	c.openByTenant = make([]atomic.Int64, len(names.Tenants))
 	known.Form = dispatch.ListCached
 	c.events <- known
@@ -210,7 +210,7 @@
 	case listConfirmed:
 		c.listConfirmed()
 	case listCallFailed:
-		c.startup.Failed()
+		c.startup.CallFailed()
 	case configChange:
 		if c.stillHolds(now) {
 			c.waitingChanges = append(c.waitingChanges, ev)
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -18,7 +18,7 @@
 	if known == 0 {
 		return
 	}
-	c.startup.Begin(c.start, c.limits.Staleness)
+	c.startup.Started(c.start, c.limits.Staleness)
 	c.holdsJobs.Store(true)
 }
 
@@ -27,7 +27,7 @@
 	if !c.holdsJobs.Load() {
 		return false
 	}
-	if c.startup.Holds(now) {
+	if c.startup.Holding(now) {
 		return true
 	}
 	c.holdsJobs.Store(false)
@@ -73,7 +73,7 @@
 	}
 	switch {
 	case c.holdsJobs.Load():
-		return earlier(next, c.startup.Until())
+		return earlier(next, c.startup.HoldUntil())
 	case len(c.batch) > 0:
 		return c.nextStepAt
 	}
