--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -106,9 +106,9 @@
 	if f.fleet != nil && failpoint.Without != failpoint.Fence {
 		in.Still = func() precheck.Reason {
 			if f.foreign(id) {
-				return precheck.Lost
+				return precheck.LeaseLost
 			}
-			return precheck.May
+			return precheck.Allowed
 		}
 	}
 	core, err := f.core.Submit(in, j)
--- a/internal/executor/attempt.go
+++ b/internal/executor/attempt.go
@@ -157,21 +157,21 @@
 // place that asks, before each connection and again after whatever takes a while. The attempt's lock is held, or nobody
 // else knows of the attempt.
 func (c *Client) precheck(attempt *activeAttempt) (string, precheck.Reason) {
-	reason := precheck.May
+	reason := precheck.Allowed
 	if attempt.Job.Still != nil {
 		reason = attempt.Job.Still() // it may take a lock: what follows is read after it
 	}
-	ask := precheck.Ask{
-		Now:      time.Now(),
-		Over:     attempt.ended || attempt.Answered != nil && attempt.Answered.Load(),
-		Job:      reason,
-		Deadline: attempt.Deadline,
-		Was:      attempt.Born,
-		Rules:    attempt.Rules,
+	ask := precheck.Check{
+		Now:           time.Now(),
+		Ended:         attempt.ended || attempt.Answered != nil && attempt.Answered.Load(),
+		Job:           reason,
+		Deadline:      attempt.Deadline,
+		ExpectedStart: attempt.Born,
+		Retry:         attempt.Rules,
 	}
 	endpoint, known := c.endpoints.get(attempt.Worker)
-	ask.Listed, ask.StopAt, ask.Began = known, endpoint.sendsEndAt, endpoint.startedAt
-	if reason = ask.May(); reason != precheck.May {
+	ask.Listed, ask.SendsEndAt, ask.StartedAt = known, endpoint.sendsEndAt, endpoint.startedAt
+	if reason = ask.Reason(); reason != precheck.Allowed {
 		c.log.Debug("attempt not sent", "job", attempt.key.trace, "executor", attempt.key.executor, "reason", reason)
 	}
 	return endpoint.address, reason
@@ -182,7 +182,7 @@
 	attempt.mu.Lock()
 	defer attempt.mu.Unlock()
 	address, reason := c.precheck(attempt)
-	return address, reason == precheck.May
+	return address, reason == precheck.Allowed
 }
 
 // commit is precheck for the last time: an attempt that may be sent counts as sent from here on, before its last byte
@@ -190,7 +190,7 @@
 func (c *Client) commit(attempt *activeAttempt) bool {
 	attempt.mu.Lock()
 	defer attempt.mu.Unlock()
-	if _, reason := c.precheck(attempt); reason != precheck.May {
+	if _, reason := c.precheck(attempt); reason != precheck.Allowed {
 		return false
 	}
 	attempt.lastByteCommitted, attempt.lastByteAt = true, time.Now()
--- a/internal/executor/clientleft_test.go
+++ b/internal/executor/clientleft_test.go
@@ -216,9 +216,9 @@
 			}
 			job.Still = func() precheck.Reason {
 				if client.Err() != nil {
-					return precheck.Left
+					return precheck.ClientLeft
 				}
-				return precheck.May
+				return precheck.Allowed
 			}
 			id, err := n.core.Submit(job, newQuietClient())
 			if err != nil {
@@ -259,9 +259,9 @@
 	a := newAttempt(1)
 	a.Job.Still = func() precheck.Reason {
 		if client.Err() != nil {
-			return precheck.Left
+			return precheck.ClientLeft
 		}
-		return precheck.May
+		return precheck.Allowed
 	}
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
@@ -318,7 +318,7 @@
 		if looks++; looks == 3 { // before the last byte
 			a.Answered.Store(true)
 		}
-		return precheck.May
+		return precheck.Allowed
 	}
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -205,7 +205,7 @@
 			time.Sleep(20 * time.Millisecond)
 			left = time.Until(a.Deadline)
 		}
-		return precheck.May
+		return precheck.Allowed
 	}
 	c.Send(a)
 	_, rest, _ := strings.Cut(<-came, "\r\nX-Expires-In-Ms: ")
--- a/internal/executor/deadline_test.go
+++ b/internal/executor/deadline_test.go
@@ -53,7 +53,7 @@
 				if looks++; looks == 2 { // before the first byte
 					c.attempts.byID[1].Deadline = time.Now().Add(x.left)
 				}
-				return precheck.May
+				return precheck.Allowed
 			}
 			c.Send(a)
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
@@ -115,9 +115,11 @@
 func TestToldTimeHoldsWhenHeldUp(t *testing.T) {
 	kinds := map[string]func(a *node.Attempt){
 		"first": func(*node.Attempt) {},
-		"retry": func(a *node.Attempt) { a.Rules = precheck.Rules{Number: 2, Most: 3, Effect: dispatch.Unsafe} },
+		"retry": func(a *node.Attempt) {
+			a.Rules = precheck.RetryRules{Attempt: 2, MaxAttempts: 3, RetrySafety: dispatch.Unsafe}
+		},
 		"hedge": func(a *node.Attempt) {
-			a.Rules = precheck.Rules{Number: 2, Most: 3, Effect: dispatch.Safe, Ran: true}
+			a.Rules = precheck.RetryRules{Attempt: 2, MaxAttempts: 3, RetrySafety: dispatch.Safe, MayHaveRun: true}
 			a.Deadline = time.Now().Add(4 * time.Second)
 		},
 	}
@@ -141,7 +143,7 @@
 					c, s := newClientWithLimits(t, testenv.Lim)
 					n := startRawExecutor(t, c, answering(acceptedAnswer))
 					a := newAttempt(1)
-					a.Rules = precheck.Rules{Number: 1, Most: 3}
+					a.Rules = precheck.RetryRules{Attempt: 1, MaxAttempts: 3}
 					set(&a)
 					client := a.Deadline.Add(testenv.Lim.AnswerEarly)
 					seen := watchWrites(t, c, func() time.Time { return client }, func(conn int, at string) {
--- a/internal/executor/localfault_test.go
+++ b/internal/executor/localfault_test.go
@@ -171,9 +171,9 @@
 	a := newAttempt(1)
 	a.Job.Still = func() precheck.Reason {
 		if client.Err() != nil {
-			return precheck.Left
+			return precheck.ClientLeft
 		}
-		return precheck.May
+		return precheck.Allowed
 	}
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
--- a/internal/executor/races_test.go
+++ b/internal/executor/races_test.go
@@ -31,27 +31,27 @@
 	listed := func(status string, startedAt float64) change {
 		return func(c *Client, _ *node.Attempt) precheck.Reason {
 			c.Told(7, node.Entry{Name: "s-7", Status: status, SinceMS: startedAt}, time.Now().Add(-time.Hour))
-			return precheck.May
+			return precheck.Allowed
 		}
 	}
 	return []namedChange{
-		{"the client leaves", reason(precheck.Left)},
-		{"the lease is lost", reason(precheck.Lost)},
+		{"the client leaves", reason(precheck.ClientLeft)},
+		{"the lease is lost", reason(precheck.LeaseLost)},
 		{"the job is answered", func(_ *Client, a *node.Attempt) precheck.Reason {
 			a.Answered.Store(true)
-			return precheck.May
+			return precheck.Allowed
 		}},
 		{"the executor drains", listed("draining", 0)},
 		{"the executor is gone", listed("gone", 0)},
 		{"the executor starts anew", listed("ready", 5000)},
 		{"the window ends", func(c *Client, a *node.Attempt) precheck.Reason {
-			rules := precheck.Rules{Number: 2, Most: 3, Effect: dispatch.Keyed, Ran: true, RepeatBy: time.Now()}
+			rules := precheck.RetryRules{Attempt: 2, MaxAttempts: 3, RetrySafety: dispatch.Keyed, MayHaveRun: true, WindowEnd: time.Now()}
 			c.attempts.byID[a.ID].Rules = rules
-			return precheck.May
+			return precheck.Allowed
 		}},
 		{"its time ends", func(c *Client, a *node.Attempt) precheck.Reason {
 			c.attempts.byID[a.ID].Deadline = time.Now()
-			return precheck.May
+			return precheck.Allowed
 		}},
 	}
 }
@@ -76,7 +76,7 @@
 					if looks++; looks == look+1 {
 						return x.at(c, &a)
 					}
-					return precheck.May
+					return precheck.Allowed
 				}
 				c.Send(a)
 				testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -123,13 +123,13 @@
 }
 
 // repeats are the rules for the next attempt of a job, by those it came under and what became of the ones before.
-func (j *job) retryRules() precheck.Rules {
+func (j *job) retryRules() precheck.RetryRules {
 	s := &j.rules.Settings
 	class := s.Classes[min(j.request.Class, len(s.Classes)-1)]
-	r := precheck.Rules{Number: len(j.attempts) + 1, Most: s.MaxAttempts, Effect: class.Effect}
+	r := precheck.RetryRules{Attempt: len(j.attempts) + 1, MaxAttempts: s.MaxAttempts, RetrySafety: class.Effect}
 	for _, t := range j.attempts { // in the order of their sending: the first that counts is the earliest
-		if t.mayHaveRun && !r.Ran {
-			r.Ran, r.RepeatBy = true, t.sentAt.Add(Span(class.Window))
+		if t.mayHaveRun && !r.MayHaveRun {
+			r.MayHaveRun, r.WindowEnd = true, t.sentAt.Add(Span(class.Window))
 		}
 	}
 	return r
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -179,7 +179,7 @@
 	Job      *Job
 	Answered *atomic.Bool // nothing is owed for the job any more
 	Born     float64      // when the executor's life began for which this was decided, as the list has it
-	Rules    precheck.Rules
+	Rules    precheck.RetryRules
 }
 
 // Result is what came of an attempt, a note on its way, or of a probe.
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -98,9 +98,9 @@
 	}
 	j.Still = func() precheck.Reason {
 		if ctx.Err() != nil {
-			return precheck.Left
+			return precheck.ClientLeft
 		}
-		return precheck.May
+		return precheck.Allowed
 	}
 	w := make(waiter, 1)
 	id, err := f.core.Submit(j, w)
--- a/internal/precheck/gate_test.go
+++ b/internal/precheck/gate_test.go
@@ -11,28 +11,28 @@
 )
 
 // forbids is the oracle: each reason by itself, in the words of the protocol, without an order among them.
-func forbids(r Reason, a *Ask) bool {
+func forbids(r Reason, a *Check) bool {
 	at := func(t time.Time) bool { return a.Now.Equal(t) || a.Now.After(t) }
-	repeat := a.Rules.Ran
+	repeat := a.Retry.MayHaveRun
 	switch r {
-	case Over:
-		return a.Over
-	case Left, Lost:
+	case Ended:
+		return a.Ended
+	case ClientLeft, LeaseLost:
 		return a.Job == r
-	case Late:
+	case DeadlinePassed:
 		return at(a.Deadline)
-	case Unlisted:
+	case NotListed:
 		return !a.Listed
-	case Drained:
-		return a.StopAt != (time.Time{}) && at(a.StopAt)
+	case Draining:
+		return a.SendsEndAt != (time.Time{}) && at(a.SendsEndAt)
 	case Restarted:
-		return a.Began < a.Was || a.Began > a.Was
-	case Spent:
-		return a.Rules.Number >= a.Rules.Most+1
-	case Twice:
-		return repeat && a.Rules.Effect != dispatch.Safe && a.Rules.Effect != dispatch.Keyed
-	case Window:
-		return repeat && a.Rules.Effect == dispatch.Keyed && at(a.Rules.RepeatBy)
+		return a.StartedAt < a.ExpectedStart || a.StartedAt > a.ExpectedStart
+	case AttemptsUsedUp:
+		return a.Retry.Attempt >= a.Retry.MaxAttempts+1
+	case MustNotRunTwice:
+		return repeat && a.Retry.RetrySafety != dispatch.Safe && a.Retry.RetrySafety != dispatch.Keyed
+	case WindowOver:
+		return repeat && a.Retry.RetrySafety == dispatch.Keyed && at(a.Retry.WindowEnd)
 	}
 	return false
 }
@@ -49,30 +49,30 @@
 			return now.Add(time.Duration(rapid.IntRange(-1, 1).Draw(t, name)))
 		}
 		seldom := func(name string) bool { return rapid.IntRange(0, 9).Draw(t, name) == 0 }
-		a := &Ask{Now: now, Over: seldom("over"), Deadline: near("deadline"), Listed: !seldom("unlisted"), Was: 7, Began: 7}
+		a := &Check{Now: now, Ended: seldom("over"), Deadline: near("deadline"), Listed: !seldom("unlisted"), ExpectedStart: 7, StartedAt: 7}
 		if seldom("job") {
-			a.Job = rapid.SampledFrom([]Reason{Left, Lost}).Draw(t, "why")
+			a.Job = rapid.SampledFrom([]Reason{ClientLeft, LeaseLost}).Draw(t, "why")
 		}
 		if rapid.Bool().Draw(t, "drains") {
-			a.StopAt = near("stop")
+			a.SendsEndAt = near("stop")
 		}
 		if seldom("restarted") {
-			a.Began = float64(rapid.IntRange(6, 8).Draw(t, "began"))
+			a.StartedAt = float64(rapid.IntRange(6, 8).Draw(t, "began"))
 		}
-		a.Rules = Rules{Most: 3, Number: rapid.IntRange(1, 4).Draw(t, "number"), Ran: rapid.Bool().Draw(t, "ran"),
-			Effect: rapid.SampledFrom([]dispatch.Effect{dispatch.Safe, dispatch.Keyed, dispatch.Unsafe}).Draw(t, "effect"), RepeatBy: near("window")}
-		got := a.May()
+		a.Retry = RetryRules{MaxAttempts: 3, Attempt: rapid.IntRange(1, 4).Draw(t, "number"), MayHaveRun: rapid.Bool().Draw(t, "ran"),
+			RetrySafety: rapid.SampledFrom([]dispatch.Effect{dispatch.Safe, dispatch.Keyed, dispatch.Unsafe}).Draw(t, "effect"), WindowEnd: near("window")}
+		got := a.Reason()
 		seen[got]++
-		if got != May && !forbids(got, a) {
+		if got != Allowed && !forbids(got, a) {
 			t.Fatalf("%v is told, and does not hold: %+v", got, a)
 		}
-		for r := May + 1; r <= Window; r++ {
-			if got == May && forbids(r, a) {
+		for r := Allowed + 1; r <= WindowOver; r++ {
+			if got == Allowed && forbids(r, a) {
 				t.Fatalf("it may go though %v: %+v", r, a)
 			}
 		}
 	})
-	for r := May; r <= Window; r++ {
+	for r := Allowed; r <= WindowOver; r++ {
 		if seen[r] == 0 {
 			t.Errorf("%q never came up", r)
 		}
