--- a/internal/executor/attempt.go
+++ b/internal/executor/attempt.go
@@ -161,17 +161,21 @@
 	if attempt.Job.Still != nil {
 		reason = attempt.Job.Still() // it may take a lock: what follows is read after it
 	}
-	ask := precheck.Check{
-		Now:           time.Now(),
-		Ended:         attempt.ended || attempt.Answered != nil && attempt.Answered.Load(),
-		Job:           reason,
-		Deadline:      attempt.Deadline,
-		ExpectedStart: attempt.Born,
-		Retry:         attempt.Rules,
-	}
 	endpoint, known := c.endpoints.get(attempt.Worker)
-	ask.Listed, ask.SendsEndAt, ask.StartedAt = known, endpoint.sendsEndAt, endpoint.startedAt
-	if reason = ask.Reason(); reason != precheck.Allowed {
+	check := precheck.Check{
+		Now:      time.Now(),
+		Deadline: attempt.Deadline,
+		Ended:    attempt.ended || attempt.Answered != nil && attempt.Answered.Load(),
+		Job:      reason,
+		Executor: precheck.Executor{
+			Listed:        known,
+			SendsEndAt:    endpoint.sendsEndAt,
+			StartedAt:     endpoint.startedAt,
+			ExpectedStart: attempt.Born,
+		},
+		Retry: attempt.Rules,
+	}
+	if reason = check.Reason(); reason != precheck.Allowed {
 		c.log.Debug("attempt not sent", "job", attempt.key.trace, "executor", attempt.key.executor, "reason", reason)
 	}
 	return endpoint.address, reason
--- a/internal/executor/races_test.go
+++ b/internal/executor/races_test.go
@@ -45,7 +45,8 @@
 		{"the executor is gone", listed("gone", 0)},
 		{"the executor starts anew", listed("ready", 5000)},
 		{"the window ends", func(c *Client, a *node.Attempt) precheck.Reason {
-			rules := precheck.RetryRules{Attempt: 2, MaxAttempts: 3, RetrySafety: dispatch.Keyed, MayHaveRun: true, WindowEnd: time.Now()}
+			rules := precheck.RetryRules{Attempt: 2, MaxAttempts: 3, RetrySafety: dispatch.Keyed, MayHaveRun: true}
+			rules.WindowEnd = time.Now()
 			c.attempts.byID[a.ID].Rules = rules
 			return precheck.Allowed
 		}},
--- a/internal/precheck/gate_test.go
+++ b/internal/precheck/precheck_test.go
@@ -10,7 +10,7 @@
 	_ "gatetack/internal/testrand"
 )
 
-// forbids is the oracle: each reason by itself, in the words of the protocol, without an order among them.
+// forbids is the oracle: each reason by itself, without an order among them.
 func forbids(r Reason, a *Check) bool {
 	at := func(t time.Time) bool { return a.Now.Equal(t) || a.Now.After(t) }
 	repeat := a.Retry.MayHaveRun
@@ -22,11 +22,11 @@
 	case DeadlinePassed:
 		return at(a.Deadline)
 	case NotListed:
-		return !a.Listed
+		return !a.Executor.Listed
 	case Draining:
-		return a.SendsEndAt != (time.Time{}) && at(a.SendsEndAt)
+		return a.Executor.SendsEndAt != (time.Time{}) && at(a.Executor.SendsEndAt)
 	case Restarted:
-		return a.StartedAt < a.ExpectedStart || a.StartedAt > a.ExpectedStart
+		return a.Executor.StartedAt < a.Executor.ExpectedStart || a.Executor.StartedAt > a.Executor.ExpectedStart
 	case AttemptsUsedUp:
 		return a.Retry.Attempt >= a.Retry.MaxAttempts+1
 	case MustNotRunTwice:
@@ -37,8 +37,8 @@
 	return false
 }
 
-// An attempt goes exactly if no reason forbids it, and the reason that is told does.
-func TestAgainstTheRules(t *testing.T) {
+// An attempt is allowed exactly if no reason forbids it, and the reason that is given does.
+func TestReasonAgainstAnOracle(t *testing.T) {
 	seen := map[Reason]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
@@ -49,26 +49,32 @@
 			return now.Add(time.Duration(rapid.IntRange(-1, 1).Draw(t, name)))
 		}
 		seldom := func(name string) bool { return rapid.IntRange(0, 9).Draw(t, name) == 0 }
-		a := &Check{Now: now, Ended: seldom("over"), Deadline: near("deadline"), Listed: !seldom("unlisted"), ExpectedStart: 7, StartedAt: 7}
+		a := &Check{Now: now, Ended: seldom("over"), Deadline: near("deadline"),
+			Executor: Executor{Listed: !seldom("unlisted"), ExpectedStart: 7, StartedAt: 7}}
 		if seldom("job") {
 			a.Job = rapid.SampledFrom([]Reason{ClientLeft, LeaseLost}).Draw(t, "why")
 		}
 		if rapid.Bool().Draw(t, "drains") {
-			a.SendsEndAt = near("stop")
+			a.Executor.SendsEndAt = near("stop")
 		}
 		if seldom("restarted") {
-			a.StartedAt = float64(rapid.IntRange(6, 8).Draw(t, "began"))
+			a.Executor.StartedAt = float64(rapid.IntRange(6, 8).Draw(t, "began"))
+		}
+		a.Retry = RetryRules{
+			Attempt:     rapid.IntRange(1, 4).Draw(t, "number"),
+			MaxAttempts: 3,
+			RetrySafety: rapid.SampledFrom([]dispatch.Effect{dispatch.Safe, dispatch.Keyed, dispatch.Unsafe}).Draw(t, "effect"),
+			MayHaveRun:  rapid.Bool().Draw(t, "ran"),
+			WindowEnd:   near("window"),
 		}
-		a.Retry = RetryRules{MaxAttempts: 3, Attempt: rapid.IntRange(1, 4).Draw(t, "number"), MayHaveRun: rapid.Bool().Draw(t, "ran"),
-			RetrySafety: rapid.SampledFrom([]dispatch.Effect{dispatch.Safe, dispatch.Keyed, dispatch.Unsafe}).Draw(t, "effect"), WindowEnd: near("window")}
 		got := a.Reason()
 		seen[got]++
 		if got != Allowed && !forbids(got, a) {
-			t.Fatalf("%v is told, and does not hold: %+v", got, a)
+			t.Fatalf("%v is given, and does not hold: %+v", got, a)
 		}
 		for r := Allowed + 1; r <= WindowOver; r++ {
 			if got == Allowed && forbids(r, a) {
-				t.Fatalf("it may go though %v: %+v", r, a)
+				t.Fatalf("it is allowed though %v: %+v", r, a)
 			}
 		}
 	})
