--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -1,76 +1,78 @@
 package node
 
-// This file holds how the actions of the module are carried out.
-
 import (
 	"time"
 
 	"gatetack/internal/dispatch"
 )
 
-// act carries out one action.
+// execute carries out one action of the module.
 func (c *Core) execute(a *dispatch.Action, now time.Time) {
 	switch a.Kind {
 	case dispatch.ActSend:
 		c.send(a, now)
-	case dispatch.ActRefuse, dispatch.ActFail:
-		j := c.jobs[a.Job]
-		if j == nil {
-			return
-		}
-		ans := Answer{End: Failed, Why: "it may have run, and can not be tried again in time"}
-		if a.Kind == dispatch.ActRefuse {
-			ans = Answer{End: Refused, RetryAfter: Span(a.For), Why: "no room for it in time"}
-		}
-		c.answer(j, ans)
+	case dispatch.ActRefuse:
+		c.answerByID(a.Job, Answer{End: Refused, RetryAfter: Span(a.For), Why: "no room for it in time"})
+	case dispatch.ActFail:
+		c.answerByID(a.Job, Answer{End: Failed, Why: "it may have run, and can not be tried again in time"})
 	case dispatch.ActCancel:
-		j := c.jobs[a.Job]
-		if j == nil || int(a.Attempt) >= len(j.attempts) {
-			return
-		}
-		if t := j.attempts[a.Attempt]; !t.ended {
-			c.executors.GiveUp(t.id)
-			c.finish(t, dispatch.Cancelled, nil, nil, now)
-		}
+		c.cancel(a, now)
 	case dispatch.ActTimer:
 		c.startTimer(now.Add(Span(a.For)), moduleTimer(a.Token))
 	case dispatch.ActProbe:
-		c.executors.Probe(a.Worker)
+		c.carriers.executors.Probe(a.Worker)
 	case dispatch.ActClose:
-		c.executors.CloseIdle(a.Worker)
+		c.carriers.executors.CloseIdle(a.Worker)
 	case dispatch.ActWatch:
-		c.endpointSource.Watch(a.On)
+		c.carriers.endpoints.Watch(a.On)
 	case dispatch.ActFetch:
-		c.endpointSource.Fetch()
+		c.carriers.endpoints.Fetch()
 	case dispatch.ActTell:
-		c.peerMessenger.Tell(a.To, a.Data)
+		c.carriers.peers.Tell(a.To, a.Data)
 	case dispatch.ActLog:
-		c.log.Info("module", "says", a.Text)
+		c.log.Info("dispatch module", "message", a.Text)
 	}
 }
 
+// send starts a job's next attempt. One that can't be sent any more ends at once.
 func (c *Core) send(a *dispatch.Action, now time.Time) {
-	j := c.jobs[a.Job]
+	j := c.jobs.byID[a.Job]
 	if j == nil {
 		return
 	}
-	c.lastAttemptID++
-	t := &attempt{id: c.lastAttemptID, index: uint16(len(j.attempts)), job: j, executor: a.Worker, sentAt: now, mayHaveRun: true}
 	rules := j.retryRules()
-	j.attempts = append(j.attempts, t)
-	j.inFlight++
-	c.attempts[t.id] = t
-	w, ok := c.endpoints[a.Worker]
+	attempt := c.jobs.addAttempt(j, a.Worker, now)
+	endpoint, listed := c.endpoints.byID[a.Worker]
 	until := j.deadline.Add(-c.limits.AnswerEarly)
 	if a.For > 0 {
 		until = earlier(until, now.Add(Span(a.For)))
 	}
-	if j.answered.Load() || !ok || !until.After(now) {
-		c.finish(t, dispatch.Moot, nil, nil, now)
+	if j.answered.Load() || !listed || !until.After(now) {
+		c.finish(attempt, dispatch.Moot, nil, nil, now)
+		return
+	}
+	c.counters.Sends++
+	j.client.Sent(endpoint.Name)
+	c.startTimer(until, attemptTimeout(attempt.id))
+	c.carriers.executors.Send(Attempt{
+		ID:       attempt.id,
+		Worker:   a.Worker,
+		Deadline: until,
+		Job:      &j.request,
+		Answered: &j.answered,
+		Born:     endpoint.SinceMS,
+		Rules:    rules,
+	})
+}
+
+// cancel ends an attempt that is in flight.
+func (c *Core) cancel(a *dispatch.Action, now time.Time) {
+	j := c.jobs.byID[a.Job]
+	if j == nil || int(a.Attempt) >= len(j.attempts) {
 		return
 	}
-	c.counts.Sends++
-	j.client.Sent(w.Name)
-	c.startTimer(until, attemptTimeout(t.id))
-	c.executors.Send(Attempt{ID: t.id, Worker: a.Worker, Deadline: until, Job: &j.request, Answered: &j.answered, Born: w.SinceMS, Rules: rules})
+	if attempt := j.attempts[a.Attempt]; !attempt.ended {
+		c.carriers.executors.GiveUp(attempt.id)
+		c.finish(attempt, dispatch.Cancelled, nil, nil, now)
+	}
 }
--- a/internal/node/clock_test.go
+++ b/internal/node/clock_test.go
@@ -11,7 +11,7 @@
 // are all spans of it, do not see that the wall clock was set.
 func TestModuleClockIgnoresWallClockSteps(t *testing.T) {
 	began := time.Now()
-	c := &Core{start: began, startMS: float64(began.UnixMicro()) / 1000}
+	c := clock{start: began, startMS: float64(began.UnixMicro()) / 1000}
 	for _, step := range clocktest.Steps {
 		if got := c.unixMillis(clocktest.Step(began.Add(1500*time.Millisecond), step)) - c.startMS; got != 1500 {
 			t.Errorf("step %v: 1500 ms are %v ms", step, got)
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -20,14 +20,42 @@
 var lim = limits.New(0, 0, 0, 0, 0)
 
 func settings() dispatch.Settings {
-	return dispatch.Settings{Balancers: 1, Step: 4, Ask: true, Telemetry: dispatch.ReportAnswers,
-		Fields: []dispatch.Field{dispatch.FieldPending, dispatch.FieldFree}, TellsStart: true, Progress: 1000,
-		MaxAttempts: 3, MayDuplicate: true, MayCancel: true, Multiplex: 1, ConnIdle: 60000, ConnectTimeout: 250,
-		MaxRetryAfter: 2000, AskWithin: 10000, DrainGrace: 500, FallMultiple: 2.5, Fall: 2000, ColdFrom: 0.3, WarmWithin: 8400,
+	return dispatch.Settings{
+		Balancers:      1,
+		Step:           4,
+		Ask:            true,
+		Telemetry:      dispatch.ReportAnswers,
+		Fields:         []dispatch.Field{dispatch.FieldPending, dispatch.FieldFree},
+		TellsStart:     true,
+		Progress:       1000,
+		MaxAttempts:    3,
+		MayDuplicate:   true,
+		MayCancel:      true,
+		Multiplex:      1,
+		ConnIdle:       60000,
+		ConnectTimeout: 250,
+		MaxRetryAfter:  2000,
+		AskWithin:      10000,
+		DrainGrace:     500,
+		FallMultiple:   2.5,
+		Fall:           2000,
+		ColdFrom:       0.3,
+		WarmWithin:     8400,
 		Classes: []dispatch.Class{
 			{Aim: 400, Stretch: 2, Deadline: 7500, Worth: 8, Effect: dispatch.Unsafe, Kind: -1},
-			{Aim: 1500, Stretch: 2, Deadline: 25000, Worth: 24, Effect: dispatch.Keyed, Scope: dispatch.ScopeCell, Window: 40000, Kind: -1}},
-		Tenants: []dispatch.Tenant{{Portion: 1, Quota: 20}}}
+			{
+				Aim:      1500,
+				Stretch:  2,
+				Deadline: 25000,
+				Worth:    24,
+				Effect:   dispatch.Keyed,
+				Scope:    dispatch.ScopeCell,
+				Window:   40000,
+				Kind:     -1,
+			},
+		},
+		Tenants: []dispatch.Tenant{{Portion: 1, Quota: 20}},
+	}
 }
 
 // host drives a core without its goroutine, on a clock of its own, and stands for all it speaks to.
@@ -70,16 +98,16 @@
 		t.Fatal(err)
 	}
 	c.Connect(h, h, h)
-	h.core, h.now = c, c.start
-	c.now = func() time.Time { return h.now }
+	h.core, h.now = c, c.clock.start
+	c.clock.now = func() time.Time { return h.now }
 	return h
 }
 
 // run lets time pass in small steps and takes in what is queued.
 func (h *fakeCarriers) run(d time.Duration) {
 	for end := h.now.Add(d); ; h.now = h.now.Add(2 * time.Millisecond) {
-		for len(h.core.events) > 0 {
-			h.core.handle(<-h.core.events)
+		for len(h.core.intake.events) > 0 {
+			h.core.handle(<-h.core.intake.events)
 		}
 		h.core.runDue(h.now)
 		if !h.now.Before(end) {
@@ -112,7 +140,14 @@
 // the client left; a tile-charge is sent again only where no attempt of it may have run; and a refusal is given
 // only then, too.
 func TestOneAnswer(t *testing.T) {
-	outcomes := []dispatch.Outcome{dispatch.Served, dispatch.Errored, dispatch.Full, dispatch.ConnectFailed, dispatch.Reset, dispatch.Moot}
+	outcomes := []dispatch.Outcome{
+		dispatch.Served,
+		dispatch.Errored,
+		dispatch.Full,
+		dispatch.ConnectFailed,
+		dispatch.Reset,
+		dispatch.Moot,
+	}
 	rapid.Check(t, func(t *rapid.T) {
 		h := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2"))
 		type made struct {
@@ -144,7 +179,7 @@
 				}
 				a := rapid.SampledFrom(h.attempts).Draw(t, "attempt")
 				o := rapid.SampledFrom(outcomes).Draw(t, "outcome")
-				if _, open := h.core.attempts[a.ID]; open && !o.NeverRan() {
+				if _, open := h.core.jobs.attempts[a.ID]; open && !o.NeverRan() {
 					byTrace[a.Job.Trace].ran = true
 				}
 				h.core.Result(Result{Attempt: a.ID, Outcome: o, Body: []byte("tile"), Report: []float32{0, 2}})
@@ -167,7 +202,7 @@
 		for end := h.now.Add(3100 * time.Millisecond); h.now.Before(end); {
 			h.run(2 * time.Millisecond)
 			for _, m := range jobs {
-				if h.now.After(m.until) && len(m.cl.answers) == 0 && !m.gone && m.until.Sub(h.core.start) > 0 {
+				if h.now.After(m.until) && len(m.cl.answers) == 0 && !m.gone && m.until.Sub(h.core.clock.start) > 0 {
 					if late := h.now.Sub(m.until); late > 10*time.Millisecond {
 						t.Fatal("a job without an answer", late, "after its client gave up")
 					}
@@ -191,8 +226,15 @@
 				t.Fatal("more than three attempts")
 			}
 		}
-		if len(h.core.attempts) != 0 || len(h.core.jobs) != 0 || len(h.core.jobByTrace) != 0 || h.core.Open() != 0 {
-			t.Fatal("something is kept of jobs that are over:", len(h.core.attempts), len(h.core.jobs), len(h.core.jobByTrace), h.core.Open())
+		if len(h.core.jobs.attempts) != 0 || len(h.core.jobs.byID) != 0 || len(h.core.jobs.byTrace) != 0 ||
+			h.core.Open() != 0 {
+			t.Fatal(
+				"something is kept of jobs that are over:",
+				len(h.core.jobs.attempts),
+				len(h.core.jobs.byID),
+				len(h.core.jobs.byTrace),
+				h.core.Open(),
+			)
 		}
 	})
 }
@@ -227,7 +269,10 @@
 	h.core.List(List{Form: dispatch.ListDelta, Entries: []Entry{gone}})
 	h.run(10 * time.Millisecond)
 	for i := range 4 {
-		if _, err := h.core.Submit(Job{Left: 7500 * time.Millisecond, Slots: 1, Trace: string(rune('a' + i))}, &recordingClient{t: t}); err != nil {
+		if _, err := h.core.Submit(
+			Job{Left: 7500 * time.Millisecond, Slots: 1, Trace: string(rune('a' + i))},
+			&recordingClient{t: t},
+		); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -339,7 +384,8 @@
 	}
 	h.core.Gone(id) // and the client leaves as its answer is on the way
 	h.run(50 * time.Millisecond)
-	if n := h.core.counts; len(cl.answers) != 1 || n.Served != 1 || n.Gone != 0 || h.core.Open() != 0 || len(h.core.jobs) != 0 {
+	if n := h.core.counters.Counts; len(cl.answers) != 1 || n.Served != 1 || n.Gone != 0 || h.core.Open() != 0 ||
+		len(h.core.jobs.byID) != 0 {
 		t.Errorf("answers %v, counts %+v, %d open", cl.answers, n, h.core.Open())
 	}
 }
@@ -409,21 +455,28 @@
 	}
 }
 
-// Where the operators' file bounds the jobs that one customer may have open, one more is turned away at once, others are
-// not, and an end makes room.
+// Where the operators' file bounds the jobs that one customer may have open, one more is turned away at once, others
+// are not, and an end makes room.
 func TestCustomersShare(t *testing.T) {
 	h := newFakeCarriers(t, readyEndpoint("s-1"))
 	h.core.limits.Pace.Requests = 2
-	h.core.openByTenant = make([]atomic.Int64, 2)
+	h.core.open.byTenant = make([]atomic.Int64, 2)
 	submit := func(id string, tenant int) (uint32, error) {
-		return h.core.Submit(Job{Trace: id, Class: 1, Tenant: tenant, Left: 5 * time.Second, Slots: 1}, &recordingClient{t: t})
+		return h.core.Submit(
+			Job{Trace: id, Class: 1, Tenant: tenant, Left: 5 * time.Second, Slots: 1},
+			&recordingClient{t: t},
+		)
 	}
 	for i, id := range []string{"a", "b"} {
 		if _, err := submit(id, 0); err != nil {
 			t.Fatal(i, err)
 		}
 	}
-	if _, err := submit("c", 0); !errors.Is(err, ErrShare) || h.core.Open() != 2 || h.core.Slow().Count(slowpeer.ClientShare) != 1 {
+	if _, err := submit(
+		"c",
+		0,
+	); !errors.Is(err, ErrShare) || h.core.Open() != 2 ||
+		h.core.Slow().Count(slowpeer.ClientShare) != 1 {
 		t.Errorf("%v, %d open", err, h.core.Open())
 	}
 	if _, err := submit("d", 1); err != nil {
@@ -435,26 +488,26 @@
 	}
 }
 
-// A node that starts while discovery is down is ready after a while, with no list or one that names nobody who takes work; once a list
-// of this life has come, that says.
+// A node that starts while discovery is down is ready after a while, with no list or one that names nobody who takes
+// work; once a list of this life has come, that says.
 func TestReadyWithoutAList(t *testing.T) {
 	drains := readyEndpoint("s-1")
 	drains.Status = "draining"
 	for _, known := range [][]Entry{nil, {drains}} {
 		h := newFakeCarriers(t, known...)
 		c := h.core
-		c.handle(List{Form: dispatch.ListFailed})
-		h.now = c.start.Add(c.limits.ReadyBy - 1)
+		c.handle(endpointUpdate{List{Form: dispatch.ListFailed}})
+		h.now = c.clock.start.Add(c.limits.ReadyBy - 1)
 		if c.Ready() {
 			t.Error("ready before")
 		}
 		if h.now = h.now.Add(1); !c.Ready() {
 			t.Error("not ready")
 		}
-		if c.handle(List{Form: dispatch.ListFull}); c.Ready() {
+		if c.handle(endpointUpdate{List{Form: dispatch.ListFull}}); c.Ready() {
 			t.Error("ready though the list names nobody")
 		}
-		if c.handle(List{Form: dispatch.ListFull, Entries: []Entry{readyEndpoint("s-1")}}); !c.Ready() {
+		if c.handle(endpointUpdate{List{Form: dispatch.ListFull, Entries: []Entry{readyEndpoint("s-1")}}}); !c.Ready() {
 			t.Error("not ready with a list")
 		}
 	}
--- a/internal/node/deadline_test.go
+++ b/internal/node/deadline_test.go
@@ -7,8 +7,8 @@
 	"gatetack/internal/dispatch"
 )
 
-// First attempts, retries and hedged requests all end AnswerEarly before their client leaves, whenever they are made: the time that an
-// executor is told is counted from that end.
+// First attempts, retries and hedged requests all end AnswerEarly before their client leaves, whenever they are made:
+// the time that an executor is told is counted from that end.
 func TestAttemptsEndBeforeTheirClientLeaves(t *testing.T) {
 	type kind struct {
 		sends  int
--- /dev/null
+++ b/internal/node/endpoints.go
@@ -0,0 +1,156 @@
+package node
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"gatetack/internal/dispatch"
+	"gatetack/internal/limits"
+	"gatetack/internal/recovery"
+)
+
+const (
+	unknownPosition = 255 // of a name that the settings do not have
+	maxPosition     = 254
+	statusGone      = "gone"
+)
+
+// endpointTable holds the executors that the endpoint list names, and how far the list is to be relied on.
+type endpointTable struct {
+	byID      map[uint32]Entry
+	knowledge *recovery.Knowledge
+}
+
+func newEndpointTable(s dispatch.Settings, lim limits.Limits) endpointTable {
+	// A list that must be asked for counts as it was for the time to ask within, and several times that after a failed
+	// call.
+	fresh := max(Span(s.AskWithin), lim.Staleness.MaxStaleness)
+	usable := time.Duration(lim.Staleness.FailedPollFactor) * fresh
+	bounds := map[recovery.Kind]recovery.AgeBounds{recovery.List: {Fresh: fresh, Usable: usable}}
+	return endpointTable{byID: map[uint32]Entry{}, knowledge: recovery.NewKnowledge(bounds)}
+}
+
+// hasReady says whether an executor takes work.
+func (t *endpointTable) hasReady() bool {
+	for _, endpoint := range t.byID {
+		if endpoint.Condition() == dispatch.Ready {
+			return true
+		}
+	}
+	return false
+}
+
+// ListConfirmed takes in that the list of executors stands as it was last told.
+func (c *Core) ListConfirmed() { c.post(listConfirmed{}) }
+
+// confirmEndpoints notifies the module that the list stands, as a change of no row: an executor's start that is
+// notified later happened after now. Before the first list of this process there is nothing to confirm.
+func (c *Core) confirmEndpoints() {
+	if c.status.endpointsConfirmed.Load() {
+		c.queueEvent(dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListDelta})
+	}
+}
+
+// updateEndpoints passes a list, or a change of it, on to the module and to what carries attempts.
+func (c *Core) updateEndpoints(l List, now time.Time) {
+	c.confirmKnowledge(l, now)
+	if l.Form == dispatch.ListFull || l.Form == dispatch.ListCached {
+		c.removeUnlisted(l, now)
+	}
+	e := dispatch.Event{Kind: dispatch.EvList, Form: l.Form, Version: uint32(l.Index)}
+	for i := range l.Entries {
+		if c.updateEndpoint(&l.Entries[i], now) {
+			e.Rows = append(e.Rows, c.row(&l.Entries[i]))
+		}
+	}
+	c.status.hasReadyExecutor.Store(c.endpoints.hasReady())
+	c.queueEvent(e)
+}
+
+// confirmKnowledge notes how current the list is now.
+func (c *Core) confirmKnowledge(l List, now time.Time) {
+	age := c.clock.sinceStart(now)
+	switch l.Form {
+	case dispatch.ListFailed:
+	case dispatch.ListCached:
+		c.endpoints.knowledge.Confirm(recovery.List, recovery.Restored, l.Index, age)
+	default:
+		c.status.endpointsConfirmed.Store(true)
+		c.startup.watch.Confirmed()
+		c.endpoints.knowledge.Confirm(recovery.List, recovery.Current, l.Index, age)
+	}
+}
+
+// removeUnlisted removes the executors that a snapshot of the list does not name.
+func (c *Core) removeUnlisted(l List, now time.Time) {
+	listed := map[uint32]bool{}
+	for i := range l.Entries {
+		listed[WorkerID(l.Entries[i].Name)] = true
+	}
+	for id, endpoint := range c.endpoints.byID {
+		if !listed[id] {
+			endpoint.Status = statusGone
+			c.carriers.executors.Told(id, endpoint, now)
+			delete(c.endpoints.byID, id)
+		}
+	}
+}
+
+// updateEndpoint takes in one executor's entry, unless it shares its number with another executor.
+func (c *Core) updateEndpoint(endpoint *Entry, now time.Time) bool {
+	id := WorkerID(endpoint.Name)
+	if known, ok := c.endpoints.byID[id]; ok && known.Name != endpoint.Name {
+		c.log.Error("executor ignored, its number is another's", "executor", endpoint.Name, "other", known.Name)
+		return false
+	}
+	if endpoint.Condition() == dispatch.Gone {
+		delete(c.endpoints.byID, id)
+	} else {
+		c.endpoints.byID[id] = *endpoint
+	}
+	c.carriers.executors.Told(id, *endpoint, now)
+	return true
+}
+
+// row is an executor's entry as the module takes it.
+func (c *Core) row(endpoint *Entry) dispatch.Row {
+	return dispatch.Row{
+		Worker:    WorkerID(endpoint.Name),
+		Zone:      position(c.names.Zones, endpoint.Zone),
+		Kind:      position(c.names.Kinds, endpoint.Kind),
+		Cell:      uint16(endpoint.Group),
+		Condition: endpoint.Condition(),
+		Scale:     endpoint.Weight,
+		Born:      endpoint.SinceMS,
+	}
+}
+
+// position of a name in a list of the settings.
+func position(names []string, name string) uint8 {
+	i := slices.Index(names, name)
+	if i < 0 {
+		return unknownPosition
+	}
+	return uint8(min(i, maxPosition))
+}
+
+// Machine is an executor as the node sees it.
+type Machine struct {
+	Entry
+	Out int // attempts of this node that are out there
+}
+
+// machines are the listed executors, by name.
+func (c *Core) machines() []Machine {
+	inFlight := map[uint32]int{}
+	for _, a := range c.jobs.attempts {
+		inFlight[a.executor]++
+	}
+	var all []Machine
+	for id, endpoint := range c.endpoints.byID {
+		all = append(all, Machine{endpoint, inFlight[id]})
+	}
+	slices.SortFunc(all, func(a, b Machine) int { return strings.Compare(a.Name, b.Name) })
+	return all
+}
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -1,41 +1,57 @@
 package node
 
-// This file holds how jobs and attempts begin and end.
-
 import (
 	"time"
 
 	"gatetack/internal/dispatch"
-	"gatetack/internal/precheck"
 )
 
-func (c *Core) admit(j *job, now time.Time) {
-	c.counts.Taken++
-	// Callbacks name a job by its id alone: a second job of an id that is live could get the first one's result.
-	if j.request.Trace == "" || c.jobByTrace[j.request.Trace] != nil {
+// shuttingDownReason is the answer to a job of a node that is about to end.
+const shuttingDownReason = "the node leaves"
+
+// addJob takes in a job that a front handed in. Callbacks name a job by its trace id alone: a second job of an id that
+// is open could get the first one's result.
+func (c *Core) addJob(j *job, now time.Time) {
+	c.counters.Taken++
+	if j.request.Trace == "" || c.jobs.byTrace[j.request.Trace] != nil {
 		c.answer(j, Answer{End: Failed, Why: "a job of this id is still open"})
 		return
 	}
-	if c.shuttingDown {
+	if c.jobs.shuttingDown {
 		c.answer(j, Answer{End: Refused, RetryAfter: Span(c.settings.MaxRetryAfter), Why: shuttingDownReason})
 		return
 	}
 	j.rules = c.rules.Load()
-	c.jobs[j.id], c.jobByTrace[j.request.Trace] = j, j
-	flags := uint8(0)
-	if j.request.Work > 0 {
-		flags |= dispatch.FlagWork
-	}
-	if j.request.Repeat {
-		flags |= dispatch.FlagRepeat
-	}
-	c.queueEvent(dispatch.Event{Kind: dispatch.EvRequest, Job: j.id, Class: uint8(j.request.Class), Tenant: uint16(j.request.Tenant),
-		Key: j.request.Key, TimeLeft: milliseconds(j.deadline.Sub(now)), Work: j.request.Work, Slots: j.request.Slots,
-		Memory: j.request.Memory, Flags: flags, Prices: j.request.Prices})
+	c.jobs.add(j)
+	c.queueEvent(requestEvent(j, now))
 	c.startTimer(j.deadline.Add(-c.limits.AnswerEarly), jobDeadline(j.id))
 }
 
-// settle marks that nothing more is owed for a job.
+// requestEvent is a job as the module takes it.
+func requestEvent(j *job, now time.Time) dispatch.Event {
+	request := &j.request
+	e := dispatch.Event{
+		Kind:     dispatch.EvRequest,
+		Job:      j.id,
+		Class:    uint8(request.Class),
+		Tenant:   uint16(request.Tenant),
+		Key:      request.Key,
+		TimeLeft: milliseconds(j.deadline.Sub(now)),
+		Work:     request.Work,
+		Slots:    request.Slots,
+		Memory:   request.Memory,
+		Prices:   request.Prices,
+	}
+	if request.Work > 0 {
+		e.Flags |= dispatch.FlagWork
+	}
+	if request.Repeat {
+		e.Flags |= dispatch.FlagRepeat
+	}
+	return e
+}
+
+// markAnswered marks that nothing more is owed for a job.
 func (c *Core) markAnswered(j *job) {
 	j.answered.Store(true)
 	c.unreserve(j)
@@ -47,30 +63,28 @@
 		return
 	}
 	c.markAnswered(j)
-	switch a.End {
-	case Served:
-		c.counts.Served++
-	case Refused:
-		c.counts.Refused++
-	case Failed:
-		c.counts.Failed++
-	case Terminated:
-		c.counts.Terminated++
-	}
+	c.counters.countAnswer(a.End)
 	j.client.Answer(a)
 	c.release(j)
 }
 
-// forget drops a job that is answered once nothing of it is out.
+// answerByID gives the final answer of a job that may be over.
+func (c *Core) answerByID(id uint32, a Answer) {
+	if j := c.jobs.byID[id]; j != nil {
+		c.answer(j, a)
+	}
+}
+
+// release drops a job that is answered once none of its attempts is in flight.
 func (c *Core) release(j *job) {
-	if j.answered.Load() && j.inFlight == 0 && c.jobs[j.id] == j {
-		delete(c.jobs, j.id)
-		delete(c.jobByTrace, j.request.Trace)
+	if j.answered.Load() && j.inFlight == 0 && c.jobs.byID[j.id] == j {
+		c.jobs.remove(j)
 	}
 }
 
+// terminate ends a job of which nothing was sent.
 func (c *Core) terminate(id uint32) error {
-	j := c.jobs[id]
+	j := c.jobs.byID[id]
 	switch {
 	case j == nil || j.answered.Load():
 		return ErrUnknown
@@ -83,10 +97,10 @@
 	return nil
 }
 
-// result takes in what came of an attempt. What comes after its end is passed over: each ActSend gets exactly
+// handleResult takes in what came of an attempt. What comes after its end is passed over: each ActSend gets exactly
 // one outcome.
 func (c *Core) handleResult(r Result, now time.Time) {
-	a := c.attempts[r.Attempt]
+	a := c.jobs.attempts[r.Attempt]
 	if a == nil || a.ended {
 		return
 	}
@@ -97,48 +111,45 @@
 				a.job.client.Started()
 			}
 		}
-		c.queueEvent(dispatch.Event{Kind: dispatch.EvNote, Job: a.job.id, Attempt: a.index, Worker: a.executor, Topic: r.Topic, Amount: r.Amount})
+		c.queueEvent(dispatch.Event{
+			Kind:    dispatch.EvNote,
+			Job:     a.job.id,
+			Attempt: a.index,
+			Worker:  a.executor,
+			Topic:   r.Topic,
+			Amount:  r.Amount,
+		})
 		return
 	}
 	c.finish(a, r.Outcome, r.Report, r.Body, now)
 }
 
-func (c *Core) finish(a *attempt, o dispatch.Outcome, report []float32, body []byte, now time.Time) {
+// finish ends an attempt, and answers its job where it was served.
+func (c *Core) finish(a *attempt, outcome dispatch.Outcome, report []float32, body []byte, now time.Time) {
 	j := a.job
 	a.ended = true
 	j.inFlight--
-	delete(c.attempts, a.id)
-	if a.mayHaveRun = !o.NeverRan(); a.mayHaveRun {
+	delete(c.jobs.attempts, a.id)
+	if a.mayHaveRun = !outcome.NeverRan(); a.mayHaveRun {
 		j.mayHaveRun = true
 	}
-	if o == dispatch.Served {
+	if outcome == dispatch.Served {
 		c.answer(j, Answer{End: Served, Result: body})
 	}
 	if !j.answered.Load() && j.inFlight == 0 {
 		j.client.Returned(!j.mayHaveRun)
 	}
-	c.queueEvent(dispatch.Event{Kind: dispatch.EvOutcome, Job: j.id, Attempt: a.index, Worker: a.executor, Outcome: o,
-		Elapsed: milliseconds(now.Sub(a.sentAt)), Final: j.answered.Load(), Report: report})
+	c.queueEvent(
+		dispatch.Event{Kind: dispatch.EvOutcome, Job: j.id, Attempt: a.index, Worker: a.executor, Outcome: outcome,
+			Elapsed: milliseconds(now.Sub(a.sentAt)), Final: j.answered.Load(), Report: report},
+	)
 	c.release(j)
 }
 
-// repeats are the rules for the next attempt of a job, by those it came under and what became of the ones before.
-func (j *job) retryRules() precheck.RetryRules {
-	s := &j.rules.Settings
-	class := s.Classes[min(j.request.Class, len(s.Classes)-1)]
-	r := precheck.RetryRules{Attempt: len(j.attempts) + 1, MaxAttempts: s.MaxAttempts, RetrySafety: class.Effect}
-	for _, t := range j.attempts { // in the order of their sending: the first that counts is the earliest
-		if t.mayHaveRun && !r.MayHaveRun {
-			r.MayHaveRun, r.WindowEnd = true, t.sentAt.Add(Span(class.Window))
-		}
-	}
-	return r
-}
-
-// overdue sees to it that a job is answered before its client gives up, should the module not have done so by a
+// answerOverdue sees to it that a job is answered before its client gives up, should the module not have done so by a
 // step after its time-outs.
 func (c *Core) answerOverdue(id uint32, now time.Time) {
-	j := c.jobs[id]
+	j := c.jobs.byID[id]
 	if j == nil || j.answered.Load() {
 		return
 	}
@@ -147,14 +158,23 @@
 		c.startTimer(last, jobDeadline(id))
 		return
 	}
-	c.log.Warn("the module left a job unanswered", "job", j.request.Trace, "live", j.inFlight, "sends", len(j.attempts))
+	c.log.Warn("job left unanswered by the dispatch module", "job", j.request.Trace, "in_flight", j.inFlight,
+		"attempts", len(j.attempts))
 	c.answerUndecided(j, "its time is over")
 }
 
-// leaves tells why a node that is about to end answers.
-const shuttingDownReason = "the node leaves"
+// shutDown answers what came after a time and whatever nothing was sent of; nothing more is taken in.
+func (c *Core) shutDown(after time.Time) {
+	c.jobs.shuttingDown = true
+	for _, j := range c.jobs.byID {
+		undecided := j.acceptedAt.After(after) || j.inFlight == 0 && !j.mayHaveRun
+		if undecided && !j.answered.Load() {
+			c.answerUndecided(j, shuttingDownReason)
+		}
+	}
+}
 
-// cut ends a job without the module, which hears that the client left.
+// answerUndecided ends a job without the module, which hears that the client left.
 func (c *Core) answerUndecided(j *job, why string) {
 	a := Answer{End: Failed, Why: why}
 	if j.inFlight == 0 && !j.mayHaveRun {
--- a/internal/node/localfault_test.go
+++ b/internal/node/localfault_test.go
@@ -7,8 +7,9 @@
 	"gatetack/internal/dispatch"
 )
 
-// An attempt that was cancelled before it was sent says nothing of its executor: the same job goes there again with the next step, and
-// so does the next job. After a failed connection, for comparison, the executor gets neither for a while.
+// An attempt that was cancelled before it was sent says nothing of its executor: the same job goes there again with the
+// next step, and so does the next job. After a failed connection, for comparison, the executor gets neither for a
+// while.
 func TestCancelledBeforeSendMarksNoExecutor(t *testing.T) {
 	for name, x := range map[string]struct {
 		outcome dispatch.Outcome
@@ -40,15 +41,15 @@
 	}
 }
 
-// A job whose attempts all end before they are sent gets its final answer, a refusal, since nothing of it has run; and no more attempts
-// are made than the settings allow, however soon each ends.
+// A job whose attempts all end before they are sent gets its final answer, a refusal, since nothing of it has run; and
+// no more attempts are made than the settings allow, however soon each ends.
 func TestCancelledBeforeSendIsBounded(t *testing.T) {
 	for class := range settings().Classes {
 		h, cl := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
 		if _, err := h.core.Submit(Job{Class: class, Left: 7 * time.Second, Slots: 1, Trace: "a"}, cl); err != nil {
 			t.Fatal(err)
 		}
-		for ended := 0; h.now.Before(h.core.start.Add(8 * time.Second)); h.run(2 * time.Millisecond) {
+		for ended := 0; h.now.Before(h.core.clock.start.Add(8 * time.Second)); h.run(2 * time.Millisecond) {
 			for ; ended < len(h.attempts); ended++ {
 				h.core.Result(Result{Attempt: h.attempts[ended].ID, Outcome: dispatch.Moot})
 			}
--- a/internal/node/rules.go
+++ b/internal/node/rules.go
@@ -15,8 +15,9 @@
 	Names    Names
 }
 
-// Retired is the place of a class that is no longer named, or whose rules are new: what clients still send under its name
-// is taken until a time, unless the name stands for another place, and from another time on nothing of it can be open.
+// Retired is the place of a class that is no longer named, or whose rules are new: what clients still send under its
+// name is taken until a time, unless the name stands for another place, and from another time on nothing of it can be
+// open.
 type Retired struct {
 	Name  string
 	Class int
@@ -26,9 +27,14 @@
 
 // Retune makes rules of those in force and of settings read anew. A class or tenant is the same if its name is; a class
 // whose rules differ gets a place of its own, so that open jobs keep those they came under. It says where the places
-// whose rules are new take what was learned from. Everything but classes, tenants and what dispatch.Dispatcher.Retune takes
-// over stays as it is. Late is how long a class that is no longer named is still taken.
-func (r *Rules) Retune(s dispatch.Settings, names Names, now time.Time, late time.Duration) (*Rules, map[int]int, error) {
+// whose rules are new take what was learned from. Everything but classes, tenants and what dispatch.Dispatcher.Retune
+// takes over stays as it is. Late is how long a class that is no longer named is still taken.
+func (r *Rules) Retune(
+	s dispatch.Settings,
+	names Names,
+	now time.Time,
+	late time.Duration,
+) (*Rules, map[int]int, error) {
 	next := &Rules{Settings: s, Names: r.Names}
 	next.Names.Classes = make([]string, len(r.Names.Classes))
 	next.Settings.Classes = slices.Clone(r.Settings.Classes)
@@ -85,7 +91,11 @@
 	r.Names.Tenants = slices.Clone(was.Names.Tenants)
 	r.Settings.Tenants = make([]dispatch.Tenant, len(was.Settings.Tenants))
 	if len(was.Settings.Tenants) == 0 && len(s.Tenants) > 0 || len(was.Settings.Tenants) > 0 && len(s.Tenants) == 0 {
-		return fmt.Errorf("settings.tenants: %d in place of %d, expected some or none as at the start", len(s.Tenants), len(was.Settings.Tenants))
+		return fmt.Errorf(
+			"settings.tenants: %d in place of %d, expected some or none as at the start",
+			len(s.Tenants),
+			len(was.Settings.Tenants),
+		)
 	}
 	for i, name := range names.Tenants {
 		at := slices.Index(r.Names.Tenants, name)
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -22,10 +22,14 @@
 	return s, n
 }
 
-// A class keeps its place while its rules stay; one that is new, or whose rules are, gets a place of its own, and what its
-// name stood for is still taken for a while. A place is used again only once nothing of it can be open.
+// A class keeps its place while its rules stay; one that is new, or whose rules are, gets a place of its own, and what
+// its name stood for is still taken for a while. A place is used again only once nothing of it can be open.
 func TestRetuneKeepsPlaces(t *testing.T) {
-	classes := map[string]dispatch.Class{"a": {Deadline: 1000, Effect: dispatch.Unsafe}, "b": {Deadline: 2000}, "c": {Deadline: 500}}
+	classes := map[string]dispatch.Class{
+		"a": {Deadline: 1000, Effect: dispatch.Unsafe},
+		"b": {Deadline: 2000},
+		"c": {Deadline: 500},
+	}
 	s, n := rulesOf(classes, "a", "b")
 	now := time.Now()
 	r := &Rules{s, n}
@@ -42,16 +46,31 @@
 	}
 	classes["b"] = dispatch.Class{Deadline: 2000, Effect: dispatch.Unsafe}
 	s, n = rulesOf(classes, "c", "b")
-	if r, from, err = r.Retune(s, n, now.Add(time.Second), time.Minute); err != nil || !reflect.DeepEqual(from, map[int]int{3: 1}) {
+	if r, from, err = r.Retune(
+		s,
+		n,
+		now.Add(time.Second),
+		time.Minute,
+	); err != nil ||
+		!reflect.DeepEqual(from, map[int]int{3: 1}) {
 		t.Fatalf("%v %v %+v", err, from, r)
 	}
-	if i, _ := r.Names.Class("b"); i != 3 || r.Settings.Classes[1].Effect != dispatch.Safe || r.Settings.Classes[3].Effect != dispatch.Unsafe {
+	if i, _ := r.Names.Class(
+		"b",
+	); i != 3 || r.Settings.Classes[1].Effect != dispatch.Safe ||
+		r.Settings.Classes[3].Effect != dispatch.Unsafe {
 		t.Errorf("b is at %d of %+v", i, r.Settings.Classes)
 	}
 	// A minute and the deadline after it was dropped, a's place is free; b's old one is not for a second more.
 	classes["d"] = dispatch.Class{Deadline: 70}
 	s, n = rulesOf(classes, "c", "b", "d")
-	if r, _, err = r.Retune(s, n, now.Add(62*time.Second+time.Millisecond), time.Minute); err != nil || r.Names.Classes[0] != "d" || len(r.Names.Classes) != 4 {
+	if r, _, err = r.Retune(
+		s,
+		n,
+		now.Add(62*time.Second+time.Millisecond),
+		time.Minute,
+	); err != nil || r.Names.Classes[0] != "d" ||
+		len(r.Names.Classes) != 4 {
 		t.Errorf("%v %+v", err, r)
 	}
 	n.Classes[1] = "c"
@@ -60,8 +79,8 @@
 	}
 }
 
-// Whatever is read, one after another: a place never changes its rules while a job that was taken under them can be open,
-// and each class that a file names is found with that file's rules.
+// Whatever is read, one after another: a place never changes its rules while a job that was taken under them can be
+// open, and each class that a file names is found with that file's rules.
 func TestRetuneNeverChangesAnOpenPlace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func() (dispatch.Settings, Names) {
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -4,41 +4,47 @@
 	"time"
 
 	"gatetack/internal/dispatch"
+	"gatetack/internal/endpointwatch"
 )
 
-// listCallFailed is the event that a call for the list of executors failed.
-type listCallFailed struct{}
+// startup is what a core does until its endpoint list is confirmed: it takes no step and holds the jobs that come.
+type startup struct {
+	watch          endpointwatch.Startup
+	waitingChanges []configChange // that came meanwhile
+}
 
 // ListCallFailed takes in that a call for the list of executors failed.
 func (c *Core) ListCallFailed() { c.post(listCallFailed{}) }
 
-// AwaitList makes the core hold what it takes until the list that it was started with is confirmed, or endpointwatch.Startup says that it
-// is not waited for any more. It must be called before Run. A core that knows of no executor sends nothing and holds nothing.
+// AwaitList makes the core hold what it accepts until the list that it was started with is confirmed, or
+// endpointwatch.Startup says that it is not waited for any more. It must be called before Run. A core that knows of no
+// executor sends nothing and holds nothing.
 func (c *Core) AwaitList(known int) {
 	if known == 0 {
 		return
 	}
-	c.startup.Started(c.start, c.limits.Staleness)
-	c.holdsJobs.Store(true)
+	c.startup.watch.Started(c.clock.start, c.limits.Staleness)
+	c.status.holdsJobs.Store(true)
 }
 
-// holds says whether jobs are held now. When they no longer are, it lets them go to the module.
+// stillHolds says whether jobs are held now. When they no longer are, it lets them go to the module.
 func (c *Core) stillHolds(now time.Time) bool {
-	if !c.holdsJobs.Load() {
+	if !c.status.holdsJobs.Load() {
 		return false
 	}
-	if c.startup.Holding(now) {
+	if c.startup.watch.Holding(now) {
 		return true
 	}
-	c.holdsJobs.Store(false)
-	c.log.Info("list", "confirmed", c.endpointsConfirmed.Load(), "after", now.Sub(c.start).Round(time.Millisecond), "held", len(c.jobs))
-	for i := range c.batch {
-		c.refreshTimeLeft(&c.batch[i], now)
+	c.status.holdsJobs.Store(false)
+	c.log.Info("endpoint list no longer awaited", "confirmed", c.status.endpointsConfirmed.Load(),
+		"after", c.clock.sinceStart(now).Round(time.Millisecond), "held_jobs", len(c.jobs.byID))
+	for i := range c.pending.events {
+		c.refreshTimeLeft(&c.pending.events[i], now)
 	}
-	for _, r := range c.waitingChanges {
-		c.reconfigure(r, now)
+	for _, change := range c.startup.waitingChanges {
+		c.reconfigure(change, now)
 	}
-	c.waitingChanges = nil
+	c.startup.waitingChanges = nil
 	return false
 }
 
@@ -47,35 +53,20 @@
 	if e.Kind != dispatch.EvRequest {
 		return
 	}
-	if j := c.jobs[e.Job]; j != nil {
+	if j := c.jobs.byID[e.Job]; j != nil {
 		e.TimeLeft = max(0, milliseconds(j.deadline.Sub(now)))
 	}
 }
 
-// retune puts new rules in force. What came before them is the module's to decide by the old ones.
-func (c *Core) reconfigure(r configChange, now time.Time) {
-	if len(c.batch) > 0 {
+// reconfigure puts new rules in force. What came before them is the module's to decide by the old ones.
+func (c *Core) reconfigure(change configChange, now time.Time) {
+	if len(c.pending.events) > 0 {
 		c.step(now)
 	}
-	err := c.dispatcher.Retune(r.rules.Settings, r.origins)
+	err := c.dispatcher.Retune(change.rules.Settings, change.origins)
 	if err == nil {
-		c.settings = r.rules.Settings
-		c.rules.Store(r.rules)
-	}
-	r.done <- err
-}
-
-// wake is when the core has something to do next, if nothing comes before.
-func (c *Core) nextWake() time.Time {
-	next := time.Now().Add(time.Hour)
-	if len(c.timers) > 0 {
-		next = c.timers[0].at
-	}
-	switch {
-	case c.holdsJobs.Load():
-		return earlier(next, c.startup.HoldUntil())
-	case len(c.batch) > 0:
-		return c.nextStepAt
+		c.settings = change.rules.Settings
+		c.rules.Store(change.rules)
 	}
-	return next
+	change.done <- err
 }
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -24,8 +24,8 @@
 	return n
 }
 
-// Nothing is sent on the list of an earlier life before a list of this one has come, and then nothing to an executor that was gone
-// meanwhile. What had been taken is sent at once, with the time that its client has left by then.
+// Nothing is sent on the list of an earlier life before a list of this one has come, and then nothing to an executor
+// that was gone meanwhile. What had been taken is sent at once, with the time that its client has left by then.
 func TestJobsAreHeldUntilTheListIsConfirmed(t *testing.T) {
 	h := newHoldingCarriers(t, readyEndpoint("s-gone"))
 	held := &recordingClient{t: t}
@@ -41,8 +41,8 @@
 	if !h.core.Ready() || h.sent() != 1 || h.attempts[0].Worker != WorkerID("s-new") {
 		t.Fatalf("ready %v, sent %v", h.core.Ready(), h.sends)
 	}
-	if latest := h.core.start.Add(7 * time.Second); h.attempts[0].Deadline.After(latest) {
-		t.Errorf("sent until %v after the start, its client leaves after 7 s", h.attempts[0].Deadline.Sub(h.core.start))
+	if latest := h.core.clock.start.Add(7 * time.Second); h.attempts[0].Deadline.After(latest) {
+		t.Errorf("sent until %v after the start, its client leaves after 7 s", h.attempts[0].Deadline.Sub(h.core.clock.start))
 	}
 }
 
@@ -53,7 +53,10 @@
 		"no answer":      func(h *fakeCarriers) { h.run(lim.Staleness.PollWait + 2*lim.Staleness.AnswerTimeout + time.Second) },
 	} {
 		h := newHoldingCarriers(t, readyEndpoint("s-old"))
-		if _, err := h.core.Submit(Job{Trace: "a", Class: 0, Left: 7 * time.Second, Slots: 1}, &recordingClient{t: t}); err != nil {
+		if _, err := h.core.Submit(
+			Job{Trace: "a", Class: 0, Left: 7 * time.Second, Slots: 1},
+			&recordingClient{t: t},
+		); err != nil {
 			t.Fatal(err)
 		}
 		h.run(100 * time.Millisecond)
@@ -112,8 +115,8 @@
 	h := newFakeCarriers(t, readyEndpoint("s-1"))
 	confirm := func() []dispatch.Event {
 		h.core.ListConfirmed()
-		h.core.handle(<-h.core.events)
-		return h.core.batch
+		h.core.handle(<-h.core.intake.events)
+		return h.core.pending.events
 	}
 	if batch := confirm(); len(batch) != 0 {
 		t.Errorf("%+v, though there is no list to confirm yet", batch)
@@ -121,7 +124,8 @@
 	h.core.List(List{Form: dispatch.ListFull, Entries: []Entry{readyEndpoint("s-1")}})
 	h.run(100 * time.Millisecond)
 	batch := confirm()
-	if len(batch) != 1 || batch[0].Kind != dispatch.EvList || batch[0].Form != dispatch.ListDelta || len(batch[0].Rows) != 0 {
+	if len(batch) != 1 || batch[0].Kind != dispatch.EvList || batch[0].Form != dispatch.ListDelta ||
+		len(batch[0].Rows) != 0 {
 		t.Errorf("%+v, want one change of no row", batch)
 	}
 }
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -1,7 +1,5 @@
 package node
 
-// This file holds the timers of jobs, attempts and the module.
-
 import (
 	"container/heap"
 	"math"
@@ -53,8 +51,8 @@
 		case moduleTimer:
 			c.queueEvent(dispatch.Event{Kind: dispatch.EvTimer, Token: uint32(what)})
 		case attemptTimeout:
-			if a := c.attempts[uint64(what)]; a != nil && !a.ended {
-				c.executors.GiveUp(a.id)
+			if a := c.jobs.attempts[uint64(what)]; a != nil && !a.ended {
+				c.carriers.executors.GiveUp(a.id)
 				c.finish(a, dispatch.TimedOut, nil, nil, now)
 			}
 		case jobDeadline:
