--- a/internal/node/carriers.go
+++ b/internal/node/carriers.go
@@ -2,22 +2,30 @@
 
 import "time"
 
-// Executors carries out what goes to executors. No call blocks; each Send leads to one Result with an outcome
-// given to Core.Result, unless GiveUp came first.
+// Executors carries out what goes to executors. No call blocks.
 type Executors interface {
-	Told(worker uint32, e Entry, at time.Time)
+	// Told takes an executor's entry from an endpoint list that came at a time.
+	Told(executor uint32, e Entry, at time.Time)
+	// Send starts an attempt. It leads to one Result with an outcome given to Core.Result, unless GiveUp came first.
 	Send(Attempt)
+	// GiveUp cancels an attempt, which has no result of its own then.
 	GiveUp(id uint64)
-	Probe(worker uint32)
-	CloseIdle(worker uint32)
+	// Probe checks an executor's health. It leads to one call of Core.Probed.
+	Probe(executor uint32)
+	// CloseIdle closes the idle connections to an executor.
+	CloseIdle(executor uint32)
 }
 
-// Lists asks for the list of executors. Each Watch(true) leads to one Core.List, and later to one for each
-// change; a call or a watch that fails to one of the form ListFailed.
+// Lists asks for the list of executors. A call or a watch that fails leads to a list of the form ListFailed.
 type Lists interface {
+	// Watch leads to one Core.List, and while it is on to one for each change.
 	Watch(on bool)
+	// Fetch leads to one Core.List.
 	Fetch()
 }
 
 // Peers sends messages to other nodes, best effort.
-type Peers interface{ Tell(to uint16, data []byte) }
+type Peers interface {
+	// Tell sends to one node, or to all where the number is dispatch.AllPeers.
+	Tell(to uint16, data []byte)
+}
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -136,109 +136,6 @@
 	}
 }
 
-// Whatever comes, in whatever order and how often: each job gets one answer before its client gives up, unless
-// the client left; a tile-charge is sent again only where no attempt of it may have run; and a refusal is given
-// only then, too.
-func TestOneAnswer(t *testing.T) {
-	outcomes := []dispatch.Outcome{
-		dispatch.Served,
-		dispatch.Errored,
-		dispatch.Full,
-		dispatch.ConnectFailed,
-		dispatch.Reset,
-		dispatch.Moot,
-	}
-	rapid.Check(t, func(t *rapid.T) {
-		h := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2"))
-		type made struct {
-			id    uint32
-			class int
-			cl    *recordingClient
-			until time.Time
-			ran   bool
-			gone  bool
-		}
-		var jobs []*made
-		byTrace := map[string]*made{}
-		var all []Attempt
-		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			switch rapid.IntRange(0, 6).Draw(t, "what") {
-			case 0, 1:
-				m := &made{class: rapid.IntRange(0, 1).Draw(t, "class"), cl: &recordingClient{t: t}}
-				left := time.Duration(rapid.IntRange(0, 3000).Draw(t, "left")) * time.Millisecond
-				in := Job{Class: m.class, Left: left, Slots: 1, Trace: string(rune('a' + i))}
-				id, err := h.core.Submit(in, m.cl)
-				if err != nil {
-					t.Fatal(err)
-				}
-				m.id, m.until = id, h.now.Add(left)
-				jobs, byTrace[in.Trace] = append(jobs, m), m
-			case 2, 3: // an outcome, now and then of an attempt that is over
-				if len(h.attempts) == 0 {
-					continue
-				}
-				a := rapid.SampledFrom(h.attempts).Draw(t, "attempt")
-				o := rapid.SampledFrom(outcomes).Draw(t, "outcome")
-				if _, open := h.core.jobs.attempts[a.ID]; open && !o.NeverRan() {
-					byTrace[a.Job.Trace].ran = true
-				}
-				h.core.Result(Result{Attempt: a.ID, Outcome: o, Body: []byte("tile"), Report: []float32{0, 2}})
-			case 4:
-				if len(h.attempts) > 0 {
-					h.core.Result(Result{Attempt: rapid.SampledFrom(h.attempts).Draw(t, "attempt").ID, Topic: dispatch.NoteStarted})
-				}
-			case 5:
-				if len(jobs) > 0 {
-					m := rapid.SampledFrom(jobs).Draw(t, "job")
-					m.gone = true
-					h.core.Gone(m.id)
-				}
-			case 6:
-				h.run(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
-			}
-			h.run(0)
-			all = h.attempts
-		}
-		for end := h.now.Add(3100 * time.Millisecond); h.now.Before(end); {
-			h.run(2 * time.Millisecond)
-			for _, m := range jobs {
-				if h.now.After(m.until) && len(m.cl.answers) == 0 && !m.gone && m.until.Sub(h.core.clock.start) > 0 {
-					if late := h.now.Sub(m.until); late > 10*time.Millisecond {
-						t.Fatal("a job without an answer", late, "after its client gave up")
-					}
-				}
-			}
-		}
-		for _, m := range jobs {
-			if len(m.cl.answers) == 0 && !m.gone {
-				t.Fatal("a job without an answer")
-			}
-			for _, a := range m.cl.answers {
-				if a.End == Refused && m.ran {
-					t.Fatal("refused, though it may have run")
-				}
-			}
-		}
-		tries := map[string]int{}
-		for _, a := range all {
-			tries[a.Job.Trace]++
-			if tries[a.Job.Trace] > 3 {
-				t.Fatal("more than three attempts")
-			}
-		}
-		if len(h.core.jobs.attempts) != 0 || len(h.core.jobs.byID) != 0 || len(h.core.jobs.byTrace) != 0 ||
-			h.core.Open() != 0 {
-			t.Fatal(
-				"something is kept of jobs that are over:",
-				len(h.core.jobs.attempts),
-				len(h.core.jobs.byID),
-				len(h.core.jobs.byTrace),
-				h.core.Open(),
-			)
-		}
-	})
-}
-
 // A tile-charge that may have run is never sent again, and is failed at once: its client must not be held.
 func TestTileChargeRunsOnce(t *testing.T) {
 	for _, o := range []dispatch.Outcome{dispatch.Errored, dispatch.Reset} {
@@ -329,7 +226,8 @@
 
 // A list in discovery's form, cut or spoiled anywhere, gives a list or an error.
 func TestParseListOnGarbage(t *testing.T) {
-	good := `{"index":41,"snapshot":true,"endpoints":[{"name":"s-5be2a07c","address":"10.1.0.18:8443","zone":"a","type":"m2","group":3,"status":"ready","weight":1.0,"since_ms":0}]}`
+	good := `{"index":41,"snapshot":true,"endpoints":[{"name":"s-5be2a07c","address":"10.1.0.18:8443","zone":"a",` +
+		`"type":"m2","group":3,"status":"ready","weight":1.0,"since_ms":0}]}`
 	l, err := ParseList(gjson.Parse(good))
 	if err != nil || l.Index != 41 || l.Form != dispatch.ListFull || len(l.Entries) != 1 || l.Entries[0].Group != 3 {
 		t.Fatalf("%+v %v", l, err)
@@ -354,7 +252,11 @@
 	for _, c := range []struct {
 		in   map[string]float64
 		want []float32
-	}{{map[string]float64{"queue": 2, "x0": 3}, []float32{2, 3}}, {map[string]float64{"x0": 3, "pending": 2}, []float32{2, 3}}, {nil, nil}} {
+	}{
+		{map[string]float64{"queue": 2, "x0": 3}, []float32{2, 3}},
+		{map[string]float64{"x0": 3, "pending": 2}, []float32{2, 3}},
+		{nil, nil},
+	} {
 		got := n.Report(func(name string) (float64, bool) { v, ok := c.in[name]; return v, ok })
 		if len(got) != len(c.want) || len(got) == 2 && (got[0] != c.want[0] || got[1] != c.want[1]) {
 			t.Errorf("%v: %v", c.in, got)
--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -18,8 +18,10 @@
 type Counts struct {
 	Taken, Served, Refused, Failed, Terminated, Gone int
 	Sends, Open, Queued, Running                     int
-	Slow                                             []byte            // slow peers by kind, as JSON; see slowpeer.Tally
-	Knows                                            map[string]string // how far the node has come with what it goes by; see recovery.Knowledge
+	// Slow are the slow peers by kind, as JSON; see slowpeer.Tally.
+	Slow []byte
+	// Knows tells how current the node's knowledge is; see recovery.Knowledge.
+	Knows map[string]string
 }
 
 // JSON gives the counts as both fronts show them.
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -79,44 +79,53 @@
 	}
 }
 
+// drawRules draws settings with some of four classes, one at least.
+func drawRules(t *rapid.T) (dispatch.Settings, Names) {
+	classes, order := map[string]dispatch.Class{}, []string{}
+	for _, name := range []string{"a", "b", "c", "d"} {
+		if len(order) == 0 || rapid.Bool().Draw(t, "has "+name) {
+			order = append(order, name)
+			classes[name] = dispatch.Class{Deadline: float64(rapid.IntRange(1, 3).Draw(t, "deadline")) * 1000,
+				Effect: dispatch.Effect(rapid.IntRange(0, 2).Draw(t, "effect"))}
+		}
+	}
+	return rulesOf(classes, order...)
+}
+
+// openPlace is a job at the place of a class, and the rules that it came under.
+type openPlace struct {
+	class int
+	rules dispatch.Class
+	until time.Time
+}
+
+// openPlaces are a job at each place that a client can reach between two times, at the last moment at which it can.
+func openPlaces(r *Rules, now, next time.Time) (jobs []openPlace) {
+	for i, name := range r.Names.Classes {
+		if c := r.Settings.Classes[i]; name != "" {
+			jobs = append(jobs, openPlace{i, c, next.Add(Span(c.Deadline))})
+		}
+	}
+	for _, x := range r.Names.Retired {
+		if c := r.Settings.Classes[x.Class]; x.Name != "" && now.Before(x.Until) {
+			jobs = append(jobs, openPlace{x.Class, c, x.Until.Add(Span(c.Deadline))})
+		}
+	}
+	return jobs
+}
+
 // Whatever is read, one after another: a place never changes its rules while a job that was taken under them can be
 // open, and each class that a file names is found with that file's rules.
 func TestRetuneNeverChangesAnOpenPlace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func() (dispatch.Settings, Names) {
-			classes, order := map[string]dispatch.Class{}, []string{}
-			for _, name := range []string{"a", "b", "c", "d"} {
-				if len(order) == 0 || rapid.Bool().Draw(t, "has "+name) {
-					order = append(order, name)
-					classes[name] = dispatch.Class{Deadline: float64(rapid.IntRange(1, 3).Draw(t, "deadline")) * 1000,
-						Effect: dispatch.Effect(rapid.IntRange(0, 2).Draw(t, "effect"))}
-				}
-			}
-			return rulesOf(classes, order...)
-		}
-		s, n := draw()
+		s, n := drawRules(t)
 		r, now := &Rules{s, n}, time.Now()
-		type open struct {
-			class int
-			rules dispatch.Class
-			until time.Time
-		}
-		var jobs []open
+		var jobs []openPlace
 		for range rapid.IntRange(1, 12).Draw(t, "files") {
-			// A job at each place that a client can reach, at the last moment at which it can.
 			next := now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
-			for i, name := range r.Names.Classes {
-				if c := r.Settings.Classes[i]; name != "" {
-					jobs = append(jobs, open{i, c, next.Add(Span(c.Deadline))})
-				}
-			}
-			for _, x := range r.Names.Retired {
-				if c := r.Settings.Classes[x.Class]; x.Name != "" && now.Before(x.Until) {
-					jobs = append(jobs, open{x.Class, c, x.Until.Add(Span(c.Deadline))})
-				}
-			}
+			jobs = append(jobs, openPlaces(r, now, next)...)
 			now = next
-			s, n = draw()
+			s, n = drawRules(t)
 			then, _, err := r.Retune(s, n, now, 500*time.Millisecond)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -50,7 +50,9 @@
 func TestCoreGoesOnWithTheOldList(t *testing.T) {
 	for what, wait := range map[string]func(h *fakeCarriers){
 		"the call fails": func(h *fakeCarriers) { h.core.ListCallFailed(); h.run(time.Second) },
-		"no answer":      func(h *fakeCarriers) { h.run(lim.Staleness.PollWait + 2*lim.Staleness.AnswerTimeout + time.Second) },
+		"no answer": func(h *fakeCarriers) {
+			h.run(lim.Staleness.PollWait + 2*lim.Staleness.AnswerTimeout + time.Second)
+		},
 	} {
 		h := newHoldingCarriers(t, readyEndpoint("s-old"))
 		if _, err := h.core.Submit(
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -26,7 +26,8 @@
 
 	// Before, if set, is called before each send, and the send is not made if it fails.
 	Before func(executor string) error
-	// Still, if set, is asked at the last moment before a send's bytes: May, or why the job is its front's no longer.
+	// Still, if set, is asked in the last moment before the bytes of a send: Allowed, or why the job is its front's no
+	// longer.
 	Still func() precheck.Reason
 }
 
@@ -49,22 +50,26 @@
 	Why        string
 }
 
-// Client is told of a job. It is called from the core's goroutine and must not block.
+// Client is notified of a job. It is called from the core's goroutine and must not block.
 type Client interface {
-	Sent(executor string) // an attempt is about to go out
+	// Sent says that an attempt is about to be sent.
+	Sent(executor string)
+	// Started says that an executor has begun the job.
 	Started()
-	Returned(neverRan bool) // nothing is out any more, and the job goes on
-	Answer(Answer)          // once, and the last call
+	// Returned says that no attempt is in flight any more, and that the job goes on.
+	Returned(neverRan bool)
+	// Answer is called once, and last.
+	Answer(Answer)
 }
 
-// Attempt is one send of a job. Its worker gets one at a time of a request.
+// Attempt is one attempt of a job. Its executor gets one at a time of a request.
 type Attempt struct {
 	ID       uint64 // never used again
 	Worker   uint32
 	Deadline time.Time
 	Job      *Job
 	Answered *atomic.Bool // nothing is owed for the job any more
-	Born     float64      // when the executor's life began for which this was decided, as the list has it
+	Born     float64      // when the executor's process started that this was decided for, as listed
 	Rules    precheck.RetryRules
 }
 
