--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -107,7 +107,7 @@
 func (s *Server) register(accepted net.Conn) *conn {
 	tcpinfo.Bound(accepted, s.limits.Pace.SendBuf, 0)
 	tcpinfo.Forget(accepted, s.limits.Pace.Forget)
-	c := newConn(accepted, s.limits.Ring, s.limits.Pace.ClientIn, s.limits.Pace.ClientOut, s.limits.DropPause)
+	c := newConn(accepted, &s.limits)
 	// Past the budget, where all others are busy, a connection gets one answer. Past the reserve too it is refused as soon as its
 	// request has come: its client waits for nothing, and a request that is left in the listener's queue is taken all the same.
 	s.admit(c)
@@ -117,7 +117,7 @@
 // waitForDescriptor returns once there is a descriptor for one more connection, however short-lived.
 func (s *Server) waitForDescriptor(ctx context.Context) {
 	for s.descriptorsExhausted() && ctx.Err() == nil {
-		s.closeIdle(false)
+		s.closeIdle(s.limits.DoorWait)
 		select {
 		case <-s.descriptorFreed:
 		case <-time.After(s.limits.DoorWait / 4):
--- a/internal/http1/leaving_test.go
+++ b/internal/http1/leaving_test.go
@@ -37,7 +37,7 @@
 		t.Run(end.Error(), func(t *testing.T) {
 			c := newConn(&script{reads: []func([]byte) (int, error){
 				func([]byte) (int, error) { return 0, &net.OpError{Op: "read", Err: os.NewSyscallError("read", end)} },
-			}}, lim.Ring, lim.Pace.ClientIn, lim.Pace.ClientOut, 0)
+			}}, &lim)
 			c.readDone = make(chan struct{}) // nobody takes in that it has read: its handler is busy
 			ctx, gone := context.WithCancel(t.Context())
 			defer gone()
@@ -64,9 +64,9 @@
 			return 0, io.EOF
 		}
 		return n, nil
-	}}}, lim.Ring, lim.Pace.ClientIn, lim.Pace.ClientOut, lim.DropPause)
-	c.sleep = func(d time.Duration) { paused += d }
-	c.handling = true
+	}}}, &lim)
+	c.pauseDiscards = func(d time.Duration) { paused += d }
+	c.watching = true
 	if err := c.fill(); !errors.Is(err, io.EOF) || left != 0 {
 		t.Errorf("%v with %d bytes left", err, left)
 	}
--- a/internal/http1/moments_test.go
+++ b/internal/http1/moments_test.go
@@ -21,9 +21,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.mu.Lock()
+		c.watch.Lock()
 		came := c.bytesBehind
-		c.mu.Unlock()
+		c.watch.Unlock()
 		return came && tcpinfo.Quiet(c.Conn)
 	}
 	return false
@@ -105,7 +105,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := newConn(taken, lim.Ring, lim.Pace.ClientIn, lim.Pace.ClientOut, 0)
+		c := newConn(taken, &lim)
 		s.admit(c)
 		return client, c
 	}
--- a/internal/http1/races_test.go
+++ b/internal/http1/races_test.go
@@ -145,7 +145,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		server[i] = newConn(nc, lim.Ring, lim.Pace.ClientIn, lim.Pace.ClientOut, 0)
+		server[i] = newConn(nc, &lim)
 		s.admit(server[i])
 		if i == 0 {
 			_, _ = io.WriteString(c, get[:1])
--- a/internal/http1/ring.go
+++ b/internal/http1/ring.go
@@ -1,5 +1,3 @@
-// Package http1 is HTTP/1.1 as the node needs it: ring buffers, an incremental parser of requests and
-// responses, a writer, and a server for the two fronts. It knows nothing of jobs.
 package http1
 
 import (
