--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// acceptBackoffMin and acceptBackoffMax bound the pause after an accept that failed for want of memory, or for a reason that
-	// accept(2) does not name. It doubles with each such failure in a row.
+	// acceptBackoffMin and acceptBackoffMax bound the pause after an accept that failed for want of memory, or for a
+	// reason that accept(2) does not name. It doubles with each such failure in a row.
 	acceptBackoffMin = time.Millisecond
 	acceptBackoffMax = 50 * time.Millisecond
 	// descriptorWait bounds the wait for a descriptor where no connection could be evicted.
 	descriptorWait = 5 * time.Millisecond
-	// evictionTimeout bounds the wait for an evicted connection to close. It is exceeded only by one whose request came in the
-	// moment of its eviction and is handled.
+	// evictionTimeout bounds the wait for an evicted connection to close. It is exceeded only by one whose request
+	// came in the moment of its eviction and is handled.
 	evictionTimeout = 50 * time.Millisecond
 )
 
@@ -36,8 +36,9 @@
 	acceptBackoff                             // short of memory, or not known: pause before the next
 )
 
-// acceptFailures are the errors that accept(2) documents. Network errors that were pending on the new socket are passed on by
-// accept, and are to be treated like EAGAIN (accept(2), "Error handling"); the connection that they belong to is gone.
+// acceptFailures are the errors that accept(2) documents. Network errors that were pending on the new socket are
+// passed on by accept, and are to be treated like EAGAIN (accept(2), "Error handling"); the connection that they
+// belong to is gone.
 var acceptFailures = map[syscall.Errno]acceptFailure{
 	syscall.EINTR: acceptSkipped, syscall.EAGAIN: acceptSkipped,
 	syscall.ECONNABORTED: acceptSkipped, syscall.ECONNRESET: acceptSkipped, syscall.ETIMEDOUT: acceptSkipped,
@@ -65,8 +66,8 @@
 	return acceptBackoff
 }
 
-// acceptLoop accepts connections and has each of them served, until the context ends, the listener is closed, or a server that ends
-// has accepted all that waited.
+// acceptLoop accepts connections and has each of them served, until the context ends, the listener is closed, or
+// a server that ends has accepted all that waited.
 func (s *Server) acceptLoop(ctx context.Context, ln net.Listener, serve func(*conn)) error {
 	defer close(s.acceptDone)
 	backoff := acceptBackoffMin
@@ -108,8 +109,9 @@
 	tcpinfo.Bound(accepted, s.limits.Pace.SendBuf, 0)
 	tcpinfo.Forget(accepted, s.limits.Pace.Forget)
 	c := newConn(accepted, &s.limits)
-	// Past the budget, where all others are busy, a connection gets one answer. Past the reserve too it is refused as soon as its
-	// request has come: its client waits for nothing, and a request that is left in the listener's queue is taken all the same.
+	// Past the budget, where all others are busy, a connection gets one answer. Past the reserve too it is refused
+	// as soon as its request has come: its client waits for nothing, and a request that is left in the listener's
+	// queue is taken all the same.
 	s.admit(c)
 	return c
 }
@@ -126,8 +128,8 @@
 	}
 }
 
-// freeDescriptor closes the connection that makes place for another, as where the budget is used up, and waits for its end. Only
-// where there is none it pauses, until a connection ends by itself.
+// freeDescriptor closes the connection that makes place for another, as where the budget is used up, and waits
+// for its end. Only where there is none it pauses, until a connection ends by itself.
 func (s *Server) freeDescriptor(ctx context.Context) {
 	evicted := s.evict()
 	if evicted == nil {
--- a/internal/http1/accept_test.go
+++ b/internal/http1/accept_test.go
@@ -96,7 +96,8 @@
 
 func ok(context.Context, *Message) Response { return Response{Status: 200} }
 
-// An error that concerns one pending connection, or a signal, delays none of the others: the next is accepted with no pause.
+// An error that concerns one pending connection, or a signal, delays none of the others: the next is accepted
+// with no pause.
 func TestAcceptGoesOnAtOnceAfterErrorsOfOneConnection(t *testing.T) {
 	faults := []error{syscall.ECONNABORTED, syscall.EPROTO, syscall.EINTR, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN,
 		syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.EPERM, syscall.ECONNRESET}
@@ -114,8 +115,8 @@
 	}
 }
 
-// Without a descriptor for one more connection an idle one is closed before the next accept, with no pause; one whose request is
-// being handled stays, and only where all are such there is a pause.
+// Without a descriptor for one more connection an idle one is closed before the next accept, with no pause; one
+// whose request is being handled stays, and only where all are such there is a pause.
 func TestAcceptFreesDescriptors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -179,7 +180,8 @@
 	return n
 }
 
-// Short of memory, and after errors that accept(2) does not name, the pauses double up to a bound and begin anew after a connection.
+// Short of memory, and after errors that accept(2) does not name, the pauses double up to a bound and begin anew
+// after a connection.
 func TestAcceptBacksOffWhereMemoryIsShort(t *testing.T) {
 	const before = 8 // failures until the bound is reached, and some
 	_, addr, paused := serveFaulty(t, lim, ok, func(_ *Server, call int) error {
@@ -207,7 +209,8 @@
 	}
 }
 
-// A server that ends takes ETIMEDOUT of one pending connection for that, not for its own deadline: others still wait behind it.
+// A server that ends takes ETIMEDOUT of one pending connection for that, not for its own deadline: others still
+// wait behind it.
 func TestFinishGoesOnAfterAnErrorOfOneConnection(t *testing.T) {
 	finishing := make(chan bool)
 	s, addr, _ := serveFaulty(t, lim, ok, func(_ *Server, call int) error {
--- a/internal/http1/arrivals.go
+++ b/internal/http1/arrivals.go
@@ -15,7 +15,8 @@
 	at  time.Time
 }
 
-// arrivalGrain is how much time may lie between bytes that count as come together: so the marks of a dripping client stay few.
+// arrivalGrain is how much time may lie between bytes that count as come together: so the marks of a dripping
+// client stay few.
 const arrivalResolution = time.Millisecond
 
 // came notes that n bytes came.
--- a/internal/http1/closing_test.go
+++ b/internal/http1/closing_test.go
@@ -18,8 +18,9 @@
 	"gatetack/internal/tcpinfo"
 )
 
-// watchedConn is a server's side of a connection on which a test acts at two moments: once a wait for bytes has timed out or was
-// called off, which is before anything is closed for that; and once bytes were read, before their reader does anything with them.
+// watchedConn is a server's side of a connection on which a test acts at two moments: once a wait for bytes has
+// timed out or was called off, which is before anything is closed for that; and once bytes were read, before
+// their reader does anything with them.
 type watchedConn struct {
 	*net.TCPConn
 	timedOut func()
@@ -84,7 +85,8 @@
 	exhaust chan bool // makes the next accept fail for want of a descriptor
 }
 
-// serveWatched begins to serve and connects to the server. Prepare settles what is done at the moments of the connection.
+// serveWatched begins to serve and connects to the server. Prepare settles what is done at the moments of the
+// connection.
 func serveWatched(t *testing.T, lim limits.Limits, h handler, prepare func(client net.Conn, c *watchedConn)) *watched {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -187,9 +189,9 @@
 		}},
 }
 
-// A request that comes between the decision to close its connection and the close is answered, whatever the reason of the close: a
-// close over it would reset the connection, on a new one too. Here it comes once the wait for bytes was called off, so nobody waits
-// for it any more.
+// A request that comes between the decision to close its connection and the close is answered, whatever the
+// reason of the close: a close over it would reset the connection, on a new one too. Here it comes once the wait
+// for bytes was called off, so nobody waits for it any more.
 func TestRequestBetweenTheDecisionToCloseAndTheCloseIsAnswered(t *testing.T) {
 	for _, x := range closings {
 		t.Run(x.name, func(t *testing.T) {
@@ -215,8 +217,8 @@
 	}
 }
 
-// A request that the reader has taken from the kernel, and not yet counted, is answered too where its connection makes place for
-// another: the look before the eviction sees no unread bytes there.
+// A request that the reader has taken from the kernel, and not yet counted, is answered too where its connection
+// makes place for another: the look before the eviction sees no unread bytes there.
 func TestRequestInTheReadersHandIsAnsweredAtAnEviction(t *testing.T) {
 	one := lim
 	one.ClientConns = 1
@@ -235,8 +237,8 @@
 	expect(t, w.client, 1)
 }
 
-// A slow reader is let go with what its finished answer leaves unread, and a request that comes in this moment is answered, if its
-// client reads on.
+// A slow reader is let go with what its finished answer leaves unread, and a request that comes in this moment
+// is answered, if its client reads on.
 func TestRequestOfASlowReaderIsAnsweredAsItIsLetGo(t *testing.T) {
 	slow := lim
 	slow.Pace.ClientOut, slow.Pace.Look = slowpeer.Rate{Bytes: 1 << 20, Grace: 150 * time.Millisecond}, 20*time.Millisecond
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -9,8 +9,8 @@
 	"gatetack/internal/tcpinfo"
 )
 
-// conn is a client's connection. Its reader runs in one goroutine and its session in another; eviction and shutdown reach
-// it from any.
+// conn is a client's connection. Its reader runs in one goroutine and its session in another; eviction and
+// shutdown reach it from any.
 type conn struct {
 	*Paced
 	clientReader
@@ -59,8 +59,8 @@
 	return c
 }
 
-// nothingUnread says whether all that the client sent is parsed. Bytes go from the kernel to the reader, so the kernel is
-// asked first: in the other order bytes on their way would be missed.
+// nothingUnread says whether all that the client sent is parsed. Bytes go from the kernel to the reader, so the
+// kernel is asked first: in the other order bytes on their way would be missed.
 func (c *conn) nothingUnread() bool { return tcpinfo.Quiet(c.Conn) && c.unparsed.Load() == 0 }
 
 // closeWrite tells the client that no more answers come.
@@ -71,8 +71,9 @@
 	return net.ErrClosed // a connection in memory can only be closed as a whole
 }
 
-// halfClosed says whether the client closed its sending side in order. It may still read an answer, or have closed the
-// connection as a whole: the two can't be told apart until something is written. Called once the client's end was noticed.
+// halfClosed says whether the client closed its sending side in order. It may still read an answer, or have
+// closed the connection as a whole: the two can't be told apart until something is written. Called once the
+// client's end was noticed.
 func (c *conn) halfClosed() bool {
 	c.awaitRead()
 	return c.reachedEnd()
--- a/internal/http1/eviction.go
+++ b/internal/http1/eviction.go
@@ -27,9 +27,9 @@
 	maxUnreadSkips = 8
 )
 
-// admit counts a new connection in and settles its service: keep-alive within the budget, and within its address's share
-// where shares are kept; past that a single answer, and past the reserve a rejection. Over the budget another connection
-// is closed for it, if one can be.
+// admit counts a new connection in and settles its service: keep-alive within the budget, and within its
+// address's share where shares are kept; past that a single answer, and past the reserve a rejection. Over the
+// budget another connection is closed for it, if one can be.
 func (s *Server) admit(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,8 +88,8 @@
 	return candidate
 }
 
-// evictionCandidate is the connection to close for another, or nil. One with unread bytes is not idle though it seems so,
-// and is passed over. Connections that carried no request yet count from minAge on.
+// evictionCandidate is the connection to close for another, or nil. One with unread bytes is not idle though it
+// seems so, and is passed over. Connections that carried no request yet count from minAge on.
 func (s *Server) evictionCandidate(minAge time.Duration) *conn {
 	var skipped [maxUnreadSkips]*conn
 	for i := range skipped {
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// lowestRanked is the evictable connection with the lowest rank, of those the one longest in its phase, that is not among
-// the skipped.
+// lowestRanked is the evictable connection with the lowest rank, of those the one longest in its phase, that is
+// not among the skipped.
 func (s *Server) lowestRanked(skipped []*conn, minAge time.Duration) *conn {
 	var lowest *conn
 	lowestRank := rankNotEvictable
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -240,7 +240,8 @@
 	left()
 }
 
-// serveUntilGone handles each request until its client has gone. It tells when one begins; left waits until one has ended so.
+// serveUntilGone handles each request until its client has gone. It tells when one begins; left waits until one
+// has ended so.
 func serveUntilGone(t *testing.T) (addr string, began chan bool, left func()) {
 	began, gone := make(chan bool, 100), make(chan bool, 100)
 	_, addr = serve(t, lim, func(ctx context.Context, _ *Message) Response {
--- a/internal/http1/leaving_test.go
+++ b/internal/http1/leaving_test.go
@@ -30,8 +30,8 @@
 
 func (s *script) SetReadDeadline(time.Time) error { return nil }
 
-// A client's end is known at once by what the last check before bytes looks at: the goroutine that reads ends the request's context
-// itself, and waits neither for the handler nor for whoever takes in what it read.
+// A client's end is known at once by what the last check before bytes looks at: the goroutine that reads ends
+// the request's context itself, and waits neither for the handler nor for whoever takes in what it read.
 func TestReaderItselfEndsTheRequestOfAClientThatLeft(t *testing.T) {
 	for _, end := range []error{io.EOF, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EPIPE} {
 		t.Run(end.Error(), func(t *testing.T) {
@@ -52,8 +52,9 @@
 	}
 }
 
-// What a client sent behind its request and left costs few pauses before its end is seen, however much it is: the end stands behind
-// all of it, and 4 MB, the most that a kernel holds for a sender by itself, are through well within 0.1 s.
+// What a client sent behind its request and left costs few pauses before its end is seen, however much it is:
+// the end stands behind all of it, and 4 MB, the most that a kernel holds for a sender by itself, are through
+// well within 0.1 s.
 func TestEndBehindManyBytesIsSeenAfterFewPauses(t *testing.T) {
 	const sent, most = 4 << 20, 70 * time.Millisecond
 	left := sent
@@ -75,8 +76,9 @@
 	}
 }
 
-// A client that closes only its side of the connection is taken to have gone, since that looks like a close: its request is called
-// off, or not begun. It gets a last answer all the same, which one that has closed does not read.
+// A client that closes only its side of the connection is taken to have gone, since that looks like a close: its
+// request is called off, or not begun. It gets a last answer all the same, which one that has closed does not
+// read.
 func TestHalfClosedClientIsCalledOffAndAnswered(t *testing.T) {
 	began := make(chan bool, 2)
 	_, addr := serve(t, lim, func(ctx context.Context, _ *Message) Response {
@@ -156,7 +158,8 @@
 	return s.Conn.Write(b[:1])
 }
 
-// A whole exchange over a connection that is interrupted and moves one byte at a time: requests are served, also several.
+// A whole exchange over a connection that is interrupted and moves one byte at a time: requests are served, also
+// several.
 func TestServerOverStutteringConnections(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -205,8 +208,9 @@
 
 func (f failingWrites) SetWriteDeadline(time.Time) error { return nil }
 
-// A client that stops in the middle of a request and stays gets its error, wherever it stops, on a new connection and on one that was
-// used; a part that came behind a request which took longer than its bound gets it at once.
+// A client that stops in the middle of a request and stays gets its error, wherever it stops, on a new
+// connection and on one that was used; a part that came behind a request which took longer than its bound gets
+// it at once.
 func TestClientThatStopsInsideARequestGetsItsError(t *testing.T) {
 	if bound := lim.Pace.Request; bound > 3*time.Second-300*time.Millisecond {
 		t.Errorf("a request has %v to come whole, and its client is owed an end within 3 s", bound)
@@ -235,7 +239,8 @@
 	}
 }
 
-// The bound of a request counts from its own first byte, also where that came while another was handled: its client stopped then.
+// The bound of a request counts from its own first byte, also where that came while another was handled: its
+// client stopped then.
 func TestBoundOfARequestBehindAnotherCountsFromItsFirstByte(t *testing.T) {
 	long := lim
 	long.Pace.Request, long.Pace.ClientIn = time.Hour, slowpeer.Rate{}
--- a/internal/http1/moments_test.go
+++ b/internal/http1/moments_test.go
@@ -16,7 +16,8 @@
 	"gatetack/internal/tcpinfo"
 )
 
-// takenIn says whether all that a server's only connection was sent has been taken in, behind a request that is handled.
+// takenIn says whether all that a server's only connection was sent has been taken in, behind a request that is
+// handled.
 func takenIn(s *Server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,8 +38,8 @@
 	}
 }
 
-// A request that stood behind another, which was being handled, knows when its own last byte came, and one whose rest comes later
-// knows that: what is left to its client is counted from then.
+// A request that stood behind another, which was being handled, knows when its own last byte came, and one whose
+// rest comes later knows that: what is left to its client is counted from then.
 func TestRequestsKnowWhenTheyCame(t *testing.T) {
 	began, on := make(chan time.Time, 3), make(chan bool)
 	s, addr := serve(t, lim, func(_ context.Context, m *Message) Response {
@@ -87,7 +88,8 @@
 	}
 }
 
-// admitter gives what has a server with room for so many connections admit one more, of which nobody reads yet, and its client.
+// admitter gives what has a server with room for so many connections admit one more, of which nobody reads yet,
+// and its client.
 func admitter(t *testing.T, room int) func() (net.Conn, *conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,8 +113,8 @@
 	}
 }
 
-// Where all connections are in use, one on which bytes have come that nobody has read yet makes no place, though it seems idle and
-// is the oldest: another that is idle does. Where none is, nothing is closed.
+// Where all connections are in use, one on which bytes have come that nobody has read yet makes no place, though
+// it seems idle and is the oldest: another that is idle does. Where none is, nothing is closed.
 func TestUnreadConnectionMakesNoPlace(t *testing.T) {
 	admit := admitter(t, 2)
 	admitWith := func(bytes string) *conn {
@@ -155,8 +157,8 @@
 	}
 }
 
-// A server that ends takes what waits in its listener's queue and answers it, and only then closes the listener: here the queue is
-// not empty when the end begins, since there is room for one connection at a time.
+// A server that ends takes what waits in its listener's queue and answers it, and only then closes the listener:
+// here the queue is not empty when the end begins, since there is room for one connection at a time.
 func TestFinishAnswersWhatWaits(t *testing.T) {
 	one := lim
 	one.ClientConns, one.SpareConns, one.DoorConns = 1, 0, 0
@@ -196,8 +198,8 @@
 	}
 }
 
-// Small writes are not held back by the system on any connection that is taken, by a listener of our own and by one that was passed:
-// a close over unread bytes would take them with it.
+// Small writes are not held back by the system on any connection that is taken, by a listener of our own and by
+// one that was passed: a close over unread bytes would take them with it.
 func TestSmallWritesAreNotHeldBack(t *testing.T) {
 	own, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/http1/paced.go
+++ b/internal/http1/paced.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// Abort ends reads and writes, those under way too, and leaves the connection open: what has come on it can still be taken.
+// Abort ends reads and writes, those under way too, and leaves the connection open: what has come on it can
+// still be taken.
 func (p *Paced) Abort() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,8 +109,8 @@
 	return by
 }
 
-// timeout says whether a deadline of ours ended a call, or a peer was found slow. ETIMEDOUT is neither: the kernel has given the
-// connection up.
+// timeout says whether a deadline of ours ended a call, or a peer was found slow. ETIMEDOUT is neither: the
+// kernel has given the connection up.
 func isTimeout(err error) bool {
 	slow := (*slowpeer.Slow)(nil)
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &slow) ||
@@ -175,8 +176,8 @@
 	return err
 }
 
-// Ready waits until a read would return, without a buffer: a connection that waits holds none. It looks by itself before
-// it waits: the poller tells only of what comes from then on.
+// Ready waits until a read would return, without a buffer: a connection that waits holds none. It looks by
+// itself before it waits: the poller tells only of what comes from then on.
 func (p *Paced) Ready() error {
 	s, ok := p.Conn.(syscall.Conn)
 	if !ok {
@@ -262,7 +263,8 @@
 	return left, nil
 }
 
-// Forgive begins what is asked for writes anew with the next of them: what the peer owes for earlier ones counts no more.
+// Forgive begins what is asked for writes anew with the next of them: what the peer owes for earlier ones counts
+// no more.
 func (p *Paced) Forgive() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/http1/races_test.go
+++ b/internal/http1/races_test.go
@@ -17,8 +17,8 @@
 
 const get = "GET / HTTP/1.1\r\n\r\n"
 
-// A client's end is seen while its request is handled though bytes stand before it: half a request, some requests, more than
-// the ring holds, more than the kernel hands over at a time.
+// A client's end is seen while its request is handled though bytes stand before it: half a request, some
+// requests, more than the ring holds, more than the kernel hands over at a time.
 func TestServerSeesClientsLeaveBehindBytes(t *testing.T) {
 	for _, behind := range []int{1, 200, lim.Ring, lim.Ring + 1, 300 << 10} {
 		t.Run(fmt.Sprint(behind, " bytes"), func(t *testing.T) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// What came behind a request that is still handled is answered in its turn, without a wait for more: whole requests, and one
-// whose rest comes later.
+// What came behind a request that is still handled is answered in its turn, without a wait for more: whole
+// requests, and one whose rest comes later.
 func TestServerAnswersWhatCameBehind(t *testing.T) {
 	began, on := make(chan bool, 100), make(chan bool)
 	s, addr := serve(t, lim, func(context.Context, *Message) Response {
@@ -83,8 +83,8 @@
 	}
 }
 
-// The last answer of a connection comes whole, and then its end and no reset, though the client had sent more than was read:
-// before the answer, and after it.
+// The last answer of a connection comes whole, and then its end and no reset, though the client had sent more
+// than was read: before the answer, and after it.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	for _, x := range []struct {
 		what, request string
@@ -116,7 +116,8 @@
 	}
 }
 
-// A request that comes after its connection's last answer is not handled: its client sends it elsewhere, and it would run twice.
+// A request that comes after its connection's last answer is not handled: its client sends it elsewhere, and it
+// would run twice.
 func TestNothingIsTakenAfterTheLastAnswer(t *testing.T) {
 	began := make(chan bool, 10)
 	_, addr := serve(t, lim, func(context.Context, *Message) Response { began <- true; return Response{Status: 200, Close: true} })
@@ -130,7 +131,8 @@
 	}
 }
 
-// A resting connection on which bytes have come is not closed as idle, though nobody has read them yet: here nobody reads.
+// A resting connection on which bytes have come is not closed as idle, though nobody has read them yet: here
+// nobody reads.
 func TestCloseIdleSparesWhatHasCome(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -158,9 +160,9 @@
 	}
 }
 
-// Where every connection has a request under way, and those past the budget too, a new one is refused as soon as its request has
-// come, and is not left waiting until another ends; one that says nothing does not hold the door, and with idle ones in the way
-// nothing is refused.
+// Where every connection has a request under way, and those past the budget too, a new one is refused as soon as
+// its request has come, and is not left waiting until another ends; one that says nothing does not hold the
+// door, and with idle ones in the way nothing is refused.
 func TestRefusedAtTheDoor(t *testing.T) {
 	small := lim
 	small.ClientConns, small.SpareConns, small.DoorConns, small.Linger = 1, 1, 1, 50*time.Millisecond
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -13,8 +13,9 @@
 	"gatetack/internal/tcpinfo"
 )
 
-// clientReader is the receiving side of a client's connection. The session requests reads, and the goroutine of readLoop
-// makes them: so a read can be under way while a request is handled, and the client's end is noticed at once.
+// clientReader is the receiving side of a client's connection. The session requests reads, and the goroutine of
+// readLoop makes them: so a read can be under way while a request is handled, and the client's end is noticed at
+// once.
 //
 // While a read is pending, the ring and the arrivals belong to readLoop, otherwise to the session.
 type clientReader struct {
@@ -42,8 +43,9 @@
 	r.discardPause, r.pauseDiscards = l.DropPause, time.Sleep
 }
 
-// readLoop makes the reads that are requested, until the channel for requests is closed. It calls clientLeft itself once
-// the client's end is read: nothing that is slow or full stands between that and those who ask whether the client is there.
+// readLoop makes the reads that are requested, until the channel for requests is closed. It calls clientLeft
+// itself once the client's end is read: nothing that is slow or full stands between that and those who ask
+// whether the client is there.
 func (c *conn) readLoop(clientLeft context.CancelFunc) {
 	for range c.readRequested {
 		c.readErr = c.fill()
@@ -54,8 +56,8 @@
 	}
 }
 
-// fill reads once, and for as long as bytes come while a request is handled: the client's end can stand behind any number
-// of bytes, and is noticed only by reading them.
+// fill reads once, and for as long as bytes come while a request is handled: the client's end can stand behind
+// any number of bytes, and is noticed only by reading them.
 func (c *conn) fill() error {
 	for {
 		var err error
@@ -77,8 +79,8 @@
 	return err
 }
 
-// discardSize is how many bytes are discarded at a time, with one pause after them. A client's end stands behind all that
-// it sent before, a few MB with the kernels' usual buffers, and has to be noticed well within 0.1 s.
+// discardSize is how many bytes are discarded at a time, with one pause after them. A client's end stands behind
+// all that it sent before, a few MB with the kernels' usual buffers, and has to be noticed well within 0.1 s.
 const discardSize = 64 << 10
 
 var discardBuffers = sync.Pool{New: func() any { b := make([]byte, discardSize); return &b }}
@@ -157,8 +159,8 @@
 	}
 }
 
-// parse feeds what has come to the parser. A request that is whole is told when its last byte came, which can be long ago
-// where it stood behind another.
+// parse feeds what has come to the parser. A request that is whole is told when its last byte came, which can be
+// long ago where it stood behind another.
 func (c *conn) parse(p *Parser) (*Message, error) {
 	before := c.ring.Len()
 	if !p.Begun() && before > 0 {
--- a/internal/http1/registry.go
+++ b/internal/http1/registry.go
@@ -8,9 +8,10 @@
 
 // This file holds the server's view of its connections: all that is guarded by Server.mu, but for eviction.
 
-// setPhase moves a connection to a phase, and fails if it was closed or is retiring. Closing a connection and taking a
-// request from it exclude one another here: a request that was taken and lost with its connection would be sent again by
-// its client, and run twice. From retiring it returns only with a request that its last read found.
+// setPhase moves a connection to a phase, and fails if it was closed or is retiring. Closing a connection and
+// taking a request from it exclude one another here: a request that was taken and lost with its connection would
+// be sent again by its client, and run twice. From retiring it returns only with a request that its last read
+// found.
 func (s *Server) setPhase(c *conn, next phase) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,8 +103,9 @@
 	_ = c.Close()
 }
 
-// retireSlowReaders closes the connections whose client reads a finished answer below the minimum rate. Such answers hold
-// no request and no buffer of the node's, but the kernel holds their bytes, and goes on sending them for a while.
+// retireSlowReaders closes the connections whose client reads a finished answer below the minimum rate. Such
+// answers hold no request and no buffer of the node's, but the kernel holds their bytes, and goes on sending
+// them for a while.
 func (s *Server) retireSlowReaders() {
 	for _, c := range s.slowReaders() {
 		s.reportSlowClient(slowpeer.ClientReads, c, c.slowReader)
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -102,8 +102,9 @@
 // Busy is how many requests are being handled.
 func (s *Server) Busy() int { return int(s.handling.Load()) }
 
-// reserveBody takes n bytes for a body from those that all may hold together, or gives them back if n is negative, and says
-// whether they were to be had: hundreds of connections with a large body each would take all of the memory.
+// reserveBody takes n bytes for a body from those that all may hold together, or gives them back if n is
+// negative, and says whether they were to be had: hundreds of connections with a large body each would take all
+// of the memory.
 func (s *Server) reserveBody(n int) bool {
 	if s.bodyBytes.Add(int64(n)) > int64(s.limits.Bodies) && n > 0 {
 		s.bodyBytes.Add(int64(-n))
--- a/internal/http1/session.go
+++ b/internal/http1/session.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// serveRequest serves one request and says whether another may follow. The context client ends once the client has left.
+// serveRequest serves one request and says whether another may follow. The context client ends once the client
+// has left.
 func (x *session) serveRequest(ctx, client context.Context) (more bool) {
 	request, err := x.readRequest(client)
 	if err != nil {
@@ -99,8 +100,8 @@
 	return response
 }
 
-// answer writes a response and notes whether its client still has to read it. It fails if the connection is of no further
-// use.
+// answer writes a response and notes whether its client still has to read it. It fails if the connection is of
+// no further use.
 func (x *session) answer(client context.Context, response *Response) bool {
 	written := x.server.setPhase(x.conn, answering) && x.write(client, response)
 	x.server.markActive()
@@ -123,8 +124,8 @@
 	}
 }
 
-// answerLeft writes a last answer to a client that closed its sending side and may still read. Its request was called off
-// as for one that closed the whole connection, since the two look alike.
+// answerLeft writes a last answer to a client that closed its sending side and may still read. Its request was
+// called off as for one that closed the whole connection, since the two look alike.
 func (x *session) answerLeft(ctx context.Context, response Response) {
 	if ctx.Err() != nil || response.Stream != nil || !x.halfClosed() || !x.server.setPhase(x.conn, answering) {
 		return
@@ -152,9 +153,9 @@
 	return err == nil
 }
 
-// linger ends a connection after its last answer. It closes the sending side and discards what the client sends until that
-// has noticed, within a bound: a close over unread bytes would reset the connection, and the answer could be lost with it.
-// The client sends what is discarded once more elsewhere.
+// linger ends a connection after its last answer. It closes the sending side and discards what the client sends
+// until that has noticed, within a bound: a close over unread bytes would reset the connection, and the answer
+// could be lost with it. The client sends what is discarded once more elsewhere.
 func (x *session) linger() {
 	if !x.server.setPhase(x.conn, lingering) || x.closeWrite() != nil {
 		return
@@ -180,8 +181,8 @@
 	continueAsked bool
 }
 
-// readRequest reads the next request. Its error is an *Error if the client is to be told, errConnectionDone or an error of
-// the connection otherwise.
+// readRequest reads the next request. Its error is an *Error if the client is to be told, errConnectionDone or
+// an error of the connection otherwise.
 func (x *session) readRequest(client context.Context) (*Message, error) {
 	progress := requestProgress{first: x.boundFirstByte()}
 	for {
@@ -211,8 +212,8 @@
 	}
 }
 
-// boundFirstByte bounds the wait for the first byte of a request, and says whether it is the connection's first request.
-// That has to be whole within its time from the accept on, however slowly it comes.
+// boundFirstByte bounds the wait for the first byte of a request, and says whether it is the connection's first
+// request. That has to be whole within its time from the accept on, however slowly it comes.
 func (x *session) boundFirstByte() (first bool) {
 	x.server.mu.Lock()
 	limits, from, wait := &x.server.limits, time.Now(), x.server.limits.ClientIdle
@@ -260,8 +261,8 @@
 	return nil
 }
 
-// afterReadError settles what follows a read that failed: the request that came whole nevertheless, an error, or neither
-// where reading goes on.
+// afterReadError settles what follows a read that failed: the request that came whole nevertheless, an error, or
+// neither where reading goes on.
 func (x *session) afterReadError(progress requestProgress) (*Message, error) {
 	m, err := x.parse(x.parser) // what came with the error
 	if m != nil || err != nil {
--- a/internal/http1/shutdown.go
+++ b/internal/http1/shutdown.go
@@ -20,8 +20,8 @@
 // Resume undoes Drain.
 func (s *Server) Resume() { s.draining.Store(false) }
 
-// StopTaking closes the listener; connections that were accepted are served on. Where the listening socket is shared with
-// a process that replaces this one, that process accepts what comes from now on.
+// StopTaking closes the listener; connections that were accepted are served on. Where the listening socket is
+// shared with a process that replaces this one, that process accepts what comes from now on.
 func (s *Server) StopTaking() {
 	if s.stopped.Swap(true) {
 		return
@@ -34,7 +34,8 @@
 // CloseIdle closes the connections that are between requests.
 func (s *Server) CloseIdle() { s.closeIdle(0) }
 
-// closeIdle closes idle connections. Those that carried no request yet count from minAge on: the first may be on its way.
+// closeIdle closes idle connections. Those that carried no request yet count from minAge on: the first may be on
+// its way.
 func (s *Server) closeIdle(minAge time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,9 +51,9 @@
 	}
 }
 
-// Finish ends the server: it accepts the connections that wait in the listener's queue, then no more, and answers all that
-// it accepted. It returns once no connection is open, or the context ends. Without it a request that came just when the
-// node decided to end would be reset with its connection, or with the queue.
+// Finish ends the server: it accepts the connections that wait in the listener's queue, then no more, and
+// answers all that it accepted. It returns once no connection is open, or the context ends. Without it a request
+// that came just when the node decided to end would be reset with its connection, or with the queue.
 func (s *Server) Finish(ctx context.Context) {
 	s.finishing.Store(true)
 	if ln := s.listener.Load(); ln == nil || !setAcceptDeadline(*ln) {
@@ -70,8 +71,8 @@
 	}
 }
 
-// prepareFinalAccept sets the deadline of the next accept if the server ends, and says whether it did: if that passes, the
-// queue is empty.
+// prepareFinalAccept sets the deadline of the next accept if the server ends, and says whether it did: if that
+// passes, the queue is empty.
 func (s *Server) prepareFinalAccept(ln net.Listener) bool {
 	return s.finishing.Load() && setAcceptDeadline(ln)
 }
