--- a/internal/executor/connfault_test.go
+++ b/internal/executor/connfault_test.go
@@ -20,8 +20,15 @@
 }
 
 // brokenConnection are the errors of read(2) and write(2) by which Linux tells that a connection is over.
-var brokenConnection = map[string]syscall.Errno{"ECONNRESET": syscall.ECONNRESET, "EPIPE": syscall.EPIPE, "ETIMEDOUT": syscall.ETIMEDOUT,
-	"EHOSTUNREACH": syscall.EHOSTUNREACH, "ENETUNREACH": syscall.ENETUNREACH, "ENOBUFS": syscall.ENOBUFS, "ENOMEM": syscall.ENOMEM}
+var brokenConnection = map[string]syscall.Errno{
+	"ECONNRESET":   syscall.ECONNRESET,
+	"EPIPE":        syscall.EPIPE,
+	"ETIMEDOUT":    syscall.ETIMEDOUT,
+	"EHOSTUNREACH": syscall.EHOSTUNREACH,
+	"ENETUNREACH":  syscall.ENETUNREACH,
+	"ENOBUFS":      syscall.ENOBUFS,
+	"ENOMEM":       syscall.ENOMEM,
+}
 
 // wholeRequest says whether what was written ends the request of attempt.
 func wholeRequest(text string) bool { return strings.HasSuffix(text, "\r\n\r\nbody") }
@@ -30,8 +37,8 @@
 func TestConnectionThatMovesOneByteAtATime(t *testing.T) {
 	for name, between := range map[string]error{"short": nil, "EAGAIN": connError("read", syscall.EAGAIN)} {
 		t.Run(name, func(t *testing.T) {
-			c, s := setup(t, testenv.Lim)
-			n := box(t, c, says(accepted))
+			c, s := newClient(t, testenv.Lim)
+			n := startRawExecutor(t, c, answering(acceptedAnswer))
 			scriptConns(c, func(_ int, conn *scriptedConn) {
 				reads := 0
 				conn.read = func(b []byte) (int, error) {
@@ -49,9 +56,9 @@
 					return len(b), nil
 				}
 			})
-			c.Send(attempt(1))
+			c.Send(newAttempt(1))
 			testenv.Until(t, "it is taken", func() bool { return c.isTaken(1) || len(s.outcomes(1)) > 0 })
-			_ = c.Callback([]byte(done))
+			_ = c.Callback([]byte(doneCallback))
 			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served || n() != 1 {
 				t.Errorf("outcomes %v over %d connections", got, n())
 			}
@@ -61,19 +68,19 @@
 
 // isTaken says whether an attempt's 202 was read.
 func (c *Client) isTaken(id uint64) bool {
-	c.mu.Lock()
-	x := c.live[id]
-	c.mu.Unlock()
+	c.attempts.mu.Lock()
+	x := c.attempts.byID[id]
+	c.attempts.mu.Unlock()
 	if x == nil {
 		return false
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.taken
+	return x.accepted
 }
 
-// A connection that breaks ends its attempt with one outcome, at once: before the last byte is written as one that could not connect,
-// since nothing ran; once that is out as a reset, since it may have run.
+// A connection that breaks ends its attempt with one outcome, at once: before the last byte is written as one that
+// could not connect, since nothing ran; once that is out as a reset, since it may have run.
 func TestBrokenConnectionEndsTheAttempt(t *testing.T) {
 	type moment struct {
 		name string
@@ -117,13 +124,14 @@
 	for _, at := range moments {
 		for name, errno := range brokenConnection {
 			t.Run(at.name+"/"+name, func(t *testing.T) {
-				c, s := setup(t, testenv.Lim)
-				n := box(t, c, silent)
+				c, s := newClient(t, testenv.Lim)
+				n := startRawExecutor(t, c, silent)
 				scriptConns(c, func(_ int, conn *scriptedConn) { at.set(conn, errno) })
-				a := attempt(1)
+				a := newAttempt(1)
 				a.Deadline = time.Now().Add(time.Hour) // the end of it is no verdict here
 				c.Send(a)
 				testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
+				testenv.Until(t, "its connection is accepted", func() bool { return n() > 0 })
 				if got := s.outcomes(1); len(got) != 1 || got[0] != at.want || n() != 1 {
 					t.Errorf("outcomes %v over %d connections, want %d", got, n(), at.want)
 				}
@@ -142,8 +150,8 @@
 	}
 }
 
-// Every error on the way of an attempt ends in the job's one final answer, whatever the class: a refusal where nothing ran, a failure
-// where it may have run and must not run twice.
+// Every error on the way of an attempt ends in the job's one final answer, whatever the class: a refusal where nothing
+// ran, a failure where it may have run and must not run twice.
 func TestEachFaultEndsInOneFinalAnswer(t *testing.T) {
 	for name, fault := range map[string]func(*scriptedConn){
 		"write of the head": func(conn *scriptedConn) {
@@ -160,7 +168,14 @@
 			n := startNode(t, lim, 0, nil, x.entry())
 			scriptConns(n.Client, func(_ int, conn *scriptedConn) { fault(conn) })
 			client := newQuietClient()
-			job := node.Job{Left: 500 * time.Millisecond, Slots: 1, Trace: "00000000000000aa", Method: "POST", Target: "/x/y", Body: []byte("body")}
+			job := node.Job{
+				Left:   500 * time.Millisecond,
+				Slots:  1,
+				Trace:  "00000000000000aa",
+				Method: "POST",
+				Target: "/x/y",
+				Body:   []byte("body"),
+			}
 			if _, err := n.core.Submit(job, client); err != nil {
 				t.Fatal(err)
 			}
@@ -178,7 +193,7 @@
 }
 
 func (c *Client) liveAttempts() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.live)
+	c.attempts.mu.Lock()
+	defer c.attempts.mu.Unlock()
+	return len(c.attempts.byID)
 }
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -58,17 +58,15 @@
 	return int(v)
 }
 
-func (s *settings) flag(key string, absent bool) bool {
+func (s *settings) flag(key string) bool {
 	switch s.m[key] {
 	case "true", "1":
 		return true
-	case "false", "0":
+	case "false", "0", "":
 		return false
-	case "":
-		return absent
 	}
 	s.fail(key, fmt.Errorf("neither true nor false: %q", s.m[key]))
-	return absent
+	return false
 }
 
 func (s *settings) list(key string) []string {
@@ -112,10 +110,14 @@
 }
 
 // Effects are the words for what a class's jobs do when they run twice.
-var Effects = map[string]dispatch.Effect{"free": dispatch.Safe, "guarded": dispatch.Keyed, "single_shot": dispatch.Unsafe}
+var Effects = map[string]dispatch.Effect{
+	"free": dispatch.Safe, "guarded": dispatch.Keyed, "single_shot": dispatch.Unsafe,
+}
 
 // Scopes are the words for where a repeat of a class's jobs is recognized.
-var Scopes = map[string]dispatch.Scope{"all": dispatch.ScopeAll, "zone": dispatch.ScopeZone, "cell": dispatch.ScopeCell}
+var Scopes = map[string]dispatch.Scope{
+	"all": dispatch.ScopeAll, "zone": dispatch.ScopeZone, "cell": dispatch.ScopeCell,
+}
 
 var fieldNames = map[string]dispatch.Field{
 	"busy_reqs": dispatch.FieldBusy, "pending": dispatch.FieldPending, "cpu_share": dispatch.FieldUtil,
@@ -146,10 +148,10 @@
 		LiveWeights: s.m["weights"] == "live",
 		Telemetry: choice(s, "telemetry.how", dispatch.ReportNone, map[string]dispatch.Telemetry{
 			"piggyback": dispatch.ReportAnswers, "pull": dispatch.ReportProbes}),
-		Progress: s.num("familyInfo.progress", 0), TellsStart: s.flag("familyInfo.tellsStart", false),
-		MaxAttempts: s.count("limits.maxAttempts", 1), MayDuplicate: s.flag("limits.mayDuplicate", false),
-		MayCancel: s.flag("limits.cancelling", false), MayProbe: s.flag("limits.probing", false),
-		MayTell: s.flag("limits.peers", false), ConnIdle: s.num("limits.connIdle", 0),
+		Progress: s.num("familyInfo.progress", 0), TellsStart: s.flag("familyInfo.tellsStart"),
+		MaxAttempts: s.count("limits.maxAttempts", 1), MayDuplicate: s.flag("limits.mayDuplicate"),
+		MayCancel: s.flag("limits.cancelling"), MayProbe: s.flag("limits.probing"),
+		MayTell: s.flag("limits.peers"), ConnIdle: s.num("limits.connIdle", 0),
 		ConnectTimeout: s.num("limits.connectTimeout", 0), Multiplex: s.count("limits.multiplex", 1),
 		AnswerSlack: s.num("invariants.answerSlack", 0), AskWithin: s.num("invariants.askWithin", 0),
 		DrainGrace: s.num("invariants.drainGrace", 0), FallMultiple: s.num("invariants.fallMultiple", 1),
@@ -158,7 +160,7 @@
 		Fees: dispatch.Fees{CrossZone: s.num("fees.crossZone", 0), Handshake: s.num("fees.handshake", 0),
 			Origin: s.num("fees.origin", 0)},
 	}
-	if s.flag("limits.retryAfter", false) {
+	if s.flag("limits.retryAfter") {
 		v.MaxRetryAfter = s.num("limits.maxRetryAfter", 0)
 	}
 	for _, name := range s.list("telemetry.fields") {
