--- a/cmd/gatetack/shutdown.go
+++ b/cmd/gatetack/shutdown.go
@@ -19,7 +19,7 @@
 	if passed {
 		// The socket is shared with the process that replaces this one: that one accepts the new connections, and clients
 		// of connections here go there after their answers.
-		p.clients.StopTaking()
+		p.clients.StopAccepting()
 		p.clients.Drain()
 	}
 	if p.batch != nil {
@@ -99,8 +99,8 @@
 	}
 	lastUse, connections := notified, 0
 	for _, server := range servers {
-		connections += server.Conns()
-		if at := server.LastUse(); at.After(lastUse) {
+		connections += server.OpenConns()
+		if at := server.LastActive(); at.After(lastUse) {
 			lastUse = at
 		}
 	}
--- a/drmaa2/client_test.go
+++ b/drmaa2/client_test.go
@@ -135,7 +135,7 @@
 			jobs = append(jobs, e.JobID)
 			return nil
 		}}
-		parser.Sink = reader.read
+		parser.BodySink = reader.read
 		in := http1.NewRing(1 << 16)
 		chunks := stream + chunk(body[:split]) + chunk(body[split:]) + "0\r\n\r\n"
 		server, client := net.Pipe()
--- a/drmaa2/events.go
+++ b/drmaa2/events.go
@@ -56,7 +56,7 @@
 		return false, err
 	}
 	reader := &eventReader{parser: conn.parser, after: after, each: each}
-	conn.parser.Sink = reader.read
+	conn.parser.BodySink = reader.read
 	answer, err := conn.parser.Read(conn.in, conn.Conn)
 	if answer != nil && answer.Status != http.StatusOK {
 		return reader.received, reader.rejection(answer.Status)
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -285,6 +285,6 @@
 // Handle answers one request.
 func (f *Front) Handle(ctx context.Context, m *http1.Message) http1.Response {
 	r := f.route(ctx, m)
-	r.Known = r.Status < 400 // a client that it understood keeps its connection as one of the platform's does
+	r.KnownClient = r.Status < 400 // a client that it understood keeps its connection as one of the platform's does
 	return r
 }
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -128,8 +128,8 @@
 		method, path, body string
 		known              bool
 	}{{"POST", "/jobs", good, true}, {"GET", "/jobs", "", true}, {"POST", "/jobs", "{", false}, {"GET", "/nothing", "", false}} {
-		if _, v, r := call(f, x.method, x.path, x.body); r.Known != x.known {
-			t.Errorf("%s %s: %d %s, known %v", x.method, x.path, r.Status, v.Raw, r.Known)
+		if _, v, r := call(f, x.method, x.path, x.body); r.KnownClient != x.known {
+			t.Errorf("%s %s: %d %s, known %v", x.method, x.path, r.Status, v.Raw, r.KnownClient)
 		}
 	}
 }
--- a/internal/batch/doubt.go
+++ b/internal/batch/doubt.go
@@ -24,7 +24,7 @@
 	switch {
 	case as != "done" && as != "failed" && as != "unsent":
 		return problem(400, "INVALID_ARGUMENT", "as", "none of done, failed and unsent")
-	case !http1.Visible(by) || len(by) > 64:
+	case !http1.IsVisibleASCII(by) || len(by) > 64:
 		return problem(400, "INVALID_ARGUMENT", "by", "not a word of 1 to 64 visible characters: who decides is on record")
 	case len(why) > 256:
 		return problem(400, "INVALID_ARGUMENT", "why", "over 256 bytes")
--- a/internal/batch/session.go
+++ b/internal/batch/session.go
@@ -154,7 +154,7 @@
 	})
 	switch {
 	case bad != nil:
-	case !http1.Visible(r.Name) || len(r.Name) > 64 || strings.ContainsAny(r.Name, "/?#%"):
+	case !http1.IsVisibleASCII(r.Name) || len(r.Name) > 64 || strings.ContainsAny(r.Name, "/?#%"):
 		bad = &fault{"INVALID_ARGUMENT", "sessionName", "not a word of 1 to 64 visible characters without / ? # or %"}
 	case r.Contact != "" && r.Contact != f.ids.node:
 		bad = &fault{"INVALID_ARGUMENT", "contact", "this node's is " + quote(f.ids.node)}
--- a/internal/batch/template.go
+++ b/internal/batch/template.go
@@ -261,12 +261,12 @@
 		}
 	case "remoteCommand":
 		// It becomes a part of a request's first line: anything else there could be read as another request.
-		if !http1.Visible(v.Str) || len(v.Str) > f.lim.Line/2 || v.Str[0] != '/' {
+		if !http1.IsVisibleASCII(v.Str) || len(v.Str) > f.lim.Line/2 || v.Str[0] != '/' {
 			return errors.New("not a path")
 		}
 		t.job.Target = v.Str
 	case "idempotencyKey":
-		if !http1.Visible(v.Str) || len(v.Str) > 256 {
+		if !http1.IsVisibleASCII(v.Str) || len(v.Str) > 256 {
 			return errors.New("not a word of 1 to 256 visible characters")
 		}
 		t.job.Idempotency, t.same = v.Str, v.Str
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -266,7 +266,7 @@
 	if err != nil {
 		return fmt.Errorf("connecting: %w", err)
 	}
-	conn := http1.NewPaced(dialed, c.lim.Pace.ListIn, c.lim.Pace.BoxOut)
+	conn := http1.NewMinRateConn(dialed, c.lim.Pace.ListIn, c.lim.Pace.BoxOut)
 	defer func() { _ = conn.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
@@ -275,8 +275,8 @@
 	if clock == nil {
 		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
 	}
-	conn.ReadBy(by())
-	conn.WriteBy(time.Now().Add(c.lim.ListCall))
+	conn.BoundReads(by())
+	conn.BoundWrites(time.Now().Add(c.lim.ListCall))
 	if err := w.Request("GET", target, fields, nil); err != nil {
 		return fmt.Errorf("asking: %w", err)
 	}
@@ -291,7 +291,7 @@
 		}
 		return err
 	}}
-	p.Sink = func(b []byte) error {
+	p.BodySink = func(b []byte) error {
 		if h := p.Head(); h.Status != 200 {
 			return fmt.Errorf("%w with %d", errRefused, h.Status)
 		}
@@ -302,16 +302,16 @@
 		if m == nil && err == nil {
 			// Between lines silence counts, and within one the rate: a line that drips would else start the time of
 			// silence anew with each byte, and what it tells, a drain perhaps, counts as told long before it is whole.
-			if lines.begun() || p.Begun() && p.Head() == nil {
-				conn.Await()
+			if lines.begun() || p.Started() && p.Head() == nil {
+				conn.ExpectBytes()
 			} else {
-				conn.Rest()
+				conn.ExpectNone()
 			}
 			if _, err = in.Fill(conn); err == nil {
 				if clock != nil {
 					clock.BytesReceived(time.Now())
 				}
-				conn.ReadBy(by())
+				conn.BoundReads(by())
 			}
 			if slow := (*slowpeer.Slow)(nil); errors.As(err, &slow) {
 				c.slow.Add(slowpeer.ListDrips)
--- a/internal/executor/answer.go
+++ b/internal/executor/answer.go
@@ -52,7 +52,7 @@
 	if isAccepted(message, r.conn.parser) {
 		r.client.recordAccepted(r.attempt)
 		if message == nil && err == nil {
-			r.conn.Await() // the rest holds only a connection: below the least rate it is closed
+			r.conn.ExpectBytes() // the rest holds only a connection: below the least rate it is closed
 			r.notified = true
 		}
 	}
@@ -77,8 +77,8 @@
 	if !r.notified && r.attempt.awaitsAck() && r.ackBy.Before(by) {
 		by = r.ackBy
 	}
-	r.conn.ReadBy(by)
-	_, err := r.conn.input.Fill(r.conn.Paced)
+	r.conn.BoundReads(by)
+	_, err := r.conn.input.Fill(r.conn.MinRateConn)
 	if err == nil {
 		return nil, nil
 	}
--- a/internal/executor/connection.go
+++ b/internal/executor/connection.go
@@ -17,7 +17,7 @@
 
 // connection is a connection to an executor, with one ring buffer for each direction. One goroutine uses it at a time.
 type connection struct {
-	*http1.Paced
+	*http1.MinRateConn
 	addr        string
 	input       *http1.Ring
 	output      *http1.Writer
@@ -32,7 +32,7 @@
 
 // readResponse gives the next response.
 func (conn *connection) readResponse() (*http1.Message, error) {
-	return conn.parser.Read(conn.input, conn.Paced)
+	return conn.parser.Read(conn.input, conn.MinRateConn)
 }
 
 // roundTrip makes a request without a body and reads its response.
@@ -58,9 +58,9 @@
 // isOpenAfterPause waits for the pause before a request's last byte, in which the other side can show that it does not
 // take the request: by ending the connection, or by an answer before it has the whole of it.
 func (conn *connection) isOpenAfterPause(lim limits.Limits) bool {
-	conn.ReadBy(time.Now().Add(conn.lastBytePause(lim)))
-	n, err := conn.input.Fill(conn.Paced)
-	conn.ReadBy(time.Time{})
+	conn.BoundReads(time.Now().Add(conn.lastBytePause(lim)))
+	n, err := conn.input.Fill(conn.MinRateConn)
+	conn.BoundReads(time.Time{})
 	return n == 0 && isTimeout(err)
 }
 
--- a/internal/executor/healthcheck.go
+++ b/internal/executor/healthcheck.go
@@ -18,8 +18,8 @@
 	if err != nil {
 		return nil, err
 	}
-	conn.ReadBy(deadline)
-	conn.WriteBy(deadline)
+	conn.BoundReads(deadline)
+	conn.BoundWrites(deadline)
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	message, err := conn.roundTrip(method, target)
 	if stop() && err == nil && !message.Close {
--- a/internal/executor/pool.go
+++ b/internal/executor/pool.go
@@ -65,9 +65,9 @@
 		p.mu.Unlock()
 		return nil, newConnectError(addr, err)
 	}
-	paced := http1.NewPaced(dialed, p.limits.Pace.BoxIn, p.limits.Pace.BoxOut)
+	paced := http1.NewMinRateConn(dialed, p.limits.Pace.BoxIn, p.limits.Pace.BoxOut)
 	return &connection{
-		Paced:       paced,
+		MinRateConn:       paced,
 		addr:        addr,
 		input:       http1.NewRing(p.limits.Ring),
 		output:      http1.NewWriter(paced, p.limits.Ring),
@@ -153,8 +153,8 @@
 // release gives back a connection that stands between requests. Those that were idle for too long are at the front, and
 // are closed.
 func (p *pool) release(conn *connection) {
-	conn.ReadBy(time.Time{})
-	conn.WriteBy(time.Time{})
+	conn.BoundReads(time.Time{})
+	conn.BoundWrites(time.Time{})
 	conn.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/executor/send.go
+++ b/internal/executor/send.go
@@ -106,10 +106,10 @@
 	conn *connection,
 	told time.Duration,
 ) bool {
-	conn.WriteBy(attempt.Deadline)
+	conn.BoundWrites(attempt.Deadline)
 	err := conn.output.Request(attempt.Job.Method, attempt.Job.Target, requestFields(attempt.Job, told), attempt.Job.Body)
 	if err == nil {
-		err = conn.output.FlushBut()
+		err = conn.output.FlushAllButLastByte()
 	}
 	if slow := (*slowpeer.Slow)(nil); errors.As(err, &slow) {
 		c.recordSlowPeer(slowpeer.BoxReads, attempt, conn, slow)
@@ -145,7 +145,7 @@
 	written := time.Now()
 	message, err := c.readAnswer(ctx, attempt, conn)
 	// A connection that was forgotten breaks as soon as the request gets there; one that breaks later was in use.
-	forgotten := err != nil && !conn.parser.Begun() && time.Since(written) < conn.lastBytePause(c.limits)
+	forgotten := err != nil && !conn.parser.Started() && time.Since(written) < conn.lastBytePause(c.limits)
 	c.recordReuse(ctx, conn, forgotten)
 	if err != nil {
 		return sendResult{outcome: outcomeOfBrokenAnswer(err, conn.parser.Status())}
--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -88,7 +88,7 @@
 			s.log.Debug("accept failed", "err", err)
 		case acceptDeadline:
 			if last {
-				s.StopTaking()
+				s.StopAccepting()
 				return nil
 			}
 		case acceptListenerClosed:
--- a/internal/http1/accept_test.go
+++ b/internal/http1/accept_test.go
@@ -127,7 +127,7 @@
 					began <- true
 					<-hold
 				}
-				return Response{Status: 200, Known: true}
+				return Response{Status: 200, KnownClient: true}
 			}, func(s *Server, call int) error {
 				switch call {
 				case 1, 2: // an idle connection and a busy one
@@ -135,10 +135,10 @@
 					waitFor(t, "the first connection is idle", func() bool { return phases(s)[idle] == 1 && phases(s)[handling] == 1 })
 					return errno
 				case 5:
-					waitFor(t, "the busy connection is alone", func() bool { return s.Conns() == 1 })
+					waitFor(t, "the busy connection is alone", func() bool { return s.OpenConns() == 1 })
 					return errno
 				case 4, 6:
-					open = append(open, s.Conns())
+					open = append(open, s.OpenConns())
 				}
 				return nil
 			})
--- a/internal/http1/closing_test.go
+++ b/internal/http1/closing_test.go
@@ -199,7 +199,7 @@
 			x.limit(&limited)
 			late := make(chan bool)
 			w := serveWatched(t, limited, func(_ context.Context, m *Message) Response {
-				return Response{Status: 200, Known: m.Method == "POST"}
+				return Response{Status: 200, KnownClient: m.Method == "POST"}
 			}, func(client net.Conn, c *watchedConn) {
 				c.timedOut = func() { send(t, client, x.late, c); close(late) }
 				if x.first != "" {
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -12,7 +12,7 @@
 // conn is a client's connection. Its reader runs in one goroutine and its session in another; eviction and
 // shutdown reach it from any.
 type conn struct {
-	*Paced
+	*MinRateConn
 	clientReader
 	connState
 
@@ -54,7 +54,7 @@
 )
 
 func newConn(accepted net.Conn, l *limits.Limits) *conn {
-	c := &conn{Paced: NewPaced(accepted, l.Pace.ClientIn, l.Pace.ClientOut), ended: make(chan struct{})}
+	c := &conn{MinRateConn: NewMinRateConn(accepted, l.Pace.ClientIn, l.Pace.ClientOut), ended: make(chan struct{})}
 	c.clientReader.init(l)
 	return c
 }
--- a/internal/http1/eviction.go
+++ b/internal/http1/eviction.go
@@ -128,7 +128,7 @@
 		return rankKnownIdle
 	case c.phase == idle, c.phase == reading && !c.knownClient:
 		return rankStranger
-	case c.phase == answering && c.Stalled(now) > minStallForEviction:
+	case c.phase == answering && c.WriteStalledFor(now) > minStallForEviction:
 		return rankStalled
 	}
 	return rankNotEvictable
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -358,7 +358,7 @@
 		if m.Target == "/hold" {
 			<-hold
 		}
-		return Response{Status: 200, Body: []byte("answer"), Known: m.Method == "POST"}
+		return Response{Status: 200, Body: []byte("answer"), KnownClient: m.Method == "POST"}
 	})
 	ask := func(c net.Conn, method string) error {
 		if _, err := io.WriteString(c, method+" / HTTP/1.1\r\n\r\n"); err != nil {
--- a/internal/http1/leaving_test.go
+++ b/internal/http1/leaving_test.go
@@ -125,7 +125,7 @@
 func TestInterruptedAndShortCallsGoOn(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = ours.Close() }()
-	c := NewPaced(&stutter{Conn: ours}, slowpeer.Rate{}, slowpeer.Rate{})
+	c := NewMinRateConn(&stutter{Conn: ours}, slowpeer.Rate{}, slowpeer.Rate{})
 	text := strings.Repeat("x", 20)
 	go func() { _, _ = io.WriteString(theirs, text) }()
 	got := make([]byte, len(text))
@@ -189,7 +189,7 @@
 func TestWriteErrorsEndOneConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			c := NewPaced(failingWrites{errno: errno}, slowpeer.Rate{}, slowpeer.Rate{Bytes: 1, Grace: time.Hour})
+			c := NewMinRateConn(failingWrites{errno: errno}, slowpeer.Rate{}, slowpeer.Rate{Bytes: 1, Grace: time.Hour})
 			if n, err := c.Write([]byte("answer")); n != 0 || !errors.Is(err, errno) {
 				t.Errorf("%d, %v", n, err)
 			}
@@ -221,7 +221,7 @@
 		if m.Target == "/long" {
 			time.Sleep(2 * quick.Pace.Request)
 		}
-		return Response{Status: 200, Known: true}
+		return Response{Status: 200, KnownClient: true}
 	})
 	parts := []string{"G", "GET / HTTP/1.1", "GET / HTTP/1.1\r\nA: b", "GET / HTTP/1.1\r\nA: b\r\n", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\n",
 		"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", "POST / HTTP/1.1\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n",
@@ -261,10 +261,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.Paced.mu.Lock()
+		c.MinRateConn.mu.Lock()
 		if by := c.readBound; by.IsZero() || by.After(behind.Add(time.Hour)) {
 			t.Errorf("bounded by %v, and its bytes had come by %v", by, behind)
 		}
-		c.Paced.mu.Unlock()
+		c.MinRateConn.mu.Unlock()
 	}
 }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -20,7 +20,7 @@
 	Fields         []Field
 	Body           []byte
 	Close          bool      // the connection ends with this message
-	Came           time.Time // of a request that a server took: when its last byte came
+	ReceivedAt           time.Time // of a request that a server took: when its last byte came
 }
 
 // Get gives the first header of a name, or "".
@@ -97,7 +97,7 @@
 func (w *Writer) Flush() error { return w.ring.Flush(w.dst, 0) }
 
 // FlushBut sends what the ring holds but for its last byte, which only Flush sends.
-func (w *Writer) FlushBut() error { return w.ring.Flush(w.dst, 1) }
+func (w *Writer) FlushAllButLastByte() error { return w.ring.Flush(w.dst, 1) }
 
 func (w *Writer) writeFields(fields []Field, body []byte, bare bool) error {
 	for _, f := range fields {
@@ -149,7 +149,7 @@
 	// Stream, if set, writes the body in place of Body, in chunks, for as long as the client reads. The connection ends
 	// with it.
 	Stream func(ctx context.Context, w io.Writer) error
-	Known  bool // not sent: the request was one of the front's own clients', and its connection is worth keeping
+	KnownClient  bool // not sent: the request was one of the front's own clients', and its connection is worth keeping
 }
 
 // stream sends a response whose body is written as it comes.
--- a/internal/http1/moments_test.go
+++ b/internal/http1/moments_test.go
@@ -43,7 +43,7 @@
 func TestRequestsKnowWhenTheyCame(t *testing.T) {
 	began, on := make(chan time.Time, 3), make(chan bool)
 	s, addr := serve(t, lim, func(_ context.Context, m *Message) Response {
-		began <- m.Came
+		began <- m.ReceivedAt
 		held(t, on)
 		return Response{Status: 200}
 	})
--- a/internal/http1/paced.go
+++ b/internal/http1/paced.go
@@ -19,7 +19,7 @@
 //
 // It needs no ticker: each read and write ends when the peer would be let go if nothing more moved, or at the bound
 // that its user sets, whichever is sooner. One goroutine reads and one writes; the rest may be called from any.
-type Paced struct {
+type MinRateConn struct {
 	net.Conn
 
 	mu                      sync.Mutex
@@ -34,12 +34,12 @@
 }
 
 // NewPaced makes a connection paced.
-func NewPaced(c net.Conn, in, out slowpeer.Rate) *Paced {
-	return &Paced{Conn: c, receiveMeter: slowpeer.NewMeter(in), sendMeter: slowpeer.NewMeter(out), minReceiveRate: in, minSendRate: out}
+func NewMinRateConn(c net.Conn, in, out slowpeer.Rate) *MinRateConn {
+	return &MinRateConn{Conn: c, receiveMeter: slowpeer.NewMeter(in), sendMeter: slowpeer.NewMeter(out), minReceiveRate: in, minSendRate: out}
 }
 
 // Await says that from now on bytes are waited for.
-func (p *Paced) Await() {
+func (p *MinRateConn) ExpectBytes() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.receiveMeter.Waiting() {
@@ -49,7 +49,7 @@
 }
 
 // Rest says that none are.
-func (p *Paced) Rest() {
+func (p *MinRateConn) ExpectNone() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.receiveMeter.Stop()
@@ -57,7 +57,7 @@
 }
 
 // ReadBy bounds reads, those under way too; zero lifts the bound.
-func (p *Paced) ReadBy(t time.Time) {
+func (p *MinRateConn) BoundReads(t time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.readBound = t
@@ -65,14 +65,14 @@
 }
 
 // WriteBy bounds writes likewise.
-func (p *Paced) WriteBy(t time.Time) {
+func (p *MinRateConn) BoundWrites(t time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.writeBound = t
 }
 
 // Press tightens the rates as a budget fills, see slowpeer.Meter.
-func (p *Paced) Press(full float64) {
+func (p *MinRateConn) Tighten(full float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -85,7 +85,7 @@
 
 // Abort ends reads and writes, those under way too, and leaves the connection open: what has come on it can
 // still be taken.
-func (p *Paced) Abort() {
+func (p *MinRateConn) Abort() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.aborted = true
@@ -95,7 +95,7 @@
 // longAgo as a deadline ends what is under way at once.
 var expiredDeadline = time.Unix(1, 0)
 
-func (p *Paced) armRead() {
+func (p *MinRateConn) armRead() {
 	if !p.aborted {
 		_ = p.SetReadDeadline(earlierDeadline(p.readBound, &p.receiveMeter))
 	}
@@ -131,7 +131,7 @@
 }
 
 // Read reads what has come, or waits for it.
-func (p *Paced) Read(b []byte) (int, error) {
+func (p *MinRateConn) Read(b []byte) (int, error) {
 	for {
 		n, err := p.Conn.Read(b)
 		if n == 0 && errors.Is(err, syscall.EINTR) {
@@ -156,7 +156,7 @@
 }
 
 // Incoming tells how what is waited for has come so far.
-func (p *Paced) Incoming() *slowpeer.Slow {
+func (p *MinRateConn) ReceiveProgress() *slowpeer.Slow {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	moved, rate := p.receiveMeter.Figures(time.Now())
@@ -164,7 +164,7 @@
 }
 
 // late judges a read that timed out.
-func (p *Paced) readTimedOut(err error) error {
+func (p *MinRateConn) readTimedOut(err error) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.aborted {
@@ -178,7 +178,7 @@
 
 // Ready waits until a read would return, without a buffer: a connection that waits holds none. It looks by
 // itself before it waits: the poller tells only of what comes from then on.
-func (p *Paced) Ready() error {
+func (p *MinRateConn) Ready() error {
 	s, ok := p.Conn.(syscall.Conn)
 	if !ok {
 		return nil
@@ -194,7 +194,7 @@
 }
 
 // Write sends all of b, at the peer's pace.
-func (p *Paced) Write(b []byte) (int, error) {
+func (p *MinRateConn) Write(b []byte) (int, error) {
 	done := 0
 	for {
 		p.mu.Lock()
@@ -233,7 +233,7 @@
 }
 
 // look takes in what the peer's machine has acknowledged, and tells what it has not. The lock is held.
-func (p *Paced) observeAcknowledged(now time.Time) int {
+func (p *MinRateConn) observeAcknowledged(now time.Time) int {
 	left := tcpinfo.Queued(p.Conn)
 	if acked := p.written - int64(left); acked > p.acked {
 		p.sendMeter.Moved(int(acked-p.acked), now)
@@ -244,7 +244,7 @@
 
 // Left looks at what was written and not acknowledged, in bytes, and says what becomes of a peer that leaves it so. At
 // none the matter is closed.
-func (p *Paced) Left() (int, *slowpeer.Slow) {
+func (p *MinRateConn) Unacknowledged() (int, *slowpeer.Slow) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.sendMeter.Waiting() {
@@ -265,14 +265,14 @@
 
 // Forgive begins what is asked for writes anew with the next of them: what the peer owes for earlier ones counts
 // no more.
-func (p *Paced) Forgive() {
+func (p *MinRateConn) RestartSendMeter() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sendMeter.Stop()
 }
 
 // Stalled says since how long a write has waited for the peer.
-func (p *Paced) Stalled(now time.Time) time.Duration {
+func (p *MinRateConn) WriteStalledFor(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.writeBlockedSince.IsZero() {
--- a/internal/http1/paced_test.go
+++ b/internal/http1/paced_test.go
@@ -17,7 +17,7 @@
 )
 
 // pair gives both ends of a connection, ours paced.
-func pair(t *testing.T, in, out slowpeer.Rate) (*Paced, net.Conn) {
+func pair(t *testing.T, in, out slowpeer.Rate) (*MinRateConn, net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	return NewPaced(c, in, out), theirs
+	return NewMinRateConn(c, in, out), theirs
 }
 
 // What was written and acknowledged is no debt, whether somebody looked then or not: the next answer on a connection
@@ -51,7 +51,7 @@
 	}
 }
 
-func queued(c *Paced) int { return tcpinfo.Queued(c.Conn) }
+func queued(c *MinRateConn) int { return tcpinfo.Queued(c.Conn) }
 
 var quietLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
@@ -81,7 +81,7 @@
 			}
 		}
 	}()
-	c.Await()
+	c.ExpectBytes()
 	slow, buf := (*slowpeer.Slow)(nil), make([]byte, 64)
 	for {
 		if _, err := c.Read(buf); err != nil {
@@ -91,15 +91,15 @@
 			break
 		}
 	}
-	c.Rest() // nothing is waited for: what drips is read
+	c.ExpectNone() // nothing is waited for: what drips is read
 	if _, err := c.Read(buf); err != nil {
 		t.Errorf("at rest: %v", err)
 	}
 	quiet, _ := pair(t, slowpeer.Rate{}, slowpeer.Rate{})
 	done := make(chan error)
 	go func() { _, err := quiet.Read(buf); done <- err }()
-	quiet.ReadBy(time.Now().Add(time.Hour))
-	quiet.ReadBy(time.Now())
+	quiet.BoundReads(time.Now().Add(time.Hour))
+	quiet.BoundReads(time.Now())
 	if err := <-done; !isTimeout(err) || errors.As(err, &slow) && slow == nil {
 		t.Errorf("a bound that has passed: %v", err)
 	}
@@ -115,7 +115,7 @@
 	if !errors.As(err, &slow) || slow.Direction != "out" || slow.Left == 0 || n >= 8<<20 {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
-	if c.Stalled(time.Now().Add(time.Hour)) != 0 {
+	if c.WriteStalledFor(time.Now().Add(time.Hour)) != 0 {
 		t.Error("a write that has ended counts as stalled")
 	}
 }
@@ -155,7 +155,7 @@
 	for range 5 {
 		readsSlowly(t, addr)
 	}
-	until(t, "no request is handled", func() bool { return s.Busy() == 0 && s.Conns() > 0 })
+	until(t, "no request is handled", func() bool { return s.OpenRequests() == 0 && s.OpenConns() > 0 })
 	c := dial(t, addr)
 	if _, err := io.WriteString(c, "GET /small HTTP/1.1\r\n\r\n"); err != nil {
 		t.Fatal(err)
@@ -163,14 +163,14 @@
 	if m, err := NewParser(lim, true).Read(NewRing(4096), c); err != nil || string(m.Body) != "small" {
 		t.Errorf("beside those that stopped: %v %v", m, err)
 	}
-	until(t, "they are let go", func() bool { return s.tally.Count(slowpeer.ClientReads) == 5 && s.Conns() == 1 })
+	until(t, "they are let go", func() bool { return s.tally.Count(slowpeer.ClientReads) == 5 && s.OpenConns() == 1 })
 	if n := s.tally.Count(slowpeer.ClientCut); n != 5 {
 		t.Errorf("%d answers were cut, want the 5 that were not whole in the kernel", n)
 	}
 
 	size = 20 << 10 // goes whole into the kernel, which holds it for a client that has let it wait
 	slow := readsSlowly(t, addr)
-	until(t, "its connection is let go", func() bool { return s.tally.Count(slowpeer.ClientReads) == 6 && s.Conns() == 1 })
+	until(t, "its connection is let go", func() bool { return s.tally.Count(slowpeer.ClientReads) == 6 && s.OpenConns() == 1 })
 	rest, err := io.ReadAll(slow)
 	if err != nil || !strings.HasSuffix(string(rest), strings.Repeat("\x00", size)) {
 		t.Errorf("of a finished answer %d bytes came, %v", len(rest), err)
@@ -217,7 +217,7 @@
 	for range 40 {
 		dial(t, addr)
 	}
-	until(t, "all are taken", func() bool { return s.tally.Count(slowpeer.ClientShare) > 0 && s.Conns() >= 24 })
+	until(t, "all are taken", func() bool { return s.tally.Count(slowpeer.ClientShare) > 0 && s.OpenConns() >= 24 })
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9)}}
 	c, err := d.Dial("tcp", addr)
 	if err != nil {
@@ -250,7 +250,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	lim := limits.New(4096, 1024, 0, 0, 0)
-	s := NewServer(lim, handler(func(context.Context, *Message) Response { return Response{Status: 200, Known: true} }), nil, quietLog)
+	s := NewServer(lim, handler(func(context.Context, *Message) Response { return Response{Status: 200, KnownClient: true} }), nil, quietLog)
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(ctx, ln) }()
 	before := heap()
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -41,10 +41,10 @@
 	limits   limits.Limits
 	response bool
 	// Sink, if set, gets the body's bytes as they come; they are neither kept nor bounded then.
-	Sink func([]byte) error
+	BodySink func([]byte) error
 	// Room, if set, is asked for the bytes of each body before they come, and the message is refused if it has none.
 	// Release gives them back as a negative number.
-	Room func(n int) bool
+	ReserveBody func(n int) bool
 
 	reservedBody  int // bytes that Room gave
 	state         parseState
@@ -63,16 +63,16 @@
 // Release gives back what Room gave for the message that is being read or was read last.
 func (p *Parser) Release() {
 	if p.reservedBody > 0 {
-		p.Room(-p.reservedBody)
+		p.ReserveBody(-p.reservedBody)
 		p.reservedBody = 0
 	}
 }
 
 func (p *Parser) reserve(n int) bool {
-	if p.Room == nil {
+	if p.ReserveBody == nil {
 		return true
 	}
-	if !p.Room(n) {
+	if !p.ReserveBody(n) {
 		p.fail(503, "no room for a body of %d bytes now", n)
 		return false
 	}
@@ -81,10 +81,10 @@
 }
 
 // Begun says whether a part of a message has come.
-func (p *Parser) Begun() bool { return p.state != startLine || len(p.line) > 0 }
+func (p *Parser) Started() bool { return p.state != startLine || len(p.line) > 0 }
 
 // Expects says whether the sender holds the body back until it is asked for (Expect: 100-continue).
-func (p *Parser) Expects() bool {
+func (p *Parser) ExpectsContinue() bool {
 	return (p.state == fixedBody || p.state == chunkSize) && len(p.message.Body) == 0 && p.message.headerContains("Expect", "100-continue")
 }
 
@@ -123,7 +123,7 @@
 		return nil, p.err
 	case p.state == untilClose:
 		return p.finish(), nil
-	case p.Begun():
+	case p.Started():
 		return nil, newError(400, "the connection ended within a message")
 	}
 	return nil, nil
@@ -190,8 +190,8 @@
 }
 
 func (p *Parser) appendBody(b []byte) {
-	if p.Sink != nil {
-		if err := p.Sink(b); err != nil && p.err == nil {
+	if p.BodySink != nil {
+		if err := p.BodySink(b); err != nil && p.err == nil {
 			p.err = err
 		}
 		return
@@ -283,7 +283,7 @@
 		}
 		p.message.Status = status
 	} else {
-		if !isToken(first) || !Visible(second) {
+		if !isToken(first) || !IsVisibleASCII(second) {
 			p.fail(400, "a malformed start line")
 			return
 		}
@@ -326,7 +326,7 @@
 	case chunked:
 		p.state = chunkSize
 	case length > 0:
-		if p.Sink == nil && length > p.limits.Body {
+		if p.BodySink == nil && length > p.limits.Body {
 			p.fail(413, "a body of %d bytes is longer than %d", length, p.limits.Body)
 			return
 		}
@@ -381,7 +381,7 @@
 		p.state = trailer
 		return
 	}
-	if p.Sink == nil && len(p.message.Body)+int(n) > p.limits.Body {
+	if p.BodySink == nil && len(p.message.Body)+int(n) > p.limits.Body {
 		p.fail(413, "a body is longer than %d bytes", p.limits.Body)
 		return
 	}
@@ -405,7 +405,7 @@
 }
 
 // Visible says whether s is not empty and holds visible ASCII alone.
-func Visible(s string) bool {
+func IsVisibleASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f {
 			return false
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -62,7 +62,7 @@
 	for {
 		var err error
 		if c.ring.Free() > 0 {
-			err = c.fillRing(c.Paced)
+			err = c.fillRing(c.MinRateConn)
 		} else {
 			err = c.discard()
 		}
@@ -146,7 +146,7 @@
 		if isTimeout(c.readErr) {
 			c.readErr = nil
 		}
-		c.ReadBy(time.Time{})
+		c.BoundReads(time.Time{})
 	}
 	return overflowed
 }
@@ -154,7 +154,7 @@
 // cancelRead calls off the read that is pending, if one is. What it has read stays in the ring.
 func (c *conn) cancelRead() {
 	if c.readPending {
-		c.ReadBy(expiredDeadline)
+		c.BoundReads(expiredDeadline)
 		c.awaitRead()
 	}
 }
@@ -163,7 +163,7 @@
 // long ago where it stood behind another.
 func (c *conn) parse(p *Parser) (*Message, error) {
 	before := c.ring.Len()
-	if !p.Begun() && before > 0 {
+	if !p.Started() && before > 0 {
 		c.requestStart = c.arrivals.oldest()
 	}
 	m, err := p.Feed(c.ring)
@@ -171,7 +171,7 @@
 	c.unparsed.Add(int64(-consumed))
 	receivedAt := c.arrivals.consume(consumed)
 	if m != nil {
-		m.Came = receivedAt
+		m.ReceivedAt = receivedAt
 	}
 	return m, err
 }
--- a/internal/http1/registry.go
+++ b/internal/http1/registry.go
@@ -27,7 +27,7 @@
 	if next == handling {
 		// A client that asks for the next answer has read the last, or gives it up.
 		c.unreadAnswer = false
-		c.Forgive()
+		c.RestartSendMeter()
 	}
 	if c.phase != next && c.hadRequest {
 		c.phaseSince = time.Now()
@@ -86,7 +86,7 @@
 	c.phase = retiring
 	c.unreadAnswer = false
 	s.open--
-	c.ReadBy(expiredDeadline)
+	c.BoundReads(expiredDeadline)
 }
 
 func (s *Server) isRetiring(c *conn) bool {
@@ -120,8 +120,8 @@
 		if !c.unreadAnswer {
 			continue
 		}
-		c.Press(pressure)
-		unacknowledged, tooSlow := c.Left()
+		c.Tighten(pressure)
+		unacknowledged, tooSlow := c.Unacknowledged()
 		switch {
 		case unacknowledged == 0:
 			c.unreadAnswer = false
@@ -135,14 +135,14 @@
 }
 
 // Conns is how many connections are open.
-func (s *Server) Conns() int {
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
 // LastUse is when a connection was last accepted, or a request last began or ended.
-func (s *Server) LastUse() time.Time {
+func (s *Server) LastActive() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastActive
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -100,7 +100,7 @@
 }
 
 // Busy is how many requests are being handled.
-func (s *Server) Busy() int { return int(s.handling.Load()) }
+func (s *Server) OpenRequests() int { return int(s.handling.Load()) }
 
 // reserveBody takes n bytes for a body from those that all may hold together, or gives them back if n is
 // negative, and says whether they were to be had: hundreds of connections with a large body each would take all
--- a/internal/http1/session.go
+++ b/internal/http1/session.go
@@ -25,8 +25,8 @@
 
 func newSession(s *Server, c *conn) *session {
 	parser := NewParser(s.limits, false)
-	parser.Room = s.reserveBody
-	return &session{conn: c, server: s, parser: parser, writer: NewWriter(c.Paced, s.limits.Ring)}
+	parser.ReserveBody = s.reserveBody
+	return &session{conn: c, server: s, parser: parser, writer: NewWriter(c.MinRateConn, s.limits.Ring)}
 }
 
 // run serves the connection until it ends, or the server does with ctx.
@@ -85,8 +85,8 @@
 	x.server.handling.Add(1)
 	defer x.server.handling.Add(-1)
 	x.server.markActive()
-	x.Rest()
-	x.ReadBy(time.Time{})
+	x.ExpectNone()
+	x.BoundReads(time.Time{})
 	x.watchClient()
 	var response Response
 	if x.service == rejectOnly {
@@ -105,8 +105,8 @@
 func (x *session) answer(client context.Context, response *Response) bool {
 	written := x.server.setPhase(x.conn, answering) && x.write(client, response)
 	x.server.markActive()
-	unacknowledged, _ := x.Left()
-	x.server.noteAnswer(x.conn, response.Known, written && unacknowledged > 0)
+	unacknowledged, _ := x.Unacknowledged()
+	x.server.noteAnswer(x.conn, response.KnownClient, written && unacknowledged > 0)
 	return written
 }
 
@@ -160,9 +160,9 @@
 	if !x.server.setPhase(x.conn, lingering) || x.closeWrite() != nil {
 		return
 	}
-	x.Rest()
+	x.ExpectNone()
 	for by := time.Now().Add(x.server.limits.Linger); time.Now().Before(by); {
-		x.ReadBy(by)
+		x.BoundReads(by)
 		if !x.readPending {
 			x.ring.Drop(x.ring.Len())
 		}
@@ -226,8 +226,8 @@
 		wait = limits.StrangerIdle
 	}
 	x.server.mu.Unlock()
-	x.Rest()
-	x.ReadBy(from.Add(wait))
+	x.ExpectNone()
+	x.BoundReads(from.Add(wait))
 	return first
 }
 
@@ -241,7 +241,7 @@
 // advance does what follows from the bytes that were parsed: once a request has started it is bounded and held to the
 // minimum rate, and a client that holds the body back is asked for it.
 func (x *session) advance(progress *requestProgress) error {
-	if x.parser.Expects() && !progress.continueAsked {
+	if x.parser.ExpectsContinue() && !progress.continueAsked {
 		progress.continueAsked = true
 		if _, err := io.WriteString(x.writer, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return err
@@ -250,13 +250,13 @@
 			return err
 		}
 	}
-	if x.parser.Begun() && !progress.started {
+	if x.parser.Started() && !progress.started {
 		progress.started = true
 		if !progress.first {
 			// Its first byte can have come long ago, behind a request that was handled.
-			x.ReadBy(x.requestStart.Add(x.server.limits.Pace.Request))
+			x.BoundReads(x.requestStart.Add(x.server.limits.Pace.Request))
 		}
-		x.Await()
+		x.ExpectBytes()
 	}
 	return nil
 }
@@ -277,11 +277,11 @@
 		return m, err
 	}
 	switch {
-	case !x.parser.Begun() || x.server.isRetiring(x.conn):
+	case !x.parser.Started() || x.server.isRetiring(x.conn):
 		return nil, errConnectionDone
 	case !progress.started && !progress.first:
 		return nil, nil // it has started just now, and its own bound follows
 	}
-	x.server.reportSlowClient(slowpeer.ClientSends, x.conn, x.Incoming())
+	x.server.reportSlowClient(slowpeer.ClientSends, x.conn, x.ReceiveProgress())
 	return nil, newError(408, "the request did not come whole in time")
 }
--- a/internal/http1/shutdown.go
+++ b/internal/http1/shutdown.go
@@ -22,7 +22,7 @@
 
 // StopTaking closes the listener; connections that were accepted are served on. Where the listening socket is
 // shared with a process that replaces this one, that process accepts what comes from now on.
-func (s *Server) StopTaking() {
+func (s *Server) StopAccepting() {
 	if s.stopped.Swap(true) {
 		return
 	}
@@ -57,7 +57,7 @@
 func (s *Server) Finish(ctx context.Context) {
 	s.finishing.Store(true)
 	if ln := s.listener.Load(); ln == nil || !setAcceptDeadline(*ln) {
-		s.StopTaking()
+		s.StopAccepting()
 	}
 	select {
 	case <-s.acceptDone:
@@ -65,7 +65,7 @@
 		return
 	}
 	s.Drain()
-	for s.Conns() > 0 && ctx.Err() == nil {
+	for s.OpenConns() > 0 && ctx.Err() == nil {
 		sleep(ctx, finishPollInterval)
 		s.closeIdle(s.limits.DoorWait)
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -67,7 +67,7 @@
 		if _, refused := errors.AsType[*CallbackRefusedError](err); refused {
 			return http1.Text(503, "not taken, call again")
 		}
-		return http1.Response{Status: 204, Known: err == nil}
+		return http1.Response{Status: 204, KnownClient: err == nil}
 	case path == "/healthz":
 		if f.core.Drained() {
 			return http1.Text(503, "drained by the operator")
@@ -110,7 +110,7 @@
 	select {
 	case a := <-w:
 		r := f.response(a)
-		r.Known = true
+		r.KnownClient = true
 		return r
 	case <-ctx.Done():
 		f.core.Gone(id)
@@ -135,10 +135,10 @@
 		Target: m.Target, Body: m.Body, Repeat: m.Get("X-Second-Try") == "1", Slots: 1}
 	// An id is passed on as it came. One that a box could not read would end the connection there, and be taken for
 	// a fault of the box.
-	if !http1.Visible(j.Trace) || len(j.Trace) > f.lim.ID {
+	if !http1.IsVisibleASCII(j.Trace) || len(j.Trace) > f.lim.ID {
 		return j, errors.New("X-Trace-Id is missing, too long, or not visible ASCII")
 	}
-	if j.Idempotency != "" && (!http1.Visible(j.Idempotency) || len(j.Idempotency) > f.lim.ID) {
+	if j.Idempotency != "" && (!http1.IsVisibleASCII(j.Idempotency) || len(j.Idempotency) > f.lim.ID) {
 		return j, errors.New("Idempotency-Key is too long or not visible ASCII")
 	}
 	ms, err := strconv.ParseUint(m.Get("X-Expires-In-Ms"), 10, 31)
@@ -146,8 +146,8 @@
 		return j, errors.New("X-Expires-In-Ms is not a whole number of milliseconds")
 	}
 	j.Left = time.Duration(ms) * time.Millisecond
-	if !m.Came.IsZero() { // it can have stood behind another request of its client
-		j.Left = max(0, j.Left-time.Since(m.Came))
+	if !m.ReceivedAt.IsZero() { // it can have stood behind another request of its client
+		j.Left = max(0, j.Left-time.Since(m.ReceivedAt))
 	}
 	if len(names.Tenants) > 0 {
 		var ok bool
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -70,12 +70,12 @@
 		{"POST", "/tile-charge", map[string]string{"X-Expires-In-Ms": "-5"}, 400},
 		{"POST", "/tile-charge", map[string]string{"X-Expires-In-Ms": "99999999999999999999"}, 400},
 	} {
-		if r := ask(x.method, x.target, x.change); r.Status != x.status || r.Known || len(c.jobs) != 0 {
-			t.Errorf("%s %s %q: %d known %v with %d jobs taken, want %d", x.method, x.target, x.change, r.Status, r.Known, len(c.jobs), x.status)
+		if r := ask(x.method, x.target, x.change); r.Status != x.status || r.KnownClient || len(c.jobs) != 0 {
+			t.Errorf("%s %s %q: %d known %v with %d jobs taken, want %d", x.method, x.target, x.change, r.Status, r.KnownClient, len(c.jobs), x.status)
 		}
 	}
 	r := ask("POST", "/tile-charge/x?y=1", nil)
-	if r.Status != 503 || !r.Known || len(c.jobs) != 1 || c.jobs[0].Trace != "9b1f03aa5c7e2d41" || c.jobs[0].Target != "/tile-charge/x?y=1" {
+	if r.Status != 503 || !r.KnownClient || len(c.jobs) != 1 || c.jobs[0].Trace != "9b1f03aa5c7e2d41" || c.jobs[0].Target != "/tile-charge/x?y=1" {
 		t.Errorf("%+v %+v", r, c.jobs)
 	}
 	if (&http1.Message{Fields: r.Fields}).Get("Retry-After") != "1.000" {
--- a/internal/scale/hollow/clients.go
+++ b/internal/scale/hollow/clients.go
@@ -222,7 +222,7 @@
 		_ = conn.Close()
 		c.record.Add(verdict.Event{Kind: verdict.GivenUp, Request: request})
 		return verdict.Broken, 0
-	case err != nil && kept && !conn.parser.Begun() && time.Since(sent) < crossing:
+	case err != nil && kept && !conn.parser.Started() && time.Since(sent) < crossing:
 		// Between requests a dispatcher may close a connection, which crosses with a request that it has not read.
 		_ = conn.Close()
 		c.record.Add(verdict.Event{Kind: verdict.Answered, Answer: verdict.Unreached, Request: request})
--- a/internal/scale/hollow/dispatcher.go
+++ b/internal/scale/hollow/dispatcher.go
@@ -69,7 +69,7 @@
 	if err != nil && !errors.Is(err, attempts.ErrNotOurs) {
 		return http1.Text(400, "%v", err)
 	}
-	return http1.Response{Status: 204, Known: err == nil}
+	return http1.Response{Status: 204, KnownClient: err == nil}
 }
 
 // waiter is a client that waits for its answer.
--- a/internal/scale/hollow/executor.go
+++ b/internal/scale/hollow/executor.go
@@ -206,7 +206,7 @@
 			return
 		}
 		if m == nil {
-			begun := parser.Begun()
+			begun := parser.Started()
 			if _, err := in.Fill(c); err != nil {
 				return
 			}
--- a/internal/store/operate.go
+++ b/internal/store/operate.go
@@ -93,7 +93,7 @@
 		return refusal(400, "query: %v", err)
 	}
 	r := s.operate(ctx, m, strings.Split(path, "/"), q)
-	r.Known = r.Status < 400
+	r.KnownClient = r.Status < 400
 	return r
 }
 
