--- a/internal/executor/pool.go
+++ b/internal/executor/pool.go
@@ -67,7 +67,7 @@
 	}
 	paced := http1.NewMinRateConn(dialed, p.limits.Pace.BoxIn, p.limits.Pace.BoxOut)
 	return &connection{
-		MinRateConn:       paced,
+		MinRateConn: paced,
 		addr:        addr,
 		input:       http1.NewRing(p.limits.Ring),
 		output:      http1.NewWriter(paced, p.limits.Ring),
--- a/internal/http1/arrivals.go
+++ b/internal/http1/arrivals.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// arrivals keeps when the bytes of a ring came.
+// arrivals records when the bytes of a ring came.
 type arrivals struct {
 	marks    []arrival // the oldest first
 	received int64     // bytes that came so far
 	consumed int64     // and of them, those taken
 }
 
-// arrival is that of the bytes up to a number.
+// arrival is when the bytes up to a position in the stream came.
 type arrival struct {
 	end int64
 	at  time.Time
@@ -19,7 +19,7 @@
 // client stay few.
 const arrivalResolution = time.Millisecond
 
-// came notes that n bytes came.
+// record notes that n bytes came.
 func (a *arrivals) record(n int, now time.Time) {
 	if n <= 0 {
 		return
@@ -32,7 +32,7 @@
 	a.marks = append(a.marks, arrival{a.received, now})
 }
 
-// first tells when the next byte that is not taken yet came; zero where there is none.
+// oldest is when the next byte that is not consumed yet came; zero if there is none.
 func (a *arrivals) oldest() time.Time {
 	for _, mark := range a.marks {
 		if mark.end > a.consumed {
@@ -42,13 +42,13 @@
 	return time.Time{}
 }
 
-// take notes that the next n bytes were taken, and tells when the last of them came; zero for none.
+// consume notes that the next n bytes were consumed, and returns when the last of them came; zero if n is.
 func (a *arrivals) consume(n int) time.Time {
 	if n <= 0 {
 		return time.Time{}
 	}
 	a.consumed += int64(n)
-	last := 0 // the mark of the last byte taken
+	last := 0 // the mark of the last byte consumed
 	for last < len(a.marks) && a.marks[last].end < a.consumed {
 		last++
 	}
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -55,7 +55,7 @@
 
 func newConn(accepted net.Conn, l *limits.Limits) *conn {
 	c := &conn{MinRateConn: NewMinRateConn(accepted, l.Pace.ClientIn, l.Pace.ClientOut), ended: make(chan struct{})}
-	c.clientReader.init(l)
+	c.init(l)
 	return c
 }
 
--- a/internal/http1/leaving_test.go
+++ b/internal/http1/leaving_test.go
@@ -169,7 +169,7 @@
 	s := NewServer(lim, handler(func(_ context.Context, m *Message) Response { return Response{Status: 200, Body: m.Body} }), nil, quietLog)
 	done := make(chan error)
 	go func() { done <- s.Serve(ctx, stutterListener{ln}) }()
-	defer func() { cancel(); <-done }()
+	defer func() { cancel(); _ = <-done }()
 	c := dial(t, ln.Addr().String())
 	_, _ = io.WriteString(c, strings.Repeat("POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", 3))
 	expect(t, c, 3)
@@ -261,10 +261,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.MinRateConn.mu.Lock()
-		if by := c.readBound; by.IsZero() || by.After(behind.Add(time.Hour)) {
+		c.mu.Lock()
+		if by := c.receive.bound; by.IsZero() || by.After(behind.Add(time.Hour)) {
 			t.Errorf("bounded by %v, and its bytes had come by %v", by, behind)
 		}
-		c.MinRateConn.mu.Unlock()
+		c.mu.Unlock()
 	}
 }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -12,7 +12,7 @@
 // Field is one header line.
 type Field struct{ Name, Value string }
 
-// Message is a request or a response that has come whole.
+// Message is a request or a response that was received whole.
 type Message struct {
 	Method, Target string // of a request
 	Status         int    // of a response
@@ -20,10 +20,10 @@
 	Fields         []Field
 	Body           []byte
 	Close          bool      // the connection ends with this message
-	ReceivedAt           time.Time // of a request that a server took: when its last byte came
+	ReceivedAt     time.Time // of a request to a Server: when its last byte came
 }
 
-// Get gives the first header of a name, or "".
+// Get returns the first header of a name, in any case, or "".
 func (m *Message) Get(name string) string {
 	for i := range m.Fields {
 		if strings.EqualFold(m.Fields[i].Name, name) {
@@ -33,7 +33,7 @@
 	return ""
 }
 
-// has says whether a comma-separated header holds a word.
+// headerContains says whether a comma-separated header contains a word, in any case.
 func (m *Message) headerContains(name, word string) bool {
 	for i := range m.Fields {
 		if !strings.EqualFold(m.Fields[i].Name, name) {
@@ -54,7 +54,7 @@
 	return path
 }
 
-// Cookie gives a cookie's value, or "".
+// Cookie returns a cookie's value, or "".
 func (m *Message) Cookie(name string) string {
 	for i := range m.Fields {
 		if !strings.EqualFold(m.Fields[i].Name, "Cookie") {
@@ -78,7 +78,7 @@
 // NewWriter makes a writer with a ring of size bytes.
 func NewWriter(dst io.Writer, size int) *Writer { return &Writer{NewRing(size), dst} }
 
-// Write puts bytes into the ring and sends what does not fit. What is left goes out with Flush.
+// Write puts bytes into the ring, and sends the ring whenever it is full. Flush sends the rest.
 func (w *Writer) Write(p []byte) (int, error) {
 	done := 0
 	for {
@@ -96,7 +96,7 @@
 // written.
 func (w *Writer) Flush() error { return w.ring.Flush(w.dst, 0) }
 
-// FlushBut sends what the ring holds but for its last byte, which only Flush sends.
+// FlushAllButLastByte sends what the ring holds but for its last byte, which only Flush sends.
 func (w *Writer) FlushAllButLastByte() error { return w.ring.Flush(w.dst, 1) }
 
 func (w *Writer) writeFields(fields []Field, body []byte, bare bool) error {
@@ -140,7 +140,7 @@
 	return w.Flush()
 }
 
-// Response is an answer to be written.
+// Response is an answer to a request.
 type Response struct {
 	Status int
 	Fields []Field
@@ -149,13 +149,16 @@
 	// Stream, if set, writes the body in place of Body, in chunks, for as long as the client reads. The connection ends
 	// with it.
 	Stream func(ctx context.Context, w io.Writer) error
-	KnownClient  bool // not sent: the request was one of the front's own clients', and its connection is worth keeping
+	// KnownClient is not sent: the request came from one of the handler's own clients, whose connection is closed for
+	// another later than those of strangers.
+	KnownClient bool
 }
 
-// stream sends a response whose body is written as it comes.
+// writeStream sends a response whose body is written in chunks as it comes.
 func (w *Writer) writeStream(ctx context.Context, r *Response) error {
 	head := "HTTP/1.1 " + strconv.Itoa(r.Status) + " " + reasonPhrase(r.Status) + "\r\n"
-	for _, f := range append(r.Fields[:len(r.Fields):len(r.Fields)], Field{"Transfer-Encoding", "chunked"}, Field{"Connection", "close"}) {
+	framing := []Field{{"Transfer-Encoding", "chunked"}, {"Connection", "close"}}
+	for _, f := range append(r.Fields[:len(r.Fields):len(r.Fields)], framing...) {
 		head += f.Name + ": " + f.Value + "\r\n"
 	}
 	if _, err := io.WriteString(w, head+"\r\n"); err != nil {
@@ -173,7 +176,7 @@
 	return w.Flush()
 }
 
-// chunks writes each piece as a chunk, and sends it at once.
+// chunkWriter sends each piece as a chunk, at once.
 type chunkWriter struct{ w *Writer }
 
 func (c chunkWriter) Write(p []byte) (int, error) {
@@ -186,12 +189,12 @@
 	return len(p), c.w.Flush()
 }
 
-// RetryAfter is the header that tells a client how long to stay away.
+// RetryAfter is the header that tells a client how long to wait before a retry.
 func RetryAfter(d time.Duration) Field {
 	return Field{"Retry-After", strconv.FormatFloat(d.Seconds(), 'f', 3, 64)}
 }
 
-// Text makes a short plain answer.
+// Text makes a short response in plain text.
 func Text(status int, format string, args ...any) Response {
 	return Response{Status: status, Fields: []Field{{"Content-Type", "text/plain"}},
 		Body: []byte(fmt.Sprintf(format, args...) + "\n")}
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -9,7 +9,7 @@
 	"gatetack/internal/limits"
 )
 
-// Error is a malformed message and the status that a server answers it with.
+// Error says what is wrong with a message, and with which status a server answers it.
 type Error struct {
 	Status int
 	Text   string
@@ -23,16 +23,17 @@
 
 type parseState uint8
 
+// What the parser reads next.
 const (
-	startLine parseState = iota
-	headerLine
-	fixedBody
-	chunkSize
+	startLine  parseState = iota
+	headerLine            // or the empty line that ends the headers
+	fixedBody             // a body of known length
+	chunkSize             // the line before a chunk
 	chunkData
-	chunkEnd
-	trailer
-	untilClose
-	complete
+	chunkEnd   // the line break behind a chunk
+	trailer    // header lines behind the last chunk
+	untilClose // a response's body that lasts until its connection ends
+	complete   // nothing: the message is whole
 )
 
 // Parser reads one message at a time from a ring, however its bytes are cut. An error sticks: the connection
@@ -40,13 +41,13 @@
 type Parser struct {
 	limits   limits.Limits
 	response bool
-	// Sink, if set, gets the body's bytes as they come; they are neither kept nor bounded then.
+	// BodySink, if set, is called with the body's bytes as they come; they are neither stored nor bounded then.
 	BodySink func([]byte) error
-	// Room, if set, is asked for the bytes of each body before they come, and the message is refused if it has none.
-	// Release gives them back as a negative number.
+	// ReserveBody, if set, is called with the size of a body, or of a chunk, before it comes. If it fails the message is
+	// rejected. Release calls it with what was reserved as a negative number.
 	ReserveBody func(n int) bool
 
-	reservedBody  int // bytes that Room gave
+	reservedBody  int // bytes reserved for the message
 	state         parseState
 	line          []byte
 	headerSize    int // bytes of header lines so far
@@ -60,7 +61,7 @@
 	return &Parser{limits: lim, response: response}
 }
 
-// Release gives back what Room gave for the message that is being read or was read last.
+// Release gives back what was reserved for the message that is being read or was read last.
 func (p *Parser) Release() {
 	if p.reservedBody > 0 {
 		p.ReserveBody(-p.reservedBody)
@@ -80,12 +81,13 @@
 	return true
 }
 
-// Begun says whether a part of a message has come.
+// Started says whether a part of a message has come.
 func (p *Parser) Started() bool { return p.state != startLine || len(p.line) > 0 }
 
-// Expects says whether the sender holds the body back until it is asked for (Expect: 100-continue).
+// ExpectsContinue says whether the sender holds the body back until it is asked for (Expect: 100-continue).
 func (p *Parser) ExpectsContinue() bool {
-	return (p.state == fixedBody || p.state == chunkSize) && len(p.message.Body) == 0 && p.message.headerContains("Expect", "100-continue")
+	beforeBody := (p.state == fixedBody || p.state == chunkSize) && len(p.message.Body) == 0
+	return beforeBody && p.message.headerContains("Expect", "100-continue")
 }
 
 // Status is that of a response whose first line has come, else 0.
@@ -96,7 +98,7 @@
 	return p.message.Status
 }
 
-// Head gives the message whose headers have come, or nil.
+// Head returns the message whose headers have come, or nil. Its body may still be to come.
 func (p *Parser) Head() *Message {
 	if p.state <= headerLine {
 		return nil
@@ -104,7 +106,7 @@
 	return &p.message
 }
 
-// Feed takes bytes from the ring until a message is whole, which it returns, or the ring is empty: nil.
+// Feed consumes bytes from the ring until a message is whole, which it returns, or the ring is empty. Then it returns nil.
 func (p *Parser) Feed(r *Ring) (*Message, error) {
 	for p.err == nil && r.Len() > 0 {
 		n := p.consume(r.Next())
@@ -152,7 +154,7 @@
 	return &m
 }
 
-// take uses some of b, at least one byte, and tells how many.
+// consume parses some of b, at least one byte, and returns how many.
 func (p *Parser) consume(b []byte) int {
 	switch p.state {
 	case fixedBody, chunkData, untilClose:
@@ -341,8 +343,8 @@
 	}
 }
 
-// framing tells how the body is framed: a length, -1 where none is told, or chunks. Lengths that conflict, with
-// one another or with chunks, are refused: they let a request hide inside another.
+// framing returns how the body is framed: its length, -1 if none is given, or that it is chunked. Lengths that conflict
+// with one another or with chunks are rejected: they would let a request hide inside another (request smuggling).
 func (p *Parser) framing() (length int, chunked, ok bool) {
 	length = -1
 	for _, f := range p.message.Fields {
@@ -404,7 +406,7 @@
 	return n, err == nil
 }
 
-// Visible says whether s is not empty and holds visible ASCII alone.
+// IsVisibleASCII says whether s is not empty and consists of visible ASCII characters.
 func IsVisibleASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f {
@@ -414,14 +416,15 @@
 	return s != ""
 }
 
-// token says whether s is a method or header name as RFC 9110 5.6.2 has it.
+// isToken says whether s is a token, as methods and header names are (RFC 9110, section 5.6.2).
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
-		if c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0 {
-			continue
+		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
+		digit := c >= '0' && c <= '9'
+		if !letter && !digit && strings.IndexByte("!#$%&'*+-.^_`|~", c) < 0 {
+			return false
 		}
-		return false
 	}
 	return s != ""
 }
--- a/internal/http1/ring.go
+++ b/internal/http1/ring.go
@@ -5,38 +5,39 @@
 	"sync"
 )
 
-// Ring is a fixed buffer for one direction of one connection. It holds memory only while it holds bytes: of hundreds of
-// connections that wait for a slow peer, or between requests, none needs any.
+// Ring is a buffer of bounded size for one direction of one connection. It holds memory only while it holds bytes:
+// hundreds of connections that are idle or wait for a slow peer need none.
 type Ring struct {
-	size          int
-	buf           []byte
-	start, length int // the first filled byte, and how many are filled
+	size   int
+	buffer []byte // nil while nothing is filled
+	start  int    // the first filled byte
+	length int    // of what is filled
 }
 
 // NewRing makes a ring of size bytes.
 func NewRing(size int) *Ring { return &Ring{size: size} }
 
-// buffers are those that no ring holds, of the usual size.
 var ringBuffers = sync.Pool{New: func() any { b := make([]byte, pooledRingSize); return &b }}
 
+// pooledRingSize is the size in bytes of the rings whose buffers are pooled, that of connections (limits.Limits.Ring).
 const pooledRingSize = 4 << 10
 
 func (r *Ring) acquireBuffer() {
 	switch {
-	case r.buf != nil:
+	case r.buffer != nil:
 	case r.size == pooledRingSize:
-		r.buf = *ringBuffers.Get().(*[]byte)
+		r.buffer = *ringBuffers.Get().(*[]byte)
 	default:
-		r.buf = make([]byte, r.size)
+		r.buffer = make([]byte, r.size)
 	}
 }
 
 func (r *Ring) releaseBuffer() {
 	r.start = 0
-	if r.size == pooledRingSize && r.buf != nil {
-		b := r.buf
+	if r.size == pooledRingSize && r.buffer != nil {
+		b := r.buffer
 		ringBuffers.Put(&b)
-		r.buf = nil
+		r.buffer = nil
 	}
 }
 
@@ -46,10 +47,10 @@
 // Free is how many bytes can be put in.
 func (r *Ring) Free() int { return r.size - r.length }
 
-// Next gives the filled bytes up to the buffer's end, without taking them.
-func (r *Ring) Next() []byte { return r.buf[r.start:min(r.start+r.length, len(r.buf))] }
+// Next returns the filled bytes up to the buffer's end, without consuming them.
+func (r *Ring) Next() []byte { return r.buffer[r.start:min(r.start+r.length, len(r.buffer))] }
 
-// Drop takes n of the bytes that Next gave.
+// Drop consumes n of the bytes that Next returned.
 func (r *Ring) Drop(n int) {
 	r.length -= n
 	r.start = (r.start + n) % r.size
@@ -58,13 +59,13 @@
 	}
 }
 
-// space gives the free bytes up to the buffer's end.
+// space returns the free bytes up to the buffer's end.
 func (r *Ring) space() []byte {
-	from := (r.start + r.length) % len(r.buf)
+	from := (r.start + r.length) % len(r.buffer)
 	if from < r.start || r.length == 0 {
-		return r.buf[from : from+min(len(r.buf)-r.length, len(r.buf)-from)]
+		return r.buffer[from : from+min(len(r.buffer)-r.length, len(r.buffer)-from)]
 	}
-	return r.buf[from:]
+	return r.buffer[from:]
 }
 
 // Fill makes one read from src into the free space. From a source that can say when something is there, an empty ring
@@ -87,7 +88,7 @@
 	return n, err
 }
 
-// Put copies as much of p as fits and tells how much that was.
+// Put copies as much of p as fits, and returns how much that was.
 func (r *Ring) Put(p []byte) int {
 	done := 0
 	if len(p) > 0 {
@@ -101,7 +102,7 @@
 	return done
 }
 
-// Flush writes all that is filled to dst, but for the last keep bytes.
+// Flush writes what is filled to dst, but for the last keep bytes.
 func (r *Ring) Flush(dst io.Writer, keep int) error {
 	for r.length > keep {
 		b := r.Next()
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -17,6 +17,7 @@
 
 // Handler answers one request. Its context ends once the client has left: then nothing more is to be done for it.
 type Handler interface {
+	// Handle answers m. The response is written if its client is still there.
 	Handle(ctx context.Context, m *Message) Response
 }
 
