--- a/cmd/gatetack/process_control.go
+++ b/cmd/gatetack/process_control.go
@@ -126,7 +126,8 @@
 // configuration is read again on each SIGHUP from then on.
 func (p *process) openLists(hup <-chan os.Signal) error {
 	cfg := p.config
-	source := discovery.New(cfg.Discovery, cfg.Known.Index, !cfg.Settings.Ask, cfg.Limits, p.core, p.core.Slow(), p.log)
+	source := discovery.New(cfg.Discovery, cfg.Known.Index, !cfg.Settings.PollsList, cfg.Limits,
+		p.core, p.core.Slow(), p.log)
 	reloads := &reloader{applier: p.applier, file: p.file, move: source.Move, log: p.log}
 	p.lifetime.start(func(ctx context.Context) error {
 		reloads.run(ctx, hup)
@@ -151,7 +152,7 @@
 // startPeers opens the socket to other nodes, where the settings allow messages.
 func (p *process) startPeers() (node.Peers, error) {
 	cfg := p.config
-	if !cfg.Settings.MayTell || cfg.PeerListen == "" {
+	if !cfg.Settings.GossipAllowed || cfg.PeerListen == "" {
 		return noPeers{}, nil
 	}
 	socket, err := peer.Listen(cfg.PeerListen, cfg.Peers, cfg.PeersAll, cfg.Limits, p.core, p.log)
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -45,7 +45,7 @@
 }
 func (c *core) Rules() *node.Rules {
 	return &node.Rules{Names: names, Settings: dispatch.Settings{MaxRetryAfter: 2000,
-		Classes: []dispatch.Class{{Deadline: 7500, Effect: dispatch.Unsafe}, {Deadline: 25000, Effect: dispatch.Keyed}}}}
+		Classes: []dispatch.Class{{Deadline: 7500, RetrySafety: dispatch.AtMostOnce}, {Deadline: 25000, RetrySafety: dispatch.Keyed}}}}
 }
 func (c *core) Counts(context.Context) (node.Counts, error) { return node.Counts{}, nil }
 
--- a/internal/batch/doubt.go
+++ b/internal/batch/doubt.go
@@ -65,5 +65,5 @@
 // single says whether a category's jobs must never run twice. One that is no longer known is taken for such.
 func (f *Front) single(category string) bool {
 	i := slices.Index(f.names().Classes, category)
-	return i < 0 || f.class(i).Effect == dispatch.Unsafe
+	return i < 0 || f.class(i).RetrySafety == dispatch.AtMostOnce
 }
--- a/internal/batch/monitor.go
+++ b/internal/batch/monitor.go
@@ -44,7 +44,7 @@
 	return reply(200, map[string]any{"jobCategories": slices.DeleteFunc(slices.Clone(f.names().Classes), func(name string) bool { return name == "" })})
 }
 
-var effects = map[dispatch.Effect]string{dispatch.Safe: "free", dispatch.Keyed: "guarded", dispatch.Unsafe: "single_shot"}
+var effects = map[dispatch.RetrySafety]string{dispatch.Idempotent: "free", dispatch.Keyed: "guarded", dispatch.AtMostOnce: "single_shot"}
 
 // queues are the classes as queues, with what waits and runs of each (MonitoringSession::getAllQueues).
 func (f *Front) queues() http1.Response {
@@ -70,8 +70,8 @@
 			continue
 		}
 		c := f.class(i)
-		list = append(list, map[string]any{"name": name, "deadlineMs": c.Deadline, "aimMs": c.Aim, "worth": c.Worth,
-			"effect": effects[c.Effect], "waiting": waiting[name], "running": running[name]})
+		list = append(list, map[string]any{"name": name, "deadlineMs": c.Deadline, "aimMs": c.Objective, "worth": c.PriorityWeight,
+			"effect": effects[c.RetrySafety], "waiting": waiting[name], "running": running[name]})
 	}
 	return reply(200, map[string]any{"queues": list})
 }
--- a/internal/batch/template.go
+++ b/internal/batch/template.go
@@ -172,7 +172,7 @@
 	}
 	// The class says what a repeat may do. A template may agree with it; it can not widen it, nor is there a way to tell
 	// a box that drops repeats not to.
-	if rerunnable != nil && *rerunnable != (class.Effect != dispatch.Unsafe) {
+	if rerunnable != nil && *rerunnable != (class.RetrySafety != dispatch.AtMostOnce) {
 		if *rerunnable {
 			return nil, invalid("rerunnable", "a job of this category must never run twice")
 		}
--- a/internal/capacity/measure/decision.go
+++ b/internal/capacity/measure/decision.go
@@ -32,30 +32,30 @@
 // settings are those of one process of the fleet.
 func (f Fleet) settings() dispatch.Settings {
 	s := dispatch.Settings{
-		Balancers: f.Processes, Step: 1,
+		Nodes: f.Processes, Step: 1,
 		Classes: []dispatch.Class{
-			{Aim: classAimMS, Stretch: 2, Deadline: classDeadlineMS, Worth: 1, Effect: dispatch.Safe, Kind: -1},
-			{Aim: classAimMS, Stretch: 2, Deadline: classDeadlineMS, Worth: 1, Effect: dispatch.Unsafe, Kind: -1},
+			{Objective: classAimMS, ObjectivePerWork: 2, Deadline: classDeadlineMS, PriorityWeight: 1, RetrySafety: dispatch.Idempotent, Kind: -1},
+			{Objective: classAimMS, ObjectivePerWork: 2, Deadline: classDeadlineMS, PriorityWeight: 1, RetrySafety: dispatch.AtMostOnce, Kind: -1},
 		},
 		Telemetry: dispatch.ReportAnswers, Fields: []dispatch.Field{dispatch.FieldFree},
-		Progress: 1000, TellsStart: true,
-		MaxAttempts: 4, MayDuplicate: true, MayCancel: true, Multiplex: 1,
+		ProgressInterval: 1000, NotesStart: true,
+		MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, Multiplex: 1,
 		ConnIdle: 5000, ConnectTimeout: 250,
-		AnswerSlack: 16, AskWithin: 10000, DrainGrace: 500,
-		FallMultiple: 4, Fall: 1500, ColdFrom: 0.3, WarmWithin: 9000,
+		AnswerSlack: 16, PollWithin: 10000, DrainGrace: 500,
+		OverloadMultiple: 4, OverloadWindow: 1500, SlowStartFrom: 0.3, SlowStartWithin: 9000,
 	}
 	for range f.Tenants {
-		s.Tenants = append(s.Tenants, dispatch.Tenant{Portion: 1 / float64(f.Tenants), Quota: 1e6})
+		s.Tenants = append(s.Tenants, dispatch.Tenant{ReservedShare: 1 / float64(f.Tenants), Quota: 1e6})
 	}
 	return s
 }
 
-func (f Fleet) rows() []dispatch.Row {
-	rows := make([]dispatch.Row, f.Executors)
+func (f Fleet) rows() []dispatch.EndpointUpdate {
+	rows := make([]dispatch.EndpointUpdate, f.Executors)
 	for i := range rows {
 		zone := i % zones
-		rows[i] = dispatch.Row{Worker: uint32(firstWorker + i), Zone: uint8(zone), Cell: uint16(zone*cellsPerZone + i/zones%cellsPerZone),
-			Condition: dispatch.Ready, Scale: 1}
+		rows[i] = dispatch.EndpointUpdate{Executor: uint32(firstWorker + i), Zone: uint8(zone), Cell: uint16(zone*cellsPerZone + i/zones%cellsPerZone),
+			Condition: dispatch.Ready, Weight: 1}
 	}
 	return rows
 }
@@ -63,7 +63,7 @@
 // dispatcher is one process's decision module in the middle of its work.
 type dispatcher struct {
 	module  *dispatch.Dispatcher
-	rows    []dispatch.Row
+	rows    []dispatch.EndpointUpdate
 	fleet   Fleet
 	random  *rand.Rand
 	now     float64
@@ -86,7 +86,7 @@
 		return nil, fmt.Errorf("measure: %w", err)
 	}
 	d := &dispatcher{module: module, rows: f.rows(), fleet: f, random: rand.New(rand.NewPCG(f.Seed, 1)), now: startMS}
-	d.step(dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListCached, Rows: d.rows})
+	d.step(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Rows: d.rows})
 	return d, nil
 }
 
@@ -96,8 +96,8 @@
 	for _, action := range d.actions {
 		switch action.Kind {
 		case dispatch.ActSend:
-			d.out = append(d.out, placement{action.Job, action.Attempt, action.Worker})
-		case dispatch.ActRefuse, dispatch.ActFail:
+			d.out = append(d.out, placement{action.Job, action.Attempt, action.Executor})
+		case dispatch.ActReject, dispatch.ActFail:
 			d.refused++
 		}
 	}
@@ -107,7 +107,7 @@
 func (d *dispatcher) submit() {
 	d.nextJob++
 	d.step(dispatch.Event{Kind: dispatch.EvRequest, Job: d.nextJob, Class: uint8(d.nextJob % 2), Tenant: uint16(d.random.IntN(max(d.fleet.Tenants, 1))),
-		TimeLeft: classDeadlineMS, Work: jobWorkMS, Flags: dispatch.FlagWork, Slots: 1})
+		TimeLeft: classDeadlineMS, Work: jobWorkMS, Flags: dispatch.FlagWorkHint, Slots: 1})
 }
 
 // finish ends the attempt that is out for the longest time.
@@ -117,7 +117,7 @@
 	}
 	first := d.out[0]
 	d.out = d.out[1:]
-	d.step(dispatch.Event{Kind: dispatch.EvOutcome, Job: first.job, Attempt: first.attempt, Worker: first.worker, Outcome: dispatch.Served,
+	d.step(dispatch.Event{Kind: dispatch.EvOutcome, Job: first.job, Attempt: first.attempt, Executor: first.worker, Outcome: dispatch.Served,
 		Elapsed: jobWorkMS, Final: true, Report: []float32{slotsPerWorker / 2}})
 }
 
@@ -127,7 +127,7 @@
 	d.submit()
 	if len(d.out) > 0 {
 		last := d.out[len(d.out)-1]
-		d.step(dispatch.Event{Kind: dispatch.EvNote, Topic: dispatch.NoteStarted, Job: last.job, Attempt: last.attempt, Worker: last.worker})
+		d.step(dispatch.Event{Kind: dispatch.EvNote, Topic: dispatch.NoteStarted, Job: last.job, Attempt: last.attempt, Executor: last.worker})
 	}
 	d.finish()
 }
@@ -170,8 +170,8 @@
 		for range changesPerRound {
 			row := d.rows[d.random.IntN(len(d.rows))]
 			d.now += 10
-			row.Born = d.now
-			d.step(dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListDelta, Rows: []dispatch.Row{row}})
+			row.StartedAt = d.now
+			d.step(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Rows: []dispatch.EndpointUpdate{row}})
 		}
 		return nil
 	})
--- a/internal/capacity/measure/hub.go
+++ b/internal/capacity/measure/hub.go
@@ -30,12 +30,12 @@
 // hubSettings are those of a fleet whose processes tell a hub.
 func (f Fleet) hubSettings() dispatch.Settings {
 	s := f.settings()
-	s.MayTell = true
+	s.GossipAllowed = true
 	for i := range s.Tenants {
 		s.Tenants[i].Quota = hubQuota / float64(len(s.Tenants))
 	}
 	for i := range s.Classes { // entries that are not reminded of lapse after some mean runs: not while it is measured
-		s.Classes[i].Aim, s.Classes[i].Deadline = 1e7, 1e8
+		s.Classes[i].Objective, s.Classes[i].Deadline = 1e7, 1e8
 	}
 	return s
 }
@@ -49,10 +49,10 @@
 	if err != nil {
 		return 0, err
 	}
-	actions := module.Step(startMS, []dispatch.Event{{Kind: dispatch.EvList, Form: dispatch.ListCached, Rows: f.rows()},
-		{Kind: dispatch.EvRequest, Job: 1, TimeLeft: classDeadlineMS, Work: jobWorkMS, Flags: dispatch.FlagWork, Slots: 1}}, nil)
+	actions := module.Step(startMS, []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Rows: f.rows()},
+		{Kind: dispatch.EvRequest, Job: 1, TimeLeft: classDeadlineMS, Work: jobWorkMS, Flags: dispatch.FlagWorkHint, Slots: 1}}, nil)
 	for _, action := range actions {
-		if action.Kind == dispatch.ActTell && action.To != dispatch.AllPeers {
+		if action.Kind == dispatch.ActGossip && action.To != dispatch.AllPeers {
 			return int(action.To), nil
 		}
 	}
@@ -79,13 +79,13 @@
 		return nil, err
 	}
 	s := f.hubSettings()
-	s.Me = me
+	s.Node = me
 	module, err := dispatch.New(s, f.Seed)
 	if err != nil {
 		return nil, err
 	}
 	h := &hub{module: module, me: me, fleet: f, random: rand.New(rand.NewPCG(f.Seed, 2)), now: startMS}
-	h.actions = module.Step(h.now, []dispatch.Event{{Kind: dispatch.EvList, Form: dispatch.ListCached, Rows: f.rows()}}, nil)
+	h.actions = module.Step(h.now, []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Rows: f.rows()}}, nil)
 	for range f.Executors {
 		h.tagOf = append(h.tagOf, uint16(h.random.IntN(tags)*tagStep))
 	}
@@ -123,9 +123,9 @@
 func (h *hub) deliver(from int, data []byte) {
 	h.messagesIn++
 	h.bytesIn += len(data) + datagramOverhead
-	h.actions = h.module.Step(h.now, []dispatch.Event{{Kind: dispatch.EvPeer, From: uint32(from), Data: data}}, h.actions[:0])
+	h.actions = h.module.Step(h.now, []dispatch.Event{{Kind: dispatch.EvGossip, From: uint32(from), Data: data}}, h.actions[:0])
 	for _, action := range h.actions {
-		if action.Kind == dispatch.ActTell {
+		if action.Kind == dispatch.ActGossip {
 			h.messagesOut++
 			h.bytesOut += len(action.Data) + datagramOverhead
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -116,7 +116,7 @@
 	c.Limits = limits.New(int(granted.Get("sockets").Int()), int(granted.Get("memory_mb").Int()),
 		node.Span(s.ConnectTimeout), node.Span(s.ConnIdle), node.Span(s.DrainGrace))
 	c.Limits.Longest(longestDeadline(s.Classes))
-	c.Limits.Staleness.PollInterval = node.Span(s.AskWithin)
+	c.Limits.Staleness.PollInterval = node.Span(s.PollWithin)
 	if maxOpen, err := strconv.ParseFloat(pairs["limits.maxOpen"], 64); err == nil && maxOpen >= 1 {
 		c.Limits.MaxOpen = min(c.Limits.MaxOpen, int(maxOpen))
 	}
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -139,7 +139,7 @@
 func (c *Config) fixed() fixedSettings {
 	s := c.Settings
 	s.Classes, s.Tenants, s.MaxAttempts, s.MaxRetryAfter, s.Fees = nil, nil, 0, 0, dispatch.Fees{}
-	s.OverShareWorth, s.WorthByWork = 0, false
+	s.OverQuotaWeight, s.WeightByWork = 0, false
 	return fixedSettings{settings: s, zones: c.Names.Zones, kinds: c.Names.Kinds, fields: c.Names.Fields}
 }
 
--- a/internal/discovery/connect_test.go
+++ b/internal/discovery/connect_test.go
@@ -51,7 +51,7 @@
 			list.Put(box, "ready")
 			run()
 			testenv.Until(t, "the list", func() bool { return len(sink.All()) == 1 })
-			if first := sink.All()[0]; first.Form != dispatch.ListFull {
+			if first := sink.All()[0]; first.Form != dispatch.ListSnapshot {
 				t.Errorf("first notified: %+v", first)
 			}
 			dialer.mu.Lock()
@@ -78,7 +78,7 @@
 	run()
 	testenv.Until(t, "the failure and the list", func() bool {
 		all := sink.All()
-		return len(all) > 1 && all[0].Form == dispatch.ListFailed && all[len(all)-1].Form == dispatch.ListFull
+		return len(all) > 1 && all[0].Form == dispatch.ListFailed && all[len(all)-1].Form == dispatch.ListSnapshot
 	})
 	dialer.mu.Lock()
 	defer dialer.mu.Unlock()
@@ -102,7 +102,7 @@
 			c.dial, c.sleep = dialer.dial, dialer.sleep
 			list.Put(box, "ready")
 			run()
-			testenv.Until(t, "the list, by another call", func() bool { all := sink.All(); return len(all) > 0 && all[len(all)-1].Form == dispatch.ListFull })
+			testenv.Until(t, "the list, by another call", func() bool { all := sink.All(); return len(all) > 0 && all[len(all)-1].Form == dispatch.ListSnapshot })
 			if failed := sink.All()[0].Form == dispatch.ListFailed; failed != (errno != syscall.ETIMEDOUT) { // silence is made up for here
 				t.Errorf("notified of a failure: %v", failed)
 			}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -46,7 +46,7 @@
 	list.Put(box, "draining")
 	testenv.Until(t, "a change", func() bool { return len(s.All()) == 2 })
 	l := s.All()
-	if l[0].Entries[0].Status != "ready" || l[1].Entries[0].Status != "draining" || l[1].Index != 2 || l[0].Form != dispatch.ListFull {
+	if l[0].Entries[0].Status != "ready" || l[1].Entries[0].Status != "draining" || l[1].Index != 2 || l[0].Form != dispatch.ListSnapshot {
 		t.Errorf("%+v", l)
 	}
 	c.Watch(false)
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -63,7 +63,7 @@
 	sum := 0.0
 	a.totalQuota = 0
 	for _, t := range tenants {
-		sum += t.Portion
+		sum += t.ReservedShare
 		a.totalQuota += max(0, t.Quota)
 	}
 	for i := len(a.tenants); i < max(1, len(tenants)); i++ {
@@ -77,7 +77,7 @@
 		tenant := &a.tenants[i]
 		tenant.reservedShare = 1 / float64(len(a.tenants))
 		if sum > 0 {
-			tenant.reservedShare = tenants[i].Portion / sum
+			tenant.reservedShare = tenants[i].ReservedShare / sum
 		}
 		if len(tenants) > 0 {
 			tenant.quota = tenants[i].Quota
@@ -113,7 +113,7 @@
 	if tenant.quota <= 0 {
 		return false
 	}
-	evenHalf := tenant.quota / (2 * float64(a.settings.Balancers))
+	evenHalf := tenant.quota / (2 * float64(a.settings.Nodes))
 	rate := min(tenant.quota, max(usualRateSlack*tenant.usualRate, evenHalf))
 	elapsed := a.now - tenant.refilledAt
 	tenant.refilledAt = a.now
@@ -204,7 +204,7 @@
 // admissionSlots is how many slots admitted jobs may hold, as far as a job is concerned: the capacity, and what may
 // be queued.
 func (d *Dispatcher) admissionSlots(job *job) float64 {
-	objective := d.settings.Classes[job.class].Aim
+	objective := d.settings.Classes[job.class].Objective
 	slots := d.capacity.slots * (1 + min(maxQueuedFraction, objective/d.serviceTimes.classes[job.class].work))
 	if job.value < d.admission.meanValue {
 		slots *= 1 - trunkReservation
@@ -221,7 +221,7 @@
 // fleetShare is our part of what all nodes may do together: half of it even, half by our part of the traffic that the
 // quotas stand for. The parts of all nodes sum to 1 while traffic is at quota.
 func (d *Dispatcher) fleetShare() float64 {
-	even := 1 / float64(d.settings.Balancers)
+	even := 1 / float64(d.settings.Nodes)
 	if d.admission.totalQuota <= 0 {
 		return even
 	}
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -6,7 +6,7 @@
 	// Capacity is set by hand: 100 slots with half of them again allowed to wait would blur the bounds, so
 	// the aim is made short against the work and the wait allowance goes to nothing.
 	s := base()
-	s.Classes[0].Aim = 1e-9
+	s.Classes[0].Objective = 1e-9
 	tests := []struct {
 		name     string
 		inflight [3]float64
@@ -50,7 +50,7 @@
 func TestReservedSlotsAreReleasedOnce(t *testing.T) {
 	ends := map[string]func(r *rig){
 		"served":  func(r *rig) { r.after(10, outcome(1, 0, 7, Served)) },
-		"gone":    func(r *rig) { r.after(10, Event{Kind: EvGone, Job: 1}); r.after(10, outcome(1, 0, 7, Cancelled)) },
+		"gone":    func(r *rig) { r.after(10, Event{Kind: EvClientGone, Job: 1}); r.after(10, outcome(1, 0, 7, Cancelled)) },
 		"errored": func(r *rig) { r.after(10, outcome(1, 0, 7, Errored)) },
 		"twice":   func(r *rig) { r.after(10, outcome(1, 0, 7, Served), outcome(1, 0, 7, Served)) },
 		"timeout": func(r *rig) { r.after(6000, outcome(1, 0, 7, TimedOut)) },
@@ -100,7 +100,7 @@
 	}
 	before := len(r.d.jobs.queue)
 	got := r.after(1, request(100, 0, 0, 1), request(101, 0, 1, 1))
-	if len(actionsOf(got, ActRefuse, 101)) != 0 {
+	if len(actionsOf(got, ActReject, 101)) != 0 {
 		t.Error("a request within its share was rejected in a flood of another tenant")
 	}
 	if len(r.d.jobs.queue) > before+2 {
@@ -127,7 +127,7 @@
 func TestUnhintedObjectiveFollowsWeightsByWork(t *testing.T) {
 	held := func(byWork bool) float64 {
 		s := base()
-		s.WorthByWork = byWork
+		s.WeightByWork = byWork
 		r := newRig(t, s, ready(7, 0))
 		e := request(1, 0, 0, 1)
 		e.Flags, e.Work = 0, 0
@@ -143,7 +143,7 @@
 // The last tokens are for work worth more than the mean (i260aa7).
 func TestTrunkReservation(t *testing.T) {
 	s := base()
-	s.Tenants, s.Classes[2].Worth = nil, 3
+	s.Tenants, s.Classes[2].PriorityWeight = nil, 3
 	r := newRig(t, s, ready(7, 0))
 	r.d.capacity.slots, r.d.admission.meanValue = 10, 2
 	r.d.admission.tenants[0].reservedSlots = 19 // of 20 tokens
--- a/internal/dispatch/affinity_test.go
+++ b/internal/dispatch/affinity_test.go
@@ -6,7 +6,7 @@
 func TestCacheFetchPool(t *testing.T) {
 	s := base()
 	s.Fees.Origin = 0.1
-	rows := []Row{ready(7, 0), ready(8, 0), ready(9, 0), ready(10, 0), ready(11, 0), ready(12, 0)}
+	rows := []EndpointUpdate{ready(7, 0), ready(8, 0), ready(9, 0), ready(10, 0), ready(11, 0), ready(12, 0)}
 	r := newRig(t, s, rows...)
 	for _, executor := range r.d.endpoints.listed {
 		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4, r.now, 4
@@ -14,7 +14,7 @@
 	e := request(1, 0, 0, 1)
 	e.Key = 5
 	first := actionsOf(r.step(e), ActSend, 1)
-	home := first[0].Worker
+	home := first[0].Executor
 	r.d.endpoints.byID[home].load.freeSlots = 0
 	e.Job = 2
 	if got := r.step(e); len(actionsOf(got, ActSend, 2)) != 0 {
@@ -37,7 +37,7 @@
 // it has waited its part (recife later: CPU).
 func TestCandidatesOnlyWhileWaitingForOne(t *testing.T) {
 	s := base()
-	s.Balancers = 100
+	s.Nodes = 100
 	r := newRig(t, s, fleet(100)...)
 	j := request(1, 0, 0, 1)
 	j.Key = 77
@@ -66,7 +66,7 @@
 // mean).
 func TestHotKeysSpreadSoonAtNodesWithLittleTraffic(t *testing.T) {
 	s := base()
-	s.Balancers = 150
+	s.Nodes = 150
 	r := newRig(t, s, fleet(150)...)
 	for id := uint32(1); id <= 40; id++ {
 		job := request(id, 0, 0, 1)
@@ -76,7 +76,7 @@
 		}
 		r.after(200, job)
 		if sent := actionsOf(r.last, ActSend, id); len(sent) == 1 && id < 39 {
-			r.after(10, outcome(id, 0, sent[0].Worker, Served))
+			r.after(10, outcome(id, 0, sent[0].Executor, Served))
 		}
 	}
 	hot, rare := len(r.d.jobs.byID[40].candidates), len(r.d.jobs.byID[39].candidates)
--- a/internal/dispatch/aggregator_client.go
+++ b/internal/dispatch/aggregator_client.go
@@ -86,7 +86,7 @@
 }
 
 // isAggregator says that this node takes itself for the aggregator.
-func (d *Dispatcher) isAggregator() bool { return d.aggregatorClient.current == d.settings.Me }
+func (d *Dispatcher) isAggregator() bool { return d.aggregatorClient.current == d.settings.Node }
 
 // answerTimeout is how long an answer of the aggregator is waited for.
 func (d *Dispatcher) answerTimeout() float64 {
@@ -145,7 +145,7 @@
 	if data[0] != messageUpdate {
 		client.querySentAt, client.answerWanted = d.now, false
 	}
-	d.act(Action{Kind: ActTell, To: uint16(client.current), Data: data})
+	d.act(Action{Kind: ActGossip, To: uint16(client.current), Data: data})
 }
 
 // suspectAggregator takes in that an answer did not come in time, and says whether the aggregator is suspected for it.
--- a/internal/dispatch/aggregator_server.go
+++ b/internal/dispatch/aggregator_server.go
@@ -68,7 +68,7 @@
 	}, server.addQuarantine)
 	d.needsPlacement = true
 	if kind != messageUpdate {
-		d.act(Action{Kind: ActTell, To: uint16(event.From), Data: d.encodeAnswer(peer)})
+		d.act(Action{Kind: ActGossip, To: uint16(event.From), Data: d.encodeAnswer(peer)})
 	}
 }
 
--- a/internal/dispatch/aggregator_test.go
+++ b/internal/dispatch/aggregator_test.go
@@ -111,7 +111,7 @@
 		node := rng.Intn(60)
 		data := make([]byte, rng.Intn(256))
 		rng.Read(data)
-		c.step(map[int]Event{node: {Kind: EvPeer, From: uint32(60 * rng.Intn(2) * rng.Intn(2)), Data: data}})
+		c.step(map[int]Event{node: {Kind: EvGossip, From: uint32(60 * rng.Intn(2) * rng.Intn(2)), Data: data}})
 	}
 	for i, d := range c.nodes {
 		for _, all := range []map[uint16]float64{d.aggregatorClient.peerSlots, d.aggregatorServer.slotTotals} {
@@ -189,7 +189,7 @@
 // it has out, is answered, tells of a send and of an end.
 func BenchmarkAggregator(b *testing.B) {
 	s := base()
-	s.Balancers, s.MayTell = 300, true
+	s.Nodes, s.GossipAllowed = 300, true
 	for i := range s.Tenants {
 		s.Tenants[i].Quota = 2000
 	}
@@ -198,20 +198,20 @@
 		b.Fatal(err)
 	}
 	d.gossip.mode = gossipAggregator // whatever the bound is
-	d.settings.Me = d.aggregatorClient.pick(d.gossip.peers, d.now)
+	d.settings.Node = d.aggregatorClient.pick(d.gossip.peers, d.now)
 	rows := fleet(200)
 	now := 100000.0
-	out := d.Step(now, []Event{{Kind: EvList, Form: ListCached, Rows: rows}}, nil)
+	out := d.Step(now, []Event{{Kind: EvEndpoints, Form: ListCached, Rows: rows}}, nil)
 	for i := range 900 { // what is out
 		n, w := i%300, rows[i%200]
-		if n != d.settings.Me {
+		if n != d.settings.Node {
 			out = d.Step(
 				now,
 				[]Event{
 					{
-						Kind: EvPeer,
+						Kind: EvGossip,
 						From: uint32(n),
-						Data: []byte{messageUpdate, byte(d.tagOf(w.Worker) >> 8), byte(d.tagOf(w.Worker)) | 3},
+						Data: []byte{messageUpdate, byte(d.tagOf(w.Executor) >> 8), byte(d.tagOf(w.Executor)) | 3},
 					},
 				},
 				out[:0],
@@ -223,10 +223,10 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 2
-		from := uint32((d.settings.Me + 1 + rng.Intn(298)) % 300)
-		tag := d.tagOf(rows[rng.Intn(200)].Worker)
+		from := uint32((d.settings.Node + 1 + rng.Intn(298)) % 300)
+		tag := d.tagOf(rows[rng.Intn(200)].Executor)
 		entry := func(kind byte, n uint16) Event {
-			return Event{Kind: EvPeer, From: from, Data: []byte{kind, byte(tag >> 8), byte(tag) | byte(n)}}
+			return Event{Kind: EvGossip, From: from, Data: []byte{kind, byte(tag >> 8), byte(tag) | byte(n)}}
 		}
 		out = d.Step(now, []Event{entry(messageQuery, 2)}, out[:0])
 		out = d.Step(now+0.5, []Event{entry(messageUpdate, 3)}, out[:0])
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -19,9 +19,9 @@
 		d.delayNextRetry(executor)
 	}
 	d.placement.lastDispatchAt = d.now
-	d.act(Action{Kind: ActSend, Job: job.id, Worker: executor.id})
+	d.act(Action{Kind: ActSend, Job: job.id, Executor: executor.id})
 	sent := attempt{executor: executor, sentAt: d.now, heardAt: d.now, hadFreeSlots: executor.load.freeSlots >= job.slots}
-	if job.key != 0 && cacheMissProbability(job, executor, d.settings.Balancers) >= cacheMissThreshold {
+	if job.key != 0 && cacheMissProbability(job, executor, d.settings.Nodes) >= cacheMissThreshold {
 		sent.fetchesKey = true
 		d.affinity.fetchingSlots += job.slots
 	}
@@ -60,7 +60,7 @@
 func (d *Dispatcher) handleOutcome(event *Event) {
 	job, attempt := d.attemptOf(event)
 	if job == nil {
-		if executor := d.endpoints.byID[event.Worker]; executor != nil {
+		if executor := d.endpoints.byID[event.Executor]; executor != nil {
 			d.handleLoadReport(executor, event.Report)
 		}
 		return
@@ -112,7 +112,7 @@
 	if job == nil {
 		return
 	}
-	if event.Topic == NoteLate {
+	if event.Topic == NoteAckOverdue {
 		d.handleOverdueAck(job, attempt)
 		return
 	}
--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -191,7 +191,7 @@
 // isStartOverdue says that an executor has not started an attempt of ours in the usual time: it queues, whatever a
 // late report tells of free slots.
 func (d *Dispatcher) isStartOverdue(executor *executor) bool {
-	return d.settings.TellsStart && d.now-executor.inFlight.oldestUnstarted > d.serviceTimes.startNoteTimeout()
+	return d.settings.NotesStart && d.now-executor.inFlight.oldestUnstarted > d.serviceTimes.startNoteTimeout()
 }
 
 // availableSlots is how many more slots of ours an executor takes: by its report, else by what it took before.
@@ -236,7 +236,7 @@
 	limit := math.Floor(executor.load.softLimit)
 	if slots > 0 {
 		// Every node guesses at once when reports fail: none takes more than twice its even part.
-		limit = min(limit, max(1, math.Round(blindShareFactor*slots/float64(d.settings.Balancers))))
+		limit = min(limit, max(1, math.Round(blindShareFactor*slots/float64(d.settings.Nodes))))
 	}
 	if own == 0 {
 		limit = max(limit, d.capacity.widestRequest) // a job wider than what was tried so far would never be sent
@@ -255,7 +255,7 @@
 // who is, and all nodes would storm the idlest and shun the full, turn about.
 func (d *Dispatcher) decayedFreeSlots(executor *executor) float64 {
 	load := &executor.load
-	if d.settings.Balancers < 2 || load.slots == 0 {
+	if d.settings.Nodes < 2 || load.slots == 0 {
 		return load.freeSlots
 	}
 	age := reportDecayRate * (d.now - load.reportedAt + d.reports.age) / d.serviceTimes.meanRun
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -12,10 +12,10 @@
 // nothing.
 func blindSettings() Settings {
 	s := base()
-	s.Balancers, s.MayDuplicate = blindNodes, false
+	s.Nodes, s.HedgingAllowed = blindNodes, false
 	s.Fields = []Field{FieldPending, FieldFree}
 	for i := range s.Tenants {
-		s.Tenants[i].Quota = 1000 * s.Tenants[i].Portion
+		s.Tenants[i].Quota = 1000 * s.Tenants[i].ReservedShare
 	}
 	return s
 }
@@ -28,7 +28,7 @@
 	sum := 0.0
 	for i := range nodes {
 		s := blindSettings()
-		s.Me = i
+		s.Node = i
 		r := newRig(t, s, fleet(workers)...)
 		r.step(request(1, 0, 0, 1))
 		sum += r.d.capacity.slots
@@ -61,7 +61,7 @@
 		for _, a := range out {
 			if a.Kind == ActSend {
 				running++
-				started = append(started, Event{Kind: EvNote, Job: a.Job, Worker: a.Worker, Topic: NoteStarted})
+				started = append(started, Event{Kind: EvNote, Job: a.Job, Executor: a.Executor, Topic: NoteStarted})
 			}
 		}
 		r.after(10, started...)
@@ -92,14 +92,14 @@
 func (q *queueingFleet) events(now float64) (events []Event) {
 	for q.resolved < len(q.ends) && now >= q.ends[q.resolved] {
 		a := q.sent[q.resolved]
-		e := outcome(a.Job, 0, a.Worker, Served, 4, float32(a.Job%7)/100)
+		e := outcome(a.Job, 0, a.Executor, Served, 4, float32(a.Job%7)/100)
 		e.Final = true
 		events = append(events, e)
 		q.resolved++
 	}
 	for len(q.ends) < len(q.sent) && len(q.ends) < q.resolved+q.slots {
 		a := q.sent[len(q.ends)]
-		events = append(events, Event{Kind: EvNote, Job: a.Job, Worker: a.Worker, Topic: NoteStarted})
+		events = append(events, Event{Kind: EvNote, Job: a.Job, Executor: a.Executor, Topic: NoteStarted})
 		q.ends = append(q.ends, now+q.runs)
 	}
 	return events
@@ -135,7 +135,7 @@
 			case ActSend:
 				q.sent = append(q.sent, a)
 				inARow, since = 0, r.now
-			case ActRefuse:
+			case ActReject:
 				inARow++
 			}
 		}
@@ -167,7 +167,7 @@
 		e.Flags, e.Work = 0, 0
 		events := []Event{e}
 		if a, ok := hang[id-uint32(e.TimeLeft/100)]; ok { // its client's time is over
-			events = append(events, outcome(a.Job, 0, a.Worker, TimedOut))
+			events = append(events, outcome(a.Job, 0, a.Executor, TimedOut))
 		}
 		for _, a := range r.after(100, events...) {
 			if a.Kind == ActSend {
@@ -248,7 +248,7 @@
 	if room := r.d.availableSlots(r.d.endpoints.listed[0]); room > 0 {
 		t.Errorf("free slots %v although our job waits there", room)
 	}
-	r.step(Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteStarted})
+	r.step(Event{Kind: EvNote, Job: 1, Executor: 7, Topic: NoteStarted})
 	if room := r.d.availableSlots(r.d.endpoints.listed[0]); room < 1 {
 		t.Errorf("free slots %v after our job started", room)
 	}
@@ -257,7 +257,7 @@
 // Without a fresh report no node takes more than its blind part of an executor (i9622f9).
 func TestShareWithoutReports(t *testing.T) {
 	s := base()
-	s.Balancers = 4
+	s.Nodes = 4
 	r := newRig(t, s, ready(7, 0))
 	executor := r.d.endpoints.listed[0]
 	executor.load.slots, executor.load.softLimit, executor.load.reportedAt = 4, 20, 1
@@ -268,16 +268,16 @@
 
 func TestPeersTakeSlots(t *testing.T) {
 	s := base()
-	s.Balancers, s.MayTell = 2, true
+	s.Nodes, s.GossipAllowed = 2, true
 	r := newRig(t, s, ready(7, 0))
 	executor := r.d.endpoints.listed[0]
 	executor.load.slots, executor.load.freeSlots, executor.load.reportedAt = 4, 4, r.now
-	r.step(Event{Kind: EvPeer, From: 1, Data: []byte{byte(executor.tag >> 8), byte(executor.tag), 3}})
+	r.step(Event{Kind: EvGossip, From: 1, Data: []byte{byte(executor.tag >> 8), byte(executor.tag), 3}})
 	if room := r.d.availableSlots(executor); room != 1 {
 		t.Errorf("free slots %v, want 1: the other node has 3 of 4 slots out", room)
 	}
-	r.step(Event{Kind: EvPeer, From: 1, Data: []byte{1}}, Event{Kind: EvPeer, From: 77, Data: []byte{1, 2, 3}},
-		Event{Kind: EvPeer, From: 0, Data: []byte{byte(executor.tag >> 8), byte(executor.tag), 200}})
+	r.step(Event{Kind: EvGossip, From: 1, Data: []byte{1}}, Event{Kind: EvGossip, From: 77, Data: []byte{1, 2, 3}},
+		Event{Kind: EvGossip, From: 0, Data: []byte{byte(executor.tag >> 8), byte(executor.tag), 200}})
 	if room := r.d.availableSlots(executor); room != 4 {
 		t.Errorf("free slots %v, want 4: nothing out by the last good message", room)
 	}
@@ -290,7 +290,7 @@
 // Without reports a job wider than what executors were tried with is still sent (a copy of nordeste without any).
 func TestWideJobWithoutReports(t *testing.T) {
 	s := base()
-	s.Telemetry, s.Fields, s.TellsStart = ReportNone, nil, false
+	s.Telemetry, s.Fields, s.NotesStart = ReportNone, nil, false
 	r := newRig(t, s, ready(7, 0), ready(8, 0), ready(9, 0))
 	if got := r.step(request(1, 0, 0, 4)); len(actionsOf(got, ActSend, 1)) != 1 {
 		t.Error("held although no executor has anything of ours")
@@ -301,7 +301,7 @@
 // and the one last seen full is not shunned for good (i9c57dc, ifd594e).
 func TestReportsDecay(t *testing.T) {
 	s := base()
-	s.Balancers = 5
+	s.Nodes = 5
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	idle, full := r.d.endpoints.listed[0], r.d.endpoints.listed[1]
 	for _, executor := range r.d.endpoints.listed {
@@ -351,13 +351,13 @@
 // thought to take falls, once for all that was sent before, and grows again with jobs served in time.
 func TestLateAnswersCutTheSoftLimit(t *testing.T) {
 	s := base()
-	s.Telemetry, s.Fields, s.TellsStart = ReportNone, nil, false
+	s.Telemetry, s.Fields, s.NotesStart = ReportNone, nil, false
 	r := newRig(t, s, ready(7, 0))
 	executor := r.d.endpoints.byID[7]
 	executor.load.softLimit = 8
 	for id := uint32(1); id <= 6; id++ {
 		e := request(id, 0, 0, 1)
-		e.Work, e.Flags = 200, FlagWork
+		e.Work, e.Flags = 200, FlagWorkHint
 		r.step(e)
 	}
 	if len(executor.inFlight.jobs) < 4 {
@@ -370,7 +370,7 @@
 	}
 	executor.load.softLimit = 2
 	e := request(20, 0, 0, 1)
-	e.Work, e.Flags = 200, FlagWork
+	e.Work, e.Flags = 200, FlagWorkHint
 	r.after(10, outcome(4, 0, 7, Served), outcome(5, 0, 7, Served), outcome(6, 0, 7, Served))
 	for len(executor.inFlight.jobs) > 0 {
 		r.after(10, Event{Kind: EvTimer})
@@ -387,7 +387,7 @@
 // fleet while large ones, who had reports, rejected nine of ten (ceara later big-2).
 func TestFullFleetIsFullWithoutReports(t *testing.T) {
 	s := base()
-	s.Balancers = 100
+	s.Nodes = 100
 	r := newRig(t, s, fleet(400)...)
 	unheard := r.d.endpoints.listed[200]
 	before := r.d.availableSlots(unheard)
@@ -417,14 +417,14 @@
 // nodes see the same weights, late (recife later).
 func TestLiveWeightShutsOut(t *testing.T) {
 	s := base()
-	s.Balancers, s.LiveWeights = 100, true
+	s.Nodes, s.LiveWeights = 100, true
 	weigh := func(r *rig, scale func(i int) float64) {
 		for range 12 {
 			rows := fleet(30)
 			for i := range rows {
-				rows[i].Scale = scale(i)
+				rows[i].Weight = scale(i)
 			}
-			r.after(500, Event{Kind: EvList, Form: ListDelta, Rows: rows})
+			r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Rows: rows})
 		}
 	}
 	r := newRig(t, s, fleet(30)...)
@@ -452,7 +452,7 @@
 // on more only for what runs: as many slots again, and none for what queues.
 func TestQueuedJobsBoundCapacity(t *testing.T) {
 	s := base()
-	s.Balancers, s.MayDuplicate = 100, false
+	s.Nodes, s.HedgingAllowed = 100, false
 	r := newRig(t, s, fleet(400)...)
 	const part = 400 * initialSoftLimit / 100
 	for id := uint32(1); id <= part; id++ {
--- a/internal/dispatch/classfailure.go
+++ b/internal/dispatch/classfailure.go
@@ -161,7 +161,7 @@
 // often enough itself.
 func (d *Dispatcher) errorProbability(job *job, executor *executor) float64 {
 	all, errors := executor.failures.all.faded(d.environment)
-	lostWithAnError := d.settings.Classes[job.class].Effect == Unsafe
+	lostWithAnError := d.settings.Classes[job.class].RetrySafety == AtMostOnce
 	if errors < minErrors || !lostWithAnError || d.outliers.panicking || d.outliers.failingClasses[job.class] {
 		return 0
 	}
--- a/internal/dispatch/classfailure_test.go
+++ b/internal/dispatch/classfailure_test.go
@@ -10,7 +10,7 @@
 	s := base()
 	s.Fees.CrossZone = 1 // executor 1 is in the node's own zone: all goes there unless it is kept away
 	s.Classes = append(s.Classes, s.Classes[2], s.Classes[2])
-	r := newRig(t, s, ready(1, 1), Row{Worker: 2, Zone: 1, Cell: 2, Condition: Ready, Scale: 1})
+	r := newRig(t, s, ready(1, 1), EndpointUpdate{Executor: 2, Zone: 1, Cell: 2, Condition: Ready, Weight: 1})
 	job, sent, mended := uint32(0), 0, false
 	run := func(class uint8) (lost, at1 bool) {
 		t.Helper()
@@ -22,7 +22,7 @@
 				return true, at1
 			}
 			o := Served
-			if sends[0].Worker == 1 {
+			if sends[0].Executor == 1 {
 				at1 = true
 				if sent++; sent%2 == 1 && !mended {
 					o = Errored
@@ -30,7 +30,7 @@
 			}
 			out = r.after(
 				20,
-				Event{Kind: EvOutcome, Job: job, Attempt: n, Worker: sends[0].Worker, Outcome: o, Final: o == Served,
+				Event{Kind: EvOutcome, Job: job, Attempt: n, Executor: sends[0].Executor, Outcome: o, Final: o == Served,
 					Report: []float32{4 + float32(job)*1e-4}},
 			)
 			if o == Served {
@@ -66,7 +66,7 @@
 func TestJobThatErrsEverywhereIsNotTheExecutorsFault(t *testing.T) {
 	s := base()
 	s.MaxAttempts = 6
-	var rows []Row
+	var rows []EndpointUpdate
 	for id := uint32(1); id <= 8; id++ {
 		rows = append(rows, ready(id, 0))
 	}
@@ -82,7 +82,7 @@
 			if int(n) == good {
 				o = Served
 			}
-			out = r.after(20, outcome(1, n, sends[0].Worker, o, 4+float32(n)*1e-4))
+			out = r.after(20, outcome(1, n, sends[0].Executor, o, 4+float32(n)*1e-4))
 		}
 		unsafe := &job{class: 2}
 		for _, executor := range r.d.endpoints.listed {
@@ -117,9 +117,9 @@
 	s := base()
 	// Worker 1 is in the node's own zone, so that all goes there unless it is kept away.
 	s.Fees.CrossZone = 1
-	rows := []Row{ready(1, 1)}
+	rows := []EndpointUpdate{ready(1, 1)}
 	for id := uint32(2); id <= 5; id++ {
-		rows = append(rows, Row{Worker: id, Zone: 1, Cell: 2, Condition: Ready, Scale: 1})
+		rows = append(rows, EndpointUpdate{Executor: id, Zone: 1, Cell: 2, Condition: Ready, Weight: 1})
 	}
 	r := newRig(t, s, rows...)
 	job := uint32(0)
@@ -128,10 +128,10 @@
 		job++
 		for _, a := range r.after(20, Event{Kind: EvRequest, Job: job, Class: class, TimeLeft: 6000, Slots: 1}) {
 			if a.Kind == ActSend && a.Job == job {
-				end := o(a.Worker)
-				r.after(20, Event{Kind: EvOutcome, Job: job, Worker: a.Worker, Outcome: end, Final: end == Served,
+				end := o(a.Executor)
+				r.after(20, Event{Kind: EvOutcome, Job: job, Executor: a.Executor, Outcome: end, Final: end == Served,
 					Report: []float32{4 + float32(job)*1e-4}})
-				return a.Worker
+				return a.Executor
 			}
 		}
 		t.Fatal("not sent")
@@ -196,7 +196,7 @@
 			events = nil
 			for _, a := range out {
 				if a.Kind == ActSend {
-					events = append(events, Event{Kind: EvOutcome, Job: 1, Attempt: n, Worker: 1, Outcome: Full,
+					events = append(events, Event{Kind: EvOutcome, Job: 1, Attempt: n, Executor: 1, Outcome: Full,
 						Report: []float32{x.pending, x.free + float32(n)*1e-3}})
 					n++
 				}
--- a/internal/dispatch/cluster_test.go
+++ b/internal/dispatch/cluster_test.go
@@ -16,10 +16,10 @@
 	stuck bool
 }
 
-func newCluster(t *testing.T, n int, rows ...Row) *cluster {
+func newCluster(t *testing.T, n int, rows ...EndpointUpdate) *cluster {
 	c := &cluster{t: t, s: base(), now: 100000, down: make([]bool, n), in: make([][]Event, n),
 		sends: make([][]Action, n), nodes: make([]*Dispatcher, n)}
-	c.s.Balancers, c.s.MayTell, c.s.Progress = n, true, 60000
+	c.s.Nodes, c.s.GossipAllowed, c.s.ProgressInterval = n, true, 60000
 	for i := range c.s.Tenants {
 		c.s.Tenants[i].Quota = 20
 	}
@@ -29,19 +29,19 @@
 	return c
 }
 
-func (c *cluster) start(i int, rows []Row) {
+func (c *cluster) start(i int, rows []EndpointUpdate) {
 	c.t.Helper()
 	s := c.s
-	s.Me = i
+	s.Node = i
 	d, err := New(s, uint64(c.next)*1000+uint64(i))
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	if d.gossip.mode != gossipAggregator {
-		c.t.Fatalf("%d nodes tell in way %d, want by an aggregator", s.Balancers, d.gossip.mode)
+		c.t.Fatalf("%d nodes tell in way %d, want by an aggregator", s.Nodes, d.gossip.mode)
 	}
 	c.nodes[i], c.down[i] = d, false
-	c.in[i] = []Event{{Kind: EvList, Form: ListCached, Rows: rows}}
+	c.in[i] = []Event{{Kind: EvEndpoints, Form: ListCached, Rows: rows}}
 }
 
 // step takes all nodes 10 ms on; each may also be given an event.
@@ -52,7 +52,7 @@
 	for i := range c.nodes {
 		for _, a := range c.sends[i] {
 			if !c.stuck { // else no executor has free slots
-				c.in[i] = append(c.in[i], Event{Kind: EvNote, Job: a.Job, Worker: a.Worker, Topic: NoteStarted})
+				c.in[i] = append(c.in[i], Event{Kind: EvNote, Job: a.Job, Executor: a.Executor, Topic: NoteStarted})
 			}
 		}
 	}
@@ -68,12 +68,12 @@
 			switch a.Kind {
 			case ActSend:
 				c.sends[i] = append(c.sends[i], a)
-			case ActTell:
+			case ActGossip:
 				if len(a.Data) > 255 || int(a.To) >= len(c.nodes) {
 					c.t.Fatalf("a message of %d bytes to %d", len(a.Data), a.To)
 				}
 				c.bytes += len(a.Data)
-				c.in[a.To] = append(c.in[a.To], Event{Kind: EvPeer, From: uint32(i), Data: a.Data})
+				c.in[a.To] = append(c.in[a.To], Event{Kind: EvGossip, From: uint32(i), Data: a.Data})
 			}
 		}
 	}
@@ -94,12 +94,12 @@
 			return 0
 		}
 	}
-	return c.sends[node][0].Worker
+	return c.sends[node][0].Executor
 }
 
 // listening makes a crowd whose nodes know the executors' slots, 0 for nodes that do not, and that has listened for
 // long enough for any of them to be the aggregator.
-func listeningCluster(t *testing.T, n int, slots float64, rows ...Row) *cluster {
+func listeningCluster(t *testing.T, n int, slots float64, rows ...EndpointUpdate) *cluster {
 	c := newCluster(t, n, rows...)
 	c.step(nil)
 	if slots > 0 {
--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -16,7 +16,7 @@
 	next := d.settings
 	next.Classes, next.Tenants = s.Classes, s.Tenants
 	next.MaxAttempts, next.MaxRetryAfter, next.Fees = s.MaxAttempts, s.MaxRetryAfter, s.Fees
-	next.OverShareWorth, next.WorthByWork = s.OverShareWorth, s.WorthByWork
+	next.OverQuotaWeight, next.WeightByWork = s.OverQuotaWeight, s.WeightByWork
 	if err := next.check(); err != nil {
 		return err
 	}
@@ -74,8 +74,8 @@
 	if len(s.Classes) == 0 {
 		return errors.New("brain: requestClasses.count: no classes")
 	}
-	if s.Balancers < 1 {
-		return fmt.Errorf("brain: balancers: %d is under 1", s.Balancers)
+	if s.Nodes < 1 {
+		return fmt.Errorf("brain: balancers: %d is under 1", s.Nodes)
 	}
 	if s.MaxAttempts < 1 {
 		return fmt.Errorf("brain: limits.maxAttempts: %d is under 1", s.MaxAttempts)
@@ -85,7 +85,7 @@
 			return fmt.Errorf("brain: %s: %v is not a number of 0 or more", number.key, number.value)
 		}
 	}
-	if s.FallMultiple == 0 {
+	if s.OverloadMultiple == 0 {
 		return errors.New("brain: invariants.fallMultiple: 0 lets no cold worker be used")
 	}
 	return nil
@@ -101,31 +101,31 @@
 func (s *Settings) numbers() []setting {
 	numbers := []setting{
 		{"step", s.Step},
-		{"overShareWorth", s.OverShareWorth},
-		{"familyInfo.progress", s.Progress},
+		{"overShareWorth", s.OverQuotaWeight},
+		{"familyInfo.progress", s.ProgressInterval},
 		{"limits.connIdle", s.ConnIdle},
 		{"limits.connectTimeout", s.ConnectTimeout},
 		{"limits.maxRetryAfter", s.MaxRetryAfter},
 		{"invariants.answerSlack", s.AnswerSlack},
-		{"invariants.askWithin", s.AskWithin},
+		{"invariants.askWithin", s.PollWithin},
 		{"invariants.drainGrace", s.DrainGrace},
-		{"invariants.fall", s.Fall},
-		{"invariants.coldFrom", s.ColdFrom},
-		{"invariants.warmWithin", s.WarmWithin},
+		{"invariants.fall", s.OverloadWindow},
+		{"invariants.coldFrom", s.SlowStartFrom},
+		{"invariants.warmWithin", s.SlowStartWithin},
 		{"fees.crossZone", s.Fees.CrossZone},
 		{"fees.handshake", s.Fees.Handshake},
 		{"fees.origin", s.Fees.Origin},
-		{"invariants.fallMultiple", s.FallMultiple},
+		{"invariants.fallMultiple", s.OverloadMultiple},
 	}
 	for i, class := range s.Classes {
 		key := fmt.Sprintf("requestClasses.%d.", i)
-		numbers = append(numbers, setting{key + "aim", class.Aim}, setting{key + "deadline", class.Deadline},
-			setting{key + "worth", class.Worth}, setting{key + "window", class.Window},
-			setting{key + "aimStretch", class.Stretch})
+		numbers = append(numbers, setting{key + "aim", class.Objective}, setting{key + "deadline", class.Deadline},
+			setting{key + "worth", class.PriorityWeight}, setting{key + "window", class.Window},
+			setting{key + "aimStretch", class.ObjectivePerWork})
 	}
 	for i, tenant := range s.Tenants {
 		key := fmt.Sprintf("tenants.%d.", i)
-		numbers = append(numbers, setting{key + "portion", tenant.Portion}, setting{key + "quotaRps", tenant.Quota})
+		numbers = append(numbers, setting{key + "portion", tenant.ReservedShare}, setting{key + "quotaRps", tenant.Quota})
 	}
 	return numbers
 }
--- a/internal/dispatch/config_test.go
+++ b/internal/dispatch/config_test.go
@@ -9,14 +9,14 @@
 func TestNewNamesTheSettingThatIsWrong(t *testing.T) {
 	tests := map[string]func(*Settings){
 		"requestClasses.count":    func(s *Settings) { s.Classes = nil },
-		"balancers":               func(s *Settings) { s.Balancers = 0 },
+		"balancers":               func(s *Settings) { s.Nodes = 0 },
 		"limits.maxAttempts":      func(s *Settings) { s.MaxAttempts = 0 },
-		"invariants.fallMultiple": func(s *Settings) { s.FallMultiple = 0 },
-		"requestClasses.1.aim":    func(s *Settings) { s.Classes[1].Aim = math.NaN() },
-		"tenants.2.portion":       func(s *Settings) { s.Tenants[2].Portion = -1 },
+		"invariants.fallMultiple": func(s *Settings) { s.OverloadMultiple = 0 },
+		"requestClasses.1.aim":    func(s *Settings) { s.Classes[1].Objective = math.NaN() },
+		"tenants.2.portion":       func(s *Settings) { s.Tenants[2].ReservedShare = -1 },
 		"tenants.0.quotaRps":      func(s *Settings) { s.Tenants[0].Quota = math.NaN() },
-		"overShareWorth":          func(s *Settings) { s.OverShareWorth = -0.5 },
-		"invariants.fall":         func(s *Settings) { s.Fall = math.Inf(1) },
+		"overShareWorth":          func(s *Settings) { s.OverQuotaWeight = -0.5 },
+		"invariants.fall":         func(s *Settings) { s.OverloadWindow = math.Inf(1) },
 	}
 	for key, spoil := range tests {
 		s := base()
@@ -31,13 +31,15 @@
 // Settings that are odd but usable: no division by zero, no panic, and jobs are answered.
 func TestInvalidSettings(t *testing.T) {
 	tests := map[string]func(*Settings){
-		"no tenants":      func(s *Settings) { s.Tenants = nil },
-		"zero portions":   func(s *Settings) { s.Tenants = []Tenant{{}, {}} },
-		"one zero":        func(s *Settings) { s.Tenants[0].Portion = 0 },
-		"zero aims":       func(s *Settings) { s.Classes[0].Aim, s.Classes[0].Stretch = 0, 0 },
-		"zero step":       func(s *Settings) { s.Step, s.Progress, s.ConnectTimeout, s.ConnIdle = 0, 0, 0, 0 },
-		"no rules' times": func(s *Settings) { s.Fall, s.WarmWithin, s.ColdFrom, s.AskWithin, s.DrainGrace = 0, 0, 0, 0, 0 },
-		"zero worth":      func(s *Settings) { s.Classes[0].Worth = 0 },
+		"no tenants":    func(s *Settings) { s.Tenants = nil },
+		"zero portions": func(s *Settings) { s.Tenants = []Tenant{{}, {}} },
+		"one zero":      func(s *Settings) { s.Tenants[0].ReservedShare = 0 },
+		"zero aims":     func(s *Settings) { s.Classes[0].Objective, s.Classes[0].ObjectivePerWork = 0, 0 },
+		"zero step":     func(s *Settings) { s.Step, s.ProgressInterval, s.ConnectTimeout, s.ConnIdle = 0, 0, 0, 0 },
+		"no rules' times": func(s *Settings) {
+			s.OverloadWindow, s.SlowStartWithin, s.SlowStartFrom, s.PollWithin, s.DrainGrace = 0, 0, 0, 0, 0
+		},
+		"zero worth": func(s *Settings) { s.Classes[0].PriorityWeight = 0 },
 	}
 	for name, change := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -72,7 +74,7 @@
 	next.MaxAttempts = 1
 	next.Classes = append(
 		append([]Class{}, s.Classes...),
-		Class{Aim: 500, Deadline: 6000, Worth: 1, Effect: Unsafe, Kind: -1},
+		Class{Objective: 500, Deadline: 6000, PriorityWeight: 1, RetrySafety: AtMostOnce, Kind: -1},
 	)
 	if err := r.d.Retune(next, map[int]int{3: 2}); err != nil {
 		t.Fatal(err)
@@ -84,7 +86,7 @@
 			events = nil
 			for _, a := range out {
 				if a.Kind == ActSend {
-					events = append(events, outcome(a.Job, attempts[a.Job], a.Worker, Reset))
+					events = append(events, outcome(a.Job, attempts[a.Job], a.Executor, Reset))
 					attempts[a.Job]++
 				}
 			}
@@ -98,8 +100,8 @@
 	r.step(request(4, 1, 0, 1))
 	changed := next
 	changed.Classes = append([]Class{}, next.Classes...)
-	changed.Classes[1].Effect = Unsafe
-	if err := r.d.Retune(changed, nil); err == nil || r.d.settings.Classes[1].Effect != Keyed {
+	changed.Classes[1].RetrySafety = AtMostOnce
+	if err := r.d.Retune(changed, nil); err == nil || r.d.settings.Classes[1].RetrySafety != Keyed {
 		t.Errorf("the rules of a class with an open job changed: %v", err)
 	}
 	if err := r.d.Retune(Settings{}, nil); err == nil || r.d.settings.MaxAttempts != 1 {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -61,12 +61,12 @@
 		listWatch:    listWatch{environment: env},
 	}
 	d.admission.setTenants(s.Tenants)
-	d.admission.allArrivals.perSecond = d.admission.totalQuota / float64(s.Balancers)
+	d.admission.allArrivals.perSecond = d.admission.totalQuota / float64(s.Nodes)
 	d.admission.firstArrivals.perSecond = d.admission.allArrivals.perSecond
 	d.gossip.mode = d.chooseGossipMode()
-	if s.MayTell {
-		d.gossip.peers = make([]peer, s.Balancers)
-		d.aggregatorClient = newAggregatorClient(s.Balancers)
+	if s.GossipAllowed {
+		d.gossip.peers = make([]peer, s.Nodes)
+		d.aggregatorClient = newAggregatorClient(s.Nodes)
 		d.aggregatorServer = newAggregatorServer(env)
 	}
 	return d, nil
@@ -100,17 +100,17 @@
 		d.handleOutcome(event)
 	case EvNote:
 		d.handleNote(event)
-	case EvProbed:
+	case EvHealthCheck:
 		d.handleHealthCheck(event)
-	case EvList:
+	case EvEndpoints:
 		d.handleList(event)
-	case EvGone:
+	case EvClientGone:
 		if job := d.jobs.byID[event.Job]; job != nil {
 			d.finishJob(job)
 		}
-	case EvFirst:
+	case EvStreamStarted:
 		d.handleStreamStart(event)
-	case EvPeer:
+	case EvGossip:
 		d.handlePeerMessage(event)
 	}
 }
@@ -142,7 +142,7 @@
 	if len(d.endpoints.listed) <= fullScanLimit || d.now >= d.outliers.nextCheck {
 		d.outliers.nextCheck = d.now + d.unresponsiveTimeout()/outlierChecksPerTimeout
 		d.detectOutliers()
-		if d.settings.MayDuplicate && !d.outliers.panicking {
+		if d.settings.HedgingAllowed && !d.outliers.panicking {
 			d.hedgeUnresponsive()
 		}
 	}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -5,19 +5,28 @@
 // base gives settings of a small site: three tenants, one class of each effect, reports in answers.
 func base() Settings {
 	return Settings{
-		Balancers: 1, Step: 1,
+		Nodes: 1, Step: 1,
 		Classes: []Class{
-			{Aim: 400, Stretch: 2, Deadline: 6000, Worth: 1, Effect: Safe, Kind: -1},
-			{Aim: 400, Stretch: 2, Deadline: 6000, Worth: 1, Effect: Keyed, Scope: ScopeCell, Window: 2000, Kind: -1},
-			{Aim: 400, Stretch: 2, Deadline: 6000, Worth: 1, Effect: Unsafe, Kind: -1},
+			{Objective: 400, ObjectivePerWork: 2, Deadline: 6000, PriorityWeight: 1, RetrySafety: Idempotent, Kind: -1},
+			{
+				Objective:        400,
+				ObjectivePerWork: 2,
+				Deadline:         6000,
+				PriorityWeight:   1,
+				RetrySafety:      Keyed,
+				Scope:            ScopeCell,
+				Window:           2000,
+				Kind:             -1,
+			},
+			{Objective: 400, ObjectivePerWork: 2, Deadline: 6000, PriorityWeight: 1, RetrySafety: AtMostOnce, Kind: -1},
 		},
-		Tenants:   []Tenant{{Portion: 0.5}, {Portion: 0.3}, {Portion: 0.2}},
+		Tenants:   []Tenant{{ReservedShare: 0.5}, {ReservedShare: 0.3}, {ReservedShare: 0.2}},
 		Telemetry: ReportAnswers, Fields: []Field{FieldFree},
-		Progress: 1000, TellsStart: true,
-		MaxAttempts: 4, MayDuplicate: true, MayCancel: true, Multiplex: 1,
+		ProgressInterval: 1000, NotesStart: true,
+		MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, Multiplex: 1,
 		ConnIdle: 5000, ConnectTimeout: 250,
-		AnswerSlack: 16, AskWithin: 10000, DrainGrace: 500,
-		FallMultiple: 4, Fall: 1500, ColdFrom: 0.3, WarmWithin: 9000,
+		AnswerSlack: 16, PollWithin: 10000, DrainGrace: 500,
+		OverloadMultiple: 4, OverloadWindow: 1500, SlowStartFrom: 0.3, SlowStartWithin: 9000,
 	}
 }
 
@@ -29,14 +38,14 @@
 	last []Action
 }
 
-func newRig(t *testing.T, s Settings, rows ...Row) *rig {
+func newRig(t *testing.T, s Settings, rows ...EndpointUpdate) *rig {
 	t.Helper()
 	d, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{t: t, d: d, now: 100000}
-	r.step(Event{Kind: EvList, Form: ListCached, Rows: rows})
+	r.step(Event{Kind: EvEndpoints, Form: ListCached, Rows: rows})
 	return r
 }
 
@@ -50,17 +59,17 @@
 	return r.step(events...)
 }
 
-func ready(id uint32, cell uint16) Row {
-	return Row{Worker: id, Cell: cell, Condition: Ready, Scale: 1}
+func ready(id uint32, cell uint16) EndpointUpdate {
+	return EndpointUpdate{Executor: id, Cell: cell, Condition: Ready, Weight: 1}
 }
 
 func request(id uint32, class uint8, tenant uint16, slots float64) Event {
 	return Event{Kind: EvRequest, Job: id, Class: class, Tenant: tenant, TimeLeft: 6000,
-		Work: 200, Flags: FlagWork, Slots: slots}
+		Work: 200, Flags: FlagWorkHint, Slots: slots}
 }
 
 func outcome(job uint32, attempt uint16, worker uint32, o Outcome, report ...float32) Event {
-	return Event{Kind: EvOutcome, Job: job, Attempt: attempt, Worker: worker, Outcome: o,
+	return Event{Kind: EvOutcome, Job: job, Attempt: attempt, Executor: worker, Outcome: o,
 		Final: o == Served, Report: report}
 }
 
@@ -76,8 +85,8 @@
 }
 
 // fleet lists n executors of one kind, ids from 100 on.
-func fleet(n int) []Row {
-	rows := make([]Row, n)
+func fleet(n int) []EndpointUpdate {
+	rows := make([]EndpointUpdate, n)
 	for i := range rows {
 		rows[i] = ready(uint32(100+i), 0)
 	}
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -36,7 +36,7 @@
 // endpointRow is what the list told of an executor, kept apart from all else: lists with live weights come often, and
 // to touch each executor for each would cost more CPU than all jobs do.
 type endpointRow struct {
-	row      Row
+	row      EndpointUpdate
 	liveLoad float64 // requests held per core, as the live weight told
 }
 
@@ -45,23 +45,23 @@
 	zone, kind int
 	cell       uint16
 	condition  Condition
-	position   int // in the list, where weights are live
-	row        Row // when it last changed but for its weight
+	position   int            // in the list, where weights are live
+	row        EndpointUpdate // when it last changed but for its weight
 }
 
 // positionOf is where an executor stands in the list, or would.
 func (l *endpointList) positionOf(id uint32) int {
-	return sort.Search(len(l.rows), func(k int) bool { return l.rows[k].row.Worker >= id })
+	return sort.Search(len(l.rows), func(k int) bool { return l.rows[k].row.Executor >= id })
 }
 
 // isAt says whether an executor stands at a position.
 func (l *endpointList) isAt(position int, id uint32) bool {
-	return position < len(l.rows) && l.rows[position].row.Worker == id
+	return position < len(l.rows) && l.rows[position].row.Executor == id
 }
 
 // applyWeight takes in a weight of the list.
 func (l *endpointList) applyWeight(known *endpointRow, scale float64) {
-	known.row.Scale = scale
+	known.row.Weight = scale
 	largest := &l.kindScales[known.row.Kind]
 	*largest = max(*largest, scale, minWeight)
 	if l.settings.LiveWeights && scale > 0 {
@@ -71,9 +71,9 @@
 }
 
 // isUnchanged says whether a row is the known one but for its weight.
-func (r *endpointRow) isUnchanged(row *Row) bool {
+func (r *endpointRow) isUnchanged(row *EndpointUpdate) bool {
 	other := *row
-	other.Scale = r.row.Scale
+	other.Weight = r.row.Weight
 	return other == r.row
 }
 
@@ -130,7 +130,7 @@
 func (d *Dispatcher) applyRows(event *Event) {
 	if event.Form != ListDelta {
 		for _, executor := range d.endpoints.listed {
-			executor.endpoint.condition = Gone
+			executor.endpoint.condition = Removed
 		}
 	}
 	d.slowStart.noteRows(event.Rows)
@@ -160,17 +160,17 @@
 	at := 0
 	for i := range event.Rows {
 		row := &event.Rows[i]
-		if !list.isAt(at, row.Worker) {
-			at = list.positionOf(row.Worker)
+		if !list.isAt(at, row.Executor) {
+			at = list.positionOf(row.Executor)
 		}
-		if list.isAt(at, row.Worker) {
+		if list.isAt(at, row.Executor) {
 			known := &list.rows[at]
 			at++
 			if event.Form == ListDelta && known.isUnchanged(row) {
-				list.applyWeight(known, row.Scale)
+				list.applyWeight(known, row.Weight)
 				continue
 			}
-			known.row.Scale = row.Scale
+			known.row.Weight = row.Weight
 		}
 		changed = append(changed, d.applyRow(row))
 	}
@@ -179,18 +179,18 @@
 }
 
 // applyRow brings an executor up to date with its row, and makes it if it is new.
-func (d *Dispatcher) applyRow(row *Row) *executor {
-	executor := d.endpoints.byID[row.Worker]
+func (d *Dispatcher) applyRow(row *EndpointUpdate) *executor {
+	executor := d.endpoints.byID[row.Executor]
 	if executor == nil {
-		executor = d.newExecutor(row.Worker)
-	} else if row.Born != executor.slowStart.listedStart {
+		executor = d.newExecutor(row.Executor)
+	} else if row.StartedAt != executor.slowStart.listedStart {
 		// A new process. The start may be an earlier one: the clock that told them may have been stepped back.
 		d.forgetProcess(executor)
 	}
 	endpoint := &executor.endpoint
 	endpoint.zone, endpoint.kind, endpoint.cell = int(row.Zone), int(row.Kind), row.Cell
 	executor.group = d.capacity.groupOf(row.Kind, row.Zone)
-	d.slowStart.noteStart(executor, row.Born)
+	d.slowStart.noteStart(executor, row.StartedAt)
 	endpoint.condition, endpoint.row = row.Condition, *row
 	d.slowStart.track(executor)
 	d.slowStartAllows(executor, 0) // the budget runs from now on, and not from our next job
@@ -230,7 +230,7 @@
 	list.listed, list.removed = list.listed[:0], list.removed[:0]
 	for _, executor := range list.byID {
 		switch {
-		case executor.endpoint.condition != Gone:
+		case executor.endpoint.condition != Removed:
 			list.listed = append(list.listed, executor)
 			executor.tag = d.tagOf(executor.id)
 		case len(executor.inFlight.jobs) == 0:
@@ -241,8 +241,8 @@
 	}
 	slices.SortFunc(list.listed, func(a, b *executor) int { return cmp.Compare(a.id, b.id) })
 	for i := range list.rows {
-		if executor := list.byID[list.rows[i].row.Worker]; executor != nil {
-			executor.endpoint.row.Scale = list.rows[i].row.Scale // as last notified
+		if executor := list.byID[list.rows[i].row.Executor]; executor != nil {
+			executor.endpoint.row.Weight = list.rows[i].row.Weight // as last notified
 		}
 	}
 	list.rows, list.hashes = list.rows[:0], list.hashes[:0]
@@ -250,7 +250,7 @@
 		executor.endpoint.position, list.byTag[executor.tag] = i, executor
 		list.rows = append(list.rows, endpointRow{row: executor.endpoint.row})
 		list.hashes = append(list.hashes, affinityHashOf(executor))
-		list.applyWeight(&list.rows[i], executor.endpoint.row.Scale)
+		list.applyWeight(&list.rows[i], executor.endpoint.row.Weight)
 	}
 }
 
@@ -261,26 +261,26 @@
 	at := list.positionOf(executor.id)
 	isListed := list.isAt(at, executor.id)
 	switch {
-	case executor.endpoint.condition == Gone:
+	case executor.endpoint.condition == Removed:
 		if isListed {
 			list.remove(at)
 		}
 		list.removed = append(list.removed, executor)
 		return
 	case isListed:
-		executor.endpoint.row.Scale = list.rows[at].row.Scale // as last notified
+		executor.endpoint.row.Weight = list.rows[at].row.Weight // as last notified
 		list.rows[at].row, list.hashes[at] = executor.endpoint.row, affinityHashOf(executor)
 	default:
 		executor.tag = d.tagOf(executor.id)
 		list.insert(at, executor)
 	}
-	list.applyWeight(&list.rows[at], executor.endpoint.row.Scale)
+	list.applyWeight(&list.rows[at], executor.endpoint.row.Weight)
 }
 
 // forgetRemoved forgets the executors that are gone once nothing of ours is in flight there.
 func (d *Dispatcher) forgetRemoved() {
 	d.endpoints.removed = slices.DeleteFunc(d.endpoints.removed, func(executor *executor) bool {
-		isGone, isIdle := executor.endpoint.condition == Gone, len(executor.inFlight.jobs) == 0
+		isGone, isIdle := executor.endpoint.condition == Removed, len(executor.inFlight.jobs) == 0
 		if isGone && isIdle {
 			d.forgetExecutor(executor)
 		}
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -14,26 +14,26 @@
 	for seed := int64(1); seed <= 6; seed++ {
 		rng := rand.New(rand.NewSource(seed))
 		s := base()
-		s.Balancers, s.MayTell = 60, true
+		s.Nodes, s.GossipAllowed = 60, true
 		first := fleet(300)
 		changes, sorted := newRig(t, s, first...), newRig(t, s, first...)
 		if changes.d.gossip.mode != gossipAggregator {
 			t.Fatal("names of 16 bits: few executors share one")
 		}
-		rows := map[uint32]Row{}
+		rows := map[uint32]EndpointUpdate{}
 		for _, r := range first {
-			rows[r.Worker] = r
+			rows[r.Executor] = r
 		}
 		var out []Action
 		for job := uint32(1); job <= 250; job++ {
 			events := []Event{request(job, uint8(rng.Intn(3)), 0, 1)}
 			for len(out) > 40 || len(out) > 0 && rng.Intn(3) == 0 {
-				events = append(events, outcome(out[0].Job, 0, out[0].Worker, Served))
+				events = append(events, outcome(out[0].Job, 0, out[0].Executor, Served))
 				out = out[1:]
 			}
 			serial := sorted.d.endpoints.revision
 			if rng.Intn(2) == 0 {
-				events = append(events, Event{Kind: EvList, Form: ListDelta, Rows: randomChange(rng, rows, changes.now)})
+				events = append(events, Event{Kind: EvEndpoints, Form: ListDelta, Rows: randomChange(rng, rows, changes.now)})
 			}
 			a, b := changes.after(20, events...), sorted.after(20, events...)
 			if !reflect.DeepEqual(a, b) {
@@ -55,7 +55,7 @@
 }
 
 // randomChange draws a few rows that change: their condition, start or cell, or a new executor.
-func randomChange(rng *rand.Rand, rows map[uint32]Row, now float64) (changed []Row) {
+func randomChange(rng *rand.Rand, rows map[uint32]EndpointUpdate, now float64) (changed []EndpointUpdate) {
 	for range 1 + rng.Intn(4) {
 		id := uint32(90 + rng.Intn(320))
 		r, ok := rows[id]
@@ -64,11 +64,11 @@
 		}
 		switch rng.Intn(5) {
 		case 0:
-			r.Condition = Gone
+			r.Condition = Removed
 		case 1:
 			r.Condition = Draining
 		case 2:
-			r.Condition, r.Born = Ready, now
+			r.Condition, r.StartedAt = Ready, now
 		case 3:
 			r.Condition, r.Cell = Ready, uint16(rng.Intn(3))
 		default:
@@ -124,11 +124,11 @@
 		for _, c := range []struct {
 			name string
 			to   Condition
-		}{{"drain", Draining}, {"leave", Gone}} {
+		}{{"drain", Draining}, {"leave", Removed}} {
 			for _, anew := range []bool{false, true} {
 				b.Run(fmt.Sprintf("executors=%d/%s/anew=%v", n, c.name, anew), func(b *testing.B) {
 					s := base()
-					s.Balancers = 300
+					s.Nodes = 300
 					d, err := New(s, 1)
 					if err != nil {
 						b.Fatal(err)
@@ -140,7 +140,7 @@
 						if i%2 == 0 {
 							row.Condition = c.to
 						}
-						d.applyRows(&Event{Form: ListDelta, Rows: []Row{row}})
+						d.applyRows(&Event{Form: ListDelta, Rows: []EndpointUpdate{row}})
 						if anew {
 							d.rebuildList()
 						}
@@ -154,14 +154,14 @@
 // Weights are told for all executors again and again; when an executor joins, those of the others stay as last told.
 func TestWeightsOutlastListChanges(t *testing.T) {
 	s := base()
-	s.Balancers, s.LiveWeights = 100, true
+	s.Nodes, s.LiveWeights = 100, true
 	r := newRig(t, s, fleet(30)...)
 	rows := fleet(30)
 	for i := range rows {
-		rows[i].Scale = 0.25
+		rows[i].Weight = 0.25
 	}
-	r.after(500, Event{Kind: EvList, Form: ListDelta, Rows: rows})
-	r.after(500, Event{Kind: EvList, Form: ListDelta, Rows: []Row{ready(500, 0)}})
+	r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Rows: rows})
+	r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{ready(500, 0)}})
 	for _, executor := range r.d.endpoints.listed {
 		want := 3.0
 		if executor.id == 500 {
--- a/internal/dispatch/example_test.go
+++ b/internal/dispatch/example_test.go
@@ -10,9 +10,11 @@
 // it was served, and has nothing left to answer.
 func Example() {
 	settings := dispatch.Settings{
-		Balancers:   1,
-		MaxAttempts: 2, FallMultiple: 3,
-		Classes: []dispatch.Class{{Aim: 400, Deadline: 5000, Worth: 1, Effect: dispatch.Safe, Kind: -1}},
+		Nodes:       1,
+		MaxAttempts: 2, OverloadMultiple: 3,
+		Classes: []dispatch.Class{
+			{Objective: 400, Deadline: 5000, PriorityWeight: 1, RetrySafety: dispatch.Idempotent, Kind: -1},
+		},
 	}
 	d, err := dispatch.New(settings, 42)
 	if err != nil {
@@ -25,8 +27,8 @@
 		for _, a := range actions {
 			switch a.Kind {
 			case dispatch.ActSend:
-				fmt.Printf("%.0f ms: send job %d to executor %d\n", now, a.Job, a.Worker)
-			case dispatch.ActRefuse:
+				fmt.Printf("%.0f ms: send job %d to executor %d\n", now, a.Job, a.Executor)
+			case dispatch.ActReject:
 				fmt.Printf("%.0f ms: reject job %d\n", now, a.Job)
 			case dispatch.ActFail:
 				fmt.Printf("%.0f ms: fail job %d\n", now, a.Job)
@@ -35,11 +37,11 @@
 			}
 		}
 	}
-	carryOut(1000, dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListCached,
-		Rows: []dispatch.Row{{Worker: 7, Condition: dispatch.Ready, Scale: 1}}})
+	carryOut(1000, dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached,
+		Rows: []dispatch.EndpointUpdate{{Executor: 7, Condition: dispatch.Ready, Weight: 1}}})
 	carryOut(1010, dispatch.Event{Kind: dispatch.EvRequest, Job: 1, TimeLeft: 5000, Slots: 1})
-	carryOut(1300, dispatch.Event{Kind: dispatch.EvOutcome, Job: 1, Worker: 7, Outcome: dispatch.Served, Final: true})
-	carryOut(1400, dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListFull}) // the executor has left
+	carryOut(1300, dispatch.Event{Kind: dispatch.EvOutcome, Job: 1, Executor: 7, Outcome: dispatch.Served, Final: true})
+	carryOut(1400, dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot}) // the executor has left
 	carryOut(1500, dispatch.Event{Kind: dispatch.EvRequest, Job: 2, TimeLeft: 10, Slots: 1})
 	// Output:
 	// 1010 ms: send job 1 to executor 7
--- a/internal/dispatch/golden_actions_test.go
+++ b/internal/dispatch/golden_actions_test.go
@@ -12,19 +12,19 @@
 	switch a.Kind {
 	case dispatch.ActSend:
 		c.send(i, n, a)
-	case dispatch.ActRefuse, dispatch.ActFail:
+	case dispatch.ActReject, dispatch.ActFail:
 		r := n.requests[a.Job]
 		if r == nil || r.done {
 			return
 		}
 		r.done = true
-		if a.Kind == dispatch.ActRefuse && c.random.chance(0.5) {
+		if a.Kind == dispatch.ActReject && c.random.chance(0.5) {
 			again := r.event
 			wait := max(a.For, 20)
 			if again.TimeLeft = r.due - c.now - wait; again.TimeLeft > 50 {
 				again.Job = c.nextJob
 				c.nextJob++
-				again.Flags |= dispatch.FlagRepeat
+				again.Flags |= dispatch.FlagRetry
 				node := c.random.below(len(c.nodes))
 				c.at(wait, func() { c.ask(node, again) })
 			}
@@ -38,24 +38,24 @@
 				case x.began || x.executor.hung:
 					c.end(x, dispatch.Cancelled, 1)
 				default:
-					c.end(x, dispatch.Moot, 1)
+					c.end(x, dispatch.CanceledBeforeSend, 1)
 				}
 			})
 		}
 	case dispatch.ActTimer:
 		c.give(i, n.life, a.For, dispatch.Event{Kind: dispatch.EvTimer, Token: a.Token})
-	case dispatch.ActProbe:
-		c.probe(i, n, a.Worker)
-	case dispatch.ActWatch:
+	case dispatch.ActHealthCheck:
+		c.probe(i, n, a.Executor)
+	case dispatch.ActPollList:
 		c.watch(i, n.life)
-	case dispatch.ActTell:
+	case dispatch.ActGossip:
 		c.tell(i, a)
 	}
 }
 
 func (c *goldenCluster) executor(id uint32) *goldenExecutor {
 	for _, e := range c.executors {
-		if e.row.Worker == id {
+		if e.row.Executor == id {
 			return e
 		}
 	}
@@ -63,9 +63,9 @@
 }
 
 func (c *goldenCluster) send(i int, n *goldenNode, action *dispatch.Action) {
-	e, r := c.executor(action.Worker), n.requests[action.Job]
+	e, r := c.executor(action.Executor), n.requests[action.Job]
 	if e == nil || r == nil {
-		c.t.Fatalf("node %d sends job %d to executor %d: one of them is unknown", i, action.Job, action.Worker)
+		c.t.Fatalf("node %d sends job %d to executor %d: one of them is unknown", i, action.Job, action.Executor)
 	}
 	a := &goldenAttempt{node: i, life: n.life, job: action.Job, number: uint16(len(r.attempts)), executor: e,
 		execLife: e.life, work: r.event.Work, slots: max(1, r.event.Slots), class: int(r.event.Class)}
@@ -79,16 +79,16 @@
 	e := a.executor
 	switch {
 	case a.ended:
-	case e.down || e.row.Condition == dispatch.Gone || e.deaf && c.random.chance(0.7):
+	case e.down || e.row.Condition == dispatch.Removed || e.deaf && c.random.chance(0.7):
 		c.end(a, dispatch.ConnectFailed, s.ConnectTimeout)
 	case e.drains, len(e.queue) > 6:
 		c.end(a, dispatch.Full, 1)
 	case c.random.chance(0.005):
-		c.end(a, dispatch.Moot, 3)
+		c.end(a, dispatch.CanceledBeforeSend, 3)
 	case e.hung:
-		if s.TellsStart {
+		if s.NotesStart {
 			c.give(a.node, a.life, 120, dispatch.Event{Kind: dispatch.EvNote, Job: a.job, Attempt: a.number,
-				Worker: e.row.Worker, Topic: dispatch.NoteLate})
+				Executor: e.row.Executor, Topic: dispatch.NoteAckOverdue})
 		}
 	default:
 		e.queue = append(e.queue, a)
@@ -117,13 +117,19 @@
 func (c *goldenCluster) begin(a *goldenAttempt) {
 	e, s := a.executor, c.plan.settings(a.node)
 	run := max(1, a.work/e.speed*c.random.span(0.8, 1.3))
-	note := dispatch.Event{Kind: dispatch.EvNote, Job: a.job, Attempt: a.number, Worker: e.row.Worker, Topic: dispatch.NoteStarted}
-	if s.TellsStart {
+	note := dispatch.Event{
+		Kind:     dispatch.EvNote,
+		Job:      a.job,
+		Attempt:  a.number,
+		Executor: e.row.Executor,
+		Topic:    dispatch.NoteStarted,
+	}
+	if s.NotesStart {
 		c.give(a.node, a.life, 1, note)
 	}
-	if s.Progress > 0 {
+	if s.ProgressInterval > 0 {
 		note.Topic = dispatch.NoteProgress
-		for at := s.Progress; at < run; at += s.Progress {
+		for at := s.ProgressInterval; at < run; at += s.ProgressInterval {
 			note.Amount = at / run
 			progress := note
 			c.at(at, func() {
@@ -134,8 +140,8 @@
 		}
 	}
 	if c.plan.streams && c.random.chance(0.1) {
-		c.give(a.node, a.life, run/2, dispatch.Event{Kind: dispatch.EvFirst, Job: a.job, Attempt: a.number,
-			Worker: e.row.Worker, Elapsed: run / 2})
+		c.give(a.node, a.life, run/2, dispatch.Event{Kind: dispatch.EvStreamStarted, Job: a.job, Attempt: a.number,
+			Executor: e.row.Executor, Elapsed: run / 2})
 	}
 	outcome := dispatch.Served
 	switch {
@@ -174,8 +180,15 @@
 	if outcome == dispatch.Served && !r.done {
 		r.done, final = true, true
 	}
-	event := dispatch.Event{Kind: dispatch.EvOutcome, Job: a.job, Attempt: a.number, Worker: e.row.Worker, Outcome: outcome,
-		Elapsed: after, Final: final}
+	event := dispatch.Event{
+		Kind:     dispatch.EvOutcome,
+		Job:      a.job,
+		Attempt:  a.number,
+		Executor: e.row.Executor,
+		Outcome:  outcome,
+		Elapsed:  after,
+		Final:    final,
+	}
 	s := c.plan.settings(a.node)
 	switch outcome {
 	case dispatch.Served, dispatch.Errored, dispatch.Full:
@@ -212,7 +225,7 @@
 func (c *goldenCluster) probe(i int, n *goldenNode, id uint32) {
 	e, s, life := c.executor(id), c.plan.settings(i), n.life
 	c.at(c.random.span(1, 6), func() {
-		event := dispatch.Event{Kind: dispatch.EvProbed, Worker: id, Elapsed: 4}
+		event := dispatch.Event{Kind: dispatch.EvHealthCheck, Executor: id, Elapsed: 4}
 		switch {
 		case e == nil || e.down:
 			event.Outcome = dispatch.ConnectFailed
@@ -231,9 +244,9 @@
 		if n.life != life {
 			return
 		}
-		e := dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListFailed}
+		e := dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListFailed}
 		if c.discovery {
-			e = dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListFull, Version: c.version, Rows: c.rows()}
+			e = dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: c.version, Rows: c.rows()}
 			n.watching = true
 		}
 		n.pending = append(n.pending, e)
@@ -248,6 +261,11 @@
 		if n.cut || c.nodes[i].cut || c.random.chance(0.01) {
 			continue
 		}
-		c.give(k, n.life, c.random.span(1, 4), dispatch.Event{Kind: dispatch.EvPeer, From: uint32(i), Data: append([]byte(nil), a.Data...)})
+		c.give(
+			k,
+			n.life,
+			c.random.span(1, 4),
+			dispatch.Event{Kind: dispatch.EvGossip, From: uint32(i), Data: append([]byte(nil), a.Data...)},
+		)
 	}
 }
--- a/internal/dispatch/golden_cluster_test.go
+++ b/internal/dispatch/golden_cluster_test.go
@@ -48,7 +48,7 @@
 }
 
 type goldenExecutor struct {
-	row     dispatch.Row
+	row     dispatch.EndpointUpdate
 	slots   float64
 	busy    float64
 	queue   []*goldenAttempt
@@ -143,8 +143,14 @@
 		kinds: map[dispatch.EventKind]int{}, step: step, nextJob: 1}
 	for i := range plan.executors {
 		e := &goldenExecutor{slots: float64(2 + i%3), speed: 0.6 + 0.2*float64(i%5), badKind: -1, memory: 16}
-		e.row = dispatch.Row{Worker: uint32(100 + 3*i), Zone: uint8(i % 3), Kind: uint8(i % 2), Cell: uint16(i % 5),
-			Condition: dispatch.Ready, Scale: float64(1 + i%3)}
+		e.row = dispatch.EndpointUpdate{
+			Executor:  uint32(100 + 3*i),
+			Zone:      uint8(i % 3),
+			Kind:      uint8(i % 2),
+			Cell:      uint16(i % 5),
+			Condition: dispatch.Ready,
+			Weight:    float64(1 + i%3),
+		}
 		c.executors = append(c.executors, e)
 	}
 	for i := range plan.nodes {
@@ -214,10 +220,10 @@
 	})
 }
 
-func (c *goldenCluster) rows() []dispatch.Row {
-	rows := make([]dispatch.Row, 0, len(c.executors))
+func (c *goldenCluster) rows() []dispatch.EndpointUpdate {
+	rows := make([]dispatch.EndpointUpdate, 0, len(c.executors))
 	for _, e := range c.executors {
-		if e.row.Condition != dispatch.Gone {
+		if e.row.Condition != dispatch.Removed {
 			rows = append(rows, e.row)
 		}
 	}
@@ -229,7 +235,7 @@
 	n.life++
 	n.down, n.requests, n.pending = false, map[uint32]*goldenRequest{}, nil
 	s := c.plan.settings(i)
-	n.watching = !s.Ask
+	n.watching = !s.PollsList
 	d, err := dispatch.New(s, c.random.next())
 	if err != nil {
 		c.t.Fatal(err)
@@ -239,7 +245,7 @@
 	if n.life > 1 && len(rows) > 3 {
 		rows = rows[:len(rows)-1] // what was held is old
 	}
-	n.pending = []dispatch.Event{{Kind: dispatch.EvList, Form: dispatch.ListCached, Version: c.version, Rows: rows}}
+	n.pending = []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Version: c.version, Rows: rows}}
 }
 
 // ---- clients
@@ -263,12 +269,12 @@
 		if len(s.Tenants) > 0 {
 			e.Tenant = uint16(c.random.below(len(s.Tenants)) * c.random.below(2))
 		}
-		e.Work = s.Classes[class].Aim * c.random.span(0.1, 1.2)
+		e.Work = s.Classes[class].Objective * c.random.span(0.1, 1.2)
 		if c.random.chance(0.05) {
 			e.Work *= 6
 		}
 		if c.random.chance(c.plan.hints) {
-			e.Flags |= dispatch.FlagWork
+			e.Flags |= dispatch.FlagWorkHint
 		}
 		if c.random.chance(0.1) {
 			e.Slots = float64(1 + c.random.below(3))
@@ -280,7 +286,7 @@
 			e.Memory = c.random.span(0, 6)
 		}
 		if c.plan.prices && c.random.chance(0.5) {
-			e.Prices = []float64{0, c.random.span(0, 0.4), c.random.span(0, 0.8)}
+			e.ZonePrices = []float64{0, c.random.span(0, 0.4), c.random.span(0, 0.8)}
 		}
 		c.ask(node, e)
 	}
@@ -295,7 +301,7 @@
 	n.requests[e.Job] = r
 	n.pending = append(n.pending, e)
 	life, job := n.life, e.Job
-	if e.Flags&dispatch.FlagWork == 0 {
+	if e.Flags&dispatch.FlagWorkHint == 0 {
 		r.event.Work = e.Work
 	}
 	if c.random.chance(0.04) {
@@ -314,7 +320,7 @@
 		return
 	}
 	r.done = true
-	n.pending = append(n.pending, dispatch.Event{Kind: dispatch.EvGone, Job: job})
+	n.pending = append(n.pending, dispatch.Event{Kind: dispatch.EvClientGone, Job: job})
 	for _, a := range r.attempts {
 		if !a.ended {
 			c.end(a, dispatch.TimedOut, 1)
--- a/internal/dispatch/golden_encode_test.go
+++ b/internal/dispatch/golden_encode_test.go
@@ -19,7 +19,7 @@
 	switch a.Kind {
 	case dispatch.ActSend:
 		name("send")
-	case dispatch.ActRefuse:
+	case dispatch.ActReject:
 		name("refuse")
 	case dispatch.ActFail:
 		name("fail")
@@ -27,15 +27,15 @@
 		name("cancel")
 	case dispatch.ActTimer:
 		name("timer")
-	case dispatch.ActProbe:
+	case dispatch.ActHealthCheck:
 		name("probe")
 	case dispatch.ActClose:
 		name("close")
-	case dispatch.ActWatch:
+	case dispatch.ActPollList:
 		name("watch")
 	case dispatch.ActFetch:
 		name("fetch")
-	case dispatch.ActTell:
+	case dispatch.ActGossip:
 		name("tell")
 	case dispatch.ActLog:
 		name("log")
@@ -50,7 +50,7 @@
 	decision = big.AppendUint16(decision, a.Attempt)
 	decision = big.AppendUint16(decision, a.To)
 	decision = big.AppendUint32(decision, a.Job)
-	decision = big.AppendUint32(decision, a.Worker)
+	decision = big.AppendUint32(decision, a.Executor)
 	decision = big.AppendUint32(decision, a.Token)
 	decision = big.AppendUint64(decision, math.Float64bits(a.For))
 	decision = big.AppendUint32(decision, uint32(len(a.Data)))
@@ -63,5 +63,5 @@
 	decision, text := goldenAction(t, a)
 	kind, _, _ := bytes.Cut(decision, []byte{0})
 	return fmt.Sprintf("%s on=%v job=%d attempt=%d executor=%d to=%d token=%d for=%v data=%x %s",
-		kind, a.On, a.Job, a.Attempt, a.Worker, a.To, a.Token, a.For, a.Data, text)
+		kind, a.On, a.Job, a.Attempt, a.Executor, a.To, a.Token, a.For, a.Data, text)
 }
--- a/internal/dispatch/golden_faults_test.go
+++ b/internal/dispatch/golden_faults_test.go
@@ -10,12 +10,17 @@
 // This file holds the faults of the golden runs: executors, nodes, discovery, and what no host should give.
 
 // listed sends changed rows to all who watch.
-func (c *goldenCluster) listed(rows ...dispatch.Row) {
+func (c *goldenCluster) listed(rows ...dispatch.EndpointUpdate) {
 	c.version++
 	for i, n := range c.nodes {
 		if n.watching {
-			c.give(i, n.life, c.random.span(1, 30), dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListDelta, Version: c.version,
-				Rows: append([]dispatch.Row(nil), rows...)})
+			c.give(
+				i,
+				n.life,
+				c.random.span(1, 30),
+				dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Version: c.version,
+					Rows: append([]dispatch.EndpointUpdate(nil), rows...)},
+			)
 		}
 	}
 }
@@ -80,13 +85,13 @@
 
 func (c *goldenCluster) restartExecutor() {
 	e := c.anyExecutor()
-	if e.row.Condition == dispatch.Gone {
+	if e.row.Condition == dispatch.Removed {
 		return
 	}
 	c.kill(e)
 	e.down = true
 	c.at(c.random.span(20, 300), func() {
-		e.down, e.row.Born, e.row.Condition = false, c.now, dispatch.Ready
+		e.down, e.row.StartedAt, e.row.Condition = false, c.now, dispatch.Ready
 		c.listed(e.row)
 	})
 }
@@ -99,11 +104,11 @@
 	e.row.Condition = dispatch.Draining
 	c.listed(e.row)
 	c.at(400, func() {
-		e.row.Condition = dispatch.Gone
+		e.row.Condition = dispatch.Removed
 		c.kill(e)
 		c.listed(e.row)
 		c.at(700, func() {
-			e.row.Condition, e.row.Born = dispatch.Ready, c.now
+			e.row.Condition, e.row.StartedAt = dispatch.Ready, c.now
 			e.row.Zone = uint8(c.random.below(3))
 			c.listed(e.row)
 		})
@@ -130,9 +135,9 @@
 func (c *goldenCluster) stopDiscovery() {
 	c.discovery = false
 	for i, n := range c.nodes {
-		if n.watching && c.plan.settings(i).Ask {
+		if n.watching && c.plan.settings(i).PollsList {
 			n.watching = false
-			c.give(i, n.life, 2, dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListFailed})
+			c.give(i, n.life, 2, dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListFailed})
 		}
 	}
 	c.at(c.random.span(300, 1500), func() { c.discovery = true })
@@ -140,10 +145,10 @@
 
 // weights changes sizes as a list with live weights does: often, and nothing else.
 func (c *goldenCluster) weights() {
-	var rows []dispatch.Row
+	var rows []dispatch.EndpointUpdate
 	for i, e := range c.executors {
-		if e.row.Condition != dispatch.Gone {
-			e.row.Scale = float64(1+i%3) / (1 + float64(e.running+len(e.queue))/e.slots)
+		if e.row.Condition != dispatch.Removed {
+			e.row.Weight = float64(1+i%3) / (1 + float64(e.running+len(e.queue))/e.slots)
 			rows = append(rows, e.row)
 		}
 	}
@@ -161,25 +166,41 @@
 	}
 	job := uint32(c.random.below(int(c.nextJob)))
 	odd := []dispatch.Event{
-		{Kind: dispatch.EvOutcome, Job: 1 << 30, Worker: 100, Outcome: dispatch.Served, Report: []float32{1, 2, 3}},
-		{Kind: dispatch.EvOutcome, Job: job, Attempt: 77, Worker: 103, Outcome: dispatch.Full},
+		{Kind: dispatch.EvOutcome, Job: 1 << 30, Executor: 100, Outcome: dispatch.Served, Report: []float32{1, 2, 3}},
+		{Kind: dispatch.EvOutcome, Job: job, Attempt: 77, Executor: 103, Outcome: dispatch.Full},
 		{Kind: dispatch.EvNote, Job: job, Attempt: 9, Topic: dispatch.NoteProgress},
-		{Kind: dispatch.EvFirst, Job: 1 << 30},
-		{Kind: dispatch.EvGone, Job: 1 << 30},
-		{Kind: dispatch.EvPeer, From: 5000, Data: []byte{1, 2, 3}},
-		{Kind: dispatch.EvPeer, From: uint32(c.random.below(len(c.nodes))), Data: []byte{byte(c.random.next()), byte(c.random.next()), 5, 1}},
-		{Kind: dispatch.EvPeer, From: uint32(c.random.below(len(c.nodes)))},
-		{Kind: dispatch.EvProbed, Worker: 1 << 30, Outcome: dispatch.Served},
-		{Kind: dispatch.EvProbed, Worker: 100, Outcome: dispatch.Served, Report: []float32{float32(math.NaN()), float32(math.Inf(1)), -1}},
+		{Kind: dispatch.EvStreamStarted, Job: 1 << 30},
+		{Kind: dispatch.EvClientGone, Job: 1 << 30},
+		{Kind: dispatch.EvGossip, From: 5000, Data: []byte{1, 2, 3}},
+		{
+			Kind: dispatch.EvGossip,
+			From: uint32(c.random.below(len(c.nodes))),
+			Data: []byte{byte(c.random.next()), byte(c.random.next()), 5, 1},
+		},
+		{Kind: dispatch.EvGossip, From: uint32(c.random.below(len(c.nodes)))},
+		{Kind: dispatch.EvHealthCheck, Executor: 1 << 30, Outcome: dispatch.Served},
+		{
+			Kind:     dispatch.EvHealthCheck,
+			Executor: 100,
+			Outcome:  dispatch.Served,
+			Report:   []float32{float32(math.NaN()), float32(math.Inf(1)), -1},
+		},
 		{Kind: dispatch.EvTimer, Token: 1 << 30},
-		{Kind: dispatch.EvList, Form: dispatch.ListFull, Version: c.version, Rows: c.rows()},
-		{Kind: dispatch.EvList, Form: dispatch.ListDelta, Rows: []dispatch.Row{{Worker: 1 << 30, Condition: dispatch.Gone}}},
+		{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: c.version, Rows: c.rows()},
+		{
+			Kind: dispatch.EvEndpoints,
+			Form: dispatch.ListDelta,
+			Rows: []dispatch.EndpointUpdate{{Executor: 1 << 30, Condition: dispatch.Removed}},
+		},
 	}
 	n.pending = append(n.pending, odd[c.random.below(len(odd))])
 	if c.random.chance(0.3) { // numbers of no sense; nobody waits for its answer
 		n.requests[c.nextJob] = &goldenRequest{due: c.now + 300, event: dispatch.Event{Work: 50, TimeLeft: 300}}
-		n.pending = append(n.pending, dispatch.Event{Kind: dispatch.EvRequest, Job: c.nextJob, Class: 250, Tenant: 60000, Slots: math.NaN(),
-			Memory: -3, TimeLeft: 300, Work: math.Inf(1), Flags: dispatch.FlagWork})
+		n.pending = append(
+			n.pending,
+			dispatch.Event{Kind: dispatch.EvRequest, Job: c.nextJob, Class: 250, Tenant: 60000, Slots: math.NaN(),
+				Memory: -3, TimeLeft: 300, Work: math.Inf(1), Flags: dispatch.FlagWorkHint},
+		)
 		life, id := n.life, c.nextJob
 		c.at(305, func() { c.leave(i, life, id) })
 		c.nextJob++
@@ -196,12 +217,15 @@
 	s := c.plan.settings(i)
 	s.Fees.CrossZone += 0.1 * float64(c.random.below(3))
 	s.MaxAttempts = 2 + c.random.below(3)
-	s.OverShareWorth = 0.25 * float64(c.random.below(4))
+	s.OverQuotaWeight = 0.25 * float64(c.random.below(4))
 	if c.random.chance(0.5) && len(s.Tenants) > 0 {
-		s.Tenants = append(append([]dispatch.Tenant(nil), s.Tenants...), dispatch.Tenant{Portion: 0.1, Quota: 3})
+		s.Tenants = append(append([]dispatch.Tenant(nil), s.Tenants...), dispatch.Tenant{ReservedShare: 0.1, Quota: 3})
 	}
 	if c.random.chance(0.5) {
-		s.Classes = append(append([]dispatch.Class(nil), s.Classes...), dispatch.Class{Aim: 700, Deadline: 3000, Worth: 2, Kind: -1})
+		s.Classes = append(
+			append([]dispatch.Class(nil), s.Classes...),
+			dispatch.Class{Objective: 700, Deadline: 3000, PriorityWeight: 2, Kind: -1},
+		)
 	}
 	if c.random.chance(0.2) {
 		s.MaxAttempts = 0 // refused
--- a/internal/dispatch/golden_plans_test.go
+++ b/internal/dispatch/golden_plans_test.go
@@ -5,29 +5,63 @@
 // goldenBase gives a small site's settings: a class of each effect, three tenants with quotas.
 func goldenBase(node, nodes int) dispatch.Settings {
 	return dispatch.Settings{
-		Me: node, Balancers: nodes, Zone: node % 3, Step: 1,
+		Node: node, Nodes: nodes, Zone: node % 3, Step: 1,
 		Classes: []dispatch.Class{
-			{Aim: 300, Stretch: 2, Deadline: 2500, Worth: 1, Effect: dispatch.Safe, Kind: -1},
 			{
-				Aim:      400,
-				Stretch:  1,
-				Deadline: 3000,
-				Worth:    2,
-				Effect:   dispatch.Keyed,
-				Scope:    dispatch.ScopeCell,
-				Window:   2000,
-				Kind:     -1,
+				Objective:        300,
+				ObjectivePerWork: 2,
+				Deadline:         2500,
+				PriorityWeight:   1,
+				RetrySafety:      dispatch.Idempotent,
+				Kind:             -1,
 			},
-			{Aim: 500, Stretch: 2, Deadline: 2500, Worth: 1, Effect: dispatch.Unsafe, Kind: -1},
-			{Aim: 300, Deadline: 2000, Worth: 0.5, Effect: dispatch.Keyed, Scope: dispatch.ScopeZone, Window: 1500, Kind: 1},
-			{Aim: 600, Deadline: 4000, Worth: 1.5, Effect: dispatch.Keyed, Scope: dispatch.ScopeAll, Window: 2500, Kind: -1},
+			{
+				Objective:        400,
+				ObjectivePerWork: 1,
+				Deadline:         3000,
+				PriorityWeight:   2,
+				RetrySafety:      dispatch.Keyed,
+				Scope:            dispatch.ScopeCell,
+				Window:           2000,
+				Kind:             -1,
+			},
+			{
+				Objective:        500,
+				ObjectivePerWork: 2,
+				Deadline:         2500,
+				PriorityWeight:   1,
+				RetrySafety:      dispatch.AtMostOnce,
+				Kind:             -1,
+			},
+			{
+				Objective:      300,
+				Deadline:       2000,
+				PriorityWeight: 0.5,
+				RetrySafety:    dispatch.Keyed,
+				Scope:          dispatch.ScopeZone,
+				Window:         1500,
+				Kind:           1,
+			},
+			{
+				Objective:      600,
+				Deadline:       4000,
+				PriorityWeight: 1.5,
+				RetrySafety:    dispatch.Keyed,
+				Scope:          dispatch.ScopeAll,
+				Window:         2500,
+				Kind:           -1,
+			},
+		},
+		Tenants: []dispatch.Tenant{
+			{ReservedShare: 0.5, Quota: 60},
+			{ReservedShare: 0.3, Quota: 30},
+			{ReservedShare: 0.2, Quota: 15},
 		},
-		Tenants:   []dispatch.Tenant{{Portion: 0.5, Quota: 60}, {Portion: 0.3, Quota: 30}, {Portion: 0.2, Quota: 15}},
 		Telemetry: dispatch.ReportAnswers, Fields: []dispatch.Field{dispatch.FieldFree, dispatch.FieldPending},
-		OverShareWorth: 0.3, Progress: 400, TellsStart: true,
-		MaxRetryAfter: 800, MaxAttempts: 4, MayDuplicate: true, MayCancel: true, MayTell: true, Multiplex: 1,
-		ConnIdle: 2000, ConnectTimeout: 100, AnswerSlack: 16, AskWithin: 2000, DrainGrace: 300,
-		FallMultiple: 4, Fall: 800, ColdFrom: 0.3, WarmWithin: 3000,
+		OverQuotaWeight: 0.3, ProgressInterval: 400, NotesStart: true,
+		MaxRetryAfter: 800, MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, GossipAllowed: true, Multiplex: 1,
+		ConnIdle: 2000, ConnectTimeout: 100, AnswerSlack: 16, PollWithin: 2000, DrainGrace: 300,
+		OverloadMultiple: 4, OverloadWindow: 800, SlowStartFrom: 0.3, SlowStartWithin: 3000,
 		Fees: dispatch.Fees{CrossZone: 0.1, Handshake: 0.05, Origin: 0.2},
 	}
 }
@@ -38,21 +72,21 @@
 		{name: "gossip", seed: 11, nodes: 3, executors: 10, duration: 12000, rate: 60, hints: 0.7, faults: 1, memory: true,
 			prices: true, streams: true, retunes: true, settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 3)
-				s.Ask = true
+				s.PollsList = true
 				s.Fields = []dispatch.Field{dispatch.FieldFree, dispatch.FieldPending, dispatch.FieldMemory}
 				return s
 			}},
 		{name: "alone", seed: 12, nodes: 1, executors: 6, duration: 15000, rate: 65, hints: 0.5, faults: 1, keys: 40,
 			streams: true, retunes: true, settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 1)
-				s.MayTell, s.Ask, s.WorthByWork, s.Multiplex = false, true, true, 3
+				s.GossipAllowed, s.PollsList, s.WeightByWork, s.Multiplex = false, true, true, 3
 				s.Fields = []dispatch.Field{dispatch.FieldBusy, dispatch.FieldLatency, dispatch.FieldErrors, dispatch.FieldServed}
 				return s
 			}},
 		{name: "aggregator", seed: 13, nodes: 40, executors: 60, duration: 4500, rate: 260, hints: 0.8, faults: 2,
 			memory: true, settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 40)
-				s.Ask = true
+				s.PollsList = true
 				for i := range s.Tenants {
 					s.Tenants[i].Quota *= 1.5
 				}
@@ -61,20 +95,20 @@
 		{name: "aggregator-small-fleet", seed: 14, nodes: 40, executors: 16, duration: 4000, rate: 90, hints: 0.8, faults: 1,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 40)
-				s.Progress, s.MayCancel = 0, false
+				s.ProgressInterval, s.CancelAllowed = 0, false
 				return s
 			}},
 		{name: "probes", seed: 15, nodes: 4, executors: 12, duration: 9000, rate: 70, hints: 0.6, faults: 1, keys: 25,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 4)
-				s.Telemetry, s.MayProbe, s.TellsStart, s.Progress = dispatch.ReportProbes, true, false, 0
+				s.Telemetry, s.HealthChecksAllowed, s.NotesStart, s.ProgressInterval = dispatch.ReportHealthChecks, true, false, 0
 				s.Fields = []dispatch.Field{dispatch.FieldUtil, dispatch.FieldPending, dispatch.FieldOther}
 				return s
 			}},
 		{name: "probes-large-fleet", seed: 16, nodes: 120, executors: 150, duration: 2200, rate: 600, hints: 0.6, faults: 2,
 			keys: 60, settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 120)
-				s.Telemetry, s.MayProbe, s.Ask = dispatch.ReportProbes, true, true
+				s.Telemetry, s.HealthChecksAllowed, s.PollsList = dispatch.ReportHealthChecks, true, true
 				s.Tenants = nil
 				return s
 			}},
@@ -90,7 +124,7 @@
 			keys:      80,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 12)
-				s.LiveWeights, s.Ask, s.MayTell = true, true, false
+				s.LiveWeights, s.PollsList, s.GossipAllowed = true, true, false
 				s.Fields = []dispatch.Field{dispatch.FieldBusy}
 				return s
 			},
@@ -98,9 +132,9 @@
 		{name: "no-reports", seed: 18, nodes: 5, executors: 9, duration: 9000, rate: 70, hints: 0.4, faults: 1.5,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 5)
-				s.Telemetry, s.Fields, s.TellsStart, s.Progress = dispatch.ReportNone, nil, false, 0
-				s.MayTell, s.MayDuplicate, s.MayCancel, s.Tenants = false, false, false, nil
-				s.WarmWithin = 0
+				s.Telemetry, s.Fields, s.NotesStart, s.ProgressInterval = dispatch.ReportNone, nil, false, 0
+				s.GossipAllowed, s.HedgingAllowed, s.CancelAllowed, s.Tenants = false, false, false, nil
+				s.SlowStartWithin = 0
 				return s
 			}},
 		{
@@ -115,7 +149,7 @@
 			memory:    true,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 30)
-				s.MayTell = false
+				s.GossipAllowed = false
 				s.Fields = []dispatch.Field{dispatch.FieldFree, dispatch.FieldBusy, dispatch.FieldMemory}
 				for i := range s.Tenants {
 					s.Tenants[i].Quota *= 3
@@ -126,7 +160,7 @@
 		{name: "many-keys", seed: 20, nodes: 1, executors: 6, duration: 8000, rate: 400, hints: 1, faults: 0.1, keys: 90,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 1)
-				s.MayTell = false
+				s.GossipAllowed = false
 				return s
 			}},
 	}
--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -79,7 +79,7 @@
 		if a.Kind == dispatch.ActLog {
 			_, _ = fmt.Fprintf(r.logs, "%d %s\n", r.run.Steps, text) // a hash does not fail
 		}
-		if a.Kind == dispatch.ActTell {
+		if a.Kind == dispatch.ActGossip {
 			r.keep(node, a)
 		}
 		if r.trace != nil {
@@ -128,15 +128,15 @@
 	r.run.Decisions = hex.EncodeToString(r.whole.Sum(nil))
 	r.run.LogLines = hex.EncodeToString(r.logs.Sum(nil))
 	names := map[dispatch.EventKind]string{
-		dispatch.EvList:    "list",
-		dispatch.EvTimer:   "timer",
-		dispatch.EvGone:    "gone",
-		dispatch.EvNote:    "note",
-		dispatch.EvPeer:    "peer",
-		dispatch.EvFirst:   "first",
-		dispatch.EvOutcome: "outcome",
-		dispatch.EvRequest: "request",
-		dispatch.EvProbed:  "probed",
+		dispatch.EvEndpoints:     "list",
+		dispatch.EvTimer:         "timer",
+		dispatch.EvClientGone:    "gone",
+		dispatch.EvNote:          "note",
+		dispatch.EvGossip:        "peer",
+		dispatch.EvStreamStarted: "first",
+		dispatch.EvOutcome:       "outcome",
+		dispatch.EvRequest:       "request",
+		dispatch.EvHealthCheck:   "probed",
 	}
 	for kind, n := range c.kinds {
 		r.run.Events[names[kind]] = n
--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -77,11 +77,11 @@
 // allow that less often than a load report is old when it comes, an aggregator, unless it would have too much to do;
 // or nothing.
 func (d *Dispatcher) chooseGossipMode() gossipMode {
-	nodes := float64(d.settings.Balancers)
+	nodes := float64(d.settings.Nodes)
 	rate := max(d.admission.totalQuota/nodes, 1)
 	usualBytes := broadcastEntryBytes * (rate*d.serviceTimes.meanSlotTime/1000 + 1) * (nodes - 1)
 	switch {
-	case !d.settings.MayTell || nodes < 2:
+	case !d.settings.GossipAllowed || nodes < 2:
 	case 1000*usualBytes/(maxGossipBytesPerRequest*rate) <= d.reports.age:
 		return gossipBroadcast
 	case rate*nodes <= maxAggregatorRate:
@@ -111,8 +111,8 @@
 			data = append(data, byte(executor.tag>>8), byte(executor.tag), byte(min(slots, maxBroadcastSlots)))
 		}
 	}
-	d.act(Action{Kind: ActTell, To: AllPeers, Data: data})
-	bytes := float64(len(data) * (d.settings.Balancers - 1))
+	d.act(Action{Kind: ActGossip, To: AllPeers, Data: data})
+	bytes := float64(len(data) * (d.settings.Nodes - 1))
 	affordable := 1000 * bytes / (maxGossipBytesPerRequest * max(d.admission.allArrivals.perSecond, 1))
 	interval := max(gossipIntervals*d.reports.interval, affordable)
 	d.gossip.nextBroadcast = d.now + interval*(0.8+0.4*d.random())
@@ -120,7 +120,7 @@
 
 // handlePeerMessage takes in what another node holds.
 func (d *Dispatcher) handlePeerMessage(event *Event) {
-	if int(event.From) >= len(d.gossip.peers) || int(event.From) == d.settings.Me {
+	if int(event.From) >= len(d.gossip.peers) || int(event.From) == d.settings.Node {
 		return
 	}
 	peer := &d.gossip.peers[event.From]
--- a/internal/dispatch/gossip_test.go
+++ b/internal/dispatch/gossip_test.go
@@ -53,9 +53,9 @@
 // beside free slots.)
 func TestLargestFleetUsesAnAggregator(t *testing.T) {
 	s := base()
-	s.Balancers, s.MayTell, s.Tenants = 318, true, nil
+	s.Nodes, s.GossipAllowed, s.Tenants = 318, true, nil
 	for _, quota := range []float64{151, 131, 116, 106} {
-		s.Tenants = append(s.Tenants, Tenant{Portion: 0.25, Quota: quota})
+		s.Tenants = append(s.Tenants, Tenant{ReservedShare: 0.25, Quota: quota})
 	}
 	d, err := New(s, 7)
 	if err != nil {
@@ -79,10 +79,10 @@
 		{20, 26, gossipAggregator}, {32, 26, gossipAggregator}, {32, 40, gossipAggregator},
 	} {
 		s := base()
-		s.Balancers, s.MayTell = c.nodes, true
+		s.Nodes, s.GossipAllowed = c.nodes, true
 		s.Classes = s.Classes[:2]
-		s.Classes[1].Aim = 1500
-		s.Tenants = []Tenant{{Portion: 1, Quota: c.quota}}
+		s.Classes[1].Objective = 1500
+		s.Tenants = []Tenant{{ReservedShare: 1, Quota: c.quota}}
 		d, err := New(s, 7)
 		if err != nil {
 			t.Fatal(err)
@@ -101,7 +101,7 @@
 		tells bool
 	}{{3, true}, {150, false}} {
 		s := base()
-		s.Balancers, s.MayTell = c.nodes, true
+		s.Nodes, s.GossipAllowed = c.nodes, true
 		for i := range s.Tenants {
 			s.Tenants[i].Quota = 4 * float64(c.nodes)
 		}
@@ -109,7 +109,7 @@
 		told := false
 		for id := uint32(1); id <= 20; id++ {
 			for _, a := range r.after(100, request(id, 0, 0, 1)) {
-				told = told || a.Kind == ActTell
+				told = told || a.Kind == ActGossip
 			}
 		}
 		if told != c.tells {
--- a/internal/dispatch/healthcheck.go
+++ b/internal/dispatch/healthcheck.go
@@ -28,7 +28,7 @@
 type healthChecks struct{ inFlight int }
 
 func (d *Dispatcher) handleHealthCheck(event *Event) {
-	executor := d.endpoints.byID[event.Worker]
+	executor := d.endpoints.byID[event.Executor]
 	if executor == nil {
 		return
 	}
@@ -47,7 +47,7 @@
 }
 
 func (d *Dispatcher) checksAreAllowed() bool {
-	return d.settings.MayProbe && d.settings.Telemetry == ReportProbes
+	return d.settings.HealthChecksAllowed && d.settings.Telemetry == ReportHealthChecks
 }
 
 // checkHealth asks the executors of a small fleet for their load, about once a report interval, within a number of
@@ -74,7 +74,7 @@
 func (d *Dispatcher) sendHealthCheck(executor *executor) {
 	executor.healthCheck = healthCheckState{pending: true, sentAt: d.now, intervalFactor: 0.8 + 0.4*d.random()}
 	d.healthChecks.inFlight++
-	d.act(Action{Kind: ActProbe, Worker: executor.id})
+	d.act(Action{Kind: ActHealthCheck, Executor: executor.id})
 }
 
 // checkHealthFor asks, in a large fleet, some executors for each job that comes, which waits for their answers: an
--- a/internal/dispatch/healthcheck_test.go
+++ b/internal/dispatch/healthcheck_test.go
@@ -5,14 +5,14 @@
 // A node that was quiet at its start is not blind once requests come (nordeste big-2).
 func TestHealthChecksFollowTraffic(t *testing.T) {
 	s := base()
-	s.Telemetry, s.MayProbe = ReportProbes, true
+	s.Telemetry, s.HealthChecksAllowed = ReportHealthChecks, true
 	r := newRig(t, s, ready(7, 0))
-	r.step(Event{Kind: EvProbed, Worker: 7, Outcome: Served, Report: []float32{4}})
+	r.step(Event{Kind: EvHealthCheck, Executor: 7, Outcome: Served, Report: []float32{4}})
 	probes := 0
 	for id := uint32(1); id <= 100; id++ {
-		probed := Event{Kind: EvProbed, Worker: 7, Outcome: Served, Report: []float32{3}}
+		probed := Event{Kind: EvHealthCheck, Executor: 7, Outcome: Served, Report: []float32{3}}
 		for _, a := range r.after(20, request(id, 0, 0, 1), probed) {
-			if a.Kind == ActProbe {
+			if a.Kind == ActHealthCheck {
 				probes++
 			}
 		}
@@ -26,12 +26,12 @@
 // never uses (i601dc3: 11 for each request): some are asked for each job, which waits for them, but not for long.
 func TestLargeFleetIsCheckedForEachJob(t *testing.T) {
 	s := base()
-	s.Balancers, s.MayProbe, s.Telemetry = 100, true, ReportProbes
+	s.Nodes, s.HealthChecksAllowed, s.Telemetry = 100, true, ReportHealthChecks
 	r := newRig(t, s, fleet(200)...)
 	probes := func(actions []Action) (ids []uint32) {
 		for _, a := range actions {
-			if a.Kind == ActProbe {
-				ids = append(ids, a.Worker)
+			if a.Kind == ActHealthCheck {
+				ids = append(ids, a.Executor)
 			}
 		}
 		return ids
@@ -53,9 +53,9 @@
 		if i == 1 {
 			free = 4
 		}
-		r.after(1, Event{Kind: EvProbed, Worker: id, Outcome: Served, Report: []float32{free}})
+		r.after(1, Event{Kind: EvHealthCheck, Executor: id, Outcome: Served, Report: []float32{free}})
 	}
-	if got := actionsOf(r.last, ActSend, 1); len(got) != 1 || got[0].Worker != asked[1] {
+	if got := actionsOf(r.last, ActSend, 1); len(got) != 1 || got[0].Executor != asked[1] {
 		t.Errorf("%v, want one send to %d, which told of free slots", got, asked[1])
 	}
 	asked = probes(r.after(1, request(2, 0, 0, 1)))
--- a/internal/dispatch/hedging.go
+++ b/internal/dispatch/hedging.go
@@ -37,13 +37,13 @@
 }
 
 func (d *Dispatcher) isHedgeDue(executor *executor, job *job) bool {
-	if job.done || job.queued || job.inFlight != 1 || d.settings.Classes[job.class].Effect == Unsafe {
+	if job.done || job.queued || job.inFlight != 1 || d.settings.Classes[job.class].RetrySafety == AtMostOnce {
 		return false
 	}
 	last := job.lastAttempt()
 	// A job that was sent to see whether the executor lives gets its time for that, and one that queues would only queue
 	// elsewhere too.
 	stuck := executor.outlier.unresponsive && d.now-last.sentAt > d.unresponsiveTimeout()/2 &&
-		(last.startedAt > 0 || !d.settings.TellsStart)
+		(last.startedAt > 0 || !d.settings.NotesStart)
 	return stuck || last.ackOverdue
 }
--- a/internal/dispatch/hedging_test.go
+++ b/internal/dispatch/hedging_test.go
@@ -29,7 +29,7 @@
 			got := 0
 			for range 30 {
 				if tt.heard { // another's answer says that the executor lives
-					r.d.endpoints.byID[sent[0].Worker].outlier.lastHeard = r.now
+					r.d.endpoints.byID[sent[0].Executor].outlier.lastHeard = r.now
 				}
 				got += len(actionsOf(r.after(100, Event{Kind: EvTimer}), ActSend, 1))
 			}
@@ -51,7 +51,7 @@
 func TestExecutorWithOverdueAcknowledgements(t *testing.T) { //nolint:funlen,gocognit // one course of events
 	s := base()
 	for i := range s.Classes {
-		s.Classes[i].Aim, s.Classes[i].Deadline, s.Classes[i].Window = 20000, 60000, 50000
+		s.Classes[i].Objective, s.Classes[i].Deadline, s.Classes[i].Window = 20000, 60000, 50000
 	}
 	r := newRig(t, s, ready(7, 1), ready(8, 1), ready(9, 2))
 	tell := func(ids ...uint32) {
@@ -72,12 +72,12 @@
 		t.Fatalf("%v slots out at the executor, want 2", executor.inFlight.slots)
 	}
 	tell(7, 8, 9)
-	late := func(job uint32) Event { return Event{Kind: EvNote, Job: job, Worker: 7, Topic: NoteLate} }
+	late := func(job uint32) Event { return Event{Kind: EvNote, Job: job, Executor: 7, Topic: NoteAckOverdue} }
 	again := r.after(500, late(1), late(2))
 	for range 50 {
 		again = append(again, r.after(10, Event{Kind: EvTimer})...)
 	}
-	if got := actionsOf(again, ActSend, 1); len(got) != 1 || got[0].Worker != 8 {
+	if got := actionsOf(again, ActSend, 1); len(got) != 1 || got[0].Executor != 8 {
 		t.Errorf("the keyed job: %v, want one more send to the cell's other executor", got)
 	}
 	if got := actionsOf(again, ActSend, 2); len(got) != 0 {
@@ -98,9 +98,9 @@
 		r.d.endpoints.byID[8].load.freeSlots, r.d.endpoints.byID[9].load.freeSlots = 1, 1
 		for _, a := range r.after(50, request(id, class, 0, 1)) {
 			if a.Kind == ActSend {
-				sent[a.Worker] = append(sent[a.Worker], a.Job)
-				if a.Worker != 7 {
-					r.after(1, outcome(a.Job, 0, a.Worker, Served))
+				sent[a.Executor] = append(sent[a.Executor], a.Job)
+				if a.Executor != 7 {
+					r.after(1, outcome(a.Job, 0, a.Executor, Served))
 				}
 			}
 		}
@@ -111,7 +111,7 @@
 	if len(sent[7]) == 0 {
 		t.Fatal("the executor was never tried again")
 	}
-	r.after(10, Event{Kind: EvNote, Job: sent[7][0], Worker: 7, Topic: NoteStarted})
+	r.after(10, Event{Kind: EvNote, Job: sent[7][0], Executor: 7, Topic: NoteStarted})
 	r.after(10, outcome(sent[7][0], 0, 7, Served))
 	if executor.outlier.onProbation || r.d.now < executor.outlier.ackOverdueUntil {
 		t.Error("a job sent since ended well, and the executor is still kept away")
@@ -138,8 +138,8 @@
 	if executor.inFlight.slots != 3 {
 		t.Fatalf("%v slots out, want 3", executor.inFlight.slots)
 	}
-	r.after(100, Event{Kind: EvNote, Job: 3, Worker: 7, Topic: NoteStarted})
-	r.after(400, Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteLate})
+	r.after(100, Event{Kind: EvNote, Job: 3, Executor: 7, Topic: NoteStarted})
+	r.after(400, Event{Kind: EvNote, Job: 1, Executor: 7, Topic: NoteAckOverdue})
 	if r.now < executor.outlier.ejectedUntil || executor.inFlight.slots != 2 {
 		t.Errorf(
 			"kept away until %v for one connection, %v slots out",
@@ -147,15 +147,15 @@
 			executor.inFlight.slots,
 		)
 	}
-	r.after(10, Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteLate}) // told again: nothing new
+	r.after(10, Event{Kind: EvNote, Job: 1, Executor: 7, Topic: NoteAckOverdue}) // told again: nothing new
 	if r.now < executor.outlier.ejectedUntil || executor.inFlight.slots != 2 {
 		t.Error("the same job counts twice")
 	}
-	r.after(10, Event{Kind: EvNote, Job: 2, Worker: 7, Topic: NoteLate})
+	r.after(10, Event{Kind: EvNote, Job: 2, Executor: 7, Topic: NoteAckOverdue})
 	if r.now >= executor.outlier.ejectedUntil {
 		t.Error("two late jobs, and the executor is still in use")
 	}
-	r.after(10, Event{Kind: EvNote, Job: 1, Worker: 7, Topic: NoteStarted})
+	r.after(10, Event{Kind: EvNote, Job: 1, Executor: 7, Topic: NoteStarted})
 	if executor.inFlight.slots != 2 || r.d.jobs.byID[1].attempts[0].ackOverdue {
 		t.Errorf("%v slots out once a late job was heard of", executor.inFlight.slots)
 	}
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -126,12 +126,12 @@
 	if d.jobs.byID[event.Job] != nil {
 		return
 	}
-	repeated := event.Flags&FlagRepeat != 0
+	repeated := event.Flags&FlagRetry != 0
 	job := d.jobs.create()
 	job.id, job.key, job.arrivedAt, job.maxAttempts = event.Job, event.Key, d.now, d.settings.MaxAttempts
 	job.class = min(int(event.Class), len(d.settings.Classes)-1)
 	job.tenant = min(int(event.Tenant), len(d.admission.tenants)-1)
-	job.zonePrices = event.Prices
+	job.zonePrices = event.ZonePrices
 	d.setWorkAndTimes(job, event)
 	d.jobs.byID[job.id] = job
 	job.overQuota = d.admission.isOverQuota(job, repeated)
@@ -147,14 +147,14 @@
 	slots, memory, left := event.needs()
 	job.slots, job.memory = slots, memory
 	likely := event.Work
-	if event.Flags&FlagWork != 0 && event.Work > 0 && !math.IsInf(event.Work, 0) {
+	if event.Flags&FlagWorkHint != 0 && event.Work > 0 && !math.IsInf(event.Work, 0) {
 		job.work = event.Work
 		stats.work += (job.work - stats.work) * classMeanWeight
 	} else {
 		// Most jobs are shorter than a heavy-tailed mean, and a short one's objective comes soon. Where weights go by work,
 		// most of the weight lies in jobs as much longer than the mean, and their objective comes as much later.
 		job.work, likely = stats.work, unhintedWorkFactor*stats.work
-		if d.settings.WorthByWork {
+		if d.settings.WeightByWork {
 			likely = stats.work / unhintedWorkFactor
 		}
 	}
@@ -162,22 +162,23 @@
 	stats.slots += (job.slots - stats.slots) * classMeanWeight
 	job.deadline = d.now + left
 	age := 0.0
-	if event.Flags&FlagRepeat != 0 { // the objective counts from the client's first attempt
+	if event.Flags&FlagRetry != 0 { // the objective counts from the client's first attempt
 		age = max(0, class.Deadline-left)
 	}
-	objective := d.now - age + class.Aim + class.Stretch*likely + (job.work-likely)/d.serviceTimes.meanSpeed()
+	objective := d.now - age + class.Objective + class.ObjectivePerWork*likely
+	objective += (job.work - likely) / d.serviceTimes.meanSpeed()
 	job.objectiveAt = min(objective, job.deadline)
 }
 
 // setValue sets what a job earns for each slot and time.
 func (d *Dispatcher) setValue(job *job) {
-	job.value = d.settings.Classes[job.class].Worth // for each ms
-	if !d.settings.WorthByWork {
+	job.value = d.settings.Classes[job.class].PriorityWeight // for each ms
+	if !d.settings.WeightByWork {
 		job.value /= job.work
 	}
 	if job.overQuota {
 		// A node knows only roughly what is beyond a quota, so it is taken to be right half of the time.
-		job.value *= (1 + d.settings.OverShareWorth) / 2
+		job.value *= (1 + d.settings.OverQuotaWeight) / 2
 	}
 	d.admission.meanValue += (job.value - d.admission.meanValue) * classMeanWeight
 }
@@ -194,7 +195,7 @@
 		tenant.reservedSlots = max(0, tenant.reservedSlots-job.slots)
 	}
 	for i := range job.attempts {
-		if !job.attempts[i].resolved && d.settings.MayCancel {
+		if !job.attempts[i].resolved && d.settings.CancelAllowed {
 			d.act(Action{Kind: ActCancel, Job: job.id, Attempt: uint16(i)})
 		}
 	}
--- a/internal/dispatch/listwatch.go
+++ b/internal/dispatch/listwatch.go
@@ -40,7 +40,7 @@
 }
 
 // noteList takes in that a list came, which is not from a call if it was cached.
-func (w *listWatch) noteList(form Form) {
+func (w *listWatch) noteList(form ListForm) {
 	if form != ListCached {
 		if w.failedPolls > 0 {
 			w.logf("endpoint list reachable failed_calls=%d", w.failedPolls)
@@ -48,25 +48,25 @@
 		w.pollSentAt, w.watching, w.failedPolls = 0, true, 0
 	}
 	w.updatedAt = w.now
-	if form == ListCached && float64(w.settings.Balancers)*pollSpreadPerNode > minPollSpread {
+	if form == ListCached && float64(w.settings.Nodes)*pollSpreadPerNode > minPollSpread {
 		w.nextPoll = w.now + w.backoff() // many nodes that were killed together start together
 	}
 }
 
 // backoff is the time until this node's turn in a round that all nodes have: calls that come together wait in vain.
 func (w *listWatch) backoff() float64 {
-	spread := max(minPollSpread, pollSpreadPerNode*float64(w.settings.Balancers)) * doublings(w.failedPolls, maxPollDoublings)
-	slots := recovery.TimeSlots{Node: w.settings.Me, Nodes: w.settings.Balancers}
-	return slots.After(w.now, w.settings.AskWithin*min(1, spread))
+	spread := max(minPollSpread, pollSpreadPerNode*float64(w.settings.Nodes)) * doublings(w.failedPolls, maxPollDoublings)
+	slots := recovery.TimeSlots{Node: w.settings.Node, Nodes: w.settings.Nodes}
+	return slots.After(w.now, w.settings.PollWithin*min(1, spread))
 }
 
 // poll asks for a subscription to the list if there is none and it is this node's turn.
 func (w *listWatch) poll() {
-	underWay := w.pollSentAt > 0 && w.now-w.pollSentAt < w.settings.AskWithin/2
-	if !w.settings.Ask || w.watching || w.now < w.nextPoll || underWay {
+	underWay := w.pollSentAt > 0 && w.now-w.pollSentAt < w.settings.PollWithin/2
+	if !w.settings.PollsList || w.watching || w.now < w.nextPoll || underWay {
 		return
 	}
 	w.pollSentAt = max(w.now, minTime)
 	w.nextPoll = w.now + w.backoff()
-	w.act(Action{Kind: ActWatch, On: true})
+	w.act(Action{Kind: ActPollList, On: true})
 }
--- a/internal/dispatch/listwatch_test.go
+++ b/internal/dispatch/listwatch_test.go
@@ -6,17 +6,17 @@
 // holds, and keeps to the new list at once when it comes.
 func TestListOutOfReachWhileTheFleetChanges(t *testing.T) {
 	s := base()
-	s.Ask = true
+	s.PollsList = true
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	asks, sends := 0, 0
 	for i := range uint32(1000) {
 		events := []Event{request(i+1, 0, 0, 1)}
 		for _, a := range r.last {
 			switch {
-			case a.Kind == ActWatch:
+			case a.Kind == ActPollList:
 				asks++
-				events = append(events, Event{Kind: EvList, Form: ListFailed})
-			case a.Kind == ActSend && a.Worker == 7: // it is gone, which no list says
+				events = append(events, Event{Kind: EvEndpoints, Form: ListFailed})
+			case a.Kind == ActSend && a.Executor == 7: // it is gone, which no list says
 				events = append(events, outcome(a.Job, 0, 7, ConnectFailed))
 			case a.Kind == ActSend:
 				sends++
@@ -31,11 +31,18 @@
 	if sends < 700 {
 		t.Errorf("%d of 1000 sent to the executor that is left", sends)
 	}
-	r.after(1, Event{Kind: EvList, Form: ListFull, Rows: []Row{ready(9, 0), {Worker: 8, Condition: Draining}}})
+	r.after(
+		1,
+		Event{
+			Kind: EvEndpoints,
+			Form: ListSnapshot,
+			Rows: []EndpointUpdate{ready(9, 0), {Executor: 8, Condition: Draining}},
+		},
+	)
 	for i := range uint32(50) {
 		for _, a := range r.after(20, request(2000+i, 0, 0, 1)) {
-			if a.Kind == ActSend && a.Worker != 9 {
-				t.Fatalf("sent to executor %d, which drains or is gone", a.Worker)
+			if a.Kind == ActSend && a.Executor != 9 {
+				t.Fatalf("sent to executor %d, which drains or is gone", a.Executor)
 			}
 		}
 	}
@@ -45,15 +52,15 @@
 // kept it overbooked to the end of the day (herd+vast: 69 of 80 nodes never had a watch again).
 func TestManyNodesPollApart(t *testing.T) {
 	s := base()
-	s.Balancers, s.Ask = 80, true
+	s.Nodes, s.PollsList = 80, true
 	asked := map[int]int{} // by half second
-	for i := range s.Balancers {
-		s.Me = i
+	for i := range s.Nodes {
+		s.Node = i
 		d, err := New(s, uint64(i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, events := 100000.0, []Event{{Kind: EvList, Form: ListCached, Rows: fleet(3)}}
+		now, events := 100000.0, []Event{{Kind: EvEndpoints, Form: ListCached, Rows: fleet(3)}}
 		for ; now < 140000; now += 20 {
 			acts := d.Step(now, events, nil)
 			events = events[:0]
@@ -61,9 +68,9 @@
 				switch a.Kind {
 				case ActTimer:
 					events = append(events, Event{Kind: EvTimer, Token: a.Token})
-				case ActWatch:
+				case ActPollList:
 					asked[int(now-100000)/500]++
-					events = append(events, Event{Kind: EvList, Form: ListFailed})
+					events = append(events, Event{Kind: EvEndpoints, Form: ListFailed})
 				}
 			}
 		}
@@ -77,11 +84,11 @@
 			late += n
 		}
 	}
-	if per := float64(late) / 20; per > 25 || per < 80*20/s.AskWithin {
+	if per := float64(late) / 20; per > 25 || per < 80*20/s.PollWithin {
 		t.Errorf(
 			"%.0f asks a second after 20 s of refusals, want no more than 25 and one of each node in %.0f ms",
 			per,
-			s.AskWithin,
+			s.PollWithin,
 		)
 	}
 }
--- a/internal/dispatch/loadreport_test.go
+++ b/internal/dispatch/loadreport_test.go
@@ -10,7 +10,7 @@
 // reports best, and was believed, on a day of drains, until all that ran counted as not in them.
 func TestReportAgeThatExplainsNothing(t *testing.T) {
 	s := base()
-	s.Balancers = 3
+	s.Nodes = 3
 	s.Fields = []Field{FieldBusy, FieldFree}
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	rng := rand.New(rand.NewSource(5))
@@ -23,7 +23,7 @@
 			events = append(events, request(job, 0, 0, 1))
 		}
 		for len(out) > rng.Intn(5) {
-			events = append(events, outcome(out[0].Job, 0, out[0].Worker, Served))
+			events = append(events, outcome(out[0].Job, 0, out[0].Executor, Served))
 			out = out[1:]
 		}
 		for _, executor := range r.d.endpoints.listed {
@@ -46,7 +46,7 @@
 // idle once. Their age is learned from how what an executor holds follows our own jobs there, and forgotten again.
 func TestReportAgeIsLearned(t *testing.T) { //nolint:gocognit // one course of events
 	s := base()
-	s.Balancers = 3
+	s.Nodes = 3
 	s.Fields = []Field{FieldBusy, FieldFree}
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	rng := rand.New(rand.NewSource(5))
@@ -79,7 +79,7 @@
 			}
 			for _, a := range r.step(events...) {
 				if a.Kind == ActSend {
-					spans = append(spans, span{a.Worker, a.Job, r.now, r.now + 200 + float64(rng.Intn(900))})
+					spans = append(spans, span{a.Executor, a.Job, r.now, r.now + 200 + float64(rng.Intn(900))})
 				}
 			}
 		}
@@ -116,7 +116,7 @@
 		got := actionsOf(r.step(request(i+1, 0, 0, 1)), ActSend, i+1)
 		r.after(50)
 		for _, a := range got {
-			r.after(50, outcome(a.Job, 0, a.Worker, Served))
+			r.after(50, outcome(a.Job, 0, a.Executor, Served))
 		}
 		if r.d.reports.bestAge != 1 {
 			t.Fatalf("after %d reports they are taken to be %.0f ms old", 2*i, r.d.reports.age)
@@ -132,7 +132,7 @@
 	count := func(actions []Action) {
 		for _, a := range actions {
 			if a.Kind == ActSend {
-				sent[a.Worker]++
+				sent[a.Executor]++
 			}
 		}
 	}
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -101,7 +101,7 @@
 	case ConnectFailed:
 		executor.load.freeSlots += job.slots
 		d.noteDialFailure(executor)
-	case Moot:
+	case CanceledBeforeSend:
 		executor.load.freeSlots += job.slots
 	}
 }
@@ -199,7 +199,7 @@
 		d.updateResponsiveness(executor)
 		// Executors that are all slow together still send progress notes: where there are notes, silence does not come of
 		// slowness.
-		if executor.outlier.unresponsive && d.settings.Progress <= 0 && d.now >= executor.outlier.ejectedUntil {
+		if executor.outlier.unresponsive && d.settings.ProgressInterval <= 0 && d.now >= executor.outlier.ejectedUntil {
 			out++
 		}
 	}
@@ -222,7 +222,7 @@
 				continue
 			}
 			since := max(attempt.sentAt, executor.outlier.lastHeard)
-			if attempt.startedAt == 0 && d.settings.TellsStart {
+			if attempt.startedAt == 0 && d.settings.NotesStart {
 				since += queuedGraceFactor * d.serviceTimes.startDelay // nothing is heard of a queued job
 			}
 			unresponsive = unresponsive || d.now-since > timeout
@@ -259,8 +259,8 @@
 
 // unresponsiveTimeout is how long an executor with attempts in flight may give no sign of life.
 func (d *Dispatcher) unresponsiveTimeout() float64 {
-	if d.settings.Progress > 0 {
-		return unresponsiveIntervals * d.settings.Progress
+	if d.settings.ProgressInterval > 0 {
+		return unresponsiveIntervals * d.settings.ProgressInterval
 	}
 	return unresponsiveIntervals * unnotedIntervalFactor * d.serviceTimes.classes[0].work / d.serviceTimes.meanSpeed()
 }
--- a/internal/dispatch/outlier_test.go
+++ b/internal/dispatch/outlier_test.go
@@ -6,14 +6,17 @@
 // reports come by health check, each of them put an end to its back-off, and every job went there first.
 func TestDrainingExecutorThatReportsFreeSlotsIsLeftAlone(t *testing.T) {
 	s := base()
-	s.Telemetry, s.MayProbe, s.TellsStart = ReportProbes, true, false
+	s.Telemetry, s.HealthChecksAllowed, s.NotesStart = ReportHealthChecks, true, false
 	r := newRig(t, s, ready(1, 1))
 	executor := r.d.endpoints.byID[1]
 	sends := 0
 	for i := range 200 { // 4 s
 		var events []Event
 		if i%5 == 0 {
-			events = append(events, Event{Kind: EvProbed, Worker: 1, Outcome: Served, Report: []float32{4 + float32(i)*1e-4}})
+			events = append(
+				events,
+				Event{Kind: EvHealthCheck, Executor: 1, Outcome: Served, Report: []float32{4 + float32(i)*1e-4}},
+			)
 		}
 		events = append(events, request(uint32(i+1), 0, 0, 1))
 		for _, a := range r.after(20, events...) {
@@ -33,9 +36,9 @@
 func TestUnresponsiveExecutorIsTriedAgain(t *testing.T) { //nolint:funlen // one course of events
 	s := base()
 	for i := range s.Classes {
-		s.Classes[i].Aim, s.Classes[i].Deadline = 20000, 60000
+		s.Classes[i].Objective, s.Classes[i].Deadline = 20000, 60000
 	}
-	s.MayDuplicate = false
+	s.HedgingAllowed = false
 	r := newRig(t, s, ready(7, 0))
 	executor := r.d.endpoints.byID[7]
 	tell := func() {
@@ -105,7 +108,7 @@
 		panics   bool
 	}{{1000, false}, {0, true}} {
 		s := base()
-		s.Progress = tt.progress
+		s.ProgressInterval = tt.progress
 		for i := range s.Classes {
 			s.Classes[i].Deadline = 60000
 		}
@@ -139,7 +142,7 @@
 	} {
 		s := base()
 		for i := range s.Classes {
-			s.Classes[i].Aim, s.Classes[i].Deadline = 20000, 60000
+			s.Classes[i].Objective, s.Classes[i].Deadline = 20000, 60000
 		}
 		r := newRig(t, s, ready(7, 0), ready(8, 0))
 		executor := r.d.endpoints.byID[7]
@@ -148,7 +151,7 @@
 			job.TimeLeft = 60000
 			sent := actionsOf(r.after(10, job), ActSend, 100+i)
 			r.after(c.wait, Event{Kind: EvNote, Job: 100 + i, Topic: NoteStarted})
-			r.after(10, outcome(100+i, 0, sent[0].Worker, Served))
+			r.after(10, outcome(100+i, 0, sent[0].Executor, Served))
 		}
 		r.d.endpoints.byID[8].outlier.ejectedUntil = r.now + 1 // so that the next goes to the first
 		job := request(1, 0, 0, 1)
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -150,7 +150,7 @@
 func (d *Dispatcher) mayLose(job *job, executor *executor) bool {
 	outlier := &executor.outlier
 	doubtful := outlier.unresponsive || d.now < outlier.ackOverdueUntil && !d.outliers.panicking
-	return doubtful && d.settings.Classes[job.class].Effect == Unsafe
+	return doubtful && d.settings.Classes[job.class].RetrySafety == AtMostOnce
 }
 
 // costOf is what is likely lost if a job goes to an executor, and how likely it has to fetch the data of the job's key.
@@ -166,7 +166,7 @@
 		cost += d.settings.Fees.Handshake
 	}
 	if job.key != 0 {
-		miss = cacheMissProbability(job, executor, d.settings.Balancers)
+		miss = cacheMissProbability(job, executor, d.settings.Nodes)
 		cost += miss * (d.settings.Fees.Origin + cacheMissCost)
 	}
 	return cost, miss
@@ -213,7 +213,7 @@
 }
 
 func (d *Dispatcher) isSpeculationAllowed(job *job, executor *executor) bool {
-	queuesThere := executor.inFlight.unstarted > 0 && d.settings.TellsStart
+	queuesThere := executor.inFlight.unstarted > 0 && d.settings.NotesStart
 	if !d.isUsable(executor) || executor.outlier.unresponsive || queuesThere || d.now < executor.load.rejectedUntil {
 		return false
 	}
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -9,7 +9,7 @@
 		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = free, r.now, 4
 	}
 	got := actionsOf(r.step(request(1, 0, 0, 1)), ActSend, 1)
-	if len(got) != 1 || got[0].Worker != 8 {
+	if len(got) != 1 || got[0].Executor != 8 {
 		t.Errorf("sent to %v, want the roomiest, 8", got)
 	}
 }
@@ -19,7 +19,7 @@
 	count := map[uint32]int{}
 	for id := uint32(1); id <= 4; id++ {
 		for _, a := range actionsOf(r.step(request(id, 0, 0, 1)), ActSend, id) {
-			count[a.Worker]++
+			count[a.Executor]++
 		}
 	}
 	if count[7] != 2 || count[8] != 2 {
@@ -30,7 +30,7 @@
 // A node that sees no free slots and has less than its part of the slots out is not starved for good (iaba16b).
 func TestStarvedNodeSpeculates(t *testing.T) {
 	s := base()
-	s.Balancers = 2
+	s.Nodes = 2
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	for _, executor := range r.d.endpoints.listed {
 		executor.load.slots, executor.load.freeSlots, executor.load.reportedAt = 4, -3, r.now
@@ -70,14 +70,14 @@
 	}
 	wide := request(1, 0, 0, 1)
 	wide.Memory = 3
-	if got := actionsOf(r.step(wide), ActSend, 1); len(got) != 1 || got[0].Worker != 8 {
+	if got := actionsOf(r.step(wide), ActSend, 1); len(got) != 1 || got[0].Executor != 8 {
 		t.Fatalf("sent %v, want executor 8", got)
 	}
 	wide.Job = 2 // executor 8 has one unit left
 	if got := actionsOf(r.step(wide), ActSend, 2); len(got) != 0 {
 		t.Errorf("sent %v where no executor has the memory", got)
 	}
-	if got := actionsOf(r.after(5, outcome(1, 0, 8, Served)), ActSend, 2); len(got) != 1 || got[0].Worker != 8 {
+	if got := actionsOf(r.after(5, outcome(1, 0, 8, Served)), ActSend, 2); len(got) != 1 || got[0].Executor != 8 {
 		t.Errorf("sent %v after memory came back, want executor 8", got)
 	}
 }
@@ -95,10 +95,10 @@
 		want   uint32
 	}{1: {[]float64{2, 0}, 1}, 2: {nil, 2}, 3: {[]float64{0, 2}, 2}} {
 		e := request(id, 0, 0, 1)
-		e.Prices = x.prices
+		e.ZonePrices = x.prices
 		for _, a := range r.after(50, e) {
-			if a.Kind == ActSend && a.Worker != x.want {
-				t.Errorf("with prices %v it goes to executor %d, want %d", x.prices, a.Worker, x.want)
+			if a.Kind == ActSend && a.Executor != x.want {
+				t.Errorf("with prices %v it goes to executor %d, want %d", x.prices, a.Executor, x.want)
 			}
 		}
 		r.after(50, outcome(id, 0, x.want, Served))
@@ -110,7 +110,7 @@
 func TestLargeFleetIsSampled(t *testing.T) {
 	for _, n := range []int{fullScanLimit, 400} {
 		s := base()
-		s.Balancers = 100
+		s.Nodes = 100
 		r := newRig(t, s, fleet(n)...)
 		r.step(request(1, 0, 0, 1))
 		most := n
@@ -129,17 +129,17 @@
 // The executor that served us last has an open connection and is always inspected (nordeste later: handshakes).
 func TestExecutorUsedLastIsInspected(t *testing.T) {
 	s := base()
-	s.Balancers, s.Fees.Handshake, s.Telemetry = 100, 0.5, ReportProbes
+	s.Nodes, s.Fees.Handshake, s.Telemetry = 100, 0.5, ReportHealthChecks
 	r := newRig(t, s, fleet(400)...)
 	sent := actionsOf(r.step(request(1, 0, 0, 1)), ActSend, 1)
 	if len(sent) != 1 {
 		t.Fatal("not sent")
 	}
-	first := sent[0].Worker
+	first := sent[0].Executor
 	r.after(100, outcome(1, 0, first, Served))
 	for id := uint32(2); id < 12; id++ {
 		got := actionsOf(r.after(100, request(id, 0, 0, 1)), ActSend, id)
-		if len(got) != 1 || got[0].Worker != first {
+		if len(got) != 1 || got[0].Executor != first {
 			t.Fatalf("job %d: %v, want one send to %d, where a connection is open", id, got, first)
 		}
 		r.after(50, outcome(id, 0, first, Served))
@@ -150,7 +150,7 @@
 // where it has none, however small its part of the fleet is (ceara later big-2).
 func TestStarvedNodeOfManySpeculates(t *testing.T) {
 	s := base()
-	s.Balancers = 200
+	s.Nodes = 200
 	r := newRig(t, s, fleet(200)...)
 	r.d.capacity.kindSlots[0] = 4
 	for i, executor := range r.d.endpoints.listed {
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -5,7 +5,7 @@
 // A wide job worth more gets the tokens of several waiting ones that borrow and are worth less (recife rough-2).
 func TestJobOfMoreWeightPreemptsBorrowers(t *testing.T) {
 	s := base()
-	s.Classes[2].Worth = 3
+	s.Classes[2].PriorityWeight = 3
 	r := newRig(t, s, ready(7, 0))
 	load := &r.d.endpoints.listed[0].load
 	load.freeSlots, load.reportedAt, load.slots = 0, r.now, 4
@@ -14,16 +14,16 @@
 		small = append(small, request(id, 0, 0, 1))
 	}
 	r.step(small...)
-	if got := r.after(1, request(100, 0, 0, 2)); len(actionsOf(got, ActRefuse, 100)) != 1 {
+	if got := r.after(1, request(100, 0, 0, 2)); len(actionsOf(got, ActReject, 100)) != 1 {
 		t.Fatal("a job worth no more than the others was let in although tokens lack")
 	}
 	got := r.after(1, request(101, 2, 0, 2))
-	if len(actionsOf(got, ActRefuse, 101)) != 0 {
+	if len(actionsOf(got, ActReject, 101)) != 0 {
 		t.Error("the worthier job was rejected")
 	}
 	refused := 0
 	for _, a := range got {
-		if a.Kind == ActRefuse {
+		if a.Kind == ActReject {
 			refused++
 		}
 	}
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -29,7 +29,7 @@
 // the budget of an executor that warms up.
 func (d *Dispatcher) isSendAllowed(job *job, executor *executor) bool {
 	spent := job.done || len(job.attempts) >= job.maxAttempts || d.now >= job.deadline
-	if spent || executor.endpoint.condition != Ready || job.inFlight > 0 && !d.settings.MayDuplicate {
+	if spent || executor.endpoint.condition != Ready || job.inFlight > 0 && !d.settings.HedgingAllowed {
 		return false
 	}
 	for i := range job.attempts {
@@ -48,8 +48,8 @@
 // isRetrySafe says whether a job that is in flight, or may have run, may go to an executor as well.
 func (d *Dispatcher) isRetrySafe(job *job, executor *executor) bool {
 	class := &d.settings.Classes[job.class]
-	switch class.Effect {
-	case Safe:
+	switch class.RetrySafety {
+	case Idempotent:
 		return true
 	case Keyed:
 		ran, since := job.firstRun()
@@ -85,7 +85,7 @@
 func (d *Dispatcher) isRejectSafe(job *job) bool {
 	class := &d.settings.Classes[job.class]
 	neverRan := job.inFlight == 0 && !job.mayHaveRun
-	return class.Effect == Safe || neverRan || class.Effect == Keyed && class.Scope == ScopeAll
+	return class.RetrySafety == Idempotent || neverRan || class.RetrySafety == Keyed && class.Scope == ScopeAll
 }
 
 // retryAfter is how long a rejected client should stay away: until reserved slots of this node are free again, at the
@@ -113,8 +113,8 @@
 	class := &d.settings.Classes[job.class]
 	spent := len(job.attempts) >= job.maxAttempts || d.now >= job.deadline-d.answerMargin()
 	if job.mayHaveRun {
-		windowOver := class.Effect == Keyed && d.now-job.ranSince >= class.Window-d.answerMargin()
-		spent = spent || class.Effect == Unsafe || windowOver
+		windowOver := class.RetrySafety == Keyed && d.now-job.ranSince >= class.Window-d.answerMargin()
+		spent = spent || class.RetrySafety == AtMostOnce || windowOver
 	}
 	if spent || d.isHopeless(job) {
 		d.endJob(job, causeTooLate)
@@ -130,7 +130,7 @@
 	d.rejections.lastAt = d.now
 	answer := Action{Kind: ActFail, Job: job.id}
 	if d.isRejectSafe(job) {
-		answer.Kind, answer.For = ActRefuse, d.retryAfter(job)
+		answer.Kind, answer.For = ActReject, d.retryAfter(job)
 	}
 	d.act(answer)
 	d.finishJob(job)
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -51,7 +51,7 @@
 		}
 		refused := 0
 		for _, a := range r.step(events...) {
-			if a.Kind != ActRefuse {
+			if a.Kind != ActReject {
 				continue
 			}
 			refused++
@@ -66,14 +66,14 @@
 }
 
 func TestAtMostOnceIsNeverRetriedOrRejectedOnceItMayHaveRun(t *testing.T) {
-	for _, o := range []Outcome{Errored, Full, TimedOut, ConnectFailed, Reset, Cancelled, Moot} {
+	for _, o := range []Outcome{Errored, Full, TimedOut, ConnectFailed, Reset, Cancelled, CanceledBeforeSend} {
 		r := newRig(t, base(), ready(7, 0), ready(8, 0))
 		first := actionsOf(r.step(request(1, 2, 0, 1)), ActSend, 1)
 		if len(first) != 1 {
 			t.Fatal("not sent")
 		}
-		got := r.after(10, outcome(1, 0, first[0].Worker, o))
-		sent, refused, failed := actionsOf(got, ActSend, 1), actionsOf(got, ActRefuse, 1), actionsOf(got, ActFail, 1)
+		got := r.after(10, outcome(1, 0, first[0].Executor, o))
+		sent, refused, failed := actionsOf(got, ActSend, 1), actionsOf(got, ActReject, 1), actionsOf(got, ActFail, 1)
 		if o.NeverRan() && (len(sent) != 1 || len(failed) != 0) {
 			t.Errorf("%d proves it never ran: want another try, got %v", o, got)
 		}
@@ -84,12 +84,12 @@
 }
 
 func TestDrainingExecutorGetsNothing(t *testing.T) {
-	for _, form := range []Form{ListDelta, ListFull} {
-		for _, c := range []Condition{Draining, Gone} {
+	for _, form := range []ListForm{ListDelta, ListSnapshot} {
+		for _, c := range []Condition{Draining, Removed} {
 			row := ready(7, 0)
 			r := newRig(t, base(), row)
 			row.Condition = c
-			got := r.after(1, request(1, 0, 0, 1), Event{Kind: EvList, Form: form, Rows: []Row{row}})
+			got := r.after(1, request(1, 0, 0, 1), Event{Kind: EvEndpoints, Form: form, Rows: []EndpointUpdate{row}})
 			if len(actionsOf(got, ActSend, 1)) != 0 {
 				t.Errorf("sent in the batch that told of condition %d", c)
 			}
@@ -97,7 +97,7 @@
 	}
 	// An executor that a full list does not name is gone.
 	r := newRig(t, base(), ready(7, 0))
-	got := r.after(1, request(1, 0, 0, 1), Event{Kind: EvList, Form: ListFull})
+	got := r.after(1, request(1, 0, 0, 1), Event{Kind: EvEndpoints, Form: ListSnapshot})
 	if len(actionsOf(got, ActSend, 1)) != 0 {
 		t.Error("sent to an executor that the full list left out")
 	}
@@ -123,11 +123,11 @@
 		{"window over", ScopeCell, Reset, 2000, 8, false, false},
 		{"window over, group of all", ScopeAll, Reset, 2000, 8, false, true},
 	}
-	rows := map[uint32]Row{
-		7:  {Worker: 7, Zone: 1, Cell: 1, Condition: Ready},
-		8:  {Worker: 8, Zone: 1, Cell: 1, Condition: Ready},
-		9:  {Worker: 9, Zone: 1, Cell: 2, Condition: Ready},
-		10: {Worker: 10, Zone: 2, Cell: 3, Condition: Ready},
+	rows := map[uint32]EndpointUpdate{
+		7:  {Executor: 7, Zone: 1, Cell: 1, Condition: Ready},
+		8:  {Executor: 8, Zone: 1, Cell: 1, Condition: Ready},
+		9:  {Executor: 9, Zone: 1, Cell: 2, Condition: Ready},
+		10: {Executor: 10, Zone: 2, Cell: 3, Condition: Ready},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -137,12 +137,12 @@
 			if len(actionsOf(r.step(request(1, 1, 0, 1)), ActSend, 1)) != 1 {
 				t.Fatal("not sent")
 			}
-			got := r.after(tt.after, Event{Kind: EvList, Form: ListFull, Rows: []Row{rows[tt.to]}},
+			got := r.after(tt.after, Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{rows[tt.to]}},
 				outcome(1, 0, 7, tt.outcome))
 			if n := len(actionsOf(got, ActSend, 1)); (n == 1) != tt.sent {
 				t.Errorf("%d sends, want sent %v", n, tt.sent)
 			}
-			if n := len(actionsOf(got, ActRefuse, 1)); (n == 1) != tt.refused {
+			if n := len(actionsOf(got, ActReject, 1)); (n == 1) != tt.refused {
 				t.Errorf("%d refusals, want rejected %v", n, tt.refused)
 			}
 		})
--- a/internal/dispatch/script_test.go
+++ b/internal/dispatch/script_test.go
@@ -28,7 +28,7 @@
 }
 
 type scriptWorker struct {
-	row  Row
+	row  EndpointUpdate
 	told float64 // when the node was told of the row's condition
 }
 
@@ -83,7 +83,7 @@
 		x.timers, x.tokens = append(x.timers, x.now+a.For), append(x.tokens, a.Token)
 	case ActSend:
 		x.checkSend(a)
-	case ActRefuse, ActFail:
+	case ActReject, ActFail:
 		j := x.job(a.Job)
 		if j.ended {
 			x.failf("second answer to request %d", a.Job)
@@ -91,10 +91,10 @@
 		if x.now > j.deadline+x.s.AnswerSlack {
 			x.failf("answer to request %d came %v ms late", a.Job, x.now-j.deadline)
 		}
-		if a.Kind == ActRefuse {
+		if a.Kind == ActReject {
 			c := x.s.Classes[j.class]
 			for _, at := range j.attempts {
-				harmless := c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll
+				harmless := c.RetrySafety == Idempotent || c.RetrySafety == Keyed && c.Scope == ScopeAll
 				if (!at.over || !at.neverRan) && !harmless {
 					x.failf("request %d may have run and was rejected", a.Job)
 				}
@@ -106,16 +106,16 @@
 		if int(a.Attempt) >= len(j.attempts) {
 			x.failf("cancel of attempt %d of request %d, which was never made", a.Attempt, a.Job)
 		}
-	case ActProbe:
-		if !x.s.MayProbe || x.workers[a.Worker] == nil {
-			x.failf("health check of executor %d is not allowed", a.Worker)
+	case ActHealthCheck:
+		if !x.s.HealthChecksAllowed || x.workers[a.Executor] == nil {
+			x.failf("health check of executor %d is not allowed", a.Executor)
 		}
-	case ActTell:
-		if !x.s.MayTell || len(a.Data) > 256 {
+	case ActGossip:
+		if !x.s.GossipAllowed || len(a.Data) > 256 {
 			x.failf("message not allowed")
 		}
-	case ActWatch, ActFetch:
-		if !x.s.Ask {
+	case ActPollList, ActFetch:
+		if !x.s.PollsList {
 			x.failf("asked for a list that comes by itself")
 		}
 	}
@@ -123,29 +123,29 @@
 
 func (x *script) checkSend(a Action) { //nolint:gocognit // one case for each rule
 	x.t.Helper()
-	j, w := x.job(a.Job), x.workers[a.Worker]
+	j, w := x.job(a.Job), x.workers[a.Executor]
 	c := x.s.Classes[j.class]
 	switch {
 	case w == nil:
-		x.failf("sent to executor %d, which no list named", a.Worker)
+		x.failf("sent to executor %d, which no list named", a.Executor)
 	case j.ended:
 		x.failf("sent request %d after its end", a.Job)
 	case len(j.attempts) >= x.s.MaxAttempts:
 		x.failf("attempt %d of request %d", len(j.attempts)+1, a.Job)
 	case w.row.Condition != Ready && x.now > w.told+x.s.DrainGrace:
-		x.failf("sent to executor %d %v ms after its drain was told", a.Worker, x.now-w.told)
+		x.failf("sent to executor %d %v ms after its drain was told", a.Executor, x.now-w.told)
 	}
 	for _, at := range j.attempts {
-		if !at.over && at.worker == a.Worker {
-			x.failf("a second attempt of request %d at executor %d beside the first", a.Job, a.Worker)
+		if !at.over && at.worker == a.Executor {
+			x.failf("a second attempt of request %d at executor %d beside the first", a.Job, a.Executor)
 		}
-		if !at.over && !x.s.MayDuplicate {
+		if !at.over && !x.s.HedgingAllowed {
 			x.failf("two attempts of request %d out", a.Job)
 		}
-		if at.over && at.neverRan || c.Effect == Safe {
+		if at.over && at.neverRan || c.RetrySafety == Idempotent {
 			continue
 		}
-		if c.Effect == Unsafe {
+		if c.RetrySafety == AtMostOnce {
 			x.failf("unsafe request %d sent again", a.Job)
 		}
 		from := x.workers[at.worker].row
@@ -157,27 +157,27 @@
 			x.failf("keyed request %d sent %v ms after it may have run", a.Job, x.now-at.sent)
 		}
 	}
-	if w.row.Born > 0 && x.now-w.row.Born < x.s.WarmWithin {
+	if w.row.StartedAt > 0 && x.now-w.row.StartedAt < x.s.SlowStartWithin {
 		// Reports tell of up to 6 slots, and the drawn outcomes of speeds up to about 2: with more than this
 		// no such executor could stand.
-		share := x.s.ColdFrom + (1-x.s.ColdFrom)*(x.now-w.row.Born)/x.s.WarmWithin
+		share := x.s.SlowStartFrom + (1-x.s.SlowStartFrom)*(x.now-w.row.StartedAt)/x.s.SlowStartWithin
 		sum := j.slots * j.work
-		for _, s := range x.sent[a.Worker] {
-			if x.now-s.at <= x.s.Fall {
+		for _, s := range x.sent[a.Executor] {
+			if x.now-s.at <= x.s.OverloadWindow {
 				sum += s.cost
 			}
 		}
-		if sum > 2*6*share*x.s.FallMultiple*x.s.Fall {
-			x.failf("executor %d pushed over: %v ms of work in a window", a.Worker, sum)
+		if sum > 2*6*share*x.s.OverloadMultiple*x.s.OverloadWindow {
+			x.failf("executor %d pushed over: %v ms of work in a window", a.Executor, sum)
 		}
-		x.sent[a.Worker] = append(x.sent[a.Worker], spend{x.now, j.slots * j.work})
+		x.sent[a.Executor] = append(x.sent[a.Executor], spend{x.now, j.slots * j.work})
 	}
-	j.attempts = append(j.attempts, scriptAttempt{worker: a.Worker, sent: x.now})
+	j.attempts = append(j.attempts, scriptAttempt{worker: a.Executor, sent: x.now})
 }
 
 // list draws a change of the list, or the whole of it.
-func (x *script) list(form Form) Event {
-	e := Event{Kind: EvList, Form: form, Version: uint32(x.now)}
+func (x *script) list(form ListForm) Event {
+	e := Event{Kind: EvEndpoints, Form: form, Version: uint32(x.now)}
 	if form == ListFailed {
 		return e
 	}
@@ -186,23 +186,23 @@
 		if form == ListDelta && x.rng.Intn(4) > 0 {
 			continue
 		}
-		row := Row{Worker: id * 77, Zone: uint8(id % 2), Cell: uint16(id / 3), Scale: 4, Condition: Ready}
-		if old := x.workers[row.Worker]; old != nil {
-			row.Born = old.row.Born
+		row := EndpointUpdate{Executor: id * 77, Zone: uint8(id % 2), Cell: uint16(id / 3), Weight: 4, Condition: Ready}
+		if old := x.workers[row.Executor]; old != nil {
+			row.StartedAt = old.row.StartedAt
 		}
 		switch r := x.rng.Intn(10); {
 		case r == 0:
 			row.Condition = Draining
 		case r == 1 && form == ListDelta:
-			row.Condition = Gone
+			row.Condition = Removed
 		case r == 2:
-			row.Born = x.now - float64(x.rng.Intn(2000))
+			row.StartedAt = x.now - float64(x.rng.Intn(2000))
 		case r == 3 && form != ListDelta && len(x.workers) > 0:
 			continue // not named: gone
 		}
-		named[row.Worker] = true
-		if old := x.workers[row.Worker]; old == nil || old.row.Condition != row.Condition {
-			x.workers[row.Worker] = &scriptWorker{row: row, told: x.now}
+		named[row.Executor] = true
+		if old := x.workers[row.Executor]; old == nil || old.row.Condition != row.Condition {
+			x.workers[row.Executor] = &scriptWorker{row: row, told: x.now}
 		} else {
 			old.row = row
 		}
@@ -210,8 +210,8 @@
 	}
 	if form != ListDelta {
 		for id, w := range x.workers {
-			if !named[id] && w.row.Condition != Gone {
-				w.row.Condition, w.told = Gone, x.now
+			if !named[id] && w.row.Condition != Removed {
+				w.row.Condition, w.told = Removed, x.now
 			}
 		}
 	}
@@ -241,7 +241,7 @@
 	c := x.rng.Intn(len(x.s.Classes))
 	j := &scriptJob{class: c, slots: 1, work: float64(50 + x.rng.Intn(500))}
 	e := Event{Kind: EvRequest, Job: x.nextJob, Class: uint8(c), Tenant: uint16(x.rng.Intn(4)), Work: j.work,
-		Flags: FlagWork, TimeLeft: x.s.Classes[c].Deadline * x.rng.Float64(), Slots: 1}
+		Flags: FlagWorkHint, TimeLeft: x.s.Classes[c].Deadline * x.rng.Float64(), Slots: 1}
 	switch x.rng.Intn(12) {
 	case 0:
 		e.Slots, j.slots = 3, 3
@@ -250,7 +250,7 @@
 	case 2:
 		e.Key = uint64(x.rng.Intn(5))
 	case 3:
-		e.Flags |= FlagRepeat
+		e.Flags |= FlagRetry
 	case 4:
 		e.Tenant = 60000
 	case 5:
@@ -271,31 +271,31 @@
 	if o == Served {
 		j.ended = true
 	}
-	return Event{Kind: EvOutcome, Job: id, Attempt: uint16(n), Worker: at.worker, Outcome: o, Final: j.ended,
+	return Event{Kind: EvOutcome, Job: id, Attempt: uint16(n), Executor: at.worker, Outcome: o, Final: j.ended,
 		Elapsed: x.now - at.sent, Report: x.report()}
 }
 
 func (x *script) odd() Event {
 	switch x.rng.Intn(7) {
 	case 0:
-		return Event{Kind: EvOutcome, Job: 999999, Worker: 77, Outcome: Served, Final: true}
+		return Event{Kind: EvOutcome, Job: 999999, Executor: 77, Outcome: Served, Final: true}
 	case 1:
-		return Event{Kind: EvNote, Job: 1, Attempt: 77, Worker: 77, Topic: NoteProgress, Amount: math.NaN()}
+		return Event{Kind: EvNote, Job: 1, Attempt: 77, Executor: 77, Topic: NoteProgress, Amount: math.NaN()}
 	case 2:
 		return Event{Kind: EvTimer, Token: 4000000000}
 	case 3:
-		return Event{Kind: EvProbed, Worker: 123456, Outcome: TimedOut, Report: []float32{1}}
+		return Event{Kind: EvHealthCheck, Executor: 123456, Outcome: TimedOut, Report: []float32{1}}
 	case 4:
-		return Event{Kind: EvPeer, From: 9, Data: []byte("?")}
+		return Event{Kind: EvGossip, From: 9, Data: []byte("?")}
 	case 5:
-		return Event{Kind: EvGone, Job: 888888}
+		return Event{Kind: EvClientGone, Job: 888888}
 	}
 	for id := uint32(1); id <= x.nextJob; id++ { // an outcome told twice, of a request long over
 		if j := x.jobs[id]; j.ended && len(j.attempts) > 0 && j.attempts[0].over {
-			return Event{Kind: EvOutcome, Job: id, Worker: j.attempts[0].worker, Outcome: Errored}
+			return Event{Kind: EvOutcome, Job: id, Executor: j.attempts[0].worker, Outcome: Errored}
 		}
 	}
-	return Event{Kind: EvGone, Job: 777777}
+	return Event{Kind: EvClientGone, Job: 777777}
 }
 
 // run plays a script: 20 s of events at a few milliseconds each, then the end of all that is open.
@@ -342,12 +342,12 @@
 			events = append(events, x.outcome(id, n, scriptOutcomes[x.rng.Intn(len(scriptOutcomes))]))
 		case x.rng.Intn(20) == 0:
 			events = append(events, Event{Kind: EvNote, Job: id, Attempt: uint16(n),
-				Worker: j.attempts[n].worker, Topic: uint8(1 + x.rng.Intn(3)), Amount: 0.5})
+				Executor: j.attempts[n].worker, Topic: uint8(1 + x.rng.Intn(3)), Amount: 0.5})
 		}
 	}
 	if !j.ended && x.rng.Intn(4000) == 0 {
 		j.ended = true
-		events = append(events, Event{Kind: EvGone, Job: id})
+		events = append(events, Event{Kind: EvClientGone, Job: id})
 	}
 	return events
 }
@@ -358,15 +358,15 @@
 	case 0:
 		events = append(events, x.list(ListDelta))
 	case 1:
-		events = append(events, x.list(ListFull))
+		events = append(events, x.list(ListSnapshot))
 	case 2:
 		events = append(events, x.list(ListFailed))
 	case 3, 4, 5:
 		events = append(events, x.odd())
 	}
-	for id := uint32(77); id <= 8*77 && x.s.MayProbe; id += 77 {
+	for id := uint32(77); id <= 8*77 && x.s.HealthChecksAllowed; id += 77 {
 		if x.rng.Intn(30) == 0 && x.workers[id] != nil {
-			events = append(events, Event{Kind: EvProbed, Worker: id, Outcome: Served, Report: x.report()})
+			events = append(events, Event{Kind: EvHealthCheck, Executor: id, Outcome: Served, Report: x.report()})
 		}
 	}
 	return events
@@ -398,7 +398,7 @@
 		j := x.jobs[id]
 		if !j.ended {
 			j.ended = true
-			events = append(events, Event{Kind: EvGone, Job: id})
+			events = append(events, Event{Kind: EvClientGone, Job: id})
 		}
 		for n := range j.attempts {
 			if !j.attempts[n].over {
@@ -433,24 +433,24 @@
 	sites := map[string]func(*Settings){
 		"answers": func(s *Settings) {},
 		"health checks, asked list": func(s *Settings) {
-			s.Telemetry, s.MayProbe, s.Ask = ReportProbes, true, true
+			s.Telemetry, s.HealthChecksAllowed, s.PollsList = ReportHealthChecks, true, true
 			s.Fields = []Field{FieldErrors, FieldBusy, FieldUtil, FieldFree}
 		},
 		"no reports, no notes": func(s *Settings) {
-			s.Telemetry, s.Fields, s.Progress, s.TellsStart = ReportNone, nil, 0, false
+			s.Telemetry, s.Fields, s.ProgressInterval, s.NotesStart = ReportNone, nil, 0, false
 		},
-		"no copies":      func(s *Settings) { s.MayDuplicate, s.MayCancel = false, false },
+		"no copies":      func(s *Settings) { s.HedgingAllowed, s.CancelAllowed = false, false },
 		"keyed by zone":  func(s *Settings) { s.Classes[1].Scope = ScopeZone },
 		"keyed anywhere": func(s *Settings) { s.Classes[1].Scope = ScopeAll },
 		"no tenants":     func(s *Settings) { s.Tenants = nil },
 		"shared connections, memory told": func(s *Settings) {
 			s.Multiplex, s.Fields = 4, []Field{FieldBusy, FieldFree, FieldMemory}
 		},
-		"messages": func(s *Settings) { s.Balancers, s.MayTell = 4, true },
+		"messages": func(s *Settings) { s.Nodes, s.GossipAllowed = 4, true },
 		"asked list, no progress, no copies": func(s *Settings) {
-			s.Ask, s.Progress, s.MayDuplicate = true, 0, false
+			s.PollsList, s.ProgressInterval, s.HedgingAllowed = true, 0, false
 		},
-		"three nodes": func(s *Settings) { s.Balancers = 3; s.Fees = Fees{CrossZone: 0.1, Origin: 0.1, Handshake: 0.1} },
+		"three nodes": func(s *Settings) { s.Nodes = 3; s.Fees = Fees{CrossZone: 0.1, Origin: 0.1, Handshake: 0.1} },
 	}
 	total := map[ActionKind]int{}
 	for name, change := range sites {
@@ -469,7 +469,7 @@
 			x.run()
 		}
 	}
-	for _, kind := range []ActionKind{ActSend, ActRefuse, ActFail, ActCancel, ActTimer, ActProbe, ActWatch} {
+	for _, kind := range []ActionKind{ActSend, ActReject, ActFail, ActCancel, ActTimer, ActHealthCheck, ActPollList} {
 		if total[kind] == 0 {
 			t.Errorf("no script led to action kind %d: the scripts check less than they should", kind)
 		}
@@ -485,11 +485,11 @@
 		}
 		rng := rand.New(rand.NewSource(3))
 		log, now := "", 1000.0
-		var rows []Row
+		var rows []EndpointUpdate
 		for id := uint32(1); id <= 12; id++ {
 			rows = append(rows, ready(id*31, uint16(id%3)))
 		}
-		events := []Event{{Kind: EvList, Form: ListCached, Rows: rows}}
+		events := []Event{{Kind: EvEndpoints, Form: ListCached, Rows: rows}}
 		for job := uint32(1); job < 400; job++ {
 			e := request(job, uint8(rng.Intn(3)), uint16(rng.Intn(3)), 1)
 			e.Key = uint64(rng.Intn(9))
@@ -498,7 +498,7 @@
 			for _, a := range d.Step(now, events, nil) {
 				log += fmt.Sprintln(a)
 				if a.Kind == ActSend && rng.Intn(3) > 0 {
-					next = append(next, outcome(a.Job, 0, a.Worker, Served, float32(rng.Intn(5))))
+					next = append(next, outcome(a.Job, 0, a.Executor, Served, float32(rng.Intn(5))))
 				}
 			}
 			events = next
--- a/internal/dispatch/servicetime.go
+++ b/internal/dispatch/servicetime.go
@@ -37,7 +37,7 @@
 	s := serviceTimes{environment: env, minStartLag: env.settings.ConnectTimeout / startLagPart}
 	s.classes = make([]classStats, len(env.settings.Classes))
 	for i, class := range env.settings.Classes {
-		s.meanRun += max(1, class.Aim) / float64(len(s.classes))
+		s.meanRun += max(1, class.Objective) / float64(len(s.classes))
 		s.meanSlotTime = s.meanRun
 		s.classes[i] = newClassStats(class)
 	}
@@ -49,7 +49,7 @@
 
 // newClassStats is what is held of a class before its jobs are seen: an objective is the best hint at the work that
 // it was set for.
-func newClassStats(c Class) classStats { return classStats{work: max(1, c.Aim), slots: 1} }
+func newClassStats(c Class) classStats { return classStats{work: max(1, c.Objective), slots: 1} }
 
 // observedWork is work that was done and the time that it took, both fading.
 type observedWork struct{ work, time float64 }
@@ -78,7 +78,7 @@
 func (s *serviceTimes) learn(job *job, attempt *attempt) {
 	from := attempt.startedAt
 	if from == 0 {
-		if s.settings.TellsStart || !attempt.hadFreeSlots {
+		if s.settings.NotesStart || !attempt.hadFreeSlots {
 			return // the wait cannot be told from the run
 		}
 		from = attempt.sentAt
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -67,17 +67,17 @@
 }
 
 // noteRows takes in the rows of a list that is about to be applied.
-func (s *slowStartTracker) noteRows(rows []Row) {
+func (s *slowStartTracker) noteRows(rows []EndpointUpdate) {
 	if s.confirmedAt == 0 {
 		s.newestListedStart = newestStart(rows)
 	}
 }
 
 // newestStart gives the latest start of a list, on the list's clock.
-func newestStart(rows []Row) float64 {
+func newestStart(rows []EndpointUpdate) float64 {
 	newest := 0.0
 	for i := range rows {
-		newest = max(newest, rows[i].Born)
+		newest = max(newest, rows[i].StartedAt)
 	}
 	return newest
 }
@@ -89,11 +89,11 @@
 	}
 	start := &executor.slowStart
 	start.listedStart, start.startedAt, start.opened = listed, s.estimateStart(listed), false
-	start.until = start.startedAt + s.settings.WarmWithin
+	start.until = start.startedAt + s.settings.SlowStartWithin
 	if start.startedAt > 0 && s.confirmedAt > 0 {
 		// The list's clock may be off by less than would show. A budget that ends too early lets all nodes send at once
 		// what waits for it, so that it ends as if the process had started when this node was notified.
-		start.until = s.now + s.settings.WarmWithin
+		start.until = s.now + s.settings.SlowStartWithin
 	}
 }
 
@@ -108,7 +108,7 @@
 		return s.now
 	case listed >= s.confirmedAt:
 		return listed
-	case s.now-listed <= s.settings.Fall:
+	case s.now-listed <= s.settings.OverloadWindow:
 		// The notification of the start took a little longer than that of another change.
 		return s.confirmedAt
 	}
@@ -146,7 +146,7 @@
 // warmingUp gives the executors of the list that warm up, by id.
 func (s *slowStartTracker) warmingUp() []*executor {
 	s.warming = slices.DeleteFunc(s.warming, func(executor *executor) bool {
-		return executor.endpoint.condition == Gone || s.share(executor) >= 1
+		return executor.endpoint.condition == Removed || s.share(executor) >= 1
 	})
 	return s.warming
 }
@@ -178,11 +178,11 @@
 
 // share is the least part of its capacity that an executor has by now.
 func (s *slowStartTracker) share(executor *executor) float64 {
-	startedAt, warmsWithin := executor.slowStart.startedAt, s.settings.WarmWithin
+	startedAt, warmsWithin := executor.slowStart.startedAt, s.settings.SlowStartWithin
 	if startedAt <= 0 || warmsWithin <= 0 || s.now-startedAt >= warmsWithin {
 		return 1
 	}
-	return min(1, s.settings.ColdFrom+(1-s.settings.ColdFrom)*max(0, s.now-startedAt)/warmsWithin)
+	return min(1, s.settings.SlowStartFrom+(1-s.settings.SlowStartFrom)*max(0, s.now-startedAt)/warmsWithin)
 }
 
 // slowStartAllows says whether our part of the budget of an executor that warms up lets a job of ours go there, with
@@ -197,10 +197,10 @@
 	if !budget.opened {
 		d.openSlowStartBudget(executor)
 	}
-	part := min(d.fleetShare(), maxSlowStartPart/float64(d.settings.Balancers))
+	part := min(d.fleetShare(), maxSlowStartPart/float64(d.settings.Nodes))
 	slots := max(1, executor.load.slots, d.capacity.kindSlots[executor.endpoint.kind])
-	rate := d.slowStartSafetyFactor() * part * d.settings.FallMultiple * share * slots
-	maxCredit := rate * d.settings.Fall * slowStartBurst
+	rate := d.slowStartSafetyFactor() * part * d.settings.OverloadMultiple * share * slots
+	maxCredit := rate * d.settings.OverloadWindow * slowStartBurst
 	budget.accrue(d.now, rate, maxCredit, d.slowStartTurnCost(executor))
 	return budget.credit > min(furtherWork, slowStartKnownSafety*maxCredit)
 }
@@ -220,11 +220,11 @@
 func (d *Dispatcher) openSlowStartBudget(executor *executor) {
 	budget := &executor.slowStart
 	sentFrom := budget.startedAt
-	if budget.listedStart <= d.now && d.now-budget.listedStart <= d.settings.Fall {
+	if budget.listedStart <= d.now && d.now-budget.listedStart <= d.settings.OverloadWindow {
 		sentFrom = min(sentFrom, budget.listedStart) // the list's clock tells of a start a moment ago, which is believed here
 	}
 	budget.opened = true
-	budget.creditAt = max(budget.startedAt, d.now-slowStartBurst*d.settings.Fall)
+	budget.creditAt = max(budget.startedAt, d.now-slowStartBurst*d.settings.OverloadWindow)
 	budget.credit = -d.random()*d.slowStartTurnCost(executor) - d.workSentSince(executor, sentFrom)
 }
 
--- a/internal/dispatch/slowstart_fleet_test.go
+++ b/internal/dispatch/slowstart_fleet_test.go
@@ -58,8 +58,8 @@
 func (f slowStartFleet) play(t *testing.T, seed int64) *slowStartPlay {
 	s := base()
 	s.Classes = s.Classes[:1]
-	s.Balancers, s.MayTell = f.nodes, f.gossip
-	s.Tenants = []Tenant{{Portion: 1, Quota: fleetSlots / fleetWorkMS * 1000}}
+	s.Nodes, s.GossipAllowed = f.nodes, f.gossip
+	s.Tenants = []Tenant{{ReservedShare: 1, Quota: fleetSlots / fleetWorkMS * 1000}}
 	p := &slowStartPlay{slowStartFleet: f, t: t, settings: s, seed: seed, rnd: rand.New(rand.NewSource(seed)),
 		nodes: make([]*Dispatcher, f.nodes), inbox: make([][]Event, f.nodes), beyond: math.Inf(-1)}
 	for i := range p.nodes {
@@ -68,7 +68,7 @@
 	for i := range f.restarts + 1 {
 		p.starts = append(p.starts, fleetStartMS+float64(i)*f.restartEvery)
 	}
-	end := p.starts[f.restarts] + s.WarmWithin
+	end := p.starts[f.restarts] + s.SlowStartWithin
 	for now := fleetStartMS - fleetWarmUpMS + fleetStepMS; now < end; now += fleetStepMS {
 		p.step(now)
 	}
@@ -92,27 +92,27 @@
 	return last
 }
 
-func (p *slowStartPlay) row(now float64) Row {
+func (p *slowStartPlay) row(now float64) EndpointUpdate {
 	r := ready(7, 0)
 	if at := p.started(now); at > 0 {
-		r.Born = at + p.listClock
+		r.StartedAt = at + p.listClock
 	} else {
-		r.Born = fleetStartMS - 2*hourMS + p.listClock
+		r.StartedAt = fleetStartMS - 2*hourMS + p.listClock
 	}
 	return r
 }
 
 func (p *slowStartPlay) startNode(i int, now float64) {
 	s := p.settings
-	s.Me = i
+	s.Node = i
 	d, err := New(s, uint64(p.seed)*1000+uint64(i)+uint64(now))
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	rows := []Row{p.row(now)}
+	rows := []EndpointUpdate{p.row(now)}
 	d.Step(
 		now+p.clock(i),
-		[]Event{{Kind: EvList, Form: ListCached, Rows: rows}, {Kind: EvList, Form: ListFull, Rows: rows}},
+		[]Event{{Kind: EvEndpoints, Form: ListCached, Rows: rows}, {Kind: EvEndpoints, Form: ListSnapshot, Rows: rows}},
 		nil,
 	)
 	d.capacity.kindSlots[0] = fleetSlots
@@ -125,7 +125,7 @@
 	if at == 0 {
 		return 1
 	}
-	return min(1, p.settings.ColdFrom+(1-p.settings.ColdFrom)*(now-at)/p.settings.WarmWithin)
+	return min(1, p.settings.SlowStartFrom+(1-p.settings.SlowStartFrom)*(now-at)/p.settings.SlowStartWithin)
 }
 
 // step lets all nodes take one step.
@@ -168,9 +168,9 @@
 		late := float64(1+i%3) * fleetStepMS
 		switch {
 		case at > 0 && now >= at+late-fleetStepMS && now < at+late:
-			p.inbox[i] = append(p.inbox[i], Event{Kind: EvList, Form: ListDelta, Rows: []Row{p.row(now)}})
+			p.inbox[i] = append(p.inbox[i], Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{p.row(now)}})
 		case !p.quiet && int(now/fleetStepMS)%100 == i%100:
-			p.inbox[i] = append(p.inbox[i], Event{Kind: EvList, Form: ListDelta})
+			p.inbox[i] = append(p.inbox[i], Event{Kind: EvEndpoints, Form: ListDelta})
 		}
 	}
 }
@@ -200,7 +200,7 @@
 			}
 			p.inbox[r.node] = append(
 				p.inbox[r.node],
-				Event{Kind: EvNote, Job: r.job, Attempt: r.attempt, Worker: 7, Topic: NoteStarted},
+				Event{Kind: EvNote, Job: r.job, Attempt: r.attempt, Executor: 7, Topic: NoteStarted},
 			)
 		}
 		if r.ends > 0 && now >= r.ends {
@@ -224,10 +224,10 @@
 		} else {
 			p.inbox[node] = append(p.inbox[node], outcome(a.Job, attempt, 7, Served))
 		}
-	case ActTell:
+	case ActGossip:
 		for to := range p.nodes {
 			if to != node && (a.To == AllPeers || int(a.To) == to) {
-				p.inbox[to] = append(p.inbox[to], Event{Kind: EvPeer, From: uint32(node), Data: a.Data})
+				p.inbox[to] = append(p.inbox[to], Event{Kind: EvGossip, From: uint32(node), Data: a.Data})
 			}
 		}
 	}
@@ -246,8 +246,10 @@
 // budget is how many requests the settings allow a process that began at a time in a window.
 func (p *slowStartPlay) budget(began, from, to float64) float64 {
 	s := p.settings
-	share := func(x float64) float64 { return min(1, s.ColdFrom+(1-s.ColdFrom)*max(0, x-began)/s.WarmWithin) }
-	return s.FallMultiple * fleetSlots * (share(from) + share(to)) / 2 * (to - from) / fleetWorkMS
+	share := func(x float64) float64 {
+		return min(1, s.SlowStartFrom+(1-s.SlowStartFrom)*max(0, x-began)/s.SlowStartWithin)
+	}
+	return s.OverloadMultiple * fleetSlots * (share(from) + share(to)) / 2 * (to - from) / fleetWorkMS
 }
 
 // allowance is how many requests an executor that warms up bears where the settings allow n.
@@ -265,10 +267,10 @@
 		return
 	}
 	sum := 0.0
-	for k := len(p.sends) - 1; k >= 0 && p.sends[k] > now-p.settings.Fall; k-- {
+	for k := len(p.sends) - 1; k >= 0 && p.sends[k] > now-p.settings.OverloadWindow; k-- {
 		sum++
 	}
-	n := p.budget(began, max(began, now-p.settings.Fall), max(now, began+p.settings.Fall))
+	n := p.budget(began, max(began, now-p.settings.OverloadWindow), max(now, began+p.settings.OverloadWindow))
 	p.beyond = max(p.beyond, sum-allowance(n))
 }
 
--- a/internal/dispatch/slowstart_quota_test.go
+++ b/internal/dispatch/slowstart_quota_test.go
@@ -23,11 +23,11 @@
 // longSettings are the settings of such a fleet with a number of nodes that tell one another nothing.
 func longSettings(nodes int) Settings {
 	s := base()
-	s.Balancers, s.MayDuplicate = nodes, false
+	s.Nodes, s.HedgingAllowed = nodes, false
 	for i := range s.Classes {
-		s.Classes[i].Aim, s.Classes[i].Deadline = longAim, longTime
+		s.Classes[i].Objective, s.Classes[i].Deadline = longAim, longTime
 	}
-	s.Tenants = []Tenant{{Portion: 1, Quota: longQuota * longSlots / longWork * 1000}}
+	s.Tenants = []Tenant{{ReservedShare: 1, Quota: longQuota * longSlots / longWork * 1000}}
 	return s
 }
 
@@ -42,21 +42,21 @@
 func playLong(t *testing.T, s Settings, seed int64) (sends []float64) {
 	random := rand.New(rand.NewSource(seed))
 	warm, cold := ready(1, 0), ready(1, 0)
-	cold.Born = longStarted
-	nodes, events := make([]*Dispatcher, s.Balancers), make([][]Event, s.Balancers)
+	cold.StartedAt = longStarted
+	nodes, events := make([]*Dispatcher, s.Nodes), make([][]Event, s.Nodes)
 	for i := range nodes {
-		s.Me = i
+		s.Node = i
 		d, err := New(s, uint64(seed)*1000+uint64(i)+1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Step(longStarted-longStep, []Event{{Kind: EvList, Form: ListFull, Rows: []Row{warm}}}, nil)
+		d.Step(longStarted-longStep, []Event{{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{warm}}}, nil)
 		d.capacity.kindSlots[0] = longSlots
-		d.Step(longStarted, []Event{{Kind: EvList, Form: ListDelta, Rows: []Row{cold}}}, nil)
+		d.Step(longStarted, []Event{{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{cold}}}, nil)
 		nodes[i] = d
 	}
 	running, job := []ended(nil), uint32(0)
-	for now := longStarted + longStep; now < longStarted+s.WarmWithin; now += longStep {
+	for now := longStarted + longStep; now < longStarted+s.SlowStartWithin; now += longStep {
 		for left := longLoad * longSlots / longWork * longStep; left > 0 && random.Float64() < left; left-- {
 			job++
 			e := request(job, uint8(random.Intn(len(s.Classes))), 0, 1)
@@ -83,9 +83,12 @@
 				attempt := uint16(len(d.jobs.byID[a.Job].attempts) - 1)
 				events[i] = append(
 					events[i],
-					Event{Kind: EvNote, Job: a.Job, Attempt: attempt, Worker: a.Worker, Topic: NoteStarted},
+					Event{Kind: EvNote, Job: a.Job, Attempt: attempt, Executor: a.Executor, Topic: NoteStarted},
+				)
+				running = append(
+					running,
+					ended{i, now + random.ExpFloat64()*longWork, outcome(a.Job, attempt, a.Executor, Served)},
 				)
-				running = append(running, ended{i, now + random.ExpFloat64()*longWork, outcome(a.Job, attempt, a.Worker, Served)})
 				sends = append(sends, now)
 			}
 		}
@@ -105,18 +108,23 @@
 			for seed := int64(1); seed <= seeds; seed++ {
 				sends, from, worst := playLong(t, s, seed), 0, math.Inf(-1)
 				for i, at := range sends {
-					for sends[from] <= at-s.Fall {
+					for sends[from] <= at-s.OverloadWindow {
 						from++
 					}
-					share := s.ColdFrom + (1-s.ColdFrom)*max(0, at-s.Fall/2-longStarted)/s.WarmWithin
-					budget := s.FallMultiple * longSlots * share * s.Fall / longWork
+					share := s.SlowStartFrom + (1-s.SlowStartFrom)*max(0, at-s.OverloadWindow/2-longStarted)/s.SlowStartWithin
+					budget := s.OverloadMultiple * longSlots * share * s.OverloadWindow / longWork
 					worst = max(worst, float64(i-from+1)-budget-3*math.Sqrt(budget+3))
 				}
 				if worst > 0 {
-					t.Errorf("seed %d: %.1f requests within %.0f ms more than it bears and chance allows", seed, worst, s.Fall)
+					t.Errorf(
+						"seed %d: %.1f requests within %.0f ms more than it bears and chance allows",
+						seed,
+						worst,
+						s.OverloadWindow,
+					)
 				}
 				sent += float64(len(sends))
-				allowed += s.FallMultiple * longSlots * (1 + s.ColdFrom) / 2 * s.WarmWithin / longWork
+				allowed += s.OverloadMultiple * longSlots * (1 + s.SlowStartFrom) / 2 * s.SlowStartWithin / longWork
 			}
 			t.Logf("%.2f of the budget used", sent/allowed)
 			if most, least := 1.0, 0.1; sent > most*allowed || sent < least*allowed {
--- a/internal/dispatch/slowstart_sum_test.go
+++ b/internal/dispatch/slowstart_sum_test.go
@@ -25,23 +25,23 @@
 	const slots, work, step = 4.0, 300.0, 20.0
 	s := base()
 	s.Classes = s.Classes[:1]
-	if s.Balancers = f.nodes; f.told > 0 {
-		s.Balancers = f.told
+	if s.Nodes = f.nodes; f.told > 0 {
+		s.Nodes = f.told
 	}
 	quota := slots / work * 1000 // what the executor can do once it is warm
-	s.Tenants = []Tenant{{Portion: 1, Quota: quota}}
+	s.Tenants = []Tenant{{ReservedShare: 1, Quota: quota}}
 	rnd := rand.New(rand.NewSource(seed))
 	cold, born := ready(7, 0), 100000.0
-	cold.Born = born
+	cold.StartedAt = born
 	nodes := make([]*Dispatcher, f.nodes)
 	start := func(i int, now float64) {
 		mine := s
-		mine.Me = i % s.Balancers
+		mine.Node = i % s.Nodes
 		d, err := New(mine, uint64(seed)*1000+uint64(i)+1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Step(now, []Event{{Kind: EvList, Form: ListCached, Rows: []Row{cold}}}, nil)
+		d.Step(now, []Event{{Kind: EvEndpoints, Form: ListCached, Rows: []EndpointUpdate{cold}}}, nil)
 		d.capacity.kindSlots[0] = slots
 		nodes[i] = d
 	}
@@ -51,10 +51,12 @@
 	ended := make([][]Event, f.nodes)
 	var sends []float64
 	id, budget := uint32(0), func(from, to float64) float64 { // in requests of mean work
-		share := func(x float64) float64 { return min(1, s.ColdFrom+(1-s.ColdFrom)*max(0, x-born)/s.WarmWithin) }
-		return s.FallMultiple * slots * (share(from) + share(to)) / 2 * (to - from) / work
+		share := func(x float64) float64 {
+			return min(1, s.SlowStartFrom+(1-s.SlowStartFrom)*max(0, x-born)/s.SlowStartWithin)
+		}
+		return s.OverloadMultiple * slots * (share(from) + share(to)) / 2 * (to - from) / work
 	}
-	for now := born + step; now < born+s.WarmWithin-step; now += step {
+	for now := born + step; now < born+s.SlowStartWithin-step; now += step {
 		if now-step < born+2000 && now >= born+2000 {
 			for i := range f.late {
 				start(i, now)
@@ -90,14 +92,14 @@
 				}
 			}
 		}
-		from, sum := max(born, now-s.Fall), 0.0
-		for k := len(sends) - 1; k >= 0 && sends[k] > now-s.Fall; k-- {
+		from, sum := max(born, now-s.OverloadWindow), 0.0
+		for k := len(sends) - 1; k >= 0 && sends[k] > now-s.OverloadWindow; k-- {
 			sum++
 		}
-		n := budget(from, max(now, born+s.Fall))
+		n := budget(from, max(now, born+s.OverloadWindow))
 		beyond = max(beyond, sum-n-2*math.Sqrt(n)-2)
 	}
-	return beyond, float64(len(sends)) / budget(born, born+s.WarmWithin)
+	return beyond, float64(len(sends)) / budget(born, born+s.SlowStartWithin)
 }
 
 // All nodes together keep the budget of an executor that warms up, but for chance, with nothing to tell them
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -13,7 +13,7 @@
 // part of the budget as well).
 func TestSendsBeforeAStartIsNotifiedCount(t *testing.T) {
 	s := base()
-	s.Balancers = 4
+	s.Nodes = 4
 	for seed := uint64(1); seed <= 20; seed++ { // whatever part of a job the node owes at first
 		r := newRig(t, s, ready(7, 0))
 		r.d.randomState = seed
@@ -35,8 +35,8 @@
 			t.Fatalf("%v jobs out and %d ended, want 3 of each", executor.inFlight.slots, executor.inFlight.endedCount)
 		}
 		cold := ready(7, 0)
-		cold.Born = born
-		r.after(10, Event{Kind: EvList, Form: ListDelta, Rows: []Row{cold}})
+		cold.StartedAt = born
+		r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{cold}})
 		// Three jobs that are out take 400 ms each, and those that ended have held the executor for up to 150 ms.
 		if paid := 3 * 400.0; executor.slowStart.credit > -paid {
 			t.Errorf("seed %d: the budget stands at %.0f ms, want %.0f at most", seed, executor.slowStart.credit, -paid)
@@ -49,9 +49,9 @@
 func TestWideJobsDoNotOverdrawSlowStart(t *testing.T) {
 	most := func(slots float64) float64 {
 		s := base()
-		s.Balancers, s.TellsStart, s.Progress = 1, false, 0
+		s.Nodes, s.NotesStart, s.ProgressInterval = 1, false, 0
 		cold := ready(7, 0)
-		cold.Born = 100000
+		cold.StartedAt = 100000
 		r := newRig(t, s, cold)
 		executor := r.d.endpoints.byID[7]
 		executor.load.slots, r.d.capacity.kindSlots[0] = 4, 4
@@ -79,7 +79,7 @@
 // inspected whenever it is our turn, not only when it is drawn.
 func TestExecutorIsUsedAsItWarmsUp(t *testing.T) {
 	rows := fleet(60)
-	rows[30].Born = 100000
+	rows[30].StartedAt = 100000
 	c := listeningCluster(t, 60, 4, rows...)
 	for i, d := range c.nodes {
 		if i == d.aggregatorClient.current {
@@ -108,9 +108,9 @@
 func TestSlowStartBudgetIsKeptWithTheAggregator(t *testing.T) {
 	cold := ready(7, 0)
 	c := listeningCluster(t, 60, 4, cold)
-	cold.Born = c.now
+	cold.StartedAt = c.now
 	for i := range c.nodes {
-		c.in[i] = append(c.in[i], Event{Kind: EvList, Form: ListDelta, Rows: []Row{cold}})
+		c.in[i] = append(c.in[i], Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{cold}})
 	}
 	type run struct {
 		node int
@@ -120,7 +120,7 @@
 	var sends []float64
 	var out []run
 	const work = 300.0
-	for c.now < cold.Born+c.s.WarmWithin-100 {
+	for c.now < cold.StartedAt+c.s.SlowStartWithin-100 {
 		c.next++
 		more := map[int]Event{int(c.next*37) % 60: request(c.next, 0, 0, 1)} // 100 a second, 2.5 times the quota
 		for len(out) > 0 && c.now-out[0].at >= work {
@@ -134,32 +134,32 @@
 			}
 		}
 		sum := 0.0
-		for k := len(sends) - 1; k >= 0 && c.now-sends[k] <= c.s.Fall; k-- {
+		for k := len(sends) - 1; k >= 0 && c.now-sends[k] <= c.s.OverloadWindow; k-- {
 			sum += work
 		}
-		share := c.s.ColdFrom + (1-c.s.ColdFrom)*(c.now-cold.Born)/c.s.WarmWithin
-		if most := c.s.FallMultiple * share * 4 * c.s.Fall; sum > most {
-			t.Fatalf("%.0f ms of work sent in a window at %.0f, want %.0f at most", sum, c.now-cold.Born, most)
+		share := c.s.SlowStartFrom + (1-c.s.SlowStartFrom)*(c.now-cold.StartedAt)/c.s.SlowStartWithin
+		if most := c.s.OverloadMultiple * share * 4 * c.s.OverloadWindow; sum > most {
+			t.Fatalf("%.0f ms of work sent in a window at %.0f, want %.0f at most", sum, c.now-cold.StartedAt, most)
 		}
 	}
 	// Half of what it can do while it warms.
-	if got, want := work*float64(len(sends)), 0.5*0.65*4*c.s.WarmWithin; got < want {
+	if got, want := work*float64(len(sends)), 0.5*0.65*4*c.s.SlowStartWithin; got < want {
 		t.Errorf("%.0f ms of work sent while it warmed, want %.0f", got, want)
 	}
 }
 
 func TestSlowStartBudget(t *testing.T) {
 	s := base()
-	s.Balancers = 2
+	s.Nodes = 2
 	cold := ready(7, 0)
-	cold.Born = 100000 // the rig's first moment
+	cold.StartedAt = 100000 // the rig's first moment
 	r := newRig(t, s, cold)
 	r.d.endpoints.listed[0].load.slots, r.d.capacity.kindSlots[0] = 4, 4
 	r.d.endpoints.listed[0].load.freeSlots, r.d.endpoints.listed[0].load.reportedAt = 4, r.now
 	// In any window no more than our part of the budget, by what it has at the end of it, and one job at its edge.
 	type send struct{ at, cost float64 }
 	var sends []send
-	for id := uint32(1); r.now < 100000+s.WarmWithin; id++ {
+	for id := uint32(1); r.now < 100000+s.SlowStartWithin; id++ {
 		e := request(id, 0, 0, 1)
 		e.Work = 700
 		events := []Event{e}
@@ -175,12 +175,12 @@
 		}
 		sum := 0.0
 		for _, x := range sends {
-			if r.now-x.at <= s.Fall {
+			if r.now-x.at <= s.OverloadWindow {
 				sum += x.cost
 			}
 		}
-		share := s.ColdFrom + (1-s.ColdFrom)*(r.now-100000)/s.WarmWithin
-		if most := 0.5*s.FallMultiple*share*4*s.Fall + 700; sum > most {
+		share := s.SlowStartFrom + (1-s.SlowStartFrom)*(r.now-100000)/s.SlowStartWithin
+		if most := 0.5*s.OverloadMultiple*share*4*s.OverloadWindow + 700; sum > most {
 			t.Fatalf("%.0f ms of work sent in a window at %.0f, want %.0f at most", sum, r.now, most)
 		}
 	}
@@ -194,23 +194,23 @@
 // zone+vast). All together must use the budget, and keep it.
 func TestManyNodesShareASlowStart(t *testing.T) {
 	s := base()
-	s.Balancers = 80
-	nodes := make([]*Dispatcher, s.Balancers)
+	s.Nodes = 80
+	nodes := make([]*Dispatcher, s.Nodes)
 	now := 100000.0
 	cold := ready(7, 0)
-	cold.Born = now
+	cold.StartedAt = now
 	for i := range nodes {
 		d, err := New(s, uint64(i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Step(now, []Event{{Kind: EvList, Form: ListCached, Rows: []Row{cold}}}, nil)
+		d.Step(now, []Event{{Kind: EvEndpoints, Form: ListCached, Rows: []EndpointUpdate{cold}}}, nil)
 		d.capacity.kindSlots[0] = 4
 		nodes[i] = d
 	}
 	var sends []float64 // each a job of 300 ms
 	out := make([][]Event, len(nodes))
-	for id := uint32(1); now < 100000+s.WarmWithin-20; id++ {
+	for id := uint32(1); now < 100000+s.SlowStartWithin-20; id++ {
 		now += 20
 		for i, d := range nodes {
 			e := request(id, 0, 0, 1)
@@ -225,16 +225,16 @@
 			}
 		}
 		sum := 0.0
-		for k := len(sends) - 1; k >= 0 && now-sends[k] <= s.Fall; k-- {
+		for k := len(sends) - 1; k >= 0 && now-sends[k] <= s.OverloadWindow; k-- {
 			sum += 300
 		}
-		share := s.ColdFrom + (1-s.ColdFrom)*(now-100000)/s.WarmWithin
-		if most := s.FallMultiple * share * 4 * s.Fall; sum > most {
+		share := s.SlowStartFrom + (1-s.SlowStartFrom)*(now-100000)/s.SlowStartWithin
+		if most := s.OverloadMultiple * share * 4 * s.OverloadWindow; sum > most {
 			t.Fatalf("all nodes sent %.0f ms of work in a window at %.0f, want %.0f at most", sum, now, most)
 		}
 	}
 	// Half of what the safety leaves of the budget: 0.6 x 4 x 0.65 x 4 slots over 9 s.
-	if got, want := 300*float64(len(sends)), slowStartSafety*s.FallMultiple*0.65*4*s.WarmWithin/2; got < want {
+	if got, want := 300*float64(len(sends)), slowStartSafety*s.OverloadMultiple*0.65*4*s.SlowStartWithin/2; got < want {
 		t.Errorf("all nodes sent %.0f ms of work while it warmed, want %.0f", got, want)
 	}
 }
@@ -243,13 +243,13 @@
 // was stepped back: what was learned of the old process is dropped, and the new one warms up.
 func TestEarlierStartIsANewProcess(t *testing.T) {
 	row := ready(7, 0)
-	row.Born = 90000 - hourMS/100
+	row.StartedAt = 90000 - hourMS/100
 	r := newRig(t, base(), row)
-	r.step(Event{Kind: EvList, Form: ListFull, Rows: []Row{row}})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{row}})
 	executor := r.d.endpoints.byID[7]
 	executor.outlier.errorAverage, executor.outlier.ejections, executor.load.slots = 0.4, 3, 4
-	row.Born -= 5000
-	r.after(500, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
+	row.StartedAt -= 5000
+	r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{row}})
 	if executor.outlier.errorAverage != 0 || executor.outlier.ejections != 0 {
 		t.Errorf(
 			"the error average %v and %d strikes of the old process stand",
@@ -257,8 +257,8 @@
 			executor.outlier.ejections,
 		)
 	}
-	if share := r.d.slowStart.share(executor); share != r.d.settings.ColdFrom {
-		t.Errorf("its share of capacity is %.2f, want %.2f", share, r.d.settings.ColdFrom)
+	if share := r.d.slowStart.share(executor); share != r.d.settings.SlowStartFrom {
+		t.Errorf("its share of capacity is %.2f, want %.2f", share, r.d.settings.SlowStartFrom)
 	}
 }
 
@@ -267,22 +267,22 @@
 func TestFirstListWithStartsInTheFuture(t *testing.T) {
 	const now = 100 * hourMS
 	starts := map[uint32]float64{1: 0, 2: now - 1000, 3: now + hourMS, 4: now + hourMS - 2000, 5: now + hourMS/2}
-	var rows []Row
+	var rows []EndpointUpdate
 	for id := uint32(1); id <= 5; id++ {
 		row := ready(id, 0)
-		row.Born = starts[id]
+		row.StartedAt = starts[id]
 		rows = append(rows, row)
 	}
 	r := newRig(t, base())
 	r.now = now
-	r.step(Event{Kind: EvList, Form: ListFull, Rows: rows})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: rows})
 	want := map[uint32]float64{1: 0, 2: now - 1000, 3: now, 4: now - 2000, 5: now - hourMS/2}
 	for id, at := range want {
 		if got := r.d.endpoints.byID[id].slowStart.startedAt; got != at {
 			t.Errorf("executor %d: taken to have started at %.0f, want %.0f", id, got, at)
 		}
 	}
-	r.after(3000, Event{Kind: EvList, Form: ListFull, Rows: rows})
+	r.after(3000, Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: rows})
 	if got := r.d.endpoints.byID[3].slowStart.startedAt; got != now {
 		t.Errorf("its age does not grow with our clock: started at %.0f, want %.0f", got, now)
 	}
@@ -299,14 +299,14 @@
 		{"an hour ahead", now + hourMS, now}, {"a little ahead", now + 5, now}, {"long ago", 0, 0},
 	} {
 		old := ready(7, 0)
-		old.Born = confirmed - 10*hourMS
+		old.StartedAt = confirmed - 10*hourMS
 		r := newRig(t, base(), old)
 		r.now = confirmed
-		r.step(Event{Kind: EvList, Form: ListFull, Rows: []Row{old}})
+		r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{old}})
 		r.now = now
 		row := old
-		row.Born = c.listed
-		r.step(Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
+		row.StartedAt = c.listed
+		r.step(Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{row}})
 		if got := r.d.endpoints.byID[7].slowStart.startedAt; got != c.want {
 			t.Errorf(
 				"%s: taken to have started %.0f ms after the confirmed list, want %.0f",
@@ -322,10 +322,10 @@
 func TestNotifiedStartJustBeforeAnotherChange(t *testing.T) {
 	old := ready(7, 0)
 	r := newRig(t, base(), old)
-	r.step(Event{Kind: EvList, Form: ListFull, Rows: []Row{old}})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{old}})
 	confirmed := r.now
-	old.Born = confirmed - 100
-	r.after(50, Event{Kind: EvList, Form: ListDelta, Rows: []Row{old}})
+	old.StartedAt = confirmed - 100
+	r.after(50, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{old}})
 	if got := r.d.endpoints.byID[7].slowStart.startedAt; got != confirmed {
 		t.Errorf("taken to have started at %.0f, want %.0f", got, confirmed)
 	}
@@ -334,22 +334,22 @@
 // An executor that leaves the list and comes back with the same start was not restarted: it is not cold.
 func TestReturnWithTheSameStartIsNoStart(t *testing.T) {
 	other, row := ready(6, 0), ready(7, 0)
-	row.Born = 40000
+	row.StartedAt = 40000
 	r := newRig(t, base(), other, row)
-	r.step(Event{Kind: EvList, Form: ListFull, Rows: []Row{other, row}})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{other, row}})
 	left := row
-	left.Condition = Gone
-	r.after(1000, Event{Kind: EvList, Form: ListDelta, Rows: []Row{left}})
+	left.Condition = Removed
+	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{left}})
 	if r.d.endpoints.byID[7] != nil {
 		t.Fatal("the executor is still known")
 	}
-	r.after(1000, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
+	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{row}})
 	if share := r.d.slowStart.share(r.d.endpoints.byID[7]); share != 1 {
 		t.Errorf("its share of capacity is %.2f, want all", share)
 	}
-	r.after(1000, Event{Kind: EvList, Form: ListDelta, Rows: []Row{left}})
-	row.Born++
-	r.after(1000, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
+	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{left}})
+	row.StartedAt++
+	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{row}})
 	if share := r.d.slowStart.share(r.d.endpoints.byID[7]); share == 1 {
 		t.Error("a new process is not cold")
 	}
@@ -359,16 +359,16 @@
 func TestStartsOfRemovedExecutorsExpire(t *testing.T) {
 	r := newRig(t, base(), ready(1, 0))
 	for round := range 4 {
-		var come, leave []Row
+		var come, leave []EndpointUpdate
 		for i := range 2 * removedStartsBeforePurge {
 			row := ready(uint32(1000*round+i+10), 0)
-			row.Born = 50000
+			row.StartedAt = 50000
 			come = append(come, row)
-			row.Condition = Gone
+			row.Condition = Removed
 			leave = append(leave, row)
 		}
-		r.after(removedStartTTL, Event{Kind: EvList, Form: ListDelta, Rows: come})
-		r.after(removedStartTTL, Event{Kind: EvList, Form: ListDelta, Rows: leave})
+		r.after(removedStartTTL, Event{Kind: EvEndpoints, Form: ListDelta, Rows: come})
+		r.after(removedStartTTL, Event{Kind: EvEndpoints, Form: ListDelta, Rows: leave})
 		if n := len(r.d.slowStart.removed); n > 3*removedStartsBeforePurge {
 			t.Fatalf("%d starts are remembered", n)
 		}
@@ -380,21 +380,21 @@
 func TestStartAgainWhileWarmingOpensANewBudget(t *testing.T) {
 	row := ready(7, 0)
 	r := newRig(t, base(), row)
-	r.step(Event{Kind: EvList, Form: ListFull, Rows: []Row{row}})
-	row.Born = r.now + 1000
-	r.after(1001, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{row}})
+	row.StartedAt = r.now + 1000
+	r.after(1001, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{row}})
 	executor := r.d.endpoints.byID[7]
 	for range 20 {
-		r.after(100, Event{Kind: EvList, Form: ListDelta, Rows: nil})
+		r.after(100, Event{Kind: EvEndpoints, Form: ListDelta, Rows: nil})
 		r.d.slowStartAllows(executor, 0)
 	}
 	if executor.slowStart.credit <= 0 {
 		t.Fatalf("credit %.0f ms after two seconds in which nothing was sent", executor.slowStart.credit)
 	}
-	row.Born = r.now + 5
+	row.StartedAt = r.now + 5
 	r.after(10)
 	r.d.slowStartAllows(executor, 0)
-	r.after(10, Event{Kind: EvList, Form: ListDelta, Rows: []Row{row}})
+	r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{row}})
 	if executor.slowStart.credit > 0 {
 		t.Errorf("the new process begins with %.0f ms of the old one's credit", executor.slowStart.credit)
 	}
@@ -406,18 +406,18 @@
 	rng := rand.New(rand.NewSource(5))
 	first := fleet(300)
 	r := newRig(t, base(), first...)
-	r.step(Event{Kind: EvList, Form: ListFull, Rows: first})
-	rows := map[uint32]Row{}
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: first})
+	rows := map[uint32]EndpointUpdate{}
 	for _, row := range first {
-		rows[row.Worker] = row
+		rows[row.Executor] = row
 	}
 	most := 0
 	for range 400 {
-		event := Event{Kind: EvList, Form: ListDelta, Rows: randomChange(rng, rows, r.now)}
+		event := Event{Kind: EvEndpoints, Form: ListDelta, Rows: randomChange(rng, rows, r.now)}
 		if rng.Intn(20) == 0 {
-			event.Form, event.Rows = ListFull, nil
+			event.Form, event.Rows = ListSnapshot, nil
 			for id := uint32(0); id < 1000; id++ {
-				if row, ok := rows[id]; ok && row.Condition != Gone {
+				if row, ok := rows[id]; ok && row.Condition != Removed {
 					event.Rows = append(event.Rows, row)
 				}
 			}
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -42,14 +42,14 @@
 // past the end of its list is taken as the last.
 package dispatch
 
-// Effect says what a repeat of a request may do.
-type Effect uint8
+// RetrySafety says what a repeat of a request may do.
+type RetrySafety uint8
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // may run any number of times
-	Keyed                // repeats are dropped inside a group of workers, for a while
-	Unsafe               // must not run twice
+	Idempotent RetrySafety = iota // may run any number of times
+	Keyed                         // repeats are dropped inside a group of workers, for a while
+	AtMostOnce                    // must not run twice
 )
 
 // Scope is the group of workers that drops repeats of a keyed request.
@@ -64,20 +64,20 @@
 
 // Class is one class of requests.
 type Class struct {
-	Aim      float64 // full worth inside this time
-	Stretch  float64 // the aim grows by this many times the job's own work
-	Deadline float64 // a client's whole waiting time
-	Worth    float64
-	Effect   Effect
-	Scope    Scope
-	Window   float64 // Keyed: how long repeats are dropped
-	Kind     int     // machine kind it needs, -1 for any
+	Objective        float64 // full worth inside this time
+	ObjectivePerWork float64 // the aim grows by this many times the job's own work
+	Deadline         float64 // a client's whole waiting time
+	PriorityWeight   float64
+	RetrySafety      RetrySafety
+	Scope            Scope
+	Window           float64 // Keyed: how long repeats are dropped
+	Kind             int     // machine kind it needs, -1 for any
 }
 
 // Tenant is one tenant's share.
 type Tenant struct {
-	Portion float64 // its part of the service
-	Quota   float64 // requests a second within its share, all nodes together; 0 if not told
+	ReservedShare float64 // its part of the service
+	Quota         float64 // requests a second within its share, all nodes together; 0 if not told
 }
 
 // Field names a value of a load report.
@@ -101,9 +101,9 @@
 
 // The ways a report can come.
 const (
-	ReportNone    Telemetry = iota
-	ReportAnswers           // with outcomes and probe results
-	ReportProbes            // with probe results only
+	ReportNone         Telemetry = iota
+	ReportAnswers                // with outcomes and probe results
+	ReportHealthChecks           // with probe results only
 )
 
 // Fees are the prices that help to choose among workers with room.
@@ -113,43 +113,43 @@
 
 // Settings is what a node is told at its start. Zero stands for an absent value; New says what that becomes.
 type Settings struct {
-	Me, Balancers int
-	Zone          int
-	Step          float64 // least time between batches
+	Node, Nodes int
+	Zone        int
+	Step        float64 // least time between batches
 
 	Classes []Class
 	Tenants []Tenant // empty: tenants are not told apart
 
-	OverShareWorth float64
-	WorthByWork    bool
+	OverQuotaWeight float64
+	WeightByWork    bool
 
-	Ask         bool // the list must be asked for
+	PollsList   bool // the list must be asked for
 	LiveWeights bool // a row's Scale is the worker's size divided by 1 + requests held per core, from a while back
 	Telemetry   Telemetry
 	Fields      []Field
 
-	Progress   float64 // interval of progress notes, 0 for none
-	TellsStart bool
+	ProgressInterval float64 // interval of progress notes, 0 for none
+	NotesStart       bool
 
-	MaxRetryAfter  float64 // the longest that a refused client may be told to stay away, 0 for no such word
-	MaxAttempts    int
-	MayDuplicate   bool
-	MayCancel      bool
-	MayProbe       bool
-	MayTell        bool
-	ConnIdle       float64
-	ConnectTimeout float64
-	Multiplex      int // attempts that one connection carries together
+	MaxRetryAfter       float64 // the longest that a refused client may be told to stay away, 0 for no such word
+	MaxAttempts         int
+	HedgingAllowed      bool
+	CancelAllowed       bool
+	HealthChecksAllowed bool
+	GossipAllowed       bool
+	ConnIdle            float64
+	ConnectTimeout      float64
+	Multiplex           int // attempts that one connection carries together
 
 	// The rules' figures. AnswerSlack and DrainGrace are not used up: answers come before the client's time is
 	// over, and nothing new goes to a worker from the batch on that tells of its drain.
-	AnswerSlack  float64 // how long after the client's time an answer still counts
-	AskWithin    float64 // a list that must be asked for is asked for at least this often
-	DrainGrace   float64 // how long a draining worker may still be sent to
-	FallMultiple float64 // a cold worker that gets over this many times what it can do,
-	Fall         float64 // over this span, falls over
-	ColdFrom     float64 // least share of its capacity that a worker starts with
-	WarmWithin   float64 // and the longest until it has all of it
+	AnswerSlack      float64 // how long after the client's time an answer still counts
+	PollWithin       float64 // a list that must be asked for is asked for at least this often
+	DrainGrace       float64 // how long a draining worker may still be sent to
+	OverloadMultiple float64 // a cold worker that gets over this many times what it can do,
+	OverloadWindow   float64 // over this span, falls over
+	SlowStartFrom    float64 // least share of its capacity that a worker starts with
+	SlowStartWithin  float64 // and the longest until it has all of it
 
 	Fees Fees
 }
@@ -159,26 +159,26 @@
 
 // The events.
 const (
-	EvList    EventKind = iota // Form, Version, Rows
-	EvTimer                    // Token
-	EvGone                     // Job: the client left
-	EvNote                     // Job, Attempt, Worker, Topic, Amount
-	EvPeer                     // From, Data
-	EvFirst                    // Job, Attempt, Worker, Elapsed: a stream began
-	EvOutcome                  // Job, Attempt, Worker, Outcome, Elapsed, Final, Report
-	EvRequest                  // Job, Class, Tenant, Key, TimeLeft, Work, Slots, Memory, Flags
-	EvProbed                   // Worker, Outcome, Elapsed, Report
+	EvEndpoints     EventKind = iota // Form, Version, Rows
+	EvTimer                          // Token
+	EvClientGone                     // Job: the client left
+	EvNote                           // Job, Attempt, Worker, Topic, Amount
+	EvGossip                         // From, Data
+	EvStreamStarted                  // Job, Attempt, Worker, Elapsed: a stream began
+	EvOutcome                        // Job, Attempt, Worker, Outcome, Elapsed, Final, Report
+	EvRequest                        // Job, Class, Tenant, Key, TimeLeft, Work, Slots, Memory, Flags
+	EvHealthCheck                    // Worker, Outcome, Elapsed, Report
 )
 
-// Form is the kind of a list event.
-type Form uint8
+// ListForm is the kind of a list event.
+type ListForm uint8
 
 // The forms of a list.
 const (
-	ListDelta  Form = iota // changed rows only
-	ListFull               // everything; who is not in it is gone
-	ListCached             // everything as last held, maybe old
-	ListFailed             // a call failed or the subscription broke
+	ListDelta    ListForm = iota // changed rows only
+	ListSnapshot                 // everything; who is not in it is gone
+	ListCached                   // everything as last held, maybe old
+	ListFailed                   // a call failed or the subscription broke
 )
 
 // Condition of a worker in the list.
@@ -186,20 +186,20 @@
 
 // The conditions.
 const (
-	Gone Condition = iota
+	Removed Condition = iota
 	Ready
 	Draining
 )
 
-// Row is one worker in a list.
-type Row struct {
-	Worker    uint32
+// EndpointUpdate is one executor in a list.
+type EndpointUpdate struct {
+	Executor  uint32
 	Zone      uint8
 	Kind      uint8
 	Cell      uint16
 	Condition Condition
-	Scale     float64 // registered size against others, or as LiveWeights has it; 0 or 1 for all if not told
-	Born      float64 // when it last started, 0 for long ago
+	Weight    float64 // registered size against others, or as LiveWeights has it; 0 or 1 for all if not told
+	StartedAt float64 // when it last started, 0 for long ago
 }
 
 // Outcome is how an attempt or a probe ended.
@@ -207,59 +207,59 @@
 
 // The outcomes. Full, ConnectFailed and Moot prove that the attempt never ran.
 const (
-	Served        Outcome = 100
-	Errored       Outcome = 301
-	Full          Outcome = 302
-	TimedOut      Outcome = 303
-	ConnectFailed Outcome = 304
-	Reset         Outcome = 305
-	Cancelled     Outcome = 306
-	Moot          Outcome = 307
+	Served             Outcome = 100
+	Errored            Outcome = 301
+	Full               Outcome = 302
+	TimedOut           Outcome = 303
+	ConnectFailed      Outcome = 304
+	Reset              Outcome = 305
+	Cancelled          Outcome = 306
+	CanceledBeforeSend Outcome = 307
 )
 
 // NeverRan says whether the outcome proves that nothing ran.
-func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == Moot }
+func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == CanceledBeforeSend }
 
 // Topics of a note.
 const (
-	NoteStarted  = 1
-	NoteProgress = 2
-	NoteLate     = 3 // the worker has not said in its usual time, and in its peers', that it has taken the job
+	NoteStarted    = 1
+	NoteProgress   = 2
+	NoteAckOverdue = 3 // the worker has not said in its usual time, and in its peers', that it has taken the job
 )
 
 // Flags of a request.
 const (
-	FlagWork   = 1 // Work holds a hint
-	FlagRepeat = 2 // the client repeats itself
+	FlagWorkHint = 1 // Work holds a hint
+	FlagRetry    = 2 // the client repeats itself
 )
 
 // Event is one thing that happened; Kind says which fields hold.
 type Event struct {
-	Kind     EventKind
-	Form     Form
-	Topic    uint8
-	Class    uint8
-	Flags    uint8
-	Final    bool
-	Tenant   uint16
-	Attempt  uint16
-	Outcome  Outcome
-	Job      uint32
-	Worker   uint32
-	Token    uint32
-	Version  uint32
-	From     uint32
-	Key      uint64
-	TimeLeft float64
-	Work     float64
-	Elapsed  float64
-	Amount   float64
-	Slots    float64
-	Memory   float64
-	Report   []float32
-	Prices   []float64 // of a request in each zone, in place of the price of crossing; absent: that
-	Rows     []Row
-	Data     []byte
+	Kind       EventKind
+	Form       ListForm
+	Topic      uint8
+	Class      uint8
+	Flags      uint8
+	Final      bool
+	Tenant     uint16
+	Attempt    uint16
+	Outcome    Outcome
+	Job        uint32
+	Executor   uint32
+	Token      uint32
+	Version    uint32
+	From       uint32
+	Key        uint64
+	TimeLeft   float64
+	Work       float64
+	Elapsed    float64
+	Amount     float64
+	Slots      float64
+	Memory     float64
+	Report     []float32
+	ZonePrices []float64 // of a request in each zone, in place of the price of crossing; absent: that
+	Rows       []EndpointUpdate
+	Data       []byte
 }
 
 // ActionKind tells actions apart.
@@ -267,17 +267,17 @@
 
 // The actions.
 const (
-	ActSend   ActionKind = iota // Job, Worker, For: start the next attempt
-	ActRefuse                   // Job, For: final; trying again is harmless, after For if it is not 0
-	ActFail                     // Job: final; promises nothing
-	ActCancel                   // Job, Attempt
-	ActTimer                    // For, Token
-	ActProbe                    // Worker
-	ActClose                    // Worker: close idle connections
-	ActWatch                    // On: subscribe to the list
-	ActFetch                    // ask for the whole list once
-	ActTell                     // To (AllPeers for every one), Data
-	ActLog                      // Text
+	ActSend        ActionKind = iota // Job, Worker, For: start the next attempt
+	ActReject                        // Job, For: final; trying again is harmless, after For if it is not 0
+	ActFail                          // Job: final; promises nothing
+	ActCancel                        // Job, Attempt
+	ActTimer                         // For, Token
+	ActHealthCheck                   // Worker
+	ActClose                         // Worker: close idle connections
+	ActPollList                      // On: subscribe to the list
+	ActFetch                         // ask for the whole list once
+	ActGossip                        // To (AllPeers for every one), Data
+	ActLog                           // Text
 )
 
 // AllPeers addresses every other node.
@@ -285,14 +285,14 @@
 
 // Action is one thing to do; Kind says which fields hold.
 type Action struct {
-	Kind    ActionKind
-	On      bool
-	Attempt uint16
-	To      uint16
-	Job     uint32
-	Worker  uint32
-	Token   uint32
-	For     float64
-	Data    []byte
-	Text    string
+	Kind     ActionKind
+	On       bool
+	Attempt  uint16
+	To       uint16
+	Job      uint32
+	Executor uint32
+	Token    uint32
+	For      float64
+	Data     []byte
+	Text     string
 }
--- a/internal/executor/attempt.go
+++ b/internal/executor/attempt.go
@@ -95,7 +95,7 @@
 	endpoint, known := c.endpoints.get(request.Worker)
 	if !known {
 		c.group.Go(func() error {
-			c.handler.Result(node.Result{Attempt: request.ID, Outcome: dispatch.Moot})
+			c.handler.Result(node.Result{Attempt: request.ID, Outcome: dispatch.CanceledBeforeSend})
 			return nil
 		})
 		return
@@ -123,7 +123,7 @@
 				"err",
 				err,
 			)
-			c.finish(attempt, dispatch.Moot, nil, nil)
+			c.finish(attempt, dispatch.CanceledBeforeSend, nil, nil)
 			return
 		}
 	}
--- a/internal/executor/clientleft_test.go
+++ b/internal/executor/clientleft_test.go
@@ -24,22 +24,24 @@
 // coreSettings allow retries, hedged requests and cancelling.
 func coreSettings() dispatch.Settings {
 	return dispatch.Settings{
-		Balancers:      1,
-		Step:           4,
-		MaxAttempts:    3,
-		MayDuplicate:   true,
-		MayCancel:      true,
-		Multiplex:      1,
-		ConnIdle:       60000,
-		ConnectTimeout: 250,
-		MaxRetryAfter:  2000,
-		AskWithin:      10000,
-		DrainGrace:     500,
-		FallMultiple:   2.5,
-		Fall:           2000,
-		ColdFrom:       0.3,
-		WarmWithin:     8400,
-		Classes:        []dispatch.Class{{Aim: 1500, Deadline: 25000, Worth: 1, Effect: dispatch.Safe, Kind: -1}},
+		Nodes:            1,
+		Step:             4,
+		MaxAttempts:      3,
+		HedgingAllowed:   true,
+		CancelAllowed:    true,
+		Multiplex:        1,
+		ConnIdle:         60000,
+		ConnectTimeout:   250,
+		MaxRetryAfter:    2000,
+		PollWithin:       10000,
+		DrainGrace:       500,
+		OverloadMultiple: 2.5,
+		OverloadWindow:   2000,
+		SlowStartFrom:    0.3,
+		SlowStartWithin:  8400,
+		Classes: []dispatch.Class{
+			{Objective: 1500, Deadline: 25000, PriorityWeight: 1, RetrySafety: dispatch.Idempotent, Kind: -1},
+		},
 	}
 }
 
@@ -225,7 +227,7 @@
 				t.Fatal(err)
 			}
 			if x.queued {
-				n.core.List(node.List{Form: dispatch.ListFull, Entries: known})
+				n.core.List(node.List{Form: dispatch.ListSnapshot, Entries: known})
 			}
 			select {
 			case <-client.Done():
@@ -237,7 +239,7 @@
 				counts, err := n.core.Counts(t.Context())
 				return err == nil && counts.Gone == 1
 			})
-			if o := <-n.ended; o != dispatch.Moot || one.count()+two.count() != x.standsAt-1 {
+			if o := <-n.ended; o != dispatch.CanceledBeforeSend || one.count()+two.count() != x.standsAt-1 {
 				t.Errorf("the attempt ended with %d; %d requests came, want %d", o, one.count()+two.count(), x.standsAt-1)
 			}
 		})
@@ -266,7 +268,7 @@
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	c.pool.closeIdle(c.address(7)) // one that carried nothing is kept
-	if got, text := s.outcomes(1), <-came; got[0] != dispatch.Moot || text != "" {
+	if got, text := s.outcomes(1), <-came; got[0] != dispatch.CanceledBeforeSend || text != "" {
 		t.Errorf("outcomes %v, %q was written", got, text)
 	}
 }
@@ -294,7 +296,7 @@
 	if a := <-waiting.answers; a.End != node.Terminated {
 		t.Errorf("%+v", a)
 	}
-	n.core.List(node.List{Form: dispatch.ListFull, Entries: []node.Entry{x.entry()}})
+	n.core.List(node.List{Form: dispatch.ListSnapshot, Entries: []node.Entry{x.entry()}})
 	job.Trace = "00000000000000bb"
 	if _, err := n.core.Submit(job, newQuietClient()); err != nil {
 		t.Fatal(err)
@@ -322,7 +324,8 @@
 	}
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	if got, text := s.outcomes(1), <-came; got[0] != dispatch.Moot || !strings.HasSuffix(text, "\r\n\r\nbod") {
+	got, text := s.outcomes(1), <-came
+	if got[0] != dispatch.CanceledBeforeSend || !strings.HasSuffix(text, "\r\n\r\nbod") {
 		t.Errorf("outcomes %v, %q was written", got, text)
 	}
 }
--- a/internal/executor/deadline_test.go
+++ b/internal/executor/deadline_test.go
@@ -58,7 +58,7 @@
 			c.Send(a)
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 			c.pool.closeIdle(c.address(7))
-			if got, text := s.outcomes(1), <-came; got[0] != dispatch.Moot || text != "" {
+			if got, text := s.outcomes(1), <-came; got[0] != dispatch.CanceledBeforeSend || text != "" {
 				t.Errorf("outcomes %v, %q was written", got, text)
 			}
 		})
@@ -116,10 +116,10 @@
 	kinds := map[string]func(a *node.Attempt){
 		"first": func(*node.Attempt) {},
 		"retry": func(a *node.Attempt) {
-			a.Rules = precheck.RetryRules{Attempt: 2, MaxAttempts: 3, RetrySafety: dispatch.Unsafe}
+			a.Rules = precheck.RetryRules{Attempt: 2, MaxAttempts: 3, RetrySafety: dispatch.AtMostOnce}
 		},
 		"hedge": func(a *node.Attempt) {
-			a.Rules = precheck.RetryRules{Attempt: 2, MaxAttempts: 3, RetrySafety: dispatch.Safe, MayHaveRun: true}
+			a.Rules = precheck.RetryRules{Attempt: 2, MaxAttempts: 3, RetrySafety: dispatch.Idempotent, MayHaveRun: true}
 			a.Deadline = time.Now().Add(4 * time.Second)
 		},
 	}
@@ -155,7 +155,7 @@
 					testenv.Until(t, "it is sent", func() bool { return seen.requests() > 0 || len(s.outcomes(1)) > 0 })
 					_ = c.Callback([]byte(doneCallback))
 					got := s.outcomes(1)
-					if len(got) == 1 && got[0] == dispatch.Moot && seen.requests() == 0 {
+					if len(got) == 1 && got[0] == dispatch.CanceledBeforeSend && seen.requests() == 0 {
 						continue
 					}
 					if len(got) != 1 || got[0] != dispatch.Served || seen.requests() != 1 || n() < held.conns {
@@ -182,7 +182,7 @@
 	})
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	if got := s.outcomes(1); got[0] != dispatch.Moot || seen.requests() != 0 {
+	if got := s.outcomes(1); got[0] != dispatch.CanceledBeforeSend || seen.requests() != 0 {
 		t.Errorf("outcomes %v, %d requests whole", got, seen.requests())
 	}
 }
--- a/internal/executor/endpoints.go
+++ b/internal/executor/endpoints.go
@@ -54,7 +54,7 @@
 		state = &endpointState{name: e.Name}
 		t.byID[id] = state
 	}
-	removed := e.Condition() == dispatch.Gone
+	removed := e.Condition() == dispatch.Removed
 	moved := e.Address != "" && e.Address != state.address
 	restarted := !removed && e.SinceMS != state.startedAt
 	if moved || restarted {
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -289,7 +289,7 @@
 	}
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	if got := s.outcomes(1); got[0] != dispatch.Moot || n() != 0 {
+	if got := s.outcomes(1); got[0] != dispatch.CanceledBeforeSend || n() != 0 {
 		t.Errorf("%v, %d connections", got, n())
 	}
 }
@@ -464,7 +464,7 @@
 	b.Worker = 8
 	c.Send(b)
 	testenv.Until(t, "two outcomes", func() bool { return len(s.outcomes(1)) == 1 && len(s.outcomes(2)) == 1 })
-	if s.outcomes(1)[0] != dispatch.ConnectFailed || s.outcomes(2)[0] != dispatch.Moot {
+	if s.outcomes(1)[0] != dispatch.ConnectFailed || s.outcomes(2)[0] != dispatch.CanceledBeforeSend {
 		t.Errorf("%v %v", s.outcomes(1), s.outcomes(2))
 	}
 }
@@ -536,7 +536,7 @@
 	a.Job.Before = func(string) error { return errors.New("no space is left on the disk") }
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Moot || n() != 0 {
+	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.CanceledBeforeSend || n() != 0 {
 		t.Errorf("outcomes %v over %d connections", got, n())
 	}
 }
--- a/internal/executor/healthcheck.go
+++ b/internal/executor/healthcheck.go
@@ -50,7 +50,7 @@
 	connect := (*ConnectError)(nil)
 	switch {
 	case isLocalFault(err):
-		return dispatch.Moot // it says nothing of the executor
+		return dispatch.CanceledBeforeSend // it says nothing of the executor
 	case errors.As(err, &connect):
 		return dispatch.ConnectFailed
 	case err != nil && ctx.Err() != nil:
--- a/internal/executor/localfault_test.go
+++ b/internal/executor/localfault_test.go
@@ -99,7 +99,7 @@
 			dialer := (&faultyDialer{always: fault}).install(c)
 			c.Send(newAttempt(1))
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Moot || n() != 0 {
+			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.CanceledBeforeSend || n() != 0 {
 				t.Errorf("outcomes %v, %d connections", got, n())
 			}
 			events, pauses := dialer.seen()
@@ -178,7 +178,8 @@
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	events, _ := dialer.seen()
-	if got := s.outcomes(1); got[0] != dispatch.Moot || n() != 0 || strings.Join(events, " ") != "dial pause" {
+	got := s.outcomes(1)
+	if got[0] != dispatch.CanceledBeforeSend || n() != 0 || strings.Join(events, " ") != "dial pause" {
 		t.Errorf("outcomes %v, %d connections, %v", got, n(), events)
 	}
 }
@@ -221,7 +222,7 @@
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	_, pauses := dialer.seen() // 10 and 20 ms at most; the third, of 40 ms, would end after the deadline
-	if got := s.outcomes(1); got[0] != dispatch.Moot || len(pauses) > 2 {
+	if got := s.outcomes(1); got[0] != dispatch.CanceledBeforeSend || len(pauses) > 2 {
 		t.Errorf("outcomes %v after pauses %v", got, pauses)
 	}
 }
@@ -273,7 +274,7 @@
 	c.pool.open.Take("10.0.0.2:1", 1)
 	c.Send(newAttempt(1))
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	if got := s.outcomes(1); got[0] != dispatch.Moot {
+	if got := s.outcomes(1); got[0] != dispatch.CanceledBeforeSend {
 		t.Errorf("outcomes %v", got)
 	}
 	if _, pauses := dialer.seen(); len(pauses) != maxRedials {
@@ -287,8 +288,8 @@
 		fault error
 		want  dispatch.Outcome
 	}{
-		"EADDRNOTAVAIL": {localFaults["EADDRNOTAVAIL"], dispatch.Moot},
-		"EMFILE":        {localFaults["EMFILE"], dispatch.Moot},
+		"EADDRNOTAVAIL": {localFaults["EADDRNOTAVAIL"], dispatch.CanceledBeforeSend},
+		"EMFILE":        {localFaults["EMFILE"], dispatch.CanceledBeforeSend},
 		"ECONNREFUSED":  {systemError("connect", syscall.ECONNREFUSED), dispatch.ConnectFailed},
 	} {
 		c, s := newClient(t, testenv.Lim)
--- a/internal/executor/races_test.go
+++ b/internal/executor/races_test.go
@@ -81,7 +81,7 @@
 				}
 				c.Send(a)
 				testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-				if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Moot {
+				if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.CanceledBeforeSend {
 					t.Fatalf("%v", got)
 				}
 				if look == 0 {
--- a/internal/executor/send.go
+++ b/internal/executor/send.go
@@ -68,12 +68,12 @@
 func (c *Client) exchange(ctx context.Context, attempt *activeAttempt, conn *connection) sendResult {
 	// Much may have changed while the connection was being made: a drain is counted from the first byte.
 	if _, ok := c.allowed(attempt); !ok {
-		return sendResult{outcome: dispatch.Moot, reusable: true}
+		return sendResult{outcome: dispatch.CanceledBeforeSend, reusable: true}
 	}
 	// The executor is told what will be left once the request's last byte can be written.
 	told := c.limits.TellableTime(time.Until(attempt.Deadline) - conn.lastBytePause(c.limits))
 	if told < minToldTime {
-		return sendResult{outcome: dispatch.Moot, reusable: true}
+		return sendResult{outcome: dispatch.CanceledBeforeSend, reusable: true}
 	}
 	if !c.writeUpToLastByte(ctx, attempt, conn, told) {
 		return sendResult{outcome: dispatch.ConnectFailed}
@@ -82,13 +82,13 @@
 	// another connection. The attempt ends AnswerEarly before its client leaves.
 	if told > time.Until(attempt.Deadline)+c.limits.AnswerEarly {
 		if attempt.rebuilt {
-			return sendResult{outcome: dispatch.Moot}
+			return sendResult{outcome: dispatch.CanceledBeforeSend}
 		}
 		attempt.rebuilt, conn.rebuild = true, true
 		return sendResult{outcome: dispatch.ConnectFailed}
 	}
 	if !c.commit(attempt) {
-		return sendResult{outcome: dispatch.Moot}
+		return sendResult{outcome: dispatch.CanceledBeforeSend}
 	}
 	c.acks.lastByteSent(attempt) // before the byte that a callback can follow
 	if err := conn.output.Flush(); err != nil {
