--- a/internal/inventory/source.go
+++ b/internal/inventory/source.go
@@ -122,7 +122,7 @@
 		case <-ctx.Done():
 			return
 		}
-		s.sink.List(node.List{Form: dispatch.ListFull, Index: s.index, Entries: slices.Clone(s.entries)})
+		s.sink.List(node.List{Form: dispatch.ListSnapshot, Index: s.index, Entries: slices.Clone(s.entries)})
 		if changed {
 			s.log.Info("inventory changed", "file", s.path, "rows", len(s.entries))
 		}
--- a/internal/locality/placer.go
+++ b/internal/locality/placer.go
@@ -57,10 +57,10 @@
 	p := &Placer{names: names, settings: s, machines: from, slotsPerExecutor: float64(f.SlotsPerExecutor), log: log, now: time.Now, started: time.Now(), executorZone: map[string]int{},
 		site: site.New(max(len(names.Zones), 1), maxDataSets)}
 	for _, c := range s.Classes {
-		p.meanRun = append(p.meanRun, max(1, c.Aim))
+		p.meanRun = append(p.meanRun, max(1, c.Objective))
 	}
 	p.site.Here, p.site.ReportPeriod = int(s.Zone), float64(refreshInterval.Milliseconds())
-	p.site.FleetShare = 1 / float64(max(s.Balancers, 1))
+	p.site.FleetShare = 1 / float64(max(s.Nodes, 1))
 	for i := range p.site.Zones {
 		if i != p.site.Here {
 			p.site.Zones[i].CrossingPrice = s.Fees.CrossZone
@@ -138,7 +138,7 @@
 	defer p.mu.Unlock()
 	began := p.nowMillis()
 	c := p.settings.Classes[min(class, len(p.settings.Classes)-1)]
-	j := site.Job{Work: p.meanRun[min(class, len(p.meanRun)-1)], Slots: 1, Aim: c.Aim * (1 + c.Stretch), Left: float64(left.Milliseconds()), Pinned: -1}
+	j := site.Job{Work: p.meanRun[min(class, len(p.meanRun)-1)], Slots: 1, Aim: c.Objective * (1 + c.ObjectivePerWork), Left: float64(left.Milliseconds()), Pinned: -1}
 	for _, name := range inputs {
 		j.Inputs = append(j.Inputs, site.Input{ID: site.Name(name)})
 	}
--- a/internal/locality/placer_test.go
+++ b/internal/locality/placer_test.go
@@ -21,7 +21,7 @@
 var names = node.Names{Zones: []string{"tallinn", "tartu"}}
 
 func settings() dispatch.Settings {
-	return dispatch.Settings{Balancers: 1, Zone: 0, Classes: []dispatch.Class{{Aim: 400, Stretch: 2}}, Fees: dispatch.Fees{CrossZone: 0.03}}
+	return dispatch.Settings{Nodes: 1, Zone: 0, Classes: []dispatch.Class{{Objective: 400, ObjectivePerWork: 2}}, Fees: dispatch.Fees{CrossZone: 0.03}}
 }
 
 const good = "links: [{from: tallinn, to: tartu, gbits: 1}]\nsets:\n- {name: scene, bytes: 2e9, halls: [tartu]}\n- {name: near, bytes: 2e9, halls: [tallinn]}\n"
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -11,7 +11,7 @@
 	switch a.Kind {
 	case dispatch.ActSend:
 		c.send(a, now)
-	case dispatch.ActRefuse:
+	case dispatch.ActReject:
 		c.answerByID(a.Job, Answer{End: Refused, RetryAfter: Span(a.For), Why: "no room for it in time"})
 	case dispatch.ActFail:
 		c.answerByID(a.Job, Answer{End: Failed, Why: "it may have run, and can not be tried again in time"})
@@ -19,15 +19,15 @@
 		c.cancel(a, now)
 	case dispatch.ActTimer:
 		c.startTimer(now.Add(Span(a.For)), moduleTimer(a.Token))
-	case dispatch.ActProbe:
-		c.carriers.executors.Probe(a.Worker)
+	case dispatch.ActHealthCheck:
+		c.carriers.executors.Probe(a.Executor)
 	case dispatch.ActClose:
-		c.carriers.executors.CloseIdle(a.Worker)
-	case dispatch.ActWatch:
+		c.carriers.executors.CloseIdle(a.Executor)
+	case dispatch.ActPollList:
 		c.carriers.endpoints.Watch(a.On)
 	case dispatch.ActFetch:
 		c.carriers.endpoints.Fetch()
-	case dispatch.ActTell:
+	case dispatch.ActGossip:
 		c.carriers.peers.Tell(a.To, a.Data)
 	case dispatch.ActLog:
 		c.log.Info("dispatch module", "message", a.Text)
@@ -41,14 +41,14 @@
 		return
 	}
 	rules := j.retryRules()
-	attempt := c.jobs.addAttempt(j, a.Worker, now)
-	endpoint, listed := c.endpoints.byID[a.Worker]
+	attempt := c.jobs.addAttempt(j, a.Executor, now)
+	endpoint, listed := c.endpoints.byID[a.Executor]
 	until := j.deadline.Add(-c.limits.AnswerEarly)
 	if a.For > 0 {
 		until = earlier(until, now.Add(Span(a.For)))
 	}
 	if j.answered.Load() || !listed || !until.After(now) {
-		c.finish(attempt, dispatch.Moot, nil, nil, now)
+		c.finish(attempt, dispatch.CanceledBeforeSend, nil, nil, now)
 		return
 	}
 	c.counters.Sends++
@@ -56,7 +56,7 @@
 	c.startTimer(until, attemptTimeout(attempt.id))
 	c.carriers.executors.Send(Attempt{
 		ID:       attempt.id,
-		Worker:   a.Worker,
+		Worker:   a.Executor,
 		Deadline: until,
 		Job:      &j.request,
 		Answered: &j.answered,
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -21,40 +21,40 @@
 
 func settings() dispatch.Settings {
 	return dispatch.Settings{
-		Balancers:      1,
-		Step:           4,
-		Ask:            true,
-		Telemetry:      dispatch.ReportAnswers,
-		Fields:         []dispatch.Field{dispatch.FieldPending, dispatch.FieldFree},
-		TellsStart:     true,
-		Progress:       1000,
-		MaxAttempts:    3,
-		MayDuplicate:   true,
-		MayCancel:      true,
-		Multiplex:      1,
-		ConnIdle:       60000,
-		ConnectTimeout: 250,
-		MaxRetryAfter:  2000,
-		AskWithin:      10000,
-		DrainGrace:     500,
-		FallMultiple:   2.5,
-		Fall:           2000,
-		ColdFrom:       0.3,
-		WarmWithin:     8400,
+		Nodes:            1,
+		Step:             4,
+		PollsList:        true,
+		Telemetry:        dispatch.ReportAnswers,
+		Fields:           []dispatch.Field{dispatch.FieldPending, dispatch.FieldFree},
+		NotesStart:       true,
+		ProgressInterval: 1000,
+		MaxAttempts:      3,
+		HedgingAllowed:   true,
+		CancelAllowed:    true,
+		Multiplex:        1,
+		ConnIdle:         60000,
+		ConnectTimeout:   250,
+		MaxRetryAfter:    2000,
+		PollWithin:       10000,
+		DrainGrace:       500,
+		OverloadMultiple: 2.5,
+		OverloadWindow:   2000,
+		SlowStartFrom:    0.3,
+		SlowStartWithin:  8400,
 		Classes: []dispatch.Class{
-			{Aim: 400, Stretch: 2, Deadline: 7500, Worth: 8, Effect: dispatch.Unsafe, Kind: -1},
+			{Objective: 400, ObjectivePerWork: 2, Deadline: 7500, PriorityWeight: 8, RetrySafety: dispatch.AtMostOnce, Kind: -1},
 			{
-				Aim:      1500,
-				Stretch:  2,
-				Deadline: 25000,
-				Worth:    24,
-				Effect:   dispatch.Keyed,
-				Scope:    dispatch.ScopeCell,
-				Window:   40000,
-				Kind:     -1,
+				Objective:        1500,
+				ObjectivePerWork: 2,
+				Deadline:         25000,
+				PriorityWeight:   24,
+				RetrySafety:      dispatch.Keyed,
+				Scope:            dispatch.ScopeCell,
+				Window:           40000,
+				Kind:             -1,
 			},
 		},
-		Tenants: []dispatch.Tenant{{Portion: 1, Quota: 20}},
+		Tenants: []dispatch.Tenant{{ReservedShare: 1, Quota: 20}},
 	}
 }
 
@@ -182,7 +182,7 @@
 			t.Error("a draining box got a job")
 		}
 	}
-	h.core.List(List{Form: dispatch.ListFull, Entries: []Entry{gone}})
+	h.core.List(List{Form: dispatch.ListSnapshot, Entries: []Entry{gone}})
 	h.run(10 * time.Millisecond)
 	if h.endpointStatus["s-2"] != "gone" || h.core.Ready() {
 		t.Errorf("a box that a whole list lacks is %q; ready %v", h.endpointStatus["s-2"], h.core.Ready())
@@ -229,7 +229,7 @@
 	good := `{"index":41,"snapshot":true,"endpoints":[{"name":"s-5be2a07c","address":"10.1.0.18:8443","zone":"a",` +
 		`"type":"m2","group":3,"status":"ready","weight":1.0,"since_ms":0}]}`
 	l, err := ParseList(gjson.Parse(good))
-	if err != nil || l.Index != 41 || l.Form != dispatch.ListFull || len(l.Entries) != 1 || l.Entries[0].Group != 3 {
+	if err != nil || l.Index != 41 || l.Form != dispatch.ListSnapshot || len(l.Entries) != 1 || l.Entries[0].Group != 3 {
 		t.Fatalf("%+v %v", l, err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -277,7 +277,7 @@
 	if h.attempts[0].Worker == other {
 		other = WorkerID("s-2")
 	}
-	h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Worker: other}, h.now)
+	h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Executor: other}, h.now)
 	if len(h.attempts) != 2 {
 		t.Fatalf("%d sends", len(h.attempts))
 	}
@@ -406,10 +406,10 @@
 		if h.now = h.now.Add(1); !c.Ready() {
 			t.Error("not ready")
 		}
-		if c.handle(endpointUpdate{List{Form: dispatch.ListFull}}); c.Ready() {
+		if c.handle(endpointUpdate{List{Form: dispatch.ListSnapshot}}); c.Ready() {
 			t.Error("ready though the list names nobody")
 		}
-		if c.handle(endpointUpdate{List{Form: dispatch.ListFull, Entries: []Entry{readyEndpoint("s-1")}}}); !c.Ready() {
+		if c.handle(endpointUpdate{List{Form: dispatch.ListSnapshot, Entries: []Entry{readyEndpoint("s-1")}}}); !c.Ready() {
 			t.Error("not ready with a list")
 		}
 	}
--- a/internal/node/deadline_test.go
+++ b/internal/node/deadline_test.go
@@ -24,10 +24,10 @@
 			if h.attempts[0].Worker == other {
 				other = WorkerID("s-2")
 			}
-			h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Worker: other}, h.now)
+			h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Executor: other}, h.now)
 		}},
 		"bounded hedge": {2, func(h *fakeCarriers, id uint32) {
-			h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Worker: h.attempts[0].Worker, For: 60_000}, h.now)
+			h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Executor: h.attempts[0].Worker, For: 60_000}, h.now)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/node/endpoint.go
+++ b/internal/node/endpoint.go
@@ -21,7 +21,7 @@
 
 // List is what discovery or an inventory tells: the whole list or changes of it.
 type List struct {
-	Form    dispatch.Form
+	Form    dispatch.ListForm
 	Index   uint64
 	Entries []Entry
 }
@@ -30,7 +30,7 @@
 func ParseList(v gjson.Result) (List, error) {
 	l := List{Form: dispatch.ListDelta, Index: v.Get("index").Uint()}
 	if v.Get("snapshot").Bool() {
-		l.Form = dispatch.ListFull
+		l.Form = dispatch.ListSnapshot
 	}
 	entries := v.Get("endpoints")
 	if !entries.IsArray() {
@@ -54,7 +54,7 @@
 	case "ready":
 		return dispatch.Ready
 	case "gone":
-		return dispatch.Gone
+		return dispatch.Removed
 	}
 	return dispatch.Draining
 }
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -25,7 +25,7 @@
 func newEndpointTable(s dispatch.Settings, lim limits.Limits) endpointTable {
 	// A list that must be asked for counts as it was for the time to ask within, and several times that after a failed
 	// call.
-	fresh := max(Span(s.AskWithin), lim.Staleness.MaxStaleness)
+	fresh := max(Span(s.PollWithin), lim.Staleness.MaxStaleness)
 	usable := time.Duration(lim.Staleness.FailedPollFactor) * fresh
 	bounds := map[recovery.Kind]recovery.AgeBounds{recovery.EndpointList: {Fresh: fresh, Usable: usable}}
 	return endpointTable{byID: map[uint32]Entry{}, knowledge: recovery.NewKnowledge(bounds)}
@@ -48,17 +48,17 @@
 // notified later happened after now. Before the first list of this process there is nothing to confirm.
 func (c *Core) confirmEndpoints() {
 	if c.status.endpointsConfirmed.Load() {
-		c.queueEvent(dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListDelta})
+		c.queueEvent(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta})
 	}
 }
 
 // updateEndpoints passes a list, or a change of it, on to the module and to what carries attempts.
 func (c *Core) updateEndpoints(l List, now time.Time) {
 	c.confirmKnowledge(l, now)
-	if l.Form == dispatch.ListFull || l.Form == dispatch.ListCached {
+	if l.Form == dispatch.ListSnapshot || l.Form == dispatch.ListCached {
 		c.removeUnlisted(l, now)
 	}
-	e := dispatch.Event{Kind: dispatch.EvList, Form: l.Form, Version: uint32(l.Index)}
+	e := dispatch.Event{Kind: dispatch.EvEndpoints, Form: l.Form, Version: uint32(l.Index)}
 	for i := range l.Entries {
 		if c.updateEndpoint(&l.Entries[i], now) {
 			e.Rows = append(e.Rows, c.row(&l.Entries[i]))
@@ -104,7 +104,7 @@
 		c.log.Error("executor ignored, its number is another's", "executor", endpoint.Name, "other", known.Name)
 		return false
 	}
-	if endpoint.Condition() == dispatch.Gone {
+	if endpoint.Condition() == dispatch.Removed {
 		delete(c.endpoints.byID, id)
 	} else {
 		c.endpoints.byID[id] = *endpoint
@@ -114,15 +114,15 @@
 }
 
 // row is an executor's entry as the module takes it.
-func (c *Core) row(endpoint *Entry) dispatch.Row {
-	return dispatch.Row{
-		Worker:    WorkerID(endpoint.Name),
+func (c *Core) row(endpoint *Entry) dispatch.EndpointUpdate {
+	return dispatch.EndpointUpdate{
+		Executor:  WorkerID(endpoint.Name),
 		Zone:      position(c.names.Zones, endpoint.Zone),
 		Kind:      position(c.names.Kinds, endpoint.Kind),
 		Cell:      uint16(endpoint.Group),
 		Condition: endpoint.Condition(),
-		Scale:     endpoint.Weight,
-		Born:      endpoint.SinceMS,
+		Weight:    endpoint.Weight,
+		StartedAt: endpoint.SinceMS,
 	}
 }
 
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -34,7 +34,7 @@
 	}
 	c.counters.Gone++
 	c.markAnswered(j)
-	c.queueEvent(dispatch.Event{Kind: dispatch.EvGone, Job: j.id})
+	c.queueEvent(dispatch.Event{Kind: dispatch.EvClientGone, Job: j.id})
 	c.release(j)
 }
 
--- a/internal/node/job.go
+++ b/internal/node/job.go
@@ -78,7 +78,7 @@
 	rules := precheck.RetryRules{
 		Attempt:     len(j.attempts) + 1,
 		MaxAttempts: settings.MaxAttempts,
-		RetrySafety: class.Effect,
+		RetrySafety: class.RetrySafety,
 	}
 	for _, a := range j.attempts { // in the order of their sending: the first that counts is the earliest
 		if a.mayHaveRun && !rules.MayHaveRun {
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -31,22 +31,22 @@
 func requestEvent(j *job, now time.Time) dispatch.Event {
 	request := &j.request
 	e := dispatch.Event{
-		Kind:     dispatch.EvRequest,
-		Job:      j.id,
-		Class:    uint8(request.Class),
-		Tenant:   uint16(request.Tenant),
-		Key:      request.Key,
-		TimeLeft: milliseconds(j.deadline.Sub(now)),
-		Work:     request.Work,
-		Slots:    request.Slots,
-		Memory:   request.Memory,
-		Prices:   request.Prices,
+		Kind:       dispatch.EvRequest,
+		Job:        j.id,
+		Class:      uint8(request.Class),
+		Tenant:     uint16(request.Tenant),
+		Key:        request.Key,
+		TimeLeft:   milliseconds(j.deadline.Sub(now)),
+		Work:       request.Work,
+		Slots:      request.Slots,
+		Memory:     request.Memory,
+		ZonePrices: request.Prices,
 	}
 	if request.Work > 0 {
-		e.Flags |= dispatch.FlagWork
+		e.Flags |= dispatch.FlagWorkHint
 	}
 	if request.Repeat {
-		e.Flags |= dispatch.FlagRepeat
+		e.Flags |= dispatch.FlagRetry
 	}
 	return e
 }
@@ -92,7 +92,7 @@
 		return ErrRunning
 	}
 	// The module hears that the client left: that ends a job without an answer of its own.
-	c.queueEvent(dispatch.Event{Kind: dispatch.EvGone, Job: id})
+	c.queueEvent(dispatch.Event{Kind: dispatch.EvClientGone, Job: id})
 	c.answer(j, Answer{End: Terminated, Why: "terminated before it was sent"})
 	return nil
 }
@@ -112,12 +112,12 @@
 			}
 		}
 		c.queueEvent(dispatch.Event{
-			Kind:    dispatch.EvNote,
-			Job:     a.job.id,
-			Attempt: a.index,
-			Worker:  a.executor,
-			Topic:   r.Topic,
-			Amount:  r.Amount,
+			Kind:     dispatch.EvNote,
+			Job:      a.job.id,
+			Attempt:  a.index,
+			Executor: a.executor,
+			Topic:    r.Topic,
+			Amount:   r.Amount,
 		})
 		return
 	}
@@ -140,7 +140,7 @@
 		j.client.Returned(!j.mayHaveRun)
 	}
 	c.queueEvent(
-		dispatch.Event{Kind: dispatch.EvOutcome, Job: j.id, Attempt: a.index, Worker: a.executor, Outcome: outcome,
+		dispatch.Event{Kind: dispatch.EvOutcome, Job: j.id, Attempt: a.index, Executor: a.executor, Outcome: outcome,
 			Elapsed: milliseconds(now.Sub(a.sentAt)), Final: j.answered.Load(), Report: report},
 	)
 	c.release(j)
@@ -180,6 +180,6 @@
 	if j.inFlight == 0 && !j.mayHaveRun {
 		a.End, a.RetryAfter = Refused, Span(c.settings.MaxRetryAfter)
 	}
-	c.queueEvent(dispatch.Event{Kind: dispatch.EvGone, Job: j.id})
+	c.queueEvent(dispatch.Event{Kind: dispatch.EvClientGone, Job: j.id})
 	c.answer(j, a)
 }
--- a/internal/node/localfault_test.go
+++ b/internal/node/localfault_test.go
@@ -15,7 +15,7 @@
 		outcome dispatch.Outcome
 		sends   int // to the only executor, within 50 ms of the outcome
 	}{
-		"cancelled before send": {dispatch.Moot, 2},
+		"cancelled before send": {dispatch.CanceledBeforeSend, 2},
 		"failed connection":     {dispatch.ConnectFailed, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 		}
 		for ended := 0; h.now.Before(h.core.clock.start.Add(8 * time.Second)); h.run(2 * time.Millisecond) {
 			for ; ended < len(h.attempts); ended++ {
-				h.core.Result(Result{Attempt: h.attempts[ended].ID, Outcome: dispatch.Moot})
+				h.core.Result(Result{Attempt: h.attempts[ended].ID, Outcome: dispatch.CanceledBeforeSend})
 			}
 		}
 		if len(cl.answers) != 1 || cl.answers[0].End != Refused || h.sent() > settings().MaxAttempts {
--- a/internal/node/oneanswer_test.go
+++ b/internal/node/oneanswer_test.go
@@ -69,7 +69,7 @@
 	}
 	a := rapid.SampledFrom(m.h.attempts).Draw(m.t, "attempt")
 	outcome := rapid.SampledFrom([]dispatch.Outcome{
-		dispatch.Served, dispatch.Errored, dispatch.Full, dispatch.ConnectFailed, dispatch.Reset, dispatch.Moot,
+		dispatch.Served, dispatch.Errored, dispatch.Full, dispatch.ConnectFailed, dispatch.Reset, dispatch.CanceledBeforeSend,
 	}).Draw(m.t, "outcome")
 	if _, inFlight := m.h.core.jobs.attempts[a.ID]; inFlight && !outcome.NeverRan() {
 		m.byTrace[a.Job.Trace].ran = true
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -54,7 +54,9 @@
 func (c *Core) Probed(worker uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
 	c.post(
 		moduleEvent{
-			dispatch.Event{Kind: dispatch.EvProbed, Worker: worker, Outcome: o, Elapsed: milliseconds(elapsed), Report: report},
+			dispatch.Event{
+				Kind: dispatch.EvHealthCheck, Executor: worker, Outcome: o, Elapsed: milliseconds(elapsed), Report: report,
+			},
 		},
 	)
 }
@@ -64,7 +66,7 @@
 
 // Peer takes a message of another node.
 func (c *Core) Peer(from uint32, data []byte) {
-	c.post(moduleEvent{dispatch.Event{Kind: dispatch.EvPeer, From: from, Data: data}})
+	c.post(moduleEvent{dispatch.Event{Kind: dispatch.EvGossip, From: from, Data: data}})
 }
 
 // Terminate ends a job of which nothing was sent, or else says why not. A job that was sent goes on: nothing
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -14,7 +14,7 @@
 )
 
 func rulesOf(classes map[string]dispatch.Class, order ...string) (dispatch.Settings, Names) {
-	s := dispatch.Settings{Balancers: 1, MaxAttempts: 3, FallMultiple: 2}
+	s := dispatch.Settings{Nodes: 1, MaxAttempts: 3, OverloadMultiple: 2}
 	var n Names
 	for _, name := range order {
 		s.Classes, n.Classes = append(s.Classes, classes[name]), append(n.Classes, name)
@@ -26,7 +26,7 @@
 // its name stood for is still taken for a while. A place is used again only once nothing of it can be open.
 func TestRetuneKeepsPlaces(t *testing.T) {
 	classes := map[string]dispatch.Class{
-		"a": {Deadline: 1000, Effect: dispatch.Unsafe},
+		"a": {Deadline: 1000, RetrySafety: dispatch.AtMostOnce},
 		"b": {Deadline: 2000},
 		"c": {Deadline: 500},
 	}
@@ -44,7 +44,7 @@
 	if _, ok := r.Names.Class(""); ok {
 		t.Error("a place without a name is found by no name")
 	}
-	classes["b"] = dispatch.Class{Deadline: 2000, Effect: dispatch.Unsafe}
+	classes["b"] = dispatch.Class{Deadline: 2000, RetrySafety: dispatch.AtMostOnce}
 	s, n = rulesOf(classes, "c", "b")
 	if r, from, err = r.Retune(
 		s,
@@ -57,8 +57,8 @@
 	}
 	if i, _ := r.Names.Class(
 		"b",
-	); i != 3 || r.Settings.Classes[1].Effect != dispatch.Safe ||
-		r.Settings.Classes[3].Effect != dispatch.Unsafe {
+	); i != 3 || r.Settings.Classes[1].RetrySafety != dispatch.Idempotent ||
+		r.Settings.Classes[3].RetrySafety != dispatch.AtMostOnce {
 		t.Errorf("b is at %d of %+v", i, r.Settings.Classes)
 	}
 	// A minute and the deadline after it was dropped, a's place is free; b's old one is not for a second more.
@@ -86,7 +86,7 @@
 		if len(order) == 0 || rapid.Bool().Draw(t, "has "+name) {
 			order = append(order, name)
 			classes[name] = dispatch.Class{Deadline: float64(rapid.IntRange(1, 3).Draw(t, "deadline")) * 1000,
-				Effect: dispatch.Effect(rapid.IntRange(0, 2).Draw(t, "effect"))}
+				RetrySafety: dispatch.RetrySafety(rapid.IntRange(0, 2).Draw(t, "effect"))}
 		}
 	}
 	return rulesOf(classes, order...)
--- a/internal/precheck/precheck.go
+++ b/internal/precheck/precheck.go
@@ -79,7 +79,7 @@
 type RetryRules struct {
 	Attempt     int // this attempt's number, from 1
 	MaxAttempts int
-	RetrySafety dispatch.Effect
+	RetrySafety dispatch.RetrySafety
 	MayHaveRun  bool      // an earlier attempt is in flight, or may have run
 	WindowEnd   time.Time // of a keyed request: until then executors drop its repeats
 }
@@ -117,7 +117,7 @@
 	switch {
 	case r.Attempt > r.MaxAttempts:
 		return AttemptsUsedUp
-	case r.MayHaveRun && r.RetrySafety == dispatch.Unsafe:
+	case r.MayHaveRun && r.RetrySafety == dispatch.AtMostOnce:
 		return MustNotRunTwice
 	case r.MayHaveRun && r.RetrySafety == dispatch.Keyed && !now.Before(r.WindowEnd):
 		return WindowOver
--- a/internal/precheck/precheck_test.go
+++ b/internal/precheck/precheck_test.go
@@ -30,7 +30,7 @@
 	case AttemptsUsedUp:
 		return a.Retry.Attempt >= a.Retry.MaxAttempts+1
 	case MustNotRunTwice:
-		return repeat && a.Retry.RetrySafety != dispatch.Safe && a.Retry.RetrySafety != dispatch.Keyed
+		return repeat && a.Retry.RetrySafety != dispatch.Idempotent && a.Retry.RetrySafety != dispatch.Keyed
 	case WindowOver:
 		return repeat && a.Retry.RetrySafety == dispatch.Keyed && at(a.Retry.WindowEnd)
 	}
@@ -63,9 +63,11 @@
 		a.Retry = RetryRules{
 			Attempt:     rapid.IntRange(1, 4).Draw(t, "number"),
 			MaxAttempts: 3,
-			RetrySafety: rapid.SampledFrom([]dispatch.Effect{dispatch.Safe, dispatch.Keyed, dispatch.Unsafe}).Draw(t, "effect"),
-			MayHaveRun:  rapid.Bool().Draw(t, "ran"),
-			WindowEnd:   near("window"),
+			RetrySafety: rapid.SampledFrom([]dispatch.RetrySafety{
+				dispatch.Idempotent, dispatch.Keyed, dispatch.AtMostOnce,
+			}).Draw(t, "effect"),
+			MayHaveRun: rapid.Bool().Draw(t, "ran"),
+			WindowEnd:  near("window"),
 		}
 		got := a.Reason()
 		seen[got]++
--- a/internal/scale/hollow/dispatcher.go
+++ b/internal/scale/hollow/dispatcher.go
@@ -37,7 +37,7 @@
 		return nil, fmt.Errorf("hollow dispatcher: %w", err)
 	}
 	executors := attempts.New(ctx, g, c.Limits, c.Names, core, core.Slow(), log)
-	lists := discovery.New(c.Discovery, c.Known.Index, !c.Settings.Ask, c.Limits, core, core.Slow(), log)
+	lists := discovery.New(c.Discovery, c.Known.Index, !c.Settings.PollsList, c.Limits, core, core.Slow(), log)
 	peers, err := peer.Listen(c.PeerListen, c.Peers, c.PeersAll, c.Limits, core, log)
 	if err != nil {
 		return nil, fmt.Errorf("hollow dispatcher: %w", err)
--- a/internal/scale/virtual/dispatcher.go
+++ b/internal/scale/virtual/dispatcher.go
@@ -58,15 +58,15 @@
 		return nil, fmt.Errorf("dispatcher %d: %w", number, err)
 	}
 	d := &dispatcher{world: w, number: number, module: module, step: span(c.Settings.Step), jobs: map[uint32]*job{}}
-	d.event(dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListCached, Version: w.listVersion, Rows: w.rows()})
+	d.event(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Version: w.listVersion, Rows: w.rows()})
 	return d, nil
 }
 
 // rows are the whole list.
-func (w *World) rows() []dispatch.Row {
-	var out []dispatch.Row
+func (w *World) rows() []dispatch.EndpointUpdate {
+	var out []dispatch.EndpointUpdate
 	for _, x := range w.executors {
-		if x.status != dispatch.Gone {
+		if x.status != dispatch.Removed {
 			out = append(out, x.row())
 		}
 	}
@@ -108,7 +108,7 @@
 	switch a.Kind {
 	case dispatch.ActSend:
 		d.send(a)
-	case dispatch.ActRefuse:
+	case dispatch.ActReject:
 		d.answer(d.jobs[a.Job], verdict.Refused, span(a.For))
 	case dispatch.ActFail:
 		d.answer(d.jobs[a.Job], verdict.Failed, 0)
@@ -119,16 +119,16 @@
 	case dispatch.ActTimer:
 		token := a.Token
 		w.after(span(a.For), func() { d.event(dispatch.Event{Kind: dispatch.EvTimer, Token: token}) })
-	case dispatch.ActProbe:
-		d.probe(a.Worker)
-	case dispatch.ActWatch:
+	case dispatch.ActHealthCheck:
+		d.probe(a.Executor)
+	case dispatch.ActPollList:
 		d.watches = a.On
 		if a.On {
 			w.after(listLate, func() {
-				d.event(dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListFull, Version: w.listVersion, Rows: w.rows()})
+				d.event(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: w.listVersion, Rows: w.rows()})
 			})
 		}
-	case dispatch.ActTell:
+	case dispatch.ActGossip:
 		d.tell(a)
 	}
 }
@@ -139,7 +139,7 @@
 		if d.watches {
 			d.event(e)
 		}
-		condition := map[dispatch.Condition]verdict.Condition{dispatch.Ready: verdict.Ready, dispatch.Draining: verdict.Draining, dispatch.Gone: verdict.Gone}[c]
+		condition := map[dispatch.Condition]verdict.Condition{dispatch.Ready: verdict.Ready, dispatch.Draining: verdict.Draining, dispatch.Removed: verdict.Gone}[c]
 		for _, x := range executors {
 			d.world.see(verdict.Event{Kind: verdict.Listed, Dispatcher: int16(d.number), Executor: int32(x), Condition: condition})
 		}
@@ -155,7 +155,7 @@
 			continue
 		}
 		w.counts.TellBytes += len(data)
-		w.after(hopPeer, func() { other.event(dispatch.Event{Kind: dispatch.EvPeer, From: uint32(d.number), Data: data}) })
+		w.after(hopPeer, func() { other.event(dispatch.Event{Kind: dispatch.EvGossip, From: uint32(d.number), Data: data}) })
 	}
 }
 
@@ -169,7 +169,7 @@
 	x := w.executors[i]
 	trip := 2 * w.hop(d.number, x)
 	w.after(trip, func() {
-		e := dispatch.Event{Kind: dispatch.EvProbed, Worker: worker, Outcome: dispatch.ConnectFailed, Elapsed: millis(trip)}
+		e := dispatch.Event{Kind: dispatch.EvHealthCheck, Executor: worker, Outcome: dispatch.ConnectFailed, Elapsed: millis(trip)}
 		if x.up {
 			e.Outcome, e.Report = dispatch.Served, x.report()
 		}
@@ -181,7 +181,7 @@
 func (d *dispatcher) send(a *dispatch.Action) {
 	w := d.world
 	j := d.jobs[a.Job]
-	i, known := w.byID[a.Worker]
+	i, known := w.byID[a.Executor]
 	if j == nil || !known {
 		return
 	}
@@ -194,7 +194,7 @@
 		until = min(until, w.now+span(a.For))
 	}
 	if j.answered || until <= w.now {
-		d.end(t, dispatch.Moot, nil)
+		d.end(t, dispatch.CanceledBeforeSend, nil)
 		return
 	}
 	w.at(until, func() { d.end(t, dispatch.TimedOut, nil) })
@@ -212,7 +212,7 @@
 	if o == dispatch.Served {
 		d.answer(j, verdict.Served, 0)
 	}
-	d.event(dispatch.Event{Kind: dispatch.EvOutcome, Job: j.id, Attempt: t.number, Worker: t.executor.id, Outcome: o, Elapsed: millis(d.world.now - t.sent),
+	d.event(dispatch.Event{Kind: dispatch.EvOutcome, Job: j.id, Attempt: t.number, Executor: t.executor.id, Outcome: o, Elapsed: millis(d.world.now - t.sent),
 		Final: j.answered, Report: report})
 	d.forget(j)
 }
@@ -254,6 +254,6 @@
 	if len(j.tries) == 0 {
 		answer = verdict.Refused
 	}
-	d.event(dispatch.Event{Kind: dispatch.EvGone, Job: j.id})
+	d.event(dispatch.Event{Kind: dispatch.EvClientGone, Job: j.id})
 	d.answer(j, answer, 0)
 }
--- a/internal/scale/virtual/executor.go
+++ b/internal/scale/virtual/executor.go
@@ -22,10 +22,10 @@
 	waiting []*attempt
 }
 
-func (x *executor) row() dispatch.Row {
-	r := dispatch.Row{Worker: x.id, Zone: uint8(x.plan.Zone), Kind: uint8(x.plan.Kind), Cell: uint16(x.plan.Rack), Condition: x.status, Scale: float64(x.plan.Slots)}
+func (x *executor) row() dispatch.EndpointUpdate {
+	r := dispatch.EndpointUpdate{Executor: x.id, Zone: uint8(x.plan.Zone), Kind: uint8(x.plan.Kind), Cell: uint16(x.plan.Rack), Condition: x.status, Weight: float64(x.plan.Slots)}
 	if x.cold {
-		r.Born = clock(x.booted)
+		r.StartedAt = clock(x.booted)
 	}
 	return r
 }
@@ -125,7 +125,7 @@
 // note tells of an attempt that has not ended.
 func (x *executor) note(t *attempt, topic uint8, amount float64) {
 	if !t.over {
-		t.dispatcher.event(dispatch.Event{Kind: dispatch.EvNote, Job: t.job.id, Attempt: t.number, Worker: x.id, Topic: topic, Amount: amount})
+		t.dispatcher.event(dispatch.Event{Kind: dispatch.EvNote, Job: t.job.id, Attempt: t.number, Executor: x.id, Topic: topic, Amount: amount})
 	}
 }
 
--- a/internal/scale/virtual/world.go
+++ b/internal/scale/virtual/world.go
@@ -122,7 +122,7 @@
 	case faults.ListDraining:
 		w.list(a.Executors, dispatch.Draining)
 	case faults.ListGone:
-		w.list(a.Executors, dispatch.Gone)
+		w.list(a.Executors, dispatch.Removed)
 	case faults.ListReady:
 		w.list(a.Executors, dispatch.Ready)
 	}
@@ -131,7 +131,7 @@
 // list changes rows and tells all dispatchers.
 func (w *World) list(executors []int, c dispatch.Condition) {
 	w.listVersion++
-	var rows []dispatch.Row
+	var rows []dispatch.EndpointUpdate
 	for _, i := range executors {
 		x := w.executors[i]
 		if c == dispatch.Ready && !x.up {
@@ -141,7 +141,7 @@
 		rows = append(rows, x.row())
 	}
 	for _, d := range w.dispatchers {
-		d.told(dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListDelta, Version: w.listVersion, Rows: rows}, executors, c)
+		d.told(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Version: w.listVersion, Rows: rows}, executors, c)
 	}
 }
 
--- a/internal/settings/bench_test.go
+++ b/internal/settings/bench_test.go
@@ -15,7 +15,7 @@
 	r.Tenants, r.Settings.Tenants = nil, nil
 	for i := range tenants {
 		r.Tenants = append(r.Tenants, fmt.Sprintf("tenant-%04d", i))
-		r.Settings.Tenants = append(r.Settings.Tenants, dispatch.Tenant{Portion: 1 / float64(tenants), Quota: 10})
+		r.Settings.Tenants = append(r.Settings.Tenants, dispatch.Tenant{ReservedShare: 1 / float64(tenants), Quota: 10})
 	}
 	return r
 }
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -60,17 +60,17 @@
 }
 
 var classFields = map[string]field[dispatch.Class]{
-	"aim":        amount(func(c *dispatch.Class) *float64 { return &c.Aim }),
+	"aim":        amount(func(c *dispatch.Class) *float64 { return &c.Objective }),
 	"deadline":   period(func(c *dispatch.Class) *float64 { return &c.Deadline }),
-	"worth":      amount(func(c *dispatch.Class) *float64 { return &c.Worth }),
+	"worth":      amount(func(c *dispatch.Class) *float64 { return &c.PriorityWeight }),
 	"window":     amount(func(c *dispatch.Class) *float64 { return &c.Window }),
-	"aimStretch": amount(func(c *dispatch.Class) *float64 { return &c.Stretch }),
-	"effect":     word(simprotocol.Effects, func(c *dispatch.Class) *dispatch.Effect { return &c.Effect }),
+	"aimStretch": amount(func(c *dispatch.Class) *float64 { return &c.ObjectivePerWork }),
+	"effect":     word(simprotocol.Effects, func(c *dispatch.Class) *dispatch.RetrySafety { return &c.RetrySafety }),
 	"dedupScope": word(simprotocol.Scopes, func(c *dispatch.Class) *dispatch.Scope { return &c.Scope }),
 }
 
 var tenantFields = map[string]field[dispatch.Tenant]{
-	"portion":  amount(func(t *dispatch.Tenant) *float64 { return &t.Portion }),
+	"portion":  amount(func(t *dispatch.Tenant) *float64 { return &t.ReservedShare }),
 	"quotaRps": amount(func(t *dispatch.Tenant) *float64 { return &t.Quota }),
 }
 
@@ -87,9 +87,9 @@
 	"fees.crossZone":       amount(func(s *dispatch.Settings) *float64 { return &s.Fees.CrossZone }),
 	"fees.handshake":       amount(func(s *dispatch.Settings) *float64 { return &s.Fees.Handshake }),
 	"fees.origin":          amount(func(s *dispatch.Settings) *float64 { return &s.Fees.Origin }),
-	"overShareWorth":       amount(func(s *dispatch.Settings) *float64 { return &s.OverShareWorth }),
+	"overShareWorth":       amount(func(s *dispatch.Settings) *float64 { return &s.OverQuotaWeight }),
 	"worthBy": word(
 		map[string]bool{"request": false, "work": true},
-		func(s *dispatch.Settings) *bool { return &s.WorthByWork },
+		func(s *dispatch.Settings) *bool { return &s.WeightByWork },
 	),
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,10 +19,11 @@
 // baseRules are those of a process with two classes and two tenants.
 func baseRules() Rules {
 	return Rules{
-		Settings: dispatch.Settings{Balancers: 1, MaxAttempts: 3, FallMultiple: 2, Step: 4, OverShareWorth: 0.2,
-			Classes: []dispatch.Class{{Aim: 400, Deadline: 7500, Worth: 8, Effect: dispatch.Unsafe, Kind: -1},
-				{Aim: 1500, Deadline: 25000, Worth: 24, Effect: dispatch.Keyed, Window: 40000, Kind: -1}},
-			Tenants: []dispatch.Tenant{{Portion: 0.6, Quota: 20}, {Portion: 0.4, Quota: 12}}},
+		Settings: dispatch.Settings{Nodes: 1, MaxAttempts: 3, OverloadMultiple: 2, Step: 4, OverQuotaWeight: 0.2,
+			Classes: []dispatch.Class{
+				{Objective: 400, Deadline: 7500, PriorityWeight: 8, RetrySafety: dispatch.AtMostOnce, Kind: -1},
+				{Objective: 1500, Deadline: 25000, PriorityWeight: 24, RetrySafety: dispatch.Keyed, Window: 40000, Kind: -1}},
+			Tenants: []dispatch.Tenant{{ReservedShare: 0.6, Quota: 20}, {ReservedShare: 0.4, Quota: 12}}},
 		Classes: []string{"tile-charge", "area-render"}, Tenants: []string{"pohjakaart", "maavaade"},
 	}
 }
@@ -56,15 +57,17 @@
 		t.Fatal(err)
 	}
 	want := baseRules()
-	want.Settings.Classes[1].Worth = 3
+	want.Settings.Classes[1].PriorityWeight = 3
 	want.Settings.Classes = append(
 		want.Settings.Classes,
-		dispatch.Class{Deadline: 5000, Worth: 1, Effect: dispatch.Safe, Scope: dispatch.ScopeAll, Kind: -1},
+		dispatch.Class{
+			Deadline: 5000, PriorityWeight: 1, RetrySafety: dispatch.Idempotent, Scope: dispatch.ScopeAll, Kind: -1,
+		},
 	)
 	want.Settings.Tenants[1].Quota = 5
-	want.Settings.Tenants = append(want.Settings.Tenants, dispatch.Tenant{Portion: 0.1, Quota: 1})
+	want.Settings.Tenants = append(want.Settings.Tenants, dispatch.Tenant{ReservedShare: 0.1, Quota: 1})
 	want.Settings.MaxAttempts, want.Settings.Fees.CrossZone = 7, 0.5
-	want.Settings.WorthByWork, want.Settings.OverShareWorth = true, 0
+	want.Settings.WeightByWork, want.Settings.OverQuotaWeight = true, 0
 	want.Classes, want.Tenants = append(want.Classes, "draft"), append(want.Tenants, "new")
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v\nwant %+v", got, want)
@@ -354,18 +357,18 @@
 	if at < 0 {
 		at = len(base.Classes)
 		base.Classes = append(base.Classes, name)
-		added := dispatch.Class{Worth: 1, Kind: -1, Scope: dispatch.ScopeCell}
+		added := dispatch.Class{PriorityWeight: 1, Kind: -1, Scope: dispatch.ScopeCell}
 		base.Settings.Classes = append(base.Settings.Classes, added)
 	}
 	c := &base.Settings.Classes[at]
 	if value.Worth != nil {
-		c.Worth = *value.Worth
+		c.PriorityWeight = *value.Worth
 	}
 	if value.Deadline != nil {
 		c.Deadline = *value.Deadline
 	}
 	if value.Effect != nil {
-		c.Effect = dispatch.Safe
+		c.RetrySafety = dispatch.Idempotent
 	}
 	return true
 }
@@ -382,7 +385,7 @@
 	}
 	c := &base.Settings.Tenants[at]
 	if value.Portion != nil {
-		c.Portion = *value.Portion
+		c.ReservedShare = *value.Portion
 	}
 	if value.QuotaRps != nil {
 		c.Quota = *value.QuotaRps
--- a/internal/settingsync/fake_test.go
+++ b/internal/settingsync/fake_test.go
@@ -114,11 +114,11 @@
 func testRules() settings.Rules {
 	return settings.Rules{
 		Settings: dispatch.Settings{
-			Balancers:    1,
-			MaxAttempts:  3,
-			FallMultiple: 2,
-			Classes:      []dispatch.Class{{Deadline: 5000, Worth: 1}},
-			Tenants:      []dispatch.Tenant{{Portion: 1, Quota: 10}},
+			Nodes:            1,
+			MaxAttempts:      3,
+			OverloadMultiple: 2,
+			Classes:          []dispatch.Class{{Deadline: 5000, PriorityWeight: 1}},
+			Tenants:          []dispatch.Tenant{{ReservedShare: 1, Quota: 10}},
 		},
 		Classes: []string{"a"},
 		Tenants: []string{"t"},
--- a/internal/settingsync/rollout_bench_test.go
+++ b/internal/settingsync/rollout_bench_test.go
@@ -145,11 +145,11 @@
 
 // newBenchMembers starts the members, and returns once they accept changes.
 func newBenchMembers(b *testing.B, tenants int) *benchFleet {
-	f := &benchFleet{b: b, base: settings.Rules{Settings: dispatch.Settings{Balancers: 1, MaxAttempts: 3, FallMultiple: 2,
-		Classes: []dispatch.Class{{Deadline: 5000, Worth: 1}}}, Classes: []string{"a"}}}
+	f := &benchFleet{b: b, base: settings.Rules{Settings: dispatch.Settings{Nodes: 1, MaxAttempts: 3, OverloadMultiple: 2,
+		Classes: []dispatch.Class{{Deadline: 5000, PriorityWeight: 1}}}, Classes: []string{"a"}}}
 	for i := range tenants {
 		f.base.Tenants = append(f.base.Tenants, fmt.Sprint("t", i))
-		f.base.Settings.Tenants = append(f.base.Settings.Tenants, dispatch.Tenant{Portion: 1, Quota: 1})
+		f.base.Settings.Tenants = append(f.base.Settings.Tenants, dispatch.Tenant{ReservedShare: 1, Quota: 1})
 	}
 	var cancel context.CancelFunc
 	f.ctx, cancel = context.WithCancel(context.Background())
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -110,8 +110,8 @@
 }
 
 // Effects are the words for what a class's jobs do when they run twice.
-var Effects = map[string]dispatch.Effect{
-	"free": dispatch.Safe, "guarded": dispatch.Keyed, "single_shot": dispatch.Unsafe,
+var Effects = map[string]dispatch.RetrySafety{
+	"free": dispatch.Idempotent, "guarded": dispatch.Keyed, "single_shot": dispatch.AtMostOnce,
 }
 
 // Scopes are the words for where a repeat of a class's jobs is recognized.
@@ -141,22 +141,22 @@
 func FromPairs(pairs map[string]string) (dispatch.Settings, error) {
 	s := &settings{m: pairs}
 	v := dispatch.Settings{
-		Me: s.count("me", 0), Balancers: s.count("balancers", 1),
+		Node: s.count("me", 0), Nodes: s.count("balancers", 1),
 		Zone: s.count("zone", 0), Step: s.num("step", 0),
-		OverShareWorth: s.num("overShareWorth", 1), WorthByWork: s.m["worthBy"] == "work",
-		Ask:         s.m["discovery"] == "subscribe",
+		OverQuotaWeight: s.num("overShareWorth", 1), WeightByWork: s.m["worthBy"] == "work",
+		PollsList:   s.m["discovery"] == "subscribe",
 		LiveWeights: s.m["weights"] == "live",
 		Telemetry: choice(s, "telemetry.how", dispatch.ReportNone, map[string]dispatch.Telemetry{
-			"piggyback": dispatch.ReportAnswers, "pull": dispatch.ReportProbes}),
-		Progress: s.num("familyInfo.progress", 0), TellsStart: s.flag("familyInfo.tellsStart"),
-		MaxAttempts: s.count("limits.maxAttempts", 1), MayDuplicate: s.flag("limits.mayDuplicate"),
-		MayCancel: s.flag("limits.cancelling"), MayProbe: s.flag("limits.probing"),
-		MayTell: s.flag("limits.peers"), ConnIdle: s.num("limits.connIdle", 0),
+			"piggyback": dispatch.ReportAnswers, "pull": dispatch.ReportHealthChecks}),
+		ProgressInterval: s.num("familyInfo.progress", 0), NotesStart: s.flag("familyInfo.tellsStart"),
+		MaxAttempts: s.count("limits.maxAttempts", 1), HedgingAllowed: s.flag("limits.mayDuplicate"),
+		CancelAllowed: s.flag("limits.cancelling"), HealthChecksAllowed: s.flag("limits.probing"),
+		GossipAllowed: s.flag("limits.peers"), ConnIdle: s.num("limits.connIdle", 0),
 		ConnectTimeout: s.num("limits.connectTimeout", 0), Multiplex: s.count("limits.multiplex", 1),
-		AnswerSlack: s.num("invariants.answerSlack", 0), AskWithin: s.num("invariants.askWithin", 0),
-		DrainGrace: s.num("invariants.drainGrace", 0), FallMultiple: s.num("invariants.fallMultiple", 1),
-		Fall: s.num("invariants.fall", 0), ColdFrom: s.num("invariants.coldFrom", 0),
-		WarmWithin: s.num("invariants.warmWithin", 0),
+		AnswerSlack: s.num("invariants.answerSlack", 0), PollWithin: s.num("invariants.askWithin", 0),
+		DrainGrace: s.num("invariants.drainGrace", 0), OverloadMultiple: s.num("invariants.fallMultiple", 1),
+		OverloadWindow: s.num("invariants.fall", 0), SlowStartFrom: s.num("invariants.coldFrom", 0),
+		SlowStartWithin: s.num("invariants.warmWithin", 0),
 		Fees: dispatch.Fees{CrossZone: s.num("fees.crossZone", 0), Handshake: s.num("fees.handshake", 0),
 			Origin: s.num("fees.origin", 0)},
 	}
@@ -177,18 +177,18 @@
 	for i := range s.items("requestClasses.count") {
 		p := "requestClasses." + strconv.Itoa(i) + "."
 		v.Classes = append(v.Classes, dispatch.Class{
-			Aim: s.num(p+"aim", 0), Deadline: s.num(p+"deadline", 0), Worth: s.num(p+"worth", 1),
-			Stretch: s.num(p+"aimStretch", s.numAt("familyInfo.classStretch", i, 0)),
-			Window:  s.num(p+"window", 0),
+			Objective: s.num(p+"aim", 0), Deadline: s.num(p+"deadline", 0), PriorityWeight: s.num(p+"worth", 1),
+			ObjectivePerWork: s.num(p+"aimStretch", s.numAt("familyInfo.classStretch", i, 0)),
+			Window:           s.num(p+"window", 0),
 			// An effect or a scope that is absent or unknown is taken as the strictest one.
-			Effect: choice(s, p+"effect", dispatch.Unsafe, Effects),
-			Scope:  choice(s, p+"dedupScope", dispatch.ScopeCell, Scopes),
-			Kind:   int(s.numAt("familyInfo.classKind", i, -1)),
+			RetrySafety: choice(s, p+"effect", dispatch.AtMostOnce, Effects),
+			Scope:       choice(s, p+"dedupScope", dispatch.ScopeCell, Scopes),
+			Kind:        int(s.numAt("familyInfo.classKind", i, -1)),
 		})
 	}
 	for i := range s.items("tenants.count") {
 		p := "tenants." + strconv.Itoa(i) + "."
-		v.Tenants = append(v.Tenants, dispatch.Tenant{Portion: s.num(p+"portion", 0), Quota: s.num(p+"quotaRps", 0)})
+		v.Tenants = append(v.Tenants, dispatch.Tenant{ReservedShare: s.num(p+"portion", 0), Quota: s.num(p+"quotaRps", 0)})
 	}
 	if s.err != nil {
 		return dispatch.Settings{}, fmt.Errorf("wire: %w", s.err)
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -57,7 +57,7 @@
 	r      io.Reader
 	offset int64 // of the frame being read
 	buf    []byte
-	rows   []dispatch.Row
+	rows   []dispatch.EndpointUpdate
 	floats []float32
 	batch  Batch
 }
@@ -236,15 +236,15 @@
 		c.err = fmt.Errorf("unknown list form %d", form)
 		return
 	}
-	e.Form = dispatch.Form(form)
+	e.Form = dispatch.ListForm(form)
 	if int64(n)*rowSize > int64(len(c.b)-c.at) {
 		c.err = fmt.Errorf("%d list entries: %w", n, errCount)
 		return
 	}
 	from := len(c.r.rows)
 	for range n {
-		row := dispatch.Row{Worker: c.u32(), Zone: c.u8(), Kind: c.u8(), Cell: c.u16()}
-		row.Condition, row.Scale, row.Born = dispatch.Condition(c.u8()), c.f32(), c.f64()
+		row := dispatch.EndpointUpdate{Executor: c.u32(), Zone: c.u8(), Kind: c.u8(), Cell: c.u16()}
+		row.Condition, row.Weight, row.StartedAt = dispatch.Condition(c.u8()), c.f32(), c.f64()
 		c.r.rows = append(c.r.rows, row)
 	}
 	e.Rows = c.r.rows[from:len(c.r.rows):len(c.r.rows)]
@@ -255,28 +255,28 @@
 	e := &rec.Event
 	switch rec.Code {
 	case CodeList:
-		e.Kind = dispatch.EvList
+		e.Kind = dispatch.EvEndpoints
 		c.list(e)
 	case CodeTimer:
 		e.Kind, e.Token = dispatch.EvTimer, c.u32()
 	case CodeGone:
-		e.Kind, e.Job = dispatch.EvGone, c.u32()
+		e.Kind, e.Job = dispatch.EvClientGone, c.u32()
 	case CodeNote:
 		e.Kind = dispatch.EvNote
-		e.Job, e.Attempt, e.Worker, e.Topic, e.Amount = c.u32(), c.u16(), c.u32(), c.u8(), c.f32()
+		e.Job, e.Attempt, e.Executor, e.Topic, e.Amount = c.u32(), c.u16(), c.u32(), c.u8(), c.f32()
 	case CodePeer:
-		e.Kind, e.From = dispatch.EvPeer, c.u32()
+		e.Kind, e.From = dispatch.EvGossip, c.u32()
 		e.Data = c.bytes(int(c.u16()))
 	case CodeInit:
 		rec.Seed = c.u64()
 		rec.Info = c.bytes(int(c.u32()))
 	case CodeFirst:
-		e.Kind = dispatch.EvFirst
-		e.Job, e.Elapsed, e.Worker, e.Attempt = c.u32(), c.f64(), c.u32(), c.u16()
+		e.Kind = dispatch.EvStreamStarted
+		e.Job, e.Elapsed, e.Executor, e.Attempt = c.u32(), c.f64(), c.u32(), c.u16()
 	case CodeStop:
 	case CodeOutcome:
 		e.Kind = dispatch.EvOutcome
-		e.Job, e.Attempt, e.Worker = c.u32(), c.u16(), c.u32()
+		e.Job, e.Attempt, e.Executor = c.u32(), c.u16(), c.u32()
 		e.Outcome, e.Elapsed, e.Final = dispatch.Outcome(c.u16()), c.f64(), c.u8() != 0
 		c.u32()
 		e.Report = c.report()
@@ -285,8 +285,8 @@
 		e.Job, e.Class, e.Tenant, e.Key = c.u32(), c.u8(), c.u16(), c.u64()
 		e.TimeLeft, e.Work, e.Slots, e.Memory, e.Flags = c.f64(), c.f64(), c.f32(), c.f32(), c.u8()
 	case CodeProbed:
-		e.Kind = dispatch.EvProbed
-		e.Worker, e.Elapsed, e.Outcome = c.u32(), c.f64(), dispatch.Outcome(c.u16())
+		e.Kind = dispatch.EvHealthCheck
+		e.Executor, e.Elapsed, e.Outcome = c.u32(), c.f64(), dispatch.Outcome(c.u16())
 		e.Report = c.report()
 	default:
 		if c.err == nil {
@@ -329,9 +329,9 @@
 	switch a.Kind {
 	case dispatch.ActSend:
 		head(codeSend)
-		p.buf = be.AppendUint32(be.AppendUint32(p.buf, a.Job), a.Worker)
+		p.buf = be.AppendUint32(be.AppendUint32(p.buf, a.Job), a.Executor)
 		f64(a.For)
-	case dispatch.ActRefuse:
+	case dispatch.ActReject:
 		head(codeRefuse)
 		p.buf = be.AppendUint32(p.buf, a.Job)
 		f64(a.For)
@@ -345,13 +345,13 @@
 		head(codeDefer)
 		f64(a.For)
 		p.buf = be.AppendUint32(p.buf, a.Token)
-	case dispatch.ActProbe:
+	case dispatch.ActHealthCheck:
 		head(codeProbe)
-		p.buf = be.AppendUint32(p.buf, a.Worker)
+		p.buf = be.AppendUint32(p.buf, a.Executor)
 	case dispatch.ActClose:
 		head(codeClose)
-		p.buf = be.AppendUint32(p.buf, a.Worker)
-	case dispatch.ActWatch:
+		p.buf = be.AppendUint32(p.buf, a.Executor)
+	case dispatch.ActPollList:
 		head(codeWatch)
 		on := byte(0)
 		if a.On {
@@ -360,7 +360,7 @@
 		p.buf = append(p.buf, on)
 	case dispatch.ActFetch:
 		head(codeFetch)
-	case dispatch.ActTell:
+	case dispatch.ActGossip:
 		if len(a.Data) > maxTellBytes {
 			return fmt.Errorf("wire: a message of %d bytes is longer than %d", len(a.Data), maxTellBytes)
 		}
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -42,33 +42,37 @@
 	{"timer", "01 0003 0000004d",
 		Record{Code: CodeTimer, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvTimer, Token: 77}}},
 	{"gone", "02 0005 0e6f2b19",
-		Record{Code: CodeGone, Instance: 5, Event: dispatch.Event{Kind: dispatch.EvGone, Job: 0x0e6f2b19}}},
+		Record{Code: CodeGone, Instance: 5, Event: dispatch.Event{Kind: dispatch.EvClientGone, Job: 0x0e6f2b19}}},
 	{"list", "00 0003 00000029 02 00000002 03124a07 00 00 0000 01 3f800000 0000000000000000 " +
 		"2c9011f2 01 00 0000 01 3fc00000 40b7d40000000000",
 		Record{
 			Code:     CodeList,
 			Instance: 3,
-			Event: dispatch.Event{Kind: dispatch.EvList, Version: 41, Form: dispatch.ListCached,
-				Rows: []dispatch.Row{{Worker: 0x03124a07, Condition: dispatch.Ready, Scale: 1},
-					{Worker: 0x2c9011f2, Zone: 1, Condition: dispatch.Ready, Scale: 1.5, Born: 6100}}},
+			Event: dispatch.Event{Kind: dispatch.EvEndpoints, Version: 41, Form: dispatch.ListCached,
+				Rows: []dispatch.EndpointUpdate{{Executor: 0x03124a07, Condition: dispatch.Ready, Weight: 1},
+					{Executor: 0x2c9011f2, Zone: 1, Condition: dispatch.Ready, Weight: 1.5, StartedAt: 6100}}},
 		}},
 	{"note", "03 0003 5d3a91c4 0000 03124a07 01 3f000000",
 		Record{Code: CodeNote, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvNote, Job: 0x5d3a91c4,
-			Worker: 0x03124a07, Topic: 1, Amount: 0.5}}},
+			Executor: 0x03124a07, Topic: 1, Amount: 0.5}}},
 	{"outcome", "08 0003 5d3a91c4 0000 03124a07 0064 4032800000000000 01 00000000 00",
 		Record{Code: CodeOutcome, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvOutcome, Job: 0x5d3a91c4,
-			Worker: 0x03124a07, Outcome: dispatch.Served, Elapsed: 18.5, Final: true}}},
+			Executor: 0x03124a07, Outcome: dispatch.Served, Elapsed: 18.5, Final: true}}},
 	{"outcome with a report", "08 0003 5d3a91c4 0002 03124a07 012e 4032800000000000 00 00000007 02 3f800000 40000000",
 		Record{Code: CodeOutcome, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvOutcome, Job: 0x5d3a91c4, Attempt: 2,
-			Worker: 0x03124a07, Outcome: dispatch.Full, Elapsed: 18.5, Report: []float32{1, 2}}}},
+			Executor: 0x03124a07, Outcome: dispatch.Full, Elapsed: 18.5, Report: []float32{1, 2}}}},
 	{"probed", "0a 0003 2c9011f2 3ff6666666666666 0064 04 3f00000040e000003f1eb8523ecccccd",
-		Record{Code: CodeProbed, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvProbed, Worker: 0x2c9011f2,
+		Record{Code: CodeProbed, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvHealthCheck, Executor: 0x2c9011f2,
 			Elapsed: 1.4, Outcome: dispatch.Served, Report: []float32{0.5, 7, 0.62, 0.4}}}},
 	{"peer", "04 0003 00000002 0004 68692037",
-		Record{Code: CodePeer, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvPeer, From: 2, Data: []byte("hi 7")}}},
+		Record{Code: CodePeer, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvGossip, From: 2, Data: []byte("hi 7")}}},
 	{"first", "06 0003 5d3a91c4 4022800000000000 03124a07 0001",
-		Record{Code: CodeFirst, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvFirst, Job: 0x5d3a91c4, Elapsed: 9.25,
-			Worker: 0x03124a07, Attempt: 1}}},
+		Record{
+			Code:     CodeFirst,
+			Instance: 3,
+			Event: dispatch.Event{Kind: dispatch.EvStreamStarted, Job: 0x5d3a91c4, Elapsed: 9.25,
+				Executor: 0x03124a07, Attempt: 1},
+		}},
 	{"stop", "07 0003", Record{Code: CodeStop, Instance: 3}},
 	{"init", "05 0003 0000000000000009 00000004 6d653d31",
 		Record{Code: CodeInit, Instance: 3, Seed: 9, Info: []byte("me=1")}},
@@ -177,7 +181,7 @@
 		action dispatch.Action
 		want   string
 	}{
-		{dispatch.Action{Kind: dispatch.ActSend, Job: 0x5d3a91c4, Worker: 0x03124a07, For: 80},
+		{dispatch.Action{Kind: dispatch.ActSend, Job: 0x5d3a91c4, Executor: 0x03124a07, For: 80},
 			"07 0003 5d3a91c4 03124a07 4054000000000000"},
 		{dispatch.Action{Kind: dispatch.ActTimer, For: 500, Token: 77}, "05 0003 407f400000000000 0000004d"},
 		{
@@ -185,13 +189,16 @@
 			"08 0003 0011 74776f2073657276657273206b6e6f776e",
 		},
 		{dispatch.Action{Kind: dispatch.ActFetch}, "04 0003"},
-		{dispatch.Action{Kind: dispatch.ActProbe, Worker: 0x2c9011f2}, "0a 0003 2c9011f2"},
+		{dispatch.Action{Kind: dispatch.ActHealthCheck, Executor: 0x2c9011f2}, "0a 0003 2c9011f2"},
 		{dispatch.Action{Kind: dispatch.ActCancel, Job: 0x5d3a91c4}, "06 0003 5d3a91c4 0000"},
 		{dispatch.Action{Kind: dispatch.ActFail, Job: 0x0e6f2b19}, "0b 0003 0e6f2b19"},
-		{dispatch.Action{Kind: dispatch.ActClose, Worker: 0x2c9011f2}, "01 0003 2c9011f2"},
-		{dispatch.Action{Kind: dispatch.ActTell, To: dispatch.AllPeers, Data: []byte("hi 7")}, "00 0003 ffff 0004 68692037"},
-		{dispatch.Action{Kind: dispatch.ActRefuse, Job: 0x0e6f2b19, For: 500}, "02 0003 0e6f2b19 407f400000000000"},
-		{dispatch.Action{Kind: dispatch.ActWatch, On: true}, "03 0003 01"},
+		{dispatch.Action{Kind: dispatch.ActClose, Executor: 0x2c9011f2}, "01 0003 2c9011f2"},
+		{
+			dispatch.Action{Kind: dispatch.ActGossip, To: dispatch.AllPeers, Data: []byte("hi 7")},
+			"00 0003 ffff 0004 68692037",
+		},
+		{dispatch.Action{Kind: dispatch.ActReject, Job: 0x0e6f2b19, For: 500}, "02 0003 0e6f2b19 407f400000000000"},
+		{dispatch.Action{Kind: dispatch.ActPollList, On: true}, "03 0003 01"},
 	}
 	var p Reply
 	for _, tt := range tests {
@@ -213,7 +220,7 @@
 		t.Errorf("empty reply %s", got)
 	}
 	if p.Add(3, &dispatch.Action{Kind: 99}) == nil ||
-		p.Add(3, &dispatch.Action{Kind: dispatch.ActTell, Data: make([]byte, 257)}) == nil {
+		p.Add(3, &dispatch.Action{Kind: dispatch.ActGossip, Data: make([]byte, 257)}) == nil {
 		t.Error("an action that the wire does not know was written")
 	}
 }
@@ -257,14 +264,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Balancers != 3 || s.Me != 2 || !s.Ask || s.Progress != 1000 || !s.TellsStart || s.Fees.CrossZone != 0.02 ||
-		s.ColdFrom != 0.31 || s.MaxAttempts != 4 || !s.MayDuplicate || !s.WorthByWork {
+	if s.Nodes != 3 || s.Node != 2 || !s.PollsList || s.ProgressInterval != 1000 || !s.NotesStart ||
+		s.Fees.CrossZone != 0.02 ||
+		s.SlowStartFrom != 0.31 || s.MaxAttempts != 4 || !s.HedgingAllowed ||
+		!s.WeightByWork {
 		t.Errorf("got %+v", s)
 	}
 	want := []dispatch.Class{
-		{Aim: 400, Stretch: 2, Deadline: 6000, Worth: 1, Effect: dispatch.Safe, Scope: dispatch.ScopeAll, Kind: -1},
-		{Aim: 250, Stretch: 1.75, Deadline: 5000, Worth: 1, Effect: dispatch.Keyed, Scope: dispatch.ScopeCell,
-			Window: 40000, Kind: 1},
+		{
+			Objective:        400,
+			ObjectivePerWork: 2,
+			Deadline:         6000,
+			PriorityWeight:   1,
+			RetrySafety:      dispatch.Idempotent,
+			Scope:            dispatch.ScopeAll,
+			Kind:             -1,
+		},
+		{
+			Objective:        250,
+			ObjectivePerWork: 1.75,
+			Deadline:         5000,
+			PriorityWeight:   1,
+			RetrySafety:      dispatch.Keyed,
+			Scope:            dispatch.ScopeCell,
+			Window:           40000,
+			Kind:             1,
+		},
 	}
 	if !reflect.DeepEqual(s.Classes, want) {
 		t.Errorf("classes %+v", s.Classes)
@@ -276,10 +301,10 @@
 		dispatch.FieldFree,
 		dispatch.FieldOther,
 	}
-	if !reflect.DeepEqual(s.Fields, fields) || s.Telemetry != dispatch.ReportProbes {
+	if !reflect.DeepEqual(s.Fields, fields) || s.Telemetry != dispatch.ReportHealthChecks {
 		t.Errorf("fields %v, how %v", s.Fields, s.Telemetry)
 	}
-	if len(s.Tenants) != 1 || s.Tenants[0] != (dispatch.Tenant{Portion: 0.23, Quota: 13}) {
+	if len(s.Tenants) != 1 || s.Tenants[0] != (dispatch.Tenant{ReservedShare: 0.23, Quota: 13}) {
 		t.Errorf("tenants %+v", s.Tenants)
 	}
 }
@@ -312,7 +337,7 @@
 			if err != nil {
 				t.Errorf("%s: %v, want the documented default", line, err)
 			}
-			if strings.Contains(line, "effect") && s.Classes[1].Effect != dispatch.Unsafe {
+			if strings.Contains(line, "effect") && s.Classes[1].RetrySafety != dispatch.AtMostOnce {
 				t.Error("an unknown effect must be taken as the strictest")
 			}
 			continue
