--- a/internal/membership/folder.go
+++ b/internal/membership/folder.go
@@ -8,25 +8,25 @@
 // an empty one begins enough others must have put on their own disks that it is this one's, and have known no other under its
 // name. Any two such groups of others have a member in common, which tells the second folder of the first.
 
-// Witnesses is how many others must know a folder before it begins, of a store of so many members: with them any two groups
+// RequiredWitnesses is how many others must know a folder before it begins, of a store of so many members: with them any two groups
 // of others overlap.
-func Witnesses(members int) int { return min((members+1)/2, members-1) }
+func RequiredWitnesses(members int) int { return min((members+1)/2, members-1) }
 
-// Verdict is what a member with an empty folder does.
-type Verdict uint8
+// BootstrapDecision is what a member with an empty folder does.
+type BootstrapDecision uint8
 
 // The verdicts.
 const (
-	Wait   Verdict = iota // too few have answered
-	Begin                 // nobody can have been promised anything by an earlier folder of this name
-	Forgot                // there was one: it neither votes nor counts until those who remember let it in anew
+	WaitForWitnesses BootstrapDecision = iota // too few have answered
+	BeginStore                                // nobody can have been promised anything by an earlier folder of this name
+	RejoinStore                               // there was one: it neither votes nor counts until those who remember let it in anew
 )
 
-// Known is what the others answered of those that were asked about a folder: the identity that they know under its name.
-type Known map[string]string
+// KnownFolders is what the others answered of those that were asked about a folder: the identity that they know under its name.
+type KnownFolders map[string]string
 
-// Judge decides for a member with an empty folder of an identity, in a store of some members.
-func Judge(self, folder string, members []string, answers Known) (v Verdict, missing []string) {
+// DecideBootstrap decides for a member with an empty folder of an identity, in a store of some members.
+func DecideBootstrap(self, folder string, members []string, answers KnownFolders) (v BootstrapDecision, missing []string) {
 	yes := 0
 	for _, name := range members {
 		known, heard := answers[name]
@@ -35,14 +35,14 @@
 		case !heard:
 			missing = append(missing, name)
 		case known != folder:
-			return Forgot, nil
+			return RejoinStore, nil
 		default:
 			yes++
 		}
 	}
 	slices.Sort(missing)
-	if yes >= Witnesses(len(members)) {
-		return Begin, nil
+	if yes >= RequiredWitnesses(len(members)) {
+		return BeginStore, nil
 	}
-	return Wait, missing
+	return WaitForWitnesses, missing
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -25,7 +25,7 @@
 
 // The verbs.
 const (
-	Nothing Verb = iota
+	NoChange Verb = iota
 	AddNonvoter
 	AddVoter
 	Remove
@@ -40,12 +40,12 @@
 
 // Refusals.
 var (
-	ErrUnknown = errors.New("no member has this name")
-	ErrTwice   = errors.New("a member of this name is alive at another address: the same name was started twice")
-	ErrTaken   = errors.New("a member of another name is at this address")
-	ErrQuorum  = errors.New("the members left would have no quorum")
-	ErrAlive   = errors.New("the member is alive: have it leave")
-	ErrName    = errors.New("a name and an address are needed")
+	ErrUnknown       = errors.New("no member has this name")
+	ErrDuplicateName = errors.New("a member of this name is alive at another address: the same name was started twice")
+	ErrAddressInUse  = errors.New("a member of another name is at this address")
+	ErrQuorum        = errors.New("the members left would have no quorum")
+	ErrAlive         = errors.New("the member is alive: have it leave")
+	ErrIncomplete    = errors.New("a name and an address are needed")
 )
 
 func (c Cluster) find(name string) (Server, bool) {
@@ -56,8 +56,8 @@
 	return c[i], true
 }
 
-// quorum says whether more than half of the voters are alive.
-func (c Cluster) quorum() bool {
+// hasQuorum says whether more than half of the voters are alive.
+func (c Cluster) hasQuorum() bool {
 	voters, alive := 0, 0
 	for _, s := range c {
 		if s.Voter {
@@ -80,11 +80,11 @@
 // back at another address, or anew, with nothing of what it held, takes the former one's place.
 func (c Cluster) Join(name, address string, anew bool) (Change, error) {
 	if name == "" || address == "" {
-		return Change{}, ErrName
+		return Change{}, ErrIncomplete
 	}
 	for _, s := range c {
 		if s.Address == address && s.Name != name {
-			return Change{}, fmt.Errorf("%w: %s", ErrTaken, s.Name)
+			return Change{}, fmt.Errorf("%w: %s", ErrAddressInUse, s.Name)
 		}
 	}
 	old, ok := c.find(name)
@@ -94,8 +94,8 @@
 	case old.Address == address && !anew:
 		return Change{}, nil
 	case old.Alive && old.Address != address:
-		return Change{}, fmt.Errorf("%w: %s", ErrTwice, old.Address)
-	case !c.without(name).quorum():
+		return Change{}, fmt.Errorf("%w: %s", ErrDuplicateName, old.Address)
+	case !c.without(name).hasQuorum():
 		return Change{}, ErrQuorum
 	}
 	return Change{Replace, name, address}, nil
@@ -118,19 +118,19 @@
 		return Change{}, nil // a vote that is never given would only raise what a majority takes
 	}
 	x := Change{AddVoter, s.Name, s.Address}
-	if !c.Apply(x).quorum() {
+	if !c.Apply(x).hasQuorum() {
 		return Change{}, ErrQuorum
 	}
 	return x, nil
 }
 
 // Leave decides about a member that asks to go, and Drop about one that others want gone: a dead one, unless forced.
-func (c Cluster) Leave(name string) (Change, error) { return c.drop(name, true) }
+func (c Cluster) Leave(name string) (Change, error) { return c.remove(name, true) }
 
-// Drop removes a member that does not ask for it.
-func (c Cluster) Drop(name string, force bool) (Change, error) { return c.drop(name, force) }
+// Remove removes a member that does not ask for it.
+func (c Cluster) Remove(name string, force bool) (Change, error) { return c.remove(name, force) }
 
-func (c Cluster) drop(name string, alive bool) (Change, error) {
+func (c Cluster) remove(name string, alive bool) (Change, error) {
 	s, ok := c.find(name)
 	left := c.without(name)
 	voters := 0
@@ -146,7 +146,7 @@
 		return Change{}, ErrAlive
 	case s.Voter && voters == 0:
 		return Change{}, fmt.Errorf("%w: it is the last voter", ErrQuorum)
-	case !left.quorum():
+	case !left.hasQuorum():
 		return Change{}, ErrQuorum
 	}
 	return Change{Remove, s.Name, s.Address}, nil
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -10,7 +10,7 @@
 	_ "gatetack/internal/testrand"
 )
 
-func five(dead ...string) Cluster {
+func fiveVoters(dead ...string) Cluster {
 	var c Cluster
 	for i := range 5 {
 		s := Server{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Voter: true, Alive: true, Leader: i == 0}
@@ -22,34 +22,36 @@
 	return c
 }
 
-func TestDecisions(t *testing.T) {
+func TestMembershipDecisions(t *testing.T) {
 	for _, x := range []struct {
 		what string
 		do   func() (Change, error)
 		want Change
 		err  error
 	}{
-		{"a new one joins as a non-voter", func() (Change, error) { return five().Join("n9", "a9", false) }, Change{AddNonvoter, "n9", "a9"}, nil},
-		{"one that is there", func() (Change, error) { return five().Join("n1", "a1", false) }, Change{}, nil},
-		{"one that is there and has forgotten", func() (Change, error) { return five("n1").Join("n1", "a1", true) }, Change{Replace, "n1", "a1"}, nil},
-		{"one that has forgotten, and too few others", func() (Change, error) { return five("n1", "n2", "n3").Join("n1", "a1", true) }, Change{}, ErrQuorum},
-		{"the same name twice", func() (Change, error) { return five().Join("n1", "a9", false) }, Change{}, ErrTwice},
-		{"a dead one's name at another address", func() (Change, error) { return five("n1").Join("n1", "a9", false) }, Change{Replace, "n1", "a9"}, nil},
-		{"another's address", func() (Change, error) { return five().Join("n9", "a1", false) }, Change{}, ErrTaken},
-		{"no name", func() (Change, error) { return five().Join("", "a1", false) }, Change{}, ErrName},
-		{"a sixth voter", func() (Change, error) { return five().Apply(Change{AddNonvoter, "n9", "a9"}).Promote("n9", 0, 10, 5) }, Change{}, nil},
+		{"a new one joins as a non-voter", func() (Change, error) { return fiveVoters().Join("n9", "a9", false) }, Change{AddNonvoter, "n9", "a9"}, nil},
+		{"one that is there", func() (Change, error) { return fiveVoters().Join("n1", "a1", false) }, Change{}, nil},
+		{"one that is there and has forgotten", func() (Change, error) { return fiveVoters("n1").Join("n1", "a1", true) }, Change{Replace, "n1", "a1"}, nil},
+		{"one that has forgotten, and too few others", func() (Change, error) { return fiveVoters("n1", "n2", "n3").Join("n1", "a1", true) }, Change{}, ErrQuorum},
+		{"the same name twice", func() (Change, error) { return fiveVoters().Join("n1", "a9", false) }, Change{}, ErrDuplicateName},
+		{"a dead one's name at another address", func() (Change, error) { return fiveVoters("n1").Join("n1", "a9", false) }, Change{Replace, "n1", "a9"}, nil},
+		{"another's address", func() (Change, error) { return fiveVoters().Join("n9", "a1", false) }, Change{}, ErrAddressInUse},
+		{"no name", func() (Change, error) { return fiveVoters().Join("", "a1", false) }, Change{}, ErrIncomplete},
+		{"a sixth voter", func() (Change, error) {
+			return fiveVoters().Apply(Change{AddNonvoter, "n9", "a9"}).Promote("n9", 0, 10, 5)
+		}, Change{}, nil},
 		{"a third voter that is far behind", func() (Change, error) {
-			return five()[:2].Apply(Change{AddNonvoter, "n9", "a9"}).Promote("n9", 11, 10, 5)
+			return fiveVoters()[:2].Apply(Change{AddNonvoter, "n9", "a9"}).Promote("n9", 11, 10, 5)
 		}, Change{}, nil},
 		{"a third voter", func() (Change, error) {
-			return five()[:2].Apply(Change{AddNonvoter, "n9", "a9"}).Promote("n9", 10, 10, 5)
+			return fiveVoters()[:2].Apply(Change{AddNonvoter, "n9", "a9"}).Promote("n9", 10, 10, 5)
 		}, Change{AddVoter, "n9", "a9"}, nil},
-		{"leaving", func() (Change, error) { return five().Leave("n4") }, Change{Remove, "n4", "a4"}, nil},
-		{"leaving with two others dead", func() (Change, error) { return five("n1", "n2").Leave("n4") }, Change{}, ErrQuorum},
-		{"removing a dead one", func() (Change, error) { return five("n1", "n2").Drop("n1", false) }, Change{Remove, "n1", "a1"}, nil},
-		{"removing one that is alive", func() (Change, error) { return five().Drop("n1", false) }, Change{}, ErrAlive},
-		{"removing nobody", func() (Change, error) { return five().Drop("n9", true) }, Change{}, ErrUnknown},
-		{"the last one leaving", func() (Change, error) { return five()[:1].Leave("n0") }, Change{}, ErrQuorum},
+		{"leaving", func() (Change, error) { return fiveVoters().Leave("n4") }, Change{Remove, "n4", "a4"}, nil},
+		{"leaving with two others dead", func() (Change, error) { return fiveVoters("n1", "n2").Leave("n4") }, Change{}, ErrQuorum},
+		{"removing a dead one", func() (Change, error) { return fiveVoters("n1", "n2").Remove("n1", false) }, Change{Remove, "n1", "a1"}, nil},
+		{"removing one that is alive", func() (Change, error) { return fiveVoters().Remove("n1", false) }, Change{}, ErrAlive},
+		{"removing nobody", func() (Change, error) { return fiveVoters().Remove("n9", true) }, Change{}, ErrUnknown},
+		{"the last one leaving", func() (Change, error) { return fiveVoters()[:1].Leave("n0") }, Change{}, ErrQuorum},
 	} {
 		got, err := x.do()
 		if got != x.want || !errors.Is(err, x.err) {
@@ -74,19 +76,19 @@
 			case 3:
 				x, _ = c.Leave(name)
 			case 4:
-				x, _ = c.Drop(name, false)
+				x, _ = c.Remove(name, false)
 			case 5:
 				for i := range c {
 					if c[i].Name == name {
 						c[i].Alive = rapid.Bool().Draw(t, "alive")
-						if !c.quorum() { // without one nothing is decided at all
+						if !c.hasQuorum() { // without one nothing is decided at all
 							c[i].Alive = true
 						}
 					}
 				}
 				continue
 			}
-			if c = c.Apply(x); !c.quorum() {
+			if c = c.Apply(x); !c.hasQuorum() {
 				t.Fatalf("after %+v no quorum: %+v", x, c)
 			}
 			names, addresses, voters := map[string]bool{}, map[string]bool{}, 0
--- a/internal/membership/recall.go
+++ b/internal/membership/recall.go
@@ -16,42 +16,44 @@
 // others are asked: of any majority that acknowledged something with this member, enough others hold one (Witnesses), and who
 // has as much as each of these has all that this one ever acknowledged.
 
-// Point is a place in the log. Of two, the one with the later term has more.
-type Point struct {
+// Position is a place in the log. Of two, the one with the later term has more.
+type Position struct {
 	Term  uint64 `json:"term"`
 	Index uint64 `json:"index"`
 }
 
 // Less says whether a log that ends here has less than one that ends there.
-func (p Point) Less(q Point) bool {
+func (p Position) Less(q Position) bool {
 	return p.Term < q.Term || p.Term == q.Term && p.Index < q.Index
 }
 
-func (p Point) String() string { return fmt.Sprintf("entry %d of term %d", p.Index, p.Term) }
+func (p Position) String() string { return fmt.Sprintf("entry %d of term %d", p.Index, p.Term) }
 
-// Mark is how far a member got, as its machine's memory has it.
-type Mark struct {
-	Folder, Boot string // what it is of, and the boot that it was made in
-	Last         Point  // acknowledged
-	Term         uint64 // the last in which a vote may have been given
+// Watermark is how far a member got, as its machine's memory has it.
+type Watermark struct {
+	Folder, Boot string   // what it is of, and the boot that it was made in
+	Last         Position // acknowledged
+	Term         uint64   // the last in which a vote may have been given
 }
 
-// Standing is what another member tells of itself.
-type Standing struct {
-	Last Point  `json:"last"`
-	Term uint64 `json:"term"`
+// Progress is what another member tells of itself.
+type Progress struct {
+	Last Position `json:"last"`
+	Term uint64   `json:"term"`
 }
 
-// Floor bounds the votes of a member that may have forgotten.
-type Floor struct {
-	Last Point  // nobody that has less gets its vote, itself included
-	Term uint64 // no vote is given in this term or an earlier one: one may have been given
+// VoteFloor bounds the votes of a member that may have forgotten.
+type VoteFloor struct {
+	Last Position // nobody that has less gets its vote, itself included
+	Term uint64   // no vote is given in this term or an earlier one: one may have been given
 }
 
 // May says whether a candidate of a term whose log ends at a point may have the vote.
-func (f Floor) May(term uint64, last Point) bool { return term > f.Term && !last.Less(f.Last) }
+func (f VoteFloor) Allows(term uint64, last Position) bool {
+	return term > f.Term && !last.Less(f.Last)
+}
 
-func (f Floor) raise(last Point, term uint64) Floor {
+func (f VoteFloor) raise(last Position, term uint64) VoteFloor {
 	if f.Last.Less(last) {
 		f.Last = last
 	}
@@ -59,38 +61,38 @@
 	return f
 }
 
-// Recollection is what is known of what a member acknowledged.
-type Recollection struct {
-	Sure    bool     // the floor holds all; else it gives no vote yet
-	Floor   Floor    // zero: nothing was forgotten that is known of
-	Forgot  bool     // it has less than it had acknowledged, for certain
-	Missing []string // others that are to be heard first
+// Assessment is what is known of what a member acknowledged.
+type Assessment struct {
+	Complete  bool      // the floor holds all; else it gives no vote yet
+	Floor     VoteFloor // zero: nothing was forgotten that is known of
+	Regressed bool      // it has less than it had acknowledged, for certain
+	Missing   []string  // others that are to be heard first
 }
 
 // Folder is what a member's folder says of itself.
 type Folder struct {
 	Name, Identity string
-	Last           Point  // how far its log goes
-	Term           uint64 // the last in which it may have voted
-	Lost           Point  // what is known to have been there and can not be read any more, zero for nothing
-	Boot           string // of the machine, by now
-	Trust          bool   // the operator takes the disk's word
+	Last           Position // how far its log goes
+	Term           uint64   // the last in which it may have voted
+	Unreadable     Position // what is known to have been there and can not be read any more, zero for nothing
+	Boot           string   // of the machine, by now
+	TrustDisk      bool     // the operator takes the disk's word
 }
 
-// Recall decides for a member that starts with a folder that holds something. The mark is nil where there is none, answers are
+// Assess decides for a member that starts with a folder that holds something. The mark is nil where there is none, answers are
 // of the others that were heard; all are the members that the folder or the configuration names.
-func Recall(f Folder, mark *Mark, all []string, answers map[string]Standing) (r Recollection) {
-	r.Floor = Floor{}.raise(f.Lost, 0)
-	r.Forgot = f.Last.Less(f.Lost)
+func Assess(f Folder, mark *Watermark, all []string, answers map[string]Progress) (r Assessment) {
+	r.Floor = VoteFloor{}.raise(f.Unreadable, 0)
+	r.Regressed = f.Last.Less(f.Unreadable)
 	if mark != nil && mark.Folder == f.Identity && mark.Boot == f.Boot {
-		r.Sure = true
-		if r.Forgot = r.Forgot || f.Last.Less(mark.Last) || f.Term < mark.Term; r.Forgot {
+		r.Complete = true
+		if r.Regressed = r.Regressed || f.Last.Less(mark.Last) || f.Term < mark.Term; r.Regressed {
 			r.Floor = r.Floor.raise(mark.Last, mark.Term)
 		}
 		return r
 	}
-	if f.Trust && !r.Forgot {
-		r.Sure = true
+	if f.TrustDisk && !r.Regressed {
+		r.Complete = true
 		return r
 	}
 	heard := 0
@@ -106,6 +108,6 @@
 		}
 	}
 	slices.Sort(r.Missing)
-	r.Sure = heard >= Witnesses(len(all))
+	r.Complete = heard >= RequiredWitnesses(len(all))
 	return r
 }
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -100,12 +100,12 @@
 // StoreLogs writes entries. Raft calls it, and counts them as acknowledged once it returns.
 func (d *disk) StoreLogs(logs []*raft.Log) error {
 	sealed := make([]*raft.Log, len(logs))
-	var last membership.Point
+	var last membership.Position
 	for i, l := range logs {
 		x := *l
 		x.Extensions = seal(&x)
 		sealed[i] = &x
-		last = membership.Point{Term: l.Term, Index: l.Index}
+		last = membership.Position{Term: l.Term, Index: l.Index}
 	}
 	return d.write(func() error {
 		if err := d.BoltStore.StoreLogs(sealed); err != nil {
@@ -144,7 +144,7 @@
 			if err := d.BoltStore.SetUint64(key, value); err != nil {
 				return err
 			}
-			return d.mark.note(membership.Point{}, value)
+			return d.mark.note(membership.Position{}, value)
 		})
 		if err == nil {
 			return nil
@@ -164,13 +164,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &noted{SnapshotSink: sink, d: d, last: membership.Point{Term: term, Index: index}}, nil
+	return &noted{SnapshotSink: sink, d: d, last: membership.Position{Term: term, Index: index}}, nil
 }
 
 type noted struct {
 	raft.SnapshotSink
 	d    *disk
-	last membership.Point
+	last membership.Position
 }
 
 // Close ends a snapshot.
--- a/internal/store/folder.go
+++ b/internal/store/folder.go
@@ -69,12 +69,12 @@
 // witnessed is what a member answers: which folder it knows under a name, and where it stands itself.
 type witnessed struct {
 	Known string `json:"known"`
-	membership.Standing
+	membership.Progress
 }
 
 // identities are the folders that were named.
-func identities(answers map[string]witnessed) membership.Known {
-	out := membership.Known{}
+func identities(answers map[string]witnessed) membership.KnownFolders {
+	out := membership.KnownFolders{}
 	for name, w := range answers {
 		out[name] = w.Known
 	}
@@ -116,8 +116,8 @@
 func (s *Store) begin(ctx context.Context) {
 	names := slices.Sorted(maps.Keys(s.cfg.Members))
 	for said := false; s.cfg.Join == ""; said = true {
-		verdict, missing := membership.Judge(s.cfg.Name, s.folder, names, identities(s.asked(ctx, s.cfg.Members)))
-		if verdict == membership.Begin {
+		verdict, missing := membership.DecideBootstrap(s.cfg.Name, s.folder, names, identities(s.asked(ctx, s.cfg.Members)))
+		if verdict == membership.BeginStore {
 			if err := s.bootstrap(); err != nil {
 				s.log.Error("store: it can not begin", "err", err)
 				return
@@ -126,7 +126,7 @@
 			s.mux.open.Store(true)
 			return
 		}
-		if verdict == membership.Forgot {
+		if verdict == membership.RejoinStore {
 			s.log.Warn("store: this member has forgotten what it held: its folder is empty, and others know another under its name. "+
 				"It does not vote, and asks those who remember to be let in anew", "name", s.cfg.Name)
 			break
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &mark{folder: 0x1122334455667788, boot: 0x99aabbccddeeff00, last: membership.Point{Term: 2, Index: 4}, term: 3}
+	m := &mark{folder: 0x1122334455667788, boot: 0x99aabbccddeeff00, last: membership.Position{Term: 2, Index: 4}, term: 3}
 	fmt.Fprintf(&out, "mark %x\n", m.bytes())
 	compareGolden(t, "disk.txt", out.String())
 }
--- a/internal/store/guard.go
+++ b/internal/store/guard.go
@@ -26,7 +26,7 @@
 
 	mu    sync.Mutex
 	sure  bool
-	floor membership.Floor
+	floor membership.VoteFloor
 }
 
 // errVote says why a vote is not asked for, or not given.
@@ -85,17 +85,17 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.sure && g.floor.May(term, membership.Point{Term: lastTerm, Index: lastIndex})
+	return g.sure && g.floor.Allows(term, membership.Position{Term: lastTerm, Index: lastIndex})
 }
 
-func (g *guard) set(r membership.Recollection) {
+func (g *guard) set(r membership.Assessment) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.sure, g.floor = r.Sure, r.Floor
+	g.sure, g.floor = r.Complete, r.Floor
 }
 
 // state tells how this member's votes stand.
-func (g *guard) state() (sure bool, floor membership.Floor) {
+func (g *guard) state() (sure bool, floor membership.VoteFloor) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.sure, g.floor
@@ -169,9 +169,9 @@
 	return g.NetworkTransport.InstallSnapshot(id, to, req, resp, data)
 }
 
-// recall finds out, for a member that held something when it was opened, whether it may have forgotten. Until that is known it
+// assess finds out, for a member that held something when it was opened, whether it may have forgotten. Until that is known it
 // gives no vote.
-func (s *Store) recall(ctx context.Context) {
+func (s *Store) assess(ctx context.Context) {
 	for said := false; s.elsewhere() != ""; said = true {
 		if !said {
 			s.log.Warn("store: this member is not where its store has it: its folder may be a copy, and both were started. It gives no vote; "+
@@ -184,20 +184,20 @@
 	for said := ""; ; {
 		at := s.addresses()
 		all := slices.Sorted(maps.Keys(at))
-		r := membership.Recall(s.held, s.known, all, nil)
-		if !r.Sure { // no mark makes it needless to ask
-			r = membership.Recall(s.held, s.known, all, s.heard(ctx, at))
+		r := membership.Assess(s.held, s.known, all, nil)
+		if !r.Complete { // no mark makes it needless to ask
+			r = membership.Assess(s.held, s.known, all, s.heard(ctx, at))
 		}
 		s.guard.set(r)
-		if r.Forgot && said == "" {
+		if r.Regressed && said == "" {
 			s.log.Warn("store: this member has less than it had acknowledged: its disk lost what it said was written, or its folder was "+
 				"put back. It votes for nobody who has less than that", "has", s.held.Last, "acknowledged", r.Floor.Last, "voted in term", r.Floor.Term)
 		}
-		if r.Sure {
+		if r.Complete {
 			if err := s.disk.mark.arm(later(s.held.Last, r.Floor.Last), max(s.held.Term, r.Floor.Term)); err != nil {
 				s.log.Warn("store: the mark can not be made: at the next start others are asked", "err", err)
 			}
-			if len(r.Missing) == 0 && !r.Forgot {
+			if len(r.Missing) == 0 && !r.Regressed {
 				s.log.Debug("store: nothing is known to be forgotten", "has", s.held.Last, "floor", r.Floor.Last)
 			}
 			return
@@ -235,10 +235,10 @@
 }
 
 // heard asks the others where they stand.
-func (s *Store) heard(ctx context.Context, at map[string]string) map[string]membership.Standing {
-	out := map[string]membership.Standing{}
+func (s *Store) heard(ctx context.Context, at map[string]string) map[string]membership.Progress {
+	out := map[string]membership.Progress{}
 	for name, a := range s.asked(ctx, at) {
-		out[name] = a.Standing
+		out[name] = a.Progress
 	}
 	return out
 }
@@ -257,22 +257,22 @@
 }
 
 // stand is where this member stands.
-func (s *Store) stand() membership.Standing {
+func (s *Store) stand() membership.Progress {
 	last, term := s.disk.end()
-	return membership.Standing{Last: last, Term: term}
+	return membership.Progress{Last: last, Term: term}
 }
 
 // end is how far the log on the disk goes, snapshots included, and the last term in which a vote may have been given.
-func (d *disk) end() (last membership.Point, term uint64) {
+func (d *disk) end() (last membership.Position, term uint64) {
 	if index, err := d.LastIndex(); err == nil && index > 0 {
 		var l raft.Log
 		if d.GetLog(index, &l) == nil {
-			last = membership.Point{Term: l.Term, Index: l.Index}
+			last = membership.Position{Term: l.Term, Index: l.Index}
 		}
 	}
 	if metas, err := d.List(); err == nil {
 		for _, m := range metas {
-			if p := (membership.Point{Term: m.Term, Index: m.Index}); last.Less(p) {
+			if p := (membership.Position{Term: m.Term, Index: m.Index}); last.Less(p) {
 				last = p
 			}
 		}
@@ -285,7 +285,7 @@
 	return last, term
 }
 
-func later(p, q membership.Point) membership.Point {
+func later(p, q membership.Position) membership.Position {
 	if p.Less(q) {
 		return q
 	}
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -23,7 +23,7 @@
 // inspect looks at a member's folder before anything of it is used, and takes out what can not be trusted: a snapshot, the log
 // from a bad entry on, or all of it. What is taken out is put aside, not deleted. It says how far the log had gone, as far as
 // that can still be read: the member has forgotten that, and gets it from the others.
-func inspect(dir string, alone bool, lim limits.Limits, quiet hclog.Logger, log *slog.Logger) (lost membership.Point, err error) {
+func inspect(dir string, alone bool, lim limits.Limits, quiet hclog.Logger, log *slog.Logger) (lost membership.Position, err error) {
 	path := filepath.Join(dir, "raft.db")
 	aside := func(name string, why error) error {
 		to := filepath.Join(dir, filepath.Base(name)+time.Now().UTC().Format(".damaged-20060102T150405.000000000"))
@@ -60,7 +60,7 @@
 			err = errors.Join(rerr, r.Close())
 		}
 		if err != nil {
-			if p := (membership.Point{Term: m.Term, Index: m.Index}); lost.Less(p) {
+			if p := (membership.Position{Term: m.Term, Index: m.Index}); lost.Less(p) {
 				lost = p
 			}
 			bad = true
@@ -158,7 +158,7 @@
 
 // readable reads all entries of a log past those that a snapshot covers. It says which are first and the last before a damaged
 // one, and how far the log had gone.
-func readable(b *boltdb.BoltStore, covered uint64) (first, last uint64, end membership.Point, why error) {
+func readable(b *boltdb.BoltStore, covered uint64) (first, last uint64, end membership.Position, why error) {
 	d := &disk{BoltStore: b}
 	first, err := b.FirstIndex()
 	if err != nil {
@@ -173,7 +173,7 @@
 		var l raft.Log
 		err := d.GetLog(i, &l)
 		if err == nil {
-			end = membership.Point{Term: max(end.Term, l.Term), Index: i}
+			end = membership.Position{Term: max(end.Term, l.Term), Index: i}
 			continue
 		}
 		if i <= covered && errors.Is(err, raft.ErrLogNotFound) {
--- a/internal/store/lies_test.go
+++ b/internal/store/lies_test.go
@@ -261,7 +261,7 @@
 
 // FuzzMark reads marks: one that was written is read back, and any other text is none.
 func FuzzMark(f *testing.F) {
-	m := mark{folder: 7, boot: 9, last: membership.Point{Term: 3, Index: 12}, term: 4}
+	m := mark{folder: 7, boot: 9, last: membership.Position{Term: 3, Index: 12}, term: 4}
 	f.Add(m.bytes())
 	f.Add([]byte{})
 	f.Add(make([]byte, markBytes))
@@ -284,7 +284,7 @@
 	if err != nil || known != nil {
 		t.Fatalf("%v %v", known, err)
 	}
-	again := func(boot string) *membership.Mark {
+	again := func(boot string) *membership.Watermark {
 		t.Helper()
 		x, known, err := openMark(dir, "f", boot)
 		if err != nil {
@@ -293,20 +293,20 @@
 		x.close()
 		return known
 	}
-	_ = m.note(membership.Point{Term: 1, Index: 5}, 1)
+	_ = m.note(membership.Position{Term: 1, Index: 5}, 1)
 	if k := again("boot"); k != nil {
 		t.Errorf("%+v vouches before it is armed", k)
 	}
-	_ = m.arm(membership.Point{Term: 2, Index: 3}, 2)
-	_ = m.note(membership.Point{Term: 1, Index: 9}, 0) // behind
-	if k := again("boot"); k == nil || k.Last != (membership.Point{Term: 2, Index: 3}) || k.Term != 2 {
+	_ = m.arm(membership.Position{Term: 2, Index: 3}, 2)
+	_ = m.note(membership.Position{Term: 1, Index: 9}, 0) // behind
+	if k := again("boot"); k == nil || k.Last != (membership.Position{Term: 2, Index: 3}) || k.Term != 2 {
 		t.Errorf("%+v", k)
 	}
 	if k := again("another"); k != nil {
 		t.Errorf("%+v of another boot", k)
 	}
 	_ = m.file.Close()
-	if err := m.note(membership.Point{Term: 2, Index: 4}, 0); err != nil {
+	if err := m.note(membership.Position{Term: 2, Index: 4}, 0); err != nil {
 		t.Errorf("it could be taken away: %v", err)
 	}
 	if k := again("boot"); k != nil {
--- a/internal/store/mark.go
+++ b/internal/store/mark.go
@@ -24,7 +24,7 @@
 	mu    sync.Mutex
 	file  *os.File
 	armed bool // what is in it holds all: before it is known what was acknowledged under it, it vouches for nothing
-	last  membership.Point
+	last  membership.Position
 	term  uint64
 }
 
@@ -41,7 +41,7 @@
 
 // openMark reads the mark of a folder in a directory, if one is there and whole, and goes on with it. An empty directory's
 // name keeps none.
-func openMark(dir, folder, boot string) (*mark, *membership.Mark, error) {
+func openMark(dir, folder, boot string) (*mark, *membership.Watermark, error) {
 	if dir == "" || boot == "" {
 		return nil, nil, nil
 	}
@@ -65,7 +65,7 @@
 }
 
 // readMark reads one that is of a folder and a boot, nil for any other text.
-func readMark(raw []byte, folder, boot uint64) *membership.Mark {
+func readMark(raw []byte, folder, boot uint64) *membership.Watermark {
 	if len(raw) != markBytes || binary.BigEndian.Uint64(raw[48:]) != xxhash.Sum64(raw[:48]) {
 		return nil
 	}
@@ -73,7 +73,7 @@
 	if at(0) != markMagic || at(1) != folder || at(2) != boot {
 		return nil
 	}
-	return &membership.Mark{Last: membership.Point{Term: at(3), Index: at(4)}, Term: at(5)}
+	return &membership.Watermark{Last: membership.Position{Term: at(3), Index: at(4)}, Term: at(5)}
 }
 
 func (m *mark) bytes() []byte {
@@ -85,7 +85,7 @@
 }
 
 // note raises the mark: to where the log ends, and to a term in which a vote was given.
-func (m *mark) note(last membership.Point, term uint64) error {
+func (m *mark) note(last membership.Position, term uint64) error {
 	if m == nil {
 		return nil
 	}
@@ -102,7 +102,7 @@
 }
 
 // arm has the mark vouch from now on, for at least so much.
-func (m *mark) arm(last membership.Point, term uint64) error {
+func (m *mark) arm(last membership.Position, term uint64) error {
 	if m == nil {
 		return nil
 	}
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -84,7 +84,7 @@
 	case "leave":
 		x, err = all.Leave(name)
 	case "remove":
-		x, err = all.Drop(name, v.Get("force").Bool())
+		x, err = all.Remove(name, v.Get("force").Bool())
 	default:
 		err = fmt.Errorf("%q is none of join, promote, leave and remove", verb)
 	}
@@ -94,7 +94,7 @@
 	if err := s.make(x); err != nil {
 		return http1.Text(503, "%v", err)
 	}
-	if x.Verb != membership.Nothing {
+	if x.Verb != membership.NoChange {
 		s.log.Info("store: the membership has changed", "verb", v.Get("verb").String(), "name", x.Name, "address", x.Address)
 	}
 	if all, err = s.Members(); err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -53,10 +53,10 @@
 	disk   *disk
 	guard  *guard
 
-	folder string            // its identity
-	empty  bool              // it held nothing when it was opened
-	held   membership.Folder // what it held,
-	known  *membership.Mark  // and what the machine remembers of it
+	folder string                // its identity
+	empty  bool                  // it held nothing when it was opened
+	held   membership.Folder     // what it held,
+	known  *membership.Watermark // and what the machine remembers of it
 
 	mu   sync.Mutex
 	dead map[raft.ServerID]bool // members whose heartbeats fail, as this one sees it while it leads
@@ -132,14 +132,14 @@
 		s.log.Warn("store: how far this member gets can not be kept in the machine's memory: at its next start others are asked", "dir", s.cfg.Marks, "err", err)
 	}
 	last, term := s.disk.end()
-	s.held = membership.Folder{Name: s.cfg.Name, Identity: s.folder, Last: last, Term: term, Lost: lost, Boot: boot, Trust: s.cfg.Trust}
+	s.held = membership.Folder{Name: s.cfg.Name, Identity: s.folder, Last: last, Term: term, Unreadable: lost, Boot: boot, TrustDisk: s.cfg.Trust}
 	// An empty folder is silent towards the others until it is known that none is missing: see package membership.
 	s.empty = !known
 	s.mux.open.Store(known)
 	s.guard = newGuard(raft.NewNetworkTransportWithLogger(s.mux, 2, s.lim.StoreCall, quiet), s.disk, s.lim.StoreBeat)
 	if s.empty { // nothing was acknowledged under its identity
-		s.guard.set(membership.Recollection{Sure: true})
-		if err := s.disk.mark.arm(membership.Point{}, 0); err != nil {
+		s.guard.set(membership.Assessment{Complete: true})
+		if err := s.disk.mark.arm(membership.Position{}, 0); err != nil {
 			return err
 		}
 	}
@@ -159,7 +159,7 @@
 	case s.empty:
 		g.Go(func() error { s.begin(ctx); return nil })
 	default:
-		g.Go(func() error { s.recall(ctx); return nil })
+		g.Go(func() error { s.assess(ctx); return nil })
 	}
 	switch {
 	case s.empty:
