--- a/internal/membership/member.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,7 @@
-// Package membership decides about the store's membership: who may join, become a voter, or go, so that no change asked for
-// costs the store its quorum. It does no I/O and reads no clock; the leader of the store carries out what it says.
+// Package membership decides about the members of the replicated store: who may join, become a voter or leave without
+// costing the store its quorum, whether a member with an empty folder begins a store, and for whom a member may vote
+// that may have lost what it acknowledged. It does no I/O, reads no clock and starts no goroutine; its callers own all
+// state.
 package membership
 
 import (
@@ -17,10 +19,10 @@
 	Leader  bool   `json:"leader"`
 }
 
-// Cluster are all members.
+// Cluster is all members.
 type Cluster []Server
 
-// Verb is what is to be done.
+// Verb is the kind of a Change.
 type Verb uint8
 
 // The verbs.
@@ -29,7 +31,7 @@
 	AddNonvoter
 	AddVoter
 	Remove
-	Replace // remove the one of this name, then add it at the new address as a non-voter
+	Replace // remove the member of this name, then add it at the new address as a non-voter
 )
 
 // Change is a change of the membership.
@@ -38,7 +40,7 @@
 	Name, Address string
 }
 
-// Refusals.
+// Reasons for which a change is rejected.
 var (
 	ErrUnknown       = errors.New("no member has this name")
 	ErrDuplicateName = errors.New("a member of this name is alive at another address: the same name was started twice")
@@ -56,7 +58,7 @@
 	return c[i], true
 }
 
-// hasQuorum says whether more than half of the voters are alive.
+// hasQuorum reports whether more than half of the voters are alive.
 func (c Cluster) hasQuorum() bool {
 	voters, alive := 0, 0
 	for _, s := range c {
@@ -70,14 +72,14 @@
 	return alive > voters/2
 }
 
-// without is the cluster after a member has gone.
+// without returns the cluster without a member.
 func (c Cluster) without(name string) Cluster {
 	return slices.DeleteFunc(slices.Clone(c), func(s Server) bool { return s.Name == name })
 }
 
-// Join decides about a node that asks to be a member. It begins as a non-voter: one that is not caught up must not count
-// for a majority, or the store could lose it by adding a member. One that is there already changes nothing; one that comes
-// back at another address, or anew, with nothing of what it held, takes the former one's place.
+// Join decides about a node that asks to be a member. It starts as a non-voter: a member that has not caught up must
+// not count for the majority, or adding it could cost the store its quorum. For a member at its address nothing
+// changes. One that comes back at another address, or anew, that is with an empty folder, replaces its former self.
 func (c Cluster) Join(name, address string, anew bool) (Change, error) {
 	if name == "" || address == "" {
 		return Change{}, ErrIncomplete
@@ -101,9 +103,10 @@
 	return Change{Replace, name, address}, nil
 }
 
-// Promote decides about a non-voter that says it is caught up: it votes while there are fewer than most voters. More
-// voters make each write wait for more disks; members past them have all that is written and serve reads.
-func (c Cluster) Promote(name string, behind uint64, near uint64, most int) (Change, error) {
+// Promote decides about a non-voter that lags by a number of entries: it becomes a voter if that is at most maxLag and
+// there are fewer than maxVoters. Each further voter makes writes wait for more disks; non-voters have all that is
+// written and serve reads.
+func (c Cluster) Promote(name string, lag uint64, maxLag uint64, maxVoters int) (Change, error) {
 	s, ok := c.find(name)
 	voters := 0
 	for _, x := range c {
@@ -114,8 +117,8 @@
 	switch {
 	case !ok:
 		return Change{}, ErrUnknown
-	case s.Voter || !s.Alive || voters >= most || behind > near:
-		return Change{}, nil // a vote that is never given would only raise what a majority takes
+	case s.Voter || !s.Alive || voters >= maxVoters || lag > maxLag:
+		return Change{}, nil // a voter that does not vote would only raise the size of a majority
 	}
 	x := Change{AddVoter, s.Name, s.Address}
 	if !c.Apply(x).hasQuorum() {
@@ -124,13 +127,14 @@
 	return x, nil
 }
 
-// Leave decides about a member that asks to go, and Drop about one that others want gone: a dead one, unless forced.
+// Leave decides about a member that asks to leave.
 func (c Cluster) Leave(name string) (Change, error) { return c.remove(name, true) }
 
-// Remove removes a member that does not ask for it.
+// Remove decides about a member that others want removed: an unresponsive one, unless forced.
 func (c Cluster) Remove(name string, force bool) (Change, error) { return c.remove(name, force) }
 
-func (c Cluster) remove(name string, alive bool) (Change, error) {
+// remove decides about the removal of a member, which may be alive or not.
+func (c Cluster) remove(name string, mayBeAlive bool) (Change, error) {
 	s, ok := c.find(name)
 	left := c.without(name)
 	voters := 0
@@ -142,7 +146,7 @@
 	switch {
 	case !ok:
 		return Change{}, ErrUnknown
-	case s.Alive && !alive:
+	case s.Alive && !mayBeAlive:
 		return Change{}, ErrAlive
 	case s.Voter && voters == 0:
 		return Change{}, fmt.Errorf("%w: it is the last voter", ErrQuorum)
@@ -152,7 +156,7 @@
 	return Change{Remove, s.Name, s.Address}, nil
 }
 
-// Apply is the cluster after a change, for those who decide about several in turn.
+// Apply returns the cluster after a change, for deciding about several in turn.
 func (c Cluster) Apply(x Change) Cluster {
 	out := slices.Clone(c)
 	switch x.Verb {
