--- a/internal/membership/assessment.go
+++ b/internal/membership/assessment.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// A disk may have claimed flushes that it lost, and a folder may be put back from a copy: its member then has less than
-// it acknowledged, under its own identity. A majority that it acknowledged a write with is broken by its vote for one
-// that never had that write. So before a member votes it finds out whether it may have forgotten, and while it has, it
-// votes as one that had all: only for who has at least as much. That needs no leader and no change of the membership,
-// and what it is sent it may acknowledge at once: that it has.
+// A disk may lose writes that it reported as flushed, and a folder may be restored from a copy: the member then has less
+// than it acknowledged, under its own identity. Its vote for a candidate without an acknowledged write would break the
+// majority that the write had. Before a member votes it therefore assesses whether it may have lost something, and if so
+// it votes as if it had lost nothing: only for candidates that have at least as much. That needs no leader and no change
+// of membership, and the member may acknowledge new entries at once, because it has those.
 //
-// Two remember for it. A mark, kept in the machine's memory outside of the folder, holds exactly how far the member got
-// and the last term in which it voted; it outlives the process, and is good for the boot that it was made in. Where it
-// is gone the others are asked: of any majority that acknowledged something with this member, enough others hold one
-// (Witnesses), and who has as much as each of these has all that this one ever acknowledged.
+// There are two sources. A watermark, in the machine's memory outside of the folder, has the last acknowledged position
+// and the last term in which the member voted; it outlives the process and is valid for one boot. Without it the other
+// members are asked: any majority that acknowledged something together with this member includes enough of the others
+// (RequiredWitnesses), and a candidate that has as much as each of these has all that this member acknowledged.
 
 // Position is a position in the log. Positions are ordered by term and then by index.
 type Position struct {
@@ -31,9 +31,9 @@
 
 // Watermark is what a member acknowledged, according to its machine's memory.
 type Watermark struct {
-	Folder, Boot string   // what it is of, and the boot that it was made in
-	Last         Position // acknowledged
-	Term         uint64   // the last in which a vote may have been given
+	Folder, Boot string   // the folder's identity and the machine's boot for which it is valid
+	Last         Position // the last acknowledged one
+	Term         uint64   // the last in which the member may have voted
 }
 
 // Progress is the position and term of another member, as it reports them.
