--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -32,9 +32,9 @@
 // Fleet says which node has which jobs, where several share what is on record. A partition is the jobs of one life of one
 // node. Store then makes only what is written for a partition that this node has.
 type Fleet interface {
-	Ready() bool                                            // what earlier lives of this node left was taken up
-	Place(partition string) (addr string, ours, known bool) // known: it has, or had, an owner; what none has is not on record
-	Pass(ctx context.Context, addr string, m *http1.Message) (*http1.Message, error)
+	Ready() bool                                             // what earlier lives of this node left was taken up
+	Locate(partition string) (addr string, ours, known bool) // known: it has, or had, an owner; what none has is not on record
+	Forward(ctx context.Context, addr string, m *http1.Message) (*http1.Message, error)
 }
 
 // Placer says what each zone costs a job that names its inputs, and why. It is told once how the job ended: at which box, if any,
@@ -215,7 +215,7 @@
 	if j.array != nil {
 		// After a kill a member can be counted that was counted before: the array goes only once none of it waits or is out.
 		j.array.ended(&r)
-		if _, _, _, left := f.queue.State(r.Array); j.array.over() && !left {
+		if j.array.over() && !f.queue.Contains(r.Array) {
 			f.finished(j.array)
 		}
 	}
--- a/internal/capacity/measure/duties.go
+++ b/internal/capacity/measure/duties.go
@@ -85,8 +85,8 @@
 func DutySteps(nodes int) (DutyCost, error) {
 	s := &fleetStore{state: kv.New(kv.Bounds{Key: 512, Value: 1 << 16, Ops: 256, Done: 8192})}
 	for i := range nodes - 1 {
-		life := lease.Life{Node: fmt.Sprintf("node-%d", i+1), Born: int64(1 + i)}
-		lease, err := json.Marshal(map[string]any{"born": life.Born, "addr": "10.0.0.1:8443"})
+		life := lease.Incarnation{Node: fmt.Sprintf("node-%d", i+1), StartedMs: int64(1 + i)}
+		record, err := json.Marshal(map[string]any{"born": life.StartedMs, "addr": "10.0.0.1:8443"})
 		if err != nil {
 			return DutyCost{}, err
 		}
@@ -95,14 +95,14 @@
 			return DutyCost{}, err
 		}
 		if _, err := s.Txn(context.Background(), &kv.Txn{Ops: []kv.Op{
-			{Verb: kv.Put, Table: leaseholder.Leases, Key: life.Node, Value: lease, Keep: true},
-			{Verb: kv.Put, Table: leaseholder.Duties, Key: life.Partition(), Value: held, Keep: true}}}); err != nil {
+			{Verb: kv.Put, Table: leaseholder.LeaseTable, Key: life.Node, Value: record, Keep: true},
+			{Verb: kv.Put, Table: leaseholder.PartitionTable, Key: life.PartitionKey(), Value: held, Keep: true}}}); err != nil {
 			return DutyCost{}, err
 		}
 	}
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.LeaseTTL = dutyLease
-	o, err := leaseholder.New(s, "node-0", 1, "10.0.0.1:8443", lim, slog.New(slog.DiscardHandler))
+	o, err := leaseholder.New(s, lease.Incarnation{Node: "node-0", StartedMs: 1}, "10.0.0.1:8443", lim, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return DutyCost{}, err
 	}
@@ -111,7 +111,7 @@
 }
 
 // loop runs the owner for a while and counts.
-func (s *fleetStore) loop(o *leaseholder.Owner) (DutyCost, error) {
+func (s *fleetStore) loop(o *leaseholder.Holder) (DutyCost, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dutySpan+dutyLease)
 	defer cancel()
 	done := make(chan error, 1)
