--- a/internal/membership/assessment.go
+++ b/internal/membership/assessment.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// A disk may lose writes that it reported as flushed, and a folder may be restored from a copy: the member then has less
-// than it acknowledged, under its own identity. Its vote for a candidate without an acknowledged write would break the
-// majority that the write had. Before a member votes it therefore assesses whether it may have lost something, and if so
-// it votes as if it had lost nothing: only for candidates that have at least as much. That needs no leader and no change
-// of membership, and the member may acknowledge new entries at once, because it has those.
+// A disk may lose writes that it reported as flushed, and a folder may be restored from a copy: the member then has
+// less than it acknowledged, under its own identity. Its vote for a candidate without an acknowledged write would break
+// the majority that the write had. Before a member votes it therefore assesses whether it may have lost something, and
+// if so it votes as if it had lost nothing: only for candidates that have at least as much. That needs no leader and no
+// change of membership, and the member may acknowledge new entries at once, because it has those.
 //
 // There are two sources. A watermark, in the machine's memory outside of the folder, has the last acknowledged position
 // and the last term in which the member voted; it outlives the process and is valid for one boot. Without it the other
