--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m, err := s.ask(ctx, "/txn", data)
+	m, err := s.callLeader(ctx, "/txn", data)
 	if err != nil {
 		return nil, err
 	}
@@ -86,7 +86,7 @@
 
 // Get gives a value as it is now at the leader: an older one could say of a job that nothing of it was sent.
 func (s *Store) Get(ctx context.Context, kind, key string) (value []byte, found bool, err error) {
-	m, err := s.ask(ctx, "/get?"+url.Values{"table": {kind}, "key": {key}}.Encode(), nil)
+	m, err := s.callLeader(ctx, "/get?"+url.Values{"table": {kind}, "key": {key}}.Encode(), nil)
 	if err != nil {
 		return nil, false, err
 	}
@@ -95,7 +95,7 @@
 
 // Page gives rows of a kind in the order of their keys, as the leader has them.
 func (s *Store) Page(ctx context.Context, kind, after string, limit int) ([]jobstore.Row, error) {
-	m, err := s.ask(ctx, "/page?"+url.Values{"table": {kind}, "after": {after}, "limit": {strconv.Itoa(limit)}}.Encode(), nil)
+	m, err := s.callLeader(ctx, "/page?"+url.Values{"table": {kind}, "after": {after}, "limit": {strconv.Itoa(limit)}}.Encode(), nil)
 	if err != nil {
 		return nil, err
 	}
@@ -119,11 +119,11 @@
 func (s *Store) View() *kv.View { return s.fsm.view() }
 
 // ask has the leader do a call. While a new leader is chosen it waits, until the context ends.
-func (s *Store) ask(ctx context.Context, path string, body []byte) (*http1.Message, error) {
+func (s *Store) callLeader(ctx context.Context, path string, body []byte) (*http1.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCall)
 	defer cancel()
 	for {
-		m, err := s.askOnce(ctx, path, body)
+		m, err := s.callLeaderOnce(ctx, path, body)
 		if err == nil {
 			return m, nil
 		}
@@ -135,7 +135,7 @@
 	}
 }
 
-func (s *Store) askOnce(ctx context.Context, path string, body []byte) (*http1.Message, error) {
+func (s *Store) callLeaderOnce(ctx context.Context, path string, body []byte) (*http1.Message, error) {
 	addr, _ := s.raft.LeaderWithID()
 	if addr == "" {
 		return nil, ErrNoLeader
@@ -143,8 +143,8 @@
 	if s.Leads() {
 		ctx, cancel := context.WithTimeout(ctx, 4*s.lim.StoreBeat)
 		defer cancel()
-		r := s.lead(ctx, path, body)
-		return answer(&http1.Message{Status: r.Status, Body: r.Body})
+		r := s.serveAsLeader(ctx, path, body)
+		return checkStatus(&http1.Message{Status: r.Status, Body: r.Body})
 	}
 	// A leader that hangs is not waited for to the end: meanwhile another may lead, and a call that is made twice has one effect.
 	ctx, cancel := context.WithTimeout(ctx, 4*s.lim.StoreBeat)
@@ -153,10 +153,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return answer(m)
+	return checkStatus(m)
 }
 
-func answer(m *http1.Message) (*http1.Message, error) {
+func checkStatus(m *http1.Message) (*http1.Message, error) {
 	if m.Status == 200 || m.Status == 404 {
 		return m, nil
 	}
@@ -193,8 +193,8 @@
 	return http1.NewParser(lim, true).Read(http1.NewRing(lim.Ring), c)
 }
 
-// lead does a member's call as the leader.
-func (s *Store) lead(ctx context.Context, target string, body []byte) http1.Response {
+// serveAsLeader does a member's call as the leader.
+func (s *Store) serveAsLeader(ctx context.Context, target string, body []byte) http1.Response {
 	u, err := url.Parse(target)
 	if err != nil {
 		return http1.Text(400, "%v", err)
@@ -210,14 +210,14 @@
 		if err != nil {
 			return http1.Text(503, "%v", err)
 		}
-		return answerJSON(200, r)
+		return jsonResponse(200, r)
 	case "/get", "/page", "/index":
 		// All that was written before is in once the barrier is, and only a leader gets one through.
-		if err := s.within(ctx, s.raft.Barrier(s.lim.StoreCall).Error); err != nil {
+		if err := s.await(ctx, s.raft.Barrier(s.lim.StoreCall).Error); err != nil {
 			return http1.Text(503, "%v", err)
 		}
 		if u.Path == "/index" {
-			return answerJSON(200, s.fsm.view().Index())
+			return jsonResponse(200, s.fsm.view().Index())
 		}
 		v := s.fsm.view()
 		if u.Path == "/get" {
@@ -234,14 +234,14 @@
 			}
 			rows = append(rows, jobstore.Row{Key: e.Key, Value: e.Value})
 		}
-		return answerJSON(200, rows)
+		return jsonResponse(200, rows)
 	case "/members":
-		return s.change(gjson.ParseBytes(body))
+		return s.handleChange(gjson.ParseBytes(body))
 	}
 	return http1.Text(404, "no such call")
 }
 
-func answerJSON(status int, v any) http1.Response {
+func jsonResponse(status int, v any) http1.Response {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return http1.Text(500, "%v", err)
--- a/internal/store/clock.go
+++ b/internal/store/clock.go
@@ -24,11 +24,11 @@
 // the one after it, whose clock is right, would end none for an hour. A store without a leader has no time: leases last as
 // much longer, and those who hold them are asked to renew before any ends.
 type logTime struct {
-	mu    sync.Mutex
-	begun bool
-	term  uint64
-	base  int64         // Unix ms, of the log
-	at    time.Duration // when it stood there
+	mu      sync.Mutex
+	started bool
+	term    uint64
+	base    int64         // Unix ms, of the log
+	at      time.Duration // when it stood there
 }
 
 // now is the log's time, in Unix milliseconds. Only the very first of a store comes from the wall's clock.
@@ -37,15 +37,15 @@
 	if stands == 0 {
 		stands = failpoint.Wall().UnixMilli()
 	}
-	return s.time.read(term, clock, stands)
+	return s.logTime.now(term, clock, stands)
 }
 
-func (l *logTime) read(term uint64, clock time.Duration, stands int64) int64 {
+func (l *logTime) now(term uint64, clock time.Duration, stands int64) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := l.base + (clock - l.at).Milliseconds(); l.begun && l.term == term && now >= stands {
+	if now := l.base + (clock - l.at).Milliseconds(); l.started && l.term == term && now >= stands {
 		return now
 	}
-	l.begun, l.term, l.base, l.at = true, term, stands, clock
+	l.started, l.term, l.base, l.at = true, term, stands, clock
 	return stands
 }
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -23,20 +23,20 @@
 type disk struct {
 	*boltdb.BoltStore
 	raft.SnapshotStore
-	mark  *mark
-	meets func() failpoint.Disk // what a write meets, in tests; nil: nothing
+	watermark  *watermark
+	writeFault func() failpoint.Disk // what a write meets, in tests; nil: nothing
 
-	mu   sync.Mutex
-	busy time.Time // since when a write is under way, zero for none
-	bad  error     // of the last write, nil once one was made
+	mu           sync.Mutex
+	writeStarted time.Time // since when a write is under way, zero for none
+	lastError    error     // of the last write, nil once one was made
 
-	closed chan struct{}
-	once   sync.Once
-	dead   atomic.Bool // it was closed with a write that did not come back: nothing is told to the others any more
+	closed    chan struct{}
+	once      sync.Once
+	abandoned atomic.Bool // it was closed with a write that did not come back: nothing is told to the others any more
 }
 
 func newDisk(log *boltdb.BoltStore, meets func() failpoint.Disk) *disk {
-	return &disk{BoltStore: log, meets: meets, closed: make(chan struct{})}
+	return &disk{BoltStore: log, writeFault: meets, closed: make(chan struct{})}
 }
 
 // Close ends the files.
@@ -46,31 +46,31 @@
 }
 
 // release ends what waits.
-func (d *disk) release() { d.once.Do(func() { d.dead.Store(true); close(d.closed) }) }
+func (d *disk) release() { d.once.Do(func() { d.abandoned.Store(true); close(d.closed) }) }
 
 // write makes one write.
 func (d *disk) write(do func() error) error {
 	d.mu.Lock()
-	d.busy = time.Now()
+	d.writeStarted = time.Now()
 	d.mu.Unlock()
-	err := d.meet()
+	err := d.applyFault()
 	if err == nil {
 		err = do()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.busy = time.Time{}
-	if d.bad = nil; err != nil {
-		d.bad = &DiskError{"write", err}
+	d.writeStarted = time.Time{}
+	if d.lastError = nil; err != nil {
+		d.lastError = &DiskError{"write", err}
 	}
 	return err
 }
 
-func (d *disk) meet() error {
-	if d.meets == nil {
+func (d *disk) applyFault() error {
+	if d.writeFault == nil {
 		return nil
 	}
-	x := d.meets()
+	x := d.writeFault()
 	if x.Waits != 0 {
 		var over <-chan time.Time
 		if x.Waits > 0 {
@@ -91,10 +91,10 @@
 func (d *disk) stalled() (time.Duration, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.busy.IsZero() {
-		return 0, d.bad
+	if d.writeStarted.IsZero() {
+		return 0, d.lastError
 	}
-	return time.Since(d.busy), d.bad
+	return time.Since(d.writeStarted), d.lastError
 }
 
 // StoreLogs writes entries. Raft calls it, and counts them as acknowledged once it returns.
@@ -111,7 +111,7 @@
 		if err := d.BoltStore.StoreLogs(sealed); err != nil {
 			return err
 		}
-		return d.mark.note(last, 0)
+		return d.watermark.raise(last, 0)
 	})
 }
 
@@ -144,7 +144,7 @@
 			if err := d.BoltStore.SetUint64(key, value); err != nil {
 				return err
 			}
-			return d.mark.note(membership.Position{}, value)
+			return d.watermark.raise(membership.Position{}, value)
 		})
 		if err == nil {
 			return nil
@@ -164,22 +164,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return &noted{SnapshotSink: sink, d: d, last: membership.Position{Term: term, Index: index}}, nil
+	return &watermarkedSink{SnapshotSink: sink, d: d, last: membership.Position{Term: term, Index: index}}, nil
 }
 
-type noted struct {
+type watermarkedSink struct {
 	raft.SnapshotSink
 	d    *disk
 	last membership.Position
 }
 
 // Close ends a snapshot.
-func (n *noted) Close() error {
+func (n *watermarkedSink) Close() error {
 	return n.d.write(func() error {
 		if err := n.SnapshotSink.Close(); err != nil {
 			return err
 		}
-		return n.d.mark.note(n.last, 0)
+		return n.d.watermark.raise(n.last, 0)
 	})
 }
 
@@ -191,11 +191,11 @@
 	return d.SnapshotStore.Open(id)
 }
 
-// sealMark begins the extension of an entry that holds its checksum: raft leaves extensions to what stands around it.
-var sealMark = []byte{0x67, 0x74, 0x31}
+// sealPrefix begins the extension of an entry that holds its checksum: raft leaves extensions to what stands around it.
+var sealPrefix = []byte{0x67, 0x74, 0x31}
 
 // sum is over all that an entry says, its place included: an entry that stands at another's is damage as well.
-func sum(l *raft.Log) uint64 {
+func checksum(l *raft.Log) uint64 {
 	h := xxhash.New()
 	var head [17]byte
 	binary.BigEndian.PutUint64(head[:], l.Index)
@@ -207,7 +207,7 @@
 }
 
 func seal(l *raft.Log) []byte {
-	return binary.BigEndian.AppendUint64(append([]byte(nil), sealMark...), sum(l))
+	return binary.BigEndian.AppendUint64(append([]byte(nil), sealPrefix...), checksum(l))
 }
 
 // unseal holds an entry to its checksum and takes that off.
@@ -219,7 +219,7 @@
 	if len(x) == 0 {
 		return nil
 	}
-	if len(x) != len(sealMark)+8 || string(x[:len(sealMark)]) != string(sealMark) || binary.BigEndian.Uint64(x[len(sealMark):]) != sum(l) {
+	if len(x) != len(sealPrefix)+8 || string(x[:len(sealPrefix)]) != string(sealPrefix) || binary.BigEndian.Uint64(x[len(sealPrefix):]) != checksum(l) {
 		return &DamagedError{fmt.Sprintf("entry %d", index), "its checksum does not hold"}
 	}
 	l.Extensions = nil
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -71,7 +71,7 @@
 			mu.Unlock()
 			g.Go(func() error {
 				first := make([]byte, 2) // raft's mark, and the kind of its call
-				if _, err := io.ReadFull(c, first); err == nil && first[0] == raftMark {
+				if _, err := io.ReadFull(c, first); err == nil && first[0] == raftStreamByte {
 					once()
 				}
 				return nil
--- a/internal/store/folder.go
+++ b/internal/store/folder.go
@@ -27,14 +27,14 @@
 	knownKey  = "gatetack.folder.of."
 )
 
-// identity reads the folder's, or makes it.
-func (s *Store) identity() error {
+// loadIdentity reads the folder's, or makes it.
+func (s *Store) loadIdentity() error {
 	id, err := s.disk.Get([]byte(folderKey))
 	if errors.Is(err, boltdb.ErrKeyNotFound) {
 		id = newIdentity()
 		err = s.disk.Set([]byte(folderKey), id)
 	}
-	s.folder = string(id)
+	s.folderIdentity = string(id)
 	return err
 }
 
@@ -44,15 +44,15 @@
 	return []byte(hex.EncodeToString(raw[:]))
 }
 
-// witness answers a member that asks which folder is known under its name: what it says is on this member's disk before it
+// handleWitness answers a member that asks which folder is known under its name: what it says is on this member's disk before it
 // is answered, if nothing was known before.
-func (s *Store) witness(q url.Values) http1.Response {
+func (s *Store) handleWitness(q url.Values) http1.Response {
 	name, id := q.Get("name"), q.Get("id")
 	if name == "" || id == "" {
-		return refusal(400, "a name and an identity are needed")
+		return errorResponse(400, "a name and an identity are needed")
 	}
 	if name == s.cfg.Name {
-		return answerJSON(200, witnessed{s.folder, s.stand()})
+		return jsonResponse(200, witnessAnswer{s.folderIdentity, s.progress()})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,19 +61,19 @@
 		known, err = []byte(id), s.disk.Set([]byte(knownKey+name), []byte(id))
 	}
 	if err != nil {
-		return refusal(503, "%v", err)
+		return errorResponse(503, "%v", err)
 	}
-	return answerJSON(200, witnessed{string(known), s.stand()})
+	return jsonResponse(200, witnessAnswer{string(known), s.progress()})
 }
 
-// witnessed is what a member answers: which folder it knows under a name, and where it stands itself.
-type witnessed struct {
+// witnessAnswer is what a member answers: which folder it knows under a name, and where it stands itself.
+type witnessAnswer struct {
 	Known string `json:"known"`
 	membership.Progress
 }
 
-// identities are the folders that were named.
-func identities(answers map[string]witnessed) membership.KnownFolders {
+// knownFolders are the folders that were named.
+func knownFolders(answers map[string]witnessAnswer) membership.KnownFolders {
 	out := membership.KnownFolders{}
 	for name, w := range answers {
 		out[name] = w.Known
@@ -81,14 +81,14 @@
 	return out
 }
 
-// asked has some members say which folder they know under this one's name. Those that do not answer are not in it.
-func (s *Store) asked(ctx context.Context, members map[string]string) map[string]witnessed {
+// askWitnesses has some members say which folder they know under this one's name. Those that do not answer are not in it.
+func (s *Store) askWitnesses(ctx context.Context, members map[string]string) map[string]witnessAnswer {
 	ctx, cancel := context.WithTimeout(ctx, 2*s.lim.StoreBeat)
 	defer cancel()
 	var g sync.WaitGroup
 	var mu sync.Mutex
-	out := map[string]witnessed{}
-	path := "/v1/folder?" + url.Values{"name": {s.cfg.Name}, "id": {s.folder}}.Encode()
+	out := map[string]witnessAnswer{}
+	path := "/v1/folder?" + url.Values{"name": {s.cfg.Name}, "id": {s.folderIdentity}}.Encode()
 	for name, addr := range members {
 		if name == s.cfg.Name {
 			continue
@@ -98,7 +98,7 @@
 			if err != nil || m.Status != 200 {
 				return
 			}
-			var w witnessed
+			var w witnessAnswer
 			if json.Unmarshal(m.Body, &w) != nil {
 				return
 			}
@@ -111,19 +111,19 @@
 	return out
 }
 
-// begin has a member with an empty folder become one of the store's: it begins it with the others, or, where it has forgotten
+// beginOrRejoin has a member with an empty folder become one of the store's: it begins it with the others, or, where it has forgotten
 // what it held or is to join, is let in anew by those who remember. Until then it gives no vote and takes nothing in.
-func (s *Store) begin(ctx context.Context) {
+func (s *Store) beginOrRejoin(ctx context.Context) {
 	names := slices.Sorted(maps.Keys(s.cfg.Members))
 	for said := false; s.cfg.Join == ""; said = true {
-		verdict, missing := membership.DecideBootstrap(s.cfg.Name, s.folder, names, identities(s.asked(ctx, s.cfg.Members)))
+		verdict, missing := membership.DecideBootstrap(s.cfg.Name, s.folderIdentity, names, knownFolders(s.askWitnesses(ctx, s.cfg.Members)))
 		if verdict == membership.BeginStore {
 			if err := s.bootstrap(); err != nil {
 				s.log.Error("store: it can not begin", "err", err)
 				return
 			}
-			s.log.Info("store: begun", "folder", s.folder, "members", names)
-			s.mux.open.Store(true)
+			s.log.Info("store: begun", "folder", s.folderIdentity, "members", names)
+			s.mux.raftOpen.Store(true)
 			return
 		}
 		if verdict == membership.RejoinStore {
@@ -134,7 +134,7 @@
 		if !said {
 			s.log.Info("store: the folder is empty, and it waits for others before it begins", "missing", missing)
 		}
-		if !s.pause(ctx) {
+		if !s.sleepHalfBeat(ctx) {
 			return
 		}
 	}
@@ -149,10 +149,10 @@
 	}
 	for n := 0; ; n++ {
 		at := to[n%len(to)]
-		m, err := s.askChange(ctx, at, map[string]any{"verb": "join", "anew": true})
+		m, err := s.requestChange(ctx, at, map[string]any{"verb": "join", "anew": true})
 		if err == nil && m.Status == 200 {
 			s.log.Info("store: let in anew", "by", at)
-			s.mux.open.Store(true)
+			s.mux.raftOpen.Store(true)
 			s.join(ctx, at)
 			return
 		}
@@ -162,7 +162,7 @@
 		if n%len(to) == 0 {
 			s.log.Info("store: not let in yet", "by", at, "err", err)
 		}
-		if !s.pause(ctx) {
+		if !s.sleepHalfBeat(ctx) {
 			return
 		}
 	}
@@ -170,19 +170,19 @@
 
 // bootstrap begins the store. Every member begins with the same list, so that it does not matter which one is first.
 func (s *Store) bootstrap() error {
-	return s.raft.BootstrapCluster(voters(s.cfg.Members)).Error()
+	return s.raft.BootstrapCluster(raftConfiguration(s.cfg.Members)).Error()
 }
 
-// voters is a store of members by name, the same for all that have the same members.
-func voters(members map[string]string) (all raft.Configuration) {
+// raftConfiguration is a store of members by name, the same for all that have the same members.
+func raftConfiguration(members map[string]string) (all raft.Configuration) {
 	for _, name := range slices.Sorted(maps.Keys(members)) {
 		all.Servers = append(all.Servers, raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(members[name])})
 	}
 	return all
 }
 
-// announce has the other members know this folder, once each: those of a version that had no identities, or that came later.
-func (s *Store) announce(ctx context.Context) {
+// announceFolder has the other members know this folder, once each: those of a version that had no identities, or that came later.
+func (s *Store) announceFolder(ctx context.Context) {
 	told := map[string]bool{}
 	for {
 		left := map[string]string{}
@@ -192,7 +192,7 @@
 				left[x.Name] = x.Address
 			}
 		}
-		for name := range s.asked(ctx, left) {
+		for name := range s.askWitnesses(ctx, left) {
 			told[name] = true
 		}
 		wait := 4 * s.lim.StoreBeat
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -17,8 +17,8 @@
 	"gatetack/internal/limits"
 )
 
-// bounds are those of the state: all members have the same.
-func bounds(lim limits.Limits) kv.Bounds {
+// stateBounds are those of the state: all members have the same.
+func stateBounds(lim limits.Limits) kv.Bounds {
 	return kv.Bounds{Values: lim.StoreValues, Bytes: lim.StoreBytes, History: 8, Key: 512, Value: lim.StoreBody, Ops: 256, Done: 8192}
 }
 
@@ -26,15 +26,15 @@
 type fsm struct {
 	lim limits.Limits
 
-	mu    sync.Mutex
-	state *kv.State
-	ring  []kv.Event
-	first uint64        // events up to this transaction are no longer kept
-	grown chan struct{} // closed at the next change
+	mu        sync.Mutex
+	state     *kv.State
+	events    []kv.Event
+	firstKept uint64        // events up to this transaction are no longer kept
+	changed   chan struct{} // closed at the next change
 }
 
 func newFSM(lim limits.Limits) *fsm {
-	return &fsm{lim: lim, state: kv.New(bounds(lim)), grown: make(chan struct{})}
+	return &fsm{lim: lim, state: kv.New(stateBounds(lim)), changed: make(chan struct{})}
 }
 
 // view is the state as it stands.
@@ -44,7 +44,7 @@
 	return f.state.Snapshot()
 }
 
-func (f *fsm) due() int64 {
+func (f *fsm) nextLeaseEnd() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state.Due()
@@ -52,7 +52,7 @@
 
 // Apply takes in one entry of the log. One that can not be read changes nothing, on any member.
 func (f *fsm) Apply(l *raft.Log) any {
-	t, err := readTxn(l.Data)
+	t, err := decodeTxn(l.Data)
 	if err != nil {
 		return &kv.Result{Failed: -1, Err: err.Error()}
 	}
@@ -60,10 +60,10 @@
 	defer f.mu.Unlock()
 	r := f.state.Apply(l.Index, t)
 	if events := f.state.Events(); len(events) > 0 {
-		f.ring = append(f.ring, events...)
+		f.events = append(f.events, events...)
 		f.trim()
-		close(f.grown)
-		f.grown = make(chan struct{})
+		close(f.changed)
+		f.changed = make(chan struct{})
 	}
 	return &r
 }
@@ -71,34 +71,34 @@
 // trim lets go of the oldest changes once twice as many are kept as are promised. A trim copies what stays: one at each
 // transaction took more time than all else of it.
 func (f *fsm) trim() {
-	if len(f.ring) <= 2*f.lim.BatchEvents {
+	if len(f.events) <= 2*f.lim.BatchEvents {
 		return
 	}
-	old := len(f.ring) - f.lim.BatchEvents
-	f.first = f.ring[old-1].Version
-	f.ring = slices.Clone(f.ring[old:])
+	old := len(f.events) - f.lim.BatchEvents
+	f.firstKept = f.events[old-1].Version
+	f.events = slices.Clone(f.events[old:])
 }
 
-// after gives the changes that follow a version, of keys in a table that begin with a prefix; lost says that some are no
+// changesAfter gives the changes that follow a version, of keys in a table that begin with a prefix; lost says that some are no
 // longer kept.
-func (f *fsm) after(version uint64, table, prefix string) (out []kv.Event, upTo uint64, lost bool, more <-chan struct{}) {
+func (f *fsm) changesAfter(version uint64, table, prefix string) (out []kv.Event, upTo uint64, lost bool, more <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	upTo = f.state.Snapshot().Index()
-	if version < f.first {
-		return nil, upTo, true, f.grown
+	if version < f.firstKept {
+		return nil, upTo, true, f.changed
 	}
-	next := sort.Search(len(f.ring), func(i int) bool { return f.ring[i].Version > version })
-	for _, e := range f.ring[next:] {
+	next := sort.Search(len(f.events), func(i int) bool { return f.events[i].Version > version })
+	for _, e := range f.events[next:] {
 		if (table == "" || e.Table == table) && len(e.Key) >= len(prefix) && e.Key[:len(prefix)] == prefix {
 			out = append(out, e)
 		}
 	}
-	return out, upTo, false, f.grown
+	return out, upTo, false, f.changed
 }
 
-// readTxn reads a log's entry: a transaction, or a change as version 0.2 wrote it.
-func readTxn(data []byte) (*kv.Txn, error) {
+// decodeTxn reads a log's entry: a transaction, or a change as version 0.2 wrote it.
+func decodeTxn(data []byte) (*kv.Txn, error) {
 	t := &kv.Txn{}
 	if err := t.Unmarshal(data); !errors.Is(err, kv.ErrForm) {
 		return t, err
@@ -106,15 +106,15 @@
 	if !gjson.ValidBytes(data) {
 		return nil, errors.New("store: an entry of no form that is known")
 	}
-	op, err := oldOp(gjson.ParseBytes(data))
+	op, err := decodeLegacyOp(gjson.ParseBytes(data))
 	if err != nil {
 		return nil, err
 	}
 	return &kv.Txn{Ops: []kv.Op{op}}, nil
 }
 
-// oldOp is a change in version 0.2's JSON.
-func oldOp(v gjson.Result) (kv.Op, error) {
+// decodeLegacyOp is a change in version 0.2's JSON.
+func decodeLegacyOp(v gjson.Result) (kv.Op, error) {
 	value, err := base64.StdEncoding.DecodeString(v.Get("value").String())
 	op := kv.Op{Verb: kv.Put, Table: v.Get("kind").String(), Key: v.Get("key").String(), Value: value}
 	if op.Table == "" || op.Key == "" {
@@ -135,16 +135,16 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.state, f.ring, f.first = state, nil, state.Snapshot().Index()
-	close(f.grown)
-	f.grown = make(chan struct{})
+	f.state, f.events, f.firstKept = state, nil, state.Snapshot().Index()
+	close(f.changed)
+	f.changed = make(chan struct{})
 	return nil
 }
 
 // readSnapshot reads a snapshot, or one that version 0.2 wrote: a change a line.
 func readSnapshot(r io.Reader, lim limits.Limits) (*kv.State, error) {
 	var head bytes.Buffer
-	state, err := kv.Read(io.TeeReader(r, &head), bounds(lim))
+	state, err := kv.Read(io.TeeReader(r, &head), stateBounds(lim))
 	if !errors.Is(err, kv.ErrForm) {
 		return state, err
 	}
@@ -152,13 +152,13 @@
 	if err != nil {
 		return nil, err
 	}
-	state = kv.New(bounds(lim))
+	state = kv.New(stateBounds(lim))
 	n := uint64(0)
 	for line := range bytes.Lines(append(head.Bytes(), rest...)) {
 		if !gjson.ValidBytes(line) {
 			return nil, fmt.Errorf("store: line %d of a snapshot is of no form that is known", n+1)
 		}
-		op, err := oldOp(gjson.ParseBytes(line))
+		op, err := decodeLegacyOp(gjson.ParseBytes(line))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/store/fsm_test.go
+++ b/internal/store/fsm_test.go
@@ -32,24 +32,24 @@
 	lim.BatchEvents = 100
 	f := newFSM(lim)
 	trims, next := 0, 1
-	for first := f.first; next <= 1000; next++ {
+	for first := f.firstKept; next <= 1000; next++ {
 		applyPuts(t, f, next, 1)
-		if f.first != first {
-			first = f.first
+		if f.firstKept != first {
+			first = f.firstKept
 			trims++
 		}
-		if n := len(f.ring); n > 2*lim.BatchEvents || n < min(next, lim.BatchEvents) {
+		if n := len(f.events); n > 2*lim.BatchEvents || n < min(next, lim.BatchEvents) {
 			t.Fatalf("%d changes are kept after %d, want %d to %d", n, next, lim.BatchEvents, 2*lim.BatchEvents)
 		}
 	}
 	if most := 1000 / lim.BatchEvents; trims == 0 || trims > most {
 		t.Errorf("%d trims in 1000 changes, want 1 to %d", trims, most)
 	}
-	events, upTo, lost, _ := f.after(1000-uint64(lim.BatchEvents), "job", "")
+	events, upTo, lost, _ := f.changesAfter(1000-uint64(lim.BatchEvents), "job", "")
 	if lost || upTo != 1000 || len(events) != lim.BatchEvents || events[0].Version != 901 {
 		t.Errorf("lost %v, up to %d, %d events", lost, upTo, len(events))
 	}
-	if _, _, lost, _ := f.after(f.first-1, "job", ""); !lost {
+	if _, _, lost, _ := f.changesAfter(f.firstKept-1, "job", ""); !lost {
 		t.Error("changes that are gone are not told as lost")
 	}
 }
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	return []*raft.Log{
-		{Index: 1, Term: 1, Type: raft.LogConfiguration, Data: raft.EncodeConfiguration(voters(map[string]string{"n0": "127.0.0.1:1"}))},
+		{Index: 1, Term: 1, Type: raft.LogConfiguration, Data: raft.EncodeConfiguration(raftConfiguration(map[string]string{"n0": "127.0.0.1:1"}))},
 		{Index: 2, Term: 2, Type: raft.LogNoop},
 		{Index: 3, Term: 2, Type: raft.LogCommand, Data: data},
 		{Index: 4, Term: 2, Type: raft.LogCommand, Data: []byte(`{"kind":"job","key":"k","value":"djAuMg=="}`)}, // as version 0.2 wrote it
@@ -79,8 +79,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &mark{folder: 0x1122334455667788, boot: 0x99aabbccddeeff00, last: membership.Position{Term: 2, Index: 4}, term: 3}
-	fmt.Fprintf(&out, "mark %x\n", m.bytes())
+	m := &watermark{folder: 0x1122334455667788, boot: 0x99aabbccddeeff00, last: membership.Position{Term: 2, Index: 4}, term: 3}
+	fmt.Fprintf(&out, "mark %x\n", m.encode())
 	compareGolden(t, "disk.txt", out.String())
 }
 
--- a/internal/store/guard.go
+++ b/internal/store/guard.go
@@ -20,20 +20,20 @@
 // leads: raft writes to its own log in the loop that would give up the lead, and its heartbeats go on beside it.
 type guard struct {
 	*raft.NetworkTransport
-	disk  *disk
-	most  time.Duration // that a write may take while this member leads
-	calls chan raft.RPC
+	disk         *disk
+	maxWriteTime time.Duration // that a write may take while this member leads
+	calls        chan raft.RPC
 
-	mu    sync.Mutex
-	sure  bool
-	floor membership.VoteFloor
+	mu       sync.Mutex
+	complete bool
+	floor    membership.VoteFloor
 }
 
 // errVote says why a vote is not asked for, or not given.
 var errVote = &VoteError{}
 
 func newGuard(t *raft.NetworkTransport, d *disk, most time.Duration) *guard {
-	return &guard{NetworkTransport: t, disk: d, most: most, calls: make(chan raft.RPC)}
+	return &guard{NetworkTransport: t, disk: d, maxWriteTime: most, calls: make(chan raft.RPC)}
 }
 
 // Consumer gives raft the calls of the others that it may see.
@@ -44,7 +44,7 @@
 	for {
 		select {
 		case rpc := <-g.NetworkTransport.Consumer():
-			if g.refuses(rpc) {
+			if g.rejectVote(rpc) {
 				continue
 			}
 			select {
@@ -58,17 +58,17 @@
 	}
 }
 
-// refuses answers a call for a vote that may not be given.
-func (g *guard) refuses(rpc raft.RPC) bool {
+// rejectVote answers a call for a vote that may not be given.
+func (g *guard) rejectVote(rpc raft.RPC) bool {
 	head := raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax}
 	switch c := rpc.Command.(type) {
 	case *raft.RequestVoteRequest:
-		if !g.may(c.Term, c.LastLogTerm, c.LastLogIndex) {
+		if !g.mayVote(c.Term, c.LastLogTerm, c.LastLogIndex) {
 			rpc.Respond(&raft.RequestVoteResponse{RPCHeader: head}, nil)
 			return true
 		}
 	case *raft.RequestPreVoteRequest:
-		if !g.may(c.Term, c.LastLogTerm, c.LastLogIndex) {
+		if !g.mayVote(c.Term, c.LastLogTerm, c.LastLogIndex) {
 			rpc.Respond(&raft.RequestPreVoteResponse{RPCHeader: head}, nil)
 			return true
 		}
@@ -76,34 +76,34 @@
 	return false
 }
 
-func (g *guard) may(term, lastTerm, lastIndex uint64) bool {
+func (g *guard) mayVote(term, lastTerm, lastIndex uint64) bool {
 	if failpoint.Without == failpoint.Floor {
 		return true
 	}
-	if g.disk.dead.Load() {
+	if g.disk.abandoned.Load() {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.sure && g.floor.Allows(term, membership.Position{Term: lastTerm, Index: lastIndex})
+	return g.complete && g.floor.Allows(term, membership.Position{Term: lastTerm, Index: lastIndex})
 }
 
-func (g *guard) set(r membership.Assessment) {
+func (g *guard) setAssessment(r membership.Assessment) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.sure, g.floor = r.Complete, r.Floor
+	g.complete, g.floor = r.Complete, r.Floor
 }
 
-// state tells how this member's votes stand.
-func (g *guard) state() (sure bool, floor membership.VoteFloor) {
+// assessment tells how this member's votes stand.
+func (g *guard) assessment() (sure bool, floor membership.VoteFloor) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.sure, g.floor
+	return g.complete, g.floor
 }
 
 // RequestVote asks for a vote, as one that has all that it may have forgotten would.
 func (g *guard) RequestVote(id raft.ServerID, to raft.ServerAddress, req *raft.RequestVoteRequest, resp *raft.RequestVoteResponse) error {
-	if !g.may(req.Term, req.LastLogTerm, req.LastLogIndex) {
+	if !g.mayVote(req.Term, req.LastLogTerm, req.LastLogIndex) {
 		return errVote
 	}
 	return g.NetworkTransport.RequestVote(id, to, req, resp)
@@ -111,18 +111,18 @@
 
 // RequestPreVote likewise.
 func (g *guard) RequestPreVote(id raft.ServerID, to raft.ServerAddress, req *raft.RequestPreVoteRequest, resp *raft.RequestPreVoteResponse) error {
-	if !g.may(req.Term, req.LastLogTerm, req.LastLogIndex) {
+	if !g.mayVote(req.Term, req.LastLogTerm, req.LastLogIndex) {
 		return errVote
 	}
 	return g.NetworkTransport.RequestPreVote(id, to, req, resp)
 }
 
-// slow is why nothing is told to the others, if the disk does not answer.
-func (g *guard) slow() error {
-	if g.disk.dead.Load() {
+// checkDisk is why nothing is told to the others, if the disk does not answer.
+func (g *guard) checkDisk() error {
+	if g.disk.abandoned.Load() {
 		return &StalledError{}
 	}
-	if d, _ := g.disk.stalled(); d > g.most && failpoint.Without != failpoint.Stalled {
+	if d, _ := g.disk.stalled(); d > g.maxWriteTime && failpoint.Without != failpoint.Stalled {
 		return &StalledError{d}
 	}
 	return nil
@@ -130,7 +130,7 @@
 
 // AppendEntries tells another member what was written, and that this one leads.
 func (g *guard) AppendEntries(id raft.ServerID, to raft.ServerAddress, req *raft.AppendEntriesRequest, resp *raft.AppendEntriesResponse) error {
-	if err := g.slow(); err != nil {
+	if err := g.checkDisk(); err != nil {
 		return err
 	}
 	return g.NetworkTransport.AppendEntries(id, to, req, resp)
@@ -138,7 +138,7 @@
 
 // AppendEntriesPipeline likewise, many at a time.
 func (g *guard) AppendEntriesPipeline(id raft.ServerID, to raft.ServerAddress) (raft.AppendPipeline, error) {
-	if err := g.slow(); err != nil {
+	if err := g.checkDisk(); err != nil {
 		return nil, err
 	}
 	p, err := g.NetworkTransport.AppendEntriesPipeline(id, to)
@@ -155,7 +155,7 @@
 
 // AppendEntries adds a call.
 func (p *pipeline) AppendEntries(req *raft.AppendEntriesRequest, resp *raft.AppendEntriesResponse) (raft.AppendFuture, error) {
-	if err := p.g.slow(); err != nil {
+	if err := p.g.checkDisk(); err != nil {
 		return nil, err
 	}
 	return p.AppendPipeline.AppendEntries(req, resp)
@@ -163,7 +163,7 @@
 
 // InstallSnapshot sends one.
 func (g *guard) InstallSnapshot(id raft.ServerID, to raft.ServerAddress, req *raft.InstallSnapshotRequest, resp *raft.InstallSnapshotResponse, data io.Reader) error {
-	if err := g.slow(); err != nil {
+	if err := g.checkDisk(); err != nil {
 		return err
 	}
 	return g.NetworkTransport.InstallSnapshot(id, to, req, resp, data)
@@ -172,33 +172,33 @@
 // assess finds out, for a member that held something when it was opened, whether it may have forgotten. Until that is known it
 // gives no vote.
 func (s *Store) assess(ctx context.Context) {
-	for said := false; s.elsewhere() != ""; said = true {
+	for said := false; s.addressElsewhere() != ""; said = true {
 		if !said {
 			s.log.Warn("store: this member is not where its store has it: its folder may be a copy, and both were started. It gives no vote; "+
-				"with store.join it asks to be let in here", "listens", s.cfg.Listen, "members have", s.elsewhere())
+				"with store.join it asks to be let in here", "listens", s.cfg.Listen, "members have", s.addressElsewhere())
 		}
-		if !s.pause(ctx) {
+		if !s.sleepHalfBeat(ctx) {
 			return
 		}
 	}
 	for said := ""; ; {
 		at := s.addresses()
 		all := slices.Sorted(maps.Keys(at))
-		r := membership.Assess(s.held, s.known, all, nil)
+		r := membership.Assess(s.folderAtStart, s.watermarkAtStart, all, nil)
 		if !r.Complete { // no mark makes it needless to ask
-			r = membership.Assess(s.held, s.known, all, s.heard(ctx, at))
+			r = membership.Assess(s.folderAtStart, s.watermarkAtStart, all, s.askProgress(ctx, at))
 		}
-		s.guard.set(r)
+		s.guard.setAssessment(r)
 		if r.Regressed && said == "" {
 			s.log.Warn("store: this member has less than it had acknowledged: its disk lost what it said was written, or its folder was "+
-				"put back. It votes for nobody who has less than that", "has", s.held.Last, "acknowledged", r.Floor.Last, "voted in term", r.Floor.Term)
+				"put back. It votes for nobody who has less than that", "has", s.folderAtStart.Last, "acknowledged", r.Floor.Last, "voted in term", r.Floor.Term)
 		}
 		if r.Complete {
-			if err := s.disk.mark.arm(later(s.held.Last, r.Floor.Last), max(s.held.Term, r.Floor.Term)); err != nil {
+			if err := s.disk.watermark.arm(laterPosition(s.folderAtStart.Last, r.Floor.Last), max(s.folderAtStart.Term, r.Floor.Term)); err != nil {
 				s.log.Warn("store: the mark can not be made: at the next start others are asked", "err", err)
 			}
 			if len(r.Missing) == 0 && !r.Regressed {
-				s.log.Debug("store: nothing is known to be forgotten", "has", s.held.Last, "floor", r.Floor.Last)
+				s.log.Debug("store: nothing is known to be forgotten", "has", s.folderAtStart.Last, "floor", r.Floor.Last)
 			}
 			return
 		}
@@ -207,14 +207,14 @@
 			s.log.Info("store: nothing on this machine says how far this member got: it gives no vote until enough others have said "+
 				"where they stand", "missing", r.Missing)
 		}
-		if !s.pause(ctx) {
+		if !s.sleepHalfBeat(ctx) {
 			return
 		}
 	}
 }
 
-// pause waits for half a beat before something is tried again; false once it is no longer wanted.
-func (s *Store) pause(ctx context.Context) bool {
+// sleepHalfBeat waits for half a beat before something is tried again; false once it is no longer wanted.
+func (s *Store) sleepHalfBeat(ctx context.Context) bool {
 	select {
 	case <-time.After(s.lim.StoreBeat / 2):
 		return true
@@ -223,8 +223,8 @@
 	}
 }
 
-// elsewhere is the address that the members have for this one, if it is another than it listens at.
-func (s *Store) elsewhere() string {
+// addressElsewhere is the address that the members have for this one, if it is another than it listens at.
+func (s *Store) addressElsewhere() string {
 	all, _ := s.Members()
 	for _, x := range all {
 		if x.Name == s.cfg.Name && x.Address != s.cfg.Listen {
@@ -234,10 +234,10 @@
 	return ""
 }
 
-// heard asks the others where they stand.
-func (s *Store) heard(ctx context.Context, at map[string]string) map[string]membership.Progress {
+// askProgress asks the others where they stand.
+func (s *Store) askProgress(ctx context.Context, at map[string]string) map[string]membership.Progress {
 	out := map[string]membership.Progress{}
-	for name, a := range s.asked(ctx, at) {
+	for name, a := range s.askWitnesses(ctx, at) {
 		out[name] = a.Progress
 	}
 	return out
@@ -256,14 +256,14 @@
 	return out
 }
 
-// stand is where this member stands.
-func (s *Store) stand() membership.Progress {
-	last, term := s.disk.end()
+// progress is where this member stands.
+func (s *Store) progress() membership.Progress {
+	last, term := s.disk.lastPosition()
 	return membership.Progress{Last: last, Term: term}
 }
 
 // end is how far the log on the disk goes, snapshots included, and the last term in which a vote may have been given.
-func (d *disk) end() (last membership.Position, term uint64) {
+func (d *disk) lastPosition() (last membership.Position, term uint64) {
 	if index, err := d.LastIndex(); err == nil && index > 0 {
 		var l raft.Log
 		if d.GetLog(index, &l) == nil {
@@ -285,17 +285,17 @@
 	return last, term
 }
 
-func later(p, q membership.Position) membership.Position {
+func laterPosition(p, q membership.Position) membership.Position {
 	if p.Less(q) {
 		return q
 	}
 	return p
 }
 
-// votes tells operators how this member's vote stands.
-func (s *Store) votes() string {
-	sure, floor := s.guard.state()
-	last, _ := s.disk.end()
+// voteStatus tells operators how this member's vote stands.
+func (s *Store) voteStatus() string {
+	sure, floor := s.guard.assessment()
+	last, _ := s.disk.lastPosition()
 	switch {
 	case !sure:
 		return "gives none yet: it asks others where they stand"
@@ -305,8 +305,8 @@
 	return "as any"
 }
 
-// answers tells them how the disk does.
-func (d *disk) answers() string {
+// status tells them how the disk does.
+func (d *disk) status() string {
 	wait, err := d.stalled()
 	switch {
 	case wait > 100*time.Millisecond:
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -20,10 +20,10 @@
 	"gatetack/internal/membership"
 )
 
-// inspect looks at a member's folder before anything of it is used, and takes out what can not be trusted: a snapshot, the log
+// inspectFolder looks at a member's folder before anything of it is used, and takes out what can not be trusted: a snapshot, the log
 // from a bad entry on, or all of it. What is taken out is put aside, not deleted. It says how far the log had gone, as far as
 // that can still be read: the member has forgotten that, and gets it from the others.
-func inspect(dir string, alone bool, lim limits.Limits, quiet hclog.Logger, log *slog.Logger) (lost membership.Position, err error) {
+func inspectFolder(dir string, alone bool, lim limits.Limits, quiet hclog.Logger, log *slog.Logger) (lost membership.Position, err error) {
 	path := filepath.Join(dir, "raft.db")
 	aside := func(name string, why error) error {
 		to := filepath.Join(dir, filepath.Base(name)+time.Now().UTC().Format(".damaged-20060102T150405.000000000"))
@@ -35,7 +35,7 @@
 		return os.Rename(name, to)
 	}
 	if _, err := os.Stat(path); err == nil {
-		if why := pages(path); why != nil {
+		if why := verifyPages(path); why != nil {
 			if err := aside(path, why); err != nil {
 				return lost, err
 			}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return lost, err
 	}
-	first, last, end, why := readable(b, covered)
+	first, last, end, why := readableEntries(b, covered)
 	if lost.Less(end) && why != nil {
 		lost = end
 	}
@@ -119,9 +119,9 @@
 	return boltdb.New(boltdb.Options{Path: path, BoltOptions: &bolt.Options{NoFreelistSync: true, FreelistType: bolt.FreelistMapType}})
 }
 
-// pages walks all that stands in the log's file, in this goroutine: the library's own check panics in one of its own. Keys that
+// verifyPages walks all that stands in the log's file, in this goroutine: the library's own check panics in one of its own. Keys that
 // are out of order are pages that are not where they belong.
-func pages(path string) (err error) {
+func verifyPages(path string) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a page that would be past the file's end is none of its memory
 	defer func() {
 		if p := recover(); p != nil {
@@ -156,9 +156,9 @@
 	})
 }
 
-// readable reads all entries of a log past those that a snapshot covers. It says which are first and the last before a damaged
+// readableEntries reads all entries of a log past those that a snapshot covers. It says which are first and the last before a damaged
 // one, and how far the log had gone.
-func readable(b *boltdb.BoltStore, covered uint64) (first, last uint64, end membership.Position, why error) {
+func readableEntries(b *boltdb.BoltStore, covered uint64) (first, last uint64, end membership.Position, why error) {
 	d := &disk{BoltStore: b}
 	first, err := b.FirstIndex()
 	if err != nil {
--- a/internal/store/lies_test.go
+++ b/internal/store/lies_test.go
@@ -261,17 +261,17 @@
 
 // FuzzMark reads marks: one that was written is read back, and any other text is none.
 func FuzzMark(f *testing.F) {
-	m := mark{folder: 7, boot: 9, last: membership.Position{Term: 3, Index: 12}, term: 4}
-	f.Add(m.bytes())
+	m := watermark{folder: 7, boot: 9, last: membership.Position{Term: 3, Index: 12}, term: 4}
+	f.Add(m.encode())
 	f.Add([]byte{})
-	f.Add(make([]byte, markBytes))
+	f.Add(make([]byte, watermarkLength))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		x := readMark(raw, 7, 9)
+		x := decodeWatermark(raw, 7, 9)
 		if x == nil {
 			return
 		}
-		back := mark{folder: 7, boot: 9, last: x.Last, term: x.Term}
-		if string(back.bytes()) != string(raw) {
+		back := watermark{folder: 7, boot: 9, last: x.Last, term: x.Term}
+		if string(back.encode()) != string(raw) {
 			t.Errorf("%x is read as %+v", raw, x)
 		}
 	})
@@ -280,25 +280,25 @@
 // A mark vouches for nothing before it is armed, goes on after the process, and is taken away when it can not be written.
 func TestMark(t *testing.T) {
 	dir := t.TempDir()
-	m, known, err := openMark(dir, "f", "boot")
+	m, known, err := openWatermark(dir, "f", "boot")
 	if err != nil || known != nil {
 		t.Fatalf("%v %v", known, err)
 	}
 	again := func(boot string) *membership.Watermark {
 		t.Helper()
-		x, known, err := openMark(dir, "f", boot)
+		x, known, err := openWatermark(dir, "f", boot)
 		if err != nil {
 			t.Fatal(err)
 		}
 		x.close()
 		return known
 	}
-	_ = m.note(membership.Position{Term: 1, Index: 5}, 1)
+	_ = m.raise(membership.Position{Term: 1, Index: 5}, 1)
 	if k := again("boot"); k != nil {
 		t.Errorf("%+v vouches before it is armed", k)
 	}
 	_ = m.arm(membership.Position{Term: 2, Index: 3}, 2)
-	_ = m.note(membership.Position{Term: 1, Index: 9}, 0) // behind
+	_ = m.raise(membership.Position{Term: 1, Index: 9}, 0) // behind
 	if k := again("boot"); k == nil || k.Last != (membership.Position{Term: 2, Index: 3}) || k.Term != 2 {
 		t.Errorf("%+v", k)
 	}
@@ -306,7 +306,7 @@
 		t.Errorf("%+v of another boot", k)
 	}
 	_ = m.file.Close()
-	if err := m.note(membership.Position{Term: 2, Index: 4}, 0); err != nil {
+	if err := m.raise(membership.Position{Term: 2, Index: 4}, 0); err != nil {
 		t.Errorf("it could be taken away: %v", err)
 	}
 	if k := again("boot"); k != nil {
--- a/internal/store/mark.go
+++ b/internal/store/mark.go
@@ -13,10 +13,10 @@
 	"gatetack/internal/membership"
 )
 
-// mark is how far a member got, in a file of the machine's memory outside of its folder: see package membership, Recall. One that
+// watermark is how far a member got, in a file of the machine's memory outside of its folder: see package membership, Recall. One that
 // can not be written is taken away, for a mark that stayed behind would vouch for less than was acknowledged. A nil mark keeps
 // nothing.
-type mark struct {
+type watermark struct {
 	path   string
 	folder uint64
 	boot   uint64
@@ -28,10 +28,10 @@
 	term  uint64
 }
 
-const markMagic = 0x67746d61726b3031
+const watermarkMagic = 0x67746d61726b3031
 
 // markBytes: magic, folder, boot, term and index, term of votes, checksum.
-const markBytes = 56
+const watermarkLength = 56
 
 // bootID names the machine's present boot, empty where that is not known.
 func bootID() string {
@@ -39,23 +39,23 @@
 	return strings.TrimSpace(string(text))
 }
 
-// openMark reads the mark of a folder in a directory, if one is there and whole, and goes on with it. An empty directory's
+// openWatermark reads the mark of a folder in a directory, if one is there and whole, and goes on with it. An empty directory's
 // name keeps none.
-func openMark(dir, folder, boot string) (*mark, *membership.Watermark, error) {
+func openWatermark(dir, folder, boot string) (*watermark, *membership.Watermark, error) {
 	if dir == "" || boot == "" {
 		return nil, nil, nil
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, err
 	}
-	m := &mark{path: filepath.Join(dir, "gatetack-"+folder+".mark"), folder: xxhash.Sum64String(folder), boot: xxhash.Sum64String(boot)}
+	m := &watermark{path: filepath.Join(dir, "gatetack-"+folder+".mark"), folder: xxhash.Sum64String(folder), boot: xxhash.Sum64String(boot)}
 	var err error
 	if m.file, err = os.OpenFile(m.path, os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 		return nil, nil, err
 	}
-	var raw [markBytes + 1]byte
+	var raw [watermarkLength + 1]byte
 	n, _ := m.file.ReadAt(raw[:], 0)
-	known := readMark(raw[:n], m.folder, m.boot)
+	known := decodeWatermark(raw[:n], m.folder, m.boot)
 	if known == nil {
 		return m, nil, nil
 	}
@@ -64,28 +64,28 @@
 	return m, known, nil
 }
 
-// readMark reads one that is of a folder and a boot, nil for any other text.
-func readMark(raw []byte, folder, boot uint64) *membership.Watermark {
-	if len(raw) != markBytes || binary.BigEndian.Uint64(raw[48:]) != xxhash.Sum64(raw[:48]) {
+// decodeWatermark reads one that is of a folder and a boot, nil for any other text.
+func decodeWatermark(raw []byte, folder, boot uint64) *membership.Watermark {
+	if len(raw) != watermarkLength || binary.BigEndian.Uint64(raw[48:]) != xxhash.Sum64(raw[:48]) {
 		return nil
 	}
 	at := func(i int) uint64 { return binary.BigEndian.Uint64(raw[8*i:]) }
-	if at(0) != markMagic || at(1) != folder || at(2) != boot {
+	if at(0) != watermarkMagic || at(1) != folder || at(2) != boot {
 		return nil
 	}
 	return &membership.Watermark{Last: membership.Position{Term: at(3), Index: at(4)}, Term: at(5)}
 }
 
-func (m *mark) bytes() []byte {
-	out := make([]byte, 0, markBytes)
-	for _, x := range []uint64{markMagic, m.folder, m.boot, m.last.Term, m.last.Index, m.term} {
+func (m *watermark) encode() []byte {
+	out := make([]byte, 0, watermarkLength)
+	for _, x := range []uint64{watermarkMagic, m.folder, m.boot, m.last.Term, m.last.Index, m.term} {
 		out = binary.BigEndian.AppendUint64(out, x)
 	}
 	return binary.BigEndian.AppendUint64(out, xxhash.Sum64(out))
 }
 
-// note raises the mark: to where the log ends, and to a term in which a vote was given.
-func (m *mark) note(last membership.Position, term uint64) error {
+// raise raises the mark: to where the log ends, and to a term in which a vote was given.
+func (m *watermark) raise(last membership.Position, term uint64) error {
 	if m == nil {
 		return nil
 	}
@@ -102,7 +102,7 @@
 }
 
 // arm has the mark vouch from now on, for at least so much.
-func (m *mark) arm(last membership.Position, term uint64) error {
+func (m *watermark) arm(last membership.Position, term uint64) error {
 	if m == nil {
 		return nil
 	}
@@ -119,11 +119,11 @@
 }
 
 // write puts the mark in its file. The lock is held.
-func (m *mark) write() error {
+func (m *watermark) write() error {
 	if !m.armed {
 		return nil
 	}
-	_, err := m.file.WriteAt(m.bytes(), 0)
+	_, err := m.file.WriteAt(m.encode(), 0)
 	if err == nil {
 		return nil
 	}
@@ -136,7 +136,7 @@
 	return errors.Join(err, gone) // nothing may be acknowledged past a mark that stays behind
 }
 
-func (m *mark) close() {
+func (m *watermark) close() {
 	if m == nil {
 		return
 	}
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	mostVoters = 5  // more make each write wait for more disks
-	nearVoter  = 64 // entries of the log that a non-voter may be behind when it is let vote
+	maxVoters   = 5  // more make each write wait for more disks
+	maxVoterLag = 64 // entries of the log that a non-voter may be behind when it is let vote
 )
 
 // observe keeps which members' heartbeats fail while this one leads.
@@ -37,11 +37,11 @@
 			s.mu.Lock()
 			switch x := o.Data.(type) {
 			case raft.FailedHeartbeatObservation:
-				s.dead[x.PeerID] = true
+				s.unresponsive[x.PeerID] = true
 			case raft.ResumedHeartbeatObservation:
-				delete(s.dead, x.PeerID)
+				delete(s.unresponsive, x.PeerID)
 			case raft.LeaderObservation:
-				clear(s.dead)
+				clear(s.unresponsive)
 			}
 			s.mu.Unlock()
 		case <-ctx.Done():
@@ -62,13 +62,13 @@
 	var all membership.Cluster
 	for _, x := range f.Configuration().Servers {
 		all = append(all, membership.Server{Name: string(x.ID), Address: string(x.Address), Voter: x.Suffrage == raft.Voter,
-			Alive: !s.dead[x.ID], Leader: x.ID == leader})
+			Alive: !s.unresponsive[x.ID], Leader: x.ID == leader})
 	}
 	return all, nil
 }
 
-// change decides about a change of the membership that is asked for, and makes it, as the leader.
-func (s *Store) change(v gjson.Result) http1.Response {
+// handleChange decides about a change of the membership that is asked for, and makes it, as the leader.
+func (s *Store) handleChange(v gjson.Result) http1.Response {
 	all, err := s.Members()
 	if err != nil {
 		return http1.Text(503, "%v", err)
@@ -80,7 +80,7 @@
 		x, err = all.Join(name, v.Get("address").String(), v.Get("anew").Bool())
 	case "promote":
 		last := s.raft.LastIndex()
-		x, err = all.Promote(name, last-min(last, v.Get("applied").Uint()), nearVoter, mostVoters)
+		x, err = all.Promote(name, last-min(last, v.Get("applied").Uint()), maxVoterLag, maxVoters)
 	case "leave":
 		x, err = all.Leave(name)
 	case "remove":
@@ -89,9 +89,9 @@
 		err = fmt.Errorf("%q is none of join, promote, leave and remove", verb)
 	}
 	if err != nil {
-		return answerJSON(409, map[string]string{"error": err.Error()})
+		return jsonResponse(409, map[string]string{"error": err.Error()})
 	}
-	if err := s.make(x); err != nil {
+	if err := s.applyChange(x); err != nil {
 		return http1.Text(503, "%v", err)
 	}
 	if x.Verb != membership.NoChange {
@@ -100,15 +100,15 @@
 	if all, err = s.Members(); err != nil {
 		return http1.Text(503, "%v", err)
 	}
-	return answerJSON(200, all)
+	return jsonResponse(200, all)
 }
 
-func (s *Store) make(x membership.Change) error {
+func (s *Store) applyChange(x membership.Change) error {
 	id, addr, wait := raft.ServerID(x.Name), raft.ServerAddress(x.Address), s.lim.StoreCall
 	defer func() { // what failed before was another process: the new one's heartbeats say nothing until they fail
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.dead, id)
+		delete(s.unresponsive, id)
 	}()
 	switch x.Verb {
 	case membership.AddNonvoter:
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// askChange asks a member for a change of the membership that is about this one.
-func (s *Store) askChange(ctx context.Context, to string, call map[string]any) (*http1.Message, error) {
+// requestChange asks a member for a change of the membership that is about this one.
+func (s *Store) requestChange(ctx context.Context, to string, call map[string]any) (*http1.Message, error) {
 	call["name"], call["address"] = s.cfg.Name, s.cfg.Listen
 	body, _ := json.Marshal(call)
 	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCall)
@@ -152,7 +152,7 @@
 				to = string(leader)
 			}
 		}
-		m, err := s.askChange(ctx, to, map[string]any{"verb": verb, "applied": s.raft.AppliedIndex()})
+		m, err := s.requestChange(ctx, to, map[string]any{"verb": verb, "applied": s.raft.AppliedIndex()})
 		switch {
 		case err != nil:
 			s.log.Info("store: joining", "by", to, "err", err)
--- a/internal/store/mux.go
+++ b/internal/store/mux.go
@@ -20,22 +20,22 @@
 // no request begins with.
 type mux struct {
 	net.Listener
-	keys  *pki.Ring
-	lim   limits.Limits
-	raft  chan net.Conn
-	calls *queue
-	done  chan struct{}
-	once  sync.Once
-	open  atomic.Bool // raft's streams are taken
-	out   streams     // raft's calls to other members
+	keys        *pki.Ring
+	lim         limits.Limits
+	raftConns   chan net.Conn
+	callConns   *connQueue
+	done        chan struct{}
+	once        sync.Once
+	raftOpen    atomic.Bool // raft's streams are taken
+	raftStreams streams     // raft's calls to other members
 }
 
-const raftMark = 0x01
+const raftStreamByte = 0x01
 
 func newMux(ln net.Listener, ring *pki.Ring, lim limits.Limits) *mux {
 	done := make(chan struct{})
-	return &mux{Listener: ln, keys: ring, lim: lim, raft: make(chan net.Conn), done: done,
-		calls: &queue{addr: ln.Addr(), in: make(chan net.Conn), done: make(chan struct{})}}
+	return &mux{Listener: ln, keys: ring, lim: lim, raftConns: make(chan net.Conn), done: done,
+		callConns: &connQueue{addr: ln.Addr(), in: make(chan net.Conn), done: make(chan struct{})}}
 }
 
 func (m *mux) run(ctx context.Context) error {
@@ -60,7 +60,7 @@
 			}
 			g.Go(func() error {
 				defer func() { <-slots }()
-				m.sort(ctx, c)
+				m.dispatch(ctx, c)
 				return nil
 			})
 		}
@@ -68,7 +68,7 @@
 	return g.Wait()
 }
 
-func (m *mux) sort(ctx context.Context, c net.Conn) {
+func (m *mux) dispatch(ctx context.Context, c net.Conn) {
 	_ = c.SetReadDeadline(time.Now().Add(m.lim.StoreCall))
 	r := bufio.NewReaderSize(c, 16)
 	first, err := r.Peek(1)
@@ -77,33 +77,33 @@
 		return
 	}
 	_ = c.SetReadDeadline(time.Time{})
-	to := m.calls.in
-	if first[0] == raftMark {
+	to := m.callConns.in
+	if first[0] == raftStreamByte {
 		_, _ = r.Discard(1)
-		if to = m.raft; !m.open.Load() {
+		if to = m.raftConns; !m.raftOpen.Load() {
 			_ = c.Close()
 			return
 		}
 	}
 	select {
-	case to <- &peeked{c, r}:
+	case to <- &peekedConn{c, r}:
 	case <-ctx.Done():
 		_ = c.Close()
 	}
 }
 
-// peeked is a connection of which the first bytes are read already.
-type peeked struct {
+// peekedConn is a connection of which the first bytes are read already.
+type peekedConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func (p *peeked) Read(b []byte) (int, error) { return p.r.Read(b) }
+func (p *peekedConn) Read(b []byte) (int, error) { return p.r.Read(b) }
 
 // Accept gives raft its streams.
 func (m *mux) Accept() (net.Conn, error) {
 	select {
-	case c := <-m.raft:
+	case c := <-m.raftConns:
 		return c, nil
 	case <-m.done:
 		return nil, net.ErrClosed
@@ -134,21 +134,21 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := c.Write([]byte{raftMark}); err != nil {
+	if _, err := c.Write([]byte{raftStreamByte}); err != nil {
 		return nil, errors.Join(err, c.Close())
 	}
-	return m.out.add(c)
+	return m.raftStreams.add(c)
 }
 
-// queue is the listener of the members' calls.
-type queue struct {
+// connQueue is the listener of the members' calls.
+type connQueue struct {
 	addr net.Addr
 	in   chan net.Conn
 	done chan struct{}
 	once sync.Once
 }
 
-func (q *queue) Accept() (net.Conn, error) {
+func (q *connQueue) Accept() (net.Conn, error) {
 	select {
 	case c := <-q.in:
 		return c, nil
@@ -157,5 +157,5 @@
 	}
 }
 
-func (q *queue) Close() error   { q.once.Do(func() { close(q.done) }); return nil }
-func (q *queue) Addr() net.Addr { return q.addr }
+func (q *connQueue) Close() error   { q.once.Do(func() { close(q.done) }); return nil }
+func (q *connQueue) Addr() net.Addr { return q.addr }
--- a/internal/store/operate.go
+++ b/internal/store/operate.go
@@ -40,7 +40,7 @@
 	term, _ := strconv.ParseUint(stats["term"], 10, 64)
 	snap, _ := strconv.ParseUint(stats["last_snapshot_index"], 10, 64)
 	out := Status{Name: s.cfg.Name, State: strings.ToLower(s.raft.State().String()), Leader: string(leader), Term: term, Applied: s.raft.AppliedIndex(),
-		Last: s.raft.LastIndex(), Contact: -1, Stale: addr == "", Tables: v.Tables(), Snapshots: snap, Votes: s.votes(), Disk: s.disk.answers()}
+		Last: s.raft.LastIndex(), Contact: -1, Stale: addr == "", Tables: v.Tables(), Snapshots: snap, Votes: s.voteStatus(), Disk: s.disk.status()}
 	if at := s.raft.LastContact(); !at.IsZero() {
 		out.Contact = time.Since(at).Seconds()
 	}
@@ -61,7 +61,7 @@
 	Expires time.Time `json:"expires,omitzero"`
 }
 
-func shown(e *kv.Entry) entryJSON {
+func describeEntry(e *kv.Entry) entryJSON {
 	out := entryJSON{Table: e.Table, Key: e.Key, Version: e.Version, Created: e.Created}
 	if strings.ToValidUTF8(string(e.Value), "") == string(e.Value) {
 		out.Value = string(e.Value)
@@ -74,8 +74,8 @@
 	return out
 }
 
-func refusal(status int, format string, args ...any) http1.Response {
-	return answerJSON(status, map[string]string{"error": fmt.Sprintf(format, args...)})
+func errorResponse(status int, format string, args ...any) http1.Response {
+	return jsonResponse(status, map[string]string{"error": fmt.Sprintf(format, args...)})
 }
 
 // Handle answers another member that takes this one for the leader, and operators: paths under /v1.
@@ -85,63 +85,63 @@
 		if !s.Leads() {
 			return http1.Text(503, "this member does not lead")
 		}
-		return s.lead(ctx, m.Target, m.Body)
+		return s.serveAsLeader(ctx, m.Target, m.Body)
 	}
 	_, query, _ := strings.Cut(m.Target, "?")
 	q, err := url.ParseQuery(query)
 	if err != nil {
-		return refusal(400, "query: %v", err)
+		return errorResponse(400, "query: %v", err)
 	}
-	r := s.operate(ctx, m, strings.Split(path, "/"), q)
+	r := s.handleOperator(ctx, m, strings.Split(path, "/"), q)
 	r.Known = r.Status < 400
 	return r
 }
 
-func (s *Store) operate(ctx context.Context, m *http1.Message, p []string, q url.Values) http1.Response {
+func (s *Store) handleOperator(ctx context.Context, m *http1.Message, p []string, q url.Values) http1.Response {
 	for i := range p {
 		text, err := url.PathUnescape(p[i])
 		if err != nil {
-			return refusal(400, "path: %v", err)
+			return errorResponse(400, "path: %v", err)
 		}
 		p[i] = text
 	}
-	if service, ok := s.mounted(p[0]); ok {
+	if service, ok := s.service(p[0]); ok {
 		return service.Handle(ctx, m)
 	}
 	switch {
 	case p[0] == "status" && len(p) == 1 && m.Method == "GET":
-		return answerJSON(200, s.Status())
+		return jsonResponse(200, s.Status())
 	case p[0] == "folder" && len(p) == 1 && m.Method == "GET":
-		return s.witness(q)
+		return s.handleWitness(q)
 	case p[0] == "members" && len(p) == 1 && m.Method == "GET":
 		return s.forward(ctx, m, func() http1.Response {
 			all, err := s.Members()
 			if err != nil {
-				return refusal(503, "%v", err)
+				return errorResponse(503, "%v", err)
 			}
-			return answerJSON(200, all)
+			return jsonResponse(200, all)
 		})
 	case p[0] == "members" && len(p) == 1 && m.Method == "POST":
 		if s.Leads() {
-			return s.lead(ctx, "/members", m.Body)
+			return s.serveAsLeader(ctx, "/members", m.Body)
 		}
 		return s.forward(ctx, m, nil)
 	case p[0] == "kv" && len(p) == 2 && m.Method == "GET":
-		return s.listing(ctx, p[1], q)
+		return s.handleList(ctx, p[1], q)
 	case p[0] == "kv" && len(p) >= 3:
-		return s.entry(ctx, m, p[1], strings.Join(p[2:], "/"), q)
+		return s.handleEntry(ctx, m, p[1], strings.Join(p[2:], "/"), q)
 	case p[0] == "watch" && len(p) == 1 && m.Method == "GET":
-		return s.watching(ctx, q)
+		return s.handleWatch(ctx, q)
 	case p[0] == "snapshot" && len(p) == 1 && m.Method == "GET":
 		var b bytes.Buffer
 		if err := s.fsm.view().Write(&b); err != nil {
-			return refusal(500, "%v", err)
+			return errorResponse(500, "%v", err)
 		}
 		return http1.Response{Status: 200, Body: b.Bytes()}
 	case p[0] == "restore" && len(p) == 1 && m.Method == "POST":
 		return s.forward(ctx, m, func() http1.Response { return s.restore(m.Body) })
 	}
-	return refusal(404, "no such path, or not by %s", m.Method)
+	return errorResponse(404, "no such path, or not by %s", m.Method)
 }
 
 // forward has the leader do a call, unless this member leads.
@@ -151,23 +151,23 @@
 	}
 	addr, _ := s.raft.LeaderWithID()
 	if addr == "" || m.Get("X-Forwarded") != "" {
-		return refusal(503, "no leader is known")
+		return errorResponse(503, "no leader is known")
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCall)
 	defer cancel()
 	r, err := Call(ctx, string(addr), m.Method, m.Target, m.Body, s.cfg.Keys, s.lim)
 	if err != nil {
-		return refusal(503, "the leader: %v", err)
+		return errorResponse(503, "the leader: %v", err)
 	}
 	return http1.Response{Status: r.Status, Body: r.Body, Fields: []http1.Field{{Name: "Content-Type", Value: "application/json"}}}
 }
 
-// certain waits until all that was written before is in, where the caller wants what is certain.
-func (s *Store) certain(ctx context.Context, q url.Values) error {
+// awaitFresh waits until all that was written before is in, where the caller wants what is certain.
+func (s *Store) awaitFresh(ctx context.Context, q url.Values) error {
 	if q.Get("stale") == "1" {
 		return nil
 	}
-	m, err := s.ask(ctx, "/index", nil)
+	m, err := s.callLeader(ctx, "/index", nil)
 	if err != nil {
 		return err
 	}
@@ -186,45 +186,45 @@
 	return nil
 }
 
-func (s *Store) listing(ctx context.Context, table string, q url.Values) http1.Response {
-	if err := s.certain(ctx, q); err != nil {
-		return refusal(503, "%v", err)
+func (s *Store) handleList(ctx context.Context, table string, q url.Values) http1.Response {
+	if err := s.awaitFresh(ctx, q); err != nil {
+		return errorResponse(503, "%v", err)
 	}
 	limit := 1000
 	if text := q.Get("limit"); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 1 || n > 1000 {
-			return refusal(400, "limit: not a whole number from 1 to 1000")
+			return errorResponse(400, "limit: not a whole number from 1 to 1000")
 		}
 		limit = n
 	}
 	out := []entryJSON{}
 	for _, e := range s.fsm.view().List(table, q.Get("prefix"), q.Get("after"), limit) {
-		out = append(out, shown(e))
+		out = append(out, describeEntry(e))
 	}
-	return answerJSON(200, map[string]any{"entries": out, "index": s.fsm.view().Index()})
+	return jsonResponse(200, map[string]any{"entries": out, "index": s.fsm.view().Index()})
 }
 
-func (s *Store) entry(ctx context.Context, m *http1.Message, table, key string, q url.Values) http1.Response {
+func (s *Store) handleEntry(ctx context.Context, m *http1.Message, table, key string, q url.Values) http1.Response {
 	if m.Method == "GET" {
-		if err := s.certain(ctx, q); err != nil {
-			return refusal(503, "%v", err)
+		if err := s.awaitFresh(ctx, q); err != nil {
+			return errorResponse(503, "%v", err)
 		}
 		v := s.fsm.view()
 		if q.Get("history") == "1" {
 			out := []entryJSON{}
 			for _, e := range v.History(table, key) {
-				out = append(out, shown(e))
+				out = append(out, describeEntry(e))
 			}
-			return answerJSON(200, map[string]any{"entries": out})
+			return jsonResponse(200, map[string]any{"entries": out})
 		}
 		if e, ok := v.Get(table, key); ok {
-			return answerJSON(200, shown(e))
+			return jsonResponse(200, describeEntry(e))
 		}
-		return refusal(404, "nothing stands at %s %s", table, key)
+		return errorResponse(404, "nothing stands at %s %s", table, key)
 	}
-	if _, ok := s.mounted(table); ok {
-		return refusal(403, "table %s is written by `gatetack %s` alone", table, table)
+	if _, ok := s.service(table); ok {
+		return errorResponse(403, "table %s is written by `gatetack %s` alone", table, table)
 	}
 	op := kv.Op{Verb: kv.Put, Table: table, Key: key, Value: m.Body, Keep: true}
 	switch m.Method {
@@ -235,37 +235,37 @@
 	case "DELETE":
 		op.Verb, op.Value = kv.Delete, nil
 	default:
-		return refusal(405, "only GET, PUT and DELETE")
+		return errorResponse(405, "only GET, PUT and DELETE")
 	}
 	var err error
 	if text := q.Get("if"); text != "" {
 		op.Cond = true
 		if op.If, err = strconv.ParseUint(text, 10, 64); err != nil {
-			return refusal(400, "if: %q is no version", text)
+			return errorResponse(400, "if: %q is no version", text)
 		}
 	}
 	if text := q.Get("ttlMs"); text != "" {
 		if op.TTL, err = strconv.ParseInt(text, 10, 64); err != nil || op.TTL < 1 {
-			return refusal(400, "ttlMs: %q is no number of milliseconds", text)
+			return errorResponse(400, "ttlMs: %q is no number of milliseconds", text)
 		}
 	}
 	r, err := s.Txn(ctx, &kv.Txn{Ops: []kv.Op{op}})
 	switch {
 	case err != nil:
-		return refusal(503, "%v", err)
+		return errorResponse(503, "%v", err)
 	case r.Err != "":
-		return refusal(400, "%s", r.Err)
+		return errorResponse(400, "%s", r.Err)
 	case !r.OK():
-		return answerJSON(409, map[string]any{"error": "another version stands there", "version": r.Current})
+		return jsonResponse(409, map[string]any{"error": "another version stands there", "version": r.Current})
 	}
-	return answerJSON(200, map[string]any{"version": r.Version})
+	return jsonResponse(200, map[string]any{"version": r.Version})
 }
 
-// watching gives the changes after a version, once there are any or the time to wait is over.
-func (s *Store) watching(ctx context.Context, q url.Values) http1.Response {
+// handleWatch gives the changes after a version, once there are any or the time to wait is over.
+func (s *Store) handleWatch(ctx context.Context, q url.Values) http1.Response {
 	after, err := strconv.ParseUint(q.Get("after"), 10, 64)
 	if err != nil && q.Get("after") != "" {
-		return refusal(400, "after: %q is no version", q.Get("after"))
+		return errorResponse(400, "after: %q is no version", q.Get("after"))
 	}
 	if q.Get("after") == "" {
 		after = s.fsm.view().Index()
@@ -274,16 +274,16 @@
 	if text := q.Get("timeoutMs"); text != "" {
 		ms, err := strconv.ParseUint(text, 10, 31)
 		if err != nil {
-			return refusal(400, "timeoutMs: not a whole number")
+			return errorResponse(400, "timeoutMs: not a whole number")
 		}
 		wait = min(wait, time.Duration(ms)*time.Millisecond)
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		events, upTo, lost, more := s.fsm.after(after, q.Get("table"), q.Get("prefix"))
+		events, upTo, lost, more := s.fsm.changesAfter(after, q.Get("table"), q.Get("prefix"))
 		if lost {
-			return answerJSON(410, map[string]any{"error": "changes were not kept so long: read the values anew and go on from here", "after": upTo})
+			return jsonResponse(410, map[string]any{"error": "changes were not kept so long: read the values anew and go on from here", "after": upTo})
 		}
 		if len(events) > 0 {
 			out := []map[string]any{}
@@ -295,12 +295,12 @@
 				}
 				out = append(out, x)
 			}
-			return answerJSON(200, map[string]any{"events": out, "after": upTo})
+			return jsonResponse(200, map[string]any{"events": out, "after": upTo})
 		}
 		select {
 		case <-more:
 		case <-timer.C:
-			return answerJSON(200, map[string]any{"events": []any{}, "after": upTo})
+			return jsonResponse(200, map[string]any{"events": []any{}, "after": upTo})
 		case <-ctx.Done():
 			return http1.Response{Status: 503, Close: true}
 		}
@@ -311,11 +311,11 @@
 func (s *Store) restore(data []byte) http1.Response {
 	state, err := readSnapshot(bytes.NewReader(data), s.lim)
 	if err != nil {
-		return refusal(400, "%v", err)
+		return errorResponse(400, "%v", err)
 	}
 	meta := &raft.SnapshotMeta{Version: 1, Index: state.Snapshot().Index(), Term: 1, Size: int64(len(data))}
 	if err := s.raft.Restore(meta, bytes.NewReader(data), 4*s.lim.StoreCall); err != nil {
-		return refusal(503, "%v", err)
+		return errorResponse(503, "%v", err)
 	}
-	return answerJSON(200, s.Status())
+	return jsonResponse(200, s.Status())
 }
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -19,7 +19,7 @@
 )
 
 // Recover makes a member's folder, while its node is down, the beginning of a store of other members: what is left to do when
-// most of the voters are lost for good. Members are all of the store to be, by name, this one under its own name among them. It
+// maxWriteTime of the voters are lost for good. Members are all of the store to be, by name, this one under its own name among them. It
 // says first what the folder holds and what may be lost by it, and with dry it changes nothing.
 func Recover(dir, name string, members map[string]string, dry bool, lim limits.Limits, w io.Writer) error {
 	if members[name] == "" {
@@ -70,7 +70,7 @@
 		_, _ = fmt.Fprintln(w, "nothing was changed")
 		return nil
 	}
-	if err := raft.RecoverCluster(c, newFSM(lim), log, log, snaps, trans, voters(members)); err != nil {
+	if err := raft.RecoverCluster(c, newFSM(lim), log, log, snaps, trans, raftConfiguration(members)); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	// What the machine remembers of it, and what others know, is of the folder that it was: the operator has said that what is
--- a/internal/store/service.go
+++ b/internal/store/service.go
@@ -16,7 +16,7 @@
 	s.services[name] = h
 }
 
-func (s *Store) mounted(name string) (http1.Handler, bool) {
+func (s *Store) service(name string) (http1.Handler, bool) {
 	h, ok := s.services[name]
 	return h, ok
 }
@@ -24,11 +24,11 @@
 // Changes returns the changes of a table after a version, as this member has them, and the version up to which they are told. Lost
 // says that some are no longer kept: the table is then to be read anew. More is closed at the store's next change.
 func (s *Store) Changes(after uint64, table string) (events []kv.Event, upTo uint64, lost bool, more <-chan struct{}) {
-	return s.fsm.after(after, table, "")
+	return s.fsm.changesAfter(after, table, "")
 }
 
 // CatchUp returns once this member has all that was written before the call.
-func (s *Store) CatchUp(ctx context.Context) error { return s.certain(ctx, nil) }
+func (s *Store) CatchUp(ctx context.Context) error { return s.awaitFresh(ctx, nil) }
 
 // HasLeader reports whether this member knows a leader. One that is cut off from most others does not, soon after.
 func (s *Store) HasLeader() bool {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -38,7 +38,7 @@
 	Marks   string            // a folder in the machine's memory, where how far this member got is kept; empty: nowhere
 	Trust   bool              // the disk's word is taken where no mark is found
 
-	meets func() failpoint.Disk // what a write of the log meets: only tests fill it, before the start
+	writeFault func() failpoint.Disk // what a write of the log meets: only tests fill it, before the start
 }
 
 // Store is one member.
@@ -53,15 +53,15 @@
 	disk   *disk
 	guard  *guard
 
-	folder string                // its identity
-	empty  bool                  // it held nothing when it was opened
-	held   membership.Folder     // what it held,
-	known  *membership.Watermark // and what the machine remembers of it
+	folderIdentity   string                // its identity
+	startedEmpty     bool                  // it held nothing when it was opened
+	folderAtStart    membership.Folder     // what it held,
+	watermarkAtStart *membership.Watermark // and what the machine remembers of it
 
-	mu   sync.Mutex
-	dead map[raft.ServerID]bool // members whose heartbeats fail, as this one sees it while it leads
+	mu           sync.Mutex
+	unresponsive map[raft.ServerID]bool // members whose heartbeats fail, as this one sees it while it leads
 
-	time logTime
+	logTime logTime
 
 	services map[string]http1.Handler // by the first word of their paths, see Mount
 }
@@ -86,7 +86,7 @@
 		under = cfg.Keys.Listen(ln)
 	}
 	lim.Body = max(lim.StoreBody*2, 1<<20) // a call holds a transaction
-	s := &Store{cfg: cfg, lim: lim, log: log, fsm: newFSM(lim), mux: newMux(under, cfg.Keys, lim), dead: map[raft.ServerID]bool{}}
+	s := &Store{cfg: cfg, lim: lim, log: log, fsm: newFSM(lim), mux: newMux(under, cfg.Keys, lim), unresponsive: map[raft.ServerID]bool{}}
 	if err := s.open(); err != nil {
 		_ = ln.Close()
 		if s.disk != nil {
@@ -108,7 +108,7 @@
 	c.CommitTimeout = s.lim.StoreBeat / 20
 	c.SnapshotThreshold, c.TrailingLogs = uint64(s.lim.StoreLog), uint64(s.lim.StoreLog)/4
 	alone := len(s.cfg.Members) == 1 && s.cfg.Join == ""
-	lost, err := inspect(s.cfg.Dir, alone, s.lim, quiet, s.log)
+	lost, err := inspectFolder(s.cfg.Dir, alone, s.lim, quiet, s.log)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	s.disk = newDisk(log, s.cfg.meets)
+	s.disk = newDisk(log, s.cfg.writeFault)
 	if s.disk.SnapshotStore, err = raft.NewFileSnapshotStoreWithLogger(s.cfg.Dir, 2, quiet); err != nil {
 		return err
 	}
@@ -124,22 +124,22 @@
 	if err != nil {
 		return err
 	}
-	if err := s.identity(); err != nil {
+	if err := s.loadIdentity(); err != nil {
 		return err
 	}
 	boot := bootID()
-	if s.disk.mark, s.known, err = openMark(s.cfg.Marks, s.folder, boot); err != nil {
+	if s.disk.watermark, s.watermarkAtStart, err = openWatermark(s.cfg.Marks, s.folderIdentity, boot); err != nil {
 		s.log.Warn("store: how far this member gets can not be kept in the machine's memory: at its next start others are asked", "dir", s.cfg.Marks, "err", err)
 	}
-	last, term := s.disk.end()
-	s.held = membership.Folder{Name: s.cfg.Name, Identity: s.folder, Last: last, Term: term, Unreadable: lost, Boot: boot, TrustDisk: s.cfg.Trust}
+	last, term := s.disk.lastPosition()
+	s.folderAtStart = membership.Folder{Name: s.cfg.Name, Identity: s.folderIdentity, Last: last, Term: term, Unreadable: lost, Boot: boot, TrustDisk: s.cfg.Trust}
 	// An empty folder is silent towards the others until it is known that none is missing: see package membership.
-	s.empty = !known
-	s.mux.open.Store(known)
+	s.startedEmpty = !known
+	s.mux.raftOpen.Store(known)
 	s.guard = newGuard(raft.NewNetworkTransportWithLogger(s.mux, 2, s.lim.StoreCall, quiet), s.disk, s.lim.StoreBeat)
-	if s.empty { // nothing was acknowledged under its identity
-		s.guard.set(membership.Assessment{Complete: true})
-		if err := s.disk.mark.arm(membership.Position{}, 0); err != nil {
+	if s.startedEmpty { // nothing was acknowledged under its identity
+		s.guard.setAssessment(membership.Assessment{Complete: true})
+		if err := s.disk.watermark.arm(membership.Position{}, 0); err != nil {
 			return err
 		}
 	}
@@ -152,21 +152,21 @@
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return s.mux.run(ctx) })
 	g.Go(func() error { s.guard.run(ctx); return nil })
-	g.Go(func() error { return s.server.Serve(ctx, s.mux.calls) })
+	g.Go(func() error { return s.server.Serve(ctx, s.mux.callConns) })
 	g.Go(func() error { s.observe(ctx); return nil })
-	g.Go(func() error { s.expire(ctx); return nil })
+	g.Go(func() error { s.expireLeases(ctx); return nil })
 	switch {
-	case s.empty:
-		g.Go(func() error { s.begin(ctx); return nil })
+	case s.startedEmpty:
+		g.Go(func() error { s.beginOrRejoin(ctx); return nil })
 	default:
 		g.Go(func() error { s.assess(ctx); return nil })
 	}
 	switch {
-	case s.empty:
+	case s.startedEmpty:
 	case s.cfg.Join != "":
 		g.Go(func() error { s.join(ctx, s.cfg.Join); return nil })
 	}
-	g.Go(func() error { s.announce(ctx); return nil })
+	g.Go(func() error { s.announceFolder(ctx); return nil })
 	g.Go(func() error {
 		<-ctx.Done()
 		return s.close()
@@ -179,7 +179,7 @@
 	down := make(chan error, 1)
 	ending := s.raft.Shutdown()
 	go func() { down <- ending.Error() }()
-	s.mux.out.closeAll()
+	s.mux.raftStreams.closeAll()
 	var err error
 	select {
 	case err = <-down:
@@ -192,15 +192,15 @@
 			err = errors.Join(&StalledError{wait}, bad)
 		}
 	}
-	s.disk.mark.close()
+	s.disk.watermark.close()
 	return errors.Join(err, s.guard.Close(), s.disk.Close())
 }
 
 // Leads says whether this member leads.
 func (s *Store) Leads() bool { return s.raft.State() == raft.Leader }
 
-// expire has leases end by the log: while this member leads, an empty transaction with its time is written when one is due.
-func (s *Store) expire(ctx context.Context) {
+// expireLeases has leases end by the log: while this member leads, an empty transaction with its time is written when one is due.
+func (s *Store) expireLeases(ctx context.Context) {
 	tick := time.NewTicker(s.lim.StoreBeat / 2)
 	defer tick.Stop()
 	for {
@@ -209,7 +209,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if due := s.fsm.due(); due > 0 && s.Leads() && due <= s.now() {
+		if due := s.fsm.nextLeaseEnd(); due > 0 && s.Leads() && due <= s.now() {
 			if _, err := s.apply(ctx, &kv.Txn{}); err != nil {
 				s.log.Debug("store: leases that are due", "err", err)
 			}
@@ -229,14 +229,14 @@
 		return nil, err
 	}
 	f := s.raft.Apply(data, s.lim.StoreCall)
-	if err := s.within(ctx, f.Error); err != nil {
+	if err := s.await(ctx, f.Error); err != nil {
 		return nil, err
 	}
 	return f.Response().(*kv.Result), nil
 }
 
-// within waits for a future of raft's, which knows no context.
-func (s *Store) within(ctx context.Context, wait func() error) error {
+// await waits for a future of raft's, which knows no context.
+func (s *Store) await(ctx context.Context, wait func() error) error {
 	done := make(chan error, 1)
 	go func() { done <- wait() }()
 	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCall)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -39,7 +39,7 @@
 	lim.StoreCall = 20 * time.Second
 	// Filled before the first write: a member writes whenever others send, also while a test changes what its disk does.
 	m.disk.Store(&failpoint.Disk{})
-	m.cfg.meets = func() failpoint.Disk { return *m.disk.Load() }
+	m.cfg.writeFault = func() failpoint.Disk { return *m.disk.Load() }
 	s, err := Open(m.cfg, lim, nil, testenv.Quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -461,25 +461,25 @@
 func TestLogTime(t *testing.T) {
 	var old, next logTime
 	at := int64(1_800_000_000_000)
-	if got := old.read(1, time.Hour, at); got != at {
+	if got := old.now(1, time.Hour, at); got != at {
 		t.Fatalf("the first leader begins at %d, want %d", got, at)
 	}
-	if got := old.read(1, time.Hour+2*time.Second, at); got != at+2000 {
+	if got := old.now(1, time.Hour+2*time.Second, at); got != at+2000 {
 		t.Errorf("2 s later: %d, want %d", got-at, 2000)
 	}
 	// The next one's machine was started at another time. It begins where the log stands.
-	if got := next.read(2, 7*time.Minute, at+2000); got != at+2000 {
+	if got := next.now(2, 7*time.Minute, at+2000); got != at+2000 {
 		t.Errorf("the next leader begins at %d, want %d", got-at, 2000)
 	}
-	if got := next.read(2, 7*time.Minute+time.Second, at+2000); got != at+3000 {
+	if got := next.now(2, 7*time.Minute+time.Second, at+2000); got != at+3000 {
 		t.Errorf("a second later: %d, want %d", got-at, 3000)
 	}
 	// The first one leads again after a minute without a leader: that minute ends no lease.
-	if got := old.read(3, time.Hour+time.Minute, at+3000); got != at+3000 {
+	if got := old.now(3, time.Hour+time.Minute, at+3000); got != at+3000 {
 		t.Errorf("led again: %d, want %d", got-at, 3000)
 	}
 	// A log whose time is ahead of a leader's own count, for it had not read all of it: it goes on from there.
-	if got := old.read(3, time.Hour+time.Minute+time.Second, at+9000); got != at+9000 {
+	if got := old.now(3, time.Hour+time.Minute+time.Second, at+9000); got != at+9000 {
 		t.Errorf("behind the log: %d, want %d", got-at, 9000)
 	}
 }
--- a/internal/store/verify.go
+++ b/internal/store/verify.go
@@ -51,10 +51,10 @@
 		say("snapshot "+m.ID, err, "%d values up to entry %d", values, m.Index)
 	}
 	path := filepath.Join(dir, "raft.db")
-	err = pages(path)
+	err = verifyPages(path)
 	say("pages of "+path, err, "all in order")
 	if err == nil {
-		err = entries(path, covered, func(index uint64, err error) { say(fmt.Sprintf("entry %d", index), err, "") },
+		err = verifyEntries(path, covered, func(index uint64, err error) { say(fmt.Sprintf("entry %d", index), err, "") },
 			func(first, last uint64) { say("log", nil, "entries %d to %d", first, last) })
 		if err != nil {
 			say("log", err, "")
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// entries reads all of a log's. A restored snapshot leaves a gap before it, which it covers.
-func entries(path string, covered uint64, bad func(uint64, error), good func(first, last uint64)) error {
+// verifyEntries reads all of a log's. A restored snapshot leaves a gap before it, which it covers.
+func verifyEntries(path string, covered uint64, bad func(uint64, error), good func(first, last uint64)) error {
 	log, err := boltdb.New(boltdb.Options{Path: path, BoltOptions: nil})
 	if err != nil {
 		return err
@@ -90,7 +90,7 @@
 			continue
 		}
 		if l.Type == raft.LogCommand {
-			if _, err := readTxn(l.Data); err != nil {
+			if _, err := decodeTxn(l.Data); err != nil {
 				bad(i, err)
 			}
 		}
