--- a/internal/store/folder.go
+++ b/internal/store/folder.go
@@ -119,20 +119,19 @@
 		verdict, missing := membership.DecideBootstrap(s.cfg.Name, s.folderIdentity, names, knownFolders(s.askWitnesses(ctx, s.cfg.Members)))
 		if verdict == membership.BeginStore {
 			if err := s.bootstrap(); err != nil {
-				s.log.Error("store: it can not begin", "err", err)
+				s.log.Error("store not bootstrapped", "err", err)
 				return
 			}
-			s.log.Info("store: begun", "folder", s.folderIdentity, "members", names)
+			s.log.Info("store bootstrapped", "folder", s.folderIdentity, "members", names)
 			s.mux.raftOpen.Store(true)
 			return
 		}
 		if verdict == membership.RejoinStore {
-			s.log.Warn("store: this member has forgotten what it held: its folder is empty, and others know another under its name. "+
-				"It does not vote, and asks those who remember to be let in anew", "name", s.cfg.Name)
+			s.log.Warn("store folder empty and known to others, rejoining without a vote", "node", s.cfg.Name)
 			break
 		}
 		if !said {
-			s.log.Info("store: the folder is empty, and it waits for others before it begins", "missing", missing)
+			s.log.Info("store waiting for witnesses", "missing", missing)
 		}
 		if !s.sleepHalfBeat(ctx) {
 			return
@@ -151,7 +150,7 @@
 		at := to[n%len(to)]
 		m, err := s.requestChange(ctx, at, map[string]any{"verb": "join", "anew": true})
 		if err == nil && m.Status == 200 {
-			s.log.Info("store: let in anew", "by", at)
+			s.log.Info("store rejoined", "by", at)
 			s.mux.raftOpen.Store(true)
 			s.join(ctx, at)
 			return
@@ -160,7 +159,7 @@
 			err = fmt.Errorf("%d: %s", m.Status, m.Body)
 		}
 		if n%len(to) == 0 {
-			s.log.Info("store: not let in yet", "by", at, "err", err)
+			s.log.Info("store not rejoined yet", "by", at, "err", err)
 		}
 		if !s.sleepHalfBeat(ctx) {
 			return
--- a/internal/store/guard.go
+++ b/internal/store/guard.go
@@ -174,8 +174,8 @@
 func (s *Store) assess(ctx context.Context) {
 	for said := false; s.addressElsewhere() != ""; said = true {
 		if !said {
-			s.log.Warn("store: this member is not where its store has it: its folder may be a copy, and both were started. It gives no vote; "+
-				"with store.join it asks to be let in here", "listens", s.cfg.Listen, "members have", s.addressElsewhere())
+			s.log.Warn("store member known at another address, not voting; its folder may be a copy",
+				"listen", s.cfg.Listen, "known", s.addressElsewhere(), "do", "stop the other process, or set store.join")
 		}
 		if !s.sleepHalfBeat(ctx) {
 			return
@@ -190,22 +190,21 @@
 		}
 		s.guard.setAssessment(r)
 		if r.Regressed && said == "" {
-			s.log.Warn("store: this member has less than it had acknowledged: its disk lost what it said was written, or its folder was "+
-				"put back. It votes for nobody who has less than that", "has", s.folderAtStart.Last, "acknowledged", r.Floor.Last, "voted in term", r.Floor.Term)
+			s.log.Warn("store member lost acknowledged entries, restricting its votes", "last", s.folderAtStart.Last,
+				"acknowledged", r.Floor.Last, "voted_term", r.Floor.Term)
 		}
 		if r.Complete {
 			if err := s.disk.watermark.arm(laterPosition(s.folderAtStart.Last, r.Floor.Last), max(s.folderAtStart.Term, r.Floor.Term)); err != nil {
-				s.log.Warn("store: the mark can not be made: at the next start others are asked", "err", err)
+				s.log.Warn("store watermark not written", "err", err)
 			}
 			if len(r.Missing) == 0 && !r.Regressed {
-				s.log.Debug("store: nothing is known to be forgotten", "has", s.folderAtStart.Last, "floor", r.Floor.Last)
+				s.log.Debug("store member may vote", "last", s.folderAtStart.Last, "floor", r.Floor.Last)
 			}
 			return
 		}
 		if text := fmt.Sprint(r.Missing); text != said {
 			said = text
-			s.log.Info("store: nothing on this machine says how far this member got: it gives no vote until enough others have said "+
-				"where they stand", "missing", r.Missing)
+			s.log.Info("store member not voting, waiting for the positions of others", "missing", r.Missing)
 		}
 		if !s.sleepHalfBeat(ctx) {
 			return
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -20,97 +20,147 @@
 	"gatetack/internal/membership"
 )
 
-// inspectFolder looks at a member's folder before anything of it is used, and takes out what can not be trusted: a snapshot, the log
-// from a bad entry on, or all of it. What is taken out is put aside, not deleted. It says how far the log had gone, as far as
-// that can still be read: the member has forgotten that, and gets it from the others.
-func inspectFolder(dir string, alone bool, lim limits.Limits, quiet hclog.Logger, log *slog.Logger) (lost membership.Position, err error) {
-	path := filepath.Join(dir, "raft.db")
-	aside := func(name string, why error) error {
-		to := filepath.Join(dir, filepath.Base(name)+time.Now().UTC().Format(".damaged-20060102T150405.000000000"))
-		if alone {
-			return errors.Join(&DamagedError{name, "and no other member has what it held"}, why)
-		}
-		log.Error("store: damage was found in this member's folder; it is put aside, and what it held is copied from the others",
-			"what", name, "why", why, "to", to)
-		return os.Rename(name, to)
-	}
-	if _, err := os.Stat(path); err == nil {
-		if why := verifyPages(path); why != nil {
-			if err := aside(path, why); err != nil {
-				return lost, err
+// Names in a member's folder.
+const (
+	logFile      = "raft.db"
+	snapshotsDir = "snapshots" // as hashicorp/raft names it
+
+	retainedSnapshots = 2
+)
+
+// inspection looks at a member's folder before anything of it is used, and moves away what can not be trusted: a snapshot,
+// the log from a damaged entry on, or all of it. Nothing is deleted but log entries that others have.
+type inspection struct {
+	dir   string
+	alone bool // no other member has what is damaged
+	lim   limits.Limits
+	quiet hclog.Logger
+	log   *slog.Logger
+
+	unreadable membership.Position // the end of what the folder had and can not be read any more
+	covered    uint64              // entries up to this one are in a good snapshot
+	damaged    bool                // a snapshot was moved away
+}
+
+// inspectFolder inspects a folder. It returns the end of what the folder had and can not be read any more, as far as that is
+// known: the member gets it from the others.
+func inspectFolder(dir string, alone bool, lim limits.Limits, quiet hclog.Logger,
+	log *slog.Logger) (unreadable membership.Position, err error) {
+	in := &inspection{dir: dir, alone: alone, lim: lim, quiet: quiet, log: log}
+	err = in.run()
+	return in.unreadable, err
+}
+
+func (in *inspection) run() error {
+	path := filepath.Join(in.dir, logFile)
+	_, err := os.Stat(path)
+	exists := err == nil
+	if exists {
+		if damage := verifyPages(path); damage != nil {
+			if err := in.moveAside(path, damage); err != nil {
+				return err
 			}
-			// Snapshots without the votes and the log that followed them would begin an earlier state of this identity.
-			return lost, wipeSnapshots(dir, aside)
+			// Without the votes and the log, a snapshot would be an earlier state under the same identity.
+			return in.moveSnapshotsAside()
 		}
 	}
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, quiet)
+	if err := in.inspectSnapshots(); err != nil || !exists {
+		return err
+	}
+	return in.inspectLog(path)
+}
+
+// moveAside renames a damaged file or directory. A member that is alone does not start instead: nobody has a copy.
+func (in *inspection) moveAside(name string, damage error) error {
+	if in.alone {
+		return errors.Join(&DamagedError{name, "and no other member has what it held"}, damage)
+	}
+	to := filepath.Join(in.dir, filepath.Base(name)+time.Now().UTC().Format(".damaged-20060102T150405.000000000"))
+	in.log.Error("store folder damaged, moving a part aside and copying it from the other members",
+		"path", name, "to", to, "err", damage)
+	return os.Rename(name, to)
+}
+
+// inspectSnapshots reads all snapshots, the newest first.
+func (in *inspection) inspectSnapshots() error {
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(in.dir, retainedSnapshots, in.quiet)
 	if err != nil {
-		return lost, err
+		return err
 	}
-	metas, err := snaps.List()
+	metas, err := snapshots.List()
 	if err != nil {
-		return lost, err
+		return err
 	}
-	covered := uint64(0)
-	bad := false
-	for _, m := range metas { // the newest first
-		_, r, err := snaps.Open(m.ID)
-		if err == nil {
-			_, rerr := readSnapshot(r, lim)
-			err = errors.Join(rerr, r.Close())
-		}
-		if err != nil {
-			if p := (membership.Position{Term: m.Term, Index: m.Index}); lost.Less(p) {
-				lost = p
-			}
-			bad = true
-			if err := aside(filepath.Join(dir, "snapshots", m.ID), err); err != nil {
-				return lost, err
-			}
+	for _, m := range metas {
+		damage := in.readSnapshot(snapshots, m.ID)
+		if damage == nil {
+			in.covered = max(in.covered, m.Index)
 			continue
 		}
-		covered = max(covered, m.Index)
+		in.lose(membership.Position{Term: m.Term, Index: m.Index})
+		in.damaged = true
+		if err := in.moveAside(filepath.Join(in.dir, snapshotsDir, m.ID), damage); err != nil {
+			return err
+		}
 	}
-	if _, err := os.Stat(path); err != nil {
-		return lost, nil
+	return nil
+}
+
+func (in *inspection) readSnapshot(snapshots raft.SnapshotStore, id string) error {
+	_, r, err := snapshots.Open(id)
+	if err != nil {
+		return err
 	}
+	_, err = readSnapshot(r, in.lim)
+	return errors.Join(err, r.Close())
+}
+
+// lose notes that the folder had entries up to a position.
+func (in *inspection) lose(end membership.Position) {
+	if in.unreadable.Less(end) {
+		in.unreadable = end
+	}
+}
+
+// inspectLog reads the log's entries and truncates it before a damaged one.
+func (in *inspection) inspectLog(path string) error {
 	b, err := openLog(path)
 	if err != nil {
-		return lost, err
-	}
-	first, last, end, why := readableEntries(b, covered)
-	if lost.Less(end) && why != nil {
-		lost = end
+		return err
 	}
+	first, last, end, damage := readableEntries(b, in.covered)
 	switch {
-	case why != nil && alone && last > covered:
-		err = errors.Join(&DamagedError{path, "and no other member has what it held"}, why)
-	case why != nil:
-		log.Error("store: entries of the log are damaged: it is cut off before them, and they are copied from the others", "why", why,
-			"left", last, "held", end)
+	case damage != nil && in.alone && last > in.covered:
+		in.lose(end)
+		err = errors.Join(&DamagedError{path, "and no other member has what it held"}, damage)
+	case damage != nil:
+		in.lose(end)
+		in.log.Error("store log damaged, truncating it and copying entries from the other members",
+			"last", last, "end", end, "err", damage)
 		err = b.DeleteRange(last+1, end.Index)
 	}
-	err = errors.Join(err, b.Close())
-	if err != nil {
-		return lost, err
+	if err = errors.Join(err, b.Close()); err != nil {
+		return err
 	}
-	if first > covered+1 && (bad || covered == 0) {
-		// What stood between the snapshot that is left and the log is gone: nothing here makes a state.
-		if err := aside(path, fmt.Errorf("the log begins at entry %d, and what came before it after entry %d can not be read", first, covered)); err != nil {
-			return lost, err
-		}
-		return lost, wipeSnapshots(dir, aside)
+	if first <= in.covered+1 || !in.damaged && in.covered > 0 {
+		return nil
 	}
-	return lost, nil
+	// The entries between the remaining snapshot and the log are lost, so that there is no complete state.
+	err = in.moveAside(path, fmt.Errorf("the log begins at entry %d, and what came before it after entry %d can not be read",
+		first, in.covered))
+	if err != nil {
+		return err
+	}
+	return in.moveSnapshotsAside()
 }
 
-// wipeSnapshots puts all snapshots aside.
-func wipeSnapshots(dir string, aside func(string, error) error) error {
-	at := filepath.Join(dir, "snapshots")
-	if _, err := os.Stat(at); err != nil {
+// moveSnapshotsAside moves all snapshots aside.
+func (in *inspection) moveSnapshotsAside() error {
+	path := filepath.Join(in.dir, snapshotsDir)
+	if _, err := os.Stat(path); err != nil {
 		return nil
 	}
-	return aside(at, errors.New("the log that belongs to them is damaged"))
+	return in.moveAside(path, errors.New("the log that belongs to them is damaged"))
 }
 
 // openLog opens the log's file. Which of its pages are free is not kept in it: a damaged list of them would have the library
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -95,7 +95,7 @@
 		return http1.Text(503, "%v", err)
 	}
 	if x.Verb != membership.NoChange {
-		s.log.Info("store: the membership has changed", "verb", v.Get("verb").String(), "name", x.Name, "address", x.Address)
+		s.log.Info("store membership changed", "verb", v.Get("verb").String(), "name", x.Name, "address", x.Address)
 	}
 	if all, err = s.Members(); err != nil {
 		return http1.Text(503, "%v", err)
@@ -155,9 +155,9 @@
 		m, err := s.requestChange(ctx, to, map[string]any{"verb": verb, "applied": s.raft.AppliedIndex()})
 		switch {
 		case err != nil:
-			s.log.Info("store: joining", "by", to, "err", err)
+			s.log.Info("store not joined yet", "by", to, "err", err)
 		case m.Status != 200:
-			s.log.Warn("store: joining is refused", "by", to, "status", m.Status, "why", string(m.Body))
+			s.log.Warn("store join rejected", "by", to, "status", m.Status, "reason", string(m.Body))
 		}
 		select {
 		case <-time.After(s.lim.StoreBeat):
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -27,11 +27,11 @@
 	}
 	c := raft.DefaultConfig()
 	c.LocalID, c.Logger = raft.ServerID(name), hclog.NewNullLogger()
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, c.Logger)
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, c.Logger)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	path := filepath.Join(dir, "raft.db")
+	path := filepath.Join(dir, logFile)
 	log, err := boltdb.New(boltdb.Options{Path: path, BoltOptions: &bolt.Options{Timeout: time.Second}})
 	if err != nil {
 		return fmt.Errorf("store: %s: is its node still running? %w", path, err)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -112,12 +112,12 @@
 	if err != nil {
 		return err
 	}
-	log, err := openLog(filepath.Join(s.cfg.Dir, "raft.db"))
+	log, err := openLog(filepath.Join(s.cfg.Dir, logFile))
 	if err != nil {
 		return err
 	}
 	s.disk = newDisk(log, s.cfg.writeFault)
-	if s.disk.SnapshotStore, err = raft.NewFileSnapshotStoreWithLogger(s.cfg.Dir, 2, quiet); err != nil {
+	if s.disk.SnapshotStore, err = raft.NewFileSnapshotStoreWithLogger(s.cfg.Dir, retainedSnapshots, quiet); err != nil {
 		return err
 	}
 	known, err := raft.HasExistingState(s.disk, s.disk, s.disk)
@@ -129,7 +129,7 @@
 	}
 	boot := bootID()
 	if s.disk.watermark, s.watermarkAtStart, err = openWatermark(s.cfg.Marks, s.folderIdentity, boot); err != nil {
-		s.log.Warn("store: how far this member gets can not be kept in the machine's memory: at its next start others are asked", "dir", s.cfg.Marks, "err", err)
+		s.log.Warn("store watermark not available", "dir", s.cfg.Marks, "err", err)
 	}
 	last, term := s.disk.lastPosition()
 	s.folderAtStart = membership.Folder{Name: s.cfg.Name, Identity: s.folderIdentity, Last: last, Term: term, Unreadable: lost, Boot: boot, TrustDisk: s.cfg.Trust}
@@ -211,7 +211,7 @@
 		}
 		if due := s.fsm.nextLeaseEnd(); due > 0 && s.Leads() && due <= s.now() {
 			if _, err := s.apply(ctx, &kv.Txn{}); err != nil {
-				s.log.Debug("store: leases that are due", "err", err)
+				s.log.Debug("store leases not expired", "err", err)
 			}
 		}
 	}
--- a/internal/store/verify.go
+++ b/internal/store/verify.go
@@ -28,7 +28,7 @@
 		}
 		_, _ = fmt.Fprintf(w, "good  %s: %s\n", what, fmt.Sprintf(format, args...))
 	}
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, hclog.NewNullLogger())
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, hclog.NewNullLogger())
 	if err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 		}
 		say("snapshot "+m.ID, err, "%d values up to entry %d", values, m.Index)
 	}
-	path := filepath.Join(dir, "raft.db")
+	path := filepath.Join(dir, logFile)
 	err = verifyPages(path)
 	say("pages of "+path, err, "all in order")
 	if err == nil {
--- a/test/copies_test.go
+++ b/test/copies_test.go
@@ -59,7 +59,7 @@
 			return err == nil && strings.Contains(out, "kept")
 		})
 	}
-	f[1].until("the one that forgot says so", func() bool { return f[1].logged("this member has forgotten what it held") })
+	f[1].until("the one that forgot says so", func() bool { return f[1].logged("store folder empty and known to others, rejoining without a vote") })
 	f[1].until("it votes again", func() bool {
 		out, err := f[1].stored("members")
 		return err == nil && strings.Count(out, `"voter": true`)+strings.Count(out, `"voter":true`) == 3
--- a/test/lies_test.go
+++ b/test/lies_test.go
@@ -106,8 +106,8 @@
 		lost bool
 		says string
 	}{
-		{"its machine remembers", false, "this member has less than it had acknowledged"},
-		{"nothing remembers on its machine", true, "it gives no vote until enough others have said"},
+		{"its machine remembers", false, "store member lost acknowledged entries, restricting its votes"},
+		{"nothing remembers on its machine", true, "store member not voting, waiting for the positions of others"},
 	} {
 		t.Run(x.what, func(t *testing.T) {
 			f := lied(t, "", x.lost)
@@ -161,7 +161,7 @@
 		f[i%3].writes("k", string(rune('a'+i)))
 	}
 	twin.until("the copy says so", func() bool {
-		return twin.logged("is not where its store has it")
+		return twin.logged("store member known at another address, not voting")
 	})
 	f[0].kill()
 	f[2].writes("after", "y")
