--- a/internal/jobqueue/clock_test.go
+++ b/internal/jobqueue/clock_test.go
@@ -84,7 +84,9 @@
 func TestStartedArrayIsNotStoppedByAStepBack(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		q, now := New(), time.Now()
-		q.Add(Item{ID: "array", Session: "s", Start: now.Round(0).Add(-time.Millisecond), Array: true, End: 9, Step: 1, MaxParallel: 1}, now)
+		array := Item{ID: "array", Session: "s", Start: now.Round(0).Add(-time.Millisecond),
+			Array: true, End: 9, Step: 1, MaxParallel: 1}
+		q.Add(array, now)
 		for index := range 10 {
 			refs, _ := q.Next(now, 1)
 			if len(refs) != 1 || refs[0].Index != index {
--- a/internal/jobqueue/control.go
+++ b/internal/jobqueue/control.go
@@ -21,8 +21,8 @@
 	return true
 }
 
-// Remove removes what of an item still waits, and returns which jobs that were: those that were rejected, and an array's
-// from its next index on. Jobs in flight stay in flight, and end as they end.
+// Remove removes what of an item still waits, and returns which jobs that were: those that were rejected, and an
+// array's from its next index on. Jobs in flight stay in flight, and end as they end.
 func (q *Queue) Remove(id string, now time.Time) (refs []JobRef) {
 	item := q.items[id]
 	if item == nil {
--- a/internal/jobqueue/item.go
+++ b/internal/jobqueue/item.go
@@ -99,7 +99,9 @@
 }
 
 // atMaxParallel reports whether an array has as many members in flight as it may.
-func (i *queuedItem) atMaxParallel() bool { return i.MaxParallel > 0 && len(i.inFlight) >= i.MaxParallel }
+func (i *queuedItem) atMaxParallel() bool {
+	return i.MaxParallel > 0 && len(i.inFlight) >= i.MaxParallel
+}
 
 // take returns the next job of an item: what was rejected first, then the range.
 func (i *queuedItem) take() int {
--- a/internal/jobqueue/queue.go
+++ b/internal/jobqueue/queue.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// dateCheckInterval is how often start dates are compared with the wall clock while any is to come. A timer for the whole
-// wait would not notice that the clock was set.
+// dateCheckInterval is how often start dates are compared with the wall clock while any is to come. A timer for the
+// whole wait would not notice that the clock was set.
 const dateCheckInterval = time.Second
 
 // Queue holds the items that wait, and counts their jobs in flight. It is not safe for concurrent use.
--- a/internal/jobqueue/queue_test.go
+++ b/internal/jobqueue/queue_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -12,170 +13,236 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// Under any order of calls each job is handed out once for each time it waits, holds, starts and MaxParallel are kept,
-// and what is counted adds up.
-func TestAnyOrder(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		q, now := New(), epoch
-		type fate struct{ waits, out, over int }
-		items, fates, out := map[string]*Item{}, map[string]*fate{}, []JobRef{}
-		notBefore := map[string]time.Time{}
-		total := func() (waits, outs int) {
-			for _, f := range fates {
-				waits, outs = waits+f.waits, outs+f.out
-			}
-			return waits, outs
+// expected is what a queue has to know of an item.
+type expected struct {
+	item      *Item
+	waiting   int
+	inFlight  int
+	notBefore time.Time
+}
+
+func (e *expected) isDone() bool { return e == nil || e.waiting+e.inFlight == 0 }
+
+// waits reports whether any of an item waits.
+func (e *expected) waits() bool { return e != nil && e.waiting > 0 }
+
+// queueModel calls a queue at random and counts what it has to know.
+type queueModel struct {
+	t        *rapid.T
+	queue    *Queue
+	now      time.Time
+	items    map[string]*expected
+	inFlight []JobRef
+}
+
+func drawID(t *rapid.T) string { return fmt.Sprint("j", rapid.IntRange(0, 9).Draw(t, "id")) }
+
+// drawItem draws a job or an array.
+func (m *queueModel) drawItem(id string) *Item {
+	t := m.t
+	item := &Item{ID: id, Session: fmt.Sprint("s", rapid.IntRange(0, 2).Draw(t, "session")),
+		Priority: rapid.IntRange(-1, 1).Draw(t, "priority"), Held: rapid.IntRange(0, 4).Draw(t, "held") == 0}
+	if rapid.Bool().Draw(t, "has a start") {
+		item.Start = m.now.Add(time.Duration(rapid.IntRange(-5, 20).Draw(t, "start")) * time.Second)
+	}
+	if rapid.Bool().Draw(t, "array") {
+		item.Array = true
+		item.Begin, item.Step = rapid.IntRange(0, 5).Draw(t, "begin"), rapid.IntRange(1, 3).Draw(t, "step")
+		item.End = item.Begin + rapid.IntRange(0, 20).Draw(t, "span")
+		item.MaxParallel = rapid.IntRange(0, 4).Draw(t, "parallel")
+	}
+	return item
+}
+
+func (m *queueModel) add(id string) {
+	item := m.drawItem(id)
+	free := m.items[id].isDone()
+	if m.queue.Add(*item, m.now) != free {
+		m.t.Fatalf("added %s: want %v", id, free)
+	}
+	if free {
+		m.items[id] = &expected{item: item, waiting: item.Size(), notBefore: item.Start}
+	}
+}
+
+func (m *queueModel) next() {
+	refs, _ := m.queue.Next(m.now, rapid.IntRange(0, 8).Draw(m.t, "limit"))
+	for _, ref := range refs {
+		e := m.items[ref.ID]
+		e.waiting, e.inFlight = e.waiting-1, e.inFlight+1
+		if e.waiting < 0 || e.item.Held || e.notBefore.After(m.now) ||
+			e.item.MaxParallel > 0 && e.inFlight > e.item.MaxParallel {
+			m.t.Fatalf("handed out %v of %+v: %+v", ref, e.item, e)
 		}
+		if slices.Contains(m.inFlight, ref) {
+			m.t.Fatalf("%v is in flight twice", ref)
+		}
+		m.inFlight = append(m.inFlight, ref)
+	}
+}
+
+// land ends or rejects a job in flight.
+func (m *queueModel) land() {
+	if len(m.inFlight) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(m.t, "which")
+	ref := m.inFlight[i]
+	m.inFlight = slices.Delete(m.inFlight, i, i+1)
+	e := m.items[ref.ID]
+	e.inFlight--
+	if !rapid.Bool().Draw(m.t, "rejected") {
+		m.queue.Ended(ref, m.now)
+		m.queue.Ended(ref, m.now) // reported twice
+		return
+	}
+	e.waiting++
+	retryAt := m.now.Add(time.Duration(rapid.IntRange(0, 5).Draw(m.t, "retry")) * time.Second)
+	if retryAt.After(e.notBefore) {
+		e.notBefore = retryAt
+	}
+	m.queue.Rejected(ref, retryAt, m.now)
+}
+
+func (m *queueModel) hold(id string) {
+	e := m.items[id]
+	if m.queue.Hold(id, m.now) != e.waits() {
+		m.t.Fatalf("hold %s: %+v", id, e)
+	}
+	if e.waits() {
+		e.item.Held = true
+	}
+}
+
+func (m *queueModel) release(id string) {
+	if e := m.items[id]; e.waits() {
+		e.item.Held = false
+	}
+	m.queue.Release(id, m.now)
+}
+
+func (m *queueModel) remove(id string) {
+	e := m.items[id]
+	if e != nil && e.item.Array && rapid.Bool().Draw(m.t, "one") {
+		if m.queue.RemoveOne(JobRef{id, rapid.IntRange(0, 30).Draw(m.t, "index")}, m.now) {
+			e.waiting--
+		}
+		return
+	}
+	removed := len(m.queue.Remove(id, m.now))
+	switch {
+	case e == nil && removed > 0, e != nil && removed != e.waiting:
+		m.t.Fatalf("removed %d of %s: %+v", removed, id, e)
+	case e != nil:
+		e.waiting = 0
+	}
+}
+
+// checkCounts compares the queue's counts with the model's.
+func (m *queueModel) checkCounts() {
+	waiting, inFlight := 0, 0
+	for _, e := range m.items {
+		waiting, inFlight = waiting+e.waiting, inFlight+e.inFlight
+	}
+	if m.queue.Waiting() != waiting || m.queue.InFlight() != inFlight {
+		m.t.Fatalf("%d wait and %d in flight, want %d and %d", m.queue.Waiting(), m.queue.InFlight(), waiting, inFlight)
+	}
+}
+
+// drain checks that all that is not held is handed out in the end, whatever was done before, and that nothing is left.
+func (m *queueModel) drain() {
+	for id := range m.items {
+		m.queue.Release(id, m.now)
+	}
+	ending := m.inFlight
+	for n := 0; ; n++ {
+		m.now = m.now.Add(time.Hour)
+		refs, _ := m.queue.Next(m.now, 10)
+		for _, ref := range append(refs, ending...) {
+			m.queue.Ended(ref, m.now)
+		}
+		ending = nil
+		if m.queue.Waiting() == 0 {
+			break
+		}
+		if n > 1000 {
+			m.t.Fatalf("%d jobs are never handed out", m.queue.Waiting())
+		}
+	}
+	if m.queue.InFlight() != 0 || len(m.queue.items) != 0 || len(m.queue.sessions) != 0 {
+		m.t.Fatalf("left: %d in flight, %d items, %d sessions", m.queue.InFlight(), len(m.queue.items),
+			len(m.queue.sessions))
+	}
+}
+
+// Under any order of calls each job is handed out once for each time it waits, holds, starts and MaxParallel are
+// kept, and the counts add up.
+func TestJobsAreHandedOutOnceUnderAnyOrderOfCalls(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := &queueModel{t: t, queue: New(), now: epoch, items: map[string]*expected{}}
 		for range rapid.IntRange(1, 80).Draw(t, "calls") {
-			id := fmt.Sprint("j", rapid.IntRange(0, 9).Draw(t, "id"))
+			id := drawID(t)
 			switch rapid.IntRange(0, 7).Draw(t, "call") {
 			case 0, 1:
-				x := Item{ID: id, Session: fmt.Sprint("s", rapid.IntRange(0, 2).Draw(t, "session")),
-					Priority: rapid.IntRange(-1, 1).Draw(t, "priority"), Held: rapid.IntRange(0, 4).Draw(t, "held") == 0}
-				if rapid.Bool().Draw(t, "later") {
-					x.Start = now.Add(time.Duration(rapid.IntRange(-5, 20).Draw(t, "start")) * time.Second)
-				}
-				if rapid.Bool().Draw(t, "array") {
-					x.Array, x.Begin, x.Step = true, rapid.IntRange(0, 5).Draw(t, "begin"), rapid.IntRange(1, 3).Draw(t, "step")
-					x.End, x.MaxParallel = x.Begin+rapid.IntRange(0, 20).Draw(t, "span"), rapid.IntRange(0, 4).Draw(t, "parallel")
-				}
-				f := fates[id]
-				if free := f == nil || f.waits+f.out == 0; q.Add(x, now) != free {
-					t.Fatalf("added %s: want %v", id, free)
-				} else if free {
-					items[id], fates[id], notBefore[id] = &x, &fate{waits: x.Size()}, x.Start
-				}
+				m.add(id)
 			case 2, 3:
-				refs, _ := q.Next(now, rapid.IntRange(0, 8).Draw(t, "room"))
-				for _, r := range refs {
-					f, x := fates[r.ID], items[r.ID]
-					f.waits, f.out = f.waits-1, f.out+1
-					if f.waits < 0 || x.Held || notBefore[r.ID].After(now) || x.MaxParallel > 0 && f.out > x.MaxParallel {
-						t.Fatalf("handed out %v of %+v: %+v", r, x, f)
-					}
-					for _, o := range out {
-						if o == r {
-							t.Fatalf("%v is out twice", r)
-						}
-					}
-					out = append(out, r)
-				}
+				m.next()
 			case 4:
-				if len(out) == 0 {
-					continue
-				}
-				i := rapid.IntRange(0, len(out)-1).Draw(t, "which")
-				r := out[i]
-				out = append(out[:i:i], out[i+1:]...)
-				f := fates[r.ID]
-				f.out--
-				if rapid.Bool().Draw(t, "refused") {
-					f.waits++
-					again := now.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "again")) * time.Second)
-					if again.After(notBefore[r.ID]) {
-						notBefore[r.ID] = again
-					}
-					q.Rejected(r, again, now)
-				} else {
-					f.over++
-					q.Ended(r, now)
-					q.Ended(r, now) // told twice
-				}
+				m.land()
 			case 5:
-				if f := fates[id]; q.Hold(id, now) != (f != nil && f.waits > 0) {
-					t.Fatalf("hold %s: %+v", id, f)
-				} else if f != nil && f.waits > 0 {
-					items[id].Held = true
-				}
+				m.hold(id)
 			case 6:
-				if f := fates[id]; f != nil && f.waits > 0 {
-					items[id].Held = false
-				}
-				q.Release(id, now)
+				m.release(id)
 			case 7:
-				f := fates[id]
-				if x := items[id]; x != nil && x.Array && rapid.Bool().Draw(t, "one") {
-					if q.RemoveOne(JobRef{id, rapid.IntRange(0, 30).Draw(t, "index")}, now) {
-						f.waits--
-					}
-				} else if refs := q.Remove(id, now); f != nil && len(refs) != f.waits || f == nil && len(refs) > 0 {
-					t.Fatalf("removed %d of %s: %+v", len(refs), id, f)
-				} else if f != nil {
-					f.waits = 0
-				}
-			}
-			now = now.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "seconds")) * time.Second)
-			if waits, outs := total(); q.Waiting() != waits || q.InFlight() != outs {
-				t.Fatalf("%d wait and %d out, want %d and %d", q.Waiting(), q.InFlight(), waits, outs)
+				m.remove(id)
 			}
+			m.now = m.now.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "seconds")) * time.Second)
+			m.checkCounts()
 		}
-		// All that is not held comes out in the end, whatever was done before.
-		for _, x := range items {
-			q.Release(x.ID, now)
-			x.Held = false
-		}
-		for n := 0; ; n++ {
-			now = now.Add(time.Hour)
-			refs, _ := q.Next(now, 10)
-			for _, r := range append(refs, out...) {
-				q.Ended(r, now)
-			}
-			out = nil
-			if q.Waiting() == 0 {
-				break
-			}
-			if n > 1000 {
-				t.Fatalf("%d jobs never come out", q.Waiting())
-			}
-		}
-		if q.InFlight() != 0 || len(q.items) != 0 || len(q.sessions) != 0 {
-			t.Fatalf("left over: %d out, %d items, %d sessions", q.InFlight(), len(q.items), len(q.sessions))
-		}
+		m.drain()
 	})
 }
 
 // A session with a large array takes turns with a small one; within a session priority goes first.
-func TestFairBetweenSessions(t *testing.T) {
+func TestSessionsTakeTurns(t *testing.T) {
 	q := New()
 	q.Add(Item{ID: "big", Session: "a", Array: true, Begin: 1, End: 10000, Step: 1}, epoch)
 	q.Add(Item{ID: "low", Session: "b"}, epoch)
 	q.Add(Item{ID: "high", Session: "b", Priority: 5}, epoch)
 	refs, _ := q.Next(epoch, 5)
-	want := []JobRef{{"big", 1}, {"high", 0}, {"big", 2}, {"low", 0}, {"big", 3}}
-	for i := range want {
-		if i >= len(refs) || refs[i] != want[i] {
-			t.Fatalf("%v, want %v", refs, want)
-		}
+	if want := []JobRef{{"big", 1}, {"high", 0}, {"big", 2}, {"low", 0}, {"big", 3}}; !slices.Equal(refs, want) {
+		t.Fatalf("%v, want %v", refs, want)
 	}
 	if q.Waiting() != 9997 {
 		t.Errorf("%d wait", q.Waiting())
 	}
 }
 
-// A job is handed out at its start time, and Next says when that is; a refused one comes back when it may.
-func TestStartsAndRefusals(t *testing.T) {
+// A job is handed out at its start date, and Next says when to look: each second, as the clock may be set meanwhile,
+// and at the date itself. A rejected job comes back when it may.
+func TestJobsWaitForTheirStartAndTheirRetry(t *testing.T) {
 	q := New()
-	q.Add(Item{ID: "later", Session: "a", Start: epoch.Add(time.Minute)}, epoch)
-	// The date is looked at each second, as the clock may be set meanwhile, and at the date itself.
-	if refs, wake := q.Next(epoch, 9); len(refs) != 0 || wake != epoch.Add(dateCheckInterval) {
-		t.Fatalf("%v, ask again at %v", refs, wake)
+	start := epoch.Add(time.Minute)
+	q.Add(Item{ID: "later", Session: "a", Start: start}, epoch)
+	if refs, again := q.Next(epoch, 9); len(refs) != 0 || again != epoch.Add(dateCheckInterval) {
+		t.Fatalf("%v, again at %v", refs, again)
 	}
-	if refs, wake := q.Next(epoch.Add(59500*time.Millisecond), 9); len(refs) != 0 || wake != epoch.Add(time.Minute) {
-		t.Fatalf("%v, ask again at %v", refs, wake)
+	if refs, again := q.Next(start.Add(-dateCheckInterval/2), 9); len(refs) != 0 || again != start {
+		t.Fatalf("%v, again at %v", refs, again)
 	}
-	at := epoch.Add(time.Minute)
-	refs, wake := q.Next(at, 9)
-	if len(refs) != 1 || !wake.IsZero() {
-		t.Fatalf("%v, ask again at %v", refs, wake)
+	refs, again := q.Next(start, 9)
+	if len(refs) != 1 || !again.IsZero() {
+		t.Fatalf("%v, again at %v", refs, again)
 	}
-	q.Rejected(refs[0], at.Add(time.Second), at)
-	if refs, wake = q.Next(at, 9); len(refs) != 0 || wake != at.Add(time.Second) {
-		t.Fatalf("%v, ask again at %v", refs, wake)
+	retryAt := start.Add(time.Second)
+	q.Rejected(refs[0], retryAt, start)
+	if refs, again = q.Next(start, 9); len(refs) != 0 || again != retryAt {
+		t.Fatalf("%v, again at %v", refs, again)
 	}
-	if refs, _ = q.Next(at.Add(time.Second), 9); len(refs) != 1 {
-		t.Fatal("a refused job never comes back")
+	if refs, _ = q.Next(retryAt, 9); len(refs) != 1 {
+		t.Fatal("a rejected job never comes back")
 	}
-	q.Ended(refs[0], at)
+	q.Ended(refs[0], start)
 	if q.Contains("later") || q.Waiting() != 0 {
 		t.Error("it is kept after its end")
 	}
@@ -184,12 +251,13 @@
 func BenchmarkNext(b *testing.B) {
 	q := New()
 	for i := range 100 {
-		q.Add(Item{ID: fmt.Sprint(i), Session: fmt.Sprint("s", i%10), Array: true, Begin: 0, End: 1 << 40, Step: 1, MaxParallel: 50}, epoch)
+		item := Item{ID: fmt.Sprint(i), Session: fmt.Sprint("s", i%10), Array: true, End: 1 << 40, Step: 1, MaxParallel: 50}
+		q.Add(item, epoch)
 	}
 	for b.Loop() {
 		refs, _ := q.Next(epoch, 10)
-		for _, r := range refs {
-			q.Ended(r, epoch)
+		for _, ref := range refs {
+			q.Ended(ref, epoch)
 		}
 	}
 }
