--- a/cmd/gatetack/keys.go
+++ b/cmd/gatetack/keys.go
@@ -54,7 +54,7 @@
 }
 
 func showKeys(cmd *cobra.Command, args []string) error {
-	certificates, err := pki.Show(args[0])
+	certificates, err := pki.Describe(args[0])
 	if err != nil {
 		return err
 	}
