--- a/internal/migration/device.go
+++ b/internal/migration/device.go
@@ -2,6 +2,16 @@
 
 import "math"
 
+const (
+	minCalls = 0.01 // decayed calls under which a zone is forgotten
+
+	// An actor that comes back to a zone within recentCooldowns cooldowns returns; one that stays put for as long has no
+	// returns any more.
+	recentCooldowns = 8
+
+	maxDoublings = 6 // of the cooldown, by returns
+)
+
 // Device is the history of an actor's device.
 type Device struct {
 	zone      string // of the latest calls
@@ -21,7 +31,7 @@
 	}
 	fade := math.Exp(-(now - d.at) / r.CallMemory)
 	for z := range d.calls {
-		if d.calls[z] *= fade; d.calls[z] < 0.01 {
+		if d.calls[z] *= fade; d.calls[z] < minCalls {
 			delete(d.calls, z)
 		}
 	}
@@ -44,16 +54,18 @@
 }
 
 // cooldown is how long the actor stays after its last move.
-func (d *Device) cooldown(r Rules) float64 { return r.Cooldown * float64(int(1)<<min(d.returns, 6)) }
+func (d *Device) cooldown(r Rules) float64 {
+	return r.Cooldown * float64(int(1)<<min(d.returns, maxDoublings))
+}
 
 // RecordMove records that the actor moved from one zone to another.
 func (d *Device) RecordMove(from, to string, now float64, r Rules) {
 	if d.leftAt == nil {
 		d.leftAt = map[string]float64{}
 	}
-	if at, ok := d.leftAt[to]; ok && now-at < 8*d.cooldown(r) {
+	if at, ok := d.leftAt[to]; ok && now-at < recentCooldowns*d.cooldown(r) {
 		d.returns++
-	} else if now-d.movedAt > 8*d.cooldown(r) {
+	} else if now-d.movedAt > recentCooldowns*d.cooldown(r) {
 		d.returns = 0
 	}
 	d.leftAt[from], d.movedAt = now, now
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -1,7 +1,8 @@
-// Package migration decides when an actor (package actor) moves after the device of its client, and to which node. It does no I/O,
-// reads no clock and starts no goroutine. An actor moves when its device has settled in another zone and a node there is worth the
-// move. Hysteresis keeps an actor whose device is at a border from moving back and forth: each return to a zone left recently doubles
-// the cooldown. A rate limit for each node bounds the moves when many devices change zones at once.
+// Package migration decides when an actor (package actor) moves after the device of its client, and to which node. It
+// does no I/O, reads no clock and starts no goroutine. An actor moves when its device has settled in another zone and
+// a node there is worth the move. Hysteresis keeps an actor whose device is at a border from moving back and forth:
+// each return to a zone left recently doubles the cooldown. A rate limit for each node bounds the moves when many
+// devices change zones at once.
 package migration
 
 import (
@@ -16,14 +17,17 @@
 	Unready    bool    // it recovers or shuts down, and takes no actors
 }
 
+const msPerSecond = 1000
+
 // moveBudget is a token bucket for the moves into or out of one node.
 type moveBudget struct{ tokens, refilledAt float64 }
 
+// available refills the bucket, and reports whether a move is left in it.
 func (b *moveBudget) available(now float64, r Rules) bool {
 	if b.refilledAt == 0 {
 		b.tokens = r.MoveBurst
 	}
-	b.tokens = min(r.MoveBurst, b.tokens+(now-b.refilledAt)/1000*r.MoveRate)
+	b.tokens = min(r.MoveBurst, b.tokens+(now-b.refilledAt)/msPerSecond*r.MoveRate)
 	b.refilledAt = now
 	return b.tokens >= 1
 }
@@ -38,8 +42,8 @@
 // NewPlanner returns a Planner.
 func NewPlanner(r Rules) *Planner { return &Planner{Rules: r, inbound: map[string]*moveBudget{}} }
 
-// Decide returns the node to which an actor at node here moves, or "", and the reason. It is called for each call of a client and
-// rarely needs the nodes.
+// Decide returns the node to which an actor at node here moves, or "", and the reason. It is called for each call of
+// a client and rarely needs the nodes.
 func (p *Planner) Decide(now float64, d *Device, here Node, nodes func() []Node) (to string, why string) {
 	zone, ok := d.settled(now, p.Rules)
 	switch {
@@ -65,7 +69,9 @@
 // target returns the least loaded node of a zone that takes actors, or "", and the reason.
 func (p *Planner) target(now float64, zone string, here Node, nodes []Node) (string, string) {
 	nodes = slices.Clone(nodes)
-	slices.SortFunc(nodes, func(x, y Node) int { return cmp.Or(cmp.Compare(x.Load, y.Load), cmp.Compare(x.Name, y.Name)) })
+	slices.SortFunc(nodes, func(x, y Node) int {
+		return cmp.Or(cmp.Compare(x.Load, y.Load), cmp.Compare(x.Name, y.Name))
+	})
 	why := "no node of its zone is there"
 	for _, n := range nodes {
 		if n.Zone != zone || n.Name == here.Name {
@@ -90,12 +96,15 @@
 	return "", why
 }
 
-// TakeoverOrder orders the actors of a lost node or zone by their last call, latest first. Its argument is the time of that call by id.
+// TakeoverOrder orders the actors of a lost node or zone by their last call, latest first. Its argument is the time
+// of that call by id.
 func TakeoverOrder(lastCalls map[string]float64) []string {
 	out := make([]string, 0, len(lastCalls))
 	for id := range lastCalls {
 		out = append(out, id)
 	}
-	slices.SortFunc(out, func(a, b string) int { return cmp.Or(cmp.Compare(lastCalls[b], lastCalls[a]), cmp.Compare(a, b)) })
+	slices.SortFunc(out, func(a, b string) int {
+		return cmp.Or(cmp.Compare(lastCalls[b], lastCalls[a]), cmp.Compare(a, b))
+	})
 	return out
 }
--- a/internal/migration/planner_test.go
+++ b/internal/migration/planner_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -9,122 +10,142 @@
 	_ "gatetack/internal/testrand"
 )
 
+// nodes returns nodes of these loads, in zones a, b and c in turn.
 func nodes(loads ...float64) (out []Node) {
-	for i, l := range loads {
-		out = append(out, Node{Name: fmt.Sprint("n", i), Zone: []string{"a", "b", "c"}[i%3], Load: l})
+	for i, load := range loads {
+		out = append(out, Node{Name: fmt.Sprint("n", i), Zone: []string{"a", "b", "c"}[i%3], Load: load})
 	}
 	return out
 }
 
-// drive has a device call every 100 ms, each time from a zone, and gives the moves.
-func drive(r Rules, all []Node, from Node, zones func(i int) string, calls int) (moves []string) {
-	b, d, here := NewPlanner(r), &Device{}, from
+// drive has a device call every 100 ms, each time from a zone, and returns the moves.
+func drive(rules Rules, all []Node, from Node, zones func(i int) string, calls int) (moves []string) {
+	planner, device, here := NewPlanner(rules), &Device{}, from
 	for i := range calls {
 		now := float64(100 * i)
-		d.ObserveCall(zones(i), now, r)
-		if to, _ := b.Decide(now, d, here, func() []Node { return all }); to != "" {
-			for _, n := range all {
-				if n.Name == to {
-					d.RecordMove(here.Zone, n.Zone, now, r)
-					here = n
-				}
-			}
-			moves = append(moves, to)
+		device.ObserveCall(zones(i), now, rules)
+		to, _ := planner.Decide(now, device, here, func() []Node { return all })
+		if to == "" {
+			continue
 		}
+		target := all[slices.IndexFunc(all, func(n Node) bool { return n.Name == to })]
+		device.RecordMove(here.Zone, target.Zone, now, rules)
+		here = target
+		moves = append(moves, to)
 	}
 	return moves
 }
 
-func TestFollows(t *testing.T) {
+func always(zone string) func(int) string { return func(int) string { return zone } }
+
+func TestActorFollowsItsDeviceToAReadyNode(t *testing.T) {
 	all := nodes(0.1, 0.1, 0.1, 0, 0.5, 0.95)
-	back := nodes(0.1, 0.1, 0.1)
-	back[1].Unready = true
-	for _, x := range []struct {
-		what  string
+	recovering := nodes(0.1, 0.1, 0.1)
+	recovering[1].Unready = true
+	leavesAfter := func(i int) string { return map[bool]string{true: "a", false: "b"}[i < 20] }
+	seldomElsewhere := func(i int) string { return map[bool]string{true: "b", false: "a"}[i%7 == 6] }
+	for _, c := range []struct {
+		name  string
 		all   []Node
 		zones func(int) string
 		want  string
 	}{
-		{"stays with its device", all, func(int) string { return "a" }, "[]"},
-		{"follows once", all, func(i int) string { return map[bool]string{true: "a", false: "b"}[i < 20] }, "[n1]"},
-		{"a call from elsewhere now and then moves nothing", all, func(i int) string { return map[bool]string{true: "b", false: "a"}[i%7 == 6] }, "[]"},
-		{"not to a node that is coming back", back, func(int) string { return "b" }, "[]"},
-		{"nor to a full one", nodes(0.1, 0.95, 0.1), func(int) string { return "b" }, "[]"},
-		{"to the least loaded", nodes(0.1, 0.8, 0.1, 0.1, 0.2), func(int) string { return "b" }, "[n4]"},
+		{"stays with its device", all, always("a"), "[]"},
+		{"follows once", all, leavesAfter, "[n1]"},
+		{"a call from elsewhere now and then moves nothing", all, seldomElsewhere, "[]"},
+		{"not to a node that recovers", recovering, always("b"), "[]"},
+		{"nor to a full one", nodes(0.1, 0.95, 0.1), always("b"), "[]"},
+		{"to the least loaded", nodes(0.1, 0.8, 0.1, 0.1, 0.2), always("b"), "[n4]"},
 	} {
-		if got := fmt.Sprint(drive(DefaultRules(), x.all, x.all[0], x.zones, 100)); got != x.want {
-			t.Errorf("%s: %s, want %s", x.what, got, x.want)
+		if got := fmt.Sprint(drive(DefaultRules(), c.all, c.all[0], c.zones, 100)); got != c.want {
+			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
 	}
 	// On a border, half a second here and half a second there for ten minutes: a few moves, ever further apart.
-	if n := len(drive(DefaultRules(), all, all[0], func(i int) string { return []string{"a", "b"}[i/8%2] }, 6000)); n > 12 {
+	border := func(i int) string { return []string{"a", "b"}[i/8%2] }
+	if n := len(drive(DefaultRules(), all, all[0], border, 6000)); n > 12 {
 		t.Errorf("%d moves of a device on a border", n)
 	}
 }
 
-// Whatever devices do: no more actors move into or out of a node than its budget, none to a node that takes none, and none sooner after
-// its last move than it is to stay.
-func TestBudgets(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		r := DefaultRules()
-		r.MoveRate, r.MoveBurst, r.Cooldown = 2, 3, 500
-		all := nodes(0.1, 0.2, 0.3)
-		b := NewPlanner(r)
-		type state struct {
-			d     *Device
-			here  Node
-			moved float64
+// hostedActor is an actor of the fleet below.
+type hostedActor struct {
+	device  *Device
+	here    Node
+	movedAt float64
+}
+
+// actorFleet moves actors between nodes by one planner, and records the moves.
+type actorFleet struct {
+	t       *rapid.T
+	rules   Rules
+	planner *Planner
+	nodes   []Node
+	now     float64
+	moves   map[string][]float64 // when actors moved to a node
+}
+
+// call has a device call from a zone, and fails the test for a move that is not allowed.
+func (f *actorFleet) call(a *hostedActor, zone string) {
+	a.device.ObserveCall(zone, f.now, f.rules)
+	to, _ := f.planner.Decide(f.now, a.device, a.here, func() []Node { return f.nodes })
+	if to == "" {
+		return
+	}
+	target := f.nodes[slices.IndexFunc(f.nodes, func(n Node) bool { return n.Name == to })]
+	if target.Unready || target.Load >= f.rules.MaxLoad || target.Name == a.here.Name {
+		f.t.Fatalf("an actor moves from %+v to %+v", a.here, target)
+	}
+	if f.now-a.movedAt < f.rules.Cooldown {
+		f.t.Fatalf("an actor moves %v ms after it moved", f.now-a.movedAt)
+	}
+	a.device.RecordMove(a.here.Zone, target.Zone, f.now, f.rules)
+	a.here, a.movedAt = target, f.now
+	f.moves[to] = append(f.moves[to], f.now)
+}
+
+// checkBudgets fails the test if more actors moved into a node within a second than its budget allows.
+func (f *actorFleet) checkBudgets() {
+	for name, times := range f.moves {
+		for i, from := range times {
+			within := 0
+			for _, at := range times[i:] {
+				if at-from <= msPerSecond {
+					within++
+				}
+			}
+			if within > int(f.rules.MoveBurst+f.rules.MoveRate)+1 {
+				f.t.Fatalf("%d moves into %s within a second", within, name)
+			}
 		}
-		actors := make([]state, 30)
+	}
+}
+
+// Whatever devices do: no more actors move into a node than its budget allows, none to a node that takes none, and none
+// sooner after its last move than the cooldown.
+func TestMovesKeepBudgetsAndCooldowns(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		rules := DefaultRules()
+		rules.MoveRate, rules.MoveBurst, rules.Cooldown = 2, 3, 500
+		f := &actorFleet{t: t, rules: rules, planner: NewPlanner(rules), nodes: nodes(0.1, 0.2, 0.3), now: 1,
+			moves: map[string][]float64{}}
+		actors := make([]hostedActor, 30)
 		for i := range actors {
-			actors[i] = state{&Device{}, all[0], -1e9}
+			actors[i] = hostedActor{&Device{}, f.nodes[0], -1e9}
 		}
-		moves := map[string][]float64{}
-		now := 1.0
 		for range rapid.IntRange(20, 120).Draw(t, "rounds") {
-			now += float64(rapid.IntRange(50, 400).Draw(t, "ms"))
-			all[rapid.IntRange(0, 2).Draw(t, "node")].Unready = rapid.IntRange(0, 4).Draw(t, "back") == 0
+			f.now += float64(rapid.IntRange(50, 400).Draw(t, "ms"))
+			f.nodes[rapid.IntRange(0, 2).Draw(t, "node")].Unready = rapid.IntRange(0, 4).Draw(t, "unready") == 0
 			zone := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")
 			for i := range actors {
-				s := &actors[i]
-				s.d.ObserveCall(zone, now, r)
-				to, _ := b.Decide(now, s.d, s.here, func() []Node { return all })
-				if to == "" {
-					continue
-				}
-				for _, n := range all {
-					if n.Name != to {
-						continue
-					}
-					if n.Unready || n.Load >= r.MaxLoad || n.Name == s.here.Name {
-						t.Fatalf("an actor moves from %+v to %+v", s.here, n)
-					}
-					if now-s.moved < r.Cooldown {
-						t.Fatalf("an actor moves %v ms after it moved", now-s.moved)
-					}
-					s.d.RecordMove(s.here.Zone, n.Zone, now, r)
-					s.here, s.moved = n, now
-					moves[to] = append(moves[to], now)
-				}
-			}
-		}
-		for name, at := range moves {
-			for i := range at {
-				n := 0
-				for _, x := range at[i:] {
-					if x-at[i] <= 1000 {
-						n++
-					}
-				}
-				if n > int(r.MoveBurst+r.MoveRate)+1 {
-					t.Fatalf("%d moves into %s within a second", n, name)
-				}
+				f.call(&actors[i], zone)
 			}
 		}
+		f.checkBudgets()
 	})
 }
 
-func TestLostDesksThatCallFirst(t *testing.T) {
+func TestTakeoverStartsWithTheLatestCall(t *testing.T) {
 	if got := fmt.Sprint(TakeoverOrder(map[string]float64{"a": 1, "b": 9, "c": 9})); got != "[b c a]" {
 		t.Error(got)
 	}
--- a/internal/migration/rules.go
+++ b/internal/migration/rules.go
@@ -14,5 +14,14 @@
 
 // DefaultRules fit a tablet in the field.
 func DefaultRules() Rules {
-	return Rules{Dwell: 300, MinCallShare: 0.7, CallMemory: 2000, Cooldown: 2000, MoveRate: 200, MoveBurst: 50, MaxLoad: 0.9, MinImprovement: 0.4}
+	return Rules{
+		Dwell:          300,
+		MinCallShare:   0.7,
+		CallMemory:     2000,
+		Cooldown:       2000,
+		MoveRate:       200,
+		MoveBurst:      50,
+		MaxLoad:        0.9,
+		MinImprovement: 0.4,
+	}
 }
