--- a/cmd/gatetack/duty.go
+++ b/cmd/gatetack/duty.go
@@ -43,7 +43,7 @@
 			RunE: func(cmd *cobra.Command, args []string) error { return r.showPartition(cmd, format, args[0]) }},
 		&cobra.Command{Use: "release DUTY", Short: "take a duty from its owner: another node claims it", Args: oneDuty,
 			RunE: func(cmd *cobra.Command, args []string) error {
-				return r.assignPartition(cmd, args[0], lease.Life{}, "is nobody's")
+				return r.assignPartition(cmd, args[0], lease.Incarnation{}, "is nobody's")
 			}},
 		&cobra.Command{Use: "move DUTY NODE", Short: "give a duty to a node that is alive",
 			Args: func(_ *cobra.Command, args []string) error {
@@ -83,7 +83,7 @@
 
 // showOwners prints who had a partition under which epoch.
 func (r *storeRemote) showOwners(cmd *cobra.Command, key string) error {
-	history, _, err := r.call(cmd.Context(), http.MethodGet, keyPath(leaseholder.Duties, key)+"?history=1", nil)
+	history, _, err := r.call(cmd.Context(), http.MethodGet, keyPath(leaseholder.PartitionTable, key)+"?history=1", nil)
 	if err != nil {
 		return err
 	}
@@ -111,8 +111,8 @@
 }
 
 // assignPartition writes a partition's owner, or that it has none, over the present one, and prints what was done.
-func (r *storeRemote) assignPartition(cmd *cobra.Command, key string, to lease.Life, done string) error {
-	path := keyPath(leaseholder.Duties, key)
+func (r *storeRemote) assignPartition(cmd *cobra.Command, key string, to lease.Incarnation, done string) error {
+	path := keyPath(leaseholder.PartitionTable, key)
 	answer, _, err := r.call(cmd.Context(), http.MethodGet, path, nil)
 	if err != nil {
 		return err
@@ -132,14 +132,14 @@
 }
 
 // ownerOf is the owner that a partition's entry names, zero for none.
-func ownerOf(e entry) (owner lease.Life) {
+func ownerOf(e entry) (owner lease.Incarnation) {
 	_ = json.Unmarshal([]byte(e.value), &owner)
 	return owner
 }
 
-func describeOwner(owner lease.Life) string {
-	if owner.Zero() {
+func describeOwner(owner lease.Incarnation) string {
+	if owner.IsZero() {
 		return "nobody"
 	}
-	return fmt.Sprintf("%s, begun %s", owner.Node, time.UnixMilli(owner.Born).UTC().Format(time.RFC3339))
+	return fmt.Sprintf("%s, begun %s", owner.Node, time.UnixMilli(owner.StartedMs).UTC().Format(time.RFC3339))
 }
--- a/cmd/gatetack/duty_list.go
+++ b/cmd/gatetack/duty_list.go
@@ -12,11 +12,11 @@
 )
 
 // aliveNodes are the incarnations that have a lease, with the addresses of their batch fronts.
-func (r *storeRemote) aliveNodes(cmd *cobra.Command) (map[lease.Life]string, error) {
-	alive := map[lease.Life]string{}
-	err := r.each(cmd.Context(), tableQuery{table: leaseholder.Leases}, func(e entry) {
+func (r *storeRemote) aliveNodes(cmd *cobra.Command) (map[lease.Incarnation]string, error) {
+	alive := map[lease.Incarnation]string{}
+	err := r.each(cmd.Context(), tableQuery{table: leaseholder.LeaseTable}, func(e entry) {
 		stored := gjson.Parse(e.value)
-		alive[lease.Life{Node: e.key, Born: stored.Get("born").Int()}] = stored.Get("addr").String()
+		alive[lease.Incarnation{Node: e.key, StartedMs: stored.Get("born").Int()}] = stored.Get("addr").String()
 	})
 	return alive, err
 }
@@ -28,21 +28,21 @@
 		return nil, err
 	}
 	all := []partitionStatus{}
-	err = r.each(cmd.Context(), tableQuery{table: leaseholder.Duties}, func(e entry) {
+	err = r.each(cmd.Context(), tableQuery{table: leaseholder.PartitionTable}, func(e entry) {
 		all = append(all, statusOf(e, alive))
 	})
 	return all, err
 }
 
 // statusOf is the status of the partition that an entry describes.
-func statusOf(e entry, alive map[lease.Life]string) partitionStatus {
+func statusOf(e entry, alive map[lease.Incarnation]string) partitionStatus {
 	holder := ownerOf(e)
-	partition, _ := lease.ParsePartition(e.key)
+	partition, _ := lease.ParsePartitionKey(e.key)
 	address, ownerAlive := alive[holder]
 	status := partitionStatus{Partition: e.key, Owner: holder.Node, BatchAddress: address, Epoch: e.version,
-		Node: partition.Node, Since: time.UnixMilli(partition.Born).UTC(), OwnerAlive: ownerAlive}
+		Node: partition.Node, Since: time.UnixMilli(partition.StartedMs).UTC(), OwnerAlive: ownerAlive}
 	switch {
-	case holder.Zero():
+	case holder.IsZero():
 		status.Reason = "handed over, and nobody has claimed it yet"
 	case !ownerAlive:
 		status.Reason = "its owner has no lease: another is to claim it"
--- a/cmd/gatetack/process_control.go
+++ b/cmd/gatetack/process_control.go
@@ -89,7 +89,7 @@
 	if feed == nil {
 		return nil
 	}
-	p.applier.document = feed.inForce
+	p.applier.document = feed.active
 	if p.store != nil {
 		if err := feed.serve(p.store, p.config, p.file, p.applier.Validate, p.log); err != nil {
 			return err
--- a/cmd/gatetack/process_fronts.go
+++ b/cmd/gatetack/process_fronts.go
@@ -12,6 +12,7 @@
 	"gatetack/internal/batch"
 	"gatetack/internal/callbackrelay"
 	"gatetack/internal/http1"
+	"gatetack/internal/lease"
 	"gatetack/internal/leaseholder"
 	"gatetack/internal/limits"
 	"gatetack/internal/locality"
@@ -63,7 +64,7 @@
 	folder := filepath.Join(os.TempDir(), handoverFolder)
 	relay := callbackrelay.New(folder, p.config.Limits.Follow, p.config.Limits.Stay, p.log)
 	if err := relay.Register(); err != nil { // Run tries again
-		p.log.Error("handover directory not usable", "err", err)
+		p.log.Error("callback directory not usable", "err", err)
 	}
 	p.lifetime.onEnd(func() { _ = relay.Close() })
 	p.callbacks.relay = relay
@@ -113,8 +114,8 @@
 type batchServer struct {
 	front  *batch.Front
 	server *http1.Server
-	owner  *leaseholder.Owner // nil without a store
-	actors *actorhost.Host    // nil without a store
+	owner  *leaseholder.Holder // nil without a store
+	actors *actorhost.Host     // nil without a store
 }
 
 // startBatch opens the batch front.
@@ -127,14 +128,8 @@
 		Life: p.incarnation, Limits: p.config.Limits, Log: p.log}
 	b := &batchServer{}
 	if p.store != nil {
-		b.owner, err = leaseholder.New(
-			p.store,
-			p.config.Name,
-			p.incarnation.UnixMilli(),
-			p.file.Batch.Listen,
-			p.config.Limits,
-			p.log,
-		)
+		self := lease.Incarnation{Node: p.config.Name, StartedMs: p.incarnation.UnixMilli()}
+		b.owner, err = leaseholder.New(p.store, self, p.file.Batch.Listen, p.config.Limits, p.log)
 		if err != nil {
 			return err
 		}
@@ -193,7 +188,7 @@
 	p.lifetime.start(b.owner.Run)
 	b.actors = actorhost.New(
 		actorhost.Config{Name: p.config.Name, Zone: p.zone(), Addr: p.file.Batch.Listen, Store: p.store,
-			Front: b.front, Forward: b.owner.Pass, Prefix: batch.Prefix, Capacity: p.config.Limits.StoreValues / 2,
+			Front: b.front, Forward: b.owner.Forward, Prefix: batch.Prefix, Capacity: p.config.Limits.StoreValues / 2,
 			Rules: migration.DefaultRules(), Limits: p.config.Limits, Log: p.log},
 	)
 	b.front.SetDesks(b.actors)
--- a/cmd/gatetack/settings.go
+++ b/cmd/gatetack/settings.go
@@ -92,7 +92,7 @@
 			request := settingsync.ApplyRequest{Changes: list}
 			if version >= 0 {
 				condition := uint64(version)
-				request.If = &condition
+				request.IfVersion = &condition
 			}
 			return r.apply(cmd, request)
 		}}
@@ -204,7 +204,7 @@
 func showStatus(out io.Writer, status settingsync.Status) error {
 	var behind []settings.Progress
 	for _, p := range status.Processes {
-		if p.InForce < status.Version {
+		if p.ActiveVersion < status.Version {
 			behind = append(behind, p)
 		}
 	}
@@ -213,9 +213,9 @@
 		status.Version, len(status.Processes)-len(behind), len(status.Processes))
 	for _, p := range behind {
 		rows.printf("not yet in force at %s\tversion %d\tbehind for %d ms\t%s\t%s\n",
-			p.Process, p.InForce, p.BehindMs, lastHeard(p), p.Refused.Reason)
+			p.Process, p.ActiveVersion, p.BehindMs, lastHeard(p), p.Rejected.Reason)
 	}
-	for _, name := range status.Silent {
+	for _, name := range status.Unreachable {
 		rows.printf("not asked: %s\twho follows it may be missing here\n", name)
 	}
 	return rows.flush()
--- a/cmd/gatetack/settings_applier.go
+++ b/cmd/gatetack/settings_applier.go
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// PutInForce has the core act on the settings of the store from now on.
-func (a *settingsApplier) PutInForce(ctx context.Context, document *settings.Document) error {
+// Activate has the core act on the settings of the store from now on.
+func (a *settingsApplier) Activate(ctx context.Context, document *settings.Document) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err := a.apply(ctx, a.base, document); err != nil {
--- a/cmd/gatetack/settings_applier_test.go
+++ b/cmd/gatetack/settings_applier_test.go
@@ -126,7 +126,7 @@
 	})
 	crossing.Go(func() {
 		for n := range rounds {
-			if err := applier.PutInForce(t.Context(), quotaDocument(t, 2, uint64(n+1), 200+n)); err != nil {
+			if err := applier.Activate(t.Context(), quotaDocument(t, 2, uint64(n+1), 200+n)); err != nil {
 				t.Error(err)
 			}
 		}
@@ -157,7 +157,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := applier.PutInForce(t.Context(), good); err != nil {
+	if err := applier.Activate(t.Context(), good); err != nil {
 		t.Fatal(err)
 	}
 	before := applier.core.Rules()
@@ -171,7 +171,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := applier.PutInForce(
+	if err := applier.Activate(
 		t.Context(),
 		bad,
 	); err == nil ||
@@ -215,7 +215,7 @@
 	if err := applier.Validate(document(1, 0)); err != nil {
 		t.Fatal(err)
 	}
-	if err := applier.PutInForce(t.Context(), document(1, 0)); err != nil {
+	if err := applier.Activate(t.Context(), document(1, 0)); err != nil {
 		t.Fatal(err)
 	}
 	if err := applier.Validate(document(2, 54)); err != nil {
@@ -233,8 +233,8 @@
 	}
 }
 
-// BenchmarkPutInForce changes one quota and has the core act on it.
-func BenchmarkPutInForce(b *testing.B) {
+// BenchmarkPutActive changes one quota and has the core act on it.
+func BenchmarkPutActive(b *testing.B) {
 	for _, tenants := range []int{4, 50, 450} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			applier := startApplier(b, configOf(b, tenants, 1))
@@ -250,7 +250,7 @@
 				); err != nil {
 					b.Fatal(err)
 				}
-				if err := applier.PutInForce(b.Context(), d); err != nil {
+				if err := applier.Activate(b.Context(), d); err != nil {
 					b.Fatal(err)
 				}
 			}
