--- a/internal/clockcheck/allowed_test.go
+++ b/internal/clockcheck/allowed_test.go
@@ -40,6 +40,5 @@
 	"http1.Paced.Abort":   "a deadline of 1970",
 	"http1.Paced.Write":   "a bound may be that of 1970",
 	"http1.Paced.armRead": "a bound may be that of 1970",
-	"http1.sooner":        "a bound may be that of 1970; the others keep their monotonic reading",
 	"http1.settled":       "a bound may be that of 1970; the others keep their monotonic reading",
 }
