--- a/cmd/gatetack/settings_feed.go
+++ b/cmd/gatetack/settings_feed.go
@@ -40,7 +40,8 @@
 		log.Error("settings: the last incarnation of this process is not known or not kept", operr.Attrs(err))
 	}
 	feed := &settingsFeed{
-		follower: settingsync.FollowerConfig{Process: c.Name, Incarnation: incarnation, Cache: cache, Limits: c.Limits, Log: log},
+		follower: settingsync.FollowerConfig{Process: c.Name, Incarnation: incarnation, Cache: cache, Limits: c.Limits,
+			Log: log},
 	}
 	if len(f.Settings.Follow) > 0 {
 		call, err := memberCaller(f.Settings.Keys, c.Limits, log)
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -102,7 +102,7 @@
 	s.until("the bad row is refused", func() bool { return strings.Contains(log(), "line 2: zone") })
 	serve()
 	write("draining", "tallinn")
-	s.until("the drain is taken in", func() bool { return strings.Contains(log(), "msg=inventory ") })
+	s.until("the drain is taken in", func() bool { return strings.Contains(log(), "msg=\"inventory changed\"") })
 	before := len(s.boxes[0].Starts())
 	for range 10 {
 		serve()
