--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -35,15 +35,15 @@
 	was := &d.settings
 	switch {
 	case len(next.Classes) < len(was.Classes) || len(next.Classes) > math.MaxUint8:
-		return fmt.Errorf("brain: %d classes in place of %d: places are kept, and %d at most",
+		return fmt.Errorf("dispatch: %d classes in place of %d: places are kept, and %d at most",
 			len(next.Classes), len(was.Classes), math.MaxUint8)
 	case len(next.Tenants) < len(was.Tenants) || len(next.Tenants) > math.MaxUint16 ||
 		len(was.Tenants) == 0 && len(next.Tenants) > 0:
-		return fmt.Errorf("brain: %d tenants in place of %d: places are kept", len(next.Tenants), len(was.Tenants))
+		return fmt.Errorf("dispatch: %d tenants in place of %d: places are kept", len(next.Tenants), len(was.Tenants))
 	}
 	for _, job := range d.jobs.byID {
 		if next.Classes[job.class] != was.Classes[job.class] {
-			return fmt.Errorf("brain: class %d has open jobs, whose rules may not change", job.class)
+			return fmt.Errorf("dispatch: class %d has open jobs, whose rules may not change", job.class)
 		}
 	}
 	return nil
@@ -72,21 +72,21 @@
 // check names the first setting that no Dispatcher can work with.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 {
-		return errors.New("brain: requestClasses.count: no classes")
+		return errors.New("dispatch: requestClasses.count: no classes")
 	}
 	if s.Nodes < 1 {
-		return fmt.Errorf("brain: balancers: %d is under 1", s.Nodes)
+		return fmt.Errorf("dispatch: balancers: %d is under 1", s.Nodes)
 	}
 	if s.MaxAttempts < 1 {
-		return fmt.Errorf("brain: limits.maxAttempts: %d is under 1", s.MaxAttempts)
+		return fmt.Errorf("dispatch: limits.maxAttempts: %d is under 1", s.MaxAttempts)
 	}
 	for _, number := range s.numbers() {
 		if !(number.value >= 0) || math.IsInf(number.value, 0) {
-			return fmt.Errorf("brain: %s: %v is not a number of 0 or more", number.key, number.value)
+			return fmt.Errorf("dispatch: %s: %v is not a number of 0 or more", number.key, number.value)
 		}
 	}
 	if s.OverloadMultiple == 0 {
-		return errors.New("brain: invariants.fallMultiple: 0 lets no cold worker be used")
+		return errors.New("dispatch: invariants.fallMultiple: 0 lets no executor that warms up be used")
 	}
 	return nil
 }
