--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -3,26 +3,18 @@
 import (
 	"context"
 	"crypto/rand"
-	"crypto/tls"
 	"encoding/hex"
+	"encoding/json"
 	"errors"
 	"fmt"
-	"net"
 	"net/url"
 	"strconv"
 	"strings"
 	"time"
 
-	"encoding/json"
-
-	"github.com/tidwall/gjson"
-
-	"gatetack/internal/failpoint"
 	"gatetack/internal/http1"
 	"gatetack/internal/jobstore"
 	"gatetack/internal/kv"
-	"gatetack/internal/limits"
-	"gatetack/internal/pki"
 )
 
 // Put sets a value, and returns once most members have it.
@@ -162,89 +154,3 @@
 	}
 	return nil, fmt.Errorf("the leader says %d: %s", m.Status, m.Body)
 }
-
-// dial connects, by keys where there are any.
-func dial(ctx context.Context, addr string, ring *pki.Ring) (net.Conn, error) {
-	addr = failpoint.Via(addr)
-	if ring == nil {
-		var d net.Dialer
-		return d.DialContext(ctx, "tcp", addr)
-	}
-	d := tls.Dialer{Config: ring.Client()}
-	return d.DialContext(ctx, "tcp", addr)
-}
-
-// Call makes one call to a member, on a connection of its own, by keys where there are any.
-func Call(ctx context.Context, addr, verb, path string, body []byte, ring *pki.Ring, lim limits.Limits,
-	fields ...http1.Field) (*http1.Message, error) {
-	dialed, err := dial(ctx, addr, ring)
-	if err != nil {
-		return nil, err
-	}
-	c := http1.NewPaced(dialed, lim.Pace.BoxIn, lim.Pace.BoxOut)
-	defer func() { _ = c.Close() }()
-	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	defer stop()
-	w := http1.NewWriter(c, lim.Ring)
-	if err := errors.Join(w.Request(verb, path, append(fields, http1.Field{Name: "Host", Value: addr}), body), w.Flush()); err != nil {
-		return nil, err
-	}
-	lim.Body = max(lim.Body, 512<<20) // a snapshot may be large
-	return http1.NewParser(lim, true).Read(http1.NewRing(lim.Ring), c)
-}
-
-// serveAsLeader does a member's call as the leader.
-func (s *Store) serveAsLeader(ctx context.Context, target string, body []byte) http1.Response {
-	u, err := url.Parse(target)
-	if err != nil {
-		return http1.Text(400, "%v", err)
-	}
-	q := u.Query()
-	switch u.Path {
-	case "/txn":
-		t := &kv.Txn{}
-		if err := t.Unmarshal(body); err != nil {
-			return http1.Text(400, "%v", err)
-		}
-		r, err := s.apply(ctx, t)
-		if err != nil {
-			return http1.Text(503, "%v", err)
-		}
-		return jsonResponse(200, r)
-	case "/get", "/page", "/index":
-		// All that was written before is in once the barrier is, and only a leader gets one through.
-		if err := s.await(ctx, s.raft.Barrier(s.lim.StoreCall).Error); err != nil {
-			return http1.Text(503, "%v", err)
-		}
-		if u.Path == "/index" {
-			return jsonResponse(200, s.fsm.view().Index())
-		}
-		v := s.fsm.view()
-		if u.Path == "/get" {
-			if e, ok := v.Get(q.Get("table"), q.Get("key")); ok {
-				return http1.Response{Status: 200, Body: e.Value}
-			}
-			return http1.Response{Status: 404}
-		}
-		limit, _ := strconv.Atoi(q.Get("limit"))
-		rows, room := []jobstore.Row{}, s.lim.StoreBody
-		for _, e := range v.List(q.Get("table"), "", q.Get("after"), limit) {
-			if room -= len(e.Value); room < 0 && len(rows) > 0 {
-				break
-			}
-			rows = append(rows, jobstore.Row{Key: e.Key, Value: e.Value})
-		}
-		return jsonResponse(200, rows)
-	case "/members":
-		return s.handleChange(gjson.ParseBytes(body))
-	}
-	return http1.Text(404, "no such call")
-}
-
-func jsonResponse(status int, v any) http1.Response {
-	body, err := json.Marshal(v)
-	if err != nil {
-		return http1.Text(500, "%v", err)
-	}
-	return http1.Response{Status: status, Fields: []http1.Field{{Name: "Content-Type", Value: "application/json"}}, Body: body}
-}
--- /dev/null
+++ b/internal/store/dial.go
@@ -0,0 +1,46 @@
+package store
+
+import (
+	"context"
+	"crypto/tls"
+	"errors"
+	"net"
+
+	"gatetack/internal/failpoint"
+	"gatetack/internal/http1"
+	"gatetack/internal/limits"
+	"gatetack/internal/pki"
+)
+
+// maxSnapshotBody bounds the body of a response: a snapshot may be large. Bytes.
+const maxSnapshotBody = 512 << 20
+
+// dial connects, by keys where there are any.
+func dial(ctx context.Context, addr string, ring *pki.Ring) (net.Conn, error) {
+	addr = failpoint.Via(addr)
+	if ring == nil {
+		var d net.Dialer
+		return d.DialContext(ctx, "tcp", addr)
+	}
+	d := tls.Dialer{Config: ring.Client()}
+	return d.DialContext(ctx, "tcp", addr)
+}
+
+// Call makes one call to a member, on a connection of its own, by keys where there are any.
+func Call(ctx context.Context, addr, verb, path string, body []byte, ring *pki.Ring, lim limits.Limits,
+	fields ...http1.Field) (*http1.Message, error) {
+	dialed, err := dial(ctx, addr, ring)
+	if err != nil {
+		return nil, err
+	}
+	c := http1.NewPaced(dialed, lim.Pace.BoxIn, lim.Pace.BoxOut)
+	defer func() { _ = c.Close() }()
+	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
+	defer stop()
+	w := http1.NewWriter(c, lim.Ring)
+	if err := errors.Join(w.Request(verb, path, append(fields, http1.Field{Name: "Host", Value: addr}), body), w.Flush()); err != nil {
+		return nil, err
+	}
+	lim.Body = max(lim.Body, maxSnapshotBody)
+	return http1.NewParser(lim, true).Read(http1.NewRing(lim.Ring), c)
+}
--- /dev/null
+++ b/internal/store/leader.go
@@ -0,0 +1,83 @@
+package store
+
+import (
+	"context"
+	"encoding/json"
+	"net/url"
+	"strconv"
+
+	"github.com/tidwall/gjson"
+
+	"gatetack/internal/http1"
+	"gatetack/internal/jobstore"
+	"gatetack/internal/kv"
+)
+
+// serveAsLeader answers a call of another member, or of this one, as the leader.
+func (s *Store) serveAsLeader(ctx context.Context, target string, body []byte) http1.Response {
+	u, err := url.Parse(target)
+	if err != nil {
+		return http1.Text(400, "%v", err)
+	}
+	switch u.Path {
+	case "/txn":
+		return s.serveTxn(ctx, body)
+	case "/get", "/page", "/index":
+		return s.serveRead(ctx, u.Path, u.Query())
+	case "/members":
+		return s.handleChange(gjson.ParseBytes(body))
+	}
+	return http1.Text(404, "no such call")
+}
+
+// serveTxn commits a transaction.
+func (s *Store) serveTxn(ctx context.Context, body []byte) http1.Response {
+	t := &kv.Txn{}
+	if err := t.Unmarshal(body); err != nil {
+		return http1.Text(400, "%v", err)
+	}
+	r, err := s.apply(ctx, t)
+	if err != nil {
+		return http1.Text(503, "%v", err)
+	}
+	return jsonResponse(200, r)
+}
+
+// serveRead reads after a barrier: all that was committed before the call is then applied, and only a leader commits one.
+func (s *Store) serveRead(ctx context.Context, path string, q url.Values) http1.Response {
+	if err := s.await(ctx, s.raft.Barrier(s.lim.StoreCall).Error); err != nil {
+		return http1.Text(503, "%v", err)
+	}
+	view := s.fsm.view()
+	switch path {
+	case "/index":
+		return jsonResponse(200, view.Index())
+	case "/get":
+		if e, ok := view.Get(q.Get("table"), q.Get("key")); ok {
+			return http1.Response{Status: 200, Body: e.Value}
+		}
+		return http1.Response{Status: 404}
+	}
+	return jsonResponse(200, s.page(view, q))
+}
+
+// page returns the rows of a page, which holds no more bytes than a body may, but at least one row.
+func (s *Store) page(view *kv.View, q url.Values) []jobstore.Row {
+	limit, _ := strconv.Atoi(q.Get("limit")) // 0 where it is no number: an empty page
+	rows, remaining := []jobstore.Row{}, s.lim.StoreBody
+	for _, e := range view.List(q.Get("table"), "", q.Get("after"), limit) {
+		if remaining -= len(e.Value); remaining < 0 && len(rows) > 0 {
+			break
+		}
+		rows = append(rows, jobstore.Row{Key: e.Key, Value: e.Value})
+	}
+	return rows
+}
+
+func jsonResponse(status int, v any) http1.Response {
+	body, err := json.Marshal(v)
+	if err != nil {
+		return http1.Text(500, "%v", err)
+	}
+	return http1.Response{Status: status, Fields: []http1.Field{{Name: "Content-Type", Value: "application/json"}}, Body: body}
+}
--- /dev/null
+++ b/internal/store/operator.go
@@ -0,0 +1,114 @@
+package store
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"net/url"
+	"strings"
+
+	"github.com/hashicorp/raft"
+
+	"gatetack/internal/http1"
+)
+
+func errorResponse(status int, format string, args ...any) http1.Response {
+	return jsonResponse(status, map[string]string{"error": fmt.Sprintf(format, args...)})
+}
+
+// Handle answers another member that takes this one for the leader, and operators: paths under /v1.
+func (s *Store) Handle(ctx context.Context, m *http1.Message) http1.Response {
+	path, ok := strings.CutPrefix(m.Path(), "/v1/")
+	if !ok {
+		if !s.Leads() {
+			return http1.Text(503, "this member does not lead")
+		}
+		return s.serveAsLeader(ctx, m.Target, m.Body)
+	}
+	_, query, _ := strings.Cut(m.Target, "?")
+	q, err := url.ParseQuery(query)
+	if err != nil {
+		return errorResponse(400, "query: %v", err)
+	}
+	r := s.handleOperator(ctx, m, strings.Split(path, "/"), q)
+	r.Known = r.Status < 400
+	return r
+}
+
+func (s *Store) handleOperator(ctx context.Context, m *http1.Message, p []string, q url.Values) http1.Response {
+	for i := range p {
+		text, err := url.PathUnescape(p[i])
+		if err != nil {
+			return errorResponse(400, "path: %v", err)
+		}
+		p[i] = text
+	}
+	if service, ok := s.service(p[0]); ok {
+		return service.Handle(ctx, m)
+	}
+	switch {
+	case p[0] == "status" && len(p) == 1 && m.Method == "GET":
+		return jsonResponse(200, s.Status())
+	case p[0] == "folder" && len(p) == 1 && m.Method == "GET":
+		return s.handleWitness(q)
+	case p[0] == "members" && len(p) == 1 && m.Method == "GET":
+		return s.forward(ctx, m, func() http1.Response {
+			all, err := s.Members()
+			if err != nil {
+				return errorResponse(503, "%v", err)
+			}
+			return jsonResponse(200, all)
+		})
+	case p[0] == "members" && len(p) == 1 && m.Method == "POST":
+		if s.Leads() {
+			return s.serveAsLeader(ctx, "/members", m.Body)
+		}
+		return s.forward(ctx, m, nil)
+	case p[0] == "kv" && len(p) == 2 && m.Method == "GET":
+		return s.handleList(ctx, p[1], q)
+	case p[0] == "kv" && len(p) >= 3:
+		return s.handleEntry(ctx, m, p[1], strings.Join(p[2:], "/"), q)
+	case p[0] == "watch" && len(p) == 1 && m.Method == "GET":
+		return s.handleWatch(ctx, q)
+	case p[0] == "snapshot" && len(p) == 1 && m.Method == "GET":
+		var b bytes.Buffer
+		if err := s.fsm.view().Write(&b); err != nil {
+			return errorResponse(500, "%v", err)
+		}
+		return http1.Response{Status: 200, Body: b.Bytes()}
+	case p[0] == "restore" && len(p) == 1 && m.Method == "POST":
+		return s.forward(ctx, m, func() http1.Response { return s.restore(m.Body) })
+	}
+	return errorResponse(404, "no such path, or not by %s", m.Method)
+}
+
+// forward has the leader do a call, unless this member leads.
+func (s *Store) forward(ctx context.Context, m *http1.Message, do func() http1.Response) http1.Response {
+	if s.Leads() {
+		return do()
+	}
+	addr, _ := s.raft.LeaderWithID()
+	if addr == "" || m.Get("X-Forwarded") != "" {
+		return errorResponse(503, "no leader is known")
+	}
+	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCall)
+	defer cancel()
+	r, err := Call(ctx, string(addr), m.Method, m.Target, m.Body, s.cfg.Keys, s.lim)
+	if err != nil {
+		return errorResponse(503, "the leader: %v", err)
+	}
+	return http1.Response{Status: r.Status, Body: r.Body, Fields: []http1.Field{{Name: "Content-Type", Value: "application/json"}}}
+}
+
+// restore puts a snapshot's state in the place of all members'. A damaged one is refused.
+func (s *Store) restore(data []byte) http1.Response {
+	state, err := readSnapshot(bytes.NewReader(data), s.lim)
+	if err != nil {
+		return errorResponse(400, "%v", err)
+	}
+	meta := &raft.SnapshotMeta{Version: 1, Index: state.Snapshot().Index(), Term: 1, Size: int64(len(data))}
+	if err := s.raft.Restore(meta, bytes.NewReader(data), 4*s.lim.StoreCall); err != nil {
+		return errorResponse(503, "%v", err)
+	}
+	return jsonResponse(200, s.Status())
+}
