--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -17,12 +17,12 @@
 	"gatetack/internal/kv"
 )
 
-// Put sets a value, and returns once most members have it.
+// Put sets a value and returns once a majority has it.
 func (s *Store) Put(ctx context.Context, kind, key string, value []byte) error {
 	return s.Write(ctx, jobstore.Change{Kind: kind, Key: key, Value: value, Keep: true})
 }
 
-// Write makes all changes or none, as one entry of the log, and returns once most members have it.
+// Write commits all changes or none, as one entry of the log, and returns once a majority has it.
 func (s *Store) Write(ctx context.Context, changes ...jobstore.Change) error {
 	r, err := s.Txn(ctx, &kv.Txn{Ops: Ops(changes)})
 	if err != nil {
@@ -31,7 +31,7 @@
 	return Refusal(r)
 }
 
-// Refusal is why a transaction of changes was not made, if it was not.
+// Refusal returns why a transaction of changes was not applied, nil if it was.
 func Refusal(r *kv.Result) error {
 	switch {
 	case r.OK():
@@ -44,7 +44,7 @@
 	return fmt.Errorf("store: %s", r.Err)
 }
 
-// Ops are the operations that make changes.
+// Ops returns the operations of changes.
 func Ops(changes []jobstore.Change) (ops []kv.Op) {
 	for _, c := range changes {
 		op := kv.Op{Verb: kv.Put, Table: c.Kind, Key: c.Key, Value: c.Value, Keep: c.Keep, Cond: c.New}
@@ -56,10 +56,10 @@
 	return ops
 }
 
-// Txn makes a transaction, and returns once most members have it. A result that is not OK says which condition did not
-// hold; an error says that it is not known whether it was made.
+// Txn commits a transaction and returns once a majority has it. A result that is not OK says which condition did not
+// hold. After an error it is not known whether the transaction was committed.
 func (s *Store) Txn(ctx context.Context, t *kv.Txn) (*kv.Result, error) {
-	if t.ID == "" { // it may have to be asked for again, and must not be made again
+	if t.ID == "" { // the call may be repeated, the transaction must not
 		var raw [12]byte
 		_, _ = rand.Read(raw[:])
 		t.ID = hex.EncodeToString(raw[:])
@@ -76,7 +76,7 @@
 	return r, json.Unmarshal(m.Body, r)
 }
 
-// Get gives a value as it is now at the leader: an older one could say of a job that nothing of it was sent.
+// Get returns a value as the leader has it: a stale one could say of a job that it was not sent.
 func (s *Store) Get(ctx context.Context, kind, key string) (value []byte, found bool, err error) {
 	m, err := s.callLeader(ctx, "/get?"+url.Values{"table": {kind}, "key": {key}}.Encode(), nil)
 	if err != nil {
@@ -85,9 +85,13 @@
 	return m.Body, m.Status == 200, nil
 }
 
-// Page gives rows of a kind in the order of their keys, as the leader has them.
+// Page returns rows of a kind in key order, as the leader has them.
 func (s *Store) Page(ctx context.Context, kind, after string, limit int) ([]jobstore.Row, error) {
-	m, err := s.callLeader(ctx, "/page?"+url.Values{"table": {kind}, "after": {after}, "limit": {strconv.Itoa(limit)}}.Encode(), nil)
+	m, err := s.callLeader(
+		ctx,
+		"/page?"+url.Values{"table": {kind}, "after": {after}, "limit": {strconv.Itoa(limit)}}.Encode(),
+		nil,
+	)
 	if err != nil {
 		return nil, err
 	}
@@ -98,7 +102,7 @@
 	return rows, nil
 }
 
-// Local gives a value as this member holds it, which may be old.
+// Local returns a value as this member has it, which may be stale.
 func (s *Store) Local(kind, key string) ([]byte, bool) {
 	e, ok := s.fsm.view().Get(kind, key)
 	if !ok {
@@ -107,10 +111,10 @@
 	return e.Value, true
 }
 
-// View is the state as this member has it, which may be old.
+// View returns the state as this member has it, which may be stale.
 func (s *Store) View() *kv.View { return s.fsm.view() }
 
-// ask has the leader do a call. While a new leader is chosen it waits, until the context ends.
+// callLeader makes a call at the leader. Without one it tries again until the context ends.
 func (s *Store) callLeader(ctx context.Context, path string, body []byte) (*http1.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCall)
 	defer cancel()
@@ -138,7 +142,8 @@
 		r := s.serveAsLeader(ctx, path, body)
 		return checkStatus(&http1.Message{Status: r.Status, Body: r.Body})
 	}
-	// A leader that hangs is not waited for to the end: meanwhile another may lead, and a call that is made twice has one effect.
+	// An unresponsive leader is not waited for to the end, because another may lead meanwhile. A call that is made twice
+	// has one effect.
 	ctx, cancel := context.WithTimeout(ctx, 4*s.lim.StoreBeat)
 	defer cancel()
 	m, err := Call(ctx, string(addr), "POST", path, body, s.cfg.Keys, s.lim)
--- a/internal/store/clock.go
+++ b/internal/store/clock.go
@@ -9,8 +9,8 @@
 	"gatetack/internal/failpoint"
 )
 
-// BootTime is a clock that goes on while the machine sleeps and that nobody sets: what was asleep for longer than a lease must
-// know, and a clock that an operator or a time server moves must not end one.
+// BootTime is a monotonic clock that goes on while the machine sleeps: a process that slept for longer than a lease
+// must notice, and a step of the wall clock must not end one.
 func BootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -19,19 +19,19 @@
 	return time.Duration(t.Nano())
 }
 
-// logTime is the time that a leader gives its transactions. It goes on from where the log's time stood when this member began
-// to lead, by a clock that is not the wall's: a leader whose wall clock is an hour ahead would end every lease at once, and
-// the one after it, whose clock is right, would end none for an hour. A store without a leader has no time: leases last as
-// much longer, and those who hold them are asked to renew before any ends.
+// logTime is the time that a leader gives its transactions. It continues from the log's time at the beginning of the
+// leader's term, by a monotonic clock: a leader whose wall clock is an hour ahead would end every lease at once, and
+// under its successor, whose clock is right, none would end for an hour. Without a leader the time stops: leases last
+// as much longer, and their holders must renew before any ends.
 type logTime struct {
 	mu      sync.Mutex
 	started bool
 	term    uint64
-	base    int64         // Unix ms, of the log
-	at      time.Duration // when it stood there
+	base    int64         // Unix ms of the log at the beginning of the term
+	at      time.Duration // BootTime at that moment
 }
 
-// now is the log's time, in Unix milliseconds. Only the very first of a store comes from the wall's clock.
+// now returns the log's time, in Unix milliseconds. Only the first time of a store comes from the wall clock.
 func (s *Store) now() int64 {
 	term, clock, stands := s.raft.CurrentTerm(), BootTime(), s.fsm.view().Now()
 	if stands == 0 {
--- a/internal/store/dial.go
+++ b/internal/store/dial.go
@@ -15,7 +15,7 @@
 // maxSnapshotBody bounds the body of a response: a snapshot may be large. Bytes.
 const maxSnapshotBody = 512 << 20
 
-// dial connects, by keys where there are any.
+// dial connects to a member, with TLS where there is a ring.
 func dial(ctx context.Context, addr string, ring *pki.Ring) (net.Conn, error) {
 	addr = failpoint.Via(addr)
 	if ring == nil {
@@ -26,7 +26,7 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// Call makes one call to a member, on a connection of its own, by keys where there are any.
+// Call makes one call to a member on a new connection, with TLS where there is a ring.
 func Call(ctx context.Context, addr, verb, path string, body []byte, ring *pki.Ring, lim limits.Limits,
 	fields ...http1.Field) (*http1.Message, error) {
 	dialed, err := dial(ctx, addr, ring)
@@ -38,7 +38,10 @@
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	w := http1.NewWriter(c, lim.Ring)
-	if err := errors.Join(w.Request(verb, path, append(fields, http1.Field{Name: "Host", Value: addr}), body), w.Flush()); err != nil {
+	if err := errors.Join(
+		w.Request(verb, path, append(fields, http1.Field{Name: "Host", Value: addr}), body),
+		w.Flush(),
+	); err != nil {
 		return nil, err
 	}
 	lim.Body = max(lim.Body, maxSnapshotBody)
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -17,35 +17,36 @@
 	"gatetack/internal/membership"
 )
 
-// disk is the store's log, votes and snapshots as raft sees them. What goes in carries a checksum, and what comes out is held to
-// it: a byte that the disk has changed is neither applied nor sent to another member. After each write the mark is made, before
-// anybody hears that it was done; and it is known since when a write has not come back.
+// disk is the log, the votes and the snapshots of a member as raft sees them. Entries are stored with a checksum and
+// verified when they are read, so that a byte which the disk changed is neither applied nor sent to another member.
+// The watermark is raised after each write and before the write is acknowledged. A write that does not return is
+// noticed by its start time.
 type disk struct {
 	*boltdb.BoltStore
 	raft.SnapshotStore
 	watermark  *watermark
-	writeFault func() failpoint.Disk // what a write meets, in tests; nil: nothing
+	writeFault func() failpoint.Disk // what happens to a write, in tests, nil for nothing
 
 	mu           sync.Mutex
-	writeStarted time.Time // since when a write is under way, zero for none
-	lastError    error     // of the last write, nil once one was made
+	writeStarted time.Time // of the write that has not returned, zero for none
+	lastError    error     // of the last write, nil if it succeeded
 
 	closed    chan struct{}
 	once      sync.Once
-	abandoned atomic.Bool // it was closed with a write that did not come back: nothing is told to the others any more
+	abandoned atomic.Bool // closed during a write: other members are told nothing any more
 }
 
 func newDisk(log *boltdb.BoltStore, meets func() failpoint.Disk) *disk {
 	return &disk{BoltStore: log, writeFault: meets, closed: make(chan struct{})}
 }
 
-// Close ends the files.
+// Close closes the files.
 func (d *disk) Close() error {
 	d.release()
 	return d.BoltStore.Close()
 }
 
-// release ends what waits.
+// release ends writes that tests hold up.
 func (d *disk) release() { d.once.Do(func() { d.abandoned.Store(true); close(d.closed) }) }
 
 // write makes one write.
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// stalled says for how long a write has not come back, and what the last one failed with.
+// stalled returns for how long a write has not returned, and the error of the last one.
 func (d *disk) stalled() (time.Duration, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -97,7 +98,7 @@
 	return time.Since(d.writeStarted), d.lastError
 }
 
-// StoreLogs writes entries. Raft calls it, and counts them as acknowledged once it returns.
+// StoreLogs writes entries. Raft counts them as acknowledged once it returns.
 func (d *disk) StoreLogs(logs []*raft.Log) error {
 	sealed := make([]*raft.Log, len(logs))
 	var last membership.Position
@@ -115,15 +116,15 @@
 	})
 }
 
-// StoreLog writes one.
+// StoreLog writes one entry.
 func (d *disk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
-// DeleteRange takes entries away.
+// DeleteRange deletes entries.
 func (d *disk) DeleteRange(first, last uint64) error {
 	return d.write(func() error { return d.BoltStore.DeleteRange(first, last) })
 }
 
-// GetLog reads an entry. One of before there were checksums is taken as it is.
+// GetLog reads an entry. An entry from before there were checksums is not verified.
 func (d *disk) GetLog(index uint64, l *raft.Log) error {
 	if err := d.BoltStore.GetLog(index, l); err != nil {
 		return err
@@ -131,13 +132,13 @@
 	return unseal(index, l)
 }
 
-// Set and SetUint64 write votes and terms.
+// Set writes a value of raft's.
 func (d *disk) Set(key, value []byte) error {
 	return d.write(func() error { return d.BoltStore.Set(key, value) })
 }
 
-// SetUint64 writes a term: the current one, and that of the last vote. Raft ends the process where that fails, and a full disk
-// is no reason to: it is written again until it is in, and this member, which does nothing meanwhile, is one that is away.
+// SetUint64 writes a term, the current one or that of the last vote. Raft would end the process if that failed, and a
+// full disk is no reason to: the write is repeated until it succeeds, and meanwhile this member does nothing.
 func (d *disk) SetUint64(key []byte, value uint64) error {
 	for wait := 10 * time.Millisecond; ; wait = min(2*wait, time.Second) {
 		err := d.write(func() error {
@@ -152,14 +153,19 @@
 		select {
 		case <-time.After(wait):
 		case <-d.closed:
-			return nil // and nobody hears of it
+			return nil // the process ends, and raft tells nobody
 		}
 	}
 }
 
-// Create begins a snapshot. One that a leader sent stands for the entries in it, and is acknowledged as they are.
-func (d *disk) Create(version raft.SnapshotVersion, index, term uint64, configuration raft.Configuration, configurationIndex uint64,
-	trans raft.Transport) (raft.SnapshotSink, error) {
+// Create creates a snapshot. One that a leader sent stands for the entries in it, and is acknowledged as they are.
+func (d *disk) Create(
+	version raft.SnapshotVersion,
+	index, term uint64,
+	configuration raft.Configuration,
+	configurationIndex uint64,
+	trans raft.Transport,
+) (raft.SnapshotSink, error) {
 	sink, err := d.SnapshotStore.Create(version, index, term, configuration, configurationIndex, trans)
 	if err != nil {
 		return nil, err
@@ -173,7 +179,7 @@
 	last membership.Position
 }
 
-// Close ends a snapshot.
+// Close completes a snapshot.
 func (n *watermarkedSink) Close() error {
 	return n.d.write(func() error {
 		if err := n.SnapshotSink.Close(); err != nil {
@@ -183,18 +189,18 @@
 	})
 }
 
-// List and Open are the snapshots'.
+// List returns the snapshots.
 func (d *disk) List() ([]*raft.SnapshotMeta, error) { return d.SnapshotStore.List() }
 
-// Open reads one.
+// Open opens a snapshot.
 func (d *disk) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	return d.SnapshotStore.Open(id)
 }
 
-// sealPrefix begins the extension of an entry that holds its checksum: raft leaves extensions to what stands around it.
+// sealPrefix begins the extension of an entry, which holds its checksum. Raft leaves extensions to its users.
 var sealPrefix = []byte{0x67, 0x74, 0x31}
 
-// sum is over all that an entry says, its place included: an entry that stands at another's is damage as well.
+// checksum covers all of an entry, with its index: an entry in another's place is damage as well.
 func checksum(l *raft.Log) uint64 {
 	h := xxhash.New()
 	var head [17]byte
@@ -210,7 +216,7 @@
 	return binary.BigEndian.AppendUint64(append([]byte(nil), sealPrefix...), checksum(l))
 }
 
-// unseal holds an entry to its checksum and takes that off.
+// unseal verifies an entry's checksum and removes it.
 func unseal(index uint64, l *raft.Log) error {
 	if l.Index != index {
 		return &DamagedError{fmt.Sprintf("entry %d", index), fmt.Sprintf("entry %d stands in its place", l.Index)}
@@ -219,7 +225,8 @@
 	if len(x) == 0 {
 		return nil
 	}
-	if len(x) != len(sealPrefix)+8 || string(x[:len(sealPrefix)]) != string(sealPrefix) || binary.BigEndian.Uint64(x[len(sealPrefix):]) != checksum(l) {
+	if len(x) != len(sealPrefix)+8 || string(x[:len(sealPrefix)]) != string(sealPrefix) ||
+		binary.BigEndian.Uint64(x[len(sealPrefix):]) != checksum(l) {
 		return &DamagedError{fmt.Sprintf("entry %d", index), "its checksum does not hold"}
 	}
 	l.Extensions = nil
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -15,8 +15,8 @@
 	"gatetack/internal/testenv"
 )
 
-// A store of one member whose disk is full, or loses what it took until it is synced, acknowledges nothing meanwhile, keeps
-// what it acknowledged before, and takes writes again by itself once the disk works; a restart finds the same.
+// A store of one member whose disk is full, or loses what it took until it is synced, acknowledges nothing meanwhile,
+// keeps what it acknowledged before, and takes writes again by itself once the disk works; a restart finds the same.
 func TestLoneMemberOnAFailingDisk(t *testing.T) {
 	for _, x := range []struct{ what, device string }{
 		{"full", atomicfiletest.FullDevice},
@@ -47,8 +47,8 @@
 	}
 }
 
-// silentMember takes connections at an address and never answers, as a member does whose process was stopped. It returns a
-// channel that is closed once raft has called.
+// silentMember takes connections at an address and never answers, as a member does whose process was stopped. It
+// returns a channel that is closed once raft has called.
 func silentMember(t *testing.T, address string) <-chan struct{} {
 	t.Helper()
 	ln, err := net.Listen("tcp", address)
@@ -90,8 +90,8 @@
 	return called
 }
 
-// A member that leads ends while a call to a member that does not answer is under way: the call is given up, however long it
-// might take, and no disk is blamed for it.
+// A member that leads ends while a call to a member that does not answer is under way: the call is given up, however
+// long it might take, and no disk is blamed for it.
 func TestShutdownWaitsForNoSilentMember(t *testing.T) {
 	all := cluster(t, 3)
 	put(t, all[0], "before", "x")
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -7,53 +7,53 @@
 	"gatetack/internal/operr"
 )
 
-// The errors of the store that reach an operator, or another package. See package operr.
+// The errors of the store that reach an operator or another package. See package operr.
 
-// NoLeaderError says that the store has no leader, so that nothing can be written or told for certain.
+// NoLeaderError reports that no leader is known, so that nothing can be written or read for certain.
 type NoLeaderError struct{}
 
 func (*NoLeaderError) Error() string { return "store: no leader is known" }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*NoLeaderError) Code() string { return "store.no_leader" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*NoLeaderError) Do() string {
 	return "bring members back until most of the voters are up, and try again; `gatetack store members` tells who is alive"
 }
 
-// DamagedError says that something in a member's folder can not be trusted.
+// DamagedError reports that a part of a member's folder can not be trusted.
 type DamagedError struct{ What, Why string }
 
 func (e *DamagedError) Error() string { return fmt.Sprintf("store: %s is damaged: %s", e.What, e.Why) }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*DamagedError) Code() string { return "store.damaged" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*DamagedError) Do() string {
 	return "look at the disk; with other members up, move the folder away and start the node: it gets all from them; alone, restore a backup"
 }
 
-// Is takes any of them for ErrDamaged.
+// Is reports that the error is an ErrDamaged.
 func (*DamagedError) Is(target error) bool { return target == ErrDamaged }
 
-// StalledError says that a write to the store's disk does not come back.
+// StalledError reports that a write to the store's disk has not returned.
 type StalledError struct{ For time.Duration }
 
 func (e *StalledError) Error() string {
 	return fmt.Sprintf("store: the disk has not answered a write for %v", e.For.Round(time.Millisecond))
 }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*StalledError) Code() string { return "store.stalled" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*StalledError) Do() string {
 	return "another member leads meanwhile; look at the disk, and restart the node if the write does not come back"
 }
 
-// DiskError says that a write to the store's disk failed.
+// DiskError reports that a write to the store's disk failed.
 type DiskError struct {
 	What string
 	Err  error
@@ -62,43 +62,49 @@
 func (e *DiskError) Error() string { return fmt.Sprintf("store: a %s failed: %v", e.What, e.Err) }
 func (e *DiskError) Unwrap() error { return e.Err }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*DiskError) Code() string { return "store.disk" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*DiskError) Do() string {
 	return "make room on the store's disk or replace it; what was not written was not acknowledged"
 }
 
-// VoteError says that a vote is withheld: this member may have forgotten what it acknowledged.
+// VoteError reports that a vote is withheld, because this member may have lost what it acknowledged.
 type VoteError struct{}
 
 func (*VoteError) Error() string {
 	return "store: this member may have forgotten what it acknowledged and votes for nobody who has less"
 }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*VoteError) Code() string { return "store.no_vote" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*VoteError) Do() string {
 	return "bring back the members that its log names as missing; if they are lost for good, `gatetack store recover` on the folder that has most"
 }
 
-// AddressError says that a member's file names another address for it than the store does.
+// AddressError reports that a member listens at another address than its configuration names for it.
 type AddressError struct{ Name, Has, Wants string }
 
 func (e *AddressError) Error() string {
 	return fmt.Sprintf("store: member %q is not at %s: its members name %s", e.Name, e.Has, e.Wants)
 }
 
-// Code is its kind.
+// Code identifies the kind of error in logs and on the on-call page.
 func (*AddressError) Code() string { return "store.address" }
 
-// Do is what can be done.
+// Do says what an operator can do.
 func (*AddressError) Do() string {
 	return "set store.listen to the address that store.members has under this node's name, or correct that"
 }
 
-var _ = []struct{}{operr.Kind(&NoLeaderError{}), operr.Kind(&DamagedError{}), operr.Kind(&StalledError{}), operr.Kind(&DiskError{}),
-	operr.Kind(&VoteError{}), operr.Kind(&AddressError{})}
+var _ = []struct{}{
+	operr.Kind(&NoLeaderError{}),
+	operr.Kind(&DamagedError{}),
+	operr.Kind(&StalledError{}),
+	operr.Kind(&DiskError{}),
+	operr.Kind(&VoteError{}),
+	operr.Kind(&AddressError{}),
+}
--- a/internal/store/folder.go
+++ b/internal/store/folder.go
@@ -20,14 +20,14 @@
 	"gatetack/internal/membership"
 )
 
-// The folder's identity, and those of the others that this member was told of, stand beside raft's own votes: they are lost
-// only together.
+// Keys of the folder's identity, and of those of the other members' folders, in raft's own stable store: they are lost
+// only together with its votes.
 const (
 	folderKey = "gatetack.folder"
 	knownKey  = "gatetack.folder.of."
 )
 
-// loadIdentity reads the folder's, or makes it.
+// loadIdentity reads the folder's identity, or creates it.
 func (s *Store) loadIdentity() error {
 	id, err := s.disk.Get([]byte(folderKey))
 	if errors.Is(err, boltdb.ErrKeyNotFound) {
@@ -44,8 +44,8 @@
 	return []byte(hex.EncodeToString(raw[:]))
 }
 
-// handleWitness answers a member that asks which folder is known under its name: what it says is on this member's disk before it
-// is answered, if nothing was known before.
+// handleWitness answers a member that asks which folder is known under its name. If none was, the folder is on this
+// member's disk before the answer.
 func (s *Store) handleWitness(q url.Values) http1.Response {
 	name, id := q.Get("name"), q.Get("id")
 	if name == "" || id == "" {
@@ -66,13 +66,13 @@
 	return jsonResponse(200, witnessAnswer{string(known), s.progress()})
 }
 
-// witnessAnswer is what a member answers: which folder it knows under a name, and where it stands itself.
+// witnessAnswer is the folder that a member knows under a name, and the member's own position.
 type witnessAnswer struct {
 	Known string `json:"known"`
 	membership.Progress
 }
 
-// knownFolders are the folders that were named.
+// knownFolders returns the folders of some answers.
 func knownFolders(answers map[string]witnessAnswer) membership.KnownFolders {
 	out := membership.KnownFolders{}
 	for name, w := range answers {
@@ -81,7 +81,7 @@
 	return out
 }
 
-// askWitnesses has some members say which folder they know under this one's name. Those that do not answer are not in it.
+// askWitnesses asks members which folder they know under this one's name. The result has those that answered.
 func (s *Store) askWitnesses(ctx context.Context, members map[string]string) map[string]witnessAnswer {
 	ctx, cancel := context.WithTimeout(ctx, 2*s.lim.StoreBeat)
 	defer cancel()
@@ -111,12 +111,18 @@
 	return out
 }
 
-// beginOrRejoin has a member with an empty folder become one of the store's: it begins it with the others, or, where it has forgotten
-// what it held or is to join, is let in anew by those who remember. Until then it gives no vote and takes nothing in.
+// beginOrRejoin makes a member with an empty folder part of the store. It begins the store together with the others
+// or, where its folder was lost or it is to join, waits until the others add it. Until then it does not vote and
+// accepts no entries.
 func (s *Store) beginOrRejoin(ctx context.Context) {
 	names := slices.Sorted(maps.Keys(s.cfg.Members))
 	for said := false; s.cfg.Join == ""; said = true {
-		verdict, missing := membership.DecideBootstrap(s.cfg.Name, s.folderIdentity, names, knownFolders(s.askWitnesses(ctx, s.cfg.Members)))
+		verdict, missing := membership.DecideBootstrap(
+			s.cfg.Name,
+			s.folderIdentity,
+			names,
+			knownFolders(s.askWitnesses(ctx, s.cfg.Members)),
+		)
 		if verdict == membership.BeginStore {
 			if err := s.bootstrap(); err != nil {
 				s.log.Error("store not bootstrapped", "err", err)
@@ -167,12 +173,13 @@
 	}
 }
 
-// bootstrap begins the store. Every member begins with the same list, so that it does not matter which one is first.
+// bootstrap begins the store. Every member begins with the same configuration, so that it does not matter which is
+// first.
 func (s *Store) bootstrap() error {
 	return s.raft.BootstrapCluster(raftConfiguration(s.cfg.Members)).Error()
 }
 
-// raftConfiguration is a store of members by name, the same for all that have the same members.
+// raftConfiguration returns the configuration of a store, the same for all that name the same members.
 func raftConfiguration(members map[string]string) (all raft.Configuration) {
 	for _, name := range slices.Sorted(maps.Keys(members)) {
 		all.Servers = append(all.Servers, raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(members[name])})
@@ -180,7 +187,8 @@
 	return all
 }
 
-// announceFolder has the other members know this folder, once each: those of a version that had no identities, or that came later.
+// announceFolder makes this folder known to the other members, once each: also to those that join later, or that ran a
+// version without identities.
 func (s *Store) announceFolder(ctx context.Context) {
 	told := map[string]bool{}
 	for {
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -17,12 +17,20 @@
 	"gatetack/internal/limits"
 )
 
-// stateBounds are those of the state: all members have the same.
+// stateBounds are the bounds of the state, the same on all members.
 func stateBounds(lim limits.Limits) kv.Bounds {
-	return kv.Bounds{Values: lim.StoreValues, Bytes: lim.StoreBytes, History: 8, Key: 512, Value: lim.StoreBody, Ops: 256, Done: 8192}
+	return kv.Bounds{
+		Values:  lim.StoreValues,
+		Bytes:   lim.StoreBytes,
+		History: 8,
+		Key:     512,
+		Value:   lim.StoreBody,
+		Ops:     256,
+		Done:    8192,
+	}
 }
 
-// fsm hands the log to the state machine, and keeps its latest changes for those who watch.
+// fsm applies the log to the state machine and keeps the latest changes for watchers.
 type fsm struct {
 	lim limits.Limits
 
@@ -37,7 +45,7 @@
 	return &fsm{lim: lim, state: kv.New(stateBounds(lim)), changed: make(chan struct{})}
 }
 
-// view is the state as it stands.
+// view returns the current state.
 func (f *fsm) view() *kv.View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,7 +58,7 @@
 	return f.state.Due()
 }
 
-// Apply takes in one entry of the log. One that can not be read changes nothing, on any member.
+// Apply applies one entry of the log. An entry that can not be decoded changes nothing on any member.
 func (f *fsm) Apply(l *raft.Log) any {
 	t, err := decodeTxn(l.Data)
 	if err != nil {
@@ -68,7 +76,7 @@
 	return &r
 }
 
-// trim lets go of the oldest changes once twice as many are kept as are promised. A trim copies what stays: one at each
+// trim drops the oldest changes once twice as many are kept as promised. A trim copies the rest: one for each
 // transaction took more time than all else of it.
 func (f *fsm) trim() {
 	if len(f.events) <= 2*f.lim.BatchEvents {
@@ -79,9 +87,12 @@
 	f.events = slices.Clone(f.events[old:])
 }
 
-// changesAfter gives the changes that follow a version, of keys in a table that begin with a prefix; lost says that some are no
-// longer kept.
-func (f *fsm) changesAfter(version uint64, table, prefix string) (out []kv.Event, upTo uint64, lost bool, more <-chan struct{}) {
+// changesAfter returns the changes after a version to keys of a table that begin with a prefix, the version up to
+// which they reach, whether some are no longer kept, and what is closed at the next change.
+func (f *fsm) changesAfter(
+	version uint64,
+	table, prefix string,
+) (out []kv.Event, upTo uint64, lost bool, more <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	upTo = f.state.Snapshot().Index()
@@ -97,7 +108,7 @@
 	return out, upTo, false, f.changed
 }
 
-// decodeTxn reads a log's entry: a transaction, or a change as version 0.2 wrote it.
+// decodeTxn decodes an entry of the log: a transaction, or a change in the form of version 0.2.
 func decodeTxn(data []byte) (*kv.Txn, error) {
 	t := &kv.Txn{}
 	if err := t.Unmarshal(data); !errors.Is(err, kv.ErrForm) {
@@ -113,7 +124,7 @@
 	return &kv.Txn{Ops: []kv.Op{op}}, nil
 }
 
-// decodeLegacyOp is a change in version 0.2's JSON.
+// decodeLegacyOp decodes a change in the JSON of version 0.2.
 func decodeLegacyOp(v gjson.Result) (kv.Op, error) {
 	value, err := base64.StdEncoding.DecodeString(v.Get("value").String())
 	op := kv.Op{Verb: kv.Put, Table: v.Get("kind").String(), Key: v.Get("key").String(), Value: value}
@@ -123,10 +134,10 @@
 	return op, err
 }
 
-// Snapshot is taken at no cost: what is written meanwhile is not in it.
+// Snapshot returns the current state, at no cost.
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) { return snapshot{f.view()}, nil }
 
-// Restore takes the place of all that was held. A damaged snapshot changes nothing.
+// Restore replaces the state. A damaged snapshot changes nothing.
 func (f *fsm) Restore(r io.ReadCloser) error {
 	defer func() { _ = r.Close() }()
 	state, err := readSnapshot(r, f.lim)
@@ -141,7 +152,7 @@
 	return nil
 }
 
-// readSnapshot reads a snapshot, or one that version 0.2 wrote: a change a line.
+// readSnapshot decodes a snapshot, or one of version 0.2, which has one change a line.
 func readSnapshot(r io.Reader, lim limits.Limits) (*kv.State, error) {
 	var head bytes.Buffer
 	state, err := kv.Read(io.TeeReader(r, &head), stateBounds(lim))
--- a/internal/store/fsm_test.go
+++ b/internal/store/fsm_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// The changes that are promised to watchers are kept, not many more, and letting go of old ones costs a copy of them once in as
-// many changes and not at each: that took the store from 4,200 to 1,050 writes a second.
+// The changes that are promised to watchers are kept, not many more, and letting go of old ones costs a copy of them
+// once in as many changes and not at each: that took the store from 4,200 to 1,050 writes a second.
 func TestChangesAreTrimmedSeldom(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.BatchEvents = 100
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -21,22 +21,36 @@
 // goldenEntries are entries of the log as raft hands them over.
 func goldenEntries(t *testing.T) []*raft.Log {
 	t.Helper()
-	txn := &kv.Txn{At: 1700000000000, ID: "n0.5.1", Ops: []kv.Op{{Verb: kv.Put, Table: "job", Key: "n0.000000000005.000000000001",
-		Value: []byte(`{"jobId":"n0.5.1"}`), Keep: true}}}
+	txn := &kv.Txn{
+		At: 1700000000000,
+		ID: "n0.5.1",
+		Ops: []kv.Op{{Verb: kv.Put, Table: "job", Key: "n0.000000000005.000000000001",
+			Value: []byte(`{"jobId":"n0.5.1"}`), Keep: true}},
+	}
 	data, err := txn.Marshal()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return []*raft.Log{
-		{Index: 1, Term: 1, Type: raft.LogConfiguration, Data: raft.EncodeConfiguration(raftConfiguration(map[string]string{"n0": "127.0.0.1:1"}))},
+		{
+			Index: 1,
+			Term:  1,
+			Type:  raft.LogConfiguration,
+			Data:  raft.EncodeConfiguration(raftConfiguration(map[string]string{"n0": "127.0.0.1:1"})),
+		},
 		{Index: 2, Term: 2, Type: raft.LogNoop},
 		{Index: 3, Term: 2, Type: raft.LogCommand, Data: data},
-		{Index: 4, Term: 2, Type: raft.LogCommand, Data: []byte(`{"kind":"job","key":"k","value":"djAuMg=="}`)}, // as version 0.2 wrote it
+		{
+			Index: 4,
+			Term:  2,
+			Type:  raft.LogCommand,
+			Data:  []byte(`{"kind":"job","key":"k","value":"djAuMg=="}`),
+		}, // as version 0.2 wrote it
 	}
 }
 
-// Entries of the log, votes and the mark beside it are, byte for byte, what the program wrote before its code was reshaped.
-// GOLDEN_UPDATE=1 writes the golden file anew, for a change of the stored form that is meant.
+// Entries of the log, votes and the mark beside it are, byte for byte, what the program wrote before its code was
+// reshaped. GOLDEN_UPDATE=1 writes the golden file anew, for a change of the stored form that is meant.
 func TestGoldenDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "raft.db")
 	log, err := openLog(path)
@@ -79,7 +93,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &watermark{folder: 0x1122334455667788, boot: 0x99aabbccddeeff00, last: membership.Position{Term: 2, Index: 4}, term: 3}
+	m := &watermark{
+		folder: 0x1122334455667788,
+		boot:   0x99aabbccddeeff00,
+		last:   membership.Position{Term: 2, Index: 4},
+		term:   3,
+	}
 	fmt.Fprintf(&out, "mark %x\n", m.encode())
 	compareGolden(t, "disk.txt", out.String())
 }
@@ -121,7 +140,9 @@
 		t.Error("a snapshot that was read and written again differs")
 	}
 	old := newFSM(lim)
-	if err := old.Restore(io.NopCloser(strings.NewReader(`{"kind":"job","key":"k","value":"djAuMg=="}` + "\n"))); err != nil {
+	if err := old.Restore(
+		io.NopCloser(strings.NewReader(`{"kind":"job","key":"k","value":"djAuMg=="}` + "\n")),
+	); err != nil {
 		t.Fatal(err)
 	}
 	compareGolden(t, "snapshot-of-version-0.2.hex", hex.EncodeToString(persist(old))+"\n")
--- a/internal/store/guard.go
+++ b/internal/store/guard.go
@@ -15,13 +15,13 @@
 	"gatetack/internal/membership"
 )
 
-// guard stands between raft and its transport. It holds this member's votes to what it may have forgotten (package membership,
-// Recall), those that it asks for included, and it keeps a leader whose disk does not answer from telling the others that it
-// leads: raft writes to its own log in the loop that would give up the lead, and its heartbeats go on beside it.
+// guard is raft's transport. It restricts the votes that this member gives and asks for to what package membership
+// allows (Assess), and it stops the messages of a leader whose disk does not answer: raft writes to its own log in the
+// loop that would step down, and its heartbeats go on beside it.
 type guard struct {
 	*raft.NetworkTransport
 	disk         *disk
-	maxWriteTime time.Duration // that a write may take while this member leads
+	maxWriteTime time.Duration // of a write, while this member leads
 	calls        chan raft.RPC
 
 	mu       sync.Mutex
@@ -29,17 +29,17 @@
 	floor    membership.VoteFloor
 }
 
-// errVote says why a vote is not asked for, or not given.
+// errVote reports why a vote is not asked for, or not given.
 var errVote = &VoteError{}
 
 func newGuard(t *raft.NetworkTransport, d *disk, most time.Duration) *guard {
 	return &guard{NetworkTransport: t, disk: d, maxWriteTime: most, calls: make(chan raft.RPC)}
 }
 
-// Consumer gives raft the calls of the others that it may see.
+// Consumer returns the calls of other members that raft may see.
 func (g *guard) Consumer() <-chan raft.RPC { return g.calls }
 
-// run hands calls on until the context ends.
+// run forwards calls until the context ends.
 func (g *guard) run(ctx context.Context) {
 	for {
 		select {
@@ -58,7 +58,7 @@
 	}
 }
 
-// rejectVote answers a call for a vote that may not be given.
+// rejectVote answers a request for a vote that must not be given, and reports whether it did.
 func (g *guard) rejectVote(rpc raft.RPC) bool {
 	head := raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax}
 	switch c := rpc.Command.(type) {
@@ -94,30 +94,40 @@
 	g.complete, g.floor = r.Complete, r.Floor
 }
 
-// assessment tells how this member's votes stand.
-func (g *guard) assessment() (sure bool, floor membership.VoteFloor) {
+// assessment returns what this member's votes are restricted to.
+func (g *guard) assessment() (complete bool, floor membership.VoteFloor) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.complete, g.floor
 }
 
-// RequestVote asks for a vote, as one that has all that it may have forgotten would.
-func (g *guard) RequestVote(id raft.ServerID, to raft.ServerAddress, req *raft.RequestVoteRequest, resp *raft.RequestVoteResponse) error {
+// RequestVote asks for a vote, unless this member may have lost more than it has.
+func (g *guard) RequestVote(
+	id raft.ServerID,
+	to raft.ServerAddress,
+	req *raft.RequestVoteRequest,
+	resp *raft.RequestVoteResponse,
+) error {
 	if !g.mayVote(req.Term, req.LastLogTerm, req.LastLogIndex) {
 		return errVote
 	}
 	return g.NetworkTransport.RequestVote(id, to, req, resp)
 }
 
-// RequestPreVote likewise.
-func (g *guard) RequestPreVote(id raft.ServerID, to raft.ServerAddress, req *raft.RequestPreVoteRequest, resp *raft.RequestPreVoteResponse) error {
+// RequestPreVote asks for a pre-vote under the same restriction.
+func (g *guard) RequestPreVote(
+	id raft.ServerID,
+	to raft.ServerAddress,
+	req *raft.RequestPreVoteRequest,
+	resp *raft.RequestPreVoteResponse,
+) error {
 	if !g.mayVote(req.Term, req.LastLogTerm, req.LastLogIndex) {
 		return errVote
 	}
 	return g.NetworkTransport.RequestPreVote(id, to, req, resp)
 }
 
-// checkDisk is why nothing is told to the others, if the disk does not answer.
+// checkDisk returns an error if the disk does not answer: other members are then told nothing.
 func (g *guard) checkDisk() error {
 	if g.disk.abandoned.Load() {
 		return &StalledError{}
@@ -128,15 +138,20 @@
 	return nil
 }
 
-// AppendEntries tells another member what was written, and that this one leads.
-func (g *guard) AppendEntries(id raft.ServerID, to raft.ServerAddress, req *raft.AppendEntriesRequest, resp *raft.AppendEntriesResponse) error {
+// AppendEntries sends entries and heartbeats.
+func (g *guard) AppendEntries(
+	id raft.ServerID,
+	to raft.ServerAddress,
+	req *raft.AppendEntriesRequest,
+	resp *raft.AppendEntriesResponse,
+) error {
 	if err := g.checkDisk(); err != nil {
 		return err
 	}
 	return g.NetworkTransport.AppendEntries(id, to, req, resp)
 }
 
-// AppendEntriesPipeline likewise, many at a time.
+// AppendEntriesPipeline sends entries without waiting for each response.
 func (g *guard) AppendEntriesPipeline(id raft.ServerID, to raft.ServerAddress) (raft.AppendPipeline, error) {
 	if err := g.checkDisk(); err != nil {
 		return nil, err
@@ -153,24 +168,33 @@
 	g *guard
 }
 
-// AppendEntries adds a call.
-func (p *pipeline) AppendEntries(req *raft.AppendEntriesRequest, resp *raft.AppendEntriesResponse) (raft.AppendFuture, error) {
+// AppendEntries adds a call to the pipeline.
+func (p *pipeline) AppendEntries(
+	req *raft.AppendEntriesRequest,
+	resp *raft.AppendEntriesResponse,
+) (raft.AppendFuture, error) {
 	if err := p.g.checkDisk(); err != nil {
 		return nil, err
 	}
 	return p.AppendPipeline.AppendEntries(req, resp)
 }
 
-// InstallSnapshot sends one.
-func (g *guard) InstallSnapshot(id raft.ServerID, to raft.ServerAddress, req *raft.InstallSnapshotRequest, resp *raft.InstallSnapshotResponse, data io.Reader) error {
+// InstallSnapshot sends a snapshot.
+func (g *guard) InstallSnapshot(
+	id raft.ServerID,
+	to raft.ServerAddress,
+	req *raft.InstallSnapshotRequest,
+	resp *raft.InstallSnapshotResponse,
+	data io.Reader,
+) error {
 	if err := g.checkDisk(); err != nil {
 		return err
 	}
 	return g.NetworkTransport.InstallSnapshot(id, to, req, resp, data)
 }
 
-// assess finds out, for a member that held something when it was opened, whether it may have forgotten. Until that is known it
-// gives no vote.
+// assess finds out whether this member, whose folder was not empty, may have lost what it acknowledged. Until that is
+// known it does not vote.
 func (s *Store) assess(ctx context.Context) {
 	for said := false; s.addressElsewhere() != ""; said = true {
 		if !said {
@@ -185,7 +209,7 @@
 		at := s.addresses()
 		all := slices.Sorted(maps.Keys(at))
 		r := membership.Assess(s.folderAtStart, s.watermarkAtStart, all, nil)
-		if !r.Complete { // no mark makes it needless to ask
+		if !r.Complete { // the watermark does not suffice
 			r = membership.Assess(s.folderAtStart, s.watermarkAtStart, all, s.askProgress(ctx, at))
 		}
 		s.guard.setAssessment(r)
@@ -194,7 +218,10 @@
 				"acknowledged", r.Floor.Last, "voted_term", r.Floor.Term)
 		}
 		if r.Complete {
-			if err := s.disk.watermark.arm(laterPosition(s.folderAtStart.Last, r.Floor.Last), max(s.folderAtStart.Term, r.Floor.Term)); err != nil {
+			if err := s.disk.watermark.arm(
+				laterPosition(s.folderAtStart.Last, r.Floor.Last),
+				max(s.folderAtStart.Term, r.Floor.Term),
+			); err != nil {
 				s.log.Warn("store watermark not written", "err", err)
 			}
 			if len(r.Missing) == 0 && !r.Regressed {
@@ -212,7 +239,7 @@
 	}
 }
 
-// sleepHalfBeat waits for half a beat before something is tried again; false once it is no longer wanted.
+// sleepHalfBeat waits before another attempt. It returns false when the context ends.
 func (s *Store) sleepHalfBeat(ctx context.Context) bool {
 	select {
 	case <-time.After(s.lim.StoreBeat / 2):
@@ -222,7 +249,8 @@
 	}
 }
 
-// addressElsewhere is the address that the members have for this one, if it is another than it listens at.
+// addressElsewhere returns the address under which the members know this one, empty if it is the one that it listens
+// at.
 func (s *Store) addressElsewhere() string {
 	all, _ := s.Members()
 	for _, x := range all {
@@ -233,7 +261,7 @@
 	return ""
 }
 
-// askProgress asks the others where they stand.
+// askProgress gets the positions of the other members.
 func (s *Store) askProgress(ctx context.Context, at map[string]string) map[string]membership.Progress {
 	out := map[string]membership.Progress{}
 	for name, a := range s.askWitnesses(ctx, at) {
@@ -242,7 +270,7 @@
 	return out
 }
 
-// addresses are those of all members that the folder or the file names, this one's included.
+// addresses returns the addresses of all members that the folder or the configuration names, with this one's.
 func (s *Store) addresses() map[string]string {
 	out := maps.Clone(s.cfg.Members)
 	if out == nil {
@@ -255,13 +283,13 @@
 	return out
 }
 
-// progress is where this member stands.
+// progress returns the position of this member.
 func (s *Store) progress() membership.Progress {
 	last, term := s.disk.lastPosition()
 	return membership.Progress{Last: last, Term: term}
 }
 
-// end is how far the log on the disk goes, snapshots included, and the last term in which a vote may have been given.
+// lastPosition returns the end of the log, snapshots included, and the last term in which a vote may have been given.
 func (d *disk) lastPosition() (last membership.Position, term uint64) {
 	if index, err := d.LastIndex(); err == nil && index > 0 {
 		var l raft.Log
@@ -291,7 +319,7 @@
 	return p
 }
 
-// voteStatus tells operators how this member's vote stands.
+// voteStatus describes this member's votes for operators.
 func (s *Store) voteStatus() string {
 	sure, floor := s.guard.assessment()
 	last, _ := s.disk.lastPosition()
@@ -304,7 +332,7 @@
 	return "as any"
 }
 
-// status tells them how the disk does.
+// status describes the disk for operators.
 func (d *disk) status() string {
 	wait, err := d.stalled()
 	switch {
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -28,8 +28,8 @@
 	retainedSnapshots = 2
 )
 
-// inspection looks at a member's folder before anything of it is used, and moves away what can not be trusted: a snapshot,
-// the log from a damaged entry on, or all of it. Nothing is deleted but log entries that others have.
+// inspection looks at a member's folder before anything of it is used, and moves away what can not be trusted: a
+// snapshot, the log from a damaged entry on, or all of it. Nothing is deleted but log entries that others have.
 type inspection struct {
 	dir   string
 	alone bool // no other member has what is damaged
@@ -42,8 +42,8 @@
 	damaged    bool                // a snapshot was moved away
 }
 
-// inspectFolder inspects a folder. It returns the end of what the folder had and can not be read any more, as far as that is
-// known: the member gets it from the others.
+// inspectFolder inspects a folder. It returns the end of what the folder had and can not be read any more, as far as
+// that is known: the member gets it from the others.
 func inspectFolder(dir string, alone bool, lim limits.Limits, quiet hclog.Logger,
 	log *slog.Logger) (unreadable membership.Position, err error) {
 	in := &inspection{dir: dir, alone: alone, lim: lim, quiet: quiet, log: log}
@@ -146,8 +146,11 @@
 		return nil
 	}
 	// The entries between the remaining snapshot and the log are lost, so that there is no complete state.
-	err = in.moveAside(path, fmt.Errorf("the log begins at entry %d, and what came before it after entry %d can not be read",
-		first, in.covered))
+	err = in.moveAside(
+		path,
+		fmt.Errorf("the log begins at entry %d, and what came before it after entry %d can not be read",
+			first, in.covered),
+	)
 	if err != nil {
 		return err
 	}
@@ -163,16 +166,18 @@
 	return in.moveAside(path, errors.New("the log that belongs to them is damaged"))
 }
 
-// openLog opens the log's file. Which of its pages are free is not kept in it: a damaged list of them would have the library
-// write over what is used.
+// openLog opens the log's file. The list of free pages is not stored: with a damaged list, the library would write
+// over used pages.
 func openLog(path string) (*boltdb.BoltStore, error) {
-	return boltdb.New(boltdb.Options{Path: path, BoltOptions: &bolt.Options{NoFreelistSync: true, FreelistType: bolt.FreelistMapType}})
+	return boltdb.New(
+		boltdb.Options{Path: path, BoltOptions: &bolt.Options{NoFreelistSync: true, FreelistType: bolt.FreelistMapType}},
+	)
 }
 
-// verifyPages walks all that stands in the log's file, in this goroutine: the library's own check panics in one of its own. Keys that
-// are out of order are pages that are not where they belong.
+// verifyPages walks the pages of the log's file in this goroutine, because the library's own check panics in another
+// one. Keys out of order are pages in the wrong place.
 func verifyPages(path string) (err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a page that would be past the file's end is none of its memory
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // reading a page past the file's end is a fault
 	defer func() {
 		if p := recover(); p != nil {
 			err = &DamagedError{path, fmt.Sprint(p)}
@@ -180,7 +185,7 @@
 	}()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true, Timeout: time.Second})
 	if errors.Is(err, berrors.ErrTimeout) {
-		return nil // another process has it open: that is for the opening to say
+		return nil // another process has it open, which openLog reports
 	}
 	if err != nil {
 		return &DamagedError{path, err.Error()}
@@ -206,8 +211,8 @@
 	})
 }
 
-// readableEntries reads all entries of a log past those that a snapshot covers. It says which are first and the last before a damaged
-// one, and how far the log had gone.
+// readableEntries reads all entries of a log past those that a snapshot covers. It returns the first one, the last one
+// before a damaged one, and the end of the log.
 func readableEntries(b *boltdb.BoltStore, covered uint64) (first, last uint64, end membership.Position, why error) {
 	d := &disk{BoltStore: b}
 	first, err := b.FirstIndex()
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -43,7 +43,8 @@
 	return jsonResponse(200, r)
 }
 
-// serveRead reads after a barrier: all that was committed before the call is then applied, and only a leader commits one.
+// serveRead reads after a barrier: all that was committed before the call is then applied, and only a leader commits
+// one.
 func (s *Store) serveRead(ctx context.Context, path string, q url.Values) http1.Response {
 	if err := s.await(ctx, s.raft.Barrier(s.lim.StoreCall).Error); err != nil {
 		return http1.Text(503, "%v", err)
@@ -79,5 +80,9 @@
 	if err != nil {
 		return http1.Text(500, "%v", err)
 	}
-	return http1.Response{Status: status, Fields: []http1.Field{{Name: "Content-Type", Value: "application/json"}}, Body: body}
+	return http1.Response{
+		Status: status,
+		Fields: []http1.Field{{Name: "Content-Type", Value: "application/json"}},
+		Body:   body,
+	}
 }
--- a/internal/store/lies_test.go
+++ b/internal/store/lies_test.go
@@ -37,8 +37,9 @@
 // faulty has a member's writes meet what is set, from now on.
 func faulty(m *node) *atomic.Pointer[failpoint.Disk] { return &m.disk }
 
-// A leader whose disk fails a write, is full, takes two seconds for each, or never comes back with one, does not keep the store:
-// the others write, and what was acknowledged before stands. Once the disk does again, it has what it missed.
+// A leader whose disk fails a write, is full, takes two seconds for each, or never comes back with one, does not keep
+// the store: the others write, and what was acknowledged before stands. Once the disk does again, it has what it
+// missed.
 func TestLeaderWithABadDisk(t *testing.T) {
 	for _, x := range []struct {
 		what  string
@@ -69,13 +70,18 @@
 			}
 			if x.heals {
 				disk.Store(&failpoint.Disk{})
-				testenv.Until(t, "it has what it missed", func() bool { v, ok := lead.s.Local("job", "after"); return ok && string(v) == "y" })
+				testenv.Until(
+					t,
+					"it has what it missed",
+					func() bool { v, ok := lead.s.Local("job", "after"); return ok && string(v) == "y" },
+				)
 			}
 		})
 	}
 }
 
-// Without the look at the disk a leader that hangs leads on, and nothing is written: what the test above rests on is seen.
+// Without the look at the disk a leader that hangs leads on, and nothing is written: what the test above rests on is
+// seen.
 func TestLeaderThatHangsWithoutTheGuard(t *testing.T) {
 	failpoint.Without = failpoint.Stalled
 	defer func() { failpoint.Without = "" }()
@@ -99,7 +105,8 @@
 	}
 }
 
-// A follower that can not write acknowledges nothing: with it and one more down nothing is written, and with it alone all is.
+// A follower that can not write acknowledges nothing: with it and one more down nothing is written, and with it alone
+// all is.
 func TestFollowerWithAFullDisk(t *testing.T) {
 	all := cluster(t, 3)
 	put(t, all[0], "before", "x")
@@ -128,8 +135,8 @@
 	want(t, full, "with the other", "y")
 }
 
-// Any byte of a member's folder is changed while it is down. It starts without what it can not trust and gets it from the others,
-// or does not start and says why; it never tells another value, nor sends one to others.
+// Any byte of a member's folder is changed while it is down. It starts without what it can not trust and gets it from
+// the others, or does not start and says why; it never tells another value, nor sends one to others.
 func TestAnyByteChanged(t *testing.T) {
 	all := cluster(t, 3)
 	for i := range 60 {
@@ -229,8 +236,12 @@
 // An entry that was changed anywhere is found, whatever it says; one that was not is what it was.
 func TestEntriesAreSealed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := raft.Log{Index: rapid.Uint64().Draw(t, "index"), Term: rapid.Uint64().Draw(t, "term"), Type: raft.LogType(rapid.IntRange(0, 5).Draw(t, "type")),
-			Data: rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "data")}
+		l := raft.Log{
+			Index: rapid.Uint64().Draw(t, "index"),
+			Term:  rapid.Uint64().Draw(t, "term"),
+			Type:  raft.LogType(rapid.IntRange(0, 5).Draw(t, "type")),
+			Data:  rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "data"),
+		}
 		x := l
 		x.Extensions = seal(&x)
 		back := x
@@ -277,7 +288,8 @@
 	})
 }
 
-// A mark vouches for nothing before it is armed, goes on after the process, and is taken away when it can not be written.
+// A mark vouches for nothing before it is armed, goes on after the process, and is taken away when it can not be
+// written.
 func TestMark(t *testing.T) {
 	dir := t.TempDir()
 	m, known, err := openWatermark(dir, "f", "boot")
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -87,7 +87,11 @@
 		g.Go(func() error {
 			rng := rand.New(rand.NewPCG(7, uint64(client)))
 			for n := 0; ctx.Err() == nil; n++ {
-				in := input{verb: []string{"get", "get", "put", "create", "delete"}[rng.IntN(5)], key: fmt.Sprint("k", rng.IntN(4)), value: fmt.Sprintf("%d.%d", client, n)}
+				in := input{
+					verb:  []string{"get", "get", "put", "create", "delete"}[rng.IntN(5)],
+					key:   fmt.Sprint("k", rng.IntN(4)),
+					value: fmt.Sprintf("%d.%d", client, n),
+				}
 				s := store(rng.IntN(len(all)))
 				call := time.Since(began).Nanoseconds()
 				cctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	maxVoters   = 5  // more make each write wait for more disks
-	maxVoterLag = 64 // entries of the log that a non-voter may be behind when it is let vote
+	maxVoters   = 5  // each further voter makes writes wait for more disks
+	maxVoterLag = 64 // entries that a non-voter may lag when it becomes a voter
 )
 
-// observe keeps which members' heartbeats fail while this one leads.
+// observe tracks which members' heartbeats fail while this one leads.
 func (s *Store) observe(ctx context.Context) {
 	seen := make(chan raft.Observation, 64)
 	o := raft.NewObserver(seen, false, func(o *raft.Observation) bool {
@@ -50,7 +50,7 @@
 	}
 }
 
-// Members are all, as this one sees them; who is alive only the leader knows.
+// Members returns all members as this one sees them. Only the leader knows who is alive.
 func (s *Store) Members() (membership.Cluster, error) {
 	f := s.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
@@ -67,7 +67,7 @@
 	return all, nil
 }
 
-// handleChange decides about a change of the membership that is asked for, and makes it, as the leader.
+// handleChange decides about a requested change of the membership and makes it, as the leader.
 func (s *Store) handleChange(v gjson.Result) http1.Response {
 	all, err := s.Members()
 	if err != nil {
@@ -105,7 +105,7 @@
 
 func (s *Store) applyChange(x membership.Change) error {
 	id, addr, wait := raft.ServerID(x.Name), raft.ServerAddress(x.Address), s.lim.StoreCall
-	defer func() { // what failed before was another process: the new one's heartbeats say nothing until they fail
+	defer func() { // heartbeats that failed before were another process's
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.unresponsive, id)
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// requestChange asks a member for a change of the membership that is about this one.
+// requestChange asks a member for a change of the membership that concerns this one.
 func (s *Store) requestChange(ctx context.Context, to string, call map[string]any) (*http1.Message, error) {
 	call["name"], call["address"] = s.cfg.Name, s.cfg.Listen
 	body, _ := json.Marshal(call)
@@ -132,7 +132,8 @@
 	return Call(ctx, to, "POST", "/v1/members", body, s.cfg.Keys, s.lim)
 }
 
-// join asks to be a member, and then to vote once it has caught up, until it votes or there is no place for another voter.
+// join asks for membership and, once this member has caught up, for a vote, until it has one or there are enough
+// voters.
 func (s *Store) join(ctx context.Context, to string) {
 	for ctx.Err() == nil {
 		all, err := s.Members()
--- a/internal/store/mux.go
+++ b/internal/store/mux.go
@@ -16,8 +16,8 @@
 	"gatetack/internal/pki"
 )
 
-// mux lets raft's streams and the members' calls share one address: a stream of raft's begins with a byte that
-// no request begins with.
+// mux shares one address between raft's streams and the members' calls: a stream begins with a byte with which no
+// request begins.
 type mux struct {
 	net.Listener
 	keys        *pki.Ring
@@ -26,7 +26,7 @@
 	callConns   *connQueue
 	done        chan struct{}
 	once        sync.Once
-	raftOpen    atomic.Bool // raft's streams are taken
+	raftOpen    atomic.Bool // raft's streams are accepted
 	raftStreams streams     // raft's calls to other members
 }
 
@@ -92,7 +92,7 @@
 	}
 }
 
-// peekedConn is a connection of which the first bytes are read already.
+// peekedConn is a connection whose first bytes were read to tell what it is.
 type peekedConn struct {
 	net.Conn
 	r *bufio.Reader
@@ -100,7 +100,7 @@
 
 func (p *peekedConn) Read(b []byte) (int, error) { return p.r.Read(b) }
 
-// Accept gives raft its streams.
+// Accept returns raft's next stream.
 func (m *mux) Accept() (net.Conn, error) {
 	select {
 	case c := <-m.raftConns:
@@ -110,7 +110,7 @@
 	}
 }
 
-// Close ends both sides.
+// Close ends both listeners.
 func (m *mux) Close() error {
 	m.once.Do(func() { close(m.done) })
 	if err := m.Listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -125,7 +125,7 @@
 	defer cancel()
 	go func() {
 		select {
-		case <-m.done: // at the end nobody waits for a connection
+		case <-m.done: // the member ends
 			cancel()
 		case <-ctx.Done():
 		}
--- a/internal/store/operator.go
+++ b/internal/store/operator.go
@@ -16,7 +16,7 @@
 	return jsonResponse(status, map[string]string{"error": fmt.Sprintf(format, args...)})
 }
 
-// Handle answers another member that takes this one for the leader, and operators: paths under /v1.
+// Handle answers members that take this one for the leader and, under /v1, operators.
 func (s *Store) Handle(ctx context.Context, m *http1.Message) http1.Response {
 	path, ok := strings.CutPrefix(m.Path(), "/v1/")
 	if !ok {
@@ -82,7 +82,7 @@
 	return errorResponse(404, "no such path, or not by %s", m.Method)
 }
 
-// forward has the leader do a call, unless this member leads.
+// forward makes a call at the leader, unless this member leads.
 func (s *Store) forward(ctx context.Context, m *http1.Message, do func() http1.Response) http1.Response {
 	if s.Leads() {
 		return do()
@@ -97,10 +97,14 @@
 	if err != nil {
 		return errorResponse(503, "the leader: %v", err)
 	}
-	return http1.Response{Status: r.Status, Body: r.Body, Fields: []http1.Field{{Name: "Content-Type", Value: "application/json"}}}
+	return http1.Response{
+		Status: r.Status,
+		Body:   r.Body,
+		Fields: []http1.Field{{Name: "Content-Type", Value: "application/json"}},
+	}
 }
 
-// restore puts a snapshot's state in the place of all members'. A damaged one is refused.
+// restore replaces the state of all members by a snapshot. A damaged one is rejected.
 func (s *Store) restore(data []byte) http1.Response {
 	state, err := readSnapshot(bytes.NewReader(data), s.lim)
 	if err != nil {
--- a/internal/store/operator_entries.go
+++ b/internal/store/operator_entries.go
@@ -15,12 +15,12 @@
 	"gatetack/internal/kv"
 )
 
-// entryJSON is an entry as operators see it. A value that is text is shown as text.
+// entryJSON is an entry as operators see it. A value that is valid UTF-8 is shown as text.
 type entryJSON struct {
 	Table   string    `json:"table"`
 	Key     string    `json:"key"`
 	Value   string    `json:"value"`
-	Bytes   []byte    `json:"bytes,omitempty"` // of a value that is not
+	Bytes   []byte    `json:"bytes,omitempty"` // of a value that is not valid UTF-8
 	Version uint64    `json:"version"`
 	Created uint64    `json:"created"`
 	Expires time.Time `json:"expires,omitzero"`
@@ -39,7 +39,7 @@
 	return out
 }
 
-// awaitFresh waits until all that was written before is in, where the caller wants what is certain.
+// awaitFresh returns once this member has all that was committed before, unless the caller accepts stale values.
 func (s *Store) awaitFresh(ctx context.Context, q url.Values) error {
 	if q.Get("stale") == "1" {
 		return nil
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -18,9 +18,9 @@
 	"gatetack/internal/limits"
 )
 
-// Recover makes a member's folder, while its node is down, the beginning of a store of other members: what is left to do when
-// maxWriteTime of the voters are lost for good. Members are all of the store to be, by name, this one under its own name among them. It
-// says first what the folder holds and what may be lost by it, and with dry it changes nothing.
+// Recover makes a member's folder, while its node is down, the beginning of a store of other members: the last resort
+// when most of the voters are lost for good. members are all members of the new store by name, this one among them. It
+// first reports what the folder has and what may be lost. With dry it changes nothing.
 func Recover(dir, name string, members map[string]string, dry bool, lim limits.Limits, w io.Writer) error {
 	if members[name] == "" {
 		return fmt.Errorf("store: member %q, whose folder this is, is not among those of the store to be", name)
@@ -62,10 +62,18 @@
 	}
 	slices.Sort(others)
 	_, _ = fmt.Fprintf(w, "the folder of %s holds all up to entry %d\n", name, last)
-	_, _ = fmt.Fprintf(w, "lost is whatever the others (%s) acknowledged after entry %d without it; what it has and they had not yet "+
-		"acknowledged stands\n", strings.Join(others, ", "), last)
-	_, _ = fmt.Fprintf(w, "the members will be %s: none of the others may be started again with its folder, or there are two stores\n",
-		strings.Join(slices.Sorted(maps.Keys(members)), ", "))
+	_, _ = fmt.Fprintf(
+		w,
+		"lost is whatever the others (%s) acknowledged after entry %d without it; what it has and they had not yet "+
+			"acknowledged stands\n",
+		strings.Join(others, ", "),
+		last,
+	)
+	_, _ = fmt.Fprintf(
+		w,
+		"the members will be %s: none of the others may be started again with its folder, or there are two stores\n",
+		strings.Join(slices.Sorted(maps.Keys(members)), ", "),
+	)
 	if dry {
 		_, _ = fmt.Fprintln(w, "nothing was changed")
 		return nil
@@ -73,8 +81,8 @@
 	if err := raft.RecoverCluster(c, newFSM(lim), log, log, snaps, trans, raftConfiguration(members)); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	// What the machine remembers of it, and what others know, is of the folder that it was: the operator has said that what is
-	// lost of that is lost.
+	// The watermark and the other members' knowledge are of the former folder: by recovering, the operator accepts that
+	// what it lost is lost.
 	if err := log.Set([]byte(folderKey), newIdentity()); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,9 @@
-// Package store is the nodes' own replicated store: hashicorp/raft with its boltdb log, and the state machine of package
-// kv. It holds the configuration and what is known of batch jobs. Every member answers; what changes the store, and what
-// must not be told stale, goes through the leader.
+// Package store is the nodes' own replicated store: hashicorp/raft with its boltdb log, and the state machine of
+// package kv. It holds settings, leases and the records of batch jobs. Every member answers calls; writes, and reads
+// that must not be stale, go through the leader.
+//
+// Open creates a member without goroutines of its own; Run starts them and returns after they have ended. The state is
+// written by raft's goroutine alone, through fsm.
 package store
 
 import (
@@ -27,21 +30,21 @@
 	"gatetack/internal/slowpeer"
 )
 
-// Config is one member's.
+// Config configures a member.
 type Config struct {
 	Name    string
 	Dir     string
 	Listen  string
-	Members map[string]string // addresses by name, our own among them, of a store that begins
-	Keys    *pki.Ring         // by which members know one another; nil: by nothing
-	Join    string            // a member of a store that is there, which this one is to join; empty: it begins with Members
-	Marks   string            // a folder in the machine's memory, where how far this member got is kept; empty: nowhere
-	Trust   bool              // the disk's word is taken where no mark is found
+	Members map[string]string // addresses by name, with this member's, of a store that begins
+	Keys    *pki.Ring         // for mutual TLS between members, nil for none
+	Join    string            // address of a member whose store to join, empty to begin one with Members
+	Marks   string            // a directory in the machine's memory for the watermark, empty for none
+	Trust   bool              // without a watermark, trust that the disk lost nothing
 
-	writeFault func() failpoint.Disk // what a write of the log meets: only tests fill it, before the start
+	writeFault func() failpoint.Disk // what happens to a write of the log, set by tests before the start
 }
 
-// Store is one member.
+// Store is one member. It is safe for concurrent use.
 type Store struct {
 	cfg    Config
 	lim    limits.Limits
@@ -53,23 +56,23 @@
 	disk   *disk
 	guard  *guard
 
-	folderIdentity   string                // its identity
-	startedEmpty     bool                  // it held nothing when it was opened
-	folderAtStart    membership.Folder     // what it held,
-	watermarkAtStart *membership.Watermark // and what the machine remembers of it
+	folderIdentity   string                // created with the folder's first content
+	startedEmpty     bool                  // the folder was empty when it was opened
+	folderAtStart    membership.Folder     // what the folder had when it was opened
+	watermarkAtStart *membership.Watermark // nil if there was none
 
 	mu           sync.Mutex
-	unresponsive map[raft.ServerID]bool // members whose heartbeats fail, as this one sees it while it leads
+	unresponsive map[raft.ServerID]bool // members whose heartbeats fail, while this one leads
 
 	logTime logTime
 
-	services map[string]http1.Handler // by the first word of their paths, see Mount
+	services map[string]http1.Handler // by the first element of their paths, see Mount
 }
 
-// ErrNoLeader says that the store has no leader, so that nothing can be written or told for certain.
+// ErrNoLeader reports that no leader is known, so that nothing can be written or read for certain.
 var ErrNoLeader error = &NoLeaderError{}
 
-// Open starts a member. What it held before it reads from its folder.
+// Open creates a member on its folder.
 func Open(cfg Config, lim limits.Limits, slow *slowpeer.Tally, log *slog.Logger) (*Store, error) {
 	if cfg.Join == "" && cfg.Members[cfg.Name] != cfg.Listen {
 		return nil, &AddressError{cfg.Name, cfg.Listen, cfg.Members[cfg.Name]}
@@ -86,7 +89,14 @@
 		under = cfg.Keys.Listen(ln)
 	}
 	lim.Body = max(lim.StoreBody*2, 1<<20) // a call holds a transaction
-	s := &Store{cfg: cfg, lim: lim, log: log, fsm: newFSM(lim), mux: newMux(under, cfg.Keys, lim), unresponsive: map[raft.ServerID]bool{}}
+	s := &Store{
+		cfg:          cfg,
+		lim:          lim,
+		log:          log,
+		fsm:          newFSM(lim),
+		mux:          newMux(under, cfg.Keys, lim),
+		unresponsive: map[raft.ServerID]bool{},
+	}
 	if err := s.open(); err != nil {
 		_ = ln.Close()
 		if s.disk != nil {
@@ -101,7 +111,10 @@
 }
 
 func (s *Store) open() error {
-	quiet := hclog.FromStandardLogger(slog.NewLogLogger(s.log.Handler(), slog.LevelDebug), &hclog.LoggerOptions{Level: hclog.Warn, DisableTime: true})
+	quiet := hclog.FromStandardLogger(
+		slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
+		&hclog.LoggerOptions{Level: hclog.Warn, DisableTime: true},
+	)
 	c := raft.DefaultConfig()
 	c.LocalID, c.Logger = raft.ServerID(s.cfg.Name), quiet
 	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = s.lim.StoreBeat, s.lim.StoreBeat, s.lim.StoreBeat/2
@@ -132,12 +145,20 @@
 		s.log.Warn("store watermark not available", "dir", s.cfg.Marks, "err", err)
 	}
 	last, term := s.disk.lastPosition()
-	s.folderAtStart = membership.Folder{Name: s.cfg.Name, Identity: s.folderIdentity, Last: last, Term: term, Unreadable: lost, Boot: boot, TrustDisk: s.cfg.Trust}
-	// An empty folder is silent towards the others until it is known that none is missing: see package membership.
+	s.folderAtStart = membership.Folder{
+		Name:       s.cfg.Name,
+		Identity:   s.folderIdentity,
+		Last:       last,
+		Term:       term,
+		Unreadable: lost,
+		Boot:       boot,
+		TrustDisk:  s.cfg.Trust,
+	}
+	// With an empty folder the member takes part in nothing until it is known that none is lost: see package membership.
 	s.startedEmpty = !known
 	s.mux.raftOpen.Store(known)
 	s.guard = newGuard(raft.NewNetworkTransportWithLogger(s.mux, 2, s.lim.StoreCall, quiet), s.disk, s.lim.StoreBeat)
-	if s.startedEmpty { // nothing was acknowledged under its identity
+	if s.startedEmpty { // nothing was acknowledged by this folder
 		s.guard.setAssessment(membership.Assessment{Complete: true})
 		if err := s.disk.watermark.arm(membership.Position{}, 0); err != nil {
 			return err
@@ -174,7 +195,7 @@
 	return g.Wait()
 }
 
-// close ends. A write that does not come back is not waited for: the process is about to end.
+// close ends the member. It does not wait for a write that does not return: the process is about to end.
 func (s *Store) close() error {
 	down := make(chan error, 1)
 	ending := s.raft.Shutdown()
@@ -196,10 +217,10 @@
 	return errors.Join(err, s.guard.Close(), s.disk.Close())
 }
 
-// Leads says whether this member leads.
+// Leads reports whether this member leads.
 func (s *Store) Leads() bool { return s.raft.State() == raft.Leader }
 
-// expireLeases has leases end by the log: while this member leads, an empty transaction with its time is written when one is due.
+// expireLeases commits an empty transaction with the current time when a lease ends, while this member leads.
 func (s *Store) expireLeases(ctx context.Context) {
 	tick := time.NewTicker(s.lim.StoreBeat / 2)
 	defer tick.Stop()
@@ -217,8 +238,8 @@
 	}
 }
 
-// apply writes a transaction as the leader. Its time is the leader's. A write that does not come to be - too few members
-// acknowledge it, or the disk does not answer - is waited for no longer than a call may take: it may still be made.
+// apply commits a transaction as the leader, with the leader's time. A write that is not acknowledged by a majority,
+// or that the disk does not complete, is waited for no longer than a call may take. It may still be committed later.
 func (s *Store) apply(ctx context.Context, t *kv.Txn) (*kv.Result, error) {
 	if wait, _ := s.disk.stalled(); wait > s.lim.StoreBeat {
 		return nil, &StalledError{wait}
@@ -235,7 +256,7 @@
 	return f.Response().(*kv.Result), nil
 }
 
-// await waits for a future of raft's, which knows no context.
+// await waits for a future of raft, which knows no context.
 func (s *Store) await(ctx context.Context, wait func() error) error {
 	done := make(chan error, 1)
 	go func() { done <- wait() }()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -202,7 +202,14 @@
 					if !ok || string(e.Value) != string(v) {
 						continue
 					}
-					r, err := m.s.Txn(t.Context(), &kv.Txn{Ops: []kv.Op{{Verb: kv.Put, Table: "job", Key: "n", Value: []byte(strconv.Itoa(n + 1)), Cond: true, If: e.Version}}})
+					r, err := m.s.Txn(
+						t.Context(),
+						&kv.Txn{
+							Ops: []kv.Op{
+								{Verb: kv.Put, Table: "job", Key: "n", Value: []byte(strconv.Itoa(n + 1)), Cond: true, If: e.Version},
+							},
+						},
+					)
 					if err != nil {
 						return err
 					}
@@ -223,7 +230,11 @@
 // A lease ends on every member by the leader's log.
 func TestLeases(t *testing.T) {
 	all := cluster(t, 3)
-	if r, err := all[1].s.Txn(t.Context(), &kv.Txn{Ops: []kv.Op{{Verb: kv.Put, Table: "mark", Key: "k", Value: []byte("v"), TTL: 300}}}); err != nil || !r.OK() {
+	if r, err := all[1].s.Txn(
+		t.Context(),
+		&kv.Txn{Ops: []kv.Op{{Verb: kv.Put, Table: "mark", Key: "k", Value: []byte("v"), TTL: 300}}},
+	); err != nil ||
+		!r.OK() {
 		t.Fatal(r, err)
 	}
 	testenv.Until(t, "it ends everywhere", func() bool {
@@ -246,7 +257,8 @@
 	return r.Status, gjson.ParseBytes(r.Body)
 }
 
-// A node joins a running store, catches up, votes, and leaves; a dead one is removed; what would lose the quorum is refused.
+// A node joins a running store, catches up, votes, and leaves; a dead one is removed; what would lose the quorum is
+// refused.
 func TestMembership(t *testing.T) {
 	all := cluster(t, 3)
 	for i := range 50 {
@@ -267,13 +279,26 @@
 	want(t, late, "k49", "v")
 	put(t, late, "by the new one", "v")
 	twin := &node{cfg: Config{Name: "n9", Dir: t.TempDir(), Listen: ports[1], Join: all[1].cfg.Listen}}
-	if status, v := operate(t, all[2], "POST", "members", `{"verb":"join","name":"n9","address":"`+ports[1]+`"}`); status != 409 {
+	if status, v := operate(
+		t,
+		all[2],
+		"POST",
+		"members",
+		`{"verb":"join","name":"n9","address":"`+ports[1]+`"}`,
+	); status != 409 {
 		t.Errorf("the same name at %s: %d %s", twin.cfg.Listen, status, v.Raw)
 	}
 	if status, v := operate(t, all[2], "POST", "members", `{"verb":"remove","name":"n9"}`); status != 409 {
 		t.Errorf("removing one that is alive: %d %s", status, v.Raw)
 	}
-	if status, v := operate(t, all[2], "POST", "members", `{"verb":"leave","name":"n9"}`); status != 200 || v.Get(`#(name=="n9")`).Exists() {
+	if status, v := operate(
+		t,
+		all[2],
+		"POST",
+		"members",
+		`{"verb":"leave","name":"n9"}`,
+	); status != 200 ||
+		v.Get(`#(name=="n9")`).Exists() {
 		t.Errorf("leaving: %d %s", status, v.Raw)
 	}
 	late.stop()
@@ -300,8 +325,8 @@
 	put(t, alive[1], "after", "v")
 }
 
-// What operators see and do: status, values with versions, conditions, history, watches, a snapshot that is restored, and
-// a folder that is verified, good and damaged.
+// What operators see and do: status, values with versions, conditions, history, watches, a snapshot that is restored,
+// and a folder that is verified, good and damaged.
 func TestOperators(t *testing.T) {
 	m := cluster(t, 1)[0]
 	put(t, m, "k", "one")
@@ -313,16 +338,45 @@
 	if status, v := operate(t, m, "PUT", "kv/job/k?if="+first, "two"); status != 200 {
 		t.Errorf("%d %s", status, v.Raw)
 	}
-	if status, v := operate(t, m, "PUT", "kv/job/k?if="+first, "three"); status != 409 || v.Get("version").Int() <= v.Get("nothing").Int() {
+	if status, v := operate(
+		t,
+		m,
+		"PUT",
+		"kv/job/k?if="+first,
+		"three",
+	); status != 409 ||
+		v.Get("version").Int() <= v.Get("nothing").Int() {
 		t.Errorf("%d %s", status, v.Raw)
 	}
-	if _, v := operate(t, m, "GET", "kv/job/k?history=1", ""); v.Get("entries.#").Int() != 2 || v.Get("entries.0.value").String() != "one" {
+	if _, v := operate(
+		t,
+		m,
+		"GET",
+		"kv/job/k?history=1",
+		"",
+	); v.Get("entries.#").Int() != 2 ||
+		v.Get("entries.0.value").String() != "one" {
 		t.Errorf("%s", v.Raw)
 	}
-	if _, v := operate(t, m, "GET", "watch?after="+first+"&prefix=k&timeoutMs=1000", ""); v.Get("events.0.value").String() != "two" {
+	if _, v := operate(
+		t,
+		m,
+		"GET",
+		"watch?after="+first+"&prefix=k&timeoutMs=1000",
+		"",
+	); v.Get(
+		"events.0.value",
+	).String() != "two" {
 		t.Errorf("%s", v.Raw)
 	}
-	if status, v := operate(t, m, "GET", "status", ""); status != 200 || v.Get("state").String() != "leader" || v.Get("tables.job.0").Int() != 1 {
+	if status, v := operate(
+		t,
+		m,
+		"GET",
+		"status",
+		"",
+	); status != 200 || v.Get("state").String() != "leader" ||
+		v.Get("tables.job.0").Int() != 1 {
 		t.Errorf("%d %s", status, v.Raw)
 	}
 	backup, err := Call(t.Context(), m.cfg.Listen, "GET", "/v1/snapshot", nil, m.cfg.Keys, testenv.Lim)
@@ -371,7 +425,12 @@
 		}
 	}
 	report.Reset()
-	if err := Verify(m.cfg.Dir, testenv.Lim, &report); !errors.Is(err, ErrDamaged) || !strings.Contains(report.String(), "BAD   snapshot") {
+	if err := Verify(
+		m.cfg.Dir,
+		testenv.Lim,
+		&report,
+	); !errors.Is(err, ErrDamaged) ||
+		!strings.Contains(report.String(), "BAD   snapshot") {
 		t.Errorf("%v\n%s", err, report.String())
 	}
 }
@@ -456,8 +515,8 @@
 	return m
 }
 
-// The log's time goes on from where it stood, whoever leads: a new leader neither ends leases at once nor keeps them for as
-// long as its predecessor's clock was ahead, and time never runs backwards.
+// The log's time goes on from where it stood, whoever leads: a new leader neither ends leases at once nor keeps them
+// for as long as its predecessor's clock was ahead, and time never runs backwards.
 func TestLogTime(t *testing.T) {
 	var old, next logTime
 	at := int64(1_800_000_000_000)
@@ -484,20 +543,26 @@
 	}
 }
 
-// What was promised is never pushed out by what came later: where a table is full of it more is refused, what stands can change
-// and end, and what has ended makes room.
+// What was promised is never pushed out by what came later: where a table is full of it more is refused, what stands
+// can change and end, and what has ended makes room.
 func TestPromisedIsKept(t *testing.T) {
 	all := cluster(t, 1)
 	s := all[0].s
 	most := testenv.Lim.StoreValues
 	write := func(i int, keep bool) error {
-		return s.Write(t.Context(), jobstore.Change{Kind: "job", Key: fmt.Sprintf("j%05d", i), Value: []byte("x"), Keep: keep})
+		return s.Write(
+			t.Context(),
+			jobstore.Change{Kind: "job", Key: fmt.Sprintf("j%05d", i), Value: []byte("x"), Keep: keep},
+		)
 	}
 	for i := range most {
 		if i%64 == 0 {
 			var changes []jobstore.Change
 			for k := i; k < min(i+64, most); k++ {
-				changes = append(changes, jobstore.Change{Kind: "job", Key: fmt.Sprintf("j%05d", k), Value: []byte("x"), Keep: true})
+				changes = append(
+					changes,
+					jobstore.Change{Kind: "job", Key: fmt.Sprintf("j%05d", k), Value: []byte("x"), Keep: true},
+				)
 			}
 			if err := s.Write(t.Context(), changes...); err != nil {
 				t.Fatal(err)
@@ -526,8 +591,8 @@
 	}
 }
 
-// Two of three members are lost for good: the third says what may be lost, and is made the beginning of a store with what it
-// holds; a dry run changes nothing, and a folder in use or with nothing in it is refused.
+// Two of three members are lost for good: the third says what may be lost, and is made the beginning of a store with
+// what it holds; a dry run changes nothing, and a folder in use or with nothing in it is refused.
 func TestRecover(t *testing.T) {
 	all := cluster(t, 3)
 	put(t, all[0], "k", "kept")
@@ -548,7 +613,15 @@
 		t.Error("a store without the member whose folder it is")
 	}
 	said.Reset()
-	if err := Recover(last.Dir, last.Name, alone, true, testenv.Lim, &said); err != nil || !strings.Contains(said.String(), "(n0, n1)") ||
+	if err := Recover(
+		last.Dir,
+		last.Name,
+		alone,
+		true,
+		testenv.Lim,
+		&said,
+	); err != nil ||
+		!strings.Contains(said.String(), "(n0, n1)") ||
 		!strings.Contains(said.String(), "nothing was changed") {
 		t.Errorf("%v: %s", err, &said)
 	}
--- a/internal/store/streams.go
+++ b/internal/store/streams.go
@@ -6,8 +6,8 @@
 )
 
 // streams are the connections by which raft calls other members. At the end of a member they are closed: raft waits for
-// its calls to return, and one to a member that does not answer returns only after its limit, which may be later than this
-// process may live.
+// its calls to return, and one to a member that does not answer returns only after its limit, which may be later than
+// this process may live.
 type streams struct {
 	mu     sync.Mutex
 	open   map[*stream]struct{}
--- a/internal/store/verify.go
+++ b/internal/store/verify.go
@@ -13,13 +13,13 @@
 	"gatetack/internal/limits"
 )
 
-// ErrDamaged says that something in a member's folder can not be trusted.
+// ErrDamaged reports that a part of a member's folder can not be trusted.
 var ErrDamaged = errors.New("store: the folder is damaged")
 
-// Verify says what is in a member's folder, and what is wrong with it, while no node has it open: each snapshot's
+// Verify reports what is in a member's folder and what is wrong with it, while no node has it open: each snapshot's
 // checksums, the log's pages, and each of its entries. It changes nothing.
 func Verify(dir string, lim limits.Limits, w io.Writer) error {
-	bad, covered := 0, uint64(0) // entries up to covered are in a good snapshot
+	bad, covered := 0, uint64(0) // entries up to covered are in an undamaged snapshot
 	say := func(what string, err error, format string, args ...any) {
 		if err != nil {
 			bad++
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// verifyEntries reads all of a log's. A restored snapshot leaves a gap before it, which it covers.
+// verifyEntries reads all entries of a log. A restored snapshot leaves a gap before the log, which it covers.
 func verifyEntries(path string, covered uint64, bad func(uint64, error), good func(first, last uint64)) error {
 	log, err := boltdb.New(boltdb.Options{Path: path, BoltOptions: nil})
 	if err != nil {
--- a/internal/store/mark.go
+++ b/internal/store/watermark.go
@@ -13,9 +13,9 @@
 	"gatetack/internal/membership"
 )
 
-// watermark is how far a member got, in a file of the machine's memory outside of its folder: see package membership, Recall. One that
-// can not be written is taken away, for a mark that stayed behind would vouch for less than was acknowledged. A nil mark keeps
-// nothing.
+// watermark is the last position that a member acknowledged, in a file in the machine's memory, outside of the
+// member's folder: see membership.Assess. A file that can not be written is removed, because a stale one would vouch
+// for less than was acknowledged. A nil watermark keeps nothing.
 type watermark struct {
 	path   string
 	folder uint64
@@ -23,24 +23,24 @@
 
 	mu    sync.Mutex
 	file  *os.File
-	armed bool // what is in it holds all: before it is known what was acknowledged under it, it vouches for nothing
+	armed bool // the file covers all that was acknowledged; until then it is not written
 	last  membership.Position
 	term  uint64
 }
 
 const watermarkMagic = 0x67746d61726b3031
 
-// markBytes: magic, folder, boot, term and index, term of votes, checksum.
+// watermarkLength is the length of the file in bytes: magic, folder, boot, term and index, term of votes, checksum.
 const watermarkLength = 56
 
-// bootID names the machine's present boot, empty where that is not known.
+// bootID identifies the machine's current boot, empty if it is not known.
 func bootID() string {
 	text, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	return strings.TrimSpace(string(text))
 }
 
-// openWatermark reads the mark of a folder in a directory, if one is there and whole, and goes on with it. An empty directory's
-// name keeps none.
+// openWatermark opens the watermark of a folder and reads it, if it is there and whole. It returns nil for an empty
+// directory name.
 func openWatermark(dir, folder, boot string) (*watermark, *membership.Watermark, error) {
 	if dir == "" || boot == "" {
 		return nil, nil, nil
@@ -48,7 +48,11 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, err
 	}
-	m := &watermark{path: filepath.Join(dir, "gatetack-"+folder+".mark"), folder: xxhash.Sum64String(folder), boot: xxhash.Sum64String(boot)}
+	m := &watermark{
+		path:   filepath.Join(dir, "gatetack-"+folder+".mark"),
+		folder: xxhash.Sum64String(folder),
+		boot:   xxhash.Sum64String(boot),
+	}
 	var err error
 	if m.file, err = os.OpenFile(m.path, os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 		return nil, nil, err
@@ -64,7 +68,7 @@
 	return m, known, nil
 }
 
-// decodeWatermark reads one that is of a folder and a boot, nil for any other text.
+// decodeWatermark decodes the watermark of a folder and a boot. It returns nil for any other content.
 func decodeWatermark(raw []byte, folder, boot uint64) *membership.Watermark {
 	if len(raw) != watermarkLength || binary.BigEndian.Uint64(raw[48:]) != xxhash.Sum64(raw[:48]) {
 		return nil
@@ -84,7 +88,7 @@
 	return binary.BigEndian.AppendUint64(out, xxhash.Sum64(out))
 }
 
-// raise raises the mark: to where the log ends, and to a term in which a vote was given.
+// raise raises the watermark to the end of the log, and to a term in which a vote was given.
 func (m *watermark) raise(last membership.Position, term uint64) error {
 	if m == nil {
 		return nil
@@ -101,7 +105,7 @@
 	return m.write()
 }
 
-// arm has the mark vouch from now on, for at least so much.
+// arm makes the watermark vouch from now on, for at least a position and a term.
 func (m *watermark) arm(last membership.Position, term uint64) error {
 	if m == nil {
 		return nil
@@ -118,7 +122,7 @@
 	return m.write()
 }
 
-// write puts the mark in its file. The lock is held.
+// write writes the file. The caller holds the lock.
 func (m *watermark) write() error {
 	if !m.armed {
 		return nil
@@ -133,7 +137,7 @@
 	if emptied == nil || gone == nil || errors.Is(gone, os.ErrNotExist) {
 		return nil
 	}
-	return errors.Join(err, gone) // nothing may be acknowledged past a mark that stays behind
+	return errors.Join(err, gone) // the stale file stays: the write must not be acknowledged
 }
 
 func (m *watermark) close() {
