--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -32,7 +32,8 @@
 
 // Do says what an operator can do.
 func (*DamagedError) Do() string {
-	return "look at the disk; with other members up, move the folder away and start the node: it gets all from them; alone, restore a backup"
+	return "look at the disk; with other members up, move the folder away and start the node: it gets all from them; " +
+		"alone, restore a backup"
 }
 
 // Is reports that the error is an ErrDamaged.
@@ -82,7 +83,8 @@
 
 // Do says what an operator can do.
 func (*VoteError) Do() string {
-	return "bring back the members that its log names as missing; if they are lost for good, `gatetack store recover` on the folder that has most"
+	return "bring back the members that its log names as missing; if they are lost for good, " +
+		"`gatetack store recover` on the folder that has most"
 }
 
 // AddressError reports that a member listens at another address than its configuration names for it.
--- a/internal/store/lies_test.go
+++ b/internal/store/lies_test.go
@@ -154,85 +154,107 @@
 	if err := os.CopyFS(good, os.DirFS(m.cfg.Dir)); err != nil {
 		t.Fatal(err)
 	}
-	var files []string
-	_ = filepath.WalkDir(good, func(path string, e os.DirEntry, err error) error {
-		if err == nil && !e.IsDir() {
-			rel, _ := filepath.Rel(good, path)
-			files = append(files, rel)
-		}
-		return nil
-	})
+	files := filesIn(good)
 	rng := rand.New(rand.NewPCG(11, 0))
-	started, cut := 0, 0
+	started, rejected := 0, 0
 	for range 24 {
-		file := files[rng.IntN(len(files))]
-		if rng.IntN(2) == 0 {
-			file = "raft.db"
-		}
 		dir := filepath.Join(t.TempDir(), "n1")
 		if err := os.CopyFS(dir, os.DirFS(good)); err != nil {
 			t.Fatal(err)
 		}
-		path := filepath.Join(dir, file)
-		data, err := os.ReadFile(path)
-		if err != nil {
-			t.Fatal(err)
+		file := files[rng.IntN(len(files))]
+		if rng.IntN(2) == 0 {
+			file = logFile
 		}
-		var at int
-		if used := len(data); file == "raft.db" {
-			// Where something stands: most of a new file is empty.
-			for at = rng.IntN(used); data[at] == 0; at = (at + 1) % used {
-			}
-		} else if used > 0 {
-			at = rng.IntN(used)
-		} else {
+		what := damageFile(t, rng, dir, file)
+		if what == "" {
 			continue
 		}
-		data[at] ^= byte(1 << rng.IntN(8))
-		if rng.IntN(6) == 0 {
-			data = data[:at] // torn
-		}
-		if err := os.WriteFile(path, data, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		what := fmt.Sprintf("%s at %d of %d", file, at, len(data))
 		m.cfg.Dir = dir
-		s, err := Open(m.cfg, testenv.Lim, nil, testenv.Quiet)
-		if err != nil {
-			if operr.Do(err) == "" && !errors.Is(err, os.ErrNotExist) {
-				t.Logf("%s: it does not start: %v", what, err)
-			}
-			cut++
-			continue
-		}
-		started++
-		ctx, cancel := context.WithCancel(context.Background())
-		done := make(chan error, 1)
-		go func() { done <- s.Run(ctx) }()
-		check := func(key, value string) {
-			if v, ok := s.Local("job", key); ok && string(v) != value {
-				t.Errorf("%s: %s is told as %q", what, key, v)
-			}
-		}
-		testenv.Until(t, what+": it has all again", func() bool {
-			for i := range 60 {
-				check(fmt.Sprint("k", i), fmt.Sprint("value ", i, " of some length"))
-			}
-			check("last", "after the snapshot")
-			_, ok := s.Local("job", "last")
-			return ok
-		})
-		cancel()
-		if err := <-done; err != nil {
-			t.Logf("%s: it ended with %v", what, err)
+		if checkDamagedMember(t, m.cfg, what) {
+			started++
+		} else {
+			rejected++
 		}
 	}
 	if started < 12 {
-		t.Errorf("it started %d times of 24, and did not %d times", started, cut)
+		t.Errorf("it started %d times of 24, and did not %d times", started, rejected)
 	}
 	want(t, all[0], "k7", "value 7 of some length")
 }
 
+// filesIn returns the paths of the files below a directory, relative to it.
+func filesIn(dir string) (files []string) {
+	_ = filepath.WalkDir(dir, func(path string, e os.DirEntry, err error) error {
+		if err == nil && !e.IsDir() {
+			relative, _ := filepath.Rel(dir, path)
+			files = append(files, relative)
+		}
+		return nil
+	})
+	return files
+}
+
+// damageFile changes a bit of a file, and truncates some there. It returns what it did, empty for a file without
+// content.
+func damageFile(t *testing.T, rng *rand.Rand, dir, file string) string {
+	t.Helper()
+	path := filepath.Join(dir, file)
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(data) == 0 {
+		return ""
+	}
+	at := rng.IntN(len(data))
+	for file == logFile && data[at] == 0 { // most of a new log is empty
+		at = (at + 1) % len(data)
+	}
+	data[at] ^= byte(1 << rng.IntN(8))
+	if rng.IntN(6) == 0 {
+		data = data[:at] // torn
+	}
+	if err := os.WriteFile(path, data, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return fmt.Sprintf("%s at %d of %d", file, at, len(data))
+}
+
+// checkDamagedMember starts a member on a damaged folder, and expects it to have all values again and never another
+// one. It reports whether the member started.
+func checkDamagedMember(t *testing.T, cfg Config, what string) bool {
+	t.Helper()
+	s, err := Open(cfg, testenv.Lim, nil, testenv.Quiet)
+	if err != nil {
+		if operr.Do(err) == "" && !errors.Is(err, os.ErrNotExist) {
+			t.Logf("%s: it does not start: %v", what, err)
+		}
+		return false
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan error, 1)
+	go func() { done <- s.Run(ctx) }()
+	check := func(key, value string) {
+		if v, ok := s.Local("job", key); ok && string(v) != value {
+			t.Errorf("%s: %s is told as %q", what, key, v)
+		}
+	}
+	testenv.Until(t, what+": it has all again", func() bool {
+		for i := range 60 {
+			check(fmt.Sprint("k", i), fmt.Sprint("value ", i, " of some length"))
+		}
+		check("last", "after the snapshot")
+		_, ok := s.Local("job", "last")
+		return ok
+	})
+	cancel()
+	if err := <-done; err != nil {
+		t.Logf("%s: it ended with %v", what, err)
+	}
+	return true
+}
+
 // An entry that was changed anywhere is found, whatever it says; one that was not is what it was.
 func TestEntriesAreSealed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -71,83 +71,114 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Members are killed at random, two of five at most at a time, while clients read, write, create and delete through all
-// of them. What was told fits one order of all calls, in which each takes place between its beginning and its end, and
-// nothing that was acknowledged is lost.
-func TestLinearizable(t *testing.T) {
-	all := cluster(t, 5)
-	ctx, cancel := context.WithTimeout(t.Context(), *span)
-	defer cancel()
-	var mu sync.Mutex // of the members' stores, and of the history
-	var history []porcupine.Operation
-	began := time.Now()
-	store := func(i int) *Store { mu.Lock(); defer mu.Unlock(); return all[i].s }
-	var g errgroup.Group
-	for client := range 4 {
-		g.Go(func() error {
-			rng := rand.New(rand.NewPCG(7, uint64(client)))
-			for n := 0; ctx.Err() == nil; n++ {
-				in := input{
-					verb:  []string{"get", "get", "put", "create", "delete"}[rng.IntN(5)],
-					key:   fmt.Sprint("k", rng.IntN(4)),
-					value: fmt.Sprintf("%d.%d", client, n),
-				}
-				s := store(rng.IntN(len(all)))
-				call := time.Since(began).Nanoseconds()
-				cctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
-				out := output{}
-				var err error
-				op := kv.Op{Verb: kv.Put, Table: "t", Key: in.key, Value: []byte(in.value)}
-				switch in.verb {
-				case "get":
-					var v []byte
-					v, out.found, err = s.Get(cctx, "t", in.key)
-					out.value = string(v)
-					if !out.found {
-						out.value = ""
-					}
-				case "delete":
-					op.Verb, op.Value = kv.Delete, nil
-					_, err = s.Txn(cctx, &kv.Txn{Ops: []kv.Op{op}})
-				default:
-					op.Cond = in.verb == "create"
-					var r *kv.Result
-					if r, err = s.Txn(cctx, &kv.Txn{Ops: []kv.Op{op}}); err == nil {
-						out.ok = r.OK()
-					}
-				}
-				stop()
-				end := time.Since(began).Nanoseconds()
-				if err != nil {
-					if in.verb == "get" {
-						continue // it told nothing
-					}
-					out.unknown, end = true, 1<<62 // it may yet be made
-				}
-				mu.Lock()
-				history = append(history, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: end})
-				mu.Unlock()
-			}
-			return nil
-		})
+// recorder makes calls at members that are stopped and started meanwhile, and records their history.
+type recorder struct {
+	members []*node
+	began   time.Time
+
+	mu      sync.Mutex // of the members' stores, and of the history
+	history []porcupine.Operation
+}
+
+func (r *recorder) store(i int) *Store {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.members[i].s
+}
+
+func (r *recorder) now() int64 { return time.Since(r.began).Nanoseconds() }
+
+// run makes the calls of one client until the context ends.
+func (r *recorder) run(ctx context.Context, client int) {
+	rng := rand.New(rand.NewPCG(7, uint64(client)))
+	for n := 0; ctx.Err() == nil; n++ {
+		in := input{
+			verb:  []string{"get", "get", "put", "create", "delete"}[rng.IntN(5)],
+			key:   fmt.Sprint("k", rng.IntN(4)),
+			value: fmt.Sprintf("%d.%d", client, n),
+		}
+		r.record(ctx, client, r.store(rng.IntN(len(r.members))), in)
+	}
+}
+
+// record makes one call. A read that fails is not recorded; a write that fails may still be made, at any later time.
+func (r *recorder) record(ctx context.Context, client int, s *Store, in input) {
+	call := r.now()
+	// The end of the test does not end a call that is under way.
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*time.Second)
+	out, err := in.make(ctx, s)
+	stop()
+	end := r.now()
+	if err != nil {
+		if in.verb == "get" {
+			return
+		}
+		out.unknown, end = true, 1<<62
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.history = append(r.history, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: end})
+}
+
+// make makes the call at a member.
+func (in input) make(ctx context.Context, s *Store) (out output, err error) {
+	op := kv.Op{Verb: kv.Put, Table: "t", Key: in.key, Value: []byte(in.value)}
+	switch in.verb {
+	case "get":
+		v, found, err := s.Get(ctx, "t", in.key)
+		if out.found = found; found {
+			out.value = string(v)
+		}
+		return out, err
+	case "delete":
+		op.Verb, op.Value = kv.Delete, nil
+		_, err = s.Txn(ctx, &kv.Txn{Ops: []kv.Op{op}})
+		return out, err
 	}
+	op.Cond = in.verb == "create"
+	r, err := s.Txn(ctx, &kv.Txn{Ops: []kv.Op{op}})
+	if err == nil {
+		out.ok = r.OK()
+	}
+	return out, err
+}
+
+// killMembers stops one or two members at random and starts them again until a moment. It returns how many it stopped.
+func (r *recorder) killMembers(t *testing.T, until time.Time) (kills int) {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(7, 99))
-	kills := 0
-	for ctx.Err() == nil {
-		victims := rng.Perm(len(all))[:1+rng.IntN(2)]
+	for time.Now().Before(until) {
+		victims := rng.Perm(len(r.members))[:1+rng.IntN(2)]
 		for _, v := range victims {
-			all[v].stop()
+			r.members[v].stop()
 			kills++
 		}
 		time.Sleep(time.Duration(200+rng.IntN(800)) * time.Millisecond)
 		for _, v := range victims {
-			mu.Lock()
-			all[v].start(t)
-			mu.Unlock()
+			r.mu.Lock()
+			r.members[v].start(t)
+			r.mu.Unlock()
 		}
 		time.Sleep(time.Duration(200+rng.IntN(600)) * time.Millisecond)
 	}
+	return kills
+}
+
+// Members are killed at random, two of five at most at a time, while clients read, write, create and delete through all
+// of them. What was told fits one order of all calls, in which each takes place between its beginning and its end, and
+// nothing that was acknowledged is lost.
+func TestLinearizable(t *testing.T) {
+	all := cluster(t, 5)
+	ctx, cancel := context.WithTimeout(t.Context(), *span)
+	defer cancel()
+	calls := &recorder{members: all, began: time.Now()}
+	var g errgroup.Group
+	for client := range 4 {
+		g.Go(func() error { calls.run(ctx, client); return nil })
+	}
+	kills := calls.killMembers(t, calls.began.Add(*span))
 	_ = g.Wait()
+	history := calls.history
 	known := 0
 	for i, op := range history {
 		if !op.Output.(output).unknown {
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -54,26 +54,7 @@
 	if metas, err := snaps.List(); err == nil && len(metas) > 0 {
 		last = max(last, metas[0].Index)
 	}
-	var others []string
-	for _, x := range was.Servers {
-		if string(x.ID) != name {
-			others = append(others, string(x.ID))
-		}
-	}
-	slices.Sort(others)
-	_, _ = fmt.Fprintf(w, "the folder of %s holds all up to entry %d\n", name, last)
-	_, _ = fmt.Fprintf(
-		w,
-		"lost is whatever the others (%s) acknowledged after entry %d without it; what it has and they had not yet "+
-			"acknowledged stands\n",
-		strings.Join(others, ", "),
-		last,
-	)
-	_, _ = fmt.Fprintf(
-		w,
-		"the members will be %s: none of the others may be started again with its folder, or there are two stores\n",
-		strings.Join(slices.Sorted(maps.Keys(members)), ", "),
-	)
+	reportRecovery(w, name, last, otherServers(was, name), members)
 	if dry {
 		_, _ = fmt.Fprintln(w, "nothing was changed")
 		return nil
@@ -89,3 +70,25 @@
 	_, _ = fmt.Fprintln(w, "done: start its node")
 	return nil
 }
+
+// otherServers returns the names of a configuration's members but one, sorted.
+func otherServers(c raft.Configuration, name string) []string {
+	var others []string
+	for _, x := range c.Servers {
+		if string(x.ID) != name {
+			others = append(others, string(x.ID))
+		}
+	}
+	slices.Sort(others)
+	return others
+}
+
+// reportRecovery says what the folder of a member has and what may be lost by recovering from it.
+func reportRecovery(w io.Writer, name string, last uint64, others []string, members map[string]string) {
+	_, _ = fmt.Fprintf(w, "the folder of %s holds all up to entry %d\n", name, last)
+	_, _ = fmt.Fprintf(w, "lost is whatever the others (%s) acknowledged after entry %d without it; "+
+		"what it has and they had not yet acknowledged stands\n", strings.Join(others, ", "), last)
+	_, _ = fmt.Fprintf(w, "the members will be %s: "+
+		"none of the others may be started again with its folder, or there are two stores\n",
+		strings.Join(slices.Sorted(maps.Keys(members)), ", "))
+}
--- a/internal/store/status.go
+++ b/internal/store/status.go
@@ -15,7 +15,7 @@
 	Applied   uint64            `json:"applied"`
 	Last      uint64            `json:"last"`
 	Contact   float64           `json:"lastContactSeconds"` // since the last contact with the leader, -1 for never
-	Stale     bool              `json:"stale"`              // no leader is known: reads may be stale, and nothing is written
+	Stale     bool              `json:"stale"`              // no leader is known: reads may be stale
 	Tables    map[string][2]int `json:"tables"`             // values, bytes
 	Snapshots uint64            `json:"snapshotIndex"`
 	Votes     string            `json:"votes"`
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -279,26 +279,15 @@
 	want(t, late, "k49", "v")
 	put(t, late, "by the new one", "v")
 	twin := &node{cfg: Config{Name: "n9", Dir: t.TempDir(), Listen: ports[1], Join: all[1].cfg.Listen}}
-	if status, v := operate(
-		t,
-		all[2],
-		"POST",
-		"members",
-		`{"verb":"join","name":"n9","address":"`+ports[1]+`"}`,
-	); status != 409 {
+	join := `{"verb":"join","name":"n9","address":"` + ports[1] + `"}`
+	if status, v := operate(t, all[2], "POST", "members", join); status != 409 {
 		t.Errorf("the same name at %s: %d %s", twin.cfg.Listen, status, v.Raw)
 	}
 	if status, v := operate(t, all[2], "POST", "members", `{"verb":"remove","name":"n9"}`); status != 409 {
 		t.Errorf("removing one that is alive: %d %s", status, v.Raw)
 	}
-	if status, v := operate(
-		t,
-		all[2],
-		"POST",
-		"members",
-		`{"verb":"leave","name":"n9"}`,
-	); status != 200 ||
-		v.Get(`#(name=="n9")`).Exists() {
+	status, v := operate(t, all[2], "POST", "members", `{"verb":"leave","name":"n9"}`)
+	if status != 200 || v.Get(`#(name=="n9")`).Exists() {
 		t.Errorf("leaving: %d %s", status, v.Raw)
 	}
 	late.stop()
@@ -330,55 +319,46 @@
 func TestOperators(t *testing.T) {
 	m := cluster(t, 1)[0]
 	put(t, m, "k", "one")
+	checkConditions(t, m)
+	if status, v := operate(t, m, "GET", "status", ""); status != 200 || v.Get("state").String() != "leader" ||
+		v.Get("tables.job.0").Int() != 1 {
+		t.Errorf("%d %s", status, v.Raw)
+	}
+	checkBackup(t, m)
+	checkInvalidCalls(t, m)
+	m.stop()
+	checkVerify(t, m.cfg.Dir)
+}
+
+// checkConditions changes a value under its version, and reads its history and its changes.
+func checkConditions(t *testing.T, m *node) {
+	t.Helper()
 	_, v := operate(t, m, "GET", "kv/job/k", "")
 	first := v.Get("version").String()
 	if v.Get("value").String() != "one" || first == "" {
 		t.Fatalf("%s", v.Raw)
 	}
-	if status, v := operate(t, m, "PUT", "kv/job/k?if="+first, "two"); status != 200 {
+	status, v := operate(t, m, "PUT", "kv/job/k?if="+first, "two")
+	if status != 200 {
 		t.Errorf("%d %s", status, v.Raw)
 	}
-	if status, v := operate(
-		t,
-		m,
-		"PUT",
-		"kv/job/k?if="+first,
-		"three",
-	); status != 409 ||
-		v.Get("version").Int() <= v.Get("nothing").Int() {
+	status, v = operate(t, m, "PUT", "kv/job/k?if="+first, "three")
+	if status != 409 || v.Get("version").Int() <= v.Get("nothing").Int() {
 		t.Errorf("%d %s", status, v.Raw)
 	}
-	if _, v := operate(
-		t,
-		m,
-		"GET",
-		"kv/job/k?history=1",
-		"",
-	); v.Get("entries.#").Int() != 2 ||
-		v.Get("entries.0.value").String() != "one" {
+	_, v = operate(t, m, "GET", "kv/job/k?history=1", "")
+	if v.Get("entries.#").Int() != 2 || v.Get("entries.0.value").String() != "one" {
 		t.Errorf("%s", v.Raw)
 	}
-	if _, v := operate(
-		t,
-		m,
-		"GET",
-		"watch?after="+first+"&prefix=k&timeoutMs=1000",
-		"",
-	); v.Get(
-		"events.0.value",
-	).String() != "two" {
+	_, v = operate(t, m, "GET", "watch?after="+first+"&prefix=k&timeoutMs=1000", "")
+	if v.Get("events.0.value").String() != "two" {
 		t.Errorf("%s", v.Raw)
 	}
-	if status, v := operate(
-		t,
-		m,
-		"GET",
-		"status",
-		"",
-	); status != 200 || v.Get("state").String() != "leader" ||
-		v.Get("tables.job.0").Int() != 1 {
-		t.Errorf("%d %s", status, v.Raw)
-	}
+}
+
+// checkBackup restores a snapshot after a value was deleted; a damaged one is rejected.
+func checkBackup(t *testing.T, m *node) {
+	t.Helper()
 	backup, err := Call(t.Context(), m.cfg.Listen, "GET", "/v1/snapshot", nil, m.cfg.Keys, testenv.Lim)
 	if err != nil || backup.Status != 200 {
 		t.Fatal(backup, err)
@@ -396,21 +376,38 @@
 	}
 	want(t, m, "k", "two")
 	put(t, m, "after", "v")
+}
+
+// checkInvalidCalls makes calls that are rejected.
+func checkInvalidCalls(t *testing.T, m *node) {
+	t.Helper()
 	for _, x := range []struct {
 		verb, path string
 		status     int
-	}{{"GET", "kv/job/none", 404}, {"GET", "kv/job?limit=x", 400}, {"PUT", "kv/job/k?if=x", 400}, {"PUT", "kv/job/k?ttlMs=0", 400}, {"POST", "kv/job/k", 405},
-		{"GET", "watch?after=x", 400}, {"GET", "weather", 404}, {"POST", "members", 409}} {
+	}{
+		{"GET", "kv/job/none", 404},
+		{"GET", "kv/job?limit=x", 400},
+		{"PUT", "kv/job/k?if=x", 400},
+		{"PUT", "kv/job/k?ttlMs=0", 400},
+		{"POST", "kv/job/k", 405},
+		{"GET", "watch?after=x", 400},
+		{"GET", "weather", 404},
+		{"POST", "members", 409},
+	} {
 		if status, v := operate(t, m, x.verb, x.path, "{}"); status != x.status {
 			t.Errorf("%s %s: %d %s", x.verb, x.path, status, v.Raw)
 		}
 	}
-	m.stop()
+}
+
+// checkVerify verifies a folder, and finds the damage of its snapshots.
+func checkVerify(t *testing.T, dir string) {
+	t.Helper()
 	var report bytes.Buffer
-	if err := Verify(m.cfg.Dir, testenv.Lim, &report); err != nil {
+	if err := Verify(dir, testenv.Lim, &report); err != nil {
 		t.Errorf("%v\n%s", err, report.String())
 	}
-	snaps, _ := filepath.Glob(filepath.Join(m.cfg.Dir, "snapshots", "*", "state.bin"))
+	snaps, _ := filepath.Glob(filepath.Join(dir, "snapshots", "*", "state.bin"))
 	if len(snaps) == 0 {
 		t.Fatal("no snapshot is kept")
 	}
@@ -425,16 +422,44 @@
 		}
 	}
 	report.Reset()
-	if err := Verify(
-		m.cfg.Dir,
-		testenv.Lim,
-		&report,
-	); !errors.Is(err, ErrDamaged) ||
-		!strings.Contains(report.String(), "BAD   snapshot") {
+	err := Verify(dir, testenv.Lim, &report)
+	if !errors.Is(err, ErrDamaged) || !strings.Contains(report.String(), "BAD   snapshot") {
 		t.Errorf("%v\n%s", err, report.String())
 	}
 }
 
+// issueKeys creates a folder of keys and opens it.
+func issueKeys(t *testing.T, ca, dir, name string) *pki.Ring {
+	t.Helper()
+	if err := pki.Issue(ca, dir, name, time.Hour, time.Now()); err != nil {
+		t.Fatal(err)
+	}
+	ring, err := pki.Open(dir, func(error) {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return ring
+}
+
+// clusterWithKeys starts members with keys of an authority, and returns them with their folders of keys, by name.
+func clusterWithKeys(t *testing.T, ca string, ports []string) (all []*node, dirs map[string]string) {
+	t.Helper()
+	addresses := map[string]string{}
+	for i, port := range ports {
+		addresses[fmt.Sprint("n", i)] = port
+	}
+	dirs = map[string]string{}
+	for name, address := range addresses {
+		dirs[name] = filepath.Join(t.TempDir(), name)
+		ring := issueKeys(t, ca, dirs[name], name)
+		m := &node{cfg: Config{Name: name, Dir: t.TempDir(), Listen: address, Members: addresses, Keys: ring}}
+		m.start(t)
+		t.Cleanup(func() { m.stop() })
+		all = append(all, m)
+	}
+	return all, dirs
+}
+
 // Members with keys of one authority are a store; a peer without one, or with a revoked one, is told nothing and harms
 // nothing; keys are renewed on all members while it is written.
 func TestKeys(t *testing.T) {
@@ -446,35 +471,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addrs := map[string]string{"n0": ports[0], "n1": ports[1], "n2": ports[2]}
-	dirs := map[string]string{}
-	var all []*node
-	for name, addr := range addrs {
-		dirs[name] = filepath.Join(t.TempDir(), name)
-		if err := pki.Issue(ca, dirs[name], name, time.Hour, time.Now()); err != nil {
-			t.Fatal(err)
-		}
-		ring, err := pki.Open(dirs[name], func(error) {})
-		if err != nil {
-			t.Fatal(err)
-		}
-		m := &node{cfg: Config{Name: name, Dir: t.TempDir(), Listen: addr, Members: addrs, Keys: ring}}
-		m.start(t)
-		t.Cleanup(func() { m.stop() })
-		all = append(all, m)
-	}
+	all, dirs := clusterWithKeys(t, ca, ports)
 	put(t, all[0], "k", "v")
 	if _, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, nil, testenv.Lim); err == nil {
 		t.Error("an operator without a key was answered")
 	}
 	stranger := filepath.Join(t.TempDir(), "stranger")
-	if err := pki.Issue(ca, stranger, "stranger", time.Hour, time.Now()); err != nil {
-		t.Fatal(err)
-	}
-	ring, err := pki.Open(stranger, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
+	ring := issueKeys(t, ca, stranger, "stranger")
 	if m, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, ring, testenv.Lim); err != nil || m.Status != 200 {
 		t.Errorf("an operator with a key: %v %v", m, err)
 	}
