--- a/internal/settingsync/handler.go
+++ b/internal/settingsync/handler.go
@@ -121,7 +121,7 @@
 	s.logFailure(operation, err)
 	status, version := rejectionStatus(err)
 	f := errorBody{Error: err.Error(), Do: operr.Do(err), Version: version}
-	if coded, ok := errors.AsType[operr.Told](err); ok {
+	if coded, ok := errors.AsType[operr.Error](err); ok {
 		f.Code = coded.Code()
 	}
 	return jsonResponse(status, f)
--- a/internal/store/operator.go
+++ b/internal/store/operator.go
@@ -31,7 +31,7 @@
 		return errorResponse(400, "query: %v", err)
 	}
 	r := s.handleOperator(ctx, m, strings.Split(path, "/"), q)
-	r.Known = r.Status < 400
+	r.KnownClient = r.Status < 400
 	return r
 }
 
