--- a/internal/clockcheck/allowed_test.go
+++ b/internal/clockcheck/allowed_test.go
@@ -5,7 +5,7 @@
 var monotonic = map[string]string{
 	"node.clock.unixMillis":     "the decision module's clock: the wall clock at the start plus monotonic time",
 	"locality.Placer.nowMillis": "the data placement's clock: the wall clock at the start plus monotonic time",
-	"store.logTime.read":        "the log's time: where it stood when this member began to lead, plus CLOCK_BOOTTIME",
+	"store.logTime.now":         "the log's time: where it stood when this member began to lead, plus CLOCK_BOOTTIME",
 	"store.Store.now":           "the log's time",
 }
 
@@ -34,7 +34,7 @@
 	"lease.Manager.Step":        "incarnations of a node, ordered; one whose clock was set back is moved on",
 	"lease.Manager.advance":     "incarnations of a node, ordered; one whose clock was set back is moved on",
 	"settings.Report.after":     "incarnations of a process, ordered",
-	"store.logTime.read":        "the log's time against that of this member's replica",
+	"store.logTime.now":         "the log's time against that of this member's replica",
 
 	// A deadline in the distant past ends what is under way, whatever the clock says.
 	"http1.MinRateConn.Abort":      "a deadline of 1970",
