--- a/internal/dispatch/slowstart_sum_test.go
+++ b/internal/dispatch/slowstart_sum_test.go
@@ -115,6 +115,7 @@
 			{nodes: n, load: 2.5, told: n + (n+4)/5},
 		} {
 			t.Run(fmt.Sprintf("%+v", f), func(t *testing.T) {
+				t.Parallel()
 				worst, used := math.Inf(-1), 0.0
 				for seed := int64(1); seed <= 5; seed++ {
 					b, u := f.play(t, seed)
