--- a/internal/filter/filter_test.go
+++ b/internal/filter/filter_test.go
@@ -11,28 +11,54 @@
 	_ "gatetack/internal/testrand"
 )
 
-var schema = Schema{{Name: "state", Kind: Word, Words: []string{"QUEUED", "RUNNING", "DONE"}}, {Name: "category", Kind: Text}, {Name: "priority", Kind: Number},
-	{Name: "submitted", Kind: Time}, {Name: "age", Kind: Span}, {Name: "machine", Kind: List}}
+var schema = Schema{
+	{Name: "state", Kind: Word, Words: []string{"QUEUED", "RUNNING", "DONE"}},
+	{
+		Name: "category",
+		Kind: Text,
+	},
+	{Name: "priority", Kind: Number},
+	{Name: "submitted", Kind: Time},
+	{Name: "age", Kind: Span},
+	{Name: "machine", Kind: List},
+}
 
 var now = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
 func row(name string) any {
-	return map[string]any{"state": "RUNNING", "category": "area-render", "priority": 3.0, "submitted": now.Add(-4 * time.Minute),
-		"age": 4 * time.Minute, "machine": []string{"render1", "render2"}}[name]
+	return map[string]any{"state": "RUNNING", "category": "area-render", "priority": 3.0,
+		"submitted": now.Add(-4 * time.Minute),
+		"age":       4 * time.Minute, "machine": []string{"render1", "render2"}}[name]
 }
 
-func TestMatch(t *testing.T) {
+func TestConditionsSelectRows(t *testing.T) {
 	for text, want := range map[string]bool{
 		``: true, ` `: true,
 		`state in (QUEUED, RUNNING) and category = "area-render" and submitted > 5m ago`: true,
 		`state in (QUEUED, RUNNING) and category = "area-render" and submitted > 3m ago`: false,
-		`STATE = running`: true, `state != running`: false, `state not in (queued, done)`: true, `not state = running`: false,
-		`state = done or state = running and priority > 5`: false, `(state = done or state = running) and priority > 2`: true,
-		`state = running or state = done and priority > 5`: true, `priority >= 3 and priority <= 3`: true, `priority < -1`: false,
-		`category ~ RENDER`: true, `category ~ tile`: false, `category = 'area-render'`: true, `category in ("a", "area-render")`: true,
-		`submitted < 2026-12-01T12:00:00Z`: true, `submitted > 2026-12-01`: true, `submitted = 4m ago`: true, `submitted > "2026-12-01T11:57:00+00:00"`: false,
-		`age > 200s and age < 1d`: true, `age >= 0.5h`: false, `machine = render2`: true, `machine != render2`: false, `machine ~ render`: true,
-		`not (not (state = running))`: true, `category = 7`: false,
+		`STATE = running`:                                    true,
+		`state != running`:                                   false,
+		`state not in (queued, done)`:                        true,
+		`not state = running`:                                false,
+		`state = done or state = running and priority > 5`:   false,
+		`(state = done or state = running) and priority > 2`: true,
+		`state = running or state = done and priority > 5`:   true,
+		`priority >= 3 and priority <= 3`:                    true,
+		`priority < -1`:                                      false,
+		`category ~ RENDER`:                                  true,
+		`category ~ tile`:                                    false,
+		`category = 'area-render'`:                           true,
+		`category in ("a", "area-render")`:                   true,
+		`submitted < 2026-12-01T12:00:00Z`:                   true,
+		`submitted > 2026-12-01`:                             true,
+		`submitted = 4m ago`:                                 true,
+		`submitted > "2026-12-01T11:57:00+00:00"`:            false,
+		`age > 200s and age < 1d`:                            true,
+		`age >= 0.5h`:                                        false,
+		`machine = render2`:                                  true,
+		`machine != render2`:                                 false,
+		`machine ~ render`:                                   true,
+		`not (not (state = running))`:                        true, `category = 7`: false,
 	} {
 		f, err := Parse(schema, text)
 		if err != nil {
@@ -41,22 +67,34 @@
 			t.Errorf("%s: %v", text, got)
 		}
 		// What is not there is equal to nothing and different from everything.
-		if f != nil && f.Match(func(string) any { return nil }, now) && strings.Contains(text, "=") && !strings.Contains(text, "not") &&
+		if f != nil && f.Match(func(string) any { return nil }, now) && strings.Contains(text, "=") &&
+			!strings.Contains(text, "not") &&
 			!strings.Contains(text, "!=") {
-			t.Errorf("%s picks a row of nothing", text)
+			t.Errorf("%s selects a row without values", text)
 		}
 	}
-	if f, err := Parse(schema, `submitted != 4m ago`); err != nil || !f.Match(func(string) any { return time.Time{} }, now) {
+	if f, err := Parse(
+		schema,
+		`submitted != 4m ago`,
+	); err != nil ||
+		!f.Match(func(string) any { return time.Time{} }, now) {
 		t.Error("a time that is not there is equal to one")
 	}
 }
 
 func TestErrorsNameTheColumn(t *testing.T) {
 	for text, want := range map[string]string{
-		`colour = red`: `column 1: no field is named "colour"`, `state = asleep`: "column 9: state is compared with one of QUEUED",
-		`state = done and priority = high`: "column 29: priority is compared with a number", `submitted > soon`: "column 13: submitted is compared with a time",
-		`age > 5m ago`: "column 7: age", `state = done and`: "column 17:", `state`: "column 6:", `state < done`: "column 9: state is compared with text",
-		strings.Repeat("x", MaxText+1): "longer than", strings.Repeat("(", 100): "column 65: more than 64 parentheses", `state = "done`: "column 9:",
+		`colour = red`:                     `column 1: no field is named "colour"`,
+		`state = asleep`:                   "column 9: state is compared with one of QUEUED",
+		`state = done and priority = high`: "column 29: priority is compared with a number",
+		`submitted > soon`:                 "column 13: submitted is compared with a time",
+		`age > 5m ago`:                     "column 7: age",
+		`state = done and`:                 "column 17:",
+		`state`:                            "column 6:",
+		`state < done`:                     "column 9: state is compared with text",
+		strings.Repeat("x", MaxText+1):     "longer than",
+		strings.Repeat("(", 100):           "column 65: more than 64 parentheses",
+		`state = "done`:                    "column 9:",
 	} {
 		_, err := Parse(schema, text)
 		var e *Error
@@ -66,8 +104,8 @@
 	}
 }
 
-// A filter made of parts picks what its parts say.
-func TestAgainstItsParts(t *testing.T) {
+// A filter made of parts selects what its parts select.
+func TestFilterAgreesWithItsParts(t *testing.T) {
 	var build func(t *rapid.T, depth int) (string, bool)
 	build = func(t *rapid.T, depth int) (string, bool) {
 		if depth == 0 || rapid.IntRange(0, 2).Draw(t, "leaf") == 0 {
@@ -99,9 +137,10 @@
 	})
 }
 
-// No text takes the parser down, and what it refuses it refuses with a column within the text, or just after it.
+// No text crashes the parser, and what it rejects it rejects with a column within the text, or just after it.
 func FuzzParse(f *testing.F) {
-	for _, s := range []string{`state in (QUEUED)`, `a = "\`, `((((`, `not not not`, `age > 5d ago`, `submitted > 2026-99-99`, "\x00", `priority = 1e9`, `category = "\xff"`} {
+	for _, s := range []string{`state in (QUEUED)`, `a = "\`, `((((`, `not not not`, `age > 5d ago`,
+		`submitted > 2026-99-99`, "\x00", `priority = 1e9`, `category = "\xff"`} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
