--- a/internal/locality/file.go
+++ b/internal/locality/file.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"math"
 	"slices"
 	"strings"
 
@@ -20,26 +21,38 @@
 	maxDataSets         = 1 << 20
 	maxSlotsPerExecutor = 1 << 16
 	maxNameBytes        = 512
+	maxGbits            = 1e6
+	maxSetBytes         = 1e18
 )
 
-// File is the operators' file of data sets.
+// defaultSlotsPerExecutor is what an executor of the list is assumed to have.
+const defaultSlotsPerExecutor = 2
+
+// File is the operators' file of data sets. Its keys call a zone a hall and an executor a box.
 type File struct {
-	SlotsPerExecutor int `yaml:"slots_per_box"` // that an executor of the list is taken to have; absent: 2
-	Links            []struct {
-		From  string  `yaml:"from"`
-		To    string  `yaml:"to"`
-		Gbits float64 `yaml:"gbits"` // a second, in each direction
-	} `yaml:"links"`
-	Sets []struct {
-		Name  string   `yaml:"name"`
-		Bytes float64  `yaml:"bytes"`
-		Zones []string `yaml:"halls"`
-	} `yaml:"sets"`
+	SlotsPerExecutor int       `yaml:"slots_per_box"` // that each executor of the list is assumed to have
+	Links            []Link    `yaml:"links"`
+	Sets             []DataSet `yaml:"sets"`
+}
+
+// Link is a network link between two zones.
+type Link struct {
+	From  string  `yaml:"from"`
+	To    string  `yaml:"to"`
+	Gbits float64 `yaml:"gbits"` // a second, in each direction
+}
+
+// DataSet is a data set that jobs may name as an input.
+type DataSet struct {
+	Name  string   `yaml:"name"`
+	Bytes float64  `yaml:"bytes"`
+	Zones []string `yaml:"halls"` // that have a copy
 }
 
 // FileError reports what is wrong with the operators' file, and where.
 type FileError struct{ File, Field, Why string }
 
+// Error names the file, the field and what is wrong.
 func (e *FileError) Error() string { return fmt.Sprintf("%s: %s: %s", e.File, e.Field, e.Why) }
 
 // Code is its kind.
@@ -52,53 +65,80 @@
 
 // parse reads and checks the file's text.
 func parse(path string, data []byte, names node.Names) (*File, error) {
-	f := &File{SlotsPerExecutor: 2}
-	dec := yaml.NewDecoder(bytes.NewReader(data))
-	dec.KnownFields(true)
-	if err := dec.Decode(f); err != nil && !errors.Is(err, io.EOF) {
+	f := &File{SlotsPerExecutor: defaultSlotsPerExecutor}
+	decoder := yaml.NewDecoder(bytes.NewReader(data))
+	decoder.KnownFields(true)
+	if err := decoder.Decode(f); err != nil && !errors.Is(err, io.EOF) {
 		return nil, &FileError{path, "yaml", err.Error()}
 	}
-	checkZone := func(field, name string) error {
-		if !slices.Contains(names.Zones, name) {
-			return &FileError{path, field, fmt.Sprintf("%q is none of %s", name, strings.Join(names.Zones, ", "))}
-		}
-		return nil
-	}
+	check := checker{path: path, zones: names.Zones}
 	if len(names.Zones) > maxZones {
-		return nil, &FileError{path, "halls", fmt.Sprintf("%d halls, expected %d at most", len(names.Zones), maxZones)}
+		return nil, check.failed("halls", "%d halls, expected %d at most", len(names.Zones), maxZones)
 	}
 	if f.SlotsPerExecutor < 1 || f.SlotsPerExecutor > maxSlotsPerExecutor {
-		return nil, &FileError{path, "slots_per_box", fmt.Sprintf("%d, expected 1 to %d", f.SlotsPerExecutor, maxSlotsPerExecutor)}
+		return nil, check.failed("slots_per_box", "%d, expected 1 to %d", f.SlotsPerExecutor, maxSlotsPerExecutor)
+	}
+	if err := check.links(f.Links); err != nil {
+		return nil, err
+	}
+	if err := check.sets(f.Sets); err != nil {
+		return nil, err
+	}
+	return f, nil
+}
+
+// checker checks the parts of a file.
+type checker struct {
+	path  string
+	zones []string
+}
+
+// failed is the error of a field.
+func (c checker) failed(field, format string, args ...any) error {
+	return &FileError{c.path, field, fmt.Sprintf(format, args...)}
+}
+
+func (c checker) zone(field, name string) error {
+	if !slices.Contains(c.zones, name) {
+		return c.failed(field, "%q is none of %s", name, strings.Join(c.zones, ", "))
 	}
-	for i, l := range f.Links {
+	return nil
+}
+
+func (c checker) links(links []Link) error {
+	for i, link := range links {
 		at := fmt.Sprintf("links[%d]", i)
-		if err := errors.Join(checkZone(at+".from", l.From), checkZone(at+".to", l.To)); err != nil {
-			return nil, err
+		if err := errors.Join(c.zone(at+".from", link.From), c.zone(at+".to", link.To)); err != nil {
+			return err
 		}
-		if !(l.Gbits > 0 && l.Gbits <= 1e6) {
-			return nil, &FileError{path, at + ".gbits", fmt.Sprintf("%v, expected over 0", l.Gbits)}
+		if math.IsNaN(link.Gbits) || link.Gbits <= 0 || link.Gbits > maxGbits {
+			return c.failed(at+".gbits", "%v, expected over 0", link.Gbits)
 		}
 	}
-	if len(f.Sets) > maxDataSets {
-		return nil, &FileError{path, "sets", fmt.Sprintf("%d, expected %d at most", len(f.Sets), maxDataSets)}
+	return nil
+}
+
+func (c checker) sets(sets []DataSet) error {
+	if len(sets) > maxDataSets {
+		return c.failed("sets", "%d, expected %d at most", len(sets), maxDataSets)
 	}
 	seen := map[string]bool{}
-	for i, x := range f.Sets {
+	for i, set := range sets {
 		at := fmt.Sprintf("sets[%d]", i)
 		switch {
-		case x.Name == "" || len(x.Name) > maxNameBytes:
-			return nil, &FileError{path, at + ".name", fmt.Sprintf("expected 1 to %d bytes", maxNameBytes)}
-		case seen[x.Name]:
-			return nil, &FileError{path, at + ".name", fmt.Sprintf("%q stands twice", x.Name)}
-		case !(x.Bytes >= 0 && x.Bytes <= 1e18):
-			return nil, &FileError{path, at + ".bytes", fmt.Sprintf("%v, expected 0 to 1e18", x.Bytes)}
+		case set.Name == "" || len(set.Name) > maxNameBytes:
+			return c.failed(at+".name", "expected 1 to %d bytes", maxNameBytes)
+		case seen[set.Name]:
+			return c.failed(at+".name", "%q stands twice", set.Name)
+		case math.IsNaN(set.Bytes) || set.Bytes < 0 || set.Bytes > maxSetBytes:
+			return c.failed(at+".bytes", "%v, expected 0 to 1e18", set.Bytes)
 		}
-		seen[x.Name] = true
-		for _, h := range x.Zones {
-			if err := checkZone(at+".halls", h); err != nil {
-				return nil, err
+		seen[set.Name] = true
+		for _, zone := range set.Zones {
+			if err := c.zone(at+".halls", zone); err != nil {
+				return err
 			}
 		}
 	}
-	return f, nil
+	return nil
 }
--- a/internal/locality/placer.go
+++ b/internal/locality/placer.go
@@ -1,6 +1,7 @@
-// Package locality applies data locality to jobs (package site decides): it reads the operators' file of data sets and links, keeps
-// what is known of each zone's capacity from this node's own counts and its list, and prices the zones for a job that names its
-// inputs. The file's keys and package site call a zone a hall.
+// Package locality applies data locality to jobs (package site decides): it reads the operators' file of data
+// sets and links, keeps what is known of each zone's capacity from this node's own counts and its list, and
+// prices the zones for a job that names its inputs. A Placer owns the site's state; its owner runs its one
+// goroutine.
 package locality
 
 import (
@@ -17,10 +18,16 @@
 	"gatetack/internal/site"
 )
 
-const refreshInterval = time.Second // of the zones' capacity
+const (
+	refreshInterval = time.Second // of the zones' capacity
+	// runLearningRate is the weight of a job's run in the mean of its class.
+	runLearningRate = 0.05
+	bytesPerGbit    = 1e9 / 8
+)
 
-// MachineLister lists the executors with the number of this node's attempts at each.
+// MachineLister lists the executors.
 type MachineLister interface {
+	// Machines returns them with the number of this node's attempts at each.
 	Machines(context.Context) ([]node.Machine, error)
 }
 
@@ -54,10 +61,13 @@
 }
 
 func newPlacer(f *File, names node.Names, s dispatch.Settings, from MachineLister, log *slog.Logger) *Placer {
-	p := &Placer{names: names, settings: s, machines: from, slotsPerExecutor: float64(f.SlotsPerExecutor), log: log, now: time.Now, started: time.Now(), executorZone: map[string]int{},
-		site: site.New(max(len(names.Zones), 1), maxDataSets)}
-	for _, c := range s.Classes {
-		p.meanRun = append(p.meanRun, max(1, c.Aim))
+	p := &Placer{
+		names: names, settings: s, machines: from, slotsPerExecutor: float64(f.SlotsPerExecutor), log: log,
+		now: time.Now, started: time.Now(),
+		executorZone: map[string]int{}, site: site.New(max(len(names.Zones), 1), maxDataSets),
+	}
+	for _, class := range s.Classes {
+		p.meanRun = append(p.meanRun, max(1, class.Aim))
 	}
 	p.site.Here, p.site.ReportPeriod = int(s.Zone), float64(refreshInterval.Milliseconds())
 	p.site.FleetShare = 1 / float64(max(s.Balancers, 1))
@@ -66,19 +76,25 @@
 			p.site.Zones[i].CrossingPrice = s.Fees.CrossZone
 		}
 	}
-	at := func(name string) int { return slices.Index(names.Zones, name) }
-	for _, l := range f.Links {
-		rate := l.Gbits * 1e9 / 8 / 1000
-		p.site.Links.Rate[at(l.From)][at(l.To)], p.site.Links.Rate[at(l.To)][at(l.From)] = rate, rate
+	p.describeSite(f)
+	return p
+}
+
+// describeSite takes over the links and the data sets of the file.
+func (p *Placer) describeSite(f *File) {
+	zone := func(name string) int { return slices.Index(p.names.Zones, name) }
+	for _, link := range f.Links {
+		bytesPerMs := link.Gbits * bytesPerGbit / 1000
+		from, to := zone(link.From), zone(link.To)
+		p.site.Links.Rate[from][to], p.site.Links.Rate[to][from] = bytesPerMs, bytesPerMs
 	}
-	for _, x := range f.Sets {
+	for _, set := range f.Sets {
 		var zones []int
-		for _, h := range x.Zones {
-			zones = append(zones, at(h))
+		for _, name := range set.Zones {
+			zones = append(zones, zone(name))
 		}
-		p.site.Catalogue.Add(site.Name(x.Name), x.Bytes, zones...)
+		p.site.Catalogue.Add(site.Name(set.Name), set.Bytes, zones...)
 	}
-	return p
 }
 
 // Run refreshes the zones' capacity until the context ends.
@@ -97,13 +113,14 @@
 	}
 }
 
-// nowMillis is the time in ms on a clock that nobody sets: it began with the wall clock and runs on with the monotonic one.
+// nowMillis is the time in ms on a clock that nobody sets: it began with the wall clock and runs on with the
+// monotonic one.
 func (p *Placer) nowMillis() float64 {
 	return float64(p.started.UnixMicro())/1000 + float64(p.now().Sub(p.started).Microseconds())/1000
 }
 
-// refresh takes in the listed executors: a zone's capacity is that of its executors that take work, and its wait is what this node has
-// there beyond its part of the capacity. A zone without such an executor takes no jobs.
+// refresh takes in the listed executors: a zone's capacity is that of its executors that take work, and its wait
+// is what this node has there beyond its part of the capacity. A zone without such an executor takes no jobs.
 func (p *Placer) refresh(all []node.Machine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,13 +149,24 @@
 	}
 }
 
-// Place returns the prices of the zones for a job, and why. The caller calls ended once, with the executor and whether it was served.
-func (p *Placer) Place(inputs []string, class int, left time.Duration) (prices []float64, why string, ended func(string, bool)) {
+// Place returns the prices of the zones for a job, and why. The caller calls ended once, with the executor and
+// whether it was served.
+func (p *Placer) Place(
+	inputs []string,
+	class int,
+	left time.Duration,
+) (prices []float64, why string, ended func(string, bool)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	began := p.nowMillis()
 	c := p.settings.Classes[min(class, len(p.settings.Classes)-1)]
-	j := site.Job{Work: p.meanRun[min(class, len(p.meanRun)-1)], Slots: 1, Aim: c.Aim * (1 + c.Stretch), Left: float64(left.Milliseconds()), Pinned: -1}
+	j := site.Job{
+		Work:   p.meanRun[min(class, len(p.meanRun)-1)],
+		Slots:  1,
+		Aim:    c.Aim * (1 + c.Stretch),
+		Left:   float64(left.Milliseconds()),
+		Pinned: -1,
+	}
 	for _, name := range inputs {
 		j.Inputs = append(j.Inputs, site.Input{ID: site.Name(name)})
 	}
@@ -150,21 +178,38 @@
 		}
 		return choice.Prices(len(p.site.Zones)), "data: " + choice.Why() + " (late in any hall)", nil
 	}
-	return choice.Prices(len(p.site.Zones)), "data: " + p.describe(choice), func(executor string, served bool) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		now := p.nowMillis()
-		z, known := p.executorZone[executor]
-		p.site.Ended(j, choice, served && known && z == choice.Zone, now)
-		if served && known && z != choice.Zone { // the module chose an executor elsewhere: its zone has the data now
-			for _, in := range j.Inputs {
-				p.site.Catalogue.AddCopy(in.ID, 0, z, now)
-			}
-		}
-		if i := min(class, len(p.meanRun)-1); served {
-			p.meanRun[i] += (max(1, now-began) - p.meanRun[i]) * 0.05
+	placed := placedJob{placer: p, job: j, choice: choice, class: class, began: began}
+	return choice.Prices(len(p.site.Zones)), "data: " + p.describe(choice), placed.ended
+}
+
+// placedJob is a job for which a zone was chosen.
+type placedJob struct {
+	placer *Placer
+	job    site.Job
+	choice site.Choice
+	class  int
+	began  float64 // in ms
+}
+
+// ended releases what the job reserved and learns from its run. The dispatcher may have chosen an executor of another
+// zone: that zone has the data then.
+func (j placedJob) ended(executor string, served bool) {
+	p := j.placer
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.nowMillis()
+	zone, known := p.executorZone[executor]
+	ran := served && known
+	p.site.Ended(j.job, j.choice, ran && zone == j.choice.Zone, now)
+	if ran && zone != j.choice.Zone {
+		for _, input := range j.job.Inputs {
+			p.site.Catalogue.AddCopy(input.ID, 0, zone, now)
 		}
 	}
+	if served {
+		mean := &p.meanRun[min(j.class, len(p.meanRun)-1)]
+		*mean += (max(1, now-j.began) - *mean) * runLearningRate
+	}
 }
 
 // describe returns the reason of a choice, with the zone by its name.
--- a/internal/locality/placer_test.go
+++ b/internal/locality/placer_test.go
@@ -14,17 +14,23 @@
 	"gatetack/internal/testenv"
 )
 
-type boxes []node.Machine
+type machineList []node.Machine
 
-func (b boxes) Machines(context.Context) ([]node.Machine, error) { return b, nil }
+func (b machineList) Machines(context.Context) ([]node.Machine, error) { return b, nil }
 
 var names = node.Names{Zones: []string{"tallinn", "tartu"}}
 
 func settings() dispatch.Settings {
-	return dispatch.Settings{Balancers: 1, Zone: 0, Classes: []dispatch.Class{{Aim: 400, Stretch: 2}}, Fees: dispatch.Fees{CrossZone: 0.03}}
+	return dispatch.Settings{
+		Balancers: 1,
+		Zone:      0,
+		Classes:   []dispatch.Class{{Aim: 400, Stretch: 2}},
+		Fees:      dispatch.Fees{CrossZone: 0.03},
+	}
 }
 
-const good = "links: [{from: tallinn, to: tartu, gbits: 1}]\nsets:\n- {name: scene, bytes: 2e9, halls: [tartu]}\n- {name: near, bytes: 2e9, halls: [tallinn]}\n"
+const good = "links: [{from: tallinn, to: tartu, gbits: 1}]\nsets:\n" +
+	"- {name: scene, bytes: 2e9, halls: [tartu]}\n- {name: near, bytes: 2e9, halls: [tallinn]}\n"
 
 func open(t *testing.T, text string) (*Placer, error) {
 	t.Helper()
@@ -32,19 +38,19 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return Open(path, names, settings(), boxes{}, testenv.Quiet)
+	return Open(path, names, settings(), machineList{}, testenv.Quiet)
 }
 
-func machine(name, zone, status string, out int) node.Machine {
-	return node.Machine{Entry: node.Entry{Name: name, Zone: zone, Status: status}, Out: out}
+func machine(name, zone, status string) node.Machine {
+	return node.Machine{Entry: node.Entry{Name: name, Zone: zone, Status: status}}
 }
 
-func TestPlace(t *testing.T) {
+func TestPlacePricesZonesByTheirDataAndExecutors(t *testing.T) {
 	p, err := open(t, good)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.refresh(boxes{machine("a", "tallinn", "ready", 0), machine("b", "tartu", "ready", 0)})
+	p.refresh(machineList{machine("a", "tallinn", "ready"), machine("b", "tartu", "ready")})
 	prices, why, ended := p.Place([]string{"scene"}, 0, time.Minute)
 	if len(prices) != 2 || prices[1] != 0 || prices[0] <= 0.03 || !strings.Contains(why, "tartu") {
 		t.Errorf("%v %s", prices, why)
@@ -60,7 +66,7 @@
 		t.Errorf("%v with the data in both halls, want this node's own", prices)
 	}
 	// A zone without an executor that takes work takes none.
-	p.refresh(boxes{machine("a", "tallinn", "ready", 0), machine("b", "tartu", "draining", 0)})
+	p.refresh(machineList{machine("a", "tallinn", "ready"), machine("b", "tartu", "draining")})
 	if prices, why, _ := p.Place([]string{"scene"}, 0, time.Minute); prices[0] != 0 || prices[1] <= 0 {
 		t.Errorf("%v %s while the hall drains", prices, why)
 	}
@@ -70,7 +76,7 @@
 	}
 }
 
-func TestBadFiles(t *testing.T) {
+func TestBadFileIsRejectedWithItsField(t *testing.T) {
 	for text, field := range map[string]string{
 		"links: [{from: tallinn, to: narva, gbits: 1}]": "links[0].to",
 		"links: [{from: tallinn, to: tartu, gbits: 0}]": "links[0].gbits",
