--- a/internal/scale/hollow/clients.go
+++ b/internal/scale/hollow/clients.go
@@ -23,7 +23,6 @@
 	record      *Record
 	traffic     *Traffic
 	numbers     atomic.Uint64
-	open        atomic.Int64
 	results     Results
 	hollow      map[int]*Dispatcher
 	batch       *BatchClients
@@ -98,9 +97,6 @@
 	c.batch = NewBatchClients(c.rules, members, c.network, c.record, &c.results)
 }
 
-// Open is how many tasks wait for their ends.
-func (c *Clients) Open() int { return int(c.open.Load()) }
-
 // Results are the counts so far.
 func (c *Clients) Results() *Results { return &c.results }
 
@@ -126,14 +122,12 @@
 			c.record.Due(t, due)
 			c.results.Tasks[t.Kind].Add(1)
 		}
-		c.open.Add(int64(len(tasks)))
 		g.Go(func() error {
 			if t.Batch {
 				c.batch.Pursue(ctx, tasks, due)
 			} else {
 				c.pursue(ctx, t, due)
 			}
-			c.open.Add(-int64(len(tasks)))
 			return nil
 		})
 	}
