--- a/internal/http1/leaving_test.go
+++ b/internal/http1/leaving_test.go
@@ -30,14 +30,14 @@
 
 func (s *script) SetReadDeadline(time.Time) error { return nil }
 
-// A client's end is known at once by what the last check before bytes looks at: the goroutine that reads ends the request's context
-// itself, and waits neither for the handler nor for whoever takes in what it read.
+// A client's end is known at once by what the last check before bytes looks at: the goroutine that reads ends
+// the request's context itself, and waits neither for the handler nor for whoever takes in what it read.
 func TestReaderItselfEndsTheRequestOfAClientThatLeft(t *testing.T) {
 	for _, end := range []error{io.EOF, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EPIPE} {
 		t.Run(end.Error(), func(t *testing.T) {
 			c := newConn(&script{reads: []func([]byte) (int, error){
 				func([]byte) (int, error) { return 0, &net.OpError{Op: "read", Err: os.NewSyscallError("read", end)} },
-			}}, lim.Ring, lim.Pace.ClientIn, lim.Pace.ClientOut, 0)
+			}}, &lim)
 			c.readDone = make(chan struct{}) // nobody takes in that it has read: its handler is busy
 			ctx, gone := context.WithCancel(t.Context())
 			defer gone()
@@ -52,8 +52,9 @@
 	}
 }
 
-// What a client sent behind its request and left costs few pauses before its end is seen, however much it is: the end stands behind
-// all of it, and 4 MB, the most that a kernel holds for a sender by itself, are through well within 0.1 s.
+// What a client sent behind its request and left costs few pauses before its end is seen, however much it is:
+// the end stands behind all of it, and 4 MB, the most that a kernel holds for a sender by itself, are through
+// well within 0.1 s.
 func TestEndBehindManyBytesIsSeenAfterFewPauses(t *testing.T) {
 	const sent, most = 4 << 20, 70 * time.Millisecond
 	left := sent
@@ -64,9 +65,9 @@
 			return 0, io.EOF
 		}
 		return n, nil
-	}}}, lim.Ring, lim.Pace.ClientIn, lim.Pace.ClientOut, lim.DropPause)
-	c.sleep = func(d time.Duration) { paused += d }
-	c.handling = true
+	}}}, &lim)
+	c.pauseDiscards = func(d time.Duration) { paused += d }
+	c.watching = true
 	if err := c.fill(); !errors.Is(err, io.EOF) || left != 0 {
 		t.Errorf("%v with %d bytes left", err, left)
 	}
@@ -75,8 +76,9 @@
 	}
 }
 
-// A client that closes only its side of the connection is taken to have gone, since that looks like a close: its request is called
-// off, or not begun. It gets a last answer all the same, which one that has closed does not read.
+// A client that closes only its side of the connection is taken to have gone, since that looks like a close: its
+// request is called off, or not begun. It gets a last answer all the same, which one that has closed does not
+// read.
 func TestHalfClosedClientIsCalledOffAndAnswered(t *testing.T) {
 	began := make(chan bool, 2)
 	_, addr := serve(t, lim, func(ctx context.Context, _ *Message) Response {
@@ -123,7 +125,7 @@
 func TestInterruptedAndShortCallsGoOn(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = ours.Close() }()
-	c := NewPaced(&stutter{Conn: ours}, slowpeer.Rate{}, slowpeer.Rate{})
+	c := NewMinRateConn(&stutter{Conn: ours}, slowpeer.Rate{}, slowpeer.Rate{})
 	text := strings.Repeat("x", 20)
 	go func() { _, _ = io.WriteString(theirs, text) }()
 	got := make([]byte, len(text))
@@ -156,7 +158,8 @@
 	return s.Conn.Write(b[:1])
 }
 
-// A whole exchange over a connection that is interrupted and moves one byte at a time: requests are served, also several.
+// A whole exchange over a connection that is interrupted and moves one byte at a time: requests are served, also
+// several.
 func TestServerOverStutteringConnections(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -166,7 +169,7 @@
 	s := NewServer(lim, handler(func(_ context.Context, m *Message) Response { return Response{Status: 200, Body: m.Body} }), nil, quietLog)
 	done := make(chan error)
 	go func() { done <- s.Serve(ctx, stutterListener{ln}) }()
-	defer func() { cancel(); <-done }()
+	defer func() { cancel(); _ = <-done }()
 	c := dial(t, ln.Addr().String())
 	_, _ = io.WriteString(c, strings.Repeat("POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", 3))
 	expect(t, c, 3)
@@ -186,7 +189,7 @@
 func TestWriteErrorsEndOneConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			c := NewPaced(failingWrites{errno: errno}, slowpeer.Rate{}, slowpeer.Rate{Bytes: 1, Grace: time.Hour})
+			c := NewMinRateConn(failingWrites{errno: errno}, slowpeer.Rate{}, slowpeer.Rate{Bytes: 1, Grace: time.Hour})
 			if n, err := c.Write([]byte("answer")); n != 0 || !errors.Is(err, errno) {
 				t.Errorf("%d, %v", n, err)
 			}
@@ -205,8 +208,9 @@
 
 func (f failingWrites) SetWriteDeadline(time.Time) error { return nil }
 
-// A client that stops in the middle of a request and stays gets its error, wherever it stops, on a new connection and on one that was
-// used; a part that came behind a request which took longer than its bound gets it at once.
+// A client that stops in the middle of a request and stays gets its error, wherever it stops, on a new
+// connection and on one that was used; a part that came behind a request which took longer than its bound gets
+// it at once.
 func TestClientThatStopsInsideARequestGetsItsError(t *testing.T) {
 	if bound := lim.Pace.Request; bound > 3*time.Second-300*time.Millisecond {
 		t.Errorf("a request has %v to come whole, and its client is owed an end within 3 s", bound)
@@ -217,7 +221,7 @@
 		if m.Target == "/long" {
 			time.Sleep(2 * quick.Pace.Request)
 		}
-		return Response{Status: 200, Known: true}
+		return Response{Status: 200, KnownClient: true}
 	})
 	parts := []string{"G", "GET / HTTP/1.1", "GET / HTTP/1.1\r\nA: b", "GET / HTTP/1.1\r\nA: b\r\n", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\n",
 		"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", "POST / HTTP/1.1\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n",
@@ -235,7 +239,8 @@
 	}
 }
 
-// The bound of a request counts from its own first byte, also where that came while another was handled: its client stopped then.
+// The bound of a request counts from its own first byte, also where that came while another was handled: its
+// client stopped then.
 func TestBoundOfARequestBehindAnotherCountsFromItsFirstByte(t *testing.T) {
 	long := lim
 	long.Pace.Request, long.Pace.ClientIn = time.Hour, slowpeer.Rate{}
@@ -256,10 +261,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.Paced.mu.Lock()
-		if by := c.readBound; by.IsZero() || by.After(behind.Add(time.Hour)) {
+		c.mu.Lock()
+		if by := c.receive.bound; by.IsZero() || by.After(behind.Add(time.Hour)) {
 			t.Errorf("bounded by %v, and its bytes had come by %v", by, behind)
 		}
-		c.Paced.mu.Unlock()
+		c.mu.Unlock()
 	}
 }
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	mostVoters = 5  // more make each write wait for more disks
-	nearVoter  = 64 // entries of the log that a non-voter may be behind when it is let vote
+	maxVoters   = 5  // more make each write wait for more disks
+	maxVoterLag = 64 // entries of the log that a non-voter may be behind when it is let vote
 )
 
 // observe keeps which members' heartbeats fail while this one leads.
@@ -37,11 +37,11 @@
 			s.mu.Lock()
 			switch x := o.Data.(type) {
 			case raft.FailedHeartbeatObservation:
-				s.dead[x.PeerID] = true
+				s.unresponsive[x.PeerID] = true
 			case raft.ResumedHeartbeatObservation:
-				delete(s.dead, x.PeerID)
+				delete(s.unresponsive, x.PeerID)
 			case raft.LeaderObservation:
-				clear(s.dead)
+				clear(s.unresponsive)
 			}
 			s.mu.Unlock()
 		case <-ctx.Done():
@@ -62,13 +62,13 @@
 	var all membership.Cluster
 	for _, x := range f.Configuration().Servers {
 		all = append(all, membership.Server{Name: string(x.ID), Address: string(x.Address), Voter: x.Suffrage == raft.Voter,
-			Alive: !s.dead[x.ID], Leader: x.ID == leader})
+			Alive: !s.unresponsive[x.ID], Leader: x.ID == leader})
 	}
 	return all, nil
 }
 
-// change decides about a change of the membership that is asked for, and makes it, as the leader.
-func (s *Store) change(v gjson.Result) http1.Response {
+// handleChange decides about a change of the membership that is asked for, and makes it, as the leader.
+func (s *Store) handleChange(v gjson.Result) http1.Response {
 	all, err := s.Members()
 	if err != nil {
 		return http1.Text(503, "%v", err)
@@ -80,35 +80,35 @@
 		x, err = all.Join(name, v.Get("address").String(), v.Get("anew").Bool())
 	case "promote":
 		last := s.raft.LastIndex()
-		x, err = all.Promote(name, last-min(last, v.Get("applied").Uint()), nearVoter, mostVoters)
+		x, err = all.Promote(name, last-min(last, v.Get("applied").Uint()), maxVoterLag, maxVoters)
 	case "leave":
 		x, err = all.Leave(name)
 	case "remove":
-		x, err = all.Drop(name, v.Get("force").Bool())
+		x, err = all.Remove(name, v.Get("force").Bool())
 	default:
 		err = fmt.Errorf("%q is none of join, promote, leave and remove", verb)
 	}
 	if err != nil {
-		return answerJSON(409, map[string]string{"error": err.Error()})
+		return jsonResponse(409, map[string]string{"error": err.Error()})
 	}
-	if err := s.make(x); err != nil {
+	if err := s.applyChange(x); err != nil {
 		return http1.Text(503, "%v", err)
 	}
-	if x.Verb != membership.Nothing {
-		s.log.Info("store: the membership has changed", "verb", v.Get("verb").String(), "name", x.Name, "address", x.Address)
+	if x.Verb != membership.NoChange {
+		s.log.Info("store membership changed", "verb", v.Get("verb").String(), "name", x.Name, "address", x.Address)
 	}
 	if all, err = s.Members(); err != nil {
 		return http1.Text(503, "%v", err)
 	}
-	return answerJSON(200, all)
+	return jsonResponse(200, all)
 }
 
-func (s *Store) make(x membership.Change) error {
+func (s *Store) applyChange(x membership.Change) error {
 	id, addr, wait := raft.ServerID(x.Name), raft.ServerAddress(x.Address), s.lim.StoreCall
 	defer func() { // what failed before was another process: the new one's heartbeats say nothing until they fail
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.dead, id)
+		delete(s.unresponsive, id)
 	}()
 	switch x.Verb {
 	case membership.AddNonvoter:
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// askChange asks a member for a change of the membership that is about this one.
-func (s *Store) askChange(ctx context.Context, to string, call map[string]any) (*http1.Message, error) {
+// requestChange asks a member for a change of the membership that is about this one.
+func (s *Store) requestChange(ctx context.Context, to string, call map[string]any) (*http1.Message, error) {
 	call["name"], call["address"] = s.cfg.Name, s.cfg.Listen
 	body, _ := json.Marshal(call)
 	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCall)
@@ -152,12 +152,12 @@
 				to = string(leader)
 			}
 		}
-		m, err := s.askChange(ctx, to, map[string]any{"verb": verb, "applied": s.raft.AppliedIndex()})
+		m, err := s.requestChange(ctx, to, map[string]any{"verb": verb, "applied": s.raft.AppliedIndex()})
 		switch {
 		case err != nil:
-			s.log.Info("store: joining", "by", to, "err", err)
+			s.log.Info("store not joined yet", "by", to, "err", err)
 		case m.Status != 200:
-			s.log.Warn("store: joining is refused", "by", to, "status", m.Status, "why", string(m.Body))
+			s.log.Warn("store join rejected", "by", to, "status", m.Status, "reason", string(m.Body))
 		}
 		select {
 		case <-time.After(s.lim.StoreBeat):
