--- a/internal/dispatch/golden_actions_test.go
+++ b/internal/dispatch/golden_actions_test.go
@@ -117,7 +117,13 @@
 func (c *goldenCluster) begin(a *goldenAttempt) {
 	e, s := a.executor, c.plan.settings(a.node)
 	run := max(1, a.work/e.speed*c.random.span(0.8, 1.3))
-	note := dispatch.Event{Kind: dispatch.EvNote, Job: a.job, Attempt: a.number, Worker: e.row.Worker, Topic: dispatch.NoteStarted}
+	note := dispatch.Event{
+		Kind:    dispatch.EvNote,
+		Job:     a.job,
+		Attempt: a.number,
+		Worker:  e.row.Worker,
+		Topic:   dispatch.NoteStarted,
+	}
 	if s.TellsStart {
 		c.give(a.node, a.life, 1, note)
 	}
@@ -174,8 +180,15 @@
 	if outcome == dispatch.Served && !r.done {
 		r.done, final = true, true
 	}
-	event := dispatch.Event{Kind: dispatch.EvOutcome, Job: a.job, Attempt: a.number, Worker: e.row.Worker, Outcome: outcome,
-		Elapsed: after, Final: final}
+	event := dispatch.Event{
+		Kind:    dispatch.EvOutcome,
+		Job:     a.job,
+		Attempt: a.number,
+		Worker:  e.row.Worker,
+		Outcome: outcome,
+		Elapsed: after,
+		Final:   final,
+	}
 	s := c.plan.settings(a.node)
 	switch outcome {
 	case dispatch.Served, dispatch.Errored, dispatch.Full:
@@ -248,6 +261,11 @@
 		if n.cut || c.nodes[i].cut || c.random.chance(0.01) {
 			continue
 		}
-		c.give(k, n.life, c.random.span(1, 4), dispatch.Event{Kind: dispatch.EvPeer, From: uint32(i), Data: append([]byte(nil), a.Data...)})
+		c.give(
+			k,
+			n.life,
+			c.random.span(1, 4),
+			dispatch.Event{Kind: dispatch.EvPeer, From: uint32(i), Data: append([]byte(nil), a.Data...)},
+		)
 	}
 }
--- a/internal/dispatch/golden_faults_test.go
+++ b/internal/dispatch/golden_faults_test.go
@@ -14,8 +14,13 @@
 	c.version++
 	for i, n := range c.nodes {
 		if n.watching {
-			c.give(i, n.life, c.random.span(1, 30), dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListDelta, Version: c.version,
-				Rows: append([]dispatch.Row(nil), rows...)})
+			c.give(
+				i,
+				n.life,
+				c.random.span(1, 30),
+				dispatch.Event{Kind: dispatch.EvList, Form: dispatch.ListDelta, Version: c.version,
+					Rows: append([]dispatch.Row(nil), rows...)},
+			)
 		}
 	}
 }
@@ -167,10 +172,19 @@
 		{Kind: dispatch.EvFirst, Job: 1 << 30},
 		{Kind: dispatch.EvGone, Job: 1 << 30},
 		{Kind: dispatch.EvPeer, From: 5000, Data: []byte{1, 2, 3}},
-		{Kind: dispatch.EvPeer, From: uint32(c.random.below(len(c.nodes))), Data: []byte{byte(c.random.next()), byte(c.random.next()), 5, 1}},
+		{
+			Kind: dispatch.EvPeer,
+			From: uint32(c.random.below(len(c.nodes))),
+			Data: []byte{byte(c.random.next()), byte(c.random.next()), 5, 1},
+		},
 		{Kind: dispatch.EvPeer, From: uint32(c.random.below(len(c.nodes)))},
 		{Kind: dispatch.EvProbed, Worker: 1 << 30, Outcome: dispatch.Served},
-		{Kind: dispatch.EvProbed, Worker: 100, Outcome: dispatch.Served, Report: []float32{float32(math.NaN()), float32(math.Inf(1)), -1}},
+		{
+			Kind:    dispatch.EvProbed,
+			Worker:  100,
+			Outcome: dispatch.Served,
+			Report:  []float32{float32(math.NaN()), float32(math.Inf(1)), -1},
+		},
 		{Kind: dispatch.EvTimer, Token: 1 << 30},
 		{Kind: dispatch.EvList, Form: dispatch.ListFull, Version: c.version, Rows: c.rows()},
 		{Kind: dispatch.EvList, Form: dispatch.ListDelta, Rows: []dispatch.Row{{Worker: 1 << 30, Condition: dispatch.Gone}}},
@@ -178,8 +192,11 @@
 	n.pending = append(n.pending, odd[c.random.below(len(odd))])
 	if c.random.chance(0.3) { // numbers of no sense; nobody waits for its answer
 		n.requests[c.nextJob] = &goldenRequest{due: c.now + 300, event: dispatch.Event{Work: 50, TimeLeft: 300}}
-		n.pending = append(n.pending, dispatch.Event{Kind: dispatch.EvRequest, Job: c.nextJob, Class: 250, Tenant: 60000, Slots: math.NaN(),
-			Memory: -3, TimeLeft: 300, Work: math.Inf(1), Flags: dispatch.FlagWork})
+		n.pending = append(
+			n.pending,
+			dispatch.Event{Kind: dispatch.EvRequest, Job: c.nextJob, Class: 250, Tenant: 60000, Slots: math.NaN(),
+				Memory: -3, TimeLeft: 300, Work: math.Inf(1), Flags: dispatch.FlagWork},
+		)
 		life, id := n.life, c.nextJob
 		c.at(305, func() { c.leave(i, life, id) })
 		c.nextJob++
@@ -201,7 +218,10 @@
 		s.Tenants = append(append([]dispatch.Tenant(nil), s.Tenants...), dispatch.Tenant{Portion: 0.1, Quota: 3})
 	}
 	if c.random.chance(0.5) {
-		s.Classes = append(append([]dispatch.Class(nil), s.Classes...), dispatch.Class{Aim: 700, Deadline: 3000, Worth: 2, Kind: -1})
+		s.Classes = append(
+			append([]dispatch.Class(nil), s.Classes...),
+			dispatch.Class{Aim: 700, Deadline: 3000, Worth: 2, Kind: -1},
+		)
 	}
 	if c.random.chance(0.2) {
 		s.MaxAttempts = 0 // refused
--- a/internal/http1/leaving_test.go
+++ b/internal/http1/leaving_test.go
@@ -169,7 +169,12 @@
 	s := NewServer(lim, handler(func(_ context.Context, m *Message) Response { return Response{Status: 200, Body: m.Body} }), nil, quietLog)
 	done := make(chan error)
 	go func() { done <- s.Serve(ctx, stutterListener{ln}) }()
-	defer func() { cancel(); _ = <-done }()
+	defer func() {
+		cancel()
+		if err := <-done; err != nil {
+			t.Error("the server ended with", err)
+		}
+	}()
 	c := dial(t, ln.Addr().String())
 	_, _ = io.WriteString(c, strings.Repeat("POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", 3))
 	expect(t, c, 3)
--- a/internal/tcpinfo/sock.go
+++ b/internal/tcpinfo/sock.go
@@ -4,6 +4,7 @@
 package tcpinfo
 
 import (
+	"errors"
 	"net"
 	"syscall"
 	"time"
