--- a/internal/clockcheck/allowed_test.go
+++ b/internal/clockcheck/allowed_test.go
@@ -37,9 +37,9 @@
 	"store.logTime.read":      "the log's time against that of this member's replica",
 
 	// A deadline in the distant past ends what is under way, whatever the clock says.
-	"http1.MinRateConn.Abort":   "a deadline of 1970",
-	"http1.MinRateConn.Write":   "a bound may be that of 1970",
-	"http1.MinRateConn.armRead": "a bound may be that of 1970",
-	"http1.earlierDeadline":     "a bound may be that of 1970; the others keep their monotonic reading",
-	"http1.judgeTimeout":        "a bound may be that of 1970; the others keep their monotonic reading",
+	"http1.MinRateConn.Abort":      "a deadline of 1970",
+	"http1.MinRateConn.beginWrite": "a bound may be that of 1970",
+	"http1.MinRateConn.armRead":    "a bound may be that of 1970",
+	"http1.earlierDeadline":        "a bound may be that of 1970; the others keep their monotonic reading",
+	"http1.judgeTimeout":           "a bound may be that of 1970; the others keep their monotonic reading",
 }
--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -43,8 +43,9 @@
 	syscall.EINTR: acceptSkipped, syscall.EAGAIN: acceptSkipped,
 	syscall.ECONNABORTED: acceptSkipped, syscall.ECONNRESET: acceptSkipped, syscall.ETIMEDOUT: acceptSkipped,
 	syscall.EPROTO: acceptSkipped, syscall.EPERM: acceptSkipped,
-	syscall.ENETDOWN: acceptSkipped, syscall.ENOPROTOOPT: acceptSkipped, syscall.EHOSTDOWN: acceptSkipped, syscall.ENONET: acceptSkipped,
-	syscall.EHOSTUNREACH: acceptSkipped, syscall.EOPNOTSUPP: acceptSkipped, syscall.ENETUNREACH: acceptSkipped,
+	syscall.ENETDOWN: acceptSkipped, syscall.ENETUNREACH: acceptSkipped, syscall.ENONET: acceptSkipped,
+	syscall.EHOSTDOWN: acceptSkipped, syscall.EHOSTUNREACH: acceptSkipped,
+	syscall.ENOPROTOOPT: acceptSkipped, syscall.EOPNOTSUPP: acceptSkipped,
 	syscall.EMFILE: acceptNoDescriptor, syscall.ENFILE: acceptNoDescriptor,
 	syscall.ENOBUFS: acceptBackoff, syscall.ENOMEM: acceptBackoff,
 }
--- a/internal/http1/accept_test.go
+++ b/internal/http1/accept_test.go
@@ -61,7 +61,9 @@
 }
 
 // serveFaulty is serve with a listener whose accept fails as next says, and gives the pauses of its accept loop.
-func serveFaulty(t *testing.T, lim limits.Limits, h handler, next func(s *Server, call int) error) (*Server, string, *pauses) {
+func serveFaulty(
+	t *testing.T, lim limits.Limits, h handler, next func(s *Server, call int) error,
+) (*Server, string, *pauses) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -99,8 +101,11 @@
 // An error that concerns one pending connection, or a signal, delays none of the others: the next is accepted
 // with no pause.
 func TestAcceptGoesOnAtOnceAfterErrorsOfOneConnection(t *testing.T) {
-	faults := []error{syscall.ECONNABORTED, syscall.EPROTO, syscall.EINTR, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN,
-		syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.EPERM, syscall.ECONNRESET}
+	faults := []error{
+		syscall.ECONNABORTED, syscall.EPROTO, syscall.EINTR, syscall.ETIMEDOUT, syscall.EPERM, syscall.ECONNRESET,
+		syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
+		syscall.EOPNOTSUPP, syscall.ENETUNREACH,
+	}
 	_, addr, paused := serveFaulty(t, lim, ok, func(_ *Server, call int) error {
 		if call <= len(faults) {
 			return faults[call-1]
@@ -119,53 +124,55 @@
 // whose request is being handled stays, and only where all are such there is a pause.
 func TestAcceptFreesDescriptors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE} {
-		t.Run(errno.Error(), func(t *testing.T) {
-			hold, began := make(chan bool), make(chan bool, 1)
-			open := []int{} // connections at the accept after each failure
-			_, addr, paused := serveFaulty(t, lim, func(_ context.Context, m *Message) Response {
-				if m.Target == "/hold" {
-					began <- true
-					<-hold
-				}
-				return Response{Status: 200, KnownClient: true}
-			}, func(s *Server, call int) error {
-				switch call {
-				case 1, 2: // an idle connection and a busy one
-				case 3:
-					waitFor(t, "the first connection is idle", func() bool { return phases(s)[idle] == 1 && phases(s)[handling] == 1 })
-					return errno
-				case 5:
-					waitFor(t, "the busy connection is alone", func() bool { return s.OpenConns() == 1 })
-					return errno
-				case 4, 6:
-					open = append(open, s.OpenConns())
-				}
-				return nil
-			})
-			idler := dial(t, addr)
-			_, _ = io.WriteString(idler, get)
-			if m, err := NewParser(lim, true).Read(NewRing(512), idler); err != nil || m.Status != 200 {
-				t.Fatalf("%v %v", m, err)
-			}
-			held := dial(t, addr)
-			_, _ = io.WriteString(held, "GET /hold HTTP/1.1\r\n\r\n")
-			<-began
-			if rest, err := io.ReadAll(idler); err != nil || len(rest) > 0 {
-				t.Errorf("the idle connection: %q, %v", rest, err)
-			}
-			for range 2 {
-				if n := answers(t, addr); n != 1 {
-					t.Errorf("%d answers after the error", n)
-				}
-			}
-			if made := paused.made(); len(open) != 2 || open[0] != 1 || len(made) != 1 || made[0] != descriptorWait {
-				t.Errorf("connections at the accepts after the errors: %v; pauses: %v", open, made)
-			}
-			close(hold)
-			if _, err := NewParser(lim, true).Read(NewRing(512), held); err != nil {
-				t.Errorf("the request that was being handled: %v", err)
-			}
-		})
+		t.Run(errno.Error(), func(t *testing.T) { acceptWithoutDescriptors(t, errno) })
+	}
+}
+
+func acceptWithoutDescriptors(t *testing.T, errno syscall.Errno) {
+	hold, began := make(chan bool), make(chan bool, 1)
+	open := []int{} // connections at the accept after each failure
+	_, addr, paused := serveFaulty(t, lim, func(_ context.Context, m *Message) Response {
+		if m.Target == "/hold" {
+			began <- true
+			<-hold
+		}
+		return Response{Status: 200, KnownClient: true}
+	}, func(s *Server, call int) error {
+		switch call {
+		case 1, 2: // an idle connection and a busy one
+		case 3:
+			waitFor(t, "one is idle and one busy", func() bool { n := phases(s); return n[idle] == 1 && n[handling] == 1 })
+			return errno
+		case 5:
+			waitFor(t, "the busy connection is alone", func() bool { return s.OpenConns() == 1 })
+			return errno
+		case 4, 6:
+			open = append(open, s.OpenConns())
+		}
+		return nil
+	})
+	idler := dial(t, addr)
+	_, _ = io.WriteString(idler, get)
+	if m, err := NewParser(lim, true).Read(NewRing(512), idler); err != nil || m.Status != 200 {
+		t.Fatalf("%v %v", m, err)
+	}
+	held := dial(t, addr)
+	_, _ = io.WriteString(held, "GET /hold HTTP/1.1\r\n\r\n")
+	<-began
+	if rest, err := io.ReadAll(idler); err != nil || len(rest) > 0 {
+		t.Errorf("the idle connection: %q, %v", rest, err)
+	}
+	for range 2 {
+		if n := answers(t, addr); n != 1 {
+			t.Errorf("%d answers after the error", n)
+		}
+	}
+	if made := paused.made(); len(open) != 2 || open[0] != 1 || len(made) != 1 || made[0] != descriptorWait {
+		t.Errorf("connections at the accepts after the errors: %v; pauses: %v", open, made)
+	}
+	close(hold)
+	if _, err := NewParser(lim, true).Read(NewRing(512), held); err != nil {
+		t.Errorf("the request that was being handled: %v", err)
 	}
 }
 
--- a/internal/http1/leaving_test.go
+++ b/internal/http1/clientleft_test.go
@@ -79,7 +79,7 @@
 // A client that closes only its side of the connection is taken to have gone, since that looks like a close: its
 // request is called off, or not begun. It gets a last answer all the same, which one that has closed does not
 // read.
-func TestHalfClosedClientIsCalledOffAndAnswered(t *testing.T) {
+func TestRequestOfAHalfClosedClientIsCanceledAndAnswered(t *testing.T) {
 	began := make(chan bool, 2)
 	_, addr := serve(t, lim, func(ctx context.Context, _ *Message) Response {
 		began <- true
@@ -166,10 +166,16 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := NewServer(lim, handler(func(_ context.Context, m *Message) Response { return Response{Status: 200, Body: m.Body} }), nil, quietLog)
+	echo := handler(func(_ context.Context, m *Message) Response { return Response{Status: 200, Body: m.Body} })
+	s := NewServer(lim, echo, nil, quietLog)
 	done := make(chan error)
 	go func() { done <- s.Serve(ctx, stutterListener{ln}) }()
-	defer func() { cancel(); _ = <-done }()
+	defer func() {
+		cancel()
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	}()
 	c := dial(t, ln.Addr().String())
 	_, _ = io.WriteString(c, strings.Repeat("POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", 3))
 	expect(t, c, 3)
@@ -223,16 +229,20 @@
 		}
 		return Response{Status: 200, KnownClient: true}
 	})
-	parts := []string{"G", "GET / HTTP/1.1", "GET / HTTP/1.1\r\nA: b", "GET / HTTP/1.1\r\nA: b\r\n", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\n",
-		"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", "POST / HTTP/1.1\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n",
-		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab",
-		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n"}
+	const sized = "POST / HTTP/1.1\r\nContent-Length: 3\r\n"
+	const chunked = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
+	parts := []string{
+		"G", "GET / HTTP/1.1", "GET / HTTP/1.1\r\nA: b", "GET / HTTP/1.1\r\nA: b\r\n",
+		sized + "\r\n", sized + "\r\nab", sized + "Expect: 100-continue\r\n\r\n",
+		chunked, chunked + "3\r\nab", chunked + "3\r\nabc\r\n0\r\n",
+	}
 	for _, before := range []string{"", get, "GET /long HTTP/1.1\r\n\r\n"} {
 		for _, part := range parts {
 			c := dial(t, addr)
 			_, _ = io.WriteString(c, before+part)
 			all, err := io.ReadAll(c)
-			if err != nil || strings.Count(string(all), " 408 ") != 1 || strings.Contains(string(all), " 200 ") != (before != "") {
+			errors, served := strings.Count(string(all), " 408 "), strings.Contains(string(all), " 200 ")
+			if err != nil || errors != 1 || served != (before != "") {
 				t.Errorf("%q after %q: %q %v", part, before, all, err)
 			}
 		}
--- a/internal/http1/closing_test.go
+++ b/internal/http1/closing_test.go
@@ -95,7 +95,8 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
-	w := &watched{s: NewServer(lim, h, &slowpeer.Tally{}, quietLog), addr: ln.Addr().String(), exhaust: make(chan bool, 1)}
+	s := NewServer(lim, h, &slowpeer.Tally{}, quietLog)
+	w := &watched{s: s, addr: ln.Addr().String(), exhaust: make(chan bool, 1)}
 	listener := &watchingListener{accepted: make(chan *watchedConn), watch: make(chan *watchedConn)}
 	listener.Listener = ln
 	listener.next = func(int) error {
@@ -171,10 +172,12 @@
 			w.exhaust <- true
 			dial(t, w.addr) // ends the accept that is under way
 		}},
-	{name: "idle bound", first: get, answers: 1, late: get, limit: func(l *limits.Limits) { l.StrangerIdle = 50 * time.Millisecond }},
+	{name: "idle bound", first: get, answers: 1, late: get,
+		limit: func(l *limits.Limits) { l.StrangerIdle = 50 * time.Millisecond }},
 	{name: "idle bound of a known client", first: "POST / HTTP/1.1\r\n\r\n", answers: 1, late: get,
 		limit: func(l *limits.Limits) { l.ClientIdle = 50 * time.Millisecond }},
-	{name: "bound of a new connection", late: get, limit: func(l *limits.Limits) { l.Pace.Request = 50 * time.Millisecond }},
+	{name: "bound of a new connection", late: get,
+		limit: func(l *limits.Limits) { l.Pace.Request = 50 * time.Millisecond }},
 	{name: "bound of a request, half of it read", first: get[:7], phase: reading, late: get[7:],
 		limit: func(l *limits.Limits) { l.Pace.Request = 50 * time.Millisecond }},
 	{name: "least rate of a request, half of it read", first: get[:7], phase: reading, late: get[7:],
@@ -219,7 +222,7 @@
 
 // A request that the reader has taken from the kernel, and not yet counted, is answered too where its connection
 // makes place for another: the look before the eviction sees no unread bytes there.
-func TestRequestInTheReadersHandIsAnsweredAtAnEviction(t *testing.T) {
+func TestRequestReadButNotCountedIsAnsweredAtAnEviction(t *testing.T) {
 	one := lim
 	one.ClientConns = 1
 	taken, on := make(chan bool), make(chan bool)
@@ -239,7 +242,7 @@
 
 // A slow reader is let go with what its finished answer leaves unread, and a request that comes in this moment
 // is answered, if its client reads on.
-func TestRequestOfASlowReaderIsAnsweredAsItIsLetGo(t *testing.T) {
+func TestRequestOfASlowReaderIsAnsweredAsItIsClosed(t *testing.T) {
 	slow := lim
 	slow.Pace.ClientOut, slow.Pace.Look = slowpeer.Rate{Bytes: 1 << 20, Grace: 150 * time.Millisecond}, 20*time.Millisecond
 	late := make(chan bool)
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -112,7 +112,7 @@
 }
 
 // A chunked body comes out whole, however it is cut into chunks and reads.
-func TestChunks(t *testing.T) {
+func TestChunkedBodyComesOutWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body")
 		var wire bytes.Buffer
@@ -132,8 +132,9 @@
 
 // Garbage, alone or within a valid message, ends in a message or an error, never in a panic or an endless loop,
 // and never in a body over the limit.
-func TestParserOnGarbage(t *testing.T) {
-	valid := []byte("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabcGET /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nxx\r\n0\r\n\r\n")
+func TestParserSurvivesGarbage(t *testing.T) {
+	valid := []byte("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc" +
+		"GET /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nxx\r\n0\r\n\r\n")
 	rapid.Check(t, func(t *rapid.T) {
 		data := append([]byte(nil), valid...)
 		if rapid.Bool().Draw(t, "noise") {
@@ -157,7 +158,7 @@
 }
 
 // Each of these is refused: it is malformed, too large, or could be read as two different messages.
-func TestParserRefuses(t *testing.T) {
+func TestParserRejectsMalformedMessages(t *testing.T) {
 	for _, c := range []struct {
 		text   string
 		status int
@@ -190,10 +191,13 @@
 			t.Errorf("%.60q: %v, want status %d", c.text, err, c.status)
 		}
 	}
-	if m, err := parse(false, 64, []byte("POST / HTTP/1.1\r\nContent-Length: 65536\r\n\r\n"+strings.Repeat("b", 65536)), nil); err != nil || len(m) != 1 {
+	largest := "POST / HTTP/1.1\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("b", 65536)
+	if m, err := parse(false, 64, []byte(largest), nil); err != nil || len(m) != 1 {
 		t.Errorf("a body of exactly 64 KiB: %v", err)
 	}
-	if m, err := parse(true, 64, []byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.0 200 OK\r\n\r\nrest"), nil); err != nil || len(m) != 1 || string(m[0].Body) != "rest" || !m[0].Close {
+	untilEnd := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.0 200 OK\r\n\r\nrest"
+	m, err := parse(true, 64, []byte(untilEnd), nil)
+	if err != nil || len(m) != 1 || string(m[0].Body) != "rest" || !m[0].Close {
 		t.Errorf("a body that ends with the connection: %v %v", m, err)
 	}
 }
@@ -231,7 +235,7 @@
 }
 
 // A client that goes away while its request is handled is seen at once.
-func TestServerSeesClientsLeave(t *testing.T) {
+func TestHandlerContextEndsWhenClientLeaves(t *testing.T) {
 	addr, began, left := serveUntilGone(t)
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\n\r\n")
@@ -265,7 +269,8 @@
 func TestServerKeepsConnections(t *testing.T) {
 	s, addr := serve(t, lim, func(_ context.Context, m *Message) Response { return Response{Status: 200, Body: m.Body} })
 	c := dial(t, addr)
-	_, _ = io.WriteString(c, "POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\naPOST / HTTP/1.1\r\nContent-Length: 1\r\n\r\nbBAD\r\n\r\n")
+	const post = "POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n"
+	_, _ = io.WriteString(c, post+"a"+post+"b"+"BAD\r\n\r\n")
 	all, err := io.ReadAll(c)
 	if err != nil || strings.Count(string(all), "200 OK") != 2 || !strings.Contains(string(all), "400 Bad Request") {
 		t.Errorf("%v %q", err, all)
@@ -280,7 +285,7 @@
 
 // Past the budget for connections a request is still answered, and its connection ends: a drop would lose what
 // was taken.
-func TestServerPastItsBudget(t *testing.T) {
+func TestConnectionPastBudgetGetsOneAnswer(t *testing.T) {
 	small := lim
 	small.ClientConns, small.SpareConns = 1, 4
 	hold, began := make(chan bool), make(chan bool, 2)
@@ -296,7 +301,8 @@
 	<-began
 	b := dial(t, addr)
 	_, _ = io.WriteString(b, "GET / HTTP/1.1\r\n\r\n")
-	if all, err := io.ReadAll(b); err != nil || !strings.Contains(string(all), "200 OK") || !strings.Contains(string(all), "Connection: close") {
+	all, err := io.ReadAll(b)
+	if err != nil || !strings.Contains(string(all), "200 OK") || !strings.Contains(string(all), "Connection: close") {
 		t.Errorf("the connection past the budget: %v %q", err, all)
 	}
 	close(hold)
@@ -337,7 +343,7 @@
 }
 
 // A request that does not come whole in time is answered, so that slow ones do not hold descriptors for good.
-func TestServerEndsSlowRequests(t *testing.T) {
+func TestRequestNotWholeInTimeGets408(t *testing.T) {
 	quick := lim
 	quick.Pace.Request = 30 * time.Millisecond
 	_, addr := serve(t, quick, func(context.Context, *Message) Response { return Response{Status: 200} })
@@ -350,7 +356,7 @@
 
 // Connections that say nothing, send half a head, or ask something once and stay, make place for others; those that
 // carried what the front took for its clients' stand, and so does one whose request is being handled.
-func TestCrowdMakesPlace(t *testing.T) {
+func TestIdleStrangersAreEvictedFirst(t *testing.T) {
 	small := lim
 	small.ClientConns, small.SpareConns = 8, 4
 	hold := make(chan bool)
@@ -404,11 +410,12 @@
 
 // A new connection has its first request whole, or none at all, within a time from its start, however it drips; and
 // one that asked something and stays is closed sooner than that of a client.
-func TestStrangersAreNotWaitedFor(t *testing.T) {
+func TestWaitForStrangersIsBounded(t *testing.T) {
 	quick := lim
 	quick.Pace.Request, quick.StrangerIdle, quick.ClientIdle = 100*time.Millisecond, 100*time.Millisecond, time.Hour
 	_, addr := serve(t, quick, func(context.Context, *Message) Response { return Response{Status: 200} })
-	for name, text := range map[string]string{"says nothing": "", "drips": "GET / HTTP/1.1\r\nA: ", "stays": "GET / HTTP/1.1\r\n\r\n"} {
+	sent := map[string]string{"says nothing": "", "drips": "GET / HTTP/1.1\r\nA: ", "stays": "GET / HTTP/1.1\r\n\r\n"}
+	for name, text := range sent {
 		c := dial(t, addr)
 		_, _ = io.WriteString(c, text)
 		var g errgroup.Group
@@ -432,7 +439,7 @@
 }
 
 // Bodies that are held at a time have a bound together, and give their room back.
-func TestBodiesTogether(t *testing.T) {
+func TestBodiesShareABudget(t *testing.T) {
 	small := lim
 	small.Bodies = 100
 	s, addr := serve(t, small, func(_ context.Context, m *Message) Response { return Response{Status: 200, Body: m.Body} })
@@ -443,7 +450,8 @@
 			t.Fatal("no room was taken")
 		}
 	}
-	for _, text := range []string{"Content-Length: 60\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n14\r\n" + strings.Repeat("b", 20) + "\r\n28\r\n"} {
+	chunked := "Transfer-Encoding: chunked\r\n\r\n14\r\n" + strings.Repeat("b", 20) + "\r\n28\r\n"
+	for _, text := range []string{"Content-Length: 60\r\n\r\n", chunked} {
 		c := dial(t, addr)
 		_, _ = io.WriteString(c, "POST / HTTP/1.1\r\n"+text)
 		if all, err := io.ReadAll(c); err != nil || !strings.Contains(string(all), "503") {
--- a/internal/http1/minrate.go
+++ b/internal/http1/minrate.go
@@ -12,13 +12,14 @@
 	"gatetack/internal/tcpinfo"
 )
 
-// MinRateConn is a connection whose directions are held to a minimum rate while something is expected on them: what comes
-// in, from ExpectBytes to ExpectNone, and what goes out, from a write until the peer's machine has acknowledged all of it.
-// A write that returned says only that the kernel has the bytes, so the kernel is asked how many were acknowledged, and
-// that is the progress that counts.
+// MinRateConn is a connection whose directions are held to a minimum rate while something is expected on them:
+// what comes in, from ExpectBytes to ExpectNone, and what goes out, from a write until the peer's machine has
+// acknowledged all of it. A write that returned says only that the kernel has the bytes, so the kernel is asked
+// how many were acknowledged, and that is the progress that counts.
 //
-// It needs no ticker: each read and write ends when the peer would be too slow if nothing more moved, or at the bound
-// that the caller sets, whichever is sooner. One goroutine may read and one write at a time; the rest is safe for any.
+// It needs no ticker: each read and write ends when the peer would be too slow if nothing more moved, or at the
+// bound that the caller sets, whichever is sooner. One goroutine may read and one write at a time; the rest is
+// safe for any.
 type MinRateConn struct {
 	net.Conn
 
@@ -97,8 +98,8 @@
 	}
 }
 
-// Abort ends reads and writes for good, those under way too. It leaves the connection open: what has come on it can still
-// be read from the kernel.
+// Abort ends reads and writes for good, those under way too. It leaves the connection open: what has come on it
+// can still be read from the kernel.
 func (c *MinRateConn) Abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,8 +132,8 @@
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &slow) || errors.Is(err, syscall.EAGAIN)
 }
 
-// judgeTimeout is the error that a call returns which ended at its deadline: that the peer is too slow, the timeout if the
-// bound has passed, or nil if neither is so, since both may have moved while the call waited.
+// judgeTimeout is the error that a call returns which ended at its deadline: that the peer is too slow, the
+// timeout if the bound has passed, or nil if neither is so, since both may have moved while the call waited.
 func judgeTimeout(bound time.Time, m *slowpeer.Meter, slow slowpeer.Slow, now time.Time, timeout error) error {
 	if m.Judge(now) == slowpeer.LetGo {
 		slow.Bytes, slow.Rate = m.Figures(now)
@@ -265,8 +266,8 @@
 	return judgeTimeout(c.send.bound, &c.send.meter, slow, now, err)
 }
 
-// observeAcknowledged counts what the peer's machine has acknowledged as progress, and returns how many bytes it has not.
-// c.mu is held.
+// observeAcknowledged counts what the peer's machine has acknowledged as progress, and returns how many bytes it
+// has not. c.mu is held.
 func (c *MinRateConn) observeAcknowledged(now time.Time) int {
 	unacknowledged := tcpinfo.Queued(c.Conn)
 	if total := c.send.written - int64(unacknowledged); total > c.send.acknowledged {
@@ -276,8 +277,8 @@
 	return unacknowledged
 }
 
-// Unacknowledged is how many of the written bytes the peer's machine has not acknowledged, and what the peer is too slow
-// in if it is. With none left the meter stops.
+// Unacknowledged is how many of the written bytes the peer's machine has not acknowledged, and what the peer is
+// too slow in if it is. With none left the meter stops.
 func (c *MinRateConn) Unacknowledged() (int, *slowpeer.Slow) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/http1/minrate_test.go
+++ b/internal/http1/minrate_test.go
@@ -35,7 +35,7 @@
 
 // What was written and acknowledged is no debt, whether somebody looked then or not: the next answer on a connection
 // that stood idle for longer than the grace was cut off, and with it a request was lost.
-func TestIdleTimeIsNoDebt(t *testing.T) {
+func TestIdleTimeDoesNotCountAgainstThePeer(t *testing.T) {
 	c, theirs := pair(t, slowpeer.Rate{}, slowpeer.Rate{Bytes: 1 << 30, Grace: 20 * time.Millisecond})
 	for range 3 {
 		if _, err := c.Write([]byte("answer")); err != nil {
@@ -65,7 +65,7 @@
 
 // A drip starts no time anew: reading ends with what moved and how fast, and a bound set meanwhile holds for the read
 // that is under way.
-func TestDripIsLetGo(t *testing.T) {
+func TestSlowSenderEndsTheRead(t *testing.T) {
 	c, theirs := pair(t, slowpeer.Rate{Bytes: 1 << 20, Grace: 100 * time.Millisecond}, slowpeer.Rate{})
 	stop := make(chan bool)
 	defer close(stop)
@@ -106,7 +106,7 @@
 }
 
 // A write to a peer that does not read ends once its machine takes nothing more; what it took counts as progress.
-func TestStalledWriteIsLetGo(t *testing.T) {
+func TestStalledReceiverEndsTheWrite(t *testing.T) {
 	c, theirs := pair(t, slowpeer.Rate{}, slowpeer.Rate{Bytes: 4096, Grace: 50 * time.Millisecond})
 	_ = theirs.(*net.TCPConn).SetReadBuffer(4096)
 	_ = c.Conn.(*net.TCPConn).SetWriteBuffer(4096)
@@ -140,7 +140,7 @@
 
 // A client that stops reading for good holds no request's place while its answer waits, is let go below the least rate
 // and counted; others are served meanwhile, and an answer that is whole in the kernel still comes to one that reads on.
-func TestReadersThatStop(t *testing.T) {
+func TestClientsThatStopReadingAreDisconnected(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.Pace.ClientOut = slowpeer.Rate{Bytes: 1 << 20, Grace: 150 * time.Millisecond}
 	lim.Pace.Look = 20 * time.Millisecond
@@ -170,7 +170,9 @@
 
 	size = 20 << 10 // goes whole into the kernel, which holds it for a client that has let it wait
 	slow := readsSlowly(t, addr)
-	until(t, "its connection is let go", func() bool { return s.tally.Count(slowpeer.ClientReads) == 6 && s.OpenConns() == 1 })
+	until(t, "its connection is let go", func() bool {
+		return s.tally.Count(slowpeer.ClientReads) == 6 && s.OpenConns() == 1
+	})
 	rest, err := io.ReadAll(slow)
 	if err != nil || !strings.HasSuffix(string(rest), strings.Repeat("\x00", size)) {
 		t.Errorf("of a finished answer %d bytes came, %v", len(rest), err)
@@ -181,7 +183,7 @@
 }
 
 // A head and a body that drip end with an error in time, and are counted.
-func TestSendersThatDrip(t *testing.T) {
+func TestRequestsBelowTheMinimumRateGet408(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.Pace.ClientIn = slowpeer.Rate{Bytes: 1 << 20, Grace: 100 * time.Millisecond}
 	lim.Pace.Request = time.Hour
@@ -189,7 +191,9 @@
 		t.Error("a request that never came whole was handled")
 		return Response{Status: 200}
 	})
-	for i, text := range []string{"GET / HTTP/1.1\r\nA: " + strings.Repeat("a", 4000), "POST / HTTP/1.1\r\nContent-Length: 9999\r\n\r\n" + strings.Repeat("b", 4000)} {
+	head := "GET / HTTP/1.1\r\nA: " + strings.Repeat("a", 4000)
+	body := "POST / HTTP/1.1\r\nContent-Length: 9999\r\n\r\n" + strings.Repeat("b", 4000)
+	for i, text := range []string{head, body} {
 		c := dial(t, addr)
 		go func() {
 			for _, b := range []byte(text) {
@@ -210,7 +214,7 @@
 }
 
 // One address that opens connections by the hundred gets its share, and another is still served.
-func TestSharesByAddress(t *testing.T) {
+func TestConnectionsAreSharedByAddress(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.Pace.PerPeer, lim.ClientConns, lim.SpareConns = true, 24, 100
 	s, addr := serve(t, lim, func(context.Context, *Message) Response { return Response{Status: 200} })
@@ -250,7 +254,8 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	lim := limits.New(4096, 1024, 0, 0, 0)
-	s := NewServer(lim, handler(func(context.Context, *Message) Response { return Response{Status: 200, KnownClient: true} }), nil, quietLog)
+	known := handler(func(context.Context, *Message) Response { return Response{Status: 200, KnownClient: true} })
+	s := NewServer(lim, known, nil, quietLog)
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(ctx, ln) }()
 	before := heap()
--- a/internal/http1/moments_test.go
+++ b/internal/http1/ordering_test.go
@@ -40,7 +40,7 @@
 
 // A request that stood behind another, which was being handled, knows when its own last byte came, and one whose
 // rest comes later knows that: what is left to its client is counted from then.
-func TestRequestsKnowWhenTheyCame(t *testing.T) {
+func TestRequestCarriesTheTimeOfItsLastByte(t *testing.T) {
 	began, on := make(chan time.Time, 3), make(chan bool)
 	s, addr := serve(t, lim, func(_ context.Context, m *Message) Response {
 		began <- m.ReceivedAt
@@ -68,7 +68,7 @@
 }
 
 // Arrivals, byte by byte and in heaps: each is that of the last byte taken, and nothing is kept of what is gone.
-func TestArrivals(t *testing.T) {
+func TestArrivalsReturnTheTimeOfTheLastConsumedByte(t *testing.T) {
 	var a arrivals
 	at := func(ms int) time.Time { return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond) }
 	for i, n := range []int{10, 1, 1, 100} {
@@ -115,7 +115,7 @@
 
 // Where all connections are in use, one on which bytes have come that nobody has read yet makes no place, though
 // it seems idle and is the oldest: another that is idle does. Where none is, nothing is closed.
-func TestUnreadConnectionMakesNoPlace(t *testing.T) {
+func TestConnectionWithUnreadBytesIsNotEvicted(t *testing.T) {
 	admit := admitter(t, 2)
 	admitWith := func(bytes string) *conn {
 		t.Helper()
@@ -139,7 +139,7 @@
 }
 
 // A connection whose request its reader has taken, and which is not parsed yet, makes no place for another.
-func TestUnparsedConnectionMakesNoPlace(t *testing.T) {
+func TestConnectionWithUnparsedBytesIsNotEvicted(t *testing.T) {
 	admit := admitter(t, 1)
 	client, oldest := admit()
 	go oldest.readLoop(func() {})
@@ -159,7 +159,7 @@
 
 // A server that ends takes what waits in its listener's queue and answers it, and only then closes the listener:
 // here the queue is not empty when the end begins, since there is room for one connection at a time.
-func TestFinishAnswersWhatWaits(t *testing.T) {
+func TestFinishAnswersTheAcceptQueue(t *testing.T) {
 	one := lim
 	one.ClientConns, one.SpareConns, one.DoorConns = 1, 0, 0
 	began, on := make(chan bool, 2), make(chan bool)
@@ -200,7 +200,7 @@
 
 // Small writes are not held back by the system on any connection that is taken, by a listener of our own and by
 // one that was passed: a close over unread bytes would take them with it.
-func TestSmallWritesAreNotHeldBack(t *testing.T) {
+func TestAcceptedConnectionsSetNoDelay(t *testing.T) {
 	own, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -106,7 +106,8 @@
 	return &p.message
 }
 
-// Feed consumes bytes from the ring until a message is whole, which it returns, or the ring is empty. Then it returns nil.
+// Feed consumes bytes from the ring until a message is whole, which it returns, or the ring is empty. Then it
+// returns nil.
 func (p *Parser) Feed(r *Ring) (*Message, error) {
 	for p.err == nil && r.Len() > 0 {
 		n := p.consume(r.Next())
--- a/internal/http1/races_test.go
+++ b/internal/http1/pipelining_test.go
@@ -19,7 +19,7 @@
 
 // A client's end is seen while its request is handled though bytes stand before it: half a request, some
 // requests, more than the ring holds, more than the kernel hands over at a time.
-func TestServerSeesClientsLeaveBehindBytes(t *testing.T) {
+func TestHandlerContextEndsWhenClientLeavesBehindBytes(t *testing.T) {
 	for _, behind := range []int{1, 200, lim.Ring, lim.Ring + 1, 300 << 10} {
 		t.Run(fmt.Sprint(behind, " bytes"), func(t *testing.T) {
 			addr, began, left := serveUntilGone(t)
@@ -40,7 +40,7 @@
 
 // What came behind a request that is still handled is answered in its turn, without a wait for more: whole
 // requests, and one whose rest comes later.
-func TestServerAnswersWhatCameBehind(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	began, on := make(chan bool, 100), make(chan bool)
 	s, addr := serve(t, lim, func(context.Context, *Message) Response {
 		began <- true
@@ -118,9 +118,12 @@
 
 // A request that comes after its connection's last answer is not handled: its client sends it elsewhere, and it
 // would run twice.
-func TestNothingIsTakenAfterTheLastAnswer(t *testing.T) {
+func TestRequestsAfterTheLastAnswerAreNotHandled(t *testing.T) {
 	began := make(chan bool, 10)
-	_, addr := serve(t, lim, func(context.Context, *Message) Response { began <- true; return Response{Status: 200, Close: true} })
+	_, addr := serve(t, lim, func(context.Context, *Message) Response {
+		began <- true
+		return Response{Status: 200, Close: true}
+	})
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, get+get)
 	if all, err := io.ReadAll(c); err != nil || strings.Count(string(all), "200 OK") != 1 {
@@ -133,7 +136,7 @@
 
 // A resting connection on which bytes have come is not closed as idle, though nobody has read them yet: here
 // nobody reads.
-func TestCloseIdleSparesWhatHasCome(t *testing.T) {
+func TestCloseIdleKeepsConnectionsWithUnreadBytes(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -163,18 +166,20 @@
 // Where every connection has a request under way, and those past the budget too, a new one is refused as soon as
 // its request has come, and is not left waiting until another ends; one that says nothing does not hold the
 // door, and with idle ones in the way nothing is refused.
-func TestRefusedAtTheDoor(t *testing.T) {
+func TestConnectionPastTheReserveIsRejectedAtOnce(t *testing.T) {
 	small := lim
 	small.ClientConns, small.SpareConns, small.DoorConns, small.Linger = 1, 1, 1, 50*time.Millisecond
 	hold, began := make(chan bool), make(chan bool, 4)
 	defer close(hold)
-	_, addr := serve(t, small, func(context.Context, *Message) Response {
+	s, addr := serve(t, small, func(context.Context, *Message) Response {
 		began <- true
 		<-hold
 		return Response{Status: 200}
 	})
 	resting := dial(t, addr) // makes place
 	_, _ = io.WriteString(resting, "G")
+	// While the byte is unread, the connection would not make place, and the second of the others would be rejected.
+	waitFor(t, "the byte is read", func() bool { return phases(s)[reading] == 1 })
 	for range 2 {
 		c := dial(t, addr)
 		_, _ = io.WriteString(c, get)
@@ -184,7 +189,8 @@
 	for range 3 {
 		c := dial(t, addr)
 		_, _ = io.WriteString(c, get)
-		if all, err := io.ReadAll(c); err != nil || !strings.Contains(string(all), " 503 ") || !strings.Contains(string(all), "Connection: close") {
+		all, err := io.ReadAll(c)
+		if err != nil || !strings.Contains(string(all), " 503 ") || !strings.Contains(string(all), "Connection: close") {
 			t.Fatalf("%v %q", err, all)
 		}
 	}
--- a/internal/http1/registry.go
+++ b/internal/http1/registry.go
@@ -134,14 +134,14 @@
 	return slow
 }
 
-// Conns is how many connections are open.
+// OpenConns is how many connections are open.
 func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// LastUse is when a connection was last accepted, or a request last began or ended.
+// LastActive is when a connection was last accepted, or a request last began or ended.
 func (s *Server) LastActive() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -86,7 +86,7 @@
 	}
 	g.Go(func() error {
 		<-ctx.Done()
-		return ln.Close() // net.ErrClosed where StopTaking closed it first
+		return ln.Close() // net.ErrClosed where StopAccepting closed it first
 	})
 	g.Go(func() error { s.monitorUnreadAnswers(ctx); return nil })
 	g.Go(func() error {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// Busy is how many requests are being handled.
+// OpenRequests is how many requests are being handled.
 func (s *Server) OpenRequests() int { return int(s.handling.Load()) }
 
 // reserveBody takes n bytes for a body from those that all may hold together, or gives them back if n is
--- a/internal/http1/shutdown.go
+++ b/internal/http1/shutdown.go
@@ -20,7 +20,7 @@
 // Resume undoes Drain.
 func (s *Server) Resume() { s.draining.Store(false) }
 
-// StopTaking closes the listener; connections that were accepted are served on. Where the listening socket is
+// StopAccepting closes the listener; connections that were accepted are served on. Where the listening socket is
 // shared with a process that replaces this one, that process accepts what comes from now on.
 func (s *Server) StopAccepting() {
 	if s.stopped.Swap(true) {
