--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -127,7 +127,7 @@
 	}()
 	leave()
 	<-c.told // and its event waits from here on
-	if why := c.jobs[0].Still(); why != precheck.Left {
+	if why := c.jobs[0].Still(); why != precheck.ClientLeft {
 		t.Errorf("the check says that %v", why)
 	}
 	c.told <- true
