--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -133,10 +133,10 @@
 	}
 	defer func() { _ = conn.Close() }()
 	_, _ = conn.Read(make([]byte, 1000)) // from here on it waits
-	for range cap(c.calls) {
+	for range cap(c.requests) {
 		c.Watch(true)
 	}
-	testenv.Until(t, "all are looked at", func() bool { return len(c.calls) == 0 })
+	testenv.Until(t, "all are looked at", func() bool { return len(c.requests) == 0 })
 	line := `{"index":3,"snapshot":false,"endpoints":[]}`
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(line)+1, line)
 	testenv.Until(t, "the list by the first call", func() bool { return len(s.All()) == 1 && s.All()[0].Index == 3 })
@@ -364,7 +364,7 @@
 		for _, l := range lines {
 			all = append(append(all, l...), '\n')
 		}
-		s := splitter{max: 12, line: func(b []byte) error { got = append(append(got, b...), '\n'); return nil }}
+		s := lineSplitter{maxBytes: 12, takeLine: func(b []byte) error { got = append(append(got, b...), '\n'); return nil }}
 		for rest := all; len(rest) > 0; {
 			n := rapid.IntRange(1, len(rest)).Draw(t, "cut")
 			if err := s.feed(rest[:n]); err != nil {
@@ -402,7 +402,7 @@
 			all.Write(text)
 			all.WriteString(rapid.SampledFrom([]string{"\n", "\r\n", "\n\n"}).Draw(t, "break"))
 		}
-		s := splitter{max: 4096, line: func(b []byte) error {
+		s := lineSplitter{maxBytes: 4096, takeLine: func(b []byte) error {
 			var c bytes.Buffer
 			if b = bytes.TrimSpace(b); len(b) == 0 {
 				return nil
@@ -431,7 +431,7 @@
 func TestBrokenObjectSwallowsNothing(t *testing.T) {
 	const list = `{"index":3,"snapshot":false,"endpoints":[{"name":"s-1","status":"draining"}]}` + "\n"
 	for _, next := range []string{"\n", list} {
-		s := splitter{max: 4096, line: func([]byte) error { return nil }}
+		s := lineSplitter{maxBytes: 4096, takeLine: func([]byte) error { return nil }}
 		if err := s.feed([]byte(`{"index":2,"endpoints":[` + "\n")); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/discovery/splitter.go
+++ b/internal/discovery/splitter.go
@@ -12,43 +12,43 @@
 
 // splitter cuts a body into lines of a bounded length. An object that is indented goes over many: it is one line here. One that is
 // broken must not swallow what comes after it, so an empty line, or a whole list on a line of its own, ends it as it is.
-type splitter struct {
-	max  int
-	buf  []byte
-	line func([]byte) error
+type lineSplitter struct {
+	maxBytes int
+	buf      []byte
+	takeLine func([]byte) error
 
-	from  int  // where its last line begins in an object that goes on
-	depth int  // of brackets that are open
-	text  bool // within a string
-	skip  bool // after a backslash in one
+	lineStart int  // where its last line begins in an object that goes on
+	depth     int  // of brackets that are open
+	inString  bool // within a string
+	escaped   bool // after a backslash in one
 
 	unbroken bool // the last line was taken before its line break came
 }
 
-func (s *splitter) feed(b []byte) error {
+func (s *lineSplitter) feed(b []byte) error {
 	for {
 		i := bytes.IndexByte(b, '\n')
 		broken := i >= 0
 		if !broken {
 			i = len(b)
 		}
-		if len(s.buf)+i > s.max {
-			return fmt.Errorf("a line is longer than %d bytes", s.max)
+		if len(s.buf)+i > s.maxBytes {
+			return fmt.Errorf("a line is longer than %d bytes", s.maxBytes)
 		}
 		s.add(b[:i])
 		b = b[min(i+1, len(b)):]
 		var err error
 		switch {
-		case broken && s.open() && !s.text:
-			if len(bytes.TrimSpace(s.buf[s.from:])) == 0 || s.from > 0 && isList(s.buf[s.from:]) {
+		case broken && s.objectOpen() && !s.inString:
+			if len(bytes.TrimSpace(s.buf[s.lineStart:])) == 0 || s.lineStart > 0 && isList(s.buf[s.lineStart:]) {
 				return errors.New("an object that is not whole when the next line comes")
 			}
 			s.buf = append(s.buf, '\n')
-			s.from = len(s.buf)
+			s.lineStart = len(s.buf)
 		case broken && s.unbroken && len(bytes.TrimSpace(s.buf)) == 0: // the break of a line that was taken already
 			s.buf, s.unbroken = s.buf[:0], false
-		case broken || s.whole():
-			err = s.cut()
+		case broken || s.objectWhole():
+			err = s.endLine()
 			s.unbroken = !broken
 		}
 		if err != nil || len(b) == 0 {
@@ -58,16 +58,16 @@
 }
 
 // add takes in a part of a line.
-func (s *splitter) add(b []byte) {
+func (s *lineSplitter) add(b []byte) {
 	s.buf = append(s.buf, b...)
 	for _, c := range b {
 		switch {
-		case s.skip:
-			s.skip = false
-		case s.text:
-			s.skip, s.text = c == '\\', c != '"'
+		case s.escaped:
+			s.escaped = false
+		case s.inString:
+			s.escaped, s.inString = c == '\\', c != '"'
 		case c == '"':
-			s.text = true
+			s.inString = true
 		case c == '{' || c == '[':
 			s.depth++
 		case c == '}' || c == ']':
@@ -77,17 +77,17 @@
 }
 
 // open says that an object has begun and has not ended.
-func (s *splitter) open() bool {
+func (s *lineSplitter) objectOpen() bool {
 	t := bytes.TrimLeft(s.buf, " \t\r\n")
 	return len(t) > 0 && t[0] == '{' && s.depth > 0
 }
 
 // begun says that a part of a line has come.
-func (s *splitter) begun() bool { return len(s.buf) > 0 }
+func (s *lineSplitter) started() bool { return len(s.buf) > 0 }
 
 // whole says that an object stands in the buffer to its end, though its line break has not come: what it tells counts
 // as told, whether the break still comes or not.
-func (s *splitter) whole() bool {
+func (s *lineSplitter) objectWhole() bool {
 	t := bytes.TrimSpace(s.buf)
 	return s.depth == 0 && len(t) > 1 && t[0] == '{' && t[len(t)-1] == '}' && gjson.ValidBytes(t)
 }
@@ -101,16 +101,16 @@
 }
 
 // cut takes what the buffer holds as a line.
-func (s *splitter) cut() error {
-	err := s.line(s.buf)
-	s.buf, s.from, s.depth, s.text, s.skip = s.buf[:0], 0, 0, false, false
+func (s *lineSplitter) endLine() error {
+	err := s.takeLine(s.buf)
+	s.buf, s.lineStart, s.depth, s.inString, s.escaped = s.buf[:0], 0, 0, false, false
 	return err
 }
 
 // end takes what follows the last line break.
-func (s *splitter) end() error {
-	if !s.begun() {
+func (s *lineSplitter) finish() error {
+	if !s.started() {
 		return nil
 	}
-	return s.cut()
+	return s.endLine()
 }
