--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -27,7 +27,7 @@
 	// call.
 	fresh := max(Span(s.AskWithin), lim.Staleness.MaxStaleness)
 	usable := time.Duration(lim.Staleness.FailedPollFactor) * fresh
-	bounds := map[recovery.Kind]recovery.AgeBounds{recovery.List: {Fresh: fresh, Usable: usable}}
+	bounds := map[recovery.Kind]recovery.AgeBounds{recovery.EndpointList: {Fresh: fresh, Usable: usable}}
 	return endpointTable{byID: map[uint32]Entry{}, knowledge: recovery.NewKnowledge(bounds)}
 }
 
@@ -74,11 +74,11 @@
 	switch l.Form {
 	case dispatch.ListFailed:
 	case dispatch.ListCached:
-		c.endpoints.knowledge.Confirm(recovery.List, recovery.Restored, l.Index, age)
+		c.endpoints.knowledge.Confirm(recovery.EndpointList, recovery.Restored, l.Index, age)
 	default:
 		c.status.endpointsConfirmed.Store(true)
 		c.startup.watch.Confirmed()
-		c.endpoints.knowledge.Confirm(recovery.List, recovery.Current, l.Index, age)
+		c.endpoints.knowledge.Confirm(recovery.EndpointList, recovery.Current, l.Index, age)
 	}
 }
 
--- a/internal/recovery/fleet_test.go
+++ b/internal/recovery/fleet_test.go
@@ -9,128 +9,183 @@
 	"testing"
 )
 
-var simNodes = flag.Int("nodes", 0, "a further number of nodes for TestFleetComesBack, with -v its figures")
+var extraNodes = flag.Int("nodes", 0, "a further size for the test of a fleet's restart, with -v its figures")
 
-// A fleet on virtual time: nodes that were killed come back over some seconds, each with one call to a shared thing that works
-// calls off in their turn and refuses what waited too long. A node serves in full once its call was served.
+// restartPolicy is how the nodes of a restarted fleet spread their calls to a shared resource.
+type restartPolicy int
 
-type policy int
+const (
+	immediate  restartPolicy = iota // and again a second after each failure
+	fullJitter                      // over the same round, its span doubling with each failure
+	timeSlots
+	policyCount
+)
 
+// Parameters of the simulated restart.
 const (
-	atOnce policy = iota // and again a second after each failure
-	jitter               // full jitter over the same round, its span doubling
-	turns
+	restartedShare  = 0.92 // of the nodes
+	plannedLoad     = 0.8  // of the capacity, which the round's length is made for
+	callTimeoutMs   = 2000 // that a call waits at the resource
+	maxCallsPerNode = 200  // after which a run is given up
+	runs            = 5    // from different seeds
 )
 
-type callAt struct {
-	at   float64
+// scheduledCall is a call to the shared resource.
+type scheduledCall struct {
+	at   float64 // ms
 	node int
 }
-type calls []callAt
 
-func (c calls) Len() int { return len(c) }
-func (c calls) Less(i, k int) bool {
-	return c[i].at < c[k].at || c[i].at == c[k].at && c[i].node < c[k].node
+// callQueue is a heap of calls, the earliest first.
+type callQueue []scheduledCall
+
+func (q callQueue) Len() int { return len(q) }
+func (q callQueue) Less(i, k int) bool {
+	return q[i].at < q[k].at || q[i].at == q[k].at && q[i].node < q[k].node
 }
-func (c calls) Swap(i, k int) { c[i], c[k] = c[k], c[i] }
-func (c *calls) Push(x any)   { *c = append(*c, x.(callAt)) }
-func (c *calls) Pop() any {
-	old := *c
-	x := old[len(old)-1]
-	*c = old[:len(old)-1]
-	return x
+func (q callQueue) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
+func (q *callQueue) Push(x any)   { *q = append(*q, x.(scheduledCall)) }
+func (q *callQueue) Pop() any {
+	old := *q
+	last := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return last
+}
+
+// recoveryResult is how a restart went.
+type recoveryResult struct {
+	fullServiceMs float64 // until 95% of the nodes were served
+	peakRate      float64 // calls in the busiest second, over the planned rate
+	calls         int
 }
 
-type outcome struct {
-	full  float64 // ms until 95% of the nodes serve in full
-	peak  float64 // calls in the busiest second, over those of the round's rate
-	total int     // calls made
+// restart is a fleet that comes back within a span, on virtual time. Each node makes calls to one resource, which
+// serves them one after the other and rejects what waited too long, until one was served.
+type restart struct {
+	policy        restartPolicy
+	nodes         int
+	withinMs      float64
+	capacity      float64 // of the resource, in calls a second
+	downMs        float64 // for which it rejects everything at first
+	rng           *rand.Rand
+	roundMs       float64
+	backoffs      []SlotBackoff
+	failures      []int
+	queue         callQueue
+	busyUntilMs   float64
+	callsInSecond map[int]int
+	servedAt      []float64
+	calls         int
+	restarted     int // nodes
 }
 
-// play has n nodes come back within a span, 92% of them, with a shared thing of a capacity in calls a second of which a tenth
-// may be down at first.
-func play(p policy, n int, within, capacity, down float64, seed uint64) outcome {
-	rng := rand.New(rand.NewPCG(seed, uint64(n)))
-	round := 1000 * float64(n) / (0.8 * capacity) // what the fleet is known to need, at 0.8 of what is borne
-	back := int(0.92 * float64(n))
-	var q calls
-	shares := make([]SlotBackoff, back)
-	fails := make([]int, back)
-	for i := range back {
-		at := rng.Float64() * within
-		shares[i] = SlotBackoff{TimeSlots: TimeSlots{Me: i, Nodes: n, Salt: 5}, Round: round, MaxSkipped: 8}
-		switch p {
-		case jitter:
-			at += rng.Float64() * round
-		case turns:
-			at += shares[i].First(at)
+// schedule schedules the first call of each node.
+func (r *restart) schedule() {
+	r.roundMs = 1000 * float64(r.nodes) / (plannedLoad * r.capacity)
+	r.restarted = int(restartedShare * float64(r.nodes))
+	r.backoffs, r.failures = make([]SlotBackoff, r.restarted), make([]int, r.restarted)
+	r.callsInSecond = map[int]int{}
+	for node := range r.restarted {
+		at := r.rng.Float64() * r.withinMs
+		slots := TimeSlots{Node: node, Nodes: r.nodes, Salt: 5}
+		r.backoffs[node] = SlotBackoff{TimeSlots: slots, Round: r.roundMs, MaxSkipped: 8}
+		switch r.policy {
+		case fullJitter:
+			at += r.rng.Float64() * r.roundMs
+		case timeSlots:
+			at += r.backoffs[node].First(at)
 		}
-		heap.Push(&q, callAt{at, i})
+		heap.Push(&r.queue, scheduledCall{at, node})
 	}
-	busyUntil, seconds, served, o := 0.0, map[int]int{}, []float64{}, outcome{}
-	for q.Len() > 0 && o.total < 200*n {
-		c := heap.Pop(&q).(callAt)
-		o.total++
-		seconds[int(c.at/1000)]++
-		wait := max(0, busyUntil-c.at)
-		if c.at >= down && wait <= 2000 {
-			busyUntil = max(busyUntil, c.at) + 1000/capacity
-			served = append(served, busyUntil)
-			continue
-		}
-		failed := c.at + min(wait, 2000)
-		fails[c.node]++
-		switch p {
-		case atOnce:
-			failed += 1000
-		case jitter:
-			failed += rng.Float64() * round * math.Pow(2, float64(min(fails[c.node], 3)))
-		case turns:
-			failed += shares[c.node].Retry(failed)
-		}
-		heap.Push(&q, callAt{failed, c.node})
+}
+
+// serve lets the resource serve or reject a call.
+func (r *restart) serve(call scheduledCall) {
+	r.calls++
+	r.callsInSecond[int(call.at/1000)]++
+	wait := max(0, r.busyUntilMs-call.at)
+	if call.at >= r.downMs && wait <= callTimeoutMs {
+		r.busyUntilMs = max(r.busyUntilMs, call.at) + 1000/r.capacity
+		r.servedAt = append(r.servedAt, r.busyUntilMs)
+		return
 	}
-	slices.Sort(served)
-	if len(served) < back {
-		o.full = math.Inf(1)
-	} else {
-		o.full = served[int(0.95*float64(back-1))]
+	r.retry(call.node, call.at+min(wait, callTimeoutMs))
+}
+
+// retry schedules the next call of a node after one that failed at a time.
+func (r *restart) retry(node int, failedAt float64) {
+	r.failures[node]++
+	at := failedAt
+	switch r.policy {
+	case immediate:
+		at += 1000
+	case fullJitter:
+		at += r.rng.Float64() * r.roundMs * math.Pow(2, float64(min(r.failures[node], 3)))
+	case timeSlots:
+		at += r.backoffs[node].Retry(failedAt)
+	}
+	heap.Push(&r.queue, scheduledCall{at, node})
+}
+
+// result plays the restart to its end.
+func (r *restart) result() recoveryResult {
+	r.schedule()
+	for r.queue.Len() > 0 && r.calls < maxCallsPerNode*r.nodes {
+		r.serve(heap.Pop(&r.queue).(scheduledCall))
 	}
-	for _, k := range seconds {
-		o.peak = max(o.peak, float64(k)/(0.8*capacity))
+	out := recoveryResult{fullServiceMs: math.Inf(1), calls: r.calls}
+	slices.Sort(r.servedAt)
+	if len(r.servedAt) >= r.restarted {
+		out.fullServiceMs = r.servedAt[int(0.95*float64(r.restarted-1))]
+	}
+	for _, calls := range r.callsInSecond {
+		out.peakRate = max(out.peakRate, float64(calls)/(plannedLoad*r.capacity))
+	}
+	return out
+}
+
+// meanOfRuns plays a restart from several seeds: the mean time and calls, and the highest peak.
+func meanOfRuns(policy restartPolicy, nodes int, withinMs, downMs float64) (mean recoveryResult) {
+	for seed := range uint64(runs) {
+		r := restart{policy: policy, nodes: nodes, withinMs: withinMs, downMs: downMs,
+			capacity: 35 * float64(nodes) / 300, // as a list that 300 nodes share
+			rng:      rand.New(rand.NewPCG(seed, uint64(nodes)))}
+		one := r.result()
+		mean.fullServiceMs += one.fullServiceMs / runs
+		mean.peakRate = max(mean.peakRate, one.peakRate)
+		mean.calls += one.calls
 	}
-	return o
+	mean.calls /= runs
+	return mean
 }
 
-// Where 92% of a fleet come back, all at one moment or within 28 s, with the shared thing up or down at first, the peak of what it
-// is asked stays at 1.5 times its steady rate, less than full jitter and far less than all at once; and the time to full service
-// is no longer than with full jitter.
-func TestFleetComesBack(t *testing.T) {
+// Where 92% of a fleet come back, at one moment or within 28 s, with the shared resource up or down at first, the
+// peak of what it is asked stays at 1.5 times its planned rate, less than with full jitter and far less than without
+// any spreading, and the time to full service is no longer than with full jitter.
+func TestTimeSlotsSpreadARestartedFleet(t *testing.T) {
 	sizes := []int{100, 300, 1000}
-	if *simNodes > 0 {
-		sizes = append(sizes, *simNodes)
+	if *extraNodes > 0 {
+		sizes = append(sizes, *extraNodes)
 	}
-	for _, n := range sizes {
-		for _, x := range []struct {
-			what         string
-			within, down float64
-		}{{"all at one moment", 50, 0}, {"within 28 s", 28000, 0}, {"all at one moment, the shared thing down for 8 s", 50, 8000}} {
-			capacity := 35.0 * float64(n) / 300 // as a list that 300 nodes share
-			var all [3]outcome
-			for p := atOnce; p <= turns; p++ {
-				for seed := range uint64(5) {
-					o := play(p, n, x.within, capacity, x.down, seed)
-					all[p].full += o.full / 5
-					all[p].peak = max(all[p].peak, o.peak)
-					all[p].total += o.total
-				}
+	for _, nodes := range sizes {
+		for _, c := range []struct {
+			name             string
+			withinMs, downMs float64
+		}{
+			{"at one moment", 50, 0},
+			{"within 28 s", 28000, 0},
+			{"at one moment, the resource down for 8 s", 50, 8000},
+		} {
+			var results [policyCount]recoveryResult
+			for policy := range policyCount {
+				results[policy] = meanOfRuns(policy, nodes, c.withinMs, c.downMs)
+				t.Logf("%4d nodes, %s, policy %d: %.1f s to full service, peak %.2f, %d calls", nodes, c.name, policy,
+					results[policy].fullServiceMs/1000, results[policy].peakRate, results[policy].calls)
 			}
-			t.Logf("%4d nodes, %s: to full %6.1f s at once, %5.1f jitter, %5.1f turns; peak %5.1f, %4.2f, %4.2f; calls a node %.1f, %.1f, %.1f", n, x.what,
-				all[0].full/1000, all[1].full/1000, all[2].full/1000, all[0].peak, all[1].peak, all[2].peak,
-				float64(all[0].total)/5/float64(n), float64(all[1].total)/5/float64(n), float64(all[2].total)/5/float64(n))
-			if all[turns].peak > 1.5 || all[turns].peak > max(1, all[jitter].peak) || all[turns].full > all[jitter].full*1.1 {
-				t.Errorf("%d nodes, %s: peak %.2f and %.1f s to full service, full jitter %.2f and %.1f s", n, x.what, all[turns].peak, all[turns].full/1000,
-					all[jitter].peak, all[jitter].full/1000)
+			slots, jitter := results[timeSlots], results[fullJitter]
+			if slots.peakRate > 1.5 || slots.peakRate > max(1, jitter.peakRate) ||
+				slots.fullServiceMs > jitter.fullServiceMs*1.1 {
+				t.Errorf("%d nodes, %s: time slots %+v, full jitter %+v", nodes, c.name, slots, jitter)
 			}
 		}
 	}
