--- /dev/null
+++ b/internal/discovery/call.go
@@ -0,0 +1,189 @@
+package discovery
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"github.com/tidwall/gjson"
+
+	"gatetack/internal/endpointwatch"
+	"gatetack/internal/http1"
+	"gatetack/internal/node"
+	"gatetack/internal/slowpeer"
+)
+
+// statusOK is the only status with which discovery answers a call that it takes.
+const statusOK = 200
+
+// RejectedError says that discovery rejected a call.
+type RejectedError struct{ Status int }
+
+func (e *RejectedError) Error() string {
+	return fmt.Sprintf("discovery rejected the call with status %d", e.Status)
+}
+
+// errWithinLine says that a call's connection broke within a line, which counts as notified all the same.
+var errWithinLine = errors.New("the connection ended within a line")
+
+// callEnd classifies the error with which a call ended; nil is its regular end.
+func callEnd(err error) endpointwatch.CallEnd {
+	rejected := (*RejectedError)(nil)
+	switch {
+	case errors.As(err, &rejected):
+		return endpointwatch.CallRejected
+	case errors.Is(err, errWithinLine):
+		return endpointwatch.CallCut
+	case isTimeout(err):
+		return endpointwatch.CallSilent
+	}
+	return endpointwatch.CallClosed
+}
+
+func isTimeout(err error) bool {
+	timeout := net.Error(nil)
+	return errors.As(err, &timeout) && timeout.Timeout()
+}
+
+// listCall is one call to discovery: a watch, or a fetch of the whole list.
+type listCall struct {
+	client  *Client
+	addr    string
+	tracker *endpointwatch.Tracker // of a watch; nil for a fetch
+
+	conn   *http1.MinRateConn
+	parser *http1.Parser
+	lines  lineSplitter
+}
+
+// makeCall makes a call and takes each line of its answer. Silence ends it: a machine that was cut off leaves
+// connections open and says nothing. How long it may last, a watch's tracker says.
+func (c *Client) makeCall(ctx context.Context, addr, target string, tracker *endpointwatch.Tracker) error {
+	call := &listCall{client: c, addr: addr, tracker: tracker, parser: http1.NewParser(c.limits, true)}
+	call.lines = lineSplitter{maxBytes: c.limits.WatchLine, takeLine: call.takeLine}
+	call.parser.BodySink = call.takeBody
+	accepted, err := c.connect(ctx, addr, tracker)
+	if err != nil {
+		return fmt.Errorf("connecting: %w", err)
+	}
+	call.conn = http1.NewMinRateConn(accepted, c.limits.Pace.ListIn, c.limits.Pace.BoxOut)
+	defer func() { _ = call.conn.Close() }()
+	stop := context.AfterFunc(ctx, func() { _ = call.conn.Close() })
+	defer stop()
+	if err := call.request(target); err != nil {
+		return fmt.Errorf("sending the request: %w", err)
+	}
+	return call.receive()
+}
+
+// request sends the request.
+func (l *listCall) request(target string) error {
+	l.conn.BoundReads(l.silenceDeadline())
+	l.conn.BoundWrites(time.Now().Add(l.client.limits.ListCall))
+	fields := []http1.Field{{Name: "Host", Value: l.addr}}
+	if l.tracker == nil {
+		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
+	}
+	w := http1.NewWriter(l.conn, l.client.limits.Ring)
+	if err := w.Request("GET", target, fields, nil); err != nil {
+		return err
+	}
+	return w.Flush()
+}
+
+// receive reads the answer until it ends.
+func (l *listCall) receive() error {
+	ring := http1.NewRing(l.client.limits.Ring)
+	for {
+		answer, err := l.parser.Feed(ring)
+		if answer == nil && err == nil {
+			answer, err = l.read(ring)
+		}
+		switch {
+		case answer != nil && answer.Status != statusOK:
+			return &RejectedError{answer.Status}
+		case answer != nil:
+			return l.lines.finish()
+		case err != nil:
+			return err
+		}
+	}
+}
+
+// read makes one read. It returns the answer if that ended with the connection.
+func (l *listCall) read(ring *http1.Ring) (*http1.Message, error) {
+	// Between lines silence counts, and within one the rate: a line that comes byte by byte would else extend the time of
+	// silence with each of them, and what it says, a drain perhaps, counts as notified long before it is whole.
+	if l.lines.started() || l.parser.Started() && l.parser.Head() == nil {
+		l.conn.ExpectBytes()
+	} else {
+		l.conn.ExpectNone()
+	}
+	_, err := ring.Fill(l.conn)
+	if err == nil {
+		if l.tracker != nil {
+			l.tracker.BytesReceived(time.Now())
+		}
+		l.conn.BoundReads(l.silenceDeadline())
+		return nil, nil
+	}
+	if slow := (*slowpeer.Slow)(nil); errors.As(err, &slow) {
+		l.client.slowPeers.Add(slowpeer.ListDrips)
+		l.client.log.Info("slow peer", "kind", slowpeer.ListDrips.String(), "peer", l.addr, "err", slow)
+	}
+	if answer, _ := l.parser.End(); answer != nil {
+		return answer, nil
+	}
+	if l.lines.started() && !isTimeout(err) {
+		return nil, fmt.Errorf("reading: %w: %w", errWithinLine, err)
+	}
+	return nil, fmt.Errorf("reading: %w", err)
+}
+
+// silenceDeadline is when the call is given up if nothing more comes.
+func (l *listCall) silenceDeadline() time.Time {
+	if l.tracker != nil {
+		return l.tracker.SilenceDeadline()
+	}
+	return time.Now().Add(l.client.limits.ListCall)
+}
+
+// takeBody takes bytes of the answer's body.
+func (l *listCall) takeBody(b []byte) error {
+	if head := l.parser.Head(); head.Status != statusOK {
+		return &RejectedError{head.Status}
+	}
+	return l.lines.feed(b)
+}
+
+// takeLine takes one line of the body. An empty one says that the watch works and that nothing has changed.
+func (l *listCall) takeLine(b []byte) error {
+	if err := l.client.takeLine(b); err != nil {
+		return err
+	}
+	if l.tracker != nil {
+		l.tracker.UpdateReceived(time.Now())
+	}
+	return nil
+}
+
+func (c *Client) takeLine(b []byte) error {
+	b = bytes.TrimSpace(b)
+	if len(b) == 0 {
+		c.sink.ListConfirmed()
+		return nil
+	}
+	if !gjson.ValidBytes(b) {
+		return errors.New("a line that is not JSON")
+	}
+	l, err := node.ParseList(gjson.ParseBytes(b))
+	if err != nil {
+		return err
+	}
+	c.index.Store(l.Index)
+	c.sink.List(l)
+	return nil
+}
--- a/internal/discovery/connect_test.go
+++ b/internal/discovery/connect_test.go
@@ -40,7 +40,8 @@
 	d.pauses = append(d.pauses, pause)
 }
 
-// A lack of this machine ends no call: it is made again after pauses that double up to a bound, and nobody is notified of a failure.
+// A lack of this machine ends no call: it is made again after pauses that double up to a bound, and nobody is
+// notified of a failure.
 func TestLocalConnectErrorsAreRetriedWithinACall(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
 		syscall.ENOMEM, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EINTR} {
@@ -68,8 +69,8 @@
 	}
 }
 
-// A lack that lasts ends the call once its time is over, as one that failed, and the next is made: the pauses of a call and the wait
-// for the next stay within the time by which changes count as notified.
+// A lack that lasts ends the call once its time is over, as one that failed, and the next is made: the pauses of
+// a call and the wait for the next stay within the time by which changes count as notified.
 func TestLocalConnectErrorsThatLastEndTheCall(t *testing.T) {
 	c, sink, list, box, run := prepare(t, testenv.Lim)
 	dialer := &failingDialer{errno: syscall.EADDRNOTAVAIL, failures: 100}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -54,8 +54,8 @@
 	testenv.Until(t, "the list once", func() bool { return len(s.All()) == 3 })
 }
 
-// served is a list whose calls a test answers by itself: serve has each with its number, and ends once ctx does. The module asks
-// for nothing.
+// served is a list whose calls a test answers by itself: serve has each with its number, and ends once ctx does.
+// The module asks for nothing.
 func served(t *testing.T, serve func(ctx context.Context, n int, conn net.Conn)) (s *testenv.Lists, run func(limits.Limits)) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -86,9 +86,10 @@
 	}
 }
 
-// A module that asks for nothing, as one whose next turn is far away, does not keep the node from the list: the first call is
-// made here in time, and so is each after calls that were turned away, broke off or found nobody. (The settings give ten seconds
-// for asking, and the module's turns go up to that; changes count as told after six.)
+// A module that asks for nothing, as one whose next turn is far away, does not keep the node from the list: the
+// first call is made here in time, and so is each after calls that were turned away, broke off or found nobody.
+// (The settings give ten seconds for asking, and the module's turns go up to that; changes count as told after
+// six.)
 func TestCallsThatMustBeMadeAreMadeHere(t *testing.T) {
 	lim := testenv.Lim
 	lim.Staleness.MaxStaleness, lim.Staleness.PollWait, lim.Staleness.AnswerTimeout = 60*time.Millisecond, 10*time.Millisecond, 10*time.Millisecond
@@ -114,7 +115,8 @@
 	}
 }
 
-// A call that waits for its turn is not given up for one that the module asks for meanwhile: that would begin to wait anew.
+// A call that waits for its turn is not given up for one that the module asks for meanwhile: that would begin to
+// wait anew.
 func TestOneCallAtATime(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -142,10 +144,10 @@
 	testenv.Until(t, "the list by the first call", func() bool { return len(s.All()) == 1 && s.All()[0].Index == 3 })
 }
 
-// A watch falls silent at any point: while the call waits, after the head, within a line, between lines. It is given up and
-// begun anew from here, with no failure told: the module's next call could be ten seconds away, while a drain that was missed
-// counts as told after six. (On a fleet of 300 nodes one watch of 33 fell silent while its call waited, and its node was held
-// to drains three times before it asked again.)
+// A watch falls silent at any point: while the call waits, after the head, within a line, between lines. It is
+// given up and begun anew from here, with no failure told: the module's next call could be ten seconds away,
+// while a drain that was missed counts as told after six. (On a fleet of 300 nodes one watch of 33 fell silent
+// while its call waited, and its node was held to drains three times before it asked again.)
 func TestSilentWatchIsBegunAnewFromHere(t *testing.T) {
 	head, line := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", `{"index":3,"snapshot":false,"endpoints":[]}`
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
@@ -381,8 +383,8 @@
 	})
 }
 
-// Lists come out whole however they are written, indented or not, and however the body is cut; empty lines between them are
-// passed over.
+// Lists come out whole however they are written, indented or not, and however the body is cut; empty lines
+// between them are passed over.
 func TestSplitterTakesIndentedLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all bytes.Buffer
@@ -426,8 +428,8 @@
 	})
 }
 
-// An object that does not end ends the call at the next sign of life, and the next call brings what it would have told: here an
-// empty line, or a list.
+// An object that does not end ends the call at the next sign of life, and the next call brings what it would
+// have told: here an empty line, or a list.
 func TestBrokenObjectSwallowsNothing(t *testing.T) {
 	const list = `{"index":3,"snapshot":false,"endpoints":[{"name":"s-1","status":"draining"}]}` + "\n"
 	for _, next := range []string{"\n", list} {
@@ -441,8 +443,8 @@
 	}
 }
 
-// A watch whose lists are indented is followed like any other. (Each was taken for garbage at its first line break: the node never
-// heard of any change.)
+// A watch whose lists are indented is followed like any other. (Each was taken for garbage at its first line
+// break: the node never heard of any change.)
 func TestIndentedWatch(t *testing.T) {
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 	list := func(index int, status string) string {
--- a/internal/discovery/splitter.go
+++ b/internal/discovery/lines.go
@@ -10,17 +10,17 @@
 	"gatetack/internal/node"
 )
 
-// splitter cuts a body into lines of a bounded length. An object that is indented goes over many: it is one line here. One that is
-// broken must not swallow what comes after it, so an empty line, or a whole list on a line of its own, ends it as it is.
+// lineSplitter cuts a body into lines of a bounded length. An indented object spans several lines and counts as one. A
+// broken object must not swallow what comes after it, so an empty line, or a whole list on a line of its own, ends it.
 type lineSplitter struct {
 	maxBytes int
 	buf      []byte
 	takeLine func([]byte) error
 
-	lineStart int  // where its last line begins in an object that goes on
-	depth     int  // of brackets that are open
-	inString  bool // within a string
-	escaped   bool // after a backslash in one
+	lineStart int // where the last line begins of an object that spans several
+	depth     int // of open brackets
+	inString  bool
+	escaped   bool // behind a backslash in a string
 
 	unbroken bool // the last line was taken before its line break came
 }
@@ -57,7 +57,7 @@
 	}
 }
 
-// add takes in a part of a line.
+// add appends a part of a line.
 func (s *lineSplitter) add(b []byte) {
 	s.buf = append(s.buf, b...)
 	for _, c := range b {
@@ -76,17 +76,17 @@
 	}
 }
 
-// open says that an object has begun and has not ended.
+// objectOpen says that an object has begun and not ended.
 func (s *lineSplitter) objectOpen() bool {
 	t := bytes.TrimLeft(s.buf, " \t\r\n")
 	return len(t) > 0 && t[0] == '{' && s.depth > 0
 }
 
-// begun says that a part of a line has come.
+// started says that a part of a line has come.
 func (s *lineSplitter) started() bool { return len(s.buf) > 0 }
 
-// whole says that an object stands in the buffer to its end, though its line break has not come: what it tells counts
-// as told, whether the break still comes or not.
+// objectWhole says that the buffer holds a whole object, though its line break has not come: it counts as notified,
+// whether the break still comes or not.
 func (s *lineSplitter) objectWhole() bool {
 	t := bytes.TrimSpace(s.buf)
 	return s.depth == 0 && len(t) > 1 && t[0] == '{' && t[len(t)-1] == '}' && gjson.ValidBytes(t)
@@ -100,14 +100,14 @@
 	return err == nil
 }
 
-// cut takes what the buffer holds as a line.
+// endLine takes what the buffer holds as a line.
 func (s *lineSplitter) endLine() error {
 	err := s.takeLine(s.buf)
 	s.buf, s.lineStart, s.depth, s.inString, s.escaped = s.buf[:0], 0, 0, false, false
 	return err
 }
 
-// end takes what follows the last line break.
+// finish takes what follows the last line break.
 func (s *lineSplitter) finish() error {
 	if !s.started() {
 		return nil
--- a/internal/discovery/push_test.go
+++ b/internal/discovery/push_test.go
@@ -11,9 +11,9 @@
 	"gatetack/internal/testenv"
 )
 
-// Where lists are pushed nobody asks for them: the carrier follows the agent from the start on, goes on after the agent was
-// gone, and tells of no failure, for the module did not ask. (On a deployment of this kind the node went by the list of its
-// start for as long as it ran, and no test had settings in which nobody asks.)
+// Where lists are pushed nobody asks for them: the carrier follows the agent from the start on, goes on after
+// the agent was gone, and tells of no failure, for the module did not ask. (On a deployment of this kind the
+// node went by the list of its start for as long as it ran, and no test had settings in which nobody asks.)
 func TestPushedListIsFollowedUnasked(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	agent, away := context.WithCancel(ctx)
--- /dev/null
+++ b/internal/discovery/watch.go
@@ -0,0 +1,88 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"strconv"
+	"time"
+)
+
+const (
+	watchTarget = "/v1/servers?stream=1&index="
+	listTarget  = "/v1/servers"
+)
+
+// errWatchEnded stands for the regular end of a watch, which is no more expected than any other.
+var errWatchEnded = errors.New("discovery ended the watch")
+
+// watch follows changes from a moment on until ctx ends. Package endpointwatch decides when calls are given up,
+// which of their ends the decision module is notified of, and when the next is made at the latest.
+func (c *Client) watch(ctx context.Context, from time.Time) {
+	for at := c.currentSource(); c.waitBeforeCall(ctx, at, time.Until(from)); {
+		at = c.currentSource()
+		from = c.watchOnce(ctx, at)
+	}
+}
+
+// waitBeforeCall waits for a while, or until discovery has moved since the last call: then the next is made
+// there at once. It returns false once no more are to be made.
+func (c *Client) waitBeforeCall(ctx context.Context, at source, wait time.Duration) bool {
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-at.moved():
+	case <-ctx.Done():
+	}
+	if at.hasMoved() {
+		c.tracker.SourceMoved(time.Now())
+	}
+	return ctx.Err() == nil
+}
+
+// watchOnce follows changes for as long as one call lasts, and returns when the next is made.
+func (c *Client) watchOnce(ctx context.Context, at source) time.Time {
+	c.callUnderWay.Store(true)
+	defer c.callUnderWay.Store(false)
+	c.tracker.CallStarted(time.Now())
+	err := c.callAt(ctx, at, watchTarget+strconv.FormatUint(c.index.Load(), 10), &c.tracker)
+	now := time.Now()
+	if at.hasMoved() {
+		return now // waitBeforeCall notes it
+	}
+	next := c.tracker.CallEnded(now, callEnd(err), rand.Float64())
+	if ctx.Err() != nil {
+		return now
+	}
+	if err == nil {
+		err = errWatchEnded
+	}
+	c.sink.ListCallFailed()
+	if !next.Owned {
+		c.callUnderWay.Store(false) // before the module is notified: what it asks for then is another call
+		c.reportFailure("watch", err)
+	} else {
+		c.log.Info("discovery call failed", "call", "watch", "err", err, "retry_in", next.At.Sub(now).Round(time.Millisecond))
+	}
+	// The agent of a pushed list bears any number of calls: it is called again soon, and sooner only where it has to be.
+	if again := now.Add(c.limits.PushAgain); c.pushed && (!next.Owned || !next.At.Before(again)) {
+		return again
+	}
+	return next.At
+}
+
+// fetch gets the whole list once, and again wherever discovery moves meanwhile. If ctx ends nobody is notified.
+func (c *Client) fetch(ctx context.Context) {
+	for ctx.Err() == nil {
+		at := c.currentSource()
+		err := c.callAt(ctx, at, listTarget, nil)
+		if err != nil && at.hasMoved() {
+			continue
+		}
+		if err != nil && ctx.Err() == nil {
+			c.reportFailure("list", err)
+		}
+		return
+	}
+}
