--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -174,7 +174,7 @@
 func (c *Client) callAt(ctx context.Context, at source, target string, tracker *endpointwatch.Tracker) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(at.ctx, cancel)
+	stop := context.AfterFunc(at.ctx, cancel) //nolint:contextcheck // at.ctx ends when discovery moves, ctx with the watch
 	defer stop()
 	return c.makeCall(ctx, at.addr, target, tracker)
 }
--- a/internal/discovery/connect_test.go
+++ b/internal/discovery/connect_test.go
@@ -43,8 +43,10 @@
 // A lack of this machine ends no call: it is made again after pauses that double up to a bound, and nobody is
 // notified of a failure.
 func TestLocalConnectErrorsAreRetriedWithinACall(t *testing.T) {
-	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
-		syscall.ENOMEM, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EINTR} {
+	for _, errno := range []syscall.Errno{
+		syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
+		syscall.ENOMEM, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EINTR,
+	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			c, sink, list, box, run := prepare(t, testenv.Lim)
 			dialer := &failingDialer{errno: errno, failures: 7}
@@ -96,15 +98,21 @@
 
 // What the other side or the way to it answers ends a call at once, as before: it is a sign of discovery's state.
 func TestRemoteConnectErrorsEndTheCall(t *testing.T) {
-	for _, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
+	for _, errno := range []syscall.Errno{
+		syscall.ECONNREFUSED, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET,
+	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			c, sink, list, box, run := prepare(t, testenv.Lim)
 			dialer := &failingDialer{errno: errno, failures: 1}
 			c.dial, c.sleep = dialer.dial, dialer.sleep
 			list.Put(box, "ready")
 			run()
-			testenv.Until(t, "the list, by another call", func() bool { all := sink.All(); return len(all) > 0 && all[len(all)-1].Form == dispatch.ListFull })
-			if failed := sink.All()[0].Form == dispatch.ListFailed; failed != (errno != syscall.ETIMEDOUT) { // silence is made up for here
+			testenv.Until(t, "the list, by another call", func() bool {
+				all := sink.All()
+				return len(all) > 0 && all[len(all)-1].Form == dispatch.ListFull
+			})
+			// After silence the next call is made here, and the decision module is not notified.
+			if failed := sink.All()[0].Form == dispatch.ListFailed; failed != (errno != syscall.ETIMEDOUT) {
 				t.Errorf("notified of a failure: %v", failed)
 			}
 			dialer.mu.Lock()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -20,7 +20,9 @@
 )
 
 // prepare makes a client of a list that names nobody yet. Run has it make its first call.
-func prepare(t *testing.T, lim limits.Limits) (c *Client, s *testenv.Lists, list *testenv.List, box *testenv.Box, run func()) {
+func prepare(
+	t *testing.T, lim limits.Limits,
+) (c *Client, s *testenv.Lists, list *testenv.List, box *testenv.Box, run func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
@@ -38,7 +40,7 @@
 }
 
 // A watch brings the list and then its changes.
-func TestWatch(t *testing.T) {
+func TestWatchBringsTheListAndItsChanges(t *testing.T) {
 	c, s, list, box, run := prepare(t, testenv.Lim)
 	list.Put(box, "ready")
 	run()
@@ -46,7 +48,8 @@
 	list.Put(box, "draining")
 	testenv.Until(t, "a change", func() bool { return len(s.All()) == 2 })
 	l := s.All()
-	if l[0].Entries[0].Status != "ready" || l[1].Entries[0].Status != "draining" || l[1].Index != 2 || l[0].Form != dispatch.ListFull {
+	if l[0].Entries[0].Status != "ready" || l[0].Form != dispatch.ListFull ||
+		l[1].Entries[0].Status != "draining" || l[1].Index != 2 {
 		t.Errorf("%+v", l)
 	}
 	c.Watch(false)
@@ -56,7 +59,9 @@
 
 // served is a list whose calls a test answers by itself: serve has each with its number, and ends once ctx does.
 // The module asks for nothing.
-func served(t *testing.T, serve func(ctx context.Context, n int, conn net.Conn)) (s *testenv.Lists, run func(limits.Limits)) {
+func served(
+	t *testing.T, serve func(ctx context.Context, n int, conn net.Conn),
+) (s *testenv.Lists, run func(limits.Limits)) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -90,9 +95,10 @@
 // first call is made here in time, and so is each after calls that were turned away, broke off or found nobody.
 // (The settings give ten seconds for asking, and the module's turns go up to that; changes count as told after
 // six.)
-func TestCallsThatMustBeMadeAreMadeHere(t *testing.T) {
+func TestCallsAreMadeInTimeWithoutTheModule(t *testing.T) {
 	lim := testenv.Lim
-	lim.Staleness.MaxStaleness, lim.Staleness.PollWait, lim.Staleness.AnswerTimeout = 60*time.Millisecond, 10*time.Millisecond, 10*time.Millisecond
+	lim.Staleness.MaxStaleness = 60 * time.Millisecond
+	lim.Staleness.PollWait, lim.Staleness.AnswerTimeout = 10*time.Millisecond, 10*time.Millisecond
 	line := `{"index":3,"snapshot":false,"endpoints":[]}`
 	s, run := served(t, func(ctx context.Context, n int, conn net.Conn) {
 		switch n {
@@ -117,7 +123,7 @@
 
 // A call that waits for its turn is not given up for one that the module asks for meanwhile: that would begin to
 // wait anew.
-func TestOneCallAtATime(t *testing.T) {
+func TestWatchRequestLeavesACallUnderWay(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -148,7 +154,7 @@
 // given up and begun anew from here, with no failure told: the module's next call could be ten seconds away,
 // while a drain that was missed counts as told after six. (On a fleet of 300 nodes one watch of 33 fell silent
 // while its call waited, and its node was held to drains three times before it asked again.)
-func TestSilentWatchIsBegunAnewFromHere(t *testing.T) {
+func TestSilentWatchIsRestarted(t *testing.T) {
 	head, line := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", `{"index":3,"snapshot":false,"endpoints":[]}`
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 	for name, x := range map[string]struct {
@@ -163,7 +169,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			lim := testenv.Lim
-			lim.Staleness.HeartbeatInterval, lim.Staleness.HeartbeatSlack, lim.Staleness.PollWait, lim.Staleness.AnswerTimeout, lim.Staleness.MinBackoff = 20*time.Millisecond, 30*time.Millisecond, 30*time.Millisecond, 20*time.Millisecond, time.Millisecond
+			lim.Staleness.HeartbeatInterval, lim.Staleness.HeartbeatSlack = 20*time.Millisecond, 30*time.Millisecond
+			lim.Staleness.PollWait, lim.Staleness.AnswerTimeout = 30*time.Millisecond, 20*time.Millisecond
+			lim.Staleness.MinBackoff = time.Millisecond
 			s, run := served(t, func(ctx context.Context, n int, conn net.Conn) {
 				switch {
 				case n == 0:
@@ -194,7 +202,7 @@
 
 // A watch that had stood and ends is begun anew at once, without a failure; and an object that came whole is taken
 // before its line break, which may never come. Both carry drains that count as told.
-func TestWatchIsRenewed(t *testing.T) {
+func TestEndedWatchIsRestarted(t *testing.T) {
 	lim := testenv.Lim
 	lim.Staleness.StableAfter = 0
 	var s *testenv.Lists
@@ -220,7 +228,7 @@
 
 // Where discovery moves, the watch goes on at the new address, be the old one deaf, mute or gone, and no failure is
 // told: the module would wait before it asks again, while drains count as told.
-func TestMove(t *testing.T) {
+func TestMoveCallsTheNewAddressAtOnce(t *testing.T) {
 	lim := testenv.Lim
 	lim.Staleness.MaxStaleness = time.Hour // no call is made but those that are asked for, and at moves
 	for _, old := range []string{"serves", "mute", "deaf", "gone"} {
@@ -287,7 +295,7 @@
 }
 
 // Each call that fails is told of once.
-func TestFailures(t *testing.T) {
+func TestEachFailedCallIsReportedOnce(t *testing.T) {
 	for name, answer := range map[string]string{
 		"503":      "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 3\r\n\r\nno\n",
 		"bare 503": "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
@@ -326,7 +334,7 @@
 
 // A call that waited for its turn and was refused has not stood, however long it waited: it fails, and the module says
 // when the next is made.
-func TestRefusedAfterAWaitIsNotBegunAnew(t *testing.T) {
+func TestCallRejectedAfterAWaitIsNotRestarted(t *testing.T) {
 	lim := testenv.Lim
 	lim.Staleness.StableAfter = 0 // any wait is longer
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -359,7 +367,7 @@
 }
 
 // Lines come out whole however the body is cut.
-func TestSplitter(t *testing.T) {
+func TestLineSplitterCutsAnyPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines := rapid.SliceOf(rapid.StringMatching(`[a-z]{0,12}`)).Draw(t, "lines")
 		var all, got []byte
@@ -385,20 +393,22 @@
 
 // Lists come out whole however they are written, indented or not, and however the body is cut; empty lines
 // between them are passed over.
-func TestSplitterTakesIndentedLists(t *testing.T) {
+func TestLineSplitterTakesIndentedLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all bytes.Buffer
 		var want, got []string
 		for i := range rapid.IntRange(1, 4).Draw(t, "lists") {
 			name := rapid.StringMatching(`[a-z{}\[\]"\\\\ ]{1,8}`).Draw(t, "name")
-			text, err := json.Marshal(map[string]any{"index": i, "snapshot": false, "endpoints": []any{map[string]any{"name": name}, map[string]any{"name": "s"}}})
+			endpoints := []any{map[string]any{"name": name}, map[string]any{"name": "s"}}
+			text, err := json.Marshal(map[string]any{"index": i, "snapshot": false, "endpoints": endpoints})
 			if err != nil {
 				t.Fatal(err)
 			}
 			want = append(want, string(text))
 			if rapid.Bool().Draw(t, "indented") {
 				var b bytes.Buffer
-				_ = json.Indent(&b, text, rapid.SampledFrom([]string{"", "  "}).Draw(t, "prefix"), rapid.SampledFrom([]string{" ", "\t"}).Draw(t, "indent"))
+				prefix := rapid.SampledFrom([]string{"", "  "}).Draw(t, "prefix")
+				_ = json.Indent(&b, text, prefix, rapid.SampledFrom([]string{" ", "\t"}).Draw(t, "indent"))
 				text = b.Bytes()
 			}
 			all.Write(text)
@@ -430,7 +440,7 @@
 
 // An object that does not end ends the call at the next sign of life, and the next call brings what it would
 // have told: here an empty line, or a list.
-func TestBrokenObjectSwallowsNothing(t *testing.T) {
+func TestBrokenObjectEndsAtTheNextList(t *testing.T) {
 	const list = `{"index":3,"snapshot":false,"endpoints":[{"name":"s-1","status":"draining"}]}` + "\n"
 	for _, next := range []string{"\n", list} {
 		s := lineSplitter{maxBytes: 4096, takeLine: func([]byte) error { return nil }}
@@ -445,13 +455,15 @@
 
 // A watch whose lists are indented is followed like any other. (Each was taken for garbage at its first line
 // break: the node never heard of any change.)
-func TestIndentedWatch(t *testing.T) {
+func TestWatchTakesIndentedLists(t *testing.T) {
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 	list := func(index int, status string) string {
-		return fmt.Sprintf("{\n  \"index\": %d,\n  \"snapshot\": false,\n  \"endpoints\": [\n    {\n      \"name\": \"s-1\",\n      \"status\": %q\n    }\n  ]\n}\n", index, status)
+		return fmt.Sprintf("{\n  \"index\": %d,\n  \"snapshot\": false,\n  \"endpoints\": [\n"+
+			"    {\n      \"name\": \"s-1\",\n      \"status\": %q\n    }\n  ]\n}\n", index, status)
 	}
 	s, run := served(t, func(ctx context.Context, n int, conn net.Conn) {
-		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(list(1, "ready"))+chunk("\n"))
+		const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+		_, _ = io.WriteString(conn, head+chunk(list(1, "ready"))+chunk("\n"))
 		text := list(2, "draining")
 		_, _ = io.WriteString(conn, chunk(text[:30])+chunk(text[30:]))
 		<-ctx.Done()
@@ -459,7 +471,8 @@
 	run(testenv.Lim)
 	testenv.Until(t, "both", func() bool { return len(s.All()) >= 2 })
 	l := s.All()
-	if len(l) != 2 || len(l[0].Entries) != 1 || len(l[1].Entries) != 1 || l[0].Entries[0].Status != "ready" || l[1].Entries[0].Status != "draining" {
+	if len(l) != 2 || len(l[0].Entries) != 1 || len(l[1].Entries) != 1 ||
+		l[0].Entries[0].Status != "ready" || l[1].Entries[0].Status != "draining" {
 		t.Errorf("%+v", l)
 	}
 }
@@ -470,7 +483,8 @@
 	line := `{"index":%d,"snapshot":false,"endpoints":[]}`
 	s, run := served(t, func(ctx context.Context, _ int, conn net.Conn) {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		for _, part := range []string{fmt.Sprintf(line, 1), "\n", "\n", fmt.Sprintf(line, 2), "\r\n", "\r\n", fmt.Sprintf(line, 3) + "\n"} {
+		parts := []string{fmt.Sprintf(line, 1), "\n", "\n", fmt.Sprintf(line, 2), "\r\n", "\r\n", fmt.Sprintf(line, 3) + "\n"}
+		for _, part := range parts {
 			_, _ = io.WriteString(conn, chunk(part))
 		}
 		<-ctx.Done()
