--- a/internal/locality/placer.go
+++ b/internal/locality/placer.go
@@ -67,10 +67,10 @@
 		executorZone: map[string]int{}, site: site.New(max(len(names.Zones), 1), maxDataSets),
 	}
 	for _, class := range s.Classes {
-		p.meanRun = append(p.meanRun, max(1, class.Aim))
+		p.meanRun = append(p.meanRun, max(1, class.Objective))
 	}
 	p.site.Here, p.site.ReportPeriod = int(s.Zone), float64(refreshInterval.Milliseconds())
-	p.site.FleetShare = 1 / float64(max(s.Balancers, 1))
+	p.site.FleetShare = 1 / float64(max(s.Nodes, 1))
 	for i := range p.site.Zones {
 		if i != p.site.Here {
 			p.site.Zones[i].CrossingPrice = s.Fees.CrossZone
@@ -163,7 +163,7 @@
 	j := site.Job{
 		Work:   p.meanRun[min(class, len(p.meanRun)-1)],
 		Slots:  1,
-		Aim:    c.Aim * (1 + c.Stretch),
+		Aim:    c.Objective * (1 + c.ObjectivePerWork),
 		Left:   float64(left.Milliseconds()),
 		Pinned: -1,
 	}
--- a/internal/locality/placer_test.go
+++ b/internal/locality/placer_test.go
@@ -22,10 +22,10 @@
 
 func settings() dispatch.Settings {
 	return dispatch.Settings{
-		Balancers: 1,
-		Zone:      0,
-		Classes:   []dispatch.Class{{Aim: 400, Stretch: 2}},
-		Fees:      dispatch.Fees{CrossZone: 0.03},
+		Nodes:   1,
+		Zone:    0,
+		Classes: []dispatch.Class{{Objective: 400, ObjectivePerWork: 2}},
+		Fees:    dispatch.Fees{CrossZone: 0.03},
 	}
 }
 
