--- a/internal/scale/process/measure.go
+++ b/internal/scale/process/measure.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Usage is what a process has used, as the kernel tells it.
+// Usage is what a process has used, as the kernel counts it.
 type Usage struct {
 	CPU          time.Duration // processor time since its start
 	PrivateBytes int64         // resident memory that it shares with no file and no other process
@@ -47,8 +47,17 @@
 	if err != nil {
 		return Usage{}, fmt.Errorf("process %d: %w", pid, err)
 	}
-	return Usage{CPU: time.Duration(stat.CPUTime() * float64(time.Second)), PrivateBytes: int64(status.RssAnon), Descriptors: descriptors,
-		ReadBytes: int64(io.RChar), WrittenBytes: int64(io.WChar), ReadCalls: int64(io.SyscR), WriteCalls: int64(io.SyscW)}, nil
+	return Usage{
+		CPU:          time.Duration(stat.CPUTime() * float64(time.Second)),
+		PrivateBytes: int64(status.RssAnon),
+		Descriptors:  descriptors,
+		ReadBytes: int64(
+			io.RChar,
+		),
+		WrittenBytes: int64(io.WChar),
+		ReadCalls:    int64(io.SyscR),
+		WriteCalls:   int64(io.SyscW),
+	}, nil
 }
 
 // MachineBusy is the processor time that all processes of the machine have used, in the kernel's own count.
@@ -94,19 +103,17 @@
 	Need, Have int64
 }
 
+// Error names the bound, the need and what may be used.
 func (e *BudgetError) Error() string {
 	return fmt.Sprintf("%s: %d are needed, and %d may be used", e.What, e.Need, e.Have)
 }
 
 // Before checks that a run that needs so much can begin: within its bounds, and within what the machine has free.
 func (b Budget) Before(memoryBytes int64, processes int) error {
-	if processes > b.Processes {
-		return &BudgetError{"processes", int64(processes), int64(b.Processes)}
-	}
-	if memoryBytes > b.MemoryBytes {
-		return &BudgetError{"bytes of memory", memoryBytes, b.MemoryBytes}
+	if err := b.During(memoryBytes, processes); err != nil {
+		return err
 	}
-	free, err := available()
+	free, err := availableMemory()
 	if err != nil {
 		return err
 	}
@@ -139,11 +146,13 @@
 	return nil
 }
 
+// spareDescriptors are left to what a run opens beside its connections.
 const spareDescriptors = 256
 
 var errMeminfo = errors.New("/proc/meminfo names no MemAvailable")
 
-func available() (int64, error) {
+// availableMemory is what the kernel says that can be used without swapping, in bytes.
+func availableMemory() (int64, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0, fmt.Errorf("free memory: %w", err)
--- a/internal/scale/process/process.go
+++ b/internal/scale/process/process.go
@@ -1,5 +1,6 @@
-// Package process starts the real processes of a scale run, measures them from outside, and keeps a run within the machine's bounds.
-// Children end with the process that started them, also when that is killed.
+// Package process starts the real processes of a scale run, measures them from outside, and keeps a run within
+// the machine's bounds. Children end with the process that started them, also when that is killed. A Starter
+// owns the thread that starts them; each Process owns the goroutine that waits for its end.
 package process
 
 import (
@@ -13,10 +14,11 @@
 	"time"
 )
 
-// Starter starts children from one thread that lasts as long as the program: the kernel ends a child when the thread that started it
-// does.
+// Starter starts children from one thread that lasts as long as the program: the kernel ends a child when the
+// thread that started it does.
 type Starter struct{ requests chan request }
 
+// request is a command to be started, with where the result goes.
 type request struct {
 	cmd  *exec.Cmd
 	done chan error
@@ -37,7 +39,7 @@
 // Close ends the starter, and with it all children that still run.
 func (s *Starter) Close() { close(s.requests) }
 
-// Command says what is started.
+// Command is what is started.
 type Command struct {
 	Name    string
 	Program string
@@ -82,7 +84,7 @@
 // Ended is closed once the child has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Gone says that the child has ended.
+// Gone reports whether the child has ended.
 func (p *Process) Gone() bool {
 	select {
 	case <-p.ended:
@@ -117,7 +119,7 @@
 	timeout := time.After(within)
 	for !check() {
 		select {
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		case <-p.ended:
 			return fmt.Errorf("%s: %w", p.Name, errors.Join(ErrEnded, p.err))
 		case <-timeout:
@@ -129,4 +131,5 @@
 	return nil
 }
 
-const pollEvery = 10 * time.Millisecond
+// pollInterval is how often Until checks.
+const pollInterval = 10 * time.Millisecond
--- a/internal/scale/process/process_test.go
+++ b/internal/scale/process/process_test.go
@@ -25,7 +25,9 @@
 }
 
 func beParent(dir string) {
-	p, err := NewStarter().Start(Command{Name: "child", Program: "/bin/sleep", Args: []string{"60"}, Log: filepath.Join(dir, "log")})
+	p, err := NewStarter().Start(
+		Command{Name: "child", Program: "/bin/sleep", Args: []string{"60"}, Log: filepath.Join(dir, "log")},
+	)
 	if err != nil {
 		os.Exit(1)
 	}
@@ -78,10 +80,17 @@
 	return !strings.HasPrefix(rest, "Z") && !strings.HasPrefix(rest, "X")
 }
 
-func TestStartMeasureKill(t *testing.T) {
+func TestUsageOfAChildIsMeasuredUntilItEnds(t *testing.T) {
 	s := NewStarter()
 	defer s.Close()
-	p, err := s.Start(Command{Name: "child", Program: "/bin/sh", Args: []string{"-c", "echo here; exec sleep 60"}, Log: filepath.Join(t.TempDir(), "log")})
+	p, err := s.Start(
+		Command{
+			Name:    "child",
+			Program: "/bin/sh",
+			Args:    []string{"-c", "echo here; exec sleep 60"},
+			Log:     filepath.Join(t.TempDir(), "log"),
+		},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +119,7 @@
 }
 
 // A run that needs more than it may does not begin, or ends.
-func TestBudget(t *testing.T) {
+func TestRunBeyondItsBudgetIsAnError(t *testing.T) {
 	be := (*BudgetError)(nil)
 	for name, err := range map[string]error{
 		"processes before": Bounds.Before(1, 201), "memory before": Bounds.Before(Bounds.MemoryBytes+1, 1),
--- a/internal/scale/workload/workload_test.go
+++ b/internal/scale/workload/workload_test.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// The mix gives the operators' figures: 1,500 starts a second from 4.0 jobs a second, which is six times 57,000 a day, and 84,000
-// running.
-func TestTheMixGivesTheFigures(t *testing.T) {
+// The mix gives the operators' figures: 1,500 starts a second from 4.0 jobs a second, which is six times 57,000
+// a day, and 84,000 running.
+func TestMixGivesTheOperatorsFigures(t *testing.T) {
 	d := fleet.Default()
 	d.Starts, d.Running, d.Duration, d.Tenants = 1500, 84000, 10*time.Minute, 450
 	tasks := all(d)
@@ -44,8 +44,9 @@
 	}
 }
 
-// Equal seeds give equal loads, others others; tasks come in the order in which they are due, and each is within its bounds.
-func TestDraws(t *testing.T) {
+// Equal seeds give equal loads, others others; tasks come in the order in which they are due, and each is within
+// its bounds.
+func TestEqualSeedsDrawEqualLoadsInOrderOfTheirDueTimes(t *testing.T) {
 	d := fleet.Default()
 	one := all(d)
 	if !slices.Equal(one, all(d)) {
@@ -54,8 +55,10 @@
 	kinds := map[Kind]int{}
 	for i, x := range one {
 		kinds[x.Kind]++
-		if x.Number != i+1 || i > 0 && x.Due < one[i-1].Due || x.Due >= d.Duration || x.Tenant >= d.Tenants || x.Dispatcher >= d.Dispatchers ||
-			x.Run <= 0 || x.Run > longestRun*d.MeanRun() || (x.Kind == Urgent) != (x.Class == fleet.ClassUrgent) {
+		if x.Number != i+1 || i > 0 && x.Due < one[i-1].Due || x.Due >= d.Duration || x.Tenant >= d.Tenants ||
+			x.Dispatcher >= d.Dispatchers ||
+			x.Run <= 0 || x.Run > maxRun*d.MeanRun() ||
+			(x.Kind == Urgent) != (x.Class == fleet.ClassUrgent) {
 			t.Fatalf("task %d: %+v", i, x)
 		}
 	}
@@ -69,7 +72,7 @@
 }
 
 // On a ramp the second half has more than the first.
-func TestRamp(t *testing.T) {
+func TestRampDrawsMoreInItsSecondHalf(t *testing.T) {
 	d := fleet.Default()
 	d.Starts, d.StartsTo, d.Duration = 100, 1000, 2*time.Minute
 	halves := [2]int{}
