--- a/internal/peer/faults_test.go
+++ b/internal/peer/faults_test.go
@@ -5,6 +5,7 @@
 	"net"
 	"net/netip"
 	"os"
+	"slices"
 	"sync"
 	"syscall"
 	"testing"
@@ -49,10 +50,13 @@
 	return c.datagramConn.WriteToUDPAddrPort(b, to)
 }
 
-// Errors of single datagrams end neither the reads nor the writes of a node; a write that a signal interrupts is made again.
+// Errors of single datagrams end neither the reads nor the writes of a node; a write that a signal interrupts is
+// made again.
 func TestErrorsOfDatagramsEndNeitherReadsNorWrites(t *testing.T) {
-	errnos := []syscall.Errno{syscall.ENOBUFS, syscall.EPERM, syscall.ECONNREFUSED, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
-		syscall.ENOMEM, syscall.EAGAIN, syscall.EMSGSIZE, syscall.EINTR}
+	errnos := []syscall.Errno{
+		syscall.ENOBUFS, syscall.EPERM, syscall.ECONNREFUSED, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
+		syscall.ENOMEM, syscall.EAGAIN, syscall.EMSGSIZE, syscall.EINTR,
+	}
 	var addrs []string
 	var sockets []*Socket
 	var sinks []*sink
@@ -77,7 +81,7 @@
 		for _, a := range addrs {
 			s.peers = append(s.peers, netip.MustParseAddrPort(a))
 		}
-		faulty[i] = &faultyConn{datagramConn: s.conn, reads: append([]syscall.Errno(nil), errnos...), writes: append([]syscall.Errno(nil), errnos...)}
+		faulty[i] = &faultyConn{datagramConn: s.conn, reads: slices.Clone(errnos), writes: slices.Clone(errnos)}
 		s.conn = faulty[i]
 		g.Go(func() error { return s.Run(ctx) })
 	}
@@ -85,7 +89,8 @@
 	for _, errno := range errnos {
 		sockets[0].Tell(1, []byte(errno.Error()))
 	}
-	testenv.Until(t, "the message that a signal interrupted", func() bool { return sinks[1].has(0, syscall.EINTR.Error()) })
+	interrupted := syscall.EINTR.Error()
+	testenv.Until(t, "the message that a signal interrupted", func() bool { return sinks[1].has(0, interrupted) })
 	sockets[0].Tell(1, []byte("last"))
 	testenv.Until(t, "the last message", func() bool { return sinks[1].has(0, "last") })
 	if _, left := faulty[0].next(&faulty[0].writes); left {
@@ -97,10 +102,12 @@
 }
 
 // An error that an earlier datagram brought back delays no read; one of memory does, or the loop would spin.
-func TestReadErrorsOfEarlierDatagramsCauseNoPause(t *testing.T) {
-	for errno, want := range map[syscall.Errno]bool{syscall.ECONNREFUSED: true, syscall.EHOSTUNREACH: true, syscall.ENETUNREACH: true,
-		syscall.EINTR: true, syscall.ENOMEM: false, syscall.ENOBUFS: false, syscall.EIO: false} {
-		if got := isSendersError(&net.OpError{Op: "read", Err: os.NewSyscallError("recvfrom", errno)}); got != want {
+func TestReadErrorsOfEarlierSendsCauseNoPause(t *testing.T) {
+	for errno, want := range map[syscall.Errno]bool{
+		syscall.ECONNREFUSED: true, syscall.EHOSTUNREACH: true, syscall.ENETUNREACH: true, syscall.EINTR: true,
+		syscall.ENOMEM: false, syscall.ENOBUFS: false, syscall.EIO: false,
+	} {
+		if got := isErrorOfAnEarlierSend(&net.OpError{Op: "read", Err: os.NewSyscallError("recvfrom", errno)}); got != want {
 			t.Errorf("%v: %v", errno, got)
 		}
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,5 @@
-// Package peer carries short messages between nodes over UDP, best effort.
+// Package peer carries short messages between nodes over UDP, best effort. A Socket owns its goroutines, one
+// that reads and one that writes, and Run waits for them.
 package peer
 
 import (
@@ -8,6 +9,7 @@
 	"log/slog"
 	"net"
 	"net/netip"
+	"slices"
 	"syscall"
 	"time"
 
@@ -18,20 +20,27 @@
 	"gatetack/internal/limits"
 )
 
-// Sink takes what other nodes tell.
+// unknownPeer is the index of an address that no peer has.
+const unknownPeer = -1
+
+// readBackoff is the pause after a read that failed for want of memory, or for a reason that recv(2) does not name.
+const readBackoff = time.Millisecond
+
+// Sink takes what other nodes send.
 type Sink interface {
+	// Peer takes a message of the node with the index from. It owns the bytes.
 	Peer(from uint32, data []byte)
 }
 
-// Socket is the node's place among its peers.
+// Socket sends and receives messages. A node's index is its place in the list of peers.
 type Socket struct {
-	conn  datagramConn
-	lim   limits.Limits
-	sink  Sink
-	log   *slog.Logger
-	peers []netip.AddrPort
-	all   netip.AddrPort
-	out   chan message
+	conn      datagramConn
+	limits    limits.Limits
+	sink      Sink
+	log       *slog.Logger
+	peers     []netip.AddrPort
+	broadcast netip.AddrPort // reaches all; invalid if there is none
+	outgoing  chan outgoingMessage
 }
 
 // datagramConn is the part of a UDP socket that is used here.
@@ -42,119 +51,125 @@
 	Close() error
 }
 
-// readBackoff is the pause after a read that failed for want of memory, or for a reason that recv(2) does not name.
-const readBackoff = time.Millisecond
-
-type message struct {
+type outgoingMessage struct {
 	to   netip.AddrPort
 	data []byte
 }
 
-// Listen opens the node's socket. Peers stand at their numbers.
-func Listen(addr string, peers []string, all string, lim limits.Limits, sink Sink, log *slog.Logger) (*Socket, error) {
-	s := &Socket{lim: lim, sink: sink, log: log, out: make(chan message, lim.Tells)}
-	var err error
+// AddressError says which setting holds an address that can't be used.
+type AddressError struct {
+	Setting string
+	Err     error
+}
+
+func (e *AddressError) Error() string { return e.Setting + ": " + e.Err.Error() }
+
+func (e *AddressError) Unwrap() error { return e.Err }
+
+// Listen opens the node's socket at addr. Broadcast is the address that reaches all peers, or "".
+func Listen(
+	addr string, peers []string, broadcast string, lim limits.Limits, sink Sink, log *slog.Logger,
+) (*Socket, error) {
+	s := &Socket{limits: lim, sink: sink, log: log, outgoing: make(chan outgoingMessage, lim.Tells)}
 	for _, p := range peers {
 		a, err := netip.ParseAddrPort(p)
 		if err != nil {
-			return nil, fmt.Errorf("peers: %w", err)
+			return nil, &AddressError{"peers", err}
 		}
 		s.peers = append(s.peers, a)
 	}
-	if all != "" {
-		if s.all, err = netip.ParseAddrPort(all); err != nil {
-			return nil, fmt.Errorf("peers_all: %w", err)
+	if broadcast != "" {
+		var err error
+		if s.broadcast, err = netip.ParseAddrPort(broadcast); err != nil {
+			return nil, &AddressError{"peers_all", err}
 		}
 	}
-	at, err := netip.ParseAddrPort(addr)
+	local, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return nil, fmt.Errorf("peer_listen: %w", err)
+		return nil, &AddressError{"peer_listen", err}
+	}
+	if s.conn, err = listenShared(local); err != nil {
+		return nil, &AddressError{"peer_listen", err}
 	}
-	// While a process replaces this one, both stand on the same address for some seconds: the port is shared, and
-	// the kernel deals out the datagrams between them.
-	shared := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		var opt error
-		err := raw.Control(func(fd uintptr) { opt = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
-		return errors.Join(err, opt)
+	return s, nil
+}
+
+// listenShared opens a UDP socket on a port that others may share: while a process replaces this one both have
+// it open for some seconds, and the kernel distributes the datagrams between them.
+func listenShared(local netip.AddrPort) (*net.UDPConn, error) {
+	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+		var optionErr error
+		err := raw.Control(func(fd uintptr) {
+			optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		})
+		return errors.Join(err, optionErr)
 	}}
-	pc, err := shared.ListenPacket(context.Background(), "udp", at.String())
+	conn, err := config.ListenPacket(context.Background(), "udp", local.String())
 	if err != nil {
-		return nil, fmt.Errorf("peers: %w", err)
+		return nil, err
 	}
-	udp, ok := pc.(*net.UDPConn)
+	udp, ok := conn.(*net.UDPConn)
 	if !ok {
-		return nil, fmt.Errorf("peers: %T is no UDP socket", pc)
+		return nil, fmt.Errorf("%T is no UDP socket", conn)
 	}
-	s.conn = udp
-	return s, nil
+	return udp, nil
 }
 
-// Tell sends a message to one node or to all. It does not block: what the socket does not take is lost, as it
-// may be on the way.
+// Tell sends a message to one node, or to all with dispatch.AllPeers. It does not block: a message that the
+// socket does not take is lost, as it may be on the way.
 func (s *Socket) Tell(to uint16, data []byte) {
-	if len(data) > s.lim.PeerBytes {
-		s.log.Error("a message to peers is too long and is not sent", "bytes", len(data))
+	if len(data) > s.limits.PeerBytes {
+		s.log.Error("peer message too long and not sent", "bytes", len(data), "max", s.limits.PeerBytes)
 		return
 	}
-	m := message{s.all, data}
-	if to != dispatch.AllPeers {
-		if int(to) >= len(s.peers) {
-			return
-		}
-		m.to = s.peers[to]
-	}
-	if !m.to.IsValid() {
+	address := s.address(to)
+	if !address.IsValid() {
 		return
 	}
 	select {
-	case s.out <- m:
+	case s.outgoing <- outgoingMessage{address, data}:
 	default:
 	}
 }
 
-// Run reads and writes until the context ends.
+// address is where messages to a node are sent; invalid if the node is not known.
+func (s *Socket) address(to uint16) netip.AddrPort {
+	switch {
+	case to == dispatch.AllPeers:
+		return s.broadcast
+	case int(to) < len(s.peers):
+		return s.peers[to]
+	}
+	return netip.AddrPort{}
+}
+
+// Run sends and receives until the context ends.
 func (s *Socket) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
 		<-ctx.Done()
 		return s.conn.Close()
 	})
-	g.Go(func() error {
-		for {
-			select {
-			case m := <-s.out:
-				s.write(ctx, m)
-			case <-ctx.Done():
-				return nil
-			}
-		}
-	})
-	g.Go(func() error {
-		buf := make([]byte, s.lim.PeerBytes+1)
-		for {
-			n, from, err := s.conn.ReadFromUDPAddrPort(buf)
-			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
-				return nil
-			}
-			if err != nil {
-				s.log.Debug("peer read failed", "err", err)
-				if !isSendersError(err) {
-					time.Sleep(readBackoff)
-				}
-				continue
-			}
-			from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-			if i := s.number(from); i >= 0 && n <= s.lim.PeerBytes {
-				s.sink.Peer(uint32(i), append([]byte(nil), buf[:n]...))
-			}
-		}
-	})
+	g.Go(func() error { s.writeLoop(ctx); return nil })
+	g.Go(func() error { s.readLoop(ctx); return nil })
 	return g.Wait()
 }
 
-// write sends one message. What the socket does not take is lost, as it may be on the way, whatever the reason: no memory (ENOBUFS), a
-// firewall of this machine (EPERM), no route, or an answer to an earlier datagram that nobody listens there (ECONNREFUSED).
-func (s *Socket) write(ctx context.Context, m message) {
+func (s *Socket) writeLoop(ctx context.Context) {
+	for {
+		select {
+		case m := <-s.outgoing:
+			s.write(ctx, m)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// write sends one message. If the socket does not take it the message is lost, whatever the reason: no memory
+// (ENOBUFS), a firewall of this machine (EPERM), no route, or an answer to an earlier datagram that nobody
+// listens there (ECONNREFUSED).
+func (s *Socket) write(ctx context.Context, m outgoingMessage) {
 	for {
 		_, err := s.conn.WriteToUDPAddrPort(m.data, m.to)
 		if errors.Is(err, syscall.EINTR) && ctx.Err() == nil {
@@ -167,10 +182,32 @@
 	}
 }
 
-// isSendersError says whether a read failed for an earlier datagram of ours, whose error the network gave back (udp(7)), or for a signal.
-// Each such error comes once, so the next read can follow at once.
-func isSendersError(err error) bool {
-	for _, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EINTR} {
+func (s *Socket) readLoop(ctx context.Context) {
+	buffer := make([]byte, s.limits.PeerBytes+1) // one more, so that a message that is too long is recognized
+	for {
+		n, from, err := s.conn.ReadFromUDPAddrPort(buffer)
+		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			s.log.Debug("peer read failed", "err", err)
+			if !isErrorOfAnEarlierSend(err) {
+				time.Sleep(readBackoff)
+			}
+			continue
+		}
+		if peer := s.peerIndex(from); peer != unknownPeer && n <= s.limits.PeerBytes {
+			s.sink.Peer(uint32(peer), slices.Clone(buffer[:n]))
+		}
+	}
+}
+
+// isErrorOfAnEarlierSend says whether a read failed for an earlier datagram of ours, whose error the network returned
+// (udp(7)), or for a signal. Each such error comes once, so the next read can follow at once.
+func isErrorOfAnEarlierSend(err error) bool {
+	for _, errno := range []syscall.Errno{
+		syscall.ECONNREFUSED, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EINTR,
+	} {
 		if errors.Is(err, errno) {
 			return true
 		}
@@ -178,11 +215,7 @@
 	return false
 }
 
-func (s *Socket) number(from netip.AddrPort) int {
-	for i, p := range s.peers {
-		if p == from {
-			return i
-		}
-	}
-	return -1
+// peerIndex is the index of the node at an address, or unknownPeer.
+func (s *Socket) peerIndex(from netip.AddrPort) int {
+	return slices.Index(s.peers, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -32,7 +32,7 @@
 
 // Messages reach the node they are for, from the number of the one that sent them; a stranger's and one that is
 // too long reach nobody: a datagram over 256 bytes voids the run.
-func TestPeers(t *testing.T) {
+func TestMessagesReachTheirNodeAlone(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var g errgroup.Group
@@ -92,7 +92,7 @@
 }
 
 // While a process replaces this one, both listen on the same address: the second may not fail for the first.
-func TestTwoProcessesOnOneAddress(t *testing.T) {
+func TestTwoProcessesListenOnOneAddress(t *testing.T) {
 	first, err := Listen("127.0.0.1:0", nil, "", testenv.Lim, &sink{got: map[uint32]string{}}, testenv.Quiet)
 	if err != nil {
 		t.Fatal(err)
