--- a/internal/discovery/connect_test.go
+++ b/internal/discovery/connect_test.go
@@ -54,7 +54,7 @@
 			list.Put(box, "ready")
 			run()
 			testenv.Until(t, "the list", func() bool { return len(sink.All()) == 1 })
-			if first := sink.All()[0]; first.Form != dispatch.ListFull {
+			if first := sink.All()[0]; first.Form != dispatch.ListSnapshot {
 				t.Errorf("first notified: %+v", first)
 			}
 			dialer.mu.Lock()
@@ -81,7 +81,7 @@
 	run()
 	testenv.Until(t, "the failure and the list", func() bool {
 		all := sink.All()
-		return len(all) > 1 && all[0].Form == dispatch.ListFailed && all[len(all)-1].Form == dispatch.ListFull
+		return len(all) > 1 && all[0].Form == dispatch.ListFailed && all[len(all)-1].Form == dispatch.ListSnapshot
 	})
 	dialer.mu.Lock()
 	defer dialer.mu.Unlock()
@@ -109,7 +109,7 @@
 			run()
 			testenv.Until(t, "the list, by another call", func() bool {
 				all := sink.All()
-				return len(all) > 0 && all[len(all)-1].Form == dispatch.ListFull
+				return len(all) > 0 && all[len(all)-1].Form == dispatch.ListSnapshot
 			})
 			// After silence the next call is made here, and the decision module is not notified.
 			if failed := sink.All()[0].Form == dispatch.ListFailed; failed != (errno != syscall.ETIMEDOUT) {
