--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -356,7 +356,7 @@
 		t.Fatal(err)
 	}
 	follower.start()
-	if !follower.logged("the cache can not be used") || !follower.logged("no member answered before the start") {
+	if !follower.logged("the cache can not be used") || !follower.logged("no settings from any member before the start") {
 		t.Error("a cache that was cut off is not told")
 	}
 	f.fleet[1].start()
