--- a/internal/tcpinfo/sock.go
+++ b/internal/tcpinfo/sock.go
@@ -4,6 +4,7 @@
 package tcpinfo
 
 import (
+	"errors"
 	"net"
 	"syscall"
 	"time"
@@ -75,7 +76,7 @@
 func Readable(fd uintptr) bool {
 	var b [1]byte
 	_, err := receive(int(fd), b[:], unix.MSG_PEEK)
-	return err != unix.EAGAIN
+	return !errors.Is(err, unix.EAGAIN)
 }
 
 // Take reads into b what has come on a connection, without waiting and whatever its deadlines are, and tells how much that was.
