--- a/test/copies_test.go
+++ b/test/copies_test.go
@@ -74,7 +74,7 @@
 	f := makeFleet(t, 3, 20*time.Millisecond)
 	f[0].start()
 	f[1].start()
-	f[0].until("it waits for one more", func() bool { return f[0].logged("waits for others before it begins") })
+	f[0].until("it waits for one more", func() bool { return f[0].logged("store waiting for witnesses") })
 	if out, err := f[0].stored("set", "mark", "early", "x"); err == nil {
 		t.Errorf("a write before enough are there: %s", out)
 	}
