--- /dev/null
+++ b/internal/platform/job.go
@@ -0,0 +1,102 @@
+package platform
+
+import (
+	"fmt"
+	"hash/fnv"
+	"strconv"
+	"strings"
+	"time"
+
+	"gatetack/internal/http1"
+	"gatetack/internal/node"
+)
+
+// HeaderError says which header of a job is of no use.
+type HeaderError struct {
+	Header string
+	Reason string
+}
+
+func (e *HeaderError) Error() string { return fmt.Sprintf("%s %s", e.Header, e.Reason) }
+
+// parseJob makes a job of a request. Ids may have maxID bytes.
+func parseJob(m *http1.Message, class int, names *node.Names, maxID int) (node.Job, error) {
+	job := node.Job{
+		Class:       class,
+		Trace:       m.Get("X-Trace-Id"),
+		Idempotency: m.Get("Idempotency-Key"),
+		Method:      m.Method,
+		Target:      m.Target,
+		Body:        m.Body,
+		Repeat:      m.Get("X-Second-Try") == "1",
+		Slots:       1,
+		Key:         AffinityKey(m.Cookie("key")),
+	}
+	// Ids are forwarded as they came. One that an executor can't read would end the connection there, and be taken for a
+	// fault of the executor.
+	if !http1.IsVisibleASCII(job.Trace) || len(job.Trace) > maxID {
+		return job, &HeaderError{"X-Trace-Id", "is missing, too long, or not visible ASCII"}
+	}
+	if job.Idempotency != "" && (!http1.IsVisibleASCII(job.Idempotency) || len(job.Idempotency) > maxID) {
+		return job, &HeaderError{"Idempotency-Key", "is too long or not visible ASCII"}
+	}
+	var err error
+	if job.Left, err = timeLeft(m); err != nil {
+		return job, err
+	}
+	if len(names.Tenants) > 0 {
+		var ok bool
+		if job.Tenant, ok = names.Tenant(m.Get("X-Customer")); !ok {
+			return job, &HeaderError{"X-Customer", "names no tenant"}
+		}
+	}
+	parseProperties(m, &job)
+	return job, nil
+}
+
+// timeLeft is how long the client still waits. It counts from when the request came, which can be before its
+// turn: it may have stood behind another one of its client.
+func timeLeft(m *http1.Message) (time.Duration, error) {
+	ms, err := strconv.ParseUint(m.Get("X-Expires-In-Ms"), 10, 31)
+	if err != nil {
+		return 0, &HeaderError{"X-Expires-In-Ms", "is not a whole number of milliseconds"}
+	}
+	left := time.Duration(ms) * time.Millisecond
+	if m.ReceivedAt.IsZero() {
+		return left, nil
+	}
+	return max(0, left-time.Since(m.ReceivedAt)), nil
+}
+
+// parseProperties reads what a job needs. What can't be read keeps its default, since these are hints.
+func parseProperties(m *http1.Message, job *node.Job) {
+	for property := range strings.SplitSeq(m.Get("X-Props"), ",") {
+		name, text, _ := strings.Cut(strings.TrimSpace(property), "=")
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil {
+			continue
+		}
+		switch name {
+		case "slots":
+			job.Slots = value
+		case "memory":
+			job.Memory = value
+		}
+	}
+	if work, err := strconv.ParseFloat(m.Get("X-Size-Hint"), 64); err == nil && work > 0 {
+		job.Work = work
+	}
+}
+
+// AffinityKey is the number that stands for what a request is about, 0 for nothing.
+func AffinityKey(text string) uint64 {
+	if text == "" {
+		return 0
+	}
+	if key, err := strconv.ParseUint(text, 16, 64); err == nil {
+		return key
+	}
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(text))
+	return hash.Sum64()
+}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -39,12 +39,13 @@
 
 // What can not be a job gets an error and never reaches the core, nor does its connection count as a client's; a job
 // does, and a refusal tells when to come back, within the settings' bound.
-func TestWhatIsAJob(t *testing.T) {
+func TestMalformedJobsAreRejectedBeforeTheCore(t *testing.T) {
 	c := &core{}
 	f := New(c, c, testenv.Lim, testenv.Quiet)
 	ask := func(method, target string, change map[string]string) http1.Response {
 		m := &http1.Message{Method: method, Target: target}
-		for name, value := range map[string]string{"X-Trace-Id": "9b1f03aa5c7e2d41", "X-Customer": "maavaade", "X-Expires-In-Ms": "7500"} {
+		headers := map[string]string{"X-Trace-Id": "9b1f03aa5c7e2d41", "X-Customer": "maavaade", "X-Expires-In-Ms": "7500"}
+		for name, value := range headers {
 			if v, ok := change[name]; ok {
 				value = v
 			}
@@ -71,11 +72,13 @@
 		{"POST", "/tile-charge", map[string]string{"X-Expires-In-Ms": "99999999999999999999"}, 400},
 	} {
 		if r := ask(x.method, x.target, x.change); r.Status != x.status || r.KnownClient || len(c.jobs) != 0 {
-			t.Errorf("%s %s %q: %d known %v with %d jobs taken, want %d", x.method, x.target, x.change, r.Status, r.KnownClient, len(c.jobs), x.status)
+			t.Errorf("%s %s %q: %d known %v with %d jobs taken, want %d",
+				x.method, x.target, x.change, r.Status, r.KnownClient, len(c.jobs), x.status)
 		}
 	}
 	r := ask("POST", "/tile-charge/x?y=1", nil)
-	if r.Status != 503 || !r.KnownClient || len(c.jobs) != 1 || c.jobs[0].Trace != "9b1f03aa5c7e2d41" || c.jobs[0].Target != "/tile-charge/x?y=1" {
+	if r.Status != 503 || !r.KnownClient || len(c.jobs) != 1 ||
+		c.jobs[0].Trace != "9b1f03aa5c7e2d41" || c.jobs[0].Target != "/tile-charge/x?y=1" {
 		t.Errorf("%+v %+v", r, c.jobs)
 	}
 	if (&http1.Message{Fields: r.Fields}).Get("Retry-After") != "1.000" {
@@ -84,7 +87,7 @@
 }
 
 // A drained node says no to the front's health checks, so that clients are sent elsewhere.
-func TestDrainedIsNotHealthy(t *testing.T) {
+func TestDrainedNodeFailsHealthChecks(t *testing.T) {
 	c := &core{}
 	f := New(c, c, testenv.Lim, testenv.Quiet)
 	health := func() int {
@@ -115,7 +118,8 @@
 	<-c.told
 }
 
-// The check before an attempt's bytes knows of a client's end from the request's context alone, though the core can not be told of it.
+// The check before an attempt's bytes knows of a client's end from the request's context alone, though the core
+// can not be told of it.
 func TestCheckBeforeSendKnowsOfAClientsEndWhileTheCoreIsBusy(t *testing.T) {
 	c := &blockedCore{told: make(chan bool)}
 	f := New(c, c, testenv.Lim, testenv.Quiet)
@@ -123,7 +127,10 @@
 	answered := make(chan http1.Response)
 	go func() {
 		answered <- f.Handle(ctx, &http1.Message{Method: "POST", Target: "/tile-charge", Fields: []http1.Field{
-			{Name: "X-Trace-Id", Value: "9b1f03aa5c7e2d41"}, {Name: "X-Customer", Value: "maavaade"}, {Name: "X-Expires-In-Ms", Value: "7500"}}})
+			{Name: "X-Trace-Id", Value: "9b1f03aa5c7e2d41"},
+			{Name: "X-Customer", Value: "maavaade"},
+			{Name: "X-Expires-In-Ms", Value: "7500"},
+		}})
 	}()
 	leave()
 	<-c.told // and its event waits from here on
@@ -141,8 +148,8 @@
 
 func (c callbacksThatFail) Callback([]byte) error { return c.err }
 
-// A callback that could not be taken in is answered with an error, so that the executor calls again; one that is of no use
-// is not wanted again.
+// A callback that could not be taken in is answered with an error, so that the executor calls again; one that is
+// of no use is not wanted again.
 func TestRefusedCallbackIsNotAcknowledged(t *testing.T) {
 	for _, x := range []struct {
 		err    error
