--- a/internal/executor/cancel.go
+++ b/internal/executor/cancel.go
@@ -54,7 +54,7 @@
 // crossed the cancel says that the executor has the job, and a close is no sign to it any more: it is told by DELETE.
 func (c *Client) drainAnswer(attempt *activeAttempt, conn *connection) {
 	unread := make([]byte, conn.input.Free())
-	conn.input.Put(unread[:tcpinfo.Take(conn.Conn, unread)])
+	conn.input.Put(unread[:tcpinfo.ReadReceived(conn.Conn, unread)])
 	message, _ := conn.parser.Feed(conn.input) // an answer that is broken concerns nobody: the attempt has ended
 	if isAccepted(message, conn.parser) {
 		c.recordAccepted(attempt)
--- a/internal/executor/connection.go
+++ b/internal/executor/connection.go
@@ -48,7 +48,9 @@
 
 // isIdle says that the other side has neither closed an idle connection nor written to it. A request written to one
 // that it has closed would count as sent, and might have run.
-func (conn *connection) isIdle() bool { return conn.input.Len() == 0 && tcpinfo.Quiet(conn.Conn) }
+func (conn *connection) isIdle() bool {
+	return conn.input.Len() == 0 && tcpinfo.NothingToRead(conn.Conn)
+}
 
 // lastBytePause is how long a request's last byte is held back: a round trip, about.
 func (conn *connection) lastBytePause(lim limits.Limits) time.Duration {
@@ -78,17 +80,17 @@
 func (conn *connection) isAcknowledged(ctx context.Context, lim limits.Limits, sent bool) (left int, ok bool) {
 	end := time.Now().Add(lim.Pace.BoxOut.Grace)
 	for look := conn.lastBytePause(lim); ; look = min(2*look, maxAckLook) {
-		info, known := tcpinfo.Of(conn.Conn)
-		if !known || info.Queued == 0 || info.Unsent == 0 && !sent {
+		info, known := tcpinfo.Get(conn.Conn)
+		if !known || info.Unacknowledged == 0 || info.Unsent == 0 && !sent {
 			return 0, true
 		}
 		if !time.Now().Before(end) {
-			return info.Queued, false
+			return info.Unacknowledged, false
 		}
 		select {
 		case <-time.After(min(look, time.Until(end))):
 		case <-ctx.Done():
-			return info.Queued, false
+			return info.Unacknowledged, false
 		}
 	}
 }
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -46,7 +46,7 @@
 		_, _ = readRequest(r)
 		<-accept
 		_, _ = io.WriteString(conn, acceptedAnswer)
-		testenv.Until(t, "the other side has the 202", func() bool { return tcpinfo.Queued(conn) == 0 })
+		testenv.Until(t, "the other side has the 202", func() bool { return tcpinfo.Unacknowledged(conn) == 0 })
 		told <- true
 		_, _ = r.ReadByte() // until it is closed
 	}, func(conn net.Conn) {
--- a/internal/http1/closing_test.go
+++ b/internal/http1/closing_test.go
@@ -128,7 +128,7 @@
 	if _, err := io.WriteString(client, part); err != nil {
 		t.Error(err)
 	}
-	waitFor(t, "the bytes have come", func() bool { return !tcpinfo.Quiet(c.TCPConn) })
+	waitFor(t, "the bytes have come", func() bool { return !tcpinfo.NothingToRead(c.TCPConn) })
 }
 
 // receive waits for a signal of the test's.
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -61,7 +61,7 @@
 
 // nothingUnread says whether all that the client sent is parsed. Bytes go from the kernel to the reader, so the
 // kernel is asked first: in the other order bytes on their way would be missed.
-func (c *conn) nothingUnread() bool { return tcpinfo.Quiet(c.Conn) && c.unparsed.Load() == 0 }
+func (c *conn) nothingUnread() bool { return tcpinfo.NothingToRead(c.Conn) && c.unparsed.Load() == 0 }
 
 // closeWrite tells the client that no more answers come.
 func (c *conn) closeWrite() error {
--- a/internal/http1/minrate.go
+++ b/internal/http1/minrate.go
@@ -241,7 +241,7 @@
 	now := time.Now()
 	if !c.send.meter.Waiting() || first && c.observeAcknowledged(now) == 0 {
 		c.send.meter.Start(now)
-		c.send.written, c.send.acknowledged = int64(tcpinfo.Queued(c.Conn)), 0
+		c.send.written, c.send.acknowledged = int64(tcpinfo.Unacknowledged(c.Conn)), 0
 	}
 	c.send.blockedSince = now
 	_ = c.SetWriteDeadline(earlierDeadline(c.send.bound, &c.send.meter))
@@ -269,7 +269,7 @@
 // observeAcknowledged counts what the peer's machine has acknowledged as progress, and returns how many bytes it
 // has not. c.mu is held.
 func (c *MinRateConn) observeAcknowledged(now time.Time) int {
-	unacknowledged := tcpinfo.Queued(c.Conn)
+	unacknowledged := tcpinfo.Unacknowledged(c.Conn)
 	if total := c.send.written - int64(unacknowledged); total > c.send.acknowledged {
 		c.send.meter.Moved(int(total-c.send.acknowledged), now)
 		c.send.acknowledged = total
--- a/internal/http1/minrate_test.go
+++ b/internal/http1/minrate_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func queued(c *MinRateConn) int { return tcpinfo.Queued(c.Conn) }
+func queued(c *MinRateConn) int { return tcpinfo.Unacknowledged(c.Conn) }
 
 var quietLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
--- a/internal/http1/ordering_test.go
+++ b/internal/http1/ordering_test.go
@@ -25,7 +25,7 @@
 		c.watch.Lock()
 		came := c.bytesBehind
 		c.watch.Unlock()
-		return came && tcpinfo.Quiet(c.Conn)
+		return came && tcpinfo.NothingToRead(c.Conn)
 	}
 	return false
 }
@@ -124,7 +124,7 @@
 			t.Fatal(err)
 		}
 		if bytes != "" {
-			waitFor(t, "the bytes have come", func() bool { return !tcpinfo.Quiet(c.Conn) })
+			waitFor(t, "the bytes have come", func() bool { return !tcpinfo.NothingToRead(c.Conn) })
 		}
 		return c
 	}
@@ -149,7 +149,7 @@
 		t.Fatal(err)
 	}
 	waitFor(t, "the reader has told", func() bool { return len(oldest.readDone) == 1 })
-	if !tcpinfo.Quiet(oldest.Conn) {
+	if !tcpinfo.NothingToRead(oldest.Conn) {
 		t.Fatal("bytes are left in the kernel")
 	}
 	if _, _ = admit(); oldest.phase != idle {
--- a/internal/http1/pipelining_test.go
+++ b/internal/http1/pipelining_test.go
@@ -154,7 +154,7 @@
 		s.admit(server[i])
 		if i == 0 {
 			_, _ = io.WriteString(c, get[:1])
-			waitFor(t, "the byte has come", func() bool { return !tcpinfo.Quiet(nc) })
+			waitFor(t, "the byte has come", func() bool { return !tcpinfo.NothingToRead(nc) })
 		}
 	}
 	s.CloseIdle()
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -195,7 +195,7 @@
 type receivedBytes struct{ net.Conn }
 
 func (r receivedBytes) Read(b []byte) (int, error) {
-	if n := tcpinfo.Take(r.Conn, b); n > 0 {
+	if n := tcpinfo.ReadReceived(r.Conn, b); n > 0 {
 		return n, nil
 	}
 	return 0, io.EOF
--- a/internal/tcpinfo/connect.go
+++ b/internal/tcpinfo/connect.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// localConnectErrors are those of socket(2) and connect(2) that name a lack on this machine: of ports, descriptors, memory, a route
-// or a permission. They say nothing of the other side, to which nothing was sent.
+// localConnectErrors are those of socket(2) and connect(2) that name a lack on this machine: of ports,
+// descriptors, memory, a route or a permission. They say nothing of the other side, to which nothing was sent.
 var localConnectErrors = []syscall.Errno{
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN,
 	syscall.EMFILE, syscall.ENFILE,
--- /dev/null
+++ b/internal/tcpinfo/connect_test.go
@@ -0,0 +1,27 @@
+package tcpinfo
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"syscall"
+	"testing"
+)
+
+// Lacks of this machine are told from what the other side or the way to it answers, however the error is wrapped.
+func TestLocalConnectErrorsAreToldFromRemoteOnes(t *testing.T) {
+	for errno, want := range map[syscall.Errno]bool{
+		syscall.EADDRNOTAVAIL: true, syscall.EMFILE: true, syscall.ENFILE: true, syscall.ENOBUFS: true, syscall.ENOMEM: true,
+		syscall.ENETUNREACH: true, syscall.ENETDOWN: true, syscall.EAGAIN: true, syscall.EPERM: true, syscall.EINTR: true,
+		syscall.ECONNREFUSED: false, syscall.ECONNRESET: false, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false,
+	} {
+		err := fmt.Errorf("connecting: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)})
+		if got := IsLocalConnectError(err); got != want {
+			t.Errorf("%v: %v", errno, got)
+		}
+	}
+	if IsLocalConnectError(nil) || IsLocalConnectError(errors.New("EMFILE")) {
+		t.Error("an error that is none of the system's counts as local")
+	}
+}
