--- /dev/null
+++ b/internal/discovery/lines.go
@@ -0,0 +1,116 @@
+package discovery
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+
+	"github.com/tidwall/gjson"
+
+	"gatetack/internal/node"
+)
+
+// lineSplitter cuts a body into lines of a bounded length. An indented object spans several lines and counts as one. A
+// broken object must not swallow what comes after it, so an empty line, or a whole list on a line of its own, ends it.
+type lineSplitter struct {
+	maxBytes int
+	buf      []byte
+	takeLine func([]byte) error
+
+	lineStart int // where the last line begins of an object that spans several
+	depth     int // of open brackets
+	inString  bool
+	escaped   bool // behind a backslash in a string
+
+	unbroken bool // the last line was taken before its line break came
+}
+
+func (s *lineSplitter) feed(b []byte) error {
+	for {
+		i := bytes.IndexByte(b, '\n')
+		broken := i >= 0
+		if !broken {
+			i = len(b)
+		}
+		if len(s.buf)+i > s.maxBytes {
+			return fmt.Errorf("a line is longer than %d bytes", s.maxBytes)
+		}
+		s.add(b[:i])
+		b = b[min(i+1, len(b)):]
+		var err error
+		switch {
+		case broken && s.objectOpen() && !s.inString:
+			if len(bytes.TrimSpace(s.buf[s.lineStart:])) == 0 || s.lineStart > 0 && isList(s.buf[s.lineStart:]) {
+				return errors.New("an object that is not whole when the next line comes")
+			}
+			s.buf = append(s.buf, '\n')
+			s.lineStart = len(s.buf)
+		case broken && s.unbroken && len(bytes.TrimSpace(s.buf)) == 0: // the break of a line that was taken already
+			s.buf, s.unbroken = s.buf[:0], false
+		case broken || s.objectWhole():
+			err = s.endLine()
+			s.unbroken = !broken
+		}
+		if err != nil || len(b) == 0 {
+			return err
+		}
+	}
+}
+
+// add appends a part of a line.
+func (s *lineSplitter) add(b []byte) {
+	s.buf = append(s.buf, b...)
+	for _, c := range b {
+		switch {
+		case s.escaped:
+			s.escaped = false
+		case s.inString:
+			s.escaped, s.inString = c == '\\', c != '"'
+		case c == '"':
+			s.inString = true
+		case c == '{' || c == '[':
+			s.depth++
+		case c == '}' || c == ']':
+			s.depth--
+		}
+	}
+}
+
+// objectOpen says that an object has begun and not ended.
+func (s *lineSplitter) objectOpen() bool {
+	t := bytes.TrimLeft(s.buf, " \t\r\n")
+	return len(t) > 0 && t[0] == '{' && s.depth > 0
+}
+
+// started says that a part of a line has come.
+func (s *lineSplitter) started() bool { return len(s.buf) > 0 }
+
+// objectWhole says that the buffer holds a whole object, though its line break has not come: it counts as notified,
+// whether the break still comes or not.
+func (s *lineSplitter) objectWhole() bool {
+	t := bytes.TrimSpace(s.buf)
+	return s.depth == 0 && len(t) > 1 && t[0] == '{' && t[len(t)-1] == '}' && gjson.ValidBytes(t)
+}
+
+func isList(b []byte) bool {
+	if !gjson.ValidBytes(b) {
+		return false
+	}
+	_, err := node.ParseList(gjson.ParseBytes(b))
+	return err == nil
+}
+
+// endLine takes what the buffer holds as a line.
+func (s *lineSplitter) endLine() error {
+	err := s.takeLine(s.buf)
+	s.buf, s.lineStart, s.depth, s.inString, s.escaped = s.buf[:0], 0, 0, false, false
+	return err
+}
+
+// finish takes what follows the last line break.
+func (s *lineSplitter) finish() error {
+	if !s.started() {
+		return nil
+	}
+	return s.endLine()
+}
--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -43,8 +43,9 @@
 	syscall.EINTR: acceptSkipped, syscall.EAGAIN: acceptSkipped,
 	syscall.ECONNABORTED: acceptSkipped, syscall.ECONNRESET: acceptSkipped, syscall.ETIMEDOUT: acceptSkipped,
 	syscall.EPROTO: acceptSkipped, syscall.EPERM: acceptSkipped,
-	syscall.ENETDOWN: acceptSkipped, syscall.ENOPROTOOPT: acceptSkipped, syscall.EHOSTDOWN: acceptSkipped, syscall.ENONET: acceptSkipped,
-	syscall.EHOSTUNREACH: acceptSkipped, syscall.EOPNOTSUPP: acceptSkipped, syscall.ENETUNREACH: acceptSkipped,
+	syscall.ENETDOWN: acceptSkipped, syscall.ENETUNREACH: acceptSkipped, syscall.ENONET: acceptSkipped,
+	syscall.EHOSTDOWN: acceptSkipped, syscall.EHOSTUNREACH: acceptSkipped,
+	syscall.ENOPROTOOPT: acceptSkipped, syscall.EOPNOTSUPP: acceptSkipped,
 	syscall.EMFILE: acceptNoDescriptor, syscall.ENFILE: acceptNoDescriptor,
 	syscall.ENOBUFS: acceptBackoff, syscall.ENOMEM: acceptBackoff,
 }
@@ -106,8 +107,8 @@
 
 // register makes a connection of the server's of one that was accepted.
 func (s *Server) register(accepted net.Conn) *conn {
-	tcpinfo.Bound(accepted, s.limits.Pace.SendBuf, 0)
-	tcpinfo.Forget(accepted, s.limits.Pace.Forget)
+	tcpinfo.SetBuffers(accepted, s.limits.Pace.SendBuf, 0)
+	tcpinfo.SetUserTimeout(accepted, s.limits.Pace.Forget)
 	c := newConn(accepted, &s.limits)
 	// Past the budget, where all others are busy, a connection gets one answer. Past the reserve too it is refused
 	// as soon as its request has come: its client waits for nothing, and a request that is left in the listener's
