--- a/internal/executor/connfault_test.go
+++ b/internal/executor/connfault_test.go
@@ -35,7 +35,11 @@
 
 // Requests and answers pass whole though each read and each write moves one byte, interrupted or not ready in between.
 func TestConnectionThatMovesOneByteAtATime(t *testing.T) {
-	for name, between := range map[string]error{"short": nil, "EAGAIN": connError("read", syscall.EAGAIN)} {
+	for name, between := range map[string]error{
+		"short":  nil,
+		"EINTR":  connError("read", syscall.EINTR),
+		"EAGAIN": connError("read", syscall.EAGAIN),
+	} {
 		t.Run(name, func(t *testing.T) {
 			c, s := newClient(t, testenv.Lim)
 			n := startRawExecutor(t, c, answering(acceptedAnswer))
