--- a/internal/batch/template.go
+++ b/internal/batch/template.go
@@ -172,7 +172,7 @@
 	}
 	// The class says what a repeat may do. A template may agree with it; it can not widen it, nor is there a way to tell
 	// a box that drops repeats not to.
-	if rerunnable != nil && *rerunnable != (class.Effect != dispatch.Unsafe) {
+	if rerunnable != nil && *rerunnable != (class.RetrySafety != dispatch.AtMostOnce) {
 		if *rerunnable {
 			return nil, invalid("rerunnable", "a job of this category must never run twice")
 		}
@@ -261,12 +261,12 @@
 		}
 	case "remoteCommand":
 		// It becomes a part of a request's first line: anything else there could be read as another request.
-		if !http1.Visible(v.Str) || len(v.Str) > f.lim.Line/2 || v.Str[0] != '/' {
+		if !http1.IsVisibleASCII(v.Str) || len(v.Str) > f.lim.Line/2 || v.Str[0] != '/' {
 			return errors.New("not a path")
 		}
 		t.job.Target = v.Str
 	case "idempotencyKey":
-		if !http1.Visible(v.Str) || len(v.Str) > 256 {
+		if !http1.IsVisibleASCII(v.Str) || len(v.Str) > 256 {
 			return errors.New("not a word of 1 to 256 visible characters")
 		}
 		t.job.Idempotency, t.same = v.Str, v.Str
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -101,7 +101,7 @@
 	case ConnectFailed:
 		executor.load.freeSlots += job.slots
 		d.noteDialFailure(executor)
-	case Moot:
+	case CanceledBeforeSend:
 		executor.load.freeSlots += job.slots
 	}
 }
@@ -181,7 +181,8 @@
 	outlier.onProbation = true
 	d.outliers.ejected = append(d.outliers.ejected, executor)
 	outlier.errorAverage = min(outlier.errorAverage, ejectionErrorRate)
-	d.logf("eject worker %d for %s until %.0f, strike %d", executor.id, reason, outlier.ejectedUntil, outlier.ejections)
+	d.logf("executor ejected executor=%d reason=%q until=%.0f consecutive_ejections=%d",
+		executor.id, reason, outlier.ejectedUntil, outlier.ejections)
 }
 
 // detectOutliers finds unresponsive executors, and whether so many are out that ejections are ignored.
@@ -198,7 +199,7 @@
 		d.updateResponsiveness(executor)
 		// Executors that are all slow together still send progress notes: where there are notes, silence does not come of
 		// slowness.
-		if executor.outlier.unresponsive && d.settings.Progress <= 0 && d.now >= executor.outlier.ejectedUntil {
+		if executor.outlier.unresponsive && d.settings.ProgressInterval <= 0 && d.now >= executor.outlier.ejectedUntil {
 			out++
 		}
 	}
@@ -206,7 +207,7 @@
 	if panicking != d.outliers.panicking {
 		d.outliers.panicking = panicking
 		d.needsPlacement = true
-		d.logf("%d of %d workers ejected, ignored %v", out, len(d.endpoints.listed), panicking)
+		d.logf("ejections ignored active=%v ejected=%d executors=%d", panicking, out, len(d.endpoints.listed))
 	}
 }
 
@@ -221,14 +222,14 @@
 				continue
 			}
 			since := max(attempt.sentAt, executor.outlier.lastHeard)
-			if attempt.startedAt == 0 && d.settings.TellsStart {
+			if attempt.startedAt == 0 && d.settings.NotesStart {
 				since += queuedGraceFactor * d.serviceTimes.startDelay // nothing is heard of a queued job
 			}
 			unresponsive = unresponsive || d.now-since > timeout
 		}
 	}
 	if unresponsive && !executor.outlier.unresponsive {
-		d.logf("worker %d silent", executor.id)
+		d.logf("executor unresponsive executor=%d", executor.id)
 		executor.outlier.retryAt = d.now + timeout*(0.25+0.5*d.random())
 	}
 	executor.outlier.unresponsive = unresponsive
@@ -244,7 +245,7 @@
 	}
 	executor.outlier.unresponsive, executor.outlier.retries = false, 0
 	d.needsPlacement = true
-	d.logf("worker %d heard of again", executor.id)
+	d.logf("executor responsive executor=%d", executor.id)
 	for _, job := range executor.inFlight.jobs {
 		for i := range job.attempts {
 			if attempt := &job.attempts[i]; attempt.isOpen(executor) {
@@ -258,8 +259,8 @@
 
 // unresponsiveTimeout is how long an executor with attempts in flight may give no sign of life.
 func (d *Dispatcher) unresponsiveTimeout() float64 {
-	if d.settings.Progress > 0 {
-		return unresponsiveIntervals * d.settings.Progress
+	if d.settings.ProgressInterval > 0 {
+		return unresponsiveIntervals * d.settings.ProgressInterval
 	}
 	return unresponsiveIntervals * unnotedIntervalFactor * d.serviceTimes.classes[0].work / d.serviceTimes.meanSpeed()
 }
--- a/internal/executor/connection.go
+++ b/internal/executor/connection.go
@@ -17,7 +17,7 @@
 
 // connection is a connection to an executor, with one ring buffer for each direction. One goroutine uses it at a time.
 type connection struct {
-	*http1.Paced
+	*http1.MinRateConn
 	addr        string
 	input       *http1.Ring
 	output      *http1.Writer
@@ -32,7 +32,7 @@
 
 // readResponse gives the next response.
 func (conn *connection) readResponse() (*http1.Message, error) {
-	return conn.parser.Read(conn.input, conn.Paced)
+	return conn.parser.Read(conn.input, conn.MinRateConn)
 }
 
 // roundTrip makes a request without a body and reads its response.
@@ -48,7 +48,9 @@
 
 // isIdle says that the other side has neither closed an idle connection nor written to it. A request written to one
 // that it has closed would count as sent, and might have run.
-func (conn *connection) isIdle() bool { return conn.input.Len() == 0 && tcpinfo.Quiet(conn.Conn) }
+func (conn *connection) isIdle() bool {
+	return conn.input.Len() == 0 && tcpinfo.NothingToRead(conn.Conn)
+}
 
 // lastBytePause is how long a request's last byte is held back: a round trip, about.
 func (conn *connection) lastBytePause(lim limits.Limits) time.Duration {
@@ -58,9 +60,9 @@
 // isOpenAfterPause waits for the pause before a request's last byte, in which the other side can show that it does not
 // take the request: by ending the connection, or by an answer before it has the whole of it.
 func (conn *connection) isOpenAfterPause(lim limits.Limits) bool {
-	conn.ReadBy(time.Now().Add(conn.lastBytePause(lim)))
-	n, err := conn.input.Fill(conn.Paced)
-	conn.ReadBy(time.Time{})
+	conn.BoundReads(time.Now().Add(conn.lastBytePause(lim)))
+	n, err := conn.input.Fill(conn.MinRateConn)
+	conn.BoundReads(time.Time{})
 	return n == 0 && isTimeout(err)
 }
 
@@ -78,17 +80,17 @@
 func (conn *connection) isAcknowledged(ctx context.Context, lim limits.Limits, sent bool) (left int, ok bool) {
 	end := time.Now().Add(lim.Pace.BoxOut.Grace)
 	for look := conn.lastBytePause(lim); ; look = min(2*look, maxAckLook) {
-		info, known := tcpinfo.Of(conn.Conn)
-		if !known || info.Queued == 0 || info.Unsent == 0 && !sent {
+		info, known := tcpinfo.Get(conn.Conn)
+		if !known || info.Unacknowledged == 0 || info.Unsent == 0 && !sent {
 			return 0, true
 		}
 		if !time.Now().Before(end) {
-			return info.Queued, false
+			return info.Unacknowledged, false
 		}
 		select {
 		case <-time.After(min(look, time.Until(end))):
 		case <-ctx.Done():
-			return info.Queued, false
+			return info.Unacknowledged, false
 		}
 	}
 }
--- a/internal/executor/healthcheck.go
+++ b/internal/executor/healthcheck.go
@@ -18,8 +18,8 @@
 	if err != nil {
 		return nil, err
 	}
-	conn.ReadBy(deadline)
-	conn.WriteBy(deadline)
+	conn.BoundReads(deadline)
+	conn.BoundWrites(deadline)
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	message, err := conn.roundTrip(method, target)
 	if stop() && err == nil && !message.Close {
@@ -50,7 +50,7 @@
 	connect := (*ConnectError)(nil)
 	switch {
 	case isLocalFault(err):
-		return dispatch.Moot // it says nothing of the executor
+		return dispatch.CanceledBeforeSend // it says nothing of the executor
 	case errors.As(err, &connect):
 		return dispatch.ConnectFailed
 	case err != nil && ctx.Err() != nil:
--- a/internal/scale/hollow/dispatcher.go
+++ b/internal/scale/hollow/dispatcher.go
@@ -37,7 +37,7 @@
 		return nil, fmt.Errorf("hollow dispatcher: %w", err)
 	}
 	executors := attempts.New(ctx, g, c.Limits, c.Names, core, core.Slow(), log)
-	lists := discovery.New(c.Discovery, c.Known.Index, !c.Settings.Ask, c.Limits, core, core.Slow(), log)
+	lists := discovery.New(c.Discovery, c.Known.Index, !c.Settings.PollsList, c.Limits, core, core.Slow(), log)
 	peers, err := peer.Listen(c.PeerListen, c.Peers, c.PeersAll, c.Limits, core, log)
 	if err != nil {
 		return nil, fmt.Errorf("hollow dispatcher: %w", err)
@@ -69,7 +69,7 @@
 	if err != nil && !errors.Is(err, attempts.ErrNotOurs) {
 		return http1.Text(400, "%v", err)
 	}
-	return http1.Response{Status: 204, Known: err == nil}
+	return http1.Response{Status: 204, KnownClient: err == nil}
 }
 
 // waiter is a client that waits for its answer.
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -17,60 +17,61 @@
 	"gatetack/internal/membership"
 )
 
-// disk is the store's log, votes and snapshots as raft sees them. What goes in carries a checksum, and what comes out is held to
-// it: a byte that the disk has changed is neither applied nor sent to another member. After each write the mark is made, before
-// anybody hears that it was done; and it is known since when a write has not come back.
+// disk is the log, the votes and the snapshots of a member as raft sees them. Entries are stored with a checksum and
+// verified when they are read, so that a byte which the disk changed is neither applied nor sent to another member.
+// The watermark is raised after each write and before the write is acknowledged. A write that does not return is
+// noticed by its start time.
 type disk struct {
 	*boltdb.BoltStore
 	raft.SnapshotStore
-	mark  *mark
-	meets func() failpoint.Disk // what a write meets, in tests; nil: nothing
+	watermark  *watermark
+	writeFault func() failpoint.Disk // what happens to a write, in tests, nil for nothing
 
-	mu   sync.Mutex
-	busy time.Time // since when a write is under way, zero for none
-	bad  error     // of the last write, nil once one was made
+	mu           sync.Mutex
+	writeStarted time.Time // of the write that has not returned, zero for none
+	lastError    error     // of the last write, nil if it succeeded
 
-	closed chan struct{}
-	once   sync.Once
-	dead   atomic.Bool // it was closed with a write that did not come back: nothing is told to the others any more
+	closed    chan struct{}
+	once      sync.Once
+	abandoned atomic.Bool // closed during a write: other members are told nothing any more
 }
 
 func newDisk(log *boltdb.BoltStore, meets func() failpoint.Disk) *disk {
-	return &disk{BoltStore: log, meets: meets, closed: make(chan struct{})}
+	return &disk{BoltStore: log, writeFault: meets, closed: make(chan struct{})}
 }
 
-// Close ends the files.
+// Close closes the files.
 func (d *disk) Close() error {
 	d.release()
 	return d.BoltStore.Close()
 }
 
-// release ends what waits.
-func (d *disk) release() { d.once.Do(func() { d.dead.Store(true); close(d.closed) }) }
+// release ends writes that tests hold up.
+func (d *disk) release() { d.once.Do(func() { d.abandoned.Store(true); close(d.closed) }) }
 
 // write makes one write.
 func (d *disk) write(do func() error) error {
 	d.mu.Lock()
-	d.busy = time.Now()
+	d.writeStarted = time.Now()
 	d.mu.Unlock()
-	err := d.meet()
+	err := d.applyFault()
 	if err == nil {
 		err = do()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.busy = time.Time{}
-	if d.bad = nil; err != nil {
-		d.bad = &DiskError{"write", err}
+	d.writeStarted = time.Time{}
+	if d.lastError = nil; err != nil {
+		d.lastError = &DiskError{"write", err}
 	}
 	return err
 }
 
-func (d *disk) meet() error {
-	if d.meets == nil {
+func (d *disk) applyFault() error {
+	if d.writeFault == nil {
 		return nil
 	}
-	x := d.meets()
+	x := d.writeFault()
 	if x.Waits != 0 {
 		var over <-chan time.Time
 		if x.Waits > 0 {
@@ -87,43 +88,43 @@
 	return nil
 }
 
-// stalled says for how long a write has not come back, and what the last one failed with.
+// stalled returns for how long a write has not returned, and the error of the last one.
 func (d *disk) stalled() (time.Duration, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.busy.IsZero() {
-		return 0, d.bad
+	if d.writeStarted.IsZero() {
+		return 0, d.lastError
 	}
-	return time.Since(d.busy), d.bad
+	return time.Since(d.writeStarted), d.lastError
 }
 
-// StoreLogs writes entries. Raft calls it, and counts them as acknowledged once it returns.
+// StoreLogs writes entries. Raft counts them as acknowledged once it returns.
 func (d *disk) StoreLogs(logs []*raft.Log) error {
 	sealed := make([]*raft.Log, len(logs))
-	var last membership.Point
+	var last membership.Position
 	for i, l := range logs {
 		x := *l
 		x.Extensions = seal(&x)
 		sealed[i] = &x
-		last = membership.Point{Term: l.Term, Index: l.Index}
+		last = membership.Position{Term: l.Term, Index: l.Index}
 	}
 	return d.write(func() error {
 		if err := d.BoltStore.StoreLogs(sealed); err != nil {
 			return err
 		}
-		return d.mark.note(last, 0)
+		return d.watermark.raise(last, 0)
 	})
 }
 
-// StoreLog writes one.
+// StoreLog writes one entry.
 func (d *disk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
-// DeleteRange takes entries away.
+// DeleteRange deletes entries.
 func (d *disk) DeleteRange(first, last uint64) error {
 	return d.write(func() error { return d.BoltStore.DeleteRange(first, last) })
 }
 
-// GetLog reads an entry. One of before there were checksums is taken as it is.
+// GetLog reads an entry. An entry from before there were checksums is not verified.
 func (d *disk) GetLog(index uint64, l *raft.Log) error {
 	if err := d.BoltStore.GetLog(index, l); err != nil {
 		return err
@@ -131,20 +132,20 @@
 	return unseal(index, l)
 }
 
-// Set and SetUint64 write votes and terms.
+// Set writes a value of raft's.
 func (d *disk) Set(key, value []byte) error {
 	return d.write(func() error { return d.BoltStore.Set(key, value) })
 }
 
-// SetUint64 writes a term: the current one, and that of the last vote. Raft ends the process where that fails, and a full disk
-// is no reason to: it is written again until it is in, and this member, which does nothing meanwhile, is one that is away.
+// SetUint64 writes a term, the current one or that of the last vote. Raft would end the process if that failed, and a
+// full disk is no reason to: the write is repeated until it succeeds, and meanwhile this member does nothing.
 func (d *disk) SetUint64(key []byte, value uint64) error {
 	for wait := 10 * time.Millisecond; ; wait = min(2*wait, time.Second) {
 		err := d.write(func() error {
 			if err := d.BoltStore.SetUint64(key, value); err != nil {
 				return err
 			}
-			return d.mark.note(membership.Point{}, value)
+			return d.watermark.raise(membership.Position{}, value)
 		})
 		if err == nil {
 			return nil
@@ -152,50 +153,55 @@
 		select {
 		case <-time.After(wait):
 		case <-d.closed:
-			return nil // and nobody hears of it
+			return nil // the process ends, and raft tells nobody
 		}
 	}
 }
 
-// Create begins a snapshot. One that a leader sent stands for the entries in it, and is acknowledged as they are.
-func (d *disk) Create(version raft.SnapshotVersion, index, term uint64, configuration raft.Configuration, configurationIndex uint64,
-	trans raft.Transport) (raft.SnapshotSink, error) {
+// Create creates a snapshot. One that a leader sent stands for the entries in it, and is acknowledged as they are.
+func (d *disk) Create(
+	version raft.SnapshotVersion,
+	index, term uint64,
+	configuration raft.Configuration,
+	configurationIndex uint64,
+	trans raft.Transport,
+) (raft.SnapshotSink, error) {
 	sink, err := d.SnapshotStore.Create(version, index, term, configuration, configurationIndex, trans)
 	if err != nil {
 		return nil, err
 	}
-	return &noted{SnapshotSink: sink, d: d, last: membership.Point{Term: term, Index: index}}, nil
+	return &watermarkedSink{SnapshotSink: sink, d: d, last: membership.Position{Term: term, Index: index}}, nil
 }
 
-type noted struct {
+type watermarkedSink struct {
 	raft.SnapshotSink
 	d    *disk
-	last membership.Point
+	last membership.Position
 }
 
-// Close ends a snapshot.
-func (n *noted) Close() error {
+// Close completes a snapshot.
+func (n *watermarkedSink) Close() error {
 	return n.d.write(func() error {
 		if err := n.SnapshotSink.Close(); err != nil {
 			return err
 		}
-		return n.d.mark.note(n.last, 0)
+		return n.d.watermark.raise(n.last, 0)
 	})
 }
 
-// List and Open are the snapshots'.
+// List returns the snapshots.
 func (d *disk) List() ([]*raft.SnapshotMeta, error) { return d.SnapshotStore.List() }
 
-// Open reads one.
+// Open opens a snapshot.
 func (d *disk) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	return d.SnapshotStore.Open(id)
 }
 
-// sealMark begins the extension of an entry that holds its checksum: raft leaves extensions to what stands around it.
-var sealMark = []byte{0x67, 0x74, 0x31}
+// sealPrefix begins the extension of an entry, which holds its checksum. Raft leaves extensions to its users.
+var sealPrefix = []byte{0x67, 0x74, 0x31}
 
-// sum is over all that an entry says, its place included: an entry that stands at another's is damage as well.
-func sum(l *raft.Log) uint64 {
+// checksum covers all of an entry, with its index: an entry in another's place is damage as well.
+func checksum(l *raft.Log) uint64 {
 	h := xxhash.New()
 	var head [17]byte
 	binary.BigEndian.PutUint64(head[:], l.Index)
@@ -207,10 +213,10 @@
 }
 
 func seal(l *raft.Log) []byte {
-	return binary.BigEndian.AppendUint64(append([]byte(nil), sealMark...), sum(l))
+	return binary.BigEndian.AppendUint64(append([]byte(nil), sealPrefix...), checksum(l))
 }
 
-// unseal holds an entry to its checksum and takes that off.
+// unseal verifies an entry's checksum and removes it.
 func unseal(index uint64, l *raft.Log) error {
 	if l.Index != index {
 		return &DamagedError{fmt.Sprintf("entry %d", index), fmt.Sprintf("entry %d stands in its place", l.Index)}
@@ -219,7 +225,8 @@
 	if len(x) == 0 {
 		return nil
 	}
-	if len(x) != len(sealMark)+8 || string(x[:len(sealMark)]) != string(sealMark) || binary.BigEndian.Uint64(x[len(sealMark):]) != sum(l) {
+	if len(x) != len(sealPrefix)+8 || string(x[:len(sealPrefix)]) != string(sealPrefix) ||
+		binary.BigEndian.Uint64(x[len(sealPrefix):]) != checksum(l) {
 		return &DamagedError{fmt.Sprintf("entry %d", index), "its checksum does not hold"}
 	}
 	l.Extensions = nil
