--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -13,7 +13,7 @@
 )
 
 func (d *Dispatcher) sendAttempt(job *job, executor *executor) {
-	d.chargeSlowStart(job, executor)
+	executor.slowStart.credit -= job.slots * job.work / d.serviceTimes.kindSpeed(executor.endpoint.kind)
 	shared := d.sharesConnection(executor)
 	if executor.outlier.unresponsive {
 		d.delayNextRetry(executor)
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -201,7 +201,7 @@
 	slots := max(1, executor.load.slots, d.capacity.kindSlots[executor.endpoint.kind])
 	rate := d.slowStartSafetyFactor() * part * d.settings.OverloadMultiple * share * slots
 	maxCredit := rate * d.settings.OverloadWindow * slowStartBurst
-	budget.accrue(d.now, rate, maxCredit, d.slowStartTurnCost(executor))
+	budget.accrue(d.now, rate, maxCredit, d.serviceTimes.meanSlotTime)
 	return budget.credit > min(furtherWork, slowStartKnownSafety*maxCredit)
 }
 
@@ -225,36 +225,7 @@
 	}
 	budget.opened = true
 	budget.creditAt = max(budget.startedAt, d.now-slowStartBurst*d.settings.OverloadWindow)
-	budget.credit = -d.random()*d.slowStartTurnCost(executor) - d.workSentSince(executor, sentFrom)
-}
-
-// slowStartTurnCost is the slot-time that the mean request takes at an executor, which a node pays off between two
-// requests: more where its kind is slow. A fast kind counts as a mean one, for a few nodes with many executors know
-// its speed by chance.
-func (d *Dispatcher) slowStartTurnCost(executor *executor) float64 {
-	slowness := max(1, d.serviceTimes.meanSpeed()/d.serviceTimes.kindSpeed(executor.endpoint.kind))
-	return d.serviceTimes.meanSlotTime * slowness * d.slowStartCostScale()
-}
-
-// chargeSlowStart charges the budget of an executor that warms up for a job that goes there.
-func (d *Dispatcher) chargeSlowStart(job *job, executor *executor) {
-	budget := &executor.slowStart
-	if budget.startedAt > 0 && d.now < budget.until {
-		budget.credit -= job.slots * job.work / d.serviceTimes.kindSpeed(executor.endpoint.kind) * d.slowStartCostScale()
-	}
-}
-
-// slowStartCostScale is by how much requests take longer than this node has learned, as the quotas tell: the slots of
-// the fleet serve about as many requests a second as the quotas of all tenants allow. A node with little traffic has
-// learned the slot-time of a request from the latency objectives and from short requests, which end first. Where
-// requests carry no hint of their work, both are too low by a multiple, at all nodes alike, and they would send a
-// cold executor that much more than its budget. Where it is known what all nodes have in flight at the executor, that
-// bounds what it gets, and the learned time will do.
-func (d *Dispatcher) slowStartCostScale() float64 {
-	if d.admission.totalQuota <= 0 || d.peerLoadsKnown() {
-		return 1
-	}
-	return max(1, 1000*d.countFleetSlots()/(d.admission.totalQuota*max(d.serviceTimes.meanSlotTime, 1)))
+	budget.credit = -d.random()*d.serviceTimes.meanSlotTime - d.workSentSince(executor, sentFrom)
 }
 
 // slowStartSafetyFactor is the part of a budget that is used: more while an aggregator tells what all nodes hold
