--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"fmt"
 	"io"
 	"strconv"
@@ -200,6 +201,19 @@
 		Body: []byte(fmt.Sprintf(format, args...) + "\n")}
 }
 
+// JSON is a response with a value as its body, or status 500 where the value can not be encoded.
+func JSON(status int, value any) Response {
+	body, err := json.Marshal(value)
+	if err != nil {
+		return Text(500, "%v", err)
+	}
+	return Response{
+		Status: status,
+		Fields: []Field{{Name: "Content-Type", Value: "application/json"}},
+		Body:   body,
+	}
+}
+
 func reasonPhrase(status int) string {
 	if text, ok := reasonPhrases[status]; ok {
 		return text
--- a/internal/settingsync/handler.go
+++ b/internal/settingsync/handler.go
@@ -22,7 +22,7 @@
 	_, text, _ := strings.Cut(m.Target, "?")
 	query, err := url.ParseQuery(text)
 	if err != nil {
-		return jsonResponse(400, errorBody{Error: "query: " + err.Error()})
+		return http1.JSON(400, errorBody{Error: "query: " + err.Error()})
 	}
 	switch m.Method + " " + m.Path() {
 	case "POST " + pollPath:
@@ -36,16 +36,16 @@
 	case "GET " + statusPath:
 		return s.handleStatus(ctx, query.Get("local") == "1")
 	}
-	return jsonResponse(404, errorBody{Error: "no such path, or not by " + m.Method})
+	return http1.JSON(404, errorBody{Error: "no such path, or not by " + m.Method})
 }
 
 func (s *Service) handlePoll(ctx context.Context, body []byte) http1.Response {
 	var request pollRequest
 	if err := decodeStrict(body, &request); err != nil {
-		return jsonResponse(400, errorBody{Error: err.Error()})
+		return http1.JSON(400, errorBody{Error: err.Error()})
 	}
 	if request.Process == "" {
-		return jsonResponse(400, errorBody{Error: "process: absent, expected the name of the process that follows"})
+		return http1.JSON(400, errorBody{Error: "process: absent, expected the name of the process that follows"})
 	}
 	wait := time.Duration(request.WaitMs) * time.Millisecond
 	if waiting := s.waitingPolls.Add(1); waiting > s.maxWaiting() {
@@ -56,7 +56,7 @@
 	if err != nil {
 		return s.reject("poll", err)
 	}
-	return jsonResponse(200, u)
+	return http1.JSON(200, u)
 }
 
 // maxWaiting bounds the polls that wait here at a time, so that connections are left for new ones: where more processes
@@ -67,7 +67,7 @@
 func (s *Service) handleApply(ctx context.Context, body []byte) http1.Response {
 	var request ApplyRequest
 	if err := decodeStrict(body, &request); err != nil {
-		return jsonResponse(400, errorBody{Error: err.Error()})
+		return http1.JSON(400, errorBody{Error: err.Error()})
 	}
 	began := time.Now()
 	accepted, err := s.Apply(ctx, request)
@@ -83,23 +83,23 @@
 		"took",
 		time.Since(began),
 	)
-	return jsonResponse(200, accepted)
+	return http1.JSON(200, accepted)
 }
 
 func (s *Service) handleItems(ctx context.Context) http1.Response {
 	if err := s.cfg.Store.CatchUp(ctx); err != nil {
 		return s.reject("items", &NotReadyError{})
 	}
-	return jsonResponse(200, s.currentDocument().Snapshot())
+	return http1.JSON(200, s.currentDocument().Snapshot())
 }
 
 func (s *Service) handleForget(ctx context.Context, body []byte) http1.Response {
 	var request ForgetRequest
 	if err := decodeStrict(body, &request); err != nil {
-		return jsonResponse(400, errorBody{Error: err.Error()})
+		return http1.JSON(400, errorBody{Error: err.Error()})
 	}
 	if !s.enrolled(request.Process) {
-		return jsonResponse(
+		return http1.JSON(
 			400,
 			errorBody{Error: "process: none of the name " + strconv.Quote(request.Process) + " is known"},
 		)
@@ -107,14 +107,14 @@
 	if err := s.Forget(ctx, request.Process); err != nil {
 		return s.reject("forget", err)
 	}
-	return jsonResponse(200, request)
+	return http1.JSON(200, request)
 }
 
 func (s *Service) handleStatus(ctx context.Context, local bool) http1.Response {
 	if local {
-		return jsonResponse(200, s.localStatus())
+		return http1.JSON(200, s.localStatus())
 	}
-	return jsonResponse(200, s.fleetStatus(ctx))
+	return http1.JSON(200, s.fleetStatus(ctx))
 }
 
 func (s *Service) reject(operation string, err error) http1.Response {
@@ -124,7 +124,7 @@
 	if coded, ok := errors.AsType[operr.Error](err); ok {
 		f.Code = coded.Code()
 	}
-	return jsonResponse(status, f)
+	return http1.JSON(status, f)
 }
 
 // decodeStrict decodes a request and rejects unknown fields: one may be a misspelled optional field.
--- a/internal/settingsync/protocol.go
+++ b/internal/settingsync/protocol.go
@@ -9,7 +9,6 @@
 
 import (
 	"context"
-	"encoding/json"
 
 	"gatetack/internal/http1"
 	"gatetack/internal/settings"
@@ -67,15 +66,3 @@
 
 // Caller makes a call to a member of the store.
 type Caller func(ctx context.Context, addr, verb, path string, body []byte) (*http1.Message, error)
-
-func jsonResponse(status int, v any) http1.Response {
-	body, err := json.Marshal(v)
-	if err != nil {
-		return http1.Text(500, "%v", err)
-	}
-	return http1.Response{
-		Status: status,
-		Fields: []http1.Field{{Name: "Content-Type", Value: "application/json"}},
-		Body:   body,
-	}
-}
--- a/internal/store/folder.go
+++ b/internal/store/folder.go
@@ -52,7 +52,7 @@
 		return errorResponse(400, "a name and an identity are needed")
 	}
 	if name == s.cfg.Name {
-		return jsonResponse(200, witnessAnswer{s.folderIdentity, s.progress()})
+		return http1.JSON(200, witnessAnswer{s.folderIdentity, s.progress()})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	if err != nil {
 		return errorResponse(503, "%v", err)
 	}
-	return jsonResponse(200, witnessAnswer{string(known), s.progress()})
+	return http1.JSON(200, witnessAnswer{string(known), s.progress()})
 }
 
 // witnessAnswer is the folder that a member knows under a name, and the member's own position.
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"net/url"
 	"strconv"
 
@@ -40,7 +39,7 @@
 	if err != nil {
 		return http1.Text(503, "%v", err)
 	}
-	return jsonResponse(200, r)
+	return http1.JSON(200, r)
 }
 
 // serveRead reads after a barrier: all that was committed before the call is then applied, and only a leader commits
@@ -52,14 +51,14 @@
 	view := s.fsm.view()
 	switch path {
 	case "/index":
-		return jsonResponse(200, view.Index())
+		return http1.JSON(200, view.Index())
 	case "/get":
 		if e, ok := view.Get(q.Get("table"), q.Get("key")); ok {
 			return http1.Response{Status: 200, Body: e.Value}
 		}
 		return http1.Response{Status: 404}
 	}
-	return jsonResponse(200, s.page(view, q))
+	return http1.JSON(200, s.page(view, q))
 }
 
 // page returns the rows of a page, which holds no more bytes than a body may, but at least one row.
@@ -74,15 +73,3 @@
 	}
 	return rows
 }
-
-func jsonResponse(status int, v any) http1.Response {
-	body, err := json.Marshal(v)
-	if err != nil {
-		return http1.Text(500, "%v", err)
-	}
-	return http1.Response{
-		Status: status,
-		Fields: []http1.Field{{Name: "Content-Type", Value: "application/json"}},
-		Body:   body,
-	}
-}
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -89,7 +89,7 @@
 		err = fmt.Errorf("%q is none of join, promote, leave and remove", verb)
 	}
 	if err != nil {
-		return jsonResponse(409, map[string]string{"error": err.Error()})
+		return http1.JSON(409, map[string]string{"error": err.Error()})
 	}
 	if err := s.applyChange(x); err != nil {
 		return http1.Text(503, "%v", err)
@@ -100,7 +100,7 @@
 	if all, err = s.Members(); err != nil {
 		return http1.Text(503, "%v", err)
 	}
-	return jsonResponse(200, all)
+	return http1.JSON(200, all)
 }
 
 func (s *Store) applyChange(x membership.Change) error {
--- a/internal/store/operator.go
+++ b/internal/store/operator.go
@@ -13,7 +13,7 @@
 )
 
 func errorResponse(status int, format string, args ...any) http1.Response {
-	return jsonResponse(status, map[string]string{"error": fmt.Sprintf(format, args...)})
+	return http1.JSON(status, map[string]string{"error": fmt.Sprintf(format, args...)})
 }
 
 // Handle answers members that take this one for the leader and, under /v1, operators.
@@ -48,7 +48,7 @@
 	}
 	switch {
 	case p[0] == "status" && len(p) == 1 && m.Method == "GET":
-		return jsonResponse(200, s.Status())
+		return http1.JSON(200, s.Status())
 	case p[0] == "folder" && len(p) == 1 && m.Method == "GET":
 		return s.handleWitness(q)
 	case p[0] == "members" && len(p) == 1 && m.Method == "GET":
@@ -57,7 +57,7 @@
 			if err != nil {
 				return errorResponse(503, "%v", err)
 			}
-			return jsonResponse(200, all)
+			return http1.JSON(200, all)
 		})
 	case p[0] == "members" && len(p) == 1 && m.Method == "POST":
 		if s.Leads() {
@@ -114,5 +114,5 @@
 	if err := s.raft.Restore(meta, bytes.NewReader(data), 4*s.lim.StoreCall); err != nil {
 		return errorResponse(503, "%v", err)
 	}
-	return jsonResponse(200, s.Status())
+	return http1.JSON(200, s.Status())
 }
--- a/internal/store/operator_entries.go
+++ b/internal/store/operator_entries.go
@@ -79,7 +79,7 @@
 	for _, e := range s.fsm.view().List(table, q.Get("prefix"), q.Get("after"), limit) {
 		out = append(out, describeEntry(e))
 	}
-	return jsonResponse(200, map[string]any{"entries": out, "index": s.fsm.view().Index()})
+	return http1.JSON(200, map[string]any{"entries": out, "index": s.fsm.view().Index()})
 }
 
 func (s *Store) handleEntry(ctx context.Context, m *http1.Message, table, key string, q url.Values) http1.Response {
@@ -117,10 +117,10 @@
 		for _, e := range view.History(table, key) {
 			out = append(out, describeEntry(e))
 		}
-		return jsonResponse(200, map[string]any{"entries": out})
+		return http1.JSON(200, map[string]any{"entries": out})
 	}
 	if e, ok := view.Get(table, key); ok {
-		return jsonResponse(200, describeEntry(e))
+		return http1.JSON(200, describeEntry(e))
 	}
 	return errorResponse(404, "nothing stands at %s %s", table, key)
 }
@@ -150,9 +150,9 @@
 	case r.Err != "":
 		return errorResponse(400, "%s", r.Err)
 	case !r.OK():
-		return jsonResponse(409, map[string]any{"error": "another version stands there", "version": r.Current})
+		return http1.JSON(409, map[string]any{"error": "another version stands there", "version": r.Current})
 	}
-	return jsonResponse(200, map[string]any{"version": r.Version})
+	return http1.JSON(200, map[string]any{"version": r.Version})
 }
 
 // maxWatch bounds how long a watch is held back.
@@ -197,18 +197,18 @@
 	for {
 		events, upTo, lost, more := s.fsm.changesAfter(w.after, w.table, w.prefix)
 		if lost {
-			return jsonResponse(410, map[string]any{
+			return http1.JSON(410, map[string]any{
 				"error": "changes were not kept so long: read the values anew and go on from here",
 				"after": upTo,
 			})
 		}
 		if len(events) > 0 {
-			return jsonResponse(200, map[string]any{"events": describeEvents(events), "after": upTo})
+			return http1.JSON(200, map[string]any{"events": describeEvents(events), "after": upTo})
 		}
 		select {
 		case <-more:
 		case <-timer.C:
-			return jsonResponse(200, map[string]any{"events": []any{}, "after": upTo})
+			return http1.JSON(200, map[string]any{"events": []any{}, "after": upTo})
 		case <-ctx.Done():
 			return http1.Response{Status: 503, Close: true}
 		}
