--- a/internal/lease/incarnation.go
+++ b/internal/lease/incarnation.go
@@ -12,13 +12,13 @@
 	StartedMs int64  `json:"born"` // Unix time in milliseconds
 }
 
-// PartitionKey returns the key of the partition that holds the incarnation's own jobs. Their ids begin with it.
+// PartitionKey returns the key of the partition of the incarnation's own jobs. The ids of these jobs begin with it.
 func (i Incarnation) PartitionKey() string { return fmt.Sprintf("%s.%012x", i.Node, i.StartedMs) }
 
-// IsZero reports whether no incarnation is meant.
+// IsZero reports whether the Incarnation is the zero value, which stands for none.
 func (i Incarnation) IsZero() bool { return i.Node == "" }
 
-// ParsePartitionKey returns the incarnation whose PartitionKey a text is, and whether it is one.
+// ParsePartitionKey returns the incarnation whose PartitionKey equals text, and whether text is a partition key.
 func ParsePartitionKey(text string) (Incarnation, bool) {
 	separator := strings.LastIndexByte(text, '.')
 	if separator <= 0 {
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// Manager decides for one incarnation of a node. All times are durations on one clock of the caller's that never runs
-// backwards and runs on while the machine sleeps. It is not safe for concurrent use.
+// Manager makes the lease and ownership decisions of one incarnation of a node. All times are durations on one clock
+// of the caller that never runs backwards and keeps running while the machine sleeps. A Manager is not safe for
+// concurrent use.
 type Manager struct {
 	timing     Timing
 	self       Incarnation
-	superseded bool // a later incarnation of this node runs
+	superseded bool // a later incarnation of this node is running
 	lease      leaseState
 	claims     claimState
-	epochs     map[string]uint64 // of the partitions that this node owns, by key
+	epochs     map[string]uint64 // epochs of the partitions that this node owns, by key
 }
 
-// leaseState is what a Manager knows of its own lease.
+// leaseState is the state of this node's own lease.
 type leaseState struct {
-	lastRenewal time.Duration // when it was last asked for
-	version     uint64        // 0 while there is none
+	lastRenewal time.Duration // when the latest renewal was requested
+	version     uint64        // 0 while there is no lease
 	expiresAt   time.Duration // on the Manager's clock
-	established bool          // there was one in this incarnation
+	established bool          // this incarnation has had a lease
 }
 
-// claimState is what a Manager knows of partitions that it does not own.
+// claimState is the state of the partitions that this node does not own.
 type claimState struct {
 	inProgress   map[string]bool
-	unownedSince map[string]time.Duration // when a partition was first seen without an owner's lease
-	lostAt       map[string]time.Duration
+	unownedSince map[string]time.Duration // when a partition was first seen with no lease of its owner
+	lostAt       map[string]time.Duration // when this node lost a partition to another
 }
 
 // New returns a Manager for an incarnation.
@@ -47,11 +48,11 @@
 	}
 }
 
-// Incarnation returns the incarnation that is decided for. Step may move it after that of a predecessor with a later
-// clock.
+// Incarnation returns the Manager's incarnation. Step may move its start forward, past that of an earlier process whose
+// clock was ahead.
 func (m *Manager) Incarnation() Incarnation { return m.self }
 
-// OwnLease returns the version of this node's lease, 0 for none.
+// OwnLease returns the version of this node's lease, or 0 if it has none.
 func (m *Manager) OwnLease() uint64 { return m.lease.version }
 
 // HoldsLease reports whether this node's lease is valid on its own clock. New effects may begin only then.
@@ -59,7 +60,7 @@
 	return !m.superseded && m.lease.version != 0 && now < m.lease.expiresAt
 }
 
-// Epoch returns the epoch under which this node owns a partition, and whether it does.
+// Epoch returns the epoch under which this node owns a partition, and whether it owns it.
 func (m *Manager) Epoch(key string) (uint64, bool) {
 	epoch, owned := m.epochs[key]
 	return epoch, owned && !m.superseded
@@ -68,17 +69,16 @@
 // Partitions returns the keys of the partitions that this node owns, sorted.
 func (m *Manager) Partitions() []string { return slices.Sorted(maps.Keys(m.epochs)) }
 
-// LeaseRenewed records that a renewal that was begun at a time was committed with a version.
+// LeaseRenewed records that the renewal started at begunAt was committed with the given version.
 func (m *Manager) LeaseRenewed(begunAt time.Duration, version uint64) {
 	m.lease.version, m.lease.expiresAt = version, begunAt+m.timing.TTL-m.timing.MaxClockDrift
 	m.lease.established = true
 }
 
-// LeaseLost records that the store has another version of this node's lease, or none. The lease is asked for again at
-// the next Step.
+// LeaseLost records that the store has another version of this node's lease, or none. The next Step renews the lease.
 func (m *Manager) LeaseLost() { m.lease.version, m.lease.lastRenewal = 0, -m.timing.TTL }
 
-// ClaimCompleted records the result of a claim: the epoch, or 0 if it failed.
+// ClaimCompleted records the result of a claim: the epoch, or 0 if the claim failed.
 func (m *Manager) ClaimCompleted(key string, epoch uint64) []Action {
 	delete(m.claims.inProgress, key)
 	delete(m.claims.unownedSince, key)
@@ -89,8 +89,8 @@
 	return []Action{{Kind: StartPartition, Partition: key, Epoch: epoch}}
 }
 
-// WriteFenced records that a write under an epoch failed because the partition has another one. If this node owns the
-// partition under a different epoch by now, the write was merely late and nothing follows.
+// WriteFenced records that a write under an epoch failed because the partition has another epoch. If this node no
+// longer owns the partition under the epoch of the write, the write was only late and there is nothing to do.
 func (m *Manager) WriteFenced(key string, epoch uint64, now time.Duration) []Action {
 	if m.epochs[key] != epoch {
 		return nil
@@ -100,10 +100,10 @@
 	return []Action{{Kind: StopPartition, Partition: key, Epoch: epoch}}
 }
 
-// ReleasePartition records that this node gives up a partition of its own accord. The caller writes that to the store.
+// ReleasePartition records that this node voluntarily gives up a partition. The caller writes the release to the store.
 func (m *Manager) ReleasePartition(key string) { delete(m.epochs, key) }
 
-// Step decides what to do by a view of the store.
+// Step returns the actions that follow from a view of the store.
 func (m *Manager) Step(now time.Duration, view View) []Action {
 	if m.superseded {
 		return nil
@@ -117,9 +117,9 @@
 	return append(actions, m.stepPartitions(now, view)...)
 }
 
-// advance moves this incarnation after all others of its node, until it has had a lease. Incarnations are ordered by
-// when they came to the store, whatever their clocks said at the start: a process that was started with its clock set
-// back is not an earlier one.
+// advance moves the start of this incarnation past all others of its node, until it has had a lease. Incarnations are
+// ordered by when they reached the store, not by their clocks: a process that starts with its clock set back is not an
+// earlier one.
 func (m *Manager) advance(view View) []Action {
 	if m.lease.established {
 		return nil
@@ -132,7 +132,7 @@
 	return []Action{{Kind: AdvanceIncarnation}}
 }
 
-// latestStart returns the start of the latest other incarnation of a node that a view shows.
+// latestStart returns the start time of the latest incarnation of a node in a view.
 func latestStart(node string, view View) int64 {
 	latest := view.Leases[node].StartedMs
 	for _, partition := range view.Partitions {
@@ -143,8 +143,8 @@
 	return latest
 }
 
-// supersede stops everything: a later incarnation of this node owns all that is written under the node's name from
-// now on.
+// supersede stops all work of this incarnation: from now on a later incarnation owns everything written under the
+// node's name.
 func (m *Manager) supersede() []Action {
 	m.superseded = true
 	var actions []Action
@@ -155,7 +155,7 @@
 	return append(actions, Action{Kind: Superseded})
 }
 
-// renew renews the lease if it is time to. Stored is what the view has of it, zero for nothing.
+// renew returns the renewal of the lease if it is due. Stored is the lease in the view, zero if there is none.
 func (m *Manager) renew(now time.Duration, stored Lease) []Action {
 	if now-m.lease.lastRenewal < m.timing.RenewInterval {
 		return nil
@@ -168,7 +168,7 @@
 	return []Action{{Kind: RenewLease, ExpectedVersion: expected}}
 }
 
-// stepPartitions stops work on partitions that have a later epoch, and claims those that this node is to own.
+// stepPartitions stops work on partitions that have a later epoch, and claims those that this node should own.
 func (m *Manager) stepPartitions(now time.Duration, view View) []Action {
 	var actions []Action
 	listed := map[string]bool{} // partitions of the view that are in unownedSince
@@ -192,7 +192,7 @@
 	return actions
 }
 
-// claim returns the claim of a partition if this node is to make it now.
+// claim returns the claim of a partition, and whether this node should make it now.
 func (m *Manager) claim(now time.Duration, view View, partition Partition) (Action, bool) {
 	key := partition.Key
 	if _, owned := m.epochs[key]; owned || m.claims.inProgress[key] || !m.HoldsLease(now) {
@@ -203,7 +203,7 @@
 	}
 	claim := Action{Kind: ClaimPartition, Partition: key, ExpectedVersion: partition.Epoch, OwnLease: m.lease.version}
 	if partition.Owner == m.self {
-		return claim, true // the answer to an earlier claim was lost: the next one has an epoch that is known here
+		return claim, true // the response to an earlier claim was lost: claim again to learn the epoch
 	}
 	owner, alive := view.Leases[partition.Owner.Node]
 	if alive && owner.Incarnation == partition.Owner {
@@ -219,7 +219,7 @@
 		return Action{}, false
 	}
 	if !partition.Owner.IsZero() && partition.Owner.Node != m.self.Node {
-		claim.OwnerNode, claim.OwnerLease = partition.Owner.Node, owner.Version // none, or that of a later incarnation
+		claim.OwnerNode, claim.OwnerLease = partition.Owner.Node, owner.Version // 0, or the lease of a later incarnation
 	}
 	return claim, true
 }
--- a/internal/lease/placement.go
+++ b/internal/lease/placement.go
@@ -7,7 +7,7 @@
 	"github.com/dgryski/go-rendezvous"
 )
 
-// restartRanks is how many ranks the owner's own node has before all others: its next process needs that time to start.
+// restartRanks is the lead in ranks of the owner's own node over all others: it gives its next process time to start.
 const restartRanks = 4
 
 // PreferredNode returns the node to which rendezvous hashing assigns a key. The result does not depend on the order
@@ -17,10 +17,10 @@
 	return rendezvous.New(sorted, xxhash.Sum64String).Lookup(key)
 }
 
-// rank returns the number of nodes with a lease that are to claim a partition before a node. The next incarnation of
-// the owner's node is first, because it has the partition's disk and address. The others follow in the order of
-// rendezvous hashing, which spreads the partitions of a lost node over all others, and moves few when a node comes or
-// goes.
+// rank returns the number of nodes with a lease that may claim a partition before the given node. The next incarnation
+// of the owner's node comes first, because it has the partition's disk and address. The others follow in the order of
+// rendezvous hashing, which spreads the partitions of a lost node over all others and moves few partitions when a node
+// joins or leaves.
 func rank(partition Partition, node string, leases map[string]Lease) int {
 	if partition.Owner.Node == node {
 		return 0
--- a/internal/lease/placement_test.go
+++ b/internal/lease/placement_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Ten thousand partitions are spread evenly over a hundred nodes, and when a node goes only its own move.
+// Ten thousand partitions are spread evenly over a hundred nodes, and when a node is lost only its own partitions move.
 func TestPlacementIsEvenAndMovesOnlyPartitionsOfALostNode(t *testing.T) {
 	var nodes []string
 	for i := range 100 {
@@ -24,10 +24,10 @@
 	}
 	for node, n := range count {
 		if n < 60 || n > 145 {
-			t.Errorf("%s has %d of 10,000 partitions of a hundred nodes", node, n)
+			t.Errorf("%s has %d of 10,000 partitions among 100 nodes, want 60 to 145", node, n)
 		}
 	}
 	if moved > 0 || lost == 0 {
-		t.Errorf("%d partitions of others moved when one node went, which had %d", moved, lost)
+		t.Errorf("%d partitions of other nodes moved when a node with %d partitions was lost, want 0", moved, lost)
 	}
 }
--- a/internal/lease/protocol_test.go
+++ b/internal/lease/protocol_test.go
@@ -7,32 +7,32 @@
 
 var maxFaults = flag.Int("faults", 1, "faults in the exhaustive exploration: 2 takes minutes under the race detector")
 
-// The protocol of partitions, leases and intents is explored exhaustively up to a bound: three nodes, two partitions
-// of one job each that must never run twice. At every step any node goes on by one atomic piece (a read, a
-// transaction, a byte), stands still for as long as anything, loses its lease whatever it believes, loses the answer
-// to its claim, or crashes. A node that stood still goes on from where it was. In no reachable state do writes of two
-// owners of a partition interleave, does a job start twice, or has a job nobody left who could end it or report it as
-// indeterminate. Each safeguard that is taken out is found.
+// The protocol of partitions, leases and intents is explored exhaustively up to a bound: three nodes and two partitions
+// with one job each that must never run twice. At every step any node performs one atomic operation (a read, a
+// transaction, sending the first byte), pauses for any time, loses its lease without noticing, loses the response to
+// its claim, or crashes. A paused node later continues from its previous state. In no reachable state do the writes of
+// two owners of a partition interleave, does a job start twice, or is there a job that no node can finish or report as
+// indeterminate. The exploration finds a violation for each safeguard that is left out.
 
 const (
 	modelNodes      = 3
 	modelPartitions = 2
-	modelEpochs     = 3 // claims of a partition at most
+	modelEpochs     = 3 // maximum number of claims of a partition
 )
 
-// phase is how far a node is with a partition.
+// phase is a node's progress with a partition.
 type phase uint8
 
 const (
 	idle          phase = iota
-	claimed             // the record is still to be read
-	startable           // read: nothing of the job was sent
-	indeterminate       // read: the job may have run
-	intentWritten       // the first byte is next
-	sent                // the end is to be recorded
+	claimed             // the job's record has not been read yet
+	startable           // according to its record, no byte of the job was sent
+	indeterminate       // according to its record, the job may have run
+	intentWritten       // the next step sends the first byte
+	sent                // the next step records the end of the job
 )
 
-// outcome is what is on record of a job.
+// outcome is the recorded outcome of a job.
 type outcome uint8
 
 const (
@@ -41,32 +41,32 @@
 	reportedIndeterminate
 )
 
-// nodeState is what a node is at, with its lease as the store has it.
+// nodeState is the state of a node, with its lease as recorded in the store.
 type nodeState struct {
 	phases   [modelPartitions]phase
-	epochs   [modelPartitions]uint8 // under which it believes to own
+	epochs   [modelPartitions]uint8 // epochs under which the node believes that it owns the partitions
 	hasLease bool
 }
 
-// modelState is a state of the whole model. It is comparable, so that states are explored once.
+// modelState is the state of the model. It is comparable, so that each state is explored only once.
 type modelState struct {
 	nodes       [modelNodes]nodeState
 	epochs      [modelPartitions]uint8
 	owners      [modelPartitions]int8 // -1 for none
-	intents     [modelPartitions]bool // on record
+	intents     [modelPartitions]bool // an intent is recorded
 	outcomes    [modelPartitions]outcome
 	starts      [modelPartitions]uint8
-	lastEpochs  [modelPartitions]uint8 // of the latest write that was committed
-	interleaved bool                   // a write under an older epoch followed one under a later
+	lastEpochs  [modelPartitions]uint8 // highest epoch of a committed write
+	interleaved bool                   // a write under an older epoch followed one under a later epoch
 	faultsLeft  uint8
 }
 
-// safeguards are the parts of the protocol that the exploration can leave out.
+// safeguards are the parts of the protocol that the exploration can disable.
 type safeguards struct {
-	fencing    bool // writes commit under the current epoch alone
-	intents    bool // an intent is on record before the first byte
+	fencing    bool // writes commit only under the current epoch
+	intents    bool // an intent is recorded before the first byte is sent
 	claimFirst bool // the epoch is committed before the record is read
-	leases     bool // a claim needs the owner's lease gone
+	leases     bool // a claim requires that the owner has no lease
 }
 
 // write commits a write of a node under an epoch, or rejects it.
@@ -79,18 +79,18 @@
 	return true
 }
 
-// abandon makes a node forget a partition.
+// abandon makes a node give up a partition.
 func (s *modelState) abandon(node, partition int) {
 	s.nodes[node].phases[partition], s.nodes[node].epochs[partition] = idle, 0
 }
 
-// claim makes a node the owner.
+// claim makes a node the owner of a partition under a new epoch.
 func (s *modelState) claim(node, partition int) {
 	s.epochs[partition]++
 	s.owners[partition] = int8(node)
 }
 
-// read takes in what is on record of a partition's job.
+// read lets a node read the record of a partition's job.
 func (s *modelState) read(node, partition int) {
 	s.nodes[node].phases[partition] = startable
 	if s.intents[partition] {
@@ -98,7 +98,7 @@
 	}
 }
 
-// exploration collects the states that one step leads to.
+// exploration collects the successors of a state.
 type exploration struct {
 	from   modelState
 	guards safeguards
@@ -111,7 +111,7 @@
 	e.next = append(e.next, state)
 }
 
-// successors returns the states that one step leads to.
+// successors returns the states that are reached by one step.
 func (s modelState) successors(guards safeguards) []modelState {
 	e := exploration{from: s, guards: guards}
 	for node := range s.nodes {
@@ -123,19 +123,19 @@
 	return e.next
 }
 
-// nodeSteps gives a node its lease, takes it away, or crashes the node.
+// nodeSteps adds the steps in which a node gets a lease, loses it, or crashes.
 func (e *exploration) nodeSteps(node int) {
 	if !e.from.nodes[node].hasLease {
 		e.add(func(s *modelState) { s.nodes[node].hasLease = true })
 	} else if e.from.faultsLeft > 0 {
-		e.add(func(s *modelState) { s.nodes[node].hasLease = false; s.faultsLeft-- }) // paused, cut off, or a clock far ahead
+		e.add(func(s *modelState) { s.nodes[node].hasLease = false; s.faultsLeft-- }) // paused, partitioned, or a clock far ahead
 	}
 	if e.from.faultsLeft > 0 {
 		e.add(func(s *modelState) { s.nodes[node] = nodeState{}; s.faultsLeft-- })
 	}
 }
 
-// partitionSteps lets a node go on with a partition.
+// partitionSteps adds the next steps of a node with a partition.
 func (e *exploration) partitionSteps(node, partition int) {
 	switch e.from.nodes[node].phases[partition] {
 	case idle:
@@ -156,7 +156,7 @@
 	}
 }
 
-// claimSteps lets a node claim a partition that is nobody's.
+// claimSteps adds the claim of a partition whose owner has no lease.
 func (e *exploration) claimSteps(node, partition int) {
 	s := &e.from
 	if s.outcomes[partition] != unfinished || !s.nodes[node].hasLease || s.epochs[partition] >= modelEpochs {
@@ -167,7 +167,7 @@
 		return
 	}
 	if !e.guards.claimFirst && s.nodes[node].epochs[partition] == 0 {
-		e.add(func(s *modelState) { s.read(node, partition) }) // it claims later: what it read may be old by then
+		e.add(func(s *modelState) { s.read(node, partition) }) // the claim comes later, when the record may be stale
 		return
 	}
 	e.add(func(s *modelState) {
@@ -175,14 +175,14 @@
 		s.nodes[node].epochs[partition], s.nodes[node].phases[partition] = s.epochs[partition], claimed
 	})
 	if s.faultsLeft > 0 {
-		e.add(func(s *modelState) { s.claim(node, partition); s.faultsLeft-- }) // the answer is lost
+		e.add(func(s *modelState) { s.claim(node, partition); s.faultsLeft-- }) // the response is lost
 	}
 }
 
-// recordSteps lets a node that has read the record write what follows from it.
+// recordSteps adds the step of a node that has read the record of a job.
 func (e *exploration) recordSteps(node, partition int) {
 	state := &e.from.nodes[node]
-	if !e.guards.claimFirst && state.epochs[partition] == 0 { // the claim of the reversed order
+	if !e.guards.claimFirst && state.epochs[partition] == 0 { // reversed order: claim after the read
 		if e.from.epochs[partition] < modelEpochs && state.hasLease {
 			e.add(func(s *modelState) {
 				s.claim(node, partition)
@@ -212,22 +212,22 @@
 	}
 }
 
-// violation returns what is wrong with a state, "" for nothing. A state without successors is final.
+// violation returns which safety property a state violates, or "" if none. A state without successors is final.
 func (s *modelState) violation(final bool) string {
 	for partition := range modelPartitions {
 		switch {
 		case s.starts[partition] > 1:
-			return "a job that must never run twice started twice"
+			return "a job that must not run twice was started twice"
 		case s.interleaved:
-			return "a write under an older epoch was committed after one under a later"
+			return "a write under an older epoch was committed after one under a later epoch"
 		case final && s.outcomes[partition] == unfinished && s.epochs[partition] < modelEpochs:
-			return "a job is left that nobody ends"
+			return "a job is left unfinished with no node to finish it"
 		}
 	}
 	return ""
 }
 
-// explore visits every reachable state, and returns their number and the first violation.
+// explore visits every reachable state. It returns the number of states and the first violation.
 func explore(guards safeguards, faults uint8) (visited int, violation string) {
 	first := modelState{owners: [modelPartitions]int8{-1, -1}, faultsLeft: faults}
 	known := map[modelState]bool{first: true}
@@ -248,17 +248,16 @@
 	return len(known), ""
 }
 
-// minStates is how many states the whole protocol has at least within the bounds: fewer would show that the model
-// lost a step.
+// minStates is a lower bound on the number of states of the full protocol: fewer would show that the model lost a step.
 const minStates = 40000
 
 func TestProtocolIsSafeInEveryReachableState(t *testing.T) {
 	visited, violation := explore(safeguards{true, true, true, true}, uint8(*maxFaults))
 	if violation != "" || visited < minStates {
-		t.Errorf("%d states: %s", visited, violation)
+		t.Errorf("full protocol, %d states visited: %s", visited, violation)
 	}
-	t.Logf("%d states", visited)
-	// Leases only make it rare that two nodes try: without them nothing else breaks.
+	t.Logf("%d states visited", visited)
+	// Leases only make conflicts rare: the protocol is safe without them.
 	if _, violation := explore(safeguards{true, true, true, false}, 0); violation != "" {
 		t.Errorf("without leases: %s", violation)
 	}
@@ -268,9 +267,9 @@
 		"read before the claim": {true, true, false, true},
 	} {
 		if visited, violation := explore(guards, 1); violation == "" {
-			t.Errorf("%s: nothing is found in %d states", name, visited)
+			t.Errorf("%s: no violation found in %d states", name, visited)
 		} else {
-			t.Logf("%s: found after %d states: %s", name, visited, violation)
+			t.Logf("%s: violation found after %d states: %s", name, visited, violation)
 		}
 	}
 }
--- a/internal/lease/timing.go
+++ b/internal/lease/timing.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Timing holds the durations that leases and claims go by.
+// Timing holds the durations that govern leases and claims.
 type Timing struct {
 	TTL           time.Duration // of a lease
-	RenewInterval time.Duration // between renewals of the own lease
-	MaxClockDrift time.Duration // end of the own lease that stays unused
-	RankDelay     time.Duration // that a node waits for each node that is to claim before it
-	ReclaimDelay  time.Duration // for which a node does not claim a partition that it lost
+	RenewInterval time.Duration // between renewals of the node's own lease
+	MaxClockDrift time.Duration // how long before its end a node stops using its lease
+	RankDelay     time.Duration // how long a node waits for each node that ranks before it in claiming
+	ReclaimDelay  time.Duration // how long a node does not claim a partition that it lost
 }
 
-// Validate returns a *TimingError if a node might not have stopped using its lease by the time that another may
-// claim, or if a lease does not last for two renewals.
+// Validate returns a *TimingError if a duration is not positive, because a node might then still use its lease when
+// another may claim, or if the usable part of a lease is shorter than two renewals.
 func (t Timing) Validate() error {
 	positive := t.TTL > 0 && t.RenewInterval > 0 && t.MaxClockDrift > 0 && t.RankDelay > 0
 	if !positive || 2*t.RenewInterval > t.TTL-t.MaxClockDrift {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// TimingError reports durations that do not fit together.
+// TimingError reports an inconsistent Timing.
 type TimingError struct{ Timing Timing }
 
 func (e *TimingError) Error() string {
--- a/internal/lease/timing_test.go
+++ b/internal/lease/timing_test.go
@@ -13,6 +13,6 @@
 	bad := Timing{TTL: time.Second, RenewInterval: time.Second, MaxClockDrift: 1, RankDelay: 1}
 	var rejected *TimingError
 	if err := bad.Validate(); !errors.As(err, &rejected) || rejected.Timing != bad {
-		t.Errorf("a lease that is renewed when it ends: %v", err)
+		t.Errorf("timing in which a lease is renewed only when it ends: %v, want a *TimingError", err)
 	}
 }
--- a/internal/precheck/precheck.go
+++ b/internal/precheck/precheck.go
@@ -1,8 +1,9 @@
-// Package precheck decides whether an attempt may still be sent, in the moment before its bytes are written. Waits,
-// dials, records and backoffs lie between a decision and its bytes, and each can outlast what the decision rested on.
-// Whoever is about to write checks once more, with all that may have changed; no other place has reasons of its own.
+// Package precheck decides whether an attempt may still be sent, immediately before its bytes are written. Queueing,
+// dialing, writing records and backoff come between a dispatch decision and the write, and any of them can take so long
+// that the decision is no longer valid. Every sender performs this check before it writes; all reasons not to send are
+// defined here.
 //
-// It keeps no state, does no I/O, reads no clock and starts no goroutine.
+// The package keeps no state, does no I/O, reads no clock and starts no goroutine.
 package precheck
 
 import (
@@ -18,25 +19,25 @@
 const (
 	// Allowed: the attempt may be sent.
 	Allowed Reason = iota
-	// Ended: the attempt was canceled, or its job has its final answer.
+	// Ended: the attempt was canceled, or its job already has its final result.
 	Ended
 	// ClientLeft: the client has closed its connection.
 	ClientLeft
 	// LeaseLost: another node owns the job's partition, under a later epoch.
 	LeaseLost
-	// DeadlinePassed: the attempt's time is over.
+	// DeadlinePassed: the attempt's deadline has passed.
 	DeadlinePassed
-	// NotListed: no endpoint list names the executor any more.
+	// NotListed: the executor is no longer in any endpoint list.
 	NotListed
-	// Draining: the executor drains or was removed, and the grace for what was under way is used up.
+	// Draining: the executor is draining or was removed, and the grace period for attempts in progress is over.
 	Draining
-	// Restarted: the executor's process started again since the decision, whose slow-start budget was for the one before.
+	// Restarted: the executor was restarted after the decision, which used the slow-start budget of the earlier process.
 	Restarted
-	// AttemptsUsedUp: the request has had as many attempts as it may have.
+	// AttemptsUsedUp: the request has had its maximum number of attempts.
 	AttemptsUsedUp
-	// MustNotRunTwice: the request may have run, and is of a class that runs at most once.
+	// MustNotRunTwice: the request may have run already and must run at most once.
 	MustNotRunTwice
-	// WindowOver: the request may have run, and executors no longer drop its repeats.
+	// WindowOver: the request may have run already, and executors no longer deduplicate its idempotency key.
 	WindowOver
 )
 
@@ -54,37 +55,37 @@
 	WindowOver:      "may have run and the idempotency window is over",
 }
 
-// String gives the reason as log lines show it.
+// String returns the reason as it appears in logs.
 func (r Reason) String() string { return reasonTexts[r] }
 
-// Check is what is known of an attempt in the moment before its bytes are written.
+// Check is the state of an attempt immediately before its bytes are written.
 type Check struct {
 	Now      time.Time
 	Deadline time.Time // of the attempt
-	Ended    bool      // it was canceled, or its job has its final answer
-	Job      Reason    // the front's own: Allowed, ClientLeft or LeaseLost
+	Ended    bool      // the attempt was canceled, or its job already has its final result
+	Job      Reason    // set by the front: Allowed, ClientLeft or LeaseLost
 	Executor Executor
 	Retry    RetryRules
 }
 
-// Executor is what is known of the executor that the attempt goes to.
+// Executor is the state of the executor that the attempt is sent to.
 type Executor struct {
 	Listed        bool
-	SendsEndAt    time.Time // nothing new is sent to it from then on; zero while it takes work
-	StartedAt     float64   // when its process started, by the list now,
-	ExpectedStart float64   // and by the list at the decision; Unix milliseconds
+	SendsEndAt    time.Time // when sending to it ends; zero while it accepts work
+	StartedAt     float64   // start of its process according to the current endpoint list, Unix milliseconds
+	ExpectedStart float64   // start of its process according to the endpoint list at the decision, Unix milliseconds
 }
 
-// RetryRules are those of the request that the attempt belongs to, as they were at the decision.
+// RetryRules are the retry limits of the attempt's request, as they were at the decision.
 type RetryRules struct {
 	Attempt     int // this attempt's number, from 1
 	MaxAttempts int
 	RetrySafety dispatch.RetrySafety
 	MayHaveRun  bool      // an earlier attempt is in flight, or may have run
-	WindowEnd   time.Time // of a keyed request: until then executors drop its repeats
+	WindowEnd   time.Time // until when executors deduplicate the key of a keyed request
 }
 
-// Reason says whether the attempt may be sent, and else why not.
+// Reason returns Allowed if the attempt may be sent, and otherwise the first reason against it.
 func (c *Check) Reason() Reason {
 	if c.Ended {
 		return Ended
--- a/internal/precheck/precheck_test.go
+++ b/internal/precheck/precheck_test.go
@@ -10,7 +10,7 @@
 	_ "gatetack/internal/testrand"
 )
 
-// forbids is the oracle: each reason by itself, without an order among them.
+// forbids is the test oracle. It evaluates one reason independently of the others and of their order.
 func forbids(r Reason, a *Check) bool {
 	at := func(t time.Time) bool { return a.Now.Equal(t) || a.Now.After(t) }
 	repeat := a.Retry.MayHaveRun
@@ -37,7 +37,7 @@
 	return false
 }
 
-// An attempt is allowed exactly if no reason forbids it, and the reason that is given does.
+// An attempt is allowed exactly if no reason forbids it, and a returned reason does apply.
 func TestReasonAgainstAnOracle(t *testing.T) {
 	seen := map[Reason]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -72,17 +72,17 @@
 		got := a.Reason()
 		seen[got]++
 		if got != Allowed && !forbids(got, a) {
-			t.Fatalf("%v is given, and does not hold: %+v", got, a)
+			t.Fatalf("returned reason %v does not apply to %+v", got, a)
 		}
 		for r := Allowed + 1; r <= WindowOver; r++ {
 			if got == Allowed && forbids(r, a) {
-				t.Fatalf("it is allowed though %v: %+v", r, a)
+				t.Fatalf("allowed although %v applies to %+v", r, a)
 			}
 		}
 	})
 	for r := Allowed; r <= WindowOver; r++ {
 		if seen[r] == 0 {
-			t.Errorf("%q never came up", r)
+			t.Errorf("reason %q was never returned", r)
 		}
 	}
 }
