--- a/internal/executor/clientleft_test.go
+++ b/internal/executor/clientleft_test.go
@@ -218,7 +218,7 @@
 			}
 			job.Still = func() precheck.Reason {
 				if client.Err() != nil {
-					return precheck.ClientLeft
+					return precheck.ClientDisconnected
 				}
 				return precheck.Allowed
 			}
@@ -261,7 +261,7 @@
 	a := newAttempt(1)
 	a.Job.Still = func() precheck.Reason {
 		if client.Err() != nil {
-			return precheck.ClientLeft
+			return precheck.ClientDisconnected
 		}
 		return precheck.Allowed
 	}
--- a/internal/executor/localfault_test.go
+++ b/internal/executor/localfault_test.go
@@ -171,7 +171,7 @@
 	a := newAttempt(1)
 	a.Job.Still = func() precheck.Reason {
 		if client.Err() != nil {
-			return precheck.ClientLeft
+			return precheck.ClientDisconnected
 		}
 		return precheck.Allowed
 	}
--- a/internal/executor/races_test.go
+++ b/internal/executor/races_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	return []namedChange{
-		{"the client leaves", reason(precheck.ClientLeft)},
+		{"the client leaves", reason(precheck.ClientDisconnected)},
 		{"the lease is lost", reason(precheck.LeaseLost)},
 		{"the job is answered", func(_ *Client, a *node.Attempt) precheck.Reason {
 			a.Answered.Store(true)
--- a/internal/lease/protocol_test.go
+++ b/internal/lease/protocol_test.go
@@ -128,7 +128,7 @@
 	if !e.from.nodes[node].hasLease {
 		e.add(func(s *modelState) { s.nodes[node].hasLease = true })
 	} else if e.from.faultsLeft > 0 {
-		e.add(func(s *modelState) { s.nodes[node].hasLease = false; s.faultsLeft-- }) // paused, partitioned, or a clock far ahead
+		e.add(func(s *modelState) { s.nodes[node].hasLease = false; s.faultsLeft-- }) // paused, isolated, or a fast clock
 	}
 	if e.from.faultsLeft > 0 {
 		e.add(func(s *modelState) { s.nodes[node] = nodeState{}; s.faultsLeft-- })
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -146,7 +146,7 @@
 // ends as soon as the client's end is read: an event that the core still has to take would be later.
 func clientState(ctx context.Context) precheck.Reason {
 	if ctx.Err() != nil {
-		return precheck.ClientLeft
+		return precheck.ClientDisconnected
 	}
 	return precheck.Allowed
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -134,7 +134,7 @@
 	}()
 	leave()
 	<-c.told // and its event waits from here on
-	if why := c.jobs[0].Still(); why != precheck.ClientLeft {
+	if why := c.jobs[0].Still(); why != precheck.ClientDisconnected {
 		t.Errorf("the check says that %v", why)
 	}
 	c.told <- true
--- a/internal/precheck/precheck.go
+++ b/internal/precheck/precheck.go
@@ -21,8 +21,8 @@
 	Allowed Reason = iota
 	// Ended: the attempt was canceled, or its job already has its final result.
 	Ended
-	// ClientLeft: the client has closed its connection.
-	ClientLeft
+	// ClientDisconnected: the client has closed its connection.
+	ClientDisconnected
 	// LeaseLost: another node owns the job's partition, under a later epoch.
 	LeaseLost
 	// DeadlinePassed: the attempt's deadline has passed.
@@ -33,26 +33,26 @@
 	Draining
 	// Restarted: the executor was restarted after the decision, which used the slow-start budget of the earlier process.
 	Restarted
-	// AttemptsUsedUp: the request has had its maximum number of attempts.
-	AttemptsUsedUp
+	// AttemptsExhausted: the request has had its maximum number of attempts.
+	AttemptsExhausted
 	// MustNotRunTwice: the request may have run already and must run at most once.
 	MustNotRunTwice
-	// WindowOver: the request may have run already, and executors no longer deduplicate its idempotency key.
-	WindowOver
+	// IdempotencyWindowOver: the request may have run already, and executors no longer deduplicate its idempotency key.
+	IdempotencyWindowOver
 )
 
 var reasonTexts = [...]string{
-	Allowed:         "allowed",
-	Ended:           "attempt canceled or job answered",
-	ClientLeft:      "client left",
-	LeaseLost:       "lease lost to another node",
-	DeadlinePassed:  "deadline passed",
-	NotListed:       "executor not listed",
-	Draining:        "executor draining",
-	Restarted:       "executor restarted",
-	AttemptsUsedUp:  "attempts used up",
-	MustNotRunTwice: "may have run and must not run twice",
-	WindowOver:      "may have run and the idempotency window is over",
+	Allowed:               "allowed",
+	Ended:                 "attempt canceled or job answered",
+	ClientDisconnected:    "client left",
+	LeaseLost:             "lease lost to another node",
+	DeadlinePassed:        "deadline passed",
+	NotListed:             "executor not listed",
+	Draining:              "executor draining",
+	Restarted:             "executor restarted",
+	AttemptsExhausted:     "attempts used up",
+	MustNotRunTwice:       "may have run and must not run twice",
+	IdempotencyWindowOver: "may have run and the idempotency window is over",
 }
 
 // String returns the reason as it appears in logs.
@@ -117,11 +117,11 @@
 func (r *RetryRules) reason(now time.Time) Reason {
 	switch {
 	case r.Attempt > r.MaxAttempts:
-		return AttemptsUsedUp
+		return AttemptsExhausted
 	case r.MayHaveRun && r.RetrySafety == dispatch.AtMostOnce:
 		return MustNotRunTwice
 	case r.MayHaveRun && r.RetrySafety == dispatch.Keyed && !now.Before(r.WindowEnd):
-		return WindowOver
+		return IdempotencyWindowOver
 	}
 	return Allowed
 }
--- a/internal/precheck/precheck_test.go
+++ b/internal/precheck/precheck_test.go
@@ -17,7 +17,7 @@
 	switch r {
 	case Ended:
 		return a.Ended
-	case ClientLeft, LeaseLost:
+	case ClientDisconnected, LeaseLost:
 		return a.Job == r
 	case DeadlinePassed:
 		return at(a.Deadline)
@@ -27,11 +27,11 @@
 		return a.Executor.SendsEndAt != (time.Time{}) && at(a.Executor.SendsEndAt)
 	case Restarted:
 		return a.Executor.StartedAt < a.Executor.ExpectedStart || a.Executor.StartedAt > a.Executor.ExpectedStart
-	case AttemptsUsedUp:
+	case AttemptsExhausted:
 		return a.Retry.Attempt >= a.Retry.MaxAttempts+1
 	case MustNotRunTwice:
 		return repeat && a.Retry.RetrySafety != dispatch.Idempotent && a.Retry.RetrySafety != dispatch.Keyed
-	case WindowOver:
+	case IdempotencyWindowOver:
 		return repeat && a.Retry.RetrySafety == dispatch.Keyed && at(a.Retry.WindowEnd)
 	}
 	return false
@@ -52,7 +52,7 @@
 		a := &Check{Now: now, Ended: seldom("over"), Deadline: near("deadline"),
 			Executor: Executor{Listed: !seldom("unlisted"), ExpectedStart: 7, StartedAt: 7}}
 		if seldom("job") {
-			a.Job = rapid.SampledFrom([]Reason{ClientLeft, LeaseLost}).Draw(t, "why")
+			a.Job = rapid.SampledFrom([]Reason{ClientDisconnected, LeaseLost}).Draw(t, "why")
 		}
 		if rapid.Bool().Draw(t, "drains") {
 			a.Executor.SendsEndAt = near("stop")
@@ -74,13 +74,13 @@
 		if got != Allowed && !forbids(got, a) {
 			t.Fatalf("returned reason %v does not apply to %+v", got, a)
 		}
-		for r := Allowed + 1; r <= WindowOver; r++ {
+		for r := Allowed + 1; r <= IdempotencyWindowOver; r++ {
 			if got == Allowed && forbids(r, a) {
 				t.Fatalf("allowed although %v applies to %+v", r, a)
 			}
 		}
 	})
-	for r := Allowed; r <= WindowOver; r++ {
+	for r := Allowed; r <= IdempotencyWindowOver; r++ {
 		if seen[r] == 0 {
 			t.Errorf("reason %q was never returned", r)
 		}
