--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -168,7 +168,7 @@
 		fits = d.admit(job)
 	}
 	if !fits {
-		d.endJob(job, causeNoTokens)
+		d.endJob(job, causeNoSlots)
 		return
 	}
 	job.admitted = true
--- a/internal/dispatch/aggregator_client.go
+++ b/internal/dispatch/aggregator_client.go
@@ -24,9 +24,9 @@
 	// maxAnswerAge is from how old on an answer tells nothing any more.
 	maxAnswerAge = 10
 
-	// aggregatorAwayFactor is how long an aggregator that does not answer is not asked, at first: killed nodes are back
+	// aggregatorSuspicionFactor is how long an aggregator that does not answer is not asked, at first: killed nodes are back
 	// soon, and all should meet again.
-	aggregatorAwayFactor = 15
+	aggregatorSuspicionFactor = 15
 
 	// notReadyFactor is how long an aggregator that has just begun is not asked.
 	notReadyFactor = 4
@@ -113,8 +113,8 @@
 	return d.now-d.jobs.arrived[0].arrivedAt < timeout
 }
 
-// wantAnswerForQueue has the aggregator asked again while jobs are queued.
-func (d *Dispatcher) wantAnswerForQueue() {
+// requestAnswerForQueue has the aggregator asked again while jobs are queued.
+func (d *Dispatcher) requestAnswerForQueue() {
 	client := &d.aggregatorClient
 	if d.now-client.answeredAt > queryRetryFactor*d.answerTimeout() {
 		client.answerWanted = true
@@ -160,7 +160,7 @@
 		return false
 	}
 	peer := &d.gossip.peers[client.current]
-	away := aggregatorAwayFactor * d.answerTimeout() * doublings(peer.timeouts, maxBackoffDoublings)
+	away := aggregatorSuspicionFactor * d.answerTimeout() * doublings(peer.timeouts, maxBackoffDoublings)
 	peer.suspectedUntil = d.now + away*(0.75+0.5*d.random())
 	peer.timeouts++
 	d.logf("aggregator suspected node=%d", client.current)
@@ -196,7 +196,7 @@
 // appendChange appends what this node holds at an executor, if the aggregator does not know it or is to be reminded.
 func (d *Dispatcher) appendChange(data []byte, executor *executor) []byte {
 	known := &executor.gossip
-	slots := min(math.Round(executor.inFlight.slots+d.hiddenSlots(executor)), maxEncodedSlots)
+	slots := min(math.Round(executor.inFlight.slots+d.unreportedSlots(executor)), maxEncodedSlots)
 	isKnown := slots == known.notifiedSlots && (slots == 0 || d.now-known.notifiedAt < d.reminderInterval())
 	if isKnown || len(data) > 2*maxEntries-1 {
 		return data
--- a/internal/dispatch/aggregator_message.go
+++ b/internal/dispatch/aggregator_message.go
@@ -17,7 +17,7 @@
 
 // The lower bits of an entry.
 const (
-	slotBits             = 15 // mask
+	slotMask             = 15 // mask
 	maxEncodedSlots      = 11 // slots at an executor that can be told, at most
 	firstClassQuarantine = 12 // class 0 fails there; one more for each class
 	lastClassQuarantine  = 14 // for the last class that can be told
@@ -39,10 +39,10 @@
 func readEntries(data []byte, slots func(tag uint16, slots float64), quarantine func(entry uint16)) {
 	for i := 1; i+2 <= len(data); i += 2 {
 		entry := binary.BigEndian.Uint16(data[i:])
-		if entry&slotBits >= firstClassQuarantine {
+		if entry&slotMask >= firstClassQuarantine {
 			quarantine(entry)
 		} else {
-			slots(entry&^slotBits, float64(entry&slotBits))
+			slots(entry&^slotMask, float64(entry&slotMask))
 		}
 	}
 }
--- a/internal/dispatch/aggregator_server.go
+++ b/internal/dispatch/aggregator_server.go
@@ -11,8 +11,8 @@
 	// a node uses.
 	maxAggregatorRate = 1000
 
-	// aggregatorListenRuns is how many mean runs after its start an aggregator was told most of what is held.
-	aggregatorListenRuns = 1
+	// aggregatorReadyRuns is how many mean runs after its start an aggregator was told most of what is held.
+	aggregatorReadyRuns = 1
 
 	// connectionQuarantineFactor is for how many connect timeouts an executor that took no connection is not tried by
 	// others.
@@ -49,7 +49,7 @@
 
 // isReady says that this node has listened for long enough to know what is held.
 func (s *aggregatorServer) isReady(meanRun float64) bool {
-	return s.now-s.startedAt > aggregatorListenRuns*meanRun
+	return s.now-s.startedAt > aggregatorReadyRuns*meanRun
 }
 
 // handleUpdate takes in, as the aggregator, what another node holds, and answers if it asks.
@@ -59,12 +59,12 @@
 		// What it does not name may have been sent before it was killed, and run on: it lapses after a run.
 		lapses := d.now + d.serviceTimes.meanRun - 2*d.reminderInterval()
 		for i := range peer.loads {
-			peer.loads[i].heardAt = min(peer.loads[i].heardAt, lapses)
+			peer.loads[i].updatedAt = min(peer.loads[i].updatedAt, lapses)
 		}
 	}
 	server := &d.aggregatorServer
 	readEntries(event.Data, func(tag uint16, slots float64) {
-		server.setPeerLoad(peer, peerLoad{tag: tag, slots: slots, heardAt: d.now})
+		server.setPeerLoad(peer, peerLoad{tag: tag, slots: slots, updatedAt: d.now})
 	}, server.addQuarantine)
 	d.needsPlacement = true
 	if kind != messageUpdate {
@@ -95,7 +95,7 @@
 	for i := range peers {
 		peer := &peers[i]
 		peer.loads = slices.DeleteFunc(peer.loads, func(load peerLoad) bool {
-			return s.now-load.heardAt > 2*reminderInterval
+			return s.now-load.updatedAt > 2*reminderInterval
 		})
 		for _, load := range peer.loads {
 			s.slotTotals[load.tag] += load.slots
@@ -117,7 +117,7 @@
 		return // it was sent before the others were told
 	}
 	base := classQuarantineFactor * s.settings.ConnectTimeout
-	if entry&slotBits == connectionQuarantine {
+	if entry&slotMask == connectionQuarantine {
 		base = connectionQuarantineFactor * s.settings.ConnectTimeout
 	}
 	if s.now-known.until > 2*base*float64(int(1)<<known.consecutive) {
@@ -156,7 +156,7 @@
 	}
 	others := map[uint16]float64{} // what this node holds, less what the asking one does
 	for _, executor := range d.endpoints.listed {
-		if slots := executor.inFlight.slots + d.hiddenSlots(executor); slots > 0 {
+		if slots := executor.inFlight.slots + d.unreportedSlots(executor); slots > 0 {
 			others[executor.tag] += slots
 		}
 	}
--- a/internal/dispatch/aggregator_test.go
+++ b/internal/dispatch/aggregator_test.go
@@ -68,7 +68,7 @@
 		t.Errorf("a job took %.0f ms although the next aggregator answers", c.now-from)
 	}
 	c.start(first, rows)
-	c.run(1.5 * aggregatorAwayFactor * wait)
+	c.run(1.5 * aggregatorSuspicionFactor * wait)
 	c.send(node, 1000)
 	c.run(100)
 	if now := c.nodes[node].aggregatorClient.current; now != first {
@@ -88,7 +88,7 @@
 	c.start(h, rows)
 	c.step(nil)
 	c.know(2)
-	c.run(aggregatorListenRuns*c.nodes[0].serviceTimes.meanRun + 200)
+	c.run(aggregatorReadyRuns*c.nodes[0].serviceTimes.meanRun + 200)
 	c.send(node, 300)
 	c.run(50) // before any reminder
 	held := 0.0
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -71,7 +71,7 @@
 	executor := attempt.executor
 	d.endObservedRun(job, attempt, event.Outcome == Served)
 	d.resolve(job, attempt)
-	d.noteMayHaveRun(job, attempt, event.Outcome)
+	d.recordMayHaveRun(job, attempt, event.Outcome)
 	d.judgeOutcome(job, attempt, event.Outcome)
 	d.learnClassOutcome(job, executor, event)
 	d.handleLoadReport(executor, event.Report)
--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -210,7 +210,7 @@
 	slots := math.Round(d.knownSlots(executor))
 	if slots > 0 && d.peerLoadsKnown() { // this is newer than any report
 		byNow := max(1, slots*d.slowStart.share(executor))
-		return math.Round(byNow - own - d.peerSlotsAt(executor) - d.hiddenSlots(executor))
+		return math.Round(byNow - own - d.peerSlotsAt(executor) - d.unreportedSlots(executor))
 	}
 	if d.isOverloadedByWeight(executor) {
 		return 0
--- a/internal/dispatch/classfailure.go
+++ b/internal/dispatch/classfailure.go
@@ -98,7 +98,7 @@
 		d.learnServed(job, executor, attempt)
 	case event.Outcome == Errored:
 		d.learnErrored(job, executor, attempt)
-	case event.Outcome == Full && d.reports.showFreeSlots(event.Report, job.slots):
+	case event.Outcome == Full && d.reports.hasFreeSlots(event.Report, job.slots):
 		d.blameClass(executor, job.class, Full)
 	}
 }
--- a/internal/dispatch/cluster_test.go
+++ b/internal/dispatch/cluster_test.go
@@ -105,7 +105,7 @@
 	if slots > 0 {
 		c.know(slots)
 	}
-	c.run(aggregatorListenRuns*c.nodes[0].serviceTimes.meanRun + 1000)
+	c.run(aggregatorReadyRuns*c.nodes[0].serviceTimes.meanRun + 1000)
 	return c
 }
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -151,12 +151,12 @@
 	}
 	if len(d.jobs.queue) > 0 {
 		d.needsPlacement = true
-		d.wantAnswerForQueue()
+		d.requestAnswerForQueue()
 	}
 	d.checkHealth()
 	d.broadcastLoad()
 	if (d.gossip.freshPeers > 0 || d.gossip.mode == gossipAggregator) && d.now >= d.gossip.nextPeerSum {
 		d.sumPeerLoads()
 	}
-	d.logRejecting()
+	d.logLoadShedding()
 }
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -218,7 +218,7 @@
 	outlier.onProbation, outlier.unresponsive, outlier.lastHeard = false, false, d.now
 	connections.dialFailures, connections.dialBackoffUntil = 0, 0
 	connections.idleSince = connections.idleSince[:0]
-	executor.gossip.hiddenSlots = 0
+	executor.gossip.unreportedSlots = 0
 	clear(executor.failures.byClass)
 	executor.failures.all = errorTally{}
 	executor.affinityKeys = [affinityKeysKept]uint64{}
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -6,21 +6,21 @@
 // inspects comes first and close together: in a large fleet, the memory that it lies in is most of what an inspection
 // costs.
 type executor struct {
-	id           uint32
-	tag          uint16 // its name in messages between nodes
-	inspectedIn  uint64 // the last inspection round that took it in
-	endpoint     endpointState
-	load         loadEstimate
-	inFlight     inFlightAttempts
-	outlier      outlierState
-	connections  connectionState
-	slowStart    slowStartBudget
-	serviceTime  observedWork
-	gossip       executorGossip
-	group        *executorGroup
-	failures     failureState
-	healthCheck  healthCheckState
-	affinityKeys [affinityKeysKept]uint64 // keys that it likely holds, the last used first
+	id                  uint32
+	tag                 uint16 // its name in messages between nodes
+	lastInspectionRound uint64 // the last inspection round that took it in
+	endpoint            endpointState
+	load                loadEstimate
+	inFlight            inFlightAttempts
+	outlier             outlierState
+	connections         connectionState
+	slowStart           slowStartBudget
+	serviceTime         observedWork
+	gossip              executorGossip
+	group               *executorGroup
+	failures            failureState
+	healthCheck         healthCheckState
+	affinityKeys        [affinityKeysKept]uint64 // keys that it likely holds, the last used first
 }
 
 // inFlightAttempts are this node's attempts at an executor: those in flight, and the last that ended.
@@ -30,19 +30,19 @@
 	unstarted       int     // attempts that the executor has not said it started
 	unstartedSlots  float64
 	oldestUnstarted float64 // when the oldest of them was sent; now, if there is none
-	ended           [endedAttemptsKept]endedAttempt
+	ended           [maxEndedAttempts]endedAttempt
 	endedCount      int // all that ended, also those no longer kept
 }
 
-// endedAttemptsKept is how many ended attempts are kept for each executor. They explain load reports that were taken
+// maxEndedAttempts is how many ended attempts are kept for each executor. They explain load reports that were taken
 // before they ended; a report is seldom older than so many requests of one node.
-const endedAttemptsKept = 24
+const maxEndedAttempts = 24
 
 // endedAttempt is an attempt that has ended.
 type endedAttempt struct{ sentAt, endedAt, slots float64 }
 
-// isOpen says whether an attempt of a job is in flight at an executor, and was not written off.
-func (a *attempt) isOpen(executor *executor) bool {
+// holdsSlots says whether an attempt of a job is in flight at an executor, and was not written off.
+func (a *attempt) holdsSlots(executor *executor) bool {
 	return a.executor == executor && !a.resolved && !a.writtenOff
 }
 
@@ -61,7 +61,7 @@
 	unstarted, slots, oldest := 0, 0.0, now
 	for _, job := range e.inFlight.jobs {
 		for i := range job.attempts {
-			if attempt := &job.attempts[i]; attempt.isOpen(e) && attempt.startedAt == 0 {
+			if attempt := &job.attempts[i]; attempt.holdsSlots(e) && attempt.startedAt == 0 {
 				unstarted++
 				slots += job.slots
 				oldest = min(oldest, attempt.sentAt)
@@ -73,7 +73,7 @@
 
 // recordEnded keeps an attempt that has ended and used slots of the executor.
 func (a *inFlightAttempts) recordEnded(ended endedAttempt) {
-	a.ended[a.endedCount%endedAttemptsKept] = ended
+	a.ended[a.endedCount%maxEndedAttempts] = ended
 	a.endedCount++
 }
 
--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -12,8 +12,8 @@
 // reminder tells lapses.
 
 const (
-	// gossipIntervals is the time between broadcasts, in report intervals.
-	gossipIntervals = 0.3
+	// gossipIntervalFactor is the time between broadcasts, in report intervals.
+	gossipIntervalFactor = 0.3
 
 	// maxGossipBytesPerRequest is how many bytes of messages are paid for by each of our requests: knowledge against its
 	// price.
@@ -50,7 +50,7 @@
 
 // peer is what another node told that it holds.
 type peer struct {
-	heardAt        float64 // of its last broadcast
+	lastMessageAt  float64 // of its last broadcast
 	fresh          bool    // its loads are counted in what all hold
 	loads          []peerLoad
 	suspectedUntil float64 // it is not used as the aggregator before
@@ -59,18 +59,18 @@
 
 // peerLoad is how many slots another node holds at one executor.
 type peerLoad struct {
-	tag     uint16
-	slots   float64
-	heardAt float64
+	tag       uint16
+	slots     float64
+	updatedAt float64
 }
 
 // executorGossip is what nodes tell one another of an executor.
 type executorGossip struct {
-	peerSlots     float64 // that other nodes hold, where each broadcasts its load
-	hiddenSlots   float64 // held there and told by nobody, as was seen at hiddenAt
-	hiddenAt      float64
-	notifiedSlots float64 // ours, as the aggregator was last notified at notifiedAt
-	notifiedAt    float64
+	peerSlots         float64 // that other nodes hold, where each broadcasts its load
+	unreportedSlots   float64 // held there and told by nobody, as was seen at hiddenAt
+	unreportedSlotsAt float64
+	notifiedSlots     float64 // ours, as the aggregator was last notified at notifiedAt
+	notifiedAt        float64
 }
 
 // chooseGossipMode says what the other nodes are told: all, now and then; or, where nodes are so many that the bytes
@@ -94,7 +94,7 @@
 func (d *Dispatcher) tagOf(id uint32) uint16 {
 	tag := uint16(mix64(uint64(id)))
 	if d.gossip.mode == gossipAggregator {
-		tag &^= slotBits
+		tag &^= slotMask
 	}
 	return tag
 }
@@ -114,7 +114,7 @@
 	d.act(Action{Kind: ActGossip, To: AllPeers, Data: data})
 	bytes := float64(len(data) * (d.settings.Nodes - 1))
 	affordable := 1000 * bytes / (maxGossipBytesPerRequest * max(d.admission.allArrivals.perSecond, 1))
-	interval := max(gossipIntervals*d.reports.interval, affordable)
+	interval := max(gossipIntervalFactor*d.reports.interval, affordable)
 	d.gossip.nextBroadcast = d.now + interval*(0.8+0.4*d.random())
 }
 
@@ -133,10 +133,10 @@
 	} else {
 		d.gossip.freshPeers++
 	}
-	peer.heardAt, peer.fresh, peer.loads = d.now, true, peer.loads[:0]
+	peer.lastMessageAt, peer.fresh, peer.loads = d.now, true, peer.loads[:0]
 	for i := 0; i+broadcastEntryBytes <= len(event.Data); i += broadcastEntryBytes {
 		tag := uint16(event.Data[i])<<8 | uint16(event.Data[i+1])
-		peer.loads = append(peer.loads, peerLoad{tag: tag, slots: float64(event.Data[i+2]), heardAt: d.now})
+		peer.loads = append(peer.loads, peerLoad{tag: tag, slots: float64(event.Data[i+2]), updatedAt: d.now})
 	}
 	d.addPeerLoad(peer, 1)
 	d.needsPlacement = true
@@ -167,7 +167,7 @@
 	}
 	for i := range d.gossip.peers {
 		peer := &d.gossip.peers[i]
-		peer.fresh = peer.heardAt > 0 && d.now-peer.heardAt <= freshReportIntervals*d.reports.interval
+		peer.fresh = peer.lastMessageAt > 0 && d.now-peer.lastMessageAt <= freshReportIntervals*d.reports.interval
 		if peer.fresh {
 			d.gossip.freshPeers++
 			d.addPeerLoad(peer, 1)
@@ -199,16 +199,16 @@
 	return d.aggregatorClient.peerSlots[executor.tag]
 }
 
-// hiddenSlots is what others hold at an executor that no message told of: a job of ours that is not started though
+// unreportedSlots is what others hold at an executor that no message told of: a job of ours that is not started though
 // there should be a free slot shows it, and it is taken to end over a run. Nodes and aggregators that were killed
 // leave such jobs behind, and to tell of them spares every other node the same wait.
-func (d *Dispatcher) hiddenSlots(executor *executor) float64 {
+func (d *Dispatcher) unreportedSlots(executor *executor) float64 {
 	known := &executor.gossip
 	if executor.inFlight.unstarted > 0 && d.isStartOverdue(executor) {
 		slots := d.knownSlots(executor) * d.slowStart.share(executor)
-		if hidden := slots - executor.inFlight.slots - d.peerSlotsAt(executor); hidden >= known.hiddenSlots {
-			known.hiddenSlots, known.hiddenAt = hidden, d.now
+		if hidden := slots - executor.inFlight.slots - d.peerSlotsAt(executor); hidden >= known.unreportedSlots {
+			known.unreportedSlots, known.unreportedSlotsAt = hidden, d.now
 		}
 	}
-	return max(0, known.hiddenSlots*(1-(d.now-known.hiddenAt)/d.serviceTimes.meanRun))
+	return max(0, known.unreportedSlots*(1-(d.now-known.unreportedSlotsAt)/d.serviceTimes.meanRun))
 }
--- a/internal/dispatch/loadreport.go
+++ b/internal/dispatch/loadreport.go
@@ -15,14 +15,14 @@
 	// reportAgeStep is the factor between the ages that are compared. Finer ones tell less apart.
 	reportAgeStep = 1.75
 
-	// reportAgeMemory is the memory of that comparison. A shorter one follows a change sooner and errs more.
-	reportAgeMemory = 0.99
+	// reportAgeDecay is the memory of that comparison. A shorter one follows a change sooner and errs more.
+	reportAgeDecay = 0.99
 
 	// reportAgeConfidence is the part of the usual age's scatter under which another age is believed.
 	reportAgeConfidence = 0.8
 
-	// usualAge is the candidate that stands for the default age.
-	usualAge = 1
+	// defaultAgeCandidate is the candidate that stands for the default age.
+	defaultAgeCandidate = 1
 
 	// initialReportIntervalMs is the time between new reports until some are seen.
 	initialReportIntervalMs = 500
@@ -41,8 +41,8 @@
 	// occupancyWeight is the weight of one report in the fleet's mean of what others hold.
 	occupancyWeight = 0.02
 
-	// reportedSlack is how much a number of slots in a report may be off and still be meant.
-	reportedSlack = 0.5
+	// slotTolerance is how much a number of slots in a report may be off and still be meant.
+	slotTolerance = 0.5
 )
 
 // loadReports is what is learned of load reports: how often they come and how old they are then.
@@ -52,15 +52,15 @@
 	interval        float64   // between new reports of an executor
 	age             float64   // of a report when it comes
 	ageCandidates   [9]spread // of what executors reported to hold less our own jobs, at each age
-	held            spread    // of what they reported to hold
-	bestAge         int       // the candidate that is believed
+	reportedHeld    spread    // of what they reported to hold
+	selectedAge     int       // the candidate that is believed
 	samples         float64   // reports that were compared
 	lastAt          float64   // when any executor last sent a new report
 	recentReporters recentExecutors
 }
 
 func newLoadReports(env *environment) loadReports {
-	return loadReports{environment: env, interval: initialReportIntervalMs, bestAge: usualAge,
+	return loadReports{environment: env, interval: initialReportIntervalMs, selectedAge: defaultAgeCandidate,
 		age: defaultReportAge * initialReportIntervalMs}
 }
 
@@ -124,7 +124,7 @@
 // queuedJobs is how many jobs a report with free slots shows to be queued: more requests than slots in use. A wide
 // job at the head keeps slots free that none behind it gets.
 func (l *loadReport) queuedJobs(slots, widest float64) float64 {
-	if !(l.free < widest-reportedSlack) {
+	if !(l.free < widest-slotTolerance) {
 		return 0
 	}
 	if math.IsNaN(l.pending) {
@@ -144,8 +144,8 @@
 	return max(0, slots-free), true
 }
 
-// noteGap takes in the time between two reports of an executor.
-func (r *loadReports) noteGap(gap float64) {
+// observeReportGap takes in the time between two reports of an executor.
+func (r *loadReports) observeReportGap(gap float64) {
 	weight := longGapWeight
 	if gap < r.interval {
 		weight = shortGapWeight
@@ -153,8 +153,8 @@
 	r.interval = max(r.interval+(min(gap, maxGapFactor*r.interval)-r.interval)*weight, r.settings.Step, 1)
 }
 
-// showFreeSlots says whether a report tells of free slots for a job, and of nothing that is queued for them.
-func (r *loadReports) showFreeSlots(values []float32, slots float64) bool {
+// hasFreeSlots says whether a report tells of free slots for a job, and of nothing that is queued for them.
+func (r *loadReports) hasFreeSlots(values []float32, slots float64) bool {
 	free := false
 	for i, value := range values {
 		if i >= len(r.settings.Fields) {
@@ -162,8 +162,8 @@
 		}
 		switch x := float64(value); {
 		case r.settings.Fields[i] == FieldFree:
-			free = x > slots-reportedSlack/2
-		case r.settings.Fields[i] == FieldPending && x >= reportedSlack:
+			free = x > slots-slotTolerance/2
+		case r.settings.Fields[i] == FieldPending && x >= slotTolerance:
 			return false
 		}
 	}
@@ -176,41 +176,41 @@
 // so of some ages, the one at which the reported load less our own scatters least is the age.
 func (r *loadReports) learnAge(executor *executor, held float64, inSlots bool) {
 	r.samples++
-	weight := max(1-reportAgeMemory, 1/r.samples)
+	weight := max(1-reportAgeDecay, 1/r.samples)
 	least, best := math.Inf(1), 0
-	unexplained := r.held.add(held, weight) // what no jobs of ours explain
+	unexplained := r.reportedHeld.add(held, weight) // what no jobs of ours explain
 	for k := range r.ageCandidates {
 		taken := r.now - r.candidateAge(k)
-		scatter := r.ageCandidates[k].add(held-executor.heldAt(taken, inSlots), weight)
+		scatter := r.ageCandidates[k].add(held-executor.ownHeldAt(taken, inSlots), weight)
 		// Beyond the oldest of our jobs that are remembered an age counts none of them, explains nothing, and may still
 		// beat the usual one where ours are few.
-		explained := r.held.mean - r.ageCandidates[k].mean
-		if scatter < least && explained >= (r.held.mean-r.ageCandidates[usualAge].mean)/2 {
+		explained := r.reportedHeld.mean - r.ageCandidates[k].mean
+		if scatter < least && explained >= (r.reportedHeld.mean-r.ageCandidates[defaultAgeCandidate].mean)/2 {
 			least, best = scatter, k
 		}
 	}
 	confidence := reportAgeConfidence
-	if r.bestAge != usualAge {
+	if r.selectedAge != defaultAgeCandidate {
 		confidence = 1 // once believed, another age holds until the usual one fits as well
 	}
-	uncertain := least > confidence*r.ageCandidates[usualAge].scatter || least > unexplained
-	if uncertain || r.samples < 1/(1-reportAgeMemory) {
-		best = usualAge
+	uncertain := least > confidence*r.ageCandidates[defaultAgeCandidate].scatter || least > unexplained
+	if uncertain || r.samples < 1/(1-reportAgeDecay) {
+		best = defaultAgeCandidate
 	}
-	age := defaultReportAge * r.interval * math.Pow(reportAgeStep, float64(best-usualAge))
-	if best != r.bestAge {
+	age := defaultReportAge * r.interval * math.Pow(reportAgeStep, float64(best-defaultAgeCandidate))
+	if best != r.selectedAge {
 		r.logf("load report age changed age_ms=%.0f previous_ms=%.0f", age, r.age)
-		r.bestAge = best
+		r.selectedAge = best
 	}
 	r.age = age
 }
 
 func (r *loadReports) candidateAge(k int) float64 {
-	return r.interval * defaultReportAge * math.Pow(reportAgeStep, float64(k-usualAge))
+	return r.interval * defaultReportAge * math.Pow(reportAgeStep, float64(k-defaultAgeCandidate))
 }
 
-// heldAt is what our own jobs held at an executor at a time: slots, or requests.
-func (e *executor) heldAt(at float64, inSlots bool) (held float64) {
+// ownHeldAt is what our own jobs held at an executor at a time: slots, or requests.
+func (e *executor) ownHeldAt(at float64, inSlots bool) (held float64) {
 	each := func(slots float64) float64 {
 		if inSlots {
 			return slots
@@ -264,7 +264,7 @@
 		return
 	}
 	if load.reportedAt > 0 && !repeated {
-		d.reports.noteGap(d.now - load.reportedAt)
+		d.reports.observeReportGap(d.now - load.reportedAt)
 	}
 	load.sampleHash, load.reportedAt = report.hash, d.now
 	d.reports.recentReporters.add(executor)
@@ -307,7 +307,7 @@
 func (d *Dispatcher) learnSlots(executor *executor, report *loadReport, free, slots float64) {
 	load := &executor.load
 	seen := free
-	if free >= d.capacity.widestRequest-reportedSlack && report.busy > 0 {
+	if free >= d.capacity.widestRequest-slotTolerance && report.busy > 0 {
 		seen += report.busy
 	}
 	if load.slots == 0 {
--- a/internal/dispatch/loadreport_test.go
+++ b/internal/dispatch/loadreport_test.go
@@ -118,7 +118,7 @@
 		for _, a := range got {
 			r.after(50, outcome(a.Job, 0, a.Executor, Served))
 		}
-		if r.d.reports.bestAge != 1 {
+		if r.d.reports.selectedAge != 1 {
 			t.Fatalf("after %d reports they are taken to be %.0f ms old", 2*i, r.d.reports.age)
 		}
 	}
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -218,7 +218,7 @@
 	for _, job := range executor.inFlight.jobs {
 		for i := range job.attempts {
 			attempt := &job.attempts[i]
-			if !attempt.isOpen(executor) {
+			if !attempt.holdsSlots(executor) {
 				continue
 			}
 			since := max(attempt.sentAt, executor.outlier.lastHeard)
@@ -248,7 +248,7 @@
 	d.logf("executor responsive executor=%d", executor.id)
 	for _, job := range executor.inFlight.jobs {
 		for i := range job.attempts {
-			if attempt := &job.attempts[i]; attempt.isOpen(executor) {
+			if attempt := &job.attempts[i]; attempt.holdsSlots(executor) {
 				attempt.writtenOff = true
 				d.endObservedRun(job, attempt, false)
 				executor.inFlight.slots -= job.slots
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -84,10 +84,10 @@
 
 // inspect adds an executor to those that queued jobs choose among, once in a round, if it is usable and has free slots.
 func (d *Dispatcher) inspect(executor *executor) {
-	if executor == nil || executor.inspectedIn == d.placement.round || !d.isUsable(executor) {
+	if executor == nil || executor.lastInspectionRound == d.placement.round || !d.isUsable(executor) {
 		return
 	}
-	executor.inspectedIn = d.placement.round
+	executor.lastInspectionRound = d.placement.round
 	d.placement.inspected = append(d.placement.inspected, executor)
 	executor.load.available = d.availableSlots(executor)
 	if executor.load.available >= 1 && d.slowStartAllows(executor, 0) {
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -12,7 +12,7 @@
 
 // The causes.
 const (
-	causeNoTokens  rejectCause = iota // admission had no slots for it
+	causeNoSlots   rejectCause = iota // admission had no slots for it
 	causeTooLate                      // it could not end usefully any more, or must not be attempted again
 	causePreempted                    // it was queued, and another took its slots
 	causeCount
@@ -53,7 +53,7 @@
 		return true
 	case Keyed:
 		ran, since := job.firstRun()
-		return d.now-since < class.Window-d.answerMargin() && sharesKeys(class.Scope, ran, executor)
+		return d.now-since < class.Window-d.answerMargin() && inDeduplicationScope(class.Scope, ran, executor)
 	}
 	return false
 }
@@ -69,8 +69,8 @@
 	return ran, since
 }
 
-// sharesKeys says whether two executors are of a group that drops repeats of a keyed request.
-func sharesKeys(scope Scope, a, b *executor) bool {
+// inDeduplicationScope says whether two executors are of a group that drops repeats of a keyed request.
+func inDeduplicationScope(scope Scope, a, b *executor) bool {
 	switch scope {
 	case ScopeAll:
 		return true
@@ -95,8 +95,8 @@
 	return min(d.settings.MaxRetryAfter, retryAfterRuns*d.serviceTimes.meanRun*job.slots/reserved)
 }
 
-// noteMayHaveRun records, in one place, what of a request may have run.
-func (d *Dispatcher) noteMayHaveRun(job *job, attempt *attempt, o Outcome) {
+// recordMayHaveRun records, in one place, what of a request may have run.
+func (d *Dispatcher) recordMayHaveRun(job *job, attempt *attempt, o Outcome) {
 	if o.NeverRan() {
 		return
 	}
@@ -141,8 +141,8 @@
 	return d.tickInterval() + max(d.tickInterval(), d.nextTick-d.now) + d.settings.Step
 }
 
-// logRejecting writes, when a node begins to end jobs itself and when it has not for a while, what it goes by.
-func (d *Dispatcher) logRejecting() {
+// logLoadShedding writes, when a node begins to end jobs itself and when it has not for a while, what it goes by.
+func (d *Dispatcher) logLoadShedding() {
 	rejecting := d.rejections.lastAt > 0 && d.now-d.rejections.lastAt < tenantActiveMs
 	if rejecting == d.rejections.active {
 		return
@@ -158,5 +158,5 @@
 	d.logf("load shedding active=%v capacity_slots=%.0f reserved_slots=%.0f queued=%d executors=%d unusable=%d "+
 		"list_age_ms=%.0f ended_without_slots=%d ended_too_late=%d ended_by_preemption=%d",
 		rejecting, d.capacity.slots, d.admission.reservedTotal(), len(d.jobs.queue), len(d.endpoints.listed), unusable,
-		d.now-d.listWatch.updatedAt, causes[causeNoTokens], causes[causeTooLate], causes[causePreempted])
+		d.now-d.listWatch.updatedAt, causes[causeNoSlots], causes[causeTooLate], causes[causePreempted])
 }
