--- a/internal/capacity/measure/decision.go
+++ b/internal/capacity/measure/decision.go
@@ -32,17 +32,17 @@
 // settings are those of one process of the fleet.
 func (f Fleet) settings() dispatch.Settings {
 	s := dispatch.Settings{
-		Nodes: f.Processes, Step: 1,
+		Nodes: f.Processes, MinStepInterval: 1,
 		Classes: []dispatch.Class{
 			{Objective: classAimMS, ObjectivePerWork: 2, Deadline: classDeadlineMS, PriorityWeight: 1, RetrySafety: dispatch.Idempotent, Kind: -1},
 			{Objective: classAimMS, ObjectivePerWork: 2, Deadline: classDeadlineMS, PriorityWeight: 1, RetrySafety: dispatch.AtMostOnce, Kind: -1},
 		},
 		Telemetry: dispatch.ReportAnswers, Fields: []dispatch.Field{dispatch.FieldFree},
-		ProgressInterval: 1000, NotesStart: true,
-		MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, Multiplex: 1,
-		ConnIdle: 5000, ConnectTimeout: 250,
-		AnswerSlack: 16, PollWithin: 10000, DrainGrace: 500,
-		OverloadMultiple: 4, OverloadWindow: 1500, SlowStartFrom: 0.3, SlowStartWithin: 9000,
+		ProgressInterval: 1000, StartNotifications: true,
+		MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, MaxConcurrentStreams: 1,
+		ConnIdleTimeout: 5000, ConnectTimeout: 250,
+		AnswerSlack: 16, MaxPollInterval: 10000, DrainGrace: 500,
+		OverloadMultiple: 4, OverloadWindow: 1500, SlowStartMinShare: 0.3, MaxSlowStartDuration: 9000,
 	}
 	for range f.Tenants {
 		s.Tenants = append(s.Tenants, dispatch.Tenant{ReservedShare: 1 / float64(f.Tenants), Quota: 1e6})
@@ -127,7 +127,7 @@
 	d.submit()
 	if len(d.out) > 0 {
 		last := d.out[len(d.out)-1]
-		d.step(dispatch.Event{Kind: dispatch.EvNote, Topic: dispatch.NoteStarted, Job: last.job, Attempt: last.attempt, Executor: last.worker})
+		d.step(dispatch.Event{Kind: dispatch.EvNotification, Topic: dispatch.NotificationStarted, Job: last.job, Attempt: last.attempt, Executor: last.worker})
 	}
 	d.finish()
 }
--- a/internal/capacity/measure/settings.go
+++ b/internal/capacity/measure/settings.go
@@ -21,7 +21,7 @@
 	used, err := perOperation(func() error {
 		for range changesPerRound {
 			settings.Tenants[d.random.IntN(len(settings.Tenants))].Quota = 1 + d.random.Float64()*1e6
-			if err := d.module.Retune(settings, map[int]int{}); err != nil {
+			if err := d.module.UpdateSettings(settings, map[int]int{}); err != nil {
 				return fmt.Errorf("measure: %w", err)
 			}
 			d.now++
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -114,9 +114,9 @@
 func (c *Config) setLimits(granted gjson.Result, pairs map[string]string) {
 	s := &c.Settings
 	c.Limits = limits.New(int(granted.Get("sockets").Int()), int(granted.Get("memory_mb").Int()),
-		node.Span(s.ConnectTimeout), node.Span(s.ConnIdle), node.Span(s.DrainGrace))
+		node.Span(s.ConnectTimeout), node.Span(s.ConnIdleTimeout), node.Span(s.DrainGrace))
 	c.Limits.Longest(longestDeadline(s.Classes))
-	c.Limits.Staleness.PollInterval = node.Span(s.PollWithin)
+	c.Limits.Staleness.PollInterval = node.Span(s.MaxPollInterval)
 	if maxOpen, err := strconv.ParseFloat(pairs["limits.maxOpen"], 64); err == nil && maxOpen >= 1 {
 		c.Limits.MaxOpen = min(c.Limits.MaxOpen, int(maxOpen))
 	}
--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -23,14 +23,14 @@
 
 // Action is one thing to do; Kind says which fields hold.
 type Action struct {
-	Kind     ActionKind
-	On       bool
-	Attempt  uint16
-	To       uint16
-	Job      uint32
-	Executor uint32
-	Token    uint32
-	For      float64
-	Data     []byte
-	Text     string
+	Kind      ActionKind
+	Subscribe bool
+	Attempt   uint16
+	To        uint16
+	Job       uint32
+	Executor  uint32
+	Token     uint32
+	For       float64
+	Data      []byte
+	Text      string
 }
--- a/internal/dispatch/aggregator_client.go
+++ b/internal/dispatch/aggregator_client.go
@@ -90,13 +90,13 @@
 
 // answerTimeout is how long an answer of the aggregator is waited for.
 func (d *Dispatcher) answerTimeout() float64 {
-	return max(answerTimeoutFactor*d.settings.ConnectTimeout, d.settings.Step)
+	return max(answerTimeoutFactor*d.settings.ConnectTimeout, d.settings.MinStepInterval)
 }
 
 // reminderInterval is after how long the aggregator is told again what is still held. What it was told lapses after
 // twice that.
 func (d *Dispatcher) reminderInterval() float64 {
-	return max(reminderRuns*d.serviceTimes.meanRun, d.settings.Step)
+	return max(reminderRuns*d.serviceTimes.meanRun, d.settings.MinStepInterval)
 }
 
 // awaitsAggregator says whether arrivals wait for an answer of the aggregator: free slots that are known here are
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -27,7 +27,7 @@
 	}
 	sent.openedConnection = executor.connections.take(shared)
 	job.attempts = append(job.attempts, sent)
-	if !d.settings.NotesStart && sent.hadFreeSlots {
+	if !d.settings.StartNotifications && sent.hadFreeSlots {
 		d.observeRun(job, &job.attempts[len(job.attempts)-1])
 	}
 	job.inFlight++
@@ -116,7 +116,7 @@
 	if job == nil {
 		return
 	}
-	if event.Topic == NoteAckOverdue {
+	if event.Topic == NotificationAckOverdue {
 		d.handleOverdueAck(job, attempt)
 		return
 	}
--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -191,7 +191,7 @@
 // isStartOverdue says that an executor has not started an attempt of ours in the usual time: it queues, whatever a
 // late report tells of free slots.
 func (d *Dispatcher) isStartOverdue(executor *executor) bool {
-	return d.settings.NotesStart && d.now-executor.inFlight.oldestUnstarted > d.serviceTimes.startNoteTimeout()
+	return d.settings.StartNotifications && d.now-executor.inFlight.oldestUnstarted > d.serviceTimes.startNoteTimeout()
 }
 
 // availableSlots is how many more slots of ours an executor takes: by its report, else by what it took before.
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -61,7 +61,7 @@
 		for _, a := range out {
 			if a.Kind == ActSend {
 				running++
-				started = append(started, Event{Kind: EvNote, Job: a.Job, Executor: a.Executor, Topic: NoteStarted})
+				started = append(started, Event{Kind: EvNotification, Job: a.Job, Executor: a.Executor, Topic: NotificationStarted})
 			}
 		}
 		r.after(10, started...)
@@ -99,7 +99,7 @@
 	}
 	for len(q.ends) < len(q.sent) && len(q.ends) < q.resolved+q.slots {
 		a := q.sent[len(q.ends)]
-		events = append(events, Event{Kind: EvNote, Job: a.Job, Executor: a.Executor, Topic: NoteStarted})
+		events = append(events, Event{Kind: EvNotification, Job: a.Job, Executor: a.Executor, Topic: NotificationStarted})
 		q.ends = append(q.ends, now+q.runs)
 	}
 	return events
@@ -248,7 +248,7 @@
 	if room := r.d.availableSlots(r.d.endpoints.listed[0]); room > 0 {
 		t.Errorf("free slots %v although our job waits there", room)
 	}
-	r.step(Event{Kind: EvNote, Job: 1, Executor: 7, Topic: NoteStarted})
+	r.step(Event{Kind: EvNotification, Job: 1, Executor: 7, Topic: NotificationStarted})
 	if room := r.d.availableSlots(r.d.endpoints.listed[0]); room < 1 {
 		t.Errorf("free slots %v after our job started", room)
 	}
@@ -290,7 +290,7 @@
 // Without reports a job wider than what executors were tried with is still sent (a copy of nordeste without any).
 func TestWideJobWithoutReports(t *testing.T) {
 	s := base()
-	s.Telemetry, s.Fields, s.NotesStart = ReportNone, nil, false
+	s.Telemetry, s.Fields, s.StartNotifications = ReportNone, nil, false
 	r := newRig(t, s, ready(7, 0), ready(8, 0), ready(9, 0))
 	if got := r.step(request(1, 0, 0, 4)); len(actionsOf(got, ActSend, 1)) != 1 {
 		t.Error("held although no executor has anything of ours")
@@ -351,7 +351,7 @@
 // thought to take falls, once for all that was sent before, and grows again with jobs served in time.
 func TestLateAnswersCutTheSoftLimit(t *testing.T) {
 	s := base()
-	s.Telemetry, s.Fields, s.NotesStart = ReportNone, nil, false
+	s.Telemetry, s.Fields, s.StartNotifications = ReportNone, nil, false
 	r := newRig(t, s, ready(7, 0))
 	executor := r.d.endpoints.byID[7]
 	executor.load.softLimit = 8
@@ -466,7 +466,7 @@
 		t.Errorf("capacity %v while all jobs out are queued, want the even part, %v", r.d.capacity.slots, part)
 	}
 	for id := uint32(1); id <= part; id++ {
-		r.step(Event{Kind: EvNote, Job: id, Topic: NoteStarted})
+		r.step(Event{Kind: EvNotification, Job: id, Topic: NotificationStarted})
 	}
 	r.after(4000, request(102, 0, 0, 1))
 	if want := 2.0*part - 1; r.d.capacity.slots != want { // job 101 queues
--- a/internal/dispatch/classfailure.go
+++ b/internal/dispatch/classfailure.go
@@ -68,7 +68,7 @@
 
 // faded gives the counts as of now.
 func (t *errorTally) faded(env *environment) (total, errors float64) {
-	window := errorWindowFactor * max(env.settings.ConnectTimeout, env.settings.Step)
+	window := errorWindowFactor * max(env.settings.ConnectTimeout, env.settings.MinStepInterval)
 	keep := math.Exp((t.updatedAt - env.now) / window)
 	return t.total * keep, t.errors * keep
 }
@@ -148,7 +148,7 @@
 	if o == Full && failures.consecutive == 1 {
 		return
 	}
-	base := classQuarantineFactor * max(d.settings.ConnectTimeout, d.settings.Step)
+	base := classQuarantineFactor * max(d.settings.ConnectTimeout, d.settings.MinStepInterval)
 	failures.awayUntil = d.now + base*doublings(failures.consecutive-1, maxBackoffDoublings)*(0.75+0.5*d.random())
 	d.reportQuarantine(executor, firstClassQuarantine+class)
 	d.logf("class kept away executor=%d class=%d until=%.0f", executor.id, class, failures.awayUntil)
--- a/internal/dispatch/cluster_test.go
+++ b/internal/dispatch/cluster_test.go
@@ -52,7 +52,7 @@
 	for i := range c.nodes {
 		for _, a := range c.sends[i] {
 			if !c.stuck { // else no executor has free slots
-				c.in[i] = append(c.in[i], Event{Kind: EvNote, Job: a.Job, Executor: a.Executor, Topic: NoteStarted})
+				c.in[i] = append(c.in[i], Event{Kind: EvNotification, Job: a.Job, Executor: a.Executor, Topic: NotificationStarted})
 			}
 		}
 	}
--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -6,13 +6,13 @@
 	"math"
 )
 
-// Retune takes over new classes, tenants, attempts, prices and weights while jobs are open; all other settings stay
+// UpdateSettings takes over new classes, tenants, attempts, prices and weights while jobs are open; all other settings stay
 // as New had them. A class or tenant keeps its place for as long as it stands, and new ones come behind the last, or
 // in the place of one of which nothing is open. From names, for the place of a class whose rules are new, the place
 // of the class whose statistics it begins with; others begin with none. Open jobs keep the rules that they came
 // under: their class may not change, and their attempts stay as many. An error names what cannot be taken over, and
 // nothing is changed then.
-func (d *Dispatcher) Retune(s Settings, from map[int]int) error {
+func (d *Dispatcher) UpdateSettings(s Settings, from map[int]int) error {
 	next := d.settings
 	next.Classes, next.Tenants = s.Classes, s.Tenants
 	next.MaxAttempts, next.MaxRetryAfter, next.Fees = s.MaxAttempts, s.MaxRetryAfter, s.Fees
@@ -100,18 +100,18 @@
 // numbers gives all of the settings that must be numbers of 0 or more.
 func (s *Settings) numbers() []setting {
 	numbers := []setting{
-		{"step", s.Step},
+		{"step", s.MinStepInterval},
 		{"overShareWorth", s.OverQuotaWeight},
 		{"familyInfo.progress", s.ProgressInterval},
-		{"limits.connIdle", s.ConnIdle},
+		{"limits.connIdle", s.ConnIdleTimeout},
 		{"limits.connectTimeout", s.ConnectTimeout},
 		{"limits.maxRetryAfter", s.MaxRetryAfter},
 		{"invariants.answerSlack", s.AnswerSlack},
-		{"invariants.askWithin", s.PollWithin},
+		{"invariants.askWithin", s.MaxPollInterval},
 		{"invariants.drainGrace", s.DrainGrace},
 		{"invariants.fall", s.OverloadWindow},
-		{"invariants.coldFrom", s.SlowStartFrom},
-		{"invariants.warmWithin", s.SlowStartWithin},
+		{"invariants.coldFrom", s.SlowStartMinShare},
+		{"invariants.warmWithin", s.MaxSlowStartDuration},
 		{"fees.crossZone", s.Fees.CrossZone},
 		{"fees.handshake", s.Fees.Handshake},
 		{"fees.origin", s.Fees.Origin},
@@ -120,7 +120,7 @@
 	for i, class := range s.Classes {
 		key := fmt.Sprintf("requestClasses.%d.", i)
 		numbers = append(numbers, setting{key + "aim", class.Objective}, setting{key + "deadline", class.Deadline},
-			setting{key + "worth", class.PriorityWeight}, setting{key + "window", class.Window},
+			setting{key + "worth", class.PriorityWeight}, setting{key + "window", class.DedupWindow},
 			setting{key + "aimStretch", class.ObjectivePerWork})
 	}
 	for i, tenant := range s.Tenants {
--- a/internal/dispatch/config_test.go
+++ b/internal/dispatch/config_test.go
@@ -35,9 +35,11 @@
 		"zero portions": func(s *Settings) { s.Tenants = []Tenant{{}, {}} },
 		"one zero":      func(s *Settings) { s.Tenants[0].ReservedShare = 0 },
 		"zero aims":     func(s *Settings) { s.Classes[0].Objective, s.Classes[0].ObjectivePerWork = 0, 0 },
-		"zero step":     func(s *Settings) { s.Step, s.ProgressInterval, s.ConnectTimeout, s.ConnIdle = 0, 0, 0, 0 },
+		"zero step": func(s *Settings) {
+			s.MinStepInterval, s.ProgressInterval, s.ConnectTimeout, s.ConnIdleTimeout = 0, 0, 0, 0
+		},
 		"no rules' times": func(s *Settings) {
-			s.OverloadWindow, s.SlowStartWithin, s.SlowStartFrom, s.PollWithin, s.DrainGrace = 0, 0, 0, 0, 0
+			s.OverloadWindow, s.MaxSlowStartDuration, s.SlowStartMinShare, s.MaxPollInterval, s.DrainGrace = 0, 0, 0, 0, 0
 		},
 		"zero worth": func(s *Settings) { s.Classes[0].PriorityWeight = 0 },
 	}
@@ -76,7 +78,7 @@
 		append([]Class{}, s.Classes...),
 		Class{Objective: 500, Deadline: 6000, PriorityWeight: 1, RetrySafety: AtMostOnce, Kind: -1},
 	)
-	if err := r.d.Retune(next, map[int]int{3: 2}); err != nil {
+	if err := r.d.UpdateSettings(next, map[int]int{3: 2}); err != nil {
 		t.Fatal(err)
 	}
 	attempts := map[uint32]uint16{}
@@ -101,15 +103,15 @@
 	changed := next
 	changed.Classes = append([]Class{}, next.Classes...)
 	changed.Classes[1].RetrySafety = AtMostOnce
-	if err := r.d.Retune(changed, nil); err == nil || r.d.settings.Classes[1].RetrySafety != Keyed {
+	if err := r.d.UpdateSettings(changed, nil); err == nil || r.d.settings.Classes[1].RetrySafety != Keyed {
 		t.Errorf("the rules of a class with an open job changed: %v", err)
 	}
-	if err := r.d.Retune(Settings{}, nil); err == nil || r.d.settings.MaxAttempts != 1 {
+	if err := r.d.UpdateSettings(Settings{}, nil); err == nil || r.d.settings.MaxAttempts != 1 {
 		t.Errorf("no classes: %v", err)
 	}
 	fewer := next
 	fewer.Classes = next.Classes[:2]
-	if err := r.d.Retune(fewer, nil); err == nil {
+	if err := r.d.UpdateSettings(fewer, nil); err == nil {
 		t.Error("a place went")
 	}
 }
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -43,7 +43,7 @@
 
 // hasOpenConnection says whether the next job to an executor needs no new connection.
 func (d *Dispatcher) hasOpenConnection(executor *executor) bool {
-	executor.connections.dropExpired(d.now, d.settings.ConnIdle)
+	executor.connections.dropExpired(d.now, d.settings.ConnIdleTimeout)
 	return len(executor.connections.idleSince) > 0 || d.sharesConnection(executor)
 }
 
@@ -51,7 +51,7 @@
 func (d *Dispatcher) sharesConnection(executor *executor) bool {
 	// Attempts on connections that were open before, if each had its own.
 	established := len(executor.inFlight.jobs) - executor.connections.opening
-	return d.settings.Multiplex > 1 && established > 0 && established%d.settings.Multiplex != 0
+	return d.settings.MaxConcurrentStreams > 1 && established > 0 && established%d.settings.MaxConcurrentStreams != 0
 }
 
 // noteDialFailure backs off from new connections to an executor; those that are open go on being used.
@@ -59,7 +59,7 @@
 	d.reportQuarantine(executor, connectionQuarantine)
 	connections := &executor.connections
 	if d.now >= connections.dialBackoffUntil {
-		backoff := max(d.settings.ConnectTimeout, d.settings.Step) * doublings(connections.dialFailures, maxBackoffDoublings)
+		backoff := max(d.settings.ConnectTimeout, d.settings.MinStepInterval) * doublings(connections.dialFailures, maxBackoffDoublings)
 		connections.dialBackoffUntil = d.now + backoff*(0.75+0.5*d.random())
 		connections.dialFailures++
 		if connections.dialFailures == 1 {
--- a/internal/dispatch/connections_test.go
+++ b/internal/dispatch/connections_test.go
@@ -28,7 +28,7 @@
 		warm      []bool // for the second, third and fourth attempt while the first is out
 	}{{1, []bool{false, false, false}}, {3, []bool{true, true, false}}} {
 		s := base()
-		s.Multiplex = tt.multiplex
+		s.MaxConcurrentStreams = tt.multiplex
 		r := newRig(t, s, ready(7, 0))
 		executor := r.d.endpoints.byID[7]
 		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 9, r.now, 9
@@ -39,7 +39,7 @@
 			if got := r.d.hasOpenConnection(executor); got != want {
 				t.Errorf("multiplex %d, %d out: warm %v, want %v", tt.multiplex, i+1, got, want)
 			}
-			r.after(1, Event{Kind: EvNote, Job: uint32(i + 1), Topic: NoteStarted}, request(uint32(i+2), 0, 0, 1))
+			r.after(1, Event{Kind: EvNotification, Job: uint32(i + 1), Topic: NotificationStarted}, request(uint32(i+2), 0, 0, 1))
 			executor.connections.opening = 0
 		}
 	}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -98,7 +98,7 @@
 		d.handleRequest(event)
 	case EvOutcome:
 		d.handleOutcome(event)
-	case EvNote:
+	case EvNotification:
 		d.handleNote(event)
 	case EvHealthCheck:
 		d.handleHealthCheck(event)
@@ -128,9 +128,9 @@
 // tickInterval is the time between ticks.
 func (d *Dispatcher) tickInterval() float64 {
 	if len(d.endpoints.listed) > fullScanLimit {
-		return max(largeFleetTickSteps*d.settings.Step, minLargeFleetTickMs)
+		return max(largeFleetTickSteps*d.settings.MinStepInterval, minLargeFleetTickMs)
 	}
-	return max(tickSteps*d.settings.Step, minTickMs)
+	return max(tickSteps*d.settings.MinStepInterval, minTickMs)
 }
 
 // tick does all that goes by time.
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -5,7 +5,7 @@
 // base gives settings of a small site: three tenants, one class of each effect, reports in answers.
 func base() Settings {
 	return Settings{
-		Nodes: 1, Step: 1,
+		Nodes: 1, MinStepInterval: 1,
 		Classes: []Class{
 			{Objective: 400, ObjectivePerWork: 2, Deadline: 6000, PriorityWeight: 1, RetrySafety: Idempotent, Kind: -1},
 			{
@@ -14,19 +14,19 @@
 				Deadline:         6000,
 				PriorityWeight:   1,
 				RetrySafety:      Keyed,
-				Scope:            ScopeCell,
-				Window:           2000,
+				DedupScope:       ScopeCell,
+				DedupWindow:      2000,
 				Kind:             -1,
 			},
 			{Objective: 400, ObjectivePerWork: 2, Deadline: 6000, PriorityWeight: 1, RetrySafety: AtMostOnce, Kind: -1},
 		},
 		Tenants:   []Tenant{{ReservedShare: 0.5}, {ReservedShare: 0.3}, {ReservedShare: 0.2}},
 		Telemetry: ReportAnswers, Fields: []Field{FieldFree},
-		ProgressInterval: 1000, NotesStart: true,
-		MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, Multiplex: 1,
-		ConnIdle: 5000, ConnectTimeout: 250,
-		AnswerSlack: 16, PollWithin: 10000, DrainGrace: 500,
-		OverloadMultiple: 4, OverloadWindow: 1500, SlowStartFrom: 0.3, SlowStartWithin: 9000,
+		ProgressInterval: 1000, StartNotifications: true,
+		MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, MaxConcurrentStreams: 1,
+		ConnIdleTimeout: 5000, ConnectTimeout: 250,
+		AnswerSlack: 16, MaxPollInterval: 10000, DrainGrace: 500,
+		OverloadMultiple: 4, OverloadWindow: 1500, SlowStartMinShare: 0.3, MaxSlowStartDuration: 9000,
 	}
 }
 
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -8,7 +8,7 @@
 	EvEndpoints     EventKind = iota // Form, Version, Rows
 	EvTimer                          // Token
 	EvClientGone                     // Job: the client left
-	EvNote                           // Job, Attempt, Executor, Topic, Amount
+	EvNotification                   // Job, Attempt, Executor, Topic, Amount
 	EvGossip                         // From, Data
 	EvStreamStarted                  // Job, Attempt, Executor, Elapsed: a stream began
 	EvOutcome                        // Job, Attempt, Executor, Outcome, Elapsed, Final, Report
@@ -59,7 +59,7 @@
 	TimedOut           Outcome = 303
 	ConnectFailed      Outcome = 304
 	Reset              Outcome = 305
-	Cancelled          Outcome = 306
+	Canceled           Outcome = 306
 	CanceledBeforeSend Outcome = 307
 )
 
@@ -68,9 +68,9 @@
 
 // Topics of a note.
 const (
-	NoteStarted    = 1
-	NoteProgress   = 2
-	NoteAckOverdue = 3 // the executor did not say in its and its peers' usual time that it took the job
+	NotificationStarted    = 1
+	NotificationProgress   = 2
+	NotificationAckOverdue = 3 // the executor did not say in its and its peers' usual time that it took the job
 )
 
 // Flags of a request.
--- a/internal/dispatch/golden_actions_test.go
+++ b/internal/dispatch/golden_actions_test.go
@@ -36,7 +36,7 @@
 				switch {
 				case x.ended:
 				case x.began || x.executor.hung:
-					c.end(x, dispatch.Cancelled, 1)
+					c.end(x, dispatch.Canceled, 1)
 				default:
 					c.end(x, dispatch.CanceledBeforeSend, 1)
 				}
@@ -86,9 +86,9 @@
 	case c.random.chance(0.005):
 		c.end(a, dispatch.CanceledBeforeSend, 3)
 	case e.hung:
-		if s.NotesStart {
-			c.give(a.node, a.life, 120, dispatch.Event{Kind: dispatch.EvNote, Job: a.job, Attempt: a.number,
-				Executor: e.row.Executor, Topic: dispatch.NoteAckOverdue})
+		if s.StartNotifications {
+			c.give(a.node, a.life, 120, dispatch.Event{Kind: dispatch.EvNotification, Job: a.job, Attempt: a.number,
+				Executor: e.row.Executor, Topic: dispatch.NotificationAckOverdue})
 		}
 	default:
 		e.queue = append(e.queue, a)
@@ -118,17 +118,17 @@
 	e, s := a.executor, c.plan.settings(a.node)
 	run := max(1, a.work/e.speed*c.random.span(0.8, 1.3))
 	note := dispatch.Event{
-		Kind:     dispatch.EvNote,
+		Kind:     dispatch.EvNotification,
 		Job:      a.job,
 		Attempt:  a.number,
 		Executor: e.row.Executor,
-		Topic:    dispatch.NoteStarted,
+		Topic:    dispatch.NotificationStarted,
 	}
-	if s.NotesStart {
+	if s.StartNotifications {
 		c.give(a.node, a.life, 1, note)
 	}
 	if s.ProgressInterval > 0 {
-		note.Topic = dispatch.NoteProgress
+		note.Topic = dispatch.NotificationProgress
 		for at := s.ProgressInterval; at < run; at += s.ProgressInterval {
 			note.Amount = at / run
 			progress := note
--- a/internal/dispatch/golden_encode_test.go
+++ b/internal/dispatch/golden_encode_test.go
@@ -43,7 +43,7 @@
 		t.Fatalf("action of unknown kind %d", a.Kind)
 	}
 	on := byte(0)
-	if a.On {
+	if a.Subscribe {
 		on = 1
 	}
 	decision = append(decision, 0, on)
@@ -63,5 +63,5 @@
 	decision, text := goldenAction(t, a)
 	kind, _, _ := bytes.Cut(decision, []byte{0})
 	return fmt.Sprintf("%s on=%v job=%d attempt=%d executor=%d to=%d token=%d for=%v data=%x %s",
-		kind, a.On, a.Job, a.Attempt, a.Executor, a.To, a.Token, a.For, a.Data, text)
+		kind, a.Subscribe, a.Job, a.Attempt, a.Executor, a.To, a.Token, a.For, a.Data, text)
 }
--- a/internal/dispatch/golden_faults_test.go
+++ b/internal/dispatch/golden_faults_test.go
@@ -168,7 +168,7 @@
 	odd := []dispatch.Event{
 		{Kind: dispatch.EvOutcome, Job: 1 << 30, Executor: 100, Outcome: dispatch.Served, Report: []float32{1, 2, 3}},
 		{Kind: dispatch.EvOutcome, Job: job, Attempt: 77, Executor: 103, Outcome: dispatch.Full},
-		{Kind: dispatch.EvNote, Job: job, Attempt: 9, Topic: dispatch.NoteProgress},
+		{Kind: dispatch.EvNotification, Job: job, Attempt: 9, Topic: dispatch.NotificationProgress},
 		{Kind: dispatch.EvStreamStarted, Job: 1 << 30},
 		{Kind: dispatch.EvClientGone, Job: 1 << 30},
 		{Kind: dispatch.EvGossip, From: 5000, Data: []byte{1, 2, 3}},
@@ -231,7 +231,7 @@
 		s.MaxAttempts = 0 // refused
 	}
 	// A smaller list than what stands is refused as well, and so is a class with open jobs: that is part of the run.
-	if err := n.dispatcher.Retune(s, map[int]int{len(s.Classes) - 1: 0}); err == nil {
+	if err := n.dispatcher.UpdateSettings(s, map[int]int{len(s.Classes) - 1: 0}); err == nil {
 		n.pending = append(n.pending, dispatch.Event{Kind: dispatch.EvTimer})
 	}
 }
--- a/internal/dispatch/golden_plans_test.go
+++ b/internal/dispatch/golden_plans_test.go
@@ -5,7 +5,7 @@
 // goldenBase gives a small site's settings: a class of each effect, three tenants with quotas.
 func goldenBase(node, nodes int) dispatch.Settings {
 	return dispatch.Settings{
-		Node: node, Nodes: nodes, Zone: node % 3, Step: 1,
+		Node: node, Nodes: nodes, Zone: node % 3, MinStepInterval: 1,
 		Classes: []dispatch.Class{
 			{
 				Objective:        300,
@@ -21,8 +21,8 @@
 				Deadline:         3000,
 				PriorityWeight:   2,
 				RetrySafety:      dispatch.Keyed,
-				Scope:            dispatch.ScopeCell,
-				Window:           2000,
+				DedupScope:       dispatch.ScopeCell,
+				DedupWindow:      2000,
 				Kind:             -1,
 			},
 			{
@@ -38,8 +38,8 @@
 				Deadline:       2000,
 				PriorityWeight: 0.5,
 				RetrySafety:    dispatch.Keyed,
-				Scope:          dispatch.ScopeZone,
-				Window:         1500,
+				DedupScope:     dispatch.ScopeZone,
+				DedupWindow:    1500,
 				Kind:           1,
 			},
 			{
@@ -47,8 +47,8 @@
 				Deadline:       4000,
 				PriorityWeight: 1.5,
 				RetrySafety:    dispatch.Keyed,
-				Scope:          dispatch.ScopeAll,
-				Window:         2500,
+				DedupScope:     dispatch.ScopeAll,
+				DedupWindow:    2500,
 				Kind:           -1,
 			},
 		},
@@ -58,10 +58,10 @@
 			{ReservedShare: 0.2, Quota: 15},
 		},
 		Telemetry: dispatch.ReportAnswers, Fields: []dispatch.Field{dispatch.FieldFree, dispatch.FieldPending},
-		OverQuotaWeight: 0.3, ProgressInterval: 400, NotesStart: true,
-		MaxRetryAfter: 800, MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, GossipAllowed: true, Multiplex: 1,
-		ConnIdle: 2000, ConnectTimeout: 100, AnswerSlack: 16, PollWithin: 2000, DrainGrace: 300,
-		OverloadMultiple: 4, OverloadWindow: 800, SlowStartFrom: 0.3, SlowStartWithin: 3000,
+		OverQuotaWeight: 0.3, ProgressInterval: 400, StartNotifications: true,
+		MaxRetryAfter: 800, MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, GossipAllowed: true, MaxConcurrentStreams: 1,
+		ConnIdleTimeout: 2000, ConnectTimeout: 100, AnswerSlack: 16, MaxPollInterval: 2000, DrainGrace: 300,
+		OverloadMultiple: 4, OverloadWindow: 800, SlowStartMinShare: 0.3, MaxSlowStartDuration: 3000,
 		Fees: dispatch.Fees{CrossZone: 0.1, Handshake: 0.05, Origin: 0.2},
 	}
 }
@@ -79,7 +79,7 @@
 		{name: "alone", seed: 12, nodes: 1, executors: 6, duration: 15000, rate: 65, hints: 0.5, faults: 1, keys: 40,
 			streams: true, retunes: true, settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 1)
-				s.GossipAllowed, s.PollsList, s.WeightByWork, s.Multiplex = false, true, true, 3
+				s.GossipAllowed, s.PollsList, s.WeightByWork, s.MaxConcurrentStreams = false, true, true, 3
 				s.Fields = []dispatch.Field{dispatch.FieldBusy, dispatch.FieldLatency, dispatch.FieldErrors, dispatch.FieldServed}
 				return s
 			}},
@@ -101,7 +101,7 @@
 		{name: "probes", seed: 15, nodes: 4, executors: 12, duration: 9000, rate: 70, hints: 0.6, faults: 1, keys: 25,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 4)
-				s.Telemetry, s.HealthChecksAllowed, s.NotesStart, s.ProgressInterval = dispatch.ReportHealthChecks, true, false, 0
+				s.Telemetry, s.HealthChecksAllowed, s.StartNotifications, s.ProgressInterval = dispatch.ReportHealthChecks, true, false, 0
 				s.Fields = []dispatch.Field{dispatch.FieldUtil, dispatch.FieldPending, dispatch.FieldOther}
 				return s
 			}},
@@ -132,9 +132,9 @@
 		{name: "no-reports", seed: 18, nodes: 5, executors: 9, duration: 9000, rate: 70, hints: 0.4, faults: 1.5,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 5)
-				s.Telemetry, s.Fields, s.NotesStart, s.ProgressInterval = dispatch.ReportNone, nil, false, 0
+				s.Telemetry, s.Fields, s.StartNotifications, s.ProgressInterval = dispatch.ReportNone, nil, false, 0
 				s.GossipAllowed, s.HedgingAllowed, s.CancelAllowed, s.Tenants = false, false, false, nil
-				s.SlowStartWithin = 0
+				s.MaxSlowStartDuration = 0
 				return s
 			}},
 		{
--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -131,7 +131,7 @@
 		dispatch.EvEndpoints:     "list",
 		dispatch.EvTimer:         "timer",
 		dispatch.EvClientGone:    "gone",
-		dispatch.EvNote:          "note",
+		dispatch.EvNotification:  "note",
 		dispatch.EvGossip:        "peer",
 		dispatch.EvStreamStarted: "first",
 		dispatch.EvOutcome:       "outcome",
--- a/internal/dispatch/hedging.go
+++ b/internal/dispatch/hedging.go
@@ -45,6 +45,6 @@
 	// A job that was sent to see whether the executor lives gets its time for that, and one that queues would only queue
 	// elsewhere too.
 	stuck := executor.outlier.unresponsive && d.now-last.sentAt > d.unresponsiveTimeout()/2 &&
-		(last.startedAt > 0 || !d.settings.NotesStart)
+		(last.startedAt > 0 || !d.settings.StartNotifications)
 	return stuck || last.ackOverdue
 }
--- a/internal/dispatch/hedging_test.go
+++ b/internal/dispatch/hedging_test.go
@@ -24,7 +24,7 @@
 			}
 			sent := actionsOf(r.step(request(1, tt.class, 0, 1)), ActSend, 1)
 			if tt.started {
-				r.step(Event{Kind: EvNote, Job: 1, Topic: NoteStarted})
+				r.step(Event{Kind: EvNotification, Job: 1, Topic: NotificationStarted})
 			}
 			got := 0
 			for range 30 {
@@ -51,7 +51,7 @@
 func TestExecutorWithOverdueAcknowledgements(t *testing.T) { //nolint:funlen,gocognit // one course of events
 	s := base()
 	for i := range s.Classes {
-		s.Classes[i].Objective, s.Classes[i].Deadline, s.Classes[i].Window = 20000, 60000, 50000
+		s.Classes[i].Objective, s.Classes[i].Deadline, s.Classes[i].DedupWindow = 20000, 60000, 50000
 	}
 	r := newRig(t, s, ready(7, 1), ready(8, 1), ready(9, 2))
 	tell := func(ids ...uint32) {
@@ -72,7 +72,9 @@
 		t.Fatalf("%v slots out at the executor, want 2", executor.inFlight.slots)
 	}
 	tell(7, 8, 9)
-	late := func(job uint32) Event { return Event{Kind: EvNote, Job: job, Executor: 7, Topic: NoteAckOverdue} }
+	late := func(job uint32) Event {
+		return Event{Kind: EvNotification, Job: job, Executor: 7, Topic: NotificationAckOverdue}
+	}
 	again := r.after(500, late(1), late(2))
 	for range 50 {
 		again = append(again, r.after(10, Event{Kind: EvTimer})...)
@@ -111,7 +113,7 @@
 	if len(sent[7]) == 0 {
 		t.Fatal("the executor was never tried again")
 	}
-	r.after(10, Event{Kind: EvNote, Job: sent[7][0], Executor: 7, Topic: NoteStarted})
+	r.after(10, Event{Kind: EvNotification, Job: sent[7][0], Executor: 7, Topic: NotificationStarted})
 	r.after(10, outcome(sent[7][0], 0, 7, Served))
 	if executor.outlier.onProbation || r.d.now < executor.outlier.ackOverdueUntil {
 		t.Error("a job sent since ended well, and the executor is still kept away")
@@ -138,8 +140,8 @@
 	if executor.inFlight.slots != 3 {
 		t.Fatalf("%v slots out, want 3", executor.inFlight.slots)
 	}
-	r.after(100, Event{Kind: EvNote, Job: 3, Executor: 7, Topic: NoteStarted})
-	r.after(400, Event{Kind: EvNote, Job: 1, Executor: 7, Topic: NoteAckOverdue})
+	r.after(100, Event{Kind: EvNotification, Job: 3, Executor: 7, Topic: NotificationStarted})
+	r.after(400, Event{Kind: EvNotification, Job: 1, Executor: 7, Topic: NotificationAckOverdue})
 	if r.now < executor.outlier.ejectedUntil || executor.inFlight.slots != 2 {
 		t.Errorf(
 			"kept away until %v for one connection, %v slots out",
@@ -147,15 +149,15 @@
 			executor.inFlight.slots,
 		)
 	}
-	r.after(10, Event{Kind: EvNote, Job: 1, Executor: 7, Topic: NoteAckOverdue}) // told again: nothing new
+	r.after(10, Event{Kind: EvNotification, Job: 1, Executor: 7, Topic: NotificationAckOverdue}) // told again: nothing new
 	if r.now < executor.outlier.ejectedUntil || executor.inFlight.slots != 2 {
 		t.Error("the same job counts twice")
 	}
-	r.after(10, Event{Kind: EvNote, Job: 2, Executor: 7, Topic: NoteAckOverdue})
+	r.after(10, Event{Kind: EvNotification, Job: 2, Executor: 7, Topic: NotificationAckOverdue})
 	if r.now >= executor.outlier.ejectedUntil {
 		t.Error("two late jobs, and the executor is still in use")
 	}
-	r.after(10, Event{Kind: EvNote, Job: 1, Executor: 7, Topic: NoteStarted})
+	r.after(10, Event{Kind: EvNotification, Job: 1, Executor: 7, Topic: NotificationStarted})
 	if executor.inFlight.slots != 2 || r.d.jobs.byID[1].attempts[0].ackOverdue {
 		t.Errorf("%v slots out once a late job was heard of", executor.inFlight.slots)
 	}
--- a/internal/dispatch/listclock_test.go
+++ b/internal/dispatch/listclock_test.go
@@ -25,7 +25,7 @@
 			played := playLateStarts(t, clock, 0, starts, minLag, maxLag)
 			for i, start := range played {
 				early := 0.0 // what the margin of a budget bears where the clock is off
-				if clock < 0 && clock > -base().SlowStartWithin {
+				if clock < 0 && clock > -base().MaxSlowStartDuration {
 					early = min(-clock, tolerated)
 				}
 				start.verifyNotEarly(t, early+drift, drift)
@@ -97,7 +97,7 @@
 	if early := s.began - s.estimated; early > startAllowed {
 		t.Errorf("start %d: taken to be %.0f ms before the true one, want %.0f at most", s.index, early, startAllowed)
 	}
-	if early := s.began + base().SlowStartWithin - s.until; early > untilAllowed {
+	if early := s.began + base().MaxSlowStartDuration - s.until; early > untilAllowed {
 		t.Errorf("start %d: its budget ends %.0f ms early, want %.0f at most", s.index, early, untilAllowed)
 	}
 }
@@ -107,7 +107,7 @@
 	if late := s.estimated - s.began; late > startAllowed {
 		t.Errorf("start %d: taken to be %.0f ms after the true one, want %.0f at most", s.index, late, startAllowed)
 	}
-	if late := s.until - s.began - base().SlowStartWithin; late > untilAllowed {
+	if late := s.until - s.began - base().MaxSlowStartDuration; late > untilAllowed {
 		t.Errorf("start %d: its budget ends %.0f ms late, want %.0f at most", s.index, late, untilAllowed)
 	}
 }
--- a/internal/dispatch/listwatch.go
+++ b/internal/dispatch/listwatch.go
@@ -58,16 +58,16 @@
 	spread := max(minPollSpread, pollSpreadPerNode*float64(w.settings.Nodes))
 	spread *= doublings(w.failedPolls, maxPollDoublings)
 	slots := recovery.TimeSlots{Node: w.settings.Node, Nodes: w.settings.Nodes}
-	return slots.After(w.now, w.settings.PollWithin*min(1, spread))
+	return slots.After(w.now, w.settings.MaxPollInterval*min(1, spread))
 }
 
 // poll asks for a subscription to the list if there is none and it is this node's turn.
 func (w *listWatch) poll() {
-	underWay := w.pollSentAt > 0 && w.now-w.pollSentAt < w.settings.PollWithin/2
+	underWay := w.pollSentAt > 0 && w.now-w.pollSentAt < w.settings.MaxPollInterval/2
 	if !w.settings.PollsList || w.watching || w.now < w.nextPoll || underWay {
 		return
 	}
 	w.pollSentAt = max(w.now, minTime)
 	w.nextPoll = w.now + w.backoff()
-	w.act(Action{Kind: ActPollList, On: true})
+	w.act(Action{Kind: ActPollList, Subscribe: true})
 }
--- a/internal/dispatch/listwatch_test.go
+++ b/internal/dispatch/listwatch_test.go
@@ -84,11 +84,11 @@
 			late += n
 		}
 	}
-	if per := float64(late) / 20; per > 25 || per < 80*20/s.PollWithin {
+	if per := float64(late) / 20; per > 25 || per < 80*20/s.MaxPollInterval {
 		t.Errorf(
 			"%.0f asks a second after 20 s of refusals, want no more than 25 and one of each node in %.0f ms",
 			per,
-			s.PollWithin,
+			s.MaxPollInterval,
 		)
 	}
 }
--- a/internal/dispatch/loadreport.go
+++ b/internal/dispatch/loadreport.go
@@ -150,7 +150,7 @@
 	if gap < r.interval {
 		weight = shortGapWeight
 	}
-	r.interval = max(r.interval+(min(gap, maxGapFactor*r.interval)-r.interval)*weight, r.settings.Step, 1)
+	r.interval = max(r.interval+(min(gap, maxGapFactor*r.interval)-r.interval)*weight, r.settings.MinStepInterval, 1)
 }
 
 // hasFreeSlots says whether a report tells of free slots for a job, and of nothing that is queued for them.
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -129,7 +129,7 @@
 	if d.slowStart.share(executor) >= 1 {
 		d.serviceTimes.learn(job, attempt)
 	}
-	executor.connections.giveBack(d.now, len(executor.inFlight.jobs), d.settings.Multiplex > 1)
+	executor.connections.giveBack(d.now, len(executor.inFlight.jobs), d.settings.MaxConcurrentStreams > 1)
 	d.placement.recentServers.add(executor)
 }
 
@@ -175,7 +175,7 @@
 	if d.now < outlier.ejectedUntil {
 		return
 	}
-	base := baseEjectionFactor * max(d.settings.ConnectTimeout, d.settings.Step)
+	base := baseEjectionFactor * max(d.settings.ConnectTimeout, d.settings.MinStepInterval)
 	outlier.ejectedUntil = d.now + base*doublings(outlier.ejections, maxBackoffDoublings)*(0.75+0.5*d.random())
 	outlier.ejections++
 	outlier.onProbation = true
@@ -222,7 +222,7 @@
 				continue
 			}
 			since := max(attempt.sentAt, executor.outlier.lastHeard)
-			if attempt.startedAt == 0 && d.settings.NotesStart {
+			if attempt.startedAt == 0 && d.settings.StartNotifications {
 				since += queuedGraceFactor * d.serviceTimes.startDelay // nothing is heard of a queued job
 			}
 			unresponsive = unresponsive || d.now-since > timeout
--- a/internal/dispatch/outlier_test.go
+++ b/internal/dispatch/outlier_test.go
@@ -6,7 +6,7 @@
 // reports come by health check, each of them put an end to its back-off, and every job went there first.
 func TestDrainingExecutorThatReportsFreeSlotsIsLeftAlone(t *testing.T) {
 	s := base()
-	s.Telemetry, s.HealthChecksAllowed, s.NotesStart = ReportHealthChecks, true, false
+	s.Telemetry, s.HealthChecksAllowed, s.StartNotifications = ReportHealthChecks, true, false
 	r := newRig(t, s, ready(1, 1))
 	executor := r.d.endpoints.byID[1]
 	sends := 0
@@ -47,7 +47,7 @@
 	tell()
 	r.step(request(1, 0, 0, 1), request(2, 0, 0, 1), request(3, 0, 0, 1), request(4, 2, 0, 1))
 	for id := uint32(1); id <= 4; id++ {
-		r.step(Event{Kind: EvNote, Job: id, Topic: NoteStarted})
+		r.step(Event{Kind: EvNotification, Job: id, Topic: NotificationStarted})
 	}
 	if executor.inFlight.slots != 4 {
 		t.Fatalf("%v slots out, want 4", executor.inFlight.slots)
@@ -71,7 +71,7 @@
 	if len(tried) != 1 || tried[0] == 10 {
 		t.Fatalf("tried %v, want one job that is safe to repeat", tried)
 	}
-	got := r.after(1, Event{Kind: EvNote, Job: tried[0], Topic: NoteStarted})
+	got := r.after(1, Event{Kind: EvNotification, Job: tried[0], Topic: NotificationStarted})
 	if executor.outlier.unresponsive || executor.inFlight.slots < 1 || executor.inFlight.slots > 4 ||
 		len(actionsOf(got, ActSend, 10)) != 1 {
 		t.Errorf(
@@ -82,7 +82,7 @@
 		)
 	}
 	before := executor.inFlight.slots
-	r.after(1, Event{Kind: EvNote, Job: 1, Topic: NoteProgress})
+	r.after(1, Event{Kind: EvNotification, Job: 1, Topic: NotificationProgress})
 	if executor.inFlight.slots != before+1 {
 		t.Errorf("%v slots out once a lost job was heard of, want %v", executor.inFlight.slots, before+1)
 	}
@@ -150,7 +150,7 @@
 			job := request(100+i, 0, 0, 1)
 			job.TimeLeft = 60000
 			sent := actionsOf(r.after(10, job), ActSend, 100+i)
-			r.after(c.wait, Event{Kind: EvNote, Job: 100 + i, Topic: NoteStarted})
+			r.after(c.wait, Event{Kind: EvNotification, Job: 100 + i, Topic: NotificationStarted})
 			r.after(10, outcome(100+i, 0, sent[0].Executor, Served))
 		}
 		r.d.endpoints.byID[8].outlier.ejectedUntil = r.now + 1 // so that the next goes to the first
@@ -160,7 +160,7 @@
 			t.Fatalf("%s: not sent to the first executor", c.name)
 		}
 		if c.started {
-			r.after(1, Event{Kind: EvNote, Job: 1, Topic: NoteStarted})
+			r.after(1, Event{Kind: EvNotification, Job: 1, Topic: NotificationStarted})
 		}
 		copied := false
 		for range int(c.after / 10) {
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -213,7 +213,7 @@
 }
 
 func (d *Dispatcher) isSpeculationAllowed(job *job, executor *executor) bool {
-	queuesThere := executor.inFlight.unstarted > 0 && d.settings.NotesStart
+	queuesThere := executor.inFlight.unstarted > 0 && d.settings.StartNotifications
 	if !d.isUsable(executor) || executor.outlier.unresponsive || queuesThere || d.now < executor.load.rejectedUntil {
 		return false
 	}
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -53,7 +53,7 @@
 		return true
 	case Keyed:
 		ran, since := job.firstRun()
-		return d.now-since < class.Window-d.answerMargin() && inDeduplicationScope(class.Scope, ran, executor)
+		return d.now-since < class.DedupWindow-d.answerMargin() && inDeduplicationScope(class.DedupScope, ran, executor)
 	}
 	return false
 }
@@ -70,7 +70,7 @@
 }
 
 // inDeduplicationScope says whether two executors are of a group that drops repeats of a keyed request.
-func inDeduplicationScope(scope Scope, a, b *executor) bool {
+func inDeduplicationScope(scope DedupScope, a, b *executor) bool {
 	switch scope {
 	case ScopeAll:
 		return true
@@ -85,7 +85,7 @@
 func (d *Dispatcher) isRejectSafe(job *job) bool {
 	class := &d.settings.Classes[job.class]
 	neverRan := job.inFlight == 0 && !job.mayHaveRun
-	return class.RetrySafety == Idempotent || neverRan || class.RetrySafety == Keyed && class.Scope == ScopeAll
+	return class.RetrySafety == Idempotent || neverRan || class.RetrySafety == Keyed && class.DedupScope == ScopeAll
 }
 
 // retryAfter is how long a rejected client should stay away: until reserved slots of this node are free again, at the
@@ -113,7 +113,7 @@
 	class := &d.settings.Classes[job.class]
 	spent := len(job.attempts) >= job.maxAttempts || d.now >= job.deadline-d.answerMargin()
 	if job.mayHaveRun {
-		windowOver := class.RetrySafety == Keyed && d.now-job.ranSince >= class.Window-d.answerMargin()
+		windowOver := class.RetrySafety == Keyed && d.now-job.ranSince >= class.DedupWindow-d.answerMargin()
 		spent = spent || class.RetrySafety == AtMostOnce || windowOver
 	}
 	if spent || d.isHopeless(job) {
@@ -138,7 +138,7 @@
 
 // answerMargin is how long before a client leaves its answer is given: two ticks and a batch.
 func (d *Dispatcher) answerMargin() float64 {
-	return d.tickInterval() + max(d.tickInterval(), d.nextTick-d.now) + d.settings.Step
+	return d.tickInterval() + max(d.tickInterval(), d.nextTick-d.now) + d.settings.MinStepInterval
 }
 
 // logLoadShedding writes, when a node begins to end jobs itself and when it has not for a while, what it goes by.
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -66,7 +66,7 @@
 }
 
 func TestAtMostOnceIsNeverRetriedOrRejectedOnceItMayHaveRun(t *testing.T) {
-	for _, o := range []Outcome{Errored, Full, TimedOut, ConnectFailed, Reset, Cancelled, CanceledBeforeSend} {
+	for _, o := range []Outcome{Errored, Full, TimedOut, ConnectFailed, Reset, Canceled, CanceledBeforeSend} {
 		r := newRig(t, base(), ready(7, 0), ready(8, 0))
 		first := actionsOf(r.step(request(1, 2, 0, 1)), ActSend, 1)
 		if len(first) != 1 {
@@ -106,7 +106,7 @@
 func TestKeyedRetryStaysInItsScopeAndWindow(t *testing.T) {
 	tests := []struct {
 		name    string
-		scope   Scope
+		scope   DedupScope
 		outcome Outcome
 		after   float64
 		to      uint32 // the only other executor ready after the first attempt
@@ -132,7 +132,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := base()
-			s.Classes[1].Scope = tt.scope
+			s.Classes[1].DedupScope = tt.scope
 			r := newRig(t, s, rows[7])
 			if len(actionsOf(r.step(request(1, 1, 0, 1)), ActSend, 1)) != 1 {
 				t.Fatal("not sent")
--- a/internal/dispatch/script_test.go
+++ b/internal/dispatch/script_test.go
@@ -94,7 +94,7 @@
 		if a.Kind == ActReject {
 			c := x.s.Classes[j.class]
 			for _, at := range j.attempts {
-				harmless := c.RetrySafety == Idempotent || c.RetrySafety == Keyed && c.Scope == ScopeAll
+				harmless := c.RetrySafety == Idempotent || c.RetrySafety == Keyed && c.DedupScope == ScopeAll
 				if (!at.over || !at.neverRan) && !harmless {
 					x.failf("request %d may have run and was rejected", a.Job)
 				}
@@ -149,18 +149,18 @@
 			x.failf("unsafe request %d sent again", a.Job)
 		}
 		from := x.workers[at.worker].row
-		same := c.Scope == ScopeAll || from.Zone == w.row.Zone && (c.Scope == ScopeZone || from.Cell == w.row.Cell)
+		same := c.DedupScope == ScopeAll || from.Zone == w.row.Zone && (c.DedupScope == ScopeZone || from.Cell == w.row.Cell)
 		if !same {
 			x.failf("keyed request %d left its group", a.Job)
 		}
-		if x.now-at.sent > c.Window {
+		if x.now-at.sent > c.DedupWindow {
 			x.failf("keyed request %d sent %v ms after it may have run", a.Job, x.now-at.sent)
 		}
 	}
-	if w.row.StartedAt > 0 && x.now-w.row.StartedAt < x.s.SlowStartWithin {
+	if w.row.StartedAt > 0 && x.now-w.row.StartedAt < x.s.MaxSlowStartDuration {
 		// Reports tell of up to 6 slots, and the drawn outcomes of speeds up to about 2: with more than this
 		// no such executor could stand.
-		share := x.s.SlowStartFrom + (1-x.s.SlowStartFrom)*(x.now-w.row.StartedAt)/x.s.SlowStartWithin
+		share := x.s.SlowStartMinShare + (1-x.s.SlowStartMinShare)*(x.now-w.row.StartedAt)/x.s.MaxSlowStartDuration
 		sum := j.slots * j.work
 		for _, s := range x.sent[a.Executor] {
 			if x.now-s.at <= x.s.OverloadWindow {
@@ -262,7 +262,7 @@
 	return e
 }
 
-var scriptOutcomes = []Outcome{Served, Served, Served, Served, Errored, Full, TimedOut, ConnectFailed, Reset, Cancelled}
+var scriptOutcomes = []Outcome{Served, Served, Served, Served, Errored, Full, TimedOut, ConnectFailed, Reset, Canceled}
 
 func (x *script) outcome(id uint32, n int, o Outcome) Event {
 	j := x.jobs[id]
@@ -280,7 +280,7 @@
 	case 0:
 		return Event{Kind: EvOutcome, Job: 999999, Executor: 77, Outcome: Served, Final: true}
 	case 1:
-		return Event{Kind: EvNote, Job: 1, Attempt: 77, Executor: 77, Topic: NoteProgress, Amount: math.NaN()}
+		return Event{Kind: EvNotification, Job: 1, Attempt: 77, Executor: 77, Topic: NotificationProgress, Amount: math.NaN()}
 	case 2:
 		return Event{Kind: EvTimer, Token: 4000000000}
 	case 3:
@@ -341,7 +341,7 @@
 		case x.rng.Intn(40) == 0:
 			events = append(events, x.outcome(id, n, scriptOutcomes[x.rng.Intn(len(scriptOutcomes))]))
 		case x.rng.Intn(20) == 0:
-			events = append(events, Event{Kind: EvNote, Job: id, Attempt: uint16(n),
+			events = append(events, Event{Kind: EvNotification, Job: id, Attempt: uint16(n),
 				Executor: j.attempts[n].worker, Topic: uint8(1 + x.rng.Intn(3)), Amount: 0.5})
 		}
 	}
@@ -402,7 +402,7 @@
 		}
 		for n := range j.attempts {
 			if !j.attempts[n].over {
-				events = append(events, x.outcome(id, n, Cancelled))
+				events = append(events, x.outcome(id, n, Canceled))
 			}
 		}
 	}
@@ -437,14 +437,14 @@
 			s.Fields = []Field{FieldErrors, FieldBusy, FieldUtil, FieldFree}
 		},
 		"no reports, no notes": func(s *Settings) {
-			s.Telemetry, s.Fields, s.ProgressInterval, s.NotesStart = ReportNone, nil, 0, false
+			s.Telemetry, s.Fields, s.ProgressInterval, s.StartNotifications = ReportNone, nil, 0, false
 		},
 		"no copies":      func(s *Settings) { s.HedgingAllowed, s.CancelAllowed = false, false },
-		"keyed by zone":  func(s *Settings) { s.Classes[1].Scope = ScopeZone },
-		"keyed anywhere": func(s *Settings) { s.Classes[1].Scope = ScopeAll },
+		"keyed by zone":  func(s *Settings) { s.Classes[1].DedupScope = ScopeZone },
+		"keyed anywhere": func(s *Settings) { s.Classes[1].DedupScope = ScopeAll },
 		"no tenants":     func(s *Settings) { s.Tenants = nil },
 		"shared connections, memory told": func(s *Settings) {
-			s.Multiplex, s.Fields = 4, []Field{FieldBusy, FieldFree, FieldMemory}
+			s.MaxConcurrentStreams, s.Fields = 4, []Field{FieldBusy, FieldFree, FieldMemory}
 		},
 		"messages": func(s *Settings) { s.Nodes, s.GossipAllowed = 4, true },
 		"asked list, no progress, no copies": func(s *Settings) {
@@ -456,7 +456,7 @@
 	for name, change := range sites {
 		for seed := int64(1); seed <= 4; seed++ {
 			s := base()
-			s.Step = 2
+			s.MinStepInterval = 2
 			s.AnswerSlack = 40
 			change(&s)
 			d, err := New(s, uint64(seed))
--- a/internal/dispatch/servicetime.go
+++ b/internal/dispatch/servicetime.go
@@ -70,7 +70,7 @@
 
 // startNoteTimeout is how long a start note takes from an executor with free slots, with some grace.
 func (s *serviceTimes) startNoteTimeout() float64 {
-	return 2*s.minStartLag + startNoteGraceSteps*s.settings.Step
+	return 2*s.minStartLag + startNoteGraceSteps*s.settings.MinStepInterval
 }
 
 // learnStart takes in how long an executor needed to say that it started an attempt. Lags over the least count
@@ -88,7 +88,7 @@
 func (s *serviceTimes) learn(job *job, attempt *attempt) {
 	from := attempt.startedAt
 	if from == 0 {
-		if s.settings.NotesStart || !attempt.hadFreeSlots {
+		if s.settings.StartNotifications || !attempt.hadFreeSlots {
 			return // the wait cannot be told from the run
 		}
 		from = attempt.sentAt
--- a/internal/dispatch/servicetime_test.go
+++ b/internal/dispatch/servicetime_test.go
@@ -6,7 +6,7 @@
 // runs tell nothing, and slow ones were overrun (ceara later big-2).
 func TestReportedServiceTimesSetSpeeds(t *testing.T) {
 	s := base()
-	s.NotesStart = false
+	s.StartNotifications = false
 	s.Fields = []Field{FieldLatency, FieldFree}
 	slow := ready(8, 0)
 	slow.Kind = 1
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -10,12 +10,12 @@
 	AtMostOnce                    // must not run twice
 )
 
-// Scope is the group of executors that drops repeats of a keyed request.
-type Scope uint8
+// DedupScope is the group of executors that drops repeats of a keyed request.
+type DedupScope uint8
 
 // The scopes.
 const (
-	ScopeAll Scope = iota
+	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
@@ -27,8 +27,8 @@
 	Deadline         float64 // a client's whole waiting time
 	PriorityWeight   float64
 	RetrySafety      RetrySafety
-	Scope            Scope
-	Window           float64 // Keyed: how long repeats are dropped
+	DedupScope       DedupScope
+	DedupWindow      float64 // Keyed: how long repeats are dropped
 	Kind             int     // machine kind it needs, -1 for any
 }
 
@@ -71,9 +71,9 @@
 
 // Settings is what a node is told at its start. Zero stands for an absent value; New says what that becomes.
 type Settings struct {
-	Node, Nodes int
-	Zone        int
-	Step        float64 // least time between batches
+	Node, Nodes     int
+	Zone            int
+	MinStepInterval float64 // least time between batches
 
 	Classes []Class
 	Tenants []Tenant // empty: tenants are not told apart
@@ -86,28 +86,28 @@
 	Telemetry   Telemetry
 	Fields      []Field
 
-	ProgressInterval float64 // interval of progress notes, 0 for none
-	NotesStart       bool
+	ProgressInterval   float64 // interval of progress notes, 0 for none
+	StartNotifications bool
 
-	MaxRetryAfter       float64 // the longest that a rejected client may be told to stay away, 0 for never
-	MaxAttempts         int
-	HedgingAllowed      bool
-	CancelAllowed       bool
-	HealthChecksAllowed bool
-	GossipAllowed       bool
-	ConnIdle            float64
-	ConnectTimeout      float64
-	Multiplex           int // attempts that one connection carries together
+	MaxRetryAfter        float64 // the longest that a rejected client may be told to stay away, 0 for never
+	MaxAttempts          int
+	HedgingAllowed       bool
+	CancelAllowed        bool
+	HealthChecksAllowed  bool
+	GossipAllowed        bool
+	ConnIdleTimeout      float64
+	ConnectTimeout       float64
+	MaxConcurrentStreams int // attempts that one connection carries together
 
 	// The rules' figures. AnswerSlack and DrainGrace are not used up: answers come before the client's time is
 	// over, and nothing new goes to an executor from the batch on that notifies its drain.
-	AnswerSlack      float64 // how long after the client's time an answer still counts
-	PollWithin       float64 // a list that must be polled is polled at least this often
-	DrainGrace       float64 // how long a draining executor may still be sent to
-	OverloadMultiple float64 // a warming executor that gets over this many times what it can do,
-	OverloadWindow   float64 // in this time, falls over
-	SlowStartFrom    float64 // least share of its capacity that an executor starts with
-	SlowStartWithin  float64 // and the longest until it has all of it
+	AnswerSlack          float64 // how long after the client's time an answer still counts
+	MaxPollInterval      float64 // a list that must be polled is polled at least this often
+	DrainGrace           float64 // how long a draining executor may still be sent to
+	OverloadMultiple     float64 // a warming executor that gets over this many times what it can do,
+	OverloadWindow       float64 // in this time, falls over
+	SlowStartMinShare    float64 // least share of its capacity that an executor starts with
+	MaxSlowStartDuration float64 // and the longest until it has all of it
 
 	Fees Fees
 }
--- a/internal/dispatch/slottime_test.go
+++ b/internal/dispatch/slottime_test.go
@@ -64,14 +64,14 @@
 	estimate := &r.d.serviceTimes.slotTime
 	for id := uint32(1); id <= 3; id++ {
 		r.after(10, request(id, 0, 0, 1))
-		r.after(10, Event{Kind: EvNote, Job: id, Executor: 7, Topic: NoteStarted})
+		r.after(10, Event{Kind: EvNotification, Job: id, Executor: 7, Topic: NotificationStarted})
 		r.after(100, outcome(id, 0, 7, []Outcome{Served, Errored, Reset}[id-1]))
 	}
 	if estimate.runningAttempts != 0 || estimate.servedRuns < 0.9 || estimate.servedRuns > 1 {
 		t.Errorf("after three ends: %+v, want none running and one served", estimate)
 	}
 	r.after(10, request(4, 0, 0, 1))
-	r.after(10, Event{Kind: EvNote, Job: 4, Executor: 7, Topic: NoteStarted})
+	r.after(10, Event{Kind: EvNotification, Job: 4, Executor: 7, Topic: NotificationStarted})
 	if estimate.runningAttempts != 1 {
 		t.Fatalf("a started attempt: %+v, want one running", estimate)
 	}
@@ -82,7 +82,7 @@
 	if estimate.runningAttempts != 0 || estimate.runningSlots != 0 {
 		t.Errorf("written off: %+v, want none running", estimate)
 	}
-	r.after(10, Event{Kind: EvNote, Job: 4, Executor: 7, Topic: NoteProgress})
+	r.after(10, Event{Kind: EvNotification, Job: 4, Executor: 7, Topic: NotificationProgress})
 	r.after(10, outcome(4, 0, 7, Served))
 	if estimate.runningAttempts != 0 || estimate.servedRuns > 1 {
 		t.Errorf("heard of again: %+v, want none running, its end not counted", estimate)
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -92,27 +92,27 @@
 	}
 	start := &executor.slowStart
 	start.listedStart, start.startedAt, start.opened = listed, s.estimateStart(listed), false
-	start.until = start.startedAt + s.settings.SlowStartWithin
+	start.until = start.startedAt + s.settings.MaxSlowStartDuration
 	if start.startedAt <= 0 || s.confirmedAt == 0 {
 		return
 	}
 	// The list's clock may be off by less than would show. A budget that ends too early lets all nodes send at once
 	// what waits for it, so that it ends as if the process had the least age that earlier starts bear out.
-	age := s.listClock.observe(s.now, listed, s.toleratedAgeError(), s.settings.SlowStartWithin)
+	age := s.listClock.observe(s.now, listed, s.toleratedAgeError(), s.settings.MaxSlowStartDuration)
 	if age.known {
 		start.startedAt = min(start.startedAt, max(s.now-age.likely, predecessorHeard))
 	}
-	start.until = max(s.now-age.least, predecessorHeard) + s.settings.SlowStartWithin
+	start.until = max(s.now-age.least, predecessorHeard) + s.settings.MaxSlowStartDuration
 }
 
 // toleratedAgeError is the error of an executor's age that makes its coldest budget no larger than it would be without
 // the part of slowStartSafety that is left out.
 func (s *slowStartTracker) toleratedAgeError() float64 {
-	from := s.settings.SlowStartFrom
+	from := s.settings.SlowStartMinShare
 	if from >= 1 {
 		return 0
 	}
-	return s.settings.SlowStartWithin * from / (1 - from) * (1/slowStartSafety - 1)
+	return s.settings.MaxSlowStartDuration * from / (1 - from) * (1/slowStartSafety - 1)
 }
 
 // estimateStart gives the time on our clock of a start that has just been notified, 0 for one that was long ago.
@@ -196,11 +196,11 @@
 
 // share is the least part of its capacity that an executor has by now.
 func (s *slowStartTracker) share(executor *executor) float64 {
-	startedAt, warmsWithin := executor.slowStart.startedAt, s.settings.SlowStartWithin
+	startedAt, warmsWithin := executor.slowStart.startedAt, s.settings.MaxSlowStartDuration
 	if startedAt <= 0 || warmsWithin <= 0 || s.now-startedAt >= warmsWithin {
 		return 1
 	}
-	return min(1, s.settings.SlowStartFrom+(1-s.settings.SlowStartFrom)*max(0, s.now-startedAt)/warmsWithin)
+	return min(1, s.settings.SlowStartMinShare+(1-s.settings.SlowStartMinShare)*max(0, s.now-startedAt)/warmsWithin)
 }
 
 // slowStartAllows says whether our part of the budget of an executor that warms up lets a job of ours go there, with
--- a/internal/dispatch/slowstart_fleet_test.go
+++ b/internal/dispatch/slowstart_fleet_test.go
@@ -72,7 +72,7 @@
 	for i := range f.restarts + 1 {
 		p.starts = append(p.starts, fleetStartMS+float64(i)*f.restartEvery)
 	}
-	end := p.starts[f.restarts] + s.SlowStartWithin
+	end := p.starts[f.restarts] + s.MaxSlowStartDuration
 	for now := fleetStartMS - fleetWarmUpMS + fleetStepMS; now < end; now += fleetStepMS {
 		p.step(now)
 	}
@@ -129,7 +129,7 @@
 	if at == 0 {
 		return 1
 	}
-	return min(1, p.settings.SlowStartFrom+(1-p.settings.SlowStartFrom)*(now-at)/p.settings.SlowStartWithin)
+	return min(1, p.settings.SlowStartMinShare+(1-p.settings.SlowStartMinShare)*(now-at)/p.settings.MaxSlowStartDuration)
 }
 
 // step lets all nodes take one step.
@@ -208,7 +208,7 @@
 			}
 			p.inbox[r.node] = append(
 				p.inbox[r.node],
-				Event{Kind: EvNote, Job: r.job, Attempt: r.attempt, Executor: 7, Topic: NoteStarted},
+				Event{Kind: EvNotification, Job: r.job, Attempt: r.attempt, Executor: 7, Topic: NotificationStarted},
 			)
 		}
 		if r.ends > 0 && now >= r.ends {
@@ -255,7 +255,7 @@
 func (p *slowStartPlay) budget(began, from, to float64) float64 {
 	s := p.settings
 	share := func(x float64) float64 {
-		return min(1, s.SlowStartFrom+(1-s.SlowStartFrom)*max(0, x-began)/s.SlowStartWithin)
+		return min(1, s.SlowStartMinShare+(1-s.SlowStartMinShare)*max(0, x-began)/s.MaxSlowStartDuration)
 	}
 	return s.OverloadMultiple * fleetSlots * (share(from) + share(to)) / 2 * (to - from) / fleetWorkMS
 }
--- a/internal/dispatch/slowstart_quota_test.go
+++ b/internal/dispatch/slowstart_quota_test.go
@@ -56,7 +56,7 @@
 		nodes[i] = d
 	}
 	running, job := []ended(nil), uint32(0)
-	for now := longStarted + longStep; now < longStarted+s.SlowStartWithin; now += longStep {
+	for now := longStarted + longStep; now < longStarted+s.MaxSlowStartDuration; now += longStep {
 		for left := longLoad * longSlots / longWork * longStep; left > 0 && random.Float64() < left; left-- {
 			job++
 			e := request(job, uint8(random.Intn(len(s.Classes))), 0, 1)
@@ -83,7 +83,7 @@
 				attempt := uint16(len(d.jobs.byID[a.Job].attempts) - 1)
 				events[i] = append(
 					events[i],
-					Event{Kind: EvNote, Job: a.Job, Attempt: attempt, Executor: a.Executor, Topic: NoteStarted},
+					Event{Kind: EvNotification, Job: a.Job, Attempt: attempt, Executor: a.Executor, Topic: NotificationStarted},
 				)
 				running = append(
 					running,
@@ -111,7 +111,7 @@
 					for sends[from] <= at-s.OverloadWindow {
 						from++
 					}
-					share := s.SlowStartFrom + (1-s.SlowStartFrom)*max(0, at-s.OverloadWindow/2-longStarted)/s.SlowStartWithin
+					share := s.SlowStartMinShare + (1-s.SlowStartMinShare)*max(0, at-s.OverloadWindow/2-longStarted)/s.MaxSlowStartDuration
 					budget := s.OverloadMultiple * longSlots * share * s.OverloadWindow / longWork
 					worst = max(worst, float64(i-from+1)-budget-3*math.Sqrt(budget+3))
 				}
@@ -124,7 +124,7 @@
 					)
 				}
 				sent += float64(len(sends))
-				allowed += s.OverloadMultiple * longSlots * (1 + s.SlowStartFrom) / 2 * s.SlowStartWithin / longWork
+				allowed += s.OverloadMultiple * longSlots * (1 + s.SlowStartMinShare) / 2 * s.MaxSlowStartDuration / longWork
 			}
 			t.Logf("%.2f of the budget used", sent/allowed)
 			if most, least := 1.0, 0.1; sent > most*allowed || sent < least*allowed {
--- a/internal/dispatch/slowstart_sum_test.go
+++ b/internal/dispatch/slowstart_sum_test.go
@@ -52,11 +52,11 @@
 	var sends []float64
 	id, budget := uint32(0), func(from, to float64) float64 { // in requests of mean work
 		share := func(x float64) float64 {
-			return min(1, s.SlowStartFrom+(1-s.SlowStartFrom)*max(0, x-born)/s.SlowStartWithin)
+			return min(1, s.SlowStartMinShare+(1-s.SlowStartMinShare)*max(0, x-born)/s.MaxSlowStartDuration)
 		}
 		return s.OverloadMultiple * slots * (share(from) + share(to)) / 2 * (to - from) / work
 	}
-	for now := born + step; now < born+s.SlowStartWithin-step; now += step {
+	for now := born + step; now < born+s.MaxSlowStartDuration-step; now += step {
 		if now-step < born+2000 && now >= born+2000 {
 			for i := range f.late {
 				start(i, now)
@@ -99,7 +99,7 @@
 		n := budget(from, max(now, born+s.OverloadWindow))
 		beyond = max(beyond, sum-n-2*math.Sqrt(n)-2)
 	}
-	return beyond, float64(len(sends)) / budget(born, born+s.SlowStartWithin)
+	return beyond, float64(len(sends)) / budget(born, born+s.MaxSlowStartDuration)
 }
 
 // All nodes together keep the budget of an executor that warms up, but for chance, with nothing to tell them
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -49,7 +49,7 @@
 func TestWideJobsDoNotOverdrawSlowStart(t *testing.T) {
 	most := func(slots float64) float64 {
 		s := base()
-		s.Nodes, s.NotesStart, s.ProgressInterval = 1, false, 0
+		s.Nodes, s.StartNotifications, s.ProgressInterval = 1, false, 0
 		cold := ready(7, 0)
 		cold.StartedAt = 100000
 		r := newRig(t, s, cold)
@@ -120,7 +120,7 @@
 	var sends []float64
 	var out []run
 	const work = 300.0
-	for c.now < cold.StartedAt+c.s.SlowStartWithin-100 {
+	for c.now < cold.StartedAt+c.s.MaxSlowStartDuration-100 {
 		c.next++
 		more := map[int]Event{int(c.next*37) % 60: request(c.next, 0, 0, 1)} // 100 a second, 2.5 times the quota
 		for len(out) > 0 && c.now-out[0].at >= work {
@@ -137,13 +137,13 @@
 		for k := len(sends) - 1; k >= 0 && c.now-sends[k] <= c.s.OverloadWindow; k-- {
 			sum += work
 		}
-		share := c.s.SlowStartFrom + (1-c.s.SlowStartFrom)*(c.now-cold.StartedAt)/c.s.SlowStartWithin
+		share := c.s.SlowStartMinShare + (1-c.s.SlowStartMinShare)*(c.now-cold.StartedAt)/c.s.MaxSlowStartDuration
 		if most := c.s.OverloadMultiple * share * 4 * c.s.OverloadWindow; sum > most {
 			t.Fatalf("%.0f ms of work sent in a window at %.0f, want %.0f at most", sum, c.now-cold.StartedAt, most)
 		}
 	}
 	// Half of what it can do while it warms.
-	if got, want := work*float64(len(sends)), 0.5*0.65*4*c.s.SlowStartWithin; got < want {
+	if got, want := work*float64(len(sends)), 0.5*0.65*4*c.s.MaxSlowStartDuration; got < want {
 		t.Errorf("%.0f ms of work sent while it warmed, want %.0f", got, want)
 	}
 }
@@ -159,7 +159,7 @@
 	// In any window no more than our part of the budget, by what it has at the end of it, and one job at its edge.
 	type send struct{ at, cost float64 }
 	var sends []send
-	for id := uint32(1); r.now < 100000+s.SlowStartWithin; id++ {
+	for id := uint32(1); r.now < 100000+s.MaxSlowStartDuration; id++ {
 		e := request(id, 0, 0, 1)
 		e.Work = 700
 		events := []Event{e}
@@ -179,7 +179,7 @@
 				sum += x.cost
 			}
 		}
-		share := s.SlowStartFrom + (1-s.SlowStartFrom)*(r.now-100000)/s.SlowStartWithin
+		share := s.SlowStartMinShare + (1-s.SlowStartMinShare)*(r.now-100000)/s.MaxSlowStartDuration
 		if most := 0.5*s.OverloadMultiple*share*4*s.OverloadWindow + 700; sum > most {
 			t.Fatalf("%.0f ms of work sent in a window at %.0f, want %.0f at most", sum, r.now, most)
 		}
@@ -210,7 +210,7 @@
 	}
 	var sends []float64 // each a job of 300 ms
 	out := make([][]Event, len(nodes))
-	for id := uint32(1); now < 100000+s.SlowStartWithin-20; id++ {
+	for id := uint32(1); now < 100000+s.MaxSlowStartDuration-20; id++ {
 		now += 20
 		for i, d := range nodes {
 			e := request(id, 0, 0, 1)
@@ -228,13 +228,13 @@
 		for k := len(sends) - 1; k >= 0 && now-sends[k] <= s.OverloadWindow; k-- {
 			sum += 300
 		}
-		share := s.SlowStartFrom + (1-s.SlowStartFrom)*(now-100000)/s.SlowStartWithin
+		share := s.SlowStartMinShare + (1-s.SlowStartMinShare)*(now-100000)/s.MaxSlowStartDuration
 		if most := s.OverloadMultiple * share * 4 * s.OverloadWindow; sum > most {
 			t.Fatalf("all nodes sent %.0f ms of work in a window at %.0f, want %.0f at most", sum, now, most)
 		}
 	}
 	// Half of what the safety leaves of the budget: 0.6 x 4 x 0.65 x 4 slots over 9 s.
-	if got, want := 300*float64(len(sends)), slowStartSafety*s.OverloadMultiple*0.65*4*s.SlowStartWithin/2; got < want {
+	if got, want := 300*float64(len(sends)), slowStartSafety*s.OverloadMultiple*0.65*4*s.MaxSlowStartDuration/2; got < want {
 		t.Errorf("all nodes sent %.0f ms of work while it warmed, want %.0f", got, want)
 	}
 }
@@ -257,8 +257,8 @@
 			executor.outlier.ejections,
 		)
 	}
-	if share := r.d.slowStart.share(executor); share != r.d.settings.SlowStartFrom {
-		t.Errorf("its share of capacity is %.2f, want %.2f", share, r.d.settings.SlowStartFrom)
+	if share := r.d.slowStart.share(executor); share != r.d.settings.SlowStartMinShare {
+		t.Errorf("its share of capacity is %.2f, want %.2f", share, r.d.settings.SlowStartMinShare)
 	}
 }
 
--- a/internal/executor/answer.go
+++ b/internal/executor/answer.go
@@ -106,7 +106,7 @@
 	if r.client.acks.expire(r.attempt, now) == slowpeer.HoldBack {
 		r.notified = true
 		r.client.recordSlowPeer(slowpeer.BoxLate, r.attempt, r.conn, &slowpeer.Slow{Direction: "in"})
-		r.client.handler.Result(node.Result{Attempt: r.attempt.ID, Topic: dispatch.NoteAckOverdue})
+		r.client.handler.Result(node.Result{Attempt: r.attempt.ID, Topic: dispatch.NotificationAckOverdue})
 		return
 	}
 	if r.attempt.awaitsAck() {
--- a/internal/executor/callback.go
+++ b/internal/executor/callback.go
@@ -52,10 +52,10 @@
 	report := c.reportFromJSON(callback.Get("load"))
 	switch state := callback.Get("state").String(); state {
 	case stateStarted:
-		c.handler.Result(node.Result{Attempt: attempt.ID, Topic: dispatch.NoteStarted})
+		c.handler.Result(node.Result{Attempt: attempt.ID, Topic: dispatch.NotificationStarted})
 	case stateRunning:
 		share := callback.Get("share").Float()
-		c.handler.Result(node.Result{Attempt: attempt.ID, Topic: dispatch.NoteProgress, Amount: share})
+		c.handler.Result(node.Result{Attempt: attempt.ID, Topic: dispatch.NotificationProgress, Amount: share})
 	case stateDone:
 		c.takeResult(attempt, report, callback.Get("result"))
 	case stateFailed:
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -29,7 +29,7 @@
 }
 
 func (p *pausingHandler) Result(r node.Result) {
-	if r.Topic == dispatch.NoteAckOverdue && r.Outcome == 0 {
+	if r.Topic == dispatch.NotificationAckOverdue && r.Outcome == 0 {
 		p.standing <- true
 		<-p.release
 	}
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -230,7 +230,7 @@
 	)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.results) != 2 || s.results[0].Topic != dispatch.NoteStarted || s.results[1].Outcome != dispatch.Served ||
+	if len(s.results) != 2 || s.results[0].Topic != dispatch.NotificationStarted || s.results[1].Outcome != dispatch.Served ||
 		string(s.results[1].Body) != "tile" || len(s.results[1].Report) != 2 {
 		t.Errorf("%+v", s.results)
 	}
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -38,7 +38,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range s.results {
-		if r.Attempt == id && r.Outcome == 0 && r.Topic == dispatch.NoteAckOverdue {
+		if r.Attempt == id && r.Outcome == 0 && r.Topic == dispatch.NotificationAckOverdue {
 			n++
 		}
 	}
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -24,7 +24,7 @@
 	case dispatch.ActClose:
 		c.carriers.executors.CloseIdle(a.Executor)
 	case dispatch.ActPollList:
-		c.carriers.endpoints.Watch(a.On)
+		c.carriers.endpoints.Watch(a.Subscribe)
 	case dispatch.ActFetch:
 		c.carriers.endpoints.Fetch()
 	case dispatch.ActGossip:
@@ -73,6 +73,6 @@
 	}
 	if attempt := j.attempts[a.Attempt]; !attempt.ended {
 		c.carriers.executors.GiveUp(attempt.id)
-		c.finish(attempt, dispatch.Cancelled, nil, nil, now)
+		c.finish(attempt, dispatch.Canceled, nil, nil, now)
 	}
 }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -174,7 +174,7 @@
 // step gives the pending events to the module and carries out its actions.
 func (c *Core) step(now time.Time) {
 	p := &c.pending
-	p.notBefore = now.Add(Span(c.settings.Step))
+	p.notBefore = now.Add(Span(c.settings.MinStepInterval))
 	p.actions = c.dispatcher.Step(c.clock.unixMillis(now), p.events, p.actions[:0])
 	clear(p.events)
 	p.events = p.events[:0]
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -25,7 +25,7 @@
 func newEndpointTable(s dispatch.Settings, lim limits.Limits) endpointTable {
 	// A list that must be asked for counts as it was for the time to ask within, and several times that after a failed
 	// call.
-	fresh := max(Span(s.PollWithin), lim.Staleness.MaxStaleness)
+	fresh := max(Span(s.MaxPollInterval), lim.Staleness.MaxStaleness)
 	usable := time.Duration(lim.Staleness.FailedPollFactor) * fresh
 	bounds := map[recovery.Kind]recovery.AgeBounds{recovery.EndpointList: {Fresh: fresh, Usable: usable}}
 	return endpointTable{byID: map[uint32]Entry{}, knowledge: recovery.NewKnowledge(bounds)}
--- a/internal/node/job.go
+++ b/internal/node/job.go
@@ -82,7 +82,7 @@
 	}
 	for _, a := range j.attempts { // in the order of their sending: the first that counts is the earliest
 		if a.mayHaveRun && !rules.MayHaveRun {
-			rules.MayHaveRun, rules.WindowEnd = true, a.sentAt.Add(Span(class.Window))
+			rules.MayHaveRun, rules.WindowEnd = true, a.sentAt.Add(Span(class.DedupWindow))
 		}
 	}
 	return rules
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -105,14 +105,14 @@
 		return
 	}
 	if r.Outcome == 0 {
-		if r.Topic == dispatch.NoteStarted && !a.started {
+		if r.Topic == dispatch.NotificationStarted && !a.started {
 			a.started = true
 			if !a.job.answered.Load() {
 				a.job.client.Started()
 			}
 		}
 		c.queueEvent(dispatch.Event{
-			Kind:     dispatch.EvNote,
+			Kind:     dispatch.EvNotification,
 			Job:      a.job.id,
 			Attempt:  a.index,
 			Executor: a.executor,
--- a/internal/node/oneanswer_test.go
+++ b/internal/node/oneanswer_test.go
@@ -36,7 +36,7 @@
 	case 4:
 		if len(m.h.attempts) > 0 {
 			a := rapid.SampledFrom(m.h.attempts).Draw(m.t, "attempt")
-			m.h.core.Result(Result{Attempt: a.ID, Topic: dispatch.NoteStarted})
+			m.h.core.Result(Result{Attempt: a.ID, Topic: dispatch.NotificationStarted})
 		}
 	case 5:
 		if len(m.jobs) > 0 {
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -63,7 +63,7 @@
 	if len(c.pending.events) > 0 {
 		c.step(now)
 	}
-	err := c.dispatcher.Retune(change.rules.Settings, change.origins)
+	err := c.dispatcher.UpdateSettings(change.rules.Settings, change.origins)
 	if err == nil {
 		c.settings = change.rules.Settings
 		c.rules.Store(change.rules)
--- a/internal/scale/virtual/dispatcher.go
+++ b/internal/scale/virtual/dispatcher.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("dispatcher %d: %w", number, err)
 	}
-	d := &dispatcher{world: w, number: number, module: module, step: span(c.Settings.Step), jobs: map[uint32]*job{}}
+	d := &dispatcher{world: w, number: number, module: module, step: span(c.Settings.MinStepInterval), jobs: map[uint32]*job{}}
 	d.event(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Version: w.listVersion, Rows: w.rows()})
 	return d, nil
 }
@@ -114,7 +114,7 @@
 		d.answer(d.jobs[a.Job], verdict.Failed, 0)
 	case dispatch.ActCancel:
 		if j := d.jobs[a.Job]; j != nil && int(a.Attempt) < len(j.tries) {
-			d.end(j.tries[a.Attempt], dispatch.Cancelled, nil)
+			d.end(j.tries[a.Attempt], dispatch.Canceled, nil)
 		}
 	case dispatch.ActTimer:
 		token := a.Token
@@ -122,8 +122,8 @@
 	case dispatch.ActHealthCheck:
 		d.probe(a.Executor)
 	case dispatch.ActPollList:
-		d.watches = a.On
-		if a.On {
+		d.watches = a.Subscribe
+		if a.Subscribe {
 			w.after(listLate, func() {
 				d.event(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: w.listVersion, Rows: w.rows()})
 			})
--- a/internal/scale/virtual/executor.go
+++ b/internal/scale/virtual/executor.go
@@ -115,7 +115,7 @@
 			t.started = true
 			w.counts.Told[t.job.task.Kind] = append(w.counts.Told[t.job.task.Kind], w.now-t.job.due)
 		}
-		x.note(t, dispatch.NoteStarted, 0)
+		x.note(t, dispatch.NotificationStarted, 0)
 	})
 	run := time.Duration(float64(t.job.task.Run) / x.speed())
 	x.progress(t, run, w.d.ProgressEvery(), w.d.ProgressEvery())
@@ -125,7 +125,7 @@
 // note tells of an attempt that has not ended.
 func (x *executor) note(t *attempt, topic uint8, amount float64) {
 	if !t.over {
-		t.dispatcher.event(dispatch.Event{Kind: dispatch.EvNote, Job: t.job.id, Attempt: t.number, Executor: x.id, Topic: topic, Amount: amount})
+		t.dispatcher.event(dispatch.Event{Kind: dispatch.EvNotification, Job: t.job.id, Attempt: t.number, Executor: x.id, Topic: topic, Amount: amount})
 	}
 }
 
@@ -137,7 +137,7 @@
 		if t.life != x.life || !x.up {
 			return
 		}
-		x.note(t, dispatch.NoteProgress, float64(done)/float64(run))
+		x.note(t, dispatch.NotificationProgress, float64(done)/float64(run))
 		x.progress(t, run, done+every, every)
 	})
 }
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -63,10 +63,10 @@
 	"aim":        amount(func(c *dispatch.Class) *float64 { return &c.Objective }),
 	"deadline":   period(func(c *dispatch.Class) *float64 { return &c.Deadline }),
 	"worth":      amount(func(c *dispatch.Class) *float64 { return &c.PriorityWeight }),
-	"window":     amount(func(c *dispatch.Class) *float64 { return &c.Window }),
+	"window":     amount(func(c *dispatch.Class) *float64 { return &c.DedupWindow }),
 	"aimStretch": amount(func(c *dispatch.Class) *float64 { return &c.ObjectivePerWork }),
 	"effect":     word(simprotocol.Effects, func(c *dispatch.Class) *dispatch.RetrySafety { return &c.RetrySafety }),
-	"dedupScope": word(simprotocol.Scopes, func(c *dispatch.Class) *dispatch.Scope { return &c.Scope }),
+	"dedupScope": word(simprotocol.Scopes, func(c *dispatch.Class) *dispatch.DedupScope { return &c.DedupScope }),
 }
 
 var tenantFields = map[string]field[dispatch.Tenant]{
--- a/internal/settings/merge.go
+++ b/internal/settings/merge.go
@@ -18,7 +18,7 @@
 
 // defaultClass is the class that an item of a new class overrides, as in the platform's settings.
 func defaultClass() dispatch.Class {
-	return dispatch.Class{PriorityWeight: 1, RetrySafety: dispatch.AtMostOnce, Scope: dispatch.ScopeCell, Kind: -1}
+	return dispatch.Class{PriorityWeight: 1, RetrySafety: dispatch.AtMostOnce, DedupScope: dispatch.ScopeCell, Kind: -1}
 }
 
 var classKind = kind[dispatch.Class]{
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,10 +19,10 @@
 // baseRules are those of a process with two classes and two tenants.
 func baseRules() Rules {
 	return Rules{
-		Settings: dispatch.Settings{Nodes: 1, MaxAttempts: 3, OverloadMultiple: 2, Step: 4, OverQuotaWeight: 0.2,
+		Settings: dispatch.Settings{Nodes: 1, MaxAttempts: 3, OverloadMultiple: 2, MinStepInterval: 4, OverQuotaWeight: 0.2,
 			Classes: []dispatch.Class{
 				{Objective: 400, Deadline: 7500, PriorityWeight: 8, RetrySafety: dispatch.AtMostOnce, Kind: -1},
-				{Objective: 1500, Deadline: 25000, PriorityWeight: 24, RetrySafety: dispatch.Keyed, Window: 40000, Kind: -1}},
+				{Objective: 1500, Deadline: 25000, PriorityWeight: 24, RetrySafety: dispatch.Keyed, DedupWindow: 40000, Kind: -1}},
 			Tenants: []dispatch.Tenant{{ReservedShare: 0.6, Quota: 20}, {ReservedShare: 0.4, Quota: 12}}},
 		Classes: []string{"tile-charge", "area-render"}, Tenants: []string{"pohjakaart", "maavaade"},
 	}
@@ -61,7 +61,7 @@
 	want.Settings.Classes = append(
 		want.Settings.Classes,
 		dispatch.Class{
-			Deadline: 5000, PriorityWeight: 1, RetrySafety: dispatch.Idempotent, Scope: dispatch.ScopeAll, Kind: -1,
+			Deadline: 5000, PriorityWeight: 1, RetrySafety: dispatch.Idempotent, DedupScope: dispatch.ScopeAll, Kind: -1,
 		},
 	)
 	want.Settings.Tenants[1].Quota = 5
@@ -357,7 +357,7 @@
 	if at < 0 {
 		at = len(base.Classes)
 		base.Classes = append(base.Classes, name)
-		added := dispatch.Class{PriorityWeight: 1, Kind: -1, Scope: dispatch.ScopeCell}
+		added := dispatch.Class{PriorityWeight: 1, Kind: -1, DedupScope: dispatch.ScopeCell}
 		base.Settings.Classes = append(base.Settings.Classes, added)
 	}
 	c := &base.Settings.Classes[at]
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -115,7 +115,7 @@
 }
 
 // Scopes are the words for where a repeat of a class's jobs is recognized.
-var Scopes = map[string]dispatch.Scope{
+var Scopes = map[string]dispatch.DedupScope{
 	"all": dispatch.ScopeAll, "zone": dispatch.ScopeZone, "cell": dispatch.ScopeCell,
 }
 
@@ -142,21 +142,21 @@
 	s := &settings{m: pairs}
 	v := dispatch.Settings{
 		Node: s.count("me", 0), Nodes: s.count("balancers", 1),
-		Zone: s.count("zone", 0), Step: s.num("step", 0),
+		Zone: s.count("zone", 0), MinStepInterval: s.num("step", 0),
 		OverQuotaWeight: s.num("overShareWorth", 1), WeightByWork: s.m["worthBy"] == "work",
 		PollsList:   s.m["discovery"] == "subscribe",
 		LiveWeights: s.m["weights"] == "live",
 		Telemetry: choice(s, "telemetry.how", dispatch.ReportNone, map[string]dispatch.Telemetry{
 			"piggyback": dispatch.ReportAnswers, "pull": dispatch.ReportHealthChecks}),
-		ProgressInterval: s.num("familyInfo.progress", 0), NotesStart: s.flag("familyInfo.tellsStart"),
+		ProgressInterval: s.num("familyInfo.progress", 0), StartNotifications: s.flag("familyInfo.tellsStart"),
 		MaxAttempts: s.count("limits.maxAttempts", 1), HedgingAllowed: s.flag("limits.mayDuplicate"),
 		CancelAllowed: s.flag("limits.cancelling"), HealthChecksAllowed: s.flag("limits.probing"),
-		GossipAllowed: s.flag("limits.peers"), ConnIdle: s.num("limits.connIdle", 0),
-		ConnectTimeout: s.num("limits.connectTimeout", 0), Multiplex: s.count("limits.multiplex", 1),
-		AnswerSlack: s.num("invariants.answerSlack", 0), PollWithin: s.num("invariants.askWithin", 0),
+		GossipAllowed: s.flag("limits.peers"), ConnIdleTimeout: s.num("limits.connIdle", 0),
+		ConnectTimeout: s.num("limits.connectTimeout", 0), MaxConcurrentStreams: s.count("limits.multiplex", 1),
+		AnswerSlack: s.num("invariants.answerSlack", 0), MaxPollInterval: s.num("invariants.askWithin", 0),
 		DrainGrace: s.num("invariants.drainGrace", 0), OverloadMultiple: s.num("invariants.fallMultiple", 1),
-		OverloadWindow: s.num("invariants.fall", 0), SlowStartFrom: s.num("invariants.coldFrom", 0),
-		SlowStartWithin: s.num("invariants.warmWithin", 0),
+		OverloadWindow: s.num("invariants.fall", 0), SlowStartMinShare: s.num("invariants.coldFrom", 0),
+		MaxSlowStartDuration: s.num("invariants.warmWithin", 0),
 		Fees: dispatch.Fees{CrossZone: s.num("fees.crossZone", 0), Handshake: s.num("fees.handshake", 0),
 			Origin: s.num("fees.origin", 0)},
 	}
@@ -179,10 +179,10 @@
 		v.Classes = append(v.Classes, dispatch.Class{
 			Objective: s.num(p+"aim", 0), Deadline: s.num(p+"deadline", 0), PriorityWeight: s.num(p+"worth", 1),
 			ObjectivePerWork: s.num(p+"aimStretch", s.numAt("familyInfo.classStretch", i, 0)),
-			Window:           s.num(p+"window", 0),
+			DedupWindow:      s.num(p+"window", 0),
 			// An effect or a scope that is absent or unknown is taken as the strictest one.
 			RetrySafety: choice(s, p+"effect", dispatch.AtMostOnce, Effects),
-			Scope:       choice(s, p+"dedupScope", dispatch.ScopeCell, Scopes),
+			DedupScope:  choice(s, p+"dedupScope", dispatch.ScopeCell, Scopes),
 			Kind:        int(s.numAt("familyInfo.classKind", i, -1)),
 		})
 	}
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -262,7 +262,7 @@
 	case CodeGone:
 		e.Kind, e.Job = dispatch.EvClientGone, c.u32()
 	case CodeNote:
-		e.Kind = dispatch.EvNote
+		e.Kind = dispatch.EvNotification
 		e.Job, e.Attempt, e.Executor, e.Topic, e.Amount = c.u32(), c.u16(), c.u32(), c.u8(), c.f32()
 	case CodePeer:
 		e.Kind, e.From = dispatch.EvGossip, c.u32()
@@ -354,7 +354,7 @@
 	case dispatch.ActPollList:
 		head(codeWatch)
 		on := byte(0)
-		if a.On {
+		if a.Subscribe {
 			on = 1
 		}
 		p.buf = append(p.buf, on)
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -53,7 +53,7 @@
 					{Executor: 0x2c9011f2, Zone: 1, Condition: dispatch.Ready, Weight: 1.5, StartedAt: 6100}}},
 		}},
 	{"note", "03 0003 5d3a91c4 0000 03124a07 01 3f000000",
-		Record{Code: CodeNote, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvNote, Job: 0x5d3a91c4,
+		Record{Code: CodeNote, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvNotification, Job: 0x5d3a91c4,
 			Executor: 0x03124a07, Topic: 1, Amount: 0.5}}},
 	{"outcome", "08 0003 5d3a91c4 0000 03124a07 0064 4032800000000000 01 00000000 00",
 		Record{Code: CodeOutcome, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvOutcome, Job: 0x5d3a91c4,
@@ -198,7 +198,7 @@
 			"00 0003 ffff 0004 68692037",
 		},
 		{dispatch.Action{Kind: dispatch.ActReject, Job: 0x0e6f2b19, For: 500}, "02 0003 0e6f2b19 407f400000000000"},
-		{dispatch.Action{Kind: dispatch.ActPollList, On: true}, "03 0003 01"},
+		{dispatch.Action{Kind: dispatch.ActPollList, Subscribe: true}, "03 0003 01"},
 	}
 	var p Reply
 	for _, tt := range tests {
@@ -264,9 +264,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Nodes != 3 || s.Node != 2 || !s.PollsList || s.ProgressInterval != 1000 || !s.NotesStart ||
+	if s.Nodes != 3 || s.Node != 2 || !s.PollsList || s.ProgressInterval != 1000 || !s.StartNotifications ||
 		s.Fees.CrossZone != 0.02 ||
-		s.SlowStartFrom != 0.31 || s.MaxAttempts != 4 || !s.HedgingAllowed ||
+		s.SlowStartMinShare != 0.31 || s.MaxAttempts != 4 || !s.HedgingAllowed ||
 		!s.WeightByWork {
 		t.Errorf("got %+v", s)
 	}
@@ -277,7 +277,7 @@
 			Deadline:         6000,
 			PriorityWeight:   1,
 			RetrySafety:      dispatch.Idempotent,
-			Scope:            dispatch.ScopeAll,
+			DedupScope:       dispatch.ScopeAll,
 			Kind:             -1,
 		},
 		{
@@ -286,8 +286,8 @@
 			Deadline:         5000,
 			PriorityWeight:   1,
 			RetrySafety:      dispatch.Keyed,
-			Scope:            dispatch.ScopeCell,
-			Window:           40000,
+			DedupScope:       dispatch.ScopeCell,
+			DedupWindow:      40000,
 			Kind:             1,
 		},
 	}
