--- a/internal/recovery/deadline_queue.go
+++ b/internal/recovery/deadline_queue.go
@@ -10,11 +10,11 @@
 // Task is an entry of a DeadlineQueue.
 type Task struct {
 	Key         string
-	Deadline    time.Duration // after which its result has no value; zero for none
-	MinDuration time.Duration // that it takes at least
+	Deadline    time.Duration // when the result becomes useless; zero for no deadline
+	MinDuration time.Duration // lower bound on the task's run time
 }
 
-// DeadlineQueue orders tasks by the earliest deadline and drops those that can no longer meet theirs.
+// DeadlineQueue orders tasks by earliest deadline first and drops those that can no longer meet their deadline.
 type DeadlineQueue struct{ tasks []Task }
 
 // Add inserts a task.
@@ -23,7 +23,7 @@
 	q.tasks = slices.Insert(q.tasks, at, t)
 }
 
-// compareDeadlines orders tasks by deadline, those without one last, and tasks of one deadline by key.
+// compareDeadlines orders tasks by deadline, tasks without one last, and tasks with the same deadline by key.
 func compareDeadlines(a, b Task) int {
 	return cmp.Or(cmp.Compare(a.deadlineOrMax(), b.deadlineOrMax()), cmp.Compare(a.Key, b.Key))
 }
@@ -38,7 +38,7 @@
 // Len returns the number of queued tasks.
 func (q *DeadlineQueue) Len() int { return len(q.tasks) }
 
-// Next removes and returns up to n tasks in order, and all that can no longer meet their deadline.
+// Next removes and returns up to n tasks in order, and all tasks that can no longer meet their deadline.
 func (q *DeadlineQueue) Next(now time.Duration, n int) (ready, late []Task) {
 	rest := q.tasks[:0]
 	for _, t := range q.tasks {
--- a/internal/recovery/deadline_queue_test.go
+++ b/internal/recovery/deadline_queue_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// taskModel is a queue that sorts all tasks each time.
+// taskModel is a reference queue that sorts all tasks on each call.
 type taskModel []Task
 
 func (m *taskModel) next(now time.Duration, n int) (ready, late []Task) {
@@ -29,7 +29,7 @@
 	return ready, late
 }
 
-// drawTask draws a task that was added at a time.
+// drawTask draws a task that is added at the given time.
 func drawTask(t *rapid.T, key string, now time.Duration) Task {
 	task := Task{Key: key, MinDuration: time.Duration(rapid.IntRange(0, 300).Draw(t, "needed")) * time.Millisecond}
 	if rapid.Bool().Draw(t, "has a deadline") {
@@ -38,7 +38,7 @@
 	return task
 }
 
-// Tasks come by the earliest deadline, and those that can not meet theirs are dropped at once.
+// Tasks are returned earliest deadline first, and those that cannot meet their deadline are dropped immediately.
 func TestDeadlineQueueGivesTheEarliestDeadlineFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var queue DeadlineQueue
@@ -56,7 +56,7 @@
 			ready, late := queue.Next(now, n)
 			wantReady, wantLate := model.next(now, n)
 			if fmt.Sprint(ready, late) != fmt.Sprint(wantReady, wantLate) || queue.Len() != len(model) {
-				t.Fatalf("%v %v, want %v %v", ready, late, wantReady, wantLate)
+				t.Fatalf("ready %v, late %v, want %v, %v", ready, late, wantReady, wantLate)
 			}
 		}
 	})
--- a/internal/recovery/fleet_test.go
+++ b/internal/recovery/fleet_test.go
@@ -9,25 +9,25 @@
 	"testing"
 )
 
-var extraNodes = flag.Int("nodes", 0, "a further size for the test of a fleet's restart, with -v its figures")
+var extraNodes = flag.Int("nodes", 0, "additional fleet size for the restart test; -v prints its results")
 
-// restartPolicy is how the nodes of a restarted fleet spread their calls to a shared resource.
+// restartPolicy determines how the nodes of a restarted fleet spread their calls to a shared resource.
 type restartPolicy int
 
 const (
-	immediate  restartPolicy = iota // and again a second after each failure
-	fullJitter                      // over the same round, its span doubling with each failure
+	immediate  restartPolicy = iota // call at once, and again one second after each failure
+	fullJitter                      // random time in the round; the interval doubles with each failure
 	timeSlots
 	policyCount
 )
 
 // Parameters of the simulated restart.
 const (
-	restartedShare  = 0.92 // of the nodes
-	plannedLoad     = 0.8  // of the capacity, which the round's length is made for
-	callTimeoutMs   = 2000 // that a call waits at the resource
-	maxCallsPerNode = 200  // after which a run is given up
-	runs            = 5    // from different seeds
+	restartedShare  = 0.92 // share of the nodes that restart
+	plannedLoad     = 0.8  // share of the capacity for which the round's length is planned
+	callTimeoutMs   = 2000 // longest wait of a call at the resource
+	maxCallsPerNode = 200  // after which a run is stopped
+	runs            = 5    // each with its own seed
 )
 
 // scheduledCall is a call to the shared resource.
@@ -36,7 +36,7 @@
 	node int
 }
 
-// callQueue is a heap of calls, the earliest first.
+// callQueue is a heap of calls, earliest first.
 type callQueue []scheduledCall
 
 func (q callQueue) Len() int { return len(q) }
@@ -52,21 +52,21 @@
 	return last
 }
 
-// recoveryResult is how a restart went.
+// recoveryResult is the result of a simulated restart.
 type recoveryResult struct {
-	fullServiceMs float64 // until 95% of the nodes were served
-	peakRate      float64 // calls in the busiest second, over the planned rate
+	fullServiceMs float64 // time until 95% of the nodes were served
+	peakRate      float64 // calls in the busiest second divided by the planned rate
 	calls         int
 }
 
-// restart is a fleet that comes back within a span, on virtual time. Each node makes calls to one resource, which
-// serves them one after the other and rejects what waited too long, until one was served.
+// restart simulates the restart of a fleet within a time span, on virtual time. Each node calls one shared resource
+// until one of its calls is served. The resource serves calls one at a time and rejects those that waited too long.
 type restart struct {
 	policy        restartPolicy
 	nodes         int
 	withinMs      float64
-	capacity      float64 // of the resource, in calls a second
-	downMs        float64 // for which it rejects everything at first
+	capacity      float64 // of the resource, in calls per second
+	downMs        float64 // how long the resource rejects all calls at first
 	rng           *rand.Rand
 	roundMs       float64
 	backoffs      []SlotBackoff
@@ -76,7 +76,7 @@
 	callsInSecond map[int]int
 	servedAt      []float64
 	calls         int
-	restarted     int // nodes
+	restarted     int // number of nodes that restart
 }
 
 // schedule schedules the first call of each node.
@@ -99,7 +99,7 @@
 	}
 }
 
-// serve lets the resource serve or reject a call.
+// serve simulates the resource serving or rejecting a call.
 func (r *restart) serve(call scheduledCall) {
 	r.calls++
 	r.callsInSecond[int(call.at/1000)]++
@@ -112,7 +112,7 @@
 	r.retry(call.node, call.at+min(wait, callTimeoutMs))
 }
 
-// retry schedules the next call of a node after one that failed at a time.
+// retry schedules a node's next call after a call that failed at failedAt.
 func (r *restart) retry(node int, failedAt float64) {
 	r.failures[node]++
 	at := failedAt
@@ -127,7 +127,7 @@
 	heap.Push(&r.queue, scheduledCall{at, node})
 }
 
-// result plays the restart to its end.
+// result runs the simulation to its end.
 func (r *restart) result() recoveryResult {
 	r.schedule()
 	for r.queue.Len() > 0 && r.calls < maxCallsPerNode*r.nodes {
@@ -144,11 +144,12 @@
 	return out
 }
 
-// meanOfRuns plays a restart from several seeds: the mean time and calls, and the highest peak.
+// meanOfRuns simulates a restart with several seeds. It returns the mean time and number of calls, and the highest
+// peak.
 func meanOfRuns(policy restartPolicy, nodes int, withinMs, downMs float64) (mean recoveryResult) {
 	for seed := range uint64(runs) {
 		r := restart{policy: policy, nodes: nodes, withinMs: withinMs, downMs: downMs,
-			capacity: 35 * float64(nodes) / 300, // as a list that 300 nodes share
+			capacity: 35 * float64(nodes) / 300, // the capacity of an endpoint list that 300 nodes share, scaled
 			rng:      rand.New(rand.NewPCG(seed, uint64(nodes)))}
 		one := r.result()
 		mean.fullServiceMs += one.fullServiceMs / runs
@@ -159,9 +160,9 @@
 	return mean
 }
 
-// Where 92% of a fleet come back, at one moment or within 28 s, with the shared resource up or down at first, the
-// peak of what it is asked stays at 1.5 times its planned rate, less than with full jitter and far less than without
-// any spreading, and the time to full service is no longer than with full jitter.
+// 92% of a fleet restart, at one moment or within 28 s, with the shared resource available or unavailable at first.
+// With time slots the peak call rate is at most 1.5 times the planned rate and not above that of full jitter, and the
+// time to full service is at most 1.1 times that of full jitter.
 func TestTimeSlotsSpreadARestartedFleet(t *testing.T) {
 	sizes := []int{100, 300, 1000}
 	if *extraNodes > 0 {
--- a/internal/recovery/knowledge_test.go
+++ b/internal/recovery/knowledge_test.go
@@ -10,12 +10,12 @@
 	_ "gatetack/internal/testrand"
 )
 
-// report is one that a Knowledge got.
+// report is a report to a Knowledge.
 type report struct {
 	stage   Stage
 	version uint64
 	at      time.Duration
-	lost    bool // that the knowledge was lost
+	lost    bool // reports that the knowledge was lost
 }
 
 // supersedes reports whether a later report replaces an earlier one.
@@ -29,13 +29,13 @@
 	return r.at >= earlier.at
 }
 
-// knowledgeModel keeps all reports of each kind.
+// knowledgeModel is a reference model that keeps all reports of each kind.
 type knowledgeModel struct {
 	bounds  map[Kind]AgeBounds
 	reports map[Kind][]report
 }
 
-// known returns the report that counts.
+// known returns the report that determines the knowledge of a kind.
 func (m *knowledgeModel) known(kind Kind) (best report) {
 	for _, r := range m.reports[kind] {
 		if r.lost {
@@ -58,15 +58,15 @@
 	return Limited
 }
 
-// valid reports whether a decision on a basis may be carried out.
+// valid reports whether a decision on a basis may still be carried out.
 func (m *knowledgeModel) valid(b Basis, now time.Duration) bool {
 	known := m.known(b.Kind)
 	return known.version == b.Version && known.stage != Unknown && now-known.at <= m.bounds[b.Kind].Usable
 }
 
-// Knowledge under random reports is compared with a plain model that keeps them all: the latest version wins, of one
-// version the furthest stage, nothing older than its bound is a basis, and a decision is valid only while its basis
-// is.
+// Compares Knowledge under random reports with a reference model that keeps all reports: the latest version wins,
+// within a version the highest stage, no item older than its bound is a basis, and a decision is valid only while its
+// basis is.
 func TestKnowledgeAllowsOnlyDecisionsOnAValidBasis(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := map[Kind]AgeBounds{
@@ -93,7 +93,7 @@
 			}
 			for kind := range bounds {
 				if got, want := knowledge.Caution(kind, now), model.caution(kind, now); got != want {
-					t.Fatalf("%v by %+v at %v: %v, want %v", kind, model.known(kind), now, got, want)
+					t.Fatalf("%v with report %+v at %v: caution %v, want %v", kind, model.known(kind), now, got, want)
 				}
 			}
 			checkBasis(t, knowledge, model, now, basis)
@@ -101,12 +101,12 @@
 	})
 }
 
-// checkBasis compares whether a decision may be carried out with the model.
+// checkBasis fails the test if Knowledge and the model disagree on whether a decision may be carried out.
 func checkBasis(t *rapid.T, knowledge *Knowledge, model *knowledgeModel, now time.Duration, basis []Basis) {
 	for _, b := range basis {
 		err := knowledge.Revalidate(now, basis)
 		if model.valid(b, now) != (err == nil) {
-			t.Fatalf("a decision on %+v with %+v: %v", b, model.known(b.Kind), err)
+			t.Fatalf("revalidation of basis %+v with report %+v: %v", b, model.known(b.Kind), err)
 		}
 		changed, stale := (*ChangedError)(nil), (*StaleError)(nil)
 		if err != nil && !errors.As(err, &changed) && !errors.As(err, &stale) {
--- a/internal/recovery/time_slots_test.go
+++ b/internal/recovery/time_slots_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the number of nodes and the salt, no two have one slot, each comes once a round, and the slots are evenly
-// spaced.
+// For any number of nodes and any salt, no two nodes have the same slot, each node has one slot per round, and the
+// slots are evenly spaced.
 func TestTimeSlotsOfAllNodesAreEvenlySpaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes, salt := rapid.IntRange(2, 400).Draw(t, "nodes"), rapid.Uint64().Draw(t, "salt")
@@ -18,7 +18,7 @@
 		for node := range nodes {
 			next := TimeSlots{node, nodes, salt}.Next(now, round)
 			if next < 0 || next >= round*(1+1e-9) {
-				t.Fatalf("node %d of %d in %v ms, a round is %v", node, nodes, next, round)
+				t.Fatalf("node %d of %d: next slot in %v ms, outside a round of %v ms", node, nodes, next, round)
 			}
 			slots = append(slots, next)
 		}
@@ -26,13 +26,13 @@
 		even := round / float64(nodes)
 		for i := 1; i < nodes; i++ {
 			if gap := slots[i] - slots[i-1]; math.Abs(gap-even) > even*0.1+0.1 {
-				t.Fatalf("a gap of %v ms between two of %d in %v", gap, nodes, round)
+				t.Fatalf("gap of %v ms between slots of %d nodes in a round of %v ms", gap, nodes, round)
 			}
 		}
 	})
 }
 
-// A resource that fails gets fewer calls the longer it does.
+// A resource gets fewer calls the longer it fails.
 func TestSlotBackoffSkipsMoreRoundsAfterEachFailure(t *testing.T) {
 	backoff := SlotBackoff{TimeSlots: TimeSlots{Node: 3, Nodes: 10, Salt: 7}, Round: 1000, MaxSkipped: 60}
 	now := backoff.First(0)
@@ -43,6 +43,6 @@
 		gaps = append(gaps, now-last)
 	}
 	if gaps[0] > 1001 || gaps[11] < 30000 || gaps[11] > 120000 {
-		t.Errorf("gaps %v", gaps)
+		t.Errorf("gaps in ms between calls: %v", gaps)
 	}
 }
