--- a/internal/recovery/knowledge.go
+++ b/internal/recovery/knowledge.go
@@ -47,7 +47,7 @@
 const (
 	Unrestricted Caution = iota
 	Limited              // only few decisions, and only those that do no harm if the knowledge is wrong
-	Refused
+	Forbidden
 )
 
 // AgeBounds are the ages up to which knowledge allows unrestricted (Fresh) and limited (Usable) decisions.
@@ -109,7 +109,7 @@
 	age := now - known.confirmedAt
 	switch {
 	case known.stage == Unknown || age > k.bounds[kind].Usable:
-		return Refused
+		return Forbidden
 	case known.stage == Current && age <= k.bounds[kind].Fresh:
 		return Unrestricted
 	}
@@ -127,7 +127,7 @@
 func (k *Knowledge) BasisOf(now time.Duration, kinds ...Kind) ([]Basis, error) {
 	var basis []Basis
 	for _, kind := range kinds {
-		if k.Caution(kind, now) == Refused {
+		if k.Caution(kind, now) == Forbidden {
 			return nil, k.stale(kind, now)
 		}
 		known := k.items[kind]
@@ -143,7 +143,7 @@
 		if version := k.items[b.Kind].version; version != b.Version {
 			return &ChangedError{b.Kind, b.Version, version}
 		}
-		if k.Caution(b.Kind, now) == Refused {
+		if k.Caution(b.Kind, now) == Forbidden {
 			return k.stale(b.Kind, now)
 		}
 	}
--- a/internal/recovery/knowledge_test.go
+++ b/internal/recovery/knowledge_test.go
@@ -51,7 +51,7 @@
 	known, bounds := m.known(kind), m.bounds[kind]
 	switch age := now - known.at; {
 	case known.stage == Unknown || age > bounds.Usable:
-		return Refused
+		return Forbidden
 	case known.stage == Current && age <= bounds.Fresh:
 		return Unrestricted
 	}
