--- a/internal/endpointwatch/clock_steps_test.go
+++ b/internal/endpointwatch/clock_steps_test.go
@@ -9,9 +9,9 @@
 	"gatetack/internal/clocktest"
 )
 
-// event is one event that a Tracker is notified of.
+// event is an event that is reported to a Tracker.
 type event struct {
-	kind int // an index into the cases of apply
+	kind int // selects the case in apply
 	at   time.Time
 	end  CallEnd
 	draw float64
@@ -19,7 +19,7 @@
 
 const eventKinds = 5
 
-// apply notifies a Tracker of an event, and returns what follows from it.
+// apply reports the event to a Tracker, and returns the next call if the event ends one.
 func (e event) apply(tracker *Tracker) NextCall {
 	switch e.kind {
 	case 0:
@@ -36,8 +36,7 @@
 	return NextCall{}
 }
 
-// However the wall clock is set between events, a Tracker gives the same times, on the monotonic clock, as one whose
-// wall clock was left alone.
+// Steps of the wall clock between events do not change the times that a Tracker returns on the monotonic clock.
 func TestDeadlinesIgnoreWallClockSteps(t *testing.T) {
 	began := time.Now()
 	same := func(a, b time.Time) bool {
@@ -66,7 +65,7 @@
 				t.Fatalf("after event %d notified from %v, want %v", e.kind, stepped.NotifiedFrom(), plain.NotifiedFrom())
 			}
 			if !same(plain.SilenceDeadline(), stepped.SilenceDeadline()) {
-				t.Fatalf("after event %d silent from %v, want %v", e.kind, stepped.SilenceDeadline(), plain.SilenceDeadline())
+				t.Fatalf("after event %d deadline %v, want %v", e.kind, stepped.SilenceDeadline(), plain.SilenceDeadline())
 			}
 		}
 	})
--- a/internal/endpointwatch/tracker.go
+++ b/internal/endpointwatch/tracker.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Tracker follows one endpoint list. A zero Tracker with its Timeouts is that of a new process. It is not safe for
-// concurrent use.
+// Tracker tracks the calls for one endpoint list. A Tracker with only Timeouts set is in the state of a new process. It
+// is not safe for concurrent use.
 type Tracker struct {
 	Timeouts
 
 	call        callState
-	missedFrom  time.Time // when what was missed before counts as notified; zero: nothing was missed
-	confirmedAt time.Time // when a watch last spoke that had reported the list, or the process started
+	missedFrom  time.Time // from when on missed changes count as notified; zero if no changes were missed
+	confirmedAt time.Time // when a watch that had reported the list last sent a byte, or the process started
 	failures    int       // consecutive failed calls that the Tracker owned
 }
 
-// callState is that of the latest call.
+// callState is the state of the latest call.
 type callState struct {
 	startedAt  time.Time
-	lastByteAt time.Time // zero while nothing has come
+	lastByteAt time.Time // zero until a byte arrives
 	open       bool
-	updated    bool // a whole line has come
-	failed     bool // it ended otherwise than by an answer
+	updated    bool // a complete line has arrived
+	failed     bool // the call ended without a complete response
 }
 
-// Started notes that the process has started, and makes its first call.
+// Started records that the process has started and is about to make its first call.
 func (t *Tracker) Started(now time.Time) { t.confirmedAt = now }
 
-// CallStarted notes that a call is made.
+// CallStarted records that a call is made.
 func (t *Tracker) CallStarted(now time.Time) { t.call = callState{startedAt: now, open: true} }
 
-// BytesReceived notes that some of an answer has come.
+// BytesReceived records that part of a response has arrived.
 func (t *Tracker) BytesReceived(now time.Time) {
 	t.call.lastByteAt = now
 	if t.call.updated {
@@ -36,16 +36,17 @@
 	}
 }
 
-// UpdateReceived notes that a whole line of an answer has come. The first holds everything that was missed.
+// UpdateReceived records that a complete line of a response has arrived. The first line includes everything that was
+// missed.
 func (t *Tracker) UpdateReceived(now time.Time) {
 	t.call.lastByteAt, t.call.updated = now, true
 	t.confirmedAt, t.missedFrom, t.failures = now, time.Time{}, 0
 }
 
-// SourceMoved notes that the list is served elsewhere from now on.
+// SourceMoved records that the list has another source from now on.
 func (t *Tracker) SourceMoved(now time.Time) { t.addMissed(now.Add(t.ReloadGrace)) }
 
-// SilenceDeadline returns when the call in progress is given up if nothing more comes.
+// SilenceDeadline returns when the call in progress is aborted if no more bytes arrive.
 func (t *Tracker) SilenceDeadline() time.Time {
 	if t.call.lastByteAt.IsZero() {
 		return t.call.startedAt.Add(t.PollWait + t.AnswerTimeout)
@@ -53,14 +54,14 @@
 	return t.call.lastByteAt.Add(t.HeartbeatInterval + t.HeartbeatSlack)
 }
 
-// CallEnded notes that the call has ended, and says what follows. Draw is a random number from [0, 1): nodes whose
-// watches fell silent together would otherwise call again together.
+// CallEnded records that the call has ended, and returns the next call. Draw is a random number from [0, 1): without
+// jitter, nodes whose watches became unresponsive together would also call again together.
 func (t *Tracker) CallEnded(now time.Time, how CallEnd, draw float64) NextCall {
 	renew := t.call.updated && now.Sub(t.call.startedAt) >= t.StableAfter
 	t.call.open, t.call.failed = false, true
 	switch how {
 	case CallCut:
-		t.addMissed(now) // the line that was cut was written
+		t.addMissed(now) // the truncated line counts as written to the node
 	case CallSilent:
 		t.addMissed(t.silentCallNotifiedFrom())
 		if renew = t.call.updated || t.failures == 0; renew {
@@ -76,7 +77,7 @@
 	return NextCall{Owned: true, At: now.Add(t.backoff(now, draw))}
 }
 
-// pollDelay returns the longest time to the next call while nothing was missed.
+// pollDelay returns the longest time to the next call while no changes were missed.
 func (t *Tracker) pollDelay(now time.Time) time.Duration {
 	delay := t.maxGap()
 	if left := t.confirmedAt.Add(t.maxCallAge()).Sub(now); left > 0 {
@@ -85,11 +86,11 @@
 	return delay
 }
 
-// maxDoublings bounds the exponent of the backoff, which reaches maxGap long before.
+// maxDoublings bounds the exponent of the backoff; the backoff reaches maxGap long before.
 const maxDoublings = 8
 
-// backoff returns the time to the next call while something was missed. While an answer can still come before that
-// counts as notified, the call is made in time for it.
+// backoff returns the time to the next call after changes were missed. As long as a response can still arrive before
+// these count as notified, the call is made in time for it.
 func (t *Tracker) backoff(now time.Time, draw float64) time.Duration {
 	delay := jittered(min(t.MinBackoff<<min(t.failures, maxDoublings), t.maxGap()), draw)
 	t.failures++
@@ -99,13 +100,14 @@
 	return delay
 }
 
-// jittered returns a time between half of a delay and all of it.
+// jittered returns a time between half the delay and the full delay.
 func jittered(delay time.Duration, draw float64) time.Duration {
 	return time.Duration(float64(delay) * (0.5 + draw/2))
 }
 
-// NotifiedFrom returns from when on changes count as notified that have not come: those made before then, and later
-// ones at once. Zero stands for never. While a watch is open and speaks, the time moves on with each byte.
+// NotifiedFrom returns the time from which on changes that have not arrived count as notified: earlier changes from
+// that time on, later ones as soon as they are made. Zero means never. While a watch is open, each byte from it moves
+// the time forward.
 func (t *Tracker) NotifiedFrom() time.Time {
 	from := time.Time{}
 	switch {
@@ -123,7 +125,8 @@
 	return from
 }
 
-// silentCallNotifiedFrom returns from when on what the latest call misses counts as notified, if it has fallen silent.
+// silentCallNotifiedFrom returns from when on changes that the latest call misses count as notified if no more bytes
+// arrive.
 func (t *Tracker) silentCallNotifiedFrom() time.Time {
 	if !t.call.lastByteAt.IsZero() {
 		return t.call.lastByteAt.Add(t.MaxStaleness)
@@ -135,7 +138,7 @@
 	return byWait
 }
 
-// addMissed notes that changes were missed which count as notified from a time on.
+// addMissed records that changes were missed that count as notified from the given time on.
 func (t *Tracker) addMissed(from time.Time) {
 	if t.missedFrom.IsZero() || from.Before(t.missedFrom) {
 		t.missedFrom = from
--- a/internal/endpointwatch/tracker_test.go
+++ b/internal/endpointwatch/tracker_test.go
@@ -27,21 +27,21 @@
 
 var start = time.Unix(1000, 0)
 
-// at returns a time so many ms after the start.
+// at returns the time n ms after the start.
 func at(n int) time.Time { return start.Add(time.Duration(n) * ms) }
 
-// callCase is a call with its end, and what follows from it. Times are in ms from the start.
+// callCase is a call with its end and the expected consequences. Times are in ms from the start.
 type callCase struct {
 	name         string
 	call         func(*Tracker)
 	endedAt      int
 	end          CallEnd
 	notifiedFrom int
-	owned        bool // the next call is the Tracker's,
-	nextBy       int  // and made by then
+	owned        bool // the Tracker owns the next call
+	nextBy       int  // when the next call is made at the latest, if the Tracker owns it
 }
 
-// called starts a call at 0, has updates and other bytes come at times after it.
+// called starts a call at 0 and reports an update and other bytes at the given times, if they are not 0.
 func called(updateAt, bytesAt int) func(*Tracker) {
 	return func(t *Tracker) {
 		t.CallStarted(at(0))
@@ -54,7 +54,7 @@
 	}
 }
 
-// calledAfterSilence is a call that follows a watch which fell silent.
+// calledAfterSilence starts a call after a watch that became unresponsive.
 func calledAfterSilence(t *Tracker) {
 	called(500, 0)(t)
 	t.CallEnded(at(3700), CallSilent, 0)
@@ -62,23 +62,23 @@
 }
 
 var callCases = []callCase{
-	{"silent while it waits: 6 s, its wait and 2 s are shorter", called(0, 0), 2500, CallSilent, 6000, true, 2500},
-	{"silent after its head", called(0, 500), 3700, CallSilent, 6500, true, 3700},
-	{"silent after a line", called(500, 0), 3700, CallSilent, 6500, true, 3700},
-	{"silent within a line: from its last byte", called(500, 900), 4100, CallSilent, 6900, true, 4100},
-	{"rejected after a wait: the module's", called(0, 0), 2000, CallRejected, 40000, false, 0},
-	{"rejected at once: the module's", called(0, 0), 1, CallRejected, 40000, false, 0},
-	{"closed before it was stable: the module's", called(500, 0), 900, CallClosed, 40000, false, 0},
-	{"closed after it was stable: at once", called(500, 0), 9000, CallClosed, 40000, true, 9000},
-	{"cut within a line: the line was written", called(100, 300), 300, CallCut, 300, true, 400},
-	{"moved, and the new source rejects the call", func(t *Tracker) { t.SourceMoved(at(0)); t.CallStarted(at(0)) },
+	{"no byte during the wait: MaxStaleness is the later time", called(0, 0), 2500, CallSilent, 6000, true, 2500},
+	{"unresponsive after the response head", called(0, 500), 3700, CallSilent, 6500, true, 3700},
+	{"unresponsive after a line", called(500, 0), 3700, CallSilent, 6500, true, 3700},
+	{"unresponsive within a line", called(500, 900), 4100, CallSilent, 6900, true, 4100},
+	{"rejected after a wait", called(0, 0), 2000, CallRejected, 40000, false, 0},
+	{"rejected immediately", called(0, 0), 1, CallRejected, 40000, false, 0},
+	{"closed before it was stable", called(500, 0), 900, CallClosed, 40000, false, 0},
+	{"closed after it was stable", called(500, 0), 9000, CallClosed, 40000, true, 9000},
+	{"connection ended within a line", called(100, 300), 300, CallCut, 300, true, 400},
+	{"source moved, new source rejects the call", func(t *Tracker) { t.SourceMoved(at(0)); t.CallStarted(at(0)) },
 		10, CallRejected, 4000, true, 110},
-	{"silent, and the call after it is rejected", calledAfterSilence, 3701, CallRejected, 6500, true, 4000},
-	{"likewise, and late: what the wait for an answer leaves", calledAfterSilence, 3990, CallRejected, 6500, true, 4000},
+	{"unresponsive, next call rejected", calledAfterSilence, 3701, CallRejected, 6500, true, 4000},
+	{"unresponsive, next call rejected late", calledAfterSilence, 3990, CallRejected, 6500, true, 4000},
 }
 
-// Each way in which a call ends: from when on missed changes count as notified, whose the next call is, and by when
-// it is made.
+// For each way in which a call ends: from when on missed changes count as notified, who owns the next call, and by when
+// that call is made.
 func TestNextCallFollowsFromTheEndOfACall(t *testing.T) {
 	for _, c := range callCases {
 		tracker := Tracker{Timeouts: timeouts}
@@ -95,23 +95,23 @@
 func TestNothingCountsAsNotifiedBeforeTheFirstCall(t *testing.T) {
 	tracker := Tracker{Timeouts: timeouts}
 	if !tracker.NotifiedFrom().IsZero() {
-		t.Error("notified before its first call")
+		t.Error("changes count as notified before the first call")
 	}
 	called(10, 0)(&tracker)
 	if deadline := tracker.SilenceDeadline(); deadline != at(3210) {
-		t.Errorf("given up at %v", deadline.Sub(start))
+		t.Errorf("call aborted at %v after the start, want 3.21s", deadline.Sub(start))
 	}
 }
 
-// draws are the random numbers that a Tracker is given.
+// draws generates the random numbers that are passed to a Tracker.
 var draws = rapid.Float64Range(0, 0.999)
 
-// drawMs draws a span of up to so many ms.
+// drawMs draws a duration of up to limit ms.
 func drawMs(t *rapid.T, label string, limit int) time.Duration {
 	return time.Duration(rapid.IntRange(0, limit).Draw(t, label)) * ms
 }
 
-// watchUntilSilence lets a watch answer or not, and returns when its last byte came.
+// watchUntilSilence starts a watch that sends lines, or nothing at all, and returns the time of its last byte.
 func watchUntilSilence(t *rapid.T, tracker *Tracker) (lastByteAt time.Time) {
 	now := start
 	tracker.CallStarted(now)
@@ -132,27 +132,27 @@
 	return lastByteAt
 }
 
-// Watches fall silent at any point, once or after rejected calls, and answers come at any time within their wait. The
-// protocol says from when on each change counts as notified; an update has come by then as long as discovery rejects
-// no more calls than the time leaves room for. Without silence, a cut or a move each failure is the module's.
+// Watches become unresponsive at any point, then up to three calls are rejected, and the response comes at any time
+// within its wait. An update arrives before the time from which the protocol counts missed changes as notified. While
+// no changes are missed, the decision module owns the call after each failure.
 func TestUpdateComesBeforeMissedChangesCountAsNotified(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := Tracker{Timeouts: timeouts}
-		notified := watchUntilSilence(t, &tracker).Add(6 * time.Second) // as the protocol says, not the code
+		notified := watchUntilSilence(t, &tracker).Add(6 * time.Second) // computed from the protocol, not by the code under test
 		if tracker.NotifiedFrom() != notified {
-			t.Fatalf("notified from %v, the protocol says %v", tracker.NotifiedFrom().Sub(start), notified.Sub(start))
+			t.Fatalf("notified from %v, want %v by protocol", tracker.NotifiedFrom().Sub(start), notified.Sub(start))
 		}
 		next := tracker.CallEnded(tracker.SilenceDeadline(), CallSilent, draws.Draw(t, "draw"))
 		for range rapid.IntRange(0, 3).Draw(t, "rejected calls") {
 			if !next.Owned {
-				t.Fatal("the module is left to call again")
+				t.Fatal("the decision module owns the next call after missed changes")
 			}
 			tracker.CallStarted(next.At)
 			rejectedAt := next.At.Add(drawMs(t, "until it is rejected", 50))
 			next = tracker.CallEnded(rejectedAt, CallRejected, draws.Draw(t, "draw"))
 		}
 		if !next.Owned {
-			t.Fatal("the module is left to call again")
+			t.Fatal("the decision module owns the next call after missed changes")
 		}
 		tracker.CallStarted(next.At)
 		now := next.At.Add(drawMs(t, "last wait", 2000))
@@ -161,25 +161,25 @@
 		}
 		tracker.UpdateReceived(now)
 		if tracker.NotifiedFrom().Before(now.Add(6 * time.Second)) {
-			t.Fatal("updated, and notified all the same")
+			t.Fatal("changes count as notified too early after an update")
 		}
 		checkModuleOwnsCalls(t, &tracker, now)
 	})
 }
 
-// checkModuleOwnsCalls fails the test unless calls that fail after an update are the module's.
+// checkModuleOwnsCalls fails the test unless the decision module owns the calls after failures that follow an update.
 func checkModuleOwnsCalls(t *rapid.T, tracker *Tracker, now time.Time) {
 	if next := tracker.CallEnded(now.Add(ms), CallRejected, 0.5); next.Owned && !tracker.call.updated {
-		t.Fatal("a failure while nothing was missed is the module's")
+		t.Fatal("the Tracker owns the next call after a failure that missed no changes")
 	}
 	tracker.CallStarted(now)
 	if next := tracker.CallEnded(now.Add(drawMs(t, "rejected", 2000)), CallRejected, 0.5); next.Owned {
-		t.Fatal("a failure while nothing was missed is the module's")
+		t.Fatal("the Tracker owns the next call after a failure that missed no changes")
 	}
 }
 
-// While discovery rejects all calls they become rarer, as far as two of them, with their waits, fit into
-// MaxStaleness, and are spread over half of their gaps.
+// While discovery rejects all calls, the gaps between them grow as long as two calls with their waits still fit into
+// MaxStaleness.
 func TestRejectedCallsBackOffWithinMaxStaleness(t *testing.T) {
 	tracker := Tracker{Timeouts: timeouts}
 	tracker.CallStarted(at(0))
@@ -196,34 +196,34 @@
 	for i, gap := range gaps {
 		if gap > longest || i > 6 && gap < longest*9/10 ||
 			i > 0 && gap < gaps[i-1]*9/10 && at(6000).Before(now) && i > 6 {
-			t.Fatalf("gaps %v", gaps)
+			t.Fatalf("gaps between rejected calls: %v", gaps)
 		}
 	}
 }
 
-// Calls fail in any way and after any time, and then discovery can be reached again. Whatever happened before, a call
-// is made and answered, even at the end of its wait, within 6 s of that, although the module asks for none. The same
-// holds from the start of a process, and if one more call fails.
+// Calls fail in any way and after any time, and then discovery is reachable again. Whatever happened before, a call is
+// made and answered within 6 s of that, even if the response comes at the end of its wait and the decision module makes
+// no call. The same applies from the start of a process.
 func TestReachableDiscoveryIsAskedWithinMaxStaleness(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := Tracker{Timeouts: timeouts}
-		tracker.Started(start) // the first call is made at once
+		tracker.Started(start) // the first call is made immediately
 		now, reachableFrom := start, start
 		for range rapid.IntRange(0, 12).Draw(t, "calls that fail") {
 			tracker.CallStarted(now)
 			missed, endedAt, end := failedCall(t, &tracker, now)
-			reachableFrom = missed.Add(ms) // just too late for this call, or for what it reported
+			reachableFrom = missed.Add(ms) // just too late for this call and what it reported
 			now = tracker.CallEnded(endedAt, end, draws.Draw(t, "draw")).At
 		}
 		tracker.CallStarted(now)
 		if now = now.Add(drawMs(t, "wait", 2000)); now.After(reachableFrom.Add(6 * time.Second)) {
-			t.Fatalf("reachable from %v, updated at %v", reachableFrom.Sub(start), now.Sub(start))
+			t.Fatalf("reachable from %v, updated only at %v", reachableFrom.Sub(start), now.Sub(start))
 		}
 	})
 }
 
-// failedCall lets a call that was started fail in some way. It returns the latest time at which the call saw the
-// list, and when and how it ended.
+// failedCall makes the call in progress fail in some way. It returns the latest time at which the call reported the
+// list, and when and how the call ended.
 func failedCall(t *rapid.T, tracker *Tracker, startedAt time.Time) (seenAt, endedAt time.Time, end CallEnd) {
 	end = rapid.SampledFrom([]CallEnd{CallClosed, CallRejected, CallSilent, CallCut}).Draw(t, "end")
 	updated := rapid.Bool().Draw(t, "updated")
--- a/internal/migration/device.go
+++ b/internal/migration/device.go
@@ -3,28 +3,28 @@
 import "math"
 
 const (
-	minCalls = 0.01 // decayed calls under which a zone is forgotten
+	minCalls = 0.01 // a zone with fewer decayed calls is dropped
 
-	// An actor that comes back to a zone within recentCooldowns cooldowns returns; one that stays put for as long has no
-	// returns any more.
+	// A move back to a zone that the actor left less than recentCooldowns cooldowns ago counts as a return. The count is
+	// reset once the actor has not moved for as long.
 	recentCooldowns = 8
 
-	maxDoublings = 6 // of the cooldown, by returns
+	maxDoublings = 6 // of the cooldown
 )
 
-// Device is the history of an actor's device.
+// Device is the call and move history of an actor's device.
 type Device struct {
-	zone      string // of the latest calls
-	zoneSince float64
-	calls     map[string]float64 // by zone, decaying
-	at        float64            // of the latest call
-	movedAt   float64
-	leftAt    map[string]float64 // by zone, when the actor left it
-	returns   int
+	zone      string             // zone of the latest calls
+	zoneSince float64            // time since which all calls came from zone
+	calls     map[string]float64 // decayed number of calls by zone
+	at        float64            // time of the latest call
+	movedAt   float64            // time of the actor's latest move
+	leftAt    map[string]float64 // time at which the actor left a zone
+	returns   int                // recent moves back to a zone
 	observed  bool
 }
 
-// ObserveCall records a call that came through a zone.
+// ObserveCall records a call of the device from a zone.
 func (d *Device) ObserveCall(zone string, now float64, r Rules) {
 	if d.calls == nil {
 		d.calls, d.leftAt = map[string]float64{}, map[string]float64{}
@@ -41,7 +41,7 @@
 	d.calls[zone]++
 }
 
-// settled returns the zone in which the device has settled, if it has.
+// settled returns the zone in which the device has settled, and whether it has.
 func (d *Device) settled(now float64, r Rules) (string, bool) {
 	total := 0.0
 	for _, n := range d.calls {
@@ -53,7 +53,7 @@
 	return d.zone, true
 }
 
-// cooldown is how long the actor stays after its last move.
+// cooldown returns the minimum time between the actor's latest move and the next.
 func (d *Device) cooldown(r Rules) float64 {
 	return r.Cooldown * float64(int(1)<<min(d.returns, maxDoublings))
 }
--- a/internal/migration/planner_test.go
+++ b/internal/migration/planner_test.go
@@ -10,7 +10,7 @@
 	_ "gatetack/internal/testrand"
 )
 
-// nodes returns nodes of these loads, in zones a, b and c in turn.
+// nodes returns nodes with the given loads, in zones a, b and c in turn.
 func nodes(loads ...float64) (out []Node) {
 	for i, load := range loads {
 		out = append(out, Node{Name: fmt.Sprint("n", i), Zone: []string{"a", "b", "c"}[i%3], Load: load})
@@ -18,7 +18,7 @@
 	return out
 }
 
-// drive has a device call every 100 ms, each time from a zone, and returns the moves.
+// drive simulates a device that calls every 100 ms from the zone of the i-th call, and returns the actor's moves.
 func drive(rules Rules, all []Node, from Node, zones func(i int) string, calls int) (moves []string) {
 	planner, device, here := NewPlanner(rules), &Device{}, from
 	for i := range calls {
@@ -50,42 +50,42 @@
 		zones func(int) string
 		want  string
 	}{
-		{"stays with its device", all, always("a"), "[]"},
-		{"follows once", all, leavesAfter, "[n1]"},
-		{"a call from elsewhere now and then moves nothing", all, seldomElsewhere, "[]"},
-		{"not to a node that recovers", recovering, always("b"), "[]"},
-		{"nor to a full one", nodes(0.1, 0.95, 0.1), always("b"), "[]"},
-		{"to the least loaded", nodes(0.1, 0.8, 0.1, 0.1, 0.2), always("b"), "[n4]"},
+		{"device stays in the zone of the actor", all, always("a"), "[]"},
+		{"device changes zone once", all, leavesAfter, "[n1]"},
+		{"occasional calls from another zone", all, seldomElsewhere, "[]"},
+		{"only node of the zone is recovering", recovering, always("b"), "[]"},
+		{"only node of the zone is overloaded", nodes(0.1, 0.95, 0.1), always("b"), "[]"},
+		{"least loaded node of the zone is chosen", nodes(0.1, 0.8, 0.1, 0.1, 0.2), always("b"), "[n4]"},
 	} {
 		if got := fmt.Sprint(drive(DefaultRules(), c.all, c.all[0], c.zones, 100)); got != c.want {
-			t.Errorf("%s: %s, want %s", c.name, got, c.want)
+			t.Errorf("%s: moves %s, want %s", c.name, got, c.want)
 		}
 	}
-	// On a border, half a second here and half a second there for ten minutes: a few moves, ever further apart.
+	// At a zone border, a device that alternates every 800 ms for ten minutes causes only a few moves.
 	border := func(i int) string { return []string{"a", "b"}[i/8%2] }
 	if n := len(drive(DefaultRules(), all, all[0], border, 6000)); n > 12 {
-		t.Errorf("%d moves of a device on a border", n)
+		t.Errorf("%d moves for a device at a zone border, want at most 12", n)
 	}
 }
 
-// hostedActor is an actor of the fleet below.
+// hostedActor is an actor of an actorFleet.
 type hostedActor struct {
 	device  *Device
 	here    Node
 	movedAt float64
 }
 
-// actorFleet moves actors between nodes by one planner, and records the moves.
+// actorFleet moves actors between nodes with one Planner and records the moves.
 type actorFleet struct {
 	t       *rapid.T
 	rules   Rules
 	planner *Planner
 	nodes   []Node
 	now     float64
-	moves   map[string][]float64 // when actors moved to a node
+	moves   map[string][]float64 // times of moves, by target node
 }
 
-// call has a device call from a zone, and fails the test for a move that is not allowed.
+// call simulates a call from a zone, and fails the test if it causes a move that the rules do not allow.
 func (f *actorFleet) call(a *hostedActor, zone string) {
 	a.device.ObserveCall(zone, f.now, f.rules)
 	to, _ := f.planner.Decide(f.now, a.device, a.here, func() []Node { return f.nodes })
@@ -94,17 +94,17 @@
 	}
 	target := f.nodes[slices.IndexFunc(f.nodes, func(n Node) bool { return n.Name == to })]
 	if target.Unready || target.Load >= f.rules.MaxLoad || target.Name == a.here.Name {
-		f.t.Fatalf("an actor moves from %+v to %+v", a.here, target)
+		f.t.Fatalf("actor moved from %+v to %+v, which accepts none", a.here, target)
 	}
 	if f.now-a.movedAt < f.rules.Cooldown {
-		f.t.Fatalf("an actor moves %v ms after it moved", f.now-a.movedAt)
+		f.t.Fatalf("actor moved %v ms after its previous move", f.now-a.movedAt)
 	}
 	a.device.RecordMove(a.here.Zone, target.Zone, f.now, f.rules)
 	a.here, a.movedAt = target, f.now
 	f.moves[to] = append(f.moves[to], f.now)
 }
 
-// checkBudgets fails the test if more actors moved into a node within a second than its budget allows.
+// checkBudgets fails the test if more actors moved to a node within a second than its budget allows.
 func (f *actorFleet) checkBudgets() {
 	for name, times := range f.moves {
 		for i, from := range times {
@@ -115,14 +115,14 @@
 				}
 			}
 			if within > int(f.rules.MoveBurst+f.rules.MoveRate)+1 {
-				f.t.Fatalf("%d moves into %s within a second", within, name)
+				f.t.Fatalf("%d moves to %s within a second exceed its budget", within, name)
 			}
 		}
 	}
 }
 
-// Whatever devices do: no more actors move into a node than its budget allows, none to a node that takes none, and none
-// sooner after its last move than the cooldown.
+// For any calls of the devices: no more actors move to a node than its budget allows, none to a node that accepts none,
+// and none earlier than the cooldown after its previous move.
 func TestMovesKeepBudgetsAndCooldowns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := DefaultRules()
--- a/internal/migration/rules.go
+++ b/internal/migration/rules.go
@@ -1,18 +1,18 @@
 package migration
 
-// Rules are the parameters of the decision. Times are ms.
+// Rules are the parameters of the decision. Times are in ms.
 type Rules struct {
-	Dwell          float64 // time that a device is in a zone before its actor moves
-	MinCallShare   float64 // part of its calls that come from there
+	Dwell          float64 // time for which all calls must come from a zone before the actor moves there
+	MinCallShare   float64 // minimum share of the decayed calls that must come from that zone
 	CallMemory     float64 // time constant with which past calls decay
 	Cooldown       float64 // between two moves of an actor, doubled for each return to a zone that it left recently
-	MoveRate       float64 // moves a second into, and out of, one node
-	MoveBurst      float64 // moves at once
-	MaxLoad        float64 // of 1, from which on a node takes no actor
-	MinImprovement float64 // by which another node of the same zone has to be less loaded before an actor moves to it
+	MoveRate       float64 // moves per second to, and from, one node
+	MoveBurst      float64 // size of the token bucket of these moves
+	MaxLoad        float64 // load from which on a node accepts no actors, from 0 to 1
+	MinImprovement float64 // minimum difference in load for a move to another node of the same zone
 }
 
-// DefaultRules fit a tablet in the field.
+// DefaultRules returns rules that suit mobile devices such as a tablet in the field.
 func DefaultRules() Rules {
 	return Rules{
 		Dwell:          300,
