--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -36,9 +36,9 @@
 	case errors.As(err, &rejected):
 		return endpointwatch.CallRejected
 	case errors.Is(err, errWithinLine):
-		return endpointwatch.CallCut
+		return endpointwatch.CallTruncated
 	case isTimeout(err):
-		return endpointwatch.CallSilent
+		return endpointwatch.CallTimedOut
 	}
 	return endpointwatch.CallClosed
 }
@@ -146,7 +146,7 @@
 // silenceDeadline is when the call is given up if nothing more comes.
 func (l *listCall) silenceDeadline() time.Time {
 	if l.tracker != nil {
-		return l.tracker.SilenceDeadline()
+		return l.tracker.IdleDeadline()
 	}
 	return time.Now().Add(l.client.limits.ListCall)
 }
--- a/internal/endpointwatch/clock_steps_test.go
+++ b/internal/endpointwatch/clock_steps_test.go
@@ -53,7 +53,7 @@
 			e := event{
 				kind: rapid.IntRange(0, eventKinds-1).Draw(t, "event"),
 				at:   now,
-				end:  CallEnd(rapid.IntRange(0, int(CallCut)).Draw(t, "end")),
+				end:  CallEnd(rapid.IntRange(0, int(CallTruncated)).Draw(t, "end")),
 				draw: draws.Draw(t, "draw"),
 			}
 			want := e.apply(&plain)
@@ -64,8 +64,8 @@
 			if !same(plain.NotifiedFrom(), stepped.NotifiedFrom()) {
 				t.Fatalf("after event %d notified from %v, want %v", e.kind, stepped.NotifiedFrom(), plain.NotifiedFrom())
 			}
-			if !same(plain.SilenceDeadline(), stepped.SilenceDeadline()) {
-				t.Fatalf("after event %d deadline %v, want %v", e.kind, stepped.SilenceDeadline(), plain.SilenceDeadline())
+			if !same(plain.IdleDeadline(), stepped.IdleDeadline()) {
+				t.Fatalf("after event %d deadline %v, want %v", e.kind, stepped.IdleDeadline(), plain.IdleDeadline())
 			}
 		}
 	})
--- a/internal/endpointwatch/timeouts.go
+++ b/internal/endpointwatch/timeouts.go
@@ -33,10 +33,10 @@
 
 // The ways in which a call ends.
 const (
-	CallClosed   CallEnd = iota // the connection or the response ended
-	CallRejected                // discovery responded with an error status, or refused the connection
-	CallSilent                  // aborted by this node because no more bytes arrived
-	CallCut                     // the connection ended within a line
+	CallClosed    CallEnd = iota // the connection or the response ended
+	CallRejected                 // discovery responded with an error status, or refused the connection
+	CallTimedOut                 // aborted by this node because no more bytes arrived
+	CallTruncated                // the connection ended within a line
 )
 
 // NextCall is what follows the end of a call.
--- a/internal/endpointwatch/tracker.go
+++ b/internal/endpointwatch/tracker.go
@@ -46,8 +46,8 @@
 // SourceMoved records that the list has another source from now on.
 func (t *Tracker) SourceMoved(now time.Time) { t.addMissed(now.Add(t.ReloadGrace)) }
 
-// SilenceDeadline returns when the call in progress is aborted if no more bytes arrive.
-func (t *Tracker) SilenceDeadline() time.Time {
+// IdleDeadline returns when the call in progress is aborted if no more bytes arrive.
+func (t *Tracker) IdleDeadline() time.Time {
 	if t.call.lastByteAt.IsZero() {
 		return t.call.startedAt.Add(t.PollWait + t.AnswerTimeout)
 	}
@@ -60,10 +60,10 @@
 	renew := t.call.updated && now.Sub(t.call.startedAt) >= t.StableAfter
 	t.call.open, t.call.failed = false, true
 	switch how {
-	case CallCut:
+	case CallTruncated:
 		t.addMissed(now) // the truncated line counts as written to the node
-	case CallSilent:
-		t.addMissed(t.silentCallNotifiedFrom())
+	case CallTimedOut:
+		t.addMissed(t.idleCallNotifiedFrom())
 		if renew = t.call.updated || t.failures == 0; renew {
 			t.failures++
 		}
@@ -113,7 +113,7 @@
 	switch {
 	case t.call.startedAt.IsZero():
 	case t.call.open:
-		from = t.silentCallNotifiedFrom()
+		from = t.idleCallNotifiedFrom()
 	case t.PollInterval > 0 && t.call.failed:
 		from = t.call.startedAt.Add(t.PollInterval * time.Duration(t.FailedPollFactor))
 	case t.PollInterval > 0:
@@ -125,15 +125,15 @@
 	return from
 }
 
-// silentCallNotifiedFrom returns from when on changes that the latest call misses count as notified if no more bytes
+// idleCallNotifiedFrom returns from when on changes that the latest call misses count as notified if no more bytes
 // arrive.
-func (t *Tracker) silentCallNotifiedFrom() time.Time {
+func (t *Tracker) idleCallNotifiedFrom() time.Time {
 	if !t.call.lastByteAt.IsZero() {
 		return t.call.lastByteAt.Add(t.MaxStaleness)
 	}
-	bySilence, byWait := t.call.startedAt.Add(t.MaxStaleness), t.call.startedAt.Add(t.PollWait+t.PollGrace)
-	if bySilence.After(byWait) {
-		return bySilence
+	byStaleness, byWait := t.call.startedAt.Add(t.MaxStaleness), t.call.startedAt.Add(t.PollWait+t.PollGrace)
+	if byStaleness.After(byWait) {
+		return byStaleness
 	}
 	return byWait
 }
--- a/internal/endpointwatch/tracker_test.go
+++ b/internal/endpointwatch/tracker_test.go
@@ -54,27 +54,27 @@
 	}
 }
 
-// calledAfterSilence starts a call after a watch that became unresponsive.
-func calledAfterSilence(t *Tracker) {
+// calledAfterTimeout starts a call after a watch that became unresponsive.
+func calledAfterTimeout(t *Tracker) {
 	called(500, 0)(t)
-	t.CallEnded(at(3700), CallSilent, 0)
+	t.CallEnded(at(3700), CallTimedOut, 0)
 	t.CallStarted(at(3700))
 }
 
 var callCases = []callCase{
-	{"no byte during the wait: MaxStaleness is the later time", called(0, 0), 2500, CallSilent, 6000, true, 2500},
-	{"unresponsive after the response head", called(0, 500), 3700, CallSilent, 6500, true, 3700},
-	{"unresponsive after a line", called(500, 0), 3700, CallSilent, 6500, true, 3700},
-	{"unresponsive within a line", called(500, 900), 4100, CallSilent, 6900, true, 4100},
+	{"no byte during the wait: MaxStaleness is the later time", called(0, 0), 2500, CallTimedOut, 6000, true, 2500},
+	{"unresponsive after the response head", called(0, 500), 3700, CallTimedOut, 6500, true, 3700},
+	{"unresponsive after a line", called(500, 0), 3700, CallTimedOut, 6500, true, 3700},
+	{"unresponsive within a line", called(500, 900), 4100, CallTimedOut, 6900, true, 4100},
 	{"rejected after a wait", called(0, 0), 2000, CallRejected, 40000, false, 0},
 	{"rejected immediately", called(0, 0), 1, CallRejected, 40000, false, 0},
 	{"closed before it was stable", called(500, 0), 900, CallClosed, 40000, false, 0},
 	{"closed after it was stable", called(500, 0), 9000, CallClosed, 40000, true, 9000},
-	{"connection ended within a line", called(100, 300), 300, CallCut, 300, true, 400},
+	{"connection ended within a line", called(100, 300), 300, CallTruncated, 300, true, 400},
 	{"source moved, new source rejects the call", func(t *Tracker) { t.SourceMoved(at(0)); t.CallStarted(at(0)) },
 		10, CallRejected, 4000, true, 110},
-	{"unresponsive, next call rejected", calledAfterSilence, 3701, CallRejected, 6500, true, 4000},
-	{"unresponsive, next call rejected late", calledAfterSilence, 3990, CallRejected, 6500, true, 4000},
+	{"unresponsive, next call rejected", calledAfterTimeout, 3701, CallRejected, 6500, true, 4000},
+	{"unresponsive, next call rejected late", calledAfterTimeout, 3990, CallRejected, 6500, true, 4000},
 }
 
 // For each way in which a call ends: from when on missed changes count as notified, who owns the next call, and by when
@@ -98,7 +98,7 @@
 		t.Error("changes count as notified before the first call")
 	}
 	called(10, 0)(&tracker)
-	if deadline := tracker.SilenceDeadline(); deadline != at(3210) {
+	if deadline := tracker.IdleDeadline(); deadline != at(3210) {
 		t.Errorf("call aborted at %v after the start, want 3.21s", deadline.Sub(start))
 	}
 }
@@ -111,8 +111,8 @@
 	return time.Duration(rapid.IntRange(0, limit).Draw(t, label)) * ms
 }
 
-// watchUntilSilence starts a watch that sends lines, or nothing at all, and returns the time of its last byte.
-func watchUntilSilence(t *rapid.T, tracker *Tracker) (lastByteAt time.Time) {
+// watchUntilUnresponsive starts a watch that sends lines, or nothing at all, and returns the time of its last byte.
+func watchUntilUnresponsive(t *rapid.T, tracker *Tracker) (lastByteAt time.Time) {
 	now := start
 	tracker.CallStarted(now)
 	lastByteAt = now
@@ -138,11 +138,11 @@
 func TestUpdateComesBeforeMissedChangesCountAsNotified(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := Tracker{Timeouts: timeouts}
-		notified := watchUntilSilence(t, &tracker).Add(6 * time.Second) // computed from the protocol, not by the code under test
+		notified := watchUntilUnresponsive(t, &tracker).Add(6 * time.Second) // per the protocol
 		if tracker.NotifiedFrom() != notified {
 			t.Fatalf("notified from %v, want %v by protocol", tracker.NotifiedFrom().Sub(start), notified.Sub(start))
 		}
-		next := tracker.CallEnded(tracker.SilenceDeadline(), CallSilent, draws.Draw(t, "draw"))
+		next := tracker.CallEnded(tracker.IdleDeadline(), CallTimedOut, draws.Draw(t, "draw"))
 		for range rapid.IntRange(0, 3).Draw(t, "rejected calls") {
 			if !next.Owned {
 				t.Fatal("the decision module owns the next call after missed changes")
@@ -185,7 +185,7 @@
 	tracker.CallStarted(at(0))
 	tracker.BytesReceived(at(0))
 	now, gaps := at(0), []time.Duration{}
-	next := tracker.CallEnded(tracker.SilenceDeadline(), CallSilent, 0)
+	next := tracker.CallEnded(tracker.IdleDeadline(), CallTimedOut, 0)
 	for range 12 {
 		tracker.CallStarted(next.At)
 		now = next.At
@@ -204,7 +204,7 @@
 // Calls fail in any way and after any time, and then discovery is reachable again. Whatever happened before, a call is
 // made and answered within 6 s of that, even if the response comes at the end of its wait and the decision module makes
 // no call. The same applies from the start of a process.
-func TestReachableDiscoveryIsAskedWithinMaxStaleness(t *testing.T) {
+func TestReachableDiscoveryIsCalledWithinMaxStaleness(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := Tracker{Timeouts: timeouts}
 		tracker.Started(start) // the first call is made immediately
@@ -225,16 +225,16 @@
 // failedCall makes the call in progress fail in some way. It returns the latest time at which the call reported the
 // list, and when and how the call ended.
 func failedCall(t *rapid.T, tracker *Tracker, startedAt time.Time) (seenAt, endedAt time.Time, end CallEnd) {
-	end = rapid.SampledFrom([]CallEnd{CallClosed, CallRejected, CallSilent, CallCut}).Draw(t, "end")
+	end = rapid.SampledFrom([]CallEnd{CallClosed, CallRejected, CallTimedOut, CallTruncated}).Draw(t, "end")
 	updated := rapid.Bool().Draw(t, "updated")
 	now, seenAt := startedAt, startedAt
 	switch {
-	case end == CallSilent && updated:
+	case end == CallTimedOut && updated:
 		now = now.Add(drawMs(t, "wait", 2000))
 		tracker.UpdateReceived(now)
-		return now, tracker.SilenceDeadline(), end
-	case end == CallSilent:
-		return seenAt, tracker.SilenceDeadline(), end
+		return now, tracker.IdleDeadline(), end
+	case end == CallTimedOut:
+		return seenAt, tracker.IdleDeadline(), end
 	case updated:
 		now = now.Add(drawMs(t, "wait", 2000))
 		tracker.UpdateReceived(now)
