--- a/internal/jobqueue/clock_test.go
+++ b/internal/jobqueue/clock_test.go
@@ -7,10 +7,10 @@
 	"gatetack/internal/clocktest"
 )
 
-// retryDelay is for how long a refused job waits in these tests.
+// retryDelay is how long a rejected job waits in these tests.
 const retryDelay = 2 * time.Second
 
-// handedOut reports whether an item is handed out at a time.
+// handedOut reports whether Next returns a job of an item at the given time.
 func handedOut(q *Queue, id string, now time.Time) bool {
 	refs, _ := q.Next(now, 10)
 	for _, ref := range refs {
@@ -21,57 +21,57 @@
 	return false
 }
 
-// The wait after a refusal is a span: however the wall clock is set meanwhile, it is over when the monotonic clock
-// says so, also beside a job whose start date the step moved nearer or farther.
+// The wait after a rejection is a duration on the monotonic clock: steps of the wall clock do not change it, even if
+// the queue also has a job whose start date the step moves closer or further away.
 func TestRetryDelayIgnoresWallClockSteps(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		for _, startsIn := range []time.Duration{10 * time.Second, 30 * time.Minute} {
 			q, now := New(), time.Now()
-			q.Add(Item{ID: "refused", Session: "s"}, now)
+			q.Add(Item{ID: "rejected", Session: "s"}, now)
 			q.Add(Item{ID: "dated", Session: "s", Start: now.Round(0).Add(startsIn)}, now)
 			refs, _ := q.Next(now, 1)
-			// Refused after the step, and before it in the monotonic order of all that follows.
+			// The job is rejected after the step.
 			now = clocktest.Step(now.Add(time.Millisecond), step)
 			q.Rejected(refs[0], now.Add(retryDelay), now)
-			if handedOut(q, "refused", now.Add(retryDelay-time.Millisecond)) {
-				t.Errorf("step %v, start in %v: handed out before its wait was over", step, startsIn)
+			if handedOut(q, "rejected", now.Add(retryDelay-time.Millisecond)) {
+				t.Errorf("step %v, start in %v: job handed out before its retry delay was over", step, startsIn)
 			}
-			if !handedOut(q, "refused", now.Add(retryDelay)) {
-				t.Errorf("step %v, start in %v: not handed out when its wait was over", step, startsIn)
+			if !handedOut(q, "rejected", now.Add(retryDelay)) {
+				t.Errorf("step %v, start in %v: job not handed out after its retry delay", step, startsIn)
 			}
 		}
 	}
 }
 
-// The same where the refusal came before the step.
+// Steps of the wall clock after a rejection do not change the retry delay either.
 func TestRetryDelayRunsOnThroughWallClockSteps(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		q, now := New(), time.Now()
-		q.Add(Item{ID: "refused", Session: "s"}, now)
+		q.Add(Item{ID: "rejected", Session: "s"}, now)
 		q.Add(Item{ID: "dated", Session: "s", Start: now.Round(0).Add(30 * time.Minute)}, now)
 		refs, _ := q.Next(now, 1)
 		q.Rejected(refs[0], now.Add(retryDelay), now)
 		now = clocktest.Step(now.Add(time.Millisecond), step)
-		// An item that comes after the step is ordered beside those from before it.
+		// An item added after the step is ordered among those added before it.
 		q.Add(Item{ID: "later", Session: "s", Start: now.Round(0).Add(10 * time.Second)}, now)
-		if handedOut(q, "refused", now.Add(retryDelay-2*time.Millisecond)) {
-			t.Errorf("step %v: handed out before its wait was over", step)
+		if handedOut(q, "rejected", now.Add(retryDelay-2*time.Millisecond)) {
+			t.Errorf("step %v: job handed out before its retry delay was over", step)
 		}
-		if !handedOut(q, "refused", now.Add(retryDelay)) {
-			t.Errorf("step %v: not handed out when its wait was over", step)
+		if !handedOut(q, "rejected", now.Add(retryDelay)) {
+			t.Errorf("step %v: job not handed out after its retry delay", step)
 		}
 	}
 }
 
-// A start is a date: a step of the wall clock over it starts the job at the next look, and a look comes within a
-// second.
+// A start is a date: if the wall clock steps past it, the next check hands the job out, and checks are at most one
+// second apart.
 func TestStartDateFollowsTheWallClock(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		q, now := New(), time.Now()
 		q.Add(Item{ID: "dated", Session: "s", Start: now.Round(0).Add(20 * time.Second)}, now)
 		refs, wake := q.Next(now, 10)
 		if len(refs) > 0 || wake.Sub(now) > dateCheckInterval || !wake.After(now) {
-			t.Fatalf("%v handed out, next look after %v", refs, wake.Sub(now))
+			t.Fatalf("%v handed out, next check after %v; want none, and a check within a second", refs, wake.Sub(now))
 		}
 		now = clocktest.Step(wake, step)
 		if got, want := handedOut(q, "dated", now), step >= 20*time.Second; got != want {
@@ -80,7 +80,7 @@
 	}
 }
 
-// A start date that has come stays come: a step back does not stop an array that has begun.
+// A start date that was reached remains reached: setting the clock back does not stop an array that has started.
 func TestStartedArrayIsNotStoppedByAStepBack(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		q, now := New(), time.Now()
--- a/internal/jobqueue/control.go
+++ b/internal/jobqueue/control.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Hold keeps an item back, and returns whether any of it still waits.
+// Hold puts an item on hold, and reports whether any of its jobs is waiting.
 func (q *Queue) Hold(id string, now time.Time) bool { return q.setHeld(id, true, now) }
 
-// Release lets a held item go, and returns whether any of it still waits.
+// Release ends the hold on an item, and reports whether any of its jobs is waiting.
 func (q *Queue) Release(id string, now time.Time) bool { return q.setHeld(id, false, now) }
 
 func (q *Queue) setHeld(id string, held bool, now time.Time) bool {
@@ -21,8 +21,8 @@
 	return true
 }
 
-// Remove removes what of an item still waits, and returns which jobs that were: those that were rejected, and an
-// array's from its next index on. Jobs in flight stay in flight, and end as they end.
+// Remove removes the waiting jobs of an item and returns them: rejected jobs, and the members of an array from its next
+// index on. Jobs in flight are not affected.
 func (q *Queue) Remove(id string, now time.Time) (refs []JobRef) {
 	item := q.items[id]
 	if item == nil {
@@ -50,7 +50,7 @@
 	return refs
 }
 
-// RemoveOne removes one member of an array, and returns whether it waited.
+// RemoveOne removes one member of an array, and reports whether the member was waiting.
 func (q *Queue) RemoveOne(ref JobRef, now time.Time) bool {
 	item := q.items[ref.ID]
 	if item == nil || !item.hasMember(ref.Index) {
@@ -74,19 +74,19 @@
 	return true
 }
 
-// IsHeld reports whether an item waits on hold.
+// IsHeld reports whether an item is on hold and has waiting jobs.
 func (q *Queue) IsHeld(id string) bool {
 	item := q.items[id]
 	return item != nil && item.Held && item.waiting() > 0
 }
 
-// IsRequeued reports whether a member of an array that had its turn waits again.
+// IsRequeued reports whether a member of an array is waiting again after a rejection.
 func (q *Queue) IsRequeued(ref JobRef) bool {
 	item := q.items[ref.ID]
 	return item != nil && slices.Contains(item.requeued, ref.Index)
 }
 
-// Requeued returns the members of an array that had their turn and wait again.
+// Requeued returns the members of an array that are waiting again after a rejection.
 func (q *Queue) Requeued(id string) []int {
 	if item := q.items[id]; item != nil {
 		return slices.Clone(item.requeued)
@@ -94,11 +94,11 @@
 	return nil
 }
 
-// Contains reports whether any job of an item waits or is in flight.
+// Contains reports whether any job of an item is waiting or in flight.
 func (q *Queue) Contains(id string) bool { return q.items[id] != nil }
 
-// Waiting returns how many jobs wait, held ones among them.
+// Waiting returns the number of waiting jobs, including those on hold.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// InFlight returns how many jobs are in flight.
+// InFlight returns the number of jobs in flight.
 func (q *Queue) InFlight() int { return q.inFlight }
--- a/internal/jobqueue/heap.go
+++ b/internal/jobqueue/heap.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// notQueued is the index of an item that is not in a heap.
+// notQueued is the heap index of an item that is not in the heap.
 const notQueued = -1
 
-// itemHeap is a heap of items, the next one first. Each item knows its index in it.
+// itemHeap is a heap of items, the next one first. Each item stores its own index in the heap.
 type itemHeap struct {
 	items []*queuedItem
 	less  func(a, b *queuedItem) bool
 	index func(*queuedItem) *int
 }
 
-// newReadyHeap returns a heap of items by priority, then by submission.
+// newReadyHeap returns a heap of items ordered by priority, then by submission.
 func newReadyHeap() *itemHeap {
 	return &itemHeap{
 		less: func(a, b *queuedItem) bool {
@@ -28,7 +28,7 @@
 	}
 }
 
-// newDelayedHeap returns a heap of items by a time of theirs.
+// newDelayedHeap returns a heap of items ordered by the time that the function at returns for them.
 func newDelayedHeap(at func(*queuedItem) time.Time) *itemHeap {
 	return &itemHeap{
 		less:  func(a, b *queuedItem) bool { return at(a).Before(at(b)) },
@@ -36,7 +36,7 @@
 	}
 }
 
-// first returns the next item, nil if there is none.
+// first returns the next item, or nil if the heap is empty.
 func (h *itemHeap) first() *queuedItem {
 	if len(h.items) == 0 {
 		return nil
--- a/internal/jobqueue/item.go
+++ b/internal/jobqueue/item.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Item is a job, or an array of jobs, that waits.
+// Item is a waiting job or array of jobs.
 type Item struct {
 	ID       string
 	Session  string
 	Priority int
-	Start    time.Time // a date, before which it is not handed out
-	Held     bool      // until it is released
+	Start    time.Time // date before which the item is not handed to the dispatcher
+	Held     bool      // on hold until released
 
-	// Of an array: the indices Begin, Begin+Step ... up to End, and how many may be in flight, 0 for any number.
+	// Fields of an array: the members have the indices Begin, Begin+Step ... up to End. At most MaxParallel of them are in
+	// flight at a time, 0 for no limit.
 	Array            bool
 	Begin, End, Step int
 	MaxParallel      int
 }
 
-// Size returns how many jobs an item stands for.
+// Size returns the number of jobs in an item.
 func (i *Item) Size() int {
 	if !i.Array {
 		return 1
@@ -27,40 +28,40 @@
 	return (i.End-i.Begin)/i.Step + 1
 }
 
-// hasMember reports whether an index is one of an array's.
+// hasMember reports whether the item is an array that has a member with the given index.
 func (i *Item) hasMember(index int) bool {
 	return i.Array && index >= i.Begin && index <= i.End && (index-i.Begin)%i.Step == 0
 }
 
-// JobRef names a job that is to be handed to the dispatcher: an item's, or the member of an array with an index.
+// JobRef identifies a job: that of an item, or the member of an array with the given index.
 type JobRef struct {
 	ID    string
-	Index int // of an array's member
+	Index int // of the member of an array
 }
 
-// Progress is how far an array has come.
+// Progress is the progress of an array.
 type Progress struct {
-	Next     int   // the index whose turn is next
-	Requeued []int // members that had their turn and wait again
-	Skipped  []int // members from Next on that get no turn
+	Next     int   // index of the next member to hand to the dispatcher
+	Requeued []int // members that are waiting again after a rejection
+	Skipped  []int // members from Next on that were removed
 }
 
-// queuedItem is an item with its progress and its place in the queue.
+// queuedItem is an item with its progress and its position in the queue.
 type queuedItem struct {
 	Item
-	submission uint64 // its number in the order of submission
+	submission uint64 // sequence number in the order of submission
 
-	next     int   // the next index of an array; of a job, one more than Begin once it had its turn
-	requeued []int // members that were rejected and wait again
+	next     int   // next index of an array; for a job, Begin+1 once it was handed to the dispatcher
+	requeued []int // members that are waiting again after a rejection
 	skipped  map[int]bool
 	inFlight map[int]bool
 
-	start   time.Time // a date, without a monotonic reading; zero once it has come
-	retryAt time.Time // after a rejection: not before it, by the monotonic clock
+	start   time.Time // date without a monotonic reading; zero once it was reached
+	retryAt time.Time // earliest time of a retry after a rejection, on the monotonic clock
 
-	readyAt   int       // its index among the session's ready items, notQueued if it is not there
-	delayedAt int       // its index in delayedIn, notQueued likewise
-	delayedIn *itemHeap // the starts or the retries of the queue
+	readyAt   int       // index in the session's heap of ready items, or notQueued
+	delayedAt int       // index in delayedIn, or notQueued
+	delayedIn *itemHeap // Queue.starts or Queue.retries, or nil
 }
 
 func newQueuedItem(item Item, progress Progress, submission uint64) *queuedItem {
@@ -83,7 +84,7 @@
 	return queued
 }
 
-// waiting returns how many of an item's jobs wait.
+// waiting returns the number of waiting jobs of an item.
 func (i *queuedItem) waiting() int {
 	if !i.Array {
 		if i.next > i.Begin {
@@ -98,12 +99,12 @@
 	return n
 }
 
-// atMaxParallel reports whether an array has as many members in flight as it may.
+// atMaxParallel reports whether an array has its maximum number of members in flight.
 func (i *queuedItem) atMaxParallel() bool {
 	return i.MaxParallel > 0 && len(i.inFlight) >= i.MaxParallel
 }
 
-// take returns the next job of an item: what was rejected first, then the range.
+// take marks the next job of an item as in flight and returns its index: rejected jobs first, then the index range.
 func (i *queuedItem) take() int {
 	index := i.next
 	switch {
--- a/internal/jobqueue/queue.go
+++ b/internal/jobqueue/queue.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// dateCheckInterval is how often start dates are compared with the wall clock while any is to come. A timer for the
-// whole wait would not notice that the clock was set.
+// dateCheckInterval is how often start dates in the future are compared with the wall clock. A timer for the whole wait
+// would not notice that the clock was set.
 const dateCheckInterval = time.Second
 
-// Queue holds the items that wait, and counts their jobs in flight. It is not safe for concurrent use.
+// Queue holds the waiting items and counts their jobs in flight. It is not safe for concurrent use.
 type Queue struct {
 	items       map[string]*queuedItem
 	sessions    map[string]*session
-	starts      *itemHeap // items whose start date has not come, by date
-	retries     *itemHeap // items that wait after a rejection, by the monotonic clock
-	turns       uint64    // of sessions, so far
+	starts      *itemHeap // items whose start date is in the future, by date
+	retries     *itemHeap // items that are delayed after a rejection, by retry time on the monotonic clock
+	turns       uint64    // number of turns of all sessions so far
 	submissions uint64
-	inFlight    int // jobs
-	waiting     int // jobs, held ones among them
+	inFlight    int // number of jobs in flight
+	waiting     int // number of waiting jobs, including those on hold
 }
 
-// session is the items of one session.
+// session is the state of a session in the queue.
 type session struct {
 	items      int
-	inFlight   int    // jobs
-	servedTurn uint64 // the turn in which it was last served, 0 for never
+	inFlight   int    // number of jobs in flight
+	servedTurn uint64 // number of its latest turn, 0 if it had none
 	ready      *itemHeap
 }
 
@@ -36,10 +36,10 @@
 	}
 }
 
-// Add adds an item, and returns whether its id was free.
+// Add adds an item, and reports whether it did: the id must be new and the item must have jobs.
 func (q *Queue) Add(item Item, now time.Time) bool { return q.Restore(item, Progress{}, now) }
 
-// Restore adds an item of which some is done, and returns whether its id was free.
+// Restore adds an item that has already made progress. It reports whether it did, like Add.
 func (q *Queue) Restore(item Item, progress Progress, now time.Time) bool {
 	if q.items[item.ID] != nil || item.Size() == 0 {
 		return false
@@ -60,8 +60,8 @@
 	return q.sessions[name]
 }
 
-// Next returns up to limit jobs that are to be handed to the dispatcher now, and when to call it again if nothing else
-// happens; zero for never.
+// Next returns up to limit jobs to hand to the dispatcher now, and when to call Next again if nothing else happens;
+// zero means never.
 func (q *Queue) Next(now time.Time, limit int) (refs []JobRef, callAgain time.Time) {
 	q.moveDue(now)
 	for len(refs) < limit {
@@ -81,7 +81,7 @@
 	return refs, q.nextCheck(now)
 }
 
-// nextSession returns the session whose turn it is, nil if none has a job that is ready.
+// nextSession returns the session whose turn is next, or nil if no session has a ready job.
 func (q *Queue) nextSession() *session {
 	var best *session
 	for _, s := range q.sessions {
@@ -92,8 +92,9 @@
 	return best
 }
 
-// before reports whether a session's turn comes before another's. Only before their first turn can two have the same
-// servedTurn: then the session goes first whose item was submitted first, and not the one that a map gives first.
+// before reports whether a session's turn comes before another's. Two sessions have the same servedTurn only before
+// their first turn. Then the order of submission of their first items decides, so that the result does not depend on
+// the iteration order of a map.
 func (s *session) before(other *session) bool {
 	switch {
 	case s.inFlight != other.inFlight:
@@ -104,8 +105,8 @@
 	return s.ready.first().submission < other.ready.first().submission
 }
 
-// place puts an item where it belongs: among the ready ones, those that are delayed, or neither. A start date that has
-// come stays come if the wall clock is set back afterwards.
+// place puts an item into the heap that it belongs to, ready or delayed, and removes it from the others. A start date
+// that was reached remains reached if the wall clock is set back afterwards.
 func (q *Queue) place(item *queuedItem, now time.Time) {
 	if !item.start.After(now) {
 		item.start = time.Time{}
@@ -135,7 +136,7 @@
 	}
 }
 
-// moveDue moves items whose time has come to where they belong.
+// moveDue moves items whose start date or retry time was reached to the heaps that they belong to now.
 func (q *Queue) moveDue(now time.Time) {
 	for item := q.starts.first(); item != nil && !item.start.After(now); item = q.starts.first() {
 		q.place(item, now)
@@ -145,14 +146,14 @@
 	}
 }
 
-// nextCheck returns when delayed items are to be looked at next; zero for never.
+// nextCheck returns when delayed items have to be checked next; zero means never.
 func (q *Queue) nextCheck(now time.Time) time.Time {
 	var next time.Time
 	if item := q.retries.first(); item != nil {
 		next = item.retryAt
 	}
 	if item := q.starts.first(); item != nil {
-		// The date decides how long to wait; the wait itself runs on the clock that now was read from.
+		// The wall clock determines the length of the wait; the wait itself runs on the monotonic clock of now.
 		check := now.Add(min(item.start.Sub(now), dateCheckInterval))
 		if next.IsZero() || check.Before(next) {
 			next = check
@@ -169,7 +170,7 @@
 	}
 }
 
-// Rejected records that a job in flight was rejected and that nothing of it ran: it waits again, not before a time.
+// Rejected records that a job in flight was rejected without having run. The job waits again, at least until retryAt.
 func (q *Queue) Rejected(ref JobRef, retryAt, now time.Time) {
 	item := q.landed(ref)
 	if item == nil {
@@ -184,7 +185,7 @@
 	q.forgetIfDone(item)
 }
 
-// landed records that a job is no longer in flight, and returns its item, nil if it was not.
+// landed records that a job is no longer in flight, and returns its item, or nil if the job was not in flight.
 func (q *Queue) landed(ref JobRef) *queuedItem {
 	item := q.items[ref.ID]
 	if item == nil || !item.inFlight[ref.Index] {
@@ -196,7 +197,7 @@
 	return item
 }
 
-// forgetIfDone forgets an item of which nothing waits or is in flight, and a session without items.
+// forgetIfDone deletes an item that has no job waiting or in flight, and its session if that has no other items.
 func (q *Queue) forgetIfDone(item *queuedItem) {
 	if item.waiting() > 0 || len(item.inFlight) > 0 {
 		return
--- a/internal/jobqueue/queue_test.go
+++ b/internal/jobqueue/queue_test.go
@@ -13,7 +13,7 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// expected is what a queue has to know of an item.
+// expected is the expected state of an item in the queue.
 type expected struct {
 	item      *Item
 	waiting   int
@@ -23,10 +23,10 @@
 
 func (e *expected) isDone() bool { return e == nil || e.waiting+e.inFlight == 0 }
 
-// waits reports whether any of an item waits.
+// waits reports whether any job of an item is waiting.
 func (e *expected) waits() bool { return e != nil && e.waiting > 0 }
 
-// queueModel calls a queue at random and counts what it has to know.
+// queueModel makes random calls to a queue and tracks the expected state of its items.
 type queueModel struct {
 	t        *rapid.T
 	queue    *Queue
@@ -58,7 +58,7 @@
 	item := m.drawItem(id)
 	free := m.items[id].isDone()
 	if m.queue.Add(*item, m.now) != free {
-		m.t.Fatalf("added %s: want %v", id, free)
+		m.t.Fatalf("adding %s: want added = %v", id, free)
 	}
 	if free {
 		m.items[id] = &expected{item: item, waiting: item.Size(), notBefore: item.Start}
@@ -72,16 +72,16 @@
 		e.waiting, e.inFlight = e.waiting-1, e.inFlight+1
 		if e.waiting < 0 || e.item.Held || e.notBefore.After(m.now) ||
 			e.item.MaxParallel > 0 && e.inFlight > e.item.MaxParallel {
-			m.t.Fatalf("handed out %v of %+v: %+v", ref, e.item, e)
+			m.t.Fatalf("handed out %v of %+v, which is not ready: %+v", ref, e.item, e)
 		}
 		if slices.Contains(m.inFlight, ref) {
-			m.t.Fatalf("%v is in flight twice", ref)
+			m.t.Fatalf("%v handed out while already in flight", ref)
 		}
 		m.inFlight = append(m.inFlight, ref)
 	}
 }
 
-// land ends or rejects a job in flight.
+// land reports a random job in flight as ended or rejected.
 func (m *queueModel) land() {
 	if len(m.inFlight) == 0 {
 		return
@@ -107,7 +107,7 @@
 func (m *queueModel) hold(id string) {
 	e := m.items[id]
 	if m.queue.Hold(id, m.now) != e.waits() {
-		m.t.Fatalf("hold %s: %+v", id, e)
+		m.t.Fatalf("wrong result of holding %s: %+v", id, e)
 	}
 	if e.waits() {
 		e.item.Held = true
@@ -132,7 +132,7 @@
 	removed := len(m.queue.Remove(id, m.now))
 	switch {
 	case e == nil && removed > 0, e != nil && removed != e.waiting:
-		m.t.Fatalf("removed %d of %s: %+v", removed, id, e)
+		m.t.Fatalf("removed %d jobs of %s: %+v", removed, id, e)
 	case e != nil:
 		e.waiting = 0
 	}
@@ -145,11 +145,11 @@
 		waiting, inFlight = waiting+e.waiting, inFlight+e.inFlight
 	}
 	if m.queue.Waiting() != waiting || m.queue.InFlight() != inFlight {
-		m.t.Fatalf("%d wait and %d in flight, want %d and %d", m.queue.Waiting(), m.queue.InFlight(), waiting, inFlight)
+		m.t.Fatalf("%d waiting and %d in flight, want %d and %d", m.queue.Waiting(), m.queue.InFlight(), waiting, inFlight)
 	}
 }
 
-// drain checks that all that is not held is handed out in the end, whatever was done before, and that nothing is left.
+// drain releases all items, checks that every job is eventually handed out, and that the queue is empty afterwards.
 func (m *queueModel) drain() {
 	for id := range m.items {
 		m.queue.Release(id, m.now)
@@ -166,17 +166,17 @@
 			break
 		}
 		if n > 1000 {
-			m.t.Fatalf("%d jobs are never handed out", m.queue.Waiting())
+			m.t.Fatalf("%d jobs were never handed out", m.queue.Waiting())
 		}
 	}
 	if m.queue.InFlight() != 0 || len(m.queue.items) != 0 || len(m.queue.sessions) != 0 {
-		m.t.Fatalf("left: %d in flight, %d items, %d sessions", m.queue.InFlight(), len(m.queue.items),
+		m.t.Fatalf("queue not empty: %d in flight, %d items, %d sessions", m.queue.InFlight(), len(m.queue.items),
 			len(m.queue.sessions))
 	}
 }
 
-// Under any order of calls each job is handed out once for each time it waits, holds, starts and MaxParallel are
-// kept, and the counts add up.
+// For any order of calls, each job is handed out once each time it is waiting; holds, start dates and MaxParallel are
+// respected, and the counts are consistent.
 func TestJobsAreHandedOutOnceUnderAnyOrderOfCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &queueModel{t: t, queue: New(), now: epoch, items: map[string]*expected{}}
@@ -203,7 +203,7 @@
 	})
 }
 
-// A session with a large array takes turns with a small one; within a session priority goes first.
+// A session with a large array takes turns with a small session. Within a session the highest priority goes first.
 func TestSessionsTakeTurns(t *testing.T) {
 	q := New()
 	q.Add(Item{ID: "big", Session: "a", Array: true, Begin: 1, End: 10000, Step: 1}, epoch)
@@ -211,40 +211,40 @@
 	q.Add(Item{ID: "high", Session: "b", Priority: 5}, epoch)
 	refs, _ := q.Next(epoch, 5)
 	if want := []JobRef{{"big", 1}, {"high", 0}, {"big", 2}, {"low", 0}, {"big", 3}}; !slices.Equal(refs, want) {
-		t.Fatalf("%v, want %v", refs, want)
+		t.Fatalf("order %v, want %v", refs, want)
 	}
 	if q.Waiting() != 9997 {
-		t.Errorf("%d wait", q.Waiting())
+		t.Errorf("%d jobs waiting, want 9997", q.Waiting())
 	}
 }
 
-// A job is handed out at its start date, and Next says when to look: each second, as the clock may be set meanwhile,
-// and at the date itself. A rejected job comes back when it may.
+// A job is handed out at its start date. Next asks to be called each second, because the clock may be set meanwhile,
+// and at the date itself. A rejected job is handed out again at its retry time.
 func TestJobsWaitForTheirStartAndTheirRetry(t *testing.T) {
 	q := New()
 	start := epoch.Add(time.Minute)
 	q.Add(Item{ID: "later", Session: "a", Start: start}, epoch)
 	if refs, again := q.Next(epoch, 9); len(refs) != 0 || again != epoch.Add(dateCheckInterval) {
-		t.Fatalf("%v, again at %v", refs, again)
+		t.Fatalf("handed out %v, next call at %v", refs, again)
 	}
 	if refs, again := q.Next(start.Add(-dateCheckInterval/2), 9); len(refs) != 0 || again != start {
-		t.Fatalf("%v, again at %v", refs, again)
+		t.Fatalf("handed out %v, next call at %v", refs, again)
 	}
 	refs, again := q.Next(start, 9)
 	if len(refs) != 1 || !again.IsZero() {
-		t.Fatalf("%v, again at %v", refs, again)
+		t.Fatalf("handed out %v, next call at %v", refs, again)
 	}
 	retryAt := start.Add(time.Second)
 	q.Rejected(refs[0], retryAt, start)
 	if refs, again = q.Next(start, 9); len(refs) != 0 || again != retryAt {
-		t.Fatalf("%v, again at %v", refs, again)
+		t.Fatalf("handed out %v, next call at %v", refs, again)
 	}
 	if refs, _ = q.Next(retryAt, 9); len(refs) != 1 {
-		t.Fatal("a rejected job never comes back")
+		t.Fatal("rejected job not handed out at its retry time")
 	}
 	q.Ended(refs[0], start)
 	if q.Contains("later") || q.Waiting() != 0 {
-		t.Error("it is kept after its end")
+		t.Error("job still in the queue after its end")
 	}
 }
 
