--- a/internal/jobqueue/clock_test.go
+++ b/internal/jobqueue/clock_test.go
@@ -7,8 +7,8 @@
 	"gatetack/internal/clocktest"
 )
 
-// retryDelay is how long a rejected job waits in these tests.
-const retryDelay = 2 * time.Second
+// testRetryDelay is how long a rejected job waits in these tests.
+const testRetryDelay = 2 * time.Second
 
 // handedOut reports whether Next returns a job of an item at the given time.
 func handedOut(q *Queue, id string, now time.Time) bool {
@@ -32,11 +32,11 @@
 			refs, _ := q.Next(now, 1)
 			// The job is rejected after the step.
 			now = clocktest.Step(now.Add(time.Millisecond), step)
-			q.Rejected(refs[0], now.Add(retryDelay), now)
-			if handedOut(q, "rejected", now.Add(retryDelay-time.Millisecond)) {
+			q.Rejected(refs[0], now.Add(testRetryDelay), now)
+			if handedOut(q, "rejected", now.Add(testRetryDelay-time.Millisecond)) {
 				t.Errorf("step %v, start in %v: job handed out before its retry delay was over", step, startsIn)
 			}
-			if !handedOut(q, "rejected", now.Add(retryDelay)) {
+			if !handedOut(q, "rejected", now.Add(testRetryDelay)) {
 				t.Errorf("step %v, start in %v: job not handed out after its retry delay", step, startsIn)
 			}
 		}
@@ -44,20 +44,20 @@
 }
 
 // Steps of the wall clock after a rejection do not change the retry delay either.
-func TestRetryDelayRunsOnThroughWallClockSteps(t *testing.T) {
+func TestRetryDelayIgnoresWallClockStepsAfterRejection(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		q, now := New(), time.Now()
 		q.Add(Item{ID: "rejected", Session: "s"}, now)
 		q.Add(Item{ID: "dated", Session: "s", Start: now.Round(0).Add(30 * time.Minute)}, now)
 		refs, _ := q.Next(now, 1)
-		q.Rejected(refs[0], now.Add(retryDelay), now)
+		q.Rejected(refs[0], now.Add(testRetryDelay), now)
 		now = clocktest.Step(now.Add(time.Millisecond), step)
 		// An item added after the step is ordered among those added before it.
 		q.Add(Item{ID: "later", Session: "s", Start: now.Round(0).Add(10 * time.Second)}, now)
-		if handedOut(q, "rejected", now.Add(retryDelay-2*time.Millisecond)) {
+		if handedOut(q, "rejected", now.Add(testRetryDelay-2*time.Millisecond)) {
 			t.Errorf("step %v: job handed out before its retry delay was over", step)
 		}
-		if !handedOut(q, "rejected", now.Add(retryDelay)) {
+		if !handedOut(q, "rejected", now.Add(testRetryDelay)) {
 			t.Errorf("step %v: job not handed out after its retry delay", step)
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 // A start date that was reached remains reached: setting the clock back does not stop an array that has started.
-func TestStartedArrayIsNotStoppedByAStepBack(t *testing.T) {
+func TestStartedArrayIsNotStoppedByBackwardClockStep(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		q, now := New(), time.Now()
 		array := Item{ID: "array", Session: "s", Start: now.Round(0).Add(-time.Millisecond),
--- a/internal/jobqueue/control.go
+++ b/internal/jobqueue/control.go
@@ -46,7 +46,7 @@
 	item.requeued = nil
 	q.waiting -= len(refs)
 	q.place(item, now)
-	q.forgetIfDone(item)
+	q.deleteIfDone(item)
 	return refs
 }
 
@@ -70,7 +70,7 @@
 	}
 	q.waiting--
 	q.place(item, now)
-	q.forgetIfDone(item)
+	q.deleteIfDone(item)
 	return true
 }
 
--- a/internal/jobqueue/queue.go
+++ b/internal/jobqueue/queue.go
@@ -62,7 +62,7 @@
 
 // Next returns up to limit jobs to hand to the dispatcher now, and when to call Next again if nothing else happens;
 // zero means never.
-func (q *Queue) Next(now time.Time, limit int) (refs []JobRef, callAgain time.Time) {
+func (q *Queue) Next(now time.Time, limit int) (refs []JobRef, nextCall time.Time) {
 	q.moveDue(now)
 	for len(refs) < limit {
 		next := q.nextSession()
@@ -164,15 +164,15 @@
 
 // Ended records that a job in flight has ended.
 func (q *Queue) Ended(ref JobRef, now time.Time) {
-	if item := q.landed(ref); item != nil {
+	if item := q.removeInFlight(ref); item != nil {
 		q.place(item, now)
-		q.forgetIfDone(item)
+		q.deleteIfDone(item)
 	}
 }
 
 // Rejected records that a job in flight was rejected without having run. The job waits again, at least until retryAt.
 func (q *Queue) Rejected(ref JobRef, retryAt, now time.Time) {
-	item := q.landed(ref)
+	item := q.removeInFlight(ref)
 	if item == nil {
 		return
 	}
@@ -182,11 +182,11 @@
 		item.retryAt = retryAt
 	}
 	q.place(item, now)
-	q.forgetIfDone(item)
+	q.deleteIfDone(item)
 }
 
-// landed records that a job is no longer in flight, and returns its item, or nil if the job was not in flight.
-func (q *Queue) landed(ref JobRef) *queuedItem {
+// removeInFlight records that a job is no longer in flight, and returns its item, or nil if the job was not in flight.
+func (q *Queue) removeInFlight(ref JobRef) *queuedItem {
 	item := q.items[ref.ID]
 	if item == nil || !item.inFlight[ref.Index] {
 		return nil
@@ -197,8 +197,8 @@
 	return item
 }
 
-// forgetIfDone deletes an item that has no job waiting or in flight, and its session if that has no other items.
-func (q *Queue) forgetIfDone(item *queuedItem) {
+// deleteIfDone deletes an item that has no job waiting or in flight, and its session if that has no other items.
+func (q *Queue) deleteIfDone(item *queuedItem) {
 	if item.waiting() > 0 || len(item.inFlight) > 0 {
 		return
 	}
--- a/internal/jobqueue/queue_test.go
+++ b/internal/jobqueue/queue_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// land reports a random job in flight as ended or rejected.
-func (m *queueModel) land() {
+// endOrReject reports a random job in flight as ended or rejected.
+func (m *queueModel) endOrReject() {
 	if len(m.inFlight) == 0 {
 		return
 	}
@@ -177,7 +177,7 @@
 
 // For any order of calls, each job is handed out once each time it is waiting; holds, start dates and MaxParallel are
 // respected, and the counts are consistent.
-func TestJobsAreHandedOutOnceUnderAnyOrderOfCalls(t *testing.T) {
+func TestJobsAreHandedOutOncePerWaitUnderAnyOrderOfCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &queueModel{t: t, queue: New(), now: epoch, items: map[string]*expected{}}
 		for range rapid.IntRange(1, 80).Draw(t, "calls") {
@@ -188,7 +188,7 @@
 			case 2, 3:
 				m.next()
 			case 4:
-				m.land()
+				m.endOrReject()
 			case 5:
 				m.hold(id)
 			case 6:
