--- a/cmd/gatetack/process_control.go
+++ b/cmd/gatetack/process_control.go
@@ -20,7 +20,7 @@
 
 // listSource brings the endpoint list to the core.
 type listSource interface {
-	node.Lists
+	node.EndpointSource
 	// Run brings the list until the context ends.
 	Run(context.Context) error
 }
@@ -28,8 +28,8 @@
 // noPeers takes the place of the socket to other nodes where the settings allow no messages.
 type noPeers struct{}
 
-// Tell drops the message.
-func (noPeers) Tell(uint16, []byte) {}
+// SendGossip drops the message.
+func (noPeers) SendGossip(uint16, []byte) {}
 
 // openCore makes the core and the client of the executors, which call one another.
 func (p *process) openCore() error {
@@ -39,13 +39,13 @@
 		return err
 	}
 	p.core = core
-	p.executors = executor.New(p.lifetime.ctx, p.lifetime.group, cfg.Limits, cfg.Names, core, core.Slow(), p.log)
+	p.executors = executor.New(p.lifetime.ctx, p.lifetime.group, cfg.Limits, cfg.Names, core, core.SlowPeers(), p.log)
 	return nil
 }
 
 // openStore opens this node's member of the store, if the file names one. startRecords runs it.
 func (p *process) openStore() error {
-	member, err := openStore(p.config, p.file, p.core.Slow(), p.log)
+	member, err := openStore(p.config, p.file, p.core.SlowPeers(), p.log)
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 func (p *process) openLists(hup <-chan os.Signal) error {
 	cfg := p.config
 	source := discovery.New(cfg.Discovery, cfg.Known.Index, !cfg.Settings.PollsList, cfg.Limits,
-		p.core, p.core.Slow(), p.log)
+		p.core, p.core.SlowPeers(), p.log)
 	reloads := &reloader{applier: p.applier, file: p.file, move: source.Move, log: p.log}
 	p.lifetime.start(func(ctx context.Context) error {
 		reloads.run(ctx, hup)
--- a/cmd/gatetack/process_fronts.go
+++ b/cmd/gatetack/process_fronts.go
@@ -49,7 +49,8 @@
 	if cfg.Passed >= 0 {
 		p.startRelay()
 	}
-	p.clients = http1.NewServer(cfg.Limits, platform.New(p.core, p.callbacks, cfg.Limits, p.log), p.core.Slow(), p.log)
+	p.clients = http1.NewServer(
+		cfg.Limits, platform.New(p.core, p.callbacks, cfg.Limits, p.log), p.core.SlowPeers(), p.log)
 	p.lifetime.start(p.core.Run)
 	p.lifetime.start(p.lists.Run)
 	p.lifetime.start(func(ctx context.Context) error {
@@ -79,7 +80,7 @@
 	}
 	lim := frontLimits(p.config.Limits, p.config.Limits.Operators, operatorSparePart)
 	lim.Pace.PerPeer = false
-	server := http1.NewServer(lim, operator.New(p.core, p.accepting.Load, p.log), p.core.Slow(), p.log)
+	server := http1.NewServer(lim, operator.New(p.core, p.accepting.Load, p.log), p.core.SlowPeers(), p.log)
 	p.lifetime.start(func(running context.Context) error { return server.Serve(running, listener) })
 	p.lifetime.start(func(context.Context) error {
 		followDrain(ctx, p.core, p.clients, p.config.Limits.Follow)
@@ -142,7 +143,7 @@
 	}
 	b.front = batch.New(options)
 	lim := frontLimits(p.config.Limits, p.config.Limits.BatchConns, batchSparePart)
-	b.server = http1.NewServer(lim, b.front, p.core.Slow(), p.log)
+	b.server = http1.NewServer(lim, b.front, p.core.SlowPeers(), p.log)
 	p.callbacks.batch.Store(b.front)
 	if b.owner != nil {
 		p.startActors(b, ring)
--- a/cmd/gatetack/settings_applier.go
+++ b/cmd/gatetack/settings_applier.go
@@ -47,7 +47,7 @@
 	for _, class := range rules.Settings.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return node.Span(longest)
+	return node.FromMs(longest)
 }
 
 // Validate reports why this process could not put a document in force now: the merged settings must be usable, and the
--- a/cmd/gatetack/settings_applier_test.go
+++ b/cmd/gatetack/settings_applier_test.go
@@ -21,14 +21,14 @@
 // quietCarriers stands for all that a core speaks to, and does nothing.
 type quietCarriers struct{}
 
-func (quietCarriers) Told(uint32, node.Entry, time.Time) {}
-func (quietCarriers) Send(node.Attempt)                  {}
-func (quietCarriers) GiveUp(uint64)                      {}
-func (quietCarriers) Probe(uint32)                       {}
-func (quietCarriers) CloseIdle(uint32)                   {}
-func (quietCarriers) Watch(bool)                         {}
-func (quietCarriers) Fetch()                             {}
-func (quietCarriers) Tell(uint16, []byte)                {}
+func (quietCarriers) UpdateEndpoint(uint32, node.Endpoint, time.Time) {}
+func (quietCarriers) Send(node.Attempt)                               {}
+func (quietCarriers) Cancel(uint64)                                   {}
+func (quietCarriers) CheckHealth(uint32)                              {}
+func (quietCarriers) CloseIdle(uint32)                                {}
+func (quietCarriers) Watch(bool)                                      {}
+func (quietCarriers) Fetch()                                          {}
+func (quietCarriers) SendGossip(uint16, []byte)                       {}
 
 // configOf is a configuration with so many tenants, each with a quota.
 func configOf(t testing.TB, tenants int, quota float64) *config.Config {
@@ -60,7 +60,7 @@
 // startApplier runs a core with an applier until the test ends.
 func startApplier(t testing.TB, c *config.Config) *settingsApplier {
 	t.Helper()
-	core, err := node.New(c.Settings, 1, node.List{}, c.Names, c.Limits, slog.New(slog.DiscardHandler))
+	core, err := node.New(c.Settings, 1, node.EndpointList{}, c.Names, c.Limits, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/gatetack/shutdown.go
+++ b/cmd/gatetack/shutdown.go
@@ -31,7 +31,7 @@
 	if p.batch != nil && p.batch.owner != nil {
 		p.releaseOwned(ctx)
 	}
-	p.core.Leave(time.Now()) // rejects at once what comes from here on
+	p.core.ShutDown(time.Now()) // rejects at once what comes from here on
 	p.finishFronts(ctx)
 }
 
@@ -72,7 +72,7 @@
 		if !rejecting && time.Since(notified) >= time.Duration(p.stay.Load()) {
 			rejecting = true
 			p.clients.Drain()
-			p.core.Leave(notified)
+			p.core.ShutDown(notified)
 		}
 		if p.isQuiet(notified) {
 			return
--- a/internal/batch/adopt.go
+++ b/internal/batch/adopt.go
@@ -111,7 +111,7 @@
 		a.front.log.Warn("an array on record can not be taken up", "array", x.r.ID, "field", bad.field, "why", bad.text)
 		return false
 	}
-	t.job.Method, t.job.Idempotency = "POST", trace()+trace()
+	t.job.Method, t.job.IdempotencyKey = "POST", trace()+trace()
 	x.t = *t
 	return true
 }
@@ -157,8 +157,8 @@
 	j := &job{f: a.front, queue: true, ref: jobqueue.JobRef{ID: r.ID}, in: t.job, until: r.Deadline, hash: t.hash,
 		changed: make(chan struct{}), ready: closed, r: *r}
 	j.in.Method = "POST"
-	if j.in.Idempotency == "" {
-		j.in.Idempotency = trace() + trace()
+	if j.in.IdempotencyKey == "" {
+		j.in.IdempotencyKey = trace() + trace()
 	}
 	a.waiting = append(a.waiting, j)
 }
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -25,7 +25,7 @@
 	Submit(node.Job, node.Client) (uint32, error)
 	Terminate(ctx context.Context, id uint32) error
 	Counts(context.Context) (node.Counts, error)
-	Machines(context.Context) ([]node.Machine, error)
+	Machines(context.Context) ([]node.ExecutorInfo, error)
 	Rules() *node.Rules
 }
 
@@ -124,7 +124,7 @@
 func (f *Front) class(i int) *dispatch.Class { return &f.core.Rules().Settings.Classes[i] }
 
 // most is how long a client may be told to stay away.
-func (f *Front) most() time.Duration { return node.Span(f.core.Rules().Settings.MaxRetryAfter) }
+func (f *Front) most() time.Duration { return node.FromMs(f.core.Rules().Settings.MaxRetryAfter) }
 
 // Drain refuses new submissions from now on, and hands nothing more to the core. All else is still answered.
 func (f *Front) Drain() { f.stop.Store(true) }
@@ -240,7 +240,7 @@
 func (f *Front) forget(j *job, r *Record) {
 	f.bytes -= r.Size
 	delete(f.jobs, r.ID)
-	if k := sameKey(r.Session, j.in.Idempotency); f.same[k] == j {
+	if k := sameKey(r.Session, j.in.IdempotencyKey); f.same[k] == j {
 		delete(f.same, k)
 	}
 }
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -34,14 +34,14 @@
 
 func (c *core) Submit(j node.Job, cl node.Client) (uint32, error) {
 	if c.full {
-		return 0, node.ErrFull
+		return 0, node.ErrQueueFull
 	}
 	c.jobs, c.client = append(c.jobs, j), cl
 	return uint32(len(c.jobs)), nil
 }
 func (c *core) Terminate(context.Context, uint32) error { return node.ErrRunning }
-func (c *core) Machines(context.Context) ([]node.Machine, error) {
-	return []node.Machine{{Entry: node.Entry{Name: "s-1", Status: "ready", Zone: "tartu"}, Out: 2}, {Entry: node.Entry{Name: "s-2", Status: "draining"}}}, nil
+func (c *core) Machines(context.Context) ([]node.ExecutorInfo, error) {
+	return []node.ExecutorInfo{{Endpoint: node.Endpoint{Name: "s-1", Status: "ready", Zone: "tartu"}, InFlight: 2}, {Endpoint: node.Endpoint{Name: "s-2", Status: "draining"}}}, nil
 }
 func (c *core) Rules() *node.Rules {
 	return &node.Rules{Names: names, Settings: dispatch.Settings{MaxRetryAfter: 2000,
@@ -141,7 +141,7 @@
 	f := front(c, nil, time.Now())
 	_, v, _ := call(f, "POST", "/jobs", good)
 	id := v.Get("jobId").String()
-	c.client.Answer(node.Answer{End: node.Refused, RetryAfter: time.Minute})
+	c.client.Answer(node.Answer{End: node.Rejected, RetryAfter: time.Minute})
 	status, v, r := call(f, "GET", "/jobs/"+id+"/wait", "")
 	if status != 200 || v.Get("jobSubState").String() != "refused" || r.Fields[len(r.Fields)-1] != (http1.Field{Name: "Retry-After", Value: "2.000"}) {
 		t.Errorf("%d %s %v", status, v.Raw, r.Fields)
@@ -165,11 +165,11 @@
 	if status, v, _ := call(f, "POST", "/jobs", good); status != 201 {
 		t.Fatalf("%d %s", status, v.Raw)
 	}
-	if err := c.jobs[0].Before("s-1"); err != nil {
+	if err := c.jobs[0].BeforeSend("s-1"); err != nil {
 		t.Fatal(err)
 	}
 	m.err = errors.New("no leader")
-	if c.jobs[0].Before("s-1") == nil {
+	if c.jobs[0].BeforeSend("s-1") == nil {
 		t.Error("a send without a record")
 	}
 	if status, _, _ := call(f, "POST", "/jobs", good); status != 503 || len(c.jobs) != 1 {
@@ -177,7 +177,7 @@
 	}
 	m.err = nil
 	c.client.Answer(node.Answer{End: node.Served, Result: []byte("tile")})
-	if c.jobs[0].Before("s-1") == nil {
+	if c.jobs[0].BeforeSend("s-1") == nil {
 		t.Error("a send of a job that has ended")
 	}
 	if err := f.put(context.Background(), <-f.dirty, nil); err != nil {
@@ -204,7 +204,7 @@
 		}
 	}
 	look(id, "FAILED", "unsent")
-	if err := c.jobs[0].Before("s-1"); err != nil {
+	if err := c.jobs[0].BeforeSend("s-1"); err != nil {
 		t.Fatal(err)
 	}
 	look(id, "UNDETERMINED", "")
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -98,28 +98,28 @@
 		return
 	}
 	in := j.in
-	in.Trace = trace()
+	in.TraceID = trace()
 	_ = f.give(in, j) // refused, it waits again
 }
 
 // give submits to the core.
 func (f *Front) give(in node.Job, j *job) error {
-	if in.Left = node.Span(f.class(in.Class).Deadline); !j.until.IsZero() {
-		in.Left = time.Until(j.until)
+	if in.TimeLeft = node.FromMs(f.class(in.Class).Deadline); !j.until.IsZero() {
+		in.TimeLeft = time.Until(j.until)
 	}
 	if f.placer != nil && len(in.Inputs) > 0 {
-		prices, why, ended := f.placer.Place(in.Inputs, in.Class, in.Left)
-		in.Prices = prices
+		prices, why, ended := f.placer.Place(in.Inputs, in.Class, in.TimeLeft)
+		in.ZonePrices = prices
 		j.place(ended)
 		j.update(func(r *Record) { r.Annotation = why })
 	}
 	if f.store != nil {
-		until := time.Now().Add(in.Left)
-		in.Before = func(executor string) error { return f.sending(j, executor, in.Trace, until) }
+		until := time.Now().Add(in.TimeLeft)
+		in.BeforeSend = func(executor string) error { return f.sending(j, executor, in.TraceID, until) }
 	}
 	id := j.record().ID
 	if f.fleet != nil && failpoint.Without != failpoint.Fence {
-		in.Still = func() precheck.Reason {
+		in.PreSendCheck = func() precheck.Reason {
 			if f.foreign(id) {
 				return precheck.LeaseLost
 			}
@@ -128,7 +128,7 @@
 	}
 	core, err := f.core.Submit(in, j)
 	if err != nil {
-		j.Answer(node.Answer{End: node.Refused, RetryAfter: f.lim.BatchAgain, Why: err.Error()})
+		j.Answer(node.Answer{End: node.Rejected, RetryAfter: f.lim.BatchAgain, Reason: err.Error()})
 		return err
 	}
 	j.mu.Lock()
--- a/internal/batch/fleet_test.go
+++ b/internal/batch/fleet_test.go
@@ -105,7 +105,7 @@
 		s.lose()
 		f.Drop(part)
 		empty(f)
-		clients[0].Answer(node.Answer{End: node.Refused, Why: "no room"})
+		clients[0].Answer(node.Answer{End: node.Rejected, Reason: "no room"})
 		empty(f)
 	})
 	t.Run("being taken", func(t *testing.T) {
--- a/internal/batch/hard_test.go
+++ b/internal/batch/hard_test.go
@@ -29,7 +29,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.full {
-		return 0, node.ErrFull
+		return 0, node.ErrQueueFull
 	}
 	e.clients = append(e.clients, c)
 	e.jobs = append(e.jobs, j)
@@ -89,10 +89,10 @@
 		for i, c := range clients {
 			if (served+i)%97 == 13 && refused < 100 {
 				refused++
-				c.Answer(node.Answer{End: node.Refused, RetryAfter: time.Millisecond, Why: "no room"})
+				c.Answer(node.Answer{End: node.Rejected, RetryAfter: time.Millisecond, Reason: "no room"})
 				continue
 			}
-			seen[jobs[i].Idempotency]++
+			seen[jobs[i].IdempotencyKey]++
 			served++
 			c.Answer(node.Answer{End: node.Served, Result: []byte("x")})
 		}
@@ -212,7 +212,7 @@
 	id := submitArray(t, f, `"endIndex":6,"maxParallel":3`)
 	eventually(t, "three members with the core", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return len(e.clients) == 3 })
 	e.mu.Lock()
-	if err := e.jobs[0].Before("s-1"); err != nil { // one of them is sent
+	if err := e.jobs[0].BeforeSend("s-1"); err != nil { // one of them is sent
 		t.Fatal(err)
 	}
 	sent := e.clients[0].(*job).record().ID
@@ -311,7 +311,7 @@
 	id := submitArray(t, f, `"endIndex":4,"maxParallel":1`)
 	eventually(t, "a member is with the core", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return len(e.clients) == 1 })
 	e.mu.Lock()
-	if err := e.jobs[0].Before("s-1"); err != nil {
+	if err := e.jobs[0].BeforeSend("s-1"); err != nil {
 		t.Fatal(err)
 	}
 	e.mu.Unlock()
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -155,8 +155,8 @@
 	j.f.raiseRamp(j)
 }
 
-// Returned says that nothing of the job is out any more, and that it goes on.
-func (j *job) Returned(neverRan bool) {
+// Requeued says that nothing of the job is out any more, and that it goes on.
+func (j *job) Requeued(neverRan bool) {
 	j.update(func(r *Record) {
 		if r.State = Requeued; !neverRan {
 			r.Annotation = "an attempt may have run"
@@ -175,20 +175,20 @@
 	if lost {
 		return // its end is the new owner's to tell
 	}
-	if j.queue && a.End == node.Refused && !j.f.stop.Load() && (j.until.IsZero() || now.Before(j.until)) {
-		j.update(func(r *Record) { r.State, r.SubState, r.Annotation = Queued, subHeld, a.Why })
+	if j.queue && a.End == node.Rejected && !j.f.stop.Load() && (j.until.IsZero() || now.Before(j.until)) {
+		j.update(func(r *Record) { r.State, r.SubState, r.Annotation = Queued, subHeld, a.Reason })
 		j.f.refused(j, max(a.RetryAfter, j.f.lim.BatchAgain), now)
 		return
 	}
 	j.end(func(r *Record) {
-		r.State, r.Annotation = Failed, a.Why
+		r.State, r.Annotation = Failed, a.Reason
 		switch a.End {
 		case node.Served:
 			zero, text := 0, string(a.Result)
 			r.State, r.SubState, r.ExitStatus, r.Result, r.Size = Done, "", &zero, &text, len(text)
-		case node.Refused:
+		case node.Rejected:
 			r.SubState = subRefused
-			r.RetryMS = node.Round(a.RetryAfter, j.f.most()).Milliseconds()
+			r.RetryMS = node.RoundRetryAfter(a.RetryAfter, j.f.most()).Milliseconds()
 		case node.Failed:
 			r.SubState = subFailed
 		case node.Terminated:
--- a/internal/batch/monitor.go
+++ b/internal/batch/monitor.go
@@ -102,13 +102,13 @@
 	for i := range all {
 		if m := &all[i]; pick.Match(machineRow(m), time.Now()) {
 			list = append(list, map[string]any{"name": m.Name, "address": m.Address, "status": m.Status, "zone": m.Zone, "type": m.Kind,
-				"group": m.Group, "weight": m.Weight, "sinceMs": m.SinceMS, "out": m.Out, "available": m.Status == "ready"})
+				"group": m.Group, "weight": m.Weight, "sinceMs": m.StartedAtMs, "out": m.InFlight, "available": m.Status == "ready"})
 		}
 	}
 	return reply(200, map[string]any{"machines": list})
 }
 
-func machineRow(m *node.Machine) filter.Row {
+func machineRow(m *node.ExecutorInfo) filter.Row {
 	return func(name string) any {
 		switch name {
 		case "name":
@@ -124,7 +124,7 @@
 		case "weight":
 			return m.Weight
 		}
-		return float64(m.Out)
+		return float64(m.InFlight)
 	}
 }
 
--- a/internal/batch/submit.go
+++ b/internal/batch/submit.go
@@ -128,9 +128,9 @@
 		j.r.SubState = subDeferred
 	}
 	j.r.Template, j.ref = t.raw, jobqueue.JobRef{ID: j.r.ID}
-	j.in.Trace, j.in.Method = trace(), "POST"
-	if j.in.Idempotency == "" {
-		j.in.Idempotency = trace() + trace()
+	j.in.TraceID, j.in.Method = trace(), "POST"
+	if j.in.IdempotencyKey == "" {
+		j.in.IdempotencyKey = trace() + trace()
 	}
 	return j
 }
@@ -320,7 +320,7 @@
 		x.Account = f.names().Tenants[t.job.Tenant]
 	}
 	x.Submitted, x.Start, x.Deadline, x.Held, x.Jobs, x.Next, x.Template = now, t.start, t.until, t.hold, item.Size(), x.Begin, t.raw
-	t.job.Method, t.job.Idempotency = "POST", trace()+trace()
+	t.job.Method, t.job.IdempotencyKey = "POST", trace()+trace()
 	a := &array{t: *t, r: x}
 	if !f.enter(session) {
 		return noSession(session)
--- a/internal/batch/template.go
+++ b/internal/batch/template.go
@@ -269,7 +269,7 @@
 		if !http1.IsVisibleASCII(v.Str) || len(v.Str) > 256 {
 			return errors.New("not a word of 1 to 256 visible characters")
 		}
-		t.job.Idempotency, t.same = v.Str, v.Str
+		t.job.IdempotencyKey, t.same = v.Str, v.Str
 	case "payload":
 		t.job.Body = []byte(v.Str)
 	case "deadlineTime":
@@ -306,8 +306,8 @@
 	if len(j.Body) > 0 {
 		j.Body = []byte(strings.ReplaceAll(string(j.Body), placeholder, text))
 	}
-	if j.Idempotency != "" {
-		j.Idempotency += "-" + text // one for each: boxes drop a repeat by it
+	if j.IdempotencyKey != "" {
+		j.IdempotencyKey += "-" + text // one for each: boxes drop a repeat by it
 	}
 	return j
 }
--- a/internal/capacity/measure/list.go
+++ b/internal/capacity/measure/list.go
@@ -34,7 +34,7 @@
 func WholeList(executors int) (ListCost, error) {
 	line := listLine(executors)
 	used, err := perOperation(func() error {
-		list, err := node.ParseList(gjson.ParseBytes(line))
+		list, err := node.ParseEndpointList(gjson.ParseBytes(line))
 		if err == nil && len(list.Entries) != executors {
 			return fmt.Errorf("measure: %d executors were read of %d", len(list.Entries), executors)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -37,7 +37,7 @@
 	Passed int
 
 	// What the node works by.
-	Known    node.List // the endpoint list that it had at its last end
+	Known    node.EndpointList // the endpoint list that it had at its last end
 	Settings dispatch.Settings
 	Names    node.Names
 	Limits   limits.Limits
@@ -102,7 +102,7 @@
 func (c *Config) parseKnown(known gjson.Result) error {
 	if known.IsObject() {
 		var err error
-		if c.Known, err = node.ParseList(known); err != nil {
+		if c.Known, err = node.ParseEndpointList(known); err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
 	}
@@ -114,9 +114,9 @@
 func (c *Config) setLimits(granted gjson.Result, pairs map[string]string) {
 	s := &c.Settings
 	c.Limits = limits.New(int(granted.Get("sockets").Int()), int(granted.Get("memory_mb").Int()),
-		node.Span(s.ConnectTimeout), node.Span(s.ConnIdleTimeout), node.Span(s.DrainGrace))
+		node.FromMs(s.ConnectTimeout), node.FromMs(s.ConnIdleTimeout), node.FromMs(s.DrainGrace))
 	c.Limits.Longest(longestDeadline(s.Classes))
-	c.Limits.Staleness.PollInterval = node.Span(s.MaxPollInterval)
+	c.Limits.Staleness.PollInterval = node.FromMs(s.MaxPollInterval)
 	if maxOpen, err := strconv.ParseFloat(pairs["limits.maxOpen"], 64); err == nil && maxOpen >= 1 {
 		c.Limits.MaxOpen = min(c.Limits.MaxOpen, int(maxOpen))
 	}
@@ -128,7 +128,7 @@
 	for _, class := range classes {
 		longest = max(longest, class.Deadline)
 	}
-	return node.Span(longest)
+	return node.FromMs(longest)
 }
 
 // Check reports whether the node can be reached, and can reach discovery unless an inventory takes its place.
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -179,7 +179,7 @@
 	if !gjson.ValidBytes(b) {
 		return errors.New("a line that is not JSON")
 	}
-	l, err := node.ParseList(gjson.ParseBytes(b))
+	l, err := node.ParseEndpointList(gjson.ParseBytes(b))
 	if err != nil {
 		return err
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -22,7 +22,7 @@
 // Sink takes what discovery says. Calls of it do not overlap, but for those that follow a Fetch.
 type Sink interface {
 	// List takes a whole list or a change, or the failure of a call that the decision module asked for.
-	List(node.List)
+	List(node.EndpointList)
 	// ListCallFailed is called when a watch's call has ended, whoever made it.
 	ListCallFailed()
 	// ListConfirmed is called when a watch says that nothing has changed since its last line.
@@ -183,6 +183,6 @@
 func (c *Client) reportFailure(call string, err error) {
 	c.log.Info("discovery call failed", "call", call, "err", err)
 	if !c.pushed {
-		c.sink.List(node.List{Form: dispatch.ListFailed})
+		c.sink.List(node.EndpointList{Form: dispatch.ListFailed})
 	}
 }
--- a/internal/discovery/lines.go
+++ b/internal/discovery/lines.go
@@ -96,7 +96,7 @@
 	if !gjson.ValidBytes(b) {
 		return false
 	}
-	_, err := node.ParseList(gjson.ParseBytes(b))
+	_, err := node.ParseEndpointList(gjson.ParseBytes(b))
 	return err == nil
 }
 
--- a/internal/executor/answer.go
+++ b/internal/executor/answer.go
@@ -57,7 +57,7 @@
 		}
 	}
 	if message != nil || err != nil {
-		r.client.endpoints.recordContact(r.attempt.Worker)
+		r.client.endpoints.recordContact(r.attempt.Executor)
 		r.client.acks.acknowledge(r.attempt, time.Now())
 	}
 	return message, err
--- a/internal/executor/attempt.go
+++ b/internal/executor/attempt.go
@@ -92,7 +92,7 @@
 
 // Send starts an attempt. Its result goes to the sink, unless GiveUp comes first.
 func (c *Client) Send(request node.Attempt) {
-	endpoint, known := c.endpoints.get(request.Worker)
+	endpoint, known := c.endpoints.get(request.Executor)
 	if !known {
 		c.group.Go(func() error {
 			c.handler.Result(node.Result{Attempt: request.ID, Outcome: dispatch.CanceledBeforeSend})
@@ -101,7 +101,7 @@
 		return
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
-	attempt := &activeAttempt{Attempt: request, key: attemptKey{request.Job.Trace, endpoint.name}, cancel: cancel}
+	attempt := &activeAttempt{Attempt: request, key: attemptKey{request.Job.TraceID, endpoint.name}, cancel: cancel}
 	c.attempts.add(attempt) // before a byte is written: the first callback can come before the 202
 	c.group.Go(func() error {
 		defer cancel()
@@ -112,7 +112,7 @@
 
 // run records an attempt, sends it, and passes its outcome on.
 func (c *Client) run(ctx context.Context, attempt *activeAttempt) {
-	if before := attempt.Job.Before; before != nil {
+	if before := attempt.Job.BeforeSend; before != nil {
 		if err := before(attempt.key.executor); err != nil {
 			c.log.Warn(
 				"attempt not recorded and not sent",
@@ -158,10 +158,10 @@
 // else knows of the attempt.
 func (c *Client) precheck(attempt *activeAttempt) (string, precheck.Reason) {
 	reason := precheck.Allowed
-	if attempt.Job.Still != nil {
-		reason = attempt.Job.Still() // it may take a lock: what follows is read after it
+	if attempt.Job.PreSendCheck != nil {
+		reason = attempt.Job.PreSendCheck() // it may take a lock: what follows is read after it
 	}
-	endpoint, known := c.endpoints.get(attempt.Worker)
+	endpoint, known := c.endpoints.get(attempt.Executor)
 	check := precheck.Check{
 		Now:      time.Now(),
 		Deadline: attempt.Deadline,
@@ -171,7 +171,7 @@
 			Listed:        known,
 			SendsEndAt:    endpoint.sendsEndAt,
 			StartedAt:     endpoint.startedAt,
-			ExpectedStart: attempt.Born,
+			ExpectedStart: attempt.ExecutorStartedAt,
 		},
 		Retry: attempt.Rules,
 	}
--- a/internal/executor/callback.go
+++ b/internal/executor/callback.go
@@ -41,7 +41,7 @@
 	if !attempt.hasLastByteCommitted() {
 		return nil // stale: of an earlier attempt there, since nothing of this one was written
 	}
-	c.endpoints.recordContact(attempt.Worker)
+	c.endpoints.recordContact(attempt.Executor)
 	c.acks.acknowledge(attempt, time.Now()) // whatever the executor tells of the job, it has it
 	c.takeState(attempt, callback)
 	return nil
--- a/internal/executor/cancel.go
+++ b/internal/executor/cancel.go
@@ -6,8 +6,8 @@
 	"gatetack/internal/tcpinfo"
 )
 
-// GiveUp cancels an attempt, which ends without a result: before the 202 by closing its connection, later by DELETE.
-func (c *Client) GiveUp(id uint64) {
+// Cancel cancels an attempt, which ends without a result: before the 202 by closing its connection, later by DELETE.
+func (c *Client) Cancel(id uint64) {
 	attempt := c.attempts.withID(id)
 	if attempt == nil || !c.remove(attempt) {
 		return
@@ -41,7 +41,7 @@
 func (c *Client) sendDelete(attempt *activeAttempt) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.limits.Probe)
 	defer cancel()
-	address := c.address(attempt.Worker)
+	address := c.address(attempt.Executor)
 	if address == "" {
 		return
 	}
--- a/internal/executor/clientleft_test.go
+++ b/internal/executor/clientleft_test.go
@@ -52,7 +52,7 @@
 
 func (quietClient) Sent(string)            {}
 func (quietClient) Started()               {}
-func (quietClient) Returned(bool)          {}
+func (quietClient) Requeued(bool)          {}
 func (q quietClient) Answer(a node.Answer) { q.answers <- a }
 
 // standingCore is what a core's sends and their results go through. At the send of a number the core's goroutine stands
@@ -79,7 +79,7 @@
 	s.mu.Unlock()
 	for i := 0; ; i++ { // by the requests of others
 		if _, err := s.core.Submit(
-			node.Job{Left: time.Second, Slots: 1, Trace: string(rune('a' + i))},
+			node.Job{TimeLeft: time.Second, Slots: 1, TraceID: string(rune('a' + i))},
 			newQuietClient(),
 		); err != nil {
 			break
@@ -152,14 +152,14 @@
 	return x
 }
 
-func (x *rawExecutor) entry() node.Entry {
-	return node.Entry{Name: x.name, Address: x.addr, Status: "ready", Weight: 1}
+func (x *rawExecutor) entry() node.Endpoint {
+	return node.Endpoint{Name: x.name, Address: x.addr, Status: "ready", Weight: 1}
 }
 
 // startNode runs a core that stands still at the send of a number, 0 for none.
-func startNode(t *testing.T, lim limits.Limits, standsAt int, leave func(), known ...node.Entry) *standingCore {
+func startNode(t *testing.T, lim limits.Limits, standsAt int, leave func(), known ...node.Endpoint) *standingCore {
 	t.Helper()
-	core, err := node.New(coreSettings(), 1, node.List{Entries: known}, node.Names{}, lim, testenv.Quiet)
+	core, err := node.New(coreSettings(), 1, node.EndpointList{Entries: known}, node.Names{}, lim, testenv.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 
 type noPeers struct{}
 
-func (noPeers) Tell(uint16, []byte) {}
+func (noPeers) SendGossip(uint16, []byte) {}
 
 // No attempt begins after its client has left, whatever it is made for, though the core has not heard of that and
 // can't: its events are full, and its goroutine stands still until the attempt has ended.
@@ -202,21 +202,21 @@
 			one, two := startExecutor(t, "s-1", x.answer), startExecutor(t, "s-2", x.answer)
 			client, leave := context.WithCancel(t.Context())
 			defer leave()
-			known := []node.Entry{one.entry(), two.entry()}
+			known := []node.Endpoint{one.entry(), two.entry()}
 			first := known
 			if x.queued {
 				first = nil
 			}
 			n := startNode(t, lim, x.standsAt, leave, first...)
 			job := node.Job{
-				Left:   20 * time.Second,
-				Slots:  1,
-				Trace:  "00000000000000aa",
-				Method: "POST",
-				Target: "/x/y",
-				Body:   []byte("body"),
+				TimeLeft: 20 * time.Second,
+				Slots:    1,
+				TraceID:  "00000000000000aa",
+				Method:   "POST",
+				Target:   "/x/y",
+				Body:     []byte("body"),
 			}
-			job.Still = func() precheck.Reason {
+			job.PreSendCheck = func() precheck.Reason {
 				if client.Err() != nil {
 					return precheck.ClientDisconnected
 				}
@@ -227,7 +227,7 @@
 				t.Fatal(err)
 			}
 			if x.queued {
-				n.core.List(node.List{Form: dispatch.ListSnapshot, Entries: known})
+				n.core.List(node.EndpointList{Form: dispatch.ListSnapshot, Entries: known})
 			}
 			select {
 			case <-client.Done():
@@ -237,7 +237,7 @@
 			n.core.Gone(id) // it waits for a place among the events, until the core goes on
 			testenv.Until(t, "the core has heard of it", func() bool {
 				counts, err := n.core.Counts(t.Context())
-				return err == nil && counts.Gone == 1
+				return err == nil && counts.ClientsGone == 1
 			})
 			if o := <-n.ended; o != dispatch.CanceledBeforeSend || one.count()+two.count() != x.standsAt-1 {
 				t.Errorf("the attempt ended with %d; %d requests came, want %d", o, one.count()+two.count(), x.standsAt-1)
@@ -259,7 +259,7 @@
 		return conn, err
 	}
 	a := newAttempt(1)
-	a.Job.Still = func() precheck.Reason {
+	a.Job.PreSendCheck = func() precheck.Reason {
 		if client.Err() != nil {
 			return precheck.ClientDisconnected
 		}
@@ -279,12 +279,12 @@
 	n := startNode(t, testenv.Lim, 0, nil)
 	waiting := newQuietClient()
 	job := node.Job{
-		Left:   20 * time.Second,
-		Slots:  1,
-		Trace:  "00000000000000aa",
-		Method: "POST",
-		Target: "/x/y",
-		Body:   []byte("body"),
+		TimeLeft: 20 * time.Second,
+		Slots:    1,
+		TraceID:  "00000000000000aa",
+		Method:   "POST",
+		Target:   "/x/y",
+		Body:     []byte("body"),
 	}
 	id, err := n.core.Submit(job, waiting)
 	if err != nil {
@@ -296,8 +296,8 @@
 	if a := <-waiting.answers; a.End != node.Terminated {
 		t.Errorf("%+v", a)
 	}
-	n.core.List(node.List{Form: dispatch.ListSnapshot, Entries: []node.Entry{x.entry()}})
-	job.Trace = "00000000000000bb"
+	n.core.List(node.EndpointList{Form: dispatch.ListSnapshot, Entries: []node.Endpoint{x.entry()}})
+	job.TraceID = "00000000000000bb"
 	if _, err := n.core.Submit(job, newQuietClient()); err != nil {
 		t.Fatal(err)
 	}
@@ -316,7 +316,7 @@
 	a := newAttempt(1)
 	a.Answered = &atomic.Bool{}
 	looks := 0
-	a.Job.Still = func() precheck.Reason {
+	a.Job.PreSendCheck = func() precheck.Reason {
 		if looks++; looks == 3 { // before the last byte
 			a.Answered.Store(true)
 		}
--- a/internal/executor/connect.go
+++ b/internal/executor/connect.go
@@ -37,7 +37,7 @@
 	switch {
 	case err == nil:
 		if !conn.reused {
-			c.endpoints.recordContact(attempt.Worker)
+			c.endpoints.recordContact(attempt.Executor)
 		}
 		return conn, 0
 	case errors.Is(err, errNotAllowed):
--- a/internal/executor/connfault_test.go
+++ b/internal/executor/connfault_test.go
@@ -173,19 +173,19 @@
 			scriptConns(n.Client, func(_ int, conn *scriptedConn) { fault(conn) })
 			client := newQuietClient()
 			job := node.Job{
-				Left:   500 * time.Millisecond,
-				Slots:  1,
-				Trace:  "00000000000000aa",
-				Method: "POST",
-				Target: "/x/y",
-				Body:   []byte("body"),
+				TimeLeft: 500 * time.Millisecond,
+				Slots:    1,
+				TraceID:  "00000000000000aa",
+				Method:   "POST",
+				Target:   "/x/y",
+				Body:     []byte("body"),
 			}
 			if _, err := n.core.Submit(job, client); err != nil {
 				t.Fatal(err)
 			}
 			select {
 			case a := <-client.answers:
-				if a.End != node.Failed && a.End != node.Refused {
+				if a.End != node.Failed && a.End != node.Rejected {
 					t.Errorf("%+v", a)
 				}
 			case <-time.After(20 * time.Second):
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -69,7 +69,7 @@
 	<-sink.standing // nothing is read from here on
 	accept <- true
 	<-taken
-	c.GiveUp(1)
+	c.Cancel(1)
 	sink.release <- true
 	expectDelete(t, next)
 	if got := s.outcomes(1); len(got) != 0 {
@@ -104,7 +104,7 @@
 	c.attempts.mu.Lock()
 	given := c.attempts.byID[1]
 	c.attempts.mu.Unlock()
-	c.GiveUp(1)
+	c.Cancel(1)
 	c.recordAccepted(given)
 	c.recordAccepted(given)
 	expectDelete(t, next)
@@ -161,9 +161,9 @@
 	if got := s.outcomes(2); len(got) != 0 {
 		t.Fatalf("the second attempt ended with %v by a word on the first", got)
 	}
-	c.Told(8, node.Entry{Name: "s-8", Address: c.address(7), Status: "ready"}, time.Now())
+	c.UpdateEndpoint(8, node.Endpoint{Name: "s-8", Address: c.address(7), Status: "ready"}, time.Now())
 	third := newAttempt(3)
-	third.Worker = 8
+	third.Executor = 8
 	send(third)
 	word("s-8", returned)
 	if got := s.outcomes(3); len(got) != 1 || got[0] != dispatch.Full {
@@ -200,7 +200,7 @@
 	})
 	a := newAttempt(1)
 	looks, left := 0, time.Duration(0)
-	a.Job.Still = func() precheck.Reason {
+	a.Job.PreSendCheck = func() precheck.Reason {
 		if looks++; looks == 2 { // before its first byte
 			time.Sleep(20 * time.Millisecond)
 			left = time.Until(a.Deadline)
@@ -261,7 +261,7 @@
 		_, _ = io.WriteString(next, acceptedAnswer)
 		return nil
 	})
-	c.Told(7, node.Entry{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
+	c.UpdateEndpoint(7, node.Endpoint{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
 	c.Send(a)
 	for i, ch := range []chan got{first, second} {
 		select {
--- a/internal/executor/deadline_test.go
+++ b/internal/executor/deadline_test.go
@@ -49,7 +49,7 @@
 			startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
 			a := newAttempt(1)
 			looks := 0
-			a.Job.Still = func() precheck.Reason {
+			a.Job.PreSendCheck = func() precheck.Reason {
 				if looks++; looks == 2 { // before the first byte
 					c.attempts.byID[1].Deadline = time.Now().Add(x.left)
 				}
--- a/internal/executor/endpoints.go
+++ b/internal/executor/endpoints.go
@@ -42,10 +42,10 @@
 	}
 }
 
-// Told takes an executor's address and condition from an endpoint update that came at a time. From its drain or removal
+// UpdateEndpoint takes an executor's address and condition from an endpoint update that came at a time. From its drain or removal
 // on, what is under way to it may still be written for a while; connections that lead to another machine, or to a
 // process that has ended, are closed.
-func (c *Client) Told(id uint32, e node.Entry, at time.Time) {
+func (c *Client) UpdateEndpoint(id uint32, e node.Endpoint, at time.Time) {
 	t := &c.endpoints
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 	removed := e.Condition() == dispatch.Removed
 	moved := e.Address != "" && e.Address != state.address
-	restarted := !removed && e.SinceMS != state.startedAt
+	restarted := !removed && e.StartedAtMs != state.startedAt
 	if moved || restarted {
 		c.pool.closeIdle(state.address)
 	}
@@ -64,7 +64,7 @@
 		state.address = e.Address
 	}
 	if !removed {
-		state.startedAt = e.SinceMS
+		state.startedAt = e.StartedAtMs
 	}
 	switch {
 	case e.Condition() == dispatch.Ready:
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -73,8 +73,8 @@
 }
 
 func newAttempt(id uint64) node.Attempt {
-	return node.Attempt{ID: id, Worker: 7, Deadline: time.Now().Add(10 * time.Second),
-		Job: &node.Job{Trace: "00000000000000aa", Method: "POST", Target: "/tile-charge/x", Body: []byte("body")}}
+	return node.Attempt{ID: id, Executor: 7, Deadline: time.Now().Add(10 * time.Second),
+		Job: &node.Job{TraceID: "00000000000000aa", Method: "POST", Target: "/tile-charge/x", Body: []byte("body")}}
 }
 
 // box is a raw executor: it reads a request's end and does what script says, one connection after another.
@@ -114,7 +114,7 @@
 		mu.Unlock()
 		_ = g.Wait()
 	})
-	c.Told(7, node.Entry{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
+	c.UpdateEndpoint(7, node.Endpoint{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
 	return func() int { mu.Lock(); defer mu.Unlock(); return n }
 }
 
@@ -259,7 +259,7 @@
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(2)
 	hold, held := make(chan bool), make(chan bool)
-	a.Job.Before = func(string) error { held <- true; <-hold; return nil }
+	a.Job.BeforeSend = func(string) error { held <- true; <-hold; return nil }
 	c.Send(a)
 	<-held
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"returned"}`))
@@ -283,8 +283,8 @@
 	c, s := newClient(t, lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(1)
-	a.Job.Before = func(string) error {
-		c.Told(7, node.Entry{Name: "s-7", Status: "draining"}, time.Now().Add(-time.Millisecond))
+	a.Job.BeforeSend = func(string) error {
+		c.UpdateEndpoint(7, node.Endpoint{Name: "s-7", Status: "draining"}, time.Now().Add(-time.Millisecond))
 		return nil
 	}
 	c.Send(a)
@@ -370,7 +370,7 @@
 	if got := s.outcomes(1); len(got) != 0 || n() != 3 {
 		t.Errorf("after two stale connections: %v on connection %d", got, n())
 	}
-	c.GiveUp(1)
+	c.Cancel(1)
 
 	garbled := func(conn net.Conn) {
 		_, _ = conn.Read(make([]byte, 1))
@@ -457,11 +457,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Told(7, node.Entry{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
+	c.UpdateEndpoint(7, node.Endpoint{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
 	_ = ln.Close()
 	c.Send(newAttempt(1))
 	b := newAttempt(2)
-	b.Worker = 8
+	b.Executor = 8
 	c.Send(b)
 	testenv.Until(t, "two outcomes", func() bool { return len(s.outcomes(1)) == 1 && len(s.outcomes(2)) == 1 })
 	if s.outcomes(1)[0] != dispatch.ConnectFailed || s.outcomes(2)[0] != dispatch.CanceledBeforeSend {
@@ -489,7 +489,7 @@
 	})
 	c.Send(newAttempt(1))
 	<-got
-	c.GiveUp(1)
+	c.Cancel(1)
 	<-ended
 	c.Send(newAttempt(2))
 	testenv.Until(t, "the connection is back", func() bool {
@@ -502,7 +502,7 @@
 		}
 		return false
 	})
-	c.GiveUp(2)
+	c.Cancel(2)
 	if text := <-got; !strings.HasPrefix(text, "DELETE /jobs/00000000000000aa HTTP/1.1\r\n") {
 		t.Errorf("%q", text)
 	}
@@ -533,7 +533,7 @@
 	c, s := newClient(t, testenv.Lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(1)
-	a.Job.Before = func(string) error { return errors.New("no space is left on the disk") }
+	a.Job.BeforeSend = func(string) error { return errors.New("no space is left on the disk") }
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.CanceledBeforeSend || n() != 0 {
--- a/internal/executor/healthcheck.go
+++ b/internal/executor/healthcheck.go
@@ -30,8 +30,8 @@
 	return message, err
 }
 
-// Probe checks an executor's health and asks for its load report. The result goes to the sink.
-func (c *Client) Probe(id uint32) {
+// CheckHealth checks an executor's health and asks for its load report. The result goes to the sink.
+func (c *Client) CheckHealth(id uint32) {
 	c.group.Go(func() error {
 		began := time.Now()
 		ctx, cancel := context.WithTimeout(c.ctx, c.limits.Probe)
--- a/internal/executor/loadreport.go
+++ b/internal/executor/loadreport.go
@@ -27,7 +27,7 @@
 			values[name] = number
 		}
 	}
-	return c.names.Report(func(name string) (float64, bool) {
+	return c.names.LoadReport(func(name string) (float64, bool) {
 		value, ok := values[name]
 		return value, ok
 	})
@@ -38,7 +38,7 @@
 	if !object.IsObject() {
 		return nil
 	}
-	return c.names.Report(func(name string) (float64, bool) {
+	return c.names.LoadReport(func(name string) (float64, bool) {
 		value := object.Get(name)
 		return value.Float(), value.Type == gjson.Number
 	})
--- a/internal/executor/localfault_test.go
+++ b/internal/executor/localfault_test.go
@@ -169,7 +169,7 @@
 	client, leave := context.WithCancel(t.Context())
 	dialer := (&faultyDialer{always: localFaults["EADDRNOTAVAIL"], duringPause: leave}).install(c)
 	a := newAttempt(1)
-	a.Job.Still = func() precheck.Reason {
+	a.Job.PreSendCheck = func() precheck.Reason {
 		if client.Err() != nil {
 			return precheck.ClientDisconnected
 		}
@@ -202,7 +202,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("no pause after a local fault")
 	}
-	c.GiveUp(1)
+	c.Cancel(1)
 	if err := <-left; !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
@@ -241,10 +241,10 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = ln.Close() }()
-			c.Told(8, node.Entry{Name: "s-8", Address: ln.Addr().String(), Status: "ready"}, time.Now())
+			c.UpdateEndpoint(8, node.Endpoint{Name: "s-8", Address: ln.Addr().String(), Status: "ready"}, time.Now())
 			(&faultyDialer{always: localFaults[name]}).install(c)
 			a := newAttempt(2)
-			a.Worker = 8
+			a.Executor = 8
 			c.Send(a)
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(2)) > 0 })
 			if got := c.idleConnections(); got != want {
@@ -295,7 +295,7 @@
 		c, s := newClient(t, testenv.Lim)
 		startRawExecutor(t, c, answering(acceptedAnswer))
 		(&faultyDialer{always: x.fault}).install(c)
-		c.Probe(7)
+		c.CheckHealth(7)
 		const id = 7 + 1<<40
 		testenv.Until(t, "its result", func() bool { return len(s.outcomes(id)) > 0 })
 		if got := s.outcomes(id); got[0] != x.want {
@@ -323,6 +323,6 @@
 	testenv.Until(t, "an idle connection", func() bool { return c.idleConnections() == 1 })
 	c.pool.closeIdle(c.address(7)) // the DELETE needs one of its own
 	(&faultyDialer{first: []error{localFaults["ENOBUFS"], localFaults["ENOBUFS"]}}).install(c)
-	c.GiveUp(1)
+	c.Cancel(1)
 	expectDelete(t, got)
 }
--- a/internal/executor/races_test.go
+++ b/internal/executor/races_test.go
@@ -30,7 +30,7 @@
 	}
 	listed := func(status string, startedAt float64) change {
 		return func(c *Client, _ *node.Attempt) precheck.Reason {
-			c.Told(7, node.Entry{Name: "s-7", Status: status, SinceMS: startedAt}, time.Now().Add(-time.Hour))
+			c.UpdateEndpoint(7, node.Endpoint{Name: "s-7", Status: status, StartedAtMs: startedAt}, time.Now().Add(-time.Hour))
 			return precheck.Allowed
 		}
 	}
@@ -73,7 +73,7 @@
 				a := newAttempt(1)
 				a.Answered = &atomic.Bool{}
 				looks := 0
-				a.Job.Still = func() precheck.Reason { // asked under the try's lock, by one goroutine
+				a.Job.PreSendCheck = func() precheck.Reason { // asked under the try's lock, by one goroutine
 					if looks++; looks == look+1 {
 						return x.at(c, &a)
 					}
@@ -175,7 +175,7 @@
 		"the connection is back",
 		func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 },
 	)
-	c.Told(7, node.Entry{Name: "s-7", Address: c.address(7), Status: "ready", SinceMS: 1000}, time.Now())
+	c.UpdateEndpoint(7, node.Endpoint{Name: "s-7", Address: c.address(7), Status: "ready", StartedAtMs: 1000}, time.Now())
 	select {
 	case <-ended:
 	case <-time.After(20 * time.Second):
--- a/internal/executor/send.go
+++ b/internal/executor/send.go
@@ -120,7 +120,7 @@
 		return false
 	}
 	// An executor that has not shown itself for a while may be cut off: acknowledgements of its machine are waited for.
-	left, ok := conn.isAcknowledged(ctx, c.limits, c.lacksContact(attempt.Worker))
+	left, ok := conn.isAcknowledged(ctx, c.limits, c.lacksContact(attempt.Executor))
 	if !ok && ctx.Err() == nil {
 		c.recordSlowPeer(slowpeer.BoxUnacked, attempt, conn, &slowpeer.Slow{Direction: "out", Left: left})
 	}
@@ -131,11 +131,11 @@
 func requestFields(job *node.Job, told time.Duration) []http1.Field {
 	fields := []http1.Field{
 		{Name: "Host", Value: hostName},
-		{Name: "X-Trace-Id", Value: job.Trace},
+		{Name: "X-Trace-Id", Value: job.TraceID},
 		{Name: "X-Expires-In-Ms", Value: strconv.FormatInt(told.Milliseconds(), 10)},
 	}
-	if job.Idempotency != "" {
-		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: job.Idempotency})
+	if job.IdempotencyKey != "" {
+		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: job.IdempotencyKey})
 	}
 	return fields
 }
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -164,7 +164,7 @@
 				<-release
 				return conn.Close()
 			})
-			c.Told(7, node.Entry{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
+			c.UpdateEndpoint(7, node.Endpoint{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
 			a := newAttempt(1)
 			a.Job.Body = []byte(strings.Repeat("b", size))
 			c.Send(a)
@@ -205,13 +205,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Told(20+i, node.Entry{Name: b.Name, Address: slow.Addr, Status: "ready"}, time.Now())
+		c.UpdateEndpoint(20+i, node.Endpoint{Name: b.Name, Address: slow.Addr, Status: "ready"}, time.Now())
 	}
 	var mu sync.Mutex
 	told := 0
 	for i := range uint64(4) {
 		a := newAttempt(i + 1)
-		a.Worker, a.Job.Trace = 20+uint32(i), "00000000000000a"+string('0'+rune(i))
+		a.Executor, a.Job.TraceID = 20+uint32(i), "00000000000000a"+string('0'+rune(i))
 		c.Send(a)
 	}
 	testenv.Until(t, "the crowd is seen", func() bool { return c.slowPeers.Count(slowpeer.BoxCrowd) >= 8 })
@@ -234,7 +234,7 @@
 	accepted := startRawExecutor(t, c, func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) })
 	for id := range uint64(12) {
 		a := newAttempt(id + 1)
-		a.Job.Trace = "00000000000000" + string('a'+rune(id)) + "0"
+		a.Job.TraceID = "00000000000000" + string('a'+rune(id)) + "0"
 		c.Send(a)
 	}
 	testenv.Until(t, "some are held back", func() bool { return c.slowPeers.Count(slowpeer.BoxShare) > 0 })
@@ -253,9 +253,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Told(8, node.Entry{Name: "s-8", Address: b.Addr, Status: "ready"}, time.Now())
+	c.UpdateEndpoint(8, node.Endpoint{Name: "s-8", Address: b.Addr, Status: "ready"}, time.Now())
 	a := newAttempt(50)
-	a.Worker = 8
+	a.Executor = 8
 	c.Send(a)
 	testenv.Until(t, "another box gets its job", func() bool { return len(b.Starts()) == 1 })
 	if got := s.outcomes(50); len(got) != 0 {
--- a/internal/inventory/parse.go
+++ b/internal/inventory/parse.go
@@ -42,7 +42,7 @@
 
 // Parse reads an inventory, whose name says its format. One bad row rejects the whole, so that a file that was half
 // written removes no executor.
-func Parse(name string, data []byte, names node.Names, lim limits.Limits) ([]node.Entry, error) {
+func Parse(name string, data []byte, names node.Names, lim limits.Limits) ([]node.Endpoint, error) {
 	if len(data) > lim.InventoryBytes {
 		return nil, fmt.Errorf("longer than %d bytes", lim.InventoryBytes)
 	}
@@ -67,7 +67,7 @@
 	names   node.Names
 	limits  limits.Limits
 	lines   map[string]int // of the rows so far, by name and by address
-	entries []node.Entry
+	entries []node.Endpoint
 }
 
 func newBuilder(names node.Names, lim limits.Limits) *builder {
@@ -201,7 +201,7 @@
 		}
 		b.lines[key] = line
 	}
-	b.entries = append(b.entries, node.Entry{Name: row["name"], Address: row["address"], Zone: row["zone"],
+	b.entries = append(b.entries, node.Endpoint{Name: row["name"], Address: row["address"], Zone: row["zone"],
 		Kind: row["type"], Group: int(group), Status: row["status"], Weight: 1})
 	return nil
 }
--- a/internal/inventory/share.go
+++ b/internal/inventory/share.go
@@ -27,7 +27,7 @@
 // inventory is a list of entries and when it was written, in Unix milliseconds.
 type inventory struct {
 	at      int64
-	entries []node.Entry
+	entries []node.Endpoint
 }
 
 // storedInventory is the inventory in the store. Its keys are stored data and do not change.
@@ -53,7 +53,7 @@
 	stored := storedInventory{At: v.at}
 	for _, e := range v.entries {
 		stored.Rows = append(stored.Rows, storedRow{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Kind,
-			Group: json.Number(strconv.Itoa(e.Group)), Status: e.Status, Weight: e.Weight, SinceMS: e.SinceMS})
+			Group: json.Number(strconv.Itoa(e.Group)), Status: e.Status, Weight: e.Weight, SinceMS: e.StartedAtMs})
 	}
 	return json.Marshal(stored)
 }
--- a/internal/inventory/source.go
+++ b/internal/inventory/source.go
@@ -23,7 +23,7 @@
 // Sink takes lists.
 type Sink interface {
 	// List takes one. It may keep the entries.
-	List(node.List)
+	List(node.EndpointList)
 }
 
 // Source follows a file. It takes the place of discovery.
@@ -37,7 +37,7 @@
 	requests chan struct{} // for the list
 
 	// Of the goroutine that follows the file.
-	entries   []node.Entry
+	entries   []node.Endpoint
 	index     uint64
 	data      []byte // the file's text at the last look
 	writtenAt int64  // when the entries in use were written, in Unix milliseconds
@@ -122,7 +122,7 @@
 		case <-ctx.Done():
 			return
 		}
-		s.sink.List(node.List{Form: dispatch.ListSnapshot, Index: s.index, Entries: slices.Clone(s.entries)})
+		s.sink.List(node.EndpointList{Form: dispatch.ListSnapshot, Index: s.index, Entries: slices.Clone(s.entries)})
 		if changed {
 			s.log.Info("inventory changed", "file", s.path, "rows", len(s.entries))
 		}
--- a/internal/inventory/source_test.go
+++ b/internal/inventory/source_test.go
@@ -39,7 +39,7 @@
 
 // Both forms give the same rows.
 func TestCSVAndYAMLGiveTheSameRows(t *testing.T) {
-	want := []node.Entry{
+	want := []node.Endpoint{
 		{Name: "s-1", Address: "127.0.0.1:9001", Zone: "tallinn", Kind: "type-a", Group: 1, Status: "ready", Weight: 1},
 		{Name: "s-2", Address: "127.0.0.1:9002", Zone: "tartu", Kind: "type-b", Group: 2, Status: "draining", Weight: 1}}
 	for name, text := range map[string]string{"a.csv": asCSV, "a.yaml": asYAML, "a.YML": asYAML} {
@@ -132,16 +132,16 @@
 	var g errgroup.Group
 	g.Go(func() error { return src.Run(ctx) })
 	defer func() { cancel(); _ = g.Wait() }()
-	until := func(what string, ok func([]node.List) bool) {
+	until := func(what string, ok func([]node.EndpointList) bool) {
 		t.Helper()
 		testenv.Until(t, what, func() bool { return ok(s.All()) })
 	}
 	src.Watch(true)
-	until("the list", func(l []node.List) bool { return len(l) == 1 && len(l[0].Entries) == 2 })
+	until("the list", func(l []node.EndpointList) bool { return len(l) == 1 && len(l[0].Entries) == 2 })
 	write(strings.Replace(asCSV, "tartu", "riga", 1))
 	write(strings.Replace(asCSV, "s-1", "", 1))
 	write(strings.Replace(asCSV, "draining", "ready", 1))
-	until("the change", func(l []node.List) bool {
+	until("the change", func(l []node.EndpointList) bool {
 		return len(l) == 2 && len(l[1].Entries) == 2 && l[1].Entries[1].Status == "ready"
 	})
 }
--- a/internal/locality/placer.go
+++ b/internal/locality/placer.go
@@ -28,7 +28,7 @@
 // MachineLister lists the executors.
 type MachineLister interface {
 	// Machines returns them with the number of this node's attempts at each.
-	Machines(context.Context) ([]node.Machine, error)
+	Machines(context.Context) ([]node.ExecutorInfo, error)
 }
 
 // Placer prices the zones for the jobs of one node.
@@ -121,7 +121,7 @@
 
 // refresh takes in the listed executors: a zone's capacity is that of its executors that take work, and its wait
 // is what this node has there beyond its part of the capacity. A zone without such an executor takes no jobs.
-func (p *Placer) refresh(all []node.Machine) {
+func (p *Placer) refresh(all []node.ExecutorInfo) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ready, out := make([]float64, len(p.site.Zones)), make([]float64, len(p.site.Zones))
@@ -132,7 +132,7 @@
 			continue
 		}
 		p.executorZone[m.Name] = z
-		out[z] += float64(m.Out)
+		out[z] += float64(m.InFlight)
 		if m.Condition() == dispatch.Ready {
 			ready[z]++
 		}
--- a/internal/locality/placer_test.go
+++ b/internal/locality/placer_test.go
@@ -14,9 +14,9 @@
 	"gatetack/internal/testenv"
 )
 
-type machineList []node.Machine
+type machineList []node.ExecutorInfo
 
-func (b machineList) Machines(context.Context) ([]node.Machine, error) { return b, nil }
+func (b machineList) Machines(context.Context) ([]node.ExecutorInfo, error) { return b, nil }
 
 var names = node.Names{Zones: []string{"tallinn", "tartu"}}
 
@@ -41,8 +41,8 @@
 	return Open(path, names, settings(), machineList{}, testenv.Quiet)
 }
 
-func machine(name, zone, status string) node.Machine {
-	return node.Machine{Entry: node.Entry{Name: name, Zone: zone, Status: status}}
+func machine(name, zone, status string) node.ExecutorInfo {
+	return node.ExecutorInfo{Endpoint: node.Endpoint{Name: name, Zone: zone, Status: status}}
 }
 
 func TestPlacePricesZonesByTheirDataAndExecutors(t *testing.T) {
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -12,23 +12,23 @@
 	case dispatch.ActSend:
 		c.send(a, now)
 	case dispatch.ActReject:
-		c.answerByID(a.Job, Answer{End: Refused, RetryAfter: Span(a.For), Why: "no room for it in time"})
+		c.answerByID(a.Job, Answer{End: Rejected, RetryAfter: FromMs(a.For), Reason: "no room for it in time"})
 	case dispatch.ActFail:
-		c.answerByID(a.Job, Answer{End: Failed, Why: "it may have run, and can not be tried again in time"})
+		c.answerByID(a.Job, Answer{End: Failed, Reason: "it may have run, and can not be tried again in time"})
 	case dispatch.ActCancel:
 		c.cancel(a, now)
 	case dispatch.ActTimer:
-		c.startTimer(now.Add(Span(a.For)), moduleTimer(a.Token))
+		c.startTimer(now.Add(FromMs(a.For)), moduleTimer(a.Token))
 	case dispatch.ActHealthCheck:
-		c.carriers.executors.Probe(a.Executor)
+		c.adapters.executors.CheckHealth(a.Executor)
 	case dispatch.ActClose:
-		c.carriers.executors.CloseIdle(a.Executor)
+		c.adapters.executors.CloseIdle(a.Executor)
 	case dispatch.ActPollList:
-		c.carriers.endpoints.Watch(a.Subscribe)
+		c.adapters.endpoints.Watch(a.Subscribe)
 	case dispatch.ActFetch:
-		c.carriers.endpoints.Fetch()
+		c.adapters.endpoints.Fetch()
 	case dispatch.ActGossip:
-		c.carriers.peers.Tell(a.To, a.Data)
+		c.adapters.peers.SendGossip(a.To, a.Data)
 	case dispatch.ActLog:
 		c.log.Info("dispatch module", "message", a.Text)
 	}
@@ -45,7 +45,7 @@
 	endpoint, listed := c.endpoints.byID[a.Executor]
 	until := j.deadline.Add(-c.limits.AnswerEarly)
 	if a.For > 0 {
-		until = earlier(until, now.Add(Span(a.For)))
+		until = earlier(until, now.Add(FromMs(a.For)))
 	}
 	if j.answered.Load() || !listed || !until.After(now) {
 		c.finish(attempt, dispatch.CanceledBeforeSend, nil, nil, now)
@@ -54,14 +54,14 @@
 	c.counters.Sends++
 	j.client.Sent(endpoint.Name)
 	c.startTimer(until, attemptTimeout(attempt.id))
-	c.carriers.executors.Send(Attempt{
-		ID:       attempt.id,
-		Worker:   a.Executor,
-		Deadline: until,
-		Job:      &j.request,
-		Answered: &j.answered,
-		Born:     endpoint.SinceMS,
-		Rules:    rules,
+	c.adapters.executors.Send(Attempt{
+		ID:                attempt.id,
+		Executor:          a.Executor,
+		Deadline:          until,
+		Job:               &j.request,
+		Answered:          &j.answered,
+		ExecutorStartedAt: endpoint.StartedAtMs,
+		Rules:             rules,
 	})
 }
 
@@ -72,7 +72,7 @@
 		return
 	}
 	if attempt := j.attempts[a.Attempt]; !attempt.ended {
-		c.carriers.executors.GiveUp(attempt.id)
+		c.adapters.executors.Cancel(attempt.id)
 		c.finish(attempt, dispatch.Canceled, nil, nil, now)
 	}
 }
--- a/internal/node/carriers.go
+++ b/internal/node/carriers.go
@@ -4,20 +4,20 @@
 
 // Executors carries out what goes to executors. No call blocks.
 type Executors interface {
-	// Told takes an executor's entry from an endpoint list that came at a time.
-	Told(executor uint32, e Entry, at time.Time)
+	// UpdateEndpoint takes an executor's entry from an endpoint list that came at a time.
+	UpdateEndpoint(executor uint32, e Endpoint, at time.Time)
 	// Send starts an attempt. It leads to one Result with an outcome given to Core.Result, unless GiveUp came first.
 	Send(Attempt)
-	// GiveUp cancels an attempt, which has no result of its own then.
-	GiveUp(id uint64)
-	// Probe checks an executor's health. It leads to one call of Core.Probed.
-	Probe(executor uint32)
+	// Cancel cancels an attempt, which has no result of its own then.
+	Cancel(id uint64)
+	// CheckHealth checks an executor's health. It leads to one call of Core.Probed.
+	CheckHealth(executor uint32)
 	// CloseIdle closes the idle connections to an executor.
 	CloseIdle(executor uint32)
 }
 
-// Lists asks for the list of executors. A call or a watch that fails leads to a list of the form ListFailed.
-type Lists interface {
+// EndpointSource asks for the list of executors. A call or a watch that fails leads to a list of the form ListFailed.
+type EndpointSource interface {
 	// Watch leads to one Core.List, and while it is on to one for each change.
 	Watch(on bool)
 	// Fetch leads to one Core.List.
@@ -26,6 +26,6 @@
 
 // Peers sends messages to other nodes, best effort.
 type Peers interface {
-	// Tell sends to one node, or to all where the number is dispatch.AllPeers.
-	Tell(to uint16, data []byte)
+	// SendGossip sends to one node, or to all where the number is dispatch.AllPeers.
+	SendGossip(to uint16, data []byte)
 }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -27,7 +27,7 @@
 	settings   dispatch.Settings
 	names      Names // of zones and kinds, which stay; those of classes and tenants are in rules
 	dispatcher *dispatch.Dispatcher
-	carriers   carriers
+	adapters   adapters
 
 	intake intake
 	rules  atomic.Pointer[Rules]
@@ -43,10 +43,10 @@
 	counters  counters
 }
 
-// carriers carry out the module's actions.
-type carriers struct {
+// adapters carry out the module's actions.
+type adapters struct {
 	executors Executors
-	endpoints Lists
+	endpoints EndpointSource
 	peers     Peers
 }
 
@@ -95,7 +95,7 @@
 func New(
 	s dispatch.Settings,
 	seed uint64,
-	known List,
+	known EndpointList,
 	names Names,
 	lim limits.Limits,
 	log *slog.Logger,
@@ -123,8 +123,8 @@
 }
 
 // Connect sets what carries out the core's actions. It must be called before Run.
-func (c *Core) Connect(e Executors, l Lists, p Peers) {
-	c.carriers = carriers{executors: e, endpoints: l, peers: p}
+func (c *Core) Connect(e Executors, l EndpointSource, p Peers) {
+	c.adapters = adapters{executors: e, endpoints: l, peers: p}
 }
 
 // Run owns the dispatch module until the context ends.
@@ -136,7 +136,7 @@
 		select {
 		case e := <-c.intake.events:
 			c.handle(e)
-			c.handleWaiting()
+			c.handleQueued()
 		case <-timer.C:
 		case <-ctx.Done():
 			return nil
@@ -146,8 +146,8 @@
 	}
 }
 
-// handleWaiting takes in the events that have come already, up to a bound.
-func (c *Core) handleWaiting() {
+// handleQueued takes in the events that have come already, up to a bound.
+func (c *Core) handleQueued() {
 	for range maxEventsPerRound {
 		select {
 		case e := <-c.intake.events:
@@ -163,7 +163,7 @@
 // runDue takes in the timers that are due, and steps if there is something to step for and it is time.
 func (c *Core) runDue(now time.Time) {
 	c.fireTimers(now)
-	if c.stillHolds(now) {
+	if c.holdsJobs(now) {
 		return
 	}
 	if len(c.pending.events) > 0 && !now.Before(c.pending.notBefore) {
@@ -174,7 +174,7 @@
 // step gives the pending events to the module and carries out its actions.
 func (c *Core) step(now time.Time) {
 	p := &c.pending
-	p.notBefore = now.Add(Span(c.settings.MinStepInterval))
+	p.notBefore = now.Add(FromMs(c.settings.MinStepInterval))
 	p.actions = c.dispatcher.Step(c.clock.unixMillis(now), p.events, p.actions[:0])
 	clear(p.events)
 	p.events = p.events[:0]
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -59,7 +59,7 @@
 }
 
 // host drives a core without its goroutine, on a clock of its own, and stands for all it speaks to.
-type fakeCarriers struct {
+type fakeAdapters struct {
 	core           *Core
 	now            time.Time
 	attempts       []Attempt
@@ -69,30 +69,32 @@
 	endpointStatus map[string]string
 }
 
-func (h *fakeCarriers) Told(_ uint32, e Entry, _ time.Time) { h.endpointStatus[e.Name] = e.Status }
-func (h *fakeCarriers) Send(a Attempt) {
+func (h *fakeAdapters) UpdateEndpoint(_ uint32, e Endpoint, _ time.Time) {
+	h.endpointStatus[e.Name] = e.Status
+}
+func (h *fakeAdapters) Send(a Attempt) {
 	h.attempts = append(h.attempts, a)
-	h.sends[a.Job] = append(h.sends[a.Job], a.Worker)
+	h.sends[a.Job] = append(h.sends[a.Job], a.Executor)
 }
-func (h *fakeCarriers) GiveUp(id uint64)    { h.canceled[id] = true }
-func (h *fakeCarriers) Probe(uint32)        {}
-func (h *fakeCarriers) CloseIdle(uint32)    {}
-func (h *fakeCarriers) Watch(bool)          { h.watches++ }
-func (h *fakeCarriers) Fetch()              {}
-func (h *fakeCarriers) Tell(uint16, []byte) {}
+func (h *fakeAdapters) Cancel(id uint64)          { h.canceled[id] = true }
+func (h *fakeAdapters) CheckHealth(uint32)        {}
+func (h *fakeAdapters) CloseIdle(uint32)          {}
+func (h *fakeAdapters) Watch(bool)                { h.watches++ }
+func (h *fakeAdapters) Fetch()                    {}
+func (h *fakeAdapters) SendGossip(uint16, []byte) {}
 
 type fatal interface{ Fatal(...any) }
 
-func newFakeCarriers(t fatal, rows ...Entry) *fakeCarriers {
-	h := startFakeCarriers(t, rows...)
+func newFakeAdapters(t fatal, rows ...Endpoint) *fakeAdapters {
+	h := startFakeAdapters(t, rows...)
 	h.run(0)
 	return h
 }
 
 // startHost makes one that has taken in nothing yet.
-func startFakeCarriers(t fatal, rows ...Entry) *fakeCarriers {
-	h := &fakeCarriers{canceled: map[uint64]bool{}, sends: map[*Job][]uint32{}, endpointStatus: map[string]string{}}
-	c, err := New(settings(), 1, List{Entries: rows}, Names{Zones: []string{"tallinn"}, Kinds: []string{"type-a"}}, lim,
+func startFakeAdapters(t fatal, rows ...Endpoint) *fakeAdapters {
+	h := &fakeAdapters{canceled: map[uint64]bool{}, sends: map[*Job][]uint32{}, endpointStatus: map[string]string{}}
+	c, err := New(settings(), 1, EndpointList{Entries: rows}, Names{Zones: []string{"tallinn"}, Kinds: []string{"type-a"}}, lim,
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -104,7 +106,7 @@
 }
 
 // run lets time pass in small steps and takes in what is queued.
-func (h *fakeCarriers) run(d time.Duration) {
+func (h *fakeAdapters) run(d time.Duration) {
 	for end := h.now.Add(d); ; h.now = h.now.Add(2 * time.Millisecond) {
 		for len(h.core.intake.events) > 0 {
 			h.core.handle(<-h.core.intake.events)
@@ -116,8 +118,8 @@
 	}
 }
 
-func readyEndpoint(name string) Entry {
-	return Entry{Name: name, Address: "127.0.0.1:1", Zone: "tallinn", Kind: "type-a", Group: 1, Status: "ready", Weight: 1}
+func readyEndpoint(name string) Endpoint {
+	return Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "tallinn", Kind: "type-a", Group: 1, Status: "ready", Weight: 1}
 }
 
 // client counts what a job's client is told.
@@ -129,7 +131,7 @@
 
 func (c *recordingClient) Sent(string)   { c.sent++ }
 func (c *recordingClient) Started()      { c.started++ }
-func (c *recordingClient) Returned(bool) { c.returned++ }
+func (c *recordingClient) Requeued(bool) { c.returned++ }
 func (c *recordingClient) Answer(a Answer) {
 	if c.answers = append(c.answers, a); len(c.answers) > 1 {
 		c.t.Fatal("a second answer", c.answers)
@@ -139,8 +141,8 @@
 // A tile-charge that may have run is never sent again, and is failed at once: its client must not be held.
 func TestTileChargeRunsOnce(t *testing.T) {
 	for _, o := range []dispatch.Outcome{dispatch.Errored, dispatch.Reset} {
-		h, cl := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
-		if _, err := h.core.Submit(Job{Left: 7500 * time.Millisecond, Slots: 1, Trace: "a"}, cl); err != nil {
+		h, cl := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
+		if _, err := h.core.Submit(Job{TimeLeft: 7500 * time.Millisecond, Slots: 1, TraceID: "a"}, cl); err != nil {
 			t.Fatal(err)
 		}
 		h.run(10 * time.Millisecond)
@@ -157,17 +159,17 @@
 
 // A box that has been told to drain, or is missing from a whole list, gets nothing new.
 func TestListsReachTheModule(t *testing.T) {
-	h := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2"))
+	h := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2"))
 	if !h.core.Ready() || h.watches != 1 {
 		t.Fatalf("ready %v, %d watches", h.core.Ready(), h.watches)
 	}
 	gone := readyEndpoint("s-1")
 	gone.Status = "draining"
-	h.core.List(List{Form: dispatch.ListDelta, Entries: []Entry{gone}})
+	h.core.List(EndpointList{Form: dispatch.ListDelta, Entries: []Endpoint{gone}})
 	h.run(10 * time.Millisecond)
 	for i := range 4 {
 		if _, err := h.core.Submit(
-			Job{Left: 7500 * time.Millisecond, Slots: 1, Trace: string(rune('a' + i))},
+			Job{TimeLeft: 7500 * time.Millisecond, Slots: 1, TraceID: string(rune('a' + i))},
 			&recordingClient{t: t},
 		); err != nil {
 			t.Fatal(err)
@@ -178,16 +180,16 @@
 		t.Fatal("nothing was sent")
 	}
 	for _, a := range h.attempts {
-		if a.Worker == WorkerID("s-1") {
+		if a.Executor == ExecutorID("s-1") {
 			t.Error("a draining box got a job")
 		}
 	}
-	h.core.List(List{Form: dispatch.ListSnapshot, Entries: []Entry{gone}})
+	h.core.List(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{gone}})
 	h.run(10 * time.Millisecond)
 	if h.endpointStatus["s-2"] != "gone" || h.core.Ready() {
 		t.Errorf("a box that a whole list lacks is %q; ready %v", h.endpointStatus["s-2"], h.core.Ready())
 	}
-	h.core.List(List{Form: dispatch.ListFailed})
+	h.core.List(EndpointList{Form: dispatch.ListFailed})
 	h.run(3 * time.Second)
 	if h.watches < 2 {
 		t.Error("a failed watch was not begun anew")
@@ -196,9 +198,9 @@
 
 // A second job of an id that is open fails: callbacks name a job by its id alone.
 func TestIDsAreNotShared(t *testing.T) {
-	h, first, second := newFakeCarriers(t, readyEndpoint("s-1")), &recordingClient{t: t}, &recordingClient{t: t}
+	h, first, second := newFakeAdapters(t, readyEndpoint("s-1")), &recordingClient{t: t}, &recordingClient{t: t}
 	for _, cl := range []*recordingClient{first, second} {
-		if _, err := h.core.Submit(Job{Left: time.Second, Slots: 1, Trace: "a"}, cl); err != nil {
+		if _, err := h.core.Submit(Job{TimeLeft: time.Second, Slots: 1, TraceID: "a"}, cl); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -212,14 +214,14 @@
 func TestFullQueue(t *testing.T) {
 	small := lim
 	small.Events = 2
-	c, err := New(settings(), 1, List{}, Names{}, small, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c, err := New(settings(), 1, EndpointList{}, Names{}, small, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err = c.Submit(Job{Trace: "a"}, &recordingClient{t: t}); err != nil {
+	if _, err = c.Submit(Job{TraceID: "a"}, &recordingClient{t: t}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err = c.Submit(Job{Trace: "b"}, &recordingClient{t: t}); !errors.Is(err, ErrFull) || c.Open() != 1 {
+	if _, err = c.Submit(Job{TraceID: "b"}, &recordingClient{t: t}); !errors.Is(err, ErrQueueFull) || c.Open() != 1 {
 		t.Errorf("%v, %d open", err, c.Open())
 	}
 }
@@ -228,7 +230,7 @@
 func TestParseListOnGarbage(t *testing.T) {
 	good := `{"index":41,"snapshot":true,"endpoints":[{"name":"s-5be2a07c","address":"10.1.0.18:8443","zone":"a",` +
 		`"type":"m2","group":3,"status":"ready","weight":1.0,"since_ms":0}]}`
-	l, err := ParseList(gjson.Parse(good))
+	l, err := ParseEndpointList(gjson.Parse(good))
 	if err != nil || l.Index != 41 || l.Form != dispatch.ListSnapshot || len(l.Entries) != 1 || l.Entries[0].Group != 3 {
 		t.Fatalf("%+v %v", l, err)
 	}
@@ -237,7 +239,7 @@
 		for range rapid.IntRange(1, 5).Draw(t, "hits") {
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
-		l, err := ParseList(gjson.ParseBytes(b[:rapid.IntRange(0, len(b)).Draw(t, "cut")]))
+		l, err := ParseEndpointList(gjson.ParseBytes(b[:rapid.IntRange(0, len(b)).Draw(t, "cut")]))
 		for _, e := range l.Entries {
 			if err == nil && e.Name == "" {
 				t.Fatal("an entry without a name")
@@ -257,7 +259,7 @@
 		{map[string]float64{"x0": 3, "pending": 2}, []float32{2, 3}},
 		{nil, nil},
 	} {
-		got := n.Report(func(name string) (float64, bool) { v, ok := c.in[name]; return v, ok })
+		got := n.LoadReport(func(name string) (float64, bool) { v, ok := c.in[name]; return v, ok })
 		if len(got) != len(c.want) || len(got) == 2 && (got[0] != c.want[0] || got[1] != c.want[1]) {
 			t.Errorf("%v: %v", c.in, got)
 		}
@@ -267,15 +269,15 @@
 // Two copies that are both served at the same moment give one answer: without the guard in Core.answer the client
 // would get a second one, and the counts would be wrong.
 func TestTwoCopiesOneAnswer(t *testing.T) {
-	h, cl := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
-	id, err := h.core.Submit(Job{Class: 1, Left: 25 * time.Second, Slots: 1, Trace: "a"}, cl)
+	h, cl := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
+	id, err := h.core.Submit(Job{Class: 1, TimeLeft: 25 * time.Second, Slots: 1, TraceID: "a"}, cl)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.run(10 * time.Millisecond)
-	other := WorkerID("s-1")
-	if h.attempts[0].Worker == other {
-		other = WorkerID("s-2")
+	other := ExecutorID("s-1")
+	if h.attempts[0].Executor == other {
+		other = ExecutorID("s-2")
 	}
 	h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Executor: other}, h.now)
 	if len(h.attempts) != 2 {
@@ -286,7 +288,7 @@
 	}
 	h.core.Gone(id) // and the client leaves as its answer is on the way
 	h.run(50 * time.Millisecond)
-	if n := h.core.counters.Counts; len(cl.answers) != 1 || n.Served != 1 || n.Gone != 0 || h.core.Open() != 0 ||
+	if n := h.core.counters.Counts; len(cl.answers) != 1 || n.Served != 1 || n.ClientsGone != 0 || h.core.Open() != 0 ||
 		len(h.core.jobs.byID) != 0 {
 		t.Errorf("answers %v, counts %+v, %d open", cl.answers, n, h.core.Open())
 	}
@@ -295,8 +297,8 @@
 // An attempt of which nothing is heard ends as timed out, is given up, and the job is failed while its client
 // still waits; the module's own word comes before the core's last resort.
 func TestTimeOut(t *testing.T) {
-	h, cl := newFakeCarriers(t, readyEndpoint("s-1")), &recordingClient{t: t}
-	if _, err := h.core.Submit(Job{Left: time.Second, Slots: 1, Trace: "a"}, cl); err != nil {
+	h, cl := newFakeAdapters(t, readyEndpoint("s-1")), &recordingClient{t: t}
+	if _, err := h.core.Submit(Job{TimeLeft: time.Second, Slots: 1, TraceID: "a"}, cl); err != nil {
 		t.Fatal(err)
 	}
 	h.run(960 * time.Millisecond)
@@ -312,10 +314,10 @@
 // A node that may be killed any moment answers what came after its signal: unanswered, that would count as lost.
 // What nothing was sent of is refused, what came before may still be served, and nothing more is taken.
 func TestLeave(t *testing.T) {
-	h := newFakeCarriers(t, readyEndpoint("s-1"))
+	h := newFakeAdapters(t, readyEndpoint("s-1"))
 	submit := func(trace string) *recordingClient {
 		cl := &recordingClient{t: t}
-		if _, err := h.core.Submit(Job{Trace: trace, Left: 7 * time.Second, Slots: 1}, cl); err != nil {
+		if _, err := h.core.Submit(Job{TraceID: trace, TimeLeft: 7 * time.Second, Slots: 1}, cl); err != nil {
 			t.Fatal(err)
 		}
 		h.run(20 * time.Millisecond)
@@ -336,11 +338,11 @@
 	if old.sent != 1 || sent.sent != 1 {
 		t.Fatalf("sent %d and %d, want one each: the test would show nothing", old.sent, sent.sent)
 	}
-	h.core.Leave(told)
+	h.core.ShutDown(told)
 	h.run(20 * time.Millisecond)
 	late := submit("late")
 	for what, cl := range map[string]*recordingClient{"held": held, "late": late} {
-		if len(cl.answers) != 1 || cl.answers[0].End != Refused || cl.answers[0].RetryAfter <= 0 || cl.sent != 0 {
+		if len(cl.answers) != 1 || cl.answers[0].End != Rejected || cl.answers[0].RetryAfter <= 0 || cl.sent != 0 {
 			t.Errorf("%s: %+v, sent %d", what, cl.answers, cl.sent)
 		}
 	}
@@ -360,12 +362,12 @@
 // Where the operators' file bounds the jobs that one customer may have open, one more is turned away at once, others
 // are not, and an end makes room.
 func TestCustomersShare(t *testing.T) {
-	h := newFakeCarriers(t, readyEndpoint("s-1"))
+	h := newFakeAdapters(t, readyEndpoint("s-1"))
 	h.core.limits.Pace.Requests = 2
 	h.core.open.byTenant = make([]atomic.Int64, 2)
 	submit := func(id string, tenant int) (uint32, error) {
 		return h.core.Submit(
-			Job{Trace: id, Class: 1, Tenant: tenant, Left: 5 * time.Second, Slots: 1},
+			Job{TraceID: id, Class: 1, Tenant: tenant, TimeLeft: 5 * time.Second, Slots: 1},
 			&recordingClient{t: t},
 		)
 	}
@@ -377,8 +379,8 @@
 	if _, err := submit(
 		"c",
 		0,
-	); !errors.Is(err, ErrShare) || h.core.Open() != 2 ||
-		h.core.Slow().Count(slowpeer.ClientShare) != 1 {
+	); !errors.Is(err, ErrTenantLimit) || h.core.Open() != 2 ||
+		h.core.SlowPeers().Count(slowpeer.ClientShare) != 1 {
 		t.Errorf("%v, %d open", err, h.core.Open())
 	}
 	if _, err := submit("d", 1); err != nil {
@@ -395,10 +397,10 @@
 func TestReadyWithoutAList(t *testing.T) {
 	drains := readyEndpoint("s-1")
 	drains.Status = "draining"
-	for _, known := range [][]Entry{nil, {drains}} {
-		h := newFakeCarriers(t, known...)
+	for _, known := range [][]Endpoint{nil, {drains}} {
+		h := newFakeAdapters(t, known...)
 		c := h.core
-		c.handle(endpointUpdate{List{Form: dispatch.ListFailed}})
+		c.handle(endpointUpdate{EndpointList{Form: dispatch.ListFailed}})
 		h.now = c.clock.start.Add(c.limits.ReadyBy - 1)
 		if c.Ready() {
 			t.Error("ready before")
@@ -406,10 +408,10 @@
 		if h.now = h.now.Add(1); !c.Ready() {
 			t.Error("not ready")
 		}
-		if c.handle(endpointUpdate{List{Form: dispatch.ListSnapshot}}); c.Ready() {
+		if c.handle(endpointUpdate{EndpointList{Form: dispatch.ListSnapshot}}); c.Ready() {
 			t.Error("ready though the list names nobody")
 		}
-		if c.handle(endpointUpdate{List{Form: dispatch.ListSnapshot, Entries: []Entry{readyEndpoint("s-1")}}}); !c.Ready() {
+		if c.handle(endpointUpdate{EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-1")}}}); !c.Ready() {
 			t.Error("not ready with a list")
 		}
 	}
--- a/internal/node/deadline_test.go
+++ b/internal/node/deadline_test.go
@@ -12,29 +12,29 @@
 func TestAttemptsEndBeforeTheirClientLeaves(t *testing.T) {
 	type kind struct {
 		sends  int
-		second func(h *fakeCarriers, id uint32)
+		second func(h *fakeAdapters, id uint32)
 	}
 	for name, x := range map[string]kind{
-		"first": {1, func(*fakeCarriers, uint32) {}},
-		"retry": {2, func(h *fakeCarriers, _ uint32) {
+		"first": {1, func(*fakeAdapters, uint32) {}},
+		"retry": {2, func(h *fakeAdapters, _ uint32) {
 			h.core.Result(Result{Attempt: h.attempts[0].ID, Outcome: dispatch.Full})
 		}},
-		"hedge": {2, func(h *fakeCarriers, id uint32) {
-			other := WorkerID("s-1")
-			if h.attempts[0].Worker == other {
-				other = WorkerID("s-2")
+		"hedge": {2, func(h *fakeAdapters, id uint32) {
+			other := ExecutorID("s-1")
+			if h.attempts[0].Executor == other {
+				other = ExecutorID("s-2")
 			}
 			h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Executor: other}, h.now)
 		}},
-		"bounded hedge": {2, func(h *fakeCarriers, id uint32) {
-			h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Executor: h.attempts[0].Worker, For: 60_000}, h.now)
+		"bounded hedge": {2, func(h *fakeAdapters, id uint32) {
+			h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Executor: h.attempts[0].Executor, For: 60_000}, h.now)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2"))
+			h := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2"))
 			const left = 3 * time.Second
 			clientLeaves := h.now.Add(left)
-			id, err := h.core.Submit(Job{Class: 1, Left: left, Slots: 1, Trace: "a"}, &recordingClient{t: t})
+			id, err := h.core.Submit(Job{Class: 1, TimeLeft: left, Slots: 1, TraceID: "a"}, &recordingClient{t: t})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/node/endpoint.go
+++ b/internal/node/endpoint.go
@@ -10,25 +10,25 @@
 	"gatetack/internal/dispatch"
 )
 
-// Entry is one executor in a list.
-type Entry struct {
+// Endpoint is one executor in a list.
+type Endpoint struct {
 	Name, Address, Zone, Kind string
 	Group                     int
 	Status                    string
 	Weight                    float64
-	SinceMS                   float64
+	StartedAtMs               float64
 }
 
-// List is what discovery or an inventory tells: the whole list or changes of it.
-type List struct {
+// EndpointList is what discovery or an inventory tells: the whole list or changes of it.
+type EndpointList struct {
 	Form    dispatch.ListForm
 	Index   uint64
-	Entries []Entry
+	Entries []Endpoint
 }
 
-// ParseList reads a list in discovery's form. Form is full or delta.
-func ParseList(v gjson.Result) (List, error) {
-	l := List{Form: dispatch.ListDelta, Index: v.Get("index").Uint()}
+// ParseEndpointList reads a list in discovery's form. Form is full or delta.
+func ParseEndpointList(v gjson.Result) (EndpointList, error) {
+	l := EndpointList{Form: dispatch.ListDelta, Index: v.Get("index").Uint()}
 	if v.Get("snapshot").Bool() {
 		l.Form = dispatch.ListSnapshot
 	}
@@ -37,9 +37,9 @@
 		return l, errors.New("a list without endpoints")
 	}
 	for i, e := range entries.Array() {
-		x := Entry{Name: e.Get("name").String(), Address: e.Get("address").String(), Zone: e.Get("zone").String(),
+		x := Endpoint{Name: e.Get("name").String(), Address: e.Get("address").String(), Zone: e.Get("zone").String(),
 			Kind: e.Get("type").String(), Group: int(e.Get("group").Int()), Status: e.Get("status").String(),
-			Weight: e.Get("weight").Float(), SinceMS: e.Get("since_ms").Float()}
+			Weight: e.Get("weight").Float(), StartedAtMs: e.Get("since_ms").Float()}
 		if x.Name == "" {
 			return l, fmt.Errorf("entry %d has no name", i)
 		}
@@ -49,7 +49,7 @@
 }
 
 // Condition of an entry. A word that is not known is taken as draining: nothing new goes there.
-func (e *Entry) Condition() dispatch.Condition {
+func (e *Endpoint) Condition() dispatch.Condition {
 	switch e.Status {
 	case "ready":
 		return dispatch.Ready
@@ -59,8 +59,8 @@
 	return dispatch.Draining
 }
 
-// WorkerID is an executor's number at every node: peers name executors to one another by it.
-func WorkerID(name string) uint32 {
+// ExecutorID is an executor's number at every node: peers name executors to one another by it.
+func ExecutorID(name string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
 	return h.Sum32()
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -18,17 +18,17 @@
 
 // endpointTable holds the executors that the endpoint list names, and how far the list is to be relied on.
 type endpointTable struct {
-	byID      map[uint32]Entry
+	byID      map[uint32]Endpoint
 	knowledge *recovery.Knowledge
 }
 
 func newEndpointTable(s dispatch.Settings, lim limits.Limits) endpointTable {
 	// A list that must be asked for counts as it was for the time to ask within, and several times that after a failed
 	// call.
-	fresh := max(Span(s.MaxPollInterval), lim.Staleness.MaxStaleness)
+	fresh := max(FromMs(s.MaxPollInterval), lim.Staleness.MaxStaleness)
 	usable := time.Duration(lim.Staleness.FailedPollFactor) * fresh
 	bounds := map[recovery.Kind]recovery.AgeBounds{recovery.EndpointList: {Fresh: fresh, Usable: usable}}
-	return endpointTable{byID: map[uint32]Entry{}, knowledge: recovery.NewKnowledge(bounds)}
+	return endpointTable{byID: map[uint32]Endpoint{}, knowledge: recovery.NewKnowledge(bounds)}
 }
 
 // hasReady says whether an executor takes work.
@@ -52,15 +52,15 @@
 	}
 }
 
-// updateEndpoints passes a list, or a change of it, on to the module and to what carries attempts.
-func (c *Core) updateEndpoints(l List, now time.Time) {
+// applyEndpointList passes a list, or a change of it, on to the module and to what carries attempts.
+func (c *Core) applyEndpointList(l EndpointList, now time.Time) {
 	c.confirmKnowledge(l, now)
 	if l.Form == dispatch.ListSnapshot || l.Form == dispatch.ListCached {
 		c.removeUnlisted(l, now)
 	}
 	e := dispatch.Event{Kind: dispatch.EvEndpoints, Form: l.Form, Version: uint32(l.Index)}
 	for i := range l.Entries {
-		if c.updateEndpoint(&l.Entries[i], now) {
+		if c.applyEndpoint(&l.Entries[i], now) {
 			e.Rows = append(e.Rows, c.row(&l.Entries[i]))
 		}
 	}
@@ -69,7 +69,7 @@
 }
 
 // confirmKnowledge notes how current the list is now.
-func (c *Core) confirmKnowledge(l List, now time.Time) {
+func (c *Core) confirmKnowledge(l EndpointList, now time.Time) {
 	age := c.clock.sinceStart(now)
 	switch l.Form {
 	case dispatch.ListFailed:
@@ -83,23 +83,23 @@
 }
 
 // removeUnlisted removes the executors that a snapshot of the list does not name.
-func (c *Core) removeUnlisted(l List, now time.Time) {
+func (c *Core) removeUnlisted(l EndpointList, now time.Time) {
 	listed := map[uint32]bool{}
 	for i := range l.Entries {
-		listed[WorkerID(l.Entries[i].Name)] = true
+		listed[ExecutorID(l.Entries[i].Name)] = true
 	}
 	for id, endpoint := range c.endpoints.byID {
 		if !listed[id] {
 			endpoint.Status = statusGone
-			c.carriers.executors.Told(id, endpoint, now)
+			c.adapters.executors.UpdateEndpoint(id, endpoint, now)
 			delete(c.endpoints.byID, id)
 		}
 	}
 }
 
-// updateEndpoint takes in one executor's entry, unless it shares its number with another executor.
-func (c *Core) updateEndpoint(endpoint *Entry, now time.Time) bool {
-	id := WorkerID(endpoint.Name)
+// applyEndpoint takes in one executor's entry, unless it shares its number with another executor.
+func (c *Core) applyEndpoint(endpoint *Endpoint, now time.Time) bool {
+	id := ExecutorID(endpoint.Name)
 	if known, ok := c.endpoints.byID[id]; ok && known.Name != endpoint.Name {
 		c.log.Error("executor ignored, its number is another's", "executor", endpoint.Name, "other", known.Name)
 		return false
@@ -109,20 +109,20 @@
 	} else {
 		c.endpoints.byID[id] = *endpoint
 	}
-	c.carriers.executors.Told(id, *endpoint, now)
+	c.adapters.executors.UpdateEndpoint(id, *endpoint, now)
 	return true
 }
 
 // row is an executor's entry as the module takes it.
-func (c *Core) row(endpoint *Entry) dispatch.EndpointUpdate {
+func (c *Core) row(endpoint *Endpoint) dispatch.EndpointUpdate {
 	return dispatch.EndpointUpdate{
-		Executor:  WorkerID(endpoint.Name),
+		Executor:  ExecutorID(endpoint.Name),
 		Zone:      position(c.names.Zones, endpoint.Zone),
 		Kind:      position(c.names.Kinds, endpoint.Kind),
 		Cell:      uint16(endpoint.Group),
 		Condition: endpoint.Condition(),
 		Weight:    endpoint.Weight,
-		StartedAt: endpoint.SinceMS,
+		StartedAt: endpoint.StartedAtMs,
 	}
 }
 
@@ -135,22 +135,22 @@
 	return uint8(min(i, maxPosition))
 }
 
-// Machine is an executor as the node sees it.
-type Machine struct {
-	Entry
-	Out int // attempts of this node that are out there
+// ExecutorInfo is an executor as the node sees it.
+type ExecutorInfo struct {
+	Endpoint
+	InFlight int // attempts of this node that are out there
 }
 
-// machines are the listed executors, by name.
-func (c *Core) machines() []Machine {
+// listedExecutors are the listed executors, by name.
+func (c *Core) listedExecutors() []ExecutorInfo {
 	inFlight := map[uint32]int{}
 	for _, a := range c.jobs.attempts {
 		inFlight[a.executor]++
 	}
-	var all []Machine
+	var all []ExecutorInfo
 	for id, endpoint := range c.endpoints.byID {
-		all = append(all, Machine{endpoint, inFlight[id]})
+		all = append(all, ExecutorInfo{endpoint, inFlight[id]})
 	}
-	slices.SortFunc(all, func(a, b Machine) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b ExecutorInfo) int { return strings.Compare(a.Name, b.Name) })
 	return all
 }
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -32,7 +32,7 @@
 	if j == nil || j.answered.Load() {
 		return
 	}
-	c.counters.Gone++
+	c.counters.ClientsGone++
 	c.markAnswered(j)
 	c.queueEvent(dispatch.Event{Kind: dispatch.EvClientGone, Job: j.id})
 	c.release(j)
@@ -44,9 +44,9 @@
 func (e attemptResult) apply(c *Core, now time.Time) { c.handleResult(e.Result, now) }
 
 // endpointUpdate is an endpoint list or a change of it.
-type endpointUpdate struct{ List }
+type endpointUpdate struct{ EndpointList }
 
-func (e endpointUpdate) apply(c *Core, now time.Time) { c.updateEndpoints(e.List, now) }
+func (e endpointUpdate) apply(c *Core, now time.Time) { c.applyEndpointList(e.EndpointList, now) }
 
 // listConfirmed is the event that a watch said that nothing has changed since its last line.
 type listConfirmed struct{}
@@ -74,7 +74,7 @@
 // shutdown says that the node may end at any moment, and after which time jobs are answered at once.
 type shutdown struct{ after time.Time }
 
-func (e shutdown) apply(c *Core, _ time.Time) { c.shutDown(e.after) }
+func (e shutdown) apply(c *Core, _ time.Time) { c.beginShutdown(e.after) }
 
 // configChange puts new rules in force.
 type configChange struct {
@@ -84,17 +84,17 @@
 }
 
 func (e configChange) apply(c *Core, now time.Time) {
-	if c.stillHolds(now) {
+	if c.holdsJobs(now) {
 		c.startup.waitingChanges = append(c.startup.waitingChanges, e)
 		return
 	}
 	c.reconfigure(e, now)
 }
 
-// machinesRequest asks for the executors as the node sees them.
-type machinesRequest chan []Machine
+// executorsRequest asks for the executors as the node sees them.
+type executorsRequest chan []ExecutorInfo
 
-func (e machinesRequest) apply(c *Core, _ time.Time) { e <- c.machines() }
+func (e executorsRequest) apply(c *Core, _ time.Time) { e <- c.listedExecutors() }
 
 // countsRequest asks for the counts.
 type countsRequest chan Counts
--- a/internal/node/job.go
+++ b/internal/node/job.go
@@ -46,12 +46,12 @@
 	return jobTable{byID: map[uint32]*job{}, byTrace: map[string]*job{}, attempts: map[uint64]*attempt{}}
 }
 
-func (t *jobTable) add(j *job) { t.byID[j.id], t.byTrace[j.request.Trace] = j, j }
+func (t *jobTable) add(j *job) { t.byID[j.id], t.byTrace[j.request.TraceID] = j, j }
 
 // remove drops a job and frees its trace id.
 func (t *jobTable) remove(j *job) {
 	delete(t.byID, j.id)
-	delete(t.byTrace, j.request.Trace)
+	delete(t.byTrace, j.request.TraceID)
 }
 
 // addAttempt begins a job's next attempt.
@@ -82,7 +82,7 @@
 	}
 	for _, a := range j.attempts { // in the order of their sending: the first that counts is the earliest
 		if a.mayHaveRun && !rules.MayHaveRun {
-			rules.MayHaveRun, rules.WindowEnd = true, a.sentAt.Add(Span(class.DedupWindow))
+			rules.MayHaveRun, rules.WindowEnd = true, a.sentAt.Add(FromMs(class.DedupWindow))
 		}
 	}
 	return rules
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -12,13 +12,13 @@
 // addJob takes in a job that a front handed in. Callbacks name a job by its trace id alone: a second job of an id that
 // is open could get the first one's result.
 func (c *Core) addJob(j *job, now time.Time) {
-	c.counters.Taken++
-	if j.request.Trace == "" || c.jobs.byTrace[j.request.Trace] != nil {
-		c.answer(j, Answer{End: Failed, Why: "a job of this id is still open"})
+	c.counters.Accepted++
+	if j.request.TraceID == "" || c.jobs.byTrace[j.request.TraceID] != nil {
+		c.answer(j, Answer{End: Failed, Reason: "a job of this id is still open"})
 		return
 	}
 	if c.jobs.shuttingDown {
-		c.answer(j, Answer{End: Refused, RetryAfter: Span(c.settings.MaxRetryAfter), Why: shuttingDownReason})
+		c.answer(j, Answer{End: Rejected, RetryAfter: FromMs(c.settings.MaxRetryAfter), Reason: shuttingDownReason})
 		return
 	}
 	j.rules = c.rules.Load()
@@ -40,12 +40,12 @@
 		Work:       request.Work,
 		Slots:      request.Slots,
 		Memory:     request.Memory,
-		ZonePrices: request.Prices,
+		ZonePrices: request.ZonePrices,
 	}
 	if request.Work > 0 {
 		e.Flags |= dispatch.FlagWorkHint
 	}
-	if request.Repeat {
+	if request.Retry {
 		e.Flags |= dispatch.FlagRetry
 	}
 	return e
@@ -93,7 +93,7 @@
 	}
 	// The module hears that the client left: that ends a job without an answer of its own.
 	c.queueEvent(dispatch.Event{Kind: dispatch.EvClientGone, Job: id})
-	c.answer(j, Answer{End: Terminated, Why: "terminated before it was sent"})
+	c.answer(j, Answer{End: Terminated, Reason: "terminated before it was sent"})
 	return nil
 }
 
@@ -137,7 +137,7 @@
 		c.answer(j, Answer{End: Served, Result: body})
 	}
 	if !j.answered.Load() && j.inFlight == 0 {
-		j.client.Returned(!j.mayHaveRun)
+		j.client.Requeued(!j.mayHaveRun)
 	}
 	c.queueEvent(
 		dispatch.Event{Kind: dispatch.EvOutcome, Job: j.id, Attempt: a.index, Executor: a.executor, Outcome: outcome,
@@ -158,13 +158,13 @@
 		c.startTimer(last, jobDeadline(id))
 		return
 	}
-	c.log.Warn("job left unanswered by the dispatch module", "job", j.request.Trace, "in_flight", j.inFlight,
+	c.log.Warn("job left unanswered by the dispatch module", "job", j.request.TraceID, "in_flight", j.inFlight,
 		"attempts", len(j.attempts))
 	c.answerUndecided(j, "its time is over")
 }
 
-// shutDown answers what came after a time and whatever nothing was sent of; nothing more is taken in.
-func (c *Core) shutDown(after time.Time) {
+// beginShutdown answers what came after a time and whatever nothing was sent of; nothing more is taken in.
+func (c *Core) beginShutdown(after time.Time) {
 	c.jobs.shuttingDown = true
 	for _, j := range c.jobs.byID {
 		undecided := j.acceptedAt.After(after) || j.inFlight == 0 && !j.mayHaveRun
@@ -176,9 +176,9 @@
 
 // answerUndecided ends a job without the module, which hears that the client left.
 func (c *Core) answerUndecided(j *job, why string) {
-	a := Answer{End: Failed, Why: why}
+	a := Answer{End: Failed, Reason: why}
 	if j.inFlight == 0 && !j.mayHaveRun {
-		a.End, a.RetryAfter = Refused, Span(c.settings.MaxRetryAfter)
+		a.End, a.RetryAfter = Rejected, FromMs(c.settings.MaxRetryAfter)
 	}
 	c.queueEvent(dispatch.Event{Kind: dispatch.EvClientGone, Job: j.id})
 	c.answer(j, a)
--- a/internal/node/localfault_test.go
+++ b/internal/node/localfault_test.go
@@ -19,9 +19,9 @@
 		"failed connection":     {dispatch.ConnectFailed, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newFakeCarriers(t, readyEndpoint("s-1"))
+			h := newFakeAdapters(t, readyEndpoint("s-1"))
 			submit := func(trace string) {
-				if _, err := h.core.Submit(Job{Left: 7 * time.Second, Slots: 1, Trace: trace}, &recordingClient{t: t}); err != nil {
+				if _, err := h.core.Submit(Job{TimeLeft: 7 * time.Second, Slots: 1, TraceID: trace}, &recordingClient{t: t}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -45,8 +45,8 @@
 // no more attempts are made than the settings allow, however soon each ends.
 func TestCancelledBeforeSendIsBounded(t *testing.T) {
 	for class := range settings().Classes {
-		h, cl := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
-		if _, err := h.core.Submit(Job{Class: class, Left: 7 * time.Second, Slots: 1, Trace: "a"}, cl); err != nil {
+		h, cl := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
+		if _, err := h.core.Submit(Job{Class: class, TimeLeft: 7 * time.Second, Slots: 1, TraceID: "a"}, cl); err != nil {
 			t.Fatal(err)
 		}
 		for ended := 0; h.now.Before(h.core.clock.start.Add(8 * time.Second)); h.run(2 * time.Millisecond) {
@@ -54,7 +54,7 @@
 				h.core.Result(Result{Attempt: h.attempts[ended].ID, Outcome: dispatch.CanceledBeforeSend})
 			}
 		}
-		if len(cl.answers) != 1 || cl.answers[0].End != Refused || h.sent() > settings().MaxAttempts {
+		if len(cl.answers) != 1 || cl.answers[0].End != Rejected || h.sent() > settings().MaxAttempts {
 			t.Errorf("class %d: answers %+v after %d attempts", class, cl.answers, h.sent())
 		}
 	}
--- a/internal/node/oneanswer_test.go
+++ b/internal/node/oneanswer_test.go
@@ -21,7 +21,7 @@
 // answerModel plays random events at a core and keeps what each job may be answered.
 type answerModel struct {
 	t       *rapid.T
-	h       *fakeCarriers
+	h       *fakeAdapters
 	jobs    []*submittedByTest
 	byTrace map[string]*submittedByTest
 }
@@ -54,7 +54,7 @@
 	job := &submittedByTest{client: &recordingClient{t: m.t}}
 	class := rapid.IntRange(0, 1).Draw(m.t, "class")
 	left := time.Duration(rapid.IntRange(0, 3000).Draw(m.t, "left")) * time.Millisecond
-	id, err := m.h.core.Submit(Job{Class: class, Left: left, Slots: 1, Trace: trace}, job.client)
+	id, err := m.h.core.Submit(Job{Class: class, TimeLeft: left, Slots: 1, TraceID: trace}, job.client)
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 		dispatch.Served, dispatch.Errored, dispatch.Full, dispatch.ConnectFailed, dispatch.Reset, dispatch.CanceledBeforeSend,
 	}).Draw(m.t, "outcome")
 	if _, inFlight := m.h.core.jobs.attempts[a.ID]; inFlight && !outcome.NeverRan() {
-		m.byTrace[a.Job.Trace].ran = true
+		m.byTrace[a.Job.TraceID].ran = true
 	}
 	m.h.core.Result(Result{Attempt: a.ID, Outcome: outcome, Body: []byte("tile"), Report: []float32{0, 2}})
 }
@@ -98,7 +98,7 @@
 			m.t.Fatal("a job without an answer")
 		}
 		for _, a := range job.client.answers {
-			if a.End == Refused && job.ran {
+			if a.End == Rejected && job.ran {
 				m.t.Fatal("refused, though it may have run")
 			}
 		}
@@ -108,8 +108,8 @@
 func (m *answerModel) checkAttempts(sent []Attempt) {
 	attempts := map[string]int{}
 	for _, a := range sent {
-		attempts[a.Job.Trace]++
-		if attempts[a.Job.Trace] > 3 {
+		attempts[a.Job.TraceID]++
+		if attempts[a.Job.TraceID] > 3 {
 			m.t.Fatal("more than three attempts")
 		}
 	}
@@ -127,7 +127,7 @@
 // client left; a refusal is given only where no attempt may have run; and no job has more attempts than it may.
 func TestOneAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &answerModel{t: t, h: newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2"))}
+		m := &answerModel{t: t, h: newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2"))}
 		m.byTrace = map[string]*submittedByTest{}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			m.playEvent(step)
--- a/internal/node/openjobs.go
+++ b/internal/node/openjobs.go
@@ -17,13 +17,13 @@
 func (c *Core) reserve(j *job) error {
 	if int(c.open.total.Add(1)) > c.limits.MaxOpen {
 		c.open.total.Add(-1)
-		return ErrFull
+		return ErrQueueFull
 	}
 	maxOpen := c.limits.Pace.Requests
 	if maxOpen > 0 && j.request.Tenant < len(c.open.byTenant) && int(c.open.byTenant[j.request.Tenant].Add(1)) > maxOpen {
 		c.unreserve(j)
 		c.counters.slowPeers.Add(slowpeer.ClientShare)
-		return ErrShare
+		return ErrTenantLimit
 	}
 	return nil
 }
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -10,10 +10,10 @@
 
 // Errors of Submit.
 var (
-	// ErrFull is the answer to a job for which the core's queue has no place.
-	ErrFull = errors.New("node: the queue of events is full")
-	// ErrShare is the answer to a job whose tenant has as many open as the operators' file allows.
-	ErrShare = errors.New("node: the customer has as many open as it may")
+	// ErrQueueFull is the answer to a job for which the core's queue has no place.
+	ErrQueueFull = errors.New("node: the queue of events is full")
+	// ErrTenantLimit is the answer to a job whose tenant has as many open as the operators' file allows.
+	ErrTenantLimit = errors.New("node: the customer has as many open as it may")
 )
 
 // Errors of Terminate.
@@ -27,7 +27,7 @@
 // Submit hands in a job. Unless it fails, the client gets one answer, or Gone is called. It never blocks.
 func (c *Core) Submit(in Job, client Client) (uint32, error) {
 	now := c.clock.now()
-	j := &job{id: c.intake.lastJobID.Add(1), request: in, client: client, acceptedAt: now, deadline: now.Add(in.Left)}
+	j := &job{id: c.intake.lastJobID.Add(1), request: in, client: client, acceptedAt: now, deadline: now.Add(in.TimeLeft)}
 	if err := c.reserve(j); err != nil {
 		return 0, err
 	}
@@ -36,16 +36,16 @@
 		return j.id, nil
 	default:
 		c.unreserve(j)
-		return 0, ErrFull
+		return 0, ErrQueueFull
 	}
 }
 
 // Gone says that a job's client has left. Its answer may cross with it.
 func (c *Core) Gone(id uint32) { c.post(clientLeft{id}) }
 
-// Leave says that the node may end any moment. What it took after a time, and whatever nothing was sent of, is
+// ShutDown says that the node may end any moment. What it took after a time, and whatever nothing was sent of, is
 // answered now, and so is all that still comes; what is older may yet be served.
-func (c *Core) Leave(after time.Time) { c.post(shutdown{after}) }
+func (c *Core) ShutDown(after time.Time) { c.post(shutdown{after}) }
 
 // Result takes what came of an attempt.
 func (c *Core) Result(r Result) { c.post(attemptResult{r}) }
@@ -62,7 +62,7 @@
 }
 
 // List takes a list or a change of it.
-func (c *Core) List(l List) { c.post(endpointUpdate{l}) }
+func (c *Core) List(l EndpointList) { c.post(endpointUpdate{l}) }
 
 // Peer takes a message of another node.
 func (c *Core) Peer(from uint32, data []byte) {
@@ -99,8 +99,8 @@
 }
 
 // Machines tells which executors are listed, by name, and what of this node is out there.
-func (c *Core) Machines(ctx context.Context) ([]Machine, error) {
-	request := make(machinesRequest, 1)
+func (c *Core) Machines(ctx context.Context) ([]ExecutorInfo, error) {
+	request := make(executorsRequest, 1)
 	c.post(request)
 	select {
 	case all := <-request:
--- a/internal/node/rules.go
+++ b/internal/node/rules.go
@@ -15,14 +15,14 @@
 	Names    Names
 }
 
-// Retired is the place of a class that is no longer named, or whose rules are new: what clients still send under its
+// RetiredClass is the place of a class that is no longer named, or whose rules are new: what clients still send under its
 // name is taken until a time, unless the name stands for another place, and from another time on nothing of it can be
 // open.
-type Retired struct {
-	Name  string
-	Class int
-	Until time.Time
-	Free  time.Time
+type RetiredClass struct {
+	Name          string
+	Class         int
+	AcceptedUntil time.Time
+	ReusableAt    time.Time
 }
 
 // Retune makes rules of those in force and of settings read anew. A class or tenant is the same if its name is; a class
@@ -41,7 +41,7 @@
 	next.Names.Retired = nil
 	var free []int
 	for _, x := range r.Names.Retired {
-		if now.Before(x.Free) {
+		if now.Before(x.ReusableAt) {
 			next.Names.Retired = append(next.Names.Retired, x)
 		} else {
 			free = append(free, x.Class)
@@ -76,12 +76,12 @@
 	for i, name := range r.Names.Classes {
 		if name != "" && next.Names.Classes[i] != name {
 			until := now.Add(late)
-			next.Names.Retired = append(next.Names.Retired, Retired{name, i, until,
-				until.Add(Span(r.Settings.Classes[i].Deadline) + time.Second)})
+			next.Names.Retired = append(next.Names.Retired, RetiredClass{name, i, until,
+				until.Add(FromMs(r.Settings.Classes[i].Deadline) + time.Second)})
 		}
 	}
 	for _, i := range free { // until another takes the place
-		next.Names.Retired = append(next.Names.Retired, Retired{Class: i})
+		next.Names.Retired = append(next.Names.Retired, RetiredClass{Class: i})
 	}
 	return next, from, next.retuneTenants(r, s, names)
 }
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -103,12 +103,12 @@
 func openPlaces(r *Rules, now, next time.Time) (jobs []openPlace) {
 	for i, name := range r.Names.Classes {
 		if c := r.Settings.Classes[i]; name != "" {
-			jobs = append(jobs, openPlace{i, c, next.Add(Span(c.Deadline))})
+			jobs = append(jobs, openPlace{i, c, next.Add(FromMs(c.Deadline))})
 		}
 	}
 	for _, x := range r.Names.Retired {
-		if c := r.Settings.Classes[x.Class]; x.Name != "" && now.Before(x.Until) {
-			jobs = append(jobs, openPlace{x.Class, c, x.Until.Add(Span(c.Deadline))})
+		if c := r.Settings.Classes[x.Class]; x.Name != "" && now.Before(x.AcceptedUntil) {
+			jobs = append(jobs, openPlace{x.Class, c, x.AcceptedUntil.Add(FromMs(c.Deadline))})
 		}
 	}
 	return jobs
@@ -148,11 +148,11 @@
 // A retune reaches the module, where open jobs keep their rules; one that the module can not take changes nothing.
 func TestCoreRetunes(t *testing.T) {
 	s, n := rulesOf(map[string]dispatch.Class{"a": {Deadline: 1000}}, "a")
-	c, err := New(s, 1, List{}, n, lim, slog.New(slog.DiscardHandler))
+	c, err := New(s, 1, EndpointList{}, n, lim, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &fakeCarriers{endpointStatus: map[string]string{}}
+	h := &fakeAdapters{endpointStatus: map[string]string{}}
 	c.Connect(h, h, h)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -27,8 +27,8 @@
 	c.status.holdsJobs.Store(true)
 }
 
-// stillHolds says whether jobs are held now. When they no longer are, it lets them go to the module.
-func (c *Core) stillHolds(now time.Time) bool {
+// holdsJobs says whether jobs are held now. When they no longer are, it lets them go to the module.
+func (c *Core) holdsJobs(now time.Time) bool {
 	if !c.status.holdsJobs.Load() {
 		return false
 	}
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -8,15 +8,15 @@
 )
 
 // restarted is a core that was started with an old list, which nobody has confirmed.
-func newHoldingCarriers(t *testing.T, rows ...Entry) *fakeCarriers {
+func newHoldingAdapters(t *testing.T, rows ...Endpoint) *fakeAdapters {
 	t.Helper()
-	h := startFakeCarriers(t, rows...)
+	h := startFakeAdapters(t, rows...)
 	h.core.AwaitList(len(rows))
 	h.run(0)
 	return h
 }
 
-func (h *fakeCarriers) sent() int {
+func (h *fakeAdapters) sent() int {
 	n := 0
 	for _, to := range h.sends {
 		n += len(to)
@@ -27,18 +27,18 @@
 // Nothing is sent on the list of an earlier life before a list of this one has come, and then nothing to an executor
 // that was gone meanwhile. What had been taken is sent at once, with the time that its client has left by then.
 func TestJobsAreHeldUntilTheListIsConfirmed(t *testing.T) {
-	h := newHoldingCarriers(t, readyEndpoint("s-gone"))
+	h := newHoldingAdapters(t, readyEndpoint("s-gone"))
 	held := &recordingClient{t: t}
-	if _, err := h.core.Submit(Job{Trace: "a", Class: 0, Left: 7 * time.Second, Slots: 1}, held); err != nil {
+	if _, err := h.core.Submit(Job{TraceID: "a", Class: 0, TimeLeft: 7 * time.Second, Slots: 1}, held); err != nil {
 		t.Fatal(err)
 	}
 	h.run(time.Second)
 	if h.sent() != 0 || h.core.Ready() {
 		t.Fatalf("%d sends and ready %v on a list that nobody has confirmed", h.sent(), h.core.Ready())
 	}
-	h.core.List(List{Form: dispatch.ListSnapshot, Entries: []Entry{readyEndpoint("s-new")}})
+	h.core.List(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-new")}})
 	h.run(time.Second)
-	if !h.core.Ready() || h.sent() != 1 || h.attempts[0].Worker != WorkerID("s-new") {
+	if !h.core.Ready() || h.sent() != 1 || h.attempts[0].Executor != ExecutorID("s-new") {
 		t.Fatalf("ready %v, sent %v", h.core.Ready(), h.sends)
 	}
 	if latest := h.core.clock.start.Add(7 * time.Second); h.attempts[0].Deadline.After(latest) {
@@ -48,15 +48,15 @@
 
 // Where the first call fails, or is not answered for as long as a call may take, the core goes on with the list it has.
 func TestCoreGoesOnWithTheOldList(t *testing.T) {
-	for what, wait := range map[string]func(h *fakeCarriers){
-		"the call fails": func(h *fakeCarriers) { h.core.ListCallFailed(); h.run(time.Second) },
-		"no answer": func(h *fakeCarriers) {
+	for what, wait := range map[string]func(h *fakeAdapters){
+		"the call fails": func(h *fakeAdapters) { h.core.ListCallFailed(); h.run(time.Second) },
+		"no answer": func(h *fakeAdapters) {
 			h.run(lim.Staleness.PollWait + 2*lim.Staleness.AnswerTimeout + time.Second)
 		},
 	} {
-		h := newHoldingCarriers(t, readyEndpoint("s-old"))
+		h := newHoldingAdapters(t, readyEndpoint("s-old"))
 		if _, err := h.core.Submit(
-			Job{Trace: "a", Class: 0, Left: 7 * time.Second, Slots: 1},
+			Job{TraceID: "a", Class: 0, TimeLeft: 7 * time.Second, Slots: 1},
 			&recordingClient{t: t},
 		); err != nil {
 			t.Fatal(err)
@@ -73,20 +73,20 @@
 
 // A job whose time ends while it is held is refused, and so is one that is held when the node is told to leave.
 func TestHeldJobsAreAnswered(t *testing.T) {
-	for what, end := range map[string]func(h *fakeCarriers){
-		"its time ends":   func(h *fakeCarriers) { h.run(time.Second) },
-		"the node leaves": func(h *fakeCarriers) { h.core.Leave(h.now); h.run(0) },
+	for what, end := range map[string]func(h *fakeAdapters){
+		"its time ends":   func(h *fakeAdapters) { h.run(time.Second) },
+		"the node leaves": func(h *fakeAdapters) { h.core.ShutDown(h.now); h.run(0) },
 	} {
-		h := newHoldingCarriers(t, readyEndpoint("s-old"))
+		h := newHoldingAdapters(t, readyEndpoint("s-old"))
 		cl := &recordingClient{t: t}
-		if _, err := h.core.Submit(Job{Trace: "a", Class: 0, Left: time.Second, Slots: 1}, cl); err != nil {
+		if _, err := h.core.Submit(Job{TraceID: "a", Class: 0, TimeLeft: time.Second, Slots: 1}, cl); err != nil {
 			t.Fatal(err)
 		}
 		h.run(10 * time.Millisecond)
-		if end(h); len(cl.answers) != 1 || cl.answers[0].End != Refused {
+		if end(h); len(cl.answers) != 1 || cl.answers[0].End != Rejected {
 			t.Errorf("%s: %+v", what, cl.answers)
 		}
-		h.core.List(List{Form: dispatch.ListSnapshot, Entries: []Entry{readyEndpoint("s-old")}})
+		h.core.List(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-old")}})
 		if h.run(time.Second); h.sent() != 0 {
 			t.Errorf("%s: sent after its answer", what)
 		}
@@ -95,7 +95,7 @@
 
 // New rules that come while jobs are held are put in force after them: open jobs keep the rules they came under.
 func TestRetuneWaitsForHeldJobs(t *testing.T) {
-	h := newHoldingCarriers(t, readyEndpoint("s-old"))
+	h := newHoldingAdapters(t, readyEndpoint("s-old"))
 	to := make(chan error, 1)
 	rules, from, err := h.core.Rules().Retune(settings(), h.core.names, h.now, time.Second)
 	if err != nil {
@@ -114,7 +114,7 @@
 
 // A watch that says that nothing has changed confirms the list to the module, once this process has had a list.
 func TestConfirmedListReachesTheModule(t *testing.T) {
-	h := newFakeCarriers(t, readyEndpoint("s-1"))
+	h := newFakeAdapters(t, readyEndpoint("s-1"))
 	confirm := func() []dispatch.Event {
 		h.core.ListConfirmed()
 		h.core.handle(<-h.core.intake.events)
@@ -123,7 +123,7 @@
 	if batch := confirm(); len(batch) != 0 {
 		t.Errorf("%+v, though there is no list to confirm yet", batch)
 	}
-	h.core.List(List{Form: dispatch.ListSnapshot, Entries: []Entry{readyEndpoint("s-1")}})
+	h.core.List(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-1")}})
 	h.run(100 * time.Millisecond)
 	batch := confirm()
 	if len(batch) != 1 || batch[0].Kind != dispatch.EvEndpoints || batch[0].Form != dispatch.ListDelta ||
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -10,8 +10,8 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// Span makes a time of the milliseconds that the module and its settings count in.
-func Span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+// FromMs makes a time of the milliseconds that the module and its settings count in.
+func FromMs(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 func earlier(a, b time.Time) time.Time {
 	if b.Before(a) {
@@ -25,8 +25,8 @@
 type jobDeadline uint32    // of a job
 
 type timer struct {
-	at   time.Time
-	what any
+	at      time.Time
+	payload any
 }
 
 type timers []timer
@@ -47,12 +47,12 @@
 // fire takes in the timers that are due.
 func (c *Core) fireTimers(now time.Time) {
 	for len(c.timers) > 0 && !c.timers[0].at.After(now) {
-		switch what := heap.Pop(&c.timers).(timer).what.(type) {
+		switch what := heap.Pop(&c.timers).(timer).payload.(type) {
 		case moduleTimer:
 			c.queueEvent(dispatch.Event{Kind: dispatch.EvTimer, Token: uint32(what)})
 		case attemptTimeout:
 			if a := c.jobs.attempts[uint64(what)]; a != nil && !a.ended {
-				c.carriers.executors.GiveUp(a.id)
+				c.adapters.executors.Cancel(a.id)
 				c.finish(a, dispatch.TimedOut, nil, nil, now)
 			}
 		case jobDeadline:
@@ -61,8 +61,8 @@
 	}
 }
 
-// Round rounds a time to stay away up to whole milliseconds within a bound, for the fronts.
-func Round(d, most time.Duration) time.Duration {
+// RoundRetryAfter rounds a time to stay away up to whole milliseconds within a bound, for the fronts.
+func RoundRetryAfter(d, most time.Duration) time.Duration {
 	ms := time.Duration(math.Ceil(float64(d) / float64(time.Millisecond)))
 	return min(ms*time.Millisecond, most)
 }
--- a/internal/peer/faults_test.go
+++ b/internal/peer/faults_test.go
@@ -87,11 +87,11 @@
 	}
 	// One message each is lost, but for the one of EINTR.
 	for _, errno := range errnos {
-		sockets[0].Tell(1, []byte(errno.Error()))
+		sockets[0].SendGossip(1, []byte(errno.Error()))
 	}
 	interrupted := syscall.EINTR.Error()
 	testenv.Until(t, "the message that a signal interrupted", func() bool { return sinks[1].has(0, interrupted) })
-	sockets[0].Tell(1, []byte("last"))
+	sockets[0].SendGossip(1, []byte("last"))
 	testenv.Until(t, "the last message", func() bool { return sinks[1].has(0, "last") })
 	if _, left := faulty[0].next(&faulty[0].writes); left {
 		t.Error("not all writes were made")
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -115,9 +115,9 @@
 	return udp, nil
 }
 
-// Tell sends a message to one node, or to all with dispatch.AllPeers. It does not block: a message that the
+// SendGossip sends a message to one node, or to all with dispatch.AllPeers. It does not block: a message that the
 // socket does not take is lost, as it may be on the way.
-func (s *Socket) Tell(to uint16, data []byte) {
+func (s *Socket) SendGossip(to uint16, data []byte) {
 	if len(data) > s.limits.PeerBytes {
 		s.log.Error("peer message too long and not sent", "bytes", len(data), "max", s.limits.PeerBytes)
 		return
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -68,9 +68,9 @@
 			}
 		}
 	}
-	sockets[0].Tell(1, []byte("to one"))
+	sockets[0].SendGossip(1, []byte("to one"))
 	until("a message to one", func() bool { return sinks[1].has(0, "to one") })
-	sockets[1].Tell(dispatch.AllPeers, []byte("to all"))
+	sockets[1].SendGossip(dispatch.AllPeers, []byte("to all"))
 	until("a message to all", func() bool { return sinks[0].has(1, "to all") })
 	stranger, err := net.Dial("udp", addrs[0])
 	if err != nil {
@@ -78,9 +78,9 @@
 	}
 	defer func() { _ = stranger.Close() }()
 	_, _ = stranger.Write([]byte("stranger"))
-	sockets[1].Tell(0, make([]byte, 257))
-	sockets[1].Tell(9, []byte("nobody"))
-	sockets[1].Tell(0, []byte("last"))
+	sockets[1].SendGossip(0, make([]byte, 257))
+	sockets[1].SendGossip(9, []byte("nobody"))
+	sockets[1].SendGossip(0, []byte("last"))
 	until("the last message", func() bool { return sinks[0].has(1, "last") })
 	if len(sinks[0].got) != 1 {
 		t.Errorf("%v", sinks[0].got)
--- a/internal/platform/job.go
+++ b/internal/platform/job.go
@@ -22,26 +22,26 @@
 // parseJob makes a job of a request. Ids may have maxID bytes.
 func parseJob(m *http1.Message, class int, names *node.Names, maxID int) (node.Job, error) {
 	job := node.Job{
-		Class:       class,
-		Trace:       m.Get("X-Trace-Id"),
-		Idempotency: m.Get("Idempotency-Key"),
-		Method:      m.Method,
-		Target:      m.Target,
-		Body:        m.Body,
-		Repeat:      m.Get("X-Second-Try") == "1",
-		Slots:       1,
-		Key:         AffinityKey(m.Cookie("key")),
+		Class:          class,
+		TraceID:        m.Get("X-Trace-Id"),
+		IdempotencyKey: m.Get("Idempotency-Key"),
+		Method:         m.Method,
+		Target:         m.Target,
+		Body:           m.Body,
+		Retry:          m.Get("X-Second-Try") == "1",
+		Slots:          1,
+		Key:            AffinityKey(m.Cookie("key")),
 	}
 	// Ids are forwarded as they came. One that an executor can't read would end the connection there, and be taken for a
 	// fault of the executor.
-	if !http1.IsVisibleASCII(job.Trace) || len(job.Trace) > maxID {
+	if !http1.IsVisibleASCII(job.TraceID) || len(job.TraceID) > maxID {
 		return job, &HeaderError{"X-Trace-Id", "is missing, too long, or not visible ASCII"}
 	}
-	if job.Idempotency != "" && (!http1.IsVisibleASCII(job.Idempotency) || len(job.Idempotency) > maxID) {
+	if job.IdempotencyKey != "" && (!http1.IsVisibleASCII(job.IdempotencyKey) || len(job.IdempotencyKey) > maxID) {
 		return job, &HeaderError{"Idempotency-Key", "is too long or not visible ASCII"}
 	}
 	var err error
-	if job.Left, err = timeLeft(m); err != nil {
+	if job.TimeLeft, err = timeLeft(m); err != nil {
 		return job, err
 	}
 	if len(names.Tenants) > 0 {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -121,11 +121,11 @@
 	if err != nil {
 		return http1.Text(400, "%v", err)
 	}
-	job.Still = func() precheck.Reason { return clientState(ctx) }
+	job.PreSendCheck = func() precheck.Reason { return clientState(ctx) }
 	client := make(waitingClient, 1)
 	id, err := f.core.Submit(job, client)
 	if err != nil {
-		return f.response(node.Answer{End: node.Refused, Why: err.Error()})
+		return f.response(node.Answer{End: node.Rejected, Reason: err.Error()})
 	}
 	select {
 	case answer := <-client:
@@ -160,8 +160,8 @@
 // Started implements node.Client.
 func (c waitingClient) Started() {}
 
-// Returned implements node.Client.
-func (c waitingClient) Returned(bool) {}
+// Requeued implements node.Client.
+func (c waitingClient) Requeued(bool) {}
 
 // Answer implements node.Client.
 func (c waitingClient) Answer(a node.Answer) { c <- a }
@@ -170,13 +170,13 @@
 	switch answer.End {
 	case node.Served:
 		return http1.Response{Status: 200, Body: answer.Result}
-	case node.Refused:
-		response := http1.Text(503, "%s", answer.Why)
-		longest := node.Span(f.core.Rules().Settings.MaxRetryAfter)
-		if wait := node.Round(answer.RetryAfter, longest); wait > 0 {
+	case node.Rejected:
+		response := http1.Text(503, "%s", answer.Reason)
+		longest := node.FromMs(f.core.Rules().Settings.MaxRetryAfter)
+		if wait := node.RoundRetryAfter(answer.RetryAfter, longest); wait > 0 {
 			response.Fields = append(response.Fields, http1.RetryAfter(wait))
 		}
 		return response
 	}
-	return http1.Text(500, "%s", answer.Why)
+	return http1.Text(500, "%s", answer.Reason)
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -24,7 +24,7 @@
 
 func (c *core) Submit(j node.Job, cl node.Client) (uint32, error) {
 	c.jobs = append(c.jobs, j)
-	cl.Answer(node.Answer{End: node.Refused, RetryAfter: 1500 * time.Millisecond, Why: "no room"})
+	cl.Answer(node.Answer{End: node.Rejected, RetryAfter: 1500 * time.Millisecond, Reason: "no room"})
 	return 1, nil
 }
 func (c *core) Gone(uint32)   {}
@@ -78,7 +78,7 @@
 	}
 	r := ask("POST", "/tile-charge/x?y=1", nil)
 	if r.Status != 503 || !r.KnownClient || len(c.jobs) != 1 ||
-		c.jobs[0].Trace != "9b1f03aa5c7e2d41" || c.jobs[0].Target != "/tile-charge/x?y=1" {
+		c.jobs[0].TraceID != "9b1f03aa5c7e2d41" || c.jobs[0].Target != "/tile-charge/x?y=1" {
 		t.Errorf("%+v %+v", r, c.jobs)
 	}
 	if (&http1.Message{Fields: r.Fields}).Get("Retry-After") != "1.000" {
@@ -134,7 +134,7 @@
 	}()
 	leave()
 	<-c.told // and its event waits from here on
-	if why := c.jobs[0].Still(); why != precheck.ClientDisconnected {
+	if why := c.jobs[0].PreSendCheck(); why != precheck.ClientDisconnected {
 		t.Errorf("the check says that %v", why)
 	}
 	c.told <- true
--- a/internal/scale/hollow/dispatcher.go
+++ b/internal/scale/hollow/dispatcher.go
@@ -36,8 +36,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("hollow dispatcher: %w", err)
 	}
-	executors := attempts.New(ctx, g, c.Limits, c.Names, core, core.Slow(), log)
-	lists := discovery.New(c.Discovery, c.Known.Index, !c.Settings.PollsList, c.Limits, core, core.Slow(), log)
+	executors := attempts.New(ctx, g, c.Limits, c.Names, core, core.SlowPeers(), log)
+	lists := discovery.New(c.Discovery, c.Known.Index, !c.Settings.PollsList, c.Limits, core, core.SlowPeers(), log)
 	peers, err := peer.Listen(c.PeerListen, c.Peers, c.PeersAll, c.Limits, core, log)
 	if err != nil {
 		return nil, fmt.Errorf("hollow dispatcher: %w", err)
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("hollow dispatcher: %w", err)
 	}
-	server := http1.NewServer(c.Limits, callbackFront{executors}, core.Slow(), log)
+	server := http1.NewServer(c.Limits, callbackFront{executors}, core.SlowPeers(), log)
 	for _, run := range []func(context.Context) error{core.Run, lists.Run, peers.Run, func(ctx context.Context) error { return server.Serve(ctx, ln) }} {
 		g.Go(func() error { return run(ctx) })
 	}
@@ -77,13 +77,13 @@
 
 func (w waiter) Sent(string)          {}
 func (w waiter) Started()             {}
-func (w waiter) Returned(bool)        {}
+func (w waiter) Requeued(bool)        {}
 func (w waiter) Answer(a node.Answer) { w <- a }
 
 // submit hands a task in and waits for its answer, until a moment.
 func (d *Dispatcher) submit(ctx context.Context, t workload.Task, id string, left time.Duration, by time.Time) (a verdict.Answer, retry time.Duration, answered bool) {
 	w := make(waiter, 1)
-	job := node.Job{Class: t.Class, Tenant: t.Tenant, Left: left, Slots: float64(t.Slots), Trace: id, Idempotency: fmt.Sprintf("key-%d", t.Number),
+	job := node.Job{Class: t.Class, Tenant: t.Tenant, TimeLeft: left, Slots: float64(t.Slots), TraceID: id, IdempotencyKey: fmt.Sprintf("key-%d", t.Number),
 		Method: "POST", Target: target(t), Body: []byte("task")}
 	if _, err := d.core.Submit(job, w); err != nil {
 		return verdict.Refused, leastRetry, true
@@ -105,7 +105,7 @@
 		return verdict.Served
 	case a.End == node.Served:
 		return verdict.Broken // what no executor made for it
-	case a.End == node.Refused:
+	case a.End == node.Rejected:
 		return verdict.Refused
 	}
 	return verdict.Failed
--- a/internal/scale/virtual/world.go
+++ b/internal/scale/virtual/world.go
@@ -69,7 +69,7 @@
 func New(d fleet.Description, actions []faults.Action, rules verdict.Rules, m Meter) (*World, error) {
 	w := &World{d: d, rules: d.Rules(), plan: d.Plan(), load: workload.New(d), judge: verdict.New(rules), meter: m, byID: map[uint32]int{}, listVersion: 1}
 	for _, x := range w.plan {
-		id := node.WorkerID(x.Name)
+		id := node.ExecutorID(x.Name)
 		if _, had := w.byID[id]; had {
 			return nil, fmt.Errorf("executors: two share the number %d", id)
 		}
--- a/internal/testenv/standin.go
+++ b/internal/testenv/standin.go
@@ -50,12 +50,12 @@
 // Lists keeps the lists that are told to it, as the core would take them.
 type Lists struct {
 	mu        sync.Mutex
-	all       []node.List
+	all       []node.EndpointList
 	confirmed int
 }
 
 // List takes one.
-func (s *Lists) List(l node.List) {
+func (s *Lists) List(l node.EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.all = append(s.all, l)
@@ -79,10 +79,10 @@
 }
 
 // All are those that came so far.
-func (s *Lists) All() []node.List {
+func (s *Lists) All() []node.EndpointList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]node.List(nil), s.all...)
+	return append([]node.EndpointList(nil), s.all...)
 }
 
 // own is the loopback address of this process's Ports: what another process of the tests is given can not be one of them.
