--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -180,7 +180,7 @@
 	for _, c := range []struct{ file, constant, sentence string }{
 		{"aggregator_server.go", `maxAggregatorRate\s+= 1000\b`, "up to 1,000 requests a second"},
 		{"aggregator_message.go", `maxEncodedSlots\s+= 11\b`, "11 slots of an executor at most"},
-		{"aggregator_message.go", `slotBits\s+= 15\b`, "its tags have 12 bits"},
+		{"aggregator_message.go", `slotMask\s+= 15\b`, "its tags have 12 bits"},
 	} {
 		source, err := os.ReadFile(filepath.Join("../dispatch", c.file))
 		if err != nil {
--- a/internal/dispatch/aggregator_client.go
+++ b/internal/dispatch/aggregator_client.go
@@ -6,59 +6,59 @@
 	"slices"
 )
 
-// All nodes have the same order of aggregators, and each takes the first that it does not suspect. Nothing is agreed:
-// while some suspect an aggregator and others do not, or after an aggregator's start, each is told less than is held,
-// for a second or so.
+// All nodes have the same list of aggregator candidates and use the first one that they do not suspect. There is no
+// agreement protocol: while only some nodes suspect an aggregator, and after an aggregator starts, answers show less
+// than the actual load, for about a second.
 
 const (
-	// answerTimeoutFactor is how long an answer of the aggregator is waited for, in connect timeouts. The factors below
-	// are multiples of that time.
+	// answerTimeoutFactor is the time to wait for an answer of the aggregator, in connect timeouts. The factors below
+	// are multiples of this answer timeout.
 	answerTimeoutFactor = 0.4
 
-	// answerFreshness is how old an answer may be for another job.
+	// answerFreshness is the age up to which an answer is used for further jobs without a new query.
 	answerFreshness = 1
 
-	// queryRetryFactor is how old an answer may be while jobs are queued; then the aggregator is asked again.
+	// queryRetryFactor is the age of the last answer after which the aggregator is queried again while jobs are queued.
 	queryRetryFactor = 2
 
-	// maxAnswerAge is from how old on an answer tells nothing any more.
+	// maxAnswerAge is the age after which an answer is no longer used.
 	maxAnswerAge = 10
 
-	// aggregatorSuspicionFactor is how long an aggregator that does not answer is not asked, at first: killed nodes are back
-	// soon, and all should meet again.
+	// aggregatorSuspicionFactor is the initial time for which an aggregator that does not answer is not used. Killed nodes
+	// usually restart soon, and all nodes should then use the same aggregator again.
 	aggregatorSuspicionFactor = 15
 
-	// notReadyFactor is how long an aggregator that has just begun is not asked.
+	// notReadyFactor is the time for which an aggregator is not queried after it answered that it is not ready.
 	notReadyFactor = 4
 
-	// maxMissedAnswers is how many answers in a row may not come until an aggregator is suspected.
+	// maxMissedAnswers is the number of consecutive missed answers after which an aggregator is suspected.
 	maxMissedAnswers = 2
 
-	// reminderRuns is after how many mean runs the aggregator is reminded of what is still held.
+	// reminderRuns is the interval, in mean runs, at which unchanged slots are repeated to the aggregator.
 	reminderRuns = 3
 
-	// maxNewQuarantines is how many quarantines wait for the next message to the aggregator.
+	// maxNewQuarantines is the maximum number of quarantines that wait for the next message to the aggregator.
 	maxNewQuarantines = 16
 )
 
-// aggregatorClient is what a node that reports to an aggregator knows of it.
+// aggregatorClient is the state of a node in its role as a client of the aggregator.
 type aggregatorClient struct {
-	order          []int              // of all nodes, the first choice first
-	current        int                // the aggregator, -1 before the first
-	incarnation    int                // of it that answered last, -1 for none
-	snapshotDue    bool               // it is to be told all
-	answerWanted   bool               // something waits for its answer
-	querySentAt    float64            // of the query that is not answered yet, 0 for none
-	missedAnswers  int                // in a row
-	answeredAt     float64            // when the last answer came
-	notReadyUntil  float64            // it is not asked before, because it does not know yet
-	peerSlots      map[uint16]float64 // that the other nodes hold, by tag, as it answered
-	notified       []*executor        // of which it holds that we have slots there
-	newQuarantines []uint16           // entries that it is still to be told
-	quarantined    map[uint16]bool    // entries that hold, as it answered
+	order          []int              // all nodes, by falling preference as the aggregator
+	current        int                // node number of the aggregator, -1 before one is chosen
+	incarnation    int                // tag of the incarnation that answered last, -1 for none
+	snapshotDue    bool               // the next query must be a snapshot
+	answerWanted   bool               // a job waits for an answer
+	querySentAt    float64            // send time of the pending query, 0 for none
+	missedAnswers  int                // consecutive
+	answeredAt     float64            // arrival time of the last answer
+	notReadyUntil  float64            // no queries before this time, because the aggregator is not ready
+	peerSlots      map[uint16]float64 // held by the other nodes, by executor tag, as last answered
+	notified       []*executor        // executors where the aggregator knows slots of this node
+	newQuarantines []uint16           // entries to send to the aggregator
+	quarantined    map[uint16]bool    // entries of active quarantines, as last answered
 }
 
-// newAggregatorClient orders the aggregators, alike at all nodes.
+// newAggregatorClient returns a client with the candidates in the order that all nodes use.
 func newAggregatorClient(nodes int) aggregatorClient {
 	client := aggregatorClient{current: -1, incarnation: -1, order: make([]int, nodes),
 		peerSlots: map[uint16]float64{}, quarantined: map[uint16]bool{}}
@@ -69,13 +69,13 @@
 	return client
 }
 
-// follow takes a node as the aggregator from now on.
+// follow makes a node the aggregator of this client.
 func (c *aggregatorClient) follow(node int) {
 	c.current, c.incarnation, c.snapshotDue = node, -1, true
 	c.missedAnswers, c.querySentAt, c.notReadyUntil = 0, 0, 0
 }
 
-// pick gives the first node that is not suspected.
+// pick returns the first candidate that is not suspected, or the first one if all are.
 func (c *aggregatorClient) pick(peers []peer, now float64) int {
 	for _, node := range c.order {
 		if now >= peers[node].suspectedUntil {
@@ -85,22 +85,22 @@
 	return c.order[0]
 }
 
-// isAggregator says that this node takes itself for the aggregator.
+// isAggregator reports whether this node acts as the aggregator.
 func (d *Dispatcher) isAggregator() bool { return d.aggregatorClient.current == d.settings.Node }
 
-// answerTimeout is how long an answer of the aggregator is waited for.
+// answerTimeout returns the time to wait for an answer of the aggregator.
 func (d *Dispatcher) answerTimeout() float64 {
 	return max(answerTimeoutFactor*d.settings.ConnectTimeout, d.settings.MinStepInterval)
 }
 
-// reminderInterval is after how long the aggregator is told again what is still held. What it was told lapses after
-// twice that.
+// reminderInterval returns the interval at which unchanged slots are repeated to the aggregator. Entries expire there
+// after twice this time.
 func (d *Dispatcher) reminderInterval() float64 {
 	return max(reminderRuns*d.serviceTimes.meanRun, d.settings.MinStepInterval)
 }
 
-// awaitsAggregator says whether arrivals wait for an answer of the aggregator: free slots that are known here are
-// old, and others use them.
+// awaitsAggregator reports whether arrivals wait for an answer of the aggregator, because other nodes may have used the
+// free slots known here since the last answer. It also requests that answer.
 func (d *Dispatcher) awaitsAggregator() bool {
 	client, timeout := &d.aggregatorClient, d.answerTimeout()
 	if d.gossip.mode != gossipAggregator || d.isAggregator() {
@@ -113,7 +113,7 @@
 	return d.now-d.jobs.arrived[0].arrivedAt < timeout
 }
 
-// requestAnswerForQueue has the aggregator asked again while jobs are queued.
+// requestAnswerForQueue requests a new answer of the aggregator while jobs are queued, if the last one is too old.
 func (d *Dispatcher) requestAnswerForQueue() {
 	client := &d.aggregatorClient
 	if d.now-client.answeredAt > queryRetryFactor*d.answerTimeout() {
@@ -121,7 +121,7 @@
 	}
 }
 
-// notifyAggregator tells the aggregator what has changed, and asks it if its answer is wanted.
+// notifyAggregator sends the aggregator the changed entries, and a query if an answer is wanted.
 func (d *Dispatcher) notifyAggregator() {
 	client := &d.aggregatorClient
 	if node := client.pick(d.gossip.peers, d.now); node != client.current {
@@ -130,16 +130,16 @@
 	if d.isAggregator() || d.suspectAggregator() {
 		return
 	}
-	askable := client.querySentAt == 0 && d.now >= client.notReadyUntil
-	asks := client.answerWanted && askable
+	canQuery := client.querySentAt == 0 && d.now >= client.notReadyUntil
+	queries := client.answerWanted && canQuery
 	data := d.encodeUpdate()
-	if len(data) == 1 && !asks {
+	if len(data) == 1 && !queries {
 		return
 	}
 	switch {
-	case client.snapshotDue && askable:
+	case client.snapshotDue && canQuery:
 		data[0] = messageSnapshot
-	case asks:
+	case queries:
 		data[0] = messageQuery
 	}
 	if data[0] != messageUpdate {
@@ -148,7 +148,7 @@
 	d.act(Action{Kind: ActGossip, To: uint16(client.current), Data: data})
 }
 
-// suspectAggregator takes in that an answer did not come in time, and says whether the aggregator is suspected for it.
+// suspectAggregator checks for an overdue answer and reports whether the aggregator is now suspected because of it.
 func (d *Dispatcher) suspectAggregator() bool {
 	client := &d.aggregatorClient
 	if client.querySentAt <= 0 || d.now-client.querySentAt <= d.answerTimeout() {
@@ -160,14 +160,14 @@
 		return false
 	}
 	peer := &d.gossip.peers[client.current]
-	away := aggregatorSuspicionFactor * d.answerTimeout() * doublings(peer.timeouts, maxBackoffDoublings)
-	peer.suspectedUntil = d.now + away*(0.75+0.5*d.random())
+	suspicion := aggregatorSuspicionFactor * d.answerTimeout() * doublings(peer.timeouts, maxBackoffDoublings)
+	peer.suspectedUntil = d.now + suspicion*(0.75+0.5*d.random())
 	peer.timeouts++
 	d.logf("aggregator suspected node=%d", client.current)
 	return true
 }
 
-// encodeUpdate gives a message of what has changed since the aggregator was notified, and what it is to be reminded of.
+// encodeUpdate returns a message with new quarantines, changed slots and due reminders.
 func (d *Dispatcher) encodeUpdate() []byte {
 	client := &d.aggregatorClient
 	if client.snapshotDue {
@@ -193,7 +193,8 @@
 	return data
 }
 
-// appendChange appends what this node holds at an executor, if the aggregator does not know it or is to be reminded.
+// appendChange appends the slots held at an executor, if they have changed since the last notification or a reminder
+// is due.
 func (d *Dispatcher) appendChange(data []byte, executor *executor) []byte {
 	known := &executor.gossip
 	slots := min(math.Round(executor.inFlight.slots+d.unreportedSlots(executor)), maxEncodedSlots)
@@ -208,7 +209,7 @@
 	return appendEntry(data, executor.tag|uint16(slots))
 }
 
-// handleAggregatorMessage takes in a message to an aggregator, or an answer of one.
+// handleAggregatorMessage handles a message to or from an aggregator.
 func (d *Dispatcher) handleAggregatorMessage(peer *peer, event *Event) {
 	if len(event.Data) == 0 {
 		return
@@ -220,14 +221,14 @@
 	d.handleUpdate(peer, event)
 }
 
-// handleAnswer takes in what the aggregator answered.
+// handleAnswer handles an answer of the aggregator.
 func (d *Dispatcher) handleAnswer(peer *peer, event *Event) {
 	client := &d.aggregatorClient
 	if int(event.From) != client.current || client.querySentAt == 0 {
-		return // of one that is not asked any more
+		return // from a former aggregator, or no answer is pending
 	}
 	incarnation := int(event.Data[0] &^ messageKindMask)
-	// A new incarnation knows nothing of us.
+	// A new incarnation does not know this node's slots.
 	client.snapshotDue = client.incarnation >= 0 && incarnation != client.incarnation
 	client.incarnation, client.querySentAt, client.missedAnswers = incarnation, 0, 0
 	d.needsPlacement = true
@@ -243,8 +244,8 @@
 	d.capacity.nextEstimate = 0
 }
 
-// reportQuarantine notes that a class fails at an executor, or that it takes no connections, for the aggregator to
-// tell the others.
+// reportQuarantine reports to the aggregator, which informs the other nodes, that a class fails at an executor or that
+// the executor accepts no connections.
 func (d *Dispatcher) reportQuarantine(executor *executor, kind int) {
 	entry, ok := d.quarantineEntry(executor, kind)
 	client := &d.aggregatorClient
@@ -257,7 +258,8 @@
 	}
 }
 
-// isQuarantined says that a node found lately that a class fails at an executor, or that it takes no connections.
+// isQuarantined reports whether some node recently found that a class fails at an executor, or that the executor
+// accepts no connections.
 func (d *Dispatcher) isQuarantined(executor *executor, kind int) bool {
 	entry, ok := d.quarantineEntry(executor, kind)
 	switch {
--- a/internal/dispatch/aggregator_server.go
+++ b/internal/dispatch/aggregator_server.go
@@ -7,59 +7,61 @@
 )
 
 const (
-	// maxAggregatorRate is how many requests a second of all nodes one aggregator may serve: 500 take a quarter of what
-	// a node uses.
+	// maxAggregatorRate is the maximum rate of requests per second, over all nodes, for one aggregator. 500 requests per
+	// second take a quarter of the CPU time that a node uses.
 	maxAggregatorRate = 1000
 
-	// aggregatorReadyRuns is how many mean runs after its start an aggregator was told most of what is held.
+	// aggregatorReadyRuns is the time after its start, in mean runs, after which an aggregator knows most of the load.
 	aggregatorReadyRuns = 1
 
-	// connectionQuarantineFactor is for how many connect timeouts an executor that took no connection is not tried by
-	// others.
+	// connectionQuarantineFactor is the time, in connect timeouts, for which other nodes avoid an executor that accepted
+	// no connection.
 	connectionQuarantineFactor = 4
 
-	// maxQuarantineDoublings is how often a quarantine doubles at most.
+	// maxQuarantineDoublings is the maximum number of times that the duration of a quarantine doubles.
 	maxQuarantineDoublings = 3
 )
 
-// aggregatorServer is what a node knows that others take for the aggregator.
+// aggregatorServer is the state of a node in its role as the aggregator.
 type aggregatorServer struct {
 	*environment
 
-	slotTotals     map[uint16]float64     // that the other nodes hold, by tag
+	slotTotals     map[uint16]float64     // held by the other nodes, by executor tag
 	quarantines    map[uint16]*quarantine // by entry
 	answerScratch  []uint32
 	startedAt      float64 // of this incarnation
-	incarnationTag uint8   // tells it from others
+	incarnationTag uint8   // distinguishes this incarnation from others
 }
 
-// quarantine keeps an executor, or a class there, away from all nodes for a while, longer each time it is reported
-// again. Nodes that find it out each for itself lose a job each.
+// quarantine keeps all nodes from using an executor, or an executor for one class, for a limited time, which is longer
+// each time the fault is reported again. Without it, each node would lose a job to find the fault.
 type quarantine struct {
 	until       float64
 	consecutive int
 }
 
-// newAggregatorServer begins an incarnation.
+// newAggregatorServer returns an empty state with a new incarnation tag.
 func newAggregatorServer(env *environment) aggregatorServer {
 	tags := uint64(messageKindMask ^ 0xff)
 	return aggregatorServer{environment: env, slotTotals: map[uint16]float64{}, quarantines: map[uint16]*quarantine{},
 		startedAt: math.Inf(-1), incarnationTag: 1 + uint8(mix64(env.randomState)%tags)}
 }
 
-// isReady says that this node has listened for long enough to know what is held.
+// isReady reports whether this node has received updates for long enough to know most of the load.
 func (s *aggregatorServer) isReady(meanRun float64) bool {
 	return s.now-s.startedAt > aggregatorReadyRuns*meanRun
 }
 
-// handleUpdate takes in, as the aggregator, what another node holds, and answers if it asks.
+// handleUpdate handles an update, query or snapshot of another node as the aggregator, and answers queries and
+// snapshots.
 func (d *Dispatcher) handleUpdate(peer *peer, event *Event) {
 	kind := event.Data[0] & messageKindMask
 	if kind == messageSnapshot {
-		// What it does not name may have been sent before it was killed, and run on: it lapses after a run.
-		lapses := d.now + d.serviceTimes.meanRun - 2*d.reminderInterval()
+		// Jobs that the snapshot does not contain may have been sent by a former incarnation that was killed, and may still
+		// run. Their entries expire after one run.
+		expiringSince := d.now + d.serviceTimes.meanRun - 2*d.reminderInterval()
 		for i := range peer.loads {
-			peer.loads[i].updatedAt = min(peer.loads[i].updatedAt, lapses)
+			peer.loads[i].updatedAt = min(peer.loads[i].updatedAt, expiringSince)
 		}
 	}
 	server := &d.aggregatorServer
@@ -72,24 +74,24 @@
 	}
 }
 
-// setPeerLoad takes in what another node holds at one executor.
+// setPeerLoad sets the slots that another node holds at one executor.
 func (s *aggregatorServer) setPeerLoad(peer *peer, load peerLoad) {
-	was := 0.0
+	previous := 0.0
 	i := slices.IndexFunc(peer.loads, func(known peerLoad) bool { return known.tag == load.tag })
 	switch {
 	case i >= 0 && load.slots > 0:
-		was, peer.loads[i] = peer.loads[i].slots, load
+		previous, peer.loads[i] = peer.loads[i].slots, load
 	case i >= 0:
-		was, peer.loads = peer.loads[i].slots, slices.Delete(peer.loads, i, i+1)
+		previous, peer.loads = peer.loads[i].slots, slices.Delete(peer.loads, i, i+1)
 	case load.slots > 0 && len(peer.loads) < maxPeerEntries:
 		peer.loads = append(peer.loads, load)
 	default:
 		return
 	}
-	s.slotTotals[load.tag] += load.slots - was
+	s.slotTotals[load.tag] += load.slots - previous
 }
 
-// sumLoads adds up anew what the other nodes hold, without what no reminder told in time.
+// sumLoads removes entries that no reminder confirmed in time and recomputes the slots that the other nodes hold.
 func (s *aggregatorServer) sumLoads(peers []peer, reminderInterval float64) {
 	clear(s.slotTotals)
 	for i := range peers {
@@ -103,7 +105,7 @@
 	}
 }
 
-// addQuarantine takes in what a node found.
+// addQuarantine starts or prolongs the quarantine that a node reported.
 func (s *aggregatorServer) addQuarantine(entry uint16) {
 	known := s.quarantines[entry]
 	if known == nil {
@@ -114,7 +116,7 @@
 		s.quarantines[entry] = known
 	}
 	if s.now < known.until {
-		return // it was sent before the others were told
+		return // the report was sent before the sender received the quarantine
 	}
 	base := classQuarantineFactor * s.settings.ConnectTimeout
 	if entry&slotMask == connectionQuarantine {
@@ -127,7 +129,7 @@
 	known.consecutive = min(known.consecutive+1, maxQuarantineDoublings)
 }
 
-// makeRoomForQuarantine drops quarantines that are over if there are too many, and says whether one more can be kept.
+// makeRoomForQuarantine drops expired quarantines if the limit is reached, and reports whether one more can be kept.
 func (s *aggregatorServer) makeRoomForQuarantine() bool {
 	if len(s.quarantines) >= maxPeerEntries {
 		maps.DeleteFunc(s.quarantines, func(_ uint16, known *quarantine) bool { return s.now >= known.until })
@@ -135,26 +137,27 @@
 	return len(s.quarantines) < maxPeerEntries
 }
 
+// isQuarantined reports whether the quarantine of an entry is active.
 func (s *aggregatorServer) isQuarantined(entry uint16) bool {
 	known := s.quarantines[entry]
 	return known != nil && s.now < known.until
 }
 
-// dropQuarantines forgets the quarantines of an executor that has started anew.
+// dropQuarantines removes the quarantines of an executor, because it restarted.
 func (s *aggregatorServer) dropQuarantines(tag uint16) {
 	for kind := uint16(firstClassQuarantine); kind <= connectionQuarantine; kind++ {
 		delete(s.quarantines, tag|kind)
 	}
 }
 
-// encodeAnswer tells a node what all others hold. It is made for each job of all nodes, and is most of an
-// aggregator's work.
+// encodeAnswer returns the answer to a node, with the slots that all others hold. It runs for each job of all nodes and
+// is most of an aggregator's work.
 func (d *Dispatcher) encodeAnswer(peer *peer) []byte {
 	server := &d.aggregatorServer
 	if !server.isReady(d.serviceTimes.meanRun) {
 		return []byte{messageAnswer}
 	}
-	others := map[uint16]float64{} // what this node holds, less what the asking one does
+	others := map[uint16]float64{} // this node's slots minus those of the node that asked
 	for _, executor := range d.endpoints.listed {
 		if slots := executor.inFlight.slots + d.unreportedSlots(executor); slots > 0 {
 			others[executor.tag] += slots
@@ -166,9 +169,10 @@
 	return server.encode(others)
 }
 
-// encode makes an answer of the quarantines and of the slots that are held, those executors first where most are.
+// encode returns an answer with the quarantines and the slots held, for the executors with the most slots first.
 func (s *aggregatorServer) encode(others map[uint16]float64) []byte {
-	// Most first and then by tag: what is short of the greatest number is in the upper bits, the tag in the lower.
+	// The sort key orders by falling number of slots and then by tag: the upper bits hold the maximum minus the number of
+	// slots, the lower bits the tag.
 	ranked := s.answerScratch[:0]
 	add := func(tag uint16, slots float64) {
 		if n := math.Round(slots); n > 0 {
@@ -191,8 +195,8 @@
 		}
 	}
 	left := max(0, maxEntries-(len(data)-1)/2)
-	for _, x := range ranked[:min(len(ranked), left)] {
-		data = appendEntry(data, uint16(x)|uint16(maxEncodedSlots-x>>16))
+	for _, key := range ranked[:min(len(ranked), left)] {
+		data = appendEntry(data, uint16(key)|uint16(maxEncodedSlots-key>>16))
 	}
 	return data
 }
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -1,17 +1,18 @@
 package dispatch
 
-// The life of an attempt: its send, the notes on it and its outcome.
+// The lifecycle of an attempt: its send, the notes about it and its outcome.
 
-// maxRetryDoublings is how often the time doubles after which an unresponsive executor is tried with another job.
+// maxRetryDoublings is how many times the delay doubles before an unresponsive executor gets another job.
 const maxRetryDoublings = 3
 
-// Weights of one attempt in the learned times until an executor says that it has started it.
+// Parameters of the estimate of the time from the send of an attempt to its start note.
 const (
-	startDelayWeight  = 0.02
-	startLagWeight    = 0.01 // for lags over the least
-	maxStartLagFactor = 4    // a longer lag counts as so many times the least: it tells of a queue
+	startDelayWeight  = 0.02 // weight of one attempt in the mean start delay
+	startLagWeight    = 0.01 // weight of one attempt in the least start lag, for lags above it
+	maxStartLagFactor = 4    // a lag counts as at most this multiple of the least one: a longer lag comes from a queue
 )
 
+// sendAttempt sends a job to an executor and accounts for what the attempt occupies there.
 func (d *Dispatcher) sendAttempt(job *job, executor *executor) {
 	d.chargeSlowStart(job, executor)
 	shared := d.sharesConnection(executor)
@@ -44,14 +45,14 @@
 	}
 }
 
-// delayNextRetry sets when an unresponsive executor gets another job, if this one does not end its silence.
+// delayNextRetry sets the time of the next job for an executor that is still unresponsive after the current one.
 func (d *Dispatcher) delayNextRetry(executor *executor) {
 	outlier := &executor.outlier
 	outlier.retryAt = d.now + d.unresponsiveTimeout()/2*doublings(outlier.retries, maxRetryDoublings)*(0.75+0.5*d.random())
 	outlier.retries++
 }
 
-// attemptOf gives the job and the attempt that an event is about, nil if there is none in flight.
+// attemptOf returns the job and the attempt that an event refers to, or nil if that attempt is not in flight.
 func (d *Dispatcher) attemptOf(event *Event) (*job, *attempt) {
 	job := d.jobs.byID[event.Job]
 	if job == nil || int(event.Attempt) >= len(job.attempts) || job.attempts[event.Attempt].resolved {
@@ -60,6 +61,7 @@
 	return job, &job.attempts[event.Attempt]
 }
 
+// handleOutcome ends an attempt and, if the outcome is final, its job.
 func (d *Dispatcher) handleOutcome(event *Event) {
 	job, attempt := d.attemptOf(event)
 	if job == nil {
@@ -83,12 +85,12 @@
 		return
 	}
 	if job.inFlight == 0 {
-		// It is ended or attempted again once the batch is taken in: a later event of the batch may end it.
+		// The job is ended or retried after the whole batch, because a later event of the batch may end it.
 		d.enqueue(job)
 	}
 }
 
-// resolve takes an attempt out of what is in flight.
+// resolve removes an attempt from those in flight and releases what it occupied.
 func (d *Dispatcher) resolve(job *job, attempt *attempt) {
 	executor := attempt.executor
 	attempt.resolved = true
@@ -111,6 +113,7 @@
 	}
 }
 
+// handleNote records a start, a sign of progress or an overdue acknowledgement of an attempt.
 func (d *Dispatcher) handleNote(event *Event) {
 	job, attempt := d.attemptOf(event)
 	if job == nil {
@@ -135,5 +138,5 @@
 	d.serviceTimes.learnStart(d.now - attempt.sentAt)
 	executor.countUnstarted(d.now)
 	d.needsPlacement = true
-	job.queued = false // no hedge of a job that runs
+	job.queued = false // a job that runs is not hedged
 }
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// executor is what this node knows of one executor, by who writes it. What placement reads of each executor that it
-// inspects comes first and close together: in a large fleet, the memory that it lies in is most of what an inspection
-// costs.
+// executor is the state that this node keeps of one executor, grouped by the code that writes it. The fields that
+// placement reads of every inspected executor come first and close together: in a large fleet, memory accesses are most
+// of the cost of an inspection.
 type executor struct {
 	id                  uint32
-	tag                 uint16 // its name in messages between nodes
-	lastInspectionRound uint64 // the last inspection round that took it in
+	tag                 uint16 // identifies the executor in messages between nodes
+	lastInspectionRound uint64 // the last inspection round that included it
 	endpoint            endpointState
 	load                loadEstimate
 	inFlight            inFlightAttempts
@@ -20,33 +20,33 @@
 	group               *executorGroup
 	failures            failureState
 	healthCheck         healthCheckState
-	affinityKeys        [affinityKeysKept]uint64 // keys that it likely holds, the last used first
+	affinityKeys        [affinityKeysKept]uint64 // keys that it has likely cached, the most recently used first
 }
 
-// inFlightAttempts are this node's attempts at an executor: those in flight, and the last that ended.
+// inFlightAttempts holds this node's attempts at an executor: those in flight and the last ones that ended.
 type inFlightAttempts struct {
 	jobs            []*job  // one entry for each attempt
-	slots           float64 // that they hold, without those that were written off
-	unstarted       int     // attempts that the executor has not said it started
+	slots           float64 // held by these attempts, except the written-off ones
+	unstarted       int     // attempts without a start note
 	unstartedSlots  float64
-	oldestUnstarted float64 // when the oldest of them was sent; now, if there is none
+	oldestUnstarted float64 // send time of the oldest unstarted attempt, or the current time if there is none
 	ended           [maxEndedAttempts]endedAttempt
-	endedCount      int // all that ended, also those no longer kept
+	endedCount      int // all that ended, including those no longer kept
 }
 
-// maxEndedAttempts is how many ended attempts are kept for each executor. They explain load reports that were taken
-// before they ended; a report is seldom older than so many requests of one node.
+// maxEndedAttempts is the number of ended attempts that are kept for each executor. They are needed to interpret load
+// reports that were taken before these attempts ended. A report is seldom older than this many requests of one node.
 const maxEndedAttempts = 24
 
-// endedAttempt is an attempt that has ended.
+// endedAttempt is an ended attempt that used slots of its executor.
 type endedAttempt struct{ sentAt, endedAt, slots float64 }
 
-// holdsSlots says whether an attempt of a job is in flight at an executor, and was not written off.
+// holdsSlots reports whether an attempt is in flight at an executor and is not written off.
 func (a *attempt) holdsSlots(executor *executor) bool {
 	return a.executor == executor && !a.resolved && !a.writtenOff
 }
 
-// removeJob takes one attempt of a job out of those in flight, and says whether there was one.
+// removeJob removes one attempt of a job from those in flight and reports whether there was one.
 func (e *executor) removeJob(job *job) bool {
 	i := slices.Index(e.inFlight.jobs, job)
 	if i < 0 {
@@ -56,7 +56,7 @@
 	return true
 }
 
-// countUnstarted counts the attempts in flight that the executor has not said it started.
+// countUnstarted updates the number, the slots and the oldest send time of the attempts without a start note.
 func (e *executor) countUnstarted(now float64) {
 	unstarted, slots, oldest := 0, 0.0, now
 	for _, job := range e.inFlight.jobs {
@@ -71,14 +71,14 @@
 	e.inFlight.unstarted, e.inFlight.unstartedSlots, e.inFlight.oldestUnstarted = unstarted, slots, oldest
 }
 
-// recordEnded keeps an attempt that has ended and used slots of the executor.
+// recordEnded keeps an ended attempt in place of the oldest one that is kept.
 func (a *inFlightAttempts) recordEnded(ended endedAttempt) {
 	a.ended[a.endedCount%maxEndedAttempts] = ended
 	a.endedCount++
 }
 
-// workSentSince is the slot-time of the attempts that were sent to an executor from a time on, with those that have
-// ended.
+// workSentSince returns the slot-time of the attempts that were sent to an executor since a point in time, including
+// those that have ended.
 func (d *Dispatcher) workSentSince(executor *executor, from float64) (work float64) {
 	speed := d.serviceTimes.kindSpeed(executor.endpoint.kind)
 	for _, job := range executor.inFlight.jobs {
@@ -96,7 +96,7 @@
 	return work
 }
 
-// ownSlotsInFlight is how many slots this node holds at all executors.
+// ownSlotsInFlight returns the number of slots that this node holds at all executors.
 func (d *Dispatcher) ownSlotsInFlight() (slots float64) {
 	for _, executor := range d.outliers.busy {
 		slots += executor.inFlight.slots
@@ -104,7 +104,7 @@
 	return slots
 }
 
-// recentExecutors are executors of which something was seen last, the latest first.
+// recentExecutors is a list of the executors that were most recently added, the latest first.
 type recentExecutors [8]*executor
 
 func (l *recentExecutors) add(executor *executor) {
--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -4,78 +4,79 @@
 	"math"
 )
 
-// Nodes tell one another of the slots that they hold. A few nodes tell all others, now and then, of each executor
-// where they hold some: 3 bytes, of its tag and the number. Where nodes are so many that this is dear or long over,
-// one of them, the aggregator, is notified of each change, and answers what all others hold when it is asked, which a
-// node does when a job comes. That costs the same for each request however many nodes there are. Numbers are whole
-// and not steps: what a lost message told comes with the next of that executor or with a reminder, and what no
-// reminder tells lapses.
+// Nodes exchange how many slots they hold at each executor. A small number of nodes broadcast this periodically, in an
+// entry of 3 bytes for each executor: its tag and the number of slots. Where many nodes would make broadcasts expensive
+// or outdated, one node acts as the aggregator. The others notify it of each change and query it when a job arrives; it
+// answers with what all other nodes hold. The cost of a request then doesn't depend on the number of nodes. Messages
+// carry absolute numbers, so that a lost message is repaired by the next one for that executor or by a reminder, and
+// entries that no reminder confirms expire.
 
 const (
-	// gossipIntervalFactor is the time between broadcasts, in report intervals.
+	// gossipIntervalFactor is the least time between broadcasts, in report intervals.
 	gossipIntervalFactor = 0.3
 
-	// maxGossipBytesPerRequest is how many bytes of messages are paid for by each of our requests: knowledge against its
-	// price.
+	// maxGossipBytesPerRequest is the budget of message bytes for each request of this node. It limits the cost of
+	// gossip relative to the requests that benefit from it.
 	maxGossipBytesPerRequest = 192
 
-	// broadcastEntryBytes is the length of an entry of a broadcast: two bytes of tag and one of slots.
+	// broadcastEntryBytes is the length of an entry in a broadcast: two bytes for the tag and one for the slots.
 	broadcastEntryBytes = 3
 
-	// maxBroadcastBytes is the greatest length of a broadcast.
+	// maxBroadcastBytes is the maximum length of a broadcast.
 	maxBroadcastBytes = 255
 
-	// maxBroadcastSlots is the greatest number of slots that an entry can tell.
+	// maxBroadcastSlots is the largest number of slots that an entry can hold.
 	maxBroadcastSlots = 255
 )
 
-// gossipMode says how a node tells the others what it holds. All nodes judge alike, by the settings.
+// gossipMode is the way in which nodes exchange how many slots they hold. All nodes derive the same mode from the same
+// settings.
 type gossipMode uint8
 
 // The modes.
 const (
 	gossipNone       gossipMode = iota
-	gossipBroadcast             // all of it, to all, now and then
-	gossipAggregator            // each change, to the aggregator
+	gossipBroadcast             // periodic messages to all nodes with all slots held
+	gossipAggregator            // a message to the aggregator for each change
 )
 
-// gossip is what other nodes tell of the slots that they hold.
+// gossip holds what other nodes reported about the slots that they hold.
 type gossip struct {
 	mode          gossipMode
-	peers         []peer  // by node number
-	freshPeers    int     // that were heard of lately
-	nextPeerSum   float64 // when those not heard of are next left out
+	peers         []peer  // indexed by node number
+	freshPeers    int     // number of peers with a recent broadcast
+	nextPeerSum   float64 // when the peer loads are next summed without stale ones
 	nextBroadcast float64
 }
 
-// peer is what another node told that it holds.
+// peer is the state of another node, from its messages.
 type peer struct {
-	lastMessageAt  float64 // of its last broadcast
-	fresh          bool    // its loads are counted in what all hold
+	lastMessageAt  float64 // time of its last broadcast
+	fresh          bool    // its loads are included in the sums
 	loads          []peerLoad
-	suspectedUntil float64 // it is not used as the aggregator before
-	timeouts       int     // as the aggregator, in a row
+	suspectedUntil float64 // not used as the aggregator before this time
+	timeouts       int     // consecutive suspicions as the aggregator
 }
 
-// peerLoad is how many slots another node holds at one executor.
+// peerLoad is the number of slots that another node holds at one executor.
 type peerLoad struct {
 	tag       uint16
 	slots     float64
 	updatedAt float64
 }
 
-// executorGossip is what nodes tell one another of an executor.
+// executorGossip holds the gossip about one executor.
 type executorGossip struct {
-	peerSlots         float64 // that other nodes hold, where each broadcasts its load
-	unreportedSlots   float64 // held there and told by nobody, as was seen at hiddenAt
+	peerSlots         float64 // sum of the slots that fresh peers broadcast
+	unreportedSlots   float64 // held by others and in no message, as estimated at unreportedSlotsAt
 	unreportedSlotsAt float64
-	notifiedSlots     float64 // ours, as the aggregator was last notified at notifiedAt
+	notifiedSlots     float64 // own slots in the last notification to the aggregator, at notifiedAt
 	notifiedAt        float64
 }
 
-// chooseGossipMode says what the other nodes are told: all, now and then; or, where nodes are so many that the bytes
-// allow that less often than a load report is old when it comes, an aggregator, unless it would have too much to do;
-// or nothing.
+// chooseGossipMode returns the gossip mode for the settings. Broadcasts are used if the byte budget allows them at
+// intervals no longer than the age of a load report on arrival. Otherwise an aggregator is used, unless its request
+// rate would be too high; then there is no gossip.
 func (d *Dispatcher) chooseGossipMode() gossipMode {
 	nodes := float64(d.settings.Nodes)
 	rate := max(d.admission.totalQuota/nodes, 1)
@@ -90,7 +91,7 @@
 	return gossipNone
 }
 
-// tagOf names an executor in messages, alike at all nodes.
+// tagOf returns the tag that identifies an executor in messages. All nodes derive the same tag.
 func (d *Dispatcher) tagOf(id uint32) uint16 {
 	tag := uint16(mix64(uint64(id)))
 	if d.gossip.mode == gossipAggregator {
@@ -99,7 +100,7 @@
 	return tag
 }
 
-// broadcastLoad tells the other nodes what this one holds at each executor, within a number of bytes for each request.
+// broadcastLoad sends all other nodes the slots that this node holds at each executor, within the byte budget.
 func (d *Dispatcher) broadcastLoad() {
 	if d.gossip.mode != gossipBroadcast || d.now < d.gossip.nextBroadcast {
 		return
@@ -118,7 +119,7 @@
 	d.gossip.nextBroadcast = d.now + interval*(0.8+0.4*d.random())
 }
 
-// handlePeerMessage takes in what another node holds.
+// handlePeerMessage handles a message of another node: a broadcast, or a message to or from the aggregator.
 func (d *Dispatcher) handlePeerMessage(event *Event) {
 	if int(event.From) >= len(d.gossip.peers) || int(event.From) == d.settings.Node {
 		return
@@ -142,7 +143,7 @@
 	d.needsPlacement = true
 }
 
-// addPeerLoad adds what another node holds to what all hold, or takes it off.
+// addPeerLoad adds the slots that another node holds to the sums, or subtracts them if sign is -1.
 func (d *Dispatcher) addPeerLoad(peer *peer, sign float64) {
 	for _, load := range peer.loads {
 		if executor := d.endpoints.byTag[load.tag]; executor != nil {
@@ -151,8 +152,8 @@
 	}
 }
 
-// sumPeerLoads adds up what the other nodes hold, leaving out those not heard of for some intervals, and what no
-// reminder told.
+// sumPeerLoads recomputes the slots that the other nodes hold, without nodes that sent no broadcast for some report
+// intervals and without aggregator entries that no reminder confirmed.
 func (d *Dispatcher) sumPeerLoads() {
 	d.gossip.freshPeers, d.needsPlacement = 0, true
 	d.gossip.nextPeerSum = d.now + d.reports.interval/4
@@ -175,7 +176,8 @@
 	}
 }
 
-// peerLoadsKnown says that it is known what most other nodes hold: they told lately, or the aggregator answered lately.
+// peerLoadsKnown reports whether the load of most other nodes is known: at least half of the nodes broadcast recently,
+// or the aggregator answered recently.
 func (d *Dispatcher) peerLoadsKnown() bool {
 	if d.gossip.mode != gossipAggregator {
 		return 2*d.gossip.freshPeers >= len(d.gossip.peers) && len(d.gossip.peers) > 1
@@ -187,8 +189,8 @@
 	return client.answeredAt > 0 && d.now-client.answeredAt <= maxAnswerAge*d.answerTimeout()
 }
 
-// peerSlotsAt is what other nodes hold at an executor, by their last messages; nodes not heard of count as the mean
-// of the others.
+// peerSlotsAt returns the number of slots that other nodes hold at an executor, by their last messages. With broadcasts,
+// nodes without a recent message count as the mean of the others.
 func (d *Dispatcher) peerSlotsAt(executor *executor) float64 {
 	switch {
 	case d.gossip.mode != gossipAggregator:
@@ -199,9 +201,10 @@
 	return d.aggregatorClient.peerSlots[executor.tag]
 }
 
-// unreportedSlots is what others hold at an executor that no message told of: a job of ours that is not started though
-// there should be a free slot shows it, and it is taken to end over a run. Nodes and aggregators that were killed
-// leave such jobs behind, and to tell of them spares every other node the same wait.
+// unreportedSlots estimates the slots that others hold at an executor and that no message reported. A job of this node
+// that does not start although a slot should be free reveals them. They are assumed to be released over one run. Such
+// jobs are left behind by killed nodes and aggregators. In aggregator mode this node includes them in its messages,
+// so that no other node has to find them by a waiting job of its own.
 func (d *Dispatcher) unreportedSlots(executor *executor) float64 {
 	known := &executor.gossip
 	if executor.inFlight.unstarted > 0 && d.isStartOverdue(executor) {
--- a/internal/dispatch/hedging.go
+++ b/internal/dispatch/hedging.go
@@ -1,8 +1,9 @@
 package dispatch
 
-// handleOverdueAck takes in that an executor has not said that it took a job for longer than it and its peers usually
-// need. Beside other attempts that are heard of, a single one is its connection's fault, and the executor is kept.
-// The attempt counts as holding no slots, and its job may be hedged, where that is allowed.
+// handleOverdueAck handles an acknowledgement that is pending for longer than this executor and its peers usually take.
+// The attempt counts as holding no slots, and its job may be hedged where the class allows it. If the executor has
+// responded since the send and no other acknowledgement is overdue, the connection is taken to be at fault and the
+// executor is not ejected.
 func (d *Dispatcher) handleOverdueAck(job *job, attempt *attempt) {
 	if attempt.startedAt > 0 || attempt.ackOverdue || attempt.writtenOff {
 		return
@@ -26,7 +27,7 @@
 
 func (j *job) lastAttempt() *attempt { return &j.attempts[len(j.attempts)-1] }
 
-// hedgeUnresponsive queues the jobs of unresponsive executors to be sent elsewhere as well, where that is allowed.
+// hedgeUnresponsive queues the jobs of unresponsive executors for a hedged attempt, where their class allows it.
 func (d *Dispatcher) hedgeUnresponsive() {
 	for _, executor := range d.outliers.busy {
 		for _, job := range executor.inFlight.jobs {
@@ -37,13 +38,14 @@
 	}
 }
 
+// isHedgeDue reports whether a job needs a hedged attempt because its executor does not respond.
 func (d *Dispatcher) isHedgeDue(executor *executor, job *job) bool {
 	if job.done || job.queued || job.inFlight != 1 || d.settings.Classes[job.class].RetrySafety == AtMostOnce {
 		return false
 	}
 	last := job.lastAttempt()
-	// A job that was sent to see whether the executor lives gets its time for that, and one that queues would only queue
-	// elsewhere too.
+	// A job that was sent to find out whether the executor responds again gets time to do so. A job that waits in the
+	// executor's queue would only wait in another queue.
 	stuck := executor.outlier.unresponsive && d.now-last.sentAt > d.unresponsiveTimeout()/2 &&
 		(last.startedAt > 0 || !d.settings.StartNotifications)
 	return stuck || last.ackOverdue
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -39,7 +39,7 @@
 	queued      bool
 	done        bool // answered, or the client left
 
-	// What may have run: set in noteMayHaveRun, and read by the rules of retry.go alone.
+	// What may have run: set in recordMayHaveRun, and read by the rules of retry.go alone.
 	mayHaveRun bool
 	ranOn      *executor
 	ranSince   float64
--- a/internal/dispatch/loadreport.go
+++ b/internal/dispatch/loadreport.go
@@ -3,59 +3,61 @@
 import "math"
 
 const (
-	// freshReportIntervals is how many report intervals a report stays fresh. More trusts old reports of free slots.
+	// freshReportIntervals is the time that a report stays fresh, in report intervals. A higher value trusts old reports
+	// of free slots.
 	freshReportIntervals = 4
 
-	// reportsEndedFactor is how many times that time passes until reports are taken to have ended.
+	// reportsEndedFactor is the multiple of that time after which executors are assumed to send no reports any more.
 	reportsEndedFactor = 4
 
-	// defaultReportAge is the age of a report when it comes, in report intervals, while nothing else is learned.
+	// defaultReportAge is the assumed age of a report on arrival, in report intervals.
 	defaultReportAge = 0.7
 
-	// reportAgeStep is the factor between the ages that are compared. Finer ones tell less apart.
+	// reportAgeStep is the ratio of adjacent candidate ages. A smaller ratio makes candidates harder to distinguish.
 	reportAgeStep = 1.75
 
-	// reportAgeDecay is the memory of that comparison. A shorter one follows a change sooner and errs more.
+	// reportAgeDecay is the part of the statistics of the candidates that is kept at each report. A lower value follows a
+	// change sooner and selects a wrong age more often.
 	reportAgeDecay = 0.99
 
-	// reportAgeConfidence is the part of the usual age's scatter under which another age is believed.
+	// reportAgeConfidence is the fraction of the default candidate's scatter below which another candidate is selected.
 	reportAgeConfidence = 0.8
 
-	// defaultAgeCandidate is the candidate that stands for the default age.
+	// defaultAgeCandidate is the index of the candidate for the default age.
 	defaultAgeCandidate = 1
 
-	// initialReportIntervalMs is the time between new reports until some are seen.
+	// initialReportIntervalMs is the assumed report interval before any is observed.
 	initialReportIntervalMs = 500
 
-	// Weights of one gap between new reports in the interval: gaps that are shorter tell more, because a report can be
-	// missed.
+	// Weights of one gap between new reports in the estimated interval. Gaps below the estimate weigh more, because a
+	// missed report lengthens a gap.
 	shortGapWeight = 0.1
 	longGapWeight  = 0.02
 
-	// maxGapFactor bounds a gap, in intervals.
+	// maxGapFactor is the longest gap that counts, in report intervals.
 	maxGapFactor = 10
 
-	// slotsRiseWeight is how fast more slots than were seen before are believed: reports are noisy.
+	// slotsRiseWeight is the weight of one report that shows more slots than are known. Reports are noisy.
 	slotsRiseWeight = 0.3
 
-	// occupancyWeight is the weight of one report in the fleet's mean of what others hold.
+	// occupancyWeight is the weight of one report in the fleet's mean occupancy by other nodes.
 	occupancyWeight = 0.02
 
-	// slotTolerance is how much a number of slots in a report may be off and still be meant.
+	// slotTolerance is the error up to which a reported number of slots counts as equal.
 	slotTolerance = 0.5
 )
 
-// loadReports is what is learned of load reports: how often they come and how old they are then.
+// loadReports estimates how often load reports arrive and how old they are on arrival.
 type loadReports struct {
 	*environment
 
-	interval        float64   // between new reports of an executor
-	age             float64   // of a report when it comes
-	ageCandidates   [9]spread // of what executors reported to hold less our own jobs, at each age
-	reportedHeld    spread    // of what they reported to hold
-	selectedAge     int       // the candidate that is believed
-	samples         float64   // reports that were compared
-	lastAt          float64   // when any executor last sent a new report
+	interval        float64   // ms between new reports of an executor
+	age             float64   // estimated age of a report on arrival, in ms
+	ageCandidates   [9]spread // reported occupancy minus this node's own at each candidate age
+	reportedHeld    spread    // reported occupancy
+	selectedAge     int       // index of the candidate in use
+	samples         float64   // number of reports in the comparison
+	lastAt          float64   // arrival of the last new report of any executor
 	recentReporters recentExecutors
 }
 
@@ -64,14 +66,14 @@
 		age: defaultReportAge * initialReportIntervalMs}
 }
 
-// loadReport is what one report tells; NaN stands for a value that it does not hold.
+// loadReport holds the values of one report. A value that the report lacks is NaN.
 type loadReport struct {
 	free, busy, pending, utilization, memory float64
-	serviceTime                              float64 // 0 if not told
+	serviceTime                              float64 // 0 if absent
 	hash                                     uint64
 }
 
-// parse reads the values of a report in the order of the settings. Odd values count as not told.
+// parse reads the values of a report in the order of the settings. Negative and infinite values count as absent.
 func (r *loadReports) parse(values []float32) loadReport {
 	unknown := math.NaN()
 	report := loadReport{free: unknown, busy: unknown, pending: unknown, utilization: unknown, memory: unknown, hash: 1}
@@ -87,6 +89,7 @@
 	return report
 }
 
+// set stores the value of one field.
 func (l *loadReport) set(field Field, value float64) {
 	switch field {
 	case FieldFree:
@@ -104,8 +107,9 @@
 	}
 }
 
-// freeSlots is how many slots a report shows to be free, negative where jobs queue, of slots in all. A job holds
-// width of them in the mean, and widest at most. It gives false if the report does not tell.
+// freeSlots returns the number of free slots that a report shows, which is negative where jobs are queued. The executor
+// has slots in total; a job holds width of them on average and widest at most. It returns false if the report lacks
+// the fields for this.
 func (l *loadReport) freeSlots(slots, width, widest float64) (free float64, ok bool) {
 	switch {
 	case !math.IsNaN(l.free):
@@ -121,8 +125,9 @@
 	return 0, false
 }
 
-// queuedJobs is how many jobs a report with free slots shows to be queued: more requests than slots in use. A wide
-// job at the head keeps slots free that none behind it gets.
+// queuedJobs returns the number of queued jobs that a report with free slots shows: the pending ones or, without that
+// field, the requests in excess of the slots in use. A wide job at the head of the queue keeps free slots from the jobs
+// behind it.
 func (l *loadReport) queuedJobs(slots, widest float64) float64 {
 	if !(l.free < widest-slotTolerance) {
 		return 0
@@ -133,7 +138,7 @@
 	return l.pending
 }
 
-// held is what a report shows an executor to hold, in requests where it tells them, else in slots.
+// held returns the occupancy that a report shows, in requests if it has that field, otherwise in slots.
 func (l *loadReport) held(slots, free float64) (held float64, inSlots bool) {
 	if !math.IsNaN(l.busy) {
 		return l.busy, false
@@ -144,7 +149,7 @@
 	return max(0, slots-free), true
 }
 
-// observeReportGap takes in the time between two reports of an executor.
+// observeReportGap updates the estimated report interval with the time between two reports of an executor.
 func (r *loadReports) observeReportGap(gap float64) {
 	weight := longGapWeight
 	if gap < r.interval {
@@ -153,7 +158,7 @@
 	r.interval = max(r.interval+(min(gap, maxGapFactor*r.interval)-r.interval)*weight, r.settings.MinStepInterval, 1)
 }
 
-// hasFreeSlots says whether a report tells of free slots for a job, and of nothing that is queued for them.
+// hasFreeSlots reports whether a load report shows enough free slots for a job and no queued jobs.
 func (r *loadReports) hasFreeSlots(values []float32, slots float64) bool {
 	free := false
 	for i, value := range values {
@@ -170,20 +175,20 @@
 	return free
 }
 
-// learnAge learns how old reports are when they come. Reports can be delayed by far more than they usually are
-// without any sign of it: all nodes then fill executors that were idle seconds ago and shun those that were full.
-// What an executor reports to hold goes up and down with our own jobs there, as they were when the report was taken;
-// so of some ages, the one at which the reported load less our own scatters least is the age.
+// learnAge estimates how old reports are on arrival. Reports can be delayed by far more than usual without any sign of
+// it. All nodes then fill the executors that were idle seconds ago and avoid those that were full. The occupancy that
+// an executor reports follows this node's own jobs there, as they were when the report was taken. The estimate is
+// therefore the candidate age at which the reported occupancy minus this node's own scatters least.
 func (r *loadReports) learnAge(executor *executor, held float64, inSlots bool) {
 	r.samples++
 	weight := max(1-reportAgeDecay, 1/r.samples)
 	least, best := math.Inf(1), 0
-	unexplained := r.reportedHeld.add(held, weight) // what no jobs of ours explain
+	unexplained := r.reportedHeld.add(held, weight) // scatter without this node's jobs
 	for k := range r.ageCandidates {
-		taken := r.now - r.candidateAge(k)
-		scatter := r.ageCandidates[k].add(held-executor.ownHeldAt(taken, inSlots), weight)
-		// Beyond the oldest of our jobs that are remembered an age counts none of them, explains nothing, and may still
-		// beat the usual one where ours are few.
+		takenAt := r.now - r.candidateAge(k)
+		scatter := r.ageCandidates[k].add(held-executor.ownHeldAt(takenAt, inSlots), weight)
+		// An age beyond the oldest recorded job of this node counts none of its jobs. Such an age explains nothing, but
+		// may still scatter less than the default one where this node has few jobs.
 		explained := r.reportedHeld.mean - r.ageCandidates[k].mean
 		if scatter < least && explained >= (r.reportedHeld.mean-r.ageCandidates[defaultAgeCandidate].mean)/2 {
 			least, best = scatter, k
@@ -191,7 +196,7 @@
 	}
 	confidence := reportAgeConfidence
 	if r.selectedAge != defaultAgeCandidate {
-		confidence = 1 // once believed, another age holds until the usual one fits as well
+		confidence = 1 // a selected age stays until the default one fits as well
 	}
 	uncertain := least > confidence*r.ageCandidates[defaultAgeCandidate].scatter || least > unexplained
 	if uncertain || r.samples < 1/(1-reportAgeDecay) {
@@ -205,11 +210,12 @@
 	r.age = age
 }
 
+// candidateAge returns the age of candidate k in ms.
 func (r *loadReports) candidateAge(k int) float64 {
 	return r.interval * defaultReportAge * math.Pow(reportAgeStep, float64(k-defaultAgeCandidate))
 }
 
-// ownHeldAt is what our own jobs held at an executor at a time: slots, or requests.
+// ownHeldAt returns the slots or requests that this node's own jobs occupied at an executor at a point in time.
 func (e *executor) ownHeldAt(at float64, inSlots bool) (held float64) {
 	each := func(slots float64) float64 {
 		if inSlots {
@@ -232,7 +238,8 @@
 	return held
 }
 
-// reportTTL is how long a report holds: some intervals, and at least a run where only answers bring reports.
+// reportTTL returns how long a report stays valid: some report intervals and, where only answers carry reports, at
+// least one run.
 func (d *Dispatcher) reportTTL() float64 {
 	fresh := freshReportIntervals * d.reports.interval
 	if d.settings.Telemetry == ReportAnswers {
@@ -241,8 +248,9 @@
 	return fresh
 }
 
-// handleLoadReport takes in a load report. One that is the same to the last digit is the same reading come again; but
-// while nothing of ours is there, an idle executor may well report the same anew.
+// handleLoadReport updates the load estimate of an executor from a load report. A report with exactly the same values
+// is a repeat of the previous sample and is ignored, except that an executor without jobs of this node may report the
+// same values in a new sample.
 func (d *Dispatcher) handleLoadReport(executor *executor, values []float32) {
 	if len(values) == 0 {
 		return
@@ -254,7 +262,8 @@
 		return
 	}
 	if report.serviceTime > 0 && d.slowStart.share(executor) == 1 && d.serviceTimes.isLittleKnown(executor) {
-		// It is told without the wait: of an executor that always queues, and of one seldom used, our own runs tell little.
+		// The reported service time excludes queueing. This node's own runs say little about an executor that always has
+		// a queue, or that it seldom uses.
 		d.serviceTimes.add(executor, d.serviceTimes.classes[0].work, report.serviceTime)
 	}
 	kindSlots := d.capacity.kindSlots[executor.endpoint.kind]
@@ -273,37 +282,38 @@
 	d.setFreeSlots(executor, &report, free)
 	d.learnSlots(executor, &report, free, slots)
 	d.learnOccupancy(executor)
-	// Free slots in a report end the backoff after one Full outcome, to which a late report may have led. An executor
-	// that rejects the next attempt as well, beside free slots, drains and is not listed so yet: its backoff stays as
-	// long as ever.
+	// Free slots in a report end the backoff after a single Full outcome, which may be the consequence of a late report.
+	// An executor that reports free slots but rejects the next attempt as well is draining and not yet listed as such, so
+	// its backoff stays.
 	if load.freeSlots >= 1 && load.rejections < 2 {
 		load.rejectedUntil = 0
 	}
 	d.needsPlacement = true
 }
 
-// setFreeSlots sets what a report tells to be free, moved by what was sent and what ended since the report was taken.
+// setFreeSlots sets the free slots and memory from a report, corrected for the attempts that this node sent and that
+// ended since the report was taken.
 func (d *Dispatcher) setFreeSlots(executor *executor, report *loadReport, free float64) {
 	load := &executor.load
-	taken := d.now - d.reports.age
+	takenAt := d.now - d.reports.age
 	load.freeSlots, load.freeMemory, load.reportsMemory = free, report.memory, !math.IsNaN(report.memory)
 	for _, job := range executor.inFlight.jobs {
 		for i := range job.attempts {
-			if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && attempt.sentAt > taken {
+			if attempt := &job.attempts[i]; attempt.executor == executor && !attempt.resolved && attempt.sentAt > takenAt {
 				load.freeSlots -= job.slots
 				load.freeMemory -= job.memory
 			}
 		}
 	}
 	for _, attempt := range executor.inFlight.ended {
-		if attempt.endedAt > taken {
+		if attempt.endedAt > takenAt {
 			load.freeSlots += attempt.slots
 		}
 	}
 }
 
-// learnSlots learns how many slots an executor has. With free slots for the widest job nothing is queued, and all
-// that is held runs.
+// learnSlots estimates how many slots an executor has. If there are free slots for the widest job, nothing is queued
+// and all busy requests are running.
 func (d *Dispatcher) learnSlots(executor *executor, report *loadReport, free, slots float64) {
 	load := &executor.load
 	seen := free
@@ -320,7 +330,7 @@
 	load.freeSlots = min(load.freeSlots, max(slots, load.slots)-executor.inFlight.slots)
 }
 
-// learnOccupancy learns what part of an executor's slots other nodes hold.
+// learnOccupancy updates the estimated fraction of an executor's slots that other nodes hold.
 func (d *Dispatcher) learnOccupancy(executor *executor) {
 	load, group := &executor.load, executor.group
 	occupancy := max(0, load.slots-executor.inFlight.slots-load.freeSlots) / max(load.slots, 1)
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -1,35 +1,35 @@
 package dispatch
 
-// The rules that protect requests from running twice: which job may be sent where, and which answer may promise that
-// nothing ran.
+// The rules that protect requests from running twice: to which executors a job may be sent, and when a rejection may
+// promise that nothing of the job ran.
 
-// retryAfterRuns is how long a rejected client stays away, in mean run times by the slots reserved. More spreads
-// storms of repeats.
+// retryAfterRuns scales the retry-after of rejected clients, in mean run times for each reserved slot. A higher value
+// spreads retry storms over a longer time.
 const retryAfterRuns = 0.5
 
-// rejectCause says why a node ended a job itself.
+// rejectCause is the reason why this node ended a job without an outcome.
 type rejectCause uint8
 
 // The causes.
 const (
-	causeNoSlots   rejectCause = iota // admission had no slots for it
-	causeTooLate                      // it could not end usefully any more, or must not be attempted again
-	causePreempted                    // it was queued, and another took its slots
+	causeNoSlots   rejectCause = iota // admission had no slots for the job
+	causeTooLate                      // no useful end was possible before the deadline, or no further attempt was allowed
+	causePreempted                    // another job took the slots of this queued job
 	causeCount
 )
 
-// rejectionLog counts the jobs that this node ended itself.
+// rejectionLog counts the jobs that this node ended without an outcome, by cause.
 type rejectionLog struct {
 	byCause [causeCount]int
 	lastAt  float64
-	active  bool // as last logged
+	active  bool // the load shedding state that was last logged
 }
 
-// isSendAllowed is the one check that every send passes: the request's state, what of it may have run, drains, and
-// the budget of an executor that warms up.
+// isSendAllowed reports whether a job may be sent to an executor. Every send passes this check. It considers the state
+// of the job, attempts that may have run, draining, and the slow-start budget of the executor.
 func (d *Dispatcher) isSendAllowed(job *job, executor *executor) bool {
-	spent := job.done || len(job.attempts) >= job.maxAttempts || d.now >= job.deadline
-	if spent || executor.endpoint.condition != Ready || job.inFlight > 0 && !d.settings.HedgingAllowed {
+	exhausted := job.done || len(job.attempts) >= job.maxAttempts || d.now >= job.deadline
+	if exhausted || executor.endpoint.condition != Ready || job.inFlight > 0 && !d.settings.HedgingAllowed {
 		return false
 	}
 	for i := range job.attempts {
@@ -40,12 +40,13 @@
 	if (job.inFlight > 0 || job.mayHaveRun) && !d.isRetrySafe(job, executor) {
 		return false
 	}
-	// The budget may be overdrawn by one slot's work, because every job costs some, but not by a wide job's further slots.
+	// The work of one slot may overdraw the budget, because every job costs that much. The further slots of a wide job
+	// may not.
 	furtherWork := (job.slots - 1) * job.work / d.serviceTimes.kindSpeed(executor.endpoint.kind)
 	return d.slowStartAllows(executor, furtherWork)
 }
 
-// isRetrySafe says whether a job that is in flight, or may have run, may go to an executor as well.
+// isRetrySafe reports whether a job that is in flight, or may have run, may also be sent to an executor.
 func (d *Dispatcher) isRetrySafe(job *job, executor *executor) bool {
 	class := &d.settings.Classes[job.class]
 	switch class.RetrySafety {
@@ -58,7 +59,8 @@
 	return false
 }
 
-// firstRun gives where and since when a job may have run first, with the attempts that are still in flight.
+// firstRun returns the executor on which a job may have run first and the time of that send, including attempts that
+// are still in flight.
 func (j *job) firstRun() (ran *executor, since float64) {
 	ran, since = j.ranOn, j.ranSince
 	for i := range j.attempts {
@@ -69,7 +71,7 @@
 	return ran, since
 }
 
-// inDeduplicationScope says whether two executors are of a group that drops repeats of a keyed request.
+// inDeduplicationScope reports whether two executors belong to one group that drops repeats of a keyed request.
 func inDeduplicationScope(scope DedupScope, a, b *executor) bool {
 	switch scope {
 	case ScopeAll:
@@ -81,23 +83,24 @@
 	}
 }
 
-// isRejectSafe is the one check of rejections: nothing of the request may have run, or a repeat does no harm.
+// isRejectSafe reports whether a job may be rejected: nothing of it may have run, or a repeat does no harm. Every
+// rejection passes this check.
 func (d *Dispatcher) isRejectSafe(job *job) bool {
 	class := &d.settings.Classes[job.class]
 	neverRan := job.inFlight == 0 && !job.mayHaveRun
 	return class.RetrySafety == Idempotent || neverRan || class.RetrySafety == Keyed && class.DedupScope == ScopeAll
 }
 
-// retryAfter is how long a rejected client should stay away: until reserved slots of this node are free again, at the
-// pace of runs.
+// retryAfter returns the delay after which a rejected client should retry: an estimate, from the mean run time, of when
+// reserved slots of this node are free again.
 func (d *Dispatcher) retryAfter(job *job) float64 {
 	reserved := max(job.slots, d.admission.reservedTotal())
 	return min(d.settings.MaxRetryAfter, retryAfterRuns*d.serviceTimes.meanRun*job.slots/reserved)
 }
 
-// recordMayHaveRun records, in one place, what of a request may have run.
-func (d *Dispatcher) recordMayHaveRun(job *job, attempt *attempt, o Outcome) {
-	if o.NeverRan() {
+// recordMayHaveRun records the earliest attempt of a job that may have run. No other function sets these fields.
+func (d *Dispatcher) recordMayHaveRun(job *job, attempt *attempt, outcome Outcome) {
+	if outcome.NeverRan() {
 		return
 	}
 	if !job.mayHaveRun || attempt.sentAt < job.ranSince {
@@ -105,23 +108,23 @@
 	}
 }
 
-// endIfExhausted ends a job with nothing in flight for which nothing more can be done.
+// endIfExhausted ends a job that has no attempt in flight and for which no further attempt is allowed or useful.
 func (d *Dispatcher) endIfExhausted(job *job) {
 	if job.done || job.inFlight > 0 {
 		return
 	}
 	class := &d.settings.Classes[job.class]
-	spent := len(job.attempts) >= job.maxAttempts || d.now >= job.deadline-d.answerMargin()
+	exhausted := len(job.attempts) >= job.maxAttempts || d.now >= job.deadline-d.answerMargin()
 	if job.mayHaveRun {
 		windowOver := class.RetrySafety == Keyed && d.now-job.ranSince >= class.DedupWindow-d.answerMargin()
-		spent = spent || class.RetrySafety == AtMostOnce || windowOver
+		exhausted = exhausted || class.RetrySafety == AtMostOnce || windowOver
 	}
-	if spent || d.isHopeless(job) {
+	if exhausted || d.isHopeless(job) {
 		d.endJob(job, causeTooLate)
 	}
 }
 
-// endJob gives the final answer that the rules allow: a rejection where a repeat is harmless, else a failure.
+// endJob answers a job itself: with a rejection where a repeat is harmless, otherwise with a failure.
 func (d *Dispatcher) endJob(job *job, cause rejectCause) {
 	if job.done {
 		return
@@ -136,12 +139,13 @@
 	d.finishJob(job)
 }
 
-// answerMargin is how long before a client leaves its answer is given: two ticks and a batch.
+// answerMargin returns how long before its deadline a job is answered at the latest: two ticks and one batch.
 func (d *Dispatcher) answerMargin() float64 {
 	return d.tickInterval() + max(d.tickInterval(), d.nextTick-d.now) + d.settings.MinStepInterval
 }
 
-// logLoadShedding writes, when a node begins to end jobs itself and when it has not for a while, what it goes by.
+// logLoadShedding logs when this node starts to end jobs itself, and when it has ended none for a while, together with
+// the figures behind these decisions.
 func (d *Dispatcher) logLoadShedding() {
 	rejecting := d.rejections.lastAt > 0 && d.now-d.rejections.lastAt < tenantActiveMs
 	if rejecting == d.rejections.active {
