--- a/internal/dispatch/aggregator_server.go
+++ b/internal/dispatch/aggregator_server.go
@@ -109,7 +109,7 @@
 func (s *aggregatorServer) addQuarantine(entry uint16) {
 	known := s.quarantines[entry]
 	if known == nil {
-		if !s.makeRoomForQuarantine() {
+		if !s.evictExpiredQuarantines() {
 			return
 		}
 		known = &quarantine{}
@@ -129,8 +129,8 @@
 	known.consecutive = min(known.consecutive+1, maxQuarantineDoublings)
 }
 
-// makeRoomForQuarantine drops expired quarantines if the limit is reached, and reports whether one more can be kept.
-func (s *aggregatorServer) makeRoomForQuarantine() bool {
+// evictExpiredQuarantines drops expired quarantines if the limit is reached, and reports whether one more can be kept.
+func (s *aggregatorServer) evictExpiredQuarantines() bool {
 	if len(s.quarantines) >= maxPeerEntries {
 		maps.DeleteFunc(s.quarantines, func(_ uint16, known *quarantine) bool { return s.now >= known.until })
 	}
--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -242,7 +242,7 @@
 		limit = max(limit, d.capacity.widestRequest) // a job wider than what was tried so far would never be sent
 	}
 	limit -= own
-	othersReport := d.reports.lastAt > 0 && d.now-d.reports.lastAt <= reportsEndedFactor*d.reportTTL()
+	othersReport := d.reports.lastReportAt > 0 && d.now-d.reports.lastReportAt <= reportsEndedFactor*d.reportTTL()
 	if slots > 0 && othersReport && d.slowStart.share(executor) == 1 {
 		// Where the fleet is full, an executor that is not heard of likely is too, unless it is new.
 		limit = min(limit, math.Round(slots*(1-d.peerOccupancyAt(executor))-own))
--- a/internal/dispatch/loadreport.go
+++ b/internal/dispatch/loadreport.go
@@ -51,14 +51,14 @@
 type loadReports struct {
 	*environment
 
-	interval        float64   // ms between new reports of an executor
-	age             float64   // estimated age of a report on arrival, in ms
-	ageCandidates   [9]spread // reported occupancy minus this node's own at each candidate age
-	reportedHeld    spread    // reported occupancy
-	selectedAge     int       // index of the candidate in use
-	samples         float64   // number of reports in the comparison
-	lastAt          float64   // arrival of the last new report of any executor
-	recentReporters recentExecutors
+	interval          float64   // ms between new reports of an executor
+	age               float64   // estimated age of a report on arrival, in ms
+	ageCandidates     [9]spread // reported occupancy minus this node's own at each candidate age
+	reportedOccupancy spread    // reported occupancy
+	selectedAge       int       // index of the candidate in use
+	samples           float64   // number of reports in the comparison
+	lastReportAt      float64   // arrival of the last new report of any executor
+	recentReporters   recentExecutors
 }
 
 func newLoadReports(env *environment) loadReports {
@@ -138,8 +138,8 @@
 	return l.pending
 }
 
-// held returns the occupancy that a report shows, in requests if it has that field, otherwise in slots.
-func (l *loadReport) held(slots, free float64) (held float64, inSlots bool) {
+// occupancy returns the occupancy that a report shows, in requests if it has that field, otherwise in slots.
+func (l *loadReport) occupancy(slots, free float64) (held float64, inSlots bool) {
 	if !math.IsNaN(l.busy) {
 		return l.busy, false
 	}
@@ -183,14 +183,14 @@
 	r.samples++
 	weight := max(1-reportAgeDecay, 1/r.samples)
 	least, best := math.Inf(1), 0
-	unexplained := r.reportedHeld.add(held, weight) // scatter without this node's jobs
+	unexplained := r.reportedOccupancy.add(held, weight) // scatter without this node's jobs
 	for k := range r.ageCandidates {
 		takenAt := r.now - r.candidateAge(k)
-		scatter := r.ageCandidates[k].add(held-executor.ownHeldAt(takenAt, inSlots), weight)
+		scatter := r.ageCandidates[k].add(held-executor.ownOccupancyAt(takenAt, inSlots), weight)
 		// An age beyond the oldest recorded job of this node counts none of its jobs. Such an age explains nothing, but
 		// may still scatter less than the default one where this node has few jobs.
-		explained := r.reportedHeld.mean - r.ageCandidates[k].mean
-		if scatter < least && explained >= (r.reportedHeld.mean-r.ageCandidates[defaultAgeCandidate].mean)/2 {
+		explained := r.reportedOccupancy.mean - r.ageCandidates[k].mean
+		if scatter < least && explained >= (r.reportedOccupancy.mean-r.ageCandidates[defaultAgeCandidate].mean)/2 {
 			least, best = scatter, k
 		}
 	}
@@ -215,8 +215,8 @@
 	return r.interval * defaultReportAge * math.Pow(reportAgeStep, float64(k-defaultAgeCandidate))
 }
 
-// ownHeldAt returns the slots or requests that this node's own jobs occupied at an executor at a point in time.
-func (e *executor) ownHeldAt(at float64, inSlots bool) (held float64) {
+// ownOccupancyAt returns the slots or requests that this node's own jobs occupied at an executor at a point in time.
+func (e *executor) ownOccupancyAt(at float64, inSlots bool) (held float64) {
 	each := func(slots float64) float64 {
 		if inSlots {
 			return slots
@@ -277,7 +277,7 @@
 	}
 	load.sampleHash, load.reportedAt = report.hash, d.now
 	d.reports.recentReporters.add(executor)
-	held, inSlots := report.held(slots, free)
+	held, inSlots := report.occupancy(slots, free)
 	d.reports.learnAge(executor, held, inSlots)
 	d.setFreeSlots(executor, &report, free)
 	d.learnSlots(executor, &report, free, slots)
@@ -337,5 +337,5 @@
 	d.capacity.meanPeerOccupancy += (occupancy - d.capacity.meanPeerOccupancy) * occupancyWeight
 	keep := max(0, 1-(d.now-group.updatedAt)/d.occupancyWindow())
 	group.occupancySum, group.samples, group.updatedAt = group.occupancySum*keep+occupancy, group.samples*keep+1, d.now
-	d.reports.lastAt = d.now
+	d.reports.lastReportAt = d.now
 }
