--- a/internal/dispatch/aggregator_client.go
+++ b/internal/dispatch/aggregator_client.go
@@ -52,7 +52,7 @@
 	missedAnswers  int                // consecutive
 	answeredAt     float64            // arrival time of the last answer
 	notReadyUntil  float64            // no queries before this time, because the aggregator is not ready
-	peerSlots      map[uint16]float64 // held by the other nodes, by executor tag, as last answered
+	peerSlots      map[uint16]float64 // used by the other nodes, by executor tag, as last answered
 	notified       []*executor        // executors where the aggregator knows slots of this node
 	newQuarantines []uint16           // entries to send to the aggregator
 	quarantined    map[uint16]bool    // entries of active quarantines, as last answered
@@ -193,7 +193,7 @@
 	return data
 }
 
-// appendChange appends the slots held at an executor, if they have changed since the last notification or a reminder
+// appendChange appends the slots in use at an executor, if they have changed since the last notification or a reminder
 // is due.
 func (d *Dispatcher) appendChange(data []byte, executor *executor) []byte {
 	known := &executor.gossip
--- a/internal/dispatch/aggregator_message.go
+++ b/internal/dispatch/aggregator_message.go
@@ -4,13 +4,13 @@
 
 // A message to or from an aggregator consists of a header byte and entries of 2 bytes. The header holds the kind of
 // the message and, in an answer, a tag for the incarnation of the aggregator. An entry holds 12 bits of an executor's
-// tag, and 4 bits with the number of slots held there or a quarantine code.
+// tag, and 4 bits with the number of slots in use there or a quarantine code.
 
 // Kinds of messages, in the upper bits of the header.
 const (
 	messageUpdate   = iota << 6 // changed entries
 	messageQuery                // changed entries, and asks for an answer
-	messageSnapshot             // all slots held, so that entries not in it expire; asks for an answer
+	messageSnapshot             // all slots in use, so that entries not in it expire; asks for an answer
 	messageAnswer               // its lower bits are the incarnation tag, or 0 while the aggregator is not ready
 	messageKindMask = 3 << 6
 )
--- a/internal/dispatch/aggregator_server.go
+++ b/internal/dispatch/aggregator_server.go
@@ -26,7 +26,7 @@
 type aggregatorServer struct {
 	*environment
 
-	slotTotals     map[uint16]float64     // held by the other nodes, by executor tag
+	slotTotals     map[uint16]float64     // used by the other nodes, by executor tag
 	quarantines    map[uint16]*quarantine // by entry
 	answerScratch  []uint32
 	startedAt      float64 // of this incarnation
@@ -74,7 +74,7 @@
 	}
 }
 
-// setPeerLoad sets the slots that another node holds at one executor.
+// setPeerLoad sets the slots that another node uses at one executor.
 func (s *aggregatorServer) setPeerLoad(peer *peer, load peerLoad) {
 	previous := 0.0
 	i := slices.IndexFunc(peer.loads, func(known peerLoad) bool { return known.tag == load.tag })
@@ -91,7 +91,7 @@
 	s.slotTotals[load.tag] += load.slots - previous
 }
 
-// sumLoads removes entries that no reminder confirmed in time and recomputes the slots that the other nodes hold.
+// sumLoads removes entries that no reminder confirmed in time and recomputes the slots that the other nodes use.
 func (s *aggregatorServer) sumLoads(peers []peer, reminderInterval float64) {
 	clear(s.slotTotals)
 	for i := range peers {
@@ -150,7 +150,7 @@
 	}
 }
 
-// encodeAnswer returns the answer to a node, with the slots that all others hold. It runs for each job of all nodes and
+// encodeAnswer returns the answer to a node, with the slots that all others use. It runs for each job of all nodes and
 // is most of an aggregator's work.
 func (d *Dispatcher) encodeAnswer(peer *peer) []byte {
 	server := &d.aggregatorServer
@@ -169,7 +169,7 @@
 	return server.encode(others)
 }
 
-// encode returns an answer with the quarantines and the slots held, for the executors with the most slots first.
+// encode returns an answer with the quarantines and the slots in use, for the executors with the most slots first.
 func (s *aggregatorServer) encode(others map[uint16]float64) []byte {
 	// The sort key orders by falling number of slots and then by tag: the upper bits hold the maximum minus the number of
 	// slots, the lower bits the tag.
@@ -194,8 +194,8 @@
 			data = appendEntry(data, entry)
 		}
 	}
-	left := max(0, maxEntries-(len(data)-1)/2)
-	for _, key := range ranked[:min(len(ranked), left)] {
+	remaining := max(0, maxEntries-(len(data)-1)/2)
+	for _, key := range ranked[:min(len(ranked), remaining)] {
 		data = appendEntry(data, uint16(key)|uint16(maxEncodedSlots-key>>16))
 	}
 	return data
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -12,7 +12,7 @@
 	maxStartLagFactor = 4    // a lag counts as at most this multiple of the least one: a longer lag comes from a queue
 )
 
-// sendAttempt sends a job to an executor and accounts for what the attempt occupies there.
+// sendAttempt sends a job to an executor and accounts for the slots, memory and connection that it uses.
 func (d *Dispatcher) sendAttempt(job *job, executor *executor) {
 	d.chargeSlowStart(job, executor)
 	shared := d.sharesConnection(executor)
@@ -85,12 +85,12 @@
 		return
 	}
 	if job.inFlight == 0 {
-		// The job is ended or retried after the whole batch, because a later event of the batch may end it.
+		// The job is ended or retried at the end of the batch, because a later event of the batch may end it.
 		d.enqueue(job)
 	}
 }
 
-// resolve removes an attempt from those in flight and releases what it occupied.
+// resolve removes an attempt from those in flight and releases its slots, memory and connection.
 func (d *Dispatcher) resolve(job *job, attempt *attempt) {
 	executor := attempt.executor
 	attempt.resolved = true
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -26,7 +26,7 @@
 // inFlightAttempts holds this node's attempts at an executor: those in flight and the last ones that ended.
 type inFlightAttempts struct {
 	jobs            []*job  // one entry for each attempt
-	slots           float64 // held by these attempts, except the written-off ones
+	slots           float64 // used by these attempts, except the written-off ones
 	unstarted       int     // attempts without a start note
 	unstartedSlots  float64
 	oldestUnstarted float64 // send time of the oldest unstarted attempt, or the current time if there is none
@@ -96,7 +96,7 @@
 	return work
 }
 
-// ownSlotsInFlight returns the number of slots that this node holds at all executors.
+// ownSlotsInFlight returns the number of slots that this node uses at all executors.
 func (d *Dispatcher) ownSlotsInFlight() (slots float64) {
 	for _, executor := range d.outliers.busy {
 		slots += executor.inFlight.slots
--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -4,12 +4,12 @@
 	"math"
 )
 
-// Nodes exchange how many slots they hold at each executor. A small number of nodes broadcast this periodically, in an
+// Nodes exchange how many slots they use at each executor. A small number of nodes broadcast this periodically, in an
 // entry of 3 bytes for each executor: its tag and the number of slots. Where many nodes would make broadcasts expensive
 // or outdated, one node acts as the aggregator. The others notify it of each change and query it when a job arrives; it
-// answers with what all other nodes hold. The cost of a request then doesn't depend on the number of nodes. Messages
-// carry absolute numbers, so that a lost message is repaired by the next one for that executor or by a reminder, and
-// entries that no reminder confirms expire.
+// answers with the slots that all other nodes use. The cost of a request then doesn't depend on the number of nodes.
+// Messages carry absolute numbers, so that a lost message is repaired by the next one for that executor or by a
+// reminder, and entries that no reminder confirms expire.
 
 const (
 	// gossipIntervalFactor is the least time between broadcasts, in report intervals.
@@ -29,18 +29,18 @@
 	maxBroadcastSlots = 255
 )
 
-// gossipMode is the way in which nodes exchange how many slots they hold. All nodes derive the same mode from the same
+// gossipMode is the way in which nodes exchange how many slots they use. All nodes derive the same mode from the same
 // settings.
 type gossipMode uint8
 
 // The modes.
 const (
 	gossipNone       gossipMode = iota
-	gossipBroadcast             // periodic messages to all nodes with all slots held
+	gossipBroadcast             // periodic messages to all nodes with all slots in use
 	gossipAggregator            // a message to the aggregator for each change
 )
 
-// gossip holds what other nodes reported about the slots that they hold.
+// gossip holds what other nodes reported about the slots that they use.
 type gossip struct {
 	mode          gossipMode
 	peers         []peer  // indexed by node number
@@ -58,7 +58,7 @@
 	timeouts       int     // consecutive suspicions as the aggregator
 }
 
-// peerLoad is the number of slots that another node holds at one executor.
+// peerLoad is the number of slots that another node uses at one executor.
 type peerLoad struct {
 	tag       uint16
 	slots     float64
@@ -68,7 +68,7 @@
 // executorGossip holds the gossip about one executor.
 type executorGossip struct {
 	peerSlots         float64 // sum of the slots that fresh peers broadcast
-	unreportedSlots   float64 // held by others and in no message, as estimated at unreportedSlotsAt
+	unreportedSlots   float64 // used by others and in no message, as estimated at unreportedSlotsAt
 	unreportedSlotsAt float64
 	notifiedSlots     float64 // own slots in the last notification to the aggregator, at notifiedAt
 	notifiedAt        float64
@@ -100,7 +100,7 @@
 	return tag
 }
 
-// broadcastLoad sends all other nodes the slots that this node holds at each executor, within the byte budget.
+// broadcastLoad sends all other nodes the slots that this node uses at each executor, within the byte budget.
 func (d *Dispatcher) broadcastLoad() {
 	if d.gossip.mode != gossipBroadcast || d.now < d.gossip.nextBroadcast {
 		return
@@ -143,7 +143,7 @@
 	d.needsPlacement = true
 }
 
-// addPeerLoad adds the slots that another node holds to the sums, or subtracts them if sign is -1.
+// addPeerLoad adds the slots that another node uses to the sums, or subtracts them if sign is -1.
 func (d *Dispatcher) addPeerLoad(peer *peer, sign float64) {
 	for _, load := range peer.loads {
 		if executor := d.endpoints.byTag[load.tag]; executor != nil {
@@ -152,7 +152,7 @@
 	}
 }
 
-// sumPeerLoads recomputes the slots that the other nodes hold, without nodes that sent no broadcast for some report
+// sumPeerLoads recomputes the slots that the other nodes use, without nodes that sent no broadcast for some report
 // intervals and without aggregator entries that no reminder confirmed.
 func (d *Dispatcher) sumPeerLoads() {
 	d.gossip.freshPeers, d.needsPlacement = 0, true
@@ -189,8 +189,8 @@
 	return client.answeredAt > 0 && d.now-client.answeredAt <= maxAnswerAge*d.answerTimeout()
 }
 
-// peerSlotsAt returns the number of slots that other nodes hold at an executor, by their last messages. With broadcasts,
-// nodes without a recent message count as the mean of the others.
+// peerSlotsAt returns the number of slots that other nodes use at an executor, by their last messages. With
+// broadcasts, nodes without a recent message count as the mean of the others.
 func (d *Dispatcher) peerSlotsAt(executor *executor) float64 {
 	switch {
 	case d.gossip.mode != gossipAggregator:
@@ -201,7 +201,7 @@
 	return d.aggregatorClient.peerSlots[executor.tag]
 }
 
-// unreportedSlots estimates the slots that others hold at an executor and that no message reported. A job of this node
+// unreportedSlots estimates the slots that others use at an executor and that no message reported. A job of this node
 // that does not start although a slot should be free reveals them. They are assumed to be released over one run. Such
 // jobs are left behind by killed nodes and aggregators. In aggregator mode this node includes them in its messages,
 // so that no other node has to find them by a waiting job of its own.
--- a/internal/dispatch/loadreport.go
+++ b/internal/dispatch/loadreport.go
@@ -108,7 +108,7 @@
 }
 
 // freeSlots returns the number of free slots that a report shows, which is negative where jobs are queued. The executor
-// has slots in total; a job holds width of them on average and widest at most. It returns false if the report lacks
+// has slots in total; a job uses width of them on average and widest at most. It returns false if the report lacks
 // the fields for this.
 func (l *loadReport) freeSlots(slots, width, widest float64) (free float64, ok bool) {
 	switch {
@@ -139,7 +139,7 @@
 }
 
 // occupancy returns the occupancy that a report shows, in requests if it has that field, otherwise in slots.
-func (l *loadReport) occupancy(slots, free float64) (held float64, inSlots bool) {
+func (l *loadReport) occupancy(slots, free float64) (occupancy float64, inSlots bool) {
 	if !math.IsNaN(l.busy) {
 		return l.busy, false
 	}
@@ -179,26 +179,26 @@
 // it. All nodes then fill the executors that were idle seconds ago and avoid those that were full. The occupancy that
 // an executor reports follows this node's own jobs there, as they were when the report was taken. The estimate is
 // therefore the candidate age at which the reported occupancy minus this node's own scatters least.
-func (r *loadReports) learnAge(executor *executor, held float64, inSlots bool) {
+func (r *loadReports) learnAge(executor *executor, occupancy float64, inSlots bool) {
 	r.samples++
 	weight := max(1-reportAgeDecay, 1/r.samples)
-	least, best := math.Inf(1), 0
-	unexplained := r.reportedOccupancy.add(held, weight) // scatter without this node's jobs
+	leastScatter, best := math.Inf(1), 0
+	unexplained := r.reportedOccupancy.add(occupancy, weight) // scatter without this node's jobs
 	for k := range r.ageCandidates {
 		takenAt := r.now - r.candidateAge(k)
-		scatter := r.ageCandidates[k].add(held-executor.ownOccupancyAt(takenAt, inSlots), weight)
+		scatter := r.ageCandidates[k].add(occupancy-executor.ownOccupancyAt(takenAt, inSlots), weight)
 		// An age beyond the oldest recorded job of this node counts none of its jobs. Such an age explains nothing, but
 		// may still scatter less than the default one where this node has few jobs.
 		explained := r.reportedOccupancy.mean - r.ageCandidates[k].mean
-		if scatter < least && explained >= (r.reportedOccupancy.mean-r.ageCandidates[defaultAgeCandidate].mean)/2 {
-			least, best = scatter, k
+		if scatter < leastScatter && explained >= (r.reportedOccupancy.mean-r.ageCandidates[defaultAgeCandidate].mean)/2 {
+			leastScatter, best = scatter, k
 		}
 	}
 	confidence := reportAgeConfidence
 	if r.selectedAge != defaultAgeCandidate {
 		confidence = 1 // a selected age stays until the default one fits as well
 	}
-	uncertain := least > confidence*r.ageCandidates[defaultAgeCandidate].scatter || least > unexplained
+	uncertain := leastScatter > confidence*r.ageCandidates[defaultAgeCandidate].scatter || leastScatter > unexplained
 	if uncertain || r.samples < 1/(1-reportAgeDecay) {
 		best = defaultAgeCandidate
 	}
@@ -216,7 +216,7 @@
 }
 
 // ownOccupancyAt returns the slots or requests that this node's own jobs occupied at an executor at a point in time.
-func (e *executor) ownOccupancyAt(at float64, inSlots bool) (held float64) {
+func (e *executor) ownOccupancyAt(at float64, inSlots bool) (occupancy float64) {
 	each := func(slots float64) float64 {
 		if inSlots {
 			return slots
@@ -226,16 +226,16 @@
 	for _, job := range e.inFlight.jobs {
 		for i := range job.attempts {
 			if attempt := &job.attempts[i]; attempt.executor == e && !attempt.resolved && attempt.sentAt <= at {
-				held += each(job.slots)
+				occupancy += each(job.slots)
 			}
 		}
 	}
 	for _, attempt := range e.inFlight.ended {
 		if attempt.sentAt <= at && attempt.endedAt > at {
-			held += each(attempt.slots)
+			occupancy += each(attempt.slots)
 		}
 	}
-	return held
+	return occupancy
 }
 
 // reportTTL returns how long a report stays valid: some report intervals and, where only answers carry reports, at
@@ -277,8 +277,8 @@
 	}
 	load.sampleHash, load.reportedAt = report.hash, d.now
 	d.reports.recentReporters.add(executor)
-	held, inSlots := report.occupancy(slots, free)
-	d.reports.learnAge(executor, held, inSlots)
+	occupancy, inSlots := report.occupancy(slots, free)
+	d.reports.learnAge(executor, occupancy, inSlots)
 	d.setFreeSlots(executor, &report, free)
 	d.learnSlots(executor, &report, free, slots)
 	d.learnOccupancy(executor)
@@ -316,21 +316,21 @@
 // and all busy requests are running.
 func (d *Dispatcher) learnSlots(executor *executor, report *loadReport, free, slots float64) {
 	load := &executor.load
-	seen := free
+	shownSlots := free
 	if free >= d.capacity.widestRequest-slotTolerance && report.busy > 0 {
-		seen += report.busy
+		shownSlots += report.busy
 	}
 	if load.slots == 0 {
-		load.slots = max(0, math.Round(seen))
-	} else if seen > load.slots {
-		load.slots += (seen - load.slots) * slotsRiseWeight
+		load.slots = max(0, math.Round(shownSlots))
+	} else if shownSlots > load.slots {
+		load.slots += (shownSlots - load.slots) * slotsRiseWeight
 	}
 	kindSlots := &d.capacity.kindSlots[executor.endpoint.kind]
 	*kindSlots = max(*kindSlots, load.slots)
 	load.freeSlots = min(load.freeSlots, max(slots, load.slots)-executor.inFlight.slots)
 }
 
-// learnOccupancy updates the estimated fraction of an executor's slots that other nodes hold.
+// learnOccupancy updates the estimated fraction of an executor's slots that other nodes use.
 func (d *Dispatcher) learnOccupancy(executor *executor) {
 	load, group := &executor.load, executor.group
 	occupancy := max(0, load.slots-executor.inFlight.slots-load.freeSlots) / max(load.slots, 1)
