--- a/internal/dispatch/aggregator_test.go
+++ b/internal/dispatch/aggregator_test.go
@@ -156,12 +156,12 @@
 		c.run(30)
 	}
 	d := c.nodes[29]
-	if !d.isClassAway(d.endpoints.byID[bad], 0) || d.isClassAway(d.endpoints.byID[bad], 1) {
+	if !d.isClassQuarantined(d.endpoints.byID[bad], 0) || d.isClassQuarantined(d.endpoints.byID[bad], 1) {
 		t.Error("the class that failed is to be kept away, and only that one")
 	}
 	c.run(2 * classQuarantineFactor * c.s.ConnectTimeout)
 	c.send(29, 300)
-	if d.isClassAway(d.endpoints.byID[bad], 0) || d.isQuarantined(d.endpoints.byID[dead], connectionQuarantine) {
+	if d.isClassQuarantined(d.endpoints.byID[bad], 0) || d.isQuarantined(d.endpoints.byID[dead], connectionQuarantine) {
 		t.Error("a mark that nobody found again still holds")
 	}
 }
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -26,7 +26,7 @@
 		sent.fetchesKey = true
 		d.affinity.fetchingSlots += job.slots
 	}
-	sent.openedConnection = executor.connections.take(shared)
+	sent.openedConnection = executor.connections.acquire(shared)
 	job.attempts = append(job.attempts, sent)
 	if !d.settings.StartNotifications && sent.hadFreeSlots {
 		d.observeRun(job, &job.attempts[len(job.attempts)-1])
@@ -48,8 +48,8 @@
 // delayNextRetry sets the time of the next job for an executor that is still unresponsive after the current one.
 func (d *Dispatcher) delayNextRetry(executor *executor) {
 	outlier := &executor.outlier
-	outlier.retryAt = d.now + d.unresponsiveTimeout()/2*doublings(outlier.retries, maxRetryDoublings)*(0.75+0.5*d.random())
-	outlier.retries++
+	outlier.trialAt = d.now + d.unresponsiveTimeout()/2*doublings(outlier.trials, maxRetryDoublings)*(0.75+0.5*d.random())
+	outlier.trials++
 }
 
 // attemptOf returns the job and the attempt that an event refers to, or nil if that attempt is not in flight.
@@ -74,8 +74,8 @@
 	d.endObservedRun(job, attempt, event.Outcome == Served)
 	d.resolve(job, attempt)
 	d.recordMayHaveRun(job, attempt, event.Outcome)
-	d.judgeOutcome(job, attempt, event.Outcome)
-	d.learnClassOutcome(job, executor, event)
+	d.observeOutcome(job, attempt, event.Outcome)
+	d.observeClassOutcome(job, executor, event)
 	d.handleLoadReport(executor, event.Report)
 	if event.Final {
 		d.finishJob(job)
@@ -124,7 +124,7 @@
 		return
 	}
 	executor := attempt.executor
-	d.noteAlive(executor)
+	d.recordActivity(executor)
 	attempt.heardAt, attempt.ackOverdue = d.now, false
 	if attempt.writtenOff {
 		attempt.writtenOff = false
@@ -135,7 +135,7 @@
 	}
 	attempt.startedAt = d.now
 	d.observeRun(job, attempt)
-	d.serviceTimes.learnStart(d.now - attempt.sentAt)
+	d.serviceTimes.observeStartLag(d.now - attempt.sentAt)
 	executor.countUnstarted(d.now)
 	d.needsPlacement = true
 	job.queued = false // a job that runs is not hedged
--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -209,7 +209,7 @@
 	}
 	slots := math.Round(d.knownSlots(executor))
 	if slots > 0 && d.peerLoadsKnown() { // this is newer than any report
-		byNow := max(1, slots*d.slowStart.share(executor))
+		byNow := max(1, slots*d.slowStart.capacityFraction(executor))
 		return math.Round(byNow - own - d.peerSlotsAt(executor) - d.unreportedSlots(executor))
 	}
 	if d.isOverloadedByWeight(executor) {
@@ -243,7 +243,7 @@
 	}
 	limit -= own
 	othersReport := d.reports.lastReportAt > 0 && d.now-d.reports.lastReportAt <= reportsEndedFactor*d.reportTTL()
-	if slots > 0 && othersReport && d.slowStart.share(executor) == 1 {
+	if slots > 0 && othersReport && d.slowStart.capacityFraction(executor) == 1 {
 		// Where the fleet is full, an executor that is not heard of likely is too, unless it is new.
 		limit = min(limit, math.Round(slots*(1-d.peerOccupancyAt(executor))-own))
 	}
--- a/internal/dispatch/classfailure.go
+++ b/internal/dispatch/classfailure.go
@@ -31,10 +31,10 @@
 
 // classFailures is how one class fares at an executor.
 type classFailures struct {
-	consecutive int     // failures in a row
-	awayUntil   float64 // no job of the class goes there before
-	failedAt    float64 // when it failed last
-	errors      errorTally
+	consecutive      int     // failures in a row
+	quarantinedUntil float64 // no job of the class goes there before
+	failedAt         float64 // when it failed last
+	errors           errorTally
 }
 
 // resetClass forgets how a class fared, and makes place for one more if it is new.
@@ -52,7 +52,7 @@
 	failures.errors.takeBack(env)
 	failures.consecutive = max(0, failures.consecutive-1)
 	if failures.consecutive == 0 {
-		failures.awayUntil = 0
+		failures.quarantinedUntil = 0
 	}
 	f.all.takeBack(env)
 }
@@ -87,11 +87,11 @@
 	}
 }
 
-// learnClassOutcome takes in how a job of a class ended at an executor. A single Full outcome beside free slots can
+// observeClassOutcome takes in how a job of a class ended at an executor. A single Full outcome beside free slots can
 // come of a late load report and is not held against the class. A job that errs at a second executor may be one that
 // errs wherever it goes, so that the first is not to blame either: one bad request that may be attempted six times
 // would put its class out at six executors. Once a third executor serves the job, the errors were the executors' own.
-func (d *Dispatcher) learnClassOutcome(job *job, executor *executor, event *Event) {
+func (d *Dispatcher) observeClassOutcome(job *job, executor *executor, event *Event) {
 	attempt := &job.attempts[event.Attempt]
 	switch {
 	case event.Outcome == Served:
@@ -107,7 +107,7 @@
 	executor.failures.add(d.environment, job.class, false)
 	failures := &executor.failures.byClass[job.class]
 	if attempt.sentAt >= failures.failedAt { // an earlier attempt shows nothing of what came since
-		failures.consecutive, failures.awayUntil = 0, 0
+		failures.consecutive, failures.quarantinedUntil = 0, 0
 	}
 	if job.erroredAttempts() <= 1 {
 		return
@@ -140,7 +140,7 @@
 	if o == Errored {
 		executor.failures.add(d.environment, class, true)
 	}
-	if d.now < failures.awayUntil {
+	if d.now < failures.quarantinedUntil {
 		return // it was sent before the last one failed
 	}
 	failures.consecutive++
@@ -149,9 +149,9 @@
 		return
 	}
 	base := classQuarantineFactor * max(d.settings.ConnectTimeout, d.settings.MinStepInterval)
-	failures.awayUntil = d.now + base*doublings(failures.consecutive-1, maxBackoffDoublings)*(0.75+0.5*d.random())
+	failures.quarantinedUntil = d.now + base*doublings(failures.consecutive-1, maxBackoffDoublings)*(0.75+0.5*d.random())
 	d.reportQuarantine(executor, firstClassQuarantine+class)
-	d.logf("class kept away executor=%d class=%d until=%.0f", executor.id, class, failures.awayUntil)
+	d.logf("class kept away executor=%d class=%d until=%.0f", executor.id, class, failures.quarantinedUntil)
 }
 
 // errorProbability is the chance that a job errs at an executor, for a job that is lost with it; others are attempted
@@ -169,14 +169,14 @@
 	return (ownErrors + errorPrior*errors/(all+errorPrior)) / (own + errorPrior)
 }
 
-// classFailsAt says whether a job's class failed at an executor lately, and not nearly everywhere.
-func (d *Dispatcher) classFailsAt(job *job, executor *executor) bool {
-	return d.isClassAway(executor, job.class) && !d.outliers.failingClasses[job.class]
+// excludesClass says whether a job's class failed at an executor lately, and not nearly everywhere.
+func (d *Dispatcher) excludesClass(job *job, executor *executor) bool {
+	return d.isClassQuarantined(executor, job.class) && !d.outliers.failingClasses[job.class]
 }
 
-// isClassAway says whether a class failed at an executor lately, here or as other nodes found.
-func (d *Dispatcher) isClassAway(executor *executor, class int) bool {
-	return d.now < executor.failures.byClass[class].awayUntil || d.isQuarantined(executor, firstClassQuarantine+class)
+// isClassQuarantined says whether a class failed at an executor lately, here or as other nodes found.
+func (d *Dispatcher) isClassQuarantined(executor *executor, class int) bool {
+	return d.now < executor.failures.byClass[class].quarantinedUntil || d.isQuarantined(executor, firstClassQuarantine+class)
 }
 
 // findFailingClasses finds the classes that fail at so many executors that it does not help to keep them away.
@@ -184,7 +184,7 @@
 	for class := range d.serviceTimes.classes {
 		away := 0
 		for _, executor := range d.endpoints.listed {
-			if d.isClassAway(executor, class) {
+			if d.isClassQuarantined(executor, class) {
 				away++
 			}
 		}
--- a/internal/dispatch/classfailure_test.go
+++ b/internal/dispatch/classfailure_test.go
@@ -86,7 +86,7 @@
 		}
 		unsafe := &job{class: 2}
 		for _, executor := range r.d.endpoints.listed {
-			if d := r.d; d.now < executor.failures.byClass[0].awayUntil {
+			if d := r.d; d.now < executor.failures.byClass[0].quarantinedUntil {
 				away++
 			}
 			odds = max(odds, r.d.errorProbability(unsafe, executor))
@@ -164,7 +164,7 @@
 	r.now += 60000
 	r.step()
 	if run(2, served); r.d.endpoints.byID[1].failures.byClass[2].consecutive != 0 ||
-		r.d.endpoints.byID[1].failures.byClass[2].awayUntil != 0 {
+		r.d.endpoints.byID[1].failures.byClass[2].quarantinedUntil != 0 {
 		t.Errorf("served again: %+v", r.d.endpoints.byID[1].failures.byClass[2])
 	}
 	everywhere := func(uint32) Outcome { return Errored }
@@ -204,8 +204,8 @@
 		}
 		r.after(1, events...)
 		executor := r.d.endpoints.byID[1]
-		if got := executor.failures.byClass[2].awayUntil > r.now; got != x.away ||
-			executor.failures.byClass[0].awayUntil > 0 {
+		if got := executor.failures.byClass[2].quarantinedUntil > r.now; got != x.away ||
+			executor.failures.byClass[0].quarantinedUntil > 0 {
 			t.Errorf("%s: kept away %v, want %v; another class %+v", x.name, got, x.away, executor.failures.byClass[0])
 		}
 	}
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -8,9 +8,9 @@
 	dialBackoffUntil float64   // no connection is opened before
 }
 
-// take uses the last idle connection, if there is one, and says whether one is opened for an attempt instead. Shared
+// acquire uses the last idle connection, if there is one, and says whether one is opened for an attempt instead. Shared
 // says that an open connection carries it beside others.
-func (c *connectionState) take(shared bool) (opened bool) {
+func (c *connectionState) acquire(shared bool) (opened bool) {
 	if n := len(c.idleSince); n > 0 {
 		c.idleSince = c.idleSince[:n-1]
 		return false
@@ -22,8 +22,8 @@
 	return true
 }
 
-// giveBack notes that a connection has become idle. Where jobs share connections, one entry stands for all.
-func (c *connectionState) giveBack(now float64, inFlight int, shared bool) {
+// release notes that a connection has become idle. Where jobs share connections, one entry stands for all.
+func (c *connectionState) release(now float64, inFlight int, shared bool) {
 	if len(c.idleSince) > inFlight && shared {
 		c.idleSince = c.idleSince[:0]
 	}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -121,7 +121,7 @@
 	if job == nil || int(event.Attempt) >= len(job.attempts) {
 		return
 	}
-	job.attempts[event.Attempt].executor.outlier.lastHeard = d.now
+	job.attempts[event.Attempt].executor.outlier.lastActiveAt = d.now
 	job.deadline = math.Inf(1)
 }
 
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -186,7 +186,7 @@
 		executor = d.newExecutor(row.Executor)
 	} else if row.StartedAt != executor.slowStart.listedStart {
 		// A new process. The start may be an earlier one: the clock that told them may have been stepped back.
-		predecessorHeard = executor.outlier.lastHeard
+		predecessorHeard = executor.outlier.lastActiveAt
 		d.forgetProcess(executor)
 	}
 	endpoint := &executor.endpoint
@@ -202,7 +202,7 @@
 func (d *Dispatcher) newExecutor(id uint32) *executor {
 	added := &executor{id: id}
 	added.load.softLimit = initialSoftLimit
-	added.outlier.lastHeard = d.now
+	added.outlier.lastActiveAt = d.now
 	added.failures.byClass = make([]classFailures, len(d.serviceTimes.classes))
 	d.endpoints.byID[id] = added
 	d.slowStart.recallStart(added)
@@ -215,7 +215,7 @@
 	load.freeSlots, load.reportedAt, load.softLimit = 0, 0, initialSoftLimit
 	outlier.errorAverage, outlier.ejections, outlier.ejectedUntil = 0, 0, 0
 	outlier.ackOverdueAt, outlier.ackOverdueUntil = 0, 0
-	outlier.onProbation, outlier.unresponsive, outlier.lastHeard = false, false, d.now
+	outlier.onProbation, outlier.unresponsive, outlier.lastActiveAt = false, false, d.now
 	connections.dialFailures, connections.dialBackoffUntil = 0, 0
 	connections.idleSince = connections.idleSince[:0]
 	executor.gossip.unreportedSlots = 0
--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -208,7 +208,7 @@
 func (d *Dispatcher) unreportedSlots(executor *executor) float64 {
 	known := &executor.gossip
 	if executor.inFlight.unstarted > 0 && d.isStartOverdue(executor) {
-		slots := d.knownSlots(executor) * d.slowStart.share(executor)
+		slots := d.knownSlots(executor) * d.slowStart.capacityFraction(executor)
 		if hidden := slots - executor.inFlight.slots - d.peerSlotsAt(executor); hidden >= known.unreportedSlots {
 			known.unreportedSlots, known.unreportedSlotsAt = hidden, d.now
 		}
--- a/internal/dispatch/healthcheck.go
+++ b/internal/dispatch/healthcheck.go
@@ -39,7 +39,7 @@
 	}
 	switch event.Outcome {
 	case Served:
-		d.noteAlive(executor)
+		d.recordActivity(executor)
 		d.handleLoadReport(executor, event.Report)
 	case ConnectFailed:
 		d.noteDialFailure(executor)
--- a/internal/dispatch/hedging.go
+++ b/internal/dispatch/hedging.go
@@ -19,7 +19,7 @@
 			overdue++
 		}
 	}
-	if executor.outlier.lastHeard <= attempt.sentAt || overdue > 1 {
+	if executor.outlier.lastActiveAt <= attempt.sentAt || overdue > 1 {
 		d.eject(executor, "overdue acknowledgements")
 		executor.outlier.ackOverdueAt, executor.outlier.ackOverdueUntil = d.now, 2*executor.outlier.ejectedUntil-d.now
 	}
--- a/internal/dispatch/hedging_test.go
+++ b/internal/dispatch/hedging_test.go
@@ -29,7 +29,7 @@
 			got := 0
 			for range 30 {
 				if tt.heard { // another's answer says that the executor lives
-					r.d.endpoints.byID[sent[0].Executor].outlier.lastHeard = r.now
+					r.d.endpoints.byID[sent[0].Executor].outlier.lastActiveAt = r.now
 				}
 				got += len(actionsOf(r.after(100, Event{Kind: EvTimer}), ActSend, 1))
 			}
--- a/internal/dispatch/listclock_test.go
+++ b/internal/dispatch/listclock_test.go
@@ -65,7 +65,7 @@
 	first.StartedAt = r.now - 100
 	r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{first}})
 	r.after(5000)
-	r.d.noteAlive(r.d.endpoints.byID[8])
+	r.d.recordActivity(r.d.endpoints.byID[8])
 	answered := r.now
 	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta})
 	second.StartedAt = answered - 3000
--- a/internal/dispatch/loadreport.go
+++ b/internal/dispatch/loadreport.go
@@ -261,7 +261,7 @@
 	if repeated && (executor.inFlight.slots > 0 || d.now-load.reportedAt < d.reports.interval) {
 		return
 	}
-	if report.serviceTime > 0 && d.slowStart.share(executor) == 1 && d.serviceTimes.isLittleKnown(executor) {
+	if report.serviceTime > 0 && d.slowStart.capacityFraction(executor) == 1 && d.serviceTimes.hasFewRuns(executor) {
 		// The reported service time excludes queueing. This node's own runs say little about an executor that always has
 		// a queue, or that it seldom uses.
 		d.serviceTimes.add(executor, d.serviceTimes.classes[0].work, report.serviceTime)
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -46,10 +46,10 @@
 	onProbation     bool    // after an ejection: one job at a time until one is served
 	ejectedUntil    float64 // nothing is sent before
 	errorAverage    float64 // of resets, between 0 and 1
-	lastHeard       float64 // last sign of life
+	lastActiveAt    float64 // last sign of life
 	ejections       int     // without a served attempt between
-	retryAt         float64 // an unresponsive executor gets one job from then on
-	retries         int     // such jobs since it was last heard of
+	trialAt         float64 // an unresponsive executor gets one job from then on
+	trials          int     // such jobs since it was last heard of
 	ackOverdueAt    float64 // when it was last ejected for overdue acknowledgements
 	ackOverdueUntil float64 // until then nothing goes there that must not be lost
 }
@@ -79,11 +79,11 @@
 	// An unresponsive executor gets one job now and then. One that was cut off, and holds jobs whose end was lost, would
 	// otherwise stay out until the last client's time is over.
 	outlier := &executor.outlier
-	return d.outliers.panicking || d.now >= outlier.ejectedUntil && (!outlier.unresponsive || d.now >= outlier.retryAt)
+	return d.outliers.panicking || d.now >= outlier.ejectedUntil && (!outlier.unresponsive || d.now >= outlier.trialAt)
 }
 
-// judgeOutcome draws from an outcome what it says of the executor: its free slots, speed, errors and connections.
-func (d *Dispatcher) judgeOutcome(job *job, attempt *attempt, o Outcome) {
+// observeOutcome draws from an outcome what it says of the executor: its free slots, speed, errors and connections.
+func (d *Dispatcher) observeOutcome(job *job, attempt *attempt, o Outcome) {
 	executor := attempt.executor
 	switch o {
 	case Served:
@@ -92,7 +92,7 @@
 	case Errored:
 		// Whether it is to blame is a matter of the job's class, see learnClassOutcome.
 		d.endAttempt(job, attempt)
-		d.noteAlive(executor)
+		d.recordActivity(executor)
 	case Reset:
 		d.endAttempt(job, attempt)
 		d.judgeReset(executor)
@@ -115,7 +115,7 @@
 
 func (d *Dispatcher) judgeServed(job *job, attempt *attempt) {
 	executor := attempt.executor
-	d.noteAlive(executor)
+	d.recordActivity(executor)
 	outlier := &executor.outlier
 	outlier.errorAverage *= errorAverageMemory
 	executor.load.rejections = 0
@@ -126,10 +126,10 @@
 	if attempt.openedConnection {
 		executor.connections.dialFailures = 0
 	}
-	if d.slowStart.share(executor) >= 1 {
+	if d.slowStart.capacityFraction(executor) >= 1 {
 		d.serviceTimes.learn(job, attempt)
 	}
-	executor.connections.giveBack(d.now, len(executor.inFlight.jobs), d.settings.MaxConcurrentStreams > 1)
+	executor.connections.release(d.now, len(executor.inFlight.jobs), d.settings.MaxConcurrentStreams > 1)
 	d.placement.recentServers.add(executor)
 }
 
@@ -161,7 +161,7 @@
 
 // judgeReset counts a broken connection, which may have lost a job.
 func (d *Dispatcher) judgeReset(executor *executor) {
-	d.noteAlive(executor)
+	d.recordActivity(executor)
 	outlier := &executor.outlier
 	outlier.errorAverage = outlier.errorAverage*errorAverageMemory + 1 - errorAverageMemory
 	if outlier.errorAverage > ejectionErrorRate || outlier.onProbation {
@@ -221,7 +221,7 @@
 			if !attempt.holdsSlots(executor) {
 				continue
 			}
-			since := max(attempt.sentAt, executor.outlier.lastHeard)
+			since := max(attempt.sentAt, executor.outlier.lastActiveAt)
 			if attempt.startedAt == 0 && d.settings.StartNotifications {
 				since += queuedGraceFactor * d.serviceTimes.startDelay // nothing is heard of a queued job
 			}
@@ -230,20 +230,20 @@
 	}
 	if unresponsive && !executor.outlier.unresponsive {
 		d.logf("executor unresponsive executor=%d", executor.id)
-		executor.outlier.retryAt = d.now + timeout*(0.25+0.5*d.random())
+		executor.outlier.trialAt = d.now + timeout*(0.25+0.5*d.random())
 	}
 	executor.outlier.unresponsive = unresponsive
 }
 
-// noteAlive takes in a sign of life. After a silence, what is in flight there may have ended or never arrived without
+// recordActivity takes in a sign of life. After a silence, what is in flight there may have ended or never arrived without
 // this node hearing of it, until its client's time is over: it counts as holding no slots unless it is heard of
 // again.
-func (d *Dispatcher) noteAlive(executor *executor) {
-	executor.outlier.lastHeard = d.now
+func (d *Dispatcher) recordActivity(executor *executor) {
+	executor.outlier.lastActiveAt = d.now
 	if !executor.outlier.unresponsive {
 		return
 	}
-	executor.outlier.unresponsive, executor.outlier.retries = false, 0
+	executor.outlier.unresponsive, executor.outlier.trials = false, 0
 	d.needsPlacement = true
 	d.logf("executor responsive executor=%d", executor.id)
 	for _, job := range executor.inFlight.jobs {
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -130,7 +130,7 @@
 	if executor.load.available-job.slots < -roundingSlack || !d.isKindAllowed(job, executor) {
 		return false
 	}
-	if !d.isUsable(executor) || !d.isSendAllowed(job, executor) || d.classFailsAt(job, executor) {
+	if !d.isUsable(executor) || !d.isSendAllowed(job, executor) || d.excludesClass(job, executor) {
 		return false
 	}
 	if d.errorProbability(job, executor) > ejectionErrorRate || d.mayLose(job, executor) {
@@ -217,7 +217,7 @@
 	if !d.isUsable(executor) || executor.outlier.unresponsive || queuesThere || d.now < executor.load.rejectedUntil {
 		return false
 	}
-	if d.classFailsAt(job, executor) || !d.isKindAllowed(job, executor) {
+	if d.excludesClass(job, executor) || !d.isKindAllowed(job, executor) {
 		return false
 	}
 	if d.errorProbability(job, executor) > ejectionErrorRate || !d.isSendAllowed(job, executor) {
--- a/internal/dispatch/servicetime.go
+++ b/internal/dispatch/servicetime.go
@@ -73,9 +73,9 @@
 	return 2*s.minStartLag + startNoteGraceSteps*s.settings.MinStepInterval
 }
 
-// learnStart takes in how long an executor needed to say that it started an attempt. Lags over the least count
+// observeStartLag takes in how long an executor needed to say that it started an attempt. Lags over the least count
 // little, because they tell of a queue.
-func (s *serviceTimes) learnStart(lag float64) {
+func (s *serviceTimes) observeStartLag(lag float64) {
 	s.startDelay += (lag - s.startDelay) * startDelayWeight
 	if lag < s.minStartLag {
 		s.minStartLag = lag
@@ -122,8 +122,8 @@
 	return (stats.work + prior*s.meanSpeed()) / (stats.time + prior)
 }
 
-// isLittleKnown says that fewer runs of an executor were seen than its kind's speed counts for.
-func (s *serviceTimes) isLittleKnown(executor *executor) bool {
+// hasFewRuns says that fewer runs of an executor were seen than its kind's speed counts for.
+func (s *serviceTimes) hasFewRuns(executor *executor) bool {
 	return executor.serviceTime.time*s.meanSpeed() < kindSpeedPrior*s.classes[0].work
 }
 
@@ -134,7 +134,7 @@
 	observed := &executor.serviceTime
 	kindSpeed := d.serviceTimes.kindSpeed(executor.endpoint.kind)
 	speed := (observed.work + prior*kindSpeed) / (observed.time + prior)
-	share := d.slowStart.share(executor)
+	share := d.slowStart.capacityFraction(executor)
 	if share < 1 && d.peerLoadsKnown() {
 		slots := max(1, executor.load.slots, d.capacity.kindSlots[executor.endpoint.kind])
 		share = min(1, share*slots/(executor.inFlight.slots+d.peerSlotsAt(executor)+1))
--- a/internal/dispatch/slottime.go
+++ b/internal/dispatch/slottime.go
@@ -69,7 +69,7 @@
 // observeRun begins to observe an attempt's run, if it is known when the run begins and if the executor has all of its
 // capacity.
 func (d *Dispatcher) observeRun(job *job, attempt *attempt) {
-	if attempt.runObserved || d.slowStart.share(attempt.executor) < 1 {
+	if attempt.runObserved || d.slowStart.capacityFraction(attempt.executor) < 1 {
 		return
 	}
 	attempt.runObserved = true
--- a/internal/dispatch/slottime_test.go
+++ b/internal/dispatch/slottime_test.go
@@ -78,7 +78,7 @@
 	for range 60 {
 		r.after(100)
 	}
-	r.d.noteAlive(r.d.endpoints.byID[7]) // what was in flight is written off
+	r.d.recordActivity(r.d.endpoints.byID[7]) // what was in flight is written off
 	if estimate.runningAttempts != 0 || estimate.runningSlots != 0 {
 		t.Errorf("written off: %+v, want none running", estimate)
 	}
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -148,7 +148,7 @@
 
 // track keeps an executor whose row has changed among those that warm up, if it does.
 func (s *slowStartTracker) track(changed *executor) {
-	if s.share(changed) >= 1 {
+	if s.capacityFraction(changed) >= 1 {
 		return
 	}
 	at, known := slices.BinarySearchFunc(s.warming, changed.id, func(other *executor, id uint32) int {
@@ -164,7 +164,7 @@
 // warmingUp gives the executors of the list that warm up, by id.
 func (s *slowStartTracker) warmingUp() []*executor {
 	s.warming = slices.DeleteFunc(s.warming, func(executor *executor) bool {
-		return executor.endpoint.condition == Removed || s.share(executor) >= 1
+		return executor.endpoint.condition == Removed || s.capacityFraction(executor) >= 1
 	})
 	return s.warming
 }
@@ -194,8 +194,8 @@
 	delete(s.removed, executor.id)
 }
 
-// share is the least part of its capacity that an executor has by now.
-func (s *slowStartTracker) share(executor *executor) float64 {
+// capacityFraction is the least part of its capacity that an executor has by now.
+func (s *slowStartTracker) capacityFraction(executor *executor) float64 {
 	startedAt, warmsWithin := executor.slowStart.startedAt, s.settings.MaxSlowStartDuration
 	if startedAt <= 0 || warmsWithin <= 0 || s.now-startedAt >= warmsWithin {
 		return 1
@@ -211,7 +211,7 @@
 	if budget.startedAt <= 0 || d.now >= budget.until {
 		return true
 	}
-	share := d.slowStart.share(executor)
+	share := d.slowStart.capacityFraction(executor)
 	if !budget.opened {
 		d.openSlowStartBudget(executor)
 	}
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -86,7 +86,7 @@
 			continue
 		}
 		executor := d.endpoints.listed[30]
-		share := d.slowStart.share(executor)
+		share := d.slowStart.capacityFraction(executor)
 		c.send(i, 300) // brings what the aggregator tells
 		got, want := d.availableSlots(executor), math.Round(4*share)-d.peerSlotsAt(executor)-executor.inFlight.slots
 		if got != want {
@@ -257,7 +257,7 @@
 			executor.outlier.ejections,
 		)
 	}
-	if share := r.d.slowStart.share(executor); share != r.d.settings.SlowStartMinShare {
+	if share := r.d.slowStart.capacityFraction(executor); share != r.d.settings.SlowStartMinShare {
 		t.Errorf("its share of capacity is %.2f, want %.2f", share, r.d.settings.SlowStartMinShare)
 	}
 }
@@ -344,13 +344,13 @@
 		t.Fatal("the executor is still known")
 	}
 	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{row}})
-	if share := r.d.slowStart.share(r.d.endpoints.byID[7]); share != 1 {
+	if share := r.d.slowStart.capacityFraction(r.d.endpoints.byID[7]); share != 1 {
 		t.Errorf("its share of capacity is %.2f, want all", share)
 	}
 	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{left}})
 	row.StartedAt++
 	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{row}})
-	if share := r.d.slowStart.share(r.d.endpoints.byID[7]); share == 1 {
+	if share := r.d.slowStart.capacityFraction(r.d.endpoints.byID[7]); share == 1 {
 		t.Error("a new process is not cold")
 	}
 }
@@ -425,7 +425,7 @@
 		r.after(100, event)
 		var want []uint32
 		for _, executor := range r.d.endpoints.listed {
-			if r.d.slowStart.share(executor) < 1 {
+			if r.d.slowStart.capacityFraction(executor) < 1 {
 				want = append(want, executor.id)
 			}
 		}
