--- a/cmd/gatetack/callbacks.go
+++ b/cmd/gatetack/callbacks.go
@@ -23,7 +23,7 @@
 // Callback delivers the body of one callback.
 func (r *callbackRouter) Callback(body []byte) error {
 	err := r.executors.Callback(body)
-	if !errors.Is(err, executor.ErrNotOurs) {
+	if !errors.Is(err, executor.ErrUnknownAttempt) {
 		return err
 	}
 	if front := r.batch.Load(); front != nil {
@@ -33,7 +33,7 @@
 		return nil
 	}
 	if _, err := r.relay.Forward(body); err != nil {
-		return &platform.CallbackRefusedError{Err: err}
+		return &platform.CallbackRejectedError{Err: err}
 	}
 	return nil
 }
@@ -41,5 +41,5 @@
 // take delivers a callback that the other process stored. It reports whether the callback was of an attempt of this
 // process.
 func (r *callbackRouter) take(body []byte) bool {
-	return !errors.Is(r.executors.Callback(body), executor.ErrNotOurs)
+	return !errors.Is(r.executors.Callback(body), executor.ErrUnknownAttempt)
 }
--- a/cmd/gatetack/callbacks_test.go
+++ b/cmd/gatetack/callbacks_test.go
@@ -32,7 +32,7 @@
 	router := &callbackRouter{executors: executors, relay: relay}
 	callback := []byte(`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"done","result":"tile"}`)
 	err := router.Callback(callback)
-	if _, ok := errors.AsType[*platform.CallbackRefusedError](err); !ok || !errors.Is(err, syscall.ENOTDIR) {
+	if _, ok := errors.AsType[*platform.CallbackRejectedError](err); !ok || !errors.Is(err, syscall.ENOTDIR) {
 		t.Fatalf("%v", err)
 	}
 	if err := os.Remove(blocked); err != nil {
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -25,7 +25,7 @@
 	Submit(node.Job, node.Client) (uint32, error)
 	Terminate(ctx context.Context, id uint32) error
 	Counts(context.Context) (node.Counts, error)
-	Machines(context.Context) ([]node.ExecutorInfo, error)
+	Executors(context.Context) ([]node.ExecutorInfo, error)
 	Rules() *node.Rules
 }
 
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -40,7 +40,7 @@
 	return uint32(len(c.jobs)), nil
 }
 func (c *core) Terminate(context.Context, uint32) error { return node.ErrRunning }
-func (c *core) Machines(context.Context) ([]node.ExecutorInfo, error) {
+func (c *core) Executors(context.Context) ([]node.ExecutorInfo, error) {
 	return []node.ExecutorInfo{{Endpoint: node.Endpoint{Name: "s-1", Status: "ready", Zone: "tartu"}, InFlight: 2}, {Endpoint: node.Endpoint{Name: "s-2", Status: "draining"}}}, nil
 }
 func (c *core) Rules() *node.Rules {
--- a/internal/batch/monitor.go
+++ b/internal/batch/monitor.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return problem(400, "INVALID_ARGUMENT", "filter", err.Error())
 	}
-	all, err := f.core.Machines(ctx)
+	all, err := f.core.Executors(ctx)
 	if err != nil {
 		return problem(500, "INTERNAL", "", err.Error())
 	}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -184,6 +184,6 @@
 		return err
 	}
 	c.index.Store(l.Index)
-	c.sink.List(l)
+	c.sink.UpdateEndpoints(l)
 	return nil
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -21,8 +21,8 @@
 
 // Sink takes what discovery says. Calls of it do not overlap, but for those that follow a Fetch.
 type Sink interface {
-	// List takes a whole list or a change, or the failure of a call that the decision module asked for.
-	List(node.EndpointList)
+	// UpdateEndpoints takes a whole list or a change, or the failure of a call that the decision module asked for.
+	UpdateEndpoints(node.EndpointList)
 	// ListCallFailed is called when a watch's call has ended, whoever made it.
 	ListCallFailed()
 	// ListConfirmed is called when a watch says that nothing has changed since its last line.
@@ -98,9 +98,9 @@
 	return c
 }
 
-// Move goes on at another address, at once: calls at the old one may say nothing more, while drains count as
+// SetAddress goes on at another address, at once: calls at the old one may say nothing more, while drains count as
 // notified. The list stays, and changes are asked for from its version on.
-func (c *Client) Move(addr string) {
+func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr == c.source.addr {
@@ -183,6 +183,6 @@
 func (c *Client) reportFailure(call string, err error) {
 	c.log.Info("discovery call failed", "call", call, "err", err)
 	if !c.pushed {
-		c.sink.List(node.EndpointList{Form: dispatch.ListFailed})
+		c.sink.UpdateEndpoints(node.EndpointList{Form: dispatch.ListFailed})
 	}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -261,7 +261,7 @@
 					return nil
 				})
 			}
-			c.Move(ln.Addr().String())
+			c.SetAddress(ln.Addr().String())
 		default:
 			list.Mute(old == "mute")
 			list.Put(box, "ready")
@@ -276,7 +276,7 @@
 			<-ended
 		}
 		began := time.Now()
-		c.Move(next.Addr)
+		c.SetAddress(next.Addr)
 		testenv.Until(t, old+": the list at the new address", func() bool {
 			l := s.All()
 			return len(l) > 0 && len(l[len(l)-1].Entries) == 1 && l[len(l)-1].Entries[0].Status == "draining"
--- a/internal/discovery/push_test.go
+++ b/internal/discovery/push_test.go
@@ -41,7 +41,7 @@
 	}
 	time.Sleep(30 * time.Millisecond) // while nothing listens there
 	next.Put(box, "gone")
-	c.Move(next.Addr)
+	c.SetAddress(next.Addr)
 	testenv.Until(t, "the next agent is followed", func() bool { return len(s.All()) >= 3 })
 	for _, l := range s.All() {
 		if l.Form == dispatch.ListFailed {
--- a/internal/executor/callback.go
+++ b/internal/executor/callback.go
@@ -10,9 +10,9 @@
 	"gatetack/internal/node"
 )
 
-// ErrNotOurs is the answer to a callback of an attempt that this process does not know: stale, or of another process of
+// ErrUnknownAttempt is the answer to a callback of an attempt that this process does not know: stale, or of another process of
 // the node that listens on the same socket.
-var ErrNotOurs = errors.New("executor: callback of an attempt that is not this process's")
+var ErrUnknownAttempt = errors.New("executor: callback of an attempt that is not this process's")
 
 var errCallbackNotJSON = errors.New("executor: callback is not JSON")
 
@@ -36,7 +36,7 @@
 	callback := gjson.ParseBytes(body)
 	attempt := c.attempts.withKey(attemptKey{callback.Get("id").String(), callback.Get("from").String()})
 	if attempt == nil {
-		return ErrNotOurs
+		return ErrUnknownAttempt
 	}
 	if !attempt.hasLastByteCommitted() {
 		return nil // stale: of an earlier attempt there, since nothing of this one was written
--- a/internal/executor/client.go
+++ b/internal/executor/client.go
@@ -21,8 +21,8 @@
 type Sink interface {
 	// Result takes an attempt's outcome, or a note on its way.
 	Result(node.Result)
-	// Probed takes the outcome of a health check, with the load report that it brought.
-	Probed(executor uint32, outcome dispatch.Outcome, elapsed time.Duration, report []float32)
+	// HealthChecked takes the outcome of a health check, with the load report that it brought.
+	HealthChecked(executor uint32, outcome dispatch.Outcome, elapsed time.Duration, report []float32)
 }
 
 // Client speaks to all executors. Its methods may be called from any goroutine, and none of them blocks.
--- a/internal/executor/clientleft_test.go
+++ b/internal/executor/clientleft_test.go
@@ -104,8 +104,8 @@
 	s.core.Result(r)
 }
 
-func (s *standingCore) Probed(w uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
-	s.core.Probed(w, o, elapsed, report)
+func (s *standingCore) HealthChecked(w uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
+	s.core.HealthChecked(w, o, elapsed, report)
 }
 
 // rawExecutor listens and counts the whole requests with a body that come, and answers all alike.
@@ -227,14 +227,14 @@
 				t.Fatal(err)
 			}
 			if x.queued {
-				n.core.List(node.EndpointList{Form: dispatch.ListSnapshot, Entries: known})
+				n.core.UpdateEndpoints(node.EndpointList{Form: dispatch.ListSnapshot, Entries: known})
 			}
 			select {
 			case <-client.Done():
 			case <-time.After(20 * time.Second):
 				t.Fatal("the send does not come")
 			}
-			n.core.Gone(id) // it waits for a place among the events, until the core goes on
+			n.core.ClientGone(id) // it waits for a place among the events, until the core goes on
 			testenv.Until(t, "the core has heard of it", func() bool {
 				counts, err := n.core.Counts(t.Context())
 				return err == nil && counts.ClientsGone == 1
@@ -296,7 +296,7 @@
 	if a := <-waiting.answers; a.End != node.Terminated {
 		t.Errorf("%+v", a)
 	}
-	n.core.List(node.EndpointList{Form: dispatch.ListSnapshot, Entries: []node.Endpoint{x.entry()}})
+	n.core.UpdateEndpoints(node.EndpointList{Form: dispatch.ListSnapshot, Entries: []node.Endpoint{x.entry()}})
 	job.TraceID = "00000000000000bb"
 	if _, err := n.core.Submit(job, newQuietClient()); err != nil {
 		t.Fatal(err)
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -34,7 +34,7 @@
 	s.results = append(s.results, r)
 }
 
-func (s *resultRecorder) Probed(w uint32, o dispatch.Outcome, _ time.Duration, report []float32) {
+func (s *resultRecorder) HealthChecked(w uint32, o dispatch.Outcome, _ time.Duration, report []float32) {
 	s.Result(node.Result{Attempt: uint64(w) + 1<<40, Outcome: o, Report: report})
 }
 
@@ -209,7 +209,7 @@
 				`{"id":"00000000000000aa","from":"` + from + `","state":"` + state + `","result":"tile","load":{"queue":1,"x0":2}}`,
 			),
 		); err != nil &&
-			!errors.Is(err, ErrNotOurs) {
+			!errors.Is(err, ErrUnknownAttempt) {
 			t.Error(err)
 		}
 	}
@@ -268,7 +268,7 @@
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":"x"}`))
 	testenv.Until(t, "an outcome", func() bool {
 		err := c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":"x"}`))
-		return len(s.outcomes(2)) > 0 || err != nil && !errors.Is(err, ErrNotOurs)
+		return len(s.outcomes(2)) > 0 || err != nil && !errors.Is(err, ErrUnknownAttempt)
 	})
 	if got := s.outcomes(2); len(got) != 1 || got[0] != dispatch.Served {
 		t.Errorf("%v", got)
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -75,7 +75,7 @@
 				t.Errorf("told %d times, outcomes %v", s.lateNotes(1), got)
 			}
 			for range 3 {
-				if err := c.Callback([]byte(doneCallback)); err != nil && !errors.Is(err, ErrNotOurs) { // repeats of one that ended
+				if err := c.Callback([]byte(doneCallback)); err != nil && !errors.Is(err, ErrUnknownAttempt) { // repeats of one that ended
 					t.Error(err)
 				}
 			}
--- a/internal/inventory/source.go
+++ b/internal/inventory/source.go
@@ -22,8 +22,8 @@
 
 // Sink takes lists.
 type Sink interface {
-	// List takes one. It may keep the entries.
-	List(node.EndpointList)
+	// UpdateEndpoints takes one. It may keep the entries.
+	UpdateEndpoints(node.EndpointList)
 }
 
 // Source follows a file. It takes the place of discovery.
@@ -122,7 +122,8 @@
 		case <-ctx.Done():
 			return
 		}
-		s.sink.List(node.EndpointList{Form: dispatch.ListSnapshot, Index: s.index, Entries: slices.Clone(s.entries)})
+		s.sink.UpdateEndpoints(
+			node.EndpointList{Form: dispatch.ListSnapshot, Index: s.index, Entries: slices.Clone(s.entries)})
 		if changed {
 			s.log.Info("inventory changed", "file", s.path, "rows", len(s.entries))
 		}
--- a/internal/locality/placer.go
+++ b/internal/locality/placer.go
@@ -27,8 +27,8 @@
 
 // MachineLister lists the executors.
 type MachineLister interface {
-	// Machines returns them with the number of this node's attempts at each.
-	Machines(context.Context) ([]node.ExecutorInfo, error)
+	// Executors returns them with the number of this node's attempts at each.
+	Executors(context.Context) ([]node.ExecutorInfo, error)
 }
 
 // Placer prices the zones for the jobs of one node.
@@ -102,7 +102,7 @@
 	tick := time.NewTicker(refreshInterval)
 	defer tick.Stop()
 	for {
-		if all, err := p.machines.Machines(ctx); err == nil {
+		if all, err := p.machines.Executors(ctx); err == nil {
 			p.refresh(all)
 		}
 		select {
--- a/internal/locality/placer_test.go
+++ b/internal/locality/placer_test.go
@@ -16,7 +16,7 @@
 
 type machineList []node.ExecutorInfo
 
-func (b machineList) Machines(context.Context) ([]node.ExecutorInfo, error) { return b, nil }
+func (b machineList) Executors(context.Context) ([]node.ExecutorInfo, error) { return b, nil }
 
 var names = node.Names{Zones: []string{"tallinn", "tartu"}}
 
--- a/internal/node/carriers.go
+++ b/internal/node/carriers.go
@@ -10,7 +10,7 @@
 	Send(Attempt)
 	// Cancel cancels an attempt, which has no result of its own then.
 	Cancel(id uint64)
-	// CheckHealth checks an executor's health. It leads to one call of Core.Probed.
+	// CheckHealth checks an executor's health. It leads to one call of Core.HealthChecked.
 	CheckHealth(executor uint32)
 	// CloseIdle closes the idle connections to an executor.
 	CloseIdle(executor uint32)
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -165,7 +165,7 @@
 	}
 	gone := readyEndpoint("s-1")
 	gone.Status = "draining"
-	h.core.List(EndpointList{Form: dispatch.ListDelta, Entries: []Endpoint{gone}})
+	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListDelta, Entries: []Endpoint{gone}})
 	h.run(10 * time.Millisecond)
 	for i := range 4 {
 		if _, err := h.core.Submit(
@@ -184,12 +184,12 @@
 			t.Error("a draining box got a job")
 		}
 	}
-	h.core.List(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{gone}})
+	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{gone}})
 	h.run(10 * time.Millisecond)
 	if h.endpointStatus["s-2"] != "gone" || h.core.Ready() {
 		t.Errorf("a box that a whole list lacks is %q; ready %v", h.endpointStatus["s-2"], h.core.Ready())
 	}
-	h.core.List(EndpointList{Form: dispatch.ListFailed})
+	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListFailed})
 	h.run(3 * time.Second)
 	if h.watches < 2 {
 		t.Error("a failed watch was not begun anew")
@@ -286,7 +286,7 @@
 	for _, a := range h.attempts {
 		h.core.Result(Result{Attempt: a.ID, Outcome: dispatch.Served, Body: []byte("tile")})
 	}
-	h.core.Gone(id) // and the client leaves as its answer is on the way
+	h.core.ClientGone(id) // and the client leaves as its answer is on the way
 	h.run(50 * time.Millisecond)
 	if n := h.core.counters.Counts; len(cl.answers) != 1 || n.Served != 1 || n.ClientsGone != 0 || h.core.Open() != 0 ||
 		len(h.core.jobs.byID) != 0 {
--- a/internal/node/oneanswer_test.go
+++ b/internal/node/oneanswer_test.go
@@ -42,7 +42,7 @@
 		if len(m.jobs) > 0 {
 			job := rapid.SampledFrom(m.jobs).Draw(m.t, "job")
 			job.left = true
-			m.h.core.Gone(job.id)
+			m.h.core.ClientGone(job.id)
 		}
 	case 6:
 		m.h.run(time.Duration(rapid.IntRange(1, 400).Draw(m.t, "ms")) * time.Millisecond)
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -24,7 +24,7 @@
 	ErrUnknown = errors.New("node: no such job is open")
 )
 
-// Submit hands in a job. Unless it fails, the client gets one answer, or Gone is called. It never blocks.
+// Submit hands in a job. Unless it fails, the client gets one answer, or ClientGone is called. It never blocks.
 func (c *Core) Submit(in Job, client Client) (uint32, error) {
 	now := c.clock.now()
 	j := &job{id: c.intake.lastJobID.Add(1), request: in, client: client, acceptedAt: now, deadline: now.Add(in.TimeLeft)}
@@ -40,8 +40,8 @@
 	}
 }
 
-// Gone says that a job's client has left. Its answer may cross with it.
-func (c *Core) Gone(id uint32) { c.post(clientLeft{id}) }
+// ClientGone says that a job's client has left. Its answer may cross with it.
+func (c *Core) ClientGone(id uint32) { c.post(clientLeft{id}) }
 
 // ShutDown says that the node may end any moment. What it took after a time, and whatever nothing was sent of, is
 // answered now, and so is all that still comes; what is older may yet be served.
@@ -50,8 +50,8 @@
 // Result takes what came of an attempt.
 func (c *Core) Result(r Result) { c.post(attemptResult{r}) }
 
-// Probed takes what came of a probe.
-func (c *Core) Probed(worker uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
+// HealthChecked takes what came of a probe.
+func (c *Core) HealthChecked(worker uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
 	c.post(
 		moduleEvent{
 			dispatch.Event{
@@ -61,11 +61,11 @@
 	)
 }
 
-// List takes a list or a change of it.
-func (c *Core) List(l EndpointList) { c.post(endpointUpdate{l}) }
+// UpdateEndpoints takes a list or a change of it.
+func (c *Core) UpdateEndpoints(l EndpointList) { c.post(endpointUpdate{l}) }
 
-// Peer takes a message of another node.
-func (c *Core) Peer(from uint32, data []byte) {
+// PeerMessage takes a message of another node.
+func (c *Core) PeerMessage(from uint32, data []byte) {
 	c.post(moduleEvent{dispatch.Event{Kind: dispatch.EvGossip, From: from, Data: data}})
 }
 
@@ -98,8 +98,8 @@
 	}
 }
 
-// Machines tells which executors are listed, by name, and what of this node is out there.
-func (c *Core) Machines(ctx context.Context) ([]ExecutorInfo, error) {
+// Executors tells which executors are listed, by name, and what of this node is out there.
+func (c *Core) Executors(ctx context.Context) ([]ExecutorInfo, error) {
 	request := make(executorsRequest, 1)
 	c.post(request)
 	select {
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -36,7 +36,7 @@
 	if h.sent() != 0 || h.core.Ready() {
 		t.Fatalf("%d sends and ready %v on a list that nobody has confirmed", h.sent(), h.core.Ready())
 	}
-	h.core.List(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-new")}})
+	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-new")}})
 	h.run(time.Second)
 	if !h.core.Ready() || h.sent() != 1 || h.attempts[0].Executor != ExecutorID("s-new") {
 		t.Fatalf("ready %v, sent %v", h.core.Ready(), h.sends)
@@ -86,7 +86,7 @@
 		if end(h); len(cl.answers) != 1 || cl.answers[0].End != Rejected {
 			t.Errorf("%s: %+v", what, cl.answers)
 		}
-		h.core.List(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-old")}})
+		h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-old")}})
 		if h.run(time.Second); h.sent() != 0 {
 			t.Errorf("%s: sent after its answer", what)
 		}
@@ -123,7 +123,7 @@
 	if batch := confirm(); len(batch) != 0 {
 		t.Errorf("%+v, though there is no list to confirm yet", batch)
 	}
-	h.core.List(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-1")}})
+	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-1")}})
 	h.run(100 * time.Millisecond)
 	batch := confirm()
 	if len(batch) != 1 || batch[0].Kind != dispatch.EvEndpoints || batch[0].Form != dispatch.ListDelta ||
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -28,8 +28,8 @@
 
 // Sink takes what other nodes send.
 type Sink interface {
-	// Peer takes a message of the node with the index from. It owns the bytes.
-	Peer(from uint32, data []byte)
+	// PeerMessage takes a message of the node with the index from. It owns the bytes.
+	PeerMessage(from uint32, data []byte)
 }
 
 // Socket sends and receives messages. A node's index is its place in the list of peers.
@@ -197,7 +197,7 @@
 			continue
 		}
 		if peer := s.peerIndex(from); peer != unknownPeer && n <= s.limits.PeerBytes {
-			s.sink.Peer(uint32(peer), slices.Clone(buffer[:n]))
+			s.sink.PeerMessage(uint32(peer), slices.Clone(buffer[:n]))
 		}
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -18,7 +18,7 @@
 	got map[uint32]string
 }
 
-func (s *sink) Peer(from uint32, data []byte) {
+func (s *sink) PeerMessage(from uint32, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.got[from] = string(data)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -17,10 +17,10 @@
 
 // Core takes jobs, as node.Core does.
 type Core interface {
-	// Submit takes a job. Unless it fails, the client gets one answer, or Gone is called.
+	// Submit takes a job. Unless it fails, the client gets one answer, or ClientGone is called.
 	Submit(node.Job, node.Client) (uint32, error)
-	// Gone says that a job's client has left.
-	Gone(id uint32)
+	// ClientGone says that a job's client has left.
+	ClientGone(id uint32)
 	// Ready says whether jobs can be served, as far as is known.
 	Ready() bool
 	// Drained says whether the operator drained the node.
@@ -38,13 +38,13 @@
 	Callback(body []byte) error
 }
 
-// CallbackRefusedError reports a callback that may be needed and could not be taken in.
-type CallbackRefusedError struct{ Err error }
+// CallbackRejectedError reports a callback that may be needed and could not be taken in.
+type CallbackRejectedError struct{ Err error }
 
-func (e *CallbackRefusedError) Error() string { return "callback refused: " + e.Err.Error() }
+func (e *CallbackRejectedError) Error() string { return "callback refused: " + e.Err.Error() }
 
 // Unwrap returns the cause.
-func (e *CallbackRefusedError) Unwrap() error { return e.Err }
+func (e *CallbackRejectedError) Unwrap() error { return e.Err }
 
 // Front answers the platform's requests.
 type Front struct {
@@ -81,7 +81,7 @@
 	if err != nil {
 		f.log.Warn("callback failed", "err", err)
 	}
-	if _, refused := errors.AsType[*CallbackRefusedError](err); refused {
+	if _, refused := errors.AsType[*CallbackRejectedError](err); refused {
 		return http1.Text(503, "not taken, call again")
 	}
 	return http1.Response{Status: 204, KnownClient: err == nil}
@@ -133,7 +133,7 @@
 		response.KnownClient = true
 		return response
 	case <-ctx.Done():
-		f.core.Gone(id)
+		f.core.ClientGone(id)
 		// A client that closed only its sending side may still read the response. It is no rejection, which would promise
 		// that the job had no effect: an attempt may have begun.
 		response := http1.Text(500, "the connection was closed before the answer")
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -27,9 +27,9 @@
 	cl.Answer(node.Answer{End: node.Rejected, RetryAfter: 1500 * time.Millisecond, Reason: "no room"})
 	return 1, nil
 }
-func (c *core) Gone(uint32)   {}
-func (c *core) Ready() bool   { return true }
-func (c *core) Drained() bool { return c.drained }
+func (c *core) ClientGone(uint32) {}
+func (c *core) Ready() bool       { return true }
+func (c *core) Drained() bool     { return c.drained }
 func (c *core) Rules() *node.Rules {
 	return &node.Rules{Settings: dispatch.Settings{MaxRetryAfter: 1000},
 		Names: node.Names{Classes: []string{"tile-charge"}, Tenants: []string{"maavaade"}}}
@@ -113,7 +113,7 @@
 	return 1, nil
 }
 
-func (c *blockedCore) Gone(uint32) {
+func (c *blockedCore) ClientGone(uint32) {
 	c.told <- true
 	<-c.told
 }
@@ -157,8 +157,8 @@
 	}{
 		{nil, 204},
 		{errors.New("not JSON"), 204},
-		{&CallbackRefusedError{syscall.ENOSPC}, 503},
-		{fmt.Errorf("callback: %w", &CallbackRefusedError{syscall.EIO}), 503},
+		{&CallbackRejectedError{syscall.ENOSPC}, 503},
+		{fmt.Errorf("callback: %w", &CallbackRejectedError{syscall.EIO}), 503},
 	} {
 		f := New(&core{}, callbacksThatFail{x.err}, testenv.Lim, testenv.Quiet)
 		if r := f.Handle(t.Context(), &http1.Message{Method: "POST", Target: "/callback"}); r.Status != x.status {
--- a/internal/scale/hollow/dispatcher.go
+++ b/internal/scale/hollow/dispatcher.go
@@ -66,7 +66,7 @@
 		return http1.Text(404, "callbacks alone are taken here")
 	}
 	err := f.executors.Callback(m.Body)
-	if err != nil && !errors.Is(err, attempts.ErrNotOurs) {
+	if err != nil && !errors.Is(err, attempts.ErrUnknownAttempt) {
 		return http1.Text(400, "%v", err)
 	}
 	return http1.Response{Status: 204, KnownClient: err == nil}
--- a/internal/testenv/standin.go
+++ b/internal/testenv/standin.go
@@ -54,8 +54,8 @@
 	confirmed int
 }
 
-// List takes one.
-func (s *Lists) List(l node.EndpointList) {
+// UpdateEndpoints takes one.
+func (s *Lists) UpdateEndpoints(l node.EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.all = append(s.all, l)
