--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -41,10 +41,10 @@
 	*environment
 
 	tenants       []tenant
-	totalQuota    float64  // requests a second that all tenants may send to all nodes
-	meanValue     float64  // mean priority weight of arrivals for each slot and time
-	allArrivals   arrivals // of requests here, those that clients send again counted each time
-	firstArrivals arrivals // likewise without those
+	totalQuota    float64     // requests a second that all tenants may send to all nodes
+	meanValue     float64     // mean priority weight of arrivals for each slot and time
+	allArrivals   arrivalRate // of requests here, those that clients send again counted each time
+	firstArrivals arrivalRate // likewise without those
 }
 
 // tenant is one tenant's share, and what it uses of it here.
@@ -159,7 +159,7 @@
 func (d *Dispatcher) decideArrival(job *job) {
 	tenant := &d.admission.tenants[job.tenant]
 	tenant.lastSeen = d.now
-	if d.isHopeless(job) {
+	if d.cannotFinishInTime(job) {
 		d.endJob(job, causeTooLate)
 		return
 	}
@@ -212,8 +212,8 @@
 	return slots
 }
 
-// isHopeless says that a job cannot end before its client leaves, wherever it goes.
-func (d *Dispatcher) isHopeless(job *job) bool {
+// cannotFinishInTime says that a job cannot end before its client leaves, wherever it goes.
+func (d *Dispatcher) cannotFinishInTime(job *job) bool {
 	leastRun := hopelessWorkFraction * job.work / d.serviceTimes.meanSpeed()
 	return d.now+leastRun > job.deadline-d.answerMargin()
 }
--- a/internal/dispatch/affinity.go
+++ b/internal/dispatch/affinity.go
@@ -30,8 +30,8 @@
 	// candidateMiss is the chance that a candidate of a key must fetch its data.
 	candidateMiss = 0.1
 
-	// affinityKeysKept is how many keys are kept of those that an executor was last sent.
-	affinityKeysKept = 12
+	// maxAffinityKeys is how many keys are kept of those that an executor was last sent.
+	maxAffinityKeys = 12
 )
 
 // keyAffinity sends jobs with equal keys to the same few executors, which likely have their data cached.
--- a/internal/dispatch/aggregator_client.go
+++ b/internal/dispatch/aggregator_client.go
@@ -160,7 +160,7 @@
 		return false
 	}
 	peer := &d.gossip.peers[client.current]
-	suspicion := aggregatorSuspicionFactor * d.answerTimeout() * doublings(peer.timeouts, maxBackoffDoublings)
+	suspicion := aggregatorSuspicionFactor * d.answerTimeout() * backoffFactor(peer.timeouts, maxBackoffDoublings)
 	peer.suspectedUntil = d.now + suspicion*(0.75+0.5*d.random())
 	peer.timeouts++
 	d.logf("aggregator suspected node=%d", client.current)
--- a/internal/dispatch/classfailure.go
+++ b/internal/dispatch/classfailure.go
@@ -149,7 +149,7 @@
 		return
 	}
 	base := classQuarantineFactor * max(d.settings.ConnectTimeout, d.settings.MinStepInterval)
-	failures.quarantinedUntil = d.now + base*doublings(failures.consecutive-1, maxBackoffDoublings)*(0.75+0.5*d.random())
+	failures.quarantinedUntil = d.now + base*backoffFactor(failures.consecutive-1, maxBackoffDoublings)*(0.75+0.5*d.random())
 	d.reportQuarantine(executor, firstClassQuarantine+class)
 	d.logf("class kept away executor=%d class=%d until=%.0f", executor.id, class, failures.quarantinedUntil)
 }
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -59,7 +59,7 @@
 	d.reportQuarantine(executor, connectionQuarantine)
 	connections := &executor.connections
 	if d.now >= connections.dialBackoffUntil {
-		backoff := max(d.settings.ConnectTimeout, d.settings.MinStepInterval) * doublings(connections.dialFailures, maxBackoffDoublings)
+		backoff := max(d.settings.ConnectTimeout, d.settings.MinStepInterval) * backoffFactor(connections.dialFailures, maxBackoffDoublings)
 		connections.dialBackoffUntil = d.now + backoff*(0.75+0.5*d.random())
 		connections.dialFailures++
 		if connections.dialFailures == 1 {
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -221,7 +221,7 @@
 	executor.gossip.unreportedSlots = 0
 	clear(executor.failures.byClass)
 	executor.failures.all = errorTally{}
-	executor.affinityKeys = [affinityKeysKept]uint64{}
+	executor.affinityKeys = [maxAffinityKeys]uint64{}
 	d.aggregatorServer.dropQuarantines(executor.tag)
 }
 
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -20,7 +20,7 @@
 	group               *executorGroup
 	failures            failureState
 	healthCheck         healthCheckState
-	affinityKeys        [affinityKeysKept]uint64 // keys that it has likely cached, the most recently used first
+	affinityKeys        [maxAffinityKeys]uint64 // keys that it has likely cached, the most recently used first
 }
 
 // inFlightAttempts holds this node's attempts at an executor: those in flight and the last ones that ended.
--- a/internal/dispatch/healthcheck.go
+++ b/internal/dispatch/healthcheck.go
@@ -58,7 +58,7 @@
 		return
 	}
 	rate := d.admission.allArrivals.perSecond
-	if quiet := d.now - d.admission.allArrivals.last; d.admission.allArrivals.last > 0 && quiet > quietMs {
+	if quiet := d.now - d.admission.allArrivals.lastAt; d.admission.allArrivals.lastAt > 0 && quiet > quietMs {
 		rate = min(rate, 1000/quiet)
 	}
 	affordable := 1000 * float64(executors) / (maxChecksPerRequest * max(rate, minCheckedRate))
@@ -84,15 +84,15 @@
 		return
 	}
 	sent := 0
-	for i := 0; i < len(d.placement.recentServers) && sent < maxChecksPerRequest/2; i++ {
-		executor := d.placement.recentServers[i]
+	for i := 0; i < len(d.placement.recentlyUsed) && sent < maxChecksPerRequest/2; i++ {
+		executor := d.placement.recentlyUsed[i]
 		if executor != nil && d.hasOpenConnection(executor) && d.isCheckDue(executor) {
 			d.sendHealthCheck(executor)
 			sent++
 		}
 	}
 	for i := 0; i < 2*maxChecksPerRequest && sent < maxChecksPerRequest; i++ {
-		if executor := d.drawExecutor(); d.isCheckDue(executor) {
+		if executor := d.randomExecutor(); d.isCheckDue(executor) {
 			d.sendHealthCheck(executor)
 			sent++
 		}
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -53,18 +53,18 @@
 
 // attempt is one send of a job.
 type attempt struct {
-	executor         *executor
-	sentAt           float64
-	startedAt        float64 // 0 while the executor has not said so
-	heardAt          float64 // of the last note
-	hadFreeSlots     bool    // the executor, when it was sent
-	fetchesKey       bool    // the executor likely had to fetch the data of the job's key
-	openedConnection bool    // it was sent on a new connection
-	resolved         bool    // its outcome has come
-	runObserved      bool    // its run counts in the estimate of slot-time
-	writtenOff       bool    // it counts as holding no slots: its executor is unresponsive, or it is overdue
-	errored          bool    // it ended in an error
-	ackOverdue       bool    // its executor has not said in the usual time that it has taken the job
+	executor           *executor
+	sentAt             float64
+	startedAt          float64 // 0 while the executor has not said so
+	lastNotificationAt float64 // of the last note
+	hadFreeSlots       bool    // the executor, when it was sent
+	fetchesKey         bool    // the executor likely had to fetch the data of the job's key
+	openedConnection   bool    // it was sent on a new connection
+	resolved           bool    // its outcome has come
+	runObserved        bool    // its run counts in the estimate of slot-time
+	writtenOff         bool    // it counts as holding no slots: its executor is unresponsive, or it is overdue
+	errored            bool    // it ended in an error
+	ackOverdue         bool    // its executor has not said in the usual time that it has taken the job
 }
 
 // erroredAttempts is how many attempts ended in an error.
--- a/internal/dispatch/listwatch.go
+++ b/internal/dispatch/listwatch.go
@@ -56,7 +56,7 @@
 // backoff is the time until this node's turn in a round that all nodes have: calls that come together wait in vain.
 func (w *listWatch) backoff() float64 {
 	spread := max(minPollSpread, pollSpreadPerNode*float64(w.settings.Nodes))
-	spread *= doublings(w.failedPolls, maxPollDoublings)
+	spread *= backoffFactor(w.failedPolls, maxPollDoublings)
 	slots := recovery.TimeSlots{Node: w.settings.Node, Nodes: w.settings.Nodes}
 	return slots.After(w.now, w.settings.MaxPollInterval*min(1, spread))
 }
--- a/internal/dispatch/loadreport.go
+++ b/internal/dispatch/loadreport.go
@@ -51,13 +51,13 @@
 type loadReports struct {
 	*environment
 
-	interval          float64   // ms between new reports of an executor
-	age               float64   // estimated age of a report on arrival, in ms
-	ageCandidates     [9]spread // reported occupancy minus this node's own at each candidate age
-	reportedOccupancy spread    // reported occupancy
-	selectedAge       int       // index of the candidate in use
-	samples           float64   // number of reports in the comparison
-	lastReportAt      float64   // arrival of the last new report of any executor
+	interval          float64           // ms between new reports of an executor
+	age               float64           // estimated age of a report on arrival, in ms
+	ageCandidates     [9]movingVariance // reported occupancy minus this node's own at each candidate age
+	reportedOccupancy movingVariance    // reported occupancy
+	selectedAge       int               // index of the candidate in use
+	samples           float64           // number of reports in the comparison
+	lastReportAt      float64           // arrival of the last new report of any executor
 	recentReporters   recentExecutors
 }
 
@@ -198,7 +198,7 @@
 	if r.selectedAge != defaultAgeCandidate {
 		confidence = 1 // a selected age stays until the default one fits as well
 	}
-	uncertain := leastScatter > confidence*r.ageCandidates[defaultAgeCandidate].scatter || leastScatter > unexplained
+	uncertain := leastScatter > confidence*r.ageCandidates[defaultAgeCandidate].variance || leastScatter > unexplained
 	if uncertain || r.samples < 1/(1-reportAgeDecay) {
 		best = defaultAgeCandidate
 	}
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -130,7 +130,7 @@
 		d.serviceTimes.learn(job, attempt)
 	}
 	executor.connections.release(d.now, len(executor.inFlight.jobs), d.settings.MaxConcurrentStreams > 1)
-	d.placement.recentServers.add(executor)
+	d.placement.recentlyUsed.add(executor)
 }
 
 // adaptSoftLimit learns how many slots of ours an executor takes where there are no reports and no Full outcomes:
@@ -155,7 +155,7 @@
 	load.freeSlots = min(load.freeSlots+job.slots, 0)
 	load.softLimit = max(1, softLimitBackoff*executor.inFlight.slots)
 	load.rejections = min(load.rejections+1, maxRejectionDoublings+1)
-	backoff := d.reports.interval * rejectionBackoffFactor * doublings(load.rejections-1, maxRejectionDoublings)
+	backoff := d.reports.interval * rejectionBackoffFactor * backoffFactor(load.rejections-1, maxRejectionDoublings)
 	load.rejectedUntil = d.now + backoff*(0.5+d.random())
 }
 
@@ -176,7 +176,7 @@
 		return
 	}
 	base := baseEjectionFactor * max(d.settings.ConnectTimeout, d.settings.MinStepInterval)
-	outlier.ejectedUntil = d.now + base*doublings(outlier.ejections, maxBackoffDoublings)*(0.75+0.5*d.random())
+	outlier.ejectedUntil = d.now + base*backoffFactor(outlier.ejections, maxBackoffDoublings)*(0.75+0.5*d.random())
 	outlier.ejections++
 	outlier.onProbation = true
 	d.outliers.ejected = append(d.outliers.ejected, executor)
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -40,7 +40,7 @@
 	inspected      []*executor
 	round          uint64
 	inspectedAll   bool            // the fleet or a sample of it, not only affinity candidates
-	recentServers  recentExecutors // those that last served a job of ours, and have a connection
+	recentlyUsed   recentExecutors // those that last served a job of ours, and have a connection
 	lastDispatchAt float64
 }
 
@@ -67,18 +67,18 @@
 	}
 	for i := range d.reports.recentReporters {
 		d.inspect(d.reports.recentReporters[i])
-		d.inspect(d.placement.recentServers[i])
+		d.inspect(d.placement.recentlyUsed[i])
 	}
 	for _, executor := range d.slowStart.warmingUp() {
 		d.inspect(executor) // its budget seldom lets a job of this node go there, which is then all the more wanted
 	}
 	for range sampledExecutors {
-		d.inspect(d.drawExecutor())
+		d.inspect(d.randomExecutor())
 	}
 }
 
-// drawExecutor gives an executor of the list by chance.
-func (d *Dispatcher) drawExecutor() *executor {
+// randomExecutor gives an executor of the list by chance.
+func (d *Dispatcher) randomExecutor() *executor {
 	return d.endpoints.listed[int(d.random()*float64(len(d.endpoints.listed)))]
 }
 
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -119,7 +119,7 @@
 		windowOver := class.RetrySafety == Keyed && d.now-job.ranSince >= class.DedupWindow-d.answerMargin()
 		exhausted = exhausted || class.RetrySafety == AtMostOnce || windowOver
 	}
-	if exhausted || d.isHopeless(job) {
+	if exhausted || d.cannotFinishInTime(job) {
 		d.endJob(job, causeTooLate)
 	}
 }
