--- a/cmd/gatetack/process_control.go
+++ b/cmd/gatetack/process_control.go
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func openStore(c *config.Config, f *config.File, slow *slowpeer.Tally, log *slog.Logger) (*store.Store, error) {
+func openStore(c *config.Config, f *config.File, slow *slowpeer.Counters, log *slog.Logger) (*store.Store, error) {
 	if f.Store.Dir == "" {
 		return nil, nil
 	}
--- a/cmd/gatetack/process_fronts.go
+++ b/cmd/gatetack/process_fronts.go
@@ -79,7 +79,7 @@
 		return fmt.Errorf("operator: %w", err)
 	}
 	lim := frontLimits(p.config.Limits, p.config.Limits.Operators, operatorSparePart)
-	lim.Pace.PerPeer = false
+	lim.Pace.SharePerAddress = false
 	server := http1.NewServer(lim, operator.New(p.core, p.accepting.Load, p.log), p.core.SlowPeers(), p.log)
 	p.lifetime.start(func(running context.Context) error { return server.Serve(running, listener) })
 	p.lifetime.start(func(context.Context) error {
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -87,7 +87,7 @@
 	if err := dec.Decode(f); err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
-	if err := f.Pace.Check(); err != nil {
+	if err := f.Pace.Validate(); err != nil {
 		field, _, _ := strings.Cut(err.Error(), ":")
 		path := append([]string{"pace"}, strings.Split(field, ".")...)
 		return nil, fmt.Errorf("line %d: pace.%w", lineOf(data, path), err)
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return fmt.Errorf("connecting: %w", err)
 	}
-	call.conn = http1.NewMinRateConn(accepted, c.limits.Pace.ListIn, c.limits.Pace.BoxOut)
+	call.conn = http1.NewMinRateConn(accepted, c.limits.Pace.ListIn, c.limits.Pace.ExecutorOut)
 	defer func() { _ = call.conn.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = call.conn.Close() })
 	defer stop()
@@ -130,9 +130,9 @@
 		l.conn.BoundReads(l.silenceDeadline())
 		return nil, nil
 	}
-	if slow := (*slowpeer.Slow)(nil); errors.As(err, &slow) {
-		l.client.slowPeers.Add(slowpeer.ListDrips)
-		l.client.log.Info("slow peer", "kind", slowpeer.ListDrips.String(), "peer", l.addr, "err", slow)
+	if slow := (*slowpeer.Error)(nil); errors.As(err, &slow) {
+		l.client.slowPeers.Add(slowpeer.ListSendsSlowly)
+		l.client.log.Info("slow peer", "kind", slowpeer.ListSendsSlowly.String(), "peer", l.addr, "err", slow)
 	}
 	if answer, _ := l.parser.End(); answer != nil {
 		return answer, nil
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -37,7 +37,7 @@
 	limits    limits.Limits
 	pushed    bool // changes come unasked, see New
 	sink      Sink
-	slowPeers *slowpeer.Tally
+	slowPeers *slowpeer.Counters
 	log       *slog.Logger
 	requests  chan request
 
@@ -80,7 +80,7 @@
 // addr is that of an agent on the node's own machine, which says at no cost what it was sent. A watch on it is
 // kept from the start on, and the decision module asks for nothing.
 func New(
-	addr string, index uint64, pushed bool, lim limits.Limits, sink Sink, slow *slowpeer.Tally, log *slog.Logger,
+	addr string, index uint64, pushed bool, lim limits.Limits, sink Sink, slow *slowpeer.Counters, log *slog.Logger,
 ) *Client {
 	c := &Client{
 		limits:    lim,
--- a/internal/executor/acks.go
+++ b/internal/executor/acks.go
@@ -11,7 +11,7 @@
 // another answer or a callback shows that it has them. Its lock comes after an attempt's.
 type ackTracker struct {
 	mu        sync.Mutex
-	estimates *slowpeer.Acks
+	estimates *slowpeer.AckTracker
 }
 
 func (t *ackTracker) lastByteSent(attempt *activeAttempt) {
@@ -24,7 +24,7 @@
 func (t *ackTracker) timeout(attempt *activeAttempt) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.estimates.Due(attempt.key.executor)
+	return t.estimates.Timeout(attempt.key.executor)
 }
 
 // acknowledge takes in an executor's first sign that it has a job; later ones count no more.
--- a/internal/executor/answer.go
+++ b/internal/executor/answer.go
@@ -86,8 +86,8 @@
 		r.client.drainAnswer(r.attempt, r.conn) //nolint:contextcheck // a DELETE that it leads to outlives the attempt
 		return nil, err
 	}
-	if slow := (*slowpeer.Slow)(nil); errors.As(err, &slow) {
-		r.client.recordSlowPeer(slowpeer.BoxDrips, r.attempt, r.conn, slow)
+	if slow := (*slowpeer.Error)(nil); errors.As(err, &slow) {
+		r.client.recordSlowPeer(slowpeer.ExecutorSendsSlowly, r.attempt, r.conn, slow)
 		return nil, err
 	}
 	if isTimeout(err) && !by.Equal(r.last) {
@@ -103,14 +103,14 @@
 // ackOverdue notifies the dispatch module of a late executor, unless most are late at once.
 func (r *answerReader) ackOverdue() {
 	now := time.Now()
-	if r.client.acks.expire(r.attempt, now) == slowpeer.HoldBack {
+	if r.client.acks.expire(r.attempt, now) == slowpeer.Restrict {
 		r.notified = true
-		r.client.recordSlowPeer(slowpeer.BoxLate, r.attempt, r.conn, &slowpeer.Slow{Direction: "in"})
+		r.client.recordSlowPeer(slowpeer.ExecutorAckLate, r.attempt, r.conn, &slowpeer.Error{Direction: "in"})
 		r.client.handler.Result(node.Result{Attempt: r.attempt.ID, Topic: dispatch.NotificationAckOverdue})
 		return
 	}
 	if r.attempt.awaitsAck() {
-		r.client.slowPeers.Add(slowpeer.BoxCrowd)
+		r.client.slowPeers.Add(slowpeer.MostAcksLate)
 	}
 	r.ackBy = now.Add(r.client.acks.timeout(r.attempt))
 }
@@ -129,7 +129,7 @@
 }
 
 // recordSlowPeer counts and logs what an executor is slow at.
-func (c *Client) recordSlowPeer(kind slowpeer.Kind, attempt *activeAttempt, conn *connection, why *slowpeer.Slow) {
+func (c *Client) recordSlowPeer(kind slowpeer.Kind, attempt *activeAttempt, conn *connection, why *slowpeer.Error) {
 	c.slowPeers.Add(kind)
 	c.log.Info("slow executor", "kind", kind.String(), "executor", attempt.key.executor, "address", conn.addr,
 		"job", attempt.key.trace, "reason", why)
--- a/internal/executor/client.go
+++ b/internal/executor/client.go
@@ -39,7 +39,7 @@
 	endpoints   endpointTable
 	attempts    attemptTable
 	acks        *ackTracker
-	slowPeers   *slowpeer.Tally
+	slowPeers   *slowpeer.Counters
 	cancelSlots chan struct{} // bounds the DELETE calls under way
 	// sleep waits between two dials after a local fault. Tests replace it.
 	sleep func(context.Context, time.Duration) error
@@ -53,7 +53,7 @@
 	lim limits.Limits,
 	names node.Names,
 	sink Sink,
-	slow *slowpeer.Tally,
+	slow *slowpeer.Counters,
 	log *slog.Logger,
 ) *Client {
 	return &Client{
@@ -66,7 +66,7 @@
 		pool:        newPool(lim, slow),
 		endpoints:   endpointTable{byID: map[uint32]*endpointState{}},
 		attempts:    newAttemptTable(),
-		acks:        &ackTracker{estimates: slowpeer.NewAcks(lim.Pace.Acks)},
+		acks:        &ackTracker{estimates: slowpeer.NewAckTracker(lim.Pace.Acks)},
 		slowPeers:   slow,
 		cancelSlots: make(chan struct{}, lim.GiveUps),
 		sleep:       sleep,
--- a/internal/executor/clientleft_test.go
+++ b/internal/executor/clientleft_test.go
@@ -166,7 +166,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
 	s := &standingCore{core: core, standsAt: standsAt, leave: leave, ended: make(chan dispatch.Outcome, 1)}
-	s.Client = New(ctx, g, lim, node.Names{}, s, &slowpeer.Tally{}, testenv.Quiet)
+	s.Client = New(ctx, g, lim, node.Names{}, s, &slowpeer.Counters{}, testenv.Quiet)
 	core.Connect(s, noLists{}, noPeers{})
 	g.Go(func() error { return core.Run(ctx) })
 	t.Cleanup(func() { cancel(); _ = g.Wait() })
--- a/internal/executor/connection.go
+++ b/internal/executor/connection.go
@@ -69,7 +69,7 @@
 // isTimeout says whether a bound of ours ended a read or a write: its deadline, or the least rate. The kernel's
 // ETIMEDOUT is no such thing, though it calls itself a time-out: the connection has broken.
 func isTimeout(err error) bool {
-	slow := (*slowpeer.Slow)(nil)
+	slow := (*slowpeer.Error)(nil)
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &slow)
 }
 
@@ -78,7 +78,7 @@
 // were not even sent wait for its window; those that were sent count, where sent is true, until it has acknowledged
 // them, which it may delay by 40 ms where nothing else is to be sent. It tells how many bytes are left.
 func (conn *connection) isAcknowledged(ctx context.Context, lim limits.Limits, sent bool) (left int, ok bool) {
-	end := time.Now().Add(lim.Pace.BoxOut.Grace)
+	end := time.Now().Add(lim.Pace.ExecutorOut.Grace)
 	for look := conn.lastBytePause(lim); ; look = min(2*look, maxAckLook) {
 		info, known := tcpinfo.Get(conn.Conn)
 		if !known || info.Unacknowledged == 0 || info.Unsent == 0 && !sent {
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -220,7 +220,7 @@
 func TestToldTimeIsRenewedAfterAWait(t *testing.T) {
 	lim := testenv.Lim
 	lim.TimeSpare = 20 * time.Millisecond
-	lim.Pace.BoxOut = slowpeer.Rate{Bytes: 1, Grace: 20 * time.Second}
+	lim.Pace.ExecutorOut = slowpeer.MinRate{BytesPerSecond: 1, Grace: 20 * time.Second}
 	c, s := newClientWithLimits(t, lim)
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/executor/endpoints.go
+++ b/internal/executor/endpoints.go
@@ -86,7 +86,7 @@
 // lacksContact says that an executor has not shown itself for so long that its machine may be cut off.
 func (c *Client) lacksContact(id uint32) bool {
 	state, known := c.endpoints.get(id)
-	return known && time.Since(state.lastContact) > c.limits.Pace.Unheard
+	return known && time.Since(state.lastContact) > c.limits.Pace.AckBeforeReuseAfter
 }
 
 // CloseIdle closes an executor's idle connections.
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -60,7 +60,7 @@
 func newClientWithLimits(t *testing.T, lim limits.Limits) (*Client, *resultRecorder) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g, s := &errgroup.Group{}, &resultRecorder{}
-	c := New(ctx, g, lim, node.Names{Fields: []string{"pending", "x0"}}, s, &slowpeer.Tally{}, testenv.Quiet)
+	c := New(ctx, g, lim, node.Names{Fields: []string{"pending", "x0"}}, s, &slowpeer.Counters{}, testenv.Quiet)
 	t.Cleanup(func() { cancel(); _ = g.Wait() })
 	return c, s
 }
--- a/internal/executor/localfault_test.go
+++ b/internal/executor/localfault_test.go
@@ -266,12 +266,12 @@
 // All connections that this node may have are in use: that is no fault of the executor that the next one was for.
 func TestUsedUpConnectionBudgetIsALocalFault(t *testing.T) {
 	lim := testenv.Lim
-	lim.WorkerConns, lim.Pace.Least = 2, 2
+	lim.WorkerConns, lim.Pace.MinPerPeer = 2, 2
 	c, s := newClient(t, lim)
 	startRawExecutor(t, c, answering(acceptedAnswer))
 	dialer := (&faultyDialer{}).install(c)
-	c.pool.open.Take("10.0.0.1:1", 1)
-	c.pool.open.Take("10.0.0.2:1", 1)
+	c.pool.open.Acquire("10.0.0.1:1", 1)
+	c.pool.open.Acquire("10.0.0.2:1", 1)
 	c.Send(newAttempt(1))
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	if got := s.outcomes(1); got[0] != dispatch.CanceledBeforeSend {
--- a/internal/executor/pool.go
+++ b/internal/executor/pool.go
@@ -15,7 +15,7 @@
 // pool keeps idle connections by address and holds all of them within the budget.
 type pool struct {
 	limits    limits.Limits
-	slowPeers *slowpeer.Tally
+	slowPeers *slowpeer.Counters
 	// dial opens a connection. Tests replace it.
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
@@ -25,13 +25,13 @@
 	reuse reuseHistory
 }
 
-func newPool(lim limits.Limits, slow *slowpeer.Tally) *pool {
+func newPool(lim limits.Limits, slow *slowpeer.Counters) *pool {
 	return &pool{
 		limits:    lim,
 		slowPeers: slow,
 		dial:      (&net.Dialer{Timeout: lim.Connect}).DialContext,
 		idle:      map[string][]*connection{},
-		open:      slowpeer.NewLedger[string](lim.WorkerConns, lim.Pace.Least, lim.Pace.Alpha),
+		open:      slowpeer.NewLedger[string](lim.WorkerConns, lim.Pace.MinPerPeer, lim.Pace.Alpha),
 	}
 }
 
@@ -61,11 +61,11 @@
 	dialed, err := p.dial(ctx, "tcp", addr)
 	if err != nil {
 		p.mu.Lock()
-		p.open.Give(addr, 1)
+		p.open.Release(addr, 1)
 		p.mu.Unlock()
 		return nil, newConnectError(addr, err)
 	}
-	paced := http1.NewMinRateConn(dialed, p.limits.Pace.BoxIn, p.limits.Pace.BoxOut)
+	paced := http1.NewMinRateConn(dialed, p.limits.Pace.ExecutorIn, p.limits.Pace.ExecutorOut)
 	return &connection{
 		MinRateConn: paced,
 		addr:        addr,
@@ -112,15 +112,15 @@
 func (p *pool) reserve(addr string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	verdict := p.open.Take(addr, 1)
-	if verdict == slowpeer.LetGo && p.closeOldestIdle() {
-		verdict = p.open.Take(addr, 1)
+	verdict := p.open.Acquire(addr, 1)
+	if verdict == slowpeer.Disconnect && p.closeOldestIdle() {
+		verdict = p.open.Acquire(addr, 1)
 	}
 	switch verdict {
-	case slowpeer.HoldBack:
-		p.slowPeers.Add(slowpeer.BoxShare)
+	case slowpeer.Restrict:
+		p.slowPeers.Add(slowpeer.ExecutorOverShare)
 		return &ConnectError{Address: addr, Err: errExecutorShare}
-	case slowpeer.LetGo:
+	case slowpeer.Disconnect:
 		return &ConnectError{Address: addr, Local: true, Err: errConnectionBudget}
 	}
 	return nil
@@ -146,7 +146,7 @@
 	}
 	p.idle[oldest.addr] = p.idle[oldest.addr][1:]
 	_ = oldest.Close()
-	p.open.Give(oldest.addr, 1)
+	p.open.Release(oldest.addr, 1)
 	return true
 }
 
@@ -162,7 +162,7 @@
 	tooOld := func(other *connection) bool { return conn.idleSince.Sub(other.idleSince) >= p.limits.WorkerIdle }
 	for len(idle) > 0 && (len(idle) >= p.limits.IdleConns || tooOld(idle[0])) {
 		_ = idle[0].Close()
-		p.open.Give(conn.addr, 1)
+		p.open.Release(conn.addr, 1)
 		idle = idle[1:]
 	}
 	p.idle[conn.addr] = append(idle, conn)
@@ -173,7 +173,7 @@
 	_ = conn.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open.Give(conn.addr, 1)
+	p.open.Release(conn.addr, 1)
 }
 
 // closeIdle closes the idle connections to an address.
@@ -182,7 +182,7 @@
 	defer p.mu.Unlock()
 	for _, conn := range p.idle[addr] {
 		_ = conn.Close()
-		p.open.Give(addr, 1)
+		p.open.Release(addr, 1)
 	}
 	delete(p.idle, addr)
 }
--- a/internal/executor/send.go
+++ b/internal/executor/send.go
@@ -111,8 +111,8 @@
 	if err == nil {
 		err = conn.output.FlushAllButLastByte()
 	}
-	if slow := (*slowpeer.Slow)(nil); errors.As(err, &slow) {
-		c.recordSlowPeer(slowpeer.BoxReads, attempt, conn, slow)
+	if slow := (*slowpeer.Error)(nil); errors.As(err, &slow) {
+		c.recordSlowPeer(slowpeer.ExecutorReadsSlowly, attempt, conn, slow)
 		return false
 	}
 	if err != nil || !conn.isOpenAfterPause(c.limits) {
@@ -122,7 +122,7 @@
 	// An executor that has not shown itself for a while may be cut off: acknowledgements of its machine are waited for.
 	left, ok := conn.isAcknowledged(ctx, c.limits, c.lacksContact(attempt.Executor))
 	if !ok && ctx.Err() == nil {
-		c.recordSlowPeer(slowpeer.BoxUnacked, attempt, conn, &slowpeer.Slow{Direction: "out", Left: left})
+		c.recordSlowPeer(slowpeer.RequestUnacked, attempt, conn, &slowpeer.Error{Direction: "out", Pending: left})
 	}
 	return ok
 }
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -24,11 +24,11 @@
 func withShortAcks() limits.Limits {
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.Pace.Acks = slowpeer.AckRule{
-		Least:  50 * time.Millisecond,
-		Most:   200 * time.Millisecond,
-		Times:  3,
-		Memory: time.Minute,
-		Crowd:  0.5,
+		MinTimeout:    50 * time.Millisecond,
+		MaxTimeout:    200 * time.Millisecond,
+		BoundMultiple: 3,
+		ActiveWindow:  time.Minute,
+		MaxLateShare:  0.5,
 	}
 	return lim
 }
@@ -79,8 +79,8 @@
 					t.Error(err)
 				}
 			}
-			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served || c.acks.estimates.Late("s-7") != 0 {
-				t.Errorf("%v, %d still owed", got, c.acks.estimates.Late("s-7"))
+			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served || c.acks.estimates.LateCount("s-7") != 0 {
+				t.Errorf("%v, %d still owed", got, c.acks.estimates.LateCount("s-7"))
 			}
 		})
 	}
@@ -114,7 +114,7 @@
 // rate and counted, and the attempt goes on to its result.
 func TestRestOfA202Drips(t *testing.T) {
 	lim := withShortAcks()
-	lim.Pace.BoxIn = slowpeer.Rate{Bytes: 1 << 20, Grace: 60 * time.Millisecond}
+	lim.Pace.ExecutorIn = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 60 * time.Millisecond}
 	c, s := newClient(t, lim)
 	closed := make(chan bool)
 	startRawExecutor(t, c, func(conn net.Conn) {
@@ -130,8 +130,8 @@
 	})
 	c.Send(newAttempt(1))
 	<-closed
-	if got := s.outcomes(1); len(got) != 0 || s.lateNotes(1) != 0 || c.slowPeers.Count(slowpeer.BoxDrips) != 1 {
-		t.Errorf("outcomes %v, late %d, drips %d", got, s.lateNotes(1), c.slowPeers.Count(slowpeer.BoxDrips))
+	if got := s.outcomes(1); len(got) != 0 || s.lateNotes(1) != 0 || c.slowPeers.Count(slowpeer.ExecutorSendsSlowly) != 1 {
+		t.Errorf("outcomes %v, late %d, drips %d", got, s.lateNotes(1), c.slowPeers.Count(slowpeer.ExecutorSendsSlowly))
 	}
 	_ = c.Callback([]byte(doneCallback))
 	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served {
@@ -145,7 +145,7 @@
 	for name, size := range map[string]int{"the kernel takes all": 60 << 10, "the write stalls": 32 << 20} {
 		t.Run(name, func(t *testing.T) {
 			lim := withShortAcks()
-			lim.Pace.BoxOut = slowpeer.Rate{Bytes: 1 << 30, Grace: 100 * time.Millisecond}
+			lim.Pace.ExecutorOut = slowpeer.MinRate{BytesPerSecond: 1 << 30, Grace: 100 * time.Millisecond}
 			c, s := newClient(t, lim)
 			release := make(chan bool)
 			defer close(release)
@@ -172,7 +172,7 @@
 			if got := s.outcomes(
 				1,
 			); got[0] != dispatch.ConnectFailed ||
-				c.slowPeers.Count(slowpeer.BoxReads)+c.slowPeers.Count(slowpeer.BoxUnacked) != 1 {
+				c.slowPeers.Count(slowpeer.ExecutorReadsSlowly)+c.slowPeers.Count(slowpeer.RequestUnacked) != 1 {
 				t.Errorf("%v, %s", got, c.slowPeers.JSON())
 			}
 			release <- true
@@ -214,7 +214,7 @@
 		a.Executor, a.Job.TraceID = 20+uint32(i), "00000000000000a"+string('0'+rune(i))
 		c.Send(a)
 	}
-	testenv.Until(t, "the crowd is seen", func() bool { return c.slowPeers.Count(slowpeer.BoxCrowd) >= 8 })
+	testenv.Until(t, "the crowd is seen", func() bool { return c.slowPeers.Count(slowpeer.MostAcksLate) >= 8 })
 	mu.Lock()
 	defer mu.Unlock()
 	for i := range uint64(4) {
@@ -229,7 +229,7 @@
 // One box cannot hold all connections: past its share an attempt could not connect, and another box still gets one.
 func TestBoxShare(t *testing.T) {
 	lim := withShortAcks()
-	lim.WorkerConns, lim.Pace.Least, lim.Pace.Alpha = 12, 2, 2
+	lim.WorkerConns, lim.Pace.MinPerPeer, lim.Pace.Alpha = 12, 2, 2
 	c, s := newClient(t, lim)
 	accepted := startRawExecutor(t, c, func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) })
 	for id := range uint64(12) {
@@ -237,11 +237,11 @@
 		a.Job.TraceID = "00000000000000" + string('a'+rune(id)) + "0"
 		c.Send(a)
 	}
-	testenv.Until(t, "some are held back", func() bool { return c.slowPeers.Count(slowpeer.BoxShare) > 0 })
+	testenv.Until(t, "some are held back", func() bool { return c.slowPeers.Count(slowpeer.ExecutorOverShare) > 0 })
 	testenv.Until(
 		t,
 		"the others are out",
-		func() bool { return accepted()+int(c.slowPeers.Count(slowpeer.BoxShare)) == 12 },
+		func() bool { return accepted()+int(c.slowPeers.Count(slowpeer.ExecutorOverShare)) == 12 },
 	)
 	if n := accepted(); n < 6 || n > 9 {
 		t.Errorf("one box holds %d of 12 connections", n)
--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -145,8 +145,8 @@
 
 // register makes a connection of the server's of one that was accepted.
 func (s *Server) register(accepted net.Conn) *conn {
-	tcpinfo.SetBuffers(accepted, s.limits.Pace.SendBuf, 0)
-	tcpinfo.SetUserTimeout(accepted, s.limits.Pace.Forget)
+	tcpinfo.SetBuffers(accepted, s.limits.Pace.SendBufferBytes, 0)
+	tcpinfo.SetUserTimeout(accepted, s.limits.Pace.UserTimeout)
 	c := newConn(accepted, &s.limits)
 	// Past the budget, where all others are busy, a connection gets one answer. Past the reserve too it is refused
 	// as soon as its request has come: its client waits for nothing, and a request that is left in the listener's
--- a/internal/http1/accept_test.go
+++ b/internal/http1/accept_test.go
@@ -71,7 +71,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
-	s, p := NewServer(lim, h, &slowpeer.Tally{}, quietLog), &pauses{}
+	s, p := NewServer(lim, h, &slowpeer.Counters{}, quietLog), &pauses{}
 	s.sleep = p.sleep
 	faulty := &faultyListener{Listener: ln, next: func(call int) error { return next(s, call) }}
 	g.Go(func() error { return s.Serve(ctx, faulty) })
--- a/internal/http1/clientleft_test.go
+++ b/internal/http1/clientleft_test.go
@@ -125,7 +125,7 @@
 func TestInterruptedAndShortCallsGoOn(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = ours.Close() }()
-	c := NewMinRateConn(&stutter{Conn: ours}, slowpeer.Rate{}, slowpeer.Rate{})
+	c := NewMinRateConn(&stutter{Conn: ours}, slowpeer.MinRate{}, slowpeer.MinRate{})
 	text := strings.Repeat("x", 20)
 	go func() { _, _ = io.WriteString(theirs, text) }()
 	got := make([]byte, len(text))
@@ -195,7 +195,8 @@
 func TestWriteErrorsEndOneConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			c := NewMinRateConn(failingWrites{errno: errno}, slowpeer.Rate{}, slowpeer.Rate{Bytes: 1, Grace: time.Hour})
+			c := NewMinRateConn(failingWrites{errno: errno}, slowpeer.MinRate{},
+				slowpeer.MinRate{BytesPerSecond: 1, Grace: time.Hour})
 			if n, err := c.Write([]byte("answer")); n != 0 || !errors.Is(err, errno) {
 				t.Errorf("%d, %v", n, err)
 			}
@@ -218,14 +219,14 @@
 // connection and on one that was used; a part that came behind a request which took longer than its bound gets
 // it at once.
 func TestClientThatStopsInsideARequestGetsItsError(t *testing.T) {
-	if bound := lim.Pace.Request; bound > 3*time.Second-300*time.Millisecond {
+	if bound := lim.Pace.RequestTimeout; bound > 3*time.Second-300*time.Millisecond {
 		t.Errorf("a request has %v to come whole, and its client is owed an end within 3 s", bound)
 	}
 	quick := lim
-	quick.Pace.Request = 50 * time.Millisecond
+	quick.Pace.RequestTimeout = 50 * time.Millisecond
 	_, addr := serve(t, quick, func(_ context.Context, m *Message) Response {
 		if m.Target == "/long" {
-			time.Sleep(2 * quick.Pace.Request)
+			time.Sleep(2 * quick.Pace.RequestTimeout)
 		}
 		return Response{Status: 200, KnownClient: true}
 	})
@@ -253,7 +254,7 @@
 // client stopped then.
 func TestBoundOfARequestBehindAnotherCountsFromItsFirstByte(t *testing.T) {
 	long := lim
-	long.Pace.Request, long.Pace.ClientIn = time.Hour, slowpeer.Rate{}
+	long.Pace.RequestTimeout, long.Pace.ClientIn = time.Hour, slowpeer.MinRate{}
 	began, on := make(chan bool, 1), make(chan bool)
 	s, addr := serve(t, long, func(context.Context, *Message) Response {
 		began <- true
--- a/internal/http1/closing_test.go
+++ b/internal/http1/closing_test.go
@@ -95,7 +95,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
-	s := NewServer(lim, h, &slowpeer.Tally{}, quietLog)
+	s := NewServer(lim, h, &slowpeer.Counters{}, quietLog)
 	w := &watched{s: s, addr: ln.Addr().String(), exhaust: make(chan bool, 1)}
 	listener := &watchingListener{accepted: make(chan *watchedConn), watch: make(chan *watchedConn)}
 	listener.Listener = ln
@@ -177,11 +177,13 @@
 	{name: "idle bound of a known client", first: "POST / HTTP/1.1\r\n\r\n", answers: 1, late: get,
 		limit: func(l *limits.Limits) { l.ClientIdle = 50 * time.Millisecond }},
 	{name: "bound of a new connection", late: get,
-		limit: func(l *limits.Limits) { l.Pace.Request = 50 * time.Millisecond }},
+		limit: func(l *limits.Limits) { l.Pace.RequestTimeout = 50 * time.Millisecond }},
 	{name: "bound of a request, half of it read", first: get[:7], phase: reading, late: get[7:],
-		limit: func(l *limits.Limits) { l.Pace.Request = 50 * time.Millisecond }},
+		limit: func(l *limits.Limits) { l.Pace.RequestTimeout = 50 * time.Millisecond }},
 	{name: "least rate of a request, half of it read", first: get[:7], phase: reading, late: get[7:],
-		limit: func(l *limits.Limits) { l.Pace.ClientIn = slowpeer.Rate{Bytes: 1 << 20, Grace: 50 * time.Millisecond} }},
+		limit: func(l *limits.Limits) {
+			l.Pace.ClientIn = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 50 * time.Millisecond}
+		}},
 	{name: "drain", late: get, limit: func(*limits.Limits) {}, begin: func(_ *testing.T, w *watched) { w.s.CloseIdle() }},
 	{name: "end of the server", late: get, limit: func(l *limits.Limits) { l.DoorWait = 0 },
 		begin: func(t *testing.T, w *watched) {
@@ -244,7 +246,10 @@
 // is answered, if its client reads on.
 func TestRequestOfASlowReaderIsAnsweredAsItIsClosed(t *testing.T) {
 	slow := lim
-	slow.Pace.ClientOut, slow.Pace.Look = slowpeer.Rate{Bytes: 1 << 20, Grace: 150 * time.Millisecond}, 20*time.Millisecond
+	slow.Pace.ClientOut, slow.Pace.UnsentCheckInterval = slowpeer.MinRate{
+		BytesPerSecond: 1 << 20,
+		Grace:          150 * time.Millisecond,
+	}, 20*time.Millisecond
 	late := make(chan bool)
 	w := serveWatched(t, slow, func(_ context.Context, m *Message) Response {
 		if m.Target == "/small" {
@@ -258,7 +263,7 @@
 	_, _ = io.WriteString(w.client, get)
 	receive(t, late)
 	expect(t, w.client, 2)
-	if n := w.s.tally.Count(slowpeer.ClientReads); n != 1 {
+	if n := w.s.tally.Count(slowpeer.ClientReadsSlowly); n != 1 {
 		t.Errorf("%d slow readers, want 1", n)
 	}
 }
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -22,13 +22,13 @@
 // connState is what decides whether a connection is closed for another. It is guarded by Server.mu.
 type connState struct {
 	phase        phase
-	service      service        // settled when the connection is admitted
-	phaseSince   time.Time      // when it entered the phase; before its first request, when it was accepted
-	hadRequest   bool           // a whole request came
-	knownClient  bool           // and the handler took it for one of its own clients'
-	unreadAnswer bool           // the last answer is written, and its client's machine has not acknowledged all of it
-	shareOwner   string         // the address whose share it counts against, if shares are kept
-	slowReader   *slowpeer.Slow // why it is closed, if for an answer that is read too slowly
+	service      service         // settled when the connection is admitted
+	phaseSince   time.Time       // when it entered the phase; before its first request, when it was accepted
+	hadRequest   bool            // a whole request came
+	knownClient  bool            // and the handler took it for one of its own clients'
+	unreadAnswer bool            // the last answer is written, and its client's machine has not acknowledged all of it
+	shareOwner   string          // the address whose share it counts against, if shares are kept
+	slowReader   *slowpeer.Error // why it is closed, if for an answer that is read too slowly
 }
 
 // phase is what a connection is in the middle of.
--- a/internal/http1/eviction.go
+++ b/internal/http1/eviction.go
@@ -46,7 +46,7 @@
 	case s.open > s.limits.ClientConns:
 		c.service = singleAnswer
 	}
-	if s.limits.Pace.PerPeer {
+	if s.limits.Pace.SharePerAddress {
 		s.admitToShare(c)
 	}
 }
@@ -55,11 +55,11 @@
 // budget.
 func (s *Server) admitToShare(c *conn) {
 	host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-	if s.shares.Take(host, 1) == slowpeer.Keep {
+	if s.shares.Acquire(host, 1) == slowpeer.Keep {
 		c.shareOwner = host
 		return
 	}
-	s.tally.Add(slowpeer.ClientShare)
+	s.tally.Add(slowpeer.ClientOverShare)
 	c.service = max(c.service, singleAnswer)
 }
 
@@ -80,7 +80,7 @@
 	case idle, reading:
 		s.retire(candidate)
 	case answering:
-		s.tally.Add(slowpeer.ClientCut)
+		s.tally.Add(slowpeer.ClientResponseLost)
 		s.closeNow(candidate)
 	default:
 		s.closeNow(candidate)
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -213,7 +213,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
-	s := NewServer(lim, h, &slowpeer.Tally{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := NewServer(lim, h, &slowpeer.Counters{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	g.Go(func() error { return s.Serve(ctx, ln) })
 	t.Cleanup(func() {
 		cancel()
@@ -345,7 +345,7 @@
 // A request that does not come whole in time is answered, so that slow ones do not hold descriptors for good.
 func TestRequestNotWholeInTimeGets408(t *testing.T) {
 	quick := lim
-	quick.Pace.Request = 30 * time.Millisecond
+	quick.Pace.RequestTimeout = 30 * time.Millisecond
 	_, addr := serve(t, quick, func(context.Context, *Message) Response { return Response{Status: 200} })
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, "GET / HT")
@@ -412,7 +412,7 @@
 // one that asked something and stays is closed sooner than that of a client.
 func TestWaitForStrangersIsBounded(t *testing.T) {
 	quick := lim
-	quick.Pace.Request, quick.StrangerIdle, quick.ClientIdle = 100*time.Millisecond, 100*time.Millisecond, time.Hour
+	quick.Pace.RequestTimeout, quick.StrangerIdle, quick.ClientIdle = 100*time.Millisecond, 100*time.Millisecond, time.Hour
 	_, addr := serve(t, quick, func(context.Context, *Message) Response { return Response{Status: 200} })
 	sent := map[string]string{"says nothing": "", "drips": "GET / HTTP/1.1\r\nA: ", "stays": "GET / HTTP/1.1\r\n\r\n"}
 	for name, text := range sent {
--- a/internal/http1/minrate.go
+++ b/internal/http1/minrate.go
@@ -30,13 +30,13 @@
 }
 
 type receiveState struct {
-	minRate slowpeer.Rate
+	minRate slowpeer.MinRate
 	meter   slowpeer.Meter
 	bound   time.Time // of reads; zero for none
 }
 
 type sendState struct {
-	minRate      slowpeer.Rate
+	minRate      slowpeer.MinRate
 	meter        slowpeer.Meter
 	bound        time.Time // of writes; zero for none
 	written      int64     // bytes since the meter was started, and those that were unacknowledged then
@@ -45,7 +45,7 @@
 }
 
 // NewMinRateConn holds a connection to the rates in and out.
-func NewMinRateConn(c net.Conn, in, out slowpeer.Rate) *MinRateConn {
+func NewMinRateConn(c net.Conn, in, out slowpeer.MinRate) *MinRateConn {
 	return &MinRateConn{
 		Conn:    c,
 		receive: receiveState{minRate: in, meter: slowpeer.NewMeter(in)},
@@ -91,8 +91,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.receive.meter.Press(pressure, now)
-	c.send.meter.Press(pressure, now)
+	c.receive.meter.SetPressure(pressure, now)
+	c.send.meter.SetPressure(pressure, now)
 	if c.receive.meter.Waiting() {
 		c.armRead()
 	}
@@ -119,7 +119,7 @@
 
 // earlierDeadline is the earlier of a bound and of when a meter would find its peer too slow; zero for neither.
 func earlierDeadline(bound time.Time, m *slowpeer.Meter) time.Time {
-	if until, limited := m.Until(); limited && (bound.IsZero() || until.Before(bound)) {
+	if until, limited := m.Deadline(); limited && (bound.IsZero() || until.Before(bound)) {
 		return until
 	}
 	return bound
@@ -128,15 +128,15 @@
 // isTimeout says whether a call ended at a deadline that was set here, or because its peer was too slow. ETIMEDOUT is
 // neither: there the kernel has given the connection up. EAGAIN says that nothing has come yet.
 func isTimeout(err error) bool {
-	slow := (*slowpeer.Slow)(nil)
+	slow := (*slowpeer.Error)(nil)
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &slow) || errors.Is(err, syscall.EAGAIN)
 }
 
 // judgeTimeout is the error that a call returns which ended at its deadline: that the peer is too slow, the
 // timeout if the bound has passed, or nil if neither is so, since both may have moved while the call waited.
-func judgeTimeout(bound time.Time, m *slowpeer.Meter, slow slowpeer.Slow, now time.Time, timeout error) error {
-	if m.Judge(now) == slowpeer.LetGo {
-		slow.Bytes, slow.Rate = m.Figures(now)
+func judgeTimeout(bound time.Time, m *slowpeer.Meter, slow slowpeer.Error, now time.Time, timeout error) error {
+	if m.Check(now) == slowpeer.Disconnect {
+		slow.Bytes, slow.Rate = m.Throughput(now)
 		return &slow
 	}
 	if !bound.IsZero() && !now.Before(bound) {
@@ -175,11 +175,11 @@
 }
 
 // ReceiveProgress is how what is expected has come so far.
-func (c *MinRateConn) ReceiveProgress() *slowpeer.Slow {
+func (c *MinRateConn) ReceiveProgress() *slowpeer.Error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	bytes, rate := c.receive.meter.Figures(time.Now())
-	return &slowpeer.Slow{Direction: "in", Bytes: bytes, Rate: rate, Asked: c.receive.minRate.Bytes}
+	bytes, rate := c.receive.meter.Throughput(time.Now())
+	return &slowpeer.Error{Direction: "in", Bytes: bytes, Rate: rate, MinRate: c.receive.minRate.BytesPerSecond}
 }
 
 // readTimedOut judges a read that ended at its deadline, and sets the next deadline where it goes on.
@@ -189,7 +189,7 @@
 	if c.aborted {
 		return timeout
 	}
-	slow := slowpeer.Slow{Direction: "in", Asked: c.receive.minRate.Bytes}
+	slow := slowpeer.Error{Direction: "in", MinRate: c.receive.minRate.BytesPerSecond}
 	err := judgeTimeout(c.receive.bound, &c.receive.meter, slow, time.Now(), timeout)
 	if err == nil {
 		c.armRead()
@@ -262,7 +262,7 @@
 	}
 	now := time.Now()
 	unacknowledged := c.observeAcknowledged(now)
-	slow := slowpeer.Slow{Direction: "out", Asked: c.send.minRate.Bytes, Left: unacknowledged + rest}
+	slow := slowpeer.Error{Direction: "out", MinRate: c.send.minRate.BytesPerSecond, Pending: unacknowledged + rest}
 	return judgeTimeout(c.send.bound, &c.send.meter, slow, now, err)
 }
 
@@ -279,7 +279,7 @@
 
 // Unacknowledged is how many of the written bytes the peer's machine has not acknowledged, and what the peer is
 // too slow in if it is. With none left the meter stops.
-func (c *MinRateConn) Unacknowledged() (int, *slowpeer.Slow) {
+func (c *MinRateConn) Unacknowledged() (int, *slowpeer.Error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.send.meter.Waiting() {
@@ -291,11 +291,12 @@
 		c.send.meter.Stop()
 		return 0, nil
 	}
-	if c.send.meter.Judge(now) != slowpeer.LetGo {
+	if c.send.meter.Check(now) != slowpeer.Disconnect {
 		return left, nil
 	}
-	bytes, rate := c.send.meter.Figures(now)
-	return left, &slowpeer.Slow{Direction: "out", Bytes: bytes, Rate: rate, Asked: c.send.minRate.Bytes, Left: left}
+	bytes, rate := c.send.meter.Throughput(now)
+	return left, &slowpeer.Error{Direction: "out", Bytes: bytes, Rate: rate,
+		MinRate: c.send.minRate.BytesPerSecond, Pending: left}
 }
 
 // RestartSendMeter forgives what the peer owes for earlier writes: the next one starts the meter anew.
--- a/internal/http1/minrate_test.go
+++ b/internal/http1/minrate_test.go
@@ -17,7 +17,7 @@
 )
 
 // pair gives both ends of a connection, ours paced.
-func pair(t *testing.T, in, out slowpeer.Rate) (*MinRateConn, net.Conn) {
+func pair(t *testing.T, in, out slowpeer.MinRate) (*MinRateConn, net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 // What was written and acknowledged is no debt, whether somebody looked then or not: the next answer on a connection
 // that stood idle for longer than the grace was cut off, and with it a request was lost.
 func TestIdleTimeDoesNotCountAgainstThePeer(t *testing.T) {
-	c, theirs := pair(t, slowpeer.Rate{}, slowpeer.Rate{Bytes: 1 << 30, Grace: 20 * time.Millisecond})
+	c, theirs := pair(t, slowpeer.MinRate{}, slowpeer.MinRate{BytesPerSecond: 1 << 30, Grace: 20 * time.Millisecond})
 	for range 3 {
 		if _, err := c.Write([]byte("answer")); err != nil {
 			t.Fatal(err)
@@ -66,7 +66,7 @@
 // A drip starts no time anew: reading ends with what moved and how fast, and a bound set meanwhile holds for the read
 // that is under way.
 func TestSlowSenderEndsTheRead(t *testing.T) {
-	c, theirs := pair(t, slowpeer.Rate{Bytes: 1 << 20, Grace: 100 * time.Millisecond}, slowpeer.Rate{})
+	c, theirs := pair(t, slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 100 * time.Millisecond}, slowpeer.MinRate{})
 	stop := make(chan bool)
 	defer close(stop)
 	go func() {
@@ -82,7 +82,7 @@
 		}
 	}()
 	c.ExpectBytes()
-	slow, buf := (*slowpeer.Slow)(nil), make([]byte, 64)
+	slow, buf := (*slowpeer.Error)(nil), make([]byte, 64)
 	for {
 		if _, err := c.Read(buf); err != nil {
 			if !errors.As(err, &slow) || slow.Direction != "in" || slow.Bytes == 0 || !isTimeout(err) {
@@ -95,7 +95,7 @@
 	if _, err := c.Read(buf); err != nil {
 		t.Errorf("at rest: %v", err)
 	}
-	quiet, _ := pair(t, slowpeer.Rate{}, slowpeer.Rate{})
+	quiet, _ := pair(t, slowpeer.MinRate{}, slowpeer.MinRate{})
 	done := make(chan error)
 	go func() { _, err := quiet.Read(buf); done <- err }()
 	quiet.BoundReads(time.Now().Add(time.Hour))
@@ -107,12 +107,12 @@
 
 // A write to a peer that does not read ends once its machine takes nothing more; what it took counts as progress.
 func TestStalledReceiverEndsTheWrite(t *testing.T) {
-	c, theirs := pair(t, slowpeer.Rate{}, slowpeer.Rate{Bytes: 4096, Grace: 50 * time.Millisecond})
+	c, theirs := pair(t, slowpeer.MinRate{}, slowpeer.MinRate{BytesPerSecond: 4096, Grace: 50 * time.Millisecond})
 	_ = theirs.(*net.TCPConn).SetReadBuffer(4096)
 	_ = c.Conn.(*net.TCPConn).SetWriteBuffer(4096)
-	slow := (*slowpeer.Slow)(nil)
+	slow := (*slowpeer.Error)(nil)
 	n, err := c.Write(make([]byte, 8<<20))
-	if !errors.As(err, &slow) || slow.Direction != "out" || slow.Left == 0 || n >= 8<<20 {
+	if !errors.As(err, &slow) || slow.Direction != "out" || slow.Pending == 0 || n >= 8<<20 {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
 	if c.WriteStalledFor(time.Now().Add(time.Hour)) != 0 {
@@ -142,9 +142,9 @@
 // and counted; others are served meanwhile, and an answer that is whole in the kernel still comes to one that reads on.
 func TestClientsThatStopReadingAreDisconnected(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.Pace.ClientOut = slowpeer.Rate{Bytes: 1 << 20, Grace: 150 * time.Millisecond}
-	lim.Pace.Look = 20 * time.Millisecond
-	lim.Pace.SendBuf = 16 << 10
+	lim.Pace.ClientOut = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 150 * time.Millisecond}
+	lim.Pace.UnsentCheckInterval = 20 * time.Millisecond
+	lim.Pace.SendBufferBytes = 16 << 10
 	size := 1 << 20
 	s, addr := serve(t, lim, func(_ context.Context, m *Message) Response {
 		if m.Target == "/small" {
@@ -163,21 +163,23 @@
 	if m, err := NewParser(lim, true).Read(NewRing(4096), c); err != nil || string(m.Body) != "small" {
 		t.Errorf("beside those that stopped: %v %v", m, err)
 	}
-	until(t, "they are let go", func() bool { return s.tally.Count(slowpeer.ClientReads) == 5 && s.OpenConns() == 1 })
-	if n := s.tally.Count(slowpeer.ClientCut); n != 5 {
+	until(t, "they are let go", func() bool {
+		return s.tally.Count(slowpeer.ClientReadsSlowly) == 5 && s.OpenConns() == 1
+	})
+	if n := s.tally.Count(slowpeer.ClientResponseLost); n != 5 {
 		t.Errorf("%d answers were cut, want the 5 that were not whole in the kernel", n)
 	}
 
 	size = 20 << 10 // goes whole into the kernel, which holds it for a client that has let it wait
 	slow := readsSlowly(t, addr)
 	until(t, "its connection is let go", func() bool {
-		return s.tally.Count(slowpeer.ClientReads) == 6 && s.OpenConns() == 1
+		return s.tally.Count(slowpeer.ClientReadsSlowly) == 6 && s.OpenConns() == 1
 	})
 	rest, err := io.ReadAll(slow)
 	if err != nil || !strings.HasSuffix(string(rest), strings.Repeat("\x00", size)) {
 		t.Errorf("of a finished answer %d bytes came, %v", len(rest), err)
 	}
-	if s.tally.Count(slowpeer.ClientCut) != 5 {
+	if s.tally.Count(slowpeer.ClientResponseLost) != 5 {
 		t.Error("a finished answer counts as cut")
 	}
 }
@@ -185,8 +187,8 @@
 // A head and a body that drip end with an error in time, and are counted.
 func TestRequestsBelowTheMinimumRateGet408(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.Pace.ClientIn = slowpeer.Rate{Bytes: 1 << 20, Grace: 100 * time.Millisecond}
-	lim.Pace.Request = time.Hour
+	lim.Pace.ClientIn = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 100 * time.Millisecond}
+	lim.Pace.RequestTimeout = time.Hour
 	s, addr := serve(t, lim, func(context.Context, *Message) Response {
 		t.Error("a request that never came whole was handled")
 		return Response{Status: 200}
@@ -207,7 +209,7 @@
 		if err != nil || m.Status != 408 || !m.Close {
 			t.Errorf("%d: %v %v", i, m, err)
 		}
-		if n := s.tally.Count(slowpeer.ClientSends); n != int64(i+1) {
+		if n := s.tally.Count(slowpeer.ClientSendsSlowly); n != int64(i+1) {
 			t.Errorf("%d counted, want %d", n, i+1)
 		}
 	}
@@ -216,12 +218,12 @@
 // One address that opens connections by the hundred gets its share, and another is still served.
 func TestConnectionsAreSharedByAddress(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.Pace.PerPeer, lim.ClientConns, lim.SpareConns = true, 24, 100
+	lim.Pace.SharePerAddress, lim.ClientConns, lim.SpareConns = true, 24, 100
 	s, addr := serve(t, lim, func(context.Context, *Message) Response { return Response{Status: 200} })
 	for range 40 {
 		dial(t, addr)
 	}
-	until(t, "all are taken", func() bool { return s.tally.Count(slowpeer.ClientShare) > 0 && s.OpenConns() >= 24 })
+	until(t, "all are taken", func() bool { return s.tally.Count(slowpeer.ClientOverShare) > 0 && s.OpenConns() >= 24 })
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9)}}
 	c, err := d.Dial("tcp", addr)
 	if err != nil {
--- a/internal/http1/registry.go
+++ b/internal/http1/registry.go
@@ -58,7 +58,7 @@
 		s.open--
 	}
 	if c.shareOwner != "" {
-		s.shares.Give(c.shareOwner, 1)
+		s.shares.Release(c.shareOwner, 1)
 	}
 	close(c.ended)
 	s.mu.Unlock()
@@ -108,14 +108,14 @@
 // them for a while.
 func (s *Server) retireSlowReaders() {
 	for _, c := range s.slowReaders() {
-		s.reportSlowClient(slowpeer.ClientReads, c, c.slowReader)
+		s.reportSlowClient(slowpeer.ClientReadsSlowly, c, c.slowReader)
 	}
 }
 
 func (s *Server) slowReaders() (slow []*conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pressure := s.limits.Pace.Full(s.open, s.limits.ClientConns)
+	pressure := s.limits.Pace.Pressure(s.open, s.limits.ClientConns)
 	for c := range s.conns {
 		if !c.unreadAnswer {
 			continue
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -29,7 +29,7 @@
 type Server struct {
 	limits  limits.Limits
 	handler Handler
-	tally   *slowpeer.Tally
+	tally   *slowpeer.Counters
 	log     *slog.Logger
 	sleep   func(context.Context, time.Duration) // pauses of the accept loop
 
@@ -61,7 +61,7 @@
 }
 
 // NewServer makes a server. The tally may be nil.
-func NewServer(lim limits.Limits, h Handler, tally *slowpeer.Tally, log *slog.Logger) *Server {
+func NewServer(lim limits.Limits, h Handler, tally *slowpeer.Counters, log *slog.Logger) *Server {
 	return &Server{
 		limits:    lim,
 		handler:   h,
@@ -71,7 +71,7 @@
 		lifecycle: lifecycle{acceptDone: make(chan struct{})},
 		registry: registry{
 			conns:           map[*conn]struct{}{},
-			shares:          slowpeer.NewLedger[string](lim.ClientConns, lim.Pace.Least, lim.Pace.Alpha),
+			shares:          slowpeer.NewLedger[string](lim.ClientConns, lim.Pace.MinPerPeer, lim.Pace.Alpha),
 			descriptorFreed: make(chan struct{}, 1),
 		},
 	}
@@ -116,7 +116,7 @@
 
 // monitorUnreadAnswers closes the connections of clients that read their answers too slowly, until the context ends.
 func (s *Server) monitorUnreadAnswers(ctx context.Context) {
-	tick := time.NewTicker(s.limits.Pace.Look)
+	tick := time.NewTicker(s.limits.Pace.UnsentCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -128,7 +128,7 @@
 	}
 }
 
-func (s *Server) reportSlowClient(kind slowpeer.Kind, c *conn, err *slowpeer.Slow) {
+func (s *Server) reportSlowClient(kind slowpeer.Kind, c *conn, err *slowpeer.Error) {
 	s.tally.Add(kind)
 	s.log.Info("slow peer", "kind", kind.String(), "peer", c.RemoteAddr().String(), "err", err)
 }
--- a/internal/http1/session.go
+++ b/internal/http1/session.go
@@ -146,9 +146,9 @@
 	} else {
 		err = x.writer.Response(response)
 	}
-	if slow := (*slowpeer.Slow)(nil); errors.As(err, &slow) {
-		x.server.tally.Add(slowpeer.ClientReads)
-		x.server.reportSlowClient(slowpeer.ClientCut, x.conn, slow)
+	if slow := (*slowpeer.Error)(nil); errors.As(err, &slow) {
+		x.server.tally.Add(slowpeer.ClientReadsSlowly)
+		x.server.reportSlowClient(slowpeer.ClientResponseLost, x.conn, slow)
 	}
 	return err == nil
 }
@@ -221,7 +221,7 @@
 	case first && x.service == rejectOnly:
 		from, wait = x.phaseSince, limits.Linger
 	case first:
-		from, wait = x.phaseSince, limits.Pace.Request
+		from, wait = x.phaseSince, limits.Pace.RequestTimeout
 	case !x.knownClient:
 		wait = limits.StrangerIdle
 	}
@@ -254,7 +254,7 @@
 		progress.started = true
 		if !progress.first {
 			// Its first byte can have come long ago, behind a request that was handled.
-			x.BoundReads(x.requestStart.Add(x.server.limits.Pace.Request))
+			x.BoundReads(x.requestStart.Add(x.server.limits.Pace.RequestTimeout))
 		}
 		x.ExpectBytes()
 	}
@@ -282,6 +282,6 @@
 	case !progress.started && !progress.first:
 		return nil, nil // it has started just now, and its own bound follows
 	}
-	x.server.reportSlowClient(slowpeer.ClientSends, x.conn, x.ReceiveProgress())
+	x.server.reportSlowClient(slowpeer.ClientSendsSlowly, x.conn, x.ReceiveProgress())
 	return nil, newError(408, "the request did not come whole in time")
 }
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -363,7 +363,7 @@
 // are not, and an end makes room.
 func TestCustomersShare(t *testing.T) {
 	h := newFakeAdapters(t, readyEndpoint("s-1"))
-	h.core.limits.Pace.Requests = 2
+	h.core.limits.Pace.MaxCustomerRequests = 2
 	h.core.open.byTenant = make([]atomic.Int64, 2)
 	submit := func(id string, tenant int) (uint32, error) {
 		return h.core.Submit(
@@ -380,7 +380,7 @@
 		"c",
 		0,
 	); !errors.Is(err, ErrTenantLimit) || h.core.Open() != 2 ||
-		h.core.SlowPeers().Count(slowpeer.ClientShare) != 1 {
+		h.core.SlowPeers().Count(slowpeer.ClientOverShare) != 1 {
 		t.Errorf("%v, %d open", err, h.core.Open())
 	}
 	if _, err := submit("d", 1); err != nil {
--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -11,7 +11,7 @@
 // counters are what the core's goroutine counts, and the slow peers that fronts and carriers count.
 type counters struct {
 	Counts
-	slowPeers slowpeer.Tally
+	slowPeers slowpeer.Counters
 }
 
 // Counts are what the node did since its start. Both fronts show the same ones.
@@ -54,7 +54,7 @@
 }
 
 // SlowPeers counts the slow peers that the core's carriers and fronts find; the counts show them.
-func (c *Core) SlowPeers() *slowpeer.Tally { return &c.counters.slowPeers }
+func (c *Core) SlowPeers() *slowpeer.Counters { return &c.counters.slowPeers }
 
 // currentCounts adds to the counts what is open at this moment.
 func (c *Core) currentCounts(now time.Time) Counts {
--- a/internal/node/openjobs.go
+++ b/internal/node/openjobs.go
@@ -19,10 +19,10 @@
 		c.open.total.Add(-1)
 		return ErrQueueFull
 	}
-	maxOpen := c.limits.Pace.Requests
+	maxOpen := c.limits.Pace.MaxCustomerRequests
 	if maxOpen > 0 && j.request.Tenant < len(c.open.byTenant) && int(c.open.byTenant[j.request.Tenant].Add(1)) > maxOpen {
 		c.unreserve(j)
-		c.counters.slowPeers.Add(slowpeer.ClientShare)
+		c.counters.slowPeers.Add(slowpeer.ClientOverShare)
 		return ErrTenantLimit
 	}
 	return nil
@@ -31,7 +31,7 @@
 // unreserve gives back what reserve counted.
 func (c *Core) unreserve(j *job) {
 	c.open.total.Add(-1)
-	if c.limits.Pace.Requests > 0 && j.request.Tenant < len(c.open.byTenant) {
+	if c.limits.Pace.MaxCustomerRequests > 0 && j.request.Tenant < len(c.open.byTenant) {
 		c.open.byTenant[j.request.Tenant].Add(-1)
 	}
 }
--- a/internal/settingsync/rollout_bench_test.go
+++ b/internal/settingsync/rollout_bench_test.go
@@ -163,7 +163,7 @@
 		s, err := store.Open(
 			store.Config{Name: name, Dir: filepath.Join(b.TempDir(), name), Listen: addr, Members: members},
 			f.lim,
-			&slowpeer.Tally{},
+			&slowpeer.Counters{},
 			log,
 		)
 		if err != nil {
--- a/internal/slowpeer/acks.go
+++ b/internal/slowpeer/acks.go
@@ -7,14 +7,14 @@
 
 // AckRule says from when on an executor is late to say that it has taken a job.
 type AckRule struct {
-	Least  time.Duration `yaml:"least"`  // nothing is late before it
-	Most   time.Duration `yaml:"most"`   // whatever is usual, a box is late after it
-	Times  float64       `yaml:"times"`  // how many times the usual upper bound it may take
-	Memory time.Duration `yaml:"memory"` // a box not heard of for so long says nothing of what is usual
-	Crowd  float64       `yaml:"crowd"`  // with more than this part of the boxes late, lateness says nothing of one of them
+	MinTimeout    time.Duration `yaml:"least"`  // nothing is late before it
+	MaxTimeout    time.Duration `yaml:"most"`   // whatever is usual, a box is late after it
+	BoundMultiple float64       `yaml:"times"`  // how many times the usual upper bound it may take
+	ActiveWindow  time.Duration `yaml:"memory"` // a box not heard of for so long says nothing of what is usual
+	MaxLateShare  float64       `yaml:"crowd"`  // with more than this part of the boxes late, lateness says nothing of one of them
 }
 
-// Acks learns how long executors take to acknowledge a job, and finds the one that is late: against its own usual, or it
+// AckTracker learns how long executors take to acknowledge a job, and finds the one that is late: against its own usual, or it
 // would be called slow for being far; and against its peers', or one that has always been slow would never be.
 //
 // The usual upper bound of an executor, and of all together, is that of TCP's retransmission timer (RFC 6298, section 2): a
@@ -23,7 +23,7 @@
 //
 // All slow at once are no reason to shun any: while more than Crowd of the executors that work are late, none is called so.
 // Then it is the network, or this node itself that has no time to read, and shunning some only crowds the others.
-type Acks struct {
+type AckTracker struct {
 	rule      AckRule
 	executors map[string]*ackHistory
 	all       estimate
@@ -31,7 +31,7 @@
 
 type ackHistory struct {
 	own      estimate
-	out      int       // jobs it has not acknowledged
+	pending  int       // jobs it has not acknowledged
 	late     int       // of them, those that are past their time
 	lastSeen time.Time // an acknowledgement, or a send
 }
@@ -53,34 +53,36 @@
 
 func (e *estimate) bound() float64 { return e.mean + 4*e.dev }
 
-// NewAcks makes an Acks that knows no executor.
-func NewAcks(r AckRule) *Acks { return &Acks{rule: r, executors: map[string]*ackHistory{}} }
+// NewAckTracker makes an Acks that knows no executor.
+func NewAckTracker(r AckRule) *AckTracker {
+	return &AckTracker{rule: r, executors: map[string]*ackHistory{}}
+}
 
 // Sent takes in that a job's last byte went to an executor.
-func (a *Acks) Sent(executor string, now time.Time) {
+func (a *AckTracker) Sent(executor string, now time.Time) {
 	b := a.executors[executor]
 	if b == nil {
 		b = &ackHistory{}
 		a.executors[executor] = b
 	}
-	b.out++
+	b.pending++
 	b.lastSeen = now
 }
 
-// Due is how long an executor may take before it is late.
-func (a *Acks) Due(executor string) time.Duration {
+// Timeout is how long an executor may take before it is late.
+func (a *AckTracker) Timeout(executor string) time.Duration {
 	bound := a.all.bound()
 	if b := a.executors[executor]; b != nil {
 		bound = max(bound, b.own.bound())
 	}
-	due := time.Duration(a.rule.Times * bound * float64(time.Second))
-	return min(max(due, a.rule.Least), a.rule.Most)
+	due := time.Duration(a.rule.BoundMultiple * bound * float64(time.Second))
+	return min(max(due, a.rule.MinTimeout), a.rule.MaxTimeout)
 }
 
 // Overdue takes in that a job was not acknowledged when it was due, and says what that makes of the executor: HoldBack for
 // one that is late where its peers are not, Keep while it says nothing, and the carrier asks again after another Due.
 // Counted says whether this job was told overdue before.
-func (a *Acks) Overdue(executor string, counted bool, now time.Time) Verdict {
+func (a *AckTracker) Overdue(executor string, counted bool, now time.Time) Verdict {
 	b := a.executors[executor]
 	if b == nil {
 		return Keep
@@ -94,22 +96,22 @@
 		case x.late > 0:
 			late++
 			active++
-		case x.out > 0 || now.Sub(x.lastSeen) <= a.rule.Memory:
+		case x.pending > 0 || now.Sub(x.lastSeen) <= a.rule.ActiveWindow:
 			active++
 		default:
 			delete(a.executors, name)
 		}
 	}
 	// One alone can be late to a node that sends to few: there is nobody to hold it against but its own usual.
-	if late > 1 && float64(late) > a.rule.Crowd*float64(active) {
+	if late > 1 && float64(late) > a.rule.MaxLateShare*float64(active) {
 		return Keep
 	}
-	return HoldBack
+	return Restrict
 }
 
 // Acked takes in that an executor acknowledged a job, by its answer or by a call, so long after the send. Late says whether
 // it was told overdue.
-func (a *Acks) Acked(executor string, took time.Duration, late bool, now time.Time) {
+func (a *AckTracker) Acked(executor string, took time.Duration, late bool, now time.Time) {
 	a.done(executor, late)
 	b := a.executors[executor]
 	if b == nil {
@@ -125,21 +127,21 @@
 }
 
 // Ended takes in that a job ended unacknowledged: its connection broke, or it was given up.
-func (a *Acks) Ended(executor string, late bool) { a.done(executor, late) }
+func (a *AckTracker) Ended(executor string, late bool) { a.done(executor, late) }
 
-func (a *Acks) done(executor string, late bool) {
+func (a *AckTracker) done(executor string, late bool) {
 	b := a.executors[executor]
 	if b == nil {
 		return
 	}
-	b.out = max(0, b.out-1)
+	b.pending = max(0, b.pending-1)
 	if late {
 		b.late = max(0, b.late-1)
 	}
 }
 
-// Late is how many jobs an executor owes an acknowledgement past its time.
-func (a *Acks) Late(executor string) int {
+// LateCount is how many jobs an executor owes an acknowledgement past its time.
+func (a *AckTracker) LateCount(executor string) int {
 	if b := a.executors[executor]; b != nil {
 		return b.late
 	}
--- a/internal/slowpeer/meter.go
+++ b/internal/slowpeer/meter.go
@@ -12,12 +12,12 @@
 
 import "time"
 
-// Rate is what is asked of a peer that is waited for.
-type Rate struct {
-	Bytes  int           `yaml:"rate"`   // a second, at least; 0 asks for nothing
-	Grace  time.Duration `yaml:"grace"`  // for how long nothing at all may move
-	Window time.Duration `yaml:"window"` // what moved faster than asked is credited for so long
-	Tight  float64       `yaml:"tight"`  // with the budget used up the rate is so many times as high, and the grace so much shorter
+// MinRate is what is asked of a peer that is waited for.
+type MinRate struct {
+	BytesPerSecond int           `yaml:"rate"`   // a second, at least; 0 asks for nothing
+	Grace          time.Duration `yaml:"grace"`  // for how long nothing at all may move
+	Window         time.Duration `yaml:"window"` // what moved faster than asked is credited for so long
+	PressureFactor float64       `yaml:"tight"`  // with the budget used up the rate is so many times as high, and the grace so much shorter
 }
 
 // Verdict is what becomes of a peer.
@@ -26,8 +26,8 @@
 // The verdicts.
 const (
 	Keep Verdict = iota
-	HoldBack
-	LetGo
+	Restrict
+	Disconnect
 )
 
 // Meter follows one direction of one connection while bytes are waited for. What is asked accrues as a debt of
@@ -37,21 +37,21 @@
 // With r the rate that moves and R the one asked for: a peer that never goes without for the grace and moves R in every
 // window is never let go, and one that moves r < R is let go after (Grace + Window) * R / (R - r) at the latest.
 type Meter struct {
-	rate    Rate
-	tight   float64 // what the rate is multiplied by now, from 1 on
-	debt    float64 // bytes; below zero is credit
-	at      time.Time
-	waiting bool
-	moved   int64
-	since   time.Time
+	rate           MinRate
+	pressureFactor float64 // what the rate is multiplied by now, from 1 on
+	debt           float64 // bytes; below zero is credit
+	at             time.Time
+	waiting        bool
+	moved          int64
+	since          time.Time
 }
 
 // NewMeter makes a meter on which nothing is waited for yet.
-func NewMeter(r Rate) Meter {
-	if r.Tight < 1 {
-		r.Tight = 1
+func NewMeter(r MinRate) Meter {
+	if r.PressureFactor < 1 {
+		r.PressureFactor = 1
 	}
-	return Meter{rate: r, tight: 1}
+	return Meter{rate: r, pressureFactor: 1}
 }
 
 // Start says that from now on something is waited for. A debt of earlier is forgotten: a peer that was slow once and
@@ -73,48 +73,48 @@
 	}
 	m.accrue(now)
 	m.moved += int64(n)
-	m.debt = max(m.debt-float64(n), -m.asked()*m.rate.Window.Seconds())
+	m.debt = max(m.debt-float64(n), -m.requiredRate()*m.rate.Window.Seconds())
 }
 
-// Press sets how full the budget is, from 0 to 1: the fuller, the higher the rate and the shorter the grace.
-func (m *Meter) Press(full float64, now time.Time) {
+// SetPressure sets how full the budget is, from 0 to 1: the fuller, the higher the rate and the shorter the grace.
+func (m *Meter) SetPressure(full float64, now time.Time) {
 	if m.waiting {
 		m.accrue(now)
 	}
-	m.tight = 1 + (m.rate.Tight-1)*min(max(full, 0), 1)
+	m.pressureFactor = 1 + (m.rate.PressureFactor-1)*min(max(full, 0), 1)
 }
 
-// Until is when the peer is let go if nothing more moves, and whether anything is asked of it.
-func (m *Meter) Until() (time.Time, bool) {
-	if !m.waiting || m.rate.Bytes <= 0 {
+// Deadline is when the peer is let go if nothing more moves, and whether anything is asked of it.
+func (m *Meter) Deadline() (time.Time, bool) {
+	if !m.waiting || m.rate.BytesPerSecond <= 0 {
 		return time.Time{}, false
 	}
-	left := m.grace()*m.asked() - m.debt
-	return m.at.Add(time.Duration(left / m.asked() * float64(time.Second))), true
+	left := m.grace()*m.requiredRate() - m.debt
+	return m.at.Add(time.Duration(left / m.requiredRate() * float64(time.Second))), true
 }
 
-// Judge says whether the peer is kept now.
-func (m *Meter) Judge(now time.Time) Verdict {
-	if until, asked := m.Until(); asked && !now.Before(until) {
-		return LetGo
+// Check says whether the peer is kept now.
+func (m *Meter) Check(now time.Time) Verdict {
+	if until, asked := m.Deadline(); asked && !now.Before(until) {
+		return Disconnect
 	}
 	return Keep
 }
 
-// Figures are the bytes that moved since Start and what they were a second.
-func (m *Meter) Figures(now time.Time) (moved int64, rate float64) {
+// Throughput are the bytes that moved since Start and what they were a second.
+func (m *Meter) Throughput(now time.Time) (moved int64, rate float64) {
 	if span := now.Sub(m.since).Seconds(); span > 0 {
 		rate = float64(m.moved) / span
 	}
 	return m.moved, rate
 }
 
-func (m *Meter) asked() float64 { return float64(m.rate.Bytes) * m.tight }
-func (m *Meter) grace() float64 { return m.rate.Grace.Seconds() / m.tight }
+func (m *Meter) requiredRate() float64 { return float64(m.rate.BytesPerSecond) * m.pressureFactor }
+func (m *Meter) grace() float64        { return m.rate.Grace.Seconds() / m.pressureFactor }
 
 func (m *Meter) accrue(now time.Time) {
 	if now.After(m.at) {
-		m.debt += m.asked() * now.Sub(m.at).Seconds()
+		m.debt += m.requiredRate() * now.Sub(m.at).Seconds()
 		m.at = now
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -73,7 +73,7 @@
 var ErrNoLeader error = &NoLeaderError{}
 
 // Open creates a member on its folder.
-func Open(cfg Config, lim limits.Limits, slow *slowpeer.Tally, log *slog.Logger) (*Store, error) {
+func Open(cfg Config, lim limits.Limits, slow *slowpeer.Counters, log *slog.Logger) (*Store, error) {
 	if cfg.Join == "" && cfg.Members[cfg.Name] != cfg.Listen {
 		return nil, &AddressError{cfg.Name, cfg.Listen, cfg.Members[cfg.Name]}
 	}
