--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -14,11 +14,11 @@
 	// tenantActiveMs is how long a reserved share outlives its tenant's last job. Longer leaves slots idle.
 	tenantActiveMs = 5000
 
-	// usualRateSlack is the part of its quota that a tenant has at this node, as a factor of its usual rate here.
-	usualRateSlack = 1.3
+	// localQuotaFactor is the part of its quota that a tenant has at this node, as a factor of its usual rate here.
+	localQuotaFactor = 1.3
 
-	// usualRateWindowMs is the time over which the usual rate is taken. A shorter one follows a flood.
-	usualRateWindowMs = 15000
+	// meanRateWindowMs is the time over which the usual rate is taken. A shorter one follows a flood.
+	meanRateWindowMs = 15000
 
 	// quotaBurstMs is the time whose quota may come at once.
 	quotaBurstMs = 2000
@@ -32,8 +32,8 @@
 	// maxQueuedFraction is how much admitted work may be queued, of the capacity. More serves late what it serves.
 	maxQueuedFraction = 1.0
 
-	// hopelessWorkFraction is the part of its expected work that a job needs at least, wherever it goes.
-	hopelessWorkFraction = 0.2
+	// minWorkFraction is the part of its expected work that a job needs at least, wherever it goes.
+	minWorkFraction = 0.2
 )
 
 // admission decides which jobs are taken in: the tenants' shares, and what is known of the traffic.
@@ -51,9 +51,9 @@
 type tenant struct {
 	reservedShare float64 // of all tenants', between 0 and 1
 	reservedSlots float64 // held by its admitted jobs
-	lastSeen      float64
+	lastArrivalAt float64
 	quota         float64 // requests a second, at all nodes together
-	usualRate     float64 // requests a second that come this way, over a while
+	meanRate      float64 // requests a second that come this way, over a while
 	tokens        float64 // requests that are still within the quota
 	refilledAt    float64
 }
@@ -67,9 +67,9 @@
 		a.totalQuota += max(0, t.Quota)
 	}
 	for i := len(a.tenants); i < max(1, len(tenants)); i++ {
-		added := tenant{lastSeen: math.Inf(-1)}
+		added := tenant{lastArrivalAt: math.Inf(-1)}
 		if len(tenants) > 0 {
-			added.usualRate, added.tokens = tenants[i].Quota/2, tenants[i].Quota*quotaBurstMs/1000
+			added.meanRate, added.tokens = tenants[i].Quota/2, tenants[i].Quota*quotaBurstMs/1000
 		}
 		a.tenants = append(a.tenants, added)
 	}
@@ -99,7 +99,7 @@
 	active := 0.0
 	for i := range a.tenants {
 		tenant := &a.tenants[i]
-		if a.now-tenant.lastSeen <= tenantActiveMs || tenant.reservedSlots > 0 {
+		if a.now-tenant.lastArrivalAt <= tenantActiveMs || tenant.reservedSlots > 0 {
 			active += tenant.reservedShare
 		}
 	}
@@ -114,12 +114,12 @@
 		return false
 	}
 	evenHalf := tenant.quota / (2 * float64(a.settings.Nodes))
-	rate := min(tenant.quota, max(usualRateSlack*tenant.usualRate, evenHalf))
+	rate := min(tenant.quota, max(localQuotaFactor*tenant.meanRate, evenHalf))
 	elapsed := a.now - tenant.refilledAt
 	tenant.refilledAt = a.now
 	depth := max(rate*quotaBurstMs/1000, minBurst)
 	tenant.tokens = min(depth, tenant.tokens+rate*elapsed/1000)
-	tenant.usualRate *= math.Exp(-elapsed / usualRateWindowMs)
+	tenant.meanRate *= math.Exp(-elapsed / meanRateWindowMs)
 	if repeated {
 		return tenant.tokens < 1
 	}
@@ -158,7 +158,7 @@
 
 func (d *Dispatcher) decideArrival(job *job) {
 	tenant := &d.admission.tenants[job.tenant]
-	tenant.lastSeen = d.now
+	tenant.lastArrivalAt = d.now
 	if d.cannotFinishInTime(job) {
 		d.endJob(job, causeTooLate)
 		return
@@ -214,7 +214,7 @@
 
 // cannotFinishInTime says that a job cannot end before its client leaves, wherever it goes.
 func (d *Dispatcher) cannotFinishInTime(job *job) bool {
-	leastRun := hopelessWorkFraction * job.work / d.serviceTimes.meanSpeed()
+	leastRun := minWorkFraction * job.work / d.serviceTimes.meanSpeed()
 	return d.now+leastRun > job.deadline-d.answerMargin()
 }
 
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -34,7 +34,7 @@
 			}
 			d.capacity.slots, d.now = 100, 100000
 			for i := range d.admission.tenants {
-				d.admission.tenants[i].reservedSlots, d.admission.tenants[i].lastSeen = tt.inflight[i], d.now
+				d.admission.tenants[i].reservedSlots, d.admission.tenants[i].lastArrivalAt = tt.inflight[i], d.now
 			}
 			job := &job{tenant: tt.tenant, slots: tt.slots, work: 200}
 			if got := d.admit(job); got != tt.admit {
@@ -160,7 +160,7 @@
 	r := newRig(t, base(), ready(7, 0))
 	r.d.capacity.slots = 4
 	for i := range r.d.admission.tenants {
-		r.d.admission.tenants[i].lastSeen = r.now
+		r.d.admission.tenants[i].lastArrivalAt = r.now
 	}
 	r.d.admission.tenants[0].reservedSlots = 8 // all there is, and more than its reservation
 	if !r.d.admit(&job{tenant: 2, slots: 2, value: 1}) {
--- a/internal/dispatch/affinity.go
+++ b/internal/dispatch/affinity.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// affinityWait is the part of the time that its objective leaves for which a job waits for an executor that has its
+	// affinityWaitFraction is the part of the time that its objective leaves for which a job waits for an executor that has its
 	// key's data.
-	affinityWait = 0.5
+	affinityWaitFraction = 0.5
 
-	// affinitySpread is how many candidates a key has, in executors' worth of its traffic. More divides it, fewer keep
+	// candidateLoadFactor is how many candidates a key has, in executors' worth of its traffic. More divides it, fewer keep
 	// its data.
-	affinitySpread = 2.0
+	candidateLoadFactor = 2.0
 
-	// leastCandidates is how many candidates each key has besides.
-	leastCandidates = 2
+	// minCandidates is how many candidates each key has besides.
+	minCandidates = 2
 
 	// keyCountWindow is the number of requests after which the counts of keys are halved.
 	keyCountWindow = 1000
 
-	// cacheFetchPool is the part of the capacity for jobs that must fetch their key's data. Less spares the store behind
+	// cacheFetchFraction is the part of the capacity for jobs that must fetch their key's data. Less spares the store behind
 	// the keys.
-	cacheFetchPool = 0.25
+	cacheFetchFraction = 0.25
 
 	// cacheMissThreshold is the chance of a fetch from which on an executor is not worth waiting for.
 	cacheMissThreshold = 0.5
 
-	// candidateMiss is the chance that a candidate of a key must fetch its data.
-	candidateMiss = 0.1
+	// candidateMissProbability is the chance that a candidate of a key must fetch its data.
+	candidateMissProbability = 0.1
 
 	// maxAffinityKeys is how many keys are kept of those that an executor was last sent.
 	maxAffinityKeys = 12
@@ -82,7 +82,7 @@
 func cacheMissProbability(job *job, executor *executor, nodes int) float64 {
 	miss := 1.0
 	if i := slices.Index(job.candidates, executor); i >= 0 {
-		miss = candidateMiss
+		miss = candidateMissProbability
 		if i == len(job.candidates)-1 {
 			miss = cacheMissThreshold
 		}
@@ -101,7 +101,7 @@
 		return false
 	}
 	slack := job.objectiveAt - job.work/d.serviceTimes.meanSpeed() - job.arrivedAt
-	return d.now < job.arrivedAt+affinityWait*slack || d.cacheFetchesExhausted(job)
+	return d.now < job.arrivedAt+affinityWaitFraction*slack || d.cacheFetchesExhausted(job)
 }
 
 // cacheFetchesExhausted says that the pool for jobs that must fetch their key's data is used up while a candidate of
@@ -109,7 +109,7 @@
 // and keep all full.
 func (d *Dispatcher) cacheFetchesExhausted(job *job) bool {
 	fetching := d.affinity.fetchingSlots
-	if fetching == 0 || fetching+job.slots <= cacheFetchPool*d.capacity.slots {
+	if fetching == 0 || fetching+job.slots <= cacheFetchFraction*d.capacity.slots {
 		return false
 	}
 	return slices.ContainsFunc(job.candidates, d.isUsable)
@@ -145,7 +145,7 @@
 		return
 	}
 	job.candidatesRevision, job.candidates = d.endpoints.revision, job.candidates[:0]
-	want := leastCandidates + int(affinitySpread*d.affinity.shareOf(job.key)*float64(len(d.endpoints.listed)))
+	want := minCandidates + int(candidateLoadFactor*d.affinity.shareOf(job.key)*float64(len(d.endpoints.listed)))
 	d.affinity.ranked = d.endpoints.rank(job.key, want, d.affinity.ranked[:0])
 	for _, candidate := range d.affinity.ranked {
 		job.candidates = append(job.candidates, d.endpoints.listed[candidate.position])
--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -6,11 +6,11 @@
 	// reportDecayRate is how fast reports fade, in runs weighted by what they hold. Faster evens out.
 	reportDecayRate = 0.5
 
-	// hopedSlots is how many slots are hoped for where a report has faded. More sends sooner, less holds.
-	hopedSlots = 0.3
+	// assumedFreeSlots is how many slots are hoped for where a report has faded. More sends sooner, less holds.
+	assumedFreeSlots = 0.3
 
-	// starvationShare is the part of our part of all slots under which a node that sees no free slots counts as starved.
-	starvationShare = 0.8
+	// starvationFraction is the part of our part of all slots under which a node that sees no free slots counts as starved.
+	starvationFraction = 0.8
 
 	// starvationThreshold is how long a node without load information goes without dispatching before it dispatches one
 	// request speculatively, in mean slot times.
@@ -37,8 +37,8 @@
 	// occupancyPrior is how many reports' worth of the fleet's mean are mixed into a kind's own.
 	occupancyPrior = 3
 
-	// blindShareFactor is how many even parts of an executor's slots a node uses without a fresh report.
-	blindShareFactor = 2
+	// noReportShareFactor is how many even parts of an executor's slots a node uses without a fresh report.
+	noReportShareFactor = 2
 )
 
 // loadEstimate is how much work an executor takes, by its load reports and by what became of this node's attempts.
@@ -66,7 +66,7 @@
 // fleetCapacity is what all executors together take.
 type fleetCapacity struct {
 	slots             float64               // that this node may use
-	fairSlots         float64               // our part of all slots
+	fairShareSlots    float64               // our part of all slots
 	nextEstimate      float64               // the slots are not estimated anew before
 	fleetSlots        float64               // of all executors that are ready, as far as reports showed them
 	nextFleetSlots    float64               // these are not counted anew before
@@ -106,15 +106,15 @@
 
 // capacityTotals are sums over the executors of the list, in slots.
 type capacityTotals struct {
-	own         float64 // held by this node
-	reported    float64 // free by a report that is known to hold
-	hoped       float64 // free by what was learned otherwise
-	queued      float64 // held by this node's attempts that the executors have not started in time
-	total       float64
-	assumed     float64 // the total, with what an executor is tried with where nothing is known
-	largestOne  float64 // of one executor
-	peersKnown  bool    // it is known what other nodes hold
-	reportLimit float64 // the age up to which a report is known to hold
+	own             float64 // held by this node
+	reported        float64 // free by a report that is known to hold
+	estimated       float64 // free by what was learned otherwise
+	queued          float64 // held by this node's attempts that the executors have not started in time
+	total           float64
+	assumed         float64 // the total, with what an executor is tried with where nothing is known
+	largestExecutor float64 // of one executor
+	peersKnown      bool    // it is known what other nodes hold
+	reportLimit     float64 // the age up to which a report is known to hold
 }
 
 // add takes in one executor that new work may go to.
@@ -122,11 +122,11 @@
 	slots := max(executor.load.slots, d.capacity.kindSlots[executor.endpoint.kind])
 	t.total += slots
 	t.assumed += max(slots, d.capacity.widestRequest, initialSoftLimit)
-	t.largestOne = max(t.largestOne, slots)
+	t.largestExecutor = max(t.largestExecutor, slots)
 	if t.peersKnown || executor.load.reportedAt > 0 && d.now-executor.load.reportedAt <= t.reportLimit {
 		t.reported += max(0, d.availableSlots(executor))
 	} else {
-		t.hoped += max(0, d.availableSlots(executor))
+		t.estimated += max(0, d.availableSlots(executor))
 	}
 	if !t.peersKnown && d.isStartOverdue(executor) {
 		t.queued += executor.inFlight.unstartedSlots
@@ -157,13 +157,13 @@
 
 func (d *Dispatcher) setCapacity(totals *capacityTotals) {
 	c := &d.capacity
-	c.fairSlots = starvationShare * d.fleetShare() * totals.total
+	c.fairShareSlots = starvationFraction * d.fleetShare() * totals.total
 	c.slots = totals.own + totals.reported
 	if !totals.peersKnown {
 		c.slots = d.capacityWithoutPeers(totals)
-		c.fairSlots = c.slots
+		c.fairShareSlots = c.slots
 	}
-	least := totals.largestOne
+	least := totals.largestExecutor
 	if d.gossip.mode == gossipAggregator && d.peerLoadsKnown() && c.slots < scarcityThreshold*totals.total {
 		least = min(least, max(c.widestRequest, d.fleetShare()*totals.total)) // all see the same few slots
 		own := d.ownSlotsInFlight()
@@ -178,7 +178,7 @@
 func (d *Dispatcher) capacityWithoutPeers(totals *capacityTotals) float64 {
 	part := d.fleetShare() * max(totals.assumed, d.admission.totalQuota*d.serviceTimes.meanSlotTime/1000)
 	running := totals.own - totals.queued
-	return max(initialSoftLimit, part, running+totals.reported+max(0, min(totals.hoped, running-totals.queued)))
+	return max(initialSoftLimit, part, running+totals.reported+max(0, min(totals.estimated, running-totals.queued)))
 }
 
 // isStarved says that such a node has sent nothing for long, because its jobs hang or run long. It may send one more;
@@ -236,7 +236,7 @@
 	limit := math.Floor(executor.load.softLimit)
 	if slots > 0 {
 		// Every node guesses at once when reports fail: none takes more than twice its even part.
-		limit = min(limit, max(1, math.Round(blindShareFactor*slots/float64(d.settings.Nodes))))
+		limit = min(limit, max(1, math.Round(noReportShareFactor*slots/float64(d.settings.Nodes))))
 	}
 	if own == 0 {
 		limit = max(limit, d.capacity.widestRequest) // a job wider than what was tried so far would never be sent
@@ -262,7 +262,7 @@
 	keep := 1 / (1 + age + age*age/2)
 	reported := load.slots - executor.inFlight.slots - load.freeSlots
 	usual := d.peerOccupancyAt(executor) * load.slots
-	return load.slots - executor.inFlight.slots - usual - (reported-usual)*keep + hopedSlots*(1-keep)
+	return load.slots - executor.inFlight.slots - usual - (reported-usual)*keep + assumedFreeSlots*(1-keep)
 }
 
 // peerOccupancyAt is the part of an executor's slots that others hold, as reports of its kind in its zone tell, drawn
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// blindNodes is how many nodes the fleets of these tests have.
-const blindNodes = 100
+// noGossipNodes is how many nodes the fleets of these tests have.
+const noGossipNodes = 100
 
-// blindSettings are those of a fleet of 100 nodes and 200 executors, sized for its quotas, whose nodes tell one another
+// noGossipSettings are those of a fleet of 100 nodes and 200 executors, sized for its quotas, whose nodes tell one another
 // nothing.
-func blindSettings() Settings {
+func noGossipSettings() Settings {
 	s := base()
-	s.Nodes, s.HedgingAllowed = blindNodes, false
+	s.Nodes, s.HedgingAllowed = noGossipNodes, false
 	s.Fields = []Field{FieldPending, FieldFree}
 	for i := range s.Tenants {
 		s.Tenants[i].Quota = 1000 * s.Tenants[i].ReservedShare
@@ -24,10 +24,10 @@
 // took in four times what all executors could run, and the jobs queued there for half a minute (austin-flags
 // roll+mass).
 func TestNewNodesTogetherCountOnTheFleet(t *testing.T) {
-	const nodes, workers = blindNodes, 200
+	const nodes, workers = noGossipNodes, 200
 	sum := 0.0
 	for i := range nodes {
-		s := blindSettings()
+		s := noGossipSettings()
 		s.Node = i
 		r := newRig(t, s, fleet(workers)...)
 		r.step(request(1, 0, 0, 1))
@@ -48,7 +48,7 @@
 // What runs of a node's jobs lets it take as many again, so that one with several times the mean of the traffic is not
 // held to an even part; what queues takes that back, down to its part.
 func TestCapacityGrowsWithStartedJobs(t *testing.T) {
-	r := newRig(t, blindSettings(), fleet(200)...)
+	r := newRig(t, noGossipSettings(), fleet(200)...)
 	id, running := uint32(0), 0.0
 	for range 12 { // more come than it takes, and all that is sent starts at once
 		var started []Event
@@ -110,8 +110,8 @@
 // roll+mass: 57 to 68 of 288 nodes rejected all for 4 s, with lines such as "capacity 7 slots, 26 in flight, 0
 // waiting"). It takes in its part.
 func TestNewNodeServesThroughABurst(t *testing.T) {
-	const nodes, workers, slots = blindNodes, 200, 5
-	r := newRig(t, blindSettings(), fleet(workers)...)
+	const nodes, workers, slots = noGossipNodes, 200, 5
+	r := newRig(t, noGossipSettings(), fleet(workers)...)
 	q := &queueingFleet{slots: workers * slots / nodes, runs: 2500}
 	first, id, inARow, most, since := r.now, uint32(0), 0, 0, r.now
 	longest := 0.0
@@ -159,7 +159,7 @@
 // all that came until then (austin-flags roll+mass, one node in ten). It tries one more job after some runs, and no
 // flood of them.
 func TestStarvedNodeGoesOnDispatching(t *testing.T) {
-	r := newRig(t, blindSettings(), fleet(200)...)
+	r := newRig(t, noGossipSettings(), fleet(200)...)
 	first, last, longest, sends := r.now, r.now, 0.0, 0
 	hang := map[uint32]Action{}
 	for id := uint32(1); r.now < first+20000; id++ {
--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -20,18 +20,18 @@
 	if err := next.check(); err != nil {
 		return err
 	}
-	if err := d.checkRetune(&next); err != nil {
+	if err := d.checkUpdate(&next); err != nil {
 		return err
 	}
-	d.retuneClasses(&next, from)
+	d.updateClasses(&next, from)
 	d.settings = next
 	d.admission.setTenants(next.Tenants)
 	d.needsPlacement = true
 	return nil
 }
 
-// checkRetune says why settings that are valid by themselves cannot follow those in force.
-func (d *Dispatcher) checkRetune(next *Settings) error {
+// checkUpdate says why settings that are valid by themselves cannot follow those in force.
+func (d *Dispatcher) checkUpdate(next *Settings) error {
 	was := &d.settings
 	switch {
 	case len(next.Classes) < len(was.Classes) || len(next.Classes) > math.MaxUint8:
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// retuneClasses gives each class whose rules are new the statistics that it begins with.
-func (d *Dispatcher) retuneClasses(next *Settings, from map[int]int) {
+// updateClasses gives each class whose rules are new the statistics that it begins with.
+func (d *Dispatcher) updateClasses(next *Settings, from map[int]int) {
 	known, knownFailing := d.serviceTimes.classes, d.outliers.failingClasses
 	classes, failing := make([]classStats, len(next.Classes)), make([]bool, len(next.Classes))
 	for i, c := range next.Classes {
@@ -80,7 +80,7 @@
 	if s.MaxAttempts < 1 {
 		return fmt.Errorf("dispatch: limits.maxAttempts: %d is under 1", s.MaxAttempts)
 	}
-	for _, number := range s.numbers() {
+	for _, number := range s.numericSettings() {
 		if !(number.value >= 0) || math.IsInf(number.value, 0) {
 			return fmt.Errorf("dispatch: %s: %v is not a number of 0 or more", number.key, number.value)
 		}
@@ -91,15 +91,15 @@
 	return nil
 }
 
-// setting is a number of the settings with its key in the settings document.
-type setting struct {
+// numericSetting is a number of the settings with its key in the settings document.
+type numericSetting struct {
 	key   string
 	value float64
 }
 
-// numbers gives all of the settings that must be numbers of 0 or more.
-func (s *Settings) numbers() []setting {
-	numbers := []setting{
+// numericSettings gives all of the settings that must be numericSettings of 0 or more.
+func (s *Settings) numericSettings() []numericSetting {
+	numbers := []numericSetting{
 		{"step", s.MinStepInterval},
 		{"overShareWorth", s.OverQuotaWeight},
 		{"familyInfo.progress", s.ProgressInterval},
@@ -119,13 +119,13 @@
 	}
 	for i, class := range s.Classes {
 		key := fmt.Sprintf("requestClasses.%d.", i)
-		numbers = append(numbers, setting{key + "aim", class.Objective}, setting{key + "deadline", class.Deadline},
-			setting{key + "worth", class.PriorityWeight}, setting{key + "window", class.DedupWindow},
-			setting{key + "aimStretch", class.ObjectivePerWork})
+		numbers = append(numbers, numericSetting{key + "aim", class.Objective}, numericSetting{key + "deadline", class.Deadline},
+			numericSetting{key + "worth", class.PriorityWeight}, numericSetting{key + "window", class.DedupWindow},
+			numericSetting{key + "aimStretch", class.ObjectivePerWork})
 	}
 	for i, tenant := range s.Tenants {
 		key := fmt.Sprintf("tenants.%d.", i)
-		numbers = append(numbers, setting{key + "portion", tenant.ReservedShare}, setting{key + "quotaRps", tenant.Quota})
+		numbers = append(numbers, numericSetting{key + "portion", tenant.ReservedShare}, numericSetting{key + "quotaRps", tenant.Quota})
 	}
 	return numbers
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -30,10 +30,10 @@
 
 const (
 	// Times between ticks, in steps and in ms: a tick of a large fleet has more to inspect.
-	tickSteps           = 5
-	minTickMs           = 10
-	largeFleetTickSteps = 10
-	minLargeFleetTickMs = 40
+	tickSteps                   = 5
+	minTickIntervalMs           = 10
+	largeFleetTickSteps         = 10
+	minLargeFleetTickIntervalMs = 40
 
 	// outlierChecksPerTimeout is how often outliers are looked for in a large fleet, in the time that an executor may be
 	// silent.
@@ -128,9 +128,9 @@
 // tickInterval is the time between ticks.
 func (d *Dispatcher) tickInterval() float64 {
 	if len(d.endpoints.listed) > fullScanLimit {
-		return max(largeFleetTickSteps*d.settings.MinStepInterval, minLargeFleetTickMs)
+		return max(largeFleetTickSteps*d.settings.MinStepInterval, minLargeFleetTickIntervalMs)
 	}
-	return max(tickSteps*d.settings.MinStepInterval, minTickMs)
+	return max(tickSteps*d.settings.MinStepInterval, minTickIntervalMs)
 }
 
 // tick does all that goes by time.
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -13,8 +13,8 @@
 	// classMeanWeight is the weight of one request in the means of its class. More follows a change sooner and errs more.
 	classMeanWeight = 0.02
 
-	// maxNeed is the least number of slots or memory units that no request can ask for.
-	maxNeed = 1e6
+	// maxRequirement is the least number of slots or memory units that no request can ask for.
+	maxRequirement = 1e6
 )
 
 // job is a request that this node owes an answer, or whose attempts are still in flight.
@@ -108,13 +108,13 @@
 	}
 }
 
-// needs are a request's slots, memory and time left; odd numbers count as the least.
-func (e *Event) needs() (slots, memory, left float64) {
+// requirements are a request's slots, memory and time left; odd numbers count as the least.
+func (e *Event) requirements() (slots, memory, left float64) {
 	slots = 1
-	if e.Slots > 0 && e.Slots < maxNeed {
+	if e.Slots > 0 && e.Slots < maxRequirement {
 		slots = e.Slots
 	}
-	if e.Memory > 0 && e.Memory < maxNeed {
+	if e.Memory > 0 && e.Memory < maxRequirement {
 		memory = e.Memory
 	}
 	if e.TimeLeft >= 0 {
@@ -145,7 +145,7 @@
 // setWorkAndTimes sets what a job needs and until when its answer is of use.
 func (d *Dispatcher) setWorkAndTimes(job *job, event *Event) {
 	class, stats := &d.settings.Classes[job.class], &d.serviceTimes.classes[job.class]
-	slots, memory, left := event.needs()
+	slots, memory, left := event.requirements()
 	job.slots, job.memory = slots, memory
 	likely := event.Work
 	if event.Flags&FlagWorkHint != 0 && event.Work > 0 && !math.IsInf(event.Work, 0) {
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -27,8 +27,8 @@
 	// sampledExecutors is how many are drawn from a larger fleet. More finds more free slots, costs CPU, and herds.
 	sampledExecutors = 12
 
-	// speculationDelay is the part of its slack that a starved node holds a job before it queues the job at an executor.
-	speculationDelay = 0.3
+	// speculationDelayFraction is the part of its slack that a starved node holds a job before it queues the job at an executor.
+	speculationDelayFraction = 0.3
 
 	// roundingSlack is how much slots and memory may seem to lack by the rounding of sums.
 	roundingSlack = 1e-6
@@ -133,7 +133,7 @@
 	if !d.isUsable(executor) || !d.isSendAllowed(job, executor) || d.excludesClass(job, executor) {
 		return false
 	}
-	if d.errorProbability(job, executor) > ejectionErrorRate || d.mayLose(job, executor) {
+	if d.errorProbability(job, executor) > ejectionErrorRate || d.mayLoseJob(job, executor) {
 		return false
 	}
 	// With nothing of ours in flight there, a report that stays low must not shut an executor out for good.
@@ -146,8 +146,8 @@
 	return kind < 0 || executor.endpoint.kind == kind
 }
 
-// mayLose says that an executor may well lose a job that must not be attempted again.
-func (d *Dispatcher) mayLose(job *job, executor *executor) bool {
+// mayLoseJob says that an executor may well lose a job that must not be attempted again.
+func (d *Dispatcher) mayLoseJob(job *job, executor *executor) bool {
 	outlier := &executor.outlier
 	doubtful := outlier.unresponsive || d.now < outlier.ackOverdueUntil && !d.outliers.panicking
 	return doubtful && d.settings.Classes[job.class].RetrySafety == AtMostOnce
@@ -183,13 +183,13 @@
 	return 0
 }
 
-// speculate finds an executor for a job of a starved node: one that holds less than its part of all slots, sees none
+// chooseSpeculatively finds an executor for a job of a starved node: one that holds less than its part of all slots, sees none
 // free, and has held the job for a good part of its slack. Busy nodes refill a slot as their own job ends, so that no
 // report shows it. It takes the executor with fewest of our slots, and queues no more than one job there.
-func (d *Dispatcher) speculate(job *job) *executor {
+func (d *Dispatcher) chooseSpeculatively(job *job) *executor {
 	slack := job.objectiveAt - job.work/d.serviceTimes.meanSpeed() - job.arrivedAt
-	hasItsPart := d.ownSlotsInFlight()+job.slots > d.capacity.fairSlots && !d.isStarved()
-	held := d.now >= job.arrivedAt+speculationDelay*slack
+	hasItsPart := d.ownSlotsInFlight()+job.slots > d.capacity.fairShareSlots && !d.isStarved()
+	held := d.now >= job.arrivedAt+speculationDelayFraction*slack
 	if hasItsPart || job.inFlight > 0 || job.key != 0 || d.peerLoadsKnown() || !held {
 		return nil
 	}
@@ -198,14 +198,14 @@
 		if !d.isSpeculationAllowed(job, executor) {
 			continue
 		}
-		if best == nil || hasFewerOfOurs(executor, best) {
+		if best == nil || hasFewerOwnSlots(executor, best) {
 			best = executor
 		}
 	}
 	return best
 }
 
-func hasFewerOfOurs(a, b *executor) bool {
+func hasFewerOwnSlots(a, b *executor) bool {
 	if a.inFlight.slots != b.inFlight.slots {
 		return a.inFlight.slots < b.inFlight.slots
 	}
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -12,8 +12,8 @@
 
 // What is added to a job's rank in the queue, in ms: more than any time of day, so that the groups do not mix.
 const (
-	borrowedRank = 1e9 // jobs on borrowed slots, beyond their quota, or hedged
-	lateRank     = 2e9 // jobs that are too late for their objective
+	borrowedRankOffset = 1e9 // jobs on borrowed slots, beyond their quota, or hedged
+	lateRankOffset     = 2e9 // jobs that are too late for their objective
 )
 
 // preempt rejects a queued job, of the same tenant or on borrowed slots, that is past its objective or worth less
@@ -92,9 +92,9 @@
 	latestStart := job.objectiveAt - job.work/speed
 	switch {
 	case latestStart < d.now:
-		return latestStart + lateRank
+		return latestStart + lateRankOffset
 	case job.borrowed || job.overQuota || job.inFlight > 0:
-		return latestStart + borrowedRank
+		return latestStart + borrowedRankOffset
 	}
 	return latestStart
 }
@@ -106,7 +106,7 @@
 	}
 	executor := d.chooseExecutor(job)
 	if executor == nil {
-		executor = d.speculate(job)
+		executor = d.chooseSpeculatively(job)
 	}
 	if executor == nil {
 		return false
