--- a/internal/dispatch/aggregator_test.go
+++ b/internal/dispatch/aggregator_test.go
@@ -9,10 +9,10 @@
 // gets more than it has slots for. Each by its own knowledge, many queue while slots are free (join+vast: 30 to 120
 // queued beside 60 free slots).
 func TestAggregatorTellsWhatOthersHold(t *testing.T) {
-	c := listeningCluster(t, 80, 2, fleet(50)...)
+	c := newReadyCluster(t, 80, 2, fleet(50)...)
 	at := map[uint32]int{}
 	for i := range c.nodes {
-		w := c.send(i, 300)
+		w := c.sendJob(i, 300)
 		if w == 0 {
 			t.Fatalf("node %d sent nothing", i)
 		}
@@ -26,12 +26,12 @@
 // What a request costs in messages does not grow with the number of nodes, and idle nodes say nothing.
 func TestAggregatorCostsTheSameForManyNodes(t *testing.T) {
 	for _, n := range []int{60, 240} {
-		c := listeningCluster(t, n, 2, fleet(50)...)
+		c := newReadyCluster(t, n, 2, fleet(50)...)
 		if c.bytes > 0 {
 			t.Errorf("%d bytes told while nothing came", c.bytes)
 		}
 		for i := range 40 {
-			c.send(i, 300)
+			c.sendJob(i, 300)
 		}
 		if per := c.bytes / 40; per == 0 || per > 130 {
 			t.Errorf("%d nodes: %d bytes a request, want 1 to 130", n, per)
@@ -43,8 +43,8 @@
 // is left again once the first is back.
 func TestAggregatorIsReplaced(t *testing.T) {
 	rows := fleet(50)
-	c := listeningCluster(t, 60, 2, rows...)
-	c.send(3, 300)
+	c := newReadyCluster(t, 60, 2, rows...)
+	c.sendJob(3, 300)
 	first := c.aggregator()
 	if first < 0 {
 		t.Fatal("nodes differ about the aggregator from the start")
@@ -54,7 +54,7 @@
 	wait := c.nodes[node].answerTimeout()
 	for k := range 4 {
 		from := c.now
-		if c.send(node, 1000) == 0 || c.now-from > wait+50 {
+		if c.sendJob(node, 1000) == 0 || c.now-from > wait+50 {
 			t.Errorf("job %d took %.0f ms to be sent while the aggregator is gone, want %.0f at most", k, c.now-from, wait+50)
 		}
 		c.run(wait + 50)
@@ -63,13 +63,13 @@
 		t.Error("an aggregator that is gone is still asked")
 	}
 	from := c.now
-	c.send(node, 1000)
+	c.sendJob(node, 1000)
 	if c.now-from > 50 {
 		t.Errorf("a job took %.0f ms although the next aggregator answers", c.now-from)
 	}
 	c.start(first, rows)
 	c.run(1.5 * aggregatorSuspicionFactor * wait)
-	c.send(node, 1000)
+	c.sendJob(node, 1000)
 	c.run(100)
 	if now := c.nodes[node].aggregatorClient.current; now != first {
 		t.Errorf("node %d is the aggregator, want %d, which is back", now, first)
@@ -79,17 +79,17 @@
 // An aggregator that was started anew in between holds nothing of us: it says so, and is told all again.
 func TestAggregatorBeginsAnew(t *testing.T) {
 	rows := fleet(50)
-	c := listeningCluster(t, 60, 2, rows...)
-	c.send(0, 300)
+	c := newReadyCluster(t, 60, 2, rows...)
+	c.sendJob(0, 300)
 	h := c.aggregator()
 	node := (h + 1) % 60
-	w := c.send(node, 300)
+	w := c.sendJob(node, 300)
 	c.run(100)
 	c.start(h, rows)
 	c.step(nil)
-	c.know(2)
+	c.setSlots(2)
 	c.run(aggregatorReadyRuns*c.nodes[0].serviceTimes.meanRun + 200)
-	c.send(node, 300)
+	c.sendJob(node, 300)
 	c.run(50) // before any reminder
 	held := 0.0
 	for _, x := range c.nodes[h].gossip.peers[node].loads {
@@ -105,7 +105,7 @@
 // Messages of chance, cut or of the wrong kind do no harm: no panic, nothing below nothing, bounded memory, and jobs
 // are sent.
 func TestAggregatorBearsRandomMessages(t *testing.T) {
-	c := listeningCluster(t, 60, 2, fleet(50)...)
+	c := newReadyCluster(t, 60, 2, fleet(50)...)
 	rng := rand.New(rand.NewSource(5))
 	for range 4000 {
 		node := rng.Intn(60)
@@ -128,7 +128,7 @@
 		}
 	}
 	c.run(4 * c.nodes[0].reminderInterval())
-	if c.send(7, 500) == 0 {
+	if c.sendJob(7, 500) == 0 {
 		t.Error("nothing is sent any more")
 	}
 }
@@ -136,20 +136,20 @@
 // What one node finds of an executor keeps all others away for a while: a class that fails there, another still served,
 // and connections rejected. By itself each of 80 nodes loses a job for it (zone+vast: 280 errors of two bad executors).
 func TestAggregatorTellsQuarantines(t *testing.T) {
-	c := listeningCluster(t, 60, 20, fleet(3)...)
-	bad := c.send(0, 300)
-	c.step(map[int]Event{0: outcome(c.next, 0, bad, Errored)})
+	c := newReadyCluster(t, 60, 20, fleet(3)...)
+	bad := c.sendJob(0, 300)
+	c.step(map[int]Event{0: outcome(c.lastJob, 0, bad, Errored)})
 	c.run(50)
 	var dead uint32
 	lapses := 0.0
 	for i := 1; i < 30; i++ {
-		w := c.send(i, 300)
+		w := c.sendJob(i, 300)
 		if w == bad {
 			t.Fatalf("node %d sends a job to executor %d, where its class failed at another node", i, w)
 		}
 		if i == 10 {
-			c.step(map[int]Event{i: outcome(c.next, 0, w, ConnectFailed)})
-			dead, lapses = w, c.now+connectionQuarantineFactor*c.s.ConnectTimeout
+			c.step(map[int]Event{i: outcome(c.lastJob, 0, w, ConnectFailed)})
+			dead, lapses = w, c.now+connectionQuarantineFactor*c.settings.ConnectTimeout
 		} else if w == dead && c.now < lapses {
 			t.Errorf("node %d sends to executor %d, which took no connection of another node", i, w)
 		}
@@ -159,8 +159,8 @@
 	if !d.isClassQuarantined(d.endpoints.byID[bad], 0) || d.isClassQuarantined(d.endpoints.byID[bad], 1) {
 		t.Error("the class that failed is to be kept away, and only that one")
 	}
-	c.run(2 * classQuarantineFactor * c.s.ConnectTimeout)
-	c.send(29, 300)
+	c.run(2 * classQuarantineFactor * c.settings.ConnectTimeout)
+	c.sendJob(29, 300)
 	if d.isClassQuarantined(d.endpoints.byID[bad], 0) || d.isQuarantined(d.endpoints.byID[dead], connectionQuarantine) {
 		t.Error("a mark that nobody found again still holds")
 	}
@@ -170,10 +170,10 @@
 // the same: each of 80 nodes sent a first job blindly, and 13 queued at one slow executor (join+vast, seed
 // 245395339836).
 func TestAggregatorBoundsKindsNotMet(t *testing.T) {
-	c := listeningCluster(t, 60, 0, fleet(20)...)
+	c := newReadyCluster(t, 60, 0, fleet(20)...)
 	at := map[uint32]int{}
 	for i := range c.nodes {
-		if w := c.send(i, 200); w != 0 {
+		if w := c.sendJob(i, 200); w != 0 {
 			if at[w]++; at[w] > initialSoftLimit {
 				t.Errorf("%d jobs at executor %d, of which nobody knows that it has more than %d slots", at[w], w, initialSoftLimit)
 			}
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -192,7 +192,7 @@
 // admitted ended late.) In a fleet with free slots each counts on all of it.
 func TestScarceSlotsAreShared(t *testing.T) {
 	for _, x := range []struct{ theirs, least, most float64 }{{4, 1, 4}, {3.75, 1, 5}, {1, 100, 200}} {
-		c := listeningCluster(t, 40, 4, fleet(40)...)
+		c := newReadyCluster(t, 40, 4, fleet(40)...)
 		i := 0
 		for i == c.aggregator() {
 			i++
--- a/internal/dispatch/golden_actions_test.go
+++ b/internal/dispatch/golden_actions_test.go
@@ -21,35 +21,35 @@
 		if a.Kind == dispatch.ActReject && c.random.chance(0.5) {
 			again := r.event
 			wait := max(a.For, 20)
-			if again.TimeLeft = r.due - c.now - wait; again.TimeLeft > 50 {
+			if again.TimeLeft = r.deadline - c.now - wait; again.TimeLeft > 50 {
 				again.Job = c.nextJob
 				c.nextJob++
 				again.Flags |= dispatch.FlagRetry
 				node := c.random.below(len(c.nodes))
-				c.at(wait, func() { c.ask(node, again) })
+				c.schedule(wait, func() { c.submit(node, again) })
 			}
 		}
 	case dispatch.ActCancel:
 		if r := n.requests[a.Job]; r != nil && int(a.Attempt) < len(r.attempts) {
 			x := r.attempts[a.Attempt]
-			c.at(2, func() {
+			c.schedule(2, func() {
 				switch {
 				case x.ended:
-				case x.began || x.executor.hung:
-					c.end(x, dispatch.Canceled, 1)
+				case x.started || x.executor.unresponsive:
+					c.endAttempt(x, dispatch.Canceled, 1)
 				default:
-					c.end(x, dispatch.CanceledBeforeSend, 1)
+					c.endAttempt(x, dispatch.CanceledBeforeSend, 1)
 				}
 			})
 		}
 	case dispatch.ActTimer:
-		c.give(i, n.life, a.For, dispatch.Event{Kind: dispatch.EvTimer, Token: a.Token})
+		c.deliver(i, n.incarnation, a.For, dispatch.Event{Kind: dispatch.EvTimer, Token: a.Token})
 	case dispatch.ActHealthCheck:
-		c.probe(i, n, a.Executor)
+		c.checkHealth(i, n, a.Executor)
 	case dispatch.ActPollList:
-		c.watch(i, n.life)
+		c.pollList(i, n.incarnation)
 	case dispatch.ActGossip:
-		c.tell(i, a)
+		c.sendGossip(i, a)
 	}
 }
 
@@ -67,54 +67,54 @@
 	if e == nil || r == nil {
 		c.t.Fatalf("node %d sends job %d to executor %d: one of them is unknown", i, action.Job, action.Executor)
 	}
-	a := &goldenAttempt{node: i, life: n.life, job: action.Job, number: uint16(len(r.attempts)), executor: e,
-		execLife: e.life, work: r.event.Work, slots: max(1, r.event.Slots), class: int(r.event.Class)}
+	a := &goldenAttempt{node: i, incarnation: n.incarnation, job: action.Job, number: uint16(len(r.attempts)), executor: e,
+		executorIncarnation: e.incarnation, work: r.event.Work, slots: max(1, r.event.Slots), class: int(r.event.Class)}
 	r.attempts = append(r.attempts, a)
-	e.outs = slices.DeleteFunc(append(e.outs, a), func(a *goldenAttempt) bool { return a.ended })
+	e.attempts = slices.DeleteFunc(append(e.attempts, a), func(a *goldenAttempt) bool { return a.ended })
 	s := c.plan.settings(i)
-	c.at(c.random.span(1, 5), func() { c.reach(a, s) })
+	c.schedule(c.random.span(1, 5), func() { c.arriveAtExecutor(a, s) })
 }
 
-func (c *goldenCluster) reach(a *goldenAttempt, s dispatch.Settings) {
+func (c *goldenCluster) arriveAtExecutor(a *goldenAttempt, s dispatch.Settings) {
 	e := a.executor
 	switch {
 	case a.ended:
-	case e.down || e.row.Condition == dispatch.Removed || e.deaf && c.random.chance(0.7):
-		c.end(a, dispatch.ConnectFailed, s.ConnectTimeout)
-	case e.drains, len(e.queue) > 6:
-		c.end(a, dispatch.Full, 1)
+	case e.down || e.row.Condition == dispatch.Removed || e.rejectsConnections && c.random.chance(0.7):
+		c.endAttempt(a, dispatch.ConnectFailed, s.ConnectTimeout)
+	case e.rejectsJobs, len(e.queue) > 6:
+		c.endAttempt(a, dispatch.Full, 1)
 	case c.random.chance(0.005):
-		c.end(a, dispatch.CanceledBeforeSend, 3)
-	case e.hung:
+		c.endAttempt(a, dispatch.CanceledBeforeSend, 3)
+	case e.unresponsive:
 		if s.StartNotifications {
-			c.give(a.node, a.life, 120, dispatch.Event{Kind: dispatch.EvNotification, Job: a.job, Attempt: a.number,
+			c.deliver(a.node, a.incarnation, 120, dispatch.Event{Kind: dispatch.EvNotification, Job: a.job, Attempt: a.number,
 				Executor: e.row.Executor, Topic: dispatch.NotificationAckOverdue})
 		}
 	default:
 		e.queue = append(e.queue, a)
-		c.advance(e)
+		c.startQueued(e)
 	}
 }
 
-// advance begins what has room at an executor.
-func (c *goldenCluster) advance(e *goldenExecutor) {
-	for len(e.queue) > 0 && !e.hung {
+// startQueued begins what has room at an executor.
+func (c *goldenCluster) startQueued(e *goldenExecutor) {
+	for len(e.queue) > 0 && !e.unresponsive {
 		a := e.queue[0]
-		if e.busy > 0 && e.busy+a.slots > e.slots {
+		if e.busySlots > 0 && e.busySlots+a.slots > e.slots {
 			return
 		}
 		e.queue = e.queue[1:]
 		if a.ended {
 			continue
 		}
-		a.began = true
-		e.busy += a.slots
+		a.started = true
+		e.busySlots += a.slots
 		e.running++
-		c.begin(a)
+		c.startAttempt(a)
 	}
 }
 
-func (c *goldenCluster) begin(a *goldenAttempt) {
+func (c *goldenCluster) startAttempt(a *goldenAttempt) {
 	e, s := a.executor, c.plan.settings(a.node)
 	run := max(1, a.work/e.speed*c.random.span(0.8, 1.3))
 	note := dispatch.Event{
@@ -125,54 +125,54 @@
 		Topic:    dispatch.NotificationStarted,
 	}
 	if s.StartNotifications {
-		c.give(a.node, a.life, 1, note)
+		c.deliver(a.node, a.incarnation, 1, note)
 	}
 	if s.ProgressInterval > 0 {
 		note.Topic = dispatch.NotificationProgress
 		for at := s.ProgressInterval; at < run; at += s.ProgressInterval {
 			note.Amount = at / run
 			progress := note
-			c.at(at, func() {
-				if n := c.nodes[a.node]; !a.ended && !e.hung && n.life == a.life && !n.down {
+			c.schedule(at, func() {
+				if n := c.nodes[a.node]; !a.ended && !e.unresponsive && n.incarnation == a.incarnation && !n.down {
 					n.pending = append(n.pending, progress)
 				}
 			})
 		}
 	}
 	if c.plan.streams && c.random.chance(0.1) {
-		c.give(a.node, a.life, run/2, dispatch.Event{Kind: dispatch.EvStreamStarted, Job: a.job, Attempt: a.number,
+		c.deliver(a.node, a.incarnation, run/2, dispatch.Event{Kind: dispatch.EvStreamStarted, Job: a.job, Attempt: a.number,
 			Executor: e.row.Executor, Elapsed: run / 2})
 	}
 	outcome := dispatch.Served
 	switch {
-	case e.badKind == a.class || c.random.chance(e.errs):
+	case e.failingClass == a.class || c.random.chance(e.errorRate):
 		outcome, run = dispatch.Errored, min(run, 20)
 	case c.random.chance(0.004):
 		outcome = dispatch.Reset
 	case c.random.chance(0.01):
 		outcome = dispatch.Errored
 	}
-	a.stop = c.now + run
-	c.at(run, func() {
-		if !a.ended && !e.hung && a.execLife == e.life {
-			c.end(a, outcome, 1)
+	a.endsAt = c.now + run
+	c.schedule(run, func() {
+		if !a.ended && !e.unresponsive && a.executorIncarnation == e.incarnation {
+			c.endAttempt(a, outcome, 1)
 		}
 	})
 }
 
-// end tells a node how an attempt ended and frees what it held.
-func (c *goldenCluster) end(a *goldenAttempt, outcome dispatch.Outcome, after float64) {
+// endAttempt tells a node how an attempt ended and frees what it held.
+func (c *goldenCluster) endAttempt(a *goldenAttempt, outcome dispatch.Outcome, after float64) {
 	e, n := a.executor, c.nodes[a.node]
 	a.ended = true
-	if a.began && a.execLife == e.life {
-		e.busy -= a.slots
+	if a.started && a.executorIncarnation == e.incarnation {
+		e.busySlots -= a.slots
 		e.running--
 		if outcome == dispatch.Served {
 			e.served++
 		}
-		c.advance(e)
+		c.startQueued(e)
 	}
-	if n.life != a.life {
+	if n.incarnation != a.incarnation {
 		return
 	}
 	r := n.requests[a.job]
@@ -196,22 +196,22 @@
 			event.Report = c.report(e, s)
 		}
 	}
-	c.give(a.node, a.life, after, event)
+	c.deliver(a.node, a.incarnation, after, event)
 }
 
 // report is a load report, taken once in a while, as executors do.
 func (c *goldenCluster) report(e *goldenExecutor, s dispatch.Settings) []float32 {
-	if c.now-e.sampled >= 100 || e.sampled == 0 {
-		e.sampled = c.now
+	if c.now-e.sampledAt >= 100 || e.sampledAt == 0 {
+		e.sampledAt = c.now
 		queued := 0.0
 		for _, a := range e.queue {
 			queued += a.slots
 		}
 		noise := float32(c.random.float()) * 0.01
 		for f, v := range map[dispatch.Field]float64{dispatch.FieldBusy: float64(e.running + len(e.queue)),
-			dispatch.FieldPending: float64(len(e.queue)), dispatch.FieldUtil: min(1, e.busy/e.slots),
-			dispatch.FieldLatency: 200 / e.speed, dispatch.FieldServed: float64(e.served), dispatch.FieldErrors: e.errs,
-			dispatch.FieldFree: e.slots - queued - e.busy, dispatch.FieldMemory: e.memory - 2*e.busy} {
+			dispatch.FieldPending: float64(len(e.queue)), dispatch.FieldUtil: min(1, e.busySlots/e.slots),
+			dispatch.FieldLatency: 200 / e.speed, dispatch.FieldServed: float64(e.served), dispatch.FieldErrors: e.errorRate,
+			dispatch.FieldFree: e.slots - queued - e.busySlots, dispatch.FieldMemory: e.memory - 2*e.busySlots} {
 			e.sample[f] = float32(v) + noise
 		}
 	}
@@ -222,26 +222,26 @@
 	return out
 }
 
-func (c *goldenCluster) probe(i int, n *goldenNode, id uint32) {
-	e, s, life := c.executor(id), c.plan.settings(i), n.life
-	c.at(c.random.span(1, 6), func() {
+func (c *goldenCluster) checkHealth(i int, n *goldenNode, id uint32) {
+	e, s, life := c.executor(id), c.plan.settings(i), n.incarnation
+	c.schedule(c.random.span(1, 6), func() {
 		event := dispatch.Event{Kind: dispatch.EvHealthCheck, Executor: id, Elapsed: 4}
 		switch {
 		case e == nil || e.down:
 			event.Outcome = dispatch.ConnectFailed
-		case e.hung:
+		case e.unresponsive:
 			event.Outcome = dispatch.TimedOut
 		default:
 			event.Outcome, event.Report = dispatch.Served, c.report(e, s)
 		}
-		c.give(i, life, 1, event)
+		c.deliver(i, life, 1, event)
 	})
 }
 
-func (c *goldenCluster) watch(i, life int) {
-	c.at(3, func() {
+func (c *goldenCluster) pollList(i, life int) {
+	c.schedule(3, func() {
 		n := c.nodes[i]
-		if n.life != life {
+		if n.incarnation != life {
 			return
 		}
 		e := dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListFailed}
@@ -253,17 +253,17 @@
 	})
 }
 
-func (c *goldenCluster) tell(i int, a *dispatch.Action) {
+func (c *goldenCluster) sendGossip(i int, a *dispatch.Action) {
 	for k, n := range c.nodes {
 		if k == i || int(a.To) != k && a.To != dispatch.AllPeers {
 			continue
 		}
-		if n.cut || c.nodes[i].cut || c.random.chance(0.01) {
+		if n.partitioned || c.nodes[i].partitioned || c.random.chance(0.01) {
 			continue
 		}
-		c.give(
+		c.deliver(
 			k,
-			n.life,
+			n.incarnation,
 			c.random.span(1, 4),
 			dispatch.Event{Kind: dispatch.EvGossip, From: uint32(i), Data: append([]byte(nil), a.Data...)},
 		)
--- a/internal/dispatch/golden_cluster_test.go
+++ b/internal/dispatch/golden_cluster_test.go
@@ -31,88 +31,88 @@
 
 // goldenPlan is what a run of the cluster is made of.
 type goldenPlan struct {
-	name      string
-	seed      uint64
-	nodes     int
-	executors int
-	duration  float64 // ms
-	rate      float64 // requests a second of all nodes
-	keys      int     // 0: requests carry none
-	memory    bool
-	prices    bool
-	streams   bool
-	hints     float64 // part of the requests with a hint of their work
-	faults    float64 // 1: the usual number of faults
-	retunes   bool
-	settings  func(node int) dispatch.Settings
+	name       string
+	seed       uint64
+	nodes      int
+	executors  int
+	duration   float64 // ms
+	rate       float64 // requests a second of all nodes
+	keys       int     // 0: requests carry none
+	memory     bool
+	zonePrices bool
+	streams    bool
+	hints      float64 // part of the requests with a hint of their work
+	faults     float64 // 1: the usual number of faults
+	retunes    bool
+	settings   func(node int) dispatch.Settings
 }
 
 type goldenExecutor struct {
-	row     dispatch.EndpointUpdate
-	slots   float64
-	busy    float64
-	queue   []*goldenAttempt
-	running int
-	speed   float64
-	down    bool    // takes no connection
-	hung    bool    // accepts and says nothing
-	deaf    bool    // turns new connections away, serves on old ones
-	errs    float64 // part of the requests that err
-	badKind int     // class that always errs here, -1 for none
-	drains  bool    // turns all away as full
-	life    int
-	served  int
-	memory  float64
-	sample  [9]float32 // by field
-	outs    []*goldenAttempt
-	sampled float64
+	row                dispatch.EndpointUpdate
+	slots              float64
+	busySlots          float64
+	queue              []*goldenAttempt
+	running            int
+	speed              float64
+	down               bool    // takes no connection
+	unresponsive       bool    // accepts and says nothing
+	rejectsConnections bool    // turns new connections away, serves on old ones
+	errorRate          float64 // part of the requests that err
+	failingClass       int     // class that always errs here, -1 for none
+	rejectsJobs        bool    // turns all away as full
+	incarnation        int
+	served             int
+	memory             float64
+	sample             [9]float32 // by field
+	attempts           []*goldenAttempt
+	sampledAt          float64
 }
 
 type goldenAttempt struct {
-	node, life int
-	job        uint32
-	number     uint16
-	executor   *goldenExecutor
-	execLife   int
-	work       float64
-	slots      float64
-	class      int
-	began      bool
-	ended      bool
-	stop       float64
+	node, incarnation   int
+	job                 uint32
+	number              uint16
+	executor            *goldenExecutor
+	executorIncarnation int
+	work                float64
+	slots               float64
+	class               int
+	started             bool
+	ended               bool
+	endsAt              float64
 }
 
 type goldenRequest struct {
 	event    dispatch.Event
 	attempts []*goldenAttempt
 	done     bool
-	due      float64
+	deadline float64
 }
 
 type goldenNode struct {
-	dispatcher *dispatch.Dispatcher
-	life       int
-	down       bool
-	cut        bool // hears no peer
-	requests   map[uint32]*goldenRequest
-	pending    []dispatch.Event
-	watching   bool
+	dispatcher  *dispatch.Dispatcher
+	incarnation int
+	down        bool
+	partitioned bool // hears no peer
+	requests    map[uint32]*goldenRequest
+	pending     []dispatch.Event
+	watching    bool
 }
 
-type goldenItem struct {
+type goldenTimer struct {
 	at    float64
 	order int
 	run   func()
 }
 
-type goldenQueue []goldenItem
+type goldenQueue []goldenTimer
 
 func (q goldenQueue) Len() int { return len(q) }
 func (q goldenQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
 func (q goldenQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *goldenQueue) Push(x any)   { *q = append(*q, x.(goldenItem)) }
+func (q *goldenQueue) Push(x any)   { *q = append(*q, x.(goldenTimer)) }
 func (q *goldenQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -121,28 +121,28 @@
 }
 
 type goldenCluster struct {
-	t         *testing.T
-	plan      goldenPlan
-	random    goldenRandom
-	now       float64
-	queue     goldenQueue
-	order     int
-	nodes     []*goldenNode
-	executors []*goldenExecutor
-	version   uint32
-	discovery bool // answers
-	nextJob   uint32
-	kinds     map[dispatch.EventKind]int // events that the module was given
-	step      func(node int, actions []dispatch.Action)
+	t           *testing.T
+	plan        goldenPlan
+	random      goldenRandom
+	now         float64
+	queue       goldenQueue
+	order       int
+	nodes       []*goldenNode
+	executors   []*goldenExecutor
+	version     uint32
+	discovery   bool // answers
+	nextJob     uint32
+	eventCounts map[dispatch.EventKind]int // events that the module was given
+	recordStep  func(node int, actions []dispatch.Action)
 }
 
 const goldenStart = 1_000_000 // ms, the clock at the start of each run
 
 func newGoldenCluster(t *testing.T, plan goldenPlan, step func(node int, actions []dispatch.Action)) *goldenCluster {
 	c := &goldenCluster{t: t, plan: plan, random: goldenRandom(plan.seed), now: goldenStart, discovery: true,
-		kinds: map[dispatch.EventKind]int{}, step: step, nextJob: 1}
+		eventCounts: map[dispatch.EventKind]int{}, recordStep: step, nextJob: 1}
 	for i := range plan.executors {
-		e := &goldenExecutor{slots: float64(2 + i%3), speed: 0.6 + 0.2*float64(i%5), badKind: -1, memory: 16}
+		e := &goldenExecutor{slots: float64(2 + i%3), speed: 0.6 + 0.2*float64(i%5), failingClass: -1, memory: 16}
 		e.row = dispatch.EndpointUpdate{
 			Executor:  uint32(100 + 3*i),
 			Zone:      uint8(i % 3),
@@ -158,13 +158,13 @@
 		c.nodes = append(c.nodes, n)
 		c.startNode(i)
 	}
-	c.at(1000/plan.rate, c.arrive)
+	c.schedule(1000/plan.rate, c.generateRequests)
 	for _, fault := range []struct {
 		every float64
 		run   func()
 	}{
-		{900, c.faultAtExecutor}, {1400, c.restartExecutor}, {2300, c.drainExecutor}, {3100, c.restartNode},
-		{2700, c.cutNode}, {4100, c.stopDiscovery}, {700, c.oddEvent}, {500, c.weights},
+		{900, c.injectExecutorFault}, {1400, c.restartExecutor}, {2300, c.drainExecutor}, {3100, c.restartNode},
+		{2700, c.partitionNode}, {4100, c.stopDiscovery}, {700, c.injectMalformedEvent}, {500, c.changeWeights},
 	} {
 		c.repeat(fault.every/max(plan.faults, 0.01), fault.run)
 	}
@@ -174,13 +174,13 @@
 	return c
 }
 
-func (c *goldenCluster) at(after float64, run func()) {
+func (c *goldenCluster) schedule(after float64, run func()) {
 	c.order++
-	heap.Push(&c.queue, goldenItem{c.now + math.Ceil(after), c.order, run})
+	heap.Push(&c.queue, goldenTimer{c.now + math.Ceil(after), c.order, run})
 }
 
 func (c *goldenCluster) repeat(every float64, run func()) {
-	c.at(every*c.random.span(0.5, 1.5), func() {
+	c.schedule(every*c.random.span(0.5, 1.5), func() {
 		run()
 		c.repeat(every, run)
 	})
@@ -191,7 +191,7 @@
 	for len(c.queue) > 0 && c.queue[0].at <= end {
 		c.now = c.queue[0].at
 		for len(c.queue) > 0 && c.queue[0].at == c.now {
-			heap.Pop(&c.queue).(goldenItem).run()
+			heap.Pop(&c.queue).(goldenTimer).run()
 		}
 		for i, n := range c.nodes {
 			if len(n.pending) == 0 || n.down {
@@ -200,10 +200,10 @@
 			events := n.pending
 			n.pending = nil
 			for k := range events {
-				c.kinds[events[k].Kind]++
+				c.eventCounts[events[k].Kind]++
 			}
 			actions := n.dispatcher.Step(c.now, events, nil)
-			c.step(i, actions)
+			c.recordStep(i, actions)
 			for k := range actions {
 				c.carryOut(i, n, &actions[k])
 			}
@@ -211,10 +211,10 @@
 	}
 }
 
-// give hands an event to a life of a node, after a while.
-func (c *goldenCluster) give(node, life int, after float64, e dispatch.Event) {
-	c.at(after, func() {
-		if n := c.nodes[node]; n.life == life && !n.down {
+// deliver hands an event to a life of a node, after a while.
+func (c *goldenCluster) deliver(node, life int, after float64, e dispatch.Event) {
+	c.schedule(after, func() {
+		if n := c.nodes[node]; n.incarnation == life && !n.down {
 			n.pending = append(n.pending, e)
 		}
 	})
@@ -232,7 +232,7 @@
 
 func (c *goldenCluster) startNode(i int) {
 	n := c.nodes[i]
-	n.life++
+	n.incarnation++
 	n.down, n.requests, n.pending = false, map[uint32]*goldenRequest{}, nil
 	s := c.plan.settings(i)
 	n.watching = !s.PollsList
@@ -242,7 +242,7 @@
 	}
 	n.dispatcher = d
 	rows := c.rows()
-	if n.life > 1 && len(rows) > 3 {
+	if n.incarnation > 1 && len(rows) > 3 {
 		rows = rows[:len(rows)-1] // what was held is old
 	}
 	n.pending = []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Version: c.version, Rows: rows}}
@@ -250,8 +250,8 @@
 
 // ---- clients
 
-func (c *goldenCluster) arrive() {
-	c.at(c.random.span(0, 2000/c.plan.rate), c.arrive)
+func (c *goldenCluster) generateRequests() {
+	c.schedule(c.random.span(0, 2000/c.plan.rate), c.generateRequests)
 	burst := 1
 	if c.random.chance(0.02) {
 		burst = 20
@@ -285,34 +285,34 @@
 		if c.plan.memory {
 			e.Memory = c.random.span(0, 6)
 		}
-		if c.plan.prices && c.random.chance(0.5) {
+		if c.plan.zonePrices && c.random.chance(0.5) {
 			e.ZonePrices = []float64{0, c.random.span(0, 0.4), c.random.span(0, 0.8)}
 		}
-		c.ask(node, e)
+		c.submit(node, e)
 	}
 }
 
-func (c *goldenCluster) ask(node int, e dispatch.Event) {
+func (c *goldenCluster) submit(node int, e dispatch.Event) {
 	n := c.nodes[node]
 	if n.down {
 		return
 	}
-	r := &goldenRequest{event: e, due: c.now + e.TimeLeft}
+	r := &goldenRequest{event: e, deadline: c.now + e.TimeLeft}
 	n.requests[e.Job] = r
 	n.pending = append(n.pending, e)
-	life, job := n.life, e.Job
+	life, job := n.incarnation, e.Job
 	if e.Flags&dispatch.FlagWorkHint == 0 {
 		r.event.Work = e.Work
 	}
 	if c.random.chance(0.04) {
-		c.at(c.random.span(1, e.TimeLeft), func() { c.leave(node, life, job) })
+		c.schedule(c.random.span(1, e.TimeLeft), func() { c.disconnectClient(node, life, job) })
 	}
-	c.at(e.TimeLeft+5, func() { c.leave(node, life, job) })
+	c.schedule(e.TimeLeft+5, func() { c.disconnectClient(node, life, job) })
 }
 
-func (c *goldenCluster) leave(node, life int, job uint32) {
+func (c *goldenCluster) disconnectClient(node, life int, job uint32) {
 	n := c.nodes[node]
-	if n.life != life {
+	if n.incarnation != life {
 		return
 	}
 	r := n.requests[job]
@@ -323,7 +323,7 @@
 	n.pending = append(n.pending, dispatch.Event{Kind: dispatch.EvClientGone, Job: job})
 	for _, a := range r.attempts {
 		if !a.ended {
-			c.end(a, dispatch.TimedOut, 1)
+			c.endAttempt(a, dispatch.TimedOut, 1)
 		}
 	}
 }
--- a/internal/dispatch/golden_faults_test.go
+++ b/internal/dispatch/golden_faults_test.go
@@ -9,14 +9,14 @@
 
 // This file holds the faults of the golden runs: executors, nodes, discovery, and what no host should give.
 
-// listed sends changed rows to all who watch.
-func (c *goldenCluster) listed(rows ...dispatch.EndpointUpdate) {
+// publishRows sends changed rows to all who watch.
+func (c *goldenCluster) publishRows(rows ...dispatch.EndpointUpdate) {
 	c.version++
 	for i, n := range c.nodes {
 		if n.watching {
-			c.give(
+			c.deliver(
 				i,
-				n.life,
+				n.incarnation,
 				c.random.span(1, 30),
 				dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Version: c.version,
 					Rows: append([]dispatch.EndpointUpdate(nil), rows...)},
@@ -29,7 +29,7 @@
 	return c.executors[c.random.below(len(c.executors))]
 }
 
-func (c *goldenCluster) faultAtExecutor() {
+func (c *goldenCluster) injectExecutorFault() {
 	e := c.anyExecutor()
 	span := c.random.span(200, 1500)
 	var mend func()
@@ -38,39 +38,39 @@
 		e.down = true
 		mend = func() { e.down = false }
 	case 1:
-		e.hung = true
+		e.unresponsive = true
 		mend = func() {
-			e.hung = false
-			for _, a := range slices.Clone(e.outs) {
-				if a.began && !a.ended && c.now >= a.stop {
-					c.end(a, dispatch.Served, 1)
+			e.unresponsive = false
+			for _, a := range slices.Clone(e.attempts) {
+				if a.started && !a.ended && c.now >= a.endsAt {
+					c.endAttempt(a, dispatch.Served, 1)
 				}
 			}
-			c.advance(e)
+			c.startQueued(e)
 		}
 	case 2:
-		e.deaf = true
-		mend = func() { e.deaf = false }
+		e.rejectsConnections = true
+		mend = func() { e.rejectsConnections = false }
 	case 3:
-		e.errs = 0.7
-		mend = func() { e.errs = 0 }
+		e.errorRate = 0.7
+		mend = func() { e.errorRate = 0 }
 	case 4:
-		e.badKind = c.random.below(4)
+		e.failingClass = c.random.below(4)
 		span *= 3
-		mend = func() { e.badKind = -1 }
+		mend = func() { e.failingClass = -1 }
 	default:
-		e.drains = true
-		mend = func() { e.drains = false }
+		e.rejectsJobs = true
+		mend = func() { e.rejectsJobs = false }
 	}
-	c.at(span, mend)
+	c.schedule(span, mend)
 }
 
-// kill ends a process of an executor: what is out there is lost.
-func (c *goldenCluster) kill(e *goldenExecutor) {
-	e.life++
-	e.busy, e.running, e.queue, e.hung = 0, 0, nil, false
-	outs := e.outs
-	e.outs = nil
+// killExecutor ends a process of an executor: what is out there is lost.
+func (c *goldenCluster) killExecutor(e *goldenExecutor) {
+	e.incarnation++
+	e.busySlots, e.running, e.queue, e.unresponsive = 0, 0, nil, false
+	outs := e.attempts
+	e.attempts = nil
 	for _, a := range outs {
 		if a.ended {
 			continue
@@ -79,7 +79,7 @@
 		if c.random.chance(0.2) {
 			outcome = dispatch.TimedOut
 		}
-		c.end(a, outcome, 1)
+		c.endAttempt(a, outcome, 1)
 	}
 }
 
@@ -88,11 +88,11 @@
 	if e.row.Condition == dispatch.Removed {
 		return
 	}
-	c.kill(e)
+	c.killExecutor(e)
 	e.down = true
-	c.at(c.random.span(20, 300), func() {
+	c.schedule(c.random.span(20, 300), func() {
 		e.down, e.row.StartedAt, e.row.Condition = false, c.now, dispatch.Ready
-		c.listed(e.row)
+		c.publishRows(e.row)
 	})
 }
 
@@ -102,15 +102,15 @@
 		return
 	}
 	e.row.Condition = dispatch.Draining
-	c.listed(e.row)
-	c.at(400, func() {
+	c.publishRows(e.row)
+	c.schedule(400, func() {
 		e.row.Condition = dispatch.Removed
-		c.kill(e)
-		c.listed(e.row)
-		c.at(700, func() {
+		c.killExecutor(e)
+		c.publishRows(e.row)
+		c.schedule(700, func() {
 			e.row.Condition, e.row.StartedAt = dispatch.Ready, c.now
 			e.row.Zone = uint8(c.random.below(3))
-			c.listed(e.row)
+			c.publishRows(e.row)
 		})
 	})
 }
@@ -122,14 +122,14 @@
 		return
 	}
 	n.down = true
-	n.life++
-	c.at(c.random.span(50, 900), func() { c.startNode(i) })
+	n.incarnation++
+	c.schedule(c.random.span(50, 900), func() { c.startNode(i) })
 }
 
-func (c *goldenCluster) cutNode() {
+func (c *goldenCluster) partitionNode() {
 	n := c.nodes[c.random.below(len(c.nodes))]
-	n.cut = true
-	c.at(c.random.span(200, 2500), func() { n.cut = false })
+	n.partitioned = true
+	c.schedule(c.random.span(200, 2500), func() { n.partitioned = false })
 }
 
 func (c *goldenCluster) stopDiscovery() {
@@ -137,14 +137,14 @@
 	for i, n := range c.nodes {
 		if n.watching && c.plan.settings(i).PollsList {
 			n.watching = false
-			c.give(i, n.life, 2, dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListFailed})
+			c.deliver(i, n.incarnation, 2, dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListFailed})
 		}
 	}
-	c.at(c.random.span(300, 1500), func() { c.discovery = true })
+	c.schedule(c.random.span(300, 1500), func() { c.discovery = true })
 }
 
-// weights changes sizes as a list with live weights does: often, and nothing else.
-func (c *goldenCluster) weights() {
+// changeWeights changes sizes as a list with live changeWeights does: often, and nothing else.
+func (c *goldenCluster) changeWeights() {
 	var rows []dispatch.EndpointUpdate
 	for i, e := range c.executors {
 		if e.row.Condition != dispatch.Removed {
@@ -153,12 +153,12 @@
 		}
 	}
 	if len(c.nodes) > 0 && c.plan.settings(0).LiveWeights {
-		c.listed(rows...)
+		c.publishRows(rows...)
 	}
 }
 
-// oddEvent gives a node what no host should.
-func (c *goldenCluster) oddEvent() {
+// injectMalformedEvent gives a node what no host should.
+func (c *goldenCluster) injectMalformedEvent() {
 	i := c.random.below(len(c.nodes))
 	n := c.nodes[i]
 	if n.down {
@@ -195,14 +195,14 @@
 	}
 	n.pending = append(n.pending, odd[c.random.below(len(odd))])
 	if c.random.chance(0.3) { // numbers of no sense; nobody waits for its answer
-		n.requests[c.nextJob] = &goldenRequest{due: c.now + 300, event: dispatch.Event{Work: 50, TimeLeft: 300}}
+		n.requests[c.nextJob] = &goldenRequest{deadline: c.now + 300, event: dispatch.Event{Work: 50, TimeLeft: 300}}
 		n.pending = append(
 			n.pending,
 			dispatch.Event{Kind: dispatch.EvRequest, Job: c.nextJob, Class: 250, Tenant: 60000, Slots: math.NaN(),
 				Memory: -3, TimeLeft: 300, Work: math.Inf(1), Flags: dispatch.FlagWorkHint},
 		)
-		life, id := n.life, c.nextJob
-		c.at(305, func() { c.leave(i, life, id) })
+		life, id := n.incarnation, c.nextJob
+		c.schedule(305, func() { c.disconnectClient(i, life, id) })
 		c.nextJob++
 	}
 }
--- a/internal/dispatch/golden_plans_test.go
+++ b/internal/dispatch/golden_plans_test.go
@@ -70,7 +70,7 @@
 func goldenPlans() []goldenPlan { //nolint:funlen // a table
 	return []goldenPlan{
 		{name: "gossip", seed: 11, nodes: 3, executors: 10, duration: 12000, rate: 60, hints: 0.7, faults: 1, memory: true,
-			prices: true, streams: true, retunes: true, settings: func(node int) dispatch.Settings {
+			zonePrices: true, streams: true, retunes: true, settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 3)
 				s.PollsList = true
 				s.Fields = []dispatch.Field{dispatch.FieldFree, dispatch.FieldPending, dispatch.FieldMemory}
--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -23,10 +23,10 @@
 // They hold on amd64: other processors may round sums of products in another way.
 
 const (
-	goldenFolder     = "testdata/golden"
-	goldenStepBytes  = 2  // of each step's hash that are kept, to name the first step that differs
-	goldenPerKind    = 12 // messages of each kind that are kept whole
-	goldenMostTraced = 5  // steps that a failure shows
+	goldenFolder       = "testdata/golden"
+	stepHashBytes      = 2  // of each step's hash that are kept, to name the first step that differs
+	maxMessagesPerKind = 12 // messages of each kind that are kept whole
+	maxTracedSteps     = 5  // steps that a failure shows
 )
 
 // goldenRun is what is kept of a run.
@@ -48,18 +48,18 @@
 }
 
 type goldenRecorder struct {
-	t        *testing.T
-	run      goldenRun
-	whole    hash.Hash
-	logs     hash.Hash
-	steps    []byte
-	messages []goldenMessage
-	perKind  map[string]int
-	trace    *bytes.Buffer
+	t         *testing.T
+	run       goldenRun
+	decisions hash.Hash
+	logLines  hash.Hash
+	steps     []byte
+	messages  []goldenMessage
+	perKind   map[string]int
+	trace     *bytes.Buffer
 }
 
 func newGoldenRecorder(t *testing.T) *goldenRecorder {
-	r := &goldenRecorder{t: t, whole: sha256.New(), logs: sha256.New(), perKind: map[string]int{}}
+	r := &goldenRecorder{t: t, decisions: sha256.New(), logLines: sha256.New(), perKind: map[string]int{}}
 	r.run.Actions, r.run.Events = map[string]int{}, map[string]int{}
 	if os.Getenv("GOLDEN_TRACE") != "" {
 		r.trace = &bytes.Buffer{}
@@ -77,24 +77,24 @@
 		kind, _, _ := bytes.Cut(decision, []byte{0})
 		r.run.Actions[string(kind)]++
 		if a.Kind == dispatch.ActLog {
-			_, _ = fmt.Fprintf(r.logs, "%d %s\n", r.run.Steps, text) // a hash does not fail
+			_, _ = fmt.Fprintf(r.logLines, "%d %s\n", r.run.Steps, text) // a hash does not fail
 		}
 		if a.Kind == dispatch.ActGossip {
-			r.keep(node, a)
+			r.keepMessage(node, a)
 		}
 		if r.trace != nil {
 			fmt.Fprintf(r.trace, "%d node=%d %s\n", r.run.Steps, node, goldenActionText(r.t, a))
 		}
 	}
 	sum := one.Sum(nil)
-	r.whole.Write(sum)
-	r.steps = append(r.steps, sum[:goldenStepBytes]...)
+	r.decisions.Write(sum)
+	r.steps = append(r.steps, sum[:stepHashBytes]...)
 	r.run.Steps++
 }
 
-func (r *goldenRecorder) keep(node int, a *dispatch.Action) {
+func (r *goldenRecorder) keepMessage(node int, a *dispatch.Action) {
 	kind := messageKind(a)
-	if r.perKind[kind]++; r.perKind[kind] <= goldenPerKind {
+	if r.perKind[kind]++; r.perKind[kind] <= maxMessagesPerKind {
 		r.messages = append(r.messages, goldenMessage{kind, r.run.Steps, node, a.To, hex.EncodeToString(a.Data)})
 	}
 }
@@ -125,8 +125,8 @@
 }
 
 func (r *goldenRecorder) finish(c *goldenCluster) {
-	r.run.Decisions = hex.EncodeToString(r.whole.Sum(nil))
-	r.run.LogLines = hex.EncodeToString(r.logs.Sum(nil))
+	r.run.Decisions = hex.EncodeToString(r.decisions.Sum(nil))
+	r.run.LogLines = hex.EncodeToString(r.logLines.Sum(nil))
 	names := map[dispatch.EventKind]string{
 		dispatch.EvEndpoints:     "list",
 		dispatch.EvTimer:         "timer",
@@ -138,7 +138,7 @@
 		dispatch.EvRequest:       "request",
 		dispatch.EvHealthCheck:   "probed",
 	}
-	for kind, n := range c.kinds {
+	for kind, n := range c.eventCounts {
 		r.run.Events[names[kind]] = n
 	}
 }
@@ -211,12 +211,12 @@
 	for first < min(len(want), len(got)) && want[first] == got[first] {
 		first++
 	}
-	first /= goldenStepBytes
+	first /= stepHashBytes
 	t.Errorf("%s: the actions of step %d differ from the golden ones (%d steps, want %d)", plan.name, first,
-		len(got)/goldenStepBytes, len(want)/goldenStepBytes)
+		len(got)/stepHashBytes, len(want)/stepHashBytes)
 	step := 0
 	newGoldenCluster(t, plan, func(node int, actions []dispatch.Action) {
-		if step >= first && step < first+goldenMostTraced {
+		if step >= first && step < first+maxTracedSteps {
 			for i := range actions {
 				t.Logf("step %d node %d: %s", step, node, goldenActionText(t, &actions[i]))
 			}
--- a/internal/dispatch/gossip_test.go
+++ b/internal/dispatch/gossip_test.go
@@ -6,11 +6,11 @@
 // started shows that an executor is full all the same, and all others then keep away too, for about a run (herd+vast:
 // each node of 80 found out for itself, by a job that waited).
 func TestHiddenSlotsAreTold(t *testing.T) {
-	c := listeningCluster(t, 60, 2, fleet(50)...)
-	c.stuck = true
+	c := newReadyCluster(t, 60, 2, fleet(50)...)
+	c.noStarts = true
 	at := map[uint32]int{}
 	for i := range 40 {
-		if w := c.send(i, 300); w != 0 {
+		if w := c.sendJob(i, 300); w != 0 {
 			if at[w]++; at[w] > 1 {
 				t.Errorf("node %d sends to executor %d, where another's job waits already", i, w)
 			}
@@ -25,24 +25,24 @@
 // What a killed node had out runs on: its next life does not make the aggregator forget it at once.
 func TestKilledNodesJobsRunOn(t *testing.T) {
 	rows := fleet(50)
-	c := listeningCluster(t, 60, 2, rows...)
-	c.send(0, 300)
+	c := newReadyCluster(t, 60, 2, rows...)
+	c.sendJob(0, 300)
 	h := c.aggregator()
 	node, other := (h+1)%60, (h+2)%60
-	w := c.send(node, 300)
+	w := c.sendJob(node, 300)
 	c.run(50)
 	c.start(node, rows)
 	c.step(nil)
-	c.know(2)
-	c.send(node, 300)
+	c.setSlots(2)
+	c.sendJob(node, 300)
 	c.run(50)
-	c.send(other, 300)
+	c.sendJob(other, 300)
 	d := c.nodes[other]
 	if n := d.peerSlotsAt(d.endpoints.byID[w]); n < 1 {
 		t.Error("the job of a node that was killed is forgotten while it runs")
 	}
 	c.run(2*d.serviceTimes.meanRun + 200)
-	c.send(other, 300)
+	c.sendJob(other, 300)
 	if n := d.peerSlotsAt(d.endpoints.byID[w]); n > 0 {
 		t.Errorf("the job of a node that was killed still counts %v two runs later", n)
 	}
--- a/internal/dispatch/script_test.go
+++ b/internal/dispatch/script_test.go
@@ -12,9 +12,9 @@
 // servers: outcomes are drawn at random.
 
 type scriptAttempt struct {
-	worker   uint32
-	sent     float64
-	over     bool
+	executor uint32
+	sentAt   float64
+	ended    bool
 	neverRan bool
 }
 
@@ -27,29 +27,29 @@
 	ended    bool // a final answer was given, or the client left
 }
 
-type scriptWorker struct {
-	row  EndpointUpdate
-	told float64 // when the node was told of the row's condition
+type scriptExecutor struct {
+	row        EndpointUpdate
+	notifiedAt float64 // when the node was told of the row's condition
 }
 
-// spend is work that was sent at a time.
-type spend struct{ at, cost float64 }
+// sentWork is work that was sent at a time.
+type sentWork struct{ at, cost float64 }
 
 type script struct {
-	t       *testing.T
-	name    string
-	rng     *rand.Rand
-	s       Settings
-	d       *Dispatcher
-	now     float64
-	jobs    map[uint32]*scriptJob
-	order   []uint32
-	workers map[uint32]*scriptWorker
-	timers  []float64
-	tokens  []uint32
-	nextJob uint32
-	sent    map[uint32][]spend
-	counts  map[ActionKind]int
+	t           *testing.T
+	name        string
+	rng         *rand.Rand
+	settings    Settings
+	d           *Dispatcher
+	now         float64
+	jobs        map[uint32]*scriptJob
+	openJobs    []uint32
+	executors   map[uint32]*scriptExecutor
+	timers      []float64
+	timerTokens []uint32
+	nextJob     uint32
+	sentWork    map[uint32][]sentWork
+	counts      map[ActionKind]int
 }
 
 func (x *script) failf(format string, args ...any) {
@@ -80,7 +80,7 @@
 		if !(a.For > 0) || a.For > 71*60000 {
 			x.failf("timer for %v ms", a.For)
 		}
-		x.timers, x.tokens = append(x.timers, x.now+a.For), append(x.tokens, a.Token)
+		x.timers, x.timerTokens = append(x.timers, x.now+a.For), append(x.timerTokens, a.Token)
 	case ActSend:
 		x.checkSend(a)
 	case ActReject, ActFail:
@@ -88,14 +88,14 @@
 		if j.ended {
 			x.failf("second answer to request %d", a.Job)
 		}
-		if x.now > j.deadline+x.s.AnswerSlack {
+		if x.now > j.deadline+x.settings.AnswerSlack {
 			x.failf("answer to request %d came %v ms late", a.Job, x.now-j.deadline)
 		}
 		if a.Kind == ActReject {
-			c := x.s.Classes[j.class]
+			c := x.settings.Classes[j.class]
 			for _, at := range j.attempts {
 				harmless := c.RetrySafety == Idempotent || c.RetrySafety == Keyed && c.DedupScope == ScopeAll
-				if (!at.over || !at.neverRan) && !harmless {
+				if (!at.ended || !at.neverRan) && !harmless {
 					x.failf("request %d may have run and was rejected", a.Job)
 				}
 			}
@@ -107,15 +107,15 @@
 			x.failf("cancel of attempt %d of request %d, which was never made", a.Attempt, a.Job)
 		}
 	case ActHealthCheck:
-		if !x.s.HealthChecksAllowed || x.workers[a.Executor] == nil {
+		if !x.settings.HealthChecksAllowed || x.executors[a.Executor] == nil {
 			x.failf("health check of executor %d is not allowed", a.Executor)
 		}
 	case ActGossip:
-		if !x.s.GossipAllowed || len(a.Data) > 256 {
+		if !x.settings.GossipAllowed || len(a.Data) > 256 {
 			x.failf("message not allowed")
 		}
 	case ActPollList, ActFetch:
-		if !x.s.PollsList {
+		if !x.settings.PollsList {
 			x.failf("asked for a list that comes by itself")
 		}
 	}
@@ -123,60 +123,60 @@
 
 func (x *script) checkSend(a Action) { //nolint:gocognit // one case for each rule
 	x.t.Helper()
-	j, w := x.job(a.Job), x.workers[a.Executor]
-	c := x.s.Classes[j.class]
+	j, w := x.job(a.Job), x.executors[a.Executor]
+	c := x.settings.Classes[j.class]
 	switch {
 	case w == nil:
 		x.failf("sent to executor %d, which no list named", a.Executor)
 	case j.ended:
 		x.failf("sent request %d after its end", a.Job)
-	case len(j.attempts) >= x.s.MaxAttempts:
+	case len(j.attempts) >= x.settings.MaxAttempts:
 		x.failf("attempt %d of request %d", len(j.attempts)+1, a.Job)
-	case w.row.Condition != Ready && x.now > w.told+x.s.DrainGrace:
-		x.failf("sent to executor %d %v ms after its drain was told", a.Executor, x.now-w.told)
+	case w.row.Condition != Ready && x.now > w.notifiedAt+x.settings.DrainGrace:
+		x.failf("sent to executor %d %v ms after its drain was told", a.Executor, x.now-w.notifiedAt)
 	}
 	for _, at := range j.attempts {
-		if !at.over && at.worker == a.Executor {
+		if !at.ended && at.executor == a.Executor {
 			x.failf("a second attempt of request %d at executor %d beside the first", a.Job, a.Executor)
 		}
-		if !at.over && !x.s.HedgingAllowed {
+		if !at.ended && !x.settings.HedgingAllowed {
 			x.failf("two attempts of request %d out", a.Job)
 		}
-		if at.over && at.neverRan || c.RetrySafety == Idempotent {
+		if at.ended && at.neverRan || c.RetrySafety == Idempotent {
 			continue
 		}
 		if c.RetrySafety == AtMostOnce {
 			x.failf("unsafe request %d sent again", a.Job)
 		}
-		from := x.workers[at.worker].row
+		from := x.executors[at.executor].row
 		same := c.DedupScope == ScopeAll || from.Zone == w.row.Zone && (c.DedupScope == ScopeZone || from.Cell == w.row.Cell)
 		if !same {
 			x.failf("keyed request %d left its group", a.Job)
 		}
-		if x.now-at.sent > c.DedupWindow {
-			x.failf("keyed request %d sent %v ms after it may have run", a.Job, x.now-at.sent)
+		if x.now-at.sentAt > c.DedupWindow {
+			x.failf("keyed request %d sent %v ms after it may have run", a.Job, x.now-at.sentAt)
 		}
 	}
-	if w.row.StartedAt > 0 && x.now-w.row.StartedAt < x.s.MaxSlowStartDuration {
+	if w.row.StartedAt > 0 && x.now-w.row.StartedAt < x.settings.MaxSlowStartDuration {
 		// Reports tell of up to 6 slots, and the drawn outcomes of speeds up to about 2: with more than this
 		// no such executor could stand.
-		share := x.s.SlowStartMinShare + (1-x.s.SlowStartMinShare)*(x.now-w.row.StartedAt)/x.s.MaxSlowStartDuration
+		share := x.settings.SlowStartMinShare + (1-x.settings.SlowStartMinShare)*(x.now-w.row.StartedAt)/x.settings.MaxSlowStartDuration
 		sum := j.slots * j.work
-		for _, s := range x.sent[a.Executor] {
-			if x.now-s.at <= x.s.OverloadWindow {
+		for _, s := range x.sentWork[a.Executor] {
+			if x.now-s.at <= x.settings.OverloadWindow {
 				sum += s.cost
 			}
 		}
-		if sum > 2*6*share*x.s.OverloadMultiple*x.s.OverloadWindow {
+		if sum > 2*6*share*x.settings.OverloadMultiple*x.settings.OverloadWindow {
 			x.failf("executor %d pushed over: %v ms of work in a window", a.Executor, sum)
 		}
-		x.sent[a.Executor] = append(x.sent[a.Executor], spend{x.now, j.slots * j.work})
+		x.sentWork[a.Executor] = append(x.sentWork[a.Executor], sentWork{x.now, j.slots * j.work})
 	}
-	j.attempts = append(j.attempts, scriptAttempt{worker: a.Executor, sent: x.now})
+	j.attempts = append(j.attempts, scriptAttempt{executor: a.Executor, sentAt: x.now})
 }
 
-// list draws a change of the list, or the whole of it.
-func (x *script) list(form ListForm) Event {
+// listEvent draws a change of the listEvent, or the whole of it.
+func (x *script) listEvent(form ListForm) Event {
 	e := Event{Kind: EvEndpoints, Form: form, Version: uint32(x.now)}
 	if form == ListFailed {
 		return e
@@ -187,7 +187,7 @@
 			continue
 		}
 		row := EndpointUpdate{Executor: id * 77, Zone: uint8(id % 2), Cell: uint16(id / 3), Weight: 4, Condition: Ready}
-		if old := x.workers[row.Executor]; old != nil {
+		if old := x.executors[row.Executor]; old != nil {
 			row.StartedAt = old.row.StartedAt
 		}
 		switch r := x.rng.Intn(10); {
@@ -197,21 +197,21 @@
 			row.Condition = Removed
 		case r == 2:
 			row.StartedAt = x.now - float64(x.rng.Intn(2000))
-		case r == 3 && form != ListDelta && len(x.workers) > 0:
+		case r == 3 && form != ListDelta && len(x.executors) > 0:
 			continue // not named: gone
 		}
 		named[row.Executor] = true
-		if old := x.workers[row.Executor]; old == nil || old.row.Condition != row.Condition {
-			x.workers[row.Executor] = &scriptWorker{row: row, told: x.now}
+		if old := x.executors[row.Executor]; old == nil || old.row.Condition != row.Condition {
+			x.executors[row.Executor] = &scriptExecutor{row: row, notifiedAt: x.now}
 		} else {
 			old.row = row
 		}
 		e.Rows = append(e.Rows, row)
 	}
 	if form != ListDelta {
-		for id, w := range x.workers {
+		for id, w := range x.executors {
 			if !named[id] && w.row.Condition != Removed {
-				w.row.Condition, w.told = Removed, x.now
+				w.row.Condition, w.notifiedAt = Removed, x.now
 			}
 		}
 	}
@@ -230,7 +230,7 @@
 		return []float32{1}
 	}
 	var r []float32
-	for range x.s.Fields {
+	for range x.settings.Fields {
 		r = append(r, float32(x.rng.Intn(4))+x.rng.Float32()*0.2)
 	}
 	return r
@@ -238,10 +238,10 @@
 
 func (x *script) request() Event {
 	x.nextJob++
-	c := x.rng.Intn(len(x.s.Classes))
+	c := x.rng.Intn(len(x.settings.Classes))
 	j := &scriptJob{class: c, slots: 1, work: float64(50 + x.rng.Intn(500))}
 	e := Event{Kind: EvRequest, Job: x.nextJob, Class: uint8(c), Tenant: uint16(x.rng.Intn(4)), Work: j.work,
-		Flags: FlagWorkHint, TimeLeft: x.s.Classes[c].Deadline * x.rng.Float64(), Slots: 1}
+		Flags: FlagWorkHint, TimeLeft: x.settings.Classes[c].Deadline * x.rng.Float64(), Slots: 1}
 	switch x.rng.Intn(12) {
 	case 0:
 		e.Slots, j.slots = 3, 3
@@ -258,7 +258,7 @@
 	}
 	j.deadline = x.now + e.TimeLeft
 	x.jobs[x.nextJob] = j
-	x.order = append(x.order, x.nextJob)
+	x.openJobs = append(x.openJobs, x.nextJob)
 	return e
 }
 
@@ -267,15 +267,15 @@
 func (x *script) outcome(id uint32, n int, o Outcome) Event {
 	j := x.jobs[id]
 	at := &j.attempts[n]
-	at.over, at.neverRan = true, o.NeverRan()
+	at.ended, at.neverRan = true, o.NeverRan()
 	if o == Served {
 		j.ended = true
 	}
-	return Event{Kind: EvOutcome, Job: id, Attempt: uint16(n), Executor: at.worker, Outcome: o, Final: j.ended,
-		Elapsed: x.now - at.sent, Report: x.report()}
+	return Event{Kind: EvOutcome, Job: id, Attempt: uint16(n), Executor: at.executor, Outcome: o, Final: j.ended,
+		Elapsed: x.now - at.sentAt, Report: x.report()}
 }
 
-func (x *script) odd() Event {
+func (x *script) malformedEvent() Event {
 	switch x.rng.Intn(7) {
 	case 0:
 		return Event{Kind: EvOutcome, Job: 999999, Executor: 77, Outcome: Served, Final: true}
@@ -291,8 +291,8 @@
 		return Event{Kind: EvClientGone, Job: 888888}
 	}
 	for id := uint32(1); id <= x.nextJob; id++ { // an outcome told twice, of a request long over
-		if j := x.jobs[id]; j.ended && len(j.attempts) > 0 && j.attempts[0].over {
-			return Event{Kind: EvOutcome, Job: id, Executor: j.attempts[0].worker, Outcome: Errored}
+		if j := x.jobs[id]; j.ended && len(j.attempts) > 0 && j.attempts[0].ended {
+			return Event{Kind: EvOutcome, Job: id, Executor: j.attempts[0].executor, Outcome: Errored}
 		}
 	}
 	return Event{Kind: EvClientGone, Job: 777777}
@@ -300,14 +300,14 @@
 
 // run plays a script: 20 s of events at a few milliseconds each, then the end of all that is open.
 func (x *script) run() {
-	x.step([]Event{x.list(ListCached)})
+	x.step([]Event{x.listEvent(ListCached)})
 	for end := x.now + 20000; x.now < end; {
 		x.now += float64(1 + x.rng.Intn(10))
 		events := x.dueTimers()
 		for range x.rng.Intn(3) {
 			events = append(events, x.request())
 		}
-		for _, id := range x.order {
+		for _, id := range x.openJobs {
 			events = x.jobEvents(events, id)
 		}
 		events = x.fleetEvents(events)
@@ -315,15 +315,15 @@
 		x.dropEnded()
 	}
 	x.endAll()
-	x.checkNothingIsHeld()
+	x.checkNothingLeaked()
 }
 
 func (x *script) dueTimers() (events []Event) {
 	for i := 0; i < len(x.timers); i++ {
 		if x.timers[i] <= x.now {
-			events = append(events, Event{Kind: EvTimer, Token: x.tokens[i]})
+			events = append(events, Event{Kind: EvTimer, Token: x.timerTokens[i]})
 			x.timers = append(x.timers[:i], x.timers[i+1:]...)
-			x.tokens = append(x.tokens[:i], x.tokens[i+1:]...)
+			x.timerTokens = append(x.timerTokens[:i], x.timerTokens[i+1:]...)
 			i--
 		}
 	}
@@ -335,14 +335,14 @@
 	j := x.jobs[id]
 	for n := range j.attempts {
 		switch {
-		case j.attempts[n].over:
+		case j.attempts[n].ended:
 		case !j.ended && x.now >= j.deadline:
 			events = append(events, x.outcome(id, n, TimedOut))
 		case x.rng.Intn(40) == 0:
 			events = append(events, x.outcome(id, n, scriptOutcomes[x.rng.Intn(len(scriptOutcomes))]))
 		case x.rng.Intn(20) == 0:
 			events = append(events, Event{Kind: EvNotification, Job: id, Attempt: uint16(n),
-				Executor: j.attempts[n].worker, Topic: uint8(1 + x.rng.Intn(3)), Amount: 0.5})
+				Executor: j.attempts[n].executor, Topic: uint8(1 + x.rng.Intn(3)), Amount: 0.5})
 		}
 	}
 	if !j.ended && x.rng.Intn(4000) == 0 {
@@ -356,16 +356,16 @@
 func (x *script) fleetEvents(events []Event) []Event {
 	switch x.rng.Intn(60) {
 	case 0:
-		events = append(events, x.list(ListDelta))
+		events = append(events, x.listEvent(ListDelta))
 	case 1:
-		events = append(events, x.list(ListSnapshot))
+		events = append(events, x.listEvent(ListSnapshot))
 	case 2:
-		events = append(events, x.list(ListFailed))
+		events = append(events, x.listEvent(ListFailed))
 	case 3, 4, 5:
-		events = append(events, x.odd())
+		events = append(events, x.malformedEvent())
 	}
-	for id := uint32(77); id <= 8*77 && x.s.HealthChecksAllowed; id += 77 {
-		if x.rng.Intn(30) == 0 && x.workers[id] != nil {
+	for id := uint32(77); id <= 8*77 && x.settings.HealthChecksAllowed; id += 77 {
+		if x.rng.Intn(30) == 0 && x.executors[id] != nil {
 			events = append(events, Event{Kind: EvHealthCheck, Executor: id, Outcome: Served, Report: x.report()})
 		}
 	}
@@ -374,34 +374,34 @@
 
 // dropEnded forgets the requests of which nothing is open, and fails for one that got no answer in time.
 func (x *script) dropEnded() {
-	keep := x.order[:0]
-	for _, id := range x.order {
+	keep := x.openJobs[:0]
+	for _, id := range x.openJobs {
 		j := x.jobs[id]
-		if !j.ended && x.now > j.deadline+x.s.AnswerSlack {
+		if !j.ended && x.now > j.deadline+x.settings.AnswerSlack {
 			x.failf("request %d was lost: no answer %v ms after its deadline", id, x.now-j.deadline)
 		}
 		out := false
 		for _, at := range j.attempts {
-			out = out || !at.over
+			out = out || !at.ended
 		}
 		if !j.ended || out {
 			keep = append(keep, id)
 		}
 	}
-	x.order = keep
+	x.openJobs = keep
 }
 
 // endAll ends all that is open.
 func (x *script) endAll() {
 	var events []Event
-	for _, id := range x.order {
+	for _, id := range x.openJobs {
 		j := x.jobs[id]
 		if !j.ended {
 			j.ended = true
 			events = append(events, Event{Kind: EvClientGone, Job: id})
 		}
 		for n := range j.attempts {
-			if !j.attempts[n].over {
+			if !j.attempts[n].ended {
 				events = append(events, x.outcome(id, n, Canceled))
 			}
 		}
@@ -411,8 +411,8 @@
 	x.step(nil)
 }
 
-// checkNothingIsHeld fails if a reservation or a slot is left behind when nothing is open.
-func (x *script) checkNothingIsHeld() {
+// checkNothingLeaked fails if a reservation or a slot is left behind when nothing is open.
+func (x *script) checkNothingLeaked() {
 	for i, tn := range x.d.admission.tenants {
 		if tn.reservedSlots != 0 {
 			x.failf("tenant %d holds %v tokens when nothing is open", i, tn.reservedSlots)
@@ -463,9 +463,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			x := &script{t: t, name: fmt.Sprintf("%s, seed %d", name, seed), rng: rand.New(rand.NewSource(seed)), s: s,
-				d: d, now: 1000, jobs: map[uint32]*scriptJob{}, workers: map[uint32]*scriptWorker{},
-				sent: map[uint32][]spend{}, counts: total}
+			x := &script{t: t, name: fmt.Sprintf("%s, seed %d", name, seed), rng: rand.New(rand.NewSource(seed)), settings: s,
+				d: d, now: 1000, jobs: map[uint32]*scriptJob{}, executors: map[uint32]*scriptExecutor{},
+				sentWork: map[uint32][]sentWork{}, counts: total}
 			x.run()
 		}
 	}
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -80,14 +80,14 @@
 func TestExecutorIsUsedAsItWarmsUp(t *testing.T) {
 	rows := fleet(60)
 	rows[30].StartedAt = 100000
-	c := listeningCluster(t, 60, 4, rows...)
+	c := newReadyCluster(t, 60, 4, rows...)
 	for i, d := range c.nodes {
 		if i == d.aggregatorClient.current {
 			continue
 		}
 		executor := d.endpoints.listed[30]
 		share := d.slowStart.capacityFraction(executor)
-		c.send(i, 300) // brings what the aggregator tells
+		c.sendJob(i, 300) // brings what the aggregator tells
 		got, want := d.availableSlots(executor), math.Round(4*share)-d.peerSlotsAt(executor)-executor.inFlight.slots
 		if got != want {
 			t.Errorf("node %d: free slots for %v more at a share of %.2f, want %v", i, got, share, want)
@@ -107,10 +107,10 @@
 // 2.5 times the quota comes and no other executor is there. Each job holds a slot for its time.
 func TestSlowStartBudgetIsKeptWithTheAggregator(t *testing.T) {
 	cold := ready(7, 0)
-	c := listeningCluster(t, 60, 4, cold)
+	c := newReadyCluster(t, 60, 4, cold)
 	cold.StartedAt = c.now
 	for i := range c.nodes {
-		c.in[i] = append(c.in[i], Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{cold}})
+		c.inbox[i] = append(c.inbox[i], Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{cold}})
 	}
 	type run struct {
 		node int
@@ -120,30 +120,30 @@
 	var sends []float64
 	var out []run
 	const work = 300.0
-	for c.now < cold.StartedAt+c.s.MaxSlowStartDuration-100 {
-		c.next++
-		more := map[int]Event{int(c.next*37) % 60: request(c.next, 0, 0, 1)} // 100 a second, 2.5 times the quota
+	for c.now < cold.StartedAt+c.settings.MaxSlowStartDuration-100 {
+		c.lastJob++
+		more := map[int]Event{int(c.lastJob*37) % 60: request(c.lastJob, 0, 0, 1)} // 100 a second, 2.5 times the quota
 		for len(out) > 0 && c.now-out[0].at >= work {
-			c.in[out[0].node] = append(c.in[out[0].node], outcome(out[0].job, 0, 7, Served))
+			c.inbox[out[0].node] = append(c.inbox[out[0].node], outcome(out[0].job, 0, 7, Served))
 			out = out[1:]
 		}
 		c.step(more)
 		for i := range c.nodes {
-			for _, a := range c.sends[i] {
+			for _, a := range c.sent[i] {
 				sends, out = append(sends, c.now), append(out, run{i, a.Job, c.now})
 			}
 		}
 		sum := 0.0
-		for k := len(sends) - 1; k >= 0 && c.now-sends[k] <= c.s.OverloadWindow; k-- {
+		for k := len(sends) - 1; k >= 0 && c.now-sends[k] <= c.settings.OverloadWindow; k-- {
 			sum += work
 		}
-		share := c.s.SlowStartMinShare + (1-c.s.SlowStartMinShare)*(c.now-cold.StartedAt)/c.s.MaxSlowStartDuration
-		if most := c.s.OverloadMultiple * share * 4 * c.s.OverloadWindow; sum > most {
+		share := c.settings.SlowStartMinShare + (1-c.settings.SlowStartMinShare)*(c.now-cold.StartedAt)/c.settings.MaxSlowStartDuration
+		if most := c.settings.OverloadMultiple * share * 4 * c.settings.OverloadWindow; sum > most {
 			t.Fatalf("%.0f ms of work sent in a window at %.0f, want %.0f at most", sum, c.now-cold.StartedAt, most)
 		}
 	}
 	// Half of what it can do while it warms.
-	if got, want := work*float64(len(sends)), 0.5*0.65*4*c.s.MaxSlowStartDuration; got < want {
+	if got, want := work*float64(len(sends)), 0.5*0.65*4*c.settings.MaxSlowStartDuration; got < want {
 		t.Errorf("%.0f ms of work sent while it warmed, want %.0f", got, want)
 	}
 }
