--- a/internal/callbackrelay/callbackrelay.go
+++ b/internal/callbackrelay/callbackrelay.go
@@ -140,12 +140,12 @@
 		case <-ctx.Done():
 			return nil
 		}
-		r.noteScan(r.scan(take))
+		r.logScan(r.scan(take))
 	}
 }
 
-// noteScan logs that scans begin to fail, and that they work again.
-func (r *Relay) noteScan(err error) {
+// logScan logs that scans begin to fail, and that they work again.
+func (r *Relay) logScan(err error) {
 	switch {
 	case err != nil && !r.failing:
 		r.log.Error("callback directory not usable", "dir", r.dir, operr.Attrs(err))
@@ -170,7 +170,7 @@
 			registered = true
 			continue
 		}
-		if r.examine(entry.Name(), take) {
+		if r.handleFile(entry.Name(), take) {
 			present[entry.Name()] = r.firstSeen[entry.Name()]
 		}
 	}
@@ -181,10 +181,10 @@
 	return nil
 }
 
-// examine has a callback of another process taken, and reports whether the file is still to be looked at. Age counts
+// handleFile has a callback of another process taken, and reports whether the file is still to be looked at. Age counts
 // from when this process first saw the file: a file's own time follows the wall clock, which may be stepped past the
 // TTL.
-func (r *Relay) examine(name string, take func(body []byte) bool) bool {
+func (r *Relay) handleFile(name string, take func(body []byte) bool) bool {
 	if !strings.HasPrefix(name, callbackPrefix) && !strings.HasPrefix(name, atomicfile.TempPrefix) {
 		return false
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -57,9 +57,9 @@
 	testenv.Until(t, "the list once", func() bool { return len(s.All()) == 3 })
 }
 
-// served is a list whose calls a test answers by itself: serve has each with its number, and ends once ctx does.
+// serveCalls is a list whose calls a test answers by itself: serve has each with its number, and ends once ctx does.
 // The module asks for nothing.
-func served(
+func serveCalls(
 	t *testing.T, serve func(ctx context.Context, n int, conn net.Conn),
 ) (s *testenv.Lists, run func(limits.Limits)) {
 	t.Helper()
@@ -100,7 +100,7 @@
 	lim.Staleness.MaxStaleness = 60 * time.Millisecond
 	lim.Staleness.PollWait, lim.Staleness.AnswerTimeout = 10*time.Millisecond, 10*time.Millisecond
 	line := `{"index":3,"snapshot":false,"endpoints":[]}`
-	s, run := served(t, func(ctx context.Context, n int, conn net.Conn) {
+	s, run := serveCalls(t, func(ctx context.Context, n int, conn net.Conn) {
 		switch n {
 		case 0:
 			_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\nbusy")
@@ -172,7 +172,7 @@
 			lim.Staleness.HeartbeatInterval, lim.Staleness.HeartbeatSlack = 20*time.Millisecond, 30*time.Millisecond
 			lim.Staleness.PollWait, lim.Staleness.AnswerTimeout = 30*time.Millisecond, 20*time.Millisecond
 			lim.Staleness.MinBackoff = time.Millisecond
-			s, run := served(t, func(ctx context.Context, n int, conn net.Conn) {
+			s, run := serveCalls(t, func(ctx context.Context, n int, conn net.Conn) {
 				switch {
 				case n == 0:
 					_, _ = io.WriteString(conn, x.says)
@@ -206,7 +206,7 @@
 	lim := testenv.Lim
 	lim.Staleness.StableAfter = 0
 	var s *testenv.Lists
-	s, run := served(t, func(ctx context.Context, n int, conn net.Conn) {
+	s, run := serveCalls(t, func(ctx context.Context, n int, conn net.Conn) {
 		text := fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[]}`, n+1)
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s", len(text)+1, text)
 		if n < 2 { // and then no line break
@@ -461,7 +461,7 @@
 		return fmt.Sprintf("{\n  \"index\": %d,\n  \"snapshot\": false,\n  \"endpoints\": [\n"+
 			"    {\n      \"name\": \"s-1\",\n      \"status\": %q\n    }\n  ]\n}\n", index, status)
 	}
-	s, run := served(t, func(ctx context.Context, n int, conn net.Conn) {
+	s, run := serveCalls(t, func(ctx context.Context, n int, conn net.Conn) {
 		const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 		_, _ = io.WriteString(conn, head+chunk(list(1, "ready"))+chunk("\n"))
 		text := list(2, "draining")
@@ -481,7 +481,7 @@
 func TestEmptyLineConfirmsTheList(t *testing.T) {
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 	line := `{"index":%d,"snapshot":false,"endpoints":[]}`
-	s, run := served(t, func(ctx context.Context, _ int, conn net.Conn) {
+	s, run := serveCalls(t, func(ctx context.Context, _ int, conn net.Conn) {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		parts := []string{fmt.Sprintf(line, 1), "\n", "\n", fmt.Sprintf(line, 2), "\r\n", "\r\n", fmt.Sprintf(line, 3) + "\n"}
 		for _, part := range parts {
--- a/internal/executor/answer.go
+++ b/internal/executor/answer.go
@@ -19,21 +19,21 @@
 // What the dispatch module is notified of, once, is that the acknowledgement has been pending for longer than is usual
 // there and elsewhere.
 type answerReader struct {
-	client   *Client
-	attempt  *activeAttempt
-	conn     *connection
-	last     time.Time // when the wait ends in any case
-	ackBy    time.Time // when the acknowledgement is overdue
-	notified bool      // no more is to be said of the acknowledgement
+	client      *Client
+	attempt     *activeAttempt
+	conn        *connection
+	deadline    time.Time // when the wait ends in any case
+	ackDeadline time.Time // when the acknowledgement is overdue
+	notified    bool      // no more is to be said of the acknowledgement
 }
 
 func (c *Client) readAnswer(ctx context.Context, attempt *activeAttempt, conn *connection) (*http1.Message, error) {
 	r := &answerReader{
-		client:  c,
-		attempt: attempt,
-		conn:    conn,
-		last:    attempt.Deadline.Add(c.limits.Write),
-		ackBy:   attempt.lastByteAt.Add(c.acks.timeout(attempt)),
+		client:      c,
+		attempt:     attempt,
+		conn:        conn,
+		deadline:    attempt.Deadline.Add(c.limits.Write),
+		ackDeadline: attempt.lastByteAt.Add(c.acks.timeout(attempt)),
 	}
 	for {
 		//nolint:contextcheck // a DELETE that it leads to outlives the attempt
@@ -73,9 +73,9 @@
 
 // wait reads once. It gives an answer that ends with the connection, or why no more can come.
 func (r *answerReader) wait(ctx context.Context) (*http1.Message, error) {
-	by := r.last
-	if !r.notified && r.attempt.awaitsAck() && r.ackBy.Before(by) {
-		by = r.ackBy
+	by := r.deadline
+	if !r.notified && r.attempt.ackPending() && r.ackDeadline.Before(by) {
+		by = r.ackDeadline
 	}
 	r.conn.BoundReads(by)
 	_, err := r.conn.input.Fill(r.conn.MinRateConn)
@@ -90,7 +90,7 @@
 		r.client.recordSlowPeer(slowpeer.ExecutorSendsSlowly, r.attempt, r.conn, slow)
 		return nil, err
 	}
-	if isTimeout(err) && !by.Equal(r.last) {
+	if isTimeout(err) && !by.Equal(r.deadline) {
 		r.ackOverdue()
 		return nil, nil
 	}
@@ -106,13 +106,13 @@
 	if r.client.acks.expire(r.attempt, now) == slowpeer.Restrict {
 		r.notified = true
 		r.client.recordSlowPeer(slowpeer.ExecutorAckLate, r.attempt, r.conn, &slowpeer.Error{Direction: "in"})
-		r.client.handler.Result(node.Result{Attempt: r.attempt.ID, Topic: dispatch.NotificationAckOverdue})
+		r.client.sink.Result(node.Result{Attempt: r.attempt.ID, Topic: dispatch.NotificationAckOverdue})
 		return
 	}
-	if r.attempt.awaitsAck() {
+	if r.attempt.ackPending() {
 		r.client.slowPeers.Add(slowpeer.MostAcksLate)
 	}
-	r.ackBy = now.Add(r.client.acks.timeout(r.attempt))
+	r.ackDeadline = now.Add(r.client.acks.timeout(r.attempt))
 }
 
 // recordAccepted notes that an executor has accepted a job. Where the attempt was canceled a moment before, the
@@ -132,5 +132,5 @@
 func (c *Client) recordSlowPeer(kind slowpeer.Kind, attempt *activeAttempt, conn *connection, why *slowpeer.Error) {
 	c.slowPeers.Add(kind)
 	c.log.Info("slow executor", "kind", kind.String(), "executor", attempt.key.executor, "address", conn.addr,
-		"job", attempt.key.trace, "reason", why)
+		"job", attempt.key.traceID, "reason", why)
 }
--- a/internal/executor/attempt.go
+++ b/internal/executor/attempt.go
@@ -11,7 +11,7 @@
 )
 
 // attemptKey names an attempt as callbacks do: an executor gets one attempt of a request at a time.
-type attemptKey struct{ trace, executor string }
+type attemptKey struct{ traceID, executor string }
 
 // activeAttempt is an attempt that has neither ended nor been canceled. Its lock comes before those of the tables.
 type activeAttempt struct {
@@ -31,8 +31,8 @@
 	ended              bool
 }
 
-// awaitsAck says whether the executor's acknowledgement of the job is still pending.
-func (a *activeAttempt) awaitsAck() bool {
+// ackPending says whether the executor's acknowledgement of the job is still pending.
+func (a *activeAttempt) ackPending() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return !a.acknowledged && !a.ended
@@ -95,7 +95,7 @@
 	endpoint, known := c.endpoints.get(request.Executor)
 	if !known {
 		c.group.Go(func() error {
-			c.handler.Result(node.Result{Attempt: request.ID, Outcome: dispatch.CanceledBeforeSend})
+			c.sink.Result(node.Result{Attempt: request.ID, Outcome: dispatch.CanceledBeforeSend})
 			return nil
 		})
 		return
@@ -117,7 +117,7 @@
 			c.log.Warn(
 				"attempt not recorded and not sent",
 				"job",
-				attempt.key.trace,
+				attempt.key.traceID,
 				"executor",
 				attempt.key.executor,
 				"err",
@@ -135,7 +135,7 @@
 // finish ends an attempt and passes its outcome on, once.
 func (c *Client) finish(attempt *activeAttempt, outcome dispatch.Outcome, report []float32, body []byte) {
 	if c.remove(attempt) {
-		c.handler.Result(node.Result{Attempt: attempt.ID, Outcome: outcome, Report: report, Body: body})
+		c.sink.Result(node.Result{Attempt: attempt.ID, Outcome: outcome, Report: report, Body: body})
 	}
 }
 
@@ -176,7 +176,7 @@
 		Retry: attempt.Rules,
 	}
 	if reason = check.Reason(); reason != precheck.Allowed {
-		c.log.Debug("attempt not sent", "job", attempt.key.trace, "executor", attempt.key.executor, "reason", reason)
+		c.log.Debug("attempt not sent", "job", attempt.key.traceID, "executor", attempt.key.executor, "reason", reason)
 	}
 	return endpoint.address, reason
 }
--- a/internal/executor/callback.go
+++ b/internal/executor/callback.go
@@ -43,21 +43,21 @@
 	}
 	c.endpoints.recordContact(attempt.Executor)
 	c.acks.acknowledge(attempt, time.Now()) // whatever the executor tells of the job, it has it
-	c.takeState(attempt, callback)
+	c.handleState(attempt, callback)
 	return nil
 }
 
-// takeState passes on what a callback tells.
-func (c *Client) takeState(attempt *activeAttempt, callback gjson.Result) {
+// handleState passes on what a callback tells.
+func (c *Client) handleState(attempt *activeAttempt, callback gjson.Result) {
 	report := c.reportFromJSON(callback.Get("load"))
 	switch state := callback.Get("state").String(); state {
 	case stateStarted:
-		c.handler.Result(node.Result{Attempt: attempt.ID, Topic: dispatch.NotificationStarted})
+		c.sink.Result(node.Result{Attempt: attempt.ID, Topic: dispatch.NotificationStarted})
 	case stateRunning:
 		share := callback.Get("share").Float()
-		c.handler.Result(node.Result{Attempt: attempt.ID, Topic: dispatch.NotificationProgress, Amount: share})
+		c.sink.Result(node.Result{Attempt: attempt.ID, Topic: dispatch.NotificationProgress, Amount: share})
 	case stateDone:
-		c.takeResult(attempt, report, callback.Get("result"))
+		c.handleResult(attempt, report, callback.Get("result"))
 	case stateFailed:
 		c.finish(attempt, dispatch.Errored, report, nil)
 	case stateReturned:
@@ -67,15 +67,15 @@
 	case stateLost:
 		c.finish(attempt, dispatch.Reset, report, nil)
 	default:
-		c.log.Warn("callback with unknown state", "state", state, "executor", attempt.key.executor, "job", attempt.key.trace)
+		c.log.Warn("callback with unknown state", "state", state, "executor", attempt.key.executor, "job", attempt.key.traceID)
 	}
 }
 
-// takeResult ends an attempt whose job is done. Without a result it failed: whatever was passed on for it would be a
+// handleResult ends an attempt whose job is done. Without a result it failed: whatever was passed on for it would be a
 // result that no executor made.
-func (c *Client) takeResult(attempt *activeAttempt, report []float32, result gjson.Result) {
+func (c *Client) handleResult(attempt *activeAttempt, report []float32, result gjson.Result) {
 	if result.Type != gjson.String {
-		c.log.Warn("callback without result", "executor", attempt.key.executor, "job", attempt.key.trace)
+		c.log.Warn("callback without result", "executor", attempt.key.executor, "job", attempt.key.traceID)
 		c.finish(attempt, dispatch.Errored, report, nil)
 		return
 	}
--- a/internal/executor/cancel.go
+++ b/internal/executor/cancel.go
@@ -45,8 +45,8 @@
 	if address == "" {
 		return
 	}
-	if _, err := c.call(ctx, address, "DELETE", "/jobs/"+attempt.key.trace); err != nil {
-		c.log.Debug("job not canceled at executor", "job", attempt.key.trace, "executor", attempt.key.executor, "err", err)
+	if _, err := c.call(ctx, address, "DELETE", "/jobs/"+attempt.key.traceID); err != nil {
+		c.log.Debug("job not canceled at executor", "job", attempt.key.traceID, "executor", attempt.key.executor, "err", err)
 	}
 }
 
--- a/internal/executor/client.go
+++ b/internal/executor/client.go
@@ -27,10 +27,10 @@
 
 // Client speaks to all executors. Its methods may be called from any goroutine, and none of them blocks.
 type Client struct {
-	limits  limits.Limits
-	names   node.Names
-	handler Sink
-	log     *slog.Logger
+	limits limits.Limits
+	names  node.Names
+	sink   Sink
+	log    *slog.Logger
 
 	ctx   context.Context // ends all that the client does
 	group *errgroup.Group // owns and waits for its goroutines
@@ -59,7 +59,7 @@
 	return &Client{
 		limits:      lim,
 		names:       names,
-		handler:     sink,
+		sink:        sink,
 		log:         log,
 		ctx:         ctx,
 		group:       group,
--- a/internal/executor/clientleft_test.go
+++ b/internal/executor/clientleft_test.go
@@ -45,42 +45,42 @@
 	}
 }
 
-// quietClient stands for a client that waits for its answer.
-type quietClient struct{ answers chan node.Answer }
+// answerClient stands for a client that waits for its answer.
+type answerClient struct{ answers chan node.Answer }
 
-func newQuietClient() quietClient { return quietClient{make(chan node.Answer, 1)} }
+func newAnswerClient() answerClient { return answerClient{make(chan node.Answer, 1)} }
 
-func (quietClient) Sent(string)            {}
-func (quietClient) Started()               {}
-func (quietClient) Requeued(bool)          {}
-func (q quietClient) Answer(a node.Answer) { q.answers <- a }
+func (answerClient) Sent(string)            {}
+func (answerClient) Started()               {}
+func (answerClient) Requeued(bool)          {}
+func (q answerClient) Answer(a node.Answer) { q.answers <- a }
 
-// standingCore is what a core's sends and their results go through. At the send of a number the core's goroutine stands
+// stalledCore is what a core's sends and their results go through. At the send of a number the core's goroutine stands
 // still, its events are full, and the client leaves; the core goes on once the attempt has ended.
-type standingCore struct {
+type stalledCore struct {
 	*Client
-	core     *node.Core
-	standsAt int // counted from 1
-	leave    func()
+	core    *node.Core
+	stallAt int // counted from 1
+	leave   func()
 
-	sends int
-	ended chan dispatch.Outcome
-	at    uint64 // the attempt at whose send the core stands
-	mu    sync.Mutex
+	sends          int
+	ended          chan dispatch.Outcome
+	stalledAttempt uint64 // the attempt at whose send the core stands
+	mu             sync.Mutex
 }
 
-func (s *standingCore) Send(a node.Attempt) {
-	if s.sends++; s.sends != s.standsAt {
+func (s *stalledCore) Send(a node.Attempt) {
+	if s.sends++; s.sends != s.stallAt {
 		s.Client.Send(a)
 		return
 	}
 	s.mu.Lock()
-	s.at = a.ID
+	s.stalledAttempt = a.ID
 	s.mu.Unlock()
 	for i := 0; ; i++ { // by the requests of others
 		if _, err := s.core.Submit(
 			node.Job{TimeLeft: time.Second, Slots: 1, TraceID: string(rune('a' + i))},
-			newQuietClient(),
+			newAnswerClient(),
 		); err != nil {
 			break
 		}
@@ -94,9 +94,9 @@
 	}
 }
 
-func (s *standingCore) Result(r node.Result) {
+func (s *stalledCore) Result(r node.Result) {
 	s.mu.Lock()
-	here := r.Attempt == s.at && r.Outcome != 0
+	here := r.Attempt == s.stalledAttempt && r.Outcome != 0
 	s.mu.Unlock()
 	if here {
 		s.ended <- r.Outcome
@@ -104,7 +104,7 @@
 	s.core.Result(r)
 }
 
-func (s *standingCore) HealthChecked(w uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
+func (s *stalledCore) HealthChecked(w uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
 	s.core.HealthChecked(w, o, elapsed, report)
 }
 
@@ -157,7 +157,7 @@
 }
 
 // startNode runs a core that stands still at the send of a number, 0 for none.
-func startNode(t *testing.T, lim limits.Limits, standsAt int, leave func(), known ...node.Endpoint) *standingCore {
+func startNode(t *testing.T, lim limits.Limits, stallAt int, leave func(), known ...node.Endpoint) *stalledCore {
 	t.Helper()
 	core, err := node.New(coreSettings(), 1, node.EndpointList{Entries: known}, node.Names{}, lim, testenv.Quiet)
 	if err != nil {
@@ -165,18 +165,18 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
-	s := &standingCore{core: core, standsAt: standsAt, leave: leave, ended: make(chan dispatch.Outcome, 1)}
+	s := &stalledCore{core: core, stallAt: stallAt, leave: leave, ended: make(chan dispatch.Outcome, 1)}
 	s.Client = New(ctx, g, lim, node.Names{}, s, &slowpeer.Counters{}, testenv.Quiet)
-	core.Connect(s, noLists{}, noPeers{})
+	core.Connect(s, noEndpoints{}, noPeers{})
 	g.Go(func() error { return core.Run(ctx) })
 	t.Cleanup(func() { cancel(); _ = g.Wait() })
 	return s
 }
 
-type noLists struct{}
+type noEndpoints struct{}
 
-func (noLists) Watch(bool) {}
-func (noLists) Fetch()     {}
+func (noEndpoints) Watch(bool) {}
+func (noEndpoints) Fetch()     {}
 
 type noPeers struct{}
 
@@ -187,9 +187,9 @@
 func TestNoAttemptBeginsAfterTheClientLeft(t *testing.T) {
 	const rejected = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, x := range map[string]struct {
-		answer   string
-		standsAt int
-		queued   bool // no executor is known at first
+		answer  string
+		stallAt int
+		queued  bool // no executor is known at first
 	}{
 		"first attempt":             {acceptedAnswer, 1, false},
 		"after a wait in the queue": {acceptedAnswer, 1, true},
@@ -207,7 +207,7 @@
 			if x.queued {
 				first = nil
 			}
-			n := startNode(t, lim, x.standsAt, leave, first...)
+			n := startNode(t, lim, x.stallAt, leave, first...)
 			job := node.Job{
 				TimeLeft: 20 * time.Second,
 				Slots:    1,
@@ -222,7 +222,7 @@
 				}
 				return precheck.Allowed
 			}
-			id, err := n.core.Submit(job, newQuietClient())
+			id, err := n.core.Submit(job, newAnswerClient())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -239,8 +239,8 @@
 				counts, err := n.core.Counts(t.Context())
 				return err == nil && counts.ClientsGone == 1
 			})
-			if o := <-n.ended; o != dispatch.CanceledBeforeSend || one.count()+two.count() != x.standsAt-1 {
-				t.Errorf("the attempt ended with %d; %d requests came, want %d", o, one.count()+two.count(), x.standsAt-1)
+			if o := <-n.ended; o != dispatch.CanceledBeforeSend || one.count()+two.count() != x.stallAt-1 {
+				t.Errorf("the attempt ended with %d; %d requests came, want %d", o, one.count()+two.count(), x.stallAt-1)
 			}
 		})
 	}
@@ -277,7 +277,7 @@
 func TestTerminatedJobIsNotSent(t *testing.T) {
 	x := startExecutor(t, "s-1", acceptedAnswer)
 	n := startNode(t, testenv.Lim, 0, nil)
-	waiting := newQuietClient()
+	waiting := newAnswerClient()
 	job := node.Job{
 		TimeLeft: 20 * time.Second,
 		Slots:    1,
@@ -298,7 +298,7 @@
 	}
 	n.core.UpdateEndpoints(node.EndpointList{Form: dispatch.ListSnapshot, Entries: []node.Endpoint{x.entry()}})
 	job.TraceID = "00000000000000bb"
-	if _, err := n.core.Submit(job, newQuietClient()); err != nil {
+	if _, err := n.core.Submit(job, newAnswerClient()); err != nil {
 		t.Fatal(err)
 	}
 	testenv.Until(t, "the next job is sent", func() bool { return x.count() == 1 })
--- a/internal/executor/connection.go
+++ b/internal/executor/connection.go
@@ -12,8 +12,8 @@
 	"gatetack/internal/tcpinfo"
 )
 
-// maxAckLook is the longest wait between two looks at what the other machine has acknowledged.
-const maxAckLook = 50 * time.Millisecond
+// maxAckPollInterval is the longest wait between two looks at what the other machine has acknowledged.
+const maxAckPollInterval = 50 * time.Millisecond
 
 // connection is a connection to an executor, with one ring buffer for each direction. One goroutine uses it at a time.
 type connection struct {
@@ -57,9 +57,9 @@
 	return min(max(conn.connectTime, lim.SettleLeast), lim.SettleMost)
 }
 
-// isOpenAfterPause waits for the pause before a request's last byte, in which the other side can show that it does not
+// staysOpen waits for the pause before a request's last byte, in which the other side can show that it does not
 // take the request: by ending the connection, or by an answer before it has the whole of it.
-func (conn *connection) isOpenAfterPause(lim limits.Limits) bool {
+func (conn *connection) staysOpen(lim limits.Limits) bool {
 	conn.BoundReads(time.Now().Add(conn.lastBytePause(lim)))
 	n, err := conn.input.Fill(conn.MinRateConn)
 	conn.BoundReads(time.Time{})
@@ -73,13 +73,13 @@
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &slow)
 }
 
-// isAcknowledged waits until the machine at the other end takes what was written so far, for as long as an executor may
+// waitAcknowledged waits until the machine at the other end takes what was written so far, for as long as an executor may
 // leave a request unread: while the last byte is held back, what it does not take is proof that nothing ran. Bytes that
 // were not even sent wait for its window; those that were sent count, where sent is true, until it has acknowledged
 // them, which it may delay by 40 ms where nothing else is to be sent. It tells how many bytes are left.
-func (conn *connection) isAcknowledged(ctx context.Context, lim limits.Limits, sent bool) (left int, ok bool) {
+func (conn *connection) waitAcknowledged(ctx context.Context, lim limits.Limits, sent bool) (left int, ok bool) {
 	end := time.Now().Add(lim.Pace.ExecutorOut.Grace)
-	for look := conn.lastBytePause(lim); ; look = min(2*look, maxAckLook) {
+	for look := conn.lastBytePause(lim); ; look = min(2*look, maxAckPollInterval) {
 		info, known := tcpinfo.Get(conn.Conn)
 		if !known || info.Unacknowledged == 0 || info.Unsent == 0 && !sent {
 			return 0, true
--- a/internal/executor/connfault_test.go
+++ b/internal/executor/connfault_test.go
@@ -30,8 +30,8 @@
 	"ENOMEM":       syscall.ENOMEM,
 }
 
-// wholeRequest says whether what was written ends the request of attempt.
-func wholeRequest(text string) bool { return strings.HasSuffix(text, "\r\n\r\nbody") }
+// endsRequest says whether what was written ends the request of attempt.
+func endsRequest(text string) bool { return strings.HasSuffix(text, "\r\n\r\nbody") }
 
 // Requests and answers pass whole though each read and each write moves one byte, interrupted or not ready in between.
 func TestConnectionThatMovesOneByteAtATime(t *testing.T) {
@@ -61,7 +61,7 @@
 				}
 			})
 			c.Send(newAttempt(1))
-			testenv.Until(t, "it is taken", func() bool { return c.isTaken(1) || len(s.outcomes(1)) > 0 })
+			testenv.Until(t, "it is taken", func() bool { return c.isAccepted(1) || len(s.outcomes(1)) > 0 })
 			_ = c.Callback([]byte(doneCallback))
 			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served || n() != 1 {
 				t.Errorf("outcomes %v over %d connections", got, n())
@@ -70,8 +70,8 @@
 	}
 }
 
-// isTaken says whether an attempt's 202 was read.
-func (c *Client) isTaken(id uint64) bool {
+// isAccepted says whether an attempt's 202 was read.
+func (c *Client) isAccepted(id uint64) bool {
 	c.attempts.mu.Lock()
 	x := c.attempts.byID[id]
 	c.attempts.mu.Unlock()
@@ -108,7 +108,7 @@
 		{"write of the last byte", dispatch.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
 			sent := ""
 			conn.write = func(b []byte) (int, error) {
-				if sent += string(b); wholeRequest(sent) {
+				if sent += string(b); endsRequest(sent) {
 					return 0, connError("write", errno)
 				}
 				return conn.Conn.Write(b)
@@ -118,7 +118,7 @@
 			sent := ""
 			conn.write = func(b []byte) (int, error) { sent += string(b); return conn.Conn.Write(b) }
 			conn.read = func(b []byte) (int, error) {
-				if wholeRequest(sent) {
+				if endsRequest(sent) {
 					return 0, connError("read", errno)
 				}
 				return conn.Conn.Read(b)
@@ -129,7 +129,7 @@
 		for name, errno := range brokenConnection {
 			t.Run(at.name+"/"+name, func(t *testing.T) {
 				c, s := newClient(t, testenv.Lim)
-				n := startRawExecutor(t, c, silent)
+				n := startRawExecutor(t, c, neverAnswer)
 				scriptConns(c, func(_ int, conn *scriptedConn) { at.set(conn, errno) })
 				a := newAttempt(1)
 				a.Deadline = time.Now().Add(time.Hour) // the end of it is no verdict here
@@ -145,8 +145,8 @@
 	}
 }
 
-// silent reads a request and says nothing.
-func silent(conn net.Conn) {
+// neverAnswer reads a request and says nothing.
+func neverAnswer(conn net.Conn) {
 	for b := make([]byte, 4096); ; {
 		if _, err := conn.Read(b); err != nil {
 			return
@@ -171,7 +171,7 @@
 			x := startExecutor(t, "s-1", "")
 			n := startNode(t, lim, 0, nil, x.entry())
 			scriptConns(n.Client, func(_ int, conn *scriptedConn) { fault(conn) })
-			client := newQuietClient()
+			client := newAnswerClient()
 			job := node.Job{
 				TimeLeft: 500 * time.Millisecond,
 				Slots:    1,
@@ -191,12 +191,12 @@
 			case <-time.After(20 * time.Second):
 				t.Fatal("no answer")
 			}
-			testenv.Until(t, "nothing is out", func() bool { return n.core.Open() == 0 && n.liveAttempts() == 0 })
+			testenv.Until(t, "nothing is out", func() bool { return n.core.Open() == 0 && n.activeAttempts() == 0 })
 		})
 	}
 }
 
-func (c *Client) liveAttempts() int {
+func (c *Client) activeAttempts() int {
 	c.attempts.mu.Lock()
 	defer c.attempts.mu.Unlock()
 	return len(c.attempts.byID)
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -23,22 +23,22 @@
 
 // pausing is a sink that stands still while it is told that a sign of an attempt is owed: whoever reads the answer
 // stands with it.
-type pausingHandler struct {
+type pausingSink struct {
 	*resultRecorder
-	standing, release chan bool
+	paused, release chan bool
 }
 
-func (p *pausingHandler) Result(r node.Result) {
+func (p *pausingSink) Result(r node.Result) {
 	if r.Topic == dispatch.NotificationAckOverdue && r.Outcome == 0 {
-		p.standing <- true
+		p.paused <- true
 		<-p.release
 	}
 	p.resultRecorder.Result(r)
 }
 
-// executorThatTakesLate reads a request, takes it once it is told to, and hands on whatever request comes next on any
+// executorThatAcceptsLate reads a request, takes it once it is told to, and hands on whatever request comes next on any
 // connection.
-func executorThatTakesLate(t *testing.T, c *Client, accept <-chan bool) (taken <-chan bool, next <-chan string) {
+func executorThatAcceptsLate(t *testing.T, c *Client, accept <-chan bool) (taken <-chan bool, next <-chan string) {
 	t.Helper()
 	told, came := make(chan bool, 1), make(chan string, 4)
 	startRawExecutor(t, c, func(conn net.Conn) {
@@ -61,12 +61,12 @@
 // to it any more. It is told by DELETE. The 202 is on this machine, unread, in the moment of the giving up.
 func TestCancelCrossesA202(t *testing.T) {
 	c, s := newClient(t, withShortAcks())
-	sink := &pausingHandler{s, make(chan bool), make(chan bool)}
-	c.handler = sink
+	sink := &pausingSink{s, make(chan bool), make(chan bool)}
+	c.sink = sink
 	accept := make(chan bool)
-	taken, next := executorThatTakesLate(t, c, accept)
+	taken, next := executorThatAcceptsLate(t, c, accept)
 	c.Send(newAttempt(1))
-	<-sink.standing // nothing is read from here on
+	<-sink.paused // nothing is read from here on
 	accept <- true
 	<-taken
 	c.Cancel(1)
--- a/internal/executor/deadline_test.go
+++ b/internal/executor/deadline_test.go
@@ -16,15 +16,15 @@
 	"gatetack/internal/testenv"
 )
 
-// holdUp is how long a process may stand still between its clock and a write; shortHoldUp is less, and still more than
+// stall is how long a process may stand still between its clock and a write; shortStall is less, and still more than
 // the time that a request tells may be off by.
 const (
-	holdUp      = 150 * time.Millisecond
-	shortHoldUp = 100 * time.Millisecond
+	stall      = 150 * time.Millisecond
+	shortStall = 100 * time.Millisecond
 )
 
-// toldTime reads what a request's head tells its executor; ok is false where it tells nothing.
-func toldTime(head string) (told time.Duration, ok bool) {
+// sentTimeLeft reads what a request's head tells its executor; ok is false where it tells nothing.
+func sentTimeLeft(head string) (told time.Duration, ok bool) {
 	_, rest, _ := strings.Cut(head, "\r\nX-Expires-In-Ms: ")
 	text, _, _ := strings.Cut(rest, "\r\n")
 	ms, err := strconv.Atoi(text)
@@ -65,28 +65,28 @@
 	}
 }
 
-// sendsOnWire is what a client's connections wrote.
-type sendsOnWire struct {
+// wireRecorder is what a client's connections wrote.
+type wireRecorder struct {
 	mu    sync.Mutex
 	whole int // connections that carried the last byte
 }
 
-func (s *sendsOnWire) requests() int {
+func (s *wireRecorder) requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.whole
 }
 
-// watchWrites holds the process up in the moments that a test names, and checks at each last byte, before the hold-up
+// recordWrites holds the process up in the moments that a test names, and checks at each last byte, before the hold-up
 // there, that what the request tells is at most what its client has left.
-func watchWrites(t *testing.T, c *Client, until func() time.Time, hold func(conn int, moment string)) *sendsOnWire {
-	seen := &sendsOnWire{}
+func recordWrites(t *testing.T, c *Client, until func() time.Time, hold func(conn int, moment string)) *wireRecorder {
+	seen := &wireRecorder{}
 	scriptConns(c, func(n int, conn *scriptedConn) {
 		head := ""
 		conn.write = func(b []byte) (int, error) {
 			if last := strings.HasSuffix(head+string(b), "\r\n\r\nbody"); last {
 				left := time.Until(until())
-				if told, ok := toldTime(head); !ok || told > left {
+				if told, ok := sentTimeLeft(head); !ok || told > left {
 					t.Errorf("connection %d tells %v, its client has %v left", n, told, left)
 				}
 				hold(n, "last byte")
@@ -123,18 +123,18 @@
 			a.Deadline = time.Now().Add(4 * time.Second)
 		},
 	}
-	type holding struct {
+	type stallPoint struct {
 		moment string
 		length time.Duration
 		conns  int // that it takes
 	}
-	holdings := []holding{
+	holdings := []stallPoint{
 		{"none", 0, 1},
-		{"head", holdUp, 2},
-		{"head", shortHoldUp, 2},
-		{"pause", holdUp, 2},
-		{"pause", shortHoldUp, 2},
-		{"last byte", holdUp, 1},
+		{"head", stall, 2},
+		{"head", shortStall, 2},
+		{"pause", stall, 2},
+		{"pause", shortStall, 2},
+		{"last byte", stall, 1},
 	}
 	for kind, set := range kinds {
 		for _, held := range holdings {
@@ -146,7 +146,7 @@
 					a.Rules = precheck.RetryRules{Attempt: 1, MaxAttempts: 3}
 					set(&a)
 					client := a.Deadline.Add(testenv.Lim.AnswerEarly)
-					seen := watchWrites(t, c, func() time.Time { return client }, func(conn int, at string) {
+					seen := recordWrites(t, c, func() time.Time { return client }, func(conn int, at string) {
 						if at == held.moment && conn == 0 {
 							time.Sleep(held.length)
 						}
@@ -175,9 +175,9 @@
 	startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(1)
 	client := a.Deadline.Add(testenv.Lim.AnswerEarly)
-	seen := watchWrites(t, c, func() time.Time { return client }, func(_ int, moment string) {
+	seen := recordWrites(t, c, func() time.Time { return client }, func(_ int, moment string) {
 		if moment == "head" {
-			time.Sleep(holdUp)
+			time.Sleep(stall)
 		}
 	})
 	c.Send(a)
--- a/internal/executor/endpoints.go
+++ b/internal/executor/endpoints.go
@@ -83,8 +83,8 @@
 	return state.address
 }
 
-// lacksContact says that an executor has not shown itself for so long that its machine may be cut off.
-func (c *Client) lacksContact(id uint32) bool {
+// outOfContact says that an executor has not shown itself for so long that its machine may be cut off.
+func (c *Client) outOfContact(id uint32) bool {
 	state, known := c.endpoints.get(id)
 	return known && time.Since(state.lastContact) > c.limits.Pace.AckBeforeReuseAfter
 }
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -66,7 +66,7 @@
 }
 
 // restless are limits by which a connection is used again at once, for tests of what is seen of the connection itself.
-func withoutRest() limits.Limits {
+func withoutRestPeriod() limits.Limits {
 	lim := testenv.Lim
 	lim.Rest = 0
 	return lim
@@ -296,7 +296,7 @@
 
 // A connection that the executor closed while it stood idle is not used: what is written to it counts as sent.
 func TestClosedIdleConnections(t *testing.T) {
-	c, s := newClient(t, withoutRest())
+	c, s := newClient(t, withoutRestPeriod())
 	closed := make(chan bool)
 	n := startRawExecutor(
 		t,
@@ -422,7 +422,7 @@
 
 // Attempts follow one another on one connection; one that has stood idle for too long is not used again.
 func TestConnectionsAreKept(t *testing.T) {
-	lim := withoutRest()
+	lim := withoutRestPeriod()
 	lim.WorkerIdle = time.Hour
 	c, s := newClient(t, lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer, acceptedAnswer, acceptedAnswer))
@@ -452,7 +452,7 @@
 
 // An address where nobody listens: never ran. No executor of that number: never sent.
 func TestNoConnection(t *testing.T) {
-	c, s := newClient(t, withoutRest())
+	c, s := newClient(t, withoutRestPeriod())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -471,7 +471,7 @@
 
 // Giving up: before the 202 by closing the connection, after it by DELETE. Neither has an outcome of its own.
 func TestGiveUp(t *testing.T) {
-	c, s := newClient(t, withoutRest())
+	c, s := newClient(t, withoutRestPeriod())
 	got, ended := make(chan string, 4), make(chan bool, 1)
 	startRawExecutor(t, c, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
--- a/internal/executor/healthcheck.go
+++ b/internal/executor/healthcheck.go
@@ -41,7 +41,7 @@
 		if outcome == dispatch.Served {
 			report = c.reportFromJSON(gjson.ParseBytes(message.Body))
 		}
-		c.handler.HealthChecked(id, outcome, time.Since(began), report)
+		c.sink.HealthChecked(id, outcome, time.Since(began), report)
 		return nil
 	})
 }
--- a/internal/executor/pool.go
+++ b/internal/executor/pool.go
@@ -80,7 +80,7 @@
 func (p *pool) getIdle(addr string) *connection {
 	maxIdle := p.maxIdleTime(time.Now())
 	for {
-		conn := p.takeIdle(addr)
+		conn := p.takeRestedIdle(addr)
 		if conn == nil {
 			return nil
 		}
@@ -92,10 +92,10 @@
 	}
 }
 
-// takeIdle takes the idle connection that was used last and has rested: a second answer can follow the first by some
+// takeRestedIdle takes the idle connection that was used last and has rested: a second answer can follow the first by some
 // milliseconds, and would be taken for that of the next request, which then runs here and is sent elsewhere too, or is
 // waited for in vain.
-func (p *pool) takeIdle(addr string) *connection {
+func (p *pool) takeRestedIdle(addr string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := p.idle[addr]
--- a/internal/executor/returned.go
+++ b/internal/executor/returned.go
@@ -33,6 +33,6 @@
 	if t.returned.record(attempt.key, now, now.Add(c.limits.Returns)) {
 		return true
 	}
-	c.log.Info("request returned again", "job", attempt.key.trace, "executor", attempt.key.executor)
+	c.log.Info("request returned again", "job", attempt.key.traceID, "executor", attempt.key.executor)
 	return false
 }
--- a/internal/executor/send.go
+++ b/internal/executor/send.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// minToldTime is the least time that an executor is told: in whole milliseconds, less would be none.
-	minToldTime = time.Millisecond
+	// minTimeLeft is the least time that an executor is told: in whole milliseconds, less would be none.
+	minTimeLeft = time.Millisecond
 
 	// statusAccepted is the status by which an executor accepts a job.
 	statusAccepted = 202
@@ -72,7 +72,7 @@
 	}
 	// The executor is told what will be left once the request's last byte can be written.
 	told := c.limits.TellableTime(time.Until(attempt.Deadline) - conn.lastBytePause(c.limits))
-	if told < minToldTime {
+	if told < minTimeLeft {
 		return sendResult{outcome: dispatch.CanceledBeforeSend, reusable: true}
 	}
 	if !c.writeUpToLastByte(ctx, attempt, conn, told) {
@@ -115,12 +115,12 @@
 		c.recordSlowPeer(slowpeer.ExecutorReadsSlowly, attempt, conn, slow)
 		return false
 	}
-	if err != nil || !conn.isOpenAfterPause(c.limits) {
+	if err != nil || !conn.staysOpen(c.limits) {
 		c.recordReuse(ctx, conn, true)
 		return false
 	}
 	// An executor that has not shown itself for a while may be cut off: acknowledgements of its machine are waited for.
-	left, ok := conn.isAcknowledged(ctx, c.limits, c.lacksContact(attempt.Executor))
+	left, ok := conn.waitAcknowledged(ctx, c.limits, c.outOfContact(attempt.Executor))
 	if !ok && ctx.Err() == nil {
 		c.recordSlowPeer(slowpeer.RequestUnacked, attempt, conn, &slowpeer.Error{Direction: "out", Pending: left})
 	}
@@ -160,7 +160,7 @@
 		sent.outcome = dispatch.Errored
 		if message.Status != 500 {
 			c.log.Warn("unexpected answer of an executor", "status", message.Status, "executor", attempt.key.executor,
-				"address", conn.addr, "job", attempt.key.trace)
+				"address", conn.addr, "job", attempt.key.traceID)
 		}
 	}
 	sent.report = c.reportFromHeader(message)
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -34,7 +34,7 @@
 }
 
 // late counts how often the sink was told that a box owes a sign of an attempt.
-func (s *resultRecorder) lateNotes(id uint64) (n int) {
+func (s *resultRecorder) overdueNotes(id uint64) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range s.results {
@@ -69,10 +69,10 @@
 			c, s := newClient(t, withShortAcks())
 			startRawExecutor(t, c, script)
 			c.Send(newAttempt(1))
-			testenv.Until(t, "the word of it", func() bool { return s.lateNotes(1) > 0 })
+			testenv.Until(t, "the word of it", func() bool { return s.overdueNotes(1) > 0 })
 			time.Sleep(300 * time.Millisecond) // longer than it takes to be told again, were it told again
-			if got := s.outcomes(1); len(got) != 0 || s.lateNotes(1) != 1 {
-				t.Errorf("told %d times, outcomes %v", s.lateNotes(1), got)
+			if got := s.outcomes(1); len(got) != 0 || s.overdueNotes(1) != 1 {
+				t.Errorf("told %d times, outcomes %v", s.overdueNotes(1), got)
 			}
 			for range 3 {
 				if err := c.Callback([]byte(doneCallback)); err != nil && !errors.Is(err, ErrUnknownAttempt) { // repeats of one that ended
@@ -105,8 +105,8 @@
 		return len(s.results) > 0
 	})
 	time.Sleep(400 * time.Millisecond)
-	if s.lateNotes(1) != 0 || len(s.outcomes(1)) != 0 {
-		t.Errorf("late %d times, outcomes %v", s.lateNotes(1), s.outcomes(1))
+	if s.overdueNotes(1) != 0 || len(s.outcomes(1)) != 0 {
+		t.Errorf("late %d times, outcomes %v", s.overdueNotes(1), s.outcomes(1))
 	}
 }
 
@@ -130,8 +130,8 @@
 	})
 	c.Send(newAttempt(1))
 	<-closed
-	if got := s.outcomes(1); len(got) != 0 || s.lateNotes(1) != 0 || c.slowPeers.Count(slowpeer.ExecutorSendsSlowly) != 1 {
-		t.Errorf("outcomes %v, late %d, drips %d", got, s.lateNotes(1), c.slowPeers.Count(slowpeer.ExecutorSendsSlowly))
+	if got := s.outcomes(1); len(got) != 0 || s.overdueNotes(1) != 0 || c.slowPeers.Count(slowpeer.ExecutorSendsSlowly) != 1 {
+		t.Errorf("outcomes %v, late %d, drips %d", got, s.overdueNotes(1), c.slowPeers.Count(slowpeer.ExecutorSendsSlowly))
 	}
 	_ = c.Callback([]byte(doneCallback))
 	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served {
@@ -218,7 +218,7 @@
 	mu.Lock()
 	defer mu.Unlock()
 	for i := range uint64(4) {
-		told += s.lateNotes(i + 1)
+		told += s.overdueNotes(i + 1)
 	}
 	// The first one or two come due while the others are not late yet; from then on nobody is told of.
 	if told > 2 {
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -6,7 +6,7 @@
 	"gatetack/internal/dispatch"
 )
 
-// execute carries out one action of the module.
+// execute carries out one action of the dispatch module.
 func (c *Core) execute(a *dispatch.Action, now time.Time) {
 	switch a.Kind {
 	case dispatch.ActSend:
@@ -34,7 +34,8 @@
 	}
 }
 
-// send starts a job's next attempt. One that can't be sent any more ends at once.
+// send starts the job's next attempt. The attempt ends at once as canceled before send if the job is answered, the
+// executor is no longer listed, or no time is left.
 func (c *Core) send(a *dispatch.Action, now time.Time) {
 	j := c.jobs.byID[a.Job]
 	if j == nil {
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -1,8 +1,9 @@
-// Package node is the core of a node. It owns the dispatch module and feeds it: fronts hand in jobs and get answers,
-// and what carries out the module's actions stands behind the interfaces of this package. It knows no wire format.
+// Package node is the core of a node. It owns the dispatch module: fronts submit jobs to it and receive the answers,
+// and the adapters behind the interfaces of this package carry out the module's actions. The package knows no wire
+// format.
 //
-// One goroutine, that of Core.Run, owns the module and all state of jobs and attempts. Other goroutines hand it events
-// through a channel, and read a few values that are kept in atomics.
+// One goroutine, that of Core.Run, owns the module and the state of all jobs and attempts. Other goroutines post
+// events to it through a channel and read a few values that are stored in atomics.
 package node
 
 import (
@@ -16,16 +17,16 @@
 	"gatetack/internal/limits"
 )
 
-// maxEventsPerRound bounds how many events are taken in at a time: under a flood the module's step must still come in
-// time.
+// maxEventsPerRound limits how many events are handled before the next step of the module, so that a flood of events
+// does not delay the step.
 const maxEventsPerRound = 256
 
-// Core owns the dispatch module. Everything in it but the channels and the atomics belongs to the goroutine of Run.
+// Core owns the dispatch module. All fields except the channels and the atomics belong to the goroutine of Run.
 type Core struct {
 	limits     limits.Limits
 	log        *slog.Logger
 	settings   dispatch.Settings
-	names      Names // of zones and kinds, which stay; those of classes and tenants are in rules
+	names      Names // of zones and kinds, which never change; the current names of classes and tenants are in rules
 	dispatcher *dispatch.Dispatcher
 	adapters   adapters
 
@@ -50,26 +51,26 @@
 	peers     Peers
 }
 
-// intake is the way of events to the goroutine of Run.
+// intake passes events from other goroutines to the goroutine of Run.
 type intake struct {
 	events    chan event
-	stopped   chan struct{} // closed when Run has ended
+	stopped   chan struct{} // closed when Run returns
 	lastJobID atomic.Uint32
 }
 
-// status is what other goroutines ask of the node without waiting for its own.
+// status holds what other goroutines read without waiting for the goroutine of Run.
 type status struct {
-	hasReadyExecutor   atomic.Bool // the endpoint list names an executor that takes work
-	holdsJobs          atomic.Bool // nobody has confirmed the endpoint list yet
-	endpointsConfirmed atomic.Bool // an endpoint list of this incarnation has come
-	drained            atomic.Bool // by the operator: clients are sent elsewhere, what was accepted is answered
+	hasReadyExecutor   atomic.Bool // the endpoint list contains a ready executor
+	holdsJobs          atomic.Bool // jobs are held until the endpoint list is confirmed
+	endpointsConfirmed atomic.Bool // discovery has sent an endpoint list to this process
+	drained            atomic.Bool // by the operator: health checks fail, and accepted jobs are still answered
 }
 
-// clock tells the module's time, which does not follow the wall clock.
+// clock gives the module's time, which does not follow steps of the wall clock.
 type clock struct {
 	now     func() time.Time // tests replace it
 	start   time.Time
-	startMS float64 // in Unix milliseconds
+	startMS float64 // Unix time in milliseconds
 }
 
 func newClock() clock {
@@ -77,21 +78,22 @@
 	return clock{now: time.Now, start: start, startMS: float64(start.UnixMicro()) / 1000}
 }
 
-// unixMillis is Unix time in milliseconds that never runs backwards: endpoint lists tell starts in it.
+// unixMillis returns Unix time in milliseconds that never runs backwards. The module compares it with the start times
+// in endpoint lists, which are Unix times.
 func (c *clock) unixMillis(t time.Time) float64 {
 	return c.startMS + float64(c.sinceStart(t).Microseconds())/1000
 }
 
 func (c *clock) sinceStart(t time.Time) time.Duration { return t.Sub(c.start) }
 
-// pendingStep collects what the module's next step is given.
+// pendingStep collects the input of the module's next step.
 type pendingStep struct {
 	events    []dispatch.Event
-	actions   []dispatch.Action // of the last step; kept for its memory
+	actions   []dispatch.Action // of the last step; kept to reuse the allocation
 	notBefore time.Time
 }
 
-// New makes a core. The known list is its first event.
+// New returns a core. Its first event is the endpoint list known.
 func New(
 	s dispatch.Settings,
 	seed uint64,
@@ -122,12 +124,12 @@
 	return c, nil
 }
 
-// Connect sets what carries out the core's actions. It must be called before Run.
+// Connect sets the adapters that carry out the core's actions. It must be called before Run.
 func (c *Core) Connect(e Executors, l EndpointSource, p Peers) {
 	c.adapters = adapters{executors: e, endpoints: l, peers: p}
 }
 
-// Run owns the dispatch module until the context ends.
+// Run handles events and steps the dispatch module until the context ends.
 func (c *Core) Run(ctx context.Context) error {
 	defer close(c.intake.stopped)
 	timer := time.NewTimer(0)
@@ -146,7 +148,7 @@
 	}
 }
 
-// handleQueued takes in the events that have come already, up to a bound.
+// handleQueued handles the events that are already queued, up to maxEventsPerRound.
 func (c *Core) handleQueued() {
 	for range maxEventsPerRound {
 		select {
@@ -160,7 +162,7 @@
 
 func (c *Core) handle(e event) { e.apply(c, c.clock.now()) }
 
-// runDue takes in the timers that are due, and steps if there is something to step for and it is time.
+// runDue fires the timers that are due, and steps the module if events are pending and the step interval has passed.
 func (c *Core) runDue(now time.Time) {
 	c.fireTimers(now)
 	if c.holdsJobs(now) {
@@ -171,7 +173,7 @@
 	}
 }
 
-// step gives the pending events to the module and carries out its actions.
+// step passes the pending events to the module and carries out its actions.
 func (c *Core) step(now time.Time) {
 	p := &c.pending
 	p.notBefore = now.Add(FromMs(c.settings.MinStepInterval))
@@ -185,7 +187,7 @@
 
 func (c *Core) queueEvent(e dispatch.Event) { c.pending.events = append(c.pending.events, e) }
 
-// nextWake is when the core has something to do next, if nothing comes before.
+// nextWake returns when Run has to wake up if no event arrives earlier.
 func (c *Core) nextWake() time.Time {
 	const never = time.Hour
 	next := time.Now().Add(never)
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -58,13 +58,13 @@
 	}
 }
 
-// host drives a core without its goroutine, on a clock of its own, and stands for all it speaks to.
+// fakeAdapters drives a core without its goroutine, on a clock of its own, and implements all its adapters.
 type fakeAdapters struct {
 	core           *Core
 	now            time.Time
 	attempts       []Attempt
 	canceled       map[uint64]bool
-	sends          map[*Job][]uint32 // where each job went
+	sends          map[*Job][]uint32 // executors that each job was sent to
 	watches        int
 	endpointStatus map[string]string
 }
@@ -91,7 +91,7 @@
 	return h
 }
 
-// startHost makes one that has taken in nothing yet.
+// startFakeAdapters returns adapters of a core that has not handled any event yet.
 func startFakeAdapters(t fatal, rows ...Endpoint) *fakeAdapters {
 	h := &fakeAdapters{canceled: map[uint64]bool{}, sends: map[*Job][]uint32{}, endpointStatus: map[string]string{}}
 	c, err := New(settings(), 1, EndpointList{Entries: rows}, Names{Zones: []string{"tallinn"}, Kinds: []string{"type-a"}}, lim,
@@ -105,7 +105,7 @@
 	return h
 }
 
-// run lets time pass in small steps and takes in what is queued.
+// run advances the time in small steps and handles queued events.
 func (h *fakeAdapters) run(d time.Duration) {
 	for end := h.now.Add(d); ; h.now = h.now.Add(2 * time.Millisecond) {
 		for len(h.core.intake.events) > 0 {
@@ -122,7 +122,7 @@
 	return Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "tallinn", Kind: "type-a", Group: 1, Status: "ready", Weight: 1}
 }
 
-// client counts what a job's client is told.
+// recordingClient records the notifications of a job's client.
 type recordingClient struct {
 	answers                 []Answer
 	sent, started, returned int
@@ -134,11 +134,11 @@
 func (c *recordingClient) Requeued(bool) { c.returned++ }
 func (c *recordingClient) Answer(a Answer) {
 	if c.answers = append(c.answers, a); len(c.answers) > 1 {
-		c.t.Fatal("a second answer", c.answers)
+		c.t.Fatal("the client got a second answer:", c.answers)
 	}
 }
 
-// A tile-charge that may have run is never sent again, and is failed at once: its client must not be held.
+// An at-most-once job that may have run is not sent again. It fails at once instead of keeping its client waiting.
 func TestTileChargeRunsOnce(t *testing.T) {
 	for _, o := range []dispatch.Outcome{dispatch.Errored, dispatch.Reset} {
 		h, cl := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
@@ -152,16 +152,16 @@
 		h.core.Result(Result{Attempt: h.attempts[0].ID, Outcome: o})
 		h.run(50 * time.Millisecond)
 		if len(h.attempts) != 1 || len(cl.answers) != 1 || cl.answers[0].End != Failed {
-			t.Errorf("after %d: %d sends, answers %v", o, len(h.attempts), cl.answers)
+			t.Errorf("outcome %d: %d sends, answers %v, want one send and a failure", o, len(h.attempts), cl.answers)
 		}
 	}
 }
 
-// A box that has been told to drain, or is missing from a whole list, gets nothing new.
+// An executor that is draining, or that a snapshot of the endpoint list does not contain, gets no new jobs.
 func TestListsReachTheModule(t *testing.T) {
 	h := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2"))
 	if !h.core.Ready() || h.watches != 1 {
-		t.Fatalf("ready %v, %d watches", h.core.Ready(), h.watches)
+		t.Fatalf("ready %v, %d watches, want ready after one watch", h.core.Ready(), h.watches)
 	}
 	gone := readyEndpoint("s-1")
 	gone.Status = "draining"
@@ -177,26 +177,26 @@
 	}
 	h.run(20 * time.Millisecond)
 	if len(h.attempts) == 0 {
-		t.Fatal("nothing was sent")
+		t.Fatal("no job was sent")
 	}
 	for _, a := range h.attempts {
 		if a.Executor == ExecutorID("s-1") {
-			t.Error("a draining box got a job")
+			t.Error("a draining executor got a job")
 		}
 	}
 	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{gone}})
 	h.run(10 * time.Millisecond)
 	if h.endpointStatus["s-2"] != "gone" || h.core.Ready() {
-		t.Errorf("a box that a whole list lacks is %q; ready %v", h.endpointStatus["s-2"], h.core.Ready())
+		t.Errorf("status of an executor that the snapshot does not contain: %q, ready %v; want gone, not ready", h.endpointStatus["s-2"], h.core.Ready())
 	}
 	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListFailed})
 	h.run(3 * time.Second)
 	if h.watches < 2 {
-		t.Error("a failed watch was not begun anew")
+		t.Error("a failed watch was not restarted")
 	}
 }
 
-// A second job of an id that is open fails: callbacks name a job by its id alone.
+// A second job with the trace ID of an open job fails, since callbacks name a job by its trace ID alone.
 func TestIDsAreNotShared(t *testing.T) {
 	h, first, second := newFakeAdapters(t, readyEndpoint("s-1")), &recordingClient{t: t}, &recordingClient{t: t}
 	for _, cl := range []*recordingClient{first, second} {
@@ -206,11 +206,11 @@
 	}
 	h.run(10 * time.Millisecond)
 	if len(second.answers) != 1 || second.answers[0].End != Failed || len(first.answers) != 0 || len(h.attempts) != 1 {
-		t.Errorf("first %v, second %v, %d sends", first.answers, second.answers, len(h.attempts))
+		t.Errorf("first job: %v, second job: %v, %d sends; want only the second answered, as failed", first.answers, second.answers, len(h.attempts))
 	}
 }
 
-// A full queue is answered, not blocked on and not dropped.
+// A job that finds the event queue full is answered with an error: Submit neither blocks nor drops it.
 func TestFullQueue(t *testing.T) {
 	small := lim
 	small.Events = 2
@@ -222,11 +222,11 @@
 		t.Fatal(err)
 	}
 	if _, err = c.Submit(Job{TraceID: "b"}, &recordingClient{t: t}); !errors.Is(err, ErrQueueFull) || c.Open() != 1 {
-		t.Errorf("%v, %d open", err, c.Open())
+		t.Errorf("got %v with %d open jobs, want ErrQueueFull with 1", err, c.Open())
 	}
 }
 
-// A list in discovery's form, cut or spoiled anywhere, gives a list or an error.
+// An endpoint list that is truncated or corrupted at any position parses to a list or returns an error.
 func TestParseListOnGarbage(t *testing.T) {
 	good := `{"index":41,"snapshot":true,"endpoints":[{"name":"s-5be2a07c","address":"10.1.0.18:8443","zone":"a",` +
 		`"type":"m2","group":3,"status":"ready","weight":1.0,"since_ms":0}]}`
@@ -242,13 +242,14 @@
 		l, err := ParseEndpointList(gjson.ParseBytes(b[:rapid.IntRange(0, len(b)).Draw(t, "cut")]))
 		for _, e := range l.Entries {
 			if err == nil && e.Name == "" {
-				t.Fatal("an entry without a name")
+				t.Fatal("an entry without a name was accepted")
 			}
 		}
 	})
 }
 
-// Values come in the settings' order, by the names of either page; without any there is no report.
+// The values of a load report are returned in the order of the settings, whichever of its two names a field has.
+// Without any known field there is no report.
 func TestReport(t *testing.T) {
 	n := Names{Fields: []string{"pending", "x0"}}
 	for _, c := range []struct {
@@ -261,13 +262,13 @@
 	} {
 		got := n.LoadReport(func(name string) (float64, bool) { v, ok := c.in[name]; return v, ok })
 		if len(got) != len(c.want) || len(got) == 2 && (got[0] != c.want[0] || got[1] != c.want[1]) {
-			t.Errorf("%v: %v", c.in, got)
+			t.Errorf("report of %v: got %v", c.in, got)
 		}
 	}
 }
 
-// Two copies that are both served at the same moment give one answer: without the guard in Core.answer the client
-// would get a second one, and the counts would be wrong.
+// Two hedged attempts that are both served at the same moment lead to one answer. Without the guard in Core.answer the
+// client would get a second answer, and the counts would be wrong.
 func TestTwoCopiesOneAnswer(t *testing.T) {
 	h, cl := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
 	id, err := h.core.Submit(Job{Class: 1, TimeLeft: 25 * time.Second, Slots: 1, TraceID: "a"}, cl)
@@ -286,16 +287,16 @@
 	for _, a := range h.attempts {
 		h.core.Result(Result{Attempt: a.ID, Outcome: dispatch.Served, Body: []byte("tile")})
 	}
-	h.core.ClientGone(id) // and the client leaves as its answer is on the way
+	h.core.ClientGone(id) // the client leaves while its answer is on the way
 	h.run(50 * time.Millisecond)
 	if n := h.core.counters.Counts; len(cl.answers) != 1 || n.Served != 1 || n.ClientsGone != 0 || h.core.Open() != 0 ||
 		len(h.core.jobs.byID) != 0 {
-		t.Errorf("answers %v, counts %+v, %d open", cl.answers, n, h.core.Open())
+		t.Errorf("answers %v, counts %+v, %d open; want one answer and no open job", cl.answers, n, h.core.Open())
 	}
 }
 
-// An attempt of which nothing is heard ends as timed out, is given up, and the job is failed while its client
-// still waits; the module's own word comes before the core's last resort.
+// An attempt without any response times out and is canceled, and its job fails before its client's deadline. The
+// module's decision comes before the core's own fallback.
 func TestTimeOut(t *testing.T) {
 	h, cl := newFakeAdapters(t, readyEndpoint("s-1")), &recordingClient{t: t}
 	if _, err := h.core.Submit(Job{TimeLeft: time.Second, Slots: 1, TraceID: "a"}, cl); err != nil {
@@ -303,16 +304,17 @@
 	}
 	h.run(960 * time.Millisecond)
 	if len(cl.answers) != 0 || len(h.attempts) != 1 {
-		t.Fatalf("too early: %v, %d sends", cl.answers, len(h.attempts))
+		t.Fatalf("before the time-out: answers %v, %d sends, want no answer and one send", cl.answers, len(h.attempts))
 	}
 	h.run(25 * time.Millisecond)
 	if len(cl.answers) != 1 || cl.answers[0].End != Failed || !h.canceled[h.attempts[0].ID] {
-		t.Errorf("15 ms before the client gives up: %v, given up %v", cl.answers, h.canceled)
+		t.Errorf("15 ms before the client's deadline: answers %v, canceled %v, want one failure and a cancel", cl.answers, h.canceled)
 	}
 }
 
-// A node that may be killed any moment answers what came after its signal: unanswered, that would count as lost.
-// What nothing was sent of is refused, what came before may still be served, and nothing more is taken.
+// A process that may be killed at any moment answers the jobs that came after its signal, since a job without an
+// answer counts as lost. Jobs that were never sent are rejected, jobs that were sent before the signal may still be
+// served, and new jobs are rejected.
 func TestLeave(t *testing.T) {
 	h := newFakeAdapters(t, readyEndpoint("s-1"))
 	submit := func(trace string) *recordingClient {
@@ -324,43 +326,43 @@
 		return cl
 	}
 	old := submit("old")
-	told := h.now
+	signaledAt := h.now
 	h.run(4 * time.Millisecond)
 	sent, held := submit("sent"), (*recordingClient)(nil)
 	for i := 0; held == nil; i++ {
 		if i > 20 {
-			t.Fatal("the module holds nothing: the test would show nothing")
+			t.Fatal("the module queued no job, so the test has no job that was never sent")
 		}
 		if cl := submit(string(rune('a' + i))); cl.sent == 0 && len(cl.answers) == 0 {
 			held = cl
 		}
 	}
 	if old.sent != 1 || sent.sent != 1 {
-		t.Fatalf("sent %d and %d, want one each: the test would show nothing", old.sent, sent.sent)
+		t.Fatalf("the jobs had %d and %d sends, want one each", old.sent, sent.sent)
 	}
-	h.core.ShutDown(told)
+	h.core.ShutDown(signaledAt)
 	h.run(20 * time.Millisecond)
 	late := submit("late")
 	for what, cl := range map[string]*recordingClient{"held": held, "late": late} {
 		if len(cl.answers) != 1 || cl.answers[0].End != Rejected || cl.answers[0].RetryAfter <= 0 || cl.sent != 0 {
-			t.Errorf("%s: %+v, sent %d", what, cl.answers, cl.sent)
+			t.Errorf("%s: answers %+v after %d sends, want one rejection with a retry-after", what, cl.answers, cl.sent)
 		}
 	}
 	if len(sent.answers) != 1 || sent.answers[0].End != Failed {
-		t.Errorf("a job that may have run: %+v", sent.answers)
+		t.Errorf("a job that may have run: answers %+v, want a failure", sent.answers)
 	}
 	if len(old.answers) != 0 {
-		t.Fatalf("a job from before: %+v", old.answers)
+		t.Fatalf("a job that was sent before the signal: answers %+v, want none yet", old.answers)
 	}
 	h.core.Result(Result{Attempt: h.attempts[0].ID, Outcome: dispatch.Served, Body: []byte("tile")})
 	h.run(20 * time.Millisecond)
 	if len(old.answers) != 1 || old.answers[0].End != Served {
-		t.Errorf("a job from before that was served: %+v", old.answers)
+		t.Errorf("a job that was sent before the signal and served: answers %+v", old.answers)
 	}
 }
 
-// Where the operators' file bounds the jobs that one customer may have open, one more is turned away at once, others
-// are not, and an end makes room.
+// With a limit on the open jobs of a tenant, one job beyond it is rejected at once, other tenants' jobs are accepted,
+// and an answered job frees its place.
 func TestCustomersShare(t *testing.T) {
 	h := newFakeAdapters(t, readyEndpoint("s-1"))
 	h.core.limits.Pace.MaxCustomerRequests = 2
@@ -381,38 +383,39 @@
 		0,
 	); !errors.Is(err, ErrTenantLimit) || h.core.Open() != 2 ||
 		h.core.SlowPeers().Count(slowpeer.ClientOverShare) != 1 {
-		t.Errorf("%v, %d open", err, h.core.Open())
+		t.Errorf("got %v with %d open jobs, want ErrTenantLimit with 2", err, h.core.Open())
 	}
 	if _, err := submit("d", 1); err != nil {
-		t.Errorf("another customer: %v", err)
+		t.Errorf("another tenant's job: %v", err)
 	}
 	h.run(6 * time.Second)
 	if _, err := submit("e", 0); err != nil || h.core.Open() != 1 {
-		t.Errorf("after their ends: %v, %d open", err, h.core.Open())
+		t.Errorf("after the end of the first jobs: %v, %d open", err, h.core.Open())
 	}
 }
 
-// A node that starts while discovery is down is ready after a while, with no list or one that names nobody who takes
-// work; once a list of this life has come, that says.
+// A node that starts while discovery is down becomes ready after ReadyBy, with no cached list or with one that
+// contains no ready executor. Once discovery has sent a list to this process, that list determines whether the node is
+// ready.
 func TestReadyWithoutAList(t *testing.T) {
-	drains := readyEndpoint("s-1")
-	drains.Status = "draining"
-	for _, known := range [][]Endpoint{nil, {drains}} {
+	draining := readyEndpoint("s-1")
+	draining.Status = "draining"
+	for _, known := range [][]Endpoint{nil, {draining}} {
 		h := newFakeAdapters(t, known...)
 		c := h.core
 		c.handle(endpointUpdate{EndpointList{Form: dispatch.ListFailed}})
 		h.now = c.clock.start.Add(c.limits.ReadyBy - 1)
 		if c.Ready() {
-			t.Error("ready before")
+			t.Error("ready before ReadyBy")
 		}
 		if h.now = h.now.Add(1); !c.Ready() {
-			t.Error("not ready")
+			t.Error("not ready after ReadyBy")
 		}
 		if c.handle(endpointUpdate{EndpointList{Form: dispatch.ListSnapshot}}); c.Ready() {
-			t.Error("ready though the list names nobody")
+			t.Error("ready though the list is empty")
 		}
 		if c.handle(endpointUpdate{EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-1")}}}); !c.Ready() {
-			t.Error("not ready with a list")
+			t.Error("not ready though the list contains a ready executor")
 		}
 	}
 }
--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -8,23 +8,23 @@
 	"gatetack/internal/slowpeer"
 )
 
-// counters are what the core's goroutine counts, and the slow peers that fronts and carriers count.
+// counters holds the counts of the core's goroutine, and the slow peers that fronts and adapters report.
 type counters struct {
 	Counts
 	slowPeers slowpeer.Counters
 }
 
-// Counts are what the node did since its start. Both fronts show the same ones.
+// Counts is what the node has done since its start. Both fronts report the same counts.
 type Counts struct {
 	Accepted, Served, Rejected, Failed, Terminated, ClientsGone int
 	Sends, Open, Queued, Running                                int
-	// SlowPeers are the slow peers by kind, as JSON; see slowpeer.Tally.
+	// SlowPeers holds the slow peers by kind, as JSON; see slowpeer.Tally.
 	SlowPeers []byte
-	// Knowledge tells how current the node's knowledge is; see recovery.Knowledge.
+	// Knowledge tells for each kind of data how current it is; see recovery.Knowledge.
 	Knowledge map[string]string
 }
 
-// JSON gives the counts as both fronts show them.
+// JSON returns the counts in the form in which both fronts report them.
 func (n Counts) JSON() []byte {
 	out := fmt.Appendf(nil, `{"taken":%d,"served":%d,"refused":%d,"failed":%d,"terminated":%d,"gone":%d,`+
 		`"sends":%d,"open":%d,"queued":%d,"running":%d`, n.Accepted, n.Served, n.Rejected, n.Failed, n.Terminated, n.ClientsGone,
@@ -53,10 +53,10 @@
 	}
 }
 
-// SlowPeers counts the slow peers that the core's carriers and fronts find; the counts show them.
+// SlowPeers returns the tally to which adapters and fronts add slow peers. Counts reports it.
 func (c *Core) SlowPeers() *slowpeer.Counters { return &c.counters.slowPeers }
 
-// currentCounts adds to the counts what is open at this moment.
+// currentCounts returns the counts together with the jobs that are open, queued and running at the moment.
 func (c *Core) currentCounts(now time.Time) Counts {
 	counts := c.counters.Counts
 	counts.SlowPeers = c.counters.slowPeers.JSON()
--- a/internal/node/deadline_test.go
+++ b/internal/node/deadline_test.go
@@ -7,8 +7,8 @@
 	"gatetack/internal/dispatch"
 )
 
-// First attempts, retries and hedged requests all end AnswerEarly before their client leaves, whenever they are made:
-// the time that an executor is told is counted from that end.
+// First attempts, retries and hedged attempts all end AnswerEarly before their client's deadline, whenever they are
+// sent. The time left that an executor gets is counted from that end.
 func TestAttemptsEndBeforeTheirClientLeaves(t *testing.T) {
 	type kind struct {
 		sends  int
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2"))
 			const left = 3 * time.Second
-			clientLeaves := h.now.Add(left)
+			clientDeadline := h.now.Add(left)
 			id, err := h.core.Submit(Job{Class: 1, TimeLeft: left, Slots: 1, TraceID: "a"}, &recordingClient{t: t})
 			if err != nil {
 				t.Fatal(err)
@@ -42,11 +42,11 @@
 			x.second(h, id)
 			h.run(time.Second)
 			if len(h.attempts) != x.sends {
-				t.Fatalf("%d sends, want %d", len(h.attempts), x.sends)
+				t.Fatalf("got %d sends, want %d", len(h.attempts), x.sends)
 			}
 			for i, a := range h.attempts {
-				if latest := clientLeaves.Add(-lim.AnswerEarly); a.Deadline.After(latest) {
-					t.Errorf("attempt %d ends %v after the latest moment", i+1, a.Deadline.Sub(latest))
+				if latest := clientDeadline.Add(-lim.AnswerEarly); a.Deadline.After(latest) {
+					t.Errorf("attempt %d ends %v after AnswerEarly before the client's deadline", i+1, a.Deadline.Sub(latest))
 				}
 			}
 		})
--- a/internal/node/endpoint.go
+++ b/internal/node/endpoint.go
@@ -10,7 +10,7 @@
 	"gatetack/internal/dispatch"
 )
 
-// Endpoint is one executor in a list.
+// Endpoint is the entry of one executor in an endpoint list.
 type Endpoint struct {
 	Name, Address, Zone, Kind string
 	Group                     int
@@ -19,14 +19,14 @@
 	StartedAtMs               float64
 }
 
-// EndpointList is what discovery or an inventory tells: the whole list or changes of it.
+// EndpointList is an endpoint list from discovery or from an inventory: a snapshot or a delta.
 type EndpointList struct {
 	Form    dispatch.ListForm
 	Index   uint64
 	Entries []Endpoint
 }
 
-// ParseEndpointList reads a list in discovery's form. Form is full or delta.
+// ParseEndpointList parses a list in discovery's format. Its form is ListSnapshot or ListDelta.
 func ParseEndpointList(v gjson.Result) (EndpointList, error) {
 	l := EndpointList{Form: dispatch.ListDelta, Index: v.Get("index").Uint()}
 	if v.Get("snapshot").Bool() {
@@ -34,21 +34,22 @@
 	}
 	entries := v.Get("endpoints")
 	if !entries.IsArray() {
-		return l, errors.New("a list without endpoints")
+		return l, errors.New("endpoint list: endpoints is missing or not an array")
 	}
 	for i, e := range entries.Array() {
 		x := Endpoint{Name: e.Get("name").String(), Address: e.Get("address").String(), Zone: e.Get("zone").String(),
 			Kind: e.Get("type").String(), Group: int(e.Get("group").Int()), Status: e.Get("status").String(),
 			Weight: e.Get("weight").Float(), StartedAtMs: e.Get("since_ms").Float()}
 		if x.Name == "" {
-			return l, fmt.Errorf("entry %d has no name", i)
+			return l, fmt.Errorf("endpoint list: entry %d has no name", i)
 		}
 		l.Entries = append(l.Entries, x)
 	}
 	return l, nil
 }
 
-// Condition of an entry. A word that is not known is taken as draining: nothing new goes there.
+// Condition returns the condition that the entry's status stands for. An unknown status counts as draining, so that
+// the executor gets no new work.
 func (e *Endpoint) Condition() dispatch.Condition {
 	switch e.Status {
 	case "ready":
@@ -59,7 +60,8 @@
 	return dispatch.Draining
 }
 
-// ExecutorID is an executor's number at every node: peers name executors to one another by it.
+// ExecutorID returns the number of an executor. It depends on the name alone, so that all nodes use the same number
+// for an executor in the messages to one another.
 func ExecutorID(name string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	unknownPosition = 255 // of a name that the settings do not have
+	unknownPosition = 255 // of a name that the settings do not contain
 	maxPosition     = 254
 	statusGone      = "gone"
 )
 
-// endpointTable holds the executors that the endpoint list names, and how far the list is to be relied on.
+// endpointTable holds the listed executors and how current the endpoint list is.
 type endpointTable struct {
 	byID      map[uint32]Endpoint
 	knowledge *recovery.Knowledge
 }
 
 func newEndpointTable(s dispatch.Settings, lim limits.Limits) endpointTable {
-	// A list that must be asked for counts as it was for the time to ask within, and several times that after a failed
-	// call.
+	// A polled list stays fresh for the poll interval, and usable for FailedPollFactor times as long, which covers
+	// failed calls.
 	fresh := max(FromMs(s.MaxPollInterval), lim.Staleness.MaxStaleness)
 	usable := time.Duration(lim.Staleness.FailedPollFactor) * fresh
 	bounds := map[recovery.Kind]recovery.AgeBounds{recovery.EndpointList: {Fresh: fresh, Usable: usable}}
 	return endpointTable{byID: map[uint32]Endpoint{}, knowledge: recovery.NewKnowledge(bounds)}
 }
 
-// hasReady says whether an executor takes work.
+// hasReady reports whether any listed executor is ready.
 func (t *endpointTable) hasReady() bool {
 	for _, endpoint := range t.byID {
 		if endpoint.Condition() == dispatch.Ready {
@@ -41,18 +41,19 @@
 	return false
 }
 
-// ListConfirmed takes in that the list of executors stands as it was last told.
+// ListConfirmed reports that the endpoint list is unchanged since the last update.
 func (c *Core) ListConfirmed() { c.post(listConfirmed{}) }
 
-// confirmEndpoints notifies the module that the list stands, as a change of no row: an executor's start that is
-// notified later happened after now. Before the first list of this process there is nothing to confirm.
+// confirmEndpoints notifies the module that the list is unchanged, as a delta without rows: the module concludes that
+// a start of an executor that is listed later happened after this moment. Before the first list of this process there
+// is nothing to confirm.
 func (c *Core) confirmEndpoints() {
 	if c.status.endpointsConfirmed.Load() {
 		c.queueEvent(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta})
 	}
 }
 
-// applyEndpointList passes a list, or a change of it, on to the module and to what carries attempts.
+// applyEndpointList passes a snapshot or delta on to the module and to the executor adapter.
 func (c *Core) applyEndpointList(l EndpointList, now time.Time) {
 	c.confirmKnowledge(l, now)
 	if l.Form == dispatch.ListSnapshot || l.Form == dispatch.ListCached {
@@ -68,7 +69,7 @@
 	c.queueEvent(e)
 }
 
-// confirmKnowledge notes how current the list is now.
+// confirmKnowledge records how current the endpoint list is after an update.
 func (c *Core) confirmKnowledge(l EndpointList, now time.Time) {
 	age := c.clock.sinceStart(now)
 	switch l.Form {
@@ -82,7 +83,7 @@
 	}
 }
 
-// removeUnlisted removes the executors that a snapshot of the list does not name.
+// removeUnlisted removes the executors that a snapshot of the list does not contain.
 func (c *Core) removeUnlisted(l EndpointList, now time.Time) {
 	listed := map[uint32]bool{}
 	for i := range l.Entries {
@@ -97,11 +98,12 @@
 	}
 }
 
-// applyEndpoint takes in one executor's entry, unless it shares its number with another executor.
+// applyEndpoint applies the entry of one executor. It ignores the entry and returns false if another executor has the
+// same number.
 func (c *Core) applyEndpoint(endpoint *Endpoint, now time.Time) bool {
 	id := ExecutorID(endpoint.Name)
 	if known, ok := c.endpoints.byID[id]; ok && known.Name != endpoint.Name {
-		c.log.Error("executor ignored, its number is another's", "executor", endpoint.Name, "other", known.Name)
+		c.log.Error("executor ignored: its number is already in use by another executor", "executor", endpoint.Name, "other", known.Name)
 		return false
 	}
 	if endpoint.Condition() == dispatch.Removed {
@@ -113,7 +115,7 @@
 	return true
 }
 
-// row is an executor's entry as the module takes it.
+// row converts an executor's entry to the module's form.
 func (c *Core) row(endpoint *Endpoint) dispatch.EndpointUpdate {
 	return dispatch.EndpointUpdate{
 		Executor:  ExecutorID(endpoint.Name),
@@ -126,7 +128,7 @@
 	}
 }
 
-// position of a name in a list of the settings.
+// position returns the index of a name in a list of the settings, at most maxPosition, or unknownPosition.
 func position(names []string, name string) uint8 {
 	i := slices.Index(names, name)
 	if i < 0 {
@@ -135,13 +137,13 @@
 	return uint8(min(i, maxPosition))
 }
 
-// ExecutorInfo is an executor as the node sees it.
+// ExecutorInfo is a listed executor together with this node's load on it.
 type ExecutorInfo struct {
 	Endpoint
-	InFlight int // attempts of this node that are out there
+	InFlight int // attempts of this node
 }
 
-// listedExecutors are the listed executors, by name.
+// listedExecutors returns the listed executors, sorted by name.
 func (c *Core) listedExecutors() []ExecutorInfo {
 	inFlight := map[uint32]int{}
 	for _, a := range c.jobs.attempts {
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -6,12 +6,12 @@
 	"gatetack/internal/dispatch"
 )
 
-// event is something that fronts and carriers hand to the core. The goroutine of Run applies it.
+// event is what fronts and adapters post to the core. The goroutine of Run applies it.
 type event interface {
 	apply(c *Core, now time.Time)
 }
 
-// post hands an event in that must not be lost. It waits for a place, and only the core's end makes it give up.
+// post queues an event that must not be lost. It blocks while the queue is full, until Run has returned.
 func (c *Core) post(e event) {
 	select {
 	case c.intake.events <- e:
@@ -19,12 +19,12 @@
 	}
 }
 
-// submittedJob is a job that a front handed in.
+// submittedJob is a job that a front submitted.
 type submittedJob struct{ job *job }
 
 func (e submittedJob) apply(c *Core, now time.Time) { c.addJob(e.job, now) }
 
-// clientLeft says that the client of a job has left: no answer is owed to it.
+// clientLeft reports that the client of a job has left and that the job needs no answer.
 type clientLeft struct{ job uint32 }
 
 func (e clientLeft) apply(c *Core, _ time.Time) {
@@ -38,32 +38,32 @@
 	c.release(j)
 }
 
-// attemptResult is what came of an attempt.
+// attemptResult is the result of an attempt, or a note on its progress.
 type attemptResult struct{ Result }
 
 func (e attemptResult) apply(c *Core, now time.Time) { c.handleResult(e.Result, now) }
 
-// endpointUpdate is an endpoint list or a change of it.
+// endpointUpdate is a snapshot or delta of the endpoint list.
 type endpointUpdate struct{ EndpointList }
 
 func (e endpointUpdate) apply(c *Core, now time.Time) { c.applyEndpointList(e.EndpointList, now) }
 
-// listConfirmed is the event that a watch said that nothing has changed since its last line.
+// listConfirmed reports that the endpoint list has not changed since the last line of the watch.
 type listConfirmed struct{}
 
 func (listConfirmed) apply(c *Core, _ time.Time) { c.confirmEndpoints() }
 
-// listCallFailed is the event that a call for the endpoint list failed.
+// listCallFailed reports that a call for the endpoint list failed.
 type listCallFailed struct{}
 
 func (listCallFailed) apply(c *Core, _ time.Time) { c.startup.watch.CallFailed() }
 
-// moduleEvent is passed on to the module as it is.
+// moduleEvent is passed on to the module unchanged.
 type moduleEvent struct{ dispatch.Event }
 
 func (e moduleEvent) apply(c *Core, _ time.Time) { c.queueEvent(e.Event) }
 
-// terminateRequest asks for the end of a job of which nothing was sent.
+// terminateRequest asks to terminate a job that was never sent.
 type terminateRequest struct {
 	job  uint32
 	done chan error
@@ -71,7 +71,8 @@
 
 func (e terminateRequest) apply(c *Core, _ time.Time) { e.done <- c.terminate(e.job) }
 
-// shutdown says that the node may end at any moment, and after which time jobs are answered at once.
+// shutdown reports that the process may end at any moment. Jobs that were accepted later than after are answered at
+// once.
 type shutdown struct{ after time.Time }
 
 func (e shutdown) apply(c *Core, _ time.Time) { c.beginShutdown(e.after) }
@@ -79,7 +80,7 @@
 // configChange puts new rules in force.
 type configChange struct {
 	rules   *Rules
-	origins map[int]int // where the places whose rules are new take what was learned from
+	origins map[int]int // maps a class with new rules to the class whose learned state it takes over
 	done    chan error
 }
 
@@ -91,7 +92,7 @@
 	c.reconfigure(e, now)
 }
 
-// executorsRequest asks for the executors as the node sees them.
+// executorsRequest asks for the listed executors.
 type executorsRequest chan []ExecutorInfo
 
 func (e executorsRequest) apply(c *Core, _ time.Time) { e <- c.listedExecutors() }
--- a/internal/node/job.go
+++ b/internal/node/job.go
@@ -7,16 +7,16 @@
 	"gatetack/internal/precheck"
 )
 
-// job is a job that is owed an answer, or of which an attempt is in flight.
+// job is a job that is not answered yet, or that has attempts in flight.
 type job struct {
 	id         uint32
 	request    Job
 	client     Client
 	acceptedAt time.Time
 	deadline   time.Time
-	rules      *Rules      // those that it came under
-	answered   atomic.Bool // or its client has left: nothing is owed. Other goroutines read it.
-	inFlight   int         // attempts
+	rules      *Rules      // in force when the job was accepted
+	answered   atomic.Bool // true also after the client has left; other goroutines read it
+	inFlight   int         // number of attempts
 	mayHaveRun bool
 	attempts   []*attempt
 }
@@ -24,22 +24,22 @@
 // attempt is one attempt of a job.
 type attempt struct {
 	id         uint64
-	index      uint16 // among those of its job
+	index      uint16 // among the attempts of the job
 	job        *job
 	executor   uint32
 	sentAt     time.Time
 	ended      bool
-	mayHaveRun bool // it is in flight, or may have run
+	mayHaveRun bool // true while the attempt is in flight, and after an end that does not exclude that it ran
 	started    bool
 }
 
-// jobTable holds the jobs and the attempts that are in flight.
+// jobTable holds the jobs and the attempts in flight.
 type jobTable struct {
 	byID          map[uint32]*job
 	byTrace       map[string]*job
 	attempts      map[uint64]*attempt
 	lastAttemptID uint64
-	shuttingDown  bool // nothing more is taken in
+	shuttingDown  bool // new jobs are rejected
 }
 
 func newJobTable() jobTable {
@@ -48,13 +48,13 @@
 
 func (t *jobTable) add(j *job) { t.byID[j.id], t.byTrace[j.request.TraceID] = j, j }
 
-// remove drops a job and frees its trace id.
+// remove deletes a job and frees its trace ID.
 func (t *jobTable) remove(j *job) {
 	delete(t.byID, j.id)
 	delete(t.byTrace, j.request.TraceID)
 }
 
-// addAttempt begins a job's next attempt.
+// addAttempt adds the next attempt of a job.
 func (t *jobTable) addAttempt(j *job, executor uint32, now time.Time) *attempt {
 	t.lastAttemptID++
 	a := &attempt{
@@ -71,7 +71,8 @@
 	return a
 }
 
-// retryRules are the rules for the next attempt of a job, by those it came under and what became of the ones before.
+// retryRules returns the rules for the job's next attempt, from the rules under which the job was accepted and the
+// outcomes of its earlier attempts.
 func (j *job) retryRules() precheck.RetryRules {
 	settings := &j.rules.Settings
 	class := settings.Classes[min(j.request.Class, len(settings.Classes)-1)]
@@ -80,7 +81,7 @@
 		MaxAttempts: settings.MaxAttempts,
 		RetrySafety: class.RetrySafety,
 	}
-	for _, a := range j.attempts { // in the order of their sending: the first that counts is the earliest
+	for _, a := range j.attempts { // in the order in which they were sent: the window counts from the earliest that may have run
 		if a.mayHaveRun && !rules.MayHaveRun {
 			rules.MayHaveRun, rules.WindowEnd = true, a.sentAt.Add(FromMs(class.DedupWindow))
 		}
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -6,11 +6,11 @@
 	"gatetack/internal/dispatch"
 )
 
-// shuttingDownReason is the answer to a job of a node that is about to end.
+// shuttingDownReason is the reason given to jobs that are answered because the node shuts down.
 const shuttingDownReason = "the node leaves"
 
-// addJob takes in a job that a front handed in. Callbacks name a job by its trace id alone: a second job of an id that
-// is open could get the first one's result.
+// addJob adds a job that a front submitted. A second job with the trace ID of an open job fails: callbacks name a job
+// by its trace ID alone, so it could get the result of the first.
 func (c *Core) addJob(j *job, now time.Time) {
 	c.counters.Accepted++
 	if j.request.TraceID == "" || c.jobs.byTrace[j.request.TraceID] != nil {
@@ -27,7 +27,7 @@
 	c.startTimer(j.deadline.Add(-c.limits.AnswerEarly), jobDeadline(j.id))
 }
 
-// requestEvent is a job as the module takes it.
+// requestEvent converts a job to the module's request event.
 func requestEvent(j *job, now time.Time) dispatch.Event {
 	request := &j.request
 	e := dispatch.Event{
@@ -51,13 +51,13 @@
 	return e
 }
 
-// markAnswered marks that nothing more is owed for a job.
+// markAnswered marks a job as answered and frees its place among the open jobs.
 func (c *Core) markAnswered(j *job) {
 	j.answered.Store(true)
 	c.unreserve(j)
 }
 
-// answer gives a job's final answer, once.
+// answer gives a job its final answer, unless it already has one.
 func (c *Core) answer(j *job, a Answer) {
 	if j.answered.Load() {
 		return
@@ -68,21 +68,21 @@
 	c.release(j)
 }
 
-// answerByID gives the final answer of a job that may be over.
+// answerByID gives the final answer to a job that may no longer exist.
 func (c *Core) answerByID(id uint32, a Answer) {
 	if j := c.jobs.byID[id]; j != nil {
 		c.answer(j, a)
 	}
 }
 
-// release drops a job that is answered once none of its attempts is in flight.
+// release deletes a job once it is answered and none of its attempts is in flight.
 func (c *Core) release(j *job) {
 	if j.answered.Load() && j.inFlight == 0 && c.jobs.byID[j.id] == j {
 		c.jobs.remove(j)
 	}
 }
 
-// terminate ends a job of which nothing was sent.
+// terminate ends a job that was never sent.
 func (c *Core) terminate(id uint32) error {
 	j := c.jobs.byID[id]
 	switch {
@@ -91,14 +91,14 @@
 	case j.inFlight > 0 || j.mayHaveRun:
 		return ErrRunning
 	}
-	// The module hears that the client left: that ends a job without an answer of its own.
+	// The module is notified that the client left, which ends the job without an answer by the module.
 	c.queueEvent(dispatch.Event{Kind: dispatch.EvClientGone, Job: id})
 	c.answer(j, Answer{End: Terminated, Reason: "terminated before it was sent"})
 	return nil
 }
 
-// handleResult takes in what came of an attempt. What comes after its end is passed over: each ActSend gets exactly
-// one outcome.
+// handleResult handles the result of an attempt, or a note on its progress. It ignores everything that follows the
+// attempt's end, so that each ActSend gets exactly one outcome.
 func (c *Core) handleResult(r Result, now time.Time) {
 	a := c.jobs.attempts[r.Attempt]
 	if a == nil || a.ended {
@@ -124,7 +124,7 @@
 	c.finish(a, r.Outcome, r.Report, r.Body, now)
 }
 
-// finish ends an attempt, and answers its job where it was served.
+// finish ends an attempt, and answers its job if the attempt was served.
 func (c *Core) finish(a *attempt, outcome dispatch.Outcome, report []float32, body []byte, now time.Time) {
 	j := a.job
 	a.ended = true
@@ -146,8 +146,8 @@
 	c.release(j)
 }
 
-// answerOverdue sees to it that a job is answered before its client gives up, should the module not have done so by a
-// step after its time-outs.
+// answerOverdue answers a job shortly before its client's deadline if the module has not done so in the step after the
+// job's time-out.
 func (c *Core) answerOverdue(id uint32, now time.Time) {
 	j := c.jobs.byID[id]
 	if j == nil || j.answered.Load() {
@@ -163,7 +163,8 @@
 	c.answerUndecided(j, "its time is over")
 }
 
-// beginShutdown answers what came after a time and whatever nothing was sent of; nothing more is taken in.
+// beginShutdown rejects new jobs from now on, and answers the jobs that were accepted later than after and those that
+// were never sent.
 func (c *Core) beginShutdown(after time.Time) {
 	c.jobs.shuttingDown = true
 	for _, j := range c.jobs.byID {
@@ -174,7 +175,7 @@
 	}
 }
 
-// answerUndecided ends a job without the module, which hears that the client left.
+// answerUndecided answers a job without a decision of the module, which is notified that the client left.
 func (c *Core) answerUndecided(j *job, why string) {
 	a := Answer{End: Failed, Reason: why}
 	if j.inFlight == 0 && !j.mayHaveRun {
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Names are the names that the settings give to the positions the decision module counts by.
+// Names holds the names of the settings, each at the index by which the decision module counts it.
 type Names struct {
-	Classes, Tenants, Zones, Kinds, Fields []string // a class's place that is no longer named has none
+	Classes, Tenants, Zones, Kinds, Fields []string // a class that the settings no longer contain has the empty name
 
 	Retired []RetiredClass
 }
 
-// Class finds a class by its name: one that is named now, or that was until shortly before now.
+// Class returns the index of a class by its name. It also finds a class that was retired recently.
 func (n *Names) Class(name string) (int, bool) {
 	if name == "" {
 		return -1, false
@@ -28,14 +28,15 @@
 	return n.Retired[i].Class, true
 }
 
-// Tenant finds a tenant by its name.
+// Tenant returns the index of a tenant by its name.
 func (n *Names) Tenant(name string) (int, bool) { i := slices.Index(n.Tenants, name); return i, i >= 0 }
 
-// loadReportAliases are the names that load reports use for the fields of the settings, where they differ.
+// loadReportAliases maps the name of a field in the settings to its name in load reports, where they differ.
 var loadReportAliases = map[string]string{"pending": "queue", "busy_reqs": "inflight", "cpu_share": "util",
 	"svc_ms": "latency_ms", "served_ps": "qps", "failed_ps": "eps"}
 
-// LoadReport orders the values of a load report as the settings name them; nil if it holds none of them.
+// LoadReport returns the values of a load report in the order of the settings' fields, with NaN for a missing value
+// that others follow. It returns nil if the report has none of the fields.
 func (n *Names) LoadReport(value func(name string) (float64, bool)) []float32 {
 	var out []float32
 	for i, name := range n.Fields {
--- a/internal/node/oneanswer_test.go
+++ b/internal/node/oneanswer_test.go
@@ -9,16 +9,16 @@
 	"gatetack/internal/dispatch"
 )
 
-// submittedByTest is a job of the model, with what must hold for it.
+// submittedByTest is a job of the model, with the state that its answer depends on.
 type submittedByTest struct {
 	id       uint32
 	client   *recordingClient
 	deadline time.Time
-	ran      bool // an attempt of it may have run
-	left     bool // its client has
+	ran      bool // an attempt may have run
+	left     bool // the client has left
 }
 
-// answerModel plays random events at a core and keeps what each job may be answered.
+// answerModel posts random events to a core and tracks which answers each job may get.
 type answerModel struct {
 	t       *rapid.T
 	h       *fakeAdapters
@@ -26,7 +26,7 @@
 	byTrace map[string]*submittedByTest
 }
 
-// playEvent plays one event.
+// playEvent posts one random event.
 func (m *answerModel) playEvent(step int) {
 	switch rapid.IntRange(0, 6).Draw(m.t, "what") {
 	case 0, 1:
@@ -62,7 +62,7 @@
 	m.jobs, m.byTrace[trace] = append(m.jobs, job), job
 }
 
-// endAttempt gives an outcome, now and then of an attempt that has ended.
+// endAttempt posts an outcome, sometimes for an attempt that has already ended.
 func (m *answerModel) endAttempt() {
 	if len(m.h.attempts) == 0 {
 		return
@@ -77,7 +77,7 @@
 	m.h.core.Result(Result{Attempt: a.ID, Outcome: outcome, Body: []byte("tile"), Report: []float32{0, 2}})
 }
 
-// runToTheEnd lets the time of all jobs pass, and checks that none is answered late.
+// runToTheEnd advances the time past the deadlines of all jobs and checks that none is answered late.
 func (m *answerModel) runToTheEnd() {
 	for end := m.h.now.Add(3100 * time.Millisecond); m.h.now.Before(end); {
 		m.h.run(2 * time.Millisecond)
@@ -86,7 +86,7 @@
 				continue
 			}
 			if late := m.h.now.Sub(job.deadline); late > 10*time.Millisecond {
-				m.t.Fatal("a job without an answer", late, "after its client gave up")
+				m.t.Fatal("a job has no answer", late, "after its client's deadline")
 			}
 		}
 	}
@@ -95,11 +95,11 @@
 func (m *answerModel) checkAnswers() {
 	for _, job := range m.jobs {
 		if len(job.client.answers) == 0 && !job.left {
-			m.t.Fatal("a job without an answer")
+			m.t.Fatal("a job has no answer")
 		}
 		for _, a := range job.client.answers {
 			if a.End == Rejected && job.ran {
-				m.t.Fatal("refused, though it may have run")
+				m.t.Fatal("a job was rejected though it may have run")
 			}
 		}
 	}
@@ -110,7 +110,7 @@
 	for _, a := range sent {
 		attempts[a.Job.TraceID]++
 		if attempts[a.Job.TraceID] > 3 {
-			m.t.Fatal("more than three attempts")
+			m.t.Fatal("a job had more than three attempts")
 		}
 	}
 }
@@ -119,12 +119,12 @@
 	core := m.h.core
 	attempts, jobs, traces, open := len(core.jobs.attempts), len(core.jobs.byID), len(core.jobs.byTrace), core.Open()
 	if attempts != 0 || jobs != 0 || traces != 0 || open != 0 {
-		m.t.Fatal("something is kept of jobs that are over:", attempts, jobs, traces, open)
+		m.t.Fatal("state of ended jobs is left (attempts, jobs, trace IDs, open jobs):", attempts, jobs, traces, open)
 	}
 }
 
-// Whatever comes, in whatever order and how often: each job gets one answer before its client gives up, unless the
-// client left; a refusal is given only where no attempt may have run; and no job has more attempts than it may.
+// For any events in any order and number, each job gets one answer before its client's deadline, unless the client has
+// left; a job is rejected only if no attempt may have run; and no job has more attempts than MaxAttempts.
 func TestOneAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &answerModel{t: t, h: newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2"))}
--- a/internal/node/openjobs.go
+++ b/internal/node/openjobs.go
@@ -6,14 +6,15 @@
 	"gatetack/internal/slowpeer"
 )
 
-// openJobs counts the jobs that are owed an answer. Any goroutine may use it.
+// openJobs counts the jobs that are not answered yet. It is safe for concurrent use.
 type openJobs struct {
 	total    atomic.Int64
-	byTenant []atomic.Int64 // where the operators' file bounds them
+	byTenant []atomic.Int64 // used if the limits bound the open jobs of a tenant
 }
 
-// reserve counts an open job, unless there are too many: of all, or of its tenant where the file bounds those. Which
-// job is admitted is the module's decision; this keeps what waits to be given to it from growing without bound.
+// reserve counts an open job. It fails if there are too many open jobs, in total or of the job's tenant where the
+// limits bound these. Admission is the module's decision; reserve keeps the number of jobs that wait for that decision
+// bounded.
 func (c *Core) reserve(j *job) error {
 	if int(c.open.total.Add(1)) > c.limits.MaxOpen {
 		c.open.total.Add(-1)
@@ -28,7 +29,7 @@
 	return nil
 }
 
-// unreserve gives back what reserve counted.
+// unreserve takes back the count of reserve.
 func (c *Core) unreserve(j *job) {
 	c.open.total.Add(-1)
 	if c.limits.Pace.MaxCustomerRequests > 0 && j.request.Tenant < len(c.open.byTenant) {
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -10,21 +10,22 @@
 
 // Errors of Submit.
 var (
-	// ErrQueueFull is the answer to a job for which the core's queue has no place.
+	// ErrQueueFull is returned for a job that exceeds the limit of open jobs or finds the core's event queue full.
 	ErrQueueFull = errors.New("node: the queue of events is full")
-	// ErrTenantLimit is the answer to a job whose tenant has as many open as the operators' file allows.
+	// ErrTenantLimit is returned for a job whose tenant has as many open jobs as the limits allow.
 	ErrTenantLimit = errors.New("node: the customer has as many open as it may")
 )
 
 // Errors of Terminate.
 var (
-	// ErrRunning says that an attempt of the job is in flight, or may have run.
+	// ErrRunning is returned for a job with an attempt that is in flight or may have run.
 	ErrRunning = errors.New("node: the job was sent and is not stopped")
-	// ErrUnknown says that no such job waits for an answer.
+	// ErrUnknown is returned if no open job has the ID.
 	ErrUnknown = errors.New("node: no such job is open")
 )
 
-// Submit hands in a job. Unless it fails, the client gets one answer, or ClientGone is called. It never blocks.
+// Submit queues a job and returns its ID. Unless it fails, the client gets exactly one answer, or ClientGone is
+// called. Submit never blocks.
 func (c *Core) Submit(in Job, client Client) (uint32, error) {
 	now := c.clock.now()
 	j := &job{id: c.intake.lastJobID.Add(1), request: in, client: client, acceptedAt: now, deadline: now.Add(in.TimeLeft)}
@@ -40,17 +41,17 @@
 	}
 }
 
-// ClientGone says that a job's client has left. Its answer may cross with it.
+// ClientGone reports that a job's client has left. The job's answer may already be on its way.
 func (c *Core) ClientGone(id uint32) { c.post(clientLeft{id}) }
 
-// ShutDown says that the node may end any moment. What it took after a time, and whatever nothing was sent of, is
-// answered now, and so is all that still comes; what is older may yet be served.
+// ShutDown reports that the process may end at any moment. Jobs that were accepted later than after, jobs that were
+// never sent, and jobs submitted from now on are answered at once. Older jobs that were sent may still be served.
 func (c *Core) ShutDown(after time.Time) { c.post(shutdown{after}) }
 
-// Result takes what came of an attempt.
+// Result takes the result of an attempt, or a note on its progress.
 func (c *Core) Result(r Result) { c.post(attemptResult{r}) }
 
-// HealthChecked takes what came of a probe.
+// HealthChecked takes the result of a health check.
 func (c *Core) HealthChecked(worker uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
 	c.post(
 		moduleEvent{
@@ -61,7 +62,7 @@
 	)
 }
 
-// UpdateEndpoints takes a list or a change of it.
+// UpdateEndpoints takes a snapshot or delta of the endpoint list.
 func (c *Core) UpdateEndpoints(l EndpointList) { c.post(endpointUpdate{l}) }
 
 // PeerMessage takes a message of another node.
@@ -69,8 +70,8 @@
 	c.post(moduleEvent{dispatch.Event{Kind: dispatch.EvGossip, From: from, Data: data}})
 }
 
-// Terminate ends a job of which nothing was sent, or else says why not. A job that was sent goes on: nothing
-// stops it at an executor.
+// Terminate ends a job that was never sent, or returns why it cannot. A job that was sent goes on, since executors
+// offer no way to stop it.
 func (c *Core) Terminate(ctx context.Context, id uint32) error {
 	done := make(chan error, 1)
 	c.post(terminateRequest{id, done})
@@ -84,7 +85,7 @@
 	}
 }
 
-// Counts tells what was done so far.
+// Counts returns the node's counts.
 func (c *Core) Counts(ctx context.Context) (Counts, error) {
 	request := make(countsRequest, 1)
 	c.post(request)
@@ -98,7 +99,7 @@
 	}
 }
 
-// Executors tells which executors are listed, by name, and what of this node is out there.
+// Executors returns the listed executors, sorted by name, with the attempts of this node in flight.
 func (c *Core) Executors(ctx context.Context) ([]ExecutorInfo, error) {
 	request := make(executorsRequest, 1)
 	c.post(request)
@@ -112,12 +113,13 @@
 	}
 }
 
-// Rules are those in force. A place in them stands for the same class or tenant for as long as a job of it can be open.
+// Rules returns the rules in force. An index in them stands for the same class or tenant for as long as one of its
+// jobs can be open.
 func (c *Core) Rules() *Rules { return c.rules.Load() }
 
-// Retune puts settings read anew in force: new jobs come under them, open ones keep the rules they came under. Late is
-// how long jobs of a class that is no longer named are still taken. After an error all is as it was. Calls must not
-// overlap.
+// Retune puts new settings in force. New jobs follow them, and open jobs keep the rules under which they were
+// accepted. Jobs of a class that the new settings do not contain are still accepted for the time late. After an error
+// the old settings stay in force. Calls must not overlap.
 func (c *Core) Retune(ctx context.Context, s dispatch.Settings, names Names, late time.Duration) error {
 	next, origins, err := c.Rules().Retune(s, names, c.clock.now(), late)
 	if err != nil {
@@ -135,9 +137,9 @@
 	}
 }
 
-// Ready says whether the node can serve: it runs and its list names an executor that takes work. For a list it does not
-// wait longer than a while: discovery may be down, and a node that refuses what it can not send is of more use than
-// none.
+// Ready reports whether the node can serve: it does not hold jobs, and its endpoint list contains a ready executor.
+// Without a list from discovery the node counts as ready after ReadyBy: if discovery is down, a node that rejects what
+// it cannot send is of more use than none.
 func (c *Core) Ready() bool {
 	if c.status.holdsJobs.Load() {
 		return false
@@ -146,15 +148,16 @@
 		!c.status.endpointsConfirmed.Load() && c.clock.sinceStart(c.clock.now()) >= c.limits.ReadyBy
 }
 
-// Drain marks the node as drained by its operator: it tells clients to go elsewhere, and goes on answering what it
-// took. It says whether the node was serving before; a second drain changes nothing.
+// Drain marks the node as drained by the operator: its health checks fail, so that clients go elsewhere, and it goes
+// on answering the jobs it accepted. Drain reports whether the node was not drained before; a second call changes
+// nothing.
 func (c *Core) Drain() bool { return !c.status.drained.Swap(true) }
 
-// Activate undoes a drain; on a node that was not drained it changes nothing. It says whether the node was drained.
+// Activate reverts a drain and reports whether the node was drained.
 func (c *Core) Activate() bool { return c.status.drained.Swap(false) }
 
-// Drained says whether the operator has drained the node.
+// Drained reports whether the operator has drained the node.
 func (c *Core) Drained() bool { return c.status.drained.Load() }
 
-// Open is how many jobs are owed an answer.
+// Open returns the number of jobs that are not answered yet.
 func (c *Core) Open() int { return int(c.open.total.Load()) }
--- a/internal/node/rules.go
+++ b/internal/node/rules.go
@@ -9,15 +9,15 @@
 	"gatetack/internal/dispatch"
 )
 
-// Rules are the settings in force and the names of their positions. One value is never changed: a retune makes another.
+// Rules holds the settings in force and their names. A value is immutable: Retune returns a new one.
 type Rules struct {
 	Settings dispatch.Settings
 	Names    Names
 }
 
-// RetiredClass is the place of a class that is no longer named, or whose rules are new: what clients still send under its
-// name is taken until a time, unless the name stands for another place, and from another time on nothing of it can be
-// open.
+// RetiredClass is the index of a class that the settings no longer contain, or of the old rules of a class whose rules
+// have changed. Requests under its name are accepted until AcceptedUntil, unless the name stands for another index. At
+// ReusableAt no job of it can be open any more, and the index may be reused.
 type RetiredClass struct {
 	Name          string
 	Class         int
@@ -25,10 +25,11 @@
 	ReusableAt    time.Time
 }
 
-// Retune makes rules of those in force and of settings read anew. A class or tenant is the same if its name is; a class
-// whose rules differ gets a place of its own, so that open jobs keep those they came under. It says where the places
-// whose rules are new take what was learned from. Everything but classes, tenants and what dispatch.Dispatcher.Retune
-// takes over stays as it is. Late is how long a class that is no longer named is still taken.
+// Retune derives new rules from the rules in force and new settings. Classes and tenants are identified by name. A
+// class whose rules differ gets a new index, so that open jobs keep the rules under which they were accepted; the
+// returned map gives for each such index the old index whose learned state it takes over. Everything except classes,
+// tenants and what dispatch.Dispatcher.Retune takes over stays unchanged. Late is how long a class that the new
+// settings do not contain is still accepted.
 func (r *Rules) Retune(
 	s dispatch.Settings,
 	names Names,
@@ -50,7 +51,7 @@
 	from := map[int]int{}
 	for i, name := range names.Classes {
 		if slices.Contains(names.Classes[:i], name) {
-			return nil, nil, fmt.Errorf("settings.requestClasses.%d.name: %q stands twice, expected a name of its own", i, name)
+			return nil, nil, fmt.Errorf("settings.requestClasses.%d.name: duplicate name %q, expected unique names", i, name)
 		}
 		was := slices.Index(r.Names.Classes, name)
 		if was >= 0 && r.Settings.Classes[was] == s.Classes[i] {
@@ -80,19 +81,20 @@
 				until.Add(FromMs(r.Settings.Classes[i].Deadline) + time.Second)})
 		}
 	}
-	for _, i := range free { // until another takes the place
+	for _, i := range free { // reusable until another class takes the index
 		next.Names.Retired = append(next.Names.Retired, RetiredClass{Class: i})
 	}
 	return next, from, next.retuneTenants(r, s, names)
 }
 
-// tenants keeps the tenants' places by name; one that is no longer named keeps its place with no share.
+// retuneTenants keeps the index of each tenant by name. A tenant that the new settings do not contain keeps its index
+// and has no share.
 func (r *Rules) retuneTenants(was *Rules, s dispatch.Settings, names Names) error {
 	r.Names.Tenants = slices.Clone(was.Names.Tenants)
 	r.Settings.Tenants = make([]dispatch.Tenant, len(was.Settings.Tenants))
 	if len(was.Settings.Tenants) == 0 && len(s.Tenants) > 0 || len(was.Settings.Tenants) > 0 && len(s.Tenants) == 0 {
 		return fmt.Errorf(
-			"settings.tenants: %d in place of %d, expected some or none as at the start",
+			"settings.tenants: %d tenants in place of %d, expected none if there were none at the start, else at least one",
 			len(s.Tenants),
 			len(was.Settings.Tenants),
 		)
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -22,8 +22,8 @@
 	return s, n
 }
 
-// A class keeps its place while its rules stay; one that is new, or whose rules are, gets a place of its own, and what
-// its name stood for is still taken for a while. A place is used again only once nothing of it can be open.
+// A class keeps its index while its rules are unchanged. A new class, or one with new rules, gets an index of its own,
+// and the old one is still accepted for a while. An index is reused only once no job of it can be open.
 func TestRetuneKeepsPlaces(t *testing.T) {
 	classes := map[string]dispatch.Class{
 		"a": {Deadline: 1000, RetrySafety: dispatch.AtMostOnce},
@@ -39,10 +39,10 @@
 		t.Fatalf("%v %v %+v", err, from, r)
 	}
 	if i, ok := r.Names.Class("a"); !ok || i != 0 {
-		t.Errorf("the class that was dropped just now is taken: %v %v", i, ok)
+		t.Errorf("class a, retired just now: index %v, found %v, want 0, true", i, ok)
 	}
 	if _, ok := r.Names.Class(""); ok {
-		t.Error("a place without a name is found by no name")
+		t.Error("the empty name finds a retired class")
 	}
 	classes["b"] = dispatch.Class{Deadline: 2000, RetrySafety: dispatch.AtMostOnce}
 	s, n = rulesOf(classes, "c", "b")
@@ -59,9 +59,10 @@
 		"b",
 	); i != 3 || r.Settings.Classes[1].RetrySafety != dispatch.Idempotent ||
 		r.Settings.Classes[3].RetrySafety != dispatch.AtMostOnce {
-		t.Errorf("b is at %d of %+v", i, r.Settings.Classes)
+		t.Errorf("class b has index %d of %+v, want 3 with its new rules", i, r.Settings.Classes)
 	}
-	// A minute and the deadline after it was dropped, a's place is free; b's old one is not for a second more.
+	// The index of a is free once a minute and a's deadline have passed since it was retired; the old index of b is
+	// not for one more second.
 	classes["d"] = dispatch.Class{Deadline: 70}
 	s, n = rulesOf(classes, "c", "b", "d")
 	if r, _, err = r.Retune(
@@ -75,11 +76,11 @@
 	}
 	n.Classes[1] = "c"
 	if _, _, err = r.Retune(s, n, now, 0); err == nil {
-		t.Error("a name that stands twice is taken")
+		t.Error("a duplicate class name was accepted")
 	}
 }
 
-// drawRules draws settings with some of four classes, one at least.
+// drawRules draws settings with one to four classes.
 func drawRules(t *rapid.T) (dispatch.Settings, Names) {
 	classes, order := map[string]dispatch.Class{}, []string{}
 	for _, name := range []string{"a", "b", "c", "d"} {
@@ -92,38 +93,39 @@
 	return rulesOf(classes, order...)
 }
 
-// openPlace is a job at the place of a class, and the rules that it came under.
-type openPlace struct {
+// openClassJob is a job of a class, with the rules under which it was accepted.
+type openClassJob struct {
 	class int
 	rules dispatch.Class
 	until time.Time
 }
 
-// openPlaces are a job at each place that a client can reach between two times, at the last moment at which it can.
-func openPlaces(r *Rules, now, next time.Time) (jobs []openPlace) {
+// openClassJobs returns a job for each class index that a client can reach between two times, accepted at the last
+// possible moment.
+func openClassJobs(r *Rules, now, next time.Time) (jobs []openClassJob) {
 	for i, name := range r.Names.Classes {
 		if c := r.Settings.Classes[i]; name != "" {
-			jobs = append(jobs, openPlace{i, c, next.Add(FromMs(c.Deadline))})
+			jobs = append(jobs, openClassJob{i, c, next.Add(FromMs(c.Deadline))})
 		}
 	}
 	for _, x := range r.Names.Retired {
 		if c := r.Settings.Classes[x.Class]; x.Name != "" && now.Before(x.AcceptedUntil) {
-			jobs = append(jobs, openPlace{x.Class, c, x.AcceptedUntil.Add(FromMs(c.Deadline))})
+			jobs = append(jobs, openClassJob{x.Class, c, x.AcceptedUntil.Add(FromMs(c.Deadline))})
 		}
 	}
 	return jobs
 }
 
-// Whatever is read, one after another: a place never changes its rules while a job that was taken under them can be
-// open, and each class that a file names is found with that file's rules.
+// For any sequence of settings, the rules at an index never change while a job that was accepted under them can be
+// open, and each class of the current settings is found with its rules.
 func TestRetuneNeverChangesAnOpenPlace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, n := drawRules(t)
 		r, now := &Rules{s, n}, time.Now()
-		var jobs []openPlace
+		var jobs []openClassJob
 		for range rapid.IntRange(1, 12).Draw(t, "files") {
 			next := now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
-			jobs = append(jobs, openPlaces(r, now, next)...)
+			jobs = append(jobs, openClassJobs(r, now, next)...)
 			now = next
 			s, n = drawRules(t)
 			then, _, err := r.Retune(s, n, now, 500*time.Millisecond)
@@ -132,12 +134,12 @@
 			}
 			for i, name := range n.Classes {
 				if at, ok := then.Names.Class(name); !ok || then.Settings.Classes[at] != s.Classes[i] {
-					t.Fatalf("%s is at %d, %v, with %+v, want %+v", name, at, ok, then.Settings.Classes, s.Classes[i])
+					t.Fatalf("class %s: index %d, found %v, classes %+v, want the rules %+v", name, at, ok, then.Settings.Classes, s.Classes[i])
 				}
 			}
 			for _, j := range jobs {
 				if now.Before(j.until) && then.Settings.Classes[j.class] != j.rules {
-					t.Fatalf("class %d changed while a job of it was open", j.class)
+					t.Fatalf("the rules at index %d changed while a job of it was open", j.class)
 				}
 			}
 			r = then
@@ -145,7 +147,7 @@
 	})
 }
 
-// A retune reaches the module, where open jobs keep their rules; one that the module can not take changes nothing.
+// A retune reaches the module, in which open jobs keep their rules. A retune that the module rejects changes nothing.
 func TestCoreRetunes(t *testing.T) {
 	s, n := rulesOf(map[string]dispatch.Class{"a": {Deadline: 1000}}, "a")
 	c, err := New(s, 1, EndpointList{}, n, lim, slog.New(slog.DiscardHandler))
@@ -163,7 +165,7 @@
 		t.Errorf("%v %+v", err, c.Rules())
 	}
 	if i, ok := c.Rules().Names.Class("b"); !ok || i != 1 {
-		t.Errorf("b is at %d", i)
+		t.Errorf("class b has index %d, want 1", i)
 	}
 	was := c.Rules()
 	next.MaxAttempts = 0
@@ -172,6 +174,6 @@
 	}
 	stop()
 	if err := <-done; err != nil {
-		t.Error("the core ended with", err)
+		t.Error("Run returned", err)
 	}
 }
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -7,18 +7,19 @@
 	"gatetack/internal/endpointwatch"
 )
 
-// startup is what a core does until its endpoint list is confirmed: it takes no step and holds the jobs that come.
+// startup is the state of a core that waits for its endpoint list to be confirmed: it does not step the module, and
+// holds the jobs it accepts.
 type startup struct {
 	watch          endpointwatch.Startup
-	waitingChanges []configChange // that came meanwhile
+	waitingChanges []configChange // received during the wait
 }
 
-// ListCallFailed takes in that a call for the list of executors failed.
+// ListCallFailed reports that a call for the endpoint list failed.
 func (c *Core) ListCallFailed() { c.post(listCallFailed{}) }
 
-// AwaitList makes the core hold what it accepts until the list that it was started with is confirmed, or
-// endpointwatch.Startup says that it is not waited for any more. It must be called before Run. A core that knows of no
-// executor sends nothing and holds nothing.
+// AwaitList makes the core hold the jobs it accepts until the endpoint list that it was started with is confirmed, or
+// until endpointwatch.Startup gives up waiting. Known is the number of executors in that list; without any there is
+// nothing to send to, and no job is held. AwaitList must be called before Run.
 func (c *Core) AwaitList(known int) {
 	if known == 0 {
 		return
@@ -27,7 +28,7 @@
 	c.status.holdsJobs.Store(true)
 }
 
-// holdsJobs says whether jobs are held now. When they no longer are, it lets them go to the module.
+// holdsJobs reports whether jobs are held. When the wait ends it releases them to the module.
 func (c *Core) holdsJobs(now time.Time) bool {
 	if !c.status.holdsJobs.Load() {
 		return false
@@ -48,7 +49,7 @@
 	return false
 }
 
-// refreshTimeLeft counts the time that a held job's client still waits from now on.
+// refreshTimeLeft updates the time left of a request that was held.
 func (c *Core) refreshTimeLeft(e *dispatch.Event, now time.Time) {
 	if e.Kind != dispatch.EvRequest {
 		return
@@ -58,7 +59,7 @@
 	}
 }
 
-// reconfigure puts new rules in force. What came before them is the module's to decide by the old ones.
+// reconfigure puts new rules in force. Events that were queued earlier are decided under the old rules.
 func (c *Core) reconfigure(change configChange, now time.Time) {
 	if len(c.pending.events) > 0 {
 		c.step(now)
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -7,7 +7,7 @@
 	"gatetack/internal/dispatch"
 )
 
-// restarted is a core that was started with an old list, which nobody has confirmed.
+// newHoldingAdapters returns adapters of a core that was started with a cached list which is not confirmed yet.
 func newHoldingAdapters(t *testing.T, rows ...Endpoint) *fakeAdapters {
 	t.Helper()
 	h := startFakeAdapters(t, rows...)
@@ -24,8 +24,9 @@
 	return n
 }
 
-// Nothing is sent on the list of an earlier life before a list of this one has come, and then nothing to an executor
-// that was gone meanwhile. What had been taken is sent at once, with the time that its client has left by then.
+// Before discovery has sent a list to this process nothing is sent on the cached list of an earlier process, and
+// afterwards nothing to an executor that has been removed meanwhile. Jobs that were held are sent at once, with the
+// time that their client has left by then.
 func TestJobsAreHeldUntilTheListIsConfirmed(t *testing.T) {
 	h := newHoldingAdapters(t, readyEndpoint("s-gone"))
 	held := &recordingClient{t: t}
@@ -34,19 +35,20 @@
 	}
 	h.run(time.Second)
 	if h.sent() != 0 || h.core.Ready() {
-		t.Fatalf("%d sends and ready %v on a list that nobody has confirmed", h.sent(), h.core.Ready())
+		t.Fatalf("%d sends, ready %v before the list is confirmed, want 0 sends, not ready", h.sent(), h.core.Ready())
 	}
 	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-new")}})
 	h.run(time.Second)
 	if !h.core.Ready() || h.sent() != 1 || h.attempts[0].Executor != ExecutorID("s-new") {
-		t.Fatalf("ready %v, sent %v", h.core.Ready(), h.sends)
+		t.Fatalf("ready %v, sends %v, want one send to s-new", h.core.Ready(), h.sends)
 	}
 	if latest := h.core.clock.start.Add(7 * time.Second); h.attempts[0].Deadline.After(latest) {
-		t.Errorf("sent until %v after the start, its client leaves after 7 s", h.attempts[0].Deadline.Sub(h.core.clock.start))
+		t.Errorf("the attempt ends %v after the start, later than its client's deadline at 7 s", h.attempts[0].Deadline.Sub(h.core.clock.start))
 	}
 }
 
-// Where the first call fails, or is not answered for as long as a call may take, the core goes on with the list it has.
+// If the first call fails, or is not answered within the time a call may take, the core continues with the cached
+// list.
 func TestCoreGoesOnWithTheOldList(t *testing.T) {
 	for what, wait := range map[string]func(h *fakeAdapters){
 		"the call fails": func(h *fakeAdapters) { h.core.ListCallFailed(); h.run(time.Second) },
@@ -63,19 +65,19 @@
 		}
 		h.run(100 * time.Millisecond)
 		if h.sent() != 0 {
-			t.Errorf("%s: sent before", what)
+			t.Errorf("%s: a job was sent while jobs are held", what)
 		}
 		if wait(h); h.sent() != 1 || !h.core.Ready() {
-			t.Errorf("%s: %d sends, ready %v", what, h.sent(), h.core.Ready())
+			t.Errorf("%s: %d sends, ready %v, want 1 send, ready", what, h.sent(), h.core.Ready())
 		}
 	}
 }
 
-// A job whose time ends while it is held is refused, and so is one that is held when the node is told to leave.
+// A job whose deadline passes while it is held is rejected, and so is a job that is held when the node shuts down.
 func TestHeldJobsAreAnswered(t *testing.T) {
 	for what, end := range map[string]func(h *fakeAdapters){
-		"its time ends":   func(h *fakeAdapters) { h.run(time.Second) },
-		"the node leaves": func(h *fakeAdapters) { h.core.ShutDown(h.now); h.run(0) },
+		"deadline": func(h *fakeAdapters) { h.run(time.Second) },
+		"shutdown": func(h *fakeAdapters) { h.core.ShutDown(h.now); h.run(0) },
 	} {
 		h := newHoldingAdapters(t, readyEndpoint("s-old"))
 		cl := &recordingClient{t: t}
@@ -84,16 +86,17 @@
 		}
 		h.run(10 * time.Millisecond)
 		if end(h); len(cl.answers) != 1 || cl.answers[0].End != Rejected {
-			t.Errorf("%s: %+v", what, cl.answers)
+			t.Errorf("%s: answers %+v, want one rejection", what, cl.answers)
 		}
 		h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-old")}})
 		if h.run(time.Second); h.sent() != 0 {
-			t.Errorf("%s: sent after its answer", what)
+			t.Errorf("%s: the job was sent after its answer", what)
 		}
 	}
 }
 
-// New rules that come while jobs are held are put in force after them: open jobs keep the rules they came under.
+// New rules that arrive while jobs are held are put in force after the held jobs, which keep the rules under which
+// they were accepted.
 func TestRetuneWaitsForHeldJobs(t *testing.T) {
 	h := newHoldingAdapters(t, readyEndpoint("s-old"))
 	to := make(chan error, 1)
@@ -104,15 +107,15 @@
 	h.core.post(configChange{rules, from, to})
 	h.run(100 * time.Millisecond)
 	if len(to) != 0 {
-		t.Error("put in force while jobs are held")
+		t.Error("the rules were put in force while jobs are held")
 	}
 	h.core.ListCallFailed()
 	if h.run(100 * time.Millisecond); len(to) != 1 || h.core.Rules() != rules {
-		t.Error("not put in force after that")
+		t.Error("the rules were not put in force after the wait")
 	}
 }
 
-// A watch that says that nothing has changed confirms the list to the module, once this process has had a list.
+// A watch that reports no change confirms the list to the module, once this process has received a list.
 func TestConfirmedListReachesTheModule(t *testing.T) {
 	h := newFakeAdapters(t, readyEndpoint("s-1"))
 	confirm := func() []dispatch.Event {
@@ -121,13 +124,13 @@
 		return h.core.pending.events
 	}
 	if batch := confirm(); len(batch) != 0 {
-		t.Errorf("%+v, though there is no list to confirm yet", batch)
+		t.Errorf("events %+v before there is a list to confirm, want none", batch)
 	}
 	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-1")}})
 	h.run(100 * time.Millisecond)
 	batch := confirm()
 	if len(batch) != 1 || batch[0].Kind != dispatch.EvEndpoints || batch[0].Form != dispatch.ListDelta ||
 		len(batch[0].Rows) != 0 {
-		t.Errorf("%+v, want one change of no row", batch)
+		t.Errorf("events %+v, want one delta without rows", batch)
 	}
 }
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -10,7 +10,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// FromMs makes a time of the milliseconds that the module and its settings count in.
+// FromMs converts milliseconds, the unit of the module and its settings, to a duration.
 func FromMs(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 func earlier(a, b time.Time) time.Time {
@@ -20,9 +20,9 @@
 	return a
 }
 
-type moduleTimer uint32    // of the module
-type attemptTimeout uint64 // of an attempt
-type jobDeadline uint32    // of a job
+type moduleTimer uint32    // token of a timer of the module
+type attemptTimeout uint64 // ID of the attempt
+type jobDeadline uint32    // ID of the job
 
 type timer struct {
 	at      time.Time
@@ -44,7 +44,7 @@
 
 func (c *Core) startTimer(t time.Time, what any) { heap.Push(&c.timers, timer{t, what}) }
 
-// fire takes in the timers that are due.
+// fireTimers handles the timers that are due.
 func (c *Core) fireTimers(now time.Time) {
 	for len(c.timers) > 0 && !c.timers[0].at.After(now) {
 		switch what := heap.Pop(&c.timers).(timer).payload.(type) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// RoundRetryAfter rounds a time to stay away up to whole milliseconds within a bound, for the fronts.
+// RoundRetryAfter rounds a retry-after up to whole milliseconds, limited to most.
 func RoundRetryAfter(d, most time.Duration) time.Duration {
 	ms := time.Duration(math.Ceil(float64(d) / float64(time.Millisecond)))
 	return min(ms*time.Millisecond, most)
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -8,72 +8,72 @@
 	"gatetack/internal/precheck"
 )
 
-// Job is a request as a front hands it in.
+// Job is a request as a front submits it.
 type Job struct {
 	Class, Tenant int
 	Key           uint64
-	TimeLeft      time.Duration // until its client gives up
+	TimeLeft      time.Duration // until the client's deadline
 	Slots, Memory float64
-	Work          float64   // hint, 0 for none
-	Inputs        []string  // data sets that it needs; where they stand decides its prices
-	ZonePrices    []float64 // of each zone, by its place in the names; absent: the settings' price of crossing
-	Retry         bool      // the client says that it repeats itself
+	Work          float64   // size hint, 0 if unknown
+	Inputs        []string  // data sets that the job reads; their location determines ZonePrices
+	ZonePrices    []float64 // by zone index; empty for the price of crossing zones in the settings
+	Retry         bool      // the client marks the request as a retry
 
-	// What passes on unchanged.
+	// Passed on to the executor unchanged.
 	TraceID, IdempotencyKey string
 	Method, Target          string
 	Body                    []byte
 
-	// BeforeSend, if set, is called before each send, and the send is not made if it fails.
+	// BeforeSend, if set, is called before each send. If it fails, the attempt is not sent.
 	BeforeSend func(executor string) error
-	// PreSendCheck, if set, is asked in the last moment before the bytes of a send: Allowed, or why the job is its front's no
-	// longer.
+	// PreSendCheck, if set, is called immediately before bytes of an attempt are written. It returns Allowed, or why
+	// the front no longer wants the job sent.
 	PreSendCheck func() precheck.Reason
 }
 
-// End is how a job ended.
+// End tells how a job ended.
 type End uint8
 
-// The ends.
+// The ends of a job.
 const (
 	Served     End = iota
-	Rejected       // trying again is harmless
-	Failed         // promises nothing
-	Terminated     // by its client, before anything of it was sent
+	Rejected       // it did not run, and a retry is harmless
+	Failed         // it may have run
+	Terminated     // by its client, before it was sent
 )
 
 // Answer is a job's final answer.
 type Answer struct {
 	End        End
 	Result     []byte
-	RetryAfter time.Duration // of a refusal
+	RetryAfter time.Duration // of a rejection
 	Reason     string
 }
 
-// Client is notified of a job. It is called from the core's goroutine and must not block.
+// Client is notified of a job's progress. Its methods are called from the core's goroutine and must not block.
 type Client interface {
-	// Sent says that an attempt is about to be sent.
+	// Sent reports that an attempt is about to be sent.
 	Sent(executor string)
-	// Started says that an executor has begun the job.
+	// Started reports that an executor has begun the job.
 	Started()
-	// Requeued says that no attempt is in flight any more, and that the job goes on.
+	// Requeued reports that no attempt is in flight any more and that the job is still open.
 	Requeued(neverRan bool)
-	// Answer is called once, and last.
+	// Answer passes the final answer. It is called once, after all other calls.
 	Answer(Answer)
 }
 
-// Attempt is one attempt of a job. Its executor gets one at a time of a request.
+// Attempt is one attempt of a job. An executor has at most one attempt of a request at a time.
 type Attempt struct {
-	ID                uint64 // never used again
+	ID                uint64 // never reused
 	Executor          uint32
 	Deadline          time.Time
 	Job               *Job
-	Answered          *atomic.Bool // nothing is owed for the job any more
-	ExecutorStartedAt float64      // when the executor's process started that this was decided for, as listed
+	Answered          *atomic.Bool // the job needs no answer any more
+	ExecutorStartedAt float64      // start of the executor's process in Unix milliseconds, as listed when the attempt was decided
 	Rules             precheck.RetryRules
 }
 
-// Result is what came of an attempt, a note on its way, or of a probe.
+// Result is the outcome of an attempt or of a health check, or a note on an attempt's progress.
 type Result struct {
 	Attempt uint64
 	Outcome dispatch.Outcome // 0 for a note
--- a/internal/peer/faults_test.go
+++ b/internal/peer/faults_test.go
@@ -107,7 +107,7 @@
 		syscall.ECONNREFUSED: true, syscall.EHOSTUNREACH: true, syscall.ENETUNREACH: true, syscall.EINTR: true,
 		syscall.ENOMEM: false, syscall.ENOBUFS: false, syscall.EIO: false,
 	} {
-		if got := isErrorOfAnEarlierSend(&net.OpError{Op: "read", Err: os.NewSyscallError("recvfrom", errno)}); got != want {
+		if got := isAsyncSendError(&net.OpError{Op: "read", Err: os.NewSyscallError("recvfrom", errno)}); got != want {
 			t.Errorf("%v: %v", errno, got)
 		}
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -191,7 +191,7 @@
 		}
 		if err != nil {
 			s.log.Debug("peer read failed", "err", err)
-			if !isErrorOfAnEarlierSend(err) {
+			if !isAsyncSendError(err) {
 				time.Sleep(readBackoff)
 			}
 			continue
@@ -202,9 +202,9 @@
 	}
 }
 
-// isErrorOfAnEarlierSend says whether a read failed for an earlier datagram of ours, whose error the network returned
+// isAsyncSendError says whether a read failed for an earlier datagram of ours, whose error the network returned
 // (udp(7)), or for a signal. Each such error comes once, so the next read can follow at once.
-func isErrorOfAnEarlierSend(err error) bool {
+func isAsyncSendError(err error) bool {
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNREFUSED, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EINTR,
 	} {
