--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -94,8 +94,8 @@
 // startFakeAdapters returns adapters of a core that has not handled any event yet.
 func startFakeAdapters(t fatal, rows ...Endpoint) *fakeAdapters {
 	h := &fakeAdapters{canceled: map[uint64]bool{}, sends: map[*Job][]uint32{}, endpointStatus: map[string]string{}}
-	c, err := New(settings(), 1, EndpointList{Entries: rows}, Names{Zones: []string{"tallinn"}, Kinds: []string{"type-a"}}, lim,
-		slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c, err := New(settings(), 1, EndpointList{Entries: rows},
+		Names{Zones: []string{"tallinn"}, Kinds: []string{"type-a"}}, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +119,8 @@
 }
 
 func readyEndpoint(name string) Endpoint {
-	return Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "tallinn", Kind: "type-a", Group: 1, Status: "ready", Weight: 1}
+	return Endpoint{
+		Name: name, Address: "127.0.0.1:1", Zone: "tallinn", Kind: "type-a", Group: 1, Status: "ready", Weight: 1}
 }
 
 // recordingClient records the notifications of a job's client.
@@ -158,7 +159,7 @@
 }
 
 // An executor that is draining, or that a snapshot of the endpoint list does not contain, gets no new jobs.
-func TestListsReachTheModule(t *testing.T) {
+func TestDrainingAndUnlistedExecutorsGetNoJobs(t *testing.T) {
 	h := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2"))
 	if !h.core.Ready() || h.watches != 1 {
 		t.Fatalf("ready %v, %d watches, want ready after one watch", h.core.Ready(), h.watches)
@@ -187,7 +188,8 @@
 	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{gone}})
 	h.run(10 * time.Millisecond)
 	if h.endpointStatus["s-2"] != "gone" || h.core.Ready() {
-		t.Errorf("status of an executor that the snapshot does not contain: %q, ready %v; want gone, not ready", h.endpointStatus["s-2"], h.core.Ready())
+		t.Errorf("status of an executor that the snapshot does not contain: %q, ready %v; want gone, not ready",
+			h.endpointStatus["s-2"], h.core.Ready())
 	}
 	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListFailed})
 	h.run(3 * time.Second)
@@ -197,7 +199,7 @@
 }
 
 // A second job with the trace ID of an open job fails, since callbacks name a job by its trace ID alone.
-func TestIDsAreNotShared(t *testing.T) {
+func TestDuplicateTraceIDFails(t *testing.T) {
 	h, first, second := newFakeAdapters(t, readyEndpoint("s-1")), &recordingClient{t: t}, &recordingClient{t: t}
 	for _, cl := range []*recordingClient{first, second} {
 		if _, err := h.core.Submit(Job{TimeLeft: time.Second, Slots: 1, TraceID: "a"}, cl); err != nil {
@@ -206,12 +208,13 @@
 	}
 	h.run(10 * time.Millisecond)
 	if len(second.answers) != 1 || second.answers[0].End != Failed || len(first.answers) != 0 || len(h.attempts) != 1 {
-		t.Errorf("first job: %v, second job: %v, %d sends; want only the second answered, as failed", first.answers, second.answers, len(h.attempts))
+		t.Errorf("first job: %v, second job: %v, %d sends; want only the second answered, as failed",
+			first.answers, second.answers, len(h.attempts))
 	}
 }
 
 // A job that finds the event queue full is answered with an error: Submit neither blocks nor drops it.
-func TestFullQueue(t *testing.T) {
+func TestSubmitWithFullQueue(t *testing.T) {
 	small := lim
 	small.Events = 2
 	c, err := New(settings(), 1, EndpointList{}, Names{}, small, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -227,7 +230,7 @@
 }
 
 // An endpoint list that is truncated or corrupted at any position parses to a list or returns an error.
-func TestParseListOnGarbage(t *testing.T) {
+func TestParseEndpointListOnCorruptInput(t *testing.T) {
 	good := `{"index":41,"snapshot":true,"endpoints":[{"name":"s-5be2a07c","address":"10.1.0.18:8443","zone":"a",` +
 		`"type":"m2","group":3,"status":"ready","weight":1.0,"since_ms":0}]}`
 	l, err := ParseEndpointList(gjson.Parse(good))
@@ -250,7 +253,7 @@
 
 // The values of a load report are returned in the order of the settings, whichever of its two names a field has.
 // Without any known field there is no report.
-func TestReport(t *testing.T) {
+func TestLoadReport(t *testing.T) {
 	n := Names{Fields: []string{"pending", "x0"}}
 	for _, c := range []struct {
 		in   map[string]float64
@@ -269,7 +272,7 @@
 
 // Two hedged attempts that are both served at the same moment lead to one answer. Without the guard in Core.answer the
 // client would get a second answer, and the counts would be wrong.
-func TestTwoCopiesOneAnswer(t *testing.T) {
+func TestHedgedAttemptsGiveOneAnswer(t *testing.T) {
 	h, cl := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
 	id, err := h.core.Submit(Job{Class: 1, TimeLeft: 25 * time.Second, Slots: 1, TraceID: "a"}, cl)
 	if err != nil {
@@ -297,7 +300,7 @@
 
 // An attempt without any response times out and is canceled, and its job fails before its client's deadline. The
 // module's decision comes before the core's own fallback.
-func TestTimeOut(t *testing.T) {
+func TestAttemptTimeout(t *testing.T) {
 	h, cl := newFakeAdapters(t, readyEndpoint("s-1")), &recordingClient{t: t}
 	if _, err := h.core.Submit(Job{TimeLeft: time.Second, Slots: 1, TraceID: "a"}, cl); err != nil {
 		t.Fatal(err)
@@ -308,7 +311,8 @@
 	}
 	h.run(25 * time.Millisecond)
 	if len(cl.answers) != 1 || cl.answers[0].End != Failed || !h.canceled[h.attempts[0].ID] {
-		t.Errorf("15 ms before the client's deadline: answers %v, canceled %v, want one failure and a cancel", cl.answers, h.canceled)
+		t.Errorf("15 ms before the client's deadline: answers %v, canceled %v, want one failure and a cancel",
+			cl.answers, h.canceled)
 	}
 }
 
@@ -343,9 +347,9 @@
 	h.core.ShutDown(signaledAt)
 	h.run(20 * time.Millisecond)
 	late := submit("late")
-	for what, cl := range map[string]*recordingClient{"held": held, "late": late} {
+	for name, cl := range map[string]*recordingClient{"held": held, "late": late} {
 		if len(cl.answers) != 1 || cl.answers[0].End != Rejected || cl.answers[0].RetryAfter <= 0 || cl.sent != 0 {
-			t.Errorf("%s: answers %+v after %d sends, want one rejection with a retry-after", what, cl.answers, cl.sent)
+			t.Errorf("%s: answers %+v after %d sends, want one rejection with a retry-after", name, cl.answers, cl.sent)
 		}
 	}
 	if len(sent.answers) != 1 || sent.answers[0].End != Failed {
@@ -363,7 +367,7 @@
 
 // With a limit on the open jobs of a tenant, one job beyond it is rejected at once, other tenants' jobs are accepted,
 // and an answered job frees its place.
-func TestCustomersShare(t *testing.T) {
+func TestTenantLimit(t *testing.T) {
 	h := newFakeAdapters(t, readyEndpoint("s-1"))
 	h.core.limits.Pace.MaxCustomerRequests = 2
 	h.core.open.byTenant = make([]atomic.Int64, 2)
@@ -397,7 +401,7 @@
 // A node that starts while discovery is down becomes ready after ReadyBy, with no cached list or with one that
 // contains no ready executor. Once discovery has sent a list to this process, that list determines whether the node is
 // ready.
-func TestReadyWithoutAList(t *testing.T) {
+func TestReadyWithoutEndpointList(t *testing.T) {
 	draining := readyEndpoint("s-1")
 	draining.Status = "draining"
 	for _, known := range [][]Endpoint{nil, {draining}} {
@@ -414,7 +418,8 @@
 		if c.handle(endpointUpdate{EndpointList{Form: dispatch.ListSnapshot}}); c.Ready() {
 			t.Error("ready though the list is empty")
 		}
-		if c.handle(endpointUpdate{EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-1")}}}); !c.Ready() {
+		if c.handle(endpointUpdate{
+			EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-1")}}}); !c.Ready() {
 			t.Error("not ready though the list contains a ready executor")
 		}
 	}
--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -27,14 +27,14 @@
 // JSON returns the counts in the form in which both fronts report them.
 func (n Counts) JSON() []byte {
 	out := fmt.Appendf(nil, `{"taken":%d,"served":%d,"refused":%d,"failed":%d,"terminated":%d,"gone":%d,`+
-		`"sends":%d,"open":%d,"queued":%d,"running":%d`, n.Accepted, n.Served, n.Rejected, n.Failed, n.Terminated, n.ClientsGone,
-		n.Sends, n.Open, n.Queued, n.Running)
+		`"sends":%d,"open":%d,"queued":%d,"running":%d`, n.Accepted, n.Served, n.Rejected, n.Failed, n.Terminated,
+		n.ClientsGone, n.Sends, n.Open, n.Queued, n.Running)
 	if len(n.SlowPeers) > 0 {
 		out = append(append(out, `,"slow":`...), n.SlowPeers...)
 	}
 	if len(n.Knowledge) > 0 {
-		knows, _ := json.Marshal(n.Knowledge)
-		out = append(append(out, `,"knows":`...), knows...)
+		knowledge, _ := json.Marshal(n.Knowledge)
+		out = append(append(out, `,"knows":`...), knowledge...)
 	}
 	return append(out, '}')
 }
--- a/internal/node/deadline_test.go
+++ b/internal/node/deadline_test.go
@@ -9,7 +9,7 @@
 
 // First attempts, retries and hedged attempts all end AnswerEarly before their client's deadline, whenever they are
 // sent. The time left that an executor gets is counted from that end.
-func TestAttemptsEndBeforeTheirClientLeaves(t *testing.T) {
+func TestAttemptsEndBeforeClientDeadline(t *testing.T) {
 	type kind struct {
 		sends  int
 		second func(h *fakeAdapters, id uint32)
@@ -27,7 +27,8 @@
 			h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Executor: other}, h.now)
 		}},
 		"bounded hedge": {2, func(h *fakeAdapters, id uint32) {
-			h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Executor: h.attempts[0].Executor, For: 60_000}, h.now)
+			h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Executor: h.attempts[0].Executor, For: 60_000},
+				h.now)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -62,7 +62,7 @@
 	e := dispatch.Event{Kind: dispatch.EvEndpoints, Form: l.Form, Version: uint32(l.Index)}
 	for i := range l.Entries {
 		if c.applyEndpoint(&l.Entries[i], now) {
-			e.Rows = append(e.Rows, c.row(&l.Entries[i]))
+			e.Rows = append(e.Rows, c.toEndpointUpdate(&l.Entries[i]))
 		}
 	}
 	c.status.hasReadyExecutor.Store(c.endpoints.hasReady())
@@ -103,7 +103,8 @@
 func (c *Core) applyEndpoint(endpoint *Endpoint, now time.Time) bool {
 	id := ExecutorID(endpoint.Name)
 	if known, ok := c.endpoints.byID[id]; ok && known.Name != endpoint.Name {
-		c.log.Error("executor ignored: its number is already in use by another executor", "executor", endpoint.Name, "other", known.Name)
+		c.log.Error("executor ignored: its number is already in use by another executor",
+			"executor", endpoint.Name, "other", known.Name)
 		return false
 	}
 	if endpoint.Condition() == dispatch.Removed {
@@ -115,8 +116,8 @@
 	return true
 }
 
-// row converts an executor's entry to the module's form.
-func (c *Core) row(endpoint *Endpoint) dispatch.EndpointUpdate {
+// toEndpointUpdate converts an executor's entry to the module's form.
+func (c *Core) toEndpointUpdate(endpoint *Endpoint) dispatch.EndpointUpdate {
 	return dispatch.EndpointUpdate{
 		Executor:  ExecutorID(endpoint.Name),
 		Zone:      position(c.names.Zones, endpoint.Zone),
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -24,10 +24,10 @@
 
 func (e submittedJob) apply(c *Core, now time.Time) { c.addJob(e.job, now) }
 
-// clientLeft reports that the client of a job has left and that the job needs no answer.
-type clientLeft struct{ job uint32 }
+// clientGone reports that the client of a job has left and that the job needs no answer.
+type clientGone struct{ job uint32 }
 
-func (e clientLeft) apply(c *Core, _ time.Time) {
+func (e clientGone) apply(c *Core, _ time.Time) {
 	j := c.jobs.byID[e.job]
 	if j == nil || j.answered.Load() {
 		return
@@ -38,7 +38,7 @@
 	c.release(j)
 }
 
-// attemptResult is the result of an attempt, or a note on its progress.
+// attemptResult is the result of an attempt, or a notification of its progress.
 type attemptResult struct{ Result }
 
 func (e attemptResult) apply(c *Core, now time.Time) { c.handleResult(e.Result, now) }
--- a/internal/node/job.go
+++ b/internal/node/job.go
@@ -81,7 +81,7 @@
 		MaxAttempts: settings.MaxAttempts,
 		RetrySafety: class.RetrySafety,
 	}
-	for _, a := range j.attempts { // in the order in which they were sent: the window counts from the earliest that may have run
+	for _, a := range j.attempts { // in the order of their sends; the window counts from the earliest that may have run
 		if a.mayHaveRun && !rules.MayHaveRun {
 			rules.MayHaveRun, rules.WindowEnd = true, a.sentAt.Add(FromMs(class.DedupWindow))
 		}
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// handleResult handles the result of an attempt, or a note on its progress. It ignores everything that follows the
-// attempt's end, so that each ActSend gets exactly one outcome.
+// handleResult handles the result of an attempt, or a notification of its progress. It ignores everything that follows
+// the attempt's end, so that each ActSend gets exactly one outcome.
 func (c *Core) handleResult(r Result, now time.Time) {
 	a := c.jobs.attempts[r.Attempt]
 	if a == nil || a.ended {
--- a/internal/node/localfault_test.go
+++ b/internal/node/localfault_test.go
@@ -9,7 +9,7 @@
 
 // An attempt that was canceled before send is no sign of a fault of its executor: the next step sends the same job
 // there again, and the next job too. After a failed connection, for comparison, the executor gets neither for a while.
-func TestCancelledBeforeSendMarksNoExecutor(t *testing.T) {
+func TestCanceledBeforeSendIsNoExecutorFault(t *testing.T) {
 	for name, x := range map[string]struct {
 		outcome dispatch.Outcome
 		sends   int // to the only executor, within 50 ms of the outcome
@@ -20,7 +20,8 @@
 		t.Run(name, func(t *testing.T) {
 			h := newFakeAdapters(t, readyEndpoint("s-1"))
 			submit := func(trace string) {
-				if _, err := h.core.Submit(Job{TimeLeft: 7 * time.Second, Slots: 1, TraceID: trace}, &recordingClient{t: t}); err != nil {
+				if _, err := h.core.Submit(Job{TimeLeft: 7 * time.Second, Slots: 1, TraceID: trace},
+					&recordingClient{t: t}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -42,7 +43,7 @@
 
 // A job whose attempts are all canceled before send is rejected, since it never ran. The number of its attempts stays
 // within MaxAttempts, however soon each ends.
-func TestCancelledBeforeSendIsBounded(t *testing.T) {
+func TestCanceledBeforeSendIsBounded(t *testing.T) {
 	for class := range settings().Classes {
 		h, cl := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
 		if _, err := h.core.Submit(Job{Class: class, TimeLeft: 7 * time.Second, Slots: 1, TraceID: "a"}, cl); err != nil {
@@ -54,7 +55,8 @@
 			}
 		}
 		if len(cl.answers) != 1 || cl.answers[0].End != Rejected || h.sent() > settings().MaxAttempts {
-			t.Errorf("class %d: answers %+v after %d attempts, want one rejection within MaxAttempts", class, cl.answers, h.sent())
+			t.Errorf("class %d: answers %+v after %d attempts, want one rejection within MaxAttempts",
+				class, cl.answers, h.sent())
 		}
 	}
 }
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -21,7 +21,8 @@
 	if i := slices.Index(n.Classes, name); i >= 0 {
 		return i, true
 	}
-	i := slices.IndexFunc(n.Retired, func(x RetiredClass) bool { return x.Name == name && time.Now().Before(x.AcceptedUntil) })
+	i := slices.IndexFunc(n.Retired,
+		func(x RetiredClass) bool { return x.Name == name && time.Now().Before(x.AcceptedUntil) })
 	if i < 0 {
 		return -1, false
 	}
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -42,13 +42,13 @@
 }
 
 // ClientGone reports that a job's client has left. The job's answer may already be on its way.
-func (c *Core) ClientGone(id uint32) { c.post(clientLeft{id}) }
+func (c *Core) ClientGone(id uint32) { c.post(clientGone{id}) }
 
 // ShutDown reports that the process may end at any moment. Jobs that were accepted later than after, jobs that were
 // never sent, and jobs submitted from now on are answered at once. Older jobs that were sent may still be served.
 func (c *Core) ShutDown(after time.Time) { c.post(shutdown{after}) }
 
-// Result takes the result of an attempt, or a note on its progress.
+// Result takes the result of an attempt, or a notification of its progress.
 func (c *Core) Result(r Result) { c.post(attemptResult{r}) }
 
 // HealthChecked takes the result of a health check.
@@ -117,11 +117,11 @@
 // jobs can be open.
 func (c *Core) Rules() *Rules { return c.rules.Load() }
 
-// Retune puts new settings in force. New jobs follow them, and open jobs keep the rules under which they were
+// UpdateSettings puts new settings in force. New jobs follow them, and open jobs keep the rules under which they were
 // accepted. Jobs of a class that the new settings do not contain are still accepted for the time late. After an error
 // the old settings stay in force. Calls must not overlap.
-func (c *Core) Retune(ctx context.Context, s dispatch.Settings, names Names, late time.Duration) error {
-	next, origins, err := c.Rules().Retune(s, names, c.clock.now(), late)
+func (c *Core) UpdateSettings(ctx context.Context, s dispatch.Settings, names Names, late time.Duration) error {
+	next, origins, err := c.Rules().Update(s, names, c.clock.now(), late)
 	if err != nil {
 		return err
 	}
--- a/internal/node/rules.go
+++ b/internal/node/rules.go
@@ -9,7 +9,7 @@
 	"gatetack/internal/dispatch"
 )
 
-// Rules holds the settings in force and their names. A value is immutable: Retune returns a new one.
+// Rules holds the settings in force and their names. A value is immutable: Update returns a new one.
 type Rules struct {
 	Settings dispatch.Settings
 	Names    Names
@@ -25,12 +25,12 @@
 	ReusableAt    time.Time
 }
 
-// Retune derives new rules from the rules in force and new settings. Classes and tenants are identified by name. A
+// Update derives new rules from the rules in force and new settings. Classes and tenants are identified by name. A
 // class whose rules differ gets a new index, so that open jobs keep the rules under which they were accepted; the
 // returned map gives for each such index the old index whose learned state it takes over. Everything except classes,
-// tenants and what dispatch.Dispatcher.Retune takes over stays unchanged. Late is how long a class that the new
-// settings do not contain is still accepted.
-func (r *Rules) Retune(
+// tenants and what dispatch.Dispatcher.UpdateSettings takes over stays unchanged. Late is how long a class that the
+// new settings do not contain is still accepted.
+func (r *Rules) Update(
 	s dispatch.Settings,
 	names Names,
 	now time.Time,
@@ -48,26 +48,26 @@
 			free = append(free, x.Class)
 		}
 	}
-	from := map[int]int{}
+	origins := map[int]int{}
 	for i, name := range names.Classes {
 		if slices.Contains(names.Classes[:i], name) {
 			return nil, nil, fmt.Errorf("settings.requestClasses.%d.name: duplicate name %q, expected unique names", i, name)
 		}
-		was := slices.Index(r.Names.Classes, name)
-		if was >= 0 && r.Settings.Classes[was] == s.Classes[i] {
-			next.Names.Classes[was] = name
+		old := slices.Index(r.Names.Classes, name)
+		if old >= 0 && r.Settings.Classes[old] == s.Classes[i] {
+			next.Names.Classes[old] = name
 			continue
 		}
-		at := len(next.Names.Classes)
+		index := len(next.Names.Classes)
 		if len(free) > 0 {
-			at, free = free[0], free[1:]
+			index, free = free[0], free[1:]
 		} else {
 			next.Names.Classes = append(next.Names.Classes, "")
 			next.Settings.Classes = append(next.Settings.Classes, dispatch.Class{})
 		}
-		next.Names.Classes[at], next.Settings.Classes[at] = name, s.Classes[i]
-		if was >= 0 {
-			from[at] = was
+		next.Names.Classes[index], next.Settings.Classes[index] = name, s.Classes[i]
+		if old >= 0 {
+			origins[index] = old
 		}
 	}
 	if len(next.Names.Classes) > math.MaxUint8 {
@@ -84,29 +84,29 @@
 	for _, i := range free { // reusable until another class takes the index
 		next.Names.Retired = append(next.Names.Retired, RetiredClass{Class: i})
 	}
-	return next, from, next.retuneTenants(r, s, names)
+	return next, origins, next.updateTenants(r, s, names)
 }
 
-// retuneTenants keeps the index of each tenant by name. A tenant that the new settings do not contain keeps its index
+// updateTenants keeps the index of each tenant by name. A tenant that the new settings do not contain keeps its index
 // and has no share.
-func (r *Rules) retuneTenants(was *Rules, s dispatch.Settings, names Names) error {
-	r.Names.Tenants = slices.Clone(was.Names.Tenants)
-	r.Settings.Tenants = make([]dispatch.Tenant, len(was.Settings.Tenants))
-	if len(was.Settings.Tenants) == 0 && len(s.Tenants) > 0 || len(was.Settings.Tenants) > 0 && len(s.Tenants) == 0 {
+func (r *Rules) updateTenants(old *Rules, s dispatch.Settings, names Names) error {
+	r.Names.Tenants = slices.Clone(old.Names.Tenants)
+	r.Settings.Tenants = make([]dispatch.Tenant, len(old.Settings.Tenants))
+	if len(old.Settings.Tenants) == 0 && len(s.Tenants) > 0 || len(old.Settings.Tenants) > 0 && len(s.Tenants) == 0 {
 		return fmt.Errorf(
 			"settings.tenants: %d tenants in place of %d, expected none if there were none at the start, else at least one",
 			len(s.Tenants),
-			len(was.Settings.Tenants),
+			len(old.Settings.Tenants),
 		)
 	}
 	for i, name := range names.Tenants {
-		at := slices.Index(r.Names.Tenants, name)
-		if at < 0 {
-			at = len(r.Names.Tenants)
+		index := slices.Index(r.Names.Tenants, name)
+		if index < 0 {
+			index = len(r.Names.Tenants)
 			r.Names.Tenants = append(r.Names.Tenants, name)
 			r.Settings.Tenants = append(r.Settings.Tenants, dispatch.Tenant{})
 		}
-		r.Settings.Tenants[at] = s.Tenants[i]
+		r.Settings.Tenants[index] = s.Tenants[i]
 	}
 	return nil
 }
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -24,7 +24,7 @@
 
 // A class keeps its index while its rules are unchanged. A new class, or one with new rules, gets an index of its own,
 // and the old one is still accepted for a while. An index is reused only once no job of it can be open.
-func TestRetuneKeepsPlaces(t *testing.T) {
+func TestUpdateKeepsClassIndexes(t *testing.T) {
 	classes := map[string]dispatch.Class{
 		"a": {Deadline: 1000, RetrySafety: dispatch.AtMostOnce},
 		"b": {Deadline: 2000},
@@ -34,7 +34,7 @@
 	now := time.Now()
 	r := &Rules{s, n}
 	s, n = rulesOf(classes, "c", "b")
-	r, from, err := r.Retune(s, n, now, time.Minute)
+	r, from, err := r.Update(s, n, now, time.Minute)
 	if err != nil || !reflect.DeepEqual(r.Names.Classes, []string{"", "b", "c"}) || len(from) != 0 {
 		t.Fatalf("%v %v %+v", err, from, r)
 	}
@@ -46,7 +46,7 @@
 	}
 	classes["b"] = dispatch.Class{Deadline: 2000, RetrySafety: dispatch.AtMostOnce}
 	s, n = rulesOf(classes, "c", "b")
-	if r, from, err = r.Retune(
+	if r, from, err = r.Update(
 		s,
 		n,
 		now.Add(time.Second),
@@ -65,7 +65,7 @@
 	// not for one more second.
 	classes["d"] = dispatch.Class{Deadline: 70}
 	s, n = rulesOf(classes, "c", "b", "d")
-	if r, _, err = r.Retune(
+	if r, _, err = r.Update(
 		s,
 		n,
 		now.Add(62*time.Second+time.Millisecond),
@@ -75,7 +75,7 @@
 		t.Errorf("%v %+v", err, r)
 	}
 	n.Classes[1] = "c"
-	if _, _, err = r.Retune(s, n, now, 0); err == nil {
+	if _, _, err = r.Update(s, n, now, 0); err == nil {
 		t.Error("a duplicate class name was accepted")
 	}
 }
@@ -118,7 +118,7 @@
 
 // For any sequence of settings, the rules at an index never change while a job that was accepted under them can be
 // open, and each class of the current settings is found with its rules.
-func TestRetuneNeverChangesAnOpenPlace(t *testing.T) {
+func TestUpdateNeverChangesRulesOfOpenJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, n := drawRules(t)
 		r, now := &Rules{s, n}, time.Now()
@@ -128,13 +128,14 @@
 			jobs = append(jobs, openClassJobs(r, now, next)...)
 			now = next
 			s, n = drawRules(t)
-			then, _, err := r.Retune(s, n, now, 500*time.Millisecond)
+			then, _, err := r.Update(s, n, now, 500*time.Millisecond)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for i, name := range n.Classes {
 				if at, ok := then.Names.Class(name); !ok || then.Settings.Classes[at] != s.Classes[i] {
-					t.Fatalf("class %s: index %d, found %v, classes %+v, want the rules %+v", name, at, ok, then.Settings.Classes, s.Classes[i])
+					t.Fatalf("class %s: index %d, found %v, classes %+v, want the rules %+v",
+						name, at, ok, then.Settings.Classes, s.Classes[i])
 				}
 			}
 			for _, j := range jobs {
@@ -148,7 +149,7 @@
 }
 
 // A retune reaches the module, in which open jobs keep their rules. A retune that the module rejects changes nothing.
-func TestCoreRetunes(t *testing.T) {
+func TestUpdateSettings(t *testing.T) {
 	s, n := rulesOf(map[string]dispatch.Class{"a": {Deadline: 1000}}, "a")
 	c, err := New(s, 1, EndpointList{}, n, lim, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -161,7 +162,7 @@
 	go func() { done <- c.Run(ctx) }()
 	next, names := rulesOf(map[string]dispatch.Class{"a": {Deadline: 1000}, "b": {Deadline: 10}}, "b", "a")
 	next.MaxAttempts = 1
-	if err := c.Retune(ctx, next, names, time.Second); err != nil || c.Rules().Settings.MaxAttempts != 1 {
+	if err := c.UpdateSettings(ctx, next, names, time.Second); err != nil || c.Rules().Settings.MaxAttempts != 1 {
 		t.Errorf("%v %+v", err, c.Rules())
 	}
 	if i, ok := c.Rules().Names.Class("b"); !ok || i != 1 {
@@ -169,7 +170,7 @@
 	}
 	was := c.Rules()
 	next.MaxAttempts = 0
-	if err := c.Retune(ctx, next, names, time.Second); err == nil || c.Rules() != was {
+	if err := c.UpdateSettings(ctx, next, names, time.Second); err == nil || c.Rules() != was {
 		t.Errorf("%v %+v", err, c.Rules())
 	}
 	stop()
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -43,14 +43,15 @@
 		t.Fatalf("ready %v, sends %v, want one send to s-new", h.core.Ready(), h.sends)
 	}
 	if latest := h.core.clock.start.Add(7 * time.Second); h.attempts[0].Deadline.After(latest) {
-		t.Errorf("the attempt ends %v after the start, later than its client's deadline at 7 s", h.attempts[0].Deadline.Sub(h.core.clock.start))
+		t.Errorf("the attempt ends %v after the start, later than its client's deadline at 7 s",
+			h.attempts[0].Deadline.Sub(h.core.clock.start))
 	}
 }
 
 // If the first call fails, or is not answered within the time a call may take, the core continues with the cached
 // list.
-func TestCoreGoesOnWithTheOldList(t *testing.T) {
-	for what, wait := range map[string]func(h *fakeAdapters){
+func TestCoreContinuesWithCachedList(t *testing.T) {
+	for name, wait := range map[string]func(h *fakeAdapters){
 		"the call fails": func(h *fakeAdapters) { h.core.ListCallFailed(); h.run(time.Second) },
 		"no answer": func(h *fakeAdapters) {
 			h.run(lim.Staleness.PollWait + 2*lim.Staleness.AnswerTimeout + time.Second)
@@ -65,17 +66,17 @@
 		}
 		h.run(100 * time.Millisecond)
 		if h.sent() != 0 {
-			t.Errorf("%s: a job was sent while jobs are held", what)
+			t.Errorf("%s: a job was sent while jobs are held", name)
 		}
 		if wait(h); h.sent() != 1 || !h.core.Ready() {
-			t.Errorf("%s: %d sends, ready %v, want 1 send, ready", what, h.sent(), h.core.Ready())
+			t.Errorf("%s: %d sends, ready %v, want 1 send, ready", name, h.sent(), h.core.Ready())
 		}
 	}
 }
 
 // A job whose deadline passes while it is held is rejected, and so is a job that is held when the node shuts down.
 func TestHeldJobsAreAnswered(t *testing.T) {
-	for what, end := range map[string]func(h *fakeAdapters){
+	for name, end := range map[string]func(h *fakeAdapters){
 		"deadline": func(h *fakeAdapters) { h.run(time.Second) },
 		"shutdown": func(h *fakeAdapters) { h.core.ShutDown(h.now); h.run(0) },
 	} {
@@ -86,21 +87,21 @@
 		}
 		h.run(10 * time.Millisecond)
 		if end(h); len(cl.answers) != 1 || cl.answers[0].End != Rejected {
-			t.Errorf("%s: answers %+v, want one rejection", what, cl.answers)
+			t.Errorf("%s: answers %+v, want one rejection", name, cl.answers)
 		}
 		h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-old")}})
 		if h.run(time.Second); h.sent() != 0 {
-			t.Errorf("%s: the job was sent after its answer", what)
+			t.Errorf("%s: the job was sent after its answer", name)
 		}
 	}
 }
 
 // New rules that arrive while jobs are held are put in force after the held jobs, which keep the rules under which
 // they were accepted.
-func TestRetuneWaitsForHeldJobs(t *testing.T) {
+func TestUpdateSettingsWaitsForHeldJobs(t *testing.T) {
 	h := newHoldingAdapters(t, readyEndpoint("s-old"))
 	to := make(chan error, 1)
-	rules, from, err := h.core.Rules().Retune(settings(), h.core.names, h.now, time.Second)
+	rules, from, err := h.core.Rules().Update(settings(), h.core.names, h.now, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -69,14 +69,14 @@
 	Deadline          time.Time
 	Job               *Job
 	Answered          *atomic.Bool // the job needs no answer any more
-	ExecutorStartedAt float64      // start of the executor's process in Unix milliseconds, as listed when the attempt was decided
+	ExecutorStartedAt float64      // start of the executor's process in Unix milliseconds, as listed at the decision
 	Rules             precheck.RetryRules
 }
 
-// Result is the outcome of an attempt or of a health check, or a note on an attempt's progress.
+// Result is the outcome of an attempt, or a notification of an attempt's progress.
 type Result struct {
 	Attempt uint64
-	Outcome dispatch.Outcome // 0 for a note
+	Outcome dispatch.Outcome // 0 for a notification
 	Topic   uint8
 	Amount  float64
 	Report  []float32
