--- a/internal/callbackrelay/callbackrelay.go
+++ b/internal/callbackrelay/callbackrelay.go
@@ -1,10 +1,10 @@
-// Package callbackrelay forwards callbacks between the processes of one node while one replaces the other. Both have
-// the same listening socket, and once the old one accepts no connections every callback of an executor reaches the new
-// one, the callbacks of the old one's attempts too. A process that gets a callback which is not its own stores it in a
-// directory that both share ($TMPDIR), and the other takes it from there. Nothing is stored while only one process
-// runs.
+// Package callbackrelay forwards callbacks between the processes of one node while one replaces the other. Both
+// processes have the same listening socket. Once the old process accepts no connections, all callbacks of executors
+// reach the new process, including those for attempts of the old one. A process that receives a callback for an
+// attempt that it does not know stores it in a directory that both share ($TMPDIR), from which the other process takes
+// it. Nothing is stored while only one process runs.
 //
-// A Relay's scans, and the state that they keep, belong to the goroutine of Run; Forward may be called by any.
+// A Relay's scans and their state belong to the goroutine of Run; Forward is safe for concurrent use.
 package callbackrelay
 
 import (
@@ -28,10 +28,11 @@
 	"gatetack/internal/operr"
 )
 
-// Names of files in the directory. Processes of two versions of the program share it, so they can not change.
+// Prefixes and suffixes of file names in the directory. Processes of two versions of the program share the directory,
+// so these must not change.
 const (
-	markerPrefix   = "p" // p<pid>, empty: a process of the node runs
-	callbackPrefix = "c" // c<pid>-..., a callback that the process pid stored for another
+	markerPrefix   = "p" // p<pid>, empty: a process of the node is running
+	callbackPrefix = "c" // c<pid>-...: a callback that the process with that pid stored for another one
 	legacyTemp     = ".part"
 )
 
@@ -40,22 +41,22 @@
 	fileMode      = 0o600
 )
 
-// Relay is one process's end.
+// Relay forwards callbacks to, and takes callbacks from, the other processes of the node.
 type Relay struct {
 	files    Directory
 	dir      string
 	pid      int
-	name     string // begins the names of this process's callbacks; a later process with the same pid has another
+	name     string // prefix of the names of this process's callbacks; unique even if a later process has the same pid
 	sequence atomic.Uint64
 	interval time.Duration // between scans of the directory
-	ttl      time.Duration // a callback that nobody took is removed after it
+	ttl      time.Duration // a stored callback that no process takes is deleted after it
 	log      *slog.Logger
 
-	firstSeen map[string]time.Time // of Run alone: file names, by the monotonic clock
-	failing   bool                 // of Run alone: the last scan failed
+	firstSeen map[string]time.Time // by file name, on the monotonic clock; used by Run only
+	failing   bool                 // whether the last scan failed; used by Run only
 }
 
-// New returns a relay over a directory, which Run creates. The directory need not be usable yet.
+// New returns a relay for a directory. The directory is created when needed, and need not be usable yet.
 func New(dir string, interval, ttl time.Duration, log *slog.Logger) *Relay {
 	return newRelay(osDirectory{atomicfile.OS}, dir, os.Getpid(), interval, ttl, log)
 }
@@ -74,8 +75,8 @@
 	}
 }
 
-// Register marks this process as running. Where that fails the node serves all the same, and Run tries again: until
-// then the other process stores nothing for this one.
+// Register creates the marker that this process is running. If it fails, the node serves nevertheless and Run tries
+// again; until then the other process stores nothing for this one.
 func (r *Relay) Register() error {
 	if err := r.files.MkdirAll(r.dir, directoryMode); err != nil {
 		return fmt.Errorf("handover: %w", err)
@@ -86,12 +87,13 @@
 	return nil
 }
 
-// Close marks this process as no longer running.
+// Close removes the marker that this process is running.
 func (r *Relay) Close() error { return r.files.Remove(r.marker()) }
 
 func (r *Relay) marker() string { return filepath.Join(r.dir, markerPrefix+strconv.Itoa(r.pid)) }
 
-// othersRunning reports whether another process of the node runs. It removes the markers of processes that are gone.
+// othersRunning reports whether another process of the node is running. It removes the markers of processes that have
+// ended.
 func (r *Relay) othersRunning() (bool, error) {
 	entries, err := r.files.ReadDir(r.dir)
 	if err != nil {
@@ -112,9 +114,9 @@
 	return running, nil
 }
 
-// Forward stores a callback that is not this process's for another process of the node, and reports whether one runs.
-// Its error is a NotStoredError: a process that the callback may belong to runs, or it is not known that none does, and
-// the callback is not on disk.
+// Forward stores a callback that this process does not know for another process of the node, and reports whether one
+// is running. Its error is a NotStoredError: another process, to which the callback may belong, is running or may be
+// running, and the callback was not stored.
 func (r *Relay) Forward(body []byte) (bool, error) {
 	running, err := r.othersRunning()
 	if err != nil {
@@ -130,7 +132,8 @@
 	return true, nil
 }
 
-// Run takes what other processes stored until the context ends. take reports whether a callback was this process's.
+// Run takes callbacks that other processes stored until the context ends. take reports whether a callback belongs to
+// this process.
 func (r *Relay) Run(ctx context.Context, take func(body []byte) bool) error {
 	tick := time.NewTicker(r.interval)
 	defer tick.Stop()
@@ -144,7 +147,7 @@
 	}
 }
 
-// logScan logs that scans begin to fail, and that they work again.
+// logScan logs when scans start to fail and when they succeed again.
 func (r *Relay) logScan(err error) {
 	switch {
 	case err != nil && !r.failing:
@@ -155,7 +158,8 @@
 	r.failing = err != nil
 }
 
-// scan looks at all files once. A process without a marker, for the directory was not usable or was emptied, gets one.
+// scan handles all files in the directory once. It registers the process again if its marker is missing, because the
+// directory was not usable or was emptied.
 func (r *Relay) scan(take func(body []byte) bool) error {
 	entries, err := r.files.ReadDir(r.dir)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -181,8 +185,8 @@
 	return nil
 }
 
-// handleFile has a callback of another process taken, and reports whether the file is still to be looked at. Age counts
-// from when this process first saw the file: a file's own time follows the wall clock, which may be stepped past the
+// handleFile passes a callback of another process to take, and reports whether the file remains. A file's age counts
+// from when this process first saw it: the file's own time follows the wall clock, of which a step could exceed the
 // TTL.
 func (r *Relay) handleFile(name string, take func(body []byte) bool) bool {
 	if !strings.HasPrefix(name, callbackPrefix) && !strings.HasPrefix(name, atomicfile.TempPrefix) {
@@ -206,7 +210,7 @@
 	return r.files.Remove(path) != nil
 }
 
-// isCallback reports whether a name is that of a whole callback, and not of one that is being written.
+// isCallback reports whether a name is that of a complete callback, as opposed to one that is being written.
 func isCallback(name string) bool {
 	return strings.HasPrefix(name, callbackPrefix) && !strings.HasSuffix(name, legacyTemp)
 }
--- a/internal/callbackrelay/callbackrelay_test.go
+++ b/internal/callbackrelay/callbackrelay_test.go
@@ -19,7 +19,7 @@
 // testCallback is a callback as an executor sends it.
 const testCallback = `{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"done","result":"tile"}`
 
-// faultyDirectory makes calls fail beside those of the files in it.
+// faultyDirectory injects faults into the directory calls, in addition to those of files.
 type faultyDirectory struct {
 	*atomicfiletest.FaultFS
 	mkdir, list, read error
@@ -50,7 +50,7 @@
 	return os.ReadFile(path)
 }
 
-// register returns a relay of this process. Its parent's pid stands for the other process of the node.
+// register returns a registered relay with a pid. Tests use the parent's pid for the other process of the node.
 func register(t *testing.T, files Directory, dir string, pid int) *Relay {
 	t.Helper()
 	r := newRelay(files, dir, pid, time.Millisecond, time.Minute, testenv.Quiet)
@@ -60,7 +60,7 @@
 	return r
 }
 
-// scanned returns what a scan takes.
+// scanned returns the callbacks that a scan taken.
 func scanned(t *testing.T, r *Relay) (out []string) {
 	t.Helper()
 	if err := r.scan(func(body []byte) bool { out = append(out, string(body)); return true }); err != nil {
@@ -78,24 +78,24 @@
 	return names
 }
 
-// A process alone stores nothing. Beside another one, what it forwards reaches the other once and whole, and is then
-// removed from the directory. The marker of a process that has ended does not count.
+// A process that is alone stores nothing. While another process is running, a forwarded callback reaches it once and
+// complete, and is then removed from the directory. The marker of a process that has ended does not count.
 func TestForwardedCallbackIsTakenOnce(t *testing.T) {
 	dir := t.TempDir()
 	old := register(t, osDirectory{atomicfile.OS}, dir, os.Getpid())
-	if passed, err := old.Forward([]byte("x")); passed || err != nil {
+	if stored, err := old.Forward([]byte("x")); stored || err != nil {
 		t.Fatalf("a callback was stored while the process was alone: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "p999999999"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if passed, err := old.Forward([]byte("x")); passed || err != nil {
+	if stored, err := old.Forward([]byte("x")); stored || err != nil {
 		t.Fatalf("a callback was stored for a process that has ended: %v", err)
 	}
-	// The new process: another pid on the same directory.
+	// The new process has another pid and the same directory.
 	next := register(t, osDirectory{atomicfile.OS}, dir, os.Getppid())
-	if passed, err := next.Forward([]byte(testCallback)); !passed || err != nil {
-		t.Fatalf("nothing was stored beside a process that runs: %v", err)
+	if stored, err := next.Forward([]byte(testCallback)); !stored || err != nil {
+		t.Fatalf("nothing was stored while another process is running: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	got := make(chan string, 4)
@@ -107,20 +107,20 @@
 			t.Errorf("took %q, want %q", b, testCallback)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("the old process never took the callback")
+		t.Fatal("the old process did not take the callback within 10 s")
 	}
-	testenv.Until(t, "the file removed", func() bool { return len(callbacksIn(t, dir)) == 0 })
+	testenv.Until(t, "the file is removed", func() bool { return len(callbacksIn(t, dir)) == 0 })
 	cancel()
 	if err := <-done; err != nil {
-		t.Error("the relay ended with", err)
+		t.Error("Run returned", err)
 	}
 	if len(got) != 0 {
-		t.Errorf("a callback was taken twice")
+		t.Errorf("the callback was taken more than once")
 	}
 }
 
-// A callback that can not be written is an error, whichever call fails, nothing of it is ever taken, and the executor's
-// next call succeeds once the disk does.
+// A callback that cannot be written returns an error, whichever system call fails. Nothing of it is ever taken, and
+// the executor's next call succeeds once the disk works again.
 func TestCallbackThatCanNotBeStoredIsRefused(t *testing.T) {
 	for _, x := range []struct {
 		op    atomicfiletest.Op
@@ -137,15 +137,15 @@
 			old := register(t, osDirectory{atomicfile.OS}, dir, os.Getpid())
 			next := register(t, files, dir, os.Getppid())
 			files.Fail(x.op, 1, x.cause)
-			passed, err := next.Forward([]byte(testCallback))
-			if _, ok := errors.AsType[*NotStoredError](err); passed || !ok || !errors.Is(err, x.cause) {
-				t.Fatalf("passed %v, %v, want a NotStoredError of %v", passed, err, x.cause)
+			stored, err := next.Forward([]byte(testCallback))
+			if _, ok := errors.AsType[*NotStoredError](err); stored || !ok || !errors.Is(err, x.cause) {
+				t.Fatalf("stored %v, error %v, want a NotStoredError of %v", stored, err, x.cause)
 			}
 			if got := scanned(t, old); len(got) != 0 {
 				t.Errorf("taken: %q", got)
 			}
-			if passed, err := next.Forward([]byte(testCallback)); !passed || err != nil {
-				t.Fatalf("called again: %v, %v", passed, err)
+			if stored, err := next.Forward([]byte(testCallback)); !stored || err != nil {
+				t.Fatalf("second call: stored %v, error %v", stored, err)
 			}
 			if got := scanned(t, old); len(got) != 1 || got[0] != testCallback {
 				t.Errorf("taken: %q", got)
@@ -154,13 +154,13 @@
 	}
 }
 
-// While the directory can not be read it is not known whether another process runs, and a callback is refused.
+// While the directory cannot be read it is unknown whether another process is running, and callbacks are rejected.
 func TestCallbackIsRefusedWhileTheDirectoryCanNotBeRead(t *testing.T) {
 	files := newFaultyDirectory()
 	r := register(t, files, t.TempDir(), os.Getpid())
 	files.list = syscall.EIO
 	if _, err := r.Forward([]byte(testCallback)); !errors.Is(err, syscall.EIO) {
-		t.Fatalf("%v", err)
+		t.Fatalf("got %v, want EIO", err)
 	}
 	files.list = nil
 	if _, err := r.Forward([]byte(testCallback)); err != nil {
@@ -168,7 +168,7 @@
 	}
 }
 
-// A process whose directory fails at the start goes on without it, and is registered once the directory is usable.
+// A process whose directory fails at the start continues without it, and is registered once the directory is usable.
 func TestRegistrationIsRetriedOnAFailingDirectory(t *testing.T) {
 	for _, x := range []struct {
 		what string
@@ -183,10 +183,10 @@
 			x.fail(files)
 			r := newRelay(files, dir, os.Getpid(), time.Millisecond, time.Minute, testenv.Quiet)
 			if err := r.Register(); err == nil {
-				t.Fatal("registered on a directory that fails")
+				t.Fatal("Register succeeded on a failing directory")
 			}
 			if err := r.scan(func([]byte) bool { return true }); err == nil {
-				t.Fatal("a scan registered on a directory that fails")
+				t.Fatal("a scan succeeded on a failing directory")
 			}
 			files.mkdir = nil
 			files.Heal()
@@ -194,15 +194,15 @@
 				t.Errorf("taken: %q", got)
 			}
 			other := register(t, osDirectory{atomicfile.OS}, dir, os.Getppid())
-			if passed, err := other.Forward([]byte(testCallback)); !passed || err != nil {
-				t.Errorf("it is not seen: %v, %v", passed, err)
+			if stored, err := other.Forward([]byte(testCallback)); !stored || err != nil {
+				t.Errorf("the process is not seen as running: stored %v, error %v", stored, err)
 			}
 		})
 	}
 }
 
-// A process that was killed at any point of a write leaves nothing that is taken for a callback, of either version of
-// the temporary names, and what it left is removed.
+// A process that was killed at any point of a write leaves nothing that is taken for a callback, under the old and the
+// new names of temporary files, and the remaining files are removed.
 func TestHalfWrittenCallbackIsNotTaken(t *testing.T) {
 	dir := t.TempDir()
 	r := register(t, osDirectory{atomicfile.OS}, dir, os.Getpid())
@@ -220,16 +220,17 @@
 	scanned(t, r)
 	entries, err := os.ReadDir(dir)
 	if err != nil || len(entries) != 1 || entries[0].Name() != filepath.Base(r.marker()) {
-		t.Errorf("left: %v, %v", entries, err)
+		t.Errorf("files left: %v, %v, want the marker alone", entries, err)
 	}
 }
 
-// A callback that waits is not removed for its file's date, which a step of the wall clock makes old at once.
+// A waiting callback is not removed because of its file's modification time, which a step of the wall clock can make
+// old at once.
 func TestClockStepRemovesNoCallback(t *testing.T) {
 	dir := t.TempDir()
 	old := register(t, osDirectory{atomicfile.OS}, dir, os.Getpid())
 	next := register(t, osDirectory{atomicfile.OS}, dir, os.Getppid())
-	if passed, err := next.Forward([]byte(testCallback)); !passed || err != nil {
+	if stored, err := next.Forward([]byte(testCallback)); !stored || err != nil {
 		t.Fatal(err)
 	}
 	hourAgo := time.Now().Add(-time.Hour)
@@ -238,37 +239,38 @@
 			t.Fatal(err)
 		}
 	}
-	scanned(t, next) // the process that stored it looks first
+	scanned(t, next) // the process that stored it scans first
 	if got := scanned(t, old); len(got) != 1 {
 		t.Errorf("taken: %q", got)
 	}
 }
 
-// A process with the pid of an earlier one takes what that one stored, and replaces none of it.
+// A process with the pid of an earlier one taken the callbacks that the earlier one stored, and overwrites none of
+// them.
 func TestReusedPidTakesItsPredecessorsCallbacks(t *testing.T) {
 	dir := t.TempDir()
 	register(t, osDirectory{atomicfile.OS}, dir, os.Getpid())
 	earlier := register(t, osDirectory{atomicfile.OS}, dir, os.Getppid())
 	later := register(t, osDirectory{atomicfile.OS}, dir, os.Getppid())
 	for _, r := range []*Relay{earlier, later} {
-		if passed, err := r.Forward([]byte(testCallback)); !passed || err != nil {
+		if stored, err := r.Forward([]byte(testCallback)); !stored || err != nil {
 			t.Fatal(err)
 		}
 	}
 	if names := callbacksIn(t, dir); len(names) != 2 {
-		t.Fatalf("%v", names)
+		t.Fatalf("files %v, want 2", names)
 	}
 	if got := scanned(t, later); len(got) != 1 {
-		t.Errorf("of the earlier one: %q", got)
+		t.Errorf("callbacks taken from the earlier process: %q, want 1", got)
 	}
 }
 
-// A callback that can not be read for a while is taken afterwards.
+// A callback that cannot be read for a while is taken afterwards.
 func TestCallbackThatCanNotBeReadIsTakenLater(t *testing.T) {
 	dir, files := t.TempDir(), newFaultyDirectory()
 	old := register(t, files, dir, os.Getpid())
 	next := register(t, osDirectory{atomicfile.OS}, dir, os.Getppid())
-	if passed, err := next.Forward([]byte(testCallback)); !passed || err != nil {
+	if stored, err := next.Forward([]byte(testCallback)); !stored || err != nil {
 		t.Fatal(err)
 	}
 	files.read = syscall.EIO
@@ -281,15 +283,15 @@
 	}
 }
 
-// A directory that was emptied, as temporary directories are, gets the marker again.
+// If the directory is emptied, as happens to temporary directories, the marker is created again.
 func TestMarkerIsRestored(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "handover")
 	r := register(t, osDirectory{atomicfile.OS}, dir, os.Getpid())
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	var takes atomic.Int32
-	if err := r.scan(func([]byte) bool { takes.Add(1); return true }); err != nil || takes.Load() != 0 {
+	var taken atomic.Int32
+	if err := r.scan(func([]byte) bool { taken.Add(1); return true }); err != nil || taken.Load() != 0 {
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(r.marker()); err != nil {
--- a/internal/callbackrelay/directory.go
+++ b/internal/callbackrelay/directory.go
@@ -7,15 +7,14 @@
 	"gatetack/internal/atomicfile"
 )
 
-// Directory is the part of a file system that a Relay needs. Programs use osDirectory; tests wrap it to make calls
-// fail.
+// Directory is the part of a file system that a Relay uses. Programs use osDirectory; tests wrap it to inject faults.
 type Directory interface {
 	atomicfile.FS
-	// MkdirAll creates a directory and those above it.
+	// MkdirAll creates a directory and its parents.
 	MkdirAll(path string, mode fs.FileMode) error
 	// ReadDir returns the entries of a directory.
 	ReadDir(path string) ([]fs.DirEntry, error)
-	// ReadFile returns a file's content.
+	// ReadFile returns the content of a file.
 	ReadFile(path string) ([]byte, error)
 }
 
--- a/internal/callbackrelay/errors.go
+++ b/internal/callbackrelay/errors.go
@@ -7,7 +7,7 @@
 )
 
 // NotStoredError reports that a callback could not be stored for the other process of the node. The executor must not
-// be told that it was taken, so that it calls again.
+// get a success response, so that it repeats the callback.
 type NotStoredError struct{ Err error }
 
 func (e *NotStoredError) Error() string {
@@ -20,7 +20,7 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*NotStoredError) Code() string { return "handover.not_stored" }
 
-// Do says what an operator can do.
+// Do returns what an operator can do.
 func (*NotStoredError) Do() string {
 	return "make room in the node's temporary directory, or make it writable; executors call again meanwhile"
 }
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -16,17 +16,18 @@
 	"gatetack/internal/slowpeer"
 )
 
-// statusOK is the only status with which discovery answers a call that it takes.
+// statusOK is the only status with which discovery accepts a call.
 const statusOK = 200
 
-// RejectedError says that discovery rejected a call.
+// RejectedError reports that discovery rejected a call.
 type RejectedError struct{ Status int }
 
 func (e *RejectedError) Error() string {
 	return fmt.Sprintf("discovery rejected the call with status %d", e.Status)
 }
 
-// errWithinLine says that a call's connection broke within a line, which counts as notified all the same.
+// errWithinLine reports that a call's connection ended within a line. Discovery counts the change in that line as
+// notified nevertheless.
 var errWithinLine = errors.New("the connection ended within a line")
 
 // callEnd classifies the error with which a call ended; nil is its regular end.
@@ -52,15 +53,15 @@
 type listCall struct {
 	client  *Client
 	addr    string
-	tracker *endpointwatch.Tracker // of a watch; nil for a fetch
+	tracker *endpointwatch.Tracker // of the watch; nil for a fetch
 
 	conn   *http1.MinRateConn
 	parser *http1.Parser
 	lines  lineSplitter
 }
 
-// makeCall makes a call and takes each line of its answer. Silence ends it: a machine that was cut off leaves
-// connections open and says nothing. How long it may last, a watch's tracker says.
+// makeCall makes a call and handles each line of its response. If nothing arrives for too long the call ends, since a
+// machine that is cut off leaves its connections open. The time limit is set by the watch's tracker.
 func (c *Client) makeCall(ctx context.Context, addr, target string, tracker *endpointwatch.Tracker) error {
 	call := &listCall{client: c, addr: addr, tracker: tracker, parser: http1.NewParser(c.limits, true)}
 	call.lines = lineSplitter{maxBytes: c.limits.WatchLine, takeLine: call.takeLine}
@@ -94,7 +95,7 @@
 	return w.Flush()
 }
 
-// receive reads the answer until it ends.
+// receive reads the response until it ends.
 func (l *listCall) receive() error {
 	ring := http1.NewRing(l.client.limits.Ring)
 	for {
@@ -113,10 +114,11 @@
 	}
 }
 
-// read makes one read. It returns the answer if that ended with the connection.
+// read reads once. It returns the response if that ended with the connection.
 func (l *listCall) read(ring *http1.Ring) (*http1.Message, error) {
-	// Between lines silence counts, and within one the rate: a line that comes byte by byte would else extend the time of
-	// silence with each of them, and what it says, a drain perhaps, counts as notified long before it is whole.
+	// Between lines the time without data is limited, and within a line the rate. Otherwise each byte of a line that
+	// arrives byte by byte would extend the time limit, while its content, for example a drain, counts as notified
+	// long before the line is complete.
 	if l.lines.started() || l.parser.Started() && l.parser.Head() == nil {
 		l.conn.ExpectBytes()
 	} else {
@@ -143,7 +145,7 @@
 	return nil, fmt.Errorf("reading: %w", err)
 }
 
-// silenceDeadline is when the call is given up if nothing more comes.
+// silenceDeadline returns when the call ends if nothing more arrives.
 func (l *listCall) silenceDeadline() time.Time {
 	if l.tracker != nil {
 		return l.tracker.IdleDeadline()
@@ -151,7 +153,7 @@
 	return time.Now().Add(l.client.limits.ListCall)
 }
 
-// takeBody takes bytes of the answer's body.
+// takeBody handles a part of the response's body.
 func (l *listCall) takeBody(b []byte) error {
 	if head := l.parser.Head(); head.Status != statusOK {
 		return &RejectedError{head.Status}
@@ -159,7 +161,7 @@
 	return l.lines.feed(b)
 }
 
-// takeLine takes one line of the body. An empty one says that the watch works and that nothing has changed.
+// takeLine handles one line of the body. An empty line shows that the watch is working and that nothing has changed.
 func (l *listCall) takeLine(b []byte) error {
 	if err := l.client.takeLine(b); err != nil {
 		return err
@@ -177,7 +179,7 @@
 		return nil
 	}
 	if !gjson.ValidBytes(b) {
-		return errors.New("a line that is not JSON")
+		return errors.New("a line of the endpoint list is not valid JSON")
 	}
 	l, err := node.ParseEndpointList(gjson.ParseBytes(b))
 	if err != nil {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,5 +1,5 @@
-// Package discovery gets the list of executors from discovery and follows its changes. It carries out what package
-// endpointwatch and the decision module say, and has no rules of its own about when to call.
+// Package discovery gets the endpoint list from discovery and watches its changes. It follows the decisions of package
+// endpointwatch and of the dispatch module, and has no rules of its own about when to call.
 package discovery
 
 import (
@@ -19,23 +19,24 @@
 	"gatetack/internal/slowpeer"
 )
 
-// Sink takes what discovery says. Calls of it do not overlap, but for those that follow a Fetch.
+// Sink receives endpoint lists. Its methods are not called concurrently, except for the results of a Fetch.
 type Sink interface {
-	// UpdateEndpoints takes a whole list or a change, or the failure of a call that the decision module asked for.
+	// UpdateEndpoints takes a snapshot or a delta, or the failure of a call that the dispatch module asked for.
 	UpdateEndpoints(node.EndpointList)
-	// ListCallFailed is called when a watch's call has ended, whoever made it.
+	// ListCallFailed is called when a call of a watch has ended, whoever asked for it.
 	ListCallFailed()
-	// ListConfirmed is called when a watch says that nothing has changed since its last line.
+	// ListConfirmed is called when a watch reports that nothing has changed since its last line.
 	ListConfirmed()
 }
 
-// maxPendingRequests is how many requests of the decision module may wait for Run. More would bring nothing new.
+// maxPendingRequests is how many requests of the dispatch module may wait for Run. Further requests would have no
+// additional effect.
 const maxPendingRequests = 16
 
-// Client calls discovery. Run owns its goroutines: one watch, and one for each fetch.
+// Client calls discovery. Run owns its goroutines: one for the watch, and one for each fetch.
 type Client struct {
 	limits    limits.Limits
-	pushed    bool // changes come unasked, see New
+	pushed    bool // discovery pushes changes, see New
 	sink      Sink
 	slowPeers *slowpeer.Counters
 	log       *slog.Logger
@@ -44,15 +45,15 @@
 	dial  func(ctx context.Context, network, addr string) (net.Conn, error)
 	sleep func(context.Context, time.Duration)
 
-	index        atomic.Uint64         // of the list that was received last
-	tracker      endpointwatch.Tracker // of the watch, of which one runs at a time
-	callUnderWay atomic.Bool           // the watch has a call under way
+	index        atomic.Uint64         // of the list received last
+	tracker      endpointwatch.Tracker // of the watch; at most one watch runs at a time
+	callUnderWay atomic.Bool           // the watch has a call in progress
 
 	mu     sync.Mutex // guards source
 	source source
 }
 
-// source is where discovery is. Its context ends when discovery moves.
+// source is an address of discovery. Its context ends when the address is replaced.
 type source struct {
 	addr   string
 	ctx    context.Context
@@ -67,7 +68,7 @@
 func (s source) moved() <-chan struct{} { return s.ctx.Done() }
 func (s source) hasMoved() bool         { return s.ctx.Err() != nil }
 
-// request is what the decision module asks for.
+// request is a request of the dispatch module.
 type request uint8
 
 const (
@@ -76,9 +77,9 @@
 	fetchList
 )
 
-// New makes a client that knows the list up to index. With pushed the settings have changes come unasked: then
-// addr is that of an agent on the node's own machine, which says at no cost what it was sent. A watch on it is
-// kept from the start on, and the decision module asks for nothing.
+// New returns a client that has the list up to index. If pushed is true, changes are pushed to an agent on this
+// machine, and addr is the agent's address; calls to it cost nothing. The client then watches the agent from the
+// start, and the dispatch module requests nothing.
 func New(
 	addr string, index uint64, pushed bool, lim limits.Limits, sink Sink, slow *slowpeer.Counters, log *slog.Logger,
 ) *Client {
@@ -98,8 +99,8 @@
 	return c
 }
 
-// SetAddress goes on at another address, at once: calls at the old one may say nothing more, while drains count as
-// notified. The list stays, and changes are asked for from its version on.
+// SetAddress switches to another address of discovery at once. Calls at the old address may not receive anything more,
+// while drains count as notified. The list is kept, and changes are requested from its index on.
 func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,7 +117,7 @@
 	return c.source
 }
 
-// Watch begins to follow changes, or stops. It does not block.
+// Watch starts or stops the watch. It does not block.
 func (c *Client) Watch(on bool) {
 	if on {
 		c.enqueue(startWatch)
@@ -125,18 +126,18 @@
 	}
 }
 
-// Fetch gets the whole list once. It does not block.
+// Fetch requests the whole list once. It does not block.
 func (c *Client) Fetch() { c.enqueue(fetchList) }
 
 func (c *Client) enqueue(r request) {
 	select {
 	case c.requests <- r:
-	default: // as many wait as are of use
+	default: // the queue already contains as many requests as have an effect
 	}
 }
 
-// Run makes the calls until the context ends. A watch runs from the start on, until it is called off: the
-// decision module says when it would call, and the tracker when a call has to be made.
+// Run makes the calls until the context ends. The watch runs from the start until it is stopped: the dispatch module
+// decides when it would call, and the tracker when a call must be made at the latest.
 func (c *Client) Run(ctx context.Context) error {
 	var watch, fetches errgroup.Group
 	stop := func() {}
@@ -150,7 +151,7 @@
 	}
 	now := time.Now()
 	c.tracker.Started(now)
-	c.callUnderWay.Store(true) // the first call is made at once, and answers what the module asks for meanwhile
+	c.callUnderWay.Store(true) // the first call is made at once, and also answers what the module requests meanwhile
 	start(now)
 	for {
 		select {
@@ -160,26 +161,27 @@
 			switch {
 			case r == fetchList:
 				fetches.Go(func() error { c.fetch(ctx); return nil })
-			case c.pushed: // the watch goes on as it is
+			case c.pushed: // the watch continues
 			case r == stopWatch:
 				stop()
-			case !c.callUnderWay.Load(): // a call under way answers this request too, and would lose its turn
+			case !c.callUnderWay.Load(): // a call in progress answers this request too, and would lose its turn if it were repeated
 				start(time.Now())
 			}
 		}
 	}
 }
 
-// callAt makes one call, until it ends, ctx does, or discovery moves.
+// callAt makes one call, until it ends, ctx ends, or the address of discovery is replaced.
 func (c *Client) callAt(ctx context.Context, at source, target string, tracker *endpointwatch.Tracker) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(at.ctx, cancel) //nolint:contextcheck // at.ctx ends when discovery moves, ctx with the watch
+	stop := context.AfterFunc(at.ctx, cancel) //nolint:contextcheck // at.ctx ends when the address is replaced, ctx with the watch
 	defer stop()
 	return c.makeCall(ctx, at.addr, target, tracker)
 }
 
-// reportFailure notifies the decision module of a call that failed. If it asked for none, its list stays as it is.
+// reportFailure notifies the dispatch module of a failed call. With a pushed list the module has asked for no call,
+// and is not notified.
 func (c *Client) reportFailure(call string, err error) {
 	c.log.Info("discovery call failed", "call", call, "err", err)
 	if !c.pushed {
--- a/internal/discovery/connect.go
+++ b/internal/discovery/connect.go
@@ -9,17 +9,17 @@
 	"gatetack/internal/tcpinfo"
 )
 
-// A connection that this machine itself could not make is tried again after a pause that doubles between these
-// bounds. The largest is small against the 6 s by which changes count as notified: once the lack has passed, the
-// call is made in time.
+// After a local fault, a connection is retried after a pause that doubles between these limits. The maximum is small
+// compared with the 6 s after which changes count as notified, so that the call is made in time once the fault is
+// over.
 const (
 	connectBackoffMin = 5 * time.Millisecond
 	connectBackoffMax = 100 * time.Millisecond
 )
 
-// connect makes the connection of one call. A lack of this machine (ports, descriptors, memory, a route) is no
-// answer of discovery's and ends no call: it is tried again for as long as a call may take, and a watch's call
-// counts as made with the last try.
+// connect opens the connection of one call. A fault of this machine (ports, descriptors, memory, a route) is no answer
+// of discovery and does not end the call: connect retries for as long as a call may take. For a watch, the call counts
+// as started with the last try.
 func (c *Client) connect(ctx context.Context, addr string, tracker *endpointwatch.Tracker) (net.Conn, error) {
 	waited := time.Duration(0)
 	for backoff := connectBackoffMin; ; backoff = min(2*backoff, connectBackoffMax) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// sleep pauses for a while, or until the context ends.
+// sleep waits for d, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/discovery/connect_test.go
+++ b/internal/discovery/connect_test.go
@@ -13,7 +13,7 @@
 	"gatetack/internal/testenv"
 )
 
-// failingDialer fails as often as a test says before it connects, and notes the pauses between.
+// failingDialer fails a given number of dials before it connects, and records the pauses between them.
 type failingDialer struct {
 	errno    syscall.Errno
 	failures int
@@ -40,8 +40,8 @@
 	d.pauses = append(d.pauses, pause)
 }
 
-// A lack of this machine ends no call: it is made again after pauses that double up to a bound, and nobody is
-// notified of a failure.
+// A fault of this machine does not end a call: the dial is retried after pauses that double up to a limit, and no
+// failure is reported.
 func TestLocalConnectErrorsAreRetriedWithinACall(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
@@ -55,12 +55,12 @@
 			run()
 			testenv.Until(t, "the list", func() bool { return len(sink.All()) == 1 })
 			if first := sink.All()[0]; first.Form != dispatch.ListSnapshot {
-				t.Errorf("first notified: %+v", first)
+				t.Errorf("first update: %+v, want a snapshot", first)
 			}
 			dialer.mu.Lock()
 			defer dialer.mu.Unlock()
 			if len(dialer.pauses) != dialer.failures {
-				t.Fatalf("pauses: %v", dialer.pauses)
+				t.Fatalf("pauses %v, want one after each failure", dialer.pauses)
 			}
 			for i, want := 0, connectBackoffMin; i < dialer.failures; i, want = i+1, min(2*want, connectBackoffMax) {
 				if dialer.pauses[i] != want {
@@ -71,8 +71,8 @@
 	}
 }
 
-// A lack that lasts ends the call once its time is over, as one that failed, and the next is made: the pauses of
-// a call and the wait for the next stay within the time by which changes count as notified.
+// A lasting fault of this machine ends the call as failed once the time for a call is over, and the next call is made.
+// The pauses of a call and the wait for the next call stay within the time after which changes count as notified.
 func TestLocalConnectErrorsThatLastEndTheCall(t *testing.T) {
 	c, sink, list, box, run := prepare(t, testenv.Lim)
 	dialer := &failingDialer{errno: syscall.EADDRNOTAVAIL, failures: 100}
@@ -88,15 +88,16 @@
 	inOneCall := time.Duration(0)
 	for _, pause := range dialer.pauses {
 		if pause == connectBackoffMin {
-			inOneCall = 0 // the next call has begun
+			inOneCall = 0 // the next call has started
 		}
 		if inOneCall += pause; inOneCall > testenv.Lim.ListCall+connectBackoffMax {
-			t.Fatalf("pauses of one call: over %v", inOneCall)
+			t.Fatalf("the pauses of one call add up to %v, more than a call may take", inOneCall)
 		}
 	}
 }
 
-// What the other side or the way to it answers ends a call at once, as before: it is a sign of discovery's state.
+// An error that comes from discovery or from the path to it ends a call at once, since it is a sign of discovery's
+// state.
 func TestRemoteConnectErrorsEndTheCall(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNREFUSED, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET,
@@ -111,14 +112,14 @@
 				all := sink.All()
 				return len(all) > 0 && all[len(all)-1].Form == dispatch.ListSnapshot
 			})
-			// After silence the next call is made here, and the decision module is not notified.
+			// After a time-out the next call is decided by the tracker, and the dispatch module is not notified.
 			if failed := sink.All()[0].Form == dispatch.ListFailed; failed != (errno != syscall.ETIMEDOUT) {
-				t.Errorf("notified of a failure: %v", failed)
+				t.Errorf("failure reported: %v", failed)
 			}
 			dialer.mu.Lock()
 			defer dialer.mu.Unlock()
 			if len(dialer.pauses) != 0 {
-				t.Errorf("pauses: %v", dialer.pauses)
+				t.Errorf("pauses %v, want none", dialer.pauses)
 			}
 		})
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -19,7 +19,8 @@
 	_ "gatetack/internal/testrand"
 )
 
-// prepare makes a client of a list that names nobody yet. Run has it make its first call.
+// prepare returns a client of a discovery server whose list is still empty. run starts the client, which makes its
+// first call.
 func prepare(
 	t *testing.T, lim limits.Limits,
 ) (c *Client, s *testenv.Lists, list *testenv.List, box *testenv.Box, run func()) {
@@ -39,7 +40,7 @@
 	return c, s, list, box, func() { g.Go(func() error { return c.Run(ctx) }) }
 }
 
-// A watch brings the list and then its changes.
+// A watch delivers the list and then its changes.
 func TestWatchBringsTheListAndItsChanges(t *testing.T) {
 	c, s, list, box, run := prepare(t, testenv.Lim)
 	list.Put(box, "ready")
@@ -57,8 +58,8 @@
 	testenv.Until(t, "the list once", func() bool { return len(s.All()) == 3 })
 }
 
-// serveCalls is a list whose calls a test answers by itself: serve has each with its number, and ends once ctx does.
-// The module asks for nothing.
+// serveCalls runs a discovery server whose calls the test answers: serve is called for each connection with its
+// number, and must return when ctx ends. The dispatch module requests nothing.
 func serveCalls(
 	t *testing.T, serve func(ctx context.Context, n int, conn net.Conn),
 ) (s *testenv.Lists, run func(limits.Limits)) {
@@ -91,10 +92,9 @@
 	}
 }
 
-// A module that asks for nothing, as one whose next turn is far away, does not keep the node from the list: the
-// first call is made here in time, and so is each after calls that were turned away, broke off or found nobody.
-// (The settings give ten seconds for asking, and the module's turns go up to that; changes count as told after
-// six.)
+// The client makes its first call, and each call after one that was rejected, broke off or returned nothing, in time
+// by itself, even if the dispatch module requests none. The settings allow ten seconds between the module's requests,
+// while changes count as notified after six.
 func TestCallsAreMadeInTimeWithoutTheModule(t *testing.T) {
 	lim := testenv.Lim
 	lim.Staleness.MaxStaleness = 60 * time.Millisecond
@@ -104,7 +104,7 @@
 		switch n {
 		case 0:
 			_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\nbusy")
-		case 1: // closed with nothing said
+		case 1: // closed without an answer
 		case 2:
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		default:
@@ -121,7 +121,7 @@
 	}
 }
 
-// A call that waits for its turn is not given up for one that the module asks for meanwhile: that would begin to
+// A call that waits for its turn is not abandoned for one that the module requests meanwhile, which would start to
 // wait anew.
 func TestWatchRequestLeavesACallUnderWay(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -140,27 +140,27 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	_, _ = conn.Read(make([]byte, 1000)) // from here on it waits
+	_, _ = conn.Read(make([]byte, 1000)) // the call waits from here on
 	for range cap(c.requests) {
-		c.Watch(true)
+		c.Watch(true) // nothing listens any more
 	}
-	testenv.Until(t, "all are looked at", func() bool { return len(c.requests) == 0 })
+	testenv.Until(t, "all requests are handled", func() bool { return len(c.requests) == 0 })
 	line := `{"index":3,"snapshot":false,"endpoints":[]}`
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(line)+1, line)
 	testenv.Until(t, "the list by the first call", func() bool { return len(s.All()) == 1 && s.All()[0].Index == 3 })
 }
 
-// A watch falls silent at any point: while the call waits, after the head, within a line, between lines. It is
-// given up and begun anew from here, with no failure told: the module's next call could be ten seconds away,
-// while a drain that was missed counts as told after six. (On a fleet of 300 nodes one watch of 33 fell silent
-// while its call waited, and its node was held to drains three times before it asked again.)
+// A watch stops receiving data at any point: while the call waits, after the head, within a line, between lines. The
+// client ends it and starts another one without reporting a failure: the module's next request could be ten seconds
+// away, while a missed drain counts as notified after six. In a fleet of 300 nodes 1 of 33 watches stopped while its
+// call waited, and its node violated drains three times before it asked again.
 func TestSilentWatchIsRestarted(t *testing.T) {
 	head, line := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", `{"index":3,"snapshot":false,"endpoints":[]}`
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 	for name, x := range map[string]struct {
 		says  string
 		lists int
-		cut   bool // in place of silence
+		cut   bool // the connection is closed instead
 	}{
 		"while it waits": {"", 0, false}, "after the head": {head, 0, false}, "within the head": {head[:20], 0, false},
 		"within a line": {head + chunk(line[:17]), 0, false}, "within a chunk": {head + chunk(line + "\n")[:20], 0, false},
@@ -179,7 +179,7 @@
 					if x.cut {
 						return
 					}
-				case n == 1 && !x.cut: // and the next call is turned away: that is no matter of the module's either
+				case n == 1 && !x.cut: // the next call is rejected, which is not reported to the module either
 					_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 					return
 				default:
@@ -194,14 +194,14 @@
 			run(lim)
 			testenv.Until(t, "the list again", func() bool { l := s.All(); return len(l) > 0 && l[len(l)-1].Index == 9 })
 			if l := s.All(); len(l) != x.lists+1 {
-				t.Errorf("%+v, want %d lists and then the last, with no failure", l, x.lists)
+				t.Errorf("updates %+v, want %d lists and then the last one, without a failure", l, x.lists)
 			}
 		})
 	}
 }
 
-// A watch that had stood and ends is begun anew at once, without a failure; and an object that came whole is taken
-// before its line break, which may never come. Both carry drains that count as told.
+// A stable watch that ends is restarted at once without a failure. A complete object is handled before its line break,
+// which may never arrive. Both may contain drains that count as notified.
 func TestEndedWatchIsRestarted(t *testing.T) {
 	lim := testenv.Lim
 	lim.Staleness.StableAfter = 0
@@ -209,7 +209,7 @@
 	s, run := serveCalls(t, func(ctx context.Context, n int, conn net.Conn) {
 		text := fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[]}`, n+1)
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s", len(text)+1, text)
-		if n < 2 { // and then no line break
+		if n < 2 { // close without a line break
 			for len(s.All()) < n+1 && ctx.Err() == nil {
 				time.Sleep(time.Millisecond)
 			}
@@ -221,16 +221,17 @@
 	testenv.Until(t, "three lists", func() bool { return len(s.All()) == 3 })
 	for i, l := range s.All() {
 		if l.Form != dispatch.ListDelta || l.Index != uint64(i+1) {
-			t.Errorf("%d: %+v", i, l)
+			t.Errorf("update %d: %+v", i, l)
 		}
 	}
 }
 
-// Where discovery moves, the watch goes on at the new address, be the old one deaf, mute or gone, and no failure is
-// told: the module would wait before it asks again, while drains count as told.
+// When the address of discovery is replaced, the watch continues at the new one, whether the old one still serves,
+// does not respond, or is gone. No failure is reported: the module would wait before its next request, while drains
+// count as notified.
 func TestMoveCallsTheNewAddressAtOnce(t *testing.T) {
 	lim := testenv.Lim
-	lim.Staleness.MaxStaleness = time.Hour // no call is made but those that are asked for, and at moves
+	lim.Staleness.MaxStaleness = time.Hour // the only calls are those that are requested and those after a change of address
 	for _, old := range []string{"serves", "mute", "deaf", "gone"} {
 		c, s, list, box, run := prepare(t, lim)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -242,7 +243,7 @@
 		next.Put(box, "draining")
 		ended := make(chan bool)
 		switch old {
-		case "deaf", "gone": // takes connections and says nothing, or takes none; a watch that stood moves there by itself
+		case "deaf", "gone": // accepts connections and does not respond, or accepts none; an established watch moves there by itself
 			list.Mute(true)
 			run()
 			testenv.Until(t, "the watch", func() bool { return list.Watches() == 1 })
@@ -251,7 +252,7 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = ln.Close() }()
-			if old == "gone" { // with the first call
+			if old == "gone" { // after the first call
 				g.Go(func() error {
 					if conn, err := ln.Accept(); err == nil {
 						_ = conn.Close()
@@ -282,11 +283,11 @@
 			return len(l) > 0 && len(l[len(l)-1].Entries) == 1 && l[len(l)-1].Entries[0].Status == "draining"
 		})
 		if d := time.Since(began); d > testenv.Lim.Staleness.HeartbeatInterval {
-			t.Errorf("%s: it took %v", old, d)
+			t.Errorf("%s: the list took %v, want at most a heartbeat interval", old, d)
 		}
 		for _, l := range s.All() {
 			if l.Form == dispatch.ListFailed {
-				t.Errorf("%s: a failure was told", old)
+				t.Errorf("%s: a failure was reported", old)
 			}
 		}
 		cancel()
@@ -294,7 +295,7 @@
 	}
 }
 
-// Each call that fails is told of once.
+// Each failed call is reported once.
 func TestEachFailedCallIsReportedOnce(t *testing.T) {
 	for name, answer := range map[string]string{
 		"503":      "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 3\r\n\r\nno\n",
@@ -323,17 +324,17 @@
 		g.Go(func() error { return c.Run(ctx) })
 		testenv.Until(t, name, func() bool { return len(s.All()) > 0 })
 		c.Watch(true) // nobody is there any more
-		testenv.Until(t, name+", and the call that is asked for", func() bool { return len(s.All()) > 1 })
+		testenv.Until(t, name+", and the requested call", func() bool { return len(s.All()) > 1 })
 		cancel()
 		_ = g.Wait()
 		if l := s.All(); len(l) != 2 || l[0].Form != dispatch.ListFailed || l[1].Form != dispatch.ListFailed {
-			t.Errorf("%s: %+v", name, l)
+			t.Errorf("%s: updates %+v, want two failures", name, l)
 		}
 	}
 }
 
-// A call that waited for its turn and was refused has not stood, however long it waited: it fails, and the module says
-// when the next is made.
+// A call that waited for its turn and was rejected does not count as a stable watch, however long it waited: it fails,
+// and the module decides when the next one is made.
 func TestCallRejectedAfterAWaitIsNotRestarted(t *testing.T) {
 	lim := testenv.Lim
 	lim.Staleness.StableAfter = 0 // any wait is longer
@@ -362,11 +363,11 @@
 	g.Go(func() error { return c.Run(ctx) })
 	testenv.Until(t, "the failure", func() bool { return len(s.All()) == 1 && s.All()[0].Form == dispatch.ListFailed })
 	if n := len(calls); n != 1 {
-		t.Errorf("%d calls, want the one that a new process makes", n)
+		t.Errorf("%d calls, want the one at the start", n)
 	}
 }
 
-// Lines come out whole however the body is cut.
+// Lines are complete wherever the body is split.
 func TestLineSplitterCutsAnyPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines := rapid.SliceOf(rapid.StringMatching(`[a-z]{0,12}`)).Draw(t, "lines")
@@ -386,13 +387,13 @@
 			t.Fatalf("%q, want %q", got, all)
 		}
 		if s.feed([]byte(fmt.Sprintf("%013d", 0))) == nil {
-			t.Fatal("a line over the limit")
+			t.Fatal("a line over the limit was accepted")
 		}
 	})
 }
 
-// Lists come out whole however they are written, indented or not, and however the body is cut; empty lines
-// between them are passed over.
+// Lists are complete whether they are indented or not, and wherever the body is split; empty lines between them are
+// ignored.
 func TestLineSplitterTakesIndentedLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all bytes.Buffer
@@ -438,8 +439,8 @@
 	})
 }
 
-// An object that does not end ends the call at the next sign of life, and the next call brings what it would
-// have told: here an empty line, or a list.
+// An incomplete object ends the call at the next line that shows the watch is working, here an empty line or a list.
+// The next call then delivers its content.
 func TestBrokenObjectEndsAtTheNextList(t *testing.T) {
 	const list = `{"index":3,"snapshot":false,"endpoints":[{"name":"s-1","status":"draining"}]}` + "\n"
 	for _, next := range []string{"\n", list} {
@@ -448,13 +449,13 @@
 			t.Fatal(err)
 		}
 		if s.feed([]byte(next)) == nil {
-			t.Errorf("%q was taken for a part of it", next)
+			t.Errorf("%q was accepted as part of the object", next)
 		}
 	}
 }
 
-// A watch whose lists are indented is followed like any other. (Each was taken for garbage at its first line
-// break: the node never heard of any change.)
+// A watch whose lists are indented is followed like any other. If such a list failed at its first line break, the node
+// would receive no change.
 func TestWatchTakesIndentedLists(t *testing.T) {
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 	list := func(index int, status string) string {
@@ -469,7 +470,7 @@
 		<-ctx.Done()
 	})
 	run(testenv.Lim)
-	testenv.Until(t, "both", func() bool { return len(s.All()) >= 2 })
+	testenv.Until(t, "both lists", func() bool { return len(s.All()) >= 2 })
 	l := s.All()
 	if len(l) != 2 || len(l[0].Entries) != 1 || len(l[1].Entries) != 1 ||
 		l[0].Entries[0].Status != "ready" || l[1].Entries[0].Status != "draining" {
@@ -477,7 +478,8 @@
 	}
 }
 
-// An empty line of a watch confirms the list; the line break of a list that was read before its break came does not.
+// An empty line of a watch confirms the list. The line break of a list that was handled before its line break arrived
+// does not.
 func TestEmptyLineConfirmsTheList(t *testing.T) {
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 	line := `{"index":%d,"snapshot":false,"endpoints":[]}`
--- a/internal/discovery/lines.go
+++ b/internal/discovery/lines.go
@@ -10,19 +10,20 @@
 	"gatetack/internal/node"
 )
 
-// lineSplitter cuts a body into lines of a bounded length. An indented object spans several lines and counts as one. A
-// broken object must not swallow what comes after it, so an empty line, or a whole list on a line of its own, ends it.
+// lineSplitter splits a body into lines of limited length. An indented object spans several lines and counts as one.
+// An incomplete object must not absorb what follows it, so an empty line, or a whole list on a line of its own, ends
+// it with an error.
 type lineSplitter struct {
 	maxBytes int
 	buf      []byte
 	takeLine func([]byte) error
 
-	lineStart int // where the last line begins of an object that spans several
-	depth     int // of open brackets
+	lineStart int // start of the last line of an object that spans several lines
+	depth     int // number of open brackets
 	inString  bool
-	escaped   bool // behind a backslash in a string
+	escaped   bool // after a backslash in a string
 
-	unbroken bool // the last line was taken before its line break came
+	unbroken bool // the last line was handled before its line break arrived
 }
 
 func (s *lineSplitter) feed(b []byte) error {
@@ -33,7 +34,7 @@
 			i = len(b)
 		}
 		if len(s.buf)+i > s.maxBytes {
-			return fmt.Errorf("a line is longer than %d bytes", s.maxBytes)
+			return fmt.Errorf("a line of the endpoint list exceeds %d bytes", s.maxBytes)
 		}
 		s.add(b[:i])
 		b = b[min(i+1, len(b)):]
@@ -41,11 +42,11 @@
 		switch {
 		case broken && s.objectOpen() && !s.inString:
 			if len(bytes.TrimSpace(s.buf[s.lineStart:])) == 0 || s.lineStart > 0 && isList(s.buf[s.lineStart:]) {
-				return errors.New("an object that is not whole when the next line comes")
+				return errors.New("incomplete object before the next line of the endpoint list")
 			}
 			s.buf = append(s.buf, '\n')
 			s.lineStart = len(s.buf)
-		case broken && s.unbroken && len(bytes.TrimSpace(s.buf)) == 0: // the break of a line that was taken already
+		case broken && s.unbroken && len(bytes.TrimSpace(s.buf)) == 0: // the line break of a line that was already handled
 			s.buf, s.unbroken = s.buf[:0], false
 		case broken || s.objectWhole():
 			err = s.endLine()
@@ -76,17 +77,17 @@
 	}
 }
 
-// objectOpen says that an object has begun and not ended.
+// objectOpen reports whether an object has begun and not ended.
 func (s *lineSplitter) objectOpen() bool {
 	t := bytes.TrimLeft(s.buf, " \t\r\n")
 	return len(t) > 0 && t[0] == '{' && s.depth > 0
 }
 
-// started says that a part of a line has come.
+// started reports whether a part of a line has arrived.
 func (s *lineSplitter) started() bool { return len(s.buf) > 0 }
 
-// objectWhole says that the buffer holds a whole object, though its line break has not come: it counts as notified,
-// whether the break still comes or not.
+// objectWhole reports whether the buffer contains a complete object, even if its line break has not arrived: its
+// content counts as notified either way.
 func (s *lineSplitter) objectWhole() bool {
 	t := bytes.TrimSpace(s.buf)
 	return s.depth == 0 && len(t) > 1 && t[0] == '{' && t[len(t)-1] == '}' && gjson.ValidBytes(t)
@@ -100,14 +101,14 @@
 	return err == nil
 }
 
-// endLine takes what the buffer holds as a line.
+// endLine handles the content of the buffer as a line.
 func (s *lineSplitter) endLine() error {
 	err := s.takeLine(s.buf)
 	s.buf, s.lineStart, s.depth, s.inString, s.escaped = s.buf[:0], 0, 0, false, false
 	return err
 }
 
-// finish takes what follows the last line break.
+// finish handles what follows the last line break.
 func (s *lineSplitter) finish() error {
 	if !s.started() {
 		return nil
--- a/internal/discovery/push_test.go
+++ b/internal/discovery/push_test.go
@@ -11,9 +11,9 @@
 	"gatetack/internal/testenv"
 )
 
-// Where lists are pushed nobody asks for them: the carrier follows the agent from the start on, goes on after
-// the agent was gone, and tells of no failure, for the module did not ask. (On a deployment of this kind the
-// node went by the list of its start for as long as it ran, and no test had settings in which nobody asks.)
+// With a pushed list the dispatch module requests nothing: the client watches the agent from the start, continues
+// after the agent was away, and reports no failure. Without this, a node with such settings would use the list of its
+// start for as long as it runs.
 func TestPushedListIsFollowedUnasked(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	agent, away := context.WithCancel(ctx)
@@ -30,10 +30,10 @@
 	s := &testenv.Lists{}
 	c := New(list.Addr, 0, true, lim, s, nil, testenv.Quiet)
 	g.Go(func() error { return c.Run(ctx) })
-	testenv.Until(t, "the list comes unasked", func() bool { return len(s.All()) == 1 })
+	testenv.Until(t, "the list without a request", func() bool { return len(s.All()) == 1 })
 	list.Put(box, "draining")
-	testenv.Until(t, "a change comes", func() bool { return len(s.All()) == 2 })
-	c.Watch(true) // what the module may ask for changes nothing
+	testenv.Until(t, "a change", func() bool { return len(s.All()) == 2 })
+	c.Watch(true) // a request of the module changes nothing
 	away()
 	next, err := testenv.NewList(ctx, &g)
 	if err != nil {
@@ -42,10 +42,10 @@
 	time.Sleep(30 * time.Millisecond) // while nothing listens there
 	next.Put(box, "gone")
 	c.SetAddress(next.Addr)
-	testenv.Until(t, "the next agent is followed", func() bool { return len(s.All()) >= 3 })
+	testenv.Until(t, "a list from the next agent", func() bool { return len(s.All()) >= 3 })
 	for _, l := range s.All() {
 		if l.Form == dispatch.ListFailed {
-			t.Error("a failure was told of a list that nobody asked for")
+			t.Error("a failure was reported for a list that was not requested")
 		}
 	}
 	if list.Watches() != 1 {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -13,11 +13,11 @@
 	listTarget  = "/v1/servers"
 )
 
-// errWatchEnded stands for the regular end of a watch, which is no more expected than any other.
+// errWatchEnded stands for the regular end of a watch, which is as unexpected as any other.
 var errWatchEnded = errors.New("discovery ended the watch")
 
-// watch follows changes from a moment on until ctx ends. Package endpointwatch decides when calls are given up,
-// which of their ends the decision module is notified of, and when the next is made at the latest.
+// watch follows changes from the given time until ctx ends. Package endpointwatch decides when a call is ended, which
+// ends the dispatch module is notified of, and when the next call is made at the latest.
 func (c *Client) watch(ctx context.Context, from time.Time) {
 	for at := c.currentSource(); c.waitBeforeCall(ctx, at, time.Until(from)); {
 		at = c.currentSource()
@@ -25,8 +25,8 @@
 	}
 }
 
-// waitBeforeCall waits for a while, or until discovery has moved since the last call: then the next is made
-// there at once. It returns false once no more are to be made.
+// waitBeforeCall waits for the given time, or until the address of discovery has been replaced since the last call;
+// the next call then follows at once. It returns false if no more calls are to be made.
 func (c *Client) waitBeforeCall(ctx context.Context, at source, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -41,7 +41,7 @@
 	return ctx.Err() == nil
 }
 
-// watchOnce follows changes for as long as one call lasts, and returns when the next is made.
+// watchOnce follows changes for the duration of one call, and returns when the next one is due.
 func (c *Client) watchOnce(ctx context.Context, at source) time.Time {
 	c.callUnderWay.Store(true)
 	defer c.callUnderWay.Store(false)
@@ -49,7 +49,7 @@
 	err := c.callAt(ctx, at, watchTarget+strconv.FormatUint(c.index.Load(), 10), &c.tracker)
 	now := time.Now()
 	if at.hasMoved() {
-		return now // waitBeforeCall notes it
+		return now // waitBeforeCall notifies the tracker
 	}
 	next := c.tracker.CallEnded(now, callEnd(err), rand.Float64())
 	if ctx.Err() != nil {
@@ -60,19 +60,21 @@
 	}
 	c.sink.ListCallFailed()
 	if !next.Owned {
-		c.callUnderWay.Store(false) // before the module is notified: what it asks for then is another call
+		c.callUnderWay.Store(false) // before the module is notified, since what it then requests is another call
 		c.reportFailure("watch", err)
 	} else {
 		c.log.Info("discovery call failed", "call", "watch", "err", err, "retry_in", next.At.Sub(now).Round(time.Millisecond))
 	}
-	// The agent of a pushed list bears any number of calls: it is called again soon, and sooner only where it has to be.
+	// The agent of a pushed list can take any number of calls: the next call follows soon, or earlier if the tracker
+	// requires it.
 	if again := now.Add(c.limits.PushAgain); c.pushed && (!next.Owned || !next.At.Before(again)) {
 		return again
 	}
 	return next.At
 }
 
-// fetch gets the whole list once, and again wherever discovery moves meanwhile. If ctx ends nobody is notified.
+// fetch gets the whole list once, and repeats the call if the address of discovery is replaced meanwhile. If ctx ends,
+// nothing is reported.
 func (c *Client) fetch(ctx context.Context) {
 	for ctx.Err() == nil {
 		at := c.currentSource()
--- a/internal/executor/acks.go
+++ b/internal/executor/acks.go
@@ -7,8 +7,8 @@
 	"gatetack/internal/slowpeer"
 )
 
-// ackTracker holds the acknowledgements that are pending: of jobs whose last byte went to an executor, until a 202,
-// another answer or a callback shows that it has them. Its lock comes after an attempt's.
+// ackTracker tracks the pending acknowledgements: those of jobs whose last byte was sent to an executor, until a 202,
+// another answer or a callback shows that the executor has the job. Its lock is taken after an attempt's.
 type ackTracker struct {
 	mu        sync.Mutex
 	estimates *slowpeer.AckTracker
@@ -20,26 +20,26 @@
 	t.estimates.Sent(attempt.key.executor, attempt.lastByteAt)
 }
 
-// timeout is how long an executor may take.
+// timeout returns after how long an executor's acknowledgement is overdue.
 func (t *ackTracker) timeout(attempt *activeAttempt) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.estimates.Timeout(attempt.key.executor)
 }
 
-// acknowledge takes in an executor's first sign that it has a job; later ones count no more.
+// acknowledge records an executor's first sign that it has a job. Later calls have no effect.
 func (t *ackTracker) acknowledge(attempt *activeAttempt, now time.Time) {
 	t.resolve(attempt, func(executor string) {
 		t.estimates.Acked(executor, now.Sub(attempt.lastByteAt), attempt.overdue, now)
 	})
 }
 
-// abandon takes in that an attempt has ended, acknowledged or not.
+// abandon records that an attempt has ended, whether it was acknowledged or not.
 func (t *ackTracker) abandon(attempt *activeAttempt) {
 	t.resolve(attempt, func(executor string) { t.estimates.Ended(executor, attempt.overdue) })
 }
 
-// resolve ends the wait for an acknowledgement that is pending.
+// resolve ends the wait for a pending acknowledgement.
 func (t *ackTracker) resolve(attempt *activeAttempt, update func(executor string)) {
 	attempt.mu.Lock()
 	defer attempt.mu.Unlock()
@@ -52,8 +52,8 @@
 	update(attempt.key.executor)
 }
 
-// expire takes in that no acknowledgement came in time, and says what that makes of the executor: nothing where the job
-// was acknowledged meanwhile, or has ended.
+// expire records that no acknowledgement arrived in time, and returns the verdict on the executor. The verdict is Keep
+// if the job was acknowledged meanwhile or has ended.
 func (t *ackTracker) expire(attempt *activeAttempt, now time.Time) slowpeer.Verdict {
 	attempt.mu.Lock()
 	defer attempt.mu.Unlock()
--- a/internal/executor/answer.go
+++ b/internal/executor/answer.go
@@ -11,20 +11,20 @@
 	"gatetack/internal/slowpeer"
 )
 
-// answerReader reads what an executor answers to a job whose last byte was written.
+// answerReader reads an executor's answer to a job whose last byte was sent.
 //
-// The first line of a 202 counts as the 202: it says that the executor has the job, and one that lets the rest drip has
-// it all the same. Until then an executor that drips is waited for like one that is silent, to the attempt's end: to
-// close would cancel the attempt, and with it a result that may come by callback whatever becomes of this connection.
-// What the dispatch module is notified of, once, is that the acknowledgement has been pending for longer than is usual
-// there and elsewhere.
+// The status line of a 202 counts as the 202: it shows that the executor has the job, however slowly the rest follows.
+// Before the status line is complete, the reader waits until the attempt's deadline, whether the executor sends slowly
+// or not at all. Closing the connection would cancel the attempt and lose a result that may arrive by callback
+// regardless of the connection. The dispatch module is notified, once, when the acknowledgement has been pending for
+// longer than is usual for this executor and for others.
 type answerReader struct {
 	client      *Client
 	attempt     *activeAttempt
 	conn        *connection
-	deadline    time.Time // when the wait ends in any case
-	ackDeadline time.Time // when the acknowledgement is overdue
-	notified    bool      // no more is to be said of the acknowledgement
+	deadline    time.Time // the reader gives up
+	ackDeadline time.Time // the acknowledgement is overdue
+	notified    bool      // nothing more is reported about the acknowledgement
 }
 
 func (c *Client) readAnswer(ctx context.Context, attempt *activeAttempt, conn *connection) (*http1.Message, error) {
@@ -46,13 +46,13 @@
 	}
 }
 
-// parse takes in what has come. It gives the answer once that is whole or broken.
+// parse parses the bytes received so far. It returns the answer once it is complete, or an error if it is malformed.
 func (r *answerReader) parse() (*http1.Message, error) {
 	message, err := r.conn.parser.Feed(r.conn.input)
 	if isAccepted(message, r.conn.parser) {
 		r.client.recordAccepted(r.attempt)
 		if message == nil && err == nil {
-			r.conn.ExpectBytes() // the rest holds only a connection: below the least rate it is closed
+			r.conn.ExpectBytes() // the job is accepted, so that only the connection is at stake: below the minimum rate it is closed
 			r.notified = true
 		}
 	}
@@ -63,7 +63,7 @@
 	return message, err
 }
 
-// isAccepted says whether an answer is a 202, of which at least the first line has come.
+// isAccepted reports whether an answer is a 202 of which at least the status line has been received.
 func isAccepted(message *http1.Message, parser *http1.Parser) bool {
 	if message != nil {
 		return message.Status == statusAccepted
@@ -71,7 +71,7 @@
 	return parser.Status() == statusAccepted
 }
 
-// wait reads once. It gives an answer that ends with the connection, or why no more can come.
+// wait reads once. It returns an answer that ends with the connection, or the error after which no answer can follow.
 func (r *answerReader) wait(ctx context.Context) (*http1.Message, error) {
 	by := r.deadline
 	if !r.notified && r.attempt.ackPending() && r.ackDeadline.Before(by) {
@@ -100,7 +100,8 @@
 	return nil, err
 }
 
-// ackOverdue notifies the dispatch module of a late executor, unless most are late at once.
+// ackOverdue notifies the dispatch module of an executor whose acknowledgement is overdue, unless those of most
+// executors are at the same time.
 func (r *answerReader) ackOverdue() {
 	now := time.Now()
 	if r.client.acks.expire(r.attempt, now) == slowpeer.Restrict {
@@ -115,8 +116,8 @@
 	r.ackDeadline = now.Add(r.client.acks.timeout(r.attempt))
 }
 
-// recordAccepted notes that an executor has accepted a job. Where the attempt was canceled a moment before, the
-// executor is told so.
+// recordAccepted records that an executor has accepted a job. If the attempt was canceled before the 202 was read, the
+// cancel is sent to the executor now.
 func (c *Client) recordAccepted(attempt *activeAttempt) {
 	attempt.mu.Lock()
 	crossed := attempt.canceledUnaccepted && !attempt.accepted
@@ -128,7 +129,7 @@
 	}
 }
 
-// recordSlowPeer counts and logs what an executor is slow at.
+// recordSlowPeer counts and logs an executor that sends, receives or acknowledges slowly.
 func (c *Client) recordSlowPeer(kind slowpeer.Kind, attempt *activeAttempt, conn *connection, why *slowpeer.Error) {
 	c.slowPeers.Add(kind)
 	c.log.Info("slow executor", "kind", kind.String(), "executor", attempt.key.executor, "address", conn.addr,
--- a/internal/executor/attempt.go
+++ b/internal/executor/attempt.go
@@ -10,35 +10,36 @@
 	"gatetack/internal/precheck"
 )
 
-// attemptKey names an attempt as callbacks do: an executor gets one attempt of a request at a time.
+// attemptKey identifies an attempt as callbacks do. It is unique among active attempts, since an executor has at most
+// one attempt of a request at a time.
 type attemptKey struct{ traceID, executor string }
 
-// activeAttempt is an attempt that has neither ended nor been canceled. Its lock comes before those of the tables.
+// activeAttempt is an attempt that has neither ended nor been canceled. Its lock is taken before those of the tables.
 type activeAttempt struct {
 	node.Attempt
 	key    attemptKey
-	cancel context.CancelFunc // of its connection, until the executor has accepted it
+	cancel context.CancelFunc // closes its connection, until the executor has accepted the job
 
-	rebuilt bool // its request was made anew since it told too much time; only the sending goroutine uses it
+	rebuilt bool // its request was rebuilt once because it stated too much time left; used by the sending goroutine only
 
 	mu                 sync.Mutex
-	lastByteCommitted  bool      // its last byte is being written or was
-	lastByteAt         time.Time // when, zero before
+	lastByteCommitted  bool      // its last byte is being written or has been written
+	lastByteAt         time.Time // when lastByteCommitted was set; zero before
 	accepted           bool      // the executor's 202 was read
 	canceledUnaccepted bool      // it was canceled before a 202 was read
-	acknowledged       bool      // the executor has shown that it has the job, or the attempt ended without that
+	acknowledged       bool      // the executor has shown that it has the job, or the attempt has ended without that
 	overdue            bool      // the acknowledgement has been pending for too long
 	ended              bool
 }
 
-// ackPending says whether the executor's acknowledgement of the job is still pending.
+// ackPending reports whether the executor's acknowledgement of the job is pending.
 func (a *activeAttempt) ackPending() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return !a.acknowledged && !a.ended
 }
 
-// hasLastByteCommitted says whether the executor may have the whole request.
+// hasLastByteCommitted reports whether the executor may have the whole request.
 func (a *activeAttempt) hasLastByteCommitted() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -76,21 +77,21 @@
 	}
 }
 
-// withID gives an attempt by its number, nil for one that is not active.
+// withID returns an active attempt by its number, or nil.
 func (t *attemptTable) withID(id uint64) *activeAttempt {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.byID[id]
 }
 
-// withKey gives the attempt that a callback names, nil for one that is not active.
+// withKey returns the active attempt that a callback names, or nil.
 func (t *attemptTable) withKey(key attemptKey) *activeAttempt {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.byKey[key]
 }
 
-// Send starts an attempt. Its result goes to the sink, unless GiveUp comes first.
+// Send starts an attempt. Its result goes to the sink, unless Cancel is called first.
 func (c *Client) Send(request node.Attempt) {
 	endpoint, known := c.endpoints.get(request.Executor)
 	if !known {
@@ -110,7 +111,7 @@
 	})
 }
 
-// run records an attempt, sends it, and passes its outcome on.
+// run calls the job's BeforeSend, sends the attempt, and reports its outcome.
 func (c *Client) run(ctx context.Context, attempt *activeAttempt) {
 	if before := attempt.Job.BeforeSend; before != nil {
 		if err := before(attempt.key.executor); err != nil {
@@ -132,14 +133,14 @@
 	}
 }
 
-// finish ends an attempt and passes its outcome on, once.
+// finish ends an attempt and reports its outcome, unless it has already ended.
 func (c *Client) finish(attempt *activeAttempt, outcome dispatch.Outcome, report []float32, body []byte) {
 	if c.remove(attempt) {
 		c.sink.Result(node.Result{Attempt: attempt.ID, Outcome: outcome, Report: report, Body: body})
 	}
 }
 
-// remove ends an attempt without a result. It says whether the attempt had not ended before.
+// remove ends an attempt without a result. It returns false if the attempt had already ended.
 func (c *Client) remove(attempt *activeAttempt) bool {
 	attempt.mu.Lock()
 	ended := attempt.ended
@@ -153,13 +154,13 @@
 	return true
 }
 
-// precheck asks, with what is known at this moment, whether an attempt may still be sent, and where to. It is the only
-// place that asks, before each connection and again after whatever takes a while. The attempt's lock is held, or nobody
-// else knows of the attempt.
+// precheck reports whether an attempt may still be sent, by what is known at this moment, and to which address. It is
+// the only place that decides this, before each connection and again after each step that may take a while. The caller
+// holds the attempt's lock, or the attempt is not yet shared.
 func (c *Client) precheck(attempt *activeAttempt) (string, precheck.Reason) {
 	reason := precheck.Allowed
 	if attempt.Job.PreSendCheck != nil {
-		reason = attempt.Job.PreSendCheck() // it may take a lock: what follows is read after it
+		reason = attempt.Job.PreSendCheck() // it may wait for a lock, so everything else is read after it
 	}
 	endpoint, known := c.endpoints.get(attempt.Executor)
 	check := precheck.Check{
@@ -181,7 +182,7 @@
 	return endpoint.address, reason
 }
 
-// allowed is precheck for an attempt that others know of.
+// allowed calls precheck with the attempt's lock held.
 func (c *Client) allowed(attempt *activeAttempt) (address string, ok bool) {
 	attempt.mu.Lock()
 	defer attempt.mu.Unlock()
@@ -189,8 +190,8 @@
 	return address, reason == precheck.Allowed
 }
 
-// commit is precheck for the last time: an attempt that may be sent counts as sent from here on, before its last byte
-// is written.
+// commit makes the last pre-send check. An attempt that passes counts as sent from then on, before its last byte is
+// written.
 func (c *Client) commit(attempt *activeAttempt) bool {
 	attempt.mu.Lock()
 	defer attempt.mu.Unlock()
--- a/internal/executor/callback.go
+++ b/internal/executor/callback.go
@@ -10,13 +10,13 @@
 	"gatetack/internal/node"
 )
 
-// ErrUnknownAttempt is the answer to a callback of an attempt that this process does not know: stale, or of another process of
-// the node that listens on the same socket.
-var ErrUnknownAttempt = errors.New("executor: callback of an attempt that is not this process's")
+// ErrUnknownAttempt is returned for a callback of an attempt that is not active in this process: it is stale, or
+// belongs to another process of the node that listens on the same socket.
+var ErrUnknownAttempt = errors.New("executor: callback of an attempt that is not active in this process")
 
-var errCallbackNotJSON = errors.New("executor: callback is not JSON")
+var errCallbackNotJSON = errors.New("executor: callback body is not valid JSON")
 
-// The states of a job that a callback tells.
+// The states of a job in callbacks.
 const (
 	stateStarted  = "started"
 	stateRunning  = "running"
@@ -26,8 +26,8 @@
 	stateLost     = "lost"
 )
 
-// Callback takes what an executor tells of a job. The call is answered alike whether it fits an active attempt or not:
-// it may be a repeat, or be about an attempt that has ended. ErrNotOurs says that no attempt here has its id and
+// Callback handles a callback of an executor. A callback that has no effect is no error, since it may be a repeat or
+// concern an attempt that has not been sent yet. ErrUnknownAttempt is returned if no active attempt has its ID and
 // executor.
 func (c *Client) Callback(body []byte) error {
 	if !gjson.ValidBytes(body) {
@@ -39,15 +39,15 @@
 		return ErrUnknownAttempt
 	}
 	if !attempt.hasLastByteCommitted() {
-		return nil // stale: of an earlier attempt there, since nothing of this one was written
+		return nil // stale: it concerns an earlier attempt at this executor, since the last byte of this one was not sent
 	}
 	c.endpoints.recordContact(attempt.Executor)
-	c.acks.acknowledge(attempt, time.Now()) // whatever the executor tells of the job, it has it
+	c.acks.acknowledge(attempt, time.Now()) // a callback in any state shows that the executor has the job
 	c.handleState(attempt, callback)
 	return nil
 }
 
-// handleState passes on what a callback tells.
+// handleState reports the state in a callback.
 func (c *Client) handleState(attempt *activeAttempt, callback gjson.Result) {
 	report := c.reportFromJSON(callback.Get("load"))
 	switch state := callback.Get("state").String(); state {
@@ -71,8 +71,8 @@
 	}
 }
 
-// handleResult ends an attempt whose job is done. Without a result it failed: whatever was passed on for it would be a
-// result that no executor made.
+// handleResult ends an attempt whose job is done. A callback without a result counts as a failure: otherwise the
+// client would get an answer that no executor produced.
 func (c *Client) handleResult(attempt *activeAttempt, report []float32, result gjson.Result) {
 	if result.Type != gjson.String {
 		c.log.Warn("callback without result", "executor", attempt.key.executor, "job", attempt.key.traceID)
--- a/internal/executor/cancel.go
+++ b/internal/executor/cancel.go
@@ -6,7 +6,8 @@
 	"gatetack/internal/tcpinfo"
 )
 
-// Cancel cancels an attempt, which ends without a result: before the 202 by closing its connection, later by DELETE.
+// Cancel ends an attempt without a result. It closes the attempt's connection before the 202 is read, and sends a
+// DELETE afterwards.
 func (c *Client) Cancel(id uint64) {
 	attempt := c.attempts.withID(id)
 	if attempt == nil || !c.remove(attempt) {
@@ -22,8 +23,8 @@
 	}
 }
 
-// cancelAccepted tells an executor that has accepted a job that its result is no longer waited for. With all slots in
-// use it does not: what runs goes on in any case.
+// cancelAccepted notifies an executor that has accepted a job that the result is no longer needed. It does nothing if
+// all slots are in use: the job then runs to its end, which is harmless.
 func (c *Client) cancelAccepted(attempt *activeAttempt) {
 	select {
 	case c.cancelSlots <- struct{}{}:
@@ -37,7 +38,7 @@
 	})
 }
 
-// sendDelete outlives the attempt, so that it runs under the client's context.
+// sendDelete sends the DELETE for a job. It runs under the client's context, since the attempt has already ended.
 func (c *Client) sendDelete(attempt *activeAttempt) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.limits.Probe)
 	defer cancel()
@@ -50,12 +51,13 @@
 	}
 }
 
-// drainAnswer takes in what has come on the connection of an attempt that was canceled, before it is closed. A 202 that
-// crossed the cancel says that the executor has the job, and a close is no sign to it any more: it is told by DELETE.
+// drainAnswer reads what has been received on the connection of a canceled attempt before it is closed. If that is a
+// 202 that crossed the cancel, the executor has the job, and closing the connection does not cancel it any more: a
+// DELETE is sent.
 func (c *Client) drainAnswer(attempt *activeAttempt, conn *connection) {
 	unread := make([]byte, conn.input.Free())
 	conn.input.Put(unread[:tcpinfo.ReadReceived(conn.Conn, unread)])
-	message, _ := conn.parser.Feed(conn.input) // an answer that is broken concerns nobody: the attempt has ended
+	message, _ := conn.parser.Feed(conn.input) // a malformed answer does not matter: the attempt has ended
 	if isAccepted(message, conn.parser) {
 		c.recordAccepted(attempt)
 	}
--- a/internal/executor/client.go
+++ b/internal/executor/client.go
@@ -1,7 +1,7 @@
-// Package executor carries attempts to executors: it keeps the connections to them, writes each job's request, cancels
-// attempts, checks health, and takes the callbacks that tell what became of a job. It decides nothing: which executor
-// gets an attempt, and whether there is another one, is the dispatch module's to say. Its goroutines belong to the
-// group that a Client is made with; each table of the package has a lock of its own.
+// Package executor sends attempts to executors: it pools connections, writes the jobs' requests, cancels attempts,
+// checks health, and handles the callbacks that report a job's state. It decides nothing: the dispatch module chooses
+// the executor of an attempt and whether there is another attempt. Its goroutines belong to the group that a Client is
+// created with; each table of the package has a lock of its own.
 package executor
 
 import (
@@ -17,22 +17,22 @@
 	"gatetack/internal/slowpeer"
 )
 
-// Sink takes what came of attempts and of health checks.
+// Sink receives the results of attempts and of health checks.
 type Sink interface {
-	// Result takes an attempt's outcome, or a note on its way.
+	// Result takes an attempt's outcome, or a note on its progress.
 	Result(node.Result)
-	// HealthChecked takes the outcome of a health check, with the load report that it brought.
+	// HealthChecked takes the outcome of a health check and the load report in its answer.
 	HealthChecked(executor uint32, outcome dispatch.Outcome, elapsed time.Duration, report []float32)
 }
 
-// Client speaks to all executors. Its methods may be called from any goroutine, and none of them blocks.
+// Client connects to all executors. Its methods are safe for concurrent use, and none of them blocks.
 type Client struct {
 	limits limits.Limits
 	names  node.Names
 	sink   Sink
 	log    *slog.Logger
 
-	ctx   context.Context // ends all that the client does
+	ctx   context.Context // ends everything the client does
 	group *errgroup.Group // owns and waits for its goroutines
 
 	pool        *pool
@@ -40,13 +40,13 @@
 	attempts    attemptTable
 	acks        *ackTracker
 	slowPeers   *slowpeer.Counters
-	cancelSlots chan struct{} // bounds the DELETE calls under way
-	// sleep waits between two dials after a local fault. Tests replace it.
+	cancelSlots chan struct{} // limits the DELETE calls in progress
+	// sleep waits before a redial after a local fault. Tests replace it.
 	sleep func(context.Context, time.Duration) error
 }
 
-// New makes a client whose goroutines belong to a group and end with a context. Results go to a sink, and the executors
-// that are found slow are counted.
+// New returns a client whose goroutines belong to the group and end with the context. Results go to the sink, and slow
+// executors are counted in slow.
 func New(
 	ctx context.Context,
 	group *errgroup.Group,
--- a/internal/executor/clientleft_test.go
+++ b/internal/executor/clientleft_test.go
@@ -21,7 +21,7 @@
 	"gatetack/internal/testenv"
 )
 
-// coreSettings allow retries, hedged requests and cancelling.
+// coreSettings allows retries, hedged attempts and cancels.
 func coreSettings() dispatch.Settings {
 	return dispatch.Settings{
 		Nodes:                1,
@@ -45,7 +45,7 @@
 	}
 }
 
-// answerClient stands for a client that waits for its answer.
+// answerClient is a client that waits for its answer.
 type answerClient struct{ answers chan node.Answer }
 
 func newAnswerClient() answerClient { return answerClient{make(chan node.Answer, 1)} }
@@ -55,8 +55,8 @@
 func (answerClient) Requeued(bool)          {}
 func (q answerClient) Answer(a node.Answer) { q.answers <- a }
 
-// stalledCore is what a core's sends and their results go through. At the send of a number the core's goroutine stands
-// still, its events are full, and the client leaves; the core goes on once the attempt has ended.
+// stalledCore stands between a core and its executor adapter. At the send with the number stallAt the core's goroutine
+// blocks, its event queue is full, and the client leaves; the core continues once the attempt has ended.
 type stalledCore struct {
 	*Client
 	core    *node.Core
@@ -65,7 +65,7 @@
 
 	sends          int
 	ended          chan dispatch.Outcome
-	stalledAttempt uint64 // the attempt at whose send the core stands
+	stalledAttempt uint64 // the attempt at whose send the core stalls
 	mu             sync.Mutex
 }
 
@@ -77,7 +77,7 @@
 	s.mu.Lock()
 	s.stalledAttempt = a.ID
 	s.mu.Unlock()
-	for i := 0; ; i++ { // by the requests of others
+	for i := 0; ; i++ { // fill the event queue with other requests
 		if _, err := s.core.Submit(
 			node.Job{TimeLeft: time.Second, Slots: 1, TraceID: string(rune('a' + i))},
 			newAnswerClient(),
@@ -96,9 +96,9 @@
 
 func (s *stalledCore) Result(r node.Result) {
 	s.mu.Lock()
-	here := r.Attempt == s.stalledAttempt && r.Outcome != 0
+	stalled := r.Attempt == s.stalledAttempt && r.Outcome != 0
 	s.mu.Unlock()
-	if here {
+	if stalled {
 		s.ended <- r.Outcome
 	}
 	s.core.Result(r)
@@ -108,7 +108,7 @@
 	s.core.HealthChecked(w, o, elapsed, report)
 }
 
-// rawExecutor listens and counts the whole requests with a body that come, and answers all alike.
+// rawExecutor counts the whole requests with a body that it receives, and gives all of them the same answer.
 type rawExecutor struct {
 	name, addr string
 	mu         sync.Mutex
@@ -138,7 +138,7 @@
 					if err != nil {
 						return nil
 					}
-					if strings.Contains(text, "body") { // the others are there to fill the core's events
+					if strings.Contains(text, "body") { // the other requests only fill the core's event queue
 						x.mu.Lock()
 						x.requests++
 						x.mu.Unlock()
@@ -156,7 +156,7 @@
 	return node.Endpoint{Name: x.name, Address: x.addr, Status: "ready", Weight: 1}
 }
 
-// startNode runs a core that stands still at the send of a number, 0 for none.
+// startNode runs a core that stalls at the send with the number stallAt, 0 for none.
 func startNode(t *testing.T, lim limits.Limits, stallAt int, leave func(), known ...node.Endpoint) *stalledCore {
 	t.Helper()
 	core, err := node.New(coreSettings(), 1, node.EndpointList{Entries: known}, node.Names{}, lim, testenv.Quiet)
@@ -182,19 +182,19 @@
 
 func (noPeers) SendGossip(uint16, []byte) {}
 
-// No attempt begins after its client has left, whatever it is made for, though the core has not heard of that and
-// can't: its events are full, and its goroutine stands still until the attempt has ended.
+// No attempt of any kind is sent after its client has left, even if the core cannot know it yet: its event queue is
+// full, and its goroutine blocks until the attempt has ended.
 func TestNoAttemptBeginsAfterTheClientLeft(t *testing.T) {
 	const rejected = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, x := range map[string]struct {
 		answer  string
-		stallAt int
+		stallAt int  // counted from 1
 		queued  bool // no executor is known at first
 	}{
 		"first attempt":             {acceptedAnswer, 1, false},
 		"after a wait in the queue": {acceptedAnswer, 1, true},
 		"retry":                     {rejected, 2, false},
-		"hedged request":            {"", 2, false},
+		"hedged attempt":            {"", 2, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			lim := withShortAcks()
@@ -232,21 +232,21 @@
 			select {
 			case <-client.Done():
 			case <-time.After(20 * time.Second):
-				t.Fatal("the send does not come")
+				t.Fatal("the attempt was not sent within 20 s")
 			}
-			n.core.ClientGone(id) // it waits for a place among the events, until the core goes on
-			testenv.Until(t, "the core has heard of it", func() bool {
+			n.core.ClientGone(id) // blocks until the event queue has room
+			testenv.Until(t, "the core has counted the client's leaving", func() bool {
 				counts, err := n.core.Counts(t.Context())
 				return err == nil && counts.ClientsGone == 1
 			})
 			if o := <-n.ended; o != dispatch.CanceledBeforeSend || one.count()+two.count() != x.stallAt-1 {
-				t.Errorf("the attempt ended with %d; %d requests came, want %d", o, one.count()+two.count(), x.stallAt-1)
+				t.Errorf("the attempt ended with %d after %d requests, want canceled before send after %d", o, one.count()+two.count(), x.stallAt-1)
 			}
 		})
 	}
 }
 
-// A dial that comes up late, after its client has left, carries nothing.
+// Nothing is written to a connection that is established only after the client has left.
 func TestLateDialAfterTheClientLeftCarriesNothing(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	came := make(chan string, 1)
@@ -255,7 +255,7 @@
 	real := c.pool.dial
 	c.pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := real(ctx, network, addr)
-		leave() // while it came up
+		leave() // while the connection is being established
 		return conn, err
 	}
 	a := newAttempt(1)
@@ -267,13 +267,13 @@
 	}
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	c.pool.closeIdle(c.address(7)) // one that carried nothing is kept
+	c.pool.closeIdle(c.address(7)) // a connection on which nothing was written is kept
 	if got, text := s.outcomes(1), <-came; got[0] != dispatch.CanceledBeforeSend || text != "" {
 		t.Errorf("outcomes %v, %q was written", got, text)
 	}
 }
 
-// A job that was terminated while it waited is sent nowhere, though an executor comes up then.
+// A job that was terminated while queued is not sent when an executor becomes ready.
 func TestTerminatedJobIsNotSent(t *testing.T) {
 	x := startExecutor(t, "s-1", acceptedAnswer)
 	n := startNode(t, testenv.Lim, 0, nil)
@@ -294,7 +294,7 @@
 		t.Fatal(err)
 	}
 	if a := <-waiting.answers; a.End != node.Terminated {
-		t.Errorf("%+v", a)
+		t.Errorf("answer %+v, want terminated", a)
 	}
 	n.core.UpdateEndpoints(node.EndpointList{Form: dispatch.ListSnapshot, Entries: []node.Endpoint{x.entry()}})
 	job.TraceID = "00000000000000bb"
@@ -303,21 +303,21 @@
 	}
 	testenv.Until(t, "the next job is sent", func() bool { return x.count() == 1 })
 	if counts, err := n.core.Counts(t.Context()); err != nil || counts.Sends != 1 {
-		t.Errorf("%d sends, %v", counts.Sends, err)
+		t.Errorf("%d sends, %v, want 1", counts.Sends, err)
 	}
 }
 
-// An attempt of a job that was answered or terminated after it was decided on is not sent, though the core can take
-// nothing: the job's own mark is read at the last moment.
+// An attempt whose job is answered or terminated meanwhile is not sent, even if the core can handle no event: the
+// job's Answered flag is read at the last moment.
 func TestAnsweredJobIsNotSentThoughTheEventsAreFull(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	came := make(chan string, 1)
 	startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
 	a := newAttempt(1)
 	a.Answered = &atomic.Bool{}
-	looks := 0
+	checks := 0
 	a.Job.PreSendCheck = func() precheck.Reason {
-		if looks++; looks == 3 { // before the last byte
+		if checks++; checks == 3 { // before the last byte
 			a.Answered.Store(true)
 		}
 		return precheck.Allowed
--- a/internal/executor/connect.go
+++ b/internal/executor/connect.go
@@ -8,17 +8,18 @@
 	"gatetack/internal/dispatch"
 )
 
-// After a local fault a dial is made again after a pause that doubles, so that a fault which lasts costs few system
-// calls. Once the redials are used up (310 ms), the attempt ends as never sent, and the decision module chooses anew.
+// After a local fault the client dials again, after a pause that doubles each time, so that a lasting fault costs few
+// system calls. After maxRedials (310 ms) the attempt ends as canceled before send, and the dispatch module chooses an
+// executor again.
 const (
 	firstRedialPause = 10 * time.Millisecond
 	maxRedials       = 5
 )
 
-// errNotAllowed says that an attempt may not go any more.
-var errNotAllowed = errors.New("executor: the attempt may not go any more")
+// errNotAllowed reports that the pre-send check does not allow the attempt any more.
+var errNotAllowed = errors.New("executor: the pre-send check does not allow the attempt any more")
 
-// pause waits for a while, or until the context ends.
+// sleep waits for d, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -30,8 +31,9 @@
 	}
 }
 
-// connect gives an attempt a connection, or the outcome that it ends with. A fault of this machine is no sign of the
-// executor: the attempt never ran, and the decision module hears of nothing that it would hold against the executor.
+// connect returns a connection for an attempt, or the outcome with which the attempt ends. After a local fault the
+// attempt counts as never sent, and nothing is reported that the dispatch module would count as a fault of the
+// executor.
 func (c *Client) connect(ctx context.Context, attempt *activeAttempt) (*connection, dispatch.Outcome) {
 	conn, err := c.dial(ctx, attempt.Deadline, func() (string, bool) { return c.allowed(attempt) })
 	switch {
@@ -51,8 +53,8 @@
 	return nil, dispatch.ConnectFailed
 }
 
-// dial takes a connection from the pool, again after local faults, while there is time for it. It asks before each dial
-// whether and where to.
+// dial gets a connection from the pool, and retries after local faults as long as the time allows. Before each try it
+// calls target, which returns the address and whether a connection is still wanted.
 func (c *Client) dial(ctx context.Context, by time.Time, target func() (string, bool)) (*connection, error) {
 	for n := 0; ; n++ {
 		addr, ok := target()
--- a/internal/executor/connecterror.go
+++ b/internal/executor/connecterror.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// ConnectError says that no connection to an executor could be opened. Local tells a fault of this machine, which is no
-// sign of the executor, from one of the executor or of the path to it.
+// ConnectError reports that no connection to an executor could be opened. Local is true for a fault of this machine,
+// which is no sign of a fault of the executor or of the path to it.
 type ConnectError struct {
 	Address string
 	Local   bool
@@ -29,18 +29,18 @@
 func (e *ConnectError) Unwrap() error { return e.Err }
 
 var (
-	errConnectionBudget = errors.New("all connections that this node may have to executors are in use")
-	errExecutorShare    = errors.New("the executor has its share of this node's connections")
+	errConnectionBudget = errors.New("the node's limit of connections to executors is reached")
+	errExecutorShare    = errors.New("the executor has reached its share of the node's connections")
 )
 
-// localErrnos are the errors of socket(2) and connect(2) whose cause is on this machine: no descriptor (EMFILE,
+// localErrnos lists the errors of socket(2) and connect(2) whose cause is on this machine: no descriptor (EMFILE,
 // ENFILE), no memory (ENOBUFS, ENOMEM), no free local port (EADDRNOTAVAIL, EAGAIN), no route to the network
-// (ENETUNREACH), a local firewall's rule (EPERM, EACCES), or a signal (EINTR).
+// (ENETUNREACH), a rule of the local firewall (EPERM, EACCES), or a signal (EINTR).
 //
-// The others speak of the executor or of the path to it: nobody listens (ECONNREFUSED), the other side reset the
+// The other errors concern the executor or the path to it: nothing listens (ECONNREFUSED), the peer reset the
 // connection (ECONNRESET), nothing answered (ETIMEDOUT), or a router or the failed address resolution of a neighbour
-// says that this one host can't be reached (EHOSTUNREACH, ip(7)). A local table may give EHOSTUNREACH as well, by a
-// route for that destination alone; then too only another executor helps.
+// reports that this one host is unreachable (EHOSTUNREACH, ip(7)). A local table can cause EHOSTUNREACH too, by a
+// route for that destination alone; then, too, only another executor can be used.
 var localErrnos = []syscall.Errno{
 	syscall.EMFILE,
 	syscall.ENFILE,
@@ -54,20 +54,20 @@
 	syscall.EINTR,
 }
 
-// newConnectError classifies what a dial failed with.
+// newConnectError classifies the error of a dial.
 func newConnectError(address string, err error) *ConnectError {
 	errno := syscall.Errno(0)
 	local := errors.As(err, &errno) && slices.Contains(localErrnos, errno)
 	return &ConnectError{Address: address, Local: local, Err: err}
 }
 
-// isLocalFault says whether a connection could not be opened because of this machine.
+// isLocalFault reports whether a connection could not be opened because of this machine.
 func isLocalFault(err error) bool {
 	connect := (*ConnectError)(nil)
 	return errors.As(err, &connect) && connect.Local
 }
 
-// lacksDescriptors says whether closing a connection of this process may help.
+// lacksDescriptors reports whether closing a connection of this process may help.
 func lacksDescriptors(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
--- a/internal/executor/connfault_test.go
+++ b/internal/executor/connfault_test.go
@@ -14,12 +14,12 @@
 	"gatetack/internal/testenv"
 )
 
-// connError is an error as package net gives it on a connection.
+// connError returns an error as package net returns it on a connection.
 func connError(call string, errno syscall.Errno) error {
 	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
-// brokenConnection are the errors of read(2) and write(2) by which Linux tells that a connection is over.
+// brokenConnection lists the errors of read(2) and write(2) by which Linux reports that a connection has ended.
 var brokenConnection = map[string]syscall.Errno{
 	"ECONNRESET":   syscall.ECONNRESET,
 	"EPIPE":        syscall.EPIPE,
@@ -30,10 +30,11 @@
 	"ENOMEM":       syscall.ENOMEM,
 }
 
-// endsRequest says whether what was written ends the request of attempt.
+// endsRequest reports whether the bytes written end with the end of the test's request.
 func endsRequest(text string) bool { return strings.HasSuffix(text, "\r\n\r\nbody") }
 
-// Requests and answers pass whole though each read and each write moves one byte, interrupted or not ready in between.
+// Requests and answers are transferred completely if each read and each write moves one byte, and if reads are
+// interrupted or not ready in between.
 func TestConnectionThatMovesOneByteAtATime(t *testing.T) {
 	for name, between := range map[string]error{
 		"short":  nil,
@@ -61,7 +62,7 @@
 				}
 			})
 			c.Send(newAttempt(1))
-			testenv.Until(t, "it is taken", func() bool { return c.isAccepted(1) || len(s.outcomes(1)) > 0 })
+			testenv.Until(t, "the 202 is read", func() bool { return c.isAccepted(1) || len(s.outcomes(1)) > 0 })
 			_ = c.Callback([]byte(doneCallback))
 			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served || n() != 1 {
 				t.Errorf("outcomes %v over %d connections", got, n())
@@ -70,7 +71,7 @@
 	}
 }
 
-// isAccepted says whether an attempt's 202 was read.
+// isAccepted reports whether an attempt's 202 was read.
 func (c *Client) isAccepted(id uint64) bool {
 	c.attempts.mu.Lock()
 	x := c.attempts.byID[id]
@@ -83,8 +84,8 @@
 	return x.accepted
 }
 
-// A connection that breaks ends its attempt with one outcome, at once: before the last byte is written as one that
-// could not connect, since nothing ran; once that is out as a reset, since it may have run.
+// A connection that breaks ends its attempt at once with one outcome: failed to connect before the last byte is
+// written, since the job did not run, and reset afterwards, since it may have run.
 func TestBrokenConnectionEndsTheAttempt(t *testing.T) {
 	type moment struct {
 		name string
@@ -104,7 +105,7 @@
 		{"pause before the last byte", dispatch.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
 			conn.read = func([]byte) (int, error) { return 0, connError("read", errno) }
 		}},
-		// write(2) takes a byte or fails: where it fails for the only one that is left, that was not written.
+		// write(2) takes at least one byte or fails: if it fails with a single byte left, that byte was not written.
 		{"write of the last byte", dispatch.ConnectFailed, func(conn *scriptedConn, errno syscall.Errno) {
 			sent := ""
 			conn.write = func(b []byte) (int, error) {
@@ -132,20 +133,20 @@
 				n := startRawExecutor(t, c, neverAnswer)
 				scriptConns(c, func(_ int, conn *scriptedConn) { at.set(conn, errno) })
 				a := newAttempt(1)
-				a.Deadline = time.Now().Add(time.Hour) // the end of it is no verdict here
+				a.Deadline = time.Now().Add(time.Hour) // the attempt must not end by its deadline
 				c.Send(a)
 				testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-				testenv.Until(t, "its connection is accepted", func() bool { return n() > 0 })
+				testenv.Until(t, "the connection is accepted", func() bool { return n() > 0 })
 				if got := s.outcomes(1); len(got) != 1 || got[0] != at.want || n() != 1 {
 					t.Errorf("outcomes %v over %d connections, want %d", got, n(), at.want)
 				}
-				testenv.Until(t, "the connection is given back", func() bool { return c.pool.open.Used() == 0 })
+				testenv.Until(t, "the connection is released", func() bool { return c.pool.open.Used() == 0 })
 			})
 		}
 	}
 }
 
-// neverAnswer reads a request and says nothing.
+// neverAnswer reads what arrives and sends nothing.
 func neverAnswer(conn net.Conn) {
 	for b := make([]byte, 4096); ; {
 		if _, err := conn.Read(b); err != nil {
@@ -154,8 +155,8 @@
 	}
 }
 
-// Every error on the way of an attempt ends in the job's one final answer, whatever the class: a refusal where nothing
-// ran, a failure where it may have run and must not run twice.
+// Every fault during an attempt leads to one final answer for the job: a rejection if nothing ran, a failure if the
+// job may have run and must not run twice.
 func TestEachFaultEndsInOneFinalAnswer(t *testing.T) {
 	for name, fault := range map[string]func(*scriptedConn){
 		"write of the head": func(conn *scriptedConn) {
@@ -186,12 +187,12 @@
 			select {
 			case a := <-client.answers:
 				if a.End != node.Failed && a.End != node.Rejected {
-					t.Errorf("%+v", a)
+					t.Errorf("answer %+v, want failed or rejected", a)
 				}
 			case <-time.After(20 * time.Second):
-				t.Fatal("no answer")
+				t.Fatal("no answer within 20 s")
 			}
-			testenv.Until(t, "nothing is out", func() bool { return n.core.Open() == 0 && n.activeAttempts() == 0 })
+			testenv.Until(t, "no job is open and no attempt active", func() bool { return n.core.Open() == 0 && n.activeAttempts() == 0 })
 		})
 	}
 }
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -21,8 +21,8 @@
 	"gatetack/internal/testenv"
 )
 
-// pausing is a sink that stands still while it is told that a sign of an attempt is owed: whoever reads the answer
-// stands with it.
+// pausingSink is a sink that blocks while it is notified that an acknowledgement is overdue, which blocks the reader
+// of the answer too.
 type pausingSink struct {
 	*resultRecorder
 	paused, release chan bool
@@ -36,29 +36,29 @@
 	p.resultRecorder.Result(r)
 }
 
-// executorThatAcceptsLate reads a request, takes it once it is told to, and hands on whatever request comes next on any
+// executorThatAcceptsLate reads a request, accepts it when accept says so, and passes on the next request on any other
 // connection.
 func executorThatAcceptsLate(t *testing.T, c *Client, accept <-chan bool) (taken <-chan bool, next <-chan string) {
 	t.Helper()
-	told, came := make(chan bool, 1), make(chan string, 4)
+	delivered, came := make(chan bool, 1), make(chan string, 4)
 	startRawExecutor(t, c, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
 		_, _ = readRequest(r)
 		<-accept
 		_, _ = io.WriteString(conn, acceptedAnswer)
-		testenv.Until(t, "the other side has the 202", func() bool { return tcpinfo.Unacknowledged(conn) == 0 })
-		told <- true
+		testenv.Until(t, "the client's kernel has the 202", func() bool { return tcpinfo.Unacknowledged(conn) == 0 })
+		delivered <- true
 		_, _ = r.ReadByte() // until it is closed
 	}, func(conn net.Conn) {
 		text, _ := readRequest(bufio.NewReader(conn))
 		came <- text
 		_, _ = io.WriteString(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 	})
-	return told, came
+	return delivered, came
 }
 
-// A 202 that crosses the giving up of its attempt: the executor has the job, and a close of the connection is no sign
-// to it any more. It is told by DELETE. The 202 is on this machine, unread, in the moment of the giving up.
+// A 202 crosses the cancel of its attempt: the executor has the job, and closing the connection does not cancel it any
+// more, so a DELETE is sent. The 202 has been received but not read when the attempt is canceled.
 func TestCancelCrossesA202(t *testing.T) {
 	c, s := newClient(t, withShortAcks())
 	sink := &pausingSink{s, make(chan bool), make(chan bool)}
@@ -77,7 +77,7 @@
 	}
 }
 
-// The same where the 202 has been read and is noted only after the giving up; noted once more, it makes no second
+// As above, with a 202 that has been read but is recorded only after the cancel. Recording it again leads to no second
 // DELETE.
 func TestCancelCrossesTheNoteOfA202(t *testing.T) {
 	c, _ := newClient(t, testenv.Lim)
@@ -87,7 +87,7 @@
 		r := bufio.NewReader(conn)
 		_, _ = readRequest(r)
 		asked <- true
-		_, _ = r.ReadByte()
+		_, _ = r.ReadByte() // until the connection is closed
 	}, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
 		for {
@@ -102,13 +102,13 @@
 	c.Send(newAttempt(1))
 	<-asked
 	c.attempts.mu.Lock()
-	given := c.attempts.byID[1]
+	attempt := c.attempts.byID[1]
 	c.attempts.mu.Unlock()
 	c.Cancel(1)
-	c.recordAccepted(given)
-	c.recordAccepted(given)
+	c.recordAccepted(attempt)
+	c.recordAccepted(attempt)
 	expectDelete(t, next)
-	testenv.Until(t, "all is told", func() bool { return len(c.cancelSlots) == 0 })
+	testenv.Until(t, "no DELETE is in progress", func() bool { return len(c.cancelSlots) == 0 })
 	if len(next) != 0 {
 		t.Errorf("%d further calls", len(next))
 	}
@@ -122,16 +122,17 @@
 			t.Errorf("%q", text)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the executor is not told that the job was given up")
+		t.Fatal("no DELETE within 20 s")
 	}
 }
 
-// An executor handed a request back, was sent it again, and says once more that it handed it back, since the answer to
-// its first call was lost: the second attempt goes on, to its result. Another executor's word is its own.
+// An executor returned a request, received it again, and repeats the "returned" callback because the answer to the
+// first one was lost. The second attempt goes on to its result. A "returned" callback of another executor counts on
+// its own.
 func TestRepeatedReturnEndsNothing(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	startRawExecutor(t, c, answering(acceptedAnswer))
-	word := func(from, rest string) {
+	callback := func(from, rest string) {
 		t.Helper()
 		if err := c.Callback([]byte(`{"id":"00000000000000aa","from":"` + from + `",` + rest + `}`)); err != nil {
 			t.Error(err)
@@ -140,7 +141,7 @@
 	send := func(a node.Attempt) {
 		t.Helper()
 		c.Send(a)
-		testenv.Until(t, "its last byte is out", func() bool {
+		testenv.Until(t, "the 202 is read", func() bool {
 			c.attempts.mu.Lock()
 			x := c.attempts.byID[a.ID]
 			c.attempts.mu.Unlock()
@@ -151,31 +152,31 @@
 	}
 	const returned = `"state":"returned"`
 	send(newAttempt(1))
-	word("s-7", returned)
+	callback("s-7", returned)
 	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Full {
-		t.Fatalf("handed back: %v", got)
+		t.Fatalf("outcomes of the first attempt: %v, want full", got)
 	}
 	send(newAttempt(2))
-	word("s-7", returned)
-	word("s-7", returned)
+	callback("s-7", returned)
+	callback("s-7", returned)
 	if got := s.outcomes(2); len(got) != 0 {
-		t.Fatalf("the second attempt ended with %v by a word on the first", got)
+		t.Fatalf("the second attempt ended with %v by a callback for the first", got)
 	}
 	c.UpdateEndpoint(8, node.Endpoint{Name: "s-8", Address: c.address(7), Status: "ready"}, time.Now())
 	third := newAttempt(3)
 	third.Executor = 8
 	send(third)
-	word("s-8", returned)
+	callback("s-8", returned)
 	if got := s.outcomes(3); len(got) != 1 || got[0] != dispatch.Full {
-		t.Errorf("another executor hands it back: %v", got)
+		t.Errorf("outcomes at another executor: %v, want full", got)
 	}
-	word("s-7", `"state":"done","result":"tile"`)
+	callback("s-7", `"state":"done","result":"tile"`)
 	if got := s.outcomes(2); len(got) != 1 || got[0] != dispatch.Served {
-		t.Errorf("the second attempt: %v", got)
+		t.Errorf("outcomes of the second attempt: %v, want served", got)
 	}
 }
 
-// What is kept of requests that were handed back is let go of once no attempt of theirs can be out.
+// The entry of a returned request is deleted once no attempt of the request can be in flight.
 func TestReturnsAreForgotten(t *testing.T) {
 	r, now := returnedRequests{}, time.Now()
 	for i := range 100 {
@@ -185,12 +186,12 @@
 		}
 	}
 	if r.record(attemptKey{"next", "s-7"}, now.Add(time.Second), now.Add(2*time.Second)); len(r) != 1 {
-		t.Errorf("%d are kept", len(r))
+		t.Errorf("%d entries are kept, want 1", len(r))
 	}
 }
 
-// An attempt tells its executor no more time than is left when its bytes are made, however long it waited before: here
-// in the look before its first byte.
+// A request states at most the time that is left when its bytes are written, however long the attempt waited before:
+// here in the pre-send check before its first byte.
 func TestToldTimeIsWhatIsLeft(t *testing.T) {
 	c, _ := newClientWithLimits(t, testenv.Lim)
 	came := make(chan string, 1)
@@ -199,9 +200,9 @@
 		came <- text
 	})
 	a := newAttempt(1)
-	looks, left := 0, time.Duration(0)
+	checks, left := 0, time.Duration(0)
 	a.Job.PreSendCheck = func() precheck.Reason {
-		if looks++; looks == 2 { // before its first byte
+		if checks++; checks == 2 { // before its first byte
 			time.Sleep(20 * time.Millisecond)
 			left = time.Until(a.Deadline)
 		}
@@ -210,13 +211,14 @@
 	c.Send(a)
 	_, rest, _ := strings.Cut(<-came, "\r\nX-Expires-In-Ms: ")
 	text, _, _ := strings.Cut(rest, "\r\n")
-	if told, err := strconv.Atoi(text); err != nil || told < 1 || time.Duration(told)*time.Millisecond > left {
-		t.Errorf("%q ms are told, %v were left: %v", text, left, err)
+	if stated, err := strconv.Atoi(text); err != nil || stated < 1 || time.Duration(stated)*time.Millisecond > left {
+		t.Errorf("the request states %q ms with %v left: %v", text, left, err)
 	}
 }
 
-// A request whose last byte could go only long after it was made, since the other machine took the rest of it slowly,
-// is made anew on another connection, with the time that is left then. The first one never gets its last byte.
+// A request whose last byte can be sent only long after the request was built, since the peer takes the rest slowly,
+// is rebuilt on another connection with the time that is left then. The last byte is never sent on the first
+// connection.
 func TestToldTimeIsRenewedAfterAWait(t *testing.T) {
 	lim := testenv.Lim
 	lim.TimeSpare = 20 * time.Millisecond
@@ -231,7 +233,7 @@
 	a.Job.Body = []byte(strings.Repeat("b", 60<<10))
 	type got struct {
 		text string
-		left time.Duration // before the rest of the first was read
+		left time.Duration // before the rest of the first request is read
 	}
 	first, second := make(chan got, 1), make(chan got, 1)
 	var g errgroup.Group
@@ -243,7 +245,7 @@
 		}
 		defer func() { _ = conn.Close() }()
 		head := make([]byte, 100)
-		_, _ = io.ReadFull(conn, head) // the request is made
+		_, _ = io.ReadFull(conn, head) // the request has been built
 		time.Sleep(5 * lim.TimeSpare)
 		left := time.Until(a.Deadline)
 		rest, _ := io.ReadAll(conn)
@@ -267,13 +269,13 @@
 		select {
 		case x := <-ch:
 			if _, body, _ := strings.Cut(x.text, "\r\n\r\n"); i == 0 && len(body) >= len(a.Job.Body) {
-				t.Errorf("the first has its last byte: %d of the body", len(body))
+				t.Errorf("the first connection carried the whole body of %d bytes", len(body))
 			}
-			if told, err := strconv.Atoi(x.text); i == 1 && (err != nil || time.Duration(told)*time.Millisecond > x.left) {
-				t.Errorf("%q ms are told, %v were left", x.text, x.left)
+			if stated, err := strconv.Atoi(x.text); i == 1 && (err != nil || time.Duration(stated)*time.Millisecond > x.left) {
+				t.Errorf("the request states %q ms with %v left", x.text, x.left)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("nothing comes on connection", i+1)
+			t.Fatal("no request within 20 s on connection", i+1)
 		}
 	}
 	if got := s.outcomes(1); len(got) != 0 {
--- a/internal/executor/deadline_test.go
+++ b/internal/executor/deadline_test.go
@@ -19,20 +19,22 @@
 // stall is how long a process may stand still between its clock and a write; shortStall is less, and still more than
 // the time that a request tells may be off by.
 const (
+	// stall is how long the process is delayed between reading the clock and a write; shortStall is less, but more
+	// than the inaccuracy allowed for the time left that a request states.
 	stall      = 150 * time.Millisecond
 	shortStall = 100 * time.Millisecond
 )
 
-// sentTimeLeft reads what a request's head tells its executor; ok is false where it tells nothing.
-func sentTimeLeft(head string) (told time.Duration, ok bool) {
+// sentTimeLeft returns the time left that a request's head states; ok is false if it states none.
+func sentTimeLeft(head string) (timeLeft time.Duration, ok bool) {
 	_, rest, _ := strings.Cut(head, "\r\nX-Expires-In-Ms: ")
 	text, _, _ := strings.Cut(rest, "\r\n")
 	ms, err := strconv.Atoi(text)
 	return time.Duration(ms) * time.Millisecond, err == nil
 }
 
-// Nothing is written for an attempt with less than a millisecond left, or with no more than the pause before the last
-// byte takes: in whole milliseconds its executor could only be told more than that.
+// Nothing is written for an attempt with less than a millisecond left, or with less left than the pause before the
+// last byte takes: in whole milliseconds, the request could only state more than that.
 func TestAttemptWithNoTimeToTellIsNotSent(t *testing.T) {
 	for name, x := range map[string]struct {
 		left   time.Duration
@@ -48,9 +50,9 @@
 			came := make(chan string, 1)
 			startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
 			a := newAttempt(1)
-			looks := 0
+			checks := 0
 			a.Job.PreSendCheck = func() precheck.Reason {
-				if looks++; looks == 2 { // before the first byte
+				if checks++; checks == 2 { // before the first byte
 					c.attempts.byID[1].Deadline = time.Now().Add(x.left)
 				}
 				return precheck.Allowed
@@ -65,10 +67,10 @@
 	}
 }
 
-// wireRecorder is what a client's connections wrote.
+// wireRecorder counts the whole requests that a client's connections carried.
 type wireRecorder struct {
 	mu    sync.Mutex
-	whole int // connections that carried the last byte
+	whole int // connections on which the last byte was written
 }
 
 func (s *wireRecorder) requests() int {
@@ -77,8 +79,8 @@
 	return s.whole
 }
 
-// recordWrites holds the process up in the moments that a test names, and checks at each last byte, before the hold-up
-// there, that what the request tells is at most what its client has left.
+// recordWrites delays the process at the points that a test names. At each last byte, before the delay there, it
+// checks that the request states at most the time that its client has left.
 func recordWrites(t *testing.T, c *Client, until func() time.Time, hold func(conn int, moment string)) *wireRecorder {
 	seen := &wireRecorder{}
 	scriptConns(c, func(n int, conn *scriptedConn) {
@@ -86,8 +88,8 @@
 		conn.write = func(b []byte) (int, error) {
 			if last := strings.HasSuffix(head+string(b), "\r\n\r\nbody"); last {
 				left := time.Until(until())
-				if told, ok := sentTimeLeft(head); !ok || told > left {
-					t.Errorf("connection %d tells %v, its client has %v left", n, told, left)
+				if stated, ok := sentTimeLeft(head); !ok || stated > left {
+					t.Errorf("connection %d states %v, its client has %v left", n, stated, left)
 				}
 				hold(n, "last byte")
 				seen.mu.Lock()
@@ -109,9 +111,9 @@
 	return seen
 }
 
-// The time that a request tells is at most what its client has left when its last byte is about to go, of first
-// attempts, retries and hedged requests alike, however long the process was held up between the clock and a write. What
-// is told too late is made anew on another connection; the connection before it never carries its last byte.
+// The time left that a request states is at most what its client has left when the last byte is about to be written,
+// for first attempts, retries and hedged attempts, however long the process was delayed between reading the clock and
+// a write. A request that states too much is rebuilt on another connection, and its last byte is never written.
 func TestToldTimeHoldsWhenHeldUp(t *testing.T) {
 	kinds := map[string]func(a *node.Attempt){
 		"first": func(*node.Attempt) {},
@@ -126,9 +128,9 @@
 	type stallPoint struct {
 		moment string
 		length time.Duration
-		conns  int // that it takes
+		conns  int // connections that the attempt needs
 	}
-	holdings := []stallPoint{
+	stalls := []stallPoint{
 		{"none", 0, 1},
 		{"head", stall, 2},
 		{"head", shortStall, 2},
@@ -137,18 +139,18 @@
 		{"last byte", stall, 1},
 	}
 	for kind, set := range kinds {
-		for _, held := range holdings {
-			t.Run(fmt.Sprintf("%s/held up at %s for %v", kind, held.moment, held.length), func(t *testing.T) {
-				for range 5 { // a busy machine may hold it up further, and then nothing is sent
+		for _, at := range stalls {
+			t.Run(fmt.Sprintf("%s/delayed at %s for %v", kind, at.moment, at.length), func(t *testing.T) {
+				for range 5 { // a busy machine may delay it further, and then nothing is sent
 					c, s := newClientWithLimits(t, testenv.Lim)
 					n := startRawExecutor(t, c, answering(acceptedAnswer))
 					a := newAttempt(1)
 					a.Rules = precheck.RetryRules{Attempt: 1, MaxAttempts: 3}
 					set(&a)
 					client := a.Deadline.Add(testenv.Lim.AnswerEarly)
-					seen := recordWrites(t, c, func() time.Time { return client }, func(conn int, at string) {
-						if at == held.moment && conn == 0 {
-							time.Sleep(held.length)
+					seen := recordWrites(t, c, func() time.Time { return client }, func(conn int, moment string) {
+						if moment == at.moment && conn == 0 {
+							time.Sleep(at.length)
 						}
 					})
 					c.Send(a)
@@ -158,18 +160,18 @@
 					if len(got) == 1 && got[0] == dispatch.CanceledBeforeSend && seen.requests() == 0 {
 						continue
 					}
-					if len(got) != 1 || got[0] != dispatch.Served || seen.requests() != 1 || n() < held.conns {
-						t.Errorf("outcomes %v, %d requests whole over %d connections, want %d", got, seen.requests(), n(), held.conns)
+					if len(got) != 1 || got[0] != dispatch.Served || seen.requests() != 1 || n() < at.conns {
+						t.Errorf("outcomes %v, %d whole requests over %d connections, want %d", got, seen.requests(), n(), at.conns)
 					}
 					return
 				}
-				t.Error("it was never sent")
+				t.Error("the attempt was not sent in 5 tries")
 			})
 		}
 	}
 }
 
-// A process that is held up each time sends nothing rather than tell too much.
+// An attempt that is delayed each time is not sent, since its request would state too much time left.
 func TestHeldUpEachTimeIsNotSent(t *testing.T) {
 	c, s := newClientWithLimits(t, testenv.Lim)
 	startRawExecutor(t, c, answering(acceptedAnswer))
@@ -183,6 +185,6 @@
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	if got := s.outcomes(1); got[0] != dispatch.CanceledBeforeSend || seen.requests() != 0 {
-		t.Errorf("outcomes %v, %d requests whole", got, seen.requests())
+		t.Errorf("outcomes %v, %d whole requests, want canceled before send and none", got, seen.requests())
 	}
 }
--- a/internal/executor/endpoints.go
+++ b/internal/executor/endpoints.go
@@ -11,18 +11,18 @@
 // endpointState is what the client knows of one executor.
 type endpointState struct {
 	name, address string
-	sendsEndAt    time.Time // nothing new is written after it; zero while the executor takes work
-	startedAt     float64   // when its process started, in Unix milliseconds as listed
-	lastContact   time.Time // its last answer, callback or new connection
+	sendsEndAt    time.Time // no new request is written after it; zero while the executor is ready
+	startedAt     float64   // start of its process in Unix milliseconds, as listed
+	lastContact   time.Time // its latest answer, callback or new connection
 }
 
-// endpointTable holds the executors by their numbers.
+// endpointTable holds the executors by number.
 type endpointTable struct {
 	mu   sync.Mutex
 	byID map[uint32]*endpointState
 }
 
-// get copies what is known of an executor.
+// get returns a copy of an executor's state.
 func (t *endpointTable) get(id uint32) (endpointState, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -33,7 +33,7 @@
 	return *state, true
 }
 
-// recordContact notes that an executor showed itself just now.
+// recordContact records that an executor has just been in contact.
 func (t *endpointTable) recordContact(id uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,9 +42,9 @@
 	}
 }
 
-// UpdateEndpoint takes an executor's address and condition from an endpoint update that came at a time. From its drain or removal
-// on, what is under way to it may still be written for a while; connections that lead to another machine, or to a
-// process that has ended, are closed.
+// UpdateEndpoint applies an executor's entry from an endpoint list that was received at the given time. After a drain
+// or removal, attempts in progress may still be sent for DrainSpare. Idle connections to an earlier address or to an
+// earlier incarnation of the executor are closed.
 func (c *Client) UpdateEndpoint(id uint32, e node.Endpoint, at time.Time) {
 	t := &c.endpoints
 	t.mu.Lock()
@@ -77,19 +77,19 @@
 	}
 }
 
-// address of an executor, empty for one that is not known.
+// address returns an executor's address, or "" if the executor is not known.
 func (c *Client) address(id uint32) string {
 	state, _ := c.endpoints.get(id)
 	return state.address
 }
 
-// outOfContact says that an executor has not shown itself for so long that its machine may be cut off.
+// outOfContact reports whether an executor has not been in contact for so long that its machine may be cut off.
 func (c *Client) outOfContact(id uint32) bool {
 	state, known := c.endpoints.get(id)
 	return known && time.Since(state.lastContact) > c.limits.Pace.AckBeforeReuseAfter
 }
 
-// CloseIdle closes an executor's idle connections.
+// CloseIdle closes the idle connections to an executor.
 func (c *Client) CloseIdle(id uint32) {
 	if address := c.address(id); address != "" {
 		c.pool.closeIdle(address)
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -22,7 +22,7 @@
 	_ "gatetack/internal/testrand"
 )
 
-// sink keeps what the client tells the core.
+// resultRecorder records the results that the client reports.
 type resultRecorder struct {
 	mu      sync.Mutex
 	results []node.Result
@@ -49,14 +49,14 @@
 	return out
 }
 
-// setup makes a client for tests of all but the time that executors are told: a busy machine that holds one of them up
-// makes no request anew.
+// newClient returns a client for tests that do not concern the time left in requests: the large TimeSpare keeps a test
+// that is delayed on a busy machine from rebuilding requests.
 func newClient(t *testing.T, lim limits.Limits) (*Client, *resultRecorder) {
 	lim.TimeSpare = time.Hour
 	return newClientWithLimits(t, lim)
 }
 
-// setupExactly makes a client with the limits as they are.
+// newClientWithLimits returns a client with the given limits unchanged.
 func newClientWithLimits(t *testing.T, lim limits.Limits) (*Client, *resultRecorder) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g, s := &errgroup.Group{}, &resultRecorder{}
@@ -65,7 +65,7 @@
 	return c, s
 }
 
-// restless are limits by which a connection is used again at once, for tests of what is seen of the connection itself.
+// withoutRestPeriod returns limits under which an idle connection is reused at once.
 func withoutRestPeriod() limits.Limits {
 	lim := testenv.Lim
 	lim.Rest = 0
@@ -77,7 +77,8 @@
 		Job: &node.Job{TraceID: "00000000000000aa", Method: "POST", Target: "/tile-charge/x", Body: []byte("body")}}
 }
 
-// box is a raw executor: it reads a request's end and does what script says, one connection after another.
+// startRawExecutor listens as executor 7 and runs script[i] on connection i, the last script on all further
+// connections.
 func startRawExecutor(t *testing.T, c *Client, script ...func(net.Conn)) (accepted func() int) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,7 +119,7 @@
 	return func() int { mu.Lock(); defer mu.Unlock(); return n }
 }
 
-// request reads one whole request with a body of four bytes, or none.
+// readRequest reads one whole request with a body of four bytes or none.
 func readRequest(r *bufio.Reader) (string, error) {
 	var all strings.Builder
 	length := 0
@@ -155,17 +156,18 @@
 
 const acceptedAnswer = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
-// What an executor says at once, and what that says of whether the job ran.
+// The outcome of an attempt follows from the executor's immediate answer, and from what that answer shows about
+// whether the job ran.
 func TestAnswers(t *testing.T) {
 	for _, x := range []struct {
 		name   string
 		script func(net.Conn)
 		want   dispatch.Outcome
 	}{
-		{"turned away", answering("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\n" +
+		{"rejected", answering("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\n" +
 			"Endpoint-Load-Metrics: TEXT queue=4, x0=0.5\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
-		{"turned away late", answering("HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
-		// A 503 without the word may have run: taken as never run, a tile-charge could be sent twice.
+		{"rejected late", answering("HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
+		// A 503 without X-Never-Ran may have run: if it counted as never run, a tile-charge could be sent twice.
 		{"503 alone", answering("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), dispatch.Errored},
 		{"500", answering("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), dispatch.Errored},
 		{"breaks before its answer", answering(), dispatch.Reset},
@@ -182,9 +184,9 @@
 			c.Send(newAttempt(1))
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 			if got := s.outcomes(1); len(got) != 1 || got[0] != x.want {
-				t.Errorf("%v, want %d", got, x.want)
+				t.Errorf("outcomes %v, want %d", got, x.want)
 			}
-			if x.name == "turned away" &&
+			if x.name == "rejected" &&
 				(len(s.results[0].Report) != 2 || s.results[0].Report[0] != 4 || s.results[0].Report[1] != 0.5) {
 				t.Errorf("load report %v", s.results[0].Report)
 			}
@@ -192,7 +194,8 @@
 	}
 }
 
-// Callbacks: one may come before the 202, they repeat, and stale ones are passed over. Each attempt has one end.
+// A callback may arrive before the 202, may be repeated, and may be stale; stale ones are ignored. Each attempt has
+// one outcome.
 func TestCallbacks(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	early := make(chan bool)
@@ -203,7 +206,7 @@
 			_, _ = io.WriteString(conn, acceptedAnswer)
 		}
 	})
-	tell := func(from, state string) {
+	callback := func(from, state string) {
 		if err := c.Callback(
 			[]byte(
 				`{"id":"00000000000000aa","from":"` + from + `","state":"` + state + `","result":"tile","load":{"queue":1,"x0":2}}`,
@@ -213,30 +216,30 @@
 			t.Error(err)
 		}
 	}
-	tell("s-7", "done") // of nothing that is live
+	callback("s-7", "done") // of nothing that is live
 	c.Send(newAttempt(1))
 	<-early
-	tell("s-8", "done") // of another executor
-	tell("s-7", "started")
+	callback("s-8", "done") // from another executor
+	callback("s-7", "started")
 	for range 10 {
-		tell("s-7", "done")
+		callback("s-7", "done") // no attempt is active
 	}
-	tell("s-7", "lost")
+	callback("s-7", "lost")
 	early <- true
 	testenv.Until(
 		t,
-		"the connection is back",
+		"the connection is returned to the pool",
 		func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 },
 	)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.results) != 2 || s.results[0].Topic != dispatch.NotificationStarted || s.results[1].Outcome != dispatch.Served ||
 		string(s.results[1].Body) != "tile" || len(s.results[1].Report) != 2 {
-		t.Errorf("%+v", s.results)
+		t.Errorf("results %+v, want a note of the start and one served outcome", s.results)
 	}
 }
 
-// A callback that says done and brings no result must not become an answer that no executor made.
+// A "done" callback without a result must not become an answer that no executor produced.
 func TestDoneWithoutAResult(t *testing.T) {
 	for _, rest := range []string{``, `,"result":null`, `,"result":7`, `,"result":{}`} {
 		c, s := newClient(t, testenv.Lim)
@@ -247,13 +250,13 @@
 			return len(s.outcomes(1)) > 0
 		})
 		if got := s.outcomes(1); got[0] != dispatch.Errored {
-			t.Errorf("%q: %v", rest, got)
+			t.Errorf("callback with %q: outcomes %v, want errored", rest, got)
 		}
 	}
 }
 
-// A callback that comes before anything of an attempt was written is of an earlier one: after "returned", a
-// repeat of that word must not end the next attempt at the same executor.
+// A callback that arrives before anything of an attempt was written concerns an earlier one: a repeated "returned"
+// must not end the next attempt at the same executor.
 func TestStaleCallbackBeforeTheSend(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
@@ -275,8 +278,8 @@
 	}
 }
 
-// Nothing is written to an executor whose drain was told, not even over a connection that was being made; and
-// a drain that was told a moment ago still lets through what was decided before.
+// Nothing is written to an executor whose drain was notified longer than DrainSpare ago, not even over a connection
+// that was being opened at the time.
 func TestDrainAtTheMomentOfSending(t *testing.T) {
 	lim := testenv.Lim
 	lim.DrainSpare = 0
@@ -290,11 +293,11 @@
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	if got := s.outcomes(1); got[0] != dispatch.CanceledBeforeSend || n() != 0 {
-		t.Errorf("%v, %d connections", got, n())
+		t.Errorf("outcomes %v over %d connections, want canceled before send over none", got, n())
 	}
 }
 
-// A connection that the executor closed while it stood idle is not used: what is written to it counts as sent.
+// A connection that the executor closed while it was idle is not reused: a request written to it would count as sent.
 func TestClosedIdleConnections(t *testing.T) {
 	c, s := newClient(t, withoutRestPeriod())
 	closed := make(chan bool)
@@ -308,7 +311,7 @@
 	<-closed
 	testenv.Until(
 		t,
-		"the connection is back",
+		"the connection is returned to the pool",
 		func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 },
 	)
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":""}`))
@@ -319,25 +322,26 @@
 	}
 }
 
-// reset ends a connection as a machine does that has forgotten it, once something of a request has come.
+// resetConnection resets a connection when the first byte of a request arrives, as a machine does that has lost the
+// connection's state.
 func resetConnection(c net.Conn) {
 	_, _ = c.Read(make([]byte, 1))
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-// The last byte of a request is held back for a moment. A connection that breaks meanwhile, or says something, never
-// got the request: on a kept one the attempt goes on over another, on a new one it could not connect. Taken as a
-// reset, each would end a tile-charge for good.
+// The last byte of a request is held back for a short time. If the connection breaks meanwhile, or the executor sends
+// something, the executor never had the request. On a reused connection the attempt continues on another one, and on a
+// new one it ends as failed to connect. As a reset, the outcome would end a tile-charge for good.
 func TestBrokenBeforeTheLastByte(t *testing.T) {
 	lim := testenv.Lim
-	lim.SettleLeast, lim.SettleMost = 20*time.Second, 20*time.Second // each verdict below comes of what the box does
+	lim.SettleLeast, lim.SettleMost = 20*time.Second, 20*time.Second // so that each verdict below follows from what the executor does
 	c, s := newClient(t, lim)
 	came := make(chan string, 1)
 	n := startRawExecutor(t, c, resetConnection, resetConnection, func(conn net.Conn) {
 		b := make([]byte, 4096)
 		k := 0
-		for !strings.HasSuffix(string(b[:k]), "\r\n\r\nbod") { // and no more
+		for !strings.HasSuffix(string(b[:k]), "\r\n\r\nbod") { // and nothing more
 			m, err := conn.Read(b[k:])
 			if err != nil {
 				break
@@ -361,20 +365,20 @@
 		c.pool.release(conn)
 	}
 	lasting := newAttempt(1)
-	lasting.Deadline = time.Now().Add(time.Minute) // or its time would be over before the pause is
+	lasting.Deadline = time.Now().Add(time.Minute) // later than the end of the pause
 	c.Send(lasting)
 	if text := <-came; !strings.HasSuffix(text, "\r\n\r\nbod") ||
 		!strings.HasPrefix(text, "POST /tile-charge/x HTTP/1.1\r\n") {
-		t.Errorf("before the last byte: %q", text)
+		t.Errorf("received before the last byte: %q", text)
 	}
 	if got := s.outcomes(1); len(got) != 0 || n() != 3 {
-		t.Errorf("after two stale connections: %v on connection %d", got, n())
+		t.Errorf("after two stale connections: outcomes %v on connection %d", got, n())
 	}
 	c.Cancel(1)
 
 	garbled := func(conn net.Conn) {
 		_, _ = conn.Read(make([]byte, 1))
-		_, _ = io.WriteString(conn, acceptedAnswer) // of what?
+		_, _ = io.WriteString(conn, acceptedAnswer) // before the request is complete
 		_, _ = io.Copy(io.Discard, conn)
 	}
 	scripts := map[string]func(net.Conn){"new and reset": resetConnection, "new and garbled": garbled}
@@ -384,43 +388,44 @@
 		c.Send(lasting)
 		testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 		if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.ConnectFailed || n() != 1 {
-			t.Errorf("%s: %v over %d connections, want one that could not connect", name, got, n())
+			t.Errorf("%s: outcomes %v over %d connections, want one failed to connect", name, got, n())
 		}
 	}
 }
 
-// Where connections break after some idle time, those that stood as long are no longer used; those that stood for
-// less are, a break now and then among many uses says nothing, and in time the others are tried again.
+// If connections break after some idle time, connections that have been idle as long are no longer reused, while those
+// with less idle time are. A single break among many uses has no effect, and in time longer idle times are tried
+// again.
 func TestTrustInKeptConnections(t *testing.T) {
 	p := newPool(testenv.Lim, nil)
 	now := time.Now()
-	saw := func(stood time.Duration, broke bool, n int) {
+	observe := func(idleFor time.Duration, broke bool, n int) {
 		for range n {
-			p.recordReuse(&connection{idleFor: stood}, broke, now)
+			p.recordReuse(&connection{idleFor: idleFor}, broke, now)
 		}
 	}
 	want := func(what string, d time.Duration) {
 		t.Helper()
 		if got := p.maxIdleTime(now); got != d {
-			t.Errorf("%s: trusted for %v, want %v", what, got, d)
+			t.Errorf("%s: reused after up to %v, want %v", what, got, d)
 		}
 	}
 	want("at first", testenv.Lim.WorkerIdle)
-	saw(10*time.Millisecond, false, 60)
-	saw(10*time.Millisecond, true, 1)
+	observe(10*time.Millisecond, false, 60)
+	observe(10*time.Millisecond, true, 1)
 	want("one break in many uses", testenv.Lim.WorkerIdle)
-	saw(300*time.Millisecond, true, 1)
+	observe(300*time.Millisecond, true, 1)
 	want("one break in few uses", 256*time.Millisecond)
-	saw(200*time.Millisecond, false, 3)
-	saw(200*time.Millisecond, true, 2)
-	want("breaks of younger ones", 128*time.Millisecond)
+	observe(200*time.Millisecond, false, 3)
+	observe(200*time.Millisecond, true, 2)
+	want("breaks after less idle time", 128*time.Millisecond)
 	now = now.Add(10 * testenv.Lim.KeptMemory)
-	want("long after", testenv.Lim.WorkerIdle)
-	saw(time.Hour, true, 3)
-	want("the longest span", min(testenv.Lim.KeptFirst<<10, testenv.Lim.WorkerIdle))
+	want("after the observations have decayed", testenv.Lim.WorkerIdle)
+	observe(time.Hour, true, 3)
+	want("the longest idle time", min(testenv.Lim.KeptFirst<<10, testenv.Lim.WorkerIdle))
 }
 
-// Attempts follow one another on one connection; one that has stood idle for too long is not used again.
+// Consecutive attempts use one connection. A connection that has been idle for too long is not reused.
 func TestConnectionsAreKept(t *testing.T) {
 	lim := withoutRestPeriod()
 	lim.WorkerIdle = time.Hour
@@ -432,7 +437,7 @@
 			_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":""}`))
 			return len(s.outcomes(id+1)) == 1
 		})
-		testenv.Until(t, "the connection is back", func() bool {
+		testenv.Until(t, "the connection is returned to the pool", func() bool {
 			c.pool.mu.Lock()
 			defer c.pool.mu.Unlock()
 			idle := 0
@@ -450,7 +455,8 @@
 	testenv.Until(t, "a new connection", func() bool { return n() == 2 })
 }
 
-// An address where nobody listens: never ran. No executor of that number: never sent.
+// An attempt to an address where nothing listens ends as failed to connect. An attempt to an unknown executor ends as
+// canceled before send.
 func TestNoConnection(t *testing.T) {
 	c, s := newClient(t, withoutRestPeriod())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -469,7 +475,7 @@
 	}
 }
 
-// Giving up: before the 202 by closing the connection, after it by DELETE. Neither has an outcome of its own.
+// A cancel closes the connection before the 202, and sends a DELETE after it. Neither leads to an outcome.
 func TestGiveUp(t *testing.T) {
 	c, s := newClient(t, withoutRestPeriod())
 	got, ended := make(chan string, 4), make(chan bool, 1)
@@ -492,7 +498,7 @@
 	c.Cancel(1)
 	<-ended
 	c.Send(newAttempt(2))
-	testenv.Until(t, "the connection is back", func() bool {
+	testenv.Until(t, "the connection is returned to the pool", func() bool {
 		c.pool.mu.Lock()
 		defer c.pool.mu.Unlock()
 		for _, l := range c.pool.idle {
@@ -512,7 +518,7 @@
 	}
 }
 
-// Garbage for callbacks and load reports is refused or passed over.
+// Malformed callbacks and load reports are rejected or ignored.
 func TestGarbage(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	good := `{"id":"00000000000000aa","from":"s-7","state":"done","result":"x","load":{"queue":1}}`
@@ -528,12 +534,12 @@
 	}
 }
 
-// A send that can't be recorded is not made, and its attempt ends as never sent.
+// An attempt that cannot be recorded is not sent, and ends as canceled before send.
 func TestUnrecordedSendIsNotMade(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(1)
-	a.Job.BeforeSend = func(string) error { return errors.New("no space is left on the disk") }
+	a.Job.BeforeSend = func(string) error { return errors.New("no space left on device") }
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.CanceledBeforeSend || n() != 0 {
--- a/internal/executor/healthcheck.go
+++ b/internal/executor/healthcheck.go
@@ -11,7 +11,7 @@
 	"gatetack/internal/http1"
 )
 
-// call makes a short request without a body, on an executor's address, within the context's deadline.
+// call sends a short request without a body to an address and returns the response, within the context's deadline.
 func (c *Client) call(ctx context.Context, address, method, target string) (*http1.Message, error) {
 	deadline, _ := ctx.Deadline()
 	conn, err := c.dial(ctx, deadline, func() (string, bool) { return address, true })
@@ -30,7 +30,7 @@
 	return message, err
 }
 
-// CheckHealth checks an executor's health and asks for its load report. The result goes to the sink.
+// CheckHealth checks an executor's health and requests its load report. The result goes to the sink.
 func (c *Client) CheckHealth(id uint32) {
 	c.group.Go(func() error {
 		began := time.Now()
@@ -50,7 +50,7 @@
 	connect := (*ConnectError)(nil)
 	switch {
 	case isLocalFault(err):
-		return dispatch.CanceledBeforeSend // it says nothing of the executor
+		return dispatch.CanceledBeforeSend // no sign of a fault of the executor
 	case errors.As(err, &connect):
 		return dispatch.ConnectFailed
 	case err != nil && ctx.Err() != nil:
--- a/internal/executor/loadreport.go
+++ b/internal/executor/loadreport.go
@@ -14,7 +14,7 @@
 	loadReportFormat = "TEXT " // name=value, name=value
 )
 
-// reportFromHeader reads a load report from an answer, nil for none.
+// reportFromHeader parses the load report in an answer's header. It returns nil if there is none.
 func (c *Client) reportFromHeader(message *http1.Message) []float32 {
 	text := strings.TrimPrefix(message.Get(loadReportHeader), loadReportFormat)
 	if text == "" {
@@ -33,7 +33,7 @@
 	})
 }
 
-// reportFromJSON reads a load report from an object, nil for none.
+// reportFromJSON parses the load report in a JSON object. It returns nil if there is none.
 func (c *Client) reportFromJSON(object gjson.Result) []float32 {
 	if !object.IsObject() {
 		return nil
--- a/internal/executor/localfault_test.go
+++ b/internal/executor/localfault_test.go
@@ -20,12 +20,12 @@
 	"gatetack/internal/testenv"
 )
 
-// faultyDialer fails the first dials, each with the next error of a list, and counts dials and the pauses between them,
-// which pass at once.
+// faultyDialer fails the first dials, each with the next error of a list. It records the dials and the pauses between
+// them, and pauses do not take any time.
 type faultyDialer struct {
 	mu          sync.Mutex
-	first       []error // for each dial, nil or past the end: a real one
-	always      error   // for all others
+	first       []error // errors of the first dials; nil for a real dial
+	always      error   // for all other dials; nil for real ones
 	events      []string
 	pauses      []time.Duration
 	duringPause func() // called in each pause
@@ -65,7 +65,7 @@
 	return slices.Clone(f.events), slices.Clone(f.pauses)
 }
 
-// systemError is an error as package net gives it.
+// systemError returns an error as package net returns it from a dial.
 func systemError(call string, errno syscall.Errno) error {
 	return &net.OpError{
 		Op:   "dial",
@@ -88,9 +88,9 @@
 	"EINTR":         systemError("connect", syscall.EINTR),
 }
 
-// A fault of this machine that lasts ends the attempt as never sent, after a bounded number of dials with a doubling
-// pause before each further one. It is never passed on as a failed connection, which the module would hold against the
-// executor.
+// A lasting local fault ends the attempt as canceled before send, after a bounded number of dials with a doubling
+// pause before each redial. It is never reported as a failed connection, which the dispatch module would count as a
+// fault of the executor.
 func TestLastingLocalFaultEndsTheAttemptAsNeverSent(t *testing.T) {
 	for name, fault := range localFaults {
 		t.Run(name, func(t *testing.T) {
@@ -109,13 +109,13 @@
 				t.Errorf("%v, pauses %v", events, pauses)
 			}
 			if used := c.pool.open.Used(); used != 0 {
-				t.Errorf("%d connections are still counted", used)
+				t.Errorf("%d connections are still counted as open", used)
 			}
 		})
 	}
 }
 
-// A fault of this machine that ends in time costs the job nothing: the same attempt is sent once, and served.
+// If a local fault ends in time, the job does not notice it: the same attempt is sent once and served.
 func TestPassingLocalFaultIsOvercome(t *testing.T) {
 	for name, fault := range localFaults {
 		t.Run(name, func(t *testing.T) {
@@ -123,7 +123,7 @@
 			n := startRawExecutor(t, c, answering(acceptedAnswer))
 			dialer := (&faultyDialer{first: []error{fault, fault}}).install(c)
 			c.Send(newAttempt(1))
-			testenv.Until(t, "it is served", func() bool {
+			testenv.Until(t, "the attempt is served", func() bool {
 				_ = c.Callback([]byte(doneCallback))
 				return len(s.outcomes(1)) > 0
 			})
@@ -137,7 +137,7 @@
 	}
 }
 
-// What speaks of the executor or of the path to it is passed on at once, for the decision module to act on.
+// An error that concerns the executor or the path to it is reported at once, so that the dispatch module can react.
 func TestFaultOfTheExecutorIsPassedOn(t *testing.T) {
 	for name, fault := range map[string]error{
 		"ECONNREFUSED": systemError("connect", syscall.ECONNREFUSED),
@@ -162,7 +162,7 @@
 	}
 }
 
-// Whatever ends an attempt during the pause after a local fault ends it before the next dial.
+// An event that ends an attempt during the pause after a local fault prevents the next dial.
 func TestNoRedialAfterTheClientLeft(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
@@ -184,7 +184,7 @@
 	}
 }
 
-// An attempt that is given up during the pause leaves it, and has no outcome.
+// A cancel ends the pause after a local fault, and leads to no outcome.
 func TestGiveUpEndsThePauseAfterALocalFault(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	startRawExecutor(t, c, answering(acceptedAnswer))
@@ -200,7 +200,7 @@
 	select {
 	case <-paused:
 	case <-time.After(20 * time.Second):
-		t.Fatal("no pause after a local fault")
+		t.Fatal("no pause after a local fault within 20 s")
 	}
 	c.Cancel(1)
 	if err := <-left; !errors.Is(err, context.Canceled) {
@@ -211,8 +211,8 @@
 	}
 }
 
-// No pause outlasts the attempt: with less time left than it takes, the attempt ends as never sent, and the job's
-// answer is still in time.
+// No pause outlasts the attempt: if less time is left than the pause takes, the attempt ends as canceled before send,
+// so that the job is answered in time.
 func TestNoPauseBeyondTheDeadline(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	startRawExecutor(t, c, answering(acceptedAnswer))
@@ -221,13 +221,13 @@
 	a.Deadline = time.Now().Add(35 * time.Millisecond)
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	_, pauses := dialer.seen() // 10 and 20 ms at most; the third, of 40 ms, would end after the deadline
+	_, pauses := dialer.seen() // at most 10 and 20 ms: the third pause, of 40 ms, would end after the deadline
 	if got := s.outcomes(1); got[0] != dispatch.CanceledBeforeSend || len(pauses) > 2 {
 		t.Errorf("outcomes %v after pauses %v", got, pauses)
 	}
 }
 
-// Where descriptors are used up, one that stands idle is given back before the next dial; other faults close none.
+// If no descriptors are left, an idle connection is closed before the next dial. Other faults close none.
 func TestIdleConnectionsMakeWayForDescriptors(t *testing.T) {
 	for name, want := range map[string]int{"EMFILE": 0, "ENFILE": 0, "EADDRNOTAVAIL": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -263,7 +263,7 @@
 	return n
 }
 
-// All connections that this node may have are in use: that is no fault of the executor that the next one was for.
+// If the node's limit of connections is reached, that is no fault of the executor for which the next one was wanted.
 func TestUsedUpConnectionBudgetIsALocalFault(t *testing.T) {
 	lim := testenv.Lim
 	lim.WorkerConns, lim.Pace.MinPerPeer = 2, 2
@@ -278,11 +278,12 @@
 		t.Errorf("outcomes %v", got)
 	}
 	if _, pauses := dialer.seen(); len(pauses) != maxRedials {
-		t.Errorf("%d pauses", len(pauses))
+		t.Errorf("%d pauses, want maxRedials", len(pauses))
 	}
 }
 
-// A health check that fails for a fault of this machine says nothing of the executor, and one that is refused does.
+// A health check that fails because of a local fault is no sign of a fault of the executor, unlike a refused
+// connection.
 func TestHealthCheckTellsLocalFaults(t *testing.T) {
 	for name, x := range map[string]struct {
 		fault error
@@ -297,15 +298,14 @@
 		(&faultyDialer{always: x.fault}).install(c)
 		c.CheckHealth(7)
 		const id = 7 + 1<<40
-		testenv.Until(t, "its result", func() bool { return len(s.outcomes(id)) > 0 })
+		testenv.Until(t, "a result", func() bool { return len(s.outcomes(id)) > 0 })
 		if got := s.outcomes(id); got[0] != x.want {
 			t.Errorf("%s: %v, want %d", name, got, x.want)
 		}
 	}
 }
 
-// The DELETE that gives up a job survives a passing local fault: an executor that is not told of it goes on with the
-// job.
+// The DELETE of a canceled job is retried after a passing local fault: without it the executor goes on with the job.
 func TestGiveUpSurvivesALocalFault(t *testing.T) {
 	c, _ := newClient(t, testenv.Lim)
 	got := make(chan string, 1)
@@ -321,7 +321,7 @@
 	})
 	c.Send(newAttempt(1))
 	testenv.Until(t, "an idle connection", func() bool { return c.idleConnections() == 1 })
-	c.pool.closeIdle(c.address(7)) // the DELETE needs one of its own
+	c.pool.closeIdle(c.address(7)) // the DELETE needs a new connection
 	(&faultyDialer{first: []error{localFaults["ENOBUFS"], localFaults["ENOBUFS"]}}).install(c)
 	c.Cancel(1)
 	expectDelete(t, got)
--- a/internal/executor/pool.go
+++ b/internal/executor/pool.go
@@ -12,7 +12,7 @@
 	"gatetack/internal/slowpeer"
 )
 
-// pool keeps idle connections by address and holds all of them within the budget.
+// pool keeps idle connections by address and limits the number of all connections.
 type pool struct {
 	limits    limits.Limits
 	slowPeers *slowpeer.Counters
@@ -20,8 +20,8 @@
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	mu    sync.Mutex
-	idle  map[string][]*connection // the one used last at the end
-	open  *slowpeer.Ledger[string] // by address: an executor that holds all it gets must leave some to the others
+	idle  map[string][]*connection // the most recently used last
+	open  *slowpeer.Ledger[string] // connections by address; limits the share of one executor, so that a slow one leaves some to the others
 	reuse reuseHistory
 }
 
@@ -35,21 +35,21 @@
 	}
 }
 
-// recordReuse takes in what came of a reused connection.
+// recordReuse records whether a reused connection was found broken.
 func (p *pool) recordReuse(conn *connection, broke bool, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reuse.record(&p.limits, conn.idleFor, broke, now)
 }
 
-// maxIdleTime is how long a connection may have been idle and still be used.
+// maxIdleTime returns how long a connection may have been idle and still be reused.
 func (p *pool) maxIdleTime(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reuse.maxIdleTime(&p.limits, now)
 }
 
-// get gives an idle connection that is still open, or a new one. It fails with a ConnectError.
+// get returns an idle connection that is still open, or a new one. Its error is a ConnectError.
 func (p *pool) get(ctx context.Context, addr string) (*connection, error) {
 	if conn := p.getIdle(addr); conn != nil {
 		return conn, nil
@@ -76,7 +76,7 @@
 	}, nil
 }
 
-// getIdle gives an idle connection that is still open, nil for none, and closes those that are not.
+// getIdle returns an idle connection that is still open, or nil. It closes those that are not.
 func (p *pool) getIdle(addr string) *connection {
 	maxIdle := p.maxIdleTime(time.Now())
 	for {
@@ -92,9 +92,10 @@
 	}
 }
 
-// takeRestedIdle takes the idle connection that was used last and has rested: a second answer can follow the first by some
-// milliseconds, and would be taken for that of the next request, which then runs here and is sent elsewhere too, or is
-// waited for in vain.
+// takeRestedIdle takes the most recently used idle connection that has been idle for at least the rest period. An
+// executor may send a second answer some milliseconds after the first. On a connection that is reused at once, it
+// would be taken for the answer to the next request, which would then run here and elsewhere too, or be waited for in
+// vain.
 func (p *pool) takeRestedIdle(addr string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,7 +109,8 @@
 	return nil
 }
 
-// reserve counts a connection about to be made. At the budget it closes an idle one of another executor.
+// reserve counts a connection that is about to be opened. If the limit is reached, it closes an idle connection to
+// make room.
 func (p *pool) reserve(addr string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,14 +128,15 @@
 	return nil
 }
 
-// evictIdle gives the descriptor of an idle connection back to the machine.
+// evictIdle closes an idle connection to free its descriptor.
 func (p *pool) evictIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeOldestIdle()
 }
 
-// closeOldestIdle closes the connection that has been idle the longest, if there is one. The lock is held.
+// closeOldestIdle closes the connection that has been idle the longest, and reports whether there was one. The caller
+// holds the lock.
 func (p *pool) closeOldestIdle() bool {
 	var oldest *connection
 	for _, idle := range p.idle {
@@ -150,8 +153,8 @@
 	return true
 }
 
-// release gives back a connection that stands between requests. Those that were idle for too long are at the front, and
-// are closed.
+// release returns a connection to the pool. It closes the connections to the same address that have been idle for too
+// long, which are at the front of the list.
 func (p *pool) release(conn *connection) {
 	conn.BoundReads(time.Time{})
 	conn.BoundWrites(time.Time{})
@@ -168,7 +171,7 @@
 	p.idle[conn.addr] = append(idle, conn)
 }
 
-// close ends a connection that was taken from the pool.
+// close closes a connection that was taken from the pool.
 func (p *pool) close(conn *connection) {
 	_ = conn.Close()
 	p.mu.Lock()
--- a/internal/executor/races_test.go
+++ b/internal/executor/races_test.go
@@ -15,7 +15,7 @@
 	"gatetack/internal/testenv"
 )
 
-// change makes a change in the moment of a look, and gives the job's own answer to it.
+// change makes a change during a pre-send check, and returns the job's own answer to the check.
 type change func(c *Client, a *node.Attempt) precheck.Reason
 
 type namedChange struct {
@@ -23,7 +23,7 @@
 	at   change
 }
 
-// changesBeforeTheSend are the changes that each forbid an attempt.
+// changesBeforeTheSend lists changes each of which prevents the attempt from being sent.
 func changesBeforeTheSend() []namedChange {
 	reason := func(r precheck.Reason) change {
 		return func(*Client, *node.Attempt) precheck.Reason { return r }
@@ -42,27 +42,27 @@
 			return precheck.Allowed
 		}},
 		{"the executor drains", listed("draining", 0)},
-		{"the executor is gone", listed("gone", 0)},
-		{"the executor starts anew", listed("ready", 5000)},
+		{"the executor is removed", listed("gone", 0)},
+		{"the executor restarts", listed("ready", 5000)},
 		{"the window ends", func(c *Client, a *node.Attempt) precheck.Reason {
 			rules := precheck.RetryRules{Attempt: 2, MaxAttempts: 3, RetrySafety: dispatch.Keyed, MayHaveRun: true}
 			rules.WindowEnd = time.Now()
 			c.attempts.byID[a.ID].Rules = rules
 			return precheck.Allowed
 		}},
-		{"its time ends", func(c *Client, a *node.Attempt) precheck.Reason {
+		{"the deadline passes", func(c *Client, a *node.Attempt) precheck.Reason {
 			c.attempts.byID[a.ID].Deadline = time.Now()
 			return precheck.Allowed
 		}},
 	}
 }
 
-// Whatever is told of an attempt while it waits, dials or writes stops it at the next look, and the last look is before
-// the last byte: what the box has then never ran. Each change is made in the very moment of a look, by the job's own
-// answer to it.
+// Any change that concerns an attempt while it waits, dials or writes stops it at the next pre-send check. The last
+// check is before the last byte, so that the job never ran on the executor. The test makes each change during a check,
+// in the job's own answer to it.
 func TestLastQuestion(t *testing.T) {
 	for _, x := range changesBeforeTheSend() {
-		for look, when := range []string{"before it dials", "before its first byte", "before its last byte"} {
+		for check, when := range []string{"before it dials", "before its first byte", "before its last byte"} {
 			t.Run(x.what+" "+when, func(t *testing.T) {
 				c, s := newClient(t, testenv.Lim)
 				came := make(chan string, 1)
@@ -72,9 +72,9 @@
 				})
 				a := newAttempt(1)
 				a.Answered = &atomic.Bool{}
-				looks := 0
-				a.Job.PreSendCheck = func() precheck.Reason { // asked under the try's lock, by one goroutine
-					if looks++; looks == look+1 {
+				checks := 0
+				a.Job.PreSendCheck = func() precheck.Reason { // called by one goroutine, under the attempt's lock
+					if checks++; checks == check+1 {
 						return x.at(c, &a)
 					}
 					return precheck.Allowed
@@ -82,19 +82,19 @@
 				c.Send(a)
 				testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 				if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.CanceledBeforeSend {
-					t.Fatalf("%v", got)
+					t.Fatalf("outcomes %v, want canceled before send", got)
 				}
-				if look == 0 {
+				if check == 0 {
 					if n() != 0 {
 						t.Errorf("%d connections", n())
 					}
 					return
 				}
-				c.pool.closeIdle(c.address(7)) // one that carried nothing is kept
+				c.pool.closeIdle(c.address(7)) // a connection on which nothing was written is kept
 				switch text := <-came; {
-				case look == 1 && text != "":
+				case check == 1 && text != "":
 					t.Errorf("%q was written", text)
-				case look == 2 && !strings.HasSuffix(text, "\r\n\r\nbod"):
+				case check == 2 && !strings.HasSuffix(text, "\r\n\r\nbod"):
 					t.Errorf("%q was written", text)
 				}
 			})
@@ -102,8 +102,9 @@
 	}
 }
 
-// A second answer that comes after the first is nobody's: the next request goes over another connection while one may
-// still come. Here the box says it once it has the next request, as late as can be.
+// A second answer to a request is not taken for the answer to the next one: while a second answer may still arrive,
+// the next request uses another connection. Here the executor sends it as late as possible, after the next request has
+// arrived.
 func TestSecondAnswerIsNotTheNextOnes(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	const never = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
@@ -111,11 +112,11 @@
 	c.Send(newAttempt(1))
 	testenv.Until(
 		t,
-		"the connection is back",
+		"the connection is returned to the pool",
 		func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 },
 	)
 	c.pool.mu.Lock()
-	for _, l := range c.pool.idle { // its answer came now, however long this took
+	for _, l := range c.pool.idle { // count its answer as received just now, however long the test took so far
 		l[0].idleSince = time.Now().Add(time.Hour)
 	}
 	c.pool.mu.Unlock()
@@ -123,25 +124,25 @@
 	c.Send(newAttempt(2))
 	testenv.Until(
 		t,
-		"it is taken",
+		"the second connection is returned to the pool",
 		func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle[c.address(7)]) == 2 },
 	)
 	if got := s.outcomes(2); n() != 2 || len(got) != 0 {
-		t.Errorf("%d connections, %v", n(), got)
+		t.Errorf("%d connections, outcomes %v, want 2 and none", n(), got)
 	}
 }
 
-// Once it has rested a connection carries the next request, and no other is made.
+// A connection that has been idle for the rest period carries the next request, and no other is opened.
 func TestRestedConnectionsAreUsed(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer, acceptedAnswer))
 	for id := uint64(1); id <= 2; id++ {
 		c.Send(newAttempt(id))
-		testenv.Until(t, "it is served", func() bool {
+		testenv.Until(t, "the attempt is served", func() bool {
 			_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":""}`))
 			return len(s.outcomes(id)) == 1
 		})
-		testenv.Until(t, "the connection is back", func() bool {
+		testenv.Until(t, "the connection is returned to the pool", func() bool {
 			c.pool.mu.Lock()
 			defer c.pool.mu.Unlock()
 			for _, x := range c.pool.idle[c.address(7)] {
@@ -156,8 +157,8 @@
 	}
 }
 
-// The idle connections of an executor that started anew under its name and address lead to a process that has ended, or
-// to a machine that forgot them: they are closed at once, and the next request takes a new one.
+// When an executor restarts under the same name and address, idle connections to it lead to a process that has ended,
+// or to a machine that has lost their state. They are closed at once, and the next request opens a new one.
 func TestIdleConnectionsOfAnEarlierLife(t *testing.T) {
 	c, _ := newClient(t, testenv.Lim)
 	ended := make(chan bool, 1)
@@ -172,13 +173,13 @@
 	c.Send(newAttempt(1))
 	testenv.Until(
 		t,
-		"the connection is back",
+		"the connection is returned to the pool",
 		func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 },
 	)
 	c.UpdateEndpoint(7, node.Endpoint{Name: "s-7", Address: c.address(7), Status: "ready", StartedAtMs: 1000}, time.Now())
 	select {
 	case <-ended:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the connection stands")
+		t.Fatal("the idle connection was not closed within 20 s")
 	}
 }
--- a/internal/executor/returned.go
+++ b/internal/executor/returned.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// returnedRequests keeps which executors have returned which requests, and until when each entry is of use. A callback
-// names the request and not the attempt, and is made again where its answer was lost: once an executor was sent a
-// request a second time, a word that it returned the request can still be about the first attempt. Were it taken for
-// the second, that one would count as never run, and run beside the next.
+// returnedRequests records which executors have returned which requests, and until when each entry is needed. A
+// callback names the request and not the attempt, and is repeated if its answer was lost. After a request was sent to
+// an executor a second time, a "returned" callback may therefore still concern the first attempt. If it ended the
+// second attempt, that attempt would count as never run, and would run concurrently with the next one.
 type returnedRequests map[attemptKey]time.Time
 
-// record notes that an executor has returned a request, and says whether it had not done so before.
+// record records that an executor has returned a request, and reports whether it is the first time.
 func (r returnedRequests) record(key attemptKey, now, until time.Time) bool {
 	for known, end := range r {
 		if !now.Before(end) {
@@ -22,14 +22,15 @@
 	return !known
 }
 
-// isFirstReturn says whether an executor's word that it returned a request ends this attempt. A second word of one
-// executor about one request ends nothing: the attempt goes on to its result, or to its deadline.
+// isFirstReturn reports whether a "returned" callback ends the attempt. A second one of the same executor for the same
+// request does not: the attempt goes on until its result or its deadline.
 func (c *Client) isFirstReturn(attempt *activeAttempt) bool {
 	now := time.Now()
 	t := &c.attempts
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	// No attempt of the request outlasts its client's deadline, which this attempt's may be sooner than.
+	// The entry is kept for the longest time that an attempt of the request can last, which is up to its client's
+	// deadline and may be later than this attempt's deadline.
 	if t.returned.record(attempt.key, now, now.Add(c.limits.Returns)) {
 		return true
 	}
--- a/internal/executor/reuse.go
+++ b/internal/executor/reuse.go
@@ -7,19 +7,19 @@
 	"gatetack/internal/limits"
 )
 
-// reuseBuckets is how many spans of idle time are told apart; each is twice as long as the one before.
+// reuseBuckets is the number of ranges of idle time; each is twice as long as the one before.
 const reuseBuckets = 12
 
-// reuseHistory counts how many reused connections broke at the next request, by the time they had been idle: doubling
-// spans, the first up to KeptFirst. Executors, or what stands before them, may forget idle connections long before
-// connIdle, and show nothing of it until the next request; what breaks then may have run, and must not run twice in
-// some classes.
+// reuseHistory counts how many reused connections were found broken by the next request, by their idle time in
+// doubling ranges, the first up to KeptFirst. Executors, or proxies before them, may drop idle connections long before
+// connIdle without any sign until the next request. A request that breaks on such a connection may have run, and must
+// not run twice in some classes.
 type reuseHistory struct {
 	decayedAt    time.Time
 	uses, breaks [reuseBuckets]float64
 }
 
-// decay lets what was learned be forgotten with time.
+// decay reduces the weight of older observations.
 func (h *reuseHistory) decay(now time.Time, halfLife time.Duration) {
 	factor := math.Exp2(-float64(now.Sub(h.decayedAt)) / float64(halfLife))
 	h.decayedAt = now
@@ -29,7 +29,7 @@
 	}
 }
 
-// record takes in what came of a connection that had been idle for some time.
+// record records whether a connection that had been idle for idleFor was found broken.
 func (h *reuseHistory) record(lim *limits.Limits, idleFor time.Duration, broke bool, now time.Time) {
 	h.decay(now, lim.KeptMemory)
 	i, edge := 0, lim.KeptFirst
@@ -42,8 +42,8 @@
 	}
 }
 
-// maxIdleTime is how long a connection may have been idle and still be used: up to the first span in which too many
-// broke.
+// maxIdleTime returns how long a connection may have been idle and still be reused: up to the first range in which too
+// many were broken.
 func (h *reuseHistory) maxIdleTime(lim *limits.Limits, now time.Time) time.Duration {
 	h.decay(now, lim.KeptMemory)
 	from, to := time.Duration(0), lim.KeptFirst
--- a/internal/executor/scriptedconn_test.go
+++ b/internal/executor/scriptedconn_test.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// scriptedConn is a connection whose reads and writes a test takes over; those that it leaves out go through.
+// scriptedConn is a connection whose reads and writes a test replaces; a nil function leaves them unchanged.
 type scriptedConn struct {
 	net.Conn
 	read, write func(b []byte) (int, error)
@@ -26,7 +26,7 @@
 	return s.Conn.Write(b)
 }
 
-// scriptConns has every new connection of a client set up by a test, which is told its number, from 0.
+// scriptConns has a test set up each new connection of a client; connections are numbered from 0.
 func scriptConns(c *Client, set func(n int, conn *scriptedConn)) {
 	real, mu, made := c.pool.dial, sync.Mutex{}, 0
 	c.pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/executor/send.go
+++ b/internal/executor/send.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// minTimeLeft is the least time that an executor is told: in whole milliseconds, less would be none.
+	// minTimeLeft is the least time left that is sent to an executor: it is sent in whole milliseconds, so that
+	// anything less would be zero.
 	minTimeLeft = time.Millisecond
 
-	// statusAccepted is the status by which an executor accepts a job.
+	// statusAccepted is the status with which an executor accepts a job.
 	statusAccepted = 202
 
-	// hostName is the Host of all requests: executors are found by their addresses.
+	// hostName is the Host header of all requests; executors are addressed by IP address.
 	hostName = "api.internal"
 )
 
-// sendResult is what came of sending an attempt. An outcome of 0 means that the executor has accepted the job: what
-// becomes of it comes by callback.
+// sendResult is the result of sending an attempt. An outcome of 0 means that the executor has accepted the job; its
+// outcome follows by callback.
 type sendResult struct {
 	outcome  dispatch.Outcome
 	report   []float32
-	reusable bool // the connection stands between requests
+	reusable bool // the connection is between requests
 }
 
-// send writes an attempt's request and reads what the executor answers at once.
+// send writes an attempt's request and reads the executor's immediate answer.
 func (c *Client) send(ctx context.Context, attempt *activeAttempt) sendResult {
 	for n := 0; ; n++ {
 		conn, failed := c.connect(ctx, attempt)
@@ -40,9 +41,9 @@
 			return sendResult{outcome: failed}
 		}
 		sent := c.sendOver(ctx, attempt, conn)
-		// A reused connection can have ended on the other side without a sign, until the next request comes. Nothing was sent
-		// then, since the last byte was not written, and the attempt takes another connection. One that was made for the
-		// attempt and broke says something of the executor: the dispatch module is notified of that.
+		// The peer can have closed a reused connection without a sign until the next request arrives. The attempt was
+		// not sent then, since its last byte was not written, and it takes another connection. A new connection that
+		// breaks is a sign of a fault of the executor, and the dispatch module is notified.
 		again := sent.outcome == dispatch.ConnectFailed && (conn.reused || conn.rebuild)
 		if !again || n >= c.limits.Reconnects || ctx.Err() != nil {
 			return sent
@@ -50,9 +51,9 @@
 	}
 }
 
-// sendOver is send over one connection, which it gives back to the pool or closes.
+// sendOver sends an attempt over one connection, which it then returns to the pool or closes.
 func (c *Client) sendOver(ctx context.Context, attempt *activeAttempt, conn *connection) sendResult {
-	// From here on, canceling the attempt ends what is under way on the connection, which is closed then.
+	// From here on, canceling the attempt aborts what is in progress on the connection, which is then closed.
 	stop := context.AfterFunc(ctx, conn.Abort)
 	sent := c.exchange(ctx, attempt, conn)
 	if stop() && sent.reusable {
@@ -63,24 +64,25 @@
 	return sent
 }
 
-// exchange sends the request and reads the answer. The request's last byte is held back until all that may take a while
-// lies behind: what breaks before it is written never ran there, and what breaks after it may have.
+// exchange sends the request and reads the answer. It holds the request's last byte back until everything that may
+// take a while is done: if the connection breaks before that byte is written, the job did not run; afterwards it may
+// have.
 func (c *Client) exchange(ctx context.Context, attempt *activeAttempt, conn *connection) sendResult {
-	// Much may have changed while the connection was being made: a drain is counted from the first byte.
+	// Conditions may have changed while the connection was opened: a drain limits when the first byte may be written.
 	if _, ok := c.allowed(attempt); !ok {
 		return sendResult{outcome: dispatch.CanceledBeforeSend, reusable: true}
 	}
-	// The executor is told what will be left once the request's last byte can be written.
-	told := c.limits.TellableTime(time.Until(attempt.Deadline) - conn.lastBytePause(c.limits))
-	if told < minTimeLeft {
+	// The request states the time that will be left when its last byte can be written.
+	timeLeft := c.limits.TellableTime(time.Until(attempt.Deadline) - conn.lastBytePause(c.limits))
+	if timeLeft < minTimeLeft {
 		return sendResult{outcome: dispatch.CanceledBeforeSend, reusable: true}
 	}
-	if !c.writeUpToLastByte(ctx, attempt, conn, told) {
+	if !c.writeUpToLastByte(ctx, attempt, conn, timeLeft) {
 		return sendResult{outcome: dispatch.ConnectFailed}
 	}
-	// The request was made before these waits. Where it tells more than its client has left now, it is made anew, once, on
-	// another connection. The attempt ends AnswerEarly before its client leaves.
-	if told > time.Until(attempt.Deadline)+c.limits.AnswerEarly {
+	// The request was built before these waits. If it states more time than its client has left now, it is rebuilt
+	// once, on another connection. The attempt ends AnswerEarly before the client's deadline.
+	if timeLeft > time.Until(attempt.Deadline)+c.limits.AnswerEarly {
 		if attempt.rebuilt {
 			return sendResult{outcome: dispatch.CanceledBeforeSend}
 		}
@@ -90,7 +92,7 @@
 	if !c.commit(attempt) {
 		return sendResult{outcome: dispatch.CanceledBeforeSend}
 	}
-	c.acks.lastByteSent(attempt) // before the byte that a callback can follow
+	c.acks.lastByteSent(attempt) // before the byte is written, since a callback can follow it at once
 	if err := conn.output.Flush(); err != nil {
 		return sendResult{outcome: dispatch.ConnectFailed}
 	}
@@ -98,16 +100,16 @@
 	return c.receive(ctx, attempt, conn)
 }
 
-// writeUpToLastByte writes an attempt's request but for its last byte, and waits for the other side to show that it
-// does not take it.
+// writeUpToLastByte writes an attempt's request except its last byte, and waits for a sign that the peer does not take
+// it.
 func (c *Client) writeUpToLastByte(
 	ctx context.Context,
 	attempt *activeAttempt,
 	conn *connection,
-	told time.Duration,
+	timeLeft time.Duration,
 ) bool {
 	conn.BoundWrites(attempt.Deadline)
-	err := conn.output.Request(attempt.Job.Method, attempt.Job.Target, requestFields(attempt.Job, told), attempt.Job.Body)
+	err := conn.output.Request(attempt.Job.Method, attempt.Job.Target, requestFields(attempt.Job, timeLeft), attempt.Job.Body)
 	if err == nil {
 		err = conn.output.FlushAllButLastByte()
 	}
@@ -119,7 +121,8 @@
 		c.recordReuse(ctx, conn, true)
 		return false
 	}
-	// An executor that has not shown itself for a while may be cut off: acknowledgements of its machine are waited for.
+	// An executor that has been out of contact for a while may be cut off, so its kernel's acknowledgements are waited
+	// for.
 	left, ok := conn.waitAcknowledged(ctx, c.limits, c.outOfContact(attempt.Executor))
 	if !ok && ctx.Err() == nil {
 		c.recordSlowPeer(slowpeer.RequestUnacked, attempt, conn, &slowpeer.Error{Direction: "out", Pending: left})
@@ -127,12 +130,12 @@
 	return ok
 }
 
-// requestFields are the header fields of a job's request.
-func requestFields(job *node.Job, told time.Duration) []http1.Field {
+// requestFields returns the header fields of a job's request.
+func requestFields(job *node.Job, timeLeft time.Duration) []http1.Field {
 	fields := []http1.Field{
 		{Name: "Host", Value: hostName},
 		{Name: "X-Trace-Id", Value: job.TraceID},
-		{Name: "X-Expires-In-Ms", Value: strconv.FormatInt(told.Milliseconds(), 10)},
+		{Name: "X-Expires-In-Ms", Value: strconv.FormatInt(timeLeft.Milliseconds(), 10)},
 	}
 	if job.IdempotencyKey != "" {
 		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: job.IdempotencyKey})
@@ -140,11 +143,11 @@
 	return fields
 }
 
-// receive reads the answer to a request whose last byte is written, and says what it means.
+// receive reads the answer to a request whose last byte is written, and returns the result it stands for.
 func (c *Client) receive(ctx context.Context, attempt *activeAttempt, conn *connection) sendResult {
 	written := time.Now()
 	message, err := c.readAnswer(ctx, attempt, conn)
-	// A connection that was forgotten breaks as soon as the request gets there; one that breaks later was in use.
+	// A connection that the peer has dropped breaks as soon as the request arrives; one that breaks later was in use.
 	forgotten := err != nil && !conn.parser.Started() && time.Since(written) < conn.lastBytePause(c.limits)
 	c.recordReuse(ctx, conn, forgotten)
 	if err != nil {
@@ -159,7 +162,7 @@
 	default:
 		sent.outcome = dispatch.Errored
 		if message.Status != 500 {
-			c.log.Warn("unexpected answer of an executor", "status", message.Status, "executor", attempt.key.executor,
+			c.log.Warn("unexpected answer from executor", "status", message.Status, "executor", attempt.key.executor,
 				"address", conn.addr, "job", attempt.key.traceID)
 		}
 	}
@@ -167,7 +170,7 @@
 	return sent
 }
 
-// outcomeOfBrokenAnswer says what an answer means that did not come whole. The request may have run.
+// outcomeOfBrokenAnswer returns the outcome of an incomplete answer. The job may have run.
 func outcomeOfBrokenAnswer(err error, status int) dispatch.Outcome {
 	switch {
 	case status == statusAccepted && isTimeout(err):
@@ -178,7 +181,7 @@
 	return dispatch.Reset
 }
 
-// recordReuse lets the pool learn from a reused connection, unless its attempt was canceled.
+// recordReuse records in the pool whether a reused connection was broken, unless its attempt was canceled.
 func (c *Client) recordReuse(ctx context.Context, conn *connection, broke bool) {
 	if conn.reused && ctx.Err() == nil {
 		c.pool.recordReuse(conn, broke, time.Now())
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -20,7 +20,7 @@
 	"gatetack/internal/testenv"
 )
 
-// hasty are limits under which a box is late after 50 ms.
+// withShortAcks returns limits under which an acknowledgement is overdue after 50 ms.
 func withShortAcks() limits.Limits {
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.Pace.Acks = slowpeer.AckRule{
@@ -33,7 +33,7 @@
 	return lim
 }
 
-// late counts how often the sink was told that a box owes a sign of an attempt.
+// overdueNotes counts the notifications that an attempt's acknowledgement is overdue.
 func (s *resultRecorder) overdueNotes(id uint64) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,18 +47,18 @@
 
 const doneCallback = `{"id":"00000000000000aa","from":"s-7","state":"done","result":"tile"}`
 
-// A box that says nothing, or lets its 202 drip, is told of as late, once. The attempt is not let go for it: the result
-// that comes by callback is its one outcome.
+// An executor that sends nothing, or sends its 202 byte by byte, is reported as overdue once. The attempt is not
+// canceled: the result that arrives by callback is its only outcome.
 func TestLateBox(t *testing.T) {
 	for name, script := range map[string]func(net.Conn){
-		"says nothing": func(c net.Conn) {
+		"sends nothing": func(c net.Conn) {
 			r := bufio.NewReader(c)
 			_, _ = readRequest(r)
 			_, _ = r.ReadByte() // until the other side closes
 		},
-		"drips": func(c net.Conn) {
+		"sends the status line slowly": func(c net.Conn) {
 			_, _ = readRequest(bufio.NewReader(c))
-			for i := range 12 { // "HTTP/1.1 202", and no end of the line
+			for i := range 12 { // "HTTP/1.1 202" without the end of the line
 				_, _ = io.WriteString(c, acceptedAnswer[i:i+1])
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -69,24 +69,24 @@
 			c, s := newClient(t, withShortAcks())
 			startRawExecutor(t, c, script)
 			c.Send(newAttempt(1))
-			testenv.Until(t, "the word of it", func() bool { return s.overdueNotes(1) > 0 })
-			time.Sleep(300 * time.Millisecond) // longer than it takes to be told again, were it told again
+			testenv.Until(t, "the overdue note", func() bool { return s.overdueNotes(1) > 0 })
+			time.Sleep(300 * time.Millisecond) // longer than until a second note, if there were one
 			if got := s.outcomes(1); len(got) != 0 || s.overdueNotes(1) != 1 {
-				t.Errorf("told %d times, outcomes %v", s.overdueNotes(1), got)
+				t.Errorf("%d overdue notes, outcomes %v, want 1 and none", s.overdueNotes(1), got)
 			}
 			for range 3 {
-				if err := c.Callback([]byte(doneCallback)); err != nil && !errors.Is(err, ErrUnknownAttempt) { // repeats of one that ended
+				if err := c.Callback([]byte(doneCallback)); err != nil && !errors.Is(err, ErrUnknownAttempt) { // repeats after the end
 					t.Error(err)
 				}
 			}
 			if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served || c.acks.estimates.LateCount("s-7") != 0 {
-				t.Errorf("%v, %d still owed", got, c.acks.estimates.LateCount("s-7"))
+				t.Errorf("outcomes %v, %d acknowledgements still overdue", got, c.acks.estimates.LateCount("s-7"))
 			}
 		})
 	}
 }
 
-// A callback is a sign of its own: a job that was told started is not late, however late its 202.
+// A callback acknowledges a job: a job whose start was reported by callback is not overdue, however late its 202.
 func TestCallbackIsASign(t *testing.T) {
 	c, s := newClient(t, withShortAcks())
 	got := make(chan bool)
@@ -94,11 +94,11 @@
 		r := bufio.NewReader(conn)
 		_, _ = readRequest(r)
 		got <- true
-		_, _ = r.ReadByte()
+		_, _ = r.ReadByte() // until the client closes the connection
 	})
 	c.Send(newAttempt(1))
 	<-got
-	testenv.Until(t, "the start is taken", func() bool {
+	testenv.Until(t, "the start is reported", func() bool {
 		_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"started"}`))
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -106,12 +106,12 @@
 	})
 	time.Sleep(400 * time.Millisecond)
 	if s.overdueNotes(1) != 0 || len(s.outcomes(1)) != 0 {
-		t.Errorf("late %d times, outcomes %v", s.overdueNotes(1), s.outcomes(1))
+		t.Errorf("%d overdue notes, outcomes %v, want none", s.overdueNotes(1), s.outcomes(1))
 	}
 }
 
-// The first line of a 202 says that the box has the job. The rest may drip: its connection is let go below the least
-// rate and counted, and the attempt goes on to its result.
+// The status line of a 202 shows that the executor has the job. If the rest arrives slower than the minimum rate, the
+// connection is closed and counted, and the attempt goes on to its result.
 func TestRestOfA202Drips(t *testing.T) {
 	lim := withShortAcks()
 	lim.Pace.ExecutorIn = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 60 * time.Millisecond}
@@ -131,7 +131,7 @@
 	c.Send(newAttempt(1))
 	<-closed
 	if got := s.outcomes(1); len(got) != 0 || s.overdueNotes(1) != 0 || c.slowPeers.Count(slowpeer.ExecutorSendsSlowly) != 1 {
-		t.Errorf("outcomes %v, late %d, drips %d", got, s.overdueNotes(1), c.slowPeers.Count(slowpeer.ExecutorSendsSlowly))
+		t.Errorf("outcomes %v, %d overdue notes, %d slow senders, want none, 0, 1", got, s.overdueNotes(1), c.slowPeers.Count(slowpeer.ExecutorSendsSlowly))
 	}
 	_ = c.Callback([]byte(doneCallback))
 	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served {
@@ -139,8 +139,9 @@
 	}
 }
 
-// A box whose machine takes no more of a request before its last byte never ran it: the attempt could not connect, well
-// before the client's time is over, whether the write itself stalls or the kernel holds what the box's does not take.
+// If an executor's machine does not take a request up to its last byte, the job never ran. The attempt ends as failed
+// to connect well before the client's deadline, whether the write itself stalls or the data stays in this machine's
+// send buffer.
 func TestBoxThatDoesNotRead(t *testing.T) {
 	for name, size := range map[string]int{"the kernel takes all": 60 << 10, "the write stalls": 32 << 20} {
 		t.Run(name, func(t *testing.T) {
@@ -173,14 +174,14 @@
 				1,
 			); got[0] != dispatch.ConnectFailed ||
 				c.slowPeers.Count(slowpeer.ExecutorReadsSlowly)+c.slowPeers.Count(slowpeer.RequestUnacked) != 1 {
-				t.Errorf("%v, %s", got, c.slowPeers.JSON())
+				t.Errorf("outcomes %v, slow peers %s", got, c.slowPeers.JSON())
 			}
 			release <- true
 		})
 	}
 }
 
-// smallBuffer makes a listener's connections take little, which they inherit from it.
+// smallBuffer sets a small receive buffer on a listener, which its connections inherit.
 func smallBuffer(t *testing.T, ln net.Listener) {
 	raw, err := ln.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -189,7 +190,8 @@
 	_ = raw.Control(func(fd uintptr) { _ = setReceiveBuffer(fd, 2048) })
 }
 
-// All boxes late at once are told of as a crowd, and none of them to the module; the one that is late alone is.
+// If the acknowledgements of most executors are overdue at the same time, they are counted as a crowd and none is
+// reported to the dispatch module. A single one is.
 func TestCrowdOfLateBoxes(t *testing.T) {
 	c, s := newClient(t, withShortAcks())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -208,25 +210,26 @@
 		c.UpdateEndpoint(20+i, node.Endpoint{Name: b.Name, Address: slow.Addr, Status: "ready"}, time.Now())
 	}
 	var mu sync.Mutex
-	told := 0
+	reported := 0
 	for i := range uint64(4) {
 		a := newAttempt(i + 1)
 		a.Executor, a.Job.TraceID = 20+uint32(i), "00000000000000a"+string('0'+rune(i))
 		c.Send(a)
 	}
-	testenv.Until(t, "the crowd is seen", func() bool { return c.slowPeers.Count(slowpeer.MostAcksLate) >= 8 })
+	testenv.Until(t, "the crowd is counted", func() bool { return c.slowPeers.Count(slowpeer.MostAcksLate) >= 8 })
 	mu.Lock()
 	defer mu.Unlock()
 	for i := range uint64(4) {
-		told += s.overdueNotes(i + 1)
+		reported += s.overdueNotes(i + 1)
 	}
-	// The first one or two come due while the others are not late yet; from then on nobody is told of.
-	if told > 2 {
-		t.Errorf("%d of 4 boxes told of as late, while all were", told)
+	// The first one or two become overdue while the others are not yet; from then on none is reported.
+	if reported > 2 {
+		t.Errorf("%d of 4 executors were reported as overdue while all were, want at most 2", reported)
 	}
 }
 
-// One box cannot hold all connections: past its share an attempt could not connect, and another box still gets one.
+// One executor cannot take all connections: beyond its share an attempt ends as failed to connect, and another
+// executor still gets a connection.
 func TestBoxShare(t *testing.T) {
 	lim := withShortAcks()
 	lim.WorkerConns, lim.Pace.MinPerPeer, lim.Pace.Alpha = 12, 2, 2
@@ -237,14 +240,14 @@
 		a.Job.TraceID = "00000000000000" + string('a'+rune(id)) + "0"
 		c.Send(a)
 	}
-	testenv.Until(t, "some are held back", func() bool { return c.slowPeers.Count(slowpeer.ExecutorOverShare) > 0 })
+	testenv.Until(t, "some attempts get no connection", func() bool { return c.slowPeers.Count(slowpeer.ExecutorOverShare) > 0 })
 	testenv.Until(
 		t,
-		"the others are out",
+		"the other attempts are in flight",
 		func() bool { return accepted()+int(c.slowPeers.Count(slowpeer.ExecutorOverShare)) == 12 },
 	)
 	if n := accepted(); n < 6 || n > 9 {
-		t.Errorf("one box holds %d of 12 connections", n)
+		t.Errorf("one executor has %d of 12 connections, want 6 to 9", n)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
@@ -257,7 +260,7 @@
 	a := newAttempt(50)
 	a.Executor = 8
 	c.Send(a)
-	testenv.Until(t, "another box gets its job", func() bool { return len(b.Starts()) == 1 })
+	testenv.Until(t, "another executor gets its job", func() bool { return len(b.Starts()) == 1 })
 	if got := s.outcomes(50); len(got) != 0 {
 		t.Errorf("%v", got)
 	}
--- a/internal/peer/faults_test.go
+++ b/internal/peer/faults_test.go
@@ -16,7 +16,7 @@
 	"gatetack/internal/testenv"
 )
 
-// faultyConn is a socket whose first reads and writes fail as a test says.
+// faultyConn is a socket whose first reads and writes fail with the given errors.
 type faultyConn struct {
 	datagramConn
 	mu     sync.Mutex
@@ -24,7 +24,7 @@
 	writes []syscall.Errno
 }
 
-// next takes the first error of a queue.
+// next removes and returns the first error of a queue.
 func (c *faultyConn) next(queue *[]syscall.Errno) (syscall.Errno, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,8 +50,8 @@
 	return c.datagramConn.WriteToUDPAddrPort(b, to)
 }
 
-// Errors of single datagrams end neither the reads nor the writes of a node; a write that a signal interrupts is
-// made again.
+// Errors of single datagrams stop neither the reads nor the writes of a node. A write that a signal interrupts is
+// repeated.
 func TestErrorsOfDatagramsEndNeitherReadsNorWrites(t *testing.T) {
 	errnos := []syscall.Errno{
 		syscall.ENOBUFS, syscall.EPERM, syscall.ECONNREFUSED, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
@@ -85,12 +85,12 @@
 		s.conn = faulty[i]
 		g.Go(func() error { return s.Run(ctx) })
 	}
-	// One message each is lost, but for the one of EINTR.
+	// Each message is lost, except the one whose write fails with EINTR.
 	for _, errno := range errnos {
 		sockets[0].SendGossip(1, []byte(errno.Error()))
 	}
 	interrupted := syscall.EINTR.Error()
-	testenv.Until(t, "the message that a signal interrupted", func() bool { return sinks[1].has(0, interrupted) })
+	testenv.Until(t, "the message whose write was interrupted", func() bool { return sinks[1].has(0, interrupted) })
 	sockets[0].SendGossip(1, []byte("last"))
 	testenv.Until(t, "the last message", func() bool { return sinks[1].has(0, "last") })
 	if _, left := faulty[0].next(&faulty[0].writes); left {
@@ -101,17 +101,18 @@
 	}
 }
 
-// An error that an earlier datagram brought back delays no read; one of memory does, or the loop would spin.
+// A read error caused by an earlier datagram leads to no pause. Other errors, such as a lack of memory, do, since the
+// loop would spin otherwise.
 func TestReadErrorsOfEarlierSendsCauseNoPause(t *testing.T) {
 	for errno, want := range map[syscall.Errno]bool{
 		syscall.ECONNREFUSED: true, syscall.EHOSTUNREACH: true, syscall.ENETUNREACH: true, syscall.EINTR: true,
 		syscall.ENOMEM: false, syscall.ENOBUFS: false, syscall.EIO: false,
 	} {
 		if got := isAsyncSendError(&net.OpError{Op: "read", Err: os.NewSyscallError("recvfrom", errno)}); got != want {
-			t.Errorf("%v: %v", errno, got)
+			t.Errorf("%v: counts as an error of an earlier send: %v", errno, got)
 		}
 	}
 	if readBackoff <= 0 || readBackoff > 10*time.Millisecond {
-		t.Errorf("the pause after other errors is %v", readBackoff)
+		t.Errorf("the pause after other errors is %v, want more than 0 and at most 10ms", readBackoff)
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries short messages between nodes over UDP, best effort. A Socket owns its goroutines, one
-// that reads and one that writes, and Run waits for them.
+// Package peer exchanges short messages between nodes over UDP. Delivery is best effort. A Socket owns a reading and a
+// writing goroutine, and Run waits for them.
 package peer
 
 import (
@@ -20,30 +20,30 @@
 	"gatetack/internal/limits"
 )
 
-// unknownPeer is the index of an address that no peer has.
+// unknownPeer is the index of an address that belongs to no peer.
 const unknownPeer = -1
 
-// readBackoff is the pause after a read that failed for want of memory, or for a reason that recv(2) does not name.
+// readBackoff is the pause after a read that failed for lack of memory, or with an error that recv(2) does not list.
 const readBackoff = time.Millisecond
 
-// Sink takes what other nodes send.
+// Sink receives the messages of other nodes.
 type Sink interface {
-	// PeerMessage takes a message of the node with the index from. It owns the bytes.
+	// PeerMessage takes a message of the node with the index from. It owns the data.
 	PeerMessage(from uint32, data []byte)
 }
 
-// Socket sends and receives messages. A node's index is its place in the list of peers.
+// Socket sends and receives messages. A node's index is its position in the list of peers.
 type Socket struct {
 	conn      datagramConn
 	limits    limits.Limits
 	sink      Sink
 	log       *slog.Logger
 	peers     []netip.AddrPort
-	broadcast netip.AddrPort // reaches all; invalid if there is none
+	broadcast netip.AddrPort // reaches all nodes; invalid if there is none
 	outgoing  chan outgoingMessage
 }
 
-// datagramConn is the part of a UDP socket that is used here.
+// datagramConn is the part of a UDP socket that Socket uses.
 type datagramConn interface {
 	ReadFromUDPAddrPort(b []byte) (n int, from netip.AddrPort, err error)
 	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
@@ -56,7 +56,7 @@
 	data []byte
 }
 
-// AddressError says which setting holds an address that can't be used.
+// AddressError reports which setting contains an address that cannot be used.
 type AddressError struct {
 	Setting string
 	Err     error
@@ -94,8 +94,8 @@
 	return s, nil
 }
 
-// listenShared opens a UDP socket on a port that others may share: while a process replaces this one both have
-// it open for some seconds, and the kernel distributes the datagrams between them.
+// listenShared opens a UDP socket on a port that other processes may share: while a process replaces this one, both
+// have the port open for some seconds, and the kernel distributes the datagrams between them.
 func listenShared(local netip.AddrPort) (*net.UDPConn, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
@@ -110,16 +110,16 @@
 	}
 	udp, ok := conn.(*net.UDPConn)
 	if !ok {
-		return nil, fmt.Errorf("%T is no UDP socket", conn)
+		return nil, fmt.Errorf("got a %T, expected a UDP socket", conn)
 	}
 	return udp, nil
 }
 
-// SendGossip sends a message to one node, or to all with dispatch.AllPeers. It does not block: a message that the
-// socket does not take is lost, as it may be on the way.
+// SendGossip sends a message to one node, or to all with dispatch.AllPeers. It does not block: a message that does not
+// fit into the queue is dropped.
 func (s *Socket) SendGossip(to uint16, data []byte) {
 	if len(data) > s.limits.PeerBytes {
-		s.log.Error("peer message too long and not sent", "bytes", len(data), "max", s.limits.PeerBytes)
+		s.log.Error("peer message too long, not sent", "bytes", len(data), "max", s.limits.PeerBytes)
 		return
 	}
 	address := s.address(to)
@@ -132,7 +132,7 @@
 	}
 }
 
-// address is where messages to a node are sent; invalid if the node is not known.
+// address returns the address of a node; it is invalid if the node is unknown.
 func (s *Socket) address(to uint16) netip.AddrPort {
 	switch {
 	case to == dispatch.AllPeers:
@@ -166,9 +166,8 @@
 	}
 }
 
-// write sends one message. If the socket does not take it the message is lost, whatever the reason: no memory
-// (ENOBUFS), a firewall of this machine (EPERM), no route, or an answer to an earlier datagram that nobody
-// listens there (ECONNREFUSED).
+// write sends one message. If the send fails, the message is lost, whatever the reason: no memory (ENOBUFS), the local
+// firewall (EPERM), no route, or an ICMP error for an earlier datagram (ECONNREFUSED).
 func (s *Socket) write(ctx context.Context, m outgoingMessage) {
 	for {
 		_, err := s.conn.WriteToUDPAddrPort(m.data, m.to)
@@ -183,7 +182,7 @@
 }
 
 func (s *Socket) readLoop(ctx context.Context) {
-	buffer := make([]byte, s.limits.PeerBytes+1) // one more, so that a message that is too long is recognized
+	buffer := make([]byte, s.limits.PeerBytes+1) // one byte more, to detect messages that are too long
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
@@ -202,8 +201,8 @@
 	}
 }
 
-// isAsyncSendError says whether a read failed for an earlier datagram of ours, whose error the network returned
-// (udp(7)), or for a signal. Each such error comes once, so the next read can follow at once.
+// isAsyncSendError reports whether a read failed because of an ICMP error for an earlier datagram of this node
+// (udp(7)), or because of a signal. Each such error is reported once, so the next read can follow at once.
 func isAsyncSendError(err error) bool {
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNREFUSED, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EINTR,
@@ -215,7 +214,7 @@
 	return false
 }
 
-// peerIndex is the index of the node at an address, or unknownPeer.
+// peerIndex returns the index of the node at an address, or unknownPeer.
 func (s *Socket) peerIndex(from netip.AddrPort) int {
 	return slices.Index(s.peers, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -30,8 +30,8 @@
 	return s.got[from] == text
 }
 
-// Messages reach the node they are for, from the number of the one that sent them; a stranger's and one that is
-// too long reach nobody: a datagram over 256 bytes voids the run.
+// Messages reach the node to which they are sent, with the index of their sender. Messages from unknown addresses and
+// messages over 256 bytes, which is the maximum size of a datagram, reach no node.
 func TestMessagesReachTheirNodeAlone(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -43,7 +43,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		held = append(held, c) // until both are found: one given back may come again
+		held = append(held, c) // kept open until both ports are known, since a released port may be assigned again
 		addrs = append(addrs, c.LocalAddr().String())
 	}
 	for _, c := range held {
@@ -64,7 +64,7 @@
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("waited in vain:", what)
+				t.Fatal("not within 20 s:", what)
 			}
 		}
 	}
@@ -83,7 +83,7 @@
 	sockets[1].SendGossip(0, []byte("last"))
 	until("the last message", func() bool { return sinks[0].has(1, "last") })
 	if len(sinks[0].got) != 1 {
-		t.Errorf("%v", sinks[0].got)
+		t.Errorf("node 0 received %v, want messages of node 1 alone", sinks[0].got)
 	}
 	cancel()
 	if err := g.Wait(); err != nil {
@@ -91,7 +91,8 @@
 	}
 }
 
-// While a process replaces this one, both listen on the same address: the second may not fail for the first.
+// While a process replaces this one, both listen on the same address: the second listen must not fail because of the
+// first.
 func TestTwoProcessesListenOnOneAddress(t *testing.T) {
 	first, err := Listen("127.0.0.1:0", nil, "", testenv.Lim, &sink{got: map[uint32]string{}}, testenv.Quiet)
 	if err != nil {
