--- a/internal/platform/job.go
+++ b/internal/platform/job.go
@@ -11,7 +11,7 @@
 	"gatetack/internal/node"
 )
 
-// HeaderError says which header of a job is of no use.
+// HeaderError reports a missing or invalid header of a job's request.
 type HeaderError struct {
 	Header string
 	Reason string
@@ -19,7 +19,7 @@
 
 func (e *HeaderError) Error() string { return fmt.Sprintf("%s %s", e.Header, e.Reason) }
 
-// parseJob makes a job of a request. Ids may have maxID bytes.
+// parseJob converts a request to a job. IDs may have up to maxID bytes.
 func parseJob(m *http1.Message, class int, names *node.Names, maxID int) (node.Job, error) {
 	job := node.Job{
 		Class:          class,
@@ -32,8 +32,8 @@
 		Slots:          1,
 		Key:            AffinityKey(m.Cookie("key")),
 	}
-	// Ids are forwarded as they came. One that an executor can't read would end the connection there, and be taken for a
-	// fault of the executor.
+	// IDs are forwarded unchanged. An executor that cannot parse an ID would close the connection, which would count
+	// as a fault of the executor.
 	if !http1.IsVisibleASCII(job.TraceID) || len(job.TraceID) > maxID {
 		return job, &HeaderError{"X-Trace-Id", "is missing, too long, or not visible ASCII"}
 	}
@@ -54,8 +54,8 @@
 	return job, nil
 }
 
-// timeLeft is how long the client still waits. It counts from when the request came, which can be before its
-// turn: it may have stood behind another one of its client.
+// timeLeft returns how long the client still waits. It counts from when the request was received, which can be earlier
+// than now if the request was queued behind another one of the same client.
 func timeLeft(m *http1.Message) (time.Duration, error) {
 	ms, err := strconv.ParseUint(m.Get("X-Expires-In-Ms"), 10, 31)
 	if err != nil {
@@ -68,7 +68,8 @@
 	return max(0, left-time.Since(m.ReceivedAt)), nil
 }
 
-// parseProperties reads what a job needs. What can't be read keeps its default, since these are hints.
+// parseProperties parses the job's requirements. A value that cannot be parsed keeps its default, since these are
+// hints.
 func parseProperties(m *http1.Message, job *node.Job) {
 	for property := range strings.SplitSeq(m.Get("X-Props"), ",") {
 		name, text, _ := strings.Cut(strings.TrimSpace(property), "=")
@@ -88,7 +89,8 @@
 	}
 }
 
-// AffinityKey is the number that stands for what a request is about, 0 for nothing.
+// AffinityKey returns the affinity key for a cookie's text, 0 for none. Hexadecimal numbers stand for themselves,
+// other texts are hashed.
 func AffinityKey(text string) uint64 {
 	if text == "" {
 		return 0
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the front for the platform's protocol: it turns a client's request into a job, and the
-// job's answer into a response. Callbacks of executors and health checks come to the same address. It has no
-// state and no goroutine of its own; the server that calls it owns the connections, and the core the jobs.
+// Package platform is the front for the platform's protocol: it converts a client's request to a job, and the job's
+// answer to a response. Callbacks of executors and health checks arrive at the same address. The package has no state
+// and no goroutine of its own; the server that calls it owns the connections, and the core owns the jobs.
 package platform
 
 import (
@@ -15,38 +15,38 @@
 	"gatetack/internal/precheck"
 )
 
-// Core takes jobs, as node.Core does.
+// Core is the part of node.Core that the front uses.
 type Core interface {
-	// Submit takes a job. Unless it fails, the client gets one answer, or ClientGone is called.
+	// Submit submits a job. Unless it fails, the client gets exactly one answer, or ClientGone is called.
 	Submit(node.Job, node.Client) (uint32, error)
-	// ClientGone says that a job's client has left.
+	// ClientGone reports that a job's client has left.
 	ClientGone(id uint32)
-	// Ready says whether jobs can be served, as far as is known.
+	// Ready reports whether the node can serve jobs.
 	Ready() bool
-	// Drained says whether the operator drained the node.
+	// Drained reports whether the operator has drained the node.
 	Drained() bool
-	// Rules are the classes, tenants and settings in force.
+	// Rules returns the classes, tenants and settings in force.
 	Rules() *node.Rules
-	// Counts are the node's counters.
+	// Counts returns the node's counts.
 	Counts(context.Context) (node.Counts, error)
 }
 
-// Callbacks takes the callbacks of executors.
+// Callbacks handles the callbacks of executors.
 type Callbacks interface {
-	// Callback takes one. After a CallbackRefusedError the executor is to call again; after any other error the callback
-	// is of no use and is not wanted again.
+	// Callback handles one callback. After a CallbackRejectedError the executor should repeat it; after any other
+	// error the callback is invalid and should not be repeated.
 	Callback(body []byte) error
 }
 
-// CallbackRejectedError reports a callback that may be needed and could not be taken in.
+// CallbackRejectedError reports a callback that may be needed and could not be handled.
 type CallbackRejectedError struct{ Err error }
 
-func (e *CallbackRejectedError) Error() string { return "callback refused: " + e.Err.Error() }
+func (e *CallbackRejectedError) Error() string { return "callback rejected: " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *CallbackRejectedError) Unwrap() error { return e.Err }
 
-// Front answers the platform's requests.
+// Front handles requests of the platform's protocol.
 type Front struct {
 	core      Core
 	callbacks Callbacks
@@ -54,12 +54,12 @@
 	log       *slog.Logger
 }
 
-// New makes a front.
+// New returns a front.
 func New(core Core, callbacks Callbacks, lim limits.Limits, log *slog.Logger) *Front {
 	return &Front{core: core, callbacks: callbacks, limits: lim, log: log}
 }
 
-// Handle answers one request.
+// Handle handles one request.
 func (f *Front) Handle(ctx context.Context, m *http1.Message) http1.Response {
 	path := m.Path()
 	switch {
@@ -81,7 +81,7 @@
 	if err != nil {
 		f.log.Warn("callback failed", "err", err)
 	}
-	if _, refused := errors.AsType[*CallbackRejectedError](err); refused {
+	if _, rejected := errors.AsType[*CallbackRejectedError](err); rejected {
 		return http1.Text(503, "not taken, call again")
 	}
 	return http1.Response{Status: 204, KnownClient: err == nil}
@@ -106,7 +106,7 @@
 	return http1.Response{Status: 200, Fields: []http1.Field{contentType}, Body: counts.JSON()}
 }
 
-// handleJob submits a client's job and waits for its answer, or for the client's end.
+// handleJob submits a client's job and waits for its answer, or until the client has left.
 func (f *Front) handleJob(ctx context.Context, m *http1.Message) http1.Response {
 	className, _, _ := strings.Cut(strings.TrimPrefix(m.Path(), "/"), "/")
 	names := &f.core.Rules().Names
@@ -134,16 +134,16 @@
 		return response
 	case <-ctx.Done():
 		f.core.ClientGone(id)
-		// A client that closed only its sending side may still read the response. It is no rejection, which would promise
-		// that the job had no effect: an attempt may have begun.
+		// A client that closed only its sending side may still read the response. It must not be a rejection, which
+		// would promise that the job had no effect: an attempt may have been sent.
 		response := http1.Text(500, "the connection was closed before the answer")
 		response.Close = true
 		return response
 	}
 }
 
-// clientState is what the check before an attempt's bytes asks. It looks at the request's context alone, which
-// ends as soon as the client's end is read: an event that the core still has to take would be later.
+// clientState is the pre-send check of a job. It depends on the request's context alone, which ends as soon as the end
+// of the client's connection is read. The core's event for it would come later.
 func clientState(ctx context.Context) precheck.Reason {
 	if ctx.Err() != nil {
 		return precheck.ClientDisconnected
@@ -151,10 +151,10 @@
 	return precheck.Allowed
 }
 
-// waitingClient is a client that waits for its answer.
+// waitingClient is a node.Client that waits for its answer.
 type waitingClient chan node.Answer
 
-// Sent implements node.Client. A client of the platform is not notified of progress.
+// Sent implements node.Client. Clients of the platform are not notified of progress.
 func (c waitingClient) Sent(string) {}
 
 // Started implements node.Client.
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -16,7 +16,7 @@
 	"gatetack/internal/testenv"
 )
 
-// core takes every job and refuses it at once.
+// core accepts every job and answers it at once with a rejection.
 type core struct {
 	jobs    []node.Job
 	drained bool
@@ -37,8 +37,8 @@
 func (c *core) Counts(context.Context) (node.Counts, error) { return node.Counts{}, nil }
 func (c *core) Callback([]byte) error                       { return nil }
 
-// What can not be a job gets an error and never reaches the core, nor does its connection count as a client's; a job
-// does, and a refusal tells when to come back, within the settings' bound.
+// A request that is no valid job gets an error and never reaches the core, and its connection does not count as a
+// client's. A valid job reaches the core, and a rejection has a retry-after within the limit of the settings.
 func TestMalformedJobsAreRejectedBeforeTheCore(t *testing.T) {
 	c := &core{}
 	f := New(c, c, testenv.Lim, testenv.Quiet)
@@ -72,21 +72,21 @@
 		{"POST", "/tile-charge", map[string]string{"X-Expires-In-Ms": "99999999999999999999"}, 400},
 	} {
 		if r := ask(x.method, x.target, x.change); r.Status != x.status || r.KnownClient || len(c.jobs) != 0 {
-			t.Errorf("%s %s %q: %d known %v with %d jobs taken, want %d",
+			t.Errorf("%s %s %q: status %d, known client %v, %d jobs submitted, want status %d",
 				x.method, x.target, x.change, r.Status, r.KnownClient, len(c.jobs), x.status)
 		}
 	}
 	r := ask("POST", "/tile-charge/x?y=1", nil)
 	if r.Status != 503 || !r.KnownClient || len(c.jobs) != 1 ||
 		c.jobs[0].TraceID != "9b1f03aa5c7e2d41" || c.jobs[0].Target != "/tile-charge/x?y=1" {
-		t.Errorf("%+v %+v", r, c.jobs)
+		t.Errorf("valid job: response %+v, jobs %+v", r, c.jobs)
 	}
 	if (&http1.Message{Fields: r.Fields}).Get("Retry-After") != "1.000" {
-		t.Errorf("%+v", r.Fields)
+		t.Errorf("response fields %+v, want Retry-After 1.000", r.Fields)
 	}
 }
 
-// A drained node says no to the front's health checks, so that clients are sent elsewhere.
+// A drained node fails health checks, so that clients are sent elsewhere.
 func TestDrainedNodeFailsHealthChecks(t *testing.T) {
 	c := &core{}
 	f := New(c, c, testenv.Lim, testenv.Quiet)
@@ -94,7 +94,7 @@
 		return f.Handle(context.Background(), &http1.Message{Method: "GET", Target: "/healthz"}).Status
 	}
 	if s := health(); s != 200 {
-		t.Fatalf("healthz of a node that serves: %d", s)
+		t.Fatalf("healthz of a serving node: %d, want 200", s)
 	}
 	c.drained = true
 	if s := health(); s != 503 {
@@ -102,10 +102,11 @@
 	}
 }
 
-// blockedCore takes jobs, and its event channel is full: nothing that a front tells it comes through.
+// blockedCore accepts jobs, and blocks when it is notified that a client has left, as a core does whose event queue is
+// full.
 type blockedCore struct {
 	core
-	told chan bool
+	notified chan bool
 }
 
 func (c *blockedCore) Submit(j node.Job, _ node.Client) (uint32, error) {
@@ -114,14 +115,14 @@
 }
 
 func (c *blockedCore) ClientGone(uint32) {
-	c.told <- true
-	<-c.told
+	c.notified <- true
+	<-c.notified
 }
 
-// The check before an attempt's bytes knows of a client's end from the request's context alone, though the core
-// can not be told of it.
+// The pre-send check finds out from the request's context alone that the client has left, even if the core cannot be
+// notified.
 func TestCheckBeforeSendKnowsOfAClientsEndWhileTheCoreIsBusy(t *testing.T) {
-	c := &blockedCore{told: make(chan bool)}
+	c := &blockedCore{notified: make(chan bool)}
 	f := New(c, c, testenv.Lim, testenv.Quiet)
 	ctx, leave := context.WithCancel(t.Context())
 	answered := make(chan http1.Response)
@@ -133,23 +134,23 @@
 		}})
 	}()
 	leave()
-	<-c.told // and its event waits from here on
-	if why := c.jobs[0].PreSendCheck(); why != precheck.ClientDisconnected {
-		t.Errorf("the check says that %v", why)
+	<-c.notified // the notification blocks from here on
+	if reason := c.jobs[0].PreSendCheck(); reason != precheck.ClientDisconnected {
+		t.Errorf("the check returned %v, want ClientLeft", reason)
 	}
-	c.told <- true
+	c.notified <- true
 	if r := <-answered; r.Status != 500 || !r.Close {
-		t.Errorf("%+v", r) // it may have run: no refusal
+		t.Errorf("response %+v, want status 500: the job may have run", r)
 	}
 }
 
-// callbacksThatFail fails each callback with an error.
+// callbacksThatFail fails each callback with the same error.
 type callbacksThatFail struct{ err error }
 
 func (c callbacksThatFail) Callback([]byte) error { return c.err }
 
-// A callback that could not be taken in is answered with an error, so that the executor calls again; one that is
-// of no use is not wanted again.
+// A callback that could not be handled gets an error response, so that the executor repeats it. An invalid callback
+// does not, since a repeat would be of no use.
 func TestRefusedCallbackIsNotAcknowledged(t *testing.T) {
 	for _, x := range []struct {
 		err    error
@@ -162,7 +163,7 @@
 	} {
 		f := New(&core{}, callbacksThatFail{x.err}, testenv.Lim, testenv.Quiet)
 		if r := f.Handle(t.Context(), &http1.Message{Method: "POST", Target: "/callback"}); r.Status != x.status {
-			t.Errorf("%v: %d, want %d", x.err, r.Status, x.status)
+			t.Errorf("callback error %v: status %d, want %d", x.err, r.Status, x.status)
 		}
 	}
 }
--- a/internal/tcpinfo/connect.go
+++ b/internal/tcpinfo/connect.go
@@ -6,8 +6,9 @@
 	"syscall"
 )
 
-// localConnectErrors are those of socket(2) and connect(2) that name a lack on this machine: of ports,
-// descriptors, memory, a route or a permission. They say nothing of the other side, to which nothing was sent.
+// localConnectErrors lists the errors of socket(2) and connect(2) that report a shortage or restriction of this
+// machine: of ports, descriptors, memory, a route or a permission. They are no sign of a fault of the peer, to which
+// nothing was sent.
 var localConnectErrors = []syscall.Errno{
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN,
 	syscall.EMFILE, syscall.ENFILE,
@@ -17,7 +18,7 @@
 	syscall.EINTR,
 }
 
-// IsLocalConnectError says whether a connection could not be made for a reason on this machine alone.
+// IsLocalConnectError reports whether a connection failed because of this machine alone.
 func IsLocalConnectError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(localConnectErrors, errno)
--- a/internal/tcpinfo/connect_test.go
+++ b/internal/tcpinfo/connect_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// Lacks of this machine are told from what the other side or the way to it answers, however the error is wrapped.
+// Errors of this machine are distinguished from answers of the peer or of the path to it, however the error is
+// wrapped.
 func TestLocalConnectErrorsAreToldFromRemoteOnes(t *testing.T) {
 	for errno, want := range map[syscall.Errno]bool{
 		syscall.EADDRNOTAVAIL: true, syscall.EMFILE: true, syscall.ENFILE: true, syscall.ENOBUFS: true, syscall.ENOMEM: true,
@@ -18,10 +19,10 @@
 	} {
 		err := fmt.Errorf("connecting: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)})
 		if got := IsLocalConnectError(err); got != want {
-			t.Errorf("%v: %v", errno, got)
+			t.Errorf("%v: local %v", errno, got)
 		}
 	}
 	if IsLocalConnectError(nil) || IsLocalConnectError(errors.New("EMFILE")) {
-		t.Error("an error that is none of the system's counts as local")
+		t.Error("an error without an errno counts as local")
 	}
 }
