--- a/internal/callbackrelay/callbackrelay_test.go
+++ b/internal/callbackrelay/callbackrelay_test.go
@@ -121,7 +121,7 @@
 
 // A callback that cannot be written returns an error, whichever system call fails. Nothing of it is ever taken, and
 // the executor's next call succeeds once the disk works again.
-func TestCallbackThatCanNotBeStoredIsRefused(t *testing.T) {
+func TestCallbackThatCannotBeStoredIsRejected(t *testing.T) {
 	for _, x := range []struct {
 		op    atomicfiletest.Op
 		cause error
@@ -155,7 +155,7 @@
 }
 
 // While the directory cannot be read it is unknown whether another process is running, and callbacks are rejected.
-func TestCallbackIsRefusedWhileTheDirectoryCanNotBeRead(t *testing.T) {
+func TestCallbackIsRejectedWhileDirectoryIsUnreadable(t *testing.T) {
 	files := newFaultyDirectory()
 	r := register(t, files, t.TempDir(), os.Getpid())
 	files.list = syscall.EIO
@@ -247,7 +247,7 @@
 
 // A process with the pid of an earlier one taken the callbacks that the earlier one stored, and overwrites none of
 // them.
-func TestReusedPidTakesItsPredecessorsCallbacks(t *testing.T) {
+func TestReusedPidTakesCallbacksOfEarlierProcess(t *testing.T) {
 	dir := t.TempDir()
 	register(t, osDirectory{atomicfile.OS}, dir, os.Getpid())
 	earlier := register(t, osDirectory{atomicfile.OS}, dir, os.Getppid())
@@ -266,7 +266,7 @@
 }
 
 // A callback that cannot be read for a while is taken afterwards.
-func TestCallbackThatCanNotBeReadIsTakenLater(t *testing.T) {
+func TestUnreadableCallbackIsTakenLater(t *testing.T) {
 	dir, files := t.TempDir(), newFaultyDirectory()
 	old := register(t, files, dir, os.Getpid())
 	next := register(t, osDirectory{atomicfile.OS}, dir, os.Getppid())
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -164,7 +164,7 @@
 			case c.pushed: // the watch continues
 			case r == stopWatch:
 				stop()
-			case !c.callUnderWay.Load(): // a call in progress answers this request too, and would lose its turn if it were repeated
+			case !c.callUnderWay.Load(): // a call in progress answers this request too; restarted, it would lose its turn
 				start(time.Now())
 			}
 		}
@@ -175,7 +175,7 @@
 func (c *Client) callAt(ctx context.Context, at source, target string, tracker *endpointwatch.Tracker) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(at.ctx, cancel) //nolint:contextcheck // at.ctx ends when the address is replaced, ctx with the watch
+	stop := context.AfterFunc(at.ctx, cancel) //nolint:contextcheck // at.ctx ends with the address, ctx with the watch
 	defer stop()
 	return c.makeCall(ctx, at.addr, target, tracker)
 }
--- a/internal/discovery/connect_test.go
+++ b/internal/discovery/connect_test.go
@@ -73,7 +73,7 @@
 
 // A lasting fault of this machine ends the call as failed once the time for a call is over, and the next call is made.
 // The pauses of a call and the wait for the next call stay within the time after which changes count as notified.
-func TestLocalConnectErrorsThatLastEndTheCall(t *testing.T) {
+func TestLastingLocalConnectErrorsEndTheCall(t *testing.T) {
 	c, sink, list, box, run := prepare(t, testenv.Lim)
 	dialer := &failingDialer{errno: syscall.EADDRNOTAVAIL, failures: 100}
 	c.dial, c.sleep = dialer.dial, dialer.sleep
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -41,7 +41,7 @@
 }
 
 // A watch delivers the list and then its changes.
-func TestWatchBringsTheListAndItsChanges(t *testing.T) {
+func TestWatchDeliversListAndChanges(t *testing.T) {
 	c, s, list, box, run := prepare(t, testenv.Lim)
 	list.Put(box, "ready")
 	run()
@@ -95,7 +95,7 @@
 // The client makes its first call, and each call after one that was rejected, broke off or returned nothing, in time
 // by itself, even if the dispatch module requests none. The settings allow ten seconds between the module's requests,
 // while changes count as notified after six.
-func TestCallsAreMadeInTimeWithoutTheModule(t *testing.T) {
+func TestCallsAreMadeWithoutRequests(t *testing.T) {
 	lim := testenv.Lim
 	lim.Staleness.MaxStaleness = 60 * time.Millisecond
 	lim.Staleness.PollWait, lim.Staleness.AnswerTimeout = 10*time.Millisecond, 10*time.Millisecond
@@ -123,7 +123,7 @@
 
 // A call that waits for its turn is not abandoned for one that the module requests meanwhile, which would start to
 // wait anew.
-func TestWatchRequestLeavesACallUnderWay(t *testing.T) {
+func TestWatchRequestKeepsCallInProgress(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +154,7 @@
 // client ends it and starts another one without reporting a failure: the module's next request could be ten seconds
 // away, while a missed drain counts as notified after six. In a fleet of 300 nodes 1 of 33 watches stopped while its
 // call waited, and its node violated drains three times before it asked again.
-func TestSilentWatchIsRestarted(t *testing.T) {
+func TestUnresponsiveWatchIsRestarted(t *testing.T) {
 	head, line := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", `{"index":3,"snapshot":false,"endpoints":[]}`
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 	for name, x := range map[string]struct {
@@ -229,9 +229,9 @@
 // When the address of discovery is replaced, the watch continues at the new one, whether the old one still serves,
 // does not respond, or is gone. No failure is reported: the module would wait before its next request, while drains
 // count as notified.
-func TestMoveCallsTheNewAddressAtOnce(t *testing.T) {
+func TestSetAddressCallsNewAddressAtOnce(t *testing.T) {
 	lim := testenv.Lim
-	lim.Staleness.MaxStaleness = time.Hour // the only calls are those that are requested and those after a change of address
+	lim.Staleness.MaxStaleness = time.Hour // the only calls are requested or follow a change of address
 	for _, old := range []string{"serves", "mute", "deaf", "gone"} {
 		c, s, list, box, run := prepare(t, lim)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -243,7 +243,7 @@
 		next.Put(box, "draining")
 		ended := make(chan bool)
 		switch old {
-		case "deaf", "gone": // accepts connections and does not respond, or accepts none; an established watch moves there by itself
+		case "deaf", "gone": // does not respond, or accepts no connection; an established watch moves there by itself
 			list.Mute(true)
 			run()
 			testenv.Until(t, "the watch", func() bool { return list.Watches() == 1 })
@@ -335,7 +335,7 @@
 
 // A call that waited for its turn and was rejected does not count as a stable watch, however long it waited: it fails,
 // and the module decides when the next one is made.
-func TestCallRejectedAfterAWaitIsNotRestarted(t *testing.T) {
+func TestCallRejectedAfterWaitIsNotRestarted(t *testing.T) {
 	lim := testenv.Lim
 	lim.Staleness.StableAfter = 0 // any wait is longer
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -368,7 +368,7 @@
 }
 
 // Lines are complete wherever the body is split.
-func TestLineSplitterCutsAnyPieces(t *testing.T) {
+func TestLineSplitterWithAnySplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines := rapid.SliceOf(rapid.StringMatching(`[a-z]{0,12}`)).Draw(t, "lines")
 		var all, got []byte
@@ -441,7 +441,7 @@
 
 // An incomplete object ends the call at the next line that shows the watch is working, here an empty line or a list.
 // The next call then delivers its content.
-func TestBrokenObjectEndsAtTheNextList(t *testing.T) {
+func TestIncompleteObjectEndsAtNextLine(t *testing.T) {
 	const list = `{"index":3,"snapshot":false,"endpoints":[{"name":"s-1","status":"draining"}]}` + "\n"
 	for _, next := range []string{"\n", list} {
 		s := lineSplitter{maxBytes: 4096, takeLine: func([]byte) error { return nil }}
--- a/internal/discovery/push_test.go
+++ b/internal/discovery/push_test.go
@@ -14,7 +14,7 @@
 // With a pushed list the dispatch module requests nothing: the client watches the agent from the start, continues
 // after the agent was away, and reports no failure. Without this, a node with such settings would use the list of its
 // start for as long as it runs.
-func TestPushedListIsFollowedUnasked(t *testing.T) {
+func TestPushedListIsWatchedWithoutRequest(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	agent, away := context.WithCancel(ctx)
 	var g errgroup.Group
--- a/internal/executor/answer.go
+++ b/internal/executor/answer.go
@@ -52,7 +52,7 @@
 	if isAccepted(message, r.conn.parser) {
 		r.client.recordAccepted(r.attempt)
 		if message == nil && err == nil {
-			r.conn.ExpectBytes() // the job is accepted, so that only the connection is at stake: below the minimum rate it is closed
+			r.conn.ExpectBytes() // the job is accepted, so a rate below the minimum closes only the connection
 			r.notified = true
 		}
 	}
--- a/internal/executor/callback.go
+++ b/internal/executor/callback.go
@@ -67,7 +67,8 @@
 	case stateLost:
 		c.finish(attempt, dispatch.Reset, report, nil)
 	default:
-		c.log.Warn("callback with unknown state", "state", state, "executor", attempt.key.executor, "job", attempt.key.traceID)
+		c.log.Warn("callback with unknown state", "state", state,
+			"executor", attempt.key.executor, "job", attempt.key.traceID)
 	}
 }
 
--- a/internal/executor/client.go
+++ b/internal/executor/client.go
@@ -19,7 +19,7 @@
 
 // Sink receives the results of attempts and of health checks.
 type Sink interface {
-	// Result takes an attempt's outcome, or a note on its progress.
+	// Result takes an attempt's outcome, or a notification of its progress.
 	Result(node.Result)
 	// HealthChecked takes the outcome of a health check and the load report in its answer.
 	HealthChecked(executor uint32, outcome dispatch.Outcome, elapsed time.Duration, report []float32)
--- a/internal/executor/clientleft_test.go
+++ b/internal/executor/clientleft_test.go
@@ -184,7 +184,7 @@
 
 // No attempt of any kind is sent after its client has left, even if the core cannot know it yet: its event queue is
 // full, and its goroutine blocks until the attempt has ended.
-func TestNoAttemptBeginsAfterTheClientLeft(t *testing.T) {
+func TestNoAttemptIsSentAfterClientDisconnect(t *testing.T) {
 	const rejected = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, x := range map[string]struct {
 		answer  string
@@ -240,17 +240,18 @@
 				return err == nil && counts.ClientsGone == 1
 			})
 			if o := <-n.ended; o != dispatch.CanceledBeforeSend || one.count()+two.count() != x.stallAt-1 {
-				t.Errorf("the attempt ended with %d after %d requests, want canceled before send after %d", o, one.count()+two.count(), x.stallAt-1)
+				t.Errorf("the attempt ended with %d after %d requests, want canceled before send after %d",
+					o, one.count()+two.count(), x.stallAt-1)
 			}
 		})
 	}
 }
 
 // Nothing is written to a connection that is established only after the client has left.
-func TestLateDialAfterTheClientLeftCarriesNothing(t *testing.T) {
+func TestNothingIsWrittenAfterClientDisconnectDuringDial(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
-	came := make(chan string, 1)
-	startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
+	received := make(chan string, 1)
+	startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); received <- string(all) })
 	client, leave := context.WithCancel(t.Context())
 	real := c.pool.dial
 	c.pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -268,7 +269,7 @@
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	c.pool.closeIdle(c.address(7)) // a connection on which nothing was written is kept
-	if got, text := s.outcomes(1), <-came; got[0] != dispatch.CanceledBeforeSend || text != "" {
+	if got, text := s.outcomes(1), <-received; got[0] != dispatch.CanceledBeforeSend || text != "" {
 		t.Errorf("outcomes %v, %q was written", got, text)
 	}
 }
@@ -309,10 +310,10 @@
 
 // An attempt whose job is answered or terminated meanwhile is not sent, even if the core can handle no event: the
 // job's Answered flag is read at the last moment.
-func TestAnsweredJobIsNotSentThoughTheEventsAreFull(t *testing.T) {
+func TestAnsweredJobIsNotSentWithFullEventQueue(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
-	came := make(chan string, 1)
-	startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
+	received := make(chan string, 1)
+	startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); received <- string(all) })
 	a := newAttempt(1)
 	a.Answered = &atomic.Bool{}
 	checks := 0
@@ -324,7 +325,7 @@
 	}
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	got, text := s.outcomes(1), <-came
+	got, text := s.outcomes(1), <-received
 	if got[0] != dispatch.CanceledBeforeSend || !strings.HasSuffix(text, "\r\n\r\nbod") {
 		t.Errorf("outcomes %v, %q was written", got, text)
 	}
--- a/internal/executor/connect.go
+++ b/internal/executor/connect.go
@@ -45,7 +45,8 @@
 	case errors.Is(err, errNotAllowed):
 		return nil, dispatch.CanceledBeforeSend
 	case isLocalFault(err):
-		c.log.Warn("executor connect failed locally", "executor", attempt.key.executor, "job", attempt.key.traceID, "err", err)
+		c.log.Warn("executor connect failed locally",
+			"executor", attempt.key.executor, "job", attempt.key.traceID, "err", err)
 		return nil, dispatch.CanceledBeforeSend
 	case ctx.Err() == nil:
 		c.log.Debug("executor connect failed", "executor", attempt.key.executor, "job", attempt.key.traceID, "err", err)
--- a/internal/executor/connfault_test.go
+++ b/internal/executor/connfault_test.go
@@ -192,7 +192,8 @@
 			case <-time.After(20 * time.Second):
 				t.Fatal("no answer within 20 s")
 			}
-			testenv.Until(t, "no job is open and no attempt active", func() bool { return n.core.Open() == 0 && n.activeAttempts() == 0 })
+			testenv.Until(t, "no job is open and no attempt active",
+				func() bool { return n.core.Open() == 0 && n.activeAttempts() == 0 })
 		})
 	}
 }
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -38,9 +38,9 @@
 
 // executorThatAcceptsLate reads a request, accepts it when accept says so, and passes on the next request on any other
 // connection.
-func executorThatAcceptsLate(t *testing.T, c *Client, accept <-chan bool) (taken <-chan bool, next <-chan string) {
+func executorThatAcceptsLate(t *testing.T, c *Client, accept <-chan bool) (accepted <-chan bool, next <-chan string) {
 	t.Helper()
-	delivered, came := make(chan bool, 1), make(chan string, 4)
+	delivered, received := make(chan bool, 1), make(chan string, 4)
 	startRawExecutor(t, c, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
 		_, _ = readRequest(r)
@@ -51,10 +51,10 @@
 		_, _ = r.ReadByte() // until it is closed
 	}, func(conn net.Conn) {
 		text, _ := readRequest(bufio.NewReader(conn))
-		came <- text
+		received <- text
 		_, _ = io.WriteString(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 	})
-	return delivered, came
+	return delivered, received
 }
 
 // A 202 crosses the cancel of its attempt: the executor has the job, and closing the connection does not cancel it any
@@ -64,11 +64,11 @@
 	sink := &pausingSink{s, make(chan bool), make(chan bool)}
 	c.sink = sink
 	accept := make(chan bool)
-	taken, next := executorThatAcceptsLate(t, c, accept)
+	accepted, next := executorThatAcceptsLate(t, c, accept)
 	c.Send(newAttempt(1))
 	<-sink.paused // nothing is read from here on
 	accept <- true
-	<-taken
+	<-accepted
 	c.Cancel(1)
 	sink.release <- true
 	expectDelete(t, next)
@@ -79,7 +79,7 @@
 
 // As above, with a 202 that has been read but is recorded only after the cancel. Recording it again leads to no second
 // DELETE.
-func TestCancelCrossesTheNoteOfA202(t *testing.T) {
+func TestCancelCrossesRecordingOfA202(t *testing.T) {
 	c, _ := newClient(t, testenv.Lim)
 	asked := make(chan bool, 1)
 	next := make(chan string, 4)
@@ -129,7 +129,7 @@
 // An executor returned a request, received it again, and repeats the "returned" callback because the answer to the
 // first one was lost. The second attempt goes on to its result. A "returned" callback of another executor counts on
 // its own.
-func TestRepeatedReturnEndsNothing(t *testing.T) {
+func TestRepeatedReturnedCallbackIsIgnored(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	startRawExecutor(t, c, answering(acceptedAnswer))
 	callback := func(from, rest string) {
@@ -177,7 +177,7 @@
 }
 
 // The entry of a returned request is deleted once no attempt of the request can be in flight.
-func TestReturnsAreForgotten(t *testing.T) {
+func TestReturnedRequestsExpire(t *testing.T) {
 	r, now := returnedRequests{}, time.Now()
 	for i := range 100 {
 		if key := (attemptKey{fmt.Sprint(i), "s-7"}); !r.record(key, now, now.Add(time.Second)) ||
@@ -192,12 +192,12 @@
 
 // A request states at most the time that is left when its bytes are written, however long the attempt waited before:
 // here in the pre-send check before its first byte.
-func TestToldTimeIsWhatIsLeft(t *testing.T) {
+func TestSentTimeLeftIsCurrent(t *testing.T) {
 	c, _ := newClientWithLimits(t, testenv.Lim)
-	came := make(chan string, 1)
+	received := make(chan string, 1)
 	startRawExecutor(t, c, func(conn net.Conn) {
 		text, _ := readRequest(bufio.NewReader(conn))
-		came <- text
+		received <- text
 	})
 	a := newAttempt(1)
 	checks, left := 0, time.Duration(0)
@@ -209,7 +209,7 @@
 		return precheck.Allowed
 	}
 	c.Send(a)
-	_, rest, _ := strings.Cut(<-came, "\r\nX-Expires-In-Ms: ")
+	_, rest, _ := strings.Cut(<-received, "\r\nX-Expires-In-Ms: ")
 	text, _, _ := strings.Cut(rest, "\r\n")
 	if stated, err := strconv.Atoi(text); err != nil || stated < 1 || time.Duration(stated)*time.Millisecond > left {
 		t.Errorf("the request states %q ms with %v left: %v", text, left, err)
@@ -219,7 +219,7 @@
 // A request whose last byte can be sent only long after the request was built, since the peer takes the rest slowly,
 // is rebuilt on another connection with the time that is left then. The last byte is never sent on the first
 // connection.
-func TestToldTimeIsRenewedAfterAWait(t *testing.T) {
+func TestSentTimeLeftIsUpdatedAfterWait(t *testing.T) {
 	lim := testenv.Lim
 	lim.TimeSpare = 20 * time.Millisecond
 	lim.Pace.ExecutorOut = slowpeer.MinRate{BytesPerSecond: 1, Grace: 20 * time.Second}
--- a/internal/executor/deadline_test.go
+++ b/internal/executor/deadline_test.go
@@ -16,11 +16,9 @@
 	"gatetack/internal/testenv"
 )
 
-// stall is how long a process may stand still between its clock and a write; shortStall is less, and still more than
-// the time that a request tells may be off by.
+// stall is how long the process is delayed between reading the clock and a write; shortStall is less, but more than
+// the inaccuracy allowed for the time left that a request states.
 const (
-	// stall is how long the process is delayed between reading the clock and a write; shortStall is less, but more
-	// than the inaccuracy allowed for the time left that a request states.
 	stall      = 150 * time.Millisecond
 	shortStall = 100 * time.Millisecond
 )
@@ -35,7 +33,7 @@
 
 // Nothing is written for an attempt with less than a millisecond left, or with less left than the pause before the
 // last byte takes: in whole milliseconds, the request could only state more than that.
-func TestAttemptWithNoTimeToTellIsNotSent(t *testing.T) {
+func TestAttemptWithoutTimeLeftIsNotSent(t *testing.T) {
 	for name, x := range map[string]struct {
 		left   time.Duration
 		settle time.Duration
@@ -47,8 +45,8 @@
 			lim := testenv.Lim
 			lim.SettleLeast, lim.SettleMost = x.settle, x.settle
 			c, s := newClientWithLimits(t, lim)
-			came := make(chan string, 1)
-			startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
+			received := make(chan string, 1)
+			startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); received <- string(all) })
 			a := newAttempt(1)
 			checks := 0
 			a.Job.PreSendCheck = func() precheck.Reason {
@@ -60,7 +58,7 @@
 			c.Send(a)
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 			c.pool.closeIdle(c.address(7))
-			if got, text := s.outcomes(1), <-came; got[0] != dispatch.CanceledBeforeSend || text != "" {
+			if got, text := s.outcomes(1), <-received; got[0] != dispatch.CanceledBeforeSend || text != "" {
 				t.Errorf("outcomes %v, %q was written", got, text)
 			}
 		})
@@ -114,7 +112,7 @@
 // The time left that a request states is at most what its client has left when the last byte is about to be written,
 // for first attempts, retries and hedged attempts, however long the process was delayed between reading the clock and
 // a write. A request that states too much is rebuilt on another connection, and its last byte is never written.
-func TestToldTimeHoldsWhenHeldUp(t *testing.T) {
+func TestSentTimeLeftWithDelayedProcess(t *testing.T) {
 	kinds := map[string]func(a *node.Attempt){
 		"first": func(*node.Attempt) {},
 		"retry": func(a *node.Attempt) {
@@ -172,7 +170,7 @@
 }
 
 // An attempt that is delayed each time is not sent, since its request would state too much time left.
-func TestHeldUpEachTimeIsNotSent(t *testing.T) {
+func TestRepeatedlyDelayedAttemptIsNotSent(t *testing.T) {
 	c, s := newClientWithLimits(t, testenv.Lim)
 	startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(1)
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -158,7 +158,7 @@
 
 // The outcome of an attempt follows from the executor's immediate answer, and from what that answer shows about
 // whether the job ran.
-func TestAnswers(t *testing.T) {
+func TestOutcomeOfImmediateAnswers(t *testing.T) {
 	for _, x := range []struct {
 		name   string
 		script func(net.Conn)
@@ -196,7 +196,7 @@
 
 // A callback may arrive before the 202, may be repeated, and may be stale; stale ones are ignored. Each attempt has
 // one outcome.
-func TestCallbacks(t *testing.T) {
+func TestCallbacksGiveOneOutcome(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	early := make(chan bool)
 	startRawExecutor(t, c, func(conn net.Conn) {
@@ -216,13 +216,13 @@
 			t.Error(err)
 		}
 	}
-	callback("s-7", "done") // of nothing that is live
+	callback("s-7", "done") // no attempt is active
 	c.Send(newAttempt(1))
 	<-early
 	callback("s-8", "done") // from another executor
 	callback("s-7", "started")
 	for range 10 {
-		callback("s-7", "done") // no attempt is active
+		callback("s-7", "done")
 	}
 	callback("s-7", "lost")
 	early <- true
@@ -235,12 +235,12 @@
 	defer s.mu.Unlock()
 	if len(s.results) != 2 || s.results[0].Topic != dispatch.NotificationStarted || s.results[1].Outcome != dispatch.Served ||
 		string(s.results[1].Body) != "tile" || len(s.results[1].Report) != 2 {
-		t.Errorf("results %+v, want a note of the start and one served outcome", s.results)
+		t.Errorf("results %+v, want a notification of the start and one served outcome", s.results)
 	}
 }
 
 // A "done" callback without a result must not become an answer that no executor produced.
-func TestDoneWithoutAResult(t *testing.T) {
+func TestDoneCallbackWithoutResult(t *testing.T) {
 	for _, rest := range []string{``, `,"result":null`, `,"result":7`, `,"result":{}`} {
 		c, s := newClient(t, testenv.Lim)
 		startRawExecutor(t, c, answering(acceptedAnswer))
@@ -257,16 +257,16 @@
 
 // A callback that arrives before anything of an attempt was written concerns an earlier one: a repeated "returned"
 // must not end the next attempt at the same executor.
-func TestStaleCallbackBeforeTheSend(t *testing.T) {
+func TestStaleCallbackBeforeSend(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(2)
-	hold, held := make(chan bool), make(chan bool)
-	a.Job.BeforeSend = func(string) error { held <- true; <-hold; return nil }
+	resume, blocked := make(chan bool), make(chan bool)
+	a.Job.BeforeSend = func(string) error { blocked <- true; <-resume; return nil }
 	c.Send(a)
-	<-held
+	<-blocked
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"returned"}`))
-	hold <- true
+	resume <- true
 	testenv.Until(t, "the send", func() bool { return n() == 1 })
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":"x"}`))
 	testenv.Until(t, "an outcome", func() bool {
@@ -280,7 +280,7 @@
 
 // Nothing is written to an executor whose drain was notified longer than DrainSpare ago, not even over a connection
 // that was being opened at the time.
-func TestDrainAtTheMomentOfSending(t *testing.T) {
+func TestDrainDuringSend(t *testing.T) {
 	lim := testenv.Lim
 	lim.DrainSpare = 0
 	c, s := newClient(t, lim)
@@ -298,7 +298,7 @@
 }
 
 // A connection that the executor closed while it was idle is not reused: a request written to it would count as sent.
-func TestClosedIdleConnections(t *testing.T) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	c, s := newClient(t, withoutRestPeriod())
 	closed := make(chan bool)
 	n := startRawExecutor(
@@ -333,11 +333,11 @@
 // The last byte of a request is held back for a short time. If the connection breaks meanwhile, or the executor sends
 // something, the executor never had the request. On a reused connection the attempt continues on another one, and on a
 // new one it ends as failed to connect. As a reset, the outcome would end a tile-charge for good.
-func TestBrokenBeforeTheLastByte(t *testing.T) {
+func TestConnectionBrokenBeforeLastByte(t *testing.T) {
 	lim := testenv.Lim
-	lim.SettleLeast, lim.SettleMost = 20*time.Second, 20*time.Second // so that each verdict below follows from what the executor does
+	lim.SettleLeast, lim.SettleMost = 20*time.Second, 20*time.Second // the verdicts follow from what the executor does
 	c, s := newClient(t, lim)
-	came := make(chan string, 1)
+	received := make(chan string, 1)
 	n := startRawExecutor(t, c, resetConnection, resetConnection, func(conn net.Conn) {
 		b := make([]byte, 4096)
 		k := 0
@@ -348,26 +348,26 @@
 			}
 			k += m
 		}
-		came <- string(b[:k])
+		received <- string(b[:k])
 		_, _ = conn.Read(b)
 	})
 	addr := c.address(7)
-	var kept []*connection
+	var reused []*connection
 	for range 2 {
 		conn, err := c.pool.get(context.Background(), addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		kept = append(kept, conn)
+		reused = append(reused, conn)
 	}
 	testenv.Until(t, "both are taken", func() bool { return n() == 2 })
-	for _, conn := range kept {
+	for _, conn := range reused {
 		c.pool.release(conn)
 	}
 	lasting := newAttempt(1)
 	lasting.Deadline = time.Now().Add(time.Minute) // later than the end of the pause
 	c.Send(lasting)
-	if text := <-came; !strings.HasSuffix(text, "\r\n\r\nbod") ||
+	if text := <-received; !strings.HasSuffix(text, "\r\n\r\nbod") ||
 		!strings.HasPrefix(text, "POST /tile-charge/x HTTP/1.1\r\n") {
 		t.Errorf("received before the last byte: %q", text)
 	}
@@ -396,7 +396,7 @@
 // If connections break after some idle time, connections that have been idle as long are no longer reused, while those
 // with less idle time are. A single break among many uses has no effect, and in time longer idle times are tried
 // again.
-func TestTrustInKeptConnections(t *testing.T) {
+func TestMaxIdleTimeFollowsBrokenConnections(t *testing.T) {
 	p := newPool(testenv.Lim, nil)
 	now := time.Now()
 	observe := func(idleFor time.Duration, broke bool, n int) {
@@ -426,7 +426,7 @@
 }
 
 // Consecutive attempts use one connection. A connection that has been idle for too long is not reused.
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	lim := withoutRestPeriod()
 	lim.WorkerIdle = time.Hour
 	c, s := newClient(t, lim)
@@ -457,7 +457,7 @@
 
 // An attempt to an address where nothing listens ends as failed to connect. An attempt to an unknown executor ends as
 // canceled before send.
-func TestNoConnection(t *testing.T) {
+func TestConnectFailure(t *testing.T) {
 	c, s := newClient(t, withoutRestPeriod())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -476,7 +476,7 @@
 }
 
 // A cancel closes the connection before the 202, and sends a DELETE after it. Neither leads to an outcome.
-func TestGiveUp(t *testing.T) {
+func TestCancel(t *testing.T) {
 	c, s := newClient(t, withoutRestPeriod())
 	got, ended := make(chan string, 4), make(chan bool, 1)
 	startRawExecutor(t, c, func(conn net.Conn) {
@@ -535,7 +535,7 @@
 }
 
 // An attempt that cannot be recorded is not sent, and ends as canceled before send.
-func TestUnrecordedSendIsNotMade(t *testing.T) {
+func TestUnrecordedAttemptIsNotSent(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(1)
--- a/internal/executor/healthcheck.go
+++ b/internal/executor/healthcheck.go
@@ -33,7 +33,7 @@
 // CheckHealth checks an executor's health and requests its load report. The result goes to the sink.
 func (c *Client) CheckHealth(id uint32) {
 	c.group.Go(func() error {
-		began := time.Now()
+		start := time.Now()
 		ctx, cancel := context.WithTimeout(c.ctx, c.limits.Probe)
 		defer cancel()
 		message, err := c.call(ctx, c.address(id), "GET", "/load")
@@ -41,7 +41,7 @@
 		if outcome == dispatch.Served {
 			report = c.reportFromJSON(gjson.ParseBytes(message.Body))
 		}
-		c.sink.HealthChecked(id, outcome, time.Since(began), report)
+		c.sink.HealthChecked(id, outcome, time.Since(start), report)
 		return nil
 	})
 }
--- a/internal/executor/localfault_test.go
+++ b/internal/executor/localfault_test.go
@@ -116,7 +116,7 @@
 }
 
 // If a local fault ends in time, the job does not notice it: the same attempt is sent once and served.
-func TestPassingLocalFaultIsOvercome(t *testing.T) {
+func TestPassingLocalFaultIsRetried(t *testing.T) {
 	for name, fault := range localFaults {
 		t.Run(name, func(t *testing.T) {
 			c, s := newClient(t, testenv.Lim)
@@ -138,7 +138,7 @@
 }
 
 // An error that concerns the executor or the path to it is reported at once, so that the dispatch module can react.
-func TestFaultOfTheExecutorIsPassedOn(t *testing.T) {
+func TestExecutorFaultIsReported(t *testing.T) {
 	for name, fault := range map[string]error{
 		"ECONNREFUSED": systemError("connect", syscall.ECONNREFUSED),
 		"ECONNRESET":   systemError("connect", syscall.ECONNRESET),
@@ -163,7 +163,7 @@
 }
 
 // An event that ends an attempt during the pause after a local fault prevents the next dial.
-func TestNoRedialAfterTheClientLeft(t *testing.T) {
+func TestNoRedialAfterClientDisconnect(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	client, leave := context.WithCancel(t.Context())
@@ -185,7 +185,7 @@
 }
 
 // A cancel ends the pause after a local fault, and leads to no outcome.
-func TestGiveUpEndsThePauseAfterALocalFault(t *testing.T) {
+func TestCancelEndsPauseAfterLocalFault(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	startRawExecutor(t, c, answering(acceptedAnswer))
 	paused, left := make(chan bool), make(chan error, 1)
@@ -228,7 +228,7 @@
 }
 
 // If no descriptors are left, an idle connection is closed before the next dial. Other faults close none.
-func TestIdleConnectionsMakeWayForDescriptors(t *testing.T) {
+func TestIdleConnectionIsClosedForDescriptor(t *testing.T) {
 	for name, want := range map[string]int{"EMFILE": 0, "ENFILE": 0, "EADDRNOTAVAIL": 1} {
 		t.Run(name, func(t *testing.T) {
 			c, s := newClient(t, testenv.Lim)
@@ -264,7 +264,7 @@
 }
 
 // If the node's limit of connections is reached, that is no fault of the executor for which the next one was wanted.
-func TestUsedUpConnectionBudgetIsALocalFault(t *testing.T) {
+func TestConnectionLimitIsALocalFault(t *testing.T) {
 	lim := testenv.Lim
 	lim.WorkerConns, lim.Pace.MinPerPeer = 2, 2
 	c, s := newClient(t, lim)
@@ -284,7 +284,7 @@
 
 // A health check that fails because of a local fault is no sign of a fault of the executor, unlike a refused
 // connection.
-func TestHealthCheckTellsLocalFaults(t *testing.T) {
+func TestHealthCheckDistinguishesLocalFaults(t *testing.T) {
 	for name, x := range map[string]struct {
 		fault error
 		want  dispatch.Outcome
@@ -306,7 +306,7 @@
 }
 
 // The DELETE of a canceled job is retried after a passing local fault: without it the executor goes on with the job.
-func TestGiveUpSurvivesALocalFault(t *testing.T) {
+func TestCancelIsRetriedAfterLocalFault(t *testing.T) {
 	c, _ := newClient(t, testenv.Lim)
 	got := make(chan string, 1)
 	startRawExecutor(t, c, func(conn net.Conn) {
--- a/internal/executor/pool.go
+++ b/internal/executor/pool.go
@@ -19,9 +19,11 @@
 	// dial opens a connection. Tests replace it.
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	mu    sync.Mutex
-	idle  map[string][]*connection // the most recently used last
-	open  *slowpeer.Ledger[string] // connections by address; limits the share of one executor, so that a slow one leaves some to the others
+	mu   sync.Mutex
+	idle map[string][]*connection // the most recently used last
+	// open counts the connections by address and limits each executor's share, so that a slow executor leaves some
+	// connections to the others.
+	open  *slowpeer.Ledger[string]
 	reuse reuseHistory
 }
 
@@ -57,7 +59,7 @@
 	if err := p.reserve(addr); err != nil {
 		return nil, err
 	}
-	began := time.Now()
+	start := time.Now()
 	dialed, err := p.dial(ctx, "tcp", addr)
 	if err != nil {
 		p.mu.Lock()
@@ -72,7 +74,7 @@
 		input:       http1.NewRing(p.limits.Ring),
 		output:      http1.NewWriter(paced, p.limits.Ring),
 		parser:      http1.NewParser(p.limits, true),
-		connectTime: time.Since(began),
+		connectTime: time.Since(start),
 	}, nil
 }
 
--- a/internal/executor/races_test.go
+++ b/internal/executor/races_test.go
@@ -60,15 +60,15 @@
 // Any change that concerns an attempt while it waits, dials or writes stops it at the next pre-send check. The last
 // check is before the last byte, so that the job never ran on the executor. The test makes each change during a check,
 // in the job's own answer to it.
-func TestLastQuestion(t *testing.T) {
+func TestPreSendCheck(t *testing.T) {
 	for _, x := range changesBeforeTheSend() {
 		for check, when := range []string{"before it dials", "before its first byte", "before its last byte"} {
 			t.Run(x.what+" "+when, func(t *testing.T) {
 				c, s := newClient(t, testenv.Lim)
-				came := make(chan string, 1)
+				received := make(chan string, 1)
 				n := startRawExecutor(t, c, func(conn net.Conn) {
 					all, _ := io.ReadAll(conn)
-					came <- string(all)
+					received <- string(all)
 				})
 				a := newAttempt(1)
 				a.Answered = &atomic.Bool{}
@@ -91,7 +91,7 @@
 					return
 				}
 				c.pool.closeIdle(c.address(7)) // a connection on which nothing was written is kept
-				switch text := <-came; {
+				switch text := <-received; {
 				case check == 1 && text != "":
 					t.Errorf("%q was written", text)
 				case check == 2 && !strings.HasSuffix(text, "\r\n\r\nbod"):
@@ -105,7 +105,7 @@
 // A second answer to a request is not taken for the answer to the next one: while a second answer may still arrive,
 // the next request uses another connection. Here the executor sends it as late as possible, after the next request has
 // arrived.
-func TestSecondAnswerIsNotTheNextOnes(t *testing.T) {
+func TestSecondAnswerIsNotTakenForNextRequest(t *testing.T) {
 	c, s := newClient(t, testenv.Lim)
 	const never = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 	n := startRawExecutor(t, c, answering(acceptedAnswer, never), answering(acceptedAnswer))
@@ -159,7 +159,7 @@
 
 // When an executor restarts under the same name and address, idle connections to it lead to a process that has ended,
 // or to a machine that has lost their state. They are closed at once, and the next request opens a new one.
-func TestIdleConnectionsOfAnEarlierLife(t *testing.T) {
+func TestIdleConnectionsOfEarlierIncarnationAreClosed(t *testing.T) {
 	c, _ := newClient(t, testenv.Lim)
 	ended := make(chan bool, 1)
 	startRawExecutor(t, c, func(conn net.Conn) {
--- a/internal/executor/send.go
+++ b/internal/executor/send.go
@@ -44,8 +44,8 @@
 		// The peer can have closed a reused connection without a sign until the next request arrives. The attempt was
 		// not sent then, since its last byte was not written, and it takes another connection. A new connection that
 		// breaks is a sign of a fault of the executor, and the dispatch module is notified.
-		again := sent.outcome == dispatch.ConnectFailed && (conn.reused || conn.rebuild)
-		if !again || n >= c.limits.Reconnects || ctx.Err() != nil {
+		retry := sent.outcome == dispatch.ConnectFailed && (conn.reused || conn.rebuild)
+		if !retry || n >= c.limits.Reconnects || ctx.Err() != nil {
 			return sent
 		}
 	}
@@ -109,7 +109,8 @@
 	timeLeft time.Duration,
 ) bool {
 	conn.BoundWrites(attempt.Deadline)
-	err := conn.output.Request(attempt.Job.Method, attempt.Job.Target, requestFields(attempt.Job, timeLeft), attempt.Job.Body)
+	err := conn.output.Request(attempt.Job.Method, attempt.Job.Target,
+		requestFields(attempt.Job, timeLeft), attempt.Job.Body)
 	if err == nil {
 		err = conn.output.FlushAllButLastByte()
 	}
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -49,7 +49,7 @@
 
 // An executor that sends nothing, or sends its 202 byte by byte, is reported as overdue once. The attempt is not
 // canceled: the result that arrives by callback is its only outcome.
-func TestLateBox(t *testing.T) {
+func TestOverdueAcknowledgement(t *testing.T) {
 	for name, script := range map[string]func(net.Conn){
 		"sends nothing": func(c net.Conn) {
 			r := bufio.NewReader(c)
@@ -75,7 +75,7 @@
 				t.Errorf("%d overdue notes, outcomes %v, want 1 and none", s.overdueNotes(1), got)
 			}
 			for range 3 {
-				if err := c.Callback([]byte(doneCallback)); err != nil && !errors.Is(err, ErrUnknownAttempt) { // repeats after the end
+				if err := c.Callback([]byte(doneCallback)); err != nil && !errors.Is(err, ErrUnknownAttempt) { // repeats
 					t.Error(err)
 				}
 			}
@@ -87,7 +87,7 @@
 }
 
 // A callback acknowledges a job: a job whose start was reported by callback is not overdue, however late its 202.
-func TestCallbackIsASign(t *testing.T) {
+func TestCallbackAcknowledgesJob(t *testing.T) {
 	c, s := newClient(t, withShortAcks())
 	got := make(chan bool)
 	startRawExecutor(t, c, func(conn net.Conn) {
@@ -112,7 +112,7 @@
 
 // The status line of a 202 shows that the executor has the job. If the rest arrives slower than the minimum rate, the
 // connection is closed and counted, and the attempt goes on to its result.
-func TestRestOfA202Drips(t *testing.T) {
+func TestSlowRestOfA202(t *testing.T) {
 	lim := withShortAcks()
 	lim.Pace.ExecutorIn = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 60 * time.Millisecond}
 	c, s := newClient(t, lim)
@@ -131,7 +131,8 @@
 	c.Send(newAttempt(1))
 	<-closed
 	if got := s.outcomes(1); len(got) != 0 || s.overdueNotes(1) != 0 || c.slowPeers.Count(slowpeer.ExecutorSendsSlowly) != 1 {
-		t.Errorf("outcomes %v, %d overdue notes, %d slow senders, want none, 0, 1", got, s.overdueNotes(1), c.slowPeers.Count(slowpeer.ExecutorSendsSlowly))
+		t.Errorf("outcomes %v, %d overdue notes, %d slow senders, want none, 0, 1",
+			got, s.overdueNotes(1), c.slowPeers.Count(slowpeer.ExecutorSendsSlowly))
 	}
 	_ = c.Callback([]byte(doneCallback))
 	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.Served {
@@ -142,7 +143,7 @@
 // If an executor's machine does not take a request up to its last byte, the job never ran. The attempt ends as failed
 // to connect well before the client's deadline, whether the write itself stalls or the data stays in this machine's
 // send buffer.
-func TestBoxThatDoesNotRead(t *testing.T) {
+func TestExecutorThatDoesNotRead(t *testing.T) {
 	for name, size := range map[string]int{"the kernel takes all": 60 << 10, "the write stalls": 32 << 20} {
 		t.Run(name, func(t *testing.T) {
 			lim := withShortAcks()
@@ -192,7 +193,7 @@
 
 // If the acknowledgements of most executors are overdue at the same time, they are counted as a crowd and none is
 // reported to the dispatch module. A single one is.
-func TestCrowdOfLateBoxes(t *testing.T) {
+func TestOverdueAcknowledgementsOfMostExecutors(t *testing.T) {
 	c, s := newClient(t, withShortAcks())
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
@@ -230,7 +231,7 @@
 
 // One executor cannot take all connections: beyond its share an attempt ends as failed to connect, and another
 // executor still gets a connection.
-func TestBoxShare(t *testing.T) {
+func TestConnectionShareOfOneExecutor(t *testing.T) {
 	lim := withShortAcks()
 	lim.WorkerConns, lim.Pace.MinPerPeer, lim.Pace.Alpha = 12, 2, 2
 	c, s := newClient(t, lim)
--- a/internal/peer/faults_test.go
+++ b/internal/peer/faults_test.go
@@ -52,7 +52,7 @@
 
 // Errors of single datagrams stop neither the reads nor the writes of a node. A write that a signal interrupts is
 // repeated.
-func TestErrorsOfDatagramsEndNeitherReadsNorWrites(t *testing.T) {
+func TestDatagramErrorsStopNeitherReadsNorWrites(t *testing.T) {
 	errnos := []syscall.Errno{
 		syscall.ENOBUFS, syscall.EPERM, syscall.ECONNREFUSED, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
 		syscall.ENOMEM, syscall.EAGAIN, syscall.EMSGSIZE, syscall.EINTR,
@@ -103,7 +103,7 @@
 
 // A read error caused by an earlier datagram leads to no pause. Other errors, such as a lack of memory, do, since the
 // loop would spin otherwise.
-func TestReadErrorsOfEarlierSendsCauseNoPause(t *testing.T) {
+func TestAsyncSendErrorsCauseNoPause(t *testing.T) {
 	for errno, want := range map[syscall.Errno]bool{
 		syscall.ECONNREFUSED: true, syscall.EHOSTUNREACH: true, syscall.ENETUNREACH: true, syscall.EINTR: true,
 		syscall.ENOMEM: false, syscall.ENOBUFS: false, syscall.EIO: false,
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -32,7 +32,7 @@
 
 // Messages reach the node to which they are sent, with the index of their sender. Messages from unknown addresses and
 // messages over 256 bytes, which is the maximum size of a datagram, reach no node.
-func TestMessagesReachTheirNodeAlone(t *testing.T) {
+func TestMessagesReachOnlyTheirNode(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var g errgroup.Group
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -121,7 +121,7 @@
 
 // The pre-send check finds out from the request's context alone that the client has left, even if the core cannot be
 // notified.
-func TestCheckBeforeSendKnowsOfAClientsEndWhileTheCoreIsBusy(t *testing.T) {
+func TestPreSendCheckSeesClientDisconnectWhileCoreIsBusy(t *testing.T) {
 	c := &blockedCore{notified: make(chan bool)}
 	f := New(c, c, testenv.Lim, testenv.Quiet)
 	ctx, leave := context.WithCancel(t.Context())
@@ -151,7 +151,7 @@
 
 // A callback that could not be handled gets an error response, so that the executor repeats it. An invalid callback
 // does not, since a repeat would be of no use.
-func TestRefusedCallbackIsNotAcknowledged(t *testing.T) {
+func TestRejectedCallbackIsNotAcknowledged(t *testing.T) {
 	for _, x := range []struct {
 		err    error
 		status int
--- a/internal/tcpinfo/connect_test.go
+++ b/internal/tcpinfo/connect_test.go
@@ -11,7 +11,7 @@
 
 // Errors of this machine are distinguished from answers of the peer or of the path to it, however the error is
 // wrapped.
-func TestLocalConnectErrorsAreToldFromRemoteOnes(t *testing.T) {
+func TestIsLocalConnectError(t *testing.T) {
 	for errno, want := range map[syscall.Errno]bool{
 		syscall.EADDRNOTAVAIL: true, syscall.EMFILE: true, syscall.ENFILE: true, syscall.ENOBUFS: true, syscall.ENOMEM: true,
 		syscall.ENETUNREACH: true, syscall.ENETDOWN: true, syscall.EAGAIN: true, syscall.EPERM: true, syscall.EINTR: true,
--- a/internal/tcpinfo/tcpinfo.go
+++ b/internal/tcpinfo/tcpinfo.go
@@ -18,7 +18,7 @@
 // Info is what the kernel reports about a connection (TCP_INFO, SIOCOUTQ: tcp(7)).
 type Info struct {
 	Unacknowledged   int           // bytes written that the peer's kernel has not acknowledged, sent or not
-	Unsent           int           // those of them that have not been sent, because the peer's window is closed or the path is slow
+	Unsent           int           // those of them not sent yet, because the peer's window is closed or the path is slow
 	Acknowledged     uint64        // bytes acknowledged since the connection was opened
 	RTT              time.Duration // smoothed round-trip time
 	ZeroWindowProbes int           // consecutive unanswered probes of a closed window
