--- a/internal/dispatch/aggregator_test.go
+++ b/internal/dispatch/aggregator_test.go
@@ -8,7 +8,7 @@
 // Nodes that never met at an executor see what the others have out there: each of 80 sends one job, and no executor
 // gets more than it has slots for. Each by its own knowledge, many queue while slots are free (join+vast: 30 to 120
 // queued beside 60 free slots).
-func TestAggregatorTellsWhatOthersHold(t *testing.T) {
+func TestAggregatorReportsSlotsOfOtherNodes(t *testing.T) {
 	c := newReadyCluster(t, 80, 2, fleet(50)...)
 	at := map[uint32]int{}
 	for i := range c.nodes {
@@ -24,7 +24,7 @@
 }
 
 // What a request costs in messages does not grow with the number of nodes, and idle nodes say nothing.
-func TestAggregatorCostsTheSameForManyNodes(t *testing.T) {
+func TestAggregatorCostIsIndependentOfNodes(t *testing.T) {
 	for _, n := range []int{60, 240} {
 		c := newReadyCluster(t, n, 2, fleet(50)...)
 		if c.bytes > 0 {
@@ -77,7 +77,7 @@
 }
 
 // An aggregator that was started anew in between holds nothing of us: it says so, and is told all again.
-func TestAggregatorBeginsAnew(t *testing.T) {
+func TestAggregatorRestart(t *testing.T) {
 	rows := fleet(50)
 	c := newReadyCluster(t, 60, 2, rows...)
 	c.sendJob(0, 300)
@@ -104,7 +104,7 @@
 
 // Messages of chance, cut or of the wrong kind do no harm: no panic, nothing below nothing, bounded memory, and jobs
 // are sent.
-func TestAggregatorBearsRandomMessages(t *testing.T) {
+func TestAggregatorToleratesRandomMessages(t *testing.T) {
 	c := newReadyCluster(t, 60, 2, fleet(50)...)
 	rng := rand.New(rand.NewSource(5))
 	for range 4000 {
@@ -135,7 +135,7 @@
 
 // What one node finds of an executor keeps all others away for a while: a class that fails there, another still served,
 // and connections rejected. By itself each of 80 nodes loses a job for it (zone+vast: 280 errors of two bad executors).
-func TestAggregatorTellsQuarantines(t *testing.T) {
+func TestAggregatorDistributesQuarantines(t *testing.T) {
 	c := newReadyCluster(t, 60, 20, fleet(3)...)
 	bad := c.sendJob(0, 300)
 	c.step(map[int]Event{0: outcome(c.lastJob, 0, bad, Errored)})
@@ -169,7 +169,7 @@
 // A node that has met no executor of a kind knows nothing of its slots. It must go by what the aggregator tells all
 // the same: each of 80 nodes sent a first job blindly, and 13 queued at one slow executor (join+vast, seed
 // 245395339836).
-func TestAggregatorBoundsKindsNotMet(t *testing.T) {
+func TestAggregatorBoundsUnknownKinds(t *testing.T) {
 	c := newReadyCluster(t, 60, 0, fleet(20)...)
 	at := map[uint32]int{}
 	for i := range c.nodes {
--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -249,7 +249,7 @@
 
 // The runs bring every kind of event, action and message to the module, and a run repeated is the same to the last
 // byte.
-func TestGoldenRunsAreWhole(t *testing.T) {
+func TestGoldenRunsCoverAllKinds(t *testing.T) {
 	events, actions, messages := map[string]int{}, map[string]int{}, map[string]int{}
 	for _, plan := range goldenPlans() {
 		var run goldenRun
--- a/internal/dispatch/gossip_test.go
+++ b/internal/dispatch/gossip_test.go
@@ -5,7 +5,7 @@
 // Jobs that nodes or aggregators left behind when they were killed are told by none. A job of ours that is not
 // started shows that an executor is full all the same, and all others then keep away too, for about a run (herd+vast:
 // each node of 80 found out for itself, by a job that waited).
-func TestHiddenSlotsAreTold(t *testing.T) {
+func TestUnreportedSlotsAreGossiped(t *testing.T) {
 	c := newReadyCluster(t, 60, 2, fleet(50)...)
 	c.noStarts = true
 	at := map[uint32]int{}
@@ -23,7 +23,7 @@
 }
 
 // What a killed node had out runs on: its next life does not make the aggregator forget it at once.
-func TestKilledNodesJobsRunOn(t *testing.T) {
+func TestJobsOfKilledNodeStillCount(t *testing.T) {
 	rows := fleet(50)
 	c := newReadyCluster(t, 60, 2, rows...)
 	c.sendJob(0, 300)
--- a/internal/dispatch/loadreport_test.go
+++ b/internal/dispatch/loadreport_test.go
@@ -8,7 +8,7 @@
 
 // Where our jobs explain nothing of what executors hold, no age does: one that counts none of our jobs fits such
 // reports best, and was believed, on a day of drains, until all that ran counted as not in them.
-func TestReportAgeThatExplainsNothing(t *testing.T) {
+func TestReportAgeWithoutInfluenceOfOwnJobs(t *testing.T) {
 	s := base()
 	s.Nodes = 3
 	s.Fields = []Field{FieldBusy, FieldFree}
@@ -103,7 +103,7 @@
 }
 
 // What executors hold may have nothing to do with our own few jobs: then no other age is believed (i3f1d0e).
-func TestReportAgeIsNotGuessedFromOthersJobs(t *testing.T) {
+func TestReportAgeIgnoresJobsOfOtherNodes(t *testing.T) {
 	s := base()
 	s.Fields = []Field{FieldBusy, FieldFree}
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -6,7 +6,7 @@
 )
 
 // A node says what it goes by when it begins to reject and when it has not for a while, and no more often.
-func TestRejectingIsLoggedAtChanges(t *testing.T) {
+func TestLoadSheddingIsLoggedOnChange(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
 	executor := r.d.endpoints.byID[7]
 	lines := []string{}
@@ -40,7 +40,7 @@
 
 // A rejected client is told when to come back, and never for longer than the settings allow. A node that told
 // nothing made its clients come back at their own pace, all while nothing was free.
-func TestRejectionsTellRetryAfter(t *testing.T) {
+func TestRejectionsCarryRetryAfter(t *testing.T) {
 	for _, most := range []float64{0, 50, 2000} {
 		s := base()
 		s.MaxRetryAfter = most
