--- a/cmd/gatetack/process_fronts.go
+++ b/cmd/gatetack/process_fronts.go
@@ -34,7 +34,7 @@
 
 // frontLimits are the limits of a front beside the clients' one.
 func frontLimits(lim limits.Limits, connections, sparePart int) limits.Limits {
-	lim.ClientConns, lim.SpareConns, lim.DoorConns = connections, connections/sparePart, 1
+	lim.ClientConns, lim.OverflowConns, lim.RejectConns = connections, connections/sparePart, 1
 	return lim
 }
 
@@ -78,7 +78,7 @@
 	if err != nil {
 		return fmt.Errorf("operator: %w", err)
 	}
-	lim := frontLimits(p.config.Limits, p.config.Limits.Operators, operatorSparePart)
+	lim := frontLimits(p.config.Limits, p.config.Limits.OperatorConns, operatorSparePart)
 	lim.Pace.SharePerAddress = false
 	server := http1.NewServer(lim, operator.New(p.core, p.accepting.Load, p.log), p.core.SlowPeers(), p.log)
 	p.lifetime.start(func(running context.Context) error { return server.Serve(running, listener) })
--- a/cmd/gatetack/shutdown.go
+++ b/cmd/gatetack/shutdown.go
@@ -37,7 +37,7 @@
 
 // releaseOwned lets other nodes take over this node's partitions and actors without waiting for its leases to expire.
 func (p *process) releaseOwned(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, p.config.Limits.StoreBeat)
+	ctx, cancel := context.WithTimeout(ctx, p.config.Limits.StoreElectionTimeout)
 	defer cancel()
 	p.batch.actors.Deregister(ctx)
 	p.batch.owner.Release(ctx)
@@ -105,6 +105,6 @@
 		}
 	}
 	// A store without a leader must not keep the process for good: ends that it does not take stay unrecorded.
-	unrecorded := p.batch != nil && p.batch.front.Pending() && time.Since(lastUse) < 2*p.config.Limits.StoreCall
+	unrecorded := p.batch != nil && p.batch.front.Pending() && time.Since(lastUse) < 2*p.config.Limits.StoreCallTimeout
 	return p.core.Open() == 0 && connections == 0 && !unrecorded && time.Since(lastUse) >= p.config.Limits.Quiet
 }
--- a/drmaa2/client.go
+++ b/drmaa2/client.go
@@ -38,7 +38,7 @@
 // New makes a client of the batch front at an address; session "" stands for the default one. Nothing is sent yet.
 func New(addr, session string) *Client {
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.Body = maxBody
+	lim.BodyBytes = maxBody
 	return &Client{address: addr, session: session, limits: lim}
 }
 
--- a/drmaa2/connection.go
+++ b/drmaa2/connection.go
@@ -23,8 +23,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return &connection{Conn: conn, in: http1.NewRing(c.limits.Ring), parser: http1.NewParser(c.limits, true),
-		writer: http1.NewWriter(conn, c.limits.Ring)}, nil
+	return &connection{Conn: conn, in: http1.NewRing(c.limits.RingBytes), parser: http1.NewParser(c.limits, true),
+		writer: http1.NewWriter(conn, c.limits.RingBytes)}, nil
 }
 
 func (c *Client) dialNetwork(ctx context.Context) (net.Conn, error) {
--- a/internal/actorhost/calls.go
+++ b/internal/actorhost/calls.go
@@ -18,7 +18,7 @@
 // Call makes a client's call at the owner of an actor, wherever that is by now. Via is the zone of the client; hop says that another
 // node forwarded the call, which is then not forwarded again.
 func (h *Host) Call(ctx context.Context, id string, number uint64, body json.RawMessage, via string, hop bool) (answer json.RawMessage, at string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, h.Limits.StoreCall)
+	ctx, cancel := context.WithTimeout(ctx, h.Limits.StoreCallTimeout)
 	defer cancel()
 	for {
 		answer, at, err = h.tryCall(ctx, id, number, body, via, hop)
--- a/internal/actorhost/host.go
+++ b/internal/actorhost/host.go
@@ -82,7 +82,7 @@
 
 // txn runs a transaction within the time of a store call.
 func (h *Host) txn(ctx context.Context, ops ...kv.Op) (*kv.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.Limits.StoreCall)
+	ctx, cancel := context.WithTimeout(ctx, h.Limits.StoreCallTimeout)
 	defer cancel()
 	return h.Store.Txn(ctx, &kv.Txn{Ops: ops})
 }
@@ -91,7 +91,7 @@
 func (h *Host) waitApplied(ctx context.Context, version uint64) (*kv.View, error) {
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
-	ctx, cancel := context.WithTimeout(ctx, h.Limits.StoreCall)
+	ctx, cancel := context.WithTimeout(ctx, h.Limits.StoreCallTimeout)
 	defer cancel()
 	for {
 		if v := h.Store.View(); v.Index() >= version {
--- a/internal/actorhost/timers_jobs.go
+++ b/internal/actorhost/timers_jobs.go
@@ -57,7 +57,7 @@
 // syncJob submits an open job of an actor, under its key - which is one job, however often and wherever it is submitted - and then
 // checks whether it has ended. The lock of x is held.
 func (h *Host) syncJob(ctx context.Context, id string, x *hostedActor, name string, j actor.OpenJob) {
-	ctx, cancel := context.WithTimeout(ctx, h.Limits.StoreCall)
+	ctx, cancel := context.WithTimeout(ctx, h.Limits.StoreCallTimeout)
 	defer cancel()
 	if x.jobIDs[name] == "" {
 		key := sha256.Sum256([]byte(j.Key)) // names of actors and jobs may have characters that a key may not
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -107,7 +107,7 @@
 		version: o.Version, fleet: o.Fleet, placer: o.Placer, ids: ids{node: o.Node}, events: newEvents(o.Life.UnixMilli(), o.Limits.BatchEvents),
 		kick: make(chan struct{}, 1), jobs: map[string]*job{}, queue: jobqueue.New(), waits: map[string]*job{},
 		arrays: map[string]*array{}, sessions: map[string]*session{}, same: map[string]*job{},
-		dirty: make(chan *job, o.Limits.MaxOpen), late: make(chan struct{}, o.Limits.BatchLate)}
+		dirty: make(chan *job, o.Limits.MaxOpen), late: make(chan struct{}, o.Limits.BatchCallbackChecks)}
 	f.ids.life.Store(o.Life.UnixMilli())
 	f.sessions[defaultSession] = &session{r: sessionRecord{Name: defaultSession, Created: o.Life.UTC()}}
 	f.loaded = make(chan struct{})
@@ -143,7 +143,7 @@
 		// Until it is known what an earlier life left, nothing new is taken: a job could be taken twice.
 		f.log.Warn("what was on record can not be read yet", "err", err)
 		select {
-		case <-time.After(f.lim.StoreBeat):
+		case <-time.After(f.lim.StoreElectionTimeout):
 		case <-ctx.Done():
 			return nil
 		}
@@ -153,7 +153,7 @@
 	defer timer.Stop()
 	sweep := time.NewTicker(time.Minute)
 	defer sweep.Stop()
-	again := time.NewTicker(f.lim.StoreBeat)
+	again := time.NewTicker(f.lim.StoreElectionTimeout)
 	defer again.Stop()
 	for {
 		select {
@@ -221,7 +221,7 @@
 			f.finished(j.array)
 		}
 	}
-	for i := 0; i < len(f.order) && (len(f.order) > f.lim.BatchJobs || f.bytes > f.lim.BatchBytes); {
+	for i := 0; i < len(f.order) && (len(f.order) > f.lim.BatchJobs || f.bytes > f.lim.BatchResultBytes); {
 		old := f.order[i]
 		if r := old.record(); !r.State.over() || old == j {
 			i++
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -223,7 +223,7 @@
 func TestKeptJobsAreBounded(t *testing.T) {
 	c := &core{}
 	f := front(c, nil, time.Now())
-	f.lim.BatchJobs, f.lim.BatchBytes = 3, 10
+	f.lim.BatchJobs, f.lim.BatchResultBytes = 3, 10
 	_, v, _ := call(f, "POST", "/jobs", good)
 	open := v.Get("jobId").String()
 	for range 8 {
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -94,7 +94,7 @@
 		if p, ok := partitionOf(id); ok && f.foreign(id) {
 			f.Drop(p) // it was taken while the partition was being let go of, and was not seen then
 		}
-		f.refused(j, f.lim.StoreBeat, now)
+		f.refused(j, f.lim.StoreElectionTimeout, now)
 		return
 	}
 	in := j.in
@@ -128,7 +128,7 @@
 	}
 	core, err := f.core.Submit(in, j)
 	if err != nil {
-		j.Answer(node.Answer{End: node.Rejected, RetryAfter: f.lim.BatchAgain, Reason: err.Error()})
+		j.Answer(node.Answer{End: node.Rejected, RetryAfter: f.lim.MinBatchRetryDelay, Reason: err.Error()})
 		return err
 	}
 	j.mu.Lock()
--- a/internal/batch/fleet.go
+++ b/internal/batch/fleet.go
@@ -69,7 +69,7 @@
 		case <-f.loaded:
 		case <-ctx.Done():
 			return http1.Response{Status: 503, Close: true}, true
-		case <-time.After(f.lim.StoreCall):
+		case <-time.After(f.lim.StoreCallTimeout):
 		}
 	}
 	for {
@@ -180,7 +180,7 @@
 		j.mu.Unlock()
 		if core := j.coreID(); core != 0 {
 			go func() {
-				ctx, cancel := context.WithTimeout(context.Background(), f.lim.StoreCall)
+				ctx, cancel := context.WithTimeout(context.Background(), f.lim.StoreCallTimeout)
 				defer cancel()
 				_ = f.core.Terminate(ctx, core) // what was sent goes on: nothing stops it at an executor
 			}()
--- a/internal/batch/hard_test.go
+++ b/internal/batch/hard_test.go
@@ -80,7 +80,7 @@
 func TestLargeArray(t *testing.T) {
 	e := &engine{}
 	f := front(e, nil, time.Now())
-	f.lim.BatchJobs, f.lim.BatchAgain = 200, time.Millisecond
+	f.lim.BatchJobs, f.lim.MinBatchRetryDelay = 200, time.Millisecond
 	run(t, f)
 	id := submitArray(t, f, `"endIndex":10000,"maxParallel":50`)
 	seen, refused := map[string]int{}, 0
@@ -356,7 +356,7 @@
 func TestStoreGone(t *testing.T) {
 	e, m := &engine{}, &memory{values: map[string][]byte{}}
 	f := front(e, m, time.Now())
-	f.lim.StoreBeat = 5 * time.Millisecond
+	f.lim.StoreElectionTimeout = 5 * time.Millisecond
 	run(t, f)
 	_, v, _ := call(f, "POST", "/jobs", strings.Replace(good, "{", `{"submitAsHold":true,`, 1))
 	held := v.Get("jobId").String()
@@ -433,7 +433,7 @@
 	defer func() { _ = b.Close() }()
 	e := &engine{}
 	f := front(e, b, time.Now())
-	f.lim.BatchValues, f.lim.BatchJobs = 5, 1
+	f.lim.BatchStoredJobs, f.lim.BatchJobs = 5, 1
 	run(t, f)
 	call(f, "POST", "/jobs", strings.Replace(good, "{", `{"submitAsHold":true,`, 1))
 	for range 12 {
@@ -456,7 +456,7 @@
 func TestSlowStore(t *testing.T) {
 	e, m := &engine{}, &memory{values: map[string][]byte{}}
 	f := front(e, m, time.Now())
-	f.lim.StoreCall = 30 * time.Millisecond
+	f.lim.StoreCallTimeout = 30 * time.Millisecond
 	m.slow = make(chan bool)
 	status, v, r := call(f, "POST", "/jobs", strings.Replace(good, "{", `{"submitAsHold":true,`, 1))
 	if status != 503 || v.Get("error").String() != "TRY_LATER" || r.Fields[len(r.Fields)-1].Name != "Retry-After" {
--- a/internal/batch/incarnation_test.go
+++ b/internal/batch/incarnation_test.go
@@ -158,6 +158,6 @@
 // fastLimits are limits under which what failed is tried again soon.
 func fastLimits() limits.Limits {
 	lim := testenv.Lim
-	lim.StoreBeat = 2 * time.Millisecond
+	lim.StoreElectionTimeout = 2 * time.Millisecond
 	return lim
 }
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -177,7 +177,7 @@
 	}
 	if j.queue && a.End == node.Rejected && !j.f.stop.Load() && (j.until.IsZero() || now.Before(j.until)) {
 		j.update(func(r *Record) { r.State, r.SubState, r.Annotation = Queued, subHeld, a.Reason })
-		j.f.refused(j, max(a.RetryAfter, j.f.lim.BatchAgain), now)
+		j.f.refused(j, max(a.RetryAfter, j.f.lim.MinBatchRetryDelay), now)
 		return
 	}
 	j.end(func(r *Record) {
--- a/internal/batch/late.go
+++ b/internal/batch/late.go
@@ -44,7 +44,7 @@
 		defer cancel()
 		for !f.settled(ctx, string(id), body) {
 			select {
-			case <-time.After(f.lim.StoreBeat):
+			case <-time.After(f.lim.StoreElectionTimeout):
 			case <-ctx.Done():
 				return
 			}
--- a/internal/batch/list.go
+++ b/internal/batch/list.go
@@ -89,11 +89,11 @@
 	if err != nil {
 		return problem(400, "INVALID_ARGUMENT", "filter", err.Error())
 	}
-	limit := f.lim.BatchPage
+	limit := f.lim.BatchPageJobs
 	if text := q.Get("limit"); text != "" {
 		n, err := strconv.Atoi(text)
-		if err != nil || n < 1 || n > f.lim.BatchPage {
-			return problem(400, "INVALID_ARGUMENT", "limit", fmt.Sprintf("not a whole number from 1 to %d", f.lim.BatchPage))
+		if err != nil || n < 1 || n > f.lim.BatchPageJobs {
+			return problem(400, "INVALID_ARGUMENT", "limit", fmt.Sprintf("not a whole number from 1 to %d", f.lim.BatchPageJobs))
 		}
 		limit = n
 	}
@@ -143,7 +143,7 @@
 		}
 		return true, nil
 	}
-	for looked := 0; looked < f.lim.BatchLook; {
+	for looked := 0; looked < f.lim.BatchPageScanned; {
 		rows, err := f.store.Page(ctx, kindJob, after, 256)
 		if err != nil {
 			return false, err
--- a/internal/batch/submit.go
+++ b/internal/batch/submit.go
@@ -48,13 +48,13 @@
 		case <-f.loaded:
 		case <-ctx.Done():
 			return http1.Response{Status: 503, Close: true}, false
-		case <-time.After(f.lim.StoreCall):
+		case <-time.After(f.lim.StoreCallTimeout):
 			return tryLater("what an earlier life left is being read"), false
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.waits)+len(f.arrays) >= f.lim.BatchWaiting {
+	if len(f.waits)+len(f.arrays) >= f.lim.BatchWaitingItems {
 		return tryLater("too many jobs wait here"), false
 	}
 	return http1.Response{}, true
@@ -235,7 +235,7 @@
 func (f *Front) inTime(ctx context.Context, j *job, more []jobstore.Change) error {
 	done := make(chan error, 1)
 	go func() { done <- f.put(context.WithoutCancel(ctx), j, nil, more...) }()
-	timer := time.NewTimer(f.lim.StoreCall)
+	timer := time.NewTimer(f.lim.StoreCallTimeout)
 	defer timer.Stop()
 	select {
 	case err := <-done:
@@ -309,8 +309,8 @@
 		bad = &fault{"INVALID_ARGUMENT", "endIndex", "missing"}
 	case x.End < x.Begin:
 		bad = &fault{"INVALID_ARGUMENT", "endIndex", "before beginIndex"}
-	case item.Size() > f.lim.BatchArray:
-		bad = &fault{"INVALID_ARGUMENT", "endIndex", fmt.Sprintf("more than %d members", f.lim.BatchArray)}
+	case item.Size() > f.lim.BatchArrayMembers:
+		bad = &fault{"INVALID_ARGUMENT", "endIndex", fmt.Sprintf("more than %d members", f.lim.BatchArrayMembers)}
 	}
 	if bad != nil {
 		return refuse(bad)
--- a/internal/batch/sweep.go
+++ b/internal/batch/sweep.go
@@ -19,8 +19,8 @@
 	if !ok {
 		return
 	}
-	before := time.Now().Add(-f.lim.BatchAge)
-	gone, err := s.Sweep(kindJob, jobstore.Usage{Values: f.lim.BatchValues, Bytes: f.lim.BatchRecords}, 10000,
+	before := time.Now().Add(-f.lim.BatchStoredAge)
+	gone, err := s.Sweep(kindJob, jobstore.Usage{Values: f.lim.BatchStoredJobs, Bytes: f.lim.BatchStoredBytes}, 10000,
 		func(_ string, v []byte) jobstore.Retention {
 			switch end := gjson.GetBytes(v, "finishTime"); {
 			case !end.Exists():
--- a/internal/batch/template.go
+++ b/internal/batch/template.go
@@ -166,7 +166,7 @@
 			}
 			t.job.Target += sep + "arg=" + strings.ReplaceAll(url.QueryEscape(a), url.QueryEscape(placeholder), placeholder)
 		}
-		if len(t.job.Target) > f.lim.Line/2 {
+		if len(t.job.Target) > f.lim.LineBytes/2 {
 			return nil, invalid("args", "longer than a request's first line may be")
 		}
 	}
@@ -178,8 +178,8 @@
 		}
 		return nil, &fault{"UNSUPPORTED_ATTRIBUTE", "rerunnable", "jobs of this category may be repeated, where their boxes drop the repeat"}
 	}
-	if !t.start.IsZero() && t.start.Sub(now) > f.lim.BatchAhead {
-		return nil, invalid("startTime", "further off than "+f.lim.BatchAhead.String())
+	if !t.start.IsZero() && t.start.Sub(now) > f.lim.MaxBatchStartDelay {
+		return nil, invalid("startTime", "further off than "+f.lim.MaxBatchStartDelay.String())
 	}
 	begin := now
 	if t.start.After(now) {
@@ -191,8 +191,8 @@
 			return nil, invalid("deadlineTime", "it is before startTime")
 		case left <= 0:
 			return nil, invalid("deadlineTime", "it has passed")
-		case left > f.lim.BatchDeadline:
-			return nil, invalid("deadlineTime", "further off than "+f.lim.BatchDeadline.String())
+		case left > f.lim.MaxBatchDeadline:
+			return nil, invalid("deadlineTime", "further off than "+f.lim.MaxBatchDeadline.String())
 		}
 	}
 	return t, nil
@@ -261,7 +261,7 @@
 		}
 	case "remoteCommand":
 		// It becomes a part of a request's first line: anything else there could be read as another request.
-		if !http1.IsVisibleASCII(v.Str) || len(v.Str) > f.lim.Line/2 || v.Str[0] != '/' {
+		if !http1.IsVisibleASCII(v.Str) || len(v.Str) > f.lim.LineBytes/2 || v.Str[0] != '/' {
 			return errors.New("not a path")
 		}
 		t.job.Target = v.Str
--- a/internal/batch/wait.go
+++ b/internal/batch/wait.go
@@ -57,7 +57,7 @@
 	default:
 		return false, 0, &fault{"INVALID_ARGUMENT", "for", "neither started nor terminated"}
 	}
-	most = f.lim.BatchWait
+	most = f.lim.MaxBatchWait
 	if timeout != "" {
 		ms, err := strconv.ParseUint(timeout, 10, 31)
 		if err != nil {
--- a/internal/capacity/measure/store.go
+++ b/internal/capacity/measure/store.go
@@ -199,7 +199,7 @@
 
 // call asks the leader. One that has no connection left, or leads no more, is asked again after as long as package store waits.
 func (c *cluster) call(ctx context.Context, body []byte) (*http1.Message, error) {
-	for end := time.Now().Add(c.lim.StoreCall); ; {
+	for end := time.Now().Add(c.lim.StoreCallTimeout); ; {
 		address := *c.address.Load()
 		message, err := store.Call(ctx, address, "POST", "/txn", body, nil, c.lim)
 		switch {
@@ -212,7 +212,7 @@
 			return nil, err
 		}
 		c.repeats.Add(1)
-		time.Sleep(c.lim.StoreBeat / 10)
+		time.Sleep(c.lim.StoreElectionTimeout / 10)
 		c.mu.Lock()
 		if *c.address.Load() == address {
 			err = c.findLeader()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -83,7 +83,7 @@
 		c.PeersAll != "127.3.255.1:7946" {
 		t.Errorf("%+v", c)
 	}
-	if l := c.Limits; l.ClientConns+l.SpareConns+l.WorkerConns+l.GiveUps+l.BatchConns*5/4 > 1024-60 {
+	if l := c.Limits; l.ClientConns+l.OverflowConns+l.ExecutorConns+l.CancelConns+l.BatchConns*5/4 > 1024-60 {
 		t.Errorf("the budgets add up to more descriptors than there are: %+v", l)
 	}
 }
--- a/internal/conformance/conform.go
+++ b/internal/conformance/conform.go
@@ -86,7 +86,7 @@
 // Run plays all cases in turn at the endpoint of an address and calls each with every result as it comes.
 func Run(ctx context.Context, addr string, each func(Result)) error {
 	t := &tester{ctx: ctx, address: addr, limits: limits.New(0, 0, 0, 0, 0)}
-	t.limits.Body = maxAnswer
+	t.limits.BodyBytes = maxAnswer
 	if err := t.prepare(); err != nil { //nolint:contextcheck // a tester has the run's context
 		return err
 	}
--- a/internal/conformance/tester.go
+++ b/internal/conformance/tester.go
@@ -75,14 +75,14 @@
 	if r.body != "" {
 		body = []byte(r.body)
 	}
-	writer := http1.NewWriter(conn, t.limits.Ring)
+	writer := http1.NewWriter(conn, t.limits.RingBytes)
 	fields = append(fields, http1.Field{Name: "Host", Value: t.address})
 	writeErr := writer.Request(r.verb, drmaa2.Prefix+r.path, fields, body)
 	if writeErr == nil {
 		writeErr = writer.Flush()
 	}
 	// An endpoint may answer before it has read all: its answer counts even if the rest could not be written.
-	answer, err := http1.NewParser(t.limits, true).Read(http1.NewRing(t.limits.Ring), conn)
+	answer, err := http1.NewParser(t.limits, true).Read(http1.NewRing(t.limits.RingBytes), conn)
 	if err != nil {
 		return nil, gjson.Result{}, errors.Join(writeErr, err)
 	}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -88,7 +88,7 @@
 	if l.tracker == nil {
 		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
 	}
-	w := http1.NewWriter(l.conn, l.client.limits.Ring)
+	w := http1.NewWriter(l.conn, l.client.limits.RingBytes)
 	if err := w.Request("GET", target, fields, nil); err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 
 // receive reads the response until it ends.
 func (l *listCall) receive() error {
-	ring := http1.NewRing(l.client.limits.Ring)
+	ring := http1.NewRing(l.client.limits.RingBytes)
 	for {
 		answer, err := l.parser.Feed(ring)
 		if answer == nil && err == nil {
--- a/internal/executor/client.go
+++ b/internal/executor/client.go
@@ -68,7 +68,7 @@
 		attempts:    newAttemptTable(),
 		acks:        &ackTracker{estimates: slowpeer.NewAckTracker(lim.Pace.Acks)},
 		slowPeers:   slow,
-		cancelSlots: make(chan struct{}, lim.GiveUps),
+		cancelSlots: make(chan struct{}, lim.CancelConns),
 		sleep:       sleep,
 	}
 }
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -255,7 +255,7 @@
 			return nil
 		}
 		defer func() { _ = next.Close() }()
-		m, err := http1.NewParser(lim, false).Read(http1.NewRing(lim.Ring), next)
+		m, err := http1.NewParser(lim, false).Read(http1.NewRing(lim.RingBytes), next)
 		if err != nil {
 			return nil
 		}
--- a/internal/executor/pool.go
+++ b/internal/executor/pool.go
@@ -33,7 +33,7 @@
 		slowPeers: slow,
 		dial:      (&net.Dialer{Timeout: lim.Connect}).DialContext,
 		idle:      map[string][]*connection{},
-		open:      slowpeer.NewLedger[string](lim.WorkerConns, lim.Pace.MinPerPeer, lim.Pace.Alpha),
+		open:      slowpeer.NewLedger[string](lim.ExecutorConns, lim.Pace.MinPerPeer, lim.Pace.Alpha),
 	}
 }
 
@@ -71,8 +71,8 @@
 	return &connection{
 		MinRateConn: paced,
 		addr:        addr,
-		input:       http1.NewRing(p.limits.Ring),
-		output:      http1.NewWriter(paced, p.limits.Ring),
+		input:       http1.NewRing(p.limits.RingBytes),
+		output:      http1.NewWriter(paced, p.limits.RingBytes),
 		parser:      http1.NewParser(p.limits, true),
 		connectTime: time.Since(start),
 	}, nil
@@ -165,7 +165,7 @@
 	defer p.mu.Unlock()
 	idle := p.idle[conn.addr]
 	tooOld := func(other *connection) bool { return conn.idleSince.Sub(other.idleSince) >= p.limits.WorkerIdle }
-	for len(idle) > 0 && (len(idle) >= p.limits.IdleConns || tooOld(idle[0])) {
+	for len(idle) > 0 && (len(idle) >= p.limits.IdleConnsPerExecutor || tooOld(idle[0])) {
 		_ = idle[0].Close()
 		p.open.Release(conn.addr, 1)
 		idle = idle[1:]
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -233,7 +233,7 @@
 // executor still gets a connection.
 func TestConnectionShareOfOneExecutor(t *testing.T) {
 	lim := withShortAcks()
-	lim.WorkerConns, lim.Pace.MinPerPeer, lim.Pace.Alpha = 12, 2, 2
+	lim.ExecutorConns, lim.Pace.MinPerPeer, lim.Pace.Alpha = 12, 2, 2
 	c, s := newClient(t, lim)
 	accepted := startRawExecutor(t, c, func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) })
 	for id := range uint64(12) {
--- a/internal/http1/eviction.go
+++ b/internal/http1/eviction.go
@@ -41,7 +41,7 @@
 	c.phaseSince = time.Now()
 	s.lastActive = c.phaseSince
 	switch {
-	case s.open > s.limits.ClientConns+s.limits.SpareConns:
+	case s.open > s.limits.ClientConns+s.limits.OverflowConns:
 		c.service = rejectOnly
 	case s.open > s.limits.ClientConns:
 		c.service = singleAnswer
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -150,7 +150,7 @@
 			t.Fatalf("error %v", err)
 		}
 		for _, m := range got {
-			if len(m.Body) > lim.Body {
+			if len(m.Body) > lim.BodyBytes {
 				t.Fatal("a body over the limit")
 			}
 		}
@@ -287,7 +287,7 @@
 // was taken.
 func TestConnectionPastBudgetGetsOneAnswer(t *testing.T) {
 	small := lim
-	small.ClientConns, small.SpareConns = 1, 4
+	small.ClientConns, small.OverflowConns = 1, 4
 	hold, began := make(chan bool), make(chan bool, 2)
 	_, addr := serve(t, small, func(_ context.Context, m *Message) Response {
 		began <- true
@@ -358,7 +358,7 @@
 // carried what the front took for its clients' stand, and so does one whose request is being handled.
 func TestIdleStrangersAreEvictedFirst(t *testing.T) {
 	small := lim
-	small.ClientConns, small.SpareConns = 8, 4
+	small.ClientConns, small.OverflowConns = 8, 4
 	hold := make(chan bool)
 	_, addr := serve(t, small, func(_ context.Context, m *Message) Response {
 		if m.Target == "/hold" {
@@ -441,7 +441,7 @@
 // Bodies that are held at a time have a bound together, and give their room back.
 func TestBodiesShareABudget(t *testing.T) {
 	small := lim
-	small.Bodies = 100
+	small.TotalBodyBytes = 100
 	s, addr := serve(t, small, func(_ context.Context, m *Message) Response { return Response{Status: 200, Body: m.Body} })
 	first := dial(t, addr)
 	_, _ = io.WriteString(first, "POST / HTTP/1.1\r\nContent-Length: 60\r\n\r\n")
--- a/internal/http1/minrate_test.go
+++ b/internal/http1/minrate_test.go
@@ -218,7 +218,7 @@
 // One address that opens connections by the hundred gets its share, and another is still served.
 func TestConnectionsAreSharedByAddress(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.Pace.SharePerAddress, lim.ClientConns, lim.SpareConns = true, 24, 100
+	lim.Pace.SharePerAddress, lim.ClientConns, lim.OverflowConns = true, 24, 100
 	s, addr := serve(t, lim, func(context.Context, *Message) Response { return Response{Status: 200} })
 	for range 40 {
 		dial(t, addr)
--- a/internal/http1/ordering_test.go
+++ b/internal/http1/ordering_test.go
@@ -161,7 +161,7 @@
 // here the queue is not empty when the end begins, since there is room for one connection at a time.
 func TestFinishAnswersTheAcceptQueue(t *testing.T) {
 	one := lim
-	one.ClientConns, one.SpareConns, one.DoorConns = 1, 0, 0
+	one.ClientConns, one.OverflowConns, one.RejectConns = 1, 0, 0
 	began, on := make(chan bool, 2), make(chan bool)
 	s, addr := serve(t, one, func(context.Context, *Message) Response {
 		began <- true
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -177,8 +177,8 @@
 			p.endLine()
 			return i + 1
 		}
-		if len(p.line) >= p.limits.Line {
-			p.fail(431, "a line is longer than %d bytes", p.limits.Line)
+		if len(p.line) >= p.limits.LineBytes {
+			p.fail(431, "a line is longer than %d bytes", p.limits.LineBytes)
 			return i + 1
 		}
 		p.line = append(p.line, c)
@@ -199,8 +199,8 @@
 		}
 		return
 	}
-	if len(p.message.Body)+len(b) > p.limits.Body {
-		p.fail(413, "a body is longer than %d bytes", p.limits.Body)
+	if len(p.message.Body)+len(b) > p.limits.BodyBytes {
+		p.fail(413, "a body is longer than %d bytes", p.limits.BodyBytes)
 		return
 	}
 	p.message.Body = append(p.message.Body, b...)
@@ -301,8 +301,8 @@
 		p.fail(400, "a malformed header line")
 		return
 	}
-	if len(p.message.Fields) >= p.limits.Headers {
-		p.fail(431, "more than %d headers", p.limits.Headers)
+	if len(p.message.Fields) >= p.limits.HeaderLines {
+		p.fail(431, "more than %d headers", p.limits.HeaderLines)
 		return
 	}
 	p.message.Fields = append(p.message.Fields, Field{name, strings.Trim(value, " \t")})
@@ -329,8 +329,8 @@
 	case chunked:
 		p.state = chunkSize
 	case length > 0:
-		if p.BodySink == nil && length > p.limits.Body {
-			p.fail(413, "a body of %d bytes is longer than %d", length, p.limits.Body)
+		if p.BodySink == nil && length > p.limits.BodyBytes {
+			p.fail(413, "a body of %d bytes is longer than %d", length, p.limits.BodyBytes)
 			return
 		}
 		if !p.reserve(length) {
@@ -384,8 +384,8 @@
 		p.state = trailer
 		return
 	}
-	if p.BodySink == nil && len(p.message.Body)+int(n) > p.limits.Body {
-		p.fail(413, "a body is longer than %d bytes", p.limits.Body)
+	if p.BodySink == nil && len(p.message.Body)+int(n) > p.limits.BodyBytes {
+		p.fail(413, "a body is longer than %d bytes", p.limits.BodyBytes)
 		return
 	}
 	if !p.reserve(int(n)) {
--- a/internal/http1/pipelining_test.go
+++ b/internal/http1/pipelining_test.go
@@ -20,7 +20,7 @@
 // A client's end is seen while its request is handled though bytes stand before it: half a request, some
 // requests, more than the ring holds, more than the kernel hands over at a time.
 func TestHandlerContextEndsWhenClientLeavesBehindBytes(t *testing.T) {
-	for _, behind := range []int{1, 200, lim.Ring, lim.Ring + 1, 300 << 10} {
+	for _, behind := range []int{1, 200, lim.RingBytes, lim.RingBytes + 1, 300 << 10} {
 		t.Run(fmt.Sprint(behind, " bytes"), func(t *testing.T) {
 			addr, began, left := serveUntilGone(t)
 			c := dial(t, addr)
@@ -98,7 +98,7 @@
 				return Response{Status: 200, Body: []byte(strings.Repeat("x", 1000))}
 			})
 			c := dial(t, addr)
-			if _, err := io.WriteString(c, x.request+strings.Repeat("y", 2*lim.Ring)); err != nil {
+			if _, err := io.WriteString(c, x.request+strings.Repeat("y", 2*lim.RingBytes)); err != nil {
 				t.Fatal(err)
 			}
 			in := bufio.NewReader(c)
@@ -106,7 +106,7 @@
 			if err != nil || !strings.Contains(line, fmt.Sprint(x.status)) {
 				t.Fatalf("%q %v", line, err)
 			}
-			if _, err := io.WriteString(c, strings.Repeat("z", 2*lim.Ring)); err != nil { // crosses the end
+			if _, err := io.WriteString(c, strings.Repeat("z", 2*lim.RingBytes)); err != nil { // crosses the end
 				t.Errorf("what the client sent on: %v", err)
 			}
 			if _, err = io.Copy(io.Discard, in); errors.Is(err, syscall.ECONNRESET) || err != nil {
@@ -168,7 +168,7 @@
 // door, and with idle ones in the way nothing is refused.
 func TestConnectionPastTheReserveIsRejectedAtOnce(t *testing.T) {
 	small := lim
-	small.ClientConns, small.SpareConns, small.DoorConns, small.Linger = 1, 1, 1, 50*time.Millisecond
+	small.ClientConns, small.OverflowConns, small.RejectConns, small.Linger = 1, 1, 1, 50*time.Millisecond
 	hold, began := make(chan bool), make(chan bool, 4)
 	defer close(hold)
 	s, addr := serve(t, small, func(context.Context, *Message) Response {
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -38,7 +38,7 @@
 }
 
 func (r *clientReader) init(l *limits.Limits) {
-	r.ring = NewRing(l.Ring)
+	r.ring = NewRing(l.RingBytes)
 	r.readRequested, r.readDone = make(chan struct{}, 1), make(chan struct{}, 1)
 	r.discardPause, r.pauseDiscards = l.DropPause, time.Sleep
 }
--- a/internal/http1/registry.go
+++ b/internal/http1/registry.go
@@ -77,7 +77,7 @@
 func (s *Server) descriptorsExhausted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.conns) >= s.limits.ClientConns+s.limits.SpareConns+s.limits.DoorConns
+	return len(s.conns) >= s.limits.ClientConns+s.limits.OverflowConns+s.limits.RejectConns
 }
 
 // retire has a connection closed under which no request is handled. Its session closes it after a last read, so that a
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -107,7 +107,7 @@
 // negative, and says whether they were to be had: hundreds of connections with a large body each would take all
 // of the memory.
 func (s *Server) reserveBody(n int) bool {
-	if s.bodyBytes.Add(int64(n)) > int64(s.limits.Bodies) && n > 0 {
+	if s.bodyBytes.Add(int64(n)) > int64(s.limits.TotalBodyBytes) && n > 0 {
 		s.bodyBytes.Add(int64(-n))
 		return false
 	}
--- a/internal/http1/session.go
+++ b/internal/http1/session.go
@@ -26,7 +26,7 @@
 func newSession(s *Server, c *conn) *session {
 	parser := NewParser(s.limits, false)
 	parser.ReserveBody = s.reserveBody
-	return &session{conn: c, server: s, parser: parser, writer: NewWriter(c.MinRateConn, s.limits.Ring)}
+	return &session{conn: c, server: s, parser: parser, writer: NewWriter(c.MinRateConn, s.limits.RingBytes)}
 }
 
 // run serves the connection until it ends, or the server does with ctx.
--- a/internal/inventory/share.go
+++ b/internal/inventory/share.go
@@ -97,7 +97,7 @@
 		}
 		s.log.Warn("inventory not shared yet", "err", err)
 		select {
-		case <-time.After(s.limits.StoreBeat):
+		case <-time.After(s.limits.StoreElectionTimeout):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/inventory/source.go
+++ b/internal/inventory/source.go
@@ -109,7 +109,7 @@
 // follow delivers the list on request and after each change of the file or of the store's inventory.
 func (s *Source) follow(ctx context.Context, out chan inventory) {
 	s.offer(out)
-	tick := time.NewTicker(s.limits.InventoryLook)
+	tick := time.NewTicker(s.limits.InventoryCheckInterval)
 	defer tick.Stop()
 	for {
 		changed := false
--- a/internal/inventory/source_test.go
+++ b/internal/inventory/source_test.go
@@ -113,7 +113,7 @@
 		}
 	}
 	lim := testenv.Lim
-	lim.InventoryLook = time.Millisecond
+	lim.InventoryCheckInterval = time.Millisecond
 	write(strings.SplitAfter(asCSV, "\n")[1])
 	s := &testenv.Lists{}
 	if _, err := Open(path, names, lim, s, nil, testenv.Quiet); err != nil {
@@ -199,7 +199,7 @@
 // as it was.
 func TestLaterRowsReachOtherNodes(t *testing.T) {
 	lim := testenv.Lim
-	lim.InventoryLook = time.Millisecond
+	lim.InventoryCheckInterval = time.Millisecond
 	k := &store{}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
--- a/internal/leaseholder/actions.go
+++ b/internal/leaseholder/actions.go
@@ -126,7 +126,7 @@
 		}
 		h.log.Warn("partition not adopted, trying again", "partition", action.Partition, "err", err)
 		select {
-		case <-time.After(h.limits.StoreBeat):
+		case <-time.After(h.limits.StoreElectionTimeout):
 		case <-ctx.Done():
 			return
 		}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -12,62 +12,62 @@
 // Limits bounds a node. Get one from New; a zero value bounds everything to nothing.
 type Limits struct {
 	// HTTP messages.
-	Ring        int // bytes of a connection's ring buffer, one for each direction
-	Line        int // bytes of a start line, a header line or a chunk's size line
-	HeaderBytes int // bytes of all header lines of a message together
-	Headers     int // header lines of a message
-	ID          int // bytes of an id that a client gives
-	Body        int // bytes of a body,
-	Bodies      int // and of all that are held at a time
-	WatchLine   int // bytes of one line of a watch on the list
+	RingBytes      int // bytes of a connection's ring buffer, one for each direction
+	LineBytes      int // bytes of a start line, a header line or a chunk's size line
+	HeaderBytes    int // bytes of all header lines of a message together
+	HeaderLines    int // header lines of a message
+	IDBytes        int // bytes of an id that a client gives
+	BodyBytes      int // bytes of a body,
+	TotalBodyBytes int // and of all that are held at a time
+	WatchLine      int // bytes of one line of a watch on the list
 
 	// Descriptors, which in all stay under the node's limit.
-	ClientConns int // connections of clients and callbacks that are served as usual
-	SpareConns  int // connections past that which are answered once and closed,
-	DoorConns   int // and past those, which are refused as soon as their request has come
-	WorkerConns int // connections to executors, open and opening
-	IdleConns   int // idle ones kept for each executor
-	GiveUps     int // connections used at a time to give up attempts
-	Operators   int // connections to the operator's address; past them the least worth is closed
+	ClientConns          int // connections of clients and callbacks that are served as usual
+	OverflowConns        int // connections past that which are answered once and closed,
+	RejectConns          int // and past those, which are refused as soon as their request has come
+	ExecutorConns        int // connections to executors, open and opening
+	IdleConnsPerExecutor int // idle ones kept for each executor
+	CancelConns          int // connections used at a time to give up attempts
+	OperatorConns        int // connections to the operator's address; past them the least worth is closed
 
 	// Queues.
-	Events  int // events waiting for the core
-	Tells   int // peer messages waiting to be written
-	MaxOpen int // requests held open
+	Events             int // events waiting for the core
+	QueuedPeerMessages int // peer messages waiting to be written
+	MaxOpen            int // requests held open
 
 	// Batch jobs.
-	BatchConns    int           // connections of batch clients
-	BatchJobs     int           // jobs kept for queries, those that have ended first to go
-	BatchBytes    int           // of their results
-	BatchWait     time.Duration // the longest wait for one
-	BatchDeadline time.Duration // the furthest deadline of one
-	BatchAhead    time.Duration // the furthest start time of one
-	BatchAgain    time.Duration // the least wait of one that was refused and waits here
-	BatchOut      int           // jobs that waited here and are with the core at a time
-	BatchWaiting  int           // items - jobs and arrays - that wait here
-	BatchArray    int           // members of an array
-	BatchEvents   int           // changes of state kept for clients that come back
-	BatchLate     int           // callbacks of jobs in doubt that are looked into at a time
-	BatchSessions int           // job sessions
-	BatchPage     int           // jobs in an answer, and
-	BatchLook     int           // looked at for it
-	BatchValues   int64         // jobs on record, those that have ended first to go,
-	BatchRecords  int64         // their bytes,
-	BatchAge      time.Duration // and their age
+	BatchConns          int           // connections of batch clients
+	BatchJobs           int           // jobs kept for queries, those that have ended first to go
+	BatchResultBytes    int           // of their results
+	MaxBatchWait        time.Duration // the longest wait for one
+	MaxBatchDeadline    time.Duration // the furthest deadline of one
+	MaxBatchStartDelay  time.Duration // the furthest start time of one
+	MinBatchRetryDelay  time.Duration // the least wait of one that was refused and waits here
+	BatchOut            int           // jobs that waited here and are with the core at a time
+	BatchWaitingItems   int           // items - jobs and arrays - that wait here
+	BatchArrayMembers   int           // members of an array
+	BatchEvents         int           // changes of state kept for clients that come back
+	BatchCallbackChecks int           // callbacks of jobs in doubt that are looked into at a time
+	BatchSessions       int           // job sessions
+	BatchPageJobs       int           // jobs in an answer, and
+	BatchPageScanned    int           // looked at for it
+	BatchStoredJobs     int64         // jobs on record, those that have ended first to go,
+	BatchStoredBytes    int64         // their bytes,
+	BatchStoredAge      time.Duration // and their age
 
 	// The inventory and the store, off on the platform.
-	InventoryBytes int
-	InventoryRows  int
-	InventoryLook  time.Duration // between looks at the file
-	StoreConns     int           // connections of other members' calls
-	StoreFollowers int           // connections of processes that follow the settings; none unless ServeFollowers gives them some
-	StoreBody      int           // bytes of a member's call
-	StoreValues    int           // of one kind, and
-	StoreBytes     int           // their bytes together: the ones written first go first
-	StoreLog       int           // changes between snapshots
-	StoreBeat      time.Duration // without a sign of the leader for so long, another is chosen
-	LeaseTTL       time.Duration // of a node's lease, without which others take its duties over
-	StoreCall      time.Duration // of one call, a change of the leader included
+	InventoryBytes         int
+	InventoryRows          int
+	InventoryCheckInterval time.Duration // between looks at the file
+	StoreConns             int           // connections of other members' calls
+	StoreFollowers         int           // connections of processes that follow the settings; none unless ServeFollowers gives them some
+	StoreBodyBytes         int           // bytes of a member's call
+	StoreValues            int           // of one kind, and
+	StoreBytes             int           // their bytes together: the ones written first go first
+	StoreSnapshotThreshold int           // changes between snapshots
+	StoreElectionTimeout   time.Duration // without a sign of the leader for so long, another is chosen
+	LeaseTTL               time.Duration // of a node's lease, without which others take its duties over
+	StoreCallTimeout       time.Duration // of one call, a change of the leader included
 
 	// Times.
 	ClientIdle   time.Duration          // a client's connection between requests,
@@ -177,19 +177,19 @@
 	spare, giveUps, batch := usable/16, usable/32, usable/16
 	workers := usable / 3
 	return Limits{
-		Ring: 4 << 10, Line: 8 << 10, HeaderBytes: 16 << 10, Headers: 64, ID: 256, Body: 64 << 10,
-		Bodies: memoryMB << 20 / 8, WatchLine: 1 << 20,
-		ClientConns: min(usable-spare-giveUps-workers-batch*5/4, memoryMB*connsPerMB), SpareConns: spare - spare/4, DoorConns: spare / 4, WorkerConns: workers,
-		IdleConns: 32, GiveUps: giveUps, Operators: 16,
-		BatchConns: batch, BatchJobs: 4096, BatchBytes: 16 << 20, BatchWait: time.Minute, BatchDeadline: 15 * time.Minute,
-		BatchAhead: 30 * 24 * time.Hour, BatchAgain: 100 * time.Millisecond, BatchOut: 64, BatchWaiting: 10000, BatchArray: 1 << 20,
-		BatchEvents: 4096, BatchLate: 64, BatchSessions: 256, BatchPage: 1000, BatchLook: 20000, BatchValues: 1 << 20, BatchRecords: 4 << 30,
-		BatchAge: 7 * 24 * time.Hour,
-
-		InventoryBytes: 1 << 20, InventoryRows: 4096, InventoryLook: 200 * time.Millisecond,
-		StoreConns: 8, StoreBody: 256 << 10, StoreValues: 4096, StoreBytes: 16 << 20, StoreLog: 2048,
-		StoreBeat: 500 * time.Millisecond, StoreCall: 5 * time.Second, LeaseTTL: 3 * time.Second,
-		Events: 4096, Tells: 64, MaxOpen: 4096,
+		RingBytes: 4 << 10, LineBytes: 8 << 10, HeaderBytes: 16 << 10, HeaderLines: 64, IDBytes: 256, BodyBytes: 64 << 10,
+		TotalBodyBytes: memoryMB << 20 / 8, WatchLine: 1 << 20,
+		ClientConns: min(usable-spare-giveUps-workers-batch*5/4, memoryMB*connsPerMB), OverflowConns: spare - spare/4, RejectConns: spare / 4, ExecutorConns: workers,
+		IdleConnsPerExecutor: 32, CancelConns: giveUps, OperatorConns: 16,
+		BatchConns: batch, BatchJobs: 4096, BatchResultBytes: 16 << 20, MaxBatchWait: time.Minute, MaxBatchDeadline: 15 * time.Minute,
+		MaxBatchStartDelay: 30 * 24 * time.Hour, MinBatchRetryDelay: 100 * time.Millisecond, BatchOut: 64, BatchWaitingItems: 10000, BatchArrayMembers: 1 << 20,
+		BatchEvents: 4096, BatchCallbackChecks: 64, BatchSessions: 256, BatchPageJobs: 1000, BatchPageScanned: 20000, BatchStoredJobs: 1 << 20, BatchStoredBytes: 4 << 30,
+		BatchStoredAge: 7 * 24 * time.Hour,
+
+		InventoryBytes: 1 << 20, InventoryRows: 4096, InventoryCheckInterval: 200 * time.Millisecond,
+		StoreConns: 8, StoreBodyBytes: 256 << 10, StoreValues: 4096, StoreBytes: 16 << 20, StoreSnapshotThreshold: 2048,
+		StoreElectionTimeout: 500 * time.Millisecond, StoreCallTimeout: 5 * time.Second, LeaseTTL: 3 * time.Second,
+		Events: 4096, QueuedPeerMessages: 64, MaxOpen: 4096,
 		ClientIdle: 2 * time.Minute, StrangerIdle: 5 * time.Second, Linger: 500 * time.Millisecond, DoorWait: 50 * time.Millisecond, DropPause: time.Millisecond, Write: 5 * time.Second,
 		SettleLeast: 2 * time.Millisecond, SettleMost: 40 * time.Millisecond, Reconnects: 4,
 		KeptFirst: 32 * time.Millisecond, KeptMemory: 15 * time.Second, KeptSure: 10, KeptBroken: 0.05,
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -70,7 +70,7 @@
 func Listen(
 	addr string, peers []string, broadcast string, lim limits.Limits, sink Sink, log *slog.Logger,
 ) (*Socket, error) {
-	s := &Socket{limits: lim, sink: sink, log: log, outgoing: make(chan outgoingMessage, lim.Tells)}
+	s := &Socket{limits: lim, sink: sink, log: log, outgoing: make(chan outgoingMessage, lim.QueuedPeerMessages)}
 	for _, p := range peers {
 		a, err := netip.ParseAddrPort(p)
 		if err != nil {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -117,7 +117,7 @@
 	if m.Method != "POST" {
 		return http1.Text(405, "jobs come by POST")
 	}
-	job, err := parseJob(m, class, names, f.limits.ID)
+	job, err := parseJob(m, class, names, f.limits.IDBytes)
 	if err != nil {
 		return http1.Text(400, "%v", err)
 	}
--- a/internal/scale/hollow/conn.go
+++ b/internal/scale/hollow/conn.go
@@ -32,7 +32,7 @@
 	}
 	lim := limits.New(0, 0, 0, 0, 0)
 	counted := t.count(c, r)
-	return &Conn{counted, http1.NewRing(lim.Ring), http1.NewParser(lim, true), http1.NewWriter(counted, lim.Ring), t, r}, nil
+	return &Conn{counted, http1.NewRing(lim.RingBytes), http1.NewParser(lim, true), http1.NewWriter(counted, lim.RingBytes), t, r}, nil
 }
 
 // Send writes a request.
--- a/internal/scale/hollow/discovery.go
+++ b/internal/scale/hollow/discovery.go
@@ -152,7 +152,7 @@
 	defer stop()
 	defer func() { _ = conn.Close() }()
 	c := s.traffic.count(conn, RoleDiscovery)
-	in, parser := http1.NewRing(s.lim.Ring), http1.NewParser(s.lim, false)
+	in, parser := http1.NewRing(s.lim.RingBytes), http1.NewParser(s.lim, false)
 	for {
 		m, err := parser.Read(in, c)
 		if err != nil {
@@ -168,7 +168,7 @@
 		if err != nil {
 			return
 		}
-		if http1.NewWriter(c, s.lim.Ring).Response(&http1.Response{Status: 200, Body: append(text, '\n')}) != nil {
+		if http1.NewWriter(c, s.lim.RingBytes).Response(&http1.Response{Status: 200, Body: append(text, '\n')}) != nil {
 			return
 		}
 		s.told(a, dispatcher)
--- a/internal/scale/hollow/executor.go
+++ b/internal/scale/hollow/executor.go
@@ -198,7 +198,7 @@
 // serve answers the requests of one connection.
 func (x *executor) serve(l *life, conn net.Conn, caller int) {
 	c := x.traffic.count(conn, RoleExecutor)
-	in, parser, writer := http1.NewRing(x.lim.Ring), http1.NewParser(x.lim, false), http1.NewWriter(c, x.lim.Ring)
+	in, parser, writer := http1.NewRing(x.lim.RingBytes), http1.NewParser(x.lim, false), http1.NewWriter(c, x.lim.RingBytes)
 	var firstByte time.Duration
 	for {
 		m, err := parser.Feed(in)
--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -116,7 +116,7 @@
 
 // callLeader makes a call at the leader. Without one it tries again until the context ends.
 func (s *Store) callLeader(ctx context.Context, path string, body []byte) (*http1.Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCall)
+	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCallTimeout)
 	defer cancel()
 	for {
 		m, err := s.callLeaderOnce(ctx, path, body)
@@ -126,7 +126,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, fmt.Errorf("store: %w", errors.Join(err, ctx.Err()))
-		case <-time.After(s.lim.StoreBeat / 10):
+		case <-time.After(s.lim.StoreElectionTimeout / 10):
 		}
 	}
 }
@@ -137,14 +137,14 @@
 		return nil, ErrNoLeader
 	}
 	if s.Leads() {
-		ctx, cancel := context.WithTimeout(ctx, 4*s.lim.StoreBeat)
+		ctx, cancel := context.WithTimeout(ctx, 4*s.lim.StoreElectionTimeout)
 		defer cancel()
 		r := s.serveAsLeader(ctx, path, body)
 		return checkStatus(&http1.Message{Status: r.Status, Body: r.Body})
 	}
 	// An unresponsive leader is not waited for to the end, because another may lead meanwhile. A call that is made twice
 	// has one effect.
-	ctx, cancel := context.WithTimeout(ctx, 4*s.lim.StoreBeat)
+	ctx, cancel := context.WithTimeout(ctx, 4*s.lim.StoreElectionTimeout)
 	defer cancel()
 	m, err := Call(ctx, string(addr), "POST", path, body, s.cfg.Keys, s.lim)
 	if err != nil {
--- a/internal/store/dial.go
+++ b/internal/store/dial.go
@@ -37,13 +37,13 @@
 	defer func() { _ = c.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
-	w := http1.NewWriter(c, lim.Ring)
+	w := http1.NewWriter(c, lim.RingBytes)
 	if err := errors.Join(
 		w.Request(verb, path, append(fields, http1.Field{Name: "Host", Value: addr}), body),
 		w.Flush(),
 	); err != nil {
 		return nil, err
 	}
-	lim.Body = max(lim.Body, maxSnapshotBody)
-	return http1.NewParser(lim, true).Read(http1.NewRing(lim.Ring), c)
+	lim.BodyBytes = max(lim.BodyBytes, maxSnapshotBody)
+	return http1.NewParser(lim, true).Read(http1.NewRing(lim.RingBytes), c)
 }
--- a/internal/store/folder.go
+++ b/internal/store/folder.go
@@ -83,7 +83,7 @@
 
 // askWitnesses asks members which folder they know under this one's name. The result has those that answered.
 func (s *Store) askWitnesses(ctx context.Context, members map[string]string) map[string]witnessAnswer {
-	ctx, cancel := context.WithTimeout(ctx, 2*s.lim.StoreBeat)
+	ctx, cancel := context.WithTimeout(ctx, 2*s.lim.StoreElectionTimeout)
 	defer cancel()
 	var g sync.WaitGroup
 	var mu sync.Mutex
@@ -202,9 +202,9 @@
 		for name := range s.askWitnesses(ctx, left) {
 			told[name] = true
 		}
-		wait := 4 * s.lim.StoreBeat
+		wait := 4 * s.lim.StoreElectionTimeout
 		if err == nil && len(all) > 1 && len(told) >= len(all)-1 {
-			wait = 120 * s.lim.StoreBeat
+			wait = 120 * s.lim.StoreElectionTimeout
 		}
 		select {
 		case <-time.After(wait):
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -24,7 +24,7 @@
 		Bytes:   lim.StoreBytes,
 		History: 8,
 		Key:     512,
-		Value:   lim.StoreBody,
+		Value:   lim.StoreBodyBytes,
 		Ops:     256,
 		Done:    8192,
 	}
--- a/internal/store/guard.go
+++ b/internal/store/guard.go
@@ -242,7 +242,7 @@
 // sleepHalfBeat waits before another attempt. It returns false when the context ends.
 func (s *Store) sleepHalfBeat(ctx context.Context) bool {
 	select {
-	case <-time.After(s.lim.StoreBeat / 2):
+	case <-time.After(s.lim.StoreElectionTimeout / 2):
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -45,7 +45,7 @@
 // serveRead reads after a barrier: all that was committed before the call is then applied, and only a leader commits
 // one.
 func (s *Store) serveRead(ctx context.Context, path string, q url.Values) http1.Response {
-	if err := s.await(ctx, s.raft.Barrier(s.lim.StoreCall).Error); err != nil {
+	if err := s.await(ctx, s.raft.Barrier(s.lim.StoreCallTimeout).Error); err != nil {
 		return http1.Text(503, "%v", err)
 	}
 	view := s.fsm.view()
@@ -64,7 +64,7 @@
 // page returns the rows of a page, which holds no more bytes than a body may, but at least one row.
 func (s *Store) page(view *kv.View, q url.Values) []jobstore.Row {
 	limit, _ := strconv.Atoi(q.Get("limit")) // 0 where it is no number: an empty page
-	rows, remaining := []jobstore.Row{}, s.lim.StoreBody
+	rows, remaining := []jobstore.Row{}, s.lim.StoreBodyBytes
 	for _, e := range view.List(q.Get("table"), "", q.Get("after"), limit) {
 		if remaining -= len(e.Value); remaining < 0 && len(rows) > 0 {
 			break
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -104,7 +104,7 @@
 }
 
 func (s *Store) applyChange(x membership.Change) error {
-	id, addr, wait := raft.ServerID(x.Name), raft.ServerAddress(x.Address), s.lim.StoreCall
+	id, addr, wait := raft.ServerID(x.Name), raft.ServerAddress(x.Address), s.lim.StoreCallTimeout
 	defer func() { // heartbeats that failed before were another process's
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -127,7 +127,7 @@
 func (s *Store) requestChange(ctx context.Context, to string, call map[string]any) (*http1.Message, error) {
 	call["name"], call["address"] = s.cfg.Name, s.cfg.Listen
 	body, _ := json.Marshal(call)
-	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCall)
+	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCallTimeout)
 	defer cancel()
 	return Call(ctx, to, "POST", "/v1/members", body, s.cfg.Keys, s.lim)
 }
@@ -161,7 +161,7 @@
 			s.log.Warn("store join rejected", "by", to, "status", m.Status, "reason", string(m.Body))
 		}
 		select {
-		case <-time.After(s.lim.StoreBeat):
+		case <-time.After(s.lim.StoreElectionTimeout):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/store/mux.go
+++ b/internal/store/mux.go
@@ -73,7 +73,7 @@
 }
 
 func (m *mux) dispatch(ctx context.Context, c net.Conn) {
-	_ = c.SetReadDeadline(time.Now().Add(m.lim.StoreCall))
+	_ = c.SetReadDeadline(time.Now().Add(m.lim.StoreCallTimeout))
 	r := bufio.NewReaderSize(c, 16)
 	first, err := r.Peek(1)
 	if err != nil {
--- a/internal/store/operator.go
+++ b/internal/store/operator.go
@@ -91,7 +91,7 @@
 	if addr == "" || m.Get("X-Forwarded") != "" {
 		return errorResponse(503, "no leader is known")
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCall)
+	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCallTimeout)
 	defer cancel()
 	r, err := Call(ctx, string(addr), m.Method, m.Target, m.Body, s.cfg.Keys, s.lim)
 	if err != nil {
@@ -111,7 +111,7 @@
 		return errorResponse(400, "%v", err)
 	}
 	meta := &raft.SnapshotMeta{Version: 1, Index: state.Snapshot().Index(), Term: 1, Size: int64(len(data))}
-	if err := s.raft.Restore(meta, bytes.NewReader(data), 4*s.lim.StoreCall); err != nil {
+	if err := s.raft.Restore(meta, bytes.NewReader(data), 4*s.lim.StoreCallTimeout); err != nil {
 		return errorResponse(503, "%v", err)
 	}
 	return http1.JSON(200, s.Status())
--- a/internal/store/operator_entries.go
+++ b/internal/store/operator_entries.go
@@ -50,7 +50,7 @@
 	}
 	upTo, tick := gjson.ParseBytes(m.Body).Uint(), time.NewTicker(2*time.Millisecond)
 	defer tick.Stop()
-	late := time.After(s.lim.StoreCall)
+	late := time.After(s.lim.StoreCallTimeout)
 	for s.fsm.view().Index() < upTo {
 		select {
 		case <-tick.C:
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -88,7 +88,7 @@
 	if cfg.Keys != nil {
 		under = cfg.Keys.Listen(ln)
 	}
-	lim.Body = max(lim.StoreBody*2, 1<<20) // a call holds a transaction
+	lim.BodyBytes = max(lim.StoreBodyBytes*2, 1<<20) // a call holds a transaction
 	s := &Store{
 		cfg:          cfg,
 		lim:          lim,
@@ -105,7 +105,7 @@
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	sub := lim
-	sub.ClientConns, sub.SpareConns = lim.StoreConns+lim.StoreFollowers, lim.StoreConns/2
+	sub.ClientConns, sub.OverflowConns = lim.StoreConns+lim.StoreFollowers, lim.StoreConns/2
 	s.server = http1.NewServer(sub, s, slow, log)
 	return s, nil
 }
@@ -117,9 +117,9 @@
 	)
 	c := raft.DefaultConfig()
 	c.LocalID, c.Logger = raft.ServerID(s.cfg.Name), quiet
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = s.lim.StoreBeat, s.lim.StoreBeat, s.lim.StoreBeat/2
-	c.CommitTimeout = s.lim.StoreBeat / 20
-	c.SnapshotThreshold, c.TrailingLogs = uint64(s.lim.StoreLog), uint64(s.lim.StoreLog)/4
+	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = s.lim.StoreElectionTimeout, s.lim.StoreElectionTimeout, s.lim.StoreElectionTimeout/2
+	c.CommitTimeout = s.lim.StoreElectionTimeout / 20
+	c.SnapshotThreshold, c.TrailingLogs = uint64(s.lim.StoreSnapshotThreshold), uint64(s.lim.StoreSnapshotThreshold)/4
 	alone := len(s.cfg.Members) == 1 && s.cfg.Join == ""
 	lost, err := inspectFolder(s.cfg.Dir, alone, s.lim, quiet, s.log)
 	if err != nil {
@@ -157,7 +157,7 @@
 	// With an empty folder the member takes part in nothing until it is known that none is lost: see package membership.
 	s.startedEmpty = !known
 	s.mux.raftOpen.Store(known)
-	s.guard = newGuard(raft.NewNetworkTransportWithLogger(s.mux, 2, s.lim.StoreCall, quiet), s.disk, s.lim.StoreBeat)
+	s.guard = newGuard(raft.NewNetworkTransportWithLogger(s.mux, 2, s.lim.StoreCallTimeout, quiet), s.disk, s.lim.StoreElectionTimeout)
 	if s.startedEmpty { // nothing was acknowledged by this folder
 		s.guard.setAssessment(membership.Assessment{Complete: true})
 		if err := s.disk.watermark.arm(membership.Position{}, 0); err != nil {
@@ -204,12 +204,12 @@
 	var err error
 	select {
 	case err = <-down:
-	case <-time.After(s.lim.StoreBeat):
+	case <-time.After(s.lim.StoreElectionTimeout):
 		wait, bad := s.disk.stalled()
 		s.disk.release()
 		select {
 		case err = <-down:
-		case <-time.After(s.lim.StoreCall):
+		case <-time.After(s.lim.StoreCallTimeout):
 			err = errors.Join(&StalledError{wait}, bad)
 		}
 	}
@@ -222,7 +222,7 @@
 
 // expireLeases commits an empty transaction with the current time when a lease ends, while this member leads.
 func (s *Store) expireLeases(ctx context.Context) {
-	tick := time.NewTicker(s.lim.StoreBeat / 2)
+	tick := time.NewTicker(s.lim.StoreElectionTimeout / 2)
 	defer tick.Stop()
 	for {
 		select {
@@ -241,7 +241,7 @@
 // apply commits a transaction as the leader, with the leader's time. A write that is not acknowledged by a majority,
 // or that the disk does not complete, is waited for no longer than a call may take. It may still be committed later.
 func (s *Store) apply(ctx context.Context, t *kv.Txn) (*kv.Result, error) {
-	if wait, _ := s.disk.stalled(); wait > s.lim.StoreBeat {
+	if wait, _ := s.disk.stalled(); wait > s.lim.StoreElectionTimeout {
 		return nil, &StalledError{wait}
 	}
 	t.At = s.now()
@@ -249,7 +249,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := s.raft.Apply(data, s.lim.StoreCall)
+	f := s.raft.Apply(data, s.lim.StoreCallTimeout)
 	if err := s.await(ctx, f.Error); err != nil {
 		return nil, err
 	}
@@ -260,7 +260,7 @@
 func (s *Store) await(ctx context.Context, wait func() error) error {
 	done := make(chan error, 1)
 	go func() { done <- wait() }()
-	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCall)
+	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCallTimeout)
 	defer cancel()
 	select {
 	case err := <-done:
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -36,7 +36,7 @@
 func (m *node) start(t *testing.T) {
 	t.Helper()
 	lim := testenv.Lim
-	lim.StoreCall = 20 * time.Second
+	lim.StoreCallTimeout = 20 * time.Second
 	// Filled before the first write: a member writes whenever others send, also while a test changes what its disk does.
 	m.disk.Store(&failpoint.Disk{})
 	m.cfg.writeFault = func() failpoint.Disk { return *m.disk.Load() }
@@ -629,7 +629,7 @@
 		t.Errorf("%v: %s", err, &said)
 	}
 	all[2].start(t)
-	time.Sleep(3 * testenv.Lim.StoreBeat)
+	time.Sleep(3 * testenv.Lim.StoreElectionTimeout)
 	if all[2].s.Leads() {
 		t.Error("a dry run has changed the members")
 	}
