--- a/internal/callbackrelay/callbackrelay_test.go
+++ b/internal/callbackrelay/callbackrelay_test.go
@@ -171,14 +171,14 @@
 // A process whose directory fails at the start continues without it, and is registered once the directory is usable.
 func TestRegistrationIsRetriedOnAFailingDirectory(t *testing.T) {
 	for _, x := range []struct {
-		what string
+		name string
 		fail func(*faultyDirectory)
 	}{
 		{"mkdir", func(d *faultyDirectory) { d.mkdir = syscall.ENOSPC }},
 		{"marker", func(d *faultyDirectory) { d.Fail(atomicfiletest.Write, -1, syscall.ENOSPC) }},
 		{"sync", func(d *faultyDirectory) { d.Fail(atomicfiletest.Sync, -1, syscall.EIO) }},
 	} {
-		t.Run(x.what, func(t *testing.T) {
+		t.Run(x.name, func(t *testing.T) {
 			dir, files := filepath.Join(t.TempDir(), "handover"), newFaultyDirectory()
 			x.fail(files)
 			r := newRelay(files, dir, os.Getpid(), time.Millisecond, time.Minute, testenv.Quiet)
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -45,9 +45,9 @@
 	dial  func(ctx context.Context, network, addr string) (net.Conn, error)
 	sleep func(context.Context, time.Duration)
 
-	index        atomic.Uint64         // of the list received last
-	tracker      endpointwatch.Tracker // of the watch; at most one watch runs at a time
-	callUnderWay atomic.Bool           // the watch has a call in progress
+	index          atomic.Uint64         // of the list received last
+	tracker        endpointwatch.Tracker // of the watch; at most one watch runs at a time
+	callInProgress atomic.Bool           // the watch has a call in progress
 
 	mu     sync.Mutex // guards source
 	source source
@@ -151,7 +151,7 @@
 	}
 	now := time.Now()
 	c.tracker.Started(now)
-	c.callUnderWay.Store(true) // the first call is made at once, and also answers what the module requests meanwhile
+	c.callInProgress.Store(true) // the first call is made at once, and also answers what the module requests meanwhile
 	start(now)
 	for {
 		select {
@@ -164,7 +164,7 @@
 			case c.pushed: // the watch continues
 			case r == stopWatch:
 				stop()
-			case !c.callUnderWay.Load(): // a call in progress answers this request too; restarted, it would lose its turn
+			case !c.callInProgress.Load(): // a call in progress answers this request too; restarted, it would lose its turn
 				start(time.Now())
 			}
 		}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// A call that waits for its turn is not abandoned for one that the module requests meanwhile, which would start to
-// wait anew.
+// A call that waits for its turn is not abandoned for one that the module requests meanwhile, which would have to wait
+// from the start again.
 func TestWatchRequestKeepsCallInProgress(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -142,7 +142,7 @@
 	defer func() { _ = conn.Close() }()
 	_, _ = conn.Read(make([]byte, 1000)) // the call waits from here on
 	for range cap(c.requests) {
-		c.Watch(true) // nothing listens any more
+		c.Watch(true)
 	}
 	testenv.Until(t, "all requests are handled", func() bool { return len(c.requests) == 0 })
 	line := `{"index":3,"snapshot":false,"endpoints":[]}`
@@ -152,8 +152,8 @@
 
 // A watch stops receiving data at any point: while the call waits, after the head, within a line, between lines. The
 // client ends it and starts another one without reporting a failure: the module's next request could be ten seconds
-// away, while a missed drain counts as notified after six. In a fleet of 300 nodes 1 of 33 watches stopped while its
-// call waited, and its node violated drains three times before it asked again.
+// away, while a missed drain counts as notified after six. In a fleet of 300 nodes, 1 of 33 watches stopped while its
+// call waited, and its node violated drains three times before the module requested another call.
 func TestUnresponsiveWatchIsRestarted(t *testing.T) {
 	head, line := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", `{"index":3,"snapshot":false,"endpoints":[]}`
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
@@ -276,13 +276,13 @@
 		case "gone":
 			<-ended
 		}
-		began := time.Now()
+		start := time.Now()
 		c.SetAddress(next.Addr)
 		testenv.Until(t, old+": the list at the new address", func() bool {
 			l := s.All()
 			return len(l) > 0 && len(l[len(l)-1].Entries) == 1 && l[len(l)-1].Entries[0].Status == "draining"
 		})
-		if d := time.Since(began); d > testenv.Lim.Staleness.HeartbeatInterval {
+		if d := time.Since(start); d > testenv.Lim.Staleness.HeartbeatInterval {
 			t.Errorf("%s: the list took %v, want at most a heartbeat interval", old, d)
 		}
 		for _, l := range s.All() {
@@ -323,7 +323,7 @@
 		c := New(ln.Addr().String(), 0, false, testenv.Lim, s, nil, testenv.Quiet)
 		g.Go(func() error { return c.Run(ctx) })
 		testenv.Until(t, name, func() bool { return len(s.All()) > 0 })
-		c.Watch(true) // nobody is there any more
+		c.Watch(true) // nothing listens any more
 		testenv.Until(t, name+", and the requested call", func() bool { return len(s.All()) > 1 })
 		cancel()
 		_ = g.Wait()
--- a/internal/discovery/lines.go
+++ b/internal/discovery/lines.go
@@ -48,7 +48,7 @@
 			s.lineStart = len(s.buf)
 		case broken && s.unbroken && len(bytes.TrimSpace(s.buf)) == 0: // the line break of a line that was already handled
 			s.buf, s.unbroken = s.buf[:0], false
-		case broken || s.objectWhole():
+		case broken || s.objectComplete():
 			err = s.endLine()
 			s.unbroken = !broken
 		}
@@ -86,9 +86,9 @@
 // started reports whether a part of a line has arrived.
 func (s *lineSplitter) started() bool { return len(s.buf) > 0 }
 
-// objectWhole reports whether the buffer contains a complete object, even if its line break has not arrived: its
+// objectComplete reports whether the buffer contains a complete object, even if its line break has not arrived: its
 // content counts as notified either way.
-func (s *lineSplitter) objectWhole() bool {
+func (s *lineSplitter) objectComplete() bool {
 	t := bytes.TrimSpace(s.buf)
 	return s.depth == 0 && len(t) > 1 && t[0] == '{' && t[len(t)-1] == '}' && gjson.ValidBytes(t)
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -43,8 +43,8 @@
 
 // watchOnce follows changes for the duration of one call, and returns when the next one is due.
 func (c *Client) watchOnce(ctx context.Context, at source) time.Time {
-	c.callUnderWay.Store(true)
-	defer c.callUnderWay.Store(false)
+	c.callInProgress.Store(true)
+	defer c.callInProgress.Store(false)
 	c.tracker.CallStarted(time.Now())
 	err := c.callAt(ctx, at, watchTarget+strconv.FormatUint(c.index.Load(), 10), &c.tracker)
 	now := time.Now()
@@ -60,15 +60,15 @@
 	}
 	c.sink.ListCallFailed()
 	if !next.Owned {
-		c.callUnderWay.Store(false) // before the module is notified, since what it then requests is another call
+		c.callInProgress.Store(false) // before the module is notified, since what it then requests is another call
 		c.reportFailure("watch", err)
 	} else {
 		c.log.Info("discovery call failed", "call", "watch", "err", err, "retry_in", next.At.Sub(now).Round(time.Millisecond))
 	}
 	// The agent of a pushed list can take any number of calls: the next call follows soon, or earlier if the tracker
 	// requires it.
-	if again := now.Add(c.limits.PushAgain); c.pushed && (!next.Owned || !next.At.Before(again)) {
-		return again
+	if nextPushedCall := now.Add(c.limits.PushAgain); c.pushed && (!next.Owned || !next.At.Before(nextPushedCall)) {
+		return nextPushedCall
 	}
 	return next.At
 }
--- a/internal/executor/answer.go
+++ b/internal/executor/answer.go
@@ -22,8 +22,8 @@
 	client      *Client
 	attempt     *activeAttempt
 	conn        *connection
-	deadline    time.Time // the reader gives up
-	ackDeadline time.Time // the acknowledgement is overdue
+	deadline    time.Time // when reading ends in any case
+	ackDeadline time.Time // when the acknowledgement becomes overdue
 	notified    bool      // nothing more is reported about the acknowledgement
 }
 
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -48,7 +48,7 @@
 		_, _ = io.WriteString(conn, acceptedAnswer)
 		testenv.Until(t, "the client's kernel has the 202", func() bool { return tcpinfo.Unacknowledged(conn) == 0 })
 		delivered <- true
-		_, _ = r.ReadByte() // until it is closed
+		_, _ = r.ReadByte() // until the connection is closed
 	}, func(conn net.Conn) {
 		text, _ := readRequest(bufio.NewReader(conn))
 		received <- text
@@ -81,13 +81,13 @@
 // DELETE.
 func TestCancelCrossesRecordingOfA202(t *testing.T) {
 	c, _ := newClient(t, testenv.Lim)
-	asked := make(chan bool, 1)
+	requested := make(chan bool, 1)
 	next := make(chan string, 4)
 	startRawExecutor(t, c, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
 		_, _ = readRequest(r)
-		asked <- true
-		_, _ = r.ReadByte() // until the connection is closed
+		requested <- true
+		_, _ = r.ReadByte()
 	}, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
 		for {
@@ -100,7 +100,7 @@
 		}
 	})
 	c.Send(newAttempt(1))
-	<-asked
+	<-requested
 	c.attempts.mu.Lock()
 	attempt := c.attempts.byID[1]
 	c.attempts.mu.Unlock()
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -233,7 +233,8 @@
 	)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.results) != 2 || s.results[0].Topic != dispatch.NotificationStarted || s.results[1].Outcome != dispatch.Served ||
+	if len(s.results) != 2 || s.results[0].Topic != dispatch.NotificationStarted ||
+		s.results[1].Outcome != dispatch.Served ||
 		string(s.results[1].Body) != "tile" || len(s.results[1].Report) != 2 {
 		t.Errorf("results %+v, want a notification of the start and one served outcome", s.results)
 	}
@@ -332,7 +333,7 @@
 
 // The last byte of a request is held back for a short time. If the connection breaks meanwhile, or the executor sends
 // something, the executor never had the request. On a reused connection the attempt continues on another one, and on a
-// new one it ends as failed to connect. As a reset, the outcome would end a tile-charge for good.
+// new one it ends as failed to connect. If it ended as reset, a tile-charge would fail finally, since it may have run.
 func TestConnectionBrokenBeforeLastByte(t *testing.T) {
 	lim := testenv.Lim
 	lim.SettleLeast, lim.SettleMost = 20*time.Second, 20*time.Second // the verdicts follow from what the executor does
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -54,7 +54,7 @@
 		"sends nothing": func(c net.Conn) {
 			r := bufio.NewReader(c)
 			_, _ = readRequest(r)
-			_, _ = r.ReadByte() // until the other side closes
+			_, _ = r.ReadByte() // until the client closes the connection
 		},
 		"sends the status line slowly": func(c net.Conn) {
 			_, _ = readRequest(bufio.NewReader(c))
@@ -94,7 +94,7 @@
 		r := bufio.NewReader(conn)
 		_, _ = readRequest(r)
 		got <- true
-		_, _ = r.ReadByte() // until the client closes the connection
+		_, _ = r.ReadByte()
 	})
 	c.Send(newAttempt(1))
 	<-got
@@ -130,7 +130,8 @@
 	})
 	c.Send(newAttempt(1))
 	<-closed
-	if got := s.outcomes(1); len(got) != 0 || s.overdueNotes(1) != 0 || c.slowPeers.Count(slowpeer.ExecutorSendsSlowly) != 1 {
+	if got := s.outcomes(1); len(got) != 0 || s.overdueNotes(1) != 0 ||
+		c.slowPeers.Count(slowpeer.ExecutorSendsSlowly) != 1 {
 		t.Errorf("outcomes %v, %d overdue notes, %d slow senders, want none, 0, 1",
 			got, s.overdueNotes(1), c.slowPeers.Count(slowpeer.ExecutorSendsSlowly))
 	}
@@ -191,8 +192,8 @@
 	_ = raw.Control(func(fd uintptr) { _ = setReceiveBuffer(fd, 2048) })
 }
 
-// If the acknowledgements of most executors are overdue at the same time, they are counted as a crowd and none is
-// reported to the dispatch module. A single one is.
+// If the acknowledgements of most executors are overdue at the same time, they are only counted and none is reported
+// to the dispatch module. A single one is reported.
 func TestOverdueAcknowledgementsOfMostExecutors(t *testing.T) {
 	c, s := newClient(t, withShortAcks())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -217,7 +218,7 @@
 		a.Executor, a.Job.TraceID = 20+uint32(i), "00000000000000a"+string('0'+rune(i))
 		c.Send(a)
 	}
-	testenv.Until(t, "the crowd is counted", func() bool { return c.slowPeers.Count(slowpeer.MostAcksLate) >= 8 })
+	testenv.Until(t, "the overdue executors are counted", func() bool { return c.slowPeers.Count(slowpeer.MostAcksLate) >= 8 })
 	mu.Lock()
 	defer mu.Unlock()
 	for i := range uint64(4) {
@@ -241,7 +242,8 @@
 		a.Job.TraceID = "00000000000000" + string('a'+rune(id)) + "0"
 		c.Send(a)
 	}
-	testenv.Until(t, "some attempts get no connection", func() bool { return c.slowPeers.Count(slowpeer.ExecutorOverShare) > 0 })
+	testenv.Until(t, "some attempts get no connection",
+		func() bool { return c.slowPeers.Count(slowpeer.ExecutorOverShare) > 0 })
 	testenv.Until(
 		t,
 		"the other attempts are in flight",
--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -18,9 +18,9 @@
 type Counts struct {
 	Accepted, Served, Rejected, Failed, Terminated, ClientsGone int
 	Sends, Open, Queued, Running                                int
-	// SlowPeers holds the slow peers by kind, as JSON; see slowpeer.Tally.
+	// SlowPeers holds the slow peers by kind, as JSON; see slowpeer.Counters.
 	SlowPeers []byte
-	// Knowledge tells for each kind of data how current it is; see recovery.Knowledge.
+	// Knowledge maps each kind of data to how current it is; see recovery.Knowledge.
 	Knowledge map[string]string
 }
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// SlowPeers returns the tally to which adapters and fronts add slow peers. Counts reports it.
+// SlowPeers returns the counters to which adapters and fronts add slow peers. Counts reports them.
 func (c *Core) SlowPeers() *slowpeer.Counters { return &c.counters.slowPeers }
 
 // currentCounts returns the counts together with the jobs that are open, queued and running at the moment.
--- a/internal/node/oneanswer_test.go
+++ b/internal/node/oneanswer_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-func (m *answerModel) checkNothingIsKept() {
+func (m *answerModel) checkNoStateIsLeft() {
 	core := m.h.core
 	attempts, jobs, traces, open := len(core.jobs.attempts), len(core.jobs.byID), len(core.jobs.byTrace), core.Open()
 	if attempts != 0 || jobs != 0 || traces != 0 || open != 0 {
@@ -136,6 +136,6 @@
 		m.runToTheEnd()
 		m.checkAnswers()
 		m.checkAttempts(sent)
-		m.checkNothingIsKept()
+		m.checkNoStateIsLeft()
 	})
 }
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -52,11 +52,11 @@
 func (c *Core) Result(r Result) { c.post(attemptResult{r}) }
 
 // HealthChecked takes the result of a health check.
-func (c *Core) HealthChecked(worker uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
+func (c *Core) HealthChecked(executor uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
 	c.post(
 		moduleEvent{
 			dispatch.Event{
-				Kind: dispatch.EvHealthCheck, Executor: worker, Outcome: o, Elapsed: milliseconds(elapsed), Report: report,
+				Kind: dispatch.EvHealthCheck, Executor: executor, Outcome: o, Elapsed: milliseconds(elapsed), Report: report,
 			},
 		},
 	)
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -11,7 +11,7 @@
 // Job is a request as a front submits it.
 type Job struct {
 	Class, Tenant int
-	Key           uint64
+	Key           uint64        // affinity key, 0 for none
 	TimeLeft      time.Duration // until the client's deadline
 	Slots, Memory float64
 	Work          float64   // size hint, 0 if unknown
@@ -31,7 +31,7 @@
 	PreSendCheck func() precheck.Reason
 }
 
-// End tells how a job ended.
+// End is the way in which a job ended.
 type End uint8
 
 // The ends of a job.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -30,23 +30,23 @@
 	return s.got[from] == text
 }
 
-// Messages reach the node to which they are sent, with the index of their sender. Messages from unknown addresses and
-// messages over 256 bytes, which is the maximum size of a datagram, reach no node.
+// Messages reach the node to which they are sent, with the index of their sender. Messages from unknown addresses, and
+// messages over the limit of 256 bytes for a datagram between nodes, reach no node.
 func TestMessagesReachOnlyTheirNode(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var g errgroup.Group
 	var addrs []string
-	var held []net.PacketConn
+	var listeners []net.PacketConn
 	for range 2 {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		held = append(held, c) // kept open until both ports are known, since a released port may be assigned again
+		listeners = append(listeners, c) // kept open until both ports are known, since a released port may be assigned again
 		addrs = append(addrs, c.LocalAddr().String())
 	}
-	for _, c := range held {
+	for _, c := range listeners {
 		_ = c.Close()
 	}
 	var sockets []*Socket
@@ -79,7 +79,7 @@
 	defer func() { _ = stranger.Close() }()
 	_, _ = stranger.Write([]byte("stranger"))
 	sockets[1].SendGossip(0, make([]byte, 257))
-	sockets[1].SendGossip(9, []byte("nobody"))
+	sockets[1].SendGossip(9, []byte("unknown node"))
 	sockets[1].SendGossip(0, []byte("last"))
 	until("the last message", func() bool { return sinks[0].has(1, "last") })
 	if len(sinks[0].got) != 1 {
