--- a/internal/dispatch/aggregator_test.go
+++ b/internal/dispatch/aggregator_test.go
@@ -5,49 +5,49 @@
 	"testing"
 )
 
-// Nodes that never met at an executor see what the others have out there: each of 80 sends one job, and no executor
-// gets more than it has slots for. Each by its own knowledge, many queue while slots are free (join+vast: 30 to 120
-// queued beside 60 free slots).
+// Nodes know the slots that others use at an executor before they send a job there themselves: each of 80 nodes sends
+// one job, and no executor gets more jobs than it has slots. Without the aggregator, 30 to 120 jobs queued beside 60
+// free slots.
 func TestAggregatorReportsSlotsOfOtherNodes(t *testing.T) {
 	c := newReadyCluster(t, 80, 2, fleet(50)...)
-	at := map[uint32]int{}
+	jobsAt := map[uint32]int{}
 	for i := range c.nodes {
-		w := c.sendJob(i, 300)
-		if w == 0 {
-			t.Fatalf("node %d sent nothing", i)
+		executor := c.sendJob(i, 300)
+		if executor == 0 {
+			t.Fatalf("node %d sent no job", i)
 		}
-		if at[w]++; at[w] > 2 {
-			t.Errorf("executor %d got %d jobs for its 2 slots", w, at[w])
+		if jobsAt[executor]++; jobsAt[executor] > 2 {
+			t.Errorf("executor %d got %d jobs for its 2 slots", executor, jobsAt[executor])
 		}
 		c.run(50)
 	}
 }
 
-// What a request costs in messages does not grow with the number of nodes, and idle nodes say nothing.
+// The message bytes for a request do not grow with the number of nodes, and idle nodes send no messages.
 func TestAggregatorCostIsIndependentOfNodes(t *testing.T) {
 	for _, n := range []int{60, 240} {
 		c := newReadyCluster(t, n, 2, fleet(50)...)
 		if c.bytes > 0 {
-			t.Errorf("%d bytes told while nothing came", c.bytes)
+			t.Errorf("%d message bytes sent without any request, want 0", c.bytes)
 		}
 		for i := range 40 {
 			c.sendJob(i, 300)
 		}
-		if per := c.bytes / 40; per == 0 || per > 130 {
-			t.Errorf("%d nodes: %d bytes a request, want 1 to 130", n, per)
+		if perRequest := c.bytes / 40; perRequest == 0 || perRequest > 130 {
+			t.Errorf("%d nodes: %d message bytes per request, want 1 to 130", n, perRequest)
 		}
 	}
 }
 
-// An aggregator that is gone costs a job one wait for its answer, and not the next ones; another takes its place, and
-// is left again once the first is back.
+// If the aggregator is down, a job waits at most one answer timeout, and another node becomes the aggregator. The first
+// one is used again after it is back.
 func TestAggregatorIsReplaced(t *testing.T) {
 	rows := fleet(50)
 	c := newReadyCluster(t, 60, 2, rows...)
 	c.sendJob(3, 300)
 	first := c.aggregator()
 	if first < 0 {
-		t.Fatal("nodes differ about the aggregator from the start")
+		t.Fatal("the nodes do not agree on an aggregator at the start")
 	}
 	c.down[first] = true
 	node := (first + 1) % 60
@@ -55,17 +55,17 @@
 	for k := range 4 {
 		from := c.now
 		if c.sendJob(node, 1000) == 0 || c.now-from > wait+50 {
-			t.Errorf("job %d took %.0f ms to be sent while the aggregator is gone, want %.0f at most", k, c.now-from, wait+50)
+			t.Errorf("job %d took %.0f ms to be sent while the aggregator is down, want %.0f at most", k, c.now-from, wait+50)
 		}
 		c.run(wait + 50)
 	}
 	if now := c.nodes[node].aggregatorClient.current; now == first {
-		t.Error("an aggregator that is gone is still asked")
+		t.Error("an aggregator that is down is still in use")
 	}
 	from := c.now
 	c.sendJob(node, 1000)
 	if c.now-from > 50 {
-		t.Errorf("a job took %.0f ms although the next aggregator answers", c.now-from)
+		t.Errorf("a job took %.0f ms although the next aggregator answers, want at most 50", c.now-from)
 	}
 	c.start(first, rows)
 	c.run(1.5 * aggregatorSuspicionFactor * wait)
@@ -76,34 +76,34 @@
 	}
 }
 
-// An aggregator that was started anew in between holds nothing of us: it says so, and is told all again.
+// A restarted aggregator knows no slots of other nodes. Its new incarnation tag makes them send a snapshot.
 func TestAggregatorRestart(t *testing.T) {
 	rows := fleet(50)
 	c := newReadyCluster(t, 60, 2, rows...)
 	c.sendJob(0, 300)
-	h := c.aggregator()
-	node := (h + 1) % 60
-	w := c.sendJob(node, 300)
+	aggregator := c.aggregator()
+	node := (aggregator + 1) % 60
+	executor := c.sendJob(node, 300)
 	c.run(100)
-	c.start(h, rows)
+	c.start(aggregator, rows)
 	c.step(nil)
 	c.setSlots(2)
 	c.run(aggregatorReadyRuns*c.nodes[0].serviceTimes.meanRun + 200)
 	c.sendJob(node, 300)
-	c.run(50) // before any reminder
-	held := 0.0
-	for _, x := range c.nodes[h].gossip.peers[node].loads {
-		if x.tag == c.nodes[h].tagOf(w) {
-			held = x.slots
+	c.run(50) // less than the reminder interval
+	slots := 0.0
+	for _, x := range c.nodes[aggregator].gossip.peers[node].loads {
+		if x.tag == c.nodes[aggregator].tagOf(executor) {
+			slots = x.slots
 		}
 	}
-	if held < 1 {
-		t.Error("the aggregator's new life does not know a job that was sent before it")
+	if slots < 1 {
+		t.Error("the new incarnation of the aggregator does not know a job that was sent before its start")
 	}
 }
 
-// Messages of chance, cut or of the wrong kind do no harm: no panic, nothing below nothing, bounded memory, and jobs
-// are sent.
+// Random, truncated and misdirected messages do no harm: no panic, no negative slots, bounded memory, and jobs are
+// still sent.
 func TestAggregatorToleratesRandomMessages(t *testing.T) {
 	c := newReadyCluster(t, 60, 2, fleet(50)...)
 	rng := rand.New(rand.NewSource(5))
@@ -117,76 +117,78 @@
 		for _, all := range []map[uint16]float64{d.aggregatorClient.peerSlots, d.aggregatorServer.slotTotals} {
 			for tag, n := range all {
 				if n < 0 {
-					t.Fatalf("node %d holds %v slots out under tag %d", i, n, tag)
+					t.Fatalf("node %d counts %v slots under tag %d, want none below 0", i, n, tag)
 				}
 			}
 		}
 		for k := range d.gossip.peers {
 			if n := len(d.gossip.peers[k].loads); n > maxPeerEntries {
-				t.Fatalf("node %d keeps %d entries of node %d", i, n, k)
+				t.Fatalf("node %d keeps %d entries of node %d, want at most maxPeerEntries", i, n, k)
 			}
 		}
 	}
 	c.run(4 * c.nodes[0].reminderInterval())
 	if c.sendJob(7, 500) == 0 {
-		t.Error("nothing is sent any more")
+		t.Error("a job was not sent after the random messages")
 	}
 }
 
-// What one node finds of an executor keeps all others away for a while: a class that fails there, another still served,
-// and connections rejected. By itself each of 80 nodes loses a job for it (zone+vast: 280 errors of two bad executors).
+// A fault that one node finds at an executor keeps all others from using it for a while: a class that fails there,
+// while other classes are still sent, or rejected connections. Without this, each of 80 nodes lost a job, and two
+// faulty executors caused 280 errors.
 func TestAggregatorDistributesQuarantines(t *testing.T) {
 	c := newReadyCluster(t, 60, 20, fleet(3)...)
-	bad := c.sendJob(0, 300)
-	c.step(map[int]Event{0: outcome(c.lastJob, 0, bad, Errored)})
+	failing := c.sendJob(0, 300)
+	c.step(map[int]Event{0: outcome(c.lastJob, 0, failing, Errored)})
 	c.run(50)
-	var dead uint32
-	lapses := 0.0
+	var unreachable uint32
+	expiresAt := 0.0
 	for i := 1; i < 30; i++ {
-		w := c.sendJob(i, 300)
-		if w == bad {
-			t.Fatalf("node %d sends a job to executor %d, where its class failed at another node", i, w)
+		executor := c.sendJob(i, 300)
+		if executor == failing {
+			t.Fatalf("node %d sends a job to executor %d, where the class failed for another node", i, executor)
 		}
 		if i == 10 {
-			c.step(map[int]Event{i: outcome(c.lastJob, 0, w, ConnectFailed)})
-			dead, lapses = w, c.now+connectionQuarantineFactor*c.settings.ConnectTimeout
-		} else if w == dead && c.now < lapses {
-			t.Errorf("node %d sends to executor %d, which took no connection of another node", i, w)
+			c.step(map[int]Event{i: outcome(c.lastJob, 0, executor, ConnectFailed)})
+			unreachable, expiresAt = executor, c.now+connectionQuarantineFactor*c.settings.ConnectTimeout
+		} else if executor == unreachable && c.now < expiresAt {
+			t.Errorf("node %d sends to executor %d, which accepted no connection of another node", i, executor)
 		}
 		c.run(30)
 	}
 	d := c.nodes[29]
-	if !d.isClassQuarantined(d.endpoints.byID[bad], 0) || d.isClassQuarantined(d.endpoints.byID[bad], 1) {
-		t.Error("the class that failed is to be kept away, and only that one")
+	if !d.isClassQuarantined(d.endpoints.byID[failing], 0) || d.isClassQuarantined(d.endpoints.byID[failing], 1) {
+		t.Error("want the class that failed quarantined, and only that one")
 	}
 	c.run(2 * classQuarantineFactor * c.settings.ConnectTimeout)
 	c.sendJob(29, 300)
-	if d.isClassQuarantined(d.endpoints.byID[bad], 0) || d.isQuarantined(d.endpoints.byID[dead], connectionQuarantine) {
-		t.Error("a mark that nobody found again still holds")
+	if d.isClassQuarantined(d.endpoints.byID[failing], 0) ||
+		d.isQuarantined(d.endpoints.byID[unreachable], connectionQuarantine) {
+		t.Error("a quarantine that no node reported again is still active")
 	}
 }
 
-// A node that has met no executor of a kind knows nothing of its slots. It must go by what the aggregator tells all
-// the same: each of 80 nodes sent a first job blindly, and 13 queued at one slow executor (join+vast, seed
-// 245395339836).
+// A node that has used no executor of a kind does not know how many slots it has. It must still consider the answers of
+// the aggregator: otherwise each of 80 nodes sent a first job without them, and 13 jobs queued at one slow executor.
 func TestAggregatorBoundsUnknownKinds(t *testing.T) {
 	c := newReadyCluster(t, 60, 0, fleet(20)...)
-	at := map[uint32]int{}
+	jobsAt := map[uint32]int{}
 	for i := range c.nodes {
-		if w := c.sendJob(i, 200); w != 0 {
-			if at[w]++; at[w] > initialSoftLimit {
-				t.Errorf("%d jobs at executor %d, of which nobody knows that it has more than %d slots", at[w], w, initialSoftLimit)
+		if executor := c.sendJob(i, 200); executor != 0 {
+			if jobsAt[executor]++; jobsAt[executor] > initialSoftLimit {
+				t.Errorf("%d jobs at executor %d, which is not known to have more than %d slots",
+					jobsAt[executor], executor, initialSoftLimit)
 			}
 		}
 		c.run(50)
 	}
-	if len(at) != 20 {
-		t.Errorf("%d of 20 executors were used", len(at))
+	if len(jobsAt) != 20 {
+		t.Errorf("%d of 20 executors were used", len(jobsAt))
 	}
 }
 
-// BenchmarkHub is an aggregator's work for one job of a fleet of 300 nodes and 200 executors: the node asks with what
-// it has out, is answered, tells of a send and of an end.
+// BenchmarkAggregator measures the work of an aggregator for one job in a fleet of 300 nodes and 200 executors: a query
+// with an entry, its answer, and the updates for the send and the end of the job.
 func BenchmarkAggregator(b *testing.B) {
 	s := base()
 	s.Nodes, s.GossipAllowed = 300, true
@@ -197,12 +199,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	d.gossip.mode = gossipAggregator // whatever the bound is
+	d.gossip.mode = gossipAggregator // independent of the limit on the request rate
 	d.settings.Node = d.aggregatorClient.pick(d.gossip.peers, d.now)
 	rows := fleet(200)
 	now := 100000.0
 	out := d.Step(now, []Event{{Kind: EvEndpoints, Form: ListCached, Rows: rows}}, nil)
-	for i := range 900 { // what is out
+	for i := range 900 { // jobs in flight
 		n, w := i%300, rows[i%200]
 		if n != d.settings.Node {
 			out = d.Step(
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -21,7 +21,8 @@
 	}
 	d.placement.lastDispatchAt = d.now
 	d.act(Action{Kind: ActSend, Job: job.id, Executor: executor.id})
-	sent := attempt{executor: executor, sentAt: d.now, lastNotificationAt: d.now, hadFreeSlots: executor.load.freeSlots >= job.slots}
+	sent := attempt{executor: executor, sentAt: d.now, lastNotificationAt: d.now,
+		hadFreeSlots: executor.load.freeSlots >= job.slots}
 	if job.key != 0 && cacheMissProbability(job, executor, d.settings.Nodes) >= cacheMissThreshold {
 		sent.fetchesKey = true
 		d.affinity.fetchingSlots += job.slots
@@ -48,7 +49,8 @@
 // delayNextRetry sets the time of the next job for an executor that is still unresponsive after the current one.
 func (d *Dispatcher) delayNextRetry(executor *executor) {
 	outlier := &executor.outlier
-	outlier.trialAt = d.now + d.unresponsiveTimeout()/2*backoffFactor(outlier.trials, maxRetryDoublings)*(0.75+0.5*d.random())
+	outlier.trialAt = d.now +
+		d.unresponsiveTimeout()/2*backoffFactor(outlier.trials, maxRetryDoublings)*(0.75+0.5*d.random())
 	outlier.trials++
 }
 
--- a/internal/dispatch/cluster_test.go
+++ b/internal/dispatch/cluster_test.go
@@ -2,18 +2,18 @@
 
 import "testing"
 
-// crowd is a fleet of nodes that hear one another's messages 10 ms later, as long as both are up.
+// cluster is a set of nodes that receive each other's messages after 10 ms, as long as both are up.
 type cluster struct {
 	t        *testing.T
 	settings Settings
 	now      float64
 	nodes    []*Dispatcher
 	down     []bool
-	inbox    [][]Event // what comes at the next step
-	sent     [][]Action
+	inbox    [][]Event  // events for the next step
+	sent     [][]Action // by each node in the last step
 	bytes    int
 	lastJob  uint32
-	noStarts bool
+	noStarts bool // executors start no jobs
 }
 
 func newCluster(t *testing.T, n int, rows ...EndpointUpdate) *cluster {
@@ -38,21 +38,22 @@
 		c.t.Fatal(err)
 	}
 	if d.gossip.mode != gossipAggregator {
-		c.t.Fatalf("%d nodes tell in way %d, want by an aggregator", s.Nodes, d.gossip.mode)
+		c.t.Fatalf("%d nodes use gossip mode %d, want an aggregator", s.Nodes, d.gossip.mode)
 	}
 	c.nodes[i], c.down[i] = d, false
 	c.inbox[i] = []Event{{Kind: EvEndpoints, Form: ListCached, Rows: rows}}
 }
 
-// step takes all nodes 10 ms on; each may also be given an event.
+// step advances all nodes by 10 ms. Each node may get one more event.
 func (c *cluster) step(more map[int]Event) {
 	c.now += 10
 	in := c.inbox
 	c.inbox = make([][]Event, len(c.nodes))
 	for i := range c.nodes {
 		for _, a := range c.sent[i] {
-			if !c.noStarts { // else no executor has free slots
-				c.inbox[i] = append(c.inbox[i], Event{Kind: EvNotification, Job: a.Job, Executor: a.Executor, Topic: NotificationStarted})
+			if !c.noStarts {
+				c.inbox[i] = append(c.inbox[i],
+					Event{Kind: EvNotification, Job: a.Job, Executor: a.Executor, Topic: NotificationStarted})
 			}
 		}
 	}
@@ -70,7 +71,7 @@
 				c.sent[i] = append(c.sent[i], a)
 			case ActGossip:
 				if len(a.Data) > 255 || int(a.To) >= len(c.nodes) {
-					c.t.Fatalf("a message of %d bytes to %d", len(a.Data), a.To)
+					c.t.Fatalf("message of %d bytes to node %d, want at most 255 bytes to a node of the cluster", len(a.Data), a.To)
 				}
 				c.bytes += len(a.Data)
 				c.inbox[a.To] = append(c.inbox[a.To], Event{Kind: EvGossip, From: uint32(i), Data: a.Data})
@@ -85,11 +86,11 @@
 	}
 }
 
-// sendJob has a node take a job and gives the executor that it goes to, 0 if it goes nowhere within some time.
-func (c *cluster) sendJob(node int, within float64) (worker uint32) {
+// sendJob gives a node a job and returns the executor that it sends the job to, or 0 if it sends it nowhere in time.
+func (c *cluster) sendJob(node int, timeout float64) (executor uint32) {
 	c.lastJob++
 	c.step(map[int]Event{node: request(c.lastJob, 0, 0, 1)})
-	for end := c.now + within; len(c.sent[node]) == 0; c.step(nil) {
+	for end := c.now + timeout; len(c.sent[node]) == 0; c.step(nil) {
 		if c.now >= end {
 			return 0
 		}
@@ -97,8 +98,8 @@
 	return c.sent[node][0].Executor
 }
 
-// listening makes a crowd whose nodes know the executors' slots, 0 for nodes that do not, and that has listened for
-// long enough for any of them to be the aggregator.
+// newReadyCluster returns a cluster that has run for long enough for any node to be a ready aggregator. Its nodes know
+// that each executor has the given slots, or know nothing of them if slots is 0.
 func newReadyCluster(t *testing.T, n int, slots float64, rows ...EndpointUpdate) *cluster {
 	c := newCluster(t, n, rows...)
 	c.step(nil)
@@ -109,7 +110,7 @@
 	return c
 }
 
-// setSlots gives all nodes the slots of all executors, as reports would with time.
+// setSlots sets the known slots of all executors at all nodes, as reports would do over time.
 func (c *cluster) setSlots(slots float64) {
 	for _, d := range c.nodes {
 		for _, executor := range d.endpoints.listed {
@@ -119,17 +120,17 @@
 	}
 }
 
-// aggregator gives the node that is told by all that are up, -1 if they differ.
+// aggregator returns the node that all running nodes use as the aggregator, or -1 if they differ.
 func (c *cluster) aggregator() int {
-	at := -1
+	node := -1
 	for i, d := range c.nodes {
 		if c.down[i] {
 			continue
 		}
-		if at >= 0 && d.aggregatorClient.current != at {
+		if node >= 0 && d.aggregatorClient.current != node {
 			return -1
 		}
-		at = d.aggregatorClient.current
+		node = d.aggregatorClient.current
 	}
-	return at
+	return node
 }
--- a/internal/dispatch/gossip_test.go
+++ b/internal/dispatch/gossip_test.go
@@ -2,34 +2,34 @@
 
 import "testing"
 
-// Jobs that nodes or aggregators left behind when they were killed are told by none. A job of ours that is not
-// started shows that an executor is full all the same, and all others then keep away too, for about a run (herd+vast:
-// each node of 80 found out for itself, by a job that waited).
+// No message reports the jobs that killed nodes or aggregators left behind. A job that does not start shows one node
+// that an executor is full. This node reports it, and all others avoid the executor for about one run. Without this,
+// each of 80 nodes found out by a waiting job of its own.
 func TestUnreportedSlotsAreGossiped(t *testing.T) {
 	c := newReadyCluster(t, 60, 2, fleet(50)...)
 	c.noStarts = true
-	at := map[uint32]int{}
+	jobsAt := map[uint32]int{}
 	for i := range 40 {
-		if w := c.sendJob(i, 300); w != 0 {
-			if at[w]++; at[w] > 1 {
-				t.Errorf("node %d sends to executor %d, where another's job waits already", i, w)
+		if executor := c.sendJob(i, 300); executor != 0 {
+			if jobsAt[executor]++; jobsAt[executor] > 1 {
+				t.Errorf("node %d sends to executor %d, where a job of another node already waits", i, executor)
 			}
 		}
 		c.run(c.nodes[i].serviceTimes.startNoteTimeout() + 100)
 	}
-	if len(at) < 10 {
-		t.Errorf("%d executors were tried", len(at))
+	if len(jobsAt) < 10 {
+		t.Errorf("%d executors were used, want at least 10", len(jobsAt))
 	}
 }
 
-// What a killed node had out runs on: its next life does not make the aggregator forget it at once.
+// The jobs of a killed node continue to run. The aggregator counts them for about one run after the node restarts.
 func TestJobsOfKilledNodeStillCount(t *testing.T) {
 	rows := fleet(50)
 	c := newReadyCluster(t, 60, 2, rows...)
 	c.sendJob(0, 300)
-	h := c.aggregator()
-	node, other := (h+1)%60, (h+2)%60
-	w := c.sendJob(node, 300)
+	aggregator := c.aggregator()
+	node, other := (aggregator+1)%60, (aggregator+2)%60
+	executor := c.sendJob(node, 300)
 	c.run(50)
 	c.start(node, rows)
 	c.step(nil)
@@ -38,19 +38,19 @@
 	c.run(50)
 	c.sendJob(other, 300)
 	d := c.nodes[other]
-	if n := d.peerSlotsAt(d.endpoints.byID[w]); n < 1 {
-		t.Error("the job of a node that was killed is forgotten while it runs")
+	if n := d.peerSlotsAt(d.endpoints.byID[executor]); n < 1 {
+		t.Error("the job of a killed node is not counted while it runs")
 	}
 	c.run(2*d.serviceTimes.meanRun + 200)
 	c.sendJob(other, 300)
-	if n := d.peerSlotsAt(d.endpoints.byID[w]); n > 0 {
-		t.Errorf("the job of a node that was killed still counts %v two runs later", n)
+	if n := d.peerSlotsAt(d.endpoints.byID[executor]); n > 0 {
+		t.Errorf("the job of a killed node still counts as %v slots two runs later, want 0", n)
 	}
 }
 
-// A fleet of 318 nodes with 504 requests a second in all tells an aggregator. (The bound stood at 300, and the whole
-// fleet told nothing: its nodes rejected a tenth to a quarter of the jobs of a restart's or a release's seconds
-// beside free slots.)
+// A fleet of 318 nodes with a total quota of 504 requests per second uses an aggregator. With a former limit of 300,
+// this fleet exchanged no load, and during restarts and releases its nodes rejected a tenth to a quarter of the jobs
+// beside free slots.
 func TestLargestFleetUsesAnAggregator(t *testing.T) {
 	s := base()
 	s.Nodes, s.GossipAllowed, s.Tenants = 318, true, nil
@@ -62,13 +62,12 @@
 		t.Fatal(err)
 	}
 	if d.gossip.mode != gossipAggregator {
-		t.Errorf("told in way %d, want by an aggregator", d.gossip.mode)
+		t.Errorf("gossip mode %d, want an aggregator", d.gossip.mode)
 	}
 }
 
-// Some dozen nodes at a dozen executors told one another all that they had out, about once a run, for the bytes allowed
-// no more: each of 32 saw the same free slots for a second, and jobs queued for seconds beside idle slots
-// (tallinn-tiles throng+brink).
+// A few dozen nodes with a dozen executors use an aggregator. The byte budget allowed them broadcasts only about once a
+// run: each of 32 nodes saw the same free slots for a second, and jobs queued for seconds beside idle slots.
 func TestAggregatorWhereBroadcastsAreOlderThanReports(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
@@ -88,17 +87,17 @@
 			t.Fatal(err)
 		}
 		if d.gossip.mode != c.want {
-			t.Errorf("%d nodes with %v requests a second tell in way %d, want %d", c.nodes, c.quota, d.gossip.mode, c.want)
+			t.Errorf("%d nodes with %v requests per second use gossip mode %d, want %d", c.nodes, c.quota, d.gossip.mode, c.want)
 		}
 	}
 }
 
-// Messages that the bytes allow only when what they told is long over mislead: half of the sends of nodes that
-// trusted them were rejected as full (recife later big-2). Few nodes tell, many do not.
+// A small number of nodes broadcasts its load, many nodes do not. If the byte budget delays broadcasts until they are
+// outdated, they mislead: half of the sends of nodes that trusted them were rejected as full.
 func TestManyNodesDoNotBroadcast(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
-		tells bool
+		want  bool
 	}{{3, true}, {150, false}} {
 		s := base()
 		s.Nodes, s.GossipAllowed = c.nodes, true
@@ -106,14 +105,14 @@
 			s.Tenants[i].Quota = 4 * float64(c.nodes)
 		}
 		r := newRig(t, s, fleet(40)...)
-		told := false
+		sent := false
 		for id := uint32(1); id <= 20; id++ {
 			for _, a := range r.after(100, request(id, 0, 0, 1)) {
-				told = told || a.Kind == ActGossip
+				sent = sent || a.Kind == ActGossip
 			}
 		}
-		if told != c.tells {
-			t.Errorf("%d nodes: told %v, want %v", c.nodes, told, c.tells)
+		if sent != c.want {
+			t.Errorf("%d nodes: sent broadcasts %v, want %v", c.nodes, sent, c.want)
 		}
 	}
 }
--- a/internal/dispatch/loadreport_test.go
+++ b/internal/dispatch/loadreport_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Where our jobs explain nothing of what executors hold, no age does: one that counts none of our jobs fits such
-// reports best, and was believed, on a day of drains, until all that ran counted as not in them.
+// Where this node's own jobs have no influence on the reported occupancy, the default age stays. A candidate age that
+// counts none of the own jobs fits such reports best. It was once selected during drains, and all running jobs then
+// counted as missing in the reports.
 func TestReportAgeWithoutInfluenceOfOwnJobs(t *testing.T) {
 	s := base()
 	s.Nodes = 3
@@ -18,7 +19,7 @@
 	var out []Action
 	for range 600 {
 		var events []Event
-		for range 3 { // so many that none is remembered for as long as the greatest age
+		for range 3 { // so many that none is kept for as long as the greatest age
 			job++
 			events = append(events, request(job, 0, 0, 1))
 		}
@@ -38,12 +39,13 @@
 		most = max(most, r.d.reports.age)
 	}
 	if most > 10*defaultReportAge*r.d.reports.interval || math.IsNaN(most) {
-		t.Errorf("reports are taken to be up to %.0f ms old, with a period of %.0f", most, r.d.reports.interval)
+		t.Errorf("report age estimated at up to %.0f ms with an interval of %.0f ms", most, r.d.reports.interval)
 	}
 }
 
-// Reports can be delayed by seconds without any sign of it (iacbb5d): all nodes then fill the executors that were
-// idle once. Their age is learned from how what an executor holds follows our own jobs there, and forgotten again.
+// Reports can be delayed by seconds without any sign of it. All nodes then fill the executors that were idle at that
+// time. The age is estimated from the way in which the reported occupancy follows this node's own jobs, and falls again
+// when the delay ends.
 func TestReportAgeIsLearned(t *testing.T) { //nolint:gocognit // one course of events
 	s := base()
 	s.Nodes = 3
@@ -51,8 +53,8 @@
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	rng := rand.New(rand.NewSource(5))
 	type span struct {
-		worker, job uint32
-		from, to    float64
+		executor, job uint32
+		from, to      float64
 	}
 	var spans []span // of our jobs
 	job := uint32(0)
@@ -65,13 +67,13 @@
 			}
 			for i := range spans {
 				if sp := &spans[i]; sp.to > r.now-100 && sp.to <= r.now {
-					events = append(events, outcome(sp.job, 0, sp.worker, Served))
+					events = append(events, outcome(sp.job, 0, sp.executor, Served))
 				}
 			}
 			for _, executor := range r.d.endpoints.listed {
 				busy := float32(rng.Intn(2))
 				for _, sp := range spans {
-					if sp.worker == executor.id && sp.from <= r.now-delay && sp.to > r.now-delay {
+					if sp.executor == executor.id && sp.from <= r.now-delay && sp.to > r.now-delay {
 						busy++
 					}
 				}
@@ -86,23 +88,23 @@
 	}
 	play(20000, 60)
 	if r.d.reports.age > 150 {
-		t.Errorf("reports of 60 ms are taken to be %.0f ms old", r.d.reports.age)
+		t.Errorf("reports of 60 ms are estimated to be %.0f ms old, want at most 150", r.d.reports.age)
 	}
 	play(20000, 450)
 	if r.d.reports.age < 250 || r.d.reports.age > 750 {
-		t.Errorf("reports of 450 ms are taken to be %.0f ms old", r.d.reports.age)
+		t.Errorf("reports of 450 ms are estimated to be %.0f ms old, want 250 to 750", r.d.reports.age)
 	}
-	play(20000, 2400) // many periods: renewed as often as ever (i832aaf)
+	play(20000, 2400) // many report intervals; the interval itself stays the same
 	if r.d.reports.age < 1500 || r.d.reports.age > 4000 {
-		t.Errorf("reports of 2,400 ms are taken to be %.0f ms old", r.d.reports.age)
+		t.Errorf("reports of 2,400 ms are estimated to be %.0f ms old, want 1,500 to 4,000", r.d.reports.age)
 	}
 	play(20000, 60)
 	if r.d.reports.age > 150 {
-		t.Errorf("reports of 60 ms are still taken to be %.0f ms old", r.d.reports.age)
+		t.Errorf("reports of 60 ms are still estimated to be %.0f ms old, want at most 150", r.d.reports.age)
 	}
 }
 
-// What executors hold may have nothing to do with our own few jobs: then no other age is believed (i3f1d0e).
+// The occupancy of executors may be unrelated to this node's own few jobs. The default age then stays selected.
 func TestReportAgeIgnoresJobsOfOtherNodes(t *testing.T) {
 	s := base()
 	s.Fields = []Field{FieldBusy, FieldFree}
@@ -119,13 +121,13 @@
 			r.after(50, outcome(a.Job, 0, a.Executor, Served))
 		}
 		if r.d.reports.selectedAge != 1 {
-			t.Fatalf("after %d reports they are taken to be %.0f ms old", 2*i, r.d.reports.age)
+			t.Fatalf("after %d reports they are estimated to be %.0f ms old, want the default age", 2*i, r.d.reports.age)
 		}
 	}
 }
 
-// A restarted node counts zero in flight while its old jobs still run: free slots comes from reports, and until one
-// comes an executor is only tried.
+// A restarted node has no jobs in flight while those of its former incarnation still run. The free slots come from
+// reports, and an executor gets no more than the initial soft limit until its first report.
 func TestRestartedNodeSeesOldJobsInReports(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0), ready(8, 0))
 	sent := map[uint32]int{}
@@ -140,7 +142,7 @@
 		count(r.step(request(id, 0, uint16(id%3), 1)))
 	}
 	if sent[7] > initialSoftLimit || sent[8] > initialSoftLimit || sent[7] == 0 {
-		t.Fatalf("sent %v before any report, want %v at most each", sent, initialSoftLimit)
+		t.Fatalf("sent %v before any report, want 1 to %v at each executor", sent, initialSoftLimit)
 	}
 	r.d.handleLoadReport(r.d.endpoints.byID[7], []float32{0})
 	r.d.handleLoadReport(r.d.endpoints.byID[8], []float32{5})
@@ -149,6 +151,6 @@
 		count(r.after(1, request(id, 0, uint16(id%3), 1)))
 	}
 	if sent[7] != before || sent[8] <= initialSoftLimit {
-		t.Errorf("sent %v, want no more to the executor that old jobs fill and more to the other", sent)
+		t.Errorf("sent %v, want no more to the executor that former jobs fill and more to the other", sent)
 	}
 }
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A node says what it goes by when it begins to reject and when it has not for a while, and no more often.
+// A node logs when it starts to shed load and when it has not done so for a while, and at no other time.
 func TestLoadSheddingIsLoggedOnChange(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
 	executor := r.d.endpoints.byID[7]
@@ -27,40 +27,40 @@
 	if len(lines) < 2 || len(lines) > 4 || !strings.HasPrefix(lines[0], "load shedding active=true capacity_slots=") ||
 		!strings.HasPrefix(lines[1], "load shedding active=false capacity_slots=") ||
 		!strings.Contains(lines[1], "ended_without_slots=") {
-		t.Errorf("lines %q", lines)
+		t.Errorf("got log lines %q, want 2 to 4 that begin with a start and an end of load shedding", lines)
 	}
 	r.d.logBudget, r.d.logBudgetAt = 0, r.now
 	for range 100 {
-		r.d.rejections.active = true // as if it had changed at every tick
+		r.d.rejections.active = true // simulates a change at every tick
 		if got := actionsOf(r.after(20, Event{Kind: EvTimer}), ActLog, 0); len(got) != 0 {
-			t.Fatal("a line past the bound")
+			t.Fatal("a line was logged although the log budget is used up")
 		}
 	}
 }
 
-// A rejected client is told when to come back, and never for longer than the settings allow. A node that told
-// nothing made its clients come back at their own pace, all while nothing was free.
+// Rejections carry a retry-after within the limit of the settings. Without one, clients retried at their own pace while
+// no slots were free.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
-	for _, most := range []float64{0, 50, 2000} {
+	for _, maxRetryAfter := range []float64{0, 50, 2000} {
 		s := base()
-		s.MaxRetryAfter = most
+		s.MaxRetryAfter = maxRetryAfter
 		r := newRig(t, s, ready(1, 1))
 		var events []Event
 		for id := range uint32(60) {
 			events = append(events, request(id+1, 0, 0, 1))
 		}
-		refused := 0
+		rejected := 0
 		for _, a := range r.step(events...) {
 			if a.Kind != ActReject {
 				continue
 			}
-			refused++
-			if most == 0 && a.For != 0 || most > 0 && !(a.For > 0 && a.For <= most) {
-				t.Errorf("at most %v: told to stay away for %v", most, a.For)
+			rejected++
+			if maxRetryAfter == 0 && a.For != 0 || maxRetryAfter > 0 && !(a.For > 0 && a.For <= maxRetryAfter) {
+				t.Errorf("retry-after limit %v: got a retry-after of %v", maxRetryAfter, a.For)
 			}
 		}
-		if refused == 0 {
-			t.Error("nothing was rejected: the test shows nothing")
+		if rejected == 0 {
+			t.Error("no request was rejected, so the test checked nothing")
 		}
 	}
 }
@@ -73,12 +73,12 @@
 			t.Fatal("not sent")
 		}
 		got := r.after(10, outcome(1, 0, first[0].Executor, o))
-		sent, refused, failed := actionsOf(got, ActSend, 1), actionsOf(got, ActReject, 1), actionsOf(got, ActFail, 1)
+		sent, rejected, failed := actionsOf(got, ActSend, 1), actionsOf(got, ActReject, 1), actionsOf(got, ActFail, 1)
 		if o.NeverRan() && (len(sent) != 1 || len(failed) != 0) {
-			t.Errorf("%d proves it never ran: want another try, got %v", o, got)
+			t.Errorf("outcome %d proves that the request never ran: want another attempt, got %v", o, got)
 		}
-		if !o.NeverRan() && (len(sent) != 0 || len(refused) != 0 || len(failed) != 1) {
-			t.Errorf("%d may have run: want a failure, got %v", o, got)
+		if !o.NeverRan() && (len(sent) != 0 || len(rejected) != 0 || len(failed) != 1) {
+			t.Errorf("request with outcome %d may have run: want a failure, got %v", o, got)
 		}
 	}
 }
@@ -91,27 +91,27 @@
 			row.Condition = c
 			got := r.after(1, request(1, 0, 0, 1), Event{Kind: EvEndpoints, Form: form, Rows: []EndpointUpdate{row}})
 			if len(actionsOf(got, ActSend, 1)) != 0 {
-				t.Errorf("sent in the batch that told of condition %d", c)
+				t.Errorf("sent in the batch that notified condition %d", c)
 			}
 		}
 	}
-	// An executor that a full list does not name is gone.
+	// An executor that a snapshot does not contain has been removed.
 	r := newRig(t, base(), ready(7, 0))
 	got := r.after(1, request(1, 0, 0, 1), Event{Kind: EvEndpoints, Form: ListSnapshot})
 	if len(actionsOf(got, ActSend, 1)) != 0 {
-		t.Error("sent to an executor that the full list left out")
+		t.Error("sent to an executor that the snapshot does not contain")
 	}
 }
 
 func TestKeyedRetryStaysInItsScopeAndWindow(t *testing.T) {
 	tests := []struct {
-		name    string
-		scope   DedupScope
-		outcome Outcome
-		after   float64
-		to      uint32 // the only other executor ready after the first attempt
-		sent    bool
-		refused bool
+		name     string
+		scope    DedupScope
+		outcome  Outcome
+		after    float64
+		to       uint32 // the only other executor ready after the first attempt
+		sent     bool
+		rejected bool
 	}{
 		{"same cell", ScopeCell, Reset, 100, 8, true, false},
 		{"other cell", ScopeCell, Reset, 100, 9, false, false},
@@ -119,9 +119,9 @@
 		{"same zone", ScopeZone, Reset, 100, 9, true, false},
 		{"other zone", ScopeZone, Reset, 100, 10, false, false},
 		{"anywhere", ScopeAll, Reset, 100, 10, true, false},
-		{"last moment of the window", ScopeCell, Reset, 1970, 8, true, false},
+		{"end of the window", ScopeCell, Reset, 1970, 8, true, false},
 		{"window over", ScopeCell, Reset, 2000, 8, false, false},
-		{"window over, group of all", ScopeAll, Reset, 2000, 8, false, true},
+		{"window over, anywhere", ScopeAll, Reset, 2000, 8, false, true},
 	}
 	rows := map[uint32]EndpointUpdate{
 		7:  {Executor: 7, Zone: 1, Cell: 1, Condition: Ready},
@@ -142,8 +142,8 @@
 			if n := len(actionsOf(got, ActSend, 1)); (n == 1) != tt.sent {
 				t.Errorf("%d sends, want sent %v", n, tt.sent)
 			}
-			if n := len(actionsOf(got, ActReject, 1)); (n == 1) != tt.refused {
-				t.Errorf("%d refusals, want rejected %v", n, tt.refused)
+			if n := len(actionsOf(got, ActReject, 1)); (n == 1) != tt.rejected {
+				t.Errorf("%d rejections, want rejected %v", n, tt.rejected)
 			}
 		})
 	}
