--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -1,27 +1,27 @@
 package dispatch
 
-// ActionKind tells actions apart.
+// ActionKind is the type of an action.
 type ActionKind uint8
 
-// The actions.
+// The action kinds, with the fields of Action that each of them uses.
 const (
-	ActSend        ActionKind = iota // Job, Executor, For: start the next attempt
-	ActReject                        // Job, For: final; a retry is harmless, after For if it is not 0
-	ActFail                          // Job: final; promises nothing
+	ActSend        ActionKind = iota // Job, Executor: start the next attempt; For is 0
+	ActReject                        // Job, For: final rejection; a retry by the client is safe, after For if it is not 0
+	ActFail                          // Job: final failure; a retry by the client may not be safe
 	ActCancel                        // Job, Attempt
 	ActTimer                         // For, Token
 	ActHealthCheck                   // Executor
-	ActClose                         // Executor: close idle connections
-	ActPollList                      // On: subscribe to the list
-	ActFetch                         // ask for the whole list once
-	ActGossip                        // To (AllPeers for every one), Data
+	ActClose                         // Executor: close its idle connections
+	ActPollList                      // Subscribe: poll the endpoint list and subscribe to its changes
+	ActFetch                         // fetch a snapshot of the endpoint list once
+	ActGossip                        // To (AllPeers for every other node), Data
 	ActLog                           // Text
 )
 
-// AllPeers addresses every other node.
+// AllPeers is the value of Action.To that addresses every other node.
 const AllPeers = 0xffff
 
-// Action is one thing to do; Kind says which fields hold.
+// Action is one output of a Dispatcher; Kind determines which fields are valid.
 type Action struct {
 	Kind      ActionKind
 	Subscribe bool
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -3,62 +3,63 @@
 import "math"
 
 const (
-	// reservedFraction is what the tenants' reserved shares are together, of the capacity. More protects small tenants,
-	// less lends more.
+	// reservedFraction is the part of the capacity that the reserved shares of all tenants add up to. A larger part
+	// protects small tenants better; a smaller one leaves more slots to borrow.
 	reservedFraction = 0.7
 
-	// borrowableFraction is the part of what others have reserved that a tenant's limit goes beyond its own share. Less
-	// stops floods.
+	// borrowableFraction is the part of the other tenants' shares by which a tenant's limit exceeds its own share. A
+	// smaller part bounds floods of one tenant better.
 	borrowableFraction = 0.8
 
-	// tenantActiveMs is how long a reserved share outlives its tenant's last job. Longer leaves slots idle.
+	// tenantActiveMs is how long a tenant's share stays reserved after its last job. A longer time leaves slots idle.
 	tenantActiveMs = 5000
 
-	// localQuotaFactor is the part of its quota that a tenant has at this node, as a factor of its usual rate here.
+	// localQuotaFactor times a tenant's mean rate at this node is the part of its quota that this node grants.
 	localQuotaFactor = 1.3
 
-	// meanRateWindowMs is the time over which the usual rate is taken. A shorter one follows a flood.
+	// meanRateWindowMs is the time constant of a tenant's mean rate. With a shorter one the mean rate follows a flood.
 	meanRateWindowMs = 15000
 
-	// quotaBurstMs is the time whose quota may come at once.
+	// quotaBurstMs is the depth of a tenant's token bucket, as the time in which it fills.
 	quotaBurstMs = 2000
 
-	// minBurst is the least number of requests of a tenant that may come at once.
+	// minBurst is the minimum depth of a tenant's token bucket, in requests.
 	minBurst = 2
 
-	// trunkReservation is the part of the slots that is kept from work worth less than the mean.
+	// trunkReservation is the part of the slots that jobs with a lower value than the mean may not use.
 	trunkReservation = 0.15
 
-	// maxQueuedFraction is how much admitted work may be queued, of the capacity. More serves late what it serves.
+	// maxQueuedFraction bounds the admitted work that may be queued, as a part of the capacity. With a larger part, the
+	// jobs that are served miss their objectives.
 	maxQueuedFraction = 1.0
 
-	// minWorkFraction is the part of its expected work that a job needs at least, wherever it goes.
+	// minWorkFraction is the part of its expected work that a job takes at least, on any executor.
 	minWorkFraction = 0.2
 )
 
-// admission decides which jobs are taken in: the tenants' shares, and what is known of the traffic.
+// admission holds the state by which jobs are admitted: the tenants' shares and the observed traffic.
 type admission struct {
 	*environment
 
 	tenants       []tenant
-	totalQuota    float64     // requests a second that all tenants may send to all nodes
-	meanValue     float64     // mean priority weight of arrivals for each slot and time
-	allArrivals   arrivalRate // of requests here, those that clients send again counted each time
-	firstArrivals arrivalRate // likewise without those
+	totalQuota    float64     // sum of the tenants' quotas, in requests per second over all nodes
+	meanValue     float64     // moving average of job.value over arrivals
+	allArrivals   arrivalRate // of requests at this node, including client retries
+	firstArrivals arrivalRate // of requests at this node, without client retries
 }
 
-// tenant is one tenant's share, and what it uses of it here.
+// tenant is the share and quota of one tenant and its usage at this node.
 type tenant struct {
-	reservedShare float64 // of all tenants', between 0 and 1
-	reservedSlots float64 // held by its admitted jobs
+	reservedShare float64 // normalized: the shares of all tenants add up to 1
+	reservedSlots float64 // slots held by its admitted jobs
 	lastArrivalAt float64
-	quota         float64 // requests a second, at all nodes together
-	meanRate      float64 // requests a second that come this way, over a while
-	tokens        float64 // requests that are still within the quota
+	quota         float64 // requests per second, summed over all nodes
+	meanRate      float64 // moving average of the requests per second at this node
+	tokens        float64 // level of its token bucket, in requests
 	refilledAt    float64
 }
 
-// setTenants takes over the tenants' shares. What was learned of those that are there already stays.
+// setTenants applies the tenants' shares and quotas. Existing tenants keep their usage and learned rates.
 func (a *admission) setTenants(tenants []Tenant) {
 	sum := 0.0
 	a.totalQuota = 0
@@ -85,7 +86,7 @@
 	}
 }
 
-// reservedTotal is how many slots admitted jobs hold.
+// reservedTotal returns the number of slots that admitted jobs hold.
 func (a *admission) reservedTotal() float64 {
 	total := 0.0
 	for i := range a.tenants {
@@ -94,7 +95,8 @@
 	return total
 }
 
-// activeShares is the sum of the reserved shares of tenants that use theirs.
+// activeShares returns the sum of the reserved shares of the active tenants: those that hold slots, or of which a job
+// arrived within tenantActiveMs.
 func (a *admission) activeShares() float64 {
 	active := 0.0
 	for i := range a.tenants {
@@ -106,8 +108,9 @@
 	return max(active, 1e-9)
 }
 
-// isOverQuota says whether a request is beyond its tenant's quota, by a bucket that fills at the part of the quota
-// that usually comes this way: nodes see only their own traffic, and it is uneven.
+// isOverQuota reports whether a request exceeds its tenant's quota. It uses a token bucket that fills at this node's
+// part of the quota, estimated from the tenant's mean rate here: a node sees only its own traffic, and tenants do not
+// spread their requests evenly over the nodes. A client retry takes no token.
 func (a *admission) isOverQuota(job *job, repeated bool) bool {
 	tenant := &a.tenants[job.tenant]
 	if tenant.quota <= 0 {
@@ -123,8 +126,8 @@
 	if repeated {
 		return tenant.tokens < 1
 	}
-	// The usual rate should rise by 1000/usualRateWindowMs here. It never did, because as a division of integer
-	// constants that is 0; a mend changes which requests count as beyond a quota, and is left to a change of behaviour.
+	// BUG: meanRate should increase by 1000/meanRateWindowMs here but never does, because the division of these integer
+	// constants yields 0. A fix would change which requests exceed a quota.
 	if tenant.tokens < 1 {
 		return true
 	}
@@ -132,7 +135,7 @@
 	return tenant.tokens < 1
 }
 
-// countArrival takes in that a request came now.
+// countArrival counts a request in the arrival rates.
 func (a *admission) countArrival(repeated bool) {
 	a.allArrivals.add(a.now)
 	if !repeated {
@@ -140,9 +143,8 @@
 	}
 }
 
-// admitArrived decides on each arrival: within its tenant's limit, within its reserved share, on slots that are not
-// in use, or else in place of a queued job; rejected if none of these. Arrivals wait for an answer of the aggregator
-// where one is due.
+// admitArrived makes the admission decision for each job that has arrived. While a response of the aggregator is due,
+// the decision is deferred.
 func (d *Dispatcher) admitArrived() {
 	if len(d.jobs.arrived) == 0 || d.awaitsAggregator() {
 		return
@@ -156,6 +158,8 @@
 	d.jobs.arrived = d.jobs.arrived[:0]
 }
 
+// decideArrival admits a job and queues it if its tenant's limits allow that, if necessary by preempting queued jobs,
+// and rejects it otherwise.
 func (d *Dispatcher) decideArrival(job *job) {
 	tenant := &d.admission.tenants[job.tenant]
 	tenant.lastArrivalAt = d.now
@@ -177,17 +181,18 @@
 	d.checkHealthFor(job)
 }
 
-// admit says whether there are slots for a job, and notes on it whether they are borrowed.
+// admit reports whether a job may be admitted: within its tenant's limit, and either within its tenant's reserved share
+// or on slots that no tenant has reserved. It sets job.borrowed in the latter case.
 func (d *Dispatcher) admit(job *job) bool {
 	slots := d.admissionSlots(job)
 	active := d.admission.activeShares()
-	reserved := reservedFraction * slots / active // for a share of 1
+	reserved := reservedFraction * slots / active // slots reserved for a share of 1
 	tenant := &d.admission.tenants[job.tenant]
 	limit := slots * (tenant.reservedShare/active + borrowableFraction*(1-tenant.reservedShare/active))
 	if tenant.reservedSlots+job.slots > limit {
 		return false
 	}
-	// A small tenant's share can be less than one wide job: its first job is within it all the same.
+	// The reserved slots of a small tenant can be fewer than a wide job needs: its first job is not counted as borrowing.
 	withinShare := tenant.reservedSlots+job.slots <= reserved*tenant.reservedShare
 	job.borrowed = !withinShare && (tenant.reservedSlots != 0 || job.overQuota)
 	if !job.borrowed {
@@ -201,8 +206,9 @@
 	return borrowed+job.slots <= slots-reservedFraction*slots || len(d.jobs.queue) == 0 && d.isStarved()
 }
 
-// admissionSlots is how many slots admitted jobs may hold, as far as a job is concerned: the capacity, and what may
-// be queued.
+// admissionSlots returns how many slots all admitted jobs may hold for a job to be admitted: the capacity, plus the
+// allowance for queued jobs that its class's objective permits, less the trunk reservation if its value is below the
+// mean.
 func (d *Dispatcher) admissionSlots(job *job) float64 {
 	objective := d.settings.Classes[job.class].Objective
 	slots := d.capacity.slots * (1 + min(maxQueuedFraction, objective/d.serviceTimes.classes[job.class].work))
@@ -212,14 +218,14 @@
 	return slots
 }
 
-// cannotFinishInTime says that a job cannot end before its client leaves, wherever it goes.
+// cannotFinishInTime reports whether no executor could finish a job before its deadline.
 func (d *Dispatcher) cannotFinishInTime(job *job) bool {
-	leastRun := minWorkFraction * job.work / d.serviceTimes.meanSpeed()
-	return d.now+leastRun > job.deadline-d.answerMargin()
+	minRun := minWorkFraction * job.work / d.serviceTimes.meanSpeed()
+	return d.now+minRun > job.deadline-d.answerMargin()
 }
 
-// fleetShare is our part of what all nodes may do together: half of it even, half by our part of the traffic that the
-// quotas stand for. The parts of all nodes sum to 1 while traffic is at quota.
+// fleetShare returns this node's share of the fleet's slots: the mean of an even share and of this node's part of the
+// traffic that the quotas allow. The shares of all nodes sum to 1 while the traffic is at quota.
 func (d *Dispatcher) fleetShare() float64 {
 	even := 1 / float64(d.settings.Nodes)
 	if d.admission.totalQuota <= 0 {
@@ -228,9 +234,9 @@
 	return (even + min(1, d.quotaRate()/d.admission.totalQuota)) / 2
 }
 
-// quotaRate is the rate that our part of the quotas goes by. Quotas count a request once, however often its client
-// sends it again: in a storm of repeats the parts of all nodes would sum to more than 1. Small fleets count each
-// attempt of a client: there a node sees most executors itself, and its part bounds little.
+// quotaRate returns the arrival rate from which this node's part of the quotas is derived. It leaves out client
+// retries, because quotas count a request once: in a retry storm the shares of all nodes would sum to more than 1. In a
+// small fleet it includes them: there a node observes most executors itself, and its share is seldom the limit.
 func (d *Dispatcher) quotaRate() float64 {
 	if len(d.endpoints.listed) > fullScanLimit {
 		return d.admission.firstArrivals.perSecond
--- a/internal/dispatch/affinity.go
+++ b/internal/dispatch/affinity.go
@@ -6,43 +6,44 @@
 )
 
 const (
-	// affinityWaitFraction is the part of the time that its objective leaves for which a job waits for an executor that has its
-	// key's data.
+	// affinityWaitFraction is the part of its slack for which a job waits for an executor that has its key's data cached.
 	affinityWaitFraction = 0.5
 
-	// candidateLoadFactor is how many candidates a key has, in executors' worth of its traffic. More divides it, fewer keep
-	// its data.
+	// candidateLoadFactor times a key's share of the requests is the part of the executors that are its candidates. More
+	// candidates spread its load; fewer keep its data cached.
 	candidateLoadFactor = 2.0
 
-	// minCandidates is how many candidates each key has besides.
+	// minCandidates is the number of candidates that each key has in addition.
 	minCandidates = 2
 
-	// keyCountWindow is the number of requests after which the counts of keys are halved.
+	// keyCountWindow is the total to which the counts of keys are halved when they add up to twice as much.
 	keyCountWindow = 1000
 
-	// cacheFetchFraction is the part of the capacity for jobs that must fetch their key's data. Less spares the store behind
-	// the keys.
+	// cacheFetchFraction is the part of the capacity that jobs with a cache miss may use. A smaller one puts less load on
+	// the origin from which the data of keys is fetched.
 	cacheFetchFraction = 0.25
 
-	// cacheMissThreshold is the chance of a fetch from which on an executor is not worth waiting for.
+	// cacheMissThreshold is the cache miss probability from which on a job waits for another executor rather than use this
+	// one. It is also the cache miss probability of the fallback candidate.
 	cacheMissThreshold = 0.5
 
-	// candidateMissProbability is the chance that a candidate of a key must fetch its data.
+	// candidateMissProbability is the cache miss probability of a key at one of its candidates.
 	candidateMissProbability = 0.1
 
-	// maxAffinityKeys is how many keys are kept of those that an executor was last sent.
+	// maxAffinityKeys is the number of most recently sent keys that are remembered for each executor.
 	maxAffinityKeys = 12
 )
 
-// keyAffinity sends jobs with equal keys to the same few executors, which likely have their data cached.
+// keyAffinity holds the state by which jobs with the same key go to the same few executors, which likely have the data
+// of the key cached.
 type keyAffinity struct {
-	keyCounts     map[uint64]float64 // requests of each key
+	keyCounts     map[uint64]float64 // decaying request count of each key
 	keyTotal      float64
-	ranked        []rankedCandidate // scratch of findAffinityCandidates
-	fetchingSlots float64           // slots in flight of jobs that likely fetch the data of their key
+	ranked        []rankedCandidate // scratch buffer of findAffinityCandidates
+	fetchingSlots float64           // slots of the attempts in flight that likely had a cache miss
 }
 
-// countKey keeps how often keys are asked for.
+// countKey counts a request of a key, and halves all counts when they add up to twice keyCountWindow.
 func (a *keyAffinity) countKey(key uint64) {
 	if key == 0 {
 		return
@@ -61,12 +62,12 @@
 	}
 }
 
-// shareOf is a key's part of the requests.
+// shareOf returns a key's share of the requests.
 func (a *keyAffinity) shareOf(key uint64) float64 {
 	return a.keyCounts[key] / max(a.keyTotal, keyCountWindow/10)
 }
 
-// touchKey moves a key to the front of those whose data the executor likely has.
+// touchKey moves a key to the front of the most recently sent keys of an executor.
 func (e *executor) touchKey(key uint64) {
 	keys := &e.affinityKeys
 	i := slices.Index(keys[:], key)
@@ -77,8 +78,9 @@
 	keys[0] = key
 }
 
-// cacheMissProbability estimates the chance that an executor must fetch the data of a job's key: candidates of the
-// key likely have it, and so do those that were sent it lately, unless other nodes filled them since.
+// cacheMissProbability estimates the probability that an executor has to fetch the data of a job's key. Candidates of
+// the key likely have the data cached. So do executors to which this node recently sent the key, unless jobs of other
+// nodes have evicted it since.
 func cacheMissProbability(job *job, executor *executor, nodes int) float64 {
 	miss := 1.0
 	if i := slices.Index(job.candidates, executor); i >= 0 {
@@ -93,9 +95,9 @@
 	return miss
 }
 
-// waitsForAffinity says that a job had better wait for an executor that has its key's data than have it fetched. When
-// the store behind the keys is short of capacity, fetches hold slots for long, and every job that goes elsewhere
-// makes more of them.
+// waitsForAffinity reports whether a job should wait for an executor that has its key's data cached rather than use one
+// that would fetch it. When the origin of the data is short of capacity, fetches hold slots for a long time, and every
+// job that is sent elsewhere adds another fetch.
 func (d *Dispatcher) waitsForAffinity(job *job) bool {
 	if job.key == 0 {
 		return false
@@ -104,19 +106,19 @@
 	return d.now < job.arrivedAt+affinityWaitFraction*slack || d.cacheFetchesExhausted(job)
 }
 
-// cacheFetchesExhausted says that the pool for jobs that must fetch their key's data is used up while a candidate of
-// the key works. Without the pool a short jam would last: jobs go wherever slots are free, fetch, hold slots longer,
-// and keep all full.
+// cacheFetchesExhausted reports whether the slots for jobs with a cache miss are used up while a candidate of the job's
+// key is usable. Without this limit a short congestion would persist: jobs would go wherever slots are free, fetch the
+// data, hold their slots longer and keep all executors full.
 func (d *Dispatcher) cacheFetchesExhausted(job *job) bool {
-	fetching := d.affinity.fetchingSlots
-	if fetching == 0 || fetching+job.slots <= cacheFetchFraction*d.capacity.slots {
+	fetchingSlots := d.affinity.fetchingSlots
+	if fetchingSlots == 0 || fetchingSlots+job.slots <= cacheFetchFraction*d.capacity.slots {
 		return false
 	}
 	return slices.ContainsFunc(job.candidates, d.isUsable)
 }
 
-// affinityHash is what the candidates of keys are drawn by, kept apart from all else of an executor: each key goes
-// through all.
+// affinityHash holds the fields of an executor by which the candidates of keys are ranked. They are stored apart from
+// the executor's other state, because the ranking for a key visits all executors.
 type affinityHash struct {
 	hash  uint64
 	tag   uint16
@@ -124,46 +126,48 @@
 	ready bool
 }
 
-// affinityHashSeed sets the hashes of executors apart from their tags, which are drawn from their numbers too.
+// affinityHashSeed makes the hashes of executors independent of their tags, which are also derived from their numbers.
 const affinityHashSeed = 0x9e3779b97f4a7c15
 
+// affinityHashOf returns the ranking fields of an executor.
 func affinityHashOf(executor *executor) affinityHash {
 	return affinityHash{hash: mix64(uint64(executor.id) + affinityHashSeed), tag: executor.tag,
 		kind: executor.endpoint.row.Kind, ready: executor.endpoint.condition == Ready}
 }
 
-// rankedCandidate is how strongly a key is drawn to the executor at a position in the list.
+// rankedCandidate is the rendezvous weight of the executor at a position of the endpoint list for a key.
 type rankedCandidate struct {
 	position int
 	weight   float64
 }
 
-// findAffinityCandidates ranks executors for a job's key by rendezvous hashing weighted by size, so that all nodes
-// agree: as many as the key's share of our requests asks for, and one more to fall back on.
+// findAffinityCandidates sets the candidates for a job's key by rendezvous hashing, weighted by executor size, so that
+// all nodes choose the same ones. Their number grows with the key's share of this node's requests; the last candidate is
+// the fallback.
 func (d *Dispatcher) findAffinityCandidates(job *job) {
 	if job.key == 0 || job.candidatesRevision == d.endpoints.revision {
 		return
 	}
 	job.candidatesRevision, job.candidates = d.endpoints.revision, job.candidates[:0]
-	want := minCandidates + int(candidateLoadFactor*d.affinity.shareOf(job.key)*float64(len(d.endpoints.listed)))
-	d.affinity.ranked = d.endpoints.rank(job.key, want, d.affinity.ranked[:0])
+	count := minCandidates + int(candidateLoadFactor*d.affinity.shareOf(job.key)*float64(len(d.endpoints.listed)))
+	d.affinity.ranked = d.endpoints.rank(job.key, count, d.affinity.ranked[:0])
 	for _, candidate := range d.affinity.ranked {
 		job.candidates = append(job.candidates, d.endpoints.listed[candidate.position])
 	}
 }
 
-// rank appends the executors to which a key is drawn most, in that order.
-func (l *endpointList) rank(key uint64, want int, best []rankedCandidate) []rankedCandidate {
+// rank appends to best the count executors with the highest rendezvous weights for a key, in descending order.
+func (l *endpointList) rank(key uint64, count int, best []rankedCandidate) []rankedCandidate {
 	for i, x := range l.hashes {
 		uniform, scale := float64(mix64(key^x.hash)>>11+1)/(1<<53), l.kindScales[x.kind]
-		// uniform-1 is never less than the logarithm, which costs more.
-		if !x.ready || len(best) == want && uniform-1 <= best[want-1].weight*scale {
+		// uniform-1 is an upper bound of the logarithm and cheaper to compute.
+		if !x.ready || len(best) == count && uniform-1 <= best[count-1].weight*scale {
 			continue
 		}
 		candidate := rankedCandidate{i, math.Log(uniform) / scale}
-		if len(best) < want {
+		if len(best) < count {
 			best = append(best, candidate)
-		} else if candidate.weight <= best[want-1].weight {
+		} else if candidate.weight <= best[count-1].weight {
 			continue
 		}
 		k := len(best) - 1
--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -3,79 +3,83 @@
 import "math"
 
 const (
-	// reportDecayRate is how fast reports fade, in runs weighted by what they hold. Faster evens out.
+	// reportDecayRate is how fast the weight of a report decays with its age, relative to meanRun. A larger rate spreads
+	// jobs more evenly.
 	reportDecayRate = 0.5
 
-	// assumedFreeSlots is how many slots are hoped for where a report has faded. More sends sooner, less holds.
+	// assumedFreeSlots is the number of free slots assumed at an executor whose report has lost its weight. With more,
+	// jobs are sent sooner; with fewer, they are held longer.
 	assumedFreeSlots = 0.3
 
-	// starvationFraction is the part of our part of all slots under which a node that sees no free slots counts as starved.
+	// starvationFraction is the part of its share of all slots below which a node that sees no free slots is starved.
 	starvationFraction = 0.8
 
 	// starvationThreshold is how long a node without load information goes without dispatching before it dispatches one
 	// request speculatively, in mean slot times.
 	starvationThreshold = 2
 
-	// scarcityThreshold is the part of all slots under which free ones are shared among the nodes that see the same few.
+	// scarcityThreshold is the part of all slots below which a node counts only on its share of the free ones, because
+	// all nodes see the same few.
 	scarcityThreshold = 0.2
 
-	// initialSoftLimit is how many slots an executor without reports is tried with. More fills the fleet quicker at a
-	// start.
+	// initialSoftLimit is the initial soft limit of an executor without load reports. A larger one fills the fleet sooner
+	// after a start.
 	initialSoftLimit = 2
 
-	// softLimitBackoff is what a Full outcome, or lateness, leaves of the slots that an executor was thought to take.
+	// softLimitBackoff is the factor by which a Full outcome or a late response reduces the soft limit of an executor.
 	softLimitBackoff = 0.7
 
-	// liveLoadLimit is how many requests a core, as a live weight tells, shut an executor out, if they are
-	// liveLoadExcess times the mean as well: where all hold many, the number says nothing.
+	// An executor counts as overloaded if its live weight indicates at least liveLoadLimit requests per core and
+	// liveLoadExcess times the mean of the fleet: if all executors are loaded, the limit alone says nothing.
 	liveLoadLimit  = 1.1
 	liveLoadExcess = 1.5
 
-	// occupancyIntervals is over how many report intervals it is learned what others hold at executors of a kind.
+	// occupancyIntervals is the number of report intervals over which the peer occupancy of a group is averaged.
 	occupancyIntervals = 4
 
-	// occupancyPrior is how many reports' worth of the fleet's mean are mixed into a kind's own.
+	// occupancyPrior is the weight of the fleet's mean in the peer occupancy of a group, in reports.
 	occupancyPrior = 3
 
-	// noReportShareFactor is how many even parts of an executor's slots a node uses without a fresh report.
+	// noReportShareFactor is the number of even shares of an executor's slots that a node uses without a fresh report.
 	noReportShareFactor = 2
 )
 
-// loadEstimate is how much work an executor takes, by its load reports and by what became of this node's attempts.
+// loadEstimate is the estimated capacity of an executor, from its load reports and the outcomes of this node's attempts.
 type loadEstimate struct {
-	slots          float64 // most free slots that were ever reported, with those in use then
-	freeSlots      float64 // as last reported, moved by what this node sent and what ended since
-	reportedAt     float64 // of the last new report, 0 for never
-	available      float64 // slots that may be sent now, while jobs are placed
-	softLimit      float64 // slots of this node's that it takes, learned without reports
-	softLimitCutAt float64 // when the limit was last cut for lateness
-	rejectedUntil  float64 // nothing is sent before, because it was full
-	rejections     int     // Full outcomes without a served one between
-	sampleHash     uint64  // of the values of the last report
-	freeMemory     float64 // as last reported, moved like freeSlots; of no meaning unless reportsMemory
+	slots          float64 // total slots: the maximum of reported free slots plus the slots then in use
+	freeSlots      float64 // as last reported, adjusted by this node's sends and completions since
+	reportedAt     float64 // time of the last new report, 0 for never
+	available      float64 // slots that this node may use, as estimated in the current placement round
+	softLimit      float64 // slots of this node that it takes, learned from outcomes
+	softLimitCutAt float64 // when the soft limit was last reduced because of a late response
+	rejectedUntil  float64 // nothing is sent to it until then, because it returned Full
+	rejections     int     // consecutive Full outcomes
+	sampleHash     uint64  // hash of the values of the last report
+	freeMemory     float64 // as last reported, adjusted like freeSlots; valid only if reportsMemory
 	reportsMemory  bool
 }
 
-// executorGroup is what is learned of the executors of one kind in one zone together: the mean part of their slots
-// that other nodes hold.
+// executorGroup holds the statistics of all executors of one kind in one zone: the mean part of their slots that other
+// nodes hold.
 type executorGroup struct {
 	kind, zone                       int
 	occupancySum, samples, updatedAt float64
 }
 
-// fleetCapacity is what all executors together take.
+// fleetCapacity is the estimated capacity of all executors together.
 type fleetCapacity struct {
-	slots             float64               // that this node may use
-	fairShareSlots    float64               // our part of all slots
-	nextEstimate      float64               // the slots are not estimated anew before
-	fleetSlots        float64               // of all executors that are ready, as far as reports showed them
-	nextFleetSlots    float64               // these are not counted anew before
-	widestRequest     float64               // most slots that a job asked for
-	meanPeerOccupancy float64               // part of an executor's slots that other nodes hold, as reports tell
-	kindSlots         [machineKinds]float64 // most slots of an executor of each kind
+	slots             float64               // slots that this node may use
+	fairShareSlots    float64               // slots below which this node counts as starved
+	nextEstimate      float64               // time of the next estimate of slots
+	fleetSlots        float64               // known slots of all executors that are ready
+	nextFleetSlots    float64               // time of the next count of fleetSlots
+	widestRequest     float64               // maximum number of slots that a job asked for
+	meanPeerOccupancy float64               // mean part of an executor's slots that other nodes hold, from reports
+	kindSlots         [machineKinds]float64 // maximum number of slots of an executor of each kind
 	groups            []*executorGroup
 }
 
+// groupOf returns the group of a kind and zone, creating it if necessary.
 func (c *fleetCapacity) groupOf(kind, zone uint8) *executorGroup {
 	for _, group := range c.groups {
 		if group.kind == int(kind) && group.zone == int(zone) {
@@ -87,8 +91,8 @@
 	return group
 }
 
-// countFleetSlots gives how many slots the executors that are ready have, as far as reports showed them. In a large
-// fleet they are counted less often, because a count looks at all.
+// countFleetSlots returns the known slots of all executors that are ready. The count visits every executor, so it is
+// repeated less often in a large fleet.
 func (d *Dispatcher) countFleetSlots() float64 {
 	capacity := &d.capacity
 	if d.now < capacity.nextFleetSlots {
@@ -104,20 +108,20 @@
 	return capacity.fleetSlots
 }
 
-// capacityTotals are sums over the executors of the list, in slots.
+// capacityTotals holds sums over the executors of the endpoint list, in slots.
 type capacityTotals struct {
 	own             float64 // held by this node
-	reported        float64 // free by a report that is known to hold
-	estimated       float64 // free by what was learned otherwise
-	queued          float64 // held by this node's attempts that the executors have not started in time
-	total           float64
-	assumed         float64 // the total, with what an executor is tried with where nothing is known
-	largestExecutor float64 // of one executor
-	peersKnown      bool    // it is known what other nodes hold
-	reportLimit     float64 // the age up to which a report is known to hold
+	reported        float64 // free, by a current report or by the loads of peers
+	estimated       float64 // free, by estimates without a current report
+	queued          float64 // held by this node's attempts that executors have not started in time
+	total           float64 // known slots
+	assumed         float64 // like total, but with a minimum for executors whose slots are unknown
+	largestExecutor float64 // known slots of the largest executor
+	peersKnown      bool    // the slots that other nodes hold are known
+	reportLimit     float64 // the age up to which a report counts as current
 }
 
-// add takes in one executor that new work may go to.
+// add adds an executor that is ready to the totals.
 func (t *capacityTotals) add(d *Dispatcher, executor *executor) {
 	slots := max(executor.load.slots, d.capacity.kindSlots[executor.endpoint.kind])
 	t.total += slots
@@ -133,9 +137,9 @@
 	}
 }
 
-// estimateCapacity counts the slots of this node's running jobs and the free ones, by reports or by what was served.
-// Sends move slots from the free ones to our own, so that the sum stays for a while; a large fleet is counted less
-// often.
+// estimateCapacity estimates the slots that this node may use: those that its jobs hold and those that are free. In a
+// large fleet it runs less often. A send only turns free slots into slots of this node, so the sum stays valid for a
+// while.
 func (d *Dispatcher) estimateCapacity() {
 	if d.now < d.capacity.nextEstimate {
 		return
@@ -155,6 +159,7 @@
 	d.setCapacity(&totals)
 }
 
+// setCapacity derives the capacity and the fair share of this node from the totals.
 func (d *Dispatcher) setCapacity(totals *capacityTotals) {
 	c := &d.capacity
 	c.fairShareSlots = starvationFraction * d.fleetShare() * totals.total
@@ -163,38 +168,41 @@
 		c.slots = d.capacityWithoutPeers(totals)
 		c.fairShareSlots = c.slots
 	}
-	least := totals.largestExecutor
+	minSlots := totals.largestExecutor
 	if d.gossip.mode == gossipAggregator && d.peerLoadsKnown() && c.slots < scarcityThreshold*totals.total {
-		least = min(least, max(c.widestRequest, d.fleetShare()*totals.total)) // all see the same few slots
+		minSlots = min(minSlots, max(c.widestRequest, d.fleetShare()*totals.total)) // all nodes see the same few slots
 		own := d.ownSlotsInFlight()
 		c.slots = own + (c.slots-own)*c.slots/(scarcityThreshold*totals.total)
 	}
-	c.slots = max(c.slots, least) // a node that sees no free slots and has nothing in flight would never begin
+	c.slots = max(c.slots, minSlots) // otherwise a node without free slots or attempts in flight would never send any
 }
 
-// capacityWithoutPeers is the capacity of a node that does not know what others hold: its part of all slots, as list
-// and quotas show them; or what runs of its jobs, free slots that it knows of, and, while nothing queues, as much
-// again.
+// capacityWithoutPeers returns the capacity of a node that does not know the load of its peers. It is the larger of two
+// values: the node's share of all slots, as estimated from the endpoint list and the quotas; and the slots of its
+// running jobs, plus the reported free slots, plus estimated free slots up to the number of its running slots less its
+// queued ones.
 func (d *Dispatcher) capacityWithoutPeers(totals *capacityTotals) float64 {
-	part := d.fleetShare() * max(totals.assumed, d.admission.totalQuota*d.serviceTimes.meanSlotTime/1000)
+	share := d.fleetShare() * max(totals.assumed, d.admission.totalQuota*d.serviceTimes.meanSlotTime/1000)
 	running := totals.own - totals.queued
-	return max(initialSoftLimit, part, running+totals.reported+max(0, min(totals.estimated, running-totals.queued)))
+	return max(initialSoftLimit, share, running+totals.reported+max(0, min(totals.estimated, running-totals.queued)))
 }
 
-// isStarved says that such a node has sent nothing for long, because its jobs hang or run long. It may send one more;
-// it would otherwise reject all that comes for as long as their clients wait.
+// isStarved reports whether a node of a large fleet that does not know the load of its peers has sent nothing for a long
+// time, because its jobs hang or run long. Such a node may send one more job; otherwise it would reject all requests
+// until the clients of those jobs give up.
 func (d *Dispatcher) isStarved() bool {
 	return len(d.endpoints.listed) > fullScanLimit && !d.peerLoadsKnown() &&
 		d.now-d.placement.lastDispatchAt > starvationThreshold*d.serviceTimes.meanSlotTime
 }
 
-// isStartOverdue says that an executor has not started an attempt of ours in the usual time: it queues, whatever a
-// late report tells of free slots.
+// isStartOverdue reports whether an executor has not started an attempt of this node within the usual time. It then
+// queues attempts, even if a late report shows free slots.
 func (d *Dispatcher) isStartOverdue(executor *executor) bool {
 	return d.settings.StartNotifications && d.now-executor.inFlight.oldestUnstarted > d.serviceTimes.startNoteTimeout()
 }
 
-// availableSlots is how many more slots of ours an executor takes: by its report, else by what it took before.
+// availableSlots returns how many more slots this node may use at an executor, from the loads of peers if they are
+// known, else from a fresh load report, else from the executor's soft limit.
 func (d *Dispatcher) availableSlots(executor *executor) float64 {
 	own := executor.inFlight.slots
 	switch {
@@ -208,79 +216,82 @@
 		return 0
 	}
 	slots := math.Round(d.knownSlots(executor))
-	if slots > 0 && d.peerLoadsKnown() { // this is newer than any report
-		byNow := max(1, slots*d.slowStart.capacityFraction(executor))
-		return math.Round(byNow - own - d.peerSlotsAt(executor) - d.unreportedSlots(executor))
+	if slots > 0 && d.peerLoadsKnown() { // peer loads are newer than any load report
+		currentSlots := max(1, slots*d.slowStart.capacityFraction(executor))
+		return math.Round(currentSlots - own - d.peerSlotsAt(executor) - d.unreportedSlots(executor))
 	}
 	if d.isOverloadedByWeight(executor) {
 		return 0
 	}
 	if executor.load.reportedAt > 0 && d.now-executor.load.reportedAt <= d.reportTTL() {
-		return math.Round(d.decayedFreeSlots(executor)) // to the nearest, because reports are a little noisy
+		return math.Round(d.decayedFreeSlots(executor)) // rounded to the nearest, because reports are slightly noisy
 	}
 	return d.slotsWithoutReport(executor, slots)
 }
 
-// isOverloadedByWeight says that an executor's live weight tells of more requests than cores. A weight is the same
-// for all nodes, and late: a high one is no reason to go to an executor, since all would, but a low one is a reason
-// to stay away.
+// isOverloadedByWeight reports whether an executor's live weight indicates more requests than cores. All nodes see the
+// same weights, with a delay: a high weight does not attract jobs, because all nodes would send there, but a low one
+// excludes an executor.
 func (d *Dispatcher) isOverloadedByWeight(executor *executor) bool {
 	position := executor.endpoint.position
 	return position < len(d.endpoints.rows) &&
 		d.endpoints.rows[position].liveLoad >= max(liveLoadLimit, liveLoadExcess*d.endpoints.meanLiveLoad)
 }
 
-// slotsWithoutReport is how many more slots of ours an executor takes that has not reported lately.
+// slotsWithoutReport returns how many more slots this node may use at an executor without a fresh load report.
 func (d *Dispatcher) slotsWithoutReport(executor *executor, slots float64) float64 {
 	own := executor.inFlight.slots
 	limit := math.Floor(executor.load.softLimit)
 	if slots > 0 {
-		// Every node guesses at once when reports fail: none takes more than twice its even part.
+		// When load reports fail, all nodes estimate at the same time: none uses more than twice its even share.
 		limit = min(limit, max(1, math.Round(noReportShareFactor*slots/float64(d.settings.Nodes))))
 	}
 	if own == 0 {
-		limit = max(limit, d.capacity.widestRequest) // a job wider than what was tried so far would never be sent
+		limit = max(limit, d.capacity.widestRequest) // otherwise a job wider than the soft limit would never be sent
 	}
 	limit -= own
-	othersReport := d.reports.lastReportAt > 0 && d.now-d.reports.lastReportAt <= reportsEndedFactor*d.reportTTL()
-	if slots > 0 && othersReport && d.slowStart.capacityFraction(executor) == 1 {
-		// Where the fleet is full, an executor that is not heard of likely is too, unless it is new.
+	reportsArrive := d.reports.lastReportAt > 0 && d.now-d.reports.lastReportAt <= reportsEndedFactor*d.reportTTL()
+	if slots > 0 && reportsArrive && d.slowStart.capacityFraction(executor) == 1 {
+		// If the fleet is full, an executor without a fresh report likely is full too, unless it is warming up.
 		limit = min(limit, math.Round(slots*(1-d.peerOccupancyAt(executor))-own))
 	}
 	return limit
 }
 
-// decayedFreeSlots is an executor's free slots, with what others hold there drawn from the report to the fleet's mean
-// as the report ages against a job's run. Where reports are older than jobs are long, each says who was idle and not
-// who is, and all nodes would storm the idlest and shun the full, turn about.
+// decayedFreeSlots returns the free slots of an executor, as last reported. With the report's age relative to the mean
+// run, the slots that peers hold there move from the reported value towards the mean of its group. A report that is
+// older than a run shows which executors were idle, not which are: without the decay all nodes would overload the idle
+// ones and avoid the full ones in turn.
 func (d *Dispatcher) decayedFreeSlots(executor *executor) float64 {
 	load := &executor.load
 	if d.settings.Nodes < 2 || load.slots == 0 {
 		return load.freeSlots
 	}
 	age := reportDecayRate * (d.now - load.reportedAt + d.reports.age) / d.serviceTimes.meanRun
-	keep := 1 / (1 + age + age*age/2)
+	weight := 1 / (1 + age + age*age/2)
 	reported := load.slots - executor.inFlight.slots - load.freeSlots
-	usual := d.peerOccupancyAt(executor) * load.slots
-	return load.slots - executor.inFlight.slots - usual - (reported-usual)*keep + assumedFreeSlots*(1-keep)
+	mean := d.peerOccupancyAt(executor) * load.slots
+	return load.slots - executor.inFlight.slots - mean - (reported-mean)*weight + assumedFreeSlots*(1-weight)
 }
 
-// peerOccupancyAt is the part of an executor's slots that others hold, as reports of its kind in its zone tell, drawn
-// to the fleet's while they are few. It can be over 1 where jobs are queued.
+// peerOccupancyAt returns the part of an executor's slots that other nodes hold, as the mean of the reports of its
+// group. While these are few, it is close to the mean of the fleet. It exceeds 1 if jobs are queued.
 func (d *Dispatcher) peerOccupancyAt(executor *executor) float64 {
 	if len(d.endpoints.listed) <= fullScanLimit {
-		return d.capacity.meanPeerOccupancy // too few of a kind in a zone for a mean of their own
+		return d.capacity.meanPeerOccupancy // the groups of a small fleet are too small for a mean of their own
 	}
 	group := executor.group
-	keep := max(0, 1-(d.now-group.updatedAt)/d.occupancyWindow())
-	return (group.occupancySum*keep + occupancyPrior*d.capacity.meanPeerOccupancy) / (group.samples*keep + occupancyPrior)
+	weight := max(0, 1-(d.now-group.updatedAt)/d.occupancyWindow())
+	return (group.occupancySum*weight + occupancyPrior*d.capacity.meanPeerOccupancy) /
+		(group.samples*weight + occupancyPrior)
 }
 
+// occupancyWindow returns the time over which the peer occupancy of a group is averaged.
 func (d *Dispatcher) occupancyWindow() float64 { return occupancyIntervals * d.reports.interval }
 
-// knownSlots is how many slots an executor has, as reports showed, 0 if none did. Where an aggregator tells what
-// others hold, an unknown number counts as what a first trial takes: each of many nodes would otherwise try every
-// executor of a kind that it has not met.
+// knownSlots returns the number of slots of an executor or of its kind according to load reports, 0 if unknown. While an
+// aggregator reports the loads of peers, an unknown number counts as initialSoftLimit: otherwise each of many nodes
+// would probe every executor of a kind that is new to it.
 func (d *Dispatcher) knownSlots(executor *executor) float64 {
 	slots := max(executor.load.slots, d.capacity.kindSlots[executor.endpoint.kind])
 	if slots == 0 && d.gossip.mode == gossipAggregator {
--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -6,12 +6,12 @@
 	"math"
 )
 
-// UpdateSettings takes over new classes, tenants, attempts, prices and weights while jobs are open; all other settings stay
-// as New had them. A class or tenant keeps its place for as long as it stands, and new ones come behind the last, or
-// in the place of one of which nothing is open. From names, for the place of a class whose rules are new, the place
-// of the class whose statistics it begins with; others begin with none. Open jobs keep the rules that they came
-// under: their class may not change, and their attempts stay as many. An error names what cannot be taken over, and
-// nothing is changed then.
+// UpdateSettings applies the Classes, Tenants, MaxAttempts, MaxRetryAfter, Fees, OverQuotaWeight and WeightByWork of s
+// while jobs are open; all other settings stay as passed to New. A class or tenant keeps its index for as long as it
+// exists. A new one is appended, or replaces one without open jobs. The map from gives, for the index of a class with
+// new rules, the index of the class whose statistics it inherits; without an entry it starts with empty statistics.
+// Open jobs keep the rules under which they arrived: their class must not change, and their maximum number of attempts
+// stays. On an error, which names what cannot be applied, nothing is changed.
 func (d *Dispatcher) UpdateSettings(s Settings, from map[int]int) error {
 	next := d.settings
 	next.Classes, next.Tenants = s.Classes, s.Tenants
@@ -30,26 +30,26 @@
 	return nil
 }
 
-// checkUpdate says why settings that are valid by themselves cannot follow those in force.
+// checkUpdate returns an error if next, which is valid by itself, cannot replace the current settings.
 func (d *Dispatcher) checkUpdate(next *Settings) error {
 	was := &d.settings
 	switch {
 	case len(next.Classes) < len(was.Classes) || len(next.Classes) > math.MaxUint8:
-		return fmt.Errorf("dispatch: %d classes in place of %d: places are kept, and %d at most",
+		return fmt.Errorf("dispatch: cannot change the number of classes to %d from %d: it must not shrink or exceed %d",
 			len(next.Classes), len(was.Classes), math.MaxUint8)
 	case len(next.Tenants) < len(was.Tenants) || len(next.Tenants) > math.MaxUint16 ||
 		len(was.Tenants) == 0 && len(next.Tenants) > 0:
-		return fmt.Errorf("dispatch: %d tenants in place of %d: places are kept", len(next.Tenants), len(was.Tenants))
+		return fmt.Errorf("dispatch: cannot change the number of tenants to %d from %d", len(next.Tenants), len(was.Tenants))
 	}
 	for _, job := range d.jobs.byID {
 		if next.Classes[job.class] != was.Classes[job.class] {
-			return fmt.Errorf("dispatch: class %d has open jobs, whose rules may not change", job.class)
+			return fmt.Errorf("dispatch: rules of class %d cannot change while it has open jobs", job.class)
 		}
 	}
 	return nil
 }
 
-// updateClasses gives each class whose rules are new the statistics that it begins with.
+// updateClasses sets the initial statistics of each class whose rules are new.
 func (d *Dispatcher) updateClasses(next *Settings, from map[int]int) {
 	known, knownFailing := d.serviceTimes.classes, d.outliers.failingClasses
 	classes, failing := make([]classStats, len(next.Classes)), make([]bool, len(next.Classes))
@@ -69,10 +69,10 @@
 	d.serviceTimes.classes, d.outliers.failingClasses = classes, failing
 }
 
-// check names the first setting that no Dispatcher can work with.
+// check returns an error that names the first invalid setting.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 {
-		return errors.New("dispatch: requestClasses.count: no classes")
+		return errors.New("dispatch: requestClasses.count: got no classes, want at least 1")
 	}
 	if s.Nodes < 1 {
 		return fmt.Errorf("dispatch: balancers: %d is under 1", s.Nodes)
@@ -82,22 +82,22 @@
 	}
 	for _, number := range s.numericSettings() {
 		if !(number.value >= 0) || math.IsInf(number.value, 0) {
-			return fmt.Errorf("dispatch: %s: %v is not a number of 0 or more", number.key, number.value)
+			return fmt.Errorf("dispatch: %s: got %v, want a finite number of at least 0", number.key, number.value)
 		}
 	}
 	if s.OverloadMultiple == 0 {
-		return errors.New("dispatch: invariants.fallMultiple: 0 lets no executor that warms up be used")
+		return errors.New("dispatch: invariants.fallMultiple: got 0, which excludes all executors that are warming up")
 	}
 	return nil
 }
 
-// numericSetting is a number of the settings with its key in the settings document.
+// numericSetting is the value of a numeric setting with its key in the settings document.
 type numericSetting struct {
 	key   string
 	value float64
 }
 
-// numericSettings gives all of the settings that must be numericSettings of 0 or more.
+// numericSettings returns the settings that must be finite and not negative.
 func (s *Settings) numericSettings() []numericSetting {
 	numbers := []numericSetting{
 		{"step", s.MinStepInterval},
@@ -119,13 +119,15 @@
 	}
 	for i, class := range s.Classes {
 		key := fmt.Sprintf("requestClasses.%d.", i)
-		numbers = append(numbers, numericSetting{key + "aim", class.Objective}, numericSetting{key + "deadline", class.Deadline},
+		numbers = append(numbers, numericSetting{key + "aim", class.Objective},
+			numericSetting{key + "deadline", class.Deadline},
 			numericSetting{key + "worth", class.PriorityWeight}, numericSetting{key + "window", class.DedupWindow},
 			numericSetting{key + "aimStretch", class.ObjectivePerWork})
 	}
 	for i, tenant := range s.Tenants {
 		key := fmt.Sprintf("tenants.%d.", i)
-		numbers = append(numbers, numericSetting{key + "portion", tenant.ReservedShare}, numericSetting{key + "quotaRps", tenant.Quota})
+		numbers = append(numbers, numericSetting{key + "portion", tenant.ReservedShare},
+			numericSetting{key + "quotaRps", tenant.Quota})
 	}
 	return numbers
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Dispatcher decides for one node. See the package comment for what its host promises. It holds the state of each
-// concern, takes events in and gives actions out; the concerns' own types do not know one another.
+// Dispatcher makes the dispatch decisions of one node. The package comment lists the obligations of its host. It holds
+// the state of each concern, consumes events and emits actions; the types of the concerns do not depend on one another.
 type Dispatcher struct {
 	*environment
 
@@ -29,19 +29,20 @@
 }
 
 const (
-	// Times between ticks, in steps and in ms: a tick of a large fleet has more to inspect.
+	// The tick interval is a multiple of MinStepInterval with a lower bound in ms. It is longer in a large fleet, where
+	// each tick inspects more executors.
 	tickSteps                   = 5
 	minTickIntervalMs           = 10
 	largeFleetTickSteps         = 10
 	minLargeFleetTickIntervalMs = 40
 
-	// outlierChecksPerTimeout is how often outliers are looked for in a large fleet, in the time that an executor may be
-	// silent.
+	// outlierChecksPerTimeout is how many times outlier detection runs in a large fleet within the timeout after which
+	// an executor counts as unresponsive.
 	outlierChecksPerTimeout = 16
 )
 
-// New makes a Dispatcher for one life of a node. Absent settings: no tenants means one; portions that are
-// all zero are taken as equal; an error names any setting that cannot be used.
+// New returns a Dispatcher for one incarnation of a node. Without tenants in the settings it uses a single one, and if
+// all reserved shares are zero it treats them as equal. The error names the first invalid setting.
 func New(s Settings, seed uint64) (*Dispatcher, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -72,7 +73,8 @@
 	return d, nil
 }
 
-// Step takes in all that happened up to now, decides, and appends what to do to out.
+// Step handles the events that happened up to now, makes the decisions that are due and appends the resulting actions
+// to out.
 func (d *Dispatcher) Step(now float64, events []Event, out []Action) []Action {
 	d.now, d.actions = now, out
 	for i := range events {
@@ -115,7 +117,8 @@
 	}
 }
 
-// handleStreamStart takes in that an answer has begun: its client has it, however long the rest takes.
+// handleStreamStart records that a response has begun to stream. The client is receiving it, so the job no longer has
+// a deadline, however long the rest of the response takes.
 func (d *Dispatcher) handleStreamStart(event *Event) {
 	job := d.jobs.byID[event.Job]
 	if job == nil || int(event.Attempt) >= len(job.attempts) {
@@ -125,7 +128,7 @@
 	job.deadline = math.Inf(1)
 }
 
-// tickInterval is the time between ticks.
+// tickInterval returns the time between ticks, in ms.
 func (d *Dispatcher) tickInterval() float64 {
 	if len(d.endpoints.listed) > fullScanLimit {
 		return max(largeFleetTickSteps*d.settings.MinStepInterval, minLargeFleetTickIntervalMs)
@@ -133,7 +136,7 @@
 	return max(tickSteps*d.settings.MinStepInterval, minTickIntervalMs)
 }
 
-// tick does all that goes by time.
+// tick runs the periodic work and requests the timer for the next tick.
 func (d *Dispatcher) tick() {
 	d.nextTick = d.now + d.tickInterval()
 	d.lastTimerToken++
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -1,54 +1,54 @@
 package dispatch
 
-// EventKind tells events apart.
+// EventKind is the type of an event.
 type EventKind uint8
 
-// The events.
+// The event kinds, with the fields of Event that each of them uses.
 const (
 	EvEndpoints     EventKind = iota // Form, Version, Rows
 	EvTimer                          // Token
-	EvClientGone                     // Job: the client left
+	EvClientGone                     // Job: the client has disconnected
 	EvNotification                   // Job, Attempt, Executor, Topic, Amount
 	EvGossip                         // From, Data
-	EvStreamStarted                  // Job, Attempt, Executor, Elapsed: a stream began
+	EvStreamStarted                  // Job, Attempt, Executor, Elapsed: a streamed response began
 	EvOutcome                        // Job, Attempt, Executor, Outcome, Elapsed, Final, Report
 	EvRequest                        // Job, Class, Tenant, Key, TimeLeft, Work, Slots, Memory, Flags
 	EvHealthCheck                    // Executor, Outcome, Elapsed, Report
 )
 
-// ListForm is the kind of a list event.
+// ListForm says what an EvEndpoints event carries.
 type ListForm uint8
 
-// The forms of a list.
+// The forms of an endpoint list event.
 const (
-	ListDelta    ListForm = iota // changed rows only
-	ListSnapshot                 // everything; who is not in it was removed
-	ListCached                   // everything as last held, maybe old
-	ListFailed                   // a call failed or the subscription broke
+	ListDelta    ListForm = iota // changed entries only
+	ListSnapshot                 // the whole list; executors that it omits have been removed
+	ListCached                   // the whole list as the host last cached it, possibly stale
+	ListFailed                   // a poll failed or the watch was interrupted
 )
 
-// Condition of an executor in the list.
+// Condition is the state of an executor in the endpoint list.
 type Condition uint8
 
-// The conditions.
+// The conditions of an executor.
 const (
 	Removed Condition = iota
 	Ready
 	Draining
 )
 
-// EndpointUpdate is one executor in a list.
+// EndpointUpdate is the entry of one executor in an endpoint list.
 type EndpointUpdate struct {
 	Executor  uint32
 	Zone      uint8
 	Kind      uint8
 	Cell      uint16
 	Condition Condition
-	Weight    float64 // registered size against others, or as LiveWeights has it; 0 or 1 for all if not told
-	StartedAt float64 // when it last started, 0 for long ago
+	Weight    float64 // registered relative size, or the live weight (Settings.LiveWeights); 0 or 1 for all executors if unknown
+	StartedAt float64 // start of the executor's process, 0 if it has been running for long
 }
 
-// Outcome is how an attempt or a health check ended.
+// Outcome is the result of an attempt or a health check.
 type Outcome uint16
 
 // The outcomes. Full, ConnectFailed and CanceledBeforeSend prove that the attempt never ran.
@@ -63,23 +63,23 @@
 	CanceledBeforeSend Outcome = 307
 )
 
-// NeverRan says whether the outcome proves that nothing ran.
+// NeverRan reports whether the outcome proves that the attempt did not run.
 func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == CanceledBeforeSend }
 
-// Topics of a note.
+// The topics of a notification.
 const (
 	NotificationStarted    = 1
 	NotificationProgress   = 2
-	NotificationAckOverdue = 3 // the executor did not say in its and its peers' usual time that it took the job
+	NotificationAckOverdue = 3 // no acknowledgement came within the time that is usual for the executor and its peers
 )
 
-// Flags of a request.
+// The flags of a request.
 const (
-	FlagWorkHint = 1 // Work holds a hint
-	FlagRetry    = 2 // the client sends it again
+	FlagWorkHint = 1 // Work is a hint from the client
+	FlagRetry    = 2 // the client retries a request that it sent before
 )
 
-// Event is one thing that happened; Kind says which fields hold.
+// Event is one input of a Dispatcher; Kind determines which fields are valid.
 type Event struct {
 	Kind       EventKind
 	Form       ListForm
@@ -103,7 +103,7 @@
 	Slots      float64
 	Memory     float64
 	Report     []float32
-	ZonePrices []float64 // of a request in each zone, in place of the price of crossing; absent: that
+	ZonePrices []float64 // price of running the request in each zone; Fees.CrossZone applies to zones without one
 	Rows       []EndpointUpdate
 	Data       []byte
 }
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// unhintedWorkFactor is the part of its class's mean work that a request without a hint likely is: half of all jobs
-	// stay under it. Where weights go by work, its inverse is used.
+	// unhintedWorkFactor times the mean work of its class is the likely work of a request without a hint: the median of a
+	// heavy-tailed distribution lies below its mean. With WeightByWork the inverse of the factor is used.
 	unhintedWorkFactor = 0.5
 
-	// classMeanWeight is the weight of one request in the means of its class. More follows a change sooner and errs more.
+	// classMeanWeight is the weight of one request in the moving averages of its class. A larger weight follows changes
+	// sooner and is noisier.
 	classMeanWeight = 0.02
 
-	// maxRequirement is the least number of slots or memory units that no request can ask for.
+	// maxRequirement is the exclusive upper bound of the slots and of the memory units that a request may ask for.
 	maxRequirement = 1e6
 )
 
-// job is a request that this node owes an answer, or whose attempts are still in flight.
+// job is a request that awaits a response of this node or has attempts in flight.
 type job struct {
 	id          uint32
 	class       int
@@ -27,47 +28,47 @@
 	memory      float64
 	work        float64 // ms on an executor of speed 1
 	arrivedAt   float64
-	maxAttempts int     // by the settings when it came
-	objectiveAt float64 // it earns its full priority weight until then
+	maxAttempts int     // from the settings at its arrival
+	objectiveAt float64 // end of the latency objective: a response until then earns the full priority weight
 	deadline    float64
-	value       float64 // priority weight for each slot and time
+	value       float64 // priority weight per ms of work
 	attempts    []attempt
-	inFlight    int  // attempts
-	admitted    bool // it holds reserved slots
-	overQuota   bool // beyond its tenant's quota
-	borrowed    bool // admitted from slots that no tenant has reserved
+	inFlight    int  // number of attempts in flight
+	admitted    bool // its slots count in the reservedSlots of its tenant
+	overQuota   bool // it exceeds its tenant's quota
+	borrowed    bool // it was admitted beyond its tenant's reserved share
 	queued      bool
-	done        bool // answered, or the client left
+	done        bool // a response was sent, or the client left
 
-	// What may have run: set in recordMayHaveRun, and read by the rules of retry.go alone.
+	// Whether, where and since when it may have run: set in recordMayHaveRun, read only by the rules in retry.go.
 	mayHaveRun bool
 	ranOn      *executor
 	ranSince   float64
 
-	rank               float64     // in the queue, the lowest first
-	holdUntil          float64     // it waits for answers to its health checks, at most until then
-	candidates         []*executor // that likely have its key's data cached, the last to fall back on
-	candidatesRevision int         // of the endpoint list that they were drawn from
-	zonePrices         []float64   // where the request has prices of its own
+	rank               float64     // position in the queue, lowest first
+	holdUntil          float64     // the latest time until which it waits for the results of its health checks
+	candidates         []*executor // executors that likely have the data of its key cached; the last is the fallback
+	candidatesRevision int         // revision of the endpoint list that the candidates were chosen from
+	zonePrices         []float64   // the request's own prices per zone, if any
 }
 
-// attempt is one send of a job.
+// attempt is one send of a job to an executor.
 type attempt struct {
 	executor           *executor
 	sentAt             float64
-	startedAt          float64 // 0 while the executor has not said so
-	lastNotificationAt float64 // of the last note
-	hadFreeSlots       bool    // the executor, when it was sent
+	startedAt          float64 // when the executor notified the start, 0 before
+	lastNotificationAt float64 // time of the last notification about it, initially sentAt
+	hadFreeSlots       bool    // the executor had enough free slots for it when it was sent
 	fetchesKey         bool    // the executor likely had to fetch the data of the job's key
 	openedConnection   bool    // it was sent on a new connection
-	resolved           bool    // its outcome has come
-	runObserved        bool    // its run counts in the estimate of slot-time
-	writtenOff         bool    // it counts as holding no slots: its executor is unresponsive, or it is overdue
+	resolved           bool    // its outcome has arrived
+	runObserved        bool    // its run counts in the slot-time estimate
+	writtenOff         bool    // it no longer counts as holding slots: it is overdue or its executor is unresponsive
 	errored            bool    // it ended in an error
-	ackOverdue         bool    // its executor has not said in the usual time that it has taken the job
+	ackOverdue         bool    // its executor did not acknowledge the job within the usual time
 }
 
-// erroredAttempts is how many attempts ended in an error.
+// erroredAttempts returns the number of attempts that ended in an error.
 func (j *job) erroredAttempts() (n int) {
 	for i := range j.attempts {
 		if j.attempts[i].errored {
@@ -77,15 +78,15 @@
 	return n
 }
 
-// jobTable holds the jobs of this node.
+// jobTable holds the open jobs of this node.
 type jobTable struct {
 	byID    map[uint32]*job
-	pool    []*job // ended ones, to be used again
-	arrived []*job // not yet decided on by admission
+	pool    []*job // ended jobs whose memory is reused
+	arrived []*job // awaiting the admission decision
 	queue   []*job // waiting for an executor
 }
 
-// create gives an empty job, one that has ended if there is one.
+// create returns an empty job, reusing the memory of an ended one if possible.
 func (t *jobTable) create() *job {
 	n := len(t.pool)
 	if n == 0 {
@@ -97,7 +98,7 @@
 	return reused
 }
 
-// release forgets a job that is done once none of its attempts is in flight.
+// release removes a job from the table if it is done, is not queued and has no attempt in flight.
 func (t *jobTable) release(job *job) {
 	if !job.done || job.inFlight > 0 || job.queued || t.byID[job.id] != job {
 		return
@@ -108,8 +109,8 @@
 	}
 }
 
-// requirements are a request's slots, memory and time left; odd numbers count as the least.
-func (e *Event) requirements() (slots, memory, left float64) {
+// requirements returns the slots, the memory and the time left of a request. Invalid numbers count as the minimum.
+func (e *Event) requirements() (slots, memory, timeLeft float64) {
 	slots = 1
 	if e.Slots > 0 && e.Slots < maxRequirement {
 		slots = e.Slots
@@ -118,9 +119,9 @@
 		memory = e.Memory
 	}
 	if e.TimeLeft >= 0 {
-		left = e.TimeLeft
+		timeLeft = e.TimeLeft
 	}
-	return slots, memory, left
+	return slots, memory, timeLeft
 }
 
 func (d *Dispatcher) handleRequest(event *Event) {
@@ -142,18 +143,18 @@
 	d.admission.countArrival(repeated)
 }
 
-// setWorkAndTimes sets what a job needs and until when its answer is of use.
+// setWorkAndTimes sets a job's requirements, its work, its deadline and the end of its latency objective.
 func (d *Dispatcher) setWorkAndTimes(job *job, event *Event) {
 	class, stats := &d.settings.Classes[job.class], &d.serviceTimes.classes[job.class]
-	slots, memory, left := event.requirements()
+	slots, memory, timeLeft := event.requirements()
 	job.slots, job.memory = slots, memory
 	likely := event.Work
 	if event.Flags&FlagWorkHint != 0 && event.Work > 0 && !math.IsInf(event.Work, 0) {
 		job.work = event.Work
 		stats.work += (job.work - stats.work) * classMeanWeight
 	} else {
-		// Most jobs are shorter than a heavy-tailed mean, and a short one's objective comes soon. Where weights go by work,
-		// most of the weight lies in jobs as much longer than the mean, and their objective comes as much later.
+		// Work is heavy-tailed: most jobs are shorter than the mean, and the objective of a short job ends earlier. With
+		// WeightByWork, jobs that are longer than the mean carry most of the weight, and their objective ends later.
 		job.work, likely = stats.work, unhintedWorkFactor*stats.work
 		if d.settings.WeightByWork {
 			likely = stats.work / unhintedWorkFactor
@@ -161,30 +162,30 @@
 	}
 	d.capacity.widestRequest = max(d.capacity.widestRequest, job.slots)
 	stats.slots += (job.slots - stats.slots) * classMeanWeight
-	job.deadline = d.now + left
+	job.deadline = d.now + timeLeft
 	age := 0.0
 	if event.Flags&FlagRetry != 0 { // the objective counts from the client's first attempt
-		age = max(0, class.Deadline-left)
+		age = max(0, class.Deadline-timeLeft)
 	}
 	objective := d.now - age + class.Objective + class.ObjectivePerWork*likely
 	objective += (job.work - likely) / d.serviceTimes.meanSpeed()
 	job.objectiveAt = min(objective, job.deadline)
 }
 
-// setValue sets what a job earns for each slot and time.
+// setValue sets a job's priority weight per ms of work, by which admission and preemption compare jobs.
 func (d *Dispatcher) setValue(job *job) {
-	job.value = d.settings.Classes[job.class].PriorityWeight // for each ms
+	job.value = d.settings.Classes[job.class].PriorityWeight // per ms of work
 	if !d.settings.WeightByWork {
 		job.value /= job.work
 	}
 	if job.overQuota {
-		// A node knows only roughly what is beyond a quota, so it is taken to be right half of the time.
+		// A node estimates only roughly which requests exceed a quota: the estimate counts as right half of the time.
 		job.value *= (1 + d.settings.OverQuotaWeight) / 2
 	}
 	d.admission.meanValue += (job.value - d.admission.meanValue) * classMeanWeight
 }
 
-// finishJob releases a job's reserved slots, once, and cancels what is still in flight.
+// finishJob marks a job as done, releases its reserved slots once and cancels its attempts in flight.
 func (d *Dispatcher) finishJob(job *job) {
 	if job.done {
 		return
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -2,58 +2,61 @@
 
 import "math"
 
-// Placement compares executors by the part of a job's weight that is likely lost there, between 0 and 1 for each term.
+// Placement compares executors by cost: the part of a job's priority weight that is likely lost by sending the job
+// there. Each term is between 0 and 1.
 const (
-	// crowdingCost is feared at an executor with no slot to spare. More spreads jobs wider.
+	// crowdingCost is the cost of an executor without spare slots. A larger one spreads jobs more widely.
 	crowdingCost = 0.2
 
-	// latencyCost is feared when a job's run would use up all the time that its objective leaves.
+	// latencyCost is the cost of an executor where a job's run would take 1.5 times the time left until its objective.
 	latencyCost = 0.5
 
-	// slotTimeCost is for holding slots at an executor of mean speed. More favours fast executors.
+	// slotTimeCost is the cost of holding slots on an executor of mean speed. A larger one favours fast executors.
 	slotTimeCost = 0.1
 
-	// cacheMissCost is for a missed fetch, besides its price.
+	// cacheMissCost is the cost of a cache miss, in addition to Fees.Origin.
 	cacheMissCost = 0.1
 
-	// tieBreakNoise is a random part that keeps nodes from choosing alike.
+	// tieBreakNoise is the range of the random cost that keeps nodes from choosing the same executor.
 	tieBreakNoise = 0.01
 )
 
 const (
-	// fullScanLimit is the number of executors up to which all of them are inspected for the queued jobs.
+	// fullScanLimit is the largest number of executors for which a placement round inspects all of them.
 	fullScanLimit = 24
 
-	// sampledExecutors is how many are drawn from a larger fleet. More finds more free slots, costs CPU, and herds.
+	// sampledExecutors is how many random executors a placement round inspects in a larger fleet. A larger sample finds
+	// more free slots, but costs CPU and makes the nodes choose the same executors.
 	sampledExecutors = 12
 
-	// speculationDelayFraction is the part of its slack that a starved node holds a job before it queues the job at an executor.
+	// speculationDelayFraction is the part of a job's slack for which a starved node holds the job before it sends it to
+	// an executor without free slots.
 	speculationDelayFraction = 0.3
 
-	// roundingSlack is how much slots and memory may seem to lack by the rounding of sums.
+	// roundingSlack is the tolerance for rounding errors in sums of slots and memory.
 	roundingSlack = 1e-6
 )
 
-// placement is which executors queued jobs choose among, in one round over the queue.
+// placement holds the executors among which queued jobs choose in one placement round, a pass over the queue.
 type placement struct {
 	eligible       []*executor // with free slots
 	inspected      []*executor
 	round          uint64
-	inspectedAll   bool            // the fleet or a sample of it, not only affinity candidates
-	recentlyUsed   recentExecutors // those that last served a job of ours, and have a connection
+	inspectedAll   bool            // the fleet, or a sample of a large one, has been inspected, not only affinity candidates
+	recentlyUsed   recentExecutors // executors that served this node's latest jobs and have an open connection
 	lastDispatchAt float64
 }
 
-// beginRound forgets what was inspected for the last round.
+// beginRound discards the results of the previous placement round.
 func (p *placement) beginRound() {
 	p.eligible, p.inspected = p.eligible[:0], p.inspected[:0]
 	p.inspectedAll = false
 	p.round++
 }
 
-// inspectExecutors gathers the executors with free slots that queued jobs choose among: all of a small fleet; of a
-// large one those heard of last, those that warm up and some that are drawn. To inspect all takes CPU, and all nodes
-// would storm the same one with most free slots.
+// inspectExecutors inspects the executors among which queued jobs choose: all executors of a small fleet, and in a large
+// one those that reported or served last, those that are warming up and a random sample. Inspecting all of a large
+// fleet would cost too much CPU, and all nodes would overload the one executor with the most free slots.
 func (d *Dispatcher) inspectExecutors() {
 	if d.placement.inspectedAll {
 		return
@@ -70,19 +73,20 @@
 		d.inspect(d.placement.recentlyUsed[i])
 	}
 	for _, executor := range d.slowStart.warmingUp() {
-		d.inspect(executor) // its budget seldom lets a job of this node go there, which is then all the more wanted
+		d.inspect(executor) // its slow start budget seldom allows a job of this node, so each opportunity counts
 	}
 	for range sampledExecutors {
 		d.inspect(d.randomExecutor())
 	}
 }
 
-// randomExecutor gives an executor of the list by chance.
+// randomExecutor returns a random executor of the endpoint list.
 func (d *Dispatcher) randomExecutor() *executor {
 	return d.endpoints.listed[int(d.random()*float64(len(d.endpoints.listed)))]
 }
 
-// inspect adds an executor to those that queued jobs choose among, once in a round, if it is usable and has free slots.
+// inspect estimates the available slots of an executor, once per round, and makes it eligible if it is usable and has
+// free slots.
 func (d *Dispatcher) inspect(executor *executor) {
 	if executor == nil || executor.lastInspectionRound == d.placement.round || !d.isUsable(executor) {
 		return
@@ -95,28 +99,28 @@
 	}
 }
 
-// chooseExecutor picks, of the executors with free slots, the one where the least is lost. It gives none where a job
-// had better wait for an executor that has its key's data.
+// chooseExecutor returns the eligible executor with the lowest cost for a job. It returns nil if there is none, or if the
+// job should rather wait for an executor that likely has the data of its key cached.
 func (d *Dispatcher) chooseExecutor(job *job) *executor {
 	d.findAffinityCandidates(job)
 	for _, executor := range job.candidates {
 		d.inspect(executor)
 	}
 	waits := d.waitsForAffinity(job)
-	from := job.candidates // where a job waits for one of them, the rest of a large fleet is not inspected
+	from := job.candidates // while a job waits for one of them, the rest of a large fleet is not inspected
 	if !waits || len(d.endpoints.listed) <= fullScanLimit {
 		d.inspectExecutors()
 		from = d.placement.eligible
 	}
 	var best *executor
-	leastCost, bestMiss := math.Inf(1), 0.0
+	minCost, bestMiss := math.Inf(1), 0.0
 	for _, executor := range from {
 		if !d.isEligible(job, executor) {
 			continue
 		}
 		cost, miss := d.costOf(job, executor)
-		if cost < leastCost {
-			leastCost, best, bestMiss = cost, executor, miss
+		if cost < minCost {
+			minCost, best, bestMiss = cost, executor, miss
 		}
 	}
 	if best != nil && bestMiss >= cacheMissThreshold && waits {
@@ -125,7 +129,7 @@
 	return best
 }
 
-// isEligible says whether an executor has slots for a job and may be sent it.
+// isEligible reports whether an executor has the slots and memory for a job and may be sent it.
 func (d *Dispatcher) isEligible(job *job, executor *executor) bool {
 	if executor.load.available-job.slots < -roundingSlack || !d.isKindAllowed(job, executor) {
 		return false
@@ -136,7 +140,8 @@
 	if d.errorProbability(job, executor) > ejectionErrorRate || d.mayLoseJob(job, executor) {
 		return false
 	}
-	// With nothing of ours in flight there, a report that stays low must not shut an executor out for good.
+	// A report of too little memory that no longer changes must not exclude an executor forever: without slots of this
+	// node in flight there, memory is not checked.
 	lacksMemory := executor.load.reportsMemory && job.memory > executor.load.freeMemory+roundingSlack
 	return !lacksMemory || executor.inFlight.slots <= 0
 }
@@ -146,19 +151,19 @@
 	return kind < 0 || executor.endpoint.kind == kind
 }
 
-// mayLoseJob says that an executor may well lose a job that must not be attempted again.
+// mayLoseJob reports whether an executor is doubtful enough to lose a job, and the job could not be retried then.
 func (d *Dispatcher) mayLoseJob(job *job, executor *executor) bool {
 	outlier := &executor.outlier
 	doubtful := outlier.unresponsive || d.now < outlier.ackOverdueUntil && !d.outliers.panicking
 	return doubtful && d.settings.Classes[job.class].RetrySafety == AtMostOnce
 }
 
-// costOf is what is likely lost if a job goes to an executor, and how likely it has to fetch the data of the job's key.
+// costOf returns the cost of sending a job to an executor and the probability of a cache miss there for the job's key.
 func (d *Dispatcher) costOf(job *job, executor *executor) (cost, miss float64) {
-	spare := executor.load.available - job.slots
+	spareSlots := executor.load.available - job.slots
 	slack := max(job.objectiveAt-d.now, 1)
 	run := job.work / d.executorSpeed(executor)
-	cost = crowdingCost/(1+spare) + latencyCost*min(max(0, run/slack-0.5), 1) +
+	cost = crowdingCost/(1+spareSlots) + latencyCost*min(max(0, run/slack-0.5), 1) +
 		slotTimeCost*run*d.serviceTimes.meanSpeed()/job.work
 	cost += executor.outlier.errorAverage + d.errorProbability(job, executor) + tieBreakNoise*d.random()
 	cost += d.zonePrice(job, executor.endpoint.zone)
@@ -172,7 +177,8 @@
 	return cost, miss
 }
 
-// zonePrice is what an executor's zone costs a job: what the request says of it, or else the price of crossing.
+// zonePrice returns the cost of running a job in a zone: the request's own price if it has one, or else Fees.CrossZone
+// for any zone but the node's.
 func (d *Dispatcher) zonePrice(job *job, zone int) float64 {
 	switch {
 	case zone < len(job.zonePrices):
@@ -183,14 +189,15 @@
 	return 0
 }
 
-// chooseSpeculatively finds an executor for a job of a starved node: one that holds less than its part of all slots, sees none
-// free, and has held the job for a good part of its slack. Busy nodes refill a slot as their own job ends, so that no
-// report shows it. It takes the executor with fewest of our slots, and queues no more than one job there.
+// chooseSpeculatively returns an executor without free slots for a job of a starved node, or nil. A node is starved if
+// it holds less than its fair share of the slots, sees none free, and has held the job for a part of its slack: busy
+// nodes reuse a slot as soon as their own job ends, so that no report shows it as free. The executor is the one with
+// the fewest slots of this node, and at most one job queues there.
 func (d *Dispatcher) chooseSpeculatively(job *job) *executor {
 	slack := job.objectiveAt - job.work/d.serviceTimes.meanSpeed() - job.arrivedAt
-	hasItsPart := d.ownSlotsInFlight()+job.slots > d.capacity.fairShareSlots && !d.isStarved()
-	held := d.now >= job.arrivedAt+speculationDelayFraction*slack
-	if hasItsPart || job.inFlight > 0 || job.key != 0 || d.peerLoadsKnown() || !held {
+	usesFairShare := d.ownSlotsInFlight()+job.slots > d.capacity.fairShareSlots && !d.isStarved()
+	delayed := d.now >= job.arrivedAt+speculationDelayFraction*slack
+	if usesFairShare || job.inFlight > 0 || job.key != 0 || d.peerLoadsKnown() || !delayed {
 		return nil
 	}
 	var best *executor
@@ -205,6 +212,8 @@
 	return best
 }
 
+// hasFewerOwnSlots reports whether this node holds fewer slots at a than at b or, if it holds as many, whether a has
+// more available slots.
 func hasFewerOwnSlots(a, b *executor) bool {
 	if a.inFlight.slots != b.inFlight.slots {
 		return a.inFlight.slots < b.inFlight.slots
@@ -212,9 +221,11 @@
 	return a.load.available > b.load.available
 }
 
+// isSpeculationAllowed reports whether a starved node may send a job to an executor that shows no free slots: at most
+// one job may queue there, and the node's slots there stay within its fair share unless it holds none.
 func (d *Dispatcher) isSpeculationAllowed(job *job, executor *executor) bool {
-	queuesThere := executor.inFlight.unstarted > 0 && d.settings.StartNotifications
-	if !d.isUsable(executor) || executor.outlier.unresponsive || queuesThere || d.now < executor.load.rejectedUntil {
+	hasQueuedJob := executor.inFlight.unstarted > 0 && d.settings.StartNotifications
+	if !d.isUsable(executor) || executor.outlier.unresponsive || hasQueuedJob || d.now < executor.load.rejectedUntil {
 		return false
 	}
 	if d.excludesClass(job, executor) || !d.isKindAllowed(job, executor) {
@@ -224,6 +235,6 @@
 		return false
 	}
 	slots := max(executor.load.slots, d.capacity.kindSlots[executor.endpoint.kind])
-	part := d.fleetShare()*slots + 0.5
-	return executor.inFlight.slots <= 0 || executor.inFlight.slots+job.slots <= part
+	fairShare := d.fleetShare()*slots + 0.5
+	return executor.inFlight.slots <= 0 || executor.inFlight.slots+job.slots <= fairShare
 }
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// preemptionGain is how much less than an arrival's a queued job's weight for each slot and time must be for the
-// arrival to take its place, as a factor.
+// preemptionGain times an arrival's value is the value below which a queued job may be preempted by the arrival.
 const preemptionGain = 0.7
 
-// What is added to a job's rank in the queue, in ms: more than any time of day, so that the groups do not mix.
+// Offsets of a job's rank in the queue, in ms. They exceed any time of the node's clock, so that the groups do not mix.
 const (
-	borrowedRankOffset = 1e9 // jobs on borrowed slots, beyond their quota, or hedged
-	lateRankOffset     = 2e9 // jobs that are too late for their objective
+	borrowedRankOffset = 1e9 // jobs that borrow slots, exceed their quota or are hedged
+	lateRankOffset     = 2e9 // jobs that can no longer meet their objective
 )
 
-// preempt rejects a queued job, of the same tenant or on borrowed slots, that is past its objective or worth less
-// than an arrival. It says whether there was one.
+// preempt rejects one queued job in favour of an arrival and reports whether there was one: a job that borrows slots or
+// is of the same tenant, and that misses its objective or has a lower value. Jobs that may have run are not preempted,
+// and an arrival that would itself miss its objective preempts none.
 func (d *Dispatcher) preempt(arrival *job) bool {
 	speed := d.serviceTimes.meanSpeed()
 	if d.now+arrival.work/speed > arrival.objectiveAt {
@@ -36,7 +36,7 @@
 	return false
 }
 
-// enqueue puts a job into the queue of those that wait for an executor.
+// enqueue adds a job to the queue of jobs that wait for an executor.
 func (d *Dispatcher) enqueue(job *job) {
 	if !job.queued {
 		job.queued = true
@@ -45,8 +45,7 @@
 	d.needsPlacement = true
 }
 
-// dispatchQueue sends queued jobs to executors with free slots: those within a reserved share, then those on borrowed
-// slots, then those too late for their objective; among equals, the one that must start soonest.
+// dispatchQueue sends queued jobs to executors with free slots, in the order of their ranks.
 func (d *Dispatcher) dispatchQueue() {
 	d.needsPlacement = false
 	d.rankQueue()
@@ -54,18 +53,18 @@
 		return
 	}
 	d.placement.beginRound()
-	left := d.jobs.queue[:0]
+	remaining := d.jobs.queue[:0]
 	for _, job := range d.jobs.queue {
 		if !d.dispatch(job) {
-			left = append(left, job)
+			remaining = append(remaining, job)
 		}
 	}
-	d.jobs.queue = left
+	d.jobs.queue = remaining
 }
 
-// rankQueue drops the jobs that no longer wait, and orders the others.
+// rankQueue removes the jobs that no longer wait from the queue and sorts the others by rank.
 func (d *Dispatcher) rankQueue() {
-	kept := d.jobs.queue[:0]
+	waiting := d.jobs.queue[:0]
 	speed := d.serviceTimes.meanSpeed()
 	for _, job := range d.jobs.queue {
 		if len(job.attempts) > 0 {
@@ -77,14 +76,15 @@
 			continue
 		}
 		job.rank = d.rankOf(job, speed)
-		kept = append(kept, job)
+		waiting = append(waiting, job)
 	}
-	d.jobs.queue = kept
-	slices.SortStableFunc(kept, func(a, b *job) int { return cmp.Compare(a.rank, b.rank) })
+	d.jobs.queue = waiting
+	slices.SortStableFunc(waiting, func(a, b *job) int { return cmp.Compare(a.rank, b.rank) })
 }
 
-// rankOf is when a job must start at the latest, behind all of the groups before its own; infinite while it waits for
-// answers to its health checks.
+// rankOf returns a job's rank in the queue: the latest start by which it can meet its objective, plus the offset of its
+// group. Jobs within a reserved share come first, then those that borrow slots, exceed their quota or are hedged, then
+// those that can no longer meet their objective. The rank is infinite while a job waits for results of health checks.
 func (d *Dispatcher) rankOf(job *job, speed float64) float64 {
 	if d.now < job.holdUntil && d.healthChecks.inFlight > 0 {
 		return math.Inf(1)
@@ -99,7 +99,7 @@
 	return latestStart
 }
 
-// dispatch sends a job to an executor, if there is one for it.
+// dispatch sends a job to an executor and reports whether one could take it.
 func (d *Dispatcher) dispatch(job *job) bool {
 	if math.IsInf(job.rank, 1) {
 		return false
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -1,95 +1,97 @@
 package dispatch
 
-// RetrySafety says what a repeat of a request may do.
+// RetrySafety says whether a request may run more than once.
 type RetrySafety uint8
 
-// The kinds of retry safety.
+// The levels of retry safety.
 const (
 	Idempotent RetrySafety = iota // may run any number of times
-	Keyed                         // repeats are dropped inside a group of executors, for a while
-	AtMostOnce                    // must not run twice
+	Keyed                         // executors of a DedupScope drop repeats within a DedupWindow
+	AtMostOnce                    // must not run more than once
 )
 
-// DedupScope is the group of executors that drops repeats of a keyed request.
+// DedupScope is the group of executors that together deduplicate a keyed request.
 type DedupScope uint8
 
-// The scopes.
+// The deduplication scopes.
 const (
 	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// Class is one class of requests.
+// Class holds the rules of one request class. Times are in ms.
 type Class struct {
-	Objective        float64 // it earns its full weight inside this time
-	ObjectivePerWork float64 // the objective grows by this many times the job's own work
-	Deadline         float64 // a client's whole waiting time
+	Objective        float64 // latency objective: a response within this time earns the full priority weight
+	ObjectivePerWork float64 // the objective is extended by this multiple of the job's work
+	Deadline         float64 // total time that a client waits, over all of its attempts
 	PriorityWeight   float64
 	RetrySafety      RetrySafety
 	DedupScope       DedupScope
-	DedupWindow      float64 // Keyed: how long repeats are dropped
-	Kind             int     // machine kind it needs, -1 for any
+	DedupWindow      float64 // Keyed: how long executors drop repeats
+	Kind             int     // required machine kind, -1 for any
 }
 
-// Tenant is one tenant's share.
+// Tenant holds the reserved share and the quota of one tenant.
 type Tenant struct {
-	ReservedShare float64 // its part of the service
-	Quota         float64 // requests a second within its share, all nodes together; 0 if not told
+	ReservedShare float64 // relative to the shares of the other tenants
+	Quota         float64 // requests per second, summed over all nodes; 0 for no quota
 }
 
-// Field names a value of a load report.
+// Field is the meaning of one value of a load report.
 type Field uint8
 
-// The fields a report can carry. FieldOther holds the place of a value that is not used.
+// The fields that a load report can carry. FieldOther is the placeholder of a value that is not used.
 const (
 	FieldOther   Field = iota
-	FieldBusy          // requests held
+	FieldBusy          // requests at the executor, running and queued
 	FieldPending       // requests queued
-	FieldUtil          // share of the cores in use
+	FieldUtil          // CPU utilization, as a share of the cores
 	FieldLatency       // recent service time
-	FieldServed        // requests a second
-	FieldErrors        // errors a second
+	FieldServed        // requests served per second
+	FieldErrors        // errors per second
 	FieldFree          // free slots
 	FieldMemory        // free memory units
 )
 
-// Telemetry says how load reports come.
+// Telemetry says how a node receives load reports.
 type Telemetry uint8
 
-// The ways a report can come.
+// The sources of load reports.
 const (
 	ReportNone         Telemetry = iota
-	ReportAnswers                // with outcomes and health checks
-	ReportHealthChecks           // with health checks only
+	ReportAnswers                // in outcomes and in health checks
+	ReportHealthChecks           // in health checks only
 )
 
-// Fees are the prices that help to choose among executors with free slots.
+// Fees are the costs that placement adds to those of an executor: Fees.CrossZone for another zone than the node's,
+// Fees.Handshake for a new connection, and Fees.Origin for a fetch of the data of the job's affinity key.
 type Fees struct {
 	CrossZone, Handshake, Origin float64
 }
 
-// Settings is what a node is told at its start. Zero stands for an absent value; New says what that becomes.
+// Settings configures a Dispatcher. Times are in ms. A zero value means that the setting is absent; New documents the
+// defaults.
 type Settings struct {
 	Node, Nodes     int
 	Zone            int
-	MinStepInterval float64 // least time between batches
+	MinStepInterval float64 // minimum time between batches of events
 
 	Classes []Class
-	Tenants []Tenant // empty: tenants are not told apart
+	Tenants []Tenant // empty: all requests belong to one tenant
 
 	OverQuotaWeight float64
 	WeightByWork    bool
 
-	PollsList   bool // the list must be polled
-	LiveWeights bool // a row's Weight is the size divided by 1 + requests held per core, from a while back
+	PollsList   bool // the endpoint list has to be polled
+	LiveWeights bool // EndpointUpdate.Weight is the size divided by 1 + requests per core, as measured a while ago
 	Telemetry   Telemetry
 	Fields      []Field
 
-	ProgressInterval   float64 // interval of progress notes, 0 for none
-	StartNotifications bool
+	ProgressInterval   float64 // interval of progress notifications, 0 for none
+	StartNotifications bool    // executors notify the start of each attempt
 
-	MaxRetryAfter        float64 // the longest that a rejected client may be told to stay away, 0 for never
+	MaxRetryAfter        float64 // longest retry-after of a rejection, 0 for none
 	MaxAttempts          int
 	HedgingAllowed       bool
 	CancelAllowed        bool
@@ -97,17 +99,17 @@
 	GossipAllowed        bool
 	ConnIdleTimeout      float64
 	ConnectTimeout       float64
-	MaxConcurrentStreams int // attempts that one connection carries together
-
-	// The rules' figures. AnswerSlack and DrainGrace are not used up: answers come before the client's time is
-	// over, and nothing new goes to an executor from the batch on that notifies its drain.
-	AnswerSlack          float64 // how long after the client's time an answer still counts
-	MaxPollInterval      float64 // a list that must be polled is polled at least this often
-	DrainGrace           float64 // how long a draining executor may still be sent to
-	OverloadMultiple     float64 // a warming executor that gets over this many times what it can do,
-	OverloadWindow       float64 // in this time, falls over
-	SlowStartMinShare    float64 // least share of its capacity that an executor starts with
-	MaxSlowStartDuration float64 // and the longest until it has all of it
+	MaxConcurrentStreams int // attempts that one connection carries at the same time
+
+	// The limits of the service rules. The Dispatcher does not use up AnswerSlack and DrainGrace: it responds before the
+	// client's deadline, and it sends nothing new to a draining executor from the batch on that notifies the drain.
+	AnswerSlack          float64 // how long after the client's deadline a response still counts
+	MaxPollInterval      float64 // longest interval between polls of a list that has to be polled
+	DrainGrace           float64 // how long attempts may still be sent to a draining executor
+	OverloadMultiple     float64 // an executor that is warming up fails if it gets more than this multiple of its
+	OverloadWindow       float64 // capacity within this time
+	SlowStartMinShare    float64 // smallest share of its capacity with which an executor starts
+	MaxSlowStartDuration float64 // longest time until an executor reaches its full capacity
 
 	Fees Fees
 }
--- a/internal/dispatch/window.go
+++ b/internal/dispatch/window.go
@@ -1,11 +1,11 @@
 package dispatch
 
-// Means that forget, and backoff factors.
+// Exponential moving averages and backoff factors.
 
-// arrivalRate is how often something comes, as learned from the times between.
+// arrivalRate is a moving average of the rate of arrivals, derived from the gaps between them.
 type arrivalRate struct{ perSecond, lastAt float64 }
 
-// arrivalWindowMs is the time constant of an arrival rate. A shorter one follows a flood sooner.
+// arrivalWindowMs is the time constant of an arrivalRate. A shorter one reacts to a flood sooner.
 const arrivalWindowMs = 2000
 
 func (a *arrivalRate) add(now float64) {
@@ -16,16 +16,17 @@
 	a.lastAt = now
 }
 
-// movingVariance is a mean that forgets, and the scatter around it.
+// movingVariance is an exponential moving average of values and of their squared deviation from it.
 type movingVariance struct{ mean, variance float64 }
 
-// add takes in a value with a weight between 0 and 1, and gives the scatter.
+// add adds a value with a weight between 0 and 1 and returns the updated variance.
 func (s *movingVariance) add(value, weight float64) float64 {
-	off := value - s.mean
-	s.mean += off * weight
-	s.variance += (off*off - s.variance) * weight
+	deviation := value - s.mean
+	s.mean += deviation * weight
+	s.variance += (deviation*deviation - s.variance) * weight
 	return s.variance
 }
 
-// backoffFactor is the factor of a backoff that has doubled so many times, at most limit times.
-func backoffFactor(times, limit int) float64 { return float64(int(1) << min(times, limit)) }
+// backoffFactor returns the factor of an exponential backoff after the given number of doublings, of which at most
+// limit count.
+func backoffFactor(doublings, limit int) float64 { return float64(int(1) << min(doublings, limit)) }
