--- a/internal/executor/answer.go
+++ b/internal/executor/answer.go
@@ -36,7 +36,7 @@
 		ackDeadline: attempt.lastByteAt.Add(c.acks.timeout(attempt)),
 	}
 	for {
-		//nolint:contextcheck // a DELETE that it leads to outlives the attempt
+		//nolint:contextcheck // a DELETE that it sends outlives the attempt
 		if message, err := r.parse(); message != nil || err != nil {
 			return message, err
 		}
@@ -83,7 +83,7 @@
 		return nil, nil
 	}
 	if ctx.Err() != nil {
-		r.client.drainAnswer(r.attempt, r.conn) //nolint:contextcheck // a DELETE that it leads to outlives the attempt
+		r.client.drainAnswer(r.attempt, r.conn) //nolint:contextcheck // a DELETE that it sends outlives the attempt
 		return nil, err
 	}
 	if slow := (*slowpeer.Error)(nil); errors.As(err, &slow) {
--- a/internal/executor/send.go
+++ b/internal/executor/send.go
@@ -21,7 +21,7 @@
 	// statusAccepted is the status with which an executor accepts a job.
 	statusAccepted = 202
 
-	// hostName is the Host header of all requests; executors are addressed by IP address.
+	// hostName is the Host header of all requests; executors are identified by their addresses.
 	hostName = "api.internal"
 )
 
@@ -68,7 +68,7 @@
 // take a while is done: if the connection breaks before that byte is written, the job did not run; afterwards it may
 // have.
 func (c *Client) exchange(ctx context.Context, attempt *activeAttempt, conn *connection) sendResult {
-	// Conditions may have changed while the connection was opened: a drain limits when the first byte may be written.
+	// Conditions may have changed while the connection was opened. For a drain, the time of the first byte counts.
 	if _, ok := c.allowed(attempt); !ok {
 		return sendResult{outcome: dispatch.CanceledBeforeSend, reusable: true}
 	}
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -218,7 +218,8 @@
 		a.Executor, a.Job.TraceID = 20+uint32(i), "00000000000000a"+string('0'+rune(i))
 		c.Send(a)
 	}
-	testenv.Until(t, "the overdue executors are counted", func() bool { return c.slowPeers.Count(slowpeer.MostAcksLate) >= 8 })
+	testenv.Until(t, "the overdue executors are counted",
+		func() bool { return c.slowPeers.Count(slowpeer.MostAcksLate) >= 8 })
 	mu.Lock()
 	defer mu.Unlock()
 	for i := range uint64(4) {
--- a/internal/node/clock_test.go
+++ b/internal/node/clock_test.go
@@ -7,7 +7,7 @@
 	"gatetack/internal/clocktest"
 )
 
-// The decision module's clock follows the monotonic clock: slow start, time windows, ejections and time-outs, which
+// The dispatch module's clock follows the monotonic clock: slow start, time windows, ejections and time-outs, which
 // the module measures by it, must not be affected by a step of the wall clock.
 func TestModuleClockIgnoresWallClockSteps(t *testing.T) {
 	began := time.Now()
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Names holds the names of the settings, each at the index by which the decision module counts it.
+// Names holds the names of the settings, each at the index by which the dispatch module counts it.
 type Names struct {
 	Classes, Tenants, Zones, Kinds, Fields []string // a class that the settings no longer contain has the empty name
 
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -38,7 +38,7 @@
 const (
 	Served     End = iota
 	Rejected       // it did not run, and a retry is harmless
-	Failed         // it may have run
+	Failed         // whether it ran is not known
 	Terminated     // by its client, before it was sent
 )
 
