--- a/internal/dispatch/affinity.go
+++ b/internal/dispatch/affinity.go
@@ -159,7 +159,7 @@
 // rank appends to best the count executors with the highest rendezvous weights for a key, in descending order.
 func (l *endpointList) rank(key uint64, count int, best []rankedCandidate) []rankedCandidate {
 	for i, x := range l.hashes {
-		uniform, scale := float64(mix64(key^x.hash)>>11+1)/(1<<53), l.kindScales[x.kind]
+		uniform, scale := float64(mix64(key^x.hash)>>11+1)/(1<<53), l.maxKindWeights[x.kind]
 		// uniform-1 is an upper bound of the logarithm and cheaper to compute.
 		if !x.ready || len(best) == count && uniform-1 <= best[count-1].weight*scale {
 			continue
--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -198,7 +198,7 @@
 // isStartOverdue reports whether an executor has not started an attempt of this node within the usual time. It then
 // queues attempts, even if a late report shows free slots.
 func (d *Dispatcher) isStartOverdue(executor *executor) bool {
-	return d.settings.StartNotifications && d.now-executor.inFlight.oldestUnstarted > d.serviceTimes.startNoteTimeout()
+	return d.settings.StartNotifications && d.now-executor.inFlight.oldestUnstarted > d.serviceTimes.startNotificationTimeout()
 }
 
 // availableSlots returns how many more slots this node may use at an executor, from the loads of peers if they are
--- a/internal/dispatch/classfailure.go
+++ b/internal/dispatch/classfailure.go
@@ -2,42 +2,42 @@
 
 import "math"
 
-// Class failures are told apart from failures of an executor as a whole. An executor can fail one class at once and
-// serve another well: its errors then do not add up to an ejection, while it seems to have free slots and attracts
-// more. It can also reject one class while it reports free slots for all.
+// Failures of a class at an executor are distinguished from failures of the executor as a whole. An executor can
+// fail one class immediately and serve another: its errors then do not lead to an ejection, while it appears to
+// have free slots and attracts more jobs. It can also reject one class while it reports free slots for all.
 
 const (
-	// classQuarantineFactor is how long a class that failed at an executor is first kept away from it, in connect
-	// timeouts; the time doubles with each further failure. It is long because a trial may lose a job for good.
+	// classQuarantineFactor is the duration of the first quarantine of a class at an executor, in connect timeouts.
+	// It doubles with each further failure. It is long because a trial may lose a job for good.
 	classQuarantineFactor = 16
 
-	// errorPrior is how many jobs' worth of all classes' error rate is mixed into the rate of one class. More lets what
-	// other classes met at an executor count for longer.
+	// errorPrior is the weight of the error rate of all classes in that of one class, in jobs. With a larger
+	// weight, errors of other classes at an executor count for longer.
 	errorPrior = 2
 
-	// errorWindowFactor is the time constant with which errors fade, in connect timeouts. A shorter one tries a failing
-	// executor sooner.
+	// errorWindowFactor is the time constant of the decay of errors, in connect timeouts. With a shorter one, a
+	// failing executor is tried again sooner.
 	errorWindowFactor = 40
 
-	// minErrors is the number of faded errors under which an executor counts as one without errors.
+	// minErrors is the decayed number of errors below which an executor counts as error-free.
 	minErrors = 0.01
 )
 
-// failureState is how jobs fare at an executor.
+// failureState counts the failures of jobs at an executor.
 type failureState struct {
 	byClass []classFailures
-	all     errorTally // of all classes
+	all     errorCounts // over all classes
 }
 
-// classFailures is how one class fares at an executor.
+// classFailures counts the failures of one class at an executor.
 type classFailures struct {
-	consecutive      int     // failures in a row
-	quarantinedUntil float64 // no job of the class goes there before
-	failedAt         float64 // when it failed last
-	errors           errorTally
+	consecutive      int     // failures since the last served job
+	quarantinedUntil float64 // no job of the class is sent there before
+	lastFailureAt    float64 // time of the last failure
+	errors           errorCounts
 }
 
-// resetClass forgets how a class fared, and makes place for one more if it is new.
+// resetClass clears the failures of a class, or adds a new class.
 func (f *failureState) resetClass(class int) {
 	if class < len(f.byClass) {
 		f.byClass[class] = classFailures{}
@@ -46,40 +46,40 @@
 	f.byClass = append(f.byClass, classFailures{})
 }
 
-// takeBack withdraws one error of a class, which was not the executor's.
-func (f *failureState) takeBack(env *environment, class int) {
+// retract withdraws one error of a class, which was not the executor's fault.
+func (f *failureState) retract(env *environment, class int) {
 	failures := &f.byClass[class]
-	failures.errors.takeBack(env)
+	failures.errors.retract(env)
 	failures.consecutive = max(0, failures.consecutive-1)
 	if failures.consecutive == 0 {
 		failures.quarantinedUntil = 0
 	}
-	f.all.takeBack(env)
+	f.all.retract(env)
 }
 
-// add counts an ended job of a class.
+// add counts a job of a class that has ended.
 func (f *failureState) add(env *environment, class int, errored bool) {
 	f.byClass[class].errors.add(env, errored)
 	f.all.add(env, errored)
 }
 
-// errorTally counts jobs that ended, and those of them that ended in an error. Both counts fade.
-type errorTally struct{ total, errors, updatedAt float64 }
+// errorCounts counts the jobs that ended, and those that ended with an error. Both counts decay.
+type errorCounts struct{ total, errors, updatedAt float64 }
 
-// faded gives the counts as of now.
-func (t *errorTally) faded(env *environment) (total, errors float64) {
+// decayed returns the counts as of now.
+func (t *errorCounts) decayed(env *environment) (total, errors float64) {
 	window := errorWindowFactor * max(env.settings.ConnectTimeout, env.settings.MinStepInterval)
-	keep := math.Exp((t.updatedAt - env.now) / window)
-	return t.total * keep, t.errors * keep
+	decay := math.Exp((t.updatedAt - env.now) / window)
+	return t.total * decay, t.errors * decay
 }
 
-func (t *errorTally) takeBack(env *environment) {
-	total, errors := t.faded(env)
+func (t *errorCounts) retract(env *environment) {
+	total, errors := t.decayed(env)
 	t.total, t.errors, t.updatedAt = max(0, total-1), max(0, errors-1), env.now
 }
 
-func (t *errorTally) add(env *environment, errored bool) {
-	t.total, t.errors = t.faded(env)
+func (t *errorCounts) add(env *environment, errored bool) {
+	t.total, t.errors = t.decayed(env)
 	t.updatedAt = env.now
 	t.total++
 	if errored {
@@ -87,26 +87,27 @@
 	}
 }
 
-// observeClassOutcome takes in how a job of a class ended at an executor. A single Full outcome beside free slots can
-// come of a late load report and is not held against the class. A job that errs at a second executor may be one that
-// errs wherever it goes, so that the first is not to blame either: one bad request that may be attempted six times
-// would put its class out at six executors. Once a third executor serves the job, the errors were the executors' own.
+// observeClassOutcome records how a job of a class ended at an executor. A single Full outcome despite free slots
+// can be caused by an outdated load report, and does not quarantine the class. A job that fails at a second
+// executor may fail wherever it is sent, so the first executor is cleared of its error as well: otherwise one bad
+// request with six attempts would quarantine its class at six executors. If a third executor serves the job, the
+// errors are attributed to the executors where it failed.
 func (d *Dispatcher) observeClassOutcome(job *job, executor *executor, event *Event) {
 	attempt := &job.attempts[event.Attempt]
 	switch {
 	case event.Outcome == Served:
-		d.learnServed(job, executor, attempt)
+		d.observeClassServed(job, executor, attempt)
 	case event.Outcome == Errored:
-		d.learnErrored(job, executor, attempt)
+		d.observeClassError(job, executor, attempt)
 	case event.Outcome == Full && d.reports.hasFreeSlots(event.Report, job.slots):
-		d.blameClass(executor, job.class, Full)
+		d.recordClassFailure(executor, job.class, Full)
 	}
 }
 
-func (d *Dispatcher) learnServed(job *job, executor *executor, attempt *attempt) {
+func (d *Dispatcher) observeClassServed(job *job, executor *executor, attempt *attempt) {
 	executor.failures.add(d.environment, job.class, false)
 	failures := &executor.failures.byClass[job.class]
-	if attempt.sentAt >= failures.failedAt { // an earlier attempt shows nothing of what came since
+	if attempt.sentAt >= failures.lastFailureAt { // an earlier attempt says nothing about later failures
 		failures.consecutive, failures.quarantinedUntil = 0, 0
 	}
 	if job.erroredAttempts() <= 1 {
@@ -114,80 +115,82 @@
 	}
 	for i := range job.attempts {
 		if job.attempts[i].errored {
-			d.blameClass(job.attempts[i].executor, job.class, Errored)
+			d.recordClassFailure(job.attempts[i].executor, job.class, Errored)
 		}
 	}
 }
 
-func (d *Dispatcher) learnErrored(job *job, executor *executor, attempt *attempt) {
+func (d *Dispatcher) observeClassError(job *job, executor *executor, attempt *attempt) {
 	earlier := job.erroredAttempts()
 	attempt.errored = true
 	switch earlier {
 	case 0:
-		d.blameClass(executor, job.class, Errored)
+		d.recordClassFailure(executor, job.class, Errored)
 	case 1:
 		for i := range job.attempts {
 			if first := &job.attempts[i]; first.errored && first != attempt {
-				first.executor.failures.takeBack(d.environment, job.class)
+				first.executor.failures.retract(d.environment, job.class)
 			}
 		}
 	}
 }
 
-// blameClass holds a job's end against an executor, for its class alone.
-func (d *Dispatcher) blameClass(executor *executor, class int, o Outcome) {
+// recordClassFailure attributes a failure to an executor, for the class of the job alone.
+func (d *Dispatcher) recordClassFailure(executor *executor, class int, o Outcome) {
 	failures := &executor.failures.byClass[class]
 	if o == Errored {
 		executor.failures.add(d.environment, class, true)
 	}
 	if d.now < failures.quarantinedUntil {
-		return // it was sent before the last one failed
+		return // the job was sent before the previous failure
 	}
 	failures.consecutive++
-	failures.failedAt = d.now
+	failures.lastFailureAt = d.now
 	if o == Full && failures.consecutive == 1 {
 		return
 	}
 	base := classQuarantineFactor * max(d.settings.ConnectTimeout, d.settings.MinStepInterval)
 	failures.quarantinedUntil = d.now + base*backoffFactor(failures.consecutive-1, maxBackoffDoublings)*(0.75+0.5*d.random())
 	d.reportQuarantine(executor, firstClassQuarantine+class)
-	d.logf("class kept away executor=%d class=%d until=%.0f", executor.id, class, failures.quarantinedUntil)
+	d.logf("class quarantined executor=%d class=%d until=%.0f", executor.id, class, failures.quarantinedUntil)
 }
 
-// errorProbability is the chance that a job errs at an executor, for a job that is lost with it; others are attempted
-// again, and it is they that show when an executor works again. An executor can err for a part of its jobs, whichever
-// they are, and serve the next. An error would then keep its class alone away, until the next success, and each class
-// in turn would lose jobs there that must not be retried. What other classes met there counts until a class has fared
-// often enough itself.
+// errorProbability returns the probability that a job fails at an executor, and 0 for a job that can be retried:
+// retried jobs show when an executor has recovered. An executor can fail a fraction of its jobs regardless of their
+// class. An error then quarantines only its own class until the next success, and each class in turn would lose
+// jobs there that must not be retried. The error rate of all classes is therefore used until a class has enough
+// outcomes of its own.
 func (d *Dispatcher) errorProbability(job *job, executor *executor) float64 {
-	all, errors := executor.failures.all.faded(d.environment)
-	lostWithAnError := d.settings.Classes[job.class].RetrySafety == AtMostOnce
-	if errors < minErrors || !lostWithAnError || d.outliers.panicking || d.outliers.failingClasses[job.class] {
+	all, errors := executor.failures.all.decayed(d.environment)
+	lostOnError := d.settings.Classes[job.class].RetrySafety == AtMostOnce
+	if errors < minErrors || !lostOnError || d.outliers.panicking || d.outliers.failingClasses[job.class] {
 		return 0
 	}
-	own, ownErrors := executor.failures.byClass[job.class].errors.faded(d.environment)
+	own, ownErrors := executor.failures.byClass[job.class].errors.decayed(d.environment)
 	return (ownErrors + errorPrior*errors/(all+errorPrior)) / (own + errorPrior)
 }
 
-// excludesClass says whether a job's class failed at an executor lately, and not nearly everywhere.
+// excludesClass reports whether a job's class is quarantined at an executor, unless it is failing at most
+// executors.
 func (d *Dispatcher) excludesClass(job *job, executor *executor) bool {
 	return d.isClassQuarantined(executor, job.class) && !d.outliers.failingClasses[job.class]
 }
 
-// isClassQuarantined says whether a class failed at an executor lately, here or as other nodes found.
+// isClassQuarantined reports whether a class is quarantined at an executor, by this node or by another one.
 func (d *Dispatcher) isClassQuarantined(executor *executor, class int) bool {
-	return d.now < executor.failures.byClass[class].quarantinedUntil || d.isQuarantined(executor, firstClassQuarantine+class)
+	return d.now < executor.failures.byClass[class].quarantinedUntil ||
+		d.isQuarantined(executor, firstClassQuarantine+class)
 }
 
-// findFailingClasses finds the classes that fail at so many executors that it does not help to keep them away.
+// findFailingClasses finds the classes that fail at so many executors that a quarantine does not help.
 func (d *Dispatcher) findFailingClasses() {
 	for class := range d.serviceTimes.classes {
-		away := 0
+		quarantined := 0
 		for _, executor := range d.endpoints.listed {
 			if d.isClassQuarantined(executor, class) {
-				away++
+				quarantined++
 			}
 		}
-		d.outliers.failingClasses[class] = float64(away) > panicThreshold*float64(len(d.endpoints.listed))
+		d.outliers.failingClasses[class] = float64(quarantined) > panicThreshold*float64(len(d.endpoints.listed))
 	}
 }
--- a/internal/dispatch/classfailure_test.go
+++ b/internal/dispatch/classfailure_test.go
@@ -70,7 +70,7 @@
 	for id := uint32(1); id <= 8; id++ {
 		rows = append(rows, ready(id, 0))
 	}
-	kept := func(good int) (away int, odds float64) { // the attempt that is served
+	runJob := func(good int) (quarantined int, probability float64) { // the attempt that is served
 		r := newRig(t, s, rows...)
 		out := r.step(request(1, 0, 0, 1))
 		for n := uint16(0); n < 6; n++ {
@@ -87,22 +87,22 @@
 		unsafe := &job{class: 2}
 		for _, executor := range r.d.endpoints.listed {
 			if d := r.d; d.now < executor.failures.byClass[0].quarantinedUntil {
-				away++
+				quarantined++
 			}
-			odds = max(odds, r.d.errorProbability(unsafe, executor))
+			probability = max(probability, r.d.errorProbability(unsafe, executor))
 		}
-		return away, odds
+		return quarantined, probability
 	}
-	if away, odds := kept(99); away != 0 || odds > 0 {
+	if away, odds := runJob(99); away != 0 || odds > 0 {
 		t.Errorf("after a job that erred at all six, its class is away from %d executors, odds %.2f", away, odds)
 	}
-	if away, _ := kept(1); away != 1 {
+	if away, _ := runJob(1); away != 1 {
 		t.Errorf(
 			"after a job that erred at one and was served at the next, its class is away from %d executors, want that one",
 			away,
 		)
 	}
-	if away, _ := kept(2); away != 2 {
+	if away, _ := runJob(2); away != 2 {
 		t.Errorf(
 			"after a job that erred at two and was served at a third, its class is away from %d executors, want those two",
 			away,
--- a/internal/dispatch/connections.go
+++ b/internal/dispatch/connections.go
@@ -1,15 +1,15 @@
 package dispatch
 
-// connectionState is what this node knows of its connections to an executor.
+// connectionState is the state of this node's connections to an executor.
 type connectionState struct {
-	idleSince        []float64 // of each idle connection, the oldest first
+	idleSince        []float64 // start of idle time of each idle connection, oldest first
 	opening          int       // attempts in flight on connections that were opened for them
-	dialFailures     int       // since a connection was last made
+	dialFailures     int       // since a connection was last opened
 	dialBackoffUntil float64   // no connection is opened before
 }
 
-// acquire uses the last idle connection, if there is one, and says whether one is opened for an attempt instead. Shared
-// says that an open connection carries it beside others.
+// acquire takes the most recently used idle connection, if there is one, and reports whether the attempt opens a
+// new one instead. Shared means that an open connection carries the attempt beside others.
 func (c *connectionState) acquire(shared bool) (opened bool) {
 	if n := len(c.idleSince); n > 0 {
 		c.idleSince = c.idleSince[:n-1]
@@ -22,7 +22,8 @@
 	return true
 }
 
-// release notes that a connection has become idle. Where jobs share connections, one entry stands for all.
+// release records that a connection has become idle. Where connections are shared, one entry represents all of
+// them.
 func (c *connectionState) release(now float64, inFlight int, shared bool) {
 	if len(c.idleSince) > inFlight && shared {
 		c.idleSince = c.idleSince[:0]
@@ -30,7 +31,7 @@
 	c.idleSince = append(c.idleSince, now)
 }
 
-// dropExpired forgets the idle connections that have been idle for longer than the executor keeps them.
+// dropExpired removes connections that have been idle for longer than the executor keeps them open.
 func (c *connectionState) dropExpired(now, idleTimeout float64) {
 	expired := 0
 	for expired < len(c.idleSince) && now-c.idleSince[expired] >= idleTimeout {
@@ -41,40 +42,41 @@
 	}
 }
 
-// hasOpenConnection says whether the next job to an executor needs no new connection.
+// hasOpenConnection reports whether the next job to an executor can use an open connection.
 func (d *Dispatcher) hasOpenConnection(executor *executor) bool {
 	executor.connections.dropExpired(d.now, d.settings.ConnIdleTimeout)
 	return len(executor.connections.idleSince) > 0 || d.sharesConnection(executor)
 }
 
-// sharesConnection says whether connections carry several jobs and one that is open can take another.
+// sharesConnection reports whether connections carry several jobs and an open one can take another.
 func (d *Dispatcher) sharesConnection(executor *executor) bool {
-	// Attempts on connections that were open before, if each had its own.
+	// The number of attempts that did not open a connection of their own.
 	established := len(executor.inFlight.jobs) - executor.connections.opening
 	return d.settings.MaxConcurrentStreams > 1 && established > 0 && established%d.settings.MaxConcurrentStreams != 0
 }
 
-// noteDialFailure backs off from new connections to an executor; those that are open go on being used.
-func (d *Dispatcher) noteDialFailure(executor *executor) {
+// recordDialFailure backs off from opening connections to an executor. Open connections remain in use.
+func (d *Dispatcher) recordDialFailure(executor *executor) {
 	d.reportQuarantine(executor, connectionQuarantine)
 	connections := &executor.connections
 	if d.now >= connections.dialBackoffUntil {
-		backoff := max(d.settings.ConnectTimeout, d.settings.MinStepInterval) * backoffFactor(connections.dialFailures, maxBackoffDoublings)
+		backoff := max(d.settings.ConnectTimeout, d.settings.MinStepInterval) *
+			backoffFactor(connections.dialFailures, maxBackoffDoublings)
 		connections.dialBackoffUntil = d.now + backoff*(0.75+0.5*d.random())
 		connections.dialFailures++
 		if connections.dialFailures == 1 {
-			d.logf("executor takes no connections executor=%d", executor.id)
+			d.logf("executor rejects new connections executor=%d", executor.id)
 		}
 	}
 	// An idle connection would have been used if there had been one.
 	connections.idleSince = connections.idleSince[:0]
 }
 
-// isDialBlocked says that an executor takes no new connections. It can serve over those that it has and take no new
-// one, because its table is full or new ones are cut: a served job says nothing of the next dial. One new connection
-// is tried at a time.
+// isDialBlocked reports whether no new connection to an executor may be opened. An executor can serve jobs over
+// open connections and reject new ones, because its connection table is full or new connections are dropped. A
+// served job therefore says nothing about the next dial. One new connection is tried at a time.
 func (d *Dispatcher) isDialBlocked(executor *executor) bool {
 	connections := &executor.connections
-	backsOff := connections.dialFailures > 0 && (d.now < connections.dialBackoffUntil || connections.opening > 0)
-	return backsOff || d.isQuarantined(executor, connectionQuarantine)
+	backingOff := connections.dialFailures > 0 && (d.now < connections.dialBackoffUntil || connections.opening > 0)
+	return backingOff || d.isQuarantined(executor, connectionQuarantine)
 }
--- a/internal/dispatch/connections_test.go
+++ b/internal/dispatch/connections_test.go
@@ -25,7 +25,7 @@
 func TestSharedConnectionNeedsNoHandshake(t *testing.T) {
 	for _, tt := range []struct {
 		multiplex int
-		warm      []bool // for the second, third and fourth attempt while the first is out
+		open      []bool // for the second, third and fourth attempt while the first is out
 	}{{1, []bool{false, false, false}}, {3, []bool{true, true, false}}} {
 		s := base()
 		s.MaxConcurrentStreams = tt.multiplex
@@ -35,7 +35,7 @@
 		r.step(request(1, 0, 0, 1))
 		executor.connections.opening = 0 // its connection stands
 		r.d.jobs.byID[1].attempts[0].openedConnection = false
-		for i, want := range tt.warm {
+		for i, want := range tt.open {
 			if got := r.d.hasOpenConnection(executor); got != want {
 				t.Errorf("multiplex %d, %d out: warm %v, want %v", tt.multiplex, i+1, got, want)
 			}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -56,7 +56,7 @@
 		reports:      newLoadReports(env),
 		serviceTimes: newServiceTimes(env),
 		affinity:     keyAffinity{keyCounts: map[uint64]float64{}},
-		slowStart:    slowStartTracker{environment: env, removed: map[uint32]knownStart{}},
+		slowStart:    slowStartTracker{environment: env, removed: map[uint32]removedStart{}},
 		outliers:     outlierDetection{failingClasses: make([]bool, len(s.Classes))},
 		endpoints:    endpointList{environment: env, byID: map[uint32]*executor{}, byTag: map[uint16]*executor{}},
 		listWatch:    listWatch{environment: env},
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -7,77 +7,77 @@
 	"sort"
 )
 
-// rebuildThreshold is the number of rows of one change up to which each is put in its place; with more, all is sorted
-// anew.
+// rebuildThreshold is the number of changed rows from which on the whole list is sorted again, instead of updating
+// it row by row.
 const rebuildThreshold = 16
 
-// minWeight is the least weight of a kind's largest executor.
+// minWeight is the minimum weight of the largest executor of a kind.
 const minWeight = 1e-6
 
-// machineKinds is how many kinds of machines a Row can tell apart.
+// machineKinds is the number of machine kinds that an EndpointUpdate can distinguish.
 const machineKinds = math.MaxUint8 + 1
 
-// endpointList holds the executors as the endpoint list has them.
+// endpointList holds the executors of the endpoint list.
 type endpointList struct {
 	*environment
 
-	byID         map[uint32]*executor
-	byTag        map[uint16]*executor  // by name in messages between nodes
-	listed       []*executor           // by id
-	removed      []*executor           // gone from the list, and kept while attempts of ours are in flight there
-	rows         []endpointRow         // of listed, in its order
-	hashes       []affinityHash        // likewise
-	changed      []*executor           // scratch of applyRows
-	revision     int                   // counts changes of the list, from 1
-	kindScales   [machineKinds]float64 // the largest weight of each kind
-	meanLiveLoad float64               // requests per core, as live weights tell
+	byID           map[uint32]*executor
+	byTag          map[uint16]*executor  // by tag, which identifies an executor in messages between nodes
+	listed         []*executor           // by id
+	removed        []*executor           // removed from the list, but with attempts of this node in flight
+	rows           []endpointRow         // of listed, in the same order
+	hashes         []affinityHash        // of listed, in the same order
+	changed        []*executor           // reused buffer of applyChanges
+	revision       int                   // number of changes of the list, from 1
+	maxKindWeights [machineKinds]float64 // the largest weight of each kind
+	meanLiveLoad   float64               // requests per core, derived from live weights
 }
 
-// endpointRow is what the list told of an executor, kept apart from all else: lists with live weights come often, and
-// to touch each executor for each would cost more CPU than all jobs do.
+// endpointRow is the listed data of an executor. It is kept apart from the executor, because lists with live
+// weights arrive often, and accessing each executor for each of them would use more CPU time than all jobs.
 type endpointRow struct {
 	row      EndpointUpdate
-	liveLoad float64 // requests held per core, as the live weight told
+	liveLoad float64 // requests in flight per core, derived from the live weight
 }
 
-// endpointState is what the endpoint list tells of an executor.
+// endpointState is an executor's state from the endpoint list.
 type endpointState struct {
 	zone, kind int
 	cell       uint16
 	condition  Condition
-	position   int            // in the list, where weights are live
-	row        EndpointUpdate // when it last changed but for its weight
+	position   int            // in the list; used only with live weights
+	row        EndpointUpdate // as of the last change other than in its weight
 }
 
-// positionOf is where an executor stands in the list, or would.
+// positionOf returns the position of an executor in the list, or the position where it would be inserted.
 func (l *endpointList) positionOf(id uint32) int {
 	return sort.Search(len(l.rows), func(k int) bool { return l.rows[k].row.Executor >= id })
 }
 
-// isAt says whether an executor stands at a position.
+// isAt reports whether an executor is at a position of the list.
 func (l *endpointList) isAt(position int, id uint32) bool {
 	return position < len(l.rows) && l.rows[position].row.Executor == id
 }
 
-// applyWeight takes in a weight of the list.
-func (l *endpointList) applyWeight(known *endpointRow, scale float64) {
-	known.row.Weight = scale
-	largest := &l.kindScales[known.row.Kind]
-	*largest = max(*largest, scale, minWeight)
-	if l.settings.LiveWeights && scale > 0 {
-		known.liveLoad = *largest/scale - 1
+// applyWeight records a listed weight and the live load that follows from it.
+func (l *endpointList) applyWeight(known *endpointRow, weight float64) {
+	known.row.Weight = weight
+	largest := &l.maxKindWeights[known.row.Kind]
+	*largest = max(*largest, weight, minWeight)
+	if l.settings.LiveWeights && weight > 0 {
+		known.liveLoad = *largest/weight - 1
 		l.meanLiveLoad += (known.liveLoad - l.meanLiveLoad) / float64(len(l.rows)+1)
 	}
 }
 
-// isUnchanged says whether a row is the known one but for its weight.
+// isUnchanged reports whether a row differs from the known one at most in its weight.
 func (r *endpointRow) isUnchanged(row *EndpointUpdate) bool {
 	other := *row
 	other.Weight = r.row.Weight
 	return other == r.row
 }
 
-// insert puts an executor that is new to the list in its place.
+// insert adds a newly listed executor at its position.
 func (l *endpointList) insert(at int, executor *executor) {
 	if other := l.byTag[executor.tag]; other == nil || other.id < executor.id {
 		l.byTag[executor.tag] = executor
@@ -87,7 +87,7 @@
 	l.hashes = slices.Insert(l.hashes, at, affinityHashOf(executor))
 }
 
-// remove takes an executor out of the list.
+// remove removes an executor from the list.
 func (l *endpointList) remove(at int) {
 	executor := l.listed[at]
 	l.listed = slices.Delete(l.listed, at, at+1)
@@ -96,7 +96,7 @@
 	l.releaseTag(executor)
 }
 
-// releaseTag gives an executor's name in messages to the last other one of that name, if there is one.
+// releaseTag reassigns the tag of an executor to the last other listed executor with the same tag, if there is one.
 func (l *endpointList) releaseTag(executor *executor) {
 	if l.byTag[executor.tag] != executor {
 		return
@@ -109,31 +109,31 @@
 	}
 }
 
-// handleList takes in a list or a change of it.
+// handleList handles a list or a change of it.
 func (d *Dispatcher) handleList(event *Event) {
 	d.needsPlacement = true
 	if event.Form == ListFailed {
-		d.listWatch.noteFailed()
+		d.listWatch.recordFailure()
 		return
 	}
 	if d.listWatch.updatedAt == 0 {
 		d.aggregatorServer.startedAt = d.now
 	}
-	d.listWatch.noteList(event.Form)
+	d.listWatch.recordList(event.Form)
 	d.applyRows(event)
 	if event.Form != ListCached && len(d.endpoints.listed) > 0 {
 		d.slowStart.confirmedAt = d.now
 	}
 }
 
-// applyRows brings the executors up to date with a list.
+// applyRows updates the executors from a list.
 func (d *Dispatcher) applyRows(event *Event) {
 	if event.Form != ListDelta {
 		for _, executor := range d.endpoints.listed {
 			executor.endpoint.condition = Removed
 		}
 	}
-	d.slowStart.noteRows(event.Rows)
+	d.slowStart.observeRows(event.Rows)
 	changed := d.applyChanges(event)
 	switch {
 	case event.Form != ListDelta, len(changed) >= rebuildThreshold, len(changed) > 0 && d.settings.LiveWeights:
@@ -142,9 +142,9 @@
 		for _, executor := range changed {
 			d.updateListed(executor)
 		}
-		d.forgetRemoved()
+		d.purgeRemoved()
 	default:
-		return // weights alone are notified often
+		return // changes of weights alone are frequent
 	}
 	d.endpoints.revision++
 	if d.gossip.freshPeers > 0 {
@@ -152,8 +152,7 @@
 	}
 }
 
-// applyChanges brings the executors up to date whose rows have changed, and gives them. Rows mostly come in the order
-// of the list.
+// applyChanges updates the executors whose rows have changed, and returns them. Rows usually arrive in list order.
 func (d *Dispatcher) applyChanges(event *Event) []*executor {
 	list := &d.endpoints
 	changed := list.changed[:0]
@@ -178,24 +177,25 @@
 	return changed
 }
 
-// applyRow brings an executor up to date with its row, and makes it if it is new.
+// applyRow updates an executor from its row, and creates the executor if it is new.
 func (d *Dispatcher) applyRow(row *EndpointUpdate) *executor {
 	executor := d.endpoints.byID[row.Executor]
-	predecessorHeard := 0.0
+	predecessorActiveAt := 0.0
 	if executor == nil {
 		executor = d.newExecutor(row.Executor)
 	} else if row.StartedAt != executor.slowStart.listedStart {
-		// A new process. The start may be an earlier one: the clock that told them may have been stepped back.
-		predecessorHeard = executor.outlier.lastActiveAt
-		d.forgetProcess(executor)
+		// A new process. Its listed start may be earlier than the previous one if the list's clock was stepped
+		// back.
+		predecessorActiveAt = executor.outlier.lastActiveAt
+		d.resetProcess(executor)
 	}
 	endpoint := &executor.endpoint
 	endpoint.zone, endpoint.kind, endpoint.cell = int(row.Zone), int(row.Kind), row.Cell
 	executor.group = d.capacity.groupOf(row.Kind, row.Zone)
-	d.slowStart.noteStart(executor, row.StartedAt, predecessorHeard)
+	d.slowStart.observeStart(executor, row.StartedAt, predecessorActiveAt)
 	endpoint.condition, endpoint.row = row.Condition, *row
-	d.slowStart.track(executor)
-	d.slowStartAllows(executor, 0) // the budget runs from now on, and not from our next job
+	d.slowStart.trackIfWarmingUp(executor)
+	d.slowStartAllows(executor, 0) // starts the budget now, rather than with this node's next job
 	return executor
 }
 
@@ -205,12 +205,12 @@
 	added.outlier.lastActiveAt = d.now
 	added.failures.byClass = make([]classFailures, len(d.serviceTimes.classes))
 	d.endpoints.byID[id] = added
-	d.slowStart.recallStart(added)
+	d.slowStart.restoreRemovedStart(added)
 	return added
 }
 
-// forgetProcess drops what was learned of the former process of an executor that has started anew.
-func (d *Dispatcher) forgetProcess(executor *executor) {
+// resetProcess clears the state that belongs to the previous process of an executor that has restarted.
+func (d *Dispatcher) resetProcess(executor *executor) {
 	load, outlier, connections := &executor.load, &executor.outlier, &executor.connections
 	load.freeSlots, load.reportedAt, load.softLimit = 0, 0, initialSoftLimit
 	outlier.errorAverage, outlier.ejections, outlier.ejectedUntil = 0, 0, 0
@@ -220,12 +220,12 @@
 	connections.idleSince = connections.idleSince[:0]
 	executor.gossip.unreportedSlots = 0
 	clear(executor.failures.byClass)
-	executor.failures.all = errorTally{}
+	executor.failures.all = errorCounts{}
 	executor.affinityKeys = [maxAffinityKeys]uint64{}
 	d.aggregatorServer.dropQuarantines(executor.tag)
 }
 
-// rebuildList puts all listed executors in order anew.
+// rebuildList rebuilds and sorts the list of all listed executors.
 func (d *Dispatcher) rebuildList() {
 	list := &d.endpoints
 	clear(list.byTag)
@@ -236,7 +236,7 @@
 			list.listed = append(list.listed, executor)
 			executor.tag = d.tagOf(executor.id)
 		case len(executor.inFlight.jobs) == 0:
-			d.forgetExecutor(executor)
+			d.deleteExecutor(executor)
 		default:
 			list.removed = append(list.removed, executor)
 		}
@@ -256,8 +256,8 @@
 	}
 }
 
-// updateListed puts one executor whose row has changed in its place, or takes it out. Where weights are live all is
-// rebuilt instead: only there is an executor's own position of use.
+// updateListed inserts, updates or removes one executor whose row has changed. With live weights the list is
+// rebuilt instead, since only then the positions of the executors are used.
 func (d *Dispatcher) updateListed(executor *executor) {
 	list := &d.endpoints
 	at := list.positionOf(executor.id)
@@ -279,18 +279,18 @@
 	list.applyWeight(&list.rows[at], executor.endpoint.row.Weight)
 }
 
-// forgetRemoved forgets the executors that are gone once nothing of ours is in flight there.
-func (d *Dispatcher) forgetRemoved() {
+// purgeRemoved deletes removed executors that have no attempts of this node in flight.
+func (d *Dispatcher) purgeRemoved() {
 	d.endpoints.removed = slices.DeleteFunc(d.endpoints.removed, func(executor *executor) bool {
-		isGone, isIdle := executor.endpoint.condition == Removed, len(executor.inFlight.jobs) == 0
-		if isGone && isIdle {
-			d.forgetExecutor(executor)
+		isRemoved, isIdle := executor.endpoint.condition == Removed, len(executor.inFlight.jobs) == 0
+		if isRemoved && isIdle {
+			d.deleteExecutor(executor)
 		}
-		return !isGone || isIdle
+		return !isRemoved || isIdle
 	})
 }
 
-func (d *Dispatcher) forgetExecutor(executor *executor) {
-	d.slowStart.rememberStart(executor)
+func (d *Dispatcher) deleteExecutor(executor *executor) {
+	d.slowStart.saveRemovedStart(executor)
 	delete(d.endpoints.byID, executor.id)
 }
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -16,7 +16,7 @@
 		s := base()
 		s.Nodes, s.GossipAllowed = 60, true
 		first := fleet(300)
-		changes, sorted := newRig(t, s, first...), newRig(t, s, first...)
+		changes, rebuilt := newRig(t, s, first...), newRig(t, s, first...)
 		if changes.d.gossip.mode != gossipAggregator {
 			t.Fatal("names of 16 bits: few executors share one")
 		}
@@ -31,18 +31,18 @@
 				events = append(events, outcome(out[0].Job, 0, out[0].Executor, Served))
 				out = out[1:]
 			}
-			serial := sorted.d.endpoints.revision
+			revision := rebuilt.d.endpoints.revision
 			if rng.Intn(2) == 0 {
 				events = append(events, Event{Kind: EvEndpoints, Form: ListDelta, Rows: randomChange(rng, rows, changes.now)})
 			}
-			a, b := changes.after(20, events...), sorted.after(20, events...)
+			a, b := changes.after(20, events...), rebuilt.after(20, events...)
 			if !reflect.DeepEqual(a, b) {
 				t.Fatalf("seed %d, job %d: actions %v, and with all sorted anew %v", seed, job, a, b)
 			}
-			if sorted.d.endpoints.revision != serial {
-				sorted.d.rebuildList()
+			if rebuilt.d.endpoints.revision != revision {
+				rebuilt.d.rebuildList()
 			}
-			if diff := listDiffers(changes.d, sorted.d); diff != "" {
+			if diff := listDiffers(changes.d, rebuilt.d); diff != "" {
 				t.Fatalf("seed %d, job %d: %s", seed, job, diff)
 			}
 			for _, x := range a {
@@ -125,8 +125,8 @@
 			name string
 			to   Condition
 		}{{"drain", Draining}, {"leave", Removed}} {
-			for _, anew := range []bool{false, true} {
-				b.Run(fmt.Sprintf("executors=%d/%s/anew=%v", n, c.name, anew), func(b *testing.B) {
+			for _, rebuild := range []bool{false, true} {
+				b.Run(fmt.Sprintf("executors=%d/%s/anew=%v", n, c.name, rebuild), func(b *testing.B) {
 					s := base()
 					s.Nodes = 300
 					d, err := New(s, 1)
@@ -141,7 +141,7 @@
 							row.Condition = c.to
 						}
 						d.applyRows(&Event{Form: ListDelta, Rows: []EndpointUpdate{row}})
-						if anew {
+						if rebuild {
 							d.rebuildList()
 						}
 					}
--- a/internal/dispatch/gossip_test.go
+++ b/internal/dispatch/gossip_test.go
@@ -15,7 +15,7 @@
 				t.Errorf("node %d sends to executor %d, where a job of another node already waits", i, executor)
 			}
 		}
-		c.run(c.nodes[i].serviceTimes.startNoteTimeout() + 100)
+		c.run(c.nodes[i].serviceTimes.startNotificationTimeout() + 100)
 	}
 	if len(jobsAt) < 10 {
 		t.Errorf("%d executors were used, want at least 10", len(jobsAt))
--- a/internal/dispatch/healthcheck.go
+++ b/internal/dispatch/healthcheck.go
@@ -1,30 +1,30 @@
 package dispatch
 
 const (
-	// maxChecksPerRequest is how many health checks are paid for by each of our requests, at most: knowledge against its
-	// price.
+	// maxChecksPerRequest is the maximum number of health checks per request of this node. It trades fresh load
+	// data for traffic.
 	maxChecksPerRequest = 4
 
-	// checkIntervalFactor is the least time between checks of an executor, in report intervals.
+	// checkIntervalFactor is the minimum interval between checks of an executor, in report intervals.
 	checkIntervalFactor = 0.8
 
-	// minCheckedRate is the rate of requests, a second, that pays for checks even where fewer come.
-	minCheckedRate = 0.5
+	// minRequestRateForChecks is the rate of requests, per second, that the interval of checks is based on where
+	// fewer arrive.
+	minRequestRateForChecks = 0.5
 
-	// quietMs is the time without a request from which on the rate of requests is known to have fallen.
-	quietMs = 1000
+	// trafficIdleMs is the time without a request after which the rate of requests is considered to have dropped.
+	trafficIdleMs = 1000
 )
 
-// healthCheckState is the last health check of an executor. The interval to the next has a random factor of its own,
-// and follows the traffic otherwise: a node that was quiet at its start does not stay blind for long once requests
-// come.
+// healthCheckState is the last health check of an executor. The interval to the next check has a random factor, and
+// otherwise follows the traffic: a node without traffic at its start gets load data soon after requests arrive.
 type healthCheckState struct {
 	pending        bool
 	sentAt         float64
 	intervalFactor float64
 }
 
-// healthChecks counts the checks that no answer came to yet.
+// healthChecks counts the checks that have not been answered yet.
 type healthChecks struct{ inFlight int }
 
 func (d *Dispatcher) handleHealthCheck(event *Event) {
@@ -42,27 +42,27 @@
 		d.recordActivity(executor)
 		d.handleLoadReport(executor, event.Report)
 	case ConnectFailed:
-		d.noteDialFailure(executor)
+		d.recordDialFailure(executor)
 	}
 }
 
-func (d *Dispatcher) checksAreAllowed() bool {
+func (d *Dispatcher) healthChecksEnabled() bool {
 	return d.settings.HealthChecksAllowed && d.settings.Telemetry == ReportHealthChecks
 }
 
-// checkHealth asks the executors of a small fleet for their load, about once a report interval, within a number of
-// checks for each request. In a large fleet, checkHealthFor asks for each job.
+// checkHealth checks the executors of a small fleet for their load, about once per report interval, within the
+// limit of checks per request. In a large fleet, checkHealthFor checks executors for each job.
 func (d *Dispatcher) checkHealth() {
 	executors := len(d.endpoints.listed)
-	if !d.checksAreAllowed() || executors == 0 || executors > fullScanLimit {
+	if !d.healthChecksEnabled() || executors == 0 || executors > fullScanLimit {
 		return
 	}
 	rate := d.admission.allArrivals.perSecond
-	if quiet := d.now - d.admission.allArrivals.lastAt; d.admission.allArrivals.lastAt > 0 && quiet > quietMs {
-		rate = min(rate, 1000/quiet)
+	if idle := d.now - d.admission.allArrivals.lastAt; d.admission.allArrivals.lastAt > 0 && idle > trafficIdleMs {
+		rate = min(rate, 1000/idle)
 	}
-	affordable := 1000 * float64(executors) / (maxChecksPerRequest * max(rate, minCheckedRate))
-	interval := max(d.reports.interval*checkIntervalFactor, affordable)
+	minInterval := 1000 * float64(executors) / (maxChecksPerRequest * max(rate, minRequestRateForChecks))
+	interval := max(d.reports.interval*checkIntervalFactor, minInterval)
 	for _, executor := range d.endpoints.listed {
 		check := &executor.healthCheck
 		if executor.endpoint.condition == Ready && !check.pending && d.now-check.sentAt >= interval*check.intervalFactor {
@@ -77,10 +77,11 @@
 	d.act(Action{Kind: ActHealthCheck, Executor: executor.id})
 }
 
-// checkHealthFor asks, in a large fleet, some executors for each job that comes, which waits for their answers: an
-// answer that was asked for in turn would be old when a job comes. Half are those used last, half are drawn.
+// checkHealthFor checks, in a large fleet, several executors for each new job, which waits for their answers: load
+// data from periodic checks of all executors would be outdated when a job arrives. Up to half are recently used
+// executors, the others are random.
 func (d *Dispatcher) checkHealthFor(job *job) {
-	if !d.checksAreAllowed() || len(d.endpoints.listed) <= fullScanLimit {
+	if !d.healthChecksEnabled() || len(d.endpoints.listed) <= fullScanLimit {
 		return
 	}
 	sent := 0
--- a/internal/dispatch/healthcheck_test.go
+++ b/internal/dispatch/healthcheck_test.go
@@ -8,17 +8,17 @@
 	s.Telemetry, s.HealthChecksAllowed = ReportHealthChecks, true
 	r := newRig(t, s, ready(7, 0))
 	r.step(Event{Kind: EvHealthCheck, Executor: 7, Outcome: Served, Report: []float32{4}})
-	probes := 0
+	checks := 0
 	for id := uint32(1); id <= 100; id++ {
-		probed := Event{Kind: EvHealthCheck, Executor: 7, Outcome: Served, Report: []float32{3}}
-		for _, a := range r.after(20, request(id, 0, 0, 1), probed) {
+		answer := Event{Kind: EvHealthCheck, Executor: 7, Outcome: Served, Report: []float32{3}}
+		for _, a := range r.after(20, request(id, 0, 0, 1), answer) {
 			if a.Kind == ActHealthCheck {
-				probes++
+				checks++
 			}
 		}
 	}
-	if probes < 3 {
-		t.Errorf("%d health checks in 2 s of 50 requests a second, want 3 or more", probes)
+	if checks < 3 {
+		t.Errorf("%d health checks in 2 s of 50 requests a second, want 3 or more", checks)
 	}
 }
 
@@ -28,7 +28,7 @@
 	s := base()
 	s.Nodes, s.HealthChecksAllowed, s.Telemetry = 100, true, ReportHealthChecks
 	r := newRig(t, s, fleet(200)...)
-	probes := func(actions []Action) (ids []uint32) {
+	healthChecks := func(actions []Action) (ids []uint32) {
 		for _, a := range actions {
 			if a.Kind == ActHealthCheck {
 				ids = append(ids, a.Executor)
@@ -37,29 +37,29 @@
 		return ids
 	}
 	for range 100 {
-		if got := probes(r.after(40, Event{Kind: EvTimer})); len(got) > 0 {
+		if got := healthChecks(r.after(40, Event{Kind: EvTimer})); len(got) > 0 {
 			t.Fatalf("%d health checks without a job", len(got))
 		}
 	}
-	asked := probes(r.after(1, request(1, 0, 0, 1)))
-	if len(asked) == 0 || len(asked) > maxChecksPerRequest {
-		t.Fatalf("%d health checks for a job, want 1 to %d", len(asked), maxChecksPerRequest)
+	checked := healthChecks(r.after(1, request(1, 0, 0, 1)))
+	if len(checked) == 0 || len(checked) > maxChecksPerRequest {
+		t.Fatalf("%d health checks for a job, want 1 to %d", len(checked), maxChecksPerRequest)
 	}
 	if len(actionsOf(r.last, ActSend, 1)) != 0 {
 		t.Fatal("sent before its health checks were back")
 	}
-	for i, id := range asked {
+	for i, id := range checked {
 		free := float32(0)
 		if i == 1 {
 			free = 4
 		}
 		r.after(1, Event{Kind: EvHealthCheck, Executor: id, Outcome: Served, Report: []float32{free}})
 	}
-	if got := actionsOf(r.last, ActSend, 1); len(got) != 1 || got[0].Executor != asked[1] {
-		t.Errorf("%v, want one send to %d, which told of free slots", got, asked[1])
+	if got := actionsOf(r.last, ActSend, 1); len(got) != 1 || got[0].Executor != checked[1] {
+		t.Errorf("%v, want one send to %d, which told of free slots", got, checked[1])
 	}
-	asked = probes(r.after(1, request(2, 0, 0, 1)))
-	if len(asked) == 0 {
+	checked = healthChecks(r.after(1, request(2, 0, 0, 1)))
+	if len(checked) == 0 {
 		t.Fatal("no health checks for the second job")
 	}
 	if got := actionsOf(r.after(100, Event{Kind: EvTimer}), ActSend, 2); len(got) != 1 {
--- a/internal/dispatch/listclock.go
+++ b/internal/dispatch/listclock.go
@@ -1,58 +1,59 @@
 package dispatch
 
-// This file compares the clock by which the endpoint list tells starts with this node's.
+// This file compares the clock on which the endpoint list gives start times with the clock of this node.
 //
-// Both are wall clocks of different machines, either may be off by hours, and discovery lists a process some time after
-// it started. What a node observes of each start is the sum of the two: the time from the listed start to its
-// notification. A constant error of a clock is in all such delays alike. So the difference between two of them is a
-// difference of true delays, and a process is at least as old at its notification as its delay is longer than the least
-// one that was observed. What that least delay itself is, time or error, cannot be told; it counts as time as far as a
-// budget's margin bears the error.
+// Both are wall clocks of different machines, either may be off by hours, and discovery lists a process some time
+// after it started. The observed delay of each start, from its listed time to its notification, is the sum of both
+// effects. A constant clock error is the same in all delays, so the difference between two observed delays is a
+// difference of true delays: at its notification, a process is at least as old as its delay exceeds the minimum
+// observed delay. Whether that minimum is itself a true delay or a clock error cannot be determined. It is counted
+// as a true delay as far as the margin of a budget tolerates the error.
 
 const (
-	// listClockSamples is how many notified starts are compared. After a step of the list's clock by less than would
-	// show, estimates are wrong for so many starts.
+	// listClockSamples is the number of starts that are compared. After an undetected step of the list's clock, the
+	// estimates of this many starts are wrong.
 	listClockSamples = 16
 
-	// maxClockDrift is by how much one clock may run faster than another.
+	// maxClockDrift is the maximum relative difference in speed between two clocks.
 	maxClockDrift = 0.0005
 )
 
-// startDelay is how long after its listed start a process was notified.
-type startDelay struct{ delay, observedAt float64 }
+// listingDelay is the time from the listed start of a process to its notification.
+type listingDelay struct{ delay, observedAt float64 }
 
-// listClock holds the delays of the last starts that were notified.
+// listClock holds the delays of the most recently notified starts.
 type listClock struct {
-	samples [listClockSamples]startDelay
-	count   int // of all samples since the last step that showed
+	samples [listClockSamples]listingDelay
+	count   int // number of samples since the last detected clock step
 }
 
-// processAge is how old a process is when it is notified.
+// processAge is the age of a process when it is notified.
 type processAge struct {
-	known  bool    // there was an earlier start to compare with
-	least  float64 // whatever the list's clock, unless it was stepped
-	likely float64 // too much by no more than is tolerated
+	known    bool    // there was an earlier start to compare with
+	minimum  float64 // regardless of a constant error of the list's clock
+	estimate float64 // too high by at most the tolerated error
 }
 
-// observe takes in a start that is notified now, and gives the age of its process. Where the least age would be over
-// maxAge, the list's clock was likely stepped back, and nothing is known.
+// observe records a start that is notified now, and returns the age of its process. If the minimum age is over
+// maxAge, the list's clock was probably stepped back; the age is then unknown and the earlier samples are
+// discarded.
 //
-// A least delay that is tolerated as an error is taken to be a true delay, as it is where the clocks agree. A delay
-// over maxAge is none: it says that the clocks differ.
-func (c *listClock) observe(now, listed, tolerated, maxAge float64) processAge {
+// A minimum delay up to the tolerance is assumed to be a true delay, which is correct where the clocks agree. A
+// delay over maxAge is caused by a difference between the clocks.
+func (c *listClock) observe(now, listed, tolerance, maxAge float64) processAge {
 	delay := now - listed
-	leastDelay := delay
+	minDelay := delay
 	for _, sample := range c.samples[:min(c.count, listClockSamples)] {
-		leastDelay = min(leastDelay, sample.delay+maxClockDrift*(now-sample.observedAt))
+		minDelay = min(minDelay, sample.delay+maxClockDrift*(now-sample.observedAt))
 	}
-	age := processAge{known: c.count > 0, least: delay - leastDelay, likely: delay - leastDelay}
+	age := processAge{known: c.count > 0, minimum: delay - minDelay, estimate: delay - minDelay}
 	switch {
-	case age.least > maxAge:
+	case age.minimum > maxAge:
 		age, c.count = processAge{}, 0
-	case leastDelay > 0 && leastDelay <= maxAge:
-		age.likely += min(leastDelay, tolerated)
+	case minDelay > 0 && minDelay <= maxAge:
+		age.estimate += min(minDelay, tolerance)
 	}
-	c.samples[c.count%listClockSamples] = startDelay{delay, now}
+	c.samples[c.count%listClockSamples] = listingDelay{delay, now}
 	c.count++
 	return age
 }
--- a/internal/dispatch/listclock_test.go
+++ b/internal/dispatch/listclock_test.go
@@ -22,7 +22,7 @@
 	tolerated := newRig(t, base()).d.slowStart.toleratedAgeError()
 	for _, clock := range []float64{0, -1000, 1000, -30000, 30000, -hourMS, hourMS} {
 		t.Run(fmt.Sprintf("list %.0f ms ahead", clock), func(t *testing.T) {
-			played := playLateStarts(t, clock, 0, starts, minLag, maxLag)
+			played := simulateLateStarts(t, clock, 0, starts, minLag, maxLag)
 			for i, start := range played {
 				early := 0.0 // what the margin of a budget bears where the clock is off
 				if clock < 0 && clock > -base().MaxSlowStartDuration {
@@ -51,7 +51,7 @@
 func TestStartsAroundAStepOfTheListsClock(t *testing.T) {
 	const starts, minLag, maxLag, drift = 60, 700.0, 5000.0, 10.0 // ms
 	for _, step := range []float64{-hourMS, hourMS, -30000, 30000} {
-		for _, start := range playLateStarts(t, 0, step, starts, minLag, maxLag) {
+		for _, start := range simulateLateStarts(t, 0, step, starts, minLag, maxLag) {
 			start.verifyNotEarly(t, drift, drift)
 		}
 	}
@@ -81,40 +81,40 @@
 	for _, behind := range []float64{0, 500, 1000, 2000, 2500, 4000} {
 		t.Run(fmt.Sprintf("%.0f ms behind", behind), func(t *testing.T) {
 			t.Parallel()
-			verifyFleets(t, func(f *slowStartFleet) { f.listClock, f.restarts, f.restartEvery = -behind, 4, 5000 })
+			verifyFleets(t, func(f *slowStartFleet) { f.listClock, f.restarts, f.restartInterval = -behind, 4, 5000 })
 		})
 	}
 }
 
 // lateStart is a start as it was, and as a node took it.
 type lateStart struct {
-	index                        int
-	began, lag, estimated, until float64
+	index                            int
+	startedAt, lag, estimated, until float64
 }
 
 func (s *lateStart) verifyNotEarly(t *testing.T, startAllowed, untilAllowed float64) {
 	t.Helper()
-	if early := s.began - s.estimated; early > startAllowed {
+	if early := s.startedAt - s.estimated; early > startAllowed {
 		t.Errorf("start %d: taken to be %.0f ms before the true one, want %.0f at most", s.index, early, startAllowed)
 	}
-	if early := s.began + base().MaxSlowStartDuration - s.until; early > untilAllowed {
+	if early := s.startedAt + base().MaxSlowStartDuration - s.until; early > untilAllowed {
 		t.Errorf("start %d: its budget ends %.0f ms early, want %.0f at most", s.index, early, untilAllowed)
 	}
 }
 
 func (s *lateStart) verifyNotLate(t *testing.T, startAllowed, untilAllowed float64) {
 	t.Helper()
-	if late := s.estimated - s.began; late > startAllowed {
+	if late := s.estimated - s.startedAt; late > startAllowed {
 		t.Errorf("start %d: taken to be %.0f ms after the true one, want %.0f at most", s.index, late, startAllowed)
 	}
-	if late := s.until - s.began - base().MaxSlowStartDuration; late > untilAllowed {
+	if late := s.until - s.startedAt - base().MaxSlowStartDuration; late > untilAllowed {
 		t.Errorf("start %d: its budget ends %.0f ms late, want %.0f at most", s.index, late, untilAllowed)
 	}
 }
 
-// playLateStarts plays starts of executors that are listed late by a list whose clock is ahead, and stepped half-way.
+// simulateLateStarts plays starts of executors that are listed late by a list whose clock is ahead, and stepped half-way.
 // Between any two of them other changes confirm the list.
-func playLateStarts(t *testing.T, clock, step float64, starts int, minLag, maxLag float64) []lateStart {
+func simulateLateStarts(t *testing.T, clock, step float64, starts int, minLag, maxLag float64) []lateStart {
 	t.Helper()
 	random := rand.New(rand.NewSource(int64(clock + step)))
 	rows := fleet(starts)
@@ -131,11 +131,11 @@
 			clock += step
 		}
 		r.after(300, Event{Kind: EvEndpoints, Form: ListDelta})
-		began := r.now + 10 - minLag - random.Float64()*(maxLag-minLag)
-		rows[i].StartedAt = began + clock
+		startedAt := r.now + 10 - minLag - random.Float64()*(maxLag-minLag)
+		rows[i].StartedAt = startedAt + clock
 		r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{rows[i]}})
 		start := &r.d.endpoints.byID[rows[i].Executor].slowStart
-		played = append(played, lateStart{i, began, r.now - began, start.startedAt, start.until})
+		played = append(played, lateStart{i, startedAt, r.now - startedAt, start.startedAt, start.endsAt})
 	}
 	return played
 }
--- a/internal/dispatch/listwatch_test.go
+++ b/internal/dispatch/listwatch_test.go
@@ -8,13 +8,13 @@
 	s := base()
 	s.PollsList = true
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
-	asks, sends := 0, 0
+	polls, sends := 0, 0
 	for i := range uint32(1000) {
 		events := []Event{request(i+1, 0, 0, 1)}
 		for _, a := range r.last {
 			switch {
 			case a.Kind == ActPollList:
-				asks++
+				polls++
 				events = append(events, Event{Kind: EvEndpoints, Form: ListFailed})
 			case a.Kind == ActSend && a.Executor == 7: // it is gone, which no list says
 				events = append(events, outcome(a.Job, 0, 7, ConnectFailed))
@@ -25,8 +25,8 @@
 		}
 		r.after(20, events...)
 	}
-	if asks < 5 || asks > 100 {
-		t.Errorf("asked %d times in 20 s", asks)
+	if polls < 5 || polls > 100 {
+		t.Errorf("asked %d times in 20 s", polls)
 	}
 	if sends < 700 {
 		t.Errorf("%d of 1000 sent to the executor that is left", sends)
@@ -53,7 +53,7 @@
 func TestManyNodesPollApart(t *testing.T) {
 	s := base()
 	s.Nodes, s.PollsList = 80, true
-	asked := map[int]int{} // by half second
+	polls := map[int]int{} // by half second
 	for i := range s.Nodes {
 		s.Node = i
 		d, err := New(s, uint64(i+1))
@@ -69,14 +69,14 @@
 				case ActTimer:
 					events = append(events, Event{Kind: EvTimer, Token: a.Token})
 				case ActPollList:
-					asked[int(now-100000)/500]++
+					polls[int(now-100000)/500]++
 					events = append(events, Event{Kind: EvEndpoints, Form: ListFailed})
 				}
 			}
 		}
 	}
 	late := 0
-	for k, n := range asked {
+	for k, n := range polls {
 		if n > 25 {
 			t.Errorf("%d of 80 nodes ask in half a second %d ms after they all started, want 25 at most", n, 500*k)
 		}
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -6,61 +6,64 @@
 )
 
 const (
-	// unresponsiveIntervals is how long an executor may give no sign of life while attempts are in flight there, in
-	// intervals of progress notes.
+	// unresponsiveIntervals is how long an executor with attempts in flight may show no activity, in progress
+	// intervals.
 	unresponsiveIntervals = 2.5
 
-	// unnotedIntervalFactor is how many times the mean run of the first class stands for that interval where there are
-	// no notes.
-	unnotedIntervalFactor = 2
+	// noProgressIntervalFactor is how many mean run times of the first class replace the progress interval where
+	// there are no progress notifications.
+	noProgressIntervalFactor = 2
 
-	// queuedGraceFactor is how much longer a job that has not started may be silent, in usual waits for a start. Fewer
-	// finds dead executors sooner, and hedges more jobs that only queue.
+	// queuedGraceFactor is the additional time without activity that is allowed for a job that has not started, in
+	// mean start delays. A smaller factor detects unresponsive executors sooner, but hedges more jobs that are only
+	// queued.
 	queuedGraceFactor = 8
 
-	// errorAverageMemory is the memory of an executor's error average. More ejects later and forgives later.
-	errorAverageMemory = 0.8
+	// errorAverageDecay is the decay factor of an executor's error average. A larger factor delays both ejection
+	// and recovery.
+	errorAverageDecay = 0.8
 
-	// ejectionErrorRate is the error average that ejects: three failures in a row.
+	// ejectionErrorRate is the error average above which an executor is ejected: three consecutive failures.
 	ejectionErrorRate = 0.45
 
-	// panicThreshold is the part of the executors from which on ejections are ignored: so many do not fail by themselves.
+	// panicThreshold is the fraction of executors above which ejections are ignored: so many executors do not fail
+	// independently.
 	panicThreshold = 0.5
 
-	// baseEjectionFactor is the length of a first ejection, in connect timeouts. It doubles each time.
+	// baseEjectionFactor is the duration of the first ejection, in connect timeouts. It doubles with each ejection.
 	baseEjectionFactor = 2
 
-	// maxBackoffDoublings is how often an ejection or a backoff doubles at most.
+	// maxBackoffDoublings is the maximum number of doublings of an ejection or a backoff.
 	maxBackoffDoublings = 5
 
-	// maxRejectionDoublings bounds the backoff from an executor that is full.
+	// maxRejectionDoublings is the maximum number of doublings of the backoff from a full executor.
 	maxRejectionDoublings = 5
 
-	// rejectionBackoffFactor is the mean of the first such backoff, twice, in report intervals.
+	// rejectionBackoffFactor is the mean of the first backoff from a full executor, in report intervals.
 	rejectionBackoffFactor = 0.25
 )
 
-// outlierState is whether an executor works at all, as its attempts show.
+// outlierState is the health of an executor, as its attempts show it.
 type outlierState struct {
-	unresponsive    bool    // it gives no sign of life though attempts are in flight
+	unresponsive    bool    // attempts are in flight, but it shows no activity
 	onProbation     bool    // after an ejection: one job at a time until one is served
 	ejectedUntil    float64 // nothing is sent before
 	errorAverage    float64 // of resets, between 0 and 1
-	lastActiveAt    float64 // last sign of life
-	ejections       int     // without a served attempt between
-	trialAt         float64 // an unresponsive executor gets one job from then on
-	trials          int     // such jobs since it was last heard of
+	lastActiveAt    float64 // when it last responded
+	ejections       int     // since the last served attempt
+	trialAt         float64 // when an unresponsive executor gets a job as a trial
+	trials          int     // trial jobs since it last responded
 	ackOverdueAt    float64 // when it was last ejected for overdue acknowledgements
-	ackOverdueUntil float64 // until then nothing goes there that must not be lost
+	ackOverdueUntil float64 // no job that must not be lost is sent before
 }
 
-// outlierDetection finds executors that do not work.
+// outlierDetection finds executors that are failing or unresponsive.
 type outlierDetection struct {
-	busy           []*executor // with attempts of ours in flight
-	ejected        []*executor // those that are, or were since the last check
-	nextCheck      float64     // in a large fleet
-	failingClasses []bool      // by class: it fails at so many executors that they are not to blame
-	panicking      bool        // so many are ejected that ejections are ignored
+	busy           []*executor // with attempts of this node in flight
+	ejected        []*executor // ejected now, or since the last check
+	nextCheck      float64     // time of the next check in a large fleet
+	failingClasses []bool      // by class: it fails at so many executors that these are not at fault
+	panicking      bool        // so many executors are ejected that ejections are ignored
 }
 
 func (o *outlierDetection) removeBusy(executor *executor) {
@@ -68,7 +71,7 @@
 	o.busy = slices.Delete(o.busy, i, i+1)
 }
 
-// isUsable says whether new work may go to an executor at all.
+// isUsable reports whether an executor may be sent any new work.
 func (d *Dispatcher) isUsable(executor *executor) bool {
 	if d.isDialBlocked(executor) && !d.hasOpenConnection(executor) {
 		return false
@@ -76,50 +79,50 @@
 	if executor.endpoint.condition != Ready {
 		return false
 	}
-	// An unresponsive executor gets one job now and then. One that was cut off, and holds jobs whose end was lost, would
-	// otherwise stay out until the last client's time is over.
+	// An unresponsive executor occasionally gets one job as a trial. Otherwise an executor that was partitioned and
+	// holds jobs with a lost outcome would stay out until the last client's deadline has passed.
 	outlier := &executor.outlier
 	return d.outliers.panicking || d.now >= outlier.ejectedUntil && (!outlier.unresponsive || d.now >= outlier.trialAt)
 }
 
-// observeOutcome draws from an outcome what it says of the executor: its free slots, speed, errors and connections.
+// observeOutcome updates the state of the executor from an outcome: its free slots, speed, errors and connections.
 func (d *Dispatcher) observeOutcome(job *job, attempt *attempt, o Outcome) {
 	executor := attempt.executor
 	switch o {
 	case Served:
 		d.endAttempt(job, attempt)
-		d.judgeServed(job, attempt)
+		d.observeServed(job, attempt)
 	case Errored:
-		// Whether it is to blame is a matter of the job's class, see learnClassOutcome.
+		// Whether the executor is at fault depends on the job's class, see observeClassOutcome.
 		d.endAttempt(job, attempt)
 		d.recordActivity(executor)
 	case Reset:
 		d.endAttempt(job, attempt)
-		d.judgeReset(executor)
+		d.observeReset(executor)
 	case Full:
-		d.judgeFull(job, executor)
+		d.observeFull(job, executor)
 	case ConnectFailed:
 		executor.load.freeSlots += job.slots
-		d.noteDialFailure(executor)
+		d.recordDialFailure(executor)
 	case CanceledBeforeSend:
 		executor.load.freeSlots += job.slots
 	}
 }
 
-// endAttempt gives back the slots of an attempt that ran.
+// endAttempt frees the slots of an attempt that ran.
 func (d *Dispatcher) endAttempt(job *job, attempt *attempt) {
 	executor := attempt.executor
 	executor.load.freeSlots += job.slots
 	executor.inFlight.recordEnded(endedAttempt{attempt.sentAt, d.now, job.slots})
 }
 
-func (d *Dispatcher) judgeServed(job *job, attempt *attempt) {
+func (d *Dispatcher) observeServed(job *job, attempt *attempt) {
 	executor := attempt.executor
 	d.recordActivity(executor)
 	outlier := &executor.outlier
-	outlier.errorAverage *= errorAverageMemory
+	outlier.errorAverage *= errorAverageDecay
 	executor.load.rejections = 0
-	if attempt.sentAt >= outlier.ackOverdueAt { // an earlier attempt shows nothing of what came since
+	if attempt.sentAt >= outlier.ackOverdueAt { // an earlier attempt says nothing about later failures
 		outlier.ejections, outlier.onProbation, outlier.ackOverdueUntil = 0, false, 0
 	}
 	d.adaptSoftLimit(job, attempt)
@@ -133,24 +136,25 @@
 	d.placement.recentlyUsed.add(executor)
 }
 
-// adaptSoftLimit learns how many slots of ours an executor takes where there are no reports and no Full outcomes:
-// only lateness shows a queue there. The limit is cut once for all attempts that were sent before the cut.
+// adaptSoftLimit adjusts how many slots of this node an executor takes where there are neither reports nor Full
+// outcomes, and only late outcomes indicate a queue. The limit is reduced once for all attempts that were sent
+// before the reduction.
 func (d *Dispatcher) adaptSoftLimit(job *job, attempt *attempt) {
 	executor := attempt.executor
 	load := &executor.load
 	late := d.now > job.objectiveAt && attempt.sentAt+job.work/d.serviceTimes.meanSpeed() <= job.objectiveAt
-	// A pause of the reports is not their end.
-	blind := load.reportedAt == 0 || d.now-load.reportedAt > reportsEndedFactor*d.reportTTL()
+	// A pause in the reports does not mean that they have ended.
+	unreported := load.reportedAt == 0 || d.now-load.reportedAt > reportsEndedFactor*d.reportTTL()
 	switch {
-	case late && blind && attempt.sentAt > load.softLimitCutAt:
+	case late && unreported && attempt.sentAt > load.softLimitCutAt:
 		load.softLimit, load.softLimitCutAt = max(1, softLimitBackoff*load.softLimit), d.now
 	case !late && executor.inFlight.slots+job.slots >= math.Floor(load.softLimit):
 		load.softLimit += job.slots / load.softLimit
 	}
 }
 
-// judgeFull backs off from an executor that had no free slot for a job.
-func (d *Dispatcher) judgeFull(job *job, executor *executor) {
+// observeFull backs off from an executor that had no free slot for a job.
+func (d *Dispatcher) observeFull(job *job, executor *executor) {
 	load := &executor.load
 	load.freeSlots = min(load.freeSlots+job.slots, 0)
 	load.softLimit = max(1, softLimitBackoff*executor.inFlight.slots)
@@ -159,17 +163,17 @@
 	load.rejectedUntil = d.now + backoff*(0.5+d.random())
 }
 
-// judgeReset counts a broken connection, which may have lost a job.
-func (d *Dispatcher) judgeReset(executor *executor) {
+// observeReset records a broken connection, which may have lost a job.
+func (d *Dispatcher) observeReset(executor *executor) {
 	d.recordActivity(executor)
 	outlier := &executor.outlier
-	outlier.errorAverage = outlier.errorAverage*errorAverageMemory + 1 - errorAverageMemory
+	outlier.errorAverage = outlier.errorAverage*errorAverageDecay + 1 - errorAverageDecay
 	if outlier.errorAverage > ejectionErrorRate || outlier.onProbation {
 		d.eject(executor, "errors")
 	}
 }
 
-// eject keeps new work away from an executor for a while, longer each time, and then lets it in one job at a time.
+// eject stops new work to an executor, for longer with each ejection, and puts the executor on probation.
 func (d *Dispatcher) eject(executor *executor, reason string) {
 	outlier := &executor.outlier
 	if d.now < outlier.ejectedUntil {
@@ -185,33 +189,35 @@
 		executor.id, reason, outlier.ejectedUntil, outlier.ejections)
 }
 
-// detectOutliers finds unresponsive executors, and whether so many are out that ejections are ignored.
+// detectOutliers finds unresponsive executors, and determines whether so many executors are unavailable that
+// ejections are ignored.
 func (d *Dispatcher) detectOutliers() {
 	d.findFailingClasses()
 	d.outliers.ejected = slices.DeleteFunc(d.outliers.ejected, func(executor *executor) bool {
 		return d.now >= executor.outlier.ejectedUntil || executor.endpoint.condition != Ready
 	})
-	out := len(d.outliers.ejected)
+	unavailable := len(d.outliers.ejected)
 	for _, executor := range d.outliers.busy {
 		if executor.endpoint.condition != Ready {
 			continue
 		}
 		d.updateResponsiveness(executor)
-		// Executors that are all slow together still send progress notes: where there are notes, silence does not come of
-		// slowness.
+		// Executors that are all slow at once still send progress notifications. Where these are enabled, missing
+		// activity is therefore not caused by slowness.
 		if executor.outlier.unresponsive && d.settings.ProgressInterval <= 0 && d.now >= executor.outlier.ejectedUntil {
-			out++
+			unavailable++
 		}
 	}
-	panicking := float64(out) > panicThreshold*float64(len(d.endpoints.listed))
+	panicking := float64(unavailable) > panicThreshold*float64(len(d.endpoints.listed))
 	if panicking != d.outliers.panicking {
 		d.outliers.panicking = panicking
 		d.needsPlacement = true
-		d.logf("ejections ignored active=%v ejected=%d executors=%d", panicking, out, len(d.endpoints.listed))
+		d.logf("ejections ignored active=%v ejected=%d executors=%d", panicking, unavailable, len(d.endpoints.listed))
 	}
 }
 
-// updateResponsiveness marks an executor as unresponsive if an attempt there has been silent for too long.
+// updateResponsiveness marks an executor as unresponsive if an attempt there has shown no activity within the
+// timeout.
 func (d *Dispatcher) updateResponsiveness(executor *executor) {
 	timeout := d.unresponsiveTimeout()
 	unresponsive := false
@@ -223,7 +229,7 @@
 			}
 			since := max(attempt.sentAt, executor.outlier.lastActiveAt)
 			if attempt.startedAt == 0 && d.settings.StartNotifications {
-				since += queuedGraceFactor * d.serviceTimes.startDelay // nothing is heard of a queued job
+				since += queuedGraceFactor * d.serviceTimes.startDelay // a queued job sends no notifications
 			}
 			unresponsive = unresponsive || d.now-since > timeout
 		}
@@ -235,9 +241,9 @@
 	executor.outlier.unresponsive = unresponsive
 }
 
-// recordActivity takes in a sign of life. After a silence, what is in flight there may have ended or never arrived without
-// this node hearing of it, until its client's time is over: it counts as holding no slots unless it is heard of
-// again.
+// recordActivity records that an executor responded. What is in flight at an executor that was unresponsive may
+// have ended or never arrived without this node observing it, and would count until its client's deadline. It is
+// therefore counted as holding no slots until a notification for it arrives.
 func (d *Dispatcher) recordActivity(executor *executor) {
 	executor.outlier.lastActiveAt = d.now
 	if !executor.outlier.unresponsive {
@@ -258,10 +264,10 @@
 	executor.countUnstarted(d.now)
 }
 
-// unresponsiveTimeout is how long an executor with attempts in flight may give no sign of life.
+// unresponsiveTimeout returns how long an executor with attempts in flight may show no activity.
 func (d *Dispatcher) unresponsiveTimeout() float64 {
 	if d.settings.ProgressInterval > 0 {
 		return unresponsiveIntervals * d.settings.ProgressInterval
 	}
-	return unresponsiveIntervals * unnotedIntervalFactor * d.serviceTimes.classes[0].work / d.serviceTimes.meanSpeed()
+	return unresponsiveIntervals * noProgressIntervalFactor * d.serviceTimes.classes[0].work / d.serviceTimes.meanSpeed()
 }
--- a/internal/dispatch/outlier_test.go
+++ b/internal/dispatch/outlier_test.go
@@ -41,10 +41,10 @@
 	s.HedgingAllowed = false
 	r := newRig(t, s, ready(7, 0))
 	executor := r.d.endpoints.byID[7]
-	tell := func() {
+	reportFreeSlots := func() {
 		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 4-executor.inFlight.slots, r.now, 4
 	}
-	tell()
+	reportFreeSlots()
 	r.step(request(1, 0, 0, 1), request(2, 0, 0, 1), request(3, 0, 0, 1), request(4, 2, 0, 1))
 	for id := uint32(1); id <= 4; id++ {
 		r.step(Event{Kind: EvNotification, Job: id, Topic: NotificationStarted})
@@ -60,18 +60,18 @@
 		got[0].Kind == ActSend {
 		t.Fatal("sent to a unresponsive executor at once")
 	}
-	tried := []uint32{}
+	trials := []uint32{}
 	for range 200 {
 		for _, a := range r.after(10, Event{Kind: EvTimer}) {
 			if a.Kind == ActSend {
-				tried = append(tried, a.Job)
+				trials = append(trials, a.Job)
 			}
 		}
 	}
-	if len(tried) != 1 || tried[0] == 10 {
-		t.Fatalf("tried %v, want one job that is safe to repeat", tried)
+	if len(trials) != 1 || trials[0] == 10 {
+		t.Fatalf("tried %v, want one job that is safe to repeat", trials)
 	}
-	got := r.after(1, Event{Kind: EvNotification, Job: tried[0], Topic: NotificationStarted})
+	got := r.after(1, Event{Kind: EvNotification, Job: trials[0], Topic: NotificationStarted})
 	if executor.outlier.unresponsive || executor.inFlight.slots < 1 || executor.inFlight.slots > 4 ||
 		len(actionsOf(got, ActSend, 10)) != 1 {
 		t.Errorf(
@@ -129,11 +129,11 @@
 // sends were copies). A started one that tells no progress still is, and so is a wait far past the usual.
 func TestQueuedJobIsNoSignOfAnUnresponsiveExecutor(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		wait    float64 // that jobs usually have before they start
-		started bool
-		after   float64
-		silent  bool
+		name         string
+		wait         float64 // that jobs usually have before they start
+		started      bool
+		after        float64
+		unresponsive bool
 	}{
 		{"queued where waits are long", 2000, false, 5000, false},
 		{"queued for far longer than usual", 2000, false, 20000, true},
@@ -162,18 +162,18 @@
 		if c.started {
 			r.after(1, Event{Kind: EvNotification, Job: 1, Topic: NotificationStarted})
 		}
-		copied := false
+		hedged := false
 		for range int(c.after / 10) {
 			r.after(10, Event{Kind: EvTimer})
-			copied = copied || len(actionsOf(r.last, ActSend, 1)) > 0
+			hedged = hedged || len(actionsOf(r.last, ActSend, 1)) > 0
 		}
-		if executor.outlier.unresponsive != c.silent || copied != c.started {
+		if executor.outlier.unresponsive != c.unresponsive || hedged != c.started {
 			t.Errorf(
 				"%s: unresponsive %v, copied %v, want %v, %v",
 				c.name,
 				executor.outlier.unresponsive,
-				copied,
-				c.silent,
+				hedged,
+				c.unresponsive,
 				c.started,
 			)
 		}
--- a/internal/dispatch/slottime.go
+++ b/internal/dispatch/slottime.go
@@ -4,70 +4,70 @@
 
 // This file estimates the mean slot-time of a request without waiting for long requests to end.
 //
-// The short ones of a node's requests end first. A mean of those that have ended is therefore too short, and stays so
-// for long at a node with little traffic: the attempts that still run are right-censored observations. The estimate is
-// the slot-time that all attempts have run, those in flight included, over the number of those that were served, which
-// is the maximum-likelihood mean of exponential run times under censoring. Both sums fade by time, not by the number of
-// runs, so that many attempts in flight do not outweigh the few that have ended.
+// The short requests of a node end first. The mean over the requests that have ended is therefore too low, and
+// stays so for long at a node with little traffic: the attempts that are still running are right-censored
+// observations. The estimate is the slot-time of all attempts, including those in flight, divided by the number of
+// attempts that were served. This is the maximum-likelihood mean of exponential run times under censoring. Both
+// sums decay with time, not with the number of runs, so that many attempts in flight do not outweigh the few that
+// have ended.
 
 const (
-	// slotTimeWindowMs is the time constant by which observed slot-time and runs fade.
+	// slotTimeWindowMs is the time constant of the decay of observed slot-time and runs.
 	slotTimeWindowMs = 60000
 
-	// slotTimePriorRuns is how many runs the prior counts for.
+	// slotTimePriorRuns is the weight of the prior, in runs.
 	slotTimePriorRuns = 6
 )
 
-// slotTimeEstimate holds the slot-time that this node's attempts have run, and how many were served.
+// slotTimeEstimate holds the total slot-time of this node's attempts and the number of those that were served.
 type slotTimeEstimate struct {
 	runningAttempts int
 	runningSlots    float64 // of the attempts whose run is observed now
 	slotTime        float64 // in ms, as of updatedAt
-	servedRuns      float64 // likewise
+	servedRuns      float64 // as of updatedAt
 	updatedAt       float64
 }
 
-// advance brings the sums to a time.
+// advance decays the sums to the current time and adds the slot-time of the running attempts.
 func (e *slotTimeEstimate) advance(now float64) {
 	elapsed := now - e.updatedAt
 	if elapsed <= 0 {
 		return
 	}
-	keep := math.Exp(-elapsed / slotTimeWindowMs)
-	e.slotTime = e.slotTime*keep + e.runningSlots*slotTimeWindowMs*(1-keep)
-	e.servedRuns *= keep
+	decay := math.Exp(-elapsed / slotTimeWindowMs)
+	e.slotTime = e.slotTime*decay + e.runningSlots*slotTimeWindowMs*(1-decay)
+	e.servedRuns *= decay
 	e.updatedAt = now
 }
 
-// begin takes in that an attempt has begun to run.
+// begin records that an attempt has begun to run.
 func (e *slotTimeEstimate) begin(now, slots float64) {
 	e.advance(now)
 	e.runningAttempts++
 	e.runningSlots += slots
 }
 
-// end takes in that an attempt is no longer observed. One that was not served was censored: its run counts, its end
-// does not.
+// end records that an attempt is no longer observed. An attempt that was not served is censored: its run time
+// counts, its end does not.
 func (e *slotTimeEstimate) end(now, slots float64, served bool) {
 	e.advance(now)
 	e.runningAttempts--
 	e.runningSlots -= slots
 	if e.runningAttempts == 0 {
-		e.runningSlots = 0 // the sum of odd numbers of slots may be off by their rounding
+		e.runningSlots = 0 // removes the accumulated rounding error of fractional slots
 	}
 	if served {
 		e.servedRuns++
 	}
 }
 
-// mean is the estimate, drawn to a prior while few runs have ended.
+// mean returns the estimate, weighted towards a prior while few runs have ended.
 func (e *slotTimeEstimate) mean(now, prior float64) float64 {
 	e.advance(now)
 	return (slotTimePriorRuns*prior + e.slotTime) / (slotTimePriorRuns + e.servedRuns)
 }
 
-// observeRun begins to observe an attempt's run, if it is known when the run begins and if the executor has all of its
-// capacity.
+// observeRun begins to observe an attempt's run, unless it is already observed or the executor is warming up.
 func (d *Dispatcher) observeRun(job *job, attempt *attempt) {
 	if attempt.runObserved || d.slowStart.capacityFraction(attempt.executor) < 1 {
 		return
@@ -76,7 +76,7 @@
 	d.serviceTimes.slotTime.begin(d.now, job.slots)
 }
 
-// endObservedRun ends what observeRun began, if it did.
+// endObservedRun ends the observation of an attempt's run, if there is one.
 func (d *Dispatcher) endObservedRun(job *job, attempt *attempt, served bool) {
 	if !attempt.runObserved {
 		return
@@ -85,15 +85,15 @@
 	d.serviceTimes.slotTime.end(d.now, job.slots, served)
 }
 
-// estimatedSlotTime is the mean slot-time of a request as slow start counts it. The slots of all executors bear about
-// the requests that the quotas of all tenants allow, which tells a node the slot-time of a request before it has seen
-// one end.
+// estimatedSlotTime returns the mean slot-time of a request for slow start. The slots of all executors serve about
+// as many requests as the quotas of all tenants allow, which gives a node a prior before any request has ended.
 func (d *Dispatcher) estimatedSlotTime() float64 {
 	prior := d.serviceTimes.meanSlotTime
 	if d.admission.totalQuota > 0 {
-		// No run outlasts its client: quotas far under what the executors bear do not stretch the prior beyond that.
-		byQuotas := min(1000*d.countFleetSlots()/d.admission.totalQuota, d.serviceTimes.meanDeadline())
-		prior = max(prior, byQuotas)
+		// A run does not outlast its client's deadline, which bounds the prior where the quotas are far below the
+		// capacity of the executors.
+		quotaBound := min(1000*d.countFleetSlots()/d.admission.totalQuota, d.serviceTimes.meanDeadline())
+		prior = max(prior, quotaBound)
 	}
 	return d.serviceTimes.slotTime.mean(d.now, prior)
 }
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -6,76 +6,78 @@
 	"slices"
 )
 
-// This file holds slow start: how old an executor's process is by our own clock, and how much it may be sent while it
-// warms up.
+// This file implements slow start: it estimates, on this node's clock, how long an executor's process has been
+// running, and limits how much work it is sent while it warms up.
 //
-// The start of a process comes with the list, on the wall clock of the machine that keeps the list. That clock, or
-// ours, may be wrong by hours or be stepped at any moment. A start is therefore compared with the last one for
-// equality only, to tell one process from the next, and is turned into a time of our own monotonic clock once, when
-// it is notified. A start that appears in a change of a confirmed list mostly happened after that list was confirmed
-// and before now. Discovery lists some executors late, and changes of others confirm the list in between: such a start
-// is believed as far as the delays of earlier ones bear it out (listclock.go), and otherwise taken to be now.
+// The start time of a process comes with the endpoint list, on the wall clock of the machine that keeps the list.
+// That clock or this node's may be wrong by hours or be stepped at any moment. A start time is therefore only
+// compared for equality with the previous one, to tell processes apart, and is converted once, when it is notified,
+// to a time on this node's monotonic clock. A start that appears in a change of a confirmed list mostly happened
+// after that list was confirmed. However, discovery lists some executors late, and changes of other executors
+// confirm the list in between. The listed time of such a start is used as far as the delays of earlier starts
+// support it (listclock.go); otherwise the process is assumed to have started now.
 
 const (
-	// slowStartSafety is the part of a budget that is used: heavy tails need the rest.
+	// slowStartSafety is the fraction of a budget that is used. The rest is a margin for heavy-tailed run times.
 	slowStartSafety = 0.6
 
-	// slowStartKnownSafety is likewise, while an aggregator tells what all nodes hold: then the free slots bound what is
-	// sent.
-	slowStartKnownSafety = 0.8
+	// slowStartAggregatorSafety replaces slowStartSafety while an aggregator reports the load of all nodes, since
+	// the free slots then limit what is sent.
+	slowStartAggregatorSafety = 0.8
 
-	// maxSlowStartPart is how many even parts a node has at most. It is under 1/slowStartSafety; all at once would
-	// outgrow it.
-	maxSlowStartPart = 1.6
+	// maxSlowStartShare is a node's maximum share of a budget, as a multiple of an equal share. It is below
+	// 1/slowStartSafety, so that all nodes at their maximum do not exceed the budget together.
+	maxSlowStartShare = 1.6
 
-	// slowStartBurst is the part of a budget's span that may be saved up. More fills sooner, and overloads.
+	// slowStartBurst is the fraction of the overload window whose budget may be accumulated. With a larger burst
+	// the executor is used sooner, but overloaded.
 	slowStartBurst = 0.5
 
-	// removedStartTTL is how long, in ms, the start of an executor that left the list is remembered. An executor that
-	// comes back within this time with the same start was not restarted, and does not warm up anew.
-	removedStartTTL = 600000
+	// removedStartTTLMs is how long the start of an executor that left the list is kept. An executor that returns
+	// within this time with the same start was not restarted, and does not warm up again.
+	removedStartTTLMs = 600000
 
-	// removedStartsBeforePurge is the number of remembered starts from which on expired ones are looked for.
-	removedStartsBeforePurge = 256
+	// removedStartsPurgeThreshold is the number of kept starts from which on expired ones are purged.
+	removedStartsPurgeThreshold = 256
 )
 
-// slowStartBudget is an executor's start and this node's part of what it may be sent while it warms up.
+// slowStartBudget is an executor's start and this node's budget for it while it warms up.
 type slowStartBudget struct {
-	listedStart float64 // as the list tells it, on another machine's clock: it tells one process from another
-	startedAt   float64 // by this node's clock, as estimated when it was notified; 0 for long ago
-	until       float64 // the end of the budget
-	opened      bool    // the budget was opened for the process that runs now
+	listedStart float64 // as listed, on another machine's clock; identifies the process
+	startedAt   float64 // on this node's clock, as estimated when it was notified; 0 if long ago
+	endsAt      float64 // end of the slow start, on this node's clock
+	opened      bool    // the budget was opened for the current process
 	credit      float64 // slot-time, in ms on a warm executor, that may be sent as of creditAt
 	creditAt    float64
 }
 
-// slowStartTracker holds what was observed of starts of executors.
+// slowStartTracker tracks the start times of executors.
 type slowStartTracker struct {
 	*environment
 
 	listClock         listClock
-	confirmedAt       float64               // when discovery last confirmed a list that holds executors, 0 for never
-	newestListedStart float64               // of the list at hand, on the list's clock
-	removed           map[uint32]knownStart // of executors that left the list a short while ago
-	warming           []*executor           // those of the list that warm up, by id; see warmingUp
+	confirmedAt       float64                 // when discovery last confirmed a list that holds executors, 0 for never
+	newestListedStart float64                 // of the current list, on the list's clock
+	removed           map[uint32]removedStart // by id, of executors that recently left the list
+	warming           []*executor             // listed executors that are warming up, by id; see warmingUp
 }
 
-// knownStart is the start of an executor that left the list.
-type knownStart struct {
-	listed    float64 // as the list told it
-	startedAt float64 // by our clock
-	until     float64
+// removedStart is the start of an executor that left the list.
+type removedStart struct {
+	listed    float64 // on the list's clock
+	startedAt float64 // on this node's clock
+	endsAt    float64
 	removedAt float64
 }
 
-// noteRows takes in the rows of a list that is about to be applied.
-func (s *slowStartTracker) noteRows(rows []EndpointUpdate) {
+// observeRows records the latest start of the first lists, which estimateFirstStart compares the others with.
+func (s *slowStartTracker) observeRows(rows []EndpointUpdate) {
 	if s.confirmedAt == 0 {
 		s.newestListedStart = newestStart(rows)
 	}
 }
 
-// newestStart gives the latest start of a list, on the list's clock.
+// newestStart returns the latest start of a list, on the list's clock.
 func newestStart(rows []EndpointUpdate) float64 {
 	newest := 0.0
 	for i := range rows {
@@ -84,29 +86,30 @@
 	return newest
 }
 
-// noteStart takes in the start that the list tells of an executor. One that is known already keeps its estimated time.
-// A new process started after its predecessor was last heard of.
-func (s *slowStartTracker) noteStart(executor *executor, listed, predecessorHeard float64) {
+// observeStart records the listed start of an executor. A start that is already known keeps its estimated time. A
+// new process started after the last activity of its predecessor.
+func (s *slowStartTracker) observeStart(executor *executor, listed, predecessorActiveAt float64) {
 	if listed == executor.slowStart.listedStart {
 		return
 	}
 	start := &executor.slowStart
 	start.listedStart, start.startedAt, start.opened = listed, s.estimateStart(listed), false
-	start.until = start.startedAt + s.settings.MaxSlowStartDuration
+	start.endsAt = start.startedAt + s.settings.MaxSlowStartDuration
 	if start.startedAt <= 0 || s.confirmedAt == 0 {
 		return
 	}
-	// The list's clock may be off by less than would show. A budget that ends too early lets all nodes send at once
-	// what waits for it, so that it ends as if the process had the least age that earlier starts bear out.
+	// The list's clock may be off by less than is detectable. A budget that ends too early would let all nodes send
+	// their queued work at once, so the budget ends as if the process had the minimum age that earlier starts
+	// support.
 	age := s.listClock.observe(s.now, listed, s.toleratedAgeError(), s.settings.MaxSlowStartDuration)
 	if age.known {
-		start.startedAt = min(start.startedAt, max(s.now-age.likely, predecessorHeard))
+		start.startedAt = min(start.startedAt, max(s.now-age.estimate, predecessorActiveAt))
 	}
-	start.until = max(s.now-age.least, predecessorHeard) + s.settings.MaxSlowStartDuration
+	start.endsAt = max(s.now-age.minimum, predecessorActiveAt) + s.settings.MaxSlowStartDuration
 }
 
-// toleratedAgeError is the error of an executor's age that makes its coldest budget no larger than it would be without
-// the part of slowStartSafety that is left out.
+// toleratedAgeError returns the maximum error of an executor's age at which its initial budget is no larger than
+// the correct one without the margin of slowStartSafety.
 func (s *slowStartTracker) toleratedAgeError() float64 {
 	from := s.settings.SlowStartMinShare
 	if from >= 1 {
@@ -115,7 +118,8 @@
 	return s.settings.MaxSlowStartDuration * from / (1 - from) * (1/slowStartSafety - 1)
 }
 
-// estimateStart gives the time on our clock of a start that has just been notified, 0 for one that was long ago.
+// estimateStart returns the time on this node's clock of a start that has just been notified, and 0 for one long
+// ago.
 func (s *slowStartTracker) estimateStart(listed float64) float64 {
 	switch {
 	case listed <= 0:
@@ -127,18 +131,18 @@
 	case listed >= s.confirmedAt:
 		return listed
 	case s.now-listed <= s.settings.OverloadWindow:
-		// The notification of the start took a little longer than that of another change.
+		// The notification of the start took slightly longer than that of another change.
 		return s.confirmedAt
 	}
-	// The clocks differ. The process may have started at any time since the last confirmed list; the latest is the safe
-	// one.
+	// The clocks differ. The process may have started at any time since the last confirmed list; the latest time is
+	// the safe assumption.
 	return s.now
 }
 
-// estimateFirstStart is estimateStart for the first lists of a node, which has observed nothing yet: the clocks are
-// believed, but for a start in the future. Then the latest start of the list is taken to be now, and the others that
-// lie in the future as much earlier as the list's own clock says, so that a wrong clock does not make executors cold
-// that have run for long.
+// estimateFirstStart is estimateStart for the first lists of a node, which has no earlier observations. The clocks
+// are trusted unless a start lies in the future. In that case the latest start of the list is assumed to be now,
+// and the other future starts earlier by the difference on the list's own clock, so that a wrong clock does not put
+// long-running executors back into slow start.
 func (s *slowStartTracker) estimateFirstStart(listed float64) float64 {
 	if listed <= s.now {
 		return listed
@@ -146,8 +150,8 @@
 	return s.now - (max(s.newestListedStart, listed) - listed)
 }
 
-// track keeps an executor whose row has changed among those that warm up, if it does.
-func (s *slowStartTracker) track(changed *executor) {
+// trackIfWarmingUp adds an executor whose row has changed to the warming list if it is warming up.
+func (s *slowStartTracker) trackIfWarmingUp(changed *executor) {
 	if s.capacityFraction(changed) >= 1 {
 		return
 	}
@@ -161,7 +165,7 @@
 	s.warming = slices.Insert(s.warming, at, changed)
 }
 
-// warmingUp gives the executors of the list that warm up, by id.
+// warmingUp returns the listed executors that are warming up, by id.
 func (s *slowStartTracker) warmingUp() []*executor {
 	s.warming = slices.DeleteFunc(s.warming, func(executor *executor) bool {
 		return executor.endpoint.condition == Removed || s.capacityFraction(executor) >= 1
@@ -169,96 +173,98 @@
 	return s.warming
 }
 
-// rememberStart keeps the start of an executor that is about to be forgotten.
-func (s *slowStartTracker) rememberStart(executor *executor) {
+// saveRemovedStart keeps the start of an executor whose state is about to be deleted.
+func (s *slowStartTracker) saveRemovedStart(executor *executor) {
 	start := &executor.slowStart
 	if start.listedStart <= 0 {
 		return
 	}
-	if len(s.removed) >= removedStartsBeforePurge {
-		maps.DeleteFunc(s.removed, func(_ uint32, known knownStart) bool { return s.now-known.removedAt > removedStartTTL })
+	if len(s.removed) >= removedStartsPurgeThreshold {
+		maps.DeleteFunc(s.removed, func(_ uint32, old removedStart) bool { return s.now-old.removedAt > removedStartTTLMs })
 	}
-	s.removed[executor.id] = knownStart{
-		listed: start.listedStart, startedAt: start.startedAt, until: start.until, removedAt: s.now,
+	s.removed[executor.id] = removedStart{
+		listed: start.listedStart, startedAt: start.startedAt, endsAt: start.endsAt, removedAt: s.now,
 	}
 }
 
-// recallStart gives an executor that comes back to the list the start that it had when it left.
-func (s *slowStartTracker) recallStart(executor *executor) {
+// restoreRemovedStart gives an executor that returns to the list the start that it had when it left.
+func (s *slowStartTracker) restoreRemovedStart(executor *executor) {
 	known, ok := s.removed[executor.id]
 	if !ok {
 		return
 	}
 	start := &executor.slowStart
-	start.listedStart, start.startedAt, start.until = known.listed, known.startedAt, known.until
+	start.listedStart, start.startedAt, start.endsAt = known.listed, known.startedAt, known.endsAt
 	delete(s.removed, executor.id)
 }
 
-// capacityFraction is the least part of its capacity that an executor has by now.
+// capacityFraction returns the minimum fraction of its full capacity that an executor has reached.
 func (s *slowStartTracker) capacityFraction(executor *executor) float64 {
-	startedAt, warmsWithin := executor.slowStart.startedAt, s.settings.MaxSlowStartDuration
-	if startedAt <= 0 || warmsWithin <= 0 || s.now-startedAt >= warmsWithin {
+	startedAt, duration := executor.slowStart.startedAt, s.settings.MaxSlowStartDuration
+	if startedAt <= 0 || duration <= 0 || s.now-startedAt >= duration {
 		return 1
 	}
-	return min(1, s.settings.SlowStartMinShare+(1-s.settings.SlowStartMinShare)*max(0, s.now-startedAt)/warmsWithin)
+	return min(1, s.settings.SlowStartMinShare+(1-s.settings.SlowStartMinShare)*max(0, s.now-startedAt)/duration)
 }
 
-// slowStartAllows says whether our part of the budget of an executor that warms up lets a job of ours go there, with
-// further work beside that of one slot. One of many nodes has less than a job of it, and pays a job off afterwards,
-// from a random debt at first: all nodes send the sum together.
-func (d *Dispatcher) slowStartAllows(executor *executor, furtherWork float64) bool {
+// slowStartAllows reports whether this node's budget for an executor that is warming up allows another job there,
+// which needs additionalWork beyond the work of one slot. With many nodes, a node's budget is less than one job: a
+// job overdraws it and is paid off afterwards. Each budget starts with a random debt, so that all nodes together
+// send the total.
+func (d *Dispatcher) slowStartAllows(executor *executor, additionalWork float64) bool {
 	budget := &executor.slowStart
-	if budget.startedAt <= 0 || d.now >= budget.until {
+	if budget.startedAt <= 0 || d.now >= budget.endsAt {
 		return true
 	}
-	share := d.slowStart.capacityFraction(executor)
+	fraction := d.slowStart.capacityFraction(executor)
 	if !budget.opened {
 		d.openSlowStartBudget(executor)
 	}
-	part := min(d.fleetShare(), maxSlowStartPart/float64(d.settings.Nodes))
+	nodeShare := min(d.fleetShare(), maxSlowStartShare/float64(d.settings.Nodes))
 	slots := max(1, executor.load.slots, d.capacity.kindSlots[executor.endpoint.kind])
-	rate := d.slowStartSafetyFactor() * part * d.settings.OverloadMultiple * share * slots
+	rate := d.slowStartSafetyFactor() * nodeShare * d.settings.OverloadMultiple * fraction * slots
 	maxCredit := rate * d.settings.OverloadWindow * slowStartBurst
 	budget.accrue(d.now, rate, maxCredit, d.serviceTimes.meanSlotTime*d.slowStartCostScale())
-	return budget.credit > min(furtherWork, slowStartKnownSafety*maxCredit)
+	return budget.credit > min(additionalWork, slowStartAggregatorSafety*maxCredit)
 }
 
-// accrue adds what has come to a budget since its last use. Credit over the most that may be saved up is lost, with
-// what a job more than that costs: all nodes would otherwise save up a job, and send it at once.
-func (b *slowStartBudget) accrue(now, rate, maxCredit, turnCost float64) {
+// accrue adds the credit accumulated since the last update. Credit above maxCredit is lost, and so is the amount by
+// which the cost of a job exceeds maxCredit: otherwise all nodes would accumulate enough for one job and send it at
+// the same time.
+func (b *slowStartBudget) accrue(now, rate, maxCredit, jobCost float64) {
 	b.credit += rate * (now - b.creditAt)
 	if b.credit > maxCredit {
-		b.credit = min(maxCredit, b.credit-max(0, turnCost-maxCredit))
+		b.credit = min(maxCredit, b.credit-max(0, jobCost-maxCredit))
 	}
 	b.creditAt = now
 }
 
-// openSlowStartBudget begins the budget of a process that has just been notified. Requests sent between its start and
-// our notification of it count against the budget, because the executor has already received them.
+// openSlowStartBudget initializes the budget of a process that has just been notified. Requests sent between its
+// start and the notification count against the budget, because the executor has already received them.
 func (d *Dispatcher) openSlowStartBudget(executor *executor) {
 	budget := &executor.slowStart
-	sentFrom := budget.startedAt
+	sentSince := budget.startedAt
 	if budget.listedStart <= d.now && d.now-budget.listedStart <= d.settings.OverloadWindow {
-		sentFrom = min(sentFrom, budget.listedStart) // the list's clock tells of a start a moment ago, which is believed here
+		sentSince = min(sentSince, budget.listedStart) // a recent start on the list's clock is trusted here
 	}
 	budget.opened = true
 	budget.creditAt = max(budget.startedAt, d.now-slowStartBurst*d.settings.OverloadWindow)
-	budget.credit = -d.random()*d.serviceTimes.meanSlotTime*d.slowStartCostScale() - d.workSentSince(executor, sentFrom)
+	budget.credit = -d.random()*d.serviceTimes.meanSlotTime*d.slowStartCostScale() - d.workSentSince(executor, sentSince)
 	d.logf("slow start opened executor=%d age_ms=%.0f listed_age_ms=%.0f ended_mean_ms=%.0f estimated_mean_ms=%.0f",
 		executor.id, d.now-budget.startedAt, d.now-budget.listedStart, d.serviceTimes.meanSlotTime, d.estimatedSlotTime())
 }
 
-// chargeSlowStart charges the budget of an executor that warms up for a job that goes there.
+// chargeSlowStart charges the budget of an executor that is warming up for a job that is sent there.
 func (d *Dispatcher) chargeSlowStart(job *job, executor *executor) {
 	budget := &executor.slowStart
-	if budget.startedAt > 0 && d.now < budget.until {
+	if budget.startedAt > 0 && d.now < budget.endsAt {
 		budget.credit -= job.slots * job.work / d.serviceTimes.kindSpeed(executor.endpoint.kind) * d.slowStartCostScale()
 	}
 }
 
-// slowStartCostScale is by how much requests take longer than the mean of those that have ended. All nodes err alike
-// with that mean, and would send a cold executor several times its budget. Where it is known what all nodes have in
-// flight at the executor, that bounds what it gets, and the mean will do.
+// slowStartCostScale returns by which factor requests take longer than the mean of those that have ended. That mean
+// has the same bias at all nodes, which together would send a cold executor several times its budget. Where the
+// load of all nodes at the executor is known, that limits what is sent, and the mean is accurate enough.
 func (d *Dispatcher) slowStartCostScale() float64 {
 	if d.peerLoadsKnown() {
 		return 1
@@ -266,12 +272,12 @@
 	return max(1, d.estimatedSlotTime()/max(d.serviceTimes.meanSlotTime, 1))
 }
 
-// slowStartSafetyFactor is the part of a budget that is used: more while an aggregator tells what all nodes hold
-// there, because then no more is sent than the executor can do by then, and what is over is sent by nodes that ask at
-// the same moment alone.
+// slowStartSafetyFactor returns the fraction of a budget that is used. It is larger while an aggregator reports the
+// load of all nodes: the executor's current capacity then limits what is sent, and only nodes that send at the same
+// moment can exceed it.
 func (d *Dispatcher) slowStartSafetyFactor() float64 {
 	if d.gossip.mode == gossipAggregator && d.peerLoadsKnown() {
-		return slowStartKnownSafety
+		return slowStartAggregatorSafety
 	}
 	return slowStartSafety
 }
--- a/internal/dispatch/slowstart_fleet_test.go
+++ b/internal/dispatch/slowstart_fleet_test.go
@@ -21,15 +21,15 @@
 
 // slowStartFleet is a fleet of nodes that share one executor, which starts anew while they use it.
 type slowStartFleet struct {
-	nodes        int
-	gossip       bool      // nodes may send one another messages
-	running      bool      // requests run for a while in the slots of the executor; else they are served at once
-	restarts     int       // further starts of the executor, restartEvery apart
-	restartEvery float64   // ms
-	newNodes     bool      // half of the nodes are restarted in the middle of the slow start
-	listClock    float64   // ms by which the wall clock of the list's machine is ahead
-	nodeClocks   []float64 // ms by which the nodes' clocks are ahead, in turn; none: all are right
-	quiet        bool      // nothing confirms the list between its first and the notification of the start
+	nodes           int
+	gossip          bool      // nodes may send one another messages
+	running         bool      // requests run for a while in the slots of the executor; else they are served at once
+	restarts        int       // further starts of the executor, restartEvery apart
+	restartInterval float64   // ms
+	restartNodes    bool      // half of the nodes are restarted in the middle of the slow start
+	listClock       float64   // ms by which the wall clock of the list's machine is ahead
+	nodeClocks      []float64 // ms by which the nodes' clocks are ahead, in turn; none: all are right
+	unconfirmed     bool      // nothing confirms the list between its first and the notification of the start
 }
 
 // runningRequest is a request that the executor holds.
@@ -37,11 +37,11 @@
 	node    int
 	job     uint32
 	attempt uint16
-	ends    float64 // 0 while it is queued
+	endsAt  float64 // 0 while it is queued
 }
 
-// slowStartPlay is one run of a slowStartFleet.
-type slowStartPlay struct {
+// slowStartSimulation is one run of a slowStartFleet.
+type slowStartSimulation struct {
 	slowStartFleet
 	t        *testing.T
 	settings Settings
@@ -49,28 +49,28 @@
 	rnd      *rand.Rand
 	nodes    []*Dispatcher
 	inbox    [][]Event
-	held     []runningRequest
+	requests []runningRequest
 	starts   []float64 // true times
 	sends    []float64 // since the last start
 	lastJob  uint32
 	steps    int
-	beyond   float64 // most requests over the bound in any window
+	excess   float64 // most requests over the bound in any window
 	used     float64 // requests sent while it warmed up
 	early    float64 // of them in the first 2 s after the first start
 }
 
-func (f slowStartFleet) play(t *testing.T, seed int64) *slowStartPlay {
+func (f slowStartFleet) simulate(t *testing.T, seed int64) *slowStartSimulation {
 	s := base()
 	s.Classes = s.Classes[:1]
 	s.Nodes, s.GossipAllowed = f.nodes, f.gossip
 	s.Tenants = []Tenant{{ReservedShare: 1, Quota: fleetSlots / fleetWorkMS * 1000}}
-	p := &slowStartPlay{slowStartFleet: f, t: t, settings: s, seed: seed, rnd: rand.New(rand.NewSource(seed)),
-		nodes: make([]*Dispatcher, f.nodes), inbox: make([][]Event, f.nodes), beyond: math.Inf(-1)}
+	p := &slowStartSimulation{slowStartFleet: f, t: t, settings: s, seed: seed, rnd: rand.New(rand.NewSource(seed)),
+		nodes: make([]*Dispatcher, f.nodes), inbox: make([][]Event, f.nodes), excess: math.Inf(-1)}
 	for i := range p.nodes {
 		p.startNode(i, fleetStartMS-fleetWarmUpMS)
 	}
 	for i := range f.restarts + 1 {
-		p.starts = append(p.starts, fleetStartMS+float64(i)*f.restartEvery)
+		p.starts = append(p.starts, fleetStartMS+float64(i)*f.restartInterval)
 	}
 	end := p.starts[f.restarts] + s.MaxSlowStartDuration
 	for now := fleetStartMS - fleetWarmUpMS + fleetStepMS; now < end; now += fleetStepMS {
@@ -79,7 +79,7 @@
 	return p
 }
 
-func (p *slowStartPlay) clock(node int) float64 {
+func (p *slowStartSimulation) clock(node int) float64 {
 	if len(p.nodeClocks) == 0 {
 		return 0
 	}
@@ -87,7 +87,7 @@
 }
 
 // started is the last true start of the executor by a time, 0 before the first.
-func (p *slowStartPlay) started(now float64) (last float64) {
+func (p *slowStartSimulation) started(now float64) (last float64) {
 	for _, at := range p.starts {
 		if at <= now {
 			last = at
@@ -96,7 +96,7 @@
 	return last
 }
 
-func (p *slowStartPlay) row(now float64) EndpointUpdate {
+func (p *slowStartSimulation) row(now float64) EndpointUpdate {
 	r := ready(7, 0)
 	if at := p.started(now); at > 0 {
 		r.StartedAt = at + p.listClock
@@ -106,7 +106,7 @@
 	return r
 }
 
-func (p *slowStartPlay) startNode(i int, now float64) {
+func (p *slowStartSimulation) startNode(i int, now float64) {
 	s := p.settings
 	s.Node = i
 	d, err := New(s, uint64(p.seed)*1000+uint64(i)+uint64(now))
@@ -124,7 +124,7 @@
 	p.inbox[i] = nil
 }
 
-func (p *slowStartPlay) share(now float64) float64 {
+func (p *slowStartSimulation) share(now float64) float64 {
 	at := p.started(now)
 	if at == 0 {
 		return 1
@@ -133,7 +133,7 @@
 }
 
 // step lets all nodes take one step.
-func (p *slowStartPlay) step(now float64) {
+func (p *slowStartSimulation) step(now float64) {
 	for _, at := range p.starts {
 		if at > now-fleetStepMS && at <= now {
 			p.restartExecutor()
@@ -157,17 +157,17 @@
 }
 
 // restartExecutor fails what the executor holds and begins to count anew.
-func (p *slowStartPlay) restartExecutor() {
-	for _, r := range p.held {
+func (p *slowStartSimulation) restartExecutor() {
+	for _, r := range p.requests {
 		p.inbox[r.node] = append(p.inbox[r.node], outcome(r.job, r.attempt, 7, Reset))
 	}
-	p.held, p.sends = nil, nil
+	p.requests, p.sends = nil, nil
 }
 
 // notify tells each node of a start, some of them one or two steps late, and confirms the list now and then.
-func (p *slowStartPlay) notify(now float64) {
+func (p *slowStartSimulation) notify(now float64) {
 	at := p.started(now)
-	if p.newNodes && now-fleetStepMS < fleetStartMS+2000 && now >= fleetStartMS+2000 {
+	if p.restartNodes && now-fleetStepMS < fleetStartMS+2000 && now >= fleetStartMS+2000 {
 		for i := range p.nodes[:(len(p.nodes)+1)/2] {
 			p.startNode(i, now)
 		}
@@ -177,14 +177,14 @@
 		switch {
 		case at > 0 && now >= at+late-fleetStepMS && now < at+late:
 			p.inbox[i] = append(p.inbox[i], Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{p.row(now)}})
-		case !p.quiet && int(now/fleetStepMS)%100 == i%100:
+		case !p.unconfirmed && int(now/fleetStepMS)%100 == i%100:
 			p.inbox[i] = append(p.inbox[i], Event{Kind: EvEndpoints, Form: ListDelta})
 		}
 	}
 }
 
 // arrive brings 2.5 times the requests that the executor can do once it is warm, to nodes by chance.
-func (p *slowStartPlay) arrive() {
+func (p *slowStartSimulation) arrive() {
 	for n := 2.5 * fleetSlots / fleetWorkMS * fleetStepMS; n > 0; n-- {
 		if n < 1 && p.rnd.Float64() > n {
 			return
@@ -198,37 +198,37 @@
 }
 
 // serve runs what the executor holds: those that fit, in the order they came.
-func (p *slowStartPlay) serve(now float64) {
-	slots, kept := max(1, math.Round(fleetSlots*p.share(now))), p.held[:0]
-	for i, r := range p.held {
-		if r.ends == 0 && float64(len(kept)) < slots {
-			r.ends = now + fleetWorkMS
+func (p *slowStartSimulation) serve(now float64) {
+	slots, kept := max(1, math.Round(fleetSlots*p.share(now))), p.requests[:0]
+	for i, r := range p.requests {
+		if r.endsAt == 0 && float64(len(kept)) < slots {
+			r.endsAt = now + fleetWorkMS
 			if !p.running {
-				r.ends = now
+				r.endsAt = now
 			}
 			p.inbox[r.node] = append(
 				p.inbox[r.node],
 				Event{Kind: EvNotification, Job: r.job, Attempt: r.attempt, Executor: 7, Topic: NotificationStarted},
 			)
 		}
-		if r.ends > 0 && now >= r.ends {
-			free := slots - float64(len(kept)+min(len(p.held)-i-1, int(slots))) + float64(r.job%97)*1e-4
+		if r.endsAt > 0 && now >= r.endsAt {
+			free := slots - float64(len(kept)+min(len(p.requests)-i-1, int(slots))) + float64(r.job%97)*1e-4
 			p.inbox[r.node] = append(p.inbox[r.node], outcome(r.job, r.attempt, 7, Served, float32(max(0, free))))
 			continue
 		}
 		kept = append(kept, r)
 	}
-	p.held = kept
+	p.requests = kept
 }
 
-func (p *slowStartPlay) act(node int, a Action, now float64) {
+func (p *slowStartSimulation) act(node int, a Action, now float64) {
 	switch a.Kind {
 	case ActSend:
 		p.sends = append(p.sends, now)
 		p.countUse(now)
 		attempt := uint16(len(p.nodes[node].jobs.byID[a.Job].attempts) - 1)
 		if p.running {
-			p.held = append(p.held, runningRequest{node: node, job: a.Job, attempt: attempt})
+			p.requests = append(p.requests, runningRequest{node: node, job: a.Job, attempt: attempt})
 		} else {
 			p.inbox[node] = append(p.inbox[node], outcome(a.Job, attempt, 7, Served))
 		}
@@ -241,7 +241,7 @@
 	}
 }
 
-func (p *slowStartPlay) countUse(now float64) {
+func (p *slowStartSimulation) countUse(now float64) {
 	if now < fleetStartMS {
 		return
 	}
@@ -252,10 +252,10 @@
 }
 
 // budget is how many requests the settings allow a process that began at a time in a window.
-func (p *slowStartPlay) budget(began, from, to float64) float64 {
+func (p *slowStartSimulation) budget(startedAt, from, to float64) float64 {
 	s := p.settings
 	share := func(x float64) float64 {
-		return min(1, s.SlowStartMinShare+(1-s.SlowStartMinShare)*max(0, x-began)/s.MaxSlowStartDuration)
+		return min(1, s.SlowStartMinShare+(1-s.SlowStartMinShare)*max(0, x-startedAt)/s.MaxSlowStartDuration)
 	}
 	return s.OverloadMultiple * fleetSlots * (share(from) + share(to)) / 2 * (to - from) / fleetWorkMS
 }
@@ -269,17 +269,17 @@
 }
 
 // check compares what all nodes sent in the window that ends now with what the executor bears.
-func (p *slowStartPlay) check(now float64) {
-	began := p.started(now)
-	if began == 0 {
+func (p *slowStartSimulation) check(now float64) {
+	startedAt := p.started(now)
+	if startedAt == 0 {
 		return
 	}
 	sum := 0.0
 	for k := len(p.sends) - 1; k >= 0 && p.sends[k] > now-p.settings.OverloadWindow; k-- {
 		sum++
 	}
-	n := p.budget(began, max(began, now-p.settings.OverloadWindow), max(now, began+p.settings.OverloadWindow))
-	p.beyond = max(p.beyond, sum-allowance(n))
+	n := p.budget(startedAt, max(startedAt, now-p.settings.OverloadWindow), max(now, startedAt+p.settings.OverloadWindow))
+	p.excess = max(p.excess, sum-allowance(n))
 }
 
 // verify plays a fleet on some seeds and checks that no window outgrows what the executor bears and that it is used.
@@ -291,8 +291,8 @@
 	}
 	worst, used, early := math.Inf(-1), 0.0, 0.0
 	for seed := int64(1); seed <= int64(seeds); seed++ {
-		p := f.play(t, seed)
-		worst = max(worst, p.beyond)
+		p := f.simulate(t, seed)
+		worst = max(worst, p.excess)
 		used += p.used / seeds
 		early += p.early / seeds
 	}
@@ -339,7 +339,7 @@
 func TestSlowStartBoundWithRestartedNodes(t *testing.T) {
 	for name, gossip := range map[string]bool{"no messages": false, "messages": true} {
 		t.Run(name, func(t *testing.T) {
-			verifyFleets(t, func(f *slowStartFleet) { f.newNodes, f.gossip, f.running = true, gossip, gossip })
+			verifyFleets(t, func(f *slowStartFleet) { f.restartNodes, f.gossip, f.running = true, gossip, gossip })
 		})
 	}
 }
@@ -348,7 +348,7 @@
 func TestSlowStartBoundWithRepeatedStarts(t *testing.T) {
 	for name, every := range map[string]float64{"1 s": 1000, "3 s": 3000} {
 		t.Run(name, func(t *testing.T) {
-			verifyFleets(t, func(f *slowStartFleet) { f.restarts, f.restartEvery = 4, every })
+			verifyFleets(t, func(f *slowStartFleet) { f.restarts, f.restartInterval = 4, every })
 		})
 	}
 }
@@ -365,12 +365,12 @@
 		"nodes an hour ahead":   func(f *slowStartFleet) { f.nodeClocks = []float64{hourMS} },
 		"nodes an hour behind":  func(f *slowStartFleet) { f.nodeClocks = []float64{-hourMS} },
 		"each node's its own":   func(f *slowStartFleet) { f.nodeClocks = []float64{-hourMS, 0, hourMS} },
-		"restarted, list ahead": func(f *slowStartFleet) { f.listClock, f.newNodes = hourMS, true },
-		"repeated, list behind": func(f *slowStartFleet) { f.listClock, f.restarts, f.restartEvery = -hourMS, 4, 1500 },
-		"repeated, list ahead":  func(f *slowStartFleet) { f.listClock, f.restarts, f.restartEvery = hourMS, 4, 1500 },
+		"restarted, list ahead": func(f *slowStartFleet) { f.listClock, f.restartNodes = hourMS, true },
+		"repeated, list behind": func(f *slowStartFleet) { f.listClock, f.restarts, f.restartInterval = -hourMS, 4, 1500 },
+		"repeated, list ahead":  func(f *slowStartFleet) { f.listClock, f.restarts, f.restartInterval = hourMS, 4, 1500 },
 		"aggregator, behind":    func(f *slowStartFleet) { f.listClock, f.gossip, f.running = -hourMS, true, true },
 		"aggregator, ahead":     func(f *slowStartFleet) { f.listClock, f.gossip, f.running = hourMS, true, true },
-		"no confirmation":       func(f *slowStartFleet) { f.listClock, f.quiet = -hourMS, true },
+		"no confirmation":       func(f *slowStartFleet) { f.listClock, f.unconfirmed = -hourMS, true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -382,9 +382,9 @@
 // A wrong clock changes little of what a fresh executor gets in its first two seconds. (With a list an hour ahead it
 // got nothing at all, and with one an hour behind as much as a warm one.)
 func TestWrongClocksChangeLittleOfASlowStart(t *testing.T) {
-	right := slowStartFleet{nodes: 1, running: true}.play(t, 1).early
+	right := slowStartFleet{nodes: 1, running: true}.simulate(t, 1).early
 	for _, clock := range []float64{-hourMS, -30000, -1000, 1000, 30000, hourMS} {
-		wrong := slowStartFleet{nodes: 1, running: true, listClock: clock}.play(t, 1).early
+		wrong := slowStartFleet{nodes: 1, running: true, listClock: clock}.simulate(t, 1).early
 		if wrong < right/2 || wrong > right*3/2 {
 			t.Errorf("a list %.0f ms ahead: %.0f requests in the first 2 s, and %.0f with right clocks", clock, wrong, right)
 		}
--- a/internal/dispatch/slowstart_quota_test.go
+++ b/internal/dispatch/slowstart_quota_test.go
@@ -10,14 +10,14 @@
 // Figures of a fleet whose requests carry no hint of their work and take far longer than the aims of their classes
 // suggest.
 const (
-	longSlots   = 5.0
-	longAim     = 400.0  // ms
-	longWork    = 1800.0 // ms, the mean
-	longStep    = 20.0   // ms between steps of all nodes
-	longLoad    = 10.0   // traffic, of what the executor can serve warm: what others of its fleet do not take
-	longQuota   = 0.85   // quotas of all tenants together, likewise
-	longTime    = 25000  // ms that a client waits
-	longStarted = 1e6    // ms, when the executor started
+	longSlots     = 5.0
+	longObjective = 400.0  // ms
+	longWork      = 1800.0 // ms, the mean
+	longStep      = 20.0   // ms between steps of all nodes
+	longLoad      = 10.0   // traffic, of what the executor can serve warm: what others of its fleet do not take
+	longQuota     = 0.85   // quotas of all tenants together, likewise
+	longDeadline  = 25000  // ms that a client waits
+	longStartedAt = 1e6    // ms, when the executor started
 )
 
 // longSettings are the settings of such a fleet with a number of nodes that tell one another nothing.
@@ -25,24 +25,24 @@
 	s := base()
 	s.Nodes, s.HedgingAllowed = nodes, false
 	for i := range s.Classes {
-		s.Classes[i].Objective, s.Classes[i].Deadline = longAim, longTime
+		s.Classes[i].Objective, s.Classes[i].Deadline = longObjective, longDeadline
 	}
 	s.Tenants = []Tenant{{ReservedShare: 1, Quota: longQuota * longSlots / longWork * 1000}}
 	return s
 }
 
-// ended is an attempt that runs, and what its node hears of it at its end.
-type ended struct {
+// runningAttempt is an attempt that runs, and what its node hears of it at its end.
+type runningAttempt struct {
 	node  int
 	at    float64
 	event Event
 }
 
-// playLong gives when all nodes together sent requests to an executor that started when they began.
-func playLong(t *testing.T, s Settings, seed int64) (sends []float64) {
+// simulateLongRequests gives when all nodes together sent requests to an executor that started when they began.
+func simulateLongRequests(t *testing.T, s Settings, seed int64) (sends []float64) {
 	random := rand.New(rand.NewSource(seed))
 	warm, cold := ready(1, 0), ready(1, 0)
-	cold.StartedAt = longStarted
+	cold.StartedAt = longStartedAt
 	nodes, events := make([]*Dispatcher, s.Nodes), make([][]Event, s.Nodes)
 	for i := range nodes {
 		s.Node = i
@@ -50,17 +50,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Step(longStarted-longStep, []Event{{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{warm}}}, nil)
+		d.Step(longStartedAt-longStep, []Event{{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{warm}}}, nil)
 		d.capacity.kindSlots[0] = longSlots
-		d.Step(longStarted, []Event{{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{cold}}}, nil)
+		d.Step(longStartedAt, []Event{{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{cold}}}, nil)
 		nodes[i] = d
 	}
-	running, job := []ended(nil), uint32(0)
-	for now := longStarted + longStep; now < longStarted+s.MaxSlowStartDuration; now += longStep {
+	running, job := []runningAttempt(nil), uint32(0)
+	for now := longStartedAt + longStep; now < longStartedAt+s.MaxSlowStartDuration; now += longStep {
 		for left := longLoad * longSlots / longWork * longStep; left > 0 && random.Float64() < left; left-- {
 			job++
 			e := request(job, uint8(random.Intn(len(s.Classes))), 0, 1)
-			e.Work, e.Flags, e.TimeLeft = 0, 0, longTime
+			e.Work, e.Flags, e.TimeLeft = 0, 0, longDeadline
 			to := random.Intn(len(nodes))
 			events[to] = append(events[to], e)
 		}
@@ -87,7 +87,7 @@
 				)
 				running = append(
 					running,
-					ended{i, now + random.ExpFloat64()*longWork, outcome(a.Job, attempt, a.Executor, Served)},
+					runningAttempt{i, now + random.ExpFloat64()*longWork, outcome(a.Job, attempt, a.Executor, Served)},
 				)
 				sends = append(sends, now)
 			}
@@ -106,12 +106,12 @@
 		t.Run(fmt.Sprintf("%d nodes", nodes), func(t *testing.T) {
 			s, sent, allowed := longSettings(nodes), 0.0, 0.0
 			for seed := int64(1); seed <= seeds; seed++ {
-				sends, from, worst := playLong(t, s, seed), 0, math.Inf(-1)
+				sends, from, worst := simulateLongRequests(t, s, seed), 0, math.Inf(-1)
 				for i, at := range sends {
 					for sends[from] <= at-s.OverloadWindow {
 						from++
 					}
-					share := s.SlowStartMinShare + (1-s.SlowStartMinShare)*max(0, at-s.OverloadWindow/2-longStarted)/s.MaxSlowStartDuration
+					share := s.SlowStartMinShare + (1-s.SlowStartMinShare)*max(0, at-s.OverloadWindow/2-longStartedAt)/s.MaxSlowStartDuration
 					budget := s.OverloadMultiple * longSlots * share * s.OverloadWindow / longWork
 					worst = max(worst, float64(i-from+1)-budget-3*math.Sqrt(budget+3))
 				}
--- a/internal/dispatch/slowstart_sum_test.go
+++ b/internal/dispatch/slowstart_sum_test.go
@@ -9,30 +9,30 @@
 
 // coldFleet is a fleet with one executor, which has just started.
 type servedFleet struct {
-	nodes int     // that there are
-	told  int     // and by the settings of each; 0: as many
-	load  float64 // requests a second of all nodes, as a multiple of the quota
-	skew  float64 // part of the traffic that comes to the first node; the rest evenly to all
-	late  int     // of them, nodes that begin in the middle of its start
-	gone  int     // nodes that end then
+	nodes      int     // that there are
+	configured int     // and by the settings of each; 0: as many
+	load       float64 // requests a second of all nodes, as a multiple of the quota
+	skew       float64 // part of the traffic that comes to the first node; the rest evenly to all
+	late       int     // of them, nodes that begin in the middle of its start
+	stopped    int     // nodes that end then
 }
 
-// play gives by how much the requests that all nodes sent within any window outgrew the budget and what chance
+// simulate gives by how much the requests that all nodes sent within any window outgrew the budget and what chance
 // allows, which is twice the root of the budget and two, and how much of the budget was used in all. Jobs are told as
 // served at once: only the budget bounds what is sent.
-func (f servedFleet) play(t *testing.T, seed int64) (beyond, used float64) { //nolint:funlen,gocognit // one course
-	beyond = math.Inf(-1)
+func (f servedFleet) simulate(t *testing.T, seed int64) (excess, used float64) { //nolint:funlen,gocognit // one course
+	excess = math.Inf(-1)
 	const slots, work, step = 4.0, 300.0, 20.0
 	s := base()
 	s.Classes = s.Classes[:1]
-	if s.Nodes = f.nodes; f.told > 0 {
-		s.Nodes = f.told
+	if s.Nodes = f.nodes; f.configured > 0 {
+		s.Nodes = f.configured
 	}
 	quota := slots / work * 1000 // what the executor can do once it is warm
 	s.Tenants = []Tenant{{ReservedShare: 1, Quota: quota}}
 	rnd := rand.New(rand.NewSource(seed))
-	cold, born := ready(7, 0), 100000.0
-	cold.StartedAt = born
+	cold, startedAt := ready(7, 0), 100000.0
+	cold.StartedAt = startedAt
 	nodes := make([]*Dispatcher, f.nodes)
 	start := func(i int, now float64) {
 		mine := s
@@ -46,22 +46,22 @@
 		nodes[i] = d
 	}
 	for i := f.late; i < f.nodes; i++ {
-		start(i, born)
+		start(i, startedAt)
 	}
 	ended := make([][]Event, f.nodes)
 	var sends []float64
 	id, budget := uint32(0), func(from, to float64) float64 { // in requests of mean work
 		share := func(x float64) float64 {
-			return min(1, s.SlowStartMinShare+(1-s.SlowStartMinShare)*max(0, x-born)/s.MaxSlowStartDuration)
+			return min(1, s.SlowStartMinShare+(1-s.SlowStartMinShare)*max(0, x-startedAt)/s.MaxSlowStartDuration)
 		}
 		return s.OverloadMultiple * slots * (share(from) + share(to)) / 2 * (to - from) / work
 	}
-	for now := born + step; now < born+s.MaxSlowStartDuration-step; now += step {
-		if now-step < born+2000 && now >= born+2000 {
+	for now := startedAt + step; now < startedAt+s.MaxSlowStartDuration-step; now += step {
+		if now-step < startedAt+2000 && now >= startedAt+2000 {
 			for i := range f.late {
 				start(i, now)
 			}
-			for i := f.nodes - f.gone; i < f.nodes; i++ {
+			for i := f.nodes - f.stopped; i < f.nodes; i++ {
 				nodes[i] = nil
 			}
 		}
@@ -92,14 +92,14 @@
 				}
 			}
 		}
-		from, sum := max(born, now-s.OverloadWindow), 0.0
+		from, sum := max(startedAt, now-s.OverloadWindow), 0.0
 		for k := len(sends) - 1; k >= 0 && sends[k] > now-s.OverloadWindow; k-- {
 			sum++
 		}
-		n := budget(from, max(now, born+s.OverloadWindow))
-		beyond = max(beyond, sum-n-2*math.Sqrt(n)-2)
+		n := budget(from, max(now, startedAt+s.OverloadWindow))
+		excess = max(excess, sum-n-2*math.Sqrt(n)-2)
 	}
-	return beyond, float64(len(sends)) / budget(born, born+s.MaxSlowStartDuration)
+	return excess, float64(len(sends)) / budget(startedAt, startedAt+s.MaxSlowStartDuration)
 }
 
 // All nodes together keep the budget of an executor that warms up, but for chance, with nothing to tell them
@@ -111,14 +111,14 @@
 		for _, f := range []servedFleet{
 			{nodes: n, load: 0.8}, {nodes: n, load: 2.5}, {nodes: n, load: 5}, {nodes: n, load: 2.5, skew: 0.8},
 			{nodes: n, load: 5, skew: 0.3},
-			{nodes: n, load: 2.5, late: n / 2}, {nodes: n, load: 2.5, gone: n / 2}, {nodes: n, load: 2.5, told: max(1, n*4/5)},
-			{nodes: n, load: 2.5, told: n + (n+4)/5},
+			{nodes: n, load: 2.5, late: n / 2}, {nodes: n, load: 2.5, stopped: n / 2}, {nodes: n, load: 2.5, configured: max(1, n*4/5)},
+			{nodes: n, load: 2.5, configured: n + (n+4)/5},
 		} {
 			t.Run(fmt.Sprintf("%+v", f), func(t *testing.T) {
 				t.Parallel()
 				worst, used := math.Inf(-1), 0.0
 				for seed := int64(1); seed <= 5; seed++ {
-					b, u := f.play(t, seed)
+					b, u := f.simulate(t, seed)
 					worst, used = max(worst, b), used+u/5
 				}
 				t.Logf("%.2f of the budget used, %.1f requests left before it falls", used, -worst)
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -17,7 +17,7 @@
 	for seed := uint64(1); seed <= 20; seed++ { // whatever part of a job the node owes at first
 		r := newRig(t, s, ready(7, 0))
 		r.d.randomState = seed
-		executor, born := r.d.endpoints.byID[7], r.now+1
+		executor, startedAt := r.d.endpoints.byID[7], r.now+1
 		r.after(1)
 		executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 6, r.now, 6
 		var requests []Event
@@ -35,7 +35,7 @@
 			t.Fatalf("%v jobs out and %d ended, want 3 of each", executor.inFlight.slots, executor.inFlight.endedCount)
 		}
 		cold := ready(7, 0)
-		cold.StartedAt = born
+		cold.StartedAt = startedAt
 		r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{cold}})
 		// Three jobs that are out take 400 ms each, and those that ended have held the executor for up to 150 ms.
 		if paid := 3 * 400.0; executor.slowStart.credit > -paid {
@@ -360,16 +360,16 @@
 	r := newRig(t, base(), ready(1, 0))
 	for round := range 4 {
 		var come, leave []EndpointUpdate
-		for i := range 2 * removedStartsBeforePurge {
+		for i := range 2 * removedStartsPurgeThreshold {
 			row := ready(uint32(1000*round+i+10), 0)
 			row.StartedAt = 50000
 			come = append(come, row)
 			row.Condition = Removed
 			leave = append(leave, row)
 		}
-		r.after(removedStartTTL, Event{Kind: EvEndpoints, Form: ListDelta, Rows: come})
-		r.after(removedStartTTL, Event{Kind: EvEndpoints, Form: ListDelta, Rows: leave})
-		if n := len(r.d.slowStart.removed); n > 3*removedStartsBeforePurge {
+		r.after(removedStartTTLMs, Event{Kind: EvEndpoints, Form: ListDelta, Rows: come})
+		r.after(removedStartTTLMs, Event{Kind: EvEndpoints, Form: ListDelta, Rows: leave})
+		if n := len(r.d.slowStart.removed); n > 3*removedStartsPurgeThreshold {
 			t.Fatalf("%d starts are remembered", n)
 		}
 	}
