--- a/internal/dispatch/golden_actions_test.go
+++ b/internal/dispatch/golden_actions_test.go
@@ -6,7 +6,7 @@
 	"gatetack/internal/dispatch"
 )
 
-// This file holds what the actions of the module lead to at the executors, at discovery and at other nodes.
+// This file simulates the effects of the actions at the executors, at discovery and at other nodes.
 
 func (c *goldenCluster) carryOut(i int, n *goldenNode, a *dispatch.Action) {
 	switch a.Kind {
@@ -65,7 +65,7 @@
 func (c *goldenCluster) send(i int, n *goldenNode, action *dispatch.Action) {
 	e, r := c.executor(action.Executor), n.requests[action.Job]
 	if e == nil || r == nil {
-		c.t.Fatalf("node %d sends job %d to executor %d: one of them is unknown", i, action.Job, action.Executor)
+		c.t.Fatalf("node %d sends job %d to executor %d: unknown job or executor", i, action.Job, action.Executor)
 	}
 	a := &goldenAttempt{node: i, incarnation: n.incarnation, job: action.Job, number: uint16(len(r.attempts)), executor: e,
 		executorIncarnation: e.incarnation, work: r.event.Work, slots: max(1, r.event.Slots), class: int(r.event.Class)}
@@ -96,7 +96,7 @@
 	}
 }
 
-// startQueued begins what has room at an executor.
+// startQueued starts the queued attempts of an executor while it has free slots.
 func (c *goldenCluster) startQueued(e *goldenExecutor) {
 	for len(e.queue) > 0 && !e.unresponsive {
 		a := e.queue[0]
@@ -160,7 +160,7 @@
 	})
 }
 
-// endAttempt tells a node how an attempt ended and frees what it held.
+// endAttempt releases the slots of an attempt and delivers its outcome to the node.
 func (c *goldenCluster) endAttempt(a *goldenAttempt, outcome dispatch.Outcome, after float64) {
 	e, n := a.executor, c.nodes[a.node]
 	a.ended = true
@@ -199,7 +199,7 @@
 	c.deliver(a.node, a.incarnation, after, event)
 }
 
-// report is a load report, taken once in a while, as executors do.
+// report returns the load report of an executor, from a sample that is renewed every 100 ms.
 func (c *goldenCluster) report(e *goldenExecutor, s dispatch.Settings) []float32 {
 	if c.now-e.sampledAt >= 100 || e.sampledAt == 0 {
 		e.sampledAt = c.now
--- a/internal/dispatch/golden_cluster_test.go
+++ b/internal/dispatch/golden_cluster_test.go
@@ -8,10 +8,11 @@
 	"gatetack/internal/dispatch"
 )
 
-// This file is a small, fully deterministic cluster around many Dispatchers. It is not a model of a real one: it is to
-// bring every kind of event, in and out of order, to the module, with what the module's own actions lead to.
+// This file is a small, fully deterministic cluster of many Dispatchers. It does not model a real one. Its purpose is
+// to give them every kind of event, in and out of order, together with the effects of their own actions.
 
-// goldenRandom is splitmix64: written out here, for the golden files must not hang on a library's sequence.
+// goldenRandom is a SplitMix64 generator. It is written out here so that the golden files do not depend on the sequence
+// of a library.
 type goldenRandom uint64
 
 func (r *goldenRandom) next() uint64 {
@@ -29,20 +30,20 @@
 func (r *goldenRandom) chance(p float64) bool     { return r.float() < p }
 func (r *goldenRandom) span(a, b float64) float64 { return a + (b-a)*r.float() }
 
-// goldenPlan is what a run of the cluster is made of.
+// goldenPlan holds the parameters of a run of the cluster.
 type goldenPlan struct {
 	name       string
 	seed       uint64
 	nodes      int
 	executors  int
 	duration   float64 // ms
-	rate       float64 // requests a second of all nodes
-	keys       int     // 0: requests carry none
+	rate       float64 // requests per second of all nodes together
+	keys       int     // number of affinity keys; 0: requests carry none
 	memory     bool
 	zonePrices bool
 	streams    bool
-	hints      float64 // part of the requests with a hint of their work
-	faults     float64 // 1: the usual number of faults
+	hints      float64 // fraction of the requests with a work hint
+	faults     float64 // rate of faults relative to the default
 	retunes    bool
 	settings   func(node int) dispatch.Settings
 }
@@ -54,12 +55,12 @@
 	queue              []*goldenAttempt
 	running            int
 	speed              float64
-	down               bool    // takes no connection
-	unresponsive       bool    // accepts and says nothing
-	rejectsConnections bool    // turns new connections away, serves on old ones
-	errorRate          float64 // part of the requests that err
-	failingClass       int     // class that always errs here, -1 for none
-	rejectsJobs        bool    // turns all away as full
+	down               bool    // accepts no connections
+	unresponsive       bool    // accepts jobs and does not respond
+	rejectsConnections bool    // rejects new connections, serves on open ones
+	errorRate          float64 // fraction of the requests that end in an error
+	failingClass       int     // class whose requests always end in an error here, -1 for none
+	rejectsJobs        bool    // rejects all jobs as full
 	incarnation        int
 	served             int
 	memory             float64
@@ -93,7 +94,7 @@
 	dispatcher  *dispatch.Dispatcher
 	incarnation int
 	down        bool
-	partitioned bool // hears no peer
+	partitioned bool // exchanges no messages with peers
 	requests    map[uint32]*goldenRequest
 	pending     []dispatch.Event
 	watching    bool
@@ -130,13 +131,13 @@
 	nodes       []*goldenNode
 	executors   []*goldenExecutor
 	version     uint32
-	discovery   bool // answers
+	discovery   bool // whether discovery answers
 	nextJob     uint32
-	eventCounts map[dispatch.EventKind]int // events that the module was given
+	eventCounts map[dispatch.EventKind]int // events given to the Dispatchers, by kind
 	recordStep  func(node int, actions []dispatch.Action)
 }
 
-const goldenStart = 1_000_000 // ms, the clock at the start of each run
+const goldenStart = 1_000_000 // ms, the time at the start of each run
 
 func newGoldenCluster(t *testing.T, plan goldenPlan, step func(node int, actions []dispatch.Action)) *goldenCluster {
 	c := &goldenCluster{t: t, plan: plan, random: goldenRandom(plan.seed), now: goldenStart, discovery: true,
@@ -211,7 +212,7 @@
 	}
 }
 
-// deliver hands an event to a life of a node, after a while.
+// deliver gives an event to a node after a delay, unless the node is down or has restarted since.
 func (c *goldenCluster) deliver(node, life int, after float64, e dispatch.Event) {
 	c.schedule(after, func() {
 		if n := c.nodes[node]; n.incarnation == life && !n.down {
@@ -243,12 +244,12 @@
 	n.dispatcher = d
 	rows := c.rows()
 	if n.incarnation > 1 && len(rows) > 3 {
-		rows = rows[:len(rows)-1] // what was held is old
+		rows = rows[:len(rows)-1] // the cached list is outdated
 	}
 	n.pending = []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Version: c.version, Rows: rows}}
 }
 
-// ---- clients
+// Clients.
 
 func (c *goldenCluster) generateRequests() {
 	c.schedule(c.random.span(0, 2000/c.plan.rate), c.generateRequests)
--- a/internal/dispatch/golden_encode_test.go
+++ b/internal/dispatch/golden_encode_test.go
@@ -10,8 +10,8 @@
 	"gatetack/internal/dispatch"
 )
 
-// goldenAction is an action in a form of its own, so that the golden files outlive renames and reorderings in the
-// package.
+// goldenAction encodes an action independently of the names and the order of the package's declarations, so that
+// renames and reorderings do not change the golden files.
 func goldenAction(t *testing.T, a *dispatch.Action) (decision []byte, logText string) {
 	t.Helper()
 	big := binary.BigEndian
@@ -58,7 +58,7 @@
 	return decision, a.Text
 }
 
-// goldenActionText is an action for people.
+// goldenActionText formats an action as readable text.
 func goldenActionText(t *testing.T, a *dispatch.Action) string {
 	decision, text := goldenAction(t, a)
 	kind, _, _ := bytes.Cut(decision, []byte{0})
--- a/internal/dispatch/golden_faults_test.go
+++ b/internal/dispatch/golden_faults_test.go
@@ -7,9 +7,10 @@
 	"gatetack/internal/dispatch"
 )
 
-// This file holds the faults of the golden runs: executors, nodes, discovery, and what no host should give.
+// This file holds the faults of the golden runs: of executors, nodes and discovery, and events that violate the
+// contract of the host.
 
-// publishRows sends changed rows to all who watch.
+// publishRows sends changed rows to all nodes that watch the list.
 func (c *goldenCluster) publishRows(rows ...dispatch.EndpointUpdate) {
 	c.version++
 	for i, n := range c.nodes {
@@ -65,7 +66,7 @@
 	c.schedule(span, mend)
 }
 
-// killExecutor ends a process of an executor: what is out there is lost.
+// killExecutor ends the process of an executor: the attempts in flight there are lost.
 func (c *goldenCluster) killExecutor(e *goldenExecutor) {
 	e.incarnation++
 	e.busySlots, e.running, e.queue, e.unresponsive = 0, 0, nil, false
@@ -143,7 +144,7 @@
 	c.schedule(c.random.span(300, 1500), func() { c.discovery = true })
 }
 
-// changeWeights changes sizes as a list with live changeWeights does: often, and nothing else.
+// changeWeights changes only the weights, often, as a list with live weights does.
 func (c *goldenCluster) changeWeights() {
 	var rows []dispatch.EndpointUpdate
 	for i, e := range c.executors {
@@ -157,7 +158,7 @@
 	}
 }
 
-// injectMalformedEvent gives a node what no host should.
+// injectMalformedEvent gives a node an event that violates the contract of the host.
 func (c *goldenCluster) injectMalformedEvent() {
 	i := c.random.below(len(c.nodes))
 	n := c.nodes[i]
@@ -194,7 +195,7 @@
 		},
 	}
 	n.pending = append(n.pending, odd[c.random.below(len(odd))])
-	if c.random.chance(0.3) { // numbers of no sense; nobody waits for its answer
+	if c.random.chance(0.3) { // a request with invalid numbers, whose answer is ignored
 		n.requests[c.nextJob] = &goldenRequest{deadline: c.now + 300, event: dispatch.Event{Work: 50, TimeLeft: 300}}
 		n.pending = append(
 			n.pending,
@@ -207,7 +208,7 @@
 	}
 }
 
-// retune gives a node new classes, tenants and prices while jobs are open.
+// retune changes the classes, tenants and fees of a node while jobs are open.
 func (c *goldenCluster) retune() {
 	i := c.random.below(len(c.nodes))
 	n := c.nodes[i]
@@ -228,9 +229,10 @@
 		)
 	}
 	if c.random.chance(0.2) {
-		s.MaxAttempts = 0 // refused
+		s.MaxAttempts = 0 // rejected by validation
 	}
-	// A smaller list than what stands is refused as well, and so is a class with open jobs: that is part of the run.
+	// The call also fails for shorter lists than the current ones and for the removal of a class with open jobs. Such
+	// calls are part of the run.
 	if err := n.dispatcher.UpdateSettings(s, map[int]int{len(s.Classes) - 1: 0}); err == nil {
 		n.pending = append(n.pending, dispatch.Event{Kind: dispatch.EvTimer})
 	}
--- a/internal/dispatch/golden_plans_test.go
+++ b/internal/dispatch/golden_plans_test.go
@@ -2,7 +2,8 @@
 
 import "gatetack/internal/dispatch"
 
-// goldenBase gives a small site's settings: a class of each effect, three tenants with quotas.
+// goldenBase returns the settings of a small site: a class of each retry safety and deduplication scope, and three
+// tenants with quotas.
 func goldenBase(node, nodes int) dispatch.Settings {
 	return dispatch.Settings{
 		Node: node, Nodes: nodes, Zone: node % 3, MinStepInterval: 1,
@@ -59,14 +60,16 @@
 		},
 		Telemetry: dispatch.ReportAnswers, Fields: []dispatch.Field{dispatch.FieldFree, dispatch.FieldPending},
 		OverQuotaWeight: 0.3, ProgressInterval: 400, StartNotifications: true,
-		MaxRetryAfter: 800, MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, GossipAllowed: true, MaxConcurrentStreams: 1,
+		MaxRetryAfter: 800, MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, GossipAllowed: true,
+		MaxConcurrentStreams: 1,
 		ConnIdleTimeout: 2000, ConnectTimeout: 100, AnswerSlack: 16, MaxPollInterval: 2000, DrainGrace: 300,
 		OverloadMultiple: 4, OverloadWindow: 800, SlowStartMinShare: 0.3, MaxSlowStartDuration: 3000,
 		Fees: dispatch.Fees{CrossZone: 0.1, Handshake: 0.05, Origin: 0.2},
 	}
 }
 
-// goldenPlans are the runs: few nodes and many, small fleets and large, each way of reports, messages and lists.
+// goldenPlans returns the runs: with few and many nodes, small and large fleets, and each kind of reports, gossip and
+// lists.
 func goldenPlans() []goldenPlan { //nolint:funlen // a table
 	return []goldenPlan{
 		{name: "gossip", seed: 11, nodes: 3, executors: 10, duration: 12000, rate: 60, hints: 0.7, faults: 1, memory: true,
@@ -101,7 +104,8 @@
 		{name: "probes", seed: 15, nodes: 4, executors: 12, duration: 9000, rate: 70, hints: 0.6, faults: 1, keys: 25,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 4)
-				s.Telemetry, s.HealthChecksAllowed, s.StartNotifications, s.ProgressInterval = dispatch.ReportHealthChecks, true, false, 0
+				s.Telemetry, s.HealthChecksAllowed, s.StartNotifications, s.ProgressInterval =
+					dispatch.ReportHealthChecks, true, false, 0
 				s.Fields = []dispatch.Field{dispatch.FieldUtil, dispatch.FieldPending, dispatch.FieldOther}
 				return s
 			}},
--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -17,28 +17,28 @@
 	"gatetack/internal/dispatch"
 )
 
-// The golden files of this package hold what the module decided, and told other nodes, before its code was reshaped. A
-// change of shape or name changes nothing of them. GOLDEN_UPDATE=1 writes them anew, for a change of behaviour that is
-// meant; GOLDEN_TRACE=FOLDER writes each step's actions as text there, so that two builds can be compared line by line.
-// They hold on amd64: other processors may round sums of products in another way.
+// The golden files of this package record the decisions of the Dispatcher and its messages to other nodes. Refactoring
+// and renames must not change them. GOLDEN_UPDATE=1 writes them again after an intended change of behaviour.
+// GOLDEN_TRACE=FOLDER writes the actions of each step as text to that folder, so that two builds can be compared line
+// by line. The files are valid on amd64: other processors may round sums of products differently.
 
 const (
 	goldenFolder       = "testdata/golden"
-	stepHashBytes      = 2  // of each step's hash that are kept, to name the first step that differs
-	maxMessagesPerKind = 12 // messages of each kind that are kept whole
-	maxTracedSteps     = 5  // steps that a failure shows
+	stepHashBytes      = 2  // bytes of each step's hash that are stored, to find the first step that differs
+	maxMessagesPerKind = 12 // messages of each kind that are stored completely
+	maxTracedSteps     = 5  // steps that are logged on a failure
 )
 
-// goldenRun is what is kept of a run.
+// goldenRun is the stored summary of a run.
 type goldenRun struct {
 	Steps     int            `json:"steps"`
-	Decisions string         `json:"decisions"` // SHA-256 over all actions; of log lines only that there is one
-	LogLines  string         `json:"logLines"`  // SHA-256 over their texts
+	Decisions string         `json:"decisions"` // SHA-256 of all actions, without the texts of log lines
+	LogLines  string         `json:"logLines"`  // SHA-256 of the texts of log lines
 	Actions   map[string]int `json:"actions"`
 	Events    map[string]int `json:"events"`
 }
 
-// goldenMessage is a message that a node told.
+// goldenMessage is a message that a node sent.
 type goldenMessage struct {
 	Kind string `json:"kind"`
 	Step int    `json:"step"`
@@ -77,7 +77,7 @@
 		kind, _, _ := bytes.Cut(decision, []byte{0})
 		r.run.Actions[string(kind)]++
 		if a.Kind == dispatch.ActLog {
-			_, _ = fmt.Fprintf(r.logLines, "%d %s\n", r.run.Steps, text) // a hash does not fail
+			_, _ = fmt.Fprintf(r.logLines, "%d %s\n", r.run.Steps, text) // writing to a hash never fails
 		}
 		if a.Kind == dispatch.ActGossip {
 			r.keepMessage(node, a)
@@ -99,7 +99,7 @@
 	}
 }
 
-// messageKind tells the kinds of messages apart by their bytes.
+// messageKind returns the kind of a message from its bytes.
 func messageKind(a *dispatch.Action) string {
 	if a.To == dispatch.AllPeers {
 		if len(a.Data) == 0 {
@@ -111,12 +111,12 @@
 	if a.Data[0]>>6 == 3 && a.Data[0]&0x3f == 0 {
 		kind = "answer of an aggregator that does not know yet"
 	}
-	marks := false
+	quarantines := false
 	for i := 1; i+2 <= len(a.Data); i += 2 {
-		marks = marks || a.Data[i+1]&15 >= 12
+		quarantines = quarantines || a.Data[i+1]&15 >= 12
 	}
 	switch {
-	case marks:
+	case quarantines:
 		return kind + ", with marks"
 	case len(a.Data) > 1:
 		return kind + ", with entries"
@@ -172,7 +172,8 @@
 	return append(data, '\n')
 }
 
-// What the module decides in runs of a cluster with faults of every kind, step by step, and each message between nodes.
+// TestGoldenDecisions compares the decisions of each step, and the messages between nodes, in runs of a cluster with
+// all kinds of faults.
 func TestGoldenDecisions(t *testing.T) {
 	for _, plan := range goldenPlans() {
 		t.Run(plan.name, func(t *testing.T) {
@@ -201,7 +202,7 @@
 	}
 }
 
-// compareSteps names the first step whose actions are others.
+// compareSteps reports the first step whose actions differ, and logs the actions from there.
 func compareSteps(t *testing.T, plan goldenPlan, want, got []byte) {
 	t.Helper()
 	if bytes.Equal(want, got) {
@@ -247,8 +248,8 @@
 	}
 }
 
-// The runs bring every kind of event, action and message to the module, and a run repeated is the same to the last
-// byte.
+// TestGoldenRunsCoverAllKinds checks that the runs contain every kind of event, action and message, and that a repeated
+// run is identical.
 func TestGoldenRunsCoverAllKinds(t *testing.T) {
 	events, actions, messages := map[string]int{}, map[string]int{}, map[string]int{}
 	for _, plan := range goldenPlans() {
@@ -262,24 +263,24 @@
 		for kind, n := range run.Actions {
 			actions[kind] += n
 		}
-		var told []goldenMessage
-		if err := json.Unmarshal(readGolden(t, plan.name+".messages.json"), &told); err != nil {
+		var sent []goldenMessage
+		if err := json.Unmarshal(readGolden(t, plan.name+".messages.json"), &sent); err != nil {
 			t.Fatal(err)
 		}
-		for _, m := range told {
+		for _, m := range sent {
 			messages[m.Kind]++
 		}
 	}
-	least := func(what string, counts map[string]int, kinds ...string) {
+	requireKinds := func(what string, counts map[string]int, kinds ...string) {
 		for _, kind := range kinds {
 			if counts[kind] < 1 {
 				t.Errorf("no %s of kind %q in the golden runs; there are %v", what, kind, counts)
 			}
 		}
 	}
-	least("event", events, "list", "timer", "gone", "note", "peer", "first", "outcome", "request", "probed")
-	least("action", actions, "send", "refuse", "fail", "cancel", "timer", "probe", "watch", "tell", "log")
-	least("message", messages, "gossip", "gossip, nothing out", "change, with entries", "change, with marks",
+	requireKinds("event", events, "list", "timer", "gone", "note", "peer", "first", "outcome", "request", "probed")
+	requireKinds("action", actions, "send", "refuse", "fail", "cancel", "timer", "probe", "watch", "tell", "log")
+	requireKinds("message", messages, "gossip", "gossip, nothing out", "change, with entries", "change, with marks",
 		"question, with entries", "question", "question with all that is out, with entries",
 		"answer of an aggregator that does not know yet", "answer, with entries", "answer, with marks")
 	plan := goldenPlans()[0]
--- a/internal/dispatch/script_test.go
+++ b/internal/dispatch/script_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// The script test drives a Dispatcher with seeded scripts of legal and odd events and checks every action
-// against the four rules. It keeps books of its own, from the events and actions alone, and models no
-// servers: outcomes are drawn at random.
+// The script test drives a Dispatcher with seeded random scripts of valid and malformed events and checks every action
+// against the four rules. It keeps its own state, from the events and actions alone, and does not model executors:
+// outcomes are random.
 
 type scriptAttempt struct {
 	executor uint32
@@ -24,15 +24,15 @@
 	work     float64
 	deadline float64
 	attempts []scriptAttempt
-	ended    bool // a final answer was given, or the client left
+	ended    bool // a final answer was given, or the client disconnected
 }
 
 type scriptExecutor struct {
 	row        EndpointUpdate
-	notifiedAt float64 // when the node was told of the row's condition
+	notifiedAt float64 // when the node was notified of the row's condition
 }
 
-// sentWork is work that was sent at a time.
+// sentWork is the work of one send and its time.
 type sentWork struct{ at, cost float64 }
 
 type script struct {
@@ -68,7 +68,7 @@
 func (x *script) job(id uint32) *scriptJob {
 	j := x.jobs[id]
 	if j == nil {
-		x.failf("an action names request %d, which never came", id)
+		x.failf("an action refers to request %d, which was never submitted", id)
 	}
 	return j
 }
@@ -78,7 +78,7 @@
 	switch a.Kind {
 	case ActTimer:
 		if !(a.For > 0) || a.For > 71*60000 {
-			x.failf("timer for %v ms", a.For)
+			x.failf("timer for %v ms, want more than 0 and at most 71 minutes", a.For)
 		}
 		x.timers, x.timerTokens = append(x.timers, x.now+a.For), append(x.timerTokens, a.Token)
 	case ActSend:
@@ -89,7 +89,7 @@
 			x.failf("second answer to request %d", a.Job)
 		}
 		if x.now > j.deadline+x.settings.AnswerSlack {
-			x.failf("answer to request %d came %v ms late", a.Job, x.now-j.deadline)
+			x.failf("answer to request %d is %v ms late", a.Job, x.now-j.deadline)
 		}
 		if a.Kind == ActReject {
 			c := x.settings.Classes[j.class]
@@ -104,7 +104,7 @@
 	case ActCancel:
 		j := x.job(a.Job)
 		if int(a.Attempt) >= len(j.attempts) {
-			x.failf("cancel of attempt %d of request %d, which was never made", a.Attempt, a.Job)
+			x.failf("cancel of attempt %d of request %d, which was never sent", a.Attempt, a.Job)
 		}
 	case ActHealthCheck:
 		if !x.settings.HealthChecksAllowed || x.executors[a.Executor] == nil {
@@ -112,11 +112,11 @@
 		}
 	case ActGossip:
 		if !x.settings.GossipAllowed || len(a.Data) > 256 {
-			x.failf("message not allowed")
+			x.failf("gossip message not allowed or longer than 256 bytes")
 		}
 	case ActPollList, ActFetch:
 		if !x.settings.PollsList {
-			x.failf("asked for a list that comes by itself")
+			x.failf("polled a list that is not to be polled")
 		}
 	}
 }
@@ -127,40 +127,41 @@
 	c := x.settings.Classes[j.class]
 	switch {
 	case w == nil:
-		x.failf("sent to executor %d, which no list named", a.Executor)
+		x.failf("sent to executor %d, which no list contained", a.Executor)
 	case j.ended:
 		x.failf("sent request %d after its end", a.Job)
 	case len(j.attempts) >= x.settings.MaxAttempts:
-		x.failf("attempt %d of request %d", len(j.attempts)+1, a.Job)
+		x.failf("attempt %d of request %d is above the maximum", len(j.attempts)+1, a.Job)
 	case w.row.Condition != Ready && x.now > w.notifiedAt+x.settings.DrainGrace:
-		x.failf("sent to executor %d %v ms after its drain was told", a.Executor, x.now-w.notifiedAt)
+		x.failf("sent to executor %d %v ms after its drain was notified", a.Executor, x.now-w.notifiedAt)
 	}
 	for _, at := range j.attempts {
 		if !at.ended && at.executor == a.Executor {
 			x.failf("a second attempt of request %d at executor %d beside the first", a.Job, a.Executor)
 		}
 		if !at.ended && !x.settings.HedgingAllowed {
-			x.failf("two attempts of request %d out", a.Job)
+			x.failf("two attempts of request %d in flight without hedging", a.Job)
 		}
 		if at.ended && at.neverRan || c.RetrySafety == Idempotent {
 			continue
 		}
 		if c.RetrySafety == AtMostOnce {
-			x.failf("unsafe request %d sent again", a.Job)
+			x.failf("at-most-once request %d sent again", a.Job)
 		}
 		from := x.executors[at.executor].row
 		same := c.DedupScope == ScopeAll || from.Zone == w.row.Zone && (c.DedupScope == ScopeZone || from.Cell == w.row.Cell)
 		if !same {
-			x.failf("keyed request %d left its group", a.Job)
+			x.failf("keyed request %d sent outside its deduplication scope", a.Job)
 		}
 		if x.now-at.sentAt > c.DedupWindow {
 			x.failf("keyed request %d sent %v ms after it may have run", a.Job, x.now-at.sentAt)
 		}
 	}
 	if w.row.StartedAt > 0 && x.now-w.row.StartedAt < x.settings.MaxSlowStartDuration {
-		// Reports tell of up to 6 slots, and the drawn outcomes of speeds up to about 2: with more than this
-		// no such executor could stand.
-		share := x.settings.SlowStartMinShare + (1-x.settings.SlowStartMinShare)*(x.now-w.row.StartedAt)/x.settings.MaxSlowStartDuration
+		// Reports show up to 6 slots, and the random outcomes speeds up to about 2: more work than this would
+		// overload any such executor.
+		share := x.settings.SlowStartMinShare +
+			(1-x.settings.SlowStartMinShare)*(x.now-w.row.StartedAt)/x.settings.MaxSlowStartDuration
 		sum := j.slots * j.work
 		for _, s := range x.sentWork[a.Executor] {
 			if x.now-s.at <= x.settings.OverloadWindow {
@@ -168,14 +169,14 @@
 			}
 		}
 		if sum > 2*6*share*x.settings.OverloadMultiple*x.settings.OverloadWindow {
-			x.failf("executor %d pushed over: %v ms of work in a window", a.Executor, sum)
+			x.failf("executor %d overloaded: %v ms of work in a window", a.Executor, sum)
 		}
 		x.sentWork[a.Executor] = append(x.sentWork[a.Executor], sentWork{x.now, j.slots * j.work})
 	}
 	j.attempts = append(j.attempts, scriptAttempt{executor: a.Executor, sentAt: x.now})
 }
 
-// listEvent draws a change of the listEvent, or the whole of it.
+// listEvent returns a random change of the list, or a random full list.
 func (x *script) listEvent(form ListForm) Event {
 	e := Event{Kind: EvEndpoints, Form: form, Version: uint32(x.now)}
 	if form == ListFailed {
@@ -198,7 +199,7 @@
 		case r == 2:
 			row.StartedAt = x.now - float64(x.rng.Intn(2000))
 		case r == 3 && form != ListDelta && len(x.executors) > 0:
-			continue // not named: gone
+			continue // not in the list: removed
 		}
 		named[row.Executor] = true
 		if old := x.executors[row.Executor]; old == nil || old.row.Condition != row.Condition {
@@ -290,7 +291,7 @@
 	case 5:
 		return Event{Kind: EvClientGone, Job: 888888}
 	}
-	for id := uint32(1); id <= x.nextJob; id++ { // an outcome told twice, of a request long over
+	for id := uint32(1); id <= x.nextJob; id++ { // a repeated outcome of a request that ended before
 		if j := x.jobs[id]; j.ended && len(j.attempts) > 0 && j.attempts[0].ended {
 			return Event{Kind: EvOutcome, Job: id, Executor: j.attempts[0].executor, Outcome: Errored}
 		}
@@ -298,7 +299,7 @@
 	return Event{Kind: EvClientGone, Job: 777777}
 }
 
-// run plays a script: 20 s of events at a few milliseconds each, then the end of all that is open.
+// run plays a script: 20 s of events, a few milliseconds apart, and then the end of all open requests and attempts.
 func (x *script) run() {
 	x.step([]Event{x.listEvent(ListCached)})
 	for end := x.now + 20000; x.now < end; {
@@ -330,7 +331,7 @@
 	return events
 }
 
-// jobEvents draws what happens to a request and its attempts.
+// jobEvents appends random events of a request and its attempts.
 func (x *script) jobEvents(events []Event, id uint32) []Event {
 	j := x.jobs[id]
 	for n := range j.attempts {
@@ -352,7 +353,7 @@
 	return events
 }
 
-// fleetEvents draws what happens to the list and to health checks, and odd events.
+// fleetEvents appends random list events, health checks and malformed events.
 func (x *script) fleetEvents(events []Event) []Event {
 	switch x.rng.Intn(60) {
 	case 0:
@@ -372,7 +373,8 @@
 	return events
 }
 
-// dropEnded forgets the requests of which nothing is open, and fails for one that got no answer in time.
+// dropEnded drops the requests that have ended and have no attempt in flight. It fails the test if one got no answer in
+// time.
 func (x *script) dropEnded() {
 	keep := x.openJobs[:0]
 	for _, id := range x.openJobs {
@@ -380,18 +382,18 @@
 		if !j.ended && x.now > j.deadline+x.settings.AnswerSlack {
 			x.failf("request %d was lost: no answer %v ms after its deadline", id, x.now-j.deadline)
 		}
-		out := false
+		inFlight := false
 		for _, at := range j.attempts {
-			out = out || !at.ended
+			inFlight = inFlight || !at.ended
 		}
-		if !j.ended || out {
+		if !j.ended || inFlight {
 			keep = append(keep, id)
 		}
 	}
 	x.openJobs = keep
 }
 
-// endAll ends all that is open.
+// endAll ends all open requests and attempts.
 func (x *script) endAll() {
 	var events []Event
 	for _, id := range x.openJobs {
@@ -411,43 +413,43 @@
 	x.step(nil)
 }
 
-// checkNothingLeaked fails if a reservation or a slot is left behind when nothing is open.
+// checkNothingLeaked fails the test if a reservation or a slot is still in use when nothing is open.
 func (x *script) checkNothingLeaked() {
 	for i, tn := range x.d.admission.tenants {
 		if tn.reservedSlots != 0 {
-			x.failf("tenant %d holds %v tokens when nothing is open", i, tn.reservedSlots)
+			x.failf("tenant %d has %v reserved slots when nothing is open", i, tn.reservedSlots)
 		}
 	}
 	for _, executor := range x.d.endpoints.listed {
-		held := executor.inFlight.slots
-		if held != 0 || len(executor.inFlight.jobs) != 0 || executor.connections.opening != 0 {
-			x.failf("executor %d holds %v slots when nothing is open", executor.id, held)
+		slots := executor.inFlight.slots
+		if slots != 0 || len(executor.inFlight.jobs) != 0 || executor.connections.opening != 0 {
+			x.failf("executor %d has %v slots in flight when nothing is open", executor.id, slots)
 		}
 	}
 	if len(x.d.jobs.byID) != 0 || len(x.d.jobs.queue) != 0 || x.d.affinity.fetchingSlots != 0 {
-		x.failf("%d jobs, %d waiting when nothing is open", len(x.d.jobs.byID), len(x.d.jobs.queue))
+		x.failf("%d jobs, %d queued when nothing is open", len(x.d.jobs.byID), len(x.d.jobs.queue))
 	}
 }
 
 func TestScripts(t *testing.T) {
 	sites := map[string]func(*Settings){
 		"answers": func(s *Settings) {},
-		"health checks, asked list": func(s *Settings) {
+		"health checks, polled list": func(s *Settings) {
 			s.Telemetry, s.HealthChecksAllowed, s.PollsList = ReportHealthChecks, true, true
 			s.Fields = []Field{FieldErrors, FieldBusy, FieldUtil, FieldFree}
 		},
-		"no reports, no notes": func(s *Settings) {
+		"no reports, no notifications": func(s *Settings) {
 			s.Telemetry, s.Fields, s.ProgressInterval, s.StartNotifications = ReportNone, nil, 0, false
 		},
-		"no copies":      func(s *Settings) { s.HedgingAllowed, s.CancelAllowed = false, false },
+		"no hedging":     func(s *Settings) { s.HedgingAllowed, s.CancelAllowed = false, false },
 		"keyed by zone":  func(s *Settings) { s.Classes[1].DedupScope = ScopeZone },
 		"keyed anywhere": func(s *Settings) { s.Classes[1].DedupScope = ScopeAll },
 		"no tenants":     func(s *Settings) { s.Tenants = nil },
-		"shared connections, memory told": func(s *Settings) {
+		"shared connections, memory reports": func(s *Settings) {
 			s.MaxConcurrentStreams, s.Fields = 4, []Field{FieldBusy, FieldFree, FieldMemory}
 		},
-		"messages": func(s *Settings) { s.Nodes, s.GossipAllowed = 4, true },
-		"asked list, no progress, no copies": func(s *Settings) {
+		"gossip": func(s *Settings) { s.Nodes, s.GossipAllowed = 4, true },
+		"polled list, no progress, no hedging": func(s *Settings) {
 			s.PollsList, s.ProgressInterval, s.HedgingAllowed = true, 0, false
 		},
 		"three nodes": func(s *Settings) { s.Nodes = 3; s.Fees = Fees{CrossZone: 0.1, Origin: 0.1, Handshake: 0.1} },
@@ -471,7 +473,7 @@
 	}
 	for _, kind := range []ActionKind{ActSend, ActReject, ActFail, ActCancel, ActTimer, ActHealthCheck, ActPollList} {
 		if total[kind] == 0 {
-			t.Errorf("no script led to action kind %d: the scripts check less than they should", kind)
+			t.Errorf("no script led to action kind %d, so the scripts did not check it", kind)
 		}
 	}
 }
@@ -509,7 +511,7 @@
 	first := play()
 	for range 3 {
 		if play() != first {
-			t.Fatal("the same events led to other actions")
+			t.Fatal("equal events led to different actions")
 		}
 	}
 }
