--- a/internal/capacity/measure/decision.go
+++ b/internal/capacity/measure/decision.go
@@ -86,7 +86,7 @@
 		return nil, fmt.Errorf("measure: %w", err)
 	}
 	d := &dispatcher{module: module, rows: f.rows(), fleet: f, random: rand.New(rand.NewPCG(f.Seed, 1)), now: startMS}
-	d.step(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Rows: d.rows})
+	d.step(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Updates: d.rows})
 	return d, nil
 }
 
@@ -171,7 +171,7 @@
 			row := d.rows[d.random.IntN(len(d.rows))]
 			d.now += 10
 			row.StartedAt = d.now
-			d.step(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Rows: []dispatch.EndpointUpdate{row}})
+			d.step(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Updates: []dispatch.EndpointUpdate{row}})
 		}
 		return nil
 	})
--- a/internal/capacity/measure/hub.go
+++ b/internal/capacity/measure/hub.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return 0, err
 	}
-	actions := module.Step(startMS, []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Rows: f.rows()},
+	actions := module.Step(startMS, []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Updates: f.rows()},
 		{Kind: dispatch.EvRequest, Job: 1, TimeLeft: classDeadlineMS, Work: jobWorkMS, Flags: dispatch.FlagWorkHint, Slots: 1}}, nil)
 	for _, action := range actions {
 		if action.Kind == dispatch.ActGossip && action.To != dispatch.AllPeers {
@@ -85,7 +85,7 @@
 		return nil, err
 	}
 	h := &hub{module: module, me: me, fleet: f, random: rand.New(rand.NewPCG(f.Seed, 2)), now: startMS}
-	h.actions = module.Step(h.now, []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Rows: f.rows()}}, nil)
+	h.actions = module.Step(h.now, []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Updates: f.rows()}}, nil)
 	for range f.Executors {
 		h.tagOf = append(h.tagOf, uint16(h.random.IntN(tags)*tagStep))
 	}
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -49,8 +49,11 @@
 
 func TestReservedSlotsAreReleasedOnce(t *testing.T) {
 	ends := map[string]func(r *rig){
-		"served":  func(r *rig) { r.after(10, outcome(1, 0, 7, Served)) },
-		"gone":    func(r *rig) { r.after(10, Event{Kind: EvClientGone, Job: 1}); r.after(10, outcome(1, 0, 7, Canceled)) },
+		"served": func(r *rig) { r.after(10, outcome(1, 0, 7, Served)) },
+		"gone": func(r *rig) {
+			r.after(10, Event{Kind: EvClientDisconnected, Job: 1})
+			r.after(10, outcome(1, 0, 7, Canceled))
+		},
 		"errored": func(r *rig) { r.after(10, outcome(1, 0, 7, Errored)) },
 		"twice":   func(r *rig) { r.after(10, outcome(1, 0, 7, Served), outcome(1, 0, 7, Served)) },
 		"timeout": func(r *rig) { r.after(6000, outcome(1, 0, 7, TimedOut)) },
--- a/internal/dispatch/aggregator_test.go
+++ b/internal/dispatch/aggregator_test.go
@@ -203,7 +203,7 @@
 	d.settings.Node = d.aggregatorClient.pick(d.gossip.peers, d.now)
 	rows := fleet(200)
 	now := 100000.0
-	out := d.Step(now, []Event{{Kind: EvEndpoints, Form: ListCached, Rows: rows}}, nil)
+	out := d.Step(now, []Event{{Kind: EvEndpoints, Form: ListCached, Updates: rows}}, nil)
 	for i := range 900 { // jobs in flight
 		n, w := i%300, rows[i%200]
 		if n != d.settings.Node {
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -424,7 +424,7 @@
 			for i := range rows {
 				rows[i].Weight = scale(i)
 			}
-			r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Rows: rows})
+			r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Updates: rows})
 		}
 	}
 	r := newRig(t, s, fleet(30)...)
--- a/internal/dispatch/cluster_test.go
+++ b/internal/dispatch/cluster_test.go
@@ -41,7 +41,7 @@
 		c.t.Fatalf("%d nodes use gossip mode %d, want an aggregator", s.Nodes, d.gossip.mode)
 	}
 	c.nodes[i], c.down[i] = d, false
-	c.inbox[i] = []Event{{Kind: EvEndpoints, Form: ListCached, Rows: rows}}
+	c.inbox[i] = []Event{{Kind: EvEndpoints, Form: ListCached, Updates: rows}}
 }
 
 // step advances all nodes by 10 ms. Each node may get one more event.
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -106,7 +106,7 @@
 		d.handleHealthCheck(event)
 	case EvEndpoints:
 		d.handleList(event)
-	case EvClientGone:
+	case EvClientDisconnected:
 		if job := d.jobs.byID[event.Job]; job != nil {
 			d.finishJob(job)
 		}
--- a/internal/dispatch/dispatcher_bench_test.go
+++ b/internal/dispatch/dispatcher_bench_test.go
@@ -16,7 +16,7 @@
 				b.Fatal(err)
 			}
 			now := 100000.0
-			actions := d.Step(now, []Event{{Kind: EvEndpoints, Form: ListCached, Rows: fleet(executors)}}, nil)
+			actions := d.Step(now, []Event{{Kind: EvEndpoints, Form: ListCached, Updates: fleet(executors)}}, nil)
 			for id := uint32(1); id <= uint32(b.N); id++ {
 				now += 10
 				events := []Event{request(id, 0, 0, 1)}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, d: d, now: 100000}
-	r.step(Event{Kind: EvEndpoints, Form: ListCached, Rows: rows})
+	r.step(Event{Kind: EvEndpoints, Form: ListCached, Updates: rows})
 	return r
 }
 
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -19,27 +19,27 @@
 //
 // # Obligations of the host
 //
-//   - The first event is an EvEndpoints of the form ListCached, with no rows if the host has no cached list.
+//   - The first event is an EvEndpoints of the form ListCached, without entries if the host has no cached list.
 //   - Every ActSend is followed by exactly one EvOutcome, even if its job has already ended: an attempt without an
 //     outcome occupies its executor's slots forever. The outcome comes at the latest when the client's deadline passes
 //     (TimedOut).
 //   - The host forwards the first Served outcome of a job to the client and marks that outcome Final. For any other
 //     end, the node responds with ActReject or ActFail, at most once for a job.
-//   - If the client leaves, EvClientGone ends the job, and no response is due after it. The event may cross with a
-//     response.
+//   - If the client disconnects, EvClientDisconnected ends the job, and no response is due after it. The event may
+//     cross with a response.
 //   - An ActTimer leads to one EvTimer, no earlier than after For. Timers drive everything that depends on time:
 //     without them, responses are late. The tick interval is five times Settings.MinStepInterval and at least 10 ms.
 //   - An entry of the endpoint list is valid until another replaces it. ListSnapshot and ListCached name every
 //     executor; an executor that they omit has been removed. StartedAt changes when the executor's process restarts
 //     under the same number.
-//   - A ListDelta without rows confirms that the list is still current.
+//   - A ListDelta without entries confirms that the list is still current.
 //   - ActHealthCheck leads to one EvHealthCheck, and ActPollList to one EvEndpoints (ListFailed if the call failed).
 //     These two, ActGossip and ActCancel are only emitted where the settings allow them. ActClose and ActFetch are not
 //     used.
 //
 // # Ownership and concurrency
 //
-// Slices inside events (Report, Rows, Data) are read only during the call. Data of an ActGossip belongs to the host.
+// Slices inside events (Report, Updates, Data) are read only during the call. Data of an ActGossip belongs to the host.
 // A Dispatcher does no I/O, starts no goroutine, reads no clock and must not be called from two goroutines at a time.
 // Dispatchers share no state. Equal settings, seeds and events give equal actions.
 //
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -133,7 +133,7 @@
 			executor.endpoint.condition = Removed
 		}
 	}
-	d.slowStart.observeRows(event.Rows)
+	d.slowStart.observeRows(event.Updates)
 	changed := d.applyChanges(event)
 	switch {
 	case event.Form != ListDelta, len(changed) >= rebuildThreshold, len(changed) > 0 && d.settings.LiveWeights:
@@ -157,8 +157,8 @@
 	list := &d.endpoints
 	changed := list.changed[:0]
 	at := 0
-	for i := range event.Rows {
-		row := &event.Rows[i]
+	for i := range event.Updates {
+		row := &event.Updates[i]
 		if !list.isAt(at, row.Executor) {
 			at = list.positionOf(row.Executor)
 		}
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -33,7 +33,7 @@
 			}
 			revision := rebuilt.d.endpoints.revision
 			if rng.Intn(2) == 0 {
-				events = append(events, Event{Kind: EvEndpoints, Form: ListDelta, Rows: randomChange(rng, rows, changes.now)})
+				events = append(events, Event{Kind: EvEndpoints, Form: ListDelta, Updates: randomChange(rng, rows, changes.now)})
 			}
 			a, b := changes.after(20, events...), rebuilt.after(20, events...)
 			if !reflect.DeepEqual(a, b) {
@@ -133,14 +133,14 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					d.applyRows(&Event{Form: ListCached, Rows: fleet(n)})
+					d.applyRows(&Event{Form: ListCached, Updates: fleet(n)})
 					row := ready(uint32(100+n/2), 0)
 					for i := range b.N {
 						row.Condition = Ready
 						if i%2 == 0 {
 							row.Condition = c.to
 						}
-						d.applyRows(&Event{Form: ListDelta, Rows: []EndpointUpdate{row}})
+						d.applyRows(&Event{Form: ListDelta, Updates: []EndpointUpdate{row}})
 						if rebuild {
 							d.rebuildList()
 						}
@@ -160,8 +160,8 @@
 	for i := range rows {
 		rows[i].Weight = 0.25
 	}
-	r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Rows: rows})
-	r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{ready(500, 0)}})
+	r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Updates: rows})
+	r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{ready(500, 0)}})
 	for _, executor := range r.d.endpoints.listed {
 		want := 3.0
 		if executor.id == 500 {
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -5,15 +5,15 @@
 
 // The event kinds, with the fields of Event that each of them uses.
 const (
-	EvEndpoints     EventKind = iota // Form, Version, Rows
-	EvTimer                          // Token
-	EvClientGone                     // Job: the client has disconnected
-	EvNotification                   // Job, Attempt, Executor, Topic, Amount
-	EvGossip                         // From, Data
-	EvStreamStarted                  // Job, Attempt, Executor, Elapsed: a streamed response began
-	EvOutcome                        // Job, Attempt, Executor, Outcome, Elapsed, Final, Report
-	EvRequest                        // Job, Class, Tenant, Key, TimeLeft, Work, Slots, Memory, Flags
-	EvHealthCheck                    // Executor, Outcome, Elapsed, Report
+	EvEndpoints          EventKind = iota // Form, Version, Updates
+	EvTimer                               // Token
+	EvClientDisconnected                  // Job: the client has disconnected
+	EvNotification                        // Job, Attempt, Executor, Topic, Amount
+	EvGossip                              // From, Data
+	EvStreamStarted                       // Job, Attempt, Executor, Elapsed: a streamed response began
+	EvOutcome                             // Job, Attempt, Executor, Outcome, Elapsed, Final, Report
+	EvRequest                             // Job, Class, Tenant, Key, TimeLeft, Work, Slots, Memory, Flags
+	EvHealthCheck                         // Executor, Outcome, Elapsed, Report
 )
 
 // ListForm says what an EvEndpoints event carries.
@@ -104,6 +104,6 @@
 	Memory     float64
 	Report     []float32
 	ZonePrices []float64 // price of running the request in each zone; Fees.CrossZone applies to zones without one
-	Rows       []EndpointUpdate
+	Updates    []EndpointUpdate
 	Data       []byte
 }
--- a/internal/dispatch/example_test.go
+++ b/internal/dispatch/example_test.go
@@ -38,7 +38,7 @@
 		}
 	}
 	carryOut(1000, dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached,
-		Rows: []dispatch.EndpointUpdate{{Executor: 7, Condition: dispatch.Ready, Weight: 1}}})
+		Updates: []dispatch.EndpointUpdate{{Executor: 7, Condition: dispatch.Ready, Weight: 1}}})
 	carryOut(1010, dispatch.Event{Kind: dispatch.EvRequest, Job: 1, TimeLeft: 5000, Slots: 1})
 	carryOut(1300, dispatch.Event{Kind: dispatch.EvOutcome, Job: 1, Executor: 7, Outcome: dispatch.Served, Final: true})
 	carryOut(1400, dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot}) // the executor has left
--- a/internal/dispatch/golden_actions_test.go
+++ b/internal/dispatch/golden_actions_test.go
@@ -246,7 +246,7 @@
 		}
 		e := dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListFailed}
 		if c.discovery {
-			e = dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: c.version, Rows: c.rows()}
+			e = dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: c.version, Updates: c.rows()}
 			n.watching = true
 		}
 		n.pending = append(n.pending, e)
--- a/internal/dispatch/golden_cluster_test.go
+++ b/internal/dispatch/golden_cluster_test.go
@@ -246,7 +246,7 @@
 	if n.incarnation > 1 && len(rows) > 3 {
 		rows = rows[:len(rows)-1] // the cached list is outdated
 	}
-	n.pending = []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Version: c.version, Rows: rows}}
+	n.pending = []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Version: c.version, Updates: rows}}
 }
 
 // Clients.
@@ -321,7 +321,7 @@
 		return
 	}
 	r.done = true
-	n.pending = append(n.pending, dispatch.Event{Kind: dispatch.EvClientGone, Job: job})
+	n.pending = append(n.pending, dispatch.Event{Kind: dispatch.EvClientDisconnected, Job: job})
 	for _, a := range r.attempts {
 		if !a.ended {
 			c.endAttempt(a, dispatch.TimedOut, 1)
--- a/internal/dispatch/golden_faults_test.go
+++ b/internal/dispatch/golden_faults_test.go
@@ -20,7 +20,7 @@
 				n.incarnation,
 				c.random.span(1, 30),
 				dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Version: c.version,
-					Rows: append([]dispatch.EndpointUpdate(nil), rows...)},
+					Updates: append([]dispatch.EndpointUpdate(nil), rows...)},
 			)
 		}
 	}
@@ -171,7 +171,7 @@
 		{Kind: dispatch.EvOutcome, Job: job, Attempt: 77, Executor: 103, Outcome: dispatch.Full},
 		{Kind: dispatch.EvNotification, Job: job, Attempt: 9, Topic: dispatch.NotificationProgress},
 		{Kind: dispatch.EvStreamStarted, Job: 1 << 30},
-		{Kind: dispatch.EvClientGone, Job: 1 << 30},
+		{Kind: dispatch.EvClientDisconnected, Job: 1 << 30},
 		{Kind: dispatch.EvGossip, From: 5000, Data: []byte{1, 2, 3}},
 		{
 			Kind: dispatch.EvGossip,
@@ -187,11 +187,11 @@
 			Report:   []float32{float32(math.NaN()), float32(math.Inf(1)), -1},
 		},
 		{Kind: dispatch.EvTimer, Token: 1 << 30},
-		{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: c.version, Rows: c.rows()},
+		{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: c.version, Updates: c.rows()},
 		{
-			Kind: dispatch.EvEndpoints,
-			Form: dispatch.ListDelta,
-			Rows: []dispatch.EndpointUpdate{{Executor: 1 << 30, Condition: dispatch.Removed}},
+			Kind:    dispatch.EvEndpoints,
+			Form:    dispatch.ListDelta,
+			Updates: []dispatch.EndpointUpdate{{Executor: 1 << 30, Condition: dispatch.Removed}},
 		},
 	}
 	n.pending = append(n.pending, odd[c.random.below(len(odd))])
--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -128,15 +128,15 @@
 	r.run.Decisions = hex.EncodeToString(r.decisions.Sum(nil))
 	r.run.LogLines = hex.EncodeToString(r.logLines.Sum(nil))
 	names := map[dispatch.EventKind]string{
-		dispatch.EvEndpoints:     "list",
-		dispatch.EvTimer:         "timer",
-		dispatch.EvClientGone:    "gone",
-		dispatch.EvNotification:  "note",
-		dispatch.EvGossip:        "peer",
-		dispatch.EvStreamStarted: "first",
-		dispatch.EvOutcome:       "outcome",
-		dispatch.EvRequest:       "request",
-		dispatch.EvHealthCheck:   "probed",
+		dispatch.EvEndpoints:          "list",
+		dispatch.EvTimer:              "timer",
+		dispatch.EvClientDisconnected: "gone",
+		dispatch.EvNotification:       "note",
+		dispatch.EvGossip:             "peer",
+		dispatch.EvStreamStarted:      "first",
+		dispatch.EvOutcome:            "outcome",
+		dispatch.EvRequest:            "request",
+		dispatch.EvHealthCheck:        "probed",
 	}
 	for kind, n := range c.eventCounts {
 		r.run.Events[names[kind]] = n
--- a/internal/dispatch/listclock_test.go
+++ b/internal/dispatch/listclock_test.go
@@ -61,15 +61,15 @@
 func TestStartLiesAfterTheLastAnswerOfTheFormerProcess(t *testing.T) {
 	first, second := ready(7, 0), ready(8, 0)
 	r := newRig(t, base(), first, second)
-	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{first, second}})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{first, second}})
 	first.StartedAt = r.now - 100
-	r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{first}})
+	r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{first}})
 	r.after(5000)
 	r.d.recordActivity(r.d.endpoints.byID[8])
 	answered := r.now
 	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta})
 	second.StartedAt = answered - 3000
-	r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{second}})
+	r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{second}})
 	if got := r.d.endpoints.byID[8].slowStart.startedAt; got < answered {
 		t.Errorf("taken to have started %.0f ms before its predecessor's last answer", answered-got)
 	}
@@ -123,7 +123,7 @@
 	}
 	r := newRig(t, base(), rows...)
 	r.now = 100 * hourMS
-	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: rows})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: rows})
 	r.after(maxLag)
 	played := make([]lateStart, 0, starts)
 	for i := range rows {
@@ -133,7 +133,7 @@
 		r.after(300, Event{Kind: EvEndpoints, Form: ListDelta})
 		startedAt := r.now + 10 - minLag - random.Float64()*(maxLag-minLag)
 		rows[i].StartedAt = startedAt + clock
-		r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{rows[i]}})
+		r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{rows[i]}})
 		start := &r.d.endpoints.byID[rows[i].Executor].slowStart
 		played = append(played, lateStart{i, startedAt, r.now - startedAt, start.startedAt, start.endsAt})
 	}
--- a/internal/dispatch/listwatch_test.go
+++ b/internal/dispatch/listwatch_test.go
@@ -34,9 +34,9 @@
 	r.after(
 		1,
 		Event{
-			Kind: EvEndpoints,
-			Form: ListSnapshot,
-			Rows: []EndpointUpdate{ready(9, 0), {Executor: 8, Condition: Draining}},
+			Kind:    EvEndpoints,
+			Form:    ListSnapshot,
+			Updates: []EndpointUpdate{ready(9, 0), {Executor: 8, Condition: Draining}},
 		},
 	)
 	for i := range uint32(50) {
@@ -60,7 +60,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, events := 100000.0, []Event{{Kind: EvEndpoints, Form: ListCached, Rows: fleet(3)}}
+		now, events := 100000.0, []Event{{Kind: EvEndpoints, Form: ListCached, Updates: fleet(3)}}
 		for ; now < 140000; now += 20 {
 			acts := d.Step(now, events, nil)
 			events = events[:0]
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -89,7 +89,7 @@
 			row := ready(7, 0)
 			r := newRig(t, base(), row)
 			row.Condition = c
-			got := r.after(1, request(1, 0, 0, 1), Event{Kind: EvEndpoints, Form: form, Rows: []EndpointUpdate{row}})
+			got := r.after(1, request(1, 0, 0, 1), Event{Kind: EvEndpoints, Form: form, Updates: []EndpointUpdate{row}})
 			if len(actionsOf(got, ActSend, 1)) != 0 {
 				t.Errorf("sent in the batch that notified condition %d", c)
 			}
@@ -137,7 +137,7 @@
 			if len(actionsOf(r.step(request(1, 1, 0, 1)), ActSend, 1)) != 1 {
 				t.Fatal("not sent")
 			}
-			got := r.after(tt.after, Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{rows[tt.to]}},
+			got := r.after(tt.after, Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{rows[tt.to]}},
 				outcome(1, 0, 7, tt.outcome))
 			if n := len(actionsOf(got, ActSend, 1)); (n == 1) != tt.sent {
 				t.Errorf("%d sends, want sent %v", n, tt.sent)
--- a/internal/dispatch/script_test.go
+++ b/internal/dispatch/script_test.go
@@ -207,7 +207,7 @@
 		} else {
 			old.row = row
 		}
-		e.Rows = append(e.Rows, row)
+		e.Updates = append(e.Updates, row)
 	}
 	if form != ListDelta {
 		for id, w := range x.executors {
@@ -289,14 +289,14 @@
 	case 4:
 		return Event{Kind: EvGossip, From: 9, Data: []byte("?")}
 	case 5:
-		return Event{Kind: EvClientGone, Job: 888888}
+		return Event{Kind: EvClientDisconnected, Job: 888888}
 	}
 	for id := uint32(1); id <= x.nextJob; id++ { // a repeated outcome of a request that ended before
 		if j := x.jobs[id]; j.ended && len(j.attempts) > 0 && j.attempts[0].ended {
 			return Event{Kind: EvOutcome, Job: id, Executor: j.attempts[0].executor, Outcome: Errored}
 		}
 	}
-	return Event{Kind: EvClientGone, Job: 777777}
+	return Event{Kind: EvClientDisconnected, Job: 777777}
 }
 
 // run plays a script: 20 s of events, a few milliseconds apart, and then the end of all open requests and attempts.
@@ -348,7 +348,7 @@
 	}
 	if !j.ended && x.rng.Intn(4000) == 0 {
 		j.ended = true
-		events = append(events, Event{Kind: EvClientGone, Job: id})
+		events = append(events, Event{Kind: EvClientDisconnected, Job: id})
 	}
 	return events
 }
@@ -400,7 +400,7 @@
 		j := x.jobs[id]
 		if !j.ended {
 			j.ended = true
-			events = append(events, Event{Kind: EvClientGone, Job: id})
+			events = append(events, Event{Kind: EvClientDisconnected, Job: id})
 		}
 		for n := range j.attempts {
 			if !j.attempts[n].ended {
@@ -491,7 +491,7 @@
 		for id := uint32(1); id <= 12; id++ {
 			rows = append(rows, ready(id*31, uint16(id%3)))
 		}
-		events := []Event{{Kind: EvEndpoints, Form: ListCached, Rows: rows}}
+		events := []Event{{Kind: EvEndpoints, Form: ListCached, Updates: rows}}
 		for job := uint32(1); job < 400; job++ {
 			e := request(job, uint8(rng.Intn(3)), uint16(rng.Intn(3)), 1)
 			e.Key = uint64(rng.Intn(9))
--- a/internal/dispatch/slowstart_fleet_test.go
+++ b/internal/dispatch/slowstart_fleet_test.go
@@ -116,7 +116,7 @@
 	rows := []EndpointUpdate{p.row(now)}
 	d.Step(
 		now+p.clock(i),
-		[]Event{{Kind: EvEndpoints, Form: ListCached, Rows: rows}, {Kind: EvEndpoints, Form: ListSnapshot, Rows: rows}},
+		[]Event{{Kind: EvEndpoints, Form: ListCached, Updates: rows}, {Kind: EvEndpoints, Form: ListSnapshot, Updates: rows}},
 		nil,
 	)
 	d.capacity.kindSlots[0] = fleetSlots
@@ -176,7 +176,7 @@
 		late := float64(1+i%3) * fleetStepMS
 		switch {
 		case at > 0 && now >= at+late-fleetStepMS && now < at+late:
-			p.inbox[i] = append(p.inbox[i], Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{p.row(now)}})
+			p.inbox[i] = append(p.inbox[i], Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{p.row(now)}})
 		case !p.unconfirmed && int(now/fleetStepMS)%100 == i%100:
 			p.inbox[i] = append(p.inbox[i], Event{Kind: EvEndpoints, Form: ListDelta})
 		}
--- a/internal/dispatch/slowstart_quota_test.go
+++ b/internal/dispatch/slowstart_quota_test.go
@@ -50,9 +50,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Step(longStartedAt-longStep, []Event{{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{warm}}}, nil)
+		d.Step(longStartedAt-longStep, []Event{{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{warm}}}, nil)
 		d.capacity.kindSlots[0] = longSlots
-		d.Step(longStartedAt, []Event{{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{cold}}}, nil)
+		d.Step(longStartedAt, []Event{{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{cold}}}, nil)
 		nodes[i] = d
 	}
 	running, job := []runningAttempt(nil), uint32(0)
--- a/internal/dispatch/slowstart_sum_test.go
+++ b/internal/dispatch/slowstart_sum_test.go
@@ -41,7 +41,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Step(now, []Event{{Kind: EvEndpoints, Form: ListCached, Rows: []EndpointUpdate{cold}}}, nil)
+		d.Step(now, []Event{{Kind: EvEndpoints, Form: ListCached, Updates: []EndpointUpdate{cold}}}, nil)
 		d.capacity.kindSlots[0] = slots
 		nodes[i] = d
 	}
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -36,7 +36,7 @@
 		}
 		cold := ready(7, 0)
 		cold.StartedAt = startedAt
-		r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{cold}})
+		r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{cold}})
 		// Three jobs that are out take 400 ms each, and those that ended have held the executor for up to 150 ms.
 		if paid := 3 * 400.0; executor.slowStart.credit > -paid {
 			t.Errorf("seed %d: the budget stands at %.0f ms, want %.0f at most", seed, executor.slowStart.credit, -paid)
@@ -110,7 +110,7 @@
 	c := newReadyCluster(t, 60, 4, cold)
 	cold.StartedAt = c.now
 	for i := range c.nodes {
-		c.inbox[i] = append(c.inbox[i], Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{cold}})
+		c.inbox[i] = append(c.inbox[i], Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{cold}})
 	}
 	type run struct {
 		node int
@@ -204,7 +204,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Step(now, []Event{{Kind: EvEndpoints, Form: ListCached, Rows: []EndpointUpdate{cold}}}, nil)
+		d.Step(now, []Event{{Kind: EvEndpoints, Form: ListCached, Updates: []EndpointUpdate{cold}}}, nil)
 		d.capacity.kindSlots[0] = 4
 		nodes[i] = d
 	}
@@ -245,11 +245,11 @@
 	row := ready(7, 0)
 	row.StartedAt = 90000 - hourMS/100
 	r := newRig(t, base(), row)
-	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{row}})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{row}})
 	executor := r.d.endpoints.byID[7]
 	executor.outlier.errorAverage, executor.outlier.ejections, executor.load.slots = 0.4, 3, 4
 	row.StartedAt -= 5000
-	r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{row}})
+	r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{row}})
 	if executor.outlier.errorAverage != 0 || executor.outlier.ejections != 0 {
 		t.Errorf(
 			"the error average %v and %d strikes of the old process stand",
@@ -275,14 +275,14 @@
 	}
 	r := newRig(t, base())
 	r.now = now
-	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: rows})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: rows})
 	want := map[uint32]float64{1: 0, 2: now - 1000, 3: now, 4: now - 2000, 5: now - hourMS/2}
 	for id, at := range want {
 		if got := r.d.endpoints.byID[id].slowStart.startedAt; got != at {
 			t.Errorf("executor %d: taken to have started at %.0f, want %.0f", id, got, at)
 		}
 	}
-	r.after(3000, Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: rows})
+	r.after(3000, Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: rows})
 	if got := r.d.endpoints.byID[3].slowStart.startedAt; got != now {
 		t.Errorf("its age does not grow with our clock: started at %.0f, want %.0f", got, now)
 	}
@@ -302,11 +302,11 @@
 		old.StartedAt = confirmed - 10*hourMS
 		r := newRig(t, base(), old)
 		r.now = confirmed
-		r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{old}})
+		r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{old}})
 		r.now = now
 		row := old
 		row.StartedAt = c.listed
-		r.step(Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{row}})
+		r.step(Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{row}})
 		if got := r.d.endpoints.byID[7].slowStart.startedAt; got != c.want {
 			t.Errorf(
 				"%s: taken to have started %.0f ms after the confirmed list, want %.0f",
@@ -322,10 +322,10 @@
 func TestNotifiedStartJustBeforeAnotherChange(t *testing.T) {
 	old := ready(7, 0)
 	r := newRig(t, base(), old)
-	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{old}})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{old}})
 	confirmed := r.now
 	old.StartedAt = confirmed - 100
-	r.after(50, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{old}})
+	r.after(50, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{old}})
 	if got := r.d.endpoints.byID[7].slowStart.startedAt; got != confirmed {
 		t.Errorf("taken to have started at %.0f, want %.0f", got, confirmed)
 	}
@@ -336,20 +336,20 @@
 	other, row := ready(6, 0), ready(7, 0)
 	row.StartedAt = 40000
 	r := newRig(t, base(), other, row)
-	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{other, row}})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{other, row}})
 	left := row
 	left.Condition = Removed
-	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{left}})
+	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{left}})
 	if r.d.endpoints.byID[7] != nil {
 		t.Fatal("the executor is still known")
 	}
-	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{row}})
+	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{row}})
 	if share := r.d.slowStart.capacityFraction(r.d.endpoints.byID[7]); share != 1 {
 		t.Errorf("its share of capacity is %.2f, want all", share)
 	}
-	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{left}})
+	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{left}})
 	row.StartedAt++
-	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{row}})
+	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{row}})
 	if share := r.d.slowStart.capacityFraction(r.d.endpoints.byID[7]); share == 1 {
 		t.Error("a new process is not cold")
 	}
@@ -367,8 +367,8 @@
 			row.Condition = Removed
 			leave = append(leave, row)
 		}
-		r.after(removedStartTTLMs, Event{Kind: EvEndpoints, Form: ListDelta, Rows: come})
-		r.after(removedStartTTLMs, Event{Kind: EvEndpoints, Form: ListDelta, Rows: leave})
+		r.after(removedStartTTLMs, Event{Kind: EvEndpoints, Form: ListDelta, Updates: come})
+		r.after(removedStartTTLMs, Event{Kind: EvEndpoints, Form: ListDelta, Updates: leave})
 		if n := len(r.d.slowStart.removed); n > 3*removedStartsPurgeThreshold {
 			t.Fatalf("%d starts are remembered", n)
 		}
@@ -380,12 +380,12 @@
 func TestStartAgainWhileWarmingOpensANewBudget(t *testing.T) {
 	row := ready(7, 0)
 	r := newRig(t, base(), row)
-	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: []EndpointUpdate{row}})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{row}})
 	row.StartedAt = r.now + 1000
-	r.after(1001, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{row}})
+	r.after(1001, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{row}})
 	executor := r.d.endpoints.byID[7]
 	for range 20 {
-		r.after(100, Event{Kind: EvEndpoints, Form: ListDelta, Rows: nil})
+		r.after(100, Event{Kind: EvEndpoints, Form: ListDelta, Updates: nil})
 		r.d.slowStartAllows(executor, 0)
 	}
 	if executor.slowStart.credit <= 0 {
@@ -394,7 +394,7 @@
 	row.StartedAt = r.now + 5
 	r.after(10)
 	r.d.slowStartAllows(executor, 0)
-	r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Rows: []EndpointUpdate{row}})
+	r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{row}})
 	if executor.slowStart.credit > 0 {
 		t.Errorf("the new process begins with %.0f ms of the old one's credit", executor.slowStart.credit)
 	}
@@ -406,19 +406,19 @@
 	rng := rand.New(rand.NewSource(5))
 	first := fleet(300)
 	r := newRig(t, base(), first...)
-	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Rows: first})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: first})
 	rows := map[uint32]EndpointUpdate{}
 	for _, row := range first {
 		rows[row.Executor] = row
 	}
 	most := 0
 	for range 400 {
-		event := Event{Kind: EvEndpoints, Form: ListDelta, Rows: randomChange(rng, rows, r.now)}
+		event := Event{Kind: EvEndpoints, Form: ListDelta, Updates: randomChange(rng, rows, r.now)}
 		if rng.Intn(20) == 0 {
-			event.Form, event.Rows = ListSnapshot, nil
+			event.Form, event.Updates = ListSnapshot, nil
 			for id := uint32(0); id < 1000; id++ {
 				if row, ok := rows[id]; ok && row.Condition != Removed {
-					event.Rows = append(event.Rows, row)
+					event.Updates = append(event.Updates, row)
 				}
 			}
 		}
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -62,7 +62,7 @@
 	e := dispatch.Event{Kind: dispatch.EvEndpoints, Form: l.Form, Version: uint32(l.Index)}
 	for i := range l.Entries {
 		if c.applyEndpoint(&l.Entries[i], now) {
-			e.Rows = append(e.Rows, c.toEndpointUpdate(&l.Entries[i]))
+			e.Updates = append(e.Updates, c.toEndpointUpdate(&l.Entries[i]))
 		}
 	}
 	c.status.hasReadyExecutor.Store(c.endpoints.hasReady())
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -34,7 +34,7 @@
 	}
 	c.counters.ClientsGone++
 	c.markAnswered(j)
-	c.queueEvent(dispatch.Event{Kind: dispatch.EvClientGone, Job: j.id})
+	c.queueEvent(dispatch.Event{Kind: dispatch.EvClientDisconnected, Job: j.id})
 	c.release(j)
 }
 
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -92,7 +92,7 @@
 		return ErrRunning
 	}
 	// The module is notified that the client left, which ends the job without an answer by the module.
-	c.queueEvent(dispatch.Event{Kind: dispatch.EvClientGone, Job: id})
+	c.queueEvent(dispatch.Event{Kind: dispatch.EvClientDisconnected, Job: id})
 	c.answer(j, Answer{End: Terminated, Reason: "terminated before it was sent"})
 	return nil
 }
@@ -181,6 +181,6 @@
 	if j.inFlight == 0 && !j.mayHaveRun {
 		a.End, a.RetryAfter = Rejected, FromMs(c.settings.MaxRetryAfter)
 	}
-	c.queueEvent(dispatch.Event{Kind: dispatch.EvClientGone, Job: j.id})
+	c.queueEvent(dispatch.Event{Kind: dispatch.EvClientDisconnected, Job: j.id})
 	c.answer(j, a)
 }
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -131,7 +131,7 @@
 	h.run(100 * time.Millisecond)
 	batch := confirm()
 	if len(batch) != 1 || batch[0].Kind != dispatch.EvEndpoints || batch[0].Form != dispatch.ListDelta ||
-		len(batch[0].Rows) != 0 {
+		len(batch[0].Updates) != 0 {
 		t.Errorf("events %+v, want one delta without rows", batch)
 	}
 }
--- a/internal/scale/virtual/dispatcher.go
+++ b/internal/scale/virtual/dispatcher.go
@@ -58,7 +58,7 @@
 		return nil, fmt.Errorf("dispatcher %d: %w", number, err)
 	}
 	d := &dispatcher{world: w, number: number, module: module, step: span(c.Settings.MinStepInterval), jobs: map[uint32]*job{}}
-	d.event(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Version: w.listVersion, Rows: w.rows()})
+	d.event(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Version: w.listVersion, Updates: w.rows()})
 	return d, nil
 }
 
@@ -125,7 +125,7 @@
 		d.watches = a.Subscribe
 		if a.Subscribe {
 			w.after(listLate, func() {
-				d.event(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: w.listVersion, Rows: w.rows()})
+				d.event(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: w.listVersion, Updates: w.rows()})
 			})
 		}
 	case dispatch.ActGossip:
@@ -254,6 +254,6 @@
 	if len(j.tries) == 0 {
 		answer = verdict.Refused
 	}
-	d.event(dispatch.Event{Kind: dispatch.EvClientGone, Job: j.id})
+	d.event(dispatch.Event{Kind: dispatch.EvClientDisconnected, Job: j.id})
 	d.answer(j, answer, 0)
 }
--- a/internal/scale/virtual/world.go
+++ b/internal/scale/virtual/world.go
@@ -141,7 +141,7 @@
 		rows = append(rows, x.row())
 	}
 	for _, d := range w.dispatchers {
-		d.told(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Version: w.listVersion, Rows: rows}, executors, c)
+		d.told(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Version: w.listVersion, Updates: rows}, executors, c)
 	}
 }
 
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -247,7 +247,7 @@
 		row.Condition, row.Weight, row.StartedAt = dispatch.Condition(c.u8()), c.f32(), c.f64()
 		c.r.rows = append(c.r.rows, row)
 	}
-	e.Rows = c.r.rows[from:len(c.r.rows):len(c.r.rows)]
+	e.Updates = c.r.rows[from:len(c.r.rows):len(c.r.rows)]
 }
 
 func (c *cursor) record(rec *Record) {
@@ -260,7 +260,7 @@
 	case CodeTimer:
 		e.Kind, e.Token = dispatch.EvTimer, c.u32()
 	case CodeGone:
-		e.Kind, e.Job = dispatch.EvClientGone, c.u32()
+		e.Kind, e.Job = dispatch.EvClientDisconnected, c.u32()
 	case CodeNote:
 		e.Kind = dispatch.EvNotification
 		e.Job, e.Attempt, e.Executor, e.Topic, e.Amount = c.u32(), c.u16(), c.u32(), c.u8(), c.f32()
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -42,14 +42,14 @@
 	{"timer", "01 0003 0000004d",
 		Record{Code: CodeTimer, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvTimer, Token: 77}}},
 	{"gone", "02 0005 0e6f2b19",
-		Record{Code: CodeGone, Instance: 5, Event: dispatch.Event{Kind: dispatch.EvClientGone, Job: 0x0e6f2b19}}},
+		Record{Code: CodeGone, Instance: 5, Event: dispatch.Event{Kind: dispatch.EvClientDisconnected, Job: 0x0e6f2b19}}},
 	{"list", "00 0003 00000029 02 00000002 03124a07 00 00 0000 01 3f800000 0000000000000000 " +
 		"2c9011f2 01 00 0000 01 3fc00000 40b7d40000000000",
 		Record{
 			Code:     CodeList,
 			Instance: 3,
 			Event: dispatch.Event{Kind: dispatch.EvEndpoints, Version: 41, Form: dispatch.ListCached,
-				Rows: []dispatch.EndpointUpdate{{Executor: 0x03124a07, Condition: dispatch.Ready, Weight: 1},
+				Updates: []dispatch.EndpointUpdate{{Executor: 0x03124a07, Condition: dispatch.Ready, Weight: 1},
 					{Executor: 0x2c9011f2, Zone: 1, Condition: dispatch.Ready, Weight: 1.5, StartedAt: 6100}}},
 		}},
 	{"note", "03 0003 5d3a91c4 0000 03124a07 01 3f000000",
