--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestAdmissionSteps(t *testing.T) {
+func TestAdmissionLimits(t *testing.T) {
 	// Capacity is set by hand: 100 slots with half of them again allowed to wait would blur the bounds, so
 	// the aim is made short against the work and the wait allowance goes to nothing.
 	s := base()
@@ -79,7 +79,7 @@
 }
 
 // A flooding tenant's requests beyond its share make place for those within a share (recife rough-2).
-func TestRequestsBeyondTheQuotaArePreemptedFirst(t *testing.T) {
+func TestOverQuotaRequestsArePreemptedFirst(t *testing.T) {
 	s := base()
 	for i := range s.Tenants {
 		s.Tenants[i].Quota = 1
@@ -112,7 +112,7 @@
 }
 
 // Without a hint the aim is that of a short job: heavy tails put the mean far over most jobs (i6b19c9).
-func TestUnhintedObjectiveIsThatOfAShortJob(t *testing.T) {
+func TestUnhintedObjectiveIsThatOfShortJob(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
 	e := request(1, 0, 0, 1)
 	e.Flags, e.Work = 0, 0
@@ -159,7 +159,7 @@
 }
 
 // A small tenant's reservation may be less than one wide job: its first is admitted all the same (id86762).
-func TestFirstJobOfASmallTenantIsAdmitted(t *testing.T) {
+func TestFirstJobOfSmallTenantIsAdmitted(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
 	r.d.capacity.slots = 4
 	for i := range r.d.admission.tenants {
--- a/internal/dispatch/affinity_test.go
+++ b/internal/dispatch/affinity_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Jobs wait for a home of their key, and those that must fetch stay within a pool (icb5b2f, id3d613).
-func TestCacheFetchPool(t *testing.T) {
+func TestCacheFetchLimit(t *testing.T) {
 	s := base()
 	s.Fees.Origin = 0.1
 	rows := []EndpointUpdate{ready(7, 0), ready(8, 0), ready(9, 0), ready(10, 0), ready(11, 0), ready(12, 0)}
@@ -35,7 +35,7 @@
 
 // A job that waits for a home of its key does not look at a large fleet each tick, and still gets elsewhere when
 // it has waited its part (recife later: CPU).
-func TestCandidatesOnlyWhileWaitingForOne(t *testing.T) {
+func TestOnlyCandidatesAreInspectedWhileWaiting(t *testing.T) {
 	s := base()
 	s.Nodes = 100
 	r := newRig(t, s, fleet(100)...)
@@ -64,7 +64,7 @@
 // A node of many sees few requests: were a key's share taken of more than it has seen, hot keys would stay on two or
 // three candidates for a minute, as at all other nodes, and storm them (recife later h238d8e: busiest 9 times the
 // mean).
-func TestHotKeysSpreadSoonAtNodesWithLittleTraffic(t *testing.T) {
+func TestHotKeysSpreadAtNodesWithLittleTraffic(t *testing.T) {
 	s := base()
 	s.Nodes = 150
 	r := newRig(t, s, fleet(150)...)
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -23,7 +23,7 @@
 // Nodes that have just begun counted the free slots of the whole fleet as their own, each of them: under a burst they
 // took in four times what all executors could run, and the jobs queued there for half a minute (austin-flags
 // roll+mass).
-func TestNewNodesTogetherCountOnTheFleet(t *testing.T) {
+func TestNewNodesShareFleetCapacity(t *testing.T) {
 	const nodes, workers = noGossipNodes, 200
 	sum := 0.0
 	for i := range nodes {
@@ -109,7 +109,7 @@
 // there it counted on little more than what ran, and rejected all that came until they were through (austin-flags
 // roll+mass: 57 to 68 of 288 nodes rejected all for 4 s, with lines such as "capacity 7 slots, 26 in flight, 0
 // waiting"). It takes in its part.
-func TestNewNodeServesThroughABurst(t *testing.T) {
+func TestNewNodeServesDuringBurst(t *testing.T) {
 	const nodes, workers, slots = noGossipNodes, 200, 5
 	r := newRig(t, noGossipSettings(), fleet(workers)...)
 	q := &queueingFleet{slots: workers * slots / nodes, runs: 2500}
@@ -158,7 +158,7 @@
 // A node whose jobs all queue at executors that hang had its tokens out for as long as the clients waited, and rejected
 // all that came until then (austin-flags roll+mass, one node in ten). It tries one more job after some runs, and no
 // flood of them.
-func TestStarvedNodeGoesOnDispatching(t *testing.T) {
+func TestStarvedNodeKeepsDispatching(t *testing.T) {
 	r := newRig(t, noGossipSettings(), fleet(200)...)
 	first, last, longest, sends := r.now, r.now, 0.0, 0
 	hang := map[uint32]Action{}
@@ -222,7 +222,7 @@
 }
 
 // Free slots behind a wide job at the head of a queue are nobody's (icdebae).
-func TestQueueBehindAWideJob(t *testing.T) {
+func TestNoFreeSlotsBehindQueuedWideJob(t *testing.T) {
 	s := base()
 	s.Fields = []Field{FieldFree, FieldBusy}
 	r := newRig(t, s, ready(7, 0))
@@ -266,7 +266,7 @@
 	}
 }
 
-func TestPeersTakeSlots(t *testing.T) {
+func TestPeerLoadReducesAvailableSlots(t *testing.T) {
 	s := base()
 	s.Nodes, s.GossipAllowed = 2, true
 	r := newRig(t, s, ready(7, 0))
@@ -324,7 +324,7 @@
 
 // What is held stays so for as long as the jobs that hold most of it run: a few long, wide jobs among many short
 // ones make reports fade slowly (nordeste), jobs of one kind fast (ceara).
-func TestReportDecayFollowsWhatIsHeld(t *testing.T) {
+func TestMeanRunIsWeightedBySlots(t *testing.T) {
 	run := func(long bool) float64 {
 		r := newRig(t, base(), ready(7, 0))
 		executor := r.d.endpoints.listed[0]
@@ -349,7 +349,7 @@
 
 // Without reports, and before any 'full', only late answers show that an executor queues what it is sent: what it is
 // thought to take falls, once for all that was sent before, and grows again with jobs served in time.
-func TestLateAnswersCutTheSoftLimit(t *testing.T) {
+func TestLateResponsesReduceSoftLimit(t *testing.T) {
 	s := base()
 	s.Telemetry, s.Fields, s.StartNotifications = ReportNone, nil, false
 	r := newRig(t, s, ready(7, 0))
@@ -385,7 +385,7 @@
 
 // Where those heard of are full, one not heard of is taken to be full too: small nodes sent blindly into a full
 // fleet while large ones, who had reports, rejected nine of ten (ceara later big-2).
-func TestFullFleetIsFullWithoutReports(t *testing.T) {
+func TestExecutorsWithoutReportAreFullInFullFleet(t *testing.T) {
 	s := base()
 	s.Nodes = 100
 	r := newRig(t, s, fleet(400)...)
@@ -415,7 +415,7 @@
 
 // A live weight is a reason to stay away from an executor, not to go to one, and none where all hold many: all
 // nodes see the same weights, late (recife later).
-func TestLiveWeightShutsOut(t *testing.T) {
+func TestLowLiveWeightExcludesExecutor(t *testing.T) {
 	s := base()
 	s.Nodes, s.LiveWeights = 100, true
 	weigh := func(r *rig, scale func(i int) float64) {
--- a/internal/dispatch/config_test.go
+++ b/internal/dispatch/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestNewNamesTheSettingThatIsWrong(t *testing.T) {
+func TestNewNamesInvalidSetting(t *testing.T) {
 	tests := map[string]func(*Settings){
 		"requestClasses.count":    func(s *Settings) { s.Classes = nil },
 		"balancers":               func(s *Settings) { s.Nodes = 0 },
@@ -29,7 +29,7 @@
 }
 
 // Settings that are odd but usable: no division by zero, no panic, and jobs are answered.
-func TestInvalidSettings(t *testing.T) {
+func TestUnusualSettingsAreAccepted(t *testing.T) {
 	tests := map[string]func(*Settings){
 		"no tenants":    func(s *Settings) { s.Tenants = nil },
 		"zero portions": func(s *Settings) { s.Tenants = []Tenant{{}, {}} },
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestExecutorWithMostFreeSlotsFirst(t *testing.T) {
+func TestPrefersExecutorWithMostFreeSlots(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0), ready(8, 0), ready(9, 0))
 	for i, free := range []float64{1, 4, 2} {
 		executor := r.d.endpoints.listed[i]
@@ -14,7 +14,7 @@
 	}
 }
 
-func TestFewestInFlightWithoutReports(t *testing.T) {
+func TestPrefersFewestInFlightWithoutReports(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0), ready(8, 0))
 	count := map[uint32]int{}
 	for id := uint32(1); id <= 4; id++ {
@@ -127,7 +127,7 @@
 }
 
 // The executor that served us last has an open connection and is always inspected (nordeste later: handshakes).
-func TestExecutorUsedLastIsInspected(t *testing.T) {
+func TestRecentlyUsedExecutorIsInspected(t *testing.T) {
 	s := base()
 	s.Nodes, s.Fees.Handshake, s.Telemetry = 100, 0.5, ReportHealthChecks
 	r := newRig(t, s, fleet(400)...)
@@ -148,7 +148,7 @@
 
 // A node that takes all for full and has nothing out hears nothing and would stay so for good: it queues a job
 // where it has none, however small its part of the fleet is (ceara later big-2).
-func TestStarvedNodeOfManySpeculates(t *testing.T) {
+func TestStarvedNodeOfLargeFleetSpeculates(t *testing.T) {
 	s := base()
 	s.Nodes = 200
 	r := newRig(t, s, fleet(200)...)
--- a/internal/dispatch/queue_test.go
+++ b/internal/dispatch/queue_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A wide job worth more gets the tokens of several waiting ones that borrow and are worth less (recife rough-2).
-func TestJobOfMoreWeightPreemptsBorrowers(t *testing.T) {
+func TestHigherValueJobPreemptsBorrowers(t *testing.T) {
 	s := base()
 	s.Classes[2].PriorityWeight = 3
 	r := newRig(t, s, ready(7, 0))
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestJobIsHeldUntilASlotIsFree(t *testing.T) {
+func TestJobWaitsForFreeSlot(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
 	executor := r.d.endpoints.listed[0]
 	executor.load.freeSlots, executor.load.reportedAt, executor.load.slots = 1, r.now, 4
