--- a/cmd/gatetack/configuration.go
+++ b/cmd/gatetack/configuration.go
@@ -26,6 +26,6 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	cfg.Limits.Pace = file.Pace
+	cfg.Limits.SlowPeers = file.Pace
 	return cfg, file, cfg.Check(file)
 }
--- a/cmd/gatetack/process_control.go
+++ b/cmd/gatetack/process_control.go
@@ -78,7 +78,7 @@
 
 // startSettings makes the applier and has settings of the store come to it, where they do.
 func (p *process) startSettings(feed *settingsFeed, base config.Config) error {
-	p.stay.Store(int64(p.config.Limits.Stay))
+	p.stay.Store(int64(p.config.Limits.ShutdownGrace))
 	p.applier = &settingsApplier{
 		core:     p.core,
 		limits:   p.config.Limits,
--- a/cmd/gatetack/process_fronts.go
+++ b/cmd/gatetack/process_fronts.go
@@ -63,7 +63,7 @@
 // startRelay exchanges callbacks with the process of this node that runs beside this one while one replaces the other.
 func (p *process) startRelay() {
 	folder := filepath.Join(os.TempDir(), handoverFolder)
-	relay := callbackrelay.New(folder, p.config.Limits.Follow, p.config.Limits.Stay, p.log)
+	relay := callbackrelay.New(folder, p.config.Limits.DrainCheckInterval, p.config.Limits.ShutdownGrace, p.log)
 	if err := relay.Register(); err != nil { // Run tries again
 		p.log.Error("callback directory not usable", "err", err)
 	}
@@ -79,11 +79,11 @@
 		return fmt.Errorf("operator: %w", err)
 	}
 	lim := frontLimits(p.config.Limits, p.config.Limits.OperatorConns, operatorSparePart)
-	lim.Pace.SharePerAddress = false
+	lim.SlowPeers.SharePerAddress = false
 	server := http1.NewServer(lim, operator.New(p.core, p.accepting.Load, p.log), p.core.SlowPeers(), p.log)
 	p.lifetime.start(func(running context.Context) error { return server.Serve(running, listener) })
 	p.lifetime.start(func(context.Context) error {
-		followDrain(ctx, p.core, p.clients, p.config.Limits.Follow)
+		followDrain(ctx, p.core, p.clients, p.config.Limits.DrainCheckInterval)
 		return nil
 	})
 	return nil
--- a/cmd/gatetack/settings_applier.go
+++ b/cmd/gatetack/settings_applier.go
@@ -37,7 +37,7 @@
 	}
 	cfg.Settings = merged.Settings
 	cfg.Names.Classes, cfg.Names.Tenants = merged.Classes, merged.Tenants
-	cfg.Limits.Longest(longestDeadline(merged))
+	cfg.Limits.SetLongestDeadline(longestDeadline(merged))
 	return nil
 }
 
@@ -60,7 +60,7 @@
 	if err := overlay(base, document); err != nil {
 		return err
 	}
-	if _, _, err := a.core.Rules().Update(base.Settings, base.Names, time.Now(), a.limits.Retired); err != nil {
+	if _, _, err := a.core.Rules().Update(base.Settings, base.Names, time.Now(), a.limits.RetiredClassTTL); err != nil {
 		return &settings.InvalidError{Item: "the merged settings", Got: err.Error(),
 			Expected: "settings that can be put in force now"}
 	}
@@ -83,10 +83,10 @@
 	if err := overlay(&cfg, document); err != nil {
 		return err
 	}
-	if err := a.core.UpdateSettings(ctx, cfg.Settings, cfg.Names, a.limits.Retired); err != nil {
+	if err := a.core.UpdateSettings(ctx, cfg.Settings, cfg.Names, a.limits.RetiredClassTTL); err != nil {
 		return err
 	}
-	a.stay.Store(max(a.stay.Load(), int64(cfg.Limits.Stay)))
+	a.stay.Store(max(a.stay.Load(), int64(cfg.Limits.ShutdownGrace)))
 	return nil
 }
 
--- a/cmd/gatetack/settings_feed.go
+++ b/cmd/gatetack/settings_feed.go
@@ -48,9 +48,10 @@
 		if err != nil {
 			return nil, err
 		}
-		feed.follower.Upstream = settingsync.NewRemote(f.Settings.Follow, call, c.Limits.SettingsCall-c.Limits.SettingsPoll)
+		feed.follower.Upstream = settingsync.NewRemote(f.Settings.Follow, call,
+			c.Limits.SettingsCallTimeout-c.Limits.SettingsPollWait)
 	} else {
-		c.Limits.ServeFollowers()
+		c.Limits.ReserveFollowerConns()
 	}
 	if feed.active, err = feed.follower.Cache.Load(); err != nil {
 		log.Error("settings: the cache can not be used", operr.Attrs(err))
--- a/cmd/gatetack/shutdown.go
+++ b/cmd/gatetack/shutdown.go
@@ -46,7 +46,7 @@
 // finishFronts ends the fronts within a bound: what came in the moment in which the process decided to end still gets
 // its answer.
 func (p *process) finishFronts(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, p.config.Limits.Stay)
+	ctx, cancel := context.WithTimeout(ctx, p.config.Limits.ShutdownGrace)
 	defer cancel()
 	p.clients.Finish(ctx)
 	if p.batch != nil {
@@ -86,7 +86,7 @@
 	if rejecting || p.config.Passed >= 0 {
 		p.clients.CloseIdle()
 	}
-	if p.batch != nil && (rejecting || leavingFor >= p.config.Limits.Quiet) {
+	if p.batch != nil && (rejecting || leavingFor >= p.config.Limits.QuietPeriod) {
 		p.batch.server.CloseIdle()
 	}
 }
@@ -106,5 +106,5 @@
 	}
 	// A store without a leader must not keep the process for good: ends that it does not take stay unrecorded.
 	unrecorded := p.batch != nil && p.batch.front.Pending() && time.Since(lastUse) < 2*p.config.Limits.StoreCallTimeout
-	return p.core.Open() == 0 && connections == 0 && !unrecorded && time.Since(lastUse) >= p.config.Limits.Quiet
+	return p.core.Open() == 0 && connections == 0 && !unrecorded && time.Since(lastUse) >= p.config.Limits.QuietPeriod
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -115,8 +115,8 @@
 	s := &c.Settings
 	c.Limits = limits.New(int(granted.Get("sockets").Int()), int(granted.Get("memory_mb").Int()),
 		node.FromMs(s.ConnectTimeout), node.FromMs(s.ConnIdleTimeout), node.FromMs(s.DrainGrace))
-	c.Limits.Longest(longestDeadline(s.Classes))
-	c.Limits.Staleness.PollInterval = node.FromMs(s.MaxPollInterval)
+	c.Limits.SetLongestDeadline(longestDeadline(s.Classes))
+	c.Limits.ListTimeouts.PollInterval = node.FromMs(s.MaxPollInterval)
 	if maxOpen, err := strconv.ParseFloat(pairs["limits.maxOpen"], 64); err == nil && maxOpen >= 1 {
 		c.Limits.MaxOpen = min(c.Limits.MaxOpen, int(maxOpen))
 	}
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -31,7 +31,7 @@
 	if path := missingKey(c.document, next.document, ""); path != "" {
 		return nil, fmt.Errorf("%s: %s: absent, expected as in the file that is in force", getenv("EDGE_CONFIG"), path)
 	}
-	next.Limits.Pace = c.Limits.Pace // of the operators' file, which is read at the start
+	next.Limits.SlowPeers = c.Limits.SlowPeers // of the operators' file, which is read at the start
 	return next, nil
 }
 
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return fmt.Errorf("connecting: %w", err)
 	}
-	call.conn = http1.NewMinRateConn(accepted, c.limits.Pace.ListIn, c.limits.Pace.ExecutorOut)
+	call.conn = http1.NewMinRateConn(accepted, c.limits.SlowPeers.ListIn, c.limits.SlowPeers.ExecutorOut)
 	defer func() { _ = call.conn.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = call.conn.Close() })
 	defer stop()
@@ -83,7 +83,7 @@
 // request sends the request.
 func (l *listCall) request(target string) error {
 	l.conn.BoundReads(l.silenceDeadline())
-	l.conn.BoundWrites(time.Now().Add(l.client.limits.ListCall))
+	l.conn.BoundWrites(time.Now().Add(l.client.limits.ListCallTimeout))
 	fields := []http1.Field{{Name: "Host", Value: l.addr}}
 	if l.tracker == nil {
 		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
@@ -150,7 +150,7 @@
 	if l.tracker != nil {
 		return l.tracker.IdleDeadline()
 	}
-	return time.Now().Add(l.client.limits.ListCall)
+	return time.Now().Add(l.client.limits.ListCallTimeout)
 }
 
 // takeBody handles a part of the response's body.
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -90,11 +90,11 @@
 		slowPeers: slow,
 		log:       log,
 		requests:  make(chan request, maxPendingRequests),
-		dial:      (&net.Dialer{Timeout: lim.ListCall}).DialContext,
+		dial:      (&net.Dialer{Timeout: lim.ListCallTimeout}).DialContext,
 		sleep:     sleep,
 		source:    newSource(addr),
 	}
-	c.tracker.Timeouts = lim.Staleness
+	c.tracker.Timeouts = lim.ListTimeouts
 	c.index.Store(index)
 	return c
 }
--- a/internal/discovery/connect.go
+++ b/internal/discovery/connect.go
@@ -24,7 +24,7 @@
 	waited := time.Duration(0)
 	for backoff := connectBackoffMin; ; backoff = min(2*backoff, connectBackoffMax) {
 		conn, err := c.dial(ctx, "tcp", addr)
-		if err == nil || !tcpinfo.IsLocalConnectError(err) || waited >= c.limits.ListCall || ctx.Err() != nil {
+		if err == nil || !tcpinfo.IsLocalConnectError(err) || waited >= c.limits.ListCallTimeout || ctx.Err() != nil {
 			return conn, err
 		}
 		c.log.Info("discovery connect failed", "err", err, "backoff", backoff)
--- a/internal/discovery/connect_test.go
+++ b/internal/discovery/connect_test.go
@@ -90,7 +90,7 @@
 		if pause == connectBackoffMin {
 			inOneCall = 0 // the next call has started
 		}
-		if inOneCall += pause; inOneCall > testenv.Lim.ListCall+connectBackoffMax {
+		if inOneCall += pause; inOneCall > testenv.Lim.ListCallTimeout+connectBackoffMax {
 			t.Fatalf("the pauses of one call add up to %v, more than a call may take", inOneCall)
 		}
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -97,8 +97,8 @@
 // while changes count as notified after six.
 func TestCallsAreMadeWithoutRequests(t *testing.T) {
 	lim := testenv.Lim
-	lim.Staleness.MaxStaleness = 60 * time.Millisecond
-	lim.Staleness.PollWait, lim.Staleness.AnswerTimeout = 10*time.Millisecond, 10*time.Millisecond
+	lim.ListTimeouts.MaxStaleness = 60 * time.Millisecond
+	lim.ListTimeouts.PollWait, lim.ListTimeouts.AnswerTimeout = 10*time.Millisecond, 10*time.Millisecond
 	line := `{"index":3,"snapshot":false,"endpoints":[]}`
 	s, run := serveCalls(t, func(ctx context.Context, n int, conn net.Conn) {
 		switch n {
@@ -169,9 +169,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			lim := testenv.Lim
-			lim.Staleness.HeartbeatInterval, lim.Staleness.HeartbeatSlack = 20*time.Millisecond, 30*time.Millisecond
-			lim.Staleness.PollWait, lim.Staleness.AnswerTimeout = 30*time.Millisecond, 20*time.Millisecond
-			lim.Staleness.MinBackoff = time.Millisecond
+			lim.ListTimeouts.HeartbeatInterval, lim.ListTimeouts.HeartbeatSlack = 20*time.Millisecond, 30*time.Millisecond
+			lim.ListTimeouts.PollWait, lim.ListTimeouts.AnswerTimeout = 30*time.Millisecond, 20*time.Millisecond
+			lim.ListTimeouts.MinBackoff = time.Millisecond
 			s, run := serveCalls(t, func(ctx context.Context, n int, conn net.Conn) {
 				switch {
 				case n == 0:
@@ -204,7 +204,7 @@
 // which may never arrive. Both may contain drains that count as notified.
 func TestEndedWatchIsRestarted(t *testing.T) {
 	lim := testenv.Lim
-	lim.Staleness.StableAfter = 0
+	lim.ListTimeouts.StableAfter = 0
 	var s *testenv.Lists
 	s, run := serveCalls(t, func(ctx context.Context, n int, conn net.Conn) {
 		text := fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[]}`, n+1)
@@ -231,7 +231,7 @@
 // count as notified.
 func TestSetAddressCallsNewAddressAtOnce(t *testing.T) {
 	lim := testenv.Lim
-	lim.Staleness.MaxStaleness = time.Hour // the only calls are requested or follow a change of address
+	lim.ListTimeouts.MaxStaleness = time.Hour // the only calls are requested or follow a change of address
 	for _, old := range []string{"serves", "mute", "deaf", "gone"} {
 		c, s, list, box, run := prepare(t, lim)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -282,7 +282,7 @@
 			l := s.All()
 			return len(l) > 0 && len(l[len(l)-1].Entries) == 1 && l[len(l)-1].Entries[0].Status == "draining"
 		})
-		if d := time.Since(start); d > testenv.Lim.Staleness.HeartbeatInterval {
+		if d := time.Since(start); d > testenv.Lim.ListTimeouts.HeartbeatInterval {
 			t.Errorf("%s: the list took %v, want at most a heartbeat interval", old, d)
 		}
 		for _, l := range s.All() {
@@ -337,7 +337,7 @@
 // and the module decides when the next one is made.
 func TestCallRejectedAfterWaitIsNotRestarted(t *testing.T) {
 	lim := testenv.Lim
-	lim.Staleness.StableAfter = 0 // any wait is longer
+	lim.ListTimeouts.StableAfter = 0 // any wait is longer
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/push_test.go
+++ b/internal/discovery/push_test.go
@@ -26,7 +26,7 @@
 	box := &testenv.Box{Name: "s-1", Addr: "127.0.0.1:1"}
 	list.Put(box, "ready")
 	lim := testenv.Lim
-	lim.PushAgain = 5 * time.Millisecond
+	lim.PushedListRetryInterval = 5 * time.Millisecond
 	s := &testenv.Lists{}
 	c := New(list.Addr, 0, true, lim, s, nil, testenv.Quiet)
 	g.Go(func() error { return c.Run(ctx) })
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -67,7 +67,8 @@
 	}
 	// The agent of a pushed list can take any number of calls: the next call follows soon, or earlier if the tracker
 	// requires it.
-	if nextPushedCall := now.Add(c.limits.PushAgain); c.pushed && (!next.Owned || !next.At.Before(nextPushedCall)) {
+	if nextPushedCall := now.Add(c.limits.PushedListRetryInterval); c.pushed &&
+		(!next.Owned || !next.At.Before(nextPushedCall)) {
 		return nextPushedCall
 	}
 	return next.At
--- a/internal/executor/answer.go
+++ b/internal/executor/answer.go
@@ -32,7 +32,7 @@
 		client:      c,
 		attempt:     attempt,
 		conn:        conn,
-		deadline:    attempt.Deadline.Add(c.limits.Write),
+		deadline:    attempt.Deadline.Add(c.limits.WriteTimeout),
 		ackDeadline: attempt.lastByteAt.Add(c.acks.timeout(attempt)),
 	}
 	for {
--- a/internal/executor/cancel.go
+++ b/internal/executor/cancel.go
@@ -40,7 +40,7 @@
 
 // sendDelete sends the DELETE for a job. It runs under the client's context, since the attempt has already ended.
 func (c *Client) sendDelete(attempt *activeAttempt) {
-	ctx, cancel := context.WithTimeout(c.ctx, c.limits.Probe)
+	ctx, cancel := context.WithTimeout(c.ctx, c.limits.ProbeTimeout)
 	defer cancel()
 	address := c.address(attempt.Executor)
 	if address == "" {
--- a/internal/executor/client.go
+++ b/internal/executor/client.go
@@ -66,7 +66,7 @@
 		pool:        newPool(lim, slow),
 		endpoints:   endpointTable{byID: map[uint32]*endpointState{}},
 		attempts:    newAttemptTable(),
-		acks:        &ackTracker{estimates: slowpeer.NewAckTracker(lim.Pace.Acks)},
+		acks:        &ackTracker{estimates: slowpeer.NewAckTracker(lim.SlowPeers.Acks)},
 		slowPeers:   slow,
 		cancelSlots: make(chan struct{}, lim.CancelConns),
 		sleep:       sleep,
--- a/internal/executor/connection.go
+++ b/internal/executor/connection.go
@@ -54,7 +54,7 @@
 
 // lastBytePause is how long a request's last byte is held back: about one round-trip time.
 func (conn *connection) lastBytePause(lim limits.Limits) time.Duration {
-	return min(max(conn.connectTime, lim.SettleLeast), lim.SettleMost)
+	return min(max(conn.connectTime, lim.MinLastByteDelay), lim.MaxLastByteDelay)
 }
 
 // staysOpen waits for the pause before a request's last byte and reports whether the connection is still usable.
@@ -80,7 +80,7 @@
 // not taken. If sent is true, bytes that were sent count too until they are acknowledged, which the peer may delay by
 // 40 ms when it has nothing to send. The result left is the number of unacknowledged bytes.
 func (conn *connection) waitAcknowledged(ctx context.Context, lim limits.Limits, sent bool) (left int, ok bool) {
-	end := time.Now().Add(lim.Pace.ExecutorOut.Grace)
+	end := time.Now().Add(lim.SlowPeers.ExecutorOut.Grace)
 	for interval := conn.lastBytePause(lim); ; interval = min(2*interval, maxAckPollInterval) {
 		info, known := tcpinfo.Get(conn.Conn)
 		if !known || info.Unacknowledged == 0 || info.Unsent == 0 && !sent {
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -221,8 +221,8 @@
 // connection.
 func TestSentTimeLeftIsUpdatedAfterWait(t *testing.T) {
 	lim := testenv.Lim
-	lim.TimeSpare = 20 * time.Millisecond
-	lim.Pace.ExecutorOut = slowpeer.MinRate{BytesPerSecond: 1, Grace: 20 * time.Second}
+	lim.TimeLeftMargin = 20 * time.Millisecond
+	lim.SlowPeers.ExecutorOut = slowpeer.MinRate{BytesPerSecond: 1, Grace: 20 * time.Second}
 	c, s := newClientWithLimits(t, lim)
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -246,7 +246,7 @@
 		defer func() { _ = conn.Close() }()
 		head := make([]byte, 100)
 		_, _ = io.ReadFull(conn, head) // the request has been built
-		time.Sleep(5 * lim.TimeSpare)
+		time.Sleep(5 * lim.TimeLeftMargin)
 		left := time.Until(a.Deadline)
 		rest, _ := io.ReadAll(conn)
 		first <- got{string(head) + string(rest), left}
--- a/internal/executor/deadline_test.go
+++ b/internal/executor/deadline_test.go
@@ -43,7 +43,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			lim := testenv.Lim
-			lim.SettleLeast, lim.SettleMost = x.settle, x.settle
+			lim.MinLastByteDelay, lim.MaxLastByteDelay = x.settle, x.settle
 			c, s := newClientWithLimits(t, lim)
 			received := make(chan string, 1)
 			startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); received <- string(all) })
@@ -145,7 +145,7 @@
 					a := newAttempt(1)
 					a.Rules = precheck.RetryRules{Attempt: 1, MaxAttempts: 3}
 					set(&a)
-					client := a.Deadline.Add(testenv.Lim.AnswerEarly)
+					client := a.Deadline.Add(testenv.Lim.ResponseMargin)
 					seen := recordWrites(t, c, func() time.Time { return client }, func(conn int, moment string) {
 						if moment == at.moment && conn == 0 {
 							time.Sleep(at.length)
@@ -174,7 +174,7 @@
 	c, s := newClientWithLimits(t, testenv.Lim)
 	startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(1)
-	client := a.Deadline.Add(testenv.Lim.AnswerEarly)
+	client := a.Deadline.Add(testenv.Lim.ResponseMargin)
 	seen := recordWrites(t, c, func() time.Time { return client }, func(_ int, moment string) {
 		if moment == "head" {
 			time.Sleep(stall)
--- a/internal/executor/endpoints.go
+++ b/internal/executor/endpoints.go
@@ -70,7 +70,7 @@
 	case e.Condition() == dispatch.Ready:
 		state.sendsEndAt = time.Time{}
 	case state.sendsEndAt.IsZero():
-		state.sendsEndAt = at.Add(c.limits.DrainSpare)
+		state.sendsEndAt = at.Add(c.limits.DrainSendGrace)
 	}
 	if removed {
 		c.pool.closeIdle(state.address)
@@ -86,7 +86,7 @@
 // outOfContact reports whether an executor has not been in contact for so long that its machine may be cut off.
 func (c *Client) outOfContact(id uint32) bool {
 	state, known := c.endpoints.get(id)
-	return known && time.Since(state.lastContact) > c.limits.Pace.AckBeforeReuseAfter
+	return known && time.Since(state.lastContact) > c.limits.SlowPeers.AckBeforeReuseAfter
 }
 
 // CloseIdle closes the idle connections to an executor.
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -52,7 +52,7 @@
 // newClient returns a client for tests that do not concern the time left in requests: the large TimeSpare keeps a test
 // that is delayed on a busy machine from rebuilding requests.
 func newClient(t *testing.T, lim limits.Limits) (*Client, *resultRecorder) {
-	lim.TimeSpare = time.Hour
+	lim.TimeLeftMargin = time.Hour
 	return newClientWithLimits(t, lim)
 }
 
@@ -68,7 +68,7 @@
 // withoutRestPeriod returns limits under which an idle connection is reused at once.
 func withoutRestPeriod() limits.Limits {
 	lim := testenv.Lim
-	lim.Rest = 0
+	lim.ReuseDelay = 0
 	return lim
 }
 
@@ -283,7 +283,7 @@
 // that was being opened at the time.
 func TestDrainDuringSend(t *testing.T) {
 	lim := testenv.Lim
-	lim.DrainSpare = 0
+	lim.DrainSendGrace = 0
 	c, s := newClient(t, lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(1)
@@ -336,7 +336,8 @@
 // new one it ends as failed to connect. If it ended as reset, a tile-charge would fail finally, since it may have run.
 func TestConnectionBrokenBeforeLastByte(t *testing.T) {
 	lim := testenv.Lim
-	lim.SettleLeast, lim.SettleMost = 20*time.Second, 20*time.Second // the verdicts follow from what the executor does
+	lim.MinLastByteDelay, lim.MaxLastByteDelay = 20*time.Second,
+		20*time.Second // the verdicts follow from what the executor does
 	c, s := newClient(t, lim)
 	received := make(chan string, 1)
 	n := startRawExecutor(t, c, resetConnection, resetConnection, func(conn net.Conn) {
@@ -411,25 +412,25 @@
 			t.Errorf("%s: reused after up to %v, want %v", what, got, d)
 		}
 	}
-	want("at first", testenv.Lim.WorkerIdle)
+	want("at first", testenv.Lim.ExecutorIdleTimeout)
 	observe(10*time.Millisecond, false, 60)
 	observe(10*time.Millisecond, true, 1)
-	want("one break in many uses", testenv.Lim.WorkerIdle)
+	want("one break in many uses", testenv.Lim.ExecutorIdleTimeout)
 	observe(300*time.Millisecond, true, 1)
 	want("one break in few uses", 256*time.Millisecond)
 	observe(200*time.Millisecond, false, 3)
 	observe(200*time.Millisecond, true, 2)
 	want("breaks after less idle time", 128*time.Millisecond)
-	now = now.Add(10 * testenv.Lim.KeptMemory)
-	want("after the observations have decayed", testenv.Lim.WorkerIdle)
+	now = now.Add(10 * testenv.Lim.KeepAliveHalfLife)
+	want("after the observations have decayed", testenv.Lim.ExecutorIdleTimeout)
 	observe(time.Hour, true, 3)
-	want("the longest idle time", min(testenv.Lim.KeptFirst<<10, testenv.Lim.WorkerIdle))
+	want("the longest idle time", min(testenv.Lim.KeepAliveMinIdle<<10, testenv.Lim.ExecutorIdleTimeout))
 }
 
 // Consecutive attempts use one connection. A connection that has been idle for too long is not reused.
 func TestConnectionReuse(t *testing.T) {
 	lim := withoutRestPeriod()
-	lim.WorkerIdle = time.Hour
+	lim.ExecutorIdleTimeout = time.Hour
 	c, s := newClient(t, lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer, acceptedAnswer, acceptedAnswer))
 	for id := range uint64(3) {
@@ -451,7 +452,7 @@
 			t.Fatalf("%d connections after %d attempts", n(), id+1)
 		}
 	}
-	c.pool.limits.WorkerIdle = 0
+	c.pool.limits.ExecutorIdleTimeout = 0
 	c.Send(newAttempt(9))
 	testenv.Until(t, "a new connection", func() bool { return n() == 2 })
 }
--- a/internal/executor/healthcheck.go
+++ b/internal/executor/healthcheck.go
@@ -34,7 +34,7 @@
 func (c *Client) CheckHealth(id uint32) {
 	c.group.Go(func() error {
 		start := time.Now()
-		ctx, cancel := context.WithTimeout(c.ctx, c.limits.Probe)
+		ctx, cancel := context.WithTimeout(c.ctx, c.limits.ProbeTimeout)
 		defer cancel()
 		message, err := c.call(ctx, c.address(id), "GET", "/load")
 		outcome, report := outcomeOfHealthCheck(ctx, message, err), []float32(nil)
--- a/internal/executor/localfault_test.go
+++ b/internal/executor/localfault_test.go
@@ -266,7 +266,7 @@
 // If the node's limit of connections is reached, that is no fault of the executor for which the next one was wanted.
 func TestConnectionLimitIsALocalFault(t *testing.T) {
 	lim := testenv.Lim
-	lim.ExecutorConns, lim.Pace.MinPerPeer = 2, 2
+	lim.ExecutorConns, lim.SlowPeers.MinPerPeer = 2, 2
 	c, s := newClient(t, lim)
 	startRawExecutor(t, c, answering(acceptedAnswer))
 	dialer := (&faultyDialer{}).install(c)
--- a/internal/executor/pool.go
+++ b/internal/executor/pool.go
@@ -31,9 +31,9 @@
 	return &pool{
 		limits:    lim,
 		slowPeers: slow,
-		dial:      (&net.Dialer{Timeout: lim.Connect}).DialContext,
+		dial:      (&net.Dialer{Timeout: lim.ConnectTimeout}).DialContext,
 		idle:      map[string][]*connection{},
-		open:      slowpeer.NewLedger[string](lim.ExecutorConns, lim.Pace.MinPerPeer, lim.Pace.Alpha),
+		open:      slowpeer.NewLedger[string](lim.ExecutorConns, lim.SlowPeers.MinPerPeer, lim.SlowPeers.Alpha),
 	}
 }
 
@@ -67,7 +67,7 @@
 		p.mu.Unlock()
 		return nil, newConnectError(addr, err)
 	}
-	paced := http1.NewMinRateConn(dialed, p.limits.Pace.ExecutorIn, p.limits.Pace.ExecutorOut)
+	paced := http1.NewMinRateConn(dialed, p.limits.SlowPeers.ExecutorIn, p.limits.SlowPeers.ExecutorOut)
 	return &connection{
 		MinRateConn: paced,
 		addr:        addr,
@@ -103,7 +103,7 @@
 	defer p.mu.Unlock()
 	idle := p.idle[addr]
 	for i := len(idle) - 1; i >= 0; i-- {
-		if conn := idle[i]; time.Since(conn.idleSince) >= p.limits.Rest {
+		if conn := idle[i]; time.Since(conn.idleSince) >= p.limits.ReuseDelay {
 			p.idle[addr] = slices.Delete(idle, i, i+1)
 			return conn
 		}
@@ -164,7 +164,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := p.idle[conn.addr]
-	tooOld := func(other *connection) bool { return conn.idleSince.Sub(other.idleSince) >= p.limits.WorkerIdle }
+	tooOld := func(other *connection) bool {
+		return conn.idleSince.Sub(other.idleSince) >= p.limits.ExecutorIdleTimeout
+	}
 	for len(idle) > 0 && (len(idle) >= p.limits.IdleConnsPerExecutor || tooOld(idle[0])) {
 		_ = idle[0].Close()
 		p.open.Release(conn.addr, 1)
--- a/internal/executor/races_test.go
+++ b/internal/executor/races_test.go
@@ -146,7 +146,7 @@
 			c.pool.mu.Lock()
 			defer c.pool.mu.Unlock()
 			for _, x := range c.pool.idle[c.address(7)] {
-				x.idleSince = x.idleSince.Add(-testenv.Lim.Rest)
+				x.idleSince = x.idleSince.Add(-testenv.Lim.ReuseDelay)
 				return true
 			}
 			return false
--- a/internal/executor/reuse.go
+++ b/internal/executor/reuse.go
@@ -31,8 +31,8 @@
 
 // record records whether a connection that had been idle for idleFor was found broken.
 func (h *reuseHistory) record(lim *limits.Limits, idleFor time.Duration, broke bool, now time.Time) {
-	h.decay(now, lim.KeptMemory)
-	i, edge := 0, lim.KeptFirst
+	h.decay(now, lim.KeepAliveHalfLife)
+	i, edge := 0, lim.KeepAliveMinIdle
 	for ; i < reuseBuckets-1 && idleFor >= edge; i++ {
 		edge *= 2
 	}
@@ -45,13 +45,13 @@
 // maxIdleTime returns how long a connection may have been idle and still be reused: up to the first range in which too
 // many were broken.
 func (h *reuseHistory) maxIdleTime(lim *limits.Limits, now time.Time) time.Duration {
-	h.decay(now, lim.KeptMemory)
-	from, to := time.Duration(0), lim.KeptFirst
+	h.decay(now, lim.KeepAliveHalfLife)
+	from, to := time.Duration(0), lim.KeepAliveMinIdle
 	for i := range h.uses {
-		if h.breaks[i] > lim.KeptBroken*(h.uses[i]+lim.KeptSure) {
-			return min(from, lim.WorkerIdle)
+		if h.breaks[i] > lim.KeepAliveMaxBroken*(h.uses[i]+lim.KeepAlivePriorUses) {
+			return min(from, lim.ExecutorIdleTimeout)
 		}
 		from, to = to, 2*to
 	}
-	return lim.WorkerIdle
+	return lim.ExecutorIdleTimeout
 }
--- a/internal/executor/send.go
+++ b/internal/executor/send.go
@@ -45,7 +45,7 @@
 		// not sent then, since its last byte was not written, and it takes another connection. A new connection that
 		// breaks is a sign of a fault of the executor, and the dispatch module is notified.
 		retry := sent.outcome == dispatch.ConnectFailed && (conn.reused || conn.rebuild)
-		if !retry || n >= c.limits.Reconnects || ctx.Err() != nil {
+		if !retry || n >= c.limits.MaxReconnects || ctx.Err() != nil {
 			return sent
 		}
 	}
@@ -73,7 +73,7 @@
 		return sendResult{outcome: dispatch.CanceledBeforeSend, reusable: true}
 	}
 	// The request states the time that will be left when its last byte can be written.
-	timeLeft := c.limits.TellableTime(time.Until(attempt.Deadline) - conn.lastBytePause(c.limits))
+	timeLeft := c.limits.ReportedTimeLeft(time.Until(attempt.Deadline) - conn.lastBytePause(c.limits))
 	if timeLeft < minTimeLeft {
 		return sendResult{outcome: dispatch.CanceledBeforeSend, reusable: true}
 	}
@@ -82,7 +82,7 @@
 	}
 	// The request was built before these waits. If it states more time than its client has left now, it is rebuilt
 	// once, on another connection. The attempt ends AnswerEarly before the client's deadline.
-	if timeLeft > time.Until(attempt.Deadline)+c.limits.AnswerEarly {
+	if timeLeft > time.Until(attempt.Deadline)+c.limits.ResponseMargin {
 		if attempt.rebuilt {
 			return sendResult{outcome: dispatch.CanceledBeforeSend}
 		}
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -23,7 +23,7 @@
 // withShortAcks returns limits under which an acknowledgement is overdue after 50 ms.
 func withShortAcks() limits.Limits {
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.Pace.Acks = slowpeer.AckRule{
+	lim.SlowPeers.Acks = slowpeer.AckRule{
 		MinTimeout:    50 * time.Millisecond,
 		MaxTimeout:    200 * time.Millisecond,
 		BoundMultiple: 3,
@@ -114,7 +114,7 @@
 // connection is closed and counted, and the attempt goes on to its result.
 func TestSlowRestOfA202(t *testing.T) {
 	lim := withShortAcks()
-	lim.Pace.ExecutorIn = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 60 * time.Millisecond}
+	lim.SlowPeers.ExecutorIn = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 60 * time.Millisecond}
 	c, s := newClient(t, lim)
 	closed := make(chan bool)
 	startRawExecutor(t, c, func(conn net.Conn) {
@@ -148,7 +148,7 @@
 	for name, size := range map[string]int{"the kernel takes all": 60 << 10, "the write stalls": 32 << 20} {
 		t.Run(name, func(t *testing.T) {
 			lim := withShortAcks()
-			lim.Pace.ExecutorOut = slowpeer.MinRate{BytesPerSecond: 1 << 30, Grace: 100 * time.Millisecond}
+			lim.SlowPeers.ExecutorOut = slowpeer.MinRate{BytesPerSecond: 1 << 30, Grace: 100 * time.Millisecond}
 			c, s := newClient(t, lim)
 			release := make(chan bool)
 			defer close(release)
@@ -235,7 +235,7 @@
 // executor still gets a connection.
 func TestConnectionShareOfOneExecutor(t *testing.T) {
 	lim := withShortAcks()
-	lim.ExecutorConns, lim.Pace.MinPerPeer, lim.Pace.Alpha = 12, 2, 2
+	lim.ExecutorConns, lim.SlowPeers.MinPerPeer, lim.SlowPeers.Alpha = 12, 2, 2
 	c, s := newClient(t, lim)
 	accepted := startRawExecutor(t, c, func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) })
 	for id := range uint64(12) {
--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -145,8 +145,8 @@
 
 // register makes a connection of the server's of one that was accepted.
 func (s *Server) register(accepted net.Conn) *conn {
-	tcpinfo.SetBuffers(accepted, s.limits.Pace.SendBufferBytes, 0)
-	tcpinfo.SetUserTimeout(accepted, s.limits.Pace.UserTimeout)
+	tcpinfo.SetBuffers(accepted, s.limits.SlowPeers.SendBufferBytes, 0)
+	tcpinfo.SetUserTimeout(accepted, s.limits.SlowPeers.UserTimeout)
 	c := newConn(accepted, &s.limits)
 	// Past the budget, where all others are busy, a connection gets one answer. Past the reserve too it is refused
 	// as soon as its request has come: its client waits for nothing, and a request that is left in the listener's
@@ -158,10 +158,10 @@
 // waitForDescriptor returns once there is a descriptor for one more connection, however short-lived.
 func (s *Server) waitForDescriptor(ctx context.Context) {
 	for s.descriptorsExhausted() && ctx.Err() == nil {
-		s.closeIdle(s.limits.DoorWait)
+		s.closeIdle(s.limits.EvictIdleAfter)
 		select {
 		case <-s.descriptorFreed:
-		case <-time.After(s.limits.DoorWait / 4):
+		case <-time.After(s.limits.EvictIdleAfter / 4):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/http1/clientleft_test.go
+++ b/internal/http1/clientleft_test.go
@@ -219,14 +219,14 @@
 // connection and on one that was used; a part that came behind a request which took longer than its bound gets
 // it at once.
 func TestClientThatStopsInsideARequestGetsItsError(t *testing.T) {
-	if bound := lim.Pace.RequestTimeout; bound > 3*time.Second-300*time.Millisecond {
+	if bound := lim.SlowPeers.RequestTimeout; bound > 3*time.Second-300*time.Millisecond {
 		t.Errorf("a request has %v to come whole, and its client is owed an end within 3 s", bound)
 	}
 	quick := lim
-	quick.Pace.RequestTimeout = 50 * time.Millisecond
+	quick.SlowPeers.RequestTimeout = 50 * time.Millisecond
 	_, addr := serve(t, quick, func(_ context.Context, m *Message) Response {
 		if m.Target == "/long" {
-			time.Sleep(2 * quick.Pace.RequestTimeout)
+			time.Sleep(2 * quick.SlowPeers.RequestTimeout)
 		}
 		return Response{Status: 200, KnownClient: true}
 	})
@@ -254,7 +254,7 @@
 // client stopped then.
 func TestBoundOfARequestBehindAnotherCountsFromItsFirstByte(t *testing.T) {
 	long := lim
-	long.Pace.RequestTimeout, long.Pace.ClientIn = time.Hour, slowpeer.MinRate{}
+	long.SlowPeers.RequestTimeout, long.SlowPeers.ClientIn = time.Hour, slowpeer.MinRate{}
 	began, on := make(chan bool, 1), make(chan bool)
 	s, addr := serve(t, long, func(context.Context, *Message) Response {
 		began <- true
--- a/internal/http1/closing_test.go
+++ b/internal/http1/closing_test.go
@@ -173,19 +173,19 @@
 			dial(t, w.addr) // ends the accept that is under way
 		}},
 	{name: "idle bound", first: get, answers: 1, late: get,
-		limit: func(l *limits.Limits) { l.StrangerIdle = 50 * time.Millisecond }},
+		limit: func(l *limits.Limits) { l.UnknownClientIdleTimeout = 50 * time.Millisecond }},
 	{name: "idle bound of a known client", first: "POST / HTTP/1.1\r\n\r\n", answers: 1, late: get,
-		limit: func(l *limits.Limits) { l.ClientIdle = 50 * time.Millisecond }},
+		limit: func(l *limits.Limits) { l.ClientIdleTimeout = 50 * time.Millisecond }},
 	{name: "bound of a new connection", late: get,
-		limit: func(l *limits.Limits) { l.Pace.RequestTimeout = 50 * time.Millisecond }},
+		limit: func(l *limits.Limits) { l.SlowPeers.RequestTimeout = 50 * time.Millisecond }},
 	{name: "bound of a request, half of it read", first: get[:7], phase: reading, late: get[7:],
-		limit: func(l *limits.Limits) { l.Pace.RequestTimeout = 50 * time.Millisecond }},
+		limit: func(l *limits.Limits) { l.SlowPeers.RequestTimeout = 50 * time.Millisecond }},
 	{name: "least rate of a request, half of it read", first: get[:7], phase: reading, late: get[7:],
 		limit: func(l *limits.Limits) {
-			l.Pace.ClientIn = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 50 * time.Millisecond}
+			l.SlowPeers.ClientIn = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 50 * time.Millisecond}
 		}},
 	{name: "drain", late: get, limit: func(*limits.Limits) {}, begin: func(_ *testing.T, w *watched) { w.s.CloseIdle() }},
-	{name: "end of the server", late: get, limit: func(l *limits.Limits) { l.DoorWait = 0 },
+	{name: "end of the server", late: get, limit: func(l *limits.Limits) { l.EvictIdleAfter = 0 },
 		begin: func(t *testing.T, w *watched) {
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan bool)
@@ -246,7 +246,7 @@
 // is answered, if its client reads on.
 func TestRequestOfASlowReaderIsAnsweredAsItIsClosed(t *testing.T) {
 	slow := lim
-	slow.Pace.ClientOut, slow.Pace.UnsentCheckInterval = slowpeer.MinRate{
+	slow.SlowPeers.ClientOut, slow.SlowPeers.UnsentCheckInterval = slowpeer.MinRate{
 		BytesPerSecond: 1 << 20,
 		Grace:          150 * time.Millisecond,
 	}, 20*time.Millisecond
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -54,7 +54,10 @@
 )
 
 func newConn(accepted net.Conn, l *limits.Limits) *conn {
-	c := &conn{MinRateConn: NewMinRateConn(accepted, l.Pace.ClientIn, l.Pace.ClientOut), ended: make(chan struct{})}
+	c := &conn{
+		MinRateConn: NewMinRateConn(accepted, l.SlowPeers.ClientIn, l.SlowPeers.ClientOut),
+		ended:       make(chan struct{}),
+	}
 	c.init(l)
 	return c
 }
--- a/internal/http1/eviction.go
+++ b/internal/http1/eviction.go
@@ -46,7 +46,7 @@
 	case s.open > s.limits.ClientConns:
 		c.service = singleAnswer
 	}
-	if s.limits.Pace.SharePerAddress {
+	if s.limits.SlowPeers.SharePerAddress {
 		s.admitToShare(c)
 	}
 }
@@ -68,7 +68,7 @@
 func (s *Server) evict() *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.evictLocked(s.limits.DoorWait)
+	return s.evictLocked(s.limits.EvictIdleAfter)
 }
 
 func (s *Server) evictLocked(minAge time.Duration) *conn {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -345,7 +345,7 @@
 // A request that does not come whole in time is answered, so that slow ones do not hold descriptors for good.
 func TestRequestNotWholeInTimeGets408(t *testing.T) {
 	quick := lim
-	quick.Pace.RequestTimeout = 30 * time.Millisecond
+	quick.SlowPeers.RequestTimeout = 30 * time.Millisecond
 	_, addr := serve(t, quick, func(context.Context, *Message) Response { return Response{Status: 200} })
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, "GET / HT")
@@ -412,7 +412,8 @@
 // one that asked something and stays is closed sooner than that of a client.
 func TestWaitForStrangersIsBounded(t *testing.T) {
 	quick := lim
-	quick.Pace.RequestTimeout, quick.StrangerIdle, quick.ClientIdle = 100*time.Millisecond, 100*time.Millisecond, time.Hour
+	quick.SlowPeers.RequestTimeout, quick.UnknownClientIdleTimeout, quick.ClientIdleTimeout = 100*time.Millisecond,
+		100*time.Millisecond, time.Hour
 	_, addr := serve(t, quick, func(context.Context, *Message) Response { return Response{Status: 200} })
 	sent := map[string]string{"says nothing": "", "drips": "GET / HTTP/1.1\r\nA: ", "stays": "GET / HTTP/1.1\r\n\r\n"}
 	for name, text := range sent {
--- a/internal/http1/minrate_test.go
+++ b/internal/http1/minrate_test.go
@@ -142,9 +142,9 @@
 // and counted; others are served meanwhile, and an answer that is whole in the kernel still comes to one that reads on.
 func TestClientsThatStopReadingAreDisconnected(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.Pace.ClientOut = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 150 * time.Millisecond}
-	lim.Pace.UnsentCheckInterval = 20 * time.Millisecond
-	lim.Pace.SendBufferBytes = 16 << 10
+	lim.SlowPeers.ClientOut = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 150 * time.Millisecond}
+	lim.SlowPeers.UnsentCheckInterval = 20 * time.Millisecond
+	lim.SlowPeers.SendBufferBytes = 16 << 10
 	size := 1 << 20
 	s, addr := serve(t, lim, func(_ context.Context, m *Message) Response {
 		if m.Target == "/small" {
@@ -187,8 +187,8 @@
 // A head and a body that drip end with an error in time, and are counted.
 func TestRequestsBelowTheMinimumRateGet408(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.Pace.ClientIn = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 100 * time.Millisecond}
-	lim.Pace.RequestTimeout = time.Hour
+	lim.SlowPeers.ClientIn = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 100 * time.Millisecond}
+	lim.SlowPeers.RequestTimeout = time.Hour
 	s, addr := serve(t, lim, func(context.Context, *Message) Response {
 		t.Error("a request that never came whole was handled")
 		return Response{Status: 200}
@@ -218,7 +218,7 @@
 // One address that opens connections by the hundred gets its share, and another is still served.
 func TestConnectionsAreSharedByAddress(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.Pace.SharePerAddress, lim.ClientConns, lim.OverflowConns = true, 24, 100
+	lim.SlowPeers.SharePerAddress, lim.ClientConns, lim.OverflowConns = true, 24, 100
 	s, addr := serve(t, lim, func(context.Context, *Message) Response { return Response{Status: 200} })
 	for range 40 {
 		dial(t, addr)
--- a/internal/http1/pipelining_test.go
+++ b/internal/http1/pipelining_test.go
@@ -168,7 +168,7 @@
 // door, and with idle ones in the way nothing is refused.
 func TestConnectionPastTheReserveIsRejectedAtOnce(t *testing.T) {
 	small := lim
-	small.ClientConns, small.OverflowConns, small.RejectConns, small.Linger = 1, 1, 1, 50*time.Millisecond
+	small.ClientConns, small.OverflowConns, small.RejectConns, small.LingerTimeout = 1, 1, 1, 50*time.Millisecond
 	hold, began := make(chan bool), make(chan bool, 4)
 	defer close(hold)
 	s, addr := serve(t, small, func(context.Context, *Message) Response {
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -40,7 +40,7 @@
 func (r *clientReader) init(l *limits.Limits) {
 	r.ring = NewRing(l.RingBytes)
 	r.readRequested, r.readDone = make(chan struct{}, 1), make(chan struct{}, 1)
-	r.discardPause, r.pauseDiscards = l.DropPause, time.Sleep
+	r.discardPause, r.pauseDiscards = l.DiscardPause, time.Sleep
 }
 
 // readLoop makes the reads that are requested, until the channel for requests is closed. It calls clientLeft
--- a/internal/http1/registry.go
+++ b/internal/http1/registry.go
@@ -115,7 +115,7 @@
 func (s *Server) slowReaders() (slow []*conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pressure := s.limits.Pace.Pressure(s.open, s.limits.ClientConns)
+	pressure := s.limits.SlowPeers.Pressure(s.open, s.limits.ClientConns)
 	for c := range s.conns {
 		if !c.unreadAnswer {
 			continue
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -71,7 +71,7 @@
 		lifecycle: lifecycle{acceptDone: make(chan struct{})},
 		registry: registry{
 			conns:           map[*conn]struct{}{},
-			shares:          slowpeer.NewLedger[string](lim.ClientConns, lim.Pace.MinPerPeer, lim.Pace.Alpha),
+			shares:          slowpeer.NewLedger[string](lim.ClientConns, lim.SlowPeers.MinPerPeer, lim.SlowPeers.Alpha),
 			descriptorFreed: make(chan struct{}, 1),
 		},
 	}
@@ -116,7 +116,7 @@
 
 // monitorUnreadAnswers closes the connections of clients that read their answers too slowly, until the context ends.
 func (s *Server) monitorUnreadAnswers(ctx context.Context) {
-	tick := time.NewTicker(s.limits.Pace.UnsentCheckInterval)
+	tick := time.NewTicker(s.limits.SlowPeers.UnsentCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/http1/session.go
+++ b/internal/http1/session.go
@@ -161,7 +161,7 @@
 		return
 	}
 	x.ExpectNone()
-	for by := time.Now().Add(x.server.limits.Linger); time.Now().Before(by); {
+	for by := time.Now().Add(x.server.limits.LingerTimeout); time.Now().Before(by); {
 		x.BoundReads(by)
 		if !x.readPending {
 			x.ring.Drop(x.ring.Len())
@@ -216,14 +216,14 @@
 // request. That has to be whole within its time from the accept on, however slowly it comes.
 func (x *session) boundFirstByte() (first bool) {
 	x.server.mu.Lock()
-	limits, from, wait := &x.server.limits, time.Now(), x.server.limits.ClientIdle
+	limits, from, wait := &x.server.limits, time.Now(), x.server.limits.ClientIdleTimeout
 	switch first = !x.hadRequest; {
 	case first && x.service == rejectOnly:
-		from, wait = x.phaseSince, limits.Linger
+		from, wait = x.phaseSince, limits.LingerTimeout
 	case first:
-		from, wait = x.phaseSince, limits.Pace.RequestTimeout
+		from, wait = x.phaseSince, limits.SlowPeers.RequestTimeout
 	case !x.knownClient:
-		wait = limits.StrangerIdle
+		wait = limits.UnknownClientIdleTimeout
 	}
 	x.server.mu.Unlock()
 	x.ExpectNone()
@@ -254,7 +254,7 @@
 		progress.started = true
 		if !progress.first {
 			// Its first byte can have come long ago, behind a request that was handled.
-			x.BoundReads(x.requestStart.Add(x.server.limits.Pace.RequestTimeout))
+			x.BoundReads(x.requestStart.Add(x.server.limits.SlowPeers.RequestTimeout))
 		}
 		x.ExpectBytes()
 	}
--- a/internal/http1/shutdown.go
+++ b/internal/http1/shutdown.go
@@ -67,7 +67,7 @@
 	s.Drain()
 	for s.OpenConns() > 0 && ctx.Err() == nil {
 		sleep(ctx, finishPollInterval)
-		s.closeIdle(s.limits.DoorWait)
+		s.closeIdle(s.limits.EvictIdleAfter)
 	}
 }
 
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -70,44 +70,44 @@
 	StoreCallTimeout       time.Duration // of one call, a change of the leader included
 
 	// Times.
-	ClientIdle   time.Duration          // a client's connection between requests,
-	StrangerIdle time.Duration          // and one that carried nothing that the front took for its clients'
-	Linger       time.Duration          // after a connection's last answer, what its client still sends is taken in unread
-	DoorWait     time.Duration          // a connection on which nothing has come for so long makes place where all are in use
-	DropPause    time.Duration          // between reads of what a client sends behind an open request and beyond its ring
-	Write        time.Duration          // of one short message to another member, and past an attempt's end
-	Connect      time.Duration          // to an executor; the settings' connectTimeout
-	SettleLeast  time.Duration          // the last byte of a request to an executor waits for a round trip,
-	SettleMost   time.Duration          // within these, to see whether the connection still stands
-	Reconnects   int                    // connections that one attempt may find broken before its last byte is written
-	KeptFirst    time.Duration          // bounds the shortest idle times told apart to learn how long kept connections stand,
-	KeptMemory   time.Duration          // over which half of what was learned is forgotten,
-	KeptSure     float64                // uses that stand for none having broken,
-	KeptBroken   float64                // and the share of broken ones from which on a new connection is made instead
-	Rest         time.Duration          // after an answer, a second one may come on a connection to an executor: for so long it carries nothing new
-	WorkerIdle   time.Duration          // an idle connection to an executor is not used after it: well before connIdle
-	TimeSpare    time.Duration          // an executor is told so much less time than its attempt has, or an eighth of it: see TellableTime
-	Returns      time.Duration          // for so long it is kept that an executor handed a request back: longer than a client waits
-	Probe        time.Duration          // of a probe, and of giving up an attempt
-	ListCall     time.Duration          // of one call for the whole list, and of a connection to it
-	Staleness    endpointwatch.Timeouts // when changes of the list count as told, and calls are given up and made again
-	PushAgain    time.Duration          // between watches on the agent of a pushed list, which cost it nothing
-	DrainSpare   time.Duration          // after a drain was told, a send that is under way may still be written
-	ReadyBy      time.Duration          // after the start, the node is ready though no list has come
-	AnswerEarly  time.Duration          // before a client gives up, a request that is still out is answered
-	Stay         time.Duration          // after SIGTERM, clients are served on the connections they have
-	Follow       time.Duration          // between looks at the drain state, at which idle connections of a drained node close
-	Retired      time.Duration          // after a retune, jobs of a class that it dropped are still taken
-	Quiet        time.Duration          // at the end, nothing may come for so long before the node exits
+	ClientIdleTimeout        time.Duration          // a client's connection between requests,
+	UnknownClientIdleTimeout time.Duration          // and one that carried nothing that the front took for its clients'
+	LingerTimeout            time.Duration          // after a connection's last answer, what its client still sends is taken in unread
+	EvictIdleAfter           time.Duration          // a connection on which nothing has come for so long makes place where all are in use
+	DiscardPause             time.Duration          // between reads of what a client sends behind an open request and beyond its ring
+	WriteTimeout             time.Duration          // of one short message to another member, and past an attempt's end
+	ConnectTimeout           time.Duration          // to an executor; the settings' connectTimeout
+	MinLastByteDelay         time.Duration          // the last byte of a request to an executor waits for a round trip,
+	MaxLastByteDelay         time.Duration          // within these, to see whether the connection still stands
+	MaxReconnects            int                    // connections that one attempt may find broken before its last byte is written
+	KeepAliveMinIdle         time.Duration          // bounds the shortest idle times told apart to learn how long kept connections stand,
+	KeepAliveHalfLife        time.Duration          // over which half of what was learned is forgotten,
+	KeepAlivePriorUses       float64                // uses that stand for none having broken,
+	KeepAliveMaxBroken       float64                // and the share of broken ones from which on a new connection is made instead
+	ReuseDelay               time.Duration          // after an answer, a second one may come on a connection to an executor: for so long it carries nothing new
+	ExecutorIdleTimeout      time.Duration          // an idle connection to an executor is not used after it: well before connIdle
+	TimeLeftMargin           time.Duration          // an executor is told so much less time than its attempt has, or an eighth of it: see TellableTime
+	RejectedTTL              time.Duration          // for so long it is kept that an executor handed a request back: longer than a client waits
+	ProbeTimeout             time.Duration          // of a probe, and of giving up an attempt
+	ListCallTimeout          time.Duration          // of one call for the whole list, and of a connection to it
+	ListTimeouts             endpointwatch.Timeouts // when changes of the list count as told, and calls are given up and made again
+	PushedListRetryInterval  time.Duration          // between watches on the agent of a pushed list, which cost it nothing
+	DrainSendGrace           time.Duration          // after a drain was told, a send that is under way may still be written
+	ReadyTimeout             time.Duration          // after the start, the node is ready though no list has come
+	ResponseMargin           time.Duration          // before a client gives up, a request that is still out is answered
+	ShutdownGrace            time.Duration          // after SIGTERM, clients are served on the connections they have
+	DrainCheckInterval       time.Duration          // between looks at the drain state, at which idle connections of a drained node close
+	RetiredClassTTL          time.Duration          // after a retune, jobs of a class that it dropped are still taken
+	QuietPeriod              time.Duration          // at the end, nothing may come for so long before the node exits
 
 	// Settings that come through the store.
-	SettingsPoll    time.Duration // a process that follows waits so long for a change in one call
-	SettingsCall    time.Duration // of such a call in all: then the member is taken to be away
-	SettingsBackoff Backoff       // between calls that fail
-	SettingsRetry   Backoff       // between tries to put in force what could not be
+	SettingsPollWait     time.Duration // a process that follows waits so long for a change in one call
+	SettingsCallTimeout  time.Duration // of such a call in all: then the member is taken to be away
+	SettingsBackoff      Backoff       // between calls that fail
+	SettingsRetryBackoff Backoff       // between tries to put in force what could not be
 
 	// Slow peers.
-	Pace slowpeer.Policy
+	SlowPeers slowpeer.Policy
 
 	// The process.
 	Cores       int
@@ -117,15 +117,15 @@
 
 const (
 	reservedFDs = 64 // standard streams, the poller, listeners, discovery, the store, and files being read
-	leastFDs    = 256
+	minFDs      = 256
 	// A connection takes some 30 KB, measured with 530 of them: so all of a budget take a quarter of the memory.
 	connsPerMB = 8
 
 	// A node that was told to leave may be killed as soon as the longest deadline, or killAfter, and killSpare are
 	// over; it has seen to all that came late by killEarly before.
-	killAfter = 3 * time.Second
-	killSpare = 700 * time.Millisecond
-	killEarly = 200 * time.Millisecond
+	killAfter      = 3 * time.Second
+	killGrace      = 700 * time.Millisecond
+	shutdownMargin = 200 * time.Millisecond
 )
 
 // stalenessTimeouts are the protocol's: one clock for silence (6 s), discovery's own wait (2 s) and 2 s past it, 4 s from a SIGHUP,
@@ -136,23 +136,23 @@
 	StableAfter: time.Second, MinBackoff: 100 * time.Millisecond}
 
 // Backoff is the wait before a next try: it doubles from First up to Most.
-type Backoff struct{ First, Most time.Duration }
+type Backoff struct{ Min, Max time.Duration }
 
-// TellableTime is the time that an executor is told of what its attempt has left. It is less by what the last byte of the request may
+// ReportedTimeLeft is the time that an executor is told of what its attempt has left. It is less by what the last byte of the request may
 // be held up without the request being made anew, since its head cannot be changed any more then.
-func (l *Limits) TellableTime(left time.Duration) time.Duration {
-	return left - min(l.TimeSpare, left/8)
+func (l *Limits) ReportedTimeLeft(left time.Duration) time.Duration {
+	return left - min(l.TimeLeftMargin, left/8)
 }
 
-// ServeFollowers takes connections from those for clients and grants them to processes that follow the settings.
-func (l *Limits) ServeFollowers() {
+// ReserveFollowerConns takes connections from those for clients and grants them to processes that follow the settings.
+func (l *Limits) ReserveFollowerConns() {
 	l.StoreFollowers = l.ClientConns / 4
 	l.ClientConns -= l.StoreFollowers
 }
 
-// Longest takes in the longest deadline of a client.
-func (l *Limits) Longest(deadline time.Duration) {
-	l.Stay = min(max(deadline, 0), killAfter) + killSpare - killEarly
+// SetLongestDeadline takes in the longest deadline of a client.
+func (l *Limits) SetLongestDeadline(deadline time.Duration) {
+	l.ShutdownGrace = min(max(deadline, 0), killAfter) + killGrace - shutdownMargin
 }
 
 // New fills the limits from what the platform grants: a number of descriptors and megabytes of memory. Zero
@@ -164,7 +164,7 @@
 	if memoryMB <= 0 {
 		memoryMB = 192
 	}
-	usable := max(sockets, leastFDs) - reservedFDs
+	usable := max(sockets, minFDs) - reservedFDs
 	if connectTimeout <= 0 {
 		connectTimeout = 250 * time.Millisecond
 	}
@@ -174,13 +174,13 @@
 	if drainGrace <= 0 {
 		drainGrace = 500 * time.Millisecond
 	}
-	spare, giveUps, batch := usable/16, usable/32, usable/16
-	workers := usable / 3
+	overflow, cancels, batch := usable/16, usable/32, usable/16
+	executors := usable / 3
 	return Limits{
 		RingBytes: 4 << 10, LineBytes: 8 << 10, HeaderBytes: 16 << 10, HeaderLines: 64, IDBytes: 256, BodyBytes: 64 << 10,
 		TotalBodyBytes: memoryMB << 20 / 8, WatchLine: 1 << 20,
-		ClientConns: min(usable-spare-giveUps-workers-batch*5/4, memoryMB*connsPerMB), OverflowConns: spare - spare/4, RejectConns: spare / 4, ExecutorConns: workers,
-		IdleConnsPerExecutor: 32, CancelConns: giveUps, OperatorConns: 16,
+		ClientConns: min(usable-overflow-cancels-executors-batch*5/4, memoryMB*connsPerMB), OverflowConns: overflow - overflow/4, RejectConns: overflow / 4, ExecutorConns: executors,
+		IdleConnsPerExecutor: 32, CancelConns: cancels, OperatorConns: 16,
 		BatchConns: batch, BatchJobs: 4096, BatchResultBytes: 16 << 20, MaxBatchWait: time.Minute, MaxBatchDeadline: 15 * time.Minute,
 		MaxBatchStartDelay: 30 * 24 * time.Hour, MinBatchRetryDelay: 100 * time.Millisecond, BatchOut: 64, BatchWaitingItems: 10000, BatchArrayMembers: 1 << 20,
 		BatchEvents: 4096, BatchCallbackChecks: 64, BatchSessions: 256, BatchPageJobs: 1000, BatchPageScanned: 20000, BatchStoredJobs: 1 << 20, BatchStoredBytes: 4 << 30,
@@ -190,16 +190,16 @@
 		StoreConns: 8, StoreBodyBytes: 256 << 10, StoreValues: 4096, StoreBytes: 16 << 20, StoreSnapshotThreshold: 2048,
 		StoreElectionTimeout: 500 * time.Millisecond, StoreCallTimeout: 5 * time.Second, LeaseTTL: 3 * time.Second,
 		Events: 4096, QueuedPeerMessages: 64, MaxOpen: 4096,
-		ClientIdle: 2 * time.Minute, StrangerIdle: 5 * time.Second, Linger: 500 * time.Millisecond, DoorWait: 50 * time.Millisecond, DropPause: time.Millisecond, Write: 5 * time.Second,
-		SettleLeast: 2 * time.Millisecond, SettleMost: 40 * time.Millisecond, Reconnects: 4,
-		KeptFirst: 32 * time.Millisecond, KeptMemory: 15 * time.Second, KeptSure: 10, KeptBroken: 0.05,
-		Connect: connectTimeout, Rest: 50 * time.Millisecond, WorkerIdle: connIdle * 2 / 3, TimeSpare: 40 * time.Millisecond, Returns: time.Minute, Probe: time.Second,
-		ListCall: 2500 * time.Millisecond, Staleness: stalenessTimeouts, PushAgain: 100 * time.Millisecond, DrainSpare: drainGrace / 2,
-		ReadyBy: 5 * time.Second, AnswerEarly: 30 * time.Millisecond, Stay: killAfter + killSpare - killEarly, Quiet: 700 * time.Millisecond,
-		Follow: 20 * time.Millisecond, Retired: 3 * time.Second,
-		SettingsPoll: 2 * time.Second, SettingsCall: 3 * time.Second,
-		SettingsBackoff: Backoff{50 * time.Millisecond, 2 * time.Second}, SettingsRetry: Backoff{time.Second, 30 * time.Second},
-		Pace:  slowpeer.Default(),
-		Cores: 1, MemoryBytes: int64(memoryMB) << 20 * 3 / 4, PeerBytes: 256,
+		ClientIdleTimeout: 2 * time.Minute, UnknownClientIdleTimeout: 5 * time.Second, LingerTimeout: 500 * time.Millisecond, EvictIdleAfter: 50 * time.Millisecond, DiscardPause: time.Millisecond, WriteTimeout: 5 * time.Second,
+		MinLastByteDelay: 2 * time.Millisecond, MaxLastByteDelay: 40 * time.Millisecond, MaxReconnects: 4,
+		KeepAliveMinIdle: 32 * time.Millisecond, KeepAliveHalfLife: 15 * time.Second, KeepAlivePriorUses: 10, KeepAliveMaxBroken: 0.05,
+		ConnectTimeout: connectTimeout, ReuseDelay: 50 * time.Millisecond, ExecutorIdleTimeout: connIdle * 2 / 3, TimeLeftMargin: 40 * time.Millisecond, RejectedTTL: time.Minute, ProbeTimeout: time.Second,
+		ListCallTimeout: 2500 * time.Millisecond, ListTimeouts: stalenessTimeouts, PushedListRetryInterval: 100 * time.Millisecond, DrainSendGrace: drainGrace / 2,
+		ReadyTimeout: 5 * time.Second, ResponseMargin: 30 * time.Millisecond, ShutdownGrace: killAfter + killGrace - shutdownMargin, QuietPeriod: 700 * time.Millisecond,
+		DrainCheckInterval: 20 * time.Millisecond, RetiredClassTTL: 3 * time.Second,
+		SettingsPollWait: 2 * time.Second, SettingsCallTimeout: 3 * time.Second,
+		SettingsBackoff: Backoff{50 * time.Millisecond, 2 * time.Second}, SettingsRetryBackoff: Backoff{time.Second, 30 * time.Second},
+		SlowPeers: slowpeer.Default(),
+		Cores:     1, MemoryBytes: int64(memoryMB) << 20 * 3 / 4, PeerBytes: 256,
 	}
 }
--- a/internal/limits/shutdown_test.go
+++ b/internal/limits/shutdown_test.go
@@ -16,8 +16,8 @@
 		25 * time.Second:        3700 * time.Millisecond,
 	} {
 		l := New(0, 0, 0, 0, 0)
-		l.Longest(longest)
-		if got, want := l.Stay, killed-200*time.Millisecond; got != want {
+		l.SetLongestDeadline(longest)
+		if got, want := l.ShutdownGrace, killed-200*time.Millisecond; got != want {
 			t.Errorf("deadline %v: it serves for %v, want %v", longest, got, want)
 		}
 	}
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -44,7 +44,7 @@
 	rules := j.retryRules()
 	attempt := c.jobs.addAttempt(j, a.Executor, now)
 	endpoint, listed := c.endpoints.byID[a.Executor]
-	until := j.deadline.Add(-c.limits.AnswerEarly)
+	until := j.deadline.Add(-c.limits.ResponseMargin)
 	if a.For > 0 {
 		until = earlier(until, now.Add(FromMs(a.For)))
 	}
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -369,7 +369,7 @@
 // and an answered job frees its place.
 func TestTenantLimit(t *testing.T) {
 	h := newFakeAdapters(t, readyEndpoint("s-1"))
-	h.core.limits.Pace.MaxCustomerRequests = 2
+	h.core.limits.SlowPeers.MaxCustomerRequests = 2
 	h.core.open.byTenant = make([]atomic.Int64, 2)
 	submit := func(id string, tenant int) (uint32, error) {
 		return h.core.Submit(
@@ -408,7 +408,7 @@
 		h := newFakeAdapters(t, known...)
 		c := h.core
 		c.handle(endpointUpdate{EndpointList{Form: dispatch.ListFailed}})
-		h.now = c.clock.start.Add(c.limits.ReadyBy - 1)
+		h.now = c.clock.start.Add(c.limits.ReadyTimeout - 1)
 		if c.Ready() {
 			t.Error("ready before ReadyBy")
 		}
--- a/internal/node/deadline_test.go
+++ b/internal/node/deadline_test.go
@@ -46,7 +46,7 @@
 				t.Fatalf("got %d sends, want %d", len(h.attempts), x.sends)
 			}
 			for i, a := range h.attempts {
-				if latest := clientDeadline.Add(-lim.AnswerEarly); a.Deadline.After(latest) {
+				if latest := clientDeadline.Add(-lim.ResponseMargin); a.Deadline.After(latest) {
 					t.Errorf("attempt %d ends %v after AnswerEarly before the client's deadline", i+1, a.Deadline.Sub(latest))
 				}
 			}
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -25,8 +25,8 @@
 func newEndpointTable(s dispatch.Settings, lim limits.Limits) endpointTable {
 	// A polled list stays fresh for the poll interval, and usable for FailedPollFactor times as long, which covers
 	// failed calls.
-	fresh := max(FromMs(s.MaxPollInterval), lim.Staleness.MaxStaleness)
-	usable := time.Duration(lim.Staleness.FailedPollFactor) * fresh
+	fresh := max(FromMs(s.MaxPollInterval), lim.ListTimeouts.MaxStaleness)
+	usable := time.Duration(lim.ListTimeouts.FailedPollFactor) * fresh
 	bounds := map[recovery.Kind]recovery.AgeBounds{recovery.EndpointList: {Fresh: fresh, Usable: usable}}
 	return endpointTable{byID: map[uint32]Endpoint{}, knowledge: recovery.NewKnowledge(bounds)}
 }
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -24,7 +24,7 @@
 	j.rules = c.rules.Load()
 	c.jobs.add(j)
 	c.queueEvent(requestEvent(j, now))
-	c.startTimer(j.deadline.Add(-c.limits.AnswerEarly), jobDeadline(j.id))
+	c.startTimer(j.deadline.Add(-c.limits.ResponseMargin), jobDeadline(j.id))
 }
 
 // requestEvent converts a job to the module's request event.
@@ -153,7 +153,7 @@
 	if j == nil || j.answered.Load() {
 		return
 	}
-	last := j.deadline.Add(-c.limits.AnswerEarly / 3)
+	last := j.deadline.Add(-c.limits.ResponseMargin / 3)
 	if now.Before(last) {
 		c.startTimer(last, jobDeadline(id))
 		return
--- a/internal/node/openjobs.go
+++ b/internal/node/openjobs.go
@@ -20,7 +20,7 @@
 		c.open.total.Add(-1)
 		return ErrQueueFull
 	}
-	maxOpen := c.limits.Pace.MaxCustomerRequests
+	maxOpen := c.limits.SlowPeers.MaxCustomerRequests
 	if maxOpen > 0 && j.request.Tenant < len(c.open.byTenant) && int(c.open.byTenant[j.request.Tenant].Add(1)) > maxOpen {
 		c.unreserve(j)
 		c.counters.slowPeers.Add(slowpeer.ClientOverShare)
@@ -32,7 +32,7 @@
 // unreserve takes back the count of reserve.
 func (c *Core) unreserve(j *job) {
 	c.open.total.Add(-1)
-	if c.limits.Pace.MaxCustomerRequests > 0 && j.request.Tenant < len(c.open.byTenant) {
+	if c.limits.SlowPeers.MaxCustomerRequests > 0 && j.request.Tenant < len(c.open.byTenant) {
 		c.open.byTenant[j.request.Tenant].Add(-1)
 	}
 }
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -145,7 +145,7 @@
 		return false
 	}
 	return c.status.hasReadyExecutor.Load() ||
-		!c.status.endpointsConfirmed.Load() && c.clock.sinceStart(c.clock.now()) >= c.limits.ReadyBy
+		!c.status.endpointsConfirmed.Load() && c.clock.sinceStart(c.clock.now()) >= c.limits.ReadyTimeout
 }
 
 // Drain marks the node as drained by the operator: its health checks fail, so that clients go elsewhere, and it goes
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -24,7 +24,7 @@
 	if known == 0 {
 		return
 	}
-	c.startup.watch.Started(c.clock.start, c.limits.Staleness)
+	c.startup.watch.Started(c.clock.start, c.limits.ListTimeouts)
 	c.status.holdsJobs.Store(true)
 }
 
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -54,7 +54,7 @@
 	for name, wait := range map[string]func(h *fakeAdapters){
 		"the call fails": func(h *fakeAdapters) { h.core.ListCallFailed(); h.run(time.Second) },
 		"no answer": func(h *fakeAdapters) {
-			h.run(lim.Staleness.PollWait + 2*lim.Staleness.AnswerTimeout + time.Second)
+			h.run(lim.ListTimeouts.PollWait + 2*lim.ListTimeouts.AnswerTimeout + time.Second)
 		},
 	} {
 		h := newHoldingAdapters(t, readyEndpoint("s-old"))
--- a/internal/settingsync/fake_test.go
+++ b/internal/settingsync/fake_test.go
@@ -104,10 +104,10 @@
 
 func testLimits() limits.Limits {
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.SettingsPoll = 40 * time.Millisecond
-	lim.SettingsCall = time.Second
-	lim.SettingsBackoff = limits.Backoff{First: time.Millisecond, Most: 4 * time.Millisecond}
-	lim.SettingsRetry = limits.Backoff{First: 2 * time.Millisecond, Most: 10 * time.Millisecond}
+	lim.SettingsPollWait = 40 * time.Millisecond
+	lim.SettingsCallTimeout = time.Second
+	lim.SettingsBackoff = limits.Backoff{Min: time.Millisecond, Max: 4 * time.Millisecond}
+	lim.SettingsRetryBackoff = limits.Backoff{Min: 2 * time.Millisecond, Max: 10 * time.Millisecond}
 	return lim
 }
 
--- a/internal/settingsync/follower.go
+++ b/internal/settingsync/follower.go
@@ -97,7 +97,7 @@
 // Fetch gets the latest settings before a process starts. It gives up after the time of one call and returns the empty
 // document: the process then starts with its base configuration.
 func Fetch(ctx context.Context, cfg FollowerConfig) *settings.Document {
-	ctx, cancel := context.WithTimeout(ctx, cfg.Limits.SettingsCall)
+	ctx, cancel := context.WithTimeout(ctx, cfg.Limits.SettingsCallTimeout)
 	defer cancel()
 	empty := settings.NewDocument()
 	report := settings.Report{Process: cfg.Process, Incarnation: cfg.Incarnation}
@@ -125,7 +125,7 @@
 	}
 	f.replica.NoteActivation(err)
 	if err != nil {
-		f.activation.failed(f.cfg.Limits.SettingsRetry)
+		f.activation.failed(f.cfg.Limits.SettingsRetryBackoff)
 		f.cfg.Log.Error("settings not activated", "active", f.replica.ActiveVersion(),
 			operr.Attrs(&ActivationError{document.Version(), err}))
 		return
@@ -143,7 +143,7 @@
 		f.cache = cacheState{}
 		return
 	}
-	f.cache.retry.failed(f.cfg.Limits.SettingsRetry)
+	f.cache.retry.failed(f.cfg.Limits.SettingsRetryBackoff)
 	f.cfg.Log.Warn("settings cache not written", "version", f.cache.unsaved.Version(),
 		"failures", f.cache.retry.failures, operr.Attrs(err))
 }
@@ -196,7 +196,7 @@
 	if f.polls.failures > 0 {
 		return 0
 	}
-	wait := f.cfg.Limits.SettingsPoll
+	wait := f.cfg.Limits.SettingsPollWait
 	if f.replica.Pending() {
 		wait = min(wait, f.activation.remaining())
 	}
@@ -208,10 +208,10 @@
 
 // backoffAfter is the wait after a number of consecutive failures.
 func backoffAfter(b limits.Backoff, failures int) time.Duration {
-	wait := b.First
+	wait := b.Min
 	for range failures - 1 {
-		if wait = 2 * wait; wait >= b.Most {
-			return b.Most
+		if wait = 2 * wait; wait >= b.Max {
+			return b.Max
 		}
 	}
 	return wait
--- a/internal/settingsync/handler.go
+++ b/internal/settingsync/handler.go
@@ -155,7 +155,7 @@
 		out.Unreachable, out.Processes = append(out.Unreachable, "all others: "+err.Error()), s.withRoster(out.Processes)
 		return out
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.cfg.Limits.SettingsPoll)
+	ctx, cancel := context.WithTimeout(ctx, s.cfg.Limits.SettingsPollWait)
 	defer cancel()
 	var others sync.WaitGroup
 	var mu sync.Mutex
--- a/internal/settingsync/rollout_bench_test.go
+++ b/internal/settingsync/rollout_bench_test.go
@@ -128,7 +128,7 @@
 				Log: slog.New(
 					slog.DiscardHandler,
 				),
-				Upstream: settingsync.NewRemote(f.addresses, f.call, f.lim.SettingsCall-f.lim.SettingsPoll),
+				Upstream: settingsync.NewRemote(f.addresses, f.call, f.lim.SettingsCallTimeout-f.lim.SettingsPollWait),
 			},
 			settings.NewDocument(),
 		)
@@ -155,7 +155,7 @@
 	f.ctx, cancel = context.WithCancel(context.Background())
 	b.Cleanup(func() { cancel(); f.running.Wait() })
 	f.lim = limits.New(4096, 0, 0, 0, 0)
-	f.lim.ServeFollowers()
+	f.lim.ReserveFollowerConns()
 	log := slog.New(slog.DiscardHandler)
 	var members map[string]string
 	members, f.addresses = memberAddresses(b)
@@ -218,7 +218,7 @@
 func BenchmarkIdlePoll(b *testing.B) {
 	f := newBenchMembers(b, 4)
 	proxy := newCountingProxy(b, f.addresses[0])
-	remote := settingsync.NewRemote([]string{proxy.ln.Addr().String()}, f.call, f.lim.SettingsCall)
+	remote := settingsync.NewRemote([]string{proxy.ln.Addr().String()}, f.call, f.lim.SettingsCallTimeout)
 	first, err := remote.Poll(b.Context(), settings.Report{Process: "dispatcher-000"}, 0)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/settingsync/roster.go
+++ b/internal/settingsync/roster.go
@@ -81,7 +81,7 @@
 // withRoster adds the processes of the roster that no member observed, and removes those that were forgotten and are
 // unresponsive.
 func (s *Service) withRoster(observed []settings.Progress) []settings.Progress {
-	recent := 2 * s.cfg.Limits.SettingsCall.Milliseconds()
+	recent := 2 * s.cfg.Limits.SettingsCallTimeout.Milliseconds()
 	var out, missing []settings.Progress
 	names := map[string]bool{}
 	for _, p := range observed {
--- a/internal/settingsync/service.go
+++ b/internal/settingsync/service.go
@@ -109,7 +109,7 @@
 
 // catchUp returns true once this member has all that was committed before, false when the context ends.
 func (s *Service) catchUp(ctx context.Context) bool {
-	wait := s.cfg.Limits.SettingsBackoff.First
+	wait := s.cfg.Limits.SettingsBackoff.Min
 	for ctx.Err() == nil {
 		err := s.cfg.Store.CatchUp(ctx)
 		if err == nil {
@@ -117,7 +117,7 @@
 		}
 		s.cfg.Log.Debug("settings not caught up", "err", err)
 		sleep(ctx, wait)
-		wait = min(2*wait, s.cfg.Limits.SettingsBackoff.Most)
+		wait = min(2*wait, s.cfg.Limits.SettingsBackoff.Max)
 	}
 	return false
 }
@@ -206,7 +206,7 @@
 // over. The update's version is lower than the received one where this member is behind. A member that knows no leader
 // can not tell whether there is an update and returns a NotReadyError, so that the process tries another member.
 func (s *Service) Poll(ctx context.Context, report settings.Report, wait time.Duration) (settings.Update, error) {
-	timer := time.NewTimer(min(max(wait, 0), s.cfg.Limits.SettingsPoll))
+	timer := time.NewTimer(min(max(wait, 0), s.cfg.Limits.SettingsPollWait))
 	defer timer.Stop()
 	s.observe(report)
 	for {
--- a/internal/settingsync/settingsync_test.go
+++ b/internal/settingsync/settingsync_test.go
@@ -467,7 +467,7 @@
 	began := time.Now()
 	startFollower(t, "p", up, &fakeTarget{}, Cache{})
 	waitFor(t, "it has polled", func() bool { return up.last().Sequence > polls })
-	if least := polls * testLimits().SettingsPoll / 2; time.Since(began) < least {
+	if least := polls * testLimits().SettingsPollWait / 2; time.Since(began) < least {
 		t.Errorf("%d polls in under %v", polls, least)
 	}
 }
--- a/internal/store/dial.go
+++ b/internal/store/dial.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := http1.NewMinRateConn(dialed, lim.Pace.ExecutorIn, lim.Pace.ExecutorOut)
+	c := http1.NewMinRateConn(dialed, lim.SlowPeers.ExecutorIn, lim.SlowPeers.ExecutorOut)
 	defer func() { _ = c.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -117,7 +117,8 @@
 	)
 	c := raft.DefaultConfig()
 	c.LocalID, c.Logger = raft.ServerID(s.cfg.Name), quiet
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = s.lim.StoreElectionTimeout, s.lim.StoreElectionTimeout, s.lim.StoreElectionTimeout/2
+	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = s.lim.StoreElectionTimeout,
+		s.lim.StoreElectionTimeout, s.lim.StoreElectionTimeout/2
 	c.CommitTimeout = s.lim.StoreElectionTimeout / 20
 	c.SnapshotThreshold, c.TrailingLogs = uint64(s.lim.StoreSnapshotThreshold), uint64(s.lim.StoreSnapshotThreshold)/4
 	alone := len(s.cfg.Members) == 1 && s.cfg.Join == ""
@@ -157,7 +158,8 @@
 	// With an empty folder the member takes part in nothing until it is known that none is lost: see package membership.
 	s.startedEmpty = !known
 	s.mux.raftOpen.Store(known)
-	s.guard = newGuard(raft.NewNetworkTransportWithLogger(s.mux, 2, s.lim.StoreCallTimeout, quiet), s.disk, s.lim.StoreElectionTimeout)
+	s.guard = newGuard(raft.NewNetworkTransportWithLogger(s.mux, 2, s.lim.StoreCallTimeout, quiet), s.disk,
+		s.lim.StoreElectionTimeout)
 	if s.startedEmpty { // nothing was acknowledged by this folder
 		s.guard.setAssessment(membership.Assessment{Complete: true})
 		if err := s.disk.watermark.arm(membership.Position{}, 0); err != nil {
