--- a/internal/dispatch/dispatcher_bench_test.go
+++ b/internal/dispatch/dispatcher_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkJob is one job in a large fleet that serves at once: its request, its send and its outcome.
+// BenchmarkJob measures one job in a large fleet that serves immediately: its request, its send and its outcome.
 func BenchmarkJob(b *testing.B) {
 	for _, executors := range []int{1000, 6200, 20000} {
 		b.Run(fmt.Sprintf("executors=%d", executors), func(b *testing.B) {
--- a/internal/dispatch/example_test.go
+++ b/internal/dispatch/example_test.go
@@ -6,8 +6,8 @@
 	"gatetack/internal/dispatch"
 )
 
-// A host feeds events in and carries actions out. Here a node with one executor gets a request, is told that
-// it was served, and has nothing left to answer.
+// A host passes events to a Dispatcher and carries out the returned actions. Here, a node with one executor gets a
+// request and its outcome. After the executor was removed, the node rejects the next request.
 func Example() {
 	settings := dispatch.Settings{
 		Nodes:       1,
@@ -41,7 +41,7 @@
 		Updates: []dispatch.EndpointUpdate{{Executor: 7, Condition: dispatch.Ready, Weight: 1}}})
 	carryOut(1010, dispatch.Event{Kind: dispatch.EvRequest, Job: 1, TimeLeft: 5000, Slots: 1})
 	carryOut(1300, dispatch.Event{Kind: dispatch.EvOutcome, Job: 1, Executor: 7, Outcome: dispatch.Served, Final: true})
-	carryOut(1400, dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot}) // the executor has left
+	carryOut(1400, dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot}) // the executor was removed
 	carryOut(1500, dispatch.Event{Kind: dispatch.EvRequest, Job: 2, TimeLeft: 10, Slots: 1})
 	// Output:
 	// 1010 ms: send job 1 to executor 7
--- a/internal/dispatch/golden_actions_test.go
+++ b/internal/dispatch/golden_actions_test.go
@@ -19,14 +19,14 @@
 		}
 		r.done = true
 		if a.Kind == dispatch.ActReject && c.random.chance(0.5) {
-			again := r.event
+			retry := r.event
 			wait := max(a.For, 20)
-			if again.TimeLeft = r.deadline - c.now - wait; again.TimeLeft > 50 {
-				again.Job = c.nextJob
+			if retry.TimeLeft = r.deadline - c.now - wait; retry.TimeLeft > 50 {
+				retry.Job = c.nextJob
 				c.nextJob++
-				again.Flags |= dispatch.FlagRetry
+				retry.Flags |= dispatch.FlagRetry
 				node := c.random.below(len(c.nodes))
-				c.schedule(wait, func() { c.submit(node, again) })
+				c.schedule(wait, func() { c.submit(node, retry) })
 			}
 		}
 	case dispatch.ActCancel:
@@ -55,7 +55,7 @@
 
 func (c *goldenCluster) executor(id uint32) *goldenExecutor {
 	for _, e := range c.executors {
-		if e.row.Executor == id {
+		if e.endpoint.Executor == id {
 			return e
 		}
 	}
@@ -79,7 +79,7 @@
 	e := a.executor
 	switch {
 	case a.ended:
-	case e.down || e.row.Condition == dispatch.Removed || e.rejectsConnections && c.random.chance(0.7):
+	case e.down || e.endpoint.Condition == dispatch.Removed || e.rejectsConnections && c.random.chance(0.7):
 		c.endAttempt(a, dispatch.ConnectFailed, s.ConnectTimeout)
 	case e.rejectsJobs, len(e.queue) > 6:
 		c.endAttempt(a, dispatch.Full, 1)
@@ -88,7 +88,7 @@
 	case e.unresponsive:
 		if s.StartNotifications {
 			c.deliver(a.node, a.incarnation, 120, dispatch.Event{Kind: dispatch.EvNotification, Job: a.job, Attempt: a.number,
-				Executor: e.row.Executor, Topic: dispatch.NotificationAckOverdue})
+				Executor: e.endpoint.Executor, Topic: dispatch.NotificationAckOverdue})
 		}
 	default:
 		e.queue = append(e.queue, a)
@@ -121,7 +121,7 @@
 		Kind:     dispatch.EvNotification,
 		Job:      a.job,
 		Attempt:  a.number,
-		Executor: e.row.Executor,
+		Executor: e.endpoint.Executor,
 		Topic:    dispatch.NotificationStarted,
 	}
 	if s.StartNotifications {
@@ -141,7 +141,7 @@
 	}
 	if c.plan.streams && c.random.chance(0.1) {
 		c.deliver(a.node, a.incarnation, run/2, dispatch.Event{Kind: dispatch.EvStreamStarted, Job: a.job, Attempt: a.number,
-			Executor: e.row.Executor, Elapsed: run / 2})
+			Executor: e.endpoint.Executor, Elapsed: run / 2})
 	}
 	outcome := dispatch.Served
 	switch {
@@ -184,7 +184,7 @@
 		Kind:     dispatch.EvOutcome,
 		Job:      a.job,
 		Attempt:  a.number,
-		Executor: e.row.Executor,
+		Executor: e.endpoint.Executor,
 		Outcome:  outcome,
 		Elapsed:  after,
 		Final:    final,
@@ -223,7 +223,7 @@
 }
 
 func (c *goldenCluster) checkHealth(i int, n *goldenNode, id uint32) {
-	e, s, life := c.executor(id), c.plan.settings(i), n.incarnation
+	e, s, incarnation := c.executor(id), c.plan.settings(i), n.incarnation
 	c.schedule(c.random.span(1, 6), func() {
 		event := dispatch.Event{Kind: dispatch.EvHealthCheck, Executor: id, Elapsed: 4}
 		switch {
@@ -234,19 +234,20 @@
 		default:
 			event.Outcome, event.Report = dispatch.Served, c.report(e, s)
 		}
-		c.deliver(i, life, 1, event)
+		c.deliver(i, incarnation, 1, event)
 	})
 }
 
-func (c *goldenCluster) pollList(i, life int) {
+func (c *goldenCluster) pollList(i, incarnation int) {
 	c.schedule(3, func() {
 		n := c.nodes[i]
-		if n.incarnation != life {
+		if n.incarnation != incarnation {
 			return
 		}
 		e := dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListFailed}
 		if c.discovery {
-			e = dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: c.version, Updates: c.rows()}
+			e = dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: c.version,
+				Updates: c.endpointUpdates()}
 			n.watching = true
 		}
 		n.pending = append(n.pending, e)
--- a/internal/dispatch/golden_cluster_test.go
+++ b/internal/dispatch/golden_cluster_test.go
@@ -32,24 +32,24 @@
 
 // goldenPlan holds the parameters of a run of the cluster.
 type goldenPlan struct {
-	name       string
-	seed       uint64
-	nodes      int
-	executors  int
-	duration   float64 // ms
-	rate       float64 // requests per second of all nodes together
-	keys       int     // number of affinity keys; 0: requests carry none
-	memory     bool
-	zonePrices bool
-	streams    bool
-	hints      float64 // fraction of the requests with a work hint
-	faults     float64 // rate of faults relative to the default
-	retunes    bool
-	settings   func(node int) dispatch.Settings
+	name            string
+	seed            uint64
+	nodes           int
+	executors       int
+	duration        float64 // ms
+	rate            float64 // requests per second of all nodes together
+	keys            int     // number of affinity keys; 0: requests carry none
+	memory          bool
+	zonePrices      bool
+	streams         bool
+	workHintShare   float64 // fraction of the requests with a work hint
+	faults          float64 // rate of faults relative to the default
+	settingsUpdates bool
+	settings        func(node int) dispatch.Settings
 }
 
 type goldenExecutor struct {
-	row                dispatch.EndpointUpdate
+	endpoint           dispatch.EndpointUpdate
 	slots              float64
 	busySlots          float64
 	queue              []*goldenAttempt
@@ -144,7 +144,7 @@
 		eventCounts: map[dispatch.EventKind]int{}, recordStep: step, nextJob: 1}
 	for i := range plan.executors {
 		e := &goldenExecutor{slots: float64(2 + i%3), speed: 0.6 + 0.2*float64(i%5), failingClass: -1, memory: 16}
-		e.row = dispatch.EndpointUpdate{
+		e.endpoint = dispatch.EndpointUpdate{
 			Executor:  uint32(100 + 3*i),
 			Zone:      uint8(i % 3),
 			Kind:      uint8(i % 2),
@@ -169,8 +169,8 @@
 	} {
 		c.repeat(fault.every/max(plan.faults, 0.01), fault.run)
 	}
-	if plan.retunes {
-		c.repeat(1700, c.retune)
+	if plan.settingsUpdates {
+		c.repeat(1700, c.updateSettings)
 	}
 	return c
 }
@@ -213,19 +213,19 @@
 }
 
 // deliver gives an event to a node after a delay, unless the node is down or has restarted since.
-func (c *goldenCluster) deliver(node, life int, after float64, e dispatch.Event) {
+func (c *goldenCluster) deliver(node, incarnation int, after float64, e dispatch.Event) {
 	c.schedule(after, func() {
-		if n := c.nodes[node]; n.incarnation == life && !n.down {
+		if n := c.nodes[node]; n.incarnation == incarnation && !n.down {
 			n.pending = append(n.pending, e)
 		}
 	})
 }
 
-func (c *goldenCluster) rows() []dispatch.EndpointUpdate {
+func (c *goldenCluster) endpointUpdates() []dispatch.EndpointUpdate {
 	rows := make([]dispatch.EndpointUpdate, 0, len(c.executors))
 	for _, e := range c.executors {
-		if e.row.Condition != dispatch.Removed {
-			rows = append(rows, e.row)
+		if e.endpoint.Condition != dispatch.Removed {
+			rows = append(rows, e.endpoint)
 		}
 	}
 	return rows
@@ -242,7 +242,7 @@
 		c.t.Fatal(err)
 	}
 	n.dispatcher = d
-	rows := c.rows()
+	rows := c.endpointUpdates()
 	if n.incarnation > 1 && len(rows) > 3 {
 		rows = rows[:len(rows)-1] // the cached list is outdated
 	}
@@ -274,7 +274,7 @@
 		if c.random.chance(0.05) {
 			e.Work *= 6
 		}
-		if c.random.chance(c.plan.hints) {
+		if c.random.chance(c.plan.workHintShare) {
 			e.Flags |= dispatch.FlagWorkHint
 		}
 		if c.random.chance(0.1) {
@@ -301,19 +301,19 @@
 	r := &goldenRequest{event: e, deadline: c.now + e.TimeLeft}
 	n.requests[e.Job] = r
 	n.pending = append(n.pending, e)
-	life, job := n.incarnation, e.Job
+	incarnation, job := n.incarnation, e.Job
 	if e.Flags&dispatch.FlagWorkHint == 0 {
 		r.event.Work = e.Work
 	}
 	if c.random.chance(0.04) {
-		c.schedule(c.random.span(1, e.TimeLeft), func() { c.disconnectClient(node, life, job) })
+		c.schedule(c.random.span(1, e.TimeLeft), func() { c.disconnectClient(node, incarnation, job) })
 	}
-	c.schedule(e.TimeLeft+5, func() { c.disconnectClient(node, life, job) })
+	c.schedule(e.TimeLeft+5, func() { c.disconnectClient(node, incarnation, job) })
 }
 
-func (c *goldenCluster) disconnectClient(node, life int, job uint32) {
+func (c *goldenCluster) disconnectClient(node, incarnation int, job uint32) {
 	n := c.nodes[node]
-	if n.incarnation != life {
+	if n.incarnation != incarnation {
 		return
 	}
 	r := n.requests[job]
--- a/internal/dispatch/golden_faults_test.go
+++ b/internal/dispatch/golden_faults_test.go
@@ -10,8 +10,8 @@
 // This file holds the faults of the golden runs: of executors, nodes and discovery, and events that violate the
 // contract of the host.
 
-// publishRows sends changed rows to all nodes that watch the list.
-func (c *goldenCluster) publishRows(rows ...dispatch.EndpointUpdate) {
+// publishUpdates sends changed rows to all nodes that watch the list.
+func (c *goldenCluster) publishUpdates(rows ...dispatch.EndpointUpdate) {
 	c.version++
 	for i, n := range c.nodes {
 		if n.watching {
@@ -70,9 +70,9 @@
 func (c *goldenCluster) killExecutor(e *goldenExecutor) {
 	e.incarnation++
 	e.busySlots, e.running, e.queue, e.unresponsive = 0, 0, nil, false
-	outs := e.attempts
+	lost := e.attempts
 	e.attempts = nil
-	for _, a := range outs {
+	for _, a := range lost {
 		if a.ended {
 			continue
 		}
@@ -86,32 +86,32 @@
 
 func (c *goldenCluster) restartExecutor() {
 	e := c.anyExecutor()
-	if e.row.Condition == dispatch.Removed {
+	if e.endpoint.Condition == dispatch.Removed {
 		return
 	}
 	c.killExecutor(e)
 	e.down = true
 	c.schedule(c.random.span(20, 300), func() {
-		e.down, e.row.StartedAt, e.row.Condition = false, c.now, dispatch.Ready
-		c.publishRows(e.row)
+		e.down, e.endpoint.StartedAt, e.endpoint.Condition = false, c.now, dispatch.Ready
+		c.publishUpdates(e.endpoint)
 	})
 }
 
 func (c *goldenCluster) drainExecutor() {
 	e := c.anyExecutor()
-	if e.row.Condition != dispatch.Ready {
+	if e.endpoint.Condition != dispatch.Ready {
 		return
 	}
-	e.row.Condition = dispatch.Draining
-	c.publishRows(e.row)
+	e.endpoint.Condition = dispatch.Draining
+	c.publishUpdates(e.endpoint)
 	c.schedule(400, func() {
-		e.row.Condition = dispatch.Removed
+		e.endpoint.Condition = dispatch.Removed
 		c.killExecutor(e)
-		c.publishRows(e.row)
+		c.publishUpdates(e.endpoint)
 		c.schedule(700, func() {
-			e.row.Condition, e.row.StartedAt = dispatch.Ready, c.now
-			e.row.Zone = uint8(c.random.below(3))
-			c.publishRows(e.row)
+			e.endpoint.Condition, e.endpoint.StartedAt = dispatch.Ready, c.now
+			e.endpoint.Zone = uint8(c.random.below(3))
+			c.publishUpdates(e.endpoint)
 		})
 	})
 }
@@ -148,13 +148,13 @@
 func (c *goldenCluster) changeWeights() {
 	var rows []dispatch.EndpointUpdate
 	for i, e := range c.executors {
-		if e.row.Condition != dispatch.Removed {
-			e.row.Weight = float64(1+i%3) / (1 + float64(e.running+len(e.queue))/e.slots)
-			rows = append(rows, e.row)
+		if e.endpoint.Condition != dispatch.Removed {
+			e.endpoint.Weight = float64(1+i%3) / (1 + float64(e.running+len(e.queue))/e.slots)
+			rows = append(rows, e.endpoint)
 		}
 	}
 	if len(c.nodes) > 0 && c.plan.settings(0).LiveWeights {
-		c.publishRows(rows...)
+		c.publishUpdates(rows...)
 	}
 }
 
@@ -166,7 +166,7 @@
 		return
 	}
 	job := uint32(c.random.below(int(c.nextJob)))
-	odd := []dispatch.Event{
+	malformed := []dispatch.Event{
 		{Kind: dispatch.EvOutcome, Job: 1 << 30, Executor: 100, Outcome: dispatch.Served, Report: []float32{1, 2, 3}},
 		{Kind: dispatch.EvOutcome, Job: job, Attempt: 77, Executor: 103, Outcome: dispatch.Full},
 		{Kind: dispatch.EvNotification, Job: job, Attempt: 9, Topic: dispatch.NotificationProgress},
@@ -187,14 +187,14 @@
 			Report:   []float32{float32(math.NaN()), float32(math.Inf(1)), -1},
 		},
 		{Kind: dispatch.EvTimer, Token: 1 << 30},
-		{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: c.version, Updates: c.rows()},
+		{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: c.version, Updates: c.endpointUpdates()},
 		{
 			Kind:    dispatch.EvEndpoints,
 			Form:    dispatch.ListDelta,
 			Updates: []dispatch.EndpointUpdate{{Executor: 1 << 30, Condition: dispatch.Removed}},
 		},
 	}
-	n.pending = append(n.pending, odd[c.random.below(len(odd))])
+	n.pending = append(n.pending, malformed[c.random.below(len(malformed))])
 	if c.random.chance(0.3) { // a request with invalid numbers, whose answer is ignored
 		n.requests[c.nextJob] = &goldenRequest{deadline: c.now + 300, event: dispatch.Event{Work: 50, TimeLeft: 300}}
 		n.pending = append(
@@ -202,14 +202,14 @@
 			dispatch.Event{Kind: dispatch.EvRequest, Job: c.nextJob, Class: 250, Tenant: 60000, Slots: math.NaN(),
 				Memory: -3, TimeLeft: 300, Work: math.Inf(1), Flags: dispatch.FlagWorkHint},
 		)
-		life, id := n.incarnation, c.nextJob
-		c.schedule(305, func() { c.disconnectClient(i, life, id) })
+		incarnation, id := n.incarnation, c.nextJob
+		c.schedule(305, func() { c.disconnectClient(i, incarnation, id) })
 		c.nextJob++
 	}
 }
 
-// retune changes the classes, tenants and fees of a node while jobs are open.
-func (c *goldenCluster) retune() {
+// updateSettings changes the classes, tenants and fees of a node while jobs are open.
+func (c *goldenCluster) updateSettings() {
 	i := c.random.below(len(c.nodes))
 	n := c.nodes[i]
 	if n.down {
--- a/internal/dispatch/golden_plans_test.go
+++ b/internal/dispatch/golden_plans_test.go
@@ -72,21 +72,22 @@
 // lists.
 func goldenPlans() []goldenPlan { //nolint:funlen // a table
 	return []goldenPlan{
-		{name: "gossip", seed: 11, nodes: 3, executors: 10, duration: 12000, rate: 60, hints: 0.7, faults: 1, memory: true,
-			zonePrices: true, streams: true, retunes: true, settings: func(node int) dispatch.Settings {
+		{name: "gossip", seed: 11, nodes: 3, executors: 10, duration: 12000, rate: 60, workHintShare: 0.7, faults: 1,
+			memory:     true,
+			zonePrices: true, streams: true, settingsUpdates: true, settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 3)
 				s.PollsList = true
 				s.Fields = []dispatch.Field{dispatch.FieldFree, dispatch.FieldPending, dispatch.FieldMemory}
 				return s
 			}},
-		{name: "alone", seed: 12, nodes: 1, executors: 6, duration: 15000, rate: 65, hints: 0.5, faults: 1, keys: 40,
-			streams: true, retunes: true, settings: func(node int) dispatch.Settings {
+		{name: "alone", seed: 12, nodes: 1, executors: 6, duration: 15000, rate: 65, workHintShare: 0.5, faults: 1, keys: 40,
+			streams: true, settingsUpdates: true, settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 1)
 				s.GossipAllowed, s.PollsList, s.WeightByWork, s.MaxConcurrentStreams = false, true, true, 3
 				s.Fields = []dispatch.Field{dispatch.FieldBusy, dispatch.FieldLatency, dispatch.FieldErrors, dispatch.FieldServed}
 				return s
 			}},
-		{name: "aggregator", seed: 13, nodes: 40, executors: 60, duration: 4500, rate: 260, hints: 0.8, faults: 2,
+		{name: "aggregator", seed: 13, nodes: 40, executors: 60, duration: 4500, rate: 260, workHintShare: 0.8, faults: 2,
 			memory: true, settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 40)
 				s.PollsList = true
@@ -95,13 +96,14 @@
 				}
 				return s
 			}},
-		{name: "aggregator-small-fleet", seed: 14, nodes: 40, executors: 16, duration: 4000, rate: 90, hints: 0.8, faults: 1,
+		{name: "aggregator-small-fleet", seed: 14, nodes: 40, executors: 16, duration: 4000, rate: 90, workHintShare: 0.8,
+			faults: 1,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 40)
 				s.ProgressInterval, s.CancelAllowed = 0, false
 				return s
 			}},
-		{name: "probes", seed: 15, nodes: 4, executors: 12, duration: 9000, rate: 70, hints: 0.6, faults: 1, keys: 25,
+		{name: "probes", seed: 15, nodes: 4, executors: 12, duration: 9000, rate: 70, workHintShare: 0.6, faults: 1, keys: 25,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 4)
 				s.Telemetry, s.HealthChecksAllowed, s.StartNotifications, s.ProgressInterval =
@@ -109,23 +111,24 @@
 				s.Fields = []dispatch.Field{dispatch.FieldUtil, dispatch.FieldPending, dispatch.FieldOther}
 				return s
 			}},
-		{name: "probes-large-fleet", seed: 16, nodes: 120, executors: 150, duration: 2200, rate: 600, hints: 0.6, faults: 2,
-			keys: 60, settings: func(node int) dispatch.Settings {
+		{name: "probes-large-fleet", seed: 16, nodes: 120, executors: 150, duration: 2200, rate: 600, workHintShare: 0.6,
+			faults: 2,
+			keys:   60, settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 120)
 				s.Telemetry, s.HealthChecksAllowed, s.PollsList = dispatch.ReportHealthChecks, true, true
 				s.Tenants = nil
 				return s
 			}},
 		{
-			name:      "live-weights",
-			seed:      17,
-			nodes:     12,
-			executors: 40,
-			duration:  5000,
-			rate:      180,
-			hints:     0.5,
-			faults:    1,
-			keys:      80,
+			name:          "live-weights",
+			seed:          17,
+			nodes:         12,
+			executors:     40,
+			duration:      5000,
+			rate:          180,
+			workHintShare: 0.5,
+			faults:        1,
+			keys:          80,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 12)
 				s.LiveWeights, s.PollsList, s.GossipAllowed = true, true, false
@@ -133,7 +136,7 @@
 				return s
 			},
 		},
-		{name: "no-reports", seed: 18, nodes: 5, executors: 9, duration: 9000, rate: 70, hints: 0.4, faults: 1.5,
+		{name: "no-reports", seed: 18, nodes: 5, executors: 9, duration: 9000, rate: 70, workHintShare: 0.4, faults: 1.5,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 5)
 				s.Telemetry, s.Fields, s.StartNotifications, s.ProgressInterval = dispatch.ReportNone, nil, false, 0
@@ -142,15 +145,15 @@
 				return s
 			}},
 		{
-			name:      "overload",
-			seed:      19,
-			nodes:     30,
-			executors: 30,
-			duration:  3500,
-			rate:      500,
-			hints:     1,
-			faults:    0.5,
-			memory:    true,
+			name:          "overload",
+			seed:          19,
+			nodes:         30,
+			executors:     30,
+			duration:      3500,
+			rate:          500,
+			workHintShare: 1,
+			faults:        0.5,
+			memory:        true,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 30)
 				s.GossipAllowed = false
@@ -161,7 +164,8 @@
 				return s
 			},
 		},
-		{name: "many-keys", seed: 20, nodes: 1, executors: 6, duration: 8000, rate: 400, hints: 1, faults: 0.1, keys: 90,
+		{name: "many-keys", seed: 20, nodes: 1, executors: 6, duration: 8000, rate: 400, workHintShare: 1, faults: 0.1,
+			keys: 90,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 1)
 				s.GossipAllowed = false
--- a/internal/dispatch/loadreport_test.go
+++ b/internal/dispatch/loadreport_test.go
@@ -15,17 +15,17 @@
 	s.Fields = []Field{FieldBusy, FieldFree}
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	rng := rand.New(rand.NewSource(5))
-	job, most := uint32(0), 0.0
-	var out []Action
+	job, maxAge := uint32(0), 0.0
+	var inFlight []Action
 	for range 600 {
 		var events []Event
 		for range 3 { // so many that none is kept for as long as the greatest age
 			job++
 			events = append(events, request(job, 0, 0, 1))
 		}
-		for len(out) > rng.Intn(5) {
-			events = append(events, outcome(out[0].Job, 0, out[0].Executor, Served))
-			out = out[1:]
+		for len(inFlight) > rng.Intn(5) {
+			events = append(events, outcome(inFlight[0].Job, 0, inFlight[0].Executor, Served))
+			inFlight = inFlight[1:]
 		}
 		for _, executor := range r.d.endpoints.listed {
 			busy := 3 + 0.3*rng.Float32()
@@ -33,13 +33,13 @@
 		}
 		for _, a := range r.after(100, events...) {
 			if a.Kind == ActSend {
-				out = append(out, a)
+				inFlight = append(inFlight, a)
 			}
 		}
-		most = max(most, r.d.reports.age)
+		maxAge = max(maxAge, r.d.reports.age)
 	}
-	if most > 10*defaultReportAge*r.d.reports.interval || math.IsNaN(most) {
-		t.Errorf("report age estimated at up to %.0f ms with an interval of %.0f ms", most, r.d.reports.interval)
+	if maxAge > 10*defaultReportAge*r.d.reports.interval || math.IsNaN(maxAge) {
+		t.Errorf("report age estimated at up to %.0f ms with an interval of %.0f ms", maxAge, r.d.reports.interval)
 	}
 }
 
--- a/internal/dispatch/script_test.go
+++ b/internal/dispatch/script_test.go
@@ -28,7 +28,7 @@
 }
 
 type scriptExecutor struct {
-	row        EndpointUpdate
+	endpoint   EndpointUpdate
 	notifiedAt float64 // when the node was notified of the row's condition
 }
 
@@ -132,7 +132,7 @@
 		x.failf("sent request %d after its end", a.Job)
 	case len(j.attempts) >= x.settings.MaxAttempts:
 		x.failf("attempt %d of request %d is above the maximum", len(j.attempts)+1, a.Job)
-	case w.row.Condition != Ready && x.now > w.notifiedAt+x.settings.DrainGrace:
+	case w.endpoint.Condition != Ready && x.now > w.notifiedAt+x.settings.DrainGrace:
 		x.failf("sent to executor %d %v ms after its drain was notified", a.Executor, x.now-w.notifiedAt)
 	}
 	for _, at := range j.attempts {
@@ -148,20 +148,21 @@
 		if c.RetrySafety == AtMostOnce {
 			x.failf("at-most-once request %d sent again", a.Job)
 		}
-		from := x.executors[at.executor].row
-		same := c.DedupScope == ScopeAll || from.Zone == w.row.Zone && (c.DedupScope == ScopeZone || from.Cell == w.row.Cell)
-		if !same {
+		from := x.executors[at.executor].endpoint
+		inScope := c.DedupScope == ScopeAll ||
+			from.Zone == w.endpoint.Zone && (c.DedupScope == ScopeZone || from.Cell == w.endpoint.Cell)
+		if !inScope {
 			x.failf("keyed request %d sent outside its deduplication scope", a.Job)
 		}
 		if x.now-at.sentAt > c.DedupWindow {
 			x.failf("keyed request %d sent %v ms after it may have run", a.Job, x.now-at.sentAt)
 		}
 	}
-	if w.row.StartedAt > 0 && x.now-w.row.StartedAt < x.settings.MaxSlowStartDuration {
+	if w.endpoint.StartedAt > 0 && x.now-w.endpoint.StartedAt < x.settings.MaxSlowStartDuration {
 		// Reports show up to 6 slots, and the random outcomes speeds up to about 2: more work than this would
 		// overload any such executor.
 		share := x.settings.SlowStartMinShare +
-			(1-x.settings.SlowStartMinShare)*(x.now-w.row.StartedAt)/x.settings.MaxSlowStartDuration
+			(1-x.settings.SlowStartMinShare)*(x.now-w.endpoint.StartedAt)/x.settings.MaxSlowStartDuration
 		sum := j.slots * j.work
 		for _, s := range x.sentWork[a.Executor] {
 			if x.now-s.at <= x.settings.OverloadWindow {
@@ -189,7 +190,7 @@
 		}
 		row := EndpointUpdate{Executor: id * 77, Zone: uint8(id % 2), Cell: uint16(id / 3), Weight: 4, Condition: Ready}
 		if old := x.executors[row.Executor]; old != nil {
-			row.StartedAt = old.row.StartedAt
+			row.StartedAt = old.endpoint.StartedAt
 		}
 		switch r := x.rng.Intn(10); {
 		case r == 0:
@@ -202,17 +203,17 @@
 			continue // not in the list: removed
 		}
 		named[row.Executor] = true
-		if old := x.executors[row.Executor]; old == nil || old.row.Condition != row.Condition {
-			x.executors[row.Executor] = &scriptExecutor{row: row, notifiedAt: x.now}
+		if old := x.executors[row.Executor]; old == nil || old.endpoint.Condition != row.Condition {
+			x.executors[row.Executor] = &scriptExecutor{endpoint: row, notifiedAt: x.now}
 		} else {
-			old.row = row
+			old.endpoint = row
 		}
 		e.Updates = append(e.Updates, row)
 	}
 	if form != ListDelta {
 		for id, w := range x.executors {
-			if !named[id] && w.row.Condition != Removed {
-				w.row.Condition, w.notifiedAt = Removed, x.now
+			if !named[id] && w.endpoint.Condition != Removed {
+				w.endpoint.Condition, w.notifiedAt = Removed, x.now
 			}
 		}
 	}
