--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -181,8 +181,8 @@
 	d.checkHealthFor(job)
 }
 
-// admit reports whether a job may be admitted: within its tenant's limit, and either within its tenant's reserved share
-// or on slots that no tenant has reserved. It sets job.borrowed in the latter case.
+// admit reports whether a job may be admitted: within its tenant's limit, and either within its tenant's reserved
+// share or on slots that no tenant has reserved. It sets job.borrowed in the latter case.
 func (d *Dispatcher) admit(job *job) bool {
 	slots := d.admissionSlots(job)
 	active := d.admission.activeShares()
@@ -235,8 +235,8 @@
 }
 
 // quotaRate returns the arrival rate from which this node's part of the quotas is derived. It leaves out client
-// retries, because quotas count a request once: in a retry storm the shares of all nodes would sum to more than 1. In a
-// small fleet it includes them: there a node observes most executors itself, and its share is seldom the limit.
+// retries, because quotas count a request once: in a retry storm the shares of all nodes would sum to more than 1. In
+// a small fleet it includes them: there a node observes most executors itself, and its share is seldom the limit.
 func (d *Dispatcher) quotaRate() float64 {
 	if len(d.endpoints.listed) > fullScanLimit {
 		return d.admission.firstArrivals.perSecond
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 func TestAdmissionLimits(t *testing.T) {
-	// Capacity is set by hand: 100 slots with half of them again allowed to wait would blur the bounds, so
-	// the aim is made short against the work and the wait allowance goes to nothing.
+	// The capacity is set to exactly 100 slots. The allowance for queued jobs would blur the bounds: an objective that is
+	// very short against the work reduces it to nothing.
 	s := base()
 	s.Classes[0].Objective = 1e-9
 	tests := []struct {
@@ -15,16 +15,16 @@
 		admit    bool
 		borrowed bool
 	}{
-		{"within the reservation", [3]float64{0, 0, 0}, 0, 1, true, false},
-		{"up to the reservation", [3]float64{34, 0, 0}, 0, 1, true, false},
-		{"past the reservation", [3]float64{35, 0, 0}, 0, 1, true, true},
-		{"reservation before a full remainder", [3]float64{65, 0, 0}, 1, 21, true, false},
-		{"remainder used up", [3]float64{65, 1, 0}, 1, 21, false, true},
-		{"a first job past the reservation", [3]float64{65, 0, 0}, 1, 22, true, false},
-		{"unused reservations lend nothing", [3]float64{65, 0, 0}, 0, 1, false, true},
-		{"others' unused reservations do not hide borrowing", [3]float64{35, 51, 0}, 0, 1, false, true},
-		{"limit of the smallest tenant", [3]float64{0, 0, 84}, 2, 1, false, false},
-		{"a job over the limit", [3]float64{0, 0, 0}, 2, 85, false, false},
+		{"within the reserved share", [3]float64{0, 0, 0}, 0, 1, true, false},
+		{"up to the reserved share", [3]float64{34, 0, 0}, 0, 1, true, false},
+		{"beyond the reserved share", [3]float64{35, 0, 0}, 0, 1, true, true},
+		{"reserved share while the unreserved slots are used up", [3]float64{65, 0, 0}, 1, 21, true, false},
+		{"unreserved slots used up", [3]float64{65, 1, 0}, 1, 21, false, true},
+		{"first job beyond the reserved share", [3]float64{65, 0, 0}, 1, 22, true, false},
+		{"unused reserved shares are not lent", [3]float64{65, 0, 0}, 0, 1, false, true},
+		{"unused reserved shares of others do not offset borrowing", [3]float64{35, 51, 0}, 0, 1, false, true},
+		{"limit of the smallest tenant reached", [3]float64{0, 0, 84}, 2, 1, false, false},
+		{"job wider than the limit", [3]float64{0, 0, 0}, 2, 85, false, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -50,35 +50,37 @@
 func TestReservedSlotsAreReleasedOnce(t *testing.T) {
 	ends := map[string]func(r *rig){
 		"served": func(r *rig) { r.after(10, outcome(1, 0, 7, Served)) },
-		"gone": func(r *rig) {
+		"client disconnected": func(r *rig) {
 			r.after(10, Event{Kind: EvClientDisconnected, Job: 1})
 			r.after(10, outcome(1, 0, 7, Canceled))
 		},
-		"errored": func(r *rig) { r.after(10, outcome(1, 0, 7, Errored)) },
-		"twice":   func(r *rig) { r.after(10, outcome(1, 0, 7, Served), outcome(1, 0, 7, Served)) },
-		"timeout": func(r *rig) { r.after(6000, outcome(1, 0, 7, TimedOut)) },
+		"errored":           func(r *rig) { r.after(10, outcome(1, 0, 7, Errored)) },
+		"duplicate outcome": func(r *rig) { r.after(10, outcome(1, 0, 7, Served), outcome(1, 0, 7, Served)) },
+		"timeout":           func(r *rig) { r.after(6000, outcome(1, 0, 7, TimedOut)) },
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, base(), ready(7, 0))
 			if len(actionsOf(r.step(request(1, 2, 0, 1)), ActSend, 1)) != 1 {
-				t.Fatal("not sent")
+				t.Fatal("job 1 was not sent")
 			}
 			if got := r.d.admission.tenants[0].reservedSlots; got != 1 {
-				t.Fatalf("in flight %v, want 1", got)
+				t.Fatalf("got %v reserved slots, want 1", got)
 			}
 			end(r)
 			if got := r.d.admission.tenants[0].reservedSlots; got != 0 {
-				t.Errorf("in flight %v after the end, want 0", got)
+				t.Errorf("got %v reserved slots after the end of the job, want 0", got)
 			}
 			if len(r.d.jobs.byID) != 0 || r.d.endpoints.listed[0].inFlight.slots != 0 {
-				t.Errorf("left behind: %d jobs, %v slots", len(r.d.jobs.byID), r.d.endpoints.listed[0].inFlight.slots)
+				t.Errorf("got %d open jobs and %v slots in flight after the end, want none", len(r.d.jobs.byID),
+					r.d.endpoints.listed[0].inFlight.slots)
 			}
 		})
 	}
 }
 
-// A flooding tenant's requests beyond its share make place for those within a share (recife rough-2).
+// During a flood of one tenant, its queued requests beyond the quota are preempted for requests of other tenants that
+// are within their shares.
 func TestOverQuotaRequestsArePreemptedFirst(t *testing.T) {
 	s := base()
 	for i := range s.Tenants {
@@ -99,19 +101,20 @@
 		}
 	}
 	if over == 0 {
-		t.Fatal("no waiting request of the flood counts as beyond its share")
+		t.Fatal("got no queued request of the flood that is over quota, want some")
 	}
 	before := len(r.d.jobs.queue)
 	got := r.after(1, request(100, 0, 0, 1), request(101, 0, 1, 1))
 	if len(actionsOf(got, ActReject, 101)) != 0 {
-		t.Error("a request within its share was rejected in a flood of another tenant")
+		t.Error("a request within its tenant's share was rejected during a flood of another tenant")
 	}
 	if len(r.d.jobs.queue) > before+2 {
-		t.Errorf("%d wait, want the flood's to make place", len(r.d.jobs.queue))
+		t.Errorf("got %d queued jobs, want requests of the flood to be preempted", len(r.d.jobs.queue))
 	}
 }
 
-// Without a hint the aim is that of a short job: heavy tails put the mean far over most jobs (i6b19c9).
+// Without a work hint, a job's objective is that of a short job: in a heavy-tailed distribution the mean is far above
+// the work of most jobs.
 func TestUnhintedObjectiveIsThatOfShortJob(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
 	e := request(1, 0, 0, 1)
@@ -119,16 +122,16 @@
 	r.step(e)
 	job := r.d.jobs.byID[1]
 	mean := r.d.serviceTimes.classes[0].work
-	latest := job.objectiveAt - job.work/r.d.serviceTimes.meanSpeed() - r.now // how long it may be held
+	latest := job.objectiveAt - job.work/r.d.serviceTimes.meanSpeed() - r.now // how long it may be queued
 	if short := 400 + 2*unhintedWorkFactor*mean; latest >= short {
-		t.Errorf("held for up to %v ms, want less than a short job's aim of %v", latest, short)
+		t.Errorf("job may be queued for %v ms, want less than the objective of a short job, %v ms", latest, short)
 	}
 }
 
-// Where worth goes by work, a job without a hint may wait for as long as one of those that carry the worth could:
-// else half of a burst's worth is put out of the queue as too late while it would still be in time.
+// With WeightByWork, a job without a work hint may wait for as long as the long jobs that carry most of the weight.
+// Otherwise half of the weight of a burst would be rejected as too late while it could still be served in time.
 func TestUnhintedObjectiveFollowsWeightsByWork(t *testing.T) {
-	held := func(byWork bool) float64 {
+	maxWait := func(byWork bool) float64 {
 		s := base()
 		s.WeightByWork = byWork
 		r := newRig(t, s, ready(7, 0))
@@ -138,43 +141,43 @@
 		job := r.d.jobs.byID[1]
 		return job.objectiveAt - job.work/r.d.serviceTimes.meanSpeed() - r.now
 	}
-	if each, work := held(false), held(true); work <= each {
-		t.Errorf("held for up to %v ms with worth by work, %v with worth by request: want longer", work, each)
+	if each, work := maxWait(false), maxWait(true); work <= each {
+		t.Errorf("job may be queued for %v ms with weights by work and %v ms without, want longer with", work, each)
 	}
 }
 
-// The last tokens are for work worth more than the mean (i260aa7).
+// The last slots are reserved for jobs of a higher value than the mean.
 func TestTrunkReservation(t *testing.T) {
 	s := base()
 	s.Tenants, s.Classes[2].PriorityWeight = nil, 3
 	r := newRig(t, s, ready(7, 0))
 	r.d.capacity.slots, r.d.admission.meanValue = 10, 2
-	r.d.admission.tenants[0].reservedSlots = 19 // of 20 tokens
+	r.d.admission.tenants[0].reservedSlots = 19 // of 20 slots
 	if r.d.admit(&job{class: 0, slots: 1, value: 1}) {
-		t.Error("work under the mean worth took the last tokens")
+		t.Error("a job below the mean value was admitted to the last slots")
 	}
 	if !r.d.admit(&job{class: 2, slots: 1, value: 3}) {
-		t.Error("work over the mean worth was rejected although a token is left")
+		t.Error("a job above the mean value was rejected although a slot is left")
 	}
 }
 
-// A small tenant's reservation may be less than one wide job: its first is admitted all the same (id86762).
+// The reserved share of a small tenant can be smaller than one wide job: its first job is admitted nevertheless.
 func TestFirstJobOfSmallTenantIsAdmitted(t *testing.T) {
 	r := newRig(t, base(), ready(7, 0))
 	r.d.capacity.slots = 4
 	for i := range r.d.admission.tenants {
 		r.d.admission.tenants[i].lastArrivalAt = r.now
 	}
-	r.d.admission.tenants[0].reservedSlots = 8 // all there is, and more than its reservation
+	r.d.admission.tenants[0].reservedSlots = 8 // all slots, and more than its reserved share
 	if !r.d.admit(&job{tenant: 2, slots: 2, value: 1}) {
-		t.Error("the first job was rejected")
+		t.Error("the first job of a small tenant was rejected")
 	}
 	r.d.admission.tenants[2].reservedSlots = 2
 	if r.d.admit(&job{tenant: 2, slots: 2, value: 1}) {
-		t.Error("the second was admitted past the reservation while others hold the remainder")
+		t.Error("the second job was admitted beyond the reserved share although another tenant uses the unreserved slots")
 	}
 	r.d.admission.tenants[2].reservedSlots = 0
 	if r.d.admit(&job{tenant: 2, slots: 2, value: 1, overQuota: true}) {
-		t.Error("a first job beyond the share was admitted past the reservation")
+		t.Error("a first job over quota was admitted beyond the reserved share")
 	}
 }
--- a/internal/dispatch/affinity.go
+++ b/internal/dispatch/affinity.go
@@ -23,8 +23,8 @@
 	// the origin from which the data of keys is fetched.
 	cacheFetchFraction = 0.25
 
-	// cacheMissThreshold is the cache miss probability from which on a job waits for another executor rather than use this
-	// one. It is also the cache miss probability of the fallback candidate.
+	// cacheMissThreshold is the cache miss probability from which on a job waits for another executor rather than use
+	// this one. It is also the cache miss probability of the fallback candidate.
 	cacheMissThreshold = 0.5
 
 	// candidateMissProbability is the cache miss probability of a key at one of its candidates.
@@ -95,9 +95,9 @@
 	return miss
 }
 
-// waitsForAffinity reports whether a job should wait for an executor that has its key's data cached rather than use one
-// that would fetch it. When the origin of the data is short of capacity, fetches hold slots for a long time, and every
-// job that is sent elsewhere adds another fetch.
+// waitsForAffinity reports whether a job should wait for an executor that has its key's data cached rather than use
+// one that would fetch it. When the origin of the data is short of capacity, fetches hold slots for a long time, and
+// every job that is sent elsewhere adds another fetch.
 func (d *Dispatcher) waitsForAffinity(job *job) bool {
 	if job.key == 0 {
 		return false
@@ -106,9 +106,9 @@
 	return d.now < job.arrivedAt+affinityWaitFraction*slack || d.cacheFetchesExhausted(job)
 }
 
-// cacheFetchesExhausted reports whether the slots for jobs with a cache miss are used up while a candidate of the job's
-// key is usable. Without this limit a short congestion would persist: jobs would go wherever slots are free, fetch the
-// data, hold their slots longer and keep all executors full.
+// cacheFetchesExhausted reports whether the slots for jobs with a cache miss are used up while a candidate of the
+// job's key is usable. Without this limit a short congestion would persist: jobs would go wherever slots are free,
+// fetch the data, hold their slots longer and keep all executors full.
 func (d *Dispatcher) cacheFetchesExhausted(job *job) bool {
 	fetchingSlots := d.affinity.fetchingSlots
 	if fetchingSlots == 0 || fetchingSlots+job.slots <= cacheFetchFraction*d.capacity.slots {
@@ -142,8 +142,8 @@
 }
 
 // findAffinityCandidates sets the candidates for a job's key by rendezvous hashing, weighted by executor size, so that
-// all nodes choose the same ones. Their number grows with the key's share of this node's requests; the last candidate is
-// the fallback.
+// all nodes choose the same ones. Their number grows with the key's share of this node's requests; the last candidate
+// is the fallback.
 func (d *Dispatcher) findAffinityCandidates(job *job) {
 	if job.key == 0 || job.candidatesRevision == d.endpoints.revision {
 		return
--- a/internal/dispatch/affinity_test.go
+++ b/internal/dispatch/affinity_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Jobs wait for a home of their key, and those that must fetch stay within a pool (icb5b2f, id3d613).
+// Jobs wait for an affinity candidate of their key, and the slots of jobs with a cache miss are limited.
 func TestCacheFetchLimit(t *testing.T) {
 	s := base()
 	s.Fees.Origin = 0.1
@@ -14,27 +14,27 @@
 	e := request(1, 0, 0, 1)
 	e.Key = 5
 	first := actionsOf(r.step(e), ActSend, 1)
-	home := first[0].Executor
-	r.d.endpoints.byID[home].load.freeSlots = 0
+	candidate := first[0].Executor
+	r.d.endpoints.byID[candidate].load.freeSlots = 0
 	e.Job = 2
 	if got := r.step(e); len(actionsOf(got, ActSend, 2)) != 0 {
-		t.Error("did not wait for the home of its key")
+		t.Error("job 2 did not wait for the candidate of its key")
 	}
 	r.d.affinity.fetchingSlots = 1000
 	if got := r.after(900, Event{Kind: EvTimer}); len(actionsOf(got, ActSend, 2)) != 0 {
-		t.Error("fetched although the pool was full")
+		t.Error("job 2 was sent to a cache miss although the slots for cache misses are used up")
 	}
 	r.d.affinity.fetchingSlots = 0
 	for _, executor := range r.d.endpoints.listed {
 		executor.load.reportedAt = r.now
 	}
 	if got := r.after(20, Event{Kind: EvTimer}); len(actionsOf(got, ActSend, 2)) != 1 {
-		t.Error("still waits although the pool has free slots")
+		t.Error("job 2 was not sent although slots for cache misses are free")
 	}
 }
 
-// A job that waits for a home of its key does not look at a large fleet each tick, and still gets elsewhere when
-// it has waited its part (recife later: CPU).
+// While a job waits for a candidate of its key, a node does not inspect a large fleet each tick, which would cost too
+// much CPU. After its wait, the job is sent elsewhere.
 func TestOnlyCandidatesAreInspectedWhileWaiting(t *testing.T) {
 	s := base()
 	s.Nodes = 100
@@ -48,22 +48,22 @@
 		executor.load.rejectedUntil = r.now + 1e6
 	}
 	if got := actionsOf(r.step(j), ActSend, 1); len(got) != 0 {
-		t.Fatal("sent astray at once")
+		t.Fatal("job 1 was sent to another executor without waiting for a candidate")
 	}
 	if n := len(r.d.placement.inspected); n > len(probe.candidates) {
-		t.Errorf("%d executors inspected while it waits for one of %d candidates", n, len(probe.candidates))
+		t.Errorf("got %d executors inspected while the job waits for one of %d candidates", n, len(probe.candidates))
 	}
 	for range 30 {
 		if len(actionsOf(r.after(40, Event{Kind: EvTimer}), ActSend, 1)) == 1 {
 			return
 		}
 	}
-	t.Error("never sent elsewhere although all others are idle")
+	t.Error("job 1 was never sent although all other executors are idle")
 }
 
-// A node of many sees few requests: were a key's share taken of more than it has seen, hot keys would stay on two or
-// three candidates for a minute, as at all other nodes, and storm them (recife later h238d8e: busiest 9 times the
-// mean).
+// In a large cluster each node sees few requests. If a key's share were computed against more requests than a node has
+// seen, hot keys would have two or three candidates for the first minute, the same ones at all nodes, and overload
+// them (9 times the mean load at the busiest one).
 func TestHotKeysSpreadAtNodesWithLittleTraffic(t *testing.T) {
 	s := base()
 	s.Nodes = 150
@@ -82,7 +82,7 @@
 	hot, rare := len(r.d.jobs.byID[40].candidates), len(r.d.jobs.byID[39].candidates)
 	if hot < 25 || rare > 5 {
 		t.Errorf(
-			"%d candidates of a key that every fourth job of 40 asks for, %d of one asked for once; want 25 at least, 5 at most",
+			"got %d candidates of a key of every fourth job of 40 and %d of a key of one job, want 25 or more and 5 or fewer",
 			hot,
 			rare,
 		)
--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -44,7 +44,8 @@
 	noReportShareFactor = 2
 )
 
-// loadEstimate is the estimated capacity of an executor, from its load reports and the outcomes of this node's attempts.
+// loadEstimate is the estimated capacity of an executor, from its load reports and the outcomes of this node's
+// attempts.
 type loadEstimate struct {
 	slots          float64 // total slots: the maximum of reported free slots plus the slots then in use
 	freeSlots      float64 // as last reported, adjusted by this node's sends and completions since
@@ -177,8 +178,8 @@
 	c.slots = max(c.slots, minSlots) // otherwise a node without free slots or attempts in flight would never send any
 }
 
-// capacityWithoutPeers returns the capacity of a node that does not know the load of its peers. It is the larger of two
-// values: the node's share of all slots, as estimated from the endpoint list and the quotas; and the slots of its
+// capacityWithoutPeers returns the capacity of a node that does not know the load of its peers. It is the larger of
+// two values: the node's share of all slots, as estimated from the endpoint list and the quotas; and the slots of its
 // running jobs, plus the reported free slots, plus estimated free slots up to the number of its running slots less its
 // queued ones.
 func (d *Dispatcher) capacityWithoutPeers(totals *capacityTotals) float64 {
@@ -187,9 +188,9 @@
 	return max(initialSoftLimit, share, running+totals.reported+max(0, min(totals.estimated, running-totals.queued)))
 }
 
-// isStarved reports whether a node of a large fleet that does not know the load of its peers has sent nothing for a long
-// time, because its jobs hang or run long. Such a node may send one more job; otherwise it would reject all requests
-// until the clients of those jobs give up.
+// isStarved reports whether a node of a large fleet that does not know the load of its peers has sent nothing for a
+// long time, because its jobs hang or run long. Such a node may send one more job; otherwise it would reject all
+// requests until the clients of those jobs give up.
 func (d *Dispatcher) isStarved() bool {
 	return len(d.endpoints.listed) > fullScanLimit && !d.peerLoadsKnown() &&
 		d.now-d.placement.lastDispatchAt > starvationThreshold*d.serviceTimes.meanSlotTime
@@ -198,7 +199,8 @@
 // isStartOverdue reports whether an executor has not started an attempt of this node within the usual time. It then
 // queues attempts, even if a late report shows free slots.
 func (d *Dispatcher) isStartOverdue(executor *executor) bool {
-	return d.settings.StartNotifications && d.now-executor.inFlight.oldestUnstarted > d.serviceTimes.startNotificationTimeout()
+	return d.settings.StartNotifications &&
+		d.now-executor.inFlight.oldestUnstarted > d.serviceTimes.startNotificationTimeout()
 }
 
 // availableSlots returns how many more slots this node may use at an executor, from the loads of peers if they are
@@ -289,8 +291,8 @@
 // occupancyWindow returns the time over which the peer occupancy of a group is averaged.
 func (d *Dispatcher) occupancyWindow() float64 { return occupancyIntervals * d.reports.interval }
 
-// knownSlots returns the number of slots of an executor or of its kind according to load reports, 0 if unknown. While an
-// aggregator reports the loads of peers, an unknown number counts as initialSoftLimit: otherwise each of many nodes
+// knownSlots returns the number of slots of an executor or of its kind according to load reports, 0 if unknown. While
+// an aggregator reports the loads of peers, an unknown number counts as initialSoftLimit: otherwise each of many nodes
 // would probe every executor of a kind that is new to it.
 func (d *Dispatcher) knownSlots(executor *executor) float64 {
 	slots := max(executor.load.slots, d.capacity.kindSlots[executor.endpoint.kind])
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -3,7 +3,8 @@
 import "math"
 
 // Dispatcher makes the dispatch decisions of one node. The package comment lists the obligations of its host. It holds
-// the state of each concern, consumes events and emits actions; the types of the concerns do not depend on one another.
+// the state of each concern, consumes events and emits actions; the types of the concerns do not depend on one
+// another.
 type Dispatcher struct {
 	*environment
 
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// base gives settings of a small site: three tenants, one class of each effect, reports in answers.
+// base returns the settings of a small site: three tenants, one class of each retry safety, load reports in outcomes.
 func base() Settings {
 	return Settings{
 		Nodes: 1, MinStepInterval: 1,
@@ -30,7 +30,7 @@
 	}
 }
 
-// rig drives a Dispatcher and keeps what it answered.
+// rig drives a Dispatcher on a simulated clock and keeps the actions of its last step.
 type rig struct {
 	t    *testing.T
 	d    *Dispatcher
@@ -68,12 +68,12 @@
 		Work: 200, Flags: FlagWorkHint, Slots: slots}
 }
 
-func outcome(job uint32, attempt uint16, worker uint32, o Outcome, report ...float32) Event {
-	return Event{Kind: EvOutcome, Job: job, Attempt: attempt, Executor: worker, Outcome: o,
+func outcome(job uint32, attempt uint16, executor uint32, o Outcome, report ...float32) Event {
+	return Event{Kind: EvOutcome, Job: job, Attempt: attempt, Executor: executor, Outcome: o,
 		Final: o == Served, Report: report}
 }
 
-// find gives the actions of a kind for a job.
+// actionsOf returns the actions of a kind for a job.
 func actionsOf(actions []Action, kind ActionKind, job uint32) []Action {
 	var got []Action
 	for _, a := range actions {
@@ -84,7 +84,7 @@
 	return got
 }
 
-// fleet lists n executors of one kind, ids from 100 on.
+// fleet returns the list entries of n executors of one kind, with numbers from 100 on.
 func fleet(n int) []EndpointUpdate {
 	rows := make([]EndpointUpdate, n)
 	for i := range rows {
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -12,10 +12,10 @@
 // # Units and identifiers
 //
 // All times and intervals are milliseconds as float64, on one clock with an arbitrary origin that never runs
-// backwards. Work is the run time of a job on an executor of speed 1. Executor and job numbers are opaque; a job number
-// is used once in an incarnation. The attempts of a job are numbered from 0 in the order of their ActSend. Class,
-// tenant, zone and kind are indexes into the host's own lists; class and tenant index the lists in Settings. Keys are
-// opaque; 0 means no key.
+// backwards. Work is the run time of a job on an executor of speed 1. Executor and job numbers are opaque; a job
+// number is used once in an incarnation. The attempts of a job are numbered from 0 in the order of their ActSend.
+// Class, tenant, zone and kind are indexes into the host's own lists; class and tenant index the lists in Settings.
+// Keys are opaque; 0 means no key.
 //
 // # Obligations of the host
 //
@@ -39,9 +39,9 @@
 //
 // # Ownership and concurrency
 //
-// Slices inside events (Report, Updates, Data) are read only during the call. Data of an ActGossip belongs to the host.
-// A Dispatcher does no I/O, starts no goroutine, reads no clock and must not be called from two goroutines at a time.
-// Dispatchers share no state. Equal settings, seeds and events give equal actions.
+// Slices inside events (Report, Updates, Data) are read only during the call. Data of an ActGossip belongs to the
+// host. A Dispatcher does no I/O, starts no goroutine, reads no clock and must not be called from two goroutines at a
+// time. Dispatchers share no state. Equal settings, seeds and events give equal actions.
 //
 // # Invalid input
 //
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -44,7 +44,7 @@
 	Kind      uint8
 	Cell      uint16
 	Condition Condition
-	Weight    float64 // registered relative size, or the live weight (Settings.LiveWeights); 0 or 1 for all executors if unknown
+	Weight    float64 // registered relative size, or the live weight (see LiveWeights); 0 or 1 for all if unknown
 	StartedAt float64 // start of the executor's process, 0 if it has been running for long
 }
 
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -42,7 +42,7 @@
 	eligible       []*executor // with free slots
 	inspected      []*executor
 	round          uint64
-	inspectedAll   bool            // the fleet, or a sample of a large one, has been inspected, not only affinity candidates
+	inspectedAll   bool            // the fleet or a sample of it, not only affinity candidates, is inspected
 	recentlyUsed   recentExecutors // executors that served this node's latest jobs and have an open connection
 	lastDispatchAt float64
 }
@@ -54,9 +54,9 @@
 	p.round++
 }
 
-// inspectExecutors inspects the executors among which queued jobs choose: all executors of a small fleet, and in a large
-// one those that reported or served last, those that are warming up and a random sample. Inspecting all of a large
-// fleet would cost too much CPU, and all nodes would overload the one executor with the most free slots.
+// inspectExecutors inspects the executors among which queued jobs choose: all executors of a small fleet, and in a
+// large one those that reported or served last, those that are warming up and a random sample. Inspecting all of a
+// large fleet would cost too much CPU, and all nodes would overload the one executor with the most free slots.
 func (d *Dispatcher) inspectExecutors() {
 	if d.placement.inspectedAll {
 		return
@@ -99,8 +99,8 @@
 	}
 }
 
-// chooseExecutor returns the eligible executor with the lowest cost for a job. It returns nil if there is none, or if the
-// job should rather wait for an executor that likely has the data of its key cached.
+// chooseExecutor returns the eligible executor with the lowest cost for a job. It returns nil if there is none, or if
+// the job should rather wait for an executor that likely has the data of its key cached.
 func (d *Dispatcher) chooseExecutor(job *job) *executor {
 	d.findAffinityCandidates(job)
 	for _, executor := range job.candidates {
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -10,7 +10,7 @@
 	}
 	got := actionsOf(r.step(request(1, 0, 0, 1)), ActSend, 1)
 	if len(got) != 1 || got[0].Executor != 8 {
-		t.Errorf("sent to %v, want the roomiest, 8", got)
+		t.Errorf("got sends %v, want one to executor 8, which has the most free slots", got)
 	}
 }
 
@@ -23,11 +23,12 @@
 		}
 	}
 	if count[7] != 2 || count[8] != 2 {
-		t.Errorf("sent %v, want two to each", count)
+		t.Errorf("got sends per executor %v, want two to each", count)
 	}
 }
 
-// A node that sees no free slots and has less than its part of the slots out is not starved for good (iaba16b).
+// A node that sees no free slots and holds less than its fair share does not starve: after a delay it sends one job to
+// an executor without free slots.
 func TestStarvedNodeSpeculates(t *testing.T) {
 	s := base()
 	s.Nodes = 2
@@ -42,7 +43,7 @@
 		executor.load.reportedAt = r.now + 400
 	}
 	if got := r.after(400, Event{Kind: EvTimer}); len(actionsOf(got, ActSend, 1)) != 1 {
-		t.Error("held although the node has nothing of its part out")
+		t.Error("job 1 was not sent although the node holds no slots")
 	}
 	sent := 0
 	for id := uint32(2); id <= 12; id++ {
@@ -54,11 +55,11 @@
 		}
 	}
 	if sent > 1 {
-		t.Errorf("%d more sent, want one at most: no more than one of ours may stand unstarted at an executor", sent)
+		t.Errorf("got %d more sends, want at most one: an executor may hold only one unstarted job of this node", sent)
 	}
 }
 
-// Free memory that executors report bounds what is sent: a job waits for an executor that has enough of it.
+// A job waits for an executor that reports enough free memory for it.
 func TestFreeMemoryBoundsJobs(t *testing.T) {
 	s := base()
 	s.Fields = []Field{FieldFree, FieldMemory}
@@ -71,19 +72,19 @@
 	wide := request(1, 0, 0, 1)
 	wide.Memory = 3
 	if got := actionsOf(r.step(wide), ActSend, 1); len(got) != 1 || got[0].Executor != 8 {
-		t.Fatalf("sent %v, want executor 8", got)
+		t.Fatalf("got sends %v, want one to executor 8", got)
 	}
 	wide.Job = 2 // executor 8 has one unit left
 	if got := actionsOf(r.step(wide), ActSend, 2); len(got) != 0 {
-		t.Errorf("sent %v where no executor has the memory", got)
+		t.Errorf("got sends %v, want none while no executor has enough memory", got)
 	}
 	if got := actionsOf(r.after(5, outcome(1, 0, 8, Served)), ActSend, 2); len(got) != 1 || got[0].Executor != 8 {
-		t.Errorf("sent %v after memory came back, want executor 8", got)
+		t.Errorf("got sends %v after memory was released, want one to executor 8", got)
 	}
 }
 
-// A request's own prices of zones stand in the place of the price of crossing: where its data are is where it goes
-// while there are free slots, and a request without any goes as it always did.
+// The zone prices of a request replace Fees.CrossZone: it goes to the zone of its data while that has free slots. A
+// request without prices goes to the node's own zone.
 func TestZonePrices(t *testing.T) {
 	s := base()
 	s.Fees.CrossZone = 0.1
@@ -98,56 +99,57 @@
 		e.ZonePrices = x.prices
 		for _, a := range r.after(50, e) {
 			if a.Kind == ActSend && a.Executor != x.want {
-				t.Errorf("with prices %v it goes to executor %d, want %d", x.prices, a.Executor, x.want)
+				t.Errorf("request with zone prices %v was sent to executor %d, want %d", x.prices, a.Executor, x.want)
 			}
 		}
 		r.after(50, outcome(id, 0, x.want, Served))
 	}
 }
 
-// Of a large fleet no more executors are inspected than have a reason and some drawn ones, whatever its size: else
-// a node needs more CPU than it has, and all nodes storm the same roomiest executor (recife later big-1).
+// The number of executors that a placement round inspects in a large fleet does not depend on the fleet's size.
+// Otherwise a node would run out of CPU, and all nodes would overload the one executor with the most free slots.
 func TestLargeFleetIsSampled(t *testing.T) {
 	for _, n := range []int{fullScanLimit, 400} {
 		s := base()
 		s.Nodes = 100
 		r := newRig(t, s, fleet(n)...)
 		r.step(request(1, 0, 0, 1))
-		most := n
+		limit := n
 		if n > fullScanLimit {
-			most = sampledExecutors + 2*len(r.d.reports.recentReporters)
+			limit = sampledExecutors + 2*len(r.d.reports.recentReporters)
 		}
-		if got := len(r.d.placement.inspected); got == 0 || got > most {
-			t.Errorf("%d executors inspected of %d, want 1 to %d", got, n, most)
+		if got := len(r.d.placement.inspected); got == 0 || got > limit {
+			t.Errorf("got %d of %d executors inspected, want 1 to %d", got, n, limit)
 		}
 		if len(actionsOf(r.last, ActSend, 1)) != 1 {
-			t.Errorf("not sent although all of %d executors are idle", n)
+			t.Errorf("job 1 was not sent although all %d executors are idle", n)
 		}
 	}
 }
 
-// The executor that served us last has an open connection and is always inspected (nordeste later: handshakes).
+// The executor that served this node's last job has an open connection and is always inspected, which saves
+// handshakes.
 func TestRecentlyUsedExecutorIsInspected(t *testing.T) {
 	s := base()
 	s.Nodes, s.Fees.Handshake, s.Telemetry = 100, 0.5, ReportHealthChecks
 	r := newRig(t, s, fleet(400)...)
 	sent := actionsOf(r.step(request(1, 0, 0, 1)), ActSend, 1)
 	if len(sent) != 1 {
-		t.Fatal("not sent")
+		t.Fatal("job 1 was not sent")
 	}
 	first := sent[0].Executor
 	r.after(100, outcome(1, 0, first, Served))
 	for id := uint32(2); id < 12; id++ {
 		got := actionsOf(r.after(100, request(id, 0, 0, 1)), ActSend, id)
 		if len(got) != 1 || got[0].Executor != first {
-			t.Fatalf("job %d: %v, want one send to %d, where a connection is open", id, got, first)
+			t.Fatalf("job %d: got sends %v, want one to executor %d, where a connection is open", id, got, first)
 		}
 		r.after(50, outcome(id, 0, first, Served))
 	}
 }
 
-// A node that takes all for full and has nothing out hears nothing and would stay so for good: it queues a job
-// where it has none, however small its part of the fleet is (ceara later big-2).
+// A node that considers all executors full and has nothing in flight receives no more load reports in outcomes, and
+// would never send again: it sends a job to an executor without free slots, however small its share of the fleet is.
 func TestStarvedNodeOfLargeFleetSpeculates(t *testing.T) {
 	s := base()
 	s.Nodes = 200
@@ -166,5 +168,5 @@
 			return
 		}
 	}
-	t.Error("held for good although the node has nothing of its part out")
+	t.Error("job 1 was never sent although the node holds no slots")
 }
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -9,15 +9,16 @@
 // preemptionGain times an arrival's value is the value below which a queued job may be preempted by the arrival.
 const preemptionGain = 0.7
 
-// Offsets of a job's rank in the queue, in ms. They exceed any time of the node's clock, so that the groups do not mix.
+// Offsets of a job's rank in the queue, in ms. They exceed any time of the node's clock, so that the groups do not
+// mix.
 const (
 	borrowedRankOffset = 1e9 // jobs that borrow slots, exceed their quota or are hedged
 	lateRankOffset     = 2e9 // jobs that can no longer meet their objective
 )
 
-// preempt rejects one queued job in favour of an arrival and reports whether there was one: a job that borrows slots or
-// is of the same tenant, and that misses its objective or has a lower value. Jobs that may have run are not preempted,
-// and an arrival that would itself miss its objective preempts none.
+// preempt rejects one queued job in favour of an arrival and reports whether there was one: a job that borrows slots
+// or is of the same tenant, and that misses its objective or has a lower value. Jobs that may have run are not
+// preempted, and an arrival that would itself miss its objective preempts none.
 func (d *Dispatcher) preempt(arrival *job) bool {
 	speed := d.serviceTimes.meanSpeed()
 	if d.now+arrival.work/speed > arrival.objectiveAt {
@@ -82,9 +83,10 @@
 	slices.SortStableFunc(waiting, func(a, b *job) int { return cmp.Compare(a.rank, b.rank) })
 }
 
-// rankOf returns a job's rank in the queue: the latest start by which it can meet its objective, plus the offset of its
-// group. Jobs within a reserved share come first, then those that borrow slots, exceed their quota or are hedged, then
-// those that can no longer meet their objective. The rank is infinite while a job waits for results of health checks.
+// rankOf returns a job's rank in the queue: the latest start by which it can meet its objective, plus the offset of
+// its group. Jobs within a reserved share come first, then those that borrow slots, exceed their quota or are hedged,
+// then those that can no longer meet their objective. The rank is infinite while a job waits for results of health
+// checks.
 func (d *Dispatcher) rankOf(job *job, speed float64) float64 {
 	if d.now < job.holdUntil && d.healthChecks.inFlight > 0 {
 		return math.Inf(1)
