--- a/internal/dispatch/aggregator_message.go
+++ b/internal/dispatch/aggregator_message.go
@@ -17,7 +17,7 @@
 
 // The lower bits of an entry.
 const (
-	slotMask             = 15 // mask
+	slotMask             = 15 // mask of the number of slots
 	maxEncodedSlots      = 11 // largest number of slots at an executor that can be encoded
 	firstClassQuarantine = 12 // class 0 fails there; the next classes follow
 	lastClassQuarantine  = 14 // the last class that can be encoded
--- a/internal/dispatch/aggregator_server.go
+++ b/internal/dispatch/aggregator_server.go
@@ -42,9 +42,9 @@
 
 // newAggregatorServer returns an empty state with a new incarnation tag.
 func newAggregatorServer(env *environment) aggregatorServer {
-	tags := uint64(messageKindMask ^ 0xff)
+	tagCount := uint64(messageKindMask ^ 0xff)
 	return aggregatorServer{environment: env, slotTotals: map[uint16]float64{}, quarantines: map[uint16]*quarantine{},
-		startedAt: math.Inf(-1), incarnationTag: 1 + uint8(mix64(env.randomState)%tags)}
+		startedAt: math.Inf(-1), incarnationTag: 1 + uint8(mix64(env.randomState)%tagCount)}
 }
 
 // isReady reports whether this node has received updates for long enough to know most of the load.
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -1,11 +1,11 @@
 package dispatch
 
-// The lifecycle of an attempt: its send, the notes about it and its outcome.
+// The lifecycle of an attempt: its send, the notifications about it and its outcome.
 
 // maxRetryDoublings is how many times the delay doubles before an unresponsive executor gets another job.
 const maxRetryDoublings = 3
 
-// Parameters of the estimate of the time from the send of an attempt to its start note.
+// Parameters of the estimate of the time from the send of an attempt to its start notification.
 const (
 	startDelayWeight  = 0.02 // weight of one attempt in the mean start delay
 	startLagWeight    = 0.01 // weight of one attempt in the least start lag, for lags above it
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -27,7 +27,7 @@
 type inFlightAttempts struct {
 	jobs            []*job  // one entry for each attempt
 	slots           float64 // used by these attempts, except the written-off ones
-	unstarted       int     // attempts without a start note
+	unstarted       int     // attempts without a start notification
 	unstartedSlots  float64
 	oldestUnstarted float64 // send time of the oldest unstarted attempt, or the current time if there is none
 	ended           [maxEndedAttempts]endedAttempt
@@ -56,7 +56,8 @@
 	return true
 }
 
-// countUnstarted updates the number, the slots and the oldest send time of the attempts without a start note.
+// countUnstarted updates the number, the slots and the oldest send time of the attempts without a start
+// notification.
 func (e *executor) countUnstarted(now float64) {
 	unstarted, slots, oldest := 0, 0.0, now
 	for _, job := range e.inFlight.jobs {
@@ -107,6 +108,7 @@
 // recentExecutors is a list of the executors that were most recently added, the latest first.
 type recentExecutors [8]*executor
 
+// add puts an executor first in the list, in place of its former position or of the last one.
 func (l *recentExecutors) add(executor *executor) {
 	i := slices.Index(l[:], executor)
 	if i < 0 {
--- a/internal/dispatch/golden_cluster_test.go
+++ b/internal/dispatch/golden_cluster_test.go
@@ -246,7 +246,8 @@
 	if n.incarnation > 1 && len(rows) > 3 {
 		rows = rows[:len(rows)-1] // the cached list is outdated
 	}
-	n.pending = []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Version: c.version, Updates: rows}}
+	n.pending = []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Version: c.version,
+		Updates: rows}}
 }
 
 // Clients.
--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -209,8 +209,8 @@
 	known := &executor.gossip
 	if executor.inFlight.unstarted > 0 && d.isStartOverdue(executor) {
 		slots := d.knownSlots(executor) * d.slowStart.capacityFraction(executor)
-		if hidden := slots - executor.inFlight.slots - d.peerSlotsAt(executor); hidden >= known.unreportedSlots {
-			known.unreportedSlots, known.unreportedSlotsAt = hidden, d.now
+		if unreported := slots - executor.inFlight.slots - d.peerSlotsAt(executor); unreported >= known.unreportedSlots {
+			known.unreportedSlots, known.unreportedSlotsAt = unreported, d.now
 		}
 	}
 	return max(0, known.unreportedSlots*(1-(d.now-known.unreportedSlotsAt)/d.serviceTimes.meanRun))
--- a/internal/dispatch/hedging.go
+++ b/internal/dispatch/hedging.go
@@ -25,6 +25,7 @@
 	}
 }
 
+// lastAttempt returns the attempt that was sent last.
 func (j *job) lastAttempt() *attempt { return &j.attempts[len(j.attempts)-1] }
 
 // hedgeUnresponsive queues the jobs of unresponsive executors for a hedged attempt, where their class allows it.
--- a/internal/dispatch/loadreport.go
+++ b/internal/dispatch/loadreport.go
@@ -20,7 +20,7 @@
 	// change sooner and selects a wrong age more often.
 	reportAgeDecay = 0.99
 
-	// reportAgeConfidence is the fraction of the default candidate's scatter below which another candidate is selected.
+	// reportAgeConfidence is the fraction of the default candidate's variance below which another candidate is selected.
 	reportAgeConfidence = 0.8
 
 	// defaultAgeCandidate is the index of the candidate for the default age.
@@ -178,27 +178,27 @@
 // learnAge estimates how old reports are on arrival. Reports can be delayed by far more than usual without any sign of
 // it. All nodes then fill the executors that were idle seconds ago and avoid those that were full. The occupancy that
 // an executor reports follows this node's own jobs there, as they were when the report was taken. The estimate is
-// therefore the candidate age at which the reported occupancy minus this node's own scatters least.
+// therefore the candidate age at which the reported occupancy minus this node's own has the least variance.
 func (r *loadReports) learnAge(executor *executor, occupancy float64, inSlots bool) {
 	r.samples++
 	weight := max(1-reportAgeDecay, 1/r.samples)
-	leastScatter, best := math.Inf(1), 0
-	unexplained := r.reportedOccupancy.add(occupancy, weight) // scatter without this node's jobs
+	leastVariance, best := math.Inf(1), 0
+	unexplained := r.reportedOccupancy.add(occupancy, weight) // variance without this node's jobs
 	for k := range r.ageCandidates {
 		takenAt := r.now - r.candidateAge(k)
-		scatter := r.ageCandidates[k].add(occupancy-executor.ownOccupancyAt(takenAt, inSlots), weight)
+		variance := r.ageCandidates[k].add(occupancy-executor.ownOccupancyAt(takenAt, inSlots), weight)
 		// An age beyond the oldest recorded job of this node counts none of its jobs. Such an age explains nothing, but
-		// may still scatter less than the default one where this node has few jobs.
+		// may still have less variance than the default one where this node has few jobs.
 		explained := r.reportedOccupancy.mean - r.ageCandidates[k].mean
-		if scatter < leastScatter && explained >= (r.reportedOccupancy.mean-r.ageCandidates[defaultAgeCandidate].mean)/2 {
-			leastScatter, best = scatter, k
+		if variance < leastVariance && explained >= (r.reportedOccupancy.mean-r.ageCandidates[defaultAgeCandidate].mean)/2 {
+			leastVariance, best = variance, k
 		}
 	}
 	confidence := reportAgeConfidence
 	if r.selectedAge != defaultAgeCandidate {
 		confidence = 1 // a selected age stays until the default one fits as well
 	}
-	uncertain := leastScatter > confidence*r.ageCandidates[defaultAgeCandidate].variance || leastScatter > unexplained
+	uncertain := leastVariance > confidence*r.ageCandidates[defaultAgeCandidate].variance || leastVariance > unexplained
 	if uncertain || r.samples < 1/(1-reportAgeDecay) {
 		best = defaultAgeCandidate
 	}
