--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -2,8 +2,8 @@
 
 // The lifecycle of an attempt: its send, the notifications about it and its outcome.
 
-// maxRetryDoublings is how many times the delay doubles before an unresponsive executor gets another job.
-const maxRetryDoublings = 3
+// maxTrialDoublings is how many times the delay doubles before an unresponsive executor gets another job.
+const maxTrialDoublings = 3
 
 // Parameters of the estimate of the time from the send of an attempt to its start notification.
 const (
@@ -17,7 +17,7 @@
 	d.chargeSlowStart(job, executor)
 	shared := d.sharesConnection(executor)
 	if executor.outlier.unresponsive {
-		d.delayNextRetry(executor)
+		d.delayNextTrial(executor)
 	}
 	d.placement.lastDispatchAt = d.now
 	d.act(Action{Kind: ActSend, Job: job.id, Executor: executor.id})
@@ -46,11 +46,11 @@
 	}
 }
 
-// delayNextRetry sets the time of the next job for an executor that is still unresponsive after the current one.
-func (d *Dispatcher) delayNextRetry(executor *executor) {
+// delayNextTrial sets the time of the next job for an executor that is still unresponsive after the current one.
+func (d *Dispatcher) delayNextTrial(executor *executor) {
 	outlier := &executor.outlier
 	outlier.trialAt = d.now +
-		d.unresponsiveTimeout()/2*backoffFactor(outlier.trials, maxRetryDoublings)*(0.75+0.5*d.random())
+		d.unresponsiveTimeout()/2*backoffFactor(outlier.trials, maxTrialDoublings)*(0.75+0.5*d.random())
 	outlier.trials++
 }
 
@@ -115,8 +115,8 @@
 	}
 }
 
-// handleNote records a start, a sign of progress or an overdue acknowledgement of an attempt.
-func (d *Dispatcher) handleNote(event *Event) {
+// handleNotification records a start, a sign of progress or an overdue acknowledgement of an attempt.
+func (d *Dispatcher) handleNotification(event *Event) {
 	job, attempt := d.attemptOf(event)
 	if job == nil {
 		return
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -102,7 +102,7 @@
 	case EvOutcome:
 		d.handleOutcome(event)
 	case EvNotification:
-		d.handleNote(event)
+		d.handleNotification(event)
 	case EvHealthCheck:
 		d.handleHealthCheck(event)
 	case EvEndpoints:
--- a/internal/dispatch/loadreport.go
+++ b/internal/dispatch/loadreport.go
@@ -175,11 +175,11 @@
 	return free
 }
 
-// learnAge estimates how old reports are on arrival. Reports can be delayed by far more than usual without any sign of
+// estimateAge estimates how old reports are on arrival. Reports can be delayed by far more than usual without any sign of
 // it. All nodes then fill the executors that were idle seconds ago and avoid those that were full. The occupancy that
 // an executor reports follows this node's own jobs there, as they were when the report was taken. The estimate is
 // therefore the candidate age at which the reported occupancy minus this node's own has the least variance.
-func (r *loadReports) learnAge(executor *executor, occupancy float64, inSlots bool) {
+func (r *loadReports) estimateAge(executor *executor, occupancy float64, inSlots bool) {
 	r.samples++
 	weight := max(1-reportAgeDecay, 1/r.samples)
 	leastVariance, best := math.Inf(1), 0
@@ -278,10 +278,10 @@
 	load.sampleHash, load.reportedAt = report.hash, d.now
 	d.reports.recentReporters.add(executor)
 	occupancy, inSlots := report.occupancy(slots, free)
-	d.reports.learnAge(executor, occupancy, inSlots)
+	d.reports.estimateAge(executor, occupancy, inSlots)
 	d.setFreeSlots(executor, &report, free)
-	d.learnSlots(executor, &report, free, slots)
-	d.learnOccupancy(executor)
+	d.estimateSlots(executor, &report, free, slots)
+	d.observeOccupancy(executor)
 	// Free slots in a report end the backoff after a single Full outcome, which may be the consequence of a late report.
 	// An executor that reports free slots but rejects the next attempt as well is draining and not yet listed as such, so
 	// its backoff stays.
@@ -312,9 +312,9 @@
 	}
 }
 
-// learnSlots estimates how many slots an executor has. If there are free slots for the widest job, nothing is queued
+// estimateSlots estimates how many slots an executor has. If there are free slots for the widest job, nothing is queued
 // and all busy requests are running.
-func (d *Dispatcher) learnSlots(executor *executor, report *loadReport, free, slots float64) {
+func (d *Dispatcher) estimateSlots(executor *executor, report *loadReport, free, slots float64) {
 	load := &executor.load
 	shownSlots := free
 	if free >= d.capacity.widestRequest-slotTolerance && report.busy > 0 {
@@ -330,8 +330,8 @@
 	load.freeSlots = min(load.freeSlots, max(slots, load.slots)-executor.inFlight.slots)
 }
 
-// learnOccupancy updates the estimated fraction of an executor's slots that other nodes use.
-func (d *Dispatcher) learnOccupancy(executor *executor) {
+// observeOccupancy updates the estimated fraction of an executor's slots that other nodes use.
+func (d *Dispatcher) observeOccupancy(executor *executor) {
 	load, group := &executor.load, executor.group
 	occupancy := max(0, load.slots-executor.inFlight.slots-load.freeSlots) / max(load.slots, 1)
 	d.capacity.meanPeerOccupancy += (occupancy - d.capacity.meanPeerOccupancy) * occupancyWeight
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -20,9 +20,9 @@
 
 // rejectionLog counts the jobs that this node ended without an outcome, by cause.
 type rejectionLog struct {
-	byCause [causeCount]int
-	lastAt  float64
-	active  bool // the load shedding state that was last logged
+	byCause        [causeCount]int
+	lastRejectedAt float64
+	active         bool // the load shedding state that was last logged
 }
 
 // isSendAllowed reports whether a job may be sent to an executor. Every send passes this check. It considers the state
@@ -54,7 +54,7 @@
 		return true
 	case Keyed:
 		ran, since := job.firstRun()
-		return d.now-since < class.DedupWindow-d.answerMargin() && inDeduplicationScope(class.DedupScope, ran, executor)
+		return d.now-since < class.DedupWindow-d.answerMargin() && inDedupScope(class.DedupScope, ran, executor)
 	}
 	return false
 }
@@ -71,8 +71,8 @@
 	return ran, since
 }
 
-// inDeduplicationScope reports whether two executors belong to one group that drops repeats of a keyed request.
-func inDeduplicationScope(scope DedupScope, a, b *executor) bool {
+// inDedupScope reports whether two executors belong to one group that drops repeats of a keyed request.
+func inDedupScope(scope DedupScope, a, b *executor) bool {
 	switch scope {
 	case ScopeAll:
 		return true
@@ -130,7 +130,7 @@
 		return
 	}
 	d.rejections.byCause[cause]++
-	d.rejections.lastAt = d.now
+	d.rejections.lastRejectedAt = d.now
 	answer := Action{Kind: ActFail, Job: job.id}
 	if d.isRejectSafe(job) {
 		answer.Kind, answer.For = ActReject, d.retryAfter(job)
@@ -147,7 +147,7 @@
 // logLoadShedding logs when this node starts to end jobs itself, and when it has ended none for a while, together with
 // the figures behind these decisions.
 func (d *Dispatcher) logLoadShedding() {
-	rejecting := d.rejections.lastAt > 0 && d.now-d.rejections.lastAt < tenantActiveMs
+	rejecting := d.rejections.lastRejectedAt > 0 && d.now-d.rejections.lastRejectedAt < tenantActiveMs
 	if rejecting == d.rejections.active {
 		return
 	}
