--- a/internal/dispatch/affinity.go
+++ b/internal/dispatch/affinity.go
@@ -132,7 +132,7 @@
 // affinityHashOf returns the ranking fields of an executor.
 func affinityHashOf(executor *executor) affinityHash {
 	return affinityHash{hash: mix64(uint64(executor.id) + affinityHashSeed), tag: executor.tag,
-		kind: executor.endpoint.row.Kind, ready: executor.endpoint.condition == Ready}
+		kind: executor.endpoint.lastUpdate.Kind, ready: executor.endpoint.condition == Ready}
 }
 
 // rankedCandidate is the rendezvous weight of the executor at a position of the endpoint list for a key.
--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -236,8 +236,8 @@
 // excludes an executor.
 func (d *Dispatcher) isOverloadedByWeight(executor *executor) bool {
 	position := executor.endpoint.position
-	return position < len(d.endpoints.rows) &&
-		d.endpoints.rows[position].liveLoad >= max(liveLoadLimit, liveLoadExcess*d.endpoints.meanLiveLoad)
+	return position < len(d.endpoints.entries) &&
+		d.endpoints.entries[position].liveLoad >= max(liveLoadLimit, liveLoadExcess*d.endpoints.meanLiveLoad)
 }
 
 // slotsWithoutReport returns how many more slots this node may use at an executor without a fresh load report.
--- a/internal/dispatch/classfailure.go
+++ b/internal/dispatch/classfailure.go
@@ -8,7 +8,7 @@
 
 const (
 	// classQuarantineFactor is the duration of the first quarantine of a class at an executor, in connect timeouts.
-	// It doubles with each further failure. It is long because a trial may lose a job for good.
+	// It doubles with each further failure. It is long because a trial may lose a job.
 	classQuarantineFactor = 16
 
 	// errorPrior is the weight of the error rate of all classes in that of one class, in jobs. With a larger
@@ -150,7 +150,8 @@
 		return
 	}
 	base := classQuarantineFactor * max(d.settings.ConnectTimeout, d.settings.MinStepInterval)
-	failures.quarantinedUntil = d.now + base*backoffFactor(failures.consecutive-1, maxBackoffDoublings)*(0.75+0.5*d.random())
+	failures.quarantinedUntil = d.now +
+		base*backoffFactor(failures.consecutive-1, maxBackoffDoublings)*(0.75+0.5*d.random())
 	d.reportQuarantine(executor, firstClassQuarantine+class)
 	d.logf("class quarantined executor=%d class=%d until=%.0f", executor.id, class, failures.quarantinedUntil)
 }
@@ -170,8 +171,8 @@
 	return (ownErrors + errorPrior*errors/(all+errorPrior)) / (own + errorPrior)
 }
 
-// excludesClass reports whether a job's class is quarantined at an executor, unless it is failing at most
-// executors.
+// excludesClass reports whether a job's class is quarantined at an executor, unless it is failing at
+// most executors.
 func (d *Dispatcher) excludesClass(job *job, executor *executor) bool {
 	return d.isClassQuarantined(executor, job.class) && !d.outliers.failingClasses[job.class]
 }
--- a/internal/dispatch/classfailure_test.go
+++ b/internal/dispatch/classfailure_test.go
@@ -65,15 +65,15 @@
 func TestJobFailingEverywhereDoesNotQuarantineClass(t *testing.T) {
 	s := base()
 	s.MaxAttempts = 6
-	var rows []EndpointUpdate
+	var updates []EndpointUpdate
 	for id := uint32(1); id <= 8; id++ {
-		rows = append(rows, ready(id, 0))
+		updates = append(updates, ready(id, 0))
 	}
 	runJob := func(servedAttempt int) (quarantined int, probability float64) {
-		r := newRig(t, s, rows...)
-		out := r.step(request(1, 0, 0, 1))
+		r := newRig(t, s, updates...)
+		actions := r.step(request(1, 0, 0, 1))
 		for n := uint16(0); n < 6; n++ {
-			sends := actionsOf(out, ActSend, 1)
+			sends := actionsOf(actions, ActSend, 1)
 			if len(sends) != 1 {
 				break
 			}
@@ -81,7 +81,7 @@
 			if int(n) == servedAttempt {
 				o = Served
 			}
-			out = r.after(20, outcome(1, n, sends[0].Executor, o, 4+float32(n)*1e-4))
+			actions = r.after(20, outcome(1, n, sends[0].Executor, o, 4+float32(n)*1e-4))
 		}
 		atMostOnce := &job{class: 2}
 		for _, executor := range r.d.endpoints.listed {
@@ -117,11 +117,11 @@
 	s := base()
 	// Executor 1 is in the node's own zone, so all jobs go there unless it is excluded.
 	s.Fees.CrossZone = 1
-	rows := []EndpointUpdate{ready(1, 1)}
+	updates := []EndpointUpdate{ready(1, 1)}
 	for id := uint32(2); id <= 5; id++ {
-		rows = append(rows, EndpointUpdate{Executor: id, Zone: 1, Cell: 2, Condition: Ready, Weight: 1})
+		updates = append(updates, EndpointUpdate{Executor: id, Zone: 1, Cell: 2, Condition: Ready, Weight: 1})
 	}
-	r := newRig(t, s, rows...)
+	r := newRig(t, s, updates...)
 	job := uint32(0)
 	run := func(class uint8, o func(uint32) Outcome) uint32 {
 		t.Helper()
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -7,8 +7,8 @@
 	"sort"
 )
 
-// rebuildThreshold is the number of changed rows from which on the whole list is sorted again, instead of updating
-// it row by row.
+// rebuildThreshold is the number of changed executors from which on the list is sorted again, instead of updating
+// each executor in its place.
 const rebuildThreshold = 16
 
 // minWeight is the minimum weight of the largest executor of a kind.
@@ -25,7 +25,7 @@
 	byTag          map[uint16]*executor  // by tag, which identifies an executor in messages between nodes
 	listed         []*executor           // by id
 	removed        []*executor           // removed from the list, but with attempts of this node in flight
-	rows           []endpointRow         // of listed, in the same order
+	entries        []endpointEntry       // of listed, in the same order
 	hashes         []affinityHash        // of listed, in the same order
 	changed        []*executor           // reused buffer of applyChanges
 	revision       int                   // number of changes of the list, from 1
@@ -33,10 +33,10 @@
 	meanLiveLoad   float64               // requests per core, derived from live weights
 }
 
-// endpointRow is the listed data of an executor. It is kept apart from the executor, because lists with live
+// endpointEntry is the entry of an executor in the list. It is kept apart from the executor, because lists with live
 // weights arrive often, and accessing each executor for each of them would use more CPU time than all jobs.
-type endpointRow struct {
-	row      EndpointUpdate
+type endpointEntry struct {
+	update   EndpointUpdate
 	liveLoad float64 // requests in flight per core, derived from the live weight
 }
 
@@ -46,35 +46,35 @@
 	cell       uint16
 	condition  Condition
 	position   int            // in the list; used only with live weights
-	row        EndpointUpdate // as of the last change other than in its weight
+	lastUpdate EndpointUpdate // as of the last change other than in its weight
 }
 
 // positionOf returns the position of an executor in the list, or the position where it would be inserted.
 func (l *endpointList) positionOf(id uint32) int {
-	return sort.Search(len(l.rows), func(k int) bool { return l.rows[k].row.Executor >= id })
+	return sort.Search(len(l.entries), func(k int) bool { return l.entries[k].update.Executor >= id })
 }
 
 // isAt reports whether an executor is at a position of the list.
 func (l *endpointList) isAt(position int, id uint32) bool {
-	return position < len(l.rows) && l.rows[position].row.Executor == id
+	return position < len(l.entries) && l.entries[position].update.Executor == id
 }
 
 // applyWeight records a listed weight and the live load that follows from it.
-func (l *endpointList) applyWeight(known *endpointRow, weight float64) {
-	known.row.Weight = weight
-	largest := &l.maxKindWeights[known.row.Kind]
+func (l *endpointList) applyWeight(known *endpointEntry, weight float64) {
+	known.update.Weight = weight
+	largest := &l.maxKindWeights[known.update.Kind]
 	*largest = max(*largest, weight, minWeight)
 	if l.settings.LiveWeights && weight > 0 {
 		known.liveLoad = *largest/weight - 1
-		l.meanLiveLoad += (known.liveLoad - l.meanLiveLoad) / float64(len(l.rows)+1)
+		l.meanLiveLoad += (known.liveLoad - l.meanLiveLoad) / float64(len(l.entries)+1)
 	}
 }
 
-// isUnchanged reports whether a row differs from the known one at most in its weight.
-func (r *endpointRow) isUnchanged(row *EndpointUpdate) bool {
-	other := *row
-	other.Weight = r.row.Weight
-	return other == r.row
+// isUnchanged reports whether an update differs from the known one at most in its weight.
+func (r *endpointEntry) isUnchanged(update *EndpointUpdate) bool {
+	other := *update
+	other.Weight = r.update.Weight
+	return other == r.update
 }
 
 // insert adds a newly listed executor at its position.
@@ -83,7 +83,7 @@
 		l.byTag[executor.tag] = executor
 	}
 	l.listed = slices.Insert(l.listed, at, executor)
-	l.rows = slices.Insert(l.rows, at, endpointRow{row: executor.endpoint.row})
+	l.entries = slices.Insert(l.entries, at, endpointEntry{update: executor.endpoint.lastUpdate})
 	l.hashes = slices.Insert(l.hashes, at, affinityHashOf(executor))
 }
 
@@ -91,7 +91,7 @@
 func (l *endpointList) remove(at int) {
 	executor := l.listed[at]
 	l.listed = slices.Delete(l.listed, at, at+1)
-	l.rows = slices.Delete(l.rows, at, at+1)
+	l.entries = slices.Delete(l.entries, at, at+1)
 	l.hashes = slices.Delete(l.hashes, at, at+1)
 	l.releaseTag(executor)
 }
@@ -120,20 +120,20 @@
 		d.aggregatorServer.startedAt = d.now
 	}
 	d.listWatch.recordList(event.Form)
-	d.applyRows(event)
+	d.applyUpdates(event)
 	if event.Form != ListCached && len(d.endpoints.listed) > 0 {
 		d.slowStart.confirmedAt = d.now
 	}
 }
 
-// applyRows updates the executors from a list.
-func (d *Dispatcher) applyRows(event *Event) {
+// applyUpdates updates the executors from a list.
+func (d *Dispatcher) applyUpdates(event *Event) {
 	if event.Form != ListDelta {
 		for _, executor := range d.endpoints.listed {
 			executor.endpoint.condition = Removed
 		}
 	}
-	d.slowStart.observeRows(event.Updates)
+	d.slowStart.observeUpdates(event.Updates)
 	changed := d.applyChanges(event)
 	switch {
 	case event.Form != ListDelta, len(changed) >= rebuildThreshold, len(changed) > 0 && d.settings.LiveWeights:
@@ -152,48 +152,48 @@
 	}
 }
 
-// applyChanges updates the executors whose rows have changed, and returns them. Rows usually arrive in list order.
+// applyChanges updates the executors that have changed, and returns them. Updates usually arrive in list order.
 func (d *Dispatcher) applyChanges(event *Event) []*executor {
 	list := &d.endpoints
 	changed := list.changed[:0]
 	at := 0
 	for i := range event.Updates {
-		row := &event.Updates[i]
-		if !list.isAt(at, row.Executor) {
-			at = list.positionOf(row.Executor)
+		update := &event.Updates[i]
+		if !list.isAt(at, update.Executor) {
+			at = list.positionOf(update.Executor)
 		}
-		if list.isAt(at, row.Executor) {
-			known := &list.rows[at]
+		if list.isAt(at, update.Executor) {
+			known := &list.entries[at]
 			at++
-			if event.Form == ListDelta && known.isUnchanged(row) {
-				list.applyWeight(known, row.Weight)
+			if event.Form == ListDelta && known.isUnchanged(update) {
+				list.applyWeight(known, update.Weight)
 				continue
 			}
-			known.row.Weight = row.Weight
+			known.update.Weight = update.Weight
 		}
-		changed = append(changed, d.applyRow(row))
+		changed = append(changed, d.applyUpdate(update))
 	}
 	list.changed = changed
 	return changed
 }
 
-// applyRow updates an executor from its row, and creates the executor if it is new.
-func (d *Dispatcher) applyRow(row *EndpointUpdate) *executor {
-	executor := d.endpoints.byID[row.Executor]
+// applyUpdate applies an update to an executor, and creates the executor if it is new.
+func (d *Dispatcher) applyUpdate(update *EndpointUpdate) *executor {
+	executor := d.endpoints.byID[update.Executor]
 	predecessorActiveAt := 0.0
 	if executor == nil {
-		executor = d.newExecutor(row.Executor)
-	} else if row.StartedAt != executor.slowStart.listedStart {
+		executor = d.newExecutor(update.Executor)
+	} else if update.StartedAt != executor.slowStart.listedStart {
 		// A new process. Its listed start may be earlier than the previous one if the list's clock was stepped
 		// back.
 		predecessorActiveAt = executor.outlier.lastActiveAt
 		d.resetProcess(executor)
 	}
 	endpoint := &executor.endpoint
-	endpoint.zone, endpoint.kind, endpoint.cell = int(row.Zone), int(row.Kind), row.Cell
-	executor.group = d.capacity.groupOf(row.Kind, row.Zone)
-	d.slowStart.observeStart(executor, row.StartedAt, predecessorActiveAt)
-	endpoint.condition, endpoint.row = row.Condition, *row
+	endpoint.zone, endpoint.kind, endpoint.cell = int(update.Zone), int(update.Kind), update.Cell
+	executor.group = d.capacity.groupOf(update.Kind, update.Zone)
+	d.slowStart.observeStart(executor, update.StartedAt, predecessorActiveAt)
+	endpoint.condition, endpoint.lastUpdate = update.Condition, *update
 	d.slowStart.trackIfWarmingUp(executor)
 	d.slowStartAllows(executor, 0) // starts the budget now, rather than with this node's next job
 	return executor
@@ -242,21 +242,21 @@
 		}
 	}
 	slices.SortFunc(list.listed, func(a, b *executor) int { return cmp.Compare(a.id, b.id) })
-	for i := range list.rows {
-		if executor := list.byID[list.rows[i].row.Executor]; executor != nil {
-			executor.endpoint.row.Weight = list.rows[i].row.Weight // as last notified
+	for i := range list.entries {
+		if executor := list.byID[list.entries[i].update.Executor]; executor != nil {
+			executor.endpoint.lastUpdate.Weight = list.entries[i].update.Weight // as last notified
 		}
 	}
-	list.rows, list.hashes = list.rows[:0], list.hashes[:0]
+	list.entries, list.hashes = list.entries[:0], list.hashes[:0]
 	for i, executor := range list.listed {
 		executor.endpoint.position, list.byTag[executor.tag] = i, executor
-		list.rows = append(list.rows, endpointRow{row: executor.endpoint.row})
+		list.entries = append(list.entries, endpointEntry{update: executor.endpoint.lastUpdate})
 		list.hashes = append(list.hashes, affinityHashOf(executor))
-		list.applyWeight(&list.rows[i], executor.endpoint.row.Weight)
+		list.applyWeight(&list.entries[i], executor.endpoint.lastUpdate.Weight)
 	}
 }
 
-// updateListed inserts, updates or removes one executor whose row has changed. With live weights the list is
+// updateListed inserts, updates or removes one executor that has changed. With live weights the list is
 // rebuilt instead, since only then the positions of the executors are used.
 func (d *Dispatcher) updateListed(executor *executor) {
 	list := &d.endpoints
@@ -270,13 +270,13 @@
 		list.removed = append(list.removed, executor)
 		return
 	case isListed:
-		executor.endpoint.row.Weight = list.rows[at].row.Weight // as last notified
-		list.rows[at].row, list.hashes[at] = executor.endpoint.row, affinityHashOf(executor)
+		executor.endpoint.lastUpdate.Weight = list.entries[at].update.Weight // as last notified
+		list.entries[at].update, list.hashes[at] = executor.endpoint.lastUpdate, affinityHashOf(executor)
 	default:
 		executor.tag = d.tagOf(executor.id)
 		list.insert(at, executor)
 	}
-	list.applyWeight(&list.rows[at], executor.endpoint.row.Weight)
+	list.applyWeight(&list.entries[at], executor.endpoint.lastUpdate.Weight)
 }
 
 // purgeRemoved deletes removed executors that have no attempts of this node in flight.
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// A delta of a few rows results in the same executors, rows, hashes and tags as a rebuild of the list, and in the
-// same actions. The deltas include drains, restarts, executors that are removed with jobs in flight and return, and
-// executors with the same tag.
+// A delta of a few executors results in the same executors, entries, hashes and tags as a rebuild of the list, and
+// in the same actions. The deltas include drains, restarts, executors that are removed with jobs in flight and
+// return, and executors with the same tag.
 func TestListDeltaMatchesRebuild(t *testing.T) { //nolint:gocognit // one course of events
 	for seed := int64(1); seed <= 6; seed++ {
 		rng := rand.New(rand.NewSource(seed))
@@ -21,20 +21,20 @@
 		if changes.d.gossip.mode != gossipAggregator {
 			t.Fatal("gossip mode has 16-bit tags, which are rarely shared by executors")
 		}
-		rows := map[uint32]EndpointUpdate{}
+		updates := map[uint32]EndpointUpdate{}
 		for _, r := range first {
-			rows[r.Executor] = r
+			updates[r.Executor] = r
 		}
-		var out []Action
+		var inFlight []Action
 		for job := uint32(1); job <= 250; job++ {
 			events := []Event{request(job, uint8(rng.Intn(3)), 0, 1)}
-			for len(out) > 40 || len(out) > 0 && rng.Intn(3) == 0 {
-				events = append(events, outcome(out[0].Job, 0, out[0].Executor, Served))
-				out = out[1:]
+			for len(inFlight) > 40 || len(inFlight) > 0 && rng.Intn(3) == 0 {
+				events = append(events, outcome(inFlight[0].Job, 0, inFlight[0].Executor, Served))
+				inFlight = inFlight[1:]
 			}
 			revision := rebuilt.d.endpoints.revision
 			if rng.Intn(2) == 0 {
-				events = append(events, Event{Kind: EvEndpoints, Form: ListDelta, Updates: randomChange(rng, rows, changes.now)})
+				events = append(events, Event{Kind: EvEndpoints, Form: ListDelta, Updates: randomChange(rng, updates, changes.now)})
 			}
 			a, b := changes.after(20, events...), rebuilt.after(20, events...)
 			if !reflect.DeepEqual(a, b) {
@@ -48,18 +48,18 @@
 			}
 			for _, x := range a {
 				if x.Kind == ActSend && len(changes.d.jobs.byID[x.Job].attempts) == 1 {
-					out = append(out, x)
+					inFlight = append(inFlight, x)
 				}
 			}
 		}
 	}
 }
 
-// randomChange changes a few random rows: their condition, start or cell, or a new executor.
-func randomChange(rng *rand.Rand, rows map[uint32]EndpointUpdate, now float64) (changed []EndpointUpdate) {
+// randomChange changes a few random executors: their condition, start or cell, or a new executor.
+func randomChange(rng *rand.Rand, updates map[uint32]EndpointUpdate, now float64) (changed []EndpointUpdate) {
 	for range 1 + rng.Intn(4) {
 		id := uint32(90 + rng.Intn(320))
-		r, ok := rows[id]
+		r, ok := updates[id]
 		if !ok {
 			r = ready(id, 0)
 		}
@@ -75,7 +75,7 @@
 		default:
 			r.Condition = Ready
 		}
-		rows[id] = r
+		updates[id] = r
 		changed = append(changed, r)
 	}
 	return changed
@@ -108,8 +108,8 @@
 		return fmt.Sprintf("executors %v, want %v", ids(a), ids(b))
 	case !slices.Equal(known(a), known(b)):
 		return fmt.Sprintf("known executors %v, want %v", known(a), known(b))
-	case !slices.Equal(a.endpoints.rows, b.endpoints.rows):
-		return fmt.Sprintf("rows %v, want %v", a.endpoints.rows, b.endpoints.rows)
+	case !slices.Equal(a.endpoints.entries, b.endpoints.entries):
+		return fmt.Sprintf("entries %v, want %v", a.endpoints.entries, b.endpoints.entries)
 	case !slices.Equal(a.endpoints.hashes, b.endpoints.hashes):
 		return fmt.Sprintf("hashes %v, want %v", a.endpoints.hashes, b.endpoints.hashes)
 	case !reflect.DeepEqual(names(a), names(b)):
@@ -118,7 +118,7 @@
 	return ""
 }
 
-// BenchmarkListChange compares a change of one row, where an executor drains or is removed and then returns, with a
+// BenchmarkListChange compares a change of one executor, which drains or is removed and then returns, with a
 // rebuild of the list.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{200, 1000, 6200} {
@@ -134,14 +134,14 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					d.applyRows(&Event{Form: ListCached, Updates: fleet(n)})
-					row := ready(uint32(100+n/2), 0)
+					d.applyUpdates(&Event{Form: ListCached, Updates: fleet(n)})
+					update := ready(uint32(100+n/2), 0)
 					for i := range b.N {
-						row.Condition = Ready
+						update.Condition = Ready
 						if i%2 == 0 {
-							row.Condition = c.to
+							update.Condition = c.to
 						}
-						d.applyRows(&Event{Form: ListDelta, Updates: []EndpointUpdate{row}})
+						d.applyUpdates(&Event{Form: ListDelta, Updates: []EndpointUpdate{update}})
 						if rebuild {
 							d.rebuildList()
 						}
@@ -158,18 +158,18 @@
 	s := base()
 	s.Nodes, s.LiveWeights = 100, true
 	r := newRig(t, s, fleet(30)...)
-	rows := fleet(30)
-	for i := range rows {
-		rows[i].Weight = 0.25
+	updates := fleet(30)
+	for i := range updates {
+		updates[i].Weight = 0.25
 	}
-	r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Updates: rows})
+	r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Updates: updates})
 	r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{ready(500, 0)}})
 	for _, executor := range r.d.endpoints.listed {
 		want := 3.0
 		if executor.id == 500 {
 			want = 0
 		}
-		if got := r.d.endpoints.rows[executor.endpoint.position].liveLoad; got != want {
+		if got := r.d.endpoints.entries[executor.endpoint.position].liveLoad; got != want {
 			t.Fatalf("executor %d: live load of %v requests per core, want %v", executor.id, got, want)
 		}
 	}
--- a/internal/dispatch/listclock.go
+++ b/internal/dispatch/listclock.go
@@ -4,7 +4,7 @@
 //
 // Both are wall clocks of different machines, either may be off by hours, and discovery lists a process some time
 // after it started. The observed delay of each start, from its listed time to its notification, is the sum of both
-// effects. A constant clock error is the same in all delays, so the difference between two observed delays is a
+// effects. A constant clock error is the same in every delay, so the difference between two observed delays is a
 // difference of true delays: at its notification, a process is at least as old as its delay exceeds the minimum
 // observed delay. Whether that minimum is itself a true delay or a clock error cannot be determined. It is counted
 // as a true delay as far as the margin of a budget tolerates the error.
--- a/internal/dispatch/listclock_test.go
+++ b/internal/dispatch/listclock_test.go
@@ -32,15 +32,15 @@
 				if i == 0 {
 					continue // there is no earlier start to compare it with
 				}
-				leastLag := maxLag
+				shortestLag := maxLag
 				for _, other := range played[max(0, i-listClockSamples) : i+1] {
-					leastLag = min(leastLag, other.lag)
+					shortestLag = min(shortestLag, other.lag)
 				}
-				likely := leastLag
+				likely := shortestLag
 				if clock == 0 {
-					likely = max(0, leastLag-tolerated) // the clocks agree
+					likely = max(0, shortestLag-tolerated) // the clocks agree
 				}
-				start.verifyNotLate(t, likely+drift, leastLag+drift)
+				start.verifyNotLate(t, likely+drift, shortestLag+drift)
 			}
 		})
 	}
@@ -117,24 +117,24 @@
 func simulateLateStarts(t *testing.T, clock, step float64, starts int, minLag, maxLag float64) []lateStart {
 	t.Helper()
 	random := rand.New(rand.NewSource(int64(clock + step)))
-	rows := fleet(starts)
-	for i := range rows {
-		rows[i].StartedAt = 0
+	updates := fleet(starts)
+	for i := range updates {
+		updates[i].StartedAt = 0
 	}
-	r := newRig(t, base(), rows...)
+	r := newRig(t, base(), updates...)
 	r.now = 100 * hourMS
-	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: rows})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: updates})
 	r.after(maxLag)
 	played := make([]lateStart, 0, starts)
-	for i := range rows {
+	for i := range updates {
 		if i == starts/2 {
 			clock += step
 		}
 		r.after(300, Event{Kind: EvEndpoints, Form: ListDelta})
 		startedAt := r.now + 10 - minLag - random.Float64()*(maxLag-minLag)
-		rows[i].StartedAt = startedAt + clock
-		r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{rows[i]}})
-		start := &r.d.endpoints.byID[rows[i].Executor].slowStart
+		updates[i].StartedAt = startedAt + clock
+		r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{updates[i]}})
+		start := &r.d.endpoints.byID[updates[i].Executor].slowStart
 		played = append(played, lateStart{i, startedAt, r.now - startedAt, start.startedAt, start.endsAt})
 	}
 	return played
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -241,9 +241,9 @@
 	executor.outlier.unresponsive = unresponsive
 }
 
-// recordActivity records that an executor responded. What is in flight at an executor that was unresponsive may
-// have ended or never arrived without this node observing it, and would count until its client's deadline. It is
-// therefore counted as holding no slots until a notification for it arrives.
+// recordActivity records that an executor responded. Attempts in flight at an executor that was unresponsive may
+// have ended or never arrived without this node observing it, and would count until their clients' deadlines.
+// They are therefore counted as holding no slots until a notification for them arrives.
 func (d *Dispatcher) recordActivity(executor *executor) {
 	executor.outlier.lastActiveAt = d.now
 	if !executor.outlier.unresponsive {
--- a/internal/dispatch/servicetime.go
+++ b/internal/dispatch/servicetime.go
@@ -100,7 +100,7 @@
 	s.meanSlotTime += (job.slots*run - s.meanSlotTime) * runTimeWeight
 	s.meanRun += (job.slots*run*run/max(s.meanSlotTime, 1) - s.meanRun) * runTimeWeight
 	stats := &s.classes[job.class]
-	if job.work == stats.work { // there was no hint: the class's mean stands for the work
+	if job.work == stats.work { // without a hint, the work is the mean of the class
 		stats.work += (run*s.meanSpeed() - stats.work) * classMeanWeight
 	}
 	s.add(attempt.executor, job.work, run)
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -22,7 +22,7 @@
 	slowStartSafety = 0.6
 
 	// slowStartAggregatorSafety replaces slowStartSafety while an aggregator reports the load of all nodes, since
-	// the free slots then limit what is sent.
+	// the free slots then limit the sends.
 	slowStartAggregatorSafety = 0.8
 
 	// maxSlowStartShare is a node's maximum share of a budget, as a multiple of an equal share. It is below
@@ -33,11 +33,11 @@
 	// the executor is used sooner, but overloaded.
 	slowStartBurst = 0.5
 
-	// removedStartTTLMs is how long the start of an executor that left the list is kept. An executor that returns
+	// removedStartTTLMs is how long the start of an executor that left the list is saved. An executor that returns
 	// within this time with the same start was not restarted, and does not warm up again.
 	removedStartTTLMs = 600000
 
-	// removedStartsPurgeThreshold is the number of kept starts from which on expired ones are purged.
+	// removedStartsPurgeThreshold is the number of saved starts from which on expired ones are purged.
 	removedStartsPurgeThreshold = 256
 )
 
@@ -70,18 +70,18 @@
 	removedAt float64
 }
 
-// observeRows records the latest start of the first lists, which estimateFirstStart compares the others with.
-func (s *slowStartTracker) observeRows(rows []EndpointUpdate) {
+// observeUpdates records the latest start of the first lists, which estimateFirstStart compares the others with.
+func (s *slowStartTracker) observeUpdates(updates []EndpointUpdate) {
 	if s.confirmedAt == 0 {
-		s.newestListedStart = newestStart(rows)
+		s.newestListedStart = newestStart(updates)
 	}
 }
 
 // newestStart returns the latest start of a list, on the list's clock.
-func newestStart(rows []EndpointUpdate) float64 {
+func newestStart(updates []EndpointUpdate) float64 {
 	newest := 0.0
-	for i := range rows {
-		newest = max(newest, rows[i].StartedAt)
+	for i := range updates {
+		newest = max(newest, updates[i].StartedAt)
 	}
 	return newest
 }
@@ -150,7 +150,7 @@
 	return s.now - (max(s.newestListedStart, listed) - listed)
 }
 
-// trackIfWarmingUp adds an executor whose row has changed to the warming list if it is warming up.
+// trackIfWarmingUp adds an executor that has changed to the warming list if it is warming up.
 func (s *slowStartTracker) trackIfWarmingUp(changed *executor) {
 	if s.capacityFraction(changed) >= 1 {
 		return
@@ -173,7 +173,7 @@
 	return s.warming
 }
 
-// saveRemovedStart keeps the start of an executor whose state is about to be deleted.
+// saveRemovedStart saves the start of an executor whose state is about to be deleted.
 func (s *slowStartTracker) saveRemovedStart(executor *executor) {
 	start := &executor.slowStart
 	if start.listedStart <= 0 {
@@ -264,7 +264,7 @@
 
 // slowStartCostScale returns by which factor requests take longer than the mean of those that have ended. That mean
 // has the same bias at all nodes, which together would send a cold executor several times its budget. Where the
-// load of all nodes at the executor is known, that limits what is sent, and the mean is accurate enough.
+// load of all nodes at the executor is known, that limits the sends, and the mean is accurate enough.
 func (d *Dispatcher) slowStartCostScale() float64 {
 	if d.peerLoadsKnown() {
 		return 1
@@ -273,7 +273,7 @@
 }
 
 // slowStartSafetyFactor returns the fraction of a budget that is used. It is larger while an aggregator reports the
-// load of all nodes: the executor's current capacity then limits what is sent, and only nodes that send at the same
+// load of all nodes: the executor's current capacity then limits the sends, and only nodes that send at the same
 // moment can exceed it.
 func (d *Dispatcher) slowStartSafetyFactor() float64 {
 	if d.gossip.mode == gossipAggregator && d.peerLoadsKnown() {
--- a/internal/dispatch/slowstart_fleet_test.go
+++ b/internal/dispatch/slowstart_fleet_test.go
@@ -113,10 +113,13 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	rows := []EndpointUpdate{p.row(now)}
+	updates := []EndpointUpdate{p.row(now)}
 	d.Step(
 		now+p.clock(i),
-		[]Event{{Kind: EvEndpoints, Form: ListCached, Updates: rows}, {Kind: EvEndpoints, Form: ListSnapshot, Updates: rows}},
+		[]Event{
+			{Kind: EvEndpoints, Form: ListCached, Updates: updates},
+			{Kind: EvEndpoints, Form: ListSnapshot, Updates: updates},
+		},
 		nil,
 	)
 	d.capacity.kindSlots[0] = fleetSlots
--- a/internal/dispatch/slowstart_quota_test.go
+++ b/internal/dispatch/slowstart_quota_test.go
@@ -57,7 +57,7 @@
 	}
 	running, job := []runningAttempt(nil), uint32(0)
 	for now := longStartedAt + longStep; now < longStartedAt+s.MaxSlowStartDuration; now += longStep {
-		for left := longLoad * longSlots / longWork * longStep; left > 0 && random.Float64() < left; left-- {
+		for expected := longLoad * longSlots / longWork * longStep; expected > 0 && random.Float64() < expected; expected-- {
 			job++
 			e := request(job, uint8(random.Intn(len(s.Classes))), 0, 1)
 			e.Work, e.Flags, e.TimeLeft = 0, 0, longDeadline
--- a/internal/dispatch/slowstart_sum_test.go
+++ b/internal/dispatch/slowstart_sum_test.go
@@ -19,7 +19,7 @@
 
 // simulate returns by how much the requests that all nodes sent within any window exceeded the budget and the
 // allowance for chance, which is twice the square root of the budget and two, and the used fraction of the budget.
-// Jobs are reported as served at once, so only the budget limits what is sent.
+// Jobs are reported as served at once, so only the budget limits the sends.
 func (f servedFleet) simulate(t *testing.T, seed int64) (excess, used float64) { //nolint:funlen,gocognit // one course
 	excess = math.Inf(-1)
 	const slots, work, step = 4.0, 300.0, 20.0
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -79,9 +79,9 @@
 // and is not considered slow while few jobs run there. Otherwise it is used at a tenth of its capacity while the
 // other executors have queues. Each placement considers it, not only those that draw it at random.
 func TestExecutorIsUsedAsItWarmsUp(t *testing.T) {
-	rows := fleet(60)
-	rows[30].StartedAt = 100000
-	c := newReadyCluster(t, 60, 4, rows...)
+	updates := fleet(60)
+	updates[30].StartedAt = 100000
+	c := newReadyCluster(t, 60, 4, updates...)
 	for i, d := range c.nodes {
 		if i == d.aggregatorClient.current {
 			continue
@@ -246,14 +246,14 @@
 // A start that differs from the known one belongs to a new process, even if it is earlier, as from a list whose
 // clock was stepped back: the state of the old process is dropped, and the new one warms up.
 func TestEarlierStartIsNewProcess(t *testing.T) {
-	row := ready(7, 0)
-	row.StartedAt = 90000 - hourMS/100
-	r := newRig(t, base(), row)
-	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{row}})
+	update := ready(7, 0)
+	update.StartedAt = 90000 - hourMS/100
+	r := newRig(t, base(), update)
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{update}})
 	executor := r.d.endpoints.byID[7]
 	executor.outlier.errorAverage, executor.outlier.ejections, executor.load.slots = 0.4, 3, 4
-	row.StartedAt -= 5000
-	r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{row}})
+	update.StartedAt -= 5000
+	r.after(500, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{update}})
 	if executor.outlier.errorAverage != 0 || executor.outlier.ejections != 0 {
 		t.Errorf(
 			"error average %v and %d ejections after the restart, want 0 and 0",
@@ -271,22 +271,22 @@
 func TestFirstListWithFutureStarts(t *testing.T) {
 	const now = 100 * hourMS
 	starts := map[uint32]float64{1: 0, 2: now - 1000, 3: now + hourMS, 4: now + hourMS - 2000, 5: now + hourMS/2}
-	var rows []EndpointUpdate
+	var updates []EndpointUpdate
 	for id := uint32(1); id <= 5; id++ {
-		row := ready(id, 0)
-		row.StartedAt = starts[id]
-		rows = append(rows, row)
+		update := ready(id, 0)
+		update.StartedAt = starts[id]
+		updates = append(updates, update)
 	}
 	r := newRig(t, base())
 	r.now = now
-	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: rows})
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: updates})
 	want := map[uint32]float64{1: 0, 2: now - 1000, 3: now, 4: now - 2000, 5: now - hourMS/2}
 	for id, at := range want {
 		if got := r.d.endpoints.byID[id].slowStart.startedAt; got != at {
 			t.Errorf("executor %d: estimated start %.0f, want %.0f", id, got, at)
 		}
 	}
-	r.after(3000, Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: rows})
+	r.after(3000, Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: updates})
 	if got := r.d.endpoints.byID[3].slowStart.startedAt; got != now {
 		t.Errorf("executor 3: estimated start after 3 s is %.0f, want %.0f", got, now)
 	}
@@ -310,9 +310,9 @@
 		r.now = confirmed
 		r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{old}})
 		r.now = now
-		row := old
-		row.StartedAt = c.listed
-		r.step(Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{row}})
+		update := old
+		update.StartedAt = c.listed
+		r.step(Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{update}})
 		if got := r.d.endpoints.byID[7].slowStart.startedAt; got != c.want {
 			t.Errorf(
 				"%s: estimated start %.0f ms after the confirmed list, want %.0f",
@@ -339,23 +339,23 @@
 
 // An executor that returns to the list with the same start was not restarted, and does not warm up again.
 func TestRelistedExecutorWithSameStartIsWarm(t *testing.T) {
-	other, row := ready(6, 0), ready(7, 0)
-	row.StartedAt = 40000
-	r := newRig(t, base(), other, row)
-	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{other, row}})
-	removed := row
+	other, update := ready(6, 0), ready(7, 0)
+	update.StartedAt = 40000
+	r := newRig(t, base(), other, update)
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{other, update}})
+	removed := update
 	removed.Condition = Removed
 	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{removed}})
 	if r.d.endpoints.byID[7] != nil {
 		t.Fatal("removed executor 7 is still known")
 	}
-	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{row}})
+	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{update}})
 	if fraction := r.d.slowStart.capacityFraction(r.d.endpoints.byID[7]); fraction != 1 {
 		t.Errorf("capacity fraction is %.2f, want 1", fraction)
 	}
 	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{removed}})
-	row.StartedAt++
-	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{row}})
+	update.StartedAt++
+	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{update}})
 	if fraction := r.d.slowStart.capacityFraction(r.d.endpoints.byID[7]); fraction == 1 {
 		t.Error("capacity fraction of a restarted executor is 1, want slow start")
 	}
@@ -367,11 +367,11 @@
 	for round := range 4 {
 		var added, removed []EndpointUpdate
 		for i := range 2 * removedStartsPurgeThreshold {
-			row := ready(uint32(1000*round+i+10), 0)
-			row.StartedAt = 50000
-			added = append(added, row)
-			row.Condition = Removed
-			removed = append(removed, row)
+			update := ready(uint32(1000*round+i+10), 0)
+			update.StartedAt = 50000
+			added = append(added, update)
+			update.Condition = Removed
+			removed = append(removed, update)
 		}
 		r.after(removedStartTTLMs, Event{Kind: EvEndpoints, Form: ListDelta, Updates: added})
 		r.after(removedStartTTLMs, Event{Kind: EvEndpoints, Form: ListDelta, Updates: removed})
@@ -384,11 +384,11 @@
 // An executor that restarts while it is warming up gets a new budget, also where the restart is notified late and
 // this node has used the old budget until then.
 func TestRestartDuringSlowStartOpensNewBudget(t *testing.T) {
-	row := ready(7, 0)
-	r := newRig(t, base(), row)
-	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{row}})
-	row.StartedAt = r.now + 1000
-	r.after(1001, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{row}})
+	update := ready(7, 0)
+	r := newRig(t, base(), update)
+	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: []EndpointUpdate{update}})
+	update.StartedAt = r.now + 1000
+	r.after(1001, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{update}})
 	executor := r.d.endpoints.byID[7]
 	for range 20 {
 		r.after(100, Event{Kind: EvEndpoints, Form: ListDelta, Updates: nil})
@@ -397,10 +397,10 @@
 	if executor.slowStart.credit <= 0 {
 		t.Fatalf("credit is %.0f ms after two seconds without sends, want more than 0", executor.slowStart.credit)
 	}
-	row.StartedAt = r.now + 5
+	update.StartedAt = r.now + 5
 	r.after(10)
 	r.d.slowStartAllows(executor, 0)
-	r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{row}})
+	r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{update}})
 	if executor.slowStart.credit > 0 {
 		t.Errorf("credit is %.0f ms after the restart, want at most 0", executor.slowStart.credit)
 	}
@@ -413,18 +413,18 @@
 	first := fleet(300)
 	r := newRig(t, base(), first...)
 	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: first})
-	rows := map[uint32]EndpointUpdate{}
-	for _, row := range first {
-		rows[row.Executor] = row
+	updates := map[uint32]EndpointUpdate{}
+	for _, update := range first {
+		updates[update.Executor] = update
 	}
 	maxWarming := 0
 	for range 400 {
-		event := Event{Kind: EvEndpoints, Form: ListDelta, Updates: randomChange(rng, rows, r.now)}
+		event := Event{Kind: EvEndpoints, Form: ListDelta, Updates: randomChange(rng, updates, r.now)}
 		if rng.Intn(20) == 0 {
 			event.Form, event.Updates = ListSnapshot, nil
 			for id := uint32(0); id < 1000; id++ {
-				if row, ok := rows[id]; ok && row.Condition != Removed {
-					event.Updates = append(event.Updates, row)
+				if update, ok := updates[id]; ok && update.Condition != Removed {
+					event.Updates = append(event.Updates, update)
 				}
 			}
 		}
