--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -15,31 +15,30 @@
 )
 
 const (
-	// acceptBackoffMin and acceptBackoffMax bound the pause after an accept that failed for want of memory, or for a
-	// reason that accept(2) does not name. It doubles with each such failure in a row.
+	// acceptBackoffMin and acceptBackoffMax bound the pause after an accept that failed for lack of memory or with an
+	// error that accept(2) does not document. The pause doubles with each consecutive failure.
 	acceptBackoffMin = time.Millisecond
 	acceptBackoffMax = 50 * time.Millisecond
-	// descriptorWait bounds the wait for a descriptor where no connection could be evicted.
+	// descriptorWait bounds the wait for a free file descriptor when no connection can be evicted.
 	descriptorWait = 5 * time.Millisecond
-	// evictionTimeout bounds the wait for an evicted connection to close. It is exceeded only by one whose request
-	// came in the moment of its eviction and is handled.
+	// evictionTimeout bounds the wait for an evicted connection to close. Only a connection whose request arrived
+	// during the eviction, and is therefore still handled, takes longer.
 	evictionTimeout = 50 * time.Millisecond
 )
 
-// acceptFailure says how the accept loop goes on after an error of accept.
+// acceptFailure classifies an accept error by how the accept loop continues after it.
 type acceptFailure uint8
 
 const (
-	acceptSkipped        acceptFailure = iota // it concerns one pending connection or a signal: accept the next at once
+	acceptSkipped        acceptFailure = iota // one pending connection failed, or a signal came: accept the next at once
 	acceptDeadline                            // the listener's deadline passed
-	acceptNoDescriptor                        // EMFILE, ENFILE: the connection stays in the queue until one is free
+	acceptNoDescriptor                        // EMFILE, ENFILE: the connection stays queued until a descriptor is free
 	acceptListenerClosed                      // nothing more can be accepted
-	acceptBackoff                             // short of memory, or not known: pause before the next
+	acceptBackoff                             // out of memory or unknown error: pause before the next accept
 )
 
-// acceptFailures are the errors that accept(2) documents. Network errors that were pending on the new socket are
-// passed on by accept, and are to be treated like EAGAIN (accept(2), "Error handling"); the connection that they
-// belong to is gone.
+// acceptFailures maps the errors that accept(2) documents. Accept returns network errors that were pending on the new
+// socket; accept(2), "Error handling", says to treat them like EAGAIN. The connection they belong to no longer exists.
 var acceptFailures = map[syscall.Errno]acceptFailure{
 	syscall.EINTR: acceptSkipped, syscall.EAGAIN: acceptSkipped,
 	syscall.ECONNABORTED: acceptSkipped, syscall.ECONNRESET: acceptSkipped, syscall.ETIMEDOUT: acceptSkipped,
@@ -68,21 +67,21 @@
 	return acceptBackoff
 }
 
-// AcceptRetry is how an accept loop goes on after errors of accept: at once after those of one connection, with a
-// descriptor freed where there is none, after a pause that grows where memory is short or the reason is not known. It
-// belongs to one loop.
+// AcceptRetry decides how an accept loop continues after an accept error. It continues at once after an error of a
+// single connection, frees a file descriptor when none is left, and backs off exponentially when memory is short or
+// the error is unknown. Each accept loop has its own AcceptRetry.
 type AcceptRetry struct {
-	FreeDescriptor func(context.Context)                // closes a connection, or waits until one ends; nil: pause
-	Sleep          func(context.Context, time.Duration) // nil for the clock's
+	FreeDescriptor func(context.Context)                // closes a connection or waits until one ends; nil: only pause
+	Sleep          func(context.Context, time.Duration) // nil: the real clock
 	Log            *slog.Logger
 
-	backoff time.Duration // of the last failure, if accept has failed since it last succeeded
+	backoff time.Duration // pause after the last failure; zero after a success
 }
 
-// Succeeded ends a row of failures.
+// Succeeded records a successful accept and resets the backoff.
 func (r *AcceptRetry) Succeeded() { r.backoff = 0 }
 
-// Failed takes in an error of accept, and returns once accept may be called again. It returns an error if the listener
+// Failed handles an accept error and returns once accept may be called again. It returns an error only if the listener
 // was closed.
 func (r *AcceptRetry) Failed(ctx context.Context, err error) error {
 	switch classifyAcceptError(err) {
@@ -113,8 +112,8 @@
 	r.Sleep(ctx, d)
 }
 
-// acceptLoop accepts connections and has each of them served, until the context ends, the listener is closed, or
-// a server that ends has accepted all that waited.
+// acceptLoop accepts connections and passes each to serve. It ends when the context ends, when the listener is closed,
+// or when the server is finishing and has accepted all queued connections.
 func (s *Server) acceptLoop(ctx context.Context, ln net.Listener, serve func(*conn)) error {
 	defer close(s.acceptDone)
 	retry := AcceptRetry{FreeDescriptor: s.freeDescriptor, Sleep: s.sleep, Log: s.log}
@@ -143,19 +142,19 @@
 	}
 }
 
-// register makes a connection of the server's of one that was accepted.
+// register sets the socket options of an accepted connection and admits it to the server.
 func (s *Server) register(accepted net.Conn) *conn {
 	tcpinfo.SetBuffers(accepted, s.limits.SlowPeers.SendBufferBytes, 0)
 	tcpinfo.SetUserTimeout(accepted, s.limits.SlowPeers.UserTimeout)
 	c := newConn(accepted, &s.limits)
-	// Past the budget, where all others are busy, a connection gets one answer. Past the reserve too it is refused
-	// as soon as its request has come: its client waits for nothing, and a request that is left in the listener's
-	// queue is taken all the same.
+	// A connection over the budget, with all others busy, gets a single response. A connection over the overflow
+	// reserve as well is rejected as soon as its request has arrived, so its client does not wait in vain. Leaving it
+	// in the accept queue would not help: the kernel takes a request there as well.
 	s.admit(c)
 	return c
 }
 
-// waitForDescriptor returns once there is a descriptor for one more connection, however short-lived.
+// waitForDescriptor returns once a descriptor is available for one more connection, even a short-lived one.
 func (s *Server) waitForDescriptor(ctx context.Context) {
 	for s.descriptorsExhausted() && ctx.Err() == nil {
 		s.closeIdle(s.limits.EvictIdleAfter)
@@ -167,8 +166,8 @@
 	}
 }
 
-// freeDescriptor closes the connection that makes place for another, as where the budget is used up, and waits
-// for its end. Only where there is none it pauses, until a connection ends by itself.
+// freeDescriptor evicts a connection, as admit does over the budget, and waits until it is closed. If no connection can
+// be evicted it pauses, so that one may end by itself.
 func (s *Server) freeDescriptor(ctx context.Context) {
 	evicted := s.evict()
 	if evicted == nil {
@@ -184,7 +183,7 @@
 	}
 }
 
-// sleep pauses for a while, or until the context ends.
+// sleep pauses for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/http1/arrivals.go
+++ b/internal/http1/arrivals.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// arrivals records when the bytes of a ring came.
+// arrivals records when the bytes in a ring were received.
 type arrivals struct {
-	marks    []arrival // the oldest first
-	received int64     // bytes that came so far
-	consumed int64     // and of them, those taken
+	marks    []arrival // oldest first
+	received int64     // bytes received since the start of the stream
+	consumed int64     // bytes consumed since the start of the stream
 }
 
-// arrival is when the bytes up to a position in the stream came.
+// arrival is the receive time of the bytes up to the stream position end.
 type arrival struct {
 	end int64
 	at  time.Time
 }
 
-// arrivalGrain is how much time may lie between bytes that count as come together: so the marks of a dripping
-// client stay few.
+// arrivalResolution is the interval within which received bytes share one mark. It keeps the number of marks small for
+// a client that sends byte by byte.
 const arrivalResolution = time.Millisecond
 
-// record notes that n bytes came.
+// record adds n bytes that were received now.
 func (a *arrivals) record(n int, now time.Time) {
 	if n <= 0 {
 		return
@@ -32,7 +32,7 @@
 	a.marks = append(a.marks, arrival{a.received, now})
 }
 
-// oldest is when the next byte that is not consumed yet came; zero if there is none.
+// oldest returns when the first unconsumed byte was received, or the zero time if there is none.
 func (a *arrivals) oldest() time.Time {
 	for _, mark := range a.marks {
 		if mark.end > a.consumed {
@@ -42,13 +42,14 @@
 	return time.Time{}
 }
 
-// consume notes that the next n bytes were consumed, and returns when the last of them came; zero if n is.
+// consume marks the next n bytes as consumed and returns when the last of them was received, or the zero time if n is
+// 0.
 func (a *arrivals) consume(n int) time.Time {
 	if n <= 0 {
 		return time.Time{}
 	}
 	a.consumed += int64(n)
-	last := 0 // the mark of the last byte consumed
+	last := 0 // index of the mark of the last consumed byte
 	for last < len(a.marks) && a.marks[last].end < a.consumed {
 		last++
 	}
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -9,48 +9,48 @@
 	"gatetack/internal/tcpinfo"
 )
 
-// conn is a client's connection. Its reader runs in one goroutine and its session in another; eviction and
-// shutdown reach it from any.
+// conn is a connection from a client. Its reader and its session run in one goroutine each; eviction and shutdown
+// access it from any goroutine.
 type conn struct {
 	*MinRateConn
 	clientReader
 	connState
 
-	ended chan struct{} // closed once the descriptor is
+	ended chan struct{} // closed after the descriptor is closed
 }
 
-// connState is what decides whether a connection is closed for another. It is guarded by Server.mu.
+// connState is the state that determines whether a connection may be evicted. It is guarded by Server.mu.
 type connState struct {
 	phase        phase
-	service      service         // settled when the connection is admitted
-	phaseSince   time.Time       // when it entered the phase; before its first request, when it was accepted
-	hadRequest   bool            // a whole request came
-	knownClient  bool            // and the handler took it for one of its own clients'
-	unreadAnswer bool            // the last answer is written, and its client's machine has not acknowledged all of it
-	shareOwner   string          // the address whose share it counts against, if shares are kept
-	slowReader   *slowpeer.Error // why it is closed, if for an answer that is read too slowly
+	service      service         // set on admission
+	phaseSince   time.Time       // start of the phase; before the first request, the time of the accept
+	hadRequest   bool            // a complete request has arrived
+	knownClient  bool            // the handler attributed a request to a known client
+	unreadAnswer bool            // the last response is written but not fully acknowledged by the client's host
+	shareOwner   string          // address whose share the connection counts against; empty without shares
+	slowReader   *slowpeer.Error // set when the connection is closed because the client reads too slowly
 }
 
-// phase is what a connection is in the middle of.
+// phase is the stage of request processing that a connection is in.
 type phase uint8
 
 const (
-	idle      phase = iota // no byte of a request has come
-	reading                // a part of a request has
-	handling               // a whole request is handled
-	answering              // its answer is written; the request no longer counts as open
-	lingering              // the last answer is written, and what still comes is discarded
-	retiring               // it is about to be closed: what has come is still answered, and nothing more is waited for
+	idle      phase = iota // no byte of the next request has arrived
+	reading                // a part of a request has arrived
+	handling               // the handler processes a complete request
+	answering              // the response is being written; the request no longer counts as open
+	lingering              // the last response is written, and further input is discarded
+	retiring               // to be closed after a request that has already arrived is answered
 	closed
 )
 
-// service is how a connection is served. A greater value serves less.
+// service is the level of service that a connection gets. Greater values are more restrictive.
 type service uint8
 
 const (
 	keepAlive    service = iota // any number of requests
-	singleAnswer                // one answer, with which the connection ends
-	rejectOnly                  // one rejection
+	singleAnswer                // one response, then the connection is closed
+	rejectOnly                  // one rejection, then the connection is closed
 )
 
 func newConn(accepted net.Conn, l *limits.Limits) *conn {
@@ -62,21 +62,21 @@
 	return c
 }
 
-// nothingUnread says whether all that the client sent is parsed. Bytes go from the kernel to the reader, so the
-// kernel is asked first: in the other order bytes on their way would be missed.
+// nothingUnread reports whether all bytes that the client sent are parsed. Bytes move from the kernel to the reader, so
+// the kernel is checked first: the opposite order would miss bytes that move in between.
 func (c *conn) nothingUnread() bool { return tcpinfo.NothingToRead(c.Conn) && c.unparsed.Load() == 0 }
 
-// closeWrite tells the client that no more answers come.
+// closeWrite closes the sending side, which tells the client that no further response follows.
 func (c *conn) closeWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
 	}
-	return net.ErrClosed // a connection in memory can only be closed as a whole
+	return net.ErrClosed // an in-memory connection has no half-close
 }
 
-// halfClosed says whether the client closed its sending side in order. It may still read an answer, or have
-// closed the connection as a whole: the two can't be told apart until something is written. Called once the
-// client's end was noticed.
+// halfClosed reports whether the client closed its sending side with a FIN. The client may still read a response, or
+// may have closed the whole connection: the two cases are indistinguishable until something is written. It is called
+// only after the end of the client's stream was detected.
 func (c *conn) halfClosed() bool {
 	c.awaitRead()
 	return c.reachedEnd()
--- a/internal/http1/eviction.go
+++ b/internal/http1/eviction.go
@@ -8,28 +8,28 @@
 	"gatetack/internal/slowpeer"
 )
 
-// evictionRank orders connections by what closing them costs. The lowest is closed first.
+// evictionRank orders connections by the cost of closing them. The connection with the lowest rank is evicted first.
 type evictionRank uint8
 
 const (
-	rankUnreadAnswer evictionRank = iota // its client leaves its last answer unread
-	rankStranger                         // it carried no request of a known client
-	rankKnownIdle                        // it is idle, and its client is known
-	rankStalled                          // its answer is written to a client that has stopped reading
-	rankNotEvictable                     // a request comes, is handled, or its answer goes to a client that reads
+	rankUnreadAnswer evictionRank = iota // the client has not read the last response
+	rankStranger                         // no request of a known client has used the connection
+	rankKnownIdle                        // idle connection of a known client
+	rankStalled                          // the response is being written, but the client has stopped reading
+	rankNotEvictable                     // a request arrives or is handled, or the client reads its response
 )
 
 const (
-	// minStallForEviction is how long a client must have read nothing of an answer, with the kernel's buffers full, before
-	// its connection may be closed for another.
+	// minStallForEviction is how long a write of a response must have been blocked by full kernel buffers before the
+	// connection may be evicted.
 	minStallForEviction = 500 * time.Millisecond
-	// maxUnreadSkips bounds how many connections with unread bytes are passed over in a search for one to close.
+	// maxUnreadSkips bounds how many connections with unread bytes a search for an eviction candidate skips.
 	maxUnreadSkips = 8
 )
 
-// admit counts a new connection in and settles its service: keep-alive within the budget, and within its
-// address's share where shares are kept; past that a single answer, and past the reserve a rejection. Over the
-// budget another connection is closed for it, if one can be.
+// admit registers a new connection and sets its service: keep-alive within the budget and, if shares are enabled,
+// within the share of its address; a single response above that; and a rejection above the overflow reserve. If the
+// budget is used up, admit evicts another connection when one is evictable.
 func (s *Server) admit(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,8 +51,8 @@
 	}
 }
 
-// admitToShare counts a connection against its address's share. Past that it gets a single answer, as all do past the
-// budget.
+// admitToShare counts a connection against the share of its address. A connection over the share gets a single
+// response, like a connection over the budget.
 func (s *Server) admitToShare(c *conn) {
 	host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 	if s.shares.Acquire(host, 1) == slowpeer.Keep {
@@ -63,8 +63,9 @@
 	c.service = max(c.service, singleAnswer)
 }
 
-// evict closes a connection to free its descriptor, and returns it, or nil if none may be closed. A connection that was
-// just made may be about to carry a request, and the one that waits for the descriptor is worth no more: it stays.
+// evict closes a connection to free its descriptor and returns it, or nil if none is evictable. A connection without a
+// request that is younger than DoorWait is not evicted: its request may be on the way, and the connection that waits
+// for the descriptor has no higher priority.
 func (s *Server) evict() *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,8 +89,8 @@
 	return candidate
 }
 
-// evictionCandidate is the connection to close for another, or nil. One with unread bytes is not idle though it
-// seems so, and is passed over. Connections that carried no request yet count from minAge on.
+// evictionCandidate returns the connection to evict, or nil. It skips connections in the idle phase that have unread
+// bytes, since a request is arriving on them, and connections without a request that are younger than minAge.
 func (s *Server) evictionCandidate(minAge time.Duration) *conn {
 	var skipped [maxUnreadSkips]*conn
 	for i := range skipped {
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// lowestRanked is the evictable connection with the lowest rank, of those the one longest in its phase, that is
-// not among the skipped.
+// lowestRanked returns the evictable connection with the lowest rank that is not in skipped, or nil. Of connections
+// with equal rank it returns the one that has been in its phase longest.
 func (s *Server) lowestRanked(skipped []*conn, minAge time.Duration) *conn {
 	var lowest *conn
 	lowestRank := rankNotEvictable
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -13,18 +13,18 @@
 // Field is one header line.
 type Field struct{ Name, Value string }
 
-// Message is a request or a response that was received whole.
+// Message is a completely received request or response.
 type Message struct {
-	Method, Target string // of a request
-	Status         int    // of a response
-	Minor          int    // of HTTP/1.x
+	Method, Target string // requests only
+	Status         int    // responses only
+	Minor          int    // minor version x of HTTP/1.x
 	Fields         []Field
 	Body           []byte
-	Close          bool      // the connection ends with this message
-	ReceivedAt     time.Time // of a request to a Server: when its last byte came
+	Close          bool      // the connection closes after this message
+	ReceivedAt     time.Time // when a Server received the last byte of the request
 }
 
-// Get returns the first header of a name, in any case, or "".
+// Get returns the value of the first header with the name, or "". Names are compared case-insensitively.
 func (m *Message) Get(name string) string {
 	for i := range m.Fields {
 		if strings.EqualFold(m.Fields[i].Name, name) {
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// headerContains says whether a comma-separated header contains a word, in any case.
+// headerContains reports whether a comma-separated header contains a token, compared case-insensitively.
 func (m *Message) headerContains(name, word string) bool {
 	for i := range m.Fields {
 		if !strings.EqualFold(m.Fields[i].Name, name) {
@@ -49,13 +49,13 @@
 	return false
 }
 
-// Path is the target's path, without its query.
+// Path returns the target without its query.
 func (m *Message) Path() string {
 	path, _, _ := strings.Cut(m.Target, "?")
 	return path
 }
 
-// Cookie returns a cookie's value, or "".
+// Cookie returns the value of the cookie with the name, or "".
 func (m *Message) Cookie(name string) string {
 	for i := range m.Fields {
 		if !strings.EqualFold(m.Fields[i].Name, "Cookie") {
@@ -70,16 +70,16 @@
 	return ""
 }
 
-// Writer writes messages through a ring to a connection.
+// Writer writes messages to a connection through a ring buffer.
 type Writer struct {
 	ring *Ring
 	dst  io.Writer
 }
 
-// NewWriter makes a writer with a ring of size bytes.
+// NewWriter returns a writer with a ring of size bytes.
 func NewWriter(dst io.Writer, size int) *Writer { return &Writer{NewRing(size), dst} }
 
-// Write puts bytes into the ring, and sends the ring whenever it is full. Flush sends the rest.
+// Write copies p into the ring and flushes the ring whenever it is full. Flush sends the remaining bytes.
 func (w *Writer) Write(p []byte) (int, error) {
 	done := 0
 	for {
@@ -93,11 +93,10 @@
 	}
 }
 
-// Flush sends what the ring holds. Until it has returned without an error, the message's last byte is not
-// written.
+// Flush sends all bytes in the ring. The last byte of a message is written only by a Flush that returns no error.
 func (w *Writer) Flush() error { return w.ring.Flush(w.dst, 0) }
 
-// FlushAllButLastByte sends what the ring holds but for its last byte, which only Flush sends.
+// FlushAllButLastByte sends all bytes in the ring except the last, which only Flush sends.
 func (w *Writer) FlushAllButLastByte() error { return w.ring.Flush(w.dst, 1) }
 
 func (w *Writer) writeFields(fields []Field, body []byte, bare bool) error {
@@ -117,7 +116,7 @@
 	return err
 }
 
-// Request puts a request into the ring; Flush sends its last bytes.
+// Request writes a request into the ring. The caller must call Flush to send its last bytes.
 func (w *Writer) Request(method, target string, fields []Field, body []byte) error {
 	if _, err := io.WriteString(w, method+" "+target+" HTTP/1.1\r\n"); err != nil {
 		return err
@@ -125,7 +124,7 @@
 	return w.writeFields(fields, body, len(body) == 0 && method != "POST" && method != "PUT")
 }
 
-// Response sends a response.
+// Response writes a response and flushes the ring.
 func (w *Writer) Response(r *Response) error {
 	line := "HTTP/1.1 " + strconv.Itoa(r.Status) + " " + reasonPhrase(r.Status) + "\r\n"
 	if _, err := io.WriteString(w, line); err != nil {
@@ -141,21 +140,21 @@
 	return w.Flush()
 }
 
-// Response is an answer to a request.
+// Response is the response to a request.
 type Response struct {
 	Status int
 	Fields []Field
 	Body   []byte
 	Close  bool
-	// Stream, if set, writes the body in place of Body, in chunks, for as long as the client reads. The connection ends
-	// with it.
+	// Stream, if set, writes the body in chunks, in place of Body, for as long as the client reads. The connection is
+	// closed after it.
 	Stream func(ctx context.Context, w io.Writer) error
-	// KnownClient is not sent: the request came from one of the handler's own clients, whose connection is closed for
-	// another later than those of strangers.
+	// KnownClient is not sent. It marks the request as one of a known client, whose connection is evicted later than
+	// those of unknown clients.
 	KnownClient bool
 }
 
-// writeStream sends a response whose body is written in chunks as it comes.
+// writeStream sends a response whose body r.Stream writes in chunks.
 func (w *Writer) writeStream(ctx context.Context, r *Response) error {
 	head := "HTTP/1.1 " + strconv.Itoa(r.Status) + " " + reasonPhrase(r.Status) + "\r\n"
 	framing := []Field{{"Transfer-Encoding", "chunked"}, {"Connection", "close"}}
@@ -177,12 +176,12 @@
 	return w.Flush()
 }
 
-// chunkWriter sends each piece as a chunk, at once.
+// chunkWriter sends each write as one chunk and flushes it.
 type chunkWriter struct{ w *Writer }
 
 func (c chunkWriter) Write(p []byte) (int, error) {
 	if len(p) == 0 {
-		return 0, nil // it would end the body
+		return 0, nil // an empty chunk would end the body
 	}
 	if _, err := fmt.Fprintf(c.w, "%x\r\n%s\r\n", len(p), p); err != nil {
 		return 0, err
@@ -190,18 +189,19 @@
 	return len(p), c.w.Flush()
 }
 
-// RetryAfter is the header that tells a client how long to wait before a retry.
+// RetryAfter returns the Retry-After header for a delay, in seconds with a fraction.
 func RetryAfter(d time.Duration) Field {
 	return Field{"Retry-After", strconv.FormatFloat(d.Seconds(), 'f', 3, 64)}
 }
 
-// Text makes a short response in plain text.
+// Text returns a plain-text response.
 func Text(status int, format string, args ...any) Response {
 	return Response{Status: status, Fields: []Field{{"Content-Type", "text/plain"}},
 		Body: []byte(fmt.Sprintf(format, args...) + "\n")}
 }
 
-// JSON is a response with a value as its body, or status 500 where the value can not be encoded.
+// JSON returns a response with the JSON encoding of value as its body, or a response with status 500 if the encoding
+// fails.
 func JSON(status int, value any) Response {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/internal/http1/minrate.go
+++ b/internal/http1/minrate.go
@@ -12,18 +12,18 @@
 	"gatetack/internal/tcpinfo"
 )
 
-// MinRateConn is a connection whose directions are held to a minimum rate while something is expected on them:
-// what comes in, from ExpectBytes to ExpectNone, and what goes out, from a write until the peer's machine has
-// acknowledged all of it. A write that returned says only that the kernel has the bytes, so the kernel is asked
-// how many were acknowledged, and that is the progress that counts.
+// MinRateConn is a connection that enforces a minimum rate in each direction while a transfer is expected. Receiving is
+// measured from ExpectBytes to ExpectNone, sending from a write until the peer's host has acknowledged all bytes. A
+// completed write means only that the kernel has the bytes, so the progress of sending is the number of acknowledged
+// bytes that the kernel reports.
 //
-// It needs no ticker: each read and write ends when the peer would be too slow if nothing more moved, or at the
-// bound that the caller sets, whichever is sooner. One goroutine may read and one write at a time; the rest is
-// safe for any.
+// MinRateConn needs no ticker: the deadline of each read and write is the earlier of the caller's bound and the time at
+// which the peer becomes too slow without further progress. At most one goroutine may read and one may write at a time;
+// the other methods are safe for concurrent use.
 type MinRateConn struct {
 	net.Conn
 
-	mu      sync.Mutex // guards the rest
+	mu      sync.Mutex // guards the fields below
 	receive receiveState
 	send    sendState
 	aborted bool
@@ -32,19 +32,19 @@
 type receiveState struct {
 	minRate slowpeer.MinRate
 	meter   slowpeer.Meter
-	bound   time.Time // of reads; zero for none
+	bound   time.Time // deadline of reads; zero: none
 }
 
 type sendState struct {
 	minRate      slowpeer.MinRate
 	meter        slowpeer.Meter
-	bound        time.Time // of writes; zero for none
-	written      int64     // bytes since the meter was started, and those that were unacknowledged then
-	acknowledged int64     // of them, when the kernel was asked last
-	blockedSince time.Time // when the write under way began; zero if none is
+	bound        time.Time // deadline of writes; zero: none
+	written      int64     // bytes written since the meter started, plus those that were unacknowledged at its start
+	acknowledged int64     // bytes of written that were acknowledged at the last query of the kernel
+	blockedSince time.Time // start of the current write; zero: no write in progress
 }
 
-// NewMinRateConn holds a connection to the rates in and out.
+// NewMinRateConn wraps a connection and enforces the minimum rates in for receiving and out for sending.
 func NewMinRateConn(c net.Conn, in, out slowpeer.MinRate) *MinRateConn {
 	return &MinRateConn{
 		Conn:    c,
@@ -53,7 +53,7 @@
 	}
 }
 
-// ExpectBytes begins to hold reads to the minimum rate, unless they are already.
+// ExpectBytes starts to enforce the minimum rate on reads, unless it is enforced already.
 func (c *MinRateConn) ExpectBytes() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +63,7 @@
 	}
 }
 
-// ExpectNone ends that: nothing may come for as long as the read bound allows.
+// ExpectNone stops enforcing the minimum rate on reads: only the read bound applies.
 func (c *MinRateConn) ExpectNone() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +71,7 @@
 	c.armRead()
 }
 
-// BoundReads bounds reads, one under way too. The zero time lifts the bound.
+// BoundReads sets the bound of reads, including a read in progress. The zero time removes the bound.
 func (c *MinRateConn) BoundReads(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,14 +79,14 @@
 	c.armRead()
 }
 
-// BoundWrites bounds the writes that follow. The zero time lifts the bound.
+// BoundWrites sets the bound of subsequent writes. The zero time removes the bound.
 func (c *MinRateConn) BoundWrites(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.send.bound = t
 }
 
-// Tighten raises the minimum rates as a budget fills up, see slowpeer.Meter.
+// Tighten raises the minimum rates with the pressure on a budget, see slowpeer.Meter.
 func (c *MinRateConn) Tighten(pressure float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,8 +98,8 @@
 	}
 }
 
-// Abort ends reads and writes for good, those under way too. It leaves the connection open: what has come on it
-// can still be read from the kernel.
+// Abort makes all reads and writes fail, including those in progress. The connection stays open, so that bytes already
+// received can still be read from the kernel.
 func (c *MinRateConn) Abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,17 +107,17 @@
 	_ = c.SetDeadline(expiredDeadline)
 }
 
-// expiredDeadline as a deadline ends calls under way at once.
+// expiredDeadline is a deadline in the past, which ends calls in progress at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// armRead sets the deadline of reads. c.mu is held.
+// armRead sets the deadline of reads. The caller holds c.mu.
 func (c *MinRateConn) armRead() {
 	if !c.aborted {
 		_ = c.SetReadDeadline(earlierDeadline(c.receive.bound, &c.receive.meter))
 	}
 }
 
-// earlierDeadline is the earlier of a bound and of when a meter would find its peer too slow; zero for neither.
+// earlierDeadline returns the earlier of the bound and the meter's deadline, or the zero time if there is neither.
 func earlierDeadline(bound time.Time, m *slowpeer.Meter) time.Time {
 	if until, limited := m.Deadline(); limited && (bound.IsZero() || until.Before(bound)) {
 		return until
@@ -125,15 +125,16 @@
 	return bound
 }
 
-// isTimeout says whether a call ended at a deadline that was set here, or because its peer was too slow. ETIMEDOUT is
-// neither: there the kernel has given the connection up. EAGAIN says that nothing has come yet.
+// isTimeout reports whether a call ended at a deadline set by this package, because its peer was too slow, or with
+// EAGAIN, which means that no data has arrived yet. ETIMEDOUT is not included: it means that the kernel has given up
+// the connection.
 func isTimeout(err error) bool {
 	slow := (*slowpeer.Error)(nil)
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &slow) || errors.Is(err, syscall.EAGAIN)
 }
 
-// judgeTimeout is the error that a call returns which ended at its deadline: that the peer is too slow, the
-// timeout if the bound has passed, or nil if neither is so, since both may have moved while the call waited.
+// judgeTimeout returns the error of a call that ended at its deadline: slow if the peer is below the minimum rate, or
+// timeout if the bound has passed. It returns nil if neither applies, since both may have moved while the call waited.
 func judgeTimeout(bound time.Time, m *slowpeer.Meter, slow slowpeer.Error, now time.Time, timeout error) error {
 	if m.Check(now) == slowpeer.Disconnect {
 		slow.Bytes, slow.Rate = m.Throughput(now)
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// Read returns what has come, or waits for it.
+// Read reads available bytes or waits for them. It returns a *slowpeer.Error if the peer is below the minimum rate.
 func (c *MinRateConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
@@ -174,7 +175,7 @@
 	}
 }
 
-// ReceiveProgress is how what is expected has come so far.
+// ReceiveProgress returns the bytes received and the rate since ExpectBytes.
 func (c *MinRateConn) ReceiveProgress() *slowpeer.Error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,7 +183,8 @@
 	return &slowpeer.Error{Direction: "in", Bytes: bytes, Rate: rate, MinRate: c.receive.minRate.BytesPerSecond}
 }
 
-// readTimedOut judges a read that ended at its deadline, and sets the next deadline where it goes on.
+// readTimedOut returns the error of a read that ended at its deadline, or sets the next deadline and returns nil if the
+// read continues.
 func (c *MinRateConn) readTimedOut(timeout error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,8 +199,8 @@
 	return err
 }
 
-// Ready waits until a read would return, without a buffer for it: so a connection that waits holds no memory. It looks
-// itself before it waits, since the poller only reports what comes from then on.
+// Ready waits until a read would not block. It needs no buffer, so a waiting connection holds no memory. It checks the
+// socket before it waits, since the poller reports only later events.
 func (c *MinRateConn) Ready() error {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -214,7 +216,7 @@
 	return err
 }
 
-// Write sends all of b, as fast as the peer takes it.
+// Write sends all of b. It returns a *slowpeer.Error if the peer is below the minimum rate.
 func (c *MinRateConn) Write(b []byte) (int, error) {
 	done := 0
 	for {
@@ -230,8 +232,8 @@
 	}
 }
 
-// beginWrite starts the meter, unless earlier bytes are still unacknowledged, and sets the write's deadline. What was
-// acknowledged meanwhile with nobody looking is no debt: the time that the connection was idle must not count.
+// beginWrite starts the meter unless earlier bytes are still unacknowledged, and sets the deadline of the write. If all
+// earlier bytes were acknowledged since the last check, the meter restarts, so that idle time does not lower the rate.
 func (c *MinRateConn) beginWrite(first bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -248,7 +250,7 @@
 	return nil
 }
 
-// endWrite notes that n bytes were written and rest were not, and says whether the write goes on.
+// endWrite records that n bytes were written and rest bytes were not. It returns nil if the write may continue.
 func (c *MinRateConn) endWrite(n, rest int, err error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -266,8 +268,8 @@
 	return judgeTimeout(c.send.bound, &c.send.meter, slow, now, err)
 }
 
-// observeAcknowledged counts what the peer's machine has acknowledged as progress, and returns how many bytes it
-// has not. c.mu is held.
+// observeAcknowledged counts newly acknowledged bytes as progress and returns the number of unacknowledged bytes. The
+// caller holds c.mu.
 func (c *MinRateConn) observeAcknowledged(now time.Time) int {
 	unacknowledged := tcpinfo.Unacknowledged(c.Conn)
 	if total := c.send.written - int64(unacknowledged); total > c.send.acknowledged {
@@ -277,8 +279,8 @@
 	return unacknowledged
 }
 
-// Unacknowledged is how many of the written bytes the peer's machine has not acknowledged, and what the peer is
-// too slow in if it is. With none left the meter stops.
+// Unacknowledged returns the number of written bytes that the peer's host has not acknowledged, and an error if the
+// peer is below the minimum rate. It stops the meter when all bytes are acknowledged.
 func (c *MinRateConn) Unacknowledged() (int, *slowpeer.Error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -299,14 +301,14 @@
 		MinRate: c.send.minRate.BytesPerSecond, Pending: left}
 }
 
-// RestartSendMeter forgives what the peer owes for earlier writes: the next one starts the meter anew.
+// RestartSendMeter stops the meter of writes, so that the next write starts a new measurement.
 func (c *MinRateConn) RestartSendMeter() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.send.meter.Stop()
 }
 
-// WriteStalledFor is how long the write under way has waited for the peer; zero if none is.
+// WriteStalledFor returns how long the current write has been blocked, or zero if no write is in progress.
 func (c *MinRateConn) WriteStalledFor(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -9,7 +9,7 @@
 	"gatetack/internal/limits"
 )
 
-// Error says what is wrong with a message, and with which status a server answers it.
+// Error describes a malformed message. Status is the status with which a server responds to it.
 type Error struct {
 	Status int
 	Text   string
@@ -23,45 +23,45 @@
 
 type parseState uint8
 
-// What the parser reads next.
+// The states, each named for the element that the parser reads next.
 const (
 	startLine  parseState = iota
-	headerLine            // or the empty line that ends the headers
+	headerLine            // a header line or the empty line after the headers
 	fixedBody             // a body of known length
-	chunkSize             // the line before a chunk
+	chunkSize             // the size line of a chunk
 	chunkData
-	chunkEnd   // the line break behind a chunk
-	trailer    // header lines behind the last chunk
-	untilClose // a response's body that lasts until its connection ends
-	complete   // nothing: the message is whole
+	chunkEnd   // the line break after a chunk
+	trailer    // header lines after the last chunk
+	untilClose // a response body that is delimited by the end of the connection
+	complete   // the message is complete
 )
 
-// Parser reads one message at a time from a ring, however its bytes are cut. An error sticks: the connection
-// is of no further use.
+// Parser reads one message at a time from a ring, independently of how its bytes are split into reads. Errors are
+// sticky: the connection cannot be used afterwards.
 type Parser struct {
 	limits   limits.Limits
 	response bool
-	// BodySink, if set, is called with the body's bytes as they come; they are neither stored nor bounded then.
+	// BodySink, if set, receives the bytes of the body as they arrive. The body is then neither stored nor limited.
 	BodySink func([]byte) error
-	// ReserveBody, if set, is called with the size of a body, or of a chunk, before it comes. If it fails the message is
-	// rejected. Release calls it with what was reserved as a negative number.
+	// ReserveBody, if set, is called with the size of a body or chunk before its bytes are read. If it returns false the
+	// message is rejected. Release calls it with the negated number of reserved bytes.
 	ReserveBody func(n int) bool
 
 	reservedBody  int // bytes reserved for the message
 	state         parseState
 	line          []byte
-	headerSize    int // bytes of header lines so far
-	bodyRemaining int // bytes of the body or chunk still to come
+	headerSize    int // bytes of the header lines read
+	bodyRemaining int // bytes of the body or chunk not yet read
 	message       Message
 	err           error
 }
 
-// NewParser makes a parser of requests, or of responses.
+// NewParser returns a parser of responses if response is set, else of requests.
 func NewParser(lim limits.Limits, response bool) *Parser {
 	return &Parser{limits: lim, response: response}
 }
 
-// Release gives back what was reserved for the message that is being read or was read last.
+// Release returns the body bytes reserved for the current or last message.
 func (p *Parser) Release() {
 	if p.reservedBody > 0 {
 		p.ReserveBody(-p.reservedBody)
@@ -81,16 +81,16 @@
 	return true
 }
 
-// Started says whether a part of a message has come.
+// Started reports whether a part of a message has been read.
 func (p *Parser) Started() bool { return p.state != startLine || len(p.line) > 0 }
 
-// ExpectsContinue says whether the sender holds the body back until it is asked for (Expect: 100-continue).
+// ExpectsContinue reports whether the sender waits for a 100 response before it sends the body (Expect: 100-continue).
 func (p *Parser) ExpectsContinue() bool {
 	beforeBody := (p.state == fixedBody || p.state == chunkSize) && len(p.message.Body) == 0
 	return beforeBody && p.message.headerContains("Expect", "100-continue")
 }
 
-// Status is that of a response whose first line has come, else 0.
+// Status returns the status of a response whose status line has been read, else 0.
 func (p *Parser) Status() int {
 	if !p.response || p.state == startLine {
 		return 0
@@ -98,7 +98,7 @@
 	return p.message.Status
 }
 
-// Head returns the message whose headers have come, or nil. Its body may still be to come.
+// Head returns the current message if its headers are complete, else nil. Its body may be incomplete.
 func (p *Parser) Head() *Message {
 	if p.state <= headerLine {
 		return nil
@@ -106,8 +106,8 @@
 	return &p.message
 }
 
-// Feed consumes bytes from the ring until a message is whole, which it returns, or the ring is empty. Then it
-// returns nil.
+// Feed consumes bytes from the ring until a message is complete, which it returns. It returns nil if the ring is empty
+// before that.
 func (p *Parser) Feed(r *Ring) (*Message, error) {
 	for p.err == nil && r.Len() > 0 {
 		n := p.consume(r.Next())
@@ -119,7 +119,8 @@
 	return nil, p.err
 }
 
-// End says that the connection has ended: a body that lasts until then is whole, anything else is cut off.
+// End reports the end of the connection to the parser. It completes a message whose body is delimited by the end of the
+// connection; any other unfinished message is truncated, which is an error.
 func (p *Parser) End() (*Message, error) {
 	switch {
 	case p.err != nil:
@@ -132,8 +133,8 @@
 	return nil, nil
 }
 
-// Read feeds from src through the ring until a message is whole. One that lasts until the connection ends is whole
-// then.
+// Read reads from src through the ring until a message is complete. The end of src completes a message that is
+// delimited by the end of the connection.
 func (p *Parser) Read(r *Ring, src io.Reader) (*Message, error) {
 	for {
 		m, err := p.Feed(r)
@@ -155,7 +156,7 @@
 	return &m
 }
 
-// consume parses some of b, at least one byte, and returns how many.
+// consume parses at least one byte of b and returns the number of parsed bytes.
 func (p *Parser) consume(b []byte) int {
 	switch p.state {
 	case fixedBody, chunkData, untilClose:
@@ -209,14 +210,14 @@
 func (p *Parser) endLine() {
 	line := p.line
 	p.line = p.line[:0]
-	// A lone LF ends no line: two readers that differ on it can be made to see two different messages.
+	// A bare LF is rejected: two parsers that treat it differently can be made to see different messages.
 	if len(line) == 0 || line[len(line)-1] != '\r' {
 		p.fail(400, "a line that does not end in CRLF")
 		return
 	}
 	line = line[:len(line)-1]
 	for _, c := range line {
-		if c < ' ' && c != '\t' || c == 0x7f { // what is passed on must be readable to the next, too
+		if c < ' ' && c != '\t' || c == 0x7f { // a forwarded line must be valid for the next recipient, too
 			p.fail(400, "a control character in a line")
 			return
 		}
@@ -224,7 +225,7 @@
 	switch p.state {
 	case startLine:
 		if len(line) == 0 && !p.response {
-			return // RFC 9112 2.2: an empty line before a request is passed over
+			return // RFC 9112, section 2.2: empty lines before a request are ignored
 		}
 		p.parseStartLine(string(line))
 	case headerLine:
@@ -317,7 +318,7 @@
 	}
 	if p.response && (m.Status < 200 || m.Status == 204 || m.Status == 304) {
 		if m.Status < 200 && m.Status != 101 {
-			*m, p.state = Message{}, startLine // an interim response: the real one follows
+			*m, p.state = Message{}, startLine // interim response: the final response follows
 			return
 		}
 		p.state = complete
@@ -344,8 +345,8 @@
 	}
 }
 
-// framing returns how the body is framed: its length, -1 if none is given, or that it is chunked. Lengths that conflict
-// with one another or with chunks are rejected: they would let a request hide inside another (request smuggling).
+// framing returns the framing of the body: its length, or -1 without Content-Length, and whether it is chunked. It
+// rejects lengths that conflict with each other or with chunked encoding, since they allow request smuggling.
 func (p *Parser) framing() (length int, chunked, ok bool) {
 	length = -1
 	for _, f := range p.message.Fields {
@@ -407,7 +408,7 @@
 	return n, err == nil
 }
 
-// IsVisibleASCII says whether s is not empty and consists of visible ASCII characters.
+// IsVisibleASCII reports whether s is not empty and consists of visible ASCII characters.
 func IsVisibleASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f {
@@ -417,7 +418,7 @@
 	return s != ""
 }
 
-// isToken says whether s is a token, as methods and header names are (RFC 9110, section 5.6.2).
+// isToken reports whether s is a token, the syntax of methods and header names (RFC 9110, section 5.6.2).
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -14,25 +14,25 @@
 )
 
 // clientReader is the receiving side of a client's connection. The session requests reads, and the goroutine of
-// readLoop makes them: so a read can be under way while a request is handled, and the client's end is noticed at
-// once.
+// readLoop performs them. A read can therefore be in progress while a request is handled, which detects a disconnect
+// at once.
 //
-// While a read is pending, the ring and the arrivals belong to readLoop, otherwise to the session.
+// While a read is pending, readLoop owns the ring and the arrivals; otherwise the session owns them.
 type clientReader struct {
 	ring         *Ring
 	arrivals     arrivals
-	requestStart time.Time // when the first byte of the request came that is being parsed
+	requestStart time.Time // when the first byte of the current request was received
 	unparsed     atomic.Int64
 
 	readRequested chan struct{}
 	readDone      chan struct{}
-	readErr       error // of the last read that is done
+	readErr       error // error of the last completed read
 	readPending   bool
 
-	watch         sync.Mutex // guards the three that follow
-	watching      bool       // a request is handled
-	bytesBehind   bool       // bytes came behind it
-	overflowed    bool       // more than the ring holds: the rest is discarded, and the connection ends with the answer
+	watch         sync.Mutex // guards watching, bytesBehind and overflowed
+	watching      bool       // a request is being handled
+	bytesBehind   bool       // bytes arrived after that request
+	overflowed    bool       // the ring was full and bytes were discarded: the connection closes after the response
 	discardPause  time.Duration
 	pauseDiscards func(time.Duration)
 }
@@ -43,9 +43,8 @@
 	r.discardPause, r.pauseDiscards = l.DiscardPause, time.Sleep
 }
 
-// readLoop makes the reads that are requested, until the channel for requests is closed. It calls clientLeft
-// itself once the client's end is read: nothing that is slow or full stands between that and those who ask
-// whether the client is there.
+// readLoop performs the requested reads until readRequested is closed. It calls clientLeft itself when a read finds the
+// end of the stream, so that no slow or blocked goroutine delays the cancellation of the request.
 func (c *conn) readLoop(clientLeft context.CancelFunc) {
 	for range c.readRequested {
 		c.readErr = c.fill()
@@ -56,8 +55,8 @@
 	}
 }
 
-// fill reads once, and for as long as bytes come while a request is handled: the client's end can stand behind
-// any number of bytes, and is noticed only by reading them.
+// fill reads once; while a request is handled it reads until an error. The end of the client's stream may follow any
+// number of bytes and is detected only by reading them.
 func (c *conn) fill() error {
 	for {
 		var err error
@@ -79,13 +78,14 @@
 	return err
 }
 
-// discardSize is how many bytes are discarded at a time, with one pause after them. A client's end stands behind
-// all that it sent before, a few MB with the kernels' usual buffers, and has to be noticed well within 0.1 s.
+// discardSize is the number of bytes discarded between two pauses. The end of a client's stream follows all bytes that
+// it sent before, a few MB with the usual kernel buffers, and must be detected well within 0.1 s.
 const discardSize = 64 << 10
 
 var discardBuffers = sync.Pool{New: func() any { b := make([]byte, discardSize); return &b }}
 
-// discard reads bytes for which the ring has no space. It pauses after each read, which bounds what a flood costs.
+// discard reads and drops bytes for which the ring has no space. It pauses after each read, which bounds the CPU time
+// that a flooding client can use.
 func (c *conn) discard() error {
 	b := discardBuffers.Get().(*[]byte)
 	defer discardBuffers.Put(b)
@@ -99,7 +99,7 @@
 	return err
 }
 
-// noteBytesBehind notes that bytes came, and says whether a request is still handled.
+// noteBytesBehind records that bytes arrived and reports whether a request is still being handled.
 func (c *conn) noteBytesBehind() bool {
 	c.watch.Lock()
 	defer c.watch.Unlock()
@@ -107,7 +107,7 @@
 	return c.watching
 }
 
-// requestRead has readLoop read, unless it does already.
+// requestRead requests a read from readLoop, unless one is pending.
 func (c *conn) requestRead() {
 	if !c.readPending {
 		c.readPending = true
@@ -115,7 +115,7 @@
 	}
 }
 
-// awaitRead waits for the read that is pending, if one is.
+// awaitRead waits for the pending read, if any.
 func (c *conn) awaitRead() {
 	if c.readPending {
 		<-c.readDone
@@ -123,10 +123,10 @@
 	}
 }
 
-// reachedEnd says whether the last read found the client's end.
+// reachedEnd reports whether the last read found the end of the client's stream.
 func (c *conn) reachedEnd() bool { return errors.Is(c.readErr, io.EOF) }
 
-// watchClient has the client's end noticed while a request is handled.
+// watchClient starts to watch for a disconnect of the client while a request is handled.
 func (c *conn) watchClient() {
 	c.watch.Lock()
 	c.watching, c.bytesBehind, c.overflowed = true, c.ring.Len() > 0, false
@@ -134,8 +134,8 @@
 	c.requestRead()
 }
 
-// stopWatching ends what watchClient began, and says whether bytes were discarded meanwhile. If bytes came behind the
-// request, the pending read is called off, so that they are parsed without waiting for more.
+// stopWatching ends the watch that watchClient started and reports whether bytes were discarded since. If bytes arrived
+// after the request, it cancels the pending read, so that they are parsed without waiting for more.
 func (c *conn) stopWatching() (overflowed bool) {
 	c.watch.Lock()
 	c.watching = false
@@ -151,7 +151,7 @@
 	return overflowed
 }
 
-// cancelRead calls off the read that is pending, if one is. What it has read stays in the ring.
+// cancelRead cancels the pending read, if any. Bytes that it has read stay in the ring.
 func (c *conn) cancelRead() {
 	if c.readPending {
 		c.BoundReads(expiredDeadline)
@@ -159,8 +159,8 @@
 	}
 }
 
-// parse feeds what has come to the parser. A request that is whole is told when its last byte came, which can be
-// long ago where it stood behind another.
+// parse feeds the received bytes to the parser. It sets ReceivedAt of a complete request to when its last byte was
+// received, which may be long ago if the request was pipelined behind another.
 func (c *conn) parse(p *Parser) (*Message, error) {
 	before := c.ring.Len()
 	if !p.Started() && before > 0 {
@@ -176,8 +176,8 @@
 	return m, err
 }
 
-// lastRequest parses what has come on a connection that is about to be closed, whether the reader has it or the kernel.
-// It returns the request that this completes, if any, so that it is answered: a close over it would lose it.
+// lastRequest parses the bytes that the reader and the kernel hold of a connection that is about to be closed. If they
+// complete a request, lastRequest returns it to be answered, since closing the connection would lose it.
 func (c *conn) lastRequest(p *Parser) (*Message, error) {
 	c.cancelRead()
 	for {
@@ -191,7 +191,8 @@
 	}
 }
 
-// receivedBytes reads what the kernel holds of a connection, whatever the read deadline. It ends where that does.
+// receivedBytes reads the bytes that the kernel holds for a connection, regardless of the read deadline. It returns
+// io.EOF when the kernel holds no more.
 type receivedBytes struct{ net.Conn }
 
 func (r receivedBytes) Read(b []byte) (int, error) {
--- a/internal/http1/registry.go
+++ b/internal/http1/registry.go
@@ -6,12 +6,12 @@
 	"gatetack/internal/slowpeer"
 )
 
-// This file holds the server's view of its connections: all that is guarded by Server.mu, but for eviction.
+// This file contains the server's bookkeeping of connections under Server.mu, except for eviction.
 
-// setPhase moves a connection to a phase, and fails if it was closed or is retiring. Closing a connection and
-// taking a request from it exclude one another here: a request that was taken and lost with its connection would
-// be sent again by its client, and run twice. From retiring it returns only with a request that its last read
-// found.
+// setPhase moves a connection to a phase. It returns false if the connection is closed or retiring. Closing a
+// connection and accepting a request from it are mutually exclusive: a client would resend a request that was accepted
+// but lost with its connection, and the request would run twice. A retiring connection becomes active again only with
+// a request that its last read found.
 func (s *Server) setPhase(c *conn, next phase) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,7 +25,7 @@
 		c.service = max(c.service, singleAnswer)
 	}
 	if next == handling {
-		// A client that asks for the next answer has read the last, or gives it up.
+		// A client that sends the next request has read the last response or no longer needs it.
 		c.unreadAnswer = false
 		c.RestartSendMeter()
 	}
@@ -40,7 +40,7 @@
 	return true
 }
 
-// noteAnswer notes what the answer to a request showed of its client.
+// noteAnswer records after a response whether the client is known and whether the response is still unread.
 func (s *Server) noteAnswer(c *conn, knownClient, unread bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// remove forgets a connection whose descriptor is closed.
+// remove unregisters a connection after its descriptor is closed.
 func (s *Server) remove(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
@@ -65,7 +65,7 @@
 	s.signalFreed()
 }
 
-// signalFreed wakes the accept loop, should it wait for a descriptor.
+// signalFreed wakes the accept loop if it waits for a descriptor.
 func (s *Server) signalFreed() {
 	select {
 	case s.descriptorFreed <- struct{}{}:
@@ -73,15 +73,16 @@
 	}
 }
 
-// descriptorsExhausted says whether there is no descriptor for one more connection, however short-lived.
+// descriptorsExhausted reports whether no descriptor is left for one more connection, even a short-lived one.
 func (s *Server) descriptorsExhausted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) >= s.limits.ClientConns+s.limits.OverflowConns+s.limits.RejectConns
 }
 
-// retire has a connection closed under which no request is handled. Its session closes it after a last read, so that a
-// request which came after the decision, or which the reader had not counted yet, is answered first. s.mu is held.
+// retire starts to close a connection on which no request is being handled. The session closes it after a last read, so
+// that a request which arrived after the decision, or which the reader had not yet counted, is answered first. The
+// caller holds s.mu.
 func (s *Server) retire(c *conn) {
 	c.phase = retiring
 	c.unreadAnswer = false
@@ -95,7 +96,7 @@
 	return c.phase == retiring
 }
 
-// closeNow closes a connection whatever is still to be read or written on it. s.mu is held.
+// closeNow closes a connection regardless of unread or unsent data. The caller holds s.mu.
 func (s *Server) closeNow(c *conn) {
 	c.phase = closed
 	c.unreadAnswer = false
@@ -103,9 +104,9 @@
 	_ = c.Close()
 }
 
-// retireSlowReaders closes the connections whose client reads a finished answer below the minimum rate. Such
-// answers hold no request and no buffer of the node's, but the kernel holds their bytes, and goes on sending
-// them for a while.
+// retireSlowReaders closes the connections whose clients read a finished response below the minimum rate. Such a
+// response occupies no request and no buffer of the node, but the kernel buffers its bytes and continues to send them
+// for a while after the close.
 func (s *Server) retireSlowReaders() {
 	for _, c := range s.slowReaders() {
 		s.reportSlowClient(slowpeer.ClientReadsSlowly, c, c.slowReader)
@@ -134,14 +135,14 @@
 	return slow
 }
 
-// OpenConns is how many connections are open.
+// OpenConns returns the number of open connections.
 func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// LastActive is when a connection was last accepted, or a request last began or ended.
+// LastActive returns when a connection was last accepted or a request last started or ended.
 func (s *Server) LastActive() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/http1/ring.go
+++ b/internal/http1/ring.go
@@ -5,21 +5,22 @@
 	"sync"
 )
 
-// Ring is a buffer of bounded size for one direction of one connection. It holds memory only while it holds bytes:
-// hundreds of connections that are idle or wait for a slow peer need none.
+// Ring is a fixed-size ring buffer for one direction of a connection. It allocates memory only while it contains bytes,
+// so that hundreds of idle or waiting connections need none.
 type Ring struct {
 	size   int
-	buffer []byte // nil while nothing is filled
-	start  int    // the first filled byte
-	length int    // of what is filled
+	buffer []byte // nil while the ring is empty
+	start  int    // offset of the first filled byte
+	length int    // number of filled bytes
 }
 
-// NewRing makes a ring of size bytes.
+// NewRing returns a ring of size bytes.
 func NewRing(size int) *Ring { return &Ring{size: size} }
 
 var ringBuffers = sync.Pool{New: func() any { b := make([]byte, pooledRingSize); return &b }}
 
-// pooledRingSize is the size in bytes of the rings whose buffers are pooled, that of connections (limits.Limits.Ring).
+// pooledRingSize is the size in bytes of the rings whose buffers are pooled: the rings of connections
+// (limits.Limits.RingBytes).
 const pooledRingSize = 4 << 10
 
 func (r *Ring) acquireBuffer() {
@@ -41,25 +42,25 @@
 	}
 }
 
-// Len is how many bytes are filled.
+// Len returns the number of filled bytes.
 func (r *Ring) Len() int { return r.length }
 
-// Free is how many bytes can be put in.
+// Free returns the number of free bytes.
 func (r *Ring) Free() int { return r.size - r.length }
 
-// Next returns the filled bytes up to the buffer's end, without consuming them.
+// Next returns the filled bytes up to the end of the buffer without consuming them.
 func (r *Ring) Next() []byte { return r.buffer[r.start:min(r.start+r.length, len(r.buffer))] }
 
-// Drop consumes n of the bytes that Next returned.
+// Drop consumes the first n bytes that Next returned.
 func (r *Ring) Drop(n int) {
 	r.length -= n
 	r.start = (r.start + n) % r.size
 	if r.length == 0 {
-		r.releaseBuffer() // and the next read has a whole buffer in one piece
+		r.releaseBuffer() // the next read also gets the whole buffer in one piece
 	}
 }
 
-// space returns the free bytes up to the buffer's end.
+// space returns the free bytes up to the end of the buffer.
 func (r *Ring) space() []byte {
 	from := (r.start + r.length) % len(r.buffer)
 	if from < r.start || r.length == 0 {
@@ -68,8 +69,8 @@
 	return r.buffer[from:]
 }
 
-// Fill makes one read from src into the free space. From a source that can say when something is there, an empty ring
-// waits without a buffer.
+// Fill performs one read from src into the free space. If src has a method Ready, an empty ring waits with it and
+// allocates no buffer until data is available.
 func (r *Ring) Fill(src io.Reader) (int, error) {
 	if r.Free() == 0 {
 		return 0, io.ErrShortBuffer
@@ -88,7 +89,7 @@
 	return n, err
 }
 
-// Put copies as much of p as fits, and returns how much that was.
+// Put copies as much of p as fits and returns the number of copied bytes.
 func (r *Ring) Put(p []byte) int {
 	done := 0
 	if len(p) > 0 {
@@ -102,7 +103,7 @@
 	return done
 }
 
-// Flush writes what is filled to dst, but for the last keep bytes.
+// Flush writes the filled bytes to dst, except the last keep bytes.
 func (r *Ring) Flush(dst io.Writer, keep int) error {
 	for r.length > keep {
 		b := r.Next()
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -15,17 +15,17 @@
 	"gatetack/internal/slowpeer"
 )
 
-// Handler answers one request. Its context ends once the client has left: then nothing more is to be done for it.
+// Handler handles one request. The context is canceled when the client disconnects.
 type Handler interface {
-	// Handle answers m. The response is written if its client is still there.
+	// Handle returns the response to m. It is written if the client is still connected.
 	Handle(ctx context.Context, m *Message) Response
 }
 
-// Server serves HTTP/1.1 on one address. It takes one request at a time from each connection.
+// Server serves HTTP/1.1 on one address. It handles one request at a time from each connection.
 //
-// Connections of clients that want nothing, or send what they like, may not take the place of those that work: at its
-// budget the server closes the connection with the lowest eviction rank. For that each has a phase, and it is noted
-// whether the handler took a request on it for one of its own clients'.
+// Idle or abusive connections must not displace those of working clients: when its connection budget is used up, the
+// server evicts the connection with the lowest eviction rank. The rank depends on the phase of the connection and on
+// whether the handler attributed a request on it to a known client.
 type Server struct {
 	limits  limits.Limits
 	handler Handler
@@ -37,30 +37,30 @@
 	registry
 
 	handling  atomic.Int64 // requests being handled
-	bodyBytes atomic.Int64 // of requests' bodies, reserved
+	bodyBytes atomic.Int64 // bytes reserved for request bodies
 }
 
-// lifecycle is how far the server's end has come.
+// lifecycle is the state of the server's shutdown.
 type lifecycle struct {
 	listener   atomic.Pointer[net.Listener]
-	draining   atomic.Bool   // each answer ends its connection
-	finishing  atomic.Bool   // only connections are accepted that wait already
-	stopped    atomic.Bool   // none is
-	acceptDone chan struct{} // closed once the last was
+	draining   atomic.Bool   // each response closes its connection
+	finishing  atomic.Bool   // only connections that are already queued are accepted
+	stopped    atomic.Bool   // no connection is accepted
+	acceptDone chan struct{} // closed when the accept loop has ended
 }
 
-// registry is what connections share.
+// registry is the state that the connections share.
 type registry struct {
 	mu         sync.Mutex
 	conns      map[*conn]struct{}
-	open       int                      // connections that are neither closed nor retiring
-	shares     *slowpeer.Ledger[string] // of the connections, by address
-	lastActive time.Time                // when one was accepted, or a request began or ended
+	open       int                      // number of connections that are neither closed nor retiring
+	shares     *slowpeer.Ledger[string] // shares of the connections by client address
+	lastActive time.Time                // when a connection was last accepted or a request last started or ended
 
 	descriptorFreed chan struct{} // signaled when a connection ends or becomes idle
 }
 
-// NewServer makes a server. The tally may be nil.
+// NewServer returns a server. The tally may be nil.
 func NewServer(lim limits.Limits, h Handler, tally *slowpeer.Counters, log *slog.Logger) *Server {
 	return &Server{
 		limits:    lim,
@@ -86,7 +86,7 @@
 	}
 	g.Go(func() error {
 		<-ctx.Done()
-		return ln.Close() // net.ErrClosed where StopAccepting closed it first
+		return ln.Close() // net.ErrClosed if StopAccepting closed it first
 	})
 	g.Go(func() error { s.monitorUnreadAnswers(ctx); return nil })
 	g.Go(func() error {
@@ -100,12 +100,11 @@
 	return nil
 }
 
-// OpenRequests is how many requests are being handled.
+// OpenRequests returns the number of requests being handled.
 func (s *Server) OpenRequests() int { return int(s.handling.Load()) }
 
-// reserveBody takes n bytes for a body from those that all may hold together, or gives them back if n is
-// negative, and says whether they were to be had: hundreds of connections with a large body each would take all
-// of the memory.
+// reserveBody reserves n bytes of the total for request bodies and reports whether they were available. A negative n
+// releases a reservation. Without the total, hundreds of connections with a large body each would exhaust the memory.
 func (s *Server) reserveBody(n int) bool {
 	if s.bodyBytes.Add(int64(n)) > int64(s.limits.TotalBodyBytes) && n > 0 {
 		s.bodyBytes.Add(int64(-n))
@@ -114,7 +113,8 @@
 	return true
 }
 
-// monitorUnreadAnswers closes the connections of clients that read their answers too slowly, until the context ends.
+// monitorUnreadAnswers periodically closes the connections of clients that read their responses too slowly, until the
+// context ends.
 func (s *Server) monitorUnreadAnswers(ctx context.Context) {
 	tick := time.NewTicker(s.limits.SlowPeers.UnsentCheckInterval)
 	defer tick.Stop()
--- a/internal/http1/session.go
+++ b/internal/http1/session.go
@@ -11,11 +11,11 @@
 	"gatetack/internal/slowpeer"
 )
 
-// errConnectionDone ends a session in which nothing is left to be answered: the client has left, or the connection was
-// idle for too long or is closed for another.
-var errConnectionDone = errors.New("http1: no request comes on the connection any more")
+// errConnectionDone ends a session that has no request left to answer: the client has disconnected, or the connection
+// was idle for too long or is being evicted.
+var errConnectionDone = errors.New("http1: connection has no further request")
 
-// session serves one connection: it reads a request, has it handled, writes the answer, and begins anew.
+// session serves one connection: it reads a request, calls the handler, writes the response, and repeats.
 type session struct {
 	*conn
 	server *Server
@@ -29,12 +29,13 @@
 	return &session{conn: c, server: s, parser: parser, writer: NewWriter(c.MinRateConn, s.limits.RingBytes)}
 }
 
-// run serves the connection until it ends, or the server does with ctx.
+// run serves the connection until it closes or ctx ends, which stops the server.
 func (x *session) run(ctx context.Context) {
 	client, clientLeft := context.WithCancel(ctx)
 	var reader errgroup.Group
 	reader.Go(func() error { x.readLoop(clientLeft); return nil })
-	// Only the server's end closes the connection here. A client that closed its sending side may still read an answer.
+	// Only the end of the server closes the connection here. A client that closed its sending side may still read a
+	// response.
 	stop := context.AfterFunc(ctx, func() { _ = x.Close() })
 	defer func() {
 		stop()
@@ -49,15 +50,15 @@
 	}
 }
 
-// serveRequest serves one request and says whether another may follow. The context client ends once the client
-// has left.
+// serveRequest serves one request and reports whether another may follow. The context client is canceled when the
+// client disconnects.
 func (x *session) serveRequest(ctx, client context.Context) (more bool) {
 	request, err := x.readRequest(client)
 	if err != nil {
 		x.answerMalformed(client, err)
 		return false
 	}
-	// A client that has closed the connection has left, whatever it sent before.
+	// A client that has closed the connection has disconnected, whatever it sent before.
 	if client.Err() != nil {
 		x.answerLeft(ctx, Text(503, "the connection was closed before the request began"))
 		return false
@@ -80,7 +81,7 @@
 	return true
 }
 
-// handle has a request handled while the client is watched.
+// handle calls the handler for a request and watches for a disconnect of the client meanwhile.
 func (x *session) handle(client context.Context, request *Message) Response {
 	x.server.handling.Add(1)
 	defer x.server.handling.Add(-1)
@@ -100,8 +101,8 @@
 	return response
 }
 
-// answer writes a response and notes whether its client still has to read it. It fails if the connection is of
-// no further use.
+// answer writes a response and records whether the client has yet to read it. It returns false if the connection can no
+// longer be used.
 func (x *session) answer(client context.Context, response *Response) bool {
 	written := x.server.setPhase(x.conn, answering) && x.write(client, response)
 	x.server.markActive()
@@ -110,7 +111,7 @@
 	return written
 }
 
-// answerMalformed answers a request that could not be read for an error of its client's.
+// answerMalformed responds to a malformed request and closes the sending side. It ignores other errors.
 func (x *session) answerMalformed(client context.Context, err error) {
 	malformed := (*Error)(nil)
 	if !errors.As(err, &malformed) {
@@ -124,8 +125,8 @@
 	}
 }
 
-// answerLeft writes a last answer to a client that closed its sending side and may still read. Its request was
-// called off as for one that closed the whole connection, since the two look alike.
+// answerLeft writes a last response to a client that closed its sending side and may still read. Its request was
+// canceled as if the client had closed the whole connection, since the two cases are indistinguishable.
 func (x *session) answerLeft(ctx context.Context, response Response) {
 	if ctx.Err() != nil || response.Stream != nil || !x.halfClosed() || !x.server.setPhase(x.conn, answering) {
 		return
@@ -137,7 +138,7 @@
 	x.write(ctx, &response)
 }
 
-// write sends a response at the client's pace, down to the minimum rate.
+// write sends a response and reports whether it was written. It fails if the client reads below the minimum rate.
 func (x *session) write(ctx context.Context, response *Response) bool {
 	var err error
 	if response.Stream != nil {
@@ -153,9 +154,9 @@
 	return err == nil
 }
 
-// linger ends a connection after its last answer. It closes the sending side and discards what the client sends
-// until that has noticed, within a bound: a close over unread bytes would reset the connection, and the answer
-// could be lost with it. The client sends what is discarded once more elsewhere.
+// linger ends a connection after its last response. It closes the sending side and discards input until the client
+// closes its side or LingerTimeout has passed. Closing a connection with unread bytes would reset it, and the
+// client could lose the response. The client resends discarded requests on another connection.
 func (x *session) linger() {
 	if !x.server.setPhase(x.conn, lingering) || x.closeWrite() != nil {
 		return
@@ -174,15 +175,15 @@
 	}
 }
 
-// requestProgress is how far the request that is being read has come.
+// requestProgress is the progress of the request that is being read.
 type requestProgress struct {
-	first         bool // it is the connection's first, which is bounded from the accept on
+	first         bool // first request of the connection, whose time limit starts at the accept
 	started       bool
 	continueAsked bool
 }
 
-// readRequest reads the next request. Its error is an *Error if the client is to be told, errConnectionDone or
-// an error of the connection otherwise.
+// readRequest reads the next request. It returns an *Error if the client gets an error response, and otherwise
+// errConnectionDone or an error of the connection.
 func (x *session) readRequest(client context.Context) (*Message, error) {
 	progress := requestProgress{first: x.boundFirstByte()}
 	for {
@@ -212,8 +213,9 @@
 	}
 }
 
-// boundFirstByte bounds the wait for the first byte of a request, and says whether it is the connection's first
-// request. That has to be whole within its time from the accept on, however slowly it comes.
+// boundFirstByte bounds the wait for the first byte of a request and reports whether it is the first request of the
+// connection. The first request must be complete within the request timeout from the accept, at whatever rate it
+// arrives.
 func (x *session) boundFirstByte() (first bool) {
 	x.server.mu.Lock()
 	limits, from, wait := &x.server.limits, time.Now(), x.server.limits.ClientIdleTimeout
@@ -238,8 +240,8 @@
 	return idle
 }
 
-// advance does what follows from the bytes that were parsed: once a request has started it is bounded and held to the
-// minimum rate, and a client that holds the body back is asked for it.
+// advance acts on the progress of the parser. Once a request has started, advance sets its time limit and enforces the
+// minimum rate. It sends 100 Continue to a client that waits for it.
 func (x *session) advance(progress *requestProgress) error {
 	if x.parser.ExpectsContinue() && !progress.continueAsked {
 		progress.continueAsked = true
@@ -253,7 +255,7 @@
 	if x.parser.Started() && !progress.started {
 		progress.started = true
 		if !progress.first {
-			// Its first byte can have come long ago, behind a request that was handled.
+			// The first byte may have arrived long ago, while the previous request was handled.
 			x.BoundReads(x.requestStart.Add(x.server.limits.SlowPeers.RequestTimeout))
 		}
 		x.ExpectBytes()
@@ -261,17 +263,17 @@
 	return nil
 }
 
-// afterReadError settles what follows a read that failed: the request that came whole nevertheless, an error, or
-// neither where reading goes on.
+// afterReadError handles a failed read. It returns a request that is complete nevertheless, or an error, or neither if
+// reading continues.
 func (x *session) afterReadError(progress requestProgress) (*Message, error) {
-	m, err := x.parse(x.parser) // what came with the error
+	m, err := x.parse(x.parser) // bytes that arrived before the error
 	if m != nil || err != nil {
 		return m, err
 	}
 	if !isTimeout(x.readErr) {
 		return nil, errConnectionDone
 	}
-	// The bound may have passed with the request unread, on a machine that had no time to read it.
+	// On an overloaded machine the bound may pass while the request is already in the kernel but unread.
 	m, err = x.lastRequest(x.parser)
 	if m != nil || !errors.Is(err, errConnectionDone) {
 		return m, err
@@ -280,7 +282,7 @@
 	case !x.parser.Started() || x.server.isRetiring(x.conn):
 		return nil, errConnectionDone
 	case !progress.started && !progress.first:
-		return nil, nil // it has started just now, and its own bound follows
+		return nil, nil // the request has just started and gets its own bound
 	}
 	x.server.reportSlowClient(slowpeer.ClientSendsSlowly, x.conn, x.ReceiveProgress())
 	return nil, newError(408, "the request did not come whole in time")
--- a/internal/http1/shutdown.go
+++ b/internal/http1/shutdown.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// finalAcceptTimeout is how long a server that ends waits for one more connection in its listener's queue. It is not
-	// zero, since accept looks into the queue only while its deadline is ahead.
+	// finalAcceptTimeout is how long a finishing server waits for one more connection in the accept queue. It is not
+	// zero, since accept checks the queue only before its deadline.
 	finalAcceptTimeout = 5 * time.Millisecond
-	// finishPollInterval is the time between looks at which connections are still open at the end.
+	// finishPollInterval is the interval at which Finish checks for open connections.
 	finishPollInterval = time.Millisecond
 )
 
-// Drain sends clients elsewhere: from now on each answer ends its connection. New connections are still served.
+// Drain makes each response close its connection, so that clients go elsewhere. New connections are still served.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Resume undoes Drain.
+// Resume reverts Drain.
 func (s *Server) Resume() { s.draining.Store(false) }
 
-// StopAccepting closes the listener; connections that were accepted are served on. Where the listening socket is
-// shared with a process that replaces this one, that process accepts what comes from now on.
+// StopAccepting closes the listener; accepted connections are still served. If the listening socket is shared with a
+// process that replaces this one, that process accepts all further connections.
 func (s *Server) StopAccepting() {
 	if s.stopped.Swap(true) {
 		return
@@ -31,11 +31,11 @@
 	}
 }
 
-// CloseIdle closes the connections that are between requests.
+// CloseIdle closes the connections that have no request in progress.
 func (s *Server) CloseIdle() { s.closeIdle(0) }
 
-// closeIdle closes idle connections. Those that carried no request yet count from minAge on: the first may be on
-// its way.
+// closeIdle closes idle connections. It keeps connections without a request that are younger than minAge, since their
+// first request may be on the way.
 func (s *Server) closeIdle(minAge time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,16 +44,16 @@
 		if c.phase != idle || !c.hadRequest && now.Sub(c.phaseSince) < minAge {
 			continue
 		}
-		// One with unread bytes is not idle: a request comes on it, or its client's end.
+		// A connection with unread bytes is not idle: a request or the end of the client's stream is arriving.
 		if c.nothingUnread() {
 			s.retire(c)
 		}
 	}
 }
 
-// Finish ends the server: it accepts the connections that wait in the listener's queue, then no more, and
-// answers all that it accepted. It returns once no connection is open, or the context ends. Without it a request
-// that came just when the node decided to end would be reset with its connection, or with the queue.
+// Finish shuts the server down gracefully: it accepts the connections in the accept queue, then stops accepting, and
+// answers the requests of all accepted connections. It returns once no connection is open or the context ends. Without
+// it, a request that arrives during the decision to shut down would be reset with its connection or with the queue.
 func (s *Server) Finish(ctx context.Context) {
 	s.finishing.Store(true)
 	if ln := s.listener.Load(); ln == nil || !setAcceptDeadline(*ln) {
@@ -71,13 +71,13 @@
 	}
 }
 
-// prepareFinalAccept sets the deadline of the next accept if the server ends, and says whether it did: if that
-// passes, the queue is empty.
+// prepareFinalAccept sets the deadline of the next accept if the server is finishing, and reports whether it did. If
+// that deadline passes, the accept queue is empty.
 func (s *Server) prepareFinalAccept(ln net.Listener) bool {
 	return s.finishing.Load() && setAcceptDeadline(ln)
 }
 
-// setAcceptDeadline bounds the next accept, and says whether the listener allows that.
+// setAcceptDeadline sets the deadline of the next accept and reports whether the listener supports deadlines.
 func setAcceptDeadline(ln net.Listener) bool {
 	d, ok := ln.(interface{ SetDeadline(time.Time) error })
 	return ok && d.SetDeadline(time.Now().Add(finalAcceptTimeout)) == nil
