--- a/internal/http1/eviction.go
+++ b/internal/http1/eviction.go
@@ -64,7 +64,7 @@
 }
 
 // evict closes a connection to free its descriptor and returns it, or nil if none is evictable. A connection without a
-// request that is younger than DoorWait is not evicted: its request may be on the way, and the connection that waits
+// request that is younger than EvictIdleAfter is not evicted: its request may be on the way, and the connection that waits
 // for the descriptor has no higher priority.
 func (s *Server) evict() *conn {
 	s.mu.Lock()
