--- a/internal/executor/returned.go
+++ b/internal/executor/returned.go
@@ -31,7 +31,7 @@
 	defer t.mu.Unlock()
 	// The entry is kept for the longest time that an attempt of the request can last, which is up to its client's
 	// deadline and may be later than this attempt's deadline.
-	if t.returned.record(attempt.key, now, now.Add(c.limits.RejectedTTL)) {
+	if t.returned.record(attempt.key, now, now.Add(c.limits.ReturnedTTL)) {
 		return true
 	}
 	c.log.Info("request returned again", "job", attempt.key.traceID, "executor", attempt.key.executor)
--- a/internal/limits/shutdown_test.go
+++ b/internal/limits/shutdown_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A process may be killed so long after SIGTERM as the longest deadline of its deployment, 3 s at most, and 0.7 s. It
-// stops serving 0.2 s before that, also where all deadlines are so short that it has 1 s in all.
+// A process may be killed after SIGTERM once the longest deadline of its deployment, but at most 3 s, plus 0.7 s has
+// passed. It serves until 0.2 s before that, even if the deadlines are so short that it has only 1 s in total.
 func TestShutdownEndsBeforeTheKill(t *testing.T) {
 	for longest, killed := range map[time.Duration]time.Duration{
 		0:                       700 * time.Millisecond,
@@ -18,7 +18,7 @@
 		l := New(0, 0, 0, 0, 0)
 		l.SetLongestDeadline(longest)
 		if got, want := l.ShutdownGrace, killed-200*time.Millisecond; got != want {
-			t.Errorf("deadline %v: it serves for %v, want %v", longest, got, want)
+			t.Errorf("longest deadline %v: shutdown grace %v, want %v", longest, got, want)
 		}
 	}
 }
--- a/internal/slowpeer/acks.go
+++ b/internal/slowpeer/acks.go
@@ -5,24 +5,27 @@
 	"time"
 )
 
-// AckRule says from when on an executor is late to say that it has taken a job.
+// AckRule determines when an executor is late to acknowledge a job.
 type AckRule struct {
-	MinTimeout    time.Duration `yaml:"least"`  // nothing is late before it
-	MaxTimeout    time.Duration `yaml:"most"`   // whatever is usual, a box is late after it
-	BoundMultiple float64       `yaml:"times"`  // how many times the usual upper bound it may take
-	ActiveWindow  time.Duration `yaml:"memory"` // a box not heard of for so long says nothing of what is usual
-	MaxLateShare  float64       `yaml:"crowd"`  // with more than this part of the boxes late, lateness says nothing of one of them
+	MinTimeout    time.Duration `yaml:"least"`  // lower bound of the timeout
+	MaxTimeout    time.Duration `yaml:"most"`   // upper bound of the timeout
+	BoundMultiple float64       `yaml:"times"`  // timeout as a multiple of the estimated upper bound
+	ActiveWindow  time.Duration `yaml:"memory"` // an executor without sends or acks for this long is not counted
+	MaxLateShare  float64       `yaml:"crowd"`  // with a larger share of executors late, none is treated as slow
 }
 
-// AckTracker learns how long executors take to acknowledge a job, and finds the one that is late: against its own usual, or it
-// would be called slow for being far; and against its peers', or one that has always been slow would never be.
+// AckTracker estimates how long executors take to acknowledge a job and detects executors that are late. An executor is
+// compared with its own history, because otherwise a distant one would be considered slow, and with all executors,
+// because otherwise one that has always been slow would not be detected.
 //
-// The usual upper bound of an executor, and of all together, is that of TCP's retransmission timer (RFC 6298, section 2): a
-// smoothed mean and four times a smoothed deviation. What was late counts as no more than its executor's own bound, and not among the peers' at all, so that a
-// executor does not become used to being slow within a few jobs (as Karn's rule, section 3, keeps retransmitted samples out).
+// The upper bounds of an executor and of all executors are estimated like TCP's retransmission timer (RFC 6298, section
+// 2): a smoothed mean plus four times a smoothed deviation. A late acknowledgement counts at most as the executor's own
+// bound and does not count in the estimate of all executors, so that slowness does not become normal within a few jobs
+// (as Karn's algorithm, section 3, excludes retransmitted samples).
 //
-// All slow at once are no reason to shun any: while more than Crowd of the executors that work are late, none is called so.
-// Then it is the network, or this node itself that has no time to read, and shunning some only crowds the others.
+// If all executors are slow at the same time, none is avoided: while more than MaxLateShare of the active executors are
+// late, none is treated as slow. The cause is then the network or this node, which may have no time to read, and
+// avoiding some executors would only overload the others.
 type AckTracker struct {
 	rule      AckRule
 	executors map[string]*ackHistory
@@ -31,9 +34,9 @@
 
 type ackHistory struct {
 	own      estimate
-	pending  int       // jobs it has not acknowledged
-	late     int       // of them, those that are past their time
-	lastSeen time.Time // an acknowledgement, or a send
+	pending  int       // jobs whose acknowledgement is pending
+	late     int       // pending jobs whose acknowledgement is late
+	lastSeen time.Time // latest acknowledgement or send
 }
 
 // estimate is a smoothed mean and deviation, in seconds.
@@ -53,12 +56,12 @@
 
 func (e *estimate) bound() float64 { return e.mean + 4*e.dev }
 
-// NewAckTracker makes an Acks that knows no executor.
+// NewAckTracker returns an AckTracker without history.
 func NewAckTracker(r AckRule) *AckTracker {
 	return &AckTracker{rule: r, executors: map[string]*ackHistory{}}
 }
 
-// Sent takes in that a job's last byte went to an executor.
+// Sent records that the last byte of a job was sent to an executor.
 func (a *AckTracker) Sent(executor string, now time.Time) {
 	b := a.executors[executor]
 	if b == nil {
@@ -69,7 +72,7 @@
 	b.lastSeen = now
 }
 
-// Timeout is how long an executor may take before it is late.
+// Timeout returns how long an executor may take to acknowledge a job before it is late.
 func (a *AckTracker) Timeout(executor string) time.Duration {
 	bound := a.all.bound()
 	if b := a.executors[executor]; b != nil {
@@ -79,9 +82,9 @@
 	return min(max(due, a.rule.MinTimeout), a.rule.MaxTimeout)
 }
 
-// Overdue takes in that a job was not acknowledged when it was due, and says what that makes of the executor: HoldBack for
-// one that is late where its peers are not, Keep while it says nothing, and the carrier asks again after another Due.
-// Counted says whether this job was told overdue before.
+// Overdue records that a job was not acknowledged within the timeout. It returns Restrict if the executor is late while
+// most others are not. Otherwise it returns Keep, and the caller calls Overdue again after another timeout. Counted
+// tells whether Overdue was called for this job before.
 func (a *AckTracker) Overdue(executor string, counted bool, now time.Time) Verdict {
 	b := a.executors[executor]
 	if b == nil {
@@ -102,16 +105,16 @@
 			delete(a.executors, name)
 		}
 	}
-	// One alone can be late to a node that sends to few: there is nobody to hold it against but its own usual.
+	// A single late executor is always reported: on a node that sends to few executors, only its own history is available.
 	if late > 1 && float64(late) > a.rule.MaxLateShare*float64(active) {
 		return Keep
 	}
 	return Restrict
 }
 
-// Acked takes in that an executor acknowledged a job, by its answer or by a call, so long after the send. Late says whether
-// it was told overdue.
-func (a *AckTracker) Acked(executor string, took time.Duration, late bool, now time.Time) {
+// Acked records that an executor acknowledged a job, by its response or by a callback, the given time after the send.
+// Late tells whether Overdue was called for the job.
+func (a *AckTracker) Acked(executor string, elapsed time.Duration, late bool, now time.Time) {
 	a.done(executor, late)
 	b := a.executors[executor]
 	if b == nil {
@@ -119,14 +122,14 @@
 	}
 	b.lastSeen = now
 	if late {
-		b.own.add(min(took.Seconds(), b.own.bound()))
+		b.own.add(min(elapsed.Seconds(), b.own.bound()))
 		return
 	}
-	b.own.add(took.Seconds())
-	a.all.add(took.Seconds())
+	b.own.add(elapsed.Seconds())
+	a.all.add(elapsed.Seconds())
 }
 
-// Ended takes in that a job ended unacknowledged: its connection broke, or it was given up.
+// Ended records that a job ended without an acknowledgement: its connection broke, or the attempt was canceled.
 func (a *AckTracker) Ended(executor string, late bool) { a.done(executor, late) }
 
 func (a *AckTracker) done(executor string, late bool) {
@@ -140,7 +143,7 @@
 	}
 }
 
-// LateCount is how many jobs an executor owes an acknowledgement past its time.
+// LateCount returns the number of jobs whose acknowledgement by an executor is late.
 func (a *AckTracker) LateCount(executor string) int {
 	if b := a.executors[executor]; b != nil {
 		return b.late
--- a/internal/slowpeer/ledger.go
+++ b/internal/slowpeer/ledger.go
@@ -2,11 +2,12 @@
 
 import "fmt"
 
-// Ledger shares one budget - connections, bytes, or requests that wait - between peers. A peer may hold what is free
-// times Alpha, or Least if that is more: dynamic thresholds (Choudhury and Hahne, "Dynamic queue length thresholds for
-// shared-memory packet switches", IEEE/ACM ToN 6(2), 1998). Alone it gets Alpha/(1+Alpha) of the budget, n greedy ones
-// get Alpha/(1+n*Alpha) each, and what is left over is for those that come later. Who a peer is the carrier says: an executor
-// by its name, a client by its address or customer - not by its connection, or its share would grow by opening more.
+// Ledger shares one budget (connections, bytes or waiting requests) between peers. The limit of a peer is the free part
+// of the budget times alpha, and at least a fixed minimum: dynamic thresholds (Choudhury and Hahne, "Dynamic queue
+// length thresholds for shared-memory packet switches", IEEE/ACM ToN 6(2), 1998). A single greedy peer gets
+// alpha/(1+alpha) of the budget and n greedy peers get alpha/(1+n*alpha) each; the rest remains free for later peers.
+// The caller identifies peers: an executor by its name, a client by its address or customer. It does not use
+// connections, because a client could then increase its share by opening more.
 type Ledger[K comparable] struct {
 	budget, minPerPeer int
 	alpha              float64
@@ -14,27 +15,27 @@
 	usage              map[K]int
 }
 
-// NewLedger makes a ledger over a budget. Least is what a peer may hold whatever the others do, while any is free.
+// NewLedger returns a Ledger for a budget. Each peer may use least of it regardless of the others, as long as the
+// budget has a free part.
 func NewLedger[K comparable](budget, least int, alpha float64) *Ledger[K] {
 	return &Ledger[K]{budget: max(budget, 0), minPerPeer: max(least, 0), alpha: max(alpha, 0), usage: map[K]int{}}
 }
 
-// Limit is what a peer may hold now.
+// Limit returns how much of the budget a peer may currently use.
 func (l *Ledger[K]) Limit() int {
 	free := l.budget - l.used
 	return max(l.minPerPeer, int(l.alpha*float64(free)))
 }
 
-// Acquire lets a peer hold n more, or says why not: HoldBack where its own share is used up, LetGo where nothing is free
-// for anyone, so that something else must go first.
+// Acquire assigns n more of the budget to a peer and returns Keep. Otherwise it returns Restrict if the peer's own
+// share is used up, or Disconnect if the budget is used up, so that another connection has to be closed first.
 func (l *Ledger[K]) Acquire(peer K, n int) Verdict {
 	switch held := l.usage[peer]; {
 	case n <= 0:
 		return Keep
 	case l.used+n > l.budget:
 		return Disconnect
-	// The free part is counted as it would be without what the peer holds already taken twice: a threshold on what it
-	// holds before the new ones come, as in the paper.
+	// The threshold is computed from the free part before the new units are assigned, as in the paper.
 	case held > 0 && held+n > l.Limit():
 		return Restrict
 	}
@@ -43,8 +44,8 @@
 	return Keep
 }
 
-// Release takes n back from a peer. More than it holds is a mistake of the carrier's, which the ledger does not let grow
-// into a budget that is too large.
+// Release returns n of a peer's usage to the budget. A larger n than the peer's usage is an error of the caller; the
+// Ledger then releases only the usage, so that the budget does not grow.
 func (l *Ledger[K]) Release(peer K, n int) {
 	held := l.usage[peer]
 	n = min(max(n, 0), held)
@@ -56,13 +57,13 @@
 	l.usage[peer] = held - n
 }
 
-// Usage is what a peer holds.
+// Usage returns how much of the budget a peer uses.
 func (l *Ledger[K]) Usage(peer K) int { return l.usage[peer] }
 
-// Used is what all hold.
+// Used returns how much of the budget all peers use.
 func (l *Ledger[K]) Used() int { return l.used }
 
-// UsedShare is the used part of the budget, from 0 to 1.
+// UsedShare returns the used part of the budget, from 0 to 1.
 func (l *Ledger[K]) UsedShare() float64 {
 	if l.budget <= 0 {
 		return 1
@@ -70,11 +71,11 @@
 	return float64(l.used) / float64(l.budget)
 }
 
-// Peers is how many hold something.
+// Peers returns the number of peers that use part of the budget.
 func (l *Ledger[K]) Peers() int { return len(l.usage) }
 
-// Largest is the peer that holds most: the one to let go of where all is used up. Of equals, the one that less says
-// comes first, so that the choice does not hang on a map's order.
+// Largest returns the peer with the largest usage, which is disconnected first when the budget is used up. Peers with
+// the same usage are ordered by less, so that the result does not depend on the iteration order of a map.
 func (l *Ledger[K]) Largest(less func(a, b K) bool) (peer K, held int) {
 	for k, n := range l.usage {
 		if n > held || n == held && held > 0 && less(k, peer) {
@@ -84,17 +85,17 @@
 	return peer, held
 }
 
-// check says what is wrong with the ledger, for tests.
+// check returns an error if the Ledger is inconsistent. Tests call it.
 func (l *Ledger[K]) check() error {
 	sum := 0
 	for k, n := range l.usage {
 		if n <= 0 {
-			return fmt.Errorf("%v holds %d", k, n)
+			return fmt.Errorf("usage of %v is %d, want it positive", k, n)
 		}
 		sum += n
 	}
 	if sum != l.used || l.used > l.budget {
-		return fmt.Errorf("%d held, %d counted, of %d", sum, l.used, l.budget)
+		return fmt.Errorf("usage adds up to %d, but %d is counted, of a budget of %d", sum, l.used, l.budget)
 	}
 	return nil
 }
--- a/internal/slowpeer/meter.go
+++ b/internal/slowpeer/meter.go
@@ -1,26 +1,26 @@
-// Package slowpeer decides about slow peers: whether one that is waited for is kept, held back or let go. It does no I/O,
-// reads no clock and starts no goroutine; who asks gives it the time. Its carriers are http1 (both directions of every
-// connection) and executor (what executors owe); what it finds out about executors goes to the decision module, which alone
+// Package slowpeer detects slow peers and decides whether to keep, restrict or disconnect them. It does no I/O, reads
+// no clock and starts no goroutine; callers pass the time. It is used by http1 (both directions of every connection)
+// and executor (acknowledgements pending at executors). Findings about executors go to the decision module, which alone
 // decides what follows for jobs.
 //
-// Three things are decided, each by a type of its own:
+// Each of three decisions has its own type:
 //
-//   - Meter: does one direction of one connection move at its least rate?
-//   - Ledger: may one peer take more of a budget that all peers share?
-//   - Acks: is an executor late to acknowledge, against its own usual and its peers'?
+//   - Meter: does one direction of a connection transfer bytes at its minimum rate?
+//   - Ledger: may a peer use more of a budget that all peers share?
+//   - AckTracker: is an executor late to acknowledge a job, compared with its own history and with other executors?
 package slowpeer
 
 import "time"
 
-// MinRate is what is asked of a peer that is waited for.
+// MinRate is the minimum rate of a peer from which bytes are expected, or which is expected to read bytes.
 type MinRate struct {
-	BytesPerSecond int           `yaml:"rate"`   // a second, at least; 0 asks for nothing
-	Grace          time.Duration `yaml:"grace"`  // for how long nothing at all may move
-	Window         time.Duration `yaml:"window"` // what moved faster than asked is credited for so long
-	PressureFactor float64       `yaml:"tight"`  // with the budget used up the rate is so many times as high, and the grace so much shorter
+	BytesPerSecond int           `yaml:"rate"`   // minimum rate; 0 for none
+	Grace          time.Duration `yaml:"grace"`  // how long no byte at all needs to be transferred
+	Window         time.Duration `yaml:"window"` // maximum credit for bytes transferred faster than the minimum rate
+	PressureFactor float64       `yaml:"tight"`  // multiplies the rate and divides the grace when the budget is used up
 }
 
-// Verdict is what becomes of a peer.
+// Verdict is the decision about a peer.
 type Verdict uint8
 
 // The verdicts.
@@ -30,23 +30,24 @@
 	Disconnect
 )
 
-// Meter follows one direction of one connection while bytes are waited for. What is asked accrues as a debt of
-// bytes, and what moves pays it: a stall is forgiven up to the grace and a burst pays ahead up to the window, while a
-// drip, which starts a plain time-out anew with each byte, pays less than accrues and is let go.
+// Meter measures one direction of one connection while bytes are expected. A debt of bytes accrues at the minimum rate
+// and is reduced by each transferred byte. A stall is tolerated up to the grace period, and a burst earns credit for up
+// to the window. A peer that transfers single bytes slowly would reset a plain timeout with each byte; here its debt
+// grows until it is disconnected.
 //
-// With r the rate that moves and R the one asked for: a peer that never goes without for the grace and moves R in every
-// window is never let go, and one that moves r < R is let go after (Grace + Window) * R / (R - r) at the latest.
+// Let r be the actual rate and R the minimum rate. A peer that never stalls for the grace period and transfers at R in
+// every window is never disconnected; a peer with r < R is disconnected after at most (Grace + Window) * R / (R - r).
 type Meter struct {
 	rate           MinRate
-	pressureFactor float64 // what the rate is multiplied by now, from 1 on
-	debt           float64 // bytes; below zero is credit
+	pressureFactor float64 // current multiple of the rate, 1 or more
+	debt           float64 // bytes; negative for credit
 	at             time.Time
 	waiting        bool
 	moved          int64
 	since          time.Time
 }
 
-// NewMeter makes a meter on which nothing is waited for yet.
+// NewMeter returns a Meter that does not expect bytes yet.
 func NewMeter(r MinRate) Meter {
 	if r.PressureFactor < 1 {
 		r.PressureFactor = 1
@@ -54,19 +55,19 @@
 	return Meter{rate: r, pressureFactor: 1}
 }
 
-// Start says that from now on something is waited for. A debt of earlier is forgotten: a peer that was slow once and
-// has nothing waiting owes nothing.
+// Start records that bytes are expected from now on. It clears the debt: a peer that was slow earlier and then had
+// nothing pending starts without a debt.
 func (m *Meter) Start(now time.Time) {
 	m.debt, m.at, m.since, m.waiting, m.moved = 0, now, now, true, 0
 }
 
-// Stop says that nothing is waited for any more.
+// Stop records that no bytes are expected any more.
 func (m *Meter) Stop() { m.waiting = false }
 
-// Waiting says whether something is waited for.
+// Waiting reports whether bytes are expected.
 func (m *Meter) Waiting() bool { return m.waiting }
 
-// Moved takes in that n bytes moved up to now.
+// Moved records the transfer of n bytes at now.
 func (m *Meter) Moved(n int, now time.Time) {
 	if !m.waiting {
 		return
@@ -76,7 +77,7 @@
 	m.debt = max(m.debt-float64(n), -m.requiredRate()*m.rate.Window.Seconds())
 }
 
-// SetPressure sets how full the budget is, from 0 to 1: the fuller, the higher the rate and the shorter the grace.
+// SetPressure sets the pressure on the budget, from 0 to 1: the higher, the higher the rate and the shorter the grace.
 func (m *Meter) SetPressure(full float64, now time.Time) {
 	if m.waiting {
 		m.accrue(now)
@@ -84,7 +85,7 @@
 	m.pressureFactor = 1 + (m.rate.PressureFactor-1)*min(max(full, 0), 1)
 }
 
-// Deadline is when the peer is let go if nothing more moves, and whether anything is asked of it.
+// Deadline returns when the peer is disconnected if no more bytes are transferred, and whether a minimum rate applies.
 func (m *Meter) Deadline() (time.Time, bool) {
 	if !m.waiting || m.rate.BytesPerSecond <= 0 {
 		return time.Time{}, false
@@ -93,7 +94,7 @@
 	return m.at.Add(time.Duration(left / m.requiredRate() * float64(time.Second))), true
 }
 
-// Check says whether the peer is kept now.
+// Check returns Disconnect if the peer has missed its deadline, and Keep otherwise.
 func (m *Meter) Check(now time.Time) Verdict {
 	if until, asked := m.Deadline(); asked && !now.Before(until) {
 		return Disconnect
@@ -101,7 +102,7 @@
 	return Keep
 }
 
-// Throughput are the bytes that moved since Start and what they were a second.
+// Throughput returns the number of bytes transferred since Start and their rate per second.
 func (m *Meter) Throughput(now time.Time) (moved int64, rate float64) {
 	if span := now.Sub(m.since).Seconds(); span > 0 {
 		rate = float64(m.moved) / span
--- a/internal/slowpeer/policy.go
+++ b/internal/slowpeer/policy.go
@@ -7,47 +7,64 @@
 	"time"
 )
 
-// Policy is all that bounds slow peers. It stands in the limits, filled at the start; the operators' file may change it
-// (section pace).
+// Policy holds the limits for slow peers. It is part of limits.Limits and is set at the start; section pace of the
+// operators' file may change it.
 type Policy struct {
-	// What clients send, and what they read of answers; what executors answer with, once they have begun, and what they read
-	// of requests; a line of the list that has begun.
+	// Minimum rates of: requests sent by clients; responses read by clients; responses sent by executors, from the
+	// first byte on; requests read by executors; a line of the endpoint list, from the first byte on.
 	ClientIn    MinRate `yaml:"client_in"`
 	ClientOut   MinRate `yaml:"client_out"`
 	ExecutorIn  MinRate `yaml:"box_in"`
 	ExecutorOut MinRate `yaml:"box_out"`
 	ListIn      MinRate `yaml:"list_in"`
 
-	RequestTimeout      time.Duration `yaml:"request_time"`      // from a request's first byte to its last, on a new connection from its start
-	UnsentCheckInterval time.Duration `yaml:"look"`              // between looks at what the kernel still holds of finished answers
-	PressureThreshold   float64       `yaml:"press"`             // part of a budget from which on rates tighten
-	UserTimeout         time.Duration `yaml:"forget"`            // the kernel gives up what a closed connection still holds
-	SendBufferBytes     int           `yaml:"send_buffer"`       // bytes that the kernel is asked to hold for a client, 0 for its own choice
-	MinPerPeer          int           `yaml:"least"`             // connections that a peer may hold whatever the others do,
-	Alpha               float64       `yaml:"alpha"`             // and the multiple of the free ones, see Ledger
-	SharePerAddress     bool          `yaml:"per_address"`       // clients are held to shares by their address
-	MaxCustomerRequests int           `yaml:"customer_requests"` // of one customer that may be open at a time; 0: as many as the node holds
-	AckBeforeReuseAfter time.Duration `yaml:"unheard"`           // of a box not heard of for so long, requests wait for its machine's acknowledgement
+	// RequestTimeout runs from the first byte of a request to its last, on a new connection from its start.
+	RequestTimeout time.Duration `yaml:"request_time"`
+	// UnsentCheckInterval is the time between checks for unsent bytes of finished responses in the kernel.
+	UnsentCheckInterval time.Duration `yaml:"look"`
+	// PressureThreshold is the used share of a budget from which on minimum rates increase.
+	PressureThreshold float64 `yaml:"press"`
+	// UserTimeout is TCP_USER_TIMEOUT, after which the kernel drops unacknowledged bytes, also of closed connections.
+	UserTimeout time.Duration `yaml:"forget"`
+	// SendBufferBytes is the kernel's send buffer of a client connection, 0 for the kernel's default.
+	SendBufferBytes int `yaml:"send_buffer"`
+	// MinPerPeer is the number of connections that a peer may open regardless of the others.
+	MinPerPeer int `yaml:"least"`
+	// Alpha is the multiple of the free connections that a peer may open, see Ledger.
+	Alpha float64 `yaml:"alpha"`
+	// SharePerAddress applies shares to clients by address.
+	SharePerAddress bool `yaml:"per_address"`
+	// MaxCustomerRequests is the maximum number of open requests of a customer, 0 for no limit other than the node's.
+	MaxCustomerRequests int `yaml:"customer_requests"`
+	// AckBeforeReuseAfter is the time without contact after which requests to an executor wait for its TCP
+	// acknowledgement.
+	AckBeforeReuseAfter time.Duration `yaml:"unheard"`
 	Acks                AckRule       `yaml:"acks"`
 }
 
-// Default is the policy where nobody says otherwise. Its rates are far under what a working line moves: on the
-// platform none of its clients, executors or lists comes near.
+// Default returns the default policy. Its minimum rates are far below those of a working connection: no client,
+// executor or endpoint list of the platform comes close to them.
 func Default() Policy {
 	return Policy{
-		ClientIn:            MinRate{BytesPerSecond: 64, Grace: 2500 * time.Millisecond, Window: 2500 * time.Millisecond, PressureFactor: 4},
-		ClientOut:           MinRate{BytesPerSecond: 1024, Grace: 5 * time.Second, Window: 5 * time.Second, PressureFactor: 4},
-		ExecutorIn:          MinRate{BytesPerSecond: 64, Grace: 2 * time.Second, Window: 2 * time.Second, PressureFactor: 1},
-		ExecutorOut:         MinRate{BytesPerSecond: 4096, Grace: time.Second, Window: time.Second, PressureFactor: 1},
-		ListIn:              MinRate{BytesPerSecond: 512, Grace: 2 * time.Second, Window: 2 * time.Second, PressureFactor: 1},
+		ClientIn: MinRate{BytesPerSecond: 64, Grace: 2500 * time.Millisecond, Window: 2500 * time.Millisecond,
+			PressureFactor: 4},
+		ClientOut: MinRate{BytesPerSecond: 1024, Grace: 5 * time.Second, Window: 5 * time.Second,
+			PressureFactor: 4},
+		ExecutorIn: MinRate{BytesPerSecond: 64, Grace: 2 * time.Second, Window: 2 * time.Second,
+			PressureFactor: 1},
+		ExecutorOut: MinRate{BytesPerSecond: 4096, Grace: time.Second, Window: time.Second,
+			PressureFactor: 1},
+		ListIn: MinRate{BytesPerSecond: 512, Grace: 2 * time.Second, Window: 2 * time.Second,
+			PressureFactor: 1},
 		RequestTimeout:      2500 * time.Millisecond,
 		UnsentCheckInterval: 250 * time.Millisecond, PressureThreshold: 0.5, UserTimeout: 30 * time.Second,
 		MinPerPeer: 8, Alpha: 2, AckBeforeReuseAfter: 2 * time.Second,
-		Acks: AckRule{MinTimeout: 400 * time.Millisecond, MaxTimeout: 1200 * time.Millisecond, BoundMultiple: 3, ActiveWindow: time.Minute, MaxLateShare: 0.5},
+		Acks: AckRule{MinTimeout: 400 * time.Millisecond, MaxTimeout: 1200 * time.Millisecond,
+			BoundMultiple: 3, ActiveWindow: time.Minute, MaxLateShare: 0.5},
 	}
 }
 
-// Pressure turns the used part of a budget into how hard rates press: nothing up to Press, all when it is used up.
+// Pressure returns the pressure on a budget: 0 up to PressureThreshold, rising to 1 when the budget is used up.
 func (p *Policy) Pressure(used, budget int) float64 {
 	if budget <= 0 || p.PressureThreshold >= 1 {
 		return 0
@@ -55,12 +72,15 @@
 	return max(0, (float64(used)/float64(budget)-p.PressureThreshold)/(1-p.PressureThreshold))
 }
 
-// Validate names the first figure that no policy can have.
+// Validate returns an error for the first value that is out of range.
 func (p *Policy) Validate() error {
 	for _, r := range []struct {
 		name string
 		MinRate
-	}{{"client_in", p.ClientIn}, {"client_out", p.ClientOut}, {"box_in", p.ExecutorIn}, {"box_out", p.ExecutorOut}, {"list_in", p.ListIn}} {
+	}{
+		{"client_in", p.ClientIn}, {"client_out", p.ClientOut}, {"box_in", p.ExecutorIn}, {"box_out", p.ExecutorOut},
+		{"list_in", p.ListIn},
+	} {
 		switch {
 		case r.BytesPerSecond < 0 || r.BytesPerSecond > 1<<30:
 			return fmt.Errorf("%s.rate: %d bytes a second is not between 0 and %d", r.name, r.BytesPerSecond, 1<<30)
@@ -99,45 +119,45 @@
 	return nil
 }
 
-// Kind is what was found slow, and where.
+// Kind is a kind of slow peer.
 type Kind uint8
 
-// The kindCount.
+// The kinds of slow peers.
 const (
-	ClientSendsSlowly   Kind = iota // a request came below the least rate
-	ClientReadsSlowly               // an answer was read below it
-	ClientResponseLost              // an answer that was not whole in the kernel went with its connection
-	ClientOverShare                 // an address or a customer that holds its share already
-	ExecutorAckLate                 // no sign that a job was taken, while other executors give theirs
-	MostAcksLate                    // likewise, while most executors owe one: told to nobody
-	ExecutorReadsSlowly             // a request was read below the least rate, before its last byte
-	RequestUnacked                  // a request's first bytes were not acknowledged by the executor's machine
-	ExecutorSendsSlowly             // an answer that had begun came below the rate
-	ExecutorOverShare               // an executor that holds its share of connections already
-	ListSendsSlowly                 // a line of the list, likewise
+	ClientSendsSlowly   Kind = iota // a request arrived below the minimum rate
+	ClientReadsSlowly               // a response was read below the minimum rate
+	ClientResponseLost              // a connection was closed before its whole response was in the kernel
+	ClientOverShare                 // an address or a customer has used up its share
+	ExecutorAckLate                 // an acknowledgement is late, while those of most other executors are not
+	MostAcksLate                    // an acknowledgement is late, as from most executors; no executor is reported
+	ExecutorReadsSlowly             // a request was read below the minimum rate, before its last byte
+	RequestUnacked                  // the executor's machine did not acknowledge the first bytes of a request
+	ExecutorSendsSlowly             // a response arrived below the minimum rate after its first byte
+	ExecutorOverShare               // an executor has used up its share of connections
+	ListSendsSlowly                 // a line of the endpoint list arrived below the minimum rate
 	kindCount
 )
 
-// Names of the kinds, as they are counted and logged.
+// kindNames are the names of the kinds in metrics and logs.
 var kindNames = [kindCount]string{"client_sends", "client_reads", "client_cut", "client_share", "box_late", "box_crowd",
 	"box_reads", "box_unacked", "box_drips", "box_share", "list_drips"}
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Counters counts what was found, for any number of goroutines.
+// Counters counts slow peers by kind. It is safe for concurrent use.
 type Counters struct{ n [kindCount]atomic.Int64 }
 
-// Add counts one.
+// Add increments the counter of a kind. A nil Counters counts nothing.
 func (t *Counters) Add(k Kind) {
 	if t != nil {
 		t.n[k].Add(1)
 	}
 }
 
-// Count is how many of a kind there were.
+// Count returns the counter of a kind.
 func (t *Counters) Count(k Kind) int64 { return t.n[k].Load() }
 
-// JSON gives all counts as an object.
+// JSON returns all counters as a JSON object.
 func (t *Counters) JSON() []byte {
 	out := []byte{'{'}
 	for k := range kindCount {
@@ -149,26 +169,26 @@
 	return append(out, '}')
 }
 
-// Error is the error of a peer that was let go.
+// Error reports a peer that was disconnected because it was too slow.
 type Error struct {
-	Direction string // "in" or "out", seen from here
-	Bytes     int64  // that moved since something was waited for
+	Direction string // "in" or "out", from the point of view of this node
+	Bytes     int64  // transferred since bytes were expected
 	Rate      float64
-	MinRate   int // a second
-	Pending   int // bytes still waiting, where it is known
+	MinRate   int // bytes per second
+	Pending   int // bytes not yet transferred, if known
 }
 
 func (e *Error) Error() string {
-	return fmt.Sprintf("slow peer: %d bytes %s at %.0f a second, %d asked", e.Bytes, e.Direction, e.Rate, e.MinRate)
+	return fmt.Sprintf("slow peer: %d bytes %s at %.0f bytes/s, minimum is %d", e.Bytes, e.Direction, e.Rate, e.MinRate)
 }
 
-// Timeout makes it a time-out to those who only ask for that.
+// Timeout reports true, so that callers treat the error as a timeout.
 func (e *Error) Timeout() bool { return true }
 
-// Temporary completes net.Error.
+// Temporary reports false. It completes net.Error.
 func (e *Error) Temporary() bool { return false }
 
-// LogValue gives the figures as attributes.
+// LogValue returns the fields of the error as log attributes.
 func (e *Error) LogValue() slog.Value {
 	return slog.GroupValue(slog.String("direction", e.Direction), slog.Int64("bytes", e.Bytes),
 		slog.Float64("rate", e.Rate), slog.Int("asked", e.MinRate), slog.Int("left", e.Pending))
