--- a/internal/dispatch/golden_actions_test.go
+++ b/internal/dispatch/golden_actions_test.go
@@ -117,7 +117,7 @@
 func (c *goldenCluster) startAttempt(a *goldenAttempt) {
 	e, s := a.executor, c.plan.settings(a.node)
 	run := max(1, a.work/e.speed*c.random.span(0.8, 1.3))
-	note := dispatch.Event{
+	notification := dispatch.Event{
 		Kind:     dispatch.EvNotification,
 		Job:      a.job,
 		Attempt:  a.number,
@@ -125,13 +125,13 @@
 		Topic:    dispatch.NotificationStarted,
 	}
 	if s.StartNotifications {
-		c.deliver(a.node, a.incarnation, 1, note)
+		c.deliver(a.node, a.incarnation, 1, notification)
 	}
 	if s.ProgressInterval > 0 {
-		note.Topic = dispatch.NotificationProgress
+		notification.Topic = dispatch.NotificationProgress
 		for at := s.ProgressInterval; at < run; at += s.ProgressInterval {
-			note.Amount = at / run
-			progress := note
+			notification.Amount = at / run
+			progress := notification
 			c.schedule(at, func() {
 				if n := c.nodes[a.node]; !a.ended && !e.unresponsive && n.incarnation == a.incarnation && !n.down {
 					n.pending = append(n.pending, progress)
--- a/internal/dispatch/golden_cluster_test.go
+++ b/internal/dispatch/golden_cluster_test.go
@@ -222,13 +222,13 @@
 }
 
 func (c *goldenCluster) endpointUpdates() []dispatch.EndpointUpdate {
-	rows := make([]dispatch.EndpointUpdate, 0, len(c.executors))
+	updates := make([]dispatch.EndpointUpdate, 0, len(c.executors))
 	for _, e := range c.executors {
 		if e.endpoint.Condition != dispatch.Removed {
-			rows = append(rows, e.endpoint)
+			updates = append(updates, e.endpoint)
 		}
 	}
-	return rows
+	return updates
 }
 
 func (c *goldenCluster) startNode(i int) {
@@ -242,12 +242,12 @@
 		c.t.Fatal(err)
 	}
 	n.dispatcher = d
-	rows := c.endpointUpdates()
-	if n.incarnation > 1 && len(rows) > 3 {
-		rows = rows[:len(rows)-1] // the cached list is outdated
+	updates := c.endpointUpdates()
+	if n.incarnation > 1 && len(updates) > 3 {
+		updates = updates[:len(updates)-1] // the cached list is outdated
 	}
 	n.pending = []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Version: c.version,
-		Updates: rows}}
+		Updates: updates}}
 }
 
 // Clients.
--- a/internal/dispatch/golden_faults_test.go
+++ b/internal/dispatch/golden_faults_test.go
@@ -10,8 +10,8 @@
 // This file holds the faults of the golden runs: of executors, nodes and discovery, and events that violate the
 // contract of the host.
 
-// publishUpdates sends changed rows to all nodes that watch the list.
-func (c *goldenCluster) publishUpdates(rows ...dispatch.EndpointUpdate) {
+// publishUpdates sends endpoint updates to all nodes that watch the endpoint list.
+func (c *goldenCluster) publishUpdates(updates ...dispatch.EndpointUpdate) {
 	c.version++
 	for i, n := range c.nodes {
 		if n.watching {
@@ -20,7 +20,7 @@
 				n.incarnation,
 				c.random.span(1, 30),
 				dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Version: c.version,
-					Updates: append([]dispatch.EndpointUpdate(nil), rows...)},
+					Updates: append([]dispatch.EndpointUpdate(nil), updates...)},
 			)
 		}
 	}
@@ -33,14 +33,14 @@
 func (c *goldenCluster) injectExecutorFault() {
 	e := c.anyExecutor()
 	span := c.random.span(200, 1500)
-	var mend func()
+	var repair func()
 	switch c.random.below(6) {
 	case 0:
 		e.down = true
-		mend = func() { e.down = false }
+		repair = func() { e.down = false }
 	case 1:
 		e.unresponsive = true
-		mend = func() {
+		repair = func() {
 			e.unresponsive = false
 			for _, a := range slices.Clone(e.attempts) {
 				if a.started && !a.ended && c.now >= a.endsAt {
@@ -51,19 +51,19 @@
 		}
 	case 2:
 		e.rejectsConnections = true
-		mend = func() { e.rejectsConnections = false }
+		repair = func() { e.rejectsConnections = false }
 	case 3:
 		e.errorRate = 0.7
-		mend = func() { e.errorRate = 0 }
+		repair = func() { e.errorRate = 0 }
 	case 4:
 		e.failingClass = c.random.below(4)
 		span *= 3
-		mend = func() { e.failingClass = -1 }
+		repair = func() { e.failingClass = -1 }
 	default:
 		e.rejectsJobs = true
-		mend = func() { e.rejectsJobs = false }
+		repair = func() { e.rejectsJobs = false }
 	}
-	c.schedule(span, mend)
+	c.schedule(span, repair)
 }
 
 // killExecutor ends the process of an executor: the attempts in flight there are lost.
@@ -146,15 +146,15 @@
 
 // changeWeights changes only the weights, often, as a list with live weights does.
 func (c *goldenCluster) changeWeights() {
-	var rows []dispatch.EndpointUpdate
+	var updates []dispatch.EndpointUpdate
 	for i, e := range c.executors {
 		if e.endpoint.Condition != dispatch.Removed {
 			e.endpoint.Weight = float64(1+i%3) / (1 + float64(e.running+len(e.queue))/e.slots)
-			rows = append(rows, e.endpoint)
+			updates = append(updates, e.endpoint)
 		}
 	}
 	if len(c.nodes) > 0 && c.plan.settings(0).LiveWeights {
-		c.publishUpdates(rows...)
+		c.publishUpdates(updates...)
 	}
 }
 
--- a/internal/dispatch/golden_plans_test.go
+++ b/internal/dispatch/golden_plans_test.go
@@ -61,9 +61,8 @@
 		Telemetry: dispatch.ReportAnswers, Fields: []dispatch.Field{dispatch.FieldFree, dispatch.FieldPending},
 		OverQuotaWeight: 0.3, ProgressInterval: 400, StartNotifications: true,
 		MaxRetryAfter: 800, MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, GossipAllowed: true,
-		MaxConcurrentStreams: 1,
-		ConnIdleTimeout:      2000, ConnectTimeout: 100, AnswerSlack: 16, MaxPollInterval: 2000, DrainGrace: 300,
-		OverloadMultiple: 4, OverloadWindow: 800, SlowStartMinShare: 0.3, MaxSlowStartDuration: 3000,
+		MaxConcurrentStreams: 1, ConnIdleTimeout: 2000, ConnectTimeout: 100, AnswerSlack: 16, MaxPollInterval: 2000,
+		DrainGrace: 300, OverloadMultiple: 4, OverloadWindow: 800, SlowStartMinShare: 0.3, MaxSlowStartDuration: 3000,
 		Fees: dispatch.Fees{CrossZone: 0.1, Handshake: 0.05, Origin: 0.2},
 	}
 }
--- a/internal/dispatch/script_test.go
+++ b/internal/dispatch/script_test.go
@@ -29,7 +29,7 @@
 
 type scriptExecutor struct {
 	endpoint   EndpointUpdate
-	notifiedAt float64 // when the node was notified of the row's condition
+	notifiedAt float64 // when the node was notified of the endpoint's condition
 }
 
 // sentWork is the work of one send and its time.
