--- a/internal/capacity/measure/decision.go
+++ b/internal/capacity/measure/decision.go
@@ -37,7 +37,7 @@
 			{Objective: classAimMS, ObjectivePerWork: 2, Deadline: classDeadlineMS, PriorityWeight: 1, RetrySafety: dispatch.Idempotent, Kind: -1},
 			{Objective: classAimMS, ObjectivePerWork: 2, Deadline: classDeadlineMS, PriorityWeight: 1, RetrySafety: dispatch.AtMostOnce, Kind: -1},
 		},
-		Telemetry: dispatch.ReportAnswers, Fields: []dispatch.Field{dispatch.FieldFree},
+		Telemetry: dispatch.ReportAnswers, ReportFields: []dispatch.ReportField{dispatch.FieldFree},
 		ProgressInterval: 1000, StartNotifications: true,
 		MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, MaxConcurrentStreams: 1,
 		ConnIdleTimeout: 5000, ConnectTimeout: 250,
--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -5,11 +5,11 @@
 
 // The action kinds, with the fields of Action that each of them uses.
 const (
-	ActSend        ActionKind = iota // Job, Executor: start the next attempt; For is 0
-	ActReject                        // Job, For: final rejection; a retry by the client is safe, after For if it is not 0
+	ActSend        ActionKind = iota // Job, Executor: start the next attempt; Delay is 0
+	ActReject                        // Job, Delay: final rejection; a client retry is safe, after Delay if it is not 0
 	ActFail                          // Job: final failure; a retry by the client may not be safe
 	ActCancel                        // Job, Attempt
-	ActTimer                         // For, Token
+	ActTimer                         // Delay, Token
 	ActHealthCheck                   // Executor
 	ActClose                         // Executor: close its idle connections
 	ActPollList                      // Subscribe: poll the endpoint list and subscribe to its changes
@@ -30,7 +30,7 @@
 	Job       uint32
 	Executor  uint32
 	Token     uint32
-	For       float64
+	Delay     float64
 	Data      []byte
 	Text      string
 }
--- a/internal/dispatch/capacity_test.go
+++ b/internal/dispatch/capacity_test.go
@@ -13,7 +13,7 @@
 func noGossipSettings() Settings {
 	s := base()
 	s.Nodes, s.HedgingAllowed = noGossipNodes, false
-	s.Fields = []Field{FieldPending, FieldFree}
+	s.ReportFields = []ReportField{FieldPending, FieldFree}
 	for i := range s.Tenants {
 		s.Tenants[i].Quota = 1000 * s.Tenants[i].ReservedShare
 	}
@@ -224,7 +224,7 @@
 // Slots that are free only because a wide job at the head of an executor's queue does not fit are not available.
 func TestNoFreeSlotsBehindQueuedWideJob(t *testing.T) {
 	s := base()
-	s.Fields = []Field{FieldFree, FieldBusy}
+	s.ReportFields = []ReportField{FieldFree, FieldBusy}
 	r := newRig(t, s, ready(7, 0))
 	r.step(request(1, 0, 0, 4)) // there are wide jobs
 	r.d.endpoints.listed[0].load.slots = 4
@@ -290,7 +290,7 @@
 // Without load reports, a job that is wider than the initial soft limit is sent nevertheless.
 func TestWideJobWithoutReports(t *testing.T) {
 	s := base()
-	s.Telemetry, s.Fields, s.StartNotifications = ReportNone, nil, false
+	s.Telemetry, s.ReportFields, s.StartNotifications = ReportNone, nil, false
 	r := newRig(t, s, ready(7, 0), ready(8, 0), ready(9, 0))
 	if got := r.step(request(1, 0, 0, 4)); len(actionsOf(got, ActSend, 1)) != 1 {
 		t.Error("job 1 was not sent although no executor holds a job of this node")
@@ -351,7 +351,7 @@
 // reduce its soft limit, once for all jobs sent before the reduction; jobs served in time raise it again.
 func TestLateResponsesReduceSoftLimit(t *testing.T) {
 	s := base()
-	s.Telemetry, s.Fields, s.StartNotifications = ReportNone, nil, false
+	s.Telemetry, s.ReportFields, s.StartNotifications = ReportNone, nil, false
 	r := newRig(t, s, ready(7, 0))
 	executor := r.d.endpoints.byID[7]
 	executor.load.softLimit = 8
--- a/internal/dispatch/classfailure_test.go
+++ b/internal/dispatch/classfailure_test.go
@@ -185,7 +185,7 @@
 		away          bool
 	}{{"free slots", 0, 2, true}, {"no free slots", 0, 0, false}, {"queued jobs", 3, 2, false}} {
 		s := base()
-		s.Fields = []Field{FieldPending, FieldFree}
+		s.ReportFields = []ReportField{FieldPending, FieldFree}
 		r := newRig(t, s, ready(1, 1))
 		events := []Event{{Kind: EvRequest, Job: 1, Class: 2, TimeLeft: 6000, Slots: 1}}
 		for n, steps := uint16(0), 0; n < 2; steps++ {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -141,7 +141,7 @@
 func (d *Dispatcher) tick() {
 	d.nextTick = d.now + d.tickInterval()
 	d.lastTimerToken++
-	d.act(Action{Kind: ActTimer, For: d.tickInterval(), Token: d.lastTimerToken})
+	d.act(Action{Kind: ActTimer, Delay: d.tickInterval(), Token: d.lastTimerToken})
 	d.listWatch.poll()
 	if len(d.endpoints.listed) <= fullScanLimit || d.now >= d.outliers.nextCheck {
 		d.outliers.nextCheck = d.now + d.unresponsiveTimeout()/outlierChecksPerTimeout
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -21,7 +21,7 @@
 			{Objective: 400, ObjectivePerWork: 2, Deadline: 6000, PriorityWeight: 1, RetrySafety: AtMostOnce, Kind: -1},
 		},
 		Tenants:   []Tenant{{ReservedShare: 0.5}, {ReservedShare: 0.3}, {ReservedShare: 0.2}},
-		Telemetry: ReportAnswers, Fields: []Field{FieldFree},
+		Telemetry: ReportAnswers, ReportFields: []ReportField{FieldFree},
 		ProgressInterval: 1000, StartNotifications: true,
 		MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, MaxConcurrentStreams: 1,
 		ConnIdleTimeout: 5000, ConnectTimeout: 250,
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -27,7 +27,7 @@
 //     end, the node responds with ActReject or ActFail, at most once for a job.
 //   - If the client disconnects, EvClientDisconnected ends the job, and no response is due after it. The event may
 //     cross with a response.
-//   - An ActTimer leads to one EvTimer, no earlier than after For. Timers drive everything that depends on time:
+//   - An ActTimer leads to one EvTimer, no earlier than after Delay. Timers drive everything that depends on time:
 //     without them, responses are late. The tick interval is five times Settings.MinStepInterval and at least 10 ms.
 //   - An entry of the endpoint list is valid until another replaces it. ListSnapshot and ListCached name every
 //     executor; an executor that they omit has been removed. StartedAt changes when the executor's process restarts
--- a/internal/dispatch/golden_actions_test.go
+++ b/internal/dispatch/golden_actions_test.go
@@ -20,7 +20,7 @@
 		r.done = true
 		if a.Kind == dispatch.ActReject && c.random.chance(0.5) {
 			retry := r.event
-			wait := max(a.For, 20)
+			wait := max(a.Delay, 20)
 			if retry.TimeLeft = r.deadline - c.now - wait; retry.TimeLeft > 50 {
 				retry.Job = c.nextJob
 				c.nextJob++
@@ -43,7 +43,7 @@
 			})
 		}
 	case dispatch.ActTimer:
-		c.deliver(i, n.incarnation, a.For, dispatch.Event{Kind: dispatch.EvTimer, Token: a.Token})
+		c.deliver(i, n.incarnation, a.Delay, dispatch.Event{Kind: dispatch.EvTimer, Token: a.Token})
 	case dispatch.ActHealthCheck:
 		c.checkHealth(i, n, a.Executor)
 	case dispatch.ActPollList:
@@ -208,15 +208,15 @@
 			queued += a.slots
 		}
 		noise := float32(c.random.float()) * 0.01
-		for f, v := range map[dispatch.Field]float64{dispatch.FieldBusy: float64(e.running + len(e.queue)),
+		for f, v := range map[dispatch.ReportField]float64{dispatch.FieldBusy: float64(e.running + len(e.queue)),
 			dispatch.FieldPending: float64(len(e.queue)), dispatch.FieldUtil: min(1, e.busySlots/e.slots),
 			dispatch.FieldLatency: 200 / e.speed, dispatch.FieldServed: float64(e.served), dispatch.FieldErrors: e.errorRate,
 			dispatch.FieldFree: e.slots - queued - e.busySlots, dispatch.FieldMemory: e.memory - 2*e.busySlots} {
 			e.sample[f] = float32(v) + noise
 		}
 	}
-	out := make([]float32, len(s.Fields))
-	for i, f := range s.Fields {
+	out := make([]float32, len(s.ReportFields))
+	for i, f := range s.ReportFields {
 		out[i] = e.sample[f]
 	}
 	return out
--- a/internal/dispatch/golden_encode_test.go
+++ b/internal/dispatch/golden_encode_test.go
@@ -52,7 +52,7 @@
 	decision = big.AppendUint32(decision, a.Job)
 	decision = big.AppendUint32(decision, a.Executor)
 	decision = big.AppendUint32(decision, a.Token)
-	decision = big.AppendUint64(decision, math.Float64bits(a.For))
+	decision = big.AppendUint64(decision, math.Float64bits(a.Delay))
 	decision = big.AppendUint32(decision, uint32(len(a.Data)))
 	decision = append(decision, a.Data...)
 	return decision, a.Text
@@ -63,5 +63,5 @@
 	decision, text := goldenAction(t, a)
 	kind, _, _ := bytes.Cut(decision, []byte{0})
 	return fmt.Sprintf("%s on=%v job=%d attempt=%d executor=%d to=%d token=%d for=%v data=%x %s",
-		kind, a.Subscribe, a.Job, a.Attempt, a.Executor, a.To, a.Token, a.For, a.Data, text)
+		kind, a.Subscribe, a.Job, a.Attempt, a.Executor, a.To, a.Token, a.Delay, a.Data, text)
 }
--- a/internal/dispatch/golden_plans_test.go
+++ b/internal/dispatch/golden_plans_test.go
@@ -58,7 +58,7 @@
 			{ReservedShare: 0.3, Quota: 30},
 			{ReservedShare: 0.2, Quota: 15},
 		},
-		Telemetry: dispatch.ReportAnswers, Fields: []dispatch.Field{dispatch.FieldFree, dispatch.FieldPending},
+		Telemetry: dispatch.ReportAnswers, ReportFields: []dispatch.ReportField{dispatch.FieldFree, dispatch.FieldPending},
 		OverQuotaWeight: 0.3, ProgressInterval: 400, StartNotifications: true,
 		MaxRetryAfter: 800, MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, GossipAllowed: true,
 		MaxConcurrentStreams: 1, ConnIdleTimeout: 2000, ConnectTimeout: 100, AnswerSlack: 16, MaxPollInterval: 2000,
@@ -76,14 +76,14 @@
 			zonePrices: true, streams: true, settingsUpdates: true, settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 3)
 				s.PollsList = true
-				s.Fields = []dispatch.Field{dispatch.FieldFree, dispatch.FieldPending, dispatch.FieldMemory}
+				s.ReportFields = []dispatch.ReportField{dispatch.FieldFree, dispatch.FieldPending, dispatch.FieldMemory}
 				return s
 			}},
 		{name: "alone", seed: 12, nodes: 1, executors: 6, duration: 15000, rate: 65, workHintShare: 0.5, faults: 1, keys: 40,
 			streams: true, settingsUpdates: true, settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 1)
 				s.GossipAllowed, s.PollsList, s.WeightByWork, s.MaxConcurrentStreams = false, true, true, 3
-				s.Fields = []dispatch.Field{dispatch.FieldBusy, dispatch.FieldLatency, dispatch.FieldErrors, dispatch.FieldServed}
+				s.ReportFields = []dispatch.ReportField{dispatch.FieldBusy, dispatch.FieldLatency, dispatch.FieldErrors, dispatch.FieldServed}
 				return s
 			}},
 		{name: "aggregator", seed: 13, nodes: 40, executors: 60, duration: 4500, rate: 260, workHintShare: 0.8, faults: 2,
@@ -107,7 +107,7 @@
 				s := goldenBase(node, 4)
 				s.Telemetry, s.HealthChecksAllowed, s.StartNotifications, s.ProgressInterval =
 					dispatch.ReportHealthChecks, true, false, 0
-				s.Fields = []dispatch.Field{dispatch.FieldUtil, dispatch.FieldPending, dispatch.FieldOther}
+				s.ReportFields = []dispatch.ReportField{dispatch.FieldUtil, dispatch.FieldPending, dispatch.FieldOther}
 				return s
 			}},
 		{name: "probes-large-fleet", seed: 16, nodes: 120, executors: 150, duration: 2200, rate: 600, workHintShare: 0.6,
@@ -131,14 +131,14 @@
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 12)
 				s.LiveWeights, s.PollsList, s.GossipAllowed = true, true, false
-				s.Fields = []dispatch.Field{dispatch.FieldBusy}
+				s.ReportFields = []dispatch.ReportField{dispatch.FieldBusy}
 				return s
 			},
 		},
 		{name: "no-reports", seed: 18, nodes: 5, executors: 9, duration: 9000, rate: 70, workHintShare: 0.4, faults: 1.5,
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 5)
-				s.Telemetry, s.Fields, s.StartNotifications, s.ProgressInterval = dispatch.ReportNone, nil, false, 0
+				s.Telemetry, s.ReportFields, s.StartNotifications, s.ProgressInterval = dispatch.ReportNone, nil, false, 0
 				s.GossipAllowed, s.HedgingAllowed, s.CancelAllowed, s.Tenants = false, false, false, nil
 				s.MaxSlowStartDuration = 0
 				return s
@@ -156,7 +156,7 @@
 			settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 30)
 				s.GossipAllowed = false
-				s.Fields = []dispatch.Field{dispatch.FieldFree, dispatch.FieldBusy, dispatch.FieldMemory}
+				s.ReportFields = []dispatch.ReportField{dispatch.FieldFree, dispatch.FieldBusy, dispatch.FieldMemory}
 				for i := range s.Tenants {
 					s.Tenants[i].Quota *= 3
 				}
--- a/internal/dispatch/loadreport.go
+++ b/internal/dispatch/loadreport.go
@@ -79,18 +79,18 @@
 	report := loadReport{free: unknown, busy: unknown, pending: unknown, utilization: unknown, memory: unknown, hash: 1}
 	for i, value := range values {
 		report.hash = mix64(report.hash ^ uint64(math.Float32bits(value)))
-		if i >= len(r.settings.Fields) {
+		if i >= len(r.settings.ReportFields) {
 			break
 		}
 		if x := float64(value); !math.IsInf(x, 0) && !(x < 0) {
-			report.set(r.settings.Fields[i], x)
+			report.set(r.settings.ReportFields[i], x)
 		}
 	}
 	return report
 }
 
 // set stores the value of one field.
-func (l *loadReport) set(field Field, value float64) {
+func (l *loadReport) set(field ReportField, value float64) {
 	switch field {
 	case FieldFree:
 		l.free = value
@@ -162,13 +162,13 @@
 func (r *loadReports) hasFreeSlots(values []float32, slots float64) bool {
 	free := false
 	for i, value := range values {
-		if i >= len(r.settings.Fields) {
+		if i >= len(r.settings.ReportFields) {
 			break
 		}
 		switch x := float64(value); {
-		case r.settings.Fields[i] == FieldFree:
+		case r.settings.ReportFields[i] == FieldFree:
 			free = x > slots-slotTolerance/2
-		case r.settings.Fields[i] == FieldPending && x >= slotTolerance:
+		case r.settings.ReportFields[i] == FieldPending && x >= slotTolerance:
 			return false
 		}
 	}
--- a/internal/dispatch/loadreport_test.go
+++ b/internal/dispatch/loadreport_test.go
@@ -12,7 +12,7 @@
 func TestReportAgeWithoutInfluenceOfOwnJobs(t *testing.T) {
 	s := base()
 	s.Nodes = 3
-	s.Fields = []Field{FieldBusy, FieldFree}
+	s.ReportFields = []ReportField{FieldBusy, FieldFree}
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	rng := rand.New(rand.NewSource(5))
 	job, maxAge := uint32(0), 0.0
@@ -49,7 +49,7 @@
 func TestReportAgeIsLearned(t *testing.T) { //nolint:gocognit // one course of events
 	s := base()
 	s.Nodes = 3
-	s.Fields = []Field{FieldBusy, FieldFree}
+	s.ReportFields = []ReportField{FieldBusy, FieldFree}
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	rng := rand.New(rand.NewSource(5))
 	type span struct {
@@ -107,7 +107,7 @@
 // The occupancy of executors may be unrelated to this node's own few jobs. The default age then stays selected.
 func TestReportAgeIgnoresJobsOfOtherNodes(t *testing.T) {
 	s := base()
-	s.Fields = []Field{FieldBusy, FieldFree}
+	s.ReportFields = []ReportField{FieldBusy, FieldFree}
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	rng := rand.New(rand.NewSource(9))
 	for i := range uint32(300) {
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -62,7 +62,7 @@
 // A job waits for an executor that reports enough free memory for it.
 func TestFreeMemoryBoundsJobs(t *testing.T) {
 	s := base()
-	s.Fields = []Field{FieldFree, FieldMemory}
+	s.ReportFields = []ReportField{FieldFree, FieldMemory}
 	r := newRig(t, s, ready(7, 0), ready(8, 0))
 	for id, memory := range map[uint32]float32{7: 1, 8: 4} { // 7 has more slots, 8 has the memory
 		executor := r.d.endpoints.byID[id]
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -133,7 +133,7 @@
 	d.rejections.lastRejectedAt = d.now
 	answer := Action{Kind: ActFail, Job: job.id}
 	if d.isRejectSafe(job) {
-		answer.Kind, answer.For = ActReject, d.retryAfter(job)
+		answer.Kind, answer.Delay = ActReject, d.retryAfter(job)
 	}
 	d.act(answer)
 	d.finishJob(job)
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -55,8 +55,8 @@
 				continue
 			}
 			rejected++
-			if maxRetryAfter == 0 && a.For != 0 || maxRetryAfter > 0 && !(a.For > 0 && a.For <= maxRetryAfter) {
-				t.Errorf("retry-after limit %v: got a retry-after of %v", maxRetryAfter, a.For)
+			if maxRetryAfter == 0 && a.Delay != 0 || maxRetryAfter > 0 && !(a.Delay > 0 && a.Delay <= maxRetryAfter) {
+				t.Errorf("retry-after limit %v: got a retry-after of %v", maxRetryAfter, a.Delay)
 			}
 		}
 		if rejected == 0 {
--- a/internal/dispatch/script_test.go
+++ b/internal/dispatch/script_test.go
@@ -77,10 +77,10 @@
 	x.t.Helper()
 	switch a.Kind {
 	case ActTimer:
-		if !(a.For > 0) || a.For > 71*60000 {
-			x.failf("timer for %v ms, want more than 0 and at most 71 minutes", a.For)
+		if !(a.Delay > 0) || a.Delay > 71*60000 {
+			x.failf("timer for %v ms, want more than 0 and at most 71 minutes", a.Delay)
 		}
-		x.timers, x.timerTokens = append(x.timers, x.now+a.For), append(x.timerTokens, a.Token)
+		x.timers, x.timerTokens = append(x.timers, x.now+a.Delay), append(x.timerTokens, a.Token)
 	case ActSend:
 		x.checkSend(a)
 	case ActReject, ActFail:
@@ -232,7 +232,7 @@
 		return []float32{1}
 	}
 	var r []float32
-	for range x.settings.Fields {
+	for range x.settings.ReportFields {
 		r = append(r, float32(x.rng.Intn(4))+x.rng.Float32()*0.2)
 	}
 	return r
@@ -437,17 +437,17 @@
 		"answers": func(s *Settings) {},
 		"health checks, polled list": func(s *Settings) {
 			s.Telemetry, s.HealthChecksAllowed, s.PollsList = ReportHealthChecks, true, true
-			s.Fields = []Field{FieldErrors, FieldBusy, FieldUtil, FieldFree}
+			s.ReportFields = []ReportField{FieldErrors, FieldBusy, FieldUtil, FieldFree}
 		},
 		"no reports, no notifications": func(s *Settings) {
-			s.Telemetry, s.Fields, s.ProgressInterval, s.StartNotifications = ReportNone, nil, 0, false
+			s.Telemetry, s.ReportFields, s.ProgressInterval, s.StartNotifications = ReportNone, nil, 0, false
 		},
 		"no hedging":     func(s *Settings) { s.HedgingAllowed, s.CancelAllowed = false, false },
 		"keyed by zone":  func(s *Settings) { s.Classes[1].DedupScope = ScopeZone },
 		"keyed anywhere": func(s *Settings) { s.Classes[1].DedupScope = ScopeAll },
 		"no tenants":     func(s *Settings) { s.Tenants = nil },
 		"shared connections, memory reports": func(s *Settings) {
-			s.MaxConcurrentStreams, s.Fields = 4, []Field{FieldBusy, FieldFree, FieldMemory}
+			s.MaxConcurrentStreams, s.ReportFields = 4, []ReportField{FieldBusy, FieldFree, FieldMemory}
 		},
 		"gossip": func(s *Settings) { s.Nodes, s.GossipAllowed = 4, true },
 		"polled list, no progress, no hedging": func(s *Settings) {
--- a/internal/dispatch/servicetime_test.go
+++ b/internal/dispatch/servicetime_test.go
@@ -7,7 +7,7 @@
 func TestReportedServiceTimesSetSpeeds(t *testing.T) {
 	s := base()
 	s.StartNotifications = false
-	s.Fields = []Field{FieldLatency, FieldFree}
+	s.ReportFields = []ReportField{FieldLatency, FieldFree}
 	slow := ready(8, 0)
 	slow.Kind = 1
 	r := newRig(t, s, ready(7, 0), slow)
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -38,20 +38,20 @@
 	Quota         float64 // requests per second, summed over all nodes; 0 for no quota
 }
 
-// Field is the meaning of one value of a load report.
-type Field uint8
+// ReportField is the meaning of one value of a load report.
+type ReportField uint8
 
 // The fields that a load report can carry. FieldOther is the placeholder of a value that is not used.
 const (
-	FieldOther   Field = iota
-	FieldBusy          // requests at the executor, running and queued
-	FieldPending       // requests queued
-	FieldUtil          // CPU utilization, as a share of the cores
-	FieldLatency       // recent service time
-	FieldServed        // requests served per second
-	FieldErrors        // errors per second
-	FieldFree          // free slots
-	FieldMemory        // free memory units
+	FieldOther   ReportField = iota
+	FieldBusy                // requests at the executor, running and queued
+	FieldPending             // requests queued
+	FieldUtil                // CPU utilization, as a share of the cores
+	FieldLatency             // recent service time
+	FieldServed              // requests served per second
+	FieldErrors              // errors per second
+	FieldFree                // free slots
+	FieldMemory              // free memory units
 )
 
 // Telemetry says how a node receives load reports.
@@ -83,10 +83,10 @@
 	OverQuotaWeight float64
 	WeightByWork    bool
 
-	PollsList   bool // the endpoint list has to be polled
-	LiveWeights bool // EndpointUpdate.Weight is the size divided by 1 + requests per core, as measured a while ago
-	Telemetry   Telemetry
-	Fields      []Field
+	PollsList    bool // the endpoint list has to be polled
+	LiveWeights  bool // EndpointUpdate.Weight is the size divided by 1 + requests per core, as measured a while ago
+	Telemetry    Telemetry
+	ReportFields []ReportField
 
 	ProgressInterval   float64 // interval of progress notifications, 0 for none
 	StartNotifications bool    // executors notify the start of each attempt
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -12,13 +12,13 @@
 	case dispatch.ActSend:
 		c.send(a, now)
 	case dispatch.ActReject:
-		c.answerByID(a.Job, Answer{End: Rejected, RetryAfter: FromMs(a.For), Reason: "no room for it in time"})
+		c.answerByID(a.Job, Answer{End: Rejected, RetryAfter: FromMs(a.Delay), Reason: "no room for it in time"})
 	case dispatch.ActFail:
 		c.answerByID(a.Job, Answer{End: Failed, Reason: "it may have run, and can not be tried again in time"})
 	case dispatch.ActCancel:
 		c.cancel(a, now)
 	case dispatch.ActTimer:
-		c.startTimer(now.Add(FromMs(a.For)), moduleTimer(a.Token))
+		c.startTimer(now.Add(FromMs(a.Delay)), moduleTimer(a.Token))
 	case dispatch.ActHealthCheck:
 		c.adapters.executors.CheckHealth(a.Executor)
 	case dispatch.ActClose:
@@ -45,8 +45,8 @@
 	attempt := c.jobs.addAttempt(j, a.Executor, now)
 	endpoint, listed := c.endpoints.byID[a.Executor]
 	until := j.deadline.Add(-c.limits.ResponseMargin)
-	if a.For > 0 {
-		until = earlier(until, now.Add(FromMs(a.For)))
+	if a.Delay > 0 {
+		until = earlier(until, now.Add(FromMs(a.Delay)))
 	}
 	if j.answered.Load() || !listed || !until.After(now) {
 		c.finish(attempt, dispatch.CanceledBeforeSend, nil, nil, now)
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -25,7 +25,7 @@
 		MinStepInterval:      4,
 		PollsList:            true,
 		Telemetry:            dispatch.ReportAnswers,
-		Fields:               []dispatch.Field{dispatch.FieldPending, dispatch.FieldFree},
+		ReportFields:         []dispatch.ReportField{dispatch.FieldPending, dispatch.FieldFree},
 		StartNotifications:   true,
 		ProgressInterval:     1000,
 		MaxAttempts:          3,
--- a/internal/node/deadline_test.go
+++ b/internal/node/deadline_test.go
@@ -27,7 +27,7 @@
 			h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Executor: other}, h.now)
 		}},
 		"bounded hedge": {2, func(h *fakeAdapters, id uint32) {
-			h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Executor: h.attempts[0].Executor, For: 60_000},
+			h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Executor: h.attempts[0].Executor, Delay: 60_000},
 				h.now)
 		}},
 	} {
--- a/internal/scale/virtual/dispatcher.go
+++ b/internal/scale/virtual/dispatcher.go
@@ -109,7 +109,7 @@
 	case dispatch.ActSend:
 		d.send(a)
 	case dispatch.ActReject:
-		d.answer(d.jobs[a.Job], verdict.Refused, span(a.For))
+		d.answer(d.jobs[a.Job], verdict.Refused, span(a.Delay))
 	case dispatch.ActFail:
 		d.answer(d.jobs[a.Job], verdict.Failed, 0)
 	case dispatch.ActCancel:
@@ -118,7 +118,7 @@
 		}
 	case dispatch.ActTimer:
 		token := a.Token
-		w.after(span(a.For), func() { d.event(dispatch.Event{Kind: dispatch.EvTimer, Token: token}) })
+		w.after(span(a.Delay), func() { d.event(dispatch.Event{Kind: dispatch.EvTimer, Token: token}) })
 	case dispatch.ActHealthCheck:
 		d.probe(a.Executor)
 	case dispatch.ActPollList:
@@ -190,8 +190,8 @@
 	j.live++
 	w.counts.Sends++
 	until := j.deadline - answerEarly
-	if a.For > 0 {
-		until = min(until, w.now+span(a.For))
+	if a.Delay > 0 {
+		until = min(until, w.now+span(a.Delay))
 	}
 	if j.answered || until <= w.now {
 		d.end(t, dispatch.CanceledBeforeSend, nil)
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -119,7 +119,7 @@
 	"all": dispatch.ScopeAll, "zone": dispatch.ScopeZone, "cell": dispatch.ScopeCell,
 }
 
-var fieldNames = map[string]dispatch.Field{
+var fieldNames = map[string]dispatch.ReportField{
 	"busy_reqs": dispatch.FieldBusy, "pending": dispatch.FieldPending, "cpu_share": dispatch.FieldUtil,
 	"svc_ms": dispatch.FieldLatency, "served_ps": dispatch.FieldServed, "failed_ps": dispatch.FieldErrors,
 }
@@ -172,7 +172,7 @@
 		case strings.Contains(meaning, "memory"):
 			f = dispatch.FieldMemory
 		}
-		v.Fields = append(v.Fields, f)
+		v.ReportFields = append(v.ReportFields, f)
 	}
 	for i := range s.items("requestClasses.count") {
 		p := "requestClasses." + strconv.Itoa(i) + "."
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -330,11 +330,11 @@
 	case dispatch.ActSend:
 		head(codeSend)
 		p.buf = be.AppendUint32(be.AppendUint32(p.buf, a.Job), a.Executor)
-		f64(a.For)
+		f64(a.Delay)
 	case dispatch.ActReject:
 		head(codeRefuse)
 		p.buf = be.AppendUint32(p.buf, a.Job)
-		f64(a.For)
+		f64(a.Delay)
 	case dispatch.ActFail:
 		head(codeFail)
 		p.buf = be.AppendUint32(p.buf, a.Job)
@@ -343,7 +343,7 @@
 		p.buf = be.AppendUint16(be.AppendUint32(p.buf, a.Job), a.Attempt)
 	case dispatch.ActTimer:
 		head(codeDefer)
-		f64(a.For)
+		f64(a.Delay)
 		p.buf = be.AppendUint32(p.buf, a.Token)
 	case dispatch.ActHealthCheck:
 		head(codeProbe)
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -181,9 +181,9 @@
 		action dispatch.Action
 		want   string
 	}{
-		{dispatch.Action{Kind: dispatch.ActSend, Job: 0x5d3a91c4, Executor: 0x03124a07, For: 80},
+		{dispatch.Action{Kind: dispatch.ActSend, Job: 0x5d3a91c4, Executor: 0x03124a07, Delay: 80},
 			"07 0003 5d3a91c4 03124a07 4054000000000000"},
-		{dispatch.Action{Kind: dispatch.ActTimer, For: 500, Token: 77}, "05 0003 407f400000000000 0000004d"},
+		{dispatch.Action{Kind: dispatch.ActTimer, Delay: 500, Token: 77}, "05 0003 407f400000000000 0000004d"},
 		{
 			dispatch.Action{Kind: dispatch.ActLog, Text: "two servers known"},
 			"08 0003 0011 74776f2073657276657273206b6e6f776e",
@@ -197,7 +197,7 @@
 			dispatch.Action{Kind: dispatch.ActGossip, To: dispatch.AllPeers, Data: []byte("hi 7")},
 			"00 0003 ffff 0004 68692037",
 		},
-		{dispatch.Action{Kind: dispatch.ActReject, Job: 0x0e6f2b19, For: 500}, "02 0003 0e6f2b19 407f400000000000"},
+		{dispatch.Action{Kind: dispatch.ActReject, Job: 0x0e6f2b19, Delay: 500}, "02 0003 0e6f2b19 407f400000000000"},
 		{dispatch.Action{Kind: dispatch.ActPollList, Subscribe: true}, "03 0003 01"},
 	}
 	var p Reply
@@ -294,15 +294,15 @@
 	if !reflect.DeepEqual(s.Classes, want) {
 		t.Errorf("classes %+v", s.Classes)
 	}
-	fields := []dispatch.Field{
+	fields := []dispatch.ReportField{
 		dispatch.FieldErrors,
 		dispatch.FieldBusy,
 		dispatch.FieldUtil,
 		dispatch.FieldFree,
 		dispatch.FieldOther,
 	}
-	if !reflect.DeepEqual(s.Fields, fields) || s.Telemetry != dispatch.ReportHealthChecks {
-		t.Errorf("fields %v, how %v", s.Fields, s.Telemetry)
+	if !reflect.DeepEqual(s.ReportFields, fields) || s.Telemetry != dispatch.ReportHealthChecks {
+		t.Errorf("fields %v, how %v", s.ReportFields, s.Telemetry)
 	}
 	if len(s.Tenants) != 1 || s.Tenants[0] != (dispatch.Tenant{ReservedShare: 0.23, Quota: 13}) {
 		t.Errorf("tenants %+v", s.Tenants)
