--- a/internal/dispatch/classfailure_test.go
+++ b/internal/dispatch/classfailure_test.go
@@ -138,8 +138,8 @@
 		return 0
 	}
 	served := func(uint32) Outcome { return Served }
-	fails := func(w uint32) Outcome {
-		if w == 1 {
+	fails := func(id uint32) Outcome {
+		if id == 1 {
 			return Errored
 		}
 		return Served
@@ -155,8 +155,8 @@
 	if n := count(2, 60); n != 1 { // 2.4 s
 		t.Errorf("%d jobs of the failing class went to the executor, want 1", n)
 	}
-	if w := run(0, served); w != 1 {
-		t.Errorf("job of the other class went to executor %d, want executor 1", w)
+	if id := run(0, served); id != 1 {
+		t.Errorf("job of the other class went to executor %d, want executor 1", id)
 	}
 	if n := count(2, 400); n < 1 || n > 2 { // 16 s: quarantines of about 4 s and 8 s
 		t.Errorf("%d trial jobs within 16 s, want 1 or 2", n)
--- a/internal/dispatch/healthcheck_test.go
+++ b/internal/dispatch/healthcheck_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// In a large fleet, health checks in turn would be outdated when a job arrives, and a node with little traffic
-// would send many without use, 11 per request in one run. Instead, several executors are checked for each job,
-// which waits a limited time for the answers.
+// In a large fleet, periodic health checks of all executors would be outdated when a job arrives, and a node with
+// little traffic would send many without use, 11 per request in one run. Instead, several executors are checked for
+// each job, which waits a limited time for the answers.
 func TestLargeFleetIsCheckedForEachJob(t *testing.T) {
 	s := base()
 	s.Nodes, s.HealthChecksAllowed, s.Telemetry = 100, true, ReportHealthChecks
--- a/internal/dispatch/listclock_test.go
+++ b/internal/dispatch/listclock_test.go
@@ -22,8 +22,8 @@
 	tolerated := newRig(t, base()).d.slowStart.toleratedAgeError()
 	for _, clock := range []float64{0, -1000, 1000, -30000, 30000, -hourMS, hourMS} {
 		t.Run(fmt.Sprintf("list %.0f ms ahead", clock), func(t *testing.T) {
-			played := simulateLateStarts(t, clock, 0, starts, minLag, maxLag)
-			for i, start := range played {
+			simulated := simulateLateStarts(t, clock, 0, starts, minLag, maxLag)
+			for i, start := range simulated {
 				early := 0.0 // the error that the margin of a budget tolerates
 				if clock < 0 && clock > -base().MaxSlowStartDuration {
 					early = min(-clock, tolerated)
@@ -33,14 +33,14 @@
 					continue // there is no earlier start to compare it with
 				}
 				shortestLag := maxLag
-				for _, other := range played[max(0, i-listClockSamples) : i+1] {
+				for _, other := range simulated[max(0, i-listClockSamples) : i+1] {
 					shortestLag = min(shortestLag, other.lag)
 				}
-				likely := shortestLag
+				startAllowed := shortestLag
 				if clock == 0 {
-					likely = max(0, shortestLag-tolerated) // the clocks agree
+					startAllowed = max(0, shortestLag-tolerated) // the clocks agree
 				}
-				start.verifyNotLate(t, likely+drift, shortestLag+drift)
+				start.verifyNotLate(t, startAllowed+drift, shortestLag+drift)
 			}
 		})
 	}
@@ -66,12 +66,12 @@
 	r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{first}})
 	r.after(5000)
 	r.d.recordActivity(r.d.endpoints.byID[8])
-	answered := r.now
+	respondedAt := r.now
 	r.after(1000, Event{Kind: EvEndpoints, Form: ListDelta})
-	second.StartedAt = answered - 3000
+	second.StartedAt = respondedAt - 3000
 	r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{second}})
-	if got := r.d.endpoints.byID[8].slowStart.startedAt; got < answered {
-		t.Errorf("estimated start is %.0f ms before its predecessor's last response", answered-got)
+	if got := r.d.endpoints.byID[8].slowStart.startedAt; got < respondedAt {
+		t.Errorf("estimated start is %.0f ms before its predecessor's last response", respondedAt-got)
 	}
 }
 
@@ -88,27 +88,27 @@
 
 // lateStart is a true start and a node's estimate of it.
 type lateStart struct {
-	index                            int
-	startedAt, lag, estimated, until float64
+	index                             int
+	startedAt, lag, estimated, endsAt float64
 }
 
-func (s *lateStart) verifyNotEarly(t *testing.T, startAllowed, untilAllowed float64) {
+func (s *lateStart) verifyNotEarly(t *testing.T, startAllowed, endAllowed float64) {
 	t.Helper()
 	if early := s.startedAt - s.estimated; early > startAllowed {
 		t.Errorf("start %d: estimated %.0f ms too early, want at most %.0f", s.index, early, startAllowed)
 	}
-	if early := s.startedAt + base().MaxSlowStartDuration - s.until; early > untilAllowed {
-		t.Errorf("start %d: budget ends %.0f ms too early, want at most %.0f", s.index, early, untilAllowed)
+	if early := s.startedAt + base().MaxSlowStartDuration - s.endsAt; early > endAllowed {
+		t.Errorf("start %d: budget ends %.0f ms too early, want at most %.0f", s.index, early, endAllowed)
 	}
 }
 
-func (s *lateStart) verifyNotLate(t *testing.T, startAllowed, untilAllowed float64) {
+func (s *lateStart) verifyNotLate(t *testing.T, startAllowed, endAllowed float64) {
 	t.Helper()
 	if late := s.estimated - s.startedAt; late > startAllowed {
 		t.Errorf("start %d: estimated %.0f ms too late, want at most %.0f", s.index, late, startAllowed)
 	}
-	if late := s.until - s.startedAt - base().MaxSlowStartDuration; late > untilAllowed {
-		t.Errorf("start %d: budget ends %.0f ms too late, want at most %.0f", s.index, late, untilAllowed)
+	if late := s.endsAt - s.startedAt - base().MaxSlowStartDuration; late > endAllowed {
+		t.Errorf("start %d: budget ends %.0f ms too late, want at most %.0f", s.index, late, endAllowed)
 	}
 }
 
@@ -125,7 +125,7 @@
 	r.now = 100 * hourMS
 	r.step(Event{Kind: EvEndpoints, Form: ListSnapshot, Updates: updates})
 	r.after(maxLag)
-	played := make([]lateStart, 0, starts)
+	simulated := make([]lateStart, 0, starts)
 	for i := range updates {
 		if i == starts/2 {
 			clock += step
@@ -135,7 +135,7 @@
 		updates[i].StartedAt = startedAt + clock
 		r.after(10, Event{Kind: EvEndpoints, Form: ListDelta, Updates: []EndpointUpdate{updates[i]}})
 		start := &r.d.endpoints.byID[updates[i].Executor].slowStart
-		played = append(played, lateStart{i, startedAt, r.now - startedAt, start.startedAt, start.endsAt})
+		simulated = append(simulated, lateStart{i, startedAt, r.now - startedAt, start.startedAt, start.endsAt})
 	}
-	return played
+	return simulated
 }
--- a/internal/dispatch/listwatch_test.go
+++ b/internal/dispatch/listwatch_test.go
@@ -63,9 +63,9 @@
 		}
 		now, events := 100000.0, []Event{{Kind: EvEndpoints, Form: ListCached, Updates: fleet(3)}}
 		for ; now < 140000; now += 20 {
-			acts := d.Step(now, events, nil)
+			actions := d.Step(now, events, nil)
 			events = events[:0]
-			for _, a := range acts {
+			for _, a := range actions {
 				switch a.Kind {
 				case ActTimer:
 					events = append(events, Event{Kind: EvTimer, Token: a.Token})
@@ -85,10 +85,10 @@
 			late += n
 		}
 	}
-	if per := float64(late) / 20; per > 25 || per < 80*20/s.MaxPollInterval {
+	if rate := float64(late) / 20; rate > 25 || rate < 80*20/s.MaxPollInterval {
 		t.Errorf(
 			"%.0f polls per second after 20 s of failures, want at most 25 and at least one per node in %.0f ms",
-			per,
+			rate,
 			s.MaxPollInterval,
 		)
 	}
--- a/internal/dispatch/slowstart_fleet_test.go
+++ b/internal/dispatch/slowstart_fleet_test.go
@@ -127,7 +127,7 @@
 	p.inbox[i] = nil
 }
 
-func (p *slowStartSimulation) share(now float64) float64 {
+func (p *slowStartSimulation) capacityFraction(now float64) float64 {
 	at := p.started(now)
 	if at == 0 {
 		return 1
@@ -202,7 +202,7 @@
 
 // serve runs the requests at the executor in order of arrival, as far as it has slots.
 func (p *slowStartSimulation) serve(now float64) {
-	slots, remaining := max(1, math.Round(fleetSlots*p.share(now))), p.requests[:0]
+	slots, remaining := max(1, math.Round(fleetSlots*p.capacityFraction(now))), p.requests[:0]
 	for i, r := range p.requests {
 		if r.endsAt == 0 && float64(len(remaining)) < slots {
 			r.endsAt = now + fleetWorkMS
@@ -257,10 +257,10 @@
 // budget returns how many requests the settings allow in a window for a process that started at a time.
 func (p *slowStartSimulation) budget(startedAt, from, to float64) float64 {
 	s := p.settings
-	share := func(x float64) float64 {
+	fraction := func(x float64) float64 {
 		return min(1, s.SlowStartMinShare+(1-s.SlowStartMinShare)*max(0, x-startedAt)/s.MaxSlowStartDuration)
 	}
-	return s.OverloadMultiple * fleetSlots * (share(from) + share(to)) / 2 * (to - from) / fleetWorkMS
+	return s.OverloadMultiple * fleetSlots * (fraction(from) + fraction(to)) / 2 * (to - from) / fleetWorkMS
 }
 
 // allowance returns how many requests an executor that is warming up tolerates where the settings allow n.
@@ -350,9 +350,9 @@
 
 // The limit holds where the executor restarts repeatedly.
 func TestSlowStartBoundWithRepeatedStarts(t *testing.T) {
-	for name, every := range map[string]float64{"1 s": 1000, "3 s": 3000} {
+	for name, interval := range map[string]float64{"1 s": 1000, "3 s": 3000} {
 		t.Run(name, func(t *testing.T) {
-			verifyFleets(t, func(f *slowStartFleet) { f.restarts, f.restartInterval = 4, every })
+			verifyFleets(t, func(f *slowStartFleet) { f.restarts, f.restartInterval = 4, interval })
 		})
 	}
 }
@@ -390,12 +390,12 @@
 // A wrong clock changes little of what a restarted executor gets in the first two seconds. If the clocks were
 // trusted, it would get nothing with a list an hour ahead, and as much as a warm one with a list an hour behind.
 func TestWrongClocksBarelyChangeSlowStart(t *testing.T) {
-	right := slowStartFleet{nodes: 1, running: true}.simulate(t, 1).early
+	correct := slowStartFleet{nodes: 1, running: true}.simulate(t, 1).early
 	for _, clock := range []float64{-hourMS, -30000, -1000, 1000, 30000, hourMS} {
 		wrong := slowStartFleet{nodes: 1, running: true, listClock: clock}.simulate(t, 1).early
-		if wrong < right/2 || wrong > right*3/2 {
+		if wrong < correct/2 || wrong > correct*3/2 {
 			t.Errorf("list %.0f ms ahead: %.0f requests in the first 2 s, want about %.0f as with correct clocks",
-				clock, wrong, right)
+				clock, wrong, correct)
 		}
 	}
 }
