--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -7,7 +7,7 @@
 // Nodes exchange how many slots they use at each executor. A small number of nodes broadcast this periodically, in an
 // entry of 3 bytes for each executor: its tag and the number of slots. Where many nodes would make broadcasts expensive
 // or outdated, one node acts as the aggregator. The others notify it of each change and query it when a job arrives; it
-// answers with the slots that all other nodes use. The cost of a request then doesn't depend on the number of nodes.
+// answers with the slots that all other nodes use. The cost of a request then does not depend on the number of nodes.
 // Messages carry absolute numbers, so that a lost message is repaired by the next one for that executor or by a
 // reminder, and entries that no reminder confirms expire.
 
--- a/internal/dispatch/loadreport_test.go
+++ b/internal/dispatch/loadreport_test.go
@@ -7,7 +7,7 @@
 )
 
 // Where this node's own jobs have no influence on the reported occupancy, the default age stays. A candidate age that
-// counts none of the own jobs fits such reports best. It was once selected during drains, and all running jobs then
+// counts none of these jobs fits such reports best. It was once selected during drains, and all running jobs then
 // counted as missing in the reports.
 func TestReportAgeWithoutInfluenceOfOwnJobs(t *testing.T) {
 	s := base()
@@ -56,7 +56,7 @@
 		executor, job uint32
 		from, to      float64
 	}
-	var spans []span // of our jobs
+	var spans []span // runs of this node's jobs
 	job := uint32(0)
 	play := func(ms, delay float64) {
 		for end := r.now + ms; r.now < end; r.now += 100 {
--- a/internal/dispatch/script_test.go
+++ b/internal/dispatch/script_test.go
@@ -123,17 +123,17 @@
 
 func (x *script) checkSend(a Action) { //nolint:gocognit // one case for each rule
 	x.t.Helper()
-	j, w := x.job(a.Job), x.executors[a.Executor]
+	j, executor := x.job(a.Job), x.executors[a.Executor]
 	c := x.settings.Classes[j.class]
 	switch {
-	case w == nil:
+	case executor == nil:
 		x.failf("sent to executor %d, which no list contained", a.Executor)
 	case j.ended:
 		x.failf("sent request %d after its end", a.Job)
 	case len(j.attempts) >= x.settings.MaxAttempts:
 		x.failf("attempt %d of request %d is above the maximum", len(j.attempts)+1, a.Job)
-	case w.endpoint.Condition != Ready && x.now > w.notifiedAt+x.settings.DrainGrace:
-		x.failf("sent to executor %d %v ms after its drain was notified", a.Executor, x.now-w.notifiedAt)
+	case executor.endpoint.Condition != Ready && x.now > executor.notifiedAt+x.settings.DrainGrace:
+		x.failf("sent to executor %d %v ms after its drain was notified", a.Executor, x.now-executor.notifiedAt)
 	}
 	for _, at := range j.attempts {
 		if !at.ended && at.executor == a.Executor {
@@ -150,7 +150,7 @@
 		}
 		from := x.executors[at.executor].endpoint
 		inScope := c.DedupScope == ScopeAll ||
-			from.Zone == w.endpoint.Zone && (c.DedupScope == ScopeZone || from.Cell == w.endpoint.Cell)
+			from.Zone == executor.endpoint.Zone && (c.DedupScope == ScopeZone || from.Cell == executor.endpoint.Cell)
 		if !inScope {
 			x.failf("keyed request %d sent outside its deduplication scope", a.Job)
 		}
@@ -158,11 +158,11 @@
 			x.failf("keyed request %d sent %v ms after it may have run", a.Job, x.now-at.sentAt)
 		}
 	}
-	if w.endpoint.StartedAt > 0 && x.now-w.endpoint.StartedAt < x.settings.MaxSlowStartDuration {
+	if executor.endpoint.StartedAt > 0 && x.now-executor.endpoint.StartedAt < x.settings.MaxSlowStartDuration {
 		// Reports show up to 6 slots, and the random outcomes speeds up to about 2: more work than this would
 		// overload any such executor.
 		share := x.settings.SlowStartMinShare +
-			(1-x.settings.SlowStartMinShare)*(x.now-w.endpoint.StartedAt)/x.settings.MaxSlowStartDuration
+			(1-x.settings.SlowStartMinShare)*(x.now-executor.endpoint.StartedAt)/x.settings.MaxSlowStartDuration
 		sum := j.slots * j.work
 		for _, s := range x.sentWork[a.Executor] {
 			if x.now-s.at <= x.settings.OverloadWindow {
@@ -211,9 +211,9 @@
 		e.Updates = append(e.Updates, row)
 	}
 	if form != ListDelta {
-		for id, w := range x.executors {
-			if !named[id] && w.endpoint.Condition != Removed {
-				w.endpoint.Condition, w.notifiedAt = Removed, x.now
+		for id, executor := range x.executors {
+			if !named[id] && executor.endpoint.Condition != Removed {
+				executor.endpoint.Condition, executor.notifiedAt = Removed, x.now
 			}
 		}
 	}
