--- a/internal/dispatch/golden_plans_test.go
+++ b/internal/dispatch/golden_plans_test.go
@@ -83,7 +83,8 @@
 			streams: true, settingsUpdates: true, settings: func(node int) dispatch.Settings {
 				s := goldenBase(node, 1)
 				s.GossipAllowed, s.PollsList, s.WeightByWork, s.MaxConcurrentStreams = false, true, true, 3
-				s.ReportFields = []dispatch.ReportField{dispatch.FieldBusy, dispatch.FieldLatency, dispatch.FieldErrors, dispatch.FieldServed}
+				s.ReportFields = []dispatch.ReportField{dispatch.FieldBusy, dispatch.FieldLatency, dispatch.FieldErrors,
+					dispatch.FieldServed}
 				return s
 			}},
 		{name: "aggregator", seed: 13, nodes: 40, executors: 60, duration: 4500, rate: 260, workHintShare: 0.8, faults: 2,
