--- a/internal/dispatch/loadreport.go
+++ b/internal/dispatch/loadreport.go
@@ -175,9 +175,9 @@
 	return free
 }
 
-// estimateAge estimates how old reports are on arrival. Reports can be delayed by far more than usual without any sign of
-// it. All nodes then fill the executors that were idle seconds ago and avoid those that were full. The occupancy that
-// an executor reports follows this node's own jobs there, as they were when the report was taken. The estimate is
+// estimateAge estimates how old reports are on arrival. Reports can be delayed by far more than usual without any sign
+// of it. All nodes then fill the executors that were idle seconds ago and avoid those that were full. The occupancy
+// that an executor reports follows this node's own jobs there, as they were when the report was taken. The estimate is
 // therefore the candidate age at which the reported occupancy minus this node's own has the least variance.
 func (r *loadReports) estimateAge(executor *executor, occupancy float64, inSlots bool) {
 	r.samples++
