--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -21,26 +21,26 @@
 
 // connState is the state that determines whether a connection may be evicted. It is guarded by Server.mu.
 type connState struct {
-	phase        phase
-	service      service         // set on admission
-	phaseSince   time.Time       // start of the phase; before the first request, the time of the accept
-	hadRequest   bool            // a complete request has arrived
-	knownClient  bool            // the handler attributed a request to a known client
-	unreadAnswer bool            // the last response is written but not fully acknowledged by the client's host
-	shareOwner   string          // address whose share the connection counts against; empty without shares
-	slowReader   *slowpeer.Error // set when the connection is closed because the client reads too slowly
+	phase          phase
+	service        service         // set on admission
+	phaseSince     time.Time       // start of the phase; before the first request, the time of the accept
+	hadRequest     bool            // a complete request has arrived
+	knownClient    bool            // the handler attributed a request to a known client
+	unreadResponse bool            // the last response is written but not fully acknowledged by the client's host
+	shareOwner     string          // address whose share the connection counts against; empty without shares
+	slowReader     *slowpeer.Error // set when the connection is closed because the client reads too slowly
 }
 
 // phase is the stage of request processing that a connection is in.
 type phase uint8
 
 const (
-	idle      phase = iota // no byte of the next request has arrived
-	reading                // a part of a request has arrived
-	handling               // the handler processes a complete request
-	answering              // the response is being written; the request no longer counts as open
-	lingering              // the last response is written, and further input is discarded
-	retiring               // to be closed after a request that has already arrived is answered
+	idle       phase = iota // no byte of the next request has arrived
+	reading                 // a part of a request has arrived
+	handling                // the handler processes a complete request
+	responding              // the response is being written; the request no longer counts as open
+	lingering               // the last response is written, and further input is discarded
+	retiring                // to be closed after a request that has already arrived is answered
 	closed
 )
 
@@ -48,9 +48,9 @@
 type service uint8
 
 const (
-	keepAlive    service = iota // any number of requests
-	singleAnswer                // one response, then the connection is closed
-	rejectOnly                  // one rejection, then the connection is closed
+	keepAlive      service = iota // any number of requests
+	singleResponse                // one response, then the connection is closed
+	rejectOnly                    // one rejection, then the connection is closed
 )
 
 func newConn(accepted net.Conn, l *limits.Limits) *conn {
--- a/internal/http1/eviction.go
+++ b/internal/http1/eviction.go
@@ -12,11 +12,11 @@
 type evictionRank uint8
 
 const (
-	rankUnreadAnswer evictionRank = iota // the client has not read the last response
-	rankStranger                         // no request of a known client has used the connection
-	rankKnownIdle                        // idle connection of a known client
-	rankStalled                          // the response is being written, but the client has stopped reading
-	rankNotEvictable                     // a request arrives or is handled, or the client reads its response
+	rankUnreadResponse evictionRank = iota // the client has not read the last response
+	rankUnknownClient                      // no request of a known client has used the connection
+	rankKnownIdle                          // idle connection of a known client
+	rankStalled                            // the response is being written, but the client has stopped reading
+	rankNotEvictable                       // a request arrives or is handled, or the client reads its response
 )
 
 const (
@@ -44,7 +44,7 @@
 	case s.open > s.limits.ClientConns+s.limits.OverflowConns:
 		c.service = rejectOnly
 	case s.open > s.limits.ClientConns:
-		c.service = singleAnswer
+		c.service = singleResponse
 	}
 	if s.limits.SlowPeers.SharePerAddress {
 		s.admitToShare(c)
@@ -60,12 +60,12 @@
 		return
 	}
 	s.tally.Add(slowpeer.ClientOverShare)
-	c.service = max(c.service, singleAnswer)
+	c.service = max(c.service, singleResponse)
 }
 
 // evict closes a connection to free its descriptor and returns it, or nil if none is evictable. A connection without a
-// request that is younger than EvictIdleAfter is not evicted: its request may be on the way, and the connection that waits
-// for the descriptor has no higher priority.
+// request that is younger than EvictIdleAfter is not evicted: its request may be on the way, and the connection that
+// waits for the descriptor has no higher priority.
 func (s *Server) evict() *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +80,7 @@
 	switch candidate.phase {
 	case idle, reading:
 		s.retire(candidate)
-	case answering:
+	case responding:
 		s.tally.Add(slowpeer.ClientResponseLost)
 		s.closeNow(candidate)
 	default:
@@ -123,13 +123,13 @@
 
 func (c *conn) evictionRank(now time.Time) evictionRank {
 	switch {
-	case c.phase == lingering, c.phase == idle && c.unreadAnswer:
-		return rankUnreadAnswer
+	case c.phase == lingering, c.phase == idle && c.unreadResponse:
+		return rankUnreadResponse
 	case c.phase == idle && c.knownClient:
 		return rankKnownIdle
 	case c.phase == idle, c.phase == reading && !c.knownClient:
-		return rankStranger
-	case c.phase == answering && c.WriteStalledFor(now) > minStallForEviction:
+		return rankUnknownClient
+	case c.phase == responding && c.WriteStalledFor(now) > minStallForEviction:
 		return rankStalled
 	}
 	return rankNotEvictable
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -35,13 +35,13 @@
 }
 
 // headerContains reports whether a comma-separated header contains a token, compared case-insensitively.
-func (m *Message) headerContains(name, word string) bool {
+func (m *Message) headerContains(name, token string) bool {
 	for i := range m.Fields {
 		if !strings.EqualFold(m.Fields[i].Name, name) {
 			continue
 		}
 		for part := range strings.SplitSeq(m.Fields[i].Value, ",") {
-			if strings.EqualFold(strings.TrimSpace(part), word) {
+			if strings.EqualFold(strings.TrimSpace(part), token) {
 				return true
 			}
 		}
--- a/internal/http1/ordering_test.go
+++ b/internal/http1/ordering_test.go
@@ -23,7 +23,7 @@
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		c.watch.Lock()
-		came := c.bytesBehind
+		came := c.bytesPipelined
 		c.watch.Unlock()
 		return came && tcpinfo.NothingToRead(c.Conn)
 	}
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -29,12 +29,12 @@
 	readErr       error // error of the last completed read
 	readPending   bool
 
-	watch         sync.Mutex // guards watching, bytesBehind and overflowed
-	watching      bool       // a request is being handled
-	bytesBehind   bool       // bytes arrived after that request
-	overflowed    bool       // the ring was full and bytes were discarded: the connection closes after the response
-	discardPause  time.Duration
-	pauseDiscards func(time.Duration)
+	watch          sync.Mutex // guards watching, bytesBehind and overflowed
+	watching       bool       // a request is being handled
+	bytesPipelined bool       // bytes arrived after that request
+	overflowed     bool       // the ring was full and bytes were discarded: the connection closes after the response
+	discardPause   time.Duration
+	pauseDiscards  func(time.Duration)
 }
 
 func (r *clientReader) init(l *limits.Limits) {
@@ -65,7 +65,7 @@
 		} else {
 			err = c.discard()
 		}
-		if err != nil || !c.noteBytesBehind() {
+		if err != nil || !c.notePipelinedBytes() {
 			return err
 		}
 	}
@@ -99,11 +99,11 @@
 	return err
 }
 
-// noteBytesBehind records that bytes arrived and reports whether a request is still being handled.
-func (c *conn) noteBytesBehind() bool {
+// notePipelinedBytes records that bytes arrived and reports whether a request is still being handled.
+func (c *conn) notePipelinedBytes() bool {
 	c.watch.Lock()
 	defer c.watch.Unlock()
-	c.bytesBehind = c.watching
+	c.bytesPipelined = c.watching
 	return c.watching
 }
 
@@ -129,7 +129,7 @@
 // watchClient starts to watch for a disconnect of the client while a request is handled.
 func (c *conn) watchClient() {
 	c.watch.Lock()
-	c.watching, c.bytesBehind, c.overflowed = true, c.ring.Len() > 0, false
+	c.watching, c.bytesPipelined, c.overflowed = true, c.ring.Len() > 0, false
 	c.watch.Unlock()
 	c.requestRead()
 }
@@ -139,7 +139,7 @@
 func (c *conn) stopWatching() (overflowed bool) {
 	c.watch.Lock()
 	c.watching = false
-	bytesBehind, overflowed := c.bytesBehind, c.overflowed
+	bytesBehind, overflowed := c.bytesPipelined, c.overflowed
 	c.watch.Unlock()
 	if bytesBehind {
 		c.cancelRead()
@@ -176,9 +176,9 @@
 	return m, err
 }
 
-// lastRequest parses the bytes that the reader and the kernel hold of a connection that is about to be closed. If they
-// complete a request, lastRequest returns it to be answered, since closing the connection would lose it.
-func (c *conn) lastRequest(p *Parser) (*Message, error) {
+// finalRequest parses the bytes that the reader and the kernel hold of a connection that is about to be closed. If they
+// complete a request, finalRequest returns it to be answered, since closing the connection would lose it.
+func (c *conn) finalRequest(p *Parser) (*Message, error) {
 	c.cancelRead()
 	for {
 		m, err := c.parse(p)
--- a/internal/http1/registry.go
+++ b/internal/http1/registry.go
@@ -22,11 +22,11 @@
 		return false
 	case c.phase == retiring:
 		s.open++
-		c.service = max(c.service, singleAnswer)
+		c.service = max(c.service, singleResponse)
 	}
 	if next == handling {
 		// A client that sends the next request has read the last response or no longer needs it.
-		c.unreadAnswer = false
+		c.unreadResponse = false
 		c.RestartSendMeter()
 	}
 	if c.phase != next && c.hadRequest {
@@ -40,13 +40,13 @@
 	return true
 }
 
-// noteAnswer records after a response whether the client is known and whether the response is still unread.
-func (s *Server) noteAnswer(c *conn, knownClient, unread bool) {
+// recordResponse records after a response whether the client is known and whether the response is still unread.
+func (s *Server) recordResponse(c *conn, knownClient, unread bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.knownClient = c.knownClient || knownClient
 	if unread && c.phase != closed {
-		c.unreadAnswer = true
+		c.unreadResponse = true
 	}
 }
 
@@ -85,7 +85,7 @@
 // caller holds s.mu.
 func (s *Server) retire(c *conn) {
 	c.phase = retiring
-	c.unreadAnswer = false
+	c.unreadResponse = false
 	s.open--
 	c.BoundReads(expiredDeadline)
 }
@@ -99,7 +99,7 @@
 // closeNow closes a connection regardless of unread or unsent data. The caller holds s.mu.
 func (s *Server) closeNow(c *conn) {
 	c.phase = closed
-	c.unreadAnswer = false
+	c.unreadResponse = false
 	s.open--
 	_ = c.Close()
 }
@@ -118,14 +118,14 @@
 	defer s.mu.Unlock()
 	pressure := s.limits.SlowPeers.Pressure(s.open, s.limits.ClientConns)
 	for c := range s.conns {
-		if !c.unreadAnswer {
+		if !c.unreadResponse {
 			continue
 		}
 		c.Tighten(pressure)
 		unacknowledged, tooSlow := c.Unacknowledged()
 		switch {
 		case unacknowledged == 0:
-			c.unreadAnswer = false
+			c.unreadResponse = false
 		case tooSlow != nil && (c.phase == idle || c.phase == reading):
 			c.slowReader = tooSlow
 			slow = append(slow, c)
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -88,7 +88,7 @@
 		<-ctx.Done()
 		return ln.Close() // net.ErrClosed if StopAccepting closed it first
 	})
-	g.Go(func() error { s.monitorUnreadAnswers(ctx); return nil })
+	g.Go(func() error { s.monitorUnreadResponses(ctx); return nil })
 	g.Go(func() error {
 		return s.acceptLoop(ctx, ln, func(c *conn) {
 			g.Go(func() error { newSession(s, c).run(ctx); return nil })
@@ -113,9 +113,9 @@
 	return true
 }
 
-// monitorUnreadAnswers periodically closes the connections of clients that read their responses too slowly, until the
+// monitorUnreadResponses periodically closes the connections of clients that read their responses too slowly, until the
 // context ends.
-func (s *Server) monitorUnreadAnswers(ctx context.Context) {
+func (s *Server) monitorUnreadResponses(ctx context.Context) {
 	tick := time.NewTicker(s.limits.SlowPeers.UnsentCheckInterval)
 	defer tick.Stop()
 	for {
--- a/internal/http1/session.go
+++ b/internal/http1/session.go
@@ -55,12 +55,12 @@
 func (x *session) serveRequest(ctx, client context.Context) (more bool) {
 	request, err := x.readRequest(client)
 	if err != nil {
-		x.answerMalformed(client, err)
+		x.respondMalformed(client, err)
 		return false
 	}
 	// A client that has closed the connection has disconnected, whatever it sent before.
 	if client.Err() != nil {
-		x.answerLeft(ctx, Text(503, "the connection was closed before the request began"))
+		x.respondHalfClosed(ctx, Text(503, "the connection was closed before the request began"))
 		return false
 	}
 	if !x.server.setPhase(x.conn, handling) {
@@ -68,10 +68,10 @@
 	}
 	response := x.handle(client, request)
 	if client.Err() != nil {
-		x.answerLeft(ctx, response)
+		x.respondHalfClosed(ctx, response)
 		return false
 	}
-	if !x.answer(client, &response) {
+	if !x.respond(client, &response) {
 		return false
 	}
 	if response.Close {
@@ -101,18 +101,18 @@
 	return response
 }
 
-// answer writes a response and records whether the client has yet to read it. It returns false if the connection can no
-// longer be used.
-func (x *session) answer(client context.Context, response *Response) bool {
-	written := x.server.setPhase(x.conn, answering) && x.write(client, response)
+// respond writes a response and records whether the client has yet to read it. It returns false if the connection can
+// no longer be used.
+func (x *session) respond(client context.Context, response *Response) bool {
+	written := x.server.setPhase(x.conn, responding) && x.write(client, response)
 	x.server.markActive()
 	unacknowledged, _ := x.Unacknowledged()
-	x.server.noteAnswer(x.conn, response.KnownClient, written && unacknowledged > 0)
+	x.server.recordResponse(x.conn, response.KnownClient, written && unacknowledged > 0)
 	return written
 }
 
-// answerMalformed responds to a malformed request and closes the sending side. It ignores other errors.
-func (x *session) answerMalformed(client context.Context, err error) {
+// respondMalformed responds to a malformed request and closes the sending side. It ignores other errors.
+func (x *session) respondMalformed(client context.Context, err error) {
 	malformed := (*Error)(nil)
 	if !errors.As(err, &malformed) {
 		return
@@ -125,10 +125,10 @@
 	}
 }
 
-// answerLeft writes a last response to a client that closed its sending side and may still read. Its request was
+// respondHalfClosed writes a last response to a client that closed its sending side and may still read. Its request was
 // canceled as if the client had closed the whole connection, since the two cases are indistinguishable.
-func (x *session) answerLeft(ctx context.Context, response Response) {
-	if ctx.Err() != nil || response.Stream != nil || !x.halfClosed() || !x.server.setPhase(x.conn, answering) {
+func (x *session) respondHalfClosed(ctx context.Context, response Response) {
+	if ctx.Err() != nil || response.Stream != nil || !x.halfClosed() || !x.server.setPhase(x.conn, responding) {
 		return
 	}
 	if response.Status == 0 {
@@ -177,9 +177,9 @@
 
 // requestProgress is the progress of the request that is being read.
 type requestProgress struct {
-	first         bool // first request of the connection, whose time limit starts at the accept
-	started       bool
-	continueAsked bool
+	first        bool // first request of the connection, whose time limit starts at the accept
+	started      bool
+	continueSent bool
 }
 
 // readRequest reads the next request. It returns an *Error if the client gets an error response, and otherwise
@@ -200,7 +200,7 @@
 			return nil, errConnectionDone
 		}
 		if !x.server.setPhase(x.conn, progress.phase()) {
-			return x.lastRequest(x.parser)
+			return x.finalRequest(x.parser)
 		}
 		x.requestRead()
 		x.awaitRead()
@@ -243,8 +243,8 @@
 // advance acts on the progress of the parser. Once a request has started, advance sets its time limit and enforces the
 // minimum rate. It sends 100 Continue to a client that waits for it.
 func (x *session) advance(progress *requestProgress) error {
-	if x.parser.ExpectsContinue() && !progress.continueAsked {
-		progress.continueAsked = true
+	if x.parser.ExpectsContinue() && !progress.continueSent {
+		progress.continueSent = true
 		if _, err := io.WriteString(x.writer, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return err
 		}
@@ -274,7 +274,7 @@
 		return nil, errConnectionDone
 	}
 	// On an overloaded machine the bound may pass while the request is already in the kernel but unread.
-	m, err = x.lastRequest(x.parser)
+	m, err = x.finalRequest(x.parser)
 	if m != nil || !errors.Is(err, errConnectionDone) {
 		return m, err
 	}
