--- a/internal/http1/accept_test.go
+++ b/internal/http1/accept_test.go
@@ -17,7 +17,7 @@
 	"gatetack/internal/slowpeer"
 )
 
-// faultyListener is a listener whose accept fails as next says, before it accepts for real.
+// faultyListener is a listener whose Accept fails with the error that next returns and accepts if that is nil.
 type faultyListener struct {
 	net.Listener
 	next func(call int) error
@@ -37,12 +37,12 @@
 	return l.Listener.Accept()
 }
 
-// SetDeadline keeps the deadline of the listener itself.
+// SetDeadline sets the deadline of the underlying listener.
 func (l *faultyListener) SetDeadline(t time.Time) error {
 	return l.Listener.(*net.TCPListener).SetDeadline(t)
 }
 
-// pauses notes those of a server's accept loop, and makes none.
+// pauses records the pauses of a server's accept loop without pausing.
 type pauses struct {
 	mu  sync.Mutex
 	all []time.Duration
@@ -60,7 +60,8 @@
 	return append([]time.Duration(nil), p.all...)
 }
 
-// serveFaulty is serve with a listener whose accept fails as next says, and gives the pauses of its accept loop.
+// serveFaulty is like serve, with a listener whose Accept fails as next says. It also returns the recorded pauses of
+// the accept loop.
 func serveFaulty(
 	t *testing.T, lim limits.Limits, h handler, next func(s *Server, call int) error,
 ) (*Server, string, *pauses) {
@@ -84,7 +85,7 @@
 	return s, ln.Addr().String(), p
 }
 
-// answers are those with status 200 that a client gets for one request and until its connection ends.
+// answers sends one request and returns the number of responses with status 200 until the connection ends.
 func answers(t *testing.T, addr string) int {
 	t.Helper()
 	c := dial(t, addr)
@@ -98,9 +99,9 @@
 
 func ok(context.Context, *Message) Response { return Response{Status: 200} }
 
-// An error that concerns one pending connection, or a signal, delays none of the others: the next is accepted
-// with no pause.
-func TestAcceptGoesOnAtOnceAfterErrorsOfOneConnection(t *testing.T) {
+// An accept error of one pending connection, or a signal, does not delay other connections: the server accepts the next
+// one without a pause.
+func TestAcceptContinuesAfterErrorOfOneConnection(t *testing.T) {
 	faults := []error{
 		syscall.ECONNABORTED, syscall.EPROTO, syscall.EINTR, syscall.ETIMEDOUT, syscall.EPERM, syscall.ECONNRESET,
 		syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
@@ -113,15 +114,15 @@
 		return nil
 	})
 	if n := answers(t, addr); n != 1 {
-		t.Errorf("%d answers after the errors", n)
+		t.Errorf("%d responses with status 200 after the errors, want 1", n)
 	}
 	if made := paused.made(); len(made) != 0 {
-		t.Errorf("pauses: %v", made)
+		t.Errorf("pauses %v, want none", made)
 	}
 }
 
-// Without a descriptor for one more connection an idle one is closed before the next accept, with no pause; one
-// whose request is being handled stays, and only where all are such there is a pause.
+// If accept fails for lack of descriptors, the server closes an idle connection and accepts again without a pause. It
+// keeps connections with a request in progress, and pauses only if there are no others.
 func TestAcceptFreesDescriptors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE} {
 		t.Run(errno.Error(), func(t *testing.T) { acceptWithoutDescriptors(t, errno) })
@@ -130,7 +131,7 @@
 
 func acceptWithoutDescriptors(t *testing.T, errno syscall.Errno) {
 	hold, began := make(chan bool), make(chan bool, 1)
-	open := []int{} // connections at the accept after each failure
+	open := []int{} // number of open connections at the accept after each failure
 	_, addr, paused := serveFaulty(t, lim, func(_ context.Context, m *Message) Response {
 		if m.Target == "/hold" {
 			began <- true
@@ -141,10 +142,10 @@
 		switch call {
 		case 1, 2: // an idle connection and a busy one
 		case 3:
-			waitFor(t, "one is idle and one busy", func() bool { n := phases(s); return n[idle] == 1 && n[handling] == 1 })
+			waitFor(t, "one idle, one busy connection", func() bool { n := phases(s); return n[idle] == 1 && n[handling] == 1 })
 			return errno
 		case 5:
-			waitFor(t, "the busy connection is alone", func() bool { return s.OpenConns() == 1 })
+			waitFor(t, "only the busy connection is open", func() bool { return s.OpenConns() == 1 })
 			return errno
 		case 4, 6:
 			open = append(open, s.OpenConns())
@@ -160,19 +161,19 @@
 	_, _ = io.WriteString(held, "GET /hold HTTP/1.1\r\n\r\n")
 	<-began
 	if rest, err := io.ReadAll(idler); err != nil || len(rest) > 0 {
-		t.Errorf("the idle connection: %q, %v", rest, err)
+		t.Errorf("idle connection: read %q, %v; want a close", rest, err)
 	}
 	for range 2 {
 		if n := answers(t, addr); n != 1 {
-			t.Errorf("%d answers after the error", n)
+			t.Errorf("%d responses with status 200 after the error, want 1", n)
 		}
 	}
 	if made := paused.made(); len(open) != 2 || open[0] != 1 || len(made) != 1 || made[0] != descriptorWait {
-		t.Errorf("connections at the accepts after the errors: %v; pauses: %v", open, made)
+		t.Errorf("open connections at the accepts after the errors: %v, pauses: %v", open, made)
 	}
 	close(hold)
 	if _, err := NewParser(lim, true).Read(NewRing(512), held); err != nil {
-		t.Errorf("the request that was being handled: %v", err)
+		t.Errorf("request in progress: %v", err)
 	}
 }
 
@@ -187,10 +188,10 @@
 	return n
 }
 
-// Short of memory, and after errors that accept(2) does not name, the pauses double up to a bound and begin anew
-// after a connection.
-func TestAcceptBacksOffWhereMemoryIsShort(t *testing.T) {
-	const before = 8 // failures until the bound is reached, and some
+// After errors for lack of memory, or undocumented ones, the pauses between accepts double up to a bound. They start at
+// the minimum again after an accepted connection.
+func TestAcceptBacksOffWhenMemoryIsShort(t *testing.T) {
+	const before = 8 // enough failures to reach the bound and repeat it
 	_, addr, paused := serveFaulty(t, lim, ok, func(_ *Server, call int) error {
 		switch {
 		case call <= before:
@@ -202,12 +203,12 @@
 	})
 	for range 2 {
 		if n := answers(t, addr); n != 1 {
-			t.Errorf("%d answers after the errors", n)
+			t.Errorf("%d responses with status 200 after the errors, want 1", n)
 		}
 	}
 	made := paused.made()
 	if len(made) != before+1 || made[before] != acceptBackoffMin {
-		t.Fatalf("pauses: %v", made)
+		t.Fatalf("unexpected pauses: %v", made)
 	}
 	for i, want := 0, acceptBackoffMin; i < before; i, want = i+1, min(2*want, acceptBackoffMax) {
 		if made[i] != want {
@@ -216,13 +217,13 @@
 	}
 }
 
-// A server that ends takes ETIMEDOUT of one pending connection for that, not for its own deadline: others still
-// wait behind it.
-func TestFinishGoesOnAfterAnErrorOfOneConnection(t *testing.T) {
+// A finishing server attributes ETIMEDOUT to one pending connection and does not mistake it for its own accept
+// deadline: further connections may be queued.
+func TestFinishContinuesAfterErrorOfOneConnection(t *testing.T) {
 	finishing := make(chan bool)
 	s, addr, _ := serveFaulty(t, lim, ok, func(_ *Server, call int) error {
 		switch call {
-		case 1: // it is called before the end begins
+		case 1: // called before Finish
 			<-finishing
 			return syscall.ECONNABORTED
 		case 2:
@@ -230,14 +231,14 @@
 		}
 		return nil
 	})
-	c := dial(t, addr) // it waits in the listener's queue
+	c := dial(t, addr) // stays in the accept queue
 	_, _ = io.WriteString(c, get)
 	done := make(chan bool)
 	go func() { s.Finish(t.Context()); close(done) }()
-	waitFor(t, "the server ends", s.finishing.Load)
+	waitFor(t, "the server is finishing", s.finishing.Load)
 	close(finishing)
 	if all, err := io.ReadAll(c); err != nil || !strings.Contains(string(all), " 200 OK") {
-		t.Errorf("%q %v", all, err)
+		t.Errorf("queued connection: got %q, %v, want status 200", all, err)
 	}
 	<-done
 }
--- a/internal/http1/clientleft_test.go
+++ b/internal/http1/clientleft_test.go
@@ -15,7 +15,7 @@
 	"gatetack/internal/slowpeer"
 )
 
-// script is a connection whose reads are those of a test, one a call. It goes on with the last.
+// script is a connection whose consecutive reads are given by reads. The last one is repeated.
 type script struct {
 	net.Conn
 	reads []func(b []byte) (int, error)
@@ -30,19 +30,19 @@
 
 func (s *script) SetReadDeadline(time.Time) error { return nil }
 
-// A client's end is known at once by what the last check before bytes looks at: the goroutine that reads ends
-// the request's context itself, and waits neither for the handler nor for whoever takes in what it read.
-func TestReaderItselfEndsTheRequestOfAClientThatLeft(t *testing.T) {
+// The reading goroutine cancels the context of the request itself when it reads the end of the client's stream. It
+// waits neither for the handler nor for the session to accept the result of the read.
+func TestReaderCancelsRequestOfDisconnectedClient(t *testing.T) {
 	for _, end := range []error{io.EOF, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EPIPE} {
 		t.Run(end.Error(), func(t *testing.T) {
 			c := newConn(&script{reads: []func([]byte) (int, error){
 				func([]byte) (int, error) { return 0, &net.OpError{Op: "read", Err: os.NewSyscallError("read", end)} },
 			}}, &lim)
-			c.readDone = make(chan struct{}) // nobody takes in that it has read: its handler is busy
-			ctx, gone := context.WithCancel(t.Context())
-			defer gone()
+			c.readDone = make(chan struct{}) // unbuffered: the session does not receive while the handler is busy
+			ctx, cancel := context.WithCancel(t.Context())
+			defer cancel()
 			done := make(chan bool)
-			go func() { c.readLoop(gone); close(done) }()
+			go func() { c.readLoop(cancel); close(done) }()
 			c.watchClient()
 			<-ctx.Done()
 			<-c.readDone
@@ -52,41 +52,39 @@
 	}
 }
 
-// What a client sent behind its request and left costs few pauses before its end is seen, however much it is:
-// the end stands behind all of it, and 4 MB, the most that a kernel holds for a sender by itself, are through
-// well within 0.1 s.
-func TestEndBehindManyBytesIsSeenAfterFewPauses(t *testing.T) {
-	const sent, most = 4 << 20, 70 * time.Millisecond
-	left := sent
+// A disconnect is detected after few pauses, however many bytes the client sent before it. The end of the stream
+// follows all of these bytes: 4 MB, the most that a kernel buffers by default, must be discarded well within 0.1 s.
+func TestDisconnectBehindManyBytesIsDetectedQuickly(t *testing.T) {
+	const sent, maxPause = 4 << 20, 70 * time.Millisecond
+	unread := sent
 	var paused time.Duration
 	c := newConn(&script{reads: []func([]byte) (int, error){func(b []byte) (int, error) {
-		n := min(left, len(b))
-		if left -= n; n == 0 {
+		n := min(unread, len(b))
+		if unread -= n; n == 0 {
 			return 0, io.EOF
 		}
 		return n, nil
 	}}}, &lim)
 	c.pauseDiscards = func(d time.Duration) { paused += d }
 	c.watching = true
-	if err := c.fill(); !errors.Is(err, io.EOF) || left != 0 {
-		t.Errorf("%v with %d bytes left", err, left)
+	if err := c.fill(); !errors.Is(err, io.EOF) || unread != 0 {
+		t.Errorf("fill returned %v with %d bytes unread, want EOF and 0", err, unread)
 	}
-	if paused > most || !c.overflowed {
-		t.Errorf("paused for %v, want at most %v; bytes were dropped: %v", paused, most, c.overflowed)
+	if paused > maxPause || !c.overflowed {
+		t.Errorf("paused for %v, want at most %v; overflowed %v, want true", paused, maxPause, c.overflowed)
 	}
 }
 
-// A client that closes only its side of the connection is taken to have gone, since that looks like a close: its
-// request is called off, or not begun. It gets a last answer all the same, which one that has closed does not
-// read.
-func TestRequestOfAHalfClosedClientIsCanceledAndAnswered(t *testing.T) {
+// A client that closes only its sending side counts as disconnected, since a FIN looks the same for a full close: its
+// request is canceled, or not started. It still gets a last response, which a fully closed client does not read.
+func TestRequestOfHalfClosedClientIsCanceledAndAnswered(t *testing.T) {
 	began := make(chan bool, 2)
 	_, addr := serve(t, lim, func(ctx context.Context, _ *Message) Response {
 		began <- true
 		<-ctx.Done()
 		return Response{Status: 500}
 	})
-	for _, behind := range []string{"", get} { // the turn of what stands behind comes after the end was seen
+	for _, behind := range []string{"", get} { // a pipelined request is parsed after the disconnect was detected
 		t.Run(fmt.Sprint(len(behind), " bytes behind"), func(t *testing.T) {
 			c := dial(t, addr).(*net.TCPConn)
 			_, _ = io.WriteString(c, get+behind)
@@ -94,22 +92,22 @@
 			_ = c.CloseWrite()
 			all, err := io.ReadAll(c)
 			if err != nil || strings.Count(string(all), "HTTP/1.1 ") != 1 || !strings.Contains(string(all), " 500 ") {
-				t.Errorf("%q %v", all, err)
+				t.Errorf("got %q, %v, want one response with status 500", all, err)
 			}
 			if len(began) != 0 {
-				t.Error("a request of a client that has gone was handled")
+				t.Error("a request of a disconnected client was handled")
 			}
 		})
 	}
 }
 
-// A request with which its client's end comes is not begun, and is answered as refused.
-func TestRequestThatComesWithItsClientsEndIsNotBegun(t *testing.T) {
+// A request that arrives together with the end of the client's stream is not handled and gets a rejection.
+func TestRequestArrivingWithDisconnectIsNotHandled(t *testing.T) {
 	handled := make(chan bool, 1)
 	w := serveWatched(t, lim, func(context.Context, *Message) Response { handled <- true; return Response{Status: 200} },
 		func(client net.Conn, c *watchedConn) {
 			c.received = func(int) error {
-				waitFor(t, "the end has come", func() bool { return endHasCome(c.TCPConn) })
+				waitFor(t, "the client's FIN has arrived", func() bool { return finReceived(c.TCPConn) })
 				return io.EOF
 			}
 		})
@@ -117,12 +115,12 @@
 	_ = w.client.(*net.TCPConn).CloseWrite()
 	all, err := io.ReadAll(w.client)
 	if err != nil || len(handled) != 0 || !strings.Contains(string(all), " 503 ") {
-		t.Errorf("%q %v, handled %d", all, err, len(handled))
+		t.Errorf("got %q, %v, want status 503; %d requests handled, want 0", all, err, len(handled))
 	}
 }
 
-// Reads and writes that a signal interrupts, or that move one byte, end nothing; what the kernel gives up does.
-func TestInterruptedAndShortCallsGoOn(t *testing.T) {
+// Reads and writes continue after EINTR and after a call that moves a single byte.
+func TestInterruptedAndShortCallsContinue(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = ours.Close() }()
 	c := NewMinRateConn(&stutter{Conn: ours}, slowpeer.MinRate{}, slowpeer.MinRate{})
@@ -138,7 +136,7 @@
 	}
 }
 
-// stutter is a connection of which every second call is interrupted and every other moves one byte.
+// stutter is a connection on which calls alternately fail with EINTR and move one byte.
 type stutter struct {
 	net.Conn
 	reads, writes int
@@ -158,8 +156,7 @@
 	return s.Conn.Write(b[:1])
 }
 
-// A whole exchange over a connection that is interrupted and moves one byte at a time: requests are served, also
-// several.
+// The server answers several requests on a connection whose calls are interrupted or move one byte each.
 func TestServerOverStutteringConnections(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -191,14 +188,14 @@
 	return &stutter{Conn: c}, nil
 }
 
-// An answer that can not be written ends its connection and nothing else: others are served, and nothing of it stays.
+// A write returns the kernel's error when the connection is broken, and does not retry.
 func TestWriteErrorsEndOneConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			c := NewMinRateConn(failingWrites{errno: errno}, slowpeer.MinRate{},
 				slowpeer.MinRate{BytesPerSecond: 1, Grace: time.Hour})
 			if n, err := c.Write([]byte("answer")); n != 0 || !errors.Is(err, errno) {
-				t.Errorf("%d, %v", n, err)
+				t.Errorf("wrote %d bytes, error %v; want 0 bytes and the error of the connection", n, err)
 			}
 		})
 	}
@@ -215,12 +212,11 @@
 
 func (f failingWrites) SetWriteDeadline(time.Time) error { return nil }
 
-// A client that stops in the middle of a request and stays gets its error, wherever it stops, on a new
-// connection and on one that was used; a part that came behind a request which took longer than its bound gets
-// it at once.
-func TestClientThatStopsInsideARequestGetsItsError(t *testing.T) {
+// A client that stops within a request and stays connected gets status 408, wherever it stops, on a new connection and
+// on a used one. A partial request that was pipelined behind one longer than the request timeout gets it at once.
+func TestClientThatStopsWithinRequestGets408(t *testing.T) {
 	if bound := lim.SlowPeers.RequestTimeout; bound > 3*time.Second-300*time.Millisecond {
-		t.Errorf("a request has %v to come whole, and its client is owed an end within 3 s", bound)
+		t.Errorf("request timeout is %v, but a client must get a response or a close within 3 s", bound)
 	}
 	quick := lim
 	quick.SlowPeers.RequestTimeout = 50 * time.Millisecond
@@ -244,37 +240,37 @@
 			all, err := io.ReadAll(c)
 			errors, served := strings.Count(string(all), " 408 "), strings.Contains(string(all), " 200 ")
 			if err != nil || errors != 1 || served != (before != "") {
-				t.Errorf("%q after %q: %q %v", part, before, all, err)
+				t.Errorf("request part %q after %q: got %q, %v", part, before, all, err)
 			}
 		}
 	}
 }
 
-// The bound of a request counts from its own first byte, also where that came while another was handled: its
-// client stopped then.
-func TestBoundOfARequestBehindAnotherCountsFromItsFirstByte(t *testing.T) {
+// The time limit of a request starts at its first byte, even if that arrived while another request was handled: the
+// client has stopped sending since then.
+func TestPipelinedRequestTimeoutStartsAtItsFirstByte(t *testing.T) {
 	long := lim
 	long.SlowPeers.RequestTimeout, long.SlowPeers.ClientIn = time.Hour, slowpeer.MinRate{}
 	began, on := make(chan bool, 1), make(chan bool)
 	s, addr := serve(t, long, func(context.Context, *Message) Response {
 		began <- true
-		held(t, on)
+		blockUntil(t, on)
 		return Response{Status: 200}
 	})
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, get)
 	<-began
 	_, _ = io.WriteString(c, get[:7])
-	waitFor(t, "the server has the bytes", func() bool { return takenIn(s) })
+	waitFor(t, "the server has read the bytes", func() bool { return pipelinedBytesRead(s) })
 	behind := time.Now()
 	on <- true
-	waitFor(t, "its turn has come", func() bool { return phases(s)[reading] == 1 })
+	waitFor(t, "the server reads the second request", func() bool { return phases(s)[reading] == 1 })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		c.mu.Lock()
 		if by := c.receive.bound; by.IsZero() || by.After(behind.Add(time.Hour)) {
-			t.Errorf("bounded by %v, and its bytes had come by %v", by, behind)
+			t.Errorf("read bound is %v, want at most 1 h after %v, when its bytes had arrived", by, behind)
 		}
 		c.mu.Unlock()
 	}
--- a/internal/http1/closing_test.go
+++ b/internal/http1/closing_test.go
@@ -18,15 +18,15 @@
 	"gatetack/internal/tcpinfo"
 )
 
-// watchedConn is a server's side of a connection on which a test acts at two moments: once a wait for bytes has
-// timed out or was called off, which is before anything is closed for that; and once bytes were read, before
-// their reader does anything with them.
+// watchedConn is the server's side of a connection with two hooks for tests: timedOut runs once, after a wait for bytes
+// has timed out or was canceled and before the connection is closed for it; received runs after bytes were read and
+// before their reader uses them.
 type watchedConn struct {
 	*net.TCPConn
 	timedOut func()
-	received func(n int) error // what the read returns beside the bytes
+	received func(n int) error // its result is returned as the error of the read
 	once     sync.Once
-	waits    atomic.Int64 // that began
+	waits    atomic.Int64 // number of started waits for bytes
 }
 
 func (c *watchedConn) SyscallConn() (syscall.RawConn, error) {
@@ -56,10 +56,10 @@
 	return err
 }
 
-// watchingListener has the first connection that it accepts watched.
+// watchingListener wraps the first connection that it accepts in a watchedConn.
 type watchingListener struct {
 	faultyListener
-	accepted chan *watchedConn // it is sent here, and served once it comes back on watch
+	accepted chan *watchedConn // receives the watched connection, which is served once it is sent back on watch
 	watch    chan *watchedConn
 	once     sync.Once
 }
@@ -80,13 +80,12 @@
 type watched struct {
 	s       *Server
 	addr    string
-	client  net.Conn // of the watched connection
+	client  net.Conn // client side of the watched connection
 	conn    *watchedConn
-	exhaust chan bool // makes the next accept fail for want of a descriptor
+	exhaust chan bool // makes the next accept fail for lack of a descriptor
 }
 
-// serveWatched begins to serve and connects to the server. Prepare settles what is done at the moments of the
-// connection.
+// serveWatched starts a server and connects to it. prepare sets the hooks of the watched connection.
 func serveWatched(t *testing.T, lim limits.Limits, h handler, prepare func(client net.Conn, c *watchedConn)) *watched {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -119,73 +118,73 @@
 	w.conn = c
 	prepare(w.client, c)
 	listener.watch <- c
-	waitFor(t, "its first bytes are waited for", func() bool { return c.waits.Load() > 0 })
+	waitFor(t, "the server waits for its first bytes", func() bool { return c.waits.Load() > 0 })
 	return w
 }
 
-// send writes a part of a request and waits until the machine of the server has it.
+// send writes a part of a request and waits until the kernel of the server's host has received it.
 func send(t *testing.T, client net.Conn, part string, c *watchedConn) {
 	if _, err := io.WriteString(client, part); err != nil {
 		t.Error(err)
 	}
-	waitFor(t, "the bytes have come", func() bool { return !tcpinfo.NothingToRead(c.TCPConn) })
+	waitFor(t, "the bytes have arrived", func() bool { return !tcpinfo.NothingToRead(c.TCPConn) })
 }
 
-// receive waits for a signal of the test's.
+// receive waits for a signal and fails the test if it does not come.
 func receive(t *testing.T, signal <-chan bool) {
 	t.Helper()
 	select {
 	case <-signal:
 	case <-time.After(20 * time.Second):
-		t.Fatal("waited in vain")
+		t.Fatal("no signal within 20 s")
 	}
 }
 
-// expect reads so many answers with status 200 from a client's connection.
+// expect reads n responses with status 200 from a client's connection.
 func expect(t *testing.T, client net.Conn, n int) {
 	t.Helper()
 	ring, p := NewRing(4096), NewParser(lim, true)
 	for i := range n {
 		if m, err := p.Read(ring, client); err != nil || m.Status != 200 {
-			t.Errorf("answer %d of %d: %v %v", i+1, n, m, err)
+			t.Errorf("response %d of %d: got %v, %v, want status 200", i+1, n, m, err)
 			return
 		}
 	}
 }
 
-// closings are all ways by which a server closes a connection on which no request is being handled.
+// closings lists all reasons for which a server closes a connection on which no request is being handled.
 var closings = []struct {
 	name    string
-	first   string // what the client sends before, and
-	answers int    // so many answers of it
-	phase   phase  // the connection's then
-	late    string // what it sends between the decision to close and the close
+	first   string // sent before the decision to close
+	answers int    // number of responses to first
+	phase   phase  // phase of the connection after first
+	late    string // sent between the decision to close and the close
 	limit   func(*limits.Limits)
-	begin   func(t *testing.T, w *watched) // begins the close, where no bound of time does
+	begin   func(t *testing.T, w *watched) // causes the decision to close; nil: a timeout causes it
 }{
-	{name: "place made for another", late: get, limit: func(l *limits.Limits) { l.ClientConns = 1 },
+	{name: "eviction", late: get, limit: func(l *limits.Limits) { l.ClientConns = 1 },
 		begin: func(t *testing.T, w *watched) { dial(t, w.addr) }},
-	{name: "place made for another, half a request read", first: get[:7], phase: reading, late: get[7:],
+	{name: "eviction, half a request read", first: get[:7], phase: reading, late: get[7:],
 		limit: func(l *limits.Limits) { l.ClientConns = 1 }, begin: func(t *testing.T, w *watched) { dial(t, w.addr) }},
 	{name: "no descriptor left", first: get, answers: 1, late: get, limit: func(*limits.Limits) {},
 		begin: func(t *testing.T, w *watched) {
 			w.exhaust <- true
-			dial(t, w.addr) // ends the accept that is under way
+			dial(t, w.addr) // ends the accept in progress
 		}},
-	{name: "idle bound", first: get, answers: 1, late: get,
+	{name: "idle timeout", first: get, answers: 1, late: get,
 		limit: func(l *limits.Limits) { l.UnknownClientIdleTimeout = 50 * time.Millisecond }},
-	{name: "idle bound of a known client", first: "POST / HTTP/1.1\r\n\r\n", answers: 1, late: get,
+	{name: "idle timeout of a known client", first: "POST / HTTP/1.1\r\n\r\n", answers: 1, late: get,
 		limit: func(l *limits.Limits) { l.ClientIdleTimeout = 50 * time.Millisecond }},
-	{name: "bound of a new connection", late: get,
+	{name: "request timeout of a new connection", late: get,
 		limit: func(l *limits.Limits) { l.SlowPeers.RequestTimeout = 50 * time.Millisecond }},
-	{name: "bound of a request, half of it read", first: get[:7], phase: reading, late: get[7:],
+	{name: "request timeout, half a request read", first: get[:7], phase: reading, late: get[7:],
 		limit: func(l *limits.Limits) { l.SlowPeers.RequestTimeout = 50 * time.Millisecond }},
-	{name: "least rate of a request, half of it read", first: get[:7], phase: reading, late: get[7:],
+	{name: "minimum rate, half a request read", first: get[:7], phase: reading, late: get[7:],
 		limit: func(l *limits.Limits) {
 			l.SlowPeers.ClientIn = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 50 * time.Millisecond}
 		}},
 	{name: "drain", late: get, limit: func(*limits.Limits) {}, begin: func(_ *testing.T, w *watched) { w.s.CloseIdle() }},
-	{name: "end of the server", late: get, limit: func(l *limits.Limits) { l.EvictIdleAfter = 0 },
+	{name: "shutdown of the server", late: get, limit: func(l *limits.Limits) { l.EvictIdleAfter = 0 },
 		begin: func(t *testing.T, w *watched) {
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan bool)
@@ -194,10 +193,10 @@
 		}},
 }
 
-// A request that comes between the decision to close its connection and the close is answered, whatever the
-// reason of the close: a close over it would reset the connection, on a new one too. Here it comes once the wait
-// for bytes was called off, so nobody waits for it any more.
-func TestRequestBetweenTheDecisionToCloseAndTheCloseIsAnswered(t *testing.T) {
+// A request that arrives between the decision to close its connection and the close is answered, whatever the reason of
+// the close. Closing a connection with unread bytes would reset it and lose the request, on a new connection too. Here
+// the request arrives after the wait for bytes was canceled, when no goroutine waits for it any longer.
+func TestRequestDuringCloseIsAnswered(t *testing.T) {
 	for _, x := range closings {
 		t.Run(x.name, func(t *testing.T) {
 			limited := lim
@@ -213,7 +212,7 @@
 			})
 			expect(t, w.client, x.answers)
 			if x.begin != nil {
-				waitFor(t, "the connection is in its phase", func() bool { return phases(w.s)[x.phase] == 1 })
+				waitFor(t, "the connection is in the expected phase", func() bool { return phases(w.s)[x.phase] == 1 })
 				x.begin(t, w)
 			}
 			receive(t, late)
@@ -222,29 +221,29 @@
 	}
 }
 
-// A request that the reader has taken from the kernel, and not yet counted, is answered too where its connection
-// makes place for another: the look before the eviction sees no unread bytes there.
-func TestRequestReadButNotCountedIsAnsweredAtAnEviction(t *testing.T) {
+// A request that the reader has read from the kernel but not yet counted is answered when its connection is evicted.
+// The check before the eviction sees no unread bytes in this state.
+func TestRequestReadButNotCountedIsAnsweredOnEviction(t *testing.T) {
 	one := lim
 	one.ClientConns = 1
-	taken, on := make(chan bool), make(chan bool)
-	goOn := sync.OnceFunc(func() { close(on) })
-	defer goOn()
+	readStarted, resume := make(chan bool), make(chan bool)
+	resumeRead := sync.OnceFunc(func() { close(resume) })
+	defer resumeRead()
 	w := serveWatched(t, one, ok, func(_ net.Conn, c *watchedConn) {
 		var once sync.Once
-		c.received = func(int) error { once.Do(func() { close(taken); <-on }); return nil }
+		c.received = func(int) error { once.Do(func() { close(readStarted); <-resume }); return nil }
 	})
 	_, _ = io.WriteString(w.client, get)
-	receive(t, taken)
+	receive(t, readStarted)
 	dial(t, w.addr)
 	waitFor(t, "the connection is evicted", func() bool { return phases(w.s)[retiring] == 1 })
-	goOn()
+	resumeRead()
 	expect(t, w.client, 1)
 }
 
-// A slow reader is let go with what its finished answer leaves unread, and a request that comes in this moment
-// is answered, if its client reads on.
-func TestRequestOfASlowReaderIsAnsweredAsItIsClosed(t *testing.T) {
+// When the connection of a slow reader is closed with an unread finished response, a request that arrives at that
+// moment is still answered, if the client continues to read.
+func TestRequestOfSlowReaderIsAnsweredOnClose(t *testing.T) {
 	slow := lim
 	slow.SlowPeers.ClientOut, slow.SlowPeers.UnsentCheckInterval = slowpeer.MinRate{
 		BytesPerSecond: 1 << 20,
@@ -264,12 +263,12 @@
 	receive(t, late)
 	expect(t, w.client, 2)
 	if n := w.s.tally.Count(slowpeer.ClientReadsSlowly); n != 1 {
-		t.Errorf("%d slow readers, want 1", n)
+		t.Errorf("%d slow readers counted, want 1", n)
 	}
 }
 
-// endHasCome says whether the client's side of a connection was closed, whatever stands unread before that.
-func endHasCome(c *net.TCPConn) bool {
+// finReceived reports whether the kernel has received the client's FIN, even if unread bytes precede it.
+func finReceived(c *net.TCPConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -24,7 +24,7 @@
 
 var lim = limits.New(0, 0, 0, 0, 0)
 
-// pieces hands out bytes in the given cuts.
+// pieces is a reader that returns data in reads of the sizes in cuts.
 type pieces struct {
 	data []byte
 	cuts []int
@@ -75,9 +75,9 @@
 	return out
 }
 
-// What the writer writes, the parser reads back, however the bytes are cut, whatever the ring's size, and with
-// several messages on one connection.
-func TestParserReadsAnyCuts(t *testing.T) {
+// The parser reads back the messages that the writer wrote, for any split into reads, any ring size, and several
+// messages on one connection.
+func TestParserReadsBackMessagesForAnySplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		response := rapid.Bool().Draw(t, "response")
 		ring := rapid.IntRange(1, 64).Draw(t, "ring")
@@ -111,8 +111,8 @@
 	})
 }
 
-// A chunked body comes out whole, however it is cut into chunks and reads.
-func TestChunkedBodyComesOutWhole(t *testing.T) {
+// A chunked body is reassembled for any split into chunks and reads.
+func TestChunkedBodyIsReassembled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body")
 		var wire bytes.Buffer
@@ -125,13 +125,13 @@
 		wire.WriteString("0\r\nTrailer: x\r\n\r\n")
 		got, err := parse(true, 16, wire.Bytes(), rapid.SliceOf(rapid.IntRange(1, 20)).Draw(t, "cuts"))
 		if err != nil || len(got) != 1 || !bytes.Equal(got[0].Body, body) {
-			t.Fatalf("%v %v", got, err)
+			t.Fatalf("got %v, %v, want one message with the sent body", got, err)
 		}
 	})
 }
 
-// Garbage, alone or within a valid message, ends in a message or an error, never in a panic or an endless loop,
-// and never in a body over the limit.
+// Random bytes, alone or within a valid message, result in a message or an error, but never in a panic, an endless loop
+// or a body over the limit.
 func TestParserSurvivesGarbage(t *testing.T) {
 	valid := []byte("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc" +
 		"GET /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nxx\r\n0\r\n\r\n")
@@ -147,17 +147,17 @@
 		got, err := parse(rapid.Bool().Draw(t, "response"), 8, data, rapid.SliceOf(rapid.IntRange(1, 9)).Draw(t, "cuts"))
 		var he *Error
 		if err != nil && (!errors.As(err, &he) || he.Status < 400) {
-			t.Fatalf("error %v", err)
+			t.Fatalf("got error %v, want an *Error with a 4xx or 5xx status", err)
 		}
 		for _, m := range got {
 			if len(m.Body) > lim.BodyBytes {
-				t.Fatal("a body over the limit")
+				t.Fatal("the parser returned a body over the limit")
 			}
 		}
 	})
 }
 
-// Each of these is refused: it is malformed, too large, or could be read as two different messages.
+// The parser rejects messages that are malformed, too large, or ambiguous (request smuggling).
 func TestParserRejectsMalformedMessages(t *testing.T) {
 	for _, c := range []struct {
 		text   string
@@ -188,7 +188,7 @@
 	} {
 		var he *Error
 		if _, err := parse(false, 64, []byte(c.text), nil); !errors.As(err, &he) || he.Status != c.status {
-			t.Errorf("%.60q: %v, want status %d", c.text, err, c.status)
+			t.Errorf("%.60q: got error %v, want status %d", c.text, err, c.status)
 		}
 	}
 	largest := "POST / HTTP/1.1\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("b", 65536)
@@ -198,7 +198,7 @@
 	untilEnd := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.0 200 OK\r\n\r\nrest"
 	m, err := parse(true, 64, []byte(untilEnd), nil)
 	if err != nil || len(m) != 1 || string(m[0].Body) != "rest" || !m[0].Close {
-		t.Errorf("a body that ends with the connection: %v %v", m, err)
+		t.Errorf("body delimited by the end of the connection: got %v, %v", m, err)
 	}
 }
 
@@ -234,9 +234,9 @@
 	return c
 }
 
-// A client that goes away while its request is handled is seen at once.
-func TestHandlerContextEndsWhenClientLeaves(t *testing.T) {
-	addr, began, left := serveUntilGone(t)
+// The context of a request ends when its client disconnects while the request is handled.
+func TestHandlerContextEndsOnDisconnect(t *testing.T) {
+	addr, began, left := serveUntilDisconnect(t)
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\n\r\n")
 	<-began
@@ -244,9 +244,9 @@
 	left()
 }
 
-// serveUntilGone handles each request until its client has gone. It tells when one begins; left waits until one
-// has ended so.
-func serveUntilGone(t *testing.T) (addr string, began chan bool, left func()) {
+// serveUntilDisconnect starts a server whose handler blocks until the client of the request disconnects. began receives a
+// value when a request starts; left waits until a request has ended in this way.
+func serveUntilDisconnect(t *testing.T) (addr string, began chan bool, left func()) {
 	began, gone := make(chan bool, 100), make(chan bool, 100)
 	_, addr = serve(t, lim, func(ctx context.Context, _ *Message) Response {
 		began <- true
@@ -259,13 +259,13 @@
 		select {
 		case <-gone:
 		case <-time.After(20 * time.Second):
-			t.Fatal("the handler was not told")
+			t.Fatal("the context of the request did not end within 20 s")
 		}
 	}
 }
 
-// Connections are kept, requests that come together are answered in turn, a bad one is answered and ends the
-// connection, and after Drain each answer does.
+// The server keeps connections alive and answers pipelined requests in order. It answers a malformed request and closes
+// its connection. After Drain each response closes its connection.
 func TestServerKeepsConnections(t *testing.T) {
 	s, addr := serve(t, lim, func(_ context.Context, m *Message) Response { return Response{Status: 200, Body: m.Body} })
 	c := dial(t, addr)
@@ -273,19 +273,19 @@
 	_, _ = io.WriteString(c, post+"a"+post+"b"+"BAD\r\n\r\n")
 	all, err := io.ReadAll(c)
 	if err != nil || strings.Count(string(all), "200 OK") != 2 || !strings.Contains(string(all), "400 Bad Request") {
-		t.Errorf("%v %q", err, all)
+		t.Errorf("got %q, %v, want two responses with status 200 and one with 400", all, err)
 	}
 	s.Drain()
 	c = dial(t, addr)
 	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\n\r\n")
 	if all, err = io.ReadAll(c); err != nil || !strings.Contains(string(all), "Connection: close") {
-		t.Errorf("after Drain: %v %q", err, all)
+		t.Errorf("after Drain: error %v, got %q, want Connection: close", err, all)
 	}
 }
 
-// Past the budget for connections a request is still answered, and its connection ends: a drop would lose what
-// was taken.
-func TestConnectionPastBudgetGetsOneAnswer(t *testing.T) {
+// A connection over the budget gets a response to one request and is then closed. Dropping the connection instead would
+// lose a request that the server has already received.
+func TestConnectionOverBudgetGetsOneResponse(t *testing.T) {
 	small := lim
 	small.ClientConns, small.OverflowConns = 1, 4
 	hold, began := make(chan bool), make(chan bool, 2)
@@ -303,13 +303,13 @@
 	_, _ = io.WriteString(b, "GET / HTTP/1.1\r\n\r\n")
 	all, err := io.ReadAll(b)
 	if err != nil || !strings.Contains(string(all), "200 OK") || !strings.Contains(string(all), "Connection: close") {
-		t.Errorf("the connection past the budget: %v %q", err, all)
+		t.Errorf("connection over the budget: error %v, got %q, want status 200 and Connection: close", err, all)
 	}
 	close(hold)
 }
 
-// Closing idle connections never takes a request with it: each is either answered, or its connection is closed
-// before any of it was handled, so that the client can send it again.
+// Closing idle connections loses no request: each request is either answered, or its connection is closed before the
+// handler has seen it, so that the client can safely resend it.
 func TestCloseIdleLosesNothing(t *testing.T) {
 	var handled atomic.Int64
 	s, addr := serve(t, lim, func(context.Context, *Message) Response { handled.Add(1); return Response{Status: 200} })
@@ -338,25 +338,26 @@
 	close(stop)
 	_ = closer.Wait()
 	if got := handled.Load(); got != answered {
-		t.Errorf("%d requests were handled and %d answered", got, answered)
+		t.Errorf("%d requests were handled, but %d were answered", got, answered)
 	}
 }
 
-// A request that does not come whole in time is answered, so that slow ones do not hold descriptors for good.
-func TestRequestNotWholeInTimeGets408(t *testing.T) {
+// A request that is incomplete at its timeout gets status 408, so that slow clients cannot occupy descriptors
+// indefinitely.
+func TestIncompleteRequestGets408AtTimeout(t *testing.T) {
 	quick := lim
 	quick.SlowPeers.RequestTimeout = 30 * time.Millisecond
 	_, addr := serve(t, quick, func(context.Context, *Message) Response { return Response{Status: 200} })
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, "GET / HT")
 	if all, err := io.ReadAll(c); err != nil || !strings.Contains(string(all), "408") {
-		t.Errorf("%v %q", err, all)
+		t.Errorf("got error %v, %q, want status 408", err, all)
 	}
 }
 
-// Connections that say nothing, send half a head, or ask something once and stay, make place for others; those that
-// carried what the front took for its clients' stand, and so does one whose request is being handled.
-func TestIdleStrangersAreEvictedFirst(t *testing.T) {
+// Connections that send nothing, send half a head, or stay idle after a request of an unknown client are evicted for
+// others. Connections of known clients and connections with a request in progress are kept.
+func TestIdleUnknownClientsAreEvictedFirst(t *testing.T) {
 	small := lim
 	small.ClientConns, small.OverflowConns = 8, 4
 	hold := make(chan bool)
@@ -373,44 +374,45 @@
 		_, err := NewParser(lim, true).Read(NewRing(512), c)
 		return err
 	}
-	usual := dial(t, addr)
-	if err := ask(usual, "POST"); err != nil {
+	known := dial(t, addr)
+	if err := ask(known, "POST"); err != nil {
 		t.Fatal(err)
 	}
-	held := dial(t, addr)
-	_, _ = io.WriteString(held, "POST /hold HTTP/1.1\r\n\r\n")
-	var crowd []net.Conn
+	busy := dial(t, addr)
+	_, _ = io.WriteString(busy, "POST /hold HTTP/1.1\r\n\r\n")
+	var others []net.Conn
 	for i := range 60 {
 		c := dial(t, addr)
 		switch i % 3 {
 		case 0:
 			if err := ask(c, "GET"); err != nil {
-				t.Fatalf("connection %d of the crowd: %v", i, err)
+				t.Fatalf("connection %d of an unknown client: %v", i, err)
 			}
 		case 1:
 			_, _ = io.WriteString(c, "POST / HTTP/1.1\r\nA: ")
 		}
-		crowd = append(crowd, c)
+		others = append(others, c)
 	}
-	for _, c := range crowd[:40] { // the last ones may stand still
+	for _, c := range others[:40] { // the newest ones may still be open
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			t.Error("a connection of the crowd was answered again")
+			t.Error("an unknown client got a second response")
 		} else if te := net.Error(nil); errors.As(err, &te) && te.Timeout() {
-			t.Fatal("an old connection of the crowd still stands")
+			t.Fatal("an old connection of an unknown client is still open")
 		}
 	}
-	if err := ask(usual, "POST"); err != nil {
-		t.Errorf("the usual client's connection: %v", err)
+	if err := ask(known, "POST"); err != nil {
+		t.Errorf("connection of the known client: %v", err)
 	}
 	close(hold)
-	if _, err := NewParser(lim, true).Read(NewRing(512), held); err != nil {
-		t.Errorf("the request that was being handled: %v", err)
+	if _, err := NewParser(lim, true).Read(NewRing(512), busy); err != nil {
+		t.Errorf("request in progress: %v", err)
 	}
 }
 
-// A new connection has its first request whole, or none at all, within a time from its start, however it drips; and
-// one that asked something and stays is closed sooner than that of a client.
-func TestWaitForStrangersIsBounded(t *testing.T) {
+// A new connection is closed unless its first request is complete within the request timeout, even if bytes keep
+// arriving one by one. After a request, a connection of an unknown client has a shorter idle timeout than one of a
+// known client.
+func TestWaitForUnknownClientsIsBounded(t *testing.T) {
 	quick := lim
 	quick.SlowPeers.RequestTimeout, quick.UnknownClientIdleTimeout, quick.ClientIdleTimeout = 100*time.Millisecond,
 		100*time.Millisecond, time.Hour
@@ -430,17 +432,17 @@
 		}
 		all, err := io.ReadAll(c)
 		if te := net.Error(nil); errors.As(err, &te) && te.Timeout() {
-			t.Errorf("%s: it still stands", name)
+			t.Errorf("%s: the connection is still open", name)
 		}
 		if name == "says nothing" && len(all) > 0 || name == "stays" && !strings.Contains(string(all), "200") {
-			t.Errorf("%s: %q", name, all)
+			t.Errorf("%s: unexpected response %q", name, all)
 		}
 		_ = g.Wait()
 	}
 }
 
-// Bodies that are held at a time have a bound together, and give their room back.
-func TestBodiesShareABudget(t *testing.T) {
+// Request bodies share a total limit while they are in memory, and release their share afterwards.
+func TestBodiesShareBudget(t *testing.T) {
 	small := lim
 	small.TotalBodyBytes = 100
 	s, addr := serve(t, small, func(_ context.Context, m *Message) Response { return Response{Status: 200, Body: m.Body} })
@@ -448,7 +450,7 @@
 	_, _ = io.WriteString(first, "POST / HTTP/1.1\r\nContent-Length: 60\r\n\r\n")
 	for end := time.Now().Add(20 * time.Second); s.bodyBytes.Load() != 60; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no room was taken")
+			t.Fatal("the body was not reserved within 20 s")
 		}
 	}
 	chunked := "Transfer-Encoding: chunked\r\n\r\n14\r\n" + strings.Repeat("b", 20) + "\r\n28\r\n"
@@ -456,16 +458,16 @@
 		c := dial(t, addr)
 		_, _ = io.WriteString(c, "POST / HTTP/1.1\r\n"+text)
 		if all, err := io.ReadAll(c); err != nil || !strings.Contains(string(all), "503") {
-			t.Errorf("%q past the bound: %v %q", text, err, all)
+			t.Errorf("%q over the limit: error %v, got %q, want status 503", text, err, all)
 		}
 	}
 	_, _ = io.WriteString(first, strings.Repeat("b", 60))
 	if m, err := NewParser(lim, true).Read(NewRing(512), first); err != nil || len(m.Body) != 60 {
-		t.Errorf("%v %v", m, err)
+		t.Errorf("body of 60 bytes within the limit: got %v, %v", m, err)
 	}
 	for end := time.Now().Add(20 * time.Second); s.bodyBytes.Load() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("room was not given back:", s.bodyBytes.Load())
+			t.Fatal("reservation was not released, bytes still reserved:", s.bodyBytes.Load())
 		}
 	}
 }
--- a/internal/http1/minrate_test.go
+++ b/internal/http1/minrate_test.go
@@ -16,7 +16,7 @@
 	"gatetack/internal/tcpinfo"
 )
 
-// pair gives both ends of a connection, ours paced.
+// pair returns both ends of a connection; ours is a MinRateConn with the given rates.
 func pair(t *testing.T, in, out slowpeer.MinRate) (*MinRateConn, net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,8 +33,8 @@
 	return NewMinRateConn(c, in, out), theirs
 }
 
-// What was written and acknowledged is no debt, whether somebody looked then or not: the next answer on a connection
-// that stood idle for longer than the grace was cut off, and with it a request was lost.
+// Idle time does not lower the measured rate, even if nobody checked that earlier bytes were acknowledged. Otherwise
+// the next response on a connection that was idle for longer than the grace is cut off, and its request is lost.
 func TestIdleTimeDoesNotCountAgainstThePeer(t *testing.T) {
 	c, theirs := pair(t, slowpeer.MinRate{}, slowpeer.MinRate{BytesPerSecond: 1 << 30, Grace: 20 * time.Millisecond})
 	for range 3 {
@@ -44,9 +44,9 @@
 		if _, err := io.ReadFull(theirs, make([]byte, 6)); err != nil {
 			t.Fatal(err)
 		}
-		for left := 1; left > 0; { // acknowledged, seen by nobody but this test
+		for unacknowledged := 1; unacknowledged > 0; { // checked without informing the connection
 			time.Sleep(50 * time.Millisecond)
-			left = queued(c)
+			unacknowledged = queued(c)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 
 var quietLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// heap is what is in use, stacks among it, after a collection.
+// heap returns the bytes of heap and stacks in use after a garbage collection.
 func heap() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -63,8 +63,8 @@
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// A drip starts no time anew: reading ends with what moved and how fast, and a bound set meanwhile holds for the read
-// that is under way.
+// A sender that sends single bytes does not restart its grace: the read fails with the bytes received and the rate. A
+// bound that is set during a read applies to that read.
 func TestSlowSenderEndsTheRead(t *testing.T) {
 	c, theirs := pair(t, slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 100 * time.Millisecond}, slowpeer.MinRate{})
 	stop := make(chan bool)
@@ -86,14 +86,14 @@
 	for {
 		if _, err := c.Read(buf); err != nil {
 			if !errors.As(err, &slow) || slow.Direction != "in" || slow.Bytes == 0 || !isTimeout(err) {
-				t.Fatalf("%v", err)
+				t.Fatalf("got %v, want a slow peer error in direction in", err)
 			}
 			break
 		}
 	}
-	c.ExpectNone() // nothing is waited for: what drips is read
+	c.ExpectNone() // the minimum rate no longer applies
 	if _, err := c.Read(buf); err != nil {
-		t.Errorf("at rest: %v", err)
+		t.Errorf("read after ExpectNone: %v", err)
 	}
 	quiet, _ := pair(t, slowpeer.MinRate{}, slowpeer.MinRate{})
 	done := make(chan error)
@@ -101,11 +101,12 @@
 	quiet.BoundReads(time.Now().Add(time.Hour))
 	quiet.BoundReads(time.Now())
 	if err := <-done; !isTimeout(err) || errors.As(err, &slow) && slow == nil {
-		t.Errorf("a bound that has passed: %v", err)
+		t.Errorf("read with an expired bound: got %v, want a timeout", err)
 	}
 }
 
-// A write to a peer that does not read ends once its machine takes nothing more; what it took counts as progress.
+// A write to a peer that does not read fails once the peer's buffers are full. Bytes that its host acknowledged count
+// as progress.
 func TestStalledReceiverEndsTheWrite(t *testing.T) {
 	c, theirs := pair(t, slowpeer.MinRate{}, slowpeer.MinRate{BytesPerSecond: 4096, Grace: 50 * time.Millisecond})
 	_ = theirs.(*net.TCPConn).SetReadBuffer(4096)
@@ -113,14 +114,14 @@
 	slow := (*slowpeer.Error)(nil)
 	n, err := c.Write(make([]byte, 8<<20))
 	if !errors.As(err, &slow) || slow.Direction != "out" || slow.Pending == 0 || n >= 8<<20 {
-		t.Fatalf("%d bytes, %v", n, err)
+		t.Fatalf("wrote %d bytes, error %v; want a slow peer error in direction out", n, err)
 	}
 	if c.WriteStalledFor(time.Now().Add(time.Hour)) != 0 {
-		t.Error("a write that has ended counts as stalled")
+		t.Error("a completed write is reported as stalled")
 	}
 }
 
-// readsSlowly takes a connection to a server with little buffer on both sides, sends a request and reads one byte.
+// readsSlowly connects to a server with a small receive buffer, sends a request and reads one byte of the response.
 func readsSlowly(t *testing.T, addr string) net.Conn {
 	d := net.Dialer{}
 	c, err := d.Dial("tcp", addr)
@@ -138,8 +139,9 @@
 	return c
 }
 
-// A client that stops reading for good holds no request's place while its answer waits, is let go below the least rate
-// and counted; others are served meanwhile, and an answer that is whole in the kernel still comes to one that reads on.
+// A client that stops reading occupies no request slot while its response waits. It is disconnected and counted when it
+// falls below the minimum rate, while others are served. A response that is completely in the kernel still reaches a
+// client that continues to read.
 func TestClientsThatStopReadingAreDisconnected(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.SlowPeers.ClientOut = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 150 * time.Millisecond}
@@ -161,36 +163,36 @@
 		t.Fatal(err)
 	}
 	if m, err := NewParser(lim, true).Read(NewRing(4096), c); err != nil || string(m.Body) != "small" {
-		t.Errorf("beside those that stopped: %v %v", m, err)
+		t.Errorf("request of another client: got %v, %v, want status 200", m, err)
 	}
-	until(t, "they are let go", func() bool {
+	until(t, "the slow clients are disconnected", func() bool {
 		return s.tally.Count(slowpeer.ClientReadsSlowly) == 5 && s.OpenConns() == 1
 	})
 	if n := s.tally.Count(slowpeer.ClientResponseLost); n != 5 {
-		t.Errorf("%d answers were cut, want the 5 that were not whole in the kernel", n)
+		t.Errorf("%d responses lost, want the 5 that were not completely in the kernel", n)
 	}
 
-	size = 20 << 10 // goes whole into the kernel, which holds it for a client that has let it wait
+	size = 20 << 10 // fits into the kernel's buffers, which keep it for a client that reads later
 	slow := readsSlowly(t, addr)
-	until(t, "its connection is let go", func() bool {
+	until(t, "its connection is closed", func() bool {
 		return s.tally.Count(slowpeer.ClientReadsSlowly) == 6 && s.OpenConns() == 1
 	})
 	rest, err := io.ReadAll(slow)
 	if err != nil || !strings.HasSuffix(string(rest), strings.Repeat("\x00", size)) {
-		t.Errorf("of a finished answer %d bytes came, %v", len(rest), err)
+		t.Errorf("got %d bytes of a finished response, error %v", len(rest), err)
 	}
 	if s.tally.Count(slowpeer.ClientResponseLost) != 5 {
-		t.Error("a finished answer counts as cut")
+		t.Error("a finished response is counted as lost")
 	}
 }
 
-// A head and a body that drip end with an error in time, and are counted.
+// A request whose head or body arrives below the minimum rate gets status 408 and is counted.
 func TestRequestsBelowTheMinimumRateGet408(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.SlowPeers.ClientIn = slowpeer.MinRate{BytesPerSecond: 1 << 20, Grace: 100 * time.Millisecond}
 	lim.SlowPeers.RequestTimeout = time.Hour
 	s, addr := serve(t, lim, func(context.Context, *Message) Response {
-		t.Error("a request that never came whole was handled")
+		t.Error("an incomplete request was handled")
 		return Response{Status: 200}
 	})
 	head := "GET / HTTP/1.1\r\nA: " + strings.Repeat("a", 4000)
@@ -207,15 +209,15 @@
 		}()
 		m, err := NewParser(lim, true).Read(NewRing(4096), c)
 		if err != nil || m.Status != 408 || !m.Close {
-			t.Errorf("%d: %v %v", i, m, err)
+			t.Errorf("request %d: got %v, %v, want status 408", i, m, err)
 		}
 		if n := s.tally.Count(slowpeer.ClientSendsSlowly); n != int64(i+1) {
-			t.Errorf("%d counted, want %d", n, i+1)
+			t.Errorf("%d slow senders counted, want %d", n, i+1)
 		}
 	}
 }
 
-// One address that opens connections by the hundred gets its share, and another is still served.
+// An address that opens many connections is limited to its share, and other addresses are still served.
 func TestConnectionsAreSharedByAddress(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.SlowPeers.SharePerAddress, lim.ClientConns, lim.OverflowConns = true, 24, 100
@@ -223,7 +225,7 @@
 	for range 40 {
 		dial(t, addr)
 	}
-	until(t, "all are taken", func() bool { return s.tally.Count(slowpeer.ClientOverShare) > 0 && s.OpenConns() >= 24 })
+	until(t, "all are accepted", func() bool { return s.tally.Count(slowpeer.ClientOverShare) > 0 && s.OpenConns() >= 24 })
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9)}}
 	c, err := d.Dial("tcp", addr)
 	if err != nil {
@@ -231,10 +233,10 @@
 	}
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	for i := range 2 { // kept after the first: it is within its share
+	for i := range 2 { // the connection is kept after the first request, since it is within its share
 		_, _ = io.WriteString(c, "GET / HTTP/1.1\r\n\r\n")
 		if m, err := NewParser(lim, true).Read(NewRing(4096), c); err != nil || m.Status != 200 || m.Close {
-			t.Errorf("request %d of another address: %+v %v", i, m, err)
+			t.Errorf("request %d of another address: got %+v, %v", i, m, err)
 		}
 	}
 }
@@ -243,12 +245,12 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain:", what)
+			t.Fatal("not reached within 20 s:", what)
 		}
 	}
 }
 
-// A ring holds memory only while it holds bytes.
+// BenchmarkWaitingConnections measures the memory per idle connection. A ring uses memory only while it contains bytes.
 func BenchmarkWaitingConnections(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/http1/pipelining_test.go
+++ b/internal/http1/pipelining_test.go
@@ -17,29 +17,29 @@
 
 const get = "GET / HTTP/1.1\r\n\r\n"
 
-// A client's end is seen while its request is handled though bytes stand before it: half a request, some
-// requests, more than the ring holds, more than the kernel hands over at a time.
-func TestHandlerContextEndsWhenClientLeavesBehindBytes(t *testing.T) {
+// A disconnect is detected while a request is handled even if bytes precede it: half a request, several requests, more
+// than the ring holds, or more than one read returns.
+func TestHandlerContextEndsOnDisconnectBehindBytes(t *testing.T) {
 	for _, behind := range []int{1, 200, lim.RingBytes, lim.RingBytes + 1, 300 << 10} {
 		t.Run(fmt.Sprint(behind, " bytes"), func(t *testing.T) {
-			addr, began, left := serveUntilGone(t)
+			addr, began, left := serveUntilDisconnect(t)
 			c := dial(t, addr)
 			_, _ = io.WriteString(c, get)
-			<-began // from here on the request is handled: what follows stands behind it
+			<-began // the request is in progress: the following bytes are pipelined behind it
 			if _, err := io.WriteString(c, strings.Repeat(get, behind/len(get)+1)[:behind]); err != nil {
 				t.Fatal(err)
 			}
 			_ = c.Close()
 			left()
 			if len(began) > 0 {
-				t.Error("a request of a client that has gone was handled")
+				t.Error("a request of a disconnected client was handled")
 			}
 		})
 	}
 }
 
-// What came behind a request that is still handled is answered in its turn, without a wait for more: whole
-// requests, and one whose rest comes later.
+// Requests pipelined behind a request in progress are answered in order, without waiting for more bytes. This includes
+// a request whose rest arrives later.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	began, on := make(chan bool, 100), make(chan bool)
 	s, addr := serve(t, lim, func(context.Context, *Message) Response {
@@ -64,7 +64,7 @@
 	_, _ = io.WriteString(c, get)
 	<-began
 	_, _ = io.WriteString(c, get+get+get[:7])
-	waitFor(t, "the server has the bytes", func() bool { return takenIn(s) })
+	waitFor(t, "the server has read the bytes", func() bool { return pipelinedBytesRead(s) })
 	for range 3 {
 		on <- true
 		answered()
@@ -78,20 +78,20 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain:", what)
+			t.Fatal("not reached within 20 s:", what)
 		}
 	}
 }
 
-// The last answer of a connection comes whole, and then its end and no reset, though the client had sent more
-// than was read: before the answer, and after it.
-func TestLastAnswerIsNotReset(t *testing.T) {
+// A client gets the complete last response of a connection and then EOF, not a reset, although it sent more bytes than
+// the server read, both before and after the response.
+func TestLastResponseIsNotReset(t *testing.T) {
 	for _, x := range []struct {
 		what, request string
 		status        int
 	}{
-		{"a request that asks for the end", "GET / HTTP/1.1\r\nConnection: close\r\n\r\n", 200},
-		{"a bad request", "BAD\r\n\r\n", 400},
+		{"a request with Connection: close", "GET / HTTP/1.1\r\nConnection: close\r\n\r\n", 200},
+		{"a malformed request", "BAD\r\n\r\n", 400},
 	} {
 		t.Run(x.what, func(t *testing.T) {
 			_, addr := serve(t, lim, func(context.Context, *Message) Response {
@@ -104,21 +104,21 @@
 			in := bufio.NewReader(c)
 			line, err := in.ReadString('\n')
 			if err != nil || !strings.Contains(line, fmt.Sprint(x.status)) {
-				t.Fatalf("%q %v", line, err)
+				t.Fatalf("got status line %q, %v", line, err)
 			}
-			if _, err := io.WriteString(c, strings.Repeat("z", 2*lim.RingBytes)); err != nil { // crosses the end
-				t.Errorf("what the client sent on: %v", err)
+			if _, err := io.WriteString(c, strings.Repeat("z", 2*lim.RingBytes)); err != nil { // crosses the FIN
+				t.Errorf("write after the response: %v", err)
 			}
 			if _, err = io.Copy(io.Discard, in); errors.Is(err, syscall.ECONNRESET) || err != nil {
-				t.Errorf("the connection ended with %v", err)
+				t.Errorf("the connection ended with %v, want EOF", err)
 			}
 		})
 	}
 }
 
-// A request that comes after its connection's last answer is not handled: its client sends it elsewhere, and it
-// would run twice.
-func TestRequestsAfterTheLastAnswerAreNotHandled(t *testing.T) {
+// A request that arrives after the last response of its connection is not handled: the client resends it on another
+// connection, and it would run twice.
+func TestRequestsAfterLastResponseAreNotHandled(t *testing.T) {
 	began := make(chan bool, 10)
 	_, addr := serve(t, lim, func(context.Context, *Message) Response {
 		began <- true
@@ -127,15 +127,14 @@
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, get+get)
 	if all, err := io.ReadAll(c); err != nil || strings.Count(string(all), "200 OK") != 1 {
-		t.Errorf("%v %q", err, all)
+		t.Errorf("error %v, got %q, want one response with status 200", err, all)
 	}
 	if len(began) != 1 {
-		t.Errorf("%d requests were handled", len(began))
+		t.Errorf("%d requests were handled, want 1", len(began))
 	}
 }
 
-// A resting connection on which bytes have come is not closed as idle, though nobody has read them yet: here
-// nobody reads.
+// CloseIdle keeps a connection with bytes in the kernel that nobody has read yet. In this test nobody reads them.
 func TestCloseIdleKeepsConnectionsWithUnreadBytes(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -154,19 +153,19 @@
 		s.admit(server[i])
 		if i == 0 {
 			_, _ = io.WriteString(c, get[:1])
-			waitFor(t, "the byte has come", func() bool { return !tcpinfo.NothingToRead(nc) })
+			waitFor(t, "the byte has arrived", func() bool { return !tcpinfo.NothingToRead(nc) })
 		}
 	}
 	s.CloseIdle()
 	if server[0].phase != idle || server[1].phase != retiring {
-		t.Errorf("phases %d and %d", server[0].phase, server[1].phase)
+		t.Errorf("phases %d and %d, want idle and retiring", server[0].phase, server[1].phase)
 	}
 }
 
-// Where every connection has a request under way, and those past the budget too, a new one is refused as soon as
-// its request has come, and is not left waiting until another ends; one that says nothing does not hold the
-// door, and with idle ones in the way nothing is refused.
-func TestConnectionPastTheReserveIsRejectedAtOnce(t *testing.T) {
+// If all connections up to the overflow reserve have a request in progress, a new connection is rejected as soon as its
+// request arrives, instead of waiting until another one closes. A connection without a request does not block the
+// rejections, and nothing is rejected while an idle connection can be evicted.
+func TestConnectionOverReserveIsRejectedAtOnce(t *testing.T) {
 	small := lim
 	small.ClientConns, small.OverflowConns, small.RejectConns, small.LingerTimeout = 1, 1, 1, 50*time.Millisecond
 	hold, began := make(chan bool), make(chan bool, 4)
@@ -176,25 +175,25 @@
 		<-hold
 		return Response{Status: 200}
 	})
-	resting := dial(t, addr) // makes place
+	resting := dial(t, addr) // is evicted
 	_, _ = io.WriteString(resting, "G")
-	// While the byte is unread, the connection would not make place, and the second of the others would be rejected.
+	// While the byte is unread, the connection is not evictable, and the second of the others would be rejected.
 	waitFor(t, "the byte is read", func() bool { return phases(s)[reading] == 1 })
 	for range 2 {
 		c := dial(t, addr)
 		_, _ = io.WriteString(c, get)
 		<-began
 	}
-	_ = dial(t, addr) // says nothing at the door
+	_ = dial(t, addr) // sends nothing
 	for range 3 {
 		c := dial(t, addr)
 		_, _ = io.WriteString(c, get)
 		all, err := io.ReadAll(c)
 		if err != nil || !strings.Contains(string(all), " 503 ") || !strings.Contains(string(all), "Connection: close") {
-			t.Fatalf("%v %q", err, all)
+			t.Fatalf("error %v, got %q, want status 503 and Connection: close", err, all)
 		}
 	}
 	if len(began) != 0 {
-		t.Error("a refused request was handled")
+		t.Error("a rejected request was handled")
 	}
 }
