--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads what a node is configured with at its start: the EDGE_* variables, the JSON they name and the
-// operators' file. The settings in the JSON become path=value pairs, as the simulator sends them, and go through
-// simprotocol.FromPairs. The package keeps no state.
+// Package config reads the configuration of a node: the EDGE_* environment variables, the JSON file that EDGE_CONFIG
+// names, and the operator's file. The settings in the JSON are converted to path=value pairs, the simulator's format,
+// and parsed by simprotocol.FromPairs. The package keeps no state.
 package config
 
 import (
@@ -19,33 +19,33 @@
 	"gatetack/internal/simprotocol"
 )
 
-// Config is a node's configuration. Settings are the decision module's own; beside them is only what the module does
-// not use: names, addresses and the platform's limits.
+// Config is the configuration of a node. Settings are those of the dispatch module; the other fields are not used by
+// the module: names, addresses and the platform's limits.
 type Config struct {
 	Name string
-	Seed uint64 // of the decision module's random numbers
+	Seed uint64 // seed of the dispatch module's random numbers
 
 	// Addresses.
-	Listen     string // of the clients' front
-	Operator   string // of the operator's front; empty: none
+	Listen     string // address of the clients' front
+	Operator   string // address of the operator's front; empty: none
 	Discovery  string
-	PeerListen string   // of messages from other nodes; empty: none
-	PeersAll   string   // of the group that all nodes are in
-	Peers      []string // of the other nodes
-	// Passed is the descriptor of the clients' listening socket that the platform holds and hands to every process of
-	// the node, from EDGE_PASSED_SOCKET; -1 where none is passed and the node listens by itself.
+	PeerListen string   // address for messages from other nodes; empty: none
+	PeersAll   string   // multicast address of all nodes
+	Peers      []string // addresses of the other nodes
+	// Passed is the descriptor of the clients' listening socket that the platform owns and passes to every process of
+	// the node, from EDGE_PASSED_SOCKET; -1 if none is passed and the node opens its own socket.
 	Passed int
 
-	// What the node works by.
-	Known    node.EndpointList // the endpoint list that it had at its last end
+	// Endpoint list, settings and limits.
+	Known    node.EndpointList // endpoint list cached from the previous run
 	Settings dispatch.Settings
 	Names    node.Names
 	Limits   limits.Limits
 
-	document gjson.Result // the JSON as it was read
+	document gjson.Result // the parsed JSON
 }
 
-// Parse reads a node's JSON.
+// Parse reads the JSON configuration of a node.
 func Parse(data []byte) (*Config, error) {
 	if !gjson.ValidBytes(data) {
 		return nil, errors.New("not valid JSON")
@@ -73,7 +73,7 @@
 	return c, nil
 }
 
-// parseSettings takes the settings and the names in them.
+// parseSettings sets Settings and Names from the pairs.
 func (c *Config) parseSettings(pairs map[string]string) error {
 	var err error
 	if c.Settings, err = simprotocol.FromPairs(pairs); err != nil {
@@ -85,7 +85,7 @@
 			return fmt.Errorf("settings.%s: %v, expected milliseconds over 0", key, class.Deadline)
 		}
 	}
-	if _, err = dispatch.New(c.Settings, 0); err != nil { // its own check of what it can work with
+	if _, err = dispatch.New(c.Settings, 0); err != nil { // dispatch validates the settings
 		return err
 	}
 	c.Names = node.Names{
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// parseKnown takes the endpoint list that the node had at its last end.
+// parseKnown sets the endpoint list cached from the previous run.
 func (c *Config) parseKnown(known gjson.Result) error {
 	if known.IsObject() {
 		var err error
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// setLimits bounds the node by what the platform grants and the settings need.
+// setLimits computes the node's limits from the resources that the platform grants and from the settings.
 func (c *Config) setLimits(granted gjson.Result, pairs map[string]string) {
 	s := &c.Settings
 	c.Limits = limits.New(int(granted.Get("sockets").Int()), int(granted.Get("memory_mb").Int()),
@@ -122,7 +122,7 @@
 	}
 }
 
-// longestDeadline is that of any class.
+// longestDeadline returns the longest deadline of all classes.
 func longestDeadline(classes []dispatch.Class) time.Duration {
 	longest := 0.0
 	for _, class := range classes {
@@ -131,7 +131,7 @@
 	return node.FromMs(longest)
 }
 
-// Check reports whether the node can be reached, and can reach discovery unless an inventory takes its place.
+// Check validates the node's addresses. The address of discovery is required unless f names an inventory.
 func (c *Config) Check(f *File) error {
 	addresses := []struct{ name, address string }{{"listen", c.Listen}}
 	if f.Inventory.File == "" {
@@ -148,13 +148,13 @@
 	return nil
 }
 
-// Parameters of the FNV-1a hash, 64 bits.
+// Parameters of the 64-bit FNV-1a hash.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// parseSeed takes a hexadecimal number; any other text is hashed, so that it is still a seed.
+// parseSeed parses a hexadecimal number. Any other text is hashed to a seed.
 func parseSeed(text string) uint64 {
 	if v, err := strconv.ParseUint(strings.TrimPrefix(text, "0x"), 16, 64); err == nil {
 		return v
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,8 +29,8 @@
   {"name":"area-render","aim":1500.0,"effect":"guarded","dedupScope":"cell","window":40000.0}],
  "tenants":[{"name":"acme","portion":0.3,"quotaRps":8.0}]}}`
 
-// The JSON of a node and the pairs of the simulator's pipe give the same settings.
-func TestOnePathToSettings(t *testing.T) {
+// The JSON of a node and the equivalent pairs of the simulator result in the same settings.
+func TestJSONAndPairsGiveSameSettings(t *testing.T) {
 	c, err := Parse([]byte(sample))
 	if err != nil {
 		t.Fatal(err)
@@ -81,15 +81,16 @@
 		!reflect.DeepEqual(c.Names.Tenants, []string{"acme"}) ||
 		!reflect.DeepEqual(c.Names.Zones, []string{"a", "b"}) ||
 		c.PeersAll != "127.3.255.1:7946" {
-		t.Errorf("%+v", c)
+		t.Errorf("unexpected configuration %+v", c)
 	}
 	if l := c.Limits; l.ClientConns+l.OverflowConns+l.ExecutorConns+l.CancelConns+l.BatchConns*5/4 > 1024-60 {
-		t.Errorf("the budgets add up to more descriptors than there are: %+v", l)
+		t.Errorf("the connection limits exceed the available descriptors: %+v", l)
 	}
 }
 
-// Read again, the file says where discovery is: EDGE_DISCOVERY is as old as the file that it came with.
-func TestReloadRejectsFilesThatLackKeysAndFollowsDiscovery(t *testing.T) {
+// A reload takes the address of discovery from the file, since EDGE_DISCOVERY is outdated after the start, and rejects
+// a file that lacks keys of the active configuration.
+func TestReloadRejectsMissingKeysAndUpdatesDiscovery(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"EDGE_CONFIG": path, "EDGE_DISCOVERY": "127.0.0.1:8500", "EDGE_NAME": "n3"}
 	getenv := func(name string) string { return env[name] }
@@ -107,18 +108,18 @@
 	put(moved)
 	next, err := c.Reload(getenv)
 	if err != nil || next.Discovery != "127.0.0.9:8500" || len(c.NeedRestart(next)) != 0 {
-		t.Errorf("%v %+v", err, next)
+		t.Errorf("reload with another discovery: error %v, got %+v", err, next)
 	}
 	put(strings.Replace(moved, `"aim":400.0`, `"aim":500.0`, 1))
 	if next, err = c.Reload(getenv); err != nil || len(c.NeedRestart(next)) != 0 || !c.RulesDiffer(next) {
-		t.Errorf("%v %v", err, c.NeedRestart(next))
+		t.Errorf("reload with another latency objective: error %v, restart needed for %v", err, c.NeedRestart(next))
 	}
 	put(strings.Replace(moved, `"step":4.0`, `"step":5.0`, 1))
 	if next, err = c.Reload(getenv); err != nil || len(c.NeedRestart(next)) != 1 {
-		t.Errorf("%v %v", err, c.NeedRestart(next))
+		t.Errorf("reload with another step: error %v, restart needed for %v", err, c.NeedRestart(next))
 	}
 	c.Adopt(next)
-	// A file that is short of a key, or of what a key must be, says so by the file, the field and what was expected.
+	// The error for an absent key or invalid value names the file, the field and the expected value.
 	for _, x := range []struct{ old, new, want string }{
 		{`"discovery":"127.0.0.1:8500",`, "", "discovery: absent"},
 		{`"maxAttempts":3,`, "", "settings.limits.maxAttempts: absent"},
@@ -137,22 +138,22 @@
 			getenv,
 		); err == nil || !strings.Contains(err.Error(), x.want) ||
 			!strings.Contains(err.Error(), path) {
-			t.Errorf("%s: %v, want %q", x.old, err, x.want)
+			t.Errorf("without %s: got error %v, want %q", x.old, err, x.want)
 		}
 	}
 	more := `{"name":"draft","aim":90.0,"effect":"free"},`
 	put(strings.Replace(sample, `{"name":"tile-charge"`, more+`{"name":"tile-charge"`, 1))
 	if next, err = c.Reload(getenv); err != nil || len(next.Names.Classes) != 3 {
-		t.Errorf("a class more: %v", err)
+		t.Errorf("reload with an additional class: %v", err)
 	}
 	put(moved[:200])
 	if _, err = c.Reload(getenv); err == nil {
-		t.Error("half a file was read")
+		t.Error("reload accepted a truncated file")
 	}
 }
 
-// Garbage ends in an error or in settings that the module can work with.
-func TestParseOfCorruptedFileFailsOrGivesUsableSettings(t *testing.T) {
+// Parsing a corrupted file returns an error or settings that the dispatch module accepts.
+func TestParseOfCorruptedFileFailsOrGivesValidSettings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := []byte(sample)
 		for range rapid.IntRange(1, 6).Draw(t, "hits") {
@@ -166,8 +167,8 @@
 	})
 }
 
-// The variables stand for what the JSON says otherwise; an address that is none is refused by its name.
-func TestVariablesGoBeforeTheFile(t *testing.T) {
+// The environment variables override the file, and Check names an invalid address.
+func TestEnvironmentOverridesFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(sample), 0o600); err != nil {
 		t.Fatal(err)
@@ -175,24 +176,24 @@
 	env := map[string]string{"EDGE_CONFIG": path, "EDGE_NAME": "n9", "EDGE_LISTEN": "127.0.0.9:1"}
 	c, err := FromEnv(func(k string) string { return env[k] })
 	if err != nil || c.Name != "n9" || c.Listen != "127.0.0.9:1" || c.Discovery != "127.0.0.1:8500" {
-		t.Errorf("%+v %v", c, err)
+		t.Errorf("got %+v, %v", c, err)
 	}
 	env["EDGE_DISCOVERY"] = "nowhere"
 	c, err = FromEnv(func(k string) string { return env[k] })
 	if err != nil || c.Check(&File{}) == nil || !strings.Contains(c.Check(&File{}).Error(), "discovery") {
-		t.Errorf("%v", err)
+		t.Errorf("Check accepted an invalid address of discovery, or FromEnv failed: %v", err)
 	}
 	var f File
 	if f.Inventory.File = "boxes.csv"; c.Check(&f) != nil {
-		t.Error("with an inventory, discovery is not needed")
+		t.Error("Check requires discovery although there is an inventory")
 	}
 	if _, err = FromEnv(func(string) string { return "" }); err == nil {
-		t.Error("no configuration, and no error")
+		t.Error("FromEnv returned no error without EDGE_CONFIG")
 	}
 }
 
-// The operator's file: unknown keys and addresses beyond this machine are refused.
-func TestOperatorsFileRejectsUnknownKeysAndForeignAddresses(t *testing.T) {
+// The operator's file is rejected with unknown keys, invalid values, or addresses other than loopback without keys.
+func TestOperatorFileRejectsUnknownKeysAndNonLoopbackAddresses(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                    "",
 		"batch:\n  listen: 127.0.0.1:8480\n":  "",
@@ -221,7 +222,7 @@
 	} {
 		_, err := parseFile([]byte(text), "")
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want an error about %q", text, err, want)
+			t.Errorf("%q: got error %v, want one containing %q", text, err, want)
 		}
 	}
 	if _, err := ReadFile("../../deploy/gatetack.yaml"); err != nil {
@@ -229,14 +230,14 @@
 	}
 }
 
-// EDGE_PASSED_SOCKET names a descriptor, or the socket that comes as descriptor 3; a standard stream is no socket.
-func TestPassedDescriptorIsANumberOrTheFirst(t *testing.T) {
+// EDGE_PASSED_SOCKET is the number of a descriptor, or a name for descriptor 3. Standard streams are rejected.
+func TestPassedDescriptorIsNumberOrDefault(t *testing.T) {
 	for text, want := range map[string]int{"": -1, "3": 3, " 7 ": 7, "clients": 3} {
 		if got, err := passedDescriptor(text); err != nil || got != want {
-			t.Errorf("%q: %d %v, want %d", text, got, err, want)
+			t.Errorf("%q: got %d, %v, want %d", text, got, err, want)
 		}
 	}
 	if _, err := passedDescriptor("1"); err == nil {
-		t.Error("standard output taken for the passed socket")
+		t.Error("standard output was accepted as the passed socket")
 	}
 }
--- a/internal/config/environment.go
+++ b/internal/config/environment.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// FromEnv reads EDGE_CONFIG and lets the other variables stand for what it lacks.
+// FromEnv reads the file that EDGE_CONFIG names. The other EDGE_* variables, if set, override its values.
 func FromEnv(getenv func(string) string) (*Config, error) {
 	path := getenv("EDGE_CONFIG")
 	if path == "" {
@@ -39,15 +39,15 @@
 	return c, nil
 }
 
-// notPassed is the descriptor of a socket that is not passed.
+// notPassed is the value of Config.Passed if no socket is passed.
 const notPassed = -1
 
-// firstPassed is the descriptor as which the platform passes the clients' listening socket; lower ones are the standard
-// streams.
+// firstPassed is the first descriptor after the standard streams, with which the platform passes the clients' listening
+// socket.
 const firstPassed = 3
 
-// passedDescriptor reads EDGE_PASSED_SOCKET: a descriptor's number, or any other name for the socket, which the
-// platform passes as descriptor 3. Empty: none is passed.
+// passedDescriptor parses the value of EDGE_PASSED_SOCKET: the number of a descriptor, or any other name of the socket,
+// which is then passed as descriptor 3. An empty value means that no socket is passed.
 func passedDescriptor(text string) (int, error) {
 	text = strings.TrimSpace(text)
 	if text == "" {
@@ -55,7 +55,7 @@
 	}
 	descriptor, err := strconv.Atoi(text)
 	if err != nil {
-		return firstPassed, nil // a name
+		return firstPassed, nil // the value is a name
 	}
 	if descriptor < firstPassed {
 		return 0, fmt.Errorf("EDGE_PASSED_SOCKET: descriptor %d is a standard stream; expected 3 or above", descriptor)
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -19,55 +19,56 @@
 	"gatetack/internal/slowpeer"
 )
 
-// File is what an operator sets beside the platform's configuration: what is off without it.
+// File is the operator's configuration file. It enables features in addition to the platform's configuration, which are
+// off without the file.
 type File struct {
-	// A node that is alone: what the platform would tell it, in the platform's names.
+	// Node configures a standalone node. It replaces the platform's configuration and uses its names.
 	Node struct {
 		Name      string         `yaml:"name"`
 		Listen    string         `yaml:"listen"`
-		Discovery string         `yaml:"discovery"` // or an inventory
-		Limits    map[string]any `yaml:"limits"`    // sockets, memory_mb
+		Discovery string         `yaml:"discovery"` // not needed with an inventory
+		Limits    map[string]any `yaml:"limits"`    // keys: sockets, memory_mb
 		Settings  map[string]any `yaml:"settings"`
 	} `yaml:"node"`
 	Batch struct {
-		Listen string `yaml:"listen"` // where batch clients connect; empty: no batch front
-		Keys   string `yaml:"keys"`   // a folder of keys: clients need one of the same authority's
-		// where its jobs are on record, for a node without the replicated store; empty: nowhere
+		Listen string `yaml:"listen"` // address of the batch front; empty: no batch front
+		Keys   string `yaml:"keys"`   // directory of keys; clients need a certificate of the same authority
+		// directory in which a node without the replicated store persists its jobs; empty: jobs are not persisted
 		Dir string `yaml:"dir"`
 	} `yaml:"batch"`
 	Inventory struct {
-		File string `yaml:"file"` // .csv or .yaml, in place of discovery; empty: discovery
+		File string `yaml:"file"` // .csv or .yaml file that replaces discovery; empty: discovery is used
 	} `yaml:"inventory"`
 	Store struct {
 		Dir    string `yaml:"dir"` // empty: no store
 		Listen string `yaml:"listen"`
-		// addresses by node name, this node's among them, of a store that begins
+		// addresses by node name, including this node, of the members of a new store
 		Members map[string]string `yaml:"members"`
-		// a folder of keys, by which members know one another; without it only loopback addresses are taken
+		// directory of keys with which members authenticate each other; without it only loopback addresses are allowed
 		Keys string `yaml:"keys"`
-		Join string `yaml:"join"` // a member of a store that is there, which this node is to join
-		// a folder in the machine's memory: how far this member got; empty: nowhere; left out: /dev/shm
+		Join string `yaml:"join"` // address of a member of an existing store that this node joins
+		// directory in memory for the progress of this member; empty: none; absent: /dev/shm
 		Marks *string `yaml:"marks"`
 		Trust bool    `yaml:"trust_disk"`
 	} `yaml:"store"`
 	Settings struct {
-		// settings come through the store: this node's own member, or those it follows
+		// settings are read from the store: from this node's own member, or from the members that it follows
 		Enabled bool     `yaml:"enabled"`
-		Follow  []string `yaml:"follow"` // members of the store to follow, for a node that is none
-		// a folder of keys, by which the members know who follows; without it only loopback addresses are taken
+		Follow  []string `yaml:"follow"` // addresses of the members that a node without a member follows
+		// directory of keys with which this node authenticates to members; without it only loopback addresses are allowed
 		Keys  string `yaml:"keys"`
-		Cache string `yaml:"cache"` // a file that keeps the settings in force, with which the node starts; empty: none
+		Cache string `yaml:"cache"` // file that caches the active settings for the next start; empty: none
 	} `yaml:"settings"`
 	Data struct {
-		// which data sets stand where, and the links between halls; empty: no hall costs a job more for its inputs
+		// file with the locations of data sets and the links between zones; empty: placement ignores a job's inputs
 		File string `yaml:"file"`
 	} `yaml:"data"`
-	// what is asked of slow peers; a figure that is left out stays as it is without the file
+	// limits for slow peers; absent values keep their defaults
 	Pace slowpeer.Policy `yaml:"pace"`
 }
 
-// ReadFile reads the file that serve --config names. A key that is not known is an error: it may be a typing
-// error in one that is.
+// ReadFile reads the operator's file, which serve --config names. An unknown key is an error, since it may be a
+// misspelled known key.
 func ReadFile(path string) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -110,7 +111,7 @@
 	return f, nil
 }
 
-// resolvePaths makes relative paths those below the folder of the file that names them.
+// resolvePaths resolves relative paths against dir, the directory of the file.
 func (f *File) resolvePaths(dir string) {
 	paths := []*string{&f.Inventory.File, &f.Store.Dir, &f.Batch.Dir, &f.Store.Keys, &f.Batch.Keys, &f.Data.File,
 		&f.Settings.Keys, &f.Settings.Cache}
@@ -124,7 +125,7 @@
 	}
 }
 
-// checkNode reports what is wrong with the section on a node that is alone.
+// checkNode validates the section node of a standalone node.
 func (f *File) checkNode(data []byte) error {
 	if !f.Alone() {
 		return nil
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// checkStore reports what is wrong with the section on the replicated store.
+// checkStore validates the section store.
 func (f *File) checkStore(data []byte) error {
 	if f.Store.Dir == "" || f.Store.Keys != "" {
 		return nil
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// checkSettings reports what is wrong with the section on settings through the store.
+// checkSettings validates the section settings.
 func (f *File) checkSettings() error {
 	isMember := f.Store.Dir != ""
 	switch s := &f.Settings; {
@@ -181,8 +182,8 @@
 	return nil
 }
 
-// checkLoopback reports whether an address is one that only this machine reaches: neither the front nor the store has
-// a log-in.
+// checkLoopback returns an error unless the address is a loopback address: without keys, neither the batch front nor
+// the store authenticates its clients.
 func checkLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -194,10 +195,10 @@
 	return nil
 }
 
-// Alone reports whether the file names the node, and so stands for all that the platform would tell it.
+// Alone reports whether the file names the node and therefore replaces the platform's configuration.
 func (f *File) Alone() bool { return f.Node.Name != "" }
 
-// nodeDocument is the part of the platform's JSON that a file's section node gives.
+// nodeDocument is the platform's JSON configuration as far as the section node provides it.
 type nodeDocument struct {
 	Name      string         `json:"name"`
 	Listen    string         `json:"listen"`
@@ -207,8 +208,8 @@
 	Settings  map[string]any `json:"settings"`
 }
 
-// Config makes of the file's section node what the platform's JSON would have been, and reads it as that: settings have
-// one path, whoever gives them.
+// Config converts the section node to the platform's JSON configuration and parses that, so that settings of both
+// sources take the same path.
 func (f *File) Config() (*Config, error) {
 	data, err := json.Marshal(nodeDocument{Name: f.Node.Name, Listen: f.Node.Listen, Discovery: f.Node.Discovery,
 		Seed: strconv.FormatUint(rand.Uint64(), 16), Limits: f.Node.Limits, Settings: f.Node.Settings})
@@ -218,7 +219,7 @@
 	return Parse(data)
 }
 
-// lineOf returns the line of a field in a file that can be read, or that of its innermost parent there.
+// lineOf returns the line of a field in a YAML document, or the line of its innermost existing parent.
 func lineOf(data []byte, path []string) int {
 	var doc yaml.Node
 	if yaml.Unmarshal(data, &doc) != nil || len(doc.Content) == 0 {
@@ -235,7 +236,7 @@
 	return line
 }
 
-// child returns the key and the value of a name in a mapping, nil where there is none.
+// child returns the key and value nodes of a name in a mapping, or nil if it has none.
 func child(mapping *yaml.Node, name string) (key, value *yaml.Node) {
 	if mapping.Kind != yaml.MappingNode {
 		return nil, nil
@@ -248,11 +249,11 @@
 	return nil, nil
 }
 
-// sharedMemory is a folder in the machine's memory.
+// sharedMemory is a directory in the memory of the machine.
 const sharedMemory = "/dev/shm"
 
-// StoreMarks is where the store keeps how far this member got: memory that outlives the process and not the machine's
-// boot.
+// StoreMarks returns the directory in which the store records the progress of this member, or "" for none. The
+// directory is in memory that survives the process but not a reboot.
 func (f *File) StoreMarks() string {
 	if f.Store.Marks != nil {
 		return *f.Store.Marks
--- a/internal/config/pairs.go
+++ b/internal/config/pairs.go
@@ -7,8 +7,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// flatten writes nested JSON as the pairs of the simulator's first message: a list of plain values is joined with
-// commas, a list of objects has its length under .count and its items under their numbers.
+// flatten converts nested JSON to the pairs of the simulator's first message. A list of scalars becomes one value
+// joined with commas; a list of objects has its length under .count and each item under its index.
 func flatten(pairs map[string]string, path string, v gjson.Result) {
 	switch {
 	case v.IsObject():
@@ -39,7 +39,7 @@
 	pairs[path] = strings.Join(texts, ",")
 }
 
-// below is the path of a key of the value at a path.
+// below returns the path of a key of the object at path.
 func below(path, key string) string {
 	if path == "" {
 		return key
@@ -47,7 +47,8 @@
 	return path + "." + key
 }
 
-// plainText is a plain value as a pair has it: blanks and commas separate pairs and items there.
+// plainText returns a scalar as the value of a pair. Spaces and commas are replaced, since they separate pairs and list
+// items.
 func plainText(v gjson.Result) string {
 	if v.Type == gjson.String {
 		return strings.NewReplacer(" ", "_", ",", "_").Replace(v.Str)
@@ -55,7 +56,7 @@
 	return v.Raw
 }
 
-// splitList is the list of a pair.
+// splitList splits the value of a pair into list items.
 func splitList(text string) []string {
 	if text == "" {
 		return nil
@@ -63,7 +64,7 @@
 	return strings.Split(text, ",")
 }
 
-// namesOf are the names of the items of a list of objects.
+// namesOf returns the names of the items of a list of objects.
 func namesOf(pairs map[string]string, list string, items int) []string {
 	var names []string
 	for i := range items {
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -12,9 +12,9 @@
 	"gatetack/internal/dispatch"
 )
 
-// Reload reads the configuration once more after its file was replaced. Discovery is where the new file has it: the
-// EDGE_DISCOVERY of the start is as old as the file that it came with. A file that lacks a key which the one in force
-// has was truncated or written in part, and is rejected: what would stand for the key is not what anybody chose.
+// Reload reads the configuration again after its file was replaced. The address of discovery is taken from the new
+// file: EDGE_DISCOVERY was set together with the old file and is outdated. Reload rejects a file without a key that
+// the active configuration has: it is truncated or partially written, and a default would replace a configured value.
 func (c *Config) Reload(getenv func(string) string) (*Config, error) {
 	next, err := FromEnv(func(name string) string {
 		if name == "EDGE_DISCOVERY" {
@@ -26,20 +26,20 @@
 		return nil, err
 	}
 	if next.Discovery == "" {
-		next.Discovery = c.Discovery // where the start's file named none either
+		next.Discovery = c.Discovery // the file does not name discovery
 	}
 	if path := missingKey(c.document, next.document, ""); path != "" {
 		return nil, fmt.Errorf("%s: %s: absent, expected as in the file that is in force", getenv("EDGE_CONFIG"), path)
 	}
-	next.Limits.SlowPeers = c.Limits.SlowPeers // of the operators' file, which is read at the start
+	next.Limits.SlowPeers = c.Limits.SlowPeers // from the operator's file, which is read only at the start
 	return next, nil
 }
 
-// optionalKeys are keys that a file may have or not from one start to the next.
+// optionalKeys are the top-level keys that a new file may lack.
 var optionalKeys = []string{"known", "seed", "peers"}
 
-// missingKey returns the path of a key that an older document has and a newer one has not, empty for none. Of a list of
-// objects each item must have the keys that all items had before.
+// missingKey returns the path of a key that the old document has and the new one lacks, or "". In a list of objects,
+// each new item must have the keys that all old items have in common.
 func missingKey(old, next gjson.Result, path string) string {
 	switch {
 	case old.IsObject():
@@ -87,7 +87,7 @@
 	return ""
 }
 
-// commonKeys are the keys that all items of a list of objects have, none where an item is no object.
+// commonKeys returns the keys that all items of a list of objects have, or none if an item is not an object.
 func commonKeys(items []gjson.Result) []string {
 	var common []string
 	for i, item := range items {
@@ -103,7 +103,8 @@
 	return common
 }
 
-// NeedRestart names what differs in a configuration that was read again and holds only from the next start on.
+// NeedRestart returns the names of the parts that differ in a reloaded configuration and take effect only after a
+// restart.
 func (c *Config) NeedRestart(next *Config) []string {
 	var names []string
 	for _, part := range []struct {
@@ -124,13 +125,13 @@
 	return names
 }
 
-// Adopt takes over what holds at once of a configuration that was read again and put in force. What NeedRestart names
-// stays as it was.
+// Adopt copies from a reloaded configuration the parts that take effect without a restart. The parts that NeedRestart
+// names are unchanged.
 func (c *Config) Adopt(next *Config) {
 	c.Discovery, c.Settings, c.Names, c.document = next.Discovery, next.Settings, next.Names, next.document
 }
 
-// fixedSettings are what a change of the rules leaves alone, see dispatch.Dispatcher.Retune.
+// fixedSettings are the settings that dispatch.Dispatcher.Retune does not change.
 type fixedSettings struct {
 	settings             dispatch.Settings
 	zones, kinds, fields []string
@@ -143,8 +144,8 @@
 	return fixedSettings{settings: s, zones: c.Names.Zones, kinds: c.Names.Kinds, fields: c.Names.Fields}
 }
 
-// RulesDiffer reports whether a configuration that was read again has other classes, tenants, attempts, prices or
-// priority weights.
+// RulesDiffer reports whether the settings or names of a reloaded configuration differ. It is used to detect changes of
+// classes, tenants, attempts, fees or priority weights.
 func (c *Config) RulesDiffer(next *Config) bool {
 	return !reflect.DeepEqual(c.Settings, next.Settings) || !reflect.DeepEqual(c.Names, next.Names)
 }
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -1,12 +1,13 @@
-// Package filter is the small language in which jobs and machines are selected, by the batch front's calls and by the
-// command line alike:
+// Package filter implements the filter language for jobs and machines that the calls of the batch front and the command
+// line share:
 //
 //	state in (QUEUED, RUNNING) and category = "area-render" and submitted > 5m ago
 //
-// A condition compares a field with a value: = != < <= > >= for numbers and times, = != ~ (holds) for text, "in" and
-// "not in" for lists of values. Conditions are joined by and, or, not and parentheses; and binds closer than or. A time
-// is written as RFC 3339 has it, or as a span ago: 90s ago, 5m ago, 2h ago, 1d ago; a span alone is a length of time.
-// Words are compared without regard to case. Errors name the column. The package keeps no state.
+// A condition compares a field with a value: = != < <= > >= for numbers and times, = != ~ (contains) for text, and
+// "in" and "not in" for lists of values. Conditions are combined with and, or, not and parentheses; and has a higher
+// precedence than or. A time is written in RFC 3339 format or relative to now: 90s ago, 5m ago, 2h ago, 1d ago. A span
+// without "ago" is a duration. Text is compared case-insensitively. Errors name the column. The package keeps no
+// state.
 package filter
 
 import (
@@ -21,25 +22,25 @@
 // Kind is the type of a field's value.
 type Kind uint8
 
-// The kinds.
+// The kinds and the Go types of their values.
 const (
-	Text   Kind = iota // a string
-	Word               // a string out of a list
-	Number             // a float64
-	Time               // a time.Time
-	Span               // a time.Duration
-	List               // a []string, which is equal to each of its members
+	Text   Kind = iota // string
+	Word               // string that is one of Field.Words
+	Number             // float64
+	Time               // time.Time
+	Span               // time.Duration
+	List               // []string, which is equal to each of its elements
 )
 
-// Field is one that conditions may name.
+// Field describes a field that conditions may name.
 type Field struct {
 	Name  string
 	Kind  Kind
-	Words []string // of a Word
+	Words []string // allowed values of a field of kind Word
 	Help  string
 }
 
-// Schema has all fields.
+// Schema lists all fields.
 type Schema []Field
 
 func (s Schema) find(name string) *Field {
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// Names lists the fields, for messages.
+// Names returns the names of the fields, separated by commas, for messages.
 func (s Schema) Names() string {
 	names := make([]string, len(s))
 	for i := range s {
@@ -60,24 +61,24 @@
 	return strings.Join(names, ", ")
 }
 
-// Row returns a field's value: a string, float64, time.Time, time.Duration or []string as the field's kind says.
-// Nil is a value that is absent: it is equal to nothing, and different from everything.
+// Row returns the value of a field, of the Go type of the field's kind. A nil value is absent: it is equal to no value
+// and different from every value.
 type Row func(name string) any
 
-// Error is what is wrong with a filter.
+// Error describes an invalid filter.
 type Error struct {
-	Column int // from 1
+	Column int // starts at 1
 	Text   string
 }
 
-// Error names the column and what is wrong there.
+// Error returns the column and the description of the error.
 func (e *Error) Error() string { return fmt.Sprintf("column %d: %s", e.Column, e.Text) }
 
-// MaxText bounds a filter, in bytes.
+// MaxText is the maximum length of a filter in bytes.
 const MaxText = 4096
 
-// maxDepth bounds how deep parentheses are nested. The parser calls itself for each: a text of nothing else must
-// not use up the stack.
+// maxDepth bounds the nesting of parentheses. The parser recurses for each level, and a filter of parentheses alone
+// must not exhaust the stack.
 const maxDepth = 64
 
 // Filter selects rows.
@@ -86,7 +87,7 @@
 	match predicate // nil: all rows
 }
 
-// Parse reads a filter. An empty one selects everything.
+// Parse parses a filter. An empty filter selects all rows.
 func Parse(s Schema, text string) (*Filter, error) {
 	f := &Filter{text: text}
 	if strings.TrimSpace(text) == "" {
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// syntaxError is the error of the parser, with the column where it knows it.
+// syntaxError converts an error of the parser, with its column if the parser knows it.
 func syntaxError(err error) *Error {
 	if at := participle.Error(nil); errors.As(err, &at) {
 		return &Error{max(at.Position().Column, 1), at.Message()}
@@ -131,8 +132,8 @@
 	return &Error{1, err.Error()}
 }
 
-// String is the filter as it was written.
+// String returns the text of the filter.
 func (f *Filter) String() string { return f.text }
 
-// Match reports whether a row is selected.
+// Match reports whether the filter selects a row. Relative times refer to now.
 func (f *Filter) Match(row Row, now time.Time) bool { return f.match == nil || f.match(row, now) }
--- a/internal/filter/filter_test.go
+++ b/internal/filter/filter_test.go
@@ -62,15 +62,15 @@
 	} {
 		f, err := Parse(schema, text)
 		if err != nil {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: parse error %v", text, err)
 		} else if got := f.Match(row, now); got != want || f.String() != text {
-			t.Errorf("%s: %v", text, got)
+			t.Errorf("%s: got %v", text, got)
 		}
-		// What is not there is equal to nothing and different from everything.
+		// An absent value is equal to no value and different from every value.
 		if f != nil && f.Match(func(string) any { return nil }, now) && strings.Contains(text, "=") &&
 			!strings.Contains(text, "not") &&
 			!strings.Contains(text, "!=") {
-			t.Errorf("%s selects a row without values", text)
+			t.Errorf("%s: unexpected result for a row without values", text)
 		}
 	}
 	if f, err := Parse(
@@ -78,11 +78,11 @@
 		`submitted != 4m ago`,
 	); err != nil ||
 		!f.Match(func(string) any { return time.Time{} }, now) {
-		t.Error("a time that is not there is equal to one")
+		t.Error("an absent time is equal to a time")
 	}
 }
 
-func TestErrorsNameTheColumn(t *testing.T) {
+func TestErrorsNameColumn(t *testing.T) {
 	for text, want := range map[string]string{
 		`colour = red`:                     `column 1: no field is named "colour"`,
 		`state = asleep`:                   "column 9: state is compared with one of QUEUED",
@@ -99,12 +99,12 @@
 		_, err := Parse(schema, text)
 		var e *Error
 		if !errors.As(err, &e) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.60s: %v, want %q", text, err, want)
+			t.Errorf("%.60s: got error %v, want one containing %q", text, err, want)
 		}
 	}
 }
 
-// A filter made of parts selects what its parts select.
+// A combined filter selects the rows that follow from the results of its parts.
 func TestFilterAgreesWithItsParts(t *testing.T) {
 	var build func(t *rapid.T, depth int) (string, bool)
 	build = func(t *rapid.T, depth int) (string, bool) {
@@ -132,12 +132,12 @@
 		}
 		f, err := Parse(schema, text)
 		if err != nil || f.Match(row, now) != want {
-			t.Fatalf("%s: %v, want %v", text, err, want)
+			t.Fatalf("%s: error %v, want %v", text, err, want)
 		}
 	})
 }
 
-// No text crashes the parser, and what it rejects it rejects with a column within the text, or just after it.
+// FuzzParse checks that no text crashes the parser and that the column of an error is within the text or just after it.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{`state in (QUEUED)`, `a = "\`, `((((`, `not not not`, `age > 5d ago`,
 		`submitted > 2026-99-99`, "\x00", `priority = 1e9`, `category = "\xff"`} {
@@ -151,7 +151,7 @@
 		}
 		var e *Error
 		if !errors.As(err, &e) || e.Column < 1 || e.Column > len(text)+1 {
-			t.Fatalf("%q: %v", text, err)
+			t.Fatalf("%q: error %v without a valid column", text, err)
 		}
 	})
 }
--- a/internal/filter/grammar.go
+++ b/internal/filter/grammar.go
@@ -5,7 +5,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The grammar, as participle reads it. The names of the types stand in the messages of syntax errors.
+// The grammar in the notation of participle. Syntax errors contain the names of the types.
 type (
 	orNode struct {
 		Pos          lexer.Position
--- a/internal/filter/predicate.go
+++ b/internal/filter/predicate.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// predicate is a filter, or a part of one, ready to be applied.
+// predicate is a compiled filter or part of a filter.
 type predicate func(row Row, now time.Time) bool
 
 func (s Schema) disjunction(n *orNode) (predicate, error) {
@@ -20,7 +20,8 @@
 	return combine(n.Negations, s.negation, false)
 }
 
-// combine returns the predicate of several parts: its value is decisive as soon as one part has that value.
+// combine returns the predicate of several parts: it is equal to decisive if any part is, and to its negation
+// otherwise.
 func combine[N any](nodes []N, build func(N) (predicate, error), decisive bool) (predicate, error) {
 	var parts []predicate
 	for _, n := range nodes {
@@ -72,7 +73,7 @@
 	return func(row Row, now time.Time) bool { return matches(row(field.Name), now) }, nil
 }
 
-// membership is the predicate of "in" and "not in".
+// membership returns the predicate of "in" or "not in".
 func (f *Field) membership(n *condNode) (predicate, error) {
 	var members []comparison
 	for _, v := range n.In {
@@ -89,12 +90,12 @@
 	}, nil
 }
 
-// comparison compares a row's value with the one in the filter.
+// comparison compares the value of a row with the value in the filter.
 type comparison func(value any, now time.Time) bool
 
 var orderOperators = []string{"=", "!=", "<", "<=", ">", ">="}
 
-// comparison returns that of the field with a value.
+// comparison returns the comparison of the field with a value in the filter.
 func (f *Field) comparison(operator string, v *valueNode) (comparison, error) {
 	ordered := slices.Contains(orderOperators, operator)
 	switch f.Kind {
@@ -136,7 +137,7 @@
 	}, nil
 }
 
-// compareNumbers orders two numbers. NaN is equal to all, so that no order of a list rests on it.
+// compareNumbers orders two numbers. NaN compares as equal to every number.
 func compareNumbers(a, b float64) int {
 	switch {
 	case a < b:
@@ -175,12 +176,13 @@
 	return slices.ContainsFunc(f.Words, func(word string) bool { return strings.EqualFold(word, want) })
 }
 
-// mismatch is the error of a value or an operator that the field is not compared with.
+// mismatch returns the error for a value or an operator that does not fit the kind of the field.
 func (f *Field) mismatch(v *valueNode, want string) error {
 	return &Error{v.Pos.Column, fmt.Sprintf("%s is compared with %s", f.Name, want)}
 }
 
-// holds reports whether an operator holds for two values in an order. An absent value is equal to nothing.
+// holds reports whether an operator is satisfied by two values that compare as order. An absent value satisfies only
+// !=.
 func holds(operator string, present bool, order int) bool {
 	if !present {
 		return operator == "!="
--- a/internal/filter/value.go
+++ b/internal/filter/value.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// hoursPerDay is the length of a day: spans have no time zone.
+// hoursPerDay is the length of a day in spans, which have no time zone.
 const hoursPerDay = 24
 
-// text is a value as text: a word, a quoted string, or an id that looks like a number.
+// text returns the value as text: a word, a quoted string, or an id that looks like a number.
 func (v *valueNode) text() (string, bool) {
 	switch {
 	case v.Word != nil:
@@ -27,7 +27,7 @@
 	return "", false
 }
 
-// span is a value as a length of time.
+// span returns the value as a duration.
 func (v *valueNode) span() (time.Duration, bool) {
 	if v.Span == nil {
 		return 0, false
@@ -41,7 +41,7 @@
 	return span, err == nil && span >= 0
 }
 
-// time is a value as a time, which for a span ago depends on now.
+// time returns a function from now to the value as a time. Only a span followed by "ago" depends on now.
 func (v *valueNode) time() (at func(now time.Time) time.Time, ok bool) {
 	if v.Ago {
 		span, ok := v.span()
--- a/internal/inventory/parse.go
+++ b/internal/inventory/parse.go
@@ -18,13 +18,13 @@
 	"gatetack/internal/node"
 )
 
-// RowError is a row that can not be used.
+// RowError reports an invalid row of an inventory.
 type RowError struct {
 	Line int
 	Err  error
 }
 
-// Error names the line and the reason.
+// Error returns the line and the reason.
 func (e *RowError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
 // Unwrap returns the reason.
@@ -34,17 +34,17 @@
 	return &RowError{line, fmt.Errorf(format, args...)}
 }
 
-// columns of a row, all of them needed.
+// columns are the columns of a row, all of which are required.
 var columns = []string{"name", "address", "zone", "type", "group", "status"}
 
-// groupBits is the width of a group's number.
+// groupBits is the width of a group number in bits.
 const groupBits = 16
 
-// Parse reads an inventory, whose name says its format. One bad row rejects the whole, so that a file that was half
-// written removes no executor.
+// Parse reads an inventory in the format given by the extension of its name. A single invalid row rejects the whole
+// inventory, so that a partially written file removes no executor.
 func Parse(name string, data []byte, names node.Names, lim limits.Limits) ([]node.Endpoint, error) {
 	if len(data) > lim.InventoryBytes {
-		return nil, fmt.Errorf("longer than %d bytes", lim.InventoryBytes)
+		return nil, fmt.Errorf("inventory is longer than %d bytes", lim.InventoryBytes)
 	}
 	b := newBuilder(names, lim)
 	var err error
@@ -54,7 +54,7 @@
 	case ".yaml", ".yml":
 		err = b.readYAML(data)
 	default:
-		err = errors.New("neither .csv nor .yaml")
+		err = errors.New("file extension is neither .csv nor .yaml")
 	}
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 type builder struct {
 	names   node.Names
 	limits  limits.Limits
-	lines   map[string]int // of the rows so far, by name and by address
+	lines   map[string]int // lines of the previous rows, by name and by address
 	entries []node.Endpoint
 }
 
@@ -100,11 +100,11 @@
 	}
 }
 
-// readHeader reads the row of column names: all columns, in any order.
+// readHeader reads the header row, which names all columns in any order.
 func readHeader(reader *csv.Reader) ([]string, error) {
 	header, err := reader.Read()
 	if errors.Is(err, io.EOF) {
-		return nil, rowError(1, "no header")
+		return nil, rowError(1, "header is missing")
 	}
 	if err != nil {
 		return nil, csvError(err)
@@ -112,18 +112,18 @@
 	for i := range header {
 		header[i] = strings.ToLower(strings.TrimSpace(header[i]))
 		if !slices.Contains(columns, header[i]) || slices.Contains(header[:i], header[i]) {
-			return nil, rowError(1, "column %q is unknown or stands twice", header[i])
+			return nil, rowError(1, "column %q is unknown or repeated", header[i])
 		}
 	}
 	if len(header) != len(columns) {
-		return nil, rowError(1, "the columns are %s", strings.Join(columns, ", "))
+		return nil, rowError(1, "incomplete header, expected columns %s", strings.Join(columns, ", "))
 	}
 	return header, nil
 }
 
 func csvError(err error) error {
-	if bad, ok := errors.AsType[*csv.ParseError](err); ok {
-		return &RowError{bad.Line, bad.Err}
+	if parseError, ok := errors.AsType[*csv.ParseError](err); ok {
+		return &RowError{parseError.Line, parseError.Err}
 	}
 	return err
 }
@@ -131,10 +131,10 @@
 func (b *builder) readYAML(data []byte) error {
 	var document yaml.Node
 	if err := yaml.Unmarshal(data, &document); err != nil {
-		return err // it names the line itself
+		return err // the error names the line
 	}
 	if len(document.Content) == 0 {
-		return rowError(1, "empty")
+		return rowError(1, "document is empty")
 	}
 	list := document.Content[0]
 	if list.Kind != yaml.SequenceNode {
@@ -152,26 +152,26 @@
 	return nil
 }
 
-// yamlRow reads one item of the list.
+// yamlRow reads one item of the YAML list.
 func yamlRow(item *yaml.Node) (map[string]string, error) {
 	if item.Kind != yaml.MappingNode {
-		return nil, rowError(item.Line, "not a row of names and values")
+		return nil, rowError(item.Line, "row is not a mapping of names to values")
 	}
 	row := map[string]string{}
 	for i := 0; i+1 < len(item.Content); i += 2 {
 		key, value := item.Content[i], item.Content[i+1]
-		if _, twice := row[key.Value]; twice || !slices.Contains(columns, key.Value) {
-			return nil, rowError(key.Line, "%q is unknown or stands twice", key.Value)
+		if _, duplicate := row[key.Value]; duplicate || !slices.Contains(columns, key.Value) {
+			return nil, rowError(key.Line, "%q is unknown or repeated", key.Value)
 		}
 		if value.Kind != yaml.ScalarNode {
-			return nil, rowError(value.Line, "%s is not a plain value", key.Value)
+			return nil, rowError(value.Line, "%s is not a scalar value", key.Value)
 		}
 		row[key.Value] = value.Value
 	}
 	return row, nil
 }
 
-// add checks a row and appends its entry.
+// add validates a row and appends its endpoint.
 func (b *builder) add(line int, row map[string]string) error {
 	if len(b.entries) >= b.limits.InventoryRows {
 		return rowError(line, "more than %d rows", b.limits.InventoryRows)
@@ -182,22 +182,22 @@
 		}
 	}
 	if _, err := netip.ParseAddrPort(row["address"]); err != nil {
-		return rowError(line, "address: %w", err) // there is no DNS
+		return rowError(line, "address: %w", err) // host names are not resolved
 	}
 	group, err := strconv.ParseUint(row["group"], 10, groupBits)
 	switch {
 	case err != nil:
 		return rowError(line, "group: %q is not a number from 0 to 65535", row["group"])
 	case !slices.Contains(b.names.Zones, row["zone"]):
-		return rowError(line, "zone: %q is none of the settings'", row["zone"])
+		return rowError(line, "zone: %q is not in the settings", row["zone"])
 	case !slices.Contains(b.names.Kinds, row["type"]):
-		return rowError(line, "type: %q is none of the settings'", row["type"])
+		return rowError(line, "type: %q is not in the settings", row["type"])
 	case row["status"] != "ready" && row["status"] != "draining":
 		return rowError(line, "status: %q is neither ready nor draining", row["status"])
 	}
 	for _, key := range []string{"name " + row["name"], "address " + row["address"]} {
-		if former, twice := b.lines[key]; twice {
-			return rowError(line, "%s stands on line %d already", key, former)
+		if previous, duplicate := b.lines[key]; duplicate {
+			return rowError(line, "%s is already on line %d", key, previous)
 		}
 		b.lines[key] = line
 	}
--- a/internal/inventory/share.go
+++ b/internal/inventory/share.go
@@ -10,7 +10,7 @@
 	"gatetack/internal/node"
 )
 
-// Keeper is the replicated store, where there is one: a change that one node takes in reaches the others by it.
+// Keeper is the replicated store, through which a change that one node reads reaches the other nodes.
 type Keeper interface {
 	// Put writes a value under a key of a table.
 	Put(ctx context.Context, table, key string, value []byte) error
@@ -18,25 +18,25 @@
 	Local(table, key string) ([]byte, bool)
 }
 
-// Where the store has the inventory.
+// Table and key of the inventory in the store.
 const (
 	storeTable = "config"
 	storeKey   = "inventory"
 )
 
-// inventory is a list of entries and when it was written, in Unix milliseconds.
+// inventory is a list of endpoints with the time at which it was written, in Unix milliseconds.
 type inventory struct {
 	at      int64
 	entries []node.Endpoint
 }
 
-// storedInventory is the inventory in the store. Its keys are stored data and do not change.
+// storedInventory is the encoding of an inventory in the store. Its keys are stored data and must not change.
 type storedInventory struct {
 	At   int64       `json:"at"`
 	Rows []storedRow `json:"rows"`
 }
 
-// storedRow is one executor in the store.
+// storedRow is the encoding of one executor in the store.
 type storedRow struct {
 	Name    string
 	Address string
@@ -48,7 +48,7 @@
 	SinceMS float64
 }
 
-// encode is the inventory as the store has it.
+// encode returns the inventory in the encoding of the store.
 func (v inventory) encode() ([]byte, error) {
 	stored := storedInventory{At: v.at}
 	for _, e := range v.entries {
@@ -58,19 +58,19 @@
 	return json.Marshal(stored)
 }
 
-// storeHas reports whether the store has an inventory that was written at a time or later.
+// storeHas reports whether the store has an inventory that was written at the given time or later.
 func (s *Source) storeHas(at int64) bool {
 	raw, ok := s.store.Local(storeTable, storeKey)
 	if !ok {
 		return false
 	}
 	var stored storedInventory
-	_ = json.Unmarshal(raw, &stored) // one that can not be read is replaced
+	_ = json.Unmarshal(raw, &stored) // an unreadable inventory is replaced
 	return stored.At >= at
 }
 
-// share puts inventories into the store, unless it has later ones, and tries again until it can. It has a goroutine of
-// its own: a store without a leader must not delay what the file says, a drain least of all.
+// share writes inventories to the store, unless it has a later one, and retries until it succeeds. It runs in its own
+// goroutine, since a store without a leader must not delay changes of the file, such as a drain.
 func (s *Source) share(ctx context.Context, in <-chan inventory) {
 	for {
 		select {
@@ -82,7 +82,7 @@
 	}
 }
 
-// putUntilReplaced writes an inventory until that succeeds or a newer one has come.
+// putUntilReplaced retries to write an inventory until the write succeeds or a newer inventory is available.
 func (s *Source) putUntilReplaced(ctx context.Context, latest inventory, in <-chan inventory) {
 	for ctx.Err() == nil && len(in) == 0 {
 		if s.storeHas(latest.at) {
@@ -95,7 +95,7 @@
 		if err == nil {
 			return
 		}
-		s.log.Warn("inventory not shared yet", "err", err)
+		s.log.Warn("inventory not written to the store, retrying", "err", err)
 		select {
 		case <-time.After(s.limits.StoreElectionTimeout):
 		case <-ctx.Done():
@@ -103,8 +103,8 @@
 	}
 }
 
-// shared takes over an inventory that another node has put into the store and that was written later than this one. It
-// reports whether the entries have changed.
+// shared adopts the inventory in the store if another node wrote it and it is later than the current one. It reports
+// whether the entries have changed.
 func (s *Source) shared() bool {
 	raw, ok := s.store.Local(storeTable, storeKey)
 	if !ok || bytes.Equal(raw, s.stored) {
@@ -113,7 +113,7 @@
 	s.stored = raw
 	var stored storedInventory
 	if err := json.Unmarshal(raw, &stored); err != nil {
-		s.log.Error("inventory of the store rejected, the former list stays in use", "err", err)
+		s.log.Error("inventory of the store rejected, keeping the previous list", "err", err)
 		return false
 	}
 	if stored.At <= s.writtenAt {
@@ -124,7 +124,7 @@
 		row := map[string]string{"name": r.Name, "address": r.Address, "zone": r.Zone, "type": r.Kind,
 			"group": r.Group.String(), "status": r.Status}
 		if err := b.add(i+1, row); err != nil {
-			s.log.Error("inventory of the store rejected, the former list stays in use", "err", err)
+			s.log.Error("inventory of the store rejected, keeping the previous list", "err", err)
 			return false
 		}
 	}
--- a/internal/inventory/source.go
+++ b/internal/inventory/source.go
@@ -1,6 +1,6 @@
-// Package inventory reads the executors from a file as configuration tools write it, CSV or YAML, and delivers the
-// same lists as discovery. A Source owns its entries, which its one goroutine for the file changes; a second
-// goroutine shares them through the replicated store, where there is one.
+// Package inventory reads the executors from a CSV or YAML file, as configuration tools write it, and delivers endpoint
+// lists in the place of discovery. A Source owns its entries; only its goroutine that follows the file changes them. A
+// second goroutine shares them through the replicated store, if there is one.
 package inventory
 
 import (
@@ -20,13 +20,13 @@
 	"gatetack/internal/node"
 )
 
-// Sink takes lists.
+// Sink receives endpoint lists.
 type Sink interface {
-	// UpdateEndpoints takes one. It may keep the entries.
+	// UpdateEndpoints receives a list. It may retain the entries.
 	UpdateEndpoints(node.EndpointList)
 }
 
-// Source follows a file. It takes the place of discovery.
+// Source follows an inventory file. It replaces discovery.
 type Source struct {
 	path     string
 	names    node.Names
@@ -34,17 +34,17 @@
 	sink     Sink
 	store    Keeper // nil: none
 	log      *slog.Logger
-	requests chan struct{} // for the list
+	requests chan struct{} // requests to deliver the list
 
-	// Of the goroutine that follows the file.
+	// The fields below belong to the goroutine that follows the file.
 	entries   []node.Endpoint
 	index     uint64
-	data      []byte // the file's text at the last look
-	writtenAt int64  // when the entries in use were written, in Unix milliseconds
-	stored    []byte // what the store had at the last look
+	data      []byte // contents of the file at the last check
+	writtenAt int64  // when the current entries were written, in Unix milliseconds
+	stored    []byte // value in the store at the last check
 }
 
-// Open reads the file once: a node does not start on a bad one.
+// Open reads the file once and returns an error if it is invalid, so that a node does not start with an invalid file.
 func Open(
 	path string, names node.Names, lim limits.Limits, sink Sink, store Keeper, log *slog.Logger,
 ) (*Source, error) {
@@ -56,7 +56,7 @@
 	return s, nil
 }
 
-// read takes the file in and reports whether its text has changed.
+// read reads the file and reports whether its contents have changed. It adopts the entries of a valid file.
 func (s *Source) read() (changed bool, err error) {
 	file, err := os.Open(s.path)
 	if err != nil {
@@ -67,7 +67,7 @@
 	if err != nil || s.index > 0 && bytes.Equal(data, s.data) {
 		return false, err
 	}
-	s.data = data // a bad text is reported once, not at each look
+	s.data = data // invalid contents are reported once, not at each check
 	entries, err := Parse(s.path, data, s.names, s.limits)
 	if err != nil {
 		return false, err
@@ -81,7 +81,7 @@
 	return true, nil
 }
 
-// Watch asks for the list; Run delivers it, and each change of it.
+// Watch requests the list if on is set. Run delivers the list and each later change.
 func (s *Source) Watch(on bool) {
 	if !on {
 		return
@@ -92,10 +92,10 @@
 	}
 }
 
-// Fetch asks for the list once more.
+// Fetch requests the list again.
 func (s *Source) Fetch() { s.Watch(true) }
 
-// Run follows the file until the context ends. A file that can not be read or has a bad row leaves the list as it was.
+// Run follows the file until the context ends. It keeps the previous list if the file cannot be read or is invalid.
 func (s *Source) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	out := make(chan inventory, 1)
@@ -130,11 +130,11 @@
 	}
 }
 
-// refresh looks at the file and, if that has not changed, at the store. It reports whether the entries have changed.
+// refresh checks the file and, if that has not changed, the store. It reports whether the entries have changed.
 func (s *Source) refresh(out chan inventory) bool {
 	changed, err := s.read()
 	if err != nil {
-		s.log.Error("inventory rejected, the former list stays in use", "file", s.path, "err", err)
+		s.log.Error("inventory rejected, keeping the previous list", "file", s.path, "err", err)
 	}
 	if changed {
 		s.offer(out)
@@ -143,7 +143,7 @@
 	return s.store != nil && s.shared()
 }
 
-// offer hands the entries to the goroutine that shares them, in the place of what it has not taken yet.
+// offer passes the entries to the goroutine that shares them and replaces an inventory that is still waiting there.
 func (s *Source) offer(out chan inventory) {
 	select {
 	case <-out:
--- a/internal/inventory/source_test.go
+++ b/internal/inventory/source_test.go
@@ -37,21 +37,21 @@
   status: draining
 `
 
-// Both forms give the same rows.
-func TestCSVAndYAMLGiveTheSameRows(t *testing.T) {
+// Equivalent CSV and YAML files result in the same endpoints.
+func TestCSVAndYAMLGiveSameEndpoints(t *testing.T) {
 	want := []node.Endpoint{
 		{Name: "s-1", Address: "127.0.0.1:9001", Zone: "tallinn", Kind: "type-a", Group: 1, Status: "ready", Weight: 1},
 		{Name: "s-2", Address: "127.0.0.1:9002", Zone: "tartu", Kind: "type-b", Group: 2, Status: "draining", Weight: 1}}
 	for name, text := range map[string]string{"a.csv": asCSV, "a.yaml": asYAML, "a.YML": asYAML} {
 		got, err := Parse(name, []byte(text), names, testenv.Lim)
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %+v %v", name, got, err)
+			t.Errorf("%s: got %+v, %v", name, got, err)
 		}
 	}
 }
 
-// A bad row is refused with its line.
-func TestBadRowIsRejectedWithItsLine(t *testing.T) {
+// An invalid row is rejected with an error that names its line.
+func TestInvalidRowIsRejectedWithLine(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		line       int
@@ -76,13 +76,13 @@
 		_, err := Parse(c.name, []byte(c.text), names, testenv.Lim)
 		var re *RowError
 		if !errors.As(err, &re) || re.Line != c.line || !strings.Contains(err.Error(), c.about) {
-			t.Errorf("%v, want line %d about %s\n%s", err, c.line, c.about, c.text)
+			t.Errorf("got error %v, want line %d and %q, file:\n%s", err, c.line, c.about, c.text)
 		}
 	}
 }
 
-// Garbage gives rows that are whole, or an error.
-func TestCorruptedFileGivesWholeRowsOrAnError(t *testing.T) {
+// A corrupted file results in complete rows or an error.
+func TestCorruptedFileGivesCompleteRowsOrError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name, text := "a.csv", asCSV
 		if rapid.Bool().Draw(t, "yaml") {
@@ -101,8 +101,8 @@
 	})
 }
 
-// A change of the file is delivered; a bad one is not, and leaves the former list in use.
-func TestChangeOfFileIsDelivered(t *testing.T) {
+// A valid change of the file is delivered. An invalid change is not, and the previous list stays in use.
+func TestFileChangeIsDelivered(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boxes.csv")
 	write := func(text string) {
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
@@ -117,11 +117,11 @@
 	write(strings.SplitAfter(asCSV, "\n")[1])
 	s := &testenv.Lists{}
 	if _, err := Open(path, names, lim, s, nil, testenv.Quiet); err != nil {
-		t.Errorf("a header alone is an empty list: %v", err)
+		t.Errorf("file with only a header, want an empty list: %v", err)
 	}
 	write("name,address,zone,type,group,status\nx,,,,,\n")
 	if _, err := Open(path, names, lim, s, nil, testenv.Quiet); err == nil {
-		t.Error("a bad row at the start")
+		t.Error("Open accepted a file with an invalid row")
 	}
 	write(asCSV)
 	src, err := Open(path, names, lim, s, nil, testenv.Quiet)
@@ -146,7 +146,7 @@
 	})
 }
 
-// store stands for the nodes' store.
+// store is an in-memory Keeper.
 type store struct {
 	mu    sync.Mutex
 	value []byte
@@ -165,13 +165,13 @@
 	return k.value, k.value != nil
 }
 
-// stuck is a store without a leader: a call lasts until it is given up.
+// stuck is a store without a leader: Put blocks until its context ends.
 type stuck struct{ store }
 
 func (*stuck) Put(ctx context.Context, _, _ string, _ []byte) error { <-ctx.Done(); return ctx.Err() }
 
-// A store that does not answer holds up nothing of what the file tells: a drain must be delivered at once.
-func TestStoreWithoutLeaderDelaysNothing(t *testing.T) {
+// A store that does not respond does not delay changes of the file: a drain must be delivered at once.
+func TestStoreWithoutLeaderDoesNotDelayFileChanges(t *testing.T) {
 	path, s := filepath.Join(t.TempDir(), "boxes.csv"), &testenv.Lists{}
 	if err := os.WriteFile(path, []byte(asCSV), 0o600); err != nil {
 		t.Fatal(err)
@@ -195,16 +195,15 @@
 	})
 }
 
-// With a store, what one node takes in reaches the others; rows of the store that can not be used leave the list
-// as it was.
-func TestLaterRowsReachOtherNodes(t *testing.T) {
+// With a store, a later inventory of one node reaches the others. Invalid rows in the store leave the list unchanged.
+func TestLaterInventoryReachesOtherNodes(t *testing.T) {
 	lim := testenv.Lim
 	lim.InventoryCheckInterval = time.Millisecond
 	k := &store{}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
 	defer func() { cancel(); _ = g.Wait() }()
-	begin := func(text string, at time.Time) (string, *testenv.Lists) {
+	startNode := func(text string, at time.Time) (string, *testenv.Lists) {
 		path, s := filepath.Join(t.TempDir(), "boxes.csv"), &testenv.Lists{}
 		if err := errors.Join(os.WriteFile(path, []byte(text), 0o600), os.Chtimes(path, at, at)); err != nil {
 			t.Fatal(err)
@@ -222,9 +221,9 @@
 	}
 	now := time.Now()
 	short := strings.Join(strings.SplitAfter(asCSV, "\n")[:3], "")
-	path, a := begin(asCSV, now.Add(-time.Hour))
+	path, a := startNode(asCSV, now.Add(-time.Hour))
 	testenv.Until(t, "its own rows", last(a, 2))
-	_, b := begin(short, now.Add(-time.Minute))
+	_, b := startNode(short, now.Add(-time.Minute))
 	testenv.Until(t, "the later rows of another", last(a, 1))
 	k.mu.Lock()
 	k.value = []byte(`{"at":` + strconv.FormatInt(now.UnixMilli(), 10) + `,"rows":[{"Name":"s-9"}]}`)
@@ -238,15 +237,15 @@
 		for _, l := range s.All() {
 			for _, e := range l.Entries {
 				if e.Name == "s-9" {
-					t.Error("a bad row of the store was taken over")
+					t.Error("an invalid row of the store was adopted")
 				}
 			}
 		}
 	}
 }
 
-// The inventory in the store is stored data: other versions of the program read it by these keys.
-func TestStoredInventoryKeepsItsForm(t *testing.T) {
+// The encoding of the inventory in the store is stable, since other versions of the program read it.
+func TestStoredInventoryEncodingIsStable(t *testing.T) {
 	entries, err := Parse("a.csv", []byte(asCSV), names, testenv.Lim)
 	if err != nil {
 		t.Fatal(err)
@@ -261,6 +260,6 @@
 		`{"Name":"s-2","Address":"127.0.0.1:9002","Zone":"tartu","Kind":"type-b","Group":2,"Status":"draining",` +
 		`"Weight":1,"SinceMS":0}]}`
 	if string(got) != want {
-		t.Errorf("%s\nwant %s", got, want)
+		t.Errorf("got encoding %s\nwant %s", got, want)
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator is the operator's front: a second address, apart from the clients', where on-call staff and the
-// platform ask whether the process accepts clients, drain the node and activate it again. It answers one call a
-// connection, at once. What it changes is the core's drain state, which the fronts follow; it has no state and no
+// Package operator implements the operator's front: a separate address with which on-call staff and the platform check
+// whether the process accepts clients, drain the node and activate it again. It answers one call per connection and
+// never blocks. It changes only the drain state of the core, which the other fronts follow, and has no state and no
 // goroutine of its own.
 package operator
 
@@ -14,32 +14,33 @@
 
 // Core owns the drain state.
 type Core interface {
-	// Drain drains the node. It reports whether it was active.
+	// Drain drains the node. It reports whether the node was active before.
 	Drain() bool
-	// Activate ends a drain. It reports whether the node was drained.
+	// Activate ends a drain. It reports whether the node was drained before.
 	Activate() bool
 	// Drained reports whether the node is drained.
 	Drained() bool
 }
 
-// Front answers the operator's calls: GET /v1/readyz, POST /v1/node/drain, POST /v1/node/activate. Each answer closes
-// its connection. A call it does not know gets a 404 or 405; one that does not parse gets the parser's 4xx.
+// Front handles the operator's calls: GET /v1/readyz, POST /v1/node/drain and POST /v1/node/activate. Each response
+// closes its connection. An unknown path gets status 404 and a wrong method 405; the HTTP parser rejects malformed
+// requests.
 type Front struct {
 	core      Core
-	accepting func() bool // whether the clients' listener is served
+	accepting func() bool // reports whether the process accepts clients
 	log       *slog.Logger
 }
 
-// New makes the operator's front. accepting reports whether the process accepts clients by now.
+// New returns the operator's front. accepting reports whether the process accepts clients.
 func New(core Core, accepting func() bool, log *slog.Logger) *Front {
 	return &Front{core: core, accepting: accepting, log: log}
 }
 
-// Handle answers one call; it never waits.
+// Handle handles one call without blocking.
 func (f *Front) Handle(_ context.Context, m *http1.Message) http1.Response {
-	answer := f.answer(m)
-	answer.Close = true
-	return answer
+	response := f.respond(m)
+	response.Close = true
+	return response
 }
 
 // Paths of the calls.
@@ -49,10 +50,10 @@
 	activatePath = "/v1/node/activate"
 )
 
-// methods has each call's method by its path.
+// methods maps the path of each call to its method.
 var methods = map[string]string{readyPath: http.MethodGet, drainPath: http.MethodPost, activatePath: http.MethodPost}
 
-func (f *Front) answer(m *http1.Message) http1.Response {
+func (f *Front) respond(m *http1.Message) http1.Response {
 	path := m.Path()
 	method, known := methods[path]
 	switch {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -16,9 +16,9 @@
 func (c *core) Activate() bool { return c.drained.Swap(false) }
 func (c *core) Drained() bool  { return c.drained.Load() }
 
-// Each call is answered at once and closes its connection; drain and activate, repeated or out of order, leave the
-// state that the last one asked for; readyz says no until the clients' listener is served.
-func TestCallsChangeTheDrainStateAndCloseTheirConnection(t *testing.T) {
+// Each call closes its connection. The last of several drain and activate calls, repeated or out of order, determines
+// the state. readyz fails until the process accepts clients.
+func TestCallsChangeDrainStateAndCloseConnection(t *testing.T) {
 	c := &core{}
 	var accepting atomic.Bool
 	f := New(c, accepting.Load, testenv.Quiet)
@@ -42,16 +42,16 @@
 	} {
 		r := call(x.method, x.target)
 		if r.Status != x.status || !r.Close || c.Drained() != x.drained || !strings.Contains(string(r.Body), x.body) {
-			t.Errorf("%s %s: %d %q close %v, drained %v; want %d %q, drained %v", x.method, x.target, r.Status, r.Body,
+			t.Errorf("%s %s: got %d %q, close %v, drained %v; want %d %q, drained %v", x.method, x.target, r.Status, r.Body,
 				r.Close, c.Drained(), x.status, x.body, x.drained)
 		}
 	}
 	accepting.Store(true)
 	if r := call("GET", "/v1/readyz"); r.Status != 200 {
-		t.Errorf("readyz once clients are taken: %d %q", r.Status, r.Body)
+		t.Errorf("readyz while clients are accepted: status %d, body %q", r.Status, r.Body)
 	}
 	c.Drain()
 	if r := call("GET", "/v1/readyz"); r.Status != 200 || !strings.Contains(string(r.Body), "drained") {
-		t.Errorf("readyz of a drained process that takes clients: %d %q", r.Status, r.Body)
+		t.Errorf("readyz of a drained process that accepts clients: status %d, body %q", r.Status, r.Body)
 	}
 }
--- a/internal/operr/operr.go
+++ b/internal/operr/operr.go
@@ -1,6 +1,6 @@
-// Package operr has what errors that reach an operator, a client or another package share: each is of a type of its own
-// in the package that finds it, has a code by which docs/on-call.md lists it, and says what can be done about it. The
-// package owns the list of all kinds, which is complete once the program's packages are initialized.
+// Package operr defines the interface of errors that reach an operator, a client or another package. Each such error
+// has its own type in the package that detects it, a code under which docs/on-call.md lists it, and a remedy. This
+// package also holds the registry of all kinds, which is complete once the packages of the program are initialized.
 package operr
 
 import (
@@ -14,9 +14,9 @@
 // Error is an error with a code and a remedy.
 type Error interface {
 	error
-	// Code names its kind, as "store.damaged".
+	// Code returns the code of the error's kind, for example "store.damaged".
 	Code() string
-	// Do is what an operator, or the client that gets the error, can do: one sentence.
+	// Do returns the remedy in one sentence, for an operator or for the client that gets the error.
 	Do() string
 }
 
@@ -25,20 +25,20 @@
 	kinds = map[string]Error{}
 )
 
-// Kind registers a kind of error, by a value of its type, so that the test which compares all kinds with the operators'
-// page finds it. It panics on a code that is registered already, which is a mistake in the program's text. The result
-// lets a package register its kinds in variable declarations.
+// Kind registers a kind of error by a value of its type, for the test that compares all kinds with docs/on-call.md. It
+// panics if the code is already registered, which is a programming error. The result allows packages to register their
+// kinds in variable declarations.
 func Kind(e Error) struct{} {
 	mu.Lock()
 	defer mu.Unlock()
 	if _, ok := kinds[e.Code()]; ok {
-		panic("operr: two kinds have the code " + e.Code())
+		panic("operr: duplicate code " + e.Code())
 	}
 	kinds[e.Code()] = e
 	return struct{}{}
 }
 
-// Kinds are all that are registered, by their codes.
+// Kinds returns all registered kinds, sorted by code.
 func Kinds() []Error {
 	mu.Lock()
 	defer mu.Unlock()
@@ -49,7 +49,7 @@
 	return all
 }
 
-// Do is what can be done about an error, empty where it does not say.
+// Do returns the remedy of err, or "" if it has none.
 func Do(err error) string {
 	if e, ok := errors.AsType[Error](err); ok {
 		return e.Do()
@@ -57,7 +57,7 @@
 	return ""
 }
 
-// Attrs are an error's attributes for a log line: the error, its code and what can be done.
+// Attrs returns the log attributes of an error: the error and, if it is an Error, its code and remedy.
 func Attrs(err error) slog.Attr {
 	if e, ok := errors.AsType[Error](err); ok {
 		return slog.Group("", slog.Any("err", err), slog.String("code", e.Code()), slog.String("do", e.Do()))
--- a/internal/operr/operr_test.go
+++ b/internal/operr/operr_test.go
@@ -18,14 +18,14 @@
 func TestRemedyIsFoundInWrappedErrors(t *testing.T) {
 	err := fmt.Errorf("writing: %w", &fullError{"test.full"})
 	if got := Do(err); got != "make place on it" {
-		t.Errorf("%q", got)
+		t.Errorf("got remedy %q", got)
 	}
 	if got := Do(errors.New("plain")); got != "" {
-		t.Errorf("%q of an error that has no remedy", got)
+		t.Errorf("got remedy %q of an error without one", got)
 	}
 }
 
-func TestAttrsOfLogLine(t *testing.T) {
+func TestAttrsContainCodeAndRemedy(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
 	log.Error("failed", Attrs(&fullError{"test.full"}))
@@ -39,11 +39,11 @@
 	}
 }
 
-func TestSecondKindOfOneCodePanics(t *testing.T) {
+func TestDuplicateCodePanics(t *testing.T) {
 	Kind(&fullError{"test.second"})
 	defer func() {
 		if recover() == nil {
-			t.Error("a code was registered twice")
+			t.Error("registering a code twice did not panic")
 		}
 	}()
 	Kind(&fullError{"test.second"})
