--- a/internal/locality/file.go
+++ b/internal/locality/file.go
@@ -122,18 +122,18 @@
 	if len(sets) > maxDataSets {
 		return c.failed("sets", "%d, expected %d at most", len(sets), maxDataSets)
 	}
-	seen := map[string]bool{}
+	names := map[string]bool{}
 	for i, set := range sets {
 		at := fmt.Sprintf("sets[%d]", i)
 		switch {
 		case set.Name == "" || len(set.Name) > maxNameBytes:
 			return c.failed(at+".name", "expected 1 to %d bytes", maxNameBytes)
-		case seen[set.Name]:
+		case names[set.Name]:
 			return c.failed(at+".name", "%q stands twice", set.Name)
 		case math.IsNaN(set.Bytes) || set.Bytes < 0 || set.Bytes > maxSetBytes:
 			return c.failed(at+".bytes", "%v, expected 0 to 1e18", set.Bytes)
 		}
-		seen[set.Name] = true
+		names[set.Name] = true
 		for _, zone := range set.Zones {
 			if err := c.zone(at+".halls", zone); err != nil {
 				return err
--- a/internal/locality/placer.go
+++ b/internal/locality/placer.go
@@ -69,10 +69,10 @@
 	for _, class := range s.Classes {
 		p.meanRun = append(p.meanRun, max(1, class.Objective))
 	}
-	p.site.Here, p.site.ReportPeriod = int(s.Zone), float64(refreshInterval.Milliseconds())
+	p.site.LocalZone, p.site.ReportPeriod = int(s.Zone), float64(refreshInterval.Milliseconds())
 	p.site.FleetShare = 1 / float64(max(s.Nodes, 1))
 	for i := range p.site.Zones {
-		if i != p.site.Here {
+		if i != p.site.LocalZone {
 			p.site.Zones[i].CrossingPrice = s.Fees.CrossZone
 		}
 	}
@@ -93,7 +93,7 @@
 		for _, name := range set.Zones {
 			zones = append(zones, zone(name))
 		}
-		p.site.Catalogue.Add(site.Name(set.Name), set.Bytes, zones...)
+		p.site.Catalogue.Add(site.IDOf(set.Name), set.Bytes, zones...)
 	}
 }
 
@@ -161,14 +161,14 @@
 	began := p.nowMillis()
 	c := p.settings.Classes[min(class, len(p.settings.Classes)-1)]
 	j := site.Job{
-		Work:   p.meanRun[min(class, len(p.meanRun)-1)],
-		Slots:  1,
-		Aim:    c.Objective * (1 + c.ObjectivePerWork),
-		Left:   float64(left.Milliseconds()),
-		Pinned: -1,
+		Work:      p.meanRun[min(class, len(p.meanRun)-1)],
+		Slots:     1,
+		Objective: c.Objective * (1 + c.ObjectivePerWork),
+		TimeLeft:  float64(left.Milliseconds()),
+		Pinned:    -1,
 	}
 	for _, name := range inputs {
-		j.Inputs = append(j.Inputs, site.Input{ID: site.Name(name)})
+		j.Inputs = append(j.Inputs, site.Input{ID: site.IDOf(name)})
 	}
 	choice, err := p.site.Choose(j, began)
 	if err != nil {
@@ -176,7 +176,7 @@
 		if choice.Zone < 0 {
 			return nil, err.Error(), nil
 		}
-		return choice.Prices(len(p.site.Zones)), "data: " + choice.Why() + " (late in any hall)", nil
+		return choice.Prices(len(p.site.Zones)), "data: " + choice.Reason() + " (late in any hall)", nil
 	}
 	placed := placedJob{placer: p, job: j, choice: choice, class: class, began: began}
 	return choice.Prices(len(p.site.Zones)), "data: " + p.describe(choice), placed.ended
@@ -214,7 +214,7 @@
 
 // describe returns the reason of a choice, with the zone by its name.
 func (p *Placer) describe(c site.Choice) string {
-	t := c.Terms[0]
+	t := c.Costs[0]
 	name := fmt.Sprint(t.Zone)
 	if t.Zone < len(p.names.Zones) {
 		name = p.names.Zones[t.Zone]
--- a/internal/locality/placer_test.go
+++ b/internal/locality/placer_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-const good = "links: [{from: tallinn, to: tartu, gbits: 1}]\nsets:\n" +
+const validFile = "links: [{from: tallinn, to: tartu, gbits: 1}]\nsets:\n" +
 	"- {name: scene, bytes: 2e9, halls: [tartu]}\n- {name: near, bytes: 2e9, halls: [tallinn]}\n"
 
 func open(t *testing.T, text string) (*Placer, error) {
@@ -46,7 +46,7 @@
 }
 
 func TestPlacePricesZonesByTheirDataAndExecutors(t *testing.T) {
-	p, err := open(t, good)
+	p, err := open(t, validFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 		"sets: [{name: ''}]":                            "sets[0].name",
 		"slots_per_box: 0":                              "slots_per_box",
 		"sits: []":                                      "yaml",
-		good + "x":                                      "yaml",
+		validFile + "x":                                 "yaml",
 		"sets: [{name: a, bytes: .nan}]":                "sets[0].bytes",
 	} {
 		_, err := open(t, text)
--- a/internal/site/catalogue.go
+++ b/internal/site/catalogue.go
@@ -9,8 +9,8 @@
 // ID identifies a data set in the catalogue.
 type ID uint64
 
-// Name returns the ID of a data set's name.
-func Name(text string) ID { return ID(xxhash.Sum64String(text)) }
+// IDOf returns the ID of a data set's name.
+func IDOf(text string) ID { return ID(xxhash.Sum64String(text)) }
 
 // entry is what is known of a data set: 24 bytes, beside its key and the map's own.
 type entry struct {
@@ -23,20 +23,20 @@
 
 // Catalogue maps data sets to zones, up to a limit. Over the limit the least recently used copies are evicted; listed data sets stay.
 type Catalogue struct {
-	most int
-	all  map[ID]entry
+	maxSets int
+	entries map[ID]entry
 }
 
 // NewCatalogue returns a Catalogue of at most so many data sets.
-func NewCatalogue(most int) *Catalogue { return &Catalogue{most: most, all: map[ID]entry{}} }
+func NewCatalogue(most int) *Catalogue { return &Catalogue{maxSets: most, entries: map[ID]entry{}} }
 
 // Len returns the number of known data sets.
-func (c *Catalogue) Len() int { return len(c.all) }
+func (c *Catalogue) Len() int { return len(c.entries) }
 
 // Add lists a data set of a size in bytes that zones have for good. It reports whether there was room.
 func (c *Catalogue) Add(id ID, size float64, zones ...int) bool {
-	e, ok := c.all[id]
-	if !ok && len(c.all) >= c.most && !c.evict() {
+	e, ok := c.entries[id]
+	if !ok && len(c.entries) >= c.maxSets && !c.evict() {
 		return false
 	}
 	e.size, e.listed = float32(size), 0
@@ -44,7 +44,7 @@
 		e.listed |= 1 << h
 	}
 	e.missing = 0
-	c.all[id] = e
+	c.entries[id] = e
 	return true
 }
 
@@ -52,7 +52,7 @@
 func (c *Catalogue) evict() bool {
 	var oldest ID
 	at, looked, found := math.Inf(1), 0, false
-	for id, e := range c.all {
+	for id, e := range c.entries {
 		if e.listed == 0 && e.used < at {
 			oldest, at, found = id, e.used, true
 		}
@@ -60,14 +60,14 @@
 			break
 		}
 	}
-	delete(c.all, oldest)
+	delete(c.entries, oldest)
 	return found
 }
 
 // AddCopy records that a job which needed a data set ended in a zone, which has it now.
 func (c *Catalogue) AddCopy(id ID, size float64, zone int, now float64) {
-	e, ok := c.all[id]
-	if !ok && len(c.all) >= c.most && !c.evict() {
+	e, ok := c.entries[id]
+	if !ok && len(c.entries) >= c.maxSets && !c.evict() {
 		return
 	}
 	if size > 0 {
@@ -76,32 +76,32 @@
 	e.copies |= 1 << zone
 	e.missing &^= 1 << zone
 	e.used = now
-	c.all[id] = e
+	c.entries[id] = e
 }
 
 // MarkMissing records that a zone does not have a data set.
 func (c *Catalogue) MarkMissing(id ID, zone int, now float64) {
-	if e, ok := c.all[id]; ok {
+	if e, ok := c.entries[id]; ok {
 		e.copies &^= 1 << zone
 		e.missing |= 1 << zone
 		e.used = now
-		c.all[id] = e
+		c.entries[id] = e
 	}
 }
 
 // RemoveCopies records that a zone lost all copies that jobs made there.
 func (c *Catalogue) RemoveCopies(zone int) {
-	for id, e := range c.all {
+	for id, e := range c.entries {
 		if e.copies&(1<<zone) != 0 {
 			e.copies &^= 1 << zone
-			c.all[id] = e
+			c.entries[id] = e
 		}
 	}
 }
 
 // Locate returns a data set's size and, as bits, the zones that are taken to have it. An unknown data set is in no zone.
 func (c *Catalogue) Locate(id ID, now float64) (size float64, zones uint16) {
-	e, ok := c.all[id]
+	e, ok := c.entries[id]
 	if !ok {
 		return 0, 0
 	}
--- a/internal/site/emulator_test.go
+++ b/internal/site/emulator_test.go
@@ -10,51 +10,51 @@
 	"testing"
 )
 
-var emulate = flag.Bool("figures", false, "TestAgainstBaselines says what each policy gave")
+var printFigures = flag.Bool("figures", false, "TestAgainstBaselines says what each policy gave")
 
-// world is zones with slots, links that carry one transfer after the other, and data, on virtual time.
-type world struct {
-	rng      *rand.Rand
-	free     [][]float64 // by zone and slot: when it is free
-	speed    []float64
-	down     []float64 // until when a zone takes nothing
-	rate     [maxZones][maxZones]float64
-	busy     [maxZones][maxZones]float64
-	where    map[ID]map[int]float64 // from when on a zone has it
-	size     map[ID]float64
-	moved    float64
-	inFlight doneHeap // jobs that run, by when they are done
-	staged   doneHeap // those whose data are still on their way, by when they are there: they hold no slot yet
-	ended    func(ending)
+// simulation is zones with slots, links that carry one transfer after the other, and data, on virtual time.
+type simulation struct {
+	rng         *rand.Rand
+	free        [][]float64 // by zone and slot: when it is free
+	speed       []float64
+	downUntil   []float64 // until when a zone takes nothing
+	rate        [maxZones][maxZones]float64
+	busy        [maxZones][maxZones]float64
+	availableAt map[ID]map[int]float64 // from when on a zone has it
+	size        map[ID]float64
+	moved       float64
+	inFlight    runHeap // jobs that run, by when they are done
+	staged      runHeap // those whose data are still on their way, by when they are there: they hold no slot yet
+	ended       func(run)
 }
 
-type ending struct {
+type run struct {
 	at    float64
 	began float64
 	node  int
 	j     Job
 	c     Choice
 }
-type doneHeap []ending
+type runHeap []run
 
-func (d doneHeap) Len() int           { return len(d) }
-func (d doneHeap) Less(i, k int) bool { return d[i].at < d[k].at }
-func (d doneHeap) Swap(i, k int)      { d[i], d[k] = d[k], d[i] }
-func (d *doneHeap) Push(x any)        { *d = append(*d, x.(ending)) }
-func (d *doneHeap) Pop() any          { old := *d; x := old[len(old)-1]; *d = old[:len(old)-1]; return x }
+func (d runHeap) Len() int           { return len(d) }
+func (d runHeap) Less(i, k int) bool { return d[i].at < d[k].at }
+func (d runHeap) Swap(i, k int)      { d[i], d[k] = d[k], d[i] }
+func (d *runHeap) Push(x any)        { *d = append(*d, x.(run)) }
+func (d *runHeap) Pop() any          { old := *d; x := old[len(old)-1]; *d = old[:len(old)-1]; return x }
 
 // wait is how long a job that comes now waits in a zone in truth.
-func (w *world) wait(zone int, now float64) float64 {
-	return max(0, slices.Min(w.free[zone])-now, w.down[zone]-now)
+func (w *simulation) wait(zone int, now float64) float64 {
+	return max(0, slices.Min(w.free[zone])-now, w.downUntil[zone]-now)
 }
 
-// bring is how long it takes in truth until a data set is in a zone, and from where it comes.
-func (w *world) bring(id ID, zone int, now float64) (ms float64, from int) {
-	if t, ok := w.where[id][zone]; ok {
+// transferTime is how long it takes in truth until a data set is in a zone, and from where it comes.
+func (w *simulation) transferTime(id ID, zone int, now float64) (ms float64, from int) {
+	if t, ok := w.availableAt[id][zone]; ok {
 		return max(0, t-now), -1
 	}
 	ms, from = math.Inf(1), -1
-	for f, t := range w.where[id] {
+	for f, t := range w.availableAt[id] {
 		if r := w.rate[f][zone]; r > 0 {
 			if x := max(now, t, w.busy[f][zone]) + w.size[id]/r - now; x < ms || x == ms && f < from {
 				ms, from = x, f
@@ -65,13 +65,13 @@
 }
 
 // stage has the inputs of a job brought to a zone.
-func (w *world) stage(e ending, zone int, now float64) {
+func (w *simulation) stage(e run, zone int, now float64) {
 	ready := now
 	for _, in := range e.j.Inputs {
-		ms, from := w.bring(in.ID, zone, now)
+		ms, from := w.transferTime(in.ID, zone, now)
 		if from >= 0 {
 			w.busy[from][zone] = now + ms
-			w.where[in.ID][zone] = now + ms
+			w.availableAt[in.ID][zone] = now + ms
 			w.moved += w.size[in.ID]
 		}
 		ready = max(ready, now+ms)
@@ -80,12 +80,12 @@
 	heap.Push(&w.staged, e)
 }
 
-// upTo has all happen up to a time: jobs whose data are there take the slot that is free first.
-func (w *world) upTo(now float64) {
+// runUntil has all happen up to a time: jobs whose data are there take the slot that is free first.
+func (w *simulation) runUntil(now float64) {
 	for {
 		switch {
 		case w.staged.Len() > 0 && w.staged[0].at <= now && (w.inFlight.Len() == 0 || w.staged[0].at <= w.inFlight[0].at):
-			e := heap.Pop(&w.staged).(ending)
+			e := heap.Pop(&w.staged).(run)
 			free := w.free[e.c.Zone]
 			slot := 0
 			for i, t := range free {
@@ -93,11 +93,11 @@
 					slot = i
 				}
 			}
-			e.at = max(e.at, free[slot], w.down[e.c.Zone]) + e.j.Work/w.speed[e.c.Zone]
+			e.at = max(e.at, free[slot], w.downUntil[e.c.Zone]) + e.j.Work/w.speed[e.c.Zone]
 			free[slot] = e.at
 			heap.Push(&w.inFlight, e)
 		case w.inFlight.Len() > 0 && w.inFlight[0].at <= now:
-			w.ended(heap.Pop(&w.inFlight).(ending))
+			w.ended(heap.Pop(&w.inFlight).(run))
 		default:
 			return
 		}
@@ -105,32 +105,32 @@
 }
 
 type scenario struct {
-	name       string
-	boxes      []int // slots by zone
-	rate       float64
-	load       float64 // of all slots
-	scenes     int
-	least      float64 // bytes
-	most       float64
-	late       float64 // ms that reports are old
-	jump       float64 // times the usual, in the middle fifth
-	lost       int     // zone lost for the middle fifth, -1 for none
-	wrong      float64 // part of the catalogue that is not so
-	hot        bool    // one data set that a third of the jobs want
-	nodes      int
-	both       bool // jobs have inputs in two zones
-	oneArrival float64
+	name         string
+	slots        []int // slots by zone
+	rate         float64
+	load         float64 // of all slots
+	scenes       int
+	minBytes     float64 // bytes
+	maxBytes     float64
+	reportDelay  float64 // ms that reports are old
+	rateFactor   float64 // times the usual, in the middle fifth
+	lostZone     int     // zone lost for the middle fifth, -1 for none
+	wrongShare   float64 // part of the catalogue that is not so
+	hotScene     bool    // one data set that a third of the jobs want
+	nodes        int
+	twoInputs    bool // jobs have inputs in two zones
+	oneNodeShare float64
 }
 
-type result struct{ mean, p99, worth, moved, swing float64 }
+type result struct{ mean, p99, onTime, moved, swing float64 }
 
-// emulated runs a scenario under a policy.
-func emulated(sc scenario, policy string, seed uint64) result {
+// simulate runs a scenario under a policy.
+func simulate(sc scenario, policy string, seed uint64) result {
 	rng := rand.New(rand.NewPCG(seed, 3))
-	zones := len(sc.boxes)
-	w := &world{rng: rng, where: map[ID]map[int]float64{}, size: map[ID]float64{}, down: make([]float64, zones)}
+	zones := len(sc.slots)
+	w := &simulation{rng: rng, availableAt: map[ID]map[int]float64{}, size: map[ID]float64{}, downUntil: make([]float64, zones)}
 	slots := 0
-	for h, n := range sc.boxes {
+	for h, n := range sc.slots {
 		w.free = append(w.free, make([]float64, n))
 		w.speed = append(w.speed, 0.8+0.4*rng.Float64())
 		slots += n
@@ -143,32 +143,32 @@
 	nodes := make([]*Site, sc.nodes)
 	for i := range nodes {
 		s := New(zones, 1<<16)
-		s.ReportPeriod, s.FleetShare, s.Here, s.Links.Rate = 1000, 1/float64(sc.nodes), i%zones, w.rate
+		s.ReportPeriod, s.FleetShare, s.LocalZone, s.Links.Rate = 1000, 1/float64(sc.nodes), i%zones, w.rate
 		for h := range zones {
-			if h != s.Here {
+			if h != s.LocalZone {
 				s.Zones[h].CrossingPrice = 0.03
 			}
 		}
 		nodes[i] = s
 	}
 	for i := range sc.scenes {
-		id, size := Name(fmt.Sprint("scene ", i)), sc.least*math.Pow(sc.most/sc.least, rng.Float64())
+		id, size := IDOf(fmt.Sprint("scene ", i)), sc.minBytes*math.Pow(sc.maxBytes/sc.minBytes, rng.Float64())
 		at := rng.IntN(zones)
-		w.size[id], w.where[id] = size, map[int]float64{at: 0}
+		w.size[id], w.availableAt[id] = size, map[int]float64{at: 0}
 		listed := at
-		if rng.Float64() < sc.wrong {
+		if rng.Float64() < sc.wrongShare {
 			listed = (at + 1) % zones
 		}
 		for _, s := range nodes {
 			s.Catalogue.Add(id, size, listed)
 		}
 	}
-	var took, worths []float64
+	var durations, onTimes []float64
 	const span, work = 120e3, 2000.0
-	w.ended = func(e ending) {
-		took = append(took, e.at-e.began)
-		if worths = append(worths, 0); e.at-e.began <= e.j.Aim {
-			worths[len(worths)-1] = 1
+	w.ended = func(e run) {
+		durations = append(durations, e.at-e.began)
+		if onTimes = append(onTimes, 0); e.at-e.began <= e.j.Objective {
+			onTimes[len(onTimes)-1] = 1
 		}
 		for i, s := range nodes { // what a job brought is told to all, by the store
 			if i == e.node {
@@ -188,22 +188,22 @@
 	for now := 0.0; now < span; {
 		middle := now > span*0.4 && now < span*0.6
 		rate := sc.load * float64(slots) / work
-		if middle && sc.jump > 0 {
-			rate *= sc.jump
+		if middle && sc.rateFactor > 0 {
+			rate *= sc.rateFactor
 		}
 		now += rng.ExpFloat64() / rate
-		w.upTo(now)
-		if sc.lost >= 0 && middle && w.down[sc.lost] == 0 {
-			w.down[sc.lost] = span * 0.6
+		w.runUntil(now)
+		if sc.lostZone >= 0 && middle && w.downUntil[sc.lostZone] == 0 {
+			w.downUntil[sc.lostZone] = span * 0.6
 		}
 		for ; reportAt <= now; reportAt += 1000 {
 			for h := range zones {
 				history[h] = append(history[h], snap{w.wait(h, reportAt), reportAt})
 				for k := len(history[h]) - 1; k >= 0; k-- {
-					if x := history[h][k]; x.at <= reportAt-sc.late {
+					if x := history[h][k]; x.at <= reportAt-sc.reportDelay {
 						for _, s := range nodes {
-							s.UpdateZone(h, float64(sc.boxes[h]), w.speed[h], x.wait, x.at)
-							s.Zones[h].Unreachable = w.down[h] > reportAt && reportAt-sc.late > span*0.4
+							s.UpdateZone(h, float64(sc.slots[h]), w.speed[h], x.wait, x.at)
+							s.Zones[h].Unreachable = w.downUntil[h] > reportAt && reportAt-sc.reportDelay > span*0.4
 						}
 						break
 					}
@@ -217,19 +217,19 @@
 			clear(perZone)
 			swingAt = now
 		}
-		j := Job{Work: work * math.Exp(rng.NormFloat64()*0.5-0.125), Slots: 1, Aim: 10e3, Left: 0, Pinned: -1}
+		j := Job{Work: work * math.Exp(rng.NormFloat64()*0.5-0.125), Slots: 1, Objective: 10e3, TimeLeft: 0, Pinned: -1}
 		pick := func() ID {
-			if sc.hot && rng.Float64() < 0.33 {
-				return Name("scene 0")
+			if sc.hotScene && rng.Float64() < 0.33 {
+				return IDOf("scene 0")
 			}
-			return Name(fmt.Sprint("scene ", rng.IntN(sc.scenes)))
+			return IDOf(fmt.Sprint("scene ", rng.IntN(sc.scenes)))
 		}
 		j.Inputs = []Input{{ID: pick()}}
-		if sc.both {
+		if sc.twoInputs {
 			j.Inputs = append(j.Inputs, Input{ID: pick()})
 		}
 		node := rng.IntN(sc.nodes)
-		if rng.Float64() < sc.oneArrival {
+		if rng.Float64() < sc.oneNodeShare {
 			node = 0
 		}
 		s := nodes[node]
@@ -243,7 +243,7 @@
 			}
 			return at
 		}
-		believedIn := func(h int) float64 { // how much of the inputs a zone is believed to lack
+		missingBytes := func(h int) float64 { // how much of the inputs a zone is believed to lack
 			lacks := 0.0
 			for _, in := range j.Inputs {
 				if size, at := s.Catalogue.Locate(in.ID, now); at&(1<<h) == 0 {
@@ -257,11 +257,11 @@
 			c, _ = s.Choose(j, now)
 			zone = c.Zone
 		case "where the data are":
-			zone = least(believedIn)
+			zone = least(missingBytes)
 		case "shortest wait", "today's":
 			zone = least(func(h int) float64 {
 				x := s.Zones[h].Wait / 1000
-				if policy == "today's" && h != s.Here {
+				if policy == "today's" && h != s.LocalZone {
 					x += 0.03 // the price of crossing, and nobody's data
 				}
 				return x + rng.Float64()*1e-3
@@ -272,13 +272,13 @@
 				if h != a && h != b {
 					return math.Inf(1)
 				}
-				return s.Zones[h].Wait + believedIn(h)/sc.rate
+				return s.Zones[h].Wait + missingBytes(h)/sc.rate
 			})
 		case "sees all":
 			zone = least(func(h int) float64 {
 				ready := 0.0
 				for _, in := range j.Inputs {
-					ms, _ := w.bring(in.ID, h, now)
+					ms, _ := w.transferTime(in.ID, h, now)
 					ready = max(ready, ms)
 				}
 				return max(ready, w.wait(h, now)) + j.Work/w.speed[h]
@@ -289,19 +289,19 @@
 		}
 		for _, in := range j.Inputs { // what the catalogue had wrong is found out there
 			if _, at := s.Catalogue.Locate(in.ID, now); at&(1<<zone) != 0 {
-				if _, ok := w.where[in.ID][zone]; !ok {
+				if _, ok := w.availableAt[in.ID][zone]; !ok {
 					s.Catalogue.MarkMissing(in.ID, zone, now)
 				}
 			}
 		}
 		perZone[zone]++
-		w.stage(ending{node: node, j: j, c: c}, zone, now)
+		w.stage(run{node: node, j: j, c: c}, zone, now)
 	}
-	w.upTo(math.Inf(1))
-	slices.Sort(took)
+	w.runUntil(math.Inf(1))
+	slices.Sort(durations)
 	var r result
-	r.mean, r.worth, r.moved = sum(took)/float64(len(took)), sum(worths)/float64(len(worths)), w.moved
-	r.p99 = took[len(took)*99/100]
+	r.mean, r.onTime, r.moved = sum(durations)/float64(len(durations)), sum(onTimes)/float64(len(onTimes)), w.moved
+	r.p99 = durations[len(durations)*99/100]
 	m := sum(swings) / float64(len(swings))
 	for _, x := range swings {
 		r.swing += (x - m) * (x - m) / float64(len(swings))
@@ -318,13 +318,13 @@
 }
 
 var scenarios = []scenario{
-	{name: "small halls, 1 Gbit/s", boxes: []int{6, 6, 6, 6}, rate: 125e3, load: 0.6, scenes: 40, least: 10e6, most: 2e9, late: 1500, lost: -1, nodes: 5, oneArrival: 0.7},
-	{name: "uneven halls, 10 Gbit/s", boxes: []int{6, 30, 12, 100}, rate: 1250e3, load: 0.7, scenes: 200, least: 10e6, most: 20e9, late: 1500, lost: -1, nodes: 5, oneArrival: 0.7},
-	{name: "jump to 2.5 times", boxes: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.4, scenes: 100, least: 10e6, most: 5e9, late: 1500, jump: 2.5, lost: -1, nodes: 5, oneArrival: 0.2},
-	{name: "a hall lost", boxes: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.5, scenes: 100, least: 10e6, most: 5e9, late: 1500, lost: 2, nodes: 5, oneArrival: 0.2},
-	{name: "one that all want", boxes: []int{20, 20, 20, 20}, rate: 250e3, load: 0.7, scenes: 100, least: 100e6, most: 2e9, late: 1500, lost: -1, hot: true, nodes: 5, oneArrival: 0.2},
-	{name: "a tenth of the catalogue wrong", boxes: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.6, scenes: 100, least: 10e6, most: 5e9, late: 1500, lost: -1, wrong: 0.1, nodes: 5, oneArrival: 0.2},
-	{name: "inputs in two halls", boxes: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.6, scenes: 100, least: 10e6, most: 5e9, late: 1500, lost: -1, both: true, nodes: 5, oneArrival: 0.2},
+	{name: "small halls, 1 Gbit/s", slots: []int{6, 6, 6, 6}, rate: 125e3, load: 0.6, scenes: 40, minBytes: 10e6, maxBytes: 2e9, reportDelay: 1500, lostZone: -1, nodes: 5, oneNodeShare: 0.7},
+	{name: "uneven halls, 10 Gbit/s", slots: []int{6, 30, 12, 100}, rate: 1250e3, load: 0.7, scenes: 200, minBytes: 10e6, maxBytes: 20e9, reportDelay: 1500, lostZone: -1, nodes: 5, oneNodeShare: 0.7},
+	{name: "jump to 2.5 times", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.4, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, rateFactor: 2.5, lostZone: -1, nodes: 5, oneNodeShare: 0.2},
+	{name: "a hall lost", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.5, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, lostZone: 2, nodes: 5, oneNodeShare: 0.2},
+	{name: "one that all want", slots: []int{20, 20, 20, 20}, rate: 250e3, load: 0.7, scenes: 100, minBytes: 100e6, maxBytes: 2e9, reportDelay: 1500, lostZone: -1, hotScene: true, nodes: 5, oneNodeShare: 0.2},
+	{name: "a tenth of the catalogue wrong", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.6, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, lostZone: -1, wrongShare: 0.1, nodes: 5, oneNodeShare: 0.2},
+	{name: "inputs in two halls", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.6, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, lostZone: -1, twoInputs: true, nodes: 5, oneNodeShare: 0.2},
 }
 
 var baselines = []string{"where the data are", "shortest wait", "today's", "better of two"}
@@ -334,15 +334,15 @@
 	for _, sc := range scenarios {
 		mean := func(policy string) (r result) {
 			for seed := range uint64(3) {
-				x := emulated(sc, policy, seed+1)
+				x := simulate(sc, policy, seed+1)
 				r.mean += x.mean / 3
 				r.p99 += x.p99 / 3
-				r.worth += x.worth / 3
+				r.onTime += x.onTime / 3
 				r.moved += x.moved / 3
 				r.swing += x.swing / 3
 			}
-			if *emulate {
-				t.Logf("%-32s %-20s mean %7.0f ms, 99%% %8.0f, in time %.3f, moved %6.1f GB, swing %.3f", sc.name, policy, r.mean, r.p99, r.worth, r.moved/1e9, r.swing)
+			if *printFigures {
+				t.Logf("%-32s %-20s mean %7.0f ms, 99%% %8.0f, in time %.3f, moved %6.1f GB, swing %.3f", sc.name, policy, r.mean, r.p99, r.onTime, r.moved/1e9, r.swing)
 			}
 			return r
 		}
@@ -353,7 +353,7 @@
 			}
 		}
 		// The uneven zones are the one in which what others have on its way, and is not told before it is there, costs most.
-		if most := map[bool]float64{true: 1.6, false: 1.15}[sc.most > 10e9]; ours.mean > most*all.mean {
+		if most := map[bool]float64{true: 1.6, false: 1.15}[sc.maxBytes > 10e9]; ours.mean > most*all.mean {
 			t.Errorf("%s: %.0f ms in the mean, one that sees all %.0f", sc.name, ours.mean, all.mean)
 		}
 	}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -24,7 +24,7 @@
 	maxZones         = 16
 	copyLifetime     = 3600e3 // ms that a copy which a job made is trusted, unless it is used again
 	waitDecayPeriods = 3      // report periods over which an old wait decays to the fleet's mean
-	priceAtAim       = 1.0    // the price when all the time that the aim leaves is used up, on the module's scale
+	priceAtObjective = 1.0    // the price when all the time that the aim leaves is used up, on the module's scale
 	missingLifetime  = 60e3   // ms that a zone is taken not to have what was missing there
 	transferCost     = 0.5    // for each ms that a transfer occupies a link, for which others wait
 	minLinkShare     = 0.05   // of a link that a transfer is assumed to get at least
@@ -35,7 +35,7 @@
 	Slots         float64 // of executors that take work
 	Speed         float64 // of its machines, 1 for the standard
 	Wait          float64 // ms until a job that comes now begins, as reported
-	At            float64 // of the report, in ms
+	ReportedAt    float64 // of the report, in ms
 	Unreachable   bool    // no link reaches it, or it drains: it takes no job, and no data come from it
 	CrossingPrice float64 // from this node's zone, on the module's scale
 	reservedWork  float64 // work in ms chosen since the report, extrapolated to all nodes
@@ -61,13 +61,13 @@
 	Links        Links
 	ReportPeriod float64 // ms between reports
 	FleetShare   float64 // of the fleet's jobs that this node gets
-	Here         int     // this node's zone
+	LocalZone    int     // this node's zone
 	arrivals     map[transfer]float64
 }
 
 // New returns a Site of some zones, with a catalogue of at most so many data sets.
-func New(zones, most int) *Site {
-	return &Site{Catalogue: NewCatalogue(most), Zones: make([]Zone, zones), ReportPeriod: 1000, FleetShare: 1, arrivals: map[transfer]float64{}}
+func New(zones, maxSets int) *Site {
+	return &Site{Catalogue: NewCatalogue(maxSets), Zones: make([]Zone, zones), ReportPeriod: 1000, FleetShare: 1, arrivals: map[transfer]float64{}}
 }
 
 // Input is a data set that a job needs.
@@ -78,27 +78,27 @@
 
 // Job is a job to be placed.
 type Job struct {
-	Inputs []Input
-	Work   float64 // ms on a standard machine
-	Slots  float64
-	Aim    float64 // ms from now until which it has its full worth
-	Left   float64 // until its deadline
-	Pinned int     // the only zone it may go to, -1 for any: a job that may have run is never sent to a better zone
+	Inputs    []Input
+	Work      float64 // ms on a standard machine
+	Slots     float64
+	Objective float64 // ms from now until which it has its full worth
+	TimeLeft  float64 // until its deadline
+	Pinned    int     // the only zone it may go to, -1 for any: a job that may have run is never sent to a better zone
 }
 
 // UpdateZone takes in the report of a zone's wait as of a time. Choices made before that time are part of it.
 func (s *Site) UpdateZone(zone int, slots, speed, wait, at float64) {
-	h := &s.Zones[zone]
-	if at < h.At {
+	z := &s.Zones[zone]
+	if at < z.ReportedAt {
 		return
 	}
 	// Choices made while the report was on its way are not part of it: of the reserved work the part since its time stays.
 	keep := 0.0
-	if at > h.At && s.ReportPeriod > 0 {
-		keep = math.Exp(-(at - h.At) / s.ReportPeriod)
+	if at > z.ReportedAt && s.ReportPeriod > 0 {
+		keep = math.Exp(-(at - z.ReportedAt) / s.ReportPeriod)
 	}
-	h.reservedWork *= keep
-	h.Slots, h.Speed, h.Wait, h.At = slots, speed, wait, at
+	z.reservedWork *= keep
+	z.Slots, z.Speed, z.Wait, z.ReportedAt = slots, speed, wait, at
 }
 
 // meanWait returns the mean wait of the zones that take work.
@@ -114,17 +114,17 @@
 }
 
 // wait returns how long a job waits for a free slot in a zone.
-func (s *Site) wait(h *Zone, mean, now float64) float64 {
-	age := max(0, now-h.At)
-	fade := math.Exp(-age / (waitDecayPeriods * max(s.ReportPeriod, 1)))
-	told := max(0, h.Wait-age*fade*0.5) // the backlog of then is being worked off
-	ahead := h.reservedWork / max(h.Slots*h.Speed, 1e-3)
-	return told*fade + mean*(1-fade) + ahead
+func (s *Site) wait(z *Zone, mean, now float64) float64 {
+	age := max(0, now-z.ReportedAt)
+	decay := math.Exp(-age / (waitDecayPeriods * max(s.ReportPeriod, 1)))
+	reported := max(0, z.Wait-age*decay*0.5) // the backlog of then is being worked off
+	reserved := z.reservedWork / max(z.Slots*z.Speed, 1e-3)
+	return reported*decay + mean*(1-decay) + reserved
 }
 
-// missing returns an input's size and the zones that have it, and whether a zone lacks it. If it is on its way there, it is not missing,
+// locateInput returns an input's size and the zones that have it, and whether a zone lacks it. If it is on its way there, it is not locateInput,
 // and arrives says in how many ms it will be there.
-func (s *Site) missing(in Input, zone int, now float64) (size float64, at uint16, arrives float64, lacks bool) {
+func (s *Site) locateInput(in Input, zone int, now float64) (size float64, at uint16, arrives float64, lacks bool) {
 	size, at = s.Catalogue.Locate(in.ID, now)
 	if in.Size > 0 {
 		size = in.Size
@@ -158,14 +158,14 @@
 func (s *Site) transferTime(j *Job, zone int, now float64) (ms, bytes, moves float64) {
 	var load [maxZones]float64
 	for _, in := range j.Inputs {
-		size, at, arrives, lacks := s.missing(in, zone, now)
+		size, at, arrives, lacks := s.locateInput(in, zone, now)
 		if !lacks {
 			ms = max(ms, arrives)
 			continue
 		}
 		best, from := s.source(size, at, zone, &load, now)
 		if from < 0 { // no zone is known to have it: it comes from wherever it was made, at the rate of the worst link
-			best = size / max(s.slowest(zone), 1e-9)
+			best = size / max(s.slowestRate(zone), 1e-9)
 		} else {
 			load[from] += size / s.Links.Rate[from][zone]
 			moves += size / s.Links.Rate[from][zone]
@@ -176,8 +176,8 @@
 	return ms, bytes, moves
 }
 
-// slowest returns the rate of the slowest link to a zone, as a single transfer gets it.
-func (s *Site) slowest(zone int) float64 {
+// slowestRate returns the rate of the slowestRate link to a zone, as a single transfer gets it.
+func (s *Site) slowestRate(zone int) float64 {
 	rate := math.Inf(1)
 	for f := range s.Zones {
 		if r := s.Links.Rate[f][zone]; r > 0 {
@@ -191,22 +191,22 @@
 }
 
 // rank returns the terms of all zones for a job, the best first.
-func (s *Site) rank(j *Job, now float64) []Term {
-	out, mean := make([]Term, 0, len(s.Zones)), s.meanWait()
+func (s *Site) rank(j *Job, now float64) []ZoneCost {
+	out, mean := make([]ZoneCost, 0, len(s.Zones)), s.meanWait()
 	for i := range s.Zones {
-		h := &s.Zones[i]
-		if h.Unreachable || h.Slots < max(j.Slots, 1) || j.Pinned >= 0 && j.Pinned != i {
+		z := &s.Zones[i]
+		if z.Unreachable || z.Slots < max(j.Slots, 1) || j.Pinned >= 0 && j.Pinned != i {
 			continue
 		}
-		t := Term{Zone: i, Wait: s.wait(h, mean, now), Run: j.Work / max(h.Speed, 1e-3)}
-		t.Transfer, t.Bytes, t.moves = s.transferTime(j, i, now)
-		t.Done = max(t.Transfer, t.Wait) + t.Run // data come while it waits for room
-		t.Feasible = j.Left <= 0 || t.Done <= j.Left
-		slack := max(j.Aim-j.Work, 100)
-		t.Price = priceAtAim*(t.Done-j.Work+transferCost*t.moves)/slack + h.CrossingPrice
+		t := ZoneCost{Zone: i, Wait: s.wait(z, mean, now), Run: j.Work / max(z.Speed, 1e-3)}
+		t.Transfer, t.Bytes, t.linkTime = s.transferTime(j, i, now)
+		t.Total = max(t.Transfer, t.Wait) + t.Run // data come while it waits for room
+		t.Feasible = j.TimeLeft <= 0 || t.Total <= j.TimeLeft
+		slack := max(j.Objective-j.Work, 100)
+		t.Price = priceAtObjective*(t.Total-j.Work+transferCost*t.linkTime)/slack + z.CrossingPrice
 		out = append(out, t)
 	}
-	slices.SortStableFunc(out, func(a, b Term) int {
+	slices.SortStableFunc(out, func(a, b ZoneCost) int {
 		if a.Feasible != b.Feasible {
 			if a.Feasible {
 				return -1
@@ -223,9 +223,9 @@
 func (s *Site) Choose(j Job, now float64) (Choice, error) {
 	terms := s.rank(&j, now)
 	if len(terms) == 0 {
-		return Choice{Zone: -1}, &NoZoneError{Term{Zone: -1, Done: math.Inf(1)}}
+		return Choice{Zone: -1}, &NoZoneError{ZoneCost{Zone: -1, Total: math.Inf(1)}}
 	}
-	c := Choice{Zone: terms[0].Zone, Terms: terms, Until: now + s.ReportPeriod, Work: j.Work * max(j.Slots, 1)}
+	c := Choice{Zone: terms[0].Zone, Costs: terms, ValidUntil: now + s.ReportPeriod, Work: j.Work * max(j.Slots, 1)}
 	if !terms[0].Feasible {
 		return c, &NoZoneError{terms[0]}
 	}
@@ -235,12 +235,12 @@
 
 // reserve accounts for a choice: this node's share of what all nodes choose alike, and the transfers for it.
 func (s *Site) reserve(j *Job, c Choice, now float64) {
-	h := &s.Zones[c.Zone]
-	h.reservedWork += c.Work / max(s.FleetShare, 0.01)
-	h.reservedJobs++
+	z := &s.Zones[c.Zone]
+	z.reservedWork += c.Work / max(s.FleetShare, 0.01)
+	z.reservedJobs++
 	var alone [maxZones]float64
 	for _, in := range j.Inputs {
-		size, at, _, lacks := s.missing(in, c.Zone, now)
+		size, at, _, lacks := s.locateInput(in, c.Zone, now)
 		if !lacks {
 			continue
 		}
@@ -260,18 +260,18 @@
 }
 
 // Ended releases a choice, however its job ended; there says whether it ran in the chosen zone, with its inputs there.
-func (s *Site) Ended(j Job, c Choice, there bool, now float64) {
+func (s *Site) Ended(job Job, c Choice, ranThere bool, now float64) {
 	if c.Zone < 0 {
 		return
 	}
-	h := &s.Zones[c.Zone]
-	h.reservedJobs = max(0, h.reservedJobs-1)
-	if h.reservedJobs == 0 {
-		h.reservedWork = 0
+	z := &s.Zones[c.Zone]
+	z.reservedJobs = max(0, z.reservedJobs-1)
+	if z.reservedJobs == 0 {
+		z.reservedWork = 0
 	}
-	for _, in := range j.Inputs {
+	for _, in := range job.Inputs {
 		delete(s.arrivals, transfer{in.ID, c.Zone})
-		if there {
+		if ranThere {
 			size, _ := s.Catalogue.Locate(in.ID, now)
 			s.Catalogue.AddCopy(in.ID, max(size, in.Size), c.Zone, now)
 		}
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -12,7 +12,7 @@
 	_ "gatetack/internal/testrand"
 )
 
-func three() *Site {
+func newTestSite() *Site {
 	s := New(3, 1000)
 	for f := range 3 {
 		for h := range 3 {
@@ -27,16 +27,16 @@
 
 // The hard cases, each by what is chosen.
 func TestChoices(t *testing.T) {
-	big, small := Name("big"), Name("small")
+	big, small := IDOf("big"), IDOf("small")
 	job := func(ids ...ID) Job {
-		j := Job{Work: 1000, Slots: 1, Aim: 5000, Pinned: -1}
+		j := Job{Work: 1000, Slots: 1, Objective: 5000, Pinned: -1}
 		for _, id := range ids {
 			j.Inputs = append(j.Inputs, Input{ID: id})
 		}
 		return j
 	}
 	for _, x := range []struct {
-		what string
+		name string
 		set  func(*Site)
 		job  Job
 		want int
@@ -53,17 +53,17 @@
 		}, job(big), 2, false},
 		{"a slow hall, though few wait there", func(s *Site) { s.Catalogue.Add(small, 1e5, 0, 1); s.UpdateZone(0, 4, 0.1, 0, 1) }, job(small), 1, false},
 		{"nobody waits past the deadline for data", func(s *Site) { s.Catalogue.Add(big, 10e6, 1); s.UpdateZone(1, 4, 1, 60000, 1) },
-			func() Job { j := job(big); j.Left = 3000; return j }(), 0, true},
+			func() Job { j := job(big); j.TimeLeft = 3000; return j }(), 0, true},
 		{"what may have run is not sent on for a better hall", func(s *Site) { s.Catalogue.Add(big, 10e6, 1) },
 			func() Job { j := job(big); j.Pinned = 0; return j }(), 0, false},
 		{"a job larger than any hall's room", func(*Site) {}, Job{Work: 1, Slots: 9, Pinned: -1}, -1, true},
 		{"found not to be there", func(s *Site) { s.Catalogue.Add(big, 10e6, 1, 2); s.Catalogue.MarkMissing(big, 1, 10) }, job(big), 2, false},
 	} {
-		s := three()
+		s := newTestSite()
 		x.set(s)
 		c, err := s.Choose(x.job, 20)
 		if none := (*NoZoneError)(nil); errors.As(err, &none) != x.err || !x.err && c.Zone != x.want || x.want < 0 && c.Zone >= 0 {
-			t.Errorf("%s: hall %d, %v; want %d (%s)", x.what, c.Zone, err, x.want, c.Why())
+			t.Errorf("%s: hall %d, %v; want %d (%s)", x.name, c.Zone, err, x.want, c.Reason())
 		}
 	}
 }
@@ -74,13 +74,13 @@
 	const nodes = 10
 	got := make([]int, 3)
 	for i := range nodes {
-		s := three()
+		s := newTestSite()
 		s.FleetShare = 1.0 / nodes
 		s.UpdateZone(0, 4, 1, 4000, 1)
 		s.UpdateZone(1, 4, 1, 4000, 1)
 		s.UpdateZone(2, 4, 1, 0, 1) // empty
 		for range 4 {
-			c, err := s.Choose(Job{Work: 1000, Slots: 1, Aim: 20000, Pinned: -1}, 2)
+			c, err := s.Choose(Job{Work: 1000, Slots: 1, Objective: 20000, Pinned: -1}, 2)
 			if err != nil {
 				t.Fatal(i, err)
 			}
@@ -94,27 +94,27 @@
 
 // A data set that is on its way is waited for and not brought twice; once a job ended with it there, it is there.
 func TestOnItsWay(t *testing.T) {
-	s := three()
-	id := Name("scene")
+	s := newTestSite()
+	id := IDOf("scene")
 	s.Catalogue.Add(id, 2e6, 0)
-	s.Zones[0].Wait, s.Zones[0].At = 60000, 1
-	j := Job{Inputs: []Input{{ID: id}}, Work: 1000, Slots: 1, Aim: 5000, Pinned: 1}
+	s.Zones[0].Wait, s.Zones[0].ReportedAt = 60000, 1
+	j := Job{Inputs: []Input{{ID: id}}, Work: 1000, Slots: 1, Objective: 5000, Pinned: 1}
 	c, err := s.Choose(j, 10)
-	if err != nil || c.Terms[0].Bytes != 2e6 {
+	if err != nil || c.Costs[0].Bytes != 2e6 {
 		t.Fatalf("%+v %v", c, err)
 	}
 	again, _ := s.Choose(j, 1010)
-	if again.Terms[0].Bytes != 0 || math.Abs(again.Terms[0].Transfer-1000) > 1 {
-		t.Errorf("half on its way: %+v", again.Terms[0])
+	if again.Costs[0].Bytes != 0 || math.Abs(again.Costs[0].Transfer-1000) > 1 {
+		t.Errorf("half on its way: %+v", again.Costs[0])
 	}
 	s.Ended(j, c, true, 3000)
 	s.Ended(j, again, true, 3000)
-	if third, _ := s.Choose(j, 3100); third.Terms[0].Transfer != 0 {
-		t.Errorf("%+v", third.Terms[0])
+	if third, _ := s.Choose(j, 3100); third.Costs[0].Transfer != 0 {
+		t.Errorf("%+v", third.Costs[0])
 	}
 	s.Catalogue.RemoveCopies(1)
-	if fourth, _ := s.Choose(j, 3200); fourth.Terms[0].Bytes != 2e6 {
-		t.Errorf("its disks are lost: %+v", fourth.Terms[0])
+	if fourth, _ := s.Choose(j, 3200); fourth.Costs[0].Bytes != 2e6 {
+		t.Errorf("its disks are lost: %+v", fourth.Costs[0])
 	}
 }
 
@@ -123,18 +123,18 @@
 // plain model of what it was told.
 func TestStateAgainstAModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := three()
-		s.Catalogue.most = 8
+		s := newTestSite()
+		s.Catalogue.maxSets = 8
 		model := map[ID]map[int]bool{} // listed only
 		type open struct {
 			j Job
 			c Choice
 		}
-		var out []open
+		var running []open
 		now := 0.0
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += float64(rapid.IntRange(0, 2000).Draw(t, "ms"))
-			id, zone := Name(fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "id"))), rapid.IntRange(0, 2).Draw(t, "hall")
+			id, zone := IDOf(fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "id"))), rapid.IntRange(0, 2).Draw(t, "hall")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				if s.Catalogue.Add(id, 1e6, zone) {
@@ -145,29 +145,29 @@
 			case 2:
 				s.Zones[zone].Unreachable = rapid.Bool().Draw(t, "cut")
 			case 3, 4:
-				j := Job{Inputs: []Input{{ID: id}}, Work: 500, Slots: float64(rapid.IntRange(1, 3).Draw(t, "wide")), Aim: 3000,
-					Left: float64(rapid.IntRange(0, 9000).Draw(t, "left")), Pinned: rapid.IntRange(-1, 2).Draw(t, "pinned")}
+				j := Job{Inputs: []Input{{ID: id}}, Work: 500, Slots: float64(rapid.IntRange(1, 3).Draw(t, "wide")), Objective: 3000,
+					TimeLeft: float64(rapid.IntRange(0, 9000).Draw(t, "left")), Pinned: rapid.IntRange(-1, 2).Draw(t, "pinned")}
 				c, err := s.Choose(j, now)
 				if err != nil {
 					continue
 				}
 				h := s.Zones[c.Zone]
-				if h.Unreachable || h.Slots < j.Slots || j.Pinned >= 0 && c.Zone != j.Pinned || j.Left > 0 && c.Terms[0].Done > j.Left {
-					t.Fatalf("%+v is sent to %+v: %s", j, h, c.Why())
+				if h.Unreachable || h.Slots < j.Slots || j.Pinned >= 0 && c.Zone != j.Pinned || j.TimeLeft > 0 && c.Costs[0].Total > j.TimeLeft {
+					t.Fatalf("%+v is sent to %+v: %s", j, h, c.Reason())
 				}
 				if p := c.Prices(3); p[c.Zone] != 0 || p[0] < 0 || p[1] < 0 || p[2] < 0 {
-					t.Fatalf("prices %v of %s", p, c.Why())
+					t.Fatalf("prices %v of %s", p, c.Reason())
 				}
-				out = append(out, open{j, c})
+				running = append(running, open{j, c})
 			case 5:
-				if len(out) > 0 {
-					x := out[0]
-					out = out[1:]
+				if len(running) > 0 {
+					x := running[0]
+					running = running[1:]
 					s.Ended(x.j, x.c, rapid.Bool().Draw(t, "there"), now)
 				}
 			}
-			if s.Reserved() != len(out) || s.Catalogue.Len() > 8 {
-				t.Fatalf("%d reserved, %d are out; %d data sets", s.Reserved(), len(out), s.Catalogue.Len())
+			if s.Reserved() != len(running) || s.Catalogue.Len() > 8 {
+				t.Fatalf("%d reserved, %d are out; %d data sets", s.Reserved(), len(running), s.Catalogue.Len())
 			}
 			for id, zones := range model {
 				if _, at := s.Catalogue.Locate(id, now); at&1 == 0 && zones[0] || at&2 == 0 && zones[1] || at&4 == 0 && zones[2] {
@@ -175,7 +175,7 @@
 				}
 			}
 		}
-		for _, x := range out {
+		for _, x := range running {
 			s.Ended(x.j, x.c, false, now)
 		}
 		for i := range s.Zones {
@@ -196,7 +196,7 @@
 			s := New(8, n)
 			ids := make([]ID, n)
 			for i := range n {
-				ids[i] = Name(fmt.Sprint(i))
+				ids[i] = IDOf(fmt.Sprint(i))
 			}
 			for f := range 8 {
 				for h := range 8 {
@@ -212,7 +212,7 @@
 			now := 0.0
 			for i := 0; b.Loop(); i++ {
 				now++
-				j := Job{Inputs: []Input{{ID: ids[i%n]}, {ID: ids[(i*7)%n]}, {ID: ids[(i*13)%n]}}, Work: 1000, Slots: 1, Aim: 5000, Pinned: -1}
+				j := Job{Inputs: []Input{{ID: ids[i%n]}, {ID: ids[(i*7)%n]}, {ID: ids[(i*13)%n]}}, Work: 1000, Slots: 1, Objective: 5000, Pinned: -1}
 				c, _ := s.Choose(j, now)
 				s.Ended(j, c, true, now)
 			}
