--- a/internal/site/catalogue.go
+++ b/internal/site/catalogue.go
@@ -12,28 +12,29 @@
 // IDOf returns the ID of a data set's name.
 func IDOf(text string) ID { return ID(xxhash.Sum64String(text)) }
 
-// entry is what is known of a data set: 24 bytes, beside its key and the map's own.
+// entry is the state of a data set. It takes 24 bytes, without its key and the overhead of the map.
 type entry struct {
 	size    float32 // bytes
-	listed  uint16  // zones that have it for good, by the operators' file
-	copies  uint16  // zones that have a copy which a job made
-	missing uint16  // zones that were found not to have it
-	used    float64 // ms: when a copy was last used or found missing
+	listed  uint16  // bit set of zones that have it permanently, from the operators' file
+	copies  uint16  // bit set of zones that have a copy made by a job
+	missing uint16  // bit set of zones that were found not to have it
+	used    float64 // time in ms when a copy was last used or found missing
 }
 
-// Catalogue maps data sets to zones, up to a limit. Over the limit the least recently used copies are evicted; listed data sets stay.
+// Catalogue maps data sets to zones, up to a maximum number of data sets. Above it, copies that were used least
+// recently are evicted; listed data sets stay.
 type Catalogue struct {
 	maxSets int
 	entries map[ID]entry
 }
 
-// NewCatalogue returns a Catalogue of at most so many data sets.
+// NewCatalogue returns a Catalogue of at most maxSets data sets.
 func NewCatalogue(most int) *Catalogue { return &Catalogue{maxSets: most, entries: map[ID]entry{}} }
 
 // Len returns the number of known data sets.
 func (c *Catalogue) Len() int { return len(c.entries) }
 
-// Add lists a data set of a size in bytes that zones have for good. It reports whether there was room.
+// Add lists a data set that zones have permanently, with its size in bytes. It reports whether the Catalogue had space.
 func (c *Catalogue) Add(id ID, size float64, zones ...int) bool {
 	e, ok := c.entries[id]
 	if !ok && len(c.entries) >= c.maxSets && !c.evict() {
@@ -48,7 +49,7 @@
 	return true
 }
 
-// evict makes room for one entry: of a sample the least recently used copy.
+// evict deletes the least recently used entry without a listed zone from a sample of the entries.
 func (c *Catalogue) evict() bool {
 	var oldest ID
 	at, looked, found := math.Inf(1), 0, false
@@ -64,7 +65,7 @@
 	return found
 }
 
-// AddCopy records that a job which needed a data set ended in a zone, which has it now.
+// AddCopy records that a zone has a copy of a data set, because a job that needed it ended there.
 func (c *Catalogue) AddCopy(id ID, size float64, zone int, now float64) {
 	e, ok := c.entries[id]
 	if !ok && len(c.entries) >= c.maxSets && !c.evict() {
@@ -89,7 +90,7 @@
 	}
 }
 
-// RemoveCopies records that a zone lost all copies that jobs made there.
+// RemoveCopies records that a zone lost all copies made by jobs.
 func (c *Catalogue) RemoveCopies(zone int) {
 	for id, e := range c.entries {
 		if e.copies&(1<<zone) != 0 {
@@ -99,7 +100,8 @@
 	}
 }
 
-// Locate returns a data set's size and, as bits, the zones that are taken to have it. An unknown data set is in no zone.
+// Locate returns the size of a data set and the bit set of zones that are assumed to have it. An unknown data set is in
+// no zone.
 func (c *Catalogue) Locate(id ID, now float64) (size float64, zones uint16) {
 	e, ok := c.entries[id]
 	if !ok {
--- a/internal/site/choice.go
+++ b/internal/site/choice.go
@@ -10,28 +10,28 @@
 type ZoneCost struct {
 	Zone                       int
 	Transfer, Wait, Run, Total float64 // ms
-	Bytes                      float64 // to be transferred
-	Price                      float64 // on the module's scale
-	Feasible                   bool    // it can end there before its deadline
-	linkTime                   float64 // ms that links are occupied by it
+	Bytes                      float64 // bytes to transfer
+	Price                      float64 // on the scale of the decision module
+	Feasible                   bool    // whether the job can end there before its deadline
+	linkTime                   float64 // ms for which its transfers occupy links
 }
 
 func (t ZoneCost) String() string {
 	return fmt.Sprintf("hall %d: data %.0f ms, wait %.0f ms, run %.0f ms", t.Zone, t.Transfer, t.Wait, t.Run)
 }
 
-// Choice is a decision.
+// Choice is the choice of a zone for a job.
 type Choice struct {
 	Zone       int
-	Costs      []ZoneCost // of all zones, the best first
-	ValidUntil float64    // ms, by the node's clock, until which it is valid
-	Work       float64    // reserved
+	Costs      []ZoneCost // of all suitable zones, best first
+	ValidUntil float64    // end of its validity in ms, on the node's clock
+	Work       float64    // reserved work in ms
 }
 
-// Reason returns the reason of the decision in one line.
+// Reason returns the reason for the choice in one line.
 func (c Choice) Reason() string {
 	if len(c.Costs) == 0 {
-		return "no hall takes work"
+		return "no hall accepts the job"
 	}
 	text := c.Costs[0].String()
 	if len(c.Costs) > 1 {
@@ -40,25 +40,25 @@
 	return text
 }
 
-// NoZoneError reports that no zone can run a job in time.
+// NoZoneError reports that no zone can run a job before its deadline.
 type NoZoneError struct{ Best ZoneCost }
 
 func (e *NoZoneError) Error() string {
-	return fmt.Sprintf("site: no hall has the job done before its deadline; the best is %v", e.Best)
+	return fmt.Sprintf("site: no hall can finish the job before its deadline; the best is %v", e.Best)
 }
 
-// Code is its kind.
+// Code returns the stable code of the error.
 func (*NoZoneError) Code() string { return "site.no_hall" }
 
-// Do is what can be done.
+// Do returns what an operator can do about the error.
 func (*NoZoneError) Do() string {
 	return "submit it with a later deadline, or copy its inputs to a hall with room first"
 }
 
 var _ = operr.Kind(&NoZoneError{})
 
-// Prices returns the price of each zone for the decision module, on the scale of its price for crossing. A zone that takes no work has
-// the worst.
+// Prices returns the price of each zone for the decision module, on the scale of its price for crossing zones. A zone
+// that accepts no work has the highest price.
 func (c Choice) Prices(zones int) []float64 {
 	out := make([]float64, zones)
 	worst := 0.0
--- a/internal/site/emulator_test.go
+++ b/internal/site/emulator_test.go
@@ -10,21 +10,21 @@
 	"testing"
 )
 
-var printFigures = flag.Bool("figures", false, "TestAgainstBaselines says what each policy gave")
+var printFigures = flag.Bool("figures", false, "TestAgainstBaselines logs the results of each policy")
 
-// simulation is zones with slots, links that carry one transfer after the other, and data, on virtual time.
+// simulation simulates zones with slots, links that carry one transfer at a time, and data sets, on virtual time.
 type simulation struct {
 	rng         *rand.Rand
-	free        [][]float64 // by zone and slot: when it is free
+	free        [][]float64 // by zone and slot: when the slot becomes free
 	speed       []float64
-	downUntil   []float64 // until when a zone takes nothing
+	downUntil   []float64 // until when a zone accepts no work
 	rate        [maxZones][maxZones]float64
 	busy        [maxZones][maxZones]float64
-	availableAt map[ID]map[int]float64 // from when on a zone has it
+	availableAt map[ID]map[int]float64 // by data set and zone: from when on the zone has it
 	size        map[ID]float64
 	moved       float64
-	inFlight    runHeap // jobs that run, by when they are done
-	staged      runHeap // those whose data are still on their way, by when they are there: they hold no slot yet
+	inFlight    runHeap // running jobs, ordered by end
+	staged      runHeap // jobs without a slot whose inputs are in transfer, ordered by arrival
 	ended       func(run)
 }
 
@@ -43,12 +43,12 @@
 func (d *runHeap) Push(x any)        { *d = append(*d, x.(run)) }
 func (d *runHeap) Pop() any          { old := *d; x := old[len(old)-1]; *d = old[:len(old)-1]; return x }
 
-// wait is how long a job that comes now waits in a zone in truth.
+// wait returns the actual wait of a new job in a zone.
 func (w *simulation) wait(zone int, now float64) float64 {
 	return max(0, slices.Min(w.free[zone])-now, w.downUntil[zone]-now)
 }
 
-// transferTime is how long it takes in truth until a data set is in a zone, and from where it comes.
+// transferTime returns the actual time until a data set is in a zone, and the zone that it is transferred from.
 func (w *simulation) transferTime(id ID, zone int, now float64) (ms float64, from int) {
 	if t, ok := w.availableAt[id][zone]; ok {
 		return max(0, t-now), -1
@@ -64,7 +64,7 @@
 	return ms, from
 }
 
-// stage has the inputs of a job brought to a zone.
+// stage starts the transfers of a job's inputs to a zone.
 func (w *simulation) stage(e run, zone int, now float64) {
 	ready := now
 	for _, in := range e.j.Inputs {
@@ -80,7 +80,7 @@
 	heap.Push(&w.staged, e)
 }
 
-// runUntil has all happen up to a time: jobs whose data are there take the slot that is free first.
+// runUntil simulates all events up to the given time. Jobs whose inputs have arrived get the slot that is free first.
 func (w *simulation) runUntil(now float64) {
 	for {
 		switch {
@@ -106,25 +106,25 @@
 
 type scenario struct {
 	name         string
-	slots        []int // slots by zone
+	slots        []int // by zone
 	rate         float64
-	load         float64 // of all slots
+	load         float64 // share of all slots that is used on average
 	scenes       int
-	minBytes     float64 // bytes
+	minBytes     float64 // minimum size of a data set
 	maxBytes     float64
-	reportDelay  float64 // ms that reports are old
-	rateFactor   float64 // times the usual, in the middle fifth
-	lostZone     int     // zone lost for the middle fifth, -1 for none
-	wrongShare   float64 // part of the catalogue that is not so
-	hotScene     bool    // one data set that a third of the jobs want
+	reportDelay  float64 // age of reports in ms
+	rateFactor   float64 // multiple of the usual rate in the middle fifth of the run, 0 for none
+	lostZone     int     // zone that is lost in the middle fifth, -1 for none
+	wrongShare   float64 // share of wrong catalogue entries
+	hotScene     bool    // a third of the jobs need the same data set
 	nodes        int
-	twoInputs    bool // jobs have inputs in two zones
+	twoInputs    bool // jobs have two inputs
 	oneNodeShare float64
 }
 
 type result struct{ mean, p99, onTime, moved, swing float64 }
 
-// simulate runs a scenario under a policy.
+// simulate runs a scenario with a policy.
 func simulate(sc scenario, policy string, seed uint64) result {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	zones := len(sc.slots)
@@ -170,7 +170,7 @@
 		if onTimes = append(onTimes, 0); e.at-e.began <= e.j.Objective {
 			onTimes[len(onTimes)-1] = 1
 		}
-		for i, s := range nodes { // what a job brought is told to all, by the store
+		for i, s := range nodes { // the store distributes new copies to all nodes
 			if i == e.node {
 				s.Ended(e.j, e.c, true, e.at)
 				continue
@@ -234,7 +234,7 @@
 		}
 		s := nodes[node]
 		c, zone := Choice{Zone: -1}, -1
-		least := func(cost func(h int) float64) int {
+		cheapest := func(cost func(h int) float64) int {
 			best, at := math.Inf(1), 0
 			for h := range zones {
 				if x := cost(h); x < best && !s.Zones[h].Unreachable {
@@ -243,7 +243,7 @@
 			}
 			return at
 		}
-		missingBytes := func(h int) float64 { // how much of the inputs a zone is believed to lack
+		missingBytes := func(h int) float64 { // bytes of the inputs that a zone lacks according to the catalogue
 			lacks := 0.0
 			for _, in := range j.Inputs {
 				if size, at := s.Catalogue.Locate(in.ID, now); at&(1<<h) == 0 {
@@ -253,29 +253,29 @@
 			return lacks
 		}
 		switch policy {
-		case "ours":
+		case "site":
 			c, _ = s.Choose(j, now)
 			zone = c.Zone
-		case "where the data are":
-			zone = least(missingBytes)
-		case "shortest wait", "today's":
-			zone = least(func(h int) float64 {
+		case "fewest missing bytes":
+			zone = cheapest(missingBytes)
+		case "shortest wait", "wait and crossing price":
+			zone = cheapest(func(h int) float64 {
 				x := s.Zones[h].Wait / 1000
-				if policy == "today's" && h != s.LocalZone {
-					x += 0.03 // the price of crossing, and nobody's data
+				if policy == "wait and crossing price" && h != s.LocalZone {
+					x += 0.03 // price of crossing zones, regardless of the data
 				}
 				return x + rng.Float64()*1e-3
 			})
-		case "better of two":
+		case "better of two random zones":
 			a, b := rng.IntN(zones), rng.IntN(zones)
-			zone = least(func(h int) float64 {
+			zone = cheapest(func(h int) float64 {
 				if h != a && h != b {
 					return math.Inf(1)
 				}
 				return s.Zones[h].Wait + missingBytes(h)/sc.rate
 			})
-		case "sees all":
-			zone = least(func(h int) float64 {
+		case "actual state":
+			zone = cheapest(func(h int) float64 {
 				ready := 0.0
 				for _, in := range j.Inputs {
 					ms, _ := w.transferTime(in.ID, h, now)
@@ -287,7 +287,7 @@
 		if zone < 0 {
 			zone = 0
 		}
-		for _, in := range j.Inputs { // what the catalogue had wrong is found out there
+		for _, in := range j.Inputs { // wrong entries of the catalogue are detected in the zone
 			if _, at := s.Catalogue.Locate(in.ID, now); at&(1<<zone) != 0 {
 				if _, ok := w.availableAt[in.ID][zone]; !ok {
 					s.Catalogue.MarkMissing(in.ID, zone, now)
@@ -318,18 +318,19 @@
 }
 
 var scenarios = []scenario{
-	{name: "small halls, 1 Gbit/s", slots: []int{6, 6, 6, 6}, rate: 125e3, load: 0.6, scenes: 40, minBytes: 10e6, maxBytes: 2e9, reportDelay: 1500, lostZone: -1, nodes: 5, oneNodeShare: 0.7},
-	{name: "uneven halls, 10 Gbit/s", slots: []int{6, 30, 12, 100}, rate: 1250e3, load: 0.7, scenes: 200, minBytes: 10e6, maxBytes: 20e9, reportDelay: 1500, lostZone: -1, nodes: 5, oneNodeShare: 0.7},
-	{name: "jump to 2.5 times", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.4, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, rateFactor: 2.5, lostZone: -1, nodes: 5, oneNodeShare: 0.2},
-	{name: "a hall lost", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.5, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, lostZone: 2, nodes: 5, oneNodeShare: 0.2},
-	{name: "one that all want", slots: []int{20, 20, 20, 20}, rate: 250e3, load: 0.7, scenes: 100, minBytes: 100e6, maxBytes: 2e9, reportDelay: 1500, lostZone: -1, hotScene: true, nodes: 5, oneNodeShare: 0.2},
-	{name: "a tenth of the catalogue wrong", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.6, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, lostZone: -1, wrongShare: 0.1, nodes: 5, oneNodeShare: 0.2},
-	{name: "inputs in two halls", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.6, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, lostZone: -1, twoInputs: true, nodes: 5, oneNodeShare: 0.2},
+	{name: "small zones, 1 Gbit/s", slots: []int{6, 6, 6, 6}, rate: 125e3, load: 0.6, scenes: 40, minBytes: 10e6, maxBytes: 2e9, reportDelay: 1500, lostZone: -1, nodes: 5, oneNodeShare: 0.7},
+	{name: "uneven zones, 10 Gbit/s", slots: []int{6, 30, 12, 100}, rate: 1250e3, load: 0.7, scenes: 200, minBytes: 10e6, maxBytes: 20e9, reportDelay: 1500, lostZone: -1, nodes: 5, oneNodeShare: 0.7},
+	{name: "rate increases 2.5 times", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.4, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, rateFactor: 2.5, lostZone: -1, nodes: 5, oneNodeShare: 0.2},
+	{name: "zone lost", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.5, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, lostZone: 2, nodes: 5, oneNodeShare: 0.2},
+	{name: "popular data set", slots: []int{20, 20, 20, 20}, rate: 250e3, load: 0.7, scenes: 100, minBytes: 100e6, maxBytes: 2e9, reportDelay: 1500, lostZone: -1, hotScene: true, nodes: 5, oneNodeShare: 0.2},
+	{name: "10% of the catalogue wrong", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.6, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, lostZone: -1, wrongShare: 0.1, nodes: 5, oneNodeShare: 0.2},
+	{name: "inputs in two zones", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.6, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, lostZone: -1, twoInputs: true, nodes: 5, oneNodeShare: 0.2},
 }
 
-var baselines = []string{"where the data are", "shortest wait", "today's", "better of two"}
+var baselines = []string{"fewest missing bytes", "shortest wait", "wait and crossing price", "better of two random zones"}
 
-// On every scenario the mean time to done is under that of each baseline, and near that of one that sees the true state.
+// In every scenario the mean time until a job is done is below that of each baseline, and close to that of a policy
+// that knows the actual state.
 func TestAgainstBaselines(t *testing.T) {
 	for _, sc := range scenarios {
 		mean := func(policy string) (r result) {
@@ -346,15 +347,15 @@
 			}
 			return r
 		}
-		ours, all := mean("ours"), mean("sees all")
+		ours, all := mean("site"), mean("actual state")
 		for _, b := range baselines {
 			if x := mean(b); ours.mean > x.mean*1.005 {
-				t.Errorf("%s: %.0f ms in the mean, %s %.0f", sc.name, ours.mean, b, x.mean)
+				t.Errorf("%s: mean %.0f ms, with policy %s %.0f ms", sc.name, ours.mean, b, x.mean)
 			}
 		}
-		// The uneven zones are the one in which what others have on its way, and is not told before it is there, costs most.
-		if most := map[bool]float64{true: 1.6, false: 1.15}[sc.maxBytes > 10e9]; ours.mean > most*all.mean {
-			t.Errorf("%s: %.0f ms in the mean, one that sees all %.0f", sc.name, ours.mean, all.mean)
+		// In the uneven zones, transfers of other nodes cost maxFactor, because they are not known before they have ended.
+		if maxFactor := map[bool]float64{true: 1.6, false: 1.15}[sc.maxBytes > 10e9]; ours.mean > maxFactor*all.mean {
+			t.Errorf("%s: mean %.0f ms, with the actual state known %.0f ms", sc.name, ours.mean, all.mean)
 		}
 	}
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,14 +1,16 @@
-// Package site decides in which zone a job with input data sets is best run: the time to transfer what is missing against the wait for
-// free slots, the run time on the zone's machines, and the price of crossing zones. It does no I/O, reads no clock and starts no
-// goroutine. The executor is still chosen by the decision module, which takes a price for each zone.
+// Package site chooses the zone in which a job with input data sets runs. It weighs the time to transfer missing data
+// sets, the wait for free slots, the run time on the zone's machines, and the price of crossing zones. It does no I/O,
+// reads no clock and starts no goroutine. The decision module still chooses the executor; it gets a price for each
+// zone.
 //
-// # What it goes by
+// # Inputs of the choice
 //
-// A catalogue of which zones have which data, links with the transfers in progress, the wait in each zone as last reported, and this
-// node's own choices that no report shows yet. Many nodes see the same report of the same empty zone at the same moment: each assumes
-// that all others decide as it does, in proportion to its share of the fleet's jobs, so that the zone fills up in its accounts before
-// the next report comes. Nodes do not ask one another; a stale report, an unreachable zone or a wrong entry costs time and breaks no
-// rule.
+// The choice is based on a catalogue of the zones that have a data set, links with their transfers in progress, the
+// wait in each zone as last reported, and this node's own choices that no report includes yet. Many nodes see the same
+// report of the same empty zone at the same moment. Each therefore assumes that all others decide as it does, in
+// proportion to its share of the fleet's jobs, so that the zone fills up in its accounting before the next report
+// arrives. Nodes do not coordinate; a stale report, an unreachable zone or a wrong catalogue entry costs time but
+// violates no rule.
 //
 // Texts for operators call a zone a hall, as the operators' file does.
 package site
@@ -19,53 +21,53 @@
 	"slices"
 )
 
-// Figures of what is kept and believed.
+// Parameters of the choice.
 const (
 	maxZones         = 16
-	copyLifetime     = 3600e3 // ms that a copy which a job made is trusted, unless it is used again
-	waitDecayPeriods = 3      // report periods over which an old wait decays to the fleet's mean
-	priceAtObjective = 1.0    // the price when all the time that the aim leaves is used up, on the module's scale
-	missingLifetime  = 60e3   // ms that a zone is taken not to have what was missing there
-	transferCost     = 0.5    // for each ms that a transfer occupies a link, for which others wait
-	minLinkShare     = 0.05   // of a link that a transfer is assumed to get at least
+	copyLifetime     = 3600e3 // ms for which a copy made by a job is assumed to exist after its latest use
+	waitDecayPeriods = 3      // time constant, in report periods, with which a reported wait decays to the mean
+	priceAtObjective = 1.0    // price when the slack of the objective is used up, on the decision module's scale
+	missingLifetime  = 60e3   // ms for which a data set that was missing in a zone is assumed to be missing
+	transferCost     = 0.5    // cost of each ms for which a transfer occupies a link, because other transfers wait
+	minLinkShare     = 0.05   // minimum share of a link that a transfer is assumed to get
 )
 
 // Zone is the known state of a zone.
 type Zone struct {
-	Slots         float64 // of executors that take work
-	Speed         float64 // of its machines, 1 for the standard
-	Wait          float64 // ms until a job that comes now begins, as reported
-	ReportedAt    float64 // of the report, in ms
-	Unreachable   bool    // no link reaches it, or it drains: it takes no job, and no data come from it
-	CrossingPrice float64 // from this node's zone, on the module's scale
-	reservedWork  float64 // work in ms chosen since the report, extrapolated to all nodes
+	Slots         float64 // slots of the executors that accept work
+	Speed         float64 // of its machines, 1 for a standard machine
+	Wait          float64 // reported ms until a new job starts
+	ReportedAt    float64 // time of the report in ms
+	Unreachable   bool    // no link reaches it, or it is draining: it gets no jobs and is no source of data
+	CrossingPrice float64 // from this node's zone, on the decision module's scale
+	reservedWork  float64 // ms of work chosen since the report, extrapolated to all nodes
 	reservedJobs  int
 }
 
 // Links are the links between zones.
 type Links struct {
-	Rate [maxZones][maxZones]float64 // bytes a ms, zero for none
-	busy [maxZones][maxZones]float64 // until when transfers in progress occupy it
+	Rate [maxZones][maxZones]float64 // bytes per ms, zero for no link
+	busy [maxZones][maxZones]float64 // until when transfers in progress occupy the link
 }
 
-// transfer is a data set on its way to a zone.
+// transfer identifies the transfer of a data set to a zone.
 type transfer struct {
 	id   ID
 	zone int
 }
 
-// Site decides for one node.
+// Site chooses zones for the jobs of one node. It is not safe for concurrent use.
 type Site struct {
 	Catalogue    *Catalogue
 	Zones        []Zone
 	Links        Links
-	ReportPeriod float64 // ms between reports
-	FleetShare   float64 // of the fleet's jobs that this node gets
-	LocalZone    int     // this node's zone
+	ReportPeriod float64 // time between reports in ms
+	FleetShare   float64 // this node's share of the fleet's jobs
+	LocalZone    int     // zone of this node
 	arrivals     map[transfer]float64
 }
 
-// New returns a Site of some zones, with a catalogue of at most so many data sets.
+// New returns a Site of zones zones, with a catalogue of at most maxSets data sets.
 func New(zones, maxSets int) *Site {
 	return &Site{Catalogue: NewCatalogue(maxSets), Zones: make([]Zone, zones), ReportPeriod: 1000, FleetShare: 1, arrivals: map[transfer]float64{}}
 }
@@ -73,26 +75,26 @@
 // Input is a data set that a job needs.
 type Input struct {
 	ID   ID
-	Size float64 // bytes, if the job says; else the catalogue's
+	Size float64 // bytes, if the job states it; otherwise the size in the catalogue applies
 }
 
 // Job is a job to be placed.
 type Job struct {
 	Inputs    []Input
-	Work      float64 // ms on a standard machine
+	Work      float64 // run time in ms on a standard machine
 	Slots     float64
-	Objective float64 // ms from now until which it has its full worth
-	TimeLeft  float64 // until its deadline
-	Pinned    int     // the only zone it may go to, -1 for any: a job that may have run is never sent to a better zone
+	Objective float64 // latency objective in ms from now
+	TimeLeft  float64 // ms until its deadline; 0 for no deadline
+	Pinned    int     // the only allowed zone, -1 for any: a job that may have run is never sent to a better zone
 }
 
-// UpdateZone takes in the report of a zone's wait as of a time. Choices made before that time are part of it.
+// UpdateZone applies a report of a zone's state at the given time. The report includes choices made before that time.
 func (s *Site) UpdateZone(zone int, slots, speed, wait, at float64) {
 	z := &s.Zones[zone]
 	if at < z.ReportedAt {
 		return
 	}
-	// Choices made while the report was on its way are not part of it: of the reserved work the part since its time stays.
+	// Choices made while the report was in transit are not included in it: a part of the reserved work is kept for them.
 	keep := 0.0
 	if at > z.ReportedAt && s.ReportPeriod > 0 {
 		keep = math.Exp(-(at - z.ReportedAt) / s.ReportPeriod)
@@ -101,7 +103,7 @@
 	z.Slots, z.Speed, z.Wait, z.ReportedAt = slots, speed, wait, at
 }
 
-// meanWait returns the mean wait of the zones that take work.
+// meanWait returns the mean wait of the zones that accept work.
 func (s *Site) meanWait() float64 {
 	mean, n := 0.0, 0.0
 	for i := range s.Zones {
@@ -113,17 +115,17 @@
 	return mean / max(n, 1)
 }
 
-// wait returns how long a job waits for a free slot in a zone.
+// wait estimates how long a job waits for a free slot in a zone.
 func (s *Site) wait(z *Zone, mean, now float64) float64 {
 	age := max(0, now-z.ReportedAt)
 	decay := math.Exp(-age / (waitDecayPeriods * max(s.ReportPeriod, 1)))
-	reported := max(0, z.Wait-age*decay*0.5) // the backlog of then is being worked off
+	reported := max(0, z.Wait-age*decay*0.5) // the reported backlog shrinks meanwhile
 	reserved := z.reservedWork / max(z.Slots*z.Speed, 1e-3)
 	return reported*decay + mean*(1-decay) + reserved
 }
 
-// locateInput returns an input's size and the zones that have it, and whether a zone lacks it. If it is on its way there, it is not locateInput,
-// and arrives says in how many ms it will be there.
+// locateInput returns the size of an input, the bit set of zones that have it, and whether the given zone lacks it. An
+// input in transfer to the zone is not lacking, and arrives is the time in ms until it is there.
 func (s *Site) locateInput(in Input, zone int, now float64) (size float64, at uint16, arrives float64, lacks bool) {
 	size, at = s.Catalogue.Locate(in.ID, now)
 	if in.Size > 0 {
@@ -138,8 +140,8 @@
 	return size, at, 0, true
 }
 
-// source returns the zone from which data arrive soonest and how long that takes; -1 if none is known to have them. Load is what the
-// same job transfers over the links from each zone besides.
+// source returns the zone from which a data set arrives soonest, or -1 if no zone is known to have it, and the time
+// that takes. Load is the time for which other transfers of the same job occupy the links from each zone.
 func (s *Site) source(size float64, at uint16, zone int, load *[maxZones]float64, now float64) (ms float64, from int) {
 	ms, from = math.Inf(1), -1
 	for f := range s.Zones {
@@ -154,7 +156,8 @@
 	return ms, from
 }
 
-// transferTime returns how long it takes until all inputs are in a zone, and what has to be transferred.
+// transferTime returns the time until all inputs of a job are in a zone, the bytes to transfer, and the time for which
+// the transfers occupy links.
 func (s *Site) transferTime(j *Job, zone int, now float64) (ms, bytes, moves float64) {
 	var load [maxZones]float64
 	for _, in := range j.Inputs {
@@ -164,7 +167,7 @@
 			continue
 		}
 		best, from := s.source(size, at, zone, &load, now)
-		if from < 0 { // no zone is known to have it: it comes from wherever it was made, at the rate of the worst link
+		if from < 0 { // no zone is known to have it: assume a transfer from its origin over the slowest link
 			best = size / max(s.slowestRate(zone), 1e-9)
 		} else {
 			load[from] += size / s.Links.Rate[from][zone]
@@ -176,7 +179,7 @@
 	return ms, bytes, moves
 }
 
-// slowestRate returns the rate of the slowestRate link to a zone, as a single transfer gets it.
+// slowestRate returns the rate that a single transfer is assumed to get on the slowest link to a zone.
 func (s *Site) slowestRate(zone int) float64 {
 	rate := math.Inf(1)
 	for f := range s.Zones {
@@ -190,7 +193,7 @@
 	return rate * minLinkShare * 4
 }
 
-// rank returns the terms of all zones for a job, the best first.
+// rank returns the costs of a job in all suitable zones, best first.
 func (s *Site) rank(j *Job, now float64) []ZoneCost {
 	out, mean := make([]ZoneCost, 0, len(s.Zones)), s.meanWait()
 	for i := range s.Zones {
@@ -200,7 +203,7 @@
 		}
 		t := ZoneCost{Zone: i, Wait: s.wait(z, mean, now), Run: j.Work / max(z.Speed, 1e-3)}
 		t.Transfer, t.Bytes, t.linkTime = s.transferTime(j, i, now)
-		t.Total = max(t.Transfer, t.Wait) + t.Run // data come while it waits for room
+		t.Total = max(t.Transfer, t.Wait) + t.Run // data are transferred while the job waits for a slot
 		t.Feasible = j.TimeLeft <= 0 || t.Total <= j.TimeLeft
 		slack := max(j.Objective-j.Work, 100)
 		t.Price = priceAtObjective*(t.Total-j.Work+transferCost*t.linkTime)/slack + z.CrossingPrice
@@ -218,8 +221,8 @@
 	return out
 }
 
-// Choose decides in which zone a job runs, and reserves the work there. If no zone has it done in time the error is a *NoZoneError with
-// the best there is.
+// Choose chooses the zone for a job and reserves the work there. If no zone can finish the job in time, the error is a
+// *NoZoneError with the best zone, and nothing is reserved.
 func (s *Site) Choose(j Job, now float64) (Choice, error) {
 	terms := s.rank(&j, now)
 	if len(terms) == 0 {
@@ -233,7 +236,7 @@
 	return c, nil
 }
 
-// reserve accounts for a choice: this node's share of what all nodes choose alike, and the transfers for it.
+// reserve accounts for a choice: the work, extrapolated to all nodes by this node's share, and the transfers.
 func (s *Site) reserve(j *Job, c Choice, now float64) {
 	z := &s.Zones[c.Zone]
 	z.reservedWork += c.Work / max(s.FleetShare, 0.01)
@@ -245,7 +248,7 @@
 			continue
 		}
 		if ms, from := s.source(size, at, c.Zone, &alone, now); from >= 0 {
-			// The other nodes use the link as this one does.
+			// All other nodes are assumed to use the link like this one.
 			s.Links.busy[from][c.Zone] = max(now, s.Links.busy[from][c.Zone]) + size/s.Links.Rate[from][c.Zone]/max(s.FleetShare, 0.01)
 			s.arrivals[transfer{in.ID, c.Zone}] = now + ms
 		}
@@ -259,7 +262,8 @@
 	}
 }
 
-// Ended releases a choice, however its job ended; there says whether it ran in the chosen zone, with its inputs there.
+// Ended releases a choice after its job has ended in any way. RanThere tells whether the job ran in the chosen zone,
+// which then has its inputs.
 func (s *Site) Ended(job Job, c Choice, ranThere bool, now float64) {
 	if c.Zone < 0 {
 		return
@@ -278,7 +282,7 @@
 	}
 }
 
-// Reserved returns the number of choices that have not ended.
+// Reserved returns the number of choices whose jobs have not ended.
 func (s *Site) Reserved() (n int) {
 	for i := range s.Zones {
 		n += s.Zones[i].reservedJobs
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -17,7 +17,7 @@
 	for f := range 3 {
 		for h := range 3 {
 			if f != h {
-				s.Links.Rate[f][h] = 1000 // bytes a ms
+				s.Links.Rate[f][h] = 1000 // bytes per ms
 			}
 		}
 		s.UpdateZone(f, 4, 1, 0, 0)
@@ -25,7 +25,7 @@
 	return s
 }
 
-// The hard cases, each by what is chosen.
+// Each case checks which zone is chosen for a job in a difficult situation.
 func TestChoices(t *testing.T) {
 	big, small := IDOf("big"), IDOf("small")
 	job := func(ids ...ID) Job {
@@ -42,35 +42,35 @@
 		want int
 		err  bool
 	}{
-		{"where its data are", func(s *Site) { s.Catalogue.Add(big, 10e6, 1) }, job(big), 1, false},
-		{"not there, if the wait is longer than bringing them", func(s *Site) { s.Catalogue.Add(small, 1e6, 1); s.UpdateZone(1, 4, 1, 8000, 1) }, job(small), 0, false},
-		{"there, if the wait is shorter than bringing them", func(s *Site) { s.Catalogue.Add(big, 10e6, 1); s.UpdateZone(1, 4, 1, 3000, 1) }, job(big), 1, false},
-		{"inputs in two halls: where most of it is", func(s *Site) { s.Catalogue.Add(big, 10e6, 2); s.Catalogue.Add(small, 1e6, 1) }, job(big, small), 2, false},
-		{"a hall that is cut off takes none", func(s *Site) {
+		{"zone that has the data", func(s *Site) { s.Catalogue.Add(big, 10e6, 1) }, job(big), 1, false},
+		{"wait at the data longer than the transfer", func(s *Site) { s.Catalogue.Add(small, 1e6, 1); s.UpdateZone(1, 4, 1, 8000, 1) }, job(small), 0, false},
+		{"wait at the data shorter than the transfer", func(s *Site) { s.Catalogue.Add(big, 10e6, 1); s.UpdateZone(1, 4, 1, 3000, 1) }, job(big), 1, false},
+		{"inputs in two zones: zone with most of the bytes", func(s *Site) { s.Catalogue.Add(big, 10e6, 2); s.Catalogue.Add(small, 1e6, 1) }, job(big, small), 2, false},
+		{"unreachable zone gets no job", func(s *Site) {
 			s.Catalogue.Add(big, 10e6, 1)
 			s.Catalogue.Add(big, 10e6, 1, 2)
 			s.Zones[1].Unreachable = true
 		}, job(big), 2, false},
-		{"a slow hall, though few wait there", func(s *Site) { s.Catalogue.Add(small, 1e5, 0, 1); s.UpdateZone(0, 4, 0.1, 0, 1) }, job(small), 1, false},
-		{"nobody waits past the deadline for data", func(s *Site) { s.Catalogue.Add(big, 10e6, 1); s.UpdateZone(1, 4, 1, 60000, 1) },
+		{"slow zone without a wait is avoided", func(s *Site) { s.Catalogue.Add(small, 1e5, 0, 1); s.UpdateZone(0, 4, 0.1, 0, 1) }, job(small), 1, false},
+		{"no wait for data beyond the deadline", func(s *Site) { s.Catalogue.Add(big, 10e6, 1); s.UpdateZone(1, 4, 1, 60000, 1) },
 			func() Job { j := job(big); j.TimeLeft = 3000; return j }(), 0, true},
-		{"what may have run is not sent on for a better hall", func(s *Site) { s.Catalogue.Add(big, 10e6, 1) },
+		{"job that may have run is not moved to a better zone", func(s *Site) { s.Catalogue.Add(big, 10e6, 1) },
 			func() Job { j := job(big); j.Pinned = 0; return j }(), 0, false},
-		{"a job larger than any hall's room", func(*Site) {}, Job{Work: 1, Slots: 9, Pinned: -1}, -1, true},
-		{"found not to be there", func(s *Site) { s.Catalogue.Add(big, 10e6, 1, 2); s.Catalogue.MarkMissing(big, 1, 10) }, job(big), 2, false},
+		{"job needs more slots than any zone has", func(*Site) {}, Job{Work: 1, Slots: 9, Pinned: -1}, -1, true},
+		{"data set found missing in a listed zone", func(s *Site) { s.Catalogue.Add(big, 10e6, 1, 2); s.Catalogue.MarkMissing(big, 1, 10) }, job(big), 2, false},
 	} {
 		s := newTestSite()
 		x.set(s)
 		c, err := s.Choose(x.job, 20)
 		if none := (*NoZoneError)(nil); errors.As(err, &none) != x.err || !x.err && c.Zone != x.want || x.want < 0 && c.Zone >= 0 {
-			t.Errorf("%s: hall %d, %v; want %d (%s)", x.name, c.Zone, err, x.want, c.Reason())
+			t.Errorf("%s: zone %d, error %v; want zone %d (%s)", x.name, c.Zone, err, x.want, c.Reason())
 		}
 	}
 }
 
-// Many nodes see one empty zone at one moment: by what each takes the others to do, no more go there than it has room for
-// before the next report, give or take one of each.
-func TestNoHerding(t *testing.T) {
+// Many nodes see the same empty zone at the same moment. Because each accounts for the choices of the others, they send
+// no more jobs there than it has capacity for until the next report, within one job per node.
+func TestNodesDoNotOverloadAnEmptyZone(t *testing.T) {
 	const nodes = 10
 	got := make([]int, 3)
 	for i := range nodes {
@@ -88,12 +88,13 @@
 		}
 	}
 	if got[2] > 24 || got[2] < 10 {
-		t.Errorf("%v: the empty hall has 4 slots and a lead of 16 jobs' work", got)
+		t.Errorf("jobs by zone %v: the empty zone has 4 slots and 16 jobs' work less to do", got)
 	}
 }
 
-// A data set that is on its way is waited for and not brought twice; once a job ended with it there, it is there.
-func TestOnItsWay(t *testing.T) {
+// A data set that is being transferred is waited for and not transferred twice. Once a job that used it has ended in
+// the zone, the zone has a copy.
+func TestDataSetInTransferIsNotTransferredTwice(t *testing.T) {
 	s := newTestSite()
 	id := IDOf("scene")
 	s.Catalogue.Add(id, 2e6, 0)
@@ -105,27 +106,27 @@
 	}
 	again, _ := s.Choose(j, 1010)
 	if again.Costs[0].Bytes != 0 || math.Abs(again.Costs[0].Transfer-1000) > 1 {
-		t.Errorf("half on its way: %+v", again.Costs[0])
+		t.Errorf("cost during the transfer: %+v", again.Costs[0])
 	}
 	s.Ended(j, c, true, 3000)
 	s.Ended(j, again, true, 3000)
 	if third, _ := s.Choose(j, 3100); third.Costs[0].Transfer != 0 {
-		t.Errorf("%+v", third.Costs[0])
+		t.Errorf("cost after the transfer: %+v", third.Costs[0])
 	}
 	s.Catalogue.RemoveCopies(1)
 	if fourth, _ := s.Choose(j, 3200); fourth.Costs[0].Bytes != 2e6 {
-		t.Errorf("its disks are lost: %+v", fourth.Costs[0])
+		t.Errorf("cost after the zone lost its copies: %+v", fourth.Costs[0])
 	}
 }
 
-// Under random calls: what is reserved is returned once all jobs have ended in any way, no zone is chosen that takes no work, none
-// but the pinned one for a pinned job, none past a deadline without an error; the catalogue stays in its bound and agrees with a
-// plain model of what it was told.
+// Under random calls all reservations are released once all jobs have ended in any way; no zone is chosen that accepts
+// no work, none but the pinned one for a pinned job, and none that misses the deadline without an error; the catalogue
+// stays within its bound and agrees with a reference model of the listed data sets.
 func TestStateAgainstAModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newTestSite()
 		s.Catalogue.maxSets = 8
-		model := map[ID]map[int]bool{} // listed only
+		model := map[ID]map[int]bool{} // listed data sets only
 		type open struct {
 			j Job
 			c Choice
@@ -153,7 +154,7 @@
 				}
 				h := s.Zones[c.Zone]
 				if h.Unreachable || h.Slots < j.Slots || j.Pinned >= 0 && c.Zone != j.Pinned || j.TimeLeft > 0 && c.Costs[0].Total > j.TimeLeft {
-					t.Fatalf("%+v is sent to %+v: %s", j, h, c.Reason())
+					t.Fatalf("%+v sent to unsuitable zone %+v: %s", j, h, c.Reason())
 				}
 				if p := c.Prices(3); p[c.Zone] != 0 || p[0] < 0 || p[1] < 0 || p[2] < 0 {
 					t.Fatalf("prices %v of %s", p, c.Reason())
@@ -167,11 +168,11 @@
 				}
 			}
 			if s.Reserved() != len(running) || s.Catalogue.Len() > 8 {
-				t.Fatalf("%d reserved, %d are out; %d data sets", s.Reserved(), len(running), s.Catalogue.Len())
+				t.Fatalf("%d choices reserved, %d jobs running; %d data sets", s.Reserved(), len(running), s.Catalogue.Len())
 			}
 			for id, zones := range model {
 				if _, at := s.Catalogue.Locate(id, now); at&1 == 0 && zones[0] || at&2 == 0 && zones[1] || at&4 == 0 && zones[2] {
-					t.Fatalf("what was listed is not known: %b, %v", at, zones)
+					t.Fatalf("listed zones not located: got %b, want %v", at, zones)
 				}
 			}
 		}
@@ -180,13 +181,13 @@
 		}
 		for i := range s.Zones {
 			if s.Zones[i].reservedWork != 0 {
-				t.Fatalf("hall %d still has %v ms reserved", i, s.Zones[i].reservedWork)
+				t.Fatalf("zone %d still has %v ms reserved after all jobs ended", i, s.Zones[i].reservedWork)
 			}
 		}
 	})
 }
 
-// A million data sets, by what they take: the catalogue is bounded, and a choice does not grow with it.
+// Measures the memory per data set, and that the time of a choice does not grow with the number of data sets.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{1000, 1000000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
