--- a/internal/locality/file.go
+++ b/internal/locality/file.go
@@ -15,7 +15,7 @@
 	"gatetack/internal/operr"
 )
 
-// Limits of the file.
+// Limits on the contents of the file.
 const (
 	maxZones            = 16
 	maxDataSets         = 1 << 20
@@ -25,12 +25,12 @@
 	maxSetBytes         = 1e18
 )
 
-// defaultSlotsPerExecutor is what an executor of the list is assumed to have.
+// defaultSlotsPerExecutor is the number of slots that an executor of the endpoint list is assumed to have by default.
 const defaultSlotsPerExecutor = 2
 
-// File is the operators' file of data sets. Its keys call a zone a hall and an executor a box.
+// File is the operators' file of data sets. In its keys a zone is called a hall and an executor a box.
 type File struct {
-	SlotsPerExecutor int       `yaml:"slots_per_box"` // that each executor of the list is assumed to have
+	SlotsPerExecutor int       `yaml:"slots_per_box"` // number of slots that each executor of the endpoint list is assumed to have
 	Links            []Link    `yaml:"links"`
 	Sets             []DataSet `yaml:"sets"`
 }
@@ -39,31 +39,31 @@
 type Link struct {
 	From  string  `yaml:"from"`
 	To    string  `yaml:"to"`
-	Gbits float64 `yaml:"gbits"` // a second, in each direction
+	Gbits float64 `yaml:"gbits"` // Gbit/s in each direction
 }
 
-// DataSet is a data set that jobs may name as an input.
+// DataSet is a data set that jobs can use as an input.
 type DataSet struct {
 	Name  string   `yaml:"name"`
 	Bytes float64  `yaml:"bytes"`
-	Zones []string `yaml:"halls"` // that have a copy
+	Zones []string `yaml:"halls"` // zones that have a copy
 }
 
-// FileError reports what is wrong with the operators' file, and where.
+// FileError reports an invalid field in the operators' file.
 type FileError struct{ File, Field, Why string }
 
-// Error names the file, the field and what is wrong.
+// Error returns the file, the field and the reason.
 func (e *FileError) Error() string { return fmt.Sprintf("%s: %s: %s", e.File, e.Field, e.Why) }
 
-// Code is its kind.
+// Code returns the stable code of the error.
 func (*FileError) Code() string { return "data.file" }
 
-// Do is what can be done.
+// Do returns what an operator can do about the error.
 func (*FileError) Do() string { return "correct the field in the file that data.file names" }
 
 var _ = operr.Kind(&FileError{})
 
-// parse reads and checks the file's text.
+// parse decodes and validates the contents of the file.
 func parse(path string, data []byte, names node.Names) (*File, error) {
 	f := &File{SlotsPerExecutor: defaultSlotsPerExecutor}
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
@@ -73,7 +73,7 @@
 	}
 	check := checker{path: path, zones: names.Zones}
 	if len(names.Zones) > maxZones {
-		return nil, check.failed("halls", "%d halls, expected %d at most", len(names.Zones), maxZones)
+		return nil, check.failed("halls", "%d halls, expected at most %d", len(names.Zones), maxZones)
 	}
 	if f.SlotsPerExecutor < 1 || f.SlotsPerExecutor > maxSlotsPerExecutor {
 		return nil, check.failed("slots_per_box", "%d, expected 1 to %d", f.SlotsPerExecutor, maxSlotsPerExecutor)
@@ -87,20 +87,20 @@
 	return f, nil
 }
 
-// checker checks the parts of a file.
+// checker validates the parts of a file.
 type checker struct {
 	path  string
 	zones []string
 }
 
-// failed is the error of a field.
+// failed returns the error for a field.
 func (c checker) failed(field, format string, args ...any) error {
 	return &FileError{c.path, field, fmt.Sprintf(format, args...)}
 }
 
 func (c checker) zone(field, name string) error {
 	if !slices.Contains(c.zones, name) {
-		return c.failed(field, "%q is none of %s", name, strings.Join(c.zones, ", "))
+		return c.failed(field, "%q is not one of %s", name, strings.Join(c.zones, ", "))
 	}
 	return nil
 }
@@ -112,7 +112,7 @@
 			return err
 		}
 		if math.IsNaN(link.Gbits) || link.Gbits <= 0 || link.Gbits > maxGbits {
-			return c.failed(at+".gbits", "%v, expected over 0", link.Gbits)
+			return c.failed(at+".gbits", "%v, expected more than 0 and at most 1e6", link.Gbits)
 		}
 	}
 	return nil
@@ -120,7 +120,7 @@
 
 func (c checker) sets(sets []DataSet) error {
 	if len(sets) > maxDataSets {
-		return c.failed("sets", "%d, expected %d at most", len(sets), maxDataSets)
+		return c.failed("sets", "%d, expected at most %d", len(sets), maxDataSets)
 	}
 	names := map[string]bool{}
 	for i, set := range sets {
@@ -129,7 +129,7 @@
 		case set.Name == "" || len(set.Name) > maxNameBytes:
 			return c.failed(at+".name", "expected 1 to %d bytes", maxNameBytes)
 		case names[set.Name]:
-			return c.failed(at+".name", "%q stands twice", set.Name)
+			return c.failed(at+".name", "%q is defined twice", set.Name)
 		case math.IsNaN(set.Bytes) || set.Bytes < 0 || set.Bytes > maxSetBytes:
 			return c.failed(at+".bytes", "%v, expected 0 to 1e18", set.Bytes)
 		}
--- a/internal/locality/placer.go
+++ b/internal/locality/placer.go
@@ -1,7 +1,7 @@
-// Package locality applies data locality to jobs (package site decides): it reads the operators' file of data
-// sets and links, keeps what is known of each zone's capacity from this node's own counts and its list, and
-// prices the zones for a job that names its inputs. A Placer owns the site's state; its owner runs its one
-// goroutine.
+// Package locality applies data locality to jobs; package site makes the decisions. It reads the operators' file of
+// data sets and links, tracks the capacity of each zone from this node's own counts and its endpoint list, and returns
+// prices of the zones for a job that names its inputs. A Placer owns the state of the site and needs one goroutine,
+// which its owner runs.
 package locality
 
 import (
@@ -19,8 +19,8 @@
 )
 
 const (
-	refreshInterval = time.Second // of the zones' capacity
-	// runLearningRate is the weight of a job's run in the mean of its class.
+	refreshInterval = time.Second // of the capacity of the zones
+	// runLearningRate is the weight of a job's run time in the mean run time of its class.
 	runLearningRate = 0.05
 	bytesPerGbit    = 1e9 / 8
 )
@@ -31,7 +31,7 @@
 	Executors(context.Context) ([]node.ExecutorInfo, error)
 }
 
-// Placer prices the zones for the jobs of one node.
+// Placer determines the prices of the zones for the jobs of one node. It is safe for concurrent use.
 type Placer struct {
 	names            node.Names
 	settings         dispatch.Settings
@@ -43,11 +43,11 @@
 
 	mu           sync.Mutex
 	site         *site.Site
-	executorZone map[string]int // by name
-	meanRun      []float64      // mean run of each class, ms
+	executorZone map[string]int // zone of each executor, by name
+	meanRun      []float64      // mean run time of each class, ms
 }
 
-// Open reads the operators' file and returns a Placer that goes by it.
+// Open reads the operators' file and returns a Placer for it.
 func Open(path string, names node.Names, s dispatch.Settings, from MachineLister, log *slog.Logger) (*Placer, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -76,12 +76,12 @@
 			p.site.Zones[i].CrossingPrice = s.Fees.CrossZone
 		}
 	}
-	p.describeSite(f)
+	p.addLinksAndSets(f)
 	return p
 }
 
-// describeSite takes over the links and the data sets of the file.
-func (p *Placer) describeSite(f *File) {
+// addLinksAndSets adds the links and the data sets of the file to the site.
+func (p *Placer) addLinksAndSets(f *File) {
 	zone := func(name string) int { return slices.Index(p.names.Zones, name) }
 	for _, link := range f.Links {
 		bytesPerMs := link.Gbits * bytesPerGbit / 1000
@@ -97,7 +97,7 @@
 	}
 }
 
-// Run refreshes the zones' capacity until the context ends.
+// Run refreshes the capacity of the zones until the context ends.
 func (p *Placer) Run(ctx context.Context) {
 	tick := time.NewTicker(refreshInterval)
 	defer tick.Stop()
@@ -113,18 +113,18 @@
 	}
 }
 
-// nowMillis is the time in ms on a clock that nobody sets: it began with the wall clock and runs on with the
-// monotonic one.
+// nowMillis returns the time in ms on a clock that is never set: the wall clock at the start plus monotonic time.
 func (p *Placer) nowMillis() float64 {
 	return float64(p.started.UnixMicro())/1000 + float64(p.now().Sub(p.started).Microseconds())/1000
 }
 
-// refresh takes in the listed executors: a zone's capacity is that of its executors that take work, and its wait
-// is what this node has there beyond its part of the capacity. A zone without such an executor takes no jobs.
+// refresh updates the zones from the listed executors. The capacity of a zone is that of its executors that accept
+// work. Its wait is estimated from the number of this node's attempts there that exceed its share of the capacity. A
+// zone without an executor that accepts work gets no jobs.
 func (p *Placer) refresh(all []node.ExecutorInfo) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	ready, out := make([]float64, len(p.site.Zones)), make([]float64, len(p.site.Zones))
+	ready, attempts := make([]float64, len(p.site.Zones)), make([]float64, len(p.site.Zones))
 	clear(p.executorZone)
 	for _, m := range all {
 		z := slices.Index(p.names.Zones, m.Zone)
@@ -132,7 +132,7 @@
 			continue
 		}
 		p.executorZone[m.Name] = z
-		out[z] += float64(m.InFlight)
+		attempts[z] += float64(m.InFlight)
 		if m.Condition() == dispatch.Ready {
 			ready[z]++
 		}
@@ -143,34 +143,34 @@
 	}
 	for z := range ready {
 		slots := ready[z] * p.slotsPerExecutor
-		over := max(0, out[z]/p.site.FleetShare-slots)
+		excess := max(0, attempts[z]/p.site.FleetShare-slots)
 		p.site.Zones[z].Unreachable = ready[z] == 0
-		p.site.UpdateZone(z, slots, 1, over/max(slots, 1)*run, p.nowMillis())
+		p.site.UpdateZone(z, slots, 1, excess/max(slots, 1)*run, p.nowMillis())
 	}
 }
 
-// Place returns the prices of the zones for a job, and why. The caller calls ended once, with the executor and
-// whether it was served.
+// Place returns the prices of the zones for a job, and the reason. The caller calls release once, when the job has
+// ended, with the name of its executor and whether it was served. Release is nil if no zone was reserved.
 func (p *Placer) Place(
 	inputs []string,
 	class int,
-	left time.Duration,
-) (prices []float64, why string, ended func(string, bool)) {
+	timeLeft time.Duration,
+) (prices []float64, reason string, release func(string, bool)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	began := p.nowMillis()
+	startedAt := p.nowMillis()
 	c := p.settings.Classes[min(class, len(p.settings.Classes)-1)]
 	j := site.Job{
 		Work:      p.meanRun[min(class, len(p.meanRun)-1)],
 		Slots:     1,
 		Objective: c.Objective * (1 + c.ObjectivePerWork),
-		TimeLeft:  float64(left.Milliseconds()),
+		TimeLeft:  float64(timeLeft.Milliseconds()),
 		Pinned:    -1,
 	}
 	for _, name := range inputs {
 		j.Inputs = append(j.Inputs, site.Input{ID: site.IDOf(name)})
 	}
-	choice, err := p.site.Choose(j, began)
+	choice, err := p.site.Choose(j, startedAt)
 	if err != nil {
 		p.log.Debug("no hall has a job done in time", "err", err)
 		if choice.Zone < 0 {
@@ -178,22 +178,22 @@
 		}
 		return choice.Prices(len(p.site.Zones)), "data: " + choice.Reason() + " (late in any hall)", nil
 	}
-	placed := placedJob{placer: p, job: j, choice: choice, class: class, began: began}
-	return choice.Prices(len(p.site.Zones)), "data: " + p.describe(choice), placed.ended
+	placed := placement{placer: p, job: j, choice: choice, class: class, startedAt: startedAt}
+	return choice.Prices(len(p.site.Zones)), "data: " + p.describe(choice), placed.release
 }
 
-// placedJob is a job for which a zone was chosen.
-type placedJob struct {
+// placement is the choice of a zone for a job.
+type placement struct {
 	placer *Placer
 	job    site.Job
 	choice site.Choice
 	class  int
-	began  float64 // in ms
+	startedAt  float64 // ms, as returned by nowMillis
 }
 
-// ended releases what the job reserved and learns from its run. The dispatcher may have chosen an executor of another
-// zone: that zone has the data then.
-func (j placedJob) ended(executor string, served bool) {
+// release releases the reservation of the job and updates the mean run time of its class. The dispatcher may have
+// chosen an executor in another zone, which then has the data.
+func (j placement) release(executor string, served bool) {
 	p := j.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -208,11 +208,11 @@
 	}
 	if served {
 		mean := &p.meanRun[min(j.class, len(p.meanRun)-1)]
-		*mean += (max(1, now-j.began) - *mean) * runLearningRate
+		*mean += (max(1, now-j.startedAt) - *mean) * runLearningRate
 	}
 }
 
-// describe returns the reason of a choice, with the zone by its name.
+// describe returns the reason for a choice, with the name of the zone.
 func (p *Placer) describe(c site.Choice) string {
 	t := c.Costs[0]
 	name := fmt.Sprint(t.Zone)
@@ -222,7 +222,7 @@
 	return fmt.Sprintf("%s: data %.0f ms, wait %.0f ms, run %.0f ms", name, t.Transfer, t.Wait, t.Run)
 }
 
-// Reserved returns how many choices have not ended.
+// Reserved returns the number of placed jobs that have not ended.
 func (p *Placer) Reserved() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/locality/placer_test.go
+++ b/internal/locality/placer_test.go
@@ -53,30 +53,30 @@
 	p.refresh(machineList{machine("a", "tallinn", "ready"), machine("b", "tartu", "ready")})
 	prices, why, ended := p.Place([]string{"scene"}, 0, time.Minute)
 	if len(prices) != 2 || prices[1] != 0 || prices[0] <= 0.03 || !strings.Contains(why, "tartu") {
-		t.Errorf("%v %s", prices, why)
+		t.Errorf("prices %v, reason %s; want tartu, which has the data", prices, why)
 	}
 	if p.Reserved() != 1 {
-		t.Errorf("%d reserved", p.Reserved())
+		t.Errorf("%d jobs reserved, want 1", p.Reserved())
 	}
-	ended("a", true) // the module had its reasons: both zones have the data now
+	ended("a", true) // the decision module chose the other zone: both zones have the data now
 	if p.Reserved() != 0 {
-		t.Errorf("%d reserved after its end", p.Reserved())
+		t.Errorf("%d jobs reserved after the end of the job, want 0", p.Reserved())
 	}
 	if prices, _, _ := p.Place([]string{"scene"}, 0, time.Minute); prices[0] != 0 {
-		t.Errorf("%v with the data in both halls, want this node's own", prices)
+		t.Errorf("prices %v with the data in both zones, want this node's zone to be cheapest", prices)
 	}
-	// A zone without an executor that takes work takes none.
+	// A zone without an executor that accepts work gets no jobs.
 	p.refresh(machineList{machine("a", "tallinn", "ready"), machine("b", "tartu", "draining")})
 	if prices, why, _ := p.Place([]string{"scene"}, 0, time.Minute); prices[0] != 0 || prices[1] <= 0 {
-		t.Errorf("%v %s while the hall drains", prices, why)
+		t.Errorf("prices %v, reason %s while the zone drains", prices, why)
 	}
 	p.refresh(nil)
 	if prices, why, ended := p.Place([]string{"scene"}, 0, time.Minute); prices != nil || ended != nil || why == "" {
-		t.Errorf("%v %s with no box at all", prices, why)
+		t.Errorf("prices %v, reason %s without any executor", prices, why)
 	}
 }
 
-func TestBadFileIsRejectedWithItsField(t *testing.T) {
+func TestInvalidFileIsRejectedWithItsField(t *testing.T) {
 	for text, field := range map[string]string{
 		"links: [{from: tallinn, to: narva, gbits: 1}]": "links[0].to",
 		"links: [{from: tallinn, to: tartu, gbits: 0}]": "links[0].gbits",
@@ -92,7 +92,7 @@
 		_, err := open(t, text)
 		var bad *FileError
 		if !errors.As(err, &bad) || bad.Field != field || bad.Do() == "" {
-			t.Errorf("%q: %v, want it to name %s", text, err, field)
+			t.Errorf("file %q: error %v, want a *FileError for field %s", text, err, field)
 		}
 	}
 }
