--- a/internal/locality/file.go
+++ b/internal/locality/file.go
@@ -30,7 +30,7 @@
 
 // File is the operators' file of data sets. In its keys a zone is called a hall and an executor a box.
 type File struct {
-	SlotsPerExecutor int       `yaml:"slots_per_box"` // number of slots that each executor of the endpoint list is assumed to have
+	SlotsPerExecutor int       `yaml:"slots_per_box"` // slots that each executor of the endpoint list is assumed to have
 	Links            []Link    `yaml:"links"`
 	Sets             []DataSet `yaml:"sets"`
 }
--- a/internal/locality/placer.go
+++ b/internal/locality/placer.go
@@ -25,9 +25,9 @@
 	bytesPerGbit    = 1e9 / 8
 )
 
-// MachineLister lists the executors.
-type MachineLister interface {
-	// Executors returns them with the number of this node's attempts at each.
+// ExecutorLister lists the executors.
+type ExecutorLister interface {
+	// Executors returns the executors, each with the number of this node's attempts in flight there.
 	Executors(context.Context) ([]node.ExecutorInfo, error)
 }
 
@@ -35,7 +35,7 @@
 type Placer struct {
 	names            node.Names
 	settings         dispatch.Settings
-	machines         MachineLister
+	executors        ExecutorLister
 	slotsPerExecutor float64
 	log              *slog.Logger
 	now              func() time.Time
@@ -48,7 +48,7 @@
 }
 
 // Open reads the operators' file and returns a Placer for it.
-func Open(path string, names node.Names, s dispatch.Settings, from MachineLister, log *slog.Logger) (*Placer, error) {
+func Open(path string, names node.Names, s dispatch.Settings, from ExecutorLister, log *slog.Logger) (*Placer, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, &FileError{path, "data.file", err.Error()}
@@ -60,9 +60,9 @@
 	return newPlacer(f, names, s, from, log), nil
 }
 
-func newPlacer(f *File, names node.Names, s dispatch.Settings, from MachineLister, log *slog.Logger) *Placer {
+func newPlacer(f *File, names node.Names, s dispatch.Settings, from ExecutorLister, log *slog.Logger) *Placer {
 	p := &Placer{
-		names: names, settings: s, machines: from, slotsPerExecutor: float64(f.SlotsPerExecutor), log: log,
+		names: names, settings: s, executors: from, slotsPerExecutor: float64(f.SlotsPerExecutor), log: log,
 		now: time.Now, started: time.Now(),
 		executorZone: map[string]int{}, site: site.New(max(len(names.Zones), 1), maxDataSets),
 	}
@@ -102,7 +102,7 @@
 	tick := time.NewTicker(refreshInterval)
 	defer tick.Stop()
 	for {
-		if all, err := p.machines.Executors(ctx); err == nil {
+		if all, err := p.executors.Executors(ctx); err == nil {
 			p.refresh(all)
 		}
 		select {
@@ -184,11 +184,11 @@
 
 // placement is the choice of a zone for a job.
 type placement struct {
-	placer *Placer
-	job    site.Job
-	choice site.Choice
-	class  int
-	startedAt  float64 // ms, as returned by nowMillis
+	placer    *Placer
+	job       site.Job
+	choice    site.Choice
+	class     int
+	startedAt float64 // ms, as returned by nowMillis
 }
 
 // release releases the reservation of the job and updates the mean run time of its class. The dispatcher may have
--- a/internal/locality/placer_test.go
+++ b/internal/locality/placer_test.go
@@ -14,9 +14,9 @@
 	"gatetack/internal/testenv"
 )
 
-type machineList []node.ExecutorInfo
+type executorList []node.ExecutorInfo
 
-func (b machineList) Executors(context.Context) ([]node.ExecutorInfo, error) { return b, nil }
+func (b executorList) Executors(context.Context) ([]node.ExecutorInfo, error) { return b, nil }
 
 var names = node.Names{Zones: []string{"tallinn", "tartu"}}
 
@@ -38,10 +38,10 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return Open(path, names, settings(), machineList{}, testenv.Quiet)
+	return Open(path, names, settings(), executorList{}, testenv.Quiet)
 }
 
-func machine(name, zone, status string) node.ExecutorInfo {
+func executor(name, zone, status string) node.ExecutorInfo {
 	return node.ExecutorInfo{Endpoint: node.Endpoint{Name: name, Zone: zone, Status: status}}
 }
 
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.refresh(machineList{machine("a", "tallinn", "ready"), machine("b", "tartu", "ready")})
+	p.refresh(executorList{executor("a", "tallinn", "ready"), executor("b", "tartu", "ready")})
 	prices, why, ended := p.Place([]string{"scene"}, 0, time.Minute)
 	if len(prices) != 2 || prices[1] != 0 || prices[0] <= 0.03 || !strings.Contains(why, "tartu") {
 		t.Errorf("prices %v, reason %s; want tartu, which has the data", prices, why)
@@ -66,7 +66,7 @@
 		t.Errorf("prices %v with the data in both zones, want this node's zone to be cheapest", prices)
 	}
 	// A zone without an executor that accepts work gets no jobs.
-	p.refresh(machineList{machine("a", "tallinn", "ready"), machine("b", "tartu", "draining")})
+	p.refresh(executorList{executor("a", "tallinn", "ready"), executor("b", "tartu", "draining")})
 	if prices, why, _ := p.Place([]string{"scene"}, 0, time.Minute); prices[0] != 0 || prices[1] <= 0 {
 		t.Errorf("prices %v, reason %s while the zone drains", prices, why)
 	}
