--- a/internal/capacity/measure/duties.go
+++ b/internal/capacity/measure/duties.go
@@ -83,7 +83,7 @@
 
 // DutySteps measures the owner's loop of one node among others, each with a lease and one duty.
 func DutySteps(nodes int) (DutyCost, error) {
-	s := &fleetStore{state: kv.New(kv.Bounds{Key: 512, Value: 1 << 16, Ops: 256, Done: 8192})}
+	s := &fleetStore{state: kv.New(kv.Bounds{Key: 512, Value: 1 << 16, Ops: 256, Results: 8192})}
 	for i := range nodes - 1 {
 		life := lease.Incarnation{Node: fmt.Sprintf("node-%d", i+1), StartedMs: int64(1 + i)}
 		record, err := json.Marshal(map[string]any{"born": life.StartedMs, "addr": "10.0.0.1:8443"})
--- a/internal/capacity/measure/statemachine.go
+++ b/internal/capacity/measure/statemachine.go
@@ -21,7 +21,8 @@
 // newStateMachine makes one whose bounds are the store's, but for how much a table may hold.
 func newStateMachine(tasks, value int) (*stateMachine, error) {
 	lim := limits.New(0, 0, 0, 0, 0)
-	s := &stateMachine{value: value, state: kv.New(kv.Bounds{History: 8, Key: 512, Value: lim.StoreBodyBytes, Ops: 256, Done: 8192})}
+	s := &stateMachine{value: value,
+		state: kv.New(kv.Bounds{History: 8, Key: 512, Value: lim.StoreBodyBytes, Ops: 256, Results: 8192})}
 	for range tasks {
 		if err := s.begin(); err != nil {
 			return nil, err
--- a/internal/kv/codec.go
+++ b/internal/kv/codec.go
@@ -7,18 +7,18 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// A transaction is encoded as a byte that names the form, followed by MessagePack. Field names are part of the form.
+// A transaction is encoded as a format byte followed by MessagePack. Field names are part of the format.
 
-const txnForm = 0x02
+const txnFormat = 0x02
 
 var msgpackHandle = &codec.MsgpackHandle{}
 
-// ErrForm reports data in another form than this package's.
-var ErrForm = errors.New("kv: another form")
+// ErrUnknownFormat reports data that does not begin with the format marker of this package.
+var ErrUnknownFormat = errors.New("kv: unknown data format")
 
 // Marshal encodes a transaction.
 func (t *Txn) Marshal() ([]byte, error) {
-	out := []byte{txnForm}
+	out := []byte{txnFormat}
 	var body []byte
 	if err := codec.NewEncoderBytes(&body, msgpackHandle).Encode(t); err != nil {
 		return nil, err
@@ -28,20 +28,20 @@
 
 // Unmarshal decodes a transaction.
 func (t *Txn) Unmarshal(b []byte) (err error) {
-	if len(b) == 0 || b[0] != txnForm {
-		return ErrForm
+	if len(b) == 0 || b[0] != txnFormat {
+		return ErrUnknownFormat
 	}
 	defer recoverMalformed(&err)
 	if err := codec.NewDecoderBytes(b[1:], msgpackHandle).Decode(t); err != nil {
-		return fmt.Errorf("kv: a transaction: %w", err)
+		return fmt.Errorf("kv: decode transaction: %w", err)
 	}
 	return nil
 }
 
-// recoverMalformed turns a decoder's panic on malformed data into an error: a damaged record is reported and does not
+// recoverMalformed converts a panic of the decoder on malformed data into an error, so that a corrupt record does not
 // end the process.
 func recoverMalformed(err *error) {
 	if r := recover(); r != nil {
-		*err = fmt.Errorf("kv: malformed: %v", r)
+		*err = fmt.Errorf("kv: malformed data: %v", r)
 	}
 }
--- a/internal/kv/golden_test.go
+++ b/internal/kv/golden_test.go
@@ -11,16 +11,15 @@
 	"testing"
 )
 
-// The golden files hold the bytes that the program wrote before its code was reshaped: transactions as the log's
-// entries have them, what came of each, and the snapshot of the state that they add up to. GOLDEN_UPDATE=1 writes them
-// anew, for a change of the stored form that is meant.
+// The golden files pin the stored format: encoded transactions as in log entries, the result and events of each, and
+// the snapshot of the resulting state. GOLDEN_UPDATE=1 rewrites them after an intended change of the format.
 
 const goldenTransactions = "transactions.txt"
 
-var goldenBounds = Bounds{Values: 6, Bytes: 200, History: 3, Key: 40, Value: 64, Ops: 8, Done: 4}
+var goldenBounds = Bounds{Values: 6, Bytes: 200, History: 3, Key: 40, Value: 64, Ops: 8, Results: 4}
 
-// goldenTxns are transactions of each kind: all verbs, conditions that hold and fail, leases, values that are kept or
-// pushed out, repeats, and ones that none could make.
+// goldenTxns returns transactions of each kind: all verbs, conditions that hold and that fail, leases, entries that are
+// evicted and that are never evicted, retries, and invalid transactions.
 func goldenTxns() []Txn {
 	txns := []Txn{
 		{At: 1000, Ops: []Op{{Verb: Put, Table: "job", Key: "a", Value: []byte("one")}}},
@@ -53,7 +52,8 @@
 	return txns
 }
 
-// goldenState applies the transactions and tells their bytes, their results and events.
+// goldenState applies the transactions and returns the state and a text with their encoding, results and events. If
+// lines of the golden file are given, it decodes the transactions from them.
 func goldenState(t *testing.T, lines []string) (*State, string) {
 	t.Helper()
 	state := New(goldenBounds)
@@ -63,7 +63,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if lines != nil { // what was written is read, not what would be written now
+		if lines != nil {
 			if data, err = hex.DecodeString(strings.TrimPrefix(lines[3*i], "entry ")); err != nil {
 				t.Fatal(err)
 			}
@@ -83,7 +83,7 @@
 			result.Err,
 		)
 		for _, e := range state.Events() {
-			fmt.Fprintf(&out, " [%d %d %s/%s %q %s]", e.Version, e.Verb, e.Table, e.Key, e.Value, e.Why)
+			fmt.Fprintf(&out, " [%d %d %s/%s %q %s]", e.Version, e.Verb, e.Table, e.Key, e.Value, e.Reason)
 		}
 		out.WriteString("\n")
 	}
@@ -106,19 +106,20 @@
 	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
 	for i := 0; i < max(len(a), len(b)); i++ {
 		if i >= len(a) || i >= len(b) || a[i] != b[i] {
-			t.Errorf("%s: line %d differs, of %d lines, want %d", name, i+1, len(b), len(a))
+			t.Errorf("%s: line %d differs; got %d lines, want %d", name, i+1, len(b), len(a))
 			if i < min(len(a), len(b)) {
-				t.Errorf("%s\nwant %s", b[i], a[i])
+				t.Errorf("got  %s\nwant %s", b[i], a[i])
 			}
 			return
 		}
 	}
 }
 
-// Transactions and what comes of them are, byte for byte, what they were; written ones are read as they were meant.
+// The encoding of transactions, their results and their events match the golden file, also if the transactions are
+// decoded from that file.
 func TestGoldenTransactions(t *testing.T) {
-	_, written := goldenState(t, nil)
-	goldenCompare(t, goldenTransactions, written)
+	_, encoded := goldenState(t, nil)
+	goldenCompare(t, goldenTransactions, encoded)
 	data, err := os.ReadFile(filepath.Join("testdata", "golden", goldenTransactions))
 	if err != nil {
 		t.Fatal(err)
@@ -127,7 +128,7 @@
 	goldenCompare(t, goldenTransactions, read)
 }
 
-// A state's snapshot is, byte for byte, what it was; one that was written is read as the state that it was taken of.
+// The snapshot of a state matches the golden file, and the state that is read from that file has the same snapshot.
 func TestGoldenSnapshot(t *testing.T) {
 	state, _ := goldenState(t, nil)
 	var now bytes.Buffer
@@ -152,13 +153,13 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again.Bytes(), data) {
-		t.Error("a snapshot that was read and written again differs")
+		t.Error("the snapshot differs after it was read and written again")
 	}
-	// What follows in the log leads to the same, whether the state was read or grew.
+	// The next transaction has the same result on the original state and on the one that was read.
 	txn := Txn{At: 9000, ID: "of 5", Ops: []Op{{Verb: Put, Table: "many", Key: "next", Value: []byte("w")}}}
 	a, _ := json.Marshal(state.Apply(100, &txn))
 	b, _ := json.Marshal(read.Apply(100, &txn))
 	if string(a) != string(b) {
-		t.Errorf("%s, want %s", b, a)
+		t.Errorf("result on the state that was read: %s, want %s", b, a)
 	}
 }
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -1,13 +1,13 @@
-// Package kv is the state machine of the replicated store: the state that results from a log of transactions. It does
-// no I/O, reads no clock and starts no goroutine, so that equal logs give equal states on every member. A State belongs
-// to one goroutine; a View may be read by any.
+// Package kv implements the state machine of the replicated store. It applies a log of transactions to a State. It does
+// no I/O, reads no clock and starts no goroutine, so that equal logs produce equal states on every member. A State is
+// used by one goroutine; a View is safe for concurrent reads.
 //
-// Values are kept in tables, by key, in immutable radix trees: a snapshot is the trees' roots, taken without copying
-// and without blocking writes. Each transaction has a number, its index in the log; an entry's version is the number of
-// the transaction that wrote it, so that versions grow and are never reused.
+// Values are stored by table and key in immutable radix trees: a snapshot consists of the roots of the trees and is
+// taken without copying and without blocking writes. Each transaction is identified by its log index. The version of an
+// entry is the index of the transaction that wrote it, so that versions increase and are never reused.
 //
-// Leases expire by the log: a transaction carries the leader's time, time in the state never runs backwards, and
-// expired entries are removed before the transaction is evaluated. A follower's clock decides nothing.
+// Leases expire according to the log: each transaction carries the leader's time, the time in the state never
+// decreases, and expired entries are removed before a transaction is evaluated. The clocks of followers have no effect.
 package kv
 
 import (
@@ -17,41 +17,43 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Bounds limit a state. They determine what a log results in: all members must have the same.
+// Bounds limits the size of a state. All members must use the same bounds, because the state that results from a log
+// depends on them.
 type Bounds struct {
-	Values  int // entries of a table; the oldest are evicted
-	Bytes   int // of a table's keys and values; the oldest are evicted
-	History int // former values of a key
-	Key     int // bytes of a table's name or a key
+	Values  int // entries of a table; the oldest are evicted beyond that
+	Bytes   int // size of the keys and values of a table; the oldest entries are evicted beyond that
+	History int // former values that are kept for each key
+	Key     int // bytes of a table name or of a key
 	Value   int // bytes of a value
-	Ops     int // operations of a transaction
-	Done    int // results of the latest transactions, for those that are sent again
+	Ops     int // operations in a transaction
+	Results int // results of the latest transactions that are kept for retries
 }
 
-// State is the state that results from a log. It is not safe for concurrent use.
+// State is the state that results from applying a log. It is not safe for concurrent use.
 type State struct {
 	bounds Bounds
 	roots
 	events []Event // of the latest transaction
 }
 
-// roots are the trees of a state at one transaction. They are immutable.
+// roots holds the immutable trees of a state after one transaction. The comment on each tree describes its keys and, if
+// it is not obvious, its values.
 type roots struct {
-	index         uint64 // of the latest transaction
-	now           int64
+	index         uint64                // of the latest transaction
+	now           int64                 // time of the log, Unix ms
 	entries       *iradix.Tree[*Entry]  // table, key
-	evictionOrder *iradix.Tree[string]  // table, created: key, of those that may go
-	leases        *iradix.Tree[string]  // expires, table, key: table's entry
+	evictionOrder *iradix.Tree[string]  // table, creation version, key: key; evictable entries only
+	leases        *iradix.Tree[string]  // expiry time, table, key: key
 	formerValues  *iradix.Tree[*Entry]  // table, key, version
 	tables        *iradix.Tree[*volume] // table
-	results       *iradix.Tree[*Result] // transaction's ID
-	resultOrder   *iradix.Tree[string]  // version: ID
+	results       *iradix.Tree[*Result] // transaction ID
+	resultOrder   *iradix.Tree[string]  // log index: transaction ID
 }
 
 // volume is the size of a table.
 type volume struct {
 	values, bytes           int
-	reserved, reservedBytes int // of these, entries that are never evicted
+	reserved, reservedBytes int // the part of them that belongs to entries that are never evicted
 }
 
 // New returns an empty state.
@@ -70,7 +72,8 @@
 	}
 }
 
-// Apply applies the transaction with a number. Numbers grow; a transaction whose number was passed has no effect.
+// Apply applies the transaction at a log index. Indexes increase; a transaction whose index is not greater than the
+// latest one has no effect.
 func (s *State) Apply(index uint64, t *Txn) Result {
 	s.events = nil
 	if index <= s.index {
@@ -90,11 +93,11 @@
 	return r
 }
 
-// cacheResult keeps a transaction's result for a repetition and drops the oldest.
+// cacheResult stores the result of a transaction for retries and drops the oldest results beyond the bound.
 func (s *State) cacheResult(index uint64, id string, r *Result) {
 	s.results, _, _ = s.results.Insert([]byte(id), r)
 	s.resultOrder, _, _ = s.resultOrder.Insert(binary.BigEndian.AppendUint64(nil, index), id)
-	for s.results.Len() > s.bounds.Done {
+	for s.results.Len() > s.bounds.Results {
 		k, old, _ := s.resultOrder.Root().Minimum()
 		s.resultOrder, _, _ = s.resultOrder.Delete(k)
 		s.results, _, _ = s.results.Delete([]byte(old))
@@ -117,7 +120,7 @@
 		}
 	}
 	if table := s.fullTable(t); table != "" {
-		return Result{Failed: -1, Err: Full + table + " holds as much as may be kept there"}
+		return Result{Failed: -1, Err: FullPrefix + table + " holds as much as may be kept there"}
 	}
 	for i := range t.Ops {
 		switch op := &t.Ops[i]; op.Verb {
@@ -159,7 +162,7 @@
 	s.evict(op.Table, op.Key)
 }
 
-func (s *State) remove(e *Entry, why string) {
+func (s *State) remove(e *Entry, reason string) {
 	p := path(e.Table, e.Key)
 	s.entries, _, _ = s.entries.Delete(p)
 	s.evictionOrder, _, _ = s.evictionOrder.Delete(evictionKey(e))
@@ -168,14 +171,14 @@
 	}
 	s.formerValues, _ = s.formerValues.DeletePrefix(append(append([]byte{}, p...), 0))
 	s.addToVolume(e, -1)
-	s.events = append(s.events, Event{Version: s.index, Verb: Delete, Table: e.Table, Key: e.Key, Why: why})
+	s.events = append(s.events, Event{Version: s.index, Verb: Delete, Table: e.Table, Key: e.Key, Reason: reason})
 }
 
-// Events returns the changes of the latest transaction.
+// Events returns the changes that the latest transaction made.
 func (s *State) Events() []Event { return s.events }
 
-// Due returns when the next lease ends, in Unix milliseconds, 0 for none.
-func (s *State) Due() int64 {
+// NextExpiry returns the time at which the next lease expires, in Unix milliseconds, or 0 if there is no lease.
+func (s *State) NextExpiry() int64 {
 	if k, _, ok := s.leases.Root().Minimum(); ok {
 		return int64(binary.BigEndian.Uint64(k))
 	}
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -14,15 +14,15 @@
 	_ "gatetack/internal/testrand"
 )
 
-var bounds = Bounds{Values: 6, Bytes: 200, History: 3, Key: 20, Value: 60, Ops: 8, Done: 5}
+var bounds = Bounds{Values: 6, Bytes: 200, History: 3, Key: 20, Value: 60, Ops: 8, Results: 5}
 
-// made is a transaction with what came of it.
+// appliedTxn is a transaction with its result.
 type appliedTxn struct {
 	txn    Txn
 	result Result
 }
 
-// model is a state as plain maps, for comparison.
+// model is a reference implementation of State with plain maps.
 type model struct {
 	now     int64
 	entries map[string]Entry
@@ -67,7 +67,7 @@
 	return -1, 0
 }
 
-// archive adds a former value.
+// archive adds a former value to the history of a path.
 func (m *model) archive(p string, old Entry) {
 	h := m.history[p]
 	if n := len(h); n == 0 || h[n-1].Version != old.Version {
@@ -78,7 +78,7 @@
 	m.history[p] = h[max(0, len(h)-bounds.History):]
 }
 
-// evict drops the oldest entries of a table, except one, until it is within its bounds.
+// evict drops the oldest entries of a table, except one, until the table is within its bounds.
 func (m *model) evict(table, except string) {
 	for m.over(table) {
 		first := m.oldest(table, except)
@@ -89,7 +89,7 @@
 	}
 }
 
-// oldest returns the path of the entry that is evicted next, empty for none.
+// oldest returns the path of the entry that is evicted next, or an empty string.
 func (m *model) oldest(table, except string) string {
 	first := ""
 	for q, x := range m.entries {
@@ -104,10 +104,10 @@
 	return first
 }
 
-// full reports whether a table would exceed its bounds with entries that are never evicted.
+// full reports whether the entries that are never evicted would exceed the bounds of their table after a transaction.
 func (m *model) full(t *Txn) bool {
 	for _, table := range []string{"a", "ab"} {
-		n, size, more := 0, 0, false
+		n, size, adds := 0, 0, false
 		add := func(key string, value []byte) { n++; size += len(key) + len(value) }
 		for _, e := range m.entries {
 			if e.Table == table && e.Keep {
@@ -117,10 +117,10 @@
 		for _, op := range t.Ops {
 			if op.Verb == Put && op.Keep && op.Table == table && !m.entries[table+"/"+op.Key].Keep {
 				add(op.Key, op.Value)
-				more = true
+				adds = true
 			}
 		}
-		if more && (n > bounds.Values || size > bounds.Bytes) {
+		if adds && (n > bounds.Values || size > bounds.Bytes) {
 			return true
 		}
 	}
@@ -138,7 +138,7 @@
 	return n > 1 && (n > bounds.Values || size > bounds.Bytes)
 }
 
-// drawOp draws one operation. Its condition holds in most cases.
+// drawOp draws one operation, whose condition holds in most cases.
 func drawOp(t *rapid.T, m *model) Op {
 	op := Op{
 		Verb:  Verb(rapid.IntRange(1, 3).Draw(t, "verb")),
@@ -168,8 +168,8 @@
 	return txn
 }
 
-// encoded returns what a member decodes of a transaction.
-func encoded(t *rapid.T, txn *Txn) Txn {
+// roundTrip encodes and decodes a transaction, as a member does.
+func roundTrip(t *rapid.T, txn *Txn) Txn {
 	data, err := txn.Marshal()
 	if err != nil {
 		t.Fatal(err)
@@ -181,49 +181,49 @@
 	return out
 }
 
-// checkApply applies a transaction to the state and to the model, and expects the same result of both.
+// checkApply applies a transaction to the state and to the model and compares the results.
 func checkApply(t *rapid.T, s *State, m *model, index uint64, txn *Txn) appliedTxn {
-	decoded := encoded(t, txn)
+	decoded := roundTrip(t, txn)
 	decoded.ID = fmt.Sprint("id", index)
 	got := s.Apply(index, &decoded)
 	failed, current := m.apply(index, txn)
 	switch {
 	case failed == -2:
-		if !strings.HasPrefix(got.Err, Full) {
-			t.Fatalf("%+v, want a refusal: it is full", got)
+		if !strings.HasPrefix(got.Err, FullPrefix) {
+			t.Fatalf("%+v, want a rejection because the table is full", got)
 		}
 	case got.Err != "" || got.Failed != failed || failed >= 0 && got.Current != current:
-		t.Fatalf("%+v, want %d %d", got, failed, current)
+		t.Fatalf("%+v, want failed %d, current %d", got, failed, current)
 	}
 	if r := s.Apply(index, &decoded); r.OK() {
-		t.Fatal("a transaction was made twice")
+		t.Fatal("a transaction was applied twice at one index")
 	}
 	return appliedTxn{Txn{ID: decoded.ID, Ops: decoded.Ops}, got}
 }
 
-// checkRepeat applies one of the latest transactions again: it has the same result, and no effect.
+// checkRepeat applies one of the latest transactions again and expects the same result and no effect.
 func checkRepeat(t *rapid.T, s *State, index uint64, applied []appliedTxn) {
-	x := applied[rapid.IntRange(max(0, len(applied)-bounds.Done), len(applied)-1).Draw(t, "which")]
+	x := applied[rapid.IntRange(max(0, len(applied)-bounds.Results), len(applied)-1).Draw(t, "which")]
 	if r := s.Apply(index, &x.txn); r != x.result || len(s.Events()) != 0 {
-		t.Fatalf("%+v, the first time %+v, events %+v", r, x.result, s.Events())
+		t.Fatalf("retry returned %+v, first attempt %+v, events %+v", r, x.result, s.Events())
 	}
 }
 
-// checkSnapshot decodes a state's snapshot and expects the same state.
+// checkSnapshot encodes and decodes a snapshot and expects the same state.
 func checkSnapshot(t *rapid.T, s *State, m *model) {
-	back, err := Read(bytes.NewReader(written(t, s.Snapshot())), bounds)
+	back, err := Read(bytes.NewReader(encodeSnapshot(t, s.Snapshot())), bounds)
 	if err != nil {
 		t.Fatal(err)
 	}
-	same(t, back.Snapshot(), m)
-	if back.index != s.index || back.now != s.now || back.Due() != s.Due() ||
+	expectState(t, back.Snapshot(), m)
+	if back.index != s.index || back.now != s.now || back.NextExpiry() != s.NextExpiry() ||
 		!reflect.DeepEqual(back.Snapshot().Tables(), s.Snapshot().Tables()) {
-		t.Fatal("a state that was read differs")
+		t.Fatal("the state that was read from a snapshot differs")
 	}
 }
 
-// The state is the model's after any transactions. A snapshot that is taken in between does not change, and is decoded
-// to the same state.
+// After any transactions the state equals the model. A snapshot that is taken in between does not change, and decoding
+// it restores the same state.
 func TestAgainstAModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, m := New(bounds), &model{entries: map[string]Entry{}, history: map[string][]Entry{}}
@@ -238,19 +238,19 @@
 				index++
 				checkRepeat(t, s, index, applied)
 			}
-			same(t, s.Snapshot(), m)
+			expectState(t, s.Snapshot(), m)
 			if rapid.IntRange(0, 5).Draw(t, "keep") == 0 {
-				snapshot, snapshotBytes = s.Snapshot(), written(t, s.Snapshot())
+				snapshot, snapshotBytes = s.Snapshot(), encodeSnapshot(t, s.Snapshot())
 			}
 		}
-		if snapshot != nil && !bytes.Equal(written(t, snapshot), snapshotBytes) {
+		if snapshot != nil && !bytes.Equal(encodeSnapshot(t, snapshot), snapshotBytes) {
 			t.Fatal("a snapshot changed after it was taken")
 		}
 		checkSnapshot(t, s, m)
 	})
 }
 
-func written(t interface{ Fatal(...any) }, v *View) []byte {
+func encodeSnapshot(t interface{ Fatal(...any) }, v *View) []byte {
 	var b bytes.Buffer
 	if err := v.Write(&b); err != nil {
 		t.Fatal(err)
@@ -258,7 +258,7 @@
 	return b.Bytes()
 }
 
-func same(t *rapid.T, v *View, m *model) {
+func expectState(t *rapid.T, v *View, m *model) {
 	n := 0
 	for _, table := range []string{"a", "ab"} {
 		for _, e := range v.List(table, "", "", 100) {
@@ -282,8 +282,8 @@
 	}
 }
 
-// Pages of a prefix hold each key once.
-func TestPagesHoldEachKeyOnce(t *testing.T) {
+// Listing a prefix page by page returns each key once.
+func TestPagesContainEachKeyOnce(t *testing.T) {
 	s := New(Bounds{Key: 20, Value: 20, Ops: 100})
 	var ops []Op
 	for _, k := range []string{"a", "b/1", "b/2", "b/3", "b0", "c"} {
@@ -307,11 +307,11 @@
 		t.Error(got)
 	}
 	if n := len(s.Snapshot().List("t", "", "", 100)); n != 6 {
-		t.Errorf("%d in all", n)
+		t.Errorf("%d entries in the table, want 6", n)
 	}
 }
 
-// Transactions that are invalid in any state have no effect and say why.
+// Invalid transactions have no effect and return a reason.
 func TestInvalidTransactionsHaveNoEffect(t *testing.T) {
 	for i, ops := range [][]Op{
 		{{Verb: Put, Key: "k"}},
@@ -330,13 +330,13 @@
 	}
 }
 
-// A snapshot with any byte changed, or truncated anywhere, is an error.
+// Reading a snapshot with any byte changed, or truncated at any position, returns an error.
 func TestDamagedSnapshotIsAnError(t *testing.T) {
 	s := New(bounds)
 	for i := range uint64(5) {
 		s.Apply(i+1, &Txn{At: 5, Ops: []Op{{Verb: Put, Table: "t", Key: fmt.Sprint(i % 3), Value: []byte("value"), TTL: 99}}})
 	}
-	good := written(t, s.Snapshot())
+	good := encodeSnapshot(t, s.Snapshot())
 	if _, err := Read(bytes.NewReader(good), bounds); err != nil {
 		t.Fatal(err)
 	}
@@ -344,25 +344,25 @@
 		bad := bytes.Clone(good)
 		bad[i] ^= 0x41
 		if _, err := Read(bytes.NewReader(bad), bounds); err == nil {
-			t.Errorf("byte %d of %d changed, and it is read", i, len(good))
+			t.Errorf("snapshot with byte %d of %d changed was read without an error", i, len(good))
 		}
 		if _, err := Read(bytes.NewReader(good[:i]), bounds); err == nil {
-			t.Errorf("cut off at %d of %d, and it is read", i, len(good))
+			t.Errorf("snapshot truncated at %d of %d bytes was read without an error", i, len(good))
 		}
 	}
 }
 
-// No input makes the decoders panic.
+// FuzzDecoders checks that no input makes the decoders panic.
 func FuzzDecoders(f *testing.F) {
 	txn, _ := (&Txn{At: 1, Ops: []Op{{Verb: Put, Table: "t", Key: "k", Value: []byte("v")}}}).Marshal()
 	f.Add(txn)
-	f.Add([]byte{txnForm, 0xdf, 0xff, 0xff, 0xff, 0xff})
-	f.Add([]byte(snapshotForm))
+	f.Add([]byte{txnFormat, 0xdf, 0xff, 0xff, 0xff, 0xff})
+	f.Add([]byte(snapshotFormat))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var x Txn
 		if err := x.Unmarshal(b); err == nil {
 			New(bounds).Apply(1, &x)
-		} else if len(b) > 0 && b[0] != txnForm && !errors.Is(err, ErrForm) {
+		} else if len(b) > 0 && b[0] != txnFormat && !errors.Is(err, ErrUnknownFormat) {
 			t.Fatal(err)
 		}
 		_, _ = Read(bytes.NewReader(b), bounds)
--- a/internal/kv/retention.go
+++ b/internal/kv/retention.go
@@ -2,10 +2,10 @@
 
 import "encoding/binary"
 
-// fullTable returns the table whose bounds a transaction would exceed with entries that are never evicted, empty for
-// none. Entries that exist can always be changed and deleted.
+// fullTable returns the table in which the entries that are never evicted would exceed the bounds after a transaction,
+// or an empty string. Such entries that already exist can always be changed and deleted.
 func (s *State) fullTable(t *Txn) string {
-	with := map[string]volume{} // by table, with the transaction's new entries so far
+	volumes := map[string]volume{} // by table, including the new entries of the operations examined so far
 	for i := range t.Ops {
 		op := &t.Ops[i]
 		if op.Verb != Put || !op.Keep {
@@ -14,13 +14,13 @@
 		if old, ok := s.entries.Get(path(op.Table, op.Key)); ok && old.Keep {
 			continue
 		}
-		v, seen := with[op.Table]
+		v, seen := volumes[op.Table]
 		if at, ok := s.tables.Get([]byte(op.Table)); ok && !seen {
 			v = *at
 		}
 		v.reserved++
 		v.reservedBytes += len(op.Key) + len(op.Value)
-		with[op.Table] = v
+		volumes[op.Table] = v
 		if s.bounds.Values > 0 && v.reserved > s.bounds.Values || s.bounds.Bytes > 0 && v.reservedBytes > s.bounds.Bytes {
 			return op.Table
 		}
@@ -28,28 +28,28 @@
 	return ""
 }
 
-// addToVolume counts an entry that is added, or removed where by is -1.
-func (s *State) addToVolume(e *Entry, by int) {
-	v, size := volume{}, by*(len(e.Key)+len(e.Value))
+// addToVolume adds the size of an entry to that of its table, or subtracts it if sign is -1.
+func (s *State) addToVolume(e *Entry, sign int) {
+	v, size := volume{}, sign*(len(e.Key)+len(e.Value))
 	if old, ok := s.tables.Get([]byte(e.Table)); ok {
 		v = *old
 	}
-	v.values += by
+	v.values += sign
 	v.bytes += size
 	if e.Keep {
-		v.reserved += by
+		v.reserved += sign
 		v.reservedBytes += size
 	}
 	s.tables, _, _ = s.tables.Insert([]byte(e.Table), &v)
 }
 
-// archive adds a former value to a key's history and drops the oldest.
+// archive adds a former value to the history of its key and drops the oldest one beyond the bound.
 func (s *State) archive(old *Entry) {
 	if s.bounds.History <= 0 {
 		return
 	}
 	p := path(old.Table, old.Key)
-	s.formerValues, _, _ = s.formerValues.Insert(ordinal(p, old.Version), old)
+	s.formerValues, _, _ = s.formerValues.Insert(appendNumber(p, old.Version), old)
 	n := 0
 	var first []byte
 	it := s.formerValues.Root().Iterator()
@@ -64,7 +64,7 @@
 	}
 }
 
-// expire removes the entries whose lease has ended.
+// expire removes the entries whose lease has expired.
 func (s *State) expire() {
 	for {
 		k, _, ok := s.leases.Root().Minimum()
@@ -80,9 +80,9 @@
 	}
 }
 
-// evict removes the oldest entries of a table until it is within its bounds, except the key that was just written and
-// those that are never evicted.
-func (s *State) evict(table, but string) {
+// evict removes the oldest evictable entries of a table until the table is within its bounds. It does not remove the
+// key that was just written.
+func (s *State) evict(table, except string) {
 	for {
 		v, ok := s.tables.Get([]byte(table))
 		if !ok || v.values <= 1 ||
@@ -92,7 +92,7 @@
 		it := s.evictionOrder.Root().Iterator()
 		it.SeekPrefix(append([]byte(table), 0, 0))
 		_, key, ok := it.Next()
-		if ok && key == but {
+		if ok && key == except {
 			_, key, ok = it.Next()
 		}
 		if !ok {
--- a/internal/kv/snapshot.go
+++ b/internal/kv/snapshot.go
@@ -12,39 +12,39 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// A snapshot is a line that names the form, a header, and three parts: entries, former values, results of transactions.
-// A part is a sequence of blocks, each with its length and checksum, that ends with an empty block, so that a snapshot
-// which was truncated is recognized.
+// A snapshot consists of a line that names the format, a header block, and three parts: entries, former values, and
+// results of transactions. A part is a sequence of blocks, each with a length and a checksum. An empty block ends a
+// part, so that a truncated snapshot is detected.
 
-const snapshotForm = "gatetack-kv 2\n"
+const snapshotFormat = "gatetack-kv 2\n"
 
 const (
 	snapshotBuffer    = 64 << 10 // bytes
 	entriesPerBlock   = 256
-	maxBlockBytes     = 256 << 20 // more is damage
+	maxBlockBytes     = 256 << 20 // a greater length means that the snapshot is corrupt
 	blockHeaderLength = 12        // length (4 bytes) and CRC-64 (8 bytes)
 )
 
 var checksumTable = crc64.MakeTable(crc64.ECMA)
 
-// header is a snapshot's first block.
+// header is the first block of a snapshot.
 type header struct {
 	Index   uint64
 	Now     int64
 	Entries int
 }
 
-// storedResult is the result of a transaction that a client may send again.
+// storedResult is the result of a transaction that a client may retry.
 type storedResult struct {
 	Index  uint64
 	ID     string
 	Result Result
 }
 
-// Write encodes a view. Transactions that are applied meanwhile are not in it.
+// Write encodes the view as a snapshot. Transactions that are applied during the call are not included.
 func (v *View) Write(w io.Writer) error {
 	out := bufio.NewWriterSize(w, snapshotBuffer)
-	if _, err := out.WriteString(snapshotForm); err != nil {
+	if _, err := out.WriteString(snapshotFormat); err != nil {
 		return err
 	}
 	if err := writeBlock(out, &header{v.index, v.now, v.entries.Len()}); err != nil {
@@ -61,7 +61,7 @@
 	return out.Flush()
 }
 
-// writeEntries writes the part of one tree.
+// writeEntries writes the entries of one tree as a part.
 func writeEntries(w io.Writer, tree *iradix.Tree[*Entry]) error {
 	batch := make([]*Entry, 0, entriesPerBlock)
 	it := tree.Root().Iterator()
@@ -82,7 +82,7 @@
 	return writeBlock(w, nil)
 }
 
-// writeResults writes the part of the transactions' results, oldest first.
+// writeResults writes the results of transactions as a part, oldest first.
 func (v *View) writeResults(w io.Writer) error {
 	var results []storedResult
 	it := v.resultOrder.Root().Iterator()
@@ -98,7 +98,7 @@
 	return writeBlock(w, nil)
 }
 
-// writeBlock writes one value with its length and checksum. A nil value is the empty block that ends a part.
+// writeBlock writes one value with its length and checksum. A nil value is written as the empty block that ends a part.
 func writeBlock(w io.Writer, v any) error {
 	var body []byte
 	if v != nil {
@@ -115,31 +115,31 @@
 	return err
 }
 
-// readBlock decodes one block. It reports true for the empty one that ends a part.
-func readBlock(r io.Reader, to any) (end bool, err error) {
+// readBlock decodes one block into target. It returns true for the empty block that ends a part.
+func readBlock(r io.Reader, target any) (end bool, err error) {
 	var head [blockHeaderLength]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return false, fmt.Errorf("kv: a snapshot that was cut off: %w", err)
+		return false, fmt.Errorf("kv: snapshot truncated: %w", err)
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > maxBlockBytes {
-		return false, fmt.Errorf("kv: a snapshot's block of %d bytes", n)
+		return false, fmt.Errorf("kv: snapshot corrupt: block length of %d bytes exceeds the maximum", n)
 	}
-	body, err := io.ReadAll(io.LimitReader(r, int64(n))) // allocates no more than there is, whatever the length says
+	body, err := io.ReadAll(io.LimitReader(r, int64(n))) // a corrupt length does not allocate more than the data
 	if err != nil || len(body) != int(n) {
-		return false, fmt.Errorf("kv: a snapshot that was cut off: %w", errors.Join(err, io.ErrUnexpectedEOF))
+		return false, fmt.Errorf("kv: snapshot truncated: %w", errors.Join(err, io.ErrUnexpectedEOF))
 	}
 	if crc64.Checksum(body, checksumTable) != binary.BigEndian.Uint64(head[4:]) {
-		return false, errors.New("kv: a snapshot that was damaged: its checksum differs")
+		return false, errors.New("kv: snapshot corrupt: block checksum mismatch")
 	}
 	if n == 0 {
 		return true, nil
 	}
 	defer recoverMalformed(&err)
-	return false, codec.NewDecoderBytes(body, msgpackHandle).Decode(to)
+	return false, codec.NewDecoderBytes(body, msgpackHandle).Decode(target)
 }
 
-// readPart decodes the blocks of one part and gives each element to a function.
+// readPart decodes the blocks of one part and calls a function for each element.
 func readPart[T any](r io.Reader, each func(T) error) error {
 	for {
 		var batch []T
@@ -155,16 +155,16 @@
 	}
 }
 
-// Read decodes the state that Write encoded. A damaged or truncated snapshot is an error.
+// Read decodes a state that Write encoded. It returns an error for a corrupt or truncated snapshot.
 func Read(r io.Reader, b Bounds) (*State, error) {
 	in := bufio.NewReaderSize(r, snapshotBuffer)
-	form := make([]byte, len(snapshotForm))
-	if _, err := io.ReadFull(in, form); err != nil || string(form) != snapshotForm {
-		return nil, ErrForm
+	format := make([]byte, len(snapshotFormat))
+	if _, err := io.ReadFull(in, format); err != nil || string(format) != snapshotFormat {
+		return nil, ErrUnknownFormat
 	}
 	var h header
 	if end, err := readBlock(in, &h); err != nil || end {
-		return nil, errors.Join(err, errors.New("kv: a snapshot's header"))
+		return nil, errors.Join(err, errors.New("kv: snapshot header missing or unreadable"))
 	}
 	s := New(b)
 	s.index, s.now = h.Index, h.Now
@@ -182,17 +182,17 @@
 		return nil, err
 	}
 	if s.entries.Len() != h.Entries {
-		return nil, fmt.Errorf("kv: a snapshot with %d entries where it says %d", s.entries.Len(), h.Entries)
+		return nil, fmt.Errorf("kv: snapshot has %d entries, its header says %d", s.entries.Len(), h.Entries)
 	}
 	return s, nil
 }
 
-// readEntries reads the part of the entries. The trees' transactions, of which nothing is shared yet, make it linear:
-// no root is kept between two entries.
+// readEntries reads the part with the entries. It inserts all of them in one transaction per tree, which modifies nodes
+// in place instead of copying the path to the root for each entry.
 func (s *State) readEntries(r io.Reader) error {
 	entries, evictionOrder, leases := s.entries.Txn(), s.evictionOrder.Txn(), s.leases.Txn()
 	err := readPart(r, func(e *Entry) error {
-		if err := e.checkName(); err != nil {
+		if err := e.validateName(); err != nil {
 			return err
 		}
 		entries.Insert(path(e.Table, e.Key), e)
@@ -209,24 +209,24 @@
 	return err
 }
 
-// readFormerValues reads the part of the former values.
+// readFormerValues reads the part with the former values.
 func (s *State) readFormerValues(r io.Reader) error {
-	former := s.formerValues.Txn()
+	formerValues := s.formerValues.Txn()
 	err := readPart(r, func(e *Entry) error {
-		if err := e.checkName(); err != nil {
+		if err := e.validateName(); err != nil {
 			return err
 		}
-		former.Insert(ordinal(path(e.Table, e.Key), e.Version), e)
+		formerValues.Insert(appendNumber(path(e.Table, e.Key), e.Version), e)
 		return nil
 	})
-	s.formerValues = former.Commit()
+	s.formerValues = formerValues.Commit()
 	return err
 }
 
-// checkName validates an entry of a snapshot.
-func (e *Entry) checkName() error {
+// validateName returns an error for an entry of a snapshot that has no table or no key.
+func (e *Entry) validateName() error {
 	if e == nil || e.Table == "" || e.Key == "" {
-		return errors.New("kv: a snapshot's entry without a name")
+		return errors.New("kv: snapshot entry without table or key")
 	}
 	return nil
 }
--- a/internal/kv/txn.go
+++ b/internal/kv/txn.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Verb is what an operation does.
+// Verb is the kind of an operation.
 type Verb uint8
 
-// The verbs.
+// Verbs of operations.
 const (
 	Put    Verb = iota + 1
-	Delete      // of an absent key does nothing
-	Check       // has no effect but its condition
+	Delete      // has no effect on an absent key
+	Check       // only evaluates its condition
 )
 
 // Op is one operation of a transaction.
@@ -21,19 +21,20 @@
 	Verb       Verb
 	Table, Key string
 	Value      []byte
-	TTL        int64 // ms until it expires, 0 for never
-	Keep       bool  // of a Put: never evicted; where a table is full of such entries, another is rejected
-	// With Cond, the entry must have the version If, 0 for absent, or the whole transaction has no effect.
+	TTL        int64 // ms until the entry expires, 0 for never
+	Keep       bool  // for Put: never evicted; the transaction is rejected if such entries fill the table
+	// If Cond is set, the entry must have the version If (0: it must be absent). Otherwise the whole transaction has no
+	// effect.
 	Cond bool
 	If   uint64
 }
 
 // Txn is a transaction: all of its operations are applied, or none. At is the leader's time in Unix milliseconds.
 //
-// A client that did not get the result of a transaction sends it again under the same ID, and gets the result of the
-// first time. Applied twice, it could restore a value that another write had replaced, and a key that it created would
-// be reported as another's (Ongaro and Ousterhout, "In search of an understandable consensus algorithm", section 8). An
-// empty ID is none.
+// A client that did not receive the result of a transaction retries it with the same ID and receives the result of the
+// first attempt. If a transaction were applied twice, it could restore a value that another write had replaced, and a
+// key that it created would be reported as created by another client (Ongaro and Ousterhout, "In search of an
+// understandable consensus algorithm", section 8). Transactions with an empty ID are not deduplicated.
 type Txn struct {
 	At  int64
 	ID  string
@@ -42,16 +43,16 @@
 
 // Result is the outcome of a transaction.
 type Result struct {
-	Version uint64 // the transaction's number, where it was applied
-	Failed  int    // the operation whose condition did not hold, -1 for none
-	Current uint64 // the version of that operation's entry, 0 for absent
-	Err     string // why the transaction is invalid in any state
+	Version uint64 // log index of the transaction, 0 if it was not applied
+	Failed  int    // index of the operation whose condition failed, -1 for none
+	Current uint64 // current version of the entry of that operation, 0 if absent
+	Err     string // why the transaction is invalid or was rejected, empty otherwise
 }
 
 // OK reports whether the transaction was applied.
 func (r *Result) OK() bool { return r.Err == "" && r.Failed < 0 }
 
-// Entry is the value of a key.
+// Entry is a key with its value.
 type Entry struct {
 	Table, Key string
 	Value      []byte
@@ -61,17 +62,17 @@
 	Keep       bool  // never evicted
 }
 
-// Full begins the Err of a transaction that would exceed a table's bounds with entries that are never evicted.
-const Full = "full: "
+// FullPrefix begins Result.Err if the entries that are never evicted would exceed the bounds of a table.
+const FullPrefix = "full: "
 
-// Event is a change, for watchers.
+// Event is one change of an entry, for watchers.
 type Event struct {
 	Version uint64
 	Verb    Verb // Put or Delete
 	Table   string
 	Key     string
 	Value   []byte
-	Why     string // of a deletion by the state machine: expired or evicted
+	Reason  string // of a deletion by the state machine: "expired" or "evicted"
 }
 
 var errInvalidName = errors.New("a name that is empty, too long, or holds a zero byte")
--- a/internal/kv/view.go
+++ b/internal/kv/view.go
@@ -2,28 +2,28 @@
 
 import "strings"
 
-// View is a state at one transaction. It is immutable and safe for concurrent use.
+// View is the state after one transaction. It is immutable and safe for concurrent use.
 type View struct{ roots }
 
-// Snapshot returns the current state, at no cost.
+// Snapshot returns the current state. It copies no entries.
 func (s *State) Snapshot() *View { return &View{s.roots} }
 
-// Index returns the number of the latest transaction.
+// Index returns the log index of the latest transaction.
 func (v *View) Index() uint64 { return v.index }
 
-// Now returns the leader's time, in Unix milliseconds.
+// Now returns the time of the log, in Unix milliseconds: the greatest leader's time of its transactions.
 func (v *View) Now() int64 { return v.now }
 
-// Stamp returns a value that is equal as long as a table has not changed.
+// Stamp returns a value that compares equal in two views if the table did not change between them.
 func (v *View) Stamp(table string) any {
 	at, _ := v.tables.Get([]byte(table))
 	return at
 }
 
-// Get returns an entry.
+// Get returns the entry of a key.
 func (v *View) Get(table, key string) (*Entry, bool) { return v.entries.Get(path(table, key)) }
 
-// List returns up to limit entries of a table whose keys begin with a prefix and follow a key, in key order.
+// List returns up to limit entries of a table in key order, whose keys begin with a prefix and are greater than after.
 func (v *View) List(table, prefix, after string, limit int) []*Entry {
 	var out []*Entry
 	it := v.entries.Root().Iterator()
@@ -44,7 +44,7 @@
 	return out
 }
 
-// History returns a key's former values, the oldest first, and its current one.
+// History returns the former values of a key, the oldest first, followed by the current one.
 func (v *View) History(table, key string) []*Entry {
 	var out []*Entry
 	it := v.formerValues.Root().Iterator()
@@ -58,8 +58,8 @@
 	return out
 }
 
-// Tables returns the number of values, and their bytes, of each table that is not empty. The pair is part of the
-// store's status in JSON.
+// Tables returns the number of entries and the bytes of their keys and values, for each table that is not empty. The
+// status of the store contains the pairs in JSON.
 func (v *View) Tables() map[string][2]int {
 	out := map[string][2]int{}
 	it := v.tables.Root().Iterator()
--- a/internal/leaseholder/fleet_test.go
+++ b/internal/leaseholder/fleet_test.go
@@ -122,7 +122,7 @@
 }
 
 func newFleet(t *testing.T, seed int64, n int) *fleet {
-	bounds := kv.Bounds{Key: 512, Value: 1 << 16, Ops: 256, Done: 64}
+	bounds := kv.Bounds{Key: 512, Value: 1 << 16, Ops: 256, Results: 64}
 	f := &fleet{t: t, rng: rand.New(rand.NewSource(seed)), store: &sharedStore{state: kv.New(bounds), nowMs: 1 << 40}}
 	for i := range n {
 		node := &testNode{name: fmt.Sprintf("n%d", i)}
--- a/internal/membership/assessment.go
+++ b/internal/membership/assessment.go
@@ -5,16 +5,18 @@
 	"slices"
 )
 
-// A disk may lose writes that it reported as flushed, and a folder may be restored from a copy: the member then has
-// less than it acknowledged, under its own identity. Its vote for a candidate without an acknowledged write would break
-// the majority that the write had. Before a member votes it therefore assesses whether it may have lost something, and
-// if so it votes as if it had lost nothing: only for candidates that have at least as much. That needs no leader and no
-// change of membership, and the member may acknowledge new entries at once, because it has those.
+// A disk may lose writes that it reported as flushed, and a folder may be restored from a backup. The member then has
+// fewer entries than it acknowledged, under the same identity. If it voted for a candidate that lacks an acknowledged
+// write, that candidate could win although a majority had the write. Before a member votes, it therefore assesses
+// whether it may have lost entries. If so, it votes as if it had lost none: only for candidates whose log reaches at
+// least as far. This needs neither a leader nor a change of membership, and the member may acknowledge new entries at
+// once, because it has those.
 //
-// There are two sources. A watermark, in the machine's memory outside of the folder, has the last acknowledged position
-// and the last term in which the member voted; it outlives the process and is valid for one boot. Without it the other
-// members are asked: any majority that acknowledged something together with this member includes enough of the others
-// (RequiredWitnesses), and a candidate that has as much as each of these has all that this member acknowledged.
+// There are two sources of information. The watermark, a file in the machine's memory outside of the folder, contains
+// the last acknowledged position and the last term in which the member voted. It outlives the process and is valid for
+// one boot. Without a watermark the member asks the other members: any majority that acknowledged an entry together
+// with this member includes one of the members that answered, if there are enough of them (RequiredWitnesses). A
+// candidate whose log reaches as far as theirs therefore has all that this member acknowledged.
 
 // Position is a position in the log. Positions are ordered by term and then by index.
 type Position struct {
@@ -22,21 +24,21 @@
 	Index uint64 `json:"index"`
 }
 
-// Less reports whether a log that ends at p has less than one that ends at q.
+// Less reports whether p precedes q: a log that ends at p is less complete than one that ends at q.
 func (p Position) Less(q Position) bool {
 	return p.Term < q.Term || p.Term == q.Term && p.Index < q.Index
 }
 
 func (p Position) String() string { return fmt.Sprintf("entry %d of term %d", p.Index, p.Term) }
 
-// Watermark is what a member acknowledged, according to its machine's memory.
+// Watermark is the record in the machine's memory of what a member acknowledged.
 type Watermark struct {
 	Folder, Boot string   // the folder's identity and the machine's boot for which it is valid
-	Last         Position // the last acknowledged one
-	Term         uint64   // the last in which the member may have voted
+	Last         Position // the last acknowledged position
+	Term         uint64   // the last term in which the member may have voted
 }
 
-// Progress is the position and term of another member, as it reports them.
+// Progress is the last position and the term that another member reports.
 type Progress struct {
 	Last Position `json:"last"`
 	Term uint64   `json:"term"`
@@ -44,11 +46,11 @@
 
 // VoteFloor restricts the votes of a member that may have lost what it acknowledged.
 type VoteFloor struct {
-	Last Position // no candidate that has less gets the vote, the member itself included
-	Term uint64   // the member may have voted in this term, and does not in it or an earlier one
+	Last Position // candidates whose log ends before this get no vote, the member itself included
+	Term uint64   // the member may have voted in this term and does not vote in it or an earlier one
 }
 
-// Allows reports whether a candidate of a term whose log ends at a position may get the vote.
+// Allows reports whether the member may vote, in a term, for a candidate whose log ends at a position.
 func (f VoteFloor) Allows(term uint64, last Position) bool {
 	return term > f.Term && !last.Less(f.Last)
 }
@@ -61,26 +63,27 @@
 	return f
 }
 
-// Assessment is what is known of what a member acknowledged.
+// Assessment is the result of Assess: what a member is known to have acknowledged.
 type Assessment struct {
-	Complete  bool      // the floor covers all that was acknowledged; until then the member does not vote
-	Floor     VoteFloor // zero where nothing is known to be lost
-	Regressed bool      // the member has less than it acknowledged, for certain
+	Complete  bool      // the floor covers all that the member acknowledged; if false, it does not vote
+	Floor     VoteFloor // zero if nothing is known to be lost
+	Regressed bool      // the member has certainly lost acknowledged entries or a vote
 	Missing   []string  // members whose answers are still needed
 }
 
-// Folder is the state of a member's folder at its start.
+// Folder is the state of a member's folder when the member starts.
 type Folder struct {
 	Name, Identity string
 	Last           Position // the end of the log
-	Term           uint64   // the last in which the member may have voted
-	Unreadable     Position // the end of what the folder had and can not be read any more, zero for nothing
-	Boot           string   // the machine's current one
-	TrustDisk      bool     // the operator trusts that the disk lost nothing
+	Term           uint64   // the last term in which the member may have voted
+	Unreadable     Position // the last entry that was in the folder and cannot be read, zero for none
+	Boot           string   // the machine's current boot
+	TrustDisk      bool     // the operator asserts that the disk has lost nothing
 }
 
-// Assess decides for a member that starts with a folder that is not empty. The watermark is nil where there is none.
-// members are those that the folder or the configuration names, and answers come from those of them that answered.
+// Assess determines which votes a member may give that starts with a non-empty folder. mark is nil if there is no
+// watermark, members are the names from the folder and the configuration, and answers has the progress of those members
+// that answered.
 func Assess(f Folder, mark *Watermark, members []string, answers map[string]Progress) (r Assessment) {
 	r.Floor = VoteFloor{}.raise(f.Unreadable, 0)
 	r.Regressed = f.Last.Less(f.Unreadable)
--- a/internal/membership/assessment_test.go
+++ b/internal/membership/assessment_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// The floor of a member follows from its watermark or, without one, from the answers of enough others.
+// The vote floor of a member results from its watermark or, without one, from the answers of enough other members.
 func TestAssessment(t *testing.T) {
 	f := Folder{Name: "n0", Identity: "f", Last: Position{3, 90}, Term: 3, Boot: "b"}
 	mark := func(folder, boot string, last Position, term uint64) *Watermark {
 		return &Watermark{folder, boot, last, term}
 	}
-	all, both := memberNames(3), map[string]Progress{"n1": {Position{3, 95}, 4}, "n2": {Position{3, 80}, 5}}
-	lost := f
-	lost.Unreadable = Position{3, 97}
-	trusts := f
-	trusts.TrustDisk = true
+	names, both := memberNames(3), map[string]Progress{"n1": {Position{3, 95}, 4}, "n2": {Position{3, 80}, 5}}
+	unreadable := f
+	unreadable.Unreadable = Position{3, 97}
+	trustingDisk := f
+	trustingDisk.TrustDisk = true
 	for _, x := range []struct {
 		what    string
 		f       Folder
@@ -24,70 +24,70 @@
 		answers map[string]Progress
 		want    Assessment
 	}{
-		{"a mark that agrees", f, mark("f", "b", Position{3, 90}, 3), nil, Assessment{Complete: true}},
-		{"a mark that is behind: killed before it was made",
+		{"a watermark at the end of the log", f, mark("f", "b", Position{3, 90}, 3), nil, Assessment{Complete: true}},
+		{"a watermark behind the log, after a kill before it was raised",
 			f, mark("f", "b", Position{3, 88}, 3), nil,
 			Assessment{Complete: true}},
-		{"a mark that is ahead",
+		{"a watermark ahead of the log",
 			f, mark("f", "b", Position{3, 91}, 3), nil,
 			Assessment{Complete: true, Regressed: true, Floor: VoteFloor{Position{3, 91}, 3}}},
-		{"a mark of an earlier term is behind, however long its log",
+		{"a watermark of an earlier term with a greater index is behind",
 			f, mark("f", "b", Position{2, 900}, 2), nil,
 			Assessment{Complete: true}},
-		{"a vote that the folder does not know",
+		{"a vote that is not in the folder",
 			f, mark("f", "b", Position{3, 90}, 4), nil,
 			Assessment{Complete: true, Regressed: true, Floor: VoteFloor{Position{3, 90}, 4}}},
-		{"a mark of another boot counts for nothing",
+		{"a watermark of another boot is ignored",
 			f, mark("f", "a", Position{3, 91}, 3), nil,
 			Assessment{Missing: []string{"n1", "n2"}}},
-		{"a mark of another folder likewise",
+		{"a watermark of another folder is ignored",
 			f, mark("g", "b", Position{3, 91}, 3), nil,
 			Assessment{Missing: []string{"n1", "n2"}}},
-		{"no mark, one answer of two",
+		{"no watermark, one answer of two",
 			f, nil, map[string]Progress{"n2": {Position{3, 80}, 5}},
 			Assessment{Missing: []string{"n1"}, Floor: VoteFloor{Position{3, 80}, 5}}},
-		{"no mark, enough answers", f, nil, both, Assessment{Complete: true, Floor: VoteFloor{Position{3, 95}, 5}}},
-		{"the disk's word is taken", trusts, nil, nil, Assessment{Complete: true}},
-		{"entries that can not be read, and a mark",
-			lost, mark("f", "b", Position{3, 97}, 3), nil,
+		{"no watermark, enough answers", f, nil, both, Assessment{Complete: true, Floor: VoteFloor{Position{3, 95}, 5}}},
+		{"no watermark, the disk is trusted", trustingDisk, nil, nil, Assessment{Complete: true}},
+		{"unreadable entries and a watermark",
+			unreadable, mark("f", "b", Position{3, 97}, 3), nil,
 			Assessment{Complete: true, Regressed: true, Floor: VoteFloor{Position{3, 97}, 3}}},
-		{"entries that can not be read, and answers",
-			lost, nil, both,
+		{"unreadable entries and answers",
+			unreadable, nil, both,
 			Assessment{Complete: true, Regressed: true, Floor: VoteFloor{Position{3, 97}, 5}}},
 	} {
-		if got := Assess(x.f, x.mark, all, x.answers); fmt.Sprint(got) != fmt.Sprint(x.want) {
+		if got := Assess(x.f, x.mark, names, x.answers); fmt.Sprint(got) != fmt.Sprint(x.want) {
 			t.Errorf("%s: %+v, want %+v", x.what, got, x.want)
 		}
 	}
 	if got := Assess(f, nil, memberNames(1), nil); !got.Complete {
-		t.Error("a store of one asks nobody")
+		t.Error("a store with one member waits for answers")
 	}
 }
 
-// forgottenWrite is a store in which some members, n0 among them, acknowledged an entry and voted in term 2, and n0
-// lost both.
-type forgottenWrite struct {
+// lostWrite is a store in which some members, among them n0, acknowledged an entry and voted in term 2, and n0 lost
+// both.
+type lostWrite struct {
 	members  int
 	majority int
-	holders  int // a set of bits
+	holders  int // bit set of the members that acknowledged the entry and voted
 }
 
-func (w forgottenWrite) holds(member int) bool { return w.holders&(1<<member) != 0 }
+func (w lostWrite) holds(member int) bool { return w.holders&(1<<member) != 0 }
 
 var (
-	forgottenEntry = Position{2, 9}
-	entryBefore    = Position{1, 8}
+	lostEntry   = Position{2, 9}
+	entryBefore = Position{1, 8}
 )
 
-func (w forgottenWrite) progress(member int) Progress {
+func (w lostWrite) progress(member int) Progress {
 	if w.holds(member) {
-		return Progress{forgottenEntry, 2}
+		return Progress{lostEntry, 2}
 	}
 	return Progress{entryBefore, 1}
 }
 
-// assess returns n0's assessment after a set of members answered, and how many those are.
-func (w forgottenWrite) assess(answering int) (Assessment, int) {
+// assess returns the assessment of n0 after a set of members answered, and the number of answers.
+func (w lostWrite) assess(answering int) (Assessment, int) {
 	answers := map[string]Progress{}
 	for i := 1; i < w.members; i++ {
 		if answering&(1<<i) != 0 {
@@ -98,8 +98,9 @@
 	return Assess(folder, nil, memberNames(w.members), answers), len(answers)
 }
 
-// certainVotes is the number of members that lack the entry: they vote for a candidate that lacks it as well.
-func (w forgottenWrite) certainVotes() int {
+// certainVotes returns the number of other members that lack the entry and therefore vote for a candidate that lacks
+// it.
+func (w lostWrite) certainVotes() int {
 	votes := 0
 	for i := 1; i < w.members; i++ {
 		if !w.holds(i) {
@@ -109,33 +110,34 @@
 	return votes
 }
 
-// explored counts the elections that a weaker rule would have lost.
-type explored struct{ missed, unkept int }
+// weakerRuleWins counts the elections that a candidate without the entry would win under a weaker rule: with one answer
+// fewer, or without a vote floor.
+type weakerRuleWins struct{ fewerWitnesses, noFloor int }
 
-// check has each member that lacks the entry stand for election after a set of members answered n0.
-func (w forgottenWrite) check(t *testing.T, answering int) (out explored) {
+// check runs an election for each candidate that lacks the entry, after a set of members answered n0.
+func (w lostWrite) check(t *testing.T, answering int) (out weakerRuleWins) {
 	t.Helper()
 	assessment, answers := w.assess(answering)
 	for candidate := range w.members {
 		if candidate > 0 && w.holds(candidate) {
 			continue
 		}
-		votes, ofForgetful := w.certainVotes(), 0
+		votes, ownVote := w.certainVotes(), 0
 		if assessment.Floor.Allows(3, entryBefore) {
-			ofForgetful = 1
+			ownVote = 1
 		}
-		wins := votes+ofForgetful >= w.majority
+		wins := votes+ownVote >= w.majority
 		if wins && assessment.Complete {
-			t.Fatalf("%d members: %b have the write, %b answered, n%d stands without it and wins",
+			t.Fatalf("%d members: %b have the write, %b answered, n%d wins the election without it",
 				w.members, w.holders, answering, candidate)
 		}
 		if wins && answers == RequiredWitnesses(w.members)-1 {
-			out.missed++
+			out.fewerWitnesses++
 		}
 		if votes+1 >= w.majority {
-			out.unkept++
+			out.noFloor++
 		}
-		if assessment.Complete && assessment.Floor.Allows(2, forgottenEntry) && votes+1 >= w.majority {
+		if assessment.Complete && assessment.Floor.Allows(2, lostEntry) && votes+1 >= w.majority {
 			t.Fatalf("%d members: %b voted in term 2, %b answered, and n%d gets a second vote in it",
 				w.members, w.holders, answering, candidate)
 		}
@@ -143,28 +145,28 @@
 	return out
 }
 
-// Explored in full for stores of two to seven: whichever majority acknowledged a write with a member that then loses
-// it, whichever others answer that member when it starts, and whoever is a candidate, none that lacks the write gets a
-// majority of votes. With one answer fewer, or with a floor that is not kept, some do. The same holds for a vote that
-// was lost: in the term of a leader that got it, no other candidate gets a majority.
-func TestForgottenWritesAndVotesWinNoElection(t *testing.T) {
+// The test covers all combinations for stores of two to seven members: any majority that acknowledged a write together
+// with a member that then loses it, any set of other members that answer that member when it starts, and any candidate.
+// No candidate that lacks the write gets a majority of votes. With one answer fewer, or without the vote floor, some
+// do. Lost votes are covered, too: in the term of a leader that got such a vote, no other candidate gets a majority.
+func TestLostWritesAndVotesWinNoElection(t *testing.T) {
 	for n := 2; n <= 7; n++ {
-		var total explored
+		var total weakerRuleWins
 		for holders := range 1 << n {
-			w := forgottenWrite{members: n, majority: n/2 + 1, holders: holders}
+			w := lostWrite{members: n, majority: n/2 + 1, holders: holders}
 			if !w.holds(0) || bits.OnesCount(uint(holders)) < w.majority {
 				continue
 			}
 			for answering := 0; answering < 1<<n; answering += 2 {
 				found := w.check(t, answering)
-				total.missed += found.missed
-				total.unkept += found.unkept
+				total.fewerWitnesses += found.fewerWitnesses
+				total.noFloor += found.noFloor
 			}
 		}
-		// Of an even number one that forgets is not enough for a second majority.
-		if n%2 == 1 && (total.missed == 0 || total.unkept == 0) {
-			t.Errorf("%d members: one answer fewer was never too few (%d), or no floor was never missed (%d)",
-				n, total.missed, total.unkept)
+		// With an even number of members, one that lost its state does not suffice for a second majority.
+		if n%2 == 1 && (total.fewerWitnesses == 0 || total.noFloor == 0) {
+			t.Errorf("%d members: elections won with one answer fewer (%d) or without a floor (%d): want some of both",
+				n, total.fewerWitnesses, total.noFloor)
 		}
 	}
 }
--- a/internal/membership/bootstrap.go
+++ b/internal/membership/bootstrap.go
@@ -2,32 +2,32 @@
 
 import "slices"
 
-// A member with an empty folder begins a store, or has lost the folder of one. It can not tell which: the votes and the
-// acknowledged writes of the lost folder are gone, and with a new vote of the same name there could be a majority of
-// members that lack what another majority acknowledged. Therefore each folder has an identity, created with its first
-// content and stored in it. Before a store begins on an empty folder, enough other members, its witnesses, must have
-// stored that identity under the member's name, and have known no other. Any two sets of witnesses overlap, so that a
-// second folder of the name meets a witness of the first.
+// A member with an empty folder either belongs to a new store or has lost its folder, and cannot distinguish the two.
+// If the folder was lost, so were its votes and acknowledged writes, and with a new vote under the same name a majority
+// could form that lacks what another majority acknowledged. Each folder therefore has an identity, which is created
+// with its first content and stored in it. Before a member bootstraps a store on an empty folder, enough other members,
+// its witnesses, must have stored that identity under the member's name and must not know another one. Any two sets of
+// witnesses overlap, so that for a second folder of the same name at least one witness knows the first.
 
-// RequiredWitnesses returns how many other members must know a folder before it begins a store of a number of members,
-// so that any two such sets overlap.
+// RequiredWitnesses returns the number of other members that must know a folder before a store with a number of members
+// is bootstrapped on it. Any two sets of so many witnesses overlap.
 func RequiredWitnesses(members int) int { return min((members+1)/2, members-1) }
 
-// BootstrapDecision is what a member with an empty folder does.
+// BootstrapDecision is the action of a member with an empty folder.
 type BootstrapDecision uint8
 
-// The decisions.
+// Decisions of DecideBootstrap.
 const (
 	WaitForWitnesses BootstrapDecision = iota // too few witnesses have answered
-	BeginStore                                // no earlier folder of this name can have acknowledged anything
-	RejoinStore                               // there was one: the member does not vote until the others add it anew
+	Bootstrap                                 // no earlier folder of this name can have acknowledged an entry
+	Rejoin                                    // an earlier folder is known: no vote until the others add it again
 )
 
-// KnownFolders is the identity that each member which answered knows under the asking member's name.
+// KnownFolders maps each member that answered to the folder identity that it knows under the asking member's name.
 type KnownFolders map[string]string
 
-// DecideBootstrap decides for a member with an empty folder of an identity. It returns the members that have not
-// answered.
+// DecideBootstrap decides what the member self does whose folder is empty and has the given identity. If it must wait,
+// missing has the members that have not answered.
 func DecideBootstrap(
 	self, folder string, members []string, answers KnownFolders,
 ) (decision BootstrapDecision, missing []string) {
@@ -39,14 +39,14 @@
 		case !answered:
 			missing = append(missing, name)
 		case known != folder:
-			return RejoinStore, nil
+			return Rejoin, nil
 		default:
 			witnesses++
 		}
 	}
 	slices.Sort(missing)
 	if witnesses >= RequiredWitnesses(len(members)) {
-		return BeginStore, nil
+		return Bootstrap, nil
 	}
 	return WaitForWitnesses, missing
 }
--- a/internal/membership/bootstrap_test.go
+++ b/internal/membership/bootstrap_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// memberNames returns the names of a number of members, n0 first.
+// memberNames returns the names of n members, n0 first.
 func memberNames(n int) (out []string) {
 	for i := range n {
 		out = append(out, fmt.Sprint("n", i))
@@ -14,60 +14,60 @@
 	return out
 }
 
-// knownFolders returns the answers of some of n0's others, as a set of bits, to a second folder of n0. Those that were
-// told of the first folder know that.
-func knownFolders(names []string, answering, toldOfFirst int) KnownFolders {
+// knownFolders returns the answers of a set of the other members to a request of n0 with a second folder. Members that
+// know the first folder answer with that. Both sets are bit sets.
+func knownFolders(names []string, answering, knowingFirst int) KnownFolders {
 	answers := KnownFolders{}
 	for i, name := range names[1:] {
 		if answering&(1<<i) == 0 {
 			continue
 		}
-		if answers[name] = "second"; toldOfFirst&(1<<i) != 0 {
+		if answers[name] = "second"; knowingFirst&(1<<i) != 0 {
 			answers[name] = "first"
 		}
 	}
 	return answers
 }
 
-// checkSecondFolder has a second folder ask all sets of members after the first one was known to a set of them. It
-// reports how often one witness fewer would have let it begin.
-func checkSecondFolder(t *testing.T, names []string, toldOfFirst int) (missed int) {
+// checkSecondFolder decides the bootstrap of a second folder for each set of answering members, with the first folder
+// known to a set of members. It returns how often the second folder would be bootstrapped with one witness fewer.
+func checkSecondFolder(t *testing.T, names []string, knowingFirst int) (missed int) {
 	t.Helper()
 	n := len(names)
 	for answering := range 1 << (n - 1) {
-		if toldOfFirst&answering == 0 && bits.OnesCount(uint(answering)) >= RequiredWitnesses(n)-1 {
+		if knowingFirst&answering == 0 && bits.OnesCount(uint(answering)) >= RequiredWitnesses(n)-1 {
 			missed++
 		}
-		if bits.OnesCount(uint(toldOfFirst)) < RequiredWitnesses(n) {
-			continue // the first folder had not begun, and has acknowledged nothing
+		if bits.OnesCount(uint(knowingFirst)) < RequiredWitnesses(n) {
+			continue // the first folder was not bootstrapped and has acknowledged nothing
 		}
-		decision, missing := DecideBootstrap("n0", "second", names, knownFolders(names, answering, toldOfFirst))
+		decision, missing := DecideBootstrap("n0", "second", names, knownFolders(names, answering, knowingFirst))
 		switch {
-		case decision == BeginStore:
-			t.Fatalf("%d members: known to %b, %b answer, and it begins", n, toldOfFirst, answering)
+		case decision == Bootstrap:
+			t.Fatalf("%d members: first folder known to %b, %b answered: second one bootstrapped", n, knowingFirst, answering)
 		case decision == WaitForWitnesses && len(missing) == 0:
-			t.Fatalf("%d members: it waits for nobody", n)
+			t.Fatalf("%d members: waiting, but no member is missing", n)
 		}
 	}
 	return missed
 }
 
-// Explored in full up to seven members: whichever members a first folder was known to, and whichever of these lost
-// their own too, short of all that it overlaps with, a second folder of its name never begins while a witness of the
-// first is among those that answer. With one witness fewer it does.
-func TestNoSecondFolderBeginsAStore(t *testing.T) {
+// The test covers all combinations for stores of two to seven members: any set of members that know the first folder of
+// a name, and any set that answers the second folder of that name. The second folder is never bootstrapped once the
+// first had enough witnesses. With one witness fewer it would be.
+func TestSecondFolderDoesNotBootstrapAStore(t *testing.T) {
 	for n := 2; n <= 7; n++ {
 		missed := 0
-		for toldOfFirst := range 1 << (n - 1) {
-			if bits.OnesCount(uint(toldOfFirst)) >= RequiredWitnesses(n)-1 {
-				missed += checkSecondFolder(t, memberNames(n), toldOfFirst)
+		for knowingFirst := range 1 << (n - 1) {
+			if bits.OnesCount(uint(knowingFirst)) >= RequiredWitnesses(n)-1 {
+				missed += checkSecondFolder(t, memberNames(n), knowingFirst)
 			}
 		}
 		if missed == 0 {
-			t.Errorf("%d members: fewer witnesses would do", n)
+			t.Errorf("%d members: one witness fewer would suffice", n)
 		}
 	}
-	if decision, _ := DecideBootstrap("n0", "a", []string{"n0"}, nil); decision != BeginStore {
-		t.Error("a store of one does not begin")
+	if decision, _ := DecideBootstrap("n0", "a", []string{"n0"}, nil); decision != Bootstrap {
+		t.Error("a store with one member is not bootstrapped")
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,7 @@
-// Package membership decides about the members of the replicated store: who may join, become a voter or leave without
-// costing the store its quorum, whether a member with an empty folder begins a store, and for whom a member may vote
-// that may have lost what it acknowledged. It does no I/O, reads no clock and starts no goroutine; its callers own all
-// state.
+// Package membership contains the rules for members of the replicated store: which nodes may join, become voters or
+// leave without the store losing its quorum, whether a member with an empty folder bootstraps a store, and how the
+// votes of a member are restricted that may have lost acknowledged entries. It does no I/O, reads no clock and starts
+// no goroutine; its callers own all state.
 package membership
 
 import (
@@ -19,19 +19,19 @@
 	Leader  bool   `json:"leader"`
 }
 
-// Cluster is all members.
+// Cluster is the set of all members.
 type Cluster []Server
 
 // Verb is the kind of a Change.
 type Verb uint8
 
-// The verbs.
+// Verbs of changes.
 const (
 	NoChange Verb = iota
 	AddNonvoter
 	AddVoter
 	Remove
-	Replace // remove the member of this name, then add it at the new address as a non-voter
+	Replace // remove the member of this name, then add it as a non-voter at the new address
 )
 
 // Change is a change of the membership.
@@ -40,14 +40,14 @@
 	Name, Address string
 }
 
-// Reasons for which a change is rejected.
+// Errors for changes that are rejected.
 var (
 	ErrUnknown       = errors.New("no member has this name")
 	ErrDuplicateName = errors.New("a member of this name is alive at another address: the same name was started twice")
 	ErrAddressInUse  = errors.New("a member of another name is at this address")
-	ErrQuorum        = errors.New("the members left would have no quorum")
-	ErrAlive         = errors.New("the member is alive: have it leave")
-	ErrIncomplete    = errors.New("a name and an address are needed")
+	ErrQuorum        = errors.New("the remaining members would have no quorum")
+	ErrAlive         = errors.New("the member is alive and must leave by itself")
+	ErrIncomplete    = errors.New("a name and an address are required")
 )
 
 func (c Cluster) find(name string) (Server, bool) {
@@ -72,15 +72,15 @@
 	return alive > voters/2
 }
 
-// without returns the cluster without a member.
+// without returns a copy of the cluster without a member.
 func (c Cluster) without(name string) Cluster {
 	return slices.DeleteFunc(slices.Clone(c), func(s Server) bool { return s.Name == name })
 }
 
-// Join decides about a node that asks to be a member. It starts as a non-voter: a member that has not caught up must
-// not count for the majority, or adding it could cost the store its quorum. For a member at its address nothing
-// changes. One that comes back at another address, or anew, that is with an empty folder, replaces its former self.
-func (c Cluster) Join(name, address string, anew bool) (Change, error) {
+// Join decides about a node that asks to become a member. It is added as a non-voter: if a member that has not caught
+// up counted for the majority, adding it could cost the store its quorum. A node that is a member at the same address
+// causes no change. A member that returns at another address or with an empty folder is replaced.
+func (c Cluster) Join(name, address string, emptyFolder bool) (Change, error) {
 	if name == "" || address == "" {
 		return Change{}, ErrIncomplete
 	}
@@ -93,7 +93,7 @@
 	switch {
 	case !ok:
 		return Change{AddNonvoter, name, address}, nil
-	case old.Address == address && !anew:
+	case old.Address == address && !emptyFolder:
 		return Change{}, nil
 	case old.Alive && old.Address != address:
 		return Change{}, fmt.Errorf("%w: %s", ErrDuplicateName, old.Address)
@@ -103,9 +103,9 @@
 	return Change{Replace, name, address}, nil
 }
 
-// Promote decides about a non-voter that lags by a number of entries: it becomes a voter if that is at most maxLag and
-// there are fewer than maxVoters. Each further voter makes writes wait for more disks; non-voters have all that is
-// written and serve reads.
+// Promote decides about a non-voter that lags by a number of entries. It becomes a voter if the lag is at most maxLag
+// and there are fewer than maxVoters voters. Each further voter makes writes wait for more disks; non-voters receive
+// all writes and serve reads.
 func (c Cluster) Promote(name string, lag uint64, maxLag uint64, maxVoters int) (Change, error) {
 	s, ok := c.find(name)
 	voters := 0
@@ -118,7 +118,7 @@
 	case !ok:
 		return Change{}, ErrUnknown
 	case s.Voter || !s.Alive || voters >= maxVoters || lag > maxLag:
-		return Change{}, nil // a voter that does not vote would only raise the size of a majority
+		return Change{}, nil // a voter that is not alive would only increase the size of a majority
 	}
 	x := Change{AddVoter, s.Name, s.Address}
 	if !c.Apply(x).hasQuorum() {
@@ -130,15 +130,15 @@
 // Leave decides about a member that asks to leave.
 func (c Cluster) Leave(name string) (Change, error) { return c.remove(name, true) }
 
-// Remove decides about a member that others want removed: an unresponsive one, unless forced.
+// Remove decides about the removal of a member by an operator. Without force, only an unresponsive member is removed.
 func (c Cluster) Remove(name string, force bool) (Change, error) { return c.remove(name, force) }
 
-// remove decides about the removal of a member, which may be alive or not.
+// remove decides about the removal of a member. It is rejected for a member that is alive unless mayBeAlive is set.
 func (c Cluster) remove(name string, mayBeAlive bool) (Change, error) {
 	s, ok := c.find(name)
-	left := c.without(name)
+	remaining := c.without(name)
 	voters := 0
-	for _, x := range left {
+	for _, x := range remaining {
 		if x.Voter {
 			voters++
 		}
@@ -150,13 +150,13 @@
 		return Change{}, ErrAlive
 	case s.Voter && voters == 0:
 		return Change{}, fmt.Errorf("%w: it is the last voter", ErrQuorum)
-	case !left.hasQuorum():
+	case !remaining.hasQuorum():
 		return Change{}, ErrQuorum
 	}
 	return Change{Remove, s.Name, s.Address}, nil
 }
 
-// Apply returns the cluster after a change, for deciding about several in turn.
+// Apply returns the cluster after a change, so that several changes can be decided in sequence.
 func (c Cluster) Apply(x Change) Cluster {
 	out := slices.Clone(c)
 	switch x.Verb {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,11 +10,11 @@
 	_ "gatetack/internal/testrand"
 )
 
-func fiveVoters(dead ...string) Cluster {
+func fiveVoters(unresponsive ...string) Cluster {
 	var c Cluster
 	for i := range 5 {
 		s := Server{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Voter: true, Alive: true, Leader: i == 0}
-		for _, d := range dead {
+		for _, d := range unresponsive {
 			s.Alive = s.Alive && d != s.Name
 		}
 		c = append(c, s)
@@ -29,47 +29,47 @@
 		want Change
 		err  error
 	}{
-		{"a new one joins as a non-voter",
+		{"a new node joins as a non-voter",
 			func() (Change, error) { return fiveVoters().Join("n9", "a9", false) },
 			Change{AddNonvoter, "n9", "a9"}, nil},
-		{"one that is there", func() (Change, error) { return fiveVoters().Join("n1", "a1", false) }, Change{}, nil},
-		{"one that is there and has forgotten",
+		{"a member joins again", func() (Change, error) { return fiveVoters().Join("n1", "a1", false) }, Change{}, nil},
+		{"a member joins again with an empty folder",
 			func() (Change, error) { return fiveVoters("n1").Join("n1", "a1", true) },
 			Change{Replace, "n1", "a1"}, nil},
-		{"one that has forgotten, and too few others",
+		{"a member joins again with an empty folder without a quorum of others",
 			func() (Change, error) { return fiveVoters("n1", "n2", "n3").Join("n1", "a1", true) },
 			Change{}, ErrQuorum},
-		{"the same name twice",
+		{"the name of a member that is alive, at another address",
 			func() (Change, error) { return fiveVoters().Join("n1", "a9", false) },
 			Change{}, ErrDuplicateName},
-		{"a dead one's name at another address",
+		{"the name of an unresponsive member, at another address",
 			func() (Change, error) { return fiveVoters("n1").Join("n1", "a9", false) },
 			Change{Replace, "n1", "a9"}, nil},
-		{"another's address",
+		{"the address of another member",
 			func() (Change, error) { return fiveVoters().Join("n9", "a1", false) },
 			Change{}, ErrAddressInUse},
 		{"no name", func() (Change, error) { return fiveVoters().Join("", "a1", false) }, Change{}, ErrIncomplete},
 		{"a sixth voter", func() (Change, error) {
 			return fiveVoters().Apply(Change{AddNonvoter, "n9", "a9"}).Promote("n9", 0, 10, 5)
 		}, Change{}, nil},
-		{"a third voter that is far behind", func() (Change, error) {
+		{"a third voter that lags too far", func() (Change, error) {
 			return fiveVoters()[:2].Apply(Change{AddNonvoter, "n9", "a9"}).Promote("n9", 11, 10, 5)
 		}, Change{}, nil},
 		{"a third voter", func() (Change, error) {
 			return fiveVoters()[:2].Apply(Change{AddNonvoter, "n9", "a9"}).Promote("n9", 10, 10, 5)
 		}, Change{AddVoter, "n9", "a9"}, nil},
 		{"leaving", func() (Change, error) { return fiveVoters().Leave("n4") }, Change{Remove, "n4", "a4"}, nil},
-		{"leaving with two others dead",
+		{"leaving with two others unresponsive",
 			func() (Change, error) { return fiveVoters("n1", "n2").Leave("n4") },
 			Change{}, ErrQuorum},
-		{"removing a dead one",
+		{"removing an unresponsive member",
 			func() (Change, error) { return fiveVoters("n1", "n2").Remove("n1", false) },
 			Change{Remove, "n1", "a1"}, nil},
-		{"removing one that is alive",
+		{"removing a member that is alive",
 			func() (Change, error) { return fiveVoters().Remove("n1", false) },
 			Change{}, ErrAlive},
-		{"removing nobody", func() (Change, error) { return fiveVoters().Remove("n9", true) }, Change{}, ErrUnknown},
-		{"the last one leaving", func() (Change, error) { return fiveVoters()[:1].Leave("n0") }, Change{}, ErrQuorum},
+		{"removing an unknown one", func() (Change, error) { return fiveVoters().Remove("n9", true) }, Change{}, ErrUnknown},
+		{"the last member leaving", func() (Change, error) { return fiveVoters()[:1].Leave("n0") }, Change{}, ErrQuorum},
 	} {
 		got, err := x.do()
 		if got != x.want || !errors.Is(err, x.err) {
@@ -78,8 +78,8 @@
 	}
 }
 
-// drawChange draws a call and returns the change that is decided. One of the calls makes members respond or not, as
-// long as there is a quorum: without one nothing is decided at all.
+// drawChange draws a call and returns the decided change. One kind of call sets whether a member is alive, but never
+// removes the quorum, because without a quorum no change can be made.
 func drawChange(t *rapid.T, c Cluster) Change {
 	name := fmt.Sprint("n", rapid.IntRange(0, 7).Draw(t, "name"))
 	var x Change
@@ -106,15 +106,15 @@
 
 const maxTestVoters = 5
 
-// checkCluster expects a quorum, distinct names and addresses, and no more voters than allowed.
+// checkCluster expects a quorum, distinct names and addresses, and at most maxTestVoters voters.
 func checkCluster(t *rapid.T, c Cluster, after Change) {
 	if !c.hasQuorum() {
-		t.Fatalf("after %+v no quorum: %+v", after, c)
+		t.Fatalf("after %+v: no quorum: %+v", after, c)
 	}
 	names, addresses, voters := map[string]bool{}, map[string]bool{}, 0
 	for _, s := range c {
 		if names[s.Name] || addresses[s.Address] {
-			t.Fatalf("after %+v: %+v", after, c)
+			t.Fatalf("after %+v: a name or an address occurs twice: %+v", after, c)
 		}
 		names[s.Name], addresses[s.Address] = true, true
 		if s.Voter {
@@ -122,13 +122,13 @@
 		}
 	}
 	if voters > maxTestVoters {
-		t.Fatalf("%d voters", voters)
+		t.Fatalf("%d voters, more than allowed", voters)
 	}
 }
 
-// Any calls in any order, while members stop and come back: a change that is made leaves a quorum where there was one,
-// names and addresses stay distinct, and there are never more voters than allowed.
-func TestQuorumIsKept(t *testing.T) {
+// For any sequence of calls, while members stop and return: each change that is made preserves the quorum, names and
+// addresses stay distinct, and the number of voters stays within the limit.
+func TestChangesPreserveTheQuorum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Cluster{{Name: "n0", Address: "a0", Voter: true, Alive: true, Leader: true}}
 		for range rapid.IntRange(1, 60).Draw(t, "calls") {
--- a/internal/settingsync/fake_test.go
+++ b/internal/settingsync/fake_test.go
@@ -35,7 +35,7 @@
 }
 
 func newFakeStore() *fakeStore {
-	b := kv.Bounds{Values: 4096, Bytes: 16 << 20, History: 8, Key: 512, Value: 256 << 10, Ops: 256, Done: 64}
+	b := kv.Bounds{Values: 4096, Bytes: 16 << 20, History: 8, Key: 512, Value: 256 << 10, Ops: 256, Results: 64}
 	return &fakeStore{state: kv.New(b), changed: make(chan struct{})}
 }
 
--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -38,7 +38,7 @@
 		return nil
 	case r.Failed >= 0:
 		return jobstore.ErrExists
-	case strings.HasPrefix(r.Err, kv.Full):
+	case strings.HasPrefix(r.Err, kv.FullPrefix):
 		return fmt.Errorf("%w: %s", jobstore.ErrFull, r.Err)
 	}
 	return fmt.Errorf("store: %s", r.Err)
--- a/internal/store/folder.go
+++ b/internal/store/folder.go
@@ -123,7 +123,7 @@
 			names,
 			knownFolders(s.askWitnesses(ctx, s.cfg.Members)),
 		)
-		if verdict == membership.BeginStore {
+		if verdict == membership.Bootstrap {
 			if err := s.bootstrap(); err != nil {
 				s.log.Error("store not bootstrapped", "err", err)
 				return
@@ -132,7 +132,7 @@
 			s.mux.raftOpen.Store(true)
 			return
 		}
-		if verdict == membership.RejoinStore {
+		if verdict == membership.Rejoin {
 			s.log.Warn("store folder empty and known to others, rejoining without a vote", "node", s.cfg.Name)
 			break
 		}
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -26,7 +26,7 @@
 		Key:     512,
 		Value:   lim.StoreBodyBytes,
 		Ops:     256,
-		Done:    8192,
+		Results: 8192,
 	}
 }
 
@@ -55,7 +55,7 @@
 func (f *fsm) nextLeaseEnd() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state.Due()
+	return f.state.NextExpiry()
 }
 
 // Apply applies one entry of the log. An entry that can not be decoded changes nothing on any member.
@@ -111,7 +111,7 @@
 // decodeTxn decodes an entry of the log: a transaction, or a change in the form of version 0.2.
 func decodeTxn(data []byte) (*kv.Txn, error) {
 	t := &kv.Txn{}
-	if err := t.Unmarshal(data); !errors.Is(err, kv.ErrForm) {
+	if err := t.Unmarshal(data); !errors.Is(err, kv.ErrUnknownFormat) {
 		return t, err
 	}
 	if !gjson.ValidBytes(data) {
@@ -156,7 +156,7 @@
 func readSnapshot(r io.Reader, lim limits.Limits) (*kv.State, error) {
 	var head bytes.Buffer
 	state, err := kv.Read(io.TeeReader(r, &head), stateBounds(lim))
-	if !errors.Is(err, kv.ErrForm) {
+	if !errors.Is(err, kv.ErrUnknownFormat) {
 		return state, err
 	}
 	rest, err := io.ReadAll(r)
--- a/internal/store/operator_entries.go
+++ b/internal/store/operator_entries.go
@@ -221,7 +221,7 @@
 	for _, e := range events {
 		x := map[string]any{"version": e.Version, "table": e.Table, "key": e.Key}
 		if e.Verb == kv.Delete {
-			x["verb"], x["why"] = "delete", e.Why
+			x["verb"], x["why"] = "delete", e.Reason
 		} else {
 			x["verb"], x["value"] = "put", string(e.Value)
 		}
