--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -55,8 +55,8 @@
 		return path
 	}
 	present := next.Map()
-	for key, former := range old.Map() {
-		if path == "" && slices.Contains(optionalKeys, key) || former.Type == gjson.Null {
+	for key, previous := range old.Map() {
+		if path == "" && slices.Contains(optionalKeys, key) || previous.Type == gjson.Null {
 			continue
 		}
 		below := strings.TrimPrefix(path+"."+key, ".")
@@ -64,7 +64,7 @@
 		if !ok || value.Type == gjson.Null {
 			return below
 		}
-		if missing := missingKey(former, value, below); missing != "" {
+		if missing := missingKey(previous, value, below); missing != "" {
 			return missing
 		}
 	}
--- a/internal/inventory/parse.go
+++ b/internal/inventory/parse.go
@@ -134,7 +134,7 @@
 		return err // the error names the line
 	}
 	if len(document.Content) == 0 {
-		return rowError(1, "document is empty")
+		return rowError(1, "empty")
 	}
 	list := document.Content[0]
 	if list.Kind != yaml.SequenceNode {
