--- a/cmd/gatetack/configuration.go
+++ b/cmd/gatetack/configuration.go
@@ -10,7 +10,7 @@
 // load reads the platform's configuration and, where one is named, the operator's file. A file that names the node
 // stands for both: the node is alone then, and no variable of the platform's is needed.
 func load(path string) (*config.Config, *config.File, error) {
-	file := &config.File{Pace: slowpeer.Default()}
+	file := &config.File{SlowPeers: slowpeer.Default()}
 	var err error
 	if path != "" {
 		if file, err = config.ReadFile(path); err != nil {
@@ -18,7 +18,7 @@
 		}
 	}
 	var cfg *config.Config
-	if file.Alone() {
+	if file.Standalone() {
 		cfg, err = file.Config()
 	} else {
 		cfg, err = config.FromEnv(os.Getenv)
@@ -26,6 +26,6 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	cfg.Limits.SlowPeers = file.Pace
+	cfg.Limits.SlowPeers = file.SlowPeers
 	return cfg, file, cfg.Check(file)
 }
--- a/cmd/gatetack/listen.go
+++ b/cmd/gatetack/listen.go
@@ -15,7 +15,7 @@
 
 // listen returns the clients' listening socket: the one that the platform passed, or a new one on the address.
 func listen(cfg *config.Config, log *slog.Logger) (net.Listener, error) {
-	if cfg.Passed >= 0 {
+	if cfg.PassedSocket >= 0 {
 		return passedListener(cfg, log)
 	}
 	listener, err := net.Listen("tcp", cfg.Listen)
@@ -26,16 +26,16 @@
 }
 
 func passedListener(cfg *config.Config, log *slog.Logger) (net.Listener, error) {
-	file := os.NewFile(uintptr(cfg.Passed), passedSocketVariable)
+	file := os.NewFile(uintptr(cfg.PassedSocket), passedSocketVariable)
 	if file == nil {
 		return nil, fmt.Errorf("%s: descriptor %d is not open; expected the clients' listening socket",
-			passedSocketVariable, cfg.Passed)
+			passedSocketVariable, cfg.PassedSocket)
 	}
 	defer func() { _ = file.Close() }() // FileListener duplicates the descriptor
 	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("%s: descriptor %d: %w; expected the clients' listening socket",
-			passedSocketVariable, cfg.Passed, err)
+			passedSocketVariable, cfg.PassedSocket, err)
 	}
 	if passed := listener.Addr().String(); passed != cfg.Listen {
 		log.Warn("passed socket listens on another address than configured", "passed", passed, "configured", cfg.Listen)
--- a/cmd/gatetack/main.go
+++ b/cmd/gatetack/main.go
@@ -38,7 +38,7 @@
 	defer stop()
 	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "gatetack:", err)
-		if do := operr.Do(err); do != "" {
+		if do := operr.Remedy(err); do != "" {
 			fmt.Fprintln(os.Stderr, "what can be done:", do)
 		}
 		os.Exit(exitCode(err))
--- a/cmd/gatetack/process_control.go
+++ b/cmd/gatetack/process_control.go
@@ -137,7 +137,7 @@
 	if p.file.Inventory.File == "" {
 		return nil
 	}
-	var shared inventory.Keeper
+	var shared inventory.Store
 	if p.store != nil {
 		shared = p.store
 	}
--- a/cmd/gatetack/process_fronts.go
+++ b/cmd/gatetack/process_fronts.go
@@ -46,7 +46,7 @@
 		return err
 	}
 	p.callbacks = &callbackRouter{executors: p.executors}
-	if cfg.Passed >= 0 {
+	if cfg.PassedSocket >= 0 {
 		p.startRelay()
 	}
 	p.clients = http1.NewServer(
--- a/cmd/gatetack/reload.go
+++ b/cmd/gatetack/reload.go
@@ -26,7 +26,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if r.file.Alone() {
+		if r.file.Standalone() {
 			r.log.Warn("reload: a node that is alone reads its file at its start")
 			continue
 		}
--- a/cmd/gatetack/shutdown.go
+++ b/cmd/gatetack/shutdown.go
@@ -14,7 +14,7 @@
 // leave ends the process in order: it goes on until nothing is open and nothing new comes, gives up what it owns in the
 // store, and closes the fronts.
 func (p *process) leave(ctx context.Context) {
-	passed := p.config.Passed >= 0
+	passed := p.config.PassedSocket >= 0
 	p.log.Info("leaving", "open", p.core.Open(), "handover", passed)
 	if passed {
 		// The socket is shared with the process that replaces this one: that one accepts the new connections, and clients
@@ -83,7 +83,7 @@
 // closeIdle closes connections between requests: the clients' ones when they are to go to another process or node, the
 // batch front's once its clients had time to see that it drains.
 func (p *process) closeIdle(rejecting bool, leavingFor time.Duration) {
-	if rejecting || p.config.Passed >= 0 {
+	if rejecting || p.config.PassedSocket >= 0 {
 		p.clients.CloseIdle()
 	}
 	if p.batch != nil && (rejecting || leavingFor >= p.config.Limits.QuietPeriod) {
--- a/internal/actor/actor_test.go
+++ b/internal/actor/actor_test.go
@@ -108,7 +108,7 @@
 		many, _ := json.Marshal(timers)
 		body := `{"x":"` + strings.Repeat("x", 200<<10) + `","l":[` + strings.Join(list, ",") + `],"t":` + string(many) + `}`
 		_, _, err := d.Apply(f, call(1, body))
-		if !errors.As(err, new(*CallError)) || operr.Do(err) == "" {
+		if !errors.As(err, new(*CallError)) || operr.Remedy(err) == "" {
 			t.Errorf("%s: %v", name, err)
 		}
 		if d.LastCall != 0 || string(d.State) != "{}" {
--- a/internal/actor/encoding.go
+++ b/internal/actor/encoding.go
@@ -43,9 +43,9 @@
 // Code is its kind.
 func (*StoredError) Code() string { return "desk.stored" }
 
-// Do is what can be done.
-func (*StoredError) Do() string {
+// Remedy is what can be done.
+func (*StoredError) Remedy() string {
 	return "look at its earlier versions (`gatetack store history desk ID`) and put the last good one back"
 }
 
-var _ = operr.Kind(&StoredError{})
+var _ = operr.Register(&StoredError{})
--- a/internal/actor/function.go
+++ b/internal/actor/function.go
@@ -51,8 +51,8 @@
 // Code is its kind.
 func (*FunctionError) Code() string { return "desk.function" }
 
-// Do is what can be done.
-func (*FunctionError) Do() string {
+// Remedy is what can be done.
+func (*FunctionError) Remedy() string {
 	return "correct the function at the place that is named, and create the desk again"
 }
 
@@ -66,8 +66,8 @@
 // Code is its kind.
 func (*CallError) Code() string { return "desk.call" }
 
-// Do is what can be done.
-func (*CallError) Do() string {
+// Remedy is what can be done.
+func (*CallError) Remedy() string {
 	return "correct the call and make it again under the same number"
 }
 
@@ -81,12 +81,12 @@
 // Code is its kind.
 func (*OrderError) Code() string { return "desk.order" }
 
-// Do is what can be done.
-func (*OrderError) Do() string {
+// Remedy is what can be done.
+func (*OrderError) Remedy() string {
 	return "call with the number that is next; what was answered to much earlier calls is no longer kept"
 }
 
-var _ = []struct{}{operr.Kind(&FunctionError{}), operr.Kind(&CallError{}), operr.Kind(&OrderError{})}
+var _ = []struct{}{operr.Register(&FunctionError{}), operr.Register(&CallError{}), operr.Register(&OrderError{})}
 
 // env declares what an expression may name: the state and the event.
 var env = sync.OnceValues(func() (*cel.Env, error) {
--- a/internal/actorhost/errors.go
+++ b/internal/actorhost/errors.go
@@ -18,8 +18,8 @@
 // Code is its kind.
 func (*NotFoundError) Code() string { return "desks.unknown" }
 
-// Do is what can be done.
-func (*NotFoundError) Do() string { return "create the desk first" }
+// Remedy is what can be done.
+func (*NotFoundError) Remedy() string { return "create the desk first" }
 
 // UnavailableError reports that an actor can not be reached at the moment.
 type UnavailableError struct{ ID, Why string }
@@ -31,8 +31,8 @@
 // Code is its kind.
 func (*UnavailableError) Code() string { return "desks.away" }
 
-// Do is what can be done.
-func (*UnavailableError) Do() string {
+// Remedy is what can be done.
+func (*UnavailableError) Remedy() string {
 	return "make the same call, with its number, again in a moment: it has one effect"
 }
 
@@ -44,7 +44,9 @@
 // Code is its kind.
 func (*ExistsError) Code() string { return "desks.exists" }
 
-// Do is what can be done.
-func (*ExistsError) Do() string { return "call it, or choose another name" }
+// Remedy is what can be done.
+func (*ExistsError) Remedy() string { return "call it, or choose another name" }
 
-var _ = []struct{}{operr.Kind(&NotFoundError{}), operr.Kind(&UnavailableError{}), operr.Kind(&ExistsError{})}
+var _ = []struct{}{
+	operr.Register(&NotFoundError{}), operr.Register(&UnavailableError{}), operr.Register(&ExistsError{}),
+}
--- a/internal/actorhost/http.go
+++ b/internal/actorhost/http.go
@@ -25,7 +25,7 @@
 
 // errorResponse returns the response for an error, with its code and what can be done.
 func errorResponse(err error) http1.Response {
-	status, v := 503, map[string]any{"error": "TRY_LATER", "message": err.Error(), "do": operr.Do(err)}
+	status, v := 503, map[string]any{"error": "TRY_LATER", "message": err.Error(), "do": operr.Remedy(err)}
 	var order *actor.OrderError
 	var t operr.Error
 	if errors.As(err, &t) {
--- a/internal/callbackrelay/errors.go
+++ b/internal/callbackrelay/errors.go
@@ -20,9 +20,9 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*NotStoredError) Code() string { return "handover.not_stored" }
 
-// Do returns what an operator can do.
-func (*NotStoredError) Do() string {
+// Remedy returns what an operator can do.
+func (*NotStoredError) Remedy() string {
 	return "make room in the node's temporary directory, or make it writable; executors call again meanwhile"
 }
 
-var _ = operr.Kind(&NotStoredError{})
+var _ = operr.Register(&NotStoredError{})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,9 +32,9 @@
 	PeerListen string   // address for messages from other nodes; empty: none
 	PeersAll   string   // multicast address of all nodes
 	Peers      []string // addresses of the other nodes
-	// Passed is the descriptor of the clients' listening socket that the platform owns and passes to every process of
-	// the node, from EDGE_PASSED_SOCKET; -1 if none is passed and the node opens its own socket.
-	Passed int
+	// PassedSocket is the descriptor of the clients' listening socket that the platform owns and passes to every process
+	// of the node, from EDGE_PASSED_SOCKET; -1 if none is passed and the node opens its own socket.
+	PassedSocket int
 
 	// Endpoint list, settings and limits.
 	Known    node.EndpointList // endpoint list cached from the previous run
@@ -53,8 +53,8 @@
 	root := gjson.ParseBytes(data)
 	text := func(key string) string { return root.Get(key).String() }
 	c := &Config{Name: text("name"), Seed: parseSeed(text("seed")), Listen: text("listen"), Operator: text("operator"),
-		Discovery: text("discovery"), PeerListen: text("peer_listen"), PeersAll: text("peers_all"), Passed: notPassed,
-		document: root}
+		Discovery: text("discovery"), PeerListen: text("peer_listen"), PeersAll: text("peers_all"),
+		PassedSocket: notPassed, document: root}
 	for _, peer := range root.Get("peers").Array() {
 		c.Peers = append(c.Peers, peer.String())
 	}
--- a/internal/config/environment.go
+++ b/internal/config/environment.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if c.Passed, err = passedDescriptor(getenv("EDGE_PASSED_SOCKET")); err != nil {
+	if c.PassedSocket, err = passedDescriptor(getenv("EDGE_PASSED_SOCKET")); err != nil {
 		return nil, err
 	}
 	for _, variable := range []struct {
@@ -39,7 +39,7 @@
 	return c, nil
 }
 
-// notPassed is the value of Config.Passed if no socket is passed.
+// notPassed is the value of Config.PassedSocket if no socket is passed.
 const notPassed = -1
 
 // firstPassed is the first descriptor after the standard streams, with which the platform passes the clients' listening
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -64,7 +64,7 @@
 		File string `yaml:"file"`
 	} `yaml:"data"`
 	// limits for slow peers; absent values keep their defaults
-	Pace slowpeer.Policy `yaml:"pace"`
+	SlowPeers slowpeer.Policy `yaml:"pace"`
 }
 
 // ReadFile reads the operator's file, which serve --config names. An unknown key is an error, since it may be a
@@ -82,13 +82,13 @@
 }
 
 func parseFile(data []byte, dir string) (*File, error) {
-	f := &File{Pace: slowpeer.Default()}
+	f := &File{SlowPeers: slowpeer.Default()}
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
 	if err := dec.Decode(f); err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
-	if err := f.Pace.Validate(); err != nil {
+	if err := f.SlowPeers.Validate(); err != nil {
 		field, _, _ := strings.Cut(err.Error(), ":")
 		path := append([]string{"pace"}, strings.Split(field, ".")...)
 		return nil, fmt.Errorf("line %d: pace.%w", lineOf(data, path), err)
@@ -127,7 +127,7 @@
 
 // checkNode validates the section node of a standalone node.
 func (f *File) checkNode(data []byte) error {
-	if !f.Alone() {
+	if !f.Standalone() {
 		return nil
 	}
 	if err := checkLoopback(f.Node.Listen); err != nil {
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// Alone reports whether the file names the node and therefore replaces the platform's configuration.
-func (f *File) Alone() bool { return f.Node.Name != "" }
+// Standalone reports whether the file names the node and therefore replaces the platform's configuration.
+func (f *File) Standalone() bool { return f.Node.Name != "" }
 
 // nodeDocument is the platform's JSON configuration as far as the section node provides it.
 type nodeDocument struct {
--- a/internal/inventory/share.go
+++ b/internal/inventory/share.go
@@ -10,8 +10,8 @@
 	"gatetack/internal/node"
 )
 
-// Keeper is the replicated store, through which a change that one node reads reaches the other nodes.
-type Keeper interface {
+// Store is the replicated store, through which a change that one node reads reaches the other nodes.
+type Store interface {
 	// Put writes a value under a key of a table.
 	Put(ctx context.Context, table, key string, value []byte) error
 	// Local reads this member's replica.
--- a/internal/inventory/source.go
+++ b/internal/inventory/source.go
@@ -32,7 +32,7 @@
 	names    node.Names
 	limits   limits.Limits
 	sink     Sink
-	store    Keeper // nil: none
+	store    Store // nil: none
 	log      *slog.Logger
 	requests chan struct{} // requests to deliver the list
 
@@ -46,7 +46,7 @@
 
 // Open reads the file once and returns an error if it is invalid, so that a node does not start with an invalid file.
 func Open(
-	path string, names node.Names, lim limits.Limits, sink Sink, store Keeper, log *slog.Logger,
+	path string, names node.Names, lim limits.Limits, sink Sink, store Store, log *slog.Logger,
 ) (*Source, error) {
 	s := &Source{path: path, names: names, limits: lim, sink: sink, store: store, log: log,
 		requests: make(chan struct{}, 1)}
--- a/internal/inventory/source_test.go
+++ b/internal/inventory/source_test.go
@@ -146,7 +146,7 @@
 	})
 }
 
-// store is an in-memory Keeper.
+// store is an in-memory Store.
 type store struct {
 	mu    sync.Mutex
 	value []byte
--- a/internal/locality/file.go
+++ b/internal/locality/file.go
@@ -58,10 +58,10 @@
 // Code returns the stable code of the error.
 func (*FileError) Code() string { return "data.file" }
 
-// Do returns what an operator can do about the error.
-func (*FileError) Do() string { return "correct the field in the file that data.file names" }
+// Remedy returns what an operator can do about the error.
+func (*FileError) Remedy() string { return "correct the field in the file that data.file names" }
 
-var _ = operr.Kind(&FileError{})
+var _ = operr.Register(&FileError{})
 
 // parse decodes and validates the contents of the file.
 func parse(path string, data []byte, names node.Names) (*File, error) {
--- a/internal/locality/placer_test.go
+++ b/internal/locality/placer_test.go
@@ -91,7 +91,7 @@
 	} {
 		_, err := open(t, text)
 		var bad *FileError
-		if !errors.As(err, &bad) || bad.Field != field || bad.Do() == "" {
+		if !errors.As(err, &bad) || bad.Field != field || bad.Remedy() == "" {
 			t.Errorf("file %q: error %v, want a *FileError for field %s", text, err, field)
 		}
 	}
--- a/internal/operr/operr.go
+++ b/internal/operr/operr.go
@@ -16,8 +16,8 @@
 	error
 	// Code returns the code of the error's kind, for example "store.damaged".
 	Code() string
-	// Do returns the remedy in one sentence, for an operator or for the client that gets the error.
-	Do() string
+	// Remedy returns the remedy in one sentence, for an operator or for the client that gets the error.
+	Remedy() string
 }
 
 var (
@@ -25,10 +25,10 @@
 	kinds = map[string]Error{}
 )
 
-// Kind registers a kind of error by a value of its type, for the test that compares all kinds with docs/on-call.md. It
-// panics if the code is already registered, which is a programming error. The result allows packages to register their
-// kinds in variable declarations.
-func Kind(e Error) struct{} {
+// Register registers a kind of error by a value of its type, for the test that compares all kinds with
+// docs/on-call.md. It panics if the code is already registered, which is a programming error. The result allows
+// packages to register their kinds in variable declarations.
+func Register(e Error) struct{} {
 	mu.Lock()
 	defer mu.Unlock()
 	if _, ok := kinds[e.Code()]; ok {
@@ -49,10 +49,10 @@
 	return all
 }
 
-// Do returns the remedy of err, or "" if it has none.
-func Do(err error) string {
+// Remedy returns the remedy of err, or "" if it has none.
+func Remedy(err error) string {
 	if e, ok := errors.AsType[Error](err); ok {
-		return e.Do()
+		return e.Remedy()
 	}
 	return ""
 }
@@ -60,7 +60,7 @@
 // Attrs returns the log attributes of an error: the error and, if it is an Error, its code and remedy.
 func Attrs(err error) slog.Attr {
 	if e, ok := errors.AsType[Error](err); ok {
-		return slog.Group("", slog.Any("err", err), slog.String("code", e.Code()), slog.String("do", e.Do()))
+		return slog.Group("", slog.Any("err", err), slog.String("code", e.Code()), slog.String("do", e.Remedy()))
 	}
 	return slog.Any("err", err)
 }
--- a/internal/operr/operr_test.go
+++ b/internal/operr/operr_test.go
@@ -11,16 +11,16 @@
 
 type fullError struct{ code string }
 
-func (e *fullError) Error() string { return "the disk is full" }
-func (e *fullError) Code() string  { return e.code }
-func (e *fullError) Do() string    { return "make place on it" }
+func (e *fullError) Error() string  { return "the disk is full" }
+func (e *fullError) Code() string   { return e.code }
+func (e *fullError) Remedy() string { return "make place on it" }
 
 func TestRemedyIsFoundInWrappedErrors(t *testing.T) {
 	err := fmt.Errorf("writing: %w", &fullError{"test.full"})
-	if got := Do(err); got != "make place on it" {
+	if got := Remedy(err); got != "make place on it" {
 		t.Errorf("got remedy %q", got)
 	}
-	if got := Do(errors.New("plain")); got != "" {
+	if got := Remedy(errors.New("plain")); got != "" {
 		t.Errorf("got remedy %q of an error without one", got)
 	}
 }
@@ -40,11 +40,11 @@
 }
 
 func TestDuplicateCodePanics(t *testing.T) {
-	Kind(&fullError{"test.second"})
+	Register(&fullError{"test.second"})
 	defer func() {
 		if recover() == nil {
 			t.Error("registering a code twice did not panic")
 		}
 	}()
-	Kind(&fullError{"test.second"})
+	Register(&fullError{"test.second"})
 }
--- a/internal/recovery/errors.go
+++ b/internal/recovery/errors.go
@@ -26,8 +26,8 @@
 // Code returns the stable code of the error. The prefix "comeback" is part of the codes that operators match.
 func (*StaleError) Code() string { return "comeback.stale" }
 
-// Do returns what an operator can do about the error.
-func (*StaleError) Do() string {
+// Remedy returns what an operator can do about the error.
+func (*StaleError) Remedy() string {
 	return "wait until the node has caught up, as its counts tell; " +
 		"if it does not, look at what it hears this from (the list, the store)"
 }
@@ -47,9 +47,9 @@
 // Code returns the stable code of the error.
 func (*ChangedError) Code() string { return "comeback.moved" }
 
-// Do returns what an operator can do about the error.
-func (*ChangedError) Do() string {
+// Remedy returns what an operator can do about the error.
+func (*ChangedError) Remedy() string {
 	return "nothing: it is decided anew by what holds now; a client may try again at once"
 }
 
-var _ = []struct{}{operr.Kind(&StaleError{}), operr.Kind(&ChangedError{})}
+var _ = []struct{}{operr.Register(&StaleError{}), operr.Register(&ChangedError{})}
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -26,8 +26,8 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*InvalidError) Code() string { return "settings.invalid" }
 
-// Do says what an operator can do.
-func (*InvalidError) Do() string {
+// Remedy says what an operator can do.
+func (*InvalidError) Remedy() string {
 	return "correct the field that is named and set it again; nothing was changed"
 }
 
@@ -43,8 +43,8 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*ConflictError) Code() string { return "settings.conflict" }
 
-// Do says what an operator can do.
-func (*ConflictError) Do() string {
+// Remedy says what an operator can do.
+func (*ConflictError) Remedy() string {
 	return "look at what stands (`gatetack settings list`) and make the change again for that version"
 }
 
@@ -54,4 +54,4 @@
 	ErrGap   = errors.New("settings: an update that does not follow the version that is held")
 )
 
-var _ = []struct{}{operr.Kind(&InvalidError{}), operr.Kind(&ConflictError{})}
+var _ = []struct{}{operr.Register(&InvalidError{}), operr.Register(&ConflictError{})}
--- a/internal/settingsync/cache_test.go
+++ b/internal/settingsync/cache_test.go
@@ -117,7 +117,7 @@
 		}
 		d, err := cache.Load()
 		damaged, ok := errors.AsType[*CacheError](err)
-		if !ok || damaged.Path != cache.path || damaged.Do() == "" || d == nil || d.Version() != 0 || d.Len() != 0 {
+		if !ok || damaged.Path != cache.path || damaged.Remedy() == "" || d == nil || d.Version() != 0 || d.Len() != 0 {
 			t.Errorf("%q: %v, %v", content, d, err)
 		}
 	}
--- a/internal/settingsync/errors.go
+++ b/internal/settingsync/errors.go
@@ -23,8 +23,8 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*CacheError) Code() string { return "settings.cache" }
 
-// Do says what an operator can do.
-func (*CacheError) Do() string {
+// Remedy says what an operator can do.
+func (*CacheError) Remedy() string {
 	return "nothing, where a member answers: the file is written anew; otherwise look at the disk, or remove the file"
 }
 
@@ -38,8 +38,8 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*NotReadyError) Code() string { return "settings.not_ready" }
 
-// Do says what an operator can do.
-func (*NotReadyError) Do() string {
+// Remedy says what an operator can do.
+func (*NotReadyError) Remedy() string {
 	return "ask another member, or wait until the store has a leader (`gatetack store status`)"
 }
 
@@ -55,8 +55,8 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*UnknownError) Code() string { return "settings.unknown" }
 
-// Do says what an operator can do.
-func (*UnknownError) Do() string {
+// Remedy says what an operator can do.
+func (*UnknownError) Remedy() string {
 	return "set the same values again: what is set already is not changed a second time"
 }
 
@@ -70,8 +70,8 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*BusyError) Code() string { return "settings.busy" }
 
-// Do says what an operator can do.
-func (*BusyError) Do() string {
+// Remedy says what an operator can do.
+func (*BusyError) Remedy() string {
 	return "set it again; several items can be changed at once with `apply`"
 }
 
@@ -93,8 +93,8 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*StaleMemberError) Code() string { return "settings.stale_member" }
 
-// Do says what an operator can do.
-func (*StaleMemberError) Do() string {
+// Remedy says what an operator can do.
+func (*StaleMemberError) Remedy() string {
 	return "nothing, where the member catches up; " +
 		"after a restore of the store, make any change to the settings: it gets a newer version"
 }
@@ -113,8 +113,8 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*MemberError) Code() string { return "settings.member" }
 
-// Do says what an operator can do.
-func (*MemberError) Do() string {
+// Remedy says what an operator can do.
+func (*MemberError) Remedy() string {
 	return "look at that member and the link to it; another one is asked meanwhile"
 }
 
@@ -133,18 +133,18 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*ActivationError) Code() string { return "settings.not_in_force" }
 
-// Do says what an operator can do.
-func (*ActivationError) Do() string {
+// Remedy says what an operator can do.
+func (*ActivationError) Remedy() string {
 	return "compare this process's base configuration with that of the others, " +
 		"or set what is named to what it can use; it tries again by itself"
 }
 
 var _ = []struct{}{
-	operr.Kind(&NotReadyError{}),
-	operr.Kind(&UnknownError{}),
-	operr.Kind(&BusyError{}),
-	operr.Kind(&StaleMemberError{}),
-	operr.Kind(&MemberError{}),
-	operr.Kind(&ActivationError{}),
-	operr.Kind(&CacheError{}),
+	operr.Register(&NotReadyError{}),
+	operr.Register(&UnknownError{}),
+	operr.Register(&BusyError{}),
+	operr.Register(&StaleMemberError{}),
+	operr.Register(&MemberError{}),
+	operr.Register(&ActivationError{}),
+	operr.Register(&CacheError{}),
 }
--- a/internal/settingsync/handler.go
+++ b/internal/settingsync/handler.go
@@ -120,7 +120,7 @@
 func (s *Service) reject(operation string, err error) http1.Response {
 	s.logFailure(operation, err)
 	status, version := rejectionStatus(err)
-	f := errorBody{Error: err.Error(), Do: operr.Do(err), Version: version}
+	f := errorBody{Error: err.Error(), Do: operr.Remedy(err), Version: version}
 	if coded, ok := errors.AsType[operr.Error](err); ok {
 		f.Code = coded.Code()
 	}
--- a/internal/site/choice.go
+++ b/internal/site/choice.go
@@ -50,12 +50,12 @@
 // Code returns the stable code of the error.
 func (*NoZoneError) Code() string { return "site.no_hall" }
 
-// Do returns what an operator can do about the error.
-func (*NoZoneError) Do() string {
+// Remedy returns what an operator can do about the error.
+func (*NoZoneError) Remedy() string {
 	return "submit it with a later deadline, or copy its inputs to a hall with room first"
 }
 
-var _ = operr.Kind(&NoZoneError{})
+var _ = operr.Register(&NoZoneError{})
 
 // Prices returns the price of each zone for the decision module, on the scale of its price for crossing zones. A zone
 // that accepts no work has the highest price.
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -17,8 +17,8 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*NoLeaderError) Code() string { return "store.no_leader" }
 
-// Do says what an operator can do.
-func (*NoLeaderError) Do() string {
+// Remedy says what an operator can do.
+func (*NoLeaderError) Remedy() string {
 	return "bring members back until most of the voters are up, and try again; `gatetack store members` tells who is alive"
 }
 
@@ -30,8 +30,8 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*DamagedError) Code() string { return "store.damaged" }
 
-// Do says what an operator can do.
-func (*DamagedError) Do() string {
+// Remedy says what an operator can do.
+func (*DamagedError) Remedy() string {
 	return "look at the disk; with other members up, move the folder away and start the node: it gets all from them; " +
 		"alone, restore a backup"
 }
@@ -49,8 +49,8 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*StalledError) Code() string { return "store.stalled" }
 
-// Do says what an operator can do.
-func (*StalledError) Do() string {
+// Remedy says what an operator can do.
+func (*StalledError) Remedy() string {
 	return "another member leads meanwhile; look at the disk, and restart the node if the write does not come back"
 }
 
@@ -66,8 +66,8 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*DiskError) Code() string { return "store.disk" }
 
-// Do says what an operator can do.
-func (*DiskError) Do() string {
+// Remedy says what an operator can do.
+func (*DiskError) Remedy() string {
 	return "make room on the store's disk or replace it; what was not written was not acknowledged"
 }
 
@@ -81,8 +81,8 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*VoteError) Code() string { return "store.no_vote" }
 
-// Do says what an operator can do.
-func (*VoteError) Do() string {
+// Remedy says what an operator can do.
+func (*VoteError) Remedy() string {
 	return "bring back the members that its log names as missing; if they are lost for good, " +
 		"`gatetack store recover` on the folder that has most"
 }
@@ -97,16 +97,16 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*AddressError) Code() string { return "store.address" }
 
-// Do says what an operator can do.
-func (*AddressError) Do() string {
+// Remedy says what an operator can do.
+func (*AddressError) Remedy() string {
 	return "set store.listen to the address that store.members has under this node's name, or correct that"
 }
 
 var _ = []struct{}{
-	operr.Kind(&NoLeaderError{}),
-	operr.Kind(&DamagedError{}),
-	operr.Kind(&StalledError{}),
-	operr.Kind(&DiskError{}),
-	operr.Kind(&VoteError{}),
-	operr.Kind(&AddressError{}),
+	operr.Register(&NoLeaderError{}),
+	operr.Register(&DamagedError{}),
+	operr.Register(&StalledError{}),
+	operr.Register(&DiskError{}),
+	operr.Register(&VoteError{}),
+	operr.Register(&AddressError{}),
 }
--- a/internal/store/lies_test.go
+++ b/internal/store/lies_test.go
@@ -227,7 +227,7 @@
 	t.Helper()
 	s, err := Open(cfg, testenv.Lim, nil, testenv.Quiet)
 	if err != nil {
-		if operr.Do(err) == "" && !errors.Is(err, os.ErrNotExist) {
+		if operr.Remedy(err) == "" && !errors.Is(err, os.ErrNotExist) {
 			t.Logf("%s: it does not start: %v", what, err)
 		}
 		return false
--- a/test/errors_test.go
+++ b/test/errors_test.go
@@ -30,11 +30,11 @@
 		t.Fatalf("%d kinds", len(kinds))
 	}
 	for _, k := range kinds {
-		if len(k.Do()) < 10 || k.Error() == "" {
-			t.Errorf("%s: %q", k.Code(), k.Do())
+		if len(k.Remedy()) < 10 || k.Error() == "" {
+			t.Errorf("%s: %q", k.Code(), k.Remedy())
 		}
 		if !strings.Contains(string(page), "| `"+k.Code()+"` |") {
-			t.Errorf("%s has no line in docs/on-call.md; it would say: %s", k.Code(), k.Do())
+			t.Errorf("%s has no line in docs/on-call.md; it would say: %s", k.Code(), k.Remedy())
 		}
 	}
 }
