--- a/internal/batch/fleet.go
+++ b/internal/batch/fleet.go
@@ -120,7 +120,7 @@
 }
 
 // Open names the partitions of a node of which something is open on record.
-func (f *Front) Open(ctx context.Context, node string) ([]string, error) {
+func (f *Front) OpenPartitions(ctx context.Context, node string) ([]string, error) {
 	var out []string
 	for _, kind := range []string{kindOpen, kindArray} {
 		if err := f.pages(ctx, kind, node+".", func(r jobstore.Row) error {
@@ -189,8 +189,8 @@
 	f.log.Warn("batch jobs let go of", "duty", partition, "jobs", len(gone))
 }
 
-// Left says whether anything of a partition is on record.
-func (f *Front) Left(ctx context.Context, partition string) (bool, error) {
+// HasRecords says whether anything of a partition is on record.
+func (f *Front) HasRecords(ctx context.Context, partition string) (bool, error) {
 	own := partition + "."
 	for _, kind := range []string{kindJob, kindOpen, kindArray} {
 		rows, err := f.store.Page(ctx, kind, own, 1)
@@ -201,5 +201,5 @@
 	return false, nil
 }
 
-// Reborn has what is taken from now on belong to another life.
-func (f *Front) Reborn(born int64) { f.ids.life.Store(born) }
+// SetIncarnationStart has what is taken from now on belong to another life.
+func (f *Front) SetIncarnationStart(born int64) { f.ids.life.Store(born) }
--- a/internal/batch/incarnation.go
+++ b/internal/batch/incarnation.go
@@ -43,7 +43,7 @@
 	if err := f.store.Write(ctx, change); err != nil {
 		return fmt.Errorf("incarnation: %w", err)
 	}
-	f.Reborn(next)
+	f.SetIncarnationStart(next)
 	f.events.begin(next)
 	return nil
 }
--- a/internal/capacity/measure/duties.go
+++ b/internal/capacity/measure/duties.go
@@ -63,11 +63,11 @@
 // noJobs is a batch front without jobs on record.
 type noJobs struct{}
 
-func (noJobs) Open(context.Context, string) ([]string, error) { return nil, nil }
-func (noJobs) Adopt(context.Context, string) (int, error)     { return 0, nil }
-func (noJobs) Drop(string)                                    {}
-func (noJobs) Reborn(int64)                                   {}
-func (noJobs) Left(_ context.Context, _ string) (bool, error) { return false, nil }
+func (noJobs) OpenPartitions(context.Context, string) ([]string, error) { return nil, nil }
+func (noJobs) Adopt(context.Context, string) (int, error)               { return 0, nil }
+func (noJobs) Drop(string)                                              {}
+func (noJobs) SetIncarnationStart(int64)                                {}
+func (noJobs) HasRecords(_ context.Context, _ string) (bool, error)     { return false, nil }
 
 // DutyCost is what the owner's loop costs one node.
 type DutyCost struct {
--- a/internal/leaseholder/actions.go
+++ b/internal/leaseholder/actions.go
@@ -49,7 +49,7 @@
 	h.self.incarnation = h.manager.Incarnation()
 	started := h.self.incarnation.StartedMs
 	h.mu.Unlock()
-	h.front.Reborn(started)
+	h.front.SetIncarnationStart(started)
 	h.log.Warn("wall clock behind an earlier incarnation's, incarnation moved after it",
 		"node", h.node, "incarnation", started)
 }
@@ -133,7 +133,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.adopted(action.Partition)
+	h.markAdopted(action.Partition)
 }
 
 // stop gives up a partition that was lost. If it was that of this incarnation's own jobs, jobs that are taken from
@@ -151,12 +151,12 @@
 		return
 	}
 	self.StartedMs, h.self.owned = max(self.StartedMs+1, time.Now().UnixMilli()), false
-	h.front.Reborn(self.StartedMs)
+	h.front.SetIncarnationStart(self.StartedMs)
 }
 
-// retire deletes partitions of ended incarnations that this node owns and that have no records any more. A fleet that
+// deleteEmptyPartitions deletes partitions of ended incarnations that this node owns and that have no records any more. A fleet that
 // is restarted every day would collect them for good.
-func (h *Holder) retire(ctx context.Context) {
+func (h *Holder) deleteEmptyPartitions(ctx context.Context) {
 	h.mu.Lock()
 	owned, self := h.manager.Partitions(), h.self.incarnation.PartitionKey()
 	h.mu.Unlock()
@@ -164,7 +164,7 @@
 		if key == self {
 			continue
 		}
-		if left, err := h.front.Left(ctx, key); err == nil && !left {
+		if hasRecords, err := h.front.HasRecords(ctx, key); err == nil && !hasRecords {
 			h.deletePartition(ctx, key)
 		}
 	}
--- a/internal/leaseholder/fence_test.go
+++ b/internal/leaseholder/fence_test.go
@@ -73,17 +73,17 @@
 // benchmarkWrites writes b.N jobs by benchmarkClients clients, and reports their rate and latency.
 func benchmarkWrites(ctx context.Context, b *testing.B, to jobstore.Store, nextKey func() string) {
 	var mu sync.Mutex
-	var took []time.Duration
+	var latencies []time.Duration
 	var clients sync.WaitGroup
 	keys := make(chan string)
 	for range benchmarkClients {
 		clients.Go(func() {
 			for key := range keys {
-				began := time.Now()
+				startedAt := time.Now()
 				err := to.Write(ctx, jobstore.Change{Kind: "job", Key: key, Value: make([]byte, 600)},
 					jobstore.Change{Kind: "open", Key: key, Value: []byte(key)})
 				mu.Lock()
-				took = append(took, time.Since(began))
+				latencies = append(latencies, time.Since(startedAt))
 				if err != nil {
 					b.Error(err)
 				}
@@ -96,8 +96,8 @@
 	}
 	close(keys)
 	clients.Wait()
-	slices.Sort(took)
+	slices.Sort(latencies)
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "writes/s")
-	b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "median-ms")
-	b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
+	b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds())/1000, "median-ms")
+	b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds())/1000, "p99-ms")
 }
--- a/internal/leaseholder/fleet_test.go
+++ b/internal/leaseholder/fleet_test.go
@@ -28,21 +28,21 @@
 // fakeMember is the store as one node reaches it.
 type fakeMember struct {
 	*sharedStore
-	view         *kv.View // what it has seen, which may be stale
-	cutOff       bool     // it reaches no leader
-	losesAnswers bool     // transactions are committed and their results lost
+	view           *kv.View // what it has seen, which may be stale
+	unreachable    bool     // it reaches no leader
+	losesResponses bool     // transactions are committed and their results lost
 }
 
 var errNoLeader = errors.New("no leader")
 
 func (m *fakeMember) Txn(_ context.Context, t *kv.Txn) (*kv.Result, error) {
-	if m.cutOff {
+	if m.unreachable {
 		return nil, errNoLeader
 	}
 	t.At = m.nowMs
 	m.index++
 	result := m.state.Apply(m.index, t)
-	if m.losesAnswers {
+	if m.losesResponses {
 		return nil, errors.New("answer lost")
 	}
 	return &result, nil
@@ -63,7 +63,7 @@
 }
 
 func (m *fakeMember) Get(_ context.Context, kind, key string) ([]byte, bool, error) {
-	if m.cutOff {
+	if m.unreachable {
 		return nil, false, errNoLeader
 	}
 	entry, ok := m.state.Snapshot().Get(kind, key)
@@ -86,7 +86,7 @@
 
 func newFakeFront() *fakeFront { return &fakeFront{adopted: map[string]bool{}} }
 
-func (f *fakeFront) Open(context.Context, string) ([]string, error) { return nil, nil }
+func (f *fakeFront) OpenPartitions(context.Context, string) ([]string, error) { return nil, nil }
 
 func (f *fakeFront) Adopt(_ context.Context, key string) (int, error) {
 	f.adopted[key] = true
@@ -95,19 +95,21 @@
 
 func (f *fakeFront) Drop(key string) { delete(f.adopted, key) }
 
-func (f *fakeFront) Reborn(started int64) { f.started = started }
+func (f *fakeFront) SetIncarnationStart(started int64) { f.started = started }
 
-func (f *fakeFront) Left(_ context.Context, key string) (bool, error) { return f.records[key], nil }
+func (f *fakeFront) HasRecords(_ context.Context, key string) (bool, error) {
+	return f.records[key], nil
+}
 
 // fleet is nodes of one store, driven step by step from a seed.
 type fleet struct {
-	t            *testing.T
-	rng          *rand.Rand
-	store        *sharedStore
-	elapsed      time.Duration // on all clocks; each node's may be ahead
-	nodes        []*testNode
-	incarnations int64
-	history      []string
+	t       *testing.T
+	rng     *rand.Rand
+	store   *sharedStore
+	elapsed time.Duration // on all clocks; each node's may be ahead
+	nodes   []*testNode
+	starts  int64
+	history []string
 }
 
 // testNode is a node of a fleet.
@@ -145,11 +147,11 @@
 
 // start starts a node's process: nothing of an earlier one is left in it.
 func (f *fleet) start(node *testNode) {
-	f.incarnations++
+	f.starts++
 	node.member = &fakeMember{sharedStore: f.store, view: f.store.state.Snapshot()}
 	node.front = newFakeFront()
 	node.paused, node.calls = false, nil
-	self := lease.Incarnation{Node: node.name, StartedMs: f.incarnations}
+	self := lease.Incarnation{Node: node.name, StartedMs: f.starts}
 	holder, err := New(node.member, self, "addr of "+node.name, testLimits, slog.New(slog.DiscardHandler))
 	if err != nil {
 		f.t.Fatal(err)
@@ -181,7 +183,7 @@
 	}
 	for _, node := range f.nodes {
 		if !node.paused {
-			f.goOn(node)
+			f.advance(node)
 		}
 	}
 }
@@ -196,11 +198,11 @@
 		f.start(node)
 		f.record("%s restarted", node.name)
 	case 3:
-		node.member.cutOff = !node.member.cutOff
-		f.record("%s cut off %v", node.name, node.member.cutOff)
+		node.member.unreachable = !node.member.unreachable
+		f.record("%s cut off %v", node.name, node.member.unreachable)
 	case 4:
-		node.member.losesAnswers = !node.member.losesAnswers
-		f.record("%s loses answers %v", node.name, node.member.losesAnswers)
+		node.member.losesResponses = !node.member.losesResponses
+		f.record("%s loses answers %v", node.name, node.member.losesResponses)
 	case 5:
 		f.store.nowMs += int64(f.rng.Intn(3600_000))
 		f.record("a leader whose clock is ahead")
@@ -210,8 +212,8 @@
 	}
 }
 
-// goOn lets a node see the store, step, or have calls return, in any order.
-func (f *fleet) goOn(node *testNode) {
+// advance lets a node see the store, step, or have calls return, in any order.
+func (f *fleet) advance(node *testNode) {
 	if f.rng.Intn(3) > 0 {
 		node.member.view = f.store.state.Snapshot()
 	}
--- a/internal/leaseholder/holder.go
+++ b/internal/leaseholder/holder.go
@@ -56,16 +56,16 @@
 
 // Front runs the jobs of the partitions that this node owns.
 type Front interface {
-	// Open returns the partitions of a node that have open jobs on record.
-	Open(ctx context.Context, node string) ([]string, error)
+	// OpenPartitions returns the partitions of a node that have open jobs on record.
+	OpenPartitions(ctx context.Context, node string) ([]string, error)
 	// Adopt takes over the recorded jobs of a partition and returns how many of them are not done.
 	Adopt(ctx context.Context, partition string) (int, error)
 	// Drop gives up a partition that another node owns by now.
 	Drop(partition string)
-	// Left reports whether anything of a partition is on record.
-	Left(ctx context.Context, partition string) (bool, error)
-	// Reborn makes all jobs that are taken from now on belong to an incarnation that started at a Unix time in ms.
-	Reborn(started int64)
+	// HasRecords reports whether anything of a partition is on record.
+	HasRecords(ctx context.Context, partition string) (bool, error)
+	// SetIncarnationStart makes all jobs that are taken from now on belong to an incarnation that started at a Unix time in ms.
+	SetIncarnationStart(started int64)
 }
 
 // Holder holds the lease and the partitions of one node.
@@ -155,7 +155,7 @@
 		case <-steps.C:
 			h.step(ctx)
 		case <-retirements.C:
-			calls.Go(func() error { h.retire(ctx); return nil })
+			calls.Go(func() error { h.deleteEmptyPartitions(ctx); return nil })
 		case <-ctx.Done():
 			return calls.Wait()
 		}
@@ -174,7 +174,7 @@
 	h.listPredecessors(ctx, view)
 	h.claimSelf(ctx, view)
 	h.mu.Lock()
-	h.forgetAdoptedElsewhere(view)
+	h.removeAdoptedElsewhere(view)
 	view.Partitions = append(view.Partitions, h.unclaimedPredecessors(view)...)
 	actions := h.manager.Step(h.bootTime(), view)
 	h.mu.Unlock()
@@ -189,7 +189,7 @@
 	if listed {
 		return
 	}
-	keys, err := h.front.Open(ctx, h.node)
+	keys, err := h.front.OpenPartitions(ctx, h.node)
 	if err != nil {
 		return // the next step asks again
 	}
@@ -216,23 +216,23 @@
 	}
 }
 
-// forgetAdoptedElsewhere forgets partitions of earlier incarnations that another node has claimed: it adopts them,
+// removeAdoptedElsewhere forgets partitions of earlier incarnations that another node has claimed: it adopts them,
 // and waiting for them here would keep this incarnation from taking jobs for good. A partition whose owner is an
 // earlier incarnation of this very node, whose lease has not expired yet, is not among them. The lock is held.
-func (h *Holder) forgetAdoptedElsewhere(view lease.View) {
+func (h *Holder) removeAdoptedElsewhere(view lease.View) {
 	if len(h.predecessors.unadopted) == 0 {
 		return
 	}
 	for _, partition := range view.Partitions {
 		owner, alive := view.Leases[partition.Owner.Node]
 		if alive && owner.Incarnation == partition.Owner && partition.Owner.Node != h.node {
-			h.adopted(partition.Key)
+			h.markAdopted(partition.Key)
 		}
 	}
 }
 
-// adopted notes that some node has adopted a partition. The lock is held.
-func (h *Holder) adopted(key string) {
+// markAdopted notes that some node has markAdopted a partition. The lock is held.
+func (h *Holder) markAdopted(key string) {
 	h.predecessors.unadopted = slices.DeleteFunc(h.predecessors.unadopted, func(k string) bool { return k == key })
 }
 
--- a/internal/leaseholder/holder_test.go
+++ b/internal/leaseholder/holder_test.go
@@ -21,7 +21,7 @@
 
 // write lets a node write for each partition that it believes to own, and fails the test for a write that is
 // committed under an epoch older than a committed one, or by a second node under one epoch.
-func (f *fleet) write(node *testNode, so *writes) {
+func (f *fleet) write(node *testNode, committed *writes) {
 	for _, key := range node.manager.Partitions() {
 		epoch, _ := node.manager.Epoch(key)
 		change := jobstore.Change{Kind: "job", Key: key + ".x", Value: []byte(node.name)}
@@ -30,20 +30,20 @@
 		}
 		id := fmt.Sprintf("%s %d", key, epoch)
 		writer := fmt.Sprintf("%s %d", node.name, node.manager.Incarnation().StartedMs)
-		if epoch < so.epochs[key] {
-			f.t.Fatalf("%s wrote for %s under epoch %d after %d\n%v", node.name, key, epoch, so.epochs[key], f.history)
+		if epoch < committed.epochs[key] {
+			f.t.Fatalf("%s wrote for %s under epoch %d after %d\n%v", node.name, key, epoch, committed.epochs[key], f.history)
 		}
-		if other := so.writers[id]; other != "" && other != writer {
+		if other := committed.writers[id]; other != "" && other != writer {
 			f.t.Fatalf("%s and %s both wrote for %s under epoch %d\n%v", other, writer, key, epoch, f.history)
 		}
-		so.epochs[key], so.writers[id] = epoch, writer
+		committed.epochs[key], committed.writers[id] = epoch, writer
 	}
 }
 
 // heal ends all faults, and waits for four leases.
 func (f *fleet) heal() {
 	for _, node := range f.nodes {
-		node.paused, node.member.cutOff, node.member.losesAnswers = false, false, false
+		node.paused, node.member.unreachable, node.member.losesResponses = false, false, false
 	}
 	for end := f.elapsed + 4*testLimits.LeaseTTL; f.elapsed < end; {
 		f.step(false)
@@ -84,18 +84,18 @@
 	takeovers := 0
 	for seed := int64(1); seed <= 60; seed++ {
 		f := newFleet(t, seed, 5)
-		so := &writes{epochs: map[string]uint64{}, writers: map[string]string{}}
+		committed := &writes{epochs: map[string]uint64{}, writers: map[string]string{}}
 		for range 1500 {
 			f.step(true)
 			for _, node := range f.nodes {
 				if !node.paused && f.rng.Intn(5) == 0 {
-					f.write(node, so)
+					f.write(node, committed)
 				}
 			}
 		}
 		f.heal()
 		for _, node := range f.nodes {
-			f.write(node, so)
+			f.write(node, committed)
 		}
 		takeovers += f.checkOwners(seed)
 		if t.Failed() {
@@ -112,30 +112,30 @@
 func TestLateWriteOfAFormerOwnerIsFenced(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.steps(200)
-	late, heir := f.nodes[0], f.nodes[1]
-	key := late.self.incarnation.PartitionKey()
-	if !late.owns(key) {
+	formerOwner, successor := f.nodes[0], f.nodes[1]
+	key := formerOwner.self.incarnation.PartitionKey()
+	if !formerOwner.owns(key) {
 		t.Fatal("a node without its own partition")
 	}
-	late.paused = true
+	formerOwner.paused = true
 	f.steps(200)
-	if !heir.owns(key) {
+	if !successor.owns(key) {
 		t.Fatal("the other did not take over")
 	}
-	late.bootTime = func() time.Duration { return 0 } // its clock stood still
-	late.manager.LeaseRenewed(0, 1)
+	formerOwner.bootTime = func() time.Duration { return 0 } // its clock stood still
+	formerOwner.manager.LeaseRenewed(0, 1)
 	change := jobstore.Change{Kind: "job", Key: key + ".x", Value: []byte("late")}
-	if err := late.Write(context.Background(), change); !errors.Is(err, ErrNotOwner) {
+	if err := formerOwner.Write(context.Background(), change); !errors.Is(err, ErrNotOwner) {
 		t.Fatalf("a late owner's write: %v", err)
 	}
-	if _, found, _ := heir.member.Get(context.Background(), "job", key+".x"); found {
+	if _, found, _ := successor.member.Get(context.Background(), "job", key+".x"); found {
 		t.Error("a late owner's write was committed")
 	}
-	if late.FencedWrites() != 1 {
-		t.Errorf("%d writes counted as fenced", late.FencedWrites())
+	if formerOwner.FencedWrites() != 1 {
+		t.Errorf("%d writes counted as fenced", formerOwner.FencedWrites())
 	}
 	bare := &kv.Txn{Ops: []kv.Op{{Verb: kv.Put, Table: "job", Key: key + ".x", Value: []byte("late")}}}
-	if r, err := late.member.Txn(context.Background(), bare); err != nil || !r.OK() {
+	if r, err := formerOwner.member.Txn(context.Background(), bare); err != nil || !r.OK() {
 		t.Fatal("the store rejects what is not fenced: the test does not show that the fence does")
 	}
 }
@@ -194,12 +194,12 @@
 	f.steps(80)
 	own := restarted.self.incarnation.PartitionKey()
 	restarted.front.records = map[string]bool{left: true}
-	restarted.retire(t.Context())
+	restarted.deleteEmptyPartitions(t.Context())
 	if f.epoch(left) == 0 || f.epoch(own) == 0 {
 		t.Fatalf("epochs %d of %s, %d of %s", f.epoch(left), left, f.epoch(own), own)
 	}
 	clear(restarted.front.records)
-	restarted.retire(t.Context())
+	restarted.deleteEmptyPartitions(t.Context())
 	if f.epoch(left) != 0 || f.epoch(own) == 0 {
 		t.Errorf("epochs %d of %s, %d of %s", f.epoch(left), left, f.epoch(own), own)
 	}
--- a/internal/leaseholder/scale_test.go
+++ b/internal/leaseholder/scale_test.go
@@ -66,9 +66,9 @@
 	for _, node := range f.nodes {
 		f.own(node, owners)
 	}
-	before, began := f.store.index, time.Now()
+	before, startedAt := f.store.index, time.Now()
 	f.ticks(100, nil)
-	step := time.Since(began) / time.Duration(100*n)
+	step := time.Since(startedAt) / time.Duration(100*n)
 	written := f.store.index - before
 	if limit := uint64(11 * n); written > limit {
 		t.Errorf("%d writes in 10 s of %d nodes with %d partitions, want %d at most", written, n, partitionsPerNode*n, limit)
