--- a/cmd/batchbench/main.go
+++ b/cmd/batchbench/main.go
@@ -59,26 +59,26 @@
 func start(program, dir string) (*place, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &place{ctx: ctx, g: &errgroup.Group{}, cancel: cancel}
-	ports, err := testenv.Ports(2)
+	ports, err := testenv.FreeAddrs(2)
 	if err != nil {
 		return nil, err
 	}
 	p.listen, p.batch = ports[0], ports[1]
-	list, err := testenv.NewList(ctx, p.g)
+	list, err := testenv.NewDiscovery(ctx, p.g)
 	if err != nil {
 		return nil, err
 	}
 	for i := range 6 {
-		b, err := testenv.NewBox(ctx, p.g, fmt.Sprintf("s-%08x", i+1), p.listen, 100*time.Millisecond)
+		b, err := testenv.NewExecutor(ctx, p.g, fmt.Sprintf("s-%08x", i+1), p.listen, 100*time.Millisecond)
 		if err != nil {
 			return nil, err
 		}
-		b.Set(func(h *testenv.Behaviour) { h.Slots, h.Free = 4, 4 })
+		b.Set(func(h *testenv.Behavior) { h.Slots, h.FreeSlots = 4, 4 })
 		list.Put(b, "ready")
 	}
 	began := time.Now()
-	p.node, err = testenv.StartNode(testenv.Process{Program: program, Listen: p.listen, Discovery: list.Addr, MemoryMB: 192, Sockets: 1024,
-		File: "batch:\n  listen: " + p.batch + "\n  dir: " + dir + "\n"})
+	p.node, err = testenv.StartNode(testenv.NodeOptions{Program: program, Listen: p.listen, Discovery: list.Addr, MemoryMB: 192, Sockets: 1024,
+		ConfigText: "batch:\n  listen: " + p.batch + "\n  dir: " + dir + "\n"})
 	p.began = time.Since(began)
 	return p, err
 }
@@ -230,10 +230,10 @@
 			return nil
 		})
 	}
-	load := testenv.Load{Addr: p.listen, Clients: 10, Class: "area-render", Deadline: 25 * time.Second, Aim: 1700 * time.Millisecond, Prefix: "10adc1e0"}
+	load := testenv.Load{Addr: p.listen, Clients: 10, Class: "area-render", Deadline: 25 * time.Second, Objective: 1700 * time.Millisecond, Prefix: "10adc1e0"}
 	d := load.Run(ctx)
 	_ = g.Wait()
-	fmt.Printf("| %d | %d | %d | %.0f | %.0f | %.0f |\n", n, d.InTime, d.Refused, float64(d.Latency.ValueAtQuantile(50))/1000,
+	fmt.Printf("| %d | %d | %d | %.0f | %.0f | %.0f |\n", n, d.WithinObjective, d.Rejected, float64(d.Latency.ValueAtQuantile(50))/1000,
 		float64(d.Latency.ValueAtQuantile(99))/1000, float64(count)/span.Seconds())
 	return nil
 }
--- a/cmd/gatetack/callbacks_test.go
+++ b/cmd/gatetack/callbacks_test.go
@@ -24,11 +24,11 @@
 	if err := os.WriteFile(blocked, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	relay := callbackrelay.New(filepath.Join(blocked, "handover"), time.Millisecond, time.Minute, testenv.Quiet)
+	relay := callbackrelay.New(filepath.Join(blocked, "handover"), time.Millisecond, time.Minute, testenv.DiscardLog)
 	if err := relay.Register(); err == nil {
 		t.Fatal("registered below a file")
 	}
-	executors := executor.New(t.Context(), &errgroup.Group{}, testenv.Lim, node.Names{}, nil, nil, testenv.Quiet)
+	executors := executor.New(t.Context(), &errgroup.Group{}, testenv.Limits, node.Names{}, nil, nil, testenv.DiscardLog)
 	router := &callbackRouter{executors: executors, relay: relay}
 	callback := []byte(`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"done","result":"tile"}`)
 	err := router.Callback(callback)
--- a/cmd/gatetack/listen_test.go
+++ b/cmd/gatetack/listen_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = f.Close() }()
-	ln, err := listen(&config.Config{Listen: passed.Addr().String(), PassedSocket: passOn(t, f)}, testenv.Quiet)
+	ln, err := listen(&config.Config{Listen: passed.Addr().String(), PassedSocket: passOn(t, f)}, testenv.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	}
 	defer func() { _ = plain.Close() }()
 	for _, fd := range []int{passOn(t, plain), 1 << 20} {
-		if ln, err := listen(&config.Config{Listen: "127.0.0.1:1", PassedSocket: fd}, testenv.Quiet); err == nil {
+		if ln, err := listen(&config.Config{Listen: "127.0.0.1:1", PassedSocket: fd}, testenv.DiscardLog); err == nil {
 			_ = ln.Close()
 			t.Errorf("descriptor %d taken for a listening socket", fd)
 		} else if !strings.Contains(err.Error(), "EDGE_PASSED_SOCKET") {
--- a/cmd/gatetack/process_test.go
+++ b/cmd/gatetack/process_test.go
@@ -22,7 +22,7 @@
 	c, f := standaloneAt(t, ln.Addr().String())
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
-	if err := serve(ctx, make(chan os.Signal), c, f, testenv.Quiet); err != nil {
+	if err := serve(ctx, make(chan os.Signal), c, f, testenv.DiscardLog); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 }
--- a/cmd/slowpeerbench/main.go
+++ b/cmd/slowpeerbench/main.go
@@ -54,10 +54,10 @@
 	kinds := o.kinds
 	if len(kinds) == 0 {
 		kinds = []string{"none", "box-202", "box-mute", "box-unread"}
-		for _, k := range testenv.Kinds {
+		for _, k := range testenv.SlowKinds {
 			kinds = append(kinds, string(k))
 		}
-		kinds = append(kinds, string(testenv.Quick), "mixed")
+		kinds = append(kinds, string(testenv.FastReader), "mixed")
 	}
 	fmt.Println("| case | peers | in time | served | refused | failed | p50 ms | p99 ms | memory MB | descriptors | answered | let go | still there | slow |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -83,35 +83,35 @@
 	defer cancel()
 	g := &errgroup.Group{}
 	defer func() { cancel(); _ = g.Wait() }()
-	ports, err := testenv.Ports(1)
+	ports, err := testenv.FreeAddrs(1)
 	if err != nil {
 		return err
 	}
-	list, err := testenv.NewList(ctx, g)
+	list, err := testenv.NewDiscovery(ctx, g)
 	if err != nil {
 		return err
 	}
 	for i := range o.executors {
-		b, err := testenv.NewBox(ctx, g, fmt.Sprintf("s-%08x", i+1), ports[0], o.run)
+		b, err := testenv.NewExecutor(ctx, g, fmt.Sprintf("s-%08x", i+1), ports[0], o.run)
 		if err != nil {
 			return err
 		}
-		b.Set(func(h *testenv.Behaviour) { h.Slots, h.Free, h.Result = 4, 4, o.result })
+		b.Set(func(h *testenv.Behavior) { h.Slots, h.FreeSlots, h.ResultBytes = 4, 4, o.result })
 		if i == 0 && strings.HasPrefix(kind, "box-") {
 			var up, down testenv.Script
 			switch kind {
 			case "box-202": // takes jobs, and says so at one byte a second; what it ran it never tells
 				down.Rate = 1
-				b.Set(func(h *testenv.Behaviour) { h.Mute = true })
+				b.Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
 			case "box-mute":
-				down.Stall = 1
-				b.Set(func(h *testenv.Behaviour) { h.Mute = true })
+				down.StallAfter = 1
+				b.Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
 			case "box-unread":
-				up.Stall = 1
+				up.StallAfter = 1
 			default:
 				return fmt.Errorf("no case is named %q", kind)
 			}
-			slow, err := testenv.NewSlow(ctx, g, b.Addr, up, down, 1)
+			slow, err := testenv.NewSlowProxy(ctx, g, b.Addr, up, down, 1)
 			if err != nil {
 				return err
 			}
@@ -119,7 +119,7 @@
 		}
 		list.Put(b, "ready")
 	}
-	node, err := testenv.StartNode(testenv.Process{Program: o.program, Listen: ports[0], Discovery: list.Addr, MemoryMB: o.memory, Sockets: o.sockets, Log: o.log})
+	node, err := testenv.StartNode(testenv.NodeOptions{Program: o.program, Listen: ports[0], Discovery: list.Addr, MemoryMB: o.memory, Sockets: o.sockets, LogPath: o.log})
 	if err != nil {
 		return err
 	}
@@ -127,12 +127,12 @@
 	pctx, over := context.WithTimeout(ctx, o.span)
 	defer over()
 	var mu sync.Mutex
-	var ended []testenv.Ended
+	var ended []testenv.SlowPeerResult
 	var slow errgroup.Group
 	for i := range peers {
-		k := testenv.Kind(kind)
+		k := testenv.SlowKind(kind)
 		if kind == "mixed" {
-			k = testenv.Kinds[i%len(testenv.Kinds)]
+			k = testenv.SlowKinds[i%len(testenv.SlowKinds)]
 		}
 		slow.Go(func() error {
 			e := testenv.SlowPeer(pctx, ports[0], k, i, 25*time.Second)
@@ -142,9 +142,9 @@
 			return nil
 		})
 	}
-	load := testenv.Load{Addr: ports[0], Clients: o.clients, Class: "area-render", Deadline: 25 * time.Second, Aim: 1900 * time.Millisecond,
+	load := testenv.Load{Addr: ports[0], Clients: o.clients, Class: "area-render", Deadline: 25 * time.Second, Objective: 1900 * time.Millisecond,
 		Prefix: "10adc1e0"}
-	var done *testenv.Done
+	var done *testenv.LoadResult
 	var play errgroup.Group
 	play.Go(func() error { done = load.Run(pctx); return nil })
 	most, fds := 0, 0
@@ -169,8 +169,8 @@
 		}
 	}
 	ms := func(q float64) float64 { return float64(done.Latency.ValueAtQuantile(q)) / 1000 }
-	fmt.Printf("| %s | %d | %d | %d | %d | %d | %.0f | %.0f | %.1f | %d | %d | %d | %d | %s |\n", kind, peers, done.InTime, done.Served,
-		done.Refused, done.Failed, ms(50), ms(99), float64(most)/1024, fds, answered, gone, there, tally)
+	fmt.Printf("| %s | %d | %d | %d | %d | %d | %.0f | %.0f | %.1f | %d | %d | %d | %d | %s |\n", kind, peers, done.WithinObjective, done.Served,
+		done.Rejected, done.Failed, ms(50), ms(99), float64(most)/1024, fds, answered, gone, there, tally)
 	return nil
 }
 
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -105,7 +105,7 @@
 
 // front makes one that has read what is on record.
 func front(c Core, s jobstore.Store, life time.Time) *Front {
-	f := New(Options{Core: c, Store: s, Node: "n0", Version: "test", Life: life, Limits: testenv.Lim, Log: testenv.Quiet})
+	f := New(Options{Core: c, Store: s, Node: "n0", Version: "test", Life: life, Limits: testenv.Limits, Log: testenv.DiscardLog})
 	if s != nil {
 		if err := f.load(context.Background()); err == nil {
 			close(f.loaded)
--- a/internal/batch/fleet_test.go
+++ b/internal/batch/fleet_test.go
@@ -57,7 +57,7 @@
 	held := strings.Replace(good, "{", `{"submitAsHold":true,`, 1)
 	begin := func() (*engine, *shared, *Front, string, string) {
 		e, s := &engine{}, &shared{memory: &memory{values: map[string][]byte{}}}
-		f := New(Options{Core: e, Store: s, Fleet: s, Node: "n0", Version: "test", Life: time.Now(), Limits: testenv.Lim, Log: testenv.Quiet})
+		f := New(Options{Core: e, Store: s, Fleet: s, Node: "n0", Version: "test", Life: time.Now(), Limits: testenv.Limits, Log: testenv.DiscardLog})
 		if err := f.load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
@@ -159,7 +159,7 @@
 	s := &shared{memory: &memory{values: map[string][]byte{}}}
 	var fronts []*Front
 	for i := range 2 {
-		f := New(Options{Core: &engine{}, Store: s, Fleet: s, Node: fmt.Sprint("n", i), Version: "test", Life: time.Now(), Limits: testenv.Lim, Log: testenv.Quiet})
+		f := New(Options{Core: &engine{}, Store: s, Fleet: s, Node: fmt.Sprint("n", i), Version: "test", Life: time.Now(), Limits: testenv.Limits, Log: testenv.DiscardLog})
 		if err := f.load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/batch/incarnation_test.go
+++ b/internal/batch/incarnation_test.go
@@ -92,7 +92,7 @@
 func TestStartWithAFullDisk(t *testing.T) {
 	m := &memory{values: map[string][]byte{}}
 	m.setError(syscall.ENOSPC)
-	f := New(Options{Core: &engine{}, Store: m, Node: "n0", Version: "test", Life: time.Now(), Limits: fastLimits(), Log: testenv.Quiet})
+	f := New(Options{Core: &engine{}, Store: m, Node: "n0", Version: "test", Life: time.Now(), Limits: fastLimits(), Log: testenv.DiscardLog})
 	run(t, f)
 	if status, v, _ := call(f, "POST", "/jobs", good); status != 503 {
 		t.Errorf("%d %s", status, v.Raw)
@@ -106,7 +106,7 @@
 func TestEndIsRecordedOnceTheDiskWorksAgain(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
 		m, e := &memory{values: map[string][]byte{}}, &engine{}
-		f := New(Options{Core: e, Store: m, Node: "n0", Version: "test", Life: time.Now(), Limits: fastLimits(), Log: testenv.Quiet})
+		f := New(Options{Core: e, Store: m, Node: "n0", Version: "test", Life: time.Now(), Limits: fastLimits(), Log: testenv.DiscardLog})
 		run(t, f)
 		eventually(t, "what was left is read", f.ready)
 		id := submitted(t, f)
@@ -157,7 +157,7 @@
 
 // fastLimits are limits under which what failed is tried again soon.
 func fastLimits() limits.Limits {
-	lim := testenv.Lim
+	lim := testenv.Limits
 	lim.StoreElectionTimeout = 2 * time.Millisecond
 	return lim
 }
--- a/internal/callbackrelay/callbackrelay_test.go
+++ b/internal/callbackrelay/callbackrelay_test.go
@@ -53,7 +53,7 @@
 // register returns a registered relay with a pid. Tests use the parent's pid for the other process of the node.
 func register(t *testing.T, files Directory, dir string, pid int) *Relay {
 	t.Helper()
-	r := newRelay(files, dir, pid, time.Millisecond, time.Minute, testenv.Quiet)
+	r := newRelay(files, dir, pid, time.Millisecond, time.Minute, testenv.DiscardLog)
 	if err := r.Register(); err != nil {
 		t.Fatal(err)
 	}
@@ -181,7 +181,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			dir, files := filepath.Join(t.TempDir(), "handover"), newFaultyDirectory()
 			x.fail(files)
-			r := newRelay(files, dir, os.Getpid(), time.Millisecond, time.Minute, testenv.Quiet)
+			r := newRelay(files, dir, os.Getpid(), time.Millisecond, time.Minute, testenv.DiscardLog)
 			if err := r.Register(); err == nil {
 				t.Fatal("Register succeeded on a failing directory")
 			}
--- a/internal/capacity/measure/dispatcher.go
+++ b/internal/capacity/measure/dispatcher.go
@@ -51,21 +51,21 @@
 		cancel()
 		_ = group.Wait()
 	}()
-	ports, err := testenv.Ports(1)
+	ports, err := testenv.FreeAddrs(1)
 	if err != nil {
 		return DispatcherCost{}, err
 	}
-	list, err := testenv.NewList(ctx, group)
+	list, err := testenv.NewDiscovery(ctx, group)
 	if err != nil {
 		return DispatcherCost{}, err
 	}
 	executors := map[string]bool{}
 	for i := range siteExecutors {
-		executor, err := testenv.NewBox(ctx, group, fmt.Sprintf("s-%08x", i+1), ports[0], siteRun)
+		executor, err := testenv.NewExecutor(ctx, group, fmt.Sprintf("s-%08x", i+1), ports[0], siteRun)
 		if err != nil {
 			return DispatcherCost{}, err
 		}
-		executor.Set(func(b *testenv.Behaviour) { b.Slots, b.Free = siteSlots, siteSlots })
+		executor.Set(func(b *testenv.Behavior) { b.Slots, b.FreeSlots = siteSlots, siteSlots })
 		list.Put(executor, "ready")
 		executors[executor.Addr] = true
 	}
@@ -202,7 +202,7 @@
 				continue
 			}
 		}
-		message, err := conn.Do("POST", "/"+siteClass+"/cut", []byte("scene"), testenv.Job(fmt.Sprintf("ca9ac17e%08x", n), siteDeadline)...)
+		message, err := conn.Do("POST", "/"+siteClass+"/cut", []byte("scene"), testenv.JobFields(fmt.Sprintf("ca9ac17e%08x", n), siteDeadline)...)
 		if err == nil {
 			l.answered.Add(1)
 		}
--- a/internal/discovery/connect_test.go
+++ b/internal/discovery/connect_test.go
@@ -48,7 +48,7 @@
 		syscall.ENOMEM, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EINTR,
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			c, sink, list, box, run := prepare(t, testenv.Lim)
+			c, sink, list, box, run := prepare(t, testenv.Limits)
 			dialer := &failingDialer{errno: errno, failures: 7}
 			c.dial, c.sleep = dialer.dial, dialer.sleep
 			list.Put(box, "ready")
@@ -74,7 +74,7 @@
 // A lasting fault of this machine ends the call as failed once the time for a call is over, and the next call is made.
 // The pauses of a call and the wait for the next call stay within the time after which changes count as notified.
 func TestLastingLocalConnectErrorsEndTheCall(t *testing.T) {
-	c, sink, list, box, run := prepare(t, testenv.Lim)
+	c, sink, list, box, run := prepare(t, testenv.Limits)
 	dialer := &failingDialer{errno: syscall.EADDRNOTAVAIL, failures: 100}
 	c.dial, c.sleep = dialer.dial, dialer.sleep
 	list.Put(box, "ready")
@@ -90,7 +90,7 @@
 		if pause == connectBackoffMin {
 			inOneCall = 0 // the next call has started
 		}
-		if inOneCall += pause; inOneCall > testenv.Lim.ListCallTimeout+connectBackoffMax {
+		if inOneCall += pause; inOneCall > testenv.Limits.ListCallTimeout+connectBackoffMax {
 			t.Fatalf("the pauses of one call add up to %v, more than a call may take", inOneCall)
 		}
 	}
@@ -103,7 +103,7 @@
 		syscall.ECONNREFUSED, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET,
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			c, sink, list, box, run := prepare(t, testenv.Lim)
+			c, sink, list, box, run := prepare(t, testenv.Limits)
 			dialer := &failingDialer{errno: errno, failures: 1}
 			c.dial, c.sleep = dialer.dial, dialer.sleep
 			list.Put(box, "ready")
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -23,26 +23,26 @@
 // first call.
 func prepare(
 	t *testing.T, lim limits.Limits,
-) (c *Client, s *testenv.Lists, list *testenv.List, box *testenv.Box, run func()) {
+) (c *Client, s *testenv.ListRecorder, list *testenv.Discovery, box *testenv.Executor, run func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
 	t.Cleanup(func() { cancel(); _ = g.Wait() })
-	list, err := testenv.NewList(ctx, g)
+	list, err := testenv.NewDiscovery(ctx, g)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if box, err = testenv.NewBox(ctx, g, "s-1", "127.0.0.1:1", 0); err != nil {
+	if box, err = testenv.NewExecutor(ctx, g, "s-1", "127.0.0.1:1", 0); err != nil {
 		t.Fatal(err)
 	}
-	s = &testenv.Lists{}
-	c = New(list.Addr, 7, false, lim, s, nil, testenv.Quiet)
+	s = &testenv.ListRecorder{}
+	c = New(list.Addr, 7, false, lim, s, nil, testenv.DiscardLog)
 	return c, s, list, box, func() { g.Go(func() error { return c.Run(ctx) }) }
 }
 
 // A watch delivers the list and then its changes.
 func TestWatchDeliversListAndChanges(t *testing.T) {
-	c, s, list, box, run := prepare(t, testenv.Lim)
+	c, s, list, box, run := prepare(t, testenv.Limits)
 	list.Put(box, "ready")
 	run()
 	testenv.Until(t, "the list", func() bool { return len(s.All()) == 1 })
@@ -62,7 +62,7 @@
 // number, and must return when ctx ends. The dispatch module requests nothing.
 func serveCalls(
 	t *testing.T, serve func(ctx context.Context, n int, conn net.Conn),
-) (s *testenv.Lists, run func(limits.Limits)) {
+) (s *testenv.ListRecorder, run func(limits.Limits)) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -85,9 +85,9 @@
 		}
 	})
 	t.Cleanup(func() { cancel(); _ = ln.Close(); _ = g.Wait() })
-	s = &testenv.Lists{}
+	s = &testenv.ListRecorder{}
 	return s, func(lim limits.Limits) {
-		c := New(ln.Addr().String(), 0, false, lim, s, nil, testenv.Quiet)
+		c := New(ln.Addr().String(), 0, false, lim, s, nil, testenv.DiscardLog)
 		g.Go(func() error { return c.Run(ctx) })
 	}
 }
@@ -96,7 +96,7 @@
 // by itself, even if the dispatch module requests none. The settings allow ten seconds between the module's requests,
 // while changes count as notified after six.
 func TestCallsAreMadeWithoutRequests(t *testing.T) {
-	lim := testenv.Lim
+	lim := testenv.Limits
 	lim.ListTimeouts.MaxStaleness = 60 * time.Millisecond
 	lim.ListTimeouts.PollWait, lim.ListTimeouts.AnswerTimeout = 10*time.Millisecond, 10*time.Millisecond
 	line := `{"index":3,"snapshot":false,"endpoints":[]}`
@@ -131,8 +131,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
 	defer func() { cancel(); _ = ln.Close(); _ = g.Wait() }()
-	s := &testenv.Lists{}
-	c := New(ln.Addr().String(), 0, false, testenv.Lim, s, nil, testenv.Quiet)
+	s := &testenv.ListRecorder{}
+	c := New(ln.Addr().String(), 0, false, testenv.Limits, s, nil, testenv.DiscardLog)
 	g.Go(func() error { return c.Run(ctx) })
 	c.Watch(true)
 	conn, err := ln.Accept()
@@ -168,7 +168,7 @@
 		"cut within a line": {head + chunk(line[:17]), 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lim := testenv.Lim
+			lim := testenv.Limits
 			lim.ListTimeouts.HeartbeatInterval, lim.ListTimeouts.HeartbeatSlack = 20*time.Millisecond, 30*time.Millisecond
 			lim.ListTimeouts.PollWait, lim.ListTimeouts.AnswerTimeout = 30*time.Millisecond, 20*time.Millisecond
 			lim.ListTimeouts.MinBackoff = time.Millisecond
@@ -203,9 +203,9 @@
 // A stable watch that ends is restarted at once without a failure. A complete object is handled before its line break,
 // which may never arrive. Both may contain drains that count as notified.
 func TestEndedWatchIsRestarted(t *testing.T) {
-	lim := testenv.Lim
+	lim := testenv.Limits
 	lim.ListTimeouts.StableAfter = 0
-	var s *testenv.Lists
+	var s *testenv.ListRecorder
 	s, run := serveCalls(t, func(ctx context.Context, n int, conn net.Conn) {
 		text := fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[]}`, n+1)
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s", len(text)+1, text)
@@ -230,13 +230,13 @@
 // does not respond, or is gone. No failure is reported: the module would wait before its next request, while drains
 // count as notified.
 func TestSetAddressCallsNewAddressAtOnce(t *testing.T) {
-	lim := testenv.Lim
+	lim := testenv.Limits
 	lim.ListTimeouts.MaxStaleness = time.Hour // the only calls are requested or follow a change of address
 	for _, old := range []string{"serves", "mute", "deaf", "gone"} {
 		c, s, list, box, run := prepare(t, lim)
 		ctx, cancel := context.WithCancel(context.Background())
 		var g errgroup.Group
-		next, err := testenv.NewList(ctx, &g)
+		next, err := testenv.NewDiscovery(ctx, &g)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -244,7 +244,7 @@
 		ended := make(chan bool)
 		switch old {
 		case "deaf", "gone": // does not respond, or accepts no connection; an established watch moves there by itself
-			list.Mute(true)
+			list.SetUnresponsive(true)
 			run()
 			testenv.Until(t, "the watch", func() bool { return list.Watches() == 1 })
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -264,7 +264,7 @@
 			}
 			c.SetAddress(ln.Addr().String())
 		default:
-			list.Mute(old == "mute")
+			list.SetUnresponsive(old == "mute")
 			list.Put(box, "ready")
 			run()
 		}
@@ -282,7 +282,7 @@
 			l := s.All()
 			return len(l) > 0 && len(l[len(l)-1].Entries) == 1 && l[len(l)-1].Entries[0].Status == "draining"
 		})
-		if d := time.Since(start); d > testenv.Lim.ListTimeouts.HeartbeatInterval {
+		if d := time.Since(start); d > testenv.Limits.ListTimeouts.HeartbeatInterval {
 			t.Errorf("%s: the list took %v, want at most a heartbeat interval", old, d)
 		}
 		for _, l := range s.All() {
@@ -319,8 +319,8 @@
 			}
 			return ln.Close()
 		})
-		s := &testenv.Lists{}
-		c := New(ln.Addr().String(), 0, false, testenv.Lim, s, nil, testenv.Quiet)
+		s := &testenv.ListRecorder{}
+		c := New(ln.Addr().String(), 0, false, testenv.Limits, s, nil, testenv.DiscardLog)
 		g.Go(func() error { return c.Run(ctx) })
 		testenv.Until(t, name, func() bool { return len(s.All()) > 0 })
 		c.Watch(true) // nothing listens any more
@@ -336,7 +336,7 @@
 // A call that waited for its turn and was rejected does not count as a stable watch, however long it waited: it fails,
 // and the module decides when the next one is made.
 func TestCallRejectedAfterWaitIsNotRestarted(t *testing.T) {
-	lim := testenv.Lim
+	lim := testenv.Limits
 	lim.ListTimeouts.StableAfter = 0 // any wait is longer
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -358,8 +358,8 @@
 			_ = conn.Close()
 		}
 	})
-	s := &testenv.Lists{}
-	c := New(ln.Addr().String(), 0, false, lim, s, nil, testenv.Quiet)
+	s := &testenv.ListRecorder{}
+	c := New(ln.Addr().String(), 0, false, lim, s, nil, testenv.DiscardLog)
 	g.Go(func() error { return c.Run(ctx) })
 	testenv.Until(t, "the failure", func() bool { return len(s.All()) == 1 && s.All()[0].Form == dispatch.ListFailed })
 	if n := len(calls); n != 1 {
@@ -469,7 +469,7 @@
 		_, _ = io.WriteString(conn, chunk(text[:30])+chunk(text[30:]))
 		<-ctx.Done()
 	})
-	run(testenv.Lim)
+	run(testenv.Limits)
 	testenv.Until(t, "both lists", func() bool { return len(s.All()) >= 2 })
 	l := s.All()
 	if len(l) != 2 || len(l[0].Entries) != 1 || len(l[1].Entries) != 1 ||
@@ -491,7 +491,7 @@
 		}
 		<-ctx.Done()
 	})
-	run(testenv.Lim)
+	run(testenv.Limits)
 	testenv.Until(t, "three lists", func() bool { return len(s.All()) == 3 })
 	if got := s.Confirmed(); got != 2 {
 		t.Errorf("the list was confirmed %d times, want 2", got)
--- a/internal/discovery/push_test.go
+++ b/internal/discovery/push_test.go
@@ -19,23 +19,23 @@
 	agent, away := context.WithCancel(ctx)
 	var g errgroup.Group
 	defer func() { cancel(); _ = g.Wait() }()
-	list, err := testenv.NewList(agent, &g)
+	list, err := testenv.NewDiscovery(agent, &g)
 	if err != nil {
 		t.Fatal(err)
 	}
-	box := &testenv.Box{Name: "s-1", Addr: "127.0.0.1:1"}
+	box := &testenv.Executor{Name: "s-1", Addr: "127.0.0.1:1"}
 	list.Put(box, "ready")
-	lim := testenv.Lim
+	lim := testenv.Limits
 	lim.PushedListRetryInterval = 5 * time.Millisecond
-	s := &testenv.Lists{}
-	c := New(list.Addr, 0, true, lim, s, nil, testenv.Quiet)
+	s := &testenv.ListRecorder{}
+	c := New(list.Addr, 0, true, lim, s, nil, testenv.DiscardLog)
 	g.Go(func() error { return c.Run(ctx) })
 	testenv.Until(t, "the list without a request", func() bool { return len(s.All()) == 1 })
 	list.Put(box, "draining")
 	testenv.Until(t, "a change", func() bool { return len(s.All()) == 2 })
 	c.Watch(true) // a request of the module changes nothing
 	away()
-	next, err := testenv.NewList(ctx, &g)
+	next, err := testenv.NewDiscovery(ctx, &g)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/executor/clientleft_test.go
+++ b/internal/executor/clientleft_test.go
@@ -159,14 +159,14 @@
 // startNode runs a core that stalls at the send with the number stallAt, 0 for none.
 func startNode(t *testing.T, lim limits.Limits, stallAt int, leave func(), known ...node.Endpoint) *stalledCore {
 	t.Helper()
-	core, err := node.New(coreSettings(), 1, node.EndpointList{Entries: known}, node.Names{}, lim, testenv.Quiet)
+	core, err := node.New(coreSettings(), 1, node.EndpointList{Entries: known}, node.Names{}, lim, testenv.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
 	s := &stalledCore{core: core, stallAt: stallAt, leave: leave, ended: make(chan dispatch.Outcome, 1)}
-	s.Client = New(ctx, g, lim, node.Names{}, s, &slowpeer.Counters{}, testenv.Quiet)
+	s.Client = New(ctx, g, lim, node.Names{}, s, &slowpeer.Counters{}, testenv.DiscardLog)
 	core.Connect(s, noEndpoints{}, noPeers{})
 	g.Go(func() error { return core.Run(ctx) })
 	t.Cleanup(func() { cancel(); _ = g.Wait() })
@@ -249,7 +249,7 @@
 
 // Nothing is written to a connection that is established only after the client has left.
 func TestNothingIsWrittenAfterClientDisconnectDuringDial(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+	c, s := newClient(t, testenv.Limits)
 	received := make(chan string, 1)
 	startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); received <- string(all) })
 	client, leave := context.WithCancel(t.Context())
@@ -277,7 +277,7 @@
 // A job that was terminated while queued is not sent when an executor becomes ready.
 func TestTerminatedJobIsNotSent(t *testing.T) {
 	x := startExecutor(t, "s-1", acceptedAnswer)
-	n := startNode(t, testenv.Lim, 0, nil)
+	n := startNode(t, testenv.Limits, 0, nil)
 	waiting := newAnswerClient()
 	job := node.Job{
 		TimeLeft: 20 * time.Second,
@@ -311,7 +311,7 @@
 // An attempt whose job is answered or terminated meanwhile is not sent, even if the core can handle no event: the
 // job's Answered flag is read at the last moment.
 func TestAnsweredJobIsNotSentWithFullEventQueue(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+	c, s := newClient(t, testenv.Limits)
 	received := make(chan string, 1)
 	startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); received <- string(all) })
 	a := newAttempt(1)
--- a/internal/executor/connfault_test.go
+++ b/internal/executor/connfault_test.go
@@ -42,7 +42,7 @@
 		"EAGAIN": connError("read", syscall.EAGAIN),
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, s := newClient(t, testenv.Lim)
+			c, s := newClient(t, testenv.Limits)
 			n := startRawExecutor(t, c, answering(acceptedAnswer))
 			scriptConns(c, func(_ int, conn *scriptedConn) {
 				reads := 0
@@ -129,7 +129,7 @@
 	for _, at := range moments {
 		for name, errno := range brokenConnection {
 			t.Run(at.name+"/"+name, func(t *testing.T) {
-				c, s := newClient(t, testenv.Lim)
+				c, s := newClient(t, testenv.Limits)
 				n := startRawExecutor(t, c, neverAnswer)
 				scriptConns(c, func(_ int, conn *scriptedConn) { at.set(conn, errno) })
 				a := newAttempt(1)
--- a/internal/executor/crossing_test.go
+++ b/internal/executor/crossing_test.go
@@ -80,7 +80,7 @@
 // As above, with a 202 that has been read but is recorded only after the cancel. Recording it again leads to no second
 // DELETE.
 func TestCancelCrossesRecordingOfA202(t *testing.T) {
-	c, _ := newClient(t, testenv.Lim)
+	c, _ := newClient(t, testenv.Limits)
 	requested := make(chan bool, 1)
 	next := make(chan string, 4)
 	startRawExecutor(t, c, func(conn net.Conn) {
@@ -130,7 +130,7 @@
 // first one was lost. The second attempt goes on to its result. A "returned" callback of another executor counts on
 // its own.
 func TestRepeatedReturnedCallbackIsIgnored(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+	c, s := newClient(t, testenv.Limits)
 	startRawExecutor(t, c, answering(acceptedAnswer))
 	callback := func(from, rest string) {
 		t.Helper()
@@ -193,7 +193,7 @@
 // A request states at most the time that is left when its bytes are written, however long the attempt waited before:
 // here in the pre-send check before its first byte.
 func TestSentTimeLeftIsCurrent(t *testing.T) {
-	c, _ := newClientWithLimits(t, testenv.Lim)
+	c, _ := newClientWithLimits(t, testenv.Limits)
 	received := make(chan string, 1)
 	startRawExecutor(t, c, func(conn net.Conn) {
 		text, _ := readRequest(bufio.NewReader(conn))
@@ -220,7 +220,7 @@
 // is rebuilt on another connection with the time that is left then. The last byte is never sent on the first
 // connection.
 func TestSentTimeLeftIsUpdatedAfterWait(t *testing.T) {
-	lim := testenv.Lim
+	lim := testenv.Limits
 	lim.TimeLeftMargin = 20 * time.Millisecond
 	lim.SlowPeers.ExecutorOut = slowpeer.MinRate{BytesPerSecond: 1, Grace: 20 * time.Second}
 	c, s := newClientWithLimits(t, lim)
--- a/internal/executor/deadline_test.go
+++ b/internal/executor/deadline_test.go
@@ -42,7 +42,7 @@
 		"less than the pause": {300 * time.Millisecond, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lim := testenv.Lim
+			lim := testenv.Limits
 			lim.MinLastByteDelay, lim.MaxLastByteDelay = x.settle, x.settle
 			c, s := newClientWithLimits(t, lim)
 			received := make(chan string, 1)
@@ -140,12 +140,12 @@
 		for _, at := range stalls {
 			t.Run(fmt.Sprintf("%s/delayed at %s for %v", kind, at.moment, at.length), func(t *testing.T) {
 				for range 5 { // a busy machine may delay it further, and then nothing is sent
-					c, s := newClientWithLimits(t, testenv.Lim)
+					c, s := newClientWithLimits(t, testenv.Limits)
 					n := startRawExecutor(t, c, answering(acceptedAnswer))
 					a := newAttempt(1)
 					a.Rules = precheck.RetryRules{Attempt: 1, MaxAttempts: 3}
 					set(&a)
-					client := a.Deadline.Add(testenv.Lim.ResponseMargin)
+					client := a.Deadline.Add(testenv.Limits.ResponseMargin)
 					seen := recordWrites(t, c, func() time.Time { return client }, func(conn int, moment string) {
 						if moment == at.moment && conn == 0 {
 							time.Sleep(at.length)
@@ -171,10 +171,10 @@
 
 // An attempt that is delayed each time is not sent, since its request would state too much time left.
 func TestRepeatedlyDelayedAttemptIsNotSent(t *testing.T) {
-	c, s := newClientWithLimits(t, testenv.Lim)
+	c, s := newClientWithLimits(t, testenv.Limits)
 	startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(1)
-	client := a.Deadline.Add(testenv.Lim.ResponseMargin)
+	client := a.Deadline.Add(testenv.Limits.ResponseMargin)
 	seen := recordWrites(t, c, func() time.Time { return client }, func(_ int, moment string) {
 		if moment == "head" {
 			time.Sleep(stall)
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -60,14 +60,14 @@
 func newClientWithLimits(t *testing.T, lim limits.Limits) (*Client, *resultRecorder) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g, s := &errgroup.Group{}, &resultRecorder{}
-	c := New(ctx, g, lim, node.Names{Fields: []string{"pending", "x0"}}, s, &slowpeer.Counters{}, testenv.Quiet)
+	c := New(ctx, g, lim, node.Names{Fields: []string{"pending", "x0"}}, s, &slowpeer.Counters{}, testenv.DiscardLog)
 	t.Cleanup(func() { cancel(); _ = g.Wait() })
 	return c, s
 }
 
 // withoutRestPeriod returns limits under which an idle connection is reused at once.
 func withoutRestPeriod() limits.Limits {
-	lim := testenv.Lim
+	lim := testenv.Limits
 	lim.ReuseDelay = 0
 	return lim
 }
@@ -175,7 +175,7 @@
 		{"garbage", answering("what?\r\n\r\n"), dispatch.Reset},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c, s := newClient(t, testenv.Lim)
+			c, s := newClient(t, testenv.Limits)
 			script := x.script
 			if x.name == "breaks before its answer" {
 				script = func(conn net.Conn) { _, _ = readRequest(bufio.NewReader(conn)) }
@@ -197,7 +197,7 @@
 // A callback may arrive before the 202, may be repeated, and may be stale; stale ones are ignored. Each attempt has
 // one outcome.
 func TestCallbacksGiveOneOutcome(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+	c, s := newClient(t, testenv.Limits)
 	early := make(chan bool)
 	startRawExecutor(t, c, func(conn net.Conn) {
 		if _, err := readRequest(bufio.NewReader(conn)); err == nil {
@@ -243,7 +243,7 @@
 // A "done" callback without a result must not become an answer that no executor produced.
 func TestDoneCallbackWithoutResult(t *testing.T) {
 	for _, rest := range []string{``, `,"result":null`, `,"result":7`, `,"result":{}`} {
-		c, s := newClient(t, testenv.Lim)
+		c, s := newClient(t, testenv.Limits)
 		startRawExecutor(t, c, answering(acceptedAnswer))
 		c.Send(newAttempt(1))
 		testenv.Until(t, "an outcome", func() bool {
@@ -259,7 +259,7 @@
 // A callback that arrives before anything of an attempt was written concerns an earlier one: a repeated "returned"
 // must not end the next attempt at the same executor.
 func TestStaleCallbackBeforeSend(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+	c, s := newClient(t, testenv.Limits)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(2)
 	resume, blocked := make(chan bool), make(chan bool)
@@ -282,7 +282,7 @@
 // Nothing is written to an executor whose drain was notified longer than DrainSpare ago, not even over a connection
 // that was being opened at the time.
 func TestDrainDuringSend(t *testing.T) {
-	lim := testenv.Lim
+	lim := testenv.Limits
 	lim.DrainSendGrace = 0
 	c, s := newClient(t, lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
@@ -335,7 +335,7 @@
 // something, the executor never had the request. On a reused connection the attempt continues on another one, and on a
 // new one it ends as failed to connect. If it ended as reset, a tile-charge would fail finally, since it may have run.
 func TestConnectionBrokenBeforeLastByte(t *testing.T) {
-	lim := testenv.Lim
+	lim := testenv.Limits
 	lim.MinLastByteDelay, lim.MaxLastByteDelay = 20*time.Second,
 		20*time.Second // the verdicts follow from what the executor does
 	c, s := newClient(t, lim)
@@ -399,7 +399,7 @@
 // with less idle time are. A single break among many uses has no effect, and in time longer idle times are tried
 // again.
 func TestMaxIdleTimeFollowsBrokenConnections(t *testing.T) {
-	p := newPool(testenv.Lim, nil)
+	p := newPool(testenv.Limits, nil)
 	now := time.Now()
 	observe := func(idleFor time.Duration, broke bool, n int) {
 		for range n {
@@ -412,19 +412,19 @@
 			t.Errorf("%s: reused after up to %v, want %v", what, got, d)
 		}
 	}
-	want("at first", testenv.Lim.ExecutorIdleTimeout)
+	want("at first", testenv.Limits.ExecutorIdleTimeout)
 	observe(10*time.Millisecond, false, 60)
 	observe(10*time.Millisecond, true, 1)
-	want("one break in many uses", testenv.Lim.ExecutorIdleTimeout)
+	want("one break in many uses", testenv.Limits.ExecutorIdleTimeout)
 	observe(300*time.Millisecond, true, 1)
 	want("one break in few uses", 256*time.Millisecond)
 	observe(200*time.Millisecond, false, 3)
 	observe(200*time.Millisecond, true, 2)
 	want("breaks after less idle time", 128*time.Millisecond)
-	now = now.Add(10 * testenv.Lim.KeepAliveHalfLife)
-	want("after the observations have decayed", testenv.Lim.ExecutorIdleTimeout)
+	now = now.Add(10 * testenv.Limits.KeepAliveHalfLife)
+	want("after the observations have decayed", testenv.Limits.ExecutorIdleTimeout)
 	observe(time.Hour, true, 3)
-	want("the longest idle time", min(testenv.Lim.KeepAliveMinIdle<<10, testenv.Lim.ExecutorIdleTimeout))
+	want("the longest idle time", min(testenv.Limits.KeepAliveMinIdle<<10, testenv.Limits.ExecutorIdleTimeout))
 }
 
 // Consecutive attempts use one connection. A connection that has been idle for too long is not reused.
@@ -522,7 +522,7 @@
 
 // Malformed callbacks and load reports are rejected or ignored.
 func TestGarbage(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+	c, s := newClient(t, testenv.Limits)
 	good := `{"id":"00000000000000aa","from":"s-7","state":"done","result":"x","load":{"queue":1}}`
 	rapid.Check(t, func(t *rapid.T) {
 		b := []byte(good)
@@ -538,7 +538,7 @@
 
 // An attempt that cannot be recorded is not sent, and ends as canceled before send.
 func TestUnrecordedAttemptIsNotSent(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+	c, s := newClient(t, testenv.Limits)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(1)
 	a.Job.BeforeSend = func(string) error { return errors.New("no space left on device") }
--- a/internal/executor/localfault_test.go
+++ b/internal/executor/localfault_test.go
@@ -94,7 +94,7 @@
 func TestLastingLocalFaultEndsTheAttemptAsNeverSent(t *testing.T) {
 	for name, fault := range localFaults {
 		t.Run(name, func(t *testing.T) {
-			c, s := newClient(t, testenv.Lim)
+			c, s := newClient(t, testenv.Limits)
 			n := startRawExecutor(t, c, answering(acceptedAnswer))
 			dialer := (&faultyDialer{always: fault}).install(c)
 			c.Send(newAttempt(1))
@@ -119,7 +119,7 @@
 func TestPassingLocalFaultIsRetried(t *testing.T) {
 	for name, fault := range localFaults {
 		t.Run(name, func(t *testing.T) {
-			c, s := newClient(t, testenv.Lim)
+			c, s := newClient(t, testenv.Limits)
 			n := startRawExecutor(t, c, answering(acceptedAnswer))
 			dialer := (&faultyDialer{first: []error{fault, fault}}).install(c)
 			c.Send(newAttempt(1))
@@ -147,7 +147,7 @@
 		"time-out":     &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, s := newClient(t, testenv.Lim)
+			c, s := newClient(t, testenv.Limits)
 			startRawExecutor(t, c, answering(acceptedAnswer))
 			dialer := (&faultyDialer{always: fault}).install(c)
 			c.Send(newAttempt(1))
@@ -164,7 +164,7 @@
 
 // An event that ends an attempt during the pause after a local fault prevents the next dial.
 func TestNoRedialAfterClientDisconnect(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+	c, s := newClient(t, testenv.Limits)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	client, leave := context.WithCancel(t.Context())
 	dialer := (&faultyDialer{always: localFaults["EADDRNOTAVAIL"], duringPause: leave}).install(c)
@@ -186,7 +186,7 @@
 
 // A cancel ends the pause after a local fault, and leads to no outcome.
 func TestCancelEndsPauseAfterLocalFault(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+	c, s := newClient(t, testenv.Limits)
 	startRawExecutor(t, c, answering(acceptedAnswer))
 	paused, left := make(chan bool), make(chan error, 1)
 	(&faultyDialer{always: localFaults["ENOBUFS"]}).install(c)
@@ -214,7 +214,7 @@
 // No pause outlasts the attempt: if less time is left than the pause takes, the attempt ends as canceled before send,
 // so that the job is answered in time.
 func TestNoPauseBeyondTheDeadline(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+	c, s := newClient(t, testenv.Limits)
 	startRawExecutor(t, c, answering(acceptedAnswer))
 	dialer := (&faultyDialer{always: localFaults["ENFILE"]}).install(c)
 	a := newAttempt(1)
@@ -231,7 +231,7 @@
 func TestIdleConnectionIsClosedForDescriptor(t *testing.T) {
 	for name, want := range map[string]int{"EMFILE": 0, "ENFILE": 0, "EADDRNOTAVAIL": 1} {
 		t.Run(name, func(t *testing.T) {
-			c, s := newClient(t, testenv.Lim)
+			c, s := newClient(t, testenv.Limits)
 			startRawExecutor(t, c, answering(acceptedAnswer))
 			c.Send(newAttempt(1))
 			testenv.Until(t, "an idle connection", func() bool { return c.idleConnections() == 1 })
@@ -265,7 +265,7 @@
 
 // If the node's limit of connections is reached, that is no fault of the executor for which the next one was wanted.
 func TestConnectionLimitIsALocalFault(t *testing.T) {
-	lim := testenv.Lim
+	lim := testenv.Limits
 	lim.ExecutorConns, lim.SlowPeers.MinPerPeer = 2, 2
 	c, s := newClient(t, lim)
 	startRawExecutor(t, c, answering(acceptedAnswer))
@@ -293,7 +293,7 @@
 		"EMFILE":        {localFaults["EMFILE"], dispatch.CanceledBeforeSend},
 		"ECONNREFUSED":  {systemError("connect", syscall.ECONNREFUSED), dispatch.ConnectFailed},
 	} {
-		c, s := newClient(t, testenv.Lim)
+		c, s := newClient(t, testenv.Limits)
 		startRawExecutor(t, c, answering(acceptedAnswer))
 		(&faultyDialer{always: x.fault}).install(c)
 		c.CheckHealth(7)
@@ -307,7 +307,7 @@
 
 // The DELETE of a canceled job is retried after a passing local fault: without it the executor goes on with the job.
 func TestCancelIsRetriedAfterLocalFault(t *testing.T) {
-	c, _ := newClient(t, testenv.Lim)
+	c, _ := newClient(t, testenv.Limits)
 	got := make(chan string, 1)
 	startRawExecutor(t, c, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
--- a/internal/executor/races_test.go
+++ b/internal/executor/races_test.go
@@ -64,7 +64,7 @@
 	for _, x := range changesBeforeTheSend() {
 		for check, when := range []string{"before it dials", "before its first byte", "before its last byte"} {
 			t.Run(x.what+" "+when, func(t *testing.T) {
-				c, s := newClient(t, testenv.Lim)
+				c, s := newClient(t, testenv.Limits)
 				received := make(chan string, 1)
 				n := startRawExecutor(t, c, func(conn net.Conn) {
 					all, _ := io.ReadAll(conn)
@@ -106,7 +106,7 @@
 // the next request uses another connection. Here the executor sends it as late as possible, after the next request has
 // arrived.
 func TestSecondAnswerIsNotTakenForNextRequest(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+	c, s := newClient(t, testenv.Limits)
 	const never = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 	n := startRawExecutor(t, c, answering(acceptedAnswer, never), answering(acceptedAnswer))
 	c.Send(newAttempt(1))
@@ -134,7 +134,7 @@
 
 // A connection that has been idle for the rest period carries the next request, and no other is opened.
 func TestRestedConnectionsAreUsed(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+	c, s := newClient(t, testenv.Limits)
 	n := startRawExecutor(t, c, answering(acceptedAnswer, acceptedAnswer))
 	for id := uint64(1); id <= 2; id++ {
 		c.Send(newAttempt(id))
@@ -146,7 +146,7 @@
 			c.pool.mu.Lock()
 			defer c.pool.mu.Unlock()
 			for _, x := range c.pool.idle[c.address(7)] {
-				x.idleSince = x.idleSince.Add(-testenv.Lim.ReuseDelay)
+				x.idleSince = x.idleSince.Add(-testenv.Limits.ReuseDelay)
 				return true
 			}
 			return false
@@ -160,7 +160,7 @@
 // When an executor restarts under the same name and address, idle connections to it lead to a process that has ended,
 // or to a machine that has lost their state. They are closed at once, and the next request opens a new one.
 func TestIdleConnectionsOfEarlierIncarnationAreClosed(t *testing.T) {
-	c, _ := newClient(t, testenv.Lim)
+	c, _ := newClient(t, testenv.Limits)
 	ended := make(chan bool, 1)
 	startRawExecutor(t, c, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -200,12 +200,12 @@
 	g := &errgroup.Group{}
 	defer func() { cancel(); _ = g.Wait() }()
 	for i := range uint32(4) {
-		b, err := testenv.NewBox(ctx, g, "s-"+string('a'+rune(i)), "127.0.0.1:1", time.Millisecond)
+		b, err := testenv.NewExecutor(ctx, g, "s-"+string('a'+rune(i)), "127.0.0.1:1", time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Set(func(h *testenv.Behaviour) { h.Mute = true })
-		slow, err := testenv.NewSlow(ctx, g, b.Addr, testenv.Script{}, testenv.Script{Delay: time.Hour}, 1)
+		b.Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
+		slow, err := testenv.NewSlowProxy(ctx, g, b.Addr, testenv.Script{}, testenv.Script{Delay: time.Hour}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -256,7 +256,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
 	defer func() { cancel(); _ = g.Wait() }()
-	b, err := testenv.NewBox(ctx, g, "s-8", "127.0.0.1:1", time.Millisecond)
+	b, err := testenv.NewExecutor(ctx, g, "s-8", "127.0.0.1:1", time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/inventory/source_test.go
+++ b/internal/inventory/source_test.go
@@ -43,7 +43,7 @@
 		{Name: "s-1", Address: "127.0.0.1:9001", Zone: "tallinn", Kind: "type-a", Group: 1, Status: "ready", Weight: 1},
 		{Name: "s-2", Address: "127.0.0.1:9002", Zone: "tartu", Kind: "type-b", Group: 2, Status: "draining", Weight: 1}}
 	for name, text := range map[string]string{"a.csv": asCSV, "a.yaml": asYAML, "a.YML": asYAML} {
-		got, err := Parse(name, []byte(text), names, testenv.Lim)
+		got, err := Parse(name, []byte(text), names, testenv.Limits)
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: got %+v, %v", name, got, err)
 		}
@@ -73,7 +73,7 @@
 		{"a.yaml", strings.Replace(asYAML, "  zone:", "  hall:", 1), 4, "hall"},
 		{"a.yaml", "boxes: 3", 1, "list"},
 	} {
-		_, err := Parse(c.name, []byte(c.text), names, testenv.Lim)
+		_, err := Parse(c.name, []byte(c.text), names, testenv.Limits)
 		var re *RowError
 		if !errors.As(err, &re) || re.Line != c.line || !strings.Contains(err.Error(), c.about) {
 			t.Errorf("got error %v, want line %d and %q, file:\n%s", err, c.line, c.about, c.text)
@@ -92,7 +92,7 @@
 		for range rapid.IntRange(1, 5).Draw(t, "hits") {
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
-		rows, err := Parse(name, b[:rapid.IntRange(0, len(b)).Draw(t, "cut")], names, testenv.Lim)
+		rows, err := Parse(name, b[:rapid.IntRange(0, len(b)).Draw(t, "cut")], names, testenv.Limits)
 		for _, r := range rows {
 			if err != nil || r.Name == "" || r.Address == "" || r.Status != "ready" && r.Status != "draining" {
 				t.Fatal(rows, err)
@@ -112,19 +112,19 @@
 			t.Fatal(err)
 		}
 	}
-	lim := testenv.Lim
+	lim := testenv.Limits
 	lim.InventoryCheckInterval = time.Millisecond
 	write(strings.SplitAfter(asCSV, "\n")[1])
-	s := &testenv.Lists{}
-	if _, err := Open(path, names, lim, s, nil, testenv.Quiet); err != nil {
+	s := &testenv.ListRecorder{}
+	if _, err := Open(path, names, lim, s, nil, testenv.DiscardLog); err != nil {
 		t.Errorf("file with only a header, want an empty list: %v", err)
 	}
 	write("name,address,zone,type,group,status\nx,,,,,\n")
-	if _, err := Open(path, names, lim, s, nil, testenv.Quiet); err == nil {
+	if _, err := Open(path, names, lim, s, nil, testenv.DiscardLog); err == nil {
 		t.Error("Open accepted a file with an invalid row")
 	}
 	write(asCSV)
-	src, err := Open(path, names, lim, s, nil, testenv.Quiet)
+	src, err := Open(path, names, lim, s, nil, testenv.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,11 +172,11 @@
 
 // A store that does not respond does not delay changes of the file: a drain must be delivered at once.
 func TestStoreWithoutLeaderDoesNotDelayFileChanges(t *testing.T) {
-	path, s := filepath.Join(t.TempDir(), "boxes.csv"), &testenv.Lists{}
+	path, s := filepath.Join(t.TempDir(), "boxes.csv"), &testenv.ListRecorder{}
 	if err := os.WriteFile(path, []byte(asCSV), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	src, err := Open(path, names, testenv.Lim, s, &stuck{}, testenv.Quiet)
+	src, err := Open(path, names, testenv.Limits, s, &stuck{}, testenv.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,18 +197,18 @@
 
 // With a store, a later inventory of one node reaches the others. Invalid rows in the store leave the list unchanged.
 func TestLaterInventoryReachesOtherNodes(t *testing.T) {
-	lim := testenv.Lim
+	lim := testenv.Limits
 	lim.InventoryCheckInterval = time.Millisecond
 	k := &store{}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
 	defer func() { cancel(); _ = g.Wait() }()
-	startNode := func(text string, at time.Time) (string, *testenv.Lists) {
-		path, s := filepath.Join(t.TempDir(), "boxes.csv"), &testenv.Lists{}
+	startNode := func(text string, at time.Time) (string, *testenv.ListRecorder) {
+		path, s := filepath.Join(t.TempDir(), "boxes.csv"), &testenv.ListRecorder{}
 		if err := errors.Join(os.WriteFile(path, []byte(text), 0o600), os.Chtimes(path, at, at)); err != nil {
 			t.Fatal(err)
 		}
-		src, err := Open(path, names, lim, s, k, testenv.Quiet)
+		src, err := Open(path, names, lim, s, k, testenv.DiscardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -216,7 +216,7 @@
 		src.Watch(true)
 		return path, s
 	}
-	last := func(s *testenv.Lists, rows int) func() bool {
+	last := func(s *testenv.ListRecorder, rows int) func() bool {
 		return func() bool { l := s.All(); return len(l) > 0 && len(l[len(l)-1].Entries) == rows }
 	}
 	now := time.Now()
@@ -233,7 +233,7 @@
 		t.Fatal(err)
 	}
 	testenv.Until(t, "the newest rows at both", func() bool { return last(a, 3)() && last(b, 3)() })
-	for _, s := range []*testenv.Lists{a, b} {
+	for _, s := range []*testenv.ListRecorder{a, b} {
 		for _, l := range s.All() {
 			for _, e := range l.Entries {
 				if e.Name == "s-9" {
@@ -246,7 +246,7 @@
 
 // The encoding of the inventory in the store is stable, since other versions of the program read it.
 func TestStoredInventoryEncodingIsStable(t *testing.T) {
-	entries, err := Parse("a.csv", []byte(asCSV), names, testenv.Lim)
+	entries, err := Parse("a.csv", []byte(asCSV), names, testenv.Limits)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/leaseholder/fence_test.go
+++ b/internal/leaseholder/fence_test.go
@@ -51,7 +51,7 @@
 
 // startMembers starts a store of three members and returns one of them.
 func startMembers(ctx context.Context, b *testing.B, running *sync.WaitGroup) *store.Store {
-	ports, err := testenv.Ports(3)
+	ports, err := testenv.FreeAddrs(3)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/locality/placer_test.go
+++ b/internal/locality/placer_test.go
@@ -38,7 +38,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return Open(path, names, settings(), executorList{}, testenv.Quiet)
+	return Open(path, names, settings(), executorList{}, testenv.DiscardLog)
 }
 
 func executor(name, zone, status string) node.ExecutorInfo {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -21,7 +21,7 @@
 func TestCallsChangeDrainStateAndCloseConnection(t *testing.T) {
 	c := &core{}
 	var accepting atomic.Bool
-	f := New(c, accepting.Load, testenv.Quiet)
+	f := New(c, accepting.Load, testenv.DiscardLog)
 	call := func(method, target string) http1.Response {
 		return f.Handle(context.Background(), &http1.Message{Method: method, Target: target})
 	}
--- a/internal/peer/faults_test.go
+++ b/internal/peer/faults_test.go
@@ -62,7 +62,7 @@
 	var sinks []*sink
 	for range 2 {
 		k := &sink{got: map[uint32]string{}}
-		s, err := Listen("127.0.0.1:0", nil, "", testenv.Lim, k, testenv.Quiet)
+		s, err := Listen("127.0.0.1:0", nil, "", testenv.Limits, k, testenv.DiscardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -53,7 +53,7 @@
 	var sinks []*sink
 	for i := range 2 {
 		k := &sink{got: map[uint32]string{}}
-		s, err := Listen(addrs[i], addrs, addrs[1-i], testenv.Lim, k, testenv.Quiet)
+		s, err := Listen(addrs[i], addrs, addrs[1-i], testenv.Limits, k, testenv.DiscardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -94,13 +94,13 @@
 // While a process replaces this one, both listen on the same address: the second listen must not fail because of the
 // first.
 func TestTwoProcessesListenOnOneAddress(t *testing.T) {
-	first, err := Listen("127.0.0.1:0", nil, "", testenv.Lim, &sink{got: map[uint32]string{}}, testenv.Quiet)
+	first, err := Listen("127.0.0.1:0", nil, "", testenv.Limits, &sink{got: map[uint32]string{}}, testenv.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = first.conn.Close() }()
 	at := first.conn.LocalAddr().String()
-	second, err := Listen(at, nil, "", testenv.Lim, &sink{got: map[uint32]string{}}, testenv.Quiet)
+	second, err := Listen(at, nil, "", testenv.Limits, &sink{got: map[uint32]string{}}, testenv.DiscardLog)
 	if err != nil {
 		t.Fatalf("a second socket on %s: %v", at, err)
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -41,7 +41,7 @@
 // client's. A valid job reaches the core, and a rejection has a retry-after within the limit of the settings.
 func TestMalformedJobsAreRejectedBeforeTheCore(t *testing.T) {
 	c := &core{}
-	f := New(c, c, testenv.Lim, testenv.Quiet)
+	f := New(c, c, testenv.Limits, testenv.DiscardLog)
 	ask := func(method, target string, change map[string]string) http1.Response {
 		m := &http1.Message{Method: method, Target: target}
 		headers := map[string]string{"X-Trace-Id": "9b1f03aa5c7e2d41", "X-Customer": "maavaade", "X-Expires-In-Ms": "7500"}
@@ -89,7 +89,7 @@
 // A drained node fails health checks, so that clients are sent elsewhere.
 func TestDrainedNodeFailsHealthChecks(t *testing.T) {
 	c := &core{}
-	f := New(c, c, testenv.Lim, testenv.Quiet)
+	f := New(c, c, testenv.Limits, testenv.DiscardLog)
 	health := func() int {
 		return f.Handle(context.Background(), &http1.Message{Method: "GET", Target: "/healthz"}).Status
 	}
@@ -123,7 +123,7 @@
 // notified.
 func TestPreSendCheckSeesClientDisconnectWhileCoreIsBusy(t *testing.T) {
 	c := &blockedCore{notified: make(chan bool)}
-	f := New(c, c, testenv.Lim, testenv.Quiet)
+	f := New(c, c, testenv.Limits, testenv.DiscardLog)
 	ctx, leave := context.WithCancel(t.Context())
 	answered := make(chan http1.Response)
 	go func() {
@@ -161,7 +161,7 @@
 		{&CallbackRejectedError{syscall.ENOSPC}, 503},
 		{fmt.Errorf("callback: %w", &CallbackRejectedError{syscall.EIO}), 503},
 	} {
-		f := New(&core{}, callbacksThatFail{x.err}, testenv.Lim, testenv.Quiet)
+		f := New(&core{}, callbacksThatFail{x.err}, testenv.Limits, testenv.DiscardLog)
 		if r := f.Handle(t.Context(), &http1.Message{Method: "POST", Target: "/callback"}); r.Status != x.status {
 			t.Errorf("callback error %v: status %d, want %d", x.err, r.Status, x.status)
 		}
--- a/internal/scale/hollow/clients_test.go
+++ b/internal/scale/hollow/clients_test.go
@@ -36,7 +36,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		server := http1.NewServer(testenv.Lim, answer, nil, testenv.Quiet)
+		server := http1.NewServer(testenv.Limits, answer, nil, testenv.DiscardLog)
 		g.Go(func() error { return server.Serve(ctx, ln) })
 	}
 	t.Cleanup(func() { cancel(); _ = g.Wait(); _ = n.Close() })
--- a/internal/scale/hollow/executor_test.go
+++ b/internal/scale/hollow/executor_test.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := http1.NewServer(testenv.Lim, w.dispatcher, nil, testenv.Quiet)
+	server := http1.NewServer(testenv.Limits, w.dispatcher, nil, testenv.DiscardLog)
 	g.Go(func() error { return server.Serve(ctx, ln) })
 	s.Rules, s.QueuePerSlot = testRules, max(s.QueuePerSlot, 1)
 	s.ExpectedRun = func(int) time.Duration { return time.Second }
@@ -164,11 +164,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
 	defer func() { cancel(); _ = g.Wait() }()
-	real, err := testenv.NewBox(ctx, g, "s-00000001", w.network.Dispatcher(0), run)
+	real, err := testenv.NewExecutor(ctx, g, "s-00000001", w.network.Dispatcher(0), run)
 	if err != nil {
 		t.Fatal(err)
 	}
-	real.Set(func(b *testenv.Behaviour) { b.Slots = 4 })
+	real.Set(func(b *testenv.Behavior) { b.Slots = 4 })
 	realMessages, realBytes := measure(t, real.Addr, w.dispatcher)
 
 	if a, b := slope(sizes, hollowMessages), slope(sizes, realMessages); a != b || a != 3 {
--- a/internal/store/lies_test.go
+++ b/internal/store/lies_test.go
@@ -225,7 +225,7 @@
 // one. It reports whether the member started.
 func checkDamagedMember(t *testing.T, cfg Config, what string) bool {
 	t.Helper()
-	s, err := Open(cfg, testenv.Lim, nil, testenv.Quiet)
+	s, err := Open(cfg, testenv.Limits, nil, testenv.DiscardLog)
 	if err != nil {
 		if operr.Remedy(err) == "" && !errors.Is(err, os.ErrNotExist) {
 			t.Logf("%s: it does not start: %v", what, err)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -35,12 +35,12 @@
 
 func (m *node) start(t *testing.T) {
 	t.Helper()
-	lim := testenv.Lim
+	lim := testenv.Limits
 	lim.StoreCallTimeout = 20 * time.Second
 	// Filled before the first write: a member writes whenever others send, also while a test changes what its disk does.
 	m.disk.Store(&failpoint.Disk{})
 	m.cfg.writeFault = func() failpoint.Disk { return *m.disk.Load() }
-	s, err := Open(m.cfg, lim, nil, testenv.Quiet)
+	s, err := Open(m.cfg, lim, nil, testenv.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 
 func cluster(t *testing.T, n int) []*node {
 	addrs, dir := map[string]string{}, t.TempDir()
-	ports, err := testenv.Ports(n)
+	ports, err := testenv.FreeAddrs(n)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +157,7 @@
 
 // A log and a snapshot that version 0.2 wrote are read; noise in the log changes nothing.
 func TestOldForms(t *testing.T) {
-	f := newFSM(testenv.Lim)
+	f := newFSM(testenv.Limits)
 	f.Apply(&raft.Log{Index: 3, Data: []byte(`{"kind":"job","key":"a","value":"dg=="}`)})
 	if r := f.Apply(&raft.Log{Index: 4, Data: []byte("noise")}).(*kv.Result); r.OK() {
 		t.Error("noise was taken in")
@@ -166,7 +166,7 @@
 		t.Errorf("%+v", e)
 	}
 	old := "{\"kind\":\"job\",\"key\":\"a\",\"value\":\"dg==\"}\n{\"kind\":\"config\",\"key\":\"b\",\"value\":\"dw==\"}\n"
-	g := newFSM(testenv.Lim)
+	g := newFSM(testenv.Limits)
 	if err := g.Restore(io.NopCloser(strings.NewReader(old))); err != nil {
 		t.Fatal(err)
 	}
@@ -250,7 +250,7 @@
 // operate makes an operator's call at a member.
 func operate(t *testing.T, m *node, verb, path, body string) (int, gjson.Result) {
 	t.Helper()
-	r, err := Call(t.Context(), m.cfg.Listen, verb, "/v1/"+path, []byte(body), m.cfg.Keys, testenv.Lim)
+	r, err := Call(t.Context(), m.cfg.Listen, verb, "/v1/"+path, []byte(body), m.cfg.Keys, testenv.Limits)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -264,7 +264,7 @@
 	for i := range 50 {
 		put(t, all[0], fmt.Sprint("k", i), "v")
 	}
-	ports, err := testenv.Ports(2)
+	ports, err := testenv.FreeAddrs(2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -359,7 +359,7 @@
 // checkBackup restores a snapshot after a value was deleted; a damaged one is rejected.
 func checkBackup(t *testing.T, m *node) {
 	t.Helper()
-	backup, err := Call(t.Context(), m.cfg.Listen, "GET", "/v1/snapshot", nil, m.cfg.Keys, testenv.Lim)
+	backup, err := Call(t.Context(), m.cfg.Listen, "GET", "/v1/snapshot", nil, m.cfg.Keys, testenv.Limits)
 	if err != nil || backup.Status != 200 {
 		t.Fatal(backup, err)
 	}
@@ -404,7 +404,7 @@
 func checkVerify(t *testing.T, dir string) {
 	t.Helper()
 	var report bytes.Buffer
-	if err := Verify(dir, testenv.Lim, &report); err != nil {
+	if err := Verify(dir, testenv.Limits, &report); err != nil {
 		t.Errorf("%v\n%s", err, report.String())
 	}
 	snaps, _ := filepath.Glob(filepath.Join(dir, "snapshots", "*", "state.bin"))
@@ -422,7 +422,7 @@
 		}
 	}
 	report.Reset()
-	err := Verify(dir, testenv.Lim, &report)
+	err := Verify(dir, testenv.Limits, &report)
 	if !errors.Is(err, ErrDamaged) || !strings.Contains(report.String(), "BAD   snapshot") {
 		t.Errorf("%v\n%s", err, report.String())
 	}
@@ -467,18 +467,18 @@
 	if err := pki.Init(ca, "test", 24*time.Hour, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	ports, err := testenv.Ports(3)
+	ports, err := testenv.FreeAddrs(3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	all, dirs := clusterWithKeys(t, ca, ports)
 	put(t, all[0], "k", "v")
-	if _, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, nil, testenv.Lim); err == nil {
+	if _, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, nil, testenv.Limits); err == nil {
 		t.Error("an operator without a key was answered")
 	}
 	stranger := filepath.Join(t.TempDir(), "stranger")
 	ring := issueKeys(t, ca, stranger, "stranger")
-	if m, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, ring, testenv.Lim); err != nil || m.Status != 200 {
+	if m, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, ring, testenv.Limits); err != nil || m.Status != 200 {
 		t.Errorf("an operator with a key: %v %v", m, err)
 	}
 	shown, err := pki.Describe(stranger)
@@ -490,7 +490,7 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, ring, testenv.Lim); err == nil {
+	if _, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, ring, testenv.Limits); err == nil {
 		t.Error("a revoked operator was answered")
 	}
 	for name, dir := range dirs {
@@ -551,7 +551,7 @@
 func TestPromisedIsKept(t *testing.T) {
 	all := cluster(t, 1)
 	s := all[0].s
-	most := testenv.Lim.StoreValues
+	most := testenv.Limits.StoreValues
 	write := func(i int, keep bool) error {
 		return s.Write(
 			t.Context(),
@@ -603,16 +603,16 @@
 	last := all[2].cfg
 	alone := map[string]string{last.Name: last.Listen}
 	var said bytes.Buffer
-	if err := Recover(last.Dir, last.Name, alone, true, testenv.Lim, &said); err == nil {
+	if err := Recover(last.Dir, last.Name, alone, true, testenv.Limits, &said); err == nil {
 		t.Error("a folder in use is taken")
 	}
 	for _, m := range all {
 		m.stop()
 	}
-	if err := Recover(t.TempDir(), last.Name, alone, true, testenv.Lim, &said); err == nil {
+	if err := Recover(t.TempDir(), last.Name, alone, true, testenv.Limits, &said); err == nil {
 		t.Error("an empty folder is taken")
 	}
-	if err := Recover(last.Dir, last.Name, map[string]string{"n9": "127.0.0.1:1"}, true, testenv.Lim, &said); err == nil {
+	if err := Recover(last.Dir, last.Name, map[string]string{"n9": "127.0.0.1:1"}, true, testenv.Limits, &said); err == nil {
 		t.Error("a store without the member whose folder it is")
 	}
 	said.Reset()
@@ -621,7 +621,7 @@
 		last.Name,
 		alone,
 		true,
-		testenv.Lim,
+		testenv.Limits,
 		&said,
 	); err != nil ||
 		!strings.Contains(said.String(), "(n0, n1)") ||
@@ -629,12 +629,12 @@
 		t.Errorf("%v: %s", err, &said)
 	}
 	all[2].start(t)
-	time.Sleep(3 * testenv.Lim.StoreElectionTimeout)
+	time.Sleep(3 * testenv.Limits.StoreElectionTimeout)
 	if all[2].s.Leads() {
 		t.Error("a dry run has changed the members")
 	}
 	all[2].stop()
-	if err := Recover(last.Dir, last.Name, alone, false, testenv.Lim, &said); err != nil {
+	if err := Recover(last.Dir, last.Name, alone, false, testenv.Limits, &said); err != nil {
 		t.Fatal(err)
 	}
 	all[2].start(t)
--- a/internal/testenv/link.go
+++ b/internal/testenv/link.go
@@ -11,9 +11,9 @@
 
 // Fault is what a link does to what passes. The zero Fault carries it as it comes.
 type Fault struct {
-	Up, Down bool          // from who connects, and to them, nothing passes: it is kept, as a network's repeats would bring it later
-	Delay    time.Duration // of each piece
-	After    int           // bytes after which connections are reset, 0 for none
+	BlockUp, BlockDown bool          // from who connects, and to them, nothing passes: it is kept, as a network's repeats would bring it later
+	Delay              time.Duration // of each piece
+	ResetAfter         int           // bytes after which connections are reset, 0 for none
 }
 
 // Link is a loopback proxy on one link, whose fault is set while connections stand: they have it from their next piece on, and
@@ -64,7 +64,7 @@
 func (l *Link) carry(ctx context.Context, c *net.TCPConn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if !l.open(ctx, func(f Fault) bool { return f.Up || f.Down }) { // no connection comes to be over a cut
+	if !l.open(ctx, func(f Fault) bool { return f.BlockUp || f.BlockDown }) { // no connection comes to be over a cut
 		_ = c.Close()
 		return
 	}
@@ -88,8 +88,8 @@
 		_, _ = c.Close(), t.Close()
 	}()
 	var g sync.WaitGroup
-	g.Go(func() { l.pass(ctx, cancel, c, t, func(f Fault) bool { return f.Up }) })
-	g.Go(func() { l.pass(ctx, cancel, t, c, func(f Fault) bool { return f.Down }) })
+	g.Go(func() { l.pass(ctx, cancel, c, t, func(f Fault) bool { return f.BlockUp }) })
+	g.Go(func() { l.pass(ctx, cancel, t, c, func(f Fault) bool { return f.BlockDown }) })
 	g.Wait()
 }
 
@@ -116,7 +116,7 @@
 			return
 		}
 		f, _ := l.now()
-		if moved += n; f.After > 0 && moved > f.After {
+		if moved += n; f.ResetAfter > 0 && moved > f.ResetAfter {
 			_, _ = from.SetLinger(0), to.SetLinger(0)
 			cancel()
 			return
--- a/internal/testenv/load.go
+++ b/internal/testenv/load.go
@@ -31,34 +31,34 @@
 
 // Load is a number of clients, each of which hands in one job after another at a node and waits for its answer.
 type Load struct {
-	Addr     string
-	Clients  int
-	Class    string
-	Deadline time.Duration // a client's patience
-	Aim      time.Duration // an answer is in time up to it
-	Jobs     int           // that each client hands in; 0: until the context ends
-	Prefix   string        // 8 hexadecimal digits that tell this load's ids from others'
+	Addr      string
+	Clients   int
+	Class     string
+	Deadline  time.Duration // a client's patience
+	Objective time.Duration // an answer is in time up to it
+	Jobs      int           // that each client hands in; 0: until the context ends
+	Prefix    string        // 8 hexadecimal digits that tell this load's ids from others'
 }
 
-// Done is what came of a load.
-type Done struct {
-	Served, InTime, Refused, Failed, Broken int                     // Broken: no whole answer came
-	Latency                                 *hdrhistogram.Histogram // of served jobs, in microseconds
+// LoadResult is what came of a load.
+type LoadResult struct {
+	Served, WithinObjective, Rejected, Failed, Incomplete int                     // Broken: no whole answer came
+	Latency                                               *hdrhistogram.Histogram // of served jobs, in microseconds
 }
 
-// All is how many jobs were handed in.
-func (d *Done) All() int { return d.Served + d.Refused + d.Failed + d.Broken }
+// Total is how many jobs were handed in.
+func (d *LoadResult) Total() int { return d.Served + d.Rejected + d.Failed + d.Incomplete }
 
-// Job gives the headers of a job.
-func Job(id string, deadline time.Duration) []http1.Field {
+// JobFields gives the headers of a job.
+func JobFields(id string, deadline time.Duration) []http1.Field {
 	return []http1.Field{{Name: "X-Trace-Id", Value: id}, {Name: "X-Customer", Value: "pohjakaart"},
 		{Name: "X-Expires-In-Ms", Value: strconv.FormatInt(deadline.Milliseconds(), 10)},
 		{Name: "Idempotency-Key", Value: "key-" + id}}
 }
 
 // Run plays a load. A client that is refused comes back when it was told to, else after a short while, with a new job.
-func (l *Load) Run(ctx context.Context) *Done {
-	d := &Done{Latency: hdrhistogram.New(1, 60_000_000, 3)}
+func (l *Load) Run(ctx context.Context) *LoadResult {
+	d := &LoadResult{Latency: hdrhistogram.New(1, 60_000_000, 3)}
 	var mu sync.Mutex
 	var g errgroup.Group
 	for i := range l.Clients {
@@ -78,20 +78,20 @@
 					}
 				}
 				began := time.Now()
-				m, err := c.Do("POST", "/"+l.Class+"/cut", []byte("scene"), Job(fmt.Sprintf("%s%04x%04x", l.Prefix, i, n), l.Deadline)...)
+				m, err := c.Do("POST", "/"+l.Class+"/cut", []byte("scene"), JobFields(fmt.Sprintf("%s%04x%04x", l.Prefix, i, n), l.Deadline)...)
 				took := time.Since(began)
 				mu.Lock()
 				switch {
 				case err != nil:
-					d.Broken++
+					d.Incomplete++
 				case m.Status == 200:
 					d.Served++
 					_ = d.Latency.RecordValue(took.Microseconds())
-					if took <= l.Aim {
-						d.InTime++
+					if took <= l.Objective {
+						d.WithinObjective++
 					}
 				case m.Status == 503:
-					d.Refused++
+					d.Rejected++
 				default:
 					d.Failed++
 				}
@@ -115,36 +115,36 @@
 	return d
 }
 
-// Kind is a way for a peer of a node to be slow.
-type Kind string
+// SlowKind is a way for a peer of a node to be slow.
+type SlowKind string
 
 // The kinds. All but the last are clients, or take the part of a box that calls back.
 const (
-	Reads    Kind = "reads"    // hands in a job, reads one byte a second of its answer
-	Stops    Kind = "stops"    // hands in a job, reads one byte of its answer and no more, then closes
-	Head     Kind = "head"     // sends a byte a second of a request's head
-	Body     Kind = "body"     // sends the head at once, and a byte a second of the body
-	Callback Kind = "callback" // a callback that drips
-	Says     Kind = "says"     // says nothing
-	Was      Kind = "was"      // was fast with its first job, reads one byte a second of its second answer
-	Quick    Kind = "quick"    // hands in the job that Reads does, and reads its answer at once: for comparison
+	SlowReader     SlowKind = "reads"    // hands in a job, reads one byte a second of its answer
+	StalledReader  SlowKind = "stops"    // hands in a job, reads one byte of its answer and no more, then closes
+	SlowHead       SlowKind = "head"     // sends a byte a second of a request's head
+	SlowBody       SlowKind = "body"     // sends the head at once, and a byte a second of the body
+	SlowCallback   SlowKind = "callback" // a callback that drips
+	IdleClient     SlowKind = "says"     // says nothing
+	SlowSecondRead SlowKind = "was"      // was fast with its first job, reads one byte a second of its second answer
+	FastReader     SlowKind = "quick"    // hands in the job that Reads does, and reads its answer at once: for comparison
 )
 
-// Kinds are all that are slow.
-var Kinds = []Kind{Reads, Stops, Head, Body, Callback, Says, Was}
+// SlowKinds are all that are slow.
+var SlowKinds = []SlowKind{SlowReader, StalledReader, SlowHead, SlowBody, SlowCallback, IdleClient, SlowSecondRead}
 
-// Ended is how a slow peer's time ended.
-type Ended struct {
-	Kind   Kind
-	Status int  // of an answer that came whole, else 0
-	Job    bool // it handed a job in whole
-	Closed bool // the node closed the connection
-	Bytes  int  // that came
+// SlowPeerResult is how a slow peer's time ended.
+type SlowPeerResult struct {
+	Kind    SlowKind
+	Status  int  // of an answer that came whole, else 0
+	JobSent bool // it handed a job in whole
+	Closed  bool // the node closed the connection
+	Bytes   int  // that came
 }
 
 // SlowPeer plays one slow peer until the node lets it go, it has its answer, or the context ends. N makes its ids its own.
-func SlowPeer(ctx context.Context, addr string, k Kind, n int, deadline time.Duration) Ended {
-	e := Ended{Kind: k}
+func SlowPeer(ctx context.Context, addr string, k SlowKind, n int, deadline time.Duration) SlowPeerResult {
+	e := SlowPeerResult{Kind: k}
 	c, err := net.DialTimeout("tcp", addr, 2*time.Second)
 	if err != nil {
 		e.Closed = true
@@ -164,12 +164,12 @@
 	ask := func(i int) string {
 		id := fmt.Sprintf("510%05x%08x", n, i)
 		text := "POST /area-render/slow HTTP/1.1\r\nHost: test\r\nContent-Length: 5\r\n"
-		for _, f := range Job(id, deadline) {
+		for _, f := range JobFields(id, deadline) {
 			text += f.Name + ": " + f.Value + "\r\n"
 		}
 		return text + "\r\n"
 	}
-	in, p := http1.NewRing(4096), http1.NewParser(Lim, true)
+	in, p := http1.NewRing(4096), http1.NewParser(Limits, true)
 	answer := func(each int, gap time.Duration) {
 		one := make([]byte, each)
 		for {
@@ -194,8 +194,8 @@
 		}
 	}
 	switch k {
-	case Reads, Stops, Was, Quick:
-		if k == Was {
+	case SlowReader, StalledReader, SlowSecondRead, FastReader:
+		if k == SlowSecondRead {
 			_, _ = io.WriteString(c, ask(0)+"scene")
 			answer(4096, 0)
 			e.Status = 0
@@ -203,25 +203,25 @@
 		if _, err := io.WriteString(c, ask(1)+"scene"); err != nil {
 			return e
 		}
-		e.Job = true
+		e.JobSent = true
 		switch k {
-		case Quick:
+		case FastReader:
 			answer(4096, 0)
-		case Stops:
+		case StalledReader:
 			_, _ = c.Read(make([]byte, 1))
 			e.Bytes = 1
 			pause(ctx, 3*time.Second)
 		default:
 			answer(1, time.Second)
 		}
-	case Head, Body, Callback:
+	case SlowHead, SlowBody, SlowCallback:
 		ctx, cancel := context.WithCancel(ctx)
 		var g errgroup.Group
 		g.Go(func() error {
 			switch k {
-			case Head:
+			case SlowHead:
 				drip(ctx, ask(0))
-			case Body:
+			case SlowBody:
 				_, _ = io.WriteString(c, ask(0))
 				drip(ctx, "scene")
 			default:
@@ -233,7 +233,7 @@
 		answer(4096, 0)
 		cancel()
 		_ = g.Wait()
-	case Says:
+	case IdleClient:
 		answer(4096, 0)
 	}
 	return e
--- a/internal/testenv/process.go
+++ b/internal/testenv/process.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// Process is how a node is started for a measurement.
-type Process struct {
+// NodeOptions is how a node is started for a measurement.
+type NodeOptions struct {
 	Program, Listen, Discovery string
 	MemoryMB, Sockets          int
-	File                       string // the operators' file's text, "" for none
-	Log                        string // a file for its log, "" for none
+	ConfigText                 string // the operators' file's text, "" for none
+	LogPath                    string // a file for its log, "" for none
 }
 
 // Node is a node that was started for a measurement.
@@ -29,7 +29,7 @@
 }
 
 // StartNode starts a node with Settings, and waits until it can serve.
-func StartNode(p Process) (*Node, error) {
+func StartNode(p NodeOptions) (*Node, error) {
 	dir, err := os.MkdirTemp("", "node")
 	if err != nil {
 		return nil, err
@@ -41,17 +41,17 @@
 		return nil, err
 	}
 	args := []string{"serve", "--log-level", "info"}
-	if p.File != "" {
+	if p.ConfigText != "" {
 		file := filepath.Join(dir, "gatetack.yaml")
-		if err := os.WriteFile(file, []byte(p.File), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(p.ConfigText), 0o600); err != nil {
 			return nil, err
 		}
 		args = append(args, "--config", file)
 	}
 	n := &Node{cmd: exec.Command(p.Program, args...), dir: dir}
 	n.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config)
-	if p.Log != "" {
-		log, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if p.LogPath != "" {
+		log, err := os.OpenFile(p.LogPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/testenv/slow.go
+++ b/internal/testenv/slow.go
@@ -12,13 +12,13 @@
 
 // Script is how one direction of a connection through a Slow is carried. A zero Script carries it as it comes.
 type Script struct {
-	Delay  time.Duration // before the first byte
-	Rate   int           // bytes a second, 0 for as fast as they come
-	Chunk  int           // bytes at a time, 1 if a Rate is set and this is not
-	Jitter float64       // part by which the time between chunks is drawn up or down
-	Stall  int           // after so many bytes nothing moves,
-	For    time.Duration // for so long; 0: for good
-	End    End           // what follows Stall bytes where For is 0
+	Delay         time.Duration // before the first byte
+	Rate          int           // bytes a second, 0 for as fast as they come
+	Chunk         int           // bytes at a time, 1 if a Rate is set and this is not
+	Jitter        float64       // part by which the time between chunks is drawn up or down
+	StallAfter    int           // after so many bytes nothing moves,
+	StallDuration time.Duration // for so long; 0: for good
+	End           End           // what follows Stall bytes where For is 0
 }
 
 // End is how a direction ends after Script.Stall bytes.
@@ -26,14 +26,14 @@
 
 // The ends.
 const (
-	Silence End = iota // both sides stay open, and nothing moves any more
-	Half               // the receiving side sees the end of what comes
-	Reset              // both sides see a reset
+	Stalled    End = iota // both sides stay open, and nothing moves any more
+	HalfClosed            // the receiving side sees the end of what comes
+	Reset                 // both sides see a reset
 )
 
-// Slow is a scripted loopback proxy: what a poor line, or a peer in a slow spell, does to a connection. All it draws
+// SlowProxy is a scripted loopback proxy: what a poor line, or a peer in a slow spell, does to a connection. All it draws
 // comes from its seed.
-type Slow struct {
+type SlowProxy struct {
 	Addr string
 
 	target string
@@ -44,9 +44,9 @@
 	taken  int
 }
 
-// NewSlow starts a proxy in front of target.
-func NewSlow(ctx context.Context, g *errgroup.Group, target string, up, down Script, seed uint64) (*Slow, error) {
-	s := &Slow{target: target, up: up, down: down, rng: rand.New(rand.NewPCG(seed, 1))}
+// NewSlowProxy starts a proxy in front of target.
+func NewSlowProxy(ctx context.Context, g *errgroup.Group, target string, up, down Script, seed uint64) (*SlowProxy, error) {
+	s := &SlowProxy{target: target, up: up, down: down, rng: rand.New(rand.NewPCG(seed, 1))}
 	var err error
 	s.Addr, err = accept(ctx, g, func(c net.Conn) { s.carry(ctx, c) })
 	return s, err
@@ -72,20 +72,20 @@
 }
 
 // Set changes the scripts of connections to come, and of those under way from their next chunk on.
-func (s *Slow) Set(up, down Script) {
+func (s *SlowProxy) Set(up, down Script) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.up, s.down = up, down
 }
 
-// Taken is how many connections came.
-func (s *Slow) Taken() int {
+// Accepted is how many connections came.
+func (s *SlowProxy) Accepted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.taken
 }
 
-func (s *Slow) script(up bool) (Script, float64) {
+func (s *SlowProxy) script(up bool) (Script, float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if up {
@@ -94,7 +94,7 @@
 	return s.down, s.rng.Float64()
 }
 
-func (s *Slow) carry(ctx context.Context, c net.Conn) {
+func (s *SlowProxy) carry(ctx context.Context, c net.Conn) {
 	s.mu.Lock()
 	s.taken++
 	s.mu.Unlock()
@@ -119,7 +119,7 @@
 }
 
 // pass carries one direction to its end.
-func (s *Slow) pass(ctx context.Context, cancel context.CancelFunc, from, to net.Conn, up bool) {
+func (s *SlowProxy) pass(ctx context.Context, cancel context.CancelFunc, from, to net.Conn, up bool) {
 	buf := make([]byte, 4<<10)
 	moved := 0
 	for {
@@ -135,14 +135,14 @@
 				return
 			}
 		}
-		if sc.Stall > 0 {
-			if moved >= sc.Stall {
+		if sc.StallAfter > 0 {
+			if moved >= sc.StallAfter {
 				if !s.end(ctx, cancel, sc, from, to) {
 					return
 				}
-				sc.Stall = 0
+				sc.StallAfter = 0
 			} else {
-				n = min(n, sc.Stall-moved)
+				n = min(n, sc.StallAfter-moved)
 			}
 		}
 		n, err := from.Read(buf[:n])
@@ -163,11 +163,11 @@
 }
 
 // end does what a script says once its bytes have passed, and says whether the direction goes on.
-func (s *Slow) end(ctx context.Context, cancel context.CancelFunc, sc Script, from, to net.Conn) bool {
+func (s *SlowProxy) end(ctx context.Context, cancel context.CancelFunc, sc Script, from, to net.Conn) bool {
 	switch {
-	case sc.For > 0:
-		return pause(ctx, sc.For)
-	case sc.End == Half:
+	case sc.StallDuration > 0:
+		return pause(ctx, sc.StallDuration)
+	case sc.End == HalfClosed:
 		_ = to.(*net.TCPConn).CloseWrite()
 	case sc.End == Reset:
 		_ = to.(*net.TCPConn).SetLinger(0)
--- a/internal/testenv/standin.go
+++ b/internal/testenv/standin.go
@@ -23,11 +23,11 @@
 	"gatetack/internal/node"
 )
 
-// Lim are the limits that the stand-ins use.
-var Lim = limits.New(0, 0, 0, 0, 0)
+// Limits are the limits that the stand-ins use.
+var Limits = limits.New(0, 0, 0, 0, 0)
 
-// Quiet logs nowhere.
-var Quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+// DiscardLog logs nowhere.
+var DiscardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // TestReporter is the part of testing.TB that Until needs. The measuring tools link this package too, and package testing
 // belongs in test files.
@@ -47,39 +47,39 @@
 	}
 }
 
-// Lists keeps the lists that are told to it, as the core would take them.
-type Lists struct {
+// ListRecorder keeps the lists that are told to it, as the core would take them.
+type ListRecorder struct {
 	mu        sync.Mutex
 	all       []node.EndpointList
 	confirmed int
 }
 
 // UpdateEndpoints takes one.
-func (s *Lists) UpdateEndpoints(l node.EndpointList) {
+func (s *ListRecorder) UpdateEndpoints(l node.EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.all = append(s.all, l)
 }
 
 // ListCallFailed is of no interest here.
-func (s *Lists) ListCallFailed() {}
+func (s *ListRecorder) ListCallFailed() {}
 
 // ListConfirmed counts the lines of a watch that told of no change.
-func (s *Lists) ListConfirmed() {
+func (s *ListRecorder) ListConfirmed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.confirmed++
 }
 
 // Confirmed is how many lines told of no change so far.
-func (s *Lists) Confirmed() int {
+func (s *ListRecorder) Confirmed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.confirmed
 }
 
 // All are those that came so far.
-func (s *Lists) All() []node.EndpointList {
+func (s *ListRecorder) All() []node.EndpointList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]node.EndpointList(nil), s.all...)
@@ -91,9 +91,9 @@
 // given are the addresses that Ports gave: who was given one listens there later, and no one else may be given it meanwhile.
 var given sync.Map
 
-// Ports gives n addresses that are free and were given to nobody before, each another. They are on a loopback address on which
+// FreeAddrs gives n addresses that are free and were given to nobody before, each another. They are on a loopback address on which
 // nothing else here listens, so that no stand-in that asks for any port gets one of them.
-func Ports(n int) ([]string, error) {
+func FreeAddrs(n int) ([]string, error) {
 	var out []string
 	for len(out) < n {
 		ln, err := net.Listen("tcp", own)
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Conn{c, http1.NewRing(4096), http1.NewParser(Lim, true), http1.NewWriter(c, 4096)}, nil
+	return &Conn{c, http1.NewRing(4096), http1.NewParser(Limits, true), http1.NewWriter(c, 4096)}, nil
 }
 
 const answerWithin = 40 * time.Second // what a test waits for the answer to a call
@@ -168,32 +168,32 @@
 	At                            time.Time
 }
 
-// Behaviour is how a box does its work.
-type Behaviour struct {
-	Run    time.Duration // of a job
-	Slots  int           // jobs that run at a time, 0 for any number: the others wait
-	Result int           // bytes that a result is filled up to
-	Free   int           // free slots that it always tells of
-	Full   bool          // turn all away
-	Fail   bool          // run each job and tell that it failed
-	Early  bool          // all callbacks before the 202
-	Mute   bool          // take jobs, run them and tell nothing
-	Untold bool          // tell of no starts and no progress
-	Bare   bool          // say nothing of its load where a job ends
-	Still  time.Time     // answer and begin nothing before
-	Repeat int           // how often each callback is made
-}
-
-// Box stands in for a render box: it takes jobs, runs each for a while and calls back.
-type Box struct {
+// Behavior is how a box does its work.
+type Behavior struct {
+	JobDuration       time.Duration // of a job
+	Slots             int           // jobs that run at a time, 0 for any number: the others wait
+	ResultBytes       int           // bytes that a result is filled up to
+	FreeSlots         int           // free slots that it always tells of
+	RejectAll         bool          // turn all away
+	FailJobs          bool          // run each job and tell that it failed
+	EarlyCallbacks    bool          // all callbacks before the 202
+	NoCallbacks       bool          // take jobs, run them and tell nothing
+	NoProgress        bool          // tell of no starts and no progress
+	NoLoadReport      bool          // say nothing of its load where a job ends
+	UnresponsiveUntil time.Time     // answer and begin nothing before
+	CallbackRepeats   int           // how often each callback is made
+}
+
+// Executor stands in for a render box: it takes jobs, runs each for a while and calls back.
+type Executor struct {
 	Name, Addr string
 	Zone, Type string // as the list has them; tallinn and type-a where nothing is said
 	Group      int
-	Born       time.Time // of its last start, where the list tells it
+	StartedAt  time.Time // of its last start, where the list tells it
 
 	mu       sync.Mutex
 	node     string // where callbacks go
-	how      Behaviour
+	how      Behavior
 	running  int
 	room     chan struct{} // told when a job ends
 	starts   []Start
@@ -203,49 +203,49 @@
 	ctx      context.Context
 }
 
-// NewBox starts a box that calls back at node.
-func NewBox(ctx context.Context, g *errgroup.Group, name, node string, run time.Duration) (*Box, error) {
+// NewExecutor starts a box that calls back at node.
+func NewExecutor(ctx context.Context, g *errgroup.Group, name, node string, run time.Duration) (*Executor, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &Box{Name: name, Addr: ln.Addr().String(), node: node, how: Behaviour{Run: run, Repeat: 1, Free: 2}, g: g, ctx: ctx,
+	b := &Executor{Name: name, Addr: ln.Addr().String(), node: node, how: Behavior{JobDuration: run, CallbackRepeats: 1, FreeSlots: 2}, g: g, ctx: ctx,
 		room: make(chan struct{})}
-	s := http1.NewServer(Lim, b, nil, Quiet)
+	s := http1.NewServer(Limits, b, nil, DiscardLog)
 	g.Go(func() error { return s.Serve(ctx, ln) })
 	return b, nil
 }
 
 // Set changes how a box behaves.
-func (b *Box) Set(change func(*Behaviour)) {
+func (b *Executor) Set(change func(*Behavior)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(&b.how)
 }
 
 // Starts are the requests that came, in order.
-func (b *Box) Starts() []Start {
+func (b *Executor) Starts() []Start {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]Start(nil), b.starts...)
 }
 
-// GaveUp are the ids that were given up.
-func (b *Box) GaveUp() []string {
+// Canceled are the ids that were given up.
+func (b *Executor) Canceled() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]string(nil), b.gaveUp...)
 }
 
-// Answers are the statuses that callbacks got.
-func (b *Box) Answers() []int {
+// CallbackStatuses are the statuses that callbacks got.
+func (b *Executor) CallbackStatuses() []int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]int(nil), b.callback...)
 }
 
 // Handle answers a node.
-func (b *Box) Handle(_ context.Context, m *http1.Message) http1.Response {
+func (b *Executor) Handle(_ context.Context, m *http1.Message) http1.Response {
 	if m.Method == "DELETE" {
 		b.mu.Lock()
 		b.gaveUp = append(b.gaveUp, strings.TrimPrefix(m.Target, "/jobs/"))
@@ -255,7 +255,7 @@
 	b.mu.Lock()
 	how := b.how
 	b.mu.Unlock()
-	pause(b.ctx, time.Until(how.Still))
+	pause(b.ctx, time.Until(how.UnresponsiveUntil))
 	if m.Method == "GET" && m.Target == "/load" {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -263,15 +263,15 @@
 	}
 	id := m.Get("X-Trace-Id")
 	b.mu.Lock()
-	if !how.Full {
+	if !how.RejectAll {
 		b.starts = append(b.starts, Start{id, m.Target, string(m.Body), m.Get("Idempotency-Key"), time.Now()})
 	}
 	b.mu.Unlock()
-	if how.Full {
+	if how.RejectAll {
 		return http1.Response{Status: 503, Fields: []http1.Field{{Name: "X-Never-Ran", Value: "1"},
 			{Name: "Endpoint-Load-Metrics", Value: "TEXT queue=4, x0=0"}}}
 	}
-	if how.Early {
+	if how.EarlyCallbacks {
 		b.work(id, how)
 	} else {
 		b.g.Go(func() error { b.work(id, how); return nil })
@@ -279,7 +279,7 @@
 	return http1.Response{Status: 202}
 }
 
-func (b *Box) work(id string, how Behaviour) {
+func (b *Executor) work(id string, how Behavior) {
 	for {
 		b.mu.Lock()
 		ok, room := how.Slots == 0 || b.running < how.Slots, b.room
@@ -303,43 +303,43 @@
 		close(b.room)
 		b.room = make(chan struct{})
 	}()
-	if !how.Mute && !how.Untold {
+	if !how.NoCallbacks && !how.NoProgress {
 		b.tell(id, `"state":"started"`)
 	}
 	select {
-	case <-time.After(how.Run):
+	case <-time.After(how.JobDuration):
 	case <-b.ctx.Done():
 		return
 	}
-	if how.Mute {
+	if how.NoCallbacks {
 		return
 	}
-	if !how.Untold {
+	if !how.NoProgress {
 		b.tell(id, `"state":"running","share":0.9`)
 	}
-	if how.Fail {
+	if how.FailJobs {
 		b.tell(id, `"state":"failed"`)
 		return
 	}
 	result := "tile of " + id
-	if n := how.Result - len(result); n > 0 {
+	if n := how.ResultBytes - len(result); n > 0 {
 		result += strings.Repeat(".", n)
 	}
 	load := ""
-	if !how.Bare {
-		load = `,"load":{"queue":0,"x0":` + strconv.Itoa(how.Free) + `}`
+	if !how.NoLoadReport {
+		load = `,"load":{"queue":0,"x0":` + strconv.Itoa(how.FreeSlots) + `}`
 	}
 	b.tell(id, `"state":"done","result":"`+result+`"`+load)
 }
 
 // load is what a probe is told; the lock is held.
-func (b *Box) load(how Behaviour) string {
-	return `{"queue":0,"qps":` + strconv.Itoa(len(b.starts)) + `,"x0":` + strconv.Itoa(max(0, how.Free-b.running)) + `}`
+func (b *Executor) load(how Behavior) string {
+	return `{"queue":0,"qps":` + strconv.Itoa(len(b.starts)) + `,"x0":` + strconv.Itoa(max(0, how.FreeSlots-b.running)) + `}`
 }
 
-func (b *Box) tell(id, rest string) {
+func (b *Executor) tell(id, rest string) {
 	b.mu.Lock()
-	node, repeat := b.node, b.how.Repeat
+	node, repeat := b.node, b.how.CallbackRepeats
 	b.mu.Unlock()
 	for range repeat {
 		for range 10 { // each call is tried until it is answered, ten times at most
@@ -357,8 +357,8 @@
 	}
 }
 
-// List stands in for discovery: it serves the whole list and watches on it.
-type List struct {
+// Discovery stands in for discovery: it serves the whole list and watches on it.
+type Discovery struct {
 	Addr string
 
 	mu      sync.Mutex
@@ -369,9 +369,9 @@
 	watches int
 }
 
-// NewList starts a list.
-func NewList(ctx context.Context, g *errgroup.Group) (*List, error) {
-	l := &List{entries: map[string]string{}, changed: make(chan struct{})}
+// NewDiscovery starts a list.
+func NewDiscovery(ctx context.Context, g *errgroup.Group) (*Discovery, error) {
+	l := &Discovery{entries: map[string]string{}, changed: make(chan struct{})}
 	var err error
 	l.Addr, err = accept(ctx, g, func(c net.Conn) {
 		stop := context.AfterFunc(ctx, func() { _ = c.Close() })
@@ -383,43 +383,43 @@
 }
 
 // Put sets an executor's row.
-func (l *List) Put(b *Box, status string) {
+func (l *Discovery) Put(b *Executor, status string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index++
-	l.entries[b.Name] = Row(b, status)
+	l.entries[b.Name] = EndpointJSON(b, status)
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Row is a box in discovery's form.
-func Row(b *Box, status string) string {
+// EndpointJSON is a box in discovery's form.
+func EndpointJSON(b *Executor, status string) string {
 	zone, kind, group, born := "tallinn", "type-a", 1, int64(0)
 	if b.Zone != "" {
 		zone, kind, group = b.Zone, b.Type, b.Group
 	}
-	if !b.Born.IsZero() {
-		born = b.Born.UnixMilli()
+	if !b.StartedAt.IsZero() {
+		born = b.StartedAt.UnixMilli()
 	}
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":%d,"status":%q,`+
 		`"weight":1.0,"since_ms":%d}`, b.Name, b.Addr, zone, kind, group, status, born)
 }
 
-// Mute keeps watches open and silent, as a machine that was cut off does.
-func (l *List) Mute(on bool) {
+// SetUnresponsive keeps watches open and silent, as a machine that was cut off does.
+func (l *Discovery) SetUnresponsive(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mute = on
 }
 
 // Watches is how many watches were begun.
-func (l *List) Watches() int {
+func (l *Discovery) Watches() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.watches
 }
 
-func (l *List) json() (string, <-chan struct{}, bool) {
+func (l *Discovery) json() (string, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var rows []string
@@ -429,8 +429,8 @@
 	return `{"index":` + strconv.Itoa(l.index) + `,"snapshot":true,"endpoints":[` + strings.Join(rows, ",") + "]}\n", l.changed, l.mute
 }
 
-func (l *List) serve(ctx context.Context, c net.Conn) {
-	in, p := http1.NewRing(4096), http1.NewParser(Lim, false)
+func (l *Discovery) serve(ctx context.Context, c net.Conn) {
+	in, p := http1.NewRing(4096), http1.NewParser(Limits, false)
 	for {
 		m, err := p.Feed(in)
 		if err != nil {
--- a/test/array_test.go
+++ b/test/array_test.go
@@ -55,7 +55,7 @@
 			s.kill()
 		}
 	}
-	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Run = 10 * time.Millisecond })
+	s.boxes[0].Set(func(h *testenv.Behavior) { h.JobDuration = 10 * time.Millisecond })
 	if status, v := s.drmaa("POST", "/arrays/"+id+"/release", ""); status != 200 {
 		t.Fatalf("release: %d %s", status, v.Raw)
 	}
--- a/test/batch_test.go
+++ b/test/batch_test.go
@@ -25,7 +25,7 @@
 func TestKilledUnderLoad(t *testing.T) {
 	s := newSite(t, 4, 25*time.Millisecond)
 	for _, b := range s.boxes {
-		b.Set(func(h *testenv.Behaviour) { h.Free, h.Slots = 4, 4 })
+		b.Set(func(h *testenv.Behavior) { h.FreeSlots, h.Slots = 4, 4 })
 	}
 	s.extra = "  dir: " + filepath.Join(s.dir, "batch") + "\n"
 	s.start()
@@ -46,7 +46,7 @@
 		arrays = append(arrays, a.JobArrayID)
 		var g errgroup.Group
 		lctx, stop := context.WithCancel(ctx)
-		load := testenv.Load{Addr: s.listen, Clients: 3, Class: "tile-charge", Deadline: 5 * time.Second, Aim: time.Second, Prefix: fmt.Sprintf("10ad%04x", life)}
+		load := testenv.Load{Addr: s.listen, Clients: 3, Class: "tile-charge", Deadline: 5 * time.Second, Objective: time.Second, Prefix: fmt.Sprintf("10ad%04x", life)}
 		g.Go(func() error { load.Run(lctx); return nil })
 		for range 12 {
 			if info, _, err := c.RunJob(ctx, tileJob); err == nil {
@@ -108,7 +108,7 @@
 func TestArrayWhileBoxesDrain(t *testing.T) {
 	s := newSite(t, 4, 10*time.Millisecond)
 	for _, b := range s.boxes {
-		b.Set(func(h *testenv.Behaviour) { h.Free = 16 })
+		b.Set(func(h *testenv.Behavior) { h.FreeSlots = 16 })
 	}
 	s.start()
 	c := drmaa2.New(s.batch, "")
@@ -202,7 +202,7 @@
 	gatetack(0, "completion", "bash")
 
 	// The watch: a proxy cuts its connection now and then.
-	cut, err := testenv.NewSlow(s.ctx, s.g, s.batch, testenv.Script{}, testenv.Script{Stall: 900, End: testenv.Reset}, 1)
+	cut, err := testenv.NewSlowProxy(s.ctx, s.g, s.batch, testenv.Script{}, testenv.Script{StallAfter: 900, End: testenv.Reset}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,7 +213,7 @@
 	seen := make(chan drmaa2.Event, 1000)
 	var g errgroup.Group
 	g.Go(func() error { return w.Events(ctx, "", func(e drmaa2.Event) error { seen <- e; return nil }) })
-	s.until("the watch stands", func() bool { return cut.Taken() > 0 })
+	s.until("the watch stands", func() bool { return cut.Accepted() > 0 })
 	time.Sleep(50 * time.Millisecond)
 	want := map[string]bool{}
 	for range 20 {
@@ -241,8 +241,8 @@
 			t.Fatalf("never told of the end of %d jobs", len(want))
 		}
 	}
-	if cut.Taken() < 3 {
-		t.Errorf("the watch's connection was made %d times: nothing broke", cut.Taken())
+	if cut.Accepted() < 3 {
+		t.Errorf("the watch's connection was made %d times: nothing broke", cut.Accepted())
 	}
 	stop()
 	_ = g.Wait()
@@ -251,14 +251,14 @@
 // A node that is alone starts from the operators' file, with no variable of the platform's.
 func TestStandalone(t *testing.T) {
 	dir := t.TempDir()
-	ports, err := testenv.Ports(2)
+	ports, err := testenv.FreeAddrs(2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
 	defer func() { cancel(); _ = g.Wait() }()
-	b, err := testenv.NewBox(ctx, &g, "render1", ports[0], 20*time.Millisecond)
+	b, err := testenv.NewExecutor(ctx, &g, "render1", ports[0], 20*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -113,7 +113,7 @@
 }
 
 // report makes the callback of an executor that ends a job.
-func (s *site) report(b *testenv.Box, id, state string) {
+func (s *site) report(b *testenv.Executor, id, state string) {
 	s.t.Helper()
 	body := fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"result":"made","load":{"queue":0,"x0":2}}`, id, b.Name, state)
 	if m, err := testenv.Call(s.listen, "POST", "/callback", []byte(body)); err != nil || m.Status >= 300 {
@@ -124,12 +124,12 @@
 // muted makes executors take jobs and tell nothing: the test reports their ends.
 func (s *site) muted() {
 	for _, b := range s.boxes {
-		b.Set(func(how *testenv.Behaviour) { how.Mute, how.Run = true, 0 })
+		b.Set(func(how *testenv.Behavior) { how.NoCallbacks, how.JobDuration = true, 0 })
 	}
 }
 
 // executorOf returns the executor that got an attempt of a job.
-func (s *site) executorOf(id string) *testenv.Box {
+func (s *site) executorOf(id string) *testenv.Executor {
 	s.t.Helper()
 	for _, b := range s.boxes {
 		for _, start := range b.Starts() {
@@ -254,7 +254,7 @@
 	s.stepped()
 	s.muted()
 	s.start()
-	listed := func(b *testenv.Box, status string) {
+	listed := func(b *testenv.Executor, status string) {
 		s.list.Put(b, status)
 		s.until(b.Name+" is "+status, func() bool {
 			_, v := s.drmaa("GET", "/monitoring/machines", "")
--- a/test/conform_test.go
+++ b/test/conform_test.go
@@ -14,7 +14,7 @@
 	for _, dir := range []string{"", filepath.Join(t.TempDir(), "batch")} {
 		s := newSite(t, 4, 20*time.Millisecond)
 		for _, b := range s.boxes {
-			b.Set(func(h *testenv.Behaviour) { h.Free = 16 })
+			b.Set(func(h *testenv.Behavior) { h.FreeSlots = 16 })
 		}
 		if dir != "" {
 			s.extra = "  dir: " + dir + "\n"
--- a/test/data_test.go
+++ b/test/data_test.go
@@ -15,7 +15,7 @@
 func (s *site) twoHalls(sets string) {
 	s.t.Helper()
 	for i, b := range s.boxes {
-		s.list.Put(&testenv.Box{Name: b.Name, Addr: b.Addr, Zone: []string{"tallinn", "tartu"}[i], Type: "type-a", Group: i + 1}, "ready")
+		s.list.Put(&testenv.Executor{Name: b.Name, Addr: b.Addr, Zone: []string{"tallinn", "tartu"}[i], Type: "type-a", Group: i + 1}, "ready")
 	}
 	data := "links: [{from: tallinn, to: tartu, gbits: 1}]\nsets:\n" + sets
 	if err := os.WriteFile(filepath.Join(s.dir, "data.yaml"), []byte(data), 0o600); err != nil {
@@ -63,7 +63,7 @@
 	round("scene-n", 0)
 	for _, s := range f {
 		b := s.boxes[1]
-		s.list.Put(&testenv.Box{Name: b.Name, Addr: b.Addr, Zone: "tartu", Type: "type-a", Group: 2}, "draining")
+		s.list.Put(&testenv.Executor{Name: b.Name, Addr: b.Addr, Zone: "tartu", Type: "type-a", Group: 2}, "draining")
 	}
 	time.Sleep(1500 * time.Millisecond)
 	round("scene-t", 0)
--- a/test/deployments_test.go
+++ b/test/deployments_test.go
@@ -117,18 +117,18 @@
 }
 
 // place gives a box its zone and rack: racks of two boxes.
-func (d *deployment) place(b *testenv.Box, i int) {
+func (d *deployment) place(b *testenv.Executor, i int) {
 	b.Zone, b.Type, b.Group = d.zones[i%len(d.zones)], "k1", i/2
-	b.Set(func(how *testenv.Behaviour) {
-		how.Free, how.Slots, how.Untold, how.Bare = boxSlots, boxSlots, !d.told, d.reports != "piggyback"
+	b.Set(func(how *testenv.Behavior) {
+		how.FreeSlots, how.Slots, how.NoProgress, how.NoLoadReport = boxSlots, boxSlots, !d.told, d.reports != "piggyback"
 	})
 }
 
 // mortal is a box that can be made to die as a process does: its connections break and new ones are refused.
-func mortal(t *testing.T, s *site, name string) (*testenv.Box, context.CancelFunc) {
+func mortal(t *testing.T, s *site, name string) (*testenv.Executor, context.CancelFunc) {
 	t.Helper()
 	ctx, kill := context.WithCancel(s.ctx)
-	b, err := testenv.NewBox(ctx, s.g, name, s.listen, jobTime)
+	b, err := testenv.NewExecutor(ctx, s.g, name, s.listen, jobTime)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -200,7 +200,7 @@
 		s.boxes, kills = append(s.boxes, b), append(kills, kill)
 		s.list.Put(b, "ready")
 	}
-	next, err := testenv.NewList(s.ctx, s.g)
+	next, err := testenv.NewDiscovery(s.ctx, s.g)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -252,7 +252,7 @@
 		s.until(what, func() bool { return answered.Load() >= from+n })
 	}
 	after(60, "a first load is answered")
-	s.boxes[1].Set(func(how *testenv.Behaviour) { how.Still = time.Now().Add(400 * time.Millisecond) })
+	s.boxes[1].Set(func(how *testenv.Behavior) { how.UnresponsiveUntil = time.Now().Add(400 * time.Millisecond) })
 	after(30, "jobs are answered beside a box that stands still")
 	kills[2]()
 	after(30, "jobs are answered beside a box that died")
@@ -273,10 +273,10 @@
 	after(30, "jobs are answered beside a drain")
 
 	cold, _ := mortal(t, s, "s-000000c0")
-	cold.Born = time.Now()
+	cold.StartedAt = time.Now()
 	d.place(cold, 6)
 	for _, b := range s.boxes[1:] {
-		b.Set(func(how *testenv.Behaviour) { how.Full = true })
+		b.Set(func(how *testenv.Behavior) { how.RejectAll = true })
 	}
 	s.boxes = append(s.boxes, cold)
 	next.Put(cold, "ready")
@@ -285,7 +285,7 @@
 		time.Sleep(fall * time.Millisecond)
 	}
 	for _, b := range s.boxes[1:] {
-		b.Set(func(how *testenv.Behaviour) { how.Full = false })
+		b.Set(func(how *testenv.Behavior) { how.RejectAll = false })
 	}
 	after(30, "jobs are answered once the others take work again")
 
@@ -337,7 +337,7 @@
 // repeats checks that a job started as often, and where, as its class allows.
 func (d *deployment) repeats(t *testing.T, s *site, j *handed) {
 	t.Helper()
-	var at []*testenv.Box
+	var at []*testenv.Executor
 	first, last := time.Time{}, time.Time{}
 	for _, b := range s.boxes {
 		for _, x := range b.Starts() {
@@ -370,7 +370,7 @@
 }
 
 // pushed checks the budget of a box that came cold: what was sent to it in any window against what it could do then.
-func pushed(t *testing.T, cold *testenv.Box, width map[string]int, multiple float64) {
+func pushed(t *testing.T, cold *testenv.Executor, width map[string]int, multiple float64) {
 	t.Helper()
 	all := cold.Starts()
 	for i := range all {
@@ -378,7 +378,7 @@
 		for k := i; k >= 0 && all[i].At.Sub(all[k].At) <= fall*time.Millisecond; k-- {
 			sum += float64(max(1, width[all[k].ID])) * float64(jobTime.Milliseconds())
 		}
-		age := float64(all[i].At.Sub(cold.Born).Milliseconds())
+		age := float64(all[i].At.Sub(cold.StartedAt).Milliseconds())
 		share := min(1, coldFrom+(1-coldFrom)*age/warmWithin)
 		if most := multiple * share * boxSlots * fall; sum > most {
 			t.Errorf("%.0f ms of work came to a cold box within %d ms, %.0f push it over", sum, fall, most)
@@ -405,7 +405,7 @@
 			for i := range 4 {
 				b, _ := mortal(t, s, fmt.Sprintf("s-%08x", i+1))
 				d.place(b, i)
-				b.Set(func(how *testenv.Behaviour) { how.Run, how.Free, how.Slots = 20*time.Millisecond, 16, 0 })
+				b.Set(func(how *testenv.Behavior) { how.JobDuration, how.FreeSlots, how.Slots = 20*time.Millisecond, 16, 0 })
 				s.boxes = append(s.boxes, b)
 				s.list.Put(b, "ready")
 			}
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -104,7 +104,7 @@
 	f := newFleet(t, 3, 50*time.Millisecond)
 	old := f[0]
 	for _, b := range old.boxes {
-		b.Set(func(h *testenv.Behaviour) { h.Run = time.Hour }) // what it sends stays out
+		b.Set(func(h *testenv.Behavior) { h.JobDuration = time.Hour }) // what it sends stays out
 	}
 	template := `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q%s}`
 	sent := old.take(t, fmt.Sprintf(template, "sent", ""))
--- a/test/fronts_test.go
+++ b/test/fronts_test.go
@@ -18,7 +18,7 @@
 func TestBothFronts(t *testing.T) {
 	s := newSite(t, 3, 30*time.Millisecond)
 	for _, b := range s.boxes { // callbacks may repeat, and may come before the 202
-		b.Set(func(h *testenv.Behaviour) { h.Early, h.Repeat = b == s.boxes[0], 3 })
+		b.Set(func(h *testenv.Behavior) { h.EarlyCallbacks, h.CallbackRepeats = b == s.boxes[0], 3 })
 	}
 	s.start()
 	// The module refuses what comes beyond its tokens, so both ends are seen; what a client is told is what counts.
@@ -95,7 +95,7 @@
 		}
 	}
 	for _, b := range s.boxes {
-		for _, status := range b.Answers() {
+		for _, status := range b.CallbackStatuses() {
 			if status != 200 && status != 204 {
 				t.Errorf("a callback got %d", status)
 			}
@@ -183,7 +183,7 @@
 	if _, v = s.drmaa("GET", "/counts", ""); v.Get("terminated").Int() != 1 || v.Get("open").Int() != 0 {
 		t.Errorf("counts: %s", v.Raw)
 	}
-	if got := s.boxes[0].GaveUp(); len(got) != 0 {
+	if got := s.boxes[0].Canceled(); len(got) != 0 {
 		t.Errorf("jobs were given up at the box: %v", got)
 	}
 }
@@ -267,7 +267,7 @@
 	if status != 200 || v.Get("jobState").String() != "FAILED" || v.Get("jobSubState").String() != "failed" {
 		t.Errorf("a sent job whose time is over: %d %s", status, v.Raw)
 	}
-	s.until("the attempt is given up at the box", func() bool { return len(s.boxes[0].GaveUp()) == 1 })
+	s.until("the attempt is given up at the box", func() bool { return len(s.boxes[0].Canceled()) == 1 })
 	m, err := s.post("tile-charge", "00000000000000aa", header("X-Expires-In-Ms", "1"))
 	if err != nil || m.Status != 503 {
 		t.Errorf("a job without time: %v %v, want a refusal", m, err)
--- a/test/golden_folder_test.go
+++ b/test/golden_folder_test.go
@@ -106,7 +106,7 @@
 // run sets for how long each box runs a job.
 func (s *site) run(span time.Duration) {
 	for _, b := range s.boxes {
-		b.Set(func(h *testenv.Behaviour) { h.Run = span })
+		b.Set(func(h *testenv.Behavior) { h.JobDuration = span })
 	}
 }
 
--- a/test/golden_test.go
+++ b/test/golden_test.go
@@ -195,10 +195,10 @@
 		header("X-Expires-In-Ms", "soon"))
 	call("POST", "/tile-charge/cut", "x", header("X-Trace-Id", "0000000000000005"), header("X-Customer", "pohjakaart"),
 		header("X-Expires-In-Ms", "1"))
-	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Fail = true })
+	s.boxes[0].Set(func(h *testenv.Behavior) { h.FailJobs = true })
 	m, err = s.post("tile-charge", "0000000000000006")
 	note("failed", m, err)
-	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Fail, h.Full = false, true })
+	s.boxes[0].Set(func(h *testenv.Behavior) { h.FailJobs, h.RejectAll = false, true })
 	m, err = s.post("tile-charge", "0000000000000007")
 	note("refused", m, err)
 	compareGolden(t, "platform-answers.txt", out.String())
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -48,8 +48,8 @@
 	ctx     context.Context
 	g       *errgroup.Group
 	dir     string
-	list    *testenv.List
-	boxes   []*testenv.Box
+	list    *testenv.Discovery
+	boxes   []*testenv.Executor
 	listen  string
 	batch   string
 	store   string
@@ -72,16 +72,16 @@
 func newSite(t *testing.T, boxes int, run time.Duration) *site {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
-	ports, err := testenv.Ports(3)
+	ports, err := testenv.FreeAddrs(3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &site{t: t, ctx: ctx, g: g, name: "n0", dir: t.TempDir(), listen: ports[0], batch: ports[1], store: ports[2]}
-	if s.list, err = testenv.NewList(ctx, g); err != nil {
+	if s.list, err = testenv.NewDiscovery(ctx, g); err != nil {
 		t.Fatal(err)
 	}
 	for i := range boxes {
-		b, err := testenv.NewBox(ctx, g, fmt.Sprintf("s-%08x", i+1), s.listen, run)
+		b, err := testenv.NewExecutor(ctx, g, fmt.Sprintf("s-%08x", i+1), s.listen, run)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/test/kill_soak_test.go
+++ b/test/kill_soak_test.go
@@ -81,7 +81,7 @@
 		`"aim":1500.0,"deadline":25000.0`, `"aim":200.0,"deadline":300.0`).Replace(settings)
 	s.sockets, s.memory = soakSockets, 32
 	for i, box := range s.boxes {
-		box.Set(func(b *testenv.Behaviour) { b.Slots, b.Mute = k.slots, k.hanging && i == 0 })
+		box.Set(func(b *testenv.Behavior) { b.Slots, b.NoCallbacks = k.slots, k.hanging && i == 0 })
 	}
 	s.start()
 	for range k.crowd {
--- a/test/links_test.go
+++ b/test/links_test.go
@@ -60,7 +60,7 @@
 		for rack, b := range s.boxes {
 			x := link(s, b.Addr)
 			l.own[i] = append(l.own[i], x)
-			s.list.Put(&testenv.Box{Name: b.Name, Addr: x.Addr, Zone: "tallinn", Type: "type-a", Group: rack + 1}, "ready")
+			s.list.Put(&testenv.Executor{Name: b.Name, Addr: x.Addr, Zone: "tallinn", Type: "type-a", Group: rack + 1}, "ready")
 		}
 		x := link(s, s.list.Addr)
 		s.list.Addr = x.Addr
@@ -78,10 +78,10 @@
 // cut sets what passes from one process to another, whoever of them connected.
 func (l *linked) cut(from, to int, on bool) {
 	for _, x := range l.between[[2]int{from, to}] {
-		x.Set(testenv.Fault{Up: on})
+		x.Set(testenv.Fault{BlockUp: on})
 	}
 	for _, x := range l.between[[2]int{to, from}] {
-		x.Set(testenv.Fault{Down: on})
+		x.Set(testenv.Fault{BlockDown: on})
 	}
 }
 
@@ -121,13 +121,13 @@
 		return heal
 	case kind == 2:
 		say("n%d is cut off from all others", i)
-		return alone(testenv.Fault{Up: true, Down: true})
+		return alone(testenv.Fault{BlockUp: true, BlockDown: true})
 	case kind == 3:
 		say("n%d hears and is not heard", i)
 		for k := range n {
 			l.cut(i, k, true)
 		}
-		return alone(testenv.Fault{Up: false})
+		return alone(testenv.Fault{BlockUp: false})
 	case kind == 4:
 		say("delay at n%d", i)
 		return alone(testenv.Fault{Delay: time.Duration(20+l.rng.IntN(200)) * time.Millisecond})
@@ -137,10 +137,10 @@
 	case kind == 6:
 		after := 500 + l.rng.IntN(4000)
 		say("connections of n%d end after %d bytes", i, after)
-		return alone(testenv.Fault{After: after})
+		return alone(testenv.Fault{ResetAfter: after})
 	case kind == 7:
 		x := l.own[i][l.rng.IntN(len(l.own[i]))]
-		f := testenv.Fault{Up: l.rng.IntN(2) == 0, Down: l.rng.IntN(2) == 0, After: 100}
+		f := testenv.Fault{BlockUp: l.rng.IntN(2) == 0, BlockDown: l.rng.IntN(2) == 0, ResetAfter: 100}
 		say("a box or the list of n%d: %+v", i, f)
 		x.Set(f)
 		x.Reset()
@@ -399,7 +399,7 @@
 	}{
 		{"killed", old.kill, func() { old.startAnew() }},
 		{"stopped", func() { old.signal(syscall.SIGSTOP) }, func() { old.signal(syscall.SIGCONT) }},
-		{"cut off", func() { alone(testenv.Fault{Up: true, Down: true}) }, func() { alone(testenv.Fault{}) }},
+		{"cut off", func() { alone(testenv.Fault{BlockUp: true, BlockDown: true}) }, func() { alone(testenv.Fault{}) }},
 	} {
 		var took []time.Duration
 		for n := range *rounds {
--- a/test/moments_test.go
+++ b/test/moments_test.go
@@ -52,7 +52,7 @@
 	s.start()
 	c := s.connect()
 	_, _ = io.WriteString(c, jobRequest("00000000000000b1", 7500)+jobRequest("00000000000000b2", 300))
-	in, parser := http1.NewRing(4096), http1.NewParser(testenv.Lim, true)
+	in, parser := http1.NewRing(4096), http1.NewParser(testenv.Limits, true)
 	for i, want := range []int{200, 503} {
 		if m, err := parser.Read(in, c); err != nil || m.Status != want {
 			t.Fatalf("answer %d: %+v %v, want %d", i, m, err, want)
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -18,7 +18,7 @@
 // be used, and leaves on SIGTERM as ever.
 func TestReload(t *testing.T) {
 	s := newSite(t, 2, 20*time.Millisecond)
-	next, err := testenv.NewList(s.ctx, s.g)
+	next, err := testenv.NewDiscovery(s.ctx, s.g)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/retune_test.go
+++ b/test/retune_test.go
@@ -98,7 +98,7 @@
 	s.until("the dropped class is no longer taken", func() bool { return ask("area-render", "00000000000000c4") == 404 })
 	// The new class must never run twice: it fails at the boxes once and is not sent again.
 	for _, b := range s.boxes {
-		b.Set(func(how *testenv.Behaviour) { how.Fail = true })
+		b.Set(func(how *testenv.Behavior) { how.FailJobs = true })
 	}
 	if got := ask("draft", "00000000000000c5"); got != 500 {
 		t.Errorf("a job of the new class that fails: %d", got)
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -301,7 +301,7 @@
 		}
 		s.env = append(s.env, "GATETACK_LINKS="+strings.Join(routes, ","))
 	})
-	cut := testenv.Fault{Up: true, Down: true}
+	cut := testenv.Fault{BlockUp: true, BlockDown: true}
 	set := func(aim int) uint64 {
 		return f.fleet[0].accept("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, aim))
 	}
@@ -452,7 +452,7 @@
 // A member is cut off from the other members and not from the process that follows it: that goes on to another member, and has what is
 // accepted there. Once the link is back the member itself has it.
 func TestSettingsMemberCutOff(t *testing.T) {
-	cut := testenv.Fault{Up: true, Down: true}
+	cut := testenv.Fault{BlockUp: true, BlockDown: true}
 	var around []*testenv.Link // between n2 and the other members
 	var away *testenv.Link     // from the follower to n0
 	f := newSettingsFleet(t, 3, 1, func(f *settingsFleet) {
--- a/test/slow_test.go
+++ b/test/slow_test.go
@@ -15,9 +15,9 @@
 )
 
 // load plays jobs, a fixed number for each client, and gives what came of them.
-func (s *site) load(class, prefix string, clients, jobs int) *testenv.Done {
+func (s *site) load(class, prefix string, clients, jobs int) *testenv.LoadResult {
 	s.t.Helper()
-	l := testenv.Load{Addr: s.listen, Clients: clients, Class: class, Deadline: 7500 * time.Millisecond, Aim: 7 * time.Second,
+	l := testenv.Load{Addr: s.listen, Clients: clients, Class: class, Deadline: 7500 * time.Millisecond, Objective: 7 * time.Second,
 		Jobs: jobs, Prefix: prefix}
 	return l.Run(s.ctx)
 }
@@ -51,9 +51,9 @@
 }
 
 // slowBox puts a proxy in front of a box, told to the node as its address.
-func (s *site) slowBox(i int, up, down testenv.Script) *testenv.Slow {
+func (s *site) slowBox(i int, up, down testenv.Script) *testenv.SlowProxy {
 	s.t.Helper()
-	p, err := testenv.NewSlow(s.ctx, s.g, s.boxes[i].Addr, up, down, 1)
+	p, err := testenv.NewSlowProxy(s.ctx, s.g, s.boxes[i].Addr, up, down, 1)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -63,21 +63,21 @@
 }
 
 // slowPeers plays n slow clients of mixed kinds until stop is called, which gives how each one's time ended.
-func (s *site) slowPeers(n int) (stop func() []testenv.Ended) {
+func (s *site) slowPeers(n int) (stop func() []testenv.SlowPeerResult) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	var g errgroup.Group
 	var mu sync.Mutex
-	var all []testenv.Ended
+	var all []testenv.SlowPeerResult
 	for i := range n {
 		g.Go(func() error {
-			e := testenv.SlowPeer(ctx, s.listen, testenv.Kinds[i%len(testenv.Kinds)], i, 7500*time.Millisecond)
+			e := testenv.SlowPeer(ctx, s.listen, testenv.SlowKinds[i%len(testenv.SlowKinds)], i, 7500*time.Millisecond)
 			mu.Lock()
 			defer mu.Unlock()
 			all = append(all, e)
 			return nil
 		})
 	}
-	return func() []testenv.Ended { cancel(); _ = g.Wait(); return all }
+	return func() []testenv.SlowPeerResult { cancel(); _ = g.Wait(); return all }
 }
 
 // Twenty slow peers of mixed kinds cost the others nothing: as many of their jobs are served as without them, within
@@ -87,24 +87,24 @@
 	for _, beside := range []bool{false, true} {
 		s := newSite(t, 4, 30*time.Millisecond)
 		for _, b := range s.boxes {
-			b.Set(func(h *testenv.Behaviour) { h.Result, h.Free = 60000, 16 })
+			b.Set(func(h *testenv.Behavior) { h.ResultBytes, h.FreeSlots = 60000, 16 })
 		}
 		s.start()
-		stop := func() []testenv.Ended { return nil }
+		stop := func() []testenv.SlowPeerResult { return nil }
 		if beside {
 			stop = s.slowPeers(20)
 			s.until("the slow peers are there", func() bool { return s.counts().Get("taken").Int() >= 8 })
 		}
 		d := s.load("area-render", "10adc1e0", 5, 20)
 		served[beside] = d.Served
-		if d.All() != 100 || d.Broken != 0 || d.Failed != 0 {
+		if d.Total() != 100 || d.Incomplete != 0 || d.Failed != 0 {
 			t.Errorf("beside slow peers %v: %+v", beside, d)
 		}
 		if beside {
 			s.until("those that send too slowly are let go", func() bool { return s.counts().Get("slow.client_sends").Int() >= 4 })
 		}
 		for _, e := range stop() {
-			if e.Job && e.Bytes == 0 && !e.Closed {
+			if e.JobSent && e.Bytes == 0 && !e.Closed {
 				t.Errorf("a slow peer that handed a job in got nothing of an answer: %+v", e)
 			}
 		}
@@ -120,10 +120,10 @@
 func TestTricklingBox(t *testing.T) {
 	s := newSite(t, 5, 30*time.Millisecond)
 	drip := s.slowBox(0, testenv.Script{}, testenv.Script{Rate: 1})
-	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Mute = true })
+	s.boxes[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
 	s.start()
 	d := s.load("area-render", "10adc1e0", 4, 25)
-	if d.Served < 98 || d.Broken+d.Failed > 0 {
+	if d.Served < 98 || d.Incomplete+d.Failed > 0 {
 		t.Errorf("%d of 100 jobs served beside a box that drips: %+v", d.Served, d)
 	}
 	drew := len(s.boxes[0].Starts())
@@ -137,7 +137,7 @@
 		t.Errorf("no late sign was counted: %s", n.Raw)
 	}
 	drip.Set(testenv.Script{}, testenv.Script{})
-	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Mute = false })
+	s.boxes[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = false })
 	round := 0
 	s.until("the box has work again", func() bool {
 		round++
@@ -151,10 +151,10 @@
 func TestMuteBoxAndTileCharges(t *testing.T) {
 	s := newSite(t, 3, 20*time.Millisecond)
 	s.slowBox(0, testenv.Script{}, testenv.Script{Delay: time.Hour})
-	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Mute = true })
+	s.boxes[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
 	s.start()
 	d := s.load("tile-charge", "10adc1e0", 4, 30)
-	if d.All() != 120 || d.Broken != 0 || d.Failed > len(s.boxes[0].Starts()) || d.Served < 100 {
+	if d.Total() != 120 || d.Incomplete != 0 || d.Failed > len(s.boxes[0].Starts()) || d.Served < 100 {
 		t.Errorf("%+v, %d went to the mute box", d, len(s.boxes[0].Starts()))
 	}
 	s.balanced()
@@ -167,7 +167,7 @@
 		s.slowBox(i, testenv.Script{}, testenv.Script{Delay: 700 * time.Millisecond, Rate: 2000, Chunk: 8})
 	}
 	s.start()
-	if d := s.load("tile-charge", "10adc1e0", 6, 8); d.Served < 46 || d.Broken+d.Failed > 0 {
+	if d := s.load("tile-charge", "10adc1e0", 6, 8); d.Served < 46 || d.Incomplete+d.Failed > 0 {
 		t.Errorf("%+v", d)
 	}
 	s.balanced()
--- a/test/startup_test.go
+++ b/test/startup_test.go
@@ -13,14 +13,14 @@
 
 // restartWithOldList starts a process whose former life knew one executor, which is gone since. Discovery leaves each call to
 // answer. The job is handed in before anything was answered.
-func restartWithOldList(t *testing.T, answer http.HandlerFunc) (s *site, old, current *testenv.Box, done chan *http1.Message) {
+func restartWithOldList(t *testing.T, answer http.HandlerFunc) (s *site, old, current *testenv.Executor, done chan *http1.Message) {
 	t.Helper()
 	s = newSite(t, 2, 10*time.Millisecond)
 	old, current = s.boxes[0], s.boxes[1]
 	discovery := httptest.NewServer(answer)
 	t.Cleanup(discovery.CloseClientConnections)
 	s.list.Addr = strings.TrimPrefix(discovery.URL, "http://")
-	s.known = `{"index":3,"snapshot":true,"endpoints":[` + testenv.Row(old, "ready") + `]}`
+	s.known = `{"index":3,"snapshot":true,"endpoints":[` + testenv.EndpointJSON(old, "ready") + `]}`
 	s.startAnew()
 	done = make(chan *http1.Message, 1)
 	s.until("the process listens", func() bool {
@@ -60,7 +60,7 @@
 	if n := s.count("sends"); n != 0 {
 		t.Errorf("%d sends before discovery has answered", n)
 	}
-	release <- `{"index":9,"snapshot":true,"endpoints":[` + testenv.Row(current, "ready") + "]}\n"
+	release <- `{"index":9,"snapshot":true,"endpoints":[` + testenv.EndpointJSON(current, "ready") + "]}\n"
 	if m := <-done; m == nil || m.Status != 200 {
 		t.Errorf("%+v", m)
 	}
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -24,7 +24,7 @@
 	if _, v := s.drmaa("GET", "/jobs/"+done+"/wait", ""); v.Get("jobState").String() != "DONE" {
 		t.Fatalf("the first job: %s", v.Raw)
 	}
-	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Run = time.Minute })
+	s.boxes[0].Set(func(h *testenv.Behavior) { h.JobDuration = time.Minute })
 	ids := map[string]string{} // by payload
 	for i := range 12 {
 		payload := fmt.Sprintf("job %d", i)
