--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -478,7 +478,8 @@
 	}
 	stranger := filepath.Join(t.TempDir(), "stranger")
 	ring := issueKeys(t, ca, stranger, "stranger")
-	if m, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, ring, testenv.Limits); err != nil || m.Status != 200 {
+	if m, err := Call(t.Context(), ports[0], "GET", "/v1/status", nil, ring,
+		testenv.Limits); err != nil || m.Status != 200 {
 		t.Errorf("an operator with a key: %v %v", m, err)
 	}
 	shown, err := pki.Describe(stranger)
@@ -612,7 +613,8 @@
 	if err := Recover(t.TempDir(), last.Name, alone, true, testenv.Limits, &said); err == nil {
 		t.Error("an empty folder is taken")
 	}
-	if err := Recover(last.Dir, last.Name, map[string]string{"n9": "127.0.0.1:1"}, true, testenv.Limits, &said); err == nil {
+	if err := Recover(last.Dir, last.Name, map[string]string{"n9": "127.0.0.1:1"}, true, testenv.Limits,
+		&said); err == nil {
 		t.Error("a store without the member whose folder it is")
 	}
 	said.Reset()
--- a/internal/testenv/link.go
+++ b/internal/testenv/link.go
@@ -9,15 +9,15 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Fault is what a link does to what passes. The zero Fault carries it as it comes.
+// Fault is what a link does to the bytes that pass through it. The zero Fault forwards them unchanged.
 type Fault struct {
-	BlockUp, BlockDown bool          // from who connects, and to them, nothing passes: it is kept, as a network's repeats would bring it later
-	Delay              time.Duration // of each piece
+	BlockUp, BlockDown bool          // no bytes pass from the connecting side, or to it: they are held, as TCP would retransmit them later
+	Delay              time.Duration // before each chunk is forwarded
 	ResetAfter         int           // bytes after which connections are reset, 0 for none
 }
 
-// Link is a loopback proxy on one link, whose fault is set while connections stand: they have it from their next piece on, and
-// go on once it is lifted.
+// Link is a loopback proxy on one network link. Its fault can be changed while connections are open: it applies to them from their
+// next chunk on, and they continue once it is cleared.
 type Link struct {
 	Addr string
 
@@ -36,7 +36,7 @@
 	return l, err
 }
 
-// Set changes the fault.
+// Set replaces the fault.
 func (l *Link) Set(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,7 +64,7 @@
 func (l *Link) carry(ctx context.Context, c *net.TCPConn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if !l.open(ctx, func(f Fault) bool { return f.BlockUp || f.BlockDown }) { // no connection comes to be over a cut
+	if !l.open(ctx, func(f Fault) bool { return f.BlockUp || f.BlockDown }) { // no connection can be made while a direction is blocked
 		_ = c.Close()
 		return
 	}
@@ -93,7 +93,7 @@
 	g.Wait()
 }
 
-// open waits until nothing is cut.
+// open waits until blocked returns false for the current fault. It returns false if the context ends first.
 func (l *Link) open(ctx context.Context, cut func(Fault) bool) bool {
 	for {
 		f, changed := l.now()
--- a/internal/testenv/load.go
+++ b/internal/testenv/load.go
@@ -16,7 +16,7 @@
 	"gatetack/internal/http1"
 )
 
-// Settings are those of a small site of one node with the platform's two classes, as its configuration has them.
+// Settings are the settings of a small site: one node, two zones and the platform's two request classes, as in its configuration file.
 const Settings = `{"me":0,"balancers":1,"zone":0,"zones":["tallinn","tartu"],"kinds":["type-a","type-b"],"step":4.0,
 "discovery":"subscribe","weights":"rough","workload":"jobs","worthBy":"request","overShareWorth":0.2,
 "telemetry":{"how":"piggyback","fields":["pending","x0"]},
@@ -29,34 +29,34 @@
  {"name":"area-render","aim":1500.0,"deadline":25000.0,"worth":24.0,"effect":"guarded","dedupScope":"cell","window":40000.0}],
 "tenants":[{"name":"pohjakaart","portion":0.6,"quotaRps":20.0},{"name":"maavaade","portion":0.4,"quotaRps":12.0}]}`
 
-// Load is a number of clients, each of which hands in one job after another at a node and waits for its answer.
+// Load is a closed-loop load: each of its clients submits one job at a time to a node and waits for the answer.
 type Load struct {
 	Addr      string
 	Clients   int
 	Class     string
-	Deadline  time.Duration // a client's patience
-	Objective time.Duration // an answer is in time up to it
-	Jobs      int           // that each client hands in; 0: until the context ends
-	Prefix    string        // 8 hexadecimal digits that tell this load's ids from others'
+	Deadline  time.Duration // time left that each job is submitted with
+	Objective time.Duration // latency objective, by which an answer counts as WithinObjective
+	Jobs      int           // number of jobs that each client submits; 0: until the context ends
+	Prefix    string        // 8 hexadecimal digits that keep this load's ids distinct from those of other loads
 }
 
-// LoadResult is what came of a load.
+// LoadResult counts how the jobs of a load ended.
 type LoadResult struct {
-	Served, WithinObjective, Rejected, Failed, Incomplete int                     // Broken: no whole answer came
+	Served, WithinObjective, Rejected, Failed, Incomplete int                     // Incomplete: no complete answer was received
 	Latency                                               *hdrhistogram.Histogram // of served jobs, in microseconds
 }
 
-// Total is how many jobs were handed in.
+// Total returns the number of jobs that were submitted.
 func (d *LoadResult) Total() int { return d.Served + d.Rejected + d.Failed + d.Incomplete }
 
-// JobFields gives the headers of a job.
+// JobFields returns the header fields of a job request.
 func JobFields(id string, deadline time.Duration) []http1.Field {
 	return []http1.Field{{Name: "X-Trace-Id", Value: id}, {Name: "X-Customer", Value: "pohjakaart"},
 		{Name: "X-Expires-In-Ms", Value: strconv.FormatInt(deadline.Milliseconds(), 10)},
 		{Name: "Idempotency-Key", Value: "key-" + id}}
 }
 
-// Run plays a load. A client that is refused comes back when it was told to, else after a short while, with a new job.
+// Run runs the load. A client whose job is rejected submits its next one after the Retry-After of the answer, or after 20 ms if it has none.
 func (l *Load) Run(ctx context.Context) *LoadResult {
 	d := &LoadResult{Latency: hdrhistogram.New(1, 60_000_000, 3)}
 	var mu sync.Mutex
@@ -115,34 +115,35 @@
 	return d
 }
 
-// SlowKind is a way for a peer of a node to be slow.
+// SlowKind is a way in which a peer of a node is slow.
 type SlowKind string
 
-// The kinds. All but the last are clients, or take the part of a box that calls back.
+// The kinds of slow peers. All are clients except SlowCallback, which acts as an executor. FastReader is not slow.
 const (
-	SlowReader     SlowKind = "reads"    // hands in a job, reads one byte a second of its answer
-	StalledReader  SlowKind = "stops"    // hands in a job, reads one byte of its answer and no more, then closes
-	SlowHead       SlowKind = "head"     // sends a byte a second of a request's head
-	SlowBody       SlowKind = "body"     // sends the head at once, and a byte a second of the body
-	SlowCallback   SlowKind = "callback" // a callback that drips
-	IdleClient     SlowKind = "says"     // says nothing
-	SlowSecondRead SlowKind = "was"      // was fast with its first job, reads one byte a second of its second answer
-	FastReader     SlowKind = "quick"    // hands in the job that Reads does, and reads its answer at once: for comparison
+	SlowReader     SlowKind = "reads"    // submits a job and reads its answer at one byte a second
+	StalledReader  SlowKind = "stops"    // submits a job, reads one byte of its answer, then closes after 3 s
+	SlowHead       SlowKind = "head"     // sends a request's head at one byte a second
+	SlowBody       SlowKind = "body"     // sends the head at once and the body at one byte a second
+	SlowCallback   SlowKind = "callback" // sends a callback at one byte a second
+	IdleClient     SlowKind = "says"     // connects and sends nothing
+	SlowSecondRead SlowKind = "was"      // reads the first answer at once and the second at one byte a second
+	FastReader     SlowKind = "quick"    // submits the same job as SlowReader and reads its answer at once, for comparison
 )
 
-// SlowKinds are all that are slow.
+// SlowKinds lists all kinds that are slow.
 var SlowKinds = []SlowKind{SlowReader, StalledReader, SlowHead, SlowBody, SlowCallback, IdleClient, SlowSecondRead}
 
-// SlowPeerResult is how a slow peer's time ended.
+// SlowPeerResult is how the connection of a slow peer ended.
 type SlowPeerResult struct {
 	Kind    SlowKind
-	Status  int  // of an answer that came whole, else 0
-	JobSent bool // it handed a job in whole
+	Status  int  // status of the answer if it was received completely, else 0
+	JobSent bool // it sent a complete job request
 	Closed  bool // the node closed the connection
-	Bytes   int  // that came
+	Bytes   int  // number of bytes received
 }
 
-// SlowPeer plays one slow peer until the node lets it go, it has its answer, or the context ends. N makes its ids its own.
+// SlowPeer runs one slow peer until the node closes the connection, the answer is received, or the context ends. The request ids
+// contain n, which must differ between peers.
 func SlowPeer(ctx context.Context, addr string, k SlowKind, n int, deadline time.Duration) SlowPeerResult {
 	e := SlowPeerResult{Kind: k}
 	c, err := net.DialTimeout("tcp", addr, 2*time.Second)
@@ -153,7 +154,7 @@
 	defer func() { _ = c.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
-	_ = c.(*net.TCPConn).SetReadBuffer(2048) // what the kernel takes for it is little
+	_ = c.(*net.TCPConn).SetReadBuffer(2048) // so that the kernel buffers little of the answer
 	drip := func(ctx context.Context, text string) {
 		for i := range len(text) {
 			if _, err := io.WriteString(c, text[i:i+1]); err != nil || !pause(ctx, time.Second) {
--- a/internal/testenv/process.go
+++ b/internal/testenv/process.go
@@ -13,22 +13,22 @@
 	"time"
 )
 
-// NodeOptions is how a node is started for a measurement.
+// NodeOptions are the options with which a node process is started for a measurement.
 type NodeOptions struct {
 	Program, Listen, Discovery string
 	MemoryMB, Sockets          int
-	ConfigText                 string // the operators' file's text, "" for none
-	LogPath                    string // a file for its log, "" for none
+	ConfigText                 string // text of the operators' configuration file, "" for none
+	LogPath                    string // path of the file that its log is appended to, "" for none
 }
 
-// Node is a node that was started for a measurement.
+// Node is a node process that was started for a measurement.
 type Node struct {
 	cmd  *exec.Cmd
 	dir  string
 	once sync.Once
 }
 
-// StartNode starts a node with Settings, and waits until it can serve.
+// StartNode starts a node with Settings and waits until its health check succeeds.
 func StartNode(p NodeOptions) (*Node, error) {
 	dir, err := os.MkdirTemp("", "node")
 	if err != nil {
@@ -68,10 +68,10 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	n.Stop()
-	return nil, errors.New("the node does not become ready")
+	return nil, errors.New("node did not become ready")
 }
 
-// Stop kills it.
+// Stop kills the process and removes its directory.
 func (n *Node) Stop() {
 	n.once.Do(func() {
 		_ = n.cmd.Process.Signal(syscall.SIGKILL)
@@ -80,7 +80,8 @@
 	})
 }
 
-// Usage tells its memory in KB - what is its own, without pages mapped from files - and how many descriptors it has.
+// Usage returns the anonymous resident memory of the process in KB, which excludes pages mapped from files, and the number of its
+// open descriptors.
 func (n *Node) Usage() (kb, fds int) {
 	dir := fmt.Sprintf("/proc/%d", n.cmd.Process.Pid)
 	status, _ := os.ReadFile(dir + "/status")
--- a/internal/testenv/slow.go
+++ b/internal/testenv/slow.go
@@ -10,36 +10,36 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Script is how one direction of a connection through a Slow is carried. A zero Script carries it as it comes.
+// Script is how one direction of a connection through a SlowProxy is forwarded. The zero Script forwards bytes as they arrive.
 type Script struct {
 	Delay         time.Duration // before the first byte
-	Rate          int           // bytes a second, 0 for as fast as they come
-	Chunk         int           // bytes at a time, 1 if a Rate is set and this is not
-	Jitter        float64       // part by which the time between chunks is drawn up or down
-	StallAfter    int           // after so many bytes nothing moves,
-	StallDuration time.Duration // for so long; 0: for good
-	End           End           // what follows Stall bytes where For is 0
+	Rate          int           // bytes a second, 0 for no limit
+	Chunk         int           // bytes forwarded at a time if Rate is set; 0 means 1
+	Jitter        float64       // largest relative deviation of the time between chunks, drawn at random
+	StallAfter    int           // number of bytes after which the direction stalls, 0 for never
+	StallDuration time.Duration // how long it stalls; 0: until the connection ends
+	End           End           // how the direction ends after StallAfter bytes if StallDuration is 0
 }
 
-// End is how a direction ends after Script.Stall bytes.
+// End is how a direction ends after Script.StallAfter bytes.
 type End uint8
 
-// The ends.
+// The ways in which a direction ends.
 const (
-	Stalled    End = iota // both sides stay open, and nothing moves any more
-	HalfClosed            // the receiving side sees the end of what comes
-	Reset                 // both sides see a reset
+	Stalled    End = iota // both sides stay open, and no more bytes pass
+	HalfClosed            // the receiving side sees the end of the stream
+	Reset                 // both connections are reset
 )
 
-// SlowProxy is a scripted loopback proxy: what a poor line, or a peer in a slow spell, does to a connection. All it draws
-// comes from its seed.
+// SlowProxy is a scripted loopback proxy that behaves as a slow network or a slow peer does. Its random numbers depend only on its
+// seed.
 type SlowProxy struct {
 	Addr string
 
 	target string
 	mu     sync.Mutex
-	up     Script // from who connects
-	down   Script // and to them
+	up     Script // from the connecting side to the target
+	down   Script // from the target to the connecting side
 	rng    *rand.Rand
 	taken  int
 }
@@ -52,7 +52,7 @@
 	return s, err
 }
 
-// accept listens at an address of its own, and has each connection served until the context ends.
+// accept listens on a free loopback port and calls serve for each connection until the context ends.
 func accept(ctx context.Context, g *errgroup.Group, serve func(net.Conn)) (addr string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,14 +71,14 @@
 	return ln.Addr().String(), nil
 }
 
-// Set changes the scripts of connections to come, and of those under way from their next chunk on.
+// Set replaces the scripts: for new connections, and for open ones from their next chunk on.
 func (s *SlowProxy) Set(up, down Script) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.up, s.down = up, down
 }
 
-// Accepted is how many connections came.
+// Accepted returns the number of connections that were accepted.
 func (s *SlowProxy) Accepted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +108,7 @@
 	}
 	stopT := context.AfterFunc(ctx, func() { _ = t.Close() })
 	defer stopT()
-	// Small buffers, so that what one side does not read is soon felt by the other.
+	// Small buffers make backpressure from a side that does not read reach the other side soon.
 	for _, x := range []net.Conn{c, t} {
 		_ = x.(*net.TCPConn).SetReadBuffer(4 << 10)
 	}
@@ -118,7 +118,7 @@
 	_ = g.Wait()
 }
 
-// pass carries one direction to its end.
+// pass forwards one direction until it ends.
 func (s *SlowProxy) pass(ctx context.Context, cancel context.CancelFunc, from, to net.Conn, up bool) {
 	buf := make([]byte, 4<<10)
 	moved := 0
@@ -162,7 +162,7 @@
 	}
 }
 
-// end does what a script says once its bytes have passed, and says whether the direction goes on.
+// end applies the end of a script after StallAfter bytes. It reports whether the direction continues.
 func (s *SlowProxy) end(ctx context.Context, cancel context.CancelFunc, sc Script, from, to net.Conn) bool {
 	switch {
 	case sc.StallDuration > 0:
--- a/internal/testenv/standin.go
+++ b/internal/testenv/standin.go
@@ -1,6 +1,6 @@
-// Package testenv has small stand-ins for render boxes and for the list of them, for tests of this project
-// alone. They keep to the protocol's page and record what comes. They are no test file since the tests of a dozen packages and two
-// measuring tools share them, and a test file can not be imported; the program that is shipped does not link them, and they do not
+// Package testenv has fake executors, a fake discovery service, faulty links and clients for the tests of this project. They follow
+// the protocol and record the requests they receive. They are not in test files because the tests of a dozen packages and two
+// measuring tools share them, and a test file cannot be imported. The shipped program does not link this package, and it does not
 // import testing.
 package testenv
 
@@ -23,76 +23,77 @@
 	"gatetack/internal/node"
 )
 
-// Limits are the limits that the stand-ins use.
+// Limits are the limits that the fakes and the clients use.
 var Limits = limits.New(0, 0, 0, 0, 0)
 
-// DiscardLog logs nowhere.
+// DiscardLog discards all log records.
 var DiscardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// TestReporter is the part of testing.TB that Until needs. The measuring tools link this package too, and package testing
-// belongs in test files.
+// TestReporter is the part of testing.TB that Until needs. It is declared here since the measuring tools link this package and must
+// not link testing.
 type TestReporter interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// Until waits for something to become true. Its bound is far over what is expected, so that no verdict depends on
-// the machine's speed.
+// Until waits until ok returns true and fails the test after 20 s. The timeout is far longer than expected, so that no test result
+// depends on the machine's speed.
 func Until(t TestReporter, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain:", what)
+			t.Fatal("not true within 20 s:", what)
 		}
 	}
 }
 
-// ListRecorder keeps the lists that are told to it, as the core would take them.
+// ListRecorder records the endpoint lists that are passed to it, in place of the core.
 type ListRecorder struct {
 	mu        sync.Mutex
 	all       []node.EndpointList
 	confirmed int
 }
 
-// UpdateEndpoints takes one.
+// UpdateEndpoints records an endpoint list.
 func (s *ListRecorder) UpdateEndpoints(l node.EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.all = append(s.all, l)
 }
 
-// ListCallFailed is of no interest here.
+// ListCallFailed does nothing.
 func (s *ListRecorder) ListCallFailed() {}
 
-// ListConfirmed counts the lines of a watch that told of no change.
+// ListConfirmed counts the lines of a watch that reported no change.
 func (s *ListRecorder) ListConfirmed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.confirmed++
 }
 
-// Confirmed is how many lines told of no change so far.
+// Confirmed returns how many lines reported no change so far.
 func (s *ListRecorder) Confirmed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.confirmed
 }
 
-// All are those that came so far.
+// All returns the lists recorded so far.
 func (s *ListRecorder) All() []node.EndpointList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]node.EndpointList(nil), s.all...)
 }
 
-// own is the loopback address of this process's Ports: what another process of the tests is given can not be one of them.
+// own is the loopback address that FreeAddrs listens on. It differs between processes, so that two test processes never get the same
+// address.
 var own = fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()>>16&63, os.Getpid()>>8&255, os.Getpid()&255)
 
-// given are the addresses that Ports gave: who was given one listens there later, and no one else may be given it meanwhile.
+// given holds the addresses that FreeAddrs has returned. Their callers listen on them later, so they must not be returned again.
 var given sync.Map
 
-// FreeAddrs gives n addresses that are free and were given to nobody before, each another. They are on a loopback address on which
-// nothing else here listens, so that no stand-in that asks for any port gets one of them.
+// FreeAddrs returns n distinct addresses that are free and were not returned before. They are on a loopback address on which
+// nothing else in the tests listens, so that no fake that listens on port 0 gets one of them.
 func FreeAddrs(n int) ([]string, error) {
 	var out []string
 	for len(out) < n {
@@ -100,7 +101,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = ln.Close() }() // held until all are found
+		defer func() { _ = ln.Close() }() // stays open until all addresses are found
 		if addr := ln.Addr().String(); !had(addr) {
 			out = append(out, addr)
 		}
@@ -108,7 +109,7 @@
 	return out, nil
 }
 
-// had says whether an address was given already, and notes it.
+// had reports whether an address was returned before, and marks it as returned.
 func had(addr string) bool {
 	_, had := given.LoadOrStore(addr, true)
 	return had
@@ -122,7 +123,7 @@
 	w  *http1.Writer
 }
 
-// Dial connects.
+// Dial connects to a server under test.
 func Dial(addr string) (*Conn, error) {
 	c, err := net.DialTimeout("tcp", addr, 2*time.Second)
 	if err != nil {
@@ -131,9 +132,9 @@
 	return &Conn{c, http1.NewRing(4096), http1.NewParser(Limits, true), http1.NewWriter(c, 4096)}, nil
 }
 
-const answerWithin = 40 * time.Second // what a test waits for the answer to a call
+const answerWithin = 40 * time.Second // timeout of a call in tests
 
-// Do sends a request and reads its answer.
+// Do sends a request and returns its answer.
 func (c *Conn) Do(method, target string, body []byte, fields ...http1.Field) (*http1.Message, error) {
 	fields = append(fields, http1.Field{Name: "Host", Value: "test"})
 	if err := c.w.Request(method, target, fields, body); err != nil {
@@ -146,7 +147,7 @@
 	return c.p.Read(c.in, c.Conn)
 }
 
-// CallFor makes one request, and gives up after a while.
+// CallFor makes one request on a new connection and closes the connection after the given time.
 func CallFor(addr string, most time.Duration, method, target string, body []byte, fields ...http1.Field) (*http1.Message, error) {
 	c, err := Dial(addr)
 	if err != nil {
@@ -157,53 +158,53 @@
 	return c.Do(method, target, body, fields...)
 }
 
-// Call makes one request on a connection of its own.
+// Call makes one request on a new connection.
 func Call(addr, method, target string, body []byte, fields ...http1.Field) (*http1.Message, error) {
 	return CallFor(addr, answerWithin, method, target, body, fields...)
 }
 
-// Start is a request that a box got whole.
+// Start is a job request that an executor received completely and accepted.
 type Start struct {
 	ID, Target, Body, Idempotency string
 	At                            time.Time
 }
 
-// Behavior is how a box does its work.
+// Behavior is how a fake executor handles jobs.
 type Behavior struct {
-	JobDuration       time.Duration // of a job
-	Slots             int           // jobs that run at a time, 0 for any number: the others wait
-	ResultBytes       int           // bytes that a result is filled up to
-	FreeSlots         int           // free slots that it always tells of
-	RejectAll         bool          // turn all away
-	FailJobs          bool          // run each job and tell that it failed
-	EarlyCallbacks    bool          // all callbacks before the 202
-	NoCallbacks       bool          // take jobs, run them and tell nothing
-	NoProgress        bool          // tell of no starts and no progress
-	NoLoadReport      bool          // say nothing of its load where a job ends
-	UnresponsiveUntil time.Time     // answer and begin nothing before
-	CallbackRepeats   int           // how often each callback is made
-}
-
-// Executor stands in for a render box: it takes jobs, runs each for a while and calls back.
+	JobDuration       time.Duration // how long a job runs
+	Slots             int           // number of jobs that run at a time, 0 for no limit; the others wait
+	ResultBytes       int           // minimum length of a result in bytes
+	FreeSlots         int           // free slots in its load reports
+	RejectAll         bool          // reject all jobs
+	FailJobs          bool          // run each job and report that it failed
+	EarlyCallbacks    bool          // make all callbacks before the 202 answer
+	NoCallbacks       bool          // accept and run jobs but make no callbacks
+	NoProgress        bool          // make no callbacks for starts and progress
+	NoLoadReport      bool          // send no load report when a job ends
+	UnresponsiveUntil time.Time     // answer no request before this time
+	CallbackRepeats   int           // number of times that each callback is made
+}
+
+// Executor is a fake executor: it accepts jobs, runs each for a fixed time and makes callbacks.
 type Executor struct {
 	Name, Addr string
-	Zone, Type string // as the list has them; tallinn and type-a where nothing is said
+	Zone, Type string // as in the endpoint list; empty for tallinn and type-a
 	Group      int
-	StartedAt  time.Time // of its last start, where the list tells it
+	StartedAt  time.Time // time of its last start in the endpoint list, zero for none
 
 	mu       sync.Mutex
-	node     string // where callbacks go
+	node     string // address that receives callbacks
 	how      Behavior
 	running  int
-	room     chan struct{} // told when a job ends
+	room     chan struct{} // closed and replaced when a job ends
 	starts   []Start
 	gaveUp   []string
-	callback []int // statuses that callbacks got
+	callback []int // statuses of the answers to callbacks
 	g        *errgroup.Group
 	ctx      context.Context
 }
 
-// NewExecutor starts a box that calls back at node.
+// NewExecutor starts an executor that makes its callbacks to node.
 func NewExecutor(ctx context.Context, g *errgroup.Group, name, node string, run time.Duration) (*Executor, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -216,35 +217,35 @@
 	return b, nil
 }
 
-// Set changes how a box behaves.
+// Set changes the behavior of the executor.
 func (b *Executor) Set(change func(*Behavior)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(&b.how)
 }
 
-// Starts are the requests that came, in order.
+// Starts returns the accepted job requests in the order of arrival.
 func (b *Executor) Starts() []Start {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]Start(nil), b.starts...)
 }
 
-// Canceled are the ids that were given up.
+// Canceled returns the ids of the jobs that were canceled.
 func (b *Executor) Canceled() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]string(nil), b.gaveUp...)
 }
 
-// CallbackStatuses are the statuses that callbacks got.
+// CallbackStatuses returns the statuses of the answers to callbacks.
 func (b *Executor) CallbackStatuses() []int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]int(nil), b.callback...)
 }
 
-// Handle answers a node.
+// Handle answers a request of a node.
 func (b *Executor) Handle(_ context.Context, m *http1.Message) http1.Response {
 	if m.Method == "DELETE" {
 		b.mu.Lock()
@@ -332,7 +333,7 @@
 	b.tell(id, `"state":"done","result":"`+result+`"`+load)
 }
 
-// load is what a probe is told; the lock is held.
+// load returns the body of the answer to a health check. The caller holds b.mu.
 func (b *Executor) load(how Behavior) string {
 	return `{"queue":0,"qps":` + strconv.Itoa(len(b.starts)) + `,"x0":` + strconv.Itoa(max(0, how.FreeSlots-b.running)) + `}`
 }
@@ -342,7 +343,7 @@
 	node, repeat := b.node, b.how.CallbackRepeats
 	b.mu.Unlock()
 	for range repeat {
-		for range 10 { // each call is tried until it is answered, ten times at most
+		for range 10 { // each callback is retried until it is answered, up to ten times
 			m, err := Call(node, "POST", "/callback", []byte(`{"id":"`+id+`","from":"`+b.Name+`",`+rest+`}`))
 			if err == nil {
 				b.mu.Lock()
@@ -357,7 +358,7 @@
 	}
 }
 
-// Discovery stands in for discovery: it serves the whole list and watches on it.
+// Discovery is a fake discovery service: it serves the endpoint list and watches on it.
 type Discovery struct {
 	Addr string
 
@@ -369,7 +370,7 @@
 	watches int
 }
 
-// NewDiscovery starts a list.
+// NewDiscovery starts a discovery service with an empty list.
 func NewDiscovery(ctx context.Context, g *errgroup.Group) (*Discovery, error) {
 	l := &Discovery{entries: map[string]string{}, changed: make(chan struct{})}
 	var err error
@@ -382,7 +383,7 @@
 	return l, err
 }
 
-// Put sets an executor's row.
+// Put sets the list entry of an executor.
 func (l *Discovery) Put(b *Executor, status string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -392,7 +393,7 @@
 	l.changed = make(chan struct{})
 }
 
-// EndpointJSON is a box in discovery's form.
+// EndpointJSON returns the list entry of an executor as JSON.
 func EndpointJSON(b *Executor, status string) string {
 	zone, kind, group, born := "tallinn", "type-a", 1, int64(0)
 	if b.Zone != "" {
@@ -405,14 +406,14 @@
 		`"weight":1.0,"since_ms":%d}`, b.Name, b.Addr, zone, kind, group, status, born)
 }
 
-// SetUnresponsive keeps watches open and silent, as a machine that was cut off does.
+// SetUnresponsive makes watches stay open without sending anything, as a host behind a network partition does.
 func (l *Discovery) SetUnresponsive(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mute = on
 }
 
-// Watches is how many watches were begun.
+// Watches returns how many watches were started.
 func (l *Discovery) Watches() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
