--- a/internal/batch/fleet.go
+++ b/internal/batch/fleet.go
@@ -119,7 +119,7 @@
 	return f.fleet.Forward(ctx, addr, m)
 }
 
-// Open names the partitions of a node of which something is open on record.
+// OpenPartitions names the partitions of a node of which something is open on record.
 func (f *Front) OpenPartitions(ctx context.Context, node string) ([]string, error) {
 	var out []string
 	for _, kind := range []string{kindOpen, kindArray} {
--- a/internal/leaseholder/actions.go
+++ b/internal/leaseholder/actions.go
@@ -10,8 +10,8 @@
 	"gatetack/internal/lease"
 )
 
-// execute carries out actions. Calls to the store run outside the loop: one that waits for a leader must not delay
-// noticing that a lease has expired.
+// execute carries out actions. Calls to the store run outside the loop, because a call that waits for a leader must not
+// delay the detection of an expired lease.
 func (h *Holder) execute(ctx context.Context, actions []lease.Action) {
 	h.mu.Lock()
 	spawn := h.spawn
@@ -35,38 +35,39 @@
 	}
 }
 
-// supersede notes that a later incarnation of this node runs.
+// supersede records that a later incarnation of this node is running.
 func (h *Holder) supersede() {
 	h.mu.Lock()
 	h.self.superseded = true
 	h.mu.Unlock()
-	h.log.Error("another process runs under this node's name, no batch jobs are taken any more", "node", h.node)
+	h.log.Error("another process runs under this node's name, rejecting batch jobs from now on", "node", h.node)
 }
 
-// advanceIncarnation adopts the incarnation that the Manager moved after an earlier one with a later clock.
+// advanceIncarnation applies the incarnation whose start the Manager moved past that of an earlier one with a later
+// clock.
 func (h *Holder) advanceIncarnation() {
 	h.mu.Lock()
 	h.self.incarnation = h.manager.Incarnation()
 	started := h.self.incarnation.StartedMs
 	h.mu.Unlock()
 	h.front.SetIncarnationStart(started)
-	h.log.Warn("wall clock behind an earlier incarnation's, incarnation moved after it",
+	h.log.Warn("wall clock behind an earlier incarnation, incarnation moved forward",
 		"node", h.node, "incarnation", started)
 }
 
-// renewLease writes this node's lease over the one with a version.
+// renewLease writes this node's lease if the stored one has the given version.
 func (h *Holder) renewLease(ctx context.Context, begunAt time.Duration, version uint64) {
 	h.mu.Lock()
 	record := leaseRecord{StartedMs: h.manager.Incarnation().StartedMs, Addr: h.addr}
 	h.mu.Unlock()
-	value, _ := json.Marshal(record) // a number and a string: it can not fail
+	value, _ := json.Marshal(record) // cannot fail for a number and a string
 	put := kv.Op{Verb: kv.Put, Table: LeaseTable, Key: h.node, Value: value, Keep: true,
 		TTL: h.limits.LeaseTTL.Milliseconds(), Cond: true, If: version}
 	result, err := h.store.Txn(ctx, &kv.Txn{Ops: []kv.Op{put}})
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case err != nil: // indeterminate: the last lease is valid until it expires, and the next renewal tells
+	case err != nil: // indeterminate outcome: the last lease is valid until it expires, and the next renewal resolves it
 	case result.OK():
 		h.manager.LeaseRenewed(begunAt, result.Version)
 	default:
@@ -75,7 +76,7 @@
 }
 
 // claim writes this node as the owner of a partition. This incarnation's own partition is not adopted afterwards: its
-// records are jobs in progress here, which would be taken for what an earlier incarnation left.
+// records are jobs in progress here, which would be mistaken for jobs of an earlier incarnation.
 func (h *Holder) claim(ctx context.Context, action lease.Action, reason string) {
 	h.mu.Lock()
 	incarnation := h.manager.Incarnation()
@@ -103,8 +104,8 @@
 	h.execute(ctx, actions)
 }
 
-// adopt adopts the jobs of a claimed partition. It tries again until it succeeds, the partition is lost or the
-// context ends.
+// adopt adopts the jobs of a claimed partition. It retries until it succeeds, the partition is lost or the context
+// ends.
 func (h *Holder) adopt(ctx context.Context, action lease.Action) {
 	select {
 	case h.adoptions <- struct{}{}:
@@ -124,7 +125,7 @@
 		if !owned || epoch != action.Epoch || ctx.Err() != nil {
 			return
 		}
-		h.log.Warn("partition not adopted, trying again", "partition", action.Partition, "err", err)
+		h.log.Warn("partition not adopted, retrying", "partition", action.Partition, "err", err)
 		select {
 		case <-time.After(h.limits.StoreElectionTimeout):
 		case <-ctx.Done():
@@ -136,8 +137,8 @@
 	h.markAdopted(action.Partition)
 }
 
-// stop gives up a partition that was lost. If it was that of this incarnation's own jobs, jobs that are taken from
-// now on belong to another incarnation.
+// stop gives up a partition that was lost. If it was the partition of this incarnation's own jobs, jobs accepted from
+// now on belong to a new incarnation.
 func (h *Holder) stop(action lease.Action) {
 	h.log.Warn("partition lost", "partition", action.Partition, "epoch", action.Epoch)
 	if failpoint.Without == failpoint.Fence {
@@ -154,8 +155,8 @@
 	h.front.SetIncarnationStart(self.StartedMs)
 }
 
-// deleteEmptyPartitions deletes partitions of ended incarnations that this node owns and that have no records any more. A fleet that
-// is restarted every day would collect them for good.
+// deleteEmptyPartitions deletes the partitions of ended incarnations that this node owns and that have no records left.
+// Without it, a fleet that is restarted every day would accumulate them.
 func (h *Holder) deleteEmptyPartitions(ctx context.Context) {
 	h.mu.Lock()
 	owned, self := h.manager.Partitions(), h.self.incarnation.PartitionKey()
@@ -181,7 +182,7 @@
 	remove := kv.Op{Verb: kv.Delete, Table: PartitionTable, Key: key, Cond: true, If: epoch}
 	result, err := h.store.Txn(ctx, &kv.Txn{Ops: []kv.Op{remove}})
 	if err != nil || !result.OK() {
-		return // the next look finds it again
+		return // the next check finds the partition again
 	}
 	h.mu.Lock()
 	h.manager.ReleasePartition(key)
@@ -189,8 +190,8 @@
 	h.log.Info("partition without records deleted", "partition", key, "epoch", epoch)
 }
 
-// Release releases all partitions and the lease at a planned shutdown, so that other nodes need not wait for the
-// lease to expire. Nothing is claimed after that.
+// Release releases all partitions and the lease at a planned shutdown, so that other nodes need not wait for the lease
+// to expire. The Holder claims nothing after that.
 func (h *Holder) Release(ctx context.Context) {
 	h.mu.Lock()
 	h.released = true
@@ -210,6 +211,6 @@
 		return
 	}
 	if result, err := h.store.Txn(ctx, &kv.Txn{Ops: ops}); err != nil || !result.OK() {
-		h.log.Info("partitions not handed over, others wait for the lease to expire", "err", err)
+		h.log.Info("partitions not released, other nodes wait for the lease to expire", "err", err)
 	}
 }
--- a/internal/leaseholder/fence.go
+++ b/internal/leaseholder/fence.go
@@ -12,11 +12,11 @@
 	"gatetack/internal/store"
 )
 
-// ErrNotOwner reports that this node does not, or no longer, own a partition. Nothing was written.
+// ErrNotOwner reports that this node does not own a partition, or no longer. Nothing was written.
 var ErrNotOwner = errors.New("partition owned by another node")
 
-// partitionOf returns the partition of changes: that of the jobs that they belong to, or this incarnation's own if
-// they belong to none.
+// partitionOf returns the partition of changes: the partition of the job that they belong to, or this incarnation's own
+// if they belong to no job.
 func (h *Holder) partitionOf(changes []jobstore.Change) string {
 	for _, change := range changes {
 		if change.Kind == "job" || change.Kind == "open" || change.Kind == "array" {
@@ -30,7 +30,7 @@
 	return h.self.incarnation.PartitionKey()
 }
 
-// Write commits all changes or none, under the epoch of the partition that they belong to.
+// Write commits all changes or none of them, under the epoch of the partition that they belong to.
 func (h *Holder) Write(ctx context.Context, changes ...jobstore.Change) error {
 	if failpoint.Without == failpoint.Fence {
 		return h.store.Write(ctx, changes...)
@@ -55,14 +55,14 @@
 	return store.Refusal(result)
 }
 
-// writeFenced takes in that a write failed because its partition has another epoch by now.
+// writeFenced handles a write that failed because its partition has another epoch.
 func (h *Holder) writeFenced(ctx context.Context, key string, epoch, current uint64) {
 	h.fencedWrites.Add(1)
 	h.mu.Lock()
 	actions, spawn := h.manager.WriteFenced(key, epoch, h.bootTime()), h.spawn
 	h.mu.Unlock()
 	h.log.Warn("write fenced", "partition", key, "epoch", epoch, "current_epoch", current)
-	// Not in this goroutine: the caller may hold the lock of a job, which giving up its partition needs.
+	// The actions run in another goroutine: the caller may hold the lock of a job that giving up the partition needs.
 	spawn(func() { h.execute(context.WithoutCancel(ctx), actions) })
 }
 
@@ -71,12 +71,12 @@
 	return h.store.Get(ctx, kind, key)
 }
 
-// Page returns rows in the order of their keys.
+// Page returns rows ordered by key.
 func (h *Holder) Page(ctx context.Context, kind, after string, limit int) ([]jobstore.Row, error) {
 	return h.store.Page(ctx, kind, after, limit)
 }
 
-// Local returns a value as this member has it, which may be stale.
+// Local returns a value from this member's local state, which may be stale.
 func (h *Holder) Local(kind, key string) ([]byte, bool) { return h.store.Local(kind, key) }
 
 // FencedWrites returns the number of writes that failed because their partition had another epoch.
--- a/internal/leaseholder/fence_test.go
+++ b/internal/leaseholder/fence_test.go
@@ -16,11 +16,11 @@
 	"gatetack/internal/testenv"
 )
 
-// benchmarkClients is how many clients write at a time.
+// benchmarkClients is the number of clients that write concurrently.
 const benchmarkClients = 16
 
-// BenchmarkFence writes what a submission does, the two records of a job, to a store of three members on this
-// machine's disk: as the store takes it, and under a partition's epoch.
+// BenchmarkFence writes the two records of a submitted job to a store of three members on this machine's disk, without
+// fencing and under the epoch of a partition.
 func BenchmarkFence(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	var running sync.WaitGroup
@@ -70,7 +70,7 @@
 	return started[0]
 }
 
-// benchmarkWrites writes b.N jobs by benchmarkClients clients, and reports their rate and latency.
+// benchmarkWrites writes b.N jobs with benchmarkClients clients and reports the rate and latency of the writes.
 func benchmarkWrites(ctx context.Context, b *testing.B, to jobstore.Store, nextKey func() string) {
 	var mu sync.Mutex
 	var latencies []time.Duration
--- a/internal/leaseholder/fleet_test.go
+++ b/internal/leaseholder/fleet_test.go
@@ -18,19 +18,19 @@
 
 var testLimits = limits.New(0, 0, 0, 0, 0)
 
-// sharedStore is the replicated store as one state machine, as consensus makes it. Faults are those of its users.
+// sharedStore simulates the replicated store by a single state machine. Faults occur only in its clients.
 type sharedStore struct {
 	state *kv.State
 	index uint64
 	nowMs int64 // the leader's clock
 }
 
-// fakeMember is the store as one node reaches it.
+// fakeMember is the store as seen by one node.
 type fakeMember struct {
 	*sharedStore
-	view           *kv.View // what it has seen, which may be stale
-	unreachable    bool     // it reaches no leader
-	losesResponses bool     // transactions are committed and their results lost
+	view           *kv.View // local state, which may be stale
+	unreachable    bool     // the member reaches no leader
+	losesResponses bool     // transactions are committed, but their results are lost
 }
 
 var errNoLeader = errors.New("no leader")
@@ -43,7 +43,7 @@
 	m.index++
 	result := m.state.Apply(m.index, t)
 	if m.losesResponses {
-		return nil, errors.New("answer lost")
+		return nil, errors.New("response lost")
 	}
 	return &result, nil
 }
@@ -59,7 +59,7 @@
 }
 
 func (m *fakeMember) Write(context.Context, ...jobstore.Change) error {
-	return errors.New("writes of a holder are transactions")
+	return errors.New("a Holder must write through transactions")
 }
 
 func (m *fakeMember) Get(_ context.Context, kind, key string) ([]byte, bool, error) {
@@ -77,11 +77,11 @@
 	return nil, nil
 }
 
-// fakeFront stands in for the batch front.
+// fakeFront replaces the batch front.
 type fakeFront struct {
 	adopted map[string]bool
-	started int64           // of the incarnation that new jobs belong to
-	records map[string]bool // partitions that have any
+	started int64           // start of the incarnation that new jobs belong to
+	records map[string]bool // partitions that have records
 }
 
 func newFakeFront() *fakeFront { return &fakeFront{adopted: map[string]bool{}} }
@@ -101,12 +101,12 @@
 	return f.records[key], nil
 }
 
-// fleet is nodes of one store, driven step by step from a seed.
+// fleet simulates nodes with one store, step by step with a seeded random generator.
 type fleet struct {
 	t       *testing.T
 	rng     *rand.Rand
 	store   *sharedStore
-	elapsed time.Duration // on all clocks; each node's may be ahead
+	elapsed time.Duration // time on all clocks; the clock of a node may be ahead
 	nodes   []*testNode
 	starts  int64
 	history []string
@@ -120,7 +120,7 @@
 	front      *fakeFront
 	paused     bool
 	clockAhead time.Duration
-	calls      []func() // to the store, in progress
+	calls      []func() // calls to the store in progress
 }
 
 func newFleet(t *testing.T, seed int64, n int) *fleet {
@@ -134,8 +134,8 @@
 	return f
 }
 
-// newRestartedFleet returns a fleet of which one node has just started again, that node, and the partition that its
-// earlier incarnation left.
+// newRestartedFleet returns a fleet with a node that has just restarted, that node, and the partition that its earlier
+// incarnation left.
 func newRestartedFleet(t *testing.T, n int) (f *fleet, restarted *testNode, left string) {
 	f = newFleet(t, 1, n)
 	f.steps(40)
@@ -145,7 +145,7 @@
 	return f, restarted, left
 }
 
-// start starts a node's process: nothing of an earlier one is left in it.
+// start starts a new process of a node, without any state of an earlier one.
 func (f *fleet) start(node *testNode) {
 	f.starts++
 	node.member = &fakeMember{sharedStore: f.store, view: f.store.state.Snapshot()}
@@ -166,14 +166,14 @@
 	f.history = append(f.history, fmt.Sprintf("%v ", f.elapsed)+fmt.Sprintf(format, args...))
 }
 
-// steps lets time pass without faults.
+// steps simulates n steps without faults.
 func (f *fleet) steps(n int) {
 	for range n {
 		f.step(false)
 	}
 }
 
-// step lets time pass and some nodes go on.
+// step lets time pass, possibly causes a fault, and advances all nodes that are not paused.
 func (f *fleet) step(faults bool) {
 	passed := time.Duration(f.rng.Intn(100)) * time.Millisecond
 	f.elapsed += passed
@@ -188,7 +188,7 @@
 	}
 }
 
-// fault causes one fault at a node.
+// fault causes a random fault at a node.
 func (f *fleet) fault(node *testNode) {
 	switch f.rng.Intn(7) {
 	case 0, 1:
@@ -199,20 +199,20 @@
 		f.record("%s restarted", node.name)
 	case 3:
 		node.member.unreachable = !node.member.unreachable
-		f.record("%s cut off %v", node.name, node.member.unreachable)
+		f.record("%s unreachable %v", node.name, node.member.unreachable)
 	case 4:
 		node.member.losesResponses = !node.member.losesResponses
-		f.record("%s loses answers %v", node.name, node.member.losesResponses)
+		f.record("%s loses responses %v", node.name, node.member.losesResponses)
 	case 5:
 		f.store.nowMs += int64(f.rng.Intn(3600_000))
-		f.record("a leader whose clock is ahead")
+		f.record("new leader with its clock ahead")
 	case 6:
 		node.clockAhead += time.Duration(f.rng.Intn(2000)) * time.Millisecond
 		f.record("%s slept", node.name)
 	}
 }
 
-// advance lets a node see the store, step, or have calls return, in any order.
+// advance randomly updates a node's local state, runs a step of the node, or completes calls to the store.
 func (f *fleet) advance(node *testNode) {
 	if f.rng.Intn(3) > 0 {
 		node.member.view = f.store.state.Snapshot()
@@ -229,7 +229,7 @@
 	}
 }
 
-// epoch returns the epoch of a partition in the store, 0 for none.
+// epoch returns the epoch of a partition in the store, or 0 if the partition does not exist.
 func (f *fleet) epoch(key string) uint64 {
 	if entry, ok := f.store.state.Snapshot().Get(PartitionTable, key); ok {
 		return entry.Version
@@ -237,7 +237,7 @@
 	return 0
 }
 
-// owns reports whether a node owns a partition, as far as it knows.
+// owns reports whether a node believes that it owns a partition.
 func (n *testNode) owns(key string) bool {
 	_, owned := n.manager.Epoch(key)
 	return owned
--- a/internal/leaseholder/holder.go
+++ b/internal/leaseholder/holder.go
@@ -1,9 +1,9 @@
-// Package leaseholder carries out what package lease decides: it renews this node's lease in the replicated store,
-// claims and releases partitions of batch jobs, and fences all that is written for them. It is the store of the batch
-// front: a write commits only if the partition that it belongs to still has the epoch under which this node owns it.
+// Package leaseholder carries out the decisions of package lease: it renews this node's lease in the replicated store,
+// claims and releases partitions of batch jobs, and fences all writes to them. The batch front uses it as its store: a
+// write commits only if the partition that it belongs to still has the epoch under which this node owns it.
 //
-// A Holder owns the only lease.Manager of its process. Its Run is the one loop that steps the Manager; calls to the
-// store run in goroutines that Run starts and waits for.
+// A Holder owns the only lease.Manager of its process. Only the loop in Run steps the Manager; calls to the store run
+// in goroutines that Run starts and waits for.
 package leaseholder
 
 import (
@@ -33,38 +33,38 @@
 // Fractions of the lease's TTL.
 const (
 	renewalsPerTTL = 3
-	driftsPerTTL   = 6 // of the end of a lease that stays unused, and of the delay of a rank
+	driftsPerTTL   = 6 // maximum clock drift and delay of a rank
 	stepsPerTTL    = 30
-	reclaimTTLs    = 2  // for which a lost partition is not claimed back
-	retireTTLs     = 10 // between looks for partitions without records
+	reclaimTTLs    = 2  // TTLs for which a lost partition is not reclaimed
+	retireTTLs     = 10 // TTLs between checks for partitions without records
 )
 
-// maxAdoptions is how many partitions a node adopts at a time. After most nodes were lost each of the others has many
-// to adopt, and all of them read the records at one leader.
+// maxAdoptions is the number of partitions that a node adopts concurrently. After the loss of most nodes each remaining
+// node has many partitions to adopt, and all of them read the records from one leader.
 const maxAdoptions = 2
 
 // Store is the part of a member of the replicated store that a Holder needs.
 type Store interface {
 	jobstore.Store
-	// Txn commits all operations of a transaction or none.
+	// Txn commits all operations of a transaction or none of them.
 	Txn(context.Context, *kv.Txn) (*kv.Result, error)
-	// View returns the state as this member has it, which may be stale.
+	// View returns this member's local state, which may be stale.
 	View() *kv.View
-	// Local returns a value as this member has it, which may be stale.
+	// Local returns a value from this member's local state, which may be stale.
 	Local(kind, key string) ([]byte, bool)
 }
 
 // Front runs the jobs of the partitions that this node owns.
 type Front interface {
-	// OpenPartitions returns the partitions of a node that have open jobs on record.
+	// OpenPartitions returns the partitions of a node that have records of open jobs.
 	OpenPartitions(ctx context.Context, node string) ([]string, error)
-	// Adopt takes over the recorded jobs of a partition and returns how many of them are not done.
+	// Adopt takes over the recorded jobs of a partition and returns how many of them have not ended.
 	Adopt(ctx context.Context, partition string) (int, error)
-	// Drop gives up a partition that another node owns by now.
+	// Drop gives up a partition that another node owns.
 	Drop(partition string)
-	// HasRecords reports whether anything of a partition is on record.
+	// HasRecords reports whether a partition has any records.
 	HasRecords(ctx context.Context, partition string) (bool, error)
-	// SetIncarnationStart makes all jobs that are taken from now on belong to an incarnation that started at a Unix time in ms.
+	// SetIncarnationStart sets the start, in Unix milliseconds, of the incarnation that jobs belong to from now on.
 	SetIncarnationStart(started int64)
 }
 
@@ -77,34 +77,34 @@
 	limits   limits.Limits
 	log      *slog.Logger
 	ring     *pki.Ring
-	bootTime func() time.Duration // a clock that runs on while the machine sleeps
+	bootTime func() time.Duration // a clock that keeps running while the machine sleeps
 
 	fencedWrites atomic.Int64
 	adoptions    chan struct{}  // semaphore of maxAdoptions
-	partitions   partitionCache // of the loop alone
+	partitions   partitionCache // used only by the loop
 
 	mu           sync.Mutex
 	spawn        func(func()) // runs a call to the store outside the loop
 	manager      *lease.Manager
 	self         selfState
 	predecessors predecessorState
-	released     bool // at a planned shutdown: nothing is claimed any more
+	released     bool // after Release nothing is claimed any more
 }
 
-// selfState is what a Holder knows of the partition for its own new jobs.
+// selfState is the state of the partition for this node's own new jobs.
 type selfState struct {
-	incarnation lease.Incarnation // under which new jobs are taken
+	incarnation lease.Incarnation // incarnation that new jobs belong to
 	owned       bool
-	superseded  bool // a later incarnation of this node runs
+	superseded  bool // a later incarnation of this node is running
 }
 
-// predecessorState is what earlier incarnations of this node left.
+// predecessorState is the state of partitions of this node's earlier incarnations.
 type predecessorState struct {
 	listed    bool
 	unadopted []string // partitions that no node has adopted yet
 }
 
-// New returns a Holder for an incarnation of a node, whose batch front listens at an address.
+// New returns a Holder for an incarnation of a node whose batch front listens at addr.
 func New(s Store, self lease.Incarnation, addr string, lim limits.Limits, log *slog.Logger) (*Holder, error) {
 	timing := lease.Timing{
 		TTL:           lim.LeaseTTL,
@@ -133,15 +133,15 @@
 // Connect sets the front and the keys for calls to other nodes. It must be called before Run.
 func (h *Holder) Connect(front Front, ring *pki.Ring) { h.front, h.ring = front, ring }
 
-// Ready reports whether this incarnation owns its own partition, and everything that earlier incarnations of this
-// node left was adopted by some node.
+// Ready reports whether this incarnation owns its own partition, and all partitions of earlier incarnations of this
+// node were adopted by some node.
 func (h *Holder) Ready() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.self.owned && h.predecessors.listed && len(h.predecessors.unadopted) == 0
 }
 
-// Run keeps the lease and the partitions until the context ends.
+// Run maintains the lease and the partitions until the context ends.
 func (h *Holder) Run(ctx context.Context) error {
 	var calls errgroup.Group
 	h.mu.Lock()
@@ -162,7 +162,7 @@
 	}
 }
 
-// step looks at the store and does what is due.
+// step reads the state of the store and carries out the actions that are due.
 func (h *Holder) step(ctx context.Context) {
 	h.mu.Lock()
 	released := h.released
@@ -181,7 +181,7 @@
 	h.execute(ctx, actions)
 }
 
-// listPredecessors finds out, once, which partitions earlier incarnations of this node left.
+// listPredecessors determines, once, the partitions that earlier incarnations of this node left.
 func (h *Holder) listPredecessors(ctx context.Context, view lease.View) {
 	h.mu.Lock()
 	listed, self := h.predecessors.listed, h.self.incarnation
@@ -191,7 +191,7 @@
 	}
 	keys, err := h.front.OpenPartitions(ctx, h.node)
 	if err != nil {
-		return // the next step asks again
+		return // the next step retries
 	}
 	for _, partition := range view.Partitions {
 		if partition.Owner.Node == h.node && !slices.Contains(keys, partition.Key) {
@@ -204,7 +204,7 @@
 	h.predecessors.listed = true
 }
 
-// claimSelf makes the partition of this incarnation, once it has a lease.
+// claimSelf creates the partition of this incarnation once the node has a lease.
 func (h *Holder) claimSelf(ctx context.Context, view lease.View) {
 	stored, found := view.Leases[h.node]
 	h.mu.Lock()
@@ -216,9 +216,9 @@
 	}
 }
 
-// removeAdoptedElsewhere forgets partitions of earlier incarnations that another node has claimed: it adopts them,
-// and waiting for them here would keep this incarnation from taking jobs for good. A partition whose owner is an
-// earlier incarnation of this very node, whose lease has not expired yet, is not among them. The lock is held.
+// removeAdoptedElsewhere removes partitions of earlier incarnations that another node has claimed from those to adopt:
+// that node adopts them, and waiting for them here would keep this incarnation from ever accepting jobs. A partition
+// whose owner is an earlier incarnation of this node with an unexpired lease is not removed. The caller holds the lock.
 func (h *Holder) removeAdoptedElsewhere(view lease.View) {
 	if len(h.predecessors.unadopted) == 0 {
 		return
@@ -231,13 +231,13 @@
 	}
 }
 
-// markAdopted notes that some node has markAdopted a partition. The lock is held.
+// markAdopted records that some node has adopted a partition. The caller holds the lock.
 func (h *Holder) markAdopted(key string) {
 	h.predecessors.unadopted = slices.DeleteFunc(h.predecessors.unadopted, func(k string) bool { return k == key })
 }
 
-// unclaimedPredecessors returns partitions of earlier incarnations that are on record without an entry in the
-// partition table: a version of the program that had no such table left them. The lock is held.
+// unclaimedPredecessors returns partitions of earlier incarnations that have records but no entry in the partition
+// table. They were written by a version of the program without that table. The caller holds the lock.
 func (h *Holder) unclaimedPredecessors(view lease.View) (out []lease.Partition) {
 	for _, key := range h.predecessors.unadopted {
 		known := slices.ContainsFunc(view.Partitions, func(p lease.Partition) bool { return p.Key == key })
--- a/internal/leaseholder/routing.go
+++ b/internal/leaseholder/routing.go
@@ -8,14 +8,15 @@
 	"gatetack/internal/store"
 )
 
-// nodeHeaderPrefix begins the names of headers that nodes add for one another.
+// nodeHeaderPrefix is the prefix of the names of headers that nodes add for each other.
 const nodeHeaderPrefix = "X-Gatetack-"
 
 // ForwardedByHeader is the header of a forwarded call. It names the node that forwarded it.
 const ForwardedByHeader = nodeHeaderPrefix + "Hop"
 
-// Locate returns who owns a partition: this node, or the node whose batch front listens at addr. It is neither if
-// nobody owns the partition at the moment. Known reports whether there is such a partition.
+// Locate returns the owner of a partition: here is true if this node owns it, and addr is the address of another
+// owner's batch front. Neither is set if the partition has no owner at the moment. Known reports whether the partition
+// exists.
 func (h *Holder) Locate(key string) (addr string, here, known bool) {
 	h.mu.Lock()
 	_, here = h.manager.Epoch(key)
@@ -34,7 +35,7 @@
 	return "", false, true
 }
 
-// Forward makes a client's call at another node. A forwarded call is not forwarded again.
+// Forward forwards a client's call to another node. A forwarded call is not forwarded again.
 func (h *Holder) Forward(ctx context.Context, addr string, call *http1.Message) (*http1.Message, error) {
 	fields := []http1.Field{{Name: ForwardedByHeader, Value: h.node}}
 	for _, field := range call.Fields {
--- a/internal/leaseholder/scale_test.go
+++ b/internal/leaseholder/scale_test.go
@@ -10,12 +10,12 @@
 	"gatetack/internal/lease"
 )
 
-var scaleNodes = flag.Int("scale", 20, "nodes of the scale test; the figures in docs/design/duties.md are of 100")
+var scaleNodes = flag.Int("scale", 20, "nodes of the scale test; the results in docs/design/duties.md are for 100")
 
-// partitionsPerNode is how many partitions of earlier incarnations each node of the scale test owns.
+// partitionsPerNode is the number of partitions of earlier incarnations that each node of the scale test owns.
 const partitionsPerNode = 100
 
-// tick lets 100 ms pass: all nodes but one see the store, step, and have their calls return.
+// tick simulates 100 ms, in which all nodes except lost update their local state, step, and complete their calls.
 func (f *fleet) tick(lost *testNode) {
 	f.elapsed += 100 * time.Millisecond
 	f.store.nowMs += 100
@@ -39,7 +39,7 @@
 	}
 }
 
-// own makes a node the owner of partitions of a hundred earlier incarnations.
+// own makes a node the owner of the partitions of partitionsPerNode earlier incarnations.
 func (f *fleet) own(node *testNode, owners map[string]string) {
 	value, err := json.Marshal(node.self.incarnation)
 	if err != nil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// The store is written as often as leases are renewed, however many partitions there are. When a node is lost its
-// partitions move and no others, spread over all remaining nodes, each claimed about once.
+// The number of writes to the store depends on the lease renewals, not on the number of partitions. When a node is
+// lost, only its partitions move. They are spread over the remaining nodes, and each is claimed about once.
 func TestStoreWritesDoNotGrowWithPartitions(t *testing.T) {
 	n := *scaleNodes
 	f := newFleet(t, 1, n)
@@ -71,27 +71,27 @@
 	step := time.Since(startedAt) / time.Duration(100*n)
 	written := f.store.index - before
 	if limit := uint64(11 * n); written > limit {
-		t.Errorf("%d writes in 10 s of %d nodes with %d partitions, want %d at most", written, n, partitionsPerNode*n, limit)
+		t.Errorf("%d writes in 10 s of %d nodes with %d partitions, want at most %d", written, n, partitionsPerNode*n, limit)
 	}
 	lost := f.nodes[n/2]
 	before = f.store.index
 	f.ticks(80, lost)
-	claims := int(f.store.index-before) - 8*(n-1) // beside renewals
+	claims := int(f.store.index-before) - 8*(n-1) // without lease renewals
 	moved := f.movedPartitions(owners, lost)
 	total, largest := 0, 0
 	for _, count := range moved {
 		total, largest = total+count, max(largest, count)
 	}
-	t.Logf("%d nodes, %d partitions: %d writes in 10 s, %v a step; one lost: %d moved to %d nodes, %d at most to one, "+
-		"%d writes beside renewals", n, partitionsPerNode*n, written, step.Round(time.Microsecond), total, len(moved),
+	t.Logf("%d nodes, %d partitions: %d writes in 10 s, %v per step; one lost: %d moved to %d nodes, at most %d to one, "+
+		"%d writes without renewals", n, partitionsPerNode*n, written, step.Round(time.Microsecond), total, len(moved),
 		largest, claims)
 	if total != partitionsPerNode || len(moved) < min(n-1, partitionsPerNode)/2 || claims > 2*(partitionsPerNode+1)+n {
-		t.Errorf("%d moved to %d nodes by %d writes", total, len(moved), claims)
+		t.Errorf("%d partitions moved to %d nodes with %d writes", total, len(moved), claims)
 	}
 }
 
-// movedPartitions returns how many partitions moved to which node, and fails the test for one that moved and was not
-// the lost node's, or that was and did not.
+// movedPartitions returns the number of partitions that moved to each node. It fails the test if a partition of the
+// lost node did not move, or another one did.
 func (f *fleet) movedPartitions(owners map[string]string, lost *testNode) map[string]int {
 	moved := map[string]int{}
 	for key, before := range owners {
@@ -101,7 +101,7 @@
 			moved[now]++
 		}
 		if now == lost.name || before != lost.name && now != before {
-			f.t.Errorf("%s was %s's and is %s's", key, before, now)
+			f.t.Errorf("partition %s was owned by %s and is now owned by %s", key, before, now)
 		}
 	}
 	return moved
--- a/internal/leaseholder/view.go
+++ b/internal/leaseholder/view.go
@@ -8,7 +8,7 @@
 	"gatetack/internal/lease"
 )
 
-// maxEntries bounds how many leases and partitions a view has: more than a fleet ever has.
+// maxEntries is the maximum number of leases and of partitions in a view, more than any fleet has.
 const maxEntries = 1 << 16
 
 // leaseRecord is the stored value of a lease.
@@ -17,9 +17,9 @@
 	Addr      string `json:"addr"`
 }
 
-// partitionCache keeps what was read of the partition table. Leases change all the time, and partitions seldom.
+// partitionCache caches the partition table. Leases change all the time, but partitions rarely do.
 type partitionCache struct {
-	stamp      any // of the table when it was read
+	stamp      any // stamp of the table when it was read
 	partitions []lease.Partition
 }
 
@@ -33,10 +33,10 @@
 			}
 		}
 	}
-	return slices.Clip(c.partitions) // what is appended goes to a copy
+	return slices.Clip(c.partitions) // appending copies the slice
 }
 
-// view reads leases and partitions as this member has them. Only the loop calls it.
+// view returns the leases and partitions in this member's local state. Only the loop calls it.
 func (h *Holder) view() lease.View {
 	stored := h.store.View()
 	view := lease.View{Leases: map[string]lease.Lease{}, Partitions: h.partitions.read(stored)}
