--- a/cmd/gatetack/callbacks.go
+++ b/cmd/gatetack/callbacks.go
@@ -10,13 +10,13 @@
 	"gatetack/internal/platform"
 )
 
-// callbackRouter takes callbacks for the executors of this process and stores those of attempts that it does not know
-// for the other process of the node, if one runs beside it: while one replaces the other, all of them come to the new
-// one. A callback of neither process is answered as any other, because it may be a duplicate or belong to an attempt
-// that has ended. One that could not be stored for the other process is rejected, so that the executor calls again.
+// callbackRouter delivers callbacks to the executor client of this process. It stores callbacks of unknown attempts for
+// the other process of the node, if there is one: while one process replaces the other, all callbacks arrive at the new
+// one. A callback that belongs to neither process is acknowledged like any other, since it may be a duplicate or belong
+// to an attempt that has ended. A callback that cannot be stored is rejected, so that the executor retries it.
 type callbackRouter struct {
 	executors *executor.Client
-	relay     *callbackrelay.Relay        // nil: no other process of the node can run
+	relay     *callbackrelay.Relay        // nil: the node has no second process
 	batch     atomic.Pointer[batch.Front] // nil until the batch front is open
 }
 
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// take delivers a callback that the other process stored. It reports whether the callback was of an attempt of this
+// take delivers a callback that the other process stored. It reports whether the callback belongs to an attempt of this
 // process.
 func (r *callbackRouter) take(body []byte) bool {
 	return !errors.Is(r.executors.Callback(body), executor.ErrUnknownAttempt)
--- a/cmd/gatetack/callbacks_test.go
+++ b/cmd/gatetack/callbacks_test.go
@@ -17,8 +17,8 @@
 	"gatetack/internal/testenv"
 )
 
-// A callback of an attempt that this process does not know is refused while the directory that the other process takes
-// it from can not be used, and taken once it can.
+// A callback of an unknown attempt is rejected while it cannot be stored for the other process, because the directory
+// is unusable. It is accepted once the directory is usable.
 func TestUnknownCallbackIsRefusedWhileItCanNotBePassedOn(t *testing.T) {
 	blocked := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(blocked, nil, 0o600); err != nil {
@@ -26,14 +26,14 @@
 	}
 	relay := callbackrelay.New(filepath.Join(blocked, "handover"), time.Millisecond, time.Minute, testenv.DiscardLog)
 	if err := relay.Register(); err == nil {
-		t.Fatal("registered below a file")
+		t.Fatal("Register succeeded below a regular file")
 	}
 	executors := executor.New(t.Context(), &errgroup.Group{}, testenv.Limits, node.Names{}, nil, nil, testenv.DiscardLog)
 	router := &callbackRouter{executors: executors, relay: relay}
 	callback := []byte(`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"done","result":"tile"}`)
 	err := router.Callback(callback)
 	if _, ok := errors.AsType[*platform.CallbackRejectedError](err); !ok || !errors.Is(err, syscall.ENOTDIR) {
-		t.Fatalf("%v", err)
+		t.Fatalf("got error %v, want a CallbackRejectedError with ENOTDIR", err)
 	}
 	if err := os.Remove(blocked); err != nil {
 		t.Fatal(err)
@@ -42,6 +42,6 @@
 		t.Fatal(err)
 	}
 	if err := router.Callback(callback); err != nil {
-		t.Errorf("with no other process: %v", err)
+		t.Errorf("callback with a usable directory and no other process: %v", err)
 	}
 }
--- a/cmd/gatetack/configuration.go
+++ b/cmd/gatetack/configuration.go
@@ -7,8 +7,8 @@
 	"gatetack/internal/slowpeer"
 )
 
-// load reads the platform's configuration and, where one is named, the operator's file. A file that names the node
-// stands for both: the node is alone then, and no variable of the platform's is needed.
+// load reads the platform's configuration and, if path is not empty, the operator's file. If the file names the node,
+// the node is standalone: the file replaces the platform's configuration, and no EDGE_* variable is needed.
 func load(path string) (*config.Config, *config.File, error) {
 	file := &config.File{SlowPeers: slowpeer.Default()}
 	var err error
--- a/cmd/gatetack/conform.go
+++ b/cmd/gatetack/conform.go
@@ -11,7 +11,7 @@
 	"gatetack/internal/conformance"
 )
 
-// conformTimeout bounds a run of the conformance suite, unless its flag says otherwise.
+// conformTimeout is the default timeout of a run of the conformance suite.
 const conformTimeout = 5 * time.Minute
 
 func conformCommand() *cobra.Command {
@@ -36,7 +36,7 @@
 					failed++
 				}
 				if result.Err != nil || !failedOnly {
-					_ = result.Print(out) // kept in out.err
+					_ = result.Print(out) // the error is kept in out.err
 				}
 			})
 			out.printf("%d cases, %d failed\n", cases, failed)
--- a/cmd/gatetack/duty.go
+++ b/cmd/gatetack/duty.go
@@ -13,14 +13,15 @@
 	"gatetack/internal/leaseholder"
 )
 
-// partitionStatus is a partition of the job records, which the command line calls a duty, as commands show it.
+// partitionStatus is the status of a partition of the job records in the output of commands. The command line calls a
+// partition a duty.
 type partitionStatus struct {
 	Partition    string    `json:"duty"`
-	Owner        string    `json:"owner"`           // empty: nobody's at the moment
-	BatchAddress string    `json:"batch,omitempty"` // of the owner
+	Owner        string    `json:"owner"`           // empty: no owner
+	BatchAddress string    `json:"batch,omitempty"` // address of the owner's batch front
 	Epoch        uint64    `json:"epoch"`
-	Node         string    `json:"of"`     // whose jobs these are
-	Since        time.Time `json:"since"`  // when that incarnation of the node began
+	Node         string    `json:"of"`     // node that created the partition and its jobs
+	Since        time.Time `json:"since"`  // start of that node's incarnation
 	OwnerAlive   bool      `json:"living"` // the owner has a lease
 	Reason       string    `json:"why"`
 }
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// showPartition shows one partition and its former owners.
+// showPartition prints a partition and its previous owners.
 func (r *storeRemote) showPartition(cmd *cobra.Command, format, key string) error {
 	all, err := r.partitions(cmd)
 	if err != nil {
@@ -81,7 +82,7 @@
 	return usageError{fmt.Errorf("no duty is called %q: duty list names them", key)}
 }
 
-// showOwners prints who had a partition under which epoch.
+// showOwners prints the owners of a partition with their epochs.
 func (r *storeRemote) showOwners(cmd *cobra.Command, key string) error {
 	history, _, err := r.call(cmd.Context(), http.MethodGet, keyPath(leaseholder.PartitionTable, key)+"?history=1", nil)
 	if err != nil {
@@ -95,8 +96,9 @@
 	return out.err
 }
 
-// movePartition assigns a partition to a node's present incarnation, which claims it under an epoch of its own as
-// soon as it sees so. If that incarnation ends first the partition is as any whose owner has no lease.
+// movePartition assigns a partition to the current incarnation of a node, which claims it under a new epoch as soon as
+// it observes the assignment. If that incarnation ends before, the partition is like any other whose owner has no
+// lease.
 func (r *storeRemote) movePartition(cmd *cobra.Command, key, to string) error {
 	alive, err := r.aliveNodes(cmd)
 	if err != nil {
@@ -110,10 +112,10 @@
 	return usageError{fmt.Errorf("node %q has no lease: duty list names those that are alive", to)}
 }
 
-// assignPartition writes a partition's owner, or that it has none, over the present one, and prints what was done.
+// assignPartition replaces the owner of a partition by another owner or by none, and prints the result.
 func (r *storeRemote) assignPartition(cmd *cobra.Command, key string, to lease.Incarnation, done string) error {
 	path := keyPath(leaseholder.PartitionTable, key)
-	answer, _, err := r.call(cmd.Context(), http.MethodGet, path, nil)
+	response, _, err := r.call(cmd.Context(), http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
@@ -121,17 +123,17 @@
 	if err != nil {
 		return err
 	}
-	former, epoch := ownerOf(parseEntry(answer)), answer.Get("version").Raw
+	previous, epoch := ownerOf(parseEntry(response)), response.Get("version").Raw
 	if _, _, err := r.call(cmd.Context(), http.MethodPut, path+"?if="+epoch, value); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(cmd.OutOrStdout(),
 		"%s %s; %s had it under epoch %s, and nothing it writes under that is taken any more\n",
-		key, done, describeOwner(former), epoch)
+		key, done, describeOwner(previous), epoch)
 	return err
 }
 
-// ownerOf is the owner that a partition's entry names, zero for none.
+// ownerOf returns the owner in the entry of a partition, or the zero value for none.
 func ownerOf(e entry) (owner lease.Incarnation) {
 	_ = json.Unmarshal([]byte(e.value), &owner)
 	return owner
--- a/cmd/gatetack/duty_list.go
+++ b/cmd/gatetack/duty_list.go
@@ -11,7 +11,7 @@
 	"gatetack/internal/leaseholder"
 )
 
-// aliveNodes are the incarnations that have a lease, with the addresses of their batch fronts.
+// aliveNodes returns the incarnations that have a lease, with the addresses of their batch fronts.
 func (r *storeRemote) aliveNodes(cmd *cobra.Command) (map[lease.Incarnation]string, error) {
 	alive := map[lease.Incarnation]string{}
 	err := r.each(cmd.Context(), tableQuery{table: leaseholder.LeaseTable}, func(e entry) {
@@ -21,7 +21,7 @@
 	return alive, err
 }
 
-// partitions are all partitions with their owners.
+// partitions returns all partitions with their owners.
 func (r *storeRemote) partitions(cmd *cobra.Command) ([]partitionStatus, error) {
 	alive, err := r.aliveNodes(cmd)
 	if err != nil {
@@ -34,19 +34,19 @@
 	return all, err
 }
 
-// statusOf is the status of the partition that an entry describes.
+// statusOf returns the status of the partition in an entry. alive contains the incarnations that have a lease.
 func statusOf(e entry, alive map[lease.Incarnation]string) partitionStatus {
-	holder := ownerOf(e)
+	owner := ownerOf(e)
 	partition, _ := lease.ParsePartitionKey(e.key)
-	address, ownerAlive := alive[holder]
-	status := partitionStatus{Partition: e.key, Owner: holder.Node, BatchAddress: address, Epoch: e.version,
+	address, ownerAlive := alive[owner]
+	status := partitionStatus{Partition: e.key, Owner: owner.Node, BatchAddress: address, Epoch: e.version,
 		Node: partition.Node, Since: time.UnixMilli(partition.StartedMs).UTC(), OwnerAlive: ownerAlive}
 	switch {
-	case holder.IsZero():
+	case owner.IsZero():
 		status.Reason = "handed over, and nobody has claimed it yet"
 	case !ownerAlive:
 		status.Reason = "its owner has no lease: another is to claim it"
-	case partition.Node != holder.Node:
+	case partition.Node != owner.Node:
 		status.Reason = "taken over from " + partition.Node
 	default:
 		status.Reason = "its own jobs"
@@ -54,7 +54,7 @@
 	return status
 }
 
-// showPartitions prints partitions as --output says.
+// showPartitions prints partitions in the given output format.
 func showPartitions(cmd *cobra.Command, format string, all []partitionStatus) error {
 	switch format {
 	case "json":
--- a/cmd/gatetack/job.go
+++ b/cmd/gatetack/job.go
@@ -15,7 +15,7 @@
 	"gatetack/drmaa2"
 )
 
-// maxListedJobs bounds a list of jobs unless a flag says otherwise.
+// maxListedJobs is the default limit of the list command.
 const maxListedJobs = 1000
 
 var jobColumns = []string{"ID", "STATE", "SUB", "CATEGORY", "ACCOUNT", "SESSION", "NAME", "SUBMITTED", "MACHINE"}
@@ -52,7 +52,7 @@
 	return cmd
 }
 
-// controlCommands are the commands that apply an action to jobs. Their names are those of the actions.
+// controlCommands returns the commands that apply an action to jobs. Each command has the name of its action.
 func (r *remote) controlCommands() []*cobra.Command {
 	hold := r.controlCommand("hold", "keep jobs back that wait at the node")
 	release := r.controlCommand("release", "let held jobs go")
@@ -68,7 +68,7 @@
 func (r *remote) controlCommand(action, short string) *cobra.Command {
 	return &cobra.Command{Use: action + " ID...", Short: short, Args: someIDs,
 		RunE: r.run(func(ctx context.Context, client *drmaa2.Client, cmd *cobra.Command, ids []string) error {
-			array, _ := cmd.Flags().GetBool("array") // false where there is no such flag
+			array, _ := cmd.Flags().GetBool("array") // false if the command has no such flag
 			out := &printer{writer: cmd.OutOrStdout()}
 			var failures error
 			for _, id := range ids {
@@ -82,7 +82,8 @@
 		})}
 }
 
-// doubtCommand is for jobs whose outcome is indeterminate: they may have run, and nothing more will be known of them.
+// doubtCommand returns the command for jobs with an indeterminate outcome: they may have run, and the node will not
+// learn more about them.
 func (r *remote) doubtCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "doubt", Short: "list jobs that may have run, and say what became of them"}
 	list := &cobra.Command{Use: "list", Short: "list jobs in doubt, of all sessions", Args: noArgs,
@@ -131,14 +132,14 @@
 	return nil
 }
 
-// jobQuery selects jobs.
+// jobQuery selects the jobs to list.
 type jobQuery struct {
 	filter      string
 	allSessions bool
 	limit       int // 0: all
 }
 
-// collectJobs lists the jobs of a query, an empty list rather than nil where there are none.
+// collectJobs returns the jobs that match a query. The result is empty rather than nil if no job matches.
 func collectJobs(ctx context.Context, client *drmaa2.Client, query jobQuery) ([]drmaa2.JobInfo, error) {
 	jobs := []drmaa2.JobInfo{}
 	err := client.Jobs(ctx, query.filter, query.allSessions, func(job drmaa2.JobInfo) bool {
@@ -239,7 +240,7 @@
 				return err
 			})
 			if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
-				return nil // --timeout bounds a watch, and is no failure of it
+				return nil // --timeout ends a watch without an error
 			}
 			return err
 		})}
--- a/cmd/gatetack/job_submit.go
+++ b/cmd/gatetack/job_submit.go
@@ -15,7 +15,7 @@
 	"gatetack/drmaa2"
 )
 
-// arrayPollInterval is how often a command looks at an array that it waits for.
+// arrayPollInterval is the interval at which a command polls an array that it waits for.
 const arrayPollInterval = 250 * time.Millisecond
 
 func (r *remote) submitCommand() *cobra.Command {
@@ -85,7 +85,7 @@
 	return cmd
 }
 
-// awaitArray polls an array until all its members have ended, and draws how far it is.
+// awaitArray polls an array until all its members have ended, and draws its progress.
 func awaitArray(
 	ctx context.Context, client *drmaa2.Client, cmd *cobra.Command, array drmaa2.JobArray,
 ) (drmaa2.JobArray, error) {
@@ -104,16 +104,17 @@
 	return array, nil
 }
 
-// failedArray is the error of an array of which members failed.
+// failedArray returns the error for an array with failed members.
 func failedArray(array *drmaa2.JobArray) error {
 	return &failedJob{drmaa2.JobInfo{JobID: array.JobArrayID, JobState: array.JobState,
 		Annotation: fmt.Sprintf("%d of %d members failed", array.Failed, array.Jobs)}}
 }
 
-// progressWidth is how many characters the bar of an array has.
+// progressWidth is the width of the progress bar in characters.
 const progressWidth = 40
 
-// drawProgress draws a bar on a terminal, and nothing elsewhere. A bar that can not be drawn does not fail the command.
+// drawProgress draws a progress bar if standard error is a terminal. A failed write of the bar does not fail the
+// command.
 func drawProgress(cmd *cobra.Command, array *drmaa2.JobArray) {
 	terminal, ok := cmd.ErrOrStderr().(*os.File)
 	if !ok || !isatty.IsTerminal(terminal.Fd()) || array.Jobs == 0 {
--- a/cmd/gatetack/job_template.go
+++ b/cmd/gatetack/job_template.go
@@ -14,17 +14,17 @@
 	"gatetack/drmaa2"
 )
 
-// templateFlags are the flags that fill a job template: most of them hold an attribute as it is, the others stand for
-// more than their text.
+// templateFlags are the flags that fill a job template. Most flags set an attribute directly; the values of the others
+// are parsed or read from a file.
 type templateFlags struct {
 	template drmaa2.Template
-	file     string // a template to begin with
-	payload  string // or @ and the file that has it
+	file     string // template file whose attributes the flags override
+	payload  string // payload, or @ and the name of its file
 	start    string
 	deadline string
 }
 
-// register adds the flags to a command.
+// register adds the flags to cmd.
 func (f *templateFlags) register(cmd *cobra.Command) {
 	flags := cmd.Flags()
 	flags.StringVarP(&f.file, "file", "f", "", "a job template as JSON or YAML; flags go before it")
@@ -47,7 +47,7 @@
 	)
 }
 
-// fill returns the template that the file and the flags describe. A flag that was set goes before the file.
+// fill returns the template that the file and the flags describe. Flags that were set override the file.
 func (f *templateFlags) fill(cmd *cobra.Command) (drmaa2.Template, error) {
 	template := f.template
 	if f.file != "" {
@@ -81,7 +81,7 @@
 	return template, nil
 }
 
-// readTemplate reads a job template as YAML, which JSON is too.
+// readTemplate reads a job template from a YAML file. JSON is accepted too, since it is a subset of YAML.
 func readTemplate(file string) (template drmaa2.Template, err error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return template, nil
 }
 
-// override replaces attributes of a template by those whose flags were set.
+// override replaces the attributes of a template whose flags were set.
 func (f *templateFlags) override(cmd *cobra.Command, template *drmaa2.Template) {
 	changed := cmd.Flags().Changed
 	if changed("category") {
@@ -127,7 +127,8 @@
 	}
 }
 
-// readPayload is a payload as its flag has it: the text, or what the file after @ has, standard input for @-.
+// readPayload returns the payload that a flag describes: its text, the contents of the file after @, or standard input
+// for @-.
 func readPayload(cmd *cobra.Command, flag string) (string, error) {
 	name, isFile := strings.CutPrefix(flag, "@")
 	if !isFile {
@@ -141,7 +142,7 @@
 	return string(data), err
 }
 
-// parseMoment is a time as a flag has it: a date, or a span from now. It returns nil where the flag is empty.
+// parseMoment parses the value of a flag: an RFC 3339 time or a span from now. It returns nil if the value is empty.
 func parseMoment(flag, text string) (*time.Time, error) {
 	if text == "" {
 		return nil, nil
--- a/cmd/gatetack/job_wait.go
+++ b/cmd/gatetack/job_wait.go
@@ -8,12 +8,12 @@
 	"gatetack/drmaa2"
 )
 
-// jobWait waits for jobs and keeps their states as they are found.
+// jobWait waits for jobs and collects their states.
 type jobWait struct {
 	client  *drmaa2.Client
-	started bool // until they have started, rather than ended
+	started bool // wait until jobs have started instead of ended
 	jobs    []drmaa2.JobInfo
-	failed  *failedJob // the first that did not end well
+	failed  *failedJob // first job that did not end in state DONE
 }
 
 // await waits until one of several jobs has ended or started.
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// awaitAll waits for each of several jobs, in their order.
+// awaitAll waits for each of several jobs in the given order.
 func (w *jobWait) awaitAll(ctx context.Context, ids []string) error {
 	for _, id := range ids {
 		if err := w.await(ctx, id); err != nil {
--- a/cmd/gatetack/keys.go
+++ b/cmd/gatetack/keys.go
@@ -8,7 +8,7 @@
 	"gatetack/internal/pki"
 )
 
-// Validity of certificates unless a flag says otherwise.
+// Default validity of certificates.
 const (
 	year              = 365 * 24 * time.Hour
 	authorityValidity = 10 * year
@@ -38,7 +38,7 @@
 	return cmd
 }
 
-// certificateCommand is a command that makes certificates which are valid for as long as its flag says.
+// certificateCommand returns a command that creates certificates. Its flag sets their validity.
 func certificateCommand(
 	use, short string, arguments int, usual time.Duration, do func(args []string, valid time.Duration) error,
 ) *cobra.Command {
@@ -61,7 +61,7 @@
 	return writeJSON(cmd.OutOrStdout(), certificates)
 }
 
-// exactArgs rejects another number of arguments, in cobra's words.
+// exactArgs requires the given number of arguments and reports cobra's message as a usage error.
 func exactArgs(number int) cobra.PositionalArgs {
 	check := cobra.ExactArgs(number)
 	return func(cmd *cobra.Command, args []string) error {
--- a/cmd/gatetack/lifetime_test.go
+++ b/cmd/gatetack/lifetime_test.go
@@ -12,7 +12,7 @@
 	parts := newLifetime(parent)
 	cancel()
 	if err := parts.ctx.Err(); err != nil {
-		t.Errorf("the parts were ended with the parent: %v", err)
+		t.Errorf("the components were stopped with the parent context: %v", err)
 	}
 	parts.stop()
 	if err := parts.wait(); err != nil {
@@ -20,7 +20,7 @@
 	}
 }
 
-// Closers run after the last goroutine has ended, last opened first.
+// Closers run in reverse order after the last goroutine has ended.
 func TestLifetimeClosesInReverseOrderAfterGoroutines(t *testing.T) {
 	parts := newLifetime(t.Context())
 	var order []string
--- a/cmd/gatetack/listen.go
+++ b/cmd/gatetack/listen.go
@@ -9,11 +9,12 @@
 	"gatetack/internal/config"
 )
 
-// passedSocketVariable is the environment variable that names the descriptor of a listening socket passed to the
+// passedSocketVariable is the environment variable with the descriptor of a listening socket that is passed to the
 // process.
 const passedSocketVariable = "EDGE_PASSED_SOCKET"
 
-// listen returns the clients' listening socket: the one that the platform passed, or a new one on the address.
+// listen returns the clients' listening socket: the one that the platform passed, or a new one on the configured
+// address.
 func listen(cfg *config.Config, log *slog.Logger) (net.Listener, error) {
 	if cfg.PassedSocket >= 0 {
 		return passedListener(cfg, log)
@@ -38,7 +39,7 @@
 			passedSocketVariable, cfg.PassedSocket, err)
 	}
 	if passed := listener.Addr().String(); passed != cfg.Listen {
-		log.Warn("passed socket listens on another address than configured", "passed", passed, "configured", cfg.Listen)
+		log.Warn("passed socket listens on a different address than configured", "passed", passed, "configured", cfg.Listen)
 	}
 	return listener, nil
 }
--- a/cmd/gatetack/listen_test.go
+++ b/cmd/gatetack/listen_test.go
@@ -11,12 +11,12 @@
 	"gatetack/internal/testenv"
 )
 
-// A passed listening socket is taken as it is, and connections to it reach the node; a descriptor that is no listening
-// socket, or not open, is an error at the start that names it, never a listener of its own.
+// A passed listening socket is used, and connections to it reach the node. A descriptor that is not open or not a
+// listening socket causes an error at the start that names the variable; the node does not open its own socket instead.
 //
-// The test failed at times: it passed the number of a descriptor that an os.File of its own closed as well, and the
-// second close ended whatever had got the number meanwhile (in a trial that opened a file between the two closes, 100
-// of 100 files were lost). The program has one owner of what it is passed, and so has the test now.
+// Each descriptor that the test passes has a single owner. If an os.File of the test closed it as well, the second
+// close would hit whatever file got the same number in between: this made the test flaky, and in a trial that opened a
+// file between the two closes, 100 of 100 files were lost.
 func TestPassedSocketIsServedAndAnyOtherDescriptorIsAnError(t *testing.T) {
 	passed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,7 +34,7 @@
 	}
 	defer func() { _ = ln.Close() }()
 	if ln.Addr().String() != passed.Addr().String() {
-		t.Fatalf("listens at %s, the passed socket at %s", ln.Addr(), passed.Addr())
+		t.Fatalf("listener address %s, want that of the passed socket, %s", ln.Addr(), passed.Addr())
 	}
 	go func() {
 		if c, err := net.Dial("tcp", passed.Addr().String()); err == nil {
@@ -54,14 +54,14 @@
 	for _, fd := range []int{passOn(t, plain), 1 << 20} {
 		if ln, err := listen(&config.Config{Listen: "127.0.0.1:1", PassedSocket: fd}, testenv.DiscardLog); err == nil {
 			_ = ln.Close()
-			t.Errorf("descriptor %d taken for a listening socket", fd)
+			t.Errorf("descriptor %d was accepted as a listening socket", fd)
 		} else if !strings.Contains(err.Error(), "EDGE_PASSED_SOCKET") {
-			t.Errorf("descriptor %d: %v does not name the variable", fd, err)
+			t.Errorf("descriptor %d: error %v does not name the variable", fd, err)
 		}
 	}
 }
 
-// passOn gives a descriptor of a file's that whoever it is passed to owns.
+// passOn returns a duplicate of a file's descriptor, which its receiver owns.
 func passOn(t *testing.T, file *os.File) int {
 	t.Helper()
 	descriptor, err := syscall.Dup(int(file.Fd()))
--- a/cmd/gatetack/main.go
+++ b/cmd/gatetack/main.go
@@ -1,5 +1,6 @@
-// Command gatetack is one node: it takes jobs from clients and brings them to executors as package dispatch decides.
-// Beside that it is the command line of the batch front.
+// Command gatetack runs a node, which accepts requests and jobs from clients and dispatches them to executors
+// according to the decisions of package dispatch. It is also the command-line client of the batch front and of the
+// replicated store.
 package main
 
 import (
@@ -23,14 +24,14 @@
 // version is set by the build with -ldflags "-X main.version=...".
 var version = "0.3.0"
 
-// Exit codes, as docs/batch.md has them.
+// Exit codes, as documented in docs/batch.md.
 const (
 	exitFailed  = 1 // the command failed
-	exitUsage   = 2 // its command line is wrong
-	exitRefused = 3 // the node rejected it: the state, the session or an argument does not allow it
-	exitLater   = 4 // the node can not now: try again
-	exitJob     = 5 // the job that was waited for has failed
-	exitUnknown = 6 // the outcome of the job that was waited for is indeterminate
+	exitUsage   = 2 // the command line is invalid
+	exitRefused = 3 // the node rejected the call because of the state, the session or an argument
+	exitLater   = 4 // the node cannot handle the call now: try again later
+	exitJob     = 5 // the awaited job has failed
+	exitUnknown = 6 // the outcome of the awaited job is indeterminate
 )
 
 func main() {
@@ -71,7 +72,7 @@
 	return cmd
 }
 
-// fromEnvironment gives flags that were not set the value of their variable, if there is one.
+// fromEnvironment sets flags that are absent from the command line from their environment variables.
 func fromEnvironment(flags *pflag.FlagSet) error {
 	var firstError error
 	flags.VisitAll(func(f *pflag.Flag) {
@@ -85,7 +86,7 @@
 	return firstError
 }
 
-// noArgs rejects arguments.
+// noArgs rejects all arguments.
 func noArgs(cmd *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("%s: %q is not expected", cmd.Name(), args[0])}
@@ -100,7 +101,7 @@
 		Long: "Runs a node. On the platform EDGE_CONFIG names its configuration, and --config what runs beside it; a file\n" +
 			"with a section node (like deploy/standalone.yaml) is all that a node needs that is alone.",
 		RunE: func(_ *cobra.Command, _ []string) error {
-			// Taken before anything else: until then a reload would end the process.
+			// SIGHUP is handled before anything else: unhandled, it would terminate the process.
 			hup := make(chan os.Signal, 1)
 			signal.Notify(hup, syscall.SIGHUP)
 			log, err := newLogger(level, format)
@@ -126,7 +127,7 @@
 	cmd.Flags().StringVar(path, "config", "", "a file like deploy/gatetack.yaml; what it would turn on is off without it")
 }
 
-// newLogger returns a logger that writes structured lines to standard error.
+// newLogger returns a logger that writes structured log lines to standard error.
 func newLogger(level, format string) (*slog.Logger, error) {
 	var lowest slog.Level
 	if err := lowest.UnmarshalText([]byte(level)); err != nil {
@@ -167,7 +168,7 @@
 	return cmd
 }
 
-// describeNode prints what a node would listen on and persist.
+// describeNode prints the name, addresses and persistence of a node.
 func describeNode(out *printer, cfg *config.Config, file *config.File) {
 	out.printf("%s: %d classes, %d tenants, %d known executors, listens on %s\n",
 		cfg.Name, len(cfg.Names.Classes), len(cfg.Names.Tenants), len(cfg.Known.Entries), cfg.Listen)
@@ -179,7 +180,7 @@
 	}
 }
 
-// describeStore prints what a node would have of the replicated store.
+// describeStore prints how a node uses the replicated store.
 func describeStore(out *printer, file *config.File) {
 	if file.Store.Dir != "" {
 		out.printf("store in %s, %d members\n", file.Store.Dir, len(file.Store.Members))
--- a/cmd/gatetack/output.go
+++ b/cmd/gatetack/output.go
@@ -6,14 +6,14 @@
 	"text/tabwriter"
 )
 
-// printer writes a command's output and keeps the first failed write in err, so that a command prints line by line and
-// returns the failure once, at its end.
+// printer writes the output of a command and keeps the first write error in err, so that a command can print line by
+// line and return the error once at its end.
 type printer struct {
 	writer io.Writer
 	err    error
 }
 
-// Write passes bytes on until a write has failed.
+// Write writes to the underlying writer until a write has failed.
 func (p *printer) Write(data []byte) (int, error) {
 	if p.err != nil {
 		return 0, p.err
@@ -24,11 +24,11 @@
 }
 
 func (p *printer) printf(format string, args ...any) {
-	_, _ = fmt.Fprintf(p, format, args...) // kept in p.err
+	_, _ = fmt.Fprintf(p, format, args...) // the error is kept in p.err
 }
 
 func (p *printer) println(args ...any) {
-	_, _ = fmt.Fprintln(p, args...) // kept in p.err
+	_, _ = fmt.Fprintln(p, args...) // the error is kept in p.err
 }
 
 // table is a printer whose cells, separated by tabs, are aligned in columns.
@@ -37,16 +37,16 @@
 	columns *tabwriter.Writer
 }
 
-// newTable returns a table that is written to w by flush.
+// newTable returns a table that flush writes to w.
 func newTable(w io.Writer) *table {
 	columns := tabwriter.NewWriter(w, 0, 0, columnGap, ' ', 0)
 	return &table{printer: printer{writer: columns}, columns: columns}
 }
 
-// columnGap is the least number of spaces between two columns of a table.
+// columnGap is the minimum number of spaces between two columns of a table.
 const columnGap = 2
 
-// flush writes what is still buffered and returns the first error of the table.
+// flush writes the buffered cells and returns the first error of the table.
 func (t *table) flush() error {
 	if t.err == nil {
 		t.err = t.columns.Flush()
--- a/cmd/gatetack/output_test.go
+++ b/cmd/gatetack/output_test.go
@@ -8,7 +8,7 @@
 
 var errDiskFull = errors.New("no space left on device")
 
-// limitedWriter fails once it has taken a number of bytes.
+// limitedWriter fails when more than capacity bytes would be written.
 type limitedWriter struct {
 	strings.Builder
 	capacity int
@@ -32,7 +32,7 @@
 		t.Errorf("error %v, want %v", out.err, errDiskFull)
 	}
 	if got := target.String(); got != "one\n" {
-		t.Errorf("written %q, want only what came before the failure", got)
+		t.Errorf("wrote %q, want only the output before the failure", got)
 	}
 }
 
@@ -42,7 +42,7 @@
 	rows.println("ID\tSTATE")
 	rows.println("n0-17\tDONE")
 	if err := rows.flush(); err != nil || target.String() != "ID     STATE\nn0-17  DONE\n" {
-		t.Errorf("%v, written %q", err, target.String())
+		t.Errorf("flush error %v, wrote %q", err, target.String())
 	}
 	rows = newTable(&limitedWriter{capacity: 4})
 	rows.println("ID\tSTATE")
--- a/cmd/gatetack/process.go
+++ b/cmd/gatetack/process.go
@@ -18,47 +18,47 @@
 	"gatetack/internal/store"
 )
 
-// process is one running node: it opens the parts one after the other, connects them, and owns the order in which they
-// end. Fields are written while it starts, before the goroutines that read them.
+// process is one running node. It opens and connects the components and determines the order in which they stop. Its
+// fields are written during the start, before the goroutines that read them.
 type process struct {
-	config      *config.Config // with the store's settings over the platform's
+	config      *config.Config // platform configuration with the store's settings merged in
 	file        *config.File
 	log         *slog.Logger
-	incarnation time.Time // the start of this process by the wall clock: tells it from earlier ones of the same node
+	incarnation time.Time // wall-clock start time, which identifies this process among those of the same node
 	lifetime    *lifetime
 
-	// Control: decisions, and the state that they rest on.
+	// Control: decisions and the state that they use.
 	core       *node.Core
 	applier    *settingsApplier
 	executors  *executor.Client
 	lists      listSource
-	store      *store.Store   // nil where the file names none
-	jobRecords jobstore.Store // nil where batch jobs are not persisted
+	store      *store.Store   // nil if no store is configured
+	jobRecords jobstore.Store // nil if batch jobs are not persisted
 	stay       atomic.Int64   // how long clients are served after SIGTERM; the applier raises it with the longest deadline
 
-	// Fronts: listeners and what answers there.
+	// Fronts: listeners and their servers.
 	callbacks *callbackRouter
 	clients   *http1.Server
 	accepting atomic.Bool  // the clients' front accepts connections
-	batch     *batchServer // nil where the file names none
+	batch     *batchServer // nil if no batch front is configured
 }
 
-// serve runs a node until ctx ends and all that it accepted is answered.
+// serve runs a node until ctx ends and all accepted requests are answered.
 func serve(ctx context.Context, hup <-chan os.Signal, c *config.Config, f *config.File, log *slog.Logger) error {
 	p := &process{config: c, file: f, log: log, incarnation: failpoint.Wall(), lifetime: newLifetime(ctx)}
 	runtime.GOMAXPROCS(c.Limits.Cores)
 	debug.SetMemoryLimit(c.Limits.MemoryBytes)
 	if err := p.start(ctx, hup); err != nil {
 		p.lifetime.stop()
-		_ = p.lifetime.wait() // the parts end because one could not be opened: its error is the one to report
+		_ = p.lifetime.wait() // the error of the component that failed to open is the one to report
 		return err
 	}
 	err := p.lifetime.wait()
-	log.Info("ended", "err", err)
+	log.Info("stopped", "err", err)
 	return err
 }
 
-// start opens all parts. The listeners come last, so that no client is accepted that could not be served.
+// start opens all components. It opens the listeners last, so that no client is accepted before it can be served.
 func (p *process) start(ctx context.Context, hup <-chan os.Signal) error {
 	if err := p.startControl(ctx, hup); err != nil {
 		return err
@@ -85,9 +85,9 @@
 	return nil
 }
 
-// startControl opens all that decides and keeps state, and connects it.
+// startControl opens and connects the components that make decisions and keep state.
 func (p *process) startControl(ctx context.Context, hup <-chan os.Signal) error {
-	base := *p.config // before the store's settings are laid over it
+	base := *p.config // copy without the settings of the store
 	feed, err := openSettings(ctx, p.config, p.file, p.incarnation, p.log)
 	if err != nil {
 		return err
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// startFronts opens the listeners and what answers there. The core runs from the first of them on.
+// startFronts opens the listeners and their servers. The core starts with the first of them.
 func (p *process) startFronts(ctx context.Context) error {
 	if err := p.startClients(); err != nil {
 		return err
--- a/cmd/gatetack/process_control.go
+++ b/cmd/gatetack/process_control.go
@@ -18,20 +18,20 @@
 	"gatetack/internal/store"
 )
 
-// listSource brings the endpoint list to the core.
+// listSource delivers the endpoint list to the core.
 type listSource interface {
 	node.EndpointSource
-	// Run brings the list until the context ends.
+	// Run delivers the list and its changes until the context ends.
 	Run(context.Context) error
 }
 
-// noPeers takes the place of the socket to other nodes where the settings allow no messages.
+// noPeers replaces the socket to other nodes if the settings allow no messages between nodes.
 type noPeers struct{}
 
 // SendGossip drops the message.
 func (noPeers) SendGossip(uint16, []byte) {}
 
-// openCore makes the core and the client of the executors, which call one another.
+// openCore creates the core and the executor client, which call each other.
 func (p *process) openCore() error {
 	cfg := p.config
 	core, err := node.New(cfg.Settings, cfg.Seed, cfg.Known, cfg.Names, cfg.Limits, p.log)
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// openStore opens this node's member of the store, if the file names one. startRecords runs it.
+// openStore opens this node's member of the store, if one is configured. startRecords runs it.
 func (p *process) openStore() error {
 	member, err := openStore(p.config, p.file, p.core.SlowPeers(), p.log)
 	if err != nil {
@@ -65,18 +65,18 @@
 		Members: f.Store.Members, Join: f.Store.Join, Marks: f.StoreMarks(), Trust: f.Store.Trust}, c.Limits, slow, log)
 }
 
-// openKeys opens a folder of keys, and logs when keys that replace them can not be used. It returns nil where none is
-// named.
+// openKeys opens a directory of keys and logs an error when replaced keys cannot be used. It returns nil if dir is
+// empty.
 func openKeys(dir, user string, log *slog.Logger) (*pki.Ring, error) {
 	if dir == "" {
 		return nil, nil
 	}
 	return pki.Open(dir, func(err error) {
-		log.Error("replaced keys not usable, the former ones stay in use", "keys", user, "err", err)
+		log.Error("replaced keys not usable, keeping the previous keys", "keys", user, "err", err)
 	})
 }
 
-// startSettings makes the applier and has settings of the store come to it, where they do.
+// startSettings creates the applier and, if settings come from the store, the feed that delivers them to it.
 func (p *process) startSettings(feed *settingsFeed, base config.Config) error {
 	p.stay.Store(int64(p.config.Limits.ShutdownGrace))
 	p.applier = &settingsApplier{
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// startRecords has batch jobs persisted in the store or, without one, in a file of this node.
+// startRecords opens the storage of batch jobs: the store or, without a store, a file of this node.
 func (p *process) startRecords() error {
 	if p.store != nil {
 		p.jobRecords = p.store
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// openLists chooses where the endpoint list comes from: the inventory if there is one, discovery otherwise. The
-// configuration is read again on each SIGHUP from then on.
+// openLists opens the source of the endpoint list: the inventory, if one is configured, or discovery. It also starts to
+// reload the configuration on each SIGHUP.
 func (p *process) openLists(hup <-chan os.Signal) error {
 	cfg := p.config
 	source := discovery.New(cfg.Discovery, cfg.Known.Index, !cfg.Settings.PollsList, cfg.Limits,
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// startPeers opens the socket to other nodes, where the settings allow messages.
+// startPeers opens the socket to other nodes, if the settings allow messages between nodes.
 func (p *process) startPeers() (node.Peers, error) {
 	cfg := p.config
 	if !cfg.Settings.GossipAllowed || cfg.PeerListen == "" {
--- a/cmd/gatetack/process_fronts.go
+++ b/cmd/gatetack/process_fronts.go
@@ -23,22 +23,23 @@
 	"gatetack/internal/platform"
 )
 
-// handoverFolder is the folder under the system's temporary one in which two processes of a node exchange callbacks.
+// handoverFolder is the subdirectory of the system's temporary directory in which two processes of a node exchange
+// callbacks.
 const handoverFolder = "gatetack-handover"
 
-// Spare connections of a front, which get one answer and are closed, as a part of its connections.
+// Divisors of a front's connections that yield the number of its overflow connections, which get a single response.
 const (
 	operatorSparePart = 4
 	batchSparePart    = 8
 )
 
-// frontLimits are the limits of a front beside the clients' one.
+// frontLimits returns the limits of a front other than the clients' front.
 func frontLimits(lim limits.Limits, connections, sparePart int) limits.Limits {
 	lim.ClientConns, lim.OverflowConns, lim.RejectConns = connections, connections/sparePart, 1
 	return lim
 }
 
-// startClients opens the platform's front, and starts the core and the endpoint list with it.
+// startClients opens the platform front and starts the core and the source of the endpoint list.
 func (p *process) startClients() error {
 	cfg := p.config
 	listener, err := listen(cfg, p.log)
@@ -60,11 +61,11 @@
 	return nil
 }
 
-// startRelay exchanges callbacks with the process of this node that runs beside this one while one replaces the other.
+// startRelay starts to exchange callbacks with the other process of this node during a replacement.
 func (p *process) startRelay() {
 	folder := filepath.Join(os.TempDir(), handoverFolder)
 	relay := callbackrelay.New(folder, p.config.Limits.DrainCheckInterval, p.config.Limits.ShutdownGrace, p.log)
-	if err := relay.Register(); err != nil { // Run tries again
+	if err := relay.Register(); err != nil { // Run retries
 		p.log.Error("callback directory not usable", "err", err)
 	}
 	p.lifetime.onEnd(func() { _ = relay.Close() })
@@ -72,7 +73,7 @@
 	p.lifetime.start(func(ctx context.Context) error { return relay.Run(ctx, p.callbacks.take) })
 }
 
-// startOperator opens the operator's address.
+// startOperator opens the operator's front.
 func (p *process) startOperator(ctx context.Context) error {
 	listener, err := net.Listen("tcp", p.config.Operator)
 	if err != nil {
@@ -89,9 +90,9 @@
 	return nil
 }
 
-// followDrain applies the core's drain state to the clients' front until the node is notified to leave, when leave
-// takes over: while drained, each answer ends its connection and idle connections are closed, so that clients go
-// elsewhere; jobs under way are answered first.
+// followDrain applies the core's drain state to the clients' front until the node shuts down, when leave takes over.
+// While the node is drained, each response closes its connection and idle connections are closed, so that clients go
+// to other nodes; requests in progress are answered first.
 func followDrain(ctx context.Context, core *node.Core, front *http1.Server, interval time.Duration) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -110,8 +111,8 @@
 	}
 }
 
-// batchServer is the batch front with its listener and, where the node is a member of the store, the owner of its
-// partitions and the host of its actors.
+// batchServer is the batch front with its server and, if the node is a member of the store, the owner of its partitions
+// and the host of its actors.
 type batchServer struct {
 	front  *batch.Front
 	server *http1.Server
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// listenBatch opens the batch front's address, with mutual TLS where keys are named.
+// listenBatch opens the listener of the batch front, with mutual TLS if keys are configured.
 func (p *process) listenBatch() (net.Listener, *pki.Ring, error) {
 	listener, err := net.Listen("tcp", p.file.Batch.Listen)
 	if err != nil {
@@ -170,7 +171,7 @@
 	return listener, ring, nil
 }
 
-// startPlacer prices zones for jobs that name their inputs.
+// startPlacer starts the placer, which computes the cost of zones for jobs that name their inputs.
 func (p *process) startPlacer() (batch.Placer, error) {
 	placer, err := locality.Open(p.file.Data.File, p.config.Names, p.config.Settings, p.core, p.log)
 	if err != nil {
@@ -183,7 +184,8 @@
 	return placer, nil
 }
 
-// startActors runs the owner of the node's partitions and the host of its actors, and connects both to the batch front.
+// startActors starts the owner of the node's partitions and the host of its actors, and connects both to the batch
+// front.
 func (p *process) startActors(b *batchServer, ring *pki.Ring) {
 	b.owner.Connect(b.front, ring)
 	p.lifetime.start(b.owner.Run)
@@ -196,7 +198,7 @@
 	p.lifetime.start(b.actors.Run)
 }
 
-// zone is the name of the node's zone, empty where the settings name none.
+// zone returns the name of the node's zone, or "" if the settings have none.
 func (p *process) zone() string {
 	if zones := p.config.Names.Zones; p.config.Settings.Zone < len(zones) {
 		return zones[p.config.Settings.Zone]
--- a/cmd/gatetack/process_test.go
+++ b/cmd/gatetack/process_test.go
@@ -12,7 +12,8 @@
 	"gatetack/internal/testenv"
 )
 
-// A node that was notified to leave before it listened does not listen: whoever has its address meanwhile keeps it.
+// A node that is asked to shut down before it listens does not open its listener: another process may already use the
+// address.
 func TestServeNotifiedBeforeListeningDoesNotListen(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -23,11 +24,11 @@
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
 	if err := serve(ctx, make(chan os.Signal), c, f, testenv.DiscardLog); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("serve returned %v, want nil", err)
 	}
 }
 
-// standaloneAt is the configuration of a node alone that listens at addr.
+// standaloneAt returns the configuration of a standalone node that listens on addr.
 func standaloneAt(t *testing.T, addr string) (*config.Config, *config.File) {
 	t.Helper()
 	shipped, err := os.ReadFile("../../deploy/standalone.yaml")
--- a/cmd/gatetack/reload.go
+++ b/cmd/gatetack/reload.go
@@ -8,9 +8,9 @@
 	"gatetack/internal/config"
 )
 
-// reloader reads the platform's configuration again each time its file was replaced. It puts its classes, tenants,
-// attempts, prices and priority weights in force and moves to the discovery that it names. It goes on while the node
-// leaves. A file that can not be used changes nothing.
+// reloader reads the platform's configuration again on each signal, after its file was replaced. It activates the
+// classes, tenants, attempts, fees and priority weights and switches to the configured discovery. It also runs while
+// the node shuts down. An invalid file changes nothing.
 type reloader struct {
 	applier *settingsApplier
 	file    *config.File
@@ -18,7 +18,7 @@
 	log     *slog.Logger
 }
 
-// run reloads on each signal until the context ends.
+// run reloads the configuration on each signal until the context ends.
 func (r *reloader) run(ctx context.Context, signals <-chan os.Signal) {
 	for {
 		select {
@@ -27,7 +27,7 @@
 			return
 		}
 		if r.file.Standalone() {
-			r.log.Warn("reload: a node that is alone reads its file at its start")
+			r.log.Warn("reload: ignored, a standalone node reads its file only at its start")
 			continue
 		}
 		if err := r.reload(ctx); err != nil {
@@ -38,8 +38,8 @@
 
 // reload reads the configuration once.
 func (r *reloader) reload(ctx context.Context) error {
-	former := r.applier.baseConfig()
-	next, err := former.Reload(os.Getenv)
+	previous := r.applier.baseConfig()
+	next, err := previous.Reload(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -50,10 +50,10 @@
 	if err != nil {
 		return err
 	}
-	if needRestart := former.NeedRestart(next); len(needRestart) > 0 {
+	if needRestart := previous.NeedRestart(next); len(needRestart) > 0 {
 		r.log.Warn("reload: holds from the next start on", "changed", needRestart)
 	}
-	r.log.Info("reload", "discovery", next.Discovery, "was", former.Discovery, "retuned", changed,
+	r.log.Info("reload", "discovery", next.Discovery, "was", previous.Discovery, "retuned", changed,
 		"classes", next.Names.Classes)
 	r.move(next.Discovery)
 	return nil
--- a/cmd/gatetack/remote.go
+++ b/cmd/gatetack/remote.go
@@ -22,16 +22,16 @@
 	formatYAML  = "yaml"
 )
 
-// remote is what all commands that speak to a batch front share.
+// remote has the flags of all commands that call a batch front.
 type remote struct {
 	address string
 	session string
-	format  string // of the output
+	format  string // output format
 	keysDir string
 	timeout time.Duration // 0: none
 }
 
-// addFlags gives a command the flags that say which front to speak to, and how.
+// addFlags adds the flags for the connection and the output to a command.
 func (r *remote) addFlags(cmd *cobra.Command) {
 	flags := cmd.PersistentFlags()
 	flags.StringVar(&r.address, "addr", "127.0.0.1:8480", "where the node's batch front listens")
@@ -41,7 +41,7 @@
 	flags.DurationVar(&r.timeout, "timeout", 0, "give up after so long; 0: never")
 }
 
-// newClient returns a client of the batch front that the flags name.
+// newClient returns a client of the batch front that the flags select.
 func (r *remote) newClient() (*drmaa2.Client, error) {
 	client := drmaa2.New(r.address, r.session)
 	ring, err := clientKeys(r.keysDir)
@@ -54,10 +54,10 @@
 	return client, nil
 }
 
-// clientCommand is what a command does with a client of the batch front.
+// clientCommand is the body of a command that uses a client of the batch front.
 type clientCommand func(ctx context.Context, client *drmaa2.Client, cmd *cobra.Command, args []string) error
 
-// run is the RunE of a command that speaks to the batch front: it opens the client and bounds the command's time.
+// run returns the RunE function of a command that calls the batch front. It opens the client and applies the timeout.
 func (r *remote) run(do clientCommand) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		if r.format != formatTable && r.format != formatJSON && r.format != formatYAML {
@@ -78,7 +78,7 @@
 	}
 }
 
-// print writes a value as --output says: rows of a table, or the value itself.
+// print writes the rows as a table or the value v as JSON or YAML, according to the output format.
 func (r *remote) print(w io.Writer, v any, head []string, rows [][]string) error {
 	switch r.format {
 	case formatJSON:
@@ -104,12 +104,12 @@
 // failedJob is the error of a command whose job failed.
 type failedJob struct{ drmaa2.JobInfo }
 
-// Error names the job and how it ended.
+// Error returns the id of the job and how it ended.
 func (f *failedJob) Error() string {
 	return fmt.Sprintf("job %s: %s %s %s", f.JobID, f.JobState, f.JobSubState, f.Annotation)
 }
 
-// exitCode is the exit code of a command that failed.
+// exitCode returns the exit code for the error of a command.
 func exitCode(err error) int {
 	if _, ok := errors.AsType[usageError](err); ok {
 		return exitUsage
--- a/cmd/gatetack/session.go
+++ b/cmd/gatetack/session.go
@@ -42,7 +42,7 @@
 			}
 			defer s.Close()
 			_, err = fmt.Fprintln(cmd.OutOrStdout(), args[0])
-			return errors.Join(err, s.CloseSession(ctx)) // a command keeps no instance open
+			return errors.Join(err, s.CloseSession(ctx)) // the command must not leave an instance open
 		})})
 	cmd.AddCommand(&cobra.Command{Use: "destroy NAME", Short: "take a job session away whose jobs have ended", Args: one,
 		RunE: r.run(func(ctx context.Context, c *drmaa2.Client, _ *cobra.Command, args []string) error {
--- a/cmd/gatetack/settings.go
+++ b/cmd/gatetack/settings.go
@@ -17,10 +17,10 @@
 	"gatetack/internal/settingsync"
 )
 
-// settingsRemote is what the commands on settings share.
+// settingsRemote has the flags of the settings commands.
 type settingsRemote struct {
 	*storeRemote
-	format string // of the output
+	format string // output format
 }
 
 func settingsCommand() *cobra.Command {
@@ -36,7 +36,7 @@
 	return cmd
 }
 
-// changeOfItem is the change of `set`.
+// changeOfItem returns the change of the set command.
 func changeOfItem(args []string) ([]settings.Change, error) {
 	value, err := valueOrFile(args[1])
 	if err != nil {
@@ -48,12 +48,12 @@
 	return []settings.Change{{Key: args[0], Value: value}}, nil
 }
 
-// deletionOfItem is the change of `delete`.
+// deletionOfItem returns the change of the delete command.
 func deletionOfItem(args []string) ([]settings.Change, error) {
 	return []settings.Change{{Key: args[0]}}, nil
 }
 
-// changesOfFile are the changes of `apply`, in the order of their keys.
+// changesOfFile returns the changes of the apply command, sorted by key.
 func changesOfFile(args []string) ([]settings.Change, error) {
 	data, err := os.ReadFile(args[0])
 	if err != nil {
@@ -78,7 +78,7 @@
 	return changes, nil
 }
 
-// changeCommand is a command that changes items, by its arguments.
+// changeCommand returns a command that changes items. changes derives the changes from its arguments.
 func (r *settingsRemote) changeCommand(
 	use, short string, arguments int, changes func(args []string) ([]settings.Change, error),
 ) *cobra.Command {
@@ -108,12 +108,12 @@
 	if err != nil {
 		return err
 	}
-	_, answer, err := r.call(cmd.Context(), http.MethodPost, settingsync.Name+"/apply", body)
+	_, response, err := r.call(cmd.Context(), http.MethodPost, settingsync.Name+"/apply", body)
 	if err != nil {
 		return err
 	}
 	var accepted settingsync.Accepted
-	if err := json.Unmarshal(answer, &accepted); err != nil {
+	if err := json.Unmarshal(response, &accepted); err != nil {
 		return err
 	}
 	if r.format == formatJSON {
@@ -129,11 +129,11 @@
 			if err := r.checkFormat(); err != nil {
 				return err
 			}
-			_, answer, err := r.call(cmd.Context(), http.MethodGet, settingsync.Name+"/items", nil)
+			_, response, err := r.call(cmd.Context(), http.MethodGet, settingsync.Name+"/items", nil)
 			if err != nil {
 				return err
 			}
-			update, err := settings.DecodeUpdate(answer)
+			update, err := settings.DecodeUpdate(response)
 			if err != nil {
 				return err
 			}
@@ -158,12 +158,12 @@
 			if err := r.checkFormat(); err != nil {
 				return err
 			}
-			_, answer, err := r.call(cmd.Context(), http.MethodGet, settingsync.Name+"/status", nil)
+			_, response, err := r.call(cmd.Context(), http.MethodGet, settingsync.Name+"/status", nil)
 			if err != nil {
 				return err
 			}
 			var status settingsync.Status
-			if err := json.Unmarshal(answer, &status); err != nil {
+			if err := json.Unmarshal(response, &status); err != nil {
 				return err
 			}
 			if r.format == formatJSON {
@@ -192,7 +192,7 @@
 		}}
 }
 
-// lastHeard says when a process was last heard of.
+// lastHeard describes when the process last reported.
 func lastHeard(p settings.Progress) string {
 	if p.SilentMs < 0 {
 		return "not heard"
@@ -200,7 +200,7 @@
 	return fmt.Sprintf("heard %d ms ago", p.SilentMs)
 }
 
-// showStatus writes a line on the whole, and one on each process that is behind.
+// showStatus prints a summary line and one line for each process that is behind.
 func showStatus(out io.Writer, status settingsync.Status) error {
 	var behind []settings.Progress
 	for _, p := range status.Processes {
--- a/cmd/gatetack/settings_applier.go
+++ b/cmd/gatetack/settings_applier.go
@@ -12,24 +12,24 @@
 	"gatetack/internal/settings"
 )
 
-// settingsApplier puts settings in force: those of the store over those of the base configuration, whichever of the two
-// has changed. The core's changes of rules must not overlap, so all of them go through one applier.
+// settingsApplier activates settings: those of the base configuration with those of the store merged in, after a change
+// of either. Updates of the core's rules must not overlap, so all of them go through one applier.
 type settingsApplier struct {
 	core   *node.Core
 	limits limits.Limits
-	stay   *atomic.Int64 // after SIGTERM: grows with the longest deadline, since the node may be killed that much later
+	stay   *atomic.Int64 // time served after SIGTERM; grows with the longest deadline, which delays the kill
 
 	mu       sync.Mutex
 	base     config.Config
-	document *settings.Document // the store's settings in force
+	document *settings.Document // active settings of the store
 }
 
-// rulesOf are the settings of a configuration, over which the store's are laid.
+// rulesOf returns the settings of a configuration into which those of the store are merged.
 func rulesOf(cfg *config.Config) settings.Rules {
 	return settings.Rules{Settings: cfg.Settings, Classes: cfg.Names.Classes, Tenants: cfg.Names.Tenants}
 }
 
-// overlay puts a document's settings in the place of a configuration's own.
+// overlay merges the settings of a document into a configuration.
 func overlay(cfg *config.Config, document *settings.Document) error {
 	merged, err := settings.Merge(rulesOf(cfg), document)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// longestDeadline is that of any class.
+// longestDeadline returns the longest deadline of all classes.
 func longestDeadline(rules settings.Rules) time.Duration {
 	longest := 0.0
 	for _, class := range rules.Settings.Classes {
@@ -50,8 +50,8 @@
 	return node.FromMs(longest)
 }
 
-// Validate reports why this process could not put a document in force now: the merged settings must be usable, and the
-// classes whose rules they change must find places beside those that open jobs still use.
+// Validate returns an error if this process cannot activate a document now: the merged settings must be valid, and the
+// table of rules must have space for the changed classes in addition to the rules that open jobs still use.
 func (a *settingsApplier) Validate(document *settings.Document) error {
 	base := a.baseConfig()
 	if err := settings.Validate(rulesOf(base), document); err != nil {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// Activate has the core act on the settings of the store from now on.
+// Activate activates the settings of the store in the core.
 func (a *settingsApplier) Activate(ctx context.Context, document *settings.Document) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// apply has the core act on a base configuration and a document over it.
+// apply activates a base configuration with a document merged in.
 func (a *settingsApplier) apply(ctx context.Context, cfg config.Config, document *settings.Document) error {
 	if err := overlay(&cfg, document); err != nil {
 		return err
@@ -90,8 +90,7 @@
 	return nil
 }
 
-// replaceBase takes over a base configuration that was read again. It reports whether other settings are in force by
-// that.
+// replaceBase activates a reloaded base configuration. It reports whether the settings have changed.
 func (a *settingsApplier) replaceBase(ctx context.Context, next *config.Config) (changed bool, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,7 +104,7 @@
 	return changed, nil
 }
 
-// baseConfig is a copy of the base configuration.
+// baseConfig returns a copy of the base configuration.
 func (a *settingsApplier) baseConfig() *config.Config {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/cmd/gatetack/settings_applier_test.go
+++ b/cmd/gatetack/settings_applier_test.go
@@ -18,7 +18,7 @@
 	"gatetack/internal/settings"
 )
 
-// quietCarriers stands for all that a core speaks to, and does nothing.
+// quietCarriers implements the interfaces that a core calls, without any effect.
 type quietCarriers struct{}
 
 func (quietCarriers) UpdateEndpoint(uint32, node.Endpoint, time.Time) {}
@@ -30,7 +30,7 @@
 func (quietCarriers) Fetch()                                          {}
 func (quietCarriers) SendGossip(uint16, []byte)                       {}
 
-// configOf is a configuration with so many tenants, each with a quota.
+// configOf returns a configuration with the given number of tenants, each with the given quota.
 func configOf(t testing.TB, tenants int, quota float64) *config.Config {
 	t.Helper()
 	var list []map[string]any
@@ -71,7 +71,7 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-done; err != nil {
-			t.Errorf("the core ended with %v", err)
+			t.Errorf("the core stopped with error %v", err)
 		}
 	})
 	return &settingsApplier{
@@ -83,7 +83,7 @@
 	}
 }
 
-// quotaDocument has an item for each tenant of a configuration.
+// quotaDocument returns a document with an item for each tenant of a configuration.
 func quotaDocument(t testing.TB, tenants int, version uint64, quota int) *settings.Document {
 	t.Helper()
 	u := settings.Update{Version: version, Snapshot: true}
@@ -103,7 +103,7 @@
 	return d
 }
 
-// quotas are those of the tenants in force.
+// quotas returns the active quotas of the tenants.
 func quotas(core *node.Core) (out []float64) {
 	for _, t := range core.Rules().Settings.Tenants {
 		out = append(out, t.Quota)
@@ -111,8 +111,8 @@
 	return out
 }
 
-// A base that is read again and a document that comes cross many times: what is in force in the end is the last of
-// both, the document over the base.
+// After concurrent updates of the base configuration and the document, the active settings are the last base with the
+// last document merged in.
 func TestConcurrentBaseAndDocumentEndWithTheLastOfBoth(t *testing.T) {
 	const rounds = 50
 	applier := startApplier(t, configOf(t, 3, 1))
@@ -142,26 +142,26 @@
 		got,
 		want,
 	) {
-		t.Errorf("quotas in force: %v, expected %v", got, want)
+		t.Errorf("active quotas: %v, want %v", got, want)
 	}
 	if got := applier.baseConfig().Settings.Tenants[0].Quota; got != 100+rounds-1 {
-		t.Errorf("the base's quota is %v", got)
+		t.Errorf("quota in the base is %v, want the last one", got)
 	}
 }
 
-// What can not be used, as a document or as a base beneath one, leaves all as it was.
+// An invalid document, or a base that is invalid together with the document, is rejected and changes nothing.
 func TestApplierRejectsUnusableSettings(t *testing.T) {
 	applier := startApplier(t, configOf(t, 2, 1))
-	good, err := settings.NewDocument().Apply(settings.Update{Version: 1, Snapshot: true,
+	valid, err := settings.NewDocument().Apply(settings.Update{Version: 1, Snapshot: true,
 		Changes: []settings.Change{{Key: "tenant/tenant-0001", Value: json.RawMessage(`{"quotaRps":7}`)}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := applier.Activate(t.Context(), good); err != nil {
+	if err := applier.Activate(t.Context(), valid); err != nil {
 		t.Fatal(err)
 	}
 	before := applier.core.Rules()
-	bad, err := good.Apply(
+	invalid, err := valid.Apply(
 		settings.Update{
 			From:    1,
 			Version: 2,
@@ -173,26 +173,26 @@
 	}
 	if err := applier.Activate(
 		t.Context(),
-		bad,
+		invalid,
 	); err == nil ||
 		!strings.Contains(err.Error(), "class/new: deadline: absent") {
-		t.Errorf("a document that can not be used: %v", err)
+		t.Errorf("invalid document: got error %v", err)
 	}
 	if _, err := applier.replaceBase(
 		t.Context(),
 		configOf(t, 1, 1),
 	); err == nil ||
 		!strings.Contains(err.Error(), "tenant/tenant-0001: portion: absent") {
-		t.Errorf("a base without the tenant of an item: %v", err)
+		t.Errorf("base without the tenant of an item: got error %v", err)
 	}
-	if !reflect.DeepEqual(applier.core.Rules(), before) || applier.document != good ||
+	if !reflect.DeepEqual(applier.core.Rules(), before) || applier.document != valid ||
 		len(applier.baseConfig().Names.Tenants) != 2 {
-		t.Error("something has changed")
+		t.Error("a rejected change has changed the active settings, the document or the base")
 	}
 }
 
-// A change of more classes than there are places, beside those that jobs of the former rules may hold, is refused
-// before it is accepted.
+// A change of more classes than the table of rules has space for, in addition to the previous rules that open jobs may
+// still use, fails validation.
 func TestValidateCountsPlacesOfOpenJobs(t *testing.T) {
 	const classes = 200
 	applier := startApplier(t, configOf(t, 1, 1))
@@ -219,21 +219,21 @@
 		t.Fatal(err)
 	}
 	if err := applier.Validate(document(2, 54)); err != nil {
-		t.Errorf("as many as there are places: %v", err)
+		t.Errorf("change that fills the table of rules: %v", err)
 	}
 	before := applier.core.Rules()
 	if err := applier.Validate(
 		document(2, 55),
 	); err == nil ||
 		!strings.Contains(err.Error(), "256 rules would stand at a time, expected 255 at most") {
-		t.Errorf("one more: %v", err)
+		t.Errorf("change with one class too many: got error %v", err)
 	}
 	if applier.core.Rules() != before {
-		t.Error("a validation has changed what is in force")
+		t.Error("a validation has changed the active rules")
 	}
 }
 
-// BenchmarkPutActive changes one quota and has the core act on it.
+// BenchmarkPutActive measures the activation of a change of one quota.
 func BenchmarkPutActive(b *testing.B) {
 	for _, tenants := range []int{4, 50, 450} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
--- a/cmd/gatetack/settings_feed.go
+++ b/cmd/gatetack/settings_feed.go
@@ -14,16 +14,16 @@
 	"gatetack/internal/store"
 )
 
-// settingsFeed brings the store's settings to this process.
+// settingsFeed delivers the settings of the store to this process.
 type settingsFeed struct {
 	follower settingsync.FollowerConfig
-	active   *settings.Document // from the start on
+	active   *settings.Document // settings that are active at the start
 	service  *settingsync.Service
 }
 
-// openSettings finds the settings that the process starts with, from its cache or, where there are none, from a
-// member that it follows, and lays them over the configuration. Without any the process starts with its base
-// configuration. It returns nil where settings do not come through the store.
+// openSettings loads the settings for the start of the process from its cache or, if that is empty, from a member that
+// it follows, and merges them into the configuration. If there are none, the process starts with its base
+// configuration. It returns nil if settings do not come from the store.
 func openSettings(
 	ctx context.Context,
 	c *config.Config,
@@ -37,7 +37,7 @@
 	cache := settingsync.NewCache(f.Settings.Cache)
 	incarnation, err := cache.NextIncarnation(started.UnixMilli())
 	if err != nil {
-		log.Error("settings: the last incarnation of this process is not known or not kept", operr.Attrs(err))
+		log.Error("settings: the incarnation of this process cannot be read or stored", operr.Attrs(err))
 	}
 	feed := &settingsFeed{
 		follower: settingsync.FollowerConfig{Process: c.Name, Incarnation: incarnation, Cache: cache, Limits: c.Limits,
@@ -66,7 +66,7 @@
 	return feed, nil
 }
 
-// memberCaller calls members of the store, by the keys in a folder where one is named.
+// memberCaller returns a function that calls members of the store, with the keys in dir if that is not empty.
 func memberCaller(dir string, lim limits.Limits, log *slog.Logger) (settingsync.Caller, error) {
 	ring, err := openKeys(dir, "settings", log)
 	if err != nil {
@@ -77,7 +77,7 @@
 	}, nil
 }
 
-// serve mounts the calls for settings on this process's member of the store, and has the process follow it.
+// serve registers the settings calls at this process's member of the store and follows that member.
 func (s *settingsFeed) serve(
 	member *store.Store,
 	c *config.Config,
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// run brings settings until the context ends.
+// run delivers settings to the target until the context ends.
 func (s *settingsFeed) run(ctx context.Context, target settingsync.Target) error {
 	s.follower.Target = target
 	follower := settingsync.NewFollower(s.follower, s.active)
--- a/cmd/gatetack/shutdown.go
+++ b/cmd/gatetack/shutdown.go
@@ -8,17 +8,17 @@
 	"gatetack/internal/http1"
 )
 
-// quietPollInterval is how often a leaving process looks whether anything is still open.
+// quietPollInterval is the interval at which a process that shuts down checks for open requests and connections.
 const quietPollInterval = 10 * time.Millisecond
 
-// leave ends the process in order: it goes on until nothing is open and nothing new comes, gives up what it owns in the
-// store, and closes the fronts.
+// leave shuts the process down gracefully. It serves until nothing is open and no new request arrives, releases the
+// partitions and actors that it owns in the store, and closes the fronts.
 func (p *process) leave(ctx context.Context) {
 	passed := p.config.PassedSocket >= 0
 	p.log.Info("leaving", "open", p.core.Open(), "handover", passed)
 	if passed {
-		// The socket is shared with the process that replaces this one: that one accepts the new connections, and clients
-		// of connections here go there after their answers.
+		// The socket is shared with the process that replaces this one. That process accepts new connections, and clients
+		// with connections to this process move there after their responses.
 		p.clients.StopAccepting()
 		p.clients.Drain()
 	}
@@ -31,11 +31,12 @@
 	if p.batch != nil && p.batch.owner != nil {
 		p.releaseOwned(ctx)
 	}
-	p.core.ShutDown(time.Now()) // rejects at once what comes from here on
+	p.core.ShutDown(time.Now()) // new requests are rejected at once
 	p.finishFronts(ctx)
 }
 
-// releaseOwned lets other nodes take over this node's partitions and actors without waiting for its leases to expire.
+// releaseOwned releases this node's partitions and actors, so that other nodes can take them over before its leases
+// expire.
 func (p *process) releaseOwned(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.config.Limits.StoreElectionTimeout)
 	defer cancel()
@@ -43,8 +44,8 @@
 	p.batch.owner.Release(ctx)
 }
 
-// finishFronts ends the fronts within a bound: what came in the moment in which the process decided to end still gets
-// its answer.
+// finishFronts closes the fronts within ShutdownGrace. Requests that arrive during the decision to close are still
+// answered.
 func (p *process) finishFronts(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.config.Limits.ShutdownGrace)
 	defer cancel()
@@ -54,10 +55,11 @@
 	}
 }
 
-// awaitQuiet returns once nothing is open and nothing new has come for a while. Clients go on using the connections
-// they have for as long as those are open, and new ones go elsewhere or nowhere: so the clients' front serves on
-// until the process may be killed, and only then are answers given early and connections closed between requests.
-// (Closing them at once lost all requests of a client that has one node, from the signal to the node's next start.)
+// awaitQuiet returns once nothing is open and no new request has arrived for QuietPeriod. Clients use their
+// connections as long as these are open, and open new ones elsewhere, if they can. The clients' front therefore serves
+// until the process may be killed; only then are requests rejected and idle connections closed. Closing idle
+// connections at once would lose all requests of a client that knows a single node, from the signal to the next start
+// of the node.
 func (p *process) awaitQuiet(ctx context.Context) {
 	notified, rejecting := time.Now(), false
 	tick := time.NewTicker(quietPollInterval)
@@ -80,8 +82,8 @@
 	}
 }
 
-// closeIdle closes connections between requests: the clients' ones when they are to go to another process or node, the
-// batch front's once its clients had time to see that it drains.
+// closeIdle closes idle connections: those of the clients' front when clients must move to another process or node,
+// those of the batch front once its clients had time to observe the drain.
 func (p *process) closeIdle(rejecting bool, leavingFor time.Duration) {
 	if rejecting || p.config.PassedSocket >= 0 {
 		p.clients.CloseIdle()
@@ -91,7 +93,7 @@
 	}
 }
 
-// isQuiet reports whether nothing is open and the last request is long enough ago.
+// isQuiet reports whether nothing is open and the last activity is at least QuietPeriod ago.
 func (p *process) isQuiet(notified time.Time) bool {
 	servers := []*http1.Server{p.clients}
 	if p.batch != nil {
@@ -104,7 +106,8 @@
 			lastUse = at
 		}
 	}
-	// A store without a leader must not keep the process for good: ends that it does not take stay unrecorded.
+	// A store without a leader must not delay the shutdown indefinitely: ends of jobs that it does not accept in time stay
+	// unrecorded.
 	unrecorded := p.batch != nil && p.batch.front.Pending() && time.Since(lastUse) < 2*p.config.Limits.StoreCallTimeout
 	return p.core.Open() == 0 && connections == 0 && !unrecorded && time.Since(lastUse) >= p.config.Limits.QuietPeriod
 }
--- a/cmd/gatetack/store.go
+++ b/cmd/gatetack/store.go
@@ -24,14 +24,14 @@
 	return cmd
 }
 
-// storeCall is one call to a member, made from a command's arguments.
+// storeCall describes how to build a call to a member from the arguments of a command.
 type storeCall struct {
 	verb string
 	path func(args []string) string
-	body func(args []string) ([]byte, error) // nil: none
+	body func(args []string) ([]byte, error) // nil: no body
 }
 
-// callCommand is a command that makes one call to a member and prints its answer.
+// callCommand returns a command that makes one call to a member and prints the response.
 func (r *storeRemote) callCommand(use, short string, arguments int, call storeCall) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: exactWords(arguments),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -42,19 +42,19 @@
 					return err
 				}
 			}
-			_, answer, err := r.call(cmd.Context(), call.verb, call.path(args), body)
+			_, response, err := r.call(cmd.Context(), call.verb, call.path(args), body)
 			if err != nil {
 				return err
 			}
 			var v any
-			if err := json.Unmarshal(answer, &v); err != nil {
+			if err := json.Unmarshal(response, &v); err != nil {
 				return err
 			}
 			return writeJSON(cmd.OutOrStdout(), v)
 		}}
 }
 
-// exactWords rejects another number of arguments.
+// exactWords requires the given number of arguments.
 func exactWords(number int) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if len(args) != number {
@@ -100,7 +100,7 @@
 		path: func(args []string) string { return keyPath(args[0], args[1]) + "?history=1" }})
 }
 
-// getCommand shares its flag with the list command: both read as the called member has it.
+// getCommand returns the get command. It shares the flag stale with the list command.
 func (r *storeRemote) getCommand(stale *bool) *cobra.Command {
 	cmd := r.callCommand("get TABLE KEY", "tell a value", 2, storeCall{verb: http.MethodGet,
 		path: func(args []string) string {
@@ -113,13 +113,13 @@
 	return cmd
 }
 
-// writeCondition is what a write depends on, and how long its value stays.
+// writeCondition has the condition of a write and the TTL of its value.
 type writeCondition struct {
-	version string // that must stand there; empty: any
+	version string // required current version; empty: any
 	ttl     time.Duration
 }
 
-// path is that of a write to a key under the condition.
+// path returns the path of a conditional write to a key.
 func (c *writeCondition) path(args []string) string {
 	query := url.Values{}
 	if c.version != "" {
@@ -157,7 +157,7 @@
 	return cmd
 }
 
-// valueOrFile is a value given as an argument: its text, or what is in the file that it names with @.
+// valueOrFile returns the value of an argument: its text, or the contents of the file named after @.
 func valueOrFile(argument string) ([]byte, error) {
 	if name, ok := strings.CutPrefix(argument, "@"); ok {
 		return os.ReadFile(name)
@@ -185,23 +185,23 @@
 	return cmd
 }
 
-// storeWatch selects the changes that a watch shows.
+// storeWatch selects the changes that the watch command prints.
 type storeWatch struct {
 	table, prefix string
-	after         string // a version; empty: from now on
+	after         string // version after which to start; empty: now
 	span          time.Duration
 }
 
-// watchPollMs is how long a member holds back the answer to one poll when nothing changes.
+// watchPollMs is how long a member delays the response to a poll while nothing changes, in milliseconds.
 const watchPollMs = "1000"
 
 func (r *storeRemote) watchCommand() *cobra.Command {
 	var w storeWatch
 	cmd := &cobra.Command{Use: "watch", Short: "follow changes, one a line", Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			began := time.Now()
+			started := time.Now()
 			out := printer{writer: cmd.OutOrStdout()}
-			for w.span == 0 || time.Since(began) < w.span {
+			for w.span == 0 || time.Since(started) < w.span {
 				if err := r.pollChanges(cmd, &w, &out); err != nil {
 					return err
 				}
@@ -215,18 +215,18 @@
 	return cmd
 }
 
-// pollChanges prints the next changes of a watch and moves it past them.
+// pollChanges prints the next changes of a watch and advances it past them.
 func (r *storeRemote) pollChanges(cmd *cobra.Command, w *storeWatch, out *printer) error {
 	query := url.Values{"table": {w.table}, "prefix": {w.prefix}, "timeoutMs": {watchPollMs}}
 	if w.after != "" {
 		query.Set("after", w.after)
 	}
-	answer, _, err := r.call(cmd.Context(), http.MethodGet, "watch?"+query.Encode(), nil)
+	response, _, err := r.call(cmd.Context(), http.MethodGet, "watch?"+query.Encode(), nil)
 	if err != nil {
 		return err
 	}
-	w.after = answer.Get("after").Raw
-	for _, e := range answer.Get("events").Array() {
+	w.after = response.Get("after").Raw
+	for _, e := range response.Get("events").Array() {
 		out.println(e.Raw)
 	}
 	return out.err
--- a/cmd/gatetack/store_folder.go
+++ b/cmd/gatetack/store_folder.go
@@ -31,11 +31,11 @@
 		}}
 }
 
-// snapshotMode lets the operator alone read a snapshot: it holds what clients submitted.
+// snapshotMode restricts a snapshot to the operator, since it contains data that clients submitted.
 const snapshotMode = 0o600
 
-// writeSnapshot writes a snapshot durably, so that an earlier one under the same name is not lost to a full disk.
-// What is no regular file, as a terminal or a link, is written in place.
+// writeSnapshot writes a snapshot atomically and durably, so that a full disk does not destroy an earlier one with the
+// same name. A path that is not a regular file, such as a terminal or a link, is written in place.
 func writeSnapshot(path string, data []byte) error {
 	if info, err := os.Lstat(path); err == nil && !info.Mode().IsRegular() {
 		return os.WriteFile(path, data, snapshotMode)
--- a/cmd/gatetack/store_remote.go
+++ b/cmd/gatetack/store_remote.go
@@ -15,10 +15,10 @@
 	"gatetack/internal/store"
 )
 
-// storeTimeout bounds a command that speaks to a member of the store, unless its flag says otherwise.
+// storeTimeout is the default timeout of a call to a member of the store.
 const storeTimeout = 30 * time.Second
 
-// storeRemote is what commands that speak to a member of the store share.
+// storeRemote has the flags of all commands that call a member of the store.
 type storeRemote struct {
 	address string
 	keysDir string
@@ -26,7 +26,7 @@
 	limits  limits.Limits
 }
 
-// newStoreRemote gives a command the flags that say which member to speak to, and how.
+// newStoreRemote adds the flags for the connection to a member to a command.
 func newStoreRemote(cmd *cobra.Command) *storeRemote {
 	r := &storeRemote{limits: limits.New(0, 0, 0, 0, 0)}
 	flags := cmd.PersistentFlags()
@@ -36,7 +36,7 @@
 	return r
 }
 
-// call speaks to a member, and returns a rejection as an error of the kind that its exit code says.
+// call makes a call to a member. It returns a rejection as a *drmaa2.Error, which determines the exit code.
 func (r *storeRemote) call(ctx context.Context, verb, path string, body []byte) (gjson.Result, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
@@ -44,17 +44,17 @@
 	if err != nil {
 		return gjson.Result{}, nil, err
 	}
-	answer, err := store.Call(ctx, r.address, verb, "/v1/"+path, body, ring, r.limits)
+	response, err := store.Call(ctx, r.address, verb, "/v1/"+path, body, ring, r.limits)
 	if err != nil {
 		return gjson.Result{}, nil, err
 	}
-	if answer.Status != http.StatusOK {
-		return gjson.Result{}, nil, storeRejection(answer.Status, answer.Body)
+	if response.Status != http.StatusOK {
+		return gjson.Result{}, nil, storeRejection(response.Status, response.Body)
 	}
-	return gjson.ParseBytes(answer.Body), answer.Body, nil
+	return gjson.ParseBytes(response.Body), response.Body, nil
 }
 
-// storeRejection is the error of an answer of the store that is not 200.
+// storeRejection returns the error for a response of the store with a status other than 200.
 func storeRejection(status int, body []byte) error {
 	rejection := &drmaa2.Error{Status: status, Code: "REFUSED", Message: gjson.GetBytes(body, "error").String()}
 	if status == http.StatusServiceUnavailable {
@@ -66,20 +66,19 @@
 	return rejection
 }
 
-// entry is one entry of a table, as the store's answers have it.
+// entry is one entry of a table in a response of the store.
 type entry struct {
 	key     string
 	value   string
 	version uint64
-	raw     string // the JSON of all of it
+	raw     string // JSON of the entry
 }
 
 func parseEntry(v gjson.Result) entry {
 	return entry{key: v.Get("key").String(), value: v.Get("value").String(), version: v.Get("version").Uint(), raw: v.Raw}
 }
 
-// each calls visit for all entries of a table whose keys begin with a prefix, page by page. With stale they are as the
-// called member has them, which may be old.
+// each calls visit for all entries that a query selects. It reads them page by page.
 func (r *storeRemote) each(ctx context.Context, table tableQuery, visit func(entry)) error {
 	for after := ""; ; {
 		page, _, err := r.call(ctx, http.MethodGet, table.path(after), nil)
@@ -101,11 +100,11 @@
 // tableQuery selects entries of a table.
 type tableQuery struct {
 	table  string
-	prefix string // of the keys
-	stale  bool   // as the called member has them, which may be old
+	prefix string // prefix of the keys
+	stale  bool   // read from the called member's replica, which may be outdated
 }
 
-// path is that of the page of entries after a key.
+// path returns the path of the page of entries after a key.
 func (q tableQuery) path(after string) string {
 	query := url.Values{"prefix": {q.prefix}, "after": {after}}
 	path := "kv/" + url.PathEscape(q.table) + "?" + query.Encode()
@@ -115,12 +114,12 @@
 	return path
 }
 
-// keyPath is the path of one key of a table.
+// keyPath returns the path of a key in a table.
 func keyPath(table, key string) string {
 	return "kv/" + url.PathEscape(table) + "/" + url.PathEscape(key)
 }
 
-// clientKeys opens a folder of keys for one call. It returns nil where none is named.
+// clientKeys opens a directory of keys for one call. It returns nil if dir is empty.
 func clientKeys(dir string) (*pki.Ring, error) {
 	if dir == "" {
 		return nil, nil
