--- a/cmd/gatetack/callbacks.go
+++ b/cmd/gatetack/callbacks.go
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// take delivers a callback that the other process stored. It reports whether the callback belongs to an attempt of this
-// process.
-func (r *callbackRouter) take(body []byte) bool {
+// deliverStored delivers a callback that the other process stored. It reports whether the callback belongs to an
+// attempt of this process.
+func (r *callbackRouter) deliverStored(body []byte) bool {
 	return !errors.Is(r.executors.Callback(body), executor.ErrUnknownAttempt)
 }
--- a/cmd/gatetack/callbacks_test.go
+++ b/cmd/gatetack/callbacks_test.go
@@ -19,7 +19,7 @@
 
 // A callback of an unknown attempt is rejected while it cannot be stored for the other process, because the directory
 // is unusable. It is accepted once the directory is usable.
-func TestUnknownCallbackIsRefusedWhileItCanNotBePassedOn(t *testing.T) {
+func TestUnknownCallbackIsRejectedWhileItCannotBeStored(t *testing.T) {
 	blocked := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(blocked, nil, 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/gatetack/lifetime_test.go
+++ b/cmd/gatetack/lifetime_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestLifetimeEndsAllPartsWhenOneFails(t *testing.T) {
+func TestLifetimeStopsAllComponentsWhenOneFails(t *testing.T) {
 	parts := newLifetime(t.Context())
 	failed := errors.New("the listener failed")
 	parts.start(func(ctx context.Context) error {
--- a/cmd/gatetack/listen_test.go
+++ b/cmd/gatetack/listen_test.go
@@ -17,7 +17,7 @@
 // Each descriptor that the test passes has a single owner. If an os.File of the test closed it as well, the second
 // close would hit whatever file got the same number in between: this made the test flaky, and in a trial that opened a
 // file between the two closes, 100 of 100 files were lost.
-func TestPassedSocketIsServedAndAnyOtherDescriptorIsAnError(t *testing.T) {
+func TestPassedSocketIsServedAndOtherDescriptorsAreRejected(t *testing.T) {
 	passed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,8 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = f.Close() }()
-	ln, err := listen(&config.Config{Listen: passed.Addr().String(), PassedSocket: passOn(t, f)}, testenv.DiscardLog)
+	ln, err := listen(&config.Config{Listen: passed.Addr().String(), PassedSocket: duplicateDescriptor(t, f)},
+		testenv.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +52,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = plain.Close() }()
-	for _, fd := range []int{passOn(t, plain), 1 << 20} {
+	for _, fd := range []int{duplicateDescriptor(t, plain), 1 << 20} {
 		if ln, err := listen(&config.Config{Listen: "127.0.0.1:1", PassedSocket: fd}, testenv.DiscardLog); err == nil {
 			_ = ln.Close()
 			t.Errorf("descriptor %d was accepted as a listening socket", fd)
@@ -61,8 +62,8 @@
 	}
 }
 
-// passOn returns a duplicate of a file's descriptor, which its receiver owns.
-func passOn(t *testing.T, file *os.File) int {
+// duplicateDescriptor returns a duplicate of a file's descriptor, which its receiver owns.
+func duplicateDescriptor(t *testing.T, file *os.File) int {
 	t.Helper()
 	descriptor, err := syscall.Dup(int(file.Fd()))
 	if err != nil {
--- a/cmd/gatetack/main.go
+++ b/cmd/gatetack/main.go
@@ -26,12 +26,12 @@
 
 // Exit codes, as documented in docs/batch.md.
 const (
-	exitFailed  = 1 // the command failed
-	exitUsage   = 2 // the command line is invalid
-	exitRefused = 3 // the node rejected the call because of the state, the session or an argument
-	exitLater   = 4 // the node cannot handle the call now: try again later
-	exitJob     = 5 // the awaited job has failed
-	exitUnknown = 6 // the outcome of the awaited job is indeterminate
+	exitFailed     = 1 // the command failed
+	exitUsage      = 2 // the command line is invalid
+	exitRejected   = 3 // the node rejected the call because of the state, the session or an argument
+	exitRetryLater = 4 // the node cannot handle the call now: try again later
+	exitJob        = 5 // the awaited job has failed
+	exitUnknown    = 6 // the outcome of the awaited job is indeterminate
 )
 
 func main() {
--- a/cmd/gatetack/process.go
+++ b/cmd/gatetack/process.go
@@ -28,13 +28,13 @@
 	lifetime    *lifetime
 
 	// Control: decisions and the state that they use.
-	core       *node.Core
-	applier    *settingsApplier
-	executors  *executor.Client
-	lists      listSource
-	store      *store.Store   // nil if no store is configured
-	jobRecords jobstore.Store // nil if batch jobs are not persisted
-	stay       atomic.Int64   // how long clients are served after SIGTERM; the applier raises it with the longest deadline
+	core          *node.Core
+	applier       *settingsApplier
+	executors     *executor.Client
+	endpoints     listSource
+	store         *store.Store   // nil if no store is configured
+	jobRecords    jobstore.Store // nil if batch jobs are not persisted
+	shutdownGrace atomic.Int64   // time served after SIGTERM; the applier raises it with the longest deadline
 
 	// Fronts: listeners and their servers.
 	callbacks *callbackRouter
@@ -54,7 +54,7 @@
 		return err
 	}
 	err := p.lifetime.wait()
-	log.Info("stopped", "err", err)
+	log.Info("ended", "err", err)
 	return err
 }
 
@@ -77,7 +77,7 @@
 		defer p.lifetime.stop()
 		select {
 		case <-ctx.Done():
-			p.leave(running)
+			p.shutDown(running)
 		case <-running.Done():
 		}
 		return nil
@@ -104,14 +104,14 @@
 	if err := p.startRecords(); err != nil {
 		return err
 	}
-	if err := p.openLists(hup); err != nil {
+	if err := p.openEndpointSource(hup); err != nil {
 		return err
 	}
 	peers, err := p.startPeers() //nolint:contextcheck // opening a socket does not block
 	if err != nil {
 		return err
 	}
-	p.core.Connect(p.executors, p.lists, peers)
+	p.core.Connect(p.executors, p.endpoints, peers)
 	if p.file.Inventory.File == "" {
 		p.core.AwaitList(len(p.config.Known.Entries))
 	}
--- a/cmd/gatetack/process_control.go
+++ b/cmd/gatetack/process_control.go
@@ -78,13 +78,13 @@
 
 // startSettings creates the applier and, if settings come from the store, the feed that delivers them to it.
 func (p *process) startSettings(feed *settingsFeed, base config.Config) error {
-	p.stay.Store(int64(p.config.Limits.ShutdownGrace))
+	p.shutdownGrace.Store(int64(p.config.Limits.ShutdownGrace))
 	p.applier = &settingsApplier{
-		core:     p.core,
-		limits:   p.config.Limits,
-		stay:     &p.stay,
-		base:     base,
-		document: settings.NewDocument(),
+		core:          p.core,
+		limits:        p.config.Limits,
+		shutdownGrace: &p.shutdownGrace,
+		base:          base,
+		document:      settings.NewDocument(),
 	}
 	if feed == nil {
 		return nil
@@ -122,9 +122,9 @@
 	return nil
 }
 
-// openLists opens the source of the endpoint list: the inventory, if one is configured, or discovery. It also starts to
-// reload the configuration on each SIGHUP.
-func (p *process) openLists(hup <-chan os.Signal) error {
+// openEndpointSource opens the source of the endpoint list: the inventory, if one is configured, or discovery. It also
+// starts to reload the configuration on each SIGHUP.
+func (p *process) openEndpointSource(hup <-chan os.Signal) error {
 	cfg := p.config
 	source := discovery.New(cfg.Discovery, cfg.Known.Index, !cfg.Settings.PollsList, cfg.Limits,
 		p.core, p.core.SlowPeers(), p.log)
@@ -133,7 +133,7 @@
 		reloads.run(ctx, hup)
 		return nil
 	})
-	p.lists = source
+	p.endpoints = source
 	if p.file.Inventory.File == "" {
 		return nil
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	p.lists = list
+	p.endpoints = list
 	return nil
 }
 
--- a/cmd/gatetack/process_fronts.go
+++ b/cmd/gatetack/process_fronts.go
@@ -29,13 +29,13 @@
 
 // Divisors of a front's connections that yield the number of its overflow connections, which get a single response.
 const (
-	operatorSparePart = 4
-	batchSparePart    = 8
+	operatorOverflowDivisor = 4
+	batchOverflowDivisor    = 8
 )
 
 // frontLimits returns the limits of a front other than the clients' front.
-func frontLimits(lim limits.Limits, connections, sparePart int) limits.Limits {
-	lim.ClientConns, lim.OverflowConns, lim.RejectConns = connections, connections/sparePart, 1
+func frontLimits(lim limits.Limits, connections, overflowDivisor int) limits.Limits {
+	lim.ClientConns, lim.OverflowConns, lim.RejectConns = connections, connections/overflowDivisor, 1
 	return lim
 }
 
@@ -53,7 +53,7 @@
 	p.clients = http1.NewServer(
 		cfg.Limits, platform.New(p.core, p.callbacks, cfg.Limits, p.log), p.core.SlowPeers(), p.log)
 	p.lifetime.start(p.core.Run)
-	p.lifetime.start(p.lists.Run)
+	p.lifetime.start(p.endpoints.Run)
 	p.lifetime.start(func(ctx context.Context) error {
 		p.accepting.Store(true)
 		return p.clients.Serve(ctx, listener)
@@ -70,7 +70,7 @@
 	}
 	p.lifetime.onEnd(func() { _ = relay.Close() })
 	p.callbacks.relay = relay
-	p.lifetime.start(func(ctx context.Context) error { return relay.Run(ctx, p.callbacks.take) })
+	p.lifetime.start(func(ctx context.Context) error { return relay.Run(ctx, p.callbacks.deliverStored) })
 }
 
 // startOperator opens the operator's front.
@@ -79,7 +79,7 @@
 	if err != nil {
 		return fmt.Errorf("operator: %w", err)
 	}
-	lim := frontLimits(p.config.Limits, p.config.Limits.OperatorConns, operatorSparePart)
+	lim := frontLimits(p.config.Limits, p.config.Limits.OperatorConns, operatorOverflowDivisor)
 	lim.SlowPeers.SharePerAddress = false
 	server := http1.NewServer(lim, operator.New(p.core, p.accepting.Load, p.log), p.core.SlowPeers(), p.log)
 	p.lifetime.start(func(running context.Context) error { return server.Serve(running, listener) })
@@ -143,7 +143,7 @@
 		}
 	}
 	b.front = batch.New(options)
-	lim := frontLimits(p.config.Limits, p.config.Limits.BatchConns, batchSparePart)
+	lim := frontLimits(p.config.Limits, p.config.Limits.BatchConns, batchOverflowDivisor)
 	b.server = http1.NewServer(lim, b.front, p.core.SlowPeers(), p.log)
 	p.callbacks.batch.Store(b.front)
 	if b.owner != nil {
--- a/cmd/gatetack/process_test.go
+++ b/cmd/gatetack/process_test.go
@@ -14,7 +14,7 @@
 
 // A node that is asked to shut down before it listens does not open its listener: another process may already use the
 // address.
-func TestServeNotifiedBeforeListeningDoesNotListen(t *testing.T) {
+func TestServeCanceledBeforeListeningDoesNotListen(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/gatetack/remote.go
+++ b/cmd/gatetack/remote.go
@@ -124,9 +124,9 @@
 	switch {
 	case rejected && (rejection.Code == "TRY_LATER" || rejection.Code == "TIMEOUT"),
 		errors.Is(err, context.DeadlineExceeded):
-		return exitLater
+		return exitRetryLater
 	case rejected:
-		return exitRefused
+		return exitRejected
 	}
 	return exitFailed
 }
--- a/cmd/gatetack/settings.go
+++ b/cmd/gatetack/settings.go
@@ -192,8 +192,8 @@
 		}}
 }
 
-// lastHeard describes when the process last reported.
-func lastHeard(p settings.Progress) string {
+// describeLastReport describes when the process last reported.
+func describeLastReport(p settings.Progress) string {
 	if p.SilentMs < 0 {
 		return "not heard"
 	}
@@ -213,7 +213,7 @@
 		status.Version, len(status.Processes)-len(behind), len(status.Processes))
 	for _, p := range behind {
 		rows.printf("not yet in force at %s\tversion %d\tbehind for %d ms\t%s\t%s\n",
-			p.Process, p.ActiveVersion, p.BehindMs, lastHeard(p), p.Rejected.Reason)
+			p.Process, p.ActiveVersion, p.BehindMs, describeLastReport(p), p.Rejected.Reason)
 	}
 	for _, name := range status.Unreachable {
 		rows.printf("not asked: %s\twho follows it may be missing here\n", name)
--- a/cmd/gatetack/settings_applier.go
+++ b/cmd/gatetack/settings_applier.go
@@ -15,9 +15,9 @@
 // settingsApplier activates settings: those of the base configuration with those of the store merged in, after a change
 // of either. Updates of the core's rules must not overlap, so all of them go through one applier.
 type settingsApplier struct {
-	core   *node.Core
-	limits limits.Limits
-	stay   *atomic.Int64 // time served after SIGTERM; grows with the longest deadline, which delays the kill
+	core          *node.Core
+	limits        limits.Limits
+	shutdownGrace *atomic.Int64 // time served after SIGTERM; grows with the longest deadline, which delays the kill
 
 	mu       sync.Mutex
 	base     config.Config
@@ -86,7 +86,7 @@
 	if err := a.core.UpdateSettings(ctx, cfg.Settings, cfg.Names, a.limits.RetiredClassTTL); err != nil {
 		return err
 	}
-	a.stay.Store(max(a.stay.Load(), int64(cfg.Limits.ShutdownGrace)))
+	a.shutdownGrace.Store(max(a.shutdownGrace.Load(), int64(cfg.Limits.ShutdownGrace)))
 	return nil
 }
 
--- a/cmd/gatetack/settings_applier_test.go
+++ b/cmd/gatetack/settings_applier_test.go
@@ -18,17 +18,17 @@
 	"gatetack/internal/settings"
 )
 
-// quietCarriers implements the interfaces that a core calls, without any effect.
-type quietCarriers struct{}
+// noopTransport implements the interfaces that a core calls, without any effect.
+type noopTransport struct{}
 
-func (quietCarriers) UpdateEndpoint(uint32, node.Endpoint, time.Time) {}
-func (quietCarriers) Send(node.Attempt)                               {}
-func (quietCarriers) Cancel(uint64)                                   {}
-func (quietCarriers) CheckHealth(uint32)                              {}
-func (quietCarriers) CloseIdle(uint32)                                {}
-func (quietCarriers) Watch(bool)                                      {}
-func (quietCarriers) Fetch()                                          {}
-func (quietCarriers) SendGossip(uint16, []byte)                       {}
+func (noopTransport) UpdateEndpoint(uint32, node.Endpoint, time.Time) {}
+func (noopTransport) Send(node.Attempt)                               {}
+func (noopTransport) Cancel(uint64)                                   {}
+func (noopTransport) CheckHealth(uint32)                              {}
+func (noopTransport) CloseIdle(uint32)                                {}
+func (noopTransport) Watch(bool)                                      {}
+func (noopTransport) Fetch()                                          {}
+func (noopTransport) SendGossip(uint16, []byte)                       {}
 
 // configOf returns a configuration with the given number of tenants, each with the given quota.
 func configOf(t testing.TB, tenants int, quota float64) *config.Config {
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	core.Connect(quietCarriers{}, quietCarriers{}, quietCarriers{})
+	core.Connect(noopTransport{}, noopTransport{}, noopTransport{})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- core.Run(ctx) }()
@@ -75,11 +75,11 @@
 		}
 	})
 	return &settingsApplier{
-		core:     core,
-		limits:   c.Limits,
-		stay:     &atomic.Int64{},
-		base:     *c,
-		document: settings.NewDocument(),
+		core:          core,
+		limits:        c.Limits,
+		shutdownGrace: &atomic.Int64{},
+		base:          *c,
+		document:      settings.NewDocument(),
 	}
 }
 
@@ -113,7 +113,7 @@
 
 // After concurrent updates of the base configuration and the document, the active settings are the last base with the
 // last document merged in.
-func TestConcurrentBaseAndDocumentEndWithTheLastOfBoth(t *testing.T) {
+func TestConcurrentBaseAndDocumentUpdatesConverge(t *testing.T) {
 	const rounds = 50
 	applier := startApplier(t, configOf(t, 3, 1))
 	var crossing sync.WaitGroup
@@ -193,7 +193,7 @@
 
 // A change of more classes than the table of rules has space for, in addition to the previous rules that open jobs may
 // still use, fails validation.
-func TestValidateCountsPlacesOfOpenJobs(t *testing.T) {
+func TestValidateCountsRulesOfOpenJobs(t *testing.T) {
 	const classes = 200
 	applier := startApplier(t, configOf(t, 1, 1))
 	document := func(version uint64, changed int) *settings.Document {
--- a/cmd/gatetack/shutdown.go
+++ b/cmd/gatetack/shutdown.go
@@ -11,9 +11,9 @@
 // quietPollInterval is the interval at which a process that shuts down checks for open requests and connections.
 const quietPollInterval = 10 * time.Millisecond
 
-// leave shuts the process down gracefully. It serves until nothing is open and no new request arrives, releases the
+// shutDown shuts the process down gracefully. It serves until nothing is open and no new request arrives, releases the
 // partitions and actors that it owns in the store, and closes the fronts.
-func (p *process) leave(ctx context.Context) {
+func (p *process) shutDown(ctx context.Context) {
 	passed := p.config.PassedSocket >= 0
 	p.log.Info("leaving", "open", p.core.Open(), "handover", passed)
 	if passed {
@@ -71,7 +71,7 @@
 			return
 		}
 		p.closeIdle(rejecting, time.Since(notified))
-		if !rejecting && time.Since(notified) >= time.Duration(p.stay.Load()) {
+		if !rejecting && time.Since(notified) >= time.Duration(p.shutdownGrace.Load()) {
 			rejecting = true
 			p.clients.Drain()
 			p.core.ShutDown(notified)
@@ -99,15 +99,16 @@
 	if p.batch != nil {
 		servers = append(servers, p.batch.server)
 	}
-	lastUse, connections := notified, 0
+	lastActivity, connections := notified, 0
 	for _, server := range servers {
 		connections += server.OpenConns()
-		if at := server.LastActive(); at.After(lastUse) {
-			lastUse = at
+		if at := server.LastActive(); at.After(lastActivity) {
+			lastActivity = at
 		}
 	}
 	// A store without a leader must not delay the shutdown indefinitely: ends of jobs that it does not accept in time stay
 	// unrecorded.
-	unrecorded := p.batch != nil && p.batch.front.Pending() && time.Since(lastUse) < 2*p.config.Limits.StoreCallTimeout
-	return p.core.Open() == 0 && connections == 0 && !unrecorded && time.Since(lastUse) >= p.config.Limits.QuietPeriod
+	unrecorded := p.batch != nil && p.batch.front.Pending() &&
+		time.Since(lastActivity) < 2*p.config.Limits.StoreCallTimeout
+	return p.core.Open() == 0 && connections == 0 && !unrecorded && time.Since(lastActivity) >= p.config.Limits.QuietPeriod
 }
