--- a/internal/endpointwatch/clock_steps_test.go
+++ b/internal/endpointwatch/clock_steps_test.go
@@ -38,12 +38,12 @@
 
 // Steps of the wall clock between events do not change the times that a Tracker returns on the monotonic clock.
 func TestDeadlinesIgnoreWallClockSteps(t *testing.T) {
-	began := time.Now()
+	startedAt := time.Now()
 	same := func(a, b time.Time) bool {
-		return a.IsZero() == b.IsZero() && (a.IsZero() || a.Sub(began) == b.Sub(began))
+		return a.IsZero() == b.IsZero() && (a.IsZero() || a.Sub(startedAt) == b.Sub(startedAt))
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		offset, now := time.Duration(0), began
+		offset, now := time.Duration(0), startedAt
 		plain, stepped := Tracker{Timeouts: timeouts}, Tracker{Timeouts: timeouts}
 		plain.Started(now)
 		stepped.Started(now)
--- a/internal/endpointwatch/tracker_test.go
+++ b/internal/endpointwatch/tracker_test.go
@@ -135,7 +135,7 @@
 // Watches become unresponsive at any point, then up to three calls are rejected, and the response comes at any time
 // within its wait. An update arrives before the time from which the protocol counts missed changes as notified. While
 // no changes are missed, the decision module owns the call after each failure.
-func TestUpdateComesBeforeMissedChangesCountAsNotified(t *testing.T) {
+func TestUpdateArrivesBeforeMissedChangesCountAsNotified(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := Tracker{Timeouts: timeouts}
 		notified := watchUntilUnresponsive(t, &tracker).Add(6 * time.Second) // per the protocol
@@ -224,22 +224,22 @@
 
 // failedCall makes the call in progress fail in some way. It returns the latest time at which the call reported the
 // list, and when and how the call ended.
-func failedCall(t *rapid.T, tracker *Tracker, startedAt time.Time) (seenAt, endedAt time.Time, end CallEnd) {
+func failedCall(t *rapid.T, tracker *Tracker, startedAt time.Time) (reportedAt, endedAt time.Time, end CallEnd) {
 	end = rapid.SampledFrom([]CallEnd{CallClosed, CallRejected, CallTimedOut, CallTruncated}).Draw(t, "end")
 	updated := rapid.Bool().Draw(t, "updated")
-	now, seenAt := startedAt, startedAt
+	now, reportedAt := startedAt, startedAt
 	switch {
 	case end == CallTimedOut && updated:
 		now = now.Add(drawMs(t, "wait", 2000))
 		tracker.UpdateReceived(now)
 		return now, tracker.IdleDeadline(), end
 	case end == CallTimedOut:
-		return seenAt, tracker.IdleDeadline(), end
+		return reportedAt, tracker.IdleDeadline(), end
 	case updated:
 		now = now.Add(drawMs(t, "wait", 2000))
 		tracker.UpdateReceived(now)
 		now = now.Add(drawMs(t, "open for", 2000))
 		return now, now, end
 	}
-	return seenAt, now.Add(drawMs(t, "wait", 2000)), end
+	return reportedAt, now.Add(drawMs(t, "wait", 2000)), end
 }
--- a/internal/jobqueue/queue_test.go
+++ b/internal/jobqueue/queue_test.go
@@ -224,20 +224,20 @@
 	q := New()
 	start := epoch.Add(time.Minute)
 	q.Add(Item{ID: "later", Session: "a", Start: start}, epoch)
-	if refs, again := q.Next(epoch, 9); len(refs) != 0 || again != epoch.Add(dateCheckInterval) {
-		t.Fatalf("handed out %v, next call at %v", refs, again)
+	if refs, nextCall := q.Next(epoch, 9); len(refs) != 0 || nextCall != epoch.Add(dateCheckInterval) {
+		t.Fatalf("handed out %v, next call at %v", refs, nextCall)
 	}
-	if refs, again := q.Next(start.Add(-dateCheckInterval/2), 9); len(refs) != 0 || again != start {
-		t.Fatalf("handed out %v, next call at %v", refs, again)
+	if refs, nextCall := q.Next(start.Add(-dateCheckInterval/2), 9); len(refs) != 0 || nextCall != start {
+		t.Fatalf("handed out %v, next call at %v", refs, nextCall)
 	}
-	refs, again := q.Next(start, 9)
-	if len(refs) != 1 || !again.IsZero() {
-		t.Fatalf("handed out %v, next call at %v", refs, again)
+	refs, nextCall := q.Next(start, 9)
+	if len(refs) != 1 || !nextCall.IsZero() {
+		t.Fatalf("handed out %v, next call at %v", refs, nextCall)
 	}
 	retryAt := start.Add(time.Second)
 	q.Rejected(refs[0], retryAt, start)
-	if refs, again = q.Next(start, 9); len(refs) != 0 || again != retryAt {
-		t.Fatalf("handed out %v, next call at %v", refs, again)
+	if refs, nextCall = q.Next(start, 9); len(refs) != 0 || nextCall != retryAt {
+		t.Fatalf("handed out %v, next call at %v", refs, nextCall)
 	}
 	if refs, _ = q.Next(retryAt, 9); len(refs) != 1 {
 		t.Fatal("rejected job not handed out at its retry time")
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -69,9 +69,9 @@
 // Partitions returns the keys of the partitions that this node owns, sorted.
 func (m *Manager) Partitions() []string { return slices.Sorted(maps.Keys(m.epochs)) }
 
-// LeaseRenewed records that the renewal started at begunAt was committed with the given version.
-func (m *Manager) LeaseRenewed(begunAt time.Duration, version uint64) {
-	m.lease.version, m.lease.expiresAt = version, begunAt+m.timing.TTL-m.timing.MaxClockDrift
+// LeaseRenewed records that the renewal started at startedAt was committed with the given version.
+func (m *Manager) LeaseRenewed(startedAt time.Duration, version uint64) {
+	m.lease.version, m.lease.expiresAt = version, startedAt+m.timing.TTL-m.timing.MaxClockDrift
 	m.lease.established = true
 }
 
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -82,8 +82,8 @@
 			claim.OwnLease != view.Leases[node].Version {
 			t.Errorf("%s claimed with wrong conditions: %+v", node, claim)
 		}
-		if again := claims(m.Step(now+1, view)); len(again) != 0 {
-			t.Errorf("%s claimed again while a claim was in progress: %v", node, again)
+		if repeated := claims(m.Step(now+1, view)); len(repeated) != 0 {
+			t.Errorf("%s claimed again while a claim was in progress: %v", node, repeated)
 		}
 		return now
 	}
@@ -144,7 +144,7 @@
 
 // If the response to a claim was lost, the store shows this node as the owner but the node does not know the epoch. It
 // claims the partition again and so learns a valid epoch.
-func TestPartitionWhoseClaimWasNotAnsweredIsClaimedAgain(t *testing.T) {
+func TestPartitionIsClaimedAgainAfterALostClaimResponse(t *testing.T) {
 	view := View{Leases: leases("n0", "n1"), Partitions: []Partition{{Key: "p", Owner: incarnation("n0"), Epoch: 8}}}
 	got := claims(newManager("n0", view).Step(1, view))
 	if len(got) != 1 || got[0].ExpectedVersion != 8 || got[0].OwnerNode != "" {
--- a/internal/lease/timing_test.go
+++ b/internal/lease/timing_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-func TestTimingWithoutRoomForTwoRenewalsIsRejected(t *testing.T) {
+func TestTimingShorterThanTwoRenewalsIsRejected(t *testing.T) {
 	if err := timing.Validate(); err != nil {
 		t.Error(err)
 	}
-	bad := Timing{TTL: time.Second, RenewInterval: time.Second, MaxClockDrift: 1, RankDelay: 1}
+	invalid := Timing{TTL: time.Second, RenewInterval: time.Second, MaxClockDrift: 1, RankDelay: 1}
 	var rejected *TimingError
-	if err := bad.Validate(); !errors.As(err, &rejected) || rejected.Timing != bad {
+	if err := invalid.Validate(); !errors.As(err, &rejected) || rejected.Timing != invalid {
 		t.Errorf("timing in which a lease is renewed only when it ends: %v, want a *TimingError", err)
 	}
 }
--- a/internal/leaseholder/actions.go
+++ b/internal/leaseholder/actions.go
@@ -19,8 +19,8 @@
 	for _, action := range actions {
 		switch action.Kind {
 		case lease.RenewLease:
-			begunAt := h.bootTime()
-			spawn(func() { h.renewLease(ctx, begunAt, action.ExpectedVersion) })
+			startedAt := h.bootTime()
+			spawn(func() { h.renewLease(ctx, startedAt, action.ExpectedVersion) })
 		case lease.ClaimPartition:
 			spawn(func() { h.claim(ctx, action, "owner has no lease") })
 		case lease.StartPartition:
@@ -56,7 +56,7 @@
 }
 
 // renewLease writes this node's lease if the stored one has the given version.
-func (h *Holder) renewLease(ctx context.Context, begunAt time.Duration, version uint64) {
+func (h *Holder) renewLease(ctx context.Context, startedAt time.Duration, version uint64) {
 	h.mu.Lock()
 	record := leaseRecord{StartedMs: h.manager.Incarnation().StartedMs, Addr: h.addr}
 	h.mu.Unlock()
@@ -69,7 +69,7 @@
 	switch {
 	case err != nil: // indeterminate outcome: the last lease is valid until it expires, and the next renewal resolves it
 	case result.OK():
-		h.manager.LeaseRenewed(begunAt, result.Version)
+		h.manager.LeaseRenewed(startedAt, result.Version)
 	default:
 		h.manager.LeaseLost()
 	}
--- a/internal/locality/placer_test.go
+++ b/internal/locality/placer_test.go
@@ -90,8 +90,8 @@
 		"sets: [{name: a, bytes: .nan}]":                "sets[0].bytes",
 	} {
 		_, err := open(t, text)
-		var bad *FileError
-		if !errors.As(err, &bad) || bad.Field != field || bad.Remedy() == "" {
+		var fileError *FileError
+		if !errors.As(err, &fileError) || fileError.Field != field || fileError.Remedy() == "" {
 			t.Errorf("file %q: error %v, want a *FileError for field %s", text, err, field)
 		}
 	}
--- a/internal/migration/planner_test.go
+++ b/internal/migration/planner_test.go
@@ -42,8 +42,8 @@
 	all := nodes(0.1, 0.1, 0.1, 0, 0.5, 0.95)
 	recovering := nodes(0.1, 0.1, 0.1)
 	recovering[1].Unready = true
-	leavesAfter := func(i int) string { return map[bool]string{true: "a", false: "b"}[i < 20] }
-	seldomElsewhere := func(i int) string { return map[bool]string{true: "b", false: "a"}[i%7 == 6] }
+	changesZone := func(i int) string { return map[bool]string{true: "a", false: "b"}[i < 20] }
+	rarelyElsewhere := func(i int) string { return map[bool]string{true: "b", false: "a"}[i%7 == 6] }
 	for _, c := range []struct {
 		name  string
 		all   []Node
@@ -51,8 +51,8 @@
 		want  string
 	}{
 		{"device stays in the zone of the actor", all, always("a"), "[]"},
-		{"device changes zone once", all, leavesAfter, "[n1]"},
-		{"occasional calls from another zone", all, seldomElsewhere, "[]"},
+		{"device changes zone once", all, changesZone, "[n1]"},
+		{"occasional calls from another zone", all, rarelyElsewhere, "[]"},
 		{"only node of the zone is recovering", recovering, always("b"), "[]"},
 		{"only node of the zone is overloaded", nodes(0.1, 0.95, 0.1), always("b"), "[]"},
 		{"least loaded node of the zone is chosen", nodes(0.1, 0.8, 0.1, 0.1, 0.2), always("b"), "[n4]"},
--- a/internal/precheck/precheck_test.go
+++ b/internal/precheck/precheck_test.go
@@ -48,16 +48,16 @@
 			}
 			return now.Add(time.Duration(rapid.IntRange(-1, 1).Draw(t, name)))
 		}
-		seldom := func(name string) bool { return rapid.IntRange(0, 9).Draw(t, name) == 0 }
-		a := &Check{Now: now, Ended: seldom("over"), Deadline: near("deadline"),
-			Executor: Executor{Listed: !seldom("unlisted"), ExpectedStart: 7, StartedAt: 7}}
-		if seldom("job") {
+		rarely := func(name string) bool { return rapid.IntRange(0, 9).Draw(t, name) == 0 }
+		a := &Check{Now: now, Ended: rarely("over"), Deadline: near("deadline"),
+			Executor: Executor{Listed: !rarely("unlisted"), ExpectedStart: 7, StartedAt: 7}}
+		if rarely("job") {
 			a.Job = rapid.SampledFrom([]Reason{ClientDisconnected, LeaseLost}).Draw(t, "why")
 		}
 		if rapid.Bool().Draw(t, "drains") {
 			a.Executor.SendsEndAt = near("stop")
 		}
-		if seldom("restarted") {
+		if rarely("restarted") {
 			a.Executor.StartedAt = float64(rapid.IntRange(6, 8).Draw(t, "began"))
 		}
 		a.Retry = RetryRules{
--- a/internal/recovery/deadline_queue_test.go
+++ b/internal/recovery/deadline_queue_test.go
@@ -39,7 +39,7 @@
 }
 
 // Tasks are returned earliest deadline first, and those that cannot meet their deadline are dropped immediately.
-func TestDeadlineQueueGivesTheEarliestDeadlineFirst(t *testing.T) {
+func TestDeadlineQueueReturnsTheEarliestDeadlineFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var queue DeadlineQueue
 		var model taskModel
--- a/internal/slowpeer/ledger.go
+++ b/internal/slowpeer/ledger.go
@@ -17,8 +17,8 @@
 
 // NewLedger returns a Ledger for a budget. Each peer may use least of it regardless of the others, as long as the
 // budget has a free part.
-func NewLedger[K comparable](budget, least int, alpha float64) *Ledger[K] {
-	return &Ledger[K]{budget: max(budget, 0), minPerPeer: max(least, 0), alpha: max(alpha, 0), usage: map[K]int{}}
+func NewLedger[K comparable](budget, minPerPeer int, alpha float64) *Ledger[K] {
+	return &Ledger[K]{budget: max(budget, 0), minPerPeer: max(minPerPeer, 0), alpha: max(alpha, 0), usage: map[K]int{}}
 }
 
 // Limit returns how much of the budget a peer may currently use.
--- a/internal/slowpeer/meter.go
+++ b/internal/slowpeer/meter.go
@@ -96,7 +96,7 @@
 
 // Check returns Disconnect if the peer has missed its deadline, and Keep otherwise.
 func (m *Meter) Check(now time.Time) Verdict {
-	if until, asked := m.Deadline(); asked && !now.Before(until) {
+	if until, required := m.Deadline(); required && !now.Before(until) {
 		return Disconnect
 	}
 	return Keep
--- a/internal/slowpeer/pace_test.go
+++ b/internal/slowpeer/pace_test.go
@@ -53,15 +53,15 @@
 		m, now := NewMeter(r), epoch
 		m.Start(now)
 		bound := time.Duration(float64(r.Grace+r.Window)/(1-part)) + time.Millisecond
-		for owed := 0.0; now.Sub(epoch) < bound; {
+		for sent := 0.0; now.Sub(epoch) < bound; {
 			gap := max(time.Duration(rapid.Float64Range(0.01, 0.5).Draw(t, "gap")*float64(r.Grace)), time.Millisecond)
 			now = now.Add(gap)
 			if m.Check(now) == Disconnect {
 				return
 			}
-			owed += gap.Seconds() * float64(r.BytesPerSecond) * part
-			m.Moved(int(owed), now)
-			owed -= float64(int(owed))
+			sent += gap.Seconds() * float64(r.BytesPerSecond) * part
+			m.Moved(int(sent), now)
+			sent -= float64(int(sent))
 		}
 		if m.Check(now) != Disconnect {
 			t.Fatalf("not disconnected at %.2f of the minimum rate after %v, bound is %v", part, now.Sub(epoch), bound)
@@ -72,12 +72,12 @@
 // Check returns Disconnect from the Deadline on, Start clears the debt, and a peer without a minimum rate is kept.
 func TestMeter(t *testing.T) {
 	m := NewMeter(MinRate{BytesPerSecond: 100, Grace: 2 * time.Second, Window: time.Second})
-	if _, asked := m.Deadline(); asked || m.Check(epoch.Add(time.Hour)) != Keep {
+	if _, required := m.Deadline(); required || m.Check(epoch.Add(time.Hour)) != Keep {
 		t.Error("a minimum rate applies while no bytes are expected")
 	}
 	m.Start(epoch)
-	until, asked := m.Deadline()
-	if !asked || until != epoch.Add(2*time.Second) || m.Check(until.Add(-1)) != Keep || m.Check(until) != Disconnect {
+	until, required := m.Deadline()
+	if !required || until != epoch.Add(2*time.Second) || m.Check(until.Add(-1)) != Keep || m.Check(until) != Disconnect {
 		t.Errorf("deadline after %v, want 2s", until.Sub(epoch))
 	}
 	m.Moved(1_000_000, epoch.Add(time.Second)) // the credit is limited to the window
@@ -122,12 +122,12 @@
 				l.Release(peer, n)
 				held[peer] = max(0, held[peer]-n)
 			} else {
-				most, free, had := l.Limit(), budget-l.Used(), held[peer]
+				limit, free, had := l.Limit(), budget-l.Used(), held[peer]
 				switch l.Acquire(peer, n) {
 				case Keep:
 					held[peer] += n
-					if had > 0 && held[peer] > most {
-						t.Fatalf("peer %d uses %d, limit is %d", peer, held[peer], most)
+					if had > 0 && held[peer] > limit {
+						t.Fatalf("peer %d uses %d, limit is %d", peer, held[peer], limit)
 					}
 				case Restrict:
 					if had == 0 || n > free {
@@ -173,11 +173,11 @@
 	ActiveWindow: time.Minute, MaxLateShare: 0.5}
 
 // acknowledgeJobs records 30 acknowledged jobs for each executor.
-func acknowledgeJobs(a *AckTracker, now time.Time, took time.Duration, executors ...string) {
+func acknowledgeJobs(a *AckTracker, now time.Time, elapsed time.Duration, executors ...string) {
 	for range 30 {
 		for _, b := range executors {
 			a.Sent(b, now)
-			a.Acked(b, took, false, now)
+			a.Acked(b, elapsed, false, now)
 		}
 	}
 }
@@ -271,9 +271,9 @@
 		"list_in.tight":  func(p *Policy) { p.ListIn.PressureFactor = 0.5 },
 		"alpha":          func(p *Policy) { p.Alpha = 0 },
 	} {
-		bad := p
-		change(&bad)
-		if err := bad.Validate(); err == nil || len(err.Error()) < len(name) || err.Error()[:len(name)] != name {
+		invalid := p
+		change(&invalid)
+		if err := invalid.Validate(); err == nil || len(err.Error()) < len(name) || err.Error()[:len(name)] != name {
 			t.Errorf("error for %s does not begin with its name: %v", name, err)
 		}
 	}
