--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -13,16 +13,15 @@
 	"testing"
 )
 
-// The recordings under testdata/golden are the input of the adapter's pipe on days of the simulator, cut after some
-// frames, and for each frame the first bytes of the SHA-256 of the reply that the program gave before its code was
-// reshaped. Texts of log lines are left out of it: only that a line is there counts. GOLDEN_UPDATE=1 writes the
-// hashes anew.
+// The recordings under testdata/golden are the adapter's input in simulator runs, truncated after some frames. For
+// each frame there are the first bytes of the SHA-256 hash of the expected reply. The hash excludes the texts of log
+// lines, so only the presence of a line matters. GOLDEN_UPDATE=1 rewrites the hashes.
 
 const (
-	goldenFrameBytes = 4  // of each reply's hash that are kept
-	replyHeadBytes   = 8  // count of records, bytes of all
-	logCode          = 8  // of a record of a reply that holds a log line
-	goldenShown      = 64 // bytes of the reply that differs
+	goldenFrameBytes = 4  // number of bytes stored of each reply's hash
+	replyHeadBytes   = 8  // number of records and their size in bytes
+	logCode          = 8  // code of a reply record that holds a log line
+	goldenShown      = 64 // number of bytes shown of a reply that differs
 )
 
 func unzip(t *testing.T, path string) []byte {
@@ -43,16 +42,16 @@
 	return data
 }
 
-// withoutLogTexts gives the records of a reply with the texts of log lines taken out.
+// withoutLogTexts returns the records of a reply without the texts of log lines.
 func withoutLogTexts(body []byte) ([]byte, error) {
-	// Bytes behind a record's code and instance; those of a message and a log line come behind their length.
+	// Sizes of the fixed fields after a record's code and instance. The bytes of a message or log line follow its length.
 	fixed := map[byte]int{1: 4, 2: 12, 3: 1, 4: 0, 5: 12, 6: 6, 7: 16, 10: 4, 11: 4, 0: 4, logCode: 2}
 	var out []byte
 	for at := 0; at < len(body); {
 		code := body[at]
 		size, known := fixed[code]
 		if !known || at+3+size > len(body) {
-			return nil, fmt.Errorf("record of code %d at byte %d", code, at)
+			return nil, fmt.Errorf("unknown or truncated record of code %d at byte %d", code, at)
 		}
 		end := at + 3 + size
 		switch code {
@@ -64,7 +63,7 @@
 			continue
 		}
 		if end > len(body) {
-			return nil, fmt.Errorf("record of code %d at byte %d is cut", code, at)
+			return nil, fmt.Errorf("record of code %d at byte %d is truncated", code, at)
 		}
 		out = append(out, body[at:end]...)
 		at = end
@@ -72,7 +71,7 @@
 	return out, nil
 }
 
-// replies splits what the adapter wrote and hashes each reply.
+// replies splits the adapter's output into replies and hashes each one.
 func replies(t *testing.T, out []byte) (hashes []byte, bodies [][]byte) {
 	t.Helper()
 	for len(out) > 0 {
@@ -91,7 +90,7 @@
 	return hashes, bodies
 }
 
-// What was recorded on days of the simulator leads to the same replies, frame by frame.
+// The adapter must give the expected reply to each frame of the recorded simulator runs.
 func TestGoldenRecordings(t *testing.T) {
 	paths, err := filepath.Glob("testdata/golden/*.in.gz")
 	if err != nil || len(paths) == 0 {
@@ -120,7 +119,7 @@
 			for i := 0; i < min(len(want), len(got)); i++ {
 				if want[i] != got[i] {
 					frame := i / goldenFrameBytes
-					t.Fatalf("the reply to frame %d differs from the golden one; it is now %x", frame,
+					t.Fatalf("reply to frame %d differs from the golden reply: got %x", frame,
 						bodies[frame][:min(goldenShown, len(bodies[frame]))])
 				}
 			}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter carries batches of the simulator's wire from standard input to one Dispatcher for each
-// instance, and their actions to standard output. It decides nothing and shares nothing between instances.
+// Command simadapter reads batches of the simulator's protocol from standard input, passes their events to one
+// Dispatcher for each instance, and writes the resulting actions to standard output. It makes no dispatch decisions,
+// and instances share no state.
 package main
 
 import (
@@ -23,18 +24,18 @@
 	}
 }
 
-// instance is one node: its Dispatcher and its events of the batch at hand.
+// instance is one simulated node: its Dispatcher and its events of the current batch.
 type instance struct {
 	id         uint16
-	dispatcher *dispatch.Dispatcher // nil before its start and after its stop
+	dispatcher *dispatch.Dispatcher // nil before CodeInit and after CodeStop
 	events     []dispatch.Event
-	listed     bool // already in the batch's order
+	listed     bool // already in host.order for the current batch
 }
 
-// host runs the instances of one simulation.
+// host holds the instances of one simulation.
 type host struct {
 	instances map[uint16]*instance
-	order     []*instance // of the batch at hand, as they first appear in it
+	order     []*instance // instances of the current batch, in the order of their first records
 	actions   []dispatch.Action
 	reply     simprotocol.Reply
 }
@@ -63,7 +64,7 @@
 	}
 }
 
-// takeIn gives the records of a batch to their instances.
+// takeIn applies the records of a batch to their instances.
 func (h *host) takeIn(batch *simprotocol.Batch) error {
 	h.order = h.order[:0]
 	for i := range batch.Records {
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// instance gives the one with a number, and puts it into the batch's order.
+// instance returns the instance with an id, creates it if needed, and adds it to the order of the batch.
 func (h *host) instance(id uint16) *instance {
 	n := h.instances[id]
 	if n == nil {
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// step has each instance of the batch take a step, and gathers their actions in the reply.
+// step runs one step of each instance in the batch and encodes their actions into the reply.
 func (h *host) step(clock float64) error {
 	h.reply.Reset()
 	for _, n := range h.order {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -53,13 +53,13 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(out.String(), string([]byte{7, 0, 3, 0, 0, 0, 11, 0, 0, 0, 77})); n != 1 {
-		t.Errorf("request 11 sent %d times", n)
+		t.Errorf("request 11 sent %d times, want once", n)
 	}
 	if n := strings.Count(out.String(), string([]byte{7, 0, 4, 0, 0, 0, 12, 0, 0, 0, 77})); n != 1 {
-		t.Errorf("request 12 sent %d times", n)
+		t.Errorf("request 12 sent %d times, want once", n)
 	}
 	if !bytes.HasSuffix(out.Bytes(), make([]byte, 8)) {
-		t.Error("an instance that was stopped acted in the batch that stopped it")
+		t.Error("a stopped instance acted in the batch that stopped it")
 	}
 }
 
@@ -78,10 +78,10 @@
 			continue
 		}
 		if !strings.Contains(err.Error(), name) {
-			t.Errorf("%v: does not say %q", err, name)
+			t.Errorf("error %v does not contain %q", err, name)
 		}
 		if strings.ContainsRune(err.Error(), '\n') {
-			t.Errorf("%s: more than one line: %v", name, err)
+			t.Errorf("%s: error has more than one line: %v", name, err)
 		}
 	}
 }
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -1,51 +1,52 @@
-// Package failpoint (once called stops) is where tests take hold of a process from outside: they stop it at a named point of its
-// work, as a machine that sleeps does, set its wall clock ahead or behind, and have a proxy on each of its links. The program that
-// is shipped is built without any of it: nothing here reads the environment unless it is built with the tag faults.
+// Package failpoint lets tests inject faults into a process from outside: stop it at a named point, as a suspended machine stops,
+// set its wall clock ahead or behind, and put a proxy on each of its links to other nodes. The shipped program has none of these
+// faults: this package reads the environment only when built with the tag faults.
 package failpoint
 
 import "time"
 
-// The points.
+// The points at which a process can be stopped.
 const (
-	Hand   = "hand"   // a job's turn has come, and the record that it is handed over is next
-	Intent = "intent" // the intent to send is on record, and the first byte is next
-	Byte   = "byte"   // the last byte is out, and nothing of it is on record
-	Ended  = "ended"  // a job has ended, and the record of its end is next
-	Listen = "listen" // the node is about to listen to its clients
-	Leave  = "leave"  // the node that was told to leave has nothing open any more, and is about to end
+	Hand   = "hand"   // a job is about to be recorded as handed over
+	Intent = "intent" // the intent to send is recorded, and the first byte is about to be written
+	Byte   = "byte"   // the last byte is written, and that is not recorded yet
+	Ended  = "ended"  // a job has ended, and its end is about to be recorded
+	Listen = "listen" // the node is about to listen for clients
+	Leave  = "leave"  // the node is shutting down, has no open requests left, and is about to exit
 )
 
-// Without names a guard that a test's own build is made without, by the linker (-X): so tests show that they see what it is
-// there for. No other build has it.
+// Without names a guard that is disabled. Only builds for tests set it, through the linker flag -X, so that a test can show that it
+// fails without the guard.
 var Without string
 
-// Floor is the guard of votes of a member that may have forgotten, and Stalled that of a leader whose disk does not answer.
+// Floor is the guard against votes of a member that may have lost its stored vote. Stalled is the guard against a leader whose disk
+// does not answer.
 const (
 	Floor   = "floor"
 	Stalled = "stalled"
 )
 
-// Fence is the guard of all that is written for a duty, with the letting go of one that was lost.
+// Fence is the guard of the writes made under a lease by its fencing token, together with the release of a lease that was lost.
 const Fence = "fence"
 
-// Disk is what a disk does to a write of the store's log.
+// Disk is a fault of the disk in a write of the store's log.
 type Disk struct {
-	Fails bool          // the write is not made
-	Waits time.Duration // before it is; below zero for good
+	Fails bool          // the write is not made and fails
+	Waits time.Duration // how long the write is delayed; negative for ever
 }
 
-// What a build with the tag faults puts in place of these.
+// The functions behind At, Wall and Via, which a build with the tag faults replaces.
 var (
 	at   = func(string) {}
 	wall = time.Now
 	via  = func(addr string) string { return addr }
 )
 
-// At stops the process, the first time that it comes to the point it is to stop at.
+// At stops the process the first time it reaches the configured point.
 func At(point string) { at(point) }
 
-// Wall is the time by the machine's clock.
+// Wall returns the time of the wall clock.
 func Wall() time.Time { return wall() }
 
-// Via is where a link to an address of another node goes.
+// Via returns the address to dial for an address of another node: that of a proxy, if one is configured.
 func Via(addr string) string { return via(addr) }
--- a/internal/failpoint/faults.go
+++ b/internal/failpoint/faults.go
@@ -12,9 +12,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// GATETACK_STOP_AT names the point at which the process stops, once, and GATETACK_HOLD_AT one past which nobody gets while the
-// process goes on; GATETACK_CLOCK says how far the clock is ahead ("1h") or behind ("-1h"), and GATETACK_LINKS
-// has "address=proxy,...".
+// GATETACK_STOP_AT names the point at which the process stops, once. GATETACK_HOLD_AT names a point at which each goroutine that
+// reaches it blocks for ever while the process continues. GATETACK_CLOCK is how far the wall clock is ahead ("1h") or behind ("-1h").
+// GATETACK_LINKS lists proxies as "address=proxy,...".
 func init() {
 	var done atomic.Bool
 	last, hold := os.Getenv("GATETACK_STOP_AT"), os.Getenv("GATETACK_HOLD_AT")
@@ -28,7 +28,7 @@
 			}
 		}
 	}
-	ahead, _ := time.ParseDuration(os.Getenv("GATETACK_CLOCK")) // empty: none
+	ahead, _ := time.ParseDuration(os.Getenv("GATETACK_CLOCK")) // an empty value means no offset
 	wall = func() time.Time { return time.Now().Add(ahead) }
 	links := map[string]string{}
 	for pair := range strings.SplitSeq(os.Getenv("GATETACK_LINKS"), ",") {
@@ -44,7 +44,8 @@
 	}
 }
 
-// stop stops the process, this goroutine at this very point: a signal to the process would let it run on until its thread is told.
+// stop stops the process, with this goroutine exactly at this point. The signal goes to the current thread, since after a signal to
+// the process this goroutine could run on until its thread receives it.
 func stop() {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
--- a/internal/failpoint/steppedclock.go
+++ b/internal/failpoint/steppedclock.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// stepPollInterval is how often the file that sets the wall clock is read.
+// stepPollInterval is how often the file that sets the offset of the wall clock is read.
 const stepPollInterval = 2 * time.Millisecond
 
-// GATETACK_CLOCK_FILE names a file with the seconds by which the wall clock of the process is off. It is followed while the process
-// runs; once a change is in force, a file beside it with the suffix .done holds the same. The build is made with a copy of package
-// time whose Now adds SetWallStep's seconds to the wall clock, and leaves the monotonic clock as it is.
+// GATETACK_CLOCK_FILE names a file with the offset of the process's wall clock in seconds. The file is polled while the process
+// runs; once a change is applied, its content is written to a file of the same name with the suffix .done. The build uses a copy of
+// package time whose Now adds the seconds of SetWallStep to the wall clock and leaves the monotonic clock unchanged.
 func init() {
 	path := os.Getenv("GATETACK_CLOCK_FILE")
 	if path == "" {
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -9,7 +9,7 @@
 	"gatetack/internal/dispatch"
 )
 
-// SettingError names the key of a setting that cannot be used.
+// SettingError is the error of a setting whose value is invalid.
 type SettingError struct {
 	Key string
 	Err error
@@ -17,10 +17,10 @@
 
 func (e *SettingError) Error() string { return fmt.Sprintf("setting %s: %v", e.Key, e.Err) }
 
-// Unwrap gives the reason.
+// Unwrap returns the cause.
 func (e *SettingError) Unwrap() error { return e.Err }
 
-// settings reads path=value pairs; the first error sticks.
+// settings parses path=value pairs and keeps the first error.
 type settings struct {
 	m   map[string]string
 	err error
@@ -43,7 +43,7 @@
 		return absent
 	}
 	if math.IsNaN(v) || math.IsInf(v, 0) {
-		s.fail(key, fmt.Errorf("not finite: %q", text))
+		s.fail(key, fmt.Errorf("not a finite number: %q", text))
 		return absent
 	}
 	return v
@@ -89,7 +89,7 @@
 	return v
 }
 
-// choice maps a word; an unknown word becomes the absent value.
+// choice returns the value that words has for a setting, or absent if the setting is absent or its word is unknown.
 func choice[T any](s *settings, key string, absent T, words map[string]T) T {
 	if v, ok := words[s.m[key]]; ok {
 		return v
@@ -97,7 +97,7 @@
 	return absent
 }
 
-// maxItems bounds the lists of objects in the settings.
+// maxItems is the maximum length of a list of objects in the settings.
 const maxItems = 1 << 16
 
 func (s *settings) items(key string) int {
@@ -109,12 +109,12 @@
 	return n
 }
 
-// Effects are the words for what a class's jobs do when they run twice.
+// Effects maps the protocol's words for a class's effect to retry safety.
 var Effects = map[string]dispatch.RetrySafety{
 	"free": dispatch.Idempotent, "guarded": dispatch.Keyed, "single_shot": dispatch.AtMostOnce,
 }
 
-// Scopes are the words for where a repeat of a class's jobs is recognized.
+// Scopes maps the protocol's words for the scope in which a repeated job of a class is recognized.
 var Scopes = map[string]dispatch.DedupScope{
 	"all": dispatch.ScopeAll, "zone": dispatch.ScopeZone, "cell": dispatch.ScopeCell,
 }
@@ -124,8 +124,8 @@
 	"svc_ms": dispatch.FieldLatency, "served_ps": dispatch.FieldServed, "failed_ps": dispatch.FieldErrors,
 }
 
-// ParseSettings reads the settings of a start. Keys it does not know are passed over; absent ones get the
-// values that dispatch.Settings documents. A value that cannot be read is an error that names its key.
+// ParseSettings parses the settings of an instance's start. Unknown keys are ignored; absent ones get the
+// defaults that dispatch.Settings documents. An invalid value is a SettingError.
 func ParseSettings(info []byte) (dispatch.Settings, error) {
 	pairs := make(map[string]string)
 	for line := range strings.Lines(string(info)) {
@@ -136,8 +136,8 @@
 	return FromPairs(pairs)
 }
 
-// FromPairs is the one way from path=value pairs to dispatch.Settings, for the simulator's pipe and for a node's
-// JSON alike.
+// FromPairs converts path=value pairs to dispatch.Settings. Both the simulator's pipe and a node's JSON
+// configuration use it.
 func FromPairs(pairs map[string]string) (dispatch.Settings, error) {
 	s := &settings{m: pairs}
 	v := dispatch.Settings{
@@ -180,7 +180,7 @@
 			Objective: s.num(p+"aim", 0), Deadline: s.num(p+"deadline", 0), PriorityWeight: s.num(p+"worth", 1),
 			ObjectivePerWork: s.num(p+"aimStretch", s.numAt("familyInfo.classStretch", i, 0)),
 			DedupWindow:      s.num(p+"window", 0),
-			// An effect or a scope that is absent or unknown is taken as the strictest one.
+			// An absent or unknown effect or scope is treated as the strictest one.
 			RetrySafety: choice(s, p+"effect", dispatch.AtMostOnce, Effects),
 			DedupScope:  choice(s, p+"dedupScope", dispatch.ScopeCell, Scopes),
 			Kind:        int(s.numAt("familyInfo.classKind", i, -1)),
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -1,4 +1,5 @@
-// Package simprotocol turns frames and settings into the types of package dispatch and back. It decides nothing.
+// Package simprotocol decodes the simulator's frames and settings into the types of package dispatch and encodes
+// actions into reply frames. It makes no dispatch decisions.
 package simprotocol
 
 import (
@@ -36,8 +37,8 @@
 	maxTellBytes      = 256
 )
 
-// Record is one record of a batch. For CodeInit, Seed and Info hold; for CodeStop nothing more; for every
-// other code, Event.
+// Record is one record of a batch. Seed and Info are set for CodeInit, and Event is set for all other codes
+// except CodeStop.
 type Record struct {
 	Code     Code
 	Instance uint16
@@ -46,7 +47,7 @@
 	Event    dispatch.Event
 }
 
-// Batch is one frame from the simulator. Its slices are reused by the next Read.
+// Batch is one frame from the simulator. The next Read reuses its slices.
 type Batch struct {
 	Clock   float64
 	Records []Record
@@ -55,25 +56,25 @@
 // Reader reads batches.
 type Reader struct {
 	r      io.Reader
-	offset int64 // of the frame being read
+	offset int64 // of the current frame in the stream, in bytes
 	buf    []byte
 	rows   []dispatch.EndpointUpdate
 	floats []float32
 	batch  Batch
 }
 
-// NewReader reads batches from r.
+// NewReader returns a Reader that reads batches from r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: r} }
 
-// FrameError tells where a frame is malformed.
+// FrameError is the error of a malformed frame.
 type FrameError struct {
-	Offset int64 // in the stream
+	Offset int64 // of the malformed part in the stream, in bytes
 	Err    error
 }
 
 func (e *FrameError) Error() string { return fmt.Sprintf("wire: at byte %d: %v", e.Offset, e.Err) }
 
-// Unwrap gives the reason.
+// Unwrap returns the cause.
 func (e *FrameError) Unwrap() error { return e.Err }
 
 var (
@@ -82,7 +83,7 @@
 	errTrailing = errors.New("bytes left after the last record")
 )
 
-// Read gives the next batch, or io.EOF at a clean end of input.
+// Read returns the next batch, or io.EOF if the input ends between frames.
 func (r *Reader) Read() (*Batch, error) {
 	var head [4]byte
 	n, err := io.ReadFull(r.r, head[:])
@@ -129,7 +130,8 @@
 	return &r.batch, nil
 }
 
-// fill reads size bytes, growing the buffer only as bytes arrive: a length field alone takes no memory.
+// fill reads size bytes into the buffer. It grows the buffer only as bytes arrive, so that a large length field
+// alone allocates no memory.
 func (r *Reader) fill(size int) error {
 	r.buf = r.buf[:0]
 	for len(r.buf) < size {
@@ -152,7 +154,7 @@
 	return nil
 }
 
-// cursor walks a frame; the first error sticks.
+// cursor decodes a frame from start to end and keeps the first error.
 type cursor struct {
 	b   []byte
 	at  int
@@ -310,7 +312,7 @@
 	codeFail   = 11
 )
 
-// Reply collects the records of one reply.
+// Reply encodes the records of one reply frame.
 type Reply struct {
 	buf   []byte
 	count uint32
@@ -321,7 +323,7 @@
 	p.buf, p.count = append(p.buf[:0], make([]byte, replyHeader)...), 0
 }
 
-// Add writes an action of an instance.
+// Add appends the record of an instance's action.
 func (p *Reply) Add(instance uint16, a *dispatch.Action) error {
 	be := binary.BigEndian
 	head := func(code byte) { p.buf = be.AppendUint16(append(p.buf, code), instance) }
@@ -378,7 +380,7 @@
 	return nil
 }
 
-// Bytes gives the finished frame; it holds until the next Reset.
+// Bytes returns the finished frame, which is valid until the next Reset.
 func (p *Reply) Bytes() []byte {
 	binary.BigEndian.PutUint32(p.buf, p.count)
 	binary.BigEndian.PutUint32(p.buf[4:], uint32(len(p.buf)-replyHeader))
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -14,7 +14,7 @@
 	"gatetack/internal/dispatch"
 )
 
-// frame builds a batch from records in hex.
+// frame encodes a batch from records in hexadecimal.
 func frame(clock float64, records ...string) []byte {
 	var body []byte
 	for _, r := range records {
@@ -30,7 +30,7 @@
 	return append(be.AppendUint32(out, uint32(len(records))), body...)
 }
 
-// The records that the page of the wire gives as examples, and those it gives none for, made by its tables.
+// samples has the example records of the protocol's documentation, and one built from its tables for each other code.
 var samples = []struct {
 	name string
 	hex  string
@@ -114,9 +114,9 @@
 	for _, s := range samples {
 		whole := frame(240, s.hex)
 		for n := 1; n < len(whole); n++ {
-			// Cut off in the stream, and cut off within a frame whose length says so.
+			// Truncated in the stream, and truncated within a frame whose length field matches.
 			if _, err := NewReader(bytes.NewReader(whole[:n])).Read(); err == nil || errors.Is(err, io.EOF) {
-				t.Fatalf("%s cut to %d bytes: %v", s.name, n, err)
+				t.Fatalf("%s truncated to %d bytes: %v", s.name, n, err)
 			}
 			if n < 16 {
 				continue
@@ -172,7 +172,7 @@
 		t.Fatal("no error")
 	}
 	if cap(r.buf) > 2*readChunk {
-		t.Errorf("%d bytes taken for a frame of 3", cap(r.buf))
+		t.Errorf("%d bytes allocated for a frame of which 3 bytes arrived", cap(r.buf))
 	}
 }
 
@@ -221,7 +221,7 @@
 	}
 	if p.Add(3, &dispatch.Action{Kind: 99}) == nil ||
 		p.Add(3, &dispatch.Action{Kind: dispatch.ActGossip, Data: make([]byte, 257)}) == nil {
-		t.Error("an action that the wire does not know was written")
+		t.Error("an action that the protocol does not have was encoded")
 	}
 }
 
@@ -302,14 +302,14 @@
 		dispatch.FieldOther,
 	}
 	if !reflect.DeepEqual(s.ReportFields, fields) || s.Telemetry != dispatch.ReportHealthChecks {
-		t.Errorf("fields %v, how %v", s.ReportFields, s.Telemetry)
+		t.Errorf("fields %v, telemetry %v", s.ReportFields, s.Telemetry)
 	}
 	if len(s.Tenants) != 1 || s.Tenants[0] != (dispatch.Tenant{ReservedShare: 0.23, Quota: 13}) {
 		t.Errorf("tenants %+v", s.Tenants)
 	}
 }
 
-// Where a client may not be told when to come back, the longest time to tell is none.
+// MaxRetryAfter is 0 unless the setting limits.retryAfter permits Retry-After in answers.
 func TestRetryAfterNeedsLeave(t *testing.T) {
 	for line, want := range map[string]float64{"limits.retryAfter=true": 2000, "limits.retryAfter=false": 0, "": 0} {
 		s, err := ParseSettings([]byte(info + "limits.maxRetryAfter=2000.0\n" + line + "\n"))
@@ -335,16 +335,16 @@
 		s, err := ParseSettings([]byte(info + line + "\n"))
 		if key == "" {
 			if err != nil {
-				t.Errorf("%s: %v, want the documented default", line, err)
+				t.Errorf("%s: got error %v, want the documented default", line, err)
 			}
 			if strings.Contains(line, "effect") && s.Classes[1].RetrySafety != dispatch.AtMostOnce {
-				t.Error("an unknown effect must be taken as the strictest")
+				t.Error("an unknown effect is not treated as the strictest one")
 			}
 			continue
 		}
 		var se *SettingError
 		if !errors.As(err, &se) || se.Key != key {
-			t.Errorf("%s: %v, want an error that names %s", line, err, key)
+			t.Errorf("%s: got error %v, want one that names %s", line, err, key)
 		}
 	}
 }
--- a/internal/testenv/link.go
+++ b/internal/testenv/link.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func (l *Link) now() (Fault, <-chan struct{}) {
+func (l *Link) current() (Fault, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fault, l.changed
@@ -64,7 +64,7 @@
 func (l *Link) carry(ctx context.Context, c *net.TCPConn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if !l.open(ctx, func(f Fault) bool { return f.BlockUp || f.BlockDown }) { // no connection can be made while a direction is blocked
+	if !l.waitUnblocked(ctx, func(f Fault) bool { return f.BlockUp || f.BlockDown }) { // no connection can be made while a direction is blocked
 		_ = c.Close()
 		return
 	}
@@ -93,10 +93,10 @@
 	g.Wait()
 }
 
-// open waits until blocked returns false for the current fault. It returns false if the context ends first.
-func (l *Link) open(ctx context.Context, cut func(Fault) bool) bool {
+// waitUnblocked waits until blocked returns false for the current fault. It returns false if the context ends first.
+func (l *Link) waitUnblocked(ctx context.Context, cut func(Fault) bool) bool {
 	for {
-		f, changed := l.now()
+		f, changed := l.current()
 		if !cut(f) {
 			return ctx.Err() == nil
 		}
@@ -112,10 +112,10 @@
 	buf := make([]byte, 16<<10)
 	for moved := 0; ; {
 		n, err := from.Read(buf)
-		if !l.open(ctx, cut) {
+		if !l.waitUnblocked(ctx, cut) {
 			return
 		}
-		f, _ := l.now()
+		f, _ := l.current()
 		if moved += n; f.ResetAfter > 0 && moved > f.ResetAfter {
 			_, _ = from.SetLinger(0), to.SetLinger(0)
 			cancel()
--- a/internal/testenv/slow.go
+++ b/internal/testenv/slow.go
@@ -36,12 +36,12 @@
 type SlowProxy struct {
 	Addr string
 
-	target string
-	mu     sync.Mutex
-	up     Script // from the connecting side to the target
-	down   Script // from the target to the connecting side
-	rng    *rand.Rand
-	taken  int
+	target   string
+	mu       sync.Mutex
+	up       Script // from the connecting side to the target
+	down     Script // from the target to the connecting side
+	rng      *rand.Rand
+	accepted int
 }
 
 // NewSlowProxy starts a proxy in front of target.
@@ -82,7 +82,7 @@
 func (s *SlowProxy) Accepted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.taken
+	return s.accepted
 }
 
 func (s *SlowProxy) script(up bool) (Script, float64) {
@@ -96,7 +96,7 @@
 
 func (s *SlowProxy) carry(ctx context.Context, c net.Conn) {
 	s.mu.Lock()
-	s.taken++
+	s.accepted++
 	s.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/testenv/standin.go
+++ b/internal/testenv/standin.go
@@ -89,8 +89,8 @@
 // address.
 var own = fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()>>16&63, os.Getpid()>>8&255, os.Getpid()&255)
 
-// given holds the addresses that FreeAddrs has returned. Their callers listen on them later, so they must not be returned again.
-var given sync.Map
+// returnedAddrs holds the addresses that FreeAddrs has returned. Their callers listen on them later, so they must not be returned again.
+var returnedAddrs sync.Map
 
 // FreeAddrs returns n distinct addresses that are free and were not returned before. They are on a loopback address on which
 // nothing else in the tests listens, so that no fake that listens on port 0 gets one of them.
@@ -102,16 +102,16 @@
 			return nil, err
 		}
 		defer func() { _ = ln.Close() }() // stays open until all addresses are found
-		if addr := ln.Addr().String(); !had(addr) {
+		if addr := ln.Addr().String(); !alreadyReturned(addr) {
 			out = append(out, addr)
 		}
 	}
 	return out, nil
 }
 
-// had reports whether an address was returned before, and marks it as returned.
-func had(addr string) bool {
-	_, had := given.LoadOrStore(addr, true)
+// alreadyReturned reports whether an address was returned before, and marks it as returned.
+func alreadyReturned(addr string) bool {
+	_, had := returnedAddrs.LoadOrStore(addr, true)
 	return had
 }
 
@@ -132,7 +132,7 @@
 	return &Conn{c, http1.NewRing(4096), http1.NewParser(Limits, true), http1.NewWriter(c, 4096)}, nil
 }
 
-const answerWithin = 40 * time.Second // timeout of a call in tests
+const callTimeout = 40 * time.Second // timeout of a call in tests
 
 // Do sends a request and returns its answer.
 func (c *Conn) Do(method, target string, body []byte, fields ...http1.Field) (*http1.Message, error) {
@@ -143,7 +143,7 @@
 	if err := c.w.Flush(); err != nil {
 		return nil, err
 	}
-	_ = c.SetReadDeadline(time.Now().Add(answerWithin))
+	_ = c.SetReadDeadline(time.Now().Add(callTimeout))
 	return c.p.Read(c.in, c.Conn)
 }
 
@@ -160,7 +160,7 @@
 
 // Call makes one request on a new connection.
 func Call(addr, method, target string, body []byte, fields ...http1.Field) (*http1.Message, error) {
-	return CallFor(addr, answerWithin, method, target, body, fields...)
+	return CallFor(addr, callTimeout, method, target, body, fields...)
 }
 
 // Start is a job request that an executor received completely and accepted.
@@ -194,9 +194,9 @@
 
 	mu       sync.Mutex
 	node     string // address that receives callbacks
-	how      Behavior
+	behavior Behavior
 	running  int
-	room     chan struct{} // closed and replaced when a job ends
+	jobEnded chan struct{} // closed and replaced when a job ends
 	starts   []Start
 	gaveUp   []string
 	callback []int // statuses of the answers to callbacks
@@ -210,8 +210,8 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &Executor{Name: name, Addr: ln.Addr().String(), node: node, how: Behavior{JobDuration: run, CallbackRepeats: 1, FreeSlots: 2}, g: g, ctx: ctx,
-		room: make(chan struct{})}
+	b := &Executor{Name: name, Addr: ln.Addr().String(), node: node, behavior: Behavior{JobDuration: run, CallbackRepeats: 1, FreeSlots: 2}, g: g, ctx: ctx,
+		jobEnded: make(chan struct{})}
 	s := http1.NewServer(Limits, b, nil, DiscardLog)
 	g.Go(func() error { return s.Serve(ctx, ln) })
 	return b, nil
@@ -221,7 +221,7 @@
 func (b *Executor) Set(change func(*Behavior)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	change(&b.how)
+	change(&b.behavior)
 }
 
 // Starts returns the accepted job requests in the order of arrival.
@@ -254,7 +254,7 @@
 		return http1.Response{Status: 204}
 	}
 	b.mu.Lock()
-	how := b.how
+	how := b.behavior
 	b.mu.Unlock()
 	pause(b.ctx, time.Until(how.UnresponsiveUntil))
 	if m.Method == "GET" && m.Target == "/load" {
@@ -283,7 +283,7 @@
 func (b *Executor) work(id string, how Behavior) {
 	for {
 		b.mu.Lock()
-		ok, room := how.Slots == 0 || b.running < how.Slots, b.room
+		ok, room := how.Slots == 0 || b.running < how.Slots, b.jobEnded
 		if ok {
 			b.running++
 		}
@@ -301,11 +301,11 @@
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.running--
-		close(b.room)
-		b.room = make(chan struct{})
+		close(b.jobEnded)
+		b.jobEnded = make(chan struct{})
 	}()
 	if !how.NoCallbacks && !how.NoProgress {
-		b.tell(id, `"state":"started"`)
+		b.notify(id, `"state":"started"`)
 	}
 	select {
 	case <-time.After(how.JobDuration):
@@ -316,10 +316,10 @@
 		return
 	}
 	if !how.NoProgress {
-		b.tell(id, `"state":"running","share":0.9`)
+		b.notify(id, `"state":"running","share":0.9`)
 	}
 	if how.FailJobs {
-		b.tell(id, `"state":"failed"`)
+		b.notify(id, `"state":"failed"`)
 		return
 	}
 	result := "tile of " + id
@@ -330,7 +330,7 @@
 	if !how.NoLoadReport {
 		load = `,"load":{"queue":0,"x0":` + strconv.Itoa(how.FreeSlots) + `}`
 	}
-	b.tell(id, `"state":"done","result":"`+result+`"`+load)
+	b.notify(id, `"state":"done","result":"`+result+`"`+load)
 }
 
 // load returns the body of the answer to a health check. The caller holds b.mu.
@@ -338,9 +338,9 @@
 	return `{"queue":0,"qps":` + strconv.Itoa(len(b.starts)) + `,"x0":` + strconv.Itoa(max(0, how.FreeSlots-b.running)) + `}`
 }
 
-func (b *Executor) tell(id, rest string) {
+func (b *Executor) notify(id, rest string) {
 	b.mu.Lock()
-	node, repeat := b.node, b.how.CallbackRepeats
+	node, repeat := b.node, b.behavior.CallbackRepeats
 	b.mu.Unlock()
 	for range repeat {
 		for range 10 { // each callback is retried until it is answered, up to ten times
@@ -362,12 +362,12 @@
 type Discovery struct {
 	Addr string
 
-	mu      sync.Mutex
-	index   int
-	entries map[string]string // by name, as JSON
-	changed chan struct{}
-	mute    bool
-	watches int
+	mu           sync.Mutex
+	index        int
+	entries      map[string]string // by name, as JSON
+	changed      chan struct{}
+	unresponsive bool
+	watches      int
 }
 
 // NewDiscovery starts a discovery service with an empty list.
@@ -410,7 +410,7 @@
 func (l *Discovery) SetUnresponsive(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.mute = on
+	l.unresponsive = on
 }
 
 // Watches returns how many watches were started.
@@ -427,7 +427,7 @@
 	for _, e := range l.entries {
 		rows = append(rows, e)
 	}
-	return `{"index":` + strconv.Itoa(l.index) + `,"snapshot":true,"endpoints":[` + strings.Join(rows, ",") + "]}\n", l.changed, l.mute
+	return `{"index":` + strconv.Itoa(l.index) + `,"snapshot":true,"endpoints":[` + strings.Join(rows, ",") + "]}\n", l.changed, l.unresponsive
 }
 
 func (l *Discovery) serve(ctx context.Context, c net.Conn) {
@@ -459,7 +459,7 @@
 		defer beat.Stop()
 		for {
 			l.mu.Lock()
-			mute := l.mute
+			mute := l.unresponsive
 			l.mu.Unlock()
 			if !mute {
 				if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text); err != nil {
