--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -143,7 +143,7 @@
 		return fmt.Errorf("the tool's own program: %w", err)
 	}
 	r, err := play.Run(cmd.Context(), play.Options{Self: self, Description: o.description, Faults: specs, Program: o.program, Dir: dir,
-		Command: words(), Commit: commit(), Budget: process.Bounds})
+		Command: words(), Commit: commit(), Budget: process.DefaultBudget})
 	if err != nil {
 		return err
 	}
@@ -252,7 +252,7 @@
 		}
 	}
 	switch {
-	case !r.Kept:
+	case !r.RulesKept:
 		return errBroken
 	case r.Partial:
 		return errEarly
--- a/internal/capacity/measure/dispatcher.go
+++ b/internal/capacity/measure/dispatcher.go
@@ -102,7 +102,7 @@
 		if message, err := testenv.Call(listen, "GET", "/healthz", nil); err == nil && message.Status == 200 {
 			break
 		}
-		if node.Gone() || time.Now().After(end) {
+		if node.HasEnded() || time.Now().After(end) {
 			return DispatcherCost{}, fmt.Errorf("measure: %s does not become ready", program)
 		}
 	}
--- a/internal/capacity/scaleruns.go
+++ b/internal/capacity/scaleruns.go
@@ -39,10 +39,10 @@
 		played += "; **partial**"
 	}
 	kept := "kept"
-	if !r.Kept {
+	if !r.RulesKept {
 		kept = "**broken**"
 	}
-	return []string{"`" + name + "`", played, fmt.Sprintf("%s asked, %s begun; %s running", short(r.Running.AskedPerS), short(r.Running.StartsPerS), short(float64(r.Running.Peak))),
+	return []string{"`" + name + "`", played, fmt.Sprintf("%s asked, %s begun; %s running", short(r.Running.RequestedPerS), short(r.Running.StartsPerS), short(float64(r.Running.Peak))),
 		urgentStarts(r), outcomes(r), kept, dispatcherUse(r), executorTraffic(r), saturatedFirst(r)}
 }
 
@@ -50,7 +50,7 @@
 func urgentStarts(r *result.Result) string {
 	for _, jobs := range r.Jobs {
 		if jobs.Kind == "urgent" {
-			return fmt.Sprintf("%s of %s", percent(jobs.StartTold.Within), short(float64(jobs.Tasks)))
+			return fmt.Sprintf("%s of %s", percent(jobs.StartNotified.Within), short(float64(jobs.Tasks)))
 		}
 	}
 	return notMeasured
--- a/internal/scale/faults/faults.go
+++ b/internal/scale/faults/faults.go
@@ -80,7 +80,7 @@
 	Kill          ActionKind = iota // Executors end
 	Boot                            // Executors begin cold lives
 	ListDraining                    // the list tells of Executors
-	ListGone                        // likewise
+	ListRemoved                     // likewise
 	ListReady                       // likewise, with their new lives
 	SetCut                          // Region, Inward, Outward
 	LiftCut                         // likewise
@@ -96,7 +96,7 @@
 	Executors       []int
 	Region          int
 	Inward, Outward bool
-	Why             Name
+	Cause           Name
 }
 
 // How late the list knows what has become of an executor.
@@ -145,16 +145,16 @@
 		s.outage(Zone, third, s.d.Duration/3, s.pick(func(x fleet.Executor) bool { return x.Zone == zone }))
 	case CutInward, CutOutward, Cut:
 		a := Action{At: third, Kind: SetCut, Region: s.random.IntN(s.d.Regions), Inward: spec.Name != CutOutward,
-			Outward: spec.Name != CutInward, Why: spec.Name}
+			Outward: spec.Name != CutInward, Cause: spec.Name}
 		s.actions = append(s.actions, a)
 		a.At, a.Kind = a.At+third, LiftCut
 		s.actions = append(s.actions, a)
 	case Leader:
-		s.actions = append(s.actions, Action{At: third, Kind: KillLeader, Why: Leader}, Action{At: 2 * third, Kind: RestartLeader, Why: Leader})
+		s.actions = append(s.actions, Action{At: third, Kind: KillLeader, Cause: Leader}, Action{At: 2 * third, Kind: RestartLeader, Cause: Leader})
 	case Reconfigure:
 		every := time.Duration(spec.Value * float64(time.Second))
 		for at := every; at < s.d.Duration; at += every {
-			s.actions = append(s.actions, Action{At: at, Kind: Change, Why: Reconfigure})
+			s.actions = append(s.actions, Action{At: at, Kind: Change, Cause: Reconfigure})
 		}
 	}
 }
@@ -176,10 +176,10 @@
 func (s *schedule) outage(why Name, at, down time.Duration, executors []int) {
 	up := at + down
 	s.actions = append(s.actions,
-		Action{At: at, Kind: Kill, Executors: executors, Why: why},
-		Action{At: at + min(down/2, s.between(goneAfterLeast, goneAfterMost)), Kind: ListGone, Executors: executors, Why: why},
-		Action{At: up, Kind: Boot, Executors: executors, Why: why},
-		Action{At: up + s.between(readyAfterLeast, readyAfterMost), Kind: ListReady, Executors: executors, Why: why})
+		Action{At: at, Kind: Kill, Executors: executors, Cause: why},
+		Action{At: at + min(down/2, s.between(goneAfterLeast, goneAfterMost)), Kind: ListRemoved, Executors: executors, Cause: why},
+		Action{At: up, Kind: Boot, Executors: executors, Cause: why},
+		Action{At: up + s.between(readyAfterLeast, readyAfterMost), Kind: ListReady, Executors: executors, Cause: why})
 }
 
 // machines draws single failures at the operators' rate, times a factor.
@@ -204,10 +204,10 @@
 		one := []int{x}
 		down := at + drain
 		s.actions = append(s.actions,
-			Action{At: at, Kind: ListDraining, Executors: one, Why: Rolling},
-			Action{At: down, Kind: Kill, Executors: one, Why: Rolling},
-			Action{At: down, Kind: ListGone, Executors: one, Why: Rolling},
-			Action{At: down + restarts, Kind: Boot, Executors: one, Why: Rolling},
-			Action{At: down + restarts + s.between(readyAfterLeast, readyAfterMost), Kind: ListReady, Executors: one, Why: Rolling})
+			Action{At: at, Kind: ListDraining, Executors: one, Cause: Rolling},
+			Action{At: down, Kind: Kill, Executors: one, Cause: Rolling},
+			Action{At: down, Kind: ListRemoved, Executors: one, Cause: Rolling},
+			Action{At: down + restarts, Kind: Boot, Executors: one, Cause: Rolling},
+			Action{At: down + restarts + s.between(readyAfterLeast, readyAfterMost), Kind: ListReady, Executors: one, Cause: Rolling})
 	}
 }
--- a/internal/scale/faults/faults_test.go
+++ b/internal/scale/faults/faults_test.go
@@ -40,7 +40,7 @@
 			t.Errorf("%d executors, want a zone's", len(a.Executors))
 		}
 	}
-	if want := []ActionKind{Kill, ListGone, Boot, ListReady}; !slices.Equal(kinds, want) {
+	if want := []ActionKind{Kill, ListRemoved, Boot, ListReady}; !slices.Equal(kinds, want) {
 		t.Fatalf("%v, want %v", kinds, want)
 	}
 	if out := actions[2].At - actions[0].At; out != d.Duration/3 || actions[3].At >= d.Duration {
@@ -59,7 +59,7 @@
 		t.Errorf("%d executors, want 7", len(by))
 	}
 	for x, kinds := range by {
-		if want := []ActionKind{ListDraining, Kill, ListGone, Boot, ListReady}; !slices.Equal(kinds, want) {
+		if want := []ActionKind{ListDraining, Kill, ListRemoved, Boot, ListReady}; !slices.Equal(kinds, want) {
 			t.Errorf("executor %d: %v, want %v", x, kinds, want)
 		}
 	}
--- a/internal/scale/fleet/description.go
+++ b/internal/scale/fleet/description.go
@@ -37,17 +37,17 @@
 
 // Bounds of a description. Executor addresses have two octets, and dispatcher numbers two hexadecimal digits of a request's id.
 const (
-	MaxExecutors   = 12000
-	MaxDispatchers = 100
-	MaxStore       = 5
-	MaxTenants     = 5000
-	MaxStarts      = 100000
-	MaxRunning     = 1000000
-	MaxDuration    = 10 * time.Minute
-	maxRegions     = 20
-	maxZones       = 10
-	maxClients     = 8
-	maxListeners   = 12000 // a process may have 20,000 descriptors, and connections need some
+	MaxExecutors    = 12000
+	MaxDispatchers  = 100
+	MaxStoreMembers = 5
+	MaxTenants      = 5000
+	MaxStarts       = 100000
+	MaxRunning      = 1000000
+	MaxDuration     = 10 * time.Minute
+	maxRegions      = 20
+	maxZones        = 10
+	maxClients      = 8
+	maxListeners    = 12000 // a process may have 20,000 descriptors, and connections need some
 )
 
 // FieldError names a field that can not be used and what was expected.
@@ -75,7 +75,7 @@
 		{"executors", d.Executors, 1, MaxExecutors},
 		{"dispatchers", d.Dispatchers, leastReal, MaxDispatchers},
 		{"hollow-dispatchers", d.Hollow, 0, MaxDispatchers - d.Dispatchers},
-		{"store-members", d.StoreMembers, 0, min(MaxStore, d.Dispatchers)},
+		{"store-members", d.StoreMembers, 0, min(MaxStoreMembers, d.Dispatchers)},
 		{"tenants", d.Tenants, 1, MaxTenants},
 		{"regions", d.Regions, 1, maxRegions},
 		{"zones", d.ZonesPerRegion, 1, maxZones},
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// AllDispatchers is how many there are, real and hollow; the real ones have the first numbers.
-func (d *Description) AllDispatchers() int { return d.Dispatchers + d.Hollow }
+// TotalDispatchers is how many there are, real and hollow; the real ones have the first numbers.
+func (d *Description) TotalDispatchers() int { return d.Dispatchers + d.Hollow }
 
 // MeanRun is how long a task runs on the mean, so that the asked-for rate keeps the asked-for number running.
 func (d *Description) MeanRun() time.Duration {
--- a/internal/scale/fleet/fleet_test.go
+++ b/internal/scale/fleet/fleet_test.go
@@ -68,7 +68,7 @@
 			}
 			rules := d.Rules()
 			if c.Name != "n3" || len(c.Settings.Tenants) != tenants || c.Settings.Nodes != d.Dispatchers || !c.Settings.GossipAllowed ||
-				c.Settings.OverloadMultiple != rules.FallMultiple || c.Settings.DrainGrace != millis(rules.DrainGrace) {
+				c.Settings.OverloadMultiple != rules.OverloadMultiple || c.Settings.DrainGrace != millis(rules.DrainGrace) {
 				t.Errorf("%+v", c.Settings)
 			}
 			if got := c.Names.Classes; len(got) != Classes+1 || got[Classes] != ChangeClass(changes) || got[ClassUrgent] != ClassNames[ClassUrgent] {
--- a/internal/scale/fleet/settings.go
+++ b/internal/scale/fleet/settings.go
@@ -19,15 +19,15 @@
 
 // Rules are the figures of the rules that the settings state, and that a run is judged by.
 type Rules struct {
-	AnswerSlack  time.Duration // after a client's time an answer still counts
-	DrainGrace   time.Duration // a draining executor may still be sent to
-	ColdFrom     float64       // part of its capacity that an executor starts with
-	WarmWithin   time.Duration // and after which it has all of it
-	FallMultiple float64       // a cold executor takes so many times its capacity
-	Fall         time.Duration // over such a span
-	KeyWindow    time.Duration // in which a repeat of a keyed task is dropped
-	Deadlines    [Classes]time.Duration
-	MaxRetry     time.Duration // the longest that a refused client is told to stay away
+	AnswerSlack       time.Duration // after a client's time an answer still counts
+	DrainGrace        time.Duration // a draining executor may still be sent to
+	SlowStartMinShare float64       // part of its capacity that an executor starts with
+	SlowStartDuration time.Duration // and after which it has all of it
+	OverloadMultiple  float64       // a cold executor takes so many times its capacity
+	OverloadWindow    time.Duration // over such a span
+	DedupWindow       time.Duration // in which a repeat of a keyed task is dropped
+	Deadlines         [Classes]time.Duration
+	MaxRetryAfter     time.Duration // the longest that a refused client is told to stay away
 }
 
 // Least deadlines of the classes; longer tasks have longer ones.
@@ -41,16 +41,16 @@
 func (d *Description) Rules() Rules {
 	run := d.MeanRun()
 	long := max(leastDeadline, deadlineRuns*run)
-	return Rules{AnswerSlack: 16 * time.Millisecond, DrainGrace: 500 * time.Millisecond, ColdFrom: 0.3, WarmWithin: 8400 * time.Millisecond,
-		FallMultiple: 2.5, Fall: max(2*time.Second, 2*run), KeyWindow: max(40*time.Second, 2*long),
-		Deadlines: [Classes]time.Duration{long, long, max(urgentDeadline, long/2)}, MaxRetry: 2 * time.Second}
+	return Rules{AnswerSlack: 16 * time.Millisecond, DrainGrace: 500 * time.Millisecond, SlowStartMinShare: 0.3, SlowStartDuration: 8400 * time.Millisecond,
+		OverloadMultiple: 2.5, OverloadWindow: max(2*time.Second, 2*run), DedupWindow: max(40*time.Second, 2*long),
+		Deadlines: [Classes]time.Duration{long, long, max(urgentDeadline, long/2)}, MaxRetryAfter: 2 * time.Second}
 }
 
-// UrgentWithin is how soon urgent work is to start, by the operators.
-const UrgentWithin = 2200 * time.Millisecond
+// UrgentStartTarget is how soon urgent work is to start, by the operators.
+const UrgentStartTarget = 2200 * time.Millisecond
 
-// Portion is a tenant's reserved part of the service: all have the same.
-func (d *Description) Portion() float64 { return 1 / float64(d.Tenants) }
+// ReservedShare is a tenant's reserved part of the service: all have the same.
+func (d *Description) ReservedShare() float64 { return 1 / float64(d.Tenants) }
 
 type object = map[string]any
 
@@ -59,8 +59,8 @@
 // progressEvery is the time between two reports of a running task's progress.
 const progressEvery = time.Second
 
-// ProgressEvery is longer where many tasks run, so that reports stay under progressMost a second.
-func (d *Description) ProgressEvery() time.Duration {
+// ProgressInterval is longer where many tasks run, so that reports stay under progressMost a second.
+func (d *Description) ProgressInterval() time.Duration {
 	return max(progressEvery, time.Duration(d.Running)*time.Second/progressMost)
 }
 
@@ -96,7 +96,7 @@
 	}
 	tenants := make([]object, d.Tenants)
 	for i := range tenants {
-		tenants[i] = object{"name": TenantName(i), "portion": d.Portion(), "quotaRps": 2 * max(d.Starts, d.StartsTo) * d.Portion()}
+		tenants[i] = object{"name": TenantName(i), "portion": d.ReservedShare(), "quotaRps": 2 * max(d.Starts, d.StartsTo) * d.ReservedShare()}
 	}
 	effects := [Classes]string{"single_shot", "guarded", "free"}
 	worth := [Classes]float64{8, 8, 24}
@@ -104,26 +104,26 @@
 	for i := range classes {
 		aim := rules.Deadlines[i] / 2
 		if i == ClassUrgent {
-			aim = UrgentWithin
+			aim = UrgentStartTarget
 		}
 		classes[i] = object{"name": ClassNames[i], "aim": millis(aim), "deadline": millis(rules.Deadlines[i]), "worth": worth[i],
-			"effect": effects[i], "dedupScope": "cell", "window": millis(rules.KeyWindow)}
+			"effect": effects[i], "dedupScope": "cell", "window": millis(rules.DedupWindow)}
 	}
 	change := changeFields()
 	change["name"] = ChangeClass(changes)
 	classes = append(classes, change)
 	return object{
-		"me": dispatcher, "balancers": d.AllDispatchers(), "zone": d.DispatcherZone(dispatcher), "zones": zones, "kinds": Kinds, "step": 4.0,
+		"me": dispatcher, "balancers": d.TotalDispatchers(), "zone": d.DispatcherZone(dispatcher), "zones": zones, "kinds": Kinds, "step": 4.0,
 		"discovery": "subscribe", "weights": "rough", "workload": "jobs", "worthBy": "request", "overShareWorth": 0.2,
 		"telemetry": object{"how": "piggyback", "fields": []string{"pending", "x0"}},
 		"familyInfo": object{"classKind": []float64{-1, -1, -1, -1}, "classStretch": []float64{2, 2, 2, 2}, "reportX0": "free slots",
-			"tellsStart": true, "progress": millis(d.ProgressEvery())},
+			"tellsStart": true, "progress": millis(d.ProgressInterval())},
 		"fees": object{"crossZone": 0.03},
 		"limits": object{"cancelling": true, "connIdle": 60000.0, "connectTimeout": 250.0, "maxAttempts": 3, "maxOpen": 20000,
-			"maxRetryAfter": millis(rules.MaxRetry), "mayDuplicate": true, "multiplex": 1, "peers": true, "probing": true, "retryAfter": true},
-		"invariants": object{"answerSlack": millis(rules.AnswerSlack), "askWithin": 10000.0, "coldFrom": rules.ColdFrom,
-			"drainGrace": millis(rules.DrainGrace), "fall": millis(rules.Fall), "fallMultiple": rules.FallMultiple,
-			"warmWithin": millis(rules.WarmWithin)},
+			"maxRetryAfter": millis(rules.MaxRetryAfter), "mayDuplicate": true, "multiplex": 1, "peers": true, "probing": true, "retryAfter": true},
+		"invariants": object{"answerSlack": millis(rules.AnswerSlack), "askWithin": 10000.0, "coldFrom": rules.SlowStartMinShare,
+			"drainGrace": millis(rules.DrainGrace), "fall": millis(rules.OverloadWindow), "fallMultiple": rules.OverloadMultiple,
+			"warmWithin": millis(rules.SlowStartDuration)},
 		"requestClasses": classes, "tenants": tenants,
 	}
 }
--- a/internal/scale/hollow/batch.go
+++ b/internal/scale/hollow/batch.go
@@ -48,13 +48,13 @@
 	deadline time.Time
 }
 
-// Pursue submits an array and follows it to its end.
-func (b *BatchClients) Pursue(ctx context.Context, tasks []workload.Task, due time.Time) {
+// RunArray submits an array and follows it to its end.
+func (b *BatchClients) RunArray(ctx context.Context, tasks []workload.Task, due time.Time) {
 	a := &array{first: tasks[0], member: tasks[0].Job % b.members, deadline: due.Add(b.rules.Deadlines[tasks[0].Class])}
 	id, err := b.submit(ctx, a, len(tasks))
 	if err != nil {
 		b.refused.Add(1)
-		b.results.Refused[workload.Array].Add(int64(len(tasks)))
+		b.results.Rejected[workload.Array].Add(int64(len(tasks)))
 		return
 	}
 	b.submitted(a, tasks)
@@ -171,8 +171,8 @@
 		e.Answer = verdict.Served
 		b.results.Served[workload.Array].Add(1)
 	case info.JobState == "FAILED" && info.JobSubState == "refused":
-		e.Answer = verdict.Refused
-		b.results.Refused[workload.Array].Add(1)
+		e.Answer = verdict.Rejected
+		b.results.Rejected[workload.Array].Add(1)
 	default:
 		b.results.Failed[workload.Array].Add(1)
 	}
--- a/internal/scale/hollow/clients.go
+++ b/internal/scale/hollow/clients.go
@@ -32,7 +32,7 @@
 }
 
 // Results count how tasks ended, whatever number of requests each took.
-type Results struct{ Tasks, Served, Refused, Failed [workload.Kinds]atomic.Int64 }
+type Results struct{ Tasks, Served, Rejected, Failed [workload.Kinds]atomic.Int64 }
 
 // ResultCounts are results at a moment.
 type ResultCounts struct{ Tasks, Served, Refused, Failed [workload.Kinds]int64 }
@@ -40,7 +40,7 @@
 // Counts are the results so far.
 func (r *Results) Counts() (out ResultCounts) {
 	for k := range workload.Kinds {
-		out.Tasks[k], out.Served[k], out.Refused[k], out.Failed[k] = r.Tasks[k].Load(), r.Served[k].Load(), r.Refused[k].Load(), r.Failed[k].Load()
+		out.Tasks[k], out.Served[k], out.Refused[k], out.Failed[k] = r.Tasks[k].Load(), r.Served[k].Load(), r.Rejected[k].Load(), r.Failed[k].Load()
 	}
 	return out
 }
@@ -50,7 +50,7 @@
 	for k := range workload.Kinds {
 		r.Tasks[k].Add(c.Tasks[k])
 		r.Served[k].Add(c.Served[k])
-		r.Refused[k].Add(c.Refused[k])
+		r.Rejected[k].Add(c.Refused[k])
 		r.Failed[k].Add(c.Failed[k])
 	}
 }
@@ -124,7 +124,7 @@
 		}
 		g.Go(func() error {
 			if t.Batch {
-				c.batch.Pursue(ctx, tasks, due)
+				c.batch.RunArray(ctx, tasks, due)
 			} else {
 				c.pursue(ctx, t, due)
 			}
@@ -162,13 +162,13 @@
 		case verdict.Served:
 			c.results.Served[t.Kind].Add(1)
 			return
-		case verdict.Failed, verdict.Broken:
+		case verdict.Failed, verdict.ConnectionBroken:
 			c.results.Failed[t.Kind].Add(1)
 			return
 		case verdict.Unreached:
 			dispatcher = (dispatcher + 1) % c.dispatchers
 			retry = unreachedPause
-		case verdict.Refused:
+		case verdict.Rejected:
 			retry = max(retry, leastRetry)
 		}
 		if time.Now().Add(retry).After(deadline) {
@@ -177,7 +177,7 @@
 		sleep(ctx, retry)
 	}
 	c.record.Add(verdict.Event{Kind: verdict.Withdrawn, Task: int32(t.Number)})
-	c.results.Refused[t.Kind].Add(1)
+	c.results.Rejected[t.Kind].Add(1)
 }
 
 // submit makes one request, and says how it ended and how long its client is to stay away.
@@ -194,7 +194,7 @@
 	left := time.Until(deadline)
 	if left <= 0 {
 		c.keep(dispatcher, conn)
-		return verdict.Refused, 0
+		return verdict.Rejected, 0
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
@@ -215,7 +215,7 @@
 	case err != nil && isTimeout(err):
 		_ = conn.Close()
 		c.record.Add(verdict.Event{Kind: verdict.GivenUp, Request: request})
-		return verdict.Broken, 0
+		return verdict.ConnectionBroken, 0
 	case err != nil && kept && !conn.parser.Started() && time.Since(sent) < crossing:
 		// Between requests a dispatcher may close a connection, which crosses with a request that it has not read.
 		_ = conn.Close()
@@ -223,8 +223,8 @@
 		return verdict.Unreached, 0
 	case err != nil:
 		_ = conn.Close()
-		c.record.Add(verdict.Event{Kind: verdict.Answered, Answer: verdict.Broken, Request: request, Kept: kept})
-		return verdict.Broken, 0
+		c.record.Add(verdict.Event{Kind: verdict.Answered, Answer: verdict.ConnectionBroken, Request: request, Kept: kept})
+		return verdict.ConnectionBroken, 0
 	}
 	answer, retry := read(m, id)
 	c.record.Add(verdict.Event{Kind: verdict.Answered, Answer: answer, Request: request})
@@ -246,7 +246,7 @@
 func (c *Clients) submitHollow(ctx context.Context, d *Dispatcher, t workload.Task, number int, request uint64, deadline time.Time) (verdict.Answer, time.Duration) {
 	left := time.Until(deadline)
 	if left <= 0 {
-		return verdict.Refused, 0
+		return verdict.Rejected, 0
 	}
 	c.record.Add(c.submitted(t, number, request, deadline))
 	answer, retry, answered := d.submit(ctx, t, verdict.ID(request), left, deadline.Add(c.rules.AnswerSlack+answerSpare))
@@ -270,15 +270,15 @@
 	switch m.Status {
 	case 200:
 		if string(m.Body) != resultOf(id) {
-			return verdict.Broken, 0 // what no executor made for it
+			return verdict.ConnectionBroken, 0 // what no executor made for it
 		}
 		return verdict.Served, 0
 	case 429, 503:
 		seconds, err := strconv.ParseFloat(m.Get("Retry-After"), 64)
 		if err != nil {
-			return verdict.Refused, 0
+			return verdict.Rejected, 0
 		}
-		return verdict.Refused, time.Duration(seconds * float64(time.Second))
+		return verdict.Rejected, time.Duration(seconds * float64(time.Second))
 	}
 	return verdict.Failed, 0
 }
--- a/internal/scale/hollow/clients_test.go
+++ b/internal/scale/hollow/clients_test.go
@@ -69,10 +69,10 @@
 		}
 		return http1.Response{Status: 200, Body: []byte(resultOf(m.Get("X-Trace-Id")))}
 	})
-	v := verdict.Run(verdict.Rules{Effects: make([]verdict.Effect, fleet.Classes), Dispatchers: 2, Portions: make([]float64, 4)}, record.Events(), record.Now())
+	v := verdict.JudgeEvents(verdict.Rules{Effects: make([]verdict.Effect, fleet.Classes), Dispatchers: 2, ReservedShares: make([]float64, 4)}, record.Events(), record.Now())
 	r := c.Results()
-	if n := total(&r.Tasks); n == 0 || total(&r.Served)+total(&r.Refused) != n || int64(v.Counts.Served) != total(&r.Served) || v.Counts.Refused == 0 || !v.Kept() {
-		t.Errorf("%d tasks, %d served, %d refused: %+v", n, total(&r.Served), total(&r.Refused), v)
+	if n := total(&r.Tasks); n == 0 || total(&r.Served)+total(&r.Rejected) != n || int64(v.Counts.Served) != total(&r.Served) || v.Counts.Rejected == 0 || !v.Passed() {
+		t.Errorf("%d tasks, %d served, %d refused: %+v", n, total(&r.Served), total(&r.Rejected), v)
 	}
 }
 
@@ -81,9 +81,9 @@
 	c, record := playTo(t, func(*http1.Message) http1.Response {
 		return http1.Response{Status: 200, Body: []byte("result of another")}
 	})
-	v := verdict.Run(verdict.Rules{Effects: make([]verdict.Effect, fleet.Classes), Dispatchers: 2, Portions: make([]float64, 4)}, record.Events(), record.Now())
+	v := verdict.JudgeEvents(verdict.Rules{Effects: make([]verdict.Effect, fleet.Classes), Dispatchers: 2, ReservedShares: make([]float64, 4)}, record.Events(), record.Now())
 	r := c.Results()
-	if total(&r.Served) != 0 || v.Broken[verdict.FinalAnswer] != int(total(&r.Tasks)) {
+	if total(&r.Served) != 0 || v.ViolationCounts[verdict.FinalAnswer] != int(total(&r.Tasks)) {
 		t.Errorf("%d served of %d: %+v", total(&r.Served), total(&r.Tasks), v.Counts)
 	}
 }
@@ -132,10 +132,10 @@
 		t.Fatalf("%+v", whole)
 	}
 	s.Set([]int{3, 4}, StatusDraining, time.Time{})
-	s.Set([]int{3}, StatusGone, time.Time{})
+	s.Set([]int{3}, StatusRemoved, time.Time{})
 	s.Set([]int{4}, StatusReady, time.UnixMilli(77))
 	delta, _ := s.since(firstIndex, 0)
-	if delta.Snapshot || len(delta.Endpoints) != 2 || delta.Endpoints[0].Status != StatusGone || delta.Endpoints[1].SinceMS != 77 {
+	if delta.Snapshot || len(delta.Endpoints) != 2 || delta.Endpoints[0].Status != StatusRemoved || delta.Endpoints[1].SinceMS != 77 {
 		t.Errorf("%+v", delta)
 	}
 	if last, _ := s.since(delta.Index, 0); len(last.Endpoints) != 0 {
--- a/internal/scale/hollow/discovery.go
+++ b/internal/scale/hollow/discovery.go
@@ -50,7 +50,7 @@
 const (
 	StatusReady    = "ready"
 	StatusDraining = "draining"
-	StatusGone     = "gone"
+	StatusRemoved  = "gone"
 )
 
 // firstIndex is the version of the list that a run begins with.
@@ -68,7 +68,7 @@
 		s.rows = append(s.rows, Row{Name: x.Name, Zone: d.ZoneName(x.Zone), Type: fleet.Kinds[x.Kind],
 			Group: x.Rack, Status: StatusReady, Weight: float64(x.Slots)})
 	}
-	for i := range d.AllDispatchers() {
+	for i := range d.TotalDispatchers() {
 		ln, err := net.Listen("tcp", n.Discovery(i))
 		if err != nil {
 			return nil, fmt.Errorf("discovery for dispatcher %d: %w", i, err)
@@ -131,7 +131,7 @@
 	if index < firstIndex || index > now {
 		a.Snapshot = true
 		for _, row := range s.rows {
-			if row.Status != StatusGone {
+			if row.Status != StatusRemoved {
 				a.Endpoints = append(a.Endpoints, row)
 			}
 		}
@@ -219,8 +219,8 @@
 		switch row.Status {
 		case StatusDraining:
 			e.Condition = verdict.Draining
-		case StatusGone:
-			e.Condition = verdict.Gone
+		case StatusRemoved:
+			e.Condition = verdict.Removed
 		}
 		s.record.Add(e)
 	}
--- a/internal/scale/hollow/dispatcher.go
+++ b/internal/scale/hollow/dispatcher.go
@@ -86,7 +86,7 @@
 	job := node.Job{Class: t.Class, Tenant: t.Tenant, TimeLeft: left, Slots: float64(t.Slots), TraceID: id, IdempotencyKey: fmt.Sprintf("key-%d", t.Number),
 		Method: "POST", Target: target(t), Body: []byte("task")}
 	if _, err := d.core.Submit(job, w); err != nil {
-		return verdict.Refused, leastRetry, true
+		return verdict.Rejected, leastRetry, true
 	}
 	timer := time.NewTimer(time.Until(by))
 	defer timer.Stop()
@@ -96,7 +96,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return verdict.Broken, 0, false
+	return verdict.ConnectionBroken, 0, false
 }
 
 func answerOf(a node.Answer, id string) verdict.Answer {
@@ -104,9 +104,9 @@
 	case a.End == node.Served && string(a.Result) == resultOf(id):
 		return verdict.Served
 	case a.End == node.Served:
-		return verdict.Broken // what no executor made for it
+		return verdict.ConnectionBroken // what no executor made for it
 	case a.End == node.Rejected:
-		return verdict.Refused
+		return verdict.Rejected
 	}
 	return verdict.Failed
 }
--- a/internal/scale/hollow/executor.go
+++ b/internal/scale/hollow/executor.go
@@ -34,7 +34,7 @@
 // ExecutorSettings are what all executors have in common.
 type ExecutorSettings struct {
 	Rules            fleet.Rules
-	ProgressEvery    time.Duration // 0 for no reports
+	ProgressInterval time.Duration // 0 for no reports
 	QueuePerSlot     int           // tasks that may wait at an executor, for each slot
 	StoreMembers     int           // the first dispatchers, which have addresses of their own at each executor
 	ExpectedRun      func(class int) time.Duration
@@ -266,12 +266,12 @@
 
 // take puts an attempt to work, or turns it away where too many wait.
 func (x *executor) take(l *life, a *attempt, firstByte time.Duration) http1.Response {
-	e := a.event(verdict.Taken)
+	e := a.event(verdict.Accepted)
 	e.FirstByte, e.Work = firstByte, x.settings.ExpectedRun(a.task.Class)*time.Duration(a.task.Slots)
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if len(l.waiting) >= x.settings.QueuePerSlot*x.plan.Slots || a.task.Slots > x.plan.Slots {
-		e.Kind = verdict.TurnedAway
+		e.Kind = verdict.AttemptRejected
 		x.record.Add(e)
 		return http1.Response{Status: 503, Fields: []http1.Field{{Name: "X-Never-Ran", Value: "1"},
 			{Name: "Endpoint-Load-Metrics", Value: fmt.Sprintf("TEXT queue=%d, x0=%d", len(l.waiting), x.plan.Slots-l.used)}}}
@@ -296,9 +296,9 @@
 func (a *attempt) start() {
 	x, l := a.executor, a.life
 	x.record.Add(a.event(verdict.Started))
-	x.tell(a, `"state":"started"`, func() { x.record.Told(a.task.Number, time.Now()) })
+	x.tell(a, `"state":"started"`, func() { x.record.StartNotified(a.task.Number, time.Now()) })
 	run := time.Duration(float64(a.task.Run) / x.speed(l))
-	a.proceed(time.Now(), run, x.settings.ProgressEvery)
+	a.proceed(time.Now(), run, x.settings.ProgressInterval)
 }
 
 // proceed tells how far an attempt is once the next report of its progress is due, again and again, and ends it after
@@ -314,7 +314,7 @@
 			return
 		}
 		a.executor.tell(a, fmt.Sprintf(`"state":"running","share":%.3f`, float64(reportDue)/float64(run)), nil)
-		a.proceed(startedAt, run, reportDue+a.executor.settings.ProgressEvery)
+		a.proceed(startedAt, run, reportDue+a.executor.settings.ProgressInterval)
 	})
 }
 
@@ -340,7 +340,7 @@
 		return 1
 	}
 	r := x.settings.Rules
-	return min(1, r.ColdFrom+(1-r.ColdFrom)*float64(time.Since(l.booted))/float64(r.WarmWithin))
+	return min(1, r.SlowStartMinShare+(1-r.SlowStartMinShare)*float64(time.Since(l.booted))/float64(r.SlowStartDuration))
 }
 
 // load is a report as callbacks and probes carry it. The lock is held.
--- a/internal/scale/hollow/executor_test.go
+++ b/internal/scale/hollow/executor_test.go
@@ -63,7 +63,7 @@
 }
 
 // The usual rules of a test: cold executors have half of their capacity.
-var testRules = fleet.Rules{ColdFrom: 0.5, WarmWithin: time.Hour}
+var testRules = fleet.Rules{SlowStartMinShare: 0.5, SlowStartDuration: time.Hour}
 
 func newWorld(t *testing.T, plan []fleet.Executor, s ExecutorSettings) *world {
 	t.Helper()
@@ -155,7 +155,7 @@
 		}
 		return messages, bytes
 	}
-	w := newWorld(t, someExecutors(1, 4), ExecutorSettings{ProgressEvery: run * 9 / 10, QueuePerSlot: 100})
+	w := newWorld(t, someExecutors(1, 4), ExecutorSettings{ProgressInterval: run * 9 / 10, QueuePerSlot: 100})
 	if err := w.executors.Boot(0, false); err != nil {
 		t.Fatal(err)
 	}
@@ -185,7 +185,7 @@
 // both come due in the same instant; before the end was chained to the progress, hundreds of a thousand came late.
 func TestProgressIsToldBeforeTheEnd(t *testing.T) {
 	const tasks, run = 1000, 2 * time.Millisecond
-	w := newWorld(t, someExecutors(1, tasks), ExecutorSettings{ProgressEvery: run - time.Nanosecond})
+	w := newWorld(t, someExecutors(1, tasks), ExecutorSettings{ProgressInterval: run - time.Nanosecond})
 	if err := w.executors.Boot(0, false); err != nil {
 		t.Fatal(err)
 	}
@@ -234,8 +234,8 @@
 		t.Errorf("%+v %v", m, err)
 	}
 	testenv.Until(t, "two starts are told", func() bool { return w.count("started") == 2 })
-	if n := w.events(verdict.Started); n != 2 || w.events(verdict.Taken) != 4 || w.events(verdict.TurnedAway) != 1 {
-		t.Errorf("%d started, %d taken, %d turned away", n, w.events(verdict.Taken), w.events(verdict.TurnedAway))
+	if n := w.events(verdict.Started); n != 2 || w.events(verdict.Accepted) != 4 || w.events(verdict.AttemptRejected) != 1 {
+		t.Errorf("%d started, %d taken, %d turned away", n, w.events(verdict.Accepted), w.events(verdict.AttemptRejected))
 	}
 }
 
@@ -303,8 +303,8 @@
 				t.Fatalf("an answer came across a cut: %v", err)
 			default:
 			}
-			if w.events(verdict.Taken) != c.taken || w.count("started") != c.starts {
-				t.Errorf("%d taken, %d starts told, want %d and %d", w.events(verdict.Taken), w.count("started"), c.taken, c.starts)
+			if w.events(verdict.Accepted) != c.taken || w.count("started") != c.starts {
+				t.Errorf("%d taken, %d starts told, want %d and %d", w.events(verdict.Accepted), w.count("started"), c.taken, c.starts)
 			}
 			w.cuts.Set(1, c.cut, false)
 			if err := <-answered; err != nil {
@@ -340,7 +340,7 @@
 			t.Errorf("%s %s: %+v %v, want %d", c.method, c.target, m, err, c.want)
 		}
 	}
-	if w.events(verdict.Taken) != 0 {
+	if w.events(verdict.Accepted) != 0 {
 		t.Error("one of them was taken")
 	}
 }
--- a/internal/scale/hollow/record.go
+++ b/internal/scale/hollow/record.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// Told notes that a task's start was told to its dispatcher.
-func (r *Record) Told(task int, at time.Time) {
+// StartNotified notes that a task's start was told to its dispatcher.
+func (r *Record) StartNotified(task int, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d, ok := r.due[task]
--- a/internal/scale/play/batch_test.go
+++ b/internal/scale/play/batch_test.go
@@ -20,12 +20,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !r.Kept || r.Partial {
+	if !r.RulesKept || r.Partial {
 		t.Errorf("partial %v %s; %+v", r.Partial, r.PartialWhy, r.Verdict.Violations)
 	}
 	for _, j := range r.Jobs {
-		if j.Served+j.Refused+j.Failed != j.Tasks {
-			t.Errorf("%s: %d tasks, and %d served, %d refused, %d failed", j.Kind, j.Tasks, j.Served, j.Refused, j.Failed)
+		if j.Served+j.Rejected+j.Failed != j.Tasks {
+			t.Errorf("%s: %d tasks, and %d served, %d refused, %d failed", j.Kind, j.Tasks, j.Served, j.Rejected, j.Failed)
 		}
 	}
 	if c := r.Verdict.Counts; c.Served == 0 || c.Doubled+c.Lost != 0 {
@@ -34,7 +34,7 @@
 	if notes := strings.Join(r.Notes, "; "); !strings.Contains(notes, "was killed") {
 		t.Errorf("notes: %s", notes)
 	}
-	if r.Changes.Made != 4 || int(r.Changes.InForce.Count)+r.Changes.Missing != 4 || r.Changes.InForce.Count == 0 {
+	if r.Changes.Made != 4 || int(r.Changes.InForce.Count)+r.Changes.NotInForce != 4 || r.Changes.InForce.Count == 0 {
 		t.Errorf("changes: %+v", r.Changes)
 	}
 	t.Logf("%+v\n%+v\n%v", r.Changes, r.Verdict.Counts, r.Notes)
--- a/internal/scale/play/changes.go
+++ b/internal/scale/play/changes.go
@@ -160,7 +160,7 @@
 func (c *changes) sum() result.Changes {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return result.Changes{Made: c.made, Missing: c.missing, InForce: latency(c.took, int64(c.made))}
+	return result.Changes{Made: c.made, NotInForce: c.missing, InForce: latency(c.took, int64(c.made))}
 }
 
 // note keeps a remark for the result.
--- a/internal/scale/play/clients.go
+++ b/internal/scale/play/clients.go
@@ -149,7 +149,7 @@
 	go late.watch(watching)
 	defer stop()
 	record, traffic := hollow.NewRecordFrom(time.Unix(0, order.Zero)), &hollow.Traffic{}
-	clients := hollow.NewClients(d.Rules(), d.AllDispatchers(), nil, hollow.JoinNetwork(order.Block), record, traffic)
+	clients := hollow.NewClients(d.Rules(), d.TotalDispatchers(), nil, hollow.JoinNetwork(order.Block), record, traffic)
 	clients.UseBatch(d.StoreMembers)
 	clients.SetPart(order.Part)
 	clients.Play(ctx, hollow.Part{Load: workload.New(*d), Part: order.Part, Parts: order.Parts}, time.Unix(0, order.Start))
--- a/internal/scale/play/dispatchers.go
+++ b/internal/scale/play/dispatchers.go
@@ -98,7 +98,7 @@
 		return err
 	}
 	x.set(p)
-	return p.Until(ctx, readyWithin, func() bool { return r.healthy(x.number) })
+	return p.WaitUntil(ctx, readyWithin, func() bool { return r.healthy(x.number) })
 }
 
 func (x *dispatcher) config() string { return filepath.Join(x.dir, "config.json") }
@@ -108,7 +108,7 @@
 	d := &r.Description
 	at := fleet.Addresses{Listen: r.network.Dispatcher(number), Discovery: r.network.Discovery(number),
 		PeerListen: r.network.PeerListen(number), PeersAll: r.network.PeersAll(number)}
-	for i := range d.AllDispatchers() {
+	for i := range d.TotalDispatchers() {
 		at.Peers = append(at.Peers, r.network.Peer(number, i))
 	}
 	return d.Config(number, changes, at)
@@ -118,7 +118,7 @@
 func (r *run) hollowDispatchers(ctx context.Context, g *errgroup.Group) (map[int]*hollow.Dispatcher, error) {
 	d := &r.Description
 	out := map[int]*hollow.Dispatcher{}
-	for number := d.Dispatchers; number < d.AllDispatchers(); number++ {
+	for number := d.Dispatchers; number < d.TotalDispatchers(); number++ {
 		text, err := r.configuration(number, 0)
 		if err != nil {
 			return nil, err
--- a/internal/scale/play/hollow_test.go
+++ b/internal/scale/play/hollow_test.go
@@ -25,7 +25,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !r.Kept || r.Partial {
+			if !r.RulesKept || r.Partial {
 				t.Fatalf("partial %v; %+v", r.Partial, r.Verdict.Violations)
 			}
 			if r.Verdict.Counts.Served == 0 {
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !real.Kept || !alone.Kept || !alone.Virtual {
+	if !real.RulesKept || !alone.RulesKept || !alone.Virtual {
 		t.Errorf("%+v %+v", real.Verdict.Violations, alone.Verdict.Violations)
 	}
 	for i := range real.Jobs {
--- a/internal/scale/play/inject.go
+++ b/internal/scale/play/inject.go
@@ -41,8 +41,8 @@
 		}
 	case faults.ListDraining:
 		r.discovery.Set(a.Executors, hollow.StatusDraining, time.Time{})
-	case faults.ListGone:
-		r.discovery.Set(a.Executors, hollow.StatusGone, time.Time{})
+	case faults.ListRemoved:
+		r.discovery.Set(a.Executors, hollow.StatusRemoved, time.Time{})
 	case faults.ListReady:
 		r.listReady(a.Executors)
 	case faults.SetCut, faults.LiftCut:
--- a/internal/scale/play/play.go
+++ b/internal/scale/play/play.go
@@ -56,7 +56,7 @@
 // descriptors that the tool itself needs: executors listen, dispatchers keep connections to them, and clients have one for each task
 // that waits.
 func descriptors(d *fleet.Description) int64 {
-	n := d.Executors*(1+d.StoreMembers) + d.AllDispatchers()*d.Sockets/executorPart + d.AllDispatchers()*d.AllDispatchers()
+	n := d.Executors*(1+d.StoreMembers) + d.TotalDispatchers()*d.Sockets/executorPart + d.TotalDispatchers()*d.TotalDispatchers()
 	if d.Clients == 0 {
 		n += 2 * d.Running
 	}
@@ -101,10 +101,10 @@
 	if r.actions, err = faults.Schedule(d, r.plan, o.Faults); err != nil {
 		return nil, err
 	}
-	if err := o.Budget.Before(need(d), d.Dispatchers+d.Clients+1); err != nil {
+	if err := o.Budget.CheckStart(need(d), d.Dispatchers+d.Clients+1); err != nil {
 		return nil, err
 	}
-	if err := process.Descriptors(descriptors(d)); err != nil {
+	if err := process.CheckDescriptors(descriptors(d)); err != nil {
 		return nil, err
 	}
 	if r.network, err = hollow.NewNetwork(); err != nil {
@@ -137,8 +137,8 @@
 // stand sets up what stands around the dispatchers.
 func (r *run) stand(ctx context.Context, g *errgroup.Group) error {
 	d := &r.Description
-	settings := hollow.ExecutorSettings{Rules: d.Rules(), ProgressEvery: d.ProgressEvery(), QueuePerSlot: queuePerSlot, StoreMembers: d.StoreMembers, ExpectedRun: d.ExpectedRun, DispatcherRegion: d.DispatcherRegion}
-	r.executors = hollow.NewExecutors(ctx, g, r.plan, settings, r.network, r.record, &r.traffic, r.cuts, d.AllDispatchers())
+	settings := hollow.ExecutorSettings{Rules: d.Rules(), ProgressInterval: d.ProgressInterval(), QueuePerSlot: queuePerSlot, StoreMembers: d.StoreMembers, ExpectedRun: d.ExpectedRun, DispatcherRegion: d.DispatcherRegion}
+	r.executors = hollow.NewExecutors(ctx, g, r.plan, settings, r.network, r.record, &r.traffic, r.cuts, d.TotalDispatchers())
 	for i := range r.plan {
 		if err := r.executors.Boot(i, false); err != nil {
 			return err
@@ -148,7 +148,7 @@
 	if r.discovery, err = hollow.NewDiscovery(ctx, g, d, r.plan, r.network, r.record, &r.traffic); err != nil {
 		return err
 	}
-	if _, err = hollow.NewPeers(ctx, g, d.AllDispatchers(), d.DispatcherRegion, r.network, &r.traffic, r.cuts); err != nil {
+	if _, err = hollow.NewPeers(ctx, g, d.TotalDispatchers(), d.DispatcherRegion, r.network, &r.traffic, r.cuts); err != nil {
 		return err
 	}
 	standing, err := r.hollowDispatchers(ctx, g)
@@ -156,7 +156,7 @@
 		return err
 	}
 	r.hollow = standing
-	r.clients = hollow.NewClients(d.Rules(), d.AllDispatchers(), standing, r.network, r.record, &r.traffic)
+	r.clients = hollow.NewClients(d.Rules(), d.TotalDispatchers(), standing, r.network, r.record, &r.traffic)
 	r.clients.UseBatch(d.StoreMembers)
 	r.changes = newChanges(r)
 	g.Go(func() error { r.lag.watch(ctx); return nil })
--- a/internal/scale/play/play_test.go
+++ b/internal/scale/play/play_test.go
@@ -49,7 +49,7 @@
 }
 
 func options(t *testing.T, d fleet.Description, specs ...faults.Spec) Options {
-	return Options{Description: d, Faults: specs, Program: program, Self: self, Dir: t.TempDir(), Command: "test", Commit: "test", Budget: process.Bounds}
+	return Options{Description: d, Faults: specs, Program: program, Self: self, Dir: t.TempDir(), Command: "test", Commit: "test", Budget: process.DefaultBudget}
 }
 
 // The short form of a run: real dispatchers, a zone out and back cold, changes of the configuration. What is judged are counts and
@@ -60,19 +60,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !r.Kept || r.Partial {
+	if !r.RulesKept || r.Partial {
 		t.Errorf("partial %v %s; %+v", r.Partial, r.PartialWhy, r.Verdict.Violations)
 	}
 	for _, j := range r.Jobs {
-		if j.Served+j.Refused+j.Failed != j.Tasks {
-			t.Errorf("%s: %d tasks, and %d served, %d refused, %d failed", j.Kind, j.Tasks, j.Served, j.Refused, j.Failed)
+		if j.Served+j.Rejected+j.Failed != j.Tasks {
+			t.Errorf("%s: %d tasks, and %d served, %d refused, %d failed", j.Kind, j.Tasks, j.Served, j.Rejected, j.Failed)
 		}
 	}
 	c := r.Verdict.Counts
 	if c.Served == 0 || c.Starts < c.Served || c.Lost+c.Crashed+c.Open+c.Doubled != 0 {
 		t.Errorf("%+v", c)
 	}
-	if r.Changes.Made != 2 || int(r.Changes.InForce.Count)+r.Changes.Missing != 2 {
+	if r.Changes.Made != 2 || int(r.Changes.InForce.Count)+r.Changes.NotInForce != 2 {
 		t.Errorf("changes: %+v", r.Changes)
 	}
 	if len(r.Processes) != 4 || r.Processes[0].Role != "dispatcher" || r.Processes[0].PrivateMB <= 0 || r.Processes[0].Descriptors == 0 {
@@ -104,13 +104,13 @@
 	tasks, told := int64(0), int64(0)
 	for _, j := range r.Jobs {
 		tasks += j.Tasks
-		told += j.StartTold.Count
+		told += j.StartNotified.Count
 	}
 	load, want := workload.New(d), int64(0)
 	for _, ok := load.Next(); ok; _, ok = load.Next() {
 		want++
 	}
-	if c := r.Verdict.Counts; !r.Kept || r.Partial || tasks != want || int64(c.Served+c.Failed) != want || told == 0 {
+	if c := r.Verdict.Counts; !r.RulesKept || r.Partial || tasks != want || int64(c.Served+c.Failed) != want || told == 0 {
 		t.Errorf("%d tasks of %d, %d starts told; %+v %+v %v", tasks, want, told, c, r.Verdict.Violations, r.Notes)
 	}
 	if n := len(r.Processes); n != d.Dispatchers+1+d.Clients {
@@ -139,7 +139,7 @@
 	if !r.Partial || r.PartialWhy == "" {
 		t.Errorf("partial %v, why %q", r.Partial, r.PartialWhy)
 	}
-	if n := r.Verdict.Broken[verdict.FinalAnswer]; n != 0 {
+	if n := r.Verdict.ViolationCounts[verdict.FinalAnswer]; n != 0 {
 		t.Errorf("%d requests count as lost that were open when the run was interrupted", n)
 	}
 }
@@ -184,12 +184,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !r.Kept || r.Partial {
+			if !r.RulesKept || r.Partial {
 				t.Errorf("partial %v %s; %+v", r.Partial, r.PartialWhy, r.Verdict.Violations)
 			}
 			for _, j := range r.Jobs {
-				if j.Served+j.Refused+j.Failed != j.Tasks {
-					t.Errorf("%s: %d tasks, and %d served, %d refused, %d failed", j.Kind, j.Tasks, j.Served, j.Refused, j.Failed)
+				if j.Served+j.Rejected+j.Failed != j.Tasks {
+					t.Errorf("%s: %d tasks, and %d served, %d refused, %d failed", j.Kind, j.Tasks, j.Served, j.Rejected, j.Failed)
 				}
 			}
 			t.Logf("%+v", r.Verdict.Counts)
--- a/internal/scale/play/report.go
+++ b/internal/scale/play/report.go
@@ -32,10 +32,10 @@
 	events := r.record.Events()
 	end := r.record.Now()
 	out := &result.Result{Tool: result.Tool, Format: result.Format, Commit: r.Commit, Command: r.Command, Machine: machine(), Began: r.loadStart.UTC().Truncate(time.Second),
-		Description: r.Description, Faults: faultNames(r.Faults), Seconds: played.Seconds(), Verdict: verdict.Run(verdict.For(&r.Description, max(r.lag.worst(), r.clientLag)), events, end),
+		Description: r.Description, Faults: faultNames(r.Faults), Seconds: played.Seconds(), Verdict: verdict.JudgeEvents(verdict.RulesFor(&r.Description, max(r.lag.worst(), r.clientLag)), events, end),
 		Traffic: r.traffic.Sum(), Saturated: s.saturated, ToolLag: r.lag.sum(), MemoryMB: float64(s.peak) / (1 << 20), Changes: r.changes.sum(), Notes: r.notes()}
-	out.Machine.LoadAt = r.load
-	out.Kept = out.Verdict.Kept()
+	out.Machine.LoadBefore = r.load
+	out.RulesKept = out.Verdict.Passed()
 	out.Jobs = r.jobs()
 	whole, part, none, spread := r.record.Gangs()
 	out.Gangs = result.Gangs{Whole: whole, Part: part, None: none, SpreadMS: float64(spread) / float64(time.Millisecond)}
@@ -63,8 +63,8 @@
 	var out []result.Jobs
 	for kind := range workload.Kinds {
 		j := result.Jobs{Kind: kind.String(), Tasks: counts.Tasks[kind], Served: counts.Served[kind],
-			Refused: counts.Refused[kind], Failed: counts.Failed[kind]}
-		j.StartTold = latency(latencies[kind], j.Tasks)
+			Rejected: counts.Refused[kind], Failed: counts.Failed[kind]}
+		j.StartNotified = latency(latencies[kind], j.Tasks)
 		out = append(out, j)
 	}
 	return out
@@ -77,7 +77,7 @@
 	if due > 0 {
 		within := int64(0)
 		for _, bar := range h.Distribution() {
-			if bar.To <= fleet.UrgentWithin.Microseconds() {
+			if bar.To <= fleet.UrgentStartTarget.Microseconds() {
 				within += bar.Count
 			}
 		}
@@ -124,10 +124,10 @@
 		out.StartsPeakPS = max(out.StartsPeakPS, n)
 	}
 	for _, n := range asked {
-		out.AskedPeakPS = max(out.AskedPeakPS, n)
+		out.RequestedPeakPS = max(out.RequestedPeakPS, n)
 	}
 	out.StartsPerS = float64(total) / d.Duration.Seconds()
-	out.AskedPerS = float64(tasks) / d.Duration.Seconds()
+	out.RequestedPerS = float64(tasks) / d.Duration.Seconds()
 	return out
 }
 
--- a/internal/scale/play/sample.go
+++ b/internal/scale/play/sample.go
@@ -73,7 +73,7 @@
 		if err := s.r.ended(); err != nil {
 			return err
 		}
-		if err := s.r.Budget.During(bytes, len(s.watched)); err != nil {
+		if err := s.r.Budget.CheckUsage(bytes, len(s.watched)); err != nil {
 			return fmt.Errorf("the run needs more than it may: %w", err)
 		}
 	}
@@ -126,7 +126,7 @@
 
 // follow goes over to the process that a dispatcher has now.
 func (w *watched) follow() bool {
-	if w.child != nil && w.child.Gone() {
+	if w.child != nil && w.child.HasEnded() {
 		return false
 	}
 	if w.target == nil {
--- a/internal/scale/play/virtual.go
+++ b/internal/scale/play/virtual.go
@@ -64,9 +64,9 @@
 		return nil, err
 	}
 	before := heapBytes()
-	m := &threadMeter{spent: make([]time.Duration, d.AllDispatchers())}
+	m := &threadMeter{spent: make([]time.Duration, d.TotalDispatchers())}
 	began := time.Now()
-	w, err := virtual.New(*d, actions, verdict.For(d, 0), m)
+	w, err := virtual.New(*d, actions, verdict.RulesFor(d, 0), m)
 	if err != nil {
 		return nil, err
 	}
@@ -75,10 +75,10 @@
 		return nil, fmt.Errorf("processor time: %w", m.err)
 	}
 	out := &result.Result{Tool: result.Tool, Format: result.Format, Commit: o.Commit, Command: o.Command, Machine: machine(), Began: began.UTC().Truncate(time.Second),
-		Description: *d, Faults: faultNames(o.Faults), Virtual: true, Seconds: d.Duration.Seconds(), Kept: found.Kept(), Verdict: found,
-		Traffic:  map[string]hollow.RoleTraffic{hollow.RolePeer.String(): {MessagesOut: int64(counts.Tells), BytesIn: int64(counts.TellBytes)}},
+		Description: *d, Faults: faultNames(o.Faults), Virtual: true, Seconds: d.Duration.Seconds(), RulesKept: found.Passed(), Verdict: found,
+		Traffic:  map[string]hollow.RoleTraffic{hollow.RolePeer.String(): {MessagesOut: int64(counts.GossipMessages), BytesIn: int64(counts.GossipBytes)}},
 		MemoryMB: float64(heapBytes()-before) / (1 << 20)}
-	out.Machine.LoadAt = load
+	out.Machine.LoadBefore = load
 	for kind := range workload.Kinds {
 		out.Jobs = append(out.Jobs, virtualJobs(kind, &counts))
 	}
@@ -87,7 +87,7 @@
 		out.Processes = append(out.Processes, result.Process{Name: fleet.DispatcherName(i), Role: "decision module", CPUSeconds: spent.Seconds(), CPUMean: spent.Seconds() / d.Duration.Seconds()})
 	}
 	out.Notes = []string{fmt.Sprintf("played in %.1f s; %d steps, the longest %.1f ms; %d attempts, %d probes; %d tasks ran when the load ended", time.Since(began).Seconds(),
-		counts.Steps, float64(m.worst)/float64(time.Millisecond), counts.Sends, counts.Probes, counts.RunningAtEnd)}
+		counts.Steps, float64(m.worst)/float64(time.Millisecond), counts.Sends, counts.HealthChecks, counts.RunningAtEnd)}
 	runtime.KeepAlive(w)
 	return out, nil
 }
@@ -113,11 +113,11 @@
 
 func virtualJobs(kind workload.Kind, c *virtual.Counts) result.Jobs {
 	h := hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), latencyDigits)
-	for _, told := range c.Told[kind] {
+	for _, told := range c.StartLatencies[kind] {
 		_ = h.RecordValue(max(1, told.Microseconds()))
 	}
-	j := result.Jobs{Kind: kind.String(), Tasks: int64(c.Tasks[kind]), Served: int64(c.Served[kind]), Refused: int64(c.Refused[kind]), Failed: int64(c.Failed[kind])}
-	j.StartTold = latency(h, j.Tasks)
+	j := result.Jobs{Kind: kind.String(), Tasks: int64(c.Tasks[kind]), Served: int64(c.Served[kind]), Rejected: int64(c.Rejected[kind]), Failed: int64(c.Failed[kind])}
+	j.StartNotified = latency(h, j.Tasks)
 	return j
 }
 
@@ -127,7 +127,7 @@
 		out.Slots += x.Slots
 	}
 	for _, n := range c.Tasks {
-		out.AskedPerS += float64(n) / d.Duration.Seconds()
+		out.RequestedPerS += float64(n) / d.Duration.Seconds()
 	}
 	return out
 }
--- a/internal/scale/process/measure.go
+++ b/internal/scale/process/measure.go
@@ -94,8 +94,8 @@
 	Processes   int
 }
 
-// Bounds are those of every run.
-var Bounds = Budget{MemoryBytes: 12 << 30, Processes: 200}
+// DefaultBudget are those of every run.
+var DefaultBudget = Budget{MemoryBytes: 12 << 30, Processes: 200}
 
 // BudgetError names a bound that a run needs more than.
 type BudgetError struct {
@@ -108,9 +108,9 @@
 	return fmt.Sprintf("%s: %d are needed, and %d may be used", e.What, e.Need, e.Have)
 }
 
-// Before checks that a run that needs so much can begin: within its bounds, and within what the machine has free.
-func (b Budget) Before(memoryBytes int64, processes int) error {
-	if err := b.During(memoryBytes, processes); err != nil {
+// CheckStart checks that a run that needs so much can begin: within its bounds, and within what the machine has free.
+func (b Budget) CheckStart(memoryBytes int64, processes int) error {
+	if err := b.CheckUsage(memoryBytes, processes); err != nil {
 		return err
 	}
 	free, err := availableMemory()
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// During checks what a run uses.
-func (b Budget) During(memoryBytes int64, processes int) error {
+// CheckUsage checks what a run uses.
+func (b Budget) CheckUsage(memoryBytes int64, processes int) error {
 	if processes > b.Processes {
 		return &BudgetError{"processes", int64(processes), int64(b.Processes)}
 	}
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// Descriptors checks that this process may have so many.
-func Descriptors(need int64) error {
+// CheckDescriptors checks that this process may have so many.
+func CheckDescriptors(need int64) error {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("descriptors: %w", err)
--- a/internal/scale/process/process.go
+++ b/internal/scale/process/process.go
@@ -84,8 +84,8 @@
 // Ended is closed once the child has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Gone reports whether the child has ended.
-func (p *Process) Gone() bool {
+// HasEnded reports whether the child has ended.
+func (p *Process) HasEnded() bool {
 	select {
 	case <-p.ended:
 		return true
@@ -114,8 +114,8 @@
 // ErrEnded says that a child ended by itself.
 var ErrEnded = errors.New("it has ended")
 
-// Until polls until a check succeeds, the child ends, or the time is over.
-func (p *Process) Until(ctx context.Context, within time.Duration, check func() bool) error {
+// WaitUntil polls until a check succeeds, the child ends, or the time is over.
+func (p *Process) WaitUntil(ctx context.Context, within time.Duration, check func() bool) error {
 	timeout := time.After(within)
 	for !check() {
 		select {
--- a/internal/scale/process/process_test.go
+++ b/internal/scale/process/process_test.go
@@ -110,7 +110,7 @@
 		t.Errorf("the machine used %v, and this process %v of it: %v", busy, own.CPU, err)
 	}
 	p.Kill()
-	if err := p.Until(context.Background(), time.Second, func() bool { return false }); !errors.Is(err, ErrEnded) {
+	if err := p.WaitUntil(context.Background(), time.Second, func() bool { return false }); !errors.Is(err, ErrEnded) {
 		t.Errorf("waiting for one that has ended: %v", err)
 	}
 	if _, err := Measure(p.Pid); err == nil {
@@ -122,15 +122,15 @@
 func TestRunBeyondItsBudgetIsAnError(t *testing.T) {
 	be := (*BudgetError)(nil)
 	for name, err := range map[string]error{
-		"processes before": Bounds.Before(1, 201), "memory before": Bounds.Before(Bounds.MemoryBytes+1, 1),
-		"memory that is not free": Budget{MemoryBytes: 1 << 60, Processes: 9}.Before(1<<50, 1),
-		"processes during":        Bounds.During(1, 201), "memory during": Bounds.During(Bounds.MemoryBytes+1, 1),
+		"processes before": DefaultBudget.CheckStart(1, 201), "memory before": DefaultBudget.CheckStart(DefaultBudget.MemoryBytes+1, 1),
+		"memory that is not free": Budget{MemoryBytes: 1 << 60, Processes: 9}.CheckStart(1<<50, 1),
+		"processes during":        DefaultBudget.CheckUsage(1, 201), "memory during": DefaultBudget.CheckUsage(DefaultBudget.MemoryBytes+1, 1),
 	} {
 		if !errors.As(err, &be) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if err := errors.Join(Bounds.Before(1, 200), Bounds.During(1, 200)); err != nil {
+	if err := errors.Join(DefaultBudget.CheckStart(1, 200), DefaultBudget.CheckUsage(1, 200)); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -36,7 +36,7 @@
 	Partial     bool                          `json:"partial"`
 	PartialWhy  string                        `json:"partialWhy,omitempty"`
 	Seconds     float64                       `json:"seconds"` // from the first task due to the last answer
-	Kept        bool                          `json:"rulesKept"`
+	RulesKept   bool                          `json:"rulesKept"`
 	Verdict     *verdict.Verdict              `json:"verdict"`
 	Jobs        []Jobs                        `json:"jobs"`
 	Gangs       Gangs                         `json:"gangs"`
@@ -52,21 +52,21 @@
 
 // Machine is where the run was made.
 type Machine struct {
-	Cores    int     `json:"cores"`
-	MemoryMB int     `json:"memoryMB"`
-	Kernel   string  `json:"kernel"`
-	Go       string  `json:"go"`
-	LoadAt   float64 `json:"loadBefore"` // the machine's load average before the run: others share it
+	Cores      int     `json:"cores"`
+	MemoryMB   int     `json:"memoryMB"`
+	Kernel     string  `json:"kernel"`
+	Go         string  `json:"go"`
+	LoadBefore float64 `json:"loadBefore"` // the machine's load average before the run: others share it
 }
 
 // Jobs are the tasks of one kind of job.
 type Jobs struct {
-	Kind      string  `json:"kind"`
-	Tasks     int64   `json:"tasks"`
-	Served    int64   `json:"served"`
-	Refused   int64   `json:"refused"` // to the end of the client's time
-	Failed    int64   `json:"failed"`
-	StartTold Latency `json:"startTold"` // from when a task was due until its start was told to its dispatcher
+	Kind          string  `json:"kind"`
+	Tasks         int64   `json:"tasks"`
+	Served        int64   `json:"served"`
+	Rejected      int64   `json:"refused"` // to the end of the client's time
+	Failed        int64   `json:"failed"`
+	StartNotified Latency `json:"startTold"` // from when a task was due until its start was told to its dispatcher
 }
 
 // Latency is a distribution in milliseconds.
@@ -89,20 +89,20 @@
 
 // Changes tell how long changes of the configuration took until they were in force at the last dispatcher.
 type Changes struct {
-	Made    int     `json:"made"`
-	InForce Latency `json:"inForceAtLast"`
-	Missing int     `json:"notInForceWithin6s"`
+	Made       int     `json:"made"`
+	InForce    Latency `json:"inForceAtLast"`
+	NotInForce int     `json:"notInForceWithin6s"`
 }
 
 // Running tells how many tasks ran at a time, and how many starts there were in a second.
 type Running struct {
-	Peak          int     `json:"peak"`
-	StartsPerS    float64 `json:"startsPerSecond"`
-	StartsPeakPS  int     `json:"startsInBestSecond"`
-	Slots         int     `json:"slots"`
-	AskedPerS     float64 `json:"askedPerSecond"`
-	AskedPeakPS   int     `json:"askedInBusiestSecond"`
-	MeanRunMillis float64 `json:"meanRunMs"`
+	Peak            int     `json:"peak"`
+	StartsPerS      float64 `json:"startsPerSecond"`
+	StartsPeakPS    int     `json:"startsInBestSecond"`
+	Slots           int     `json:"slots"`
+	RequestedPerS   float64 `json:"askedPerSecond"`
+	RequestedPeakPS int     `json:"askedInBusiestSecond"`
+	MeanRunMillis   float64 `json:"meanRunMs"`
 }
 
 // Process is what one process used during the run, measured from outside.
@@ -184,8 +184,8 @@
 		return &fleet.FieldError{Field: "commit", Got: `""`, Expected: "the commit that was played"}
 	case r.Verdict == nil:
 		return &fleet.FieldError{Field: "verdict", Got: "absent", Expected: "the judge's finding"}
-	case r.Kept != r.Verdict.Kept():
-		return &fleet.FieldError{Field: "rulesKept", Got: r.Kept, Expected: "what the verdict says"}
+	case r.RulesKept != r.Verdict.Passed():
+		return &fleet.FieldError{Field: "rulesKept", Got: r.RulesKept, Expected: "what the verdict says"}
 	case r.Partial != (r.PartialWhy != ""):
 		return &fleet.FieldError{Field: "partialWhy", Got: fmt.Sprintf("%q", r.PartialWhy), Expected: "a reason where, and only where, partial is true"}
 	}
--- a/internal/scale/result/result_test.go
+++ b/internal/scale/result/result_test.go
@@ -12,8 +12,8 @@
 )
 
 func some() *Result {
-	return &Result{Tool: Tool, Format: Format, Commit: "abc", Command: "go run ./cmd/scalerun", Description: fleet.Default(), Kept: true,
-		Verdict: &verdict.Verdict{Broken: map[verdict.Rule]int{}}}
+	return &Result{Tool: Tool, Format: Format, Commit: "abc", Command: "go run ./cmd/scalerun", Description: fleet.Default(), RulesKept: true,
+		Verdict: &verdict.Verdict{ViolationCounts: map[verdict.Rule]int{}}}
 }
 
 func TestWriteAndRead(t *testing.T) {
@@ -34,7 +34,7 @@
 		"format: 2, expected 1":                 func(r *Result) { r.Format = 2 },
 		`commit: "", expected`:                  func(r *Result) { r.Commit = "" },
 		"verdict: absent, expected":             func(r *Result) { r.Verdict = nil },
-		"rulesKept: false, expected":            func(r *Result) { r.Kept = false },
+		"rulesKept: false, expected":            func(r *Result) { r.RulesKept = false },
 		`partialWhy: "", expected`:              func(r *Result) { r.Partial = true },
 		"executors: 0, expected a whole number": func(r *Result) { r.Description.Executors = 0 },
 	} {
--- a/internal/scale/result/table.go
+++ b/internal/scale/result/table.go
@@ -25,19 +25,19 @@
 	if r.Partial {
 		t.line("PARTIAL: %s", r.PartialWhy)
 	}
-	t.line("machine: %d cores, load average before the run %.1f", r.Machine.Cores, r.Machine.LoadAt)
+	t.line("machine: %d cores, load average before the run %.1f", r.Machine.Cores, r.Machine.LoadBefore)
 	t.line("asked %.0f starts a second (%d in the busiest), started %.0f (%d in the best), %d running at most; the tool's lag p99 %.1f ms, max %.0f ms",
-		r.Running.AskedPerS, r.Running.AskedPeakPS, r.Running.StartsPerS, r.Running.StartsPeakPS, r.Running.Peak, r.ToolLag.P99, r.ToolLag.Max)
+		r.Running.RequestedPerS, r.Running.RequestedPeakPS, r.Running.StartsPerS, r.Running.StartsPeakPS, r.Running.Peak, r.ToolLag.P99, r.ToolLag.Max)
 	t.line("\n| job | tasks | served | refused | failed | start told p50 ms | p90 | p99 | max | within 2.2 s |")
 	t.line("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, j := range r.Jobs {
-		s := j.StartTold
-		t.line("| %s | %d | %d | %d | %d | %.0f | %.0f | %.0f | %.0f | %.3f |", j.Kind, j.Tasks, j.Served, j.Refused, j.Failed, s.P50, s.P90, s.P99, s.Max, s.Within)
+		s := j.StartNotified
+		t.line("| %s | %d | %d | %d | %d | %.0f | %.0f | %.0f | %.0f | %.3f |", j.Kind, j.Tasks, j.Served, j.Rejected, j.Failed, s.P50, s.P90, s.P99, s.Max, s.Within)
 	}
 	t.line("gangs: %d whole (%.0f ms from first to last start on the mean), %d in part, %d not at all", r.Gangs.Whole, r.Gangs.SpreadMS, r.Gangs.Part, r.Gangs.None)
 	if r.Changes.Made > 0 {
 		c := r.Changes
-		t.line("changes: %d made, in force at the last dispatcher after p50 %.0f ms, p99 %.0f ms, max %.0f ms; %d not within 6 s", c.Made, c.InForce.P50, c.InForce.P99, c.InForce.Max, c.Missing)
+		t.line("changes: %d made, in force at the last dispatcher after p50 %.0f ms, p99 %.0f ms, max %.0f ms; %d not within 6 s", c.Made, c.InForce.P50, c.InForce.P99, c.InForce.Max, c.NotInForce)
 	}
 	t.processes(r)
 	t.line("\n| traffic | bytes in | bytes out | messages in | messages out |\n| --- | --- | --- | --- | --- |")
@@ -76,10 +76,10 @@
 func (t *table) verdict(r *Result) {
 	c := r.Verdict.Counts
 	t.line("\nrequests %d: served %d, refused %d, failed %d, lost %d, crashed %d, unreached %d, open %d; doubled starts %d",
-		c.Requests, c.Served, c.Refused, c.Failed, c.Lost, c.Crashed, c.Unreached, c.Open, c.Doubled)
-	for _, rule := range verdict.All {
+		c.Requests, c.Served, c.Rejected, c.Failed, c.Lost, c.Crashed, c.Unreached, c.Open, c.Doubled)
+	for _, rule := range verdict.AllRules {
 		state := "kept"
-		if n := r.Verdict.Broken[rule]; n > 0 {
+		if n := r.Verdict.ViolationCounts[rule]; n > 0 {
 			state = fmt.Sprintf("BROKEN %d times", n)
 		}
 		t.line("%s: %s", rule, state)
@@ -87,7 +87,7 @@
 	for _, v := range r.Verdict.Violations {
 		t.line("  %s at %.3f s: %s: %s", v.Request, v.At.Seconds(), v.Rule, v.Text)
 	}
-	if r.Kept {
+	if r.RulesKept {
 		t.line("VERDICT: all rules kept")
 		return
 	}
--- a/internal/scale/verdict/cold.go
+++ b/internal/scale/verdict/cold.go
@@ -47,7 +47,7 @@
 
 // share is the part of its capacity that an executor has at a time after its start.
 func (c *coldBudgets) share(since time.Duration) float64 {
-	return min(1, c.rules.ColdFrom+(1-c.rules.ColdFrom)*float64(since)/float64(c.rules.WarmWithin))
+	return min(1, c.rules.SlowStartMinShare+(1-c.rules.SlowStartMinShare)*float64(since)/float64(c.rules.SlowStartDuration))
 }
 
 // attempt takes in what reached an executor, and says by how much it is over its budget then.
@@ -57,13 +57,13 @@
 		return overBudget{}, false
 	}
 	since := e.At - life.booted
-	if since >= c.rules.WarmWithin {
+	if since >= c.rules.SlowStartDuration {
 		delete(c.lives, e.Executor)
 		return overBudget{}, false
 	}
 	life.arrived = append(life.arrived, arrival{e.At, e.Work, e.Dispatcher})
 	var sent, informed, largest time.Duration
-	for i := len(life.arrived) - 1; i >= 0 && life.arrived[i].at > e.At-c.rules.Fall; i-- {
+	for i := len(life.arrived) - 1; i >= 0 && life.arrived[i].at > e.At-c.rules.OverloadWindow; i-- {
 		a := life.arrived[i]
 		sent += a.work
 		largest = max(largest, a.work)
@@ -71,7 +71,7 @@
 			informed += a.work
 		}
 	}
-	budget := time.Duration(c.rules.FallMultiple * c.share(since+c.rules.MeasuredWithin) * float64(life.slots) * float64(c.rules.Fall))
+	budget := time.Duration(c.rules.OverloadMultiple * c.share(since+c.rules.TimeTolerance) * float64(life.slots) * float64(c.rules.OverloadWindow))
 	over := sent-largest > budget && float64(informed) >= informedPart*float64(sent)
 	return overBudget{sent, budget}, over
 }
@@ -79,5 +79,5 @@
 // knew says whether the dispatcher of an arrival was told of the life, or counts as told.
 func (c *coldBudgets) knew(life *coldLife, a arrival) bool {
 	told := life.told[a.dispatcher]
-	return told > 0 && told <= a.at || a.at-life.booted >= c.rules.ListedWithin
+	return told > 0 && told <= a.at || a.at-life.booted >= c.rules.MaxListDelay
 }
--- a/internal/scale/verdict/drains.go
+++ b/internal/scale/verdict/drains.go
@@ -34,5 +34,5 @@
 		return 0, false
 	}
 	since := e.FirstByte - told
-	return since, since > d.rules.DrainGrace+d.rules.MeasuredWithin
+	return since, since > d.rules.DrainGrace+d.rules.TimeTolerance
 }
--- a/internal/scale/verdict/event.go
+++ b/internal/scale/verdict/event.go
@@ -9,18 +9,18 @@
 
 // The kinds of events.
 const (
-	Submitted      Kind = iota // Request, Task, Tenant, Class, Slots, Deadline: a client's request was written whole
-	Answered                   // Request, Answer
-	GivenUp                    // Request: no answer came in the client's time
-	Withdrawn                  // Task: its client does not ask for it any more
-	Taken                      // Request, Task, Executor, Dispatcher, Work: an executor took an attempt; FirstByte is when it began to come
-	TurnedAway                 // likewise, and the executor proved that it does not run it
-	Started                    // Request, Task, Executor
-	Ended                      // Request, Task, Executor: its slots are free again, however it ended
-	Listed                     // Dispatcher, Executor, Condition: a row of the list was written to a dispatcher
-	Booted                     // Executor: a cold life begins; it has Slots
-	Died                       // Executor: its life ends, and with it all that it runs
-	DispatcherDied             // Dispatcher
+	Submitted       Kind = iota // Request, Task, Tenant, Class, Slots, Deadline: a client's request was written whole
+	Answered                    // Request, Answer
+	GivenUp                     // Request: no answer came in the client's time
+	Withdrawn                   // Task: its client does not ask for it any more
+	Accepted                    // Request, Task, Executor, Dispatcher, Work: an executor took an attempt; FirstByte is when it began to come
+	AttemptRejected             // likewise, and the executor proved that it does not run it
+	Started                     // Request, Task, Executor
+	Ended                       // Request, Task, Executor: its slots are free again, however it ended
+	Listed                      // Dispatcher, Executor, Condition: a row of the list was written to a dispatcher
+	Booted                      // Executor: a cold life begins; it has Slots
+	Died                        // Executor: its life ends, and with it all that it runs
+	DispatcherDied              // Dispatcher
 )
 
 // Answer is how a request ended for its client.
@@ -28,11 +28,11 @@
 
 // The answers.
 const (
-	Served    Answer = iota
-	Refused          // trying again is harmless
-	Failed           // promises nothing
-	Broken           // the connection ended with no whole answer
-	Unreached        // no connection was made, or it broke before the request was written: the dispatcher has not taken it
+	Served           Answer = iota
+	Rejected                // trying again is harmless
+	Failed                  // promises nothing
+	ConnectionBroken        // the connection ended with no whole answer
+	Unreached               // no connection was made, or it broke before the request was written: the dispatcher has not taken it
 )
 
 // Condition of an executor in the list.
@@ -42,7 +42,7 @@
 const (
 	Ready Condition = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Event is one thing that was seen. Kind says which fields hold.
--- a/internal/scale/verdict/judge.go
+++ b/internal/scale/verdict/judge.go
@@ -19,8 +19,8 @@
 	ReservedShare Rule = "no tenant held under its reserved share while it asks"
 )
 
-// All are the rules, in the order in which results show them.
-var All = []Rule{FinalAnswer, SingleRun, Drain, ColdBudget, ReservedShare}
+// AllRules are the rules, in the order in which results show them.
+var AllRules = []Rule{FinalAnswer, SingleRun, Drain, ColdBudget, ReservedShare}
 
 // Violation is one broken rule.
 type Violation struct {
@@ -45,47 +45,47 @@
 
 // Rules are what a run is judged by.
 type Rules struct {
-	Effects        []Effect // by class
-	Executors      []Executor
-	Dispatchers    int
-	Portions       []float64 // reserved parts, by tenant
-	AnswerSlack    time.Duration
-	DrainGrace     time.Duration
-	KeyWindow      time.Duration
-	ColdFrom       float64
-	WarmWithin     time.Duration
-	Fall           time.Duration
-	FallMultiple   float64
-	ListedWithin   time.Duration // a change counts as told to all then, whether it arrived or not
-	ShareGrace     time.Duration // a tenant may wait so long under its share
-	MeasuredWithin time.Duration // by so much the events' times may be off: all limits of time are longer by it
+	Effects           []Effect // by class
+	Executors         []Executor
+	Dispatchers       int
+	ReservedShares    []float64 // reserved parts, by tenant
+	AnswerSlack       time.Duration
+	DrainGrace        time.Duration
+	DedupWindow       time.Duration
+	SlowStartMinShare float64
+	SlowStartDuration time.Duration
+	OverloadWindow    time.Duration
+	OverloadMultiple  float64
+	MaxListDelay      time.Duration // a change counts as told to all then, whether it arrived or not
+	ShareGrace        time.Duration // a tenant may wait so long under its share
+	TimeTolerance     time.Duration // by so much the events' times may be off: all limits of time are longer by it
 }
 
 // Counts are what a judge saw.
 type Counts struct {
-	Requests  int `json:"requests"`
-	Served    int `json:"served"`
-	Refused   int `json:"refused"`
-	Failed    int `json:"failed"`
-	Broken    int `json:"connectionBroken"`
-	Unreached int `json:"unreached"`
-	Lost      int `json:"lost"`    // no answer, and the dispatcher stood
-	Crashed   int `json:"crashed"` // no answer, and the dispatcher had died
-	Open      int `json:"open"`    // neither answered nor due when the run ended
-	Doubled   int `json:"doubled"` // starts past the first of what must not run twice
-	Starts    int `json:"starts"`
-	Attempts  int `json:"attempts"`
+	Requests         int `json:"requests"`
+	Served           int `json:"served"`
+	Rejected         int `json:"refused"`
+	Failed           int `json:"failed"`
+	ConnectionBroken int `json:"connectionBroken"`
+	Unreached        int `json:"unreached"`
+	Lost             int `json:"lost"`    // no answer, and the dispatcher stood
+	Crashed          int `json:"crashed"` // no answer, and the dispatcher had died
+	Open             int `json:"open"`    // neither answered nor due when the run ended
+	Doubled          int `json:"doubled"` // starts past the first of what must not run twice
+	Starts           int `json:"starts"`
+	Attempts         int `json:"attempts"`
 }
 
 // Verdict is a judge's finding.
 type Verdict struct {
-	Counts     Counts       `json:"counts"`
-	Broken     map[Rule]int `json:"broken"`
-	Violations []Violation  `json:"violations"` // the first ones of each rule
+	Counts          Counts       `json:"counts"`
+	ViolationCounts map[Rule]int `json:"broken"`
+	Violations      []Violation  `json:"violations"` // the first ones of each rule
 }
 
-// Kept says that no rule was broken.
-func (v *Verdict) Kept() bool { return len(v.Broken) == 0 }
+// Passed says that no rule was broken.
+func (v *Verdict) Passed() bool { return len(v.ViolationCounts) == 0 }
 
 // violationsShown bounds those of each rule that a verdict lists.
 const violationsShown = 20
@@ -121,7 +121,7 @@
 // New makes a judge.
 func New(rules Rules) *Judge {
 	j := &Judge{rules: rules, requests: map[uint64]*request{}, tasks: map[int32]*task{}, died: make([]time.Duration, rules.Dispatchers)}
-	j.verdict.Broken = map[Rule]int{}
+	j.verdict.ViolationCounts = map[Rule]int{}
 	j.drains = newDrains(rules)
 	j.cold = newColdBudgets(rules)
 	j.shares = newShares(rules)
@@ -132,14 +132,14 @@
 func ID(request uint64) string { return fmt.Sprintf("%016x", request) }
 
 func (j *Judge) broken(rule Rule, request uint64, at time.Duration, format string, args ...any) {
-	j.verdict.Broken[rule]++
-	if j.verdict.Broken[rule] <= violationsShown {
+	j.verdict.ViolationCounts[rule]++
+	if j.verdict.ViolationCounts[rule] <= violationsShown {
 		j.verdict.Violations = append(j.verdict.Violations, Violation{rule, ID(request), at, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Take takes one event in; no earlier one may follow.
-func (j *Judge) Take(e Event) {
+// Observe takes one event in; no earlier one may follow.
+func (j *Judge) Observe(e Event) {
 	for _, v := range j.shares.advance(e.At) {
 		j.broken(ReservedShare, v.request, e.At, "tenant %d has %d of its %d slots and has asked since %v", v.tenant, v.running, v.reserved, v.since)
 	}
@@ -152,7 +152,7 @@
 		j.givenUp(e)
 	case Withdrawn:
 		j.shares.withdrawn(e.Task)
-	case Taken, TurnedAway:
+	case Accepted, AttemptRejected:
 		j.attempt(e)
 	case Started:
 		j.started(e)
@@ -190,10 +190,10 @@
 	}
 	r.answered = true
 	j.count(e, r)
-	if late := e.At - r.deadline - j.rules.AnswerSlack - j.rules.MeasuredWithin; late > 0 && e.Answer != Unreached && !j.crashed(r) {
+	if late := e.At - r.deadline - j.rules.AnswerSlack - j.rules.TimeTolerance; late > 0 && e.Answer != Unreached && !j.crashed(r) {
 		j.broken(FinalAnswer, e.Request, e.At, "answered %v past the client's time and the slack", late)
 	}
-	if e.Answer == Refused {
+	if e.Answer == Rejected {
 		j.refused(e, r)
 		return
 	}
@@ -205,14 +205,14 @@
 	switch e.Answer {
 	case Served:
 		c.Served++
-	case Refused:
-		c.Refused++
+	case Rejected:
+		c.Rejected++
 	case Failed:
 		c.Failed++
 	case Unreached:
 		c.Unreached++
-	case Broken:
-		c.Broken++
+	case ConnectionBroken:
+		c.ConnectionBroken++
 		connection := "a new connection"
 		if e.Kept {
 			connection = "a kept connection"
@@ -234,7 +234,7 @@
 // crashed says whether the dispatcher of a request died after it was submitted.
 func (j *Judge) crashed(r *request) bool {
 	death := j.died[r.dispatcher]
-	return death > 0 && death+j.rules.MeasuredWithin >= r.submitted
+	return death > 0 && death+j.rules.TimeTolerance >= r.submitted
 }
 
 func (j *Judge) givenUp(e Event) {
@@ -263,9 +263,9 @@
 		j.broken(Drain, e.Request, e.At, "dispatcher %d sent it to executor %d, %v after it was told of its drain or end", e.Dispatcher, e.Executor, since)
 	}
 	if over, ok := j.cold.attempt(e); ok {
-		j.broken(ColdBudget, e.Request, e.At, "executor %d was sent %v of work in %v, and its budget is %v", e.Executor, over.sent, j.rules.Fall, over.budget)
+		j.broken(ColdBudget, e.Request, e.At, "executor %d was sent %v of work in %v, and its budget is %v", e.Executor, over.sent, j.rules.OverloadWindow, over.budget)
 	}
-	if e.Kind == TurnedAway {
+	if e.Kind == AttemptRejected {
 		return
 	}
 	j.shares.taken(e)
@@ -282,7 +282,7 @@
 		j.broken(SingleRun, e.Request, e.At, "a second attempt reached executor %d; the first one was taken at %v", e.Executor, t.takenAt)
 	case effect == KeyedByRack && rack != t.rack:
 		j.broken(SingleRun, e.Request, e.At, "a repeat reached rack %d; the first attempt was taken in rack %d", rack, t.rack)
-	case effect == KeyedByRack && e.At-t.takenAt > j.rules.KeyWindow+j.rules.MeasuredWithin:
+	case effect == KeyedByRack && e.At-t.takenAt > j.rules.DedupWindow+j.rules.TimeTolerance:
 		j.broken(SingleRun, e.Request, e.At, "a repeat came %v after the first attempt", e.At-t.takenAt)
 	}
 }
@@ -313,24 +313,24 @@
 		if r.answered {
 			continue
 		}
-		if at <= r.deadline+j.rules.AnswerSlack+j.rules.MeasuredWithin {
+		if at <= r.deadline+j.rules.AnswerSlack+j.rules.TimeTolerance {
 			j.verdict.Counts.Open++
 			continue
 		}
 		j.unanswered(Event{At: at, Request: id}, r, "no answer had come when the run ended")
 	}
 	slices.SortStableFunc(j.verdict.Violations, func(a, b Violation) int {
-		return cmp.Or(cmp.Compare(slices.Index(All, a.Rule), slices.Index(All, b.Rule)), cmp.Compare(a.At, b.At), cmp.Compare(a.Request, b.Request))
+		return cmp.Or(cmp.Compare(slices.Index(AllRules, a.Rule), slices.Index(AllRules, b.Rule)), cmp.Compare(a.At, b.At), cmp.Compare(a.Request, b.Request))
 	})
 	return &j.verdict
 }
 
-// Run judges a whole run: it sorts the events by their times.
-func Run(rules Rules, events []Event, end time.Duration) *Verdict {
+// JudgeEvents judges a whole run: it sorts the events by their times.
+func JudgeEvents(rules Rules, events []Event, end time.Duration) *Verdict {
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	j := New(rules)
 	for _, e := range events {
-		j.Take(e)
+		j.Observe(e)
 	}
 	return j.Finish(end)
 }
--- a/internal/scale/verdict/judge_test.go
+++ b/internal/scale/verdict/judge_test.go
@@ -22,9 +22,9 @@
 func someRules() Rules {
 	return Rules{Effects: []Effect{once: Once, keyed: KeyedByRack, free: Repeatable},
 		Executors:   []Executor{{Rack: 0, Slots: 2}, {Rack: 0, Slots: 2}, {Rack: 1, Slots: 2}, {Rack: 1, Slots: 2}},
-		Dispatchers: 2, Portions: []float64{0.5, 0.5}, AnswerSlack: 16 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
-		KeyWindow: 40 * second, ColdFrom: 0.3, WarmWithin: 8 * second, Fall: 2 * second, FallMultiple: 2.5, ListedWithin: 6 * second,
-		ShareGrace: 5 * second, MeasuredWithin: 50 * time.Millisecond}
+		Dispatchers: 2, ReservedShares: []float64{0.5, 0.5}, AnswerSlack: 16 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
+		DedupWindow: 40 * second, SlowStartMinShare: 0.3, SlowStartDuration: 8 * second, OverloadWindow: 2 * second, OverloadMultiple: 2.5, MaxListDelay: 6 * second,
+		ShareGrace: 5 * second, TimeTolerance: 50 * time.Millisecond}
 }
 
 // Events of one request, at a time.
@@ -33,7 +33,7 @@
 }
 
 func taken(at time.Duration, request uint64, class uint8, executor int32) Event {
-	return Event{At: at, Kind: Taken, Request: request, Task: int32(request), Class: class, Executor: executor, Slots: 1, FirstByte: at, Work: second}
+	return Event{At: at, Kind: Accepted, Request: request, Task: int32(request), Class: class, Executor: executor, Slots: 1, FirstByte: at, Work: second}
 }
 
 func started(at time.Duration, request uint64, class uint8, executor int32) Event {
@@ -76,7 +76,7 @@
 	}{
 		"no answer":         {[]Event{submitted(second, 7, once)}, FinalAnswer, 7, "no answer"},
 		"given up":          {[]Event{submitted(second, 7, once), {At: 10 * second, Kind: GivenUp, Request: 7}}, FinalAnswer, 7, "its dispatcher stands"},
-		"connection broken": {[]Event{submitted(second, 7, once), answered(2*second, 7, Broken)}, FinalAnswer, 7, "no whole answer"},
+		"connection broken": {[]Event{submitted(second, 7, once), answered(2*second, 7, ConnectionBroken)}, FinalAnswer, 7, "no whole answer"},
 		"answered twice":    {join(served(second, 7, once, 0), []Event{answered(3*second, 7, Served)}), FinalAnswer, 7, "second answer"},
 		"answered late":     {[]Event{submitted(second, 7, once), answered(9*second+100*time.Millisecond, 7, Failed)}, FinalAnswer, 7, "past the client's time"},
 		"answer to nobody":  {[]Event{answered(second, 7, Served)}, FinalAnswer, 7, "nobody made"},
@@ -86,12 +86,12 @@
 		"sent twice":    {join(served(second, 7, once, 0), []Event{taken(3*second, 7, once, 1)}), SingleRun, 7, "second attempt"},
 		"started twice under two requests": {join(served(second, 7, once, 0), []Event{
 			{At: 3 * second, Kind: Started, Request: 8, Task: 7, Class: once, Executor: 1, Slots: 1}}), SingleRun, 8, "started 2 times"},
-		"refused though taken":         {[]Event{submitted(second, 7, once), taken(second, 7, once, 0), answered(2*second, 7, Refused)}, SingleRun, 7, "refused, though"},
+		"refused though taken":         {[]Event{submitted(second, 7, once), taken(second, 7, once, 0), answered(2*second, 7, Rejected)}, SingleRun, 7, "refused, though"},
 		"key repeated in another rack": {join(served(second, 7, keyed, 0), []Event{taken(3*second, 7, keyed, 2)}), SingleRun, 7, "rack 1"},
 		"key repeated too late":        {join(served(second, 7, keyed, 0), []Event{taken(42*second, 7, keyed, 1)}), SingleRun, 7, "after the first attempt"},
 		"sent past a drain": {join([]Event{listed(second, 0, Draining)}, served(2*second, 7, free, 0)), Drain, 7,
 			"after it was told"},
-		"sent past an end": {join([]Event{listed(second, 0, Gone), listed(1200*time.Millisecond, 0, Draining)}, served(1600*time.Millisecond, 7, free, 0)),
+		"sent past an end": {join([]Event{listed(second, 0, Removed), listed(1200*time.Millisecond, 0, Draining)}, served(1600*time.Millisecond, 7, free, 0)),
 			Drain, 7, "after it was told"},
 		"over a cold budget": {join([]Event{{At: second, Kind: Booted, Executor: 0, Slots: 2}, listed(second, 0, Ready)},
 			served(2*second, 1, free, 0), served(2*second, 2, free, 0), served(2*second, 3, free, 0), served(2*second, 4, free, 0),
@@ -103,13 +103,13 @@
 		"held under its share": {[]Event{{At: second, Kind: Submitted, Request: 7, Task: 7, Slots: 1, Deadline: 20 * second},
 			listed(2*second, 0, Ready), listed(8*second, 0, Ready), answered(9*second, 7, Failed)}, ReservedShare, 7, "tenant 0 has 0 of its 4 slots"},
 		"held under its share by refusals": {[]Event{{At: second, Kind: Submitted, Request: 7, Task: 7, Slots: 1, Deadline: 20 * second},
-			answered(2*second, 7, Refused), {At: 3 * second, Kind: Submitted, Request: 8, Task: 7, Slots: 1, Deadline: 20 * second},
+			answered(2*second, 7, Rejected), {At: 3 * second, Kind: Submitted, Request: 8, Task: 7, Slots: 1, Deadline: 20 * second},
 			listed(8*second, 0, Ready), answered(9*second, 8, Failed)}, ReservedShare, 8, "tenant 0"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := Run(someRules(), c.events, 60*second)
-			if v.Kept() || v.Broken[c.rule] != 1 || len(v.Violations) != 1 {
-				t.Fatalf("want %q broken once: %v %+v", c.rule, v.Broken, v.Violations)
+			v := JudgeEvents(someRules(), c.events, 60*second)
+			if v.Passed() || v.ViolationCounts[c.rule] != 1 || len(v.Violations) != 1 {
+				t.Fatalf("want %q broken once: %v %+v", c.rule, v.ViolationCounts, v.Violations)
 			}
 			if got := v.Violations[0]; got.Rule != c.rule || got.Request != ID(c.request) || !strings.Contains(got.Text, c.text) {
 				t.Errorf("got %+v, want request %s and a text with %q", got, ID(c.request), c.text)
@@ -132,21 +132,21 @@
 		"served":                              join(served(second, 1, once, 0), served(second, 2, keyed, 1), served(second, 3, free, 2)),
 		"free runs twice":                     join(served(second, 7, free, 0), []Event{taken(2*second, 7, free, 2), started(2*second, 7, free, 2)}),
 		"key repeated in its rack and window": join(served(second, 7, keyed, 0), []Event{taken(30*second, 7, keyed, 1)}),
-		"turned away, then elsewhere": {submitted(second, 7, once), {At: second, Kind: TurnedAway, Request: 7, Task: 7, Class: once, Executor: 0, FirstByte: second},
+		"turned away, then elsewhere": {submitted(second, 7, once), {At: second, Kind: AttemptRejected, Request: 7, Task: 7, Class: once, Executor: 0, FirstByte: second},
 			taken(second, 7, once, 1), started(second, 7, once, 1), ended(2*second, 7, 1), answered(2*second, 7, Served)},
-		"refused, then tried again": {submitted(second, 7, once), answered(second, 7, Refused),
-			{At: 2 * second, Kind: Submitted, Request: 8, Task: 7, Class: once, Slots: 1, Deadline: 9 * second}, {At: 2 * second, Kind: Taken, Request: 8, Task: 7, Class: once},
+		"refused, then tried again": {submitted(second, 7, once), answered(second, 7, Rejected),
+			{At: 2 * second, Kind: Submitted, Request: 8, Task: 7, Class: once, Slots: 1, Deadline: 9 * second}, {At: 2 * second, Kind: Accepted, Request: 8, Task: 7, Class: once},
 			{At: 2 * second, Kind: Started, Request: 8, Task: 7, Class: once}, answered(3*second, 8, Served)},
-		"lost with its dispatcher":    {submitted(second, 7, once), {At: 2 * second, Kind: DispatcherDied}, answered(2*second, 7, Broken)},
+		"lost with its dispatcher":    {submitted(second, 7, once), {At: 2 * second, Kind: DispatcherDied}, answered(2*second, 7, ConnectionBroken)},
 		"sent within a drain's grace": join([]Event{listed(second, 0, Draining)}, served(1400*time.Millisecond, 7, free, 0)),
 		"first byte before a drain's end, last byte after it": join([]Event{listed(second, 0, Draining),
-			submitted(second, 7, free), {At: 2 * second, Kind: Taken, Request: 7, Task: 7, Class: free, FirstByte: 1300 * time.Millisecond}},
+			submitted(second, 7, free), {At: 2 * second, Kind: Accepted, Request: 7, Task: 7, Class: free, FirstByte: 1300 * time.Millisecond}},
 			[]Event{answered(3*second, 7, Served)}),
 		"sent after the end of a drain": join([]Event{listed(second, 0, Draining), listed(2*second, 0, Ready)}, served(3*second, 7, free, 0)),
 		"sent past a drain that only another dispatcher was told of": join([]Event{{At: second, Kind: Listed, Dispatcher: 1, Condition: Draining}},
 			served(3*second, 7, free, 0)),
 		"one attempt larger than a cold budget": join([]Event{{At: second, Kind: Booted, Executor: 0, Slots: 2}, listed(second, 0, Ready),
-			{At: 2 * second, Kind: Taken, Request: 7, Task: 7, Class: free, FirstByte: 2 * second, Work: time.Hour}}),
+			{At: 2 * second, Kind: Accepted, Request: 7, Task: 7, Class: free, FirstByte: 2 * second, Work: time.Hour}}),
 		"over a cold budget that nobody was told of": join([]Event{{At: second, Kind: Booted, Executor: 0, Slots: 2}},
 			served(2*second, 1, free, 0), served(2*second, 2, free, 0), served(2*second, 3, free, 0), served(2*second, 4, free, 0),
 			served(2*second, 5, free, 0), served(2*second, 6, free, 0)),
@@ -157,7 +157,7 @@
 			[]Event{submitted(second, 7, once), listed(8*second, 0, Ready), answered(9*second, 7, Failed)}),
 	} {
 		t.Run(name, func(t *testing.T) {
-			if v := Run(someRules(), events, 60*second); !v.Kept() {
+			if v := JudgeEvents(someRules(), events, 60*second); !v.Passed() {
 				t.Errorf("%+v", v.Violations)
 			}
 		})
@@ -172,18 +172,18 @@
 	}
 	// One executor with two slots is left: one slot is reserved for each tenant.
 	events = append(events, started(second, 1, free, 0), submitted(2*second, 7, once), listed(9*second, 0, Ready), answered(9*second, 7, Failed))
-	if v := Run(someRules(), events, 60*second); !v.Kept() {
+	if v := JudgeEvents(someRules(), events, 60*second); !v.Passed() {
 		t.Errorf("%+v", v.Violations)
 	}
 }
 
 // Counts add up, and what was not due when a run was cut short is open and not lost.
 func TestCounts(t *testing.T) {
-	events := join(served(second, 1, once, 0), []Event{submitted(second, 2, once), answered(2*second, 2, Refused), {At: 2 * second, Kind: Withdrawn, Task: 2}, submitted(second, 3, once),
+	events := join(served(second, 1, once, 0), []Event{submitted(second, 2, once), answered(2*second, 2, Rejected), {At: 2 * second, Kind: Withdrawn, Task: 2}, submitted(second, 3, once),
 		answered(2*second, 3, Failed), submitted(9*second, 4, once), submitted(second, 5, once), answered(2*second, 5, Unreached)})
-	v := Run(someRules(), events, 10*second)
-	want := Counts{Requests: 5, Served: 1, Refused: 1, Failed: 1, Unreached: 1, Open: 1, Starts: 1, Attempts: 1}
-	if diff := cmp.Diff(want, v.Counts); diff != "" || !v.Kept() {
+	v := JudgeEvents(someRules(), events, 10*second)
+	want := Counts{Requests: 5, Served: 1, Rejected: 1, Failed: 1, Unreached: 1, Open: 1, Starts: 1, Attempts: 1}
+	if diff := cmp.Diff(want, v.Counts); diff != "" || !v.Passed() {
 		t.Errorf("%v\n%s", v.Violations, diff)
 	}
 }
@@ -194,13 +194,13 @@
 		events := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Event {
 			request := rapid.Uint64Range(1, 9).Draw(t, "request")
 			return Event{At: time.Duration(rapid.Int64Range(0, int64(30*second)).Draw(t, "at")), Kind: Kind(rapid.IntRange(0, int(DispatcherDied)).Draw(t, "kind")),
-				Answer: Answer(rapid.IntRange(0, int(Unreached)).Draw(t, "answer")), Condition: Condition(rapid.IntRange(0, int(Gone)).Draw(t, "condition")),
+				Answer: Answer(rapid.IntRange(0, int(Unreached)).Draw(t, "answer")), Condition: Condition(rapid.IntRange(0, int(Removed)).Draw(t, "condition")),
 				Class: uint8(request % 3), Dispatcher: int16(rapid.IntRange(0, 1).Draw(t, "dispatcher")), Tenant: int32(request % 2),
 				Executor: int32(rapid.IntRange(0, 3).Draw(t, "executor")), Task: int32(request), Slots: 1, Request: request,
 				Deadline: time.Duration(rapid.Int64Range(0, int64(30*second)).Draw(t, "deadline")), Work: second}
 		}), 0, 60).Draw(t, "events")
-		one := Run(someRules(), append([]Event(nil), events...), 60*second)
-		other := Run(someRules(), append([]Event(nil), events...), 60*second)
+		one := JudgeEvents(someRules(), append([]Event(nil), events...), 60*second)
+		other := JudgeEvents(someRules(), append([]Event(nil), events...), 60*second)
 		if diff := cmp.Diff(one, other); diff != "" {
 			t.Fatal(diff)
 		}
--- a/internal/scale/verdict/rules.go
+++ b/internal/scale/verdict/rules.go
@@ -17,18 +17,18 @@
 	protocolSpare = 50 * time.Millisecond
 )
 
-// For gives the rules of a described fleet. Lag is by how much the times of events may be off beside what sockets are granted.
-func For(d *fleet.Description, lag time.Duration) Rules {
+// RulesFor gives the rules of a described fleet. Lag is by how much the times of events may be off beside what sockets are granted.
+func RulesFor(d *fleet.Description, lag time.Duration) Rules {
 	rules := d.Rules()
 	v := Rules{Effects: []Effect{fleet.ClassOnce: Once, fleet.ClassKeyed: KeyedByRack, fleet.ClassUrgent: Repeatable},
-		Dispatchers: d.AllDispatchers(), AnswerSlack: rules.AnswerSlack, DrainGrace: rules.DrainGrace, KeyWindow: rules.KeyWindow,
-		ColdFrom: rules.ColdFrom, WarmWithin: rules.WarmWithin, Fall: rules.Fall, FallMultiple: rules.FallMultiple, ListedWithin: listedWithin,
-		ShareGrace: shareGrace, MeasuredWithin: protocolSpare + lag}
+		Dispatchers: d.TotalDispatchers(), AnswerSlack: rules.AnswerSlack, DrainGrace: rules.DrainGrace, DedupWindow: rules.DedupWindow,
+		SlowStartMinShare: rules.SlowStartMinShare, SlowStartDuration: rules.SlowStartDuration, OverloadWindow: rules.OverloadWindow, OverloadMultiple: rules.OverloadMultiple, MaxListDelay: listedWithin,
+		ShareGrace: shareGrace, TimeTolerance: protocolSpare + lag}
 	for _, x := range d.Plan() {
 		v.Executors = append(v.Executors, Executor{Rack: x.Rack, Slots: x.Slots})
 	}
 	for range d.Tenants {
-		v.Portions = append(v.Portions, d.Portion())
+		v.ReservedShares = append(v.ReservedShares, d.ReservedShare())
 	}
 	return v
 }
--- a/internal/scale/verdict/shares.go
+++ b/internal/scale/verdict/shares.go
@@ -53,7 +53,7 @@
 const lookEvery = 100 * time.Millisecond
 
 func newShares(rules Rules) shares {
-	s := shares{rules: rules, tenants: make([]tenantShare, len(rules.Portions)), waiting: map[int32]*waitingTask{},
+	s := shares{rules: rules, tenants: make([]tenantShare, len(rules.ReservedShares)), waiting: map[int32]*waitingTask{},
 		running: map[int32]runningTask{}, up: make([]bool, len(rules.Executors)), warmFrom: make([]time.Duration, len(rules.Executors))}
 	for i, x := range rules.Executors {
 		s.up[i] = true
@@ -113,7 +113,7 @@
 
 func (s *shares) booted(e Event) {
 	s.up[e.Executor] = true
-	s.warmFrom[e.Executor] = e.At + s.rules.WarmWithin
+	s.warmFrom[e.Executor] = e.At + s.rules.SlowStartDuration
 	s.warming = append(s.warming, warming{s.warmFrom[e.Executor], e.Executor})
 }
 
@@ -149,7 +149,7 @@
 	for len(t.waits) > 0 && t.waits[0].over {
 		t.waits = t.waits[1:]
 	}
-	reserved := int(math.Floor(s.rules.Portions[tenant] * float64(s.capacity)))
+	reserved := int(math.Floor(s.rules.ReservedShares[tenant] * float64(s.capacity)))
 	if len(t.waits) == 0 || t.running+t.waits[0].slots > reserved {
 		t.since, t.told = 0, false
 		return nil
@@ -157,7 +157,7 @@
 	if t.since == 0 {
 		t.since = now
 	}
-	if t.told || now-t.since <= s.rules.ShareGrace+s.rules.MeasuredWithin {
+	if t.told || now-t.since <= s.rules.ShareGrace+s.rules.TimeTolerance {
 		return nil
 	}
 	t.told = true
--- a/internal/scale/virtual/clients.go
+++ b/internal/scale/virtual/clients.go
@@ -35,13 +35,13 @@
 	switch a {
 	case verdict.Served:
 		w.counts.Served[kind]++
-	case verdict.Refused:
+	case verdict.Rejected:
 		retry = max(retry, refusedWait)
 		if w.now+retry < j.deadline {
 			w.after(retry, func() { w.submit(j.task, j.due) })
 			return
 		}
-		w.counts.Refused[kind]++
+		w.counts.Rejected[kind]++
 		w.see(verdict.Event{Kind: verdict.Withdrawn, Task: int32(j.task.Number)})
 	default:
 		w.counts.Failed[kind]++
--- a/internal/scale/virtual/dispatcher.go
+++ b/internal/scale/virtual/dispatcher.go
@@ -109,7 +109,7 @@
 	case dispatch.ActSend:
 		d.send(a)
 	case dispatch.ActReject:
-		d.answer(d.jobs[a.Job], verdict.Refused, span(a.Delay))
+		d.answer(d.jobs[a.Job], verdict.Rejected, span(a.Delay))
 	case dispatch.ActFail:
 		d.answer(d.jobs[a.Job], verdict.Failed, 0)
 	case dispatch.ActCancel:
@@ -139,7 +139,7 @@
 		if d.watches {
 			d.event(e)
 		}
-		condition := map[dispatch.Condition]verdict.Condition{dispatch.Ready: verdict.Ready, dispatch.Draining: verdict.Draining, dispatch.Removed: verdict.Gone}[c]
+		condition := map[dispatch.Condition]verdict.Condition{dispatch.Ready: verdict.Ready, dispatch.Draining: verdict.Draining, dispatch.Removed: verdict.Removed}[c]
 		for _, x := range executors {
 			d.world.see(verdict.Event{Kind: verdict.Listed, Dispatcher: int16(d.number), Executor: int32(x), Condition: condition})
 		}
@@ -149,19 +149,19 @@
 func (d *dispatcher) tell(a *dispatch.Action) {
 	w := d.world
 	data := append([]byte(nil), a.Data...)
-	w.counts.Tells++
+	w.counts.GossipMessages++
 	for _, other := range w.dispatchers {
 		if other == d || a.To != dispatch.AllPeers && int(a.To) != other.number {
 			continue
 		}
-		w.counts.TellBytes += len(data)
+		w.counts.GossipBytes += len(data)
 		w.after(hopPeer, func() { other.event(dispatch.Event{Kind: dispatch.EvGossip, From: uint32(d.number), Data: data}) })
 	}
 }
 
 func (d *dispatcher) probe(worker uint32) {
 	w := d.world
-	w.counts.Probes++
+	w.counts.HealthChecks++
 	i, ok := w.byID[worker]
 	if !ok {
 		return
@@ -252,7 +252,7 @@
 	}
 	answer := verdict.Failed
 	if len(j.tries) == 0 {
-		answer = verdict.Refused
+		answer = verdict.Rejected
 	}
 	d.event(dispatch.Event{Kind: dispatch.EvClientDisconnected, Job: j.id})
 	d.answer(j, answer, 0)
--- a/internal/scale/virtual/executor.go
+++ b/internal/scale/virtual/executor.go
@@ -41,7 +41,7 @@
 		return 1
 	}
 	r := x.world.rules
-	return min(1, r.ColdFrom+(1-r.ColdFrom)*float64(x.world.now-x.booted)/float64(r.WarmWithin))
+	return min(1, r.SlowStartMinShare+(1-r.SlowStartMinShare)*float64(x.world.now-x.booted)/float64(r.SlowStartDuration))
 }
 
 // kill ends its life. It tells nothing: a dispatcher learns of lost attempts by its own clock, as where a machine vanishes.
@@ -82,12 +82,12 @@
 		w.after(back, func() { t.dispatcher.end(t, dispatch.ConnectFailed, nil) })
 		return
 	case len(x.waiting) >= queueOfSlot*x.plan.Slots || t.job.task.Slots > x.plan.Slots:
-		w.see(t.event(verdict.TurnedAway))
+		w.see(t.event(verdict.AttemptRejected))
 		report := x.report()
 		w.after(back, func() { t.dispatcher.end(t, dispatch.Full, report) })
 		return
 	}
-	w.see(t.event(verdict.Taken))
+	w.see(t.event(verdict.Accepted))
 	t.life = x.life
 	x.waiting = append(x.waiting, t)
 	x.next()
@@ -113,12 +113,12 @@
 	w.after(back, func() {
 		if !t.started {
 			t.started = true
-			w.counts.Told[t.job.task.Kind] = append(w.counts.Told[t.job.task.Kind], w.now-t.job.due)
+			w.counts.StartLatencies[t.job.task.Kind] = append(w.counts.StartLatencies[t.job.task.Kind], w.now-t.job.due)
 		}
 		x.note(t, dispatch.NotificationStarted, 0)
 	})
 	run := time.Duration(float64(t.job.task.Run) / x.speed())
-	x.progress(t, run, w.d.ProgressEvery(), w.d.ProgressEvery())
+	x.progress(t, run, w.d.ProgressInterval(), w.d.ProgressInterval())
 	w.after(run, func() { x.finish(t) })
 }
 
--- a/internal/scale/virtual/world.go
+++ b/internal/scale/virtual/world.go
@@ -25,12 +25,12 @@
 
 // Counts are what was done.
 type Counts struct {
-	Tasks, Served, Refused, Failed [workload.Kinds]int
-	Steps, Sends, Probes, Tells    int
-	TellBytes                      int // of messages between dispatchers, for each receiver
-	RunningPeak                    int
-	RunningAtEnd                   int // of the load
-	Told                           [workload.Kinds][]time.Duration
+	Tasks, Served, Rejected, Failed            [workload.Kinds]int
+	Steps, Sends, HealthChecks, GossipMessages int
+	GossipBytes                                int // of messages between dispatchers, for each receiver
+	RunningPeak                                int
+	RunningAtEnd                               int // of the load
+	StartLatencies                             [workload.Kinds][]time.Duration
 }
 
 // Delays of the modelled network, and when the core steps in where a module does not.
@@ -76,7 +76,7 @@
 		w.byID[id] = x.Number
 		w.executors = append(w.executors, &executor{world: w, plan: x, id: id, up: true, status: dispatch.Ready})
 	}
-	for i := range d.AllDispatchers() {
+	for i := range d.TotalDispatchers() {
 		x, err := newDispatcher(w, i)
 		if err != nil {
 			return nil, err
@@ -105,7 +105,7 @@
 // see tells the judge.
 func (w *World) see(e verdict.Event) {
 	e.At = w.now
-	w.judge.Take(e)
+	w.judge.Observe(e)
 }
 
 // act carries out a fault. Cuts, the store and changes of the configuration are none of the decision module's.
@@ -121,7 +121,7 @@
 		}
 	case faults.ListDraining:
 		w.list(a.Executors, dispatch.Draining)
-	case faults.ListGone:
+	case faults.ListRemoved:
 		w.list(a.Executors, dispatch.Removed)
 	case faults.ListReady:
 		w.list(a.Executors, dispatch.Ready)
--- a/internal/scale/virtual/world_test.go
+++ b/internal/scale/virtual/world_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := New(d, actions, verdict.For(&d, 0), m)
+	w, err := New(d, actions, verdict.RulesFor(&d, 0), m)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,11 +44,11 @@
 	for _, name := range []faults.Name{faults.Zone, faults.Rack, faults.Machine, faults.Rolling} {
 		t.Run(string(name), func(t *testing.T) {
 			v, c := playOne(t, some(), nil, name)
-			if !v.Kept() || v.Counts.Lost+v.Counts.Open+v.Counts.Doubled != 0 {
+			if !v.Passed() || v.Counts.Lost+v.Counts.Open+v.Counts.Doubled != 0 {
 				t.Errorf("%+v %+v", v.Counts, v.Violations)
 			}
 			for kind := range workload.Kinds {
-				if n := c.Served[kind] + c.Refused[kind] + c.Failed[kind]; n != c.Tasks[kind] {
+				if n := c.Served[kind] + c.Rejected[kind] + c.Failed[kind]; n != c.Tasks[kind] {
 					t.Errorf("%s: %d tasks, %d ends", kind, c.Tasks[kind], n)
 				}
 			}
@@ -91,14 +91,14 @@
 	d := some()
 	d.Executors, d.Duration = 400, time.Minute
 	v, c := playOne(t, d, nil)
-	if late := v.Counts.Failed + v.Counts.Refused; v.Counts.Served+late != v.Counts.Requests || late > v.Counts.Requests/1000 {
+	if late := v.Counts.Failed + v.Counts.Rejected; v.Counts.Served+late != v.Counts.Requests || late > v.Counts.Requests/1000 {
 		t.Errorf("%+v", v.Counts)
 	}
 	if c.RunningPeak < 40 || c.RunningPeak > 400 {
 		t.Errorf("%d running at most, 90 are asked for on the mean", c.RunningPeak)
 	}
-	for _, told := range c.Told[workload.Urgent] {
-		if told < 2*hopSame || told > fleet.UrgentWithin {
+	for _, told := range c.StartLatencies[workload.Urgent] {
+		if told < 2*hopSame || told > fleet.UrgentStartTarget {
 			t.Errorf("an urgent task was told to have started %v after it was due", told)
 		}
 	}
--- a/internal/scale/workload/workload.go
+++ b/internal/scale/workload/workload.go
@@ -159,13 +159,13 @@
 	case g.random.Float64() < keyedShare:
 		class = fleet.ClassKeyed
 	}
-	tenant, first := g.random.IntN(d.Tenants), g.random.IntN(d.AllDispatchers())
+	tenant, first := g.random.IntN(d.Tenants), g.random.IntN(d.TotalDispatchers())
 	batch := kind == Array && g.random.Float64() < d.BatchShare
 	run := g.run(class)
 	for member := range size {
 		g.tasks++
 		t := Task{Number: g.tasks, Due: at, Job: g.jobs, Size: size, Kind: kind, Batch: batch, Class: class, Tenant: tenant,
-			Dispatcher: (first + member) % d.AllDispatchers(), Slots: 1, Run: run}
+			Dispatcher: (first + member) % d.TotalDispatchers(), Slots: 1, Run: run}
 		if !batch { // the members of a batch array have one template
 			t.Run = g.run(class)
 		}
