--- a/internal/batch/hard_test.go
+++ b/internal/batch/hard_test.go
@@ -371,7 +371,7 @@
 	}
 	call(f, "POST", "/jobs/"+held+"/release", "")
 	time.Sleep(30 * time.Millisecond)
-	if clients, _ := e.take(); len(clients) != 0 || f.enter("s") {
+	if clients, _ := e.take(); len(clients) != 0 || f.hasSession("s") {
 		t.Errorf("%d jobs reached the core without a record", len(clients))
 	}
 	if status, v, _ := call(f, "GET", "/jobs", ""); status != 503 {
--- a/internal/batch/monitor.go
+++ b/internal/batch/monitor.go
@@ -294,7 +294,7 @@
 	if len(p) > 0 {
 		name = p[0]
 	}
-	if len(p) > 1 && m.Method == "GET" && f.enter(name) {
+	if len(p) > 1 && m.Method == "GET" && f.hasSession(name) {
 		// What only looks at jobs of a session that is known here asks no leader.
 	} else if err := f.learn(ctx, name); err != nil {
 		return tryLater("which sessions there are can not be told: " + err.Error())
--- a/internal/batch/session.go
+++ b/internal/batch/session.go
@@ -34,8 +34,8 @@
 	return problem(404, "INVALID_SESSION", "sessionName", "no job session is named "+quote(name))
 }
 
-// enter says whether a session is there.
-func (f *Front) enter(name string) bool {
+// hasSession says whether a session is there.
+func (f *Front) hasSession(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sessions[name] != nil
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// busy says whether a job or an array of a session is on record that has not ended, at whichever node.
-func (f *Front) busy(ctx context.Context, name string) (bool, error) {
+// hasOpenJobs says whether a job or an array of a session is on record that has not ended, at whichever node.
+func (f *Front) hasOpenJobs(ctx context.Context, name string) (bool, error) {
 	if f.fleet == nil {
 		return false, nil
 	}
@@ -233,7 +233,7 @@
 
 // destroySession takes a session away (destroyJobSession), unless an instance is open or a job of it has not ended.
 func (f *Front) destroySession(ctx context.Context, name string) http1.Response {
-	elsewhere, err := f.busy(ctx, name)
+	elsewhere, err := f.hasOpenJobs(ctx, name)
 	if err != nil {
 		return tryLater("whether its jobs have ended can not be told: " + err.Error())
 	}
--- a/internal/batch/submit.go
+++ b/internal/batch/submit.go
@@ -202,7 +202,7 @@
 		j.r.Same, j.r.Hash = sameKey(session, t.same), fmt.Sprintf("%016x", t.hash)
 		more = append(more, jobstore.Change{Kind: kindSame, Key: j.r.Same, Value: sameRecord{j.r.ID, j.r.Hash}.json(), New: true, Keep: true})
 	}
-	if !f.enter(session) {
+	if !f.hasSession(session) {
 		return noSession(session), errors.New("no such session")
 	}
 	j.r.Handed = !j.queue
@@ -322,7 +322,7 @@
 	x.Submitted, x.Start, x.Deadline, x.Held, x.Jobs, x.Next, x.Template = now, t.start, t.until, t.hold, item.Size(), x.Begin, t.raw
 	t.job.Method, t.job.IdempotencyKey = "POST", trace()+trace()
 	a := &array{t: *t, r: x}
-	if !f.enter(session) {
+	if !f.hasSession(session) {
 		return noSession(session)
 	}
 	if f.store != nil {
