--- a/drmaa2/client.go
+++ b/drmaa2/client.go
@@ -1,6 +1,6 @@
-// Package drmaa2 is a client of gatetack's batch front: DRMAAv2's interfaces (GFD.194) over HTTP/1.1 and JSON. Names
-// follow the specification; docs/batch.md tells what each call comes to at the node. A Client owns its idle
-// connections; it has no goroutine of its own.
+// Package drmaa2 is a client of gatetack's batch front: the interfaces of DRMAAv2 (GFD.194) over HTTP/1.1 and JSON.
+// Names follow the specification; docs/batch.md describes how the node implements each call. A Client owns its idle
+// connections and starts no goroutines.
 package drmaa2
 
 import (
@@ -17,17 +17,17 @@
 	"gatetack/internal/limits"
 )
 
-// Prefix of all paths.
+// Prefix is the prefix of all paths.
 const Prefix = "/drmaa2/v1"
 
-// maxBody bounds an answer, in bytes: a page of jobs may be large.
+// maxBody bounds the body of a response, in bytes. A page of jobs may be large.
 const maxBody = 64 << 20
 
-// Client speaks to one node. It may be used by several goroutines.
+// Client sends requests to one node. It is safe for concurrent use.
 type Client struct {
 	address  string
-	session  string // empty: the default one
-	instance string // of the session; empty: none
+	session  string // empty: the default session
+	instance string // instance of the session; empty: none
 	limits   limits.Limits
 	tls      *tls.Config // nil: no TLS
 
@@ -35,14 +35,15 @@
 	idle []*connection
 }
 
-// New makes a client of the batch front at an address; session "" stands for the default one. Nothing is sent yet.
+// New returns a client of the batch front at an address. An empty session means the default one. New does not
+// connect.
 func New(addr, session string) *Client {
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.BodyBytes = maxBody
 	return &Client{address: addr, session: session, limits: lim}
 }
 
-// WithTLS has the client connect by TLS. It must be called before the first call.
+// WithTLS makes the client connect with TLS. It must be called before the first call.
 func (c *Client) WithTLS(config *tls.Config) *Client {
 	c.tls = config
 	return c
@@ -58,7 +59,7 @@
 	c.idle = nil
 }
 
-// path of a call in the client's session.
+// path returns the path of a call in the client's session.
 func (c *Client) path(parts ...string) string {
 	path := ""
 	if c.session != "" {
@@ -70,7 +71,7 @@
 	return path
 }
 
-// do makes a call: it sends in as JSON, unless it is nil, and decodes the answer into out, unless that is nil.
+// do makes a call: it sends in as JSON unless in is nil, and decodes the response into out unless out is nil.
 func (c *Client) do(ctx context.Context, verb, path string, in, out any) (status int, err error) {
 	var body []byte
 	if in != nil {
@@ -93,8 +94,8 @@
 	return answer.Status, nil
 }
 
-// roundTrip sends a call and reads its answer. A GET is sent again when an idle connection had been closed meanwhile:
-// that changes nothing at the node.
+// roundTrip sends a call and reads its response. A GET is sent again if the node had closed the idle connection,
+// because repeating it changes nothing at the node.
 func (c *Client) roundTrip(ctx context.Context, verb, path string, body []byte) (*http1.Message, error) {
 	for {
 		conn, reused, err := c.take(ctx)
@@ -114,7 +115,7 @@
 	}
 }
 
-// exchange sends a call on a connection and reads its answer.
+// exchange sends a call on a connection and reads its response.
 func (c *Client) exchange(
 	ctx context.Context,
 	conn *connection,
@@ -129,8 +130,8 @@
 	return conn.parser.Read(conn.in, conn.Conn)
 }
 
-// send writes a call. Callers close the connection when their context ends, which bounds it: a deadline of the socket
-// beside that may pass before the context knows of it, and the call then fails for a reason that is not the context's.
+// send writes a call. Callers close the connection when their context ends, so send sets no deadline on the socket:
+// that deadline could pass before the context ends, and the call would fail with an error that is not the context's.
 func (c *Client) send(conn *connection, verb, path string, body []byte) error {
 	fields := []http1.Field{{Name: "Host", Value: c.address}}
 	if c.instance != "" {
--- a/drmaa2/client_test.go
+++ b/drmaa2/client_test.go
@@ -16,8 +16,8 @@
 	"gatetack/internal/limits"
 )
 
-// fakeNode answers each request on its connections with a status and a body, and closes a connection after a number of
-// answers without saying so in them.
+// fakeNode sends a fixed status and body as the response to each request, and closes a connection after a number of
+// responses without announcing it.
 type fakeNode struct {
 	address     string
 	requests    atomic.Int32
@@ -63,7 +63,7 @@
 	}
 }
 
-// A call that only reads is sent again on a new connection when the idle one had been closed; it reaches the node once.
+// A GET is sent again on a new connection when the idle one had been closed, and reaches the node once.
 func TestReadIsSentAgainOnClosedIdleConnection(t *testing.T) {
 	node := startFakeNode(t, 1, "200 OK", `{"jobId":"n0-1","jobState":"DONE"}`)
 	client := New(node.address, "")
@@ -75,7 +75,7 @@
 		}
 	}
 	if got := node.requests.Load(); got != 3 {
-		t.Errorf("%d requests came to the node, want 3", got)
+		t.Errorf("node received %d requests, want 3", got)
 	}
 	if got := node.connections.Load(); got != 3 {
 		t.Errorf("%d connections, want 3", got)
@@ -123,7 +123,7 @@
 	}
 }
 
-// An event is handed on once its line is whole, wherever the bytes were split, and the cursor follows it.
+// An event is delivered once its line is complete, wherever the bytes are split, and the cursor is updated with it.
 func TestEventReaderJoinsLinesAtEverySplit(t *testing.T) {
 	stream := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	const body = `{"cursor":"1","jobId":"a"}` + "\n\n" + `{"cursor":"2","jobId":"b"}` + "\n"
--- a/drmaa2/connection.go
+++ b/drmaa2/connection.go
@@ -9,7 +9,7 @@
 	"gatetack/internal/http1"
 )
 
-// connection is one to the node, with its buffers.
+// connection is a connection to the node with its buffers.
 type connection struct {
 	net.Conn
 	in     *http1.Ring
@@ -36,7 +36,7 @@
 	return dialer.DialContext(ctx, "tcp", c.address)
 }
 
-// take returns an idle connection, or a new one where there is none.
+// take returns an idle connection, or a new one if there is none.
 func (c *Client) take(ctx context.Context) (conn *connection, reused bool, err error) {
 	if conn := c.takeIdle(); conn != nil {
 		return conn, true, nil
@@ -60,7 +60,7 @@
 	return conn
 }
 
-// put makes a connection idle after an answer, unless that was its last.
+// put returns a connection to the idle ones after a response, or closes it if the node is going to.
 func (c *Client) put(conn *connection, closing bool) {
 	if closing {
 		_ = conn.Close()
--- a/drmaa2/errors.go
+++ b/drmaa2/errors.go
@@ -11,14 +11,14 @@
 	"gatetack/internal/http1"
 )
 
-// Codes of errors by which a caller tells what to do next.
+// Codes of errors that callers handle differently.
 const (
-	CodeTryLater = "TRY_LATER" // the node can not now
-	CodeTimeout  = "TIMEOUT"   // the wait has ended without what was waited for
-	CodeInternal = "INTERNAL"  // the answer is not one of a batch front
+	CodeTryLater = "TRY_LATER" // the node can not handle the call at the moment
+	CodeTimeout  = "TIMEOUT"   // the wait timed out
+	CodeInternal = "INTERNAL"  // the response is not one of a batch front
 )
 
-// Error is what the node says of a call that it does not do (section 4.2).
+// Error is an error response of the node (section 4.2).
 type Error struct {
 	Status     int
 	Code       string `json:"error"`
@@ -28,7 +28,7 @@
 	RetryAfter time.Duration
 }
 
-// Error names the code, the field if there is one, and the reason.
+// Error returns the code, the field if there is one, and the message.
 func (e *Error) Error() string {
 	text := e.Code
 	if e.Field != "" {
@@ -37,13 +37,13 @@
 	return text + ": " + e.Message
 }
 
-// Is makes errors of one code equal: errors.Is(err, &drmaa2.Error{Code: "TIMEOUT"}).
+// Is reports whether target is an *Error with the same code: errors.Is(err, &drmaa2.Error{Code: "TIMEOUT"}).
 func (e *Error) Is(target error) bool {
 	t, ok := target.(*Error)
 	return ok && t.Code == e.Code
 }
 
-// errorOf is the error that an answer tells of.
+// errorOf returns the error that a response contains.
 func errorOf(answer *http1.Message) *Error {
 	e := &Error{Status: answer.Status}
 	if json.Unmarshal(answer.Body, e) != nil || e.Code == "" {
@@ -56,5 +56,5 @@
 	return e
 }
 
-// failed reports whether a status is that of an error.
+// failed reports whether a status is an error.
 func failed(status int) bool { return status >= http.StatusMultipleChoices }
--- a/drmaa2/events.go
+++ b/drmaa2/events.go
@@ -12,11 +12,12 @@
 	"gatetack/internal/http1"
 )
 
-// streamRetryPause is how long Events waits before it opens a stream again.
+// streamRetryPause is how long Events waits before it reconnects.
 const streamRetryPause = 200 * time.Millisecond
 
-// Events calls each for every change of a job's state after a cursor, "" for those from now on, until it fails or ctx
-// ends. A connection that breaks is opened again, and the stream goes on without a gap or a duplicate.
+// Events calls each for every job state change after a cursor, or from now on if the cursor is empty, until each
+// returns an error, the node rejects the stream, or ctx ends. After a broken connection it reconnects and continues
+// without gaps or duplicates.
 func (c *Client) Events(ctx context.Context, after string, each func(Event) error) error {
 	for {
 		received, err := c.stream(ctx, &after, each)
@@ -36,14 +37,14 @@
 	}
 }
 
-// callerError carries what the caller's function returned through the parser.
+// callerError carries an error of the caller's function through the parser.
 type callerError struct{ err error }
 
-// Error is never shown: Events returns the caller's own error.
+// Error is never shown: Events returns the caller's error itself.
 func (s *callerError) Error() string { return s.err.Error() }
 
-// stream reads events on a connection of its own until that ends, and moves the cursor past each. It reports whether
-// anything has come.
+// stream reads events on a new connection until it ends, and updates the cursor with each event. It reports whether
+// any data was received.
 func (c *Client) stream(ctx context.Context, after *string, each func(Event) error) (received bool, err error) {
 	conn, err := c.dial(ctx)
 	if err != nil {
@@ -64,7 +65,7 @@
 	return reader.received, err
 }
 
-// streamPath is the path of a stream of the session's events, or of all sessions', after a cursor.
+// streamPath returns the path of a stream of the session's events, or of those of all sessions, after a cursor.
 func (c *Client) streamPath(after string) string {
 	path := "/monitoring/events"
 	if c.session != "" {
@@ -77,17 +78,17 @@
 	return path + "?" + query.Encode()
 }
 
-// eventReader takes the body of a stream as it comes: events, one a line, or an error.
+// eventReader reads the body of a stream as it arrives: one event per line, or an error.
 type eventReader struct {
 	parser   *http1.Parser
 	after    *string
 	each     func(Event) error
 	received bool
-	line     []byte // the part of a line that has come
-	rejected []byte // the body of an answer that is not a stream
+	line     []byte // the received part of a line
+	rejected []byte // the body of an error response
 }
 
-// read takes the next bytes.
+// read processes the next bytes.
 func (r *eventReader) read(data []byte) error {
 	r.received = true
 	if r.parser.Head().Status != http.StatusOK {
@@ -109,7 +110,7 @@
 	}
 }
 
-// event hands on the event of a whole line. An empty line keeps the connection open and has none.
+// event delivers the event of a complete line. An empty line only keeps the connection alive.
 func (r *eventReader) event() error {
 	if len(r.line) == 0 {
 		return nil
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// rejection is the error of an answer that is not a stream.
+// rejection returns the error of an error response.
 func (r *eventReader) rejection(status int) *Error {
 	e := &Error{Status: status}
 	if json.Unmarshal(r.rejected, e) != nil {
--- a/drmaa2/jobs.go
+++ b/drmaa2/jobs.go
@@ -7,8 +7,8 @@
 	"net/url"
 )
 
-// RunJob submits a job. It returns again where the template's idempotency key named an earlier one, whose state that
-// is.
+// RunJob submits a job. If the template's idempotency key was used before, again is true and info is the state of the
+// earlier job.
 func (c *Client) RunJob(ctx context.Context, t Template) (info JobInfo, again bool, err error) {
 	status, err := c.do(ctx, http.MethodPost, c.path("jobs"), t, &info)
 	return info, status == http.StatusOK, err
@@ -26,7 +26,7 @@
 	return a, err
 }
 
-// JobCategories are the classes.
+// JobCategories returns the classes.
 func (c *Client) JobCategories(ctx context.Context) ([]string, error) {
 	var out struct{ JobCategories []string }
 	_, err := c.do(ctx, http.MethodGet, "/categories", nil, &out)
@@ -39,8 +39,8 @@
 	return info, err
 }
 
-// Jobs calls each for the jobs that a filter picks, in the order of their submission, until it returns false. With
-// all it takes in those of every session (MonitoringSession::getAllJobs).
+// Jobs calls each for the jobs that match a filter, in the order of their submission, until each returns false. With
+// all, the jobs of every session are included (MonitoringSession::getAllJobs).
 func (c *Client) Jobs(ctx context.Context, filter string, all bool, each func(JobInfo) bool) error {
 	path := c.path("jobs")
 	if all {
@@ -62,13 +62,13 @@
 	}
 }
 
-// jobPage is one page of a list of jobs. Next begins the page after it, empty for none.
+// jobPage is one page of a list of jobs. Next is the cursor of the next page, empty for none.
 type jobPage struct {
 	Jobs []JobInfo
 	Next string
 }
 
-// jobPageSize is how many jobs a page has, as the query says it.
+// jobPageSize is the number of jobs of a page, as a query parameter.
 const jobPageSize = "500"
 
 func (c *Client) jobPage(ctx context.Context, path, filter, after string) (page jobPage, err error) {
@@ -97,8 +97,8 @@
 	return err
 }
 
-// Resolution is what an operator says of a job whose outcome is indeterminate: that it is done, failed or unsent, who
-// says so, and why. Force is needed to say that a job never ran which must never run twice.
+// Resolution is an operator's decision about a job whose outcome is indeterminate: whether it is done, failed or
+// unsent, who decides, and why. Force is required to declare a job unsent that must never run twice.
 type Resolution struct {
 	As    string `json:"as"`
 	By    string `json:"by"`
@@ -106,16 +106,16 @@
 	Force bool   `json:"force,omitempty"`
 }
 
-// Resolve records the outcome of a job that may have run. Nothing is sent again by it.
+// Resolve records the outcome of a job that may have run. It sends nothing to executors.
 func (c *Client) Resolve(ctx context.Context, id string, r Resolution) (info JobInfo, err error) {
 	_, err = c.do(ctx, http.MethodPost, c.path("jobs", id, "resolve"), r, &info)
 	return info, err
 }
 
-// Reap forgets a job that has ended.
+// Reap deletes a job that has ended.
 func (c *Client) Reap(ctx context.Context, id string) error { return c.Control(ctx, id, "reap", false) }
 
-// waitPollMs bounds one call of Wait, which the node holds back until then.
+// waitPollMs is the timeout of one call of Wait.
 const waitPollMs = 20000
 
 // waitRequest is the body of a call that waits for one of several jobs.
@@ -125,8 +125,8 @@
 	TimeoutMs int      `json:"timeoutMs"`
 }
 
-// Wait waits until one of several jobs has ended or, with started, has started. It calls again until then, or until ctx
-// ends.
+// Wait waits until one of several jobs has ended or, with started, has started. It repeats the call until then, or
+// until ctx ends.
 func (c *Client) Wait(ctx context.Context, started bool, ids ...string) (info JobInfo, err error) {
 	request := waitRequest{For: "terminated", Jobs: ids, TimeoutMs: waitPollMs}
 	if started {
--- a/drmaa2/monitoring.go
+++ b/drmaa2/monitoring.go
@@ -6,14 +6,14 @@
 	"net/url"
 )
 
-// Machines are the executors that a filter picks.
+// Machines returns the executors that match a filter.
 func (c *Client) Machines(ctx context.Context, filter string) ([]Machine, error) {
 	var out struct{ Machines []Machine }
 	_, err := c.do(ctx, http.MethodGet, "/monitoring/machines?"+url.Values{"filter": {filter}}.Encode(), nil, &out)
 	return out.Machines, err
 }
 
-// Queues are the classes, with what waits and runs of each.
+// Queues returns the classes with the number of waiting and running jobs of each.
 func (c *Client) Queues(ctx context.Context) (out []map[string]any, err error) {
 	var in struct{ Queues []map[string]any }
 	_, err = c.do(ctx, http.MethodGet, "/monitoring/queues", nil, &in)
--- a/drmaa2/sessions.go
+++ b/drmaa2/sessions.go
@@ -6,7 +6,7 @@
 	"net/url"
 )
 
-// Manager returns what the implementation is.
+// Manager returns a description of the implementation.
 func (c *Client) Manager(ctx context.Context) (out map[string]any, err error) {
 	_, err = c.do(ctx, http.MethodGet, "/manager", nil, &out)
 	return out, err
@@ -26,17 +26,17 @@
 	return out.Sessions, err
 }
 
-// CreateSession makes a job session, and returns a client of it.
+// CreateSession creates a job session and returns a client of it.
 func (c *Client) CreateSession(ctx context.Context, name string) (*Client, error) {
 	return c.newSession(ctx, "/sessions", map[string]string{"sessionName": name}, name)
 }
 
-// OpenSession returns a client of a job session that exists.
+// OpenSession opens an existing job session and returns a client of it.
 func (c *Client) OpenSession(ctx context.Context, name string) (*Client, error) {
 	return c.newSession(ctx, "/sessions/"+url.PathEscape(name)+"/open", struct{}{}, name)
 }
 
-// newSession makes a client of the session that a call has opened.
+// newSession returns a client of the session that a call opens.
 func (c *Client) newSession(ctx context.Context, path string, in any, name string) (*Client, error) {
 	var session Session
 	if _, err := c.do(ctx, http.MethodPost, path, in, &session); err != nil {
@@ -47,7 +47,7 @@
 	return client, nil
 }
 
-// CloseSession ends a client's instance of its session. The session and its jobs stay.
+// CloseSession closes the client's instance of its session. The session and its jobs are kept.
 func (c *Client) CloseSession(ctx context.Context) error {
 	_, err := c.do(ctx, http.MethodPost, c.path("close"), struct{}{}, nil)
 	return err
--- a/drmaa2/types.go
+++ b/drmaa2/types.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// States of a job (section 5.5) in which it stays.
+// Final states of a job (section 5.5).
 const (
 	StateDone         = "DONE"
 	StateFailed       = "FAILED"
-	StateUndetermined = "UNDETERMINED" // it may have run, and the node does not know how that ended
+	StateUndetermined = "UNDETERMINED" // it may have run, and the node does not know its outcome
 )
 
-// Template is a job template (section 5.6). Zero values are not sent.
+// Template is a job template (section 5.6). Fields with zero values are not sent.
 type Template struct {
 	JobName        string     `json:"jobName,omitempty" yaml:"jobName,omitempty"`
 	JobCategory    string     `json:"jobCategory" yaml:"jobCategory"`
@@ -28,7 +28,7 @@
 	IdempotencyKey string     `json:"idempotencyKey,omitempty" yaml:"idempotencyKey,omitempty"`
 }
 
-// Bulk is a job array to be submitted (runBulkJobs).
+// Bulk is the submission of a job array (runBulkJobs).
 type Bulk struct {
 	JobTemplate Template `json:"jobTemplate"`
 	BeginIndex  int      `json:"beginIndex"`
@@ -37,7 +37,7 @@
 	MaxParallel int      `json:"maxParallel,omitempty"`
 }
 
-// JobInfo is what is known of a job (section 5.5).
+// JobInfo is the state of a job (section 5.5).
 type JobInfo struct {
 	JobID             string    `json:"jobId" yaml:"jobId"`
 	JobState          string    `json:"jobState" yaml:"jobState"`
@@ -59,12 +59,12 @@
 	Result            *string   `json:"result,omitempty" yaml:"result,omitempty"`
 }
 
-// Over reports whether a job has ended, or nothing more will be known of it.
+// Ended reports whether a job has ended or its outcome is indeterminate.
 func (j *JobInfo) Over() bool {
 	return j.JobState == StateDone || j.JobState == StateFailed || j.JobState == StateUndetermined
 }
 
-// JobArray is what is known of an array.
+// JobArray is the state of an array.
 type JobArray struct {
 	JobArrayID  string `json:"jobArrayId" yaml:"jobArrayId"`
 	JobState    string `json:"jobState" yaml:"jobState"`
@@ -80,7 +80,7 @@
 	Failed      int    `json:"failed" yaml:"failed"`
 }
 
-// Over reports whether all members have ended.
+// Ended reports whether all members have ended.
 func (a *JobArray) Over() bool { return a.Done+a.Failed >= a.Jobs }
 
 // Machine is an executor as the node sees it.
@@ -105,7 +105,7 @@
 	Instance      string    `json:"instance,omitempty" yaml:"instance,omitempty"`
 }
 
-// Event is a change of a job's state. Event "LOST" says that some are missing.
+// Event is a change of a job's state. Event "LOST" means that events are missing.
 type Event struct {
 	Cursor      string    `json:"cursor"`
 	Event       string    `json:"event"`
--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -1,9 +1,8 @@
-// Package actor is the state machine of an actor: a stateful function instance that the fleet keeps for a client which moves between
-// zones, with its state, its numbered calls, its timers and its open jobs. It has no I/O, clock or goroutine. Events (calls, ends of
-// jobs, timers) are applied one after the other, and the same events applied anywhere give the same actor. Answers are remembered, so
-// that a repeated call gets the same answer and has no second effect.
-//
-// The public API, the stored tables and the error codes call an actor a desk.
+// Package actor is the state machine of an actor: a stateful function instance that the nodes host for a client which
+// moves between zones, with its state, its numbered calls, its timers and its open jobs. The package has no I/O,
+// clock or goroutine. Events (calls, ends of jobs, timers) are applied one after the other, and the same events
+// applied anywhere produce the same actor. Answers are remembered, so that a repeated call gets the same answer and
+// has no second effect. The public API, the stored tables and the error codes call an actor a desk.
 package actor
 
 import (
@@ -16,7 +15,7 @@
 // EventKind is a kind of event.
 type EventKind uint8
 
-// The kinds.
+// The kinds of events.
 const (
 	Call       EventKind = iota + 1 // by the client, numbered from 1
 	JobEnded                        // a job of the actor has ended
@@ -24,7 +23,7 @@
 	Upgrade                         // to another version of the function, between calls
 )
 
-// maxAnswers is how many answers are remembered.
+// maxAnswers is the number of answers that are remembered.
 const maxAnswers = 16
 
 // Event is an input of the state machine. Which fields are set depends on its kind.
@@ -33,13 +32,13 @@
 	At     int64  // Unix ms, on the clock of the host
 	Number uint64 // of a call
 	Body   json.RawMessage
-	Job    string // its name
-	Key    string // under which it was submitted
+	Job    string // name of the job
+	Key    string // idempotency key of the job
 	Served bool
 	Result string
 	Name   string // of a timer
-	Due    int64  // at which it was set to go off
-	Hash   string // of the function it goes on with
+	Due    int64  // Unix ms at which the timer was due
+	Hash   string // of the new function
 }
 
 // OpenJob is a job of an actor that has not ended.
@@ -51,7 +50,7 @@
 // Actor is the state of an actor. It is immutable: applying an event returns a new one.
 type Actor struct {
 	ID            string             `json:"id"`
-	Function      string             `json:"function"` // its hash
+	Function      string             `json:"function"` // hash of the function
 	AppliedEvents uint64             `json:"applied"`  // number of events
 	LastCall      uint64             `json:"last"`     // number of the last call
 	State         json.RawMessage    `json:"state"`
@@ -66,12 +65,12 @@
 	Body   json.RawMessage `json:"body"`
 }
 
-// New returns an actor in the first state of a function.
+// New returns an actor in the start state of a function.
 func New(id string, f *Function) *Actor {
 	return &Actor{ID: id, Function: f.Hash, State: f.Start}
 }
 
-// Accepts reports whether an event applies to the actor: the end of a job or a timer that comes again or too late does not.
+// Accepts reports whether an event applies to the actor: a duplicate or late end of a job or timer does not.
 func (a *Actor) Accepts(e *Event) bool {
 	switch e.Kind {
 	case JobEnded:
@@ -136,7 +135,7 @@
 	return nil, nil, &OrderError{number, a.LastCall + 1}
 }
 
-// clone returns a copy that shares nothing which an event changes.
+// clone returns a copy that shares nothing that an event modifies.
 func (a *Actor) clone() *Actor {
 	n := *a
 	n.Answers = slices.Clone(a.Answers)
@@ -150,7 +149,7 @@
 	return &n
 }
 
-// consume records that an event has happened, and returns it as the function sees it.
+// consume records an event in the actor and returns the event's fields as the function sees them.
 func (a *Actor) consume(e *Event) (map[string]any, error) {
 	fields := map[string]any{"at": float64(e.At), "desk": a.ID}
 	switch e.Kind {
@@ -173,7 +172,7 @@
 	return fields, nil
 }
 
-// addEffects opens the jobs and sets the timers that an event at a time asked for.
+// addEffects opens the jobs and sets the timers that the function requested at an event.
 func (a *Actor) addEffects(fx *Effects, at int64) error {
 	for _, j := range fx.Jobs {
 		if _, ok := a.Jobs[j.Name]; ok {
@@ -192,7 +191,7 @@
 	return nil
 }
 
-// rememberAnswer keeps an answer and the latest before it, within maxAnswers and maxStateBytes.
+// rememberAnswer stores an answer and drops the oldest ones beyond maxAnswers and maxStateBytes.
 func (a *Actor) rememberAnswer(answer CallAnswer) {
 	a.Answers = append(a.Answers, answer)
 	a.Answers = a.Answers[max(0, len(a.Answers)-maxAnswers):]
@@ -205,7 +204,7 @@
 	}
 }
 
-// NextTimer returns the timer that is due first, if one is set.
+// NextTimer returns the timer that is due first, if any.
 func (a *Actor) NextTimer() (name string, at int64, ok bool) {
 	for k, t := range a.Timers {
 		if !ok || t < at || t == at && k < name {
--- a/internal/actor/actor_test.go
+++ b/internal/actor/actor_test.go
@@ -27,7 +27,8 @@
 	return &Event{Kind: Call, At: int64(1000 * n), Number: n, Body: json.RawMessage(body)}
 }
 
-// A crew's pass: once all tiles are there, whatever comes twice, one area job is submitted, under a key of its own; its end is told.
+// Once all tiles have arrived, one area job is submitted under its own key, even if calls are repeated. Its end is
+// visible in the state.
 func TestPass(t *testing.T) {
 	f := compile(t, SurveyFunction)
 	d := New("crew-7", f)
@@ -56,14 +57,14 @@
 		t.Errorf("%+v %v", next, err)
 	}
 	if twice, _, _ := next.Apply(f, end); twice != next {
-		t.Error("an end that came again had an effect")
+		t.Error("a duplicate end of a job had an effect")
 	}
 	if _, _, err := next.Apply(f, call(7, `{}`)); !errors.As(err, new(*OrderError)) {
 		t.Errorf("a call out of order: %v", err)
 	}
 }
 
-// A slot that is not confirmed lapses and is given back; one that is does not.
+// A slot that is not confirmed lapses and is returned; a confirmed one does not.
 func TestSlots(t *testing.T) {
 	f := compile(t, BookingFunction)
 	d := New("team", f)
@@ -79,7 +80,7 @@
 	}
 	stale := &Event{Kind: TimerFired, At: 7000, Name: name, Due: due - 1}
 	if x, _, _ := d.Apply(f, stale); x != d {
-		t.Error("a timer of before had an effect")
+		t.Error("an outdated timer had an effect")
 	}
 	d, _, err := d.Apply(f, &Event{Kind: TimerFired, At: 7000, Name: name, Due: due})
 	if err != nil || len(d.Jobs) != 1 || len(d.Timers) != 0 {
@@ -87,8 +88,8 @@
 	}
 }
 
-// A function that grows, costs too much or fails leaves the actor as before the call, the same number may be called again, and each
-// error says what can be done.
+// A function whose state is too large, whose cost is too high or that fails leaves the actor unchanged, the same call
+// number can be used again, and each error says what can be done.
 func TestFunctionsThatFail(t *testing.T) {
 	for name, on := range map[string]string{
 		"doubles":           `state: "event.body.x + event.body.x"`,
@@ -112,7 +113,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		if d.LastCall != 0 || string(d.State) != "{}" {
-			t.Errorf("%s: the desk is %+v", name, d)
+			t.Errorf("%s: actor is %+v", name, d)
 		}
 	}
 	for text, where := range map[string]string{"on: {fall: {}}": "on.fall", "on: {call: {stat: '1'}}": "on.call.stat", "on: {call: {state: '1 +'}}": "on.call.state",
@@ -124,8 +125,8 @@
 	}
 }
 
-// Whatever comes twice, late or before its turn: the actor is the one to which each event was applied once, in its order; and it is
-// the same wherever it was written and read in between.
+// Whatever events are duplicated, late or early, the actor equals one to which each event was applied once and in
+// order, regardless of where it was encoded and decoded in between.
 func TestReplayAgainstAnOracle(t *testing.T) {
 	f := compile(t, BookingFunction)
 	rapid.Check(t, func(t *rapid.T) {
@@ -154,9 +155,9 @@
 				continue
 			}
 			next, _, err := oracle.Apply(f, e)
-			if err != nil { // as a job that has not ended yet: the call is made again later, by its number
+			if err != nil { // for instance because a job has not ended: the call is made again later under its number
 				if _, _, again := d.Apply(f, e); again == nil {
-					t.Fatal("one fails and the other does not")
+					t.Fatal("the oracle rejects the event and the actor accepts it")
 				}
 				if e.Kind == Call {
 					number--
@@ -187,7 +188,8 @@
 	})
 }
 
-// FuzzDecode: what was written is read back; cut anywhere, or with a byte changed, it is an error of its type and never another actor.
+// FuzzDecode checks that an encoded actor decodes to the same actor, and that a truncated or altered one is a
+// StoredError and never another actor.
 func FuzzDecode(f *testing.F) {
 	fn := compile(f, BookingFunction)
 	d := New("d", fn)
@@ -212,7 +214,7 @@
 	})
 }
 
-// BenchmarkCall is what a call costs at a actor, by the size of its state: applied, and written as it goes to the store.
+// BenchmarkCall measures applying a call to an actor and encoding the result, by the size of the actor's state.
 func BenchmarkCall(b *testing.B) {
 	f := compile(b, "start: {pad: '', n: 0}\non: {call: {state: '{\"pad\": event.body.pad, \"n\": state.n + 1.0}', answer: 'state.n'}}\n")
 	for _, size := range []int{1 << 10, 64 << 10, 250 << 10} {
--- a/internal/actor/encoding.go
+++ b/internal/actor/encoding.go
@@ -9,7 +9,7 @@
 	"gatetack/internal/operr"
 )
 
-// encodingHeader begins an encoded actor; a checksum and the actor's JSON follow.
+// encodingHeader starts an encoded actor; a checksum and the actor's JSON follow.
 const encodingHeader = "gtdesk1\n"
 
 // Encode returns the stored form of an actor.
@@ -40,10 +40,10 @@
 
 func (e *StoredError) Error() string { return "desk: a stored desk can not be read: " + e.Why }
 
-// Code is its kind.
+// Code returns the error code.
 func (*StoredError) Code() string { return "desk.stored" }
 
-// Remedy is what can be done.
+// Remedy returns what the operator can do.
 func (*StoredError) Remedy() string {
 	return "look at its earlier versions (`gatetack store history desk ID`) and put the last good one back"
 }
--- a/internal/actor/examples.go
+++ b/internal/actor/examples.go
@@ -1,7 +1,7 @@
 package actor
 
-// SurveyFunction is an example: a survey crew's tablet hands in tiles, and once all wanted tiles are there one area job is submitted,
-// whose end is told with the next call. A survey that is not complete in time is given up.
+// SurveyFunction is an example: a survey crew's tablet submits tiles, and once all expected tiles have arrived one
+// area job is submitted; later calls return its outcome. A survey that is not complete in time is abandoned.
 const SurveyFunction = `start: {want: 0, tiles: [], done: ""}
 on:
   call:
@@ -27,7 +27,8 @@
       {"want": state.want, "tiles": state.tiles, "done": "late"}
 `
 
-// BookingFunction is an example: a booking desk reserves slots, each of which lapses unless it is confirmed in time, and is returned.
+// BookingFunction is an example: a booking desk reserves slots. A slot that is not confirmed in time lapses and is
+// returned.
 const BookingFunction = `start: {held: {}, lapsed: 0}
 on:
   call:
--- a/internal/actor/function.go
+++ b/internal/actor/function.go
@@ -21,21 +21,21 @@
 const (
 	maxSourceBytes = 64 << 10
 	maxStateBytes  = 256 << 10 // bytes of JSON
-	maxCost        = 1 << 20   // as the CEL library counts it: it grows with what is read and made, and bounds time and memory
-	maxEffects     = 32        // jobs and timers of an event
+	maxCost        = 1 << 20   // CEL cost, which grows with the data read and created; it bounds time and memory
+	maxEffects     = 32        // jobs and timers per event
 	maxNameBytes   = 128
 )
 
-// Function is a program in CEL expressions: for each kind of event the next state, the answer of the caller, the jobs to submit and
-// the timers to set. It has no clock, no randomness and no unbounded loop, and keeps nothing but its state. It is identified by the
-// hash of its text.
+// Function is a program of CEL expressions that compute, for each kind of event, the next state, the answer to the
+// caller, the jobs to submit and the timers to set. A function has no clock, no randomness and no unbounded loop, and
+// keeps nothing but its state. It is identified by the hash of its text.
 type Function struct {
 	Hash  string
-	Start json.RawMessage // the first state of an actor
+	Start json.RawMessage // the start state of an actor
 	rules map[EventKind]rule
 }
 
-// rule is what happens at one kind of event. A nil program changes nothing.
+// rule handles one kind of event. A nil program changes nothing.
 type rule struct{ state, answer, jobs, timers cel.Program }
 
 type source struct {
@@ -48,10 +48,10 @@
 
 func (e *FunctionError) Error() string { return fmt.Sprintf("desk: function: %s: %s", e.Where, e.Why) }
 
-// Code is its kind.
+// Code returns the error code.
 func (*FunctionError) Code() string { return "desk.function" }
 
-// Remedy is what can be done.
+// Remedy returns what the caller can do.
 func (*FunctionError) Remedy() string {
 	return "correct the function at the place that is named, and create the desk again"
 }
@@ -63,10 +63,10 @@
 	return "desk: the function failed, and the desk is as before the call: " + e.Why
 }
 
-// Code is its kind.
+// Code returns the error code.
 func (*CallError) Code() string { return "desk.call" }
 
-// Remedy is what can be done.
+// Remedy returns what the caller can do.
 func (*CallError) Remedy() string {
 	return "correct the call and make it again under the same number"
 }
@@ -78,17 +78,17 @@
 	return fmt.Sprintf("desk: call %d is out of order: %d is next", e.Number, e.Next)
 }
 
-// Code is its kind.
+// Code returns the error code.
 func (*OrderError) Code() string { return "desk.order" }
 
-// Remedy is what can be done.
+// Remedy returns what the caller can do.
 func (*OrderError) Remedy() string {
 	return "call with the number that is next; what was answered to much earlier calls is no longer kept"
 }
 
 var _ = []struct{}{operr.Register(&FunctionError{}), operr.Register(&CallError{}), operr.Register(&OrderError{})}
 
-// env declares what an expression may name: the state and the event.
+// env declares the variables of expressions: state and event.
 var env = sync.OnceValues(func() (*cel.Env, error) {
 	return cel.NewEnv(cel.Variable("state", cel.DynType), cel.Variable("event", cel.DynType), cel.ParserRecursionLimit(64))
 })
@@ -137,7 +137,7 @@
 	return f, nil
 }
 
-// evaluate returns the value of an expression as JSON, the same text for the same value.
+// evaluate returns the value of an expression as JSON. Equal values give equal text.
 func evaluate(p cel.Program, state, event any) (out json.RawMessage, err error) {
 	defer func() {
 		if x := recover(); x != nil {
@@ -203,19 +203,20 @@
 	return next, answer, fx, fx.validate()
 }
 
-// Effects are what an event causes beside the next state: jobs to submit and timers to set or clear.
+// Effects are the effects of an event beside the next state: jobs to submit and timers to set or clear.
 type Effects struct {
 	Jobs   []JobRequest
-	Timers map[string]float64 // by name: ms from the event on, 0 clears
+	Timers map[string]float64 // by name: ms after the event; 0 clears the timer
 }
 
-// JobRequest is a job that a function wants submitted. Its key is made of the actor and the event, so that it is submitted once.
+// JobRequest is a job that a function requests. Its idempotency key is derived from the actor and the event, so that
+// it is submitted once.
 type JobRequest struct {
 	Name     string   `json:"name"`
 	Category string   `json:"category"`
 	Account  string   `json:"account"`
 	Payload  string   `json:"payload"`
-	Inputs   []string `json:"inputs,omitempty"` // data sets that it needs
+	Inputs   []string `json:"inputs,omitempty"` // names of data sets
 }
 
 func (fx *Effects) validate() error {
--- a/internal/actorhost/calls.go
+++ b/internal/actorhost/calls.go
@@ -15,8 +15,8 @@
 	"gatetack/internal/migration"
 )
 
-// Call makes a client's call at the owner of an actor, wherever that is by now. Via is the zone of the client; hop says that another
-// node forwarded the call, which is then not forwarded again.
+// Call makes a client's call at the current owner of an actor. Via is the client's zone. If hop is set, another node
+// forwarded the call, and it is not forwarded again.
 func (h *Host) Call(ctx context.Context, id string, number uint64, body json.RawMessage, via string, hop bool) (answer json.RawMessage, at string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, h.Limits.StoreCallTimeout)
 	defer cancel()
@@ -71,7 +71,8 @@
 	return answer, h.Name, err
 }
 
-// takeOver makes this node the owner of an actor whose node is lost: its entry in the host table has expired in the log.
+// takeOver makes this node the owner of an actor whose node is lost, which means that its entry in the host table has
+// expired by the log's time.
 func (h *Host) takeOver(ctx context.Context, id, node string, epoch uint64) error {
 	value, _ := json.Marshal(ownerRow{h.Name})
 	r, err := h.txn(ctx, kv.Op{Verb: kv.Check, Table: HostTable, Key: node, Cond: true},
@@ -83,11 +84,11 @@
 	if err != nil {
 		return &UnavailableError{id, err.Error()}
 	}
-	return errNotOwner // the caller looks the owner up again: it is this node or a faster one
+	return errNotOwner // the caller looks up the owner again: it is this node or one that was faster
 }
 
-// migrate moves an actor after its device if the planner decides so. The lock of x is held: calls that come meanwhile wait, and go on
-// at the new owner.
+// migrate moves an actor closer to its device if the planner decides so. x.mu is held: calls that arrive meanwhile
+// wait, and are made at the new owner.
 func (h *Host) migrate(ctx context.Context, id string, x *hostedActor) {
 	v := h.Store.View()
 	here := migration.Node{Name: h.Name, Zone: h.Zone}
@@ -106,10 +107,10 @@
 	}
 	began := time.Now()
 	value, _ := json.Marshal(ownerRow{to})
-	// If the target is lost by then, the actor is taken over as any other of a lost node.
+	// If the target is lost by then, the actor is taken over like any other actor of a lost node.
 	r, err := h.txn(ctx, kv.Op{Verb: kv.Put, Table: OwnerTable, Key: id, Value: value, Keep: true, Cond: true, If: x.epoch})
 	if err != nil {
-		x.state = nil // it may have moved: the next load tells
+		x.state = nil // the migration may have been committed: the next load checks the owner
 		return
 	}
 	if !r.OK() {
@@ -120,7 +121,7 @@
 	h.Log.Info("desk moved", "desk", id, "to", to, "zone", row.Zone, "epoch", r.Version, "took", time.Since(began))
 }
 
-// zoneHeader tells the owner of an actor the zone of the client.
+// zoneHeader is the header field with the client's zone in a forwarded call.
 const zoneHeader = "X-Gatetack-Zone"
 
 // forward makes a call at the owner of an actor.
--- a/internal/actorhost/errors.go
+++ b/internal/actorhost/errors.go
@@ -7,7 +7,7 @@
 	"gatetack/internal/operr"
 )
 
-// errNotOwner reports that this node does not, or no longer, own an actor. The caller looks its owner up again.
+// errNotOwner reports that this node does not, or no longer, own an actor. The caller looks up the owner again.
 var errNotOwner = errors.New("desks: the desk is another node's by now")
 
 // NotFoundError reports that there is no such actor.
@@ -15,10 +15,10 @@
 
 func (e *NotFoundError) Error() string { return fmt.Sprintf("desks: there is no desk %q", e.ID) }
 
-// Code is its kind.
+// Code returns the error code.
 func (*NotFoundError) Code() string { return "desks.unknown" }
 
-// Remedy is what can be done.
+// Remedy returns what the caller can do.
 func (*NotFoundError) Remedy() string { return "create the desk first" }
 
 // UnavailableError reports that an actor can not be reached at the moment.
@@ -28,23 +28,23 @@
 	return fmt.Sprintf("desks: %q can not be reached: %s", e.ID, e.Why)
 }
 
-// Code is its kind.
+// Code returns the error code.
 func (*UnavailableError) Code() string { return "desks.away" }
 
-// Remedy is what can be done.
+// Remedy returns what the caller can do.
 func (*UnavailableError) Remedy() string {
 	return "make the same call, with its number, again in a moment: it has one effect"
 }
 
-// ExistsError reports that an actor of the same id exists.
+// ExistsError reports that an actor with the ID exists.
 type ExistsError struct{ ID string }
 
 func (e *ExistsError) Error() string { return fmt.Sprintf("desks: %q is there already", e.ID) }
 
-// Code is its kind.
+// Code returns the error code.
 func (*ExistsError) Code() string { return "desks.exists" }
 
-// Remedy is what can be done.
+// Remedy returns what the caller can do.
 func (*ExistsError) Remedy() string { return "call it, or choose another name" }
 
 var _ = []struct{}{
--- a/internal/actorhost/events.go
+++ b/internal/actorhost/events.go
@@ -8,7 +8,7 @@
 	"gatetack/internal/kv"
 )
 
-// Create makes an actor on this node.
+// Create creates an actor on this node.
 func (h *Host) Create(ctx context.Context, id string, function []byte) error {
 	f, err := actor.Compile(function)
 	if err != nil {
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// load reads an actor's state. The lock of x is held. The state is no older than the check of the epoch in the log, and nobody else
-// writes it under this epoch after that.
+// load reads an actor's state. x.mu is held. The state is no older than the check of the epoch in the log, and no
+// other node writes it under this epoch after that check.
 func (h *Host) load(ctx context.Context, id string, x *hostedActor) error {
 	if x.state != nil {
 		return nil
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// function returns the function of a hash, compiled once.
+// function returns the function with a hash. Each function is compiled once.
 func (h *Host) function(hash string) (*actor.Function, error) {
 	h.mu.Lock()
 	f := h.functions[hash]
@@ -79,7 +79,7 @@
 	return f, err
 }
 
-// applyEvent applies an event to an actor of this node and commits the result. The lock of x is held.
+// applyEvent applies an event to an actor of this node and commits the result. x.mu is held.
 func (h *Host) applyEvent(ctx context.Context, id string, x *hostedActor, e *actor.Event) (json.RawMessage, error) {
 	if x.lost {
 		return nil, errNotOwner
@@ -98,7 +98,7 @@
 	r, err := h.txn(ctx, kv.Op{Verb: kv.Check, Table: OwnerTable, Key: id, Cond: true, If: x.epoch},
 		kv.Op{Verb: kv.Put, Table: ActorTable, Key: id, Value: next.Encode(), Keep: true, Cond: true, If: x.stateVersion})
 	switch {
-	case err != nil: // it may have been committed: the state is loaded before anything else is done
+	case err != nil: // it may have been committed: load the state before the next event
 		x.state = nil
 		return nil, &UnavailableError{id, err.Error()}
 	case r.Err != "":
--- a/internal/actorhost/explore_test.go
+++ b/internal/actorhost/explore_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// The hand-over's protocol as a model: two nodes, a store, a client that calls 1, 2, 3 in turn at either node and again until it is
-// answered. Transactions are made at any later moment, or never, and their answers may be lost; a node may stand still with one on
-// its way for as long as all else takes; leases end and come back. Explored in full to a bound.
+// A model of the migration protocol: two nodes, a store, and a client that makes calls 1, 2, 3 in turn at either node and repeats each until
+// it is answered. A transaction is committed at any later moment, or never, and its result may be lost; a node may be stopped with a
+// transaction in flight for any time; leases expire and are renewed. The state space is explored exhaustively up to a bound.
 
 type txn struct {
 	kind           uint8 // 0 none, 1 apply, 2 move, 3 claim
@@ -28,7 +28,7 @@
 
 type guards struct{ epoch, version, lease bool }
 
-// explore walks all states. It gives their number, and what is wrong in one of them.
+// explore visits all states. It returns their number and a violation in one of them, if any.
 func explore(g guards, calls, epochs uint8) (states int, wrong string) {
 	first := modelWorld{owner: 0, epoch: 1, version: 1}
 	first.nodes[0].lease, first.nodes[1].lease = true, true
@@ -44,12 +44,12 @@
 		w := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
 		if w.last < w.acked {
-			return len(seen), "a call that was answered is gone"
+			return len(seen), "an answered call is lost"
 		}
 		for i := range w.nodes {
 			n := w.nodes[i]
 			x := w
-			if n.lease { // it ends, or comes back
+			if n.lease { // it expires, or is renewed
 				x.nodes[i].lease = false
 			} else {
 				x.nodes[i].lease = true
@@ -63,7 +63,7 @@
 			if n.copy && n.out.kind == 0 {
 				if next := w.acked + 1; next <= calls {
 					x := w
-					if n.last >= next { // answered before: from what it remembers
+					if n.last >= next { // answered before: the answer is remembered
 						x.acked = next
 						push(x)
 					} else if n.last+1 == next {
@@ -85,7 +85,7 @@
 			if n.out.kind == 0 {
 				continue
 			}
-			x = w // it was never made, or is not known to have been: the copy is read anew
+			x = w // the transaction is not committed, or not known to be: the copy is read again
 			x.nodes[i].out, x.nodes[i].copy = txn{}, false
 			push(x)
 			made := n.out.epoch == w.epoch || !g.epoch
@@ -99,15 +99,15 @@
 					continue
 				}
 				if w.owner != uint8(i) {
-					return len(seen), "one that is not the owner applied a call"
+					return len(seen), "a node that is not the owner applied a call"
 				}
 				if n.out.number != w.last+1 {
-					return len(seen), "a call was applied twice, or one was lost"
+					return len(seen), "a call was applied twice or lost"
 				}
 				x.last, x.version = n.out.number, w.version+1
 				x.nodes[i].last, x.nodes[i].version = x.last, x.version
 				lost := x
-				lost.nodes[i].copy = false // its answer was lost
+				lost.nodes[i].copy = false // the result of the transaction was lost
 				push(lost)
 				x.acked = max(x.acked, n.out.number)
 			case 2, 3:
@@ -128,9 +128,9 @@
 	return len(seen), wrong
 }
 
-// With its guards the hand-over loses nothing, does nothing twice, and nobody but the owner applies anything; with the epoch taken
-// out that is found, and with the epoch and the version of the actor taken out a call is lost or done twice. The lease is no guard: without
-// it a actor is only taken over sooner.
+// With all guards the migration loses no call, applies none twice, and only the owner applies calls. The exploration finds a violation
+// without the epoch, and without the epoch and the version of the actor. The lease is not a guard: without
+// it, an actor is only taken over sooner.
 func TestHandOverExplored(t *testing.T) {
 	states, wrong := explore(guards{true, true, true}, 3, 5)
 	t.Logf("%d states", states)
@@ -141,9 +141,9 @@
 		t.Errorf("without leases: %s", wrong)
 	}
 	if _, wrong := explore(guards{false, true, true}, 3, 5); wrong == "" {
-		t.Error("nothing is found without the epoch")
+		t.Error("no violation found without the epoch")
 	}
 	if _, wrong := explore(guards{false, false, true}, 3, 5); wrong == "" {
-		t.Error("nothing is found without the epoch and the version")
+		t.Error("no violation found without the epoch and the version")
 	}
 }
--- a/internal/actorhost/host.go
+++ b/internal/actorhost/host.go
@@ -28,7 +28,7 @@
 	View() *kv.View
 }
 
-// Front takes requests as the batch front does. The jobs of actors are submitted there.
+// Front handles requests as the batch front does. The jobs of actors are submitted to it.
 type Front interface {
 	Handle(context.Context, *http1.Message) http1.Response
 }
@@ -38,11 +38,11 @@
 
 // Config is the configuration of one node's Host.
 type Config struct {
-	Name, Zone, Addr string // Addr is that of the node's batch front
+	Name, Zone, Addr string // Addr is the address of the node's batch front
 	Store            Store
 	Front            Front
 	Forward          Forwarder
-	Prefix           string // of the front's paths
+	Prefix           string // of the batch front's paths
 	Capacity         int    // number of actors at which this node is full
 	Rules            migration.Rules
 	Limits           limits.Limits
@@ -59,18 +59,18 @@
 	functions   map[string]*actor.Function
 	planner     *migration.Planner
 	recovering  bool
-	ownersStamp any // of the owner table when it was last read
+	ownersStamp any // stamp of the owner table when it was last read
 }
 
-// hostedActor is an actor on this node. Its lock orders the events: they are applied one after the other.
+// hostedActor is an actor on this node. Its lock serializes the events.
 type hostedActor struct {
 	mu           sync.Mutex
-	state        *actor.Actor // nil: to be loaded
-	stateVersion uint64       // of the actor's entry
+	state        *actor.Actor // nil: must be loaded
+	stateVersion uint64       // version of the actor's entry
 	epoch        uint64
 	lost         bool // another node owns it
 	device       migration.Device
-	jobIDs       map[string]string // ids of submitted jobs that are open, by name
+	jobIDs       map[string]string // IDs of submitted open jobs, by name
 }
 
 // New returns a Host.
@@ -80,7 +80,7 @@
 
 func (h *Host) elapsedMillis() float64 { return float64(time.Since(h.start).Microseconds()) / 1000 }
 
-// txn runs a transaction within the time of a store call.
+// txn runs a transaction with the timeout of a store call.
 func (h *Host) txn(ctx context.Context, ops ...kv.Op) (*kv.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.Limits.StoreCallTimeout)
 	defer cancel()
@@ -105,7 +105,7 @@
 	}
 }
 
-// hosted returns an actor of this node, and adds it if it is new or has a later epoch.
+// hosted returns an actor of this node, adding it if it is new or has a later epoch.
 func (h *Host) hosted(id string, epoch uint64) *hostedActor {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -117,7 +117,7 @@
 	return x
 }
 
-// evict marks an actor as lost and forgets it. Its lock is held.
+// evict marks an actor as lost and removes it. x.mu is held.
 func (h *Host) evict(id string, x *hostedActor) {
 	x.lost, x.state = true, nil
 	h.mu.Lock()
@@ -127,7 +127,7 @@
 	}
 }
 
-// Run keeps this node's entry in the host table alive, and handles the timers and jobs of its actors.
+// Run renews this node's entry in the host table, and processes the timers and jobs of its actors.
 func (h *Host) Run(ctx context.Context) error {
 	var g errgroup.Group
 	g.SetLimit(64)
@@ -154,7 +154,7 @@
 		}
 		h.mu.Unlock()
 		for id, x := range all {
-			if x.mu.TryLock() { // an actor that is in use is looked at the next time
+			if x.mu.TryLock() { // an actor in use is checked at the next tick
 				busy := h.hasWork(x)
 				x.mu.Unlock()
 				if busy {
@@ -182,19 +182,19 @@
 	}
 }
 
-// heartbeat renews this node's entry in the host table. Without it other nodes take its actors over.
+// heartbeat renews this node's entry in the host table. When it expires, other nodes take over its actors.
 func (h *Host) heartbeat(ctx context.Context) {
 	h.mu.Lock()
 	row := hostRow{Zone: h.Zone, Addr: h.Addr, Actors: len(h.actors), Capacity: h.Capacity, Unready: h.recovering}
-	h.recovering = false // from the second heartbeat on it hosts what it owns
+	h.recovering = false // from the second heartbeat on it hosts the actors that it owns
 	h.mu.Unlock()
 	value, _ := json.Marshal(row)
 	if _, err := h.txn(ctx, kv.Op{Verb: kv.Put, Table: HostTable, Key: h.Name, Value: value, Keep: true, TTL: h.Limits.LeaseTTL.Milliseconds()}); err != nil {
-		h.Log.Debug("this node's row", "err", err)
+		h.Log.Debug("host table entry not renewed", "err", err)
 	}
 }
 
-// Deregister removes this node's entry at a planned shutdown: other nodes take its actors over as they are called.
+// Deregister removes this node's entry at a planned shutdown. Other nodes take over its actors as they are called.
 func (h *Host) Deregister(ctx context.Context) {
 	_, _ = h.txn(ctx, kv.Op{Verb: kv.Delete, Table: HostTable, Key: h.Name})
 }
--- a/internal/actorhost/http.go
+++ b/internal/actorhost/http.go
@@ -23,7 +23,7 @@
 	return http1.Response{Status: status, Body: body, Fields: []http1.Field{{Name: "Content-Type", Value: "application/json"}}}
 }
 
-// errorResponse returns the response for an error, with its code and what can be done.
+// errorResponse returns the response for an error, with its code and what the caller can do.
 func errorResponse(err error) http1.Response {
 	status, v := 503, map[string]any{"error": "TRY_LATER", "message": err.Error(), "do": operr.Remedy(err)}
 	var order *actor.OrderError
@@ -48,7 +48,7 @@
 	return r
 }
 
-// Handle serves requests under /desks. p is the path behind it, split.
+// Handle serves requests under /desks. p is the rest of the path, split.
 func (h *Host) Handle(ctx context.Context, m *http1.Message, p []string) http1.Response {
 	bad := func(text string) http1.Response {
 		return jsonResponse(400, map[string]any{"error": "INVALID_ARGUMENT", "message": text})
--- a/internal/actorhost/rows.go
+++ b/internal/actorhost/rows.go
@@ -7,7 +7,7 @@
 	"gatetack/internal/migration"
 )
 
-// The tables: actors, their owners, functions by hash, and the nodes that may host actors.
+// The tables of actors, their owners, functions by hash, and the nodes that may host actors.
 const (
 	ActorTable    = "desk"
 	OwnerTable    = "deskat"
@@ -27,7 +27,7 @@
 	Unready  bool   `json:"back"`
 }
 
-// ownerOf returns the owner of an actor and its epoch, as this member has them.
+// ownerOf returns the owner of an actor and its epoch according to this member's replica.
 func ownerOf(v *kv.View, id string) (node string, epoch uint64, ok bool) {
 	e, found := v.Get(OwnerTable, id)
 	var o ownerRow
@@ -37,13 +37,13 @@
 	return o.Node, e.Version, true
 }
 
-// hostOf returns a node's entry in the host table, as this member has it.
+// hostOf returns a node's entry in the host table according to this member's replica.
 func hostOf(v *kv.View, node string) (r hostRow, ok bool) {
 	e, found := v.Get(HostTable, node)
 	return r, found && json.Unmarshal(e.Value, &r) == nil
 }
 
-// node returns the row as the planner takes it.
+// node returns the entry in the planner's form.
 func (r hostRow) node(name string) migration.Node {
 	return migration.Node{Name: name, Zone: r.Zone, Load: float64(r.Actors) / float64(max(r.Capacity, 1)), Unready: r.Unready}
 }
--- a/internal/actorhost/timers_jobs.go
+++ b/internal/actorhost/timers_jobs.go
@@ -16,7 +16,7 @@
 	"gatetack/internal/operr"
 )
 
-// hasWork reports whether an actor has to be loaded, has a timer that is due, or has open jobs. The lock of x is held.
+// hasWork reports whether an actor must be loaded, has a timer that is due, or has open jobs. x.mu is held.
 func (h *Host) hasWork(x *hostedActor) bool {
 	if x.lost {
 		return false
@@ -28,7 +28,7 @@
 	return ok && due <= time.Now().UnixMilli() || len(x.state.Jobs) > 0
 }
 
-// process does what hasWork reports.
+// process loads an actor, fires a timer that is due, and checks the open jobs.
 func (h *Host) process(ctx context.Context, id string, x *hostedActor) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -37,7 +37,7 @@
 	}
 	if name, due, ok := x.state.NextTimer(); ok && due <= time.Now().UnixMilli() {
 		if _, err := h.applyEvent(ctx, id, x, &actor.Event{Kind: actor.TimerFired, At: time.Now().UnixMilli(), Name: name, Due: due}); err != nil {
-			h.Log.Warn("a desk's timer", "desk", id, "timer", name, operr.Attrs(err))
+			h.Log.Warn("timer of a desk not applied", "desk", id, "timer", name, operr.Attrs(err))
 			return
 		}
 	}
@@ -54,13 +54,13 @@
 	}
 }
 
-// syncJob submits an open job of an actor, under its key - which is one job, however often and wherever it is submitted - and then
-// checks whether it has ended. The lock of x is held.
+// syncJob submits an open job of an actor, or checks whether a submitted one has ended. The idempotency key makes it
+// one job, however often and at whichever node it is submitted. x.mu is held.
 func (h *Host) syncJob(ctx context.Context, id string, x *hostedActor, name string, j actor.OpenJob) {
 	ctx, cancel := context.WithTimeout(ctx, h.Limits.StoreCallTimeout)
 	defer cancel()
 	if x.jobIDs[name] == "" {
-		key := sha256.Sum256([]byte(j.Key)) // names of actors and jobs may have characters that a key may not
+		key := sha256.Sum256([]byte(j.Key)) // names of actors and jobs may contain characters that a key may not
 		wish := map[string]any{"jobCategory": j.Category, "accountingId": j.Account, "payload": j.Payload, "idempotencyKey": hex.EncodeToString(key[:])}
 		if len(j.Inputs) > 0 {
 			wish["inputs"] = j.Inputs
@@ -70,9 +70,9 @@
 		switch r.Status {
 		case 200, 201:
 			x.jobIDs[name] = gjson.GetBytes(r.Body, "jobId").String()
-		case 400: // it can not be submitted at all: the function is told, and may go on
+		case 400: // it can never be submitted: the function is notified and may continue
 			why := gjson.GetBytes(r.Body, "message").String()
-			h.Log.Warn("a desk's job can not be handed in", "desk", id, "job", name, "field", gjson.GetBytes(r.Body, "field").String(), "why", why)
+			h.Log.Warn("job of a desk rejected", "desk", id, "job", name, "field", gjson.GetBytes(r.Body, "field").String(), "why", why)
 			h.jobEnded(ctx, id, x, name, j, false, why)
 		}
 		return
@@ -91,6 +91,6 @@
 // jobEnded applies the end of a job.
 func (h *Host) jobEnded(ctx context.Context, id string, x *hostedActor, name string, j actor.OpenJob, served bool, result string) {
 	if _, err := h.applyEvent(ctx, id, x, &actor.Event{Kind: actor.JobEnded, At: time.Now().UnixMilli(), Job: name, Key: j.Key, Served: served, Result: result}); err != nil && !errors.Is(err, errNotOwner) {
-		h.Log.Warn("a desk's job has ended", "desk", id, "job", name, operr.Attrs(err))
+		h.Log.Warn("end of a desk's job not applied", "desk", id, "job", name, operr.Attrs(err))
 	}
 }
--- a/internal/conformance/cases_arrays.go
+++ b/internal/conformance/cases_arrays.go
@@ -8,38 +8,38 @@
 	"github.com/tidwall/gjson"
 )
 
-// badArrays are bodies of array submissions, with the code and the field that each is rejected by; an empty code is
+// badArrays are bodies of invalid array submissions, with the code and the field of the rejection. An empty code is
 // INVALID_ARGUMENT.
 var badArrays = []struct{ what, body, code, field string }{
 	{"no template", `{"endIndex":3}`, "", "jobTemplate"},
 	{"a bad template", `{"jobTemplate":{},"endIndex":3}`, "", "jobCategory"},
 	{"no end", `{"jobTemplate":{good}}`, "", "endIndex"},
-	{"an end before its beginning", `{"jobTemplate":{good},"beginIndex":5,"endIndex":4}`, "", "endIndex"},
-	{"a step of nothing", `{"jobTemplate":{good},"endIndex":4,"step":0}`, "", "step"},
+	{"an end before the beginning", `{"jobTemplate":{good},"beginIndex":5,"endIndex":4}`, "", "endIndex"},
+	{"a step of 0", `{"jobTemplate":{good},"endIndex":4,"step":0}`, "", "step"},
 	{"a negative beginning", `{"jobTemplate":{good},"beginIndex":-1,"endIndex":4}`, "", "beginIndex"},
-	{"half an index", `{"jobTemplate":{good},"endIndex":4.5}`, "", "endIndex"},
+	{"a fractional index", `{"jobTemplate":{good},"endIndex":4.5}`, "", "endIndex"},
 	{"a negative maxParallel", `{"jobTemplate":{good},"endIndex":4,"maxParallel":-1}`, "", "maxParallel"},
-	{"a million and more members", `{"jobTemplate":{good},"endIndex":99999999}`, "", "endIndex"},
-	{"an argument that there is not", `{"jobTemplate":{good},"endIndex":4,"colour":1}`, "", "colour"},
-	{"a key", `{"jobTemplate":{with:"idempotencyKey":"k"},"endIndex":4}`, "UNSUPPORTED_ATTRIBUTE", "idempotencyKey"},
+	{"over a million members", `{"jobTemplate":{good},"endIndex":99999999}`, "", "endIndex"},
+	{"an unknown argument", `{"jobTemplate":{good},"endIndex":4,"colour":1}`, "", "colour"},
+	{"an idempotency key", `{"jobTemplate":{with:"idempotencyKey":"k"},"endIndex":4}`, "UNSUPPORTED_ATTRIBUTE", "idempotencyKey"},
 	{"a list", `[]`, "", "body"},
 }
 
-// arrayCases are those of job arrays, numbered from 500 on.
+// arrayCases returns the cases of job arrays, numbered from 501.
 func arrayCases() []Case {
 	l := &caseList{number: 500}
 	l.add(
 		"GFD.194 8.2.7",
-		"an array runs all of its members, whose indices stand in their payloads' place",
+		"an array runs all of its members, with the index in place of the placeholder",
 		arrayRunsAllMembers,
 	)
-	l.add("GFD.194 8.2.7", "an index between steps names no member", arrayHasNoMemberBetweenSteps)
-	l.add("GFD.194 8.2.7", "no more than maxParallel members are out at a time", arrayKeepsMaxParallel)
-	l.add("GFD.194 8.4", "an array is held, released, and runs", heldArrayRunsOnceReleased)
-	l.add("GFD.194 8.4", "an array that waits is terminated, with all of its members", queuedArrayIsTerminated)
-	l.add("GFD.194 8.4", "one member that waits is terminated, and the others run", queuedMemberIsTerminated)
+	l.add("GFD.194 8.2.7", "an index between two steps is not a member", arrayHasNoMemberBetweenSteps)
+	l.add("GFD.194 8.2.7", "at most maxParallel members are in flight at a time", arrayKeepsMaxParallel)
+	l.add("GFD.194 8.4", "a held array runs once it is released", heldArrayRunsOnceReleased)
+	l.add("GFD.194 8.4", "a queued array is terminated with all of its members", queuedArrayIsTerminated)
+	l.add("GFD.194 8.4", "one queued member is terminated, and the others run", queuedMemberIsTerminated)
 	for _, call := range []string{"suspend", "resume"} {
-		l.add("GFD.194 8.4", call+" of an array is refused", arrayActionIsUnsupported(call))
+		l.add("GFD.194 8.4", call+" of an array is rejected", arrayActionIsUnsupported(call))
 	}
 	for _, x := range badArrays {
 		code := x.code
@@ -55,7 +55,7 @@
 	}
 	l.rejects(
 		"GFD.194 8.2.6",
-		"an array that there is not",
+		"an array that does not exist",
 		get("/sessions/{session}/arrays/n0.1.77"),
 		rejection{404, "INVALID_ARGUMENT", "jobArrayId"},
 	)
@@ -121,7 +121,7 @@
 			return err
 		}
 		if n := len(list.Get("jobs").Array()); n > 2 {
-			return fmt.Errorf("%d members are out: %s", n, list.Raw)
+			return fmt.Errorf("%d members in flight: %s", n, list.Raw)
 		}
 		if v, err = t.get(t.sessionPath("/arrays/" + id)); err != nil {
 			return err
@@ -131,7 +131,7 @@
 		}
 		t.pause(30 * time.Millisecond)
 	}
-	return fmt.Errorf("it does not end: %s", v.Raw)
+	return fmt.Errorf("array has not ended in time: %s", v.Raw)
 }
 
 func heldArrayRunsOnceReleased(t *tester) error {
--- a/internal/conformance/cases_http.go
+++ b/internal/conformance/cases_http.go
@@ -7,7 +7,7 @@
 	"gatetack/internal/batch"
 )
 
-// rejectedMethods are methods that their path does not allow.
+// rejectedMethods are methods that their paths do not allow.
 var rejectedMethods = []struct{ verb, path string }{
 	{"PUT", "/jobs"},
 	{"PATCH", "/sessions"},
@@ -23,13 +23,13 @@
 	{"POST", "/events"},
 }
 
-// unknownPaths are paths of no resource.
+// unknownPaths are paths that do not exist.
 var unknownPaths = []string{
 	"/", "/nothing", "/jobs/n0.1.1/dance", "/jobs/a/b/c", "/monitoring/weather",
 	"/sessions/{session}/weather", "/manager/supports",
 }
 
-// badBodies are bodies that are no job template.
+// badBodies are bodies that are not job templates.
 var badBodies = []struct{ what, body string }{
 	{"nothing", " "},
 	{"half an object", `{"jobCategory":`},
@@ -37,16 +37,16 @@
 	{"a string", `"job"`},
 	{"null", `null`},
 	{"a number", `7`},
-	{"bad UTF-8 outside of strings", "{\xff}"},
+	{"invalid UTF-8 outside of strings", "{\xff}"},
 	{"objects within objects, 10,000 deep", strings.Repeat(`{"a":`, 10000)},
 	{"lists within lists", `{"args":` + strings.Repeat("[", 1000) + strings.Repeat("]", 1000) + `}`},
 }
 
-// httpCases are those of HTTP and bad input, numbered from 800 on.
+// httpCases returns the cases of HTTP and malformed input, numbered from 801.
 func httpCases() []Case {
 	l := &caseList{number: 800}
 	for _, x := range rejectedMethods {
-		l.add("RFC 9110 15.5.6", x.verb+" "+x.path+" is refused, with what is allowed", methodIsRejected(x.verb, x.path))
+		l.add("RFC 9110 15.5.6", x.verb+" "+x.path+" is rejected, with the allowed methods", methodIsRejected(x.verb, x.path))
 	}
 	for _, path := range unknownPaths {
 		l.add("RFC 9110 15.5.5", "no such path: "+path, pathIsUnknown(path))
@@ -54,7 +54,7 @@
 	for _, x := range badBodies {
 		l.rejects("GFD.194 4.2", "a template that is "+x.what, post("/sessions/{session}/jobs", x.body), invalidArgument(""))
 	}
-	l.add("docs/batch.md", "a body that is too large is refused, or its connection closed", largeBodyIsRejected)
+	l.add("docs/batch.md", "a body that is too large is rejected, or the connection is closed", largeBodyIsRejected)
 	l.add("docs/batch.md", "errors are JSON with a code and a message", errorsAreJSON)
 	for _, s := range batch.States {
 		l.add("GFD.194 8.1", "a filter may name the state "+s, succeeds(get("/sessions/{session}/jobs?filter=state+%3D+"+s)))
--- a/internal/conformance/cases_jobs.go
+++ b/internal/conformance/cases_jobs.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// badWaits are bodies of waits for several jobs, with the field that each is rejected for.
+// badWaits are bodies of invalid waits for several jobs, with the field of the rejection.
 var badWaits = []struct{ what, body, field string }{
 	{"no list", `{}`, "jobs"},
 	{"an empty list", `{"jobs":[]}`, "jobs"},
@@ -17,21 +17,21 @@
 	{"no JSON", `{`, "body"},
 }
 
-// badIDs are ids that no node assigns.
+// badIDs are IDs that no node generates.
 var badIDs = []string{
 	"x", "1", "n0.1", "n0.zz.1", "n0.1.0", "n0.1.1-", "n0.1.1-x", "n0.1.1-01", "%20", "n0.-1.1",
 	strings.Repeat("n", 300) + ".1.1",
 }
 
-// jobCases are those of jobs, numbered from 400 on.
+// jobCases returns the cases of jobs, numbered from 401.
 func jobCases() []Case {
 	l := &caseList{number: 400}
 	l.add("GFD.194 8.3", "a job runs to DONE, with its exit status, result, times and machine", jobRunsToDone)
 	l.add("GFD.194 8.3.9", "getState agrees with getInfo once a job has ended", stateAgreesWithInfo)
-	l.add("GFD.194 8.3.12", "waitStarted comes back once a job has started or ended", waitStartedReturns)
-	l.add("GFD.194 8.3.12", "a wait that is over in vain says TIMEOUT and the state", waitTimesOut)
-	l.add("GFD.194 8.2.11", "waitAnyTerminated gives the one of many that has ended", waitAnyReturnsEndedJob)
-	l.add("GFD.194 8.2.11", "waitAny of jobs none of which ends says TIMEOUT", waitAnyTimesOut)
+	l.add("GFD.194 8.3.12", "waitStarted returns once a job has started or ended", waitStartedReturns)
+	l.add("GFD.194 8.3.12", "a wait that times out returns TIMEOUT and the state", waitTimesOut)
+	l.add("GFD.194 8.2.11", "waitAnyTerminated returns the one of several jobs that has ended", waitAnyReturnsEndedJob)
+	l.add("GFD.194 8.2.11", "waitAny of jobs none of which ends returns TIMEOUT", waitAnyTimesOut)
 	for _, x := range badWaits {
 		l.rejects(
 			"GFD.194 8.2.11",
@@ -42,7 +42,7 @@
 	}
 	l.rejects(
 		"GFD.194 8.2.11",
-		"waitAny of a job that there is not",
+		"waitAny of a job that does not exist",
 		post("/sessions/{session}/jobs/wait", `{"jobs":["n.1.1x"]}`),
 		rejection{404, "INVALID_ARGUMENT", "jobId"},
 	)
@@ -50,32 +50,32 @@
 		l.add("GFD.194 8.3.12", "a wait with "+bad, waitRejects(bad))
 	}
 	l.add("GFD.194 8.3.4", "a held job waits until it is released, and then runs", heldJobRunsOnceReleased)
-	l.add("GFD.194 8.3.3", "a job that waits for its time is held and released", scheduledJobIsHeldAndReleased)
-	l.add("GFD.194 8.3.4", "a job that is not on hold is not released", releaseNeedsHold)
-	l.add("GFD.194 8.3.3", "a job that has ended is not held", holdNeedsOpenJob)
+	l.add("GFD.194 8.3.3", "a job that waits for its start time is held and released", scheduledJobIsHeldAndReleased)
+	l.add("GFD.194 8.3.4", "releasing a job that is not on hold is rejected", releaseNeedsHold)
+	l.add("GFD.194 8.3.3", "holding a job that has ended is rejected", holdNeedsOpenJob)
 	l.add("GFD.194 5.6.12", "a job with a start time does not begin before it", startTimeIsKept)
-	l.add("GFD.194 8.3.5", "a job that waits is terminated: FAILED, and that again is refused", queuedJobIsTerminated)
+	l.add("GFD.194 8.3.5", "a queued job is terminated and FAILED, and terminating it again is rejected", queuedJobIsTerminated)
 	l.add(
 		"docs/batch.md",
-		"terminating a job at a box is not reported as if it had stopped: its result still comes",
+		"terminating a running job is rejected, and its result still arrives",
 		runningJobIsNotTerminated,
 	)
 	for _, call := range []string{"suspend", "resume"} {
-		l.add("GFD.194 8.3.1", call+" is refused: nothing stops a job at a box", jobActionIsUnsupported(call))
+		l.add("GFD.194 8.3.1", call+" is rejected: a running job can not be stopped", jobActionIsUnsupported(call))
 	}
-	l.add("GFD.194 8.3.6", "a job that has ended is reaped, and not known after it", endedJobIsReaped)
-	l.add("GFD.194 8.3.6", "a job that has not ended is not reaped", reapNeedsEndedJob)
+	l.add("GFD.194 8.3.6", "a job that has ended is reaped, and no longer listed", endedJobIsReaped)
+	l.add("GFD.194 8.3.6", "reaping a job that has not ended is rejected", reapNeedsEndedJob)
 	for _, bad := range badIDs {
 		l.rejects(
 			"GFD.194 8.3",
-			"an id that no node gives: "+shorten(bad),
+			"an ID that no node generates: "+shorten(bad),
 			get("/jobs/"+bad),
 			rejection{404, "INVALID_ARGUMENT", "jobId"},
 		)
 	}
-	l.add("docs/batch.md", "a submission sent again under its key gives the first job back", idempotencyKeyReturnsFirstJob)
-	l.add("docs/batch.md", "another template under the same key is refused", idempotencyKeyRejectsOtherTemplate)
-	l.add("docs/batch.md", "the same key in another session is another job's", idempotencyKeyIsOfItsSession)
+	l.add("docs/batch.md", "a repeated submission under the same key returns the first job", idempotencyKeyReturnsFirstJob)
+	l.add("docs/batch.md", "another template under the same key is rejected", idempotencyKeyRejectsOtherTemplate)
+	l.add("docs/batch.md", "the same key in another session is a different job", idempotencyKeyIsOfItsSession)
 	return l.cases
 }
 
@@ -247,7 +247,7 @@
 	}
 	v, err := t.awaitEnd(id)
 	if err == nil && (v.Get("jobState").String() != "DONE" || v.Get("dispatchTime").Time().Before(at)) {
-		err = fmt.Errorf("to start at %v: %s", at, v.Raw)
+		err = fmt.Errorf("start time %v not kept: %s", at, v.Raw)
 	}
 	return err
 }
@@ -288,7 +288,7 @@
 	}
 	end, err := t.awaitEnd(id)
 	if err == nil && end.Get("jobSubState").String() == "terminated" {
-		err = fmt.Errorf("it counts as terminated: %s", end.Raw)
+		err = fmt.Errorf("job ended as terminated: %s", end.Raw)
 	}
 	return err
 }
@@ -316,7 +316,7 @@
 	}
 	list, err := t.get(t.sessionPath("/jobs?filter=" + url.QueryEscape(`id = "`+id+`"`)))
 	if err == nil && len(list.Get("jobs").Array()) != 0 {
-		err = fmt.Errorf("it is still listed: %s", list.Raw)
+		err = fmt.Errorf("job is still listed: %s", list.Raw)
 	}
 	return err
 }
--- a/internal/conformance/cases_lists.go
+++ b/internal/conformance/cases_lists.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// goodFilters are filters that are accepted.
+// goodFilters are valid filters.
 var goodFilters = []string{
 	``, `state = DONE`,
 	`state in (DONE, FAILED, QUEUED)`,
@@ -21,7 +21,7 @@
 	`SESSION = "{session}"`, `state = done`, `machine ~ ""`,
 }
 
-// badFilters are filters, with the column at which each is rejected.
+// badFilters are invalid filters, with the column of the error.
 var badFilters = []struct {
 	filter string
 	column int
@@ -42,21 +42,21 @@
 	{strings.Repeat("(", 70) + "state = DONE", 65},
 }
 
-// listCases are those of lists and filters, numbered from 600 on.
+// listCases returns the cases of lists and filters, numbered from 601.
 func listCases() []Case {
 	l := &caseList{number: 600}
 	for _, filter := range goodFilters {
-		l.add("docs/batch.md", "the filter "+strconv.Quote(filter)+" is taken", filterIsAccepted(filter))
+		l.add("docs/batch.md", "the filter "+strconv.Quote(filter)+" is accepted", filterIsAccepted(filter))
 	}
 	for _, x := range badFilters {
 		l.add(
 			"docs/batch.md",
-			"the filter "+shorten(strconv.Quote(x.filter))+" is refused, with the column",
+			"the filter "+shorten(strconv.Quote(x.filter))+" is rejected, with the column",
 			filterIsRejectedAt(x.filter, x.column),
 		)
 	}
-	l.add("docs/batch.md", "pages of a list hold each job once, in order", listPagesHaveEachJobOnce)
-	l.add("GFD.194 8.2.5", "a list of one state holds no other", listOfStateHasNoOther)
+	l.add("docs/batch.md", "the pages of a list contain each job once, in order", listPagesHaveEachJobOnce)
+	l.add("GFD.194 8.2.5", "a list of one state contains no other", listOfStateHasNoOther)
 	for _, bad := range []string{"limit=0", "limit=x", "limit=100000", "jobState=ASLEEP", "after=nothing", "colour=red"} {
 		name, _, _ := strings.Cut(bad, "=")
 		l.rejects("docs/batch.md", "a list with "+bad, get("/sessions/{session}/jobs?"+bad), invalidArgument(name))
--- a/internal/conformance/cases_manager.go
+++ b/internal/conformance/cases_manager.go
@@ -13,14 +13,14 @@
 	"RT_MACHINEOS", "RT_MACHINEARCH",
 }
 
-// managerCases are those of the session manager, numbered from 100 on.
+// managerCases returns the cases of the session manager, numbered from 101.
 func managerCases() []Case {
 	l := &caseList{number: 100}
 	for _, name := range []string{"drmsName", "drmsVersion", "drmaaName", "drmaaVersion", "contact"} {
-		l.add("GFD.194 7.1", "the manager tells its "+name, managerHas(name))
+		l.add("GFD.194 7.1", "the manager has "+name, managerHas(name))
 	}
 	for _, name := range capabilities {
-		l.add("GFD.194 4.5", "supports("+name+") is told, and the manager's page agrees", supportsAgreesWithManager(name))
+		l.add("GFD.194 4.5", "supports("+name+") agrees with the capabilities of the manager", supportsAgreesWithManager(name))
 	}
 	l.rejects(
 		"GFD.194 4.5",
@@ -30,12 +30,12 @@
 	)
 	l.rejects(
 		"GFD.194 7.1",
-		"reservation sessions are refused as an unsupported operation",
+		"reservation sessions are rejected as an unsupported operation",
 		get("/reservations"),
 		unsupported,
 	)
-	l.rejects("GFD.194 9.1", "so are reservations in monitoring", get("/monitoring/reservations"), unsupported)
-	l.rejects("RFC 9110 9.1", "the manager is only read", post("/manager", "{}"), methodNotAllowed)
+	l.rejects("GFD.194 9.1", "reservations in monitoring are rejected as an unsupported operation", get("/monitoring/reservations"), unsupported)
+	l.rejects("RFC 9110 9.1", "the manager is read-only", post("/manager", "{}"), methodNotAllowed)
 	return l.cases
 }
 
--- a/internal/conformance/cases_monitoring.go
+++ b/internal/conformance/cases_monitoring.go
@@ -8,11 +8,11 @@
 	"github.com/tidwall/gjson"
 )
 
-// monitoringCases are those of monitoring and events, numbered from 700 on.
+// monitoringCases returns the cases of monitoring and events, numbered from 701.
 func monitoringCases() []Case {
 	l := &caseList{number: 700}
 	l.add("GFD.194 9.1", "queues are the categories", queuesAreCategories)
-	l.add("GFD.194 9.1", "machines are told with their state", machinesHaveState)
+	l.add("GFD.194 9.1", "machines have a name and a status", machinesHaveState)
 	l.add("docs/batch.md", "machines are filtered", machinesAreFiltered)
 	l.rejects(
 		"docs/batch.md",
@@ -20,17 +20,17 @@
 		get("/monitoring/machines?filter=category+%3D+a"),
 		invalidArgument("filter"),
 	)
-	l.add("GFD.194 9.1", "jobs of all sessions are seen in monitoring", monitoringSeesAllSessions)
+	l.add("GFD.194 9.1", "monitoring lists jobs of all sessions", monitoringSeesAllSessions)
 	l.add(
 		"GFD.194 8.5",
-		"a job's states are told in their order, from a cursor on, without a gap or a repeat",
+		"events after a cursor are a job's states in order, without gaps or duplicates",
 		eventsFollowFromCursor,
 	)
-	l.add("GFD.194 8.5", "a cursor of an earlier life is told that events are lost", staleCursorIsLost)
+	l.add("GFD.194 8.5", "a cursor of an earlier incarnation returns LOST", staleCursorIsLost)
 	for _, bad := range []string{"x", "7fffffffffffffff.1", "1", "1.x"} {
 		l.rejects(
 			"docs/batch.md",
-			"a cursor that no node gives: "+bad,
+			"a cursor that no node generates: "+bad,
 			get("/sessions/{session}/events?after="+bad),
 			invalidArgument("after"),
 		)
@@ -109,7 +109,7 @@
 		}
 	}
 	if got := strings.Join(states, " "); got != "QUEUED_HELD FAILED" {
-		return fmt.Errorf("told %q", got)
+		return fmt.Errorf("events %q, want QUEUED_HELD FAILED", got)
 	}
 	return nil
 }
--- a/internal/conformance/cases_sessions.go
+++ b/internal/conformance/cases_sessions.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// badSessions are bodies of session creations, with the field that each is rejected for.
+// badSessions are bodies of invalid session creations, with the field of the rejection.
 var badSessions = []struct{ what, body, field string }{
 	{"no name", `{}`, "sessionName"},
 	{"an empty name", `{"sessionName":""}`, "sessionName"},
@@ -16,14 +16,14 @@
 	{"a name of 65 characters", `{"sessionName":"` + strings.Repeat("n", 65) + `"}`, "sessionName"},
 	{"a control character", `{"sessionName":"a\u0007"}`, "sessionName"},
 	{"another node's contact", `{"sessionName":"x","contact":"elsewhere"}`, "contact"},
-	{"an argument that there is not", `{"sessionName":"x","colour":"red"}`, "colour"},
+	{"an unknown argument", `{"sessionName":"x","colour":"red"}`, "colour"},
 	{"a list", `[]`, "body"},
 	{"half an object", `{"sessionName":`, "body"},
 }
 
-// jobCalls are the calls to a job.
+// jobCalls are the calls on a job.
 var jobCalls = []struct{ what, verb, path string }{
-	{"told", "GET", ""},
+	{"returned", "GET", ""},
 	{"terminated", "DELETE", ""},
 	{"held", "POST", "/hold"},
 	{"released", "POST", "/release"},
@@ -32,11 +32,11 @@
 	{"asked for its template", "GET", "/template"},
 }
 
-// sessionCases are those of job sessions, numbered from 200 on.
+// sessionCases returns the cases of job sessions, numbered from 201.
 func sessionCases() []Case {
 	l := &caseList{number: 200}
-	l.add("GFD.194 7.1.5", "a session is created, listed, told, and destroyed", sessionLifecycle)
-	l.add("GFD.194 7.1.5", "a name that is taken is refused", sessionNameIsUnique)
+	l.add("GFD.194 7.1.5", "a session is created, listed, returned, and destroyed", sessionLifecycle)
+	l.add("GFD.194 7.1.5", "a name in use is rejected", sessionNameIsUnique)
 	l.add(
 		"GFD.194 7.1.6",
 		"two clients open one session, and each closes its own instance",
@@ -50,18 +50,18 @@
 			invalidArgument(bad.field),
 		)
 	}
-	l.rejects("GFD.194 7.1.6", "opening a session that there is not", post("/sessions/nowhere/open", "{}"), noSuchSession)
-	l.rejects("GFD.194 7.1.8", "destroying one that there is not", remove("/sessions/nowhere"), noSuchSession)
+	l.rejects("GFD.194 7.1.6", "opening a session that does not exist", post("/sessions/nowhere/open", "{}"), noSuchSession)
+	l.rejects("GFD.194 7.1.8", "destroying a session that does not exist", remove("/sessions/nowhere"), noSuchSession)
 	l.rejects(
 		"docs/batch.md",
-		"the default session stays",
+		"the default session can not be destroyed",
 		remove("/sessions/default"),
 		rejection{409, "INVALID_SESSION", ""},
 	)
-	l.rejects("GFD.194 8.2", "jobs of a session that there is not", get("/sessions/nowhere/jobs"), noSuchSession)
+	l.rejects("GFD.194 8.2", "listing jobs of a session that does not exist", get("/sessions/nowhere/jobs"), noSuchSession)
 	l.rejects(
 		"GFD.194 8.2",
-		"a submission to one that there is not",
+		"submitting to a session that does not exist",
 		post("/sessions/nowhere/jobs", "{good}"),
 		noSuchSession,
 	)
--- a/internal/conformance/cases_templates.go
+++ b/internal/conformance/cases_templates.go
@@ -7,7 +7,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// goodAttributes are attributes that a template may have.
+// goodAttributes are valid attributes of a template.
 var goodAttributes = []struct{ name, value string }{
 	{"jobName", `"a name"`},
 	{"payload", `"scene"`},
@@ -33,7 +33,7 @@
 	"queueName", "candidateMachines", "machineOS", "machineArch", "resourceLimits",
 }
 
-// badAttributes are attributes with values that are not allowed.
+// badAttributes are attributes with invalid values.
 var badAttributes = []struct{ name, value string }{
 	{"jobName", "7"},
 	{"jobName", `"` + strings.Repeat("n", 257) + `"`},
@@ -73,20 +73,20 @@
 	{"JobName", `"case"`},
 }
 
-// templateCases are those of job templates, numbered from 300 on.
+// templateCases returns the cases of job templates, numbered from 301.
 func templateCases() []Case {
 	l := &caseList{number: 300}
 	for _, x := range goodAttributes {
 		l.add(
 			"GFD.194 5.6",
-			"a template with "+x.name+" "+x.value+" is taken, and given back",
+			"a template with "+x.name+" "+x.value+" is accepted, and returned",
 			templateIsReturned(x.name, x.value),
 		)
 	}
 	for _, name := range unsupportedAttributes {
 		l.rejects(
 			"GFD.194 5.6",
-			"a template with "+name+" is refused by its name",
+			"a template with "+name+" is rejected by name",
 			post("/sessions/{session}/jobs", `{with:"`+name+`":"x"}`),
 			rejection{400, "UNSUPPORTED_ATTRIBUTE", name},
 		)
@@ -94,7 +94,7 @@
 	for _, x := range badAttributes {
 		l.rejects(
 			"GFD.194 5.6",
-			"a template with "+x.name+" "+shorten(x.value)+" is refused by its name",
+			"a template with "+x.name+" "+shorten(x.value)+" is rejected by name",
 			post("/sessions/{session}/jobs", `{with:"`+x.name+`":`+x.value+`}`),
 			invalidArgument(x.name),
 		)
@@ -113,7 +113,7 @@
 	)
 	l.rejects(
 		"GFD.194 5.6",
-		"args beside a command with a query",
+		"args in addition to a command with a query",
 		post("/jobs", `{with:"remoteCommand":"/{category}?a=b","args":["c"]}`),
 		invalidArgument("args"),
 	)
@@ -124,7 +124,7 @@
 		invalidArgument("payload"),
 	)
 	l.rejects("GFD.194 5.6", "no category", post("/jobs", `{"payload":"x"}`), invalidArgument("jobCategory"))
-	l.add("GFD.194 5.6", "rerunnable agrees with the category, or is refused", rerunnableAgreesWithCategory)
+	l.add("GFD.194 5.6", "rerunnable must agree with the category", rerunnableAgreesWithCategory)
 	return l.cases
 }
 
--- a/internal/conformance/conform.go
+++ b/internal/conformance/conform.go
@@ -1,7 +1,7 @@
-// Package conformance is a suite of numbered cases that a DRMAAv2 endpoint over HTTP must pass. Each names the
-// section of the specification that it is taken from (GFD.194 for DRMAAv2, GFD.133 for version 1, RFC 9110 for HTTP,
-// or this binding's own page, docs/batch.md), and needs nothing of the endpoint but that it serves jobs of the
-// categories it names. The package keeps no state and has no goroutine of its own.
+// Package conformance is a suite of numbered cases that a DRMAAv2 endpoint over HTTP must pass. Each case names the
+// section of the specification that it tests (GFD.194 for DRMAAv2, GFD.133 for version 1, RFC 9110 for HTTP, or
+// docs/batch.md for this binding). The endpoint only has to serve jobs of the categories that it lists. The package
+// keeps no state and starts no goroutines.
 package conformance
 
 import (
@@ -23,7 +23,7 @@
 	run     check
 }
 
-// check makes a case's calls, and returns why the endpoint fails it.
+// check runs a case, and returns why the endpoint fails it.
 type check func(*tester) error
 
 // Result is the outcome of a case.
@@ -43,7 +43,7 @@
 	return err
 }
 
-// Cases are all, in their order. Numbers stay: new ones go to the end of their group.
+// Cases returns all cases in order. Case numbers are stable: a new case is added at the end of its group.
 func Cases() []Case {
 	var all []Case
 	for _, group := range [][]Case{managerCases(), sessionCases(), templateCases(), jobCases(), arrayCases(), listCases(),
@@ -53,9 +53,9 @@
 	return all
 }
 
-// caseList numbers the cases of a group as they are added.
+// caseList assigns consecutive numbers to the cases of a group.
 type caseList struct {
-	number int // of the last one
+	number int // of the last case
 	cases  []Case
 }
 
@@ -72,7 +72,7 @@
 	})
 }
 
-// succeeds is a check that a request is answered with 200.
+// succeeds returns a check that the response to a request has status 200.
 func succeeds(r request) check {
 	return func(t *tester) error {
 		_, err := t.send(t.expandRequest(r), 200)
@@ -80,10 +80,10 @@
 	}
 }
 
-// maxAnswer bounds an answer's body, in bytes.
+// maxAnswer bounds the body of a response, in bytes.
 const maxAnswer = 16 << 20
 
-// Run plays all cases in turn at the endpoint of an address and calls each with every result as it comes.
+// Run runs all cases in order against the endpoint at an address, and calls each with every result.
 func Run(ctx context.Context, addr string, each func(Result)) error {
 	t := &tester{ctx: ctx, address: addr, limits: limits.New(0, 0, 0, 0, 0)}
 	t.limits.BodyBytes = maxAnswer
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// prepare learns what jobs the endpoint serves and opens a job session for this run.
+// prepare finds out which jobs the endpoint accepts, and opens a job session for this run.
 func (t *tester) prepare() error {
 	answer, v, err := t.call(get("/categories"))
 	if err != nil {
@@ -109,7 +109,7 @@
 	}
 	categories := v.Get("jobCategories").Array()
 	if answer.Status != 200 || len(categories) == 0 {
-		return fmt.Errorf("conform: %s names no job categories: status %d", t.address, answer.Status)
+		return fmt.Errorf("conform: %s lists no job categories: status %d", t.address, answer.Status)
 	}
 	t.category = categories[0].String()
 	if t.account, err = t.findAccount(); err != nil {
@@ -118,15 +118,15 @@
 	t.session = "conform-" + strconv.FormatInt(time.Now().UnixNano(), 36)
 	answer, v, err = t.call(post("/sessions", `{"sessionName":`+strconv.Quote(t.session)+`}`))
 	if err != nil || answer.Status != 201 {
-		return fmt.Errorf("conform: no session of its own: %w", unexpected(err, v))
+		return fmt.Errorf("conform: create a session for the run: %w", unexpected(err, v))
 	}
 	return nil
 }
 
-// knownAccounts are the tenants of the deployments that this project has, the default one first.
+// knownAccounts are the tenants of this project's deployments, the default one first.
 var knownAccounts = []string{"", "pohjakaart", "maavaade", "pilvepilt", "rannakaart", "default"}
 
-// findAccount tries known tenants until a held job of one is accepted, and removes that job.
+// findAccount tries known tenants until a held job of one is accepted, and terminates that job.
 func (t *tester) findAccount() (string, error) {
 	for _, name := range knownAccounts {
 		body := `{"jobCategory":` + strconv.Quote(t.category) + `,"submitAsHold":true`
@@ -142,5 +142,5 @@
 			return name, nil
 		}
 	}
-	return "", errors.New("conform: no accountingId is taken: name one that the endpoint knows")
+	return "", errors.New("conform: the endpoint accepts no known accountingId")
 }
--- a/internal/conformance/conform_test.go
+++ b/internal/conformance/conform_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// An endpoint that accepts everything fails nearly all cases; each case has a number of its own and names its section.
+// An endpoint that accepts everything fails nearly all cases. Each case has a unique number and names its section.
 func TestEndpointThatAcceptsEverythingFailsNearlyAllCases(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/conformance/jobs.go
+++ b/internal/conformance/jobs.go
@@ -9,7 +9,7 @@
 	"gatetack/drmaa2"
 )
 
-// How long and how often the suite waits for jobs: an endpoint may be busy with others.
+// Retries and timeouts of the suite: the endpoint may be busy with other jobs.
 const (
 	submitAttempts  = 50
 	submitPause     = 100 * time.Millisecond
@@ -19,7 +19,7 @@
 	arrayPollPeriod = 50 * time.Millisecond
 )
 
-// submit submits a job with more attributes, again while the endpoint can not take one.
+// submit submits a job with additional template attributes, and retries while the endpoint responds with 503.
 func (t *tester) submit(more string) (id string, job gjson.Result, err error) {
 	for attempt := 0; ; attempt++ {
 		answer, v, err := t.call(post(t.sessionPath("/jobs"), t.template(more)))
@@ -38,7 +38,7 @@
 	}
 }
 
-// runToDone submits until a job ends as DONE: an endpoint may reject one for want of capacity.
+// runToDone submits jobs until one ends as DONE, because an endpoint may reject jobs for lack of capacity.
 func (t *tester) runToDone(more string) (gjson.Result, error) {
 	var job gjson.Result
 	for range jobAttempts {
@@ -54,7 +54,7 @@
 		}
 		t.pause(submitPause)
 	}
-	return job, fmt.Errorf("no job is served: the last one is %s", job.Raw)
+	return job, fmt.Errorf("no job ended as DONE, last job: %s", job.Raw)
 }
 
 // awaitEnd waits until a job has ended.
@@ -71,10 +71,10 @@
 			return v, fmt.Errorf("waiting for %s: status %d %s", id, answer.Status, answer.Body)
 		}
 	}
-	return gjson.Result{}, fmt.Errorf("job %s does not end", id)
+	return gjson.Result{}, fmt.Errorf("job %s has not ended in time", id)
 }
 
-// submitArray submits an array with arguments, of a template with more attributes.
+// submitArray submits an array with arguments and additional template attributes.
 func (t *tester) submitArray(arguments, more string) (gjson.Result, error) {
 	return t.send(post(t.sessionPath("/arrays"), `{"jobTemplate":`+t.template(more)+`,`+arguments+`}`), 201)
 }
@@ -88,5 +88,5 @@
 		}
 		t.pause(arrayPollPeriod)
 	}
-	return gjson.Result{}, fmt.Errorf("array %s does not end", id)
+	return gjson.Result{}, fmt.Errorf("array %s has not ended in time", id)
 }
--- a/internal/conformance/templates.go
+++ b/internal/conformance/templates.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// template is a job template that the endpoint accepts, with more attributes as JSON. One that gives the category or
-// the account has no other.
+// template returns a job template that the endpoint accepts, with additional attributes as JSON. An additional
+// category or account replaces the default one.
 func (t *tester) template(more string) string {
 	var attributes []string
 	if !contains(more, "jobCategory") {
@@ -22,14 +22,14 @@
 	return "{" + strings.Join(attributes, ",") + "}"
 }
 
-// withMarker begins a template with more attributes in the text of a case.
+// withMarker starts a template with additional attributes in the text of a case.
 const withMarker = "{with:"
 
-// arrayTail is what stands after the template in the text of a case on arrays.
+// arrayTail follows the template in the text of a case about arrays.
 const arrayTail = `},"endIndex":4}`
 
-// expand puts the run's own names in the places of a path or a body: {good} is a template, {with:MORE} one with more,
-// {unique} a name, {later} and {soon} are times.
+// expand replaces the placeholders in a path or a body: {good} is a template, {with:MORE} one with additional
+// attributes, {unique} a unique name, {later} and {soon} are times.
 func (t *tester) expand(s string) string {
 	if begin := strings.Index(s, withMarker); begin >= 0 {
 		end := strings.LastIndex(s, "}")
--- a/internal/conformance/tester.go
+++ b/internal/conformance/tester.go
@@ -16,7 +16,7 @@
 	"gatetack/internal/limits"
 )
 
-// callTimeout bounds one call: a wait of the suite is answered long before.
+// callTimeout bounds one call. The timeouts of the suite's waits are shorter.
 const callTimeout = 30 * time.Second
 
 // tester calls the endpoint for the cases.
@@ -25,15 +25,15 @@
 	address  string
 	limits   limits.Limits
 	category string // of which jobs are submitted
-	account  string // of those jobs; empty: none is named
-	session  string // a job session of this run's own
-	names    int    // made by uniqueName
+	account  string // of those jobs; empty: none is sent
+	session  string // job session of this run
+	names    int    // counter of uniqueName
 }
 
 // request is one call to the endpoint.
 type request struct {
 	verb string
-	path string // below the prefix of the binding
+	path string // relative to the prefix of the binding
 	body string // empty: none
 }
 
@@ -41,7 +41,7 @@
 func post(path, body string) request { return request{"POST", path, body} }
 func remove(path string) request     { return request{"DELETE", path, ""} }
 
-// rejection is the answer to a request that the endpoint does not do.
+// rejection is an expected error response.
 type rejection struct {
 	status int
 	code   string
@@ -56,10 +56,10 @@
 	noSuchSession    = rejection{404, "INVALID_SESSION", ""}
 )
 
-// invalidArgument is the rejection of a request for one of its fields.
+// invalidArgument returns the rejection of a request because of one of its fields.
 func invalidArgument(field string) rejection { return rejection{400, "INVALID_ARGUMENT", field} }
 
-// call makes one request on a connection of its own.
+// call makes one request on a new connection.
 func (t *tester) call(r request, fields ...http1.Field) (*http1.Message, gjson.Result, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, callTimeout)
 	defer cancel()
@@ -81,7 +81,8 @@
 	if writeErr == nil {
 		writeErr = writer.Flush()
 	}
-	// An endpoint may answer before it has read all: its answer counts even if the rest could not be written.
+	// An endpoint may respond before it has read the whole request: the response counts even if the rest could not be
+	// written.
 	answer, err := http1.NewParser(t.limits, true).Read(http1.NewRing(t.limits.RingBytes), conn)
 	if err != nil {
 		return nil, gjson.Result{}, errors.Join(writeErr, err)
@@ -89,7 +90,7 @@
 	return answer, gjson.ParseBytes(answer.Body), nil
 }
 
-// send makes a request that is to be answered with a status.
+// send makes a request and checks the status of the response.
 func (t *tester) send(r request, status int) (gjson.Result, error) {
 	answer, v, err := t.call(r)
 	if err != nil {
@@ -101,10 +102,10 @@
 	return v, nil
 }
 
-// get reads a path that is to be answered with 200.
+// get reads a path and checks that the status is 200.
 func (t *tester) get(path string) (gjson.Result, error) { return t.send(get(path), 200) }
 
-// rejected makes a request that is to be rejected.
+// rejected makes a request and checks that it is rejected.
 func (t *tester) rejected(r request, want rejection) (gjson.Result, error) {
 	answer, v, err := t.call(r)
 	if err != nil {
@@ -121,10 +122,10 @@
 	return v, nil
 }
 
-// discard terminates what a case has left behind. That it has ended by itself is no failure.
+// discard terminates a job or array that a case leaves behind. It ignores errors, because the job may have ended.
 func (t *tester) discard(path string) { _, _, _ = t.call(remove(path)) }
 
-// closeSession closes one instance of a session, which is to be answered with a status.
+// closeSession closes an instance of a session and checks the status of the response.
 func (t *tester) closeSession(name, instance string, status int) error {
 	answer, v, err := t.call(post("/sessions/"+name+"/close", "{}"), sessionInstance(instance))
 	if err == nil && answer.Status != status {
@@ -133,15 +134,15 @@
 	return err
 }
 
-// sessionInstance is the header field that names the instance of a session.
+// sessionInstance returns the header field that names an instance of a session.
 func sessionInstance(instance string) http1.Field {
 	return http1.Field{Name: "X-Session-Instance", Value: instance}
 }
 
-// sessionPath is a path in the run's own session.
+// sessionPath returns a path in the run's session.
 func (t *tester) sessionPath(path string) string { return "/sessions/" + t.session + path }
 
-// pause waits, or until the run ends.
+// pause waits for a duration or until the run ends.
 func (t *tester) pause(d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -149,13 +150,13 @@
 	}
 }
 
-// uniqueName is a name that no other case uses.
+// uniqueName returns a name that no other case uses.
 func (t *tester) uniqueName(what string) string {
 	t.names++
 	return t.session + "-" + what + strconv.Itoa(t.names)
 }
 
-// hasValue checks one field of an answer.
+// hasValue checks one field of a response.
 func hasValue(v gjson.Result, path, want string) error {
 	if got := v.Get(path).String(); got != want {
 		return fmt.Errorf("%s is %q, want %q, in %.300s", path, got, want, v.Raw)
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// hasOneOf checks that one field of an answer is one of several values.
+// hasOneOf checks that a field of a response has one of several values.
 func hasOneOf(v gjson.Result, path string, want ...string) error {
 	got := v.Get(path).String()
 	for _, w := range want {
@@ -174,15 +175,15 @@
 	return fmt.Errorf("%s is %q, want one of %v, in %.300s", path, got, want, v.Raw)
 }
 
-// unexpected is the error of an answer that is not the wanted one: of the call itself where that failed.
+// unexpected returns the error for an unexpected response, wrapping the error of the call if it failed.
 func unexpected(err error, answer gjson.Result) error {
 	if err != nil {
 		return fmt.Errorf("%w: %s", err, answer.Raw)
 	}
-	return fmt.Errorf("unexpected answer %s", answer.Raw)
+	return fmt.Errorf("unexpected response %s", answer.Raw)
 }
 
-// shorten is a text as a title shows it.
+// shorten truncates text for use in a title.
 func shorten(s string) string {
 	const most = 40
 	if len(s) > most {
@@ -191,7 +192,7 @@
 	return s
 }
 
-// contains reports whether a JSON object's text gives an attribute.
+// contains reports whether the text of a JSON object has an attribute.
 func contains(object, attribute string) bool {
 	return strings.Contains(object, strconv.Quote(attribute)+":")
 }
