--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -103,7 +103,7 @@
 		return n, nil, nil
 	}
 	if f.Hash != a.Function {
-		return nil, nil, &FunctionError{"hash", fmt.Sprintf("the desk runs %s, this is %s", a.Function, f.Hash)}
+		return nil, nil, &FunctionError{"hash", fmt.Sprintf("the desk runs function %s, got %s", a.Function, f.Hash)}
 	}
 	eventFields, err := n.consume(e)
 	if err != nil {
--- a/internal/actor/encoding.go
+++ b/internal/actor/encoding.go
@@ -22,11 +22,11 @@
 // Decode reads what Encode returned. The error is a *StoredError.
 func Decode(data []byte) (*Actor, error) {
 	if len(data) < len(encodingHeader)+8 || string(data[:len(encodingHeader)]) != encodingHeader {
-		return nil, &StoredError{"not a desk"}
+		return nil, &StoredError{"the header of a desk is missing"}
 	}
 	text := data[len(encodingHeader)+8:]
 	if binary.BigEndian.Uint64(data[len(encodingHeader):]) != xxhash.Sum64(text) {
-		return nil, &StoredError{"its checksum does not hold"}
+		return nil, &StoredError{"checksum mismatch"}
 	}
 	a := &Actor{}
 	if err := json.Unmarshal(text, a); err != nil {
--- a/internal/actor/function.go
+++ b/internal/actor/function.go
@@ -96,7 +96,7 @@
 // Compile parses a function.
 func Compile(text []byte) (*Function, error) {
 	if len(text) > maxSourceBytes {
-		return nil, &FunctionError{"text", fmt.Sprintf("%d bytes, expected %d at most", len(text), maxSourceBytes)}
+		return nil, &FunctionError{"text", fmt.Sprintf("got %d bytes, expected at most %d", len(text), maxSourceBytes)}
 	}
 	var src source
 	dec := yaml.NewDecoder(bytes.NewReader(text))
@@ -106,7 +106,7 @@
 	}
 	start, err := json.Marshal(src.Start)
 	if err != nil || len(start) > maxStateBytes {
-		return nil, &FunctionError{"start", fmt.Sprintf("expected what JSON can say, of %d bytes at most", maxStateBytes)}
+		return nil, &FunctionError{"start", fmt.Sprintf("expected a JSON value of at most %d bytes", maxStateBytes)}
 	}
 	e, err := env()
 	if err != nil {
@@ -157,7 +157,7 @@
 		return nil, &CallError{err.Error()}
 	}
 	if len(out) > maxStateBytes {
-		return nil, &CallError{fmt.Sprintf("%d bytes were made, %d at most are kept", len(out), maxStateBytes)}
+		return nil, &CallError{fmt.Sprintf("result has %d bytes, expected at most %d", len(out), maxStateBytes)}
 	}
 	return out, nil
 }
@@ -221,12 +221,12 @@
 
 func (fx *Effects) validate() error {
 	if len(fx.Jobs)+len(fx.Timers) > maxEffects {
-		return &CallError{fmt.Sprintf("%d effects, %d at most", len(fx.Jobs)+len(fx.Timers), maxEffects)}
+		return &CallError{fmt.Sprintf("got %d effects, expected at most %d", len(fx.Jobs)+len(fx.Timers), maxEffects)}
 	}
 	seen := map[string]bool{}
 	for _, j := range fx.Jobs {
 		if j.Name == "" || len(j.Name) > maxNameBytes || seen[j.Name] {
-			return &CallError{fmt.Sprintf("a job's name %q: expected one of its own, of 1 to %d bytes", j.Name, maxNameBytes)}
+			return &CallError{fmt.Sprintf("job name %q: expected a unique name of 1 to %d bytes", j.Name, maxNameBytes)}
 		}
 		seen[j.Name] = true
 	}
--- a/internal/actorhost/calls.go
+++ b/internal/actorhost/calls.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if errors.Is(err, errNotOwner) {
-		err = &UnavailableError{id, "it moved meanwhile"}
+		err = &UnavailableError{id, "its owner changed during the call"}
 	}
 	return answer, at, err
 }
@@ -48,7 +48,7 @@
 		if r.OK() {
 			return nil, "", &NotFoundError{id}
 		}
-		return nil, "", &UnavailableError{id, "it is not known here yet"}
+		return nil, "", &UnavailableError{id, "this node does not know its owner yet"}
 	}
 	if node != h.Name {
 		row, alive := hostOf(v, node)
@@ -145,7 +145,7 @@
 		return nil, "", &UnavailableError{id, v.Get("message").String()}
 	}
 	if m.Status != 200 {
-		return nil, "", &UnavailableError{id, "the node that has it says " + string(m.Body)}
+		return nil, "", &UnavailableError{id, "unexpected response of its owner: " + string(m.Body)}
 	}
 	return json.RawMessage(v.Get("answer").Raw), v.Get("node").String(), nil
 }
--- a/internal/actorhost/errors.go
+++ b/internal/actorhost/errors.go
@@ -8,12 +8,12 @@
 )
 
 // errNotOwner reports that this node does not, or no longer, own an actor. The caller looks up the owner again.
-var errNotOwner = errors.New("desks: the desk is another node's by now")
+var errNotOwner = errors.New("desks: another node owns the desk")
 
 // NotFoundError reports that there is no such actor.
 type NotFoundError struct{ ID string }
 
-func (e *NotFoundError) Error() string { return fmt.Sprintf("desks: there is no desk %q", e.ID) }
+func (e *NotFoundError) Error() string { return fmt.Sprintf("desks: desk %q does not exist", e.ID) }
 
 // Code returns the error code.
 func (*NotFoundError) Code() string { return "desks.unknown" }
@@ -39,7 +39,7 @@
 // ExistsError reports that an actor with the ID exists.
 type ExistsError struct{ ID string }
 
-func (e *ExistsError) Error() string { return fmt.Sprintf("desks: %q is there already", e.ID) }
+func (e *ExistsError) Error() string { return fmt.Sprintf("desks: %q already exists", e.ID) }
 
 // Code returns the error code.
 func (*ExistsError) Code() string { return "desks.exists" }
--- a/internal/actorhost/events.go
+++ b/internal/actorhost/events.go
@@ -68,7 +68,7 @@
 	}
 	e, ok := h.Store.View().Get(FunctionTable, hash)
 	if !ok {
-		return nil, &UnavailableError{hash, "its function is not here yet"}
+		return nil, &UnavailableError{hash, "this node does not have the function yet"}
 	}
 	f, err := actor.Compile(e.Value)
 	if err == nil {
@@ -108,7 +108,7 @@
 		return nil, errNotOwner
 	case !r.OK():
 		x.state = nil
-		return nil, &UnavailableError{id, "it was changed beside this node's copy"}
+		return nil, &UnavailableError{id, "the stored desk is newer than this node's copy"}
 	}
 	x.state, x.stateVersion = next, r.Version
 	for name := range x.jobIDs {
