--- a/internal/actor/function.go
+++ b/internal/actor/function.go
@@ -60,7 +60,7 @@
 type CallError struct{ Why string }
 
 func (e *CallError) Error() string {
-	return "desk: the function failed, and the desk is as before the call: " + e.Why
+	return "desk: the function failed, and the desk is unchanged: " + e.Why
 }
 
 // Code returns the error code.
--- a/internal/batch/adopt.go
+++ b/internal/batch/adopt.go
@@ -18,11 +18,11 @@
 // sent is told as UNDETERMINED, and what was on its way to the core without a send on record as unsent; neither is run
 // again. Members of an array that were never sent have their turn again.
 func (f *Front) load(ctx context.Context) error {
-	if err := f.sessionsOnRecord(ctx, func(x sessionRecord) { f.sessions[x.Name] = &session{r: x} }); err != nil {
+	if err := f.forEachStoredSession(ctx, func(x sessionRecord) { f.sessions[x.Name] = &session{r: x} }); err != nil {
 		return err
 	}
-	if f.fleet != nil {
-		if !f.fleet.Ready() { // it has what earlier lives left taken up, one by one
+	if f.router != nil {
+		if !f.router.Ready() { // it has what earlier lives left taken up, one by one
 			return errors.New("the duties of this node's earlier lives are being claimed")
 		}
 		return nil
@@ -48,12 +48,12 @@
 		if err := x.reconcile(ctx, f); err != nil {
 			return 0, err
 		}
-		if !x.over() && !a.readTemplate(x) {
+		if !x.finished() && !a.readTemplate(x) {
 			delete(a.arrays, id)
 		}
 	}
 	for i := range a.open {
-		if err := a.take(ctx, &a.open[i]); err != nil {
+		if err := a.settle(ctx, &a.open[i]); err != nil {
 			return 0, err
 		}
 	}
@@ -71,7 +71,7 @@
 }
 
 func (a *adoption) readArrays(ctx context.Context) error {
-	return a.front.pages(ctx, kindArray, a.prefix, func(row jobstore.Row) error {
+	return a.front.forEachRow(ctx, kindArray, a.prefix, func(row jobstore.Row) error {
 		x := &adoptedArray{array: &array{}, open: map[int]bool{}}
 		if err := json.Unmarshal(row.Value, &x.r); err != nil {
 			return err
@@ -82,22 +82,22 @@
 }
 
 func (a *adoption) readOpen(ctx context.Context) error {
-	return a.front.pages(ctx, kindOpen, a.prefix, func(row jobstore.Row) error {
+	return a.front.forEachRow(ctx, kindOpen, a.prefix, func(row jobstore.Row) error {
 		value, found, err := a.front.store.Get(ctx, kindJob, row.Key)
 		if err != nil || !found {
 			return err
 		}
 		r := parseRecord(value)
 		a.open = append(a.open, r)
-		if x := a.arrayOf(&r); x != nil && !r.State.over() {
+		if x := a.findArray(&r); x != nil && !r.State.final() {
 			x.open[*r.Index] = true
 		}
 		return nil
 	})
 }
 
-// arrayOf is the array whose member a record is of, nil if it is none's.
-func (a *adoption) arrayOf(r *Record) *adoptedArray {
+// findArray is the array whose member a record is of, nil if it is none's.
+func (a *adoption) findArray(r *Record) *adoptedArray {
 	if !r.member() {
 		return nil
 	}
@@ -106,31 +106,31 @@
 
 // readTemplate reads the template of an array whose members are to go on, and says whether it can.
 func (a *adoption) readTemplate(x *adoptedArray) bool {
-	t, bad := a.front.read(gjson.ParseBytes(x.r.Template), x.r.Submitted)
+	t, bad := a.front.readTemplate(gjson.ParseBytes(x.r.Template), x.r.Submitted)
 	if bad != nil {
 		a.front.log.Warn("an array on record can not be taken up", "array", x.r.ID, "field", bad.field, "why", bad.text)
 		return false
 	}
-	t.job.Method, t.job.IdempotencyKey = "POST", trace()+trace()
+	t.job.Method, t.job.IdempotencyKey = "POST", newTraceID()+newTraceID()
 	x.t = *t
 	return true
 }
 
-// take settles what becomes of a job that had not ended.
-func (a *adoption) take(ctx context.Context, r *Record) error {
-	x := a.arrayOf(r)
+// settle settles what becomes of a job that had not ended.
+func (a *adoption) settle(ctx context.Context, r *Record) error {
+	x := a.findArray(r)
 	switch {
-	case r.State.over():
-	case r.unsent() && x != nil && x.r.Cut:
+	case r.State.final():
+	case r.unsent() && x != nil && x.r.Terminated:
 		r.State, r.SubState, r.Annotation, r.Finished = Failed, subTerminated, terminatedUnsent, a.now
 	case r.unsent() && x != nil:
-		x.again = append(x.again, *r.Index) // its record stands until its turn: another restart finds it
+		x.requeued = append(x.requeued, *r.Index) // its record stands until its turn: another restart finds it
 		return nil
-	case r.unsent() && !r.Handed && r.Array == "":
-		a.wait(r)
+	case r.unsent() && !r.HandedOver && r.Array == "":
+		a.queueJob(r)
 		return nil
 	default:
-		*r = told(*r, formerly)
+		*r = afterRestart(*r, earlierIncarnation)
 		if r.State == Undetermined {
 			r.Finished = a.now
 		}
@@ -142,23 +142,23 @@
 		}
 	}
 	if x != nil && x.open[*r.Index] { // it and its count go on record together
-		x.ended(r)
+		x.countEnded(r)
 		changes = append(changes, x.change())
 	}
 	return a.front.store.Write(ctx, changes...)
 }
 
-// wait makes a job go on waiting that was never handed to the core.
-func (a *adoption) wait(r *Record) {
-	t, bad := a.front.parse(r.Template, r.Submitted)
+// queueJob makes a job go on waiting that was never handed to the core.
+func (a *adoption) queueJob(r *Record) {
+	t, bad := a.front.parseTemplate(r.Template, r.Submitted)
 	if bad != nil {
 		return
 	}
-	j := &job{f: a.front, queue: true, ref: jobqueue.JobRef{ID: r.ID}, in: t.job, until: r.Deadline, hash: t.hash,
-		changed: make(chan struct{}), ready: closed, r: *r}
+	j := &job{f: a.front, queue: true, ref: jobqueue.JobRef{ID: r.ID}, in: t.job, deadline: r.Deadline, hash: t.hash,
+		changed: make(chan struct{}), ready: closedChan, r: *r}
 	j.in.Method = "POST"
 	if j.in.IdempotencyKey == "" {
-		j.in.IdempotencyKey = trace() + trace()
+		j.in.IdempotencyKey = newTraceID() + newTraceID()
 	}
 	a.waiting = append(a.waiting, j)
 }
@@ -170,11 +170,11 @@
 	defer f.mu.Unlock()
 	for id, x := range a.arrays {
 		f.arrays[id] = x.array
-		if !x.over() {
+		if !x.finished() {
 			unfinished++
-			f.queue.Restore(x.r.item(), jobqueue.Progress{Next: x.r.Next, Requeued: x.again, Skipped: x.apart}, a.now)
+			f.queue.Restore(x.r.item(), jobqueue.Progress{Next: x.r.Next, Requeued: x.requeued, Skipped: x.skipped}, a.now)
 		}
-		if len(x.again) > 0 { // others take theirs up at the same moment
+		if len(x.requeued) > 0 { // others take theirs up at the same moment
 			f.ramp.Restart()
 		}
 	}
@@ -182,8 +182,8 @@
 		if f.jobs[j.r.ID] != nil {
 			continue
 		}
-		f.keep(j)
-		f.waits[j.r.ID] = j
+		f.register(j)
+		f.waiting[j.r.ID] = j
 		f.queue.Add(jobqueue.Item{ID: j.r.ID, Session: j.r.Session, Priority: j.r.Priority, Start: j.r.Start, Held: j.r.State == QueuedHeld}, a.now)
 	}
 	if len(a.waiting) > 0 {
@@ -194,13 +194,13 @@
 	return len(a.waiting) + unfinished
 }
 
-// pages calls each for all rows of a kind whose keys begin with a prefix.
-func (f *Front) pages(ctx context.Context, kind, prefix string, each func(jobstore.Row) error) error {
-	return f.pagesAfter(ctx, kind, prefix, prefix, each)
+// forEachRow calls each for all rows of a kind whose keys begin with a prefix.
+func (f *Front) forEachRow(ctx context.Context, kind, prefix string, each func(jobstore.Row) error) error {
+	return f.forEachRowAfter(ctx, kind, prefix, prefix, each)
 }
 
-// pagesAfter calls each for those of them whose keys come after one that need not be there.
-func (f *Front) pagesAfter(ctx context.Context, kind, prefix, after string, each func(jobstore.Row) error) error {
+// forEachRowAfter calls each for those of them whose keys come after one that need not be there.
+func (f *Front) forEachRowAfter(ctx context.Context, kind, prefix, after string, each func(jobstore.Row) error) error {
 	for {
 		rows, err := f.store.Page(ctx, kind, after, 256)
 		if err != nil {
--- a/internal/batch/adopt_test.go
+++ b/internal/batch/adopt_test.go
@@ -26,7 +26,7 @@
 	f := front(&engine{}, m, time.Unix(1000, 0))
 	id := submitArray(t, f, `"endIndex":4`)
 	s := &shelf{t: t, store: m}
-	if err := json.Unmarshal(m.values[kindArray+" "+key(id)], &s.array); err != nil {
+	if err := json.Unmarshal(m.values[kindArray+" "+recordKey(id)], &s.array); err != nil {
 		t.Fatal(err)
 	}
 	return s
@@ -34,7 +34,7 @@
 
 // counts puts the array on record with these figures.
 func (s *shelf) counts(next, done, failed int, cut bool) {
-	s.array.Next, s.array.Done, s.array.Failed, s.array.Cut = next, done, failed, cut
+	s.array.Next, s.array.Done, s.array.Failed, s.array.Terminated = next, done, failed, cut
 	s.write(s.array.change())
 }
 
@@ -42,7 +42,7 @@
 func (s *shelf) member(index int, state State, sub string) {
 	a := &array{r: s.array}
 	r := a.memberRecord(&s.array, index)
-	r.State, r.SubState, r.Handed = state, sub, true
+	r.State, r.SubState, r.HandedOver = state, sub, true
 	s.write(r.changes()...)
 }
 
--- a/internal/batch/array.go
+++ b/internal/batch/array.go
@@ -31,7 +31,7 @@
 	Held        bool            `json:"held"`
 	Jobs        int             `json:"jobs"`
 	Next        int             `json:"nextIndex"` // members before it had their turn
-	Cut         bool            `json:"terminated,omitempty"`
+	Terminated         bool            `json:"terminated,omitempty"`
 	Done        int             `json:"done"`
 	Failed      int             `json:"failed"`
 	Template    json.RawMessage `json:"template,omitempty"`
@@ -50,7 +50,7 @@
 	return a.r
 }
 
-func (a *array) set(change func(*arrayRecord)) {
+func (a *array) update(change func(*arrayRecord)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	change(&a.r)
@@ -63,7 +63,7 @@
 
 func (r *arrayRecord) change() jobstore.Change {
 	v, _ := json.Marshal(r)
-	return jobstore.Change{Kind: kindArray, Key: key(r.ID), Value: v, Keep: r.Done+r.Failed < r.Jobs}
+	return jobstore.Change{Kind: kindArray, Key: recordKey(r.ID), Value: v, Keep: r.Done+r.Failed < r.Jobs}
 }
 
 // recordArray puts an array on record as it is.
@@ -75,15 +75,15 @@
 	if err := f.store.Write(ctx, c); err != nil {
 		return err
 	}
-	if c.Keep && a.over() { // it ended meanwhile: its last record may have been written before this one, which is older
+	if c.Keep && a.finished() { // it ended meanwhile: its last record may have been written before this one, which is older
 		return f.store.Write(ctx, a.change())
 	}
 	return nil
 }
 
-// ended counts a member that has ended.
-func (a *array) ended(r *Record) {
-	a.set(func(x *arrayRecord) {
+// countEnded counts a member that has countEnded.
+func (a *array) countEnded(r *Record) {
+	a.update(func(x *arrayRecord) {
 		if r.State == Done {
 			x.Done++
 		} else {
@@ -92,7 +92,7 @@
 	})
 }
 
-func (a *array) over() bool {
+func (a *array) finished() bool {
 	r := a.record()
 	return r.Done+r.Failed >= r.Jobs
 }
@@ -123,47 +123,47 @@
 		Begin: r.Begin, End: r.End, Step: r.Step, MaxParallel: r.MaxParallel}
 }
 
-// member makes the job of a member whose turn has come, or finds it if it had one before. The front's lock is held.
-func (f *Front) member(a *array, ref jobqueue.JobRef, now time.Time) *job {
+// memberJob makes the job of a memberJob whose turn has come, or finds it if it had one before. The front's lock is held.
+func (f *Front) memberJob(a *array, ref jobqueue.JobRef, now time.Time) *job {
 	id := memberID(ref.ID, ref.Index)
 	if j := f.jobs[id]; j != nil {
 		return j
 	}
 	x := a.record()
-	j := &job{f: f, array: a, ref: ref, queue: true, in: a.t.member(ref.Index), until: x.Deadline, changed: make(chan struct{}), ready: closed,
+	j := &job{f: f, array: a, ref: ref, queue: true, in: a.t.memberJob(ref.Index), deadline: x.Deadline, changed: make(chan struct{}), ready: closedChan,
 		r: a.memberRecord(&x, ref.Index)}
-	f.keep(j)
-	a.set(func(x *arrayRecord) { x.Next = max(x.Next, ref.Index+x.Step) })
+	f.register(j)
+	a.update(func(x *arrayRecord) { x.Next = max(x.Next, ref.Index+x.Step) })
 	return j
 }
 
-// closed is a channel that always was.
-var closed = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
+// closedChan is a channel that always was.
+var closedChan = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
 func (a *array) memberRecord(x *arrayRecord, index int) Record {
 	return Record{ID: memberID(x.ID, index), State: Queued, SubState: subHeld, Name: x.Name, Category: x.Category, Account: x.Account,
 		Session: x.Session, Array: x.ID, Index: &index, Priority: x.Priority, Submitted: x.Submitted, Start: x.Start, Deadline: x.Deadline}
 }
 
-// finished lets an array go whose members have all ended: from the memory where it is on record, or as the last of so
+// releaseArray lets an array go whose members have all ended: from the memory where it is on record, or as the last of so
 // many where it is not. The front's lock is held.
-func (f *Front) finished(a *array) {
-	if f.ended = append(f.ended, a.r.ID); f.store == nil && len(f.ended) <= f.lim.BatchJobs/4 {
+func (f *Front) releaseArray(a *array) {
+	if f.finishedArrays = append(f.finishedArrays, a.r.ID); f.store == nil && len(f.finishedArrays) <= f.lim.BatchJobs/4 {
 		return
 	}
-	delete(f.arrays, f.ended[0])
-	f.ended = f.ended[1:]
+	delete(f.arrays, f.finishedArrays[0])
+	f.finishedArrays = f.finishedArrays[1:]
 }
 
-// arrayOf finds an array, here or on record.
-func (f *Front) arrayOf(ctx context.Context, id string) (*array, bool, error) {
+// findArray finds an array, here or on record.
+func (f *Front) findArray(ctx context.Context, id string) (*array, bool, error) {
 	f.mu.Lock()
 	a := f.arrays[id]
 	f.mu.Unlock()
-	if a != nil || f.store == nil || f.ids.origin(id) == noID {
+	if a != nil || f.store == nil || f.ids.origin(id) == unknownOrigin {
 		return a, a != nil, nil
 	}
-	value, found, err := f.store.Get(ctx, kindArray, key(id))
+	value, found, err := f.store.Get(ctx, kindArray, recordKey(id))
 	if err != nil || !found {
 		return nil, false, err
 	}
@@ -171,13 +171,13 @@
 	return a, true, json.Unmarshal(value, &a.r)
 }
 
-// unborn tells of a member that is no job of its own: its turn has not come, or never will.
-func (f *Front) unborn(ctx context.Context, id string) (Record, bool) {
+// pendingMember tells of a member that is no job of its own: its turn has not come, or never will.
+func (f *Front) pendingMember(ctx context.Context, id string) (Record, bool) {
 	n, ok := parseID(id)
 	if !ok || !n.member {
 		return Record{}, false
 	}
-	a, ok, err := f.arrayOf(ctx, strings.TrimSuffix(id, "-"+strconv.Itoa(n.index)))
+	a, ok, err := f.findArray(ctx, strings.TrimSuffix(id, "-"+strconv.Itoa(n.index)))
 	if !ok || err != nil {
 		return Record{}, false
 	}
@@ -187,7 +187,7 @@
 	}
 	r := a.memberRecord(&x, n.index)
 	switch {
-	case x.Cut:
+	case x.Terminated:
 		r.State, r.SubState = Failed, subTerminated
 	case x.Held:
 		r.State = QueuedHeld
--- a/internal/batch/arraycontrol.go
+++ b/internal/batch/arraycontrol.go
@@ -11,7 +11,7 @@
 
 // arrayCall answers a call about an array.
 func (f *Front) arrayCall(ctx context.Context, session, id, call string) http1.Response {
-	a, ok, err := f.arrayOf(ctx, id)
+	a, ok, err := f.findArray(ctx, id)
 	if err != nil {
 		return tryLater("the store can not tell: " + err.Error())
 	}
@@ -20,17 +20,17 @@
 	}
 	switch call {
 	case "":
-		return reply(200, a.record().status())
+		return jsonResponse(200, a.record().status())
 	case "terminate":
 		return f.terminateArray(ctx, a)
 	case "hold", "release":
 		return f.holdArray(ctx, a, call == "hold")
 	}
-	return f.noSuspend(call)
+	return f.suspendUnsupported(call)
 }
 
-// noSuspend refuses what nothing here can do.
-func (f *Front) noSuspend(call string) http1.Response {
+// suspendUnsupported refuses what nothing here can do.
+func (f *Front) suspendUnsupported(call string) http1.Response {
 	return problem(501, "UNSUPPORTED_OPERATION", "", call+": nothing stops or continues a job at a render box")
 }
 
@@ -47,17 +47,17 @@
 		done = was && f.queue.Release(id, now)
 	}
 	if done {
-		a.set(func(r *arrayRecord) { r.Held = held })
+		a.update(func(r *arrayRecord) { r.Held = held })
 	}
 	f.mu.Unlock()
 	if !done {
-		return reply(409, map[string]any{"error": "INVALID_STATE", "message": "no member of the array waits, or none is on hold", "jobArray": a.record().status()})
+		return jsonResponse(409, map[string]any{"error": "INVALID_STATE", "message": "no member of the array waits, or none is on hold", "jobArray": a.record().status()})
 	}
 	f.wake()
 	if err := f.recordArray(ctx, a); err != nil {
 		return tryLater("it is so, but could not be recorded: " + err.Error())
 	}
-	return reply(200, a.record().status())
+	return jsonResponse(200, a.record().status())
 }
 
 // terminateArray ends the members that were not sent. Those that were go on, and are counted as what they are.
@@ -74,27 +74,27 @@
 		case j != nil:
 			back = append(back, j)
 		case slices.Contains(again, r.Index): // in an earlier life
-			back = append(back, f.endedMember(a, r))
+			back = append(back, f.memberWithoutTurn(a, r))
 		default:
 			ended++
 		}
 	}
-	a.set(func(r *arrayRecord) {
+	a.update(func(r *arrayRecord) {
 		if ended > 0 {
-			r.Cut = true
+			r.Terminated = true
 			r.Failed += ended
 		}
 	})
 	var out []*job
 	for _, j := range f.order {
 		if j.array == a && !slices.Contains(back, j) {
-			if r := j.record(); !r.State.over() {
+			if r := j.record(); !r.State.final() {
 				out = append(out, j)
 			}
 		}
 	}
-	if a.over() {
-		f.finished(a)
+	if a.finished() {
+		f.releaseArray(a)
 	}
 	f.mu.Unlock()
 	for _, j := range back {
@@ -105,7 +105,7 @@
 	still := 0
 	for _, j := range out {
 		if core := j.coreID(); core == 0 || f.core.Terminate(ctx, core) != nil {
-			if r := j.record(); !r.State.over() {
+			if r := j.record(); !r.State.final() {
 				still++
 			}
 		}
@@ -114,8 +114,8 @@
 		return tryLater("it is so, but could not be recorded: " + err.Error())
 	}
 	if still > 0 {
-		return reply(409, map[string]any{"error": "INVALID_STATE", "jobArray": a.record().status(), "stillOut": still,
+		return jsonResponse(409, map[string]any{"error": "INVALID_STATE", "jobArray": a.record().status(), "stillOut": still,
 			"message": fmt.Sprintf("%d members were sent to executors, are not stopped there, and their results still come; the others are terminated", still)})
 	}
-	return reply(200, a.record().status())
+	return jsonResponse(200, a.record().status())
 }
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -71,24 +71,24 @@
 	lim     limits.Limits
 	log     *slog.Logger
 	version string
-	fleet   Fleet
+	router   Fleet
 	placer  Placer
-	desks   Desks
+	actors   Desks
 	ids     ids
 	events  *events
-	stop    atomic.Bool
-	kick    chan struct{} // something may be handed to the core
+	draining    atomic.Bool
+	wakeup    chan struct{} // something may be handed to the core
 
 	mu       sync.Mutex
 	jobs     map[string]*job
 	order    []*job // as they came; those that are over go first
 	bytes    int    // of results kept
 	queue    *jobqueue.Queue
-	waits    map[string]*job // by the queue's name
+	waiting    map[string]*job // by the queue's name
 	arrays   map[string]*array
-	ended    []string // arrays whose members have all ended, and that are kept
+	finishedArrays    []string // arrays whose members have all ended, and that are kept
 	sessions map[string]*session
-	same     map[string]*job          // by session and idempotency key, of jobs that are kept
+	byIdempotencyKey     map[string]*job          // by session and idempotency key, of jobs that are kept
 	loaded   chan struct{}            // closed once what an earlier life left was read
 	ramp     recovery.ConcurrencyRamp // how much may be with the core: little after what another left was taken up, then more
 
@@ -97,18 +97,18 @@
 	unsaved    atomic.Int64
 	unrecorded unrecorded
 
-	late     chan struct{} // a place for each late callback that is looked into
-	settling sync.Mutex    // one decision on a job in doubt at a time
+	lateCallbacks     chan struct{} // a place for each late callback that is looked into
+	resolving sync.Mutex    // one decision on a job in doubt at a time
 }
 
 // New makes a front for one life of a node.
 func New(o Options) *Front {
 	f := &Front{core: o.Core, store: o.Store, lim: o.Limits, log: o.Log,
-		version: o.Version, fleet: o.Fleet, placer: o.Placer, ids: ids{node: o.Node}, events: newEvents(o.Life.UnixMilli(), o.Limits.BatchEvents),
-		kick: make(chan struct{}, 1), jobs: map[string]*job{}, queue: jobqueue.New(), waits: map[string]*job{},
-		arrays: map[string]*array{}, sessions: map[string]*session{}, same: map[string]*job{},
-		dirty: make(chan *job, o.Limits.MaxOpen), late: make(chan struct{}, o.Limits.BatchCallbackChecks)}
-	f.ids.life.Store(o.Life.UnixMilli())
+		version: o.Version, router: o.Fleet, placer: o.Placer, ids: ids{node: o.Node}, events: newEvents(o.Life.UnixMilli(), o.Limits.BatchEvents),
+		wakeup: make(chan struct{}, 1), jobs: map[string]*job{}, queue: jobqueue.New(), waiting: map[string]*job{},
+		arrays: map[string]*array{}, sessions: map[string]*session{}, byIdempotencyKey: map[string]*job{},
+		dirty: make(chan *job, o.Limits.MaxOpen), lateCallbacks: make(chan struct{}, o.Limits.BatchCallbackChecks)}
+	f.ids.incarnation.Store(o.Life.UnixMilli())
 	f.sessions[defaultSession] = &session{r: sessionRecord{Name: defaultSession, Created: o.Life.UTC()}}
 	f.loaded = make(chan struct{})
 	f.ramp = recovery.ConcurrencyRamp{Min: f.lim.BatchOut / 8, Max: f.lim.BatchOut}
@@ -123,11 +123,11 @@
 
 func (f *Front) class(i int) *dispatch.Class { return &f.core.Rules().Settings.Classes[i] }
 
-// most is how long a client may be told to stay away.
-func (f *Front) most() time.Duration { return node.FromMs(f.core.Rules().Settings.MaxRetryAfter) }
+// maxRetryAfter is how long a client may be told to stay away.
+func (f *Front) maxRetryAfter() time.Duration { return node.FromMs(f.core.Rules().Settings.MaxRetryAfter) }
 
 // Drain refuses new submissions from now on, and hands nothing more to the core. All else is still answered.
-func (f *Front) Drain() { f.stop.Store(true) }
+func (f *Front) Drain() { f.draining.Store(true) }
 
 // Run takes up what an earlier life left, hands waiting jobs to the core, and records ends, until the context ends.
 func (f *Front) Run(ctx context.Context) error {
@@ -161,7 +161,7 @@
 			f.save(ctx, j)
 		case <-again.C:
 			f.saveUnrecorded(ctx)
-		case <-f.kick:
+		case <-f.wakeup:
 			timer.Reset(f.pump(ctx))
 		case <-timer.C:
 			timer.Reset(f.pump(ctx))
@@ -185,19 +185,19 @@
 
 func (f *Front) wake() {
 	select {
-	case f.kick <- struct{}{}:
+	case f.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// keep makes a job known by its id.
-func (f *Front) keep(j *job) {
+// register makes a job known by its id.
+func (f *Front) register(j *job) {
 	f.jobs[j.r.ID] = j
 	f.order = append(f.order, j)
 }
 
-// over keeps a job that has ended for later queries, within bounds: the oldest ones go first.
-func (f *Front) over(j *job, now time.Time) {
+// jobEnded keeps a job that has ended for later queries, within bounds: the oldest ones go first.
+func (f *Front) jobEnded(j *job, now time.Time) {
 	r := j.record()
 	f.mu.Lock()
 	if f.jobs[r.ID] != j {
@@ -207,23 +207,23 @@
 	f.bytes += r.Size
 	if j.queue {
 		f.queue.Ended(j.ref, now)
-		if !j.raisedRamp {
+		if !j.startCounted {
 			f.ramp.Succeeded()
 		}
 		if j.array == nil {
-			delete(f.waits, j.ref.ID)
+			delete(f.waiting, j.ref.ID)
 		}
 	}
 	if j.array != nil {
 		// After a kill a member can be counted that was counted before: the array goes only once none of it waits or is out.
-		j.array.ended(&r)
-		if j.array.over() && !f.queue.Contains(r.Array) {
-			f.finished(j.array)
+		j.array.countEnded(&r)
+		if j.array.finished() && !f.queue.Contains(r.Array) {
+			f.releaseArray(j.array)
 		}
 	}
 	for i := 0; i < len(f.order) && (len(f.order) > f.lim.BatchJobs || f.bytes > f.lim.BatchResultBytes); {
 		old := f.order[i]
-		if r := old.record(); !r.State.over() || old == j {
+		if r := old.record(); !r.State.final() || old == j {
 			i++
 			continue
 		} else {
@@ -232,7 +232,7 @@
 		f.order = append(f.order[:i], f.order[i+1:]...)
 	}
 	f.mu.Unlock()
-	f.later(j)
+	f.recordLater(j)
 	f.wake()
 }
 
@@ -240,8 +240,8 @@
 func (f *Front) forget(j *job, r *Record) {
 	f.bytes -= r.Size
 	delete(f.jobs, r.ID)
-	if k := sameKey(r.Session, j.in.IdempotencyKey); f.same[k] == j {
-		delete(f.same, k)
+	if k := sessionKey(r.Session, j.in.IdempotencyKey); f.byIdempotencyKey[k] == j {
+		delete(f.byIdempotencyKey, k)
 	}
 }
 
@@ -254,26 +254,26 @@
 		return j, j.record(), true
 	}
 	from := f.ids.origin(id)
-	if from == noID {
+	if from == unknownOrigin {
 		return nil, Record{}, false
 	}
 	if f.store != nil {
-		value, found, err := f.store.Get(ctx, kindJob, key(id))
+		value, found, err := f.store.Get(ctx, kindJob, recordKey(id))
 		if err != nil {
 			return nil, Record{ID: id, State: Undetermined, Annotation: "the store can not tell: " + err.Error()}, true
 		}
 		if found {
-			return nil, f.told(parseRecord(value)), true
+			return nil, f.currentRecord(parseRecord(value)), true
 		}
 	}
-	if r, ok := f.unborn(ctx, id); ok {
+	if r, ok := f.pendingMember(ctx, id); ok {
 		return nil, r, true
 	}
 	r := Record{ID: id, State: Undetermined}
 	switch from {
-	case ours:
+	case thisIncarnation:
 		r.Annotation = "it has ended and is no longer kept"
-	case formerly:
+	case earlierIncarnation:
 		r.Annotation = "it is of an earlier life of this node, and nothing is on record"
 	default:
 		r.Annotation = "it is another node's, and nothing is on record"
@@ -282,7 +282,7 @@
 }
 
 // SetDesks has calls under /desks answered. It must be called before the front serves.
-func (f *Front) SetDesks(d Desks) { f.desks = d }
+func (f *Front) SetDesks(d Desks) { f.actors = d }
 
 // Handle answers one request.
 func (f *Front) Handle(ctx context.Context, m *http1.Message) http1.Response {
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -180,7 +180,7 @@
 	if c.jobs[0].BeforeSend("s-1") == nil {
 		t.Error("a send of a job that has ended")
 	}
-	if err := f.put(context.Background(), <-f.dirty, nil); err != nil {
+	if err := f.writeRecord(context.Background(), <-f.dirty, nil); err != nil {
 		t.Error(err)
 	}
 	if want := []string{"QUEUED held", "QUEUED sent", "DONE "}; !reflect.DeepEqual(m.log, want) {
@@ -245,7 +245,7 @@
 		for range rapid.IntRange(1, 4).Draw(t, "hits") {
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
-		x, bad := f.parse(b[:rapid.IntRange(0, len(b)).Draw(t, "cut")], time.Now())
+		x, bad := f.parseTemplate(b[:rapid.IntRange(0, len(b)).Draw(t, "cut")], time.Now())
 		if bad == nil && (x.job.Class < 0 || x.job.Tenant < 0 || x.job.Target == "") || bad != nil && bad.field == "" {
 			t.Fatalf("%+v %+v", x, bad)
 		}
--- a/internal/batch/control.go
+++ b/internal/batch/control.go
@@ -15,9 +15,9 @@
 func (f *Front) info(ctx context.Context, session, id string) http1.Response {
 	_, r, ok := f.visible(ctx, session, id)
 	if !ok {
-		return unknown(id)
+		return unknownJob(id)
 	}
-	return f.answer(200, r)
+	return f.jobResponse(200, r)
 }
 
 // visible finds a job that clients of a session may see: its own. An empty session stands for all, which the default
@@ -34,10 +34,10 @@
 func (f *Front) template(ctx context.Context, session, id string) http1.Response {
 	_, r, ok := f.visible(ctx, session, id)
 	if !ok {
-		return unknown(id)
+		return unknownJob(id)
 	}
 	if len(r.Template) == 0 && r.Array != "" {
-		if a, ok, _ := f.arrayOf(ctx, r.Array); ok {
+		if a, ok, _ := f.findArray(ctx, r.Array); ok {
 			r.Template = a.record().Template
 		}
 	}
@@ -51,20 +51,20 @@
 func (f *Front) terminate(ctx context.Context, session, id string) http1.Response {
 	j, r, ok := f.visible(ctx, session, id)
 	if !ok {
-		return unknown(id)
+		return unknownJob(id)
 	}
 	if j == nil {
-		if r.Array != "" && !r.State.over() && r.State != Undetermined {
+		if r.Array != "" && !r.State.final() && r.State != Undetermined {
 			return f.terminateMember(ctx, r)
 		}
 		return conflict(r, "the job is not one that this node can end")
 	}
 	now := time.Now()
-	if j.queue && f.unqueue(j, now) {
+	if j.queue && f.dequeue(j, now) {
 		j.end(func(r *Record) {
 			r.State, r.SubState, r.Annotation = Failed, subTerminated, terminatedUnsent
 		}, now)
-		return f.answer(200, j.record())
+		return f.jobResponse(200, j.record())
 	}
 	err := node.ErrUnknown
 	if core := j.coreID(); core != 0 {
@@ -72,10 +72,10 @@
 	}
 	switch r = j.record(); {
 	case err == nil:
-		return f.answer(200, r)
+		return f.jobResponse(200, r)
 	case errors.Is(err, node.ErrRunning):
 		return conflict(r, "the job was sent to an executor, is not stopped there, and its result still comes")
-	case errors.Is(err, node.ErrUnknown) && !r.State.over():
+	case errors.Is(err, node.ErrUnknown) && !r.State.final():
 		return conflict(r, "the job is being handed over: ask again")
 	case errors.Is(err, node.ErrUnknown):
 		return conflict(r, "the job has ended")
@@ -83,8 +83,8 @@
 	return problem(500, "INTERNAL", "", err.Error())
 }
 
-// unqueue takes a job out of those that wait here, and says whether it was among them.
-func (f *Front) unqueue(j *job, now time.Time) bool {
+// dequeue takes a job out of those that wait here, and says whether it was among them.
+func (f *Front) dequeue(j *job, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if j.array != nil {
@@ -104,20 +104,20 @@
 		if _, r, ok := f.find(ctx, r.ID); ok { // its turn has come meanwhile
 			return conflict(r, "the job is being handed over: ask again")
 		}
-		return unknown(r.ID)
+		return unknownJob(r.ID)
 	}
 	r.State, r.SubState, r.Annotation, r.Finished = Failed, subTerminated, terminatedUnsent, now
-	j := f.endedMember(a, ref)
+	j := f.memberWithoutTurn(a, ref)
 	f.mu.Unlock()
 	j.end(func(x *Record) { *x = r }, now)
-	return f.answer(200, r)
+	return f.jobResponse(200, r)
 }
 
-// endedMember makes the job of a member that ends without a turn in this life. The front's lock is held.
-func (f *Front) endedMember(a *array, ref jobqueue.JobRef) *job {
+// memberWithoutTurn makes the job of a member that ends without a turn in this life. The front's lock is held.
+func (f *Front) memberWithoutTurn(a *array, ref jobqueue.JobRef) *job {
 	x := a.record()
-	j := &job{f: f, array: a, ref: ref, changed: make(chan struct{}), ready: closed, r: a.memberRecord(&x, ref.Index)}
-	f.keep(j)
+	j := &job{f: f, array: a, ref: ref, changed: make(chan struct{}), ready: closedChan, r: a.memberRecord(&x, ref.Index)}
+	f.register(j)
 	return j
 }
 
@@ -126,7 +126,7 @@
 func (f *Front) hold(ctx context.Context, session, id string, held bool) http1.Response {
 	j, r, ok := f.visible(ctx, session, id)
 	if !ok {
-		return unknown(id)
+		return unknownJob(id)
 	}
 	if j == nil || !j.queue || j.array != nil {
 		if r.Array != "" {
@@ -161,30 +161,30 @@
 		return conflict(j.record(), "nothing to "+what)
 	}
 	f.wake()
-	if err := f.put(ctx, j, nil); err != nil {
+	if err := f.writeRecord(ctx, j, nil); err != nil {
 		return tryLater("it is so, but could not be recorded: " + err.Error())
 	}
-	return f.answer(200, j.record())
+	return f.jobResponse(200, j.record())
 }
 
 // reap forgets a job that has ended, and its record (Job::reap).
 func (f *Front) reap(ctx context.Context, session, id string) http1.Response {
 	j, r, ok := f.visible(ctx, session, id)
 	if !ok {
-		return unknown(id)
+		return unknownJob(id)
 	}
-	if !r.State.over() && (j != nil || r.State != Undetermined) {
+	if !r.State.final() && (j != nil || r.State != Undetermined) {
 		return conflict(r, "only a job that has ended can be reaped")
 	}
-	if f.foreign(id) {
+	if f.ownedElsewhere(id) {
 		return conflict(r, "it is another node's job")
 	}
 	if j != nil {
-		j.putting.Lock() // its end may be on its way to the record: after it, not before
-		defer j.putting.Unlock()
+		j.recordMu.Lock() // its end may be on its way to the record: after it, not before
+		defer j.recordMu.Unlock()
 	}
 	if f.store != nil {
-		gone := []jobstore.Change{{Kind: kindJob, Key: key(id)}, {Kind: kindOpen, Key: key(id)}}
+		gone := []jobstore.Change{{Kind: kindJob, Key: recordKey(id)}, {Kind: kindOpen, Key: recordKey(id)}}
 		if r.Trace != "" { // of one in doubt
 			gone = append(gone, jobstore.Change{Kind: kindSent, Key: r.Trace})
 		}
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -12,13 +12,13 @@
 	"gatetack/internal/precheck"
 )
 
-// refused takes back a job that the core refused, to wait for a while.
-func (f *Front) refused(j *job, after time.Duration, now time.Time) {
+// requeueRejected takes back a job that the core requeueRejected, to wait for a while.
+func (f *Front) requeueRejected(j *job, after time.Duration, now time.Time) {
 	j.mu.Lock()
 	j.core = 0
 	j.mu.Unlock()
 	id := j.record().ID
-	j.place(nil)
+	j.setPlacement(nil)
 	f.mu.Lock()
 	if f.jobs[id] != j {
 		f.mu.Unlock()
@@ -26,9 +26,9 @@
 	}
 	f.queue.Rejected(j.ref, now.Add(after), now)
 	f.ramp.Rejected()
-	j.raisedRamp = false
+	j.startCounted = false
 	f.mu.Unlock()
-	f.later(j) // that nothing of it is out any more
+	f.recordLater(j) // that nothing of it is out any more
 	f.wake()
 }
 
@@ -38,10 +38,10 @@
 func (f *Front) raiseRamp(j *job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !j.queue || j.raisedRamp {
+	if !j.queue || j.startCounted {
 		return
 	}
-	j.raisedRamp = true
+	j.startCounted = true
 	f.ramp.Started()
 	f.wake()
 }
@@ -49,7 +49,7 @@
 // pump hands jobs whose turn it is to the core, and says when to do so again if nothing else happens.
 func (f *Front) pump(ctx context.Context) time.Duration {
 	const never = time.Hour
-	if f.stop.Load() {
+	if f.draining.Load() {
 		return never
 	}
 	now := time.Now()
@@ -57,16 +57,16 @@
 	refs, wake := f.queue.Next(now, f.ramp.Allowed()-f.queue.InFlight())
 	jobs := make([]*job, 0, len(refs))
 	for _, ref := range refs {
-		j := f.waits[ref.ID]
+		j := f.waiting[ref.ID]
 		if a := f.arrays[ref.ID]; a != nil {
-			j = f.member(a, ref, now)
+			j = f.memberJob(a, ref, now)
 		}
 		jobs = append(jobs, j)
 	}
 	f.mu.Unlock()
 	var g sync.WaitGroup
 	for _, j := range jobs {
-		g.Go(func() { f.hand(ctx, j) })
+		g.Go(func() { f.handOver(ctx, j) })
 	}
 	g.Wait()
 	if wake.IsZero() {
@@ -75,52 +75,52 @@
 	return max(time.Until(wake), time.Millisecond)
 }
 
-// hand gives a job that waited to the core. It is on record as given before that: a job that is not has not run.
-func (f *Front) hand(ctx context.Context, j *job) {
+// handOver gives a job that waited to the core. It is on record as given before that: a job that is not has not run.
+func (f *Front) handOver(ctx context.Context, j *job) {
 	now := time.Now()
-	if !j.until.IsZero() && !now.Before(j.until) {
+	if !j.deadline.IsZero() && !now.Before(j.deadline) {
 		j.end(func(r *Record) {
 			r.State, r.SubState, r.Annotation = Failed, subTerminated, "its deadline passed while it waited"
 		}, now)
 		return
 	}
 	j.update(func(r *Record) {
-		r.State, r.SubState, r.Handed = Queued, subHeld, true
+		r.State, r.SubState, r.HandedOver = Queued, subHeld, true
 		r.RetryMS = 0
 	})
 	failpoint.At(failpoint.Hand)
-	if err := f.put(ctx, j, nil); err != nil {
+	if err := f.writeRecord(ctx, j, nil); err != nil {
 		id := j.record().ID
-		if p, ok := partitionOf(id); ok && f.foreign(id) {
+		if p, ok := partitionOf(id); ok && f.ownedElsewhere(id) {
 			f.Drop(p) // it was taken while the partition was being let go of, and was not seen then
 		}
-		f.refused(j, f.lim.StoreElectionTimeout, now)
+		f.requeueRejected(j, f.lim.StoreElectionTimeout, now)
 		return
 	}
 	in := j.in
-	in.TraceID = trace()
-	_ = f.give(in, j) // refused, it waits again
+	in.TraceID = newTraceID()
+	_ = f.submitToCore(in, j) // refused, it waits again
 }
 
-// give submits to the core.
-func (f *Front) give(in node.Job, j *job) error {
-	if in.TimeLeft = node.FromMs(f.class(in.Class).Deadline); !j.until.IsZero() {
-		in.TimeLeft = time.Until(j.until)
+// submitToCore submits to the core.
+func (f *Front) submitToCore(in node.Job, j *job) error {
+	if in.TimeLeft = node.FromMs(f.class(in.Class).Deadline); !j.deadline.IsZero() {
+		in.TimeLeft = time.Until(j.deadline)
 	}
 	if f.placer != nil && len(in.Inputs) > 0 {
 		prices, why, ended := f.placer.Place(in.Inputs, in.Class, in.TimeLeft)
 		in.ZonePrices = prices
-		j.place(ended)
+		j.setPlacement(ended)
 		j.update(func(r *Record) { r.Annotation = why })
 	}
 	if f.store != nil {
 		until := time.Now().Add(in.TimeLeft)
-		in.BeforeSend = func(executor string) error { return f.sending(j, executor, in.TraceID, until) }
+		in.BeforeSend = func(executor string) error { return f.recordSend(j, executor, in.TraceID, until) }
 	}
 	id := j.record().ID
-	if f.fleet != nil && failpoint.Without != failpoint.Fence {
+	if f.router != nil && failpoint.Without != failpoint.Fence {
 		in.PreSendCheck = func() precheck.Reason {
-			if f.foreign(id) {
+			if f.ownedElsewhere(id) {
 				return precheck.LeaseLost
 			}
 			return precheck.Allowed
@@ -137,9 +137,9 @@
 	return nil
 }
 
-// sending records a send before it is made: after a restart, a job with a send on record may have run, and one
+// recordSend records a send before it is made: after a restart, a job with a send on record may have run, and one
 // without any has not.
-func (f *Front) sending(j *job, executor, trace string, until time.Time) error {
+func (f *Front) recordSend(j *job, executor, trace string, until time.Time) error {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	j.mu.Lock()
@@ -150,8 +150,8 @@
 	if was != "" && was != trace {
 		more = append(more, jobstore.Change{Kind: kindSent, Key: was})
 	}
-	err := f.put(ctx, j, func(r *Record) error {
-		if r.State.over() {
+	err := f.writeRecord(ctx, j, func(r *Record) error {
+		if r.State.final() {
 			return errors.New("the job has ended")
 		}
 		r.SubState, r.Machines = subSent, []string{executor}
--- a/internal/batch/doubt.go
+++ b/internal/batch/doubt.go
@@ -29,17 +29,17 @@
 	case len(why) > 256:
 		return problem(400, "INVALID_ARGUMENT", "why", "over 256 bytes")
 	}
-	f.settling.Lock()
-	defer f.settling.Unlock()
+	f.resolving.Lock()
+	defer f.resolving.Unlock()
 	j, r, ok := f.visible(ctx, session, id)
 	switch {
 	case !ok:
-		return unknown(id)
+		return unknownJob(id)
 	case r.State != Undetermined || j != nil || f.store == nil || r.Submitted.IsZero():
 		return conflict(r, "only a job on record that may have run, and of which nothing more will be told, can be resolved")
-	case f.foreign(id):
+	case f.ownedElsewhere(id):
 		return conflict(r, "it is another node's job")
-	case as == "unsent" && !v.Get("force").Bool() && f.single(r.Category):
+	case as == "unsent" && !v.Get("force").Bool() && f.atMostOnce(r.Category):
 		return conflict(r, "a job of category "+quote(r.Category)+" must never run twice, and as unsent it may be submitted again: force says that it never ran for certain")
 	}
 	now := time.Now()
@@ -55,15 +55,15 @@
 	if r.Finished.IsZero() {
 		r.Finished = now
 	}
-	if err := f.decided(ctx, &r); err != nil {
+	if err := f.recordResolution(ctx, &r); err != nil {
 		return tryLater("the decision could not be recorded: " + err.Error())
 	}
 	f.log.Warn("a job in doubt was resolved", "job", id, "as", as, "by", by, "why", why)
-	return f.answer(200, r)
+	return f.jobResponse(200, r)
 }
 
-// single says whether a category's jobs must never run twice. One that is no longer known is taken for such.
-func (f *Front) single(category string) bool {
+// atMostOnce says whether a category's jobs must never run twice. One that is no longer known is taken for such.
+func (f *Front) atMostOnce(category string) bool {
 	i := slices.Index(f.names().Classes, category)
 	return i < 0 || f.class(i).RetrySafety == dispatch.AtMostOnce
 }
--- a/internal/batch/events.go
+++ b/internal/batch/events.go
@@ -24,25 +24,25 @@
 // which one it saw last, and goes on without a gap or a repeat, or is told that it fell too far behind.
 type events struct {
 	mu    sync.Mutex
-	life  int64
+	incarnation  int64
 	ring  []Event
 	last  uint64        // the number of the latest
-	grown chan struct{} // closed at the next one
+	added chan struct{} // closed at the next one
 }
 
 func newEvents(life int64, size int) *events {
-	return &events{life: life, ring: make([]Event, max(size, 1)), grown: make(chan struct{})}
+	return &events{incarnation: life, ring: make([]Event, max(size, 1)), added: make(chan struct{})}
 }
 
-// begin gives the events of this process another incarnation. A client that has a cursor of the one before is told that
+// setIncarnation gives the events of this process another incarnation. A client that has a cursor of the one before is told that
 // events were lost.
-func (e *events) begin(incarnation int64) {
+func (e *events) setIncarnation(incarnation int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.life = incarnation
+	e.incarnation = incarnation
 }
 
-func (e *events) cursor(n uint64) string { return fmt.Sprintf("%x.%d", e.life, n) }
+func (e *events) cursor(n uint64) string { return fmt.Sprintf("%x.%d", e.incarnation, n) }
 
 func (e *events) add(r *Record) {
 	e.mu.Lock()
@@ -50,12 +50,12 @@
 	e.last++
 	e.ring[e.last%uint64(len(e.ring))] = Event{Cursor: e.cursor(e.last), Event: "NEW_STATE", ID: r.ID, Session: r.Session,
 		State: r.State, Sub: r.SubState, At: time.Now().UTC()}
-	close(e.grown)
-	e.grown = make(chan struct{})
+	close(e.added)
+	e.added = make(chan struct{})
 }
 
-// now is the cursor of the latest event.
-func (e *events) now() string {
+// latestCursor is the cursor of the latest event.
+func (e *events) latestCursor() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cursor(e.last)
@@ -75,9 +75,9 @@
 	defer e.mu.Unlock()
 	switch {
 	case !ok || err1 != nil || err2 != nil:
-	case predecessor(l, e.life):
+	case predecessor(l, e.incarnation):
 		return 0, true, nil
-	case l == e.life && n <= e.last:
+	case l == e.incarnation && n <= e.last:
 		return n, false, nil
 	}
 	return 0, false, fmt.Errorf("%q is no cursor that this node gave", text)
@@ -90,14 +90,14 @@
 	defer e.mu.Unlock()
 	size := uint64(len(e.ring))
 	if e.last > size && n < e.last-size {
-		return nil, e.last - size, true, e.grown
+		return nil, e.last - size, true, e.added
 	}
 	for ; n < e.last && len(out) < limit; n++ {
 		if x := &e.ring[(n+1)%size]; pick(x) {
 			out = append(out, *x)
 		}
 	}
-	return out, n, false, e.grown
+	return out, n, false, e.added
 }
 
 // lostEvent tells a client that events are missing: what it knows of jobs is to be read anew.
--- a/internal/batch/fleet.go
+++ b/internal/batch/fleet.go
@@ -20,31 +20,31 @@
 	return n.partition(), ok
 }
 
-// foreign says whether a job's record is another node's to change.
-func (f *Front) foreign(id string) bool {
-	if f.fleet == nil {
-		return f.ids.origin(id) == elsewhere
+// ownedElsewhere says whether a job's record is another node's to change.
+func (f *Front) ownedElsewhere(id string) bool {
+	if f.router == nil {
+		return f.ids.origin(id) == otherNode
 	}
 	p, ok := partitionOf(id)
 	if !ok {
 		return false
 	}
-	_, ours, _ := f.fleet.Locate(p)
+	_, ours, _ := f.router.Locate(p)
 	return !ours
 }
 
-// told turns a record into what can be said of the job. Where nodes share records, those of a life that is over are taken up
+// currentRecord turns a record into what can be said of the job. Where nodes share records, those of a life that is over are taken up
 // by one of them, which writes what became of each: until then they stand as they are. So does a member that waits again here.
-func (f *Front) told(r Record) Record {
-	if f.fleet != nil || f.waitsAgain(&r) {
+func (f *Front) currentRecord(r Record) Record {
+	if f.router != nil || f.isRequeuedMember(&r) {
 		return r
 	}
-	return told(r, f.ids.origin(r.ID))
+	return afterRestart(r, f.ids.origin(r.ID))
 }
 
-// waitsAgain says whether a record is of an array's member that an earlier life had its turn and never sent, and that waits here.
-func (f *Front) waitsAgain(r *Record) bool {
-	if !r.member() || r.State.over() {
+// isRequeuedMember says whether a record is of an array's member that an earlier life had its turn and never sent, and that waits here.
+func (f *Front) isRequeuedMember(r *Record) bool {
+	if !r.member() || r.State.final() {
 		return false
 	}
 	f.mu.Lock()
@@ -52,12 +52,12 @@
 	return f.queue.IsRequeued(jobqueue.JobRef{ID: r.Array, Index: *r.Index})
 }
 
-// passed makes a call about a job or array that another node has at that node, once. A call that was passed on already is
+// forward makes a call about a job or array that another node has at that node, once. A call that was forward on already is
 // answered here, by what is on record: so no call goes round. While the other node does not answer, for its process may stand
 // still, it is looked at whether the job is still there: if not, the call is made where it is now. What the late one may do
 // with the first call is fenced.
-func (f *Front) passed(ctx context.Context, m *http1.Message, p []string) (http1.Response, bool) {
-	if f.fleet == nil || len(p) < 2 || p[0] != "jobs" && p[0] != "arrays" || m.Get(leaseholder.ForwardedByHeader) != "" {
+func (f *Front) forward(ctx context.Context, m *http1.Message, p []string) (http1.Response, bool) {
+	if f.router == nil || len(p) < 2 || p[0] != "jobs" && p[0] != "arrays" || m.Get(leaseholder.ForwardedByHeader) != "" {
 		return http1.Response{}, false
 	}
 	part, ok := partitionOf(p[1])
@@ -73,15 +73,15 @@
 		}
 	}
 	for {
-		addr, ours, known := f.fleet.Locate(part)
+		addr, ours, known := f.router.Locate(part)
 		switch {
 		case ours || !known || addr == "" && m.Method == "GET": // of what nobody knows there is nothing on record
 			return http1.Response{}, false
 		case addr == "":
 			return tryLater("no node has the job at the moment"), true
 		}
-		got, err := f.passTo(ctx, part, addr, m)
-		if now, ours, _ := f.fleet.Locate(part); err != nil && ctx.Err() == nil && (ours || now != addr) {
+		got, err := f.forwardTo(ctx, part, addr, m)
+		if now, ours, _ := f.router.Locate(part); err != nil && ctx.Err() == nil && (ours || now != addr) {
 			continue // bounded: each change of owner takes a lease's end
 		}
 		if err != nil {
@@ -97,8 +97,8 @@
 	}
 }
 
-// passTo makes a call at a node for as long as that has the partition.
-func (f *Front) passTo(ctx context.Context, part, addr string, m *http1.Message) (*http1.Message, error) {
+// forwardTo makes a call at a node for as long as that has the partition.
+func (f *Front) forwardTo(ctx context.Context, part, addr string, m *http1.Message) (*http1.Message, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -110,20 +110,20 @@
 			case <-ctx.Done():
 				return
 			}
-			if now, ours, _ := f.fleet.Locate(part); ours || now != addr {
+			if now, ours, _ := f.router.Locate(part); ours || now != addr {
 				cancel()
 				return
 			}
 		}
 	}()
-	return f.fleet.Forward(ctx, addr, m)
+	return f.router.Forward(ctx, addr, m)
 }
 
 // OpenPartitions names the partitions of a node of which something is open on record.
 func (f *Front) OpenPartitions(ctx context.Context, node string) ([]string, error) {
 	var out []string
 	for _, kind := range []string{kindOpen, kindArray} {
-		if err := f.pages(ctx, kind, node+".", func(r jobstore.Row) error {
+		if err := f.forEachRow(ctx, kind, node+".", func(r jobstore.Row) error {
 			if n, ok := partitionOfKey(r.Key); ok && !slices.Contains(out, n) {
 				out = append(out, n)
 			}
@@ -137,7 +137,7 @@
 
 // partitionOfKey is that of a record's key: all before its last dot.
 func partitionOfKey(k string) (string, bool) {
-	part, _, ok := cutLast(k)
+	part, _, ok := cutLastDot(k)
 	return part, ok
 }
 
@@ -160,7 +160,7 @@
 			f.queue.Ended(j.ref, now)
 		}
 		if j.array == nil {
-			delete(f.waits, j.ref.ID)
+			delete(f.waiting, j.ref.ID)
 		}
 		return true
 	})
@@ -172,7 +172,7 @@
 	}
 	f.mu.Unlock()
 	for _, j := range gone {
-		j.place(nil)
+		j.setPlacement(nil)
 		j.mu.Lock()
 		j.lost = true
 		close(j.changed)
@@ -202,4 +202,4 @@
 }
 
 // SetIncarnationStart has what is taken from now on belong to another life.
-func (f *Front) SetIncarnationStart(born int64) { f.ids.life.Store(born) }
+func (f *Front) SetIncarnationStart(born int64) { f.ids.incarnation.Store(born) }
--- a/internal/batch/fleet_test.go
+++ b/internal/batch/fleet_test.go
@@ -48,7 +48,7 @@
 func (f *Front) counts() (waiting, out, known, jobs int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.queue.Waiting(), f.queue.InFlight(), len(f.waits), len(f.jobs)
+	return f.queue.Waiting(), f.queue.InFlight(), len(f.waiting), len(f.jobs)
 }
 
 // A partition is lost at each point of a job's way: while its hand-over is being written, while it is with the core, and while
@@ -193,7 +193,7 @@
 			fronts[1].save(t.Context(), j)
 		default:
 		}
-		v, _, _ := s.Get(t.Context(), kindJob, key(job))
+		v, _, _ := s.Get(t.Context(), kindJob, recordKey(job))
 		return gjson.GetBytes(v, "finishTime").Exists()
 	})
 	want(0, "DELETE", "/sessions/night", "", 204)
@@ -235,8 +235,8 @@
 	}
 	_, made, _ := call(f, "POST", "/arrays", `{"jobTemplate":`+good+`,"endIndex":4}`)
 	id := made.Get("jobArrayId").String()
-	a, _, _ := f.arrayOf(t.Context(), id)
-	a.set(func(x *arrayRecord) { x.Failed = 1 })
+	a, _, _ := f.findArray(t.Context(), id)
+	a.update(func(x *arrayRecord) { x.Failed = 1 })
 	member := put("tile-charge", id)
 	call(f, "POST", "/jobs/"+member+"/resolve", `{"as":"done","by":"kadri"}`)
 	if r := a.record(); r.Done != 1 || r.Failed != 0 {
@@ -274,8 +274,8 @@
 		{Undetermined, `{"id":"t1","from":"s-1","state":"returned"}`, 204, Failed},
 	} {
 		id := put(x.was)
-		r := f.callback(t.Context(), id, []byte(x.body))
-		if got := parseRecord(m.values[kindJob+" "+key(id)]); r.Status != x.status || got.State != x.want {
+		r := f.resolveByCallback(t.Context(), id, []byte(x.body))
+		if got := parseRecord(m.values[kindJob+" "+recordKey(id)]); r.Status != x.status || got.State != x.want {
 			t.Errorf("%s %s: %d and %s, want %d and %s", x.was, x.body, r.Status, got.State, x.status, x.want)
 		}
 	}
--- a/internal/batch/hard_test.go
+++ b/internal/batch/hard_test.go
@@ -148,8 +148,8 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.queue.Waiting()+f.queue.InFlight()+len(f.waits) != 0 {
-		t.Errorf("%d wait, %d out, %d known", f.queue.Waiting(), f.queue.InFlight(), len(f.waits))
+	if f.queue.Waiting()+f.queue.InFlight()+len(f.waiting) != 0 {
+		t.Errorf("%d wait, %d out, %d known", f.queue.Waiting(), f.queue.InFlight(), len(f.waiting))
 	}
 	if clients, _ := e.take(); len(clients) != 0 {
 		t.Errorf("%d jobs that were terminated reached the core", len(clients))
@@ -390,7 +390,7 @@
 func TestWatchFallsBehind(t *testing.T) {
 	f := front(&core{}, nil, time.Now())
 	f.events.ring = make([]Event, 8)
-	start := f.events.now()
+	start := f.events.latestCursor()
 	call(f, "POST", "/jobs", good)
 	_, v, r := call(f, "GET", "/events?after="+start, "")
 	cursor := ""
@@ -419,7 +419,7 @@
 		}
 		last = c
 	}
-	if len(lines) != 8 || last != f.events.now() {
+	if len(lines) != 8 || last != f.events.latestCursor() {
 		t.Errorf("%d events from there on, the last %s", len(lines), last)
 	}
 }
--- a/internal/batch/ids.go
+++ b/internal/batch/ids.go
@@ -12,52 +12,52 @@
 // ids name jobs by node and life, so that after a restart a job of an earlier life is told from one of this.
 type ids struct {
 	node string
-	life atomic.Int64
+	incarnation atomic.Int64
 	last atomic.Uint64
 }
 
-func (x *ids) next() string { return fmt.Sprintf("%s.%x.%d", x.node, x.life.Load(), x.last.Add(1)) }
+func (x *ids) next() string { return fmt.Sprintf("%s.%x.%d", x.node, x.incarnation.Load(), x.last.Add(1)) }
 
-// name is an id taken apart: NODE.LIFE.NUMBER, and -INDEX behind it for a member of an array.
-type name struct {
+// jobID is an id taken apart: NODE.LIFE.NUMBER, and -INDEX behind it for a member of an array.
+type jobID struct {
 	node   string
-	life   int64
+	incarnation   int64
 	number uint64
 	index  int
 	member bool
 }
 
-const mostIndex = 1 << 30
+const maxIndex = 1 << 30
 
 // parseID takes an id apart; ok is false for what no node ever gave.
-func parseID(id string) (n name, ok bool) {
+func parseID(id string) (n jobID, ok bool) {
 	if len(id) > 200 {
 		return n, false
 	}
-	head, last, ok := cutLast(id)
+	head, last, ok := cutLastDot(id)
 	if !ok {
 		return n, false
 	}
 	if number, index, member := strings.Cut(last, "-"); member {
 		i, err := strconv.ParseUint(index, 10, 31)
-		if err != nil || i > mostIndex || strconv.FormatUint(i, 10) != index {
+		if err != nil || i > maxIndex || strconv.FormatUint(i, 10) != index {
 			return n, false
 		}
 		n.index, n.member, last = int(i), true, number
 	}
-	node, text, ok := cutLast(head)
+	node, text, ok := cutLastDot(head)
 	number, err := strconv.ParseUint(last, 10, 64)
 	life, err2 := strconv.ParseInt(text, 16, 64)
 	if !ok || err != nil || err2 != nil || number == 0 || node == "" || life < 0 {
 		return n, false
 	}
-	n.node, n.life, n.number = node, life, number
+	n.node, n.incarnation, n.number = node, life, number
 	return n, true
 }
 
 // key orders ids as their jobs were submitted, node by node.
-func (n name) key() string {
-	k := fmt.Sprintf("%s.%012x.%012x", n.node, n.life, n.number)
+func (n jobID) key() string {
+	k := fmt.Sprintf("%s.%012x.%012x", n.node, n.incarnation, n.number)
 	if n.member {
 		k += fmt.Sprintf("-%08x", n.index)
 	}
@@ -65,12 +65,12 @@
 }
 
 // partition names the jobs of one life of one node: their keys begin with it.
-func (n name) partition() string {
-	return lease.Incarnation{Node: n.node, StartedMs: n.life}.PartitionKey()
+func (n jobID) partition() string {
+	return lease.Incarnation{Node: n.node, StartedMs: n.incarnation}.PartitionKey()
 }
 
-// key is that of an id that one of this front's own.
-func key(id string) string {
+// recordKey is that of an id that one of this front's own.
+func recordKey(id string) string {
 	n, _ := parseID(id)
 	return n.key()
 }
@@ -81,30 +81,30 @@
 type origin uint8
 
 const (
-	noID      origin = iota
-	ours             // this life of this node gave it
-	formerly         // an earlier life of this node did
-	elsewhere        // another node did
+	unknownOrigin      origin = iota
+	thisIncarnation             // this life of this node gave it
+	earlierIncarnation         // an earlier life of this node did
+	otherNode        // another node did
 )
 
 // origin tells where an id comes from.
 func (x *ids) origin(id string) origin {
 	n, ok := parseID(id)
-	current := x.life.Load()
+	current := x.incarnation.Load()
 	switch {
 	case !ok:
-		return noID
+		return unknownOrigin
 	case n.node != x.node:
-		return elsewhere
-	case predecessor(n.life, current):
-		return formerly
-	case n.life == current && n.number <= x.last.Load():
-		return ours
+		return otherNode
+	case predecessor(n.incarnation, current):
+		return earlierIncarnation
+	case n.incarnation == current && n.number <= x.last.Load():
+		return thisIncarnation
 	}
-	return noID
+	return unknownOrigin
 }
 
-func cutLast(s string) (before, after string, ok bool) {
+func cutLastDot(s string) (before, after string, ok bool) {
 	at := strings.LastIndexByte(s, '.')
 	if at < 0 {
 		return "", "", false
--- a/internal/batch/incarnation.go
+++ b/internal/batch/incarnation.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return fmt.Errorf("last incarnation: %w", err)
 	}
-	next := f.ids.life.Load()
+	next := f.ids.incarnation.Load()
 	if found {
 		last, err := strconv.ParseInt(string(value), 10, 64)
 		if err != nil {
@@ -44,6 +44,6 @@
 		return fmt.Errorf("incarnation: %w", err)
 	}
 	f.SetIncarnationStart(next)
-	f.events.begin(next)
+	f.events.setIncarnation(next)
 	return nil
 }
--- a/internal/batch/incarnation_test.go
+++ b/internal/batch/incarnation_test.go
@@ -40,13 +40,13 @@
 		m := &memory{values: map[string][]byte{}}
 		started := time.Now()
 		before := front(&engine{}, m, started)
-		old, oldCursor := submitted(t, before), before.events.now()
+		old, oldCursor := submitted(t, before), before.events.latestCursor()
 		after := front(&engine{}, m, started.Add(-step))
 		latest := submitted(t, after)
-		if key(latest) <= key(old) {
+		if recordKey(latest) <= recordKey(old) {
 			t.Errorf("step of %v: %s after %s", step, latest, old)
 		}
-		if got := after.ids.origin(old); got != formerly {
+		if got := after.ids.origin(old); got != earlierIncarnation {
 			t.Errorf("step of %v: %s is of origin %d", step, old, got)
 		}
 		if _, v, _ := call(after, "GET", "/events?timeoutMs=1&after="+oldCursor, ""); v.Get("event").String() != "LOST" {
@@ -61,7 +61,7 @@
 	for _, step := range clockSteps[1:] {
 		started := time.Now()
 		before := front(&engine{}, nil, started)
-		old, oldCursor := submitted(t, before), before.events.now()
+		old, oldCursor := submitted(t, before), before.events.latestCursor()
 		after := front(&engine{}, nil, started.Add(-step))
 		if status, v, _ := call(after, "GET", "/jobs/"+old, ""); status != 200 || v.Get("jobState").String() != string(Undetermined) {
 			t.Errorf("step of %v: %d %s", step, status, v.Raw)
@@ -123,7 +123,7 @@
 		}
 		m.setError(nil)
 		eventually(t, "the end is on record", func() bool { return !f.Pending() })
-		value, _, _ := m.Get(t.Context(), kindJob, key(id))
+		value, _, _ := m.Get(t.Context(), kindJob, recordKey(id))
 		if got := gjson.GetBytes(value, "jobState").String(); got != string(Done) {
 			t.Errorf("%v: %s on record", cause, got)
 		}
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -27,7 +27,7 @@
 // States are all of DRMAAv2's: a filter may name any, also one that no job is ever in here.
 var States = []string{"UNDETERMINED", "QUEUED", "QUEUED_HELD", "RUNNING", "SUSPENDED", "REQUEUED", "REQUEUED_HELD", "DONE", "FAILED"}
 
-func (s State) over() bool { return s == Done || s == Failed }
+func (s State) final() bool { return s == Done || s == Failed }
 
 // Record is what is known of a job: DRMAAv2's JobInfo (section 5.5), with what this front adds behind it.
 type Record struct {
@@ -54,10 +54,10 @@
 
 	// On record alone.
 	Template json.RawMessage `json:"template,omitempty"`
-	Handed   bool            `json:"handed,omitempty"` // it was given to the core: from then on it may be sent
+	HandedOver   bool            `json:"handed,omitempty"` // it was given to the core: from then on it may be sent
 	Trace    string          `json:"trace,omitempty"`  // under which it was sent
-	Same     string          `json:"same,omitempty"`   // the name of its idempotency key's record
-	Hash     string          `json:"hash,omitempty"`   // and of its template, which stands there
+	KeyRecord     string          `json:"same,omitempty"`   // the name of its idempotency key's record
+	TemplateHash     string          `json:"hash,omitempty"`   // and of its template, which stands there
 	Size     int             `json:"-"`                // of the result that is kept
 }
 
@@ -66,7 +66,7 @@
 	subHeld       = "held"       // at this node, until an executor has room, or its own turn comes
 	subDeferred   = "deferred"   // until its start time
 	subSent       = "sent"       // to an executor, and not started there as far as is known
-	subRefused    = "refused"    // submitting it again is harmless
+	subRejected    = "refused"    // submitting it again is harmless
 	subFailed     = "failed"     // promises nothing
 	subTerminated = "terminated" // before it was sent
 	subUnsent     = "unsent"     // the node ended before it sent it: submitting it again is harmless
@@ -83,21 +83,21 @@
 	queue bool            // it waits here until it is handed to the core, also after a refusal
 	array *array
 	in    node.Job
-	until time.Time // the client's deadline; zero for the class's, from when it is handed over
+	deadline time.Time // the client's deadline; zero for the class's, from when it is handed over
 	hash  uint64    // of its template, to tell a submission that is sent again from another under its key
 
-	raisedRamp bool // its start was counted by the ramp since it was last handed over; guarded by the front's lock
+	startCounted bool // its start was counted by the ramp since it was last handed over; guarded by the front's lock
 
 	ready   chan struct{} // closed when its submission is decided
-	putting sync.Mutex
+	recordMu sync.Mutex
 
 	mu      sync.Mutex
 	core    uint32 // the core's number for it, 0 while it has none
 	r       Record
-	gone    bool          // its submission failed
+	submitFailed    bool          // its submission failed
 	lost    bool          // it is another node's by now: nothing more of it is told or kept here
 	changed chan struct{} // closed at the next change
-	placed  func(box string, served bool)
+	placementEnded  func(box string, served bool)
 }
 
 func (j *job) update(change func(*Record)) {
@@ -175,9 +175,9 @@
 	if lost {
 		return // its end is the new owner's to tell
 	}
-	if j.queue && a.End == node.Rejected && !j.f.stop.Load() && (j.until.IsZero() || now.Before(j.until)) {
+	if j.queue && a.End == node.Rejected && !j.f.draining.Load() && (j.deadline.IsZero() || now.Before(j.deadline)) {
 		j.update(func(r *Record) { r.State, r.SubState, r.Annotation = Queued, subHeld, a.Reason })
-		j.f.refused(j, max(a.RetryAfter, j.f.lim.MinBatchRetryDelay), now)
+		j.f.requeueRejected(j, max(a.RetryAfter, j.f.lim.MinBatchRetryDelay), now)
 		return
 	}
 	j.end(func(r *Record) {
@@ -187,8 +187,8 @@
 			zero, text := 0, string(a.Result)
 			r.State, r.SubState, r.ExitStatus, r.Result, r.Size = Done, "", &zero, &text, len(text)
 		case node.Rejected:
-			r.SubState = subRefused
-			r.RetryMS = node.RoundRetryAfter(a.RetryAfter, j.f.most()).Milliseconds()
+			r.SubState = subRejected
+			r.RetryMS = node.RoundRetryAfter(a.RetryAfter, j.f.maxRetryAfter()).Milliseconds()
 		case node.Failed:
 			r.SubState = subFailed
 		case node.Terminated:
@@ -197,11 +197,11 @@
 	}, now)
 }
 
-// place keeps what is to be told of the place that was chosen for the job, in the place of an earlier one, which is returned.
-func (j *job) place(ended func(box string, served bool)) {
+// setPlacement keeps what is to be told of the setPlacement that was chosen for the job, in the setPlacement of an earlier one, which is returned.
+func (j *job) setPlacement(ended func(box string, served bool)) {
 	j.mu.Lock()
-	was, r := j.placed, j.r
-	j.placed = ended
+	was, r := j.placementEnded, j.r
+	j.placementEnded = ended
 	j.mu.Unlock()
 	if was == nil {
 		return
@@ -219,8 +219,8 @@
 		r.Finished = now
 		change(r)
 	})
-	j.place(nil)
-	j.f.over(j, now)
+	j.setPlacement(nil)
+	j.f.jobEnded(j, now)
 }
 
 // json is a record as it is kept.
@@ -235,31 +235,31 @@
 	return r
 }
 
-// shown is a record as clients see it.
-func (r Record) shown() Record {
-	r.Template, r.Handed, r.Trace, r.Same, r.Hash = nil, false, "", "", ""
+// public is a record as clients see it.
+func (r Record) public() Record {
+	r.Template, r.HandedOver, r.Trace, r.KeyRecord, r.TemplateHash = nil, false, "", "", ""
 	return r
 }
 
 // changes are those that put a job on record: among the open ones until it has ended. Until then no bound of the store's
 // takes it away, nor its idempotency key; after that it stays for as long as there is room.
 func (r *Record) changes() []jobstore.Change {
-	k, v := key(r.ID), r.json()
+	k, v := recordKey(r.ID), r.json()
 	open := jobstore.Change{Kind: kindOpen, Key: k, Keep: true}
-	if !r.State.over() {
+	if !r.State.final() {
 		open.Value = []byte(r.ID)
 	}
-	kept := !r.State.over() && r.State != Undetermined
+	kept := !r.State.final() && r.State != Undetermined
 	out := []jobstore.Change{{Kind: kindJob, Key: k, Value: v, Keep: kept}, open}
 	if r.Trace != "" { // also while it is in doubt: its box may tell
 		sent := jobstore.Change{Kind: kindSent, Key: r.Trace, Keep: kept}
-		if !r.State.over() {
+		if !r.State.final() {
 			sent.Value = []byte(r.ID)
 		}
 		out = append(out, sent)
 	}
-	if r.Same != "" && !kept {
-		out = append(out, jobstore.Change{Kind: kindSame, Key: r.Same, Value: sameRecord{r.ID, r.Hash}.json()})
+	if r.KeyRecord != "" && !kept {
+		out = append(out, jobstore.Change{Kind: kindIdempotencyKey, Key: r.KeyRecord, Value: keyRecord{r.ID, r.TemplateHash}.json()})
 	}
 	return out
 }
@@ -270,7 +270,7 @@
 	kindOpen    = "open"    // by key, of jobs that have not ended: the id
 	kindArray   = "array"   // by key: arrayRecord
 	kindSession = "session" // by name: sessionRecord
-	kindSame    = "same"    // by session and idempotency key: sameRecord
+	kindIdempotencyKey    = "same"    // by session and idempotency key: sameRecord
 )
 
 // unsent says whether a record shows that nothing of its job was sent: each send is on record before it is made.
@@ -281,10 +281,10 @@
 // member says whether a record is of an array's member.
 func (r *Record) member() bool { return r.Array != "" && r.Index != nil }
 
-// told turns a record into what can be said of the job now. Nothing that may have been sent is ever run again here.
-func told(r Record, from origin) Record {
+// afterRestart turns a record into what can be said of the job now. Nothing that may have been sent is ever run again here.
+func afterRestart(r Record, from origin) Record {
 	switch {
-	case r.State.over() || from != formerly || r.State == Undetermined:
+	case r.State.final() || from != earlierIncarnation || r.State == Undetermined:
 	case r.unsent():
 		// Each send is on record before it is made, and the life that could make one is over.
 		r.State, r.SubState = Failed, subUnsent
@@ -296,6 +296,6 @@
 	return r
 }
 
-// sameKey is an idempotency key in its session: keys of two sessions have nothing to do with each other. No session's
+// sessionKey is an idempotency key in its session: keys of two sessions have nothing to do with each other. No session's
 // name holds a slash.
-func sameKey(session, k string) string { return session + "/" + k }
+func sessionKey(session, k string) string { return session + "/" + k }
--- a/internal/batch/late.go
+++ b/internal/batch/late.go
@@ -13,8 +13,8 @@
 // kindSent says which job was sent under a trace id: a box that calls back after its sender was lost names nothing else.
 const kindSent = "sent" // by trace id, of jobs that have not ended: the id
 
-// local is a store that tells what this node has of it, at no cost: callbacks of no job on record come at any rate.
-type local interface {
+// localReader is a store that tells what this node has of it, at no cost: callbacks of no job on record come at any rate.
+type localReader interface {
 	Local(kind, key string) ([]byte, bool)
 }
 
@@ -22,7 +22,7 @@
 // and whose address this one took over. Where it is of a job in doubt, the doubt ends with it, at whichever node has the job.
 // It does not wait.
 func (f *Front) Late(body []byte) {
-	s, ok := f.store.(local)
+	s, ok := f.store.(localReader)
 	v := gjson.ParseBytes(body)
 	trace, state := v.Get("id").String(), v.Get("state").String()
 	if !ok || trace == "" || state != "done" && state != "failed" && state != "returned" {
@@ -33,16 +33,16 @@
 		return
 	}
 	select {
-	case f.late <- struct{}{}:
+	case f.lateCallbacks <- struct{}{}:
 	default:
 		return // as many as there may be are being looked into, and a doubt stays one
 	}
 	go func() {
-		defer func() { <-f.late }()
+		defer func() { <-f.lateCallbacks }()
 		// Its partition may have no owner yet, or one that has not taken it up.
 		ctx, cancel := context.WithTimeout(context.Background(), 4*f.lim.LeaseTTL)
 		defer cancel()
-		for !f.settled(ctx, string(id), body) {
+		for !f.deliverLateCallback(ctx, string(id), body) {
 			select {
 			case <-time.After(f.lim.StoreElectionTimeout):
 			case <-ctx.Done():
@@ -52,14 +52,14 @@
 	}()
 }
 
-// settled says whether nothing more is to be done about a late callback.
-func (f *Front) settled(ctx context.Context, id string, body []byte) bool {
+// deliverLateCallback says whether nothing more is to be done about a late callback.
+func (f *Front) deliverLateCallback(ctx context.Context, id string, body []byte) bool {
 	part, ok := partitionOf(id)
 	if !ok {
 		return true
 	}
-	if f.fleet != nil {
-		addr, ours, known := f.fleet.Locate(part)
+	if f.router != nil {
+		addr, ours, known := f.router.Locate(part)
 		if !known {
 			return true
 		}
@@ -67,22 +67,22 @@
 			if addr == "" {
 				return false
 			}
-			m, err := f.fleet.Forward(ctx, addr, &http1.Message{Method: "POST", Target: Prefix + "/jobs/" + id + "/callback", Body: body})
+			m, err := f.router.Forward(ctx, addr, &http1.Message{Method: "POST", Target: Prefix + "/jobs/" + id + "/callback", Body: body})
 			return err == nil && m.Status != 503
 		}
 	}
-	return f.callback(ctx, id, body).Status != 503
+	return f.resolveByCallback(ctx, id, body).Status != 503
 }
 
-// callback ends the doubt of a job by what the box tells that it was last sent to. Anything else changes nothing: a job that
+// resolveByCallback ends the doubt of a job by what the box tells that it was last sent to. Anything else changes nothing: a job that
 // goes on here is told by the core, and an end is never changed.
-func (f *Front) callback(ctx context.Context, id string, body []byte) http1.Response {
-	f.settling.Lock()
-	defer f.settling.Unlock()
-	if f.foreign(id) || f.store == nil || !gjson.ValidBytes(body) {
+func (f *Front) resolveByCallback(ctx context.Context, id string, body []byte) http1.Response {
+	f.resolving.Lock()
+	defer f.resolving.Unlock()
+	if f.ownedElsewhere(id) || f.store == nil || !gjson.ValidBytes(body) {
 		return tryLater("it is not this node's job")
 	}
-	value, found, err := f.store.Get(ctx, kindJob, key(id))
+	value, found, err := f.store.Get(ctx, kindJob, recordKey(id))
 	if err != nil {
 		return tryLater(err.Error())
 	}
@@ -91,7 +91,7 @@
 	alive := f.jobs[id] != nil
 	f.mu.Unlock()
 	switch {
-	case !found || alive || r.State.over() || r.Trace != v.Get("id").String() || !slices.Contains(r.Machines, v.Get("from").String()):
+	case !found || alive || r.State.final() || r.Trace != v.Get("id").String() || !slices.Contains(r.Machines, v.Get("from").String()):
 		return http1.Response{Status: 204}
 	case r.State != Undetermined:
 		return tryLater("the job has not been taken up yet")
@@ -109,17 +109,17 @@
 		return http1.Response{Status: 204}
 	}
 	r.Annotation, r.Finished = "told by its box after the node that sent it had ended", time.Now()
-	if err := f.decided(ctx, &r); err != nil {
+	if err := f.recordResolution(ctx, &r); err != nil {
 		return tryLater(err.Error())
 	}
 	f.log.Info("a box told of a job in doubt", "job", id, "from", v.Get("from").String(), "state", r.State)
 	return http1.Response{Status: 204}
 }
 
-// decided records the end of a job that was in doubt. Its array counted it as failed when it was taken up.
-func (f *Front) decided(ctx context.Context, r *Record) error {
+// recordResolution records the end of a job that was in doubt. Its array counted it as failed when it was taken up.
+func (f *Front) recordResolution(ctx context.Context, r *Record) error {
 	all := r.changes()
-	a, found, err := f.arrayOf(ctx, r.Array)
+	a, found, err := f.findArray(ctx, r.Array)
 	if err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 		return err
 	}
 	if found {
-		a.set(recount)
+		a.update(recount)
 	}
 	f.events.add(r)
 	return nil
--- a/internal/batch/list.go
+++ b/internal/batch/list.go
@@ -110,14 +110,14 @@
 	take := func(r Record) bool {
 		if (session == "" || r.Session == session) && (want == "" || r.State == want) && pick.Match(r.Row(now), now) {
 			r.Result = nil // told by the job's own info
-			out = append(out, r.shown())
+			out = append(out, r.public())
 		}
 		if next = r.ID; len(out) < limit {
 			return true
 		}
 		return false
 	}
-	done, err := f.each(ctx, after, take)
+	done, err := f.forEachJob(ctx, after, take)
 	if err != nil {
 		return tryLater("the store can not tell: " + err.Error())
 	}
@@ -125,19 +125,19 @@
 	if !done {
 		body["next"] = next
 	}
-	return reply(200, body)
+	return jsonResponse(200, body)
 }
 
-// each calls take for the jobs after a key in their order, until it has enough or BatchLook were looked at, and says
+// forEachJob calls take for the jobs after a key in their order, until it has enough or BatchLook were looked at, and says
 // whether that were all.
-func (f *Front) each(ctx context.Context, after string, take func(Record) bool) (done bool, err error) {
+func (f *Front) forEachJob(ctx context.Context, after string, take func(Record) bool) (done bool, err error) {
 	if f.store == nil {
 		f.mu.Lock()
 		jobs := slices.Clone(f.order)
 		f.mu.Unlock()
-		slices.SortFunc(jobs, func(a, b *job) int { return strings.Compare(key(a.r.ID), key(b.r.ID)) })
+		slices.SortFunc(jobs, func(a, b *job) int { return strings.Compare(recordKey(a.r.ID), recordKey(b.r.ID)) })
 		for i, j := range jobs {
-			if key(j.r.ID) > after && !take(j.record()) {
+			if recordKey(j.r.ID) > after && !take(j.record()) {
 				return i == len(jobs)-1, nil
 			}
 		}
@@ -157,7 +157,7 @@
 			if j != nil {
 				r = j.record() // newer than its record
 			} else {
-				r = f.told(r)
+				r = f.currentRecord(r)
 			}
 			if !take(r) {
 				return false, nil
--- a/internal/batch/monitor.go
+++ b/internal/batch/monitor.go
@@ -27,7 +27,7 @@
 
 // manager tells what this implementation is (SessionManager).
 func (f *Front) manager() http1.Response {
-	return reply(200, map[string]any{"drmsName": "gatetack", "drmsVersion": f.version, "drmaaName": "gatetack DRMAAv2 over HTTP",
+	return jsonResponse(200, map[string]any{"drmsName": "gatetack", "drmsVersion": f.version, "drmaaName": "gatetack DRMAAv2 over HTTP",
 		"drmaaVersion": "2.0", "contact": f.ids.node, "capabilities": Capabilities})
 }
 
@@ -36,15 +36,15 @@
 	if !known {
 		return problem(400, "INVALID_ARGUMENT", "capability", "no capability of DRMAAv2 is named "+quote(capability))
 	}
-	return reply(200, map[string]any{"capability": capability, "supported": has})
+	return jsonResponse(200, map[string]any{"capability": capability, "supported": has})
 }
 
 // categories are the classes (JobSession::jobCategories).
 func (f *Front) categories() http1.Response {
-	return reply(200, map[string]any{"jobCategories": slices.DeleteFunc(slices.Clone(f.names().Classes), func(name string) bool { return name == "" })})
+	return jsonResponse(200, map[string]any{"jobCategories": slices.DeleteFunc(slices.Clone(f.names().Classes), func(name string) bool { return name == "" })})
 }
 
-var effects = map[dispatch.RetrySafety]string{dispatch.Idempotent: "free", dispatch.Keyed: "guarded", dispatch.AtMostOnce: "single_shot"}
+var retrySafetyNames = map[dispatch.RetrySafety]string{dispatch.Idempotent: "free", dispatch.Keyed: "guarded", dispatch.AtMostOnce: "single_shot"}
 
 // queues are the classes as queues, with what waits and runs of each (MonitoringSession::getAllQueues).
 func (f *Front) queues() http1.Response {
@@ -54,12 +54,12 @@
 		switch r := j.record(); {
 		case r.State == Running:
 			running[r.Category]++
-		case !r.State.over():
+		case !r.State.final():
 			waiting[r.Category]++
 		}
 	}
 	for _, a := range f.arrays {
-		if r := a.record(); !r.Cut && r.Next <= r.End {
+		if r := a.record(); !r.Terminated && r.Next <= r.End {
 			waiting[r.Category] += (r.End-r.Next)/r.Step + 1
 		}
 	}
@@ -71,9 +71,9 @@
 		}
 		c := f.class(i)
 		list = append(list, map[string]any{"name": name, "deadlineMs": c.Deadline, "aimMs": c.Objective, "worth": c.PriorityWeight,
-			"effect": effects[c.RetrySafety], "waiting": waiting[name], "running": running[name]})
+			"effect": retrySafetyNames[c.RetrySafety], "waiting": waiting[name], "running": running[name]})
 	}
-	return reply(200, map[string]any{"queues": list})
+	return jsonResponse(200, map[string]any{"queues": list})
 }
 
 // MachineFields are what filters of machines may name.
@@ -105,7 +105,7 @@
 				"group": m.Group, "weight": m.Weight, "sinceMs": m.StartedAtMs, "out": m.InFlight, "available": m.Status == "ready"})
 		}
 	}
-	return reply(200, map[string]any{"machines": list})
+	return jsonResponse(200, map[string]any{"machines": list})
 }
 
 func machineRow(m *node.ExecutorInfo) filter.Row {
@@ -148,12 +148,12 @@
 	fields := []http1.Field{{Name: "Content-Type", Value: "application/x-ndjson"}}
 	if q.Get("stream") == "1" {
 		return http1.Response{Status: 200, Fields: fields, Close: true, Stream: func(ctx context.Context, w io.Writer) error {
-			return f.follow(ctx, w, n, behind, pick)
+			return f.streamEvents(ctx, w, n, behind, pick)
 		}}
 	}
 	_, most, bad := f.waitArgs("", q.Get("timeoutMs"))
 	if bad != nil {
-		return refuse(bad)
+		return invalidArgument(bad)
 	}
 	timer := time.NewTimer(most)
 	defer timer.Stop()
@@ -185,8 +185,8 @@
 
 var errFellBehind = errors.New("batch: a watch fell too far behind")
 
-// follow writes a stream of events.
-func (f *Front) follow(ctx context.Context, w io.Writer, n uint64, behind bool, pick func(*Event) bool) error {
+// streamEvents writes a stream of events.
+func (f *Front) streamEvents(ctx context.Context, w io.Writer, n uint64, behind bool, pick func(*Event) bool) error {
 	beat := time.NewTicker(2 * time.Second)
 	defer beat.Stop()
 	for {
@@ -238,7 +238,7 @@
 	}
 	switch {
 	case p[0] == "counts" && len(p) == 1:
-		return get(m, func() http1.Response {
+		return ifGet(m, func() http1.Response {
 			n, err := f.core.Counts(ctx)
 			if err != nil {
 				return problem(500, "INTERNAL", "", err.Error())
@@ -246,17 +246,17 @@
 			return http1.Response{Status: 200, Fields: jsonType(), Body: n.JSON()}
 		})
 	case p[0] == "manager" && len(p) == 1:
-		return get(m, f.manager)
+		return ifGet(m, f.manager)
 	case p[0] == "manager" && len(p) == 3 && p[1] == "supports":
-		return get(m, func() http1.Response { return f.supports(p[2]) })
+		return ifGet(m, func() http1.Response { return f.supports(p[2]) })
 	case p[0] == "reservations" || p[0] == "monitoring" && len(p) > 1 && p[1] == "reservations":
 		return problem(501, "UNSUPPORTED_OPERATION", "", "nothing is reserved: supports(ADVANCE_RESERVATION) is false")
 	case p[0] == "categories" && len(p) == 1:
-		return get(m, f.categories)
+		return ifGet(m, f.categories)
 	case p[0] == "monitoring" && len(p) == 2:
 		return f.monitoring(ctx, m, p[1])
-	case p[0] == "desks" && f.desks != nil:
-		return f.desks.Handle(ctx, m, p[1:])
+	case p[0] == "desks" && f.actors != nil:
+		return f.actors.Handle(ctx, m, p[1:])
 	case p[0] == "sessions":
 		return f.sessionRoute(ctx, m, p[1:])
 	case p[0] == "jobs", p[0] == "arrays", p[0] == "events":
@@ -265,16 +265,16 @@
 	return problem(404, "INVALID_ARGUMENT", "", "no such path")
 }
 
-func get(m *http1.Message, do func() http1.Response) http1.Response {
+func ifGet(m *http1.Message, do func() http1.Response) http1.Response {
 	if m.Method != "GET" {
-		return method("GET")
+		return methodNotAllowed("GET")
 	}
 	return do()
 }
 
 func (f *Front) monitoring(ctx context.Context, m *http1.Message, what string) http1.Response {
 	if m.Method != "GET" {
-		return method("GET")
+		return methodNotAllowed("GET")
 	}
 	switch what {
 	case "jobs":
@@ -296,7 +296,7 @@
 	}
 	if len(p) > 1 && m.Method == "GET" && f.hasSession(name) {
 		// What only looks at jobs of a session that is known here asks no leader.
-	} else if err := f.learn(ctx, name); err != nil {
+	} else if err := f.refreshSessions(ctx, name); err != nil {
 		return tryLater("which sessions there are can not be told: " + err.Error())
 	}
 	switch {
@@ -305,30 +305,30 @@
 	case len(p) == 0 && m.Method == "POST":
 		return f.createSession(ctx, m.Body)
 	case len(p) == 0:
-		return method("GET", "POST")
+		return methodNotAllowed("GET", "POST")
 	case len(p) == 1 && m.Method == "GET":
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if s := f.sessions[p[0]]; s != nil {
-			return reply(200, s.status())
+			return jsonResponse(200, s.status())
 		}
 		return noSession(p[0])
 	case len(p) == 1 && m.Method == "DELETE":
 		return f.destroySession(ctx, p[0])
 	case len(p) == 1:
-		return method("GET", "DELETE")
+		return methodNotAllowed("GET", "DELETE")
 	case len(p) == 2 && (p[1] == "open" || p[1] == "close") && m.Method != "POST":
-		return method("POST")
+		return methodNotAllowed("POST")
 	case len(p) == 2 && p[1] == "open":
 		return f.openSession(p[0], 200)
 	case len(p) == 2 && p[1] == "close":
 		return f.closeSession(p[0], m.Get("X-Session-Instance"))
 	}
-	if r, ok := f.instance(p[0], m); !ok {
+	if r, ok := f.checkInstance(p[0], m); !ok {
 		return r
 	}
 	if p[1] == "categories" && len(p) == 2 {
-		return get(m, f.categories)
+		return ifGet(m, f.categories)
 	}
 	return f.jobRoute(ctx, m, p[0], p[1:])
 }
@@ -340,23 +340,23 @@
 	if in == "" {
 		in = defaultSession
 	}
-	if r, ok := f.passed(ctx, m, p); ok {
+	if r, ok := f.forward(ctx, m, p); ok {
 		return r
 	}
 	switch {
 	case p[0] == "events" && len(p) == 1:
-		return get(m, func() http1.Response { return f.watch(ctx, session, m.Target) })
+		return ifGet(m, func() http1.Response { return f.watch(ctx, session, m.Target) })
 	case p[0] == "arrays" && len(p) == 1 && m.Method == "POST":
-		return f.bulk(ctx, in, m.Body)
+		return f.submitArray(ctx, in, m.Body)
 	case p[0] == "arrays" && len(p) == 1:
-		return method("POST")
+		return methodNotAllowed("POST")
 	case p[0] == "arrays" && len(p) == 2 && m.Method == "DELETE":
 		return f.arrayCall(ctx, session, p[1], "terminate")
 	case p[0] == "arrays" && len(p) == 2:
-		return get(m, func() http1.Response { return f.arrayCall(ctx, session, p[1], "") })
+		return ifGet(m, func() http1.Response { return f.arrayCall(ctx, session, p[1], "") })
 	case p[0] == "arrays" && len(p) == 3 && calls[p[2]] == "POST" && p[2] != "reap" && p[2] != "resolve" && p[2] != "callback":
 		if m.Method != "POST" {
-			return method("POST")
+			return methodNotAllowed("POST")
 		}
 		return f.arrayCall(ctx, session, p[1], p[2])
 	case p[0] != "jobs" || len(p) > 3:
@@ -365,10 +365,10 @@
 	case len(p) == 1 && m.Method == "GET":
 		return f.list(ctx, session, m.Target)
 	case len(p) == 1:
-		return method("GET", "POST")
+		return methodNotAllowed("GET", "POST")
 	case len(p) == 2 && p[1] == "wait":
 		if m.Method != "POST" {
-			return method("POST")
+			return methodNotAllowed("POST")
 		}
 		return f.waitAny(ctx, session, m.Body)
 	case len(p) == 2 && m.Method == "GET":
@@ -376,10 +376,10 @@
 	case len(p) == 2 && m.Method == "DELETE":
 		return f.terminate(ctx, session, p[1])
 	case len(p) == 2:
-		return method("GET", "DELETE")
+		return methodNotAllowed("GET", "DELETE")
 	case calls[p[2]] == "":
 	case calls[p[2]] != m.Method:
-		return method(calls[p[2]])
+		return methodNotAllowed(calls[p[2]])
 	default:
 		return f.jobCall(ctx, m, session, p[1], p[2])
 	}
@@ -402,7 +402,7 @@
 		if m.Get(leaseholder.ForwardedByHeader) == "" {
 			return problem(404, "INVALID_ARGUMENT", "", "boxes call the platform's front")
 		}
-		return f.callback(ctx, id, m.Body)
+		return f.resolveByCallback(ctx, id, m.Body)
 	case "resolve":
 		return f.resolve(ctx, session, id, m.Body)
 	case "wait":
@@ -413,9 +413,9 @@
 	_, r, ok := f.visible(ctx, session, id)
 	switch {
 	case !ok:
-		return unknown(id)
+		return unknownJob(id)
 	case call == "state":
-		return reply(200, map[string]any{"jobId": r.ID, "jobState": r.State, "jobSubState": r.SubState})
+		return jsonResponse(200, map[string]any{"jobId": r.ID, "jobState": r.State, "jobSubState": r.SubState})
 	}
-	return f.noSuspend(call)
+	return f.suspendUnsupported(call)
 }
--- a/internal/batch/reconcile.go
+++ b/internal/batch/reconcile.go
@@ -12,28 +12,28 @@
 type adoptedArray struct {
 	*array
 	open  map[int]bool // members that had not ended
-	again []int        // members that wait again, since nothing of them was sent
-	apart []int        // members on record whose turn is yet to come by the array's record
+	requeued []int        // members that wait again, since nothing of them was sent
+	skipped []int        // members on record whose turn is yet to come by the array's record
 }
 
-// settled says whether the array's record says by itself that all members have ended, and none is open.
-func (x *adoptedArray) settled() bool {
+// consistent says whether the array's record says by itself that all members have ended, and none is open.
+func (x *adoptedArray) consistent() bool {
 	r := &x.r
-	return (r.Cut || r.Next > r.End) && len(x.open) == 0 && r.Done+r.Failed == r.Jobs
+	return (r.Terminated || r.Next > r.End) && len(x.open) == 0 && r.Done+r.Failed == r.Jobs
 }
 
 // reconcile brings the array's record in line with those of its members.
 func (x *adoptedArray) reconcile(ctx context.Context, f *Front) error {
-	if x.settled() {
+	if x.consistent() {
 		return nil
 	}
-	if err := f.members(ctx, &x.r, x.r.Next, func(r *Record) { x.apart = append(x.apart, *r.Index) }); err != nil {
+	if err := f.forEachStoredMember(ctx, &x.r, x.r.Next, func(r *Record) { x.skipped = append(x.skipped, *r.Index) }); err != nil {
 		return err
 	}
 	r := &x.r
-	turns := min((r.Next-r.Begin)/r.Step, r.Jobs) + len(x.apart)
+	turns := min((r.Next-r.Begin)/r.Step, r.Jobs) + len(x.skipped)
 	ended, cut := turns-len(x.open), 0
-	if r.Cut {
+	if r.Terminated {
 		cut = r.Jobs - turns
 	}
 	if r.Done+r.Failed == ended+cut {
@@ -52,7 +52,7 @@
 // may be gone, for the oldest ones go first: of them the array's own counts say how they ended.
 func (x *adoptedArray) recount(ctx context.Context, f *Front, ended, cut int) error {
 	done, failed := 0, 0
-	err := f.members(ctx, &x.r, x.r.Begin, func(r *Record) {
+	err := f.forEachStoredMember(ctx, &x.r, x.r.Begin, func(r *Record) {
 		switch {
 		case x.open[*r.Index]:
 		case r.State == Done:
@@ -70,14 +70,14 @@
 	return nil
 }
 
-// members calls each for the members of an array that are on record, from an index on.
-func (f *Front) members(ctx context.Context, x *arrayRecord, from int, each func(*Record)) error {
-	prefix := key(x.ID) + "-"
+// forEachStoredMember calls each for the forEachStoredMember of an array that are on record, from an index on.
+func (f *Front) forEachStoredMember(ctx context.Context, x *arrayRecord, from int, each func(*Record)) error {
+	prefix := recordKey(x.ID) + "-"
 	after := prefix
 	if from > 0 {
-		after = key(memberID(x.ID, from-1))
+		after = recordKey(memberID(x.ID, from-1))
 	}
-	return f.pagesAfter(ctx, kindJob, prefix, after, func(row jobstore.Row) error {
+	return f.forEachRowAfter(ctx, kindJob, prefix, after, func(row jobstore.Row) error {
 		if r := parseRecord(row.Value); r.member() {
 			each(&r)
 		}
--- a/internal/batch/recording.go
+++ b/internal/batch/recording.go
@@ -11,8 +11,8 @@
 	"gatetack/internal/leaseholder"
 )
 
-// maxSideBySide bounds the states that are written at a time: they share a sync of the disk.
-const maxSideBySide = 64
+// maxConcurrentWrites bounds the states that are written at a time: they share a sync of the disk.
+const maxConcurrentWrites = 64
 
 // unrecorded holds the jobs whose states could not be written, for as long as a disk is full or the store has no leader.
 // They are written again: what a client was told is owed to it after a restart too.
@@ -53,7 +53,7 @@
 // save records a job as it is, with others that wait for the same.
 func (f *Front) save(ctx context.Context, j *job) {
 	batch := []*job{j}
-	for len(batch) < maxSideBySide {
+	for len(batch) < maxConcurrentWrites {
 		select {
 		case k := <-f.dirty:
 			batch = append(batch, k)
@@ -68,7 +68,7 @@
 // saveUnrecorded writes those states again that could not be written, until a write fails.
 func (f *Front) saveUnrecorded(ctx context.Context) {
 	for {
-		batch := f.unrecorded.take(maxSideBySide)
+		batch := f.unrecorded.take(maxConcurrentWrites)
 		if len(batch) == 0 || !f.saveAll(ctx, batch) {
 			return
 		}
@@ -93,29 +93,29 @@
 // saveOne records a job as it is. One that can not be recorded is written again later, unless it is another node's by now.
 func (f *Front) saveOne(ctx context.Context, j *job) bool {
 	r := j.record()
-	if r.State.over() {
+	if r.State.final() {
 		failpoint.At(failpoint.Ended)
 	}
-	err := f.put(ctx, j, nil)
+	err := f.writeRecord(ctx, j, nil)
 	if err == nil || ctx.Err() != nil {
 		f.unsaved.Add(-1)
 		return err == nil
 	}
 	f.log.Warn("job state not recorded", "job", r.ID, "err", err)
-	if j.isLost() || errors.Is(err, leaseholder.ErrNotOwner) && f.foreign(r.ID) || !f.unrecorded.add(j) {
+	if j.isLost() || errors.Is(err, leaseholder.ErrNotOwner) && f.ownedElsewhere(r.ID) || !f.unrecorded.add(j) {
 		f.unsaved.Add(-1)
 	}
 	return false
 }
 
-// put records a job as it is, or as change makes it. Records of one job follow one another: an end that was
+// writeRecord records a job as it is, or as change makes it. Records of one job follow one another: an end that was
 // recorded must not be overwritten by a send that was decided before it.
-func (f *Front) put(ctx context.Context, j *job, change func(*Record) error, more ...jobstore.Change) error {
+func (f *Front) writeRecord(ctx context.Context, j *job, change func(*Record) error, more ...jobstore.Change) error {
 	if f.store == nil {
 		return nil
 	}
-	j.putting.Lock()
-	defer j.putting.Unlock()
+	j.recordMu.Lock()
+	defer j.recordMu.Unlock()
 	r := j.record()
 	if change != nil {
 		if err := change(&r); err != nil {
@@ -132,8 +132,8 @@
 // Pending says whether states still wait to be recorded.
 func (f *Front) Pending() bool { return f.unsaved.Load() > 0 }
 
-// later records a job soon.
-func (f *Front) later(j *job) {
+// recordLater records a job soon.
+func (f *Front) recordLater(j *job) {
 	if f.store == nil {
 		return
 	}
--- a/internal/batch/reply.go
+++ b/internal/batch/reply.go
@@ -10,17 +10,17 @@
 	"gatetack/internal/recovery"
 )
 
-// answer is a job's record as its client gets it.
-func (f *Front) answer(status int, r Record) http1.Response {
-	out := reply(status, r.shown())
+// jobResponse is a job's record as its client gets it.
+func (f *Front) jobResponse(status int, r Record) http1.Response {
+	out := jsonResponse(status, r.public())
 	if r.RetryMS > 0 {
 		out.Fields = append(out.Fields, http1.RetryAfter(time.Duration(r.RetryMS)*time.Millisecond))
 	}
 	return out
 }
 
-// reply is an answer with a JSON body.
-func reply(status int, v any) http1.Response {
+// jsonResponse is an answer with a JSON body.
+func jsonResponse(status int, v any) http1.Response {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return problem(500, "INTERNAL", "", err.Error())
@@ -38,10 +38,10 @@
 	if field != "" {
 		m["field"] = field
 	}
-	return reply(status, m)
+	return jsonResponse(status, m)
 }
 
-func refuse(x *fault) http1.Response { return problem(400, x.code, x.field, x.text) }
+func invalidArgument(x *argumentError) http1.Response { return problem(400, x.code, x.field, x.text) }
 
 // tryLater refuses a submission that the module has not seen. Who was turned away at one moment is not told to come back at one.
 func tryLater(text string) http1.Response {
@@ -50,19 +50,19 @@
 	return r
 }
 
-// state is an error that tells where a job stands.
-func state(status int, code string, r Record, text string) http1.Response {
-	return reply(status, map[string]any{"error": code, "message": text, "jobId": r.ID,
+// jobError is an error that tells where a job stands.
+func jobError(status int, code string, r Record, text string) http1.Response {
+	return jsonResponse(status, map[string]any{"error": code, "message": text, "jobId": r.ID,
 		"jobState": r.State, "jobSubState": r.SubState})
 }
 
-func conflict(r Record, text string) http1.Response { return state(409, "INVALID_STATE", r, text) }
+func conflict(r Record, text string) http1.Response { return jobError(409, "INVALID_STATE", r, text) }
 
-func unknown(id string) http1.Response {
+func unknownJob(id string) http1.Response {
 	return problem(404, "INVALID_ARGUMENT", "jobId", "no job has the id "+quote(id))
 }
 
-func method(allowed ...string) http1.Response {
+func methodNotAllowed(allowed ...string) http1.Response {
 	r := problem(405, "UNSUPPORTED_OPERATION", "", "only "+strings.Join(allowed, ", "))
 	r.Fields = append(r.Fields, http1.Field{Name: "Allow", Value: strings.Join(allowed, ", ")})
 	return r
--- a/internal/batch/session.go
+++ b/internal/batch/session.go
@@ -41,9 +41,9 @@
 	return f.sessions[name] != nil
 }
 
-// sessionsOnRecord gives each session on record to a function that holds the front's lock.
-func (f *Front) sessionsOnRecord(ctx context.Context, each func(sessionRecord)) error {
-	return f.pages(ctx, kindSession, "", func(r jobstore.Row) error {
+// forEachStoredSession gives each session on record to a function that holds the front's lock.
+func (f *Front) forEachStoredSession(ctx context.Context, each func(sessionRecord)) error {
+	return f.forEachRow(ctx, kindSession, "", func(r jobstore.Row) error {
 		var x sessionRecord
 		if err := json.Unmarshal(r.Value, &x); err != nil {
 			return err
@@ -55,14 +55,14 @@
 	})
 }
 
-// learn has this node know a session, or all where none is named, as nodes that share records made and destroyed them.
-func (f *Front) learn(ctx context.Context, name string) error {
-	if f.fleet == nil || name == defaultSession {
+// refreshSessions has this node know a session, or all where none is named, as nodes that share records made and destroyed them.
+func (f *Front) refreshSessions(ctx context.Context, name string) error {
+	if f.router == nil || name == defaultSession {
 		return nil
 	}
 	there := map[string]sessionRecord{}
 	if name == "" {
-		if err := f.sessionsOnRecord(ctx, func(x sessionRecord) { there[x.Name] = x }); err != nil {
+		if err := f.forEachStoredSession(ctx, func(x sessionRecord) { there[x.Name] = x }); err != nil {
 			return err
 		}
 	} else if value, found, err := f.store.Get(ctx, kindSession, name); err != nil {
@@ -91,12 +91,12 @@
 
 // hasOpenJobs says whether a job or an array of a session is on record that has not ended, at whichever node.
 func (f *Front) hasOpenJobs(ctx context.Context, name string) (bool, error) {
-	if f.fleet == nil {
+	if f.router == nil {
 		return false, nil
 	}
 	open := false
 	for _, kind := range []string{kindJob, kindArray} {
-		if err := f.pages(ctx, kind, "", func(r jobstore.Row) error {
+		if err := f.forEachRow(ctx, kind, "", func(r jobstore.Row) error {
 			v := gjson.ParseBytes(r.Value)
 			over := v.Get("finishTime").Exists() // also of one that is in doubt
 			if kind == kindArray {
@@ -124,27 +124,27 @@
 		list = append(list, s.status())
 	}
 	sort.Slice(list, func(i, k int) bool { return list[i]["sessionName"].(string) < list[k]["sessionName"].(string) })
-	return reply(200, map[string]any{"sessions": list})
+	return jsonResponse(200, map[string]any{"sessions": list})
 }
 
 // createSession makes a session (createJobSession). A name that is taken is refused: two clients that both create it
 // must not share it by accident.
 func (f *Front) createSession(ctx context.Context, body []byte) http1.Response {
-	if r, ok := f.open(ctx); !ok {
+	if r, ok := f.checkAccepting(ctx); !ok {
 		return r
 	}
 	if !gjson.ValidBytes(body) || !gjson.ParseBytes(body).IsObject() {
 		return problem(400, "INVALID_ARGUMENT", "body", "not an object of valid JSON")
 	}
 	r := sessionRecord{Created: time.Now().UTC()}
-	var bad *fault
+	var bad *argumentError
 	gjson.ParseBytes(body).ForEach(func(k, v gjson.Result) bool {
 		name := k.String()
 		switch {
 		case name != "sessionName" && name != "contact":
-			bad = &fault{"INVALID_ARGUMENT", name, "no argument of a session"}
+			bad = &argumentError{"INVALID_ARGUMENT", name, "no argument of a session"}
 		case v.Type != gjson.String:
-			bad = &fault{"INVALID_ARGUMENT", name, "not a string"}
+			bad = &argumentError{"INVALID_ARGUMENT", name, "not a string"}
 		case name == "sessionName":
 			r.Name = v.Str
 		default:
@@ -155,12 +155,12 @@
 	switch {
 	case bad != nil:
 	case !http1.IsVisibleASCII(r.Name) || len(r.Name) > 64 || strings.ContainsAny(r.Name, "/?#%"):
-		bad = &fault{"INVALID_ARGUMENT", "sessionName", "not a word of 1 to 64 visible characters without / ? # or %"}
+		bad = &argumentError{"INVALID_ARGUMENT", "sessionName", "not a word of 1 to 64 visible characters without / ? # or %"}
 	case r.Contact != "" && r.Contact != f.ids.node:
-		bad = &fault{"INVALID_ARGUMENT", "contact", "this node's is " + quote(f.ids.node)}
+		bad = &argumentError{"INVALID_ARGUMENT", "contact", "this node's is " + quote(f.ids.node)}
 	}
 	if bad != nil {
-		return refuse(bad)
+		return invalidArgument(bad)
 	}
 	f.mu.Lock()
 	switch {
@@ -206,14 +206,14 @@
 	if len(s.instances) >= f.lim.BatchConns*16 {
 		return problem(503, "TRY_LATER", "", "the session is open as often as it may be")
 	}
-	id := trace()
+	id := newTraceID()
 	if s.instances == nil {
 		s.instances = map[string]bool{}
 	}
 	s.instances[id] = true
 	out := s.status()
 	out["instance"] = id
-	return reply(status, out)
+	return jsonResponse(status, out)
 }
 
 // closeSession ends an instance (closeJobSession). Calls that name it are refused from then on.
@@ -228,7 +228,7 @@
 		return problem(409, "INVALID_SESSION", "instance", "no such instance of the session is open")
 	}
 	delete(s.instances, instance)
-	return reply(200, s.status())
+	return jsonResponse(200, s.status())
 }
 
 // destroySession takes a session away (destroyJobSession), unless an instance is open or a job of it has not ended.
@@ -241,7 +241,7 @@
 	s := f.sessions[name]
 	open := 0
 	for _, j := range f.order {
-		if r := j.record(); r.Session == name && !r.State.over() {
+		if r := j.record(); r.Session == name && !r.State.final() {
 			open++
 		}
 	}
@@ -277,8 +277,8 @@
 	return http1.Response{Status: 204}
 }
 
-// instance checks that a call which names an instance of its session names one that is open.
-func (f *Front) instance(name string, m *http1.Message) (http1.Response, bool) {
+// checkInstance checks that a call which names an checkInstance of its session names one that is open.
+func (f *Front) checkInstance(name string, m *http1.Message) (http1.Response, bool) {
 	id := m.Get("X-Session-Instance")
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/batch/submit.go
+++ b/internal/batch/submit.go
@@ -19,28 +19,28 @@
 
 func quote(s string) string { return strconv.Quote(s) }
 
-// trace makes an id under which a job goes to a box.
-func trace() string {
+// newTraceID makes an id under which a job goes to a box.
+func newTraceID() string {
 	var raw [8]byte
 	_, _ = rand.Read(raw[:])
 	return hex.EncodeToString(raw[:])
 }
 
-// sameRecord is what a session's idempotency key stands for.
-type sameRecord struct {
+// keyRecord is what a session's idempotency key stands for.
+type keyRecord struct {
 	ID   string `json:"id"`
 	Hash string `json:"hash"`
 }
 
-func (s sameRecord) json() []byte {
+func (s keyRecord) json() []byte {
 	b, _ := json.Marshal(s)
 	return b
 }
 
-// open says whether submissions are taken now. At the node's start it waits a while for what is on record to be read: a
+// checkAccepting says whether submissions are taken now. At the node's start it waits a while for what is on record to be read: a
 // job must not be taken twice.
-func (f *Front) open(ctx context.Context) (http1.Response, bool) {
-	if f.stop.Load() {
+func (f *Front) checkAccepting(ctx context.Context) (http1.Response, bool) {
+	if f.draining.Load() {
 		return tryLater("the node is leaving"), false
 	}
 	if !f.ready() {
@@ -54,7 +54,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.waits)+len(f.arrays) >= f.lim.BatchWaitingItems {
+	if len(f.waiting)+len(f.arrays) >= f.lim.BatchWaitingItems {
 		return tryLater("too many jobs wait here"), false
 	}
 	return http1.Response{}, true
@@ -62,37 +62,37 @@
 
 // submit takes a job template (runJob). What is wrong with it is said before anything enters the core.
 func (f *Front) submit(ctx context.Context, session string, body []byte) http1.Response {
-	if r, ok := f.open(ctx); !ok {
+	if r, ok := f.checkAccepting(ctx); !ok {
 		return r
 	}
 	now := time.Now()
-	t, bad := f.parse(body, now)
+	t, bad := f.parseTemplate(body, now)
 	if bad != nil {
-		return refuse(bad)
+		return invalidArgument(bad)
 	}
-	if t.same != "" {
-		if r, ok := f.again(ctx, session, t); ok {
+	if t.idempotencyKey != "" {
+		if r, ok := f.findByKey(ctx, session, t); ok {
 			return r
 		}
 	}
 	j := f.newJob(session, t, now)
-	if !f.claim(session, t, j) {
+	if !f.claimKey(session, t, j) {
 		return f.submit(ctx, session, body) // another with the same key came in between: it is found now
 	}
-	r, err := f.take(ctx, session, t, j, now)
+	r, err := f.accept(ctx, session, t, j, now)
 	if err != nil {
 		f.mu.Lock()
 		j.mu.Lock()
-		j.gone = true
+		j.submitFailed = true
 		j.mu.Unlock()
-		k := sameKey(session, t.same)
-		mine := f.same[k] == j
+		k := sessionKey(session, t.idempotencyKey)
+		mine := f.byIdempotencyKey[k] == j
 		if mine {
-			delete(f.same, k)
+			delete(f.byIdempotencyKey, k)
 		}
 		f.mu.Unlock()
 		if mine && f.store != nil && !errors.Is(err, jobstore.ErrExists) {
-			if err := f.unsame(ctx, k, j.r.ID); err != nil {
+			if err := f.deleteKeyRecord(ctx, k, j.r.ID); err != nil {
 				f.log.Warn("an idempotency key of a job that was not taken stays on record", "err", err)
 			}
 		}
@@ -104,20 +104,20 @@
 	return r
 }
 
-// unsame takes a key's record away, if it is a job's: the client was told to try again, and its key must not stand for what was
+// deleteKeyRecord takes a key's record away, if it is a job's: the client was told to try again, and its key must not stand for what was
 // not taken. Where another node took a job under it, it stays.
-func (f *Front) unsame(ctx context.Context, k, id string) error {
-	value, found, err := f.store.Get(ctx, kindSame, k)
+func (f *Front) deleteKeyRecord(ctx context.Context, k, id string) error {
+	value, found, err := f.store.Get(ctx, kindIdempotencyKey, k)
 	if err != nil || !found || gjson.GetBytes(value, "id").String() != id {
 		return err
 	}
-	return f.store.Write(ctx, jobstore.Change{Kind: kindSame, Key: k})
+	return f.store.Write(ctx, jobstore.Change{Kind: kindIdempotencyKey, Key: k})
 }
 
 func (f *Front) newJob(session string, t *template, now time.Time) *job {
-	j := &job{f: f, in: t.job, until: t.until, hash: t.hash, changed: make(chan struct{}), ready: make(chan struct{}),
-		queue: t.waits(now), r: Record{ID: f.ids.next(), State: Queued, SubState: subHeld, Name: t.name, Session: session,
-			Category: f.names().Classes[t.job.Class], Priority: t.priority, Submitted: now, Start: t.start, Deadline: t.until}}
+	j := &job{f: f, in: t.job, deadline: t.deadline, hash: t.hash, changed: make(chan struct{}), ready: make(chan struct{}),
+		queue: t.mustWait(now), r: Record{ID: f.ids.next(), State: Queued, SubState: subHeld, Name: t.name, Session: session,
+			Category: f.names().Classes[t.job.Class], Priority: t.priority, Submitted: now, Start: t.start, Deadline: t.deadline}}
 	if len(f.names().Tenants) > 0 {
 		j.r.Account = f.names().Tenants[t.job.Tenant]
 	}
@@ -128,33 +128,33 @@
 		j.r.SubState = subDeferred
 	}
 	j.r.Template, j.ref = t.raw, jobqueue.JobRef{ID: j.r.ID}
-	j.in.TraceID, j.in.Method = trace(), "POST"
+	j.in.TraceID, j.in.Method = newTraceID(), "POST"
 	if j.in.IdempotencyKey == "" {
-		j.in.IdempotencyKey = trace() + trace()
+		j.in.IdempotencyKey = newTraceID() + newTraceID()
 	}
 	return j
 }
 
-// claim takes a session's idempotency key for a job, unless another has it.
-func (f *Front) claim(session string, t *template, j *job) bool {
-	if t.same == "" {
+// claimKey takes a session's idempotency key for a job, unless another has it.
+func (f *Front) claimKey(session string, t *template, j *job) bool {
+	if t.idempotencyKey == "" {
 		return true
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	k := sameKey(session, t.same)
-	if f.same[k] != nil {
+	k := sessionKey(session, t.idempotencyKey)
+	if f.byIdempotencyKey[k] != nil {
 		return false
 	}
-	f.same[k] = j
+	f.byIdempotencyKey[k] = j
 	return true
 }
 
-// again finds what was submitted under an idempotency key before: a submission whose answer was lost gives the first job
+// findByKey finds what was submitted under an idempotency key before: a submission whose answer was lost gives the first job
 // back. Another template under the same key is a mistake, and is told so.
-func (f *Front) again(ctx context.Context, session string, t *template) (http1.Response, bool) {
+func (f *Front) findByKey(ctx context.Context, session string, t *template) (http1.Response, bool) {
 	f.mu.Lock()
-	j := f.same[sameKey(session, t.same)]
+	j := f.byIdempotencyKey[sessionKey(session, t.idempotencyKey)]
 	f.mu.Unlock()
 	if j != nil {
 		select { // it may be on its way still
@@ -163,7 +163,7 @@
 			return http1.Response{Status: 503, Close: true}, true
 		}
 		j.mu.Lock()
-		gone := j.gone
+		gone := j.submitFailed
 		j.mu.Unlock()
 		switch {
 		case gone:
@@ -171,19 +171,19 @@
 		case j.hash != t.hash:
 			return problem(409, "INVALID_ARGUMENT", "idempotencyKey", "another template was submitted under this key, as job "+j.record().ID), true
 		}
-		return f.answer(200, j.record()), true
+		return f.jobResponse(200, j.record()), true
 	}
 	if f.store == nil {
 		return http1.Response{}, false
 	}
-	value, found, err := f.store.Get(ctx, kindSame, sameKey(session, t.same))
+	value, found, err := f.store.Get(ctx, kindIdempotencyKey, sessionKey(session, t.idempotencyKey))
 	if err != nil {
 		return tryLater("whether this was submitted before can not be told: " + err.Error()), true
 	}
 	if !found {
 		return http1.Response{}, false
 	}
-	var same sameRecord
+	var same keyRecord
 	_ = json.Unmarshal(value, &same)
 	if same.Hash != fmt.Sprintf("%016x", t.hash) {
 		return problem(409, "INVALID_ARGUMENT", "idempotencyKey", "another template was submitted under this key, as job "+same.ID), true
@@ -192,49 +192,49 @@
 	if !ok { // it is of a life that this node knows nothing of, and its key is not free
 		return tryLater("the job under this key, " + same.ID + ", can not be told of here"), true
 	}
-	return f.answer(200, r), true
+	return f.jobResponse(200, r), true
 }
 
-// take puts a job on record, and then gives it to the core or lets it wait. A job that was not taken comes with an error.
-func (f *Front) take(ctx context.Context, session string, t *template, j *job, now time.Time) (http1.Response, error) {
+// accept puts a job on record, and then gives it to the core or lets it wait. A job that was not taken comes with an error.
+func (f *Front) accept(ctx context.Context, session string, t *template, j *job, now time.Time) (http1.Response, error) {
 	var more []jobstore.Change
-	if t.same != "" {
-		j.r.Same, j.r.Hash = sameKey(session, t.same), fmt.Sprintf("%016x", t.hash)
-		more = append(more, jobstore.Change{Kind: kindSame, Key: j.r.Same, Value: sameRecord{j.r.ID, j.r.Hash}.json(), New: true, Keep: true})
+	if t.idempotencyKey != "" {
+		j.r.KeyRecord, j.r.TemplateHash = sessionKey(session, t.idempotencyKey), fmt.Sprintf("%016x", t.hash)
+		more = append(more, jobstore.Change{Kind: kindIdempotencyKey, Key: j.r.KeyRecord, Value: keyRecord{j.r.ID, j.r.TemplateHash}.json(), New: true, Keep: true})
 	}
 	if !f.hasSession(session) {
 		return noSession(session), errors.New("no such session")
 	}
-	j.r.Handed = !j.queue
-	if err := f.inTime(ctx, j, more); err != nil {
+	j.r.HandedOver = !j.queue
+	if err := f.recordNew(ctx, j, more); err != nil {
 		return tryLater("the job could not be recorded: " + err.Error()), err
 	}
 	f.events.add(&j.r)
 	if j.queue {
 		f.mu.Lock()
-		f.keep(j)
-		f.waits[j.r.ID] = j
+		f.register(j)
+		f.waiting[j.r.ID] = j
 		f.queue.Add(jobqueue.Item{ID: j.r.ID, Session: session, Priority: t.priority, Start: t.start, Held: t.hold}, now)
 		f.mu.Unlock()
 		f.wake()
 		return f.created(j), nil
 	}
 	f.mu.Lock()
-	f.keep(j)
+	f.register(j)
 	f.mu.Unlock()
-	if err := f.give(j.in, j); err != nil {
+	if err := f.submitToCore(j.in, j); err != nil {
 		return tryLater(err.Error()), err
 	}
 	return f.created(j), nil
 }
 
-var errSlow = errors.New("the store is too slow")
+var errStoreSlow = errors.New("the store is too slow")
 
-// inTime puts a new job on record, or refuses it once that takes too long. What is written after all is taken away again:
+// recordNew puts a new job on record, or refuses it once that takes too long. What is written after all is taken away again:
 // a job that was refused must not be found after a restart as one that was taken.
-func (f *Front) inTime(ctx context.Context, j *job, more []jobstore.Change) error {
+func (f *Front) recordNew(ctx context.Context, j *job, more []jobstore.Change) error {
 	done := make(chan error, 1)
-	go func() { done <- f.put(context.WithoutCancel(ctx), j, nil, more...) }()
+	go func() { done <- f.writeRecord(context.WithoutCancel(ctx), j, nil, more...) }()
 	timer := time.NewTimer(f.lim.StoreCallTimeout)
 	defer timer.Stop()
 	select {
@@ -255,46 +255,46 @@
 			f.log.Warn("the record of a job that was refused stays", "job", r.ID, "err", err)
 		}
 	}()
-	return errSlow
+	return errStoreSlow
 }
 
 func (f *Front) created(j *job) http1.Response {
-	r := f.answer(201, j.record())
+	r := f.jobResponse(201, j.record())
 	r.Fields = append(r.Fields, http1.Field{Name: "Location", Value: Prefix + "/jobs/" + j.r.ID})
 	return r
 }
 
-// bulk takes a job array (runBulkJobs, GFD.194 section 8.2.7).
-func (f *Front) bulk(ctx context.Context, session string, body []byte) http1.Response {
-	if r, ok := f.open(ctx); !ok {
+// submitArray takes a job array (runBulkJobs, GFD.194 section 8.2.7).
+func (f *Front) submitArray(ctx context.Context, session string, body []byte) http1.Response {
+	if r, ok := f.checkAccepting(ctx); !ok {
 		return r
 	}
-	if nested(body) > 16 || !gjson.ValidBytes(body) || !gjson.ParseBytes(body).IsObject() {
+	if nestingDepth(body) > 16 || !gjson.ValidBytes(body) || !gjson.ParseBytes(body).IsObject() {
 		return problem(400, "INVALID_ARGUMENT", "body", "not an object of valid JSON, nested at most 16 levels deep")
 	}
 	x := arrayRecord{Begin: 1, End: -1, Step: 1, Session: session}
 	root := gjson.ParseBytes(body)
-	var bad *fault
+	var bad *argumentError
 	var t *template
 	now := time.Now()
 	root.ForEach(func(k, v gjson.Result) bool {
 		var err error
 		switch k.String() {
 		case "jobTemplate":
-			t, bad = f.read(v, now)
+			t, bad = f.readTemplate(v, now)
 		case "beginIndex":
-			x.Begin, err = whole(v, 0, mostIndex)
+			x.Begin, err = wholeNumber(v, 0, maxIndex)
 		case "endIndex":
-			x.End, err = whole(v, 0, mostIndex)
+			x.End, err = wholeNumber(v, 0, maxIndex)
 		case "step":
-			x.Step, err = whole(v, 1, mostIndex)
+			x.Step, err = wholeNumber(v, 1, maxIndex)
 		case "maxParallel":
-			x.MaxParallel, err = whole(v, 0, mostIndex)
+			x.MaxParallel, err = wholeNumber(v, 0, maxIndex)
 		default:
 			err = fmt.Errorf("no argument of a bulk submission")
 		}
 		if err != nil {
-			bad = &fault{"INVALID_ARGUMENT", k.String(), err.Error()}
+			bad = &argumentError{"INVALID_ARGUMENT", k.String(), err.Error()}
 		}
 		return bad == nil
 	})
@@ -302,25 +302,25 @@
 	switch {
 	case bad != nil:
 	case t == nil:
-		bad = &fault{"INVALID_ARGUMENT", "jobTemplate", "missing"}
-	case t.same != "":
-		bad = &fault{"UNSUPPORTED_ATTRIBUTE", "idempotencyKey", "an array is not submitted under a key"}
+		bad = &argumentError{"INVALID_ARGUMENT", "jobTemplate", "missing"}
+	case t.idempotencyKey != "":
+		bad = &argumentError{"UNSUPPORTED_ATTRIBUTE", "idempotencyKey", "an array is not submitted under a key"}
 	case x.End < 0:
-		bad = &fault{"INVALID_ARGUMENT", "endIndex", "missing"}
+		bad = &argumentError{"INVALID_ARGUMENT", "endIndex", "missing"}
 	case x.End < x.Begin:
-		bad = &fault{"INVALID_ARGUMENT", "endIndex", "before beginIndex"}
+		bad = &argumentError{"INVALID_ARGUMENT", "endIndex", "before beginIndex"}
 	case item.Size() > f.lim.BatchArrayMembers:
-		bad = &fault{"INVALID_ARGUMENT", "endIndex", fmt.Sprintf("more than %d members", f.lim.BatchArrayMembers)}
+		bad = &argumentError{"INVALID_ARGUMENT", "endIndex", fmt.Sprintf("more than %d members", f.lim.BatchArrayMembers)}
 	}
 	if bad != nil {
-		return refuse(bad)
+		return invalidArgument(bad)
 	}
 	x.ID, x.Name, x.Category, x.Priority = f.ids.next(), t.name, f.names().Classes[t.job.Class], t.priority
 	if len(f.names().Tenants) > 0 {
 		x.Account = f.names().Tenants[t.job.Tenant]
 	}
-	x.Submitted, x.Start, x.Deadline, x.Held, x.Jobs, x.Next, x.Template = now, t.start, t.until, t.hold, item.Size(), x.Begin, t.raw
-	t.job.Method, t.job.IdempotencyKey = "POST", trace()+trace()
+	x.Submitted, x.Start, x.Deadline, x.Held, x.Jobs, x.Next, x.Template = now, t.start, t.deadline, t.hold, item.Size(), x.Begin, t.raw
+	t.job.Method, t.job.IdempotencyKey = "POST", newTraceID()+newTraceID()
 	a := &array{t: *t, r: x}
 	if !f.hasSession(session) {
 		return noSession(session)
@@ -335,7 +335,7 @@
 	f.queue.Add(x.item(), now)
 	f.mu.Unlock()
 	f.wake()
-	r := reply(201, x.status())
+	r := jsonResponse(201, x.status())
 	r.Fields = append(r.Fields, http1.Field{Name: "Location", Value: Prefix + "/arrays/" + x.ID})
 	return r
 }
--- a/internal/batch/template.go
+++ b/internal/batch/template.go
@@ -21,20 +21,20 @@
 type template struct {
 	name     string
 	job      node.Job
-	until    time.Time // the client's deadline, zero for the class's from when the job is handed to the core
+	deadline    time.Time // the client's deadline, zero for the class's from when the job is handed to the core
 	start    time.Time
 	hold     bool
 	priority int
-	same     string // the client's idempotency key
+	idempotencyKey     string // the client's idempotency key
 	hash     uint64
 	raw      []byte
 }
 
-// waits says whether a job of this template waits here before it is handed to the core.
-func (t *template) waits(now time.Time) bool { return t.hold || t.start.After(now) }
+// mustWait says whether a job of this template mustWait here before it is handed to the core.
+func (t *template) mustWait(now time.Time) bool { return t.hold || t.start.After(now) }
 
-// fault is what is wrong with a template, and where.
-type fault struct{ code, field, text string }
+// argumentError is what is wrong with a template, and where.
+type argumentError struct{ code, field, text string }
 
 // unsupported are attributes of DRMAAv2's job template (GFD.194, section 5.6) that this node has no use for, and why. A
 // job that asks for one must not run as if it had not.
@@ -61,22 +61,22 @@
 // placeholder stands for a member's index in the path and the payload of an array's template.
 const placeholder = "$PARAMETRIC_INDEX"
 
-const mostPriority = 1024
+const maxPriority = 1024
 
-// parse reads a job template: jobCategory is the class, accountingId the tenant, remoteCommand the path, args its query,
+// parseTemplate reads a job template: jobCategory is the class, accountingId the tenant, remoteCommand the path, args its query,
 // deadlineTime when the client gives up; payload is the body and idempotencyKey what the name says.
-func (f *Front) parse(body []byte, now time.Time) (*template, *fault) {
-	if len(body) > 0 && nested(body) > 16 {
-		return nil, &fault{"INVALID_ARGUMENT", "body", "nested deeper than 16 levels"}
+func (f *Front) parseTemplate(body []byte, now time.Time) (*template, *argumentError) {
+	if len(body) > 0 && nestingDepth(body) > 16 {
+		return nil, &argumentError{"INVALID_ARGUMENT", "body", "nested deeper than 16 levels"}
 	}
 	if !gjson.ValidBytes(body) {
-		return nil, &fault{"INVALID_ARGUMENT", "body", "not valid JSON"}
+		return nil, &argumentError{"INVALID_ARGUMENT", "body", "not valid JSON"}
 	}
-	return f.read(gjson.ParseBytes(body), now)
+	return f.readTemplate(gjson.ParseBytes(body), now)
 }
 
-// nested is how deeply a text's objects and lists stand in one another, without a parser that calls itself.
-func nested(b []byte) int {
+// nestingDepth is how deeply a text's objects and lists stand in one another, without a parser that calls itself.
+func nestingDepth(b []byte) int {
 	depth, most, quoted := 0, 0, false
 	for i := 0; i < len(b); i++ {
 		switch c := b[i]; {
@@ -95,15 +95,15 @@
 	return most
 }
 
-func (f *Front) read(root gjson.Result, now time.Time) (*template, *fault) {
-	invalid := func(field, text string) *fault { return &fault{"INVALID_ARGUMENT", field, text} }
+func (f *Front) readTemplate(root gjson.Result, now time.Time) (*template, *argumentError) {
+	invalid := func(field, text string) *argumentError { return &argumentError{"INVALID_ARGUMENT", field, text} }
 	if !root.IsObject() {
 		return nil, invalid("body", "not an object")
 	}
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(root.Raw))
 	t := &template{job: node.Job{Slots: 1, Class: -1, Tenant: -1}, hash: h.Sum64(), raw: []byte(root.Raw)}
-	var bad *fault
+	var bad *argumentError
 	seen := map[string]bool{}
 	var args []string
 	rerunnable := (*bool)(nil)
@@ -115,21 +115,21 @@
 		}
 		seen[name] = true
 		if why, no := unsupported[name]; no {
-			bad = &fault{"UNSUPPORTED_ATTRIBUTE", name, why}
+			bad = &argumentError{"UNSUPPORTED_ATTRIBUTE", name, why}
 			return false
 		}
 		var err error
 		switch name {
 		case "args":
-			args, err = strs(v, 256)
+			args, err = stringList(v, 256)
 		case "inputs":
-			t.job.Inputs, err = strs(v, 16)
+			t.job.Inputs, err = stringList(v, 16)
 		case "rerunnable":
 			var on bool
 			on, err = boolean(v)
 			rerunnable = &on
 		default:
-			err = f.attribute(t, name, v)
+			err = f.setAttribute(t, name, v)
 		}
 		if err != nil {
 			bad = invalid(name, err.Error())
@@ -176,7 +176,7 @@
 		if *rerunnable {
 			return nil, invalid("rerunnable", "a job of this category must never run twice")
 		}
-		return nil, &fault{"UNSUPPORTED_ATTRIBUTE", "rerunnable", "jobs of this category may be repeated, where their boxes drop the repeat"}
+		return nil, &argumentError{"UNSUPPORTED_ATTRIBUTE", "rerunnable", "jobs of this category may be repeated, where their boxes drop the repeat"}
 	}
 	if !t.start.IsZero() && t.start.Sub(now) > f.lim.MaxBatchStartDelay {
 		return nil, invalid("startTime", "further off than "+f.lim.MaxBatchStartDelay.String())
@@ -185,8 +185,8 @@
 	if t.start.After(now) {
 		begin = t.start
 	}
-	if !t.until.IsZero() {
-		switch left := t.until.Sub(begin); {
+	if !t.deadline.IsZero() {
+		switch left := t.deadline.Sub(begin); {
 		case left <= 0 && begin.After(now):
 			return nil, invalid("deadlineTime", "it is before startTime")
 		case left <= 0:
@@ -205,7 +205,7 @@
 	return v.Bool(), nil
 }
 
-func strs(v gjson.Result, most int) ([]string, error) {
+func stringList(v gjson.Result, most int) ([]string, error) {
 	if !v.IsArray() {
 		return nil, errors.New("not a list of strings")
 	}
@@ -221,22 +221,22 @@
 	return out, nil
 }
 
-func whole(v gjson.Result, least, most float64) (int, error) {
+func wholeNumber(v gjson.Result, least, most float64) (int, error) {
 	if v.Type != gjson.Number || v.Num != math.Trunc(v.Num) || v.Num < least || v.Num > most {
 		return 0, fmt.Errorf("not a whole number from %.0f to %.0f", least, most)
 	}
 	return int(v.Num), nil
 }
 
-// attribute takes in one attribute.
-func (f *Front) attribute(t *template, name string, v gjson.Result) error {
+// setAttribute takes in one setAttribute.
+func (f *Front) setAttribute(t *template, name string, v gjson.Result) error {
 	switch name {
 	case "jobName", "jobCategory", "accountingId", "remoteCommand", "deadlineTime", "startTime", "payload", "idempotencyKey":
 		if v.Type != gjson.String {
 			return errors.New("not a string")
 		}
 	case "minSlots", "maxSlots", "minPhysMemory":
-		if _, err := whole(v, 1, 1024); err != nil {
+		if _, err := wholeNumber(v, 1, 1024); err != nil {
 			return err
 		}
 	case "submitAsHold", "priority":
@@ -269,17 +269,17 @@
 		if !http1.IsVisibleASCII(v.Str) || len(v.Str) > 256 {
 			return errors.New("not a word of 1 to 256 visible characters")
 		}
-		t.job.IdempotencyKey, t.same = v.Str, v.Str
+		t.job.IdempotencyKey, t.idempotencyKey = v.Str, v.Str
 	case "payload":
 		t.job.Body = []byte(v.Str)
 	case "deadlineTime":
-		t.until, err = moment(v.Str)
+		t.deadline, err = parseTime(v.Str)
 	case "startTime":
-		t.start, err = moment(v.Str)
+		t.start, err = parseTime(v.Str)
 	case "submitAsHold":
 		t.hold, err = boolean(v)
 	case "priority":
-		t.priority, err = whole(v, -mostPriority, mostPriority)
+		t.priority, err = wholeNumber(v, -maxPriority, maxPriority)
 	case "minSlots", "maxSlots":
 		if t.job.Slots > 1 && t.job.Slots != v.Num {
 			return errors.New("minSlots and maxSlots differ")
@@ -291,7 +291,7 @@
 	return err
 }
 
-func moment(text string) (time.Time, error) {
+func parseTime(text string) (time.Time, error) {
 	at, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
 		return at, errors.New("not a time as RFC 3339 has it")
@@ -299,8 +299,8 @@
 	return at, nil
 }
 
-// member is the template of an array's member: the index takes the placeholder's place.
-func (t *template) member(index int) node.Job {
+// memberJob is the template of an array's memberJob: the index takes the placeholder's place.
+func (t *template) memberJob(index int) node.Job {
 	j, text := t.job, strconv.Itoa(index)
 	j.Target = strings.ReplaceAll(j.Target, placeholder, text)
 	if len(j.Body) > 0 {
--- a/internal/batch/wait.go
+++ b/internal/batch/wait.go
@@ -20,7 +20,7 @@
 		return r
 	}
 	if _, _, ok := f.visible(ctx, session, id); !ok {
-		return unknown(id)
+		return unknownJob(id)
 	}
 	got, timeout := f.waitFor(ctx, []string{id}, started, most)
 	switch {
@@ -29,11 +29,11 @@
 	case timeout:
 		_, rec, ok := f.find(ctx, id)
 		if !ok {
-			return unknown(id)
+			return unknownJob(id)
 		}
-		return state(504, "TIMEOUT", rec, "the job is not there yet")
+		return jobError(504, "TIMEOUT", rec, "the job is not there yet")
 	}
-	return f.answer(200, *got)
+	return f.jobResponse(200, *got)
 }
 
 func (f *Front) waitQuery(target string) (q url.Values, most time.Duration, started bool, bad http1.Response) {
@@ -44,24 +44,24 @@
 	}
 	started, most, x := f.waitArgs(q.Get("for"), q.Get("timeoutMs"))
 	if x != nil {
-		return nil, 0, false, refuse(x)
+		return nil, 0, false, invalidArgument(x)
 	}
 	return q, most, started, http1.Response{}
 }
 
-func (f *Front) waitArgs(what, timeout string) (started bool, most time.Duration, bad *fault) {
+func (f *Front) waitArgs(what, timeout string) (started bool, most time.Duration, bad *argumentError) {
 	switch what {
 	case "", "terminated":
 	case "started":
 		started = true
 	default:
-		return false, 0, &fault{"INVALID_ARGUMENT", "for", "neither started nor terminated"}
+		return false, 0, &argumentError{"INVALID_ARGUMENT", "for", "neither started nor terminated"}
 	}
 	most = f.lim.MaxBatchWait
 	if timeout != "" {
 		ms, err := strconv.ParseUint(timeout, 10, 31)
 		if err != nil {
-			return false, 0, &fault{"INVALID_ARGUMENT", "timeoutMs", "not a whole number of milliseconds"}
+			return false, 0, &argumentError{"INVALID_ARGUMENT", "timeoutMs", "not a whole number of milliseconds"}
 		}
 		most = min(most, time.Duration(ms)*time.Millisecond)
 	}
@@ -76,17 +76,17 @@
 	for {
 		// The channel comes first: a change after a look wakes, and one before it is seen.
 		f.events.mu.Lock()
-		var more <-chan struct{} = f.events.grown
+		var more <-chan struct{} = f.events.added
 		f.events.mu.Unlock()
 		var single <-chan struct{}
 		for _, id := range ids {
 			j, r, ok := f.find(ctx, id)
-			if ok && (r.State.over() || r.State == Undetermined || started && r.State == Running) {
+			if ok && (r.State.final() || r.State == Undetermined || started && r.State == Running) {
 				return &r, false
 			}
 			if j != nil && len(ids) == 1 {
 				_, single = j.watch()
-				if r = j.record(); r.State.over() || started && r.State == Running {
+				if r = j.record(); r.State.final() || started && r.State == Running {
 					return &r, false
 				}
 			}
@@ -104,25 +104,25 @@
 	}
 }
 
-const mostWaited = 1000
+const maxWaitIDs = 1000
 
 // waitAny answers once one of many jobs has started or ended (waitAnyStarted, waitAnyTerminated).
 func (f *Front) waitAny(ctx context.Context, session string, body []byte) http1.Response {
-	if nested(body) > 4 || !gjson.ValidBytes(body) || !gjson.ParseBytes(body).IsObject() {
+	if nestingDepth(body) > 4 || !gjson.ValidBytes(body) || !gjson.ParseBytes(body).IsObject() {
 		return problem(400, "INVALID_ARGUMENT", "body", "not an object of valid JSON")
 	}
 	v := gjson.ParseBytes(body)
-	ids, err := strs(v.Get("jobs"), mostWaited)
+	ids, err := stringList(v.Get("jobs"), maxWaitIDs)
 	if err != nil || len(ids) == 0 {
-		return problem(400, "INVALID_ARGUMENT", "jobs", fmt.Sprintf("not a list of 1 to %d ids", mostWaited))
+		return problem(400, "INVALID_ARGUMENT", "jobs", fmt.Sprintf("not a list of 1 to %d ids", maxWaitIDs))
 	}
 	started, most, bad := f.waitArgs(v.Get("for").String(), v.Get("timeoutMs").Raw)
 	if bad != nil {
-		return refuse(bad)
+		return invalidArgument(bad)
 	}
 	for _, id := range ids {
 		if _, _, ok := f.visible(ctx, session, id); !ok {
-			return unknown(id)
+			return unknownJob(id)
 		}
 	}
 	r, timeout := f.waitFor(ctx, ids, started, most)
@@ -132,5 +132,5 @@
 	case r == nil:
 		return http1.Response{Status: 503, Close: true}
 	}
-	return f.answer(200, *r)
+	return f.jobResponse(200, *r)
 }
