--- a/cmd/gatetack/process_control.go
+++ b/cmd/gatetack/process_control.go
@@ -128,7 +128,7 @@
 	cfg := p.config
 	source := discovery.New(cfg.Discovery, cfg.Known.Index, !cfg.Settings.PollsList, cfg.Limits,
 		p.core, p.core.SlowPeers(), p.log)
-	reloads := &reloader{applier: p.applier, file: p.file, move: source.SetAddress, log: p.log}
+	reloads := &reloader{applier: p.applier, file: p.file, setDiscovery: source.SetAddress, log: p.log}
 	p.lifetime.start(func(ctx context.Context) error {
 		reloads.run(ctx, hup)
 		return nil
--- a/cmd/gatetack/process_fronts.go
+++ b/cmd/gatetack/process_fronts.go
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// followDrain applies the core's drain state to the clients' front until the node shuts down, when leave takes over.
+// followDrain applies the core's drain state to the clients' front until the node shuts down, when shutDown takes over.
 // While the node is drained, each response closes its connection and idle connections are closed, so that clients go
 // to other nodes; requests in progress are answered first.
 func followDrain(ctx context.Context, core *node.Core, front *http1.Server, interval time.Duration) {
--- a/cmd/gatetack/reload.go
+++ b/cmd/gatetack/reload.go
@@ -12,10 +12,10 @@
 // classes, tenants, attempts, fees and priority weights and switches to the configured discovery. It also runs while
 // the node shuts down. An invalid file changes nothing.
 type reloader struct {
-	applier *settingsApplier
-	file    *config.File
-	move    func(discovery string)
-	log     *slog.Logger
+	applier      *settingsApplier
+	file         *config.File
+	setDiscovery func(discovery string)
+	log          *slog.Logger
 }
 
 // run reloads the configuration on each signal until the context ends.
@@ -55,6 +55,6 @@
 	}
 	r.log.Info("reload", "discovery", next.Discovery, "was", previous.Discovery, "retuned", changed,
 		"classes", next.Names.Classes)
-	r.move(next.Discovery)
+	r.setDiscovery(next.Discovery)
 	return nil
 }
--- a/cmd/gatetack/shutdown.go
+++ b/cmd/gatetack/shutdown.go
@@ -8,8 +8,8 @@
 	"gatetack/internal/http1"
 )
 
-// quietPollInterval is the interval at which a process that shuts down checks for open requests and connections.
-const quietPollInterval = 10 * time.Millisecond
+// idlePollInterval is the interval at which a process that shuts down checks for open requests and connections.
+const idlePollInterval = 10 * time.Millisecond
 
 // shutDown shuts the process down gracefully. It serves until nothing is open and no new request arrives, releases the
 // partitions and actors that it owns in the store, and closes the fronts.
@@ -26,7 +26,7 @@
 		p.batch.front.Drain()
 		p.batch.server.Drain()
 	}
-	p.awaitQuiet(ctx)
+	p.awaitIdle(ctx)
 	failpoint.At(failpoint.Leave)
 	if p.batch != nil && p.batch.owner != nil {
 		p.releaseOwned(ctx)
@@ -55,14 +55,14 @@
 	}
 }
 
-// awaitQuiet returns once nothing is open and no new request has arrived for QuietPeriod. Clients use their
+// awaitIdle returns once nothing is open and no new request has arrived for QuietPeriod. Clients use their
 // connections as long as these are open, and open new ones elsewhere, if they can. The clients' front therefore serves
 // until the process may be killed; only then are requests rejected and idle connections closed. Closing idle
 // connections at once would lose all requests of a client that knows a single node, from the signal to the next start
 // of the node.
-func (p *process) awaitQuiet(ctx context.Context) {
+func (p *process) awaitIdle(ctx context.Context) {
 	notified, rejecting := time.Now(), false
-	tick := time.NewTicker(quietPollInterval)
+	tick := time.NewTicker(idlePollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -76,7 +76,7 @@
 			p.clients.Drain()
 			p.core.ShutDown(notified)
 		}
-		if p.isQuiet(notified) {
+		if p.isIdle(notified) {
 			return
 		}
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// isQuiet reports whether nothing is open and the last activity is at least QuietPeriod ago.
-func (p *process) isQuiet(notified time.Time) bool {
+// isIdle reports whether nothing is open and the last activity is at least QuietPeriod ago.
+func (p *process) isIdle(notified time.Time) bool {
 	servers := []*http1.Server{p.clients}
 	if p.batch != nil {
 		servers = append(servers, p.batch.server)
--- a/internal/clockcheck/allowed_test.go
+++ b/internal/clockcheck/allowed_test.go
@@ -29,7 +29,7 @@
 	"batch.Record.Row":          "ages that are shown and filtered by, of records that outlive the process",
 	"pki.Issue":                 "validity of certificates",
 	"inventory.Source.storeHas": "times of files, compared with one another",
-	"inventory.Source.shared":   "times of files, compared with one another",
+	"inventory.Source.adopt":    "times of files, compared with one another",
 	"batch.predecessor":         "incarnations of a node in a cursor, told apart and ordered",
 	"lease.Manager.Step":        "incarnations of a node, ordered; one whose clock was set back is moved on",
 	"lease.Manager.advance":     "incarnations of a node, ordered; one whose clock was set back is moved on",
@@ -41,5 +41,5 @@
 	"http1.MinRateConn.beginWrite": "a bound may be that of 1970",
 	"http1.MinRateConn.armRead":    "a bound may be that of 1970",
 	"http1.earlierDeadline":        "a bound may be that of 1970; the others keep their monotonic reading",
-	"http1.judgeTimeout":           "a bound may be that of 1970; the others keep their monotonic reading",
+	"http1.timeoutError":           "a bound may be that of 1970; the others keep their monotonic reading",
 }
--- a/internal/config/pairs.go
+++ b/internal/config/pairs.go
@@ -13,7 +13,7 @@
 	switch {
 	case v.IsObject():
 		v.ForEach(func(key, item gjson.Result) bool {
-			flatten(pairs, below(path, key.String()), item)
+			flatten(pairs, joinPath(path, key.String()), item)
 			return true
 		})
 	case v.IsArray():
@@ -26,9 +26,9 @@
 
 func flattenList(pairs map[string]string, path string, items []gjson.Result) {
 	if len(items) > 0 && (items[0].IsObject() || items[0].IsArray()) {
-		pairs[below(path, "count")] = strconv.Itoa(len(items))
+		pairs[joinPath(path, "count")] = strconv.Itoa(len(items))
 		for i, item := range items {
-			flatten(pairs, below(path, strconv.Itoa(i)), item)
+			flatten(pairs, joinPath(path, strconv.Itoa(i)), item)
 		}
 		return
 	}
@@ -39,8 +39,8 @@
 	pairs[path] = strings.Join(texts, ",")
 }
 
-// below returns the path of a key of the object at path.
-func below(path, key string) string {
+// joinPath returns the path of a key of the object at path.
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
--- a/internal/filter/predicate.go
+++ b/internal/filter/predicate.go
@@ -108,7 +108,7 @@
 		}
 		return func(value any, _ time.Time) bool {
 			got, ok := value.(time.Duration)
-			return holds(operator, ok, cmp.Compare(got, want))
+			return isSatisfied(operator, ok, cmp.Compare(got, want))
 		}, nil
 	case Time:
 		want, ok := v.time()
@@ -117,7 +117,7 @@
 		}
 		return func(value any, now time.Time) bool {
 			got, ok := value.(time.Time)
-			return holds(operator, ok && !got.IsZero(), got.Compare(want(now)))
+			return isSatisfied(operator, ok && !got.IsZero(), got.Compare(want(now)))
 		}, nil
 	}
 	return f.textComparison(operator, v)
@@ -133,7 +133,7 @@
 	}
 	return func(value any, _ time.Time) bool {
 		got, ok := value.(float64)
-		return holds(operator, ok, compareNumbers(got, want))
+		return isSatisfied(operator, ok, compareNumbers(got, want))
 	}, nil
 }
 
@@ -181,9 +181,9 @@
 	return &Error{v.Pos.Column, fmt.Sprintf("%s is compared with %s", f.Name, want)}
 }
 
-// holds reports whether an operator is satisfied by two values that compare as order. An absent value satisfies only
-// !=.
-func holds(operator string, present bool, order int) bool {
+// isSatisfied reports whether an operator is satisfied by two values that compare as order. An absent value satisfies
+// only !=.
+func isSatisfied(operator string, present bool, order int) bool {
 	if !present {
 		return operator == "!="
 	}
--- a/internal/http1/accept.go
+++ b/internal/http1/accept.go
@@ -148,8 +148,8 @@
 	tcpinfo.SetUserTimeout(accepted, s.limits.SlowPeers.UserTimeout)
 	c := newConn(accepted, &s.limits)
 	// A connection over the budget, with all others busy, gets a single response. A connection over the overflow
-	// reserve as well is rejected as soon as its request has arrived, so its client does not wait in vain. Leaving it
-	// in the accept queue would not help: the kernel takes a request there as well.
+	// reserve as well is rejected as soon as its request has arrived, so its client does not wait. Leaving it
+	// in the accept queue would not help: the kernel receives the request there as well.
 	s.admit(c)
 	return c
 }
--- a/internal/http1/arrivals.go
+++ b/internal/http1/arrivals.go
@@ -57,10 +57,10 @@
 		a.marks = a.marks[:0]
 		return time.Time{}
 	}
-	at, gone := a.marks[last].at, last
+	at, dropped := a.marks[last].at, last
 	if a.marks[last].end == a.consumed {
-		gone++
+		dropped++
 	}
-	a.marks = append(a.marks[:0], a.marks[gone:]...)
+	a.marks = append(a.marks[:0], a.marks[dropped:]...)
 	return at
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -244,8 +244,8 @@
 	left()
 }
 
-// serveUntilDisconnect starts a server whose handler blocks until the client of the request disconnects. began receives a
-// value when a request starts; left waits until a request has ended in this way.
+// serveUntilDisconnect starts a server whose handler blocks until the client of the request disconnects. began
+// receives a value when a request starts; left waits until a request has ended in this way.
 func serveUntilDisconnect(t *testing.T) (addr string, began chan bool, left func()) {
 	began, gone := make(chan bool, 100), make(chan bool, 100)
 	_, addr = serve(t, lim, func(ctx context.Context, _ *Message) Response {
--- a/internal/http1/minrate.go
+++ b/internal/http1/minrate.go
@@ -133,9 +133,9 @@
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &slow) || errors.Is(err, syscall.EAGAIN)
 }
 
-// judgeTimeout returns the error of a call that ended at its deadline: slow if the peer is below the minimum rate, or
+// timeoutError returns the error of a call that ended at its deadline: slow if the peer is below the minimum rate, or
 // timeout if the bound has passed. It returns nil if neither applies, since both may have moved while the call waited.
-func judgeTimeout(bound time.Time, m *slowpeer.Meter, slow slowpeer.Error, now time.Time, timeout error) error {
+func timeoutError(bound time.Time, m *slowpeer.Meter, slow slowpeer.Error, now time.Time, timeout error) error {
 	if m.Check(now) == slowpeer.Disconnect {
 		slow.Bytes, slow.Rate = m.Throughput(now)
 		return &slow
@@ -192,7 +192,7 @@
 		return timeout
 	}
 	slow := slowpeer.Error{Direction: "in", MinRate: c.receive.minRate.BytesPerSecond}
-	err := judgeTimeout(c.receive.bound, &c.receive.meter, slow, time.Now(), timeout)
+	err := timeoutError(c.receive.bound, &c.receive.meter, slow, time.Now(), timeout)
 	if err == nil {
 		c.armRead()
 	}
@@ -265,7 +265,7 @@
 	now := time.Now()
 	unacknowledged := c.observeAcknowledged(now)
 	slow := slowpeer.Error{Direction: "out", MinRate: c.send.minRate.BytesPerSecond, Pending: unacknowledged + rest}
-	return judgeTimeout(c.send.bound, &c.send.meter, slow, now, err)
+	return timeoutError(c.send.bound, &c.send.meter, slow, now, err)
 }
 
 // observeAcknowledged counts newly acknowledged bytes as progress and returns the number of unacknowledged bytes. The
--- a/internal/http1/ordering_test.go
+++ b/internal/http1/ordering_test.go
@@ -16,8 +16,8 @@
 	"gatetack/internal/tcpinfo"
 )
 
-// pipelinedBytesRead reports whether the reader of the server's only connection has read bytes behind the request in progress and
-// the kernel holds no more.
+// pipelinedBytesRead reports whether the reader of the server's only connection has read bytes behind the request in
+// progress and the kernel holds no more.
 func pipelinedBytesRead(s *Server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/inventory/share.go
+++ b/internal/inventory/share.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// shared adopts the inventory in the store if another node wrote it and it is later than the current one. It reports
-// whether the entries have changed.
-func (s *Source) shared() bool {
+// adopt takes the inventory from the store if another node wrote it and it is later than the current one. It
+// reports whether the entries have changed.
+func (s *Source) adopt() bool {
 	raw, ok := s.store.Local(storeTable, storeKey)
 	if !ok || bytes.Equal(raw, s.stored) {
 		return false
--- a/internal/inventory/source.go
+++ b/internal/inventory/source.go
@@ -140,7 +140,7 @@
 		s.offer(out)
 		return true
 	}
-	return s.store != nil && s.shared()
+	return s.store != nil && s.adopt()
 }
 
 // offer passes the entries to the goroutine that shares them and replaces an inventory that is still waiting there.
