--- a/internal/leaseholder/fence.go
+++ b/internal/leaseholder/fence.go
@@ -12,7 +12,7 @@
 	"gatetack/internal/store"
 )
 
-// ErrNotOwner reports that this node does not own a partition, or no longer. Nothing was written.
+// ErrNotOwner reports that this node does not own a partition, or no longer owns it. Nothing was written.
 var ErrNotOwner = errors.New("partition owned by another node")
 
 // partitionOf returns the partition of changes: the partition of the job that they belong to, or this incarnation's own
--- a/internal/site/emulator_test.go
+++ b/internal/site/emulator_test.go
@@ -128,7 +128,8 @@
 func simulate(sc scenario, policy string, seed uint64) result {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	zones := len(sc.slots)
-	w := &simulation{rng: rng, availableAt: map[ID]map[int]float64{}, size: map[ID]float64{}, downUntil: make([]float64, zones)}
+	w := &simulation{rng: rng, availableAt: map[ID]map[int]float64{}, size: map[ID]float64{},
+		downUntil: make([]float64, zones)}
 	slots := 0
 	for h, n := range sc.slots {
 		w.free = append(w.free, make([]float64, n))
@@ -318,16 +319,24 @@
 }
 
 var scenarios = []scenario{
-	{name: "small zones, 1 Gbit/s", slots: []int{6, 6, 6, 6}, rate: 125e3, load: 0.6, scenes: 40, minBytes: 10e6, maxBytes: 2e9, reportDelay: 1500, lostZone: -1, nodes: 5, oneNodeShare: 0.7},
-	{name: "uneven zones, 10 Gbit/s", slots: []int{6, 30, 12, 100}, rate: 1250e3, load: 0.7, scenes: 200, minBytes: 10e6, maxBytes: 20e9, reportDelay: 1500, lostZone: -1, nodes: 5, oneNodeShare: 0.7},
-	{name: "rate increases 2.5 times", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.4, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, rateFactor: 2.5, lostZone: -1, nodes: 5, oneNodeShare: 0.2},
-	{name: "zone lost", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.5, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, lostZone: 2, nodes: 5, oneNodeShare: 0.2},
-	{name: "popular data set", slots: []int{20, 20, 20, 20}, rate: 250e3, load: 0.7, scenes: 100, minBytes: 100e6, maxBytes: 2e9, reportDelay: 1500, lostZone: -1, hotScene: true, nodes: 5, oneNodeShare: 0.2},
-	{name: "10% of the catalogue wrong", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.6, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, lostZone: -1, wrongShare: 0.1, nodes: 5, oneNodeShare: 0.2},
-	{name: "inputs in two zones", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.6, scenes: 100, minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, lostZone: -1, twoInputs: true, nodes: 5, oneNodeShare: 0.2},
+	{name: "small zones, 1 Gbit/s", slots: []int{6, 6, 6, 6}, rate: 125e3, load: 0.6, scenes: 40, minBytes: 10e6,
+		maxBytes: 2e9, reportDelay: 1500, lostZone: -1, nodes: 5, oneNodeShare: 0.7},
+	{name: "uneven zones, 10 Gbit/s", slots: []int{6, 30, 12, 100}, rate: 1250e3, load: 0.7, scenes: 200,
+		minBytes: 10e6, maxBytes: 20e9, reportDelay: 1500, lostZone: -1, nodes: 5, oneNodeShare: 0.7},
+	{name: "rate increases 2.5 times", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.4, scenes: 100,
+		minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, rateFactor: 2.5, lostZone: -1, nodes: 5, oneNodeShare: 0.2},
+	{name: "zone lost", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.5, scenes: 100, minBytes: 10e6,
+		maxBytes: 5e9, reportDelay: 1500, lostZone: 2, nodes: 5, oneNodeShare: 0.2},
+	{name: "popular data set", slots: []int{20, 20, 20, 20}, rate: 250e3, load: 0.7, scenes: 100, minBytes: 100e6,
+		maxBytes: 2e9, reportDelay: 1500, lostZone: -1, hotScene: true, nodes: 5, oneNodeShare: 0.2},
+	{name: "10% of the catalogue wrong", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.6, scenes: 100,
+		minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, lostZone: -1, wrongShare: 0.1, nodes: 5, oneNodeShare: 0.2},
+	{name: "inputs in two zones", slots: []int{20, 20, 20, 20}, rate: 1250e3, load: 0.6, scenes: 100,
+		minBytes: 10e6, maxBytes: 5e9, reportDelay: 1500, lostZone: -1, twoInputs: true, nodes: 5, oneNodeShare: 0.2},
 }
 
-var baselines = []string{"fewest missing bytes", "shortest wait", "wait and crossing price", "better of two random zones"}
+var baselines = []string{"fewest missing bytes", "shortest wait",
+	"wait and crossing price", "better of two random zones"}
 
 // In every scenario the mean time until a job is done is below that of each baseline, and close to that of a policy
 // that knows the actual state.
@@ -343,7 +352,8 @@
 				r.swing += x.swing / 3
 			}
 			if *printFigures {
-				t.Logf("%-32s %-20s mean %7.0f ms, 99%% %8.0f, in time %.3f, moved %6.1f GB, swing %.3f", sc.name, policy, r.mean, r.p99, r.onTime, r.moved/1e9, r.swing)
+				t.Logf("%-32s %-20s mean %7.0f ms, 99%% %8.0f, in time %.3f, moved %6.1f GB, swing %.3f",
+					sc.name, policy, r.mean, r.p99, r.onTime, r.moved/1e9, r.swing)
 			}
 			return r
 		}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -69,7 +69,8 @@
 
 // New returns a Site of zones zones, with a catalogue of at most maxSets data sets.
 func New(zones, maxSets int) *Site {
-	return &Site{Catalogue: NewCatalogue(maxSets), Zones: make([]Zone, zones), ReportPeriod: 1000, FleetShare: 1, arrivals: map[transfer]float64{}}
+	return &Site{Catalogue: NewCatalogue(maxSets), Zones: make([]Zone, zones), ReportPeriod: 1000, FleetShare: 1,
+		arrivals: map[transfer]float64{}}
 }
 
 // Input is a data set that a job needs.
@@ -249,7 +250,8 @@
 		}
 		if ms, from := s.source(size, at, c.Zone, &alone, now); from >= 0 {
 			// All other nodes are assumed to use the link like this one.
-			s.Links.busy[from][c.Zone] = max(now, s.Links.busy[from][c.Zone]) + size/s.Links.Rate[from][c.Zone]/max(s.FleetShare, 0.01)
+			s.Links.busy[from][c.Zone] = max(now, s.Links.busy[from][c.Zone]) +
+				size/s.Links.Rate[from][c.Zone]/max(s.FleetShare, 0.01)
 			s.arrivals[transfer{in.ID, c.Zone}] = now + ms
 		}
 	}
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -43,26 +43,33 @@
 		err  bool
 	}{
 		{"zone that has the data", func(s *Site) { s.Catalogue.Add(big, 10e6, 1) }, job(big), 1, false},
-		{"wait at the data longer than the transfer", func(s *Site) { s.Catalogue.Add(small, 1e6, 1); s.UpdateZone(1, 4, 1, 8000, 1) }, job(small), 0, false},
-		{"wait at the data shorter than the transfer", func(s *Site) { s.Catalogue.Add(big, 10e6, 1); s.UpdateZone(1, 4, 1, 3000, 1) }, job(big), 1, false},
-		{"inputs in two zones: zone with most of the bytes", func(s *Site) { s.Catalogue.Add(big, 10e6, 2); s.Catalogue.Add(small, 1e6, 1) }, job(big, small), 2, false},
+		{"wait at the data longer than the transfer",
+			func(s *Site) { s.Catalogue.Add(small, 1e6, 1); s.UpdateZone(1, 4, 1, 8000, 1) }, job(small), 0, false},
+		{"wait at the data shorter than the transfer",
+			func(s *Site) { s.Catalogue.Add(big, 10e6, 1); s.UpdateZone(1, 4, 1, 3000, 1) }, job(big), 1, false},
+		{"inputs in two zones: zone with most of the bytes",
+			func(s *Site) { s.Catalogue.Add(big, 10e6, 2); s.Catalogue.Add(small, 1e6, 1) }, job(big, small), 2, false},
 		{"unreachable zone gets no job", func(s *Site) {
 			s.Catalogue.Add(big, 10e6, 1)
 			s.Catalogue.Add(big, 10e6, 1, 2)
 			s.Zones[1].Unreachable = true
 		}, job(big), 2, false},
-		{"slow zone without a wait is avoided", func(s *Site) { s.Catalogue.Add(small, 1e5, 0, 1); s.UpdateZone(0, 4, 0.1, 0, 1) }, job(small), 1, false},
-		{"no wait for data beyond the deadline", func(s *Site) { s.Catalogue.Add(big, 10e6, 1); s.UpdateZone(1, 4, 1, 60000, 1) },
+		{"slow zone without a wait is avoided",
+			func(s *Site) { s.Catalogue.Add(small, 1e5, 0, 1); s.UpdateZone(0, 4, 0.1, 0, 1) }, job(small), 1, false},
+		{"no wait for data beyond the deadline",
+			func(s *Site) { s.Catalogue.Add(big, 10e6, 1); s.UpdateZone(1, 4, 1, 60000, 1) },
 			func() Job { j := job(big); j.TimeLeft = 3000; return j }(), 0, true},
 		{"job that may have run is not moved to a better zone", func(s *Site) { s.Catalogue.Add(big, 10e6, 1) },
 			func() Job { j := job(big); j.Pinned = 0; return j }(), 0, false},
 		{"job needs more slots than any zone has", func(*Site) {}, Job{Work: 1, Slots: 9, Pinned: -1}, -1, true},
-		{"data set found missing in a listed zone", func(s *Site) { s.Catalogue.Add(big, 10e6, 1, 2); s.Catalogue.MarkMissing(big, 1, 10) }, job(big), 2, false},
+		{"data set found missing in a listed zone",
+			func(s *Site) { s.Catalogue.Add(big, 10e6, 1, 2); s.Catalogue.MarkMissing(big, 1, 10) }, job(big), 2, false},
 	} {
 		s := newTestSite()
 		x.set(s)
 		c, err := s.Choose(x.job, 20)
-		if none := (*NoZoneError)(nil); errors.As(err, &none) != x.err || !x.err && c.Zone != x.want || x.want < 0 && c.Zone >= 0 {
+		if none := (*NoZoneError)(nil); errors.As(err, &none) != x.err || !x.err && c.Zone != x.want ||
+			x.want < 0 && c.Zone >= 0 {
 			t.Errorf("%s: zone %d, error %v; want zone %d (%s)", x.name, c.Zone, err, x.want, c.Reason())
 		}
 	}
@@ -142,19 +149,22 @@
 					model[id] = map[int]bool{zone: true}
 				}
 			case 1:
-				s.UpdateZone(zone, float64(rapid.IntRange(0, 6).Draw(t, "slots")), 1, float64(rapid.IntRange(0, 9000).Draw(t, "wait")), now)
+				s.UpdateZone(zone, float64(rapid.IntRange(0, 6).Draw(t, "slots")), 1,
+					float64(rapid.IntRange(0, 9000).Draw(t, "wait")), now)
 			case 2:
 				s.Zones[zone].Unreachable = rapid.Bool().Draw(t, "cut")
 			case 3, 4:
-				j := Job{Inputs: []Input{{ID: id}}, Work: 500, Slots: float64(rapid.IntRange(1, 3).Draw(t, "wide")), Objective: 3000,
-					TimeLeft: float64(rapid.IntRange(0, 9000).Draw(t, "left")), Pinned: rapid.IntRange(-1, 2).Draw(t, "pinned")}
+				j := Job{Inputs: []Input{{ID: id}}, Work: 500, Slots: float64(rapid.IntRange(1, 3).Draw(t, "wide")),
+					Objective: 3000,
+					TimeLeft:  float64(rapid.IntRange(0, 9000).Draw(t, "left")), Pinned: rapid.IntRange(-1, 2).Draw(t, "pinned")}
 				c, err := s.Choose(j, now)
 				if err != nil {
 					continue
 				}
-				h := s.Zones[c.Zone]
-				if h.Unreachable || h.Slots < j.Slots || j.Pinned >= 0 && c.Zone != j.Pinned || j.TimeLeft > 0 && c.Costs[0].Total > j.TimeLeft {
-					t.Fatalf("%+v sent to unsuitable zone %+v: %s", j, h, c.Reason())
+				z := s.Zones[c.Zone]
+				if z.Unreachable || z.Slots < j.Slots || j.Pinned >= 0 && c.Zone != j.Pinned ||
+					j.TimeLeft > 0 && c.Costs[0].Total > j.TimeLeft {
+					t.Fatalf("%+v sent to unsuitable zone %+v: %s", j, z, c.Reason())
 				}
 				if p := c.Prices(3); p[c.Zone] != 0 || p[0] < 0 || p[1] < 0 || p[2] < 0 {
 					t.Fatalf("prices %v of %s", p, c.Reason())
@@ -213,7 +223,8 @@
 			now := 0.0
 			for i := 0; b.Loop(); i++ {
 				now++
-				j := Job{Inputs: []Input{{ID: ids[i%n]}, {ID: ids[(i*7)%n]}, {ID: ids[(i*13)%n]}}, Work: 1000, Slots: 1, Objective: 5000, Pinned: -1}
+				j := Job{Inputs: []Input{{ID: ids[i%n]}, {ID: ids[(i*7)%n]}, {ID: ids[(i*13)%n]}}, Work: 1000, Slots: 1,
+					Objective: 5000, Pinned: -1}
 				c, _ := s.Choose(j, now)
 				s.Ended(j, c, true, now)
 			}
--- a/internal/slowpeer/acks.go
+++ b/internal/slowpeer/acks.go
@@ -63,43 +63,43 @@
 
 // Sent records that the last byte of a job was sent to an executor.
 func (a *AckTracker) Sent(executor string, now time.Time) {
-	b := a.executors[executor]
-	if b == nil {
-		b = &ackHistory{}
-		a.executors[executor] = b
+	history := a.executors[executor]
+	if history == nil {
+		history = &ackHistory{}
+		a.executors[executor] = history
 	}
-	b.pending++
-	b.lastSeen = now
+	history.pending++
+	history.lastSeen = now
 }
 
 // Timeout returns how long an executor may take to acknowledge a job before it is late.
 func (a *AckTracker) Timeout(executor string) time.Duration {
 	bound := a.all.bound()
-	if b := a.executors[executor]; b != nil {
-		bound = max(bound, b.own.bound())
+	if history := a.executors[executor]; history != nil {
+		bound = max(bound, history.own.bound())
 	}
-	due := time.Duration(a.rule.BoundMultiple * bound * float64(time.Second))
-	return min(max(due, a.rule.MinTimeout), a.rule.MaxTimeout)
+	timeout := time.Duration(a.rule.BoundMultiple * bound * float64(time.Second))
+	return min(max(timeout, a.rule.MinTimeout), a.rule.MaxTimeout)
 }
 
 // Overdue records that a job was not acknowledged within the timeout. It returns Restrict if the executor is late while
 // most others are not. Otherwise it returns Keep, and the caller calls Overdue again after another timeout. Counted
 // tells whether Overdue was called for this job before.
 func (a *AckTracker) Overdue(executor string, counted bool, now time.Time) Verdict {
-	b := a.executors[executor]
-	if b == nil {
+	history := a.executors[executor]
+	if history == nil {
 		return Keep
 	}
 	if !counted {
-		b.late++
+		history.late++
 	}
 	late, active := 0, 0
-	for name, x := range a.executors {
+	for name, other := range a.executors {
 		switch {
-		case x.late > 0:
+		case other.late > 0:
 			late++
 			active++
-		case x.pending > 0 || now.Sub(x.lastSeen) <= a.rule.ActiveWindow:
+		case other.pending > 0 || now.Sub(other.lastSeen) <= a.rule.ActiveWindow:
 			active++
 		default:
 			delete(a.executors, name)
@@ -116,16 +116,16 @@
 // Late tells whether Overdue was called for the job.
 func (a *AckTracker) Acked(executor string, elapsed time.Duration, late bool, now time.Time) {
 	a.done(executor, late)
-	b := a.executors[executor]
-	if b == nil {
+	history := a.executors[executor]
+	if history == nil {
 		return
 	}
-	b.lastSeen = now
+	history.lastSeen = now
 	if late {
-		b.own.add(min(elapsed.Seconds(), b.own.bound()))
+		history.own.add(min(elapsed.Seconds(), history.own.bound()))
 		return
 	}
-	b.own.add(elapsed.Seconds())
+	history.own.add(elapsed.Seconds())
 	a.all.add(elapsed.Seconds())
 }
 
@@ -133,20 +133,20 @@
 func (a *AckTracker) Ended(executor string, late bool) { a.done(executor, late) }
 
 func (a *AckTracker) done(executor string, late bool) {
-	b := a.executors[executor]
-	if b == nil {
+	history := a.executors[executor]
+	if history == nil {
 		return
 	}
-	b.pending = max(0, b.pending-1)
+	history.pending = max(0, history.pending-1)
 	if late {
-		b.late = max(0, b.late-1)
+		history.late = max(0, history.late-1)
 	}
 }
 
 // LateCount returns the number of jobs whose acknowledgement by an executor is late.
 func (a *AckTracker) LateCount(executor string) int {
-	if b := a.executors[executor]; b != nil {
-		return b.late
+	if history := a.executors[executor]; history != nil {
+		return history.late
 	}
 	return 0
 }
--- a/internal/slowpeer/ledger.go
+++ b/internal/slowpeer/ledger.go
@@ -15,7 +15,7 @@
 	usage              map[K]int
 }
 
-// NewLedger returns a Ledger for a budget. Each peer may use least of it regardless of the others, as long as the
+// NewLedger returns a Ledger for a budget. Each peer may use minPerPeer of it regardless of the others, as long as the
 // budget has a free part.
 func NewLedger[K comparable](budget, minPerPeer int, alpha float64) *Ledger[K] {
 	return &Ledger[K]{budget: max(budget, 0), minPerPeer: max(minPerPeer, 0), alpha: max(alpha, 0), usage: map[K]int{}}
@@ -30,13 +30,13 @@
 // Acquire assigns n more of the budget to a peer and returns Keep. Otherwise it returns Restrict if the peer's own
 // share is used up, or Disconnect if the budget is used up, so that another connection has to be closed first.
 func (l *Ledger[K]) Acquire(peer K, n int) Verdict {
-	switch held := l.usage[peer]; {
+	switch inUse := l.usage[peer]; {
 	case n <= 0:
 		return Keep
 	case l.used+n > l.budget:
 		return Disconnect
 	// The threshold is computed from the free part before the new units are assigned, as in the paper.
-	case held > 0 && held+n > l.Limit():
+	case inUse > 0 && inUse+n > l.Limit():
 		return Restrict
 	}
 	l.usage[peer] += n
@@ -47,14 +47,14 @@
 // Release returns n of a peer's usage to the budget. A larger n than the peer's usage is an error of the caller; the
 // Ledger then releases only the usage, so that the budget does not grow.
 func (l *Ledger[K]) Release(peer K, n int) {
-	held := l.usage[peer]
-	n = min(max(n, 0), held)
+	inUse := l.usage[peer]
+	n = min(max(n, 0), inUse)
 	l.used -= n
-	if held == n {
+	if inUse == n {
 		delete(l.usage, peer)
 		return
 	}
-	l.usage[peer] = held - n
+	l.usage[peer] = inUse - n
 }
 
 // Usage returns how much of the budget a peer uses.
@@ -76,13 +76,13 @@
 
 // Largest returns the peer with the largest usage, which is disconnected first when the budget is used up. Peers with
 // the same usage are ordered by less, so that the result does not depend on the iteration order of a map.
-func (l *Ledger[K]) Largest(less func(a, b K) bool) (peer K, held int) {
+func (l *Ledger[K]) Largest(less func(a, b K) bool) (peer K, inUse int) {
 	for k, n := range l.usage {
-		if n > held || n == held && held > 0 && less(k, peer) {
-			peer, held = k, n
+		if n > inUse || n == inUse && inUse > 0 && less(k, peer) {
+			peer, inUse = k, n
 		}
 	}
-	return peer, held
+	return peer, inUse
 }
 
 // check returns an error if the Ledger is inconsistent. Tests call it.
--- a/internal/slowpeer/meter.go
+++ b/internal/slowpeer/meter.go
@@ -41,9 +41,9 @@
 	rate           MinRate
 	pressureFactor float64 // current multiple of the rate, 1 or more
 	debt           float64 // bytes; negative for credit
-	at             time.Time
+	accruedAt      time.Time
 	waiting        bool
-	moved          int64
+	bytes          int64
 	since          time.Time
 }
 
@@ -58,7 +58,7 @@
 // Start records that bytes are expected from now on. It clears the debt: a peer that was slow earlier and then had
 // nothing pending starts without a debt.
 func (m *Meter) Start(now time.Time) {
-	m.debt, m.at, m.since, m.waiting, m.moved = 0, now, now, true, 0
+	m.debt, m.accruedAt, m.since, m.waiting, m.bytes = 0, now, now, true, 0
 }
 
 // Stop records that no bytes are expected any more.
@@ -73,16 +73,16 @@
 		return
 	}
 	m.accrue(now)
-	m.moved += int64(n)
+	m.bytes += int64(n)
 	m.debt = max(m.debt-float64(n), -m.requiredRate()*m.rate.Window.Seconds())
 }
 
 // SetPressure sets the pressure on the budget, from 0 to 1: the higher, the higher the rate and the shorter the grace.
-func (m *Meter) SetPressure(full float64, now time.Time) {
+func (m *Meter) SetPressure(pressure float64, now time.Time) {
 	if m.waiting {
 		m.accrue(now)
 	}
-	m.pressureFactor = 1 + (m.rate.PressureFactor-1)*min(max(full, 0), 1)
+	m.pressureFactor = 1 + (m.rate.PressureFactor-1)*min(max(pressure, 0), 1)
 }
 
 // Deadline returns when the peer is disconnected if no more bytes are transferred, and whether a minimum rate applies.
@@ -90,13 +90,13 @@
 	if !m.waiting || m.rate.BytesPerSecond <= 0 {
 		return time.Time{}, false
 	}
-	left := m.grace()*m.requiredRate() - m.debt
-	return m.at.Add(time.Duration(left / m.requiredRate() * float64(time.Second))), true
+	allowance := m.grace()*m.requiredRate() - m.debt
+	return m.accruedAt.Add(time.Duration(allowance / m.requiredRate() * float64(time.Second))), true
 }
 
 // Check returns Disconnect if the peer has missed its deadline, and Keep otherwise.
 func (m *Meter) Check(now time.Time) Verdict {
-	if until, required := m.Deadline(); required && !now.Before(until) {
+	if deadline, required := m.Deadline(); required && !now.Before(deadline) {
 		return Disconnect
 	}
 	return Keep
@@ -105,17 +105,17 @@
 // Throughput returns the number of bytes transferred since Start and their rate per second.
 func (m *Meter) Throughput(now time.Time) (moved int64, rate float64) {
 	if span := now.Sub(m.since).Seconds(); span > 0 {
-		rate = float64(m.moved) / span
+		rate = float64(m.bytes) / span
 	}
-	return m.moved, rate
+	return m.bytes, rate
 }
 
 func (m *Meter) requiredRate() float64 { return float64(m.rate.BytesPerSecond) * m.pressureFactor }
 func (m *Meter) grace() float64        { return m.rate.Grace.Seconds() / m.pressureFactor }
 
 func (m *Meter) accrue(now time.Time) {
-	if now.After(m.at) {
-		m.debt += m.requiredRate() * now.Sub(m.at).Seconds()
-		m.at = now
+	if now.After(m.accruedAt) {
+		m.debt += m.requiredRate() * now.Sub(m.accruedAt).Seconds()
+		m.accruedAt = now
 	}
 }
--- a/internal/slowpeer/pace_test.go
+++ b/internal/slowpeer/pace_test.go
@@ -187,8 +187,8 @@
 func TestAckTrackerReportsLateExecutorsUnlessMostAreLate(t *testing.T) {
 	a, now := NewAckTracker(ackRule), epoch
 	acknowledgeJobs(a, now, 20*time.Millisecond, "a", "b", "c", "d")
-	if due := a.Timeout("a"); due != ackRule.MinTimeout {
-		t.Errorf("timeout %v, want the minimum", due)
+	if timeout := a.Timeout("a"); timeout != ackRule.MinTimeout {
+		t.Errorf("timeout %v, want the minimum", timeout)
 	}
 	for _, b := range []string{"a", "b", "c"} {
 		a.Sent(b, now)
@@ -214,8 +214,8 @@
 	a, now := NewAckTracker(ackRule), epoch
 	acknowledgeJobs(a, now, 5*time.Millisecond, "near")
 	acknowledgeJobs(a, now, 300*time.Millisecond, "far")
-	if due := a.Timeout("far"); due < 900*time.Millisecond {
-		t.Errorf("timeout of the distant executor is %v, want at least 900ms", due)
+	if timeout := a.Timeout("far"); timeout < 900*time.Millisecond {
+		t.Errorf("timeout of the distant executor is %v, want at least 900ms", timeout)
 	}
 	b := NewAckTracker(ackRule)
 	acknowledgeJobs(b, now, 20*time.Millisecond, "a", "b")
@@ -224,11 +224,11 @@
 		b.Overdue("a", false, now)
 		b.Acked("a", time.Hour, true, now)
 	}
-	if due := b.Timeout("b"); due > 3*ackRule.MinTimeout {
-		t.Errorf("three late acknowledgements raised the timeout of another executor to %v", due)
+	if timeout := b.Timeout("b"); timeout > 3*ackRule.MinTimeout {
+		t.Errorf("three late acknowledgements raised the timeout of another executor to %v", timeout)
 	}
-	if due := b.Timeout("a"); due > ackRule.MaxTimeout {
-		t.Errorf("timeout %v is above the maximum", due)
+	if timeout := b.Timeout("a"); timeout > ackRule.MaxTimeout {
+		t.Errorf("timeout %v is above the maximum", timeout)
 	}
 }
 
@@ -250,8 +250,9 @@
 			case 3:
 				a.Overdue(executor, late, now)
 			}
-			if due := a.Timeout(executor); due < ackRule.MinTimeout || due > ackRule.MaxTimeout || a.LateCount(executor) < 0 {
-				t.Fatalf("timeout %v, %d late", due, a.LateCount(executor))
+			if timeout := a.Timeout(executor); timeout < ackRule.MinTimeout || timeout > ackRule.MaxTimeout ||
+				a.LateCount(executor) < 0 {
+				t.Fatalf("timeout %v, %d late", timeout, a.LateCount(executor))
 			}
 		}
 	})
@@ -280,9 +281,9 @@
 	if p.Pressure(50, 100) != 0 || p.Pressure(100, 100) != 1 || p.Pressure(75, 100) != 0.5 {
 		t.Errorf("pressures %v %v %v, want 0, 1 and 0.5", p.Pressure(50, 100), p.Pressure(100, 100), p.Pressure(75, 100))
 	}
-	var tally Counters
-	tally.Add(ExecutorAckLate)
-	if got := string(tally.JSON()); tally.Count(ExecutorAckLate) != 1 ||
+	var counters Counters
+	counters.Add(ExecutorAckLate)
+	if got := string(counters.JSON()); counters.Count(ExecutorAckLate) != 1 ||
 		got[:len(`{"client_sends":0,`)] != `{"client_sends":0,` {
 		t.Error(got)
 	}
--- a/internal/slowpeer/policy.go
+++ b/internal/slowpeer/policy.go
@@ -148,23 +148,23 @@
 type Counters struct{ n [kindCount]atomic.Int64 }
 
 // Add increments the counter of a kind. A nil Counters counts nothing.
-func (t *Counters) Add(k Kind) {
-	if t != nil {
-		t.n[k].Add(1)
+func (c *Counters) Add(k Kind) {
+	if c != nil {
+		c.n[k].Add(1)
 	}
 }
 
 // Count returns the counter of a kind.
-func (t *Counters) Count(k Kind) int64 { return t.n[k].Load() }
+func (c *Counters) Count(k Kind) int64 { return c.n[k].Load() }
 
 // JSON returns all counters as a JSON object.
-func (t *Counters) JSON() []byte {
+func (c *Counters) JSON() []byte {
 	out := []byte{'{'}
 	for k := range kindCount {
 		if k > 0 {
 			out = append(out, ',')
 		}
-		out = fmt.Appendf(out, "%q:%d", kindNames[k], t.n[k].Load())
+		out = fmt.Appendf(out, "%q:%d", kindNames[k], c.n[k].Load())
 	}
 	return append(out, '}')
 }
