--- a/cmd/gatetack/main.go
+++ b/cmd/gatetack/main.go
@@ -101,7 +101,7 @@
 		Long: "Runs a node. On the platform EDGE_CONFIG names its configuration, and --config what runs beside it; a file\n" +
 			"with a section node (like deploy/standalone.yaml) is all that a node needs that is alone.",
 		RunE: func(_ *cobra.Command, _ []string) error {
-			// SIGHUP is handled before anything else: unhandled, it would terminate the process.
+			// SIGHUP is caught before anything else: uncaught, it would terminate the process.
 			hup := make(chan os.Signal, 1)
 			signal.Notify(hup, syscall.SIGHUP)
 			log, err := newLogger(level, format)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,7 +30,7 @@
 	Operator   string // address of the operator's front; empty: none
 	Discovery  string
 	PeerListen string   // address for messages from other nodes; empty: none
-	PeersAll   string   // multicast address of all nodes
+	PeersAll   string   // address of the group that contains all nodes
 	Peers      []string // addresses of the other nodes
 	// PassedSocket is the descriptor of the clients' listening socket that the platform owns and passes to every process
 	// of the node, from EDGE_PASSED_SOCKET; -1 if none is passed and the node opens its own socket.
--- a/internal/http1/accept_test.go
+++ b/internal/http1/accept_test.go
@@ -130,11 +130,11 @@
 }
 
 func acceptWithoutDescriptors(t *testing.T, errno syscall.Errno) {
-	hold, began := make(chan bool), make(chan bool, 1)
+	hold, started := make(chan bool), make(chan bool, 1)
 	open := []int{} // number of open connections at the accept after each failure
 	_, addr, paused := serveFaulty(t, lim, func(_ context.Context, m *Message) Response {
 		if m.Target == "/hold" {
-			began <- true
+			started <- true
 			<-hold
 		}
 		return Response{Status: 200, KnownClient: true}
@@ -157,9 +157,9 @@
 	if m, err := NewParser(lim, true).Read(NewRing(512), idler); err != nil || m.Status != 200 {
 		t.Fatalf("%v %v", m, err)
 	}
-	held := dial(t, addr)
-	_, _ = io.WriteString(held, "GET /hold HTTP/1.1\r\n\r\n")
-	<-began
+	busy := dial(t, addr)
+	_, _ = io.WriteString(busy, "GET /hold HTTP/1.1\r\n\r\n")
+	<-started
 	if rest, err := io.ReadAll(idler); err != nil || len(rest) > 0 {
 		t.Errorf("idle connection: read %q, %v; want a close", rest, err)
 	}
@@ -172,7 +172,7 @@
 		t.Errorf("open connections at the accepts after the errors: %v, pauses: %v", open, made)
 	}
 	close(hold)
-	if _, err := NewParser(lim, true).Read(NewRing(512), held); err != nil {
+	if _, err := NewParser(lim, true).Read(NewRing(512), busy); err != nil {
 		t.Errorf("request in progress: %v", err)
 	}
 }
--- a/internal/http1/clientleft_test.go
+++ b/internal/http1/clientleft_test.go
@@ -78,9 +78,9 @@
 // A client that closes only its sending side counts as disconnected, since a FIN looks the same for a full close: its
 // request is canceled, or not started. It still gets a last response, which a fully closed client does not read.
 func TestRequestOfHalfClosedClientIsCanceledAndAnswered(t *testing.T) {
-	began := make(chan bool, 2)
+	started := make(chan bool, 2)
 	_, addr := serve(t, lim, func(ctx context.Context, _ *Message) Response {
-		began <- true
+		started <- true
 		<-ctx.Done()
 		return Response{Status: 500}
 	})
@@ -88,13 +88,13 @@
 		t.Run(fmt.Sprint(len(behind), " bytes behind"), func(t *testing.T) {
 			c := dial(t, addr).(*net.TCPConn)
 			_, _ = io.WriteString(c, get+behind)
-			<-began
+			<-started
 			_ = c.CloseWrite()
 			all, err := io.ReadAll(c)
 			if err != nil || strings.Count(string(all), "HTTP/1.1 ") != 1 || !strings.Contains(string(all), " 500 ") {
 				t.Errorf("got %q, %v, want one response with status 500", all, err)
 			}
-			if len(began) != 0 {
+			if len(started) != 0 {
 				t.Error("a request of a disconnected client was handled")
 			}
 		})
@@ -251,19 +251,19 @@
 func TestPipelinedRequestTimeoutStartsAtItsFirstByte(t *testing.T) {
 	long := lim
 	long.SlowPeers.RequestTimeout, long.SlowPeers.ClientIn = time.Hour, slowpeer.MinRate{}
-	began, on := make(chan bool, 1), make(chan bool)
+	started, release := make(chan bool, 1), make(chan bool)
 	s, addr := serve(t, long, func(context.Context, *Message) Response {
-		began <- true
-		blockUntil(t, on)
+		started <- true
+		blockUntil(t, release)
 		return Response{Status: 200}
 	})
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, get)
-	<-began
+	<-started
 	_, _ = io.WriteString(c, get[:7])
 	waitFor(t, "the server has read the bytes", func() bool { return pipelinedBytesRead(s) })
 	behind := time.Now()
-	on <- true
+	release <- true
 	waitFor(t, "the server reads the second request", func() bool { return phases(s)[reading] == 1 })
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -236,28 +236,28 @@
 
 // The context of a request ends when its client disconnects while the request is handled.
 func TestHandlerContextEndsOnDisconnect(t *testing.T) {
-	addr, began, left := serveUntilDisconnect(t)
+	addr, started, waitForDisconnect := serveUntilDisconnect(t)
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\n\r\n")
-	<-began
+	<-started
 	_ = c.Close()
-	left()
+	waitForDisconnect()
 }
 
-// serveUntilDisconnect starts a server whose handler blocks until the client of the request disconnects. began
-// receives a value when a request starts; left waits until a request has ended in this way.
-func serveUntilDisconnect(t *testing.T) (addr string, began chan bool, left func()) {
-	began, gone := make(chan bool, 100), make(chan bool, 100)
+// serveUntilDisconnect starts a server whose handler blocks until the client of the request disconnects. started
+// receives a value when a request starts; waitForDisconnect waits until a request has ended in this way.
+func serveUntilDisconnect(t *testing.T) (addr string, started chan bool, waitForDisconnect func()) {
+	started, ended := make(chan bool, 100), make(chan bool, 100)
 	_, addr = serve(t, lim, func(ctx context.Context, _ *Message) Response {
-		began <- true
+		started <- true
 		<-ctx.Done()
-		gone <- true
+		ended <- true
 		return Response{Status: 200}
 	})
-	return addr, began, func() {
+	return addr, started, func() {
 		t.Helper()
 		select {
-		case <-gone:
+		case <-ended:
 		case <-time.After(20 * time.Second):
 			t.Fatal("the context of the request did not end within 20 s")
 		}
@@ -288,9 +288,9 @@
 func TestConnectionOverBudgetGetsOneResponse(t *testing.T) {
 	small := lim
 	small.ClientConns, small.OverflowConns = 1, 4
-	hold, began := make(chan bool), make(chan bool, 2)
+	hold, started := make(chan bool), make(chan bool, 2)
 	_, addr := serve(t, small, func(_ context.Context, m *Message) Response {
-		began <- true
+		started <- true
 		if m.Target == "/hold" {
 			<-hold
 		}
@@ -298,7 +298,7 @@
 	})
 	a := dial(t, addr)
 	_, _ = io.WriteString(a, "GET /hold HTTP/1.1\r\n\r\n")
-	<-began
+	<-started
 	b := dial(t, addr)
 	_, _ = io.WriteString(b, "GET / HTTP/1.1\r\n\r\n")
 	all, err := io.ReadAll(b)
--- a/internal/http1/ordering_test.go
+++ b/internal/http1/ordering_test.go
@@ -30,10 +30,10 @@
 	return false
 }
 
-// blockUntil blocks until it receives from on or the test ends.
-func blockUntil(t *testing.T, on <-chan bool) {
+// blockUntil blocks until it receives from release or the test ends.
+func blockUntil(t *testing.T, release <-chan bool) {
 	select {
-	case <-on:
+	case <-release:
 	case <-t.Context().Done():
 	}
 }
@@ -41,30 +41,30 @@
 // ReceivedAt is the receive time of a request's own last byte, both for a request that arrived behind another one in
 // progress and for one whose rest arrives later. The time left of a request is computed from it.
 func TestRequestHasReceiveTimeOfItsLastByte(t *testing.T) {
-	began, on := make(chan time.Time, 3), make(chan bool)
+	started, release := make(chan time.Time, 3), make(chan bool)
 	s, addr := serve(t, lim, func(_ context.Context, m *Message) Response {
-		began <- m.ReceivedAt
-		blockUntil(t, on)
+		started <- m.ReceivedAt
+		blockUntil(t, release)
 		return Response{Status: 200}
 	})
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, get)
-	<-began
+	<-started
 	_, _ = io.WriteString(c, get+get[:7])
 	waitFor(t, "the server has read the bytes", func() bool { return pipelinedBytesRead(s) })
 	behind := time.Now()
-	on <- true
-	if received := <-began; received.IsZero() || received.After(behind) {
+	release <- true
+	if received := <-started; received.IsZero() || received.After(behind) {
 		t.Errorf("second request: received at %v, want at most %v", received, behind)
 	}
-	on <- true
+	release <- true
 	time.Sleep(2 * arrivalResolution)
 	later := time.Now()
 	_, _ = io.WriteString(c, get[7:])
-	if received := <-began; received.Before(later) {
+	if received := <-started; received.Before(later) {
 		t.Errorf("third request: received at %v, want after %v, when its rest was sent", received, later)
 	}
-	on <- true
+	release <- true
 }
 
 // consume returns the receive time of the last consumed byte for small and large writes, and keeps no marks of consumed
@@ -163,26 +163,26 @@
 func TestFinishAnswersAcceptQueue(t *testing.T) {
 	one := lim
 	one.ClientConns, one.OverflowConns, one.RejectConns = 1, 0, 0
-	began, on := make(chan bool, 2), make(chan bool)
+	started, release := make(chan bool, 2), make(chan bool)
 	s, addr := serve(t, one, func(context.Context, *Message) Response {
-		began <- true
-		blockUntil(t, on)
+		started <- true
+		blockUntil(t, release)
 		return Response{Status: 200}
 	})
 	first := dial(t, addr)
 	_, _ = io.WriteString(first, get)
-	<-began
+	<-started
 	second := dial(t, addr) // stays in the accept queue while the server is full
 	_, _ = io.WriteString(second, get)
 	done := make(chan bool)
 	go func() { s.Finish(t.Context()); close(done) }()
-	on <- true
+	release <- true
 	select {
-	case <-began:
+	case <-started:
 	case <-time.After(20 * time.Second):
 		t.Fatal("the queued connection was not accepted within 20 s")
 	}
-	on <- true
+	release <- true
 	for _, c := range []net.Conn{first, second} {
 		if line, err := bufio.NewReader(c).ReadString('\n'); err != nil || !strings.Contains(line, " 200 ") {
 			t.Errorf("got status line %q, %v, want status 200", line, err)
--- a/internal/http1/pipelining_test.go
+++ b/internal/http1/pipelining_test.go
@@ -22,16 +22,16 @@
 func TestHandlerContextEndsOnDisconnectBehindBytes(t *testing.T) {
 	for _, behind := range []int{1, 200, lim.RingBytes, lim.RingBytes + 1, 300 << 10} {
 		t.Run(fmt.Sprint(behind, " bytes"), func(t *testing.T) {
-			addr, began, left := serveUntilDisconnect(t)
+			addr, started, waitForDisconnect := serveUntilDisconnect(t)
 			c := dial(t, addr)
 			_, _ = io.WriteString(c, get)
-			<-began // the request is in progress: the following bytes are pipelined behind it
+			<-started // the request is in progress: the following bytes are pipelined behind it
 			if _, err := io.WriteString(c, strings.Repeat(get, behind/len(get)+1)[:behind]); err != nil {
 				t.Fatal(err)
 			}
 			_ = c.Close()
-			left()
-			if len(began) > 0 {
+			waitForDisconnect()
+			if len(started) > 0 {
 				t.Error("a request of a disconnected client was handled")
 			}
 		})
@@ -41,10 +41,10 @@
 // Requests pipelined behind a request in progress are answered in order, without waiting for more bytes. This includes
 // a request whose rest arrives later.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	began, on := make(chan bool, 100), make(chan bool)
+	started, release := make(chan bool, 100), make(chan bool)
 	s, addr := serve(t, lim, func(context.Context, *Message) Response {
-		began <- true
-		<-on
+		started <- true
+		<-release
 		return Response{Status: 200}
 	})
 	c := dial(t, addr)
@@ -62,15 +62,15 @@
 		}
 	}
 	_, _ = io.WriteString(c, get)
-	<-began
+	<-started
 	_, _ = io.WriteString(c, get+get+get[:7])
 	waitFor(t, "the server has read the bytes", func() bool { return pipelinedBytesRead(s) })
 	for range 3 {
-		on <- true
+		release <- true
 		answered()
 	}
 	_, _ = io.WriteString(c, get[7:])
-	on <- true
+	release <- true
 	answered()
 }
 
@@ -119,9 +119,9 @@
 // A request that arrives after the last response of its connection is not handled: the client resends it on another
 // connection, and it would run twice.
 func TestRequestsAfterLastResponseAreNotHandled(t *testing.T) {
-	began := make(chan bool, 10)
+	started := make(chan bool, 10)
 	_, addr := serve(t, lim, func(context.Context, *Message) Response {
-		began <- true
+		started <- true
 		return Response{Status: 200, Close: true}
 	})
 	c := dial(t, addr)
@@ -129,8 +129,8 @@
 	if all, err := io.ReadAll(c); err != nil || strings.Count(string(all), "200 OK") != 1 {
 		t.Errorf("error %v, got %q, want one response with status 200", err, all)
 	}
-	if len(began) != 1 {
-		t.Errorf("%d requests were handled, want 1", len(began))
+	if len(started) != 1 {
+		t.Errorf("%d requests were handled, want 1", len(started))
 	}
 }
 
@@ -168,10 +168,10 @@
 func TestConnectionOverReserveIsRejectedAtOnce(t *testing.T) {
 	small := lim
 	small.ClientConns, small.OverflowConns, small.RejectConns, small.LingerTimeout = 1, 1, 1, 50*time.Millisecond
-	hold, began := make(chan bool), make(chan bool, 4)
+	hold, started := make(chan bool), make(chan bool, 4)
 	defer close(hold)
 	s, addr := serve(t, small, func(context.Context, *Message) Response {
-		began <- true
+		started <- true
 		<-hold
 		return Response{Status: 200}
 	})
@@ -182,7 +182,7 @@
 	for range 2 {
 		c := dial(t, addr)
 		_, _ = io.WriteString(c, get)
-		<-began
+		<-started
 	}
 	_ = dial(t, addr) // sends nothing
 	for range 3 {
@@ -193,7 +193,7 @@
 			t.Fatalf("error %v, got %q, want status 503 and Connection: close", err, all)
 		}
 	}
-	if len(began) != 0 {
+	if len(started) != 0 {
 		t.Error("a rejected request was handled")
 	}
 }
