--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -139,9 +139,9 @@
 func (c *conn) stopWatching() (overflowed bool) {
 	c.watch.Lock()
 	c.watching = false
-	bytesBehind, overflowed := c.bytesPipelined, c.overflowed
+	pipelined, overflowed := c.bytesPipelined, c.overflowed
 	c.watch.Unlock()
-	if bytesBehind {
+	if pipelined {
 		c.cancelRead()
 		if isTimeout(c.readErr) {
 			c.readErr = nil
