--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -29,7 +29,7 @@
 	readErr       error // error of the last completed read
 	readPending   bool
 
-	watch          sync.Mutex // guards watching, bytesBehind and overflowed
+	watch          sync.Mutex // guards watching, bytesPipelined and overflowed
 	watching       bool       // a request is being handled
 	bytesPipelined bool       // bytes arrived after that request
 	overflowed     bool       // the ring was full and bytes were discarded: the connection closes after the response
