--- a/internal/capacity/measure/member.go
+++ b/internal/capacity/measure/member.go
@@ -78,7 +78,7 @@
 }
 
 func memberStats(member *store.Store) (MemberStats, error) {
-	stats := MemberStats{ProcessorNS: processorTime().Nanoseconds(), Leads: member.Leads(), Index: member.View().Index()}
+	stats := MemberStats{ProcessorNS: processorTime().Nanoseconds(), Leads: member.IsLeader(), Index: member.View().Index()}
 	var err error
 	if stats.Traffic, err = openTraffic(); err != nil {
 		return stats, err
--- a/internal/leaseholder/fence.go
+++ b/internal/leaseholder/fence.go
@@ -52,7 +52,7 @@
 		h.writeFenced(ctx, key, epoch, result.Current)
 		return fmt.Errorf("%w: %s", ErrNotOwner, key)
 	}
-	return store.Refusal(result)
+	return store.RejectionError(result)
 }
 
 // writeFenced handles a write that failed because its partition has another epoch.
--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -17,22 +17,23 @@
 	"gatetack/internal/kv"
 )
 
-// Put sets a value and returns once a majority has it.
+// Put writes a value and returns once a majority of the voters has stored it.
 func (s *Store) Put(ctx context.Context, kind, key string, value []byte) error {
 	return s.Write(ctx, jobstore.Change{Kind: kind, Key: key, Value: value, Keep: true})
 }
 
-// Write commits all changes or none, as one entry of the log, and returns once a majority has it.
+// Write commits all changes or none, as one log entry, and returns once a majority of the voters has stored it.
 func (s *Store) Write(ctx context.Context, changes ...jobstore.Change) error {
 	r, err := s.Txn(ctx, &kv.Txn{Ops: Ops(changes)})
 	if err != nil {
 		return err
 	}
-	return Refusal(r)
+	return RejectionError(r)
 }
 
-// Refusal returns why a transaction of changes was not applied, nil if it was.
-func Refusal(r *kv.Result) error {
+// RejectionError returns the error that corresponds to the result of a transaction of changes, nil if the transaction
+// was applied.
+func RejectionError(r *kv.Result) error {
 	switch {
 	case r.OK():
 		return nil
@@ -44,7 +45,7 @@
 	return fmt.Errorf("store: %s", r.Err)
 }
 
-// Ops returns the operations of changes.
+// Ops converts changes to operations of a transaction.
 func Ops(changes []jobstore.Change) (ops []kv.Op) {
 	for _, c := range changes {
 		op := kv.Op{Verb: kv.Put, Table: c.Kind, Key: c.Key, Value: c.Value, Keep: c.Keep, Cond: c.New}
@@ -56,10 +57,10 @@
 	return ops
 }
 
-// Txn commits a transaction and returns once a majority has it. A result that is not OK says which condition did not
-// hold. After an error it is not known whether the transaction was committed.
+// Txn commits a transaction and returns once a majority of the voters has stored it. A result that is not OK contains
+// the operation whose condition failed. After an error it is unknown whether the transaction was committed.
 func (s *Store) Txn(ctx context.Context, t *kv.Txn) (*kv.Result, error) {
-	if t.ID == "" { // the call may be repeated, the transaction must not
+	if t.ID == "" { // the call may be retried, but the transaction must be applied once
 		var raw [12]byte
 		_, _ = rand.Read(raw[:])
 		t.ID = hex.EncodeToString(raw[:])
@@ -76,7 +77,7 @@
 	return r, json.Unmarshal(m.Body, r)
 }
 
-// Get returns a value as the leader has it: a stale one could say of a job that it was not sent.
+// Get returns a value from the leader: according to a stale value, a job that was sent could seem not to be.
 func (s *Store) Get(ctx context.Context, kind, key string) (value []byte, found bool, err error) {
 	m, err := s.callLeader(ctx, "/get?"+url.Values{"table": {kind}, "key": {key}}.Encode(), nil)
 	if err != nil {
@@ -85,7 +86,7 @@
 	return m.Body, m.Status == 200, nil
 }
 
-// Page returns rows of a kind in key order, as the leader has them.
+// Page returns rows of a kind in key order from the leader.
 func (s *Store) Page(ctx context.Context, kind, after string, limit int) ([]jobstore.Row, error) {
 	m, err := s.callLeader(
 		ctx,
@@ -97,12 +98,12 @@
 	}
 	var rows []jobstore.Row
 	if err := json.Unmarshal(m.Body, &rows); err != nil {
-		return nil, fmt.Errorf("store: a page: %w", err)
+		return nil, fmt.Errorf("store: decode page: %w", err)
 	}
 	return rows, nil
 }
 
-// Local returns a value as this member has it, which may be stale.
+// Local returns a value from this member, which may be stale.
 func (s *Store) Local(kind, key string) ([]byte, bool) {
 	e, ok := s.fsm.view().Get(kind, key)
 	if !ok {
@@ -111,10 +112,10 @@
 	return e.Value, true
 }
 
-// View returns the state as this member has it, which may be stale.
+// View returns the state of this member, which may be stale.
 func (s *Store) View() *kv.View { return s.fsm.view() }
 
-// callLeader makes a call at the leader. Without one it tries again until the context ends.
+// callLeader calls the leader. It retries until the call succeeds, the context ends, or the call timeout expires.
 func (s *Store) callLeader(ctx context.Context, path string, body []byte) (*http1.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.lim.StoreCallTimeout)
 	defer cancel()
@@ -136,14 +137,14 @@
 	if addr == "" {
 		return nil, ErrNoLeader
 	}
-	if s.Leads() {
+	if s.IsLeader() {
 		ctx, cancel := context.WithTimeout(ctx, 4*s.lim.StoreElectionTimeout)
 		defer cancel()
 		r := s.serveAsLeader(ctx, path, body)
 		return checkStatus(&http1.Message{Status: r.Status, Body: r.Body})
 	}
-	// An unresponsive leader is not waited for to the end, because another may lead meanwhile. A call that is made twice
-	// has one effect.
+	// The timeout for an unresponsive leader is shorter than that of the whole call, because another leader may have
+	// been elected meanwhile. Retries are safe: a transaction is applied once.
 	ctx, cancel := context.WithTimeout(ctx, 4*s.lim.StoreElectionTimeout)
 	defer cancel()
 	m, err := Call(ctx, string(addr), "POST", path, body, s.cfg.Keys, s.lim)
@@ -153,9 +154,10 @@
 	return checkStatus(m)
 }
 
+// checkStatus returns an error for a response of the leader that is neither 200 nor 404.
 func checkStatus(m *http1.Message) (*http1.Message, error) {
 	if m.Status == 200 || m.Status == 404 {
 		return m, nil
 	}
-	return nil, fmt.Errorf("the leader says %d: %s", m.Status, m.Body)
+	return nil, fmt.Errorf("the leader responded with status %d: %s", m.Status, m.Body)
 }
--- a/internal/store/dial.go
+++ b/internal/store/dial.go
@@ -12,10 +12,10 @@
 	"gatetack/internal/pki"
 )
 
-// maxSnapshotBody bounds the body of a response: a snapshot may be large. Bytes.
+// maxSnapshotBody bounds the body of a response, in bytes. The largest response is a snapshot.
 const maxSnapshotBody = 512 << 20
 
-// dial connects to a member, with TLS where there is a ring.
+// dial connects to a member, with TLS if ring is not nil.
 func dial(ctx context.Context, addr string, ring *pki.Ring) (net.Conn, error) {
 	addr = failpoint.Via(addr)
 	if ring == nil {
@@ -26,7 +26,7 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// Call makes one call to a member on a new connection, with TLS where there is a ring.
+// Call makes one call to a member on a new connection, with TLS if ring is not nil.
 func Call(ctx context.Context, addr, verb, path string, body []byte, ring *pki.Ring, lim limits.Limits,
 	fields ...http1.Field) (*http1.Message, error) {
 	dialed, err := dial(ctx, addr, ring)
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -17,27 +17,27 @@
 	"gatetack/internal/membership"
 )
 
-// disk is the log, the votes and the snapshots of a member as raft sees them. Entries are stored with a checksum and
-// verified when they are read, so that a byte which the disk changed is neither applied nor sent to another member.
-// The watermark is raised after each write and before the write is acknowledged. A write that does not return is
-// noticed by its start time.
+// disk implements raft's log store, stable store and snapshot store for a member. Entries are stored with a checksum,
+// which is verified when they are read, so that an entry that the disk corrupted is neither applied nor sent to another
+// member. The watermark is raised after each write and before the write is acknowledged. A write that does not return
+// is detected by its start time.
 type disk struct {
 	*boltdb.BoltStore
 	raft.SnapshotStore
 	watermark  *watermark
-	writeFault func() failpoint.Disk // what happens to a write, in tests, nil for nothing
+	writeFault func() failpoint.Disk // fault to inject into a write, in tests; nil for none
 
 	mu           sync.Mutex
 	writeStarted time.Time // of the write that has not returned, zero for none
-	lastError    error     // of the last write, nil if it succeeded
+	lastErr      error     // of the last write, nil if it succeeded
 
 	closed    chan struct{}
-	once      sync.Once
-	abandoned atomic.Bool // closed during a write: other members are told nothing any more
+	closeOnce sync.Once
+	abandoned atomic.Bool // closed during a write: no further messages are sent to other members
 }
 
-func newDisk(log *boltdb.BoltStore, meets func() failpoint.Disk) *disk {
-	return &disk{BoltStore: log, writeFault: meets, closed: make(chan struct{})}
+func newDisk(log *boltdb.BoltStore, writeFault func() failpoint.Disk) *disk {
+	return &disk{BoltStore: log, writeFault: writeFault, closed: make(chan struct{})}
 }
 
 // Close closes the files.
@@ -46,10 +46,10 @@
 	return d.BoltStore.Close()
 }
 
-// release ends writes that tests hold up.
-func (d *disk) release() { d.once.Do(func() { d.abandoned.Store(true); close(d.closed) }) }
+// release ends injected delays of writes and marks the disk as abandoned.
+func (d *disk) release() { d.closeOnce.Do(func() { d.abandoned.Store(true); close(d.closed) }) }
 
-// write makes one write.
+// write performs one write, records its start time while it runs, and records its error.
 func (d *disk) write(do func() error) error {
 	d.mu.Lock()
 	d.writeStarted = time.Now()
@@ -61,55 +61,56 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.writeStarted = time.Time{}
-	if d.lastError = nil; err != nil {
-		d.lastError = &DiskError{"write", err}
+	if d.lastErr = nil; err != nil {
+		d.lastErr = &DiskError{"write", err}
 	}
 	return err
 }
 
+// applyFault delays or fails a write as a test configured.
 func (d *disk) applyFault() error {
 	if d.writeFault == nil {
 		return nil
 	}
 	x := d.writeFault()
 	if x.Waits != 0 {
-		var over <-chan time.Time
+		var waited <-chan time.Time
 		if x.Waits > 0 {
-			over = time.After(x.Waits)
+			waited = time.After(x.Waits)
 		}
 		select {
-		case <-over:
+		case <-waited:
 		case <-d.closed:
 		}
 	}
 	if x.Fails {
-		return errors.New("no space left on device (a test's)")
+		return errors.New("no space left on device (injected by a test)")
 	}
 	return nil
 }
 
-// stalled returns for how long a write has not returned, and the error of the last one.
+// stalled returns for how long the current write has been running, 0 if there is none, and the error of the last write.
 func (d *disk) stalled() (time.Duration, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.writeStarted.IsZero() {
-		return 0, d.lastError
+		return 0, d.lastErr
 	}
-	return time.Since(d.writeStarted), d.lastError
+	return time.Since(d.writeStarted), d.lastErr
 }
 
-// StoreLogs writes entries. Raft counts them as acknowledged once it returns.
+// StoreLogs writes entries. Raft treats them as acknowledged once StoreLogs returns.
 func (d *disk) StoreLogs(logs []*raft.Log) error {
-	sealed := make([]*raft.Log, len(logs))
+	withChecksums := make([]*raft.Log, len(logs))
 	var last membership.Position
 	for i, l := range logs {
 		x := *l
-		x.Extensions = seal(&x)
-		sealed[i] = &x
+		x.Extensions = encodeChecksum(&x)
+		withChecksums[i] = &x
 		last = membership.Position{Term: l.Term, Index: l.Index}
 	}
 	return d.write(func() error {
-		if err := d.BoltStore.StoreLogs(sealed); err != nil {
+		if err := d.BoltStore.StoreLogs(withChecksums); err != nil {
 			return err
 		}
 		return d.watermark.raise(last, 0)
@@ -124,21 +125,21 @@
 	return d.write(func() error { return d.BoltStore.DeleteRange(first, last) })
 }
 
-// GetLog reads an entry. An entry from before there were checksums is not verified.
+// GetLog reads an entry. Entries that an earlier version wrote without a checksum are not verified.
 func (d *disk) GetLog(index uint64, l *raft.Log) error {
 	if err := d.BoltStore.GetLog(index, l); err != nil {
 		return err
 	}
-	return unseal(index, l)
+	return verifyChecksum(index, l)
 }
 
-// Set writes a value of raft's.
+// Set writes a value of raft's stable store.
 func (d *disk) Set(key, value []byte) error {
 	return d.write(func() error { return d.BoltStore.Set(key, value) })
 }
 
-// SetUint64 writes a term, the current one or that of the last vote. Raft would end the process if that failed, and a
-// full disk is no reason to: the write is repeated until it succeeds, and meanwhile this member does nothing.
+// SetUint64 writes a term: the current one or that of the last vote. Raft panics if this fails, and a full disk must
+// not end the process. The write is therefore retried until it succeeds; raft makes no progress meanwhile.
 func (d *disk) SetUint64(key []byte, value uint64) error {
 	for wait := 10 * time.Millisecond; ; wait = min(2*wait, time.Second) {
 		err := d.write(func() error {
@@ -153,12 +154,13 @@
 		select {
 		case <-time.After(wait):
 		case <-d.closed:
-			return nil // the process ends, and raft tells nobody
+			return nil // the member is shutting down, and raft sends no response
 		}
 	}
 }
 
-// Create creates a snapshot. One that a leader sent stands for the entries in it, and is acknowledged as they are.
+// Create creates a snapshot. A snapshot from the leader replaces the entries that it covers and is acknowledged like
+// them, so that closing it raises the watermark.
 func (d *disk) Create(
 	version raft.SnapshotVersion,
 	index, term uint64,
@@ -173,6 +175,7 @@
 	return &watermarkedSink{SnapshotSink: sink, d: d, last: membership.Position{Term: term, Index: index}}, nil
 }
 
+// watermarkedSink raises the watermark when the snapshot is complete.
 type watermarkedSink struct {
 	raft.SnapshotSink
 	d    *disk
@@ -197,10 +200,10 @@
 	return d.SnapshotStore.Open(id)
 }
 
-// sealPrefix begins the extension of an entry, which holds its checksum. Raft leaves extensions to its users.
-var sealPrefix = []byte{0x67, 0x74, 0x31}
+// checksumPrefix begins the extension of an entry that contains its checksum. Raft does not use extensions itself.
+var checksumPrefix = []byte{0x67, 0x74, 0x31}
 
-// checksum covers all of an entry, with its index: an entry in another's place is damage as well.
+// checksum returns the checksum of an entry. It includes the index, so that an entry at the wrong index is detected.
 func checksum(l *raft.Log) uint64 {
 	h := xxhash.New()
 	var head [17]byte
@@ -212,22 +215,23 @@
 	return h.Sum64()
 }
 
-func seal(l *raft.Log) []byte {
-	return binary.BigEndian.AppendUint64(append([]byte(nil), sealPrefix...), checksum(l))
+// encodeChecksum returns the extension with the checksum of an entry.
+func encodeChecksum(l *raft.Log) []byte {
+	return binary.BigEndian.AppendUint64(append([]byte(nil), checksumPrefix...), checksum(l))
 }
 
-// unseal verifies an entry's checksum and removes it.
-func unseal(index uint64, l *raft.Log) error {
+// verifyChecksum verifies the index and the checksum of an entry and removes the checksum.
+func verifyChecksum(index uint64, l *raft.Log) error {
 	if l.Index != index {
-		return &DamagedError{fmt.Sprintf("entry %d", index), fmt.Sprintf("entry %d stands in its place", l.Index)}
+		return &DamagedError{fmt.Sprintf("entry %d", index), fmt.Sprintf("entry %d was found at its index", l.Index)}
 	}
 	x := l.Extensions
 	if len(x) == 0 {
 		return nil
 	}
-	if len(x) != len(sealPrefix)+8 || string(x[:len(sealPrefix)]) != string(sealPrefix) ||
-		binary.BigEndian.Uint64(x[len(sealPrefix):]) != checksum(l) {
-		return &DamagedError{fmt.Sprintf("entry %d", index), "its checksum does not hold"}
+	if len(x) != len(checksumPrefix)+8 || string(x[:len(checksumPrefix)]) != string(checksumPrefix) ||
+		binary.BigEndian.Uint64(x[len(checksumPrefix):]) != checksum(l) {
+		return &DamagedError{fmt.Sprintf("entry %d", index), "checksum mismatch"}
 	}
 	l.Extensions = nil
 	return nil
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -15,9 +15,10 @@
 	"gatetack/internal/testenv"
 )
 
-// A store of one member whose disk is full, or loses what it took until it is synced, acknowledges nothing meanwhile,
-// keeps what it acknowledged before, and takes writes again by itself once the disk works; a restart finds the same.
-func TestLoneMemberOnAFailingDisk(t *testing.T) {
+// A store with one member whose disk is full, or loses writes until they are synced, acknowledges no writes meanwhile
+// and preserves the acknowledged ones. It accepts writes again without a restart once the disk works, and has the same
+// values after a restart.
+func TestSingleMemberOnAFailingDisk(t *testing.T) {
 	for _, x := range []struct{ what, device string }{
 		{"full", atomicfiletest.FullDevice},
 		{"loses unsynced writes", atomicfiletest.UnsyncedDevice},
@@ -32,24 +33,24 @@
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			if err := m.s.Put(ctx, "job", "lost", []byte("y")); err == nil {
-				t.Error("acknowledged by a disk that fails")
+				t.Error("a write was acknowledged on a failing disk")
 			}
 			if err := restore(); err != nil {
 				t.Fatal(err)
 			}
-			testenv.Until(t, "it leads again", m.s.Leads)
+			testenv.Until(t, "the member is the leader again", m.s.IsLeader)
 			put(t, m, "after", "z")
 			m.stop()
 			m.start(t)
-			want(t, m, "before", "x")
-			want(t, m, "after", "z")
+			expectValue(t, m, "before", "x")
+			expectValue(t, m, "after", "z")
 		})
 	}
 }
 
-// silentMember takes connections at an address and never answers, as a member does whose process was stopped. It
-// returns a channel that is closed once raft has called.
-func silentMember(t *testing.T, address string) <-chan struct{} {
+// startUnresponsiveMember accepts connections at an address and never responds, like a member whose process is
+// suspended. It returns a channel that is closed once raft has called.
+func startUnresponsiveMember(t *testing.T, address string) <-chan struct{} {
 	t.Helper()
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -59,7 +60,7 @@
 	called := make(chan struct{})
 	once := sync.OnceFunc(func() { close(called) })
 	var mu sync.Mutex
-	var taken []net.Conn
+	var conns []net.Conn
 	g.Go(func() error {
 		for {
 			c, err := ln.Accept()
@@ -67,10 +68,10 @@
 				return nil
 			}
 			mu.Lock()
-			taken = append(taken, c)
+			conns = append(conns, c)
 			mu.Unlock()
 			g.Go(func() error {
-				first := make([]byte, 2) // raft's mark, and the kind of its call
+				first := make([]byte, 2) // the byte that begins a raft stream, and the type of the call
 				if _, err := io.ReadFull(c, first); err == nil && first[0] == raftStreamByte {
 					once()
 				}
@@ -81,7 +82,7 @@
 	t.Cleanup(func() {
 		_ = ln.Close()
 		mu.Lock()
-		for _, c := range taken {
+		for _, c := range conns {
 			_ = c.Close()
 		}
 		mu.Unlock()
@@ -90,27 +91,27 @@
 	return called
 }
 
-// A member that leads ends while a call to a member that does not answer is under way: the call is given up, however
-// long it might take, and no disk is blamed for it.
-func TestShutdownWaitsForNoSilentMember(t *testing.T) {
+// A leader shuts down while its call to an unresponsive member is in flight. The call is aborted regardless of its
+// timeout, and the delay is not reported as a stalled disk.
+func TestShutdownDoesNotWaitForUnresponsiveMember(t *testing.T) {
 	all := cluster(t, 3)
 	put(t, all[0], "before", "x")
 	lead := leader(t, all)
-	silent := all[0]
-	if silent == lead {
-		silent = all[1]
+	unresponsive := all[0]
+	if unresponsive == lead {
+		unresponsive = all[1]
 	}
-	silent.stop()
-	called := silentMember(t, silent.cfg.Listen)
+	unresponsive.stop()
+	called := startUnresponsiveMember(t, unresponsive.cfg.Listen)
 	select {
 	case <-called:
 	case <-time.After(20 * time.Second):
-		t.Fatal("raft does not call the silent member")
+		t.Fatal("raft does not call the unresponsive member")
 	}
-	// A later call would be under way as well: its limit is an hour.
+	// Calls in flight have long timeouts, so that the shutdown cannot succeed by waiting for them.
 	ended := make(chan struct{})
 	go func() { lead.stop(); close(ended) }()
-	testenv.Until(t, "it ends", func() bool {
+	testenv.Until(t, "the leader has shut down", func() bool {
 		select {
 		case <-ended:
 			return true
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -7,9 +7,9 @@
 	"gatetack/internal/operr"
 )
 
-// The errors of the store that reach an operator or another package. See package operr.
+// Errors of the store that are reported to operators or to other packages. See package operr.
 
-// NoLeaderError reports that no leader is known, so that nothing can be written or read for certain.
+// NoLeaderError reports that no leader is known, so that neither writes nor linearizable reads are possible.
 type NoLeaderError struct{}
 
 func (*NoLeaderError) Error() string { return "store: no leader is known" }
@@ -22,10 +22,12 @@
 	return "bring members back until most of the voters are up, and try again; `gatetack store members` tells who is alive"
 }
 
-// DamagedError reports that a part of a member's folder can not be trusted.
-type DamagedError struct{ What, Why string }
+// DamagedError reports that a part of a member's folder is corrupt.
+type DamagedError struct{ Part, Reason string }
 
-func (e *DamagedError) Error() string { return fmt.Sprintf("store: %s is damaged: %s", e.What, e.Why) }
+func (e *DamagedError) Error() string {
+	return fmt.Sprintf("store: %s is damaged: %s", e.Part, e.Reason)
+}
 
 // Code identifies the kind of error in logs and on the on-call page.
 func (*DamagedError) Code() string { return "store.damaged" }
@@ -40,10 +42,10 @@
 func (*DamagedError) Is(target error) bool { return target == ErrDamaged }
 
 // StalledError reports that a write to the store's disk has not returned.
-type StalledError struct{ For time.Duration }
+type StalledError struct{ Duration time.Duration }
 
 func (e *StalledError) Error() string {
-	return fmt.Sprintf("store: the disk has not answered a write for %v", e.For.Round(time.Millisecond))
+	return fmt.Sprintf("store: the disk has not answered a write for %v", e.Duration.Round(time.Millisecond))
 }
 
 // Code identifies the kind of error in logs and on the on-call page.
@@ -56,11 +58,11 @@
 
 // DiskError reports that a write to the store's disk failed.
 type DiskError struct {
-	What string
-	Err  error
+	Op  string
+	Err error
 }
 
-func (e *DiskError) Error() string { return fmt.Sprintf("store: a %s failed: %v", e.What, e.Err) }
+func (e *DiskError) Error() string { return fmt.Sprintf("store: a %s failed: %v", e.Op, e.Err) }
 func (e *DiskError) Unwrap() error { return e.Err }
 
 // Code identifies the kind of error in logs and on the on-call page.
@@ -71,11 +73,11 @@
 	return "make room on the store's disk or replace it; what was not written was not acknowledged"
 }
 
-// VoteError reports that a vote is withheld, because this member may have lost what it acknowledged.
+// VoteError reports that a vote is withheld because this member may have lost acknowledged entries.
 type VoteError struct{}
 
 func (*VoteError) Error() string {
-	return "store: this member may have forgotten what it acknowledged and votes for nobody who has less"
+	return "store: this member may have lost acknowledged entries and does not vote for a candidate that lacks them"
 }
 
 // Code identifies the kind of error in logs and on the on-call page.
@@ -87,11 +89,11 @@
 		"`gatetack store recover` on the folder that has most"
 }
 
-// AddressError reports that a member listens at another address than its configuration names for it.
-type AddressError struct{ Name, Has, Wants string }
+// AddressError reports that a member listens at another address than the configured members list for it.
+type AddressError struct{ Name, Got, Want string }
 
 func (e *AddressError) Error() string {
-	return fmt.Sprintf("store: member %q is not at %s: its members name %s", e.Name, e.Has, e.Wants)
+	return fmt.Sprintf("store: member %q is not at %s: its members name %s", e.Name, e.Got, e.Want)
 }
 
 // Code identifies the kind of error in logs and on the on-call page.
--- a/internal/store/folder.go
+++ b/internal/store/folder.go
@@ -20,14 +20,14 @@
 	"gatetack/internal/membership"
 )
 
-// Keys of the folder's identity, and of those of the other members' folders, in raft's own stable store: they are lost
-// only together with its votes.
+// Keys in raft's stable store of the identity of this folder and, followed by a member's name, of those of other
+// folders. They share a file with raft's votes and can be lost only together with them.
 const (
 	folderKey = "gatetack.folder"
 	knownKey  = "gatetack.folder.of."
 )
 
-// loadIdentity reads the folder's identity, or creates it.
+// loadIdentity reads the identity of the folder or creates one.
 func (s *Store) loadIdentity() error {
 	id, err := s.disk.Get([]byte(folderKey))
 	if errors.Is(err, boltdb.ErrKeyNotFound) {
@@ -44,8 +44,8 @@
 	return []byte(hex.EncodeToString(raw[:]))
 }
 
-// handleWitness answers a member that asks which folder is known under its name. If none was, the folder is on this
-// member's disk before the answer.
+// handleWitness responds to a member that asks which folder identity is known under its name. If none is known, the
+// identity from the request is stored on this member's disk before the response.
 func (s *Store) handleWitness(q url.Values) http1.Response {
 	name, id := q.Get("name"), q.Get("id")
 	if name == "" || id == "" {
@@ -66,13 +66,13 @@
 	return http1.JSON(200, witnessAnswer{string(known), s.progress()})
 }
 
-// witnessAnswer is the folder that a member knows under a name, and the member's own position.
+// witnessAnswer is the folder identity that a member knows under a name, with the member's own progress.
 type witnessAnswer struct {
 	Known string `json:"known"`
 	membership.Progress
 }
 
-// knownFolders returns the folders of some answers.
+// knownFolders returns the folder identities in answers.
 func knownFolders(answers map[string]witnessAnswer) membership.KnownFolders {
 	out := membership.KnownFolders{}
 	for name, w := range answers {
@@ -81,7 +81,8 @@
 	return out
 }
 
-// askWitnesses asks members which folder they know under this one's name. The result has those that answered.
+// askWitnesses asks members which folder identity they know under this member's name. The result contains the answers
+// by member.
 func (s *Store) askWitnesses(ctx context.Context, members map[string]string) map[string]witnessAnswer {
 	ctx, cancel := context.WithTimeout(ctx, 2*s.lim.StoreElectionTimeout)
 	defer cancel()
@@ -111,19 +112,19 @@
 	return out
 }
 
-// beginOrRejoin makes a member with an empty folder part of the store. It begins the store together with the others
-// or, where its folder was lost or it is to join, waits until the others add it. Until then it does not vote and
-// accepts no entries.
-func (s *Store) beginOrRejoin(ctx context.Context) {
+// bootstrapOrRejoin makes a member with an empty folder part of the store. It bootstraps the store together with the
+// others or, if its folder was lost or it is configured to join, waits until the others add it. Until then it does not
+// vote and accepts no entries.
+func (s *Store) bootstrapOrRejoin(ctx context.Context) {
 	names := slices.Sorted(maps.Keys(s.cfg.Members))
-	for said := false; s.cfg.Join == ""; said = true {
-		verdict, missing := membership.DecideBootstrap(
+	for logged := false; s.cfg.Join == ""; logged = true {
+		decision, missing := membership.DecideBootstrap(
 			s.cfg.Name,
 			s.folderIdentity,
 			names,
 			knownFolders(s.askWitnesses(ctx, s.cfg.Members)),
 		)
-		if verdict == membership.Bootstrap {
+		if decision == membership.Bootstrap {
 			if err := s.bootstrap(); err != nil {
 				s.log.Error("store not bootstrapped", "err", err)
 				return
@@ -132,78 +133,80 @@
 			s.mux.raftOpen.Store(true)
 			return
 		}
-		if verdict == membership.Rejoin {
+		if decision == membership.Rejoin {
 			s.log.Warn("store folder empty and known to others, rejoining without a vote", "node", s.cfg.Name)
 			break
 		}
-		if !said {
+		if !logged {
 			s.log.Info("store waiting for witnesses", "missing", missing)
 		}
-		if !s.sleepHalfBeat(ctx) {
+		if !s.sleepBeforeRetry(ctx) {
 			return
 		}
 	}
-	to := []string{s.cfg.Join}
+	targets := []string{s.cfg.Join}
 	if s.cfg.Join == "" {
-		to = to[:0]
+		targets = targets[:0]
 		for _, name := range names {
 			if name != s.cfg.Name {
-				to = append(to, s.cfg.Members[name])
+				targets = append(targets, s.cfg.Members[name])
 			}
 		}
 	}
 	for n := 0; ; n++ {
-		at := to[n%len(to)]
-		m, err := s.requestChange(ctx, at, map[string]any{"verb": "join", "anew": true})
+		target := targets[n%len(targets)]
+		m, err := s.requestChange(ctx, target, map[string]any{"verb": "join", "anew": true})
 		if err == nil && m.Status == 200 {
-			s.log.Info("store rejoined", "by", at)
+			s.log.Info("store rejoined", "by", target)
 			s.mux.raftOpen.Store(true)
-			s.join(ctx, at)
+			s.join(ctx, target)
 			return
 		}
 		if err == nil {
 			err = fmt.Errorf("%d: %s", m.Status, m.Body)
 		}
-		if n%len(to) == 0 {
-			s.log.Info("store not rejoined yet", "by", at, "err", err)
+		if n%len(targets) == 0 {
+			s.log.Info("store not rejoined yet", "by", target, "err", err)
 		}
-		if !s.sleepHalfBeat(ctx) {
+		if !s.sleepBeforeRetry(ctx) {
 			return
 		}
 	}
 }
 
-// bootstrap begins the store. Every member begins with the same configuration, so that it does not matter which is
-// first.
+// bootstrap bootstraps the store. Every member does so with the same configuration, so that the order does not matter.
 func (s *Store) bootstrap() error {
 	return s.raft.BootstrapCluster(raftConfiguration(s.cfg.Members)).Error()
 }
 
-// raftConfiguration returns the configuration of a store, the same for all that name the same members.
-func raftConfiguration(members map[string]string) (all raft.Configuration) {
+// raftConfiguration returns the raft configuration of a store. It is equal for equal members.
+func raftConfiguration(members map[string]string) (configuration raft.Configuration) {
 	for _, name := range slices.Sorted(maps.Keys(members)) {
-		all.Servers = append(all.Servers, raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(members[name])})
+		configuration.Servers = append(
+			configuration.Servers,
+			raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(members[name])},
+		)
 	}
-	return all
+	return configuration
 }
 
-// announceFolder makes this folder known to the other members, once each: also to those that join later, or that ran a
-// version without identities.
+// announceFolder makes the identity of this folder known to each of the other members, including those that join later
+// or ran a version without identities.
 func (s *Store) announceFolder(ctx context.Context) {
-	told := map[string]bool{}
+	announced := map[string]bool{}
 	for {
-		left := map[string]string{}
+		remaining := map[string]string{}
 		all, err := s.Members()
 		for _, x := range all {
-			if !told[x.Name] && x.Name != s.cfg.Name {
-				left[x.Name] = x.Address
+			if !announced[x.Name] && x.Name != s.cfg.Name {
+				remaining[x.Name] = x.Address
 			}
 		}
-		for name := range s.askWitnesses(ctx, left) {
-			told[name] = true
+		for name := range s.askWitnesses(ctx, remaining) {
+			announced[name] = true
 		}
 		wait := 4 * s.lim.StoreElectionTimeout
-		if err == nil && len(all) > 1 && len(told) >= len(all)-1 {
+		if err == nil && len(all) > 1 && len(announced) >= len(all)-1 {
 			wait = 120 * s.lim.StoreElectionTimeout
 		}
 		select {
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -17,7 +17,7 @@
 	"gatetack/internal/limits"
 )
 
-// stateBounds are the bounds of the state, the same on all members.
+// stateBounds returns the bounds of the state. They must be the same on all members.
 func stateBounds(lim limits.Limits) kv.Bounds {
 	return kv.Bounds{
 		Values:  lim.StoreValues,
@@ -30,15 +30,15 @@
 	}
 }
 
-// fsm applies the log to the state machine and keeps the latest changes for watchers.
+// fsm implements raft.FSM: it applies the log to the state machine and buffers the latest changes for watchers.
 type fsm struct {
 	lim limits.Limits
 
-	mu        sync.Mutex
-	state     *kv.State
-	events    []kv.Event
-	firstKept uint64        // events up to this transaction are no longer kept
-	changed   chan struct{} // closed at the next change
+	mu          sync.Mutex
+	state       *kv.State
+	events      []kv.Event
+	lastTrimmed uint64        // changes up to this version are no longer buffered
+	changed     chan struct{} // closed and replaced at the next change
 }
 
 func newFSM(lim limits.Limits) *fsm {
@@ -52,13 +52,13 @@
 	return f.state.Snapshot()
 }
 
-func (f *fsm) nextLeaseEnd() int64 {
+func (f *fsm) nextLeaseExpiry() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state.NextExpiry()
 }
 
-// Apply applies one entry of the log. An entry that can not be decoded changes nothing on any member.
+// Apply applies one log entry. An entry that cannot be decoded has no effect on any member.
 func (f *fsm) Apply(l *raft.Log) any {
 	t, err := decodeTxn(l.Data)
 	if err != nil {
@@ -76,19 +76,20 @@
 	return &r
 }
 
-// trim drops the oldest changes once twice as many are kept as promised. A trim copies the rest: one for each
-// transaction took more time than all else of it.
+// trim drops the oldest changes once the buffer has twice the promised number. Trimming copies the remaining changes;
+// doing so for each transaction took longer than the rest of the transaction.
 func (f *fsm) trim() {
 	if len(f.events) <= 2*f.lim.BatchEvents {
 		return
 	}
 	old := len(f.events) - f.lim.BatchEvents
-	f.firstKept = f.events[old-1].Version
+	f.lastTrimmed = f.events[old-1].Version
 	f.events = slices.Clone(f.events[old:])
 }
 
-// changesAfter returns the changes after a version to keys of a table that begin with a prefix, the version up to
-// which they reach, whether some are no longer kept, and what is closed at the next change.
+// changesAfter returns the changes after a version to keys of a table that begin with a prefix; an empty table stands
+// for all tables. upTo is the version up to which the changes are complete, lost reports that some of them are no
+// longer buffered, and more is closed at the next change.
 func (f *fsm) changesAfter(
 	version uint64,
 	table, prefix string,
@@ -96,7 +97,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	upTo = f.state.Snapshot().Index()
-	if version < f.firstKept {
+	if version < f.lastTrimmed {
 		return nil, upTo, true, f.changed
 	}
 	next := sort.Search(len(f.events), func(i int) bool { return f.events[i].Version > version })
@@ -108,14 +109,14 @@
 	return out, upTo, false, f.changed
 }
 
-// decodeTxn decodes an entry of the log: a transaction, or a change in the form of version 0.2.
+// decodeTxn decodes a log entry: a transaction, or a change in the format of version 0.2.
 func decodeTxn(data []byte) (*kv.Txn, error) {
 	t := &kv.Txn{}
 	if err := t.Unmarshal(data); !errors.Is(err, kv.ErrUnknownFormat) {
 		return t, err
 	}
 	if !gjson.ValidBytes(data) {
-		return nil, errors.New("store: an entry of no form that is known")
+		return nil, errors.New("store: log entry in an unknown format")
 	}
 	op, err := decodeLegacyOp(gjson.ParseBytes(data))
 	if err != nil {
@@ -129,15 +130,15 @@
 	value, err := base64.StdEncoding.DecodeString(v.Get("value").String())
 	op := kv.Op{Verb: kv.Put, Table: v.Get("kind").String(), Key: v.Get("key").String(), Value: value}
 	if op.Table == "" || op.Key == "" {
-		err = errors.Join(err, errors.New("store: a change without a kind or a key"))
+		err = errors.Join(err, errors.New("store: change without a kind or a key"))
 	}
 	return op, err
 }
 
-// Snapshot returns the current state, at no cost.
+// Snapshot returns the current state. It copies no entries.
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) { return snapshot{f.view()}, nil }
 
-// Restore replaces the state. A damaged snapshot changes nothing.
+// Restore replaces the state with a snapshot. The state is unchanged if the snapshot is corrupt.
 func (f *fsm) Restore(r io.ReadCloser) error {
 	defer func() { _ = r.Close() }()
 	state, err := readSnapshot(r, f.lim)
@@ -146,13 +147,13 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.state, f.events, f.firstKept = state, nil, state.Snapshot().Index()
+	f.state, f.events, f.lastTrimmed = state, nil, state.Snapshot().Index()
 	close(f.changed)
 	f.changed = make(chan struct{})
 	return nil
 }
 
-// readSnapshot decodes a snapshot, or one of version 0.2, which has one change a line.
+// readSnapshot decodes a snapshot. A snapshot of version 0.2 has one change per line.
 func readSnapshot(r io.Reader, lim limits.Limits) (*kv.State, error) {
 	var head bytes.Buffer
 	state, err := kv.Read(io.TeeReader(r, &head), stateBounds(lim))
@@ -167,7 +168,7 @@
 	n := uint64(0)
 	for line := range bytes.Lines(append(head.Bytes(), rest...)) {
 		if !gjson.ValidBytes(line) {
-			return nil, fmt.Errorf("store: line %d of a snapshot is of no form that is known", n+1)
+			return nil, fmt.Errorf("store: snapshot line %d: unknown format", n+1)
 		}
 		op, err := decodeLegacyOp(gjson.ParseBytes(line))
 		if err != nil {
@@ -175,7 +176,7 @@
 		}
 		n++
 		if r := state.Apply(n, &kv.Txn{Ops: []kv.Op{op}}); !r.OK() {
-			return nil, fmt.Errorf("store: line %d of a snapshot: %s", n, r.Err)
+			return nil, fmt.Errorf("store: snapshot line %d: %s", n, r.Err)
 		}
 	}
 	return state, nil
--- a/internal/store/fsm_test.go
+++ b/internal/store/fsm_test.go
@@ -10,7 +10,7 @@
 	"gatetack/internal/limits"
 )
 
-// applyPuts applies n transactions of one change each, the first with the given index.
+// applyPuts applies n transactions with one change each. The first has the given index.
 func applyPuts(t testing.TB, f *fsm, first, n int) {
 	t.Helper()
 	for i := first; i < first+n; i++ {
@@ -25,36 +25,37 @@
 	}
 }
 
-// The changes that are promised to watchers are kept, not many more, and letting go of old ones costs a copy of them
-// once in as many changes and not at each: that took the store from 4,200 to 1,050 writes a second.
-func TestChangesAreTrimmedSeldom(t *testing.T) {
+// The buffer has at least the changes that are promised to watchers and at most twice as many. Old changes are dropped,
+// with a copy of the remaining ones, only once in that many changes: a copy at each change reduced the store from 4,200
+// to 1,050 writes per second.
+func TestChangesAreTrimmedInBatches(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
 	lim.BatchEvents = 100
 	f := newFSM(lim)
 	trims, next := 0, 1
-	for first := f.firstKept; next <= 1000; next++ {
+	for first := f.lastTrimmed; next <= 1000; next++ {
 		applyPuts(t, f, next, 1)
-		if f.firstKept != first {
-			first = f.firstKept
+		if f.lastTrimmed != first {
+			first = f.lastTrimmed
 			trims++
 		}
 		if n := len(f.events); n > 2*lim.BatchEvents || n < min(next, lim.BatchEvents) {
-			t.Fatalf("%d changes are kept after %d, want %d to %d", n, next, lim.BatchEvents, 2*lim.BatchEvents)
+			t.Fatalf("%d changes are buffered after %d, want %d to %d", n, next, lim.BatchEvents, 2*lim.BatchEvents)
 		}
 	}
-	if most := 1000 / lim.BatchEvents; trims == 0 || trims > most {
-		t.Errorf("%d trims in 1000 changes, want 1 to %d", trims, most)
+	if maxTrims := 1000 / lim.BatchEvents; trims == 0 || trims > maxTrims {
+		t.Errorf("%d trims in 1000 changes, want 1 to %d", trims, maxTrims)
 	}
 	events, upTo, lost, _ := f.changesAfter(1000-uint64(lim.BatchEvents), "job", "")
 	if lost || upTo != 1000 || len(events) != lim.BatchEvents || events[0].Version != 901 {
 		t.Errorf("lost %v, up to %d, %d events", lost, upTo, len(events))
 	}
-	if _, _, lost, _ := f.changesAfter(f.firstKept-1, "job", ""); !lost {
-		t.Error("changes that are gone are not told as lost")
+	if _, _, lost, _ := f.changesAfter(f.lastTrimmed-1, "job", ""); !lost {
+		t.Error("dropped changes are not reported as lost")
 	}
 }
 
-// BenchmarkApply is what one change costs once as many are kept as are promised.
+// BenchmarkApply measures one change while the buffer of changes is full.
 func BenchmarkApply(b *testing.B) {
 	lim := limits.New(0, 0, 0, 0, 0)
 	f := newFSM(lim)
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -18,7 +18,7 @@
 	"gatetack/internal/membership"
 )
 
-// goldenEntries are entries of the log as raft hands them over.
+// goldenEntries returns log entries as raft passes them to the log store.
 func goldenEntries(t *testing.T) []*raft.Log {
 	t.Helper()
 	txn := &kv.Txn{
@@ -45,12 +45,12 @@
 			Term:  2,
 			Type:  raft.LogCommand,
 			Data:  []byte(`{"kind":"job","key":"k","value":"djAuMg=="}`),
-		}, // as version 0.2 wrote it
+		}, // format of version 0.2
 	}
 }
 
-// Entries of the log, votes and the mark beside it are, byte for byte, what the program wrote before its code was
-// reshaped. GOLDEN_UPDATE=1 writes the golden file anew, for a change of the stored form that is meant.
+// The stored bytes of log entries, votes and the watermark match the golden file. GOLDEN_UPDATE=1 rewrites the file
+// after an intended change of the stored format.
 func TestGoldenDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "raft.db")
 	log, err := openLog(path)
@@ -70,7 +70,7 @@
 	for _, want := range goldenEntries(t) {
 		var got raft.Log
 		if err := d.GetLog(want.Index, &got); err != nil || !bytes.Equal(got.Data, want.Data) || got.Type != want.Type {
-			t.Errorf("entry %d is read as %+v, %v", want.Index, got, err)
+			t.Errorf("entry %d was read as %+v, %v", want.Index, got, err)
 		}
 	}
 	if err := d.Close(); err != nil {
@@ -103,14 +103,14 @@
 	compareGolden(t, "disk.txt", out.String())
 }
 
-// goldenSink takes a snapshot.
+// goldenSink is a snapshot sink in memory.
 type goldenSink struct{ bytes.Buffer }
 
 func (*goldenSink) Close() error  { return nil }
 func (*goldenSink) ID() string    { return "golden" }
 func (*goldenSink) Cancel() error { return nil }
 
-// The state machine's snapshot is what it was, and is read again; so is one that version 0.2 wrote.
+// Snapshots of the state machine match the golden files and can be read, including a snapshot of version 0.2.
 func TestGoldenStateMachine(t *testing.T) {
 	lim := limits.New(0, 0, 0, 0, 0)
 	f := newFSM(lim)
@@ -130,22 +130,22 @@
 		}
 		return sink.Bytes()
 	}
-	written := persist(f)
-	compareGolden(t, "snapshot.hex", hex.EncodeToString(written)+"\n")
+	persisted := persist(f)
+	compareGolden(t, "snapshot.hex", hex.EncodeToString(persisted)+"\n")
 	read := newFSM(lim)
-	if err := read.Restore(io.NopCloser(bytes.NewReader(written))); err != nil {
+	if err := read.Restore(io.NopCloser(bytes.NewReader(persisted))); err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(persist(read), written) {
-		t.Error("a snapshot that was read and written again differs")
+	if !bytes.Equal(persist(read), persisted) {
+		t.Error("the snapshot differs after it was read and written again")
 	}
-	old := newFSM(lim)
-	if err := old.Restore(
+	legacy := newFSM(lim)
+	if err := legacy.Restore(
 		io.NopCloser(strings.NewReader(`{"kind":"job","key":"k","value":"djAuMg=="}` + "\n")),
 	); err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "snapshot-of-version-0.2.hex", hex.EncodeToString(persist(old))+"\n")
+	compareGolden(t, "snapshot-of-version-0.2.hex", hex.EncodeToString(persist(legacy))+"\n")
 }
 
 func compareGolden(t *testing.T, name, got string) {
@@ -162,6 +162,6 @@
 		t.Fatal(err)
 	}
 	if string(want) != got {
-		t.Errorf("%s: is now\n%s\nwant\n%s", name, got, want)
+		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
 	}
 }
--- a/internal/store/guard.go
+++ b/internal/store/guard.go
@@ -15,28 +15,28 @@
 	"gatetack/internal/membership"
 )
 
-// guard is raft's transport. It restricts the votes that this member gives and asks for to what package membership
-// allows (Assess), and it stops the messages of a leader whose disk does not answer: raft writes to its own log in the
-// loop that would step down, and its heartbeats go on beside it.
+// guard is raft's transport. It restricts the votes that this member gives and requests to those that
+// membership.Assess allows. It also stops the messages of a leader whose disk does not respond: raft writes to its log
+// in the same loop that would step down, while heartbeats continue in other goroutines.
 type guard struct {
 	*raft.NetworkTransport
 	disk         *disk
-	maxWriteTime time.Duration // of a write, while this member leads
-	calls        chan raft.RPC
+	maxWriteTime time.Duration // after this duration of a write, no messages are sent to other members
+	calls        chan raft.RPC // calls of other members that are forwarded to raft
 
 	mu       sync.Mutex
 	complete bool
 	floor    membership.VoteFloor
 }
 
-// errVote reports why a vote is not asked for, or not given.
-var errVote = &VoteError{}
+// errVoteWithheld is the error for a vote that is not requested.
+var errVoteWithheld = &VoteError{}
 
-func newGuard(t *raft.NetworkTransport, d *disk, most time.Duration) *guard {
-	return &guard{NetworkTransport: t, disk: d, maxWriteTime: most, calls: make(chan raft.RPC)}
+func newGuard(t *raft.NetworkTransport, d *disk, maxWriteTime time.Duration) *guard {
+	return &guard{NetworkTransport: t, disk: d, maxWriteTime: maxWriteTime, calls: make(chan raft.RPC)}
 }
 
-// Consumer returns the calls of other members that raft may see.
+// Consumer returns the calls of other members that are forwarded to raft.
 func (g *guard) Consumer() <-chan raft.RPC { return g.calls }
 
 // run forwards calls until the context ends.
@@ -58,24 +58,25 @@
 	}
 }
 
-// rejectVote answers a request for a vote that must not be given, and reports whether it did.
+// rejectVote rejects a request for a vote that this member must not give. It returns true if it responded.
 func (g *guard) rejectVote(rpc raft.RPC) bool {
-	head := raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax}
+	header := raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax}
 	switch c := rpc.Command.(type) {
 	case *raft.RequestVoteRequest:
 		if !g.mayVote(c.Term, c.LastLogTerm, c.LastLogIndex) {
-			rpc.Respond(&raft.RequestVoteResponse{RPCHeader: head}, nil)
+			rpc.Respond(&raft.RequestVoteResponse{RPCHeader: header}, nil)
 			return true
 		}
 	case *raft.RequestPreVoteRequest:
 		if !g.mayVote(c.Term, c.LastLogTerm, c.LastLogIndex) {
-			rpc.Respond(&raft.RequestPreVoteResponse{RPCHeader: head}, nil)
+			rpc.Respond(&raft.RequestPreVoteResponse{RPCHeader: header}, nil)
 			return true
 		}
 	}
 	return false
 }
 
+// mayVote reports whether this member may vote, in a term, for a candidate whose log ends at a position.
 func (g *guard) mayVote(term, lastTerm, lastIndex uint64) bool {
 	if failpoint.Without == failpoint.Floor {
 		return true
@@ -94,14 +95,14 @@
 	g.complete, g.floor = r.Complete, r.Floor
 }
 
-// assessment returns what this member's votes are restricted to.
+// assessment returns whether the assessment of this member is complete, and its vote floor.
 func (g *guard) assessment() (complete bool, floor membership.VoteFloor) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.complete, g.floor
 }
 
-// RequestVote asks for a vote, unless this member may have lost more than it has.
+// RequestVote requests a vote, unless the log of this member ends before its own vote floor.
 func (g *guard) RequestVote(
 	id raft.ServerID,
 	to raft.ServerAddress,
@@ -109,12 +110,12 @@
 	resp *raft.RequestVoteResponse,
 ) error {
 	if !g.mayVote(req.Term, req.LastLogTerm, req.LastLogIndex) {
-		return errVote
+		return errVoteWithheld
 	}
 	return g.NetworkTransport.RequestVote(id, to, req, resp)
 }
 
-// RequestPreVote asks for a pre-vote under the same restriction.
+// RequestPreVote requests a pre-vote under the same restriction.
 func (g *guard) RequestPreVote(
 	id raft.ServerID,
 	to raft.ServerAddress,
@@ -122,12 +123,12 @@
 	resp *raft.RequestPreVoteResponse,
 ) error {
 	if !g.mayVote(req.Term, req.LastLogTerm, req.LastLogIndex) {
-		return errVote
+		return errVoteWithheld
 	}
 	return g.NetworkTransport.RequestPreVote(id, to, req, resp)
 }
 
-// checkDisk returns an error if the disk does not answer: other members are then told nothing.
+// checkDisk returns an error if the disk does not respond, in which case no messages are sent to other members.
 func (g *guard) checkDisk() error {
 	if g.disk.abandoned.Load() {
 		return &StalledError{}
@@ -151,7 +152,7 @@
 	return g.NetworkTransport.AppendEntries(id, to, req, resp)
 }
 
-// AppendEntriesPipeline sends entries without waiting for each response.
+// AppendEntriesPipeline opens a pipeline that sends entries without waiting for each response.
 func (g *guard) AppendEntriesPipeline(id raft.ServerID, to raft.ServerAddress) (raft.AppendPipeline, error) {
 	if err := g.checkDisk(); err != nil {
 		return nil, err
@@ -163,6 +164,7 @@
 	return &pipeline{p, g}, nil
 }
 
+// pipeline checks the disk before each call.
 type pipeline struct {
 	raft.AppendPipeline
 	g *guard
@@ -193,27 +195,27 @@
 	return g.NetworkTransport.InstallSnapshot(id, to, req, resp, data)
 }
 
-// assess finds out whether this member, whose folder was not empty, may have lost what it acknowledged. Until that is
+// assess determines whether this member, whose folder was not empty, may have lost acknowledged entries. Until that is
 // known it does not vote.
 func (s *Store) assess(ctx context.Context) {
-	for said := false; s.addressElsewhere() != ""; said = true {
-		if !said {
+	for logged := false; s.otherAddress() != ""; logged = true {
+		if !logged {
 			s.log.Warn("store member known at another address, not voting; its folder may be a copy",
-				"listen", s.cfg.Listen, "known", s.addressElsewhere(), "do", "stop the other process, or set store.join")
+				"listen", s.cfg.Listen, "known", s.otherAddress(), "do", "stop the other process, or set store.join")
 		}
-		if !s.sleepHalfBeat(ctx) {
+		if !s.sleepBeforeRetry(ctx) {
 			return
 		}
 	}
-	for said := ""; ; {
-		at := s.addresses()
-		all := slices.Sorted(maps.Keys(at))
+	for loggedMissing := ""; ; {
+		addresses := s.addresses()
+		all := slices.Sorted(maps.Keys(addresses))
 		r := membership.Assess(s.folderAtStart, s.watermarkAtStart, all, nil)
-		if !r.Complete { // the watermark does not suffice
-			r = membership.Assess(s.folderAtStart, s.watermarkAtStart, all, s.askProgress(ctx, at))
+		if !r.Complete { // there is no usable watermark
+			r = membership.Assess(s.folderAtStart, s.watermarkAtStart, all, s.askProgress(ctx, addresses))
 		}
 		s.guard.setAssessment(r)
-		if r.Regressed && said == "" {
+		if r.Regressed && loggedMissing == "" {
 			s.log.Warn("store member lost acknowledged entries, restricting its votes", "last", s.folderAtStart.Last,
 				"acknowledged", r.Floor.Last, "voted_term", r.Floor.Term)
 		}
@@ -229,18 +231,18 @@
 			}
 			return
 		}
-		if text := fmt.Sprint(r.Missing); text != said {
-			said = text
+		if text := fmt.Sprint(r.Missing); text != loggedMissing {
+			loggedMissing = text
 			s.log.Info("store member not voting, waiting for the positions of others", "missing", r.Missing)
 		}
-		if !s.sleepHalfBeat(ctx) {
+		if !s.sleepBeforeRetry(ctx) {
 			return
 		}
 	}
 }
 
-// sleepHalfBeat waits before another attempt. It returns false when the context ends.
-func (s *Store) sleepHalfBeat(ctx context.Context) bool {
+// sleepBeforeRetry waits for half of the election timeout. It returns false if the context ends.
+func (s *Store) sleepBeforeRetry(ctx context.Context) bool {
 	select {
 	case <-time.After(s.lim.StoreElectionTimeout / 2):
 		return true
@@ -249,9 +251,9 @@
 	}
 }
 
-// addressElsewhere returns the address under which the members know this one, empty if it is the one that it listens
-// at.
-func (s *Store) addressElsewhere() string {
+// otherAddress returns the address of this member in the configuration of the store, or an empty string if that is the
+// address at which it listens.
+func (s *Store) otherAddress() string {
 	all, _ := s.Members()
 	for _, x := range all {
 		if x.Name == s.cfg.Name && x.Address != s.cfg.Listen {
@@ -261,16 +263,16 @@
 	return ""
 }
 
-// askProgress gets the positions of the other members.
-func (s *Store) askProgress(ctx context.Context, at map[string]string) map[string]membership.Progress {
+// askProgress requests the progress of the other members. The result contains the answers by member.
+func (s *Store) askProgress(ctx context.Context, addresses map[string]string) map[string]membership.Progress {
 	out := map[string]membership.Progress{}
-	for name, a := range s.askWitnesses(ctx, at) {
+	for name, a := range s.askWitnesses(ctx, addresses) {
 		out[name] = a.Progress
 	}
 	return out
 }
 
-// addresses returns the addresses of all members that the folder or the configuration names, with this one's.
+// addresses returns the addresses, by name, of all members in the configuration of this node and in that of the store.
 func (s *Store) addresses() map[string]string {
 	out := maps.Clone(s.cfg.Members)
 	if out == nil {
@@ -283,13 +285,14 @@
 	return out
 }
 
-// progress returns the position of this member.
+// progress returns the progress of this member.
 func (s *Store) progress() membership.Progress {
 	last, term := s.disk.lastPosition()
 	return membership.Progress{Last: last, Term: term}
 }
 
-// lastPosition returns the end of the log, snapshots included, and the last term in which a vote may have been given.
+// lastPosition returns the later of the end of the log and the end of the snapshots, and the last term in which a vote
+// may have been given.
 func (d *disk) lastPosition() (last membership.Position, term uint64) {
 	if index, err := d.LastIndex(); err == nil && index > 0 {
 		var l raft.Log
@@ -321,10 +324,10 @@
 
 // voteStatus describes this member's votes for operators.
 func (s *Store) voteStatus() string {
-	sure, floor := s.guard.assessment()
+	complete, floor := s.guard.assessment()
 	last, _ := s.disk.lastPosition()
 	switch {
-	case !sure:
+	case !complete:
 		return "gives none yet: it asks others where they stand"
 	case last.Less(floor.Last):
 		return "for who has " + floor.Last.String() + ": it had acknowledged that, and has " + last.String()
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -23,30 +23,30 @@
 // Names in a member's folder.
 const (
 	logFile      = "raft.db"
-	snapshotsDir = "snapshots" // as hashicorp/raft names it
+	snapshotsDir = "snapshots" // hashicorp/raft uses this name
 
 	retainedSnapshots = 2
 )
 
-// inspection looks at a member's folder before anything of it is used, and moves away what can not be trusted: a
-// snapshot, the log from a damaged entry on, or all of it. Nothing is deleted but log entries that others have.
+// inspection checks a member's folder before it is used. It moves aside what is corrupt: a snapshot, the log, or both.
+// A log is truncated before a corrupt entry. Only log entries that other members have are deleted.
 type inspection struct {
-	dir   string
-	alone bool // no other member has what is damaged
-	lim   limits.Limits
-	quiet hclog.Logger
-	log   *slog.Logger
-
-	unreadable membership.Position // the end of what the folder had and can not be read any more
-	covered    uint64              // entries up to this one are in a good snapshot
-	damaged    bool                // a snapshot was moved away
+	dir        string
+	soleMember bool // the store has one member: there is no other copy
+	lim        limits.Limits
+	raftLog    hclog.Logger
+	log        *slog.Logger
+
+	unreadable membership.Position // the last position that was in the folder and cannot be read
+	covered    uint64              // entries up to this one are in an intact snapshot
+	damaged    bool                // a snapshot was moved aside
 }
 
-// inspectFolder inspects a folder. It returns the end of what the folder had and can not be read any more, as far as
-// that is known: the member gets it from the others.
-func inspectFolder(dir string, alone bool, lim limits.Limits, quiet hclog.Logger,
+// inspectFolder inspects a folder. It returns the last position, as far as it is known, that was in the folder and
+// cannot be read; the member receives these entries from the others.
+func inspectFolder(dir string, soleMember bool, lim limits.Limits, raftLog hclog.Logger,
 	log *slog.Logger) (unreadable membership.Position, err error) {
-	in := &inspection{dir: dir, alone: alone, lim: lim, quiet: quiet, log: log}
+	in := &inspection{dir: dir, soleMember: soleMember, lim: lim, raftLog: raftLog, log: log}
 	err = in.run()
 	return in.unreadable, err
 }
@@ -60,7 +60,7 @@
 			if err := in.moveAside(path, damage); err != nil {
 				return err
 			}
-			// Without the votes and the log, a snapshot would be an earlier state under the same identity.
+			// Without the votes and the log, the member would start from an earlier state under the same identity.
 			return in.moveSnapshotsAside()
 		}
 	}
@@ -70,10 +70,11 @@
 	return in.inspectLog(path)
 }
 
-// moveAside renames a damaged file or directory. A member that is alone does not start instead: nobody has a copy.
+// moveAside renames a corrupt file or directory. For the only member of a store it returns an error instead, because no
+// other member has a copy.
 func (in *inspection) moveAside(name string, damage error) error {
-	if in.alone {
-		return errors.Join(&DamagedError{name, "and no other member has what it held"}, damage)
+	if in.soleMember {
+		return errors.Join(&DamagedError{name, "no other member has a copy"}, damage)
 	}
 	to := filepath.Join(in.dir, filepath.Base(name)+time.Now().UTC().Format(".damaged-20060102T150405.000000000"))
 	in.log.Error("store folder damaged, moving a part aside and copying it from the other members",
@@ -81,9 +82,9 @@
 	return os.Rename(name, to)
 }
 
-// inspectSnapshots reads all snapshots, the newest first.
+// inspectSnapshots reads all snapshots, the latest first, and moves corrupt ones aside.
 func (in *inspection) inspectSnapshots() error {
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(in.dir, retainedSnapshots, in.quiet)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(in.dir, retainedSnapshots, in.raftLog)
 	if err != nil {
 		return err
 	}
@@ -97,7 +98,7 @@
 			in.covered = max(in.covered, m.Index)
 			continue
 		}
-		in.lose(membership.Position{Term: m.Term, Index: m.Index})
+		in.noteUnreadable(membership.Position{Term: m.Term, Index: m.Index})
 		in.damaged = true
 		if err := in.moveAside(filepath.Join(in.dir, snapshotsDir, m.ID), damage); err != nil {
 			return err
@@ -115,14 +116,14 @@
 	return errors.Join(err, r.Close())
 }
 
-// lose notes that the folder had entries up to a position.
-func (in *inspection) lose(end membership.Position) {
+// noteUnreadable records that the folder contained entries up to a position.
+func (in *inspection) noteUnreadable(end membership.Position) {
 	if in.unreadable.Less(end) {
 		in.unreadable = end
 	}
 }
 
-// inspectLog reads the log's entries and truncates it before a damaged one.
+// inspectLog reads the entries of the log and truncates it before a corrupt one.
 func (in *inspection) inspectLog(path string) error {
 	b, err := openLog(path)
 	if err != nil {
@@ -130,11 +131,11 @@
 	}
 	first, last, end, damage := readableEntries(b, in.covered)
 	switch {
-	case damage != nil && in.alone && last > in.covered:
-		in.lose(end)
-		err = errors.Join(&DamagedError{path, "and no other member has what it held"}, damage)
+	case damage != nil && in.soleMember && last > in.covered:
+		in.noteUnreadable(end)
+		err = errors.Join(&DamagedError{path, "no other member has a copy"}, damage)
 	case damage != nil:
-		in.lose(end)
+		in.noteUnreadable(end)
 		in.log.Error("store log damaged, truncating it and copying entries from the other members",
 			"last", last, "end", end, "err", damage)
 		err = b.DeleteRange(last+1, end.Index)
@@ -145,10 +146,10 @@
 	if first <= in.covered+1 || !in.damaged && in.covered > 0 {
 		return nil
 	}
-	// The entries between the remaining snapshot and the log are lost, so that there is no complete state.
+	// Entries between the remaining snapshot and the log are missing, so that the state cannot be rebuilt.
 	err = in.moveAside(
 		path,
-		fmt.Errorf("the log begins at entry %d, and what came before it after entry %d can not be read",
+		fmt.Errorf("the log begins at entry %d, and the entries before it after entry %d cannot be read",
 			first, in.covered),
 	)
 	if err != nil {
@@ -163,21 +164,21 @@
 	if _, err := os.Stat(path); err != nil {
 		return nil
 	}
-	return in.moveAside(path, errors.New("the log that belongs to them is damaged"))
+	return in.moveAside(path, errors.New("the log of these snapshots is damaged"))
 }
 
-// openLog opens the log's file. The list of free pages is not stored: with a damaged list, the library would write
-// over used pages.
+// openLog opens the log file. The list of free pages is not stored in it, because bbolt would overwrite used pages if
+// that list were corrupt.
 func openLog(path string) (*boltdb.BoltStore, error) {
 	return boltdb.New(
 		boltdb.Options{Path: path, BoltOptions: &bolt.Options{NoFreelistSync: true, FreelistType: bolt.FreelistMapType}},
 	)
 }
 
-// verifyPages walks the pages of the log's file in this goroutine, because the library's own check panics in another
-// one. Keys out of order are pages in the wrong place.
+// verifyPages reads all pages of the log file. It does so in its own goroutine, because the check that bbolt provides
+// runs in another one, where a panic cannot be recovered. Keys out of order indicate misplaced pages.
 func verifyPages(path string) (err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // reading a page past the file's end is a fault
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // reading a page beyond the end of the file is a memory fault
 	defer func() {
 		if p := recover(); p != nil {
 			err = &DamagedError{path, fmt.Sprint(p)}
@@ -192,28 +193,28 @@
 	}
 	defer func() { _ = db.Close() }()
 	return db.View(func(tx *bolt.Tx) error {
-		seen := 0
+		buckets := 0
 		err := tx.ForEach(func(name []byte, b *bolt.Bucket) error {
-			seen++
-			var before []byte
+			buckets++
+			var previous []byte
 			return b.ForEach(func(k, v []byte) error {
-				if before != nil && bytes.Compare(before, k) >= 0 {
-					return &DamagedError{path, fmt.Sprintf("key %x of %s stands after %x", k, name, before)}
+				if previous != nil && bytes.Compare(previous, k) >= 0 {
+					return &DamagedError{path, fmt.Sprintf("key %x of %s follows %x", k, name, previous)}
 				}
-				before = append(before[:0], k...)
+				previous = append(previous[:0], k...)
 				return nil
 			})
 		})
-		if err == nil && seen != 2 && seen != 0 {
-			err = &DamagedError{path, fmt.Sprintf("%d tables, expected two", seen)}
+		if err == nil && buckets != 2 && buckets != 0 {
+			err = &DamagedError{path, fmt.Sprintf("%d buckets, expected two", buckets)}
 		}
 		return err
 	})
 }
 
-// readableEntries reads all entries of a log past those that a snapshot covers. It returns the first one, the last one
-// before a damaged one, and the end of the log.
-func readableEntries(b *boltdb.BoltStore, covered uint64) (first, last uint64, end membership.Position, why error) {
+// readableEntries reads all entries of a log. Entries that a snapshot covers may be missing. It returns the first
+// entry, the last one before a corrupt one, the end of the log, and the error of the corrupt entry.
+func readableEntries(b *boltdb.BoltStore, covered uint64) (first, last uint64, end membership.Position, damage error) {
 	d := &disk{BoltStore: b}
 	first, err := b.FirstIndex()
 	if err != nil {
@@ -234,10 +235,10 @@
 		if i <= covered && errors.Is(err, raft.ErrLogNotFound) {
 			continue
 		}
-		if why == nil {
-			why, last = err, i-1
+		if damage == nil {
+			damage, last = err, i-1
 		}
 		end.Index = i
 	}
-	return first, last, end, why
+	return first, last, end, damage
 }
--- a/internal/store/leader.go
+++ b/internal/store/leader.go
@@ -12,7 +12,7 @@
 	"gatetack/internal/kv"
 )
 
-// serveAsLeader answers a call of another member, or of this one, as the leader.
+// serveAsLeader handles a call of another member, or of this one, on the leader.
 func (s *Store) serveAsLeader(ctx context.Context, target string, body []byte) http1.Response {
 	u, err := url.Parse(target)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return http1.JSON(200, r)
 }
 
-// serveRead reads after a barrier: all that was committed before the call is then applied, and only a leader commits
-// one.
+// serveRead reads after a barrier: all entries that were committed before the call have then been applied, and this
+// member is still the leader, because only a leader can commit a barrier.
 func (s *Store) serveRead(ctx context.Context, path string, q url.Values) http1.Response {
 	if err := s.await(ctx, s.raft.Barrier(s.lim.StoreCallTimeout).Error); err != nil {
 		return http1.Text(503, "%v", err)
@@ -61,9 +61,10 @@
 	return http1.JSON(200, s.page(view, q))
 }
 
-// page returns the rows of a page, which holds no more bytes than a body may, but at least one row.
+// page returns the rows of a page. Their values have at most the maximum size of a body, but the page has at least one
+// row if there is any.
 func (s *Store) page(view *kv.View, q url.Values) []jobstore.Row {
-	limit, _ := strconv.Atoi(q.Get("limit")) // 0 where it is no number: an empty page
+	limit, _ := strconv.Atoi(q.Get("limit")) // 0, and therefore an empty page, if it is not a number
 	rows, remaining := []jobstore.Row{}, s.lim.StoreBodyBytes
 	for _, e := range view.List(q.Get("table"), "", q.Get("after"), limit) {
 		if remaining -= len(e.Value); remaining < 0 && len(rows) > 0 {
--- a/internal/store/lies_test.go
+++ b/internal/store/lies_test.go
@@ -20,12 +20,13 @@
 	"gatetack/internal/testenv"
 )
 
+// leader waits until a member is the leader and returns it.
 func leader(t *testing.T, all []*node) (lead *node) {
 	t.Helper()
 	testenv.Until(t, "a leader", func() bool {
 		lead = nil
 		for _, m := range all {
-			if m.s.Leads() {
+			if m.s.IsLeader() {
 				lead = m
 			}
 		}
@@ -34,12 +35,12 @@
 	return lead
 }
 
-// faulty has a member's writes meet what is set, from now on.
-func faulty(m *node) *atomic.Pointer[failpoint.Disk] { return &m.disk }
+// diskFault returns the fault that is injected into the writes of a member.
+func diskFault(m *node) *atomic.Pointer[failpoint.Disk] { return &m.disk }
 
-// A leader whose disk fails a write, is full, takes two seconds for each, or never comes back with one, does not keep
-// the store: the others write, and what was acknowledged before stands. Once the disk does again, it has what it
-// missed.
+// A leader whose disk fails writes, takes two seconds for each, or never completes one does not block the store: the
+// other members elect a leader and accept writes, and acknowledged values persist. Once the disk works again, the
+// member receives the writes that it missed.
 func TestLeaderWithABadDisk(t *testing.T) {
 	for _, x := range []struct {
 		what  string
@@ -54,7 +55,7 @@
 			all := cluster(t, 3)
 			put(t, all[0], "before", "x")
 			lead := leader(t, all)
-			disk := faulty(lead)
+			disk := diskFault(lead)
 			disk.Store(&x.disk)
 			var others []*node
 			for _, m := range all {
@@ -63,16 +64,20 @@
 				}
 			}
 			put(t, others[0], "after", "y")
-			testenv.Until(t, "another leads", func() bool { return others[0].s.Leads() || others[1].s.Leads() })
-			want(t, others[1], "before", "x")
-			if x.disk.Waits < 0 { // for good, also where it lost the lead before it met the disk, and meets it as a follower
-				testenv.Until(t, "its disk is told", func() bool { return lead.s.Status().Disk != "answers" })
+			testenv.Until(
+				t,
+				"another member is the leader",
+				func() bool { return others[0].s.IsLeader() || others[1].s.IsLeader() },
+			)
+			expectValue(t, others[1], "before", "x")
+			if x.disk.Waits < 0 { // a member that lost the leadership before its first write reaches the disk as a follower
+				testenv.Until(t, "the status reports the disk", func() bool { return lead.s.Status().Disk != "answers" })
 			}
 			if x.heals {
 				disk.Store(&failpoint.Disk{})
 				testenv.Until(
 					t,
-					"it has what it missed",
+					"it has the write that it missed",
 					func() bool { v, ok := lead.s.Local("job", "after"); return ok && string(v) == "y" },
 				)
 			}
@@ -80,33 +85,33 @@
 	}
 }
 
-// Without the look at the disk a leader that hangs leads on, and nothing is written: what the test above rests on is
-// seen.
-func TestLeaderThatHangsWithoutTheGuard(t *testing.T) {
+// Without the guard's check of the disk, a leader whose disk hangs remains the leader and no write succeeds. This shows
+// that TestLeaderWithABadDisk depends on the check.
+func TestLeaderWithAHangingDiskWithoutTheGuard(t *testing.T) {
 	failpoint.Without = failpoint.Stalled
 	defer func() { failpoint.Without = "" }()
 	all := cluster(t, 3)
 	put(t, all[0], "before", "x")
 	lead := leader(t, all)
-	faulty(lead).Store(&failpoint.Disk{Waits: -1})
+	diskFault(lead).Store(&failpoint.Disk{Waits: -1})
 	for _, m := range all {
 		if m == lead {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
-		if err := m.s.Put(ctx, "job", "after", []byte("y")); err == nil || !lead.s.Leads() {
-			t.Errorf("%v: it gave up the lead with nothing that looks at its disk", err)
+		if err := m.s.Put(ctx, "job", "after", []byte("y")); err == nil || !lead.s.IsLeader() {
+			t.Errorf("write: %v; want an error and an unchanged leader without the check of the disk", err)
 		}
 		cancel()
 		break
 	}
-	for _, m := range all { // before the guard is back: it is looked at by what ends
+	for _, m := range all { // before failpoint.Without is reset, which running members read
 		m.stop()
 	}
 }
 
-// A follower that can not write acknowledges nothing: with it and one more down nothing is written, and with it alone
-// all is.
+// A follower that cannot write acknowledges nothing: writes succeed while only this follower fails, and fail if another
+// member is down as well.
 func TestFollowerWithAFullDisk(t *testing.T) {
 	all := cluster(t, 3)
 	put(t, all[0], "before", "x")
@@ -121,45 +126,46 @@
 			other = m
 		}
 	}
-	disk := faulty(full)
+	disk := diskFault(full)
 	disk.Store(&failpoint.Disk{Fails: true})
 	put(t, lead, "with the other", "y")
 	other.stop()
 	ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 	defer cancel()
 	if err := lead.s.Put(ctx, "job", "alone", []byte("z")); err == nil {
-		t.Error("acknowledged with one disk of three")
+		t.Error("a write was acknowledged with one working disk of three")
 	}
 	disk.Store(&failpoint.Disk{})
 	put(t, lead, "again", "w")
-	want(t, full, "with the other", "y")
+	expectValue(t, full, "with the other", "y")
 }
 
-// Any byte of a member's folder is changed while it is down. It starts without what it can not trust and gets it from
-// the others, or does not start and says why; it never tells another value, nor sends one to others.
-func TestAnyByteChanged(t *testing.T) {
+// Any byte in the folder of a member is changed while the member is down. The member starts without the corrupt data
+// and receives it from the others, or does not start and returns an error. It never returns a wrong value, nor sends
+// one to other members.
+func TestCorruptFolder(t *testing.T) {
 	all := cluster(t, 3)
 	for i := range 60 {
 		put(t, all[i%3], fmt.Sprint("k", i), fmt.Sprint("value ", i, " of some length"))
 	}
 	m := all[1]
-	testenv.Until(t, "it has all", func() bool { _, ok := m.s.Local("job", "k59"); return ok })
+	testenv.Until(t, "the member has all values", func() bool { _, ok := m.s.Local("job", "k59"); return ok })
 	if err := m.s.raft.Snapshot().Error(); err != nil {
 		t.Fatal(err)
 	}
 	put(t, all[0], "last", "after the snapshot")
-	testenv.Until(t, "it has the last", func() bool { _, ok := m.s.Local("job", "last"); return ok })
+	testenv.Until(t, "the member has the last value", func() bool { _, ok := m.s.Local("job", "last"); return ok })
 	m.stop()
-	good := t.TempDir()
-	if err := os.CopyFS(good, os.DirFS(m.cfg.Dir)); err != nil {
+	intactDir := t.TempDir()
+	if err := os.CopyFS(intactDir, os.DirFS(m.cfg.Dir)); err != nil {
 		t.Fatal(err)
 	}
-	files := filesIn(good)
+	files := filesIn(intactDir)
 	rng := rand.New(rand.NewPCG(11, 0))
 	started, rejected := 0, 0
 	for range 24 {
 		dir := filepath.Join(t.TempDir(), "n1")
-		if err := os.CopyFS(dir, os.DirFS(good)); err != nil {
+		if err := os.CopyFS(dir, os.DirFS(intactDir)); err != nil {
 			t.Fatal(err)
 		}
 		file := files[rng.IntN(len(files))]
@@ -178,9 +184,9 @@
 		}
 	}
 	if started < 12 {
-		t.Errorf("it started %d times of 24, and did not %d times", started, rejected)
+		t.Errorf("the member started %d times of 24 and did not start %d times", started, rejected)
 	}
-	want(t, all[0], "k7", "value 7 of some length")
+	expectValue(t, all[0], "k7", "value 7 of some length")
 }
 
 // filesIn returns the paths of the files below a directory, relative to it.
@@ -195,8 +201,8 @@
 	return files
 }
 
-// damageFile changes a bit of a file, and truncates some there. It returns what it did, empty for a file without
-// content.
+// damageFile changes a bit of a file and truncates some files at that position. It returns a description, or an empty
+// string for an empty file.
 func damageFile(t *testing.T, rng *rand.Rand, dir, file string) string {
 	t.Helper()
 	path := filepath.Join(dir, file)
@@ -208,12 +214,12 @@
 		return ""
 	}
 	at := rng.IntN(len(data))
-	for file == logFile && data[at] == 0 { // most of a new log is empty
+	for file == logFile && data[at] == 0 { // most of a new log file consists of zeros
 		at = (at + 1) % len(data)
 	}
 	data[at] ^= byte(1 << rng.IntN(8))
 	if rng.IntN(6) == 0 {
-		data = data[:at] // torn
+		data = data[:at] // a torn write
 	}
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		t.Fatal(err)
@@ -221,14 +227,14 @@
 	return fmt.Sprintf("%s at %d of %d", file, at, len(data))
 }
 
-// checkDamagedMember starts a member on a damaged folder, and expects it to have all values again and never another
-// one. It reports whether the member started.
+// checkDamagedMember starts a member on a damaged folder and expects that it receives all values and never has a wrong
+// one. It returns whether the member started.
 func checkDamagedMember(t *testing.T, cfg Config, what string) bool {
 	t.Helper()
 	s, err := Open(cfg, testenv.Limits, nil, testenv.DiscardLog)
 	if err != nil {
 		if operr.Remedy(err) == "" && !errors.Is(err, os.ErrNotExist) {
-			t.Logf("%s: it does not start: %v", what, err)
+			t.Logf("%s: the member does not start: %v", what, err)
 		}
 		return false
 	}
@@ -237,10 +243,10 @@
 	go func() { done <- s.Run(ctx) }()
 	check := func(key, value string) {
 		if v, ok := s.Local("job", key); ok && string(v) != value {
-			t.Errorf("%s: %s is told as %q", what, key, v)
+			t.Errorf("%s: wrong value of %s: %q", what, key, v)
 		}
 	}
-	testenv.Until(t, what+": it has all again", func() bool {
+	testenv.Until(t, what+": the member has all values", func() bool {
 		for i := range 60 {
 			check(fmt.Sprint("k", i), fmt.Sprint("value ", i, " of some length"))
 		}
@@ -250,13 +256,13 @@
 	})
 	cancel()
 	if err := <-done; err != nil {
-		t.Logf("%s: it ended with %v", what, err)
+		t.Logf("%s: the member ended with error: %v", what, err)
 	}
 	return true
 }
 
-// An entry that was changed anywhere is found, whatever it says; one that was not is what it was.
-func TestEntriesAreSealed(t *testing.T) {
+// A changed log entry is detected, whichever of its bits was changed; an unchanged entry is read as written.
+func TestCorruptEntriesAreDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := raft.Log{
 			Index: rapid.Uint64().Draw(t, "index"),
@@ -265,9 +271,9 @@
 			Data:  rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "data"),
 		}
 		x := l
-		x.Extensions = seal(&x)
+		x.Extensions = encodeChecksum(&x)
 		back := x
-		if err := unseal(l.Index, &back); err != nil || back.Extensions != nil {
+		if err := verifyChecksum(l.Index, &back); err != nil || back.Extensions != nil {
 			t.Fatalf("%v %v", err, back.Extensions)
 		}
 		bad := x
@@ -286,14 +292,14 @@
 		default:
 			bad.Extensions[rapid.IntRange(0, len(bad.Extensions)-1).Draw(t, "at")] ^= bit
 		}
-		if err := unseal(l.Index, &bad); !errors.Is(err, ErrDamaged) {
-			t.Fatalf("%+v was taken for %+v", bad, l)
+		if err := verifyChecksum(l.Index, &bad); !errors.Is(err, ErrDamaged) {
+			t.Fatalf("changed entry %+v was accepted in place of %+v", bad, l)
 		}
 	})
 }
 
-// FuzzMark reads marks: one that was written is read back, and any other text is none.
-func FuzzMark(f *testing.F) {
+// FuzzWatermark decodes watermarks: decoding accepts only data that encoding produces.
+func FuzzWatermark(f *testing.F) {
 	m := watermark{folder: 7, boot: 9, last: membership.Position{Term: 3, Index: 12}, term: 4}
 	f.Add(m.encode())
 	f.Add([]byte{})
@@ -305,20 +311,19 @@
 		}
 		back := watermark{folder: 7, boot: 9, last: x.Last, term: x.Term}
 		if string(back.encode()) != string(raw) {
-			t.Errorf("%x is read as %+v", raw, x)
+			t.Errorf("%x was decoded as %+v", raw, x)
 		}
 	})
 }
 
-// A mark vouches for nothing before it is armed, goes on after the process, and is taken away when it can not be
-// written.
-func TestMark(t *testing.T) {
+// A watermark has no content before it is armed, persists across processes, and is removed if it cannot be written.
+func TestWatermark(t *testing.T) {
 	dir := t.TempDir()
 	m, known, err := openWatermark(dir, "f", "boot")
 	if err != nil || known != nil {
 		t.Fatalf("%v %v", known, err)
 	}
-	again := func(boot string) *membership.Watermark {
+	reopen := func(boot string) *membership.Watermark {
 		t.Helper()
 		x, known, err := openWatermark(dir, "f", boot)
 		if err != nil {
@@ -328,22 +333,22 @@
 		return known
 	}
 	_ = m.raise(membership.Position{Term: 1, Index: 5}, 1)
-	if k := again("boot"); k != nil {
-		t.Errorf("%+v vouches before it is armed", k)
+	if k := reopen("boot"); k != nil {
+		t.Errorf("watermark %+v was written before it was armed", k)
 	}
 	_ = m.arm(membership.Position{Term: 2, Index: 3}, 2)
 	_ = m.raise(membership.Position{Term: 1, Index: 9}, 0) // behind
-	if k := again("boot"); k == nil || k.Last != (membership.Position{Term: 2, Index: 3}) || k.Term != 2 {
+	if k := reopen("boot"); k == nil || k.Last != (membership.Position{Term: 2, Index: 3}) || k.Term != 2 {
 		t.Errorf("%+v", k)
 	}
-	if k := again("another"); k != nil {
-		t.Errorf("%+v of another boot", k)
+	if k := reopen("another"); k != nil {
+		t.Errorf("watermark %+v was accepted after another boot", k)
 	}
 	_ = m.file.Close()
 	if err := m.raise(membership.Position{Term: 2, Index: 4}, 0); err != nil {
-		t.Errorf("it could be taken away: %v", err)
+		t.Errorf("the file can be removed, but raise failed: %v", err)
 	}
-	if k := again("boot"); k != nil {
-		t.Errorf("%+v stayed behind what was acknowledged", k)
+	if k := reopen("boot"); k != nil {
+		t.Errorf("stale watermark %+v was not removed", k)
 	}
 }
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -16,32 +16,33 @@
 	"gatetack/internal/testenv"
 )
 
-var span = flag.Duration("span", 6*time.Second, "how long TestLinearizable kills members; the long run takes 10m")
+var killTime = flag.Duration("span", 6*time.Second, "how long TestLinearizable kills members; the long run takes 10m")
 
-// A call to the store, as the model sees it.
+// input is a call to the store, as input of the model.
 type input struct {
 	verb  string // get, put, create or delete
 	key   string
 	value string
 }
 
+// output is the result of a call.
 type output struct {
 	value   string
 	found   bool
 	ok      bool
-	unknown bool // it is not known whether it was made
+	unknown bool // it is unknown whether the call took effect
 }
 
-// register is what one key must look like: a value that stands or not.
+// register is the model of one key: a value, or none.
 var register = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
-		by := map[string][]porcupine.Operation{}
+		byKey := map[string][]porcupine.Operation{}
 		for _, op := range history {
 			k := op.Input.(input).key
-			by[k] = append(by[k], op)
+			byKey[k] = append(byKey[k], op)
 		}
 		var out [][]porcupine.Operation
-		for _, ops := range by {
+		for _, ops := range byKey {
 			out = append(out, ops)
 		}
 		return out
@@ -71,12 +72,12 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// recorder makes calls at members that are stopped and started meanwhile, and records their history.
+// recorder makes calls to members that are stopped and restarted meanwhile, and records the history of the calls.
 type recorder struct {
-	members []*node
-	began   time.Time
+	members   []*node
+	startedAt time.Time
 
-	mu      sync.Mutex // of the members' stores, and of the history
+	mu      sync.Mutex // protects the stores of the members and the history
 	history []porcupine.Operation
 }
 
@@ -86,9 +87,9 @@
 	return r.members[i].s
 }
 
-func (r *recorder) now() int64 { return time.Since(r.began).Nanoseconds() }
+func (r *recorder) now() int64 { return time.Since(r.startedAt).Nanoseconds() }
 
-// run makes the calls of one client until the context ends.
+// run makes calls as one client until the context ends.
 func (r *recorder) run(ctx context.Context, client int) {
 	rng := rand.New(rand.NewPCG(7, uint64(client)))
 	for n := 0; ctx.Err() == nil; n++ {
@@ -101,10 +102,11 @@
 	}
 }
 
-// record makes one call. A read that fails is not recorded; a write that fails may still be made, at any later time.
+// record makes and records one call. A read that fails is not recorded. A write that fails may still take effect at any
+// later time.
 func (r *recorder) record(ctx context.Context, client int, s *Store, in input) {
 	call := r.now()
-	// The end of the test does not end a call that is under way.
+	// The end of the test does not cancel a call in flight.
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*time.Second)
 	out, err := in.make(ctx, s)
 	stop()
@@ -120,7 +122,7 @@
 	r.history = append(r.history, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: end})
 }
 
-// make makes the call at a member.
+// make makes the call to a member.
 func (in input) make(ctx context.Context, s *Store) (out output, err error) {
 	op := kv.Op{Verb: kv.Put, Table: "t", Key: in.key, Value: []byte(in.value)}
 	switch in.verb {
@@ -143,7 +145,8 @@
 	return out, err
 }
 
-// killMembers stops one or two members at random and starts them again until a moment. It returns how many it stopped.
+// killMembers stops one or two random members and restarts them, repeatedly until a given time. It returns the number
+// of stops.
 func (r *recorder) killMembers(t *testing.T, until time.Time) (kills int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(7, 99))
@@ -164,37 +167,37 @@
 	return kills
 }
 
-// Members are killed at random, two of five at most at a time, while clients read, write, create and delete through all
-// of them. What was told fits one order of all calls, in which each takes place between its beginning and its end, and
-// nothing that was acknowledged is lost.
+// At most two of five members at a time are stopped at random while clients read, write, create and delete through all
+// members. The history is linearizable: the results agree with one order of the calls in which each call takes effect
+// between its start and its end, and no acknowledged write is lost.
 func TestLinearizable(t *testing.T) {
 	all := cluster(t, 5)
-	ctx, cancel := context.WithTimeout(t.Context(), *span)
+	ctx, cancel := context.WithTimeout(t.Context(), *killTime)
 	defer cancel()
-	calls := &recorder{members: all, began: time.Now()}
+	rec := &recorder{members: all, startedAt: time.Now()}
 	var g errgroup.Group
 	for client := range 4 {
-		g.Go(func() error { calls.run(ctx, client); return nil })
+		g.Go(func() error { rec.run(ctx, client); return nil })
 	}
-	kills := calls.killMembers(t, calls.began.Add(*span))
+	kills := rec.killMembers(t, rec.startedAt.Add(*killTime))
 	_ = g.Wait()
-	history := calls.history
+	history := rec.history
 	known := 0
 	for i, op := range history {
 		if !op.Output.(output).unknown {
 			known++
 		} else {
-			history[i].ClientId = 1000 + i // it overlaps with its client's next calls
+			history[i].ClientId = 1000 + i // a call without a known end overlaps the next calls of its client
 		}
 	}
 	if known < 20 || kills < 2 {
-		t.Fatalf("%d calls of %d came back, %d kills: too few to show anything", known, len(history), kills)
+		t.Fatalf("%d calls of %d have a known end, %d kills: too few for a result", known, len(history), kills)
 	}
 	if r := porcupine.CheckOperationsTimeout(register, history, 2*time.Minute); r != porcupine.Ok {
 		t.Errorf("%d calls with %d kills: %v", len(history), kills, r)
 	}
 	t.Logf("%d calls, %d of them with a known end, %d kills", len(history), known, kills)
-	testenv.Until(t, "all agree in the end", func() bool {
+	testenv.Until(t, "all members have applied the same entries", func() bool {
 		want := all[0].s.Status().Applied
 		for _, m := range all {
 			if m.s.Status().Applied != want {
@@ -205,20 +208,20 @@
 	})
 }
 
-// The checker finds what is wrong: a value that was acknowledged and is not told.
-func TestLinearizableCatches(t *testing.T) {
+// The checker rejects a history with a lost write, and one in which a key was created twice.
+func TestCheckerRejectsInvalidHistories(t *testing.T) {
 	lost := []porcupine.Operation{
 		{ClientId: 0, Input: input{"put", "k", "a"}, Call: 0, Output: output{ok: true}, Return: 10},
 		{ClientId: 1, Input: input{"get", "k", ""}, Call: 20, Output: output{}, Return: 30},
 	}
 	if porcupine.CheckOperations(register, lost) {
-		t.Error("a lost write passes")
+		t.Error("a history with a lost write was accepted")
 	}
 	twice := []porcupine.Operation{
 		{ClientId: 0, Input: input{"create", "k", "a"}, Call: 0, Output: output{ok: true}, Return: 10},
 		{ClientId: 1, Input: input{"create", "k", "b"}, Call: 20, Output: output{ok: true}, Return: 30},
 	}
 	if porcupine.CheckOperations(register, twice) {
-		t.Error("a key that was created twice passes")
+		t.Error("a history in which a key was created twice was accepted")
 	}
 }
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -16,13 +16,13 @@
 
 const (
 	maxVoters   = 5  // each further voter makes writes wait for more disks
-	maxVoterLag = 64 // entries that a non-voter may lag when it becomes a voter
+	maxVoterLag = 64 // maximum lag, in log entries, of a non-voter that becomes a voter
 )
 
-// observe tracks which members' heartbeats fail while this one leads.
+// observe tracks the members whose heartbeats fail while this member is the leader.
 func (s *Store) observe(ctx context.Context) {
-	seen := make(chan raft.Observation, 64)
-	o := raft.NewObserver(seen, false, func(o *raft.Observation) bool {
+	observations := make(chan raft.Observation, 64)
+	o := raft.NewObserver(observations, false, func(o *raft.Observation) bool {
 		switch o.Data.(type) {
 		case raft.FailedHeartbeatObservation, raft.ResumedHeartbeatObservation, raft.LeaderObservation:
 			return true
@@ -33,7 +33,7 @@
 	defer s.raft.DeregisterObserver(o)
 	for {
 		select {
-		case o := <-seen:
+		case o := <-observations:
 			s.mu.Lock()
 			switch x := o.Data.(type) {
 			case raft.FailedHeartbeatObservation:
@@ -50,7 +50,7 @@
 	}
 }
 
-// Members returns all members as this one sees them. Only the leader knows who is alive.
+// Members returns all members as this member knows them. Only the leader knows which of them are alive.
 func (s *Store) Members() (membership.Cluster, error) {
 	f := s.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
@@ -67,7 +67,7 @@
 	return all, nil
 }
 
-// handleChange decides about a requested change of the membership and makes it, as the leader.
+// handleChange decides about a requested change of the membership and applies it, on the leader.
 func (s *Store) handleChange(v gjson.Result) http1.Response {
 	all, err := s.Members()
 	if err != nil {
@@ -86,7 +86,7 @@
 	case "remove":
 		x, err = all.Remove(name, v.Get("force").Bool())
 	default:
-		err = fmt.Errorf("%q is none of join, promote, leave and remove", verb)
+		err = fmt.Errorf("verb %q: expected join, promote, leave or remove", verb)
 	}
 	if err != nil {
 		return http1.JSON(409, map[string]string{"error": err.Error()})
@@ -105,7 +105,7 @@
 
 func (s *Store) applyChange(x membership.Change) error {
 	id, addr, wait := raft.ServerID(x.Name), raft.ServerAddress(x.Address), s.lim.StoreCallTimeout
-	defer func() { // heartbeats that failed before were another process's
+	defer func() { // earlier heartbeat failures concern another process
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.unresponsive, id)
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// requestChange asks a member for a change of the membership that concerns this one.
+// requestChange sends a member a request to change the membership of this one.
 func (s *Store) requestChange(ctx context.Context, to string, call map[string]any) (*http1.Message, error) {
 	call["name"], call["address"] = s.cfg.Name, s.cfg.Listen
 	body, _ := json.Marshal(call)
@@ -132,23 +132,23 @@
 	return Call(ctx, to, "POST", "/v1/members", body, s.cfg.Keys, s.lim)
 }
 
-// join asks for membership and, once this member has caught up, for a vote, until it has one or there are enough
-// voters.
+// join requests that this member be added and, once it has caught up, that it become a voter. It repeats the requests
+// until this member is a voter or the context ends.
 func (s *Store) join(ctx context.Context, to string) {
 	for ctx.Err() == nil {
 		all, err := s.Members()
-		verb, in := "join", false
+		verb, isMember := "join", false
 		if err == nil {
 			for _, x := range all {
 				if x.Name == s.cfg.Name {
 					if x.Voter {
 						return
 					}
-					verb, in = "promote", true
+					verb, isMember = "promote", true
 				}
 			}
 		}
-		if in {
+		if isMember {
 			if leader, _ := s.raft.LeaderWithID(); leader != "" {
 				to = string(leader)
 			}
--- a/internal/store/mux.go
+++ b/internal/store/mux.go
@@ -18,8 +18,8 @@
 	"gatetack/internal/pki"
 )
 
-// mux shares one address between raft's streams and the members' calls: a stream begins with a byte with which no
-// request begins.
+// mux shares one address between the streams of raft and the calls of members and operators. A raft stream begins with
+// a byte with which no HTTP request begins.
 type mux struct {
 	net.Listener
 	keys        *pki.Ring
@@ -28,8 +28,8 @@
 	callConns   *connQueue
 	done        chan struct{}
 	once        sync.Once
-	raftOpen    atomic.Bool // raft's streams are accepted
-	raftStreams streams     // raft's calls to other members
+	raftOpen    atomic.Bool // raft streams are accepted
+	raftStreams streams     // outgoing raft streams
 	acceptRetry http1.AcceptRetry
 }
 
@@ -96,7 +96,7 @@
 	}
 }
 
-// peekedConn is a connection whose first bytes were read to tell what it is.
+// peekedConn is a connection whose first byte was read to determine its kind.
 type peekedConn struct {
 	net.Conn
 	r *bufio.Reader
@@ -104,7 +104,7 @@
 
 func (p *peekedConn) Read(b []byte) (int, error) { return p.r.Read(b) }
 
-// Accept returns raft's next stream.
+// Accept returns the next incoming raft stream.
 func (m *mux) Accept() (net.Conn, error) {
 	select {
 	case c := <-m.raftConns:
@@ -114,7 +114,7 @@
 	}
 }
 
-// Close ends both listeners.
+// Close closes the listener.
 func (m *mux) Close() error {
 	m.once.Do(func() { close(m.done) })
 	if err := m.Listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -123,13 +123,13 @@
 	return nil
 }
 
-// Dial opens a stream for raft.
+// Dial opens a raft stream to a member.
 func (m *mux) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	go func() {
 		select {
-		case <-m.done: // the member ends
+		case <-m.done: // this member is shutting down
 			cancel()
 		case <-ctx.Done():
 		}
@@ -144,7 +144,7 @@
 	return m.raftStreams.add(c)
 }
 
-// connQueue is the listener of the members' calls.
+// connQueue is the listener for the connections that are not raft streams.
 type connQueue struct {
 	addr net.Addr
 	in   chan net.Conn
--- a/internal/store/mux_test.go
+++ b/internal/store/mux_test.go
@@ -14,7 +14,7 @@
 	"gatetack/internal/limits"
 )
 
-// failingListener is a listener whose first calls of accept fail.
+// failingListener is a listener whose first calls of Accept fail.
 type failingListener struct {
 	net.Listener
 	failures []error
@@ -29,20 +29,20 @@
 	return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 }
 
-// The store's listener follows the fronts' rule: an error that concerns one pending connection delays none of the
-// others. It paused 5 ms after any error, so that 200 aborted connections kept a heartbeat waiting for a second, which
-// is twice the time between heartbeats.
-func TestStoreListenerGoesOnAtOnceAfterErrorsOfOneConnection(t *testing.T) {
+// The listener of the store handles errors like those of the fronts: an error of one pending connection does not delay
+// the others. With a pause of 5 ms after any error, 200 aborted connections delayed a heartbeat by one second, which is
+// twice the heartbeat interval.
+func TestConnectionErrorsDoNotDelayTheListener(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	faulty := &failingListener{Listener: ln}
+	failing := &failingListener{Listener: ln}
 	for range 200 {
-		faulty.failures = append(faulty.failures, syscall.ECONNABORTED)
+		failing.failures = append(failing.failures, syscall.ECONNABORTED)
 	}
-	faulty.failures = append(faulty.failures, syscall.ENOMEM, syscall.ENOMEM, syscall.EMFILE)
-	m := newMux(faulty, nil, limits.New(0, 0, 0, 0, 0), slog.New(slog.DiscardHandler))
+	failing.failures = append(failing.failures, syscall.ENOMEM, syscall.ENOMEM, syscall.EMFILE)
+	m := newMux(failing, nil, limits.New(0, 0, 0, 0, 0), slog.New(slog.DiscardHandler))
 	var pauses []time.Duration
 	m.acceptRetry.Sleep = func(_ context.Context, d time.Duration) { pauses = append(pauses, d) }
 	ctx, cancel := context.WithCancel(context.Background())
@@ -66,6 +66,6 @@
 		t.Error(err)
 	}
 	if len(pauses) != 3 || pauses[1] != 2*pauses[0] {
-		t.Errorf("pauses %v, want two for memory that double, one for a descriptor, none for aborted connections", pauses)
+		t.Errorf("pauses %v, want two that double for memory, one for descriptors, none for aborted connections", pauses)
 	}
 }
--- a/internal/store/operator.go
+++ b/internal/store/operator.go
@@ -16,11 +16,11 @@
 	return http1.JSON(status, map[string]string{"error": fmt.Sprintf(format, args...)})
 }
 
-// Handle answers members that take this one for the leader and, under /v1, operators.
+// Handle handles calls of members to the leader and, under /v1, calls of operators.
 func (s *Store) Handle(ctx context.Context, m *http1.Message) http1.Response {
 	path, ok := strings.CutPrefix(m.Path(), "/v1/")
 	if !ok {
-		if !s.Leads() {
+		if !s.IsLeader() {
 			return http1.Text(503, "this member does not lead")
 		}
 		return s.serveAsLeader(ctx, m.Target, m.Body)
@@ -60,7 +60,7 @@
 			return http1.JSON(200, all)
 		})
 	case p[0] == "members" && len(p) == 1 && m.Method == "POST":
-		if s.Leads() {
+		if s.IsLeader() {
 			return s.serveAsLeader(ctx, "/members", m.Body)
 		}
 		return s.forward(ctx, m, nil)
@@ -82,9 +82,9 @@
 	return errorResponse(404, "no such path, or not by %s", m.Method)
 }
 
-// forward makes a call at the leader, unless this member leads.
+// forward handles a call with do if this member is the leader, and otherwise sends it to the leader.
 func (s *Store) forward(ctx context.Context, m *http1.Message, do func() http1.Response) http1.Response {
-	if s.Leads() {
+	if s.IsLeader() {
 		return do()
 	}
 	addr, _ := s.raft.LeaderWithID()
@@ -104,7 +104,7 @@
 	}
 }
 
-// restore replaces the state of all members by a snapshot. A damaged one is rejected.
+// restore replaces the state of all members with a snapshot. A corrupt snapshot is rejected.
 func (s *Store) restore(data []byte) http1.Response {
 	state, err := readSnapshot(bytes.NewReader(data), s.lim)
 	if err != nil {
--- a/internal/store/operator_entries.go
+++ b/internal/store/operator_entries.go
@@ -15,12 +15,12 @@
 	"gatetack/internal/kv"
 )
 
-// entryJSON is an entry as operators see it. A value that is valid UTF-8 is shown as text.
+// entryJSON is an entry in responses to operators. A value that is valid UTF-8 is returned as text.
 type entryJSON struct {
 	Table   string    `json:"table"`
 	Key     string    `json:"key"`
 	Value   string    `json:"value"`
-	Bytes   []byte    `json:"bytes,omitempty"` // of a value that is not valid UTF-8
+	Bytes   []byte    `json:"bytes,omitempty"` // the value, if it is not valid UTF-8
 	Version uint64    `json:"version"`
 	Created uint64    `json:"created"`
 	Expires time.Time `json:"expires,omitzero"`
@@ -39,8 +39,9 @@
 	return out
 }
 
-// awaitFresh returns once this member has all that was committed before, unless the caller accepts stale values.
-func (s *Store) awaitFresh(ctx context.Context, q url.Values) error {
+// catchUp returns once this member has applied all transactions that were committed before the call. It returns at once
+// if the query permits stale values.
+func (s *Store) catchUp(ctx context.Context, q url.Values) error {
 	if q.Get("stale") == "1" {
 		return nil
 	}
@@ -50,12 +51,12 @@
 	}
 	upTo, tick := gjson.ParseBytes(m.Body).Uint(), time.NewTicker(2*time.Millisecond)
 	defer tick.Stop()
-	late := time.After(s.lim.StoreCallTimeout)
+	timeout := time.After(s.lim.StoreCallTimeout)
 	for s.fsm.view().Index() < upTo {
 		select {
 		case <-tick.C:
-		case <-late:
-			return fmt.Errorf("store: this member is behind: it has %d of %d", s.fsm.view().Index(), upTo)
+		case <-timeout:
+			return fmt.Errorf("store: this member is at index %d, the leader at %d", s.fsm.view().Index(), upTo)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -64,7 +65,7 @@
 }
 
 func (s *Store) handleList(ctx context.Context, table string, q url.Values) http1.Response {
-	if err := s.awaitFresh(ctx, q); err != nil {
+	if err := s.catchUp(ctx, q); err != nil {
 		return errorResponse(503, "%v", err)
 	}
 	limit := 1000
@@ -106,9 +107,9 @@
 	return s.writeEntry(ctx, op)
 }
 
-// readEntry answers with an entry, or with all values of its key.
+// readEntry responds with an entry or, if the query requests the history, with all stored values of its key.
 func (s *Store) readEntry(ctx context.Context, table, key string, q url.Values) http1.Response {
-	if err := s.awaitFresh(ctx, q); err != nil {
+	if err := s.catchUp(ctx, q); err != nil {
 		return errorResponse(503, "%v", err)
 	}
 	view := s.fsm.view()
@@ -125,7 +126,7 @@
 	return errorResponse(404, "nothing stands at %s %s", table, key)
 }
 
-// parseConditions reads the version that the entry must have, and its time to live.
+// parseConditions parses the version that the entry must have, and its time to live.
 func parseConditions(q url.Values, op *kv.Op) (err error) {
 	if text := q.Get("if"); text != "" {
 		op.Cond = true
@@ -155,10 +156,10 @@
 	return http1.JSON(200, map[string]any{"version": r.Version})
 }
 
-// maxWatch bounds how long a watch is held back.
+// maxWatch bounds how long the response to a watch without changes is delayed.
 const maxWatch = 20 * time.Second
 
-// watchRequest is what an operator watches for.
+// watchRequest is a request for the changes after a version.
 type watchRequest struct {
 	after         uint64
 	table, prefix string
@@ -186,7 +187,7 @@
 	return w, nil
 }
 
-// handleWatch answers with the changes after a version, once there are any or the wait is over.
+// handleWatch responds with the changes after a version as soon as there are any, or with none after the wait.
 func (s *Store) handleWatch(ctx context.Context, q url.Values) http1.Response {
 	w, err := s.parseWatch(q)
 	if err != nil {
@@ -215,7 +216,7 @@
 	}
 }
 
-// describeEvents returns changes as operators see them.
+// describeEvents returns changes in the form for operators.
 func describeEvents(events []kv.Event) []map[string]any {
 	out := make([]map[string]any, 0, len(events))
 	for _, e := range events {
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -18,9 +18,10 @@
 	"gatetack/internal/limits"
 )
 
-// Recover makes a member's folder, while its node is down, the beginning of a store of other members: the last resort
-// when most of the voters are lost for good. members are all members of the new store by name, this one among them. It
-// first reports what the folder has and what may be lost. With dry it changes nothing.
+// Recover bootstraps a store with other members from the folder of a member whose node is down. It is the last resort
+// after the permanent loss of a majority of the voters. members has the addresses by name of all members of the new
+// store, including this one. Recover first reports what the folder contains and what may be lost. If dry is set it
+// changes nothing.
 func Recover(dir, name string, members map[string]string, dry bool, lim limits.Limits, w io.Writer) error {
 	if members[name] == "" {
 		return fmt.Errorf("store: member %q, whose folder this is, is not among those of the store to be", name)
@@ -37,13 +38,13 @@
 		return fmt.Errorf("store: %s: is its node still running? %w", path, err)
 	}
 	defer func() { _ = log.Close() }()
-	known, err := raft.HasExistingState(log, log, snaps)
-	if err != nil || !known {
+	exists, err := raft.HasExistingState(log, log, snaps)
+	if err != nil || !exists {
 		return errors.Join(err, fmt.Errorf("store: %s holds nothing to begin from", dir))
 	}
 	_, trans := raft.NewInmemTransport("")
 	defer func() { _ = trans.Close() }()
-	was, err := raft.GetConfiguration(c, newFSM(lim), log, log, snaps, trans)
+	previous, err := raft.GetConfiguration(c, newFSM(lim), log, log, snaps, trans)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
@@ -54,7 +55,7 @@
 	if metas, err := snaps.List(); err == nil && len(metas) > 0 {
 		last = max(last, metas[0].Index)
 	}
-	reportRecovery(w, name, last, otherServers(was, name), members)
+	reportRecovery(w, name, last, otherServers(previous, name), members)
 	if dry {
 		_, _ = fmt.Fprintln(w, "nothing was changed")
 		return nil
@@ -62,8 +63,8 @@
 	if err := raft.RecoverCluster(c, newFSM(lim), log, log, snaps, trans, raftConfiguration(members)); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	// The watermark and the other members' knowledge are of the former folder: by recovering, the operator accepts that
-	// what it lost is lost.
+	// The folder gets a new identity, so that the watermark and the identities that other members know no longer apply
+	// to it: by recovering, the operator accepts the loss of what the folder lacks.
 	if err := log.Set([]byte(folderKey), newIdentity()); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// otherServers returns the names of a configuration's members but one, sorted.
+// otherServers returns the names of the members of a configuration without one of them, sorted.
 func otherServers(c raft.Configuration, name string) []string {
 	var others []string
 	for _, x := range c.Servers {
@@ -83,7 +84,7 @@
 	return others
 }
 
-// reportRecovery says what the folder of a member has and what may be lost by recovering from it.
+// reportRecovery writes what the folder of a member contains and what may be lost by recovering from it.
 func reportRecovery(w io.Writer, name string, last uint64, others []string, members map[string]string) {
 	_, _ = fmt.Fprintf(w, "the folder of %s holds all up to entry %d\n", name, last)
 	_, _ = fmt.Fprintf(w, "lost is whatever the others (%s) acknowledged after entry %d without it; "+
--- a/internal/store/service.go
+++ b/internal/store/service.go
@@ -7,8 +7,8 @@
 	"gatetack/internal/kv"
 )
 
-// Mount registers a handler for the calls under /v1/NAME on this member's listener. Only the handler's transactions
-// then write the table of the same name; operators' writes to it are rejected. Mount must be called before Run.
+// Mount registers a handler for the calls under /v1/NAME on this member's listener. Only the handler writes the table
+// of the same name; direct writes of operators to that table are rejected. Mount must be called before Run.
 func (s *Store) Mount(name string, h http1.Handler) {
 	if s.services == nil {
 		s.services = map[string]http1.Handler{}
@@ -21,17 +21,18 @@
 	return h, ok
 }
 
-// Changes returns the changes of a table after a version, as this member has them, and the version up to which they
-// reach. lost reports that some are no longer kept, so that the table must be read anew. more is closed at the store's
-// next change.
+// Changes returns the changes of a table after a version that this member has applied. upTo is the version up to which
+// they are complete. lost reports that some changes are no longer buffered, so that the table must be read again. more
+// is closed at the next change of the store.
 func (s *Store) Changes(after uint64, table string) (events []kv.Event, upTo uint64, lost bool, more <-chan struct{}) {
 	return s.fsm.changesAfter(after, table, "")
 }
 
-// CatchUp returns once this member has all that was committed before the call.
-func (s *Store) CatchUp(ctx context.Context) error { return s.awaitFresh(ctx, nil) }
+// CatchUp returns once this member has applied all transactions that were committed before the call.
+func (s *Store) CatchUp(ctx context.Context) error { return s.catchUp(ctx, nil) }
 
-// HasLeader reports whether this member knows a leader. A member that is cut off from the majority soon does not.
+// HasLeader reports whether this member knows a leader. A member that is partitioned from the majority loses its leader
+// after the election timeout.
 func (s *Store) HasLeader() bool {
 	addr, _ := s.raft.LeaderWithID()
 	return addr != ""
--- a/internal/store/status.go
+++ b/internal/store/status.go
@@ -14,7 +14,7 @@
 	Term      uint64            `json:"term"`
 	Applied   uint64            `json:"applied"`
 	Last      uint64            `json:"last"`
-	Contact   float64           `json:"lastContactSeconds"` // since the last contact with the leader, -1 for never
+	Contact   float64           `json:"lastContactSeconds"` // since the last contact with the leader, -1 if none
 	Stale     bool              `json:"stale"`              // no leader is known: reads may be stale
 	Tables    map[string][2]int `json:"tables"`             // values, bytes
 	Snapshots uint64            `json:"snapshotIndex"`
@@ -46,7 +46,7 @@
 	if at := s.raft.LastContact(); !at.IsZero() {
 		out.Contact = time.Since(at).Seconds()
 	}
-	if s.Leads() {
+	if s.IsLeader() {
 		out.Contact = 0
 	}
 	return out
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,9 +1,9 @@
-// Package store is the nodes' own replicated store: hashicorp/raft with its boltdb log, and the state machine of
-// package kv. It holds settings, leases and the records of batch jobs. Every member answers calls; writes, and reads
-// that must not be stale, go through the leader.
+// Package store implements the replicated store of the nodes with hashicorp/raft, its boltdb log, and the state machine
+// of package kv. The store contains settings, leases and the records of batch jobs. Every member accepts calls; writes
+// and linearizable reads are handled by the leader.
 //
-// Open creates a member without goroutines of its own; Run starts them and returns after they have ended. The state is
-// written by raft's goroutine alone, through fsm.
+// Open creates a member; Run starts its goroutines and returns after they have ended. Only raft's goroutine writes the
+// state, through fsm.
 package store
 
 import (
@@ -32,19 +32,19 @@
 
 // Config configures a member.
 type Config struct {
-	Name    string
-	Dir     string
-	Listen  string
-	Members map[string]string // addresses by name, with this member's, of a store that begins
-	Keys    *pki.Ring         // for mutual TLS between members, nil for none
-	Join    string            // address of a member whose store to join, empty to begin one with Members
-	Marks   string            // a directory in the machine's memory for the watermark, empty for none
-	Trust   bool              // without a watermark, trust that the disk lost nothing
+	Name         string
+	Dir          string
+	Listen       string
+	Members      map[string]string // addresses by name of the members of a new store, including this one
+	Keys         *pki.Ring         // for mutual TLS between members, nil for none
+	Join         string            // address of a member of the store to join, empty to bootstrap one with Members
+	WatermarkDir string            // a directory in the machine's memory for the watermark, empty for none
+	TrustDisk    bool              // without a watermark, trust that the disk lost nothing
 
-	writeFault func() failpoint.Disk // what happens to a write of the log, set by tests before the start
+	writeFault func() failpoint.Disk // fault to inject into writes of the log, set by tests before the start
 }
 
-// Store is one member. It is safe for concurrent use.
+// Store is one member of the replicated store. It is safe for concurrent use.
 type Store struct {
 	cfg    Config
 	lim    limits.Limits
@@ -62,17 +62,17 @@
 	watermarkAtStart *membership.Watermark // nil if there was none
 
 	mu           sync.Mutex
-	unresponsive map[raft.ServerID]bool // members whose heartbeats fail, while this one leads
+	unresponsive map[raft.ServerID]bool // members whose heartbeats fail while this one is the leader
 
 	logTime logTime
 
-	services map[string]http1.Handler // by the first element of their paths, see Mount
+	services map[string]http1.Handler // by the first path element after /v1, see Mount
 }
 
-// ErrNoLeader reports that no leader is known, so that nothing can be written or read for certain.
+// ErrNoLeader reports that no leader is known, so that neither writes nor linearizable reads are possible.
 var ErrNoLeader error = &NoLeaderError{}
 
-// Open creates a member on its folder.
+// Open creates a member and opens its folder and its listener.
 func Open(cfg Config, lim limits.Limits, slow *slowpeer.Counters, log *slog.Logger) (*Store, error) {
 	if cfg.Join == "" && cfg.Members[cfg.Name] != cfg.Listen {
 		return nil, &AddressError{cfg.Name, cfg.Listen, cfg.Members[cfg.Name]}
@@ -84,17 +84,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	under := ln
+	listener := ln
 	if cfg.Keys != nil {
-		under = cfg.Keys.Listen(ln)
+		listener = cfg.Keys.Listen(ln)
 	}
-	lim.BodyBytes = max(lim.StoreBodyBytes*2, 1<<20) // a call holds a transaction
+	lim.BodyBytes = max(lim.StoreBodyBytes*2, 1<<20) // the body of a call contains a transaction
 	s := &Store{
 		cfg:          cfg,
 		lim:          lim,
 		log:          log,
 		fsm:          newFSM(lim),
-		mux:          newMux(under, cfg.Keys, lim, log),
+		mux:          newMux(listener, cfg.Keys, lim, log),
 		unresponsive: map[raft.ServerID]bool{},
 	}
 	if err := s.open(); err != nil {
@@ -104,25 +104,25 @@
 		}
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	sub := lim
-	sub.ClientConns, sub.OverflowConns = lim.StoreConns+lim.StoreFollowers, lim.StoreConns/2
-	s.server = http1.NewServer(sub, s, slow, log)
+	serverLimits := lim
+	serverLimits.ClientConns, serverLimits.OverflowConns = lim.StoreConns+lim.StoreFollowers, lim.StoreConns/2
+	s.server = http1.NewServer(serverLimits, s, slow, log)
 	return s, nil
 }
 
 func (s *Store) open() error {
-	quiet := hclog.FromStandardLogger(
+	raftLog := hclog.FromStandardLogger(
 		slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
 		&hclog.LoggerOptions{Level: hclog.Warn, DisableTime: true},
 	)
 	c := raft.DefaultConfig()
-	c.LocalID, c.Logger = raft.ServerID(s.cfg.Name), quiet
+	c.LocalID, c.Logger = raft.ServerID(s.cfg.Name), raftLog
 	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = s.lim.StoreElectionTimeout,
 		s.lim.StoreElectionTimeout, s.lim.StoreElectionTimeout/2
 	c.CommitTimeout = s.lim.StoreElectionTimeout / 20
 	c.SnapshotThreshold, c.TrailingLogs = uint64(s.lim.StoreSnapshotThreshold), uint64(s.lim.StoreSnapshotThreshold)/4
-	alone := len(s.cfg.Members) == 1 && s.cfg.Join == ""
-	lost, err := inspectFolder(s.cfg.Dir, alone, s.lim, quiet, s.log)
+	soleMember := len(s.cfg.Members) == 1 && s.cfg.Join == ""
+	unreadable, err := inspectFolder(s.cfg.Dir, soleMember, s.lim, raftLog, s.log)
 	if err != nil {
 		return err
 	}
@@ -131,10 +131,10 @@
 		return err
 	}
 	s.disk = newDisk(log, s.cfg.writeFault)
-	if s.disk.SnapshotStore, err = raft.NewFileSnapshotStoreWithLogger(s.cfg.Dir, retainedSnapshots, quiet); err != nil {
+	if s.disk.SnapshotStore, err = raft.NewFileSnapshotStoreWithLogger(s.cfg.Dir, retainedSnapshots, raftLog); err != nil {
 		return err
 	}
-	known, err := raft.HasExistingState(s.disk, s.disk, s.disk)
+	exists, err := raft.HasExistingState(s.disk, s.disk, s.disk)
 	if err != nil {
 		return err
 	}
@@ -142,8 +142,8 @@
 		return err
 	}
 	boot := bootID()
-	if s.disk.watermark, s.watermarkAtStart, err = openWatermark(s.cfg.Marks, s.folderIdentity, boot); err != nil {
-		s.log.Warn("store watermark not available", "dir", s.cfg.Marks, "err", err)
+	if s.disk.watermark, s.watermarkAtStart, err = openWatermark(s.cfg.WatermarkDir, s.folderIdentity, boot); err != nil {
+		s.log.Warn("store watermark not available", "dir", s.cfg.WatermarkDir, "err", err)
 	}
 	last, term := s.disk.lastPosition()
 	s.folderAtStart = membership.Folder{
@@ -151,16 +151,17 @@
 		Identity:   s.folderIdentity,
 		Last:       last,
 		Term:       term,
-		Unreadable: lost,
+		Unreadable: unreadable,
 		Boot:       boot,
-		TrustDisk:  s.cfg.Trust,
+		TrustDisk:  s.cfg.TrustDisk,
 	}
-	// With an empty folder the member takes part in nothing until it is known that none is lost: see package membership.
-	s.startedEmpty = !known
-	s.mux.raftOpen.Store(known)
-	s.guard = newGuard(raft.NewNetworkTransportWithLogger(s.mux, 2, s.lim.StoreCallTimeout, quiet), s.disk,
+	// A member with an empty folder does not take part in raft until it is known that no earlier folder was lost: see
+	// package membership.
+	s.startedEmpty = !exists
+	s.mux.raftOpen.Store(exists)
+	s.guard = newGuard(raft.NewNetworkTransportWithLogger(s.mux, 2, s.lim.StoreCallTimeout, raftLog), s.disk,
 		s.lim.StoreElectionTimeout)
-	if s.startedEmpty { // nothing was acknowledged by this folder
+	if s.startedEmpty { // the member has acknowledged nothing with this folder
 		s.guard.setAssessment(membership.Assessment{Complete: true})
 		if err := s.disk.watermark.arm(membership.Position{}, 0); err != nil {
 			return err
@@ -180,7 +181,7 @@
 	g.Go(func() error { s.expireLeases(ctx); return nil })
 	switch {
 	case s.startedEmpty:
-		g.Go(func() error { s.beginOrRejoin(ctx); return nil })
+		g.Go(func() error { s.bootstrapOrRejoin(ctx); return nil })
 	default:
 		g.Go(func() error { s.assess(ctx); return nil })
 	}
@@ -197,32 +198,33 @@
 	return g.Wait()
 }
 
-// close ends the member. It does not wait for a write that does not return: the process is about to end.
+// close shuts the member down. It does not wait for a write that does not return, because the process is about to end.
 func (s *Store) close() error {
-	down := make(chan error, 1)
-	ending := s.raft.Shutdown()
-	go func() { down <- ending.Error() }()
+	stopped := make(chan error, 1)
+	shutdown := s.raft.Shutdown()
+	go func() { stopped <- shutdown.Error() }()
 	s.mux.raftStreams.closeAll()
 	var err error
 	select {
-	case err = <-down:
+	case err = <-stopped:
 	case <-time.After(s.lim.StoreElectionTimeout):
-		wait, bad := s.disk.stalled()
+		stalled, lastError := s.disk.stalled()
 		s.disk.release()
 		select {
-		case err = <-down:
+		case err = <-stopped:
 		case <-time.After(s.lim.StoreCallTimeout):
-			err = errors.Join(&StalledError{wait}, bad)
+			err = errors.Join(&StalledError{stalled}, lastError)
 		}
 	}
 	s.disk.watermark.close()
 	return errors.Join(err, s.guard.Close(), s.disk.Close())
 }
 
-// Leads reports whether this member leads.
-func (s *Store) Leads() bool { return s.raft.State() == raft.Leader }
+// IsLeader reports whether this member leads.
+func (s *Store) IsLeader() bool { return s.raft.State() == raft.Leader }
 
-// expireLeases commits an empty transaction with the current time when a lease ends, while this member leads.
+// expireLeases commits an empty transaction with the current time when a lease expires, while this member is the
+// leader.
 func (s *Store) expireLeases(ctx context.Context) {
 	tick := time.NewTicker(s.lim.StoreElectionTimeout / 2)
 	defer tick.Stop()
@@ -232,7 +234,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if due := s.fsm.nextLeaseEnd(); due > 0 && s.Leads() && due <= s.now() {
+		if due := s.fsm.nextLeaseExpiry(); due > 0 && s.IsLeader() && due <= s.now() {
 			if _, err := s.apply(ctx, &kv.Txn{}); err != nil {
 				s.log.Debug("store leases not expired", "err", err)
 			}
@@ -240,8 +242,8 @@
 	}
 }
 
-// apply commits a transaction as the leader, with the leader's time. A write that is not acknowledged by a majority,
-// or that the disk does not complete, is waited for no longer than a call may take. It may still be committed later.
+// apply commits a transaction with the leader's time, on the leader. It returns an error if the majority or the disk
+// does not acknowledge the transaction within the call timeout; the transaction may still be committed later.
 func (s *Store) apply(ctx context.Context, t *kv.Txn) (*kv.Result, error) {
 	if wait, _ := s.disk.stalled(); wait > s.lim.StoreElectionTimeout {
 		return nil, &StalledError{wait}
@@ -258,7 +260,7 @@
 	return f.Response().(*kv.Result), nil
 }
 
-// await waits for a future of raft, which knows no context.
+// await waits for a future of raft, whose Error method takes no context.
 func (s *Store) await(ctx context.Context, wait func() error) error {
 	done := make(chan error, 1)
 	go func() { done <- wait() }()
@@ -268,7 +270,7 @@
 	case err := <-done:
 		return err
 	case <-ctx.Done():
-		return fmt.Errorf("store: it is not known whether it was written: %w", ctx.Err())
+		return fmt.Errorf("store: unknown whether the write was committed: %w", ctx.Err())
 	case <-s.disk.closed:
 		return raft.ErrRaftShutdown
 	}
--- a/internal/store/streams.go
+++ b/internal/store/streams.go
@@ -5,22 +5,22 @@
 	"sync"
 )
 
-// streams are the connections by which raft calls other members. At the end of a member they are closed: raft waits for
-// its calls to return, and one to a member that does not answer returns only after its limit, which may be later than
-// this process may live.
+// streams is the set of connections on which raft calls other members. They are closed at shutdown: raft waits for its
+// calls to return, and a call to an unresponsive member returns only after its timeout, which may exceed the time that
+// this process has for its shutdown.
 type streams struct {
 	mu     sync.Mutex
 	open   map[*stream]struct{}
 	closed bool
 }
 
-// stream is one of them.
+// stream is a connection of streams.
 type stream struct {
 	net.Conn
 	of *streams
 }
 
-// add makes a connection one of the streams. After the end it is closed at once.
+// add adds a connection to the streams. After closeAll it closes the connection and returns net.ErrClosed.
 func (s *streams) add(c net.Conn) (net.Conn, error) {
 	added := &stream{c, s}
 	s.mu.Lock()
@@ -36,7 +36,7 @@
 	return added, nil
 }
 
-// closeAll closes all streams, and those that are opened later.
+// closeAll closes all streams. Streams that are added later are closed at once.
 func (s *streams) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +47,7 @@
 	s.open = nil
 }
 
-// Close closes one stream.
+// Close closes the stream and removes it from the set.
 func (s *stream) Close() error {
 	s.of.mu.Lock()
 	delete(s.of.open, s)
--- a/internal/store/verify.go
+++ b/internal/store/verify.go
@@ -13,16 +13,16 @@
 	"gatetack/internal/limits"
 )
 
-// ErrDamaged reports that a part of a member's folder can not be trusted.
+// ErrDamaged reports that a part of a member's folder is corrupt.
 var ErrDamaged = errors.New("store: the folder is damaged")
 
-// Verify reports what is in a member's folder and what is wrong with it, while no node has it open: each snapshot's
-// checksums, the log's pages, and each of its entries. It changes nothing.
+// Verify checks the folder of a member and writes a report: the checksums of each snapshot, the pages of the log file,
+// and each log entry. It changes nothing. No node may have the folder open.
 func Verify(dir string, lim limits.Limits, w io.Writer) error {
-	bad, covered := 0, uint64(0) // entries up to covered are in an undamaged snapshot
-	say := func(what string, err error, format string, args ...any) {
+	findings, covered := 0, uint64(0) // entries up to covered are in an intact snapshot
+	report := func(what string, err error, format string, args ...any) {
 		if err != nil {
-			bad++
+			findings++
 			_, _ = fmt.Fprintf(w, "BAD   %s: %v\n", what, err)
 			return
 		}
@@ -48,26 +48,29 @@
 				covered = max(covered, m.Index)
 			}
 		}
-		say("snapshot "+m.ID, err, "%d values up to entry %d", values, m.Index)
+		report("snapshot "+m.ID, err, "%d values up to entry %d", values, m.Index)
 	}
 	path := filepath.Join(dir, logFile)
 	err = verifyPages(path)
-	say("pages of "+path, err, "all in order")
+	report("pages of "+path, err, "all in order")
 	if err == nil {
-		err = verifyEntries(path, covered, func(index uint64, err error) { say(fmt.Sprintf("entry %d", index), err, "") },
-			func(first, last uint64) { say("log", nil, "entries %d to %d", first, last) })
+		err = verifyEntries(path, covered, func(index uint64, err error) { report(fmt.Sprintf("entry %d", index), err, "") },
+			func(first, last uint64) { report("log", nil, "entries %d to %d", first, last) })
 		if err != nil {
-			say("log", err, "")
+			report("log", err, "")
 		}
 	}
-	if bad > 0 {
-		return fmt.Errorf("%w: %d findings", ErrDamaged, bad)
+	if findings > 0 {
+		return fmt.Errorf("%w: %d findings", ErrDamaged, findings)
 	}
 	return nil
 }
 
-// verifyEntries reads all entries of a log. A restored snapshot leaves a gap before the log, which it covers.
-func verifyEntries(path string, covered uint64, bad func(uint64, error), good func(first, last uint64)) error {
+// verifyEntries reads all entries of a log. Unreadable entries that a snapshot covers are permitted, because a restored
+// snapshot leaves a gap before the log.
+func verifyEntries(
+	path string, covered uint64, reportDamaged func(uint64, error), reportRange func(first, last uint64),
+) error {
 	log, err := boltdb.New(boltdb.Options{Path: path, BoltOptions: nil})
 	if err != nil {
 		return err
@@ -85,16 +88,16 @@
 		var l raft.Log
 		if err := (&disk{BoltStore: log}).GetLog(i, &l); err != nil {
 			if i > covered {
-				bad(i, err)
+				reportDamaged(i, err)
 			}
 			continue
 		}
 		if l.Type == raft.LogCommand {
 			if _, err := decodeTxn(l.Data); err != nil {
-				bad(i, err)
+				reportDamaged(i, err)
 			}
 		}
 	}
-	good(first, last)
+	reportRange(first, last)
 	return nil
 }
--- a/internal/store/watermark.go
+++ b/internal/store/watermark.go
@@ -13,9 +13,9 @@
 	"gatetack/internal/membership"
 )
 
-// watermark is the last position that a member acknowledged, in a file in the machine's memory, outside of the
-// member's folder: see membership.Assess. A file that can not be written is removed, because a stale one would vouch
-// for less than was acknowledged. A nil watermark keeps nothing.
+// watermark records the last position that a member acknowledged, in a file in the machine's memory outside of the
+// member's folder: see membership.Assess. If the file cannot be written it is removed, because a stale file would claim
+// less than was acknowledged. A nil watermark records nothing.
 type watermark struct {
 	path   string
 	folder uint64
@@ -23,24 +23,25 @@
 
 	mu    sync.Mutex
 	file  *os.File
-	armed bool // the file covers all that was acknowledged; until then it is not written
+	armed bool // the watermark covers all that was acknowledged; the file is not written before
 	last  membership.Position
 	term  uint64
 }
 
 const watermarkMagic = 0x67746d61726b3031
 
-// watermarkLength is the length of the file in bytes: magic, folder, boot, term and index, term of votes, checksum.
+// watermarkLength is the length of the file in bytes: seven words for magic number, folder, boot, term and index of the
+// last position, term of the last vote, and checksum.
 const watermarkLength = 56
 
-// bootID identifies the machine's current boot, empty if it is not known.
+// bootID returns the identifier of the machine's current boot, or an empty string if it is unknown.
 func bootID() string {
 	text, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	return strings.TrimSpace(string(text))
 }
 
-// openWatermark opens the watermark of a folder and reads it, if it is there and whole. It returns nil for an empty
-// directory name.
+// openWatermark opens or creates the watermark file of a folder and returns its content if that is valid. It returns a
+// nil watermark if dir or boot is empty.
 func openWatermark(dir, folder, boot string) (*watermark, *membership.Watermark, error) {
 	if dir == "" || boot == "" {
 		return nil, nil, nil
@@ -68,16 +69,16 @@
 	return m, known, nil
 }
 
-// decodeWatermark decodes the watermark of a folder and a boot. It returns nil for any other content.
+// decodeWatermark decodes the watermark of a folder and a boot. It returns nil for any other data.
 func decodeWatermark(raw []byte, folder, boot uint64) *membership.Watermark {
 	if len(raw) != watermarkLength || binary.BigEndian.Uint64(raw[48:]) != xxhash.Sum64(raw[:48]) {
 		return nil
 	}
-	at := func(i int) uint64 { return binary.BigEndian.Uint64(raw[8*i:]) }
-	if at(0) != watermarkMagic || at(1) != folder || at(2) != boot {
+	word := func(i int) uint64 { return binary.BigEndian.Uint64(raw[8*i:]) }
+	if word(0) != watermarkMagic || word(1) != folder || word(2) != boot {
 		return nil
 	}
-	return &membership.Watermark{Last: membership.Position{Term: at(3), Index: at(4)}, Term: at(5)}
+	return &membership.Watermark{Last: membership.Position{Term: word(3), Index: word(4)}, Term: word(5)}
 }
 
 func (m *watermark) encode() []byte {
@@ -88,7 +89,8 @@
 	return binary.BigEndian.AppendUint64(out, xxhash.Sum64(out))
 }
 
-// raise raises the watermark to the end of the log, and to a term in which a vote was given.
+// raise raises the watermark to the end of the log and to a term in which a vote may have been given, and writes the
+// file.
 func (m *watermark) raise(last membership.Position, term uint64) error {
 	if m == nil {
 		return nil
@@ -105,7 +107,7 @@
 	return m.write()
 }
 
-// arm makes the watermark vouch from now on, for at least a position and a term.
+// arm makes the watermark valid from now on, covering at least a position and a term.
 func (m *watermark) arm(last membership.Position, term uint64) error {
 	if m == nil {
 		return nil
@@ -122,7 +124,7 @@
 	return m.write()
 }
 
-// write writes the file. The caller holds the lock.
+// write writes the file if the watermark is armed. The caller must hold the lock.
 func (m *watermark) write() error {
 	if !m.armed {
 		return nil
@@ -131,13 +133,13 @@
 	if err == nil {
 		return nil
 	}
-	emptied, gone := m.file.Truncate(0), os.Remove(m.path)
+	truncateErr, removeErr := m.file.Truncate(0), os.Remove(m.path)
 	_ = m.file.Close()
 	m.file = nil
-	if emptied == nil || gone == nil || errors.Is(gone, os.ErrNotExist) {
+	if truncateErr == nil || removeErr == nil || errors.Is(removeErr, os.ErrNotExist) {
 		return nil
 	}
-	return errors.Join(err, gone) // the stale file stays: the write must not be acknowledged
+	return errors.Join(err, removeErr) // the stale file remains: the log write must not be acknowledged
 }
 
 func (m *watermark) close() {
