--- a/test/array_test.go
+++ b/test/array_test.go
@@ -14,8 +14,8 @@
 // member's own end. The node is killed once more before the other member has its turn. The first is in doubt, and counts once; the
 // other waits all the while, and runs once it is released.
 func TestKilledBetweenACountAndItsMember(t *testing.T) {
-	s := newSite(t, 1, 300*time.Millisecond)
-	s.extra = "  dir: " + s.dir + "/batch\n"
+	s := newTestNode(t, 1, 300*time.Millisecond)
+	s.extraConfig = "  dir: " + s.dir + "/batch\n"
 	s.env = []string{"GATETACK_HOLD_AT=" + failpoint.Ended}
 	s.start()
 	status, v := s.drmaa("POST", "/arrays", `{"jobTemplate":`+tile+`,"endIndex":2,"maxParallel":1}`)
@@ -33,7 +33,7 @@
 			t.Fatalf("hold: %d %s", status, v.Raw)
 		}
 	}
-	s.until("the first runs", func() bool { return len(s.boxes[0].Starts()) == 1 })
+	s.until("the first runs", func() bool { return len(s.executors[0].Starts()) == 1 })
 	hold()
 	s.until("it has ended", func() bool { return array().Get("done").Int() == 1 })
 	hold() // the array goes on record as it stands; the member's end can not
@@ -55,7 +55,7 @@
 			s.kill()
 		}
 	}
-	s.boxes[0].Set(func(h *testenv.Behavior) { h.JobDuration = 10 * time.Millisecond })
+	s.executors[0].Set(func(h *testenv.Behavior) { h.JobDuration = 10 * time.Millisecond })
 	if status, v := s.drmaa("POST", "/arrays/"+id+"/release", ""); status != 200 {
 		t.Fatalf("release: %d %s", status, v.Raw)
 	}
@@ -63,7 +63,7 @@
 	if v := array(); v.Get("done").Int() != 1 || v.Get("failed").Int() != 1 || v.Get("jobState").String() != "FAILED" {
 		t.Errorf("in the end: %s", v.Raw)
 	}
-	if n := len(s.boxes[0].Starts()); n != 2 {
+	if n := len(s.executors[0].Starts()); n != 2 {
 		t.Errorf("%d starts, want one for each member", n)
 	}
 }
--- a/test/batch_test.go
+++ b/test/batch_test.go
@@ -23,11 +23,11 @@
 // Both fronts under load, with the node killed and started again: no tile-charge is started twice, whichever front it
 // came by, all jobs are told truly, and arrays end.
 func TestKilledUnderLoad(t *testing.T) {
-	s := newSite(t, 4, 25*time.Millisecond)
-	for _, b := range s.boxes {
+	s := newTestNode(t, 4, 25*time.Millisecond)
+	for _, b := range s.executors {
 		b.Set(func(h *testenv.Behavior) { h.FreeSlots, h.Slots = 4, 4 })
 	}
-	s.extra = "  dir: " + filepath.Join(s.dir, "batch") + "\n"
+	s.extraConfig = "  dir: " + filepath.Join(s.dir, "batch") + "\n"
 	s.start()
 	c := drmaa2.New(s.batch, "")
 	defer c.Close()
@@ -106,8 +106,8 @@
 
 // A large array while half the boxes drain: maxParallel and the drains hold, and each member runs once.
 func TestArrayWhileBoxesDrain(t *testing.T) {
-	s := newSite(t, 4, 10*time.Millisecond)
-	for _, b := range s.boxes {
+	s := newTestNode(t, 4, 10*time.Millisecond)
+	for _, b := range s.executors {
 		b.Set(func(h *testenv.Behavior) { h.FreeSlots = 16 })
 	}
 	s.start()
@@ -118,15 +118,15 @@
 		t.Fatal(err)
 	}
 	s.until("it has begun", func() bool { a, err := c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Done > 100 })
-	for _, b := range s.boxes[:2] {
-		s.list.Put(b, "draining")
+	for _, b := range s.executors[:2] {
+		s.discovery.Put(b, "draining")
 	}
 	told := time.Now()
 	s.until("it has ended", func() bool { a, err = c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Over() })
 	if a.Done != 800 {
 		t.Errorf("%+v", a)
 	}
-	for _, b := range s.boxes[:2] {
+	for _, b := range s.executors[:2] {
 		for _, x := range b.Starts() {
 			if late := x.At.Sub(told); late > 500*time.Millisecond {
 				t.Errorf("job %s was sent %v after the drain", x.ID, late)
@@ -143,8 +143,8 @@
 // A watch goes on across a connection that breaks, without a gap or a repeat, and the command line speaks to the front:
 // each exit code is what the page says.
 func TestCommandLine(t *testing.T) {
-	s := newSite(t, 2, 20*time.Millisecond)
-	s.extra = "  dir: " + filepath.Join(s.dir, "batch") + "\n"
+	s := newTestNode(t, 2, 20*time.Millisecond)
+	s.extraConfig = "  dir: " + filepath.Join(s.dir, "batch") + "\n"
 	s.start()
 	gatetack := func(code int, args ...string) string {
 		t.Helper()
@@ -195,7 +195,7 @@
 		t.Error(out)
 	}
 	gatetack(0, "session", "destroy", "night")
-	if out := gatetack(0, "machine", "list", "--filter", "status = ready"); !strings.Contains(out, s.boxes[0].Name) {
+	if out := gatetack(0, "machine", "list", "--filter", "status = ready"); !strings.Contains(out, s.executors[0].Name) {
 		t.Error(out)
 	}
 	gatetack(1, "job", "list", "--addr", "127.0.0.1:1")
--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -58,7 +58,7 @@
 })
 
 // stepped makes a site run the program whose clock can be set.
-func (s *site) stepped() {
+func (s *testNode) stepped() {
 	s.t.Helper()
 	built, err := steppedProgram()
 	if err != nil {
@@ -68,10 +68,10 @@
 	s.env = append(s.env, "GATETACK_CLOCK_FILE="+s.clockFile())
 }
 
-func (s *site) clockFile() string { return filepath.Join(s.dir, "clock") }
+func (s *testNode) clockFile() string { return filepath.Join(s.dir, "clock") }
 
 // step sets the process's wall clock off by a span from the machine's, and returns once that is in force.
-func (s *site) step(off time.Duration) {
+func (s *testNode) step(off time.Duration) {
 	s.t.Helper()
 	text := strconv.FormatInt(int64(off/time.Second), 10)
 	if err := os.WriteFile(s.clockFile()+".new", []byte(text), 0o600); err != nil {
@@ -93,7 +93,7 @@
 }
 
 // send posts a job and gives its answer on a channel.
-func (s *site) send(class, id string, fields ...http1.Field) <-chan answer {
+func (s *testNode) send(class, id string, fields ...http1.Field) <-chan answer {
 	answers := make(chan answer, 1)
 	go func() {
 		m, err := s.post(class, id, fields...)
@@ -107,13 +107,13 @@
 }
 
 // began waits until executors have got a job so many times in all.
-func (s *site) began(id string, times int) {
+func (s *testNode) began(id string, times int) {
 	s.t.Helper()
 	s.until(fmt.Sprintf("attempt %d of %s has begun", times, id), func() bool { return len(s.starts()[id]) == times })
 }
 
 // report makes the callback of an executor that ends a job.
-func (s *site) report(b *testenv.Executor, id, state string) {
+func (s *testNode) report(b *testenv.Executor, id, state string) {
 	s.t.Helper()
 	body := fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"result":"made","load":{"queue":0,"x0":2}}`, id, b.Name, state)
 	if m, err := testenv.Call(s.listen, "POST", "/callback", []byte(body)); err != nil || m.Status >= 300 {
@@ -122,16 +122,16 @@
 }
 
 // muted makes executors take jobs and tell nothing: the test reports their ends.
-func (s *site) muted() {
-	for _, b := range s.boxes {
+func (s *testNode) muted() {
+	for _, b := range s.executors {
 		b.Set(func(how *testenv.Behavior) { how.NoCallbacks, how.JobDuration = true, 0 })
 	}
 }
 
 // executorOf returns the executor that got an attempt of a job.
-func (s *site) executorOf(id string) *testenv.Executor {
+func (s *testNode) executorOf(id string) *testenv.Executor {
 	s.t.Helper()
-	for _, b := range s.boxes {
+	for _, b := range s.executors {
 		for _, start := range b.Starts() {
 			if start.ID == id {
 				return b
@@ -147,7 +147,7 @@
 // The wall clock is set while a request is out: it is neither ended early nor sent again, and gets its result. One
 // whose executor says nothing ends by its deadline all the same, also where the clock was set back.
 func TestClockStepsDuringRequests(t *testing.T) {
-	s := newSite(t, 1, 0)
+	s := newTestNode(t, 1, 0)
 	s.stepped()
 	s.muted()
 	s.start()
@@ -157,7 +157,7 @@
 		answers := s.send("tile-charge", id)
 		s.began(id, 1)
 		s.step(step)
-		s.report(s.boxes[0], id, "done")
+		s.report(s.executors[0], id, "done")
 		if got := <-answers; got.status != 200 {
 			t.Errorf("step %v during a request: %+v", step, got)
 		}
@@ -178,7 +178,7 @@
 }
 
 // sendFor posts a job with so many ms left to its client.
-func (s *site) sendFor(id string, left int) <-chan answer {
+func (s *testNode) sendFor(id string, left int) <-chan answer {
 	answers := make(chan answer, 1)
 	go func() {
 		m, err := testenv.Call(s.listen, "POST", "/tile-charge/cut", []byte("body of "+id), header("X-Trace-Id", id),
@@ -195,7 +195,7 @@
 // The wall clock is set while an attempt of a keyed request is out. It fails within the window for repeats: it is
 // sent again, once.
 func TestClockStepsWithinARepeatWindow(t *testing.T) {
-	s := newSite(t, 2, 0)
+	s := newTestNode(t, 2, 0)
 	s.stepped()
 	s.muted()
 	s.start()
@@ -208,9 +208,9 @@
 		s.step(step)
 		s.report(first, id, "failed")
 		s.began(id, 2)
-		second := s.boxes[0]
+		second := s.executors[0]
 		if second == first {
-			second = s.boxes[1]
+			second = s.executors[1]
 		}
 		s.report(second, id, "done")
 		if got := <-answers; got.status != 200 {
@@ -226,10 +226,10 @@
 // clock was set.
 func TestClockStepsBeyondARepeatWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
-	s := newSite(t, 2, 0)
+	s := newTestNode(t, 2, 0)
 	s.stepped()
 	s.muted()
-	s.rules = strings.Replace(settings, `"window":40000.0`, fmt.Sprintf(`"window":%d`, window.Milliseconds()), 1)
+	s.settingsJSON = strings.Replace(defaultSettings, `"window":40000.0`, fmt.Sprintf(`"window":%d`, window.Milliseconds()), 1)
 	s.start()
 	for i, step := range clocktest.Steps {
 		s.step(0)
@@ -250,12 +250,12 @@
 
 // The wall clock is set while an executor drains: nothing new goes there, and what is out there gets its result.
 func TestClockStepsDuringADrain(t *testing.T) {
-	s := newSite(t, 2, 0)
+	s := newTestNode(t, 2, 0)
 	s.stepped()
 	s.muted()
 	s.start()
 	listed := func(b *testenv.Executor, status string) {
-		s.list.Put(b, status)
+		s.discovery.Put(b, status)
 		s.until(b.Name+" is "+status, func() bool {
 			_, v := s.drmaa("GET", "/monitoring/machines", "")
 			return v.Get(`machines.#(name=="`+b.Name+`").status`).String() == status
@@ -294,7 +294,7 @@
 // and the process ends well.
 func TestClockStepsDuringShutdown(t *testing.T) {
 	for i, step := range clocktest.Steps {
-		s := newSite(t, 1, 0)
+		s := newTestNode(t, 1, 0)
 		s.stepped()
 		s.muted()
 		s.start()
@@ -303,10 +303,10 @@
 		s.began(id, 1)
 		ended := make(chan error, 1)
 		process := s.process
-		go func() { ended <- s.term() }()
-		s.until("it leaves", func() bool { return s.logged("msg=leaving") })
+		go func() { ended <- s.terminate() }()
+		s.until("it leaves", func() bool { return s.logContains("msg=leaving") })
 		s.step(step)
-		s.report(s.boxes[0], id, "done")
+		s.report(s.executors[0], id, "done")
 		if got := <-answers; got.status != 200 {
 			t.Errorf("step %v: %+v", step, got)
 		}
@@ -324,7 +324,7 @@
 	s.stepped()
 	s.start()
 	at := time.Now().Add(time.Hour).UTC()
-	id := s.take(t, fmt.Sprintf(`{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"dated","startTime":%q}`, at.Format(time.RFC3339Nano)))
+	id := s.submitUntilAccepted(t, fmt.Sprintf(`{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"dated","startTime":%q}`, at.Format(time.RFC3339Nano)))
 	const function = `start: {rung: 0}
 on:
   call:
@@ -354,7 +354,7 @@
 	for _, step := range []time.Duration{-time.Hour, 30 * time.Minute} {
 		s.step(step)
 		// A job without a date goes through the same queue after the step: the queue has looked at its dates by then.
-		now := s.take(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"now"}`)
+		now := s.submitUntilAccepted(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"now"}`)
 		s.until("the job without a date is done", func() bool {
 			_, v := s.drmaa("GET", "/jobs/"+now, "")
 			return v.Get("jobState").String() == "DONE"
@@ -389,7 +389,7 @@
 		s.until("it holds its own lease", func() bool { return strings.Contains(s.wholeLog(), `msg="partition claimed"`) })
 	}
 	template := `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q,"submitAsHold":true}`
-	run := func(s *site, id string) {
+	run := func(s *testNode, id string) {
 		t.Helper()
 		s.until("the job is released", func() bool {
 			status, _ := s.drmaa("POST", "/jobs/"+id+"/release", "")
@@ -407,7 +407,7 @@
 		for k, s := range f {
 			payload := fmt.Sprintf("job %d %d", i, k)
 			payloads = append(payloads, payload)
-			id := s.take(t, fmt.Sprintf(template, payload))
+			id := s.submitUntilAccepted(t, fmt.Sprintf(template, payload))
 			s.step(step * time.Duration(1-k)) // one way, not at all, and the other way
 			run(s, id)
 		}
@@ -419,7 +419,7 @@
 	for i := range 3 {
 		payload := fmt.Sprintf("left %d", i)
 		payloads = append(payloads, payload)
-		held[payload] = f[0].take(t, fmt.Sprintf(template, payload))
+		held[payload] = f[0].submitUntilAccepted(t, fmt.Sprintf(template, payload))
 	}
 	f[0].kill()
 	f[1].step(time.Hour)
--- a/test/commands_test.go
+++ b/test/commands_test.go
@@ -20,9 +20,9 @@
 		}
 		return path
 	}
-	good := write("good.json", `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":`+settings+`}`)
+	good := write("good.json", `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":`+defaultSettings+`}`)
 	bad := write("bad.json", `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":`+
-		strings.Replace(settings, `"balancers":1`, `"balancers":"many"`, 1)+`}`)
+		strings.Replace(defaultSettings, `"balancers":1`, `"balancers":"many"`, 1)+`}`)
 	file := write("gatetack.yaml", "batch:\n  listen: 127.0.0.1:8480\n")
 	spoiled := write("spoiled.yaml", "batch:\n  listen: 192.0.2.1:8480\n")
 	rows := write("rows.yaml", "inventory:\n  file: rows.csv\n")
--- a/test/conform_test.go
+++ b/test/conform_test.go
@@ -12,12 +12,12 @@
 // The conformance suite passes against the built program, with jobs on record in a file of its own, and without.
 func TestConformance(t *testing.T) {
 	for _, dir := range []string{"", filepath.Join(t.TempDir(), "batch")} {
-		s := newSite(t, 4, 20*time.Millisecond)
-		for _, b := range s.boxes {
+		s := newTestNode(t, 4, 20*time.Millisecond)
+		for _, b := range s.executors {
 			b.Set(func(h *testenv.Behavior) { h.FreeSlots = 16 })
 		}
 		if dir != "" {
-			s.extra = "  dir: " + dir + "\n"
+			s.extraConfig = "  dir: " + dir + "\n"
 		}
 		s.start()
 		out, err := exec.Command(program, "conform", "--addr", s.batch, "--failed").CombinedOutput()
--- a/test/data_test.go
+++ b/test/data_test.go
@@ -11,17 +11,17 @@
 	"gatetack/internal/testenv"
 )
 
-// twoHalls puts a process's two boxes in two halls, with a link between them and data sets in them.
-func (s *site) twoHalls(sets string) {
+// useTwoZones puts a process's two boxes in two halls, with a link between them and data sets in them.
+func (s *testNode) useTwoZones(sets string) {
 	s.t.Helper()
-	for i, b := range s.boxes {
-		s.list.Put(&testenv.Executor{Name: b.Name, Addr: b.Addr, Zone: []string{"tallinn", "tartu"}[i], Type: "type-a", Group: i + 1}, "ready")
+	for i, b := range s.executors {
+		s.discovery.Put(&testenv.Executor{Name: b.Name, Addr: b.Addr, Zone: []string{"tallinn", "tartu"}[i], Type: "type-a", Group: i + 1}, "ready")
 	}
 	data := "links: [{from: tallinn, to: tartu, gbits: 1}]\nsets:\n" + sets
 	if err := os.WriteFile(filepath.Join(s.dir, "data.yaml"), []byte(data), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
-	s.extra += "data:\n  file: data.yaml\n"
+	s.extraConfig += "data:\n  file: data.yaml\n"
 }
 
 // Five processes, each with a box in two halls and the operators' word on which data stand where. Jobs that name their inputs run
@@ -31,7 +31,7 @@
 func TestJobsRunWhereTheirDataAre(t *testing.T) {
 	f := makeFleet(t, 5, 20*time.Millisecond)
 	for _, s := range f {
-		s.twoHalls("- {name: scene-t, bytes: 8e9, halls: [tartu]}\n- {name: scene-n, bytes: 8e9, halls: [tallinn]}\n")
+		s.useTwoZones("- {name: scene-t, bytes: 8e9, halls: [tartu]}\n- {name: scene-n, bytes: 8e9, halls: [tallinn]}\n")
 	}
 	f.startAll()
 	n := 0
@@ -41,7 +41,7 @@
 		for i := range 10 {
 			s := f[i%5]
 			n++
-			ids = append(ids, s.take(t, fmt.Sprintf(`{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"%s %d","inputs":[%q]}`, input, n, input)))
+			ids = append(ids, s.submitUntilAccepted(t, fmt.Sprintf(`{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"%s %d","inputs":[%q]}`, input, n, input)))
 		}
 		for i, id := range ids {
 			s := f[i%5]
@@ -50,8 +50,8 @@
 				return v.Get("jobState").String() == "DONE"
 			})
 			_, v := s.drmaa("GET", "/jobs/"+id, "")
-			if got := v.Get("allocatedMachines").Raw + v.Get("machines").Raw + v.Raw; !strings.Contains(got, f[0].boxes[box].Name) {
-				t.Errorf("%s at %s: %s, want box %s", input, s.name, v.Raw, f[0].boxes[box].Name)
+			if got := v.Get("allocatedMachines").Raw + v.Get("machines").Raw + v.Raw; !strings.Contains(got, f[0].executors[box].Name) {
+				t.Errorf("%s at %s: %s, want box %s", input, s.name, v.Raw, f[0].executors[box].Name)
 			}
 			if text := v.Get("annotation").String(); text != "" && !strings.HasPrefix(text, "data: ") {
 				t.Errorf("it says %q of its place", text)
@@ -62,8 +62,8 @@
 	round("scene-t", 1)
 	round("scene-n", 0)
 	for _, s := range f {
-		b := s.boxes[1]
-		s.list.Put(&testenv.Executor{Name: b.Name, Addr: b.Addr, Zone: "tartu", Type: "type-a", Group: 2}, "draining")
+		b := s.executors[1]
+		s.discovery.Put(&testenv.Executor{Name: b.Name, Addr: b.Addr, Zone: "tartu", Type: "type-a", Group: 2}, "draining")
 	}
 	time.Sleep(1500 * time.Millisecond)
 	round("scene-t", 0)
--- a/test/deployments_test.go
+++ b/test/deployments_test.go
@@ -125,7 +125,7 @@
 }
 
 // mortal is a box that can be made to die as a process does: its connections break and new ones are refused.
-func mortal(t *testing.T, s *site, name string) (*testenv.Executor, context.CancelFunc) {
+func mortal(t *testing.T, s *testNode, name string) (*testenv.Executor, context.CancelFunc) {
 	t.Helper()
 	ctx, kill := context.WithCancel(s.ctx)
 	b, err := testenv.NewExecutor(ctx, s.g, name, s.listen, jobTime)
@@ -191,14 +191,14 @@
 }
 
 func (d *deployment) play(t *testing.T, seed int64) {
-	s := newSite(t, 0, 0)
-	s.rules = d.settings()
+	s := newTestNode(t, 0, 0)
+	s.settingsJSON = d.settings()
 	var kills []context.CancelFunc
 	for i := range 6 {
 		b, kill := mortal(t, s, fmt.Sprintf("s-%08x", i+1))
 		d.place(b, i)
-		s.boxes, kills = append(s.boxes, b), append(kills, kill)
-		s.list.Put(b, "ready")
+		s.executors, kills = append(s.executors, b), append(kills, kill)
+		s.discovery.Put(b, "ready")
 	}
 	next, err := testenv.NewDiscovery(s.ctx, s.g)
 	if err != nil {
@@ -252,22 +252,22 @@
 		s.until(what, func() bool { return answered.Load() >= from+n })
 	}
 	after(60, "a first load is answered")
-	s.boxes[1].Set(func(how *testenv.Behavior) { how.UnresponsiveUntil = time.Now().Add(400 * time.Millisecond) })
+	s.executors[1].Set(func(how *testenv.Behavior) { how.UnresponsiveUntil = time.Now().Add(400 * time.Millisecond) })
 	after(30, "jobs are answered beside a box that stands still")
 	kills[2]()
 	after(30, "jobs are answered beside a box that died")
 
-	for i, b := range s.boxes {
+	for i, b := range s.executors {
 		if i != 2 {
 			next.Put(b, "ready")
 		}
 	}
-	s.configure(next.Addr, s.rules)
+	s.writeConfig(next.Addr, s.settingsJSON)
 	if err := s.process.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
 	s.until("the list that moved is watched", func() bool { return next.Watches() > 0 })
-	drained := s.boxes[0]
+	drained := s.executors[0]
 	next.Put(drained, "draining")
 	told := time.Now()
 	after(30, "jobs are answered beside a drain")
@@ -275,29 +275,29 @@
 	cold, _ := mortal(t, s, "s-000000c0")
 	cold.StartedAt = time.Now()
 	d.place(cold, 6)
-	for _, b := range s.boxes[1:] {
+	for _, b := range s.executors[1:] {
 		b.Set(func(how *testenv.Behavior) { how.RejectAll = true })
 	}
-	s.boxes = append(s.boxes, cold)
+	s.executors = append(s.executors, cold)
 	next.Put(cold, "ready")
 	if d.attempts > 1 {
 		s.until("the cold box is used", func() bool { return len(cold.Starts()) > 3 })
 		time.Sleep(fall * time.Millisecond)
 	}
-	for _, b := range s.boxes[1:] {
+	for _, b := range s.executors[1:] {
 		b.Set(func(how *testenv.Behavior) { how.RejectAll = false })
 	}
 	after(30, "jobs are answered once the others take work again")
 
 	killed := time.Now()
 	s.kill()
-	s.list = next
+	s.discovery = next
 	s.start()
 	up := time.Now()
 	after(60, "jobs are answered after the node's next start")
 	close(stop)
 	clients.Wait()
-	if err := s.term(); err != nil {
+	if err := s.terminate(); err != nil {
 		t.Errorf("leaving: %v", err)
 	}
 
@@ -335,11 +335,11 @@
 }
 
 // repeats checks that a job started as often, and where, as its class allows.
-func (d *deployment) repeats(t *testing.T, s *site, j *handed) {
+func (d *deployment) repeats(t *testing.T, s *testNode, j *handed) {
 	t.Helper()
 	var at []*testenv.Executor
 	first, last := time.Time{}, time.Time{}
-	for _, b := range s.boxes {
+	for _, b := range s.executors {
 		for _, x := range b.Starts() {
 			if x.ID != j.id {
 				continue
@@ -400,14 +400,14 @@
 	for i := range deployments {
 		d := &deployments[i]
 		t.Run(d.name, func(t *testing.T) {
-			s := newSite(t, 0, 0)
-			s.rules = d.settings()
+			s := newTestNode(t, 0, 0)
+			s.settingsJSON = d.settings()
 			for i := range 4 {
 				b, _ := mortal(t, s, fmt.Sprintf("s-%08x", i+1))
 				d.place(b, i)
 				b.Set(func(how *testenv.Behavior) { how.JobDuration, how.FreeSlots, how.Slots = 20*time.Millisecond, 16, 0 })
-				s.boxes = append(s.boxes, b)
-				s.list.Put(b, "ready")
+				s.executors = append(s.executors, b)
+				s.discovery.Put(b, "ready")
 			}
 			s.start()
 			out, err := exec.Command(program, "conform", "--addr", s.batch, "--failed").CombinedOutput()
--- a/test/desks_test.go
+++ b/test/desks_test.go
@@ -41,7 +41,7 @@
 `
 
 // deskCall makes one call at a process, as a device does that is in its zone.
-func (s *site) deskCall(id string, n uint64, v int) (int, gjson.Result, error) {
+func (s *testNode) deskCall(id string, n uint64, v int) (int, gjson.Result, error) {
 	body, _ := json.Marshal(map[string]any{"number": n, "body": map[string]int{"v": v}})
 	m, err := testenv.Call(s.batch, "POST", "/drmaa2/v1/desks/"+id+"/calls", body)
 	if err != nil {
@@ -53,8 +53,8 @@
 func zoned(t *testing.T, n int) fleet {
 	f := makeFleet(t, n, 20*time.Millisecond)
 	for i, s := range f {
-		s.rules = strings.Replace(settings, `"zone":0`, fmt.Sprintf(`"zone":%d`, i%2), 1)
-		s.twoHalls("- {name: scene-t, bytes: 8e9, halls: [tartu]}\n")
+		s.settingsJSON = strings.Replace(defaultSettings, `"zone":0`, fmt.Sprintf(`"zone":%d`, i%2), 1)
+		s.useTwoZones("- {name: scene-t, bytes: 8e9, halls: [tartu]}\n")
 	}
 	f.startAll()
 	return f
@@ -70,7 +70,7 @@
 		return err == nil && (m.Status == 201 || m.Status == 409)
 	})
 	n, at := uint64(0), ""
-	call := func(s *site) {
+	call := func(s *testNode) {
 		t.Helper()
 		n++
 		s.until("a call is answered", func() bool {
@@ -191,20 +191,20 @@
 			}
 			s.copyFolder(before)
 			for _, x := range f {
-				x.startAnew()
+				x.startWithoutWaiting()
 			}
-			s.until("all write again", func() bool { _, err := s.stored("set", "mark", "k", fmt.Sprint(k)); return err == nil })
+			s.until("all write again", func() bool { _, err := s.storeCommand("set", "mark", "k", fmt.Sprint(k)); return err == nil })
 			for _, x := range f {
 				x.kill()
 			}
 			s.putBack(before)
 			for _, x := range f {
-				x.startAnew()
+				x.startWithoutWaiting()
 			}
 		case 0:
 			s.kill()
 			time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
-			s.startAnew()
+			s.startWithoutWaiting()
 		case 1:
 			s.signal(syscall.SIGSTOP)
 			time.Sleep(time.Duration(3500+rng.IntN(1000)) * time.Millisecond)
@@ -213,13 +213,13 @@
 			s.kill()
 			before := filepath.Join(t.TempDir(), "before")
 			s.copyFolder(before)
-			s.startAnew()
-			s.until("it writes again", func() bool { _, err := s.stored("set", "mark", "k", fmt.Sprint(k)); return err == nil })
+			s.startWithoutWaiting()
+			s.until("it writes again", func() bool { _, err := s.storeCommand("set", "mark", "k", fmt.Sprint(k)); return err == nil })
 			s.kill()
 			s.putBack(before)
-			s.startAnew()
+			s.startWithoutWaiting()
 		}
-		s.until("it is back", func() bool { _, err := s.stored("set", "mark", "k", fmt.Sprint(k)); return err == nil })
+		s.until("it is back", func() bool { _, err := s.storeCommand("set", "mark", "k", fmt.Sprint(k)); return err == nil })
 		up[i].Store(true)
 		if text := wrong.Load(); text != nil {
 			t.Fatalf("%s\n%s", *text, strings.Join(steps, "\n"))
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -18,7 +18,7 @@
 
 // fleet is processes of the program that are members of one store. Each has boxes of its own addresses, by the same names:
 // as on the platform, a box is reached by each node at another address, and calls that node back.
-type fleet []*site
+type fleet []*testNode
 
 func newFleet(t *testing.T, n int, run time.Duration, env ...string) fleet {
 	t.Helper()
@@ -34,7 +34,7 @@
 	var f fleet
 	members := map[string]string{}
 	for i := range n {
-		s := newSite(t, 2, run)
+		s := newTestNode(t, 2, run)
 		s.name = fmt.Sprintf("n%d", i)
 		members[s.name] = s.store
 		f = append(f, s)
@@ -44,7 +44,7 @@
 		list = append(list, fmt.Sprintf("n%d: %q", i, f[i].store))
 	}
 	for _, s := range f {
-		s.extra = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {%s}\n  marks: marks\n", s.store, strings.Join(list, ", "))
+		s.extraConfig = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {%s}\n  marks: marks\n", s.store, strings.Join(list, ", "))
 	}
 	return f
 }
@@ -65,7 +65,7 @@
 }
 
 // signal stops a process as it stands, or lets it go on.
-func (s *site) signal(sig syscall.Signal) {
+func (s *testNode) signal(sig syscall.Signal) {
 	s.t.Helper()
 	if err := s.process.Process.Signal(sig); err != nil {
 		s.t.Fatal(err)
@@ -75,7 +75,7 @@
 // starts counts, at all boxes of all processes, how often the job with a payload started.
 func (f fleet) starts(payload string) (n int) {
 	for _, s := range f {
-		for _, b := range s.boxes {
+		for _, b := range s.executors {
 			for _, x := range b.Starts() {
 				if x.Body == payload {
 					n++
@@ -86,7 +86,7 @@
 	return n
 }
 
-func (s *site) take(t *testing.T, template string) string {
+func (s *testNode) submitUntilAccepted(t *testing.T, template string) string {
 	t.Helper()
 	var id string
 	s.until("a submission is taken", func() bool {
@@ -103,24 +103,24 @@
 func TestLateOwnerDoesNoHarm(t *testing.T) {
 	f := newFleet(t, 3, 50*time.Millisecond)
 	old := f[0]
-	for _, b := range old.boxes {
+	for _, b := range old.executors {
 		b.Set(func(h *testenv.Behavior) { h.JobDuration = time.Hour }) // what it sends stays out
 	}
 	template := `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q%s}`
-	sent := old.take(t, fmt.Sprintf(template, "sent", ""))
+	sent := old.submitUntilAccepted(t, fmt.Sprintf(template, "sent", ""))
 	old.until("the first job runs", func() bool { return f.starts("sent") == 1 })
 	held, due := map[string]string{}, map[string]string{}
 	for i := range 6 {
 		p := fmt.Sprintf("held %d", i)
-		held[p] = old.take(t, fmt.Sprintf(template, p, `,"submitAsHold":true`))
+		held[p] = old.submitUntilAccepted(t, fmt.Sprintf(template, p, `,"submitAsHold":true`))
 	}
 	at := time.Now().Add(4 * time.Second)
 	for i := range 6 {
 		p := fmt.Sprintf("due %d", i)
-		due[p] = old.take(t, fmt.Sprintf(template, p, fmt.Sprintf(`,"startTime":%q`, at.UTC().Format(time.RFC3339Nano))))
+		due[p] = old.submitUntilAccepted(t, fmt.Sprintf(template, p, fmt.Sprintf(`,"startTime":%q`, at.UTC().Format(time.RFC3339Nano))))
 	}
 	old.signal(syscall.SIGSTOP)
-	old.until("it stands still", old.stopped) // else it can still do what it is asked, and its answer is lost
+	old.until("it stands still", old.isStopped) // else it can still do what it is asked, and its answer is lost
 
 	// Any other node takes calls for them, and passes them to whoever has them now.
 	for i, id := range mapValues(held) {
@@ -130,7 +130,7 @@
 			return status == 200
 		})
 	}
-	state := func(s *site, id string) string {
+	state := func(s *testNode, id string) string {
 		_, v := s.drmaa("GET", "/jobs/"+id, "")
 		return v.Get("jobState").String()
 	}
@@ -187,7 +187,7 @@
 		t.Errorf("what is done is undone: %s", out)
 	}
 	// It does not claim back what it lost, and takes new work under a duty of its own.
-	id := old.take(t, fmt.Sprintf(template, "after", `,"submitAsHold":true`))
+	id := old.submitUntilAccepted(t, fmt.Sprintf(template, "after", `,"submitAsHold":true`))
 	if status, v := old.drmaa("POST", "/jobs/"+id+"/terminate", ""); status != 200 {
 		t.Errorf("a new job of the node that woke up: %d %s", status, v.Raw)
 	}
@@ -198,7 +198,7 @@
 func TestDutyCommands(t *testing.T) {
 	f := newFleet(t, 3, 20*time.Millisecond)
 	template := `{"jobCategory":"area-render","accountingId":"maavaade","payload":%q,"submitAsHold":true}`
-	id := f[0].take(t, fmt.Sprintf(template, "kept"))
+	id := f[0].submitUntilAccepted(t, fmt.Sprintf(template, "kept"))
 	part := id[:strings.LastIndexByte(id, '.')]
 	life := part[strings.LastIndexByte(part, '.')+1:]
 	key := "n0." + strings.Repeat("0", 12-len(life)) + life
@@ -255,14 +255,14 @@
 func TestNameStartedTwice(t *testing.T) {
 	f := newFleet(t, 3, 20*time.Millisecond)
 	template := `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q,"submitAsHold":true}`
-	id := f[0].take(t, fmt.Sprintf(template, "twin"))
+	id := f[0].submitUntilAccepted(t, fmt.Sprintf(template, "twin"))
 	f[0].signal(syscall.SIGSTOP)
-	twin := newSite(t, 2, 20*time.Millisecond)
+	twin := newTestNode(t, 2, 20*time.Millisecond)
 	twin.name = "n0"
-	twin.extra = strings.Replace(f[0].extra, "listen: "+f[0].store, "listen: "+twin.store, 1)
+	twin.extraConfig = strings.Replace(f[0].extraConfig, "listen: "+f[0].store, "listen: "+twin.store, 1)
 	// The same name at another address is a member of the store only by joining; the operators' mistake is the earlier
 	// process woken after another machine was given its name, its folder lost.
-	twin.extra = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  join: %s\n", twin.store, f[1].store)
+	twin.extraConfig = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  join: %s\n", twin.store, f[1].store)
 	twin.until("the store has seen the first one go", func() bool {
 		out, _ := exec.Command(program, "store", "join", "n0", twin.store, "--store-addr", f[1].store).CombinedOutput()
 		return strings.Contains(string(out), twin.store)
@@ -298,9 +298,9 @@
 	return out
 }
 
-// stopped says whether the process stands still, as it does at a point where it is to stop: each of its threads, for one goes on for
-// a moment after another was stopped.
-func (s *site) stopped() bool {
+// isStopped says whether the process stands still, as it does at a point where it is to stop: each of its threads, for one goes on for
+// a moment after another was isStopped.
+func (s *testNode) isStopped() bool {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", s.process.Process.Pid))
 	for _, path := range threads {
 		stat, err := os.ReadFile(path)
@@ -323,18 +323,18 @@
 		t.Run(x.point, func(t *testing.T) {
 			f := newFleet(t, 3, 50*time.Millisecond, "GATETACK_STOP_AT="+x.point)
 			old, heir := f[0], f[1]
-			id := old.take(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"the job","submitAsHold":true}`)
+			id := old.submitUntilAccepted(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"the job","submitAsHold":true}`)
 			go func() { // its answer may never come
 				_, _ = testenv.Call(old.batch, "POST", "/drmaa2/v1/jobs/"+id+"/release", nil)
 			}()
-			old.until("the owner stands at the point", old.stopped)
-			state := func(s *site) string {
+			old.until("the owner stands at the point", old.isStopped)
+			state := func(s *testNode) string {
 				_, v := s.drmaa("GET", "/jobs/"+id, "")
 				return v.Get("jobState").String()
 			}
 			heir.until("another has the job", func() bool {
 				got := state(heir)
-				return heir.logged("partition adopted") || f[2].logged("partition adopted") || got == "UNDETERMINED"
+				return heir.logContains("partition adopted") || f[2].logContains("partition adopted") || got == "UNDETERMINED"
 			})
 			if x.want == "DONE" {
 				heir.until("it can be released there", func() bool {
@@ -366,9 +366,9 @@
 	f[0].env = []string{"GATETACK_STOP_AT=" + failpoint.Hand}
 	f.startAll()
 	old, heir := f[0], f[1]
-	id := old.take(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"the job","submitAsHold":true}`)
+	id := old.submitUntilAccepted(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"the job","submitAsHold":true}`)
 	go func() { _, _ = testenv.Call(old.batch, "POST", "/drmaa2/v1/jobs/"+id+"/release", nil) }()
-	old.until("the owner stands at the point", old.stopped)
+	old.until("the owner stands at the point", old.isStopped)
 	heir.until("it is done at another", func() bool {
 		_, _ = heir.drmaa("POST", "/jobs/"+id+"/release", "")
 		_, v := heir.drmaa("GET", "/jobs/"+id, "")
@@ -389,7 +389,7 @@
 				{"held", `,"submitAsHold":true`}, {"due", fmt.Sprintf(`,"startTime":%q`, time.Now().Add(2*time.Second).UTC().Format(time.RFC3339Nano))}, {"now", ""},
 			} {
 				p := fmt.Sprintf("%s %s %d", round, x.what, i)
-				jobs[p] = s.take(t, fmt.Sprintf(`{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q%s}`, p, x.more))
+				jobs[p] = s.submitUntilAccepted(t, fmt.Sprintf(`{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q%s}`, p, x.more))
 			}
 		}
 	}
@@ -414,7 +414,7 @@
 	}
 	for i, s := range f {
 		submit(fmt.Sprint("upgrade ", i))
-		if err := s.term(); err != nil {
+		if err := s.terminate(); err != nil {
 			t.Fatalf("%s: %v", s.name, err)
 		}
 		s.start()
@@ -423,7 +423,7 @@
 	submit("all")
 	done := make(chan error, len(f))
 	for _, s := range f {
-		go func() { done <- s.term() }()
+		go func() { done <- s.terminate() }()
 	}
 	for range f {
 		if err := <-done; err != nil {
@@ -438,10 +438,10 @@
 // at the node's address again the box tells it how the job ended, and that is told at every node: it ran once, and is done.
 func TestBoxTellsAfterTheLoss(t *testing.T) {
 	f := newFleet(t, 3, 9*time.Second)
-	id := f[0].take(t, `{"jobCategory":"area-render","accountingId":"maavaade","payload":"long"}`)
+	id := f[0].submitUntilAccepted(t, `{"jobCategory":"area-render","accountingId":"maavaade","payload":"long"}`)
 	f[0].until("it runs", func() bool { return f.starts("long") == 1 })
 	f[0].kill()
-	state := func(s *site) string {
+	state := func(s *testNode) string {
 		_, v := s.call("GET", "/jobs/"+id, "")
 		return v.Get("jobState").String()
 	}
@@ -456,7 +456,7 @@
 	if n := f.starts("long"); n != 1 {
 		t.Errorf("it started %d times", n)
 	}
-	rows, _ := f[1].stored("list", "sent")
+	rows, _ := f[1].storeCommand("list", "sent")
 	if strings.Contains(rows, id) {
 		t.Errorf("what it was sent under is still on record: %s", rows)
 	}
--- a/test/fronts_test.go
+++ b/test/fronts_test.go
@@ -16,9 +16,9 @@
 
 // Jobs go through both fronts at a time; the counts are the same at both, and no box gets a job twice.
 func TestBothFronts(t *testing.T) {
-	s := newSite(t, 3, 30*time.Millisecond)
-	for _, b := range s.boxes { // callbacks may repeat, and may come before the 202
-		b.Set(func(h *testenv.Behavior) { h.EarlyCallbacks, h.CallbackRepeats = b == s.boxes[0], 3 })
+	s := newTestNode(t, 3, 30*time.Millisecond)
+	for _, b := range s.executors { // callbacks may repeat, and may come before the 202
+		b.Set(func(h *testenv.Behavior) { h.EarlyCallbacks, h.CallbackRepeats = b == s.executors[0], 3 })
 	}
 	s.start()
 	// The module refuses what comes beyond its tokens, so both ends are seen; what a client is told is what counts.
@@ -94,7 +94,7 @@
 			t.Errorf("job %s was changed on its way: %+v", id, x)
 		}
 	}
-	for _, b := range s.boxes {
+	for _, b := range s.executors {
 		for _, status := range b.CallbackStatuses() {
 			if status != 200 && status != 204 {
 				t.Errorf("a callback got %d", status)
@@ -105,9 +105,9 @@
 
 // After a drain was told, a box gets nothing more than 500 ms later, through either front.
 func TestDrain(t *testing.T) {
-	s := newSite(t, 2, 20*time.Millisecond)
+	s := newTestNode(t, 2, 20*time.Millisecond)
 	s.start()
-	drained := s.boxes[0]
+	drained := s.executors[0]
 	load := func(from, to int) {
 		var g errgroup.Group
 		for i := from; i < to; i++ {
@@ -123,7 +123,7 @@
 	if len(drained.Starts()) == 0 {
 		t.Fatal("the box got nothing before its drain: the test would show nothing")
 	}
-	s.list.Put(drained, "draining")
+	s.discovery.Put(drained, "draining")
 	told := time.Now()
 	load(20, 70) // for more than 500 ms
 	for _, x := range drained.Starts() {
@@ -131,17 +131,17 @@
 			t.Errorf("job %s was sent %v after the drain", x.ID, late)
 		}
 	}
-	if len(s.boxes[1].Starts()) == 0 {
+	if len(s.executors[1].Starts()) == 0 {
 		t.Error("the other box got nothing")
 	}
 }
 
 // A termination ends a job that was not sent, and does not stop one that was: its result still comes.
 func TestTerminate(t *testing.T) {
-	s := newSite(t, 1, 700*time.Millisecond)
+	s := newTestNode(t, 1, 700*time.Millisecond)
 	s.start()
 	running := s.submit(tile)
-	s.until("the job runs", func() bool { return len(s.boxes[0].Starts()) == 1 })
+	s.until("the job runs", func() bool { return len(s.executors[0].Starts()) == 1 })
 	status, v := s.drmaa("GET", "/jobs/"+running+"/wait?for=started", "")
 	if status != 200 || v.Get("jobState").String() != "RUNNING" {
 		t.Fatalf("waiting for its start: %d %s", status, v.Raw)
@@ -177,23 +177,23 @@
 			t.Errorf("job %s: %s", id, v.Raw)
 		}
 	}
-	if n := len(s.boxes[0].Starts()); n != done {
+	if n := len(s.executors[0].Starts()); n != done {
 		t.Errorf("%d starts, want one for each of the %d jobs that are done", n, done)
 	}
 	if _, v = s.drmaa("GET", "/counts", ""); v.Get("terminated").Int() != 1 || v.Get("open").Int() != 0 {
 		t.Errorf("counts: %s", v.Raw)
 	}
-	if got := s.boxes[0].Canceled(); len(got) != 0 {
+	if got := s.executors[0].Canceled(); len(got) != 0 {
 		t.Errorf("jobs were given up at the box: %v", got)
 	}
 }
 
 // A status query across a restart tells nothing that is not known, and nothing is run again.
 func TestRestart(t *testing.T) {
-	s := newSite(t, 1, 10*time.Second)
+	s := newTestNode(t, 1, 10*time.Second)
 	s.start()
 	old := s.submit(tile)
-	s.until("the job runs", func() bool { return len(s.boxes[0].Starts()) == 1 })
+	s.until("the job runs", func() bool { return len(s.executors[0].Starts()) == 1 })
 	s.kill()
 	if _, err := testenv.Call(s.batch, "GET", "/drmaa2/v1/jobs/"+old, nil); err == nil {
 		t.Fatal("a killed node answers")
@@ -213,15 +213,15 @@
 	if next == old {
 		t.Errorf("the id %s was given twice", next)
 	}
-	s.until("the new job runs", func() bool { return len(s.boxes[0].Starts()) == 2 })
-	if a := s.boxes[0].Starts(); a[0].ID == a[1].ID {
+	s.until("the new job runs", func() bool { return len(s.executors[0].Starts()) == 2 })
+	if a := s.executors[0].Starts(); a[0].ID == a[1].ID {
 		t.Errorf("job %s was started again", a[0].ID)
 	}
 }
 
 // Bad input is refused with the field's name, and nothing of it enters the core.
 func TestBadSubmissions(t *testing.T) {
-	s := newSite(t, 1, 10*time.Millisecond)
+	s := newTestNode(t, 1, 10*time.Millisecond)
 	s.start()
 	for _, c := range []struct{ body, field, code string }{
 		{`{`, "body", "INVALID_ARGUMENT"},
@@ -254,7 +254,7 @@
 
 // A job whose time is over fails in time, at both fronts alike; one that nothing was sent of is refused.
 func TestDeadlines(t *testing.T) {
-	s := newSite(t, 1, 20*time.Second)
+	s := newTestNode(t, 1, 20*time.Second)
 	s.start()
 	began := time.Now()
 	id := s.submit(fmt.Sprintf(`{"jobCategory":"tile-charge","accountingId":"maavaade","deadlineTime":%q}`,
@@ -267,7 +267,7 @@
 	if status != 200 || v.Get("jobState").String() != "FAILED" || v.Get("jobSubState").String() != "failed" {
 		t.Errorf("a sent job whose time is over: %d %s", status, v.Raw)
 	}
-	s.until("the attempt is given up at the box", func() bool { return len(s.boxes[0].Canceled()) == 1 })
+	s.until("the attempt is given up at the box", func() bool { return len(s.executors[0].Canceled()) == 1 })
 	m, err := s.post("tile-charge", "00000000000000aa", header("X-Expires-In-Ms", "1"))
 	if err != nil || m.Status != 503 {
 		t.Errorf("a job without time: %v %v, want a refusal", m, err)
@@ -276,7 +276,7 @@
 
 // SIGTERM: what was taken is answered, new connections are served meanwhile, and the program ends well.
 func TestLeave(t *testing.T) {
-	s := newSite(t, 1, 600*time.Millisecond)
+	s := newTestNode(t, 1, 600*time.Millisecond)
 	s.start()
 	old, err := testenv.Dial(s.listen) // a connection that stands idle while the program leaves
 	if err != nil {
@@ -301,9 +301,9 @@
 			return nil
 		})
 		if i == 0 {
-			s.until("the first job runs", func() bool { return len(s.boxes[0].Starts()) == 1 })
-			g.Go(s.term)
-			s.until("the signal has come", func() bool { return s.logged("msg=leaving") })
+			s.until("the first job runs", func() bool { return len(s.executors[0].Starts()) == 1 })
+			g.Go(s.terminate)
+			s.until("the signal has come", func() bool { return s.logContains("msg=leaving") })
 			// The second comes on a new connection after the signal.
 		}
 	}
--- a/test/golden_folder_test.go
+++ b/test/golden_folder_test.go
@@ -41,7 +41,7 @@
 )
 
 // fill brings jobs of each state, arrays and sessions on record.
-func (s *site) fill() (ids goldenIDs) {
+func (s *testNode) fill() (ids goldenIDs) {
 	s.t.Helper()
 	post := func(path, body, field string) string {
 		s.t.Helper()
@@ -92,7 +92,7 @@
 		_, v := s.drmaa("GET", "/arrays/"+part, "")
 		return v.Get("held").Bool() && v.Get("nextIndex").Int() == v.Get("done").Int()+v.Get("failed").Int()+1
 	})
-	s.run(time.Hour)
+	s.setJobDuration(time.Hour)
 	state("/jobs/"+job("/jobs", tile), "RUNNING")
 	state("/jobs/"+job("/jobs", `{"jobCategory":"area-render","accountingId":"maavaade","payload":"long"}`), "RUNNING")
 	running := array(`{"jobTemplate":` + tile + `,"endIndex":3,"maxParallel":1}`)
@@ -103,15 +103,15 @@
 	return ids
 }
 
-// run sets for how long each box runs a job.
-func (s *site) run(span time.Duration) {
-	for _, b := range s.boxes {
+// setJobDuration sets for how long each box runs a job.
+func (s *testNode) setJobDuration(span time.Duration) {
+	for _, b := range s.executors {
 		b.Set(func(h *testenv.Behavior) { h.JobDuration = span })
 	}
 }
 
 // readRecords tells what a node says of all that is on record.
-func (s *site) readRecords(ids goldenIDs) string {
+func (s *testNode) readRecords(ids goldenIDs) string {
 	s.t.Helper()
 	var out strings.Builder
 	read := func(path string) {
@@ -208,7 +208,7 @@
 }
 
 // writeArchive keeps a killed node's folder.
-func writeArchive(t *testing.T, s *site, ids goldenIDs, name string, files ...string) {
+func writeArchive(t *testing.T, s *testNode, ids goldenIDs, name string, files ...string) {
 	t.Helper()
 	text, err := json.MarshalIndent(ids, "", "  ")
 	if err != nil {
@@ -246,7 +246,7 @@
 }
 
 // goesOn checks that a node works on with what was on record: a key names its job, and what was held runs once it is released.
-func (s *site) goesOn(ids goldenIDs) {
+func (s *testNode) goesOn(ids goldenIDs) {
 	s.t.Helper()
 	if status, v := s.drmaa("POST", "/jobs", goldenHeldKey); status != 200 || v.Get("jobId").String() != ids.Jobs[1] {
 		s.t.Errorf("a job that was submitted under its key before: %d %s, want 200 and job %s", status, v.Raw, ids.Jobs[1])
@@ -330,8 +330,8 @@
 // array and session.
 func TestGoldenRecords(t *testing.T) {
 	const name = "records.tar.gz"
-	s := newSite(t, 3, 10*time.Millisecond)
-	s.extra = "  dir: batch\n"
+	s := newTestNode(t, 3, 10*time.Millisecond)
+	s.extraConfig = "  dir: batch\n"
 	if goldenUpdate() {
 		s.start()
 		ids := s.fill()
@@ -340,7 +340,7 @@
 		if err := os.RemoveAll(filepath.Join(s.dir, "batch")); err != nil {
 			t.Fatal(err)
 		}
-		s.run(10 * time.Millisecond)
+		s.setJobDuration(10 * time.Millisecond)
 	}
 	ids := unpack(t, name, s.dir)
 	file := filepath.Join(s.dir, "batch", "batch.db")
@@ -349,7 +349,7 @@
 	s.start()
 	untilGolden(t, "records.txt", func() string { return s.readRecords(ids) })
 	s.goesOn(ids)
-	if err := s.term(); err != nil {
+	if err := s.terminate(); err != nil {
 		t.Fatal(err)
 	}
 	// What it has written meanwhile has the same form; sizes in bytes hang on the digits of times.
@@ -363,7 +363,7 @@
 }
 
 // command runs a command of the program and gives what it printed.
-func (s *site) command(args ...string) string {
+func (s *testNode) command(args ...string) string {
 	s.t.Helper()
 	out, err := exec.Command(program, args...).CombinedOutput()
 	if err != nil {
@@ -376,7 +376,7 @@
 var goldenVersion = regexp.MustCompile(`"version":\d+`)
 
 // listed are a table's values in the store, by their keys, with their versions where nobody writes them again.
-func (s *site) listed(table string) string {
+func (s *testNode) listed(table string) string {
 	s.t.Helper()
 	var out strings.Builder
 	for line := range strings.Lines(s.command("store", "list", table, "--store-addr", s.store)) {
@@ -390,7 +390,7 @@
 }
 
 // readStore tells what a member says of its tables, settings and duties.
-func (s *site) readStore() string {
+func (s *testNode) readStore() string {
 	s.t.Helper()
 	var out strings.Builder
 	for _, table := range []string{"mark", "session", "same", "array", "open", "sent"} {
@@ -409,8 +409,8 @@
 // records in it, settings and duties; and on the settings that it cached.
 func TestGoldenStoreFolder(t *testing.T) {
 	const name = "store.tar.gz"
-	s := newSite(t, 3, 10*time.Millisecond)
-	s.extra = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {n0: %q}\nsettings:\n  enabled: true\n  cache: settings.json\n",
+	s := newTestNode(t, 3, 10*time.Millisecond)
+	s.extraConfig = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {n0: %q}\nsettings:\n  enabled: true\n  cache: settings.json\n",
 		s.store, s.store)
 	if goldenUpdate() {
 		s.start()
@@ -436,7 +436,7 @@
 		if err := os.RemoveAll(filepath.Join(s.dir, "store")); err != nil {
 			t.Fatal(err)
 		}
-		s.run(10 * time.Millisecond)
+		s.setJobDuration(10 * time.Millisecond)
 	}
 	ids := unpack(t, name, s.dir)
 	dir := filepath.Join(s.dir, "store")
--- a/test/golden_test.go
+++ b/test/golden_test.go
@@ -169,7 +169,7 @@
 
 // The platform's answers, with their fields: served, refused, failed, and those to what is no job.
 func TestGoldenPlatformAnswers(t *testing.T) {
-	s := newSite(t, 1, 10*time.Millisecond)
+	s := newTestNode(t, 1, 10*time.Millisecond)
 	s.start()
 	var out strings.Builder
 	note := func(what string, m *http1.Message, err error) {
@@ -181,7 +181,7 @@
 	}
 	m, err := s.post("tile-charge", "0000000000000001")
 	note("served", m, err)
-	s.until("the count is there", func() bool { return s.count("open") == 0 })
+	s.until("the count is there", func() bool { return s.counter("open") == 0 })
 	call("GET", "/healthz", "")
 	call("GET", "/counts", "")
 	call("GET", "/nothing", "")
@@ -195,10 +195,10 @@
 		header("X-Expires-In-Ms", "soon"))
 	call("POST", "/tile-charge/cut", "x", header("X-Trace-Id", "0000000000000005"), header("X-Customer", "pohjakaart"),
 		header("X-Expires-In-Ms", "1"))
-	s.boxes[0].Set(func(h *testenv.Behavior) { h.FailJobs = true })
+	s.executors[0].Set(func(h *testenv.Behavior) { h.FailJobs = true })
 	m, err = s.post("tile-charge", "0000000000000006")
 	note("failed", m, err)
-	s.boxes[0].Set(func(h *testenv.Behavior) { h.FailJobs, h.RejectAll = false, true })
+	s.executors[0].Set(func(h *testenv.Behavior) { h.FailJobs, h.RejectAll = false, true })
 	m, err = s.post("tile-charge", "0000000000000007")
 	note("refused", m, err)
 	compareGolden(t, "platform-answers.txt", out.String())
@@ -271,7 +271,7 @@
 
 // The batch front's answers, and the events of all that happened.
 func TestGoldenBatchAnswers(t *testing.T) {
-	s := newSite(t, 1, 10*time.Millisecond)
+	s := newTestNode(t, 1, 10*time.Millisecond)
 	s.start()
 	var out strings.Builder
 	job, array := "", ""
@@ -305,7 +305,7 @@
 }
 
 // nextCursor is that of the latest event.
-func (s *site) nextCursor(t *testing.T) string {
+func (s *testNode) nextCursor(t *testing.T) string {
 	t.Helper()
 	m, err := testenv.Call(s.batch, "GET", "/drmaa2/v1/events?timeoutMs=1", nil)
 	if err != nil || m.Status != 200 {
@@ -315,7 +315,7 @@
 }
 
 // eventStream reads so many events after a cursor from a stream of them.
-func (s *site) eventStream(t *testing.T, after string, count int) string {
+func (s *testNode) eventStream(t *testing.T, after string, count int) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(s.ctx, 20*time.Second)
 	defer cancel()
@@ -357,7 +357,7 @@
 }
 
 // events are those after a cursor, each by its value.
-func (s *site) events(t *testing.T, after string) string {
+func (s *testNode) events(t *testing.T, after string) string {
 	t.Helper()
 	m, err := testenv.Call(s.batch, "GET", "/drmaa2/v1/events?timeoutMs=100&after="+after, nil)
 	if err != nil || m.Status != 200 {
--- a/test/golden_written_test.go
+++ b/test/golden_written_test.go
@@ -36,8 +36,8 @@
 // What the program writes into the store's tables, and what a member answers those who follow, ask and change, has the form that it
 // had before the code was reshaped: table names, keys, JSON fields, statuses and codes.
 func TestGoldenWrittenForms(t *testing.T) {
-	s := newSite(t, 3, 10*time.Millisecond)
-	s.extra = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {n0: %q}\nsettings:\n  enabled: true\n  cache: settings.json\n",
+	s := newTestNode(t, 3, 10*time.Millisecond)
+	s.extraConfig = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {n0: %q}\nsettings:\n  enabled: true\n  cache: settings.json\n",
 		s.store, s.store)
 	s.start()
 	version := s.accept("set", "class/draft", draftClass)
@@ -54,7 +54,7 @@
 	_, array := s.drmaa("POST", "/arrays", `{"jobTemplate":`+tile+`,"endIndex":2,"maxParallel":1}`)
 	wait("/arrays/"+array.Get("jobArrayId").String(), "DONE")
 	s.drmaa("POST", "/arrays", goldenHeldArray)
-	s.run(time.Hour)
+	s.setJobDuration(time.Hour)
 	wait("/jobs/"+s.submit(`{"jobCategory":"area-render","accountingId":"maavaade","payload":"long"}`), "RUNNING")
 	time.Sleep(500 * time.Millisecond) // states come on record behind their jobs
 
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -42,42 +42,42 @@
 	os.Exit(code)
 }
 
-// site is a node under test with what it needs.
-type site struct {
-	t       *testing.T
-	ctx     context.Context
-	g       *errgroup.Group
-	dir     string
-	list    *testenv.Discovery
-	boxes   []*testenv.Executor
-	listen  string
-	batch   string
-	store   string
-	name    string // n0 where nothing is said
-	rules   string // the node's settings, where they are not the usual ones
-	known   string // the list of executors that it held before, none where nothing is said
-	env     []string
-	extra   string // lines of the operator's file
-	sockets int    // granted to the node, with the memory, where a test needs less than usual
-	memory  int    // in MB
-	program string // another build, where a test needs one
-	process *exec.Cmd
-	exited  chan error
-	log     *os.File
+// testNode is a node under test with what it needs.
+type testNode struct {
+	t              *testing.T
+	ctx            context.Context
+	g              *errgroup.Group
+	dir            string
+	discovery      *testenv.Discovery
+	executors      []*testenv.Executor
+	listen         string
+	batch          string
+	store          string
+	name           string // n0 where nothing is said
+	settingsJSON   string // the node's settings, where they are not the usual ones
+	knownExecutors string // the list of executors that it held before, none where nothing is said
+	env            []string
+	extraConfig    string // lines of the operator's file
+	sockets        int    // granted to the node, with the memory, where a test needs less than usual
+	memoryMB       int    // in MB
+	program        string // another build, where a test needs one
+	process        *exec.Cmd
+	exited         chan error
+	log            *os.File
 }
 
-// settings of the site, as the simulator's first message has them.
-const settings = testenv.Settings
+// defaultSettings of the site, as the simulator's first message has them.
+const defaultSettings = testenv.Settings
 
-func newSite(t *testing.T, boxes int, run time.Duration) *site {
+func newTestNode(t *testing.T, boxes int, run time.Duration) *testNode {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
 	ports, err := testenv.FreeAddrs(3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &site{t: t, ctx: ctx, g: g, name: "n0", dir: t.TempDir(), listen: ports[0], batch: ports[1], store: ports[2]}
-	if s.list, err = testenv.NewDiscovery(ctx, g); err != nil {
+	s := &testNode{t: t, ctx: ctx, g: g, name: "n0", dir: t.TempDir(), listen: ports[0], batch: ports[1], store: ports[2]}
+	if s.discovery, err = testenv.NewDiscovery(ctx, g); err != nil {
 		t.Fatal(err)
 	}
 	for i := range boxes {
@@ -85,8 +85,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.boxes = append(s.boxes, b)
-		s.list.Put(b, "ready")
+		s.executors = append(s.executors, b)
+		s.discovery.Put(b, "ready")
 	}
 	t.Cleanup(func() {
 		if s.process != nil {
@@ -103,17 +103,17 @@
 	return s
 }
 
-// configure writes the platform's configuration in one piece and gives its path.
-func (s *site) configure(discovery, settings string) string {
+// writeConfig writes the platform's configuration in one piece and gives its path.
+func (s *testNode) writeConfig(discovery, settings string) string {
 	s.t.Helper()
 	config := filepath.Join(s.dir, "config.json")
 	sockets, memory := 1024, 192
 	if s.sockets > 0 {
-		sockets, memory = s.sockets, s.memory
+		sockets, memory = s.sockets, s.memoryMB
 	}
 	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},"known":%s,"settings":%s}`, s.name, s.listen, discovery, memory, sockets,
-		cmp.Or(s.known, "null"), settings)
+		cmp.Or(s.knownExecutors, "null"), settings)
 	if err := os.WriteFile(config+".new", []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
@@ -124,24 +124,24 @@
 }
 
 // start runs the program until it serves.
-func (s *site) start() {
+func (s *testNode) start() {
 	s.t.Helper()
-	s.startAnew()
+	s.startWithoutWaiting()
 	s.until("the node serves", func() bool {
 		m, err := testenv.Call(s.listen, "GET", "/healthz", nil)
 		return err == nil && m.Status == 200
 	})
 }
 
-// startAnew runs the program, and does not wait until it serves.
-func (s *site) startAnew(env ...string) {
+// startWithoutWaiting runs the program, and does not wait until it serves.
+func (s *testNode) startWithoutWaiting(env ...string) {
 	s.t.Helper()
-	if s.rules == "" {
-		s.rules = settings
+	if s.settingsJSON == "" {
+		s.settingsJSON = defaultSettings
 	}
-	config := s.configure(s.list.Addr, s.rules)
+	config := s.writeConfig(s.discovery.Addr, s.settingsJSON)
 	file := filepath.Join(s.dir, "gatetack.yaml")
-	if err := os.WriteFile(file, []byte("batch:\n  listen: "+s.batch+"\n"+s.extra), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte("batch:\n  listen: "+s.batch+"\n"+s.extraConfig), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
 	var err error
@@ -149,7 +149,7 @@
 		s.t.Fatal(err)
 	}
 	s.process = exec.Command(cmp.Or(s.program, program), "serve", "--config", file, "--log-level", "debug")
-	s.process.Env = append(os.Environ(), "EDGE_CONFIG="+config, "EDGE_DISCOVERY="+s.list.Addr)
+	s.process.Env = append(os.Environ(), "EDGE_CONFIG="+config, "EDGE_DISCOVERY="+s.discovery.Addr)
 	s.process.Env = append(append(s.process.Env, s.env...), env...)
 	s.process.Stderr = s.log
 	if err := s.process.Start(); err != nil {
@@ -160,35 +160,35 @@
 	s.g.Go(func() error { exited <- p.Wait(); return nil })
 }
 
-// logged says whether the program's log holds a text.
-func (s *site) logged(text string) bool {
+// logContains says whether the program's log holds a text.
+func (s *testNode) logContains(text string) bool {
 	all, _ := os.ReadFile(s.log.Name())
 	return strings.Contains(string(all), text)
 }
 
-// lines counts the lines of the program's log that hold a text.
-func (s *site) lines(text string) int {
+// logCount counts the logCount of the program's log that hold a text.
+func (s *testNode) logCount(text string) int {
 	all, _ := os.ReadFile(s.log.Name())
 	return strings.Count(string(all), text)
 }
 
 // kill ends the program at once, as a lost machine does.
-func (s *site) kill() {
+func (s *testNode) kill() {
 	_ = s.process.Process.Kill()
 	_ = s.awaitExit() // killed
 	s.process = nil
 }
 
 // awaitExit waits until the program has ended and returns how.
-func (s *site) awaitExit() error { return <-s.exited }
+func (s *testNode) awaitExit() error { return <-s.exited }
 
-func (s *site) until(what string, ok func() bool) {
+func (s *testNode) until(what string, ok func() bool) {
 	s.t.Helper()
 	testenv.Until(s.t, what, ok)
 }
 
 // post hands a job in through the platform's front and waits for its answer.
-func (s *site) post(class, id string, fields ...http1.Field) (*http1.Message, error) {
+func (s *testNode) post(class, id string, fields ...http1.Field) (*http1.Message, error) {
 	fields = append(fields, header("X-Trace-Id", id), header("X-Customer", "pohjakaart"),
 		header("X-Expires-In-Ms", "7500"), header("Idempotency-Key", "key-"+id))
 	return testenv.Call(s.listen, "POST", "/"+class+"/cut?z=3", []byte("body of "+id), fields...)
@@ -197,7 +197,7 @@
 func header(name, value string) http1.Field { return http1.Field{Name: name, Value: value} }
 
 // drmaa calls the batch front.
-func (s *site) drmaa(method, path, body string) (int, gjson.Result) {
+func (s *testNode) drmaa(method, path, body string) (int, gjson.Result) {
 	s.t.Helper()
 	var b []byte
 	if body != "" {
@@ -210,7 +210,7 @@
 	return m.Status, gjson.ParseBytes(m.Body)
 }
 
-func (s *site) submit(body string) string {
+func (s *testNode) submit(body string) string {
 	s.t.Helper()
 	status, v := s.drmaa("POST", "/jobs", body)
 	if status != 201 {
@@ -220,9 +220,9 @@
 }
 
 // starts are the requests that all boxes got, by id.
-func (s *site) starts() map[string][]testenv.Start {
+func (s *testNode) starts() map[string][]testenv.Start {
 	out := map[string][]testenv.Start{}
-	for _, b := range s.boxes {
+	for _, b := range s.executors {
 		for _, x := range b.Starts() {
 			out[x.ID] = append(out[x.ID], x)
 		}
@@ -230,8 +230,8 @@
 	return out
 }
 
-// term asks the program to leave and waits until it has.
-func (s *site) term() error {
+// terminate asks the program to leave and waits until it has.
+func (s *testNode) terminate() error {
 	if err := s.process.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
@@ -246,8 +246,8 @@
 
 const tile = `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"cut"}`
 
-// count is one of the program's counts, -1 where it does not tell them.
-func (s *site) count(name string) int {
+// counter is one of the program's counts, -1 where it does not tell them.
+func (s *testNode) counter(name string) int {
 	m, err := testenv.Call(s.listen, "GET", "/counts", nil)
 	if err != nil || m.Status != 200 {
 		return -1
--- a/test/kill_soak_test.go
+++ b/test/kill_soak_test.go
@@ -76,11 +76,11 @@
 }
 
 func (k killSoak) play(t *testing.T) {
-	s := newSite(t, 3, k.run)
-	s.rules = strings.NewReplacer(`"aim":400.0,"deadline":7500.0`, `"aim":150.0,"deadline":300.0`,
-		`"aim":1500.0,"deadline":25000.0`, `"aim":200.0,"deadline":300.0`).Replace(settings)
-	s.sockets, s.memory = soakSockets, 32
-	for i, box := range s.boxes {
+	s := newTestNode(t, 3, k.run)
+	s.settingsJSON = strings.NewReplacer(`"aim":400.0,"deadline":7500.0`, `"aim":150.0,"deadline":300.0`,
+		`"aim":1500.0,"deadline":25000.0`, `"aim":200.0,"deadline":300.0`).Replace(defaultSettings)
+	s.sockets, s.memoryMB = soakSockets, 32
+	for i, box := range s.executors {
 		box.Set(func(b *testenv.Behavior) { b.Slots, b.NoCallbacks = k.slots, k.hanging && i == 0 })
 	}
 	s.start()
@@ -117,7 +117,7 @@
 
 // startLoad has clients send one request after another, each on its connection as long as that is open, until the
 // context ends; the function that it returns waits for them and gives all requests.
-func (k killSoak) startLoad(ctx context.Context, s *site) func() []soakRequest {
+func (k killSoak) startLoad(ctx context.Context, s *testNode) func() []soakRequest {
 	var all sync.WaitGroup
 	requests := make([][]soakRequest, k.clients)
 	for i := range requests {
@@ -164,7 +164,7 @@
 // errClosing ends the use of a connection with whose last answer the server said that it closes it.
 var errClosing = errors.New("answered, and the connection is closed")
 
-func (k killSoak) judge(t *testing.T, s *site, requests []soakRequest, termAt, killedAt time.Time, lag time.Duration) {
+func (k killSoak) judge(t *testing.T, s *testNode, requests []soakRequest, termAt, killedAt time.Time, lag time.Duration) {
 	starts := s.starts()
 	answered, afterSignal := 0, 0
 	for _, r := range requests {
--- a/test/lies_test.go
+++ b/test/lies_test.go
@@ -23,16 +23,16 @@
 }
 
 // folder is that of a process's store.
-func (s *site) folder() string { return filepath.Join(s.dir, "store") }
+func (s *testNode) folder() string { return filepath.Join(s.dir, "store") }
 
-func (s *site) copyFolder(to string) {
+func (s *testNode) copyFolder(to string) {
 	s.t.Helper()
 	if err := os.CopyFS(to, os.DirFS(s.folder())); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-func (s *site) putBack(from string) {
+func (s *testNode) putBack(from string) {
 	s.t.Helper()
 	if err := os.RemoveAll(s.folder()); err != nil {
 		s.t.Fatal(err)
@@ -43,23 +43,23 @@
 }
 
 // has waits until a process has a value, as it holds it itself.
-func (s *site) has(key, value string) {
+func (s *testNode) has(key, value string) {
 	s.t.Helper()
 	s.until(key+" is at "+s.name, func() bool {
-		out, err := s.stored("get", "mark", key, "--stale")
+		out, err := s.storeCommand("get", "mark", key, "--stale")
 		return err == nil && strings.Contains(out, value)
 	})
 }
 
 // writes waits until a write is acknowledged there.
-func (s *site) writes(key, value string) {
+func (s *testNode) writes(key, value string) {
 	s.t.Helper()
-	s.until("a write of "+key, func() bool { _, err := s.stored("set", "mark", key, value); return err == nil })
+	s.until("a write of "+key, func() bool { _, err := s.storeCommand("set", "mark", key, value); return err == nil })
 }
 
 // denied says whether a process tells for certain that nothing stands where a write was acknowledged.
-func (s *site) denied(key, value string) bool {
-	out, err := s.stored("get", "mark", key, "--timeout", "1s")
+func (s *testNode) denied(key, value string) bool {
+	out, err := s.storeCommand("get", "mark", key, "--timeout", "1s")
 	return err == nil && !strings.Contains(out, value) || strings.Contains(out, "nothing stands")
 }
 
@@ -92,8 +92,8 @@
 			t.Fatal(err)
 		}
 	}
-	f[2].startAnew()
-	f[1].startAnew()
+	f[2].startWithoutWaiting()
+	f[1].startWithoutWaiting()
 	return f
 }
 
@@ -119,20 +119,20 @@
 				}
 				time.Sleep(300 * time.Millisecond)
 			}
-			f[1].until("it says so", func() bool { return f[1].logged(x.says) })
-			f[0].startAnew()
+			f[1].until("it says so", func() bool { return f[1].logContains(x.says) })
+			f[0].startWithoutWaiting()
 			for _, s := range f {
 				s.has("promised", "kept")
 			}
 			f[1].writes("after", "z")
 			f[1].until("its vote is as any again", func() bool {
-				out, err := f[1].stored("status")
+				out, err := f[1].storeCommand("status")
 				return err == nil && strings.Contains(out, "as any")
 			})
 			// It counts again: with one other, one that was killed and did not lie, it writes.
 			f[2].kill()
 			f[0].kill()
-			f[0].startAnew()
+			f[0].startWithoutWaiting()
 			f[1].writes("again", "w")
 		})
 	}
@@ -151,17 +151,17 @@
 	f := newFleet(t, 3, 20*time.Millisecond)
 	f[0].writes("before", "x")
 	f[1].kill()
-	twin := newSite(t, 1, 20*time.Millisecond)
+	twin := newTestNode(t, 1, 20*time.Millisecond)
 	twin.name = f[1].name
 	f[1].copyFolder(filepath.Join(twin.dir, "store"))
 	f[1].start()
-	twin.extra = strings.ReplaceAll(f[1].extra, f[1].store, twin.store)
-	twin.startAnew()
+	twin.extraConfig = strings.ReplaceAll(f[1].extraConfig, f[1].store, twin.store)
+	twin.startWithoutWaiting()
 	for i := range 5 {
 		f[i%3].writes("k", string(rune('a'+i)))
 	}
 	twin.until("the copy says so", func() bool {
-		return twin.logged("store member known at another address, not voting")
+		return twin.logContains("store member known at another address, not voting")
 	})
 	f[0].kill()
 	f[2].writes("after", "y")
--- a/test/links_test.go
+++ b/test/links_test.go
@@ -37,7 +37,7 @@
 func newLinked(t *testing.T, n int, seed uint64, run time.Duration) *linked {
 	t.Helper()
 	l := &linked{between: map[[2]int][]*testenv.Link{}, own: make([][]*testenv.Link, n), rng: rand.New(rand.NewPCG(seed, 0))}
-	link := func(s *site, target string) *testenv.Link {
+	link := func(s *testNode, target string) *testenv.Link {
 		x, err := testenv.NewLink(s.ctx, s.g, target)
 		if err != nil {
 			t.Fatal(err)
@@ -57,13 +57,13 @@
 			}
 		}
 		s.env = append(s.env, "GATETACK_LINKS="+strings.Join(env, ","))
-		for rack, b := range s.boxes {
+		for rack, b := range s.executors {
 			x := link(s, b.Addr)
 			l.own[i] = append(l.own[i], x)
-			s.list.Put(&testenv.Executor{Name: b.Name, Addr: x.Addr, Zone: "tallinn", Type: "type-a", Group: rack + 1}, "ready")
+			s.discovery.Put(&testenv.Executor{Name: b.Name, Addr: x.Addr, Zone: "tallinn", Type: "type-a", Group: rack + 1}, "ready")
 		}
-		x := link(s, s.list.Addr)
-		s.list.Addr = x.Addr
+		x := link(s, s.discovery.Addr)
+		s.discovery.Addr = x.Addr
 		l.own[i] = append(l.own[i], x)
 	}
 	l.startAll()
@@ -156,7 +156,7 @@
 		return func() { s.signal(syscall.SIGCONT); delete(down, i) }
 	default:
 		clock := []string{"0s", "1h", "-1h"}[l.rng.IntN(3)]
-		again := func() { s.startAnew("GATETACK_CLOCK=" + clock); delete(down, i) }
+		again := func() { s.startWithoutWaiting("GATETACK_CLOCK=" + clock); delete(down, i) }
 		down[i] = true
 		if kind == 10 {
 			say("n%d ends in order, its clock %s ahead at its next start", i, clock)
@@ -194,7 +194,7 @@
 }
 
 // call makes a call that may fail, at a node that may not be there.
-func (s *site) call(verb, path, body string) (int, gjson.Result) {
+func (s *testNode) call(verb, path, body string) (int, gjson.Result) {
 	m, err := testenv.CallFor(s.batch, 6*time.Second, verb, "/drmaa2/v1"+path, []byte(body))
 	if err != nil {
 		return 0, gjson.Result{}
@@ -244,7 +244,7 @@
 }
 
 // look asks a node for a job's state, and says whether that is final.
-func (c *client) look(t *testing.T, s *site, payload string, k *kept) bool {
+func (c *client) look(t *testing.T, s *testNode, payload string, k *kept) bool {
 	status, v := s.call("GET", "/jobs/"+k.id, "")
 	if status != 200 {
 		return false
@@ -340,7 +340,7 @@
 	}
 	starts := map[string][]string{}
 	for _, s := range l.fleet { // each reaches the boxes at addresses of its own, as on the platform
-		for _, b := range s.boxes {
+		for _, b := range s.executors {
 			for _, x := range b.Starts() {
 				starts[x.Body] = append(starts[x.Body], b.Name)
 			}
@@ -373,7 +373,7 @@
 }
 
 // wholeLog is that of all processes that ran here.
-func (s *site) wholeLog() string {
+func (s *testNode) wholeLog() string {
 	var all strings.Builder
 	names, _ := os.ReadDir(s.dir)
 	for _, x := range names {
@@ -397,7 +397,7 @@
 		what        string
 		cause, lift func()
 	}{
-		{"killed", old.kill, func() { old.startAnew() }},
+		{"killed", old.kill, func() { old.startWithoutWaiting() }},
 		{"stopped", func() { old.signal(syscall.SIGSTOP) }, func() { old.signal(syscall.SIGCONT) }},
 		{"cut off", func() { alone(testenv.Fault{BlockUp: true, BlockDown: true}) }, func() { alone(testenv.Fault{}) }},
 	} {
--- a/test/moments_test.go
+++ b/test/moments_test.go
@@ -21,7 +21,7 @@
 }
 
 // connect opens a connection to the node that ends with the test.
-func (s *site) connect() net.Conn {
+func (s *testNode) connect() net.Conn {
 	s.t.Helper()
 	c, err := net.Dial("tcp", s.listen)
 	if err != nil {
@@ -33,7 +33,7 @@
 }
 
 // ends waits for the end of the program and says how it ended.
-func (s *site) ends() error {
+func (s *testNode) ends() error {
 	s.t.Helper()
 	select {
 	case err := <-s.exited:
@@ -48,7 +48,7 @@
 // done it is over, and the second is answered and not sent. (Counted from its turn, it went out, and told its executor a time that
 // nobody had left.)
 func TestTimeOfAJobBehindAnother(t *testing.T) {
-	s := newSite(t, 1, 1200*time.Millisecond)
+	s := newTestNode(t, 1, 1200*time.Millisecond)
 	s.start()
 	c := s.connect()
 	_, _ = io.WriteString(c, jobRequest("00000000000000b1", 7500)+jobRequest("00000000000000b2", 300))
@@ -58,7 +58,7 @@
 			t.Fatalf("answer %d: %+v %v, want %d", i, m, err, want)
 		}
 	}
-	if n := len(s.boxes[0].Starts()); n != 1 {
+	if n := len(s.executors[0].Starts()); n != 1 {
 		t.Errorf("%d jobs were sent", n)
 	}
 }
@@ -66,13 +66,13 @@
 // A job comes in the very moment in which a node that was told to leave has decided to end: its connection stands in the listener's
 // queue and nobody has taken it. It gets a whole answer, nothing of it is sent, and the process ends well.
 func TestJobInTheMomentOfTheEnd(t *testing.T) {
-	s := newSite(t, 1, 10*time.Millisecond)
+	s := newTestNode(t, 1, 10*time.Millisecond)
 	s.env = []string{"GATETACK_STOP_AT=" + failpoint.Leave}
 	s.start()
 	if err := s.process.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	s.until("it is about to end", s.stopped)
+	s.until("it is about to end", s.isStopped)
 	c := s.connect() // by the kernel: the process stands still
 	if _, err := io.WriteString(c, jobRequest("00000000000000b3", 7500)); err != nil {
 		t.Fatal(err)
@@ -86,16 +86,16 @@
 	if err := s.ends(); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
-	if n := len(s.boxes[0].Starts()); n != 0 {
+	if n := len(s.executors[0].Starts()); n != 0 {
 		t.Errorf("%d jobs were sent", n)
 	}
 }
 
 // A node is told to leave before it listens: the process ends well by itself, and no client was taken before, nor is one lost.
 func TestTermBeforeTheListener(t *testing.T) {
-	s := newSite(t, 1, 10*time.Millisecond)
-	s.startAnew("GATETACK_STOP_AT=" + failpoint.Listen)
-	s.until("it is about to listen", s.stopped)
+	s := newTestNode(t, 1, 10*time.Millisecond)
+	s.startWithoutWaiting("GATETACK_STOP_AT=" + failpoint.Listen)
+	s.until("it is about to listen", s.isStopped)
 	if c, err := net.Dial("tcp", s.listen); err == nil {
 		_ = c.Close()
 		t.Fatal("it listens already")
@@ -108,7 +108,7 @@
 	if err := s.ends(); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
-	if !s.logged("msg=leaving") {
+	if !s.logContains("msg=leaving") {
 		t.Error("the signal was not taken for what it is")
 	}
 }
--- a/test/races_test.go
+++ b/test/races_test.go
@@ -14,7 +14,7 @@
 // on past the time after which it may be killed, and half a request stands on a connection. The job is answered, the request is
 // answered once its rest has come, the new list is followed, and the process ends well.
 func TestSignalsBesideOneAnother(t *testing.T) {
-	s := newSite(t, 1, 4500*time.Millisecond)
+	s := newTestNode(t, 1, 4500*time.Millisecond)
 	s.start()
 	var g errgroup.Group
 	g.Go(func() error {
@@ -24,7 +24,7 @@
 		}
 		return err
 	})
-	s.until("the job runs", func() bool { return len(s.boxes[0].Starts()) == 1 })
+	s.until("the job runs", func() bool { return len(s.executors[0].Starts()) == 1 })
 	half, err := net.Dial("tcp", s.listen)
 	if err != nil {
 		t.Fatal(err)
@@ -38,9 +38,9 @@
 		}
 	}
 	signal(syscall.SIGTERM)
-	s.until("it leaves", func() bool { return s.logged("msg=leaving") })
+	s.until("it leaves", func() bool { return s.logContains("msg=leaving") })
 	signal(syscall.SIGHUP)
-	s.until("it has read its configuration", func() bool { return s.logged("msg=reload") })
+	s.until("it has read its configuration", func() bool { return s.logContains("msg=reload") })
 	_, _ = io.WriteString(half, "st\r\nConnection: close\r\n\r\n")
 	if all, err := io.ReadAll(half); err != nil || len(all) < 12 || string(all[9:12]) != "200" {
 		t.Errorf("half a request at the signal: %q %v", all, err)
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -17,16 +17,16 @@
 // names the old one; it loses no job, honours a drain that only the new one tells, passes over a file that can not
 // be used, and leaves on SIGTERM as ever.
 func TestReload(t *testing.T) {
-	s := newSite(t, 2, 20*time.Millisecond)
+	s := newTestNode(t, 2, 20*time.Millisecond)
 	next, err := testenv.NewDiscovery(s.ctx, s.g)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range s.boxes {
+	for _, b := range s.executors {
 		next.Put(b, "ready")
 	}
 	s.start()
-	drained := s.boxes[0]
+	drained := s.executors[0]
 	hup := func() {
 		if err := s.process.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
@@ -51,20 +51,20 @@
 		}
 	})
 	s.until("the box that will drain has work", func() bool { return len(drained.Starts()) > 3 })
-	s.configure(next.Addr, settings)
+	s.writeConfig(next.Addr, defaultSettings)
 	hup()
 	s.until("the new discovery is watched", func() bool { return next.Watches() == 1 })
 	next.Put(drained, "draining")
 	told := time.Now()
 
-	s.configure("nowhere", settings)
+	s.writeConfig("nowhere", defaultSettings)
 	hup()
-	s.until("an address that is none is passed over", func() bool { return s.logged("discovery: address nowhere") })
+	s.until("an address that is none is passed over", func() bool { return s.logContains("discovery: address nowhere") })
 	if err := os.WriteFile(s.dir+"/config.json", []byte(`{"name":"n0","settings":{`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	hup()
-	s.until("a file that is no JSON is passed over", func() bool { return s.logged("not valid JSON") })
+	s.until("a file that is no JSON is passed over", func() bool { return s.logContains("not valid JSON") })
 
 	time.Sleep(time.Until(told.Add(700 * time.Millisecond)))
 	close(done)
@@ -76,10 +76,10 @@
 			t.Errorf("job %s was sent %v after a drain that the new discovery told", x.ID, late)
 		}
 	}
-	if s.list.Watches() != 1 || next.Watches() != 1 {
-		t.Errorf("%d watches at the old discovery and %d at the new one, want one at each", s.list.Watches(), next.Watches())
+	if s.discovery.Watches() != 1 || next.Watches() != 1 {
+		t.Errorf("%d watches at the old discovery and %d at the new one, want one at each", s.discovery.Watches(), next.Watches())
 	}
-	if err := s.term(); err != nil {
+	if err := s.terminate(); err != nil {
 		t.Errorf("leaving after a reload: %v", err)
 	}
 }
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -29,13 +29,13 @@
 	f := &settingsFleet{fleet: makeFleet(t, members, 20*time.Millisecond)}
 	var addresses []string
 	for _, s := range f.fleet {
-		s.extra += "settings:\n  enabled: true\n  cache: settings.json\n"
+		s.extraConfig += "settings:\n  enabled: true\n  cache: settings.json\n"
 		addresses = append(addresses, s.store)
 	}
 	for i := range followers {
-		s := newSite(t, 2, 20*time.Millisecond)
+		s := newTestNode(t, 2, 20*time.Millisecond)
 		s.name = fmt.Sprintf("f%d", i)
-		s.extra = "settings:\n  enabled: true\n  cache: settings.json\n  follow: [" + strings.Join(addresses, ", ") + "]\n"
+		s.extraConfig = "settings:\n  enabled: true\n  cache: settings.json\n  follow: [" + strings.Join(addresses, ", ") + "]\n"
 		f.fleet = append(f.fleet, s)
 	}
 	if prepare != nil {
@@ -49,7 +49,7 @@
 }
 
 // settings runs a command on settings at a member.
-func (s *site) settings(args ...string) (string, error) {
+func (s *testNode) settings(args ...string) (string, error) {
 	cmd := exec.Command(program, append([]string{"settings"}, append(args, "--store-addr", s.store, "--timeout", "8s")...)...)
 	timer := time.AfterFunc(15*time.Second, func() { _ = cmd.Process.Kill() })
 	defer timer.Stop()
@@ -58,7 +58,7 @@
 }
 
 // accept makes a change at a member until it is accepted, and returns its version.
-func (s *site) accept(args ...string) uint64 {
+func (s *testNode) accept(args ...string) uint64 {
 	s.t.Helper()
 	var out string
 	s.until("a change is accepted: "+strings.Join(args, " "), func() bool {
@@ -70,13 +70,13 @@
 }
 
 // takes reports whether a process takes jobs of a class by now.
-func (s *site) takes(class, id string) bool {
+func (s *testNode) takes(class, id string) bool {
 	m, err := s.post(class, id)
 	return err == nil && m.Status == 200
 }
 
 // inForce waits until a member tells that each of some processes has a version in force.
-func (s *site) inForce(version uint64, names ...string) {
+func (s *testNode) inForce(version uint64, names ...string) {
 	s.t.Helper()
 	s.until(fmt.Sprintf("version %d is in force at %v", version, names), func() bool {
 		out, err := s.settings("status", "--output", "json")
@@ -206,7 +206,7 @@
 				t.Errorf("%s: apply %q: %v %s, expected %q", s.name, x.text, err, out, x.want)
 			}
 		}
-		if out, err := s.stored("set", "settings", "class/draft", draftClass); err == nil || !strings.Contains(out, "gatetack settings") {
+		if out, err := s.storeCommand("set", "settings", "class/draft", draftClass); err == nil || !strings.Contains(out, "gatetack settings") {
 			t.Errorf("%s: a write past the validation: %v %s", s.name, err, out)
 		}
 		if out, err := s.settings("list", "--output", "json"); err != nil || gjson.Get(out, "version").Uint() != version || gjson.Get(out, "changes.#").Int() != 1 {
@@ -263,7 +263,7 @@
 var putInForce = regexp.MustCompile(`msg="settings activated" version=(\d+)`)
 
 // inForceOrders reads from the logs which versions a process put in force, one after the other, in each of its lives.
-func (s *site) inForceOrders() (lives [][]uint64) {
+func (s *testNode) inForceOrders() (lives [][]uint64) {
 	s.t.Helper()
 	logs, err := filepath.Glob(filepath.Join(s.dir, "log*"))
 	if err != nil {
@@ -334,8 +334,8 @@
 	version := f.fleet[0].accept("set", "class/draft", draftClass)
 	f.fleet[0].inForce(version, f.names()...)
 
-	late := newSite(t, 2, 20*time.Millisecond)
-	late.name, late.extra = "f9", strings.Replace(follower.extra, "  cache: settings.json\n", "", 1)
+	late := newTestNode(t, 2, 20*time.Millisecond)
+	late.name, late.extraConfig = "f9", strings.Replace(follower.extraConfig, "  cache: settings.json\n", "", 1)
 	late.start()
 	if !late.takes("draft", "00000000000000d0") {
 		t.Error("a process that never ran before does not take the class from its start on")
@@ -344,7 +344,7 @@
 	for _, s := range f.fleet {
 		s.kill()
 	}
-	for i, s := range []*site{follower, f.fleet[0]} {
+	for i, s := range []*testNode{follower, f.fleet[0]} {
 		s.start()
 		if !s.takes("draft", fmt.Sprintf("00000000000000d%d", i+1)) {
 			t.Errorf("%s, alone, does not take the class", s.name)
@@ -356,7 +356,7 @@
 		t.Fatal(err)
 	}
 	follower.start()
-	if !follower.logged("the cache can not be used") || !follower.logged("no settings from any member before the start") {
+	if !follower.logContains("the cache can not be used") || !follower.logContains("no settings from any member before the start") {
 		t.Error("a cache that was cut off is not told")
 	}
 	f.fleet[1].start()
@@ -382,13 +382,13 @@
 // A process whose base configuration does not go with a change keeps what it has and is told by name with its reason, while the
 // others have it; with a change that it can use it has that at once. SIGHUP's file goes on to work beneath.
 func TestSettingsThatOneProcessCanNotUse(t *testing.T) {
-	from := strings.Index(settings, `{"name":"area-render"`)
-	to := strings.Index(settings, "],\n\"tenants\"")
+	from := strings.Index(defaultSettings, `{"name":"area-render"`)
+	to := strings.Index(defaultSettings, "],\n\"tenants\"")
 	if from < 0 || to < from {
 		t.Fatal("the stand-in's settings are not as this test takes them to be")
 	}
-	lacking := strings.TrimRight(settings[:from], " ,\n") + settings[to:] // has no class area-render
-	f := newSettingsFleet(t, 3, 2, func(f *settingsFleet) { f.fleet[4].rules = lacking })
+	lacking := strings.TrimRight(defaultSettings[:from], " ,\n") + defaultSettings[to:] // has no class area-render
+	f := newSettingsFleet(t, 3, 2, func(f *settingsFleet) { f.fleet[4].settingsJSON = lacking })
 	version := f.fleet[0].accept("set", "class/area-render", `{"worth":3}`)
 	f.fleet[1].inForce(version, "n0", "n1", "n2", "f0")
 	odd := f.fleet[4]
@@ -407,7 +407,7 @@
 	}
 	// The base file of a process: what it says anew holds, and what the store says still lies over it.
 	draft := `{"name":"draft","aim":900.0,"deadline":5000.0,"worth":2.0,"effect":"free","window":0.0},`
-	odd.configure(odd.list.Addr, strings.Replace(lacking, `{"name":"tile-charge"`, draft+` {"name":"tile-charge"`, 1))
+	odd.writeConfig(odd.discovery.Addr, strings.Replace(lacking, `{"name":"tile-charge"`, draft+` {"name":"tile-charge"`, 1))
 	odd.signal(syscall.SIGHUP)
 	odd.until("the new base holds", func() bool { return odd.takes("draft", "00000000000000e2") })
 	if !odd.takes("area-render", "00000000000000e3") {
@@ -456,7 +456,7 @@
 	var around []*testenv.Link // between n2 and the other members
 	var away *testenv.Link     // from the follower to n0
 	f := newSettingsFleet(t, 3, 1, func(f *settingsFleet) {
-		link := func(from, to *site) *testenv.Link {
+		link := func(from, to *testNode) *testenv.Link {
 			x, err := testenv.NewLink(from.ctx, from.g, to.store)
 			if err != nil {
 				t.Fatal(err)
@@ -470,7 +470,7 @@
 		for _, s := range f.fleet {
 			s.env = []string{"GATETACK_LINKS=" + strings.Join(s.env, ",")}
 		}
-		follower.extra = strings.Replace(follower.extra, n1.store+", ", "", 1) // follows n0 and n2
+		follower.extraConfig = strings.Replace(follower.extraConfig, n1.store+", ", "", 1) // follows n0 and n2
 	})
 	n0, n1, n2 := f.fleet[0], f.fleet[1], f.fleet[2]
 	set := func(aim int) uint64 {
--- a/test/slow_test.go
+++ b/test/slow_test.go
@@ -15,14 +15,14 @@
 )
 
 // load plays jobs, a fixed number for each client, and gives what came of them.
-func (s *site) load(class, prefix string, clients, jobs int) *testenv.LoadResult {
+func (s *testNode) load(class, prefix string, clients, jobs int) *testenv.LoadResult {
 	s.t.Helper()
 	l := testenv.Load{Addr: s.listen, Clients: clients, Class: class, Deadline: 7500 * time.Millisecond, Objective: 7 * time.Second,
 		Jobs: jobs, Prefix: prefix}
 	return l.Run(s.ctx)
 }
 
-func (s *site) counts() gjson.Result {
+func (s *testNode) counts() gjson.Result {
 	s.t.Helper()
 	m, err := testenv.Call(s.listen, "GET", "/counts", nil)
 	if err != nil {
@@ -32,7 +32,7 @@
 }
 
 // balanced checks that each job taken has exactly one end, and that no box got a job twice where it may not.
-func (s *site) balanced() {
+func (s *testNode) balanced() {
 	s.t.Helper()
 	s.until("all jobs have ended", func() bool { return s.counts().Get("open").Int() == 0 })
 	n := s.counts()
@@ -51,19 +51,19 @@
 }
 
 // slowBox puts a proxy in front of a box, told to the node as its address.
-func (s *site) slowBox(i int, up, down testenv.Script) *testenv.SlowProxy {
+func (s *testNode) slowBox(i int, up, down testenv.Script) *testenv.SlowProxy {
 	s.t.Helper()
-	p, err := testenv.NewSlowProxy(s.ctx, s.g, s.boxes[i].Addr, up, down, 1)
+	p, err := testenv.NewSlowProxy(s.ctx, s.g, s.executors[i].Addr, up, down, 1)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.boxes[i].Addr = p.Addr
-	s.list.Put(s.boxes[i], "ready")
+	s.executors[i].Addr = p.Addr
+	s.discovery.Put(s.executors[i], "ready")
 	return p
 }
 
 // slowPeers plays n slow clients of mixed kinds until stop is called, which gives how each one's time ended.
-func (s *site) slowPeers(n int) (stop func() []testenv.SlowPeerResult) {
+func (s *testNode) slowPeers(n int) (stop func() []testenv.SlowPeerResult) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	var g errgroup.Group
 	var mu sync.Mutex
@@ -85,8 +85,8 @@
 func TestTwentySlowPeers(t *testing.T) {
 	served := map[bool]int{}
 	for _, beside := range []bool{false, true} {
-		s := newSite(t, 4, 30*time.Millisecond)
-		for _, b := range s.boxes {
+		s := newTestNode(t, 4, 30*time.Millisecond)
+		for _, b := range s.executors {
 			b.Set(func(h *testenv.Behavior) { h.ResultBytes, h.FreeSlots = 60000, 16 })
 		}
 		s.start()
@@ -118,15 +118,15 @@
 // A box that takes jobs, lets its 202 drip and tells nothing more costs the others nothing either: what went there is
 // tried elsewhere in its rack, and it stops drawing work. Well again, it gets work back.
 func TestTricklingBox(t *testing.T) {
-	s := newSite(t, 5, 30*time.Millisecond)
+	s := newTestNode(t, 5, 30*time.Millisecond)
 	drip := s.slowBox(0, testenv.Script{}, testenv.Script{Rate: 1})
-	s.boxes[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
+	s.executors[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
 	s.start()
 	d := s.load("area-render", "10adc1e0", 4, 25)
 	if d.Served < 98 || d.Incomplete+d.Failed > 0 {
 		t.Errorf("%d of 100 jobs served beside a box that drips: %+v", d.Served, d)
 	}
-	drew := len(s.boxes[0].Starts())
+	drew := len(s.executors[0].Starts())
 	if drew == 0 {
 		t.Fatal("the box drew no work: the test shows nothing")
 	}
@@ -137,33 +137,33 @@
 		t.Errorf("no late sign was counted: %s", n.Raw)
 	}
 	drip.Set(testenv.Script{}, testenv.Script{})
-	s.boxes[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = false })
+	s.executors[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = false })
 	round := 0
 	s.until("the box has work again", func() bool {
 		round++
 		s.load("area-render", fmt.Sprintf("10ad%04x", round), 12, 10) // more at a time than the others' room
-		return len(s.boxes[0].Starts()) > drew+10
+		return len(s.executors[0].Starts()) > drew+10
 	})
 	s.balanced()
 }
 
 // A box that accepts connections and never speaks: a tile-charge that went there is not sent again, and has one answer.
 func TestMuteBoxAndTileCharges(t *testing.T) {
-	s := newSite(t, 3, 20*time.Millisecond)
+	s := newTestNode(t, 3, 20*time.Millisecond)
 	s.slowBox(0, testenv.Script{}, testenv.Script{Delay: time.Hour})
-	s.boxes[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
+	s.executors[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
 	s.start()
 	d := s.load("tile-charge", "10adc1e0", 4, 30)
-	if d.Total() != 120 || d.Incomplete != 0 || d.Failed > len(s.boxes[0].Starts()) || d.Served < 100 {
-		t.Errorf("%+v, %d went to the mute box", d, len(s.boxes[0].Starts()))
+	if d.Total() != 120 || d.Incomplete != 0 || d.Failed > len(s.executors[0].Starts()) || d.Served < 100 {
+		t.Errorf("%+v, %d went to the mute box", d, len(s.executors[0].Starts()))
 	}
 	s.balanced()
 }
 
 // All boxes slow at once: none is shunned for it, and the node goes on serving.
 func TestAllBoxesSlow(t *testing.T) {
-	s := newSite(t, 3, 20*time.Millisecond)
-	for i := range s.boxes {
+	s := newTestNode(t, 3, 20*time.Millisecond)
+	for i := range s.executors {
 		s.slowBox(i, testenv.Script{}, testenv.Script{Delay: 700 * time.Millisecond, Rate: 2000, Chunk: 8})
 	}
 	s.start()
@@ -175,16 +175,16 @@
 
 // A drain told while attempts drip at the box holds for it all the same.
 func TestDrainWhileDripping(t *testing.T) {
-	s := newSite(t, 2, 20*time.Millisecond)
+	s := newTestNode(t, 2, 20*time.Millisecond)
 	s.slowBox(0, testenv.Script{}, testenv.Script{Rate: 1})
 	s.start()
 	var g errgroup.Group
 	g.Go(func() error { s.load("area-render", "10adc1e0", 4, 60); return nil })
-	s.until("the box has work", func() bool { return len(s.boxes[0].Starts()) > 0 })
-	s.list.Put(s.boxes[0], "draining")
+	s.until("the box has work", func() bool { return len(s.executors[0].Starts()) > 0 })
+	s.discovery.Put(s.executors[0], "draining")
 	told := time.Now()
 	_ = g.Wait()
-	for _, x := range s.boxes[0].Starts() {
+	for _, x := range s.executors[0].Starts() {
 		if late := x.At.Sub(told); late > 500*time.Millisecond {
 			t.Errorf("job %s was sent %v after the drain", x.ID, late)
 		}
@@ -195,8 +195,8 @@
 // Three hundred slow peers at a node with 256 descriptors and 32 MB: it stands, goes on serving, takes SIGHUP, and ends
 // on SIGTERM while they are there.
 func TestThreeHundredSlowPeers(t *testing.T) {
-	s := newSite(t, 3, 20*time.Millisecond)
-	s.sockets, s.memory = 256, 32
+	s := newTestNode(t, 3, 20*time.Millisecond)
+	s.sockets, s.memoryMB = 256, 32
 	s.start()
 	stop := s.slowPeers(300)
 	defer stop()
@@ -207,12 +207,12 @@
 	if err := s.process.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	s.until("the reload", func() bool { return s.logged("msg=reload") })
+	s.until("the reload", func() bool { return s.logContains("msg=reload") })
 	d := s.load("area-render", "10adc1e0", 5, 12)
 	if d.Served < 50 {
 		t.Errorf("%d of 60 jobs served in a crowd: %+v", d.Served, d)
 	}
-	if err := s.term(); err != nil {
+	if err := s.terminate(); err != nil {
 		t.Errorf("leaving with slow peers: %v", err)
 	}
 }
--- a/test/startup_test.go
+++ b/test/startup_test.go
@@ -13,15 +13,15 @@
 
 // restartWithOldList starts a process whose former life knew one executor, which is gone since. Discovery leaves each call to
 // answer. The job is handed in before anything was answered.
-func restartWithOldList(t *testing.T, answer http.HandlerFunc) (s *site, old, current *testenv.Executor, done chan *http1.Message) {
+func restartWithOldList(t *testing.T, answer http.HandlerFunc) (s *testNode, old, current *testenv.Executor, done chan *http1.Message) {
 	t.Helper()
-	s = newSite(t, 2, 10*time.Millisecond)
-	old, current = s.boxes[0], s.boxes[1]
+	s = newTestNode(t, 2, 10*time.Millisecond)
+	old, current = s.executors[0], s.executors[1]
 	discovery := httptest.NewServer(answer)
 	t.Cleanup(discovery.CloseClientConnections)
-	s.list.Addr = strings.TrimPrefix(discovery.URL, "http://")
-	s.known = `{"index":3,"snapshot":true,"endpoints":[` + testenv.EndpointJSON(old, "ready") + `]}`
-	s.startAnew()
+	s.discovery.Addr = strings.TrimPrefix(discovery.URL, "http://")
+	s.knownExecutors = `{"index":3,"snapshot":true,"endpoints":[` + testenv.EndpointJSON(old, "ready") + `]}`
+	s.startWithoutWaiting()
 	done = make(chan *http1.Message, 1)
 	s.until("the process listens", func() bool {
 		_, err := testenv.Call(s.listen, "GET", "/healthz", nil)
@@ -53,11 +53,11 @@
 		}
 	})
 	<-asked
-	s.until("the job is taken", func() bool { return s.count("taken") == 1 })
+	s.until("the job is taken", func() bool { return s.counter("taken") == 1 })
 	if m, err := testenv.Call(s.listen, "GET", "/healthz", nil); err != nil || m.Status == 200 {
 		t.Errorf("ready before discovery has answered: %v, %v", m, err)
 	}
-	if n := s.count("sends"); n != 0 {
+	if n := s.counter("sends"); n != 0 {
 		t.Errorf("%d sends before discovery has answered", n)
 	}
 	release <- `{"index":9,"snapshot":true,"endpoints":[` + testenv.EndpointJSON(current, "ready") + "]}\n"
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -17,26 +17,26 @@
 // With a store, a restart loses no answer: what ended is told as it ended, what was sent is undetermined, only
 // what has no send on record is called unsent, and nothing is run again.
 func TestRestartWithStore(t *testing.T) {
-	s := newSite(t, 1, 10*time.Millisecond)
-	s.extra = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {n0: %q}\n", s.store, s.store)
+	s := newTestNode(t, 1, 10*time.Millisecond)
+	s.extraConfig = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {n0: %q}\n", s.store, s.store)
 	s.start()
 	done := s.submit(tile)
 	if _, v := s.drmaa("GET", "/jobs/"+done+"/wait", ""); v.Get("jobState").String() != "DONE" {
 		t.Fatalf("the first job: %s", v.Raw)
 	}
-	s.boxes[0].Set(func(h *testenv.Behavior) { h.JobDuration = time.Minute })
+	s.executors[0].Set(func(h *testenv.Behavior) { h.JobDuration = time.Minute })
 	ids := map[string]string{} // by payload
 	for i := range 12 {
 		payload := fmt.Sprintf("job %d", i)
 		ids[payload] = s.submit(fmt.Sprintf(`{"jobCategory":"area-render","accountingId":"maavaade","payload":%q}`, payload))
 	}
-	s.until("some run", func() bool { return len(s.boxes[0].Starts()) > 1 }) // beside the first, which has ended
+	s.until("some run", func() bool { return len(s.executors[0].Starts()) > 1 }) // beside the first, which has ended
 	s.kill()
 	started := map[string]bool{}
-	for _, x := range s.boxes[0].Starts() {
+	for _, x := range s.executors[0].Starts() {
 		started[x.Body] = true
 	}
-	before := len(s.boxes[0].Starts())
+	before := len(s.executors[0].Starts())
 	s.start()
 	if status, v := s.drmaa("GET", "/jobs/"+done, ""); status != 200 || v.Get("jobState").String() != "DONE" ||
 		!strings.HasPrefix(v.Get("result").String(), "tile of ") {
@@ -57,19 +57,19 @@
 	if seen["UNDETERMINED "] == 0 || len(seen) < 2 {
 		t.Errorf("states %v: the test shows too little", seen)
 	}
-	if n := len(s.boxes[0].Starts()); n != before {
+	if n := len(s.executors[0].Starts()); n != before {
 		t.Errorf("%d starts after the restart", n-before)
 	}
 }
 
 // An inventory stands in discovery's place: its changes reach the node, and a bad row leaves the list as it was.
 func TestInventory(t *testing.T) {
-	s := newSite(t, 2, 5*time.Millisecond)
+	s := newTestNode(t, 2, 5*time.Millisecond)
 	path := filepath.Join(s.dir, "boxes.csv")
 	write := func(status, zone string) {
 		t.Helper()
 		text := "name,address,zone,type,group,status\n"
-		for i, b := range s.boxes {
+		for i, b := range s.executors {
 			if i == 1 {
 				status = "ready"
 			}
@@ -83,7 +83,7 @@
 		}
 	}
 	write("ready", "tallinn")
-	s.extra = "inventory:\n  file: boxes.csv\n"
+	s.extraConfig = "inventory:\n  file: boxes.csv\n"
 	s.start()
 	id := 0
 	serve := func() {
@@ -95,7 +95,7 @@
 	}
 	s.until("both boxes are used", func() bool {
 		serve()
-		return len(s.boxes[0].Starts()) > 0 && len(s.boxes[1].Starts()) > 0
+		return len(s.executors[0].Starts()) > 0 && len(s.executors[1].Starts()) > 0
 	})
 	log := func() string { text, _ := os.ReadFile(s.log.Name()); return string(text) }
 	write("draining", "riga")
@@ -103,14 +103,14 @@
 	serve()
 	write("draining", "tallinn")
 	s.until("the drain is taken in", func() bool { return strings.Contains(log(), "msg=\"inventory changed\"") })
-	before := len(s.boxes[0].Starts())
+	before := len(s.executors[0].Starts())
 	for range 10 {
 		serve()
 	}
-	if n := len(s.boxes[0].Starts()); n != before {
+	if n := len(s.executors[0].Starts()); n != before {
 		t.Errorf("%d jobs went to a draining box", n-before)
 	}
-	if s.list.Watches() != 0 {
+	if s.discovery.Watches() != 0 {
 		t.Error("discovery was asked although an inventory is named")
 	}
 	if m, err := testenv.Call(s.listen, "GET", "/healthz", nil); err != nil || m.Status != 200 {
@@ -120,8 +120,8 @@
 
 // The store's commands speak to a running node's member.
 func TestStoreCommands(t *testing.T) {
-	s := newSite(t, 1, 20*time.Millisecond)
-	s.extra = "store:\n  dir: " + filepath.Join(s.dir, "store") + "\n  listen: " + s.store + "\n  members: {n0: \"" + s.store + "\"}\n"
+	s := newTestNode(t, 1, 20*time.Millisecond)
+	s.extraConfig = "store:\n  dir: " + filepath.Join(s.dir, "store") + "\n  listen: " + s.store + "\n  members: {n0: \"" + s.store + "\"}\n"
 	s.start()
 	gatetack := func(code int, args ...string) string {
 		t.Helper()
