--- a/cmd/gatetack/callbacks.go
+++ b/cmd/gatetack/callbacks.go
@@ -27,7 +27,7 @@
 		return err
 	}
 	if front := r.batch.Load(); front != nil {
-		front.Late(body)
+		front.LateCallback(body)
 	}
 	if r.relay == nil {
 		return nil
--- a/cmd/gatetack/job_submit.go
+++ b/cmd/gatetack/job_submit.go
@@ -89,7 +89,7 @@
 func awaitArray(
 	ctx context.Context, client *drmaa2.Client, cmd *cobra.Command, array drmaa2.JobArray,
 ) (drmaa2.JobArray, error) {
-	for !array.Over() {
+	for !array.Ended() {
 		drawProgress(cmd, &array)
 		select {
 		case <-time.After(arrayPollInterval):
@@ -124,7 +124,7 @@
 	full := ended * progressWidth / array.Jobs
 	bar := strings.Repeat("#", full) + strings.Repeat(".", progressWidth-full)
 	_, _ = fmt.Fprintf(terminal, "\r[%s] %d of %d, %d failed", bar, ended, array.Jobs, array.Failed)
-	if array.Over() {
+	if array.Ended() {
 		_, _ = fmt.Fprintln(terminal)
 	}
 }
--- a/cmd/gatetack/process_fronts.go
+++ b/cmd/gatetack/process_fronts.go
@@ -127,7 +127,7 @@
 		return err
 	}
 	options := batch.Options{Core: p.core, Store: p.jobRecords, Node: p.config.Name, Version: version,
-		Life: p.incarnation, Limits: p.config.Limits, Log: p.log}
+		StartedAt: p.incarnation, Limits: p.config.Limits, Log: p.log}
 	b := &batchServer{}
 	if p.store != nil {
 		self := lease.Incarnation{Node: p.config.Name, StartedMs: p.incarnation.UnixMilli()}
@@ -135,7 +135,7 @@
 		if err != nil {
 			return err
 		}
-		options.Store, options.Fleet = b.owner, b.owner
+		options.Store, options.Router = b.owner, b.owner
 	}
 	if p.file.Data.File != "" {
 		if options.Placer, err = p.startPlacer(); err != nil {
@@ -194,7 +194,7 @@
 			Front: b.front, Forward: b.owner.Forward, Prefix: batch.Prefix, Capacity: p.config.Limits.StoreValues / 2,
 			Rules: migration.DefaultRules(), Limits: p.config.Limits, Log: p.log},
 	)
-	b.front.SetDesks(b.actors)
+	b.front.SetActors(b.actors)
 	p.lifetime.start(b.actors.Run)
 }
 
--- a/drmaa2/types.go
+++ b/drmaa2/types.go
@@ -60,7 +60,7 @@
 }
 
 // Ended reports whether a job has ended or its outcome is indeterminate.
-func (j *JobInfo) Over() bool {
+func (j *JobInfo) Ended() bool {
 	return j.JobState == StateDone || j.JobState == StateFailed || j.JobState == StateUndetermined
 }
 
@@ -81,7 +81,7 @@
 }
 
 // Ended reports whether all members have ended.
-func (a *JobArray) Over() bool { return a.Done+a.Failed >= a.Jobs }
+func (a *JobArray) Ended() bool { return a.Done+a.Failed >= a.Jobs }
 
 // Machine is an executor as the node sees it.
 type Machine struct {
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -31,7 +31,7 @@
 
 // PartitionRouter locates the owner of a partition where several nodes share the stored records. A partition is the
 // jobs of one incarnation of one node. The store then rejects writes to a partition that this node does not own.
-type Fleet interface {
+type PartitionRouter interface {
 	Ready() bool                                             // the partitions of this node's earlier incarnations were adopted
 	Locate(partition string) (addr string, ours, known bool) // known: it has, or had, an owner; otherwise nothing of it is stored
 	Forward(ctx context.Context, addr string, m *http1.Message) (*http1.Message, error)
@@ -44,7 +44,7 @@
 }
 
 // ActorHandler handles calls to actors, under the path /desks.
-type Desks interface {
+type ActorHandler interface {
 	Handle(ctx context.Context, m *http1.Message, path []string) http1.Response
 }
 
@@ -53,15 +53,15 @@
 
 // Options configures a Front.
 type Options struct {
-	Core    Core
-	Store   jobstore.Store // nil: nothing outlives the process
-	Fleet   Fleet          // nil: this node alone owns the stored records
-	Placer  Placer         // nil: inputs do not affect the zone
-	Node    string
-	Version string
-	Life    time.Time
-	Limits  limits.Limits
-	Log     *slog.Logger
+	Core      Core
+	Store     jobstore.Store  // nil: nothing outlives the process
+	Router    PartitionRouter // nil: this node alone owns the stored records
+	Placer    Placer          // nil: inputs do not affect the zone
+	Node      string
+	Version   string
+	StartedAt time.Time
+	Limits    limits.Limits
+	Log       *slog.Logger
 }
 
 // Front handles the requests of batch clients.
@@ -71,9 +71,9 @@
 	lim      limits.Limits
 	log      *slog.Logger
 	version  string
-	router   Fleet
+	router   PartitionRouter
 	placer   Placer
-	actors   Desks
+	actors   ActorHandler
 	ids      ids
 	events   *events
 	draining atomic.Bool
@@ -105,12 +105,12 @@
 // New returns a front for one incarnation of a node.
 func New(o Options) *Front {
 	f := &Front{core: o.Core, store: o.Store, lim: o.Limits, log: o.Log,
-		version: o.Version, router: o.Fleet, placer: o.Placer, ids: ids{node: o.Node}, events: newEvents(o.Life.UnixMilli(), o.Limits.BatchEvents),
+		version: o.Version, router: o.Router, placer: o.Placer, ids: ids{node: o.Node}, events: newEvents(o.StartedAt.UnixMilli(), o.Limits.BatchEvents),
 		wakeup: make(chan struct{}, 1), jobs: map[string]*job{}, queue: jobqueue.New(), waiting: map[string]*job{},
 		arrays: map[string]*array{}, sessions: map[string]*session{}, byIdempotencyKey: map[string]*job{},
 		dirty: make(chan *job, o.Limits.MaxOpen), lateCallbacks: make(chan struct{}, o.Limits.BatchCallbackChecks)}
-	f.ids.incarnation.Store(o.Life.UnixMilli())
-	f.sessions[defaultSession] = &session{r: sessionRecord{Name: defaultSession, Created: o.Life.UTC()}}
+	f.ids.incarnation.Store(o.StartedAt.UnixMilli())
+	f.sessions[defaultSession] = &session{r: sessionRecord{Name: defaultSession, Created: o.StartedAt.UTC()}}
 	f.loaded = make(chan struct{})
 	f.ramp = recovery.ConcurrencyRamp{Min: f.lim.BatchOut / 8, Max: f.lim.BatchOut}
 	f.ramp.JumpToMax()
@@ -289,7 +289,7 @@
 }
 
 // SetActors sets the handler of calls under /desks. It must be called before the front serves requests.
-func (f *Front) SetDesks(d Desks) { f.actors = d }
+func (f *Front) SetActors(d ActorHandler) { f.actors = d }
 
 // Handle handles one request.
 func (f *Front) Handle(ctx context.Context, m *http1.Message) http1.Response {
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -105,7 +105,7 @@
 
 // newFront returns a front that has read the stored records.
 func newFront(c Core, s jobstore.Store, life time.Time) *Front {
-	f := New(Options{Core: c, Store: s, Node: "n0", Version: "test", Life: life, Limits: testenv.Limits, Log: testenv.DiscardLog})
+	f := New(Options{Core: c, Store: s, Node: "n0", Version: "test", StartedAt: life, Limits: testenv.Limits, Log: testenv.DiscardLog})
 	if s != nil {
 		if err := f.load(context.Background()); err == nil {
 			close(f.loaded)
--- a/internal/batch/fleet_test.go
+++ b/internal/batch/fleet_test.go
@@ -59,7 +59,7 @@
 	held := strings.Replace(validTemplate, "{", `{"submitAsHold":true,`, 1)
 	begin := func() (*manualCore, *sharedStore, *Front, string, string) {
 		e, s := &manualCore{}, &sharedStore{memoryStore: &memoryStore{values: map[string][]byte{}}}
-		f := New(Options{Core: e, Store: s, Fleet: s, Node: "n0", Version: "test", Life: time.Now(), Limits: testenv.Limits, Log: testenv.DiscardLog})
+		f := New(Options{Core: e, Store: s, Router: s, Node: "n0", Version: "test", StartedAt: time.Now(), Limits: testenv.Limits, Log: testenv.DiscardLog})
 		if err := f.load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
@@ -162,7 +162,7 @@
 	s := &sharedStore{memoryStore: &memoryStore{values: map[string][]byte{}}}
 	var fronts []*Front
 	for i := range 2 {
-		f := New(Options{Core: &manualCore{}, Store: s, Fleet: s, Node: fmt.Sprint("n", i), Version: "test", Life: time.Now(), Limits: testenv.Limits, Log: testenv.DiscardLog})
+		f := New(Options{Core: &manualCore{}, Store: s, Router: s, Node: fmt.Sprint("n", i), Version: "test", StartedAt: time.Now(), Limits: testenv.Limits, Log: testenv.DiscardLog})
 		if err := f.load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/batch/incarnation_test.go
+++ b/internal/batch/incarnation_test.go
@@ -92,7 +92,7 @@
 func TestStartWithAFullDisk(t *testing.T) {
 	m := &memoryStore{values: map[string][]byte{}}
 	m.setError(syscall.ENOSPC)
-	f := New(Options{Core: &manualCore{}, Store: m, Node: "n0", Version: "test", Life: time.Now(), Limits: fastLimits(), Log: testenv.DiscardLog})
+	f := New(Options{Core: &manualCore{}, Store: m, Node: "n0", Version: "test", StartedAt: time.Now(), Limits: fastLimits(), Log: testenv.DiscardLog})
 	runFront(t, f)
 	if status, v, _ := call(f, "POST", "/jobs", validTemplate); status != 503 {
 		t.Errorf("%d %s", status, v.Raw)
@@ -106,7 +106,7 @@
 func TestEndIsRecordedOnceTheDiskWorksAgain(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
 		m, e := &memoryStore{values: map[string][]byte{}}, &manualCore{}
-		f := New(Options{Core: e, Store: m, Node: "n0", Version: "test", Life: time.Now(), Limits: fastLimits(), Log: testenv.DiscardLog})
+		f := New(Options{Core: e, Store: m, Node: "n0", Version: "test", StartedAt: time.Now(), Limits: fastLimits(), Log: testenv.DiscardLog})
 		runFront(t, f)
 		eventually(t, "the stored records are read", f.ready)
 		id := submitJob(t, f)
--- a/internal/batch/late.go
+++ b/internal/batch/late.go
@@ -23,7 +23,7 @@
 // LateCallback handles a callback of an attempt that no process of this node knows: one of an earlier incarnation, or
 // of a lost node whose address this one took over. If its job is UNDETERMINED, the callback resolves the job, at
 // whichever node owns it. LateCallback does not block.
-func (f *Front) Late(body []byte) {
+func (f *Front) LateCallback(body []byte) {
 	s, ok := f.store.(localReader)
 	v := gjson.ParseBytes(body)
 	trace, state := v.Get("id").String(), v.Get("state").String()
--- a/internal/scale/hollow/batch.go
+++ b/internal/scale/hollow/batch.go
@@ -121,7 +121,7 @@
 			info, err = c.JobArray(ctx, id)
 			return err
 		})
-		if err != nil || info.Over() {
+		if err != nil || info.Ended() {
 			return
 		}
 		sleep(ctx, batchLook)
@@ -133,7 +133,7 @@
 	seen := map[int]bool{}
 	err := b.at(ctx, a, a.deadline.Add(batchSpare), func(ctx context.Context, c *drmaa2.Client) error {
 		return c.Jobs(ctx, fmt.Sprintf("array = %q", id), true, func(info drmaa2.JobInfo) bool {
-			if i := place(a, info); i >= 0 && !seen[i] && info.Over() {
+			if i := place(a, info); i >= 0 && !seen[i] && info.Ended() {
 				seen[i] = true
 				b.ended(a, i, info)
 			}
--- a/test/batch_test.go
+++ b/test/batch_test.go
@@ -64,13 +64,13 @@
 		c.Close()
 	}
 	for _, id := range arrays {
-		s.until("the array ends", func() bool { a, err := c.JobArray(ctx, id); return err == nil && a.Over() })
+		s.until("the array ends", func() bool { a, err := c.JobArray(ctx, id); return err == nil && a.Ended() })
 	}
 	done := 0
 	for _, id := range arrays {
 		for i := 1; i <= 60; i++ {
 			j, err := c.Job(ctx, fmt.Sprintf("%s-%d", id, i))
-			if err != nil || !j.Over() {
+			if err != nil || !j.Ended() {
 				t.Fatalf("%s-%d: %+v %v", id, i, j, err)
 			}
 			if j.JobState == "DONE" {
@@ -82,7 +82,7 @@
 		t.Errorf("%d of %d members are done", done, len(arrays)*60)
 	}
 	for _, id := range plain {
-		if j, err := c.Job(ctx, id); err != nil || !j.Over() {
+		if j, err := c.Job(ctx, id); err != nil || !j.Ended() {
 			t.Errorf("%s: %+v %v", id, j, err)
 		}
 	}
@@ -122,7 +122,7 @@
 		s.discovery.Put(b, "draining")
 	}
 	told := time.Now()
-	s.until("it has ended", func() bool { a, err = c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Over() })
+	s.until("it has ended", func() bool { a, err = c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Ended() })
 	if a.Done != 800 {
 		t.Errorf("%+v", a)
 	}
