--- a/drmaa2/client_test.go
+++ b/drmaa2/client_test.go
@@ -71,7 +71,7 @@
 	for range 3 {
 		info, err := client.Job(t.Context(), "n0-1")
 		if err != nil || info.JobState != StateDone {
-			t.Fatalf("%+v, %v", info, err)
+			t.Fatalf("job info %+v, error %v", info, err)
 		}
 	}
 	if got := node.requests.Load(); got != 3 {
@@ -106,10 +106,10 @@
 		t.Fatalf("%v, want %s", err, CodeTryLater)
 	}
 	if rejection.Status != http.StatusServiceUnavailable || rejection.RetryAfter != 1500*time.Millisecond {
-		t.Errorf("%+v", rejection)
+		t.Errorf("error fields %+v", rejection)
 	}
 	if got := err.Error(); got != "TRY_LATER (jobs): too many" {
-		t.Errorf("%q", got)
+		t.Errorf("error text %q", got)
 	}
 }
 
@@ -119,7 +119,7 @@
 	defer client.Close()
 	_, err := client.Job(t.Context(), "n0-1")
 	if !errors.Is(err, &Error{Code: CodeInternal}) || err.Error() != "INTERNAL: status 502: upstream is down" {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want INTERNAL with the status and the body", err)
 	}
 }
 
--- a/internal/actor/actor_test.go
+++ b/internal/actor/actor_test.go
@@ -49,18 +49,18 @@
 	}
 	j := d.Jobs["area"]
 	if j.Key != "desk/crew-7/4/area" || j.Category != "area-render" || d.Timers["late"] != 1000+3600000 {
-		t.Errorf("%+v %v", j, d.Timers)
+		t.Errorf("open job %+v, timers %v", j, d.Timers)
 	}
 	end := &Event{Kind: JobEnded, At: 9000, Job: "area", Key: j.Key, Served: true}
 	next, _, err := d.Apply(f, end)
 	if err != nil || len(next.Jobs) != 0 || len(next.Timers) != 0 || !strings.Contains(string(next.State), "served") {
-		t.Errorf("%+v %v", next, err)
+		t.Errorf("actor after the end of its job: %+v, error %v", next, err)
 	}
 	if twice, _, _ := next.Apply(f, end); twice != next {
 		t.Error("a duplicate end of a job had an effect")
 	}
 	if _, _, err := next.Apply(f, call(7, `{}`)); !errors.As(err, new(*OrderError)) {
-		t.Errorf("a call out of order: %v", err)
+		t.Errorf("call out of order: error %v, want an OrderError", err)
 	}
 }
 
@@ -76,7 +76,7 @@
 	}
 	name, due, ok := d.NextTimer()
 	if !ok || name != "slot 9:00" || due != 6000 || len(d.Timers) != 1 {
-		t.Fatalf("%v", d.Timers)
+		t.Fatalf("timers %v, want slot 9:00 at 6000", d.Timers)
 	}
 	stale := &Event{Kind: TimerFired, At: 7000, Name: name, Due: due - 1}
 	if x, _, _ := d.Apply(f, stale); x != d {
@@ -84,7 +84,7 @@
 	}
 	d, _, err := d.Apply(f, &Event{Kind: TimerFired, At: 7000, Name: name, Due: due})
 	if err != nil || len(d.Jobs) != 1 || len(d.Timers) != 0 {
-		t.Errorf("%+v %v", d, err)
+		t.Errorf("actor after the timer: %+v, error %v", d, err)
 	}
 }
 
@@ -110,7 +110,7 @@
 		body := `{"x":"` + strings.Repeat("x", 200<<10) + `","l":[` + strings.Join(list, ",") + `],"t":` + string(many) + `}`
 		_, _, err := d.Apply(f, call(1, body))
 		if !errors.As(err, new(*CallError)) || operr.Remedy(err) == "" {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want a CallError with a remedy", name, err)
 		}
 		if d.LastCall != 0 || string(d.State) != "{}" {
 			t.Errorf("%s: actor is %+v", name, d)
@@ -120,7 +120,7 @@
 		"on: {call: {state: 'now()'}}": "on.call.state", "x": "text"} {
 		_, err := Compile([]byte(text))
 		if bad := (*FunctionError)(nil); !errors.As(err, &bad) || bad.Where != where {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: error %v", text, err)
 		}
 	}
 }
@@ -173,7 +173,7 @@
 			}
 			if old := done[rapid.IntRange(0, len(done)-1).Draw(t, "old")]; old.Kind != Call || old.Number+maxAnswers > oracle.LastCall {
 				if x, _, err := d.Apply(f, old); err != nil || x != d {
-					t.Fatalf("%+v again: %v", old, err)
+					t.Fatalf("duplicate event %+v had an effect or failed: %v", old, err)
 				}
 			}
 			if rapid.Bool().Draw(t, "written") {
@@ -203,13 +203,13 @@
 			return
 		}
 		if _, err := Decode(whole[:at]); !errors.As(err, new(*StoredError)) {
-			t.Errorf("cut at %d: %v", at, err)
+			t.Errorf("truncated at %d: error %v, want a StoredError", at, err)
 		}
 		bad := bytes.Clone(whole)
 		bad[at] ^= bit
 		got, err := Decode(bad)
 		if bit != 0 && !errors.As(err, new(*StoredError)) || bit == 0 && (err != nil || !bytes.Equal(got.Encode(), whole)) {
-			t.Errorf("byte %d with %x: %v", at, bit, err)
+			t.Errorf("byte %d changed by %x: error %v", at, bit, err)
 		}
 	})
 }
--- a/internal/actorhost/calls.go
+++ b/internal/actorhost/calls.go
@@ -51,9 +51,9 @@
 		return nil, "", &UnavailableError{id, "this node does not know its owner yet"}
 	}
 	if node != h.Name {
-		row, alive := hostOf(v, node)
+		row, found := hostOf(v, node)
 		switch {
-		case !alive:
+		case !found:
 			return nil, "", h.takeOver(ctx, id, node, epoch)
 		case hop:
 			return nil, "", errNotOwner
--- a/internal/actorhost/explore_test.go
+++ b/internal/actorhost/explore_test.go
@@ -13,23 +13,23 @@
 }
 
 type modelNode struct {
-	copy           bool
+	loaded         bool
 	epoch, version uint8
 	last           uint8
-	out            txn
+	pending        txn
 	lease          bool
 }
 
 type modelWorld struct {
 	owner, epoch, version, last uint8
-	acked                       uint8
+	answered                    uint8
 	nodes                       [2]modelNode
 }
 
 type guards struct{ epoch, version, lease bool }
 
 // explore visits all states. It returns their number and a violation in one of them, if any.
-func explore(g guards, calls, epochs uint8) (states int, wrong string) {
+func explore(g guards, calls, epochs uint8) (states int, violation string) {
 	first := modelWorld{owner: 0, epoch: 1, version: 1}
 	first.nodes[0].lease, first.nodes[1].lease = true, true
 	seen := map[modelWorld]bool{first: true}
@@ -40,10 +40,10 @@
 			todo = append(todo, w)
 		}
 	}
-	for len(todo) > 0 && wrong == "" {
+	for len(todo) > 0 && violation == "" {
 		w := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		if w.last < w.acked {
+		if w.last < w.answered {
 			return len(seen), "an answered call is lost"
 		}
 		for i := range w.nodes {
@@ -55,69 +55,69 @@
 				x.nodes[i].lease = true
 			}
 			push(x)
-			if !n.copy && n.out.kind == 0 && w.owner == uint8(i) {
+			if !n.loaded && n.pending.kind == 0 && w.owner == uint8(i) {
 				x := w
-				x.nodes[i].copy, x.nodes[i].epoch, x.nodes[i].version, x.nodes[i].last = true, w.epoch, w.version, w.last
+				x.nodes[i].loaded, x.nodes[i].epoch, x.nodes[i].version, x.nodes[i].last = true, w.epoch, w.version, w.last
 				push(x)
 			}
-			if n.copy && n.out.kind == 0 {
-				if next := w.acked + 1; next <= calls {
+			if n.loaded && n.pending.kind == 0 {
+				if next := w.answered + 1; next <= calls {
 					x := w
 					if n.last >= next { // answered before: the answer is remembered
-						x.acked = next
+						x.answered = next
 						push(x)
 					} else if n.last+1 == next {
-						x.nodes[i].out = txn{1, n.epoch, n.version, next}
+						x.nodes[i].pending = txn{1, n.epoch, n.version, next}
 						push(x)
 					}
 				}
 				if w.epoch < epochs {
 					x := w
-					x.nodes[i].out = txn{2, n.epoch, 0, 0}
+					x.nodes[i].pending = txn{2, n.epoch, 0, 0}
 					push(x)
 				}
 			}
-			if !n.copy && n.out.kind == 0 && w.owner != uint8(i) && w.epoch < epochs && (!w.nodes[1-i].lease || !g.lease) {
+			if !n.loaded && n.pending.kind == 0 && w.owner != uint8(i) && w.epoch < epochs && (!w.nodes[1-i].lease || !g.lease) {
 				x := w
-				x.nodes[i].out = txn{3, w.epoch, 0, 0}
+				x.nodes[i].pending = txn{3, w.epoch, 0, 0}
 				push(x)
 			}
-			if n.out.kind == 0 {
+			if n.pending.kind == 0 {
 				continue
 			}
 			x = w // the transaction is not committed, or not known to be: the copy is read again
-			x.nodes[i].out, x.nodes[i].copy = txn{}, false
+			x.nodes[i].pending, x.nodes[i].loaded = txn{}, false
 			push(x)
-			made := n.out.epoch == w.epoch || !g.epoch
+			made := n.pending.epoch == w.epoch || !g.epoch
 			x = w
-			x.nodes[i].out = txn{}
-			switch n.out.kind {
+			x.nodes[i].pending = txn{}
+			switch n.pending.kind {
 			case 1:
-				if made = made && (n.out.version == w.version || !g.version); !made {
-					x.nodes[i].copy = false
+				if made = made && (n.pending.version == w.version || !g.version); !made {
+					x.nodes[i].loaded = false
 					push(x)
 					continue
 				}
 				if w.owner != uint8(i) {
 					return len(seen), "a node that is not the owner applied a call"
 				}
-				if n.out.number != w.last+1 {
+				if n.pending.number != w.last+1 {
 					return len(seen), "a call was applied twice or lost"
 				}
-				x.last, x.version = n.out.number, w.version+1
+				x.last, x.version = n.pending.number, w.version+1
 				x.nodes[i].last, x.nodes[i].version = x.last, x.version
 				lost := x
-				lost.nodes[i].copy = false // the result of the transaction was lost
+				lost.nodes[i].loaded = false // the result of the transaction was lost
 				push(lost)
-				x.acked = max(x.acked, n.out.number)
+				x.answered = max(x.answered, n.pending.number)
 			case 2, 3:
-				if n.out.kind == 3 {
+				if n.pending.kind == 3 {
 					made = made && (!w.nodes[1-i].lease || !g.lease)
 				}
-				x.nodes[i].copy = false
+				x.nodes[i].loaded = false
 				if made {
 					x.epoch++
-					if x.owner = uint8(i); n.out.kind == 2 {
+					if x.owner = uint8(i); n.pending.kind == 2 {
 						x.owner = uint8(1 - i)
 					}
 				}
@@ -125,7 +125,7 @@
 			push(x)
 		}
 	}
-	return len(seen), wrong
+	return len(seen), violation
 }
 
 // With all guards the migration loses no call, applies none twice, and only the owner applies calls. The exploration finds a violation
--- a/internal/actorhost/timers_jobs.go
+++ b/internal/actorhost/timers_jobs.go
@@ -61,11 +61,11 @@
 	defer cancel()
 	if x.jobIDs[name] == "" {
 		key := sha256.Sum256([]byte(j.Key)) // names of actors and jobs may contain characters that a key may not
-		wish := map[string]any{"jobCategory": j.Category, "accountingId": j.Account, "payload": j.Payload, "idempotencyKey": hex.EncodeToString(key[:])}
+		template := map[string]any{"jobCategory": j.Category, "accountingId": j.Account, "payload": j.Payload, "idempotencyKey": hex.EncodeToString(key[:])}
 		if len(j.Inputs) > 0 {
-			wish["inputs"] = j.Inputs
+			template["inputs"] = j.Inputs
 		}
-		body, _ := json.Marshal(wish)
+		body, _ := json.Marshal(template)
 		r := h.Front.Handle(ctx, &http1.Message{Method: "POST", Target: h.Prefix + "/jobs", Body: body})
 		switch r.Status {
 		case 200, 201:
--- a/internal/batch/adopt.go
+++ b/internal/batch/adopt.go
@@ -175,7 +175,7 @@
 			unfinished++
 			f.queue.Restore(x.r.item(), jobqueue.Progress{Next: x.r.Next, Requeued: x.requeued, Skipped: x.skipped}, a.now)
 		}
-		if len(x.requeued) > 0 { // other nodes may adopt partitions at the same time
+		if len(x.requeued) > 0 { // executors may be busy: other nodes may requeue members at the same time
 			f.ramp.Restart()
 		}
 	}
--- a/internal/batch/adopt_test.go
+++ b/internal/batch/adopt_test.go
@@ -60,7 +60,7 @@
 	const sub = "" // sub-state of a member that is done
 	for _, x := range []struct {
 		what         string
-		left         func(s *storedArray)
+		store        func(s *storedArray)
 		ran          []int
 		done, failed int64
 	}{
@@ -90,7 +90,7 @@
 	} {
 		t.Run(x.what, func(t *testing.T) {
 			s := newStoredArray(t)
-			x.left(s)
+			x.store(s)
 			e := &manualCore{}
 			f := newFront(e, s.store, time.Unix(2000, 0))
 			runFront(t, f)
@@ -104,16 +104,16 @@
 				_, v, _ := call(f, "GET", "/arrays/"+s.array.ID, "")
 				return v.Get("done").Int()+v.Get("failed").Int() >= 4 && len(ran) >= len(x.ran)
 			})
-			eventually(t, "all on record", func() bool { return !f.Pending() })
+			eventually(t, "all states are recorded", func() bool { return !f.Pending() })
 			if _, v, _ := call(f, "GET", "/arrays/"+s.array.ID, ""); v.Get("done").Int() != x.done || v.Get("failed").Int() != x.failed {
-				t.Errorf("%s, want %d done and %d failed", v.Raw, x.done, x.failed)
+				t.Errorf("array %s, want %d done and %d failed", v.Raw, x.done, x.failed)
 			}
 			want := map[string]int{}
 			for _, i := range x.ran {
 				want[memberID(s.array.ID, i)] = 1
 			}
 			if fmt.Sprint(ran) != fmt.Sprint(want) {
-				t.Errorf("ran %v, want %v", ran, want)
+				t.Errorf("members that ran: %v, want %v", ran, want)
 			}
 		})
 	}
@@ -129,22 +129,22 @@
 	s.array.Held = true
 	s.counts(4, 0, 0, false)
 	var f *Front
-	for life := range 3 {
-		f = newFront(&manualCore{}, s.store, time.Unix(int64(2000+life), 0))
+	for incarnation := range 3 {
+		f = newFront(&manualCore{}, s.store, time.Unix(int64(2000+incarnation), 0))
 		for i := 1; i <= 3; i++ {
 			if _, v, _ := call(f, "GET", "/jobs/"+memberID(s.array.ID, i), ""); v.Get("jobState").String() != "QUEUED" {
-				t.Errorf("incarnation %d, member %d: %s", life, i, v.Raw)
+				t.Errorf("incarnation %d, member %d: %s", incarnation, i, v.Raw)
 			}
 		}
 	}
 	runFront(t, f)
 	if status, v, _ := call(f, "POST", "/jobs/"+memberID(s.array.ID, 2)+"/terminate", ""); status != 200 {
-		t.Errorf("%d %s", status, v.Raw)
+		t.Errorf("status %d, body %s", status, v.Raw)
 	}
 	if status, v, _ := call(f, "POST", "/arrays/"+s.array.ID+"/terminate", ""); status != 200 || v.Get("failed").Int() != 4 {
-		t.Errorf("%d %s", status, v.Raw)
+		t.Errorf("status %d, body %s", status, v.Raw)
 	}
-	eventually(t, "all on record", func() bool { return !f.Pending() })
+	eventually(t, "all states are recorded", func() bool { return !f.Pending() })
 	e := &manualCore{}
 	f = newFront(e, s.store, time.Unix(3000, 0))
 	for i := 1; i <= 4; i++ {
@@ -153,21 +153,21 @@
 		}
 	}
 	if f.queue.Waiting() != 0 {
-		t.Errorf("%d wait", f.queue.Waiting())
+		t.Errorf("%d waiting in the queue, want 0", f.queue.Waiting())
 	}
 }
 
 // slowHoldStore is a store that delays the write of an array that is put on hold.
 type slowHoldStore struct {
 	*memoryStore
-	came, on chan bool
+	started, release chan bool
 }
 
 func (s *slowHoldStore) Write(ctx context.Context, changes ...jobstore.Change) error {
 	if c := changes[len(changes)-1]; c.Kind == kindArray && gjson.GetBytes(c.Value, "held").Bool() && gjson.GetBytes(c.Value, "done").Int() == 0 &&
 		len(changes) == 1 {
-		s.came <- true
-		<-s.on
+		s.started <- true
+		<-s.release
 	}
 	return s.memoryStore.Write(ctx, changes...)
 }
@@ -187,15 +187,15 @@
 		status, _, _ := call(f, "POST", "/arrays/"+id+"/hold", "")
 		held <- status
 	}()
-	<-s.came
+	<-s.started
 	if status, v, _ := call(f, "POST", "/jobs/"+memberID(id, 2)+"/terminate", ""); status != 200 {
-		t.Errorf("%d %s", status, v.Raw)
+		t.Errorf("status %d, body %s", status, v.Raw)
 	}
 	clients[0].Answer(node.Answer{End: node.Served})
 	eventually(t, "both members are recorded", func() bool { return !f.Pending() })
-	s.on <- true
+	s.release <- true
 	if status := <-held; status != 200 {
-		t.Errorf("hold: %d", status)
+		t.Errorf("hold: status %d", status)
 	}
 	if _, v, _ := call(f, "GET", "/arrays/"+id, ""); v.Get("done").Int() != 1 || v.Get("failed").Int() != 1 {
 		t.Errorf("stored array: %s", v.Raw)
--- a/internal/batch/arraycontrol.go
+++ b/internal/batch/arraycontrol.go
@@ -39,12 +39,12 @@
 	now := time.Now()
 	f.mu.Lock()
 	id := a.record().ID
-	was := f.queue.IsHeld(id)
+	wasHeld := f.queue.IsHeld(id)
 	done := false
 	if held {
 		done = f.queue.Hold(id, now)
 	} else {
-		done = was && f.queue.Release(id, now)
+		done = wasHeld && f.queue.Release(id, now)
 	}
 	if done {
 		a.update(func(r *arrayRecord) { r.Held = held })
@@ -66,16 +66,16 @@
 	now := time.Now()
 	x := a.record()
 	f.mu.Lock()
-	again := f.queue.Requeued(x.ID)
+	requeued := f.queue.Requeued(x.ID)
 	refs := f.queue.Remove(x.ID, now)
-	var back []*job // members that had their turn, were requeued, and wait again
+	var waiting []*job // members that had their turn, were requeued, and wait again
 	ended := 0
 	for _, r := range refs {
 		switch j := f.jobs[memberID(r.ID, r.Index)]; {
 		case j != nil:
-			back = append(back, j)
-		case slices.Contains(again, r.Index): // the turn was in an earlier incarnation
-			back = append(back, f.memberWithoutTurn(a, r))
+			waiting = append(waiting, j)
+		case slices.Contains(requeued, r.Index): // the turn was in an earlier incarnation
+			waiting = append(waiting, f.memberWithoutTurn(a, r))
 		default:
 			ended++
 		}
@@ -86,11 +86,11 @@
 			r.Failed += ended
 		}
 	})
-	var out []*job
+	var sent []*job
 	for _, j := range f.order {
-		if j.array == a && !slices.Contains(back, j) {
+		if j.array == a && !slices.Contains(waiting, j) {
 			if r := j.record(); !r.State.final() {
-				out = append(out, j)
+				sent = append(sent, j)
 			}
 		}
 	}
@@ -98,13 +98,13 @@
 		f.releaseArray(a)
 	}
 	f.mu.Unlock()
-	for _, j := range back {
+	for _, j := range waiting {
 		j.end(func(r *Record) {
 			r.State, r.SubState, r.Annotation = Failed, subTerminated, terminatedUnsent
 		}, now)
 	}
 	still := 0
-	for _, j := range out {
+	for _, j := range sent {
 		if core := j.coreID(); core == 0 || f.core.Terminate(ctx, core) != nil {
 			if r := j.record(); !r.State.final() {
 				still++
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -158,13 +158,13 @@
 	defer timer.Stop()
 	sweep := time.NewTicker(time.Minute)
 	defer sweep.Stop()
-	again := time.NewTicker(f.lim.StoreElectionTimeout)
-	defer again.Stop()
+	retry := time.NewTicker(f.lim.StoreElectionTimeout)
+	defer retry.Stop()
 	for {
 		select {
 		case j := <-f.dirty:
 			f.save(ctx, j)
-		case <-again.C:
+		case <-retry.C:
 			f.saveUnrecorded(ctx)
 		case <-f.wakeup:
 			timer.Reset(f.pump(ctx))
@@ -260,8 +260,8 @@
 	if j != nil {
 		return j, j.record(), true
 	}
-	from := f.ids.origin(id)
-	if from == unknownOrigin {
+	origin := f.ids.origin(id)
+	if origin == unknownOrigin {
 		return nil, Record{}, false
 	}
 	if f.store != nil {
@@ -277,7 +277,7 @@
 		return nil, r, true
 	}
 	r := Record{ID: id, State: Undetermined}
-	switch from {
+	switch origin {
 	case thisIncarnation:
 		r.Annotation = "it has ended and is no longer kept"
 	case earlierIncarnation:
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -130,7 +130,7 @@
 		known              bool
 	}{{"POST", "/jobs", validTemplate, true}, {"GET", "/jobs", "", true}, {"POST", "/jobs", "{", false}, {"GET", "/nothing", "", false}} {
 		if _, v, r := call(f, x.method, x.path, x.body); r.KnownClient != x.known {
-			t.Errorf("%s %s: %d %s, known %v", x.method, x.path, r.Status, v.Raw, r.KnownClient)
+			t.Errorf("%s %s: status %d, body %s, known client %v", x.method, x.path, r.Status, v.Raw, r.KnownClient)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	c.client.Answer(node.Answer{End: node.Rejected, RetryAfter: time.Minute})
 	status, v, r := call(f, "GET", "/jobs/"+id+"/wait", "")
 	if status != 200 || v.Get("jobSubState").String() != "refused" || r.Fields[len(r.Fields)-1] != (http1.Field{Name: "Retry-After", Value: "2.000"}) {
-		t.Errorf("%d %s %v", status, v.Raw, r.Fields)
+		t.Errorf("status %d, body %s, fields %v", status, v.Raw, r.Fields)
 	}
 	c.full = true
 	if status, v, _ = call(f, "POST", "/jobs", validTemplate); status != 503 || v.Get("error").String() != "TRY_LATER" {
@@ -153,7 +153,7 @@
 	c.full = false
 	f.Drain()
 	if status, _, _ = call(f, "POST", "/jobs", validTemplate); status != 503 || len(c.jobs) != 1 {
-		t.Errorf("draining front: %d, %d jobs", status, len(c.jobs))
+		t.Errorf("draining front: status %d, %d jobs reached the core", status, len(c.jobs))
 	}
 }
 
@@ -163,7 +163,7 @@
 	c, m := &fakeCore{}, &memoryStore{values: map[string][]byte{}}
 	f := newFront(c, m, time.Now())
 	if status, v, _ := call(f, "POST", "/jobs", validTemplate); status != 201 {
-		t.Fatalf("%d %s", status, v.Raw)
+		t.Fatalf("status %d, body %s", status, v.Raw)
 	}
 	if err := c.jobs[0].BeforeSend("s-1"); err != nil {
 		t.Fatal(err)
@@ -184,7 +184,7 @@
 		t.Error(err)
 	}
 	if want := []string{"QUEUED held", "QUEUED sent", "DONE "}; !reflect.DeepEqual(m.log, want) {
-		t.Errorf("%q, want %q", m.log, want)
+		t.Errorf("recorded states %q, want %q", m.log, want)
 	}
 }
 
@@ -200,7 +200,7 @@
 		t.Helper()
 		status, v, _ := call(later, "GET", "/jobs/"+id, "")
 		if status != 200 || v.Get("jobState").String() != state || v.Get("jobSubState").String() != sub {
-			t.Errorf("%s: %d %s, want %s %s", id, status, v.Raw, state, sub)
+			t.Errorf("%s: status %d, body %s, want %s %s", id, status, v.Raw, state, sub)
 		}
 	}
 	look(id, "FAILED", "unsent")
@@ -214,7 +214,7 @@
 	look(id, "UNDETERMINED", "")
 	for _, bad := range []string{"", "x", "n0.1", "n0.zz.1", "n0.1.0", "..", "n0.7fffffffffffffff.1"} {
 		if status, _, _ := call(later, "GET", "/jobs/"+bad+"/wait", ""); status != 404 {
-			t.Errorf("%q: %d", bad, status)
+			t.Errorf("%q: status %d", bad, status)
 		}
 	}
 }
@@ -247,14 +247,14 @@
 		}
 		x, bad := f.parseTemplate(b[:rapid.IntRange(0, len(b)).Draw(t, "cut")], time.Now())
 		if bad == nil && (x.job.Class < 0 || x.job.Tenant < 0 || x.job.Target == "") || bad != nil && bad.field == "" {
-			t.Fatalf("%+v %+v", x, bad)
+			t.Fatalf("template %+v, error %+v", x, bad)
 		}
 		zero, text := 0, rapid.String().Draw(t, "result")
 		r := Record{ID: "n0.1.1", State: Done, ExitStatus: &zero, Machines: []string{"s-1"}, Name: rapid.String().Draw(t, "name"),
 			Submitted: time.Unix(1, 0).UTC(), RetryMS: 5, Result: &text}
 		data, err := json.Marshal(r)
 		if got := parseRecord(data); err != nil || !reflect.DeepEqual(got, r) {
-			t.Fatalf("%+v, want %+v", got, r)
+			t.Fatalf("decoded record %+v, want %+v", got, r)
 		}
 	})
 }
--- a/internal/batch/control.go
+++ b/internal/batch/control.go
@@ -136,10 +136,10 @@
 	}
 	now := time.Now()
 	f.mu.Lock()
-	was := f.queue.IsHeld(j.ref.ID)
+	wasHeld := f.queue.IsHeld(j.ref.ID)
 	done := f.queue.Hold(j.ref.ID, now)
 	if !held {
-		done = was && f.queue.Release(j.ref.ID, now)
+		done = wasHeld && f.queue.Release(j.ref.ID, now)
 	}
 	if done {
 		j.update(func(r *Record) {
@@ -149,7 +149,7 @@
 				r.SubState = subDeferred
 			}
 		})
-	} else if !was && !held {
+	} else if !wasHeld && !held {
 		f.queue.Release(j.ref.ID, now) // undo the Hold above: the job was not on hold before
 	}
 	f.mu.Unlock()
@@ -184,11 +184,11 @@
 		defer j.recordMu.Unlock()
 	}
 	if f.store != nil {
-		gone := []jobstore.Change{{Kind: kindJob, Key: recordKey(id)}, {Kind: kindOpen, Key: recordKey(id)}}
+		deletions := []jobstore.Change{{Kind: kindJob, Key: recordKey(id)}, {Kind: kindOpen, Key: recordKey(id)}}
 		if r.Trace != "" { // of an UNDETERMINED job
-			gone = append(gone, jobstore.Change{Kind: kindSent, Key: r.Trace})
+			deletions = append(deletions, jobstore.Change{Kind: kindSent, Key: r.Trace})
 		}
-		if err := f.store.Write(ctx, gone...); err != nil {
+		if err := f.store.Write(ctx, deletions...); err != nil {
 			return tryLater("its end could not be recorded: " + err.Error())
 		}
 	}
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -144,12 +144,12 @@
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	j.mu.Lock()
-	was := j.r.Trace
+	previous := j.r.Trace
 	j.r.Trace = trace
 	j.mu.Unlock()
 	var more []jobstore.Change
-	if was != "" && was != trace {
-		more = append(more, jobstore.Change{Kind: kindSent, Key: was})
+	if previous != "" && previous != trace {
+		more = append(more, jobstore.Change{Kind: kindSent, Key: previous})
 	}
 	err := f.writeRecord(ctx, j, func(r *Record) error {
 		if r.State.final() {
--- a/internal/batch/events.go
+++ b/internal/batch/events.go
@@ -70,16 +70,16 @@
 		defer e.mu.Unlock()
 		return e.last, false, nil
 	}
-	life, number, ok := strings.Cut(text, ".")
-	l, err1 := strconv.ParseInt(life, 16, 64)
+	incarnation, number, ok := strings.Cut(text, ".")
+	parsed, err1 := strconv.ParseInt(incarnation, 16, 64)
 	n, err2 := strconv.ParseUint(number, 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case !ok || err1 != nil || err2 != nil:
-	case predecessor(l, e.incarnation):
+	case predecessor(parsed, e.incarnation):
 		return 0, true, nil
-	case l == e.incarnation && n <= e.last:
+	case parsed == e.incarnation && n <= e.last:
 		return n, false, nil
 	}
 	return 0, false, fmt.Errorf("%q is no cursor that this node gave", text)
@@ -87,7 +87,7 @@
 
 // after returns up to limit events that follow number n, the number to continue from, and a channel that is closed
 // when more events are added. If events after n are no longer in the ring, lost is true.
-func (e *events) after(n uint64, limit int, pick func(*Event) bool) (out []Event, next uint64, lost bool, more <-chan struct{}) {
+func (e *events) after(n uint64, limit int, match func(*Event) bool) (out []Event, next uint64, lost bool, more <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	size := uint64(len(e.ring))
@@ -95,7 +95,7 @@
 		return nil, e.last - size, true, e.added
 	}
 	for ; n < e.last && len(out) < limit; n++ {
-		if x := &e.ring[(n+1)%size]; pick(x) {
+		if x := &e.ring[(n+1)%size]; match(x) {
 			out = append(out, *x)
 		}
 	}
--- a/internal/batch/fleet.go
+++ b/internal/batch/fleet.go
@@ -104,11 +104,11 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		look := time.NewTicker(f.lim.LeaseTTL / 20)
-		defer look.Stop()
+		ticker := time.NewTicker(f.lim.LeaseTTL / 20)
+		defer ticker.Stop()
 		for {
 			select {
-			case <-look.C:
+			case <-ticker.C:
 			case <-ctx.Done():
 				return
 			}
@@ -148,14 +148,14 @@
 // at executors end unrecorded: the new owner marked these jobs UNDETERMINED before it adopted anything.
 func (f *Front) Drop(partition string) {
 	now := time.Now()
-	var gone []*job
+	var dropped []*job
 	f.mu.Lock()
 	f.order = slices.DeleteFunc(f.order, func(j *job) bool {
 		r := j.record()
 		if p, ok := partitionOf(r.ID); !ok || p != partition {
 			return false
 		}
-		gone = append(gone, j)
+		dropped = append(dropped, j)
 		f.forget(j, &r)
 		if j.queue { // jobs in flight are no longer counted here, and the partition starts anew if it returns
 			f.queue.Remove(j.ref.ID, now)
@@ -173,7 +173,7 @@
 		}
 	}
 	f.mu.Unlock()
-	for _, j := range gone {
+	for _, j := range dropped {
 		j.setPlacement(nil)
 		j.mu.Lock()
 		j.lost = true
@@ -188,7 +188,7 @@
 			}()
 		}
 	}
-	f.log.Warn("batch partition dropped", "duty", partition, "jobs", len(gone))
+	f.log.Warn("batch partition dropped", "duty", partition, "jobs", len(dropped))
 }
 
 // HasRecords reports whether a partition has any records.
@@ -204,4 +204,4 @@
 }
 
 // SetIncarnationStart sets the incarnation that jobs accepted from now on belong to.
-func (f *Front) SetIncarnationStart(born int64) { f.ids.incarnation.Store(born) }
+func (f *Front) SetIncarnationStart(startedMs int64) { f.ids.incarnation.Store(startedMs) }
--- a/internal/batch/fleet_test.go
+++ b/internal/batch/fleet_test.go
@@ -68,7 +68,7 @@
 		id := v.Get("jobId").String()
 		part, ok := partitionOf(id)
 		if status != 201 || !ok {
-			t.Fatalf("%d %s", status, v.Raw)
+			t.Fatalf("status %d, body %s", status, v.Raw)
 		}
 		f.mu.Lock()
 		f.queue.Release(id, time.Now())
@@ -102,7 +102,7 @@
 		f.pump(t.Context())
 		clients, _ := e.take()
 		if len(clients) != 1 {
-			t.Fatalf("%d at the core", len(clients))
+			t.Fatalf("%d jobs in the core, want 1", len(clients))
 		}
 		s.lose()
 		f.Drop(part)
@@ -115,7 +115,7 @@
 		s.lose()
 		f.pump(t.Context()) // the partition was dropped before the job was registered, without a later notification
 		if clients, _ := e.take(); len(clients) != 0 {
-			t.Errorf("%d at the core", len(clients))
+			t.Errorf("%d jobs in the core, want 0", len(clients))
 		}
 		empty(f)
 		f.Drop(part)
@@ -146,7 +146,7 @@
 		}
 		g.Wait()
 		if ids[0] == "" || ids[0] != ids[1] {
-			t.Fatalf("key %d: %q", n, ids)
+			t.Fatalf("key %d: job IDs %q", n, ids)
 		}
 	}
 	a, _ := engines[0].take()
@@ -173,7 +173,7 @@
 		t.Helper()
 		got, v, _ := call(fronts[i], method, path, body)
 		if got != status {
-			t.Errorf("n%d %s %s: %d %s, want %d", i, method, path, got, v.Raw, status)
+			t.Errorf("n%d %s %s: status %d, body %s, want %d", i, method, path, got, v.Raw, status)
 		}
 		return v.Raw
 	}
@@ -181,7 +181,7 @@
 	want(1, "POST", "/sessions", `{"sessionName":"night"}`, 409)
 	want(1, "GET", "/sessions/night", "", 200)
 	if all := want(1, "GET", "/sessions", "", 200); !strings.Contains(all, "night") {
-		t.Errorf("n1 lists %s", all)
+		t.Errorf("sessions at n1: %s", all)
 	}
 	job := gjson.Get(want(1, "POST", "/sessions/night/jobs", strings.Replace(validTemplate, "{", `{"submitAsHold":true,`, 1), 201), "jobId").String()
 	f := fronts[0]
@@ -229,12 +229,12 @@
 		{"n0.9.9", `{"as":"done","by":"kadri"}`, 409}, {"no id", `{"as":"done","by":"kadri"}`, 404},
 	} {
 		if status, v, _ := call(f, "POST", "/jobs/"+x.id+"/resolve", x.body); status != x.status {
-			t.Errorf("%s %s: %d %s, want %d", x.id, x.body, status, v.Raw, x.status)
+			t.Errorf("%s %s: status %d, body %s, want %d", x.id, x.body, status, v.Raw, x.status)
 		}
 	}
 	_, v, _ := call(f, "GET", "/jobs/"+keyed, "")
 	if v.Get("jobState").String() != "FAILED" || v.Get("jobSubState").String() != "unsent" || !strings.Contains(v.Get("annotation").String(), "its box was off") {
-		t.Errorf("%s", v.Raw)
+		t.Errorf("resolved job: %s", v.Raw)
 	}
 	_, made, _ := call(f, "POST", "/arrays", `{"jobTemplate":`+validTemplate+`,"endIndex":4}`)
 	id := made.Get("jobArrayId").String()
@@ -243,7 +243,7 @@
 	member := put("tile-charge", id)
 	call(f, "POST", "/jobs/"+member+"/resolve", `{"as":"done","by":"kadri"}`)
 	if r := a.record(); r.Done != 1 || r.Failed != 0 {
-		t.Errorf("%d done and %d failed", r.Done, r.Failed)
+		t.Errorf("array has %d done and %d failed", r.Done, r.Failed)
 	}
 }
 
@@ -279,7 +279,7 @@
 		id := put(x.was)
 		r := f.resolveByCallback(t.Context(), id, []byte(x.body))
 		if got := parseRecord(m.values[kindJob+" "+recordKey(id)]); r.Status != x.status || got.State != x.want {
-			t.Errorf("%s %s: %d and %s, want %d and %s", x.was, x.body, r.Status, got.State, x.status, x.want)
+			t.Errorf("%s %s: status %d and state %s, want %d and %s", x.was, x.body, r.Status, got.State, x.status, x.want)
 		}
 	}
 }
--- a/internal/batch/hard_test.go
+++ b/internal/batch/hard_test.go
@@ -70,7 +70,7 @@
 	t.Helper()
 	status, v, _ := call(f, "POST", "/arrays", `{"jobTemplate":`+validTemplate+`,`+args+`}`)
 	if status != 201 {
-		t.Fatalf("%d %s", status, v.Raw)
+		t.Fatalf("status %d, body %s", status, v.Raw)
 	}
 	return v.Get("jobArrayId").String()
 }
@@ -83,12 +83,12 @@
 	f.lim.BatchJobs, f.lim.MinBatchRetryDelay = 200, time.Millisecond
 	runFront(t, f)
 	id := submitArray(t, f, `"endIndex":10000,"maxParallel":50`)
-	seen, refused := map[string]int{}, 0
+	seen, rejected := map[string]int{}, 0
 	for served := 0; served < 10000; {
 		clients, jobs := e.take()
 		for i, c := range clients {
-			if (served+i)%97 == 13 && refused < 100 {
-				refused++
+			if (served+i)%97 == 13 && rejected < 100 {
+				rejected++
 				c.Answer(node.Answer{End: node.Rejected, RetryAfter: time.Millisecond, Reason: "no room"})
 				continue
 			}
@@ -111,8 +111,8 @@
 			t.Fatalf("member %s ran %d times", key, n)
 		}
 	}
-	if len(seen) != 10000 || e.maxInFlight > 50 || refused == 0 {
-		t.Errorf("%d members, %d at a time, %d rejections", len(seen), e.maxInFlight, refused)
+	if len(seen) != 10000 || e.maxInFlight > 50 || rejected == 0 {
+		t.Errorf("%d members ran, at most %d in flight, %d rejections", len(seen), e.maxInFlight, rejected)
 	}
 }
 
@@ -150,7 +150,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.queue.Waiting()+f.queue.InFlight()+len(f.waiting) != 0 {
-		t.Errorf("%d wait, %d out, %d known", f.queue.Waiting(), f.queue.InFlight(), len(f.waiting))
+		t.Errorf("%d waiting, %d in flight, %d in the waiting map", f.queue.Waiting(), f.queue.InFlight(), len(f.waiting))
 	}
 	if clients, _ := e.take(); len(clients) != 0 {
 		t.Errorf("%d jobs that were terminated reached the core", len(clients))
@@ -177,27 +177,27 @@
 	g.Wait()
 	for _, id := range ids {
 		if id != ids[0] || id == "" {
-			t.Fatalf("%q", ids)
+			t.Fatalf("job IDs %q", ids)
 		}
 	}
 	if clients, _ := e.take(); len(clients) != 1 {
-		t.Fatalf("%d jobs reached the core", len(clients))
+		t.Fatalf("%d jobs reached the core, want 1", len(clients))
 	}
 	later := newFront(e, m, began.Add(time.Second))
 	if status, v, _ := call(later, "POST", "/jobs", body); status != 200 || v.Get("jobId").String() != ids[0] {
-		t.Errorf("after a restart: %d %s", status, v.Raw)
+		t.Errorf("after a restart: status %d, body %s", status, v.Raw)
 	}
 	if status, v, _ := call(later, "POST", "/jobs", strings.Replace(body, "tile-charge", "area-render", 1)); status != 409 {
-		t.Errorf("another template under the key: %d %s", status, v.Raw)
+		t.Errorf("another template under the key: status %d, body %s", status, v.Raw)
 	}
 	other := strings.Replace(body, "k1", "k2", 1)
 	e.full = true
 	if status, v, _ := call(later, "POST", "/jobs", other); status != 503 {
-		t.Errorf("full core: %d %s", status, v.Raw)
+		t.Errorf("full core: status %d, body %s", status, v.Raw)
 	}
 	e.full = false
 	if status, v, _ := call(later, "POST", "/jobs", other); status != 201 {
-		t.Errorf("retry with room in the core: %d %s", status, v.Raw)
+		t.Errorf("retry with room in the core: status %d, body %s", status, v.Raw)
 	}
 }
 
@@ -229,7 +229,7 @@
 	}
 	runFront(t, f)
 	if status, v, _ := call(f, "POST", "/jobs/"+held+"/release", ""); status != 200 {
-		t.Errorf("%d %s", status, v.Raw)
+		t.Errorf("status %d, body %s", status, v.Raw)
 	}
 	ran := map[string]int{}
 	eventually(t, "all unsent jobs run", func() bool {
@@ -278,7 +278,7 @@
 	runFront(t, f)
 	for _, id := range held {
 		if status, v, _ := call(f, "POST", "/jobs/"+id+"/release", ""); status != 200 {
-			t.Fatalf("%d %s", status, v.Raw)
+			t.Fatalf("status %d, body %s", status, v.Raw)
 		}
 	}
 	out := func() int { e.mu.Lock(); defer e.mu.Unlock(); return e.inFlight }
@@ -345,7 +345,7 @@
 			t.Errorf("member %d ran %d times", i, n)
 		}
 	}
-	eventually(t, "all on record", func() bool { return !f.Pending() })
+	eventually(t, "all states are recorded", func() bool { return !f.Pending() })
 	if _, v, _ := call(f, "GET", "/arrays/"+id, ""); v.Get("done").Int() != 3 || v.Get("failed").Int() != 1 || v.Get("jobState").String() != "FAILED" {
 		t.Errorf("the array does not count each member once: %s", v.Raw)
 	}
@@ -366,7 +366,7 @@
 		{"/jobs", strings.Replace(validTemplate, "{", `{"idempotencyKey":"k",`, 1)}} {
 		status, v, r := call(f, "POST", x.path, x.body)
 		if status != 503 || v.Get("error").String() != "TRY_LATER" || r.Fields[len(r.Fields)-1].Name != "Retry-After" {
-			t.Errorf("%s: %d %s", x.path, status, v.Raw)
+			t.Errorf("%s: status %d, body %s", x.path, status, v.Raw)
 		}
 	}
 	call(f, "POST", "/jobs/"+held+"/release", "")
@@ -375,7 +375,7 @@
 		t.Errorf("%d jobs reached the core without a record", len(clients))
 	}
 	if status, v, _ := call(f, "GET", "/jobs", ""); status != 503 {
-		t.Errorf("list of jobs: %d %s", status, v.Raw)
+		t.Errorf("list of jobs: status %d, body %s", status, v.Raw)
 	}
 	set(nil)
 	eventually(t, "the core has the released job", func() bool { clients, _ := e.take(); return len(clients) == 1 })
@@ -400,13 +400,13 @@
 		}
 	}
 	if v.Get("jobState").String() != "QUEUED" || cursor == "" {
-		t.Fatalf("%s, cursor %q", v.Raw, cursor)
+		t.Fatalf("event %s, cursor %q", v.Raw, cursor)
 	}
 	for range 20 {
 		call(f, "POST", "/jobs", validTemplate)
 	}
 	if _, v, _ = call(f, "GET", "/events?after="+cursor, ""); v.Get("event").String() != "LOST" {
-		t.Fatalf("21 events later: %s", v.Raw)
+		t.Fatalf("after 21 events: %s, want LOST", v.Raw)
 	}
 	_, _, r = call(f, "GET", "/events?after="+v.Get("cursor").String(), "")
 	lines := strings.Split(strings.TrimSpace(string(r.Body)), "\n")
@@ -415,7 +415,7 @@
 		c := gjson.Get(l, "cursor").String()
 		var n, life int
 		if _, err := fmt.Sscanf(c, "%x.%d", &life, &n); err != nil || last != "" && fmt.Sprintf("%x.%d", life, n-1) != last {
-			t.Errorf("%s after %s", c, last)
+			t.Errorf("cursor %s follows %s", c, last)
 		}
 		last = c
 	}
@@ -443,11 +443,11 @@
 	for _, c := range clients {
 		c.Answer(node.Answer{End: node.Served})
 	}
-	eventually(t, "all on record", func() bool { return !f.Pending() })
+	eventually(t, "all states are recorded", func() bool { return !f.Pending() })
 	f.sweep()
 	status, v, _ := call(f, "GET", "/jobs", "")
 	if n := len(v.Get("jobs").Array()); status != 200 || n != 5 || v.Get("jobs.0.jobState").String() != "QUEUED_HELD" {
-		t.Errorf("%d left: %s", n, v.Raw)
+		t.Errorf("%d records left: %s", n, v.Raw)
 	}
 }
 
@@ -460,7 +460,7 @@
 	m.slow = make(chan bool)
 	status, v, r := call(f, "POST", "/jobs", strings.Replace(validTemplate, "{", `{"submitAsHold":true,`, 1))
 	if status != 503 || v.Get("error").String() != "TRY_LATER" || r.Fields[len(r.Fields)-1].Name != "Retry-After" {
-		t.Fatalf("%d %s", status, v.Raw)
+		t.Fatalf("status %d, body %s", status, v.Raw)
 	}
 	m.slow <- true // the record is written after all,
 	m.slow <- true // and deleted
--- a/internal/batch/incarnation_test.go
+++ b/internal/batch/incarnation_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	status, v, _ := call(f, "POST", "/jobs", validTemplate)
 	if status != 201 {
-		t.Fatalf("%d %s", status, v.Raw)
+		t.Fatalf("status %d, body %s", status, v.Raw)
 	}
 	return v.Get("jobId").String()
 }
@@ -44,10 +44,10 @@
 		after := newFront(&manualCore{}, m, started.Add(-step))
 		latest := submitJob(t, after)
 		if recordKey(latest) <= recordKey(old) {
-			t.Errorf("step of %v: %s after %s", step, latest, old)
+			t.Errorf("step of %v: ID %s does not sort after %s", step, latest, old)
 		}
 		if got := after.ids.origin(old); got != earlierIncarnation {
-			t.Errorf("step of %v: %s is of origin %d", step, old, got)
+			t.Errorf("step of %v: ID %s has origin %d", step, old, got)
 		}
 		if _, v, _ := call(after, "GET", "/events?timeoutMs=1&after="+oldCursor, ""); v.Get("event").String() != "LOST" {
 			t.Errorf("step of %v: %s", step, v.Raw)
@@ -64,7 +64,7 @@
 		old, oldCursor := submitJob(t, before), before.events.latestCursor()
 		after := newFront(&manualCore{}, nil, started.Add(-step))
 		if status, v, _ := call(after, "GET", "/jobs/"+old, ""); status != 200 || v.Get("jobState").String() != string(Undetermined) {
-			t.Errorf("step of %v: %d %s", step, status, v.Raw)
+			t.Errorf("step of %v: status %d, body %s", step, status, v.Raw)
 		}
 		if _, v, _ := call(after, "GET", "/events?timeoutMs=1&after="+oldCursor, ""); v.Get("event").String() != "LOST" {
 			t.Errorf("step of %v: %s", step, v.Raw)
@@ -72,10 +72,10 @@
 	}
 	f := newFront(&manualCore{}, nil, time.Now())
 	if status, v, _ := call(f, "GET", "/jobs/n0.7fffffffffffffff.1", ""); status != 404 {
-		t.Errorf("%d %s", status, v.Raw)
+		t.Errorf("status %d, body %s", status, v.Raw)
 	}
 	if status, v, _ := call(f, "GET", "/events?timeoutMs=1&after=7fffffffffffffff.1", ""); status != 400 {
-		t.Errorf("%d %s", status, v.Raw)
+		t.Errorf("status %d, body %s", status, v.Raw)
 	}
 }
 
@@ -84,7 +84,7 @@
 	m := &memoryStore{values: map[string][]byte{kindIncarnation + " n0": []byte("x")}}
 	newFront(&manualCore{}, m, time.UnixMilli(2000))
 	if got := string(m.values[kindIncarnation+" n0"]); got != "2000" {
-		t.Errorf("%q", got)
+		t.Errorf("stored incarnation %q, want 2000", got)
 	}
 }
 
@@ -95,7 +95,7 @@
 	f := New(Options{Core: &manualCore{}, Store: m, Node: "n0", Version: "test", StartedAt: time.Now(), Limits: fastLimits(), Log: testenv.DiscardLog})
 	runFront(t, f)
 	if status, v, _ := call(f, "POST", "/jobs", validTemplate); status != 503 {
-		t.Errorf("%d %s", status, v.Raw)
+		t.Errorf("status %d, body %s", status, v.Raw)
 	}
 	m.setError(nil)
 	eventually(t, "jobs are accepted", func() bool { status, _, _ := call(f, "POST", "/jobs", validTemplate); return status == 201 })
@@ -142,14 +142,14 @@
 	for _, template := range []string{validTemplate, strings.Replace(validTemplate, "{", `{"submitAsHold":true,`, 1)} {
 		m.setError(syscall.ENOSPC)
 		if status, v, _ := call(f, "POST", "/jobs", template); status != 503 || v.Get("error").String() != "TRY_LATER" {
-			t.Errorf("%d %s", status, v.Raw)
+			t.Errorf("status %d, body %s", status, v.Raw)
 		}
 		if clients, _ := e.take(); len(clients) != 0 {
 			t.Errorf("%d jobs reached the core", len(clients))
 		}
 		m.setError(nil)
 		if status, v, _ := call(f, "POST", "/jobs", template); status != 201 {
-			t.Errorf("%d %s", status, v.Raw)
+			t.Errorf("status %d, body %s", status, v.Raw)
 		}
 		e.take()
 	}
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -67,7 +67,7 @@
 	subDeferred   = "deferred"   // waits for its start time
 	subSent       = "sent"       // sent to an executor, and not known to have started
 	subRejected   = "refused"    // submitting it again is harmless
-	subFailed     = "failed"     // may have run in part
+	subFailed     = "failed"     // may have run: submitting it again may run it twice
 	subTerminated = "terminated" // before it was sent
 	subUnsent     = "unsent"     // the node ended before sending it: submitting it again is harmless
 )
@@ -198,7 +198,7 @@
 }
 
 // setPlacement stores the function to call when the placement of the job ends, after calling the previous one.
-func (j *job) setPlacement(ended func(box string, served bool)) {
+func (j *job) setPlacement(ended func(executor string, served bool)) {
 	j.mu.Lock()
 	was, r := j.placementEnded, j.r
 	j.placementEnded = ended
@@ -270,7 +270,7 @@
 	kindOpen           = "open"    // by key, of jobs that have not ended: the job ID
 	kindArray          = "array"   // by key: arrayRecord
 	kindSession        = "session" // by name: sessionRecord
-	kindIdempotencyKey = "same"    // by session and idempotency key: sameRecord
+	kindIdempotencyKey = "same"    // by session and idempotency key: keyRecord
 )
 
 // unsent reports whether the record proves that the job was not sent: each send is recorded before it is made.
--- a/internal/batch/list.go
+++ b/internal/batch/list.go
@@ -81,11 +81,11 @@
 			return problem(400, "INVALID_ARGUMENT", name, "no argument of a list")
 		}
 	}
-	want := State(q.Get("jobState"))
-	if want != "" && !slices.Contains(States, string(want)) {
+	state := State(q.Get("jobState"))
+	if state != "" && !slices.Contains(States, string(state)) {
 		return problem(400, "INVALID_ARGUMENT", "jobState", "no state of a job")
 	}
-	pick, err := filter.Parse(Fields, q.Get("filter"))
+	condition, err := filter.Parse(Fields, q.Get("filter"))
 	if err != nil {
 		return problem(400, "INVALID_ARGUMENT", "filter", err.Error())
 	}
@@ -108,7 +108,7 @@
 	now := time.Now()
 	out, next := []Record{}, ""
 	take := func(r Record) bool {
-		if (session == "" || r.Session == session) && (want == "" || r.State == want) && pick.Match(r.Row(now), now) {
+		if (session == "" || r.Session == session) && (state == "" || r.State == state) && condition.Match(r.Row(now), now) {
 			r.Result = nil // only in the info of the single job
 			out = append(out, r.public())
 		}
--- a/internal/batch/monitor.go
+++ b/internal/batch/monitor.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return problem(400, "INVALID_ARGUMENT", "query", err.Error())
 	}
-	pick, err := filter.Parse(MachineFields, q.Get("filter"))
+	condition, err := filter.Parse(MachineFields, q.Get("filter"))
 	if err != nil {
 		return problem(400, "INVALID_ARGUMENT", "filter", err.Error())
 	}
@@ -101,7 +101,7 @@
 	}
 	list := []map[string]any{}
 	for i := range all {
-		if m := &all[i]; pick.Match(machineRow(m), time.Now()) {
+		if m := &all[i]; condition.Match(machineRow(m), time.Now()) {
 			list = append(list, map[string]any{"name": m.Name, "address": m.Address, "status": m.Status, "zone": m.Zone, "type": m.Kind,
 				"group": m.Group, "weight": m.Weight, "sinceMs": m.StartedAtMs, "out": m.InFlight, "available": m.Status == "ready"})
 		}
@@ -129,9 +129,9 @@
 	}
 }
 
-// watch returns the job state changes after a cursor: as one response as soon as there are any or the timeout has
-// passed; or, with stream=1, as one JSON object per line for as long as the client reads, with an empty line every 2
-// s.
+// watch returns the job state changes after a cursor. The response is sent as soon as there are changes or the
+// timeout has passed. With stream=1 it is one JSON object per line for as long as the client reads, with an empty
+// line every 2 s.
 func (f *Front) watch(ctx context.Context, session, target string) http1.Response {
 	_, query, _ := strings.Cut(target, "?")
 	q, err := url.ParseQuery(query)
@@ -142,25 +142,25 @@
 	if err != nil {
 		return problem(400, "INVALID_ARGUMENT", "after", err.Error())
 	}
-	pick := func(e *Event) bool { return session == "" || e.Session == session }
+	match := func(e *Event) bool { return session == "" || e.Session == session }
 	if id := q.Get("jobId"); id != "" {
-		of := pick
-		pick = func(e *Event) bool { return of(e) && (e.ID == id || strings.HasPrefix(e.ID, id+"-")) }
+		of := match
+		match = func(e *Event) bool { return of(e) && (e.ID == id || strings.HasPrefix(e.ID, id+"-")) }
 	}
 	fields := []http1.Field{{Name: "Content-Type", Value: "application/x-ndjson"}}
 	if q.Get("stream") == "1" {
 		return http1.Response{Status: 200, Fields: fields, Close: true, Stream: func(ctx context.Context, w io.Writer) error {
-			return f.streamEvents(ctx, w, n, behind, pick)
+			return f.streamEvents(ctx, w, n, behind, match)
 		}}
 	}
-	_, most, bad := f.waitArgs("", q.Get("timeoutMs"))
+	_, maxWait, bad := f.waitArgs("", q.Get("timeoutMs"))
 	if bad != nil {
 		return invalidArgument(bad)
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
-		out, next, lost, more := f.events.after(n, 256, pick)
+		out, next, lost, more := f.events.after(n, 256, match)
 		var body bytes.Buffer
 		if lost || behind {
 			body.Write(lostEvent(f.events.cursor(next)))
@@ -188,11 +188,11 @@
 var errFellBehind = errors.New("batch: event stream fell too far behind")
 
 // streamEvents writes a stream of events.
-func (f *Front) streamEvents(ctx context.Context, w io.Writer, n uint64, behind bool, pick func(*Event) bool) error {
+func (f *Front) streamEvents(ctx context.Context, w io.Writer, n uint64, behind bool, match func(*Event) bool) error {
 	beat := time.NewTicker(2 * time.Second)
 	defer beat.Stop()
 	for {
-		out, next, lost, more := f.events.after(n, 64, pick)
+		out, next, lost, more := f.events.after(n, 64, match)
 		if lost || behind {
 			if _, err := w.Write(append(lostEvent(f.events.cursor(next)), '\n')); err != nil {
 				return err
--- a/internal/batch/reconcile.go
+++ b/internal/batch/reconcile.go
@@ -40,12 +40,12 @@
 	if r.Done+r.Failed == ended+cut {
 		return nil
 	}
-	was := *r
+	before := *r
 	if err := x.recount(ctx, f, ended, cut); err != nil {
 		return err
 	}
 	f.log.Warn("array counts corrected to match the records of its members", "array", r.ID, "done", r.Done, "failed", r.Failed,
-		"done before", was.Done, "failed before", was.Failed)
+		"done before", before.Done, "failed before", before.Failed)
 	return f.store.Write(ctx, x.change())
 }
 
@@ -65,8 +65,8 @@
 	if err != nil {
 		return err
 	}
-	gone := max(0, ended-done-failed)
-	x.r.Done = done + min(gone, max(0, x.r.Done-done))
+	evicted := max(0, ended-done-failed)
+	x.r.Done = done + min(evicted, max(0, x.r.Done-done))
 	x.r.Failed = ended + cut - x.r.Done
 	return nil
 }
--- a/internal/batch/session.go
+++ b/internal/batch/session.go
@@ -61,9 +61,9 @@
 	if f.router == nil || name == defaultSession {
 		return nil
 	}
-	there := map[string]sessionRecord{}
+	stored := map[string]sessionRecord{}
 	if name == "" {
-		if err := f.forEachStoredSession(ctx, func(x sessionRecord) { there[x.Name] = x }); err != nil {
+		if err := f.forEachStoredSession(ctx, func(x sessionRecord) { stored[x.Name] = x }); err != nil {
 			return err
 		}
 	} else if value, found, err := f.store.Get(ctx, kindSession, name); err != nil {
@@ -73,16 +73,16 @@
 		if err := json.Unmarshal(value, &x); err != nil {
 			return err
 		}
-		there[name] = x
+		stored[name] = x
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for known := range f.sessions {
-		if _, ok := there[known]; !ok && known != defaultSession && (name == "" || known == name) {
+		if _, ok := stored[known]; !ok && known != defaultSession && (name == "" || known == name) {
 			delete(f.sessions, known)
 		}
 	}
-	for _, x := range there {
+	for _, x := range stored {
 		if f.sessions[x.Name] == nil {
 			f.sessions[x.Name] = &session{r: x}
 		}
@@ -234,7 +234,7 @@
 
 // destroySession deletes a session (destroyJobSession), unless an instance is open or a job of it has not ended.
 func (f *Front) destroySession(ctx context.Context, name string) http1.Response {
-	elsewhere, err := f.hasOpenJobs(ctx, name)
+	openElsewhere, err := f.hasOpenJobs(ctx, name)
 	if err != nil {
 		return tryLater("whether its jobs have ended can not be told: " + err.Error())
 	}
@@ -261,7 +261,7 @@
 	case len(s.instances) > 0:
 		f.mu.Unlock()
 		return problem(409, "INVALID_STATE", "sessionName", "an instance of the session is open")
-	case open > 0 || elsewhere:
+	case open > 0 || openElsewhere:
 		f.mu.Unlock()
 		return problem(409, "INVALID_STATE", "sessionName", "jobs of the session have not ended")
 	}
--- a/internal/batch/submit.go
+++ b/internal/batch/submit.go
@@ -86,12 +86,12 @@
 		j.submitFailed = true
 		j.mu.Unlock()
 		k := sessionKey(session, t.idempotencyKey)
-		mine := f.byIdempotencyKey[k] == j
-		if mine {
+		claimed := f.byIdempotencyKey[k] == j
+		if claimed {
 			delete(f.byIdempotencyKey, k)
 		}
 		f.mu.Unlock()
-		if mine && f.store != nil && !errors.Is(err, jobstore.ErrExists) {
+		if claimed && f.store != nil && !errors.Is(err, jobstore.ErrExists) {
 			if err := f.deleteKeyRecord(ctx, k, j.r.ID); err != nil {
 				f.log.Warn("record of the idempotency key of a rejected job not deleted", "err", err)
 			}
--- a/internal/batch/sweep.go
+++ b/internal/batch/sweep.go
@@ -20,7 +20,7 @@
 		return
 	}
 	before := time.Now().Add(-f.lim.BatchStoredAge)
-	gone, err := s.Sweep(kindJob, jobstore.Usage{Values: f.lim.BatchStoredJobs, Bytes: f.lim.BatchStoredBytes}, 10000,
+	deleted, err := s.Sweep(kindJob, jobstore.Usage{Values: f.lim.BatchStoredJobs, Bytes: f.lim.BatchStoredBytes}, 10000,
 		func(_ string, v []byte) jobstore.Retention {
 			switch end := gjson.GetBytes(v, "finishTime"); {
 			case !end.Exists():
@@ -30,7 +30,7 @@
 			}
 			return jobstore.Evictable
 		})
-	if err != nil || gone > 0 {
-		f.log.Info("old batch job records deleted", "gone", gone, "err", err)
+	if err != nil || deleted > 0 {
+		f.log.Info("old batch job records deleted", "gone", deleted, "err", err)
 	}
 }
--- a/internal/batch/template.go
+++ b/internal/batch/template.go
@@ -77,7 +77,7 @@
 
 // nestingDepth returns how deeply objects and lists are nested in JSON text, without recursion.
 func nestingDepth(b []byte) int {
-	depth, most, quoted := 0, 0, false
+	depth, maxDepth, quoted := 0, 0, false
 	for i := 0; i < len(b); i++ {
 		switch c := b[i]; {
 		case quoted && c == '\\':
@@ -87,12 +87,12 @@
 		case quoted:
 		case c == '{' || c == '[':
 			depth++
-			most = max(most, depth)
+			maxDepth = max(maxDepth, depth)
 		case c == '}' || c == ']':
 			depth--
 		}
 	}
-	return most
+	return maxDepth
 }
 
 func (f *Front) readTemplate(root gjson.Result, now time.Time) (*template, *argumentError) {
@@ -181,17 +181,17 @@
 	if !t.start.IsZero() && t.start.Sub(now) > f.lim.MaxBatchStartDelay {
 		return nil, invalid("startTime", "further off than "+f.lim.MaxBatchStartDelay.String())
 	}
-	begin := now
+	startAt := now
 	if t.start.After(now) {
-		begin = t.start
+		startAt = t.start
 	}
 	if !t.deadline.IsZero() {
-		switch left := t.deadline.Sub(begin); {
-		case left <= 0 && begin.After(now):
+		switch remaining := t.deadline.Sub(startAt); {
+		case remaining <= 0 && startAt.After(now):
 			return nil, invalid("deadlineTime", "it is before startTime")
-		case left <= 0:
+		case remaining <= 0:
 			return nil, invalid("deadlineTime", "it has passed")
-		case left > f.lim.MaxBatchDeadline:
+		case remaining > f.lim.MaxBatchDeadline:
 			return nil, invalid("deadlineTime", "further off than "+f.lim.MaxBatchDeadline.String())
 		}
 	}
@@ -205,7 +205,7 @@
 	return v.Bool(), nil
 }
 
-func stringList(v gjson.Result, most int) ([]string, error) {
+func stringList(v gjson.Result, maxItems int) ([]string, error) {
 	if !v.IsArray() {
 		return nil, errors.New("not a list of strings")
 	}
@@ -214,16 +214,16 @@
 		if x.Type != gjson.String {
 			return nil, errors.New("not a list of strings")
 		}
-		if out = append(out, x.Str); len(out) > most {
-			return nil, fmt.Errorf("more than %d", most)
+		if out = append(out, x.Str); len(out) > maxItems {
+			return nil, fmt.Errorf("more than %d", maxItems)
 		}
 	}
 	return out, nil
 }
 
-func wholeNumber(v gjson.Result, least, most float64) (int, error) {
-	if v.Type != gjson.Number || v.Num != math.Trunc(v.Num) || v.Num < least || v.Num > most {
-		return 0, fmt.Errorf("not a whole number from %.0f to %.0f", least, most)
+func wholeNumber(v gjson.Result, minValue, maxValue float64) (int, error) {
+	if v.Type != gjson.Number || v.Num != math.Trunc(v.Num) || v.Num < minValue || v.Num > maxValue {
+		return 0, fmt.Errorf("not a whole number from %.0f to %.0f", minValue, maxValue)
 	}
 	return int(v.Num), nil
 }
--- a/internal/batch/wait.go
+++ b/internal/batch/wait.go
@@ -15,14 +15,14 @@
 
 // wait responds when a job has started or ended, or after a timeout.
 func (f *Front) wait(ctx context.Context, session, id, target string) http1.Response {
-	q, most, started, r := f.waitQuery(target)
+	q, maxWait, started, r := f.waitQuery(target)
 	if q == nil {
 		return r
 	}
 	if _, _, ok := f.visible(ctx, session, id); !ok {
 		return unknownJob(id)
 	}
-	got, timeout := f.waitFor(ctx, []string{id}, started, most)
+	got, timeout := f.waitFor(ctx, []string{id}, started, maxWait)
 	switch {
 	case ctx.Err() != nil:
 		return http1.Response{Status: 503, Close: true} // the client is gone
@@ -36,20 +36,20 @@
 	return f.jobResponse(200, *got)
 }
 
-func (f *Front) waitQuery(target string) (q url.Values, most time.Duration, started bool, bad http1.Response) {
+func (f *Front) waitQuery(target string) (q url.Values, maxWait time.Duration, started bool, bad http1.Response) {
 	_, query, _ := strings.Cut(target, "?")
 	q, err := url.ParseQuery(query)
 	if err != nil {
 		return nil, 0, false, problem(400, "INVALID_ARGUMENT", "query", err.Error())
 	}
-	started, most, x := f.waitArgs(q.Get("for"), q.Get("timeoutMs"))
+	started, maxWait, x := f.waitArgs(q.Get("for"), q.Get("timeoutMs"))
 	if x != nil {
 		return nil, 0, false, invalidArgument(x)
 	}
-	return q, most, started, http1.Response{}
+	return q, maxWait, started, http1.Response{}
 }
 
-func (f *Front) waitArgs(what, timeout string) (started bool, most time.Duration, bad *argumentError) {
+func (f *Front) waitArgs(what, timeout string) (started bool, maxWait time.Duration, bad *argumentError) {
 	switch what {
 	case "", "terminated":
 	case "started":
@@ -57,21 +57,21 @@
 	default:
 		return false, 0, &argumentError{"INVALID_ARGUMENT", "for", "neither started nor terminated"}
 	}
-	most = f.lim.MaxBatchWait
+	maxWait = f.lim.MaxBatchWait
 	if timeout != "" {
 		ms, err := strconv.ParseUint(timeout, 10, 31)
 		if err != nil {
 			return false, 0, &argumentError{"INVALID_ARGUMENT", "timeoutMs", "not a whole number of milliseconds"}
 		}
-		most = min(most, time.Duration(ms)*time.Millisecond)
+		maxWait = min(maxWait, time.Duration(ms)*time.Millisecond)
 	}
-	return started, most, nil
+	return started, maxWait, nil
 }
 
 // waitFor waits until one of several jobs has started or ended, and returns it. A job that no longer changes here,
 // because it belongs to another incarnation or is UNDETERMINED, counts as ended.
-func (f *Front) waitFor(ctx context.Context, ids []string, started bool, most time.Duration) (*Record, bool) {
-	timer := time.NewTimer(most)
+func (f *Front) waitFor(ctx context.Context, ids []string, started bool, maxWait time.Duration) (*Record, bool) {
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
 		// Get the channel before looking at the jobs, so that a change between the two is not missed.
@@ -116,7 +116,7 @@
 	if err != nil || len(ids) == 0 {
 		return problem(400, "INVALID_ARGUMENT", "jobs", fmt.Sprintf("not a list of 1 to %d ids", maxWaitIDs))
 	}
-	started, most, bad := f.waitArgs(v.Get("for").String(), v.Get("timeoutMs").Raw)
+	started, maxWait, bad := f.waitArgs(v.Get("for").String(), v.Get("timeoutMs").Raw)
 	if bad != nil {
 		return invalidArgument(bad)
 	}
@@ -125,7 +125,7 @@
 			return unknownJob(id)
 		}
 	}
-	r, timeout := f.waitFor(ctx, ids, started, most)
+	r, timeout := f.waitFor(ctx, ids, started, maxWait)
 	switch {
 	case timeout:
 		return problem(504, "TIMEOUT", "", "none of the jobs is there yet")
--- a/internal/conformance/conform.go
+++ b/internal/conformance/conform.go
@@ -29,8 +29,8 @@
 // Result is the outcome of a case.
 type Result struct {
 	Case
-	Err  error // nil: passed
-	Took time.Duration
+	Err      error // nil: passed
+	Duration time.Duration
 }
 
 // Print writes a result as a row of a table.
--- a/internal/conformance/tester.go
+++ b/internal/conformance/tester.go
@@ -185,9 +185,9 @@
 
 // shorten truncates text for use in a title.
 func shorten(s string) string {
-	const most = 40
-	if len(s) > most {
-		return s[:most-3] + "..."
+	const maxLength = 40
+	if len(s) > maxLength {
+		return s[:maxLength-3] + "..."
 	}
 	return s
 }
