--- a/drmaa2/client_test.go
+++ b/drmaa2/client_test.go
@@ -64,7 +64,7 @@
 }
 
 // A GET is sent again on a new connection when the idle one had been closed, and reaches the node once.
-func TestReadIsSentAgainOnClosedIdleConnection(t *testing.T) {
+func TestGetIsRetriedOnClosedIdleConnection(t *testing.T) {
 	node := startFakeNode(t, 1, "200 OK", `{"jobId":"n0-1","jobState":"DONE"}`)
 	client := New(node.address, "")
 	defer client.Close()
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestIdleConnectionIsUsedAgain(t *testing.T) {
+func TestIdleConnectionIsReused(t *testing.T) {
 	node := startFakeNode(t, 10, "200 OK", `{}`)
 	client := New(node.address, "")
 	defer client.Close()
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestAnswerThatIsNoErrorOfAFrontIsInternal(t *testing.T) {
+func TestOtherErrorResponseIsInternal(t *testing.T) {
 	node := startFakeNode(t, 1, "502 Bad Gateway", "upstream is down\n")
 	client := New(node.address, "")
 	defer client.Close()
--- a/internal/actor/actor_test.go
+++ b/internal/actor/actor_test.go
@@ -29,7 +29,7 @@
 
 // Once all tiles have arrived, one area job is submitted under its own key, even if calls are repeated. Its end is
 // visible in the state.
-func TestPass(t *testing.T) {
+func TestSurveyFunction(t *testing.T) {
 	f := compile(t, SurveyFunction)
 	d := New("crew-7", f)
 	for i, body := range []string{`{"op":"begin","want":2}`, `{"op":"tile","tile":"a","category":"area-render","account":"maavaade"}`,
@@ -65,7 +65,7 @@
 }
 
 // A slot that is not confirmed lapses and is returned; a confirmed one does not.
-func TestSlots(t *testing.T) {
+func TestBookingFunction(t *testing.T) {
 	f := compile(t, BookingFunction)
 	d := New("team", f)
 	for i, body := range []string{`{"op":"book","slot":"9:00","forMs":5000}`, `{"op":"book","slot":"9:30","forMs":5000}`, `{"op":"confirm","slot":"9:30"}`} {
@@ -90,7 +90,7 @@
 
 // A function whose state is too large, whose cost is too high or that fails leaves the actor unchanged, the same call
 // number can be used again, and each error says what can be done.
-func TestFunctionsThatFail(t *testing.T) {
+func TestFailingFunctions(t *testing.T) {
 	for name, on := range map[string]string{
 		"doubles":           `state: "event.body.x + event.body.x"`,
 		"costs":             `state: "event.body.l.map(a, event.body.l.map(b, event.body.l.map(c, a + b + c)))"`,
--- a/internal/actorhost/explore_test.go
+++ b/internal/actorhost/explore_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// A model of the migration protocol: two nodes, a store, and a client that makes calls 1, 2, 3 in turn at either node and repeats each until
-// it is answered. A transaction is committed at any later moment, or never, and its result may be lost; a node may be stopped with a
-// transaction in flight for any time; leases expire and are renewed. The state space is explored exhaustively up to a bound.
+// A model of the migration protocol: two nodes, a store, and a client that makes calls 1, 2, 3 in turn at either node
+// and repeats each until it is answered. A transaction is committed at any later moment, or never, and its result may
+// be lost; a node may be stopped with a transaction in flight for any time; leases expire and are renewed. The state
+// space is explored exhaustively up to a bound.
 
 type txn struct {
 	kind           uint8 // 0 none, 1 apply, 2 move, 3 claim
@@ -128,10 +129,10 @@
 	return len(seen), violation
 }
 
-// With all guards the migration loses no call, applies none twice, and only the owner applies calls. The exploration finds a violation
-// without the epoch, and without the epoch and the version of the actor. The lease is not a guard: without
-// it, an actor is only taken over sooner.
-func TestHandOverExplored(t *testing.T) {
+// With all guards the migration loses no call, applies none twice, and only the owner applies calls. The exploration
+// finds a violation without the epoch, and without the epoch and the version of the actor. The lease is not a guard:
+// without it, an actor is only taken over sooner.
+func TestMigrationStatesExplored(t *testing.T) {
 	states, wrong := explore(guards{true, true, true}, 3, 5)
 	t.Logf("%d states", states)
 	if wrong != "" || states < 10000 {
--- a/internal/batch/adopt.go
+++ b/internal/batch/adopt.go
@@ -125,7 +125,7 @@
 	case r.unsent() && x != nil && x.r.Terminated:
 		r.State, r.SubState, r.Annotation, r.Finished = Failed, subTerminated, terminatedUnsent, a.now
 	case r.unsent() && x != nil:
-		x.requeued = append(x.requeued, *r.Index) // the record is kept until the member's turn, so that another restart finds it
+		x.requeued = append(x.requeued, *r.Index) // another restart finds its record
 		return nil
 	case r.unsent() && !r.HandedOver && r.Array == "":
 		a.queueJob(r)
--- a/internal/batch/adopt_test.go
+++ b/internal/batch/adopt_test.go
@@ -56,7 +56,7 @@
 // A process can be killed between the writes of an array and of its members, so that the array's counts do not match
 // its members. After a restart a queued member runs once, a member that was sent or has ended does not run, and the
 // array counts each member once.
-func TestCountsFollowTheMembers(t *testing.T) {
+func TestArrayCountsMatchMembersAfterRestart(t *testing.T) {
 	const sub = "" // sub-state of a member that is done
 	for _, x := range []struct {
 		what         string
--- a/internal/batch/array.go
+++ b/internal/batch/array.go
@@ -75,7 +75,7 @@
 	if err := f.store.Write(ctx, c); err != nil {
 		return err
 	}
-	if c.Keep && a.finished() { // it finished meanwhile, and this older write may have followed its last one: write again
+	if c.Keep && a.finished() { // this older state may have overwritten its end: write again
 		return f.store.Write(ctx, a.change())
 	}
 	return nil
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -32,8 +32,8 @@
 // PartitionRouter locates the owner of a partition where several nodes share the stored records. A partition is the
 // jobs of one incarnation of one node. The store then rejects writes to a partition that this node does not own.
 type PartitionRouter interface {
-	Ready() bool                                             // the partitions of this node's earlier incarnations were adopted
-	Locate(partition string) (addr string, ours, known bool) // known: it has, or had, an owner; otherwise nothing of it is stored
+	Ready() bool                                             // this node's earlier partitions were adopted
+	Locate(partition string) (addr string, ours, known bool) // known: it has or had an owner and may have records
 	Forward(ctx context.Context, addr string, m *http1.Message) (*http1.Message, error)
 }
 
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -123,7 +123,7 @@
 
 // A client whose request was valid keeps its connection in preference to unknown clients; one with an invalid request
 // does not.
-func TestWhoIsKnown(t *testing.T) {
+func TestValidRequestMarksClientKnown(t *testing.T) {
 	f := newFront(&fakeCore{}, nil, time.Now())
 	for _, x := range []struct {
 		method, path, body string
@@ -136,7 +136,7 @@
 }
 
 // A rejection has a Retry-After within the limit of the settings. A draining front and a full core reject at once.
-func TestRefusals(t *testing.T) {
+func TestRejections(t *testing.T) {
 	c := &fakeCore{}
 	f := newFront(c, nil, time.Now())
 	_, v, _ := call(f, "POST", "/jobs", validTemplate)
@@ -189,7 +189,7 @@
 }
 
 // After a restart a job's state follows from its record, or from the lack of one.
-func TestEarlierLives(t *testing.T) {
+func TestJobsOfEarlierIncarnations(t *testing.T) {
 	c, m := &fakeCore{}, &memoryStore{values: map[string][]byte{}}
 	began := time.Now()
 	f := newFront(c, m, began)
@@ -220,7 +220,7 @@
 }
 
 // The memory for ended jobs is bounded; open jobs are never evicted.
-func TestKeptJobsAreBounded(t *testing.T) {
+func TestEndedJobsInMemoryAreBounded(t *testing.T) {
 	c := &fakeCore{}
 	f := newFront(c, nil, time.Now())
 	f.lim.BatchJobs, f.lim.BatchResultBytes = 3, 10
--- a/internal/batch/fleet.go
+++ b/internal/batch/fleet.go
@@ -12,7 +12,8 @@
 	"gatetack/internal/leaseholder"
 )
 
-// This file contains the behavior that is specific to several nodes with shared records. Package lease assigns the owners.
+// This file contains the behavior that is specific to several nodes with shared records. Package lease assigns the
+// owners.
 
 // partitionOf returns the partition of a job ID.
 func partitionOf(id string) (string, bool) {
@@ -184,7 +185,7 @@
 			go func() {
 				ctx, cancel := context.WithTimeout(context.Background(), f.lim.StoreCallTimeout)
 				defer cancel()
-				_ = f.core.Terminate(ctx, core) // an attempt that was sent keeps running: it can not be stopped at an executor
+				_ = f.core.Terminate(ctx, core) // an attempt that was sent can not be stopped
 			}()
 		}
 	}
--- a/internal/batch/fleet_test.go
+++ b/internal/batch/fleet_test.go
@@ -55,7 +55,7 @@
 // A partition is lost at each stage of a job's hand-over: while the hand-over is being recorded, while the core has
 // the job, and while it is being queued. The job must not be queued here again, and a late answer must not be
 // counted.
-func TestLostOnTheWay(t *testing.T) {
+func TestPartitionLostDuringHandOver(t *testing.T) {
 	held := strings.Replace(validTemplate, "{", `{"submitAsHold":true,`, 1)
 	begin := func() (*manualCore, *sharedStore, *Front, string, string) {
 		e, s := &manualCore{}, &sharedStore{memoryStore: &memoryStore{values: map[string][]byte{}}}
@@ -158,7 +158,7 @@
 
 // A session created at one node exists at all: its name is unique, it can be used and destroyed at every node, but
 // not destroyed while a job of it is open at another node.
-func TestSessionsOfAllNodes(t *testing.T) {
+func TestSessionsSharedByNodes(t *testing.T) {
 	s := &sharedStore{memoryStore: &memoryStore{values: map[string][]byte{}}}
 	var fronts []*Front
 	for i := range 2 {
--- a/internal/batch/hard_test.go
+++ b/internal/batch/hard_test.go
@@ -203,7 +203,7 @@
 
 // After a restart, held and deferred jobs and array members that were never sent wait again and run once; members
 // that were sent are UNDETERMINED and do not run again.
-func TestRestartTakesUp(t *testing.T) {
+func TestRestartRequeuesUnsentJobs(t *testing.T) {
 	e, m := &manualCore{}, &memoryStore{values: map[string][]byte{}}
 	began := time.Now()
 	f := newFront(e, m, began)
@@ -262,7 +262,7 @@
 // of 8 that doubled once as many jobs had ended kept 8 of 40 jobs in the core for as long as none ended, so jobs that
 // run for minutes would have waited for minutes. In TestShortRunWithAStore a process that adopted 50 waiting jobs of
 // a tenant had 17 of its 20 reserved slots running; whether this limit makes that test fail is not shown.
-func TestRampAfterATakeoverGoesByStarts(t *testing.T) {
+func TestRampAfterTakeoverCountsStarts(t *testing.T) {
 	const jobs = 40
 	e, m := &manualCore{}, &memoryStore{values: map[string][]byte{}}
 	began := time.Now()
@@ -353,7 +353,7 @@
 
 // While the store is unavailable, submissions are rejected with a Retry-After and leave no records, and waiting jobs
 // continue once it is available again.
-func TestStoreGone(t *testing.T) {
+func TestStoreUnavailable(t *testing.T) {
 	e, m := &manualCore{}, &memoryStore{values: map[string][]byte{}}
 	f := newFront(e, m, time.Now())
 	f.lim.StoreElectionTimeout = 5 * time.Millisecond
--- a/internal/batch/session.go
+++ b/internal/batch/session.go
@@ -187,7 +187,7 @@
 			return tryLater("the session could not be recorded: " + err.Error())
 		}
 		f.mu.Lock()
-		if f.sessions[r.Name] == nil { // a concurrent refreshSessions did not find the record yet and deleted the session
+		if f.sessions[r.Name] == nil { // a concurrent refreshSessions found no record and deleted it
 			f.sessions[r.Name] = s
 		}
 		f.mu.Unlock()
--- a/internal/conformance/cases_arrays.go
+++ b/internal/conformance/cases_arrays.go
@@ -21,7 +21,7 @@
 	{"a negative maxParallel", `{"jobTemplate":{good},"endIndex":4,"maxParallel":-1}`, "", "maxParallel"},
 	{"over a million members", `{"jobTemplate":{good},"endIndex":99999999}`, "", "endIndex"},
 	{"an unknown argument", `{"jobTemplate":{good},"endIndex":4,"colour":1}`, "", "colour"},
-	{"an idempotency key", `{"jobTemplate":{with:"idempotencyKey":"k"},"endIndex":4}`, "UNSUPPORTED_ATTRIBUTE", "idempotencyKey"},
+	{"a key", `{"jobTemplate":{with:"idempotencyKey":"k"},"endIndex":4}`, "UNSUPPORTED_ATTRIBUTE", "idempotencyKey"},
 	{"a list", `[]`, "", "body"},
 }
 
--- a/internal/conformance/cases_jobs.go
+++ b/internal/conformance/cases_jobs.go
@@ -54,7 +54,7 @@
 	l.add("GFD.194 8.3.4", "releasing a job that is not on hold is rejected", releaseNeedsHold)
 	l.add("GFD.194 8.3.3", "holding a job that has ended is rejected", holdNeedsOpenJob)
 	l.add("GFD.194 5.6.12", "a job with a start time does not begin before it", startTimeIsKept)
-	l.add("GFD.194 8.3.5", "a queued job is terminated and FAILED, and terminating it again is rejected", queuedJobIsTerminated)
+	l.add("GFD.194 8.3.5", "a queued job is terminated: FAILED, and a second terminate is rejected", queuedJobIsTerminated)
 	l.add(
 		"docs/batch.md",
 		"terminating a running job is rejected, and its result still arrives",
--- a/internal/conformance/cases_manager.go
+++ b/internal/conformance/cases_manager.go
@@ -20,7 +20,7 @@
 		l.add("GFD.194 7.1", "the manager has "+name, managerHas(name))
 	}
 	for _, name := range capabilities {
-		l.add("GFD.194 4.5", "supports("+name+") agrees with the capabilities of the manager", supportsAgreesWithManager(name))
+		l.add("GFD.194 4.5", "supports("+name+") agrees with the manager's capabilities", supportsAgreesWithManager(name))
 	}
 	l.rejects(
 		"GFD.194 4.5",
@@ -34,7 +34,12 @@
 		get("/reservations"),
 		unsupported,
 	)
-	l.rejects("GFD.194 9.1", "reservations in monitoring are rejected as an unsupported operation", get("/monitoring/reservations"), unsupported)
+	l.rejects(
+		"GFD.194 9.1",
+		"reservations in monitoring are rejected as an unsupported operation",
+		get("/monitoring/reservations"),
+		unsupported,
+	)
 	l.rejects("RFC 9110 9.1", "the manager is read-only", post("/manager", "{}"), methodNotAllowed)
 	return l.cases
 }
--- a/internal/conformance/cases_sessions.go
+++ b/internal/conformance/cases_sessions.go
@@ -50,18 +50,18 @@
 			invalidArgument(bad.field),
 		)
 	}
-	l.rejects("GFD.194 7.1.6", "opening a session that does not exist", post("/sessions/nowhere/open", "{}"), noSuchSession)
-	l.rejects("GFD.194 7.1.8", "destroying a session that does not exist", remove("/sessions/nowhere"), noSuchSession)
+	l.rejects("GFD.194 7.1.6", "opening an unknown session", post("/sessions/nowhere/open", "{}"), noSuchSession)
+	l.rejects("GFD.194 7.1.8", "destroying an unknown session", remove("/sessions/nowhere"), noSuchSession)
 	l.rejects(
 		"docs/batch.md",
 		"the default session can not be destroyed",
 		remove("/sessions/default"),
 		rejection{409, "INVALID_SESSION", ""},
 	)
-	l.rejects("GFD.194 8.2", "listing jobs of a session that does not exist", get("/sessions/nowhere/jobs"), noSuchSession)
+	l.rejects("GFD.194 8.2", "listing jobs of an unknown session", get("/sessions/nowhere/jobs"), noSuchSession)
 	l.rejects(
 		"GFD.194 8.2",
-		"submitting to a session that does not exist",
+		"submitting to an unknown session",
 		post("/sessions/nowhere/jobs", "{good}"),
 		noSuchSession,
 	)
