--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -19,8 +19,8 @@
 	"gatetack/internal/testenv"
 )
 
-// steppedProgram builds the program once with a package time whose wall clock can be set while the process runs. The
-// monotonic clock stays as it is, as on a machine whose clock an operator or a time server sets.
+// steppedProgram builds the program once with a modified package time whose wall clock can be set while the process
+// runs. The monotonic clock is not affected, as on a machine whose clock an operator or a time server sets.
 var steppedProgram = sync.OnceValues(func() (string, error) {
 	root, err := exec.Command("go", "env", "GOROOT").Output()
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 	const reading = "\tsec, nsec, mono := runtimeNow()\n\tif mono == 0 {\n\t\treturn Time{uint64(nsec)"
 	if strings.Count(string(text), reading) != 1 {
-		return "", fmt.Errorf("%s does not read the clock as this test knows it", source)
+		return "", fmt.Errorf("%s does not contain the expected reading of the clock once", source)
 	}
 	changed := strings.Replace(string(text), reading, strings.Replace(reading, "\n", "\n\tsec += wallStep.Load()\n", 1), 1)
 	changed = strings.Replace(changed, "import (\n", "import (\n\t\"sync/atomic\"\n", 1) +
@@ -57,7 +57,7 @@
 	return built, nil
 })
 
-// stepped makes a site run the program whose clock can be set.
+// stepped makes the site run the program of steppedProgram, whose wall clock can be set.
 func (s *testNode) stepped() {
 	s.t.Helper()
 	built, err := steppedProgram()
@@ -70,7 +70,7 @@
 
 func (s *testNode) clockFile() string { return filepath.Join(s.dir, "clock") }
 
-// step sets the process's wall clock off by a span from the machine's, and returns once that is in force.
+// step sets the offset of the process's wall clock from the machine's and returns once the process has applied it.
 func (s *testNode) step(off time.Duration) {
 	s.t.Helper()
 	text := strconv.FormatInt(int64(off/time.Second), 10)
@@ -80,19 +80,19 @@
 	if err := os.Rename(s.clockFile()+".new", s.clockFile()); err != nil {
 		s.t.Fatal(err)
 	}
-	s.until("the clock is set", func() bool {
+	s.until("the wall clock is set", func() bool {
 		done, _ := os.ReadFile(s.clockFile() + ".done")
 		return string(done) == text
 	})
 }
 
-// answer is what a client got.
+// answer is the outcome of a request: the status of the response, or an error.
 type answer struct {
 	status int
 	err    error
 }
 
-// send posts a job and gives its answer on a channel.
+// send posts a job in the background and delivers the answer on the returned channel.
 func (s *testNode) send(class, id string, fields ...http1.Field) <-chan answer {
 	answers := make(chan answer, 1)
 	go func() {
@@ -106,13 +106,13 @@
 	return answers
 }
 
-// began waits until executors have got a job so many times in all.
+// began waits until all executors together have received the given number of attempts of a job.
 func (s *testNode) began(id string, times int) {
 	s.t.Helper()
-	s.until(fmt.Sprintf("attempt %d of %s has begun", times, id), func() bool { return len(s.starts()[id]) == times })
+	s.until(fmt.Sprintf("attempt %d of %s has started", times, id), func() bool { return len(s.starts()[id]) == times })
 }
 
-// report makes the callback of an executor that ends a job.
+// report sends the callback by which an executor reports the final state of a job.
 func (s *testNode) report(b *testenv.Executor, id, state string) {
 	s.t.Helper()
 	body := fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"result":"made","load":{"queue":0,"x0":2}}`, id, b.Name, state)
@@ -121,14 +121,14 @@
 	}
 }
 
-// muted makes executors take jobs and tell nothing: the test reports their ends.
+// muted makes the executors accept jobs without sending callbacks. The test reports the final states itself.
 func (s *testNode) muted() {
 	for _, b := range s.executors {
 		b.Set(func(how *testenv.Behavior) { how.NoCallbacks, how.JobDuration = true, 0 })
 	}
 }
 
-// executorOf returns the executor that got an attempt of a job.
+// executorOf returns the first executor that received an attempt of a job.
 func (s *testNode) executorOf(id string) *testenv.Executor {
 	s.t.Helper()
 	for _, b := range s.executors {
@@ -138,14 +138,14 @@
 			}
 		}
 	}
-	s.t.Fatalf("no executor got %s", id)
+	s.t.Fatalf("no executor received %s", id)
 	return nil
 }
 
 func jobID(i int) string { return fmt.Sprintf("%016x", 0xc10c0000+i) }
 
-// The wall clock is set while a request is out: it is neither ended early nor sent again, and gets its result. One
-// whose executor says nothing ends by its deadline all the same, also where the clock was set back.
+// The wall clock is set while a request is in flight. The request neither ends early nor is sent again, and its client
+// gets the result. A request whose executor is unresponsive still ends at its deadline, also if the clock is set back.
 func TestClockStepsDuringRequests(t *testing.T) {
 	s := newTestNode(t, 1, 0)
 	s.stepped()
@@ -167,17 +167,17 @@
 		s.began(id, 1)
 		s.step(step)
 		if got := <-answers; got.err != nil || got.status == 200 {
-			t.Errorf("step %v, an executor that says nothing: %+v", step, got)
+			t.Errorf("step %v, unresponsive executor: %+v", step, got)
 		}
 	}
 	for id, starts := range s.starts() {
 		if len(starts) != 1 {
-			t.Errorf("%s began %d times", id, len(starts))
+			t.Errorf("%s started %d times", id, len(starts))
 		}
 	}
 }
 
-// sendFor posts a job with so many ms left to its client.
+// sendFor posts a job whose client allows it the given time in milliseconds.
 func (s *testNode) sendFor(id string, left int) <-chan answer {
 	answers := make(chan answer, 1)
 	go func() {
@@ -192,8 +192,8 @@
 	return answers
 }
 
-// The wall clock is set while an attempt of a keyed request is out. It fails within the window for repeats: it is
-// sent again, once.
+// The wall clock is set while an attempt of a keyed request is in flight. The attempt fails within the retry window,
+// so the request is sent again, once.
 func TestClockStepsWithinARepeatWindow(t *testing.T) {
 	s := newTestNode(t, 2, 0)
 	s.stepped()
@@ -217,13 +217,13 @@
 			t.Errorf("step %v: %+v", step, got)
 		}
 		if n := len(s.starts()[id]); n != 2 {
-			t.Errorf("step %v: begun %d times", step, n)
+			t.Errorf("step %v: started %d times", step, n)
 		}
 	}
 }
 
-// The window for repeats is over by the monotonic clock as the attempt fails: it is not sent again, however the wall
-// clock was set.
+// The retry window has ended by the monotonic clock when the attempt fails. The request is not sent again, however the
+// wall clock was set.
 func TestClockStepsBeyondARepeatWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	s := newTestNode(t, 2, 0)
@@ -237,18 +237,19 @@
 		answers := s.send("area-render", id)
 		s.began(id, 1)
 		s.step(step)
-		<-time.After(window) // the window began before the attempt did
+		<-time.After(window) // the window started before the attempt did
 		s.report(s.executorOf(id), id, "failed")
 		if got := <-answers; got.err != nil || got.status == 200 {
 			t.Errorf("step %v: %+v", step, got)
 		}
 		if n := len(s.starts()[id]); n != 1 {
-			t.Errorf("step %v: begun %d times", step, n)
+			t.Errorf("step %v: started %d times", step, n)
 		}
 	}
 }
 
-// The wall clock is set while an executor drains: nothing new goes there, and what is out there gets its result.
+// The wall clock is set while an executor is draining. The executor gets no new job, and the client of the job that is
+// in flight there gets its result.
 func TestClockStepsDuringADrain(t *testing.T) {
 	s := newTestNode(t, 2, 0)
 	s.stepped()
@@ -276,22 +277,22 @@
 			s.began(other, 1)
 			s.report(s.executorOf(other), other, "done")
 			if got := <-more; got.status != 200 {
-				t.Errorf("step %v, beside a drain: %+v", step, got)
+				t.Errorf("step %v, job sent during the drain: %+v", step, got)
 			}
 		}
 		if n := len(drains.Starts()) - before; n != 0 {
-			t.Errorf("step %v: %d began at a draining executor", step, n)
+			t.Errorf("step %v: %d jobs started on a draining executor", step, n)
 		}
 		s.report(drains, id, "done")
 		if got := <-answers; got.status != 200 {
-			t.Errorf("step %v, at a draining executor: %+v", step, got)
+			t.Errorf("step %v, job on the draining executor: %+v", step, got)
 		}
 		listed(drains, "ready")
 	}
 }
 
-// The wall clock is set while a process that was told to end waits for its last request: the request gets its result
-// and the process ends well.
+// The wall clock is set while a process that is shutting down waits for its last request. The client gets the result,
+// and the process exits without an error.
 func TestClockStepsDuringShutdown(t *testing.T) {
 	for i, step := range clocktest.Steps {
 		s := newTestNode(t, 1, 0)
@@ -304,20 +305,20 @@
 		ended := make(chan error, 1)
 		process := s.process
 		go func() { ended <- s.terminate() }()
-		s.until("it leaves", func() bool { return s.logContains("msg=leaving") })
+		s.until("the process is shutting down", func() bool { return s.logContains("msg=leaving") })
 		s.step(step)
 		s.report(s.executors[0], id, "done")
 		if got := <-answers; got.status != 200 {
 			t.Errorf("step %v: %+v", step, got)
 		}
 		if err := <-ended; err != nil {
-			t.Errorf("step %v: process %d ended with %v", step, process.Process.Pid, err)
+			t.Errorf("step %v: process %d exited with %v", step, process.Process.Pid, err)
 		}
 	}
 }
 
-// A start time of a batch job and a timer of a desk are dates: they come when the wall clock is set past them, and
-// not before.
+// The start time of a batch job and the timer of an actor are dates: they are reached when the wall clock is set past
+// them and not before.
 func TestDatesFollowTheWallClock(t *testing.T) {
 	f := makeFleet(t, 1, time.Millisecond)
 	s := f[0]
@@ -335,11 +336,11 @@
     state: '{"rung": state.rung + 1.0}'
 `
 	body, _ := json.Marshal(map[string]string{"id": "clock", "function": function})
-	s.until("the desk is made", func() bool {
+	s.until("the actor is created", func() bool {
 		m, err := testenv.Call(s.batch, "POST", "/drmaa2/v1/desks", body)
 		return err == nil && (m.Status == 201 || m.Status == 409)
 	})
-	s.until("the desk's timer is set", func() bool {
+	s.until("the actor's timer is set", func() bool {
 		status, _, err := s.deskCall("clock", 1, 0)
 		return err == nil && status == 200
 	})
@@ -353,32 +354,33 @@
 	}
 	for _, step := range []time.Duration{-time.Hour, 30 * time.Minute} {
 		s.step(step)
-		// A job without a date goes through the same queue after the step: the queue has looked at its dates by then.
+		// A job without a start time passes through the same queue after the step. Once it is done, the queue has
+		// checked the start times again.
 		now := s.submitUntilAccepted(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"now"}`)
-		s.until("the job without a date is done", func() bool {
+		s.until("the job without a start time is done", func() bool {
 			_, v := s.drmaa("GET", "/jobs/"+now, "")
 			return v.Get("jobState").String() == "DONE"
 		})
 		if job, rung := read(); job != "QUEUED deferred" || rung != 0 {
-			t.Errorf("step %v: the job is %s and the timer went off %d times", step, job, rung)
+			t.Errorf("step %v: the job is %s and the timer fired %d times", step, job, rung)
 		}
 	}
 	s.step(time.Hour + time.Minute)
-	s.until("the job has run and the timer gone off", func() bool {
+	s.until("the job has run and the timer has fired", func() bool {
 		job, rung := read()
 		return strings.HasPrefix(job, "DONE") && rung == 1
 	})
 	s.step(0)
 	if n := f.starts("dated"); n != 1 {
-		t.Errorf("the dated job began %d times", n)
+		t.Errorf("the job with a start time started %d times", n)
 	}
 	if _, rung := read(); rung != 1 {
-		t.Errorf("the timer went off %d times", rung)
+		t.Errorf("the timer fired %d times", rung)
 	}
 }
 
-// Wall clocks are set while leases are held and while a lost node's partition is taken over: a holder whose clock
-// moves keeps its lease, and a lost node's partition is taken over once, with what waits in it run once.
+// Wall clocks are set while leases are held and while the partition of a failed node is taken over. A lease holder
+// whose clock is set keeps its lease. The partition of the failed node is taken over once, and its held jobs run once.
 func TestClockStepsDuringLeaseAndTakeover(t *testing.T) {
 	f := makeFleet(t, 3, time.Millisecond)
 	for _, s := range f {
@@ -386,7 +388,7 @@
 	}
 	f.startAll()
 	for _, s := range f {
-		s.until("it holds its own lease", func() bool { return strings.Contains(s.wholeLog(), `msg="partition claimed"`) })
+		s.until("it holds its lease", func() bool { return strings.Contains(s.wholeLog(), `msg="partition claimed"`) })
 	}
 	template := `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q,"submitAsHold":true}`
 	run := func(s *testNode, id string) {
@@ -394,7 +396,7 @@
 		s.until("the job is released", func() bool {
 			status, _ := s.drmaa("POST", "/jobs/"+id+"/release", "")
 			_, v := s.drmaa("GET", "/jobs/"+id, "")
-			// The answer to a release that was forwarded may be lost: the job is no longer on hold then.
+			// The answer to a forwarded release may be lost although the job is no longer on hold.
 			return status == 200 || v.Get("jobState").Exists() && v.Get("jobState").String() != "QUEUED_HELD"
 		})
 		s.until("the job is done", func() bool {
@@ -408,12 +410,12 @@
 			payload := fmt.Sprintf("job %d %d", i, k)
 			payloads = append(payloads, payload)
 			id := s.submitUntilAccepted(t, fmt.Sprintf(template, payload))
-			s.step(step * time.Duration(1-k)) // one way, not at all, and the other way
+			s.step(step * time.Duration(1-k)) // by step, 0 and -step
 			run(s, id)
 		}
 	}
 	if n := f.claims(t); n != len(f) {
-		t.Errorf("%d claims while nobody was lost, want %d", n, len(f))
+		t.Errorf("%d claims before any node failed, want %d", n, len(f))
 	}
 	held := map[string]string{}
 	for i := range 3 {
@@ -428,11 +430,11 @@
 		run(f[1], id)
 	}
 	if n := f.claims(t); n != len(f)+1 {
-		t.Errorf("%d claims after one node was lost, want %d", n, len(f)+1)
+		t.Errorf("%d claims after one node failed, want %d", n, len(f)+1)
 	}
 	for _, payload := range payloads {
 		if n := f.starts(payload); n != 1 {
-			t.Errorf("%s began %d times", payload, n)
+			t.Errorf("%s started %d times", payload, n)
 		}
 	}
 }
--- a/test/errors_test.go
+++ b/test/errors_test.go
@@ -7,7 +7,7 @@
 
 	"gatetack/internal/operr"
 
-	// All that have errors which reach an operator or a client.
+	// All packages with errors that reach an operator or a client.
 	_ "gatetack/internal/actor"
 	_ "gatetack/internal/actorhost"
 	_ "gatetack/internal/callbackrelay"
@@ -19,7 +19,7 @@
 	_ "gatetack/internal/store"
 )
 
-// Each kind of error says what can be done, in a sentence, and has its line on the page for those on call.
+// Each kind of error has a remedy in a sentence and a row on the page docs/on-call.md.
 func TestErrorsSayWhatCanBeDone(t *testing.T) {
 	page, err := os.ReadFile("../docs/on-call.md")
 	if err != nil {
@@ -27,14 +27,14 @@
 	}
 	kinds := operr.Kinds()
 	if len(kinds) < 15 {
-		t.Fatalf("%d kinds", len(kinds))
+		t.Fatalf("%d kinds of error, want at least 15", len(kinds))
 	}
 	for _, k := range kinds {
 		if len(k.Remedy()) < 10 || k.Error() == "" {
-			t.Errorf("%s: %q", k.Code(), k.Remedy())
+			t.Errorf("%s: remedy %q is too short, or the error has no text", k.Code(), k.Remedy())
 		}
 		if !strings.Contains(string(page), "| `"+k.Code()+"` |") {
-			t.Errorf("%s has no line in docs/on-call.md; it would say: %s", k.Code(), k.Remedy())
+			t.Errorf("%s has no row in docs/on-call.md; expected remedy: %s", k.Code(), k.Remedy())
 		}
 	}
 }
--- a/test/kill_soak_test.go
+++ b/test/kill_soak_test.go
@@ -17,25 +17,25 @@
 	"gatetack/internal/testenv"
 )
 
-// killSoakSeeds is how many seeds of the kill soak are played; in CI the first few.
-var killSoakSeeds = flag.Int("kill-soak-seeds", 4, "seeds of TestKillSoak, from 1 on")
+// killSoakSeeds is the number of seeds that TestKillSoak runs. CI runs the default.
+var killSoakSeeds = flag.Int("kill-soak-seeds", 4, "number of seeds of TestKillSoak, starting at 1")
 
-// Figures of the kill soak. A node may be killed at the longest deadline and killSpare after SIGTERM, and a request
-// that came by killSpare after the signal is still owed its answer.
+// Parameters of TestKillSoak. A node may be killed soakDeadline, the longest deadline of a request, plus soakKillSpare
+// after SIGTERM. A request that arrives within soakKillSpare after the signal must still be answered.
 const (
 	soakDeadline  = 300 * time.Millisecond
 	soakKillSpare = 700 * time.Millisecond
-	soakLateness  = 500 * time.Millisecond // an answer that is later than its deadline by this is lost
-	soakBefore    = 400 * time.Millisecond // of load before the first signal
-	soakSockets   = 256                    // granted to the node, where a crowd fills them
+	soakLateness  = 500 * time.Millisecond // an answer may be this much later than its deadline
+	soakBefore    = 400 * time.Millisecond // duration of the load before the first signal
+	soakSockets   = 256                    // limit of the node, and the number of idle connections in some runs
 )
 
-// killSoak is what one run is drawn to be.
+// killSoak holds the random parameters of one run.
 type killSoak struct {
 	seed    int64
 	clients int
-	run     time.Duration // of a job
-	hanging bool          // one executor takes jobs and tells nothing
+	run     time.Duration // run time of a job
+	hanging bool          // one executor accepts jobs and sends no callbacks
 	slots   int           // of each executor
 	crowd   int           // idle connections
 	signals []syscall.Signal
@@ -55,19 +55,20 @@
 	return k
 }
 
-// soakRequest is one request, as its client saw it.
+// soakRequest is one request with the outcome that its client saw.
 type soakRequest struct {
 	id     string
 	sentAt time.Time
-	answer time.Duration // after sentAt
-	err    error         // there was no answer
-	at     time.Time     // of the error
+	answer time.Duration // time from sentAt to the answer or the error
+	err    error         // no answer was received, or errClosing
+	at     time.Time     // time of the answer or the error
 }
 
-// The program is killed at the earliest moment at which it may be, while clients go on using their connections after
-// signals in series, some runs with a crowd of idle clients or an executor that hangs. Each request that an executor
-// got has its answer in time, and so has each on a connection that stood until the kill and that came early enough.
-// Each run is drawn from its seed. By hand: go test -run '^TestKillSoak$' ./test -kill-soak-seeds 50
+// The program gets a series of signals and is killed at the earliest time allowed after SIGTERM, while clients keep
+// using their connections. Some runs have many idle connections or an executor that hangs. Each request that an
+// executor received is answered in time, and so is each request that was sent early enough on a connection that stayed
+// open until the kill. Each run is determined by its seed. For a longer run:
+// go test -run '^TestKillSoak$' ./test -kill-soak-seeds 50
 func TestKillSoak(t *testing.T) {
 	for seed := int64(1); seed <= int64(*killSoakSeeds); seed++ {
 		k := drawKillSoak(seed)
@@ -103,20 +104,20 @@
 		}
 		time.Sleep(k.gap)
 	}
-	// By as much as this machine held the test up, it may have held up the program: the kill comes so much later.
+	// The machine may have delayed the program as much as it delayed the test, so the kill is postponed by that time.
 	time.Sleep(time.Until(termAt.Add(soakDeadline + soakKillSpare)))
 	time.Sleep(time.Duration(lag.Load()))
 	killedAt := time.Now()
 	_ = s.process.Process.Kill()
 	stop()
 	requests := load()
-	_ = s.awaitExit() // killed, or ended by itself
+	_ = s.awaitExit() // killed, or exited before
 	s.process = nil
 	k.judge(t, s, requests, termAt, killedAt, time.Duration(lag.Load()))
 }
 
-// startLoad has clients send one request after another, each on its connection as long as that is open, until the
-// context ends; the function that it returns waits for them and gives all requests.
+// startLoad starts clients that send one request after another until the context ends. Each client uses a connection
+// as long as it is open. The returned function waits for the clients and returns all requests.
 func (k killSoak) startLoad(ctx context.Context, s *testNode) func() []soakRequest {
 	var all sync.WaitGroup
 	requests := make([][]soakRequest, k.clients)
@@ -146,7 +147,7 @@
 	}
 }
 
-// request sends one and waits for its answer.
+// request sends a request and waits for its answer.
 func (k killSoak) request(conn *testenv.Conn, id string) soakRequest {
 	class := []string{"tile-charge", "area-render"}[id[15]%2]
 	r := soakRequest{id: id, sentAt: time.Now()}
@@ -161,8 +162,8 @@
 	return r
 }
 
-// errClosing ends the use of a connection with whose last answer the server said that it closes it.
-var errClosing = errors.New("answered, and the connection is closed")
+// errClosing reports that the request was answered and that the server closes the connection after the answer.
+var errClosing = errors.New("request answered, server closes the connection")
 
 func (k killSoak) judge(t *testing.T, s *testNode, requests []soakRequest, termAt, killedAt time.Time, lag time.Duration) {
 	starts := s.starts()
@@ -179,25 +180,25 @@
 			continue
 		}
 		began := starts[r.id]
-		owed := r.sentAt.Before(killedAt.Add(-soakDeadline)) // on a connection that stood until the kill
+		owed := r.sentAt.Before(killedAt.Add(-soakDeadline)) // if the connection was open until the kill
 		if len(began) > 0 || owed && !r.at.Before(killedAt) {
-			t.Errorf("request %s has no answer: sent %v after the signal, ended %v before the kill (%v), %d starts",
+			t.Errorf("request %s was not answered: sent %v after SIGTERM, failed %v before the kill (%v), %d starts",
 				r.id, r.sentAt.Sub(termAt), killedAt.Sub(r.at), r.err, len(began))
 		}
 	}
 	for id, began := range starts {
 		if len(began) > 1 && strings.HasPrefix(began[0].Target, "/tile-charge") {
-			t.Errorf("request %s of a class that runs at most once began %d times", id, len(began))
+			t.Errorf("request %s of an at-most-once class started %d times", id, len(began))
 		}
 	}
-	t.Logf("%+v: %d requests, %d answered, %d of them sent after the signal, %d started, held up for %v",
+	t.Logf("%+v: %d requests, %d answered, %d of them sent after SIGTERM, %d started, test delayed by %v",
 		k, len(requests), answered, afterSignal, len(starts), lag)
 	if answered == 0 || afterSignal == 0 {
-		t.Errorf("%d answered, %d of them after the signal: the run shows nothing", answered, afterSignal)
+		t.Errorf("%d answered, %d of them sent after SIGTERM: too few for a conclusive run", answered, afterSignal)
 	}
 }
 
-// watchLag measures for how long the machine held this process up at most, until the test ends.
+// watchLag measures, until the test ends, the longest delay of this process's timers by the machine, in nanoseconds.
 func watchLag(t *testing.T) *atomic.Int64 {
 	const every = 2 * time.Millisecond
 	var worst atomic.Int64
--- a/test/lies_test.go
+++ b/test/lies_test.go
@@ -11,7 +11,7 @@
 	"gatetack/internal/failpoint"
 )
 
-// without builds the program with a guard taken out.
+// without builds the program with the named guard disabled.
 func without(t *testing.T, guard string) string {
 	t.Helper()
 	bare := filepath.Join(t.TempDir(), "bare")
@@ -22,7 +22,7 @@
 	return bare
 }
 
-// folder is that of a process's store.
+// folder returns the directory of the process's store.
 func (s *testNode) folder() string { return filepath.Join(s.dir, "store") }
 
 func (s *testNode) copyFolder(to string) {
@@ -42,29 +42,30 @@
 	}
 }
 
-// has waits until a process has a value, as it holds it itself.
+// has waits until the process's own replica has the value.
 func (s *testNode) has(key, value string) {
 	s.t.Helper()
-	s.until(key+" is at "+s.name, func() bool {
+	s.until(key+" is in the replica of "+s.name, func() bool {
 		out, err := s.storeCommand("get", "mark", key, "--stale")
 		return err == nil && strings.Contains(out, value)
 	})
 }
 
-// writes waits until a write is acknowledged there.
+// writes repeats a write at the process until it is acknowledged.
 func (s *testNode) writes(key, value string) {
 	s.t.Helper()
-	s.until("a write of "+key, func() bool { _, err := s.storeCommand("set", "mark", key, value); return err == nil })
+	s.until("acknowledgement of "+key, func() bool { _, err := s.storeCommand("set", "mark", key, value); return err == nil })
 }
 
-// denied says whether a process tells for certain that nothing stands where a write was acknowledged.
+// denied reports whether a consistent read at the process returns a different value for the key, or none.
 func (s *testNode) denied(key, value string) bool {
 	out, err := s.storeCommand("get", "mark", key, "--timeout", "1s")
 	return err == nil && !strings.Contains(out, value) || strings.Contains(out, "nothing stands")
 }
 
-// lied has a member's disk lose what it said was written: of three, one and the first acknowledge a write while the third is
-// down; the one's folder is put back as it was before, the first is killed and the third started.
+// lied starts three members and makes the disk of n1 lose an acknowledged write. n0 and n1 acknowledge the write while
+// n2 is down. Then n0 and n1 are killed, the store directory of n1 is restored to its state before the write, and n1
+// and n2 are started. If lost is set, n1 loses the marks kept outside its store directory, too.
 func lied(t *testing.T, program string, lost bool) fleet {
 	f := makeFleet(t, 3, 20*time.Millisecond)
 	for _, s := range f {
@@ -81,13 +82,13 @@
 	f[1].start()
 	f[1].writes("since", "y")
 	f[2].has("since", "y")
-	f[2].kill() // one that were merely stopped would find what the leader had sent it, once it goes on
+	f[2].kill() // a stopped process would still receive what the leader had sent to it, once it continues
 	f[0].writes("promised", "kept")
 	f[1].has("promised", "kept")
 	f[0].kill()
 	f[1].kill()
 	f[1].putBack(before)
-	if lost { // the machine was started anew as well
+	if lost { // as after a restart of the machine
 		if err := os.RemoveAll(filepath.Join(f[1].dir, "marks")); err != nil {
 			t.Fatal(err)
 		}
@@ -97,39 +98,40 @@
 	return f
 }
 
-// A folder goes back to an earlier state of itself under its own identity. What it had acknowledged is not denied by it and one
-// that never had it; whether its machine still remembers, or only the others can say; and once one that has it is back it is at
-// all. A member whose disk did not lie, and whose machine remembers, goes on at once with one other.
+// A member's store directory reverts to an earlier state under the same identity. Reads at that member and at one that
+// never had the acknowledged write must not deny the write, whether the machine still has its marks or only the other
+// members know the positions. Once a member that has the write is back, all members have it. Afterwards the affected
+// member forms a quorum with a member that was killed without losing data.
 func TestDiskThatLied(t *testing.T) {
 	for _, x := range []struct {
 		what string
 		lost bool
 		says string
 	}{
-		{"its machine remembers", false, "store member lost acknowledged entries, restricting its votes"},
-		{"nothing remembers on its machine", true, "store member not voting, waiting for the positions of others"},
+		{"marks are kept", false, "store member lost acknowledged entries, restricting its votes"},
+		{"marks are lost", true, "store member not voting, waiting for the positions of others"},
 	} {
 		t.Run(x.what, func(t *testing.T) {
 			f := lied(t, "", x.lost)
-			for range 4 { // for longer than it takes to choose a leader
+			for range 4 { // for longer than an election takes
 				for _, s := range f[1:] {
 					if s.denied("promised", "kept") {
-						t.Fatalf("%s denies what was acknowledged", s.name)
+						t.Fatalf("%s denies the acknowledged write", s.name)
 					}
 				}
 				time.Sleep(300 * time.Millisecond)
 			}
-			f[1].until("it says so", func() bool { return f[1].logContains(x.says) })
+			f[1].until("n1 logs that its votes are restricted", func() bool { return f[1].logContains(x.says) })
 			f[0].startWithoutWaiting()
 			for _, s := range f {
 				s.has("promised", "kept")
 			}
 			f[1].writes("after", "z")
-			f[1].until("its vote is as any again", func() bool {
+			f[1].until("the vote of n1 is no longer restricted", func() bool {
 				out, err := f[1].storeCommand("status")
 				return err == nil && strings.Contains(out, "as any")
 			})
-			// It counts again: with one other, one that was killed and did not lie, it writes.
+			// n1 counts towards a quorum again: it accepts a write together with n0, which was killed and lost nothing.
 			f[2].kill()
 			f[0].kill()
 			f[0].startWithoutWaiting()
@@ -138,15 +140,15 @@
 	}
 }
 
-// With the floor of votes taken out the same member elects one that never had the write, and both deny it: what the test above
-// rests on is seen.
+// With the guard of the votes disabled, the same member elects one that never had the write, and the write is denied.
+// This shows that TestDiskThatLied depends on the guard.
 func TestDiskThatLiedWithoutTheFloor(t *testing.T) {
 	f := lied(t, without(t, failpoint.Floor), false)
-	f[2].until("what was acknowledged is denied", func() bool { return f[1].denied("promised", "kept") || f[2].denied("promised", "kept") })
+	f[2].until("the write is denied", func() bool { return f[1].denied("promised", "kept") || f[2].denied("promised", "kept") })
 }
 
-// A folder is copied to a second machine and both are started: the copy is at an address that is not its member's, and does not
-// vote; nothing that is acknowledged is lost by it.
+// A store directory is copied to a second machine, and both are started. The copy has an address that is not that of
+// its member, so it does not vote, and no acknowledged write is lost.
 func TestFolderStartedTwice(t *testing.T) {
 	f := newFleet(t, 3, 20*time.Millisecond)
 	f[0].writes("before", "x")
@@ -160,7 +162,7 @@
 	for i := range 5 {
 		f[i%3].writes("k", string(rune('a'+i)))
 	}
-	twin.until("the copy says so", func() bool {
+	twin.until("the copy logs that it does not vote", func() bool {
 		return twin.logContains("store member known at another address, not voting")
 	})
 	f[0].kill()
--- a/test/links_test.go
+++ b/test/links_test.go
@@ -21,15 +21,16 @@
 )
 
 var (
-	runFaults = flag.Int("faults", 64, "how many faults TestFaultsEverywhere causes; the long run takes 1200")
-	runSeed   = flag.Uint64("run-seed", 1, "what TestFaultsEverywhere draws from")
+	runFaults = flag.Int("faults", 64, "number of faults that TestFaultsEverywhere injects; the long run uses 1200")
+	runSeed   = flag.Uint64("run-seed", 1, "random seed of TestFaultsEverywhere")
 )
 
-// linked is a fleet with a proxy on each link: between each two processes, by both their addresses, and to boxes and lists.
+// linked is a fleet with a proxy on each link: between every two processes, for both the store and the batch address,
+// and from each process to its executors and its discovery.
 type linked struct {
 	fleet
 	between map[[2]int][]*testenv.Link // from, to
-	own     [][]*testenv.Link          // to the boxes and the list of each
+	own     [][]*testenv.Link          // by process, to its executors and its discovery
 	steps   []string
 	rng     *rand.Rand
 }
@@ -69,13 +70,13 @@
 	l.startAll()
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("seed %d; what led there:\n%s", seed, strings.Join(l.steps, "\n"))
+			t.Logf("seed %d; injected faults:\n%s", seed, strings.Join(l.steps, "\n"))
 		}
 	})
 	return l
 }
 
-// cut sets what passes from one process to another, whoever of them connected.
+// cut blocks or unblocks the data from one process to another, on connections opened by either.
 func (l *linked) cut(from, to int, on bool) {
 	for _, x := range l.between[[2]int{from, to}] {
 		x.Set(testenv.Fault{BlockUp: on})
@@ -93,7 +94,8 @@
 	}
 }
 
-// fault causes one, drawn, and gives what lifts it. down are the processes that do not run; at most two of five do so.
+// fault injects one random fault and returns the function that ends it. down holds the processes that do not run, at
+// most two of five.
 func (l *linked) fault(down map[int]bool) (lift func()) {
 	n := len(l.fleet)
 	i, k := l.rng.IntN(n), l.rng.IntN(n-1)
@@ -120,10 +122,10 @@
 		l.cut(k, i, true)
 		return heal
 	case kind == 2:
-		say("n%d is cut off from all others", i)
+		say("n%d is cut off from all other processes", i)
 		return alone(testenv.Fault{BlockUp: true, BlockDown: true})
 	case kind == 3:
-		say("n%d hears and is not heard", i)
+		say("n%d receives but cannot send", i)
 		for k := range n {
 			l.cut(i, k, true)
 		}
@@ -136,12 +138,12 @@
 		l.each(i, (*testenv.Link).Reset)
 	case kind == 6:
 		after := 500 + l.rng.IntN(4000)
-		say("connections of n%d end after %d bytes", i, after)
+		say("connections of n%d are reset after %d bytes", i, after)
 		return alone(testenv.Fault{ResetAfter: after})
 	case kind == 7:
 		x := l.own[i][l.rng.IntN(len(l.own[i]))]
 		f := testenv.Fault{BlockUp: l.rng.IntN(2) == 0, BlockDown: l.rng.IntN(2) == 0, ResetAfter: 100}
-		say("a box or the list of n%d: %+v", i, f)
+		say("link to an executor or the discovery of n%d: %+v", i, f)
 		x.Set(f)
 		x.Reset()
 		return func() { x.Set(testenv.Fault{}) }
@@ -150,7 +152,7 @@
 		l.each(i, (*testenv.Link).Reset)
 		l.each(k, (*testenv.Link).Reset)
 	case kind <= 9:
-		say("n%d stands still", i)
+		say("n%d is stopped", i)
 		s.signal(syscall.SIGSTOP)
 		down[i] = true
 		return func() { s.signal(syscall.SIGCONT); delete(down, i) }
@@ -159,7 +161,7 @@
 		again := func() { s.startWithoutWaiting("GATETACK_CLOCK=" + clock); delete(down, i) }
 		down[i] = true
 		if kind == 10 {
-			say("n%d ends in order, its clock %s ahead at its next start", i, clock)
+			say("n%d shuts down, its clock is %s ahead after its restart", i, clock)
 			_ = s.process.Process.Signal(syscall.SIGTERM)
 			return func() {
 				select {
@@ -174,14 +176,14 @@
 				again()
 			}
 		}
-		say("n%d is killed, its clock %s ahead at its next start", i, clock)
+		say("n%d is killed, its clock is %s ahead after its restart", i, clock)
 		s.kill()
 		return again
 	}
 	return func() {}
 }
 
-// client is what one client was told, and nothing else.
+// client records the responses that one client got.
 type client struct {
 	mu   sync.Mutex
 	jobs map[string]*kept // by payload
@@ -190,10 +192,10 @@
 type kept struct {
 	id, class string
 	held      bool
-	end       string // the final state, once told
+	end       string // the final state, once one was reported
 }
 
-// call makes a call that may fail, at a node that may not be there.
+// call calls the batch front of a node that may not be running. It returns status 0 if the call fails.
 func (s *testNode) call(verb, path, body string) (int, gjson.Result) {
 	m, err := testenv.CallFor(s.batch, 6*time.Second, verb, "/drmaa2/v1"+path, []byte(body))
 	if err != nil {
@@ -202,8 +204,8 @@
 	return m.Status, gjson.ParseBytes(m.Body)
 }
 
-// work submits jobs until told to stop, each under a key of its own until some node takes it, at any node; it releases held
-// ones, and notes ends. What was final must stay so.
+// work submits jobs to random nodes until stop is closed. It repeats each submission under the job's own idempotency
+// key until a node accepts it, releases held jobs and records final states. A final state must not change.
 func (c *client) work(t *testing.T, f fleet, name string, rng *rand.Rand, stop <-chan struct{}) {
 	ended := func() bool {
 		select {
@@ -217,7 +219,7 @@
 		k := &kept{class: []string{"tile-charge", "area-render"}[rng.IntN(2)], held: rng.IntN(2) == 0}
 		payload := fmt.Sprintf("%s-%d", name, n)
 		body := fmt.Sprintf(`{"jobCategory":%q,"accountingId":"maavaade","payload":%q,"idempotencyKey":%q,"submitAsHold":%v}`, k.class, payload, payload, k.held)
-		for k.id == "" { // also after the end: a submission that was begun is asked for until it is known
+		for k.id == "" { // repeated until a node accepts the job or stop is closed
 			if status, v := f[rng.IntN(len(f))].call("POST", "/jobs", body); status == 201 || status == 200 {
 				k.id = v.Get("jobId").String()
 			} else {
@@ -243,7 +245,7 @@
 	}
 }
 
-// look asks a node for a job's state, and says whether that is final.
+// look queries a node for the state of a job and reports whether that is final.
 func (c *client) look(t *testing.T, s *testNode, payload string, k *kept) bool {
 	status, v := s.call("GET", "/jobs/"+k.id, "")
 	if status != 200 {
@@ -253,7 +255,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if k.end != "" && state != k.end {
-		t.Errorf("%s, job %s: %s was final, and %s tells %s", payload, k.id, k.end, s.name, v.Raw)
+		t.Errorf("%s, job %s: final state was %s, now %s reports %s", payload, k.id, k.end, s.name, v.Raw)
 	}
 	if state == "DONE" || state == "FAILED" {
 		k.end = state
@@ -263,8 +265,8 @@
 
 var taken = regexp.MustCompile(`msg="partition claimed" partition=(\S+) epoch=(\d+) previous_epoch=(\d+)`)
 
-// claims reads all claims from the processes' logs, and checks that each duty's are one chain: each epoch once, and each made
-// in the place of what stood after the one before it.
+// claims reads all claims from the logs of the processes and returns their number. It checks that the claims of each
+// partition form one chain: each epoch occurs once, and each claim replaces an epoch no older than the claim before it.
 func (f fleet) claims(t *testing.T) (n int) {
 	type claim struct{ epoch, was uint64 }
 	by := map[string][]claim{}
@@ -279,17 +281,17 @@
 		slices.SortFunc(all, func(a, b claim) int { return int(a.epoch) - int(b.epoch) })
 		for i, x := range all {
 			if n++; x.was >= x.epoch || i > 0 && x.was < all[i-1].epoch {
-				t.Errorf("duty %s: claims %v cross", key, all)
+				t.Errorf("partition %s: claims %v overlap", key, all)
 			}
 		}
 	}
 	return n
 }
 
-// Five processes, and faults of links, processes, clocks, boxes and lists from a seed while clients submit, release and ask
-// through all of them. In the end each job that was acknowledged has one end, the same at every node; none of a class that
-// must never run twice started twice, a keyed one only in its rack; what is told as never run never was, and what is told as
-// done was, once.
+// Random faults of links, processes, clocks, executors and discoveries are injected into five processes while clients
+// submit, release and query jobs through all of them. At the end each acknowledged job has one final state, the same
+// at every node. No at-most-once job started twice, and a keyed job started in one rack only. A job reported as never
+// run did not start, and one reported as done did.
 func TestFaultsEverywhere(t *testing.T) {
 	l := newLinked(t, 5, *runSeed, 30*time.Millisecond)
 	stop := make(chan struct{})
@@ -309,7 +311,7 @@
 			lifts[0]()
 			lifts = lifts[1:]
 		}
-		if n%16 == 15 { // all is well for a while, so that work goes on between
+		if n%16 == 15 { // without faults for a while, so that jobs make progress
 			for _, lift := range lifts {
 				lift()
 			}
@@ -330,7 +332,7 @@
 	ends := map[string]int{}
 	for payload, k := range jobs {
 		for _, s := range l.fleet {
-			s.until(payload+" has an end at "+s.name, func() bool {
+			s.until(payload+" has a final state at "+s.name, func() bool {
 				if k.held {
 					s.call("POST", "/jobs/"+k.id+"/release", "")
 				}
@@ -339,7 +341,7 @@
 		}
 	}
 	starts := map[string][]string{}
-	for _, s := range l.fleet { // each reaches the boxes at addresses of its own, as on the platform
+	for _, s := range l.fleet { // each has its own executors; those of one rack have one name at all processes
 		for _, b := range s.executors {
 			for _, x := range b.Starts() {
 				starts[x.Body] = append(starts[x.Body], b.Name)
@@ -358,21 +360,21 @@
 		at := starts[payload]
 		switch slices.Sort(told); {
 		case told[0] != told[len(told)-1]:
-			t.Errorf("%s, job %s: nodes tell %v", payload, k.id, told)
+			t.Errorf("%s, job %s: nodes report different states %v", payload, k.id, told)
 		case k.class == "tile-charge" && len(at) > 1, len(slices.Compact(slices.Sorted(slices.Values(at)))) > 1:
 			t.Errorf("%s, job %s of %s: started at %v", payload, k.id, k.class, at)
 		case told[0] == "DONE" && len(at) == 0, told[0] == "FAILED" && sub != "failed" && len(at) > 0:
-			t.Errorf("%s, job %s: told as %s %s, and started at %v", payload, k.id, told[0], sub, at)
+			t.Errorf("%s, job %s: reported as %s %s, but started at %v", payload, k.id, told[0], sub, at)
 		}
 	}
 	claims := l.claims(t)
-	t.Logf("%d faults, %d jobs, %d claims; ends %v", *runFaults, len(jobs), claims, ends)
+	t.Logf("%d faults, %d jobs, %d claims; final states %v", *runFaults, len(jobs), claims, ends)
 	if len(jobs) < *runFaults/2 || claims < 5 || ends["DONE "] == 0 {
-		t.Errorf("%d jobs with ends %v and %d claims: too few to show anything", len(jobs), ends, claims)
+		t.Errorf("%d jobs with final states %v and %d claims: too few for a conclusive run", len(jobs), ends, claims)
 	}
 }
 
-// wholeLog is that of all processes that ran here.
+// wholeLog returns the logs of all runs of the process.
 func (s *testNode) wholeLog() string {
 	var all strings.Builder
 	names, _ := os.ReadDir(s.dir)
@@ -385,10 +387,11 @@
 	return all.String()
 }
 
-var rounds = flag.Int("rounds", 1, "how often TestTimeWithoutOwner causes each fault; the figures on the page are of 20")
+var rounds = flag.Int("rounds", 1, "how often TestTimeWithoutOwner injects each fault; the documented figures use 20")
 
-// A duty has an owner again after its own was killed, stands still, or is cut off from the others and not from its boxes and
-// clients; the one that was cut off hands nothing on meanwhile. How long it took is told, and judged by nobody.
+// A partition gets a new owner after its owner is killed, stopped, or cut off from the other processes but not from
+// its executors and clients. An owner that is cut off releases no job meanwhile. The test logs the time without an
+// owner and checks no bound on it.
 func TestTimeWithoutOwner(t *testing.T) {
 	l := newLinked(t, 3, 1, 20*time.Millisecond)
 	old, other := l.fleet[0], l.fleet[1]
@@ -405,7 +408,7 @@
 		for n := range *rounds {
 			payload := fmt.Sprintf("%s %d", x.what, n)
 			var id string
-			old.until("it takes a job", func() bool {
+			old.until("the owner accepts a job", func() bool {
 				status, v := old.call("POST", "/jobs", fmt.Sprintf(`{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q,"submitAsHold":true}`, payload))
 				id = v.Get("jobId").String()
 				return status == 201
@@ -420,18 +423,18 @@
 				}
 				return gjson.Get(gjson.GetBytes(m.Body, "value").String(), "node").String()
 			}
-			other.until("it is seen", func() bool { return owner() == "n0" })
+			other.until("n1 reports n0 as the owner", func() bool { return owner() == "n0" })
 			x.cause()
 			began := time.Now()
-			other.until("another has it", func() bool { got := owner(); return got != "" && got != "n0" })
+			other.until("another process is the owner", func() bool { got := owner(); return got != "" && got != "n0" })
 			took = append(took, time.Since(began))
-			if x.what == "cut off" { // its clients reach it: what they ask for is not done there
+			if x.what == "cut off" { // clients still reach it, but it must not release their jobs
 				if status, v := old.call("POST", "/jobs/"+id+"/release", ""); status == 200 {
-					t.Errorf("%s: released at a node that is cut off: %s", payload, v.Raw)
+					t.Errorf("%s: released by a node that is cut off: %s", payload, v.Raw)
 				}
 			}
-			other.until("it is released", func() bool { status, _ := other.call("POST", "/jobs/"+id+"/release", ""); return status == 200 })
-			other.until("it is done", func() bool {
+			other.until("release", func() bool { status, _ := other.call("POST", "/jobs/"+id+"/release", ""); return status == 200 })
+			other.until("the job is done", func() bool {
 				_, v := other.call("GET", "/jobs/"+id, "")
 				return v.Get("jobState").String() == "DONE"
 			})
@@ -441,7 +444,7 @@
 			}
 		}
 		slices.Sort(took)
-		t.Logf("%s, %d times: an owner again after %v in the median, %v at most", x.what, len(took),
+		t.Logf("%s, %d times: new owner after %v (median), %v (maximum)", x.what, len(took),
 			took[len(took)/2].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond))
 	}
 }
--- a/test/moments_test.go
+++ b/test/moments_test.go
@@ -14,13 +14,13 @@
 	"gatetack/internal/testenv"
 )
 
-// jobRequest is a job of an id as its bytes, with so many milliseconds left to its client.
+// jobRequest returns the bytes of a job request whose client allows it the given time in milliseconds.
 func jobRequest(id string, left int) string {
 	return fmt.Sprintf("POST /tile-charge/cut HTTP/1.1\r\nHost: test\r\nX-Trace-Id: %s\r\nX-Customer: pohjakaart\r\n"+
 		"X-Expires-In-Ms: %d\r\nIdempotency-Key: key-%s\r\nContent-Length: 4\r\n\r\nbody", id, left, id)
 }
 
-// connect opens a connection to the node that ends with the test.
+// connect opens a connection to the node that is closed at the end of the test.
 func (s *testNode) connect() net.Conn {
 	s.t.Helper()
 	c, err := net.Dial("tcp", s.listen)
@@ -32,7 +32,7 @@
 	return c
 }
 
-// ends waits for the end of the program and says how it ended.
+// ends waits for the program to exit and returns its exit error.
 func (s *testNode) ends() error {
 	s.t.Helper()
 	select {
@@ -40,13 +40,13 @@
 		s.process = nil
 		return err
 	case <-time.After(30 * time.Second):
-		return fmt.Errorf("it does not end")
+		return fmt.Errorf("the program did not exit within 30 s")
 	}
 }
 
-// A client sends two jobs at once on one connection. The time of the second is counted from its own last byte: once the first is
-// done it is over, and the second is answered and not sent. (Counted from its turn, it went out, and told its executor a time that
-// nobody had left.)
+// A client pipelines two jobs on one connection. The deadline of the second counts from its own last byte. It has
+// passed when the first is done, so the second is answered without being sent. If the deadline counted from the start
+// of its processing, the second would be sent with more time left than its client allows.
 func TestTimeOfAJobBehindAnother(t *testing.T) {
 	s := newTestNode(t, 1, 1200*time.Millisecond)
 	s.start()
@@ -59,12 +59,12 @@
 		}
 	}
 	if n := len(s.executors[0].Starts()); n != 1 {
-		t.Errorf("%d jobs were sent", n)
+		t.Errorf("%d jobs were sent, want 1", n)
 	}
 }
 
-// A job comes in the very moment in which a node that was told to leave has decided to end: its connection stands in the listener's
-// queue and nobody has taken it. It gets a whole answer, nothing of it is sent, and the process ends well.
+// A job arrives when a node that is shutting down is about to exit: its connection is in the accept queue of the
+// listener. The client gets a complete answer, the job is not sent, and the process exits without an error.
 func TestJobInTheMomentOfTheEnd(t *testing.T) {
 	s := newTestNode(t, 1, 10*time.Millisecond)
 	s.env = []string{"GATETACK_STOP_AT=" + failpoint.Leave}
@@ -72,8 +72,8 @@
 	if err := s.process.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	s.until("it is about to end", s.isStopped)
-	c := s.connect() // by the kernel: the process stands still
+	s.until("the process is about to exit", s.isStopped)
+	c := s.connect() // accepted by the kernel, as the process is stopped
 	if _, err := io.WriteString(c, jobRequest("00000000000000b3", 7500)); err != nil {
 		t.Fatal(err)
 	}
@@ -84,21 +84,21 @@
 		t.Errorf("%q %v", all, err)
 	}
 	if err := s.ends(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the process exited with %v", err)
 	}
 	if n := len(s.executors[0].Starts()); n != 0 {
-		t.Errorf("%d jobs were sent", n)
+		t.Errorf("%d jobs were sent, want 0", n)
 	}
 }
 
-// A node is told to leave before it listens: the process ends well by itself, and no client was taken before, nor is one lost.
+// A node gets SIGTERM before it listens. The process exits without an error, and no client connects before.
 func TestTermBeforeTheListener(t *testing.T) {
 	s := newTestNode(t, 1, 10*time.Millisecond)
 	s.startWithoutWaiting("GATETACK_STOP_AT=" + failpoint.Listen)
-	s.until("it is about to listen", s.isStopped)
+	s.until("the process is about to listen", s.isStopped)
 	if c, err := net.Dial("tcp", s.listen); err == nil {
 		_ = c.Close()
-		t.Fatal("it listens already")
+		t.Fatal("the process already listens")
 	}
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGCONT} {
 		if err := s.process.Process.Signal(sig); err != nil {
@@ -106,9 +106,9 @@
 		}
 	}
 	if err := s.ends(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the process exited with %v", err)
 	}
 	if !s.logContains("msg=leaving") {
-		t.Error("the signal was not taken for what it is")
+		t.Error("the process did not log the shutdown on SIGTERM")
 	}
 }
--- a/test/races_test.go
+++ b/test/races_test.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Signals beside one another: a node that was told to leave is told so again and to read its configuration, while a job of it runs
-// on past the time after which it may be killed, and half a request stands on a connection. The job is answered, the request is
-// answered once its rest has come, the new list is followed, and the process ends well.
+// A node that is shutting down gets SIGHUP and a second SIGTERM, while one of its jobs runs longer than the time after
+// which the node may be killed, and a connection has half a request. The job is answered, the request is answered once
+// it is complete, the configuration is reloaded, and the process exits without an error.
 func TestSignalsBesideOneAnother(t *testing.T) {
 	s := newTestNode(t, 1, 4500*time.Millisecond)
 	s.start()
@@ -20,7 +20,7 @@
 	g.Go(func() error {
 		m, err := s.post("tile-charge", "00000000000000a1")
 		if err == nil && m.Status != 200 {
-			t.Errorf("the job: %d %s", m.Status, m.Body)
+			t.Errorf("answer to the job: %d %s", m.Status, m.Body)
 		}
 		return err
 	})
@@ -38,12 +38,12 @@
 		}
 	}
 	signal(syscall.SIGTERM)
-	s.until("it leaves", func() bool { return s.logContains("msg=leaving") })
+	s.until("the node is shutting down", func() bool { return s.logContains("msg=leaving") })
 	signal(syscall.SIGHUP)
-	s.until("it has read its configuration", func() bool { return s.logContains("msg=reload") })
+	s.until("the node has reloaded its configuration", func() bool { return s.logContains("msg=reload") })
 	_, _ = io.WriteString(half, "st\r\nConnection: close\r\n\r\n")
 	if all, err := io.ReadAll(half); err != nil || len(all) < 12 || string(all[9:12]) != "200" {
-		t.Errorf("half a request at the signal: %q %v", all, err)
+		t.Errorf("answer to the request that was incomplete at SIGTERM: %q %v", all, err)
 	}
 	signal(syscall.SIGTERM)
 	if err := g.Wait(); err != nil {
@@ -52,9 +52,9 @@
 	select {
 	case err := <-s.exited:
 		if s.process = nil; err != nil {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("the process exited with %v", err)
 		}
 	case <-time.After(30 * time.Second):
-		t.Error("it does not leave")
+		t.Error("the process did not exit within 30 s of the second SIGTERM")
 	}
 }
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -13,9 +13,9 @@
 	"gatetack/internal/testenv"
 )
 
-// SIGHUP under load: the node goes on with the discovery that the replaced file names, although EDGE_DISCOVERY still
-// names the old one; it loses no job, honours a drain that only the new one tells, passes over a file that can not
-// be used, and leaves on SIGTERM as ever.
+// SIGHUP under load: the node switches to the discovery named by the replaced file, although EDGE_DISCOVERY still
+// names the old one. It loses no job, follows a drain listed only by the new discovery, ignores an invalid file, and
+// shuts down on SIGTERM as usual.
 func TestReload(t *testing.T) {
 	s := newTestNode(t, 2, 20*time.Millisecond)
 	next, err := testenv.NewDiscovery(s.ctx, s.g)
@@ -50,7 +50,7 @@
 			})
 		}
 	})
-	s.until("the box that will drain has work", func() bool { return len(drained.Starts()) > 3 })
+	s.until("the executor that will drain has jobs", func() bool { return len(drained.Starts()) > 3 })
 	s.writeConfig(next.Addr, defaultSettings)
 	hup()
 	s.until("the new discovery is watched", func() bool { return next.Watches() == 1 })
@@ -59,27 +59,27 @@
 
 	s.writeConfig("nowhere", defaultSettings)
 	hup()
-	s.until("an address that is none is passed over", func() bool { return s.logContains("discovery: address nowhere") })
+	s.until("the invalid address is rejected", func() bool { return s.logContains("discovery: address nowhere") })
 	if err := os.WriteFile(s.dir+"/config.json", []byte(`{"name":"n0","settings":{`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	hup()
-	s.until("a file that is no JSON is passed over", func() bool { return s.logContains("not valid JSON") })
+	s.until("the file that is not JSON is rejected", func() bool { return s.logContains("not valid JSON") })
 
 	time.Sleep(time.Until(told.Add(700 * time.Millisecond)))
 	close(done)
 	if err := errors.Join(load.Wait(), jobs.Wait()); err != nil {
-		t.Errorf("a job was lost: %v", err)
+		t.Errorf("job without an expected answer: %v", err)
 	}
 	for _, x := range drained.Starts() {
 		if late := x.At.Sub(told); late > 500*time.Millisecond {
-			t.Errorf("job %s was sent %v after a drain that the new discovery told", x.ID, late)
+			t.Errorf("job %s was sent %v after the new discovery listed the drain", x.ID, late)
 		}
 	}
 	if s.discovery.Watches() != 1 || next.Watches() != 1 {
-		t.Errorf("%d watches at the old discovery and %d at the new one, want one at each", s.discovery.Watches(), next.Watches())
+		t.Errorf("%d watches of the old discovery, %d of the new one, want 1 each", s.discovery.Watches(), next.Watches())
 	}
 	if err := s.terminate(); err != nil {
-		t.Errorf("leaving after a reload: %v", err)
+		t.Errorf("shutdown after a reload: %v", err)
 	}
 }
--- a/test/retune_test.go
+++ b/test/retune_test.go
@@ -12,9 +12,9 @@
 	"gatetack/internal/testenv"
 )
 
-// SIGHUP under load with another settings: a class that comes is taken under its own rules, one that goes is still taken
-// for a while and then is not, jobs that are open end under the rules they came under, and files that are broken in any of
-// five ways change nothing, by the file, the field and what was expected in the log.
+// SIGHUP under load with changed settings: an added class is served under its own rules, a removed class is served for
+// a while longer, and jobs in flight end under the rules that applied when they arrived. Each of five invalid files
+// changes nothing, and the log names the file, the field and the expected value.
 func TestRetune(t *testing.T) {
 	s := newTestNode(t, 2, 300*time.Millisecond)
 	s.start()
@@ -33,9 +33,9 @@
 		return m.Status
 	}
 	if got := ask("draft", "00000000000000a1"); got != 404 {
-		t.Fatalf("a class that is not there yet: %d", got)
+		t.Fatalf("request of a class that is not configured yet: %d, want 404", got)
 	}
-	// Open before, answered after.
+	// These jobs start before the settings change and are answered after it.
 	var open sync.WaitGroup
 	early := make([]int, 4)
 	for i := range early {
@@ -46,12 +46,12 @@
 			}
 		})
 	}
-	s.until("the early jobs run", func() bool { return len(s.starts()) >= 4 })
+	s.until("the jobs that start before the change run", func() bool { return len(s.starts()) >= 4 })
 
 	draft := `{"name":"draft","aim":900.0,"deadline":5000.0,"worth":2.0,"effect":"single_shot","window":0.0,"dedupScope":"all","lateWorth":0.0,"streaming":false}`
 	from, to := strings.Index(defaultSettings, `{"name":"area-render"`), strings.Index(defaultSettings, "],\n\"tenants\"")
 	if from < 0 || to < from {
-		t.Fatal("the stand-in's settings are not as this test takes them to be")
+		t.Fatal("the test environment's settings lack the expected classes or their order")
 	}
 	next := defaultSettings[:from] + draft + defaultSettings[to:]
 	for _, x := range []struct{ text, want string }{
@@ -69,44 +69,44 @@
 		}
 		before := s.logCount("the old one stays")
 		hup()
-		s.until("a broken file is refused", func() bool { return s.logCount("the old one stays") == before+1 })
+		s.until("the invalid file is rejected", func() bool { return s.logCount("the old one stays") == before+1 })
 		if !s.logContains(x.want) {
-			t.Errorf("the log does not say %q", x.want)
+			t.Errorf("the log does not contain %q", x.want)
 		}
 		if got := ask("draft", "00000000000000a2"); got != 404 {
-			t.Errorf("after %q: the new class is answered %d", x.want, got)
+			t.Errorf("after a file with the fault %q: request of the new class: %d, want 404", x.want, got)
 		}
 	}
 	s.writeConfig(s.discovery.Addr, next)
 	hup()
-	s.until("the new settings hold", func() bool { return s.logContains("retuned=true") })
+	s.until("the new settings are in force", func() bool { return s.logContains("retuned=true") })
 	if got := ask("draft", "00000000000000c1"); got != 200 {
-		t.Errorf("a job of the new class: %d", got)
+		t.Errorf("job of the added class: %d, want 200", got)
 	}
 	if got := ask("area-render", "00000000000000c2"); got != 200 {
-		t.Errorf("a job of the dropped class, just after: %d", got)
+		t.Errorf("job of the removed class, just after the change: %d, want 200", got)
 	}
 	if got := ask("tile-charge", "00000000000000c3"); got != 200 {
-		t.Errorf("a job of a class that stays: %d", got)
+		t.Errorf("job of an unchanged class: %d, want 200", got)
 	}
 	open.Wait()
 	for i, got := range early {
 		if got != 200 {
-			t.Errorf("job %d, open when the settings changed: %d", i, got)
+			t.Errorf("job %d, in flight when the settings changed: %d, want 200", i, got)
 		}
 	}
-	s.until("the dropped class is no longer taken", func() bool { return ask("area-render", "00000000000000c4") == 404 })
-	// The new class must never run twice: it fails at the boxes once and is not sent again.
+	s.until("the removed class is no longer served", func() bool { return ask("area-render", "00000000000000c4") == 404 })
+	// The added class is at most once: a job that fails on an executor is not sent again.
 	for _, b := range s.executors {
 		b.Set(func(how *testenv.Behavior) { how.FailJobs = true })
 	}
 	if got := ask("draft", "00000000000000c5"); got != 500 {
-		t.Errorf("a job of the new class that fails: %d", got)
+		t.Errorf("failing job of the added class: %d, want 500", got)
 	}
 	if n := len(s.starts()["00000000000000c5"]); n != 1 {
-		t.Errorf("a job of the new class, which must never run twice, started %d times", n)
+		t.Errorf("job of the added at-most-once class started %d times", n)
 	}
 	if err := s.terminate(); err != nil {
-		t.Errorf("leaving after a retune: %v", err)
+		t.Errorf("shutdown after the settings change: %v", err)
 	}
 }
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -18,12 +18,13 @@
 	"gatetack/internal/testenv"
 )
 
-// settingsFleet is members of a store that act on its settings, and processes beside them that follow.
+// settingsFleet consists of store members that activate the replicated settings and of processes that follow them.
 type settingsFleet struct {
-	fleet // the members first
+	fleet // members come before followers
 }
 
-// newSettingsFleet starts members, and then followers, which are none, once a test has prepared them.
+// newSettingsFleet starts the members and then the followers, which are not members of the store. prepare, if set, is
+// called before the first process starts.
 func newSettingsFleet(t *testing.T, members, followers int, prepare func(f *settingsFleet)) *settingsFleet {
 	t.Helper()
 	f := &settingsFleet{fleet: makeFleet(t, members, 20*time.Millisecond)}
@@ -48,7 +49,7 @@
 	return f
 }
 
-// settings runs a command on settings at a member.
+// settings runs "gatetack settings" with the given arguments against a member and returns its combined output.
 func (s *testNode) settings(args ...string) (string, error) {
 	cmd := exec.Command(program, append([]string{"settings"}, append(args, "--store-addr", s.store, "--timeout", "8s")...)...)
 	timer := time.AfterFunc(15*time.Second, func() { _ = cmd.Process.Kill() })
@@ -57,11 +58,11 @@
 	return string(out), err
 }
 
-// accept makes a change at a member until it is accepted, and returns its version.
+// accept repeats a settings change at a member until it is accepted and returns the version.
 func (s *testNode) accept(args ...string) uint64 {
 	s.t.Helper()
 	var out string
-	s.until("a change is accepted: "+strings.Join(args, " "), func() bool {
+	s.until("settings change is accepted: "+strings.Join(args, " "), func() bool {
 		var err error
 		out, err = s.settings(append(args, "--output", "json")...)
 		return err == nil
@@ -69,16 +70,16 @@
 	return gjson.Get(out, "version").Uint()
 }
 
-// takes reports whether a process takes jobs of a class by now.
+// takes reports whether a process serves requests of a class.
 func (s *testNode) takes(class, id string) bool {
 	m, err := s.post(class, id)
 	return err == nil && m.Status == 200
 }
 
-// inForce waits until a member tells that each of some processes has a version in force.
+// inForce waits until a member reports the version, or a later one, in force at each of the named processes.
 func (s *testNode) inForce(version uint64, names ...string) {
 	s.t.Helper()
-	s.until(fmt.Sprintf("version %d is in force at %v", version, names), func() bool {
+	s.until(fmt.Sprintf("settings version %d is in force at %v", version, names), func() bool {
 		out, err := s.settings("status", "--output", "json")
 		if err != nil {
 			return false
@@ -101,18 +102,19 @@
 
 const draftClass = `{"deadline":5000,"aim":900,"effect":"free"}`
 
-// A class that is accepted at one member is taken by all processes, members or not, and a change set twice has one effect.
+// A class that one member accepts is served by all processes, members and followers. Setting the same value a second
+// time creates no new version.
 func TestSettingsReachAll(t *testing.T) {
 	f := newSettingsFleet(t, 3, 2, nil)
 	version := f.fleet[1].accept("set", "class/draft", draftClass)
 	f.fleet[0].inForce(version, f.names()...)
 	for i, s := range f.fleet {
 		if !s.takes("draft", fmt.Sprintf("00000000000000%02x", i)) {
-			t.Errorf("%s has version %d in force and does not take the class that it brought", s.name, version)
+			t.Errorf("%s has version %d in force but does not serve the class added by it", s.name, version)
 		}
 	}
 	if again := f.fleet[2].accept("set", "class/draft", draftClass); again != version {
-		t.Errorf("the same change again made version %d after %d", again, version)
+		t.Errorf("repeating the same change returned version %d, want %d", again, version)
 	}
 	for i := range 20 {
 		version = f.fleet[i%3].accept("set", "tenant/maavaade", fmt.Sprintf(`{"quotaRps":%d}`, 20+i))
@@ -130,8 +132,8 @@
 	loggedAccepted = regexp.MustCompile(`time=(\S+) \S+ msg="settings accepted" version=(\d+) changed=[1-9]\d* took=(\S+)`)
 )
 
-// reportRollout tells how long after a member was asked for a change the last process had it in force, by the processes' logs. It
-// judges nothing.
+// reportRollout logs the time from the request for a change until the last process had it in force, taken from the
+// logs of the processes. It checks no bound.
 func (f *settingsFleet) reportRollout(t *testing.T) {
 	t.Helper()
 	asked, last := map[string]time.Time{}, map[string]time.Time{}
@@ -141,14 +143,14 @@
 			at, err := time.Parse(time.RFC3339Nano, m[1])
 			took, tookErr := time.ParseDuration(m[3])
 			if err != nil || tookErr != nil {
-				t.Fatalf("%q can not be read: %v, %v", m[0], err, tookErr)
+				t.Fatalf("cannot parse log line %q: %v, %v", m[0], err, tookErr)
 			}
 			asked[m[2]] = at.Add(-took)
 		}
 		for _, m := range loggedInForce.FindAllStringSubmatch(log, -1) {
 			at, err := time.Parse(time.RFC3339Nano, m[1])
 			if err != nil {
-				t.Fatalf("%q can not be read: %v", m[0], err)
+				t.Fatalf("cannot parse log line %q: %v", m[0], err)
 			}
 			if at.After(last[m[2]]) {
 				last[m[2]] = at
@@ -160,15 +162,15 @@
 		took = append(took, last[version].Sub(at))
 	}
 	if len(took) == 0 {
-		t.Fatal("no log tells of a change")
+		t.Fatal("no log contains an accepted settings change")
 	}
 	slices.Sort(took)
-	t.Logf("%d changes at %d processes: in force at the last after %v in the median, %v at most", len(took), len(f.fleet),
+	t.Logf("%d changes at %d processes: in force at all after %v (median), %v (maximum)", len(took), len(f.fleet),
 		took[len(took)/2].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond))
 }
 
-// A change that can not be used is refused at each member by field and by what was expected, and changes nothing; so is one for a
-// version that is over. What some items of one change lack keeps all of them out.
+// Each member rejects an invalid change, or one conditional on an outdated version, with an error that names the field
+// and the expected value; the settings stay unchanged. One invalid item rejects the whole change.
 func TestSettingsBadChanges(t *testing.T) {
 	f := newSettingsFleet(t, 3, 0, nil)
 	version := f.fleet[0].accept("set", "tenant/maavaade", `{"quotaRps":9}`)
@@ -207,24 +209,25 @@
 			}
 		}
 		if out, err := s.storeCommand("set", "settings", "class/draft", draftClass); err == nil || !strings.Contains(out, "gatetack settings") {
-			t.Errorf("%s: a write past the validation: %v %s", s.name, err, out)
+			t.Errorf("%s: write that bypasses validation: %v %s", s.name, err, out)
 		}
 		if out, err := s.settings("list", "--output", "json"); err != nil || gjson.Get(out, "version").Uint() != version || gjson.Get(out, "changes.#").Int() != 1 {
-			t.Errorf("%s: after that: %v %s", s.name, err, out)
+			t.Errorf("%s: settings after the rejected changes: %v %s", s.name, err, out)
 		}
 	}
-	// And a good one of several items is made whole.
+	// A valid change of several items is applied as a whole.
 	write("class/draft: {deadline: 5000, aim: 900, effect: free}\ntenant/maavaade: null\ngeneral: {limits: {maxAttempts: 2}}\n")
 	next := f.fleet[2].accept("apply", file, "--if", fmt.Sprint(version))
 	f.fleet[1].inForce(next, f.names()...)
 	out, err := f.fleet[1].settings("list", "--output", "json")
 	if keys := gjson.Get(out, "changes.#.key").Raw; err != nil || keys != `["class/draft","general"]` {
-		t.Errorf("items after it: %v %s", err, out)
+		t.Errorf("settings after the valid change: %v %s", err, out)
 	}
 }
 
-// Members are killed one after the other, the leader among them, while changes are made at the others: each that was accepted is in
-// force at every process in the end, also at those that were away, and none goes back to an older version.
+// Members, including the leader, are killed one after the other while changes are made at another member. The last
+// accepted version is in force at every process at the end, also at restarted ones, and no process reverts to an older
+// version.
 func TestSettingsMemberKilled(t *testing.T) {
 	f := newSettingsFleet(t, 3, 2, nil)
 	var last uint64
@@ -247,22 +250,22 @@
 		reached := uint64(0)
 		for _, order := range s.inForceOrders() {
 			if !slices.IsSorted(order) {
-				t.Errorf("%s put in force, one after the other: %v", s.name, order)
+				t.Errorf("%s activated settings versions out of order: %v", s.name, order)
 			}
 			reached = max(reached, slices.Max(append(order, 0)))
 		}
 		if reached != last {
-			t.Errorf("%s has version %d in force, expected %d", s.name, reached, last)
+			t.Errorf("%s has settings version %d in force, want %d", s.name, reached, last)
 		}
 		if !s.takes("draft", "00000000000000c1") {
-			t.Errorf("%s does not take the class", s.name)
+			t.Errorf("%s does not serve class draft", s.name)
 		}
 	}
 }
 
 var putInForce = regexp.MustCompile(`msg="settings activated" version=(\d+)`)
 
-// inForceOrders reads from the logs which versions a process put in force, one after the other, in each of its lives.
+// inForceOrders reads from the logs the settings versions that a process activated, in order, for each of its runs.
 func (s *testNode) inForceOrders() (lives [][]uint64) {
 	s.t.Helper()
 	logs, err := filepath.Glob(filepath.Join(s.dir, "log*"))
@@ -284,8 +287,8 @@
 	return lives
 }
 
-// A follower whose links to its members are cut, first all but one and then all, is told by name as behind while it is; the others
-// are not held up; and it has the latest once one link is back.
+// The links from a follower to the members are cut, first all but one and then all. While the follower is behind, the
+// status names it; the other processes are not delayed. It has the latest version once one link works again.
 func TestSettingsFollowerCut(t *testing.T) {
 	var links []*testenv.Link
 	f := newSettingsFleet(t, 3, 2, func(f *settingsFleet) {
@@ -305,7 +308,7 @@
 	set := func(aim int) uint64 {
 		return f.fleet[0].accept("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, aim))
 	}
-	for i := range links { // each in turn is the one that is left
+	for i := range links { // links[i] is the only one that works
 		for k, link := range links {
 			if link.Set(testenv.Fault{}); k != i {
 				link.Set(cut)
@@ -318,7 +321,7 @@
 	}
 	version := set(200)
 	f.fleet[2].inForce(version, "n0", "n1", "n2", "f1")
-	f.fleet[0].until("f0 is told as behind", func() bool {
+	f.fleet[0].until("the status names f0 as behind", func() bool {
 		out, err := f.fleet[2].settings("status")
 		return err == nil && strings.Contains(out, "not yet in force at f0") && strings.Count(out, "not yet in force") == 1
 	})
@@ -326,8 +329,8 @@
 	f.fleet[2].inForce(version, f.names()...)
 }
 
-// Processes that start anew have the settings that were in force, not those of their base file: a follower none of whose members
-// answers, a member whose store has no leader, and a follower that never ran before.
+// A started process has the settings that were in force, not those of its base file. This covers a follower whose
+// members do not answer, a member whose store has no leader, and a follower that never ran before.
 func TestSettingsAfterRestart(t *testing.T) {
 	f := newSettingsFleet(t, 3, 1, nil)
 	follower := f.fleet[3]
@@ -338,7 +341,7 @@
 	late.name, late.extraConfig = "f9", strings.Replace(follower.extraConfig, "  cache: settings.json\n", "", 1)
 	late.start()
 	if !late.takes("draft", "00000000000000d0") {
-		t.Error("a process that never ran before does not take the class from its start on")
+		t.Error("a new process does not serve class draft from its start on")
 	}
 	late.kill()
 	for _, s := range f.fleet {
@@ -347,82 +350,83 @@
 	for i, s := range []*testNode{follower, f.fleet[0]} {
 		s.start()
 		if !s.takes("draft", fmt.Sprintf("00000000000000d%d", i+1)) {
-			t.Errorf("%s, alone, does not take the class", s.name)
+			t.Errorf("%s, started alone, does not serve class draft", s.name)
 		}
 	}
-	// A cache that is cut off is as none, and says so: the base file holds until a member answers.
+	// A truncated cache is logged and ignored: the base file applies until a member answers.
 	follower.kill()
 	if err := os.Truncate(filepath.Join(follower.dir, "settings.json"), 10); err != nil {
 		t.Fatal(err)
 	}
 	follower.start()
 	if !follower.logContains("the cache can not be used") || !follower.logContains("no settings from any member before the start") {
-		t.Error("a cache that was cut off is not told")
+		t.Error("the follower did not log that its settings cache is truncated")
 	}
 	f.fleet[1].start()
 	f.fleet[2].start()
-	follower.until("it takes the class again", func() bool { return follower.takes("draft", "00000000000000d7") })
-	// One that no member has heard since their starts is still told as missing, until it is forgotten.
-	f.fleet[1].until("f9 is told as missing", func() bool {
+	follower.until("it serves class draft again", func() bool { return follower.takes("draft", "00000000000000d7") })
+	// A process that has not contacted any restarted member is still reported as behind, until it is forgotten.
+	f.fleet[1].until("the status names f9 as behind", func() bool {
 		out, err := f.fleet[1].settings("status")
 		return err == nil && strings.Contains(out, "not yet in force at f9") && strings.Contains(out, "not heard")
 	})
 	if out, err := f.fleet[2].settings("forget", "f8"); err == nil {
-		t.Errorf("a process that never was is forgotten: %s", out)
+		t.Errorf("forget of an unknown process succeeded: %s", out)
 	}
 	if out, err := f.fleet[2].settings("forget", "f9"); err != nil {
 		t.Errorf("forget: %v %s", err, out)
 	}
-	f.fleet[1].until("f9 is told no longer", func() bool {
+	f.fleet[1].until("the status no longer names f9", func() bool {
 		out, err := f.fleet[1].settings("status")
 		return err == nil && strings.Contains(out, "in force at 4 of 4 processes")
 	})
 }
 
-// A process whose base configuration does not go with a change keeps what it has and is told by name with its reason, while the
-// others have it; with a change that it can use it has that at once. SIGHUP's file goes on to work beneath.
+// A process whose base configuration conflicts with a change keeps its settings, and the status names it with the
+// reason while the other processes activate the change. It activates the next change that it can apply. A base file
+// reloaded on SIGHUP takes effect under the replicated settings.
 func TestSettingsThatOneProcessCanNotUse(t *testing.T) {
 	from := strings.Index(defaultSettings, `{"name":"area-render"`)
 	to := strings.Index(defaultSettings, "],\n\"tenants\"")
 	if from < 0 || to < from {
-		t.Fatal("the stand-in's settings are not as this test takes them to be")
+		t.Fatal("the test environment's settings lack the expected classes or their order")
 	}
 	lacking := strings.TrimRight(defaultSettings[:from], " ,\n") + defaultSettings[to:] // has no class area-render
 	f := newSettingsFleet(t, 3, 2, func(f *settingsFleet) { f.fleet[4].settingsJSON = lacking })
 	version := f.fleet[0].accept("set", "class/area-render", `{"worth":3}`)
 	f.fleet[1].inForce(version, "n0", "n1", "n2", "f0")
 	odd := f.fleet[4]
-	odd.until("f1 is told by its reason", func() bool {
+	odd.until("the status names f1 with the reason", func() bool {
 		out, err := f.fleet[2].settings("status")
 		return err == nil && strings.Contains(out, "in force at 4 of 5 processes") && strings.Contains(out, "not yet in force at f1") &&
 			strings.Contains(out, "class/area-render: deadline: absent, expected a value, as the base configuration has none of this name")
 	})
 	if odd.takes("area-render", "00000000000000e0") {
-		t.Error("f1 takes a class that it could not put in force")
+		t.Error("f1 serves a class that it could not activate")
 	}
 	next := f.fleet[1].accept("set", "class/area-render", `{"deadline":25000,"effect":"free"}`)
 	f.fleet[2].inForce(next, f.names()...)
 	if !odd.takes("area-render", "00000000000000e1") {
-		t.Error("f1 does not take the class that it has in force")
+		t.Error("f1 does not serve the class that it has in force")
 	}
-	// The base file of a process: what it says anew holds, and what the store says still lies over it.
+	// The reloaded base file takes effect, and the replicated settings still override it.
 	draft := `{"name":"draft","aim":900.0,"deadline":5000.0,"worth":2.0,"effect":"free","window":0.0},`
 	odd.writeConfig(odd.discovery.Addr, strings.Replace(lacking, `{"name":"tile-charge"`, draft+` {"name":"tile-charge"`, 1))
 	odd.signal(syscall.SIGHUP)
-	odd.until("the new base holds", func() bool { return odd.takes("draft", "00000000000000e2") })
+	odd.until("the new base file is in force", func() bool { return odd.takes("draft", "00000000000000e2") })
 	if !odd.takes("area-render", "00000000000000e3") {
-		t.Error("after SIGHUP the store's class is gone")
+		t.Error("SIGHUP dropped the class from the replicated settings")
 	}
 	back := f.fleet[0].accept("delete", "class/area-render")
 	f.fleet[0].inForce(back, f.names()...)
-	odd.until("the store's class is gone with its item", func() bool { return !odd.takes("area-render", "00000000000000e4") })
+	odd.until("the class is no longer served", func() bool { return !odd.takes("area-render", "00000000000000e4") })
 	if !odd.takes("draft", "00000000000000e5") || !f.fleet[0].takes("area-render", "00000000000000e6") {
-		t.Error("what the base files say does not hold")
+		t.Error("the classes of the base files are not served")
 	}
 }
 
-// A follower stands still while more changes than are kept for deltas are made: it has them by a snapshot once it goes on. A
-// document of 1,020 tenants comes whole.
+// A follower is stopped while more changes are made than are kept for deltas. Once it continues, it gets all of them
+// by a snapshot. A document of 1,020 tenants is transferred completely.
 func TestSettingsAfterLongSilence(t *testing.T) {
 	f := newSettingsFleet(t, 1, 1, nil)
 	member, follower := f.fleet[0], f.fleet[1]
@@ -445,12 +449,12 @@
 	m, err := testenv.Call(follower.listen, "POST", "/tile-charge/cut", []byte("x"), header("X-Trace-Id", "00000000000000f1"), header("X-Customer", "t1019"),
 		header("X-Expires-In-Ms", "7500"), header("Idempotency-Key", "k1"))
 	if err != nil || m.Status != 200 {
-		t.Errorf("a job of the last tenant: %v, %+v", err, m)
+		t.Errorf("request of the last tenant: %v, %+v", err, m)
 	}
 }
 
-// A member is cut off from the other members and not from the process that follows it: that goes on to another member, and has what is
-// accepted there. Once the link is back the member itself has it.
+// A member is cut off from the other members but not from its follower. The follower moves on to another member and
+// gets the changes accepted there. The member itself gets them once its links work again.
 func TestSettingsMemberCutOff(t *testing.T) {
 	cut := testenv.Fault{BlockUp: true, BlockDown: true}
 	var around []*testenv.Link // between n2 and the other members
@@ -477,7 +481,7 @@
 		return n0.accept("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, aim))
 	}
 	away.Set(cut)
-	n1.inForce(set(100), f.names()...) // now it follows n2
+	n1.inForce(set(100), f.names()...) // the follower now follows n2
 	away.Set(testenv.Fault{})
 	for _, link := range around {
 		link.Set(cut)
@@ -491,7 +495,7 @@
 		link.Set(testenv.Fault{})
 	}
 	n1.inForce(version, f.names()...)
-	n2.until("n2 tells the same", func() bool {
+	n2.until("n2 reports the same status", func() bool {
 		out, err := n2.settings("status")
 		return err == nil && strings.Contains(out, "in force at 4 of 4 processes")
 	})
--- a/test/slow_test.go
+++ b/test/slow_test.go
@@ -14,7 +14,7 @@
 	"gatetack/internal/testenv"
 )
 
-// load plays jobs, a fixed number for each client, and gives what came of them.
+// load runs clients that each submit a fixed number of jobs and returns their results.
 func (s *testNode) load(class, prefix string, clients, jobs int) *testenv.LoadResult {
 	s.t.Helper()
 	l := testenv.Load{Addr: s.listen, Clients: clients, Class: class, Deadline: 7500 * time.Millisecond, Objective: 7 * time.Second,
@@ -31,7 +31,8 @@
 	return gjson.ParseBytes(m.Body)
 }
 
-// balanced checks that each job taken has exactly one end, and that no box got a job twice where it may not.
+// balanced waits until all jobs have ended and checks that each accepted job is counted with one outcome and that no
+// at-most-once job started twice.
 func (s *testNode) balanced() {
 	s.t.Helper()
 	s.until("all jobs have ended", func() bool { return s.counts().Get("open").Int() == 0 })
@@ -41,16 +42,16 @@
 		sum += n.Get(end).Int()
 	}
 	if n.Get("taken").Int() != sum {
-		s.t.Errorf("jobs taken and ended differ: %s", n.Raw)
+		s.t.Errorf("the numbers of accepted and ended jobs differ: %s", n.Raw)
 	}
 	for id, l := range s.starts() {
 		if len(l) > 1 && l[0].Target[:5] == "/tile" {
-			s.t.Errorf("the tile-charge %s was started %d times", id, len(l))
+			s.t.Errorf("tile-charge job %s started %d times", id, len(l))
 		}
 	}
 }
 
-// slowBox puts a proxy in front of a box, told to the node as its address.
+// slowBox puts a proxy in front of executor i and lists the proxy's address as that of the executor.
 func (s *testNode) slowBox(i int, up, down testenv.Script) *testenv.SlowProxy {
 	s.t.Helper()
 	p, err := testenv.NewSlowProxy(s.ctx, s.g, s.executors[i].Addr, up, down, 1)
@@ -62,7 +63,7 @@
 	return p
 }
 
-// slowPeers plays n slow clients of mixed kinds until stop is called, which gives how each one's time ended.
+// slowPeers runs n slow peers of all kinds until stop is called, which returns the result of each.
 func (s *testNode) slowPeers(n int) (stop func() []testenv.SlowPeerResult) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	var g errgroup.Group
@@ -80,8 +81,9 @@
 	return func() []testenv.SlowPeerResult { cancel(); _ = g.Wait(); return all }
 }
 
-// Twenty slow peers of mixed kinds cost the others nothing: as many of their jobs are served as without them, within
-// 2%, and each slow peer that handed a job in has one end, counted.
+// Twenty slow peers of all kinds do not affect the other clients: at least 98% as many of their jobs are served as
+// without slow peers. Each slow peer that submitted a job gets part of an answer or its connection closed, and each
+// job is counted with one outcome.
 func TestTwentySlowPeers(t *testing.T) {
 	served := map[bool]int{}
 	for _, beside := range []bool{false, true} {
@@ -93,30 +95,31 @@
 		stop := func() []testenv.SlowPeerResult { return nil }
 		if beside {
 			stop = s.slowPeers(20)
-			s.until("the slow peers are there", func() bool { return s.counts().Get("taken").Int() >= 8 })
+			s.until("the slow peers have submitted jobs", func() bool { return s.counts().Get("taken").Int() >= 8 })
 		}
 		d := s.load("area-render", "10adc1e0", 5, 20)
 		served[beside] = d.Served
 		if d.Total() != 100 || d.Incomplete != 0 || d.Failed != 0 {
-			t.Errorf("beside slow peers %v: %+v", beside, d)
+			t.Errorf("with slow peers %v: %+v", beside, d)
 		}
 		if beside {
-			s.until("those that send too slowly are let go", func() bool { return s.counts().Get("slow.client_sends").Int() >= 4 })
+			s.until("the slow senders are disconnected", func() bool { return s.counts().Get("slow.client_sends").Int() >= 4 })
 		}
 		for _, e := range stop() {
 			if e.JobSent && e.Bytes == 0 && !e.Closed {
-				t.Errorf("a slow peer that handed a job in got nothing of an answer: %+v", e)
+				t.Errorf("a slow peer that submitted a job got no byte of an answer: %+v", e)
 			}
 		}
 		s.balanced()
 	}
 	if served[true] < served[false]*98/100 {
-		t.Errorf("%d of 100 jobs served beside slow peers, %d without them", served[true], served[false])
+		t.Errorf("%d of 100 jobs served with slow peers, %d without them", served[true], served[false])
 	}
 }
 
-// A box that takes jobs, lets its 202 drip and tells nothing more costs the others nothing either: what went there is
-// tried elsewhere in its rack, and it stops drawing work. Well again, it gets work back.
+// An executor accepts jobs, sends its 202 at one byte per second and sends no callbacks. The other clients' jobs are
+// served: those sent to it are retried elsewhere in its rack, and it soon gets no more jobs. Once it has recovered, it
+// gets jobs again.
 func TestTricklingBox(t *testing.T) {
 	s := newTestNode(t, 5, 30*time.Millisecond)
 	drip := s.slowBox(0, testenv.Script{}, testenv.Script{Rate: 1})
@@ -124,30 +127,31 @@
 	s.start()
 	d := s.load("area-render", "10adc1e0", 4, 25)
 	if d.Served < 98 || d.Incomplete+d.Failed > 0 {
-		t.Errorf("%d of 100 jobs served beside a box that drips: %+v", d.Served, d)
+		t.Errorf("%d of 100 jobs served with a slow executor: %+v", d.Served, d)
 	}
 	drew := len(s.executors[0].Starts())
 	if drew == 0 {
-		t.Fatal("the box drew no work: the test shows nothing")
+		t.Fatal("the slow executor got no job: the run is inconclusive")
 	}
 	if drew > 15 {
-		t.Errorf("the box drew %d of 100 jobs", drew)
+		t.Errorf("the slow executor got %d of 100 jobs, want at most 15", drew)
 	}
 	if n := s.counts(); n.Get("slow.box_late").Int() == 0 {
-		t.Errorf("no late sign was counted: %s", n.Raw)
+		t.Errorf("slow.box_late was not counted: %s", n.Raw)
 	}
 	drip.Set(testenv.Script{}, testenv.Script{})
 	s.executors[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = false })
 	round := 0
-	s.until("the box has work again", func() bool {
+	s.until("the recovered executor gets jobs again", func() bool {
 		round++
-		s.load("area-render", fmt.Sprintf("10ad%04x", round), 12, 10) // more at a time than the others' room
+		s.load("area-render", fmt.Sprintf("10ad%04x", round), 12, 10) // more at a time than the other executors' slots
 		return len(s.executors[0].Starts()) > drew+10
 	})
 	s.balanced()
 }
 
-// A box that accepts connections and never speaks: a tile-charge that went there is not sent again, and has one answer.
+// An executor accepts connections and never sends a byte. A tile-charge job sent to it is not sent again and gets one
+// answer.
 func TestMuteBoxAndTileCharges(t *testing.T) {
 	s := newTestNode(t, 3, 20*time.Millisecond)
 	s.slowBox(0, testenv.Script{}, testenv.Script{Delay: time.Hour})
@@ -155,12 +159,12 @@
 	s.start()
 	d := s.load("tile-charge", "10adc1e0", 4, 30)
 	if d.Total() != 120 || d.Incomplete != 0 || d.Failed > len(s.executors[0].Starts()) || d.Served < 100 {
-		t.Errorf("%+v, %d went to the mute box", d, len(s.executors[0].Starts()))
+		t.Errorf("%+v, %d jobs were sent to the unresponsive executor", d, len(s.executors[0].Starts()))
 	}
 	s.balanced()
 }
 
-// All boxes slow at once: none is shunned for it, and the node goes on serving.
+// All executors are slow at once. None is ejected for it, and the node keeps serving.
 func TestAllBoxesSlow(t *testing.T) {
 	s := newTestNode(t, 3, 20*time.Millisecond)
 	for i := range s.executors {
@@ -173,46 +177,46 @@
 	s.balanced()
 }
 
-// A drain told while attempts drip at the box holds for it all the same.
+// A drain takes effect although attempts are receiving slow responses from the executor.
 func TestDrainWhileDripping(t *testing.T) {
 	s := newTestNode(t, 2, 20*time.Millisecond)
 	s.slowBox(0, testenv.Script{}, testenv.Script{Rate: 1})
 	s.start()
 	var g errgroup.Group
 	g.Go(func() error { s.load("area-render", "10adc1e0", 4, 60); return nil })
-	s.until("the box has work", func() bool { return len(s.executors[0].Starts()) > 0 })
+	s.until("the executor that will drain has a job", func() bool { return len(s.executors[0].Starts()) > 0 })
 	s.discovery.Put(s.executors[0], "draining")
 	told := time.Now()
 	_ = g.Wait()
 	for _, x := range s.executors[0].Starts() {
 		if late := x.At.Sub(told); late > 500*time.Millisecond {
-			t.Errorf("job %s was sent %v after the drain", x.ID, late)
+			t.Errorf("job %s was sent %v after the drain was listed", x.ID, late)
 		}
 	}
 	s.balanced()
 }
 
-// Three hundred slow peers at a node with 256 descriptors and 32 MB: it stands, goes on serving, takes SIGHUP, and ends
-// on SIGTERM while they are there.
+// Three hundred slow peers connect to a node with a limit of 256 sockets and 32 MB. The node keeps serving, reloads on
+// SIGHUP and exits on SIGTERM while they are connected.
 func TestThreeHundredSlowPeers(t *testing.T) {
 	s := newTestNode(t, 3, 20*time.Millisecond)
 	s.sockets, s.memoryMB = 256, 32
 	s.start()
 	stop := s.slowPeers(300)
 	defer stop()
-	s.until("the node is crowded", func() bool { // it may well turn a stranger away that asks for its counts
+	s.until("the node has accepted jobs", func() bool { // it may reject the connection that asks for the counts
 		m, err := testenv.Call(s.listen, "GET", "/counts", nil)
 		return err == nil && gjson.GetBytes(m.Body, "taken").Int() > 0
 	})
 	if err := s.process.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	s.until("the reload", func() bool { return s.logContains("msg=reload") })
+	s.until("the node has reloaded its configuration", func() bool { return s.logContains("msg=reload") })
 	d := s.load("area-render", "10adc1e0", 5, 12)
 	if d.Served < 50 {
-		t.Errorf("%d of 60 jobs served in a crowd: %+v", d.Served, d)
+		t.Errorf("%d of 60 jobs served with 300 slow peers: %+v", d.Served, d)
 	}
 	if err := s.terminate(); err != nil {
-		t.Errorf("leaving with slow peers: %v", err)
+		t.Errorf("shutdown with slow peers: %v", err)
 	}
 }
--- a/test/startup_test.go
+++ b/test/startup_test.go
@@ -11,8 +11,8 @@
 	"gatetack/internal/testenv"
 )
 
-// restartWithOldList starts a process whose former life knew one executor, which is gone since. Discovery leaves each call to
-// answer. The job is handed in before anything was answered.
+// restartWithOldList starts a process whose saved list has one executor, which the current list no longer has. answer
+// handles each request to discovery. A job is submitted once the process listens, and its answer is delivered on done.
 func restartWithOldList(t *testing.T, answer http.HandlerFunc) (s *testNode, old, current *testenv.Executor, done chan *http1.Message) {
 	t.Helper()
 	s = newTestNode(t, 2, 10*time.Millisecond)
@@ -38,8 +38,8 @@
 	return s, old, current, done
 }
 
-// A process sends nothing on the list that its former life held while discovery has yet to answer, and says that it is not ready.
-// Once the answer is there, what it took goes to an executor of the new list.
+// Until discovery has answered, a restarted process sends nothing to the executors of its saved list and reports that
+// it is not ready. Once discovery has answered, the accepted job is sent to an executor of the new list.
 func TestOldListIsNotUsedBeforeDiscoveryAnswers(t *testing.T) {
 	asked, release := make(chan struct{}, 16), make(chan string)
 	s, old, current, done := restartWithOldList(t, func(w http.ResponseWriter, r *http.Request) {
@@ -53,7 +53,7 @@
 		}
 	})
 	<-asked
-	s.until("the job is taken", func() bool { return s.counter("taken") == 1 })
+	s.until("the job is accepted", func() bool { return s.counter("taken") == 1 })
 	if m, err := testenv.Call(s.listen, "GET", "/healthz", nil); err != nil || m.Status == 200 {
 		t.Errorf("ready before discovery has answered: %v, %v", m, err)
 	}
@@ -62,19 +62,19 @@
 	}
 	release <- `{"index":9,"snapshot":true,"endpoints":[` + testenv.EndpointJSON(current, "ready") + "]}\n"
 	if m := <-done; m == nil || m.Status != 200 {
-		t.Errorf("%+v", m)
+		t.Errorf("answer to the job: %+v", m)
 	}
 	if len(old.Starts()) != 0 || len(current.Starts()) != 1 {
-		t.Errorf("%d sent to the executor that is gone, %d to the one that is listed", len(old.Starts()), len(current.Starts()))
+		t.Errorf("%d jobs sent to the removed executor, %d to the listed one", len(old.Starts()), len(current.Starts()))
 	}
 }
 
-// Where discovery turns the call away the process goes on with the list it has.
+// If discovery rejects the request, the process uses its saved list.
 func TestOldListIsUsedWhereDiscoveryRefuses(t *testing.T) {
 	_, old, _, done := restartWithOldList(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	if m := <-done; m == nil || m.Status != 200 || len(old.Starts()) != 1 {
-		t.Errorf("%+v, %d sends", m, len(old.Starts()))
+		t.Errorf("answer to the job: %+v, %d jobs sent to the executor of the saved list", m, len(old.Starts()))
 	}
 }
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -14,8 +14,8 @@
 	"gatetack/internal/testenv"
 )
 
-// With a store, a restart loses no answer: what ended is told as it ended, what was sent is undetermined, only
-// what has no send on record is called unsent, and nothing is run again.
+// With a store, no job's outcome is lost at a restart: a job that had ended keeps its final state, a job that was sent
+// is undetermined, only a job without a recorded send is reported as unsent, and no job runs again.
 func TestRestartWithStore(t *testing.T) {
 	s := newTestNode(t, 1, 10*time.Millisecond)
 	s.extraConfig = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {n0: %q}\n", s.store, s.store)
@@ -30,7 +30,7 @@
 		payload := fmt.Sprintf("job %d", i)
 		ids[payload] = s.submit(fmt.Sprintf(`{"jobCategory":"area-render","accountingId":"maavaade","payload":%q}`, payload))
 	}
-	s.until("some run", func() bool { return len(s.executors[0].Starts()) > 1 }) // beside the first, which has ended
+	s.until("some run", func() bool { return len(s.executors[0].Starts()) > 1 }) // the first start is of the ended job
 	s.kill()
 	started := map[string]bool{}
 	for _, x := range s.executors[0].Starts() {
@@ -40,7 +40,7 @@
 	s.start()
 	if status, v := s.drmaa("GET", "/jobs/"+done, ""); status != 200 || v.Get("jobState").String() != "DONE" ||
 		!strings.HasPrefix(v.Get("result").String(), "tile of ") {
-		t.Errorf("a job that had ended: %d %s", status, v.Raw)
+		t.Errorf("job that had ended before the restart: %d %s", status, v.Raw)
 	}
 	seen := map[string]int{}
 	for payload, id := range ids {
@@ -49,20 +49,21 @@
 		seen[state+" "+sub]++
 		switch {
 		case started[payload] && state != "UNDETERMINED":
-			t.Errorf("%s was started, and is told as %s", payload, v.Raw)
+			t.Errorf("%s was started, but is reported as %s", payload, v.Raw)
 		case state != "UNDETERMINED" && sub != "unsent" && sub != "refused":
-			t.Errorf("%s: %s", payload, v.Raw)
+			t.Errorf("%s has an unexpected state: %s", payload, v.Raw)
 		}
 	}
 	if seen["UNDETERMINED "] == 0 || len(seen) < 2 {
-		t.Errorf("states %v: the test shows too little", seen)
+		t.Errorf("states %v: too few kinds for a conclusive run", seen)
 	}
 	if n := len(s.executors[0].Starts()); n != before {
 		t.Errorf("%d starts after the restart", n-before)
 	}
 }
 
-// An inventory stands in discovery's place: its changes reach the node, and a bad row leaves the list as it was.
+// The node uses an inventory file instead of discovery: it applies changes of the file, and an invalid row leaves the
+// executor list unchanged.
 func TestInventory(t *testing.T) {
 	s := newTestNode(t, 2, 5*time.Millisecond)
 	path := filepath.Join(s.dir, "boxes.csv")
@@ -93,32 +94,32 @@
 			t.Fatalf("job %d: %v %v", id, m, err)
 		}
 	}
-	s.until("both boxes are used", func() bool {
+	s.until("both executors are used", func() bool {
 		serve()
 		return len(s.executors[0].Starts()) > 0 && len(s.executors[1].Starts()) > 0
 	})
 	log := func() string { text, _ := os.ReadFile(s.log.Name()); return string(text) }
 	write("draining", "riga")
-	s.until("the bad row is refused", func() bool { return strings.Contains(log(), "line 2: zone") })
+	s.until("the invalid row is rejected", func() bool { return strings.Contains(log(), "line 2: zone") })
 	serve()
 	write("draining", "tallinn")
-	s.until("the drain is taken in", func() bool { return strings.Contains(log(), "msg=\"inventory changed\"") })
+	s.until("the drain is applied", func() bool { return strings.Contains(log(), "msg=\"inventory changed\"") })
 	before := len(s.executors[0].Starts())
 	for range 10 {
 		serve()
 	}
 	if n := len(s.executors[0].Starts()); n != before {
-		t.Errorf("%d jobs went to a draining box", n-before)
+		t.Errorf("%d jobs were sent to a draining executor", n-before)
 	}
 	if s.discovery.Watches() != 0 {
-		t.Error("discovery was asked although an inventory is named")
+		t.Error("discovery was watched although an inventory is configured")
 	}
 	if m, err := testenv.Call(s.listen, "GET", "/healthz", nil); err != nil || m.Status != 200 {
 		t.Errorf("%v %v", m, err)
 	}
 }
 
-// The store's commands speak to a running node's member.
+// The store commands work with the member of a running node, and store verify with the directory of a stopped one.
 func TestStoreCommands(t *testing.T) {
 	s := newTestNode(t, 1, 20*time.Millisecond)
 	s.extraConfig = "store:\n  dir: " + filepath.Join(s.dir, "store") + "\n  listen: " + s.store + "\n  members: {n0: \"" + s.store + "\"}\n"
@@ -133,7 +134,7 @@
 		}
 		return string(out)
 	}
-	s.until("it leads", func() bool {
+	s.until("the member is the leader", func() bool {
 		out, err := exec.Command(program, "store", "status", "--store-addr", s.store).Output()
 		return err == nil && gjson.GetBytes(out, "state").String() == "leader"
 	})
