--- a/cmd/gatetack/shutdown.go
+++ b/cmd/gatetack/shutdown.go
@@ -27,7 +27,7 @@
 		p.batch.server.Drain()
 	}
 	p.awaitIdle(ctx)
-	failpoint.At(failpoint.Leave)
+	failpoint.At(failpoint.Shutdown)
 	if p.batch != nil && p.batch.owner != nil {
 		p.releaseOwned(ctx)
 	}
--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -109,7 +109,7 @@
 }
 
 func run(cmd *cobra.Command, o *options) error {
-	if err := describe(cmd, o); err != nil {
+	if err := readDescription(cmd, o); err != nil {
 		return err
 	}
 	specs, err := parseFaults(o.faults)
@@ -120,7 +120,7 @@
 		return err
 	}
 	if o.virtual {
-		r, err := play.RunVirtual(play.Options{Description: o.description, Faults: specs, Command: words(), Commit: commit()})
+		r, err := play.RunVirtual(play.Options{Description: o.description, Faults: specs, Command: commandLine(), Commit: commit()})
 		if err != nil {
 			return err
 		}
@@ -143,15 +143,15 @@
 		return fmt.Errorf("the tool's own program: %w", err)
 	}
 	r, err := play.Run(cmd.Context(), play.Options{Self: self, Description: o.description, Faults: specs, Program: o.program, Dir: dir,
-		Command: words(), Commit: commit(), Budget: process.DefaultBudget})
+		Command: commandLine(), Commit: commit(), Budget: process.DefaultBudget})
 	if err != nil {
 		return err
 	}
 	return finish(cmd.OutOrStdout(), o.out, r)
 }
 
-// describe reads the description's file, and puts the flags that were given before it.
-func describe(cmd *cobra.Command, o *options) error {
+// readDescription reads the description's file, and puts the flags that were given before it.
+func readDescription(cmd *cobra.Command, o *options) error {
 	if o.file != "" {
 		given := o.description
 		text, err := os.ReadFile(o.file)
@@ -224,8 +224,8 @@
 	return program, nil
 }
 
-// words are the command's own, as the result has them.
-func words() string {
+// commandLine are the command's own, as the result has them.
+func commandLine() string {
 	return strings.Join(append([]string{"go run ./cmd/scalerun"}, os.Args[1:]...), " ")
 }
 
--- a/cmd/scalerun/main_test.go
+++ b/cmd/scalerun/main_test.go
@@ -10,7 +10,7 @@
 )
 
 // Flags and descriptions that can not be used are errors that name the field and what was expected, and nothing is written.
-func TestBadInput(t *testing.T) {
+func TestInvalidInput(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
 		path := filepath.Join(dir, name)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -29,7 +29,7 @@
 	id         uint16
 	dispatcher *dispatch.Dispatcher // nil before CodeInit and after CodeStop
 	events     []dispatch.Event
-	listed     bool // already in host.order for the current batch
+	inOrder    bool // already in host.order for the current batch
 }
 
 // host holds the instances of one simulation.
@@ -52,7 +52,7 @@
 		if err != nil {
 			return err
 		}
-		if err := h.takeIn(batch); err != nil {
+		if err := h.distribute(batch); err != nil {
 			return err
 		}
 		if err := h.step(batch.Clock); err != nil {
@@ -64,12 +64,12 @@
 	}
 }
 
-// takeIn applies the records of a batch to their instances.
-func (h *host) takeIn(batch *simprotocol.Batch) error {
+// distribute applies the records of a batch to their instances.
+func (h *host) distribute(batch *simprotocol.Batch) error {
 	h.order = h.order[:0]
 	for i := range batch.Records {
 		record := &batch.Records[i]
-		if err := h.instance(record.Instance).takeIn(record); err != nil {
+		if err := h.instance(record.Instance).apply(record); err != nil {
 			return fmt.Errorf("instance %d: %w", record.Instance, err)
 		}
 	}
@@ -83,14 +83,14 @@
 		n = &instance{id: id}
 		h.instances[id] = n
 	}
-	if !n.listed {
-		n.listed = true
+	if !n.inOrder {
+		n.inOrder = true
 		h.order = append(h.order, n)
 	}
 	return n
 }
 
-func (n *instance) takeIn(record *simprotocol.Record) error {
+func (n *instance) apply(record *simprotocol.Record) error {
 	switch record.Code {
 	case simprotocol.CodeInit:
 		settings, err := simprotocol.ParseSettings(record.Info)
@@ -112,7 +112,7 @@
 func (h *host) step(clock float64) error {
 	h.reply.Reset()
 	for _, n := range h.order {
-		n.listed = false
+		n.inOrder = false
 		if n.dispatcher == nil {
 			continue
 		}
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -89,7 +89,7 @@
 		r.State, r.SubState, r.HandedOver = Queued, subHeld, true
 		r.RetryMS = 0
 	})
-	failpoint.At(failpoint.Hand)
+	failpoint.At(failpoint.JobHandOver)
 	if err := f.writeRecord(ctx, j, nil); err != nil {
 		id := j.record().ID
 		if p, ok := partitionOf(id); ok && f.ownedElsewhere(id) {
--- a/internal/batch/recording.go
+++ b/internal/batch/recording.go
@@ -94,7 +94,7 @@
 func (f *Front) saveOne(ctx context.Context, j *job) bool {
 	r := j.record()
 	if r.State.final() {
-		failpoint.At(failpoint.Ended)
+		failpoint.At(failpoint.JobEnded)
 	}
 	err := f.writeRecord(ctx, j, nil)
 	if err == nil || ctx.Err() != nil {
--- a/internal/executor/send.go
+++ b/internal/executor/send.go
@@ -96,7 +96,7 @@
 	if err := conn.output.Flush(); err != nil {
 		return sendResult{outcome: dispatch.ConnectFailed}
 	}
-	failpoint.At(failpoint.Byte)
+	failpoint.At(failpoint.LastByte)
 	return c.receive(ctx, attempt, conn)
 }
 
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -7,12 +7,12 @@
 
 // The points at which a process can be stopped.
 const (
-	Hand   = "hand"   // a job is about to be recorded as handed over
-	Intent = "intent" // the intent to send is recorded, and the first byte is about to be written
-	Byte   = "byte"   // the last byte is written, and that is not recorded yet
-	Ended  = "ended"  // a job has ended, and its end is about to be recorded
-	Listen = "listen" // the node is about to listen for clients
-	Leave  = "leave"  // the node is shutting down, has no open requests left, and is about to exit
+	JobHandOver = "hand"   // a job is about to be recorded as handed over
+	Intent      = "intent" // the intent to send is recorded, and the first byte is about to be written
+	LastByte    = "byte"   // the last byte is written, and that is not recorded yet
+	JobEnded    = "ended"  // a job has ended, and its end is about to be recorded
+	Listen      = "listen" // the node is about to listen for clients
+	Shutdown    = "leave"  // the node is shutting down, has no open requests left, and is about to exit
 )
 
 // Without names a guard that is disabled. Only builds for tests set it, through the linker flag -X, so that a test can show that it
@@ -29,10 +29,10 @@
 // Fence is the guard of the writes made under a lease by its fencing token, together with the release of a lease that was lost.
 const Fence = "fence"
 
-// Disk is a fault of the disk in a write of the store's log.
-type Disk struct {
-	Fails bool          // the write is not made and fails
-	Waits time.Duration // how long the write is delayed; negative for ever
+// DiskFault is a fault of the disk in a write of the store's log.
+type DiskFault struct {
+	Fail  bool          // the write is not made and fails
+	Delay time.Duration // how long the write is delayed; negative for ever
 }
 
 // The functions behind At, Wall and Via, which a build with the tag faults replaces.
--- a/internal/scale/faults/faults.go
+++ b/internal/scale/faults/faults.go
@@ -35,8 +35,8 @@
 	fleetSize      = 6200
 )
 
-// values are what a fault's value is when none is given; a fault that takes none has 0.
-var values = map[Name]float64{Machine: 1000, Rolling: 20, Rack: 0, Zone: 0, CutInward: 0, CutOutward: 0, Cut: 0, Leader: 0, Reconfigure: 1}
+// defaultValues are what a fault's value is when none is given; a fault that takes none has 0.
+var defaultValues = map[Name]float64{Machine: 1000, Rolling: 20, Rack: 0, Zone: 0, CutInward: 0, CutOutward: 0, Cut: 0, Leader: 0, Reconfigure: 1}
 
 // Spec is a fault that was asked for.
 type Spec struct {
@@ -48,15 +48,15 @@
 func Parse(text string) (Spec, error) {
 	name, value, given := strings.Cut(text, "=")
 	s := Spec{Name: Name(name)}
-	usual, ok := values[s.Name]
+	defaultValue, ok := defaultValues[s.Name]
 	if !ok {
 		return s, &fleet.FieldError{Field: "fault", Got: text, Expected: "one of " + names()}
 	}
-	if s.Value = usual; !given {
+	if s.Value = defaultValue; !given {
 		return s, nil
 	}
 	v, err := strconv.ParseFloat(value, 64)
-	if err != nil || usual == 0 || !(v > 0) {
+	if err != nil || defaultValue == 0 || !(v > 0) {
 		return s, &fleet.FieldError{Field: "fault", Got: text, Expected: fmt.Sprintf("%s=NUMBER over 0 for machine, rolling or reconfigure, and no value for others", name)}
 	}
 	s.Value = v
@@ -65,7 +65,7 @@
 
 func names() string {
 	var all []string
-	for n := range values {
+	for n := range defaultValues {
 		all = append(all, string(n))
 	}
 	slices.Sort(all)
@@ -101,12 +101,12 @@
 
 // How late the list knows what has become of an executor.
 const (
-	goneAfterLeast  = time.Second
-	goneAfterMost   = 3 * time.Second
-	readyAfterLeast = 500 * time.Millisecond
-	readyAfterMost  = 2 * time.Second
-	repairs         = 5 * time.Second // of a machine that failed
-	restarts        = time.Second     // of one that is restarted in order
+	minRemovedDelay = time.Second
+	maxRemovedDelay = 3 * time.Second
+	minReadyDelay   = 500 * time.Millisecond
+	maxReadyDelay   = 2 * time.Second
+	repairDuration  = 5 * time.Second // of a machine that failed
+	restartDuration = time.Second     // of one that is restarted in order
 )
 
 // schedule draws actions.
@@ -134,15 +134,15 @@
 	third := s.d.Duration / 3
 	switch spec.Name {
 	case Machine:
-		s.machines(spec.Value)
+		s.machineFailures(spec.Value)
 	case Rolling:
-		s.rolling(int(spec.Value))
+		s.rollingRestart(int(spec.Value))
 	case Rack:
 		rack := s.plan[s.random.IntN(len(s.plan))].Rack
-		s.outage(Rack, third, s.d.Duration/3, s.pick(func(x fleet.Executor) bool { return x.Rack == rack }))
+		s.outage(Rack, third, s.d.Duration/3, s.matching(func(x fleet.Executor) bool { return x.Rack == rack }))
 	case Zone:
 		zone := s.random.IntN(min(s.d.Zones(), len(s.plan)))
-		s.outage(Zone, third, s.d.Duration/3, s.pick(func(x fleet.Executor) bool { return x.Zone == zone }))
+		s.outage(Zone, third, s.d.Duration/3, s.matching(func(x fleet.Executor) bool { return x.Zone == zone }))
 	case CutInward, CutOutward, Cut:
 		a := Action{At: third, Kind: SetCut, Region: s.random.IntN(s.d.Regions), Inward: spec.Name != CutOutward,
 			Outward: spec.Name != CutInward, Cause: spec.Name}
@@ -159,7 +159,7 @@
 	}
 }
 
-func (s *schedule) pick(match func(fleet.Executor) bool) (out []int) {
+func (s *schedule) matching(match func(fleet.Executor) bool) (out []int) {
 	for _, x := range s.plan {
 		if match(x) {
 			out = append(out, x.Number)
@@ -177,25 +177,25 @@
 	up := at + down
 	s.actions = append(s.actions,
 		Action{At: at, Kind: Kill, Executors: executors, Cause: why},
-		Action{At: at + min(down/2, s.between(goneAfterLeast, goneAfterMost)), Kind: ListRemoved, Executors: executors, Cause: why},
+		Action{At: at + min(down/2, s.between(minRemovedDelay, maxRemovedDelay)), Kind: ListRemoved, Executors: executors, Cause: why},
 		Action{At: up, Kind: Boot, Executors: executors, Cause: why},
-		Action{At: up + s.between(readyAfterLeast, readyAfterMost), Kind: ListReady, Executors: executors, Cause: why})
+		Action{At: up + s.between(minReadyDelay, maxReadyDelay), Kind: ListReady, Executors: executors, Cause: why})
 }
 
-// machines draws single failures at the operators' rate, times a factor.
-func (s *schedule) machines(factor float64) {
+// machineFailures draws single failures at the operators' rate, times a factor.
+func (s *schedule) machineFailures(factor float64) {
 	perSecond := factor * machinesPerDay / (24 * time.Hour).Seconds() * float64(len(s.plan)) / fleetSize
 	for at := time.Duration(0); ; {
 		at += time.Duration(s.random.ExpFloat64() / perSecond * float64(time.Second))
 		if at >= s.d.Duration {
 			return
 		}
-		s.outage(Machine, at, repairs, []int{s.random.IntN(len(s.plan))})
+		s.outage(Machine, at, repairDuration, []int{s.random.IntN(len(s.plan))})
 	}
 }
 
-// rolling restarts executors in turn: each is drained, ends once what it runs may have ended, and comes back cold.
-func (s *schedule) rolling(count int) {
+// rollingRestart restarts executors in turn: each is drained, ends once what it runs may have ended, and comes back cold.
+func (s *schedule) rollingRestart(count int) {
 	count = min(count, len(s.plan))
 	order := s.random.Perm(len(s.plan))[:count]
 	drain := 2 * s.d.MeanRun()
@@ -207,7 +207,7 @@
 			Action{At: at, Kind: ListDraining, Executors: one, Cause: Rolling},
 			Action{At: down, Kind: Kill, Executors: one, Cause: Rolling},
 			Action{At: down, Kind: ListRemoved, Executors: one, Cause: Rolling},
-			Action{At: down + restarts, Kind: Boot, Executors: one, Cause: Rolling},
-			Action{At: down + restarts + s.between(readyAfterLeast, readyAfterMost), Kind: ListReady, Executors: one, Cause: Rolling})
+			Action{At: down + restartDuration, Kind: Boot, Executors: one, Cause: Rolling},
+			Action{At: down + restartDuration + s.between(minReadyDelay, maxReadyDelay), Kind: ListReady, Executors: one, Cause: Rolling})
 	}
 }
--- a/internal/scale/faults/faults_test.go
+++ b/internal/scale/faults/faults_test.go
@@ -12,7 +12,7 @@
 	"gatetack/internal/scale/fleet"
 )
 
-func schedule0(t *testing.T, d fleet.Description, texts ...string) []Action {
+func mustSchedule(t *testing.T, d fleet.Description, texts ...string) []Action {
 	t.Helper()
 	var specs []Spec
 	for _, text := range texts {
@@ -32,7 +32,7 @@
 // A zone goes out whole, the list learns of it later, and it comes back before the list says so.
 func TestZone(t *testing.T) {
 	d := fleet.Default()
-	actions := schedule0(t, d, "zone")
+	actions := mustSchedule(t, d, "zone")
 	var kinds []ActionKind
 	for _, a := range actions {
 		kinds = append(kinds, a.Kind)
@@ -52,7 +52,7 @@
 func TestRolling(t *testing.T) {
 	d := fleet.Default()
 	by := map[int][]ActionKind{}
-	for _, a := range schedule0(t, d, "rolling=7") {
+	for _, a := range mustSchedule(t, d, "rolling=7") {
 		by[a.Executors[0]] = append(by[a.Executors[0]], a.Kind)
 	}
 	if len(by) != 7 {
@@ -70,7 +70,7 @@
 	d := fleet.Default()
 	d.Executors, d.Duration = 6200, 10*time.Minute
 	failures := 0
-	for _, a := range schedule0(t, d, "machine=1000") {
+	for _, a := range mustSchedule(t, d, "machine=1000") {
 		if a.Kind == Kill {
 			failures++
 		}
@@ -82,7 +82,7 @@
 
 func TestCuts(t *testing.T) {
 	for text, want := range map[string][2]bool{"cut-in": {true, false}, "cut-out": {false, true}, "cut": {true, true}} {
-		actions := schedule0(t, fleet.Default(), text)
+		actions := mustSchedule(t, fleet.Default(), text)
 		if len(actions) != 2 || actions[0].Kind != SetCut || actions[1].Kind != LiftCut || [2]bool{actions[0].Inward, actions[0].Outward} != want {
 			t.Errorf("%s: %+v", text, actions)
 		}
@@ -93,7 +93,7 @@
 func TestSeeds(t *testing.T) {
 	d := fleet.Default()
 	all := []string{"zone", "rack", "machine", "rolling", "cut", "reconfigure=2"}
-	if diff := cmp.Diff(schedule0(t, d, all...), schedule0(t, d, all...)); diff != "" {
+	if diff := cmp.Diff(mustSchedule(t, d, all...), mustSchedule(t, d, all...)); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/scale/fleet/description.go
+++ b/internal/scale/fleet/description.go
@@ -63,17 +63,17 @@
 
 // Check names the first field that can not be used.
 func (d *Description) Check() error {
-	leastReal := 1
+	minReal := 1
 	if d.Hollow > 0 {
-		leastReal = 0
+		minReal = 0
 	}
-	whole := []struct {
+	integers := []struct {
 		field       string
 		value       int
 		least, most int
 	}{
 		{"executors", d.Executors, 1, MaxExecutors},
-		{"dispatchers", d.Dispatchers, leastReal, MaxDispatchers},
+		{"dispatchers", d.Dispatchers, minReal, MaxDispatchers},
 		{"hollow-dispatchers", d.Hollow, 0, MaxDispatchers - d.Dispatchers},
 		{"store-members", d.StoreMembers, 0, min(MaxStoreMembers, d.Dispatchers)},
 		{"tenants", d.Tenants, 1, MaxTenants},
@@ -84,7 +84,7 @@
 		{"dispatcher-memory", d.MemoryMB, 32, 16384},
 		{"dispatcher-sockets", d.Sockets, 256, 20000},
 	}
-	for _, w := range whole {
+	for _, w := range integers {
 		if w.value < w.least || w.value > w.most {
 			return &FieldError{w.field, w.value, fmt.Sprintf("a whole number from %d to %d", w.least, w.most)}
 		}
@@ -148,13 +148,13 @@
 	return mix
 }()
 
-// fillMost is the part of all slots that the asked-for load may take: with more of it each accelerator has several slots.
-const fillMost = 0.7
+// maxUtilization is the part of all slots that the asked-for load may take: with more of it each accelerator has several slots.
+const maxUtilization = 0.7
 
 // SlotsPerAccelerator is how many tasks an accelerator runs at a time, so that the asked-for number can run at all: 84,000 on 8,600
 // accelerators need 14.
 func (d *Description) SlotsPerAccelerator() int {
-	return max(1, int(math.Ceil(float64(d.Running)/fillMost/float64(d.Accelerators()))))
+	return max(1, int(math.Ceil(float64(d.Running)/maxUtilization/float64(d.Accelerators()))))
 }
 
 // Accelerators is how many all executors have.
@@ -183,8 +183,8 @@
 // Kinds of machine, by how many accelerators one has.
 var Kinds = []string{"one", "two", "four"}
 
-// kindOf is the kind of a machine with so many accelerators.
-func kindOf(accelerators int) int { return accelerators / 2 }
+// machineKind is the kind of a machine with so many accelerators.
+func machineKind(accelerators int) int { return accelerators / 2 }
 
 // Plan gives the fleet's executors: zones are filled in turn, racks lie within one zone.
 func (d *Description) Plan() []Executor {
@@ -197,7 +197,7 @@
 		inZone := i / zones
 		accelerators := acceleratorMix[i%len(acceleratorMix)]
 		out[i] = Executor{Number: i, Name: fmt.Sprintf("s-%08x", i+1), Region: zone / d.ZonesPerRegion, Zone: zone,
-			Rack: zone*racksPerZone + inZone/executorsPerRack, Kind: kindOf(accelerators), Slots: accelerators * share}
+			Rack: zone*racksPerZone + inZone/executorsPerRack, Kind: machineKind(accelerators), Slots: accelerators * share}
 	}
 	return out
 }
--- a/internal/scale/fleet/settings.go
+++ b/internal/scale/fleet/settings.go
@@ -32,15 +32,15 @@
 
 // Least deadlines of the classes; longer tasks have longer ones.
 const (
-	leastDeadline  = 8 * time.Second
-	urgentDeadline = 6 * time.Second
-	deadlineRuns   = 4 // mean runs, and three more are the longest that a task takes
+	minDeadline      = 8 * time.Second
+	urgentDeadline   = 6 * time.Second
+	deadlineMeanRuns = 4 // mean runs, and three more are the longest that a task takes
 )
 
 // Rules of the described fleet.
 func (d *Description) Rules() Rules {
 	run := d.MeanRun()
-	long := max(leastDeadline, deadlineRuns*run)
+	long := max(minDeadline, deadlineMeanRuns*run)
 	return Rules{AnswerSlack: 16 * time.Millisecond, DrainGrace: 500 * time.Millisecond, SlowStartMinShare: 0.3, SlowStartDuration: 8400 * time.Millisecond,
 		OverloadMultiple: 2.5, OverloadWindow: max(2*time.Second, 2*run), DedupWindow: max(40*time.Second, 2*long),
 		Deadlines: [Classes]time.Duration{long, long, max(urgentDeadline, long/2)}, MaxRetryAfter: 2 * time.Second}
@@ -56,22 +56,22 @@
 
 func millis(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
 
-// progressEvery is the time between two reports of a running task's progress.
-const progressEvery = time.Second
+// minProgressInterval is the time between two reports of a running task's progress.
+const minProgressInterval = time.Second
 
 // ProgressInterval is longer where many tasks run, so that reports stay under progressMost a second.
 func (d *Description) ProgressInterval() time.Duration {
-	return max(progressEvery, time.Duration(d.Running)*time.Second/progressMost)
+	return max(minProgressInterval, time.Duration(d.Running)*time.Second/maxProgressReportsPerSecond)
 }
 
-const progressMost = 2000
+const maxProgressReportsPerSecond = 2000
 
 // ChangeClass names the class that a change of the configuration brings, in the place of the one that the change before brought. No
 // task is of it: that a dispatcher knows its name shows from outside that the change is in force there.
 func ChangeClass(change int) string { return fmt.Sprintf("change-%d", change) }
 
 func changeFields() object {
-	return object{"aim": millis(leastDeadline), "deadline": millis(leastDeadline), "worth": 1.0, "effect": "free", "dedupScope": "cell", "window": 0.0}
+	return object{"aim": millis(minDeadline), "deadline": millis(minDeadline), "worth": 1.0, "effect": "free", "dedupScope": "cell", "window": 0.0}
 }
 
 // ChangeItems gives a change as the store's settings take it: its class comes, and that of the change before goes.
--- a/internal/scale/hollow/address.go
+++ b/internal/scale/hollow/address.go
@@ -73,14 +73,14 @@
 // of their batch fronts do not name the dispatcher that is to be called back; everybody is for the others.
 func (n *Network) Executor(number, dispatcher int) string {
 	port := executorPort
-	if dispatcher != everybody {
+	if dispatcher != anyDispatcher {
 		port += 1 + dispatcher
 	}
 	return n.address(number/hostsPerOctet, firstHost+number%hostsPerOctet, port)
 }
 
-// everybody stands for all dispatchers that share an address of an executor.
-const everybody = -1
+// anyDispatcher stands for all dispatchers that share an address of an executor.
+const anyDispatcher = -1
 
 // Dispatcher is where a dispatcher's clients and callbacks connect.
 func (n *Network) Dispatcher(number int) string {
--- a/internal/scale/hollow/batch.go
+++ b/internal/scale/hollow/batch.go
@@ -15,13 +15,13 @@
 // BatchClients submit arrays through the batch fronts of the store's members, and follow them to their ends at whichever member
 // answers.
 type BatchClients struct {
-	rules   fleet.Rules
-	members int
-	network *Network
-	record  *Record
-	numbers atomic.Uint64
-	results *Results
-	refused atomic.Int64 // arrays that no member took in time
+	rules    fleet.Rules
+	members  int
+	network  *Network
+	record   *Record
+	numbers  atomic.Uint64
+	results  *Results
+	rejected atomic.Int64 // arrays that no member took in time
 }
 
 // NewBatchClients makes clients of the first dispatchers; their tasks are counted with the others'.
@@ -34,10 +34,10 @@
 
 // Times of a batch client.
 const (
-	batchLook  = 250 * time.Millisecond
-	batchAgain = 100 * time.Millisecond
-	batchCall  = 10 * time.Second
-	batchSpare = 10 * time.Second // past the deadline, what became of each member is known; a dispatcher's heir needs some seconds
+	batchPollInterval  = 250 * time.Millisecond
+	batchRetryInterval = 100 * time.Millisecond
+	batchCallTimeout   = 10 * time.Second
+	batchGrace         = 10 * time.Second // past the deadline, what became of each member is known; a dispatcher's heir needs some seconds
 )
 
 // array is one that a client follows.
@@ -53,19 +53,19 @@
 	a := &array{first: tasks[0], member: tasks[0].Job % b.members, deadline: due.Add(b.rules.Deadlines[tasks[0].Class])}
 	id, err := b.submit(ctx, a, len(tasks))
 	if err != nil {
-		b.refused.Add(1)
+		b.rejected.Add(1)
 		b.results.Rejected[workload.Array].Add(int64(len(tasks)))
 		return
 	}
-	b.submitted(a, tasks)
+	b.recordSubmitted(a, tasks)
 	b.follow(ctx, a, id)
-	b.finish(ctx, a, id)
+	b.recordEnds(ctx, a, id)
 }
 
-// at makes a call at each member in turn, until one does it or the time is over.
-func (b *BatchClients) at(ctx context.Context, a *array, by time.Time, call func(context.Context, *drmaa2.Client) error) error {
+// callMembers makes a call callMembers each member in turn, until one does it or the time is over.
+func (b *BatchClients) callMembers(ctx context.Context, a *array, by time.Time, call func(context.Context, *drmaa2.Client) error) error {
 	for {
-		calling, cancel := context.WithTimeout(ctx, batchCall)
+		calling, cancel := context.WithTimeout(ctx, batchCallTimeout)
 		c := drmaa2.New(b.network.Batch(a.member), "")
 		err := call(calling, c)
 		c.Close()
@@ -77,7 +77,7 @@
 			return fmt.Errorf("no member did it in time: %w", err)
 		}
 		a.member = (a.member + 1) % b.members
-		sleep(ctx, batchAgain)
+		sleep(ctx, batchRetryInterval)
 	}
 }
 
@@ -95,15 +95,15 @@
 			return info.JobArrayID, nil
 		}
 		var refusal *drmaa2.Error
-		if !isRefusal(err, &refusal) || ctx.Err() != nil || time.Now().After(a.deadline) {
+		if !isRejection(err, &refusal) || ctx.Err() != nil || time.Now().After(a.deadline) {
 			return "", err
 		}
-		sleep(ctx, max(batchAgain, refusal.RetryAfter))
+		sleep(ctx, max(batchRetryInterval, refusal.RetryAfter))
 	}
 }
 
-// submitted notes the members of an array that was taken.
-func (b *BatchClients) submitted(a *array, tasks []workload.Task) {
+// recordSubmitted notes the members of an array that was taken.
+func (b *BatchClients) recordSubmitted(a *array, tasks []workload.Task) {
 	for _, t := range tasks {
 		request := RequestID(a.member, batchBit|b.numbers.Add(1))
 		a.requests = append(a.requests, request)
@@ -114,28 +114,28 @@
 
 // follow waits until all members of an array have ended.
 func (b *BatchClients) follow(ctx context.Context, a *array, id string) {
-	by := a.deadline.Add(batchSpare)
+	by := a.deadline.Add(batchGrace)
 	for ctx.Err() == nil && time.Now().Before(by) {
 		var info drmaa2.JobArray
-		err := b.at(ctx, a, by, func(ctx context.Context, c *drmaa2.Client) (err error) {
+		err := b.callMembers(ctx, a, by, func(ctx context.Context, c *drmaa2.Client) (err error) {
 			info, err = c.JobArray(ctx, id)
 			return err
 		})
 		if err != nil || info.Ended() {
 			return
 		}
-		sleep(ctx, batchLook)
+		sleep(ctx, batchPollInterval)
 	}
 }
 
-// finish notes how each member of an array ended.
-func (b *BatchClients) finish(ctx context.Context, a *array, id string) {
+// recordEnds notes how each member of an array ended.
+func (b *BatchClients) recordEnds(ctx context.Context, a *array, id string) {
 	seen := map[int]bool{}
-	err := b.at(ctx, a, a.deadline.Add(batchSpare), func(ctx context.Context, c *drmaa2.Client) error {
+	err := b.callMembers(ctx, a, a.deadline.Add(batchGrace), func(ctx context.Context, c *drmaa2.Client) error {
 		return c.Jobs(ctx, fmt.Sprintf("array = %q", id), true, func(info drmaa2.JobInfo) bool {
-			if i := place(a, info); i >= 0 && !seen[i] && info.Ended() {
+			if i := memberIndex(a, info); i >= 0 && !seen[i] && info.Ended() {
 				seen[i] = true
-				b.ended(a, i, info)
+				b.recordEnd(a, i, info)
 			}
 			return true
 		})
@@ -151,8 +151,8 @@
 	}
 }
 
-// place of a member in its array, -1 for one that is none.
-func place(a *array, info drmaa2.JobInfo) int {
+// memberIndex of a member in its array, -1 for one that is none.
+func memberIndex(a *array, info drmaa2.JobInfo) int {
 	if info.JobArrayIndex == nil {
 		return -1
 	}
@@ -163,8 +163,8 @@
 	return i
 }
 
-// ended notes how a member ended, at the time that the dispatcher tells.
-func (b *BatchClients) ended(a *array, i int, info drmaa2.JobInfo) {
+// recordEnd notes how a member recordEnd, at the time that the dispatcher tells.
+func (b *BatchClients) recordEnd(a *array, i int, info drmaa2.JobInfo) {
 	e := verdict.Event{Kind: verdict.Answered, Request: a.requests[i], Answer: verdict.Failed, At: info.FinishTime.Sub(b.record.Start())}
 	switch {
 	case info.JobState == "DONE":
--- a/internal/scale/hollow/callbacks.go
+++ b/internal/scale/hollow/callbacks.go
@@ -10,14 +10,14 @@
 
 // callbacks carries what executors tell to dispatchers, over a few kept connections to each.
 type callbacks struct {
-	lanes [][]*lane // by dispatcher
+	streams [][]*callbackStream // by dispatcher
 }
 
-// lane is one connection's worth of calls: those of one request keep their order.
-type lane struct {
+// callbackStream is one connection's worth of calls: those of one request keep their order.
+type callbackStream struct {
 	mu      sync.Mutex
 	waiting []call
-	more    chan struct{}
+	wake    chan struct{}
 	conn    *Conn
 	addr    string
 	traffic *Traffic
@@ -25,25 +25,25 @@
 
 // call is one callback.
 type call struct {
-	body     []byte
-	life     context.Context // of the executor's life: a lost executor tells nothing
-	pass     func(context.Context) error
-	answered func()
+	body           []byte
+	incarnationCtx context.Context // of the executor's life: a lost executor tells nothing
+	waitForLink    func(context.Context) error
+	onAnswered     func()
 }
 
 // Each call is tried until it is answered, ten times at most.
 const (
-	callTries = 10
-	callPause = 20 * time.Millisecond
-	callLanes = 16 // to each dispatcher
+	maxCallAttempts      = 10
+	callRetryInterval    = 20 * time.Millisecond
+	streamsPerDispatcher = 16 // to each dispatcher
 )
 
 func newCallbacks(ctx context.Context, g *errgroup.Group, n *Network, t *Traffic, dispatchers int) *callbacks {
-	c := &callbacks{lanes: make([][]*lane, dispatchers)}
-	for d := range c.lanes {
-		for range callLanes {
-			l := &lane{more: make(chan struct{}, 1), addr: n.Dispatcher(d), traffic: t}
-			c.lanes[d] = append(c.lanes[d], l)
+	c := &callbacks{streams: make([][]*callbackStream, dispatchers)}
+	for d := range c.streams {
+		for range streamsPerDispatcher {
+			l := &callbackStream{wake: make(chan struct{}, 1), addr: n.Dispatcher(d), traffic: t}
+			c.streams[d] = append(c.streams[d], l)
 			g.Go(func() error { l.run(ctx); return nil })
 		}
 	}
@@ -52,20 +52,20 @@
 
 // send queues a call. It does not block.
 func (c *callbacks) send(dispatcher int, request uint64, k call) {
-	if dispatcher >= len(c.lanes) {
+	if dispatcher >= len(c.streams) {
 		return
 	}
-	l := c.lanes[dispatcher][request%callLanes]
+	l := c.streams[dispatcher][request%streamsPerDispatcher]
 	l.mu.Lock()
 	l.waiting = append(l.waiting, k)
 	l.mu.Unlock()
 	select {
-	case l.more <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (l *lane) run(ctx context.Context) {
+func (l *callbackStream) run(ctx context.Context) {
 	defer func() {
 		if l.conn != nil {
 			_ = l.conn.Close()
@@ -77,7 +77,7 @@
 		l.waiting = nil
 		l.mu.Unlock()
 		for _, k := range batch {
-			if k.pass(k.life) == nil {
+			if k.waitForLink(k.incarnationCtx) == nil {
 				l.call(ctx, k)
 			}
 		}
@@ -85,7 +85,7 @@
 			continue
 		}
 		select {
-		case <-l.more:
+		case <-l.wake:
 		case <-ctx.Done():
 			return
 		}
@@ -93,29 +93,29 @@
 }
 
 // call makes one call until it is answered.
-func (l *lane) call(ctx context.Context, k call) {
-	for range callTries {
-		if ctx.Err() != nil || k.life.Err() != nil {
+func (l *callbackStream) call(ctx context.Context, k call) {
+	for range maxCallAttempts {
+		if ctx.Err() != nil || k.incarnationCtx.Err() != nil {
 			return
 		}
-		if l.once(k) {
-			if k.answered != nil {
-				k.answered()
+		if l.tryCall(k) {
+			if k.onAnswered != nil {
+				k.onAnswered()
 			}
 			return
 		}
-		sleep(ctx, callPause)
+		sleep(ctx, callRetryInterval)
 	}
 }
 
-func (l *lane) once(k call) bool {
+func (l *callbackStream) tryCall(k call) bool {
 	if l.conn == nil {
 		var err error
 		if l.conn, err = Dial(l.addr, l.traffic, RoleCallback); err != nil {
 			return false
 		}
 	}
-	m, err := l.conn.Do(time.Now().Add(callWithin), "POST", "/callback", k.body, nil)
+	m, err := l.conn.Do(time.Now().Add(callTimeout), "POST", "/callback", k.body, nil)
 	if err != nil || m.Close {
 		_ = l.conn.Close()
 		l.conn = nil
@@ -123,8 +123,8 @@
 	return err == nil && (m.Status == 200 || m.Status == 204)
 }
 
-// callWithin is how long an executor waits for the answer to a call.
-const callWithin = 5 * time.Second
+// callTimeout is how long an executor waits for the answer to a call.
+const callTimeout = 5 * time.Second
 
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
--- a/internal/scale/hollow/clients.go
+++ b/internal/scale/hollow/clients.go
@@ -126,7 +126,7 @@
 			if t.Batch {
 				c.batch.RunArray(ctx, tasks, due)
 			} else {
-				c.pursue(ctx, t, due)
+				c.runTask(ctx, t, due)
 			}
 			return nil
 		})
@@ -146,14 +146,14 @@
 	}
 }
 
-// unreachedPause is how long a client waits before it goes to the next dispatcher.
-const unreachedPause = 100 * time.Millisecond
+// unreachedRetryInterval is how long a client waits before it goes to the next dispatcher.
+const unreachedRetryInterval = 100 * time.Millisecond
 
-// leastRetry is how long a refused client that was told nothing stays away.
-const leastRetry = 50 * time.Millisecond
+// minRetryInterval is how long a refused client that was told nothing stays away.
+const minRetryInterval = 50 * time.Millisecond
 
-// pursue submits a task, and again after refusals, until it has an end or its time is over.
-func (c *Clients) pursue(ctx context.Context, t workload.Task, due time.Time) {
+// runTask submits a task, and again after refusals, until it has an end or its time is over.
+func (c *Clients) runTask(ctx context.Context, t workload.Task, due time.Time) {
 	deadline := due.Add(c.rules.Deadlines[t.Class])
 	dispatcher := t.Dispatcher
 	for ctx.Err() == nil {
@@ -167,9 +167,9 @@
 			return
 		case verdict.Unreached:
 			dispatcher = (dispatcher + 1) % c.dispatchers
-			retry = unreachedPause
+			retry = unreachedRetryInterval
 		case verdict.Rejected:
-			retry = max(retry, leastRetry)
+			retry = max(retry, minRetryInterval)
 		}
 		if time.Now().Add(retry).After(deadline) {
 			break
@@ -198,7 +198,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	e := c.submitted(t, dispatcher, request, deadline)
+	e := c.submittedEvent(t, dispatcher, request, deadline)
 	fields := []http1.Field{{Name: "X-Trace-Id", Value: id}, {Name: "X-Customer", Value: fleet.TenantName(t.Tenant)},
 		{Name: "X-Expires-In-Ms", Value: strconv.FormatInt(left.Milliseconds(), 10)}, {Name: "Idempotency-Key", Value: "key-" + strconv.Itoa(t.Number)},
 		{Name: "X-Props", Value: "slots=" + strconv.Itoa(t.Slots)}}
@@ -208,7 +208,7 @@
 	}
 	c.record.Add(e)
 	sent := time.Now()
-	m, err := conn.Receive(deadline.Add(c.rules.AnswerSlack + answerSpare))
+	m, err := conn.Receive(deadline.Add(c.rules.AnswerSlack + answerGrace))
 	switch {
 	case ctx.Err() != nil:
 		return verdict.Unreached, 0 // the run ends; what was asked stays open
@@ -216,7 +216,7 @@
 		_ = conn.Close()
 		c.record.Add(verdict.Event{Kind: verdict.GivenUp, Request: request})
 		return verdict.ConnectionBroken, 0
-	case err != nil && kept && !conn.parser.Started() && time.Since(sent) < crossing:
+	case err != nil && kept && !conn.parser.Started() && time.Since(sent) < closeRaceWindow:
 		// Between requests a dispatcher may close a connection, which crosses with a request that it has not read.
 		_ = conn.Close()
 		c.record.Add(verdict.Event{Kind: verdict.Answered, Answer: verdict.Unreached, Request: request})
@@ -226,7 +226,7 @@
 		c.record.Add(verdict.Event{Kind: verdict.Answered, Answer: verdict.ConnectionBroken, Request: request, Kept: kept})
 		return verdict.ConnectionBroken, 0
 	}
-	answer, retry := read(m, id)
+	answer, retry := parseAnswer(m, id)
 	c.record.Add(verdict.Event{Kind: verdict.Answered, Answer: answer, Request: request})
 	if m.Close {
 		_ = conn.Close()
@@ -236,8 +236,8 @@
 	return answer, retry
 }
 
-// submitted is the event of a request that is written now.
-func (c *Clients) submitted(t workload.Task, dispatcher int, request uint64, deadline time.Time) verdict.Event {
+// submittedEvent is the event of a request that is written now.
+func (c *Clients) submittedEvent(t workload.Task, dispatcher int, request uint64, deadline time.Time) verdict.Event {
 	return verdict.Event{At: c.record.Now(), Kind: verdict.Submitted, Request: request, Task: int32(t.Number), Tenant: int32(t.Tenant),
 		Class: uint8(t.Class), Slots: int32(t.Slots), Dispatcher: int16(dispatcher), Deadline: deadline.Sub(c.record.Start())}
 }
@@ -248,8 +248,8 @@
 	if left <= 0 {
 		return verdict.Rejected, 0
 	}
-	c.record.Add(c.submitted(t, number, request, deadline))
-	answer, retry, answered := d.submit(ctx, t, verdict.ID(request), left, deadline.Add(c.rules.AnswerSlack+answerSpare))
+	c.record.Add(c.submittedEvent(t, number, request, deadline))
+	answer, retry, answered := d.submit(ctx, t, verdict.ID(request), left, deadline.Add(c.rules.AnswerSlack+answerGrace))
 	switch {
 	case answered:
 		c.record.Add(verdict.Event{Kind: verdict.Answered, Answer: answer, Request: request})
@@ -259,14 +259,14 @@
 	return answer, retry
 }
 
-// answerSpare is how long past the slack a client reads on: an answer that late is told from none.
-const answerSpare = 500 * time.Millisecond
+// answerGrace is how long past the slack a client reads on: an answer that late is told from none.
+const answerGrace = 500 * time.Millisecond
 
-// crossing is how soon after a request its kept connection ends where the dispatcher had closed it before.
-const crossing = 20 * time.Millisecond
+// closeRaceWindow is how soon after a request its kept connection ends where the dispatcher had closed it before.
+const closeRaceWindow = 20 * time.Millisecond
 
-// read tells what an answer means.
-func read(m *http1.Message, id string) (verdict.Answer, time.Duration) {
+// parseAnswer tells what an answer means.
+func parseAnswer(m *http1.Message, id string) (verdict.Answer, time.Duration) {
 	switch m.Status {
 	case 200:
 		if string(m.Body) != resultOf(id) {
--- a/internal/scale/hollow/conn.go
+++ b/internal/scale/hollow/conn.go
@@ -21,12 +21,12 @@
 	role    Role
 }
 
-// dialWithin is how long a connection may take to come up.
-const dialWithin = 2 * time.Second
+// dialTimeout is how long a connection may take to come up.
+const dialTimeout = 2 * time.Second
 
 // Dial connects for a role.
 func Dial(addr string, t *Traffic, r Role) (*Conn, error) {
-	c, err := net.DialTimeout("tcp", addr, dialWithin)
+	c, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
@@ -77,5 +77,5 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// isRefusal says that a call was refused in words, and not lost on its way.
-func isRefusal(err error, to **drmaa2.Error) bool { return errors.As(err, to) && (*to).Status == 503 }
+// isRejection says that a call was refused in words, and not lost on its way.
+func isRejection(err error, to **drmaa2.Error) bool { return errors.As(err, to) && (*to).Status == 503 }
--- a/internal/scale/hollow/discovery.go
+++ b/internal/scale/hollow/discovery.go
@@ -26,10 +26,10 @@
 	lim     limits.Limits
 	network *Network
 	members int
-	number  map[string]int32
+	numbers map[string]int32
 
 	mu      sync.Mutex
-	rows    []Row // by executor
+	entries []Row // by executor
 	log     []int // executors whose rows changed, the first change having index 2
 	changed chan struct{}
 }
@@ -56,16 +56,16 @@
 // firstIndex is the version of the list that a run begins with.
 const firstIndex = 1
 
-// beatEvery is the time between empty lines of a watch on which nothing changes.
-const beatEvery = 2 * time.Second
+// heartbeatInterval is the time between empty lines of a watch on which nothing changes.
+const heartbeatInterval = 2 * time.Second
 
 // NewDiscovery serves the list of a fleet.
 func NewDiscovery(ctx context.Context, g *errgroup.Group, d *fleet.Description, plan []fleet.Executor, n *Network, r *Record,
 	t *Traffic) (*Discovery, error) {
-	s := &Discovery{network: n, members: d.StoreMembers, record: r, traffic: t, lim: limits.New(0, 0, 0, 0, 0), number: map[string]int32{}, changed: make(chan struct{})}
+	s := &Discovery{network: n, members: d.StoreMembers, record: r, traffic: t, lim: limits.New(0, 0, 0, 0, 0), numbers: map[string]int32{}, changed: make(chan struct{})}
 	for _, x := range plan {
-		s.number[x.Name] = int32(x.Number)
-		s.rows = append(s.rows, Row{Name: x.Name, Zone: d.ZoneName(x.Zone), Type: fleet.Kinds[x.Kind],
+		s.numbers[x.Name] = int32(x.Number)
+		s.entries = append(s.entries, Row{Name: x.Name, Zone: d.ZoneName(x.Zone), Type: fleet.Kinds[x.Kind],
 			Group: x.Rack, Status: StatusReady, Weight: float64(x.Slots)})
 	}
 	for i := range d.TotalDispatchers() {
@@ -93,9 +93,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, i := range executors {
-		s.rows[i].Status = status
+		s.entries[i].Status = status
 		if !since.IsZero() {
-			s.rows[i].SinceMS = since.UnixMilli()
+			s.entries[i].SinceMS = since.UnixMilli()
 		}
 		s.log = append(s.log, i)
 	}
@@ -114,11 +114,11 @@
 func (s *Discovery) since(index, dispatcher int) (answer, <-chan struct{}) {
 	a, changed := s.changes(index)
 	if dispatcher >= s.members {
-		dispatcher = everybody
+		dispatcher = anyDispatcher
 	}
 	for i := range a.Endpoints {
 		row := &a.Endpoints[i]
-		row.Address = s.network.Executor(int(s.number[row.Name]), dispatcher)
+		row.Address = s.network.Executor(int(s.numbers[row.Name]), dispatcher)
 	}
 	return a, changed
 }
@@ -130,7 +130,7 @@
 	a := answer{Index: now, Endpoints: []Row{}}
 	if index < firstIndex || index > now {
 		a.Snapshot = true
-		for _, row := range s.rows {
+		for _, row := range s.entries {
 			if row.Status != StatusRemoved {
 				a.Endpoints = append(a.Endpoints, row)
 			}
@@ -141,7 +141,7 @@
 	for _, i := range s.log[index-firstIndex:] {
 		if !told[i] {
 			told[i] = true
-			a.Endpoints = append(a.Endpoints, s.rows[i])
+			a.Endpoints = append(a.Endpoints, s.entries[i])
 		}
 	}
 	return a, s.changed
@@ -171,7 +171,7 @@
 		if http1.NewWriter(c, s.lim.RingBytes).Response(&http1.Response{Status: 200, Body: append(text, '\n')}) != nil {
 			return
 		}
-		s.told(a, dispatcher)
+		s.recordListed(a, dispatcher)
 	}
 }
 
@@ -185,7 +185,7 @@
 	if err != nil {
 		index = 0
 	}
-	beat := time.NewTicker(beatEvery)
+	beat := time.NewTicker(heartbeatInterval)
 	defer beat.Stop()
 	for {
 		a, changed := s.since(index, dispatcher)
@@ -199,7 +199,7 @@
 		if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text); err != nil {
 			return
 		}
-		s.told(a, dispatcher)
+		s.recordListed(a, dispatcher)
 		index = a.Index
 		select {
 		case <-changed:
@@ -210,12 +210,12 @@
 	}
 }
 
-// told notes what a dispatcher has been told.
-func (s *Discovery) told(a answer, dispatcher int) {
+// recordListed notes what a dispatcher has been recordListed.
+func (s *Discovery) recordListed(a answer, dispatcher int) {
 	s.traffic.in(RoleDiscovery)
 	now := s.record.Now()
 	for _, row := range a.Endpoints {
-		e := verdict.Event{At: now, Kind: verdict.Listed, Dispatcher: int16(dispatcher), Executor: s.number[row.Name]}
+		e := verdict.Event{At: now, Kind: verdict.Listed, Dispatcher: int16(dispatcher), Executor: s.numbers[row.Name]}
 		switch row.Status {
 		case StatusDraining:
 			e.Condition = verdict.Draining
--- a/internal/scale/hollow/dispatcher.go
+++ b/internal/scale/hollow/dispatcher.go
@@ -86,7 +86,7 @@
 	job := node.Job{Class: t.Class, Tenant: t.Tenant, TimeLeft: left, Slots: float64(t.Slots), TraceID: id, IdempotencyKey: fmt.Sprintf("key-%d", t.Number),
 		Method: "POST", Target: target(t), Body: []byte("task")}
 	if _, err := d.core.Submit(job, w); err != nil {
-		return verdict.Rejected, leastRetry, true
+		return verdict.Rejected, minRetryInterval, true
 	}
 	timer := time.NewTimer(time.Until(by))
 	defer timer.Stop()
--- a/internal/scale/hollow/executor.go
+++ b/internal/scale/hollow/executor.go
@@ -28,7 +28,7 @@
 	cuts      *Cuts
 	callbacks *callbacks
 	lim       limits.Limits
-	all       []*executor
+	executors []*executor
 }
 
 // ExecutorSettings are what all executors have in common.
@@ -46,30 +46,30 @@
 	*Executors
 	plan fleet.Executor
 
-	mu   sync.Mutex
-	life *life // nil while it is down
+	mu          sync.Mutex
+	incarnation *incarnation // nil while it is down
 }
 
-// life is what an executor holds between its start and its end.
-type life struct {
-	ctx     context.Context
-	end     context.CancelFunc
-	ln      []net.Listener
-	cold    bool
-	booted  time.Time
-	conns   map[net.Conn]bool
-	used    int // slots
-	waiting []*attempt
+// incarnation is what an executor holds between its start and its end.
+type incarnation struct {
+	ctx       context.Context
+	end       context.CancelFunc
+	listeners []net.Listener
+	cold      bool
+	booted    time.Time
+	conns     map[net.Conn]bool
+	used      int // slots
+	waiting   []*attempt
 }
 
 // attempt is one that an executor took.
 type attempt struct {
-	executor   *executor
-	life       *life
-	id         string
-	request    uint64
-	dispatcher int
-	task       workload.Task
+	executor    *executor
+	incarnation *incarnation
+	id          string
+	request     uint64
+	dispatcher  int
+	task        workload.Task
 }
 
 // NewExecutors makes the executors of a plan. Their goroutines belong to g and end with ctx.
@@ -78,26 +78,26 @@
 	e := &Executors{ctx: ctx, g: g, settings: s, network: n, record: r, traffic: t, cuts: c, lim: limits.New(0, 0, 0, 0, 0)}
 	e.callbacks = newCallbacks(ctx, g, n, t, dispatchers)
 	for _, p := range plan {
-		e.all = append(e.all, &executor{Executors: e, plan: p})
+		e.executors = append(e.executors, &executor{Executors: e, plan: p})
 	}
 	return e
 }
 
 // Boot begins a life of an executor, a cold one but at the run's start.
 func (e *Executors) Boot(number int, cold bool) error {
-	x := e.all[number]
+	x := e.executors[number]
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.life != nil {
+	if x.incarnation != nil {
 		return nil
 	}
 	listeners, err := e.listen(number)
 	if err != nil {
 		return fmt.Errorf("executor %s: %w", x.plan.Name, err)
 	}
-	l := &life{ln: listeners, cold: cold, booted: time.Now(), conns: map[net.Conn]bool{}}
+	l := &incarnation{listeners: listeners, cold: cold, booted: time.Now(), conns: map[net.Conn]bool{}}
 	l.ctx, l.end = context.WithCancel(e.ctx)
-	x.life = l
+	x.incarnation = l
 	if cold {
 		e.record.Add(verdict.Event{Kind: verdict.Booted, Executor: int32(number), Slots: int32(x.plan.Slots)})
 	}
@@ -115,7 +115,7 @@
 // listen takes an executor's addresses: the one for everybody, and one for each member of the store.
 func (e *Executors) listen(number int) ([]net.Listener, error) {
 	var out []net.Listener
-	for caller := everybody; caller < e.settings.StoreMembers; caller++ {
+	for caller := anyDispatcher; caller < e.settings.StoreMembers; caller++ {
 		ln, err := net.Listen("tcp", e.network.Executor(number, caller))
 		if err != nil {
 			for _, had := range out {
@@ -130,16 +130,16 @@
 
 // Kill ends an executor's life as a lost process does: connections are reset, new ones refused, and what it runs is lost.
 func (e *Executors) Kill(number int) {
-	x := e.all[number]
+	x := e.executors[number]
 	x.mu.Lock()
-	l := x.life
-	x.life = nil
+	l := x.incarnation
+	x.incarnation = nil
 	if l == nil {
 		x.mu.Unlock()
 		return
 	}
 	l.waiting = nil
-	for _, ln := range l.ln {
+	for _, ln := range l.listeners {
 		_ = ln.Close()
 	}
 	for c := range l.conns {
@@ -152,13 +152,13 @@
 
 // Booted says whether an executor stands, and when its life began.
 func (e *Executors) Booted(number int) (time.Time, bool) {
-	x := e.all[number]
+	x := e.executors[number]
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.life == nil {
+	if x.incarnation == nil {
 		return time.Time{}, false
 	}
-	return x.life.booted, true
+	return x.incarnation.booted, true
 }
 
 func reset(c net.Conn) {
@@ -168,14 +168,14 @@
 	_ = c.Close()
 }
 
-func (x *executor) accept(l *life, ln net.Listener, caller int) {
+func (x *executor) accept(l *incarnation, ln net.Listener, caller int) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
 		x.mu.Lock()
-		if x.life != l {
+		if x.incarnation != l {
 			x.mu.Unlock()
 			reset(c)
 			return
@@ -196,7 +196,7 @@
 }
 
 // serve answers the requests of one connection.
-func (x *executor) serve(l *life, conn net.Conn, caller int) {
+func (x *executor) serve(l *incarnation, conn net.Conn, caller int) {
 	c := x.traffic.count(conn, RoleExecutor)
 	in, parser, writer := http1.NewRing(x.lim.RingBytes), http1.NewParser(x.lim, false), http1.NewWriter(c, x.lim.RingBytes)
 	var firstByte time.Duration
@@ -230,42 +230,42 @@
 	}
 }
 
-// nobody stands for a dispatcher that a request does not name.
-const nobody = -1
+// unknownDispatcher stands for a dispatcher that a request does not name.
+const unknownDispatcher = -1
 
 // handle answers one request, and says whose it is.
-func (x *executor) handle(l *life, m *http1.Message, firstByte time.Duration, caller int) (http1.Response, int) {
+func (x *executor) handle(l *incarnation, m *http1.Message, firstByte time.Duration, caller int) (http1.Response, int) {
 	switch {
 	case m.Method == "DELETE" && strings.HasPrefix(m.Target, "/jobs/"):
-		return http1.Response{Status: 204}, nobody // nothing stops a task
+		return http1.Response{Status: 204}, unknownDispatcher // nothing stops a task
 	case m.Method == "GET" && (m.Target == "/load" || m.Target == "/healthz"):
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		return http1.Response{Status: 200, Body: []byte(x.load(l))}, nobody
+		return http1.Response{Status: 200, Body: []byte(x.load(l))}, unknownDispatcher
 	case m.Method != "POST" || m.Get("X-Trace-Id") == "":
-		return http1.Response{Status: 404}, nobody
+		return http1.Response{Status: 404}, unknownDispatcher
 	}
 	id := m.Get("X-Trace-Id")
 	request, err := parseID(id)
 	if err != nil {
-		return http1.Text(400, "%v", err), nobody
+		return http1.Text(400, "%v", err), unknownDispatcher
 	}
 	task, err := parseTarget(m.Target)
 	if err != nil {
-		return http1.Text(400, "%v", err), nobody
+		return http1.Text(400, "%v", err), unknownDispatcher
 	}
-	if caller == everybody {
+	if caller == anyDispatcher {
 		caller = dispatcherOf(request)
 	}
 	a := &attempt{x, l, id, request, caller, task}
 	if x.cuts.wait(l.ctx, x.plan.Region, x.settings.DispatcherRegion(a.dispatcher), Inward) != nil {
 		return http1.Response{Status: 503, Close: true}, a.dispatcher
 	}
-	return x.take(l, a, firstByte), a.dispatcher
+	return x.enqueue(l, a, firstByte), a.dispatcher
 }
 
-// take puts an attempt to work, or turns it away where too many wait.
-func (x *executor) take(l *life, a *attempt, firstByte time.Duration) http1.Response {
+// enqueue puts an attempt to work, or turns it away where too many wait.
+func (x *executor) enqueue(l *incarnation, a *attempt, firstByte time.Duration) http1.Response {
 	e := a.event(verdict.Accepted)
 	e.FirstByte, e.Work = firstByte, x.settings.ExpectedRun(a.task.Class)*time.Duration(a.task.Slots)
 	x.mu.Lock()
@@ -278,12 +278,12 @@
 	}
 	x.record.Add(e)
 	l.waiting = append(l.waiting, a)
-	x.next(l)
+	x.startQueued(l)
 	return http1.Response{Status: 202}
 }
 
-// next starts what fits, in the order of arrival: the head waits until it fits. The lock is held.
-func (x *executor) next(l *life) {
+// startQueued starts what fits, in the order of arrival: the head waits until it fits. The lock is held.
+func (x *executor) startQueued(l *incarnation) {
 	for len(l.waiting) > 0 && l.used+l.waiting[0].task.Slots <= x.plan.Slots {
 		a := l.waiting[0]
 		l.waiting = l.waiting[1:]
@@ -294,48 +294,48 @@
 
 // start begins to run an attempt. The executor's lock is held.
 func (a *attempt) start() {
-	x, l := a.executor, a.life
+	x, l := a.executor, a.incarnation
 	x.record.Add(a.event(verdict.Started))
-	x.tell(a, `"state":"started"`, func() { x.record.StartNotified(a.task.Number, time.Now()) })
+	x.notify(a, `"state":"started"`, func() { x.record.StartNotified(a.task.Number, time.Now()) })
 	run := time.Duration(float64(a.task.Run) / x.speed(l))
-	a.proceed(time.Now(), run, x.settings.ProgressInterval)
+	a.scheduleReports(time.Now(), run, x.settings.ProgressInterval)
 }
 
-// proceed tells how far an attempt is once the next report of its progress is due, again and again, and ends it after
+// scheduleReports tells how far an attempt is once the next report of its progress is due, again and again, and ends it after
 // its run. One chain of timers does both, so that no report follows the end: timers of their own would fire in any
 // order where they come due together.
-func (a *attempt) proceed(startedAt time.Time, run, reportDue time.Duration) {
+func (a *attempt) scheduleReports(startedAt time.Time, run, reportDue time.Duration) {
 	if reportDue <= 0 || reportDue >= run {
 		time.AfterFunc(time.Until(startedAt.Add(run)), a.finish)
 		return
 	}
 	time.AfterFunc(time.Until(startedAt.Add(reportDue)), func() {
-		if a.life.ctx.Err() != nil {
+		if a.incarnation.ctx.Err() != nil {
 			return
 		}
-		a.executor.tell(a, fmt.Sprintf(`"state":"running","share":%.3f`, float64(reportDue)/float64(run)), nil)
-		a.proceed(startedAt, run, reportDue+a.executor.settings.ProgressInterval)
+		a.executor.notify(a, fmt.Sprintf(`"state":"running","share":%.3f`, float64(reportDue)/float64(run)), nil)
+		a.scheduleReports(startedAt, run, reportDue+a.executor.settings.ProgressInterval)
 	})
 }
 
 // finish ends an attempt, unless its executor's life has ended before.
 func (a *attempt) finish() {
-	x, l := a.executor, a.life
+	x, l := a.executor, a.incarnation
 	x.mu.Lock()
-	if x.life != l || l.ctx.Err() != nil {
+	if x.incarnation != l || l.ctx.Err() != nil {
 		x.mu.Unlock()
 		return
 	}
 	l.used -= a.task.Slots
 	x.record.Add(a.event(verdict.Ended))
-	x.next(l)
+	x.startQueued(l)
 	load := x.load(l)
 	x.mu.Unlock()
-	x.tell(a, `"state":"done","result":"`+resultOf(a.id)+`","load":`+load, nil)
+	x.notify(a, `"state":"done","result":"`+resultOf(a.id)+`","load":`+load, nil)
 }
 
 // speed is the part of its capacity that an executor has by now.
-func (x *executor) speed(l *life) float64 {
+func (x *executor) speed(l *incarnation) float64 {
 	if !l.cold {
 		return 1
 	}
@@ -344,7 +344,7 @@
 }
 
 // load is a report as callbacks and probes carry it. The lock is held.
-func (x *executor) load(l *life) string {
+func (x *executor) load(l *incarnation) string {
 	return fmt.Sprintf(`{"queue":%d,"x0":%d}`, len(l.waiting), x.plan.Slots-l.used)
 }
 
@@ -354,10 +354,10 @@
 		Dispatcher: int16(a.dispatcher), Class: uint8(a.task.Class), Tenant: int32(a.task.Tenant), Slots: int32(a.task.Slots)}
 }
 
-// tell calls the attempt's dispatcher back; answered, if set, is called once the dispatcher has answered.
-func (x *executor) tell(a *attempt, rest string, answered func()) {
+// notify calls the attempt's dispatcher back; answered, if set, is called once the dispatcher has answered.
+func (x *executor) notify(a *attempt, rest string, answered func()) {
 	body := `{"id":"` + a.id + `","from":"` + x.plan.Name + `",` + rest + `}`
 	region := x.settings.DispatcherRegion(a.dispatcher)
-	x.callbacks.send(a.dispatcher, a.request, call{body: []byte(body), life: a.life.ctx, answered: answered,
-		pass: func(ctx context.Context) error { return x.cuts.wait(ctx, x.plan.Region, region, Outward) }})
+	x.callbacks.send(a.dispatcher, a.request, call{body: []byte(body), incarnationCtx: a.incarnation.ctx, onAnswered: answered,
+		waitForLink: func(ctx context.Context) error { return x.cuts.wait(ctx, x.plan.Region, region, Outward) }})
 }
--- a/internal/scale/hollow/executor_test.go
+++ b/internal/scale/hollow/executor_test.go
@@ -110,7 +110,7 @@
 
 func (w *world) hand(t *testing.T, executor int, number uint64, run time.Duration) int {
 	t.Helper()
-	m, err := hand(w.network.Executor(executor, everybody), number, run)
+	m, err := hand(w.network.Executor(executor, anyDispatcher), number, run)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +159,7 @@
 	if err := w.executors.Boot(0, false); err != nil {
 		t.Fatal(err)
 	}
-	hollowMessages, hollowBytes := measure(t, w.network.Executor(0, everybody), w.dispatcher)
+	hollowMessages, hollowBytes := measure(t, w.network.Executor(0, anyDispatcher), w.dispatcher)
 
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
@@ -229,7 +229,7 @@
 			t.Fatalf("task %d: %d", number, got)
 		}
 	}
-	m, err := hand(w.network.Executor(0, everybody), 5, time.Hour)
+	m, err := hand(w.network.Executor(0, anyDispatcher), 5, time.Hour)
 	if err != nil || m.Status != 503 || m.Get("X-Never-Ran") != "1" || !strings.Contains(m.Get("Endpoint-Load-Metrics"), "queue=2, x0=0") {
 		t.Errorf("%+v %v", m, err)
 	}
@@ -247,7 +247,7 @@
 	}
 	w.hand(t, 0, 1, 50*time.Millisecond)
 	w.executors.Kill(0)
-	if _, err := hand(w.network.Executor(0, everybody), 2, time.Millisecond); err == nil {
+	if _, err := hand(w.network.Executor(0, anyDispatcher), 2, time.Millisecond); err == nil {
 		t.Error("an executor that is down took a task")
 	}
 	if _, up := w.executors.Booted(0); up {
@@ -290,7 +290,7 @@
 			w.cuts.Set(1, c.cut, true)
 			answered := make(chan error, 1)
 			go func() {
-				m, err := hand(w.network.Executor(0, everybody), 1, time.Millisecond)
+				m, err := hand(w.network.Executor(0, anyDispatcher), 1, time.Millisecond)
 				if err == nil && m.Status != 202 {
 					err = fmt.Errorf("status %d", m.Status)
 				}
@@ -335,7 +335,7 @@
 		{"GET", "/load", id, 200},
 		{"DELETE", "/jobs/" + verdict.ID(1), id, 204},
 	} {
-		m, err := testenv.Call(w.network.Executor(0, everybody), c.method, c.target, nil, c.id)
+		m, err := testenv.Call(w.network.Executor(0, anyDispatcher), c.method, c.target, nil, c.id)
 		if err != nil || m.Status != c.want {
 			t.Errorf("%s %s: %+v %v, want %d", c.method, c.target, m, err, c.want)
 		}
--- a/internal/scale/hollow/record.go
+++ b/internal/scale/hollow/record.go
@@ -17,10 +17,10 @@
 	shards [recordShards]recordShard
 	next   atomic.Uint32
 
-	mu    sync.Mutex
-	due   map[int]dueTask // tasks whose start was not told yet
-	toldH [workload.Kinds]*hdrhistogram.Histogram
-	gangs map[int]*gang
+	mu             sync.Mutex
+	due            map[int]dueTask // tasks whose start was not told yet
+	startLatencies [workload.Kinds]*hdrhistogram.Histogram
+	gangs          map[int]*gang
 }
 
 type recordShard struct {
@@ -35,8 +35,8 @@
 }
 
 type gang struct {
-	size, told  int
-	first, last time.Time
+	size, started int
+	first, last   time.Time
 }
 
 // recordShards keeps the many parties from waiting for one lock.
@@ -44,8 +44,8 @@
 
 // Latencies are kept in microseconds, up to ten minutes, to three digits.
 const (
-	latencyMost   = int64(10 * time.Minute / time.Microsecond)
-	latencyDigits = 3
+	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
+	latencyDigits    = 3
 )
 
 // NewRecord makes a record whose times count from now.
@@ -54,8 +54,8 @@
 // NewRecordFrom makes a record whose times count from a moment.
 func NewRecordFrom(start time.Time) *Record {
 	r := &Record{start: start, due: map[int]dueTask{}, gangs: map[int]*gang{}}
-	for i := range r.toldH {
-		r.toldH[i] = hdrhistogram.New(1, latencyMost, latencyDigits)
+	for i := range r.startLatencies {
+		r.startLatencies[i] = hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
 	}
 	return r
 }
@@ -119,12 +119,12 @@
 		return
 	}
 	delete(r.due, task)
-	_ = r.toldH[d.kind].RecordValue(min(latencyMost, max(1, at.Sub(d.at).Microseconds())))
+	_ = r.startLatencies[d.kind].RecordValue(min(maxLatencyMicros, max(1, at.Sub(d.at).Microseconds())))
 	if g := r.gangs[d.job]; d.kind == workload.Gang && g != nil {
-		if g.told == 0 {
+		if g.started == 0 {
 			g.first = at
 		}
-		g.told++
+		g.started++
 		g.last = at
 	}
 }
@@ -134,7 +134,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out [workload.Kinds]*hdrhistogram.Histogram
-	for i, h := range r.toldH {
+	for i, h := range r.startLatencies {
 		out[i] = hdrhistogram.Import(h.Export())
 	}
 	return out
@@ -146,7 +146,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, g := range r.gangs {
-		switch g.told {
+		switch g.started {
 		case 0:
 			none++
 		case g.size:
--- a/internal/scale/play/changes.go
+++ b/internal/scale/play/changes.go
@@ -22,48 +22,48 @@
 	r *run
 	g sync.WaitGroup
 
-	mu      sync.Mutex
-	made    int
-	missing int
-	took    *hdrhistogram.Histogram
-	noted   []string
+	mu         sync.Mutex
+	made       int
+	notInForce int
+	latencies  *hdrhistogram.Histogram
+	noted      []string
 }
 
-// changeWithin is when a change is to be in force everywhere, by the operators; changeEvery is the time between looks.
+// changeTimeout is when a change is to be in force everywhere, by the operators; changePollInterval is the time between looks.
 const (
-	changeWithin = 6 * time.Second
-	changeEvery  = 10 * time.Millisecond
+	changeTimeout      = 6 * time.Second
+	changePollInterval = 10 * time.Millisecond
 )
 
 func newChanges(r *run) *changes {
-	return &changes{r: r, took: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), latencyDigits)}
+	return &changes{r: r, latencies: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), latencyDigits)}
 }
 
 const latencyDigits = 3
 
-// make makes one change at all dispatchers.
-func (c *changes) make(ctx context.Context) {
+// apply makes one change at all dispatchers.
+func (c *changes) apply(ctx context.Context) {
 	c.mu.Lock()
 	c.made++
 	number := c.made
 	c.mu.Unlock()
 	began := time.Now()
-	by := c.byFile
+	by := c.applyByFile
 	if c.r.Description.StoreMembers > 0 {
-		by = c.byStore
+		by = c.applyByStore
 	}
 	c.g.Go(func() {
 		if err := by(ctx, number); err != nil {
 			c.r.note("change %d: %v", number, err)
-			c.miss()
+			c.countNotInForce()
 			return
 		}
-		c.follow(ctx, number, began)
+		c.waitInForce(ctx, number, began)
 	})
 }
 
-// byFile makes a change at each dispatcher.
-func (c *changes) byFile(_ context.Context, number int) error {
+// applyByFile makes a change at each dispatcher.
+func (c *changes) applyByFile(_ context.Context, number int) error {
 	for _, x := range c.r.dispatchers {
 		p := x.current()
 		if p == nil {
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// byStore makes a change by the operators' command at a member that stands: one class takes the place of the one before.
-func (c *changes) byStore(ctx context.Context, number int) error {
+// applyByStore makes a change by the operators' command at a member that stands: one class takes the place of the one before.
+func (c *changes) applyByStore(ctx context.Context, number int) error {
 	text, err := fleet.ChangeItems(number)
 	if err != nil {
 		return err
@@ -112,23 +112,23 @@
 	return fmt.Errorf("no member took it, see %s", log)
 }
 
-// miss counts a change that did not come to be in force everywhere in time.
-func (c *changes) miss() {
+// countNotInForce counts a change that did not come to be in force everywhere in time.
+func (c *changes) countNotInForce() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.missing++
+	c.notInForce++
 }
 
-// follow waits until a change is in force at all dispatchers.
-func (c *changes) follow(ctx context.Context, number int, began time.Time) {
+// waitInForce waits until a change is in force at all dispatchers.
+func (c *changes) waitInForce(ctx context.Context, number int, began time.Time) {
 	for _, x := range c.r.dispatchers {
 		for x.current() != nil && !c.inForce(x.number, number) {
-			if time.Since(began) > changeWithin {
-				c.miss()
+			if time.Since(began) > changeTimeout {
+				c.countNotInForce()
 				return
 			}
 			select {
-			case <-time.After(changeEvery):
+			case <-time.After(changePollInterval):
 			case <-ctx.Done():
 				return
 			}
@@ -136,7 +136,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.took.RecordValue(time.Since(began).Microseconds())
+	_ = c.latencies.RecordValue(time.Since(began).Microseconds())
 }
 
 // inForce asks for a class that the change brought, or a later one: a path of a class that is known is refused for what else the
@@ -146,7 +146,7 @@
 	last := c.made
 	c.mu.Unlock()
 	for n := number; n <= last; n++ {
-		status, err := c.r.ask(dispatcher, "POST", "/"+fleet.ChangeClass(n))
+		status, err := c.r.call(dispatcher, "POST", "/"+fleet.ChangeClass(n))
 		if err == nil && status == 400 {
 			return true
 		}
@@ -160,7 +160,7 @@
 func (c *changes) sum() result.Changes {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return result.Changes{Made: c.made, NotInForce: c.missing, InForce: latency(c.took, int64(c.made))}
+	return result.Changes{Made: c.made, NotInForce: c.notInForce, InForce: latency(c.latencies, int64(c.made))}
 }
 
 // note keeps a remark for the result.
--- a/internal/scale/play/clients.go
+++ b/internal/scale/play/clients.go
@@ -58,7 +58,7 @@
 		s.add(p)
 	}
 	for part, p := range children {
-		r.await(ctx, p)
+		r.waitForClients(ctx, p)
 		if err := r.merge(part); err != nil {
 			r.note("clients %d: %v", part, errors.Join(err, p.Err()))
 		}
@@ -92,11 +92,11 @@
 		Log: filepath.Join(r.Dir, fmt.Sprintf("clients-%d.log", part))})
 }
 
-// reportWithin is how long a process of clients that was told to end may take to report.
-const reportWithin = 20 * time.Second
+// reportTimeout is how long a process of clients that was told to end may take to report.
+const reportTimeout = 20 * time.Second
 
-// await waits for the end of a process of clients, and asks it to end once the run does.
-func (r *run) await(ctx context.Context, p *process.Process) {
+// waitForClients waits for the end of a process of clients, and asks it to end once the run does.
+func (r *run) waitForClients(ctx context.Context, p *process.Process) {
 	select {
 	case <-p.Ended():
 		return
@@ -107,7 +107,7 @@
 	}
 	select {
 	case <-p.Ended():
-	case <-time.After(reportWithin):
+	case <-time.After(reportTimeout):
 		p.Kill()
 	}
 }
--- a/internal/scale/play/dispatchers.go
+++ b/internal/scale/play/dispatchers.go
@@ -53,29 +53,29 @@
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	if r.Description.StoreMembers > 0 && r.untilLeader(ctx) == nil {
+	if r.Description.StoreMembers > 0 && r.waitForLeader(ctx) == nil {
 		return errors.New("store: no member led in time")
 	}
 	for number, h := range r.hollow {
-		if err := r.untilReady(ctx, number, h); err != nil {
+		if err := r.waitUntilReady(ctx, number, h); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// untilReady waits until a hollow dispatcher can serve.
-func (r *run) untilReady(ctx context.Context, number int, h *hollow.Dispatcher) error {
-	for end := time.Now().Add(readyWithin); !h.Ready(); {
+// waitUntilReady waits until a hollow dispatcher can serve.
+func (r *run) waitUntilReady(ctx context.Context, number int, h *hollow.Dispatcher) error {
+	for end := time.Now().Add(readyTimeout); !h.Ready(); {
 		if ctx.Err() != nil || time.Now().After(end) {
-			return fmt.Errorf("hollow dispatcher %d: not ready within %v", number, readyWithin)
+			return fmt.Errorf("hollow dispatcher %d: not ready within %v", number, readyTimeout)
 		}
-		time.Sleep(readyEvery)
+		time.Sleep(readyPollInterval)
 	}
 	return nil
 }
 
-const readyEvery = 10 * time.Millisecond
+const readyPollInterval = 10 * time.Millisecond
 
 func (r *run) startDispatcher(ctx context.Context, x *dispatcher) error {
 	if err := os.MkdirAll(x.dir, 0o700); err != nil {
@@ -85,7 +85,7 @@
 		return err
 	}
 	args := []string{"serve", "--log-level", "info"}
-	if file := r.operatorsFile(x.number); file != "" {
+	if file := r.operatorConfig(x.number); file != "" {
 		path := filepath.Join(x.dir, "gatetack.yaml")
 		if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
 			return fmt.Errorf("operators' file of dispatcher %d: %w", x.number, err)
@@ -98,7 +98,7 @@
 		return err
 	}
 	x.set(p)
-	return p.WaitUntil(ctx, readyWithin, func() bool { return r.healthy(x.number) })
+	return p.WaitUntil(ctx, readyTimeout, func() bool { return r.healthy(x.number) })
 }
 
 func (x *dispatcher) config() string { return filepath.Join(x.dir, "config.json") }
@@ -142,9 +142,9 @@
 	return os.Rename(x.config()+".new", x.config())
 }
 
-// operatorsFile is what a dispatcher is started with beside its configuration, where there is a store: its members have a batch front,
+// operatorConfig is what a dispatcher is started with beside its configuration, where there is a store: its members have a batch front,
 // and all others follow the settings in it.
-func (r *run) operatorsFile(number int) string {
+func (r *run) operatorConfig(number int) string {
 	d := &r.Description
 	if d.StoreMembers == 0 {
 		return ""
@@ -161,23 +161,23 @@
 		r.network.Batch(number), r.network.Store(number), strings.Join(members, ", "))
 }
 
-// probeWithin is how long a check of a dispatcher's health may take.
-const probeWithin = 2 * time.Second
+// probeTimeout is how long a check of a dispatcher's health may take.
+const probeTimeout = 2 * time.Second
 
 func (r *run) healthy(number int) bool {
-	status, err := r.ask(number, "GET", "/healthz")
+	status, err := r.call(number, "GET", "/healthz")
 	return err == nil && status == 200
 }
 
-// ask makes a call of no client's.
-func (r *run) ask(number int, method, target string) (int, error) {
-	var untold hollow.Traffic // the tool's own calls are no traffic of the fleet's
-	c, err := hollow.Dial(r.network.Dispatcher(number), &untold, hollow.RoleClient)
+// call makes a call of no client's.
+func (r *run) call(number int, method, target string) (int, error) {
+	var uncounted hollow.Traffic // the tool's own calls are no traffic of the fleet's
+	c, err := hollow.Dial(r.network.Dispatcher(number), &uncounted, hollow.RoleClient)
 	if err != nil {
 		return 0, err
 	}
 	defer func() { _ = c.Close() }()
-	m, err := c.Do(time.Now().Add(probeWithin), method, target, nil, nil)
+	m, err := c.Do(time.Now().Add(probeTimeout), method, target, nil, nil)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/scale/play/inject.go
+++ b/internal/scale/play/inject.go
@@ -57,7 +57,7 @@
 	case faults.RestartLeader:
 		r.restartLeader(ctx)
 	case faults.Change:
-		r.changes.make(ctx)
+		r.changes.apply(ctx)
 	}
 }
 
--- a/internal/scale/play/lag.go
+++ b/internal/scale/play/lag.go
@@ -17,20 +17,20 @@
 }
 
 const (
-	lagEvery = 5 * time.Millisecond
-	lagMost  = int64(time.Minute / time.Microsecond)
+	lagSampleInterval = 5 * time.Millisecond
+	maxLagMicros      = int64(time.Minute / time.Microsecond)
 )
 
 func (l *lag) watch(ctx context.Context) {
 	l.mu.Lock()
-	l.late = hdrhistogram.New(1, lagMost, 3)
+	l.late = hdrhistogram.New(1, maxLagMicros, 3)
 	l.mu.Unlock()
 	for ctx.Err() == nil {
-		due := time.Now().Add(lagEvery)
-		time.Sleep(lagEvery)
+		due := time.Now().Add(lagSampleInterval)
+		time.Sleep(lagSampleInterval)
 		late := time.Since(due).Microseconds()
 		l.mu.Lock()
-		_ = l.late.RecordValue(min(lagMost, max(1, late)))
+		_ = l.late.RecordValue(min(maxLagMicros, max(1, late)))
 		l.mu.Unlock()
 	}
 }
--- a/internal/scale/play/leader.go
+++ b/internal/scale/play/leader.go
@@ -21,13 +21,13 @@
 
 // storeState is what a member says that it is; empty where it says nothing.
 func (r *run) storeState(number int) string {
-	var untold hollow.Traffic
-	c, err := hollow.Dial(r.network.Store(number), &untold, hollow.RoleClient)
+	var uncounted hollow.Traffic
+	c, err := hollow.Dial(r.network.Store(number), &uncounted, hollow.RoleClient)
 	if err != nil {
 		return ""
 	}
 	defer func() { _ = c.Close() }()
-	m, err := c.Do(time.Now().Add(probeWithin), "GET", "/v1/status", nil, nil)
+	m, err := c.Do(time.Now().Add(probeTimeout), "GET", "/v1/status", nil, nil)
 	if err != nil || m.Status != 200 {
 		return ""
 	}
@@ -42,7 +42,7 @@
 func (r *run) killLeader(ctx context.Context) {
 	r.leaderMu.Lock()
 	defer r.leaderMu.Unlock()
-	x := r.untilLeader(ctx)
+	x := r.waitForLeader(ctx)
 	if x == nil {
 		r.note("the store had no leader that could be killed")
 		return
@@ -50,16 +50,16 @@
 	r.killed = x
 	r.kill(x)
 	began := time.Now()
-	if next := r.untilLeader(ctx); next != nil {
+	if next := r.waitForLeader(ctx); next != nil {
 		r.note("leader %d was killed; %d led after %v", x.number, next.number, time.Since(began).Round(time.Millisecond))
 		return
 	}
 	r.note("leader %d was killed; no member led within %v", x.number, time.Since(began).Round(time.Millisecond))
 }
 
-// untilLeader waits until the store has a leader; nil if none came in time.
-func (r *run) untilLeader(ctx context.Context) *dispatcher {
-	for end := time.Now().Add(readyWithin); ctx.Err() == nil && time.Now().Before(end); time.Sleep(readyEvery) {
+// waitForLeader waits until the store has a leader; nil if none came in time.
+func (r *run) waitForLeader(ctx context.Context) *dispatcher {
+	for end := time.Now().Add(readyTimeout); ctx.Err() == nil && time.Now().Before(end); time.Sleep(readyPollInterval) {
 		if x := r.leader(); x != nil {
 			return x
 		}
--- a/internal/scale/play/play.go
+++ b/internal/scale/play/play.go
@@ -32,12 +32,12 @@
 
 // Times of a run beside its load's.
 const (
-	readyWithin  = 30 * time.Second       // of a dispatcher, from its start
-	settleFor    = time.Second            // between the last dispatcher's readiness and the load's start
-	answerSpare  = 5 * time.Second        // past the longest deadline, all answers must have come
-	batchSpare   = 15 * time.Second       // and what became of batch jobs be known
-	clientsLead  = 500 * time.Millisecond // in which processes of clients start
-	queuePerSlot = 4                      // tasks that may wait at an executor
+	readyTimeout         = 30 * time.Second       // of a dispatcher, from its start
+	settleDuration       = time.Second            // between the last dispatcher's readiness and the load's start
+	answerGrace          = 5 * time.Second        // past the longest deadline, all answers must have come
+	batchGrace           = 15 * time.Second       // and what became of batch jobs be known
+	clientsStartDuration = 500 * time.Millisecond // in which processes of clients start
+	queuePerSlot         = 4                      // tasks that may wait at an executor
 )
 
 // A hollow executor takes about so much, connections included, and a running task so much; dispatchers may use what they are granted.
@@ -48,23 +48,23 @@
 	toolBytes     = 256 << 20
 )
 
-// need is the memory a run may use.
-func need(d *fleet.Description) int64 {
+// memoryNeeded is the memory a run may use.
+func memoryNeeded(d *fleet.Description) int64 {
 	return toolBytes + int64(d.Hollow)*int64(d.Executors)*rowBytes + int64(d.Executors)*executorBytes + int64(d.Running)*taskBytes + int64(d.Dispatchers)*int64(d.MemoryMB)<<20
 }
 
-// descriptors that the tool itself needs: executors listen, dispatchers keep connections to them, and clients have one for each task
+// descriptorsNeeded that the tool itself needs: executors listen, dispatchers keep connections to them, and clients have one for each task
 // that waits.
-func descriptors(d *fleet.Description) int64 {
-	n := d.Executors*(1+d.StoreMembers) + d.TotalDispatchers()*d.Sockets/executorPart + d.TotalDispatchers()*d.TotalDispatchers()
+func descriptorsNeeded(d *fleet.Description) int64 {
+	n := d.Executors*(1+d.StoreMembers) + d.TotalDispatchers()*d.Sockets/executorSocketsDivisor + d.TotalDispatchers()*d.TotalDispatchers()
 	if d.Clients == 0 {
 		n += 2 * d.Running
 	}
 	return int64(n)
 }
 
-// executorPart of a dispatcher's descriptors may be connections to executors.
-const executorPart = 3
+// executorSocketsDivisor of a dispatcher's descriptors may be connections to executors.
+const executorSocketsDivisor = 3
 
 // run is one that is played.
 type run struct {
@@ -86,7 +86,7 @@
 	changes     *changes
 	lag         lag
 	clientLag   time.Duration // the worst of the clients' processes
-	load        float64       // of the machine, before the run
+	loadAverage float64       // of the machine, before the run
 	loadStart   time.Time
 }
 
@@ -101,17 +101,17 @@
 	if r.actions, err = faults.Schedule(d, r.plan, o.Faults); err != nil {
 		return nil, err
 	}
-	if err := o.Budget.CheckStart(need(d), d.Dispatchers+d.Clients+1); err != nil {
+	if err := o.Budget.CheckStart(memoryNeeded(d), d.Dispatchers+d.Clients+1); err != nil {
 		return nil, err
 	}
-	if err := process.CheckDescriptors(descriptors(d)); err != nil {
+	if err := process.CheckDescriptors(descriptorsNeeded(d)); err != nil {
 		return nil, err
 	}
 	if r.network, err = hollow.NewNetwork(); err != nil {
 		return nil, err
 	}
 	defer func() { _ = r.network.Close() }()
-	if r.load, err = process.LoadAverage(); err != nil {
+	if r.loadAverage, err = process.LoadAverage(); err != nil {
 		return nil, err
 	}
 	r.starter = process.NewStarter()
@@ -125,7 +125,7 @@
 		_ = g.Wait()
 	}()
 	r.record = hollow.NewRecord()
-	if err := r.stand(stand, g); err != nil {
+	if err := r.startEnvironment(stand, g); err != nil {
 		return nil, err
 	}
 	if err := r.startDispatchers(ctx); err != nil {
@@ -134,8 +134,8 @@
 	return r.play(ctx, stand)
 }
 
-// stand sets up what stands around the dispatchers.
-func (r *run) stand(ctx context.Context, g *errgroup.Group) error {
+// startEnvironment sets up what stands around the dispatchers.
+func (r *run) startEnvironment(ctx context.Context, g *errgroup.Group) error {
 	d := &r.Description
 	settings := hollow.ExecutorSettings{Rules: d.Rules(), ProgressInterval: d.ProgressInterval(), QueuePerSlot: queuePerSlot, StoreMembers: d.StoreMembers, ExpectedRun: d.ExpectedRun, DispatcherRegion: d.DispatcherRegion}
 	r.executors = hollow.NewExecutors(ctx, g, r.plan, settings, r.network, r.record, &r.traffic, r.cuts, d.TotalDispatchers())
@@ -163,33 +163,33 @@
 	return nil
 }
 
-// spare is how long past the longest deadline a run may last.
-func (r *run) spare() time.Duration {
+// grace is how long past the longest deadline a run may last.
+func (r *run) grace() time.Duration {
 	if r.Description.BatchShare > 0 {
-		return batchSpare
+		return batchGrace
 	}
-	return answerSpare
+	return answerGrace
 }
 
-// errTime ends a run early.
-var errTime = errors.New("answers were still owed when the longest deadline had passed")
+// errAnswersPending ends a run early.
+var errAnswersPending = errors.New("answers were still owed when the longest deadline had passed")
 
 // play runs load, faults and measuring to their ends.
 func (r *run) play(ctx context.Context, stand context.Context) (*result.Result, error) {
 	d := &r.Description
-	time.Sleep(settleFor)
+	time.Sleep(settleDuration)
 	rules := d.Rules()
 	longest := max(rules.Deadlines[fleet.ClassOnce], rules.Deadlines[fleet.ClassUrgent])
 	playing, end := context.WithCancelCause(ctx)
 	defer end(nil)
-	timer := time.AfterFunc(d.Duration+longest+r.spare(), func() { end(errTime) })
+	timer := time.AfterFunc(d.Duration+longest+r.grace(), func() { end(errAnswersPending) })
 	defer timer.Stop()
 
 	samples := newSampler(r)
-	samples.take() // processor time counts from here
+	samples.sample() // processor time counts from here
 	r.loadStart = time.Now()
 	if d.Clients > 0 {
-		r.loadStart = r.loadStart.Add(clientsLead)
+		r.loadStart = r.loadStart.Add(clientsStartDuration)
 	}
 	beside, stop := context.WithCancel(playing)
 	var g errgroup.Group
@@ -205,7 +205,7 @@
 	why := context.Cause(playing)
 	stop()
 	_ = g.Wait()
-	samples.take()
+	samples.sample()
 	r.changes.wait()
 	r.clients.Close()
 	out := r.report(samples, played)
--- a/internal/scale/play/report.go
+++ b/internal/scale/play/report.go
@@ -18,8 +18,8 @@
 	"gatetack/internal/scale/workload"
 )
 
-// asked is how many starts a second are asked for at a moment.
-func (r *run) asked(now time.Time) float64 {
+// requestedRate is how many starts a second are requestedRate for at a moment.
+func (r *run) requestedRate(now time.Time) float64 {
 	d := &r.Description
 	if d.StartsTo <= d.Starts {
 		return d.Starts
@@ -34,7 +34,7 @@
 	out := &result.Result{Tool: result.Tool, Format: result.Format, Commit: r.Commit, Command: r.Command, Machine: machine(), Began: r.loadStart.UTC().Truncate(time.Second),
 		Description: r.Description, Faults: faultNames(r.Faults), Seconds: played.Seconds(), Verdict: verdict.JudgeEvents(verdict.RulesFor(&r.Description, max(r.lag.worst(), r.clientLag)), events, end),
 		Traffic: r.traffic.Sum(), Saturated: s.saturated, ToolLag: r.lag.sum(), MemoryMB: float64(s.peak) / (1 << 20), Changes: r.changes.sum(), Notes: r.notes()}
-	out.Machine.LoadBefore = r.load
+	out.Machine.LoadBefore = r.loadAverage
 	out.RulesKept = out.Verdict.Passed()
 	out.Jobs = r.jobs()
 	whole, part, none, spread := r.record.Gangs()
--- a/internal/scale/play/sample.go
+++ b/internal/scale/play/sample.go
@@ -38,10 +38,10 @@
 	spent       process.Usage    // of earlier processes of a dispatcher that was started again
 }
 
-// sampleEvery is the time between two looks, and saturatedFrom the part of what a process may use from which it counts as saturated.
+// sampleInterval is the time between two looks, and saturatedShare the part of what a process may use from which it counts as saturated.
 const (
-	sampleEvery   = time.Second
-	saturatedFrom = 0.9
+	sampleInterval = time.Second
+	saturatedShare = 0.9
 )
 
 // machineName stands for all processes of the machine, others' among them.
@@ -61,7 +61,7 @@
 
 // run measures until the context ends; an error says that a bound was passed.
 func (s *sampler) run(ctx context.Context) error {
-	tick := time.NewTicker(sampleEvery)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -69,7 +69,7 @@
 		case <-ctx.Done():
 			return nil
 		}
-		bytes := s.take()
+		bytes := s.sample()
 		if err := s.r.ended(); err != nil {
 			return err
 		}
@@ -86,15 +86,15 @@
 	s.watched = append(s.watched, &watched{name: p.Name, role: "tool", pid: p.Pid, cores: float64(runtime.NumCPU()), child: p})
 }
 
-// take measures once, and gives the private memory of all.
-func (s *sampler) take() int64 {
+// sample measures once, and gives the private memory of all.
+func (s *sampler) sample() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	span := now.Sub(s.at)
 	bytes := int64(0)
 	for _, w := range s.watched {
-		if w.follow() {
+		if w.refreshProcess() {
 			bytes += s.measure(w, now, span)
 		}
 	}
@@ -112,20 +112,20 @@
 	}
 	cores := float64(busy-s.busy) / float64(span)
 	if s.busy > 0 {
-		s.full(machineName, now, span, cores, float64(runtime.NumCPU()))
+		s.noteSaturation(machineName, now, span, cores, float64(runtime.NumCPU()))
 	}
 	s.busy = busy
 }
 
-// full notes the first that uses up what it may.
-func (s *sampler) full(name string, now time.Time, span time.Duration, cores, may float64) {
-	if s.saturated == nil && span > sampleEvery/2 && cores >= saturatedFrom*may {
-		s.saturated = &result.Saturated{Process: name, AtSeconds: now.Sub(s.r.loadStart).Seconds(), Cores: cores, StartsPerS: s.r.asked(now)}
+// noteSaturation notes the first that uses up what it may.
+func (s *sampler) noteSaturation(name string, now time.Time, span time.Duration, cores, may float64) {
+	if s.saturated == nil && span > sampleInterval/2 && cores >= saturatedShare*may {
+		s.saturated = &result.Saturated{Process: name, AtSeconds: now.Sub(s.r.loadStart).Seconds(), Cores: cores, StartsPerS: s.r.requestedRate(now)}
 	}
 }
 
-// follow goes over to the process that a dispatcher has now.
-func (w *watched) follow() bool {
+// refreshProcess goes over to the process that a dispatcher has now.
+func (w *watched) refreshProcess() bool {
 	if w.child != nil && w.child.HasEnded() {
 		return false
 	}
@@ -161,7 +161,7 @@
 	w.peak.PrivateBytes = max(w.peak.PrivateBytes, u.PrivateBytes)
 	w.peak.Descriptors = max(w.peak.Descriptors, u.Descriptors)
 	w.last = u
-	s.full(w.name, now, span, cores, w.cores)
+	s.noteSaturation(w.name, now, span, cores, w.cores)
 	return u.PrivateBytes
 }
 
--- a/internal/scale/verdict/cold.go
+++ b/internal/scale/verdict/cold.go
@@ -8,15 +8,15 @@
 // largest one in the window does not count. The rule holds where two thirds of the work came from dispatchers that were told of the
 // executor's start, or count as told.
 type coldBudgets struct {
-	rules Rules
-	lives map[int32]*coldLife
+	rules        Rules
+	incarnations map[int32]*coldIncarnation
 }
 
-type coldLife struct {
-	slots   int32
-	booted  time.Duration
-	told    []time.Duration // by dispatcher, 0 for not yet
-	arrived []arrival
+type coldIncarnation struct {
+	slots    int32
+	booted   time.Duration
+	listedAt []time.Duration // by dispatcher, 0 for not yet
+	arrived  []arrival
 }
 
 type arrival struct {
@@ -27,21 +27,21 @@
 
 type overBudget struct{ sent, budget time.Duration }
 
-// informedPart is how much of the work must have come from dispatchers that knew.
-const informedPart = 2.0 / 3
+// minInformedShare is how much of the work must have come from dispatchers that knew.
+const minInformedShare = 2.0 / 3
 
-func newColdBudgets(rules Rules) coldBudgets { return coldBudgets{rules, map[int32]*coldLife{}} }
+func newColdBudgets(rules Rules) coldBudgets { return coldBudgets{rules, map[int32]*coldIncarnation{}} }
 
 func (c *coldBudgets) booted(e Event) {
-	c.lives[e.Executor] = &coldLife{slots: e.Slots, booted: e.At, told: make([]time.Duration, c.rules.Dispatchers)}
+	c.incarnations[e.Executor] = &coldIncarnation{slots: e.Slots, booted: e.At, listedAt: make([]time.Duration, c.rules.Dispatchers)}
 }
 
-func (c *coldBudgets) died(e Event) { delete(c.lives, e.Executor) }
+func (c *coldBudgets) died(e Event) { delete(c.incarnations, e.Executor) }
 
 func (c *coldBudgets) listed(e Event) {
-	life := c.lives[e.Executor]
-	if life != nil && e.Condition == Ready && life.told[e.Dispatcher] == 0 {
-		life.told[e.Dispatcher] = e.At
+	life := c.incarnations[e.Executor]
+	if life != nil && e.Condition == Ready && life.listedAt[e.Dispatcher] == 0 {
+		life.listedAt[e.Dispatcher] = e.At
 	}
 }
 
@@ -52,13 +52,13 @@
 
 // attempt takes in what reached an executor, and says by how much it is over its budget then.
 func (c *coldBudgets) attempt(e Event) (overBudget, bool) {
-	life := c.lives[e.Executor]
+	life := c.incarnations[e.Executor]
 	if life == nil {
 		return overBudget{}, false
 	}
 	since := e.At - life.booted
 	if since >= c.rules.SlowStartDuration {
-		delete(c.lives, e.Executor)
+		delete(c.incarnations, e.Executor)
 		return overBudget{}, false
 	}
 	life.arrived = append(life.arrived, arrival{e.At, e.Work, e.Dispatcher})
@@ -67,17 +67,17 @@
 		a := life.arrived[i]
 		sent += a.work
 		largest = max(largest, a.work)
-		if c.knew(life, a) {
+		if c.informed(life, a) {
 			informed += a.work
 		}
 	}
 	budget := time.Duration(c.rules.OverloadMultiple * c.share(since+c.rules.TimeTolerance) * float64(life.slots) * float64(c.rules.OverloadWindow))
-	over := sent-largest > budget && float64(informed) >= informedPart*float64(sent)
+	over := sent-largest > budget && float64(informed) >= minInformedShare*float64(sent)
 	return overBudget{sent, budget}, over
 }
 
-// knew says whether the dispatcher of an arrival was told of the life, or counts as told.
-func (c *coldBudgets) knew(life *coldLife, a arrival) bool {
-	told := life.told[a.dispatcher]
+// informed says whether the dispatcher of an arrival was told of the life, or counts as told.
+func (c *coldBudgets) informed(life *coldIncarnation, a arrival) bool {
+	told := life.listedAt[a.dispatcher]
 	return told > 0 && told <= a.at || a.at-life.booted >= c.rules.MaxListDelay
 }
--- a/internal/scale/verdict/drains.go
+++ b/internal/scale/verdict/drains.go
@@ -4,20 +4,20 @@
 
 // drains keeps when each dispatcher was told that an executor drains or is gone.
 type drains struct {
-	rules Rules
-	told  []map[int32]time.Duration // by dispatcher
+	rules    Rules
+	listedAt []map[int32]time.Duration // by dispatcher
 }
 
 func newDrains(rules Rules) drains {
-	d := drains{rules: rules, told: make([]map[int32]time.Duration, rules.Dispatchers)}
-	for i := range d.told {
-		d.told[i] = map[int32]time.Duration{}
+	d := drains{rules: rules, listedAt: make([]map[int32]time.Duration, rules.Dispatchers)}
+	for i := range d.listedAt {
+		d.listedAt[i] = map[int32]time.Duration{}
 	}
 	return d
 }
 
 func (d *drains) listed(e Event) {
-	told := d.told[e.Dispatcher]
+	told := d.listedAt[e.Dispatcher]
 	if e.Condition == Ready {
 		delete(told, e.Executor)
 		return
@@ -29,7 +29,7 @@
 
 // late says whether an attempt began to be sent past the grace of its executor's drain, and how long after the drain was told.
 func (d *drains) late(e Event) (time.Duration, bool) {
-	told, ok := d.told[e.Dispatcher][e.Executor]
+	told, ok := d.listedAt[e.Dispatcher][e.Executor]
 	if !ok {
 		return 0, false
 	}
--- a/internal/scale/verdict/judge.go
+++ b/internal/scale/verdict/judge.go
@@ -87,8 +87,8 @@
 // Passed says that no rule was broken.
 func (v *Verdict) Passed() bool { return len(v.ViolationCounts) == 0 }
 
-// violationsShown bounds those of each rule that a verdict lists.
-const violationsShown = 20
+// maxViolationsShown bounds those of each rule that a verdict lists.
+const maxViolationsShown = 20
 
 // Judge takes events. Get one from New.
 type Judge struct {
@@ -131,9 +131,9 @@
 // ID is a request's id as its client sends it.
 func ID(request uint64) string { return fmt.Sprintf("%016x", request) }
 
-func (j *Judge) broken(rule Rule, request uint64, at time.Duration, format string, args ...any) {
+func (j *Judge) violation(rule Rule, request uint64, at time.Duration, format string, args ...any) {
 	j.verdict.ViolationCounts[rule]++
-	if j.verdict.ViolationCounts[rule] <= violationsShown {
+	if j.verdict.ViolationCounts[rule] <= maxViolationsShown {
 		j.verdict.Violations = append(j.verdict.Violations, Violation{rule, ID(request), at, fmt.Sprintf(format, args...)})
 	}
 }
@@ -141,7 +141,7 @@
 // Observe takes one event in; no earlier one may follow.
 func (j *Judge) Observe(e Event) {
 	for _, v := range j.shares.advance(e.At) {
-		j.broken(ReservedShare, v.request, e.At, "tenant %d has %d of its %d slots and has asked since %v", v.tenant, v.running, v.reserved, v.since)
+		j.violation(ReservedShare, v.request, e.At, "tenant %d has %d of its %d slots and has asked since %v", v.tenant, v.running, v.reserved, v.since)
 	}
 	switch e.Kind {
 	case Submitted:
@@ -182,19 +182,19 @@
 	r := j.requests[e.Request]
 	switch {
 	case r == nil:
-		j.broken(FinalAnswer, e.Request, e.At, "an answer to a request that nobody made")
+		j.violation(FinalAnswer, e.Request, e.At, "an answer to a request that nobody made")
 		return
 	case r.answered:
-		j.broken(FinalAnswer, e.Request, e.At, "a second answer")
+		j.violation(FinalAnswer, e.Request, e.At, "a second answer")
 		return
 	}
 	r.answered = true
 	j.count(e, r)
 	if late := e.At - r.deadline - j.rules.AnswerSlack - j.rules.TimeTolerance; late > 0 && e.Answer != Unreached && !j.crashed(r) {
-		j.broken(FinalAnswer, e.Request, e.At, "answered %v past the client's time and the slack", late)
+		j.violation(FinalAnswer, e.Request, e.At, "answered %v past the client's time and the slack", late)
 	}
 	if e.Answer == Rejected {
-		j.refused(e, r)
+		j.rejected(e, r)
 		return
 	}
 	j.shares.withdrawn(r.task)
@@ -228,7 +228,7 @@
 		return
 	}
 	j.verdict.Counts.Lost++
-	j.broken(FinalAnswer, e.Request, e.At, "%s, and its dispatcher stands", text)
+	j.violation(FinalAnswer, e.Request, e.At, "%s, and its dispatcher stands", text)
 }
 
 // crashed says whether the dispatcher of a request died after it was submitted.
@@ -247,23 +247,23 @@
 	j.unanswered(e, r, "no answer came in the client's time and the slack")
 }
 
-// refused checks that a refusal, which says that trying again is harmless, says so truly.
-func (j *Judge) refused(e Event, r *request) {
+// rejected checks that a refusal, which says that trying again is harmless, says so truly.
+func (j *Judge) rejected(e Event, r *request) {
 	t := j.tasks[r.task]
 	if t == nil || !t.taken || j.rules.Effects[r.class] == Repeatable {
 		return
 	}
-	j.broken(SingleRun, e.Request, e.At, "refused, though an executor took it at %v", t.takenAt)
+	j.violation(SingleRun, e.Request, e.At, "refused, though an executor took it at %v", t.takenAt)
 }
 
 // attempt judges what reached an executor.
 func (j *Judge) attempt(e Event) {
 	j.verdict.Counts.Attempts++
 	if since, ok := j.drains.late(e); ok {
-		j.broken(Drain, e.Request, e.At, "dispatcher %d sent it to executor %d, %v after it was told of its drain or end", e.Dispatcher, e.Executor, since)
+		j.violation(Drain, e.Request, e.At, "dispatcher %d sent it to executor %d, %v after it was told of its drain or end", e.Dispatcher, e.Executor, since)
 	}
 	if over, ok := j.cold.attempt(e); ok {
-		j.broken(ColdBudget, e.Request, e.At, "executor %d was sent %v of work in %v, and its budget is %v", e.Executor, over.sent, j.rules.OverloadWindow, over.budget)
+		j.violation(ColdBudget, e.Request, e.At, "executor %d was sent %v of work in %v, and its budget is %v", e.Executor, over.sent, j.rules.OverloadWindow, over.budget)
 	}
 	if e.Kind == AttemptRejected {
 		return
@@ -279,11 +279,11 @@
 	case !t.taken:
 		t.taken, t.takenAt, t.rack = true, e.At, rack
 	case effect == Once:
-		j.broken(SingleRun, e.Request, e.At, "a second attempt reached executor %d; the first one was taken at %v", e.Executor, t.takenAt)
+		j.violation(SingleRun, e.Request, e.At, "a second attempt reached executor %d; the first one was taken at %v", e.Executor, t.takenAt)
 	case effect == KeyedByRack && rack != t.rack:
-		j.broken(SingleRun, e.Request, e.At, "a repeat reached rack %d; the first attempt was taken in rack %d", rack, t.rack)
+		j.violation(SingleRun, e.Request, e.At, "a repeat reached rack %d; the first attempt was taken in rack %d", rack, t.rack)
 	case effect == KeyedByRack && e.At-t.takenAt > j.rules.DedupWindow+j.rules.TimeTolerance:
-		j.broken(SingleRun, e.Request, e.At, "a repeat came %v after the first attempt", e.At-t.takenAt)
+		j.violation(SingleRun, e.Request, e.At, "a repeat came %v after the first attempt", e.At-t.takenAt)
 	}
 }
 
@@ -303,7 +303,7 @@
 	t.starts++
 	if t.starts > 1 && j.rules.Effects[e.Class] == Once {
 		j.verdict.Counts.Doubled++
-		j.broken(SingleRun, e.Request, e.At, "started %d times", t.starts)
+		j.violation(SingleRun, e.Request, e.At, "started %d times", t.starts)
 	}
 }
 
--- a/internal/scale/verdict/judge_test.go
+++ b/internal/scale/verdict/judge_test.go
@@ -18,8 +18,8 @@
 	free   = 2
 )
 
-// someRules judge two tenants, two dispatchers and four executors with two slots each, the first two in one rack.
-func someRules() Rules {
+// testRules judge two tenants, two dispatchers and four executors with two slots each, the first two in one rack.
+func testRules() Rules {
 	return Rules{Effects: []Effect{once: Once, keyed: KeyedByRack, free: Repeatable},
 		Executors:   []Executor{{Rack: 0, Slots: 2}, {Rack: 0, Slots: 2}, {Rack: 1, Slots: 2}, {Rack: 1, Slots: 2}},
 		Dispatchers: 2, ReservedShares: []float64{0.5, 0.5}, AnswerSlack: 16 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
@@ -98,8 +98,8 @@
 			served(2*second, 5, free, 0)), ColdBudget, 5, "of work"},
 		"over a cold budget by the sum of all": {join([]Event{{At: second, Kind: Booted, Executor: 0, Slots: 2}, listed(second, 0, Ready),
 			{At: second, Kind: Listed, Dispatcher: 1, Executor: 0}},
-			of(1, served(2*second, 1, free, 0)), served(2*second, 2, free, 0), of(1, served(2*second, 3, free, 0)), served(2*second, 4, free, 0),
-			of(1, served(2*second, 5, free, 0))), ColdBudget, 5, "of work"},
+			fromDispatcher(1, served(2*second, 1, free, 0)), served(2*second, 2, free, 0), fromDispatcher(1, served(2*second, 3, free, 0)), served(2*second, 4, free, 0),
+			fromDispatcher(1, served(2*second, 5, free, 0))), ColdBudget, 5, "of work"},
 		"held under its share": {[]Event{{At: second, Kind: Submitted, Request: 7, Task: 7, Slots: 1, Deadline: 20 * second},
 			listed(2*second, 0, Ready), listed(8*second, 0, Ready), answered(9*second, 7, Failed)}, ReservedShare, 7, "tenant 0 has 0 of its 4 slots"},
 		"held under its share by refusals": {[]Event{{At: second, Kind: Submitted, Request: 7, Task: 7, Slots: 1, Deadline: 20 * second},
@@ -107,7 +107,7 @@
 			listed(8*second, 0, Ready), answered(9*second, 8, Failed)}, ReservedShare, 8, "tenant 0"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := JudgeEvents(someRules(), c.events, 60*second)
+			v := JudgeEvents(testRules(), c.events, 60*second)
 			if v.Passed() || v.ViolationCounts[c.rule] != 1 || len(v.Violations) != 1 {
 				t.Fatalf("want %q broken once: %v %+v", c.rule, v.ViolationCounts, v.Violations)
 			}
@@ -118,8 +118,8 @@
 	}
 }
 
-// of makes events another dispatcher's.
-func of(dispatcher int16, events []Event) []Event {
+// fromDispatcher makes events another dispatcher's.
+func fromDispatcher(dispatcher int16, events []Event) []Event {
 	for i := range events {
 		events[i].Dispatcher = dispatcher
 	}
@@ -157,7 +157,7 @@
 			[]Event{submitted(second, 7, once), listed(8*second, 0, Ready), answered(9*second, 7, Failed)}),
 	} {
 		t.Run(name, func(t *testing.T) {
-			if v := JudgeEvents(someRules(), events, 60*second); !v.Passed() {
+			if v := JudgeEvents(testRules(), events, 60*second); !v.Passed() {
 				t.Errorf("%+v", v.Violations)
 			}
 		})
@@ -172,7 +172,7 @@
 	}
 	// One executor with two slots is left: one slot is reserved for each tenant.
 	events = append(events, started(second, 1, free, 0), submitted(2*second, 7, once), listed(9*second, 0, Ready), answered(9*second, 7, Failed))
-	if v := JudgeEvents(someRules(), events, 60*second); !v.Passed() {
+	if v := JudgeEvents(testRules(), events, 60*second); !v.Passed() {
 		t.Errorf("%+v", v.Violations)
 	}
 }
@@ -181,7 +181,7 @@
 func TestCounts(t *testing.T) {
 	events := join(served(second, 1, once, 0), []Event{submitted(second, 2, once), answered(2*second, 2, Rejected), {At: 2 * second, Kind: Withdrawn, Task: 2}, submitted(second, 3, once),
 		answered(2*second, 3, Failed), submitted(9*second, 4, once), submitted(second, 5, once), answered(2*second, 5, Unreached)})
-	v := JudgeEvents(someRules(), events, 10*second)
+	v := JudgeEvents(testRules(), events, 10*second)
 	want := Counts{Requests: 5, Served: 1, Rejected: 1, Failed: 1, Unreached: 1, Open: 1, Starts: 1, Attempts: 1}
 	if diff := cmp.Diff(want, v.Counts); diff != "" || !v.Passed() {
 		t.Errorf("%v\n%s", v.Violations, diff)
@@ -199,8 +199,8 @@
 				Executor: int32(rapid.IntRange(0, 3).Draw(t, "executor")), Task: int32(request), Slots: 1, Request: request,
 				Deadline: time.Duration(rapid.Int64Range(0, int64(30*second)).Draw(t, "deadline")), Work: second}
 		}), 0, 60).Draw(t, "events")
-		one := JudgeEvents(someRules(), append([]Event(nil), events...), 60*second)
-		other := JudgeEvents(someRules(), append([]Event(nil), events...), 60*second)
+		one := JudgeEvents(testRules(), append([]Event(nil), events...), 60*second)
+		other := JudgeEvents(testRules(), append([]Event(nil), events...), 60*second)
 		if diff := cmp.Diff(one, other); diff != "" {
 			t.Fatal(diff)
 		}
--- a/internal/scale/verdict/shares.go
+++ b/internal/scale/verdict/shares.go
@@ -9,22 +9,22 @@
 // task, it would still have no more slots than are reserved for it. For a while that is the time work takes to start; past the
 // grace the rule is broken. What is reserved goes by the slots of the executors that stand and are warm.
 type shares struct {
-	rules    Rules
-	tenants  []tenantShare
-	waiting  map[int32]*waitingTask
-	running  map[int32]runningTask // by task
-	up       []bool                // executors
-	warmFrom []time.Duration
-	capacity int
-	lookAt   time.Duration
-	warming  []warming
+	rules     Rules
+	tenants   []tenantShare
+	waiting   map[int32]*waitingTask
+	running   map[int32]runningTask // by task
+	up        []bool                // executors
+	warmFrom  []time.Duration
+	capacity  int
+	nextCheck time.Duration
+	warming   []warming
 }
 
 type tenantShare struct {
-	running int
-	waits   []*waitingTask // the oldest first; those that are over are dropped when looked at
-	since   time.Duration  // since when it has been held under its share; 0 for not
-	told    bool           // of this time
+	running  int
+	waiting  []*waitingTask // the oldest first; those that are over are dropped when looked at
+	since    time.Duration  // since when it has been held under its share; 0 for not
+	reported bool           // of this time
 }
 
 type waitingTask struct {
@@ -49,8 +49,8 @@
 	since                     time.Duration
 }
 
-// lookEvery is the time between two looks at all tenants.
-const lookEvery = 100 * time.Millisecond
+// checkInterval is the time between two looks at all tenants.
+const checkInterval = 100 * time.Millisecond
 
 func newShares(rules Rules) shares {
 	s := shares{rules: rules, tenants: make([]tenantShare, len(rules.ReservedShares)), waiting: map[int32]*waitingTask{},
@@ -70,7 +70,7 @@
 	w := &waitingTask{e.Request, int(e.Slots), false}
 	s.waiting[e.Task] = w
 	t := &s.tenants[e.Tenant]
-	t.waits = append(t.waits, w)
+	t.waiting = append(t.waiting, w)
 }
 
 func (s *shares) withdrawn(task int32) {
@@ -117,8 +117,8 @@
 	s.warming = append(s.warming, warming{s.warmFrom[e.Executor], e.Executor})
 }
 
-// warm takes in the executors that are warm by now.
-func (s *shares) warm(now time.Duration) {
+// addWarmed takes in the executors that are addWarmed by now.
+func (s *shares) addWarmed(now time.Duration) {
 	for len(s.warming) > 0 && s.warming[0].at <= now {
 		w := s.warming[0]
 		s.warming = s.warming[1:]
@@ -130,36 +130,36 @@
 
 // advance looks at all tenants, no more often than lookEvery, and gives those that have newly been held for too long.
 func (s *shares) advance(now time.Duration) []*underShare {
-	if now < s.lookAt {
+	if now < s.nextCheck {
 		return nil
 	}
-	s.lookAt = now + lookEvery
-	s.warm(now)
+	s.nextCheck = now + checkInterval
+	s.addWarmed(now)
 	var found []*underShare
 	for i := range s.tenants {
-		if under := s.look(i, now); under != nil {
+		if under := s.checkTenant(i, now); under != nil {
 			found = append(found, under)
 		}
 	}
 	return found
 }
 
-func (s *shares) look(tenant int, now time.Duration) *underShare {
+func (s *shares) checkTenant(tenant int, now time.Duration) *underShare {
 	t := &s.tenants[tenant]
-	for len(t.waits) > 0 && t.waits[0].over {
-		t.waits = t.waits[1:]
+	for len(t.waiting) > 0 && t.waiting[0].over {
+		t.waiting = t.waiting[1:]
 	}
 	reserved := int(math.Floor(s.rules.ReservedShares[tenant] * float64(s.capacity)))
-	if len(t.waits) == 0 || t.running+t.waits[0].slots > reserved {
-		t.since, t.told = 0, false
+	if len(t.waiting) == 0 || t.running+t.waiting[0].slots > reserved {
+		t.since, t.reported = 0, false
 		return nil
 	}
 	if t.since == 0 {
 		t.since = now
 	}
-	if t.told || now-t.since <= s.rules.ShareGrace+s.rules.TimeTolerance {
+	if t.reported || now-t.since <= s.rules.ShareGrace+s.rules.TimeTolerance {
 		return nil
 	}
-	t.told = true
-	return &underShare{t.waits[0].request, tenant, t.running, reserved, t.since}
+	t.reported = true
+	return &underShare{t.waiting[0].request, tenant, t.running, reserved, t.since}
 }
--- a/internal/scale/virtual/clients.go
+++ b/internal/scale/virtual/clients.go
@@ -24,9 +24,9 @@
 func (w *World) submit(t workload.Task, due time.Duration) {
 	w.requests++
 	j := &job{request: w.requests, task: t, due: due, deadline: due + w.rules.Deadlines[t.Class]}
-	w.see(verdict.Event{Kind: verdict.Submitted, Request: j.request, Task: int32(t.Number), Tenant: int32(t.Tenant), Class: uint8(t.Class),
+	w.observe(verdict.Event{Kind: verdict.Submitted, Request: j.request, Task: int32(t.Number), Tenant: int32(t.Tenant), Class: uint8(t.Class),
 		Slots: int32(t.Slots), Dispatcher: int16(t.Dispatcher), Deadline: j.deadline})
-	w.dispatchers[t.Dispatcher].take(j)
+	w.dispatchers[t.Dispatcher].submit(j)
 }
 
 // answered counts how a task ended, and has what was refused come again while there is time.
@@ -36,13 +36,13 @@
 	case verdict.Served:
 		w.counts.Served[kind]++
 	case verdict.Rejected:
-		retry = max(retry, refusedWait)
+		retry = max(retry, minRetryInterval)
 		if w.now+retry < j.deadline {
 			w.after(retry, func() { w.submit(j.task, j.due) })
 			return
 		}
 		w.counts.Rejected[kind]++
-		w.see(verdict.Event{Kind: verdict.Withdrawn, Task: int32(j.task.Number)})
+		w.observe(verdict.Event{Kind: verdict.Withdrawn, Task: int32(j.task.Number)})
 	default:
 		w.counts.Failed[kind]++
 	}
--- a/internal/scale/virtual/dispatcher.go
+++ b/internal/scale/virtual/dispatcher.go
@@ -11,41 +11,41 @@
 
 // dispatcher hosts one decision module as the program's core does.
 type dispatcher struct {
-	world   *World
-	number  int
-	module  *dispatch.Dispatcher
-	step    time.Duration // least time between steps
-	batch   []dispatch.Event
-	actions []dispatch.Action
-	stepAt  time.Duration
-	planned bool // a step is on the agenda
-	jobs    map[uint32]*job
-	last    uint32
-	watches bool
+	world     *World
+	number    int
+	module    *dispatch.Dispatcher
+	step      time.Duration // least time between steps
+	batch     []dispatch.Event
+	actions   []dispatch.Action
+	stepAt    time.Duration
+	scheduled bool // a step is on the agenda
+	jobs      map[uint32]*job
+	lastJob   uint32
+	watches   bool
 }
 
 // job is a request that a dispatcher owes an answer.
 type job struct {
-	id       uint32
-	request  uint64
-	task     workload.Task
-	due      time.Duration
-	deadline time.Duration
-	tries    []*attempt
-	live     int
-	answered bool
+	id           uint32
+	request      uint64
+	task         workload.Task
+	due          time.Duration
+	deadline     time.Duration
+	attempts     []*attempt
+	openAttempts int
+	answered     bool
 }
 
 // attempt is one send of a job.
 type attempt struct {
-	job        *job
-	dispatcher *dispatcher
-	number     uint16
-	executor   *executor
-	life       int // of the executor, that it went to
-	sent       time.Duration
-	over       bool
-	started    bool
+	job         *job
+	dispatcher  *dispatcher
+	number      uint16
+	executor    *executor
+	incarnation int // of the executor, that it went to
+	sent        time.Duration
+	over        bool
+	started     bool
 }
 
 func newDispatcher(w *World, number int) (*dispatcher, error) {
@@ -58,16 +58,16 @@
 		return nil, fmt.Errorf("dispatcher %d: %w", number, err)
 	}
 	d := &dispatcher{world: w, number: number, module: module, step: span(c.Settings.MinStepInterval), jobs: map[uint32]*job{}}
-	d.event(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Version: w.listVersion, Updates: w.rows()})
+	d.event(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Version: w.listVersion, Updates: w.listEntries()})
 	return d, nil
 }
 
-// rows are the whole list.
-func (w *World) rows() []dispatch.EndpointUpdate {
+// listEntries are the whole list.
+func (w *World) listEntries() []dispatch.EndpointUpdate {
 	var out []dispatch.EndpointUpdate
 	for _, x := range w.executors {
 		if x.status != dispatch.Removed {
-			out = append(out, x.row())
+			out = append(out, x.entry())
 		}
 	}
 	return out
@@ -76,17 +76,17 @@
 // event puts an event into the next step's batch.
 func (d *dispatcher) event(e dispatch.Event) {
 	d.batch = append(d.batch, e)
-	if d.planned {
+	if d.scheduled {
 		return
 	}
-	d.planned = true
-	d.world.at(d.stepAt, d.turn)
+	d.scheduled = true
+	d.world.at(d.stepAt, d.runStep)
 }
 
-// turn steps the module and carries out its actions.
-func (d *dispatcher) turn() {
+// runStep steps the module and carries out its actions.
+func (d *dispatcher) runStep() {
 	w := d.world
-	d.planned = false
+	d.scheduled = false
 	d.stepAt = w.now + d.step
 	batch := d.batch
 	d.batch = nil
@@ -113,40 +113,40 @@
 	case dispatch.ActFail:
 		d.answer(d.jobs[a.Job], verdict.Failed, 0)
 	case dispatch.ActCancel:
-		if j := d.jobs[a.Job]; j != nil && int(a.Attempt) < len(j.tries) {
-			d.end(j.tries[a.Attempt], dispatch.Canceled, nil)
+		if j := d.jobs[a.Job]; j != nil && int(a.Attempt) < len(j.attempts) {
+			d.end(j.attempts[a.Attempt], dispatch.Canceled, nil)
 		}
 	case dispatch.ActTimer:
 		token := a.Token
 		w.after(span(a.Delay), func() { d.event(dispatch.Event{Kind: dispatch.EvTimer, Token: token}) })
 	case dispatch.ActHealthCheck:
-		d.probe(a.Executor)
+		d.healthCheck(a.Executor)
 	case dispatch.ActPollList:
 		d.watches = a.Subscribe
 		if a.Subscribe {
-			w.after(listLate, func() {
-				d.event(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: w.listVersion, Updates: w.rows()})
+			w.after(listLatency, func() {
+				d.event(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: w.listVersion, Updates: w.listEntries()})
 			})
 		}
 	case dispatch.ActGossip:
-		d.tell(a)
+		d.gossip(a)
 	}
 }
 
-// told tells of a change of the list, where the module watches it.
-func (d *dispatcher) told(e dispatch.Event, executors []int, c dispatch.Condition) {
-	d.world.after(listLate, func() {
+// listChanged tells of a change of the list, where the module watches it.
+func (d *dispatcher) listChanged(e dispatch.Event, executors []int, c dispatch.Condition) {
+	d.world.after(listLatency, func() {
 		if d.watches {
 			d.event(e)
 		}
 		condition := map[dispatch.Condition]verdict.Condition{dispatch.Ready: verdict.Ready, dispatch.Draining: verdict.Draining, dispatch.Removed: verdict.Removed}[c]
 		for _, x := range executors {
-			d.world.see(verdict.Event{Kind: verdict.Listed, Dispatcher: int16(d.number), Executor: int32(x), Condition: condition})
+			d.world.observe(verdict.Event{Kind: verdict.Listed, Dispatcher: int16(d.number), Executor: int32(x), Condition: condition})
 		}
 	})
 }
 
-func (d *dispatcher) tell(a *dispatch.Action) {
+func (d *dispatcher) gossip(a *dispatch.Action) {
 	w := d.world
 	data := append([]byte(nil), a.Data...)
 	w.counts.GossipMessages++
@@ -155,11 +155,11 @@
 			continue
 		}
 		w.counts.GossipBytes += len(data)
-		w.after(hopPeer, func() { other.event(dispatch.Event{Kind: dispatch.EvGossip, From: uint32(d.number), Data: data}) })
+		w.after(peerLatency, func() { other.event(dispatch.Event{Kind: dispatch.EvGossip, From: uint32(d.number), Data: data}) })
 	}
 }
 
-func (d *dispatcher) probe(worker uint32) {
+func (d *dispatcher) healthCheck(worker uint32) {
 	w := d.world
 	w.counts.HealthChecks++
 	i, ok := w.byID[worker]
@@ -167,7 +167,7 @@
 		return
 	}
 	x := w.executors[i]
-	trip := 2 * w.hop(d.number, x)
+	trip := 2 * w.latency(d.number, x)
 	w.after(trip, func() {
 		e := dispatch.Event{Kind: dispatch.EvHealthCheck, Executor: worker, Outcome: dispatch.ConnectFailed, Elapsed: millis(trip)}
 		if x.up {
@@ -185,11 +185,11 @@
 	if j == nil || !known {
 		return
 	}
-	t := &attempt{job: j, dispatcher: d, number: uint16(len(j.tries)), executor: w.executors[i], sent: w.now}
-	j.tries = append(j.tries, t)
-	j.live++
+	t := &attempt{job: j, dispatcher: d, number: uint16(len(j.attempts)), executor: w.executors[i], sent: w.now}
+	j.attempts = append(j.attempts, t)
+	j.openAttempts++
 	w.counts.Sends++
-	until := j.deadline - answerEarly
+	until := j.deadline - answerMargin
 	if a.Delay > 0 {
 		until = min(until, w.now+span(a.Delay))
 	}
@@ -198,7 +198,7 @@
 		return
 	}
 	w.at(until, func() { d.end(t, dispatch.TimedOut, nil) })
-	w.after(w.hop(d.number, t.executor), func() { t.executor.arrive(t) })
+	w.after(w.latency(d.number, t.executor), func() { t.executor.arrive(t) })
 }
 
 // end takes the outcome of an attempt in, once.
@@ -208,7 +208,7 @@
 	}
 	t.over = true
 	j := t.job
-	j.live--
+	j.openAttempts--
 	if o == dispatch.Served {
 		d.answer(j, verdict.Served, 0)
 	}
@@ -218,7 +218,7 @@
 }
 
 func (d *dispatcher) forget(j *job) {
-	if j.answered && j.live == 0 {
+	if j.answered && j.openAttempts == 0 {
 		delete(d.jobs, j.id)
 	}
 }
@@ -229,20 +229,20 @@
 		return
 	}
 	j.answered = true
-	d.world.see(verdict.Event{Kind: verdict.Answered, Request: j.request, Answer: a})
+	d.world.observe(verdict.Event{Kind: verdict.Answered, Request: j.request, Answer: a})
 	d.world.answered(j, a, retry)
 	d.forget(j)
 }
 
-// take takes a request in.
-func (d *dispatcher) take(j *job) {
+// submit takes a request in.
+func (d *dispatcher) submit(j *job) {
 	w := d.world
-	d.last++
-	j.id = d.last
+	d.lastJob++
+	j.id = d.lastJob
 	d.jobs[j.id] = j
 	d.event(dispatch.Event{Kind: dispatch.EvRequest, Job: j.id, Class: uint8(j.task.Class), Tenant: uint16(j.task.Tenant), TimeLeft: millis(j.deadline - w.now),
 		Slots: float64(j.task.Slots)})
-	w.at(j.deadline-overdueBy, func() { d.overdue(j) })
+	w.at(j.deadline-overdueMargin, func() { d.overdue(j) })
 }
 
 // overdue answers a job that the module has left unanswered.
@@ -251,7 +251,7 @@
 		return
 	}
 	answer := verdict.Failed
-	if len(j.tries) == 0 {
+	if len(j.attempts) == 0 {
 		answer = verdict.Rejected
 	}
 	d.event(dispatch.Event{Kind: dispatch.EvClientDisconnected, Job: j.id})
--- a/internal/scale/virtual/executor.go
+++ b/internal/scale/virtual/executor.go
@@ -10,19 +10,19 @@
 
 // executor is a modelled one.
 type executor struct {
-	world   *World
-	plan    fleet.Executor
-	id      uint32
-	up      bool
-	status  dispatch.Condition // as the list has it
-	cold    bool
-	booted  time.Duration
-	life    int
-	used    int
-	waiting []*attempt
+	world       *World
+	plan        fleet.Executor
+	id          uint32
+	up          bool
+	status      dispatch.Condition // as the list has it
+	cold        bool
+	booted      time.Duration
+	incarnation int
+	used        int
+	waiting     []*attempt
 }
 
-func (x *executor) row() dispatch.EndpointUpdate {
+func (x *executor) entry() dispatch.EndpointUpdate {
 	r := dispatch.EndpointUpdate{Executor: x.id, Zone: uint8(x.plan.Zone), Kind: uint8(x.plan.Kind), Cell: uint16(x.plan.Rack), Condition: x.status, Weight: float64(x.plan.Slots)}
 	if x.cold {
 		r.StartedAt = clock(x.booted)
@@ -50,8 +50,8 @@
 		return
 	}
 	x.up = false
-	x.life++
-	x.world.see(verdict.Event{Kind: verdict.Died, Executor: int32(x.plan.Number)})
+	x.incarnation++
+	x.world.observe(verdict.Event{Kind: verdict.Died, Executor: int32(x.plan.Number)})
 	x.world.running -= x.used
 	x.used, x.waiting = 0, nil
 }
@@ -61,7 +61,7 @@
 		return
 	}
 	x.up, x.cold, x.booted = true, true, x.world.now
-	x.world.see(verdict.Event{Kind: verdict.Booted, Executor: int32(x.plan.Number), Slots: int32(x.plan.Slots)})
+	x.world.observe(verdict.Event{Kind: verdict.Booted, Executor: int32(x.plan.Number), Slots: int32(x.plan.Slots)})
 }
 
 // event makes the judge's event of an attempt.
@@ -74,27 +74,27 @@
 // arrive takes an attempt, or turns it away.
 func (x *executor) arrive(t *attempt) {
 	w := x.world
-	back := w.hop(t.dispatcher.number, x)
+	back := w.latency(t.dispatcher.number, x)
 	switch {
 	case t.over:
 		return // given up on its way
 	case !x.up:
 		w.after(back, func() { t.dispatcher.end(t, dispatch.ConnectFailed, nil) })
 		return
-	case len(x.waiting) >= queueOfSlot*x.plan.Slots || t.job.task.Slots > x.plan.Slots:
-		w.see(t.event(verdict.AttemptRejected))
+	case len(x.waiting) >= queuePerSlot*x.plan.Slots || t.job.task.Slots > x.plan.Slots:
+		w.observe(t.event(verdict.AttemptRejected))
 		report := x.report()
 		w.after(back, func() { t.dispatcher.end(t, dispatch.Full, report) })
 		return
 	}
-	w.see(t.event(verdict.Accepted))
-	t.life = x.life
+	w.observe(t.event(verdict.Accepted))
+	t.incarnation = x.incarnation
 	x.waiting = append(x.waiting, t)
-	x.next()
+	x.startQueued()
 }
 
-// next starts what fits, in the order of arrival.
-func (x *executor) next() {
+// startQueued starts what fits, in the order of arrival.
+func (x *executor) startQueued() {
 	w := x.world
 	for len(x.waiting) > 0 && x.used+x.waiting[0].job.task.Slots <= x.plan.Slots {
 		t := x.waiting[0]
@@ -108,22 +108,22 @@
 
 func (x *executor) start(t *attempt) {
 	w := x.world
-	w.see(t.event(verdict.Started))
-	back := w.hop(t.dispatcher.number, x)
+	w.observe(t.event(verdict.Started))
+	back := w.latency(t.dispatcher.number, x)
 	w.after(back, func() {
 		if !t.started {
 			t.started = true
 			w.counts.StartLatencies[t.job.task.Kind] = append(w.counts.StartLatencies[t.job.task.Kind], w.now-t.job.due)
 		}
-		x.note(t, dispatch.NotificationStarted, 0)
+		x.notify(t, dispatch.NotificationStarted, 0)
 	})
 	run := time.Duration(float64(t.job.task.Run) / x.speed())
 	x.progress(t, run, w.d.ProgressInterval(), w.d.ProgressInterval())
 	w.after(run, func() { x.finish(t) })
 }
 
-// note tells of an attempt that has not ended.
-func (x *executor) note(t *attempt, topic uint8, amount float64) {
+// notify tells of an attempt that has not ended.
+func (x *executor) notify(t *attempt, topic uint8, amount float64) {
 	if !t.over {
 		t.dispatcher.event(dispatch.Event{Kind: dispatch.EvNotification, Job: t.job.id, Attempt: t.number, Executor: x.id, Topic: topic, Amount: amount})
 	}
@@ -134,23 +134,23 @@
 		return
 	}
 	x.world.after(every, func() {
-		if t.life != x.life || !x.up {
+		if t.incarnation != x.incarnation || !x.up {
 			return
 		}
-		x.note(t, dispatch.NotificationProgress, float64(done)/float64(run))
+		x.notify(t, dispatch.NotificationProgress, float64(done)/float64(run))
 		x.progress(t, run, done+every, every)
 	})
 }
 
 func (x *executor) finish(t *attempt) {
-	if t.life != x.life || !x.up {
+	if t.incarnation != x.incarnation || !x.up {
 		return // lost with its life
 	}
 	w := x.world
 	x.used -= t.job.task.Slots
 	w.running -= t.job.task.Slots
-	w.see(t.event(verdict.Ended))
-	x.next()
+	w.observe(t.event(verdict.Ended))
+	x.startQueued()
 	report := x.report()
-	w.after(w.hop(t.dispatcher.number, x), func() { t.dispatcher.end(t, dispatch.Served, report) })
+	w.after(w.latency(t.dispatcher.number, x), func() { t.dispatcher.end(t, dispatch.Served, report) })
 }
--- a/internal/scale/virtual/world.go
+++ b/internal/scale/virtual/world.go
@@ -35,14 +35,14 @@
 
 // Delays of the modelled network, and when the core steps in where a module does not.
 const (
-	hopSame     = 500 * time.Microsecond
-	hopOther    = 10 * time.Millisecond // between zones
-	hopPeer     = 2 * time.Millisecond
-	listLate    = 20 * time.Millisecond
-	answerEarly = 30 * time.Millisecond
-	overdueBy   = 10 * time.Millisecond
-	refusedWait = 50 * time.Millisecond // of a client that was not told how long
-	queueOfSlot = 4                     // tasks that wait at an executor, for each slot
+	sameZoneLatency  = 500 * time.Microsecond
+	otherZoneLatency = 10 * time.Millisecond // between zones
+	peerLatency      = 2 * time.Millisecond
+	listLatency      = 20 * time.Millisecond
+	answerMargin     = 30 * time.Millisecond
+	overdueMargin    = 10 * time.Millisecond
+	minRetryInterval = 50 * time.Millisecond // of a client that was not told how long
+	queuePerSlot     = 4                     // tasks that wait at an executor, for each slot
 )
 
 // World is a fleet on virtual time.
@@ -55,7 +55,7 @@
 	meter       Meter
 	counts      Counts
 	now         time.Duration
-	queue       agenda
+	queue       eventQueue
 	sequence    uint64
 	dispatchers []*dispatcher
 	executors   []*executor
@@ -102,8 +102,8 @@
 	return w.judge.Finish(end), w.counts
 }
 
-// see tells the judge.
-func (w *World) see(e verdict.Event) {
+// observe tells the judge.
+func (w *World) observe(e verdict.Event) {
 	e.At = w.now
 	w.judge.Observe(e)
 }
@@ -138,15 +138,15 @@
 			continue
 		}
 		x.status = c
-		rows = append(rows, x.row())
+		rows = append(rows, x.entry())
 	}
 	for _, d := range w.dispatchers {
-		d.told(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Version: w.listVersion, Updates: rows}, executors, c)
+		d.listChanged(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Version: w.listVersion, Updates: rows}, executors, c)
 	}
 }
 
-// agenda is what is still to be done, the next first.
-type agenda []timed
+// eventQueue is what is still to be done, the next first.
+type eventQueue []timed
 
 type timed struct {
 	at       time.Duration
@@ -154,17 +154,17 @@
 	do       func()
 }
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, k int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, k int) bool {
 	return a[i].at < a[k].at || a[i].at == a[k].at && a[i].sequence < a[k].sequence
 }
-func (a agenda) Swap(i, k int) { a[i], a[k] = a[k], a[i] }
+func (a eventQueue) Swap(i, k int) { a[i], a[k] = a[k], a[i] }
 
 // Push and Pop are the heap's.
-func (a *agenda) Push(x any) { *a = append(*a, x.(timed)) }
+func (a *eventQueue) Push(x any) { *a = append(*a, x.(timed)) }
 
 // Pop takes the last.
-func (a *agenda) Pop() any {
+func (a *eventQueue) Pop() any {
 	old := *a
 	x := old[len(old)-1]
 	old[len(old)-1] = timed{}
@@ -179,12 +179,12 @@
 
 func (w *World) after(d time.Duration, do func()) { w.at(w.now+d, do) }
 
-// hop is how long a message takes between a dispatcher and an executor.
-func (w *World) hop(dispatcher int, x *executor) time.Duration {
+// latency is how long a message takes between a dispatcher and an executor.
+func (w *World) latency(dispatcher int, x *executor) time.Duration {
 	if w.d.DispatcherZone(dispatcher) == x.plan.Zone {
-		return hopSame
+		return sameZoneLatency
 	}
-	return hopOther
+	return otherZoneLatency
 }
 
 // clock is virtual time as the module counts it. It begins past zero, which stands for long ago.
--- a/internal/scale/virtual/world_test.go
+++ b/internal/scale/virtual/world_test.go
@@ -98,7 +98,7 @@
 		t.Errorf("%d running at most, 90 are asked for on the mean", c.RunningPeak)
 	}
 	for _, told := range c.StartLatencies[workload.Urgent] {
-		if told < 2*hopSame || told > fleet.UrgentStartTarget {
+		if told < 2*sameZoneLatency || told > fleet.UrgentStartTarget {
 			t.Errorf("an urgent task was told to have started %v after it was due", told)
 		}
 	}
--- a/internal/scale/workload/workload.go
+++ b/internal/scale/workload/workload.go
@@ -83,7 +83,7 @@
 
 // Next returns the next task, and false once the load's time is over.
 func (g *Generator) Next() (Task, bool) {
-	if len(g.pending) == 0 && !g.draw() {
+	if len(g.pending) == 0 && !g.drawJob() {
 		return Task{}, false
 	}
 	next := g.pending[0]
@@ -100,8 +100,8 @@
 	return d.Starts + (d.StartsTo-d.Starts)*min(1, float64(at)/float64(d.Duration))
 }
 
-// draw makes the tasks of the job that is due next.
-func (g *Generator) draw() bool {
+// drawJob makes the tasks of the job that is due next.
+func (g *Generator) drawJob() bool {
 	kind := Plain
 	for k, at := range g.next {
 		if at < g.next[kind] {
@@ -113,14 +113,14 @@
 		return false
 	}
 	size := g.size(kind, at)
-	g.next[kind] += g.gap(kind, size, at)
-	g.job(kind, size, at)
+	g.next[kind] += g.timeToNextJob(kind, size, at)
+	g.appendTasks(kind, size, at)
 	return true
 }
 
-// gap is the time to the next job of a kind. Arrays come so that their members keep the rate, whatever sizes
+// timeToNextJob is the time to the next job of a kind. Arrays come so that their members keep the rate, whatever sizes
 // were drawn; the others come by chance.
-func (g *Generator) gap(kind Kind, size int, at time.Duration) time.Duration {
+func (g *Generator) timeToNextJob(kind Kind, size int, at time.Duration) time.Duration {
 	if kind == Array {
 		return time.Duration(float64(size) / g.arrayRate(at) * (0.5 + g.random.Float64()) * float64(time.Second))
 	}
@@ -149,8 +149,8 @@
 	return 1
 }
 
-// job makes the tasks of one job.
-func (g *Generator) job(kind Kind, size int, at time.Duration) {
+// appendTasks makes the tasks of one appendTasks.
+func (g *Generator) appendTasks(kind Kind, size int, at time.Duration) {
 	d := &g.description
 	class := fleet.ClassOnce
 	switch {
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -17,24 +17,24 @@
 
 // The record codes of a batch.
 const (
-	CodeList     Code = 0
-	CodeTimer    Code = 1
-	CodeGone     Code = 2
-	CodeNote     Code = 3
-	CodePeer     Code = 4
-	CodeInit     Code = 5
-	CodeFirst    Code = 6
-	CodeStop     Code = 7
-	CodeOutcome  Code = 8
-	CodeRequest  Code = 9
-	CodeProbed   Code = 10
-	maxFrame          = 1 << 30
-	batchHeader       = 12
-	rowSize           = 21
-	leastRecord       = 3
-	replyHeader       = 8
-	readChunk         = 1 << 16
-	maxTellBytes      = 256
+	CodeList      Code = 0
+	CodeTimer     Code = 1
+	CodeGone      Code = 2
+	CodeNote      Code = 3
+	CodePeer      Code = 4
+	CodeInit      Code = 5
+	CodeFirst     Code = 6
+	CodeStop      Code = 7
+	CodeOutcome   Code = 8
+	CodeRequest   Code = 9
+	CodeProbed    Code = 10
+	maxFrame           = 1 << 30
+	batchHeader        = 12
+	entrySize          = 21
+	minRecordSize      = 3
+	replyHeader        = 8
+	readChunk          = 1 << 16
+	maxTellBytes       = 256
 )
 
 // Record is one record of a batch. Seed and Info are set for CodeInit, and Event is set for all other codes
@@ -55,12 +55,12 @@
 
 // Reader reads batches.
 type Reader struct {
-	r      io.Reader
-	offset int64 // of the current frame in the stream, in bytes
-	buf    []byte
-	rows   []dispatch.EndpointUpdate
-	floats []float32
-	batch  Batch
+	r       io.Reader
+	offset  int64 // of the current frame in the stream, in bytes
+	buf     []byte
+	updates []dispatch.EndpointUpdate
+	floats  []float32
+	batch   Batch
 }
 
 // NewReader returns a Reader that reads batches from r.
@@ -101,14 +101,14 @@
 		return nil, &FrameError{r.offset + 4 + int64(len(r.buf)), fmt.Errorf("frame body: %w", err)}
 	}
 	c := cursor{b: r.buf, r: r}
-	r.rows, r.floats = r.rows[:0], r.floats[:0]
+	r.updates, r.floats = r.updates[:0], r.floats[:0]
 	r.batch.Records = r.batch.Records[:0]
 	r.batch.Clock = c.f64()
 	count := c.u32()
 	if math.IsNaN(r.batch.Clock) || math.IsInf(r.batch.Clock, 0) {
 		return nil, &FrameError{r.offset + 4, fmt.Errorf("clock is %v", r.batch.Clock)}
 	}
-	if int64(count)*leastRecord > int64(len(r.buf)-batchHeader) {
+	if int64(count)*minRecordSize > int64(len(r.buf)-batchHeader) {
 		return nil, &FrameError{r.offset + 12, fmt.Errorf("%d records: %w", count, errCount)}
 	}
 	for range count {
@@ -239,17 +239,17 @@
 		return
 	}
 	e.Form = dispatch.ListForm(form)
-	if int64(n)*rowSize > int64(len(c.b)-c.at) {
+	if int64(n)*entrySize > int64(len(c.b)-c.at) {
 		c.err = fmt.Errorf("%d list entries: %w", n, errCount)
 		return
 	}
-	from := len(c.r.rows)
+	from := len(c.r.updates)
 	for range n {
-		row := dispatch.EndpointUpdate{Executor: c.u32(), Zone: c.u8(), Kind: c.u8(), Cell: c.u16()}
-		row.Condition, row.Weight, row.StartedAt = dispatch.Condition(c.u8()), c.f32(), c.f64()
-		c.r.rows = append(c.r.rows, row)
+		update := dispatch.EndpointUpdate{Executor: c.u32(), Zone: c.u8(), Kind: c.u8(), Cell: c.u16()}
+		update.Condition, update.Weight, update.StartedAt = dispatch.Condition(c.u8()), c.f32(), c.f64()
+		c.r.updates = append(c.r.updates, update)
 	}
-	e.Updates = c.r.rows[from:len(c.r.rows):len(c.r.rows)]
+	e.Updates = c.r.updates[from:len(c.r.updates):len(c.r.updates)]
 }
 
 func (c *cursor) record(rec *Record) {
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestLengthAloneTakesNoMemory(t *testing.T) {
+func TestLengthFieldAloneAllocatesNoMemory(t *testing.T) {
 	r := NewReader(bytes.NewReader([]byte{0x3f, 0xff, 0xff, 0xff, 1, 2, 3}))
 	if _, err := r.Read(); err == nil {
 		t.Fatal("no error")
@@ -310,7 +310,7 @@
 }
 
 // MaxRetryAfter is 0 unless the setting limits.retryAfter permits Retry-After in answers.
-func TestRetryAfterNeedsLeave(t *testing.T) {
+func TestRetryAfterNeedsPermission(t *testing.T) {
 	for line, want := range map[string]float64{"limits.retryAfter=true": 2000, "limits.retryAfter=false": 0, "": 0} {
 		s, err := ParseSettings([]byte(info + "limits.maxRetryAfter=2000.0\n" + line + "\n"))
 		if err != nil || s.MaxRetryAfter != want {
@@ -319,7 +319,7 @@
 	}
 }
 
-func TestSettingsThatCannotBeRead(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for line, key := range map[string]string{
 		"balancers=many":                  "balancers",
 		"balancers=1.5":                   "balancers",
@@ -362,7 +362,7 @@
 			if err != nil {
 				return
 			}
-			if len(b.Records)*leastRecord > len(in) {
+			if len(b.Records)*minRecordSize > len(in) {
 				t.Fatalf("%d records from %d bytes", len(b.Records), len(in))
 			}
 			for i := range b.Records {
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -25,7 +25,7 @@
 	*boltdb.BoltStore
 	raft.SnapshotStore
 	watermark  *watermark
-	writeFault func() failpoint.Disk // fault to inject into a write, in tests; nil for none
+	writeFault func() failpoint.DiskFault // fault to inject into a write, in tests; nil for none
 
 	mu           sync.Mutex
 	writeStarted time.Time // of the write that has not returned, zero for none
@@ -36,7 +36,7 @@
 	abandoned atomic.Bool // closed during a write: no further messages are sent to other members
 }
 
-func newDisk(log *boltdb.BoltStore, writeFault func() failpoint.Disk) *disk {
+func newDisk(log *boltdb.BoltStore, writeFault func() failpoint.DiskFault) *disk {
 	return &disk{BoltStore: log, writeFault: writeFault, closed: make(chan struct{})}
 }
 
@@ -73,17 +73,17 @@
 		return nil
 	}
 	x := d.writeFault()
-	if x.Waits != 0 {
+	if x.Delay != 0 {
 		var waited <-chan time.Time
-		if x.Waits > 0 {
-			waited = time.After(x.Waits)
+		if x.Delay > 0 {
+			waited = time.After(x.Delay)
 		}
 		select {
 		case <-waited:
 		case <-d.closed:
 		}
 	}
-	if x.Fails {
+	if x.Fail {
 		return errors.New("no space left on device (injected by a test)")
 	}
 	return nil
--- a/internal/store/lies_test.go
+++ b/internal/store/lies_test.go
@@ -36,7 +36,7 @@
 }
 
 // diskFault returns the fault that is injected into the writes of a member.
-func diskFault(m *node) *atomic.Pointer[failpoint.Disk] { return &m.disk }
+func diskFault(m *node) *atomic.Pointer[failpoint.DiskFault] { return &m.disk }
 
 // A leader whose disk fails writes, takes two seconds for each, or never completes one does not block the store: the
 // other members elect a leader and accept writes, and acknowledged values persist. Once the disk works again, the
@@ -44,12 +44,12 @@
 func TestLeaderWithABadDisk(t *testing.T) {
 	for _, x := range []struct {
 		what  string
-		disk  failpoint.Disk
+		disk  failpoint.DiskFault
 		heals bool
 	}{
-		{"fails", failpoint.Disk{Fails: true}, true},
-		{"slow", failpoint.Disk{Waits: 2 * time.Second}, true},
-		{"hangs", failpoint.Disk{Waits: -1}, false},
+		{"fails", failpoint.DiskFault{Fail: true}, true},
+		{"slow", failpoint.DiskFault{Delay: 2 * time.Second}, true},
+		{"hangs", failpoint.DiskFault{Delay: -1}, false},
 	} {
 		t.Run(x.what, func(t *testing.T) {
 			all := cluster(t, 3)
@@ -70,11 +70,11 @@
 				func() bool { return others[0].s.IsLeader() || others[1].s.IsLeader() },
 			)
 			expectValue(t, others[1], "before", "x")
-			if x.disk.Waits < 0 { // a member that lost the leadership before its first write reaches the disk as a follower
+			if x.disk.Delay < 0 { // a member that lost the leadership before its first write reaches the disk as a follower
 				testenv.Until(t, "the status reports the disk", func() bool { return lead.s.Status().Disk != "answers" })
 			}
 			if x.heals {
-				disk.Store(&failpoint.Disk{})
+				disk.Store(&failpoint.DiskFault{})
 				testenv.Until(
 					t,
 					"it has the write that it missed",
@@ -93,7 +93,7 @@
 	all := cluster(t, 3)
 	put(t, all[0], "before", "x")
 	lead := leader(t, all)
-	diskFault(lead).Store(&failpoint.Disk{Waits: -1})
+	diskFault(lead).Store(&failpoint.DiskFault{Delay: -1})
 	for _, m := range all {
 		if m == lead {
 			continue
@@ -127,7 +127,7 @@
 		}
 	}
 	disk := diskFault(full)
-	disk.Store(&failpoint.Disk{Fails: true})
+	disk.Store(&failpoint.DiskFault{Fail: true})
 	put(t, lead, "with the other", "y")
 	other.stop()
 	ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
@@ -135,7 +135,7 @@
 	if err := lead.s.Put(ctx, "job", "alone", []byte("z")); err == nil {
 		t.Error("a write was acknowledged with one working disk of three")
 	}
-	disk.Store(&failpoint.Disk{})
+	disk.Store(&failpoint.DiskFault{})
 	put(t, lead, "again", "w")
 	expectValue(t, full, "with the other", "y")
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -41,7 +41,7 @@
 	WatermarkDir string            // a directory in the machine's memory for the watermark, empty for none
 	TrustDisk    bool              // without a watermark, trust that the disk lost nothing
 
-	writeFault func() failpoint.Disk // fault to inject into writes of the log, set by tests before the start
+	writeFault func() failpoint.DiskFault // fault to inject into writes of the log, set by tests before the start
 }
 
 // Store is one member of the replicated store. It is safe for concurrent use.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -30,7 +30,7 @@
 	cfg  Config
 	s    *Store
 	stop func()
-	disk atomic.Pointer[failpoint.Disk] // fault that is injected into writes of its log
+	disk atomic.Pointer[failpoint.DiskFault] // fault that is injected into writes of its log
 }
 
 // start opens and runs the member.
@@ -40,8 +40,8 @@
 	lim.StoreCallTimeout = 20 * time.Second
 	// The fault is set before the first write and read atomically: a member writes whenever others send entries, also
 	// while a test changes the fault.
-	m.disk.Store(&failpoint.Disk{})
-	m.cfg.writeFault = func() failpoint.Disk { return *m.disk.Load() }
+	m.disk.Store(&failpoint.DiskFault{})
+	m.cfg.writeFault = func() failpoint.DiskFault { return *m.disk.Load() }
 	s, err := Open(m.cfg, lim, nil, testenv.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testenv/load.go
+++ b/internal/testenv/load.go
@@ -77,17 +77,17 @@
 						continue
 					}
 				}
-				began := time.Now()
+				start := time.Now()
 				m, err := c.Do("POST", "/"+l.Class+"/cut", []byte("scene"), JobFields(fmt.Sprintf("%s%04x%04x", l.Prefix, i, n), l.Deadline)...)
-				took := time.Since(began)
+				elapsed := time.Since(start)
 				mu.Lock()
 				switch {
 				case err != nil:
 					d.Incomplete++
 				case m.Status == 200:
 					d.Served++
-					_ = d.Latency.RecordValue(took.Microseconds())
-					if took <= l.Objective {
+					_ = d.Latency.RecordValue(elapsed.Microseconds())
+					if elapsed <= l.Objective {
 						d.WithinObjective++
 					}
 				case m.Status == 503:
@@ -155,14 +155,14 @@
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	_ = c.(*net.TCPConn).SetReadBuffer(2048) // so that the kernel buffers little of the answer
-	drip := func(ctx context.Context, text string) {
+	sendSlowly := func(ctx context.Context, text string) {
 		for i := range len(text) {
 			if _, err := io.WriteString(c, text[i:i+1]); err != nil || !pause(ctx, time.Second) {
 				return
 			}
 		}
 	}
-	ask := func(i int) string {
+	jobRequest := func(i int) string {
 		id := fmt.Sprintf("510%05x%08x", n, i)
 		text := "POST /area-render/slow HTTP/1.1\r\nHost: test\r\nContent-Length: 5\r\n"
 		for _, f := range JobFields(id, deadline) {
@@ -171,8 +171,8 @@
 		return text + "\r\n"
 	}
 	in, p := http1.NewRing(4096), http1.NewParser(Limits, true)
-	answer := func(each int, gap time.Duration) {
-		one := make([]byte, each)
+	readAnswer := func(size int, gap time.Duration) {
+		buf := make([]byte, size)
 		for {
 			m, err := p.Feed(in)
 			if m != nil {
@@ -182,8 +182,8 @@
 			if err != nil {
 				return
 			}
-			k, err := c.Read(one)
-			in.Put(one[:k])
+			k, err := c.Read(buf)
+			in.Put(buf[:k])
 			e.Bytes += k
 			if err != nil {
 				e.Closed = ctx.Err() == nil && !errors.Is(err, net.ErrClosed)
@@ -197,23 +197,23 @@
 	switch k {
 	case SlowReader, StalledReader, SlowSecondRead, FastReader:
 		if k == SlowSecondRead {
-			_, _ = io.WriteString(c, ask(0)+"scene")
-			answer(4096, 0)
+			_, _ = io.WriteString(c, jobRequest(0)+"scene")
+			readAnswer(4096, 0)
 			e.Status = 0
 		}
-		if _, err := io.WriteString(c, ask(1)+"scene"); err != nil {
+		if _, err := io.WriteString(c, jobRequest(1)+"scene"); err != nil {
 			return e
 		}
 		e.JobSent = true
 		switch k {
 		case FastReader:
-			answer(4096, 0)
+			readAnswer(4096, 0)
 		case StalledReader:
 			_, _ = c.Read(make([]byte, 1))
 			e.Bytes = 1
 			pause(ctx, 3*time.Second)
 		default:
-			answer(1, time.Second)
+			readAnswer(1, time.Second)
 		}
 	case SlowHead, SlowBody, SlowCallback:
 		ctx, cancel := context.WithCancel(ctx)
@@ -221,21 +221,21 @@
 		g.Go(func() error {
 			switch k {
 			case SlowHead:
-				drip(ctx, ask(0))
+				sendSlowly(ctx, jobRequest(0))
 			case SlowBody:
-				_, _ = io.WriteString(c, ask(0))
-				drip(ctx, "scene")
+				_, _ = io.WriteString(c, jobRequest(0))
+				sendSlowly(ctx, "scene")
 			default:
-				drip(ctx, "POST /callback HTTP/1.1\r\nContent-Length: 59\r\n\r\n"+
+				sendSlowly(ctx, "POST /callback HTTP/1.1\r\nContent-Length: 59\r\n\r\n"+
 					`{"id":"00000000000000aa","from":"s-00000001","state":"done"}`)
 			}
 			return nil
 		})
-		answer(4096, 0)
+		readAnswer(4096, 0)
 		cancel()
 		_ = g.Wait()
 	case IdleClient:
-		answer(4096, 0)
+		readAnswer(4096, 0)
 	}
 	return e
 }
--- a/internal/testenv/standin.go
+++ b/internal/testenv/standin.go
@@ -38,11 +38,11 @@
 
 // Until waits until ok returns true and fails the test after 20 s. The timeout is far longer than expected, so that no test result
 // depends on the machine's speed.
-func Until(t TestReporter, what string, ok func() bool) {
+func Until(t TestReporter, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not true within 20 s:", what)
+			t.Fatal("not true within 20 s:", condition)
 		}
 	}
 }
@@ -148,12 +148,12 @@
 }
 
 // CallFor makes one request on a new connection and closes the connection after the given time.
-func CallFor(addr string, most time.Duration, method, target string, body []byte, fields ...http1.Field) (*http1.Message, error) {
+func CallFor(addr string, timeout time.Duration, method, target string, body []byte, fields ...http1.Field) (*http1.Message, error) {
 	c, err := Dial(addr)
 	if err != nil {
 		return nil, err
 	}
-	defer time.AfterFunc(most, func() { _ = c.Close() }).Stop()
+	defer time.AfterFunc(timeout, func() { _ = c.Close() }).Stop()
 	defer func() { _ = c.Close() }()
 	return c.Do(method, target, body, fields...)
 }
@@ -198,7 +198,7 @@
 	running  int
 	jobEnded chan struct{} // closed and replaced when a job ends
 	starts   []Start
-	gaveUp   []string
+	canceled []string
 	callback []int // statuses of the answers to callbacks
 	g        *errgroup.Group
 	ctx      context.Context
@@ -235,7 +235,7 @@
 func (b *Executor) Canceled() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]string(nil), b.gaveUp...)
+	return append([]string(nil), b.canceled...)
 }
 
 // CallbackStatuses returns the statuses of the answers to callbacks.
@@ -249,41 +249,41 @@
 func (b *Executor) Handle(_ context.Context, m *http1.Message) http1.Response {
 	if m.Method == "DELETE" {
 		b.mu.Lock()
-		b.gaveUp = append(b.gaveUp, strings.TrimPrefix(m.Target, "/jobs/"))
+		b.canceled = append(b.canceled, strings.TrimPrefix(m.Target, "/jobs/"))
 		b.mu.Unlock()
 		return http1.Response{Status: 204}
 	}
 	b.mu.Lock()
-	how := b.behavior
+	behavior := b.behavior
 	b.mu.Unlock()
-	pause(b.ctx, time.Until(how.UnresponsiveUntil))
+	pause(b.ctx, time.Until(behavior.UnresponsiveUntil))
 	if m.Method == "GET" && m.Target == "/load" {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return http1.Response{Status: 200, Body: []byte(b.load(how))}
+		return http1.Response{Status: 200, Body: []byte(b.load(behavior))}
 	}
 	id := m.Get("X-Trace-Id")
 	b.mu.Lock()
-	if !how.RejectAll {
+	if !behavior.RejectAll {
 		b.starts = append(b.starts, Start{id, m.Target, string(m.Body), m.Get("Idempotency-Key"), time.Now()})
 	}
 	b.mu.Unlock()
-	if how.RejectAll {
+	if behavior.RejectAll {
 		return http1.Response{Status: 503, Fields: []http1.Field{{Name: "X-Never-Ran", Value: "1"},
 			{Name: "Endpoint-Load-Metrics", Value: "TEXT queue=4, x0=0"}}}
 	}
-	if how.EarlyCallbacks {
-		b.work(id, how)
+	if behavior.EarlyCallbacks {
+		b.work(id, behavior)
 	} else {
-		b.g.Go(func() error { b.work(id, how); return nil })
+		b.g.Go(func() error { b.work(id, behavior); return nil })
 	}
 	return http1.Response{Status: 202}
 }
 
-func (b *Executor) work(id string, how Behavior) {
+func (b *Executor) work(id string, behavior Behavior) {
 	for {
 		b.mu.Lock()
-		ok, room := how.Slots == 0 || b.running < how.Slots, b.jobEnded
+		ok, jobEnded := behavior.Slots == 0 || b.running < behavior.Slots, b.jobEnded
 		if ok {
 			b.running++
 		}
@@ -292,7 +292,7 @@
 			break
 		}
 		select {
-		case <-room:
+		case <-jobEnded:
 		case <-b.ctx.Done():
 			return
 		}
@@ -304,38 +304,38 @@
 		close(b.jobEnded)
 		b.jobEnded = make(chan struct{})
 	}()
-	if !how.NoCallbacks && !how.NoProgress {
+	if !behavior.NoCallbacks && !behavior.NoProgress {
 		b.notify(id, `"state":"started"`)
 	}
 	select {
-	case <-time.After(how.JobDuration):
+	case <-time.After(behavior.JobDuration):
 	case <-b.ctx.Done():
 		return
 	}
-	if how.NoCallbacks {
+	if behavior.NoCallbacks {
 		return
 	}
-	if !how.NoProgress {
+	if !behavior.NoProgress {
 		b.notify(id, `"state":"running","share":0.9`)
 	}
-	if how.FailJobs {
+	if behavior.FailJobs {
 		b.notify(id, `"state":"failed"`)
 		return
 	}
 	result := "tile of " + id
-	if n := how.ResultBytes - len(result); n > 0 {
+	if n := behavior.ResultBytes - len(result); n > 0 {
 		result += strings.Repeat(".", n)
 	}
 	load := ""
-	if !how.NoLoadReport {
-		load = `,"load":{"queue":0,"x0":` + strconv.Itoa(how.FreeSlots) + `}`
+	if !behavior.NoLoadReport {
+		load = `,"load":{"queue":0,"x0":` + strconv.Itoa(behavior.FreeSlots) + `}`
 	}
 	b.notify(id, `"state":"done","result":"`+result+`"`+load)
 }
 
 // load returns the body of the answer to a health check. The caller holds b.mu.
-func (b *Executor) load(how Behavior) string {
-	return `{"queue":0,"qps":` + strconv.Itoa(len(b.starts)) + `,"x0":` + strconv.Itoa(max(0, how.FreeSlots-b.running)) + `}`
+func (b *Executor) load(behavior Behavior) string {
+	return `{"queue":0,"qps":` + strconv.Itoa(len(b.starts)) + `,"x0":` + strconv.Itoa(max(0, behavior.FreeSlots-b.running)) + `}`
 }
 
 func (b *Executor) notify(id, rest string) {
@@ -395,15 +395,15 @@
 
 // EndpointJSON returns the list entry of an executor as JSON.
 func EndpointJSON(b *Executor, status string) string {
-	zone, kind, group, born := "tallinn", "type-a", 1, int64(0)
+	zone, kind, group, startedAt := "tallinn", "type-a", 1, int64(0)
 	if b.Zone != "" {
 		zone, kind, group = b.Zone, b.Type, b.Group
 	}
 	if !b.StartedAt.IsZero() {
-		born = b.StartedAt.UnixMilli()
+		startedAt = b.StartedAt.UnixMilli()
 	}
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":%d,"status":%q,`+
-		`"weight":1.0,"since_ms":%d}`, b.Name, b.Addr, zone, kind, group, status, born)
+		`"weight":1.0,"since_ms":%d}`, b.Name, b.Addr, zone, kind, group, status, startedAt)
 }
 
 // SetUnresponsive makes watches stay open without sending anything, as a host behind a network partition does.
@@ -423,11 +423,11 @@
 func (l *Discovery) json() (string, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var rows []string
+	var entries []string
 	for _, e := range l.entries {
-		rows = append(rows, e)
+		entries = append(entries, e)
 	}
-	return `{"index":` + strconv.Itoa(l.index) + `,"snapshot":true,"endpoints":[` + strings.Join(rows, ",") + "]}\n", l.changed, l.unresponsive
+	return `{"index":` + strconv.Itoa(l.index) + `,"snapshot":true,"endpoints":[` + strings.Join(entries, ",") + "]}\n", l.changed, l.unresponsive
 }
 
 func (l *Discovery) serve(ctx context.Context, c net.Conn) {
@@ -455,13 +455,13 @@
 		l.watches++
 		l.mu.Unlock()
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		beat := time.NewTicker(2 * time.Second)
-		defer beat.Stop()
+		heartbeat := time.NewTicker(2 * time.Second)
+		defer heartbeat.Stop()
 		for {
 			l.mu.Lock()
-			mute := l.unresponsive
+			unresponsive := l.unresponsive
 			l.mu.Unlock()
-			if !mute {
+			if !unresponsive {
 				if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text); err != nil {
 					return
 				}
@@ -469,7 +469,7 @@
 			select {
 			case <-changed:
 				text, changed, _ = l.json()
-			case <-beat.C:
+			case <-heartbeat.C:
 				text = "\n"
 			case <-ctx.Done():
 				return
--- a/test/array_test.go
+++ b/test/array_test.go
@@ -16,7 +16,7 @@
 func TestKilledBetweenACountAndItsMember(t *testing.T) {
 	s := newTestNode(t, 1, 300*time.Millisecond)
 	s.extraConfig = "  dir: " + s.dir + "/batch\n"
-	s.env = []string{"GATETACK_HOLD_AT=" + failpoint.Ended}
+	s.env = []string{"GATETACK_HOLD_AT=" + failpoint.JobEnded}
 	s.start()
 	status, v := s.drmaa("POST", "/arrays", `{"jobTemplate":`+tile+`,"endIndex":2,"maxParallel":1}`)
 	if status != 201 {
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -363,7 +363,7 @@
 	for _, s := range f {
 		s.program = bare
 	}
-	f[0].env = []string{"GATETACK_STOP_AT=" + failpoint.Hand}
+	f[0].env = []string{"GATETACK_STOP_AT=" + failpoint.JobHandOver}
 	f.startAll()
 	old, heir := f[0], f[1]
 	id := old.submitUntilAccepted(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"the job","submitAsHold":true}`)
--- a/test/moments_test.go
+++ b/test/moments_test.go
@@ -67,7 +67,7 @@
 // listener. The client gets a complete answer, the job is not sent, and the process exits without an error.
 func TestJobInTheMomentOfTheEnd(t *testing.T) {
 	s := newTestNode(t, 1, 10*time.Millisecond)
-	s.env = []string{"GATETACK_STOP_AT=" + failpoint.Leave}
+	s.env = []string{"GATETACK_STOP_AT=" + failpoint.Shutdown}
 	s.start()
 	if err := s.process.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
