--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -1,6 +1,6 @@
-// Command scalerun plays a described fleet: real dispatchers as processes, beside them thousands of hollow executors and clients, with
-// faults, all drawn from a seed. It measures from outside, judges what it saw, prints a table and writes a JSON file of results. It is
-// a tool of the project's developers; docs/design/scale-run.md says what is hollow about each party.
+// Command scalerun runs a described fleet: real dispatchers as processes, with thousands of hollow executors and clients, and faults,
+// all generated from a seed. It measures from outside, judges the observed events, prints a table and writes a JSON result file. It is
+// a tool for the project's developers; docs/design/scale-run.md describes how the hollow parties differ from real ones.
 package main
 
 import (
@@ -28,13 +28,13 @@
 
 // Exit codes.
 const (
-	exitFailed = 1 // nothing was played
-	exitBroken = 2 // a rule was broken
+	exitFailed = 1 // the run did not start
+	exitBroken = 2 // a rule was violated
 	exitEarly  = 3 // the run ended early
 )
 
 var (
-	errBroken = errors.New("a rule was broken")
+	errBroken = errors.New("a rule was violated")
 	errEarly  = errors.New("the run ended early, and its result is partial")
 )
 
@@ -55,7 +55,7 @@
 	os.Exit(exitFailed)
 }
 
-// options are the command's words.
+// options are the values of the command's flags.
 type options struct {
 	description fleet.Description
 	file        string
@@ -100,7 +100,7 @@
 	return cmd
 }
 
-// clientsCommand is what the tool starts itself with where clients run in processes of their own.
+// clientsCommand returns the hidden command with which the tool starts client processes.
 func clientsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: play.ClientsCommand + " ORDER", Hidden: true, Args: cobra.ExactArgs(1),
@@ -129,7 +129,7 @@
 	dir, keep := o.logs, o.logs != ""
 	if !keep {
 		if dir, err = os.MkdirTemp("", "scalerun"); err != nil {
-			return fmt.Errorf("folder for logs: %w", err)
+			return fmt.Errorf("directory for logs: %w", err)
 		}
 		defer func() { _ = os.RemoveAll(dir) }()
 	}
@@ -140,7 +140,7 @@
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("the tool's own program: %w", err)
+		return fmt.Errorf("path of the tool's own program: %w", err)
 	}
 	r, err := play.Run(cmd.Context(), play.Options{Self: self, Description: o.description, Faults: specs, Program: o.program, Dir: dir,
 		Command: commandLine(), Commit: commit(), Budget: process.DefaultBudget})
@@ -150,7 +150,7 @@
 	return finish(cmd.OutOrStdout(), o.out, r)
 }
 
-// readDescription reads the description's file, and puts the flags that were given before it.
+// readDescription reads the description file and overrides its fields by the flags that were given.
 func readDescription(cmd *cobra.Command, o *options) error {
 	if o.file != "" {
 		given := o.description
@@ -170,7 +170,7 @@
 	return o.description.Check()
 }
 
-// override takes the fields over whose flags were given.
+// override copies the fields whose flags were given.
 func override(cmd *cobra.Command, to, given *fleet.Description) {
 	for name, take := range map[string]func(){
 		"seed": func() { to.Seed = given.Seed }, "executors": func() { to.Executors = given.Executors },
@@ -202,7 +202,7 @@
 	return out, nil
 }
 
-// checkOut says before the run whether its result can be written.
+// checkOut checks before the run that the directory of the result file exists.
 func checkOut(path string) error {
 	if path == "" {
 		return nil
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// build builds the dispatcher from the module that the command is run in.
+// build builds the dispatcher program from the module in the current directory.
 func build(dir string) (string, error) {
 	program := filepath.Join(dir, "gatetack")
 	out, err := exec.Command("go", "build", "-o", program, "gatetack/cmd/gatetack").CombinedOutput()
@@ -224,12 +224,12 @@
 	return program, nil
 }
 
-// commandLine are the command's own, as the result has them.
+// commandLine returns the command line for the result.
 func commandLine() string {
 	return strings.Join(append([]string{"go run ./cmd/scalerun"}, os.Args[1:]...), " ")
 }
 
-// commit names what is played, with a mark where files have changed since.
+// commit returns the current commit, with the suffix -changed if files have uncommitted changes.
 func commit() string {
 	out, err := exec.Command("git", "rev-parse", "--short=12", "HEAD").Output()
 	if err != nil {
--- a/cmd/scalerun/main_test.go
+++ b/cmd/scalerun/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Flags and descriptions that can not be used are errors that name the field and what was expected, and nothing is written.
+// Errors of invalid flags and descriptions must have the field's name and the expected value, and no result may be written.
 func TestInvalidInput(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -52,6 +52,6 @@
 		}
 	}
 	if _, err := os.Stat(out); err == nil {
-		t.Error("a result was written")
+		t.Error("a result file was written despite an error")
 	}
 }
--- a/internal/scale/faults/faults.go
+++ b/internal/scale/faults/faults.go
@@ -1,4 +1,4 @@
-// Package faults draws from a seed which faults a scale run has and when. It does no I/O and reads no clock.
+// Package faults generates the schedule of faults of a scale run from a seed. It does no I/O and reads no clock.
 package faults
 
 import (
@@ -13,38 +13,38 @@
 	"gatetack/internal/scale/fleet"
 )
 
-// Name of a kind of fault.
+// Name is the name of a kind of fault.
 type Name string
 
 // The kinds of faults.
 const (
-	Machine     Name = "machine"     // machines fail: 59 a day, hastened by the value
-	Rolling     Name = "rolling"     // so many executors are drained, restarted and come back cold, spread over the run
-	Rack        Name = "rack"        // a rack is out for a third of the run and comes back cold
-	Zone        Name = "zone"        // a zone, likewise
-	CutInward   Name = "cut-in"      // nothing reaches a region's executors from other regions, for a third of the run
-	CutOutward  Name = "cut-out"     // nothing reaches other regions from them, likewise
-	Cut         Name = "cut"         // both
-	Leader      Name = "leader"      // the store's leader is killed, and started again later
-	Reconfigure Name = "reconfigure" // the dispatchers' configuration changes, every so many seconds
+	Machine     Name = "machine"     // machines fail at the rate of the operators' fleet times the value
+	Rolling     Name = "rolling"     // a number of executors are drained and restarted cold, one after another over the run
+	Rack        Name = "rack"        // a rack fails for a third of the run and restarts cold
+	Zone        Name = "zone"        // a zone fails for a third of the run and restarts cold
+	CutInward   Name = "cut-in"      // a region's executors receive nothing from other regions, for a third of the run
+	CutOutward  Name = "cut-out"     // other regions receive nothing from a region's executors, for a third of the run
+	Cut         Name = "cut"         // both directions are cut
+	Leader      Name = "leader"      // the store's leader is killed and restarted after a third of the run
+	Reconfigure Name = "reconfigure" // the dispatchers' configuration changes at an interval in seconds
 )
 
-// machinesPerDay fail in the operators' fleet of fleetSize.
+// machinesPerDay is how many of the fleetSize machines of the operators' fleet fail a day.
 const (
 	machinesPerDay = 59
 	fleetSize      = 6200
 )
 
-// defaultValues are what a fault's value is when none is given; a fault that takes none has 0.
+// defaultValues are the values of faults that are given without one. A fault that takes no value has 0.
 var defaultValues = map[Name]float64{Machine: 1000, Rolling: 20, Rack: 0, Zone: 0, CutInward: 0, CutOutward: 0, Cut: 0, Leader: 0, Reconfigure: 1}
 
-// Spec is a fault that was asked for.
+// Spec is a requested fault.
 type Spec struct {
 	Name  Name
 	Value float64
 }
 
-// Parse reads NAME or NAME=VALUE.
+// Parse parses NAME or NAME=VALUE.
 func Parse(text string) (Spec, error) {
 	name, value, given := strings.Cut(text, "=")
 	s := Spec{Name: Name(name)}
@@ -72,24 +72,24 @@
 	return strings.Join(all, ", ")
 }
 
-// ActionKind says what is done.
+// ActionKind is the kind of an Action. The comments of the constants name the fields of Action that are set.
 type ActionKind uint8
 
 // The actions.
 const (
-	Kill          ActionKind = iota // Executors end
-	Boot                            // Executors begin cold lives
-	ListDraining                    // the list tells of Executors
-	ListRemoved                     // likewise
-	ListReady                       // likewise, with their new lives
-	SetCut                          // Region, Inward, Outward
-	LiftCut                         // likewise
-	KillLeader                      // of the store
-	RestartLeader                   // the member that was killed
-	Change                          // of the configuration
+	Kill          ActionKind = iota // Executors are killed
+	Boot                            // Executors start cold
+	ListDraining                    // Executors become draining in the endpoint list
+	ListRemoved                     // Executors become removed in the endpoint list
+	ListReady                       // Executors become ready in the endpoint list, with their new start times
+	SetCut                          // Region is cut off in the directions Inward and Outward
+	LiftCut                         // the cut by SetCut with the same fields is lifted
+	KillLeader                      // the store's leader is killed
+	RestartLeader                   // the member killed by KillLeader is restarted
+	Change                          // the dispatchers' configuration is changed
 )
 
-// Action is one thing that is done at a time.
+// Action is one step of a fault at a time since the load's start.
 type Action struct {
 	At              time.Duration
 	Kind            ActionKind
@@ -99,17 +99,17 @@
 	Cause           Name
 }
 
-// How late the list knows what has become of an executor.
+// Delays until the endpoint list shows a change of an executor, and durations of repairs and restarts.
 const (
 	minRemovedDelay = time.Second
 	maxRemovedDelay = 3 * time.Second
 	minReadyDelay   = 500 * time.Millisecond
 	maxReadyDelay   = 2 * time.Second
-	repairDuration  = 5 * time.Second // of a machine that failed
-	restartDuration = time.Second     // of one that is restarted in order
+	repairDuration  = 5 * time.Second // downtime of a machine that failed
+	restartDuration = time.Second     // downtime of an executor in a rolling restart
 )
 
-// schedule draws actions.
+// schedule generates actions.
 type schedule struct {
 	d       *fleet.Description
 	plan    []fleet.Executor
@@ -117,7 +117,7 @@
 	actions []Action
 }
 
-// Schedule draws what the faults that were asked for lead to, in the order of time.
+// Schedule returns the actions of the requested faults in the order of their times.
 func Schedule(d *fleet.Description, plan []fleet.Executor, specs []Spec) ([]Action, error) {
 	s := &schedule{d: d, plan: plan, random: rand.New(rand.NewPCG(d.Seed, 0xfa17))}
 	for _, spec := range specs {
@@ -172,7 +172,7 @@
 	return least + time.Duration(s.random.Int64N(int64(most-least)))
 }
 
-// outage takes executors down at a moment and up again after a while; the list learns of it late.
+// outage kills executors at a time and restarts them after the duration down. The endpoint list shows both changes with a delay.
 func (s *schedule) outage(why Name, at, down time.Duration, executors []int) {
 	up := at + down
 	s.actions = append(s.actions,
@@ -182,7 +182,7 @@
 		Action{At: up + s.between(minReadyDelay, maxReadyDelay), Kind: ListReady, Executors: executors, Cause: why})
 }
 
-// machineFailures draws single failures at the operators' rate, times a factor.
+// machineFailures adds failures of single machines at the rate of the operators' fleet times factor.
 func (s *schedule) machineFailures(factor float64) {
 	perSecond := factor * machinesPerDay / (24 * time.Hour).Seconds() * float64(len(s.plan)) / fleetSize
 	for at := time.Duration(0); ; {
@@ -194,7 +194,7 @@
 	}
 }
 
-// rollingRestart restarts executors in turn: each is drained, ends once what it runs may have ended, and comes back cold.
+// rollingRestart restarts executors one after another: each is drained, stopped after twice the mean running time, and restarted cold.
 func (s *schedule) rollingRestart(count int) {
 	count = min(count, len(s.plan))
 	order := s.random.Perm(len(s.plan))[:count]
--- a/internal/scale/faults/faults_test.go
+++ b/internal/scale/faults/faults_test.go
@@ -29,7 +29,7 @@
 	return actions
 }
 
-// A zone goes out whole, the list learns of it later, and it comes back before the list says so.
+// All executors of a zone fail together. The list shows the outage and the restart only after they happen.
 func TestZone(t *testing.T) {
 	d := fleet.Default()
 	actions := mustSchedule(t, d, "zone")
@@ -37,18 +37,18 @@
 	for _, a := range actions {
 		kinds = append(kinds, a.Kind)
 		if len(a.Executors) != 54 && len(a.Executors) != 53 {
-			t.Errorf("%d executors, want a zone's", len(a.Executors))
+			t.Errorf("%d executors, want those of one zone", len(a.Executors))
 		}
 	}
 	if want := []ActionKind{Kill, ListRemoved, Boot, ListReady}; !slices.Equal(kinds, want) {
 		t.Fatalf("%v, want %v", kinds, want)
 	}
 	if out := actions[2].At - actions[0].At; out != d.Duration/3 || actions[3].At >= d.Duration {
-		t.Errorf("out for %v, listed again at %v", out, actions[3].At)
+		t.Errorf("zone down for %v, ready in the list at %v", out, actions[3].At)
 	}
 }
 
-// Executors that are restarted in turn are told of before, end once what they run may have ended, and are told of once back.
+// In a rolling restart an executor is listed as draining before it stops, and as ready only after it has restarted.
 func TestRolling(t *testing.T) {
 	d := fleet.Default()
 	by := map[int][]ActionKind{}
@@ -65,7 +65,7 @@
 	}
 }
 
-// The operators' 59 failures a day, hastened: 6,200 executors with a factor of 1,000 have 41 a minute.
+// 59 failures a day times a factor of 1,000 on 6,200 executors are 41 a minute.
 func TestMachines(t *testing.T) {
 	d := fleet.Default()
 	d.Executors, d.Duration = 6200, 10*time.Minute
@@ -89,7 +89,7 @@
 	}
 }
 
-// Equal seeds give equal faults.
+// Equal seeds must give equal schedules.
 func TestSeeds(t *testing.T) {
 	d := fleet.Default()
 	all := []string{"zone", "rack", "machine", "rolling", "cut", "reconfigure=2"}
@@ -98,7 +98,7 @@
 	}
 }
 
-// A fault that can not be played is named, with what was expected.
+// The error of an invalid fault has the fault and the expected values.
 func TestBadFaults(t *testing.T) {
 	for _, text := range []string{"", "zones", "zone=2", "machine=", "machine=-1", "rolling=many", "machine=NaN"} {
 		_, err := Parse(text)
@@ -109,6 +109,6 @@
 	}
 	d := fleet.Default()
 	if _, err := Schedule(&d, d.Plan(), []Spec{{Name: Leader}}); err == nil || !strings.Contains(err.Error(), "store-members") {
-		t.Errorf("a leader without a store: %v", err)
+		t.Errorf("leader fault without a store: %v", err)
 	}
 }
--- a/internal/scale/fleet/description.go
+++ b/internal/scale/fleet/description.go
@@ -1,5 +1,5 @@
-// Package fleet describes the fleet that a scale run plays: how many executors, dispatchers and tenants there are, how they are
-// spread over regions and zones, and the settings that dispatchers are started with. It does no I/O.
+// Package fleet describes the fleet of a scale run: the numbers of executors, dispatchers and tenants, their distribution over
+// regions and zones, and the settings that dispatchers are started with. It does no I/O.
 package fleet
 
 import (
@@ -8,34 +8,35 @@
 	"time"
 )
 
-// Description says which fleet is played, under which load and for how long. Field names in errors are those of the YAML keys,
-// which the command's flags share.
+// Description describes a fleet, its load and the duration of the run. Errors name a field by its YAML key, which is also the name
+// of the command's flag.
 type Description struct {
 	Seed           uint64        `yaml:"seed" json:"seed"`
 	Executors      int           `yaml:"executors" json:"executors"`
 	Dispatchers    int           `yaml:"dispatchers" json:"dispatchers"`              // real processes
-	Hollow         int           `yaml:"hollow-dispatchers" json:"hollowDispatchers"` // beside them, in the tool's process
-	StoreMembers   int           `yaml:"store-members" json:"storeMembers"`           // of them, members of the replicated store; 0 for no store
+	Hollow         int           `yaml:"hollow-dispatchers" json:"hollowDispatchers"` // additional hollow dispatchers in the tool's process
+	StoreMembers   int           `yaml:"store-members" json:"storeMembers"`           // number of real dispatchers that are members of the replicated store; 0 for no store
 	Tenants        int           `yaml:"tenants" json:"tenants"`                      //
 	Regions        int           `yaml:"regions" json:"regions"`                      //
 	ZonesPerRegion int           `yaml:"zones" json:"zonesPerRegion"`                 //
-	Starts         float64       `yaml:"starts" json:"startsPerSecond"`               // task starts that are asked for each second
-	StartsTo       float64       `yaml:"starts-to" json:"startsPerSecondTo"`          // the rate at the end of a ramp; 0 for an even rate
-	Running        int           `yaml:"running" json:"running"`                      // tasks that are to run at a time
-	Duration       time.Duration `yaml:"duration" json:"duration"`                    // of the load; answers are waited for after it
-	MemoryMB       int           `yaml:"dispatcher-memory" json:"memoryMB"`           // granted to each dispatcher
-	Sockets        int           `yaml:"dispatcher-sockets" json:"sockets"`           // likewise
-	Clients        int           `yaml:"client-processes" json:"clientProcesses"`     // that the load's clients run in; 0 for the tool's own
-	BatchShare     float64       `yaml:"batch-share" json:"batchShare"`               // part of the jobs that come through the batch front of the store's members
+	Starts         float64       `yaml:"starts" json:"startsPerSecond"`               // requested task starts per second
+	StartsTo       float64       `yaml:"starts-to" json:"startsPerSecondTo"`          // requested rate at the end of a ramp; 0 for a constant rate
+	Running        int           `yaml:"running" json:"running"`                      // target number of running tasks
+	Duration       time.Duration `yaml:"duration" json:"duration"`                    // duration of the load; answers may arrive after it
+	MemoryMB       int           `yaml:"dispatcher-memory" json:"memoryMB"`           // memory limit of each dispatcher
+	Sockets        int           `yaml:"dispatcher-sockets" json:"sockets"`           // socket limit of each dispatcher
+	Clients        int           `yaml:"client-processes" json:"clientProcesses"`     // number of processes that the clients run in; 0 to run them in the tool's process
+	BatchShare     float64       `yaml:"batch-share" json:"batchShare"`               // share of array jobs submitted through the batch fronts of the store members
 }
 
-// Default is the fleet that is played when nothing is said.
+// Default returns the fleet that is used without a description file and flags.
 func Default() Description {
 	return Description{Seed: 1, Executors: 800, Dispatchers: 5, Tenants: 50, Regions: 5, ZonesPerRegion: 3, Starts: 200, Running: 500,
 		Duration: 30 * time.Second, MemoryMB: 512, Sockets: 4096}
 }
 
-// Bounds of a description. Executor addresses have two octets, and dispatcher numbers two hexadecimal digits of a request's id.
+// Limits of a description. An executor's address has two octets for its number, and a request's id has two hexadecimal digits for
+// the dispatcher's.
 const (
 	MaxExecutors    = 12000
 	MaxDispatchers  = 100
@@ -47,10 +48,10 @@
 	maxRegions      = 20
 	maxZones        = 10
 	maxClients      = 8
-	maxListeners    = 12000 // a process may have 20,000 descriptors, and connections need some
+	maxListeners    = 12000 // a process may have 20,000 descriptors, and connections need some of them
 )
 
-// FieldError names a field that can not be used and what was expected.
+// FieldError is the error of a field with an invalid value.
 type FieldError struct {
 	Field    string
 	Got      any
@@ -61,7 +62,7 @@
 	return fmt.Sprintf("%s: %v, expected %s", e.Field, e.Got, e.Expected)
 }
 
-// Check names the first field that can not be used.
+// Check returns a FieldError for the first field with an invalid value.
 func (d *Description) Check() error {
 	minReal := 1
 	if d.Hollow > 0 {
@@ -113,18 +114,18 @@
 	return nil
 }
 
-// TotalDispatchers is how many there are, real and hollow; the real ones have the first numbers.
+// TotalDispatchers returns the number of real and hollow dispatchers. Real dispatchers have the lowest numbers.
 func (d *Description) TotalDispatchers() int { return d.Dispatchers + d.Hollow }
 
-// MeanRun is how long a task runs on the mean, so that the asked-for rate keeps the asked-for number running.
+// MeanRun returns the mean running time of a task that keeps the target number of tasks running at the requested rate.
 func (d *Description) MeanRun() time.Duration {
 	return time.Duration(float64(d.Running) / max(d.Starts, d.StartsTo) * float64(time.Second))
 }
 
-// urgentRun is how much shorter urgent tasks are.
+// urgentRun is the running time of urgent tasks relative to the mean.
 const urgentRun = 0.25
 
-// ExpectedRun is how long a task of a class runs on the mean.
+// ExpectedRun returns the mean running time of a task of a class.
 func (d *Description) ExpectedRun(class int) time.Duration {
 	if class == ClassUrgent {
 		return time.Duration(urgentRun * float64(d.MeanRun()))
@@ -132,8 +133,8 @@
 	return d.MeanRun()
 }
 
-// Accelerators follow the operators' figures: 8,600 on 6,200 executors. Of each 31 executors 25 have one, three have two and
-// three have four, which makes 43.
+// acceleratorMix is the number of accelerators of each of 31 consecutive executors: 25 have one, three have two and three have four,
+// 43 altogether. That matches the operators' fleet of 8,600 accelerators on 6,200 executors.
 var acceleratorMix = func() (mix [31]int) {
 	for i := range mix {
 		switch i % 10 {
@@ -148,16 +149,16 @@
 	return mix
 }()
 
-// maxUtilization is the part of all slots that the asked-for load may take: with more of it each accelerator has several slots.
+// maxUtilization is the share of all slots that the target load may use. Accelerators get as many slots each as this needs.
 const maxUtilization = 0.7
 
-// SlotsPerAccelerator is how many tasks an accelerator runs at a time, so that the asked-for number can run at all: 84,000 on 8,600
-// accelerators need 14.
+// SlotsPerAccelerator returns how many tasks an accelerator runs at a time so that the target number of tasks fits: 84,000 tasks on
+// 8,600 accelerators need 14.
 func (d *Description) SlotsPerAccelerator() int {
 	return max(1, int(math.Ceil(float64(d.Running)/maxUtilization/float64(d.Accelerators()))))
 }
 
-// Accelerators is how many all executors have.
+// Accelerators returns the total number of accelerators of all executors.
 func (d *Description) Accelerators() int {
 	n := 0
 	for i := range d.Executors {
@@ -166,27 +167,27 @@
 	return n
 }
 
-// Executor is one of the fleet's.
+// Executor is one executor of a fleet.
 type Executor struct {
 	Number int
 	Name   string
 	Region int
-	Zone   int // of all zones of the fleet
-	Rack   int // of all racks of the fleet
+	Zone   int // number among all zones of the fleet
+	Rack   int // number among all racks of the fleet
 	Kind   int
 	Slots  int
 }
 
-// executorsPerRack is how many share a rack, and with it a switch and the memory of repeated keys.
+// executorsPerRack is how many executors share a rack, and so a switch and the record of idempotency keys.
 const executorsPerRack = 20
 
-// Kinds of machine, by how many accelerators one has.
+// Kinds are the kinds of machine, named after their number of accelerators.
 var Kinds = []string{"one", "two", "four"}
 
-// machineKind is the kind of a machine with so many accelerators.
+// machineKind returns the index in Kinds for a number of accelerators.
 func machineKind(accelerators int) int { return accelerators / 2 }
 
-// Plan gives the fleet's executors: zones are filled in turn, racks lie within one zone.
+// Plan returns the fleet's executors. They are assigned to zones round-robin, and each rack lies within one zone.
 func (d *Description) Plan() []Executor {
 	zones := d.Zones()
 	share := d.SlotsPerAccelerator()
@@ -202,25 +203,25 @@
 	return out
 }
 
-// Zones is how many there are in all regions.
+// Zones returns the number of zones in all regions.
 func (d *Description) Zones() int { return d.Regions * d.ZonesPerRegion }
 
-// ZoneName names a zone of the fleet.
+// ZoneName returns the name of a zone.
 func (d *Description) ZoneName(zone int) string {
 	return fmt.Sprintf("r%d-z%d", zone/d.ZonesPerRegion, zone%d.ZonesPerRegion)
 }
 
-// TenantName names a tenant.
+// TenantName returns the name of a tenant.
 func TenantName(tenant int) string { return fmt.Sprintf("tenant-%d", tenant) }
 
-// DispatcherName names a dispatcher.
+// DispatcherName returns the name of a dispatcher.
 func DispatcherName(number int) string { return fmt.Sprintf("n%d", number) }
 
-// DispatcherZone is the zone a dispatcher stands in: they are dealt over the regions in turn.
+// DispatcherZone returns the zone of a dispatcher. Dispatchers are assigned to regions round-robin.
 func (d *Description) DispatcherZone(number int) int {
 	region, turn := number%d.Regions, number/d.Regions
 	return region*d.ZonesPerRegion + turn%d.ZonesPerRegion
 }
 
-// DispatcherRegion is the region a dispatcher stands in.
+// DispatcherRegion returns the region of a dispatcher.
 func (d *Description) DispatcherRegion(number int) int { return number % d.Regions }
--- a/internal/scale/fleet/fleet_test.go
+++ b/internal/scale/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	"gatetack/internal/config"
 )
 
-// The operators' figures: 8,600 accelerators on 6,200 executors in 5 regions with 15 zones, and 84,000 tasks that can run at a time.
+// The operators' target fleet: 8,600 accelerators on 6,200 executors in 5 regions with 15 zones, and slots for 84,000 running tasks.
 func TestTheTargetFleet(t *testing.T) {
 	d := Default()
 	d.Executors, d.Running, d.Starts = 6200, 84000, 1500
@@ -23,7 +23,7 @@
 		slots += x.Slots
 		perZone[x.Zone]++
 		if x.Region != x.Zone/d.ZonesPerRegion {
-			t.Fatalf("%+v: its zone lies in region %d", x, x.Zone/d.ZonesPerRegion)
+			t.Fatalf("%+v: zone is in region %d", x, x.Zone/d.ZonesPerRegion)
 		}
 	}
 	if len(perZone) != 15 || perZone[0] != 414 || perZone[14] != 413 {
@@ -33,26 +33,26 @@
 		t.Errorf("%d slots for 84,000 tasks", slots)
 	}
 	if run := d.MeanRun(); run != 56*time.Second {
-		t.Errorf("a task runs %v on the mean, want 56s", run)
+		t.Errorf("mean running time %v, want 56s", run)
 	}
 }
 
-// No rack spans two zones, and none has more executors than a rack has.
+// No rack spans two zones or has more than executorsPerRack executors.
 func TestRacks(t *testing.T) {
 	d := Default()
 	zone, count := map[int]int{}, map[int]int{}
 	for _, x := range d.Plan() {
 		if z, ok := zone[x.Rack]; ok && z != x.Zone {
-			t.Fatalf("rack %d stands in zones %d and %d", x.Rack, z, x.Zone)
+			t.Fatalf("rack %d is in zones %d and %d", x.Rack, z, x.Zone)
 		}
 		zone[x.Rack] = x.Zone
 		if count[x.Rack]++; count[x.Rack] > executorsPerRack {
-			t.Fatalf("rack %d has over %d executors", x.Rack, executorsPerRack)
+			t.Fatalf("rack %d has more than %d executors", x.Rack, executorsPerRack)
 		}
 	}
 }
 
-// What is written for a dispatcher is what a dispatcher reads, for each number of tenants and changes.
+// The generated configuration of a dispatcher parses to the described settings, for several numbers of tenants and changes.
 func TestConfigIsReadable(t *testing.T) {
 	for _, tenants := range []int{1, 4, 450} {
 		d := Default()
@@ -78,7 +78,7 @@
 	}
 }
 
-// A field that can not be used is named, with what was expected.
+// The error of an invalid field has the field's name and the expected value.
 func TestCheck(t *testing.T) {
 	for field, change := range map[string]func(*Description){
 		"executors":          func(d *Description) { d.Executors = 0 },
@@ -102,12 +102,12 @@
 		err := d.Check()
 		fe := (*FieldError)(nil)
 		if !errors.As(err, &fe) || fe.Field != field || !strings.Contains(err.Error(), "expected") {
-			t.Errorf("%s: %v", field, err)
+			t.Errorf("%s: got error %v, want a FieldError with this field", field, err)
 		}
 	}
 	d := Default()
 	if err := d.Check(); err != nil {
-		t.Errorf("the default: %v", err)
+		t.Errorf("default description: %v", err)
 	}
 	if _, err := json.Marshal(d); err != nil {
 		t.Error(err)
--- a/internal/scale/fleet/settings.go
+++ b/internal/scale/fleet/settings.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// Classes of tasks, by their place in the settings.
+// Classes of tasks, by their index in the settings.
 const (
-	ClassOnce   = iota // must never run twice
-	ClassKeyed         // a repeat is dropped inside a rack, for a while
-	ClassUrgent        // may run any number of times, and is wanted at once
+	ClassOnce   = iota // runs at most once
+	ClassKeyed         // repeats are deduplicated within a rack during Rules.DedupWindow
+	ClassUrgent        // idempotent, and should start within UrgentStartTarget
 	Classes
 )
 
-// ClassNames are the names of the classes, and the first parts of their tasks' paths.
+// ClassNames are the names of the classes, which are also the first segments of the paths of their tasks.
 var ClassNames = [Classes]string{"once", "keyed", "urgent"}
 
-// Rules are the figures of the rules that the settings state, and that a run is judged by.
+// Rules are the parameters of the rules in the settings, by which a run is judged.
 type Rules struct {
-	AnswerSlack       time.Duration // after a client's time an answer still counts
-	DrainGrace        time.Duration // a draining executor may still be sent to
-	SlowStartMinShare float64       // part of its capacity that an executor starts with
-	SlowStartDuration time.Duration // and after which it has all of it
-	OverloadMultiple  float64       // a cold executor takes so many times its capacity
-	OverloadWindow    time.Duration // over such a span
-	DedupWindow       time.Duration // in which a repeat of a keyed task is dropped
+	AnswerSlack       time.Duration // how long after a request's deadline an answer still counts
+	DrainGrace        time.Duration // how long jobs may still be sent to a draining executor
+	SlowStartMinShare float64       // share of its capacity that an executor has at its start
+	SlowStartDuration time.Duration // time after its start at which an executor has its full capacity
+	OverloadMultiple  float64       // how many times its capacity a cold executor may be sent
+	OverloadWindow    time.Duration // time window for OverloadMultiple
+	DedupWindow       time.Duration // how long repeats of a keyed task are deduplicated
 	Deadlines         [Classes]time.Duration
-	MaxRetryAfter     time.Duration // the longest that a refused client is told to stay away
+	MaxRetryAfter     time.Duration // longest Retry-After of a rejected request
 }
 
-// Least deadlines of the classes; longer tasks have longer ones.
+// Minimum deadlines of the classes. Longer tasks have longer deadlines.
 const (
 	minDeadline      = 8 * time.Second
 	urgentDeadline   = 6 * time.Second
-	deadlineMeanRuns = 4 // mean runs, and three more are the longest that a task takes
+	deadlineMeanRuns = 4 // deadline in mean running times; a task runs for at most three
 )
 
-// Rules of the described fleet.
+// Rules returns the rules of the described fleet.
 func (d *Description) Rules() Rules {
 	run := d.MeanRun()
 	long := max(minDeadline, deadlineMeanRuns*run)
@@ -46,38 +46,39 @@
 		Deadlines: [Classes]time.Duration{long, long, max(urgentDeadline, long/2)}, MaxRetryAfter: 2 * time.Second}
 }
 
-// UrgentStartTarget is how soon urgent work is to start, by the operators.
+// UrgentStartTarget is the operators' target for the time from when an urgent task is due until it starts.
 const UrgentStartTarget = 2200 * time.Millisecond
 
-// ReservedShare is a tenant's reserved part of the service: all have the same.
+// ReservedShare returns the reserved share of each tenant. All tenants have equal shares.
 func (d *Description) ReservedShare() float64 { return 1 / float64(d.Tenants) }
 
 type object = map[string]any
 
 func millis(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
 
-// minProgressInterval is the time between two reports of a running task's progress.
+// minProgressInterval is the minimum time between two progress notifications of a running task.
 const minProgressInterval = time.Second
 
-// ProgressInterval is longer where many tasks run, so that reports stay under progressMost a second.
+// ProgressInterval returns the time between two progress notifications of a running task. It grows with the number of running tasks,
+// so that all together send at most maxProgressReportsPerSecond.
 func (d *Description) ProgressInterval() time.Duration {
 	return max(minProgressInterval, time.Duration(d.Running)*time.Second/maxProgressReportsPerSecond)
 }
 
 const maxProgressReportsPerSecond = 2000
 
-// ChangeClass names the class that a change of the configuration brings, in the place of the one that the change before brought. No
-// task is of it: that a dispatcher knows its name shows from outside that the change is in force there.
+// ChangeClass returns the name of the class that a configuration change adds; each change removes the class of the one before. No
+// task uses it. A dispatcher that knows the class has applied the change, which can be observed from outside.
 func ChangeClass(change int) string { return fmt.Sprintf("change-%d", change) }
 
 func changeFields() object {
 	return object{"aim": millis(minDeadline), "deadline": millis(minDeadline), "worth": 1.0, "effect": "free", "dedupScope": "cell", "window": 0.0}
 }
 
-// ChangeItems gives a change as the store's settings take it: its class comes, and that of the change before goes.
+// ChangeItems returns a change in the form of the settings in the store: it adds the change's class and removes the previous one.
 func ChangeItems(change int) ([]byte, error) {
 	items := object{"class/" + ChangeClass(change): changeFields()}
-	if change > 1 { // the class that the base began with stays
+	if change > 1 { // the class of the initial configuration stays
 		items["class/"+ChangeClass(change-1)] = nil
 	}
 	text, err := json.Marshal(items)
@@ -87,7 +88,7 @@
 	return text, nil
 }
 
-// Settings gives the settings of one dispatcher in the platform's form, as they are after so many changes.
+// Settings returns the settings of one dispatcher in the platform's format, after the given number of changes.
 func (d *Description) Settings(dispatcher, changes int) object {
 	rules := d.Rules()
 	zones := make([]string, d.Zones())
@@ -128,13 +129,13 @@
 	}
 }
 
-// Addresses are where one dispatcher listens and whom it knows.
+// Addresses are the addresses that one dispatcher listens on and connects to.
 type Addresses struct {
 	Listen, Discovery, PeerListen, PeersAll string
 	Peers                                   []string
 }
 
-// Config gives one dispatcher's configuration file, as it is after so many changes.
+// Config returns the configuration file of one dispatcher, after the given number of changes.
 func (d *Description) Config(dispatcher, changes int, at Addresses) ([]byte, error) {
 	text, err := json.Marshal(object{
 		"name": DispatcherName(dispatcher), "listen": at.Listen, "discovery": at.Discovery,
--- a/internal/scale/hollow/address.go
+++ b/internal/scale/hollow/address.go
@@ -7,14 +7,14 @@
 	"os"
 )
 
-// Network is a block of loopback addresses that one run has for itself: 127.N.0.0/16. Ports lie below those that the kernel gives
-// to connections, so that nothing else can have one of them.
+// Network is a block of loopback addresses that is reserved for one run: 127.N.0.0/16. The ports are below the kernel's ephemeral
+// range, so that no outgoing connection can occupy one of them.
 type Network struct {
 	octet int
 	claim net.Listener
 }
 
-// Ports of the parties, each on addresses of its own.
+// Ports of the parties, and the octets that separate their addresses.
 const (
 	executorPort   = 7000
 	listenPort     = 8443
@@ -26,16 +26,16 @@
 	lastOctet      = 250
 	dispatcherNet  = 200 // third octets
 	discoveryNet   = 201
-	peerNet        = 100 // and one for each dispatcher from here on
+	peerNet        = 100 // first of one third octet for each dispatcher
 	claimNet       = 255
 	broadcastOctet = 255
 	firstHost      = 1
 )
 
-// ErrNoNetwork says that all blocks are taken.
-var ErrNoNetwork = errors.New("all blocks of loopback addresses are taken by other runs")
+// ErrNoNetwork is returned if other runs use all blocks.
+var ErrNoNetwork = errors.New("all blocks of loopback addresses are in use by other runs")
 
-// NewNetwork claims a block. Close gives it back.
+// NewNetwork reserves a block of addresses. Close releases it.
 func NewNetwork() (*Network, error) {
 	blocks := lastOctet - firstOctet + 1
 	for i := range blocks {
@@ -48,13 +48,13 @@
 	return nil, ErrNoNetwork
 }
 
-// Block is the number of the block, by which another process of the run has the same addresses.
+// Block returns the number of the block, with which another process of the run can call JoinNetwork.
 func (n *Network) Block() int { return n.octet }
 
-// JoinNetwork gives the addresses of a block that another process of the run has claimed.
+// JoinNetwork returns the network of a block that another process of the run has reserved.
 func JoinNetwork(block int) *Network { return &Network{octet: block} }
 
-// Close gives the block back.
+// Close releases the block.
 func (n *Network) Close() error {
 	if n.claim == nil {
 		return nil
@@ -66,11 +66,11 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", n.octet, third, fourth, port)
 }
 
-// hostsPerOctet is how many executors share a third octet: none has host number 0 or 255.
+// hostsPerOctet is how many executors share a third octet. Host numbers 0 and 255 are not used.
 const hostsPerOctet = 254
 
-// Executor is where an executor listens for a dispatcher. Members of the store have addresses of their own there, since the requests
-// of their batch fronts do not name the dispatcher that is to be called back; everybody is for the others.
+// Executor returns the address on which an executor listens for a dispatcher. Each store member has a separate address, since
+// requests from its batch front do not name the dispatcher that receives the callbacks. The others share one: anyDispatcher.
 func (n *Network) Executor(number, dispatcher int) string {
 	port := executorPort
 	if dispatcher != anyDispatcher {
@@ -79,40 +79,40 @@
 	return n.address(number/hostsPerOctet, firstHost+number%hostsPerOctet, port)
 }
 
-// anyDispatcher stands for all dispatchers that share an address of an executor.
+// anyDispatcher is the number for all dispatchers that share an address of an executor.
 const anyDispatcher = -1
 
-// Dispatcher is where a dispatcher's clients and callbacks connect.
+// Dispatcher returns the address on which a dispatcher listens for clients and callbacks.
 func (n *Network) Dispatcher(number int) string {
 	return n.address(dispatcherNet, firstHost+number, listenPort)
 }
 
-// Batch is where a dispatcher's batch front listens.
+// Batch returns the address of a dispatcher's batch front.
 func (n *Network) Batch(number int) string {
 	return n.address(dispatcherNet, firstHost+number, batchPort)
 }
 
-// Store is where a dispatcher's member of the store listens.
+// Store returns the address of a dispatcher's store member.
 func (n *Network) Store(number int) string {
 	return n.address(dispatcherNet, firstHost+number, storePort)
 }
 
-// Discovery is where a dispatcher finds the list.
+// Discovery returns the address at which a dispatcher reaches the discovery service.
 func (n *Network) Discovery(dispatcher int) string {
 	return n.address(discoveryNet, firstHost+dispatcher, discoveryPort)
 }
 
-// PeerListen is where a dispatcher takes messages of others.
+// PeerListen returns the address on which a dispatcher receives messages of other dispatchers.
 func (n *Network) PeerListen(dispatcher int) string {
 	return n.address(dispatcherNet, firstHost+dispatcher, peerPort)
 }
 
-// Peer is where one dispatcher reaches another, and from where the other's messages come to it.
+// Peer returns the address at which one dispatcher reaches another, which is also the source address of the other's messages to it.
 func (n *Network) Peer(at, other int) string {
 	return n.address(peerNet+at, firstHost+other, peerPort)
 }
 
-// PeersAll is where one dispatcher reaches all others.
+// PeersAll returns the address at which one dispatcher reaches all others.
 func (n *Network) PeersAll(at int) string {
 	return n.address(peerNet+at, broadcastOctet, peerPort)
 }
--- a/internal/scale/hollow/batch.go
+++ b/internal/scale/hollow/batch.go
@@ -12,8 +12,8 @@
 	"gatetack/internal/scale/workload"
 )
 
-// BatchClients submit arrays through the batch fronts of the store's members, and follow them to their ends at whichever member
-// answers.
+// BatchClients submit arrays through the batch fronts of the store members, and poll any member that answers until the arrays have
+// ended.
 type BatchClients struct {
 	rules    fleet.Rules
 	members  int
@@ -21,34 +21,34 @@
 	record   *Record
 	numbers  atomic.Uint64
 	results  *Results
-	rejected atomic.Int64 // arrays that no member took in time
+	rejected atomic.Int64 // number of arrays that no member accepted in time
 }
 
-// NewBatchClients makes clients of the first dispatchers; their tasks are counted with the others'.
+// NewBatchClients returns clients of the first dispatchers, which are the store members. Their tasks are counted in results.
 func NewBatchClients(r fleet.Rules, members int, n *Network, rec *Record, results *Results) *BatchClients {
 	return &BatchClients{rules: r, members: members, network: n, record: rec, results: results}
 }
 
-// batchBit tells the requests of batch fronts, whose ids are the tool's own, from others.
+// batchBit marks request ids of tasks in batch arrays, which the tool assigns itself.
 const batchBit = 1 << (dispatcherShift - 1)
 
-// Times of a batch client.
+// Intervals and timeouts of a batch client.
 const (
 	batchPollInterval  = 250 * time.Millisecond
 	batchRetryInterval = 100 * time.Millisecond
 	batchCallTimeout   = 10 * time.Second
-	batchGrace         = 10 * time.Second // past the deadline, what became of each member is known; a dispatcher's heir needs some seconds
+	batchGrace         = 10 * time.Second // how long after the deadline the states of all tasks are polled; a takeover of a dispatcher's jobs takes some seconds
 )
 
-// array is one that a client follows.
+// array is a submitted array.
 type array struct {
 	first    workload.Task
-	requests []uint64 // of the members, by their places
-	member   int      // of the store, that is asked first
+	requests []uint64 // request ids of the tasks, by their index in the array
+	member   int      // number of the store member that is called first
 	deadline time.Time
 }
 
-// RunArray submits an array and follows it to its end.
+// RunArray submits an array and waits until it has ended.
 func (b *BatchClients) RunArray(ctx context.Context, tasks []workload.Task, due time.Time) {
 	a := &array{first: tasks[0], member: tasks[0].Job % b.members, deadline: due.Add(b.rules.Deadlines[tasks[0].Class])}
 	id, err := b.submit(ctx, a, len(tasks))
@@ -62,7 +62,7 @@
 	b.recordEnds(ctx, a, id)
 }
 
-// callMembers makes a call callMembers each member in turn, until one does it or the time is over.
+// callMembers makes a call to one member after another until one succeeds or the time by has passed.
 func (b *BatchClients) callMembers(ctx context.Context, a *array, by time.Time, call func(context.Context, *drmaa2.Client) error) error {
 	for {
 		calling, cancel := context.WithTimeout(ctx, batchCallTimeout)
@@ -74,15 +74,15 @@
 			return err
 		}
 		if time.Now().After(by) {
-			return fmt.Errorf("no member did it in time: %w", err)
+			return fmt.Errorf("no store member answered in time: %w", err)
 		}
 		a.member = (a.member + 1) % b.members
 		sleep(ctx, batchRetryInterval)
 	}
 }
 
-// submit hands an array in. One idempotency key would make one job of two submissions; arrays have none, so that one whose answer was
-// lost with its member is not submitted again.
+// submit submits an array. Arrays have no idempotency key, so an array is not submitted again if its answer was lost: that could
+// create a second one.
 func (b *BatchClients) submit(ctx context.Context, a *array, size int) (id string, err error) {
 	t := a.first
 	bulk := drmaa2.Bulk{BeginIndex: t.Number, EndIndex: t.Number + size - 1, JobTemplate: drmaa2.Template{JobCategory: fleet.ClassNames[t.Class],
@@ -102,7 +102,7 @@
 	}
 }
 
-// recordSubmitted notes the members of an array that was taken.
+// recordSubmitted records the requests of an accepted array.
 func (b *BatchClients) recordSubmitted(a *array, tasks []workload.Task) {
 	for _, t := range tasks {
 		request := RequestID(a.member, batchBit|b.numbers.Add(1))
@@ -112,7 +112,7 @@
 	}
 }
 
-// follow waits until all members of an array have ended.
+// follow polls an array until all its tasks have ended.
 func (b *BatchClients) follow(ctx context.Context, a *array, id string) {
 	by := a.deadline.Add(batchGrace)
 	for ctx.Err() == nil && time.Now().Before(by) {
@@ -128,7 +128,7 @@
 	}
 }
 
-// recordEnds notes how each member of an array ended.
+// recordEnds records how each task of an array ended.
 func (b *BatchClients) recordEnds(ctx context.Context, a *array, id string) {
 	seen := map[int]bool{}
 	err := b.callMembers(ctx, a, a.deadline.Add(batchGrace), func(ctx context.Context, c *drmaa2.Client) error {
@@ -151,7 +151,7 @@
 	}
 }
 
-// memberIndex of a member in its array, -1 for one that is none.
+// memberIndex returns the index of a job in its array, or -1 if the job is not in the array.
 func memberIndex(a *array, info drmaa2.JobInfo) int {
 	if info.JobArrayIndex == nil {
 		return -1
@@ -163,7 +163,7 @@
 	return i
 }
 
-// recordEnd notes how a member recordEnd, at the time that the dispatcher tells.
+// recordEnd records how a task of an array ended, at the finish time that the dispatcher reports.
 func (b *BatchClients) recordEnd(a *array, i int, info drmaa2.JobInfo) {
 	e := verdict.Event{Kind: verdict.Answered, Request: a.requests[i], Answer: verdict.Failed, At: info.FinishTime.Sub(b.record.Start())}
 	switch {
--- a/internal/scale/hollow/callbacks.go
+++ b/internal/scale/hollow/callbacks.go
@@ -8,12 +8,12 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// callbacks carries what executors tell to dispatchers, over a few kept connections to each.
+// callbacks sends the executors' callbacks to dispatchers over a few persistent connections to each.
 type callbacks struct {
 	streams [][]*callbackStream // by dispatcher
 }
 
-// callbackStream is one connection's worth of calls: those of one request keep their order.
+// callbackStream is the queue of callbacks of one connection. All callbacks of a request use the same stream, so they stay in order.
 type callbackStream struct {
 	mu      sync.Mutex
 	waiting []call
@@ -26,16 +26,16 @@
 // call is one callback.
 type call struct {
 	body           []byte
-	incarnationCtx context.Context // of the executor's life: a lost executor tells nothing
+	incarnationCtx context.Context // ends with the executor's incarnation: a killed executor makes no callbacks
 	waitForLink    func(context.Context) error
 	onAnswered     func()
 }
 
-// Each call is tried until it is answered, ten times at most.
+// Retries of a callback that is not answered, and the number of connections.
 const (
 	maxCallAttempts      = 10
 	callRetryInterval    = 20 * time.Millisecond
-	streamsPerDispatcher = 16 // to each dispatcher
+	streamsPerDispatcher = 16 // number of connections to each dispatcher
 )
 
 func newCallbacks(ctx context.Context, g *errgroup.Group, n *Network, t *Traffic, dispatchers int) *callbacks {
@@ -50,7 +50,7 @@
 	return c
 }
 
-// send queues a call. It does not block.
+// send queues a callback. It does not block.
 func (c *callbacks) send(dispatcher int, request uint64, k call) {
 	if dispatcher >= len(c.streams) {
 		return
@@ -92,7 +92,7 @@
 	}
 }
 
-// call makes one call until it is answered.
+// call makes one callback and retries it until it is answered.
 func (l *callbackStream) call(ctx context.Context, k call) {
 	for range maxCallAttempts {
 		if ctx.Err() != nil || k.incarnationCtx.Err() != nil {
@@ -123,7 +123,7 @@
 	return err == nil && (m.Status == 200 || m.Status == 204)
 }
 
-// callTimeout is how long an executor waits for the answer to a call.
+// callTimeout is how long an executor waits for the answer to a callback.
 const callTimeout = 5 * time.Second
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/scale/hollow/clients.go
+++ b/internal/scale/hollow/clients.go
@@ -15,7 +15,7 @@
 	"gatetack/internal/scale/workload"
 )
 
-// Clients submit tasks through the platform's front, each at the moment it is due, and try again what was refused.
+// Clients submit tasks through the platform front, each at the time it is due, and retry rejected requests.
 type Clients struct {
 	rules       fleet.Rules
 	dispatchers int
@@ -28,16 +28,16 @@
 	batch       *BatchClients
 
 	mu   sync.Mutex
-	idle [][]*Conn // by dispatcher, the one used last at the end
+	idle [][]*Conn // idle connections by dispatcher, the most recently used one last
 }
 
-// Results count how tasks ended, whatever number of requests each took.
+// Results count tasks by how they ended. A task counts once, even if it took several requests.
 type Results struct{ Tasks, Served, Rejected, Failed [workload.Kinds]atomic.Int64 }
 
-// ResultCounts are results at a moment.
+// ResultCounts is a snapshot of Results.
 type ResultCounts struct{ Tasks, Served, Refused, Failed [workload.Kinds]int64 }
 
-// Counts are the results so far.
+// Counts returns the results so far.
 func (r *Results) Counts() (out ResultCounts) {
 	for k := range workload.Kinds {
 		out.Tasks[k], out.Served[k], out.Refused[k], out.Failed[k] = r.Tasks[k].Load(), r.Served[k].Load(), r.Rejected[k].Load(), r.Failed[k].Load()
@@ -45,7 +45,7 @@
 	return out
 }
 
-// Merge takes in what another process of the run has counted.
+// Merge adds the counts of another process of the run.
 func (r *Results) Merge(c ResultCounts) {
 	for k := range workload.Kinds {
 		r.Tasks[k].Add(c.Tasks[k])
@@ -55,18 +55,18 @@
 	}
 }
 
-// Load gives the tasks that are to be submitted, in the order in which they are due.
+// Load returns the tasks to be submitted, in the order in which they are due.
 type Load interface {
 	Next() (workload.Task, bool)
 }
 
-// Part is every so many'th job of a load: what one of several processes plays.
+// Part is the share of a load that one of several processes submits: the jobs whose number modulo Parts is Part.
 type Part struct {
 	Load        Load
 	Part, Parts int
 }
 
-// Next gives the next task of the part.
+// Next returns the next task of the part.
 func (p Part) Next() (workload.Task, bool) {
 	for {
 		t, ok := p.Load.Next()
@@ -76,15 +76,15 @@
 	}
 }
 
-// NewClients makes clients of so many dispatchers, of which some are hollow, by their numbers.
+// NewClients returns clients of a number of dispatchers. The map has the hollow ones by their numbers.
 func NewClients(r fleet.Rules, dispatchers int, hollow map[int]*Dispatcher, n *Network, rec *Record, t *Traffic) *Clients {
 	return &Clients{hollow: hollow, rules: r, dispatchers: dispatchers, network: n, record: rec, traffic: t, idle: make([][]*Conn, dispatchers)}
 }
 
-// partShift places the number of a process of clients in its requests' ids.
+// partShift is the position of the number of a client process in its request ids.
 const partShift = 48
 
-// SetPart makes the ids of requests those of one of several processes.
+// SetPart sets the number of this client process in the ids of its requests.
 func (c *Clients) SetPart(part int) {
 	c.numbers.Store(uint64(part) << partShift)
 	if c.batch != nil {
@@ -92,15 +92,15 @@
 	}
 }
 
-// UseBatch has arrays of the load that are marked for it go through the batch fronts of the first dispatchers.
+// UseBatch makes the load's batch arrays go through the batch fronts of the store members, which are the first dispatchers.
 func (c *Clients) UseBatch(members int) {
 	c.batch = NewBatchClients(c.rules, members, c.network, c.record, &c.results)
 }
 
-// Results are the counts so far.
+// Results returns the live counts.
 func (c *Clients) Results() *Results { return &c.results }
 
-// Play submits a load and returns once all of it has ended, or the context has.
+// Play submits a load. It returns once all tasks have ended or the context ends.
 func (c *Clients) Play(ctx context.Context, load Load, start time.Time) {
 	var g errgroup.Group
 	for {
@@ -134,7 +134,7 @@
 	_ = g.Wait()
 }
 
-// Close closes kept connections.
+// Close closes the idle connections.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,13 +146,13 @@
 	}
 }
 
-// unreachedRetryInterval is how long a client waits before it goes to the next dispatcher.
+// unreachedRetryInterval is how long a client waits after a failed connection before it tries the next dispatcher.
 const unreachedRetryInterval = 100 * time.Millisecond
 
-// minRetryInterval is how long a refused client that was told nothing stays away.
+// minRetryInterval is the minimum time before a rejected request is retried.
 const minRetryInterval = 50 * time.Millisecond
 
-// runTask submits a task, and again after refusals, until it has an end or its time is over.
+// runTask submits a task and retries it after rejections until it ends or its deadline comes.
 func (c *Clients) runTask(ctx context.Context, t workload.Task, due time.Time) {
 	deadline := due.Add(c.rules.Deadlines[t.Class])
 	dispatcher := t.Dispatcher
@@ -180,7 +180,7 @@
 	c.results.Rejected[t.Kind].Add(1)
 }
 
-// submit makes one request, and says how it ended and how long its client is to stay away.
+// submit makes one request. It returns how the request ended and the time until a retry.
 func (c *Clients) submit(ctx context.Context, t workload.Task, dispatcher int, deadline time.Time) (verdict.Answer, time.Duration) {
 	request := RequestID(dispatcher, c.numbers.Add(1))
 	if d := c.hollow[dispatcher]; d != nil {
@@ -211,13 +211,13 @@
 	m, err := conn.Receive(deadline.Add(c.rules.AnswerSlack + answerGrace))
 	switch {
 	case ctx.Err() != nil:
-		return verdict.Unreached, 0 // the run ends; what was asked stays open
+		return verdict.Unreached, 0 // the run has ended, and the request stays open
 	case err != nil && isTimeout(err):
 		_ = conn.Close()
 		c.record.Add(verdict.Event{Kind: verdict.GivenUp, Request: request})
 		return verdict.ConnectionBroken, 0
 	case err != nil && kept && !conn.parser.Started() && time.Since(sent) < closeRaceWindow:
-		// Between requests a dispatcher may close a connection, which crosses with a request that it has not read.
+		// A dispatcher may close an idle connection at the moment a request is sent on it. It has not read that request.
 		_ = conn.Close()
 		c.record.Add(verdict.Event{Kind: verdict.Answered, Answer: verdict.Unreached, Request: request})
 		return verdict.Unreached, 0
@@ -236,13 +236,13 @@
 	return answer, retry
 }
 
-// submittedEvent is the event of a request that is written now.
+// submittedEvent returns the event of a request that is submitted now.
 func (c *Clients) submittedEvent(t workload.Task, dispatcher int, request uint64, deadline time.Time) verdict.Event {
 	return verdict.Event{At: c.record.Now(), Kind: verdict.Submitted, Request: request, Task: int32(t.Number), Tenant: int32(t.Tenant),
 		Class: uint8(t.Class), Slots: int32(t.Slots), Dispatcher: int16(dispatcher), Deadline: deadline.Sub(c.record.Start())}
 }
 
-// submitHollow is submit at a hollow dispatcher.
+// submitHollow makes one request to a hollow dispatcher, as submit does to a real one.
 func (c *Clients) submitHollow(ctx context.Context, d *Dispatcher, t workload.Task, number int, request uint64, deadline time.Time) (verdict.Answer, time.Duration) {
 	left := time.Until(deadline)
 	if left <= 0 {
@@ -259,18 +259,18 @@
 	return answer, retry
 }
 
-// answerGrace is how long past the slack a client reads on: an answer that late is told from none.
+// answerGrace is how long a client continues to read after the deadline and the slack, to distinguish a late answer from none.
 const answerGrace = 500 * time.Millisecond
 
-// closeRaceWindow is how soon after a request its kept connection ends where the dispatcher had closed it before.
+// closeRaceWindow is how soon after a request a reused connection must end to count as closed by the dispatcher before the request.
 const closeRaceWindow = 20 * time.Millisecond
 
-// parseAnswer tells what an answer means.
+// parseAnswer returns how an answer ends its request, and its Retry-After.
 func parseAnswer(m *http1.Message, id string) (verdict.Answer, time.Duration) {
 	switch m.Status {
 	case 200:
 		if string(m.Body) != resultOf(id) {
-			return verdict.ConnectionBroken, 0 // what no executor made for it
+			return verdict.ConnectionBroken, 0 // not the result that an executor returns for this request
 		}
 		return verdict.Served, 0
 	case 429, 503:
@@ -283,7 +283,7 @@
 	return verdict.Failed, 0
 }
 
-// connect gives a kept connection to a dispatcher, or a new one.
+// connect returns an idle connection to a dispatcher, or a new one.
 func (c *Clients) connect(dispatcher int) (conn *Conn, kept bool, err error) {
 	c.mu.Lock()
 	if list := c.idle[dispatcher]; len(list) > 0 {
--- a/internal/scale/hollow/clients_test.go
+++ b/internal/scale/hollow/clients_test.go
@@ -17,12 +17,12 @@
 	"gatetack/internal/testenv"
 )
 
-// front stands in for a dispatcher's front.
+// front is a fake front of a dispatcher.
 type front func(m *http1.Message) http1.Response
 
 func (f front) Handle(_ context.Context, m *http1.Message) http1.Response { return f(m) }
 
-// playTo plays a short load against stand-ins for two dispatchers.
+// playTo submits a short load to fake fronts of two dispatchers.
 func playTo(t *testing.T, answer front) (*Clients, *Record) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -60,7 +60,7 @@
 	return sum
 }
 
-// What is refused comes again under another id, after it was told to, with the same idempotency key, and no answer is counted twice.
+// A rejected request must be retried under another id after its Retry-After, and each task must be counted once.
 func TestRefusedComesAgain(t *testing.T) {
 	var calls atomic.Int64
 	c, record := playTo(t, func(m *http1.Message) http1.Response {
@@ -76,7 +76,7 @@
 	}
 }
 
-// An answer that no executor made for the request is no answer.
+// An answer with another request's result must count as a violation, not as served.
 func TestAnothersResult(t *testing.T) {
 	c, record := playTo(t, func(*http1.Message) http1.Response {
 		return http1.Response{Status: 200, Body: []byte("result of another")}
@@ -88,7 +88,7 @@
 	}
 }
 
-// The load does not wait for answers: a dispatcher that answers after half a second gets all tasks at the moments they are due.
+// The load is open-loop: a dispatcher that answers after half a second must get all tasks at the times they are due.
 func TestOpenLoop(t *testing.T) {
 	_, record := playTo(t, func(m *http1.Message) http1.Response {
 		time.Sleep(500 * time.Millisecond)
@@ -106,12 +106,12 @@
 	}
 	for _, e := range record.Events() {
 		if e.Kind == verdict.Submitted && e.At-due[e.Task] > 400*time.Millisecond {
-			t.Errorf("task %d was due at %v and came at %v", e.Task, due[e.Task], e.At)
+			t.Errorf("task %d was due at %v and submitted at %v", e.Task, due[e.Task], e.At)
 		}
 	}
 }
 
-// A watch tells what changed since a version, each dispatcher at its own address, and what it was told is on record.
+// The list must give the changes since an index, a snapshot for an unknown index, and record the entries sent to each dispatcher.
 func TestDiscovery(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
@@ -139,16 +139,16 @@
 		t.Errorf("%+v", delta)
 	}
 	if last, _ := s.since(delta.Index, 0); len(last.Endpoints) != 0 {
-		t.Errorf("%+v after the last change", last)
+		t.Errorf("%+v after the last change, want no entries", last)
 	}
 	if again, _ := s.since(999, 0); !again.Snapshot || len(again.Endpoints) != 29 {
-		t.Errorf("a version that never was: %d rows, whole %v", len(again.Endpoints), again.Snapshot)
+		t.Errorf("unknown index: %d entries, snapshot %v", len(again.Endpoints), again.Snapshot)
 	}
 	m, err := testenv.Call(n.Discovery(1), "GET", "/v1/servers", nil)
 	if err != nil || m.Status != 200 {
 		t.Fatalf("%+v %v", m, err)
 	}
-	testenv.Until(t, "what was told is on record", func() bool { return len(record.Events()) == 29 })
+	testenv.Until(t, "the sent entries to be recorded", func() bool { return len(record.Events()) == 29 })
 	for _, e := range record.Events() {
 		if e.Dispatcher != 1 || e.Kind != verdict.Listed || e.Condition != verdict.Ready {
 			t.Fatalf("%+v", e)
@@ -156,7 +156,7 @@
 	}
 }
 
-// Messages between dispatchers come from the address that the receiver knows the sender by, and do not pass a cut.
+// A message between dispatchers must come from the address by which the receiver knows the sender, and must not pass a cut.
 func TestPeers(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
--- a/internal/scale/hollow/conn.go
+++ b/internal/scale/hollow/conn.go
@@ -11,7 +11,7 @@
 	"gatetack/internal/limits"
 )
 
-// Conn is a kept connection to a dispatcher, on which one request at a time is made.
+// Conn is a persistent connection to a dispatcher. It carries one request at a time.
 type Conn struct {
 	net.Conn
 	in      *http1.Ring
@@ -21,10 +21,10 @@
 	role    Role
 }
 
-// dialTimeout is how long a connection may take to come up.
+// dialTimeout is the timeout for making a connection.
 const dialTimeout = 2 * time.Second
 
-// Dial connects for a role.
+// Dial connects to a dispatcher. The connection's traffic is counted for the role.
 func Dial(addr string, t *Traffic, r Role) (*Conn, error) {
 	c, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return &Conn{counted, http1.NewRing(lim.RingBytes), http1.NewParser(lim, true), http1.NewWriter(counted, lim.RingBytes), t, r}, nil
 }
 
-// Send writes a request.
+// Send sends a request.
 func (c *Conn) Send(method, target string, body []byte, fields []http1.Field) error {
 	if err := c.writer.Request(method, target, append(fields, http1.Field{Name: "Host", Value: "scalerun"}), body); err != nil {
 		return fmt.Errorf("writing: %w", err)
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Receive reads the answer.
+// Receive reads the answer to a request, until the time by.
 func (c *Conn) Receive(by time.Time) (*http1.Message, error) {
 	if err := c.SetReadDeadline(by); err != nil {
 		return nil, fmt.Errorf("reading: %w", err)
@@ -60,7 +60,7 @@
 	return m, nil
 }
 
-// Do makes a request and reads the answer.
+// Do sends a request and reads its answer.
 func (c *Conn) Do(by time.Time, method, target string, body []byte, fields []http1.Field) (*http1.Message, error) {
 	if err := c.Send(method, target, body, fields); err != nil {
 		return nil, err
@@ -68,14 +68,14 @@
 	return c.Receive(by)
 }
 
-// isClosed says that a socket was closed here.
+// isClosed reports whether a socket was closed on this side.
 func isClosed(err error) bool { return errors.Is(err, net.ErrClosed) }
 
-// isTimeout says that a deadline passed.
+// isTimeout reports whether a deadline has passed.
 func isTimeout(err error) bool {
 	timeout := net.Error(nil)
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// isRejection says that a call was refused in words, and not lost on its way.
+// isRejection reports whether a call was answered with status 503, and stores that error in to.
 func isRejection(err error, to **drmaa2.Error) bool { return errors.As(err, to) && (*to).Status == 503 }
--- a/internal/scale/hollow/cut.go
+++ b/internal/scale/hollow/cut.go
@@ -5,29 +5,29 @@
 	"sync"
 )
 
-// Direction of what a cut between regions keeps from passing.
+// Direction is the direction of the messages that a cut between regions blocks.
 type Direction uint8
 
-// The directions, seen from the region that is cut off.
+// The directions, relative to the region that is cut off.
 const (
 	Inward  Direction = iota // from other regions' dispatchers to its executors
 	Outward                  // from its executors to other regions' dispatchers
 	directions
 )
 
-// Cuts keeps what passes between regions. What is kept passes once the cut is lifted, as a network's repeats would bring it.
+// Cuts blocks messages between regions. Blocked messages pass once the cut is lifted, as TCP would retransmit them.
 type Cuts struct {
 	mu      sync.Mutex
 	regions map[int]*[directions]bool
 	changed chan struct{}
 }
 
-// NewCuts makes a network without cuts.
+// NewCuts returns a Cuts without any cut.
 func NewCuts() *Cuts {
 	return &Cuts{regions: map[int]*[directions]bool{}, changed: make(chan struct{})}
 }
 
-// Set cuts a region off in one direction, or lifts that.
+// Set cuts off a region in one direction, or lifts that cut.
 func (c *Cuts) Set(region int, d Direction, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,7 +39,7 @@
 	c.changed = make(chan struct{})
 }
 
-// cut says whether something is kept from passing between a region and another, and gives what tells of changes.
+// cut reports whether messages between two regions are blocked, and returns a channel that is closed at the next change.
 func (c *Cuts) cut(region, other int, d Direction) (bool, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,7 +54,7 @@
 	return here != nil && here[d] || there != nil && there[opposite], c.changed
 }
 
-// wait returns once what goes between a region and another passes; an error is the context's.
+// wait waits until messages between two regions pass. It returns the context's error if the context ends.
 func (c *Cuts) wait(ctx context.Context, region, other int, d Direction) error {
 	for {
 		cut, changed := c.cut(region, other, d)
--- a/internal/scale/hollow/discovery.go
+++ b/internal/scale/hollow/discovery.go
@@ -19,7 +19,7 @@
 	"gatetack/internal/scale/verdict"
 )
 
-// Discovery serves the list of executors and watches on it, to each dispatcher at an address of its own.
+// Discovery serves the endpoint list and watches on it, at a separate address for each dispatcher.
 type Discovery struct {
 	record  *Record
 	traffic *Traffic
@@ -29,12 +29,12 @@
 	numbers map[string]int32
 
 	mu      sync.Mutex
-	entries []Row // by executor
-	log     []int // executors whose rows changed, the first change having index 2
+	entries []Row // entries by executor number
+	log     []int // executors whose entries changed; the first change has index 2
 	changed chan struct{}
 }
 
-// Row is an executor in the list.
+// Row is the entry of an executor in the list.
 type Row struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -46,20 +46,20 @@
 	SinceMS int64   `json:"since_ms"`
 }
 
-// Statuses of a row.
+// The statuses of an entry.
 const (
 	StatusReady    = "ready"
 	StatusDraining = "draining"
 	StatusRemoved  = "gone"
 )
 
-// firstIndex is the version of the list that a run begins with.
+// firstIndex is the index of the initial list.
 const firstIndex = 1
 
-// heartbeatInterval is the time between empty lines of a watch on which nothing changes.
+// heartbeatInterval is the time between empty lines on a watch without changes.
 const heartbeatInterval = 2 * time.Second
 
-// NewDiscovery serves the list of a fleet.
+// NewDiscovery starts to serve the endpoint list of a fleet.
 func NewDiscovery(ctx context.Context, g *errgroup.Group, d *fleet.Description, plan []fleet.Executor, n *Network, r *Record,
 	t *Traffic) (*Discovery, error) {
 	s := &Discovery{network: n, members: d.StoreMembers, record: r, traffic: t, lim: limits.New(0, 0, 0, 0, 0), numbers: map[string]int32{}, changed: make(chan struct{})}
@@ -88,7 +88,7 @@
 	return s, nil
 }
 
-// Set changes rows. Those that become ready with since over zero began then.
+// Set changes the status of executors. If since is not zero, it is their new start time.
 func (s *Discovery) Set(executors []int, status string, since time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,14 +103,14 @@
 	s.changed = make(chan struct{})
 }
 
-// answer is one line of the list.
+// answer is one message of the list protocol: a snapshot or a delta.
 type answer struct {
 	Index     int   `json:"index"`
 	Snapshot  bool  `json:"snapshot"`
 	Endpoints []Row `json:"endpoints"`
 }
 
-// since gives what changed after a version, or the whole list where the version is not one of this list's, as a dispatcher is told.
+// since returns the changes after an index, or a snapshot if the list never had that index, with the addresses for a dispatcher.
 func (s *Discovery) since(index, dispatcher int) (answer, <-chan struct{}) {
 	a, changed := s.changes(index)
 	if dispatcher >= s.members {
@@ -175,7 +175,7 @@
 	}
 }
 
-// watch writes changes as they come.
+// watch sends changes as they happen.
 func (s *Discovery) watch(ctx context.Context, c io.Writer, target string, dispatcher int) {
 	if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
@@ -210,7 +210,7 @@
 	}
 }
 
-// recordListed notes what a dispatcher has been recordListed.
+// recordListed records the entries that a dispatcher was sent.
 func (s *Discovery) recordListed(a answer, dispatcher int) {
 	s.traffic.in(RoleDiscovery)
 	now := s.record.Now()
--- a/internal/scale/hollow/dispatcher.go
+++ b/internal/scale/hollow/dispatcher.go
@@ -21,11 +21,11 @@
 	"gatetack/internal/scale/workload"
 )
 
-// Dispatcher is a hollow one: the decision module in its core, with the carriers that reach executors, the list and other
-// dispatchers, and no front.
+// Dispatcher is a hollow dispatcher: the program's core with its decision module and its connections to executors, the discovery
+// service and other dispatchers, without a front.
 type Dispatcher struct{ core *node.Core }
 
-// NewDispatcher begins one with a configuration as a process would read it. Its goroutines belong to g and end with ctx.
+// NewDispatcher starts a dispatcher with the text of a configuration file. Its goroutines run in g and end with ctx.
 func NewDispatcher(ctx context.Context, g *errgroup.Group, text []byte) (*Dispatcher, error) {
 	c, err := config.Parse(text)
 	if err != nil {
@@ -54,10 +54,10 @@
 	return &Dispatcher{core}, nil
 }
 
-// Ready says whether it can serve.
+// Ready reports whether the dispatcher can accept tasks.
 func (d *Dispatcher) Ready() bool { return d.core.Ready() }
 
-// callbackFront takes callbacks alone.
+// callbackFront accepts callbacks only.
 type callbackFront struct{ executors *attempts.Client }
 
 // Handle answers a callback as the platform's front does.
@@ -72,7 +72,7 @@
 	return http1.Response{Status: 204, KnownClient: err == nil}
 }
 
-// waiter is a client that waits for its answer.
+// waiter receives the answer to a submitted job.
 type waiter chan node.Answer
 
 func (w waiter) Sent(string)          {}
@@ -80,7 +80,7 @@
 func (w waiter) Requeued(bool)        {}
 func (w waiter) Answer(a node.Answer) { w <- a }
 
-// submit hands a task in and waits for its answer, until a moment.
+// submit submits a task and waits for its answer until a time.
 func (d *Dispatcher) submit(ctx context.Context, t workload.Task, id string, left time.Duration, by time.Time) (a verdict.Answer, retry time.Duration, answered bool) {
 	w := make(waiter, 1)
 	job := node.Job{Class: t.Class, Tenant: t.Tenant, TimeLeft: left, Slots: float64(t.Slots), TraceID: id, IdempotencyKey: fmt.Sprintf("key-%d", t.Number),
@@ -104,7 +104,7 @@
 	case a.End == node.Served && string(a.Result) == resultOf(id):
 		return verdict.Served
 	case a.End == node.Served:
-		return verdict.ConnectionBroken // what no executor made for it
+		return verdict.ConnectionBroken // not the result that an executor returns for this request
 	case a.End == node.Rejected:
 		return verdict.Rejected
 	}
--- a/internal/scale/hollow/executor.go
+++ b/internal/scale/hollow/executor.go
@@ -17,7 +17,7 @@
 	"gatetack/internal/scale/workload"
 )
 
-// Executors are all of a fleet. Make them with NewExecutors, and begin their lives with Boot.
+// Executors are all executors of a fleet. NewExecutors creates them, and Boot starts each one.
 type Executors struct {
 	ctx       context.Context
 	g         *errgroup.Group
@@ -31,26 +31,26 @@
 	executors []*executor
 }
 
-// ExecutorSettings are what all executors have in common.
+// ExecutorSettings are the settings that all executors share.
 type ExecutorSettings struct {
 	Rules            fleet.Rules
-	ProgressInterval time.Duration // 0 for no reports
-	QueuePerSlot     int           // tasks that may wait at an executor, for each slot
-	StoreMembers     int           // the first dispatchers, which have addresses of their own at each executor
+	ProgressInterval time.Duration // time between progress callbacks, 0 for none
+	QueuePerSlot     int           // number of tasks that may wait at an executor, per slot
+	StoreMembers     int           // number of store members: the first dispatchers, for each of which an executor has a separate address
 	ExpectedRun      func(class int) time.Duration
 	DispatcherRegion func(dispatcher int) int
 }
 
-// executor is one of them.
+// executor is one hollow executor.
 type executor struct {
 	*Executors
 	plan fleet.Executor
 
 	mu          sync.Mutex
-	incarnation *incarnation // nil while it is down
+	incarnation *incarnation // nil while the executor is down
 }
 
-// incarnation is what an executor holds between its start and its end.
+// incarnation is the state of an executor between its start and its end.
 type incarnation struct {
 	ctx       context.Context
 	end       context.CancelFunc
@@ -58,11 +58,11 @@
 	cold      bool
 	booted    time.Time
 	conns     map[net.Conn]bool
-	used      int // slots
+	used      int // number of slots in use
 	waiting   []*attempt
 }
 
-// attempt is one that an executor took.
+// attempt is an attempt that an executor accepted.
 type attempt struct {
 	executor    *executor
 	incarnation *incarnation
@@ -72,7 +72,7 @@
 	task        workload.Task
 }
 
-// NewExecutors makes the executors of a plan. Their goroutines belong to g and end with ctx.
+// NewExecutors creates the executors of a plan. Their goroutines run in g and end with ctx.
 func NewExecutors(ctx context.Context, g *errgroup.Group, plan []fleet.Executor, s ExecutorSettings, n *Network, r *Record, t *Traffic, c *Cuts,
 	dispatchers int) *Executors {
 	e := &Executors{ctx: ctx, g: g, settings: s, network: n, record: r, traffic: t, cuts: c, lim: limits.New(0, 0, 0, 0, 0)}
@@ -83,7 +83,7 @@
 	return e
 }
 
-// Boot begins a life of an executor, a cold one but at the run's start.
+// Boot starts an incarnation of an executor. It is cold except at the start of the run.
 func (e *Executors) Boot(number int, cold bool) error {
 	x := e.executors[number]
 	x.mu.Lock()
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// listen takes an executor's addresses: the one for everybody, and one for each member of the store.
+// listen listens on an executor's addresses: the shared one, and one for each store member.
 func (e *Executors) listen(number int) ([]net.Listener, error) {
 	var out []net.Listener
 	for caller := anyDispatcher; caller < e.settings.StoreMembers; caller++ {
@@ -128,7 +128,7 @@
 	return out, nil
 }
 
-// Kill ends an executor's life as a lost process does: connections are reset, new ones refused, and what it runs is lost.
+// Kill ends an executor's incarnation as a killed process ends: its connections are reset, new ones fail, and its tasks are lost.
 func (e *Executors) Kill(number int) {
 	x := e.executors[number]
 	x.mu.Lock()
@@ -150,7 +150,7 @@
 	e.record.Add(verdict.Event{Kind: verdict.Died, Executor: int32(number)})
 }
 
-// Booted says whether an executor stands, and when its life began.
+// Booted reports whether an executor is up, and returns the time when its incarnation started.
 func (e *Executors) Booted(number int) (time.Time, bool) {
 	x := e.executors[number]
 	x.mu.Lock()
@@ -230,14 +230,14 @@
 	}
 }
 
-// unknownDispatcher stands for a dispatcher that a request does not name.
+// unknownDispatcher is returned in place of a dispatcher's number for a request that does not name one.
 const unknownDispatcher = -1
 
-// handle answers one request, and says whose it is.
+// handle answers one request and returns the number of its dispatcher.
 func (x *executor) handle(l *incarnation, m *http1.Message, firstByte time.Duration, caller int) (http1.Response, int) {
 	switch {
 	case m.Method == "DELETE" && strings.HasPrefix(m.Target, "/jobs/"):
-		return http1.Response{Status: 204}, unknownDispatcher // nothing stops a task
+		return http1.Response{Status: 204}, unknownDispatcher // a task is never stopped
 	case m.Method == "GET" && (m.Target == "/load" || m.Target == "/healthz"):
 		x.mu.Lock()
 		defer x.mu.Unlock()
@@ -264,7 +264,7 @@
 	return x.enqueue(l, a, firstByte), a.dispatcher
 }
 
-// enqueue puts an attempt to work, or turns it away where too many wait.
+// enqueue accepts an attempt, or rejects it if the queue is full or the executor has too few slots for it.
 func (x *executor) enqueue(l *incarnation, a *attempt, firstByte time.Duration) http1.Response {
 	e := a.event(verdict.Accepted)
 	e.FirstByte, e.Work = firstByte, x.settings.ExpectedRun(a.task.Class)*time.Duration(a.task.Slots)
@@ -282,7 +282,7 @@
 	return http1.Response{Status: 202}
 }
 
-// startQueued starts what fits, in the order of arrival: the head waits until it fits. The lock is held.
+// startQueued starts waiting attempts in the order of arrival while the first one fits into the free slots. The caller holds x.mu.
 func (x *executor) startQueued(l *incarnation) {
 	for len(l.waiting) > 0 && l.used+l.waiting[0].task.Slots <= x.plan.Slots {
 		a := l.waiting[0]
@@ -292,7 +292,7 @@
 	}
 }
 
-// start begins to run an attempt. The executor's lock is held.
+// start starts an attempt. The caller holds the executor's lock.
 func (a *attempt) start() {
 	x, l := a.executor, a.incarnation
 	x.record.Add(a.event(verdict.Started))
@@ -301,9 +301,8 @@
 	a.scheduleReports(time.Now(), run, x.settings.ProgressInterval)
 }
 
-// scheduleReports tells how far an attempt is once the next report of its progress is due, again and again, and ends it after
-// its run. One chain of timers does both, so that no report follows the end: timers of their own would fire in any
-// order where they come due together.
+// scheduleReports reports the progress of an attempt at each interval and finishes it after its running time. One chain of timers
+// does both, so that no progress report follows the end: separate timers that are due at the same time could fire in either order.
 func (a *attempt) scheduleReports(startedAt time.Time, run, reportDue time.Duration) {
 	if reportDue <= 0 || reportDue >= run {
 		time.AfterFunc(time.Until(startedAt.Add(run)), a.finish)
@@ -318,7 +317,7 @@
 	})
 }
 
-// finish ends an attempt, unless its executor's life has ended before.
+// finish ends an attempt, unless the incarnation of its executor has ended.
 func (a *attempt) finish() {
 	x, l := a.executor, a.incarnation
 	x.mu.Lock()
@@ -334,7 +333,7 @@
 	x.notify(a, `"state":"done","result":"`+resultOf(a.id)+`","load":`+load, nil)
 }
 
-// speed is the part of its capacity that an executor has by now.
+// speed returns the share of its capacity that an executor has now.
 func (x *executor) speed(l *incarnation) float64 {
 	if !l.cold {
 		return 1
@@ -343,18 +342,18 @@
 	return min(1, r.SlowStartMinShare+(1-r.SlowStartMinShare)*float64(time.Since(l.booted))/float64(r.SlowStartDuration))
 }
 
-// load is a report as callbacks and probes carry it. The lock is held.
+// load returns a load report in the form of callbacks and health checks. The caller holds x.mu.
 func (x *executor) load(l *incarnation) string {
 	return fmt.Sprintf(`{"queue":%d,"x0":%d}`, len(l.waiting), x.plan.Slots-l.used)
 }
 
-// event makes an event of an attempt.
+// event returns an event about the attempt.
 func (a *attempt) event(kind verdict.Kind) verdict.Event {
 	return verdict.Event{Kind: kind, Request: a.request, Task: int32(a.task.Number), Executor: int32(a.executor.plan.Number),
 		Dispatcher: int16(a.dispatcher), Class: uint8(a.task.Class), Tenant: int32(a.task.Tenant), Slots: int32(a.task.Slots)}
 }
 
-// notify calls the attempt's dispatcher back; answered, if set, is called once the dispatcher has answered.
+// notify queues a callback to the attempt's dispatcher. If answered is not nil, it is called once the dispatcher has answered.
 func (x *executor) notify(a *attempt, rest string, answered func()) {
 	body := `{"id":"` + a.id + `","from":"` + x.plan.Name + `",` + rest + `}`
 	region := x.settings.DispatcherRegion(a.dispatcher)
--- a/internal/scale/hollow/executor_test.go
+++ b/internal/scale/hollow/executor_test.go
@@ -22,13 +22,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// dispatcher stands in for a dispatcher: it takes callbacks and counts them and their bytes.
+// dispatcher is a fake dispatcher that counts callbacks and their bytes.
 type dispatcher struct {
 	mu     sync.Mutex
 	states map[string]int
 	bytes  int
 	done   map[string]string
-	late   int // reports of progress of attempts that were told done
+	late   int // progress callbacks of attempts that had been reported done
 }
 
 func (d *dispatcher) Handle(_ context.Context, m *http1.Message) http1.Response {
@@ -52,7 +52,7 @@
 	return d.states[state]
 }
 
-// world is one dispatcher's stand-in with hollow executors around it.
+// world is a fake dispatcher with hollow executors.
 type world struct {
 	*dispatcher
 	network   *Network
@@ -62,7 +62,7 @@
 	executors *Executors
 }
 
-// The usual rules of a test: cold executors have half of their capacity.
+// testRules are rules by which cold executors have half of their capacity.
 var testRules = fleet.Rules{SlowStartMinShare: 0.5, SlowStartDuration: time.Hour}
 
 func newWorld(t *testing.T, plan []fleet.Executor, s ExecutorSettings) *world {
@@ -101,7 +101,7 @@
 	return out
 }
 
-// hand hands a task to an address as a dispatcher does.
+// hand sends a task to an executor's address as a dispatcher does.
 func hand(addr string, number uint64, run time.Duration) (*http1.Message, error) {
 	task := workload.Task{Number: int(number), Class: fleet.ClassOnce, Slots: 1, Run: run}
 	return testenv.Call(addr, "POST", target(task), []byte("task"), http1.Field{Name: "X-Trace-Id", Value: verdict.ID(RequestID(0, number))},
@@ -117,7 +117,7 @@
 	return m.Status
 }
 
-// events of a kind that were recorded.
+// events returns the number of recorded events of a kind.
 func (w *world) events(k verdict.Kind) (n int) {
 	for _, e := range w.record.Events() {
 		if e.Kind == k {
@@ -127,8 +127,8 @@
 	return n
 }
 
-// A hollow executor and the one that the project's other tests use tell a dispatcher the same for each task: as many messages of
-// each state, about as many bytes, at each number of tasks. Their slopes, by least squares, are those of the messages of one task.
+// A hollow executor must make the same callbacks for a task as the fake executor of package testenv: equal numbers of callbacks in
+// each state, and numbers of bytes that agree within a tenth, compared by their least-squares slopes over several numbers of tasks.
 func TestHollowTellsWhatTheRealOneTells(t *testing.T) {
 	const run = 10 * time.Millisecond
 	sizes := []int{8, 32, 128}
@@ -144,7 +144,7 @@
 					t.Fatalf("%v %v", m, err)
 				}
 			}
-			testenv.Until(t, "all tasks are told done", func() bool { return d.count("done") == size })
+			testenv.Until(t, "all tasks to be reported done", func() bool { return d.count("done") == size })
 			if d.count("started") != size || d.count("running") != size {
 				t.Errorf("%d tasks: %v", size, d.states)
 			}
@@ -172,10 +172,10 @@
 	realMessages, realBytes := measure(t, real.Addr, w.dispatcher)
 
 	if a, b := slope(sizes, hollowMessages), slope(sizes, realMessages); a != b || a != 3 {
-		t.Errorf("messages a task: hollow %.2f, real %.2f, want 3", a, b)
+		t.Errorf("callbacks per task: hollow %.2f, fake %.2f, want 3", a, b)
 	}
 	if a, b := slope(sizes, hollowBytes), slope(sizes, realBytes); a < 0.9*b || a > 1.1*b {
-		t.Errorf("bytes a task: hollow %.1f, real %.1f, want them within a tenth", a, b)
+		t.Errorf("bytes per task: hollow %.1f, fake %.1f, want them within a tenth", a, b)
 	}
 }
 
@@ -194,15 +194,15 @@
 			t.Fatalf("task %d: %d", number, status)
 		}
 	}
-	testenv.Until(t, "all tasks are told done and running", func() bool {
+	testenv.Until(t, "all tasks to be reported done and running", func() bool {
 		return w.count("done") == tasks && w.count("running") == tasks
 	})
 	if w.late != 0 {
-		t.Errorf("%d reports of progress of %d came after the end", w.late, tasks)
+		t.Errorf("%d progress callbacks of %d tasks came after the end", w.late, tasks)
 	}
 }
 
-// slope of a line through points, by least squares.
+// slope returns the slope of the least-squares line through points.
 func slope(x []int, y []float64) float64 {
 	var sx, sy, sxx, sxy float64
 	for i := range x {
@@ -213,7 +213,7 @@
 	return (n*sxy - sx*sy) / (n*sxx - sx*sx)
 }
 
-// What fits runs, what does not waits in its order, and past that the executor proves that it does not run it.
+// Tasks that fit run, further ones wait in order, and tasks beyond the queue are rejected with X-Never-Ran.
 func TestSlotsAndQueue(t *testing.T) {
 	w := newWorld(t, someExecutors(1, 2), ExecutorSettings{QueuePerSlot: 1})
 	if err := w.executors.Boot(0, false); err != nil {
@@ -233,13 +233,13 @@
 	if err != nil || m.Status != 503 || m.Get("X-Never-Ran") != "1" || !strings.Contains(m.Get("Endpoint-Load-Metrics"), "queue=2, x0=0") {
 		t.Errorf("%+v %v", m, err)
 	}
-	testenv.Until(t, "two starts are told", func() bool { return w.count("started") == 2 })
+	testenv.Until(t, "two starts to be reported", func() bool { return w.count("started") == 2 })
 	if n := w.events(verdict.Started); n != 2 || w.events(verdict.Accepted) != 4 || w.events(verdict.AttemptRejected) != 1 {
-		t.Errorf("%d started, %d taken, %d turned away", n, w.events(verdict.Accepted), w.events(verdict.AttemptRejected))
+		t.Errorf("%d started, %d accepted, %d rejected", n, w.events(verdict.Accepted), w.events(verdict.AttemptRejected))
 	}
 }
 
-// A life that ends takes with it what it ran; connections are refused until the next, which begins cold.
+// Killing an executor loses its tasks. Connections fail until the next incarnation, which starts cold.
 func TestLives(t *testing.T) {
 	w := newWorld(t, someExecutors(1, 1), ExecutorSettings{})
 	if err := w.executors.Boot(0, false); err != nil {
@@ -248,32 +248,32 @@
 	w.hand(t, 0, 1, 50*time.Millisecond)
 	w.executors.Kill(0)
 	if _, err := hand(w.network.Executor(0, anyDispatcher), 2, time.Millisecond); err == nil {
-		t.Error("an executor that is down took a task")
+		t.Error("an executor that is down accepted a task")
 	}
 	if _, up := w.executors.Booted(0); up {
-		t.Error("an executor that is down stands")
+		t.Error("an executor that is down is reported up")
 	}
 	if err := w.executors.Boot(0, true); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
 	w.hand(t, 0, 3, 100*time.Millisecond)
-	testenv.Until(t, "the task of the next life is done", func() bool { return w.count("done") == 1 })
+	testenv.Until(t, "the task of the next incarnation to be done", func() bool { return w.count("done") == 1 })
 	if took := time.Since(began); took < 195*time.Millisecond {
-		t.Errorf("a task of 100ms took %v on an executor that has half of its capacity", took)
+		t.Errorf("a task of 100ms took %v on an executor with half of its capacity", took)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	id := verdict.ID(RequestID(0, 3))
 	if len(w.done) != 1 || w.done[id] != resultOf(id) {
-		t.Errorf("%v: what was lost with a life was told done", w.done)
+		t.Errorf("%v: a task that was lost with its incarnation was reported done", w.done)
 	}
 	if w.events(verdict.Booted) != 1 || w.events(verdict.Died) != 1 {
-		t.Error("lives were not recorded")
+		t.Error("incarnations were not recorded")
 	}
 }
 
-// What goes into or out of a region that is cut off is held until the cut is lifted, in that direction alone.
+// A cut must hold messages into or out of a region until it is lifted, in its direction only.
 func TestCuts(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -296,26 +296,26 @@
 				}
 				answered <- err
 			}()
-			testenv.Until(t, "the task has come to the executor", func() bool { return w.traffic.Sum()["executor"].MessagesOut == 1 })
+			testenv.Until(t, "the task to arrive at the executor", func() bool { return w.traffic.Sum()["executor"].MessagesOut == 1 })
 			time.Sleep(50 * time.Millisecond)
 			select {
 			case err := <-answered:
-				t.Fatalf("an answer came across a cut: %v", err)
+				t.Fatalf("an answer passed a cut: %v", err)
 			default:
 			}
 			if w.events(verdict.Accepted) != c.taken || w.count("started") != c.starts {
-				t.Errorf("%d taken, %d starts told, want %d and %d", w.events(verdict.Accepted), w.count("started"), c.taken, c.starts)
+				t.Errorf("%d accepted, %d starts reported, want %d and %d", w.events(verdict.Accepted), w.count("started"), c.taken, c.starts)
 			}
 			w.cuts.Set(1, c.cut, false)
 			if err := <-answered; err != nil {
 				t.Error(err)
 			}
-			testenv.Until(t, "the task is told done", func() bool { return w.count("done") == 1 })
+			testenv.Until(t, "the task to be reported done", func() bool { return w.count("done") == 1 })
 		})
 	}
 }
 
-// What no dispatcher sends is refused, and giving up stops nothing.
+// Requests that no dispatcher sends must get an error status, and a cancellation must have no effect.
 func TestOddRequests(t *testing.T) {
 	w := newWorld(t, someExecutors(1, 1), ExecutorSettings{})
 	if err := w.executors.Boot(0, false); err != nil {
@@ -341,6 +341,6 @@
 		}
 	}
 	if w.events(verdict.Accepted) != 0 {
-		t.Error("one of them was taken")
+		t.Error("an invalid request was accepted")
 	}
 }
--- a/internal/scale/hollow/peers.go
+++ b/internal/scale/hollow/peers.go
@@ -9,21 +9,21 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// maxDatagram is the longest message between dispatchers, and one more.
+// maxDatagram is one byte more than the longest message between dispatchers, so that a longer one is not truncated to a valid length.
 const maxDatagram = 257
 
-// Peers carries messages between dispatchers: each reaches each other one at an address set aside for the two, and all others at
-// one of its own.
+// Peers forwards messages between dispatchers. A dispatcher reaches each other dispatcher at a separate address, and all others at
+// one broadcast address.
 type Peers struct {
 	network *Network
 	traffic *Traffic
 	cuts    *Cuts
 	region  func(dispatcher int) int
-	sockets [][]*net.UDPConn // what dispatcher i sends to dispatcher j comes to [i][j], and j's messages to i come from there
+	sockets [][]*net.UDPConn // sockets[i][j] receives messages from dispatcher i to j and sends messages from j to i
 	listen  []netip.AddrPort
 }
 
-// NewPeers begins to carry messages.
+// NewPeers starts to forward messages.
 func NewPeers(ctx context.Context, g *errgroup.Group, dispatchers int, region func(int) int, n *Network, t *Traffic, c *Cuts) (*Peers, error) {
 	p := &Peers{network: n, traffic: t, cuts: c, region: region}
 	for i := range dispatchers {
@@ -77,7 +77,7 @@
 	return pc.(*net.UDPConn), nil
 }
 
-// carry passes on what one dispatcher sends to a socket.
+// carry forwards the messages that one dispatcher sends to a socket.
 func (p *Peers) carry(socket *net.UDPConn, from int, to []int) {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -94,7 +94,7 @@
 		passed := 0
 		for _, j := range to {
 			if cut, _ := p.cuts.cut(p.region(from), p.region(j), Outward); cut {
-				continue // messages across a cut are lost
+				continue // a message across a cut is lost
 			}
 			if _, err := p.sockets[j][from].WriteToUDPAddrPort(buf[:n], p.listen[j]); err == nil {
 				passed++
--- a/internal/scale/hollow/record.go
+++ b/internal/scale/hollow/record.go
@@ -11,14 +11,14 @@
 	"gatetack/internal/scale/workload"
 )
 
-// Record keeps what is seen of a run.
+// Record collects the events of a run.
 type Record struct {
 	start  time.Time
 	shards [recordShards]recordShard
 	next   atomic.Uint32
 
 	mu             sync.Mutex
-	due            map[int]dueTask // tasks whose start was not told yet
+	due            map[int]dueTask // tasks whose start was not notified yet
 	startLatencies [workload.Kinds]*hdrhistogram.Histogram
 	gangs          map[int]*gang
 }
@@ -39,19 +39,19 @@
 	first, last   time.Time
 }
 
-// recordShards keeps the many parties from waiting for one lock.
+// recordShards is the number of locks among which the events are spread, to reduce contention.
 const recordShards = 16
 
-// Latencies are kept in microseconds, up to ten minutes, to three digits.
+// Latencies are recorded in microseconds, up to ten minutes, with three significant digits.
 const (
 	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
 	latencyDigits    = 3
 )
 
-// NewRecord makes a record whose times count from now.
+// NewRecord returns a record whose times count from now.
 func NewRecord() *Record { return NewRecordFrom(time.Now()) }
 
-// NewRecordFrom makes a record whose times count from a moment.
+// NewRecordFrom returns a record whose times count from start.
 func NewRecordFrom(start time.Time) *Record {
 	r := &Record{start: start, due: map[int]dueTask{}, gangs: map[int]*gang{}}
 	for i := range r.startLatencies {
@@ -60,13 +60,13 @@
 	return r
 }
 
-// Start is the moment from which the record's times count.
+// Start returns the time from which the record's times count.
 func (r *Record) Start() time.Time { return r.start }
 
-// Now is the time of the run.
+// Now returns the time since the start.
 func (r *Record) Now() time.Duration { return time.Since(r.start) }
 
-// Add keeps an event; its time is now where it has none.
+// Add records an event. If its time is 0, it is set to now.
 func (r *Record) Add(e verdict.Event) {
 	if e.At == 0 {
 		e.At = r.Now()
@@ -77,7 +77,7 @@
 	s.mu.Unlock()
 }
 
-// Merge takes in what another process of the run has seen.
+// Merge adds the events of another process of the run.
 func (r *Record) Merge(events []verdict.Event) {
 	s := &r.shards[0]
 	s.mu.Lock()
@@ -85,7 +85,7 @@
 	s.events = append(s.events, events...)
 }
 
-// Events gives all that were kept, in no order.
+// Events returns all recorded events, unordered.
 func (r *Record) Events() []verdict.Event {
 	var out []verdict.Event
 	for i := range r.shards {
@@ -97,7 +97,7 @@
 	return out
 }
 
-// Due notes that a task is due: the time until its start is told counts from there.
+// Due records when a task is due. Its start latency counts from that time.
 func (r *Record) Due(t workload.Task, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// StartNotified notes that a task's start was told to its dispatcher.
+// StartNotified records that a task's dispatcher was notified of its start.
 func (r *Record) StartNotified(task int, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,7 +129,7 @@
 	}
 }
 
-// Latencies gives the times to told start by kind of job.
+// Latencies returns, by kind of job, the times from when a task was due until its start was notified.
 func (r *Record) Latencies() [workload.Kinds]*hdrhistogram.Histogram {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,8 +140,8 @@
 	return out
 }
 
-// Gangs says how many gangs began whole, in part and not at all, and how far apart the first and the last start of the whole ones
-// were on the mean.
+// Gangs returns how many gangs started completely, partly and not at all, and the mean time between the first and the last start of
+// those that started completely.
 func (r *Record) Gangs() (whole, part, none int, spread time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scale/hollow/request.go
+++ b/internal/scale/hollow/request.go
@@ -11,18 +11,18 @@
 	"gatetack/internal/scale/workload"
 )
 
-// dispatcherShift places a dispatcher's number in the upper bits of a request's id.
+// dispatcherShift is the position of the dispatcher's number in a request id.
 const dispatcherShift = 56
 
-// RequestID makes a request's id of the dispatcher it goes to and a running number.
+// RequestID returns a request id with the number of the dispatcher it is sent to and a sequence number.
 func RequestID(dispatcher int, number uint64) uint64 {
 	return uint64(dispatcher)<<dispatcherShift | number
 }
 
-// dispatcherOf is the dispatcher that a request's id names.
+// dispatcherOf returns the number of the dispatcher in a request id.
 func dispatcherOf(request uint64) int { return int(request >> dispatcherShift) }
 
-// parseID reads an id as it is sent.
+// parseID parses a request id in its text form.
 func parseID(text string) (uint64, error) {
 	id, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 16 {
@@ -31,18 +31,18 @@
 	return id, nil
 }
 
-// target is the path by which an executor learns how long a task runs: class, tenant, slots, microseconds, number. It passes through a
-// dispatcher unchanged.
+// target returns the request target of a task: class, tenant, slots, running time in microseconds, and number. Dispatchers forward it
+// unchanged, so the executor learns the running time from it.
 func target(t workload.Task) string { return path(t, strconv.Itoa(t.Number)) }
 
 func path(t workload.Task, number string) string {
 	return fmt.Sprintf("/%s/%d/%d/%d/%s", fleet.ClassNames[t.Class], t.Tenant, t.Slots, t.Run.Microseconds(), number)
 }
 
-// pathParts is how many parts a path has.
+// pathParts is the number of segments of a path.
 const pathParts = 5
 
-// parseTarget reads it.
+// parseTarget parses a request target that target returned.
 func parseTarget(text string) (workload.Task, error) {
 	var t workload.Task
 	parts := strings.Split(strings.TrimPrefix(text, "/"), "/")
@@ -66,5 +66,5 @@
 	return t, nil
 }
 
-// resultOf is what an executor makes of a request: a client knows by it that the answer is its own.
+// resultOf returns the result of a request, by which a client recognizes the answer to its own request.
 func resultOf(id string) string { return "result of " + id }
--- a/internal/scale/hollow/traffic.go
+++ b/internal/scale/hollow/traffic.go
@@ -5,30 +5,30 @@
 	"sync/atomic"
 )
 
-// Role is what a connection with a dispatcher is for.
+// Role is the purpose of a connection to or from a dispatcher.
 type Role uint8
 
 // The roles.
 const (
-	RoleClient    Role = iota // clients' requests and answers
-	RoleExecutor              // attempts, probes and what is given up
-	RoleCallback              // what executors tell
-	RoleDiscovery             // the list
-	RolePeer                  // messages between dispatchers
+	RoleClient    Role = iota // requests of clients and their answers
+	RoleExecutor              // attempts, health checks and cancellations
+	RoleCallback              // callbacks of executors
+	RoleDiscovery             // endpoint lists and watches
+	RolePeer                  // gossip between dispatchers
 	Roles
 )
 
-// String names a role.
+// String returns the name of the role.
 func (r Role) String() string {
 	return [Roles]string{"client", "executor", "callback", "discovery", "peer"}[r]
 }
 
-// Traffic counts what went over the connections of each role, as the dispatchers see it.
+// Traffic counts the bytes and messages of each role. In and out are relative to the dispatchers.
 type Traffic struct{ roles [Roles]counters }
 
 type counters struct{ bytesIn, bytesOut, messagesIn, messagesOut atomic.Int64 }
 
-// RoleTraffic is what went over one role's connections.
+// RoleTraffic is the traffic of one role.
 type RoleTraffic struct {
 	BytesIn     int64 `json:"bytesIn"`
 	BytesOut    int64 `json:"bytesOut"`
@@ -36,11 +36,11 @@
 	MessagesOut int64 `json:"messagesOut"`
 }
 
-// in counts a message to a dispatcher, and out one from it.
+// in counts a message to a dispatcher, and out a message from one.
 func (t *Traffic) in(r Role)  { t.roles[r].messagesIn.Add(1) }
 func (t *Traffic) out(r Role) { t.roles[r].messagesOut.Add(1) }
 
-// datagram counts one that a dispatcher sent to so many others.
+// datagram counts a datagram that a dispatcher sent to a number of receivers.
 func (t *Traffic) datagram(bytes, receivers int) {
 	c := &t.roles[RolePeer]
 	c.messagesOut.Add(1)
@@ -49,7 +49,7 @@
 	c.bytesIn.Add(int64(bytes * receivers))
 }
 
-// Merge takes in what another process of the run has counted.
+// Merge adds the counts of another process of the run.
 func (t *Traffic) Merge(sum map[string]RoleTraffic) {
 	for i := range t.roles {
 		c, other := &t.roles[i], sum[Role(i).String()]
@@ -60,7 +60,7 @@
 	}
 }
 
-// Sum gives the counts by role.
+// Sum returns the counts by the name of the role.
 func (t *Traffic) Sum() map[string]RoleTraffic {
 	out := map[string]RoleTraffic{}
 	for i := range t.roles {
@@ -70,7 +70,7 @@
 	return out
 }
 
-// counted is a connection whose bytes are counted: what is written here comes in at a dispatcher.
+// counted is a connection whose bytes are counted. Bytes written to it are the dispatcher's input.
 type counted struct {
 	net.Conn
 	to *counters
--- a/internal/scale/play/batch_test.go
+++ b/internal/scale/play/batch_test.go
@@ -9,9 +9,9 @@
 	"gatetack/internal/scale/faults"
 )
 
-// The short form with a store: arrays come through the batch front of its members, settings change through it at members and at a
-// dispatcher that is none, and the leader is killed and comes back. What was
-// submitted has one end each, and what must not run twice does not.
+// A short run with a store: arrays are submitted through the batch fronts of the members, settings change through the store at
+// members and at a dispatcher that is not a member, and the leader is killed and restarted. Each task must end exactly once, and no
+// at-most-once task may run twice.
 func TestShortRunWithAStore(t *testing.T) {
 	t.Parallel()
 	d := small()
@@ -25,7 +25,7 @@
 	}
 	for _, j := range r.Jobs {
 		if j.Served+j.Rejected+j.Failed != j.Tasks {
-			t.Errorf("%s: %d tasks, and %d served, %d refused, %d failed", j.Kind, j.Tasks, j.Served, j.Rejected, j.Failed)
+			t.Errorf("%s: %d tasks, but %d served, %d rejected, %d failed", j.Kind, j.Tasks, j.Served, j.Rejected, j.Failed)
 		}
 	}
 	if c := r.Verdict.Counts; c.Served == 0 || c.Doubled+c.Lost != 0 {
--- a/internal/scale/play/changes.go
+++ b/internal/scale/play/changes.go
@@ -16,8 +16,8 @@
 	"gatetack/internal/scale/result"
 )
 
-// changes makes changes of the configuration as operators make them - through the store where there is one, else by a new file and a
-// signal at each dispatcher - and measures when each is in force at the last one.
+// changes applies configuration changes as operators do, through the store if there is one, else by a new file and a signal at each
+// dispatcher. It measures when each change is in force at all dispatchers.
 type changes struct {
 	r *run
 	g sync.WaitGroup
@@ -29,7 +29,8 @@
 	noted      []string
 }
 
-// changeTimeout is when a change is to be in force everywhere, by the operators; changePollInterval is the time between looks.
+// changeTimeout is the time within which the operators require a change to be in force everywhere. changePollInterval is the time
+// between checks.
 const (
 	changeTimeout      = 6 * time.Second
 	changePollInterval = 10 * time.Millisecond
@@ -41,7 +42,7 @@
 
 const latencyDigits = 3
 
-// apply makes one change at all dispatchers.
+// apply starts one change at all dispatchers.
 func (c *changes) apply(ctx context.Context) {
 	c.mu.Lock()
 	c.made++
@@ -62,7 +63,7 @@
 	})
 }
 
-// applyByFile makes a change at each dispatcher.
+// applyByFile applies a change by a new configuration file and a signal at each dispatcher.
 func (c *changes) applyByFile(_ context.Context, number int) error {
 	for _, x := range c.r.dispatchers {
 		p := x.current()
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// applyByStore makes a change by the operators' command at a member that stands: one class takes the place of the one before.
+// applyByStore applies a change with the operators' command at a store member that is up: one class replaces the previous one.
 func (c *changes) applyByStore(ctx context.Context, number int) error {
 	text, err := fleet.ChangeItems(number)
 	if err != nil {
@@ -109,17 +110,17 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("no member took it, see %s", log)
+	return fmt.Errorf("no store member accepted it, see %s", log)
 }
 
-// countNotInForce counts a change that did not come to be in force everywhere in time.
+// countNotInForce counts a change that was not in force everywhere in time.
 func (c *changes) countNotInForce() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notInForce++
 }
 
-// waitInForce waits until a change is in force at all dispatchers.
+// waitInForce waits until a change is in force at all dispatchers that are up, and records how long that took.
 func (c *changes) waitInForce(ctx context.Context, number int, began time.Time) {
 	for _, x := range c.r.dispatchers {
 		for x.current() != nil && !c.inForce(x.number, number) {
@@ -139,8 +140,8 @@
 	_ = c.latencies.RecordValue(time.Since(began).Microseconds())
 }
 
-// inForce asks for a class that the change brought, or a later one: a path of a class that is known is refused for what else the
-// request lacks.
+// inForce reports whether a dispatcher knows the class of a change, or of a later one. A request without headers to the path of a
+// known class gets status 400.
 func (c *changes) inForce(dispatcher, number int) bool {
 	c.mu.Lock()
 	last := c.made
@@ -154,7 +155,7 @@
 	return false
 }
 
-// wait returns once no change is followed any more.
+// wait waits until all changes are in force or have timed out.
 func (c *changes) wait() { c.g.Wait() }
 
 func (c *changes) sum() result.Changes {
@@ -163,7 +164,7 @@
 	return result.Changes{Made: c.made, NotInForce: c.notInForce, InForce: latency(c.latencies, int64(c.made))}
 }
 
-// note keeps a remark for the result.
+// note adds a note to the result.
 func (r *run) note(format string, args ...any) {
 	r.changes.mu.Lock()
 	defer r.changes.mu.Unlock()
--- a/internal/scale/play/clients.go
+++ b/internal/scale/play/clients.go
@@ -18,20 +18,20 @@
 	"gatetack/internal/scale/workload"
 )
 
-// ClientsCommand is the tool's own command by which it starts clients in processes of their own.
+// ClientsCommand is the tool's hidden command that runs a client process.
 const ClientsCommand = "clients"
 
-// clientsOrder says which part of a load a process of clients plays, and where its report goes.
+// clientsOrder tells a client process which part of a load to submit and where to write its report.
 type clientsOrder struct {
 	Description fleet.Description
-	Block       int // of addresses
+	Block       int // number of the block of addresses
 	Part, Parts int
-	Zero        int64 // the run's first moment and
-	Start       int64 // the load's, in Unix nanoseconds
+	Zero        int64 // time from which the record's times count, and
+	Start       int64 // start of the load, both in Unix nanoseconds
 	Report      string
 }
 
-// clientsReport is what it has seen.
+// clientsReport has the events and counts of a client process.
 type clientsReport struct {
 	Events  []verdict.Event
 	Results hollow.ResultCounts
@@ -39,7 +39,7 @@
 	Lag     time.Duration
 }
 
-// submit plays the load's clients, here or in processes of their own.
+// submit runs the load's clients, in this process or in client processes.
 func (r *run) submit(ctx context.Context, s *sampler) {
 	d := &r.Description
 	if d.Clients == 0 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// noteDue notes when all tasks are due: this process, which learns of starts, draws the same load.
+// noteDue records when all tasks are due. This process records the starts, so it generates the same load as the client processes.
 func (r *run) noteDue() {
 	load := workload.New(r.Description)
 	for t, ok := load.Next(); ok; t, ok = load.Next() {
@@ -92,10 +92,10 @@
 		Log: filepath.Join(r.Dir, fmt.Sprintf("clients-%d.log", part))})
 }
 
-// reportTimeout is how long a process of clients that was told to end may take to report.
+// reportTimeout is how long a client process may take to write its report after it was asked to end.
 const reportTimeout = 20 * time.Second
 
-// waitForClients waits for the end of a process of clients, and asks it to end once the run does.
+// waitForClients waits until a client process has ended, and asks it to end when the context ends.
 func (r *run) waitForClients(ctx context.Context, p *process.Process) {
 	select {
 	case <-p.Ended():
@@ -112,7 +112,7 @@
 	}
 }
 
-// merge takes in what a process of clients has seen.
+// merge adds the report of a client process to the run.
 func (r *run) merge(part int) error {
 	file, err := os.Open(r.reportPath(part))
 	if err != nil {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// RunClients plays a part of a load, as its order says, and writes a report of it.
+// RunClients runs a client process: it submits the part of a load that its order file names and writes a report.
 func RunClients(ctx context.Context, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/scale/play/dispatchers.go
+++ b/internal/scale/play/dispatchers.go
@@ -19,16 +19,16 @@
 	"gatetack/internal/scale/verdict"
 )
 
-// dispatcher is a real one: the built program as a process.
+// dispatcher is a real dispatcher, which runs the built program as a process.
 type dispatcher struct {
 	number int
 	dir    string
 
 	mu      sync.Mutex
-	process *process.Process // nil while it is down
+	process *process.Process // nil while the dispatcher is down
 }
 
-// current is the process it has now, nil for none.
+// current returns the dispatcher's current process, or nil if it is down.
 func (x *dispatcher) current() *process.Process {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -41,7 +41,7 @@
 	x.process = p
 }
 
-// startDispatchers starts all at once and waits until they serve.
+// startDispatchers starts all dispatchers concurrently and waits until they serve.
 func (r *run) startDispatchers(ctx context.Context) error {
 	for i := range r.Description.Dispatchers {
 		r.dispatchers = append(r.dispatchers, &dispatcher{number: i, dir: filepath.Join(r.Dir, fleet.DispatcherName(i))})
@@ -54,7 +54,7 @@
 		return err
 	}
 	if r.Description.StoreMembers > 0 && r.waitForLeader(ctx) == nil {
-		return errors.New("store: no member led in time")
+		return errors.New("store: no member became leader in time")
 	}
 	for number, h := range r.hollow {
 		if err := r.waitUntilReady(ctx, number, h); err != nil {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// waitUntilReady waits until a hollow dispatcher can serve.
+// waitUntilReady waits until a hollow dispatcher is ready.
 func (r *run) waitUntilReady(ctx context.Context, number int, h *hollow.Dispatcher) error {
 	for end := time.Now().Add(readyTimeout); !h.Ready(); {
 		if ctx.Err() != nil || time.Now().After(end) {
@@ -79,7 +79,7 @@
 
 func (r *run) startDispatcher(ctx context.Context, x *dispatcher) error {
 	if err := os.MkdirAll(x.dir, 0o700); err != nil {
-		return fmt.Errorf("folder of dispatcher %d: %w", x.number, err)
+		return fmt.Errorf("directory of dispatcher %d: %w", x.number, err)
 	}
 	if err := r.writeConfig(x, 0); err != nil {
 		return err
@@ -88,7 +88,7 @@
 	if file := r.operatorConfig(x.number); file != "" {
 		path := filepath.Join(x.dir, "gatetack.yaml")
 		if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
-			return fmt.Errorf("operators' file of dispatcher %d: %w", x.number, err)
+			return fmt.Errorf("operators' configuration of dispatcher %d: %w", x.number, err)
 		}
 		args = append(args, "--config", path)
 	}
@@ -103,7 +103,7 @@
 
 func (x *dispatcher) config() string { return filepath.Join(x.dir, "config.json") }
 
-// configuration of a dispatcher, as it is after so many changes.
+// configuration returns a dispatcher's configuration after the given number of changes.
 func (r *run) configuration(number, changes int) ([]byte, error) {
 	d := &r.Description
 	at := fleet.Addresses{Listen: r.network.Dispatcher(number), Discovery: r.network.Discovery(number),
@@ -114,7 +114,7 @@
 	return d.Config(number, changes, at)
 }
 
-// hollowDispatchers begins those that stand in this process, by their numbers.
+// hollowDispatchers starts the hollow dispatchers in this process and returns them by their numbers.
 func (r *run) hollowDispatchers(ctx context.Context, g *errgroup.Group) (map[int]*hollow.Dispatcher, error) {
 	d := &r.Description
 	out := map[int]*hollow.Dispatcher{}
@@ -130,7 +130,7 @@
 	return out, nil
 }
 
-// writeConfig writes a dispatcher's configuration, as it is after so many changes, in one piece.
+// writeConfig atomically writes a dispatcher's configuration after the given number of changes.
 func (r *run) writeConfig(x *dispatcher, changes int) error {
 	text, err := r.configuration(x.number, changes)
 	if err != nil {
@@ -142,8 +142,8 @@
 	return os.Rename(x.config()+".new", x.config())
 }
 
-// operatorConfig is what a dispatcher is started with beside its configuration, where there is a store: its members have a batch front,
-// and all others follow the settings in it.
+// operatorConfig returns the operators' configuration file of a dispatcher, or "" without a store. Store members have a batch front;
+// all other dispatchers follow the settings in the store.
 func (r *run) operatorConfig(number int) string {
 	d := &r.Description
 	if d.StoreMembers == 0 {
@@ -161,7 +161,7 @@
 		r.network.Batch(number), r.network.Store(number), strings.Join(members, ", "))
 }
 
-// probeTimeout is how long a check of a dispatcher's health may take.
+// probeTimeout is the timeout of a status call to a dispatcher.
 const probeTimeout = 2 * time.Second
 
 func (r *run) healthy(number int) bool {
@@ -169,9 +169,9 @@
 	return err == nil && status == 200
 }
 
-// call makes a call of no client's.
+// call makes a request to a dispatcher and returns the status of the answer.
 func (r *run) call(number int, method, target string) (int, error) {
-	var uncounted hollow.Traffic // the tool's own calls are no traffic of the fleet's
+	var uncounted hollow.Traffic // the tool's own calls do not count as traffic of the fleet
 	c, err := hollow.Dial(r.network.Dispatcher(number), &uncounted, hollow.RoleClient)
 	if err != nil {
 		return 0, err
@@ -184,7 +184,7 @@
 	return m.Status, nil
 }
 
-// ended names a dispatcher that has ended by itself.
+// ended returns an error if a dispatcher has ended by itself.
 func (r *run) ended() error {
 	for _, x := range r.dispatchers {
 		p := x.current()
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// stopDispatchers ends those that still run.
+// stopDispatchers kills the dispatchers that still run.
 func (r *run) stopDispatchers() {
 	for _, x := range r.dispatchers {
 		if p := x.current(); p != nil {
@@ -211,9 +211,9 @@
 	}
 }
 
-// kill ends one outright.
+// kill kills a dispatcher.
 func (r *run) kill(x *dispatcher) {
-	// What breaks with it is seen from the moment of the signal on.
+	// Connections can break from the time of the signal on, so the event is recorded before.
 	r.record.Add(verdict.Event{Kind: verdict.DispatcherDied, Dispatcher: int16(x.number)})
 	if p := x.current(); p != nil {
 		x.set(nil)
--- a/internal/scale/play/hollow_test.go
+++ b/internal/scale/play/hollow_test.go
@@ -10,9 +10,9 @@
 	"gatetack/internal/scale/fleet"
 )
 
-// A hollow dispatcher sends executors, and is told by them, as much for a task as a real one: the slopes over three sizes of the
-// same load, by least squares, are within a tenth. Tasks are shorter than the time between reports of progress, so that the number of
-// messages does not go by the machine's speed.
+// A hollow dispatcher must exchange as many messages and bytes with executors per task as a real one: the least-squares slopes over
+// three sizes of the same load must agree within a tenth. Tasks are shorter than the progress interval, so that the number of
+// messages does not depend on the machine's speed.
 func TestHollowDispatcherSendsWhatARealOneSends(t *testing.T) {
 	t.Parallel()
 	spans := []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second}
@@ -59,14 +59,14 @@
 		{"messages", slope(realTasks, realMessages), slope(hollowTasks, hollowMessages)},
 		{"bytes", slope(realTasks, realBytes), slope(hollowTasks, hollowBytes)},
 	} {
-		t.Logf("%s an attempt: real %.2f, hollow %.2f", c.what, c.real, c.hollow)
+		t.Logf("%s per attempt: real %.2f, hollow %.2f", c.what, c.real, c.hollow)
 		if c.hollow < 0.9*c.real || c.hollow > 1.1*c.real {
-			t.Errorf("%s an attempt: real %.2f, hollow %.2f, want them within a tenth", c.what, c.real, c.hollow)
+			t.Errorf("%s per attempt: real %.2f, hollow %.2f, want them within a tenth", c.what, c.real, c.hollow)
 		}
 	}
 }
 
-// slope of a line through points, by least squares.
+// slope returns the slope of the least-squares line through points.
 func slope(x, y []float64) float64 {
 	var sx, sy, sxx, sxy float64
 	for i, v := range x {
@@ -76,8 +76,8 @@
 	return (n*sxy - sx*sy) / (n*sxx - sx*sx)
 }
 
-// The decision modules alone, on virtual time, come to what real dispatchers come to under the same load and zone outage: the same
-// tasks, and as many of them served to within a twentieth.
+// The decision modules on virtual time must give the results of real dispatchers under the same load and zone outage: the same tasks,
+// and numbers of served tasks that agree within a twentieth.
 func TestVirtualTimeAgainstRealDispatchers(t *testing.T) {
 	t.Parallel()
 	zone := faults.Spec{Name: faults.Zone}
@@ -94,17 +94,17 @@
 	}
 	for i := range real.Jobs {
 		if a, b := real.Jobs[i].Tasks, alone.Jobs[i].Tasks; a != b {
-			t.Errorf("%s: %d tasks, and %d on virtual time", real.Jobs[i].Kind, a, b)
+			t.Errorf("%s: %d tasks with real dispatchers, %d on virtual time", real.Jobs[i].Kind, a, b)
 		}
 	}
 	a, b := real.Verdict.Counts, alone.Verdict.Counts
 	t.Logf("real %+v\nvirtual %+v", a, b)
 	if d := a.Served - b.Served; d > a.Served/20 || -d > a.Served/20 {
-		t.Errorf("served %d, and %d on virtual time", a.Served, b.Served)
+		t.Errorf("%d served by real dispatchers, %d on virtual time, want them within a twentieth", a.Served, b.Served)
 	}
 }
 
-// What is none of the decision module's can not be played on virtual time.
+// Faults that do not concern the decision module must be an error on virtual time.
 func TestVirtualFaults(t *testing.T) {
 	t.Parallel()
 	for _, name := range []faults.Name{faults.Cut, faults.Leader, faults.Reconfigure} {
--- a/internal/scale/play/inject.go
+++ b/internal/scale/play/inject.go
@@ -9,7 +9,7 @@
 	"gatetack/internal/scale/hollow"
 )
 
-// inject carries out the faults when they are due.
+// inject carries out the actions of the faults at their times.
 func (r *run) inject(ctx context.Context) {
 	var slow sync.WaitGroup
 	defer slow.Wait()
@@ -36,7 +36,7 @@
 	case faults.Boot:
 		for _, x := range a.Executors {
 			if err := r.executors.Boot(x, true); err != nil {
-				r.note("an executor did not come back: %v", err)
+				r.note("an executor did not restart: %v", err)
 			}
 		}
 	case faults.ListDraining:
@@ -61,7 +61,7 @@
 	}
 }
 
-// listReady tells of executors that stand, with the starts of their lives.
+// listReady lists the executors that are up as ready, with their start times.
 func (r *run) listReady(executors []int) {
 	born := map[time.Time][]int{}
 	for _, x := range executors {
--- a/internal/scale/play/lag.go
+++ b/internal/scale/play/lag.go
@@ -10,7 +10,7 @@
 	"gatetack/internal/scale/result"
 )
 
-// lag measures how late the tool comes to do what is due.
+// lag measures how late the tool's timers fire.
 type lag struct {
 	mu   sync.Mutex
 	late *hdrhistogram.Histogram
@@ -44,5 +44,5 @@
 	return result.Lag{P99: float64(l.late.ValueAtQuantile(99)) / 1000, Max: float64(l.late.Max()) / 1000}
 }
 
-// worst is the longest lag.
+// worst returns the longest lag.
 func (l *lag) worst() time.Duration { return time.Duration(l.sum().Max * float64(time.Millisecond)) }
--- a/internal/scale/play/leader.go
+++ b/internal/scale/play/leader.go
@@ -9,7 +9,7 @@
 	"gatetack/internal/scale/hollow"
 )
 
-// leader finds the store's leader by what the members say of themselves.
+// leader returns the store's leader according to the status of each member, or nil if there is none.
 func (r *run) leader() *dispatcher {
 	for _, x := range r.dispatchers[:r.Description.StoreMembers] {
 		if x.current() != nil && strings.EqualFold(r.storeState(x.number), "leader") {
@@ -19,7 +19,7 @@
 	return nil
 }
 
-// storeState is what a member says that it is; empty where it says nothing.
+// storeState returns the raft state that a member reports, or "" if it does not answer.
 func (r *run) storeState(number int) string {
 	var uncounted hollow.Traffic
 	c, err := hollow.Dial(r.network.Store(number), &uncounted, hollow.RoleClient)
@@ -38,26 +38,26 @@
 	return status.State
 }
 
-// killLeader kills the store's leader, which is a dispatcher with all that it holds.
+// killLeader kills the store's leader, which is also a dispatcher.
 func (r *run) killLeader(ctx context.Context) {
 	r.leaderMu.Lock()
 	defer r.leaderMu.Unlock()
 	x := r.waitForLeader(ctx)
 	if x == nil {
-		r.note("the store had no leader that could be killed")
+		r.note("the store had no leader to kill")
 		return
 	}
 	r.killed = x
 	r.kill(x)
 	began := time.Now()
 	if next := r.waitForLeader(ctx); next != nil {
-		r.note("leader %d was killed; %d led after %v", x.number, next.number, time.Since(began).Round(time.Millisecond))
+		r.note("leader %d was killed; %d became leader after %v", x.number, next.number, time.Since(began).Round(time.Millisecond))
 		return
 	}
-	r.note("leader %d was killed; no member led within %v", x.number, time.Since(began).Round(time.Millisecond))
+	r.note("leader %d was killed; no member became leader within %v", x.number, time.Since(began).Round(time.Millisecond))
 }
 
-// waitForLeader waits until the store has a leader; nil if none came in time.
+// waitForLeader waits until the store has a leader and returns it, or nil after a timeout.
 func (r *run) waitForLeader(ctx context.Context) *dispatcher {
 	for end := time.Now().Add(readyTimeout); ctx.Err() == nil && time.Now().Before(end); time.Sleep(readyPollInterval) {
 		if x := r.leader(); x != nil {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// restartLeader starts the member again that was killed.
+// restartLeader restarts the member that killLeader killed.
 func (r *run) restartLeader(ctx context.Context) {
 	r.leaderMu.Lock()
 	defer r.leaderMu.Unlock()
@@ -76,9 +76,9 @@
 	}
 	began := time.Now()
 	if err := r.startDispatcher(ctx, r.killed); err != nil {
-		r.note("member %d did not come back: %v", r.killed.number, err)
+		r.note("member %d did not restart: %v", r.killed.number, err)
 		return
 	}
-	r.note("member %d served again %v after its start", r.killed.number, time.Since(began).Round(time.Millisecond))
+	r.note("member %d served again %v after its restart", r.killed.number, time.Since(began).Round(time.Millisecond))
 	r.killed = nil
 }
--- a/internal/scale/play/play.go
+++ b/internal/scale/play/play.go
@@ -1,5 +1,5 @@
-// Package play puts a scale run together: it starts the real dispatchers, the hollow parties around them, the load and the faults,
-// measures from outside, and has what was seen judged.
+// Package play runs a scale run: it starts the real dispatchers, the hollow parties around them, the load and the faults, measures
+// from outside, and judges the observed events.
 package play
 
 import (
@@ -18,43 +18,44 @@
 	"gatetack/internal/scale/result"
 )
 
-// Options say what is played.
+// Options are the options of a run.
 type Options struct {
 	Description fleet.Description
 	Faults      []faults.Spec
-	Program     string // the dispatcher's, built
-	Self        string // the tool's own, for clients in processes of their own
-	Dir         string // for configurations and logs
-	Command     string // as it stands in the result
+	Program     string // path of the built dispatcher program
+	Self        string // path of the tool's own program, which also runs the client processes
+	Dir         string // directory for configurations and logs
+	Command     string // command line in the result
 	Commit      string
 	Budget      process.Budget
 }
 
-// Times of a run beside its load's.
+// Timeouts and durations of a run, and the length of the executors' queues.
 const (
-	readyTimeout         = 30 * time.Second       // of a dispatcher, from its start
-	settleDuration       = time.Second            // between the last dispatcher's readiness and the load's start
-	answerGrace          = 5 * time.Second        // past the longest deadline, all answers must have come
-	batchGrace           = 15 * time.Second       // and what became of batch jobs be known
-	clientsStartDuration = 500 * time.Millisecond // in which processes of clients start
-	queuePerSlot         = 4                      // tasks that may wait at an executor
+	readyTimeout         = 30 * time.Second       // time for a dispatcher to become ready after its start
+	settleDuration       = time.Second            // time between the last dispatcher's readiness and the load's start
+	answerGrace          = 5 * time.Second        // time after the longest deadline by which all answers must have arrived
+	batchGrace           = 15 * time.Second       // the same with batch jobs, whose states are polled after the deadline
+	clientsStartDuration = 500 * time.Millisecond // time for client processes to start
+	queuePerSlot         = 4                      // number of tasks that may wait at an executor, per slot
 )
 
-// A hollow executor takes about so much, connections included, and a running task so much; dispatchers may use what they are granted.
+// Approximate memory of a hollow executor with its connections, of a running task, and of the tool. Real dispatchers have their own
+// memory limit.
 const (
 	executorBytes = 64 << 10
 	taskBytes     = 16 << 10
-	rowBytes      = 4 << 10 // of an executor at a hollow dispatcher
+	rowBytes      = 4 << 10 // per executor at a hollow dispatcher
 	toolBytes     = 256 << 20
 )
 
-// memoryNeeded is the memory a run may use.
+// memoryNeeded returns the memory that a run may use, in bytes.
 func memoryNeeded(d *fleet.Description) int64 {
 	return toolBytes + int64(d.Hollow)*int64(d.Executors)*rowBytes + int64(d.Executors)*executorBytes + int64(d.Running)*taskBytes + int64(d.Dispatchers)*int64(d.MemoryMB)<<20
 }
 
-// descriptorsNeeded that the tool itself needs: executors listen, dispatchers keep connections to them, and clients have one for each task
-// that waits.
+// descriptorsNeeded returns the number of descriptors that the tool's process needs: for the listeners of executors, the connections of
+// dispatchers to them, the sockets between dispatchers, and a client connection for each waiting task.
 func descriptorsNeeded(d *fleet.Description) int64 {
 	n := d.Executors*(1+d.StoreMembers) + d.TotalDispatchers()*d.Sockets/executorSocketsDivisor + d.TotalDispatchers()*d.TotalDispatchers()
 	if d.Clients == 0 {
@@ -63,10 +64,10 @@
 	return int64(n)
 }
 
-// executorSocketsDivisor of a dispatcher's descriptors may be connections to executors.
+// executorSocketsDivisor limits a dispatcher's connections to executors: one third of its descriptors.
 const executorSocketsDivisor = 3
 
-// run is one that is played.
+// run is the state of a run.
 type run struct {
 	Options
 	plan        []fleet.Executor
@@ -81,16 +82,17 @@
 	starter     *process.Starter
 	dispatchers []*dispatcher
 	hollow      map[int]*hollow.Dispatcher
-	leaderMu    sync.Mutex  // held while the leader is killed or started again
-	killed      *dispatcher // the store's leader that was killed, until it is started again
+	leaderMu    sync.Mutex  // held while the leader is killed or restarted
+	killed      *dispatcher // the store's leader that was killed, until it is restarted
 	changes     *changes
 	lag         lag
-	clientLag   time.Duration // the worst of the clients' processes
-	loadAverage float64       // of the machine, before the run
+	clientLag   time.Duration // longest lag of the client processes
+	loadAverage float64       // load average of the machine before the run
 	loadStart   time.Time
 }
 
-// Run plays a fleet. An error means that nothing was played; a run that ended early gives a partial result.
+// Run runs a fleet with its load and faults. It returns an error if the run could not start. A run that ended early has a partial
+// result.
 func Run(ctx context.Context, o Options) (*result.Result, error) {
 	d := &o.Description
 	if err := d.Check(); err != nil {
@@ -134,7 +136,7 @@
 	return r.play(ctx, stand)
 }
 
-// startEnvironment sets up what stands around the dispatchers.
+// startEnvironment starts the hollow parties around the dispatchers.
 func (r *run) startEnvironment(ctx context.Context, g *errgroup.Group) error {
 	d := &r.Description
 	settings := hollow.ExecutorSettings{Rules: d.Rules(), ProgressInterval: d.ProgressInterval(), QueuePerSlot: queuePerSlot, StoreMembers: d.StoreMembers, ExpectedRun: d.ExpectedRun, DispatcherRegion: d.DispatcherRegion}
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// grace is how long past the longest deadline a run may last.
+// grace returns how long a run may last after the longest deadline.
 func (r *run) grace() time.Duration {
 	if r.Description.BatchShare > 0 {
 		return batchGrace
@@ -171,10 +173,10 @@
 	return answerGrace
 }
 
-// errAnswersPending ends a run early.
-var errAnswersPending = errors.New("answers were still owed when the longest deadline had passed")
+// errAnswersPending is the reason of a run that ended early because answers were missing.
+var errAnswersPending = errors.New("answers were still pending after the longest deadline")
 
-// play runs load, faults and measuring to their ends.
+// play runs the load, the faults and the measurement until they end.
 func (r *run) play(ctx context.Context, stand context.Context) (*result.Result, error) {
 	d := &r.Description
 	time.Sleep(settleDuration)
@@ -186,7 +188,7 @@
 	defer timer.Stop()
 
 	samples := newSampler(r)
-	samples.sample() // processor time counts from here
+	samples.sample() // processor time is counted from here
 	r.loadStart = time.Now()
 	if d.Clients > 0 {
 		r.loadStart = r.loadStart.Add(clientsStartDuration)
--- a/internal/scale/play/play_test.go
+++ b/internal/scale/play/play_test.go
@@ -40,7 +40,7 @@
 	os.Exit(code)
 }
 
-// small is a fleet that plays in some seconds.
+// small returns a fleet whose run takes some seconds.
 func small() fleet.Description {
 	d := fleet.Default()
 	d.Executors, d.Dispatchers, d.Tenants, d.Starts, d.Running, d.Duration = 60, 3, 4, 40, 20, 6*time.Second
@@ -52,8 +52,8 @@
 	return Options{Description: d, Faults: specs, Program: program, Self: self, Dir: t.TempDir(), Command: "test", Commit: "test", Budget: process.DefaultBudget}
 }
 
-// The short form of a run: real dispatchers, a zone out and back cold, changes of the configuration. What is judged are counts and
-// rules, whatever the machine's speed.
+// A short run with real dispatchers, a zone that fails and restarts cold, and configuration changes. The checks concern only counts
+// and rules, which do not depend on the machine's speed.
 func TestShortRun(t *testing.T) {
 	t.Parallel()
 	r, err := Run(context.Background(), options(t, small(), faults.Spec{Name: faults.Zone}, faults.Spec{Name: faults.Reconfigure, Value: 2}))
@@ -92,7 +92,7 @@
 	}
 }
 
-// Clients in processes of their own submit the same load, and what they saw is judged with the rest.
+// Client processes must submit the same load as clients in the tool's process, and their events must be judged with the others.
 func TestClientsOfTheirOwn(t *testing.T) {
 	t.Parallel()
 	d := small()
@@ -111,14 +111,14 @@
 		want++
 	}
 	if c := r.Verdict.Counts; !r.RulesKept || r.Partial || tasks != want || int64(c.Served+c.Failed) != want || told == 0 {
-		t.Errorf("%d tasks of %d, %d starts told; %+v %+v %v", tasks, want, told, c, r.Verdict.Violations, r.Notes)
+		t.Errorf("%d tasks of %d, %d starts notified; %+v %+v %v", tasks, want, told, c, r.Verdict.Violations, r.Notes)
 	}
 	if n := len(r.Processes); n != d.Dispatchers+1+d.Clients {
-		t.Errorf("%d processes", n)
+		t.Errorf("%d processes measured", n)
 	}
 }
 
-// A run that is interrupted writes what it has, marked partial, and leaves no process.
+// An interrupted run must give a partial result and leave no process.
 func TestInterrupted(t *testing.T) {
 	t.Parallel()
 	d := small()
@@ -140,17 +140,17 @@
 		t.Errorf("partial %v, why %q", r.Partial, r.PartialWhy)
 	}
 	if n := r.Verdict.ViolationCounts[verdict.FinalAnswer]; n != 0 {
-		t.Errorf("%d requests count as lost that were open when the run was interrupted", n)
+		t.Errorf("%d requests that were open when the run was interrupted count as lost", n)
 	}
 }
 
-// served says whether the first dispatcher has begun to serve.
+// served reports whether the first dispatcher has written to its log.
 func served(dir string) bool {
 	info, err := os.Stat(filepath.Join(dir, fleet.DispatcherName(0), "log"))
 	return err == nil && info.Size() > 0
 }
 
-// A run that needs more than it may is not begun, and one that comes to need more ends early and says so.
+// A run that needs more memory or processes than its budget must not start.
 func TestBounds(t *testing.T) {
 	t.Parallel()
 	o := options(t, small())
@@ -164,7 +164,7 @@
 	}
 }
 
-// Each fault that goes over sockets is played with all rules kept, and each task has one end.
+// Each fault on sockets must leave all rules kept, and each task must end exactly once.
 func TestFaults(t *testing.T) {
 	t.Parallel()
 	for _, name := range []faults.Name{faults.Cut, faults.CutInward, faults.CutOutward, faults.Rack, faults.Machine, faults.Rolling} {
@@ -174,7 +174,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			switch name { // some of each in a short run of few executors
+			switch name { // values that give several faults in a short run with few executors
 			case faults.Machine:
 				spec.Value = 20000
 			case faults.Rolling:
--- a/internal/scale/play/report.go
+++ b/internal/scale/play/report.go
@@ -18,7 +18,7 @@
 	"gatetack/internal/scale/workload"
 )
 
-// requestedRate is how many starts a second are requestedRate for at a moment.
+// requestedRate returns the requested task starts per second at a time.
 func (r *run) requestedRate(now time.Time) float64 {
 	d := &r.Description
 	if d.StartsTo <= d.Starts {
@@ -27,7 +27,7 @@
 	return d.Starts + (d.StartsTo-d.Starts)*min(1, float64(now.Sub(r.loadStart))/float64(d.Duration))
 }
 
-// report judges the run and puts its result together.
+// report judges the run and returns its result.
 func (r *run) report(s *sampler, played time.Duration) *result.Result {
 	events := r.record.Events()
 	end := r.record.Now()
@@ -70,7 +70,7 @@
 	return out
 }
 
-// latency sums up a histogram in microseconds, of so many that were due.
+// latency summarizes a histogram in microseconds. The share within the target is relative to the number of due tasks.
 func latency(h *hdrhistogram.Histogram, due int64) result.Latency {
 	ms := func(quantile float64) float64 { return float64(h.ValueAtQuantile(quantile)) / 1000 }
 	l := result.Latency{Count: h.TotalCount(), P50: ms(50), P90: ms(90), P99: ms(99), Max: float64(h.Max()) / 1000}
@@ -86,7 +86,7 @@
 	return l
 }
 
-// running counts what ran at a time and what was started in each second; events are in the order of their times by now.
+// running counts concurrently running tasks and starts per second. The events must be in the order of their times.
 func (r *run) running(events []verdict.Event) result.Running {
 	d := &r.Description
 	out := result.Running{MeanRunMillis: float64(d.MeanRun()) / float64(time.Millisecond)}
@@ -94,7 +94,7 @@
 		out.Slots += x.Slots
 	}
 	starts, asked := map[int]int{}, map[int]int{}
-	begun := map[int32]int32{} // tasks that run, by executor
+	begun := map[int32]int32{} // number of running tasks by executor
 	seen := map[int32]bool{}
 	now, total, tasks := 0, 0, 0
 	for _, e := range events {
--- a/internal/scale/play/sample.go
+++ b/internal/scale/play/sample.go
@@ -12,7 +12,7 @@
 	"gatetack/internal/scale/result"
 )
 
-// sampler measures all processes of a run, the tool's own among them, once a second.
+// sampler measures all processes of a run, including the tool's own, once a second.
 type sampler struct {
 	r         *run
 	mu        sync.Mutex
@@ -20,31 +20,31 @@
 	began     time.Time
 	watched   []*watched
 	saturated *result.Saturated
-	busy      time.Duration // of the machine, at the last look
-	peak      int64         // bytes of private memory together
+	busy      time.Duration // processor time of the machine at the last sample
+	peak      int64         // most private memory of all processes together, in bytes
 }
 
 type watched struct {
 	name, role  string
 	pid         int
-	cores       float64 // it may use
+	cores       float64 // number of cores it may use
 	first, last process.Usage
 	seen        bool
 	peak        process.Usage
 	peakCPU     float64 // cores, in the busiest second
 	ended       string
 	target      *dispatcher
-	child       *process.Process // of the tool's
-	spent       process.Usage    // of earlier processes of a dispatcher that was started again
+	child       *process.Process // a process of clients, nil for others
+	spent       process.Usage    // usage of the earlier processes of a restarted dispatcher
 }
 
-// sampleInterval is the time between two looks, and saturatedShare the part of what a process may use from which it counts as saturated.
+// sampleInterval is the time between two samples. A process is saturated if it uses saturatedShare of the cores that it may use.
 const (
 	sampleInterval = time.Second
 	saturatedShare = 0.9
 )
 
-// machineName stands for all processes of the machine, others' among them.
+// machineName is the name under which all processes of the machine, including other users', are measured.
 const machineName = "the machine"
 
 // toolName is the name of the tool's own process.
@@ -59,7 +59,7 @@
 	return s
 }
 
-// run measures until the context ends; an error says that a bound was passed.
+// run samples until the context ends. It returns an error if the run exceeds its budget or a dispatcher ends by itself.
 func (s *sampler) run(ctx context.Context) error {
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
@@ -74,7 +74,7 @@
 			return err
 		}
 		if err := s.r.Budget.CheckUsage(bytes, len(s.watched)); err != nil {
-			return fmt.Errorf("the run needs more than it may: %w", err)
+			return fmt.Errorf("run exceeds its budget: %w", err)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 	s.watched = append(s.watched, &watched{name: p.Name, role: "tool", pid: p.Pid, cores: float64(runtime.NumCPU()), child: p})
 }
 
-// sample measures once, and gives the private memory of all.
+// sample measures all processes once and returns their private memory.
 func (s *sampler) sample() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +104,7 @@
 	return bytes
 }
 
-// machine looks whether all cores together are used up, whoever uses them.
+// machine measures the processor time of all processes of the machine and notes if it is saturated.
 func (s *sampler) machine(now time.Time, span time.Duration) {
 	busy, err := process.MachineBusy()
 	if err != nil {
@@ -117,14 +117,14 @@
 	s.busy = busy
 }
 
-// noteSaturation notes the first that uses up what it may.
+// noteSaturation records the first process that is saturated.
 func (s *sampler) noteSaturation(name string, now time.Time, span time.Duration, cores, may float64) {
 	if s.saturated == nil && span > sampleInterval/2 && cores >= saturatedShare*may {
 		s.saturated = &result.Saturated{Process: name, AtSeconds: now.Sub(s.r.loadStart).Seconds(), Cores: cores, StartsPerS: s.r.requestedRate(now)}
 	}
 }
 
-// refreshProcess goes over to the process that a dispatcher has now.
+// refreshProcess switches to the current process of a dispatcher. It returns false if there is no running process.
 func (w *watched) refreshProcess() bool {
 	if w.child != nil && w.child.HasEnded() {
 		return false
@@ -165,7 +165,7 @@
 	return u.PrivateBytes
 }
 
-// total is what all processes under a name have used since the load's start.
+// total returns what all processes under a name have used since the load's start.
 func (w *watched) total() process.Usage {
 	return process.Usage{CPU: w.spent.CPU + w.last.CPU - w.first.CPU,
 		ReadBytes: w.spent.ReadBytes + w.last.ReadBytes - w.first.ReadBytes, WrittenBytes: w.spent.WrittenBytes + w.last.WrittenBytes - w.first.WrittenBytes,
--- a/internal/scale/play/virtual.go
+++ b/internal/scale/play/virtual.go
@@ -18,11 +18,11 @@
 	"gatetack/internal/scale/workload"
 )
 
-// threadMeter measures the processor time of one thread, on which all modules are stepped.
+// threadMeter measures the processor time of the steps of all modules, which run on one thread.
 type threadMeter struct {
 	began time.Duration
 	spent []time.Duration
-	worst time.Duration // of one step
+	worst time.Duration // longest time of one step
 	err   error
 }
 
@@ -34,17 +34,17 @@
 	return time.Duration(t.Nano())
 }
 
-// Begin and End are called around each step.
+// Begin starts the measurement of a step.
 func (m *threadMeter) Begin(int) { m.began = m.now() }
 
-// End takes a step's time in.
+// End adds the time of a step.
 func (m *threadMeter) End(dispatcher int) {
 	took := m.now() - m.began
 	m.spent[dispatcher] += took
 	m.worst = max(m.worst, took)
 }
 
-// RunVirtual plays the decision modules of a fleet alone, on virtual time.
+// RunVirtual runs the decision modules of a fleet alone, on virtual time.
 func RunVirtual(o Options) (*result.Result, error) {
 	d := &o.Description
 	if err := d.Check(); err != nil {
@@ -86,13 +86,13 @@
 	for i, spent := range m.spent {
 		out.Processes = append(out.Processes, result.Process{Name: fleet.DispatcherName(i), Role: "decision module", CPUSeconds: spent.Seconds(), CPUMean: spent.Seconds() / d.Duration.Seconds()})
 	}
-	out.Notes = []string{fmt.Sprintf("played in %.1f s; %d steps, the longest %.1f ms; %d attempts, %d probes; %d tasks ran when the load ended", time.Since(began).Seconds(),
+	out.Notes = []string{fmt.Sprintf("ran in %.1f s; %d steps, the longest %.1f ms; %d attempts, %d health checks; %d tasks were running when the load ended", time.Since(began).Seconds(),
 		counts.Steps, float64(m.worst)/float64(time.Millisecond), counts.Sends, counts.HealthChecks, counts.RunningAtEnd)}
 	runtime.KeepAlive(w)
 	return out, nil
 }
 
-// virtualFaults refuses those that are none of the decision module's.
+// virtualFaults returns an error for faults that are not available on virtual time.
 func virtualFaults(specs []faults.Spec) error {
 	for _, s := range specs {
 		switch s.Name {
--- a/internal/scale/process/measure.go
+++ b/internal/scale/process/measure.go
@@ -14,18 +14,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Usage is what a process has used, as the kernel counts it.
+// Usage is the resource usage of a process, as the kernel counts it.
 type Usage struct {
 	CPU          time.Duration // processor time since its start
-	PrivateBytes int64         // resident memory that it shares with no file and no other process
+	PrivateBytes int64         // resident anonymous memory
 	Descriptors  int
-	ReadBytes    int64 // by read calls, most of them from sockets
+	ReadBytes    int64 // bytes read by system calls, most of them from sockets
 	WrittenBytes int64
 	ReadCalls    int64
 	WriteCalls   int64
 }
 
-// Measure looks at a process.
+// Measure returns the usage of a process.
 func Measure(pid int) (Usage, error) {
 	proc, err := procfs.NewProc(pid)
 	if err != nil {
@@ -60,7 +60,7 @@
 	}, nil
 }
 
-// MachineBusy is the processor time that all processes of the machine have used, in the kernel's own count.
+// MachineBusy returns the processor time that all processes of the machine have used, as the kernel counts it.
 func MachineBusy() (time.Duration, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -75,7 +75,7 @@
 	return time.Duration(busy * float64(time.Second)), nil
 }
 
-// LoadAverage is the machine's over the last minute: others may use it too.
+// LoadAverage returns the load average of the machine over the last minute, which includes other users' processes.
 func LoadAverage() (float64, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -88,27 +88,27 @@
 	return load.Load1, nil
 }
 
-// Budget bounds a run.
+// Budget limits the memory and the number of processes of a run.
 type Budget struct {
 	MemoryBytes int64
 	Processes   int
 }
 
-// DefaultBudget are those of every run.
+// DefaultBudget is the budget of every run of scalerun.
 var DefaultBudget = Budget{MemoryBytes: 12 << 30, Processes: 200}
 
-// BudgetError names a bound that a run needs more than.
+// BudgetError is the error of a run that needs more of a resource than is available.
 type BudgetError struct {
 	What       string
 	Need, Have int64
 }
 
-// Error names the bound, the need and what may be used.
+// Error returns the resource, the amount needed and the amount available.
 func (e *BudgetError) Error() string {
 	return fmt.Sprintf("%s: %d are needed, and %d may be used", e.What, e.Need, e.Have)
 }
 
-// CheckStart checks that a run that needs so much can begin: within its bounds, and within what the machine has free.
+// CheckStart checks that a run's needs are within the budget and the free memory of the machine.
 func (b Budget) CheckStart(memoryBytes int64, processes int) error {
 	if err := b.CheckUsage(memoryBytes, processes); err != nil {
 		return err
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// CheckUsage checks what a run uses.
+// CheckUsage checks that a run's usage is within the budget.
 func (b Budget) CheckUsage(memoryBytes int64, processes int) error {
 	if processes > b.Processes {
 		return &BudgetError{"processes", int64(processes), int64(b.Processes)}
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// CheckDescriptors checks that this process may have so many.
+// CheckDescriptors checks that this process may open the needed number of descriptors.
 func CheckDescriptors(need int64) error {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
@@ -146,12 +146,12 @@
 	return nil
 }
 
-// spareDescriptors are left to what a run opens beside its connections.
+// spareDescriptors is the number of descriptors reserved for files and other uses besides connections.
 const spareDescriptors = 256
 
-var errMeminfo = errors.New("/proc/meminfo names no MemAvailable")
+var errMeminfo = errors.New("/proc/meminfo has no MemAvailable")
 
-// availableMemory is what the kernel says that can be used without swapping, in bytes.
+// availableMemory returns the memory that can be used without swapping, in bytes, as the kernel estimates it.
 func availableMemory() (int64, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
--- a/internal/scale/process/process.go
+++ b/internal/scale/process/process.go
@@ -1,6 +1,6 @@
-// Package process starts the real processes of a scale run, measures them from outside, and keeps a run within
-// the machine's bounds. Children end with the process that started them, also when that is killed. A Starter
-// owns the thread that starts them; each Process owns the goroutine that waits for its end.
+// Package process starts the real processes of a scale run, measures them from outside, and checks that a run stays
+// within its budget. Children end with the process that started them, even if that process is killed. A Starter owns
+// the thread that starts children; each Process owns the goroutine that waits for its end.
 package process
 
 import (
@@ -14,17 +14,17 @@
 	"time"
 )
 
-// Starter starts children from one thread that lasts as long as the program: the kernel ends a child when the
-// thread that started it does.
+// Starter starts children from one thread that lasts until Close, since the kernel kills a child when the thread that
+// started it ends.
 type Starter struct{ requests chan request }
 
-// request is a command to be started, with where the result goes.
+// request is a command to be started, with a channel for the result.
 type request struct {
 	cmd  *exec.Cmd
 	done chan error
 }
 
-// NewStarter makes a starter, for the rest of the program's life.
+// NewStarter starts the thread of a new starter.
 func NewStarter() *Starter {
 	s := &Starter{requests: make(chan request)}
 	go func() {
@@ -36,25 +36,25 @@
 	return s
 }
 
-// Close ends the starter, and with it all children that still run.
+// Close ends the starter's thread, and with it all running children.
 func (s *Starter) Close() { close(s.requests) }
 
-// Command is what is started.
+// Command describes a child to start.
 type Command struct {
 	Name    string
 	Program string
 	Args    []string
-	Env     []string // beside this process's own
-	Log     string   // the file that gets what it prints
+	Env     []string // in addition to this process's environment
+	Log     string   // path of the file that its output is appended to
 }
 
-// Process is a child.
+// Process is a child process.
 type Process struct {
 	Name  string
 	Pid   int
 	cmd   *exec.Cmd
 	ended chan struct{}
-	err   error // once it has ended
+	err   error // how it ended; set before ended is closed
 }
 
 // Start starts a child.
@@ -81,10 +81,10 @@
 	return p, nil
 }
 
-// Ended is closed once the child has ended.
+// Ended returns a channel that is closed once the child has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// HasEnded reports whether the child has ended.
+// HasEnded reports whether the child has ended, without waiting.
 func (p *Process) HasEnded() bool {
 	select {
 	case <-p.ended:
@@ -94,7 +94,7 @@
 	}
 }
 
-// Err is how the child ended, once it has.
+// Err returns how the child ended. It is valid once Ended is closed.
 func (p *Process) Err() error { return p.err }
 
 // Signal sends the child a signal.
@@ -105,16 +105,16 @@
 	return nil
 }
 
-// Kill ends the child at once and waits for its end.
+// Kill kills the child and waits for its end.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.ended
 }
 
-// ErrEnded says that a child ended by itself.
-var ErrEnded = errors.New("it has ended")
+// ErrEnded is returned for a child that ended by itself.
+var ErrEnded = errors.New("process has ended")
 
-// WaitUntil polls until a check succeeds, the child ends, or the time is over.
+// WaitUntil polls until check succeeds. It returns an error if the child ends or the time is over.
 func (p *Process) WaitUntil(ctx context.Context, within time.Duration, check func() bool) error {
 	timeout := time.After(within)
 	for !check() {
@@ -131,5 +131,5 @@
 	return nil
 }
 
-// pollInterval is how often Until checks.
+// pollInterval is the time between two checks of WaitUntil.
 const pollInterval = 10 * time.Millisecond
--- a/internal/scale/process/process_test.go
+++ b/internal/scale/process/process_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// parentVar makes the test's program a parent that starts a child, says its number and waits to be killed.
+// parentVar is the environment variable that makes the test program start a child, print its pid and wait to be killed.
 const parentVar = "SCALE_TEST_PARENT"
 
 func TestMain(m *testing.M) {
@@ -36,7 +36,7 @@
 	os.Exit(1)
 }
 
-// A child ends with the process that started it, also when that is killed outright.
+// A child must end with the process that started it, even if that process is killed.
 func TestChildrenEndWithTheirParent(t *testing.T) {
 	parent := exec.Command(os.Args[0])
 	parent.Env = append(os.Environ(), parentVar+"="+t.TempDir())
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	if !runs(child) {
-		t.Fatal("the child does not run")
+		t.Fatal("child is not running")
 	}
 	if err := parent.Process.Kill(); err != nil {
 		t.Fatal(err)
@@ -65,12 +65,12 @@
 	for end := time.Now().Add(20 * time.Second); runs(child); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			_ = syscall.Kill(child, syscall.SIGKILL)
-			t.Fatal("the child outlives its parent")
+			t.Fatal("child still runs 20 s after its parent was killed")
 		}
 	}
 }
 
-// runs says whether a process is there and has not ended.
+// runs reports whether a process exists and has not ended.
 func runs(pid int) bool {
 	stat, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
@@ -99,7 +99,7 @@
 		t.Errorf("%+v %v", u, err)
 	}
 	own, err := Measure(os.Getpid())
-	// The kernel counts in hundredths of a second: work until it has counted one.
+	// The kernel counts in hundredths of a second: use processor time until it has counted one.
 	for end := time.Now().Add(20 * time.Second); err == nil && own.CPU == 0 && time.Now().Before(end); {
 		own, err = Measure(os.Getpid())
 	}
@@ -107,18 +107,18 @@
 		t.Errorf("%+v %v", own, err)
 	}
 	if busy, err := MachineBusy(); err != nil || busy < own.CPU {
-		t.Errorf("the machine used %v, and this process %v of it: %v", busy, own.CPU, err)
+		t.Errorf("machine used %v, less than this process with %v, or error: %v", busy, own.CPU, err)
 	}
 	p.Kill()
 	if err := p.WaitUntil(context.Background(), time.Second, func() bool { return false }); !errors.Is(err, ErrEnded) {
-		t.Errorf("waiting for one that has ended: %v", err)
+		t.Errorf("WaitUntil on a process that has ended: got %v, want ErrEnded", err)
 	}
 	if _, err := Measure(p.Pid); err == nil {
-		t.Error("a process that has ended was measured")
+		t.Error("Measure of a process that has ended returned no error")
 	}
 }
 
-// A run that needs more than it may does not begin, or ends.
+// Needs or usage beyond the budget or the free memory must be a BudgetError.
 func TestRunBeyondItsBudgetIsAnError(t *testing.T) {
 	be := (*BudgetError)(nil)
 	for name, err := range map[string]error{
@@ -127,7 +127,7 @@
 		"processes during":        DefaultBudget.CheckUsage(1, 201), "memory during": DefaultBudget.CheckUsage(DefaultBudget.MemoryBytes+1, 1),
 	} {
 		if !errors.As(err, &be) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got %v, want a BudgetError", name, err)
 		}
 	}
 	if err := errors.Join(DefaultBudget.CheckStart(1, 200), DefaultBudget.CheckUsage(1, 200)); err != nil {
--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -1,4 +1,4 @@
-// Package result is what a scale run leaves: one JSON file and a table.
+// Package result has the result of a scale run, as a JSON file and as a table.
 package result
 
 import (
@@ -16,13 +16,13 @@
 	"gatetack/internal/scale/verdict"
 )
 
-// Tool and Format tell a result file from others.
+// Tool and Format identify a result file and its version.
 const (
 	Tool   = "scalerun"
 	Format = 1
 )
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Tool        string                        `json:"tool"`
 	Format      int                           `json:"format"`
@@ -32,10 +32,10 @@
 	Began       time.Time                     `json:"began"`
 	Description fleet.Description             `json:"description"`
 	Faults      []string                      `json:"faults"`
-	Virtual     bool                          `json:"virtualTime"` // the decision modules alone; processes are modules then
+	Virtual     bool                          `json:"virtualTime"` // the decision modules ran alone, on virtual time; each entry of Processes is a module
 	Partial     bool                          `json:"partial"`
 	PartialWhy  string                        `json:"partialWhy,omitempty"`
-	Seconds     float64                       `json:"seconds"` // from the first task due to the last answer
+	Seconds     float64                       `json:"seconds"` // from when the first task was due to the last answer
 	RulesKept   bool                          `json:"rulesKept"`
 	Verdict     *verdict.Verdict              `json:"verdict"`
 	Jobs        []Jobs                        `json:"jobs"`
@@ -44,42 +44,42 @@
 	Running     Running                       `json:"running"`
 	Processes   []Process                     `json:"processes"`
 	Traffic     map[string]hollow.RoleTraffic `json:"traffic"`
-	Saturated   *Saturated                    `json:"saturatedFirst"` // nil: nothing was
+	Saturated   *Saturated                    `json:"saturatedFirst"` // nil if no process was saturated
 	ToolLag     Lag                           `json:"toolLag"`
-	MemoryMB    float64                       `json:"memoryMBPeak"` // private, of all processes together
+	MemoryMB    float64                       `json:"memoryMBPeak"` // private memory of all processes together
 	Notes       []string                      `json:"notes,omitempty"`
 }
 
-// Machine is where the run was made.
+// Machine describes the machine of the run.
 type Machine struct {
 	Cores      int     `json:"cores"`
 	MemoryMB   int     `json:"memoryMB"`
 	Kernel     string  `json:"kernel"`
 	Go         string  `json:"go"`
-	LoadBefore float64 `json:"loadBefore"` // the machine's load average before the run: others share it
+	LoadBefore float64 `json:"loadBefore"` // load average before the run, which includes other users' processes
 }
 
-// Jobs are the tasks of one kind of job.
+// Jobs are the counts of the tasks of one kind of job.
 type Jobs struct {
 	Kind          string  `json:"kind"`
 	Tasks         int64   `json:"tasks"`
 	Served        int64   `json:"served"`
-	Rejected      int64   `json:"refused"` // to the end of the client's time
+	Rejected      int64   `json:"refused"` // rejected until the client's deadline
 	Failed        int64   `json:"failed"`
-	StartNotified Latency `json:"startTold"` // from when a task was due until its start was told to its dispatcher
+	StartNotified Latency `json:"startTold"` // from when a task was due until its dispatcher was notified of its start
 }
 
-// Latency is a distribution in milliseconds.
+// Latency is a latency distribution in milliseconds.
 type Latency struct {
 	Count  int64   `json:"count"`
 	P50    float64 `json:"p50ms"`
 	P90    float64 `json:"p90ms"`
 	P99    float64 `json:"p99ms"`
 	Max    float64 `json:"maxMs"`
-	Within float64 `json:"within2200ms"` // part of all tasks that were due
+	Within float64 `json:"within2200ms"` // share of all tasks that were due
 }
 
-// Gangs tell how tasks that are due together began. The protocol has no gangs: nothing makes them start together.
+// Gangs are the counts of gangs by how many of their tasks started. The protocol has no gangs, so nothing makes tasks start together.
 type Gangs struct {
 	Whole    int     `json:"whole"`
 	Part     int     `json:"part"`
@@ -87,14 +87,14 @@
 	SpreadMS float64 `json:"meanSpreadMs"`
 }
 
-// Changes tell how long changes of the configuration took until they were in force at the last dispatcher.
+// Changes has the times from a configuration change until it was in force at the last dispatcher.
 type Changes struct {
 	Made       int     `json:"made"`
 	InForce    Latency `json:"inForceAtLast"`
 	NotInForce int     `json:"notInForceWithin6s"`
 }
 
-// Running tells how many tasks ran at a time, and how many starts there were in a second.
+// Running has the numbers of running tasks and of requested and actual starts per second.
 type Running struct {
 	Peak            int     `json:"peak"`
 	StartsPerS      float64 `json:"startsPerSecond"`
@@ -105,7 +105,7 @@
 	MeanRunMillis   float64 `json:"meanRunMs"`
 }
 
-// Process is what one process used during the run, measured from outside.
+// Process is the resource usage of one process during the run, measured from outside.
 type Process struct {
 	Name         string  `json:"name"`
 	Role         string  `json:"role"`
@@ -118,10 +118,10 @@
 	WrittenBytes int64   `json:"writtenBytes"`
 	ReadCalls    int64   `json:"readCalls"`
 	WriteCalls   int64   `json:"writeCalls"`
-	Ended        string  `json:"ended,omitempty"` // where it ended before the run did
+	Ended        string  `json:"ended,omitempty"` // set if it ended before the run did
 }
 
-// Saturated is the process that first used what it may.
+// Saturated is the first process that used all of the processor time it may use.
 type Saturated struct {
 	Process    string  `json:"process"`
 	AtSeconds  float64 `json:"atSeconds"`
@@ -129,13 +129,13 @@
 	StartsPerS float64 `json:"askedStartsPerSecond"`
 }
 
-// Lag is how late the tool itself came to do what was due: the times of what it saw are no more exact.
+// Lag is how late the tool itself ran what was due, which limits the accuracy of the event times.
 type Lag struct {
 	P99 float64 `json:"p99ms"`
 	Max float64 `json:"maxMs"`
 }
 
-// Write puts a result into a file in one piece.
+// Write writes a result file atomically.
 func Write(path string, r *Result) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -153,7 +153,7 @@
 	return os.Rename(next.Name(), path)
 }
 
-// Read reads a result file. An error names the field that can not be used.
+// Read reads a result file. Errors name the invalid field.
 func Read(path string) (*Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -181,13 +181,13 @@
 	case r.Format != Format:
 		return &fleet.FieldError{Field: "format", Got: r.Format, Expected: fmt.Sprint(Format)}
 	case r.Commit == "":
-		return &fleet.FieldError{Field: "commit", Got: `""`, Expected: "the commit that was played"}
+		return &fleet.FieldError{Field: "commit", Got: `""`, Expected: "the commit of the program"}
 	case r.Verdict == nil:
-		return &fleet.FieldError{Field: "verdict", Got: "absent", Expected: "the judge's finding"}
+		return &fleet.FieldError{Field: "verdict", Got: "absent", Expected: "a verdict"}
 	case r.RulesKept != r.Verdict.Passed():
-		return &fleet.FieldError{Field: "rulesKept", Got: r.RulesKept, Expected: "what the verdict says"}
+		return &fleet.FieldError{Field: "rulesKept", Got: r.RulesKept, Expected: "true if and only if the verdict has no violation"}
 	case r.Partial != (r.PartialWhy != ""):
-		return &fleet.FieldError{Field: "partialWhy", Got: fmt.Sprintf("%q", r.PartialWhy), Expected: "a reason where, and only where, partial is true"}
+		return &fleet.FieldError{Field: "partialWhy", Got: fmt.Sprintf("%q", r.PartialWhy), Expected: "a reason if and only if partial is true"}
 	}
 	return r.Description.Check()
 }
--- a/internal/scale/result/result_test.go
+++ b/internal/scale/result/result_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// A file that can not be used is an error that names the field and what was expected.
+// The error for a file with an invalid field must have the field's name and the expected value.
 func TestBadFields(t *testing.T) {
 	for want, change := range map[string]func(*Result){
 		"tool: other, expected scalerun":        func(r *Result) { r.Tool = "other" },
@@ -50,7 +50,7 @@
 	}
 }
 
-// Nor is what is no result at all.
+// A file with unknown fields, wrong types, several objects or truncated text must be an error.
 func TestBadText(t *testing.T) {
 	text, err := json.Marshal(some())
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// The result files of this repository can be read.
+// The result files in this repository must be readable.
 func TestCommittedResults(t *testing.T) {
 	files, err := filepath.Glob("../../../docs/capacity/scalerun-*.json")
 	if err != nil {
--- a/internal/scale/result/table.go
+++ b/internal/scale/result/table.go
@@ -10,7 +10,7 @@
 	"gatetack/internal/scale/verdict"
 )
 
-// Table writes a result for people.
+// Table writes a result as a human-readable table.
 func Table(w io.Writer, r *Result) error {
 	t := &table{w: w}
 	d := &r.Description
--- a/internal/scale/verdict/cold.go
+++ b/internal/scale/verdict/cold.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// coldBudgets keeps what cold executors were sent by all dispatchers together, in work as it is expected of a class: how long one task
-// will run is known to nobody when it is sent. Over any window of the stated length that must stay
-// under a multiple of what the executor can do at the window's end. A budget can not be spent in parts of an attempt, so the
-// largest one in the window does not count. The rule holds where two thirds of the work came from dispatchers that were told of the
-// executor's start, or count as told.
+// coldBudgets tracks the work that all dispatchers together sent to each cold executor. Work is the expected running time of a class,
+// since the running time of a single task is not known when it is sent. The work in any window of length OverloadWindow must not
+// exceed OverloadMultiple times the capacity that the executor has at the end of the window. The largest attempt in the window does
+// not count, since an attempt can not be sent in parts. The rule applies only if at least two thirds of the work came from
+// dispatchers that were notified of the executor's start, or count as notified.
 type coldBudgets struct {
 	rules        Rules
 	incarnations map[int32]*coldIncarnation
@@ -15,7 +15,7 @@
 type coldIncarnation struct {
 	slots    int32
 	booted   time.Duration
-	listedAt []time.Duration // by dispatcher, 0 for not yet
+	listedAt []time.Duration // by dispatcher, 0 if not yet notified
 	arrived  []arrival
 }
 
@@ -27,7 +27,7 @@
 
 type overBudget struct{ sent, budget time.Duration }
 
-// minInformedShare is how much of the work must have come from dispatchers that knew.
+// minInformedShare is the share of the work that must have come from notified dispatchers for the rule to apply.
 const minInformedShare = 2.0 / 3
 
 func newColdBudgets(rules Rules) coldBudgets { return coldBudgets{rules, map[int32]*coldIncarnation{}} }
@@ -45,12 +45,12 @@
 	}
 }
 
-// share is the part of its capacity that an executor has at a time after its start.
+// share returns the share of its capacity that an executor has at a time after its start.
 func (c *coldBudgets) share(since time.Duration) float64 {
 	return min(1, c.rules.SlowStartMinShare+(1-c.rules.SlowStartMinShare)*float64(since)/float64(c.rules.SlowStartDuration))
 }
 
-// attempt takes in what reached an executor, and says by how much it is over its budget then.
+// attempt records an attempt that reached an executor, and reports whether the executor is now over its budget.
 func (c *coldBudgets) attempt(e Event) (overBudget, bool) {
 	life := c.incarnations[e.Executor]
 	if life == nil {
@@ -76,7 +76,7 @@
 	return overBudget{sent, budget}, over
 }
 
-// informed says whether the dispatcher of an arrival was told of the life, or counts as told.
+// informed reports whether the dispatcher of an arrival was notified of the incarnation, or counts as notified.
 func (c *coldBudgets) informed(life *coldIncarnation, a arrival) bool {
 	told := life.listedAt[a.dispatcher]
 	return told > 0 && told <= a.at || a.at-life.booted >= c.rules.MaxListDelay
--- a/internal/scale/verdict/drains.go
+++ b/internal/scale/verdict/drains.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// drains keeps when each dispatcher was told that an executor drains or is gone.
+// drains records when each dispatcher was notified that an executor is draining or removed.
 type drains struct {
 	rules    Rules
 	listedAt []map[int32]time.Duration // by dispatcher
@@ -27,7 +27,8 @@
 	}
 }
 
-// late says whether an attempt began to be sent past the grace of its executor's drain, and how long after the drain was told.
+// late reports whether an attempt's first byte was sent after the grace of its executor's drain, and how long after the dispatcher was
+// notified of the drain.
 func (d *drains) late(e Event) (time.Duration, bool) {
 	told, ok := d.listedAt[e.Dispatcher][e.Executor]
 	if !ok {
--- a/internal/scale/verdict/event.go
+++ b/internal/scale/verdict/event.go
@@ -1,25 +1,25 @@
-// Package verdict judges a scale run by what was seen of it: events in the order of their times go in, and every broken rule comes
-// out with the id of the request that shows it. It does no I/O and reads no clock.
+// Package verdict judges a scale run by its observed events: it takes events in the order of their times and reports each violation
+// of a rule with the id of the request that shows it. It does no I/O and reads no clock.
 package verdict
 
 import "time"
 
-// Kind says what an event tells.
+// Kind is the kind of an event.
 type Kind uint8
 
-// The kinds of events.
+// The kinds of events. The comments name the fields of Event that are set.
 const (
-	Submitted       Kind = iota // Request, Task, Tenant, Class, Slots, Deadline: a client's request was written whole
+	Submitted       Kind = iota // Request, Task, Tenant, Class, Slots, Deadline: a client's request was sent completely
 	Answered                    // Request, Answer
-	GivenUp                     // Request: no answer came in the client's time
-	Withdrawn                   // Task: its client does not ask for it any more
-	Accepted                    // Request, Task, Executor, Dispatcher, Work: an executor took an attempt; FirstByte is when it began to come
-	AttemptRejected             // likewise, and the executor proved that it does not run it
+	GivenUp                     // Request: the client received no answer before its deadline
+	Withdrawn                   // Task: its client has stopped trying
+	Accepted                    // Request, Task, Executor, Dispatcher, Work: an executor accepted an attempt; FirstByte is when its first byte arrived
+	AttemptRejected             // fields as for Accepted: the executor rejected an attempt and guarantees that it does not run it
 	Started                     // Request, Task, Executor
-	Ended                       // Request, Task, Executor: its slots are free again, however it ended
-	Listed                      // Dispatcher, Executor, Condition: a row of the list was written to a dispatcher
-	Booted                      // Executor: a cold life begins; it has Slots
-	Died                        // Executor: its life ends, and with it all that it runs
+	Ended                       // Request, Task, Executor: the task ended and its slots are free
+	Listed                      // Dispatcher, Executor, Condition: a list entry was sent to a dispatcher
+	Booted                      // Executor, Slots: a cold incarnation started
+	Died                        // Executor: its incarnation ended, and its running tasks are lost
 	DispatcherDied              // Dispatcher
 )
 
@@ -29,13 +29,13 @@
 // The answers.
 const (
 	Served           Answer = iota
-	Rejected                // trying again is harmless
-	Failed                  // promises nothing
-	ConnectionBroken        // the connection ended with no whole answer
-	Unreached               // no connection was made, or it broke before the request was written: the dispatcher has not taken it
+	Rejected                // a retry is safe
+	Failed                  // the task may have run or not
+	ConnectionBroken        // the connection ended without a complete answer
+	Unreached               // no connection, or it ended before the request was sent: the dispatcher has not accepted the request
 )
 
-// Condition of an executor in the list.
+// Condition is the condition of an executor in the list.
 type Condition uint8
 
 // The conditions.
@@ -45,21 +45,21 @@
 	Removed
 )
 
-// Event is one thing that was seen. Kind says which fields hold.
+// Event is one observed event. Kind determines which fields are set.
 type Event struct {
-	At         time.Duration // since the run's start
+	At         time.Duration // time since the run's start
 	Kind       Kind
 	Answer     Answer
 	Condition  Condition
 	Class      uint8
-	Kept       bool // Answered, Broken: the connection had carried a request before
+	Kept       bool // Answered with ConnectionBroken: the connection had carried a request before
 	Dispatcher int16
 	Tenant     int32
 	Executor   int32
 	Task       int32
 	Slots      int32
 	Request    uint64
-	Deadline   time.Duration // Submitted: until when its client waits
-	FirstByte  time.Duration // Taken, TurnedAway
-	Work       time.Duration // Taken, TurnedAway: slots times the running time that is expected of the class on a warm executor
+	Deadline   time.Duration // Submitted: when its client stops waiting
+	FirstByte  time.Duration // Accepted, AttemptRejected
+	Work       time.Duration // Accepted, AttemptRejected: slots times the mean running time of the class on a warm executor
 }
--- a/internal/scale/verdict/judge.go
+++ b/internal/scale/verdict/judge.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Rule names a rule.
+// Rule is the name of a rule.
 type Rule string
 
 // The rules.
@@ -19,10 +19,10 @@
 	ReservedShare Rule = "no tenant held under its reserved share while it asks"
 )
 
-// AllRules are the rules, in the order in which results show them.
+// AllRules lists the rules in the order in which results show them.
 var AllRules = []Rule{FinalAnswer, SingleRun, Drain, ColdBudget, ReservedShare}
 
-// Violation is one broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule    Rule          `json:"rule"`
 	Request string        `json:"request"`
@@ -30,25 +30,25 @@
 	Text    string        `json:"text"`
 }
 
-// Effect says what a repeat of a task may do.
+// Effect is the effect of running a task repeatedly.
 type Effect uint8
 
 // The effects.
 const (
-	Repeatable  Effect = iota // may run any number of times
-	KeyedByRack               // repeats are dropped inside a rack, within the window
+	Repeatable  Effect = iota // idempotent, may run any number of times
+	KeyedByRack               // repeats are deduplicated within a rack and the time window
 	Once                      // must not run twice
 )
 
-// Executor is what the judge needs to know of one.
+// Executor has the properties of an executor that the judge needs.
 type Executor struct{ Rack, Slots int }
 
-// Rules are what a run is judged by.
+// Rules are the parameters by which a run is judged.
 type Rules struct {
 	Effects           []Effect // by class
 	Executors         []Executor
 	Dispatchers       int
-	ReservedShares    []float64 // reserved parts, by tenant
+	ReservedShares    []float64 // reserved shares by tenant
 	AnswerSlack       time.Duration
 	DrainGrace        time.Duration
 	DedupWindow       time.Duration
@@ -56,12 +56,12 @@
 	SlowStartDuration time.Duration
 	OverloadWindow    time.Duration
 	OverloadMultiple  float64
-	MaxListDelay      time.Duration // a change counts as told to all then, whether it arrived or not
-	ShareGrace        time.Duration // a tenant may wait so long under its share
-	TimeTolerance     time.Duration // by so much the events' times may be off: all limits of time are longer by it
+	MaxListDelay      time.Duration // time after which all dispatchers count as notified of a list change
+	ShareGrace        time.Duration // how long a tenant may wait below its reserved share
+	TimeTolerance     time.Duration // possible error of event times, which is added to all time limits
 }
 
-// Counts are what a judge saw.
+// Counts are the numbers of observed requests and attempts.
 type Counts struct {
 	Requests         int `json:"requests"`
 	Served           int `json:"served"`
@@ -69,28 +69,28 @@
 	Failed           int `json:"failed"`
 	ConnectionBroken int `json:"connectionBroken"`
 	Unreached        int `json:"unreached"`
-	Lost             int `json:"lost"`    // no answer, and the dispatcher stood
-	Crashed          int `json:"crashed"` // no answer, and the dispatcher had died
-	Open             int `json:"open"`    // neither answered nor due when the run ended
-	Doubled          int `json:"doubled"` // starts past the first of what must not run twice
+	Lost             int `json:"lost"`    // no answer, and the dispatcher was up
+	Crashed          int `json:"crashed"` // no answer, and the dispatcher had been killed
+	Open             int `json:"open"`    // not answered, and the deadline had not passed when the run ended
+	Doubled          int `json:"doubled"` // repeated starts of tasks that run at most once
 	Starts           int `json:"starts"`
 	Attempts         int `json:"attempts"`
 }
 
-// Verdict is a judge's finding.
+// Verdict is the result of judging a run.
 type Verdict struct {
 	Counts          Counts       `json:"counts"`
 	ViolationCounts map[Rule]int `json:"broken"`
-	Violations      []Violation  `json:"violations"` // the first ones of each rule
+	Violations      []Violation  `json:"violations"` // the first violations of each rule
 }
 
-// Passed says that no rule was broken.
+// Passed reports whether no rule was violated.
 func (v *Verdict) Passed() bool { return len(v.ViolationCounts) == 0 }
 
-// maxViolationsShown bounds those of each rule that a verdict lists.
+// maxViolationsShown is the maximum number of violations of each rule in a verdict.
 const maxViolationsShown = 20
 
-// Judge takes events. Get one from New.
+// Judge evaluates the events of a run. Use New to create one.
 type Judge struct {
 	rules    Rules
 	verdict  Verdict
@@ -99,7 +99,7 @@
 	drains   drains
 	cold     coldBudgets
 	shares   shares
-	died     []time.Duration // of dispatchers: the last death, 0 for none
+	died     []time.Duration // time of the last death by dispatcher, 0 for none
 }
 
 type request struct {
@@ -118,7 +118,7 @@
 	rack    int
 }
 
-// New makes a judge.
+// New returns a judge for the rules.
 func New(rules Rules) *Judge {
 	j := &Judge{rules: rules, requests: map[uint64]*request{}, tasks: map[int32]*task{}, died: make([]time.Duration, rules.Dispatchers)}
 	j.verdict.ViolationCounts = map[Rule]int{}
@@ -128,7 +128,7 @@
 	return j
 }
 
-// ID is a request's id as its client sends it.
+// ID returns a request's id in the form that its client sends.
 func ID(request uint64) string { return fmt.Sprintf("%016x", request) }
 
 func (j *Judge) violation(rule Rule, request uint64, at time.Duration, format string, args ...any) {
@@ -138,10 +138,10 @@
 	}
 }
 
-// Observe takes one event in; no earlier one may follow.
+// Observe evaluates one event. Events must be in the order of their times.
 func (j *Judge) Observe(e Event) {
 	for _, v := range j.shares.advance(e.At) {
-		j.violation(ReservedShare, v.request, e.At, "tenant %d has %d of its %d slots and has asked since %v", v.tenant, v.running, v.reserved, v.since)
+		j.violation(ReservedShare, v.request, e.At, "tenant %d has %d of its %d reserved slots and has waited since %v", v.tenant, v.running, v.reserved, v.since)
 	}
 	switch e.Kind {
 	case Submitted:
@@ -182,16 +182,16 @@
 	r := j.requests[e.Request]
 	switch {
 	case r == nil:
-		j.violation(FinalAnswer, e.Request, e.At, "an answer to a request that nobody made")
+		j.violation(FinalAnswer, e.Request, e.At, "answer to a request that was not submitted")
 		return
 	case r.answered:
-		j.violation(FinalAnswer, e.Request, e.At, "a second answer")
+		j.violation(FinalAnswer, e.Request, e.At, "second answer")
 		return
 	}
 	r.answered = true
 	j.count(e, r)
 	if late := e.At - r.deadline - j.rules.AnswerSlack - j.rules.TimeTolerance; late > 0 && e.Answer != Unreached && !j.crashed(r) {
-		j.violation(FinalAnswer, e.Request, e.At, "answered %v past the client's time and the slack", late)
+		j.violation(FinalAnswer, e.Request, e.At, "answered %v after the deadline and the slack", late)
 	}
 	if e.Answer == Rejected {
 		j.rejected(e, r)
@@ -217,21 +217,21 @@
 		if e.Kept {
 			connection = "a kept connection"
 		}
-		j.unanswered(e, r, fmt.Sprintf("%s ended %v after the request with no whole answer", connection, (e.At-r.submitted).Round(time.Millisecond)))
+		j.unanswered(e, r, fmt.Sprintf("%s ended %v after the request without a complete answer", connection, (e.At-r.submitted).Round(time.Millisecond)))
 	}
 }
 
-// unanswered tells a dispatcher's crash from a loss.
+// unanswered counts a request without an answer as crashed if its dispatcher died, else as lost.
 func (j *Judge) unanswered(e Event, r *request, text string) {
 	if j.crashed(r) {
 		j.verdict.Counts.Crashed++
 		return
 	}
 	j.verdict.Counts.Lost++
-	j.violation(FinalAnswer, e.Request, e.At, "%s, and its dispatcher stands", text)
+	j.violation(FinalAnswer, e.Request, e.At, "%s, and its dispatcher is up", text)
 }
 
-// crashed says whether the dispatcher of a request died after it was submitted.
+// crashed reports whether the dispatcher of a request died after the request was submitted.
 func (j *Judge) crashed(r *request) bool {
 	death := j.died[r.dispatcher]
 	return death > 0 && death+j.rules.TimeTolerance >= r.submitted
@@ -244,23 +244,23 @@
 	}
 	r.answered = true
 	j.shares.withdrawn(r.task)
-	j.unanswered(e, r, "no answer came in the client's time and the slack")
+	j.unanswered(e, r, "no answer before the deadline and the slack")
 }
 
-// rejected checks that a refusal, which says that trying again is harmless, says so truly.
+// rejected checks that a rejection was allowed: it means that a retry is safe, so no executor may have accepted the task.
 func (j *Judge) rejected(e Event, r *request) {
 	t := j.tasks[r.task]
 	if t == nil || !t.taken || j.rules.Effects[r.class] == Repeatable {
 		return
 	}
-	j.violation(SingleRun, e.Request, e.At, "refused, though an executor took it at %v", t.takenAt)
+	j.violation(SingleRun, e.Request, e.At, "rejected, though an executor accepted it at %v", t.takenAt)
 }
 
-// attempt judges what reached an executor.
+// attempt evaluates an attempt that reached an executor.
 func (j *Judge) attempt(e Event) {
 	j.verdict.Counts.Attempts++
 	if since, ok := j.drains.late(e); ok {
-		j.violation(Drain, e.Request, e.At, "dispatcher %d sent it to executor %d, %v after it was told of its drain or end", e.Dispatcher, e.Executor, since)
+		j.violation(Drain, e.Request, e.At, "dispatcher %d sent it to executor %d, %v after it was notified of its drain or removal", e.Dispatcher, e.Executor, since)
 	}
 	if over, ok := j.cold.attempt(e); ok {
 		j.violation(ColdBudget, e.Request, e.At, "executor %d was sent %v of work in %v, and its budget is %v", e.Executor, over.sent, j.rules.OverloadWindow, over.budget)
@@ -279,11 +279,11 @@
 	case !t.taken:
 		t.taken, t.takenAt, t.rack = true, e.At, rack
 	case effect == Once:
-		j.violation(SingleRun, e.Request, e.At, "a second attempt reached executor %d; the first one was taken at %v", e.Executor, t.takenAt)
+		j.violation(SingleRun, e.Request, e.At, "a second attempt reached executor %d; the first one was accepted at %v", e.Executor, t.takenAt)
 	case effect == KeyedByRack && rack != t.rack:
-		j.violation(SingleRun, e.Request, e.At, "a repeat reached rack %d; the first attempt was taken in rack %d", rack, t.rack)
+		j.violation(SingleRun, e.Request, e.At, "a repeat reached rack %d; the first attempt was accepted in rack %d", rack, t.rack)
 	case effect == KeyedByRack && e.At-t.takenAt > j.rules.DedupWindow+j.rules.TimeTolerance:
-		j.violation(SingleRun, e.Request, e.At, "a repeat came %v after the first attempt", e.At-t.takenAt)
+		j.violation(SingleRun, e.Request, e.At, "a repeat arrived %v after the first attempt", e.At-t.takenAt)
 	}
 }
 
@@ -307,7 +307,7 @@
 	}
 }
 
-// Finish ends the run at a moment and gives the verdict. What was still to be answered then is open, and what was due is lost.
+// Finish ends the run at a time and returns the verdict. Unanswered requests are open before their deadline, and lost after it.
 func (j *Judge) Finish(at time.Duration) *Verdict {
 	for id, r := range j.requests {
 		if r.answered {
@@ -317,7 +317,7 @@
 			j.verdict.Counts.Open++
 			continue
 		}
-		j.unanswered(Event{At: at, Request: id}, r, "no answer had come when the run ended")
+		j.unanswered(Event{At: at, Request: id}, r, "no answer before the run ended")
 	}
 	slices.SortStableFunc(j.verdict.Violations, func(a, b Violation) int {
 		return cmp.Or(cmp.Compare(slices.Index(AllRules, a.Rule), slices.Index(AllRules, b.Rule)), cmp.Compare(a.At, b.At), cmp.Compare(a.Request, b.Request))
@@ -325,7 +325,7 @@
 	return &j.verdict
 }
 
-// JudgeEvents judges a whole run: it sorts the events by their times.
+// JudgeEvents judges a complete run. It sorts events by their times.
 func JudgeEvents(rules Rules, events []Event, end time.Duration) *Verdict {
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	j := New(rules)
--- a/internal/scale/verdict/judge_test.go
+++ b/internal/scale/verdict/judge_test.go
@@ -18,7 +18,7 @@
 	free   = 2
 )
 
-// testRules judge two tenants, two dispatchers and four executors with two slots each, the first two in one rack.
+// testRules returns rules for two tenants, two dispatchers and four executors with two slots each; the first two are in one rack.
 func testRules() Rules {
 	return Rules{Effects: []Effect{once: Once, keyed: KeyedByRack, free: Repeatable},
 		Executors:   []Executor{{Rack: 0, Slots: 2}, {Rack: 0, Slots: 2}, {Rack: 1, Slots: 2}, {Rack: 1, Slots: 2}},
@@ -27,7 +27,7 @@
 		ShareGrace: 5 * second, TimeTolerance: 50 * time.Millisecond}
 }
 
-// Events of one request, at a time.
+// The following functions return an event of one request at a time.
 func submitted(at time.Duration, request uint64, class uint8) Event {
 	return Event{At: at, Kind: Submitted, Request: request, Task: int32(request), Class: class, Slots: 1, Deadline: at + 8*second}
 }
@@ -48,13 +48,13 @@
 	return Event{At: at, Kind: Answered, Request: request, Answer: a}
 }
 
-// served is the whole life of a request that is served.
+// served returns all events of a request that is served.
 func served(at time.Duration, request uint64, class uint8, executor int32) []Event {
 	return []Event{submitted(at, request, class), taken(at+1, request, class, executor), started(at+2, request, class, executor),
 		ended(at+second, request, executor), answered(at+second+1, request, Served)}
 }
 
-// listed tells the first dispatcher of an executor.
+// listed returns the event that the first dispatcher is notified of an executor.
 func listed(at time.Duration, executor int32, c Condition) Event {
 	return Event{At: at, Kind: Listed, Executor: executor, Condition: c}
 }
@@ -66,7 +66,7 @@
 	return out
 }
 
-// Each rule is broken by a sequence that was made for it, and is told with the request that shows it.
+// Each sequence of events must give exactly one violation, of the expected rule and with the request that shows it.
 func TestBrokenRules(t *testing.T) {
 	for name, c := range map[string]struct {
 		events  []Event
@@ -75,24 +75,24 @@
 		text    string
 	}{
 		"no answer":         {[]Event{submitted(second, 7, once)}, FinalAnswer, 7, "no answer"},
-		"given up":          {[]Event{submitted(second, 7, once), {At: 10 * second, Kind: GivenUp, Request: 7}}, FinalAnswer, 7, "its dispatcher stands"},
-		"connection broken": {[]Event{submitted(second, 7, once), answered(2*second, 7, ConnectionBroken)}, FinalAnswer, 7, "no whole answer"},
+		"given up":          {[]Event{submitted(second, 7, once), {At: 10 * second, Kind: GivenUp, Request: 7}}, FinalAnswer, 7, "its dispatcher is up"},
+		"connection broken": {[]Event{submitted(second, 7, once), answered(2*second, 7, ConnectionBroken)}, FinalAnswer, 7, "without a complete answer"},
 		"answered twice":    {join(served(second, 7, once, 0), []Event{answered(3*second, 7, Served)}), FinalAnswer, 7, "second answer"},
-		"answered late":     {[]Event{submitted(second, 7, once), answered(9*second+100*time.Millisecond, 7, Failed)}, FinalAnswer, 7, "past the client's time"},
-		"answer to nobody":  {[]Event{answered(second, 7, Served)}, FinalAnswer, 7, "nobody made"},
+		"answered late":     {[]Event{submitted(second, 7, once), answered(9*second+100*time.Millisecond, 7, Failed)}, FinalAnswer, 7, "after the deadline"},
+		"not submitted":     {[]Event{answered(second, 7, Served)}, FinalAnswer, 7, "not submitted"},
 		"lost before its dispatcher died": {[]Event{submitted(2*second, 7, once), {At: second, Kind: DispatcherDied, Dispatcher: 1}},
 			FinalAnswer, 7, "no answer"},
 		"started twice": {join(served(second, 7, once, 0), []Event{started(3*second, 7, once, 1)}), SingleRun, 7, "started 2 times"},
 		"sent twice":    {join(served(second, 7, once, 0), []Event{taken(3*second, 7, once, 1)}), SingleRun, 7, "second attempt"},
 		"started twice under two requests": {join(served(second, 7, once, 0), []Event{
 			{At: 3 * second, Kind: Started, Request: 8, Task: 7, Class: once, Executor: 1, Slots: 1}}), SingleRun, 8, "started 2 times"},
-		"refused though taken":         {[]Event{submitted(second, 7, once), taken(second, 7, once, 0), answered(2*second, 7, Rejected)}, SingleRun, 7, "refused, though"},
+		"rejected though accepted":     {[]Event{submitted(second, 7, once), taken(second, 7, once, 0), answered(2*second, 7, Rejected)}, SingleRun, 7, "rejected, though"},
 		"key repeated in another rack": {join(served(second, 7, keyed, 0), []Event{taken(3*second, 7, keyed, 2)}), SingleRun, 7, "rack 1"},
 		"key repeated too late":        {join(served(second, 7, keyed, 0), []Event{taken(42*second, 7, keyed, 1)}), SingleRun, 7, "after the first attempt"},
-		"sent past a drain": {join([]Event{listed(second, 0, Draining)}, served(2*second, 7, free, 0)), Drain, 7,
-			"after it was told"},
-		"sent past an end": {join([]Event{listed(second, 0, Removed), listed(1200*time.Millisecond, 0, Draining)}, served(1600*time.Millisecond, 7, free, 0)),
-			Drain, 7, "after it was told"},
+		"sent after a drain": {join([]Event{listed(second, 0, Draining)}, served(2*second, 7, free, 0)), Drain, 7,
+			"after it was notified"},
+		"sent after a removal": {join([]Event{listed(second, 0, Removed), listed(1200*time.Millisecond, 0, Draining)}, served(1600*time.Millisecond, 7, free, 0)),
+			Drain, 7, "after it was notified"},
 		"over a cold budget": {join([]Event{{At: second, Kind: Booted, Executor: 0, Slots: 2}, listed(second, 0, Ready)},
 			served(2*second, 1, free, 0), served(2*second, 2, free, 0), served(2*second, 3, free, 0), served(2*second, 4, free, 0),
 			served(2*second, 5, free, 0)), ColdBudget, 5, "of work"},
@@ -100,16 +100,16 @@
 			{At: second, Kind: Listed, Dispatcher: 1, Executor: 0}},
 			fromDispatcher(1, served(2*second, 1, free, 0)), served(2*second, 2, free, 0), fromDispatcher(1, served(2*second, 3, free, 0)), served(2*second, 4, free, 0),
 			fromDispatcher(1, served(2*second, 5, free, 0))), ColdBudget, 5, "of work"},
-		"held under its share": {[]Event{{At: second, Kind: Submitted, Request: 7, Task: 7, Slots: 1, Deadline: 20 * second},
-			listed(2*second, 0, Ready), listed(8*second, 0, Ready), answered(9*second, 7, Failed)}, ReservedShare, 7, "tenant 0 has 0 of its 4 slots"},
-		"held under its share by refusals": {[]Event{{At: second, Kind: Submitted, Request: 7, Task: 7, Slots: 1, Deadline: 20 * second},
+		"held below its share": {[]Event{{At: second, Kind: Submitted, Request: 7, Task: 7, Slots: 1, Deadline: 20 * second},
+			listed(2*second, 0, Ready), listed(8*second, 0, Ready), answered(9*second, 7, Failed)}, ReservedShare, 7, "tenant 0 has 0 of its 4 reserved slots"},
+		"held below its share by rejections": {[]Event{{At: second, Kind: Submitted, Request: 7, Task: 7, Slots: 1, Deadline: 20 * second},
 			answered(2*second, 7, Rejected), {At: 3 * second, Kind: Submitted, Request: 8, Task: 7, Slots: 1, Deadline: 20 * second},
 			listed(8*second, 0, Ready), answered(9*second, 8, Failed)}, ReservedShare, 8, "tenant 0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := JudgeEvents(testRules(), c.events, 60*second)
 			if v.Passed() || v.ViolationCounts[c.rule] != 1 || len(v.Violations) != 1 {
-				t.Fatalf("want %q broken once: %v %+v", c.rule, v.ViolationCounts, v.Violations)
+				t.Fatalf("want one violation of %q: %v %+v", c.rule, v.ViolationCounts, v.Violations)
 			}
 			if got := v.Violations[0]; got.Rule != c.rule || got.Request != ID(c.request) || !strings.Contains(got.Text, c.text) {
 				t.Errorf("got %+v, want request %s and a text with %q", got, ID(c.request), c.text)
@@ -118,7 +118,7 @@
 	}
 }
 
-// fromDispatcher makes events another dispatcher's.
+// fromDispatcher sets the dispatcher of events.
 func fromDispatcher(dispatcher int16, events []Event) []Event {
 	for i := range events {
 		events[i].Dispatcher = dispatcher
@@ -126,15 +126,15 @@
 	return events
 }
 
-// What looks like a broken rule and is none.
+// Sequences of events that look like violations but are not must give none.
 func TestKeptRules(t *testing.T) {
 	for name, events := range map[string][]Event{
 		"served":                              join(served(second, 1, once, 0), served(second, 2, keyed, 1), served(second, 3, free, 2)),
 		"free runs twice":                     join(served(second, 7, free, 0), []Event{taken(2*second, 7, free, 2), started(2*second, 7, free, 2)}),
 		"key repeated in its rack and window": join(served(second, 7, keyed, 0), []Event{taken(30*second, 7, keyed, 1)}),
-		"turned away, then elsewhere": {submitted(second, 7, once), {At: second, Kind: AttemptRejected, Request: 7, Task: 7, Class: once, Executor: 0, FirstByte: second},
+		"rejected, then accepted elsewhere": {submitted(second, 7, once), {At: second, Kind: AttemptRejected, Request: 7, Task: 7, Class: once, Executor: 0, FirstByte: second},
 			taken(second, 7, once, 1), started(second, 7, once, 1), ended(2*second, 7, 1), answered(2*second, 7, Served)},
-		"refused, then tried again": {submitted(second, 7, once), answered(second, 7, Rejected),
+		"rejected, then retried": {submitted(second, 7, once), answered(second, 7, Rejected),
 			{At: 2 * second, Kind: Submitted, Request: 8, Task: 7, Class: once, Slots: 1, Deadline: 9 * second}, {At: 2 * second, Kind: Accepted, Request: 8, Task: 7, Class: once},
 			{At: 2 * second, Kind: Started, Request: 8, Task: 7, Class: once}, answered(3*second, 8, Served)},
 		"lost with its dispatcher":    {submitted(second, 7, once), {At: 2 * second, Kind: DispatcherDied}, answered(2*second, 7, ConnectionBroken)},
@@ -142,12 +142,12 @@
 		"first byte before a drain's end, last byte after it": join([]Event{listed(second, 0, Draining),
 			submitted(second, 7, free), {At: 2 * second, Kind: Accepted, Request: 7, Task: 7, Class: free, FirstByte: 1300 * time.Millisecond}},
 			[]Event{answered(3*second, 7, Served)}),
-		"sent after the end of a drain": join([]Event{listed(second, 0, Draining), listed(2*second, 0, Ready)}, served(3*second, 7, free, 0)),
-		"sent past a drain that only another dispatcher was told of": join([]Event{{At: second, Kind: Listed, Dispatcher: 1, Condition: Draining}},
+		"sent after a drain was revoked": join([]Event{listed(second, 0, Draining), listed(2*second, 0, Ready)}, served(3*second, 7, free, 0)),
+		"sent after a drain that only another dispatcher was notified of": join([]Event{{At: second, Kind: Listed, Dispatcher: 1, Condition: Draining}},
 			served(3*second, 7, free, 0)),
 		"one attempt larger than a cold budget": join([]Event{{At: second, Kind: Booted, Executor: 0, Slots: 2}, listed(second, 0, Ready),
 			{At: 2 * second, Kind: Accepted, Request: 7, Task: 7, Class: free, FirstByte: 2 * second, Work: time.Hour}}),
-		"over a cold budget that nobody was told of": join([]Event{{At: second, Kind: Booted, Executor: 0, Slots: 2}},
+		"over a cold budget that no dispatcher was notified of": join([]Event{{At: second, Kind: Booted, Executor: 0, Slots: 2}},
 			served(2*second, 1, free, 0), served(2*second, 2, free, 0), served(2*second, 3, free, 0), served(2*second, 4, free, 0),
 			served(2*second, 5, free, 0), served(2*second, 6, free, 0)),
 		"over no budget once warm": join([]Event{{At: second, Kind: Booted, Executor: 0, Slots: 2}, listed(second, 0, Ready)},
@@ -164,20 +164,21 @@
 	}
 }
 
-// A share that is not asked for is nobody's loss, and one that shrank with the executors is smaller.
+// Reserved slots are a share of the slots of executors that are up: after deaths a tenant has fewer reserved slots, and waiting beyond
+// them is no violation.
 func TestShareGoesByWhatStands(t *testing.T) {
 	var events []Event
 	for x := int32(1); x < 4; x++ {
 		events = append(events, Event{At: second, Kind: Died, Executor: x})
 	}
-	// One executor with two slots is left: one slot is reserved for each tenant.
+	// One executor with two slots remains, so one slot is reserved for each tenant.
 	events = append(events, started(second, 1, free, 0), submitted(2*second, 7, once), listed(9*second, 0, Ready), answered(9*second, 7, Failed))
 	if v := JudgeEvents(testRules(), events, 60*second); !v.Passed() {
 		t.Errorf("%+v", v.Violations)
 	}
 }
 
-// Counts add up, and what was not due when a run was cut short is open and not lost.
+// Counts must match the events. A request whose deadline had not passed when the run ended is open, not lost.
 func TestCounts(t *testing.T) {
 	events := join(served(second, 1, once, 0), []Event{submitted(second, 2, once), answered(2*second, 2, Rejected), {At: 2 * second, Kind: Withdrawn, Task: 2}, submitted(second, 3, once),
 		answered(2*second, 3, Failed), submitted(9*second, 4, once), submitted(second, 5, once), answered(2*second, 5, Unreached)})
@@ -188,7 +189,7 @@
 	}
 }
 
-// Whatever comes, in whatever order: no panic, as many requests as were submitted, and equal events give equal verdicts.
+// Arbitrary events in any order must not panic, must count each submitted request, and must give equal verdicts when repeated.
 func TestAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		events := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Event {
