--- a/internal/scale/verdict/rules.go
+++ b/internal/scale/verdict/rules.go
@@ -6,18 +6,19 @@
 	"gatetack/internal/scale/fleet"
 )
 
-// Limits of the judge's own.
+// Limits that do not come from the settings.
 const (
-	// shareGrace is how long a tenant may wait under its reserved share: the retries of a refused client take up to two seconds, and what
-	// runs is not stopped for it.
+	// shareGrace is how long a tenant may wait below its reserved share: a retry after a rejection takes up to two seconds, and running
+	// tasks are not preempted.
 	shareGrace = 5 * time.Second
-	// maxListDelay is when what the list has to tell counts as told at the latest.
+	// maxListDelay is the time after which a dispatcher counts as notified of a list change in any case.
 	maxListDelay = 6 * time.Second
-	// socketTolerance is by how much each limit of time is longer on sockets.
+	// socketTolerance is added to each time limit for delays on sockets.
 	socketTolerance = 50 * time.Millisecond
 )
 
-// RulesFor gives the rules of a described fleet. Lag is by how much the times of events may be off beside what sockets are granted.
+// RulesFor returns the rules of a described fleet. Lag is the error of the event times that is tolerated in addition to
+// socketTolerance.
 func RulesFor(d *fleet.Description, lag time.Duration) Rules {
 	rules := d.Rules()
 	v := Rules{Effects: []Effect{fleet.ClassOnce: Once, fleet.ClassKeyed: KeyedByRack, fleet.ClassUrgent: Repeatable},
--- a/internal/scale/verdict/shares.go
+++ b/internal/scale/verdict/shares.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// shares keeps what each tenant has running and asks for. A tenant is held under its share while a task of its waits and, with that
-// task, it would still have no more slots than are reserved for it. For a while that is the time work takes to start; past the
-// grace the rule is broken. What is reserved goes by the slots of the executors that stand and are warm.
+// shares tracks the running and waiting tasks of each tenant. A tenant is held below its reserved share while one of its tasks waits
+// although, with that task running, the tenant would not exceed its reserved slots. This is normal for the time that a task takes to
+// start; beyond the grace period it violates the rule. Reserved slots are a share of the slots of executors that are up and warm.
 type shares struct {
 	rules     Rules
 	tenants   []tenantShare
@@ -22,9 +22,9 @@
 
 type tenantShare struct {
 	running  int
-	waiting  []*waitingTask // the oldest first; those that are over are dropped when looked at
-	since    time.Duration  // since when it has been held under its share; 0 for not
-	reported bool           // of this time
+	waiting  []*waitingTask // oldest first; entries that are over are removed when the tenant is checked
+	since    time.Duration  // since when it has been held below its share; 0 if it is not
+	reported bool           // the violation since then has been reported
 }
 
 type waitingTask struct {
@@ -49,7 +49,7 @@
 	since                     time.Duration
 }
 
-// checkInterval is the time between two looks at all tenants.
+// checkInterval is the minimum time between two checks of all tenants.
 const checkInterval = 100 * time.Millisecond
 
 func newShares(rules Rules) shares {
@@ -64,7 +64,7 @@
 
 func (s *shares) submitted(e Event) {
 	if s.waiting[e.Task] != nil {
-		s.waiting[e.Task].request = e.Request // tried again
+		s.waiting[e.Task].request = e.Request // a retry
 		return
 	}
 	w := &waitingTask{e.Request, int(e.Slots), false}
@@ -117,7 +117,7 @@
 	s.warming = append(s.warming, warming{s.warmFrom[e.Executor], e.Executor})
 }
 
-// addWarmed takes in the executors that are addWarmed by now.
+// addWarmed adds the slots of executors that have become warm to the capacity.
 func (s *shares) addWarmed(now time.Duration) {
 	for len(s.warming) > 0 && s.warming[0].at <= now {
 		w := s.warming[0]
@@ -128,7 +128,7 @@
 	}
 }
 
-// advance looks at all tenants, no more often than lookEvery, and gives those that have newly been held for too long.
+// advance checks all tenants if checkInterval has passed, and returns those whose time below their share newly exceeds the grace.
 func (s *shares) advance(now time.Duration) []*underShare {
 	if now < s.nextCheck {
 		return nil
--- a/internal/scale/virtual/clients.go
+++ b/internal/scale/virtual/clients.go
@@ -7,7 +7,7 @@
 	"gatetack/internal/scale/workload"
 )
 
-// submitNext puts the next task of the load on the agenda.
+// submitNext schedules the next task of the load.
 func (w *World) submitNext() {
 	t, ok := w.load.Next()
 	if !ok {
@@ -20,7 +20,7 @@
 	})
 }
 
-// submit makes a request for a task.
+// submit submits a request for a task.
 func (w *World) submit(t workload.Task, due time.Duration) {
 	w.requests++
 	j := &job{request: w.requests, task: t, due: due, deadline: due + w.rules.Deadlines[t.Class]}
@@ -29,7 +29,7 @@
 	w.dispatchers[t.Dispatcher].submit(j)
 }
 
-// answered counts how a task ended, and has what was refused come again while there is time.
+// answered counts how a task ended, and schedules a retry of a rejected one if its deadline allows it.
 func (w *World) answered(j *job, a verdict.Answer, retry time.Duration) {
 	kind := j.task.Kind
 	switch a {
--- a/internal/scale/virtual/dispatcher.go
+++ b/internal/scale/virtual/dispatcher.go
@@ -9,22 +9,22 @@
 	"gatetack/internal/scale/workload"
 )
 
-// dispatcher hosts one decision module as the program's core does.
+// dispatcher runs one decision module, as the program's core does.
 type dispatcher struct {
 	world     *World
 	number    int
 	module    *dispatch.Dispatcher
-	step      time.Duration // least time between steps
+	step      time.Duration // minimum time between steps
 	batch     []dispatch.Event
 	actions   []dispatch.Action
 	stepAt    time.Duration
-	scheduled bool // a step is on the agenda
+	scheduled bool // a step is in the event queue
 	jobs      map[uint32]*job
 	lastJob   uint32
 	watches   bool
 }
 
-// job is a request that a dispatcher owes an answer.
+// job is a request of a dispatcher, which is unanswered or has open attempts.
 type job struct {
 	id           uint32
 	request      uint64
@@ -36,13 +36,13 @@
 	answered     bool
 }
 
-// attempt is one send of a job.
+// attempt is one attempt of a job.
 type attempt struct {
 	job         *job
 	dispatcher  *dispatcher
 	number      uint16
 	executor    *executor
-	incarnation int // of the executor, that it went to
+	incarnation int // incarnation of the executor that accepted it
 	sent        time.Duration
 	over        bool
 	started     bool
@@ -62,7 +62,7 @@
 	return d, nil
 }
 
-// listEntries are the whole list.
+// listEntries returns the whole endpoint list.
 func (w *World) listEntries() []dispatch.EndpointUpdate {
 	var out []dispatch.EndpointUpdate
 	for _, x := range w.executors {
@@ -73,7 +73,7 @@
 	return out
 }
 
-// event puts an event into the next step's batch.
+// event adds an event to the next step's batch and schedules the step.
 func (d *dispatcher) event(e dispatch.Event) {
 	d.batch = append(d.batch, e)
 	if d.scheduled {
@@ -83,7 +83,7 @@
 	d.world.at(d.stepAt, d.runStep)
 }
 
-// runStep steps the module and carries out its actions.
+// runStep runs one step of the module and carries out its actions.
 func (d *dispatcher) runStep() {
 	w := d.world
 	d.scheduled = false
@@ -133,7 +133,7 @@
 	}
 }
 
-// listChanged tells of a change of the list, where the module watches it.
+// listChanged passes a change of the list to the module if it watches the list.
 func (d *dispatcher) listChanged(e dispatch.Event, executors []int, c dispatch.Condition) {
 	d.world.after(listLatency, func() {
 		if d.watches {
@@ -177,7 +177,7 @@
 	})
 }
 
-// send begins an attempt.
+// send starts an attempt.
 func (d *dispatcher) send(a *dispatch.Action) {
 	w := d.world
 	j := d.jobs[a.Job]
@@ -201,7 +201,7 @@
 	w.after(w.latency(d.number, t.executor), func() { t.executor.arrive(t) })
 }
 
-// end takes the outcome of an attempt in, once.
+// end passes the outcome of an attempt to the module, at most once.
 func (d *dispatcher) end(t *attempt, o dispatch.Outcome, report []float32) {
 	if t.over {
 		return
@@ -223,7 +223,7 @@
 	}
 }
 
-// answer gives a job's final answer, once.
+// answer gives the final answer to a job, at most once.
 func (d *dispatcher) answer(j *job, a verdict.Answer, retry time.Duration) {
 	if j == nil || j.answered {
 		return
@@ -234,7 +234,7 @@
 	d.forget(j)
 }
 
-// submit takes a request in.
+// submit accepts a request and passes it to the module.
 func (d *dispatcher) submit(j *job) {
 	w := d.world
 	d.lastJob++
@@ -245,7 +245,7 @@
 	w.at(j.deadline-overdueMargin, func() { d.overdue(j) })
 }
 
-// overdue answers a job that the module has left unanswered.
+// overdue answers a job that the module has not answered in time.
 func (d *dispatcher) overdue(j *job) {
 	if j.answered {
 		return
--- a/internal/scale/virtual/executor.go
+++ b/internal/scale/virtual/executor.go
@@ -8,13 +8,13 @@
 	"gatetack/internal/scale/verdict"
 )
 
-// executor is a modelled one.
+// executor is a modelled executor.
 type executor struct {
 	world       *World
 	plan        fleet.Executor
 	id          uint32
 	up          bool
-	status      dispatch.Condition // as the list has it
+	status      dispatch.Condition // condition in the endpoint list
 	cold        bool
 	booted      time.Duration
 	incarnation int
@@ -30,12 +30,12 @@
 	return r
 }
 
-// report is a load report, in the order of the settings' fields.
+// report returns a load report with the fields in the order of the settings.
 func (x *executor) report() []float32 {
 	return []float32{float32(len(x.waiting)), float32(x.plan.Slots - x.used)}
 }
 
-// speed is the part of its capacity that it has by now.
+// speed returns the share of its capacity that the executor has now.
 func (x *executor) speed() float64 {
 	if !x.cold {
 		return 1
@@ -44,7 +44,7 @@
 	return min(1, r.SlowStartMinShare+(1-r.SlowStartMinShare)*float64(x.world.now-x.booted)/float64(r.SlowStartDuration))
 }
 
-// kill ends its life. It tells nothing: a dispatcher learns of lost attempts by its own clock, as where a machine vanishes.
+// kill ends the executor's incarnation without any message: dispatchers detect lost attempts by timeouts, as when a machine fails.
 func (x *executor) kill() {
 	if !x.up {
 		return
@@ -64,20 +64,20 @@
 	x.world.observe(verdict.Event{Kind: verdict.Booted, Executor: int32(x.plan.Number), Slots: int32(x.plan.Slots)})
 }
 
-// event makes the judge's event of an attempt.
+// event returns an event about the attempt for the judge.
 func (t *attempt) event(k verdict.Kind) verdict.Event {
 	return verdict.Event{Kind: k, Request: t.job.request, Task: int32(t.job.task.Number), Executor: int32(t.executor.plan.Number),
 		Dispatcher: int16(t.dispatcher.number), Class: uint8(t.job.task.Class), Tenant: int32(t.job.task.Tenant), Slots: int32(t.job.task.Slots),
 		FirstByte: t.dispatcher.world.now, Work: t.dispatcher.world.d.ExpectedRun(t.job.task.Class) * time.Duration(t.job.task.Slots)}
 }
 
-// arrive takes an attempt, or turns it away.
+// arrive accepts or rejects an attempt.
 func (x *executor) arrive(t *attempt) {
 	w := x.world
 	back := w.latency(t.dispatcher.number, x)
 	switch {
 	case t.over:
-		return // given up on its way
+		return // canceled before it arrived
 	case !x.up:
 		w.after(back, func() { t.dispatcher.end(t, dispatch.ConnectFailed, nil) })
 		return
@@ -93,7 +93,7 @@
 	x.startQueued()
 }
 
-// startQueued starts what fits, in the order of arrival.
+// startQueued starts waiting attempts in the order of arrival while the first one fits into the free slots.
 func (x *executor) startQueued() {
 	w := x.world
 	for len(x.waiting) > 0 && x.used+x.waiting[0].job.task.Slots <= x.plan.Slots {
@@ -122,7 +122,7 @@
 	w.after(run, func() { x.finish(t) })
 }
 
-// notify tells of an attempt that has not ended.
+// notify passes a notification about an attempt to its dispatcher, unless the attempt has ended.
 func (x *executor) notify(t *attempt, topic uint8, amount float64) {
 	if !t.over {
 		t.dispatcher.event(dispatch.Event{Kind: dispatch.EvNotification, Job: t.job.id, Attempt: t.number, Executor: x.id, Topic: topic, Amount: amount})
@@ -144,7 +144,7 @@
 
 func (x *executor) finish(t *attempt) {
 	if t.incarnation != x.incarnation || !x.up {
-		return // lost with its life
+		return // lost with its incarnation
 	}
 	w := x.world
 	x.used -= t.job.task.Slots
--- a/internal/scale/virtual/world.go
+++ b/internal/scale/virtual/world.go
@@ -1,6 +1,6 @@
-// Package virtual plays the decision modules of many dispatchers on virtual time, past the size at which real processes and sockets
-// fill a machine: executors, clients, the list and messages are modelled, the decisions are the program's own. It does no I/O and
-// reads no clock; a Meter, if there is one, reads it.
+// Package virtual runs the decision modules of many dispatchers on virtual time, at sizes for which a machine has no room for real
+// processes and sockets. Executors, clients, the endpoint list and messages are modelled; the decisions are the program's own. The
+// package does no I/O and reads no clock; only a Meter may read one.
 package virtual
 
 import (
@@ -17,23 +17,23 @@
 	"gatetack/internal/scale/workload"
 )
 
-// Meter measures what decisions cost: Begin is called before each step of a dispatcher, and End after it.
+// Meter measures the cost of decisions. Begin is called before each step of a dispatcher, and End after it.
 type Meter interface {
 	Begin(dispatcher int)
 	End(dispatcher int)
 }
 
-// Counts are what was done.
+// Counts are the numbers of tasks, steps and messages of a run.
 type Counts struct {
 	Tasks, Served, Rejected, Failed            [workload.Kinds]int
 	Steps, Sends, HealthChecks, GossipMessages int
-	GossipBytes                                int // of messages between dispatchers, for each receiver
+	GossipBytes                                int // bytes of messages between dispatchers, counted for each receiver
 	RunningPeak                                int
-	RunningAtEnd                               int // of the load
+	RunningAtEnd                               int // running tasks at the end of the load
 	StartLatencies                             [workload.Kinds][]time.Duration
 }
 
-// Delays of the modelled network, and when the core steps in where a module does not.
+// Delays of the modelled network, margins before a job's deadline, and parameters of clients and executors.
 const (
 	sameZoneLatency  = 500 * time.Microsecond
 	otherZoneLatency = 10 * time.Millisecond // between zones
@@ -41,8 +41,8 @@
 	listLatency      = 20 * time.Millisecond
 	answerMargin     = 30 * time.Millisecond
 	overdueMargin    = 10 * time.Millisecond
-	minRetryInterval = 50 * time.Millisecond // of a client that was not told how long
-	queuePerSlot     = 4                     // tasks that wait at an executor, for each slot
+	minRetryInterval = 50 * time.Millisecond // minimum time before a client retries a rejected request
+	queuePerSlot     = 4                     // number of tasks that may wait at an executor, per slot
 )
 
 // World is a fleet on virtual time.
@@ -65,13 +65,13 @@
 	running     int
 }
 
-// New makes a world of as many dispatchers as the description has, with the faults that were drawn.
+// New returns a world with the fleet of the description and the actions of its faults.
 func New(d fleet.Description, actions []faults.Action, rules verdict.Rules, m Meter) (*World, error) {
 	w := &World{d: d, rules: d.Rules(), plan: d.Plan(), load: workload.New(d), judge: verdict.New(rules), meter: m, byID: map[uint32]int{}, listVersion: 1}
 	for _, x := range w.plan {
 		id := node.ExecutorID(x.Name)
 		if _, had := w.byID[id]; had {
-			return nil, fmt.Errorf("executors: two share the number %d", id)
+			return nil, fmt.Errorf("executors: two share the id %d", id)
 		}
 		w.byID[id] = x.Number
 		w.executors = append(w.executors, &executor{world: w, plan: x, id: id, up: true, status: dispatch.Ready})
@@ -89,7 +89,7 @@
 	return w, nil
 }
 
-// Play plays the load to its end, and until all is answered.
+// Play runs the load until all requests are answered or their deadlines have passed.
 func (w *World) Play() (*verdict.Verdict, Counts) {
 	w.submitNext()
 	w.at(w.d.Duration, func() { w.counts.RunningAtEnd = w.running })
@@ -102,13 +102,13 @@
 	return w.judge.Finish(end), w.counts
 }
 
-// observe tells the judge.
+// observe passes an event to the judge.
 func (w *World) observe(e verdict.Event) {
 	e.At = w.now
 	w.judge.Observe(e)
 }
 
-// act carries out a fault. Cuts, the store and changes of the configuration are none of the decision module's.
+// act carries out an action of a fault. Cuts, the store and configuration changes do not concern the decision module.
 func (w *World) act(a faults.Action) {
 	switch a.Kind {
 	case faults.Kill:
@@ -128,7 +128,7 @@
 	}
 }
 
-// list changes rows and tells all dispatchers.
+// list changes the condition of executors in the list and notifies all dispatchers.
 func (w *World) list(executors []int, c dispatch.Condition) {
 	w.listVersion++
 	var rows []dispatch.EndpointUpdate
@@ -145,7 +145,7 @@
 	}
 }
 
-// eventQueue is what is still to be done, the next first.
+// eventQueue is a heap of scheduled functions, ordered by time and then by sequence.
 type eventQueue []timed
 
 type timed struct {
@@ -160,10 +160,10 @@
 }
 func (a eventQueue) Swap(i, k int) { a[i], a[k] = a[k], a[i] }
 
-// Push and Pop are the heap's.
+// Push implements heap.Interface.
 func (a *eventQueue) Push(x any) { *a = append(*a, x.(timed)) }
 
-// Pop takes the last.
+// Pop implements heap.Interface.
 func (a *eventQueue) Pop() any {
 	old := *a
 	x := old[len(old)-1]
@@ -179,7 +179,7 @@
 
 func (w *World) after(d time.Duration, do func()) { w.at(w.now+d, do) }
 
-// latency is how long a message takes between a dispatcher and an executor.
+// latency returns the time that a message takes between a dispatcher and an executor.
 func (w *World) latency(dispatcher int, x *executor) time.Duration {
 	if w.d.DispatcherZone(dispatcher) == x.plan.Zone {
 		return sameZoneLatency
@@ -187,14 +187,14 @@
 	return otherZoneLatency
 }
 
-// clock is virtual time as the module counts it. It begins past zero, which stands for long ago.
+// clock returns virtual time in the module's unit. It starts one hour after zero, since the module treats zero as long ago.
 func clock(t time.Duration) float64 { return float64(t+time.Hour) / float64(time.Millisecond) }
 
 func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// settings of a dispatcher, by the way that a process reads them.
+// settings returns the configuration of a dispatcher, parsed as a process parses it.
 func (w *World) settings(number int) (*config.Config, error) {
 	text, err := w.d.Config(number, 0, fleet.Addresses{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:1"})
 	if err != nil {
--- a/internal/scale/virtual/world_test.go
+++ b/internal/scale/virtual/world_test.go
@@ -39,7 +39,7 @@
 	return w.Play()
 }
 
-// Each fault is played with all rules kept, and each task has one end.
+// Each fault must leave all rules kept, and each task must end exactly once.
 func TestFaults(t *testing.T) {
 	for _, name := range []faults.Name{faults.Zone, faults.Rack, faults.Machine, faults.Rolling} {
 		t.Run(string(name), func(t *testing.T) {
@@ -59,13 +59,13 @@
 	}
 }
 
-// counter counts steps.
+// counter counts the calls of a Meter by dispatcher.
 type counter struct{ begun, ended []int }
 
 func (c *counter) Begin(d int) { c.begun[d]++ }
 func (c *counter) End(d int)   { c.ended[d]++ }
 
-// Equal seeds give equal runs, and each step is measured.
+// Equal seeds must give equal runs, and each step must be measured.
 func TestEqualSeeds(t *testing.T) {
 	one, other := &counter{make([]int, 4), make([]int, 4)}, &counter{make([]int, 4), make([]int, 4)}
 	v1, c1 := playOne(t, some(), one, faults.Zone)
@@ -84,9 +84,9 @@
 	}
 }
 
-// With room for all, a task starts after one trip, ends after its run, and what runs at a time is what was asked for. A module that has
-// no report of an executor yet tries it with two slots, so that at the start a task can wait behind another on an executor with one:
-// of such a few may be too late.
+// With enough free slots a task starts one message latency after it is due and ends after its running time, and the number of running
+// tasks matches the target. A module without a load report of an executor assumes two slots, so that at the start a task can wait
+// behind another on an executor with one slot. A few tasks may therefore miss their deadlines.
 func TestAtRest(t *testing.T) {
 	d := some()
 	d.Executors, d.Duration = 400, time.Minute
@@ -95,11 +95,11 @@
 		t.Errorf("%+v", v.Counts)
 	}
 	if c.RunningPeak < 40 || c.RunningPeak > 400 {
-		t.Errorf("%d running at most, 90 are asked for on the mean", c.RunningPeak)
+		t.Errorf("peak of %d running tasks, want 40 to 400 for a target mean of 90", c.RunningPeak)
 	}
 	for _, told := range c.StartLatencies[workload.Urgent] {
 		if told < 2*sameZoneLatency || told > fleet.UrgentStartTarget {
-			t.Errorf("an urgent task was told to have started %v after it was due", told)
+			t.Errorf("start of an urgent task notified %v after it was due", told)
 		}
 	}
 }
--- a/internal/scale/workload/workload.go
+++ b/internal/scale/workload/workload.go
@@ -1,6 +1,6 @@
-// Package workload generates what clients ask for: an open-loop load of plain jobs, arrays, gangs and urgent
-// work, drawn from a seed. Arrivals do not wait for answers. It does no I/O, reads no clock and has no
-// goroutine; a Generator owns its state.
+// Package workload generates the load of a scale run: plain jobs, arrays, gangs and urgent jobs, drawn from a seed.
+// The load is open-loop: arrivals do not wait for answers. The package does no I/O, reads no clock and starts no
+// goroutine. A Generator must not be used concurrently.
 package workload
 
 import (
@@ -11,68 +11,67 @@
 	"gatetack/internal/scale/fleet"
 )
 
-// Kind is what kind of job a task belongs to.
+// Kind is the kind of job that a task belongs to.
 type Kind uint8
 
 // The kinds of jobs.
 const (
 	Plain Kind = iota // one task
-	Array             // members start one by one
-	// Gang members are to start together. The protocol has no gangs, so that they are single tasks that are due together.
+	Array             // members start independently
+	// Gang members should start together. The protocol has no gangs, so they are single tasks that are due together.
 	Gang
-	Urgent // one task that is to start within fleet.UrgentWithin
+	Urgent // one task that should start within fleet.UrgentStartTarget
 	Kinds
 )
 
-// String names a kind.
+// String returns the name of the kind.
 func (k Kind) String() string { return [Kinds]string{"plain", "array", "gang", "urgent"}[k] }
 
-// Task is one unit of work that is due at a moment, whatever the outcome of those before.
+// Task is one unit of work. It is due at a fixed time, independent of the outcomes of earlier tasks.
 type Task struct {
-	Number     int           // from 1 on
-	Due        time.Duration // since the load's start
-	Job        int           // its number, from 0 on
-	Size       int           // tasks of the job, which follow one another
+	Number     int           // counts from 1
+	Due        time.Duration // time since the load's start
+	Job        int           // number of its job, counts from 0
+	Size       int           // number of tasks in the job; they are consecutive
 	Kind       Kind
-	Batch      bool // the job comes through a batch front, whole
+	Batch      bool // the whole job is submitted through a batch front
 	Class      int
 	Tenant     int
-	Dispatcher int // to which the client sends it
+	Dispatcher int // number of the dispatcher that the client sends it to
 	Slots      int
 	Run        time.Duration
 }
 
-// The mix by which the operators' figures agree: 57,000 jobs a day are 0.66 a second; at the peak, six times
-// that, 4.0 jobs a second, of which 1.4 are plain, 1.0 urgent and 0.4 gangs of 69 on the mean. The rest are
-// arrays, whose members make up 1,500 task starts a second: 1,225 each. With tasks of 56 s there are 84,000
-// running.
+// jobsPerSecond is a job mix that matches the operators' figures. 57,000 jobs a day are 0.66 a second; the peak is
+// six times that, 4.0 a second: 1.4 plain, 1.0 urgent, 0.4 gangs of 69 tasks on average, and 1.2 arrays. An array
+// has 1,225 tasks on average, so that there are 1,500 task starts a second. With tasks of 56 s, 84,000 are running.
 var jobsPerSecond = [Kinds]float64{Plain: 1.4, Array: 1.2, Gang: 0.4, Urgent: 1.0}
 
 const (
-	peakStarts    = 1500.0 // starts a second at which gangs have their full sizes
+	peakStarts    = 1500.0 // starts a second from which gangs have their full sizes
 	minFullGang   = 8      // tasks
 	maxFullGang   = 256    // tasks
-	minGang       = 2      // tasks, at a rate below the peak
-	maxArrayMeans = 4      // bounds an array's size, in means of all arrays
-	keyedShare    = 0.46   // of the jobs that are not urgent
+	minGang       = 2      // tasks, at rates below the peak
+	maxArrayMeans = 4      // maximum size of an array, in mean sizes
+	keyedShare    = 0.46   // share of the jobs that are not urgent
 )
 
-// seedStream tells this generator's random numbers from others of the same seed.
+// seedStream makes this generator's random numbers independent of others drawn from the same seed.
 const seedStream = 0x10ad
 
-// meanGang is the mean of sizes from the smallest to the largest, each doubling as often as the next.
+// meanGang is the mean gang size. Sizes are distributed log-uniformly from minFullGang to maxFullGang.
 var meanGang = (maxFullGang - minFullGang) / math.Log(maxFullGang/minFullGang)
 
-// Generator draws tasks in the order in which they are due.
+// Generator generates tasks in the order in which they are due.
 type Generator struct {
 	description fleet.Description
 	random      *rand.Rand
 	next        [Kinds]time.Duration // when the next job of each kind is due
 	jobs, tasks int
-	pending     []Task // of the job that was drawn last
+	pending     []Task // remaining tasks of the last drawn job
 }
 
-// New makes a generator. Equal descriptions give equal loads.
+// New returns a generator. Equal descriptions give equal loads.
 func New(d fleet.Description) *Generator {
 	g := &Generator{description: d, random: rand.New(rand.NewPCG(d.Seed, seedStream))}
 	for kind := range Kinds {
@@ -81,7 +80,7 @@
 	return g
 }
 
-// Next returns the next task, and false once the load's time is over.
+// Next returns the next task, or false at the end of the load.
 func (g *Generator) Next() (Task, bool) {
 	if len(g.pending) == 0 && !g.drawJob() {
 		return Task{}, false
@@ -91,7 +90,7 @@
 	return next, true
 }
 
-// rate is how many starts a second are asked for at a moment: even, or on a ramp.
+// rate returns the requested task starts per second at a time: constant, or on a linear ramp.
 func (g *Generator) rate(at time.Duration) float64 {
 	d := &g.description
 	if d.StartsTo <= d.Starts {
@@ -100,7 +99,7 @@
 	return d.Starts + (d.StartsTo-d.Starts)*min(1, float64(at)/float64(d.Duration))
 }
 
-// drawJob makes the tasks of the job that is due next.
+// drawJob generates the tasks of the next job that is due. It returns false at the end of the load.
 func (g *Generator) drawJob() bool {
 	kind := Plain
 	for k, at := range g.next {
@@ -118,8 +117,8 @@
 	return true
 }
 
-// timeToNextJob is the time to the next job of a kind. Arrays come so that their members keep the rate, whatever sizes
-// were drawn; the others come by chance.
+// timeToNextJob returns the time to the next job of a kind. The time after an array is proportional to its size, so
+// that the tasks of arrays keep the requested rate; other jobs arrive as a Poisson process.
 func (g *Generator) timeToNextJob(kind Kind, size int, at time.Duration) time.Duration {
 	if kind == Array {
 		return time.Duration(float64(size) / g.arrayRate(at) * (0.5 + g.random.Float64()) * float64(time.Second))
@@ -127,10 +126,10 @@
 	return time.Duration(g.random.ExpFloat64() / jobsPerSecond[kind] * float64(time.Second))
 }
 
-// gangScale is how far gangs are under their full sizes.
+// gangScale returns the size of gangs relative to their full size.
 func (g *Generator) gangScale(at time.Duration) float64 { return min(1, g.rate(at)/peakStarts) }
 
-// arrayRate is how many starts a second are left to arrays.
+// arrayRate returns the task starts per second that arrays contribute.
 func (g *Generator) arrayRate(at time.Duration) float64 {
 	gangs := jobsPerSecond[Gang] * max(minGang, meanGang*g.gangScale(at))
 	return max(1, g.rate(at)-jobsPerSecond[Plain]-jobsPerSecond[Urgent]-gangs)
@@ -149,7 +148,7 @@
 	return 1
 }
 
-// appendTasks makes the tasks of one appendTasks.
+// appendTasks appends the tasks of one job to the pending ones.
 func (g *Generator) appendTasks(kind Kind, size int, at time.Duration) {
 	d := &g.description
 	class := fleet.ClassOnce
@@ -166,7 +165,7 @@
 		g.tasks++
 		t := Task{Number: g.tasks, Due: at, Job: g.jobs, Size: size, Kind: kind, Batch: batch, Class: class, Tenant: tenant,
 			Dispatcher: (first + member) % d.TotalDispatchers(), Slots: 1, Run: run}
-		if !batch { // the members of a batch array have one template
+		if !batch { // the members of a batch array share one template, and so one running time
 			t.Run = g.run(class)
 		}
 		g.pending = append(g.pending, t)
@@ -174,7 +173,7 @@
 	g.jobs++
 }
 
-// Bounds of a task's run, in parts of what is expected of its class.
+// Bounds of a task's running time, relative to the mean of its class.
 const (
 	minRun = 0.2
 	maxRun = 3.0
--- a/internal/scale/workload/workload_test.go
+++ b/internal/scale/workload/workload_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// The mix gives the operators' figures: 1,500 starts a second from 4.0 jobs a second, which is six times 57,000
-// a day, and 84,000 running.
+// The job mix must match the operators' figures: 1,500 task starts a second from 4.0 jobs a second, which is six
+// times 57,000 a day, and 84,000 running tasks.
 func TestMixGivesTheOperatorsFigures(t *testing.T) {
 	d := fleet.Default()
 	d.Starts, d.Running, d.Duration, d.Tenants = 1500, 84000, 10*time.Minute, 450
@@ -44,13 +44,13 @@
 	}
 }
 
-// Equal seeds give equal loads, others others; tasks come in the order in which they are due, and each is within
-// its bounds.
+// Equal seeds must give equal loads, and different seeds different ones. Tasks must be in the order in which they are
+// due, and within the bounds of the description.
 func TestEqualSeedsDrawEqualLoadsInOrderOfTheirDueTimes(t *testing.T) {
 	d := fleet.Default()
 	one := all(d)
 	if !slices.Equal(one, all(d)) {
-		t.Error("two loads of one seed differ")
+		t.Error("two loads from the same seed differ")
 	}
 	kinds := map[Kind]int{}
 	for i, x := range one {
@@ -67,11 +67,11 @@
 	}
 	d.Seed++
 	if slices.Equal(one, all(d)) {
-		t.Error("two seeds give one load")
+		t.Error("two seeds give the same load")
 	}
 }
 
-// On a ramp the second half has more than the first.
+// On a ramp the second half must have at least twice as many tasks as the first.
 func TestRampDrawsMoreInItsSecondHalf(t *testing.T) {
 	d := fleet.Default()
 	d.Starts, d.StartsTo, d.Duration = 100, 1000, 2*time.Minute
@@ -80,6 +80,6 @@
 		halves[int(2*x.Due/d.Duration)]++
 	}
 	if halves[1] < 2*halves[0] {
-		t.Errorf("tasks in the halves of a ramp: %v", halves)
+		t.Errorf("tasks in the halves of a ramp: %v, want at least twice as many in the second", halves)
 	}
 }
