--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -153,36 +153,36 @@
 // readDescription reads the description file and overrides its fields by the flags that were given.
 func readDescription(cmd *cobra.Command, o *options) error {
 	if o.file != "" {
-		given := o.description
+		flags := o.description
 		text, err := os.ReadFile(o.file)
 		if err != nil {
 			return fmt.Errorf("description: %w", err)
 		}
-		read := fleet.Default()
+		description := fleet.Default()
 		dec := yaml.NewDecoder(bytes.NewReader(text))
 		dec.KnownFields(true)
-		if err := dec.Decode(&read); err != nil && !errors.Is(err, io.EOF) {
+		if err := dec.Decode(&description); err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("description %s: %w", o.file, err)
 		}
-		o.description = read
-		override(cmd, &o.description, &given)
+		o.description = description
+		override(cmd, &o.description, &flags)
 	}
 	return o.description.Check()
 }
 
 // override copies the fields whose flags were given.
-func override(cmd *cobra.Command, to, given *fleet.Description) {
-	for name, take := range map[string]func(){
-		"seed": func() { to.Seed = given.Seed }, "executors": func() { to.Executors = given.Executors },
-		"dispatchers": func() { to.Dispatchers = given.Dispatchers }, "hollow-dispatchers": func() { to.Hollow = given.Hollow }, "store-members": func() { to.StoreMembers = given.StoreMembers },
-		"tenants": func() { to.Tenants = given.Tenants }, "regions": func() { to.Regions = given.Regions },
-		"zones": func() { to.ZonesPerRegion = given.ZonesPerRegion }, "starts": func() { to.Starts = given.Starts },
-		"starts-to": func() { to.StartsTo = given.StartsTo }, "running": func() { to.Running = given.Running },
-		"duration": func() { to.Duration = given.Duration }, "dispatcher-memory": func() { to.MemoryMB = given.MemoryMB },
-		"dispatcher-sockets": func() { to.Sockets = given.Sockets }, "client-processes": func() { to.Clients = given.Clients }, "batch-share": func() { to.BatchShare = given.BatchShare },
+func override(cmd *cobra.Command, to, flags *fleet.Description) {
+	for name, set := range map[string]func(){
+		"seed": func() { to.Seed = flags.Seed }, "executors": func() { to.Executors = flags.Executors },
+		"dispatchers": func() { to.Dispatchers = flags.Dispatchers }, "hollow-dispatchers": func() { to.Hollow = flags.Hollow }, "store-members": func() { to.StoreMembers = flags.StoreMembers },
+		"tenants": func() { to.Tenants = flags.Tenants }, "regions": func() { to.Regions = flags.Regions },
+		"zones": func() { to.ZonesPerRegion = flags.ZonesPerRegion }, "starts": func() { to.Starts = flags.Starts },
+		"starts-to": func() { to.StartsTo = flags.StartsTo }, "running": func() { to.Running = flags.Running },
+		"duration": func() { to.Duration = flags.Duration }, "dispatcher-memory": func() { to.MemoryMB = flags.MemoryMB },
+		"dispatcher-sockets": func() { to.Sockets = flags.Sockets }, "client-processes": func() { to.Clients = flags.Clients }, "batch-share": func() { to.BatchShare = flags.BatchShare },
 	} {
 		if cmd.Flags().Changed(name) {
-			take()
+			set()
 		}
 	}
 }
--- a/internal/scale/faults/faults.go
+++ b/internal/scale/faults/faults.go
@@ -168,8 +168,8 @@
 	return out
 }
 
-func (s *schedule) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.random.Int64N(int64(most-least)))
+func (s *schedule) between(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(s.random.Int64N(int64(maximum-minimum)))
 }
 
 // outage kills executors at a time and restarts them after the duration down. The endpoint list shows both changes with a delay.
--- a/internal/scale/hollow/batch.go
+++ b/internal/scale/hollow/batch.go
@@ -65,9 +65,9 @@
 // callMembers makes a call to one member after another until one succeeds or the time by has passed.
 func (b *BatchClients) callMembers(ctx context.Context, a *array, by time.Time, call func(context.Context, *drmaa2.Client) error) error {
 	for {
-		calling, cancel := context.WithTimeout(ctx, batchCallTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, batchCallTimeout)
 		c := drmaa2.New(b.network.Batch(a.member), "")
-		err := call(calling, c)
+		err := call(callCtx, c)
 		c.Close()
 		cancel()
 		if err == nil || ctx.Err() != nil {
--- a/internal/scale/hollow/clients.go
+++ b/internal/scale/hollow/clients.go
@@ -187,12 +187,12 @@
 		return c.submitHollow(ctx, d, t, dispatcher, request, deadline)
 	}
 	id := verdict.ID(request)
-	conn, kept, err := c.connect(dispatcher)
+	conn, reused, err := c.connect(dispatcher)
 	if err != nil {
 		return verdict.Unreached, 0
 	}
-	left := time.Until(deadline)
-	if left <= 0 {
+	timeLeft := time.Until(deadline)
+	if timeLeft <= 0 {
 		c.keep(dispatcher, conn)
 		return verdict.Rejected, 0
 	}
@@ -200,7 +200,7 @@
 	defer stop()
 	e := c.submittedEvent(t, dispatcher, request, deadline)
 	fields := []http1.Field{{Name: "X-Trace-Id", Value: id}, {Name: "X-Customer", Value: fleet.TenantName(t.Tenant)},
-		{Name: "X-Expires-In-Ms", Value: strconv.FormatInt(left.Milliseconds(), 10)}, {Name: "Idempotency-Key", Value: "key-" + strconv.Itoa(t.Number)},
+		{Name: "X-Expires-In-Ms", Value: strconv.FormatInt(timeLeft.Milliseconds(), 10)}, {Name: "Idempotency-Key", Value: "key-" + strconv.Itoa(t.Number)},
 		{Name: "X-Props", Value: "slots=" + strconv.Itoa(t.Slots)}}
 	if err := conn.Send("POST", target(t), []byte("task"), fields); err != nil {
 		_ = conn.Close()
@@ -216,14 +216,14 @@
 		_ = conn.Close()
 		c.record.Add(verdict.Event{Kind: verdict.GivenUp, Request: request})
 		return verdict.ConnectionBroken, 0
-	case err != nil && kept && !conn.parser.Started() && time.Since(sent) < closeRaceWindow:
+	case err != nil && reused && !conn.parser.Started() && time.Since(sent) < closeRaceWindow:
 		// A dispatcher may close an idle connection at the moment a request is sent on it. It has not read that request.
 		_ = conn.Close()
 		c.record.Add(verdict.Event{Kind: verdict.Answered, Answer: verdict.Unreached, Request: request})
 		return verdict.Unreached, 0
 	case err != nil:
 		_ = conn.Close()
-		c.record.Add(verdict.Event{Kind: verdict.Answered, Answer: verdict.ConnectionBroken, Request: request, Kept: kept})
+		c.record.Add(verdict.Event{Kind: verdict.Answered, Answer: verdict.ConnectionBroken, Request: request, Kept: reused})
 		return verdict.ConnectionBroken, 0
 	}
 	answer, retry := parseAnswer(m, id)
@@ -244,12 +244,12 @@
 
 // submitHollow makes one request to a hollow dispatcher, as submit does to a real one.
 func (c *Clients) submitHollow(ctx context.Context, d *Dispatcher, t workload.Task, number int, request uint64, deadline time.Time) (verdict.Answer, time.Duration) {
-	left := time.Until(deadline)
-	if left <= 0 {
+	timeLeft := time.Until(deadline)
+	if timeLeft <= 0 {
 		return verdict.Rejected, 0
 	}
 	c.record.Add(c.submittedEvent(t, number, request, deadline))
-	answer, retry, answered := d.submit(ctx, t, verdict.ID(request), left, deadline.Add(c.rules.AnswerSlack+answerGrace))
+	answer, retry, answered := d.submit(ctx, t, verdict.ID(request), timeLeft, deadline.Add(c.rules.AnswerSlack+answerGrace))
 	switch {
 	case answered:
 		c.record.Add(verdict.Event{Kind: verdict.Answered, Answer: answer, Request: request})
@@ -284,7 +284,7 @@
 }
 
 // connect returns an idle connection to a dispatcher, or a new one.
-func (c *Clients) connect(dispatcher int) (conn *Conn, kept bool, err error) {
+func (c *Clients) connect(dispatcher int) (conn *Conn, reused bool, err error) {
 	c.mu.Lock()
 	if list := c.idle[dispatcher]; len(list) > 0 {
 		conn = list[len(list)-1]
--- a/internal/scale/hollow/discovery.go
+++ b/internal/scale/hollow/discovery.go
@@ -137,10 +137,10 @@
 		}
 		return a, s.changed
 	}
-	told := map[int]bool{}
+	listed := map[int]bool{}
 	for _, i := range s.log[index-firstIndex:] {
-		if !told[i] {
-			told[i] = true
+		if !listed[i] {
+			listed[i] = true
 			a.Endpoints = append(a.Endpoints, s.entries[i])
 		}
 	}
@@ -185,8 +185,8 @@
 	if err != nil {
 		index = 0
 	}
-	beat := time.NewTicker(heartbeatInterval)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		a, changed := s.since(index, dispatcher)
 		text := []byte("\n")
@@ -203,7 +203,7 @@
 		index = a.Index
 		select {
 		case <-changed:
-		case <-beat.C:
+		case <-heartbeat.C:
 		case <-ctx.Done():
 			return
 		}
--- a/internal/scale/hollow/dispatcher.go
+++ b/internal/scale/hollow/dispatcher.go
@@ -81,14 +81,14 @@
 func (w waiter) Answer(a node.Answer) { w <- a }
 
 // submit submits a task and waits for its answer until a time.
-func (d *Dispatcher) submit(ctx context.Context, t workload.Task, id string, left time.Duration, by time.Time) (a verdict.Answer, retry time.Duration, answered bool) {
+func (d *Dispatcher) submit(ctx context.Context, t workload.Task, id string, timeLeft time.Duration, deadline time.Time) (a verdict.Answer, retry time.Duration, answered bool) {
 	w := make(waiter, 1)
-	job := node.Job{Class: t.Class, Tenant: t.Tenant, TimeLeft: left, Slots: float64(t.Slots), TraceID: id, IdempotencyKey: fmt.Sprintf("key-%d", t.Number),
+	job := node.Job{Class: t.Class, Tenant: t.Tenant, TimeLeft: timeLeft, Slots: float64(t.Slots), TraceID: id, IdempotencyKey: fmt.Sprintf("key-%d", t.Number),
 		Method: "POST", Target: target(t), Body: []byte("task")}
 	if _, err := d.core.Submit(job, w); err != nil {
 		return verdict.Rejected, minRetryInterval, true
 	}
-	timer := time.NewTimer(time.Until(by))
+	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
 	case got := <-w:
--- a/internal/scale/hollow/executor.go
+++ b/internal/scale/hollow/executor.go
@@ -118,8 +118,8 @@
 	for caller := anyDispatcher; caller < e.settings.StoreMembers; caller++ {
 		ln, err := net.Listen("tcp", e.network.Executor(number, caller))
 		if err != nil {
-			for _, had := range out {
-				_ = had.Close()
+			for _, listener := range out {
+				_ = listener.Close()
 			}
 			return nil, err
 		}
@@ -206,11 +206,11 @@
 			return
 		}
 		if m == nil {
-			begun := parser.Started()
+			started := parser.Started()
 			if _, err := in.Fill(c); err != nil {
 				return
 			}
-			if !begun {
+			if !started {
 				firstByte = x.record.Now()
 			}
 			continue
--- a/internal/scale/play/inject.go
+++ b/internal/scale/play/inject.go
@@ -11,13 +11,13 @@
 
 // inject carries out the actions of the faults at their times.
 func (r *run) inject(ctx context.Context) {
-	var slow sync.WaitGroup
-	defer slow.Wait()
+	var background sync.WaitGroup
+	defer background.Wait()
 	for _, a := range r.actions {
 		select {
 		case <-time.After(time.Until(r.loadStart.Add(a.At))):
 			if a.Kind == faults.KillLeader || a.Kind == faults.RestartLeader {
-				slow.Go(func() { r.act(ctx, a) })
+				background.Go(func() { r.act(ctx, a) })
 				continue
 			}
 			r.act(ctx, a)
@@ -63,13 +63,13 @@
 
 // listReady lists the executors that are up as ready, with their start times.
 func (r *run) listReady(executors []int) {
-	born := map[time.Time][]int{}
+	byStart := map[time.Time][]int{}
 	for _, x := range executors {
 		if at, up := r.executors.Booted(x); up {
-			born[at] = append(born[at], x)
+			byStart[at] = append(byStart[at], x)
 		}
 	}
-	for at, group := range born {
+	for at, group := range byStart {
 		r.discovery.Set(group, hollow.StatusReady, at)
 	}
 }
--- a/internal/scale/play/play.go
+++ b/internal/scale/play/play.go
@@ -119,21 +119,21 @@
 	r.starter = process.NewStarter()
 	defer r.starter.Close()
 
-	stand, leave := context.WithCancel(context.Background())
+	environment, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
 	defer func() {
 		r.stopDispatchers()
-		leave()
+		cancel()
 		_ = g.Wait()
 	}()
 	r.record = hollow.NewRecord()
-	if err := r.startEnvironment(stand, g); err != nil {
+	if err := r.startEnvironment(environment, g); err != nil {
 		return nil, err
 	}
 	if err := r.startDispatchers(ctx); err != nil {
 		return nil, err
 	}
-	return r.play(ctx, stand)
+	return r.play(ctx, environment)
 }
 
 // startEnvironment starts the hollow parties around the dispatchers.
@@ -153,12 +153,12 @@
 	if _, err = hollow.NewPeers(ctx, g, d.TotalDispatchers(), d.DispatcherRegion, r.network, &r.traffic, r.cuts); err != nil {
 		return err
 	}
-	standing, err := r.hollowDispatchers(ctx, g)
+	hollowDispatchers, err := r.hollowDispatchers(ctx, g)
 	if err != nil {
 		return err
 	}
-	r.hollow = standing
-	r.clients = hollow.NewClients(d.Rules(), d.TotalDispatchers(), standing, r.network, r.record, &r.traffic)
+	r.hollow = hollowDispatchers
+	r.clients = hollow.NewClients(d.Rules(), d.TotalDispatchers(), hollowDispatchers, r.network, r.record, &r.traffic)
 	r.clients.UseBatch(d.StoreMembers)
 	r.changes = newChanges(r)
 	g.Go(func() error { r.lag.watch(ctx); return nil })
@@ -177,14 +177,14 @@
 var errAnswersPending = errors.New("answers were still pending after the longest deadline")
 
 // play runs the load, the faults and the measurement until they end.
-func (r *run) play(ctx context.Context, stand context.Context) (*result.Result, error) {
+func (r *run) play(ctx context.Context, environment context.Context) (*result.Result, error) {
 	d := &r.Description
 	time.Sleep(settleDuration)
 	rules := d.Rules()
 	longest := max(rules.Deadlines[fleet.ClassOnce], rules.Deadlines[fleet.ClassUrgent])
-	playing, end := context.WithCancelCause(ctx)
-	defer end(nil)
-	timer := time.AfterFunc(d.Duration+longest+r.grace(), func() { end(errAnswersPending) })
+	playCtx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	timer := time.AfterFunc(d.Duration+longest+r.grace(), func() { cancel(errAnswersPending) })
 	defer timer.Stop()
 
 	samples := newSampler(r)
@@ -193,26 +193,26 @@
 	if d.Clients > 0 {
 		r.loadStart = r.loadStart.Add(clientsStartDuration)
 	}
-	beside, stop := context.WithCancel(playing)
+	background, stop := context.WithCancel(playCtx)
 	var g errgroup.Group
-	g.Go(func() error { r.inject(beside); return nil })
+	g.Go(func() error { r.inject(background); return nil })
 	g.Go(func() error {
-		if err := samples.run(beside); err != nil {
-			end(err)
+		if err := samples.run(background); err != nil {
+			cancel(err)
 		}
 		return nil
 	})
-	r.submit(playing, samples)
+	r.submit(playCtx, samples)
 	played := time.Since(r.loadStart)
-	why := context.Cause(playing)
+	cause := context.Cause(playCtx)
 	stop()
 	_ = g.Wait()
 	samples.sample()
 	r.changes.wait()
 	r.clients.Close()
 	out := r.report(samples, played)
-	if why != nil {
-		out.Partial, out.PartialWhy = true, fmt.Sprint(why)
+	if cause != nil {
+		out.Partial, out.PartialWhy = true, fmt.Sprint(cause)
 	}
-	return out, stand.Err()
+	return out, environment.Err()
 }
--- a/internal/scale/play/play_test.go
+++ b/internal/scale/play/play_test.go
@@ -101,17 +101,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tasks, told := int64(0), int64(0)
+	tasks, notified := int64(0), int64(0)
 	for _, j := range r.Jobs {
 		tasks += j.Tasks
-		told += j.StartNotified.Count
+		notified += j.StartNotified.Count
 	}
 	load, want := workload.New(d), int64(0)
 	for _, ok := load.Next(); ok; _, ok = load.Next() {
 		want++
 	}
-	if c := r.Verdict.Counts; !r.RulesKept || r.Partial || tasks != want || int64(c.Served+c.Failed) != want || told == 0 {
-		t.Errorf("%d tasks of %d, %d starts notified; %+v %+v %v", tasks, want, told, c, r.Verdict.Violations, r.Notes)
+	if c := r.Verdict.Counts; !r.RulesKept || r.Partial || tasks != want || int64(c.Served+c.Failed) != want || notified == 0 {
+		t.Errorf("%d tasks of %d, %d starts notified; %+v %+v %v", tasks, want, notified, c, r.Verdict.Violations, r.Notes)
 	}
 	if n := len(r.Processes); n != d.Dispatchers+1+d.Clients {
 		t.Errorf("%d processes measured", n)
--- a/internal/scale/play/sample.go
+++ b/internal/scale/play/sample.go
@@ -118,8 +118,8 @@
 }
 
 // noteSaturation records the first process that is saturated.
-func (s *sampler) noteSaturation(name string, now time.Time, span time.Duration, cores, may float64) {
-	if s.saturated == nil && span > sampleInterval/2 && cores >= saturatedShare*may {
+func (s *sampler) noteSaturation(name string, now time.Time, span time.Duration, cores, available float64) {
+	if s.saturated == nil && span > sampleInterval/2 && cores >= saturatedShare*available {
 		s.saturated = &result.Saturated{Process: name, AtSeconds: now.Sub(s.r.loadStart).Seconds(), Cores: cores, StartsPerS: s.r.requestedRate(now)}
 	}
 }
--- a/internal/scale/verdict/cold.go
+++ b/internal/scale/verdict/cold.go
@@ -39,9 +39,9 @@
 func (c *coldBudgets) died(e Event) { delete(c.incarnations, e.Executor) }
 
 func (c *coldBudgets) listed(e Event) {
-	life := c.incarnations[e.Executor]
-	if life != nil && e.Condition == Ready && life.listedAt[e.Dispatcher] == 0 {
-		life.listedAt[e.Dispatcher] = e.At
+	incarnation := c.incarnations[e.Executor]
+	if incarnation != nil && e.Condition == Ready && incarnation.listedAt[e.Dispatcher] == 0 {
+		incarnation.listedAt[e.Dispatcher] = e.At
 	}
 }
 
@@ -52,32 +52,32 @@
 
 // attempt records an attempt that reached an executor, and reports whether the executor is now over its budget.
 func (c *coldBudgets) attempt(e Event) (overBudget, bool) {
-	life := c.incarnations[e.Executor]
-	if life == nil {
+	incarnation := c.incarnations[e.Executor]
+	if incarnation == nil {
 		return overBudget{}, false
 	}
-	since := e.At - life.booted
+	since := e.At - incarnation.booted
 	if since >= c.rules.SlowStartDuration {
 		delete(c.incarnations, e.Executor)
 		return overBudget{}, false
 	}
-	life.arrived = append(life.arrived, arrival{e.At, e.Work, e.Dispatcher})
+	incarnation.arrived = append(incarnation.arrived, arrival{e.At, e.Work, e.Dispatcher})
 	var sent, informed, largest time.Duration
-	for i := len(life.arrived) - 1; i >= 0 && life.arrived[i].at > e.At-c.rules.OverloadWindow; i-- {
-		a := life.arrived[i]
+	for i := len(incarnation.arrived) - 1; i >= 0 && incarnation.arrived[i].at > e.At-c.rules.OverloadWindow; i-- {
+		a := incarnation.arrived[i]
 		sent += a.work
 		largest = max(largest, a.work)
-		if c.informed(life, a) {
+		if c.informed(incarnation, a) {
 			informed += a.work
 		}
 	}
-	budget := time.Duration(c.rules.OverloadMultiple * c.share(since+c.rules.TimeTolerance) * float64(life.slots) * float64(c.rules.OverloadWindow))
+	budget := time.Duration(c.rules.OverloadMultiple * c.share(since+c.rules.TimeTolerance) * float64(incarnation.slots) * float64(c.rules.OverloadWindow))
 	over := sent-largest > budget && float64(informed) >= minInformedShare*float64(sent)
 	return overBudget{sent, budget}, over
 }
 
 // informed reports whether the dispatcher of an arrival was notified of the incarnation, or counts as notified.
-func (c *coldBudgets) informed(life *coldIncarnation, a arrival) bool {
-	told := life.listedAt[a.dispatcher]
-	return told > 0 && told <= a.at || a.at-life.booted >= c.rules.MaxListDelay
+func (c *coldBudgets) informed(incarnation *coldIncarnation, a arrival) bool {
+	listedAt := incarnation.listedAt[a.dispatcher]
+	return listedAt > 0 && listedAt <= a.at || a.at-incarnation.booted >= c.rules.MaxListDelay
 }
--- a/internal/scale/verdict/drains.go
+++ b/internal/scale/verdict/drains.go
@@ -17,23 +17,23 @@
 }
 
 func (d *drains) listed(e Event) {
-	told := d.listedAt[e.Dispatcher]
+	listedAt := d.listedAt[e.Dispatcher]
 	if e.Condition == Ready {
-		delete(told, e.Executor)
+		delete(listedAt, e.Executor)
 		return
 	}
-	if _, ok := told[e.Executor]; !ok {
-		told[e.Executor] = e.At
+	if _, ok := listedAt[e.Executor]; !ok {
+		listedAt[e.Executor] = e.At
 	}
 }
 
 // late reports whether an attempt's first byte was sent after the grace of its executor's drain, and how long after the dispatcher was
 // notified of the drain.
 func (d *drains) late(e Event) (time.Duration, bool) {
-	told, ok := d.listedAt[e.Dispatcher][e.Executor]
+	listedAt, ok := d.listedAt[e.Dispatcher][e.Executor]
 	if !ok {
 		return 0, false
 	}
-	since := e.FirstByte - told
+	since := e.FirstByte - listedAt
 	return since, since > d.rules.DrainGrace+d.rules.TimeTolerance
 }
--- a/internal/scale/virtual/dispatcher.go
+++ b/internal/scale/virtual/dispatcher.go
@@ -159,17 +159,17 @@
 	}
 }
 
-func (d *dispatcher) healthCheck(worker uint32) {
+func (d *dispatcher) healthCheck(executor uint32) {
 	w := d.world
 	w.counts.HealthChecks++
-	i, ok := w.byID[worker]
+	i, ok := w.byID[executor]
 	if !ok {
 		return
 	}
 	x := w.executors[i]
-	trip := 2 * w.latency(d.number, x)
-	w.after(trip, func() {
-		e := dispatch.Event{Kind: dispatch.EvHealthCheck, Executor: worker, Outcome: dispatch.ConnectFailed, Elapsed: millis(trip)}
+	roundTrip := 2 * w.latency(d.number, x)
+	w.after(roundTrip, func() {
+		e := dispatch.Event{Kind: dispatch.EvHealthCheck, Executor: executor, Outcome: dispatch.ConnectFailed, Elapsed: millis(roundTrip)}
 		if x.up {
 			e.Outcome, e.Report = dispatch.Served, x.report()
 		}
--- a/internal/scale/virtual/world_test.go
+++ b/internal/scale/virtual/world_test.go
@@ -97,9 +97,9 @@
 	if c.RunningPeak < 40 || c.RunningPeak > 400 {
 		t.Errorf("peak of %d running tasks, want 40 to 400 for a target mean of 90", c.RunningPeak)
 	}
-	for _, told := range c.StartLatencies[workload.Urgent] {
-		if told < 2*sameZoneLatency || told > fleet.UrgentStartTarget {
-			t.Errorf("start of an urgent task notified %v after it was due", told)
+	for _, latency := range c.StartLatencies[workload.Urgent] {
+		if latency < 2*sameZoneLatency || latency > fleet.UrgentStartTarget {
+			t.Errorf("start of an urgent task notified %v after it was due", latency)
 		}
 	}
 }
