--- a/internal/actorhost/explore_test.go
+++ b/internal/actorhost/explore_test.go
@@ -14,7 +14,7 @@
 }
 
 type modelNode struct {
-	loaded         bool
+	copy           bool
 	epoch, version uint8
 	last           uint8
 	pending        txn
@@ -56,12 +56,12 @@
 				x.nodes[i].lease = true
 			}
 			push(x)
-			if !n.loaded && n.pending.kind == 0 && w.owner == uint8(i) {
+			if !n.copy && n.pending.kind == 0 && w.owner == uint8(i) {
 				x := w
-				x.nodes[i].loaded, x.nodes[i].epoch, x.nodes[i].version, x.nodes[i].last = true, w.epoch, w.version, w.last
+				x.nodes[i].copy, x.nodes[i].epoch, x.nodes[i].version, x.nodes[i].last = true, w.epoch, w.version, w.last
 				push(x)
 			}
-			if n.loaded && n.pending.kind == 0 {
+			if n.copy && n.pending.kind == 0 {
 				if next := w.answered + 1; next <= calls {
 					x := w
 					if n.last >= next { // answered before: the answer is remembered
@@ -78,7 +78,7 @@
 					push(x)
 				}
 			}
-			if !n.loaded && n.pending.kind == 0 && w.owner != uint8(i) && w.epoch < epochs && (!w.nodes[1-i].lease || !g.lease) {
+			if !n.copy && n.pending.kind == 0 && w.owner != uint8(i) && w.epoch < epochs && (!w.nodes[1-i].lease || !g.lease) {
 				x := w
 				x.nodes[i].pending = txn{3, w.epoch, 0, 0}
 				push(x)
@@ -87,7 +87,7 @@
 				continue
 			}
 			x = w // the transaction is not committed, or not known to be: the copy is read again
-			x.nodes[i].pending, x.nodes[i].loaded = txn{}, false
+			x.nodes[i].pending, x.nodes[i].copy = txn{}, false
 			push(x)
 			made := n.pending.epoch == w.epoch || !g.epoch
 			x = w
@@ -95,7 +95,7 @@
 			switch n.pending.kind {
 			case 1:
 				if made = made && (n.pending.version == w.version || !g.version); !made {
-					x.nodes[i].loaded = false
+					x.nodes[i].copy = false
 					push(x)
 					continue
 				}
@@ -108,14 +108,14 @@
 				x.last, x.version = n.pending.number, w.version+1
 				x.nodes[i].last, x.nodes[i].version = x.last, x.version
 				lost := x
-				lost.nodes[i].loaded = false // the result of the transaction was lost
+				lost.nodes[i].copy = false // the result of the transaction was lost
 				push(lost)
 				x.answered = max(x.answered, n.pending.number)
 			case 2, 3:
 				if n.pending.kind == 3 {
 					made = made && (!w.nodes[1-i].lease || !g.lease)
 				}
-				x.nodes[i].loaded = false
+				x.nodes[i].copy = false
 				if made {
 					x.epoch++
 					if x.owner = uint8(i); n.pending.kind == 2 {
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -104,8 +104,8 @@
 }
 
 // newFront returns a front that has read the stored records.
-func newFront(c Core, s jobstore.Store, life time.Time) *Front {
-	f := New(Options{Core: c, Store: s, Node: "n0", Version: "test", StartedAt: life, Limits: testenv.Limits, Log: testenv.DiscardLog})
+func newFront(c Core, s jobstore.Store, startedAt time.Time) *Front {
+	f := New(Options{Core: c, Store: s, Node: "n0", Version: "test", StartedAt: startedAt, Limits: testenv.Limits, Log: testenv.DiscardLog})
 	if s != nil {
 		if err := f.load(context.Background()); err == nil {
 			close(f.loaded)
@@ -191,27 +191,27 @@
 // After a restart a job's state follows from its record, or from the lack of one.
 func TestJobsOfEarlierIncarnations(t *testing.T) {
 	c, m := &fakeCore{}, &memoryStore{values: map[string][]byte{}}
-	began := time.Now()
-	f := newFront(c, m, began)
+	startedAt := time.Now()
+	f := newFront(c, m, startedAt)
 	_, v, _ := call(f, "POST", "/jobs", validTemplate)
 	id := v.Get("jobId").String()
-	later := newFront(c, m, began.Add(time.Second))
-	look := func(id, state, sub string) {
+	later := newFront(c, m, startedAt.Add(time.Second))
+	check := func(id, state, sub string) {
 		t.Helper()
 		status, v, _ := call(later, "GET", "/jobs/"+id, "")
 		if status != 200 || v.Get("jobState").String() != state || v.Get("jobSubState").String() != sub {
 			t.Errorf("%s: status %d, body %s, want %s %s", id, status, v.Raw, state, sub)
 		}
 	}
-	look(id, "FAILED", "unsent")
+	check(id, "FAILED", "unsent")
 	if err := c.jobs[0].BeforeSend("s-1"); err != nil {
 		t.Fatal(err)
 	}
-	look(id, "UNDETERMINED", "")
-	look("n0.1.9", "UNDETERMINED", "")
-	look("n7.1.9", "UNDETERMINED", "")
+	check(id, "UNDETERMINED", "")
+	check("n0.1.9", "UNDETERMINED", "")
+	check("n7.1.9", "UNDETERMINED", "")
 	m.err = errors.New("no leader")
-	look(id, "UNDETERMINED", "")
+	check(id, "UNDETERMINED", "")
 	for _, bad := range []string{"", "x", "n0.1", "n0.zz.1", "n0.1.0", "..", "n0.7fffffffffffffff.1"} {
 		if status, _, _ := call(later, "GET", "/jobs/"+bad+"/wait", ""); status != 404 {
 			t.Errorf("%q: status %d", bad, status)
@@ -237,7 +237,7 @@
 
 // A corrupted template is rejected with the name of a field, or is valid and names a class and a tenant. A record
 // survives encoding and decoding.
-func TestGarbage(t *testing.T) {
+func TestMalformedTemplates(t *testing.T) {
 	f := newFront(&fakeCore{}, nil, time.Now())
 	full := `{"jobName":"a","jobCategory":"area-render","accountingId":"maavaade","remoteCommand":"/area-render/x","payload":"p","minSlots":2,"deadlineTime":"2099-01-01T00:00:00Z"}`
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/batch/control.go
+++ b/internal/batch/control.go
@@ -154,11 +154,11 @@
 	}
 	f.mu.Unlock()
 	if !done {
-		what := "release: it is not on hold"
+		action := "release: it is not on hold"
 		if held {
-			what = "hold: it was handed over already"
+			action = "hold: it was handed over already"
 		}
-		return conflict(j.record(), "nothing to "+what)
+		return conflict(j.record(), "nothing to "+action)
 	}
 	f.wake()
 	if err := f.writeRecord(ctx, j, nil); err != nil {
--- a/internal/batch/fleet_test.go
+++ b/internal/batch/fleet_test.go
@@ -46,7 +46,7 @@
 	return s.memoryStore.Write(ctx, changes...)
 }
 
-func (f *Front) queueCounts() (waiting, out, known, jobs int) {
+func (f *Front) queueCounts() (waiting, inFlight, known, jobs int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.queue.Waiting(), f.queue.InFlight(), len(f.waiting), len(f.jobs)
@@ -57,7 +57,7 @@
 // counted.
 func TestPartitionLostDuringHandOver(t *testing.T) {
 	held := strings.Replace(validTemplate, "{", `{"submitAsHold":true,`, 1)
-	begin := func() (*manualCore, *sharedStore, *Front, string, string) {
+	start := func() (*manualCore, *sharedStore, *Front, string, string) {
 		e, s := &manualCore{}, &sharedStore{memoryStore: &memoryStore{values: map[string][]byte{}}}
 		f := New(Options{Core: e, Store: s, Router: s, Node: "n0", Version: "test", StartedAt: time.Now(), Limits: testenv.Limits, Log: testenv.DiscardLog})
 		if err := f.load(t.Context()); err != nil {
@@ -83,7 +83,7 @@
 		f.pump(t.Context()) // panics if the queue has an entry without a job
 	}
 	t.Run("writing", func(t *testing.T) {
-		_, s, f, _, part := begin()
+		_, s, f, _, part := start()
 		s.slow = make(chan bool)
 		done := make(chan bool)
 		go func() { f.pump(t.Context()); close(done) }()
@@ -98,7 +98,7 @@
 		empty(f)
 	})
 	t.Run("with the core", func(t *testing.T) {
-		e, s, f, _, part := begin()
+		e, s, f, _, part := start()
 		f.pump(t.Context())
 		clients, _ := e.take()
 		if len(clients) != 1 {
@@ -111,7 +111,7 @@
 		empty(f)
 	})
 	t.Run("being taken", func(t *testing.T) {
-		e, s, f, _, part := begin()
+		e, s, f, _, part := start()
 		s.lose()
 		f.pump(t.Context()) // the partition was dropped before the job was registered, without a later notification
 		if clients, _ := e.take(); len(clients) != 0 {
--- a/internal/batch/late.go
+++ b/internal/batch/late.go
@@ -90,10 +90,10 @@
 	}
 	r, v := parseRecord(value), gjson.ParseBytes(body)
 	f.mu.Lock()
-	alive := f.jobs[id] != nil
+	running := f.jobs[id] != nil
 	f.mu.Unlock()
 	switch {
-	case !found || alive || r.State.final() || r.Trace != v.Get("id").String() || !slices.Contains(r.Machines, v.Get("from").String()):
+	case !found || running || r.State.final() || r.Trace != v.Get("id").String() || !slices.Contains(r.Machines, v.Get("from").String()):
 		return http1.Response{Status: 204}
 	case r.State != Undetermined:
 		return tryLater("the job has not been taken up yet")
--- a/internal/batch/monitor.go
+++ b/internal/batch/monitor.go
@@ -32,11 +32,11 @@
 }
 
 func (f *Front) supports(capability string) http1.Response {
-	has, known := Capabilities[capability]
+	supported, known := Capabilities[capability]
 	if !known {
 		return problem(400, "INVALID_ARGUMENT", "capability", "no capability of DRMAAv2 is named "+quote(capability))
 	}
-	return jsonResponse(200, map[string]any{"capability": capability, "supported": has})
+	return jsonResponse(200, map[string]any{"capability": capability, "supported": supported})
 }
 
 // categories lists the classes (JobSession::jobCategories).
--- a/internal/conformance/tester.go
+++ b/internal/conformance/tester.go
@@ -21,13 +21,13 @@
 
 // tester calls the endpoint for the cases.
 type tester struct {
-	ctx      context.Context
-	address  string
-	limits   limits.Limits
-	category string // of which jobs are submitted
-	account  string // of those jobs; empty: none is sent
-	session  string // job session of this run
-	names    int    // counter of uniqueName
+	ctx       context.Context
+	address   string
+	limits    limits.Limits
+	category  string // of which jobs are submitted
+	account   string // of those jobs; empty: none is sent
+	session   string // job session of this run
+	nameCount int    // counter of uniqueName
 }
 
 // request is one call to the endpoint.
@@ -152,8 +152,8 @@
 
 // uniqueName returns a name that no other case uses.
 func (t *tester) uniqueName(what string) string {
-	t.names++
-	return t.session + "-" + what + strconv.Itoa(t.names)
+	t.nameCount++
+	return t.session + "-" + what + strconv.Itoa(t.nameCount)
 }
 
 // hasValue checks one field of a response.
