--- a/internal/actor/actor_test.go
+++ b/internal/actor/actor_test.go
@@ -194,21 +194,21 @@
 	fn := compile(f, BookingFunction)
 	d := New("d", fn)
 	d, _, _ = d.Apply(fn, call(1, `{"op":"book","slot":"1","forMs":5}`))
-	whole := d.Encode()
+	encoded := d.Encode()
 	f.Add(0, byte(0))
 	f.Add(9, byte(1))
-	f.Add(len(whole)-2, byte(128))
+	f.Add(len(encoded)-2, byte(128))
 	f.Fuzz(func(t *testing.T, at int, bit byte) {
-		if at < 0 || at >= len(whole) {
+		if at < 0 || at >= len(encoded) {
 			return
 		}
-		if _, err := Decode(whole[:at]); !errors.As(err, new(*StoredError)) {
+		if _, err := Decode(encoded[:at]); !errors.As(err, new(*StoredError)) {
 			t.Errorf("truncated at %d: error %v, want a StoredError", at, err)
 		}
-		bad := bytes.Clone(whole)
+		bad := bytes.Clone(encoded)
 		bad[at] ^= bit
 		got, err := Decode(bad)
-		if bit != 0 && !errors.As(err, new(*StoredError)) || bit == 0 && (err != nil || !bytes.Equal(got.Encode(), whole)) {
+		if bit != 0 && !errors.As(err, new(*StoredError)) || bit == 0 && (err != nil || !bytes.Equal(got.Encode(), encoded)) {
 			t.Errorf("byte %d changed by %x: error %v", at, bit, err)
 		}
 	})
--- a/internal/actorhost/explore_test.go
+++ b/internal/actorhost/explore_test.go
@@ -129,22 +129,22 @@
 	return len(seen), violation
 }
 
-// With all guards the migration loses no call, applies none twice, and only the owner applies calls. The exploration
-// finds a violation without the epoch, and without the epoch and the version of the actor. The lease is not a guard:
-// without it, an actor is only taken over sooner.
+// With all guards the migration loses no call, applies none twice, and only the owner applies calls. Without the epoch
+// the exploration must find a violation; without the epoch and the version of the actor a call is lost or applied
+// twice. The lease is not a guard: without it, an actor is only taken over sooner.
 func TestMigrationStatesExplored(t *testing.T) {
-	states, wrong := explore(guards{true, true, true}, 3, 5)
+	states, violation := explore(guards{true, true, true}, 3, 5)
 	t.Logf("%d states", states)
-	if wrong != "" || states < 10000 {
-		t.Errorf("%s in %d states", wrong, states)
+	if violation != "" || states < 10000 {
+		t.Errorf("%s in %d states", violation, states)
 	}
-	if _, wrong := explore(guards{true, true, false}, 3, 5); wrong != "" {
-		t.Errorf("without leases: %s", wrong)
+	if _, violation := explore(guards{true, true, false}, 3, 5); violation != "" {
+		t.Errorf("without leases: %s", violation)
 	}
-	if _, wrong := explore(guards{false, true, true}, 3, 5); wrong == "" {
+	if _, violation := explore(guards{false, true, true}, 3, 5); violation == "" {
 		t.Error("no violation found without the epoch")
 	}
-	if _, wrong := explore(guards{false, false, true}, 3, 5); wrong == "" {
+	if _, violation := explore(guards{false, false, true}, 3, 5); violation == "" {
 		t.Error("no violation found without the epoch and the version")
 	}
 }
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -40,7 +40,7 @@
 // Placer returns the price of each zone for a job that names its inputs, and a reason. The function ended must be
 // called once when the job ends, with the executor that ran it, if any, and whether it was served.
 type Placer interface {
-	Place(inputs []string, class int, left time.Duration) (prices []float64, why string, ended func(box string, served bool))
+	Place(inputs []string, class int, timeLeft time.Duration) (prices []float64, why string, ended func(box string, served bool))
 }
 
 // ActorHandler handles calls to actors, under the path /desks.
--- a/internal/batch/events.go
+++ b/internal/batch/events.go
@@ -31,8 +31,8 @@
 	added       chan struct{} // closed when the next event is added
 }
 
-func newEvents(life int64, size int) *events {
-	return &events{incarnation: life, ring: make([]Event, max(size, 1)), added: make(chan struct{})}
+func newEvents(incarnation int64, size int) *events {
+	return &events{incarnation: incarnation, ring: make([]Event, max(size, 1)), added: make(chan struct{})}
 }
 
 // setIncarnation sets the incarnation that cursors carry. A client with a cursor of the previous one is notified that
--- a/internal/batch/fleet_test.go
+++ b/internal/batch/fleet_test.go
@@ -82,7 +82,7 @@
 		}
 		f.pump(t.Context()) // panics if the queue has an entry without a job
 	}
-	t.Run("writing", func(t *testing.T) {
+	t.Run("recording the hand-over", func(t *testing.T) {
 		_, s, f, _, part := start()
 		s.slow = make(chan bool)
 		done := make(chan bool)
@@ -97,7 +97,7 @@
 		<-done
 		empty(f)
 	})
-	t.Run("with the core", func(t *testing.T) {
+	t.Run("in the core", func(t *testing.T) {
 		e, s, f, _, part := start()
 		f.pump(t.Context())
 		clients, _ := e.take()
@@ -110,7 +110,7 @@
 		clients[0].Answer(node.Answer{End: node.Rejected, Reason: "no room"})
 		empty(f)
 	})
-	t.Run("being taken", func(t *testing.T) {
+	t.Run("being queued", func(t *testing.T) {
 		e, s, f, _, part := start()
 		s.lose()
 		f.pump(t.Context()) // the partition was dropped before the job was registered, without a later notification
--- a/internal/batch/hard_test.go
+++ b/internal/batch/hard_test.go
@@ -413,8 +413,8 @@
 	last := ""
 	for _, l := range lines {
 		c := gjson.Get(l, "cursor").String()
-		var n, life int
-		if _, err := fmt.Sscanf(c, "%x.%d", &life, &n); err != nil || last != "" && fmt.Sprintf("%x.%d", life, n-1) != last {
+		var n, incarnation int
+		if _, err := fmt.Sscanf(c, "%x.%d", &incarnation, &n); err != nil || last != "" && fmt.Sprintf("%x.%d", incarnation, n-1) != last {
 			t.Errorf("cursor %s follows %s", c, last)
 		}
 		last = c
--- a/internal/batch/ids.go
+++ b/internal/batch/ids.go
@@ -50,11 +50,11 @@
 	}
 	node, text, ok := cutLastDot(head)
 	number, err := strconv.ParseUint(last, 10, 64)
-	life, err2 := strconv.ParseInt(text, 16, 64)
-	if !ok || err != nil || err2 != nil || number == 0 || node == "" || life < 0 {
+	incarnation, err2 := strconv.ParseInt(text, 16, 64)
+	if !ok || err != nil || err2 != nil || number == 0 || node == "" || incarnation < 0 {
 		return n, false
 	}
-	n.node, n.incarnation, n.number = node, life, number
+	n.node, n.incarnation, n.number = node, incarnation, number
 	return n, true
 }
 
--- a/internal/batch/sweep.go
+++ b/internal/batch/sweep.go
@@ -10,7 +10,7 @@
 
 // sweeper is a store that can delete old records.
 type sweeper interface {
-	Sweep(kind string, most jobstore.Usage, limit int, fate func(key string, value []byte) jobstore.Retention) (int, error)
+	Sweep(kind string, limits jobstore.Usage, limit int, fate func(key string, value []byte) jobstore.Retention) (int, error)
 }
 
 // sweep deletes the records of jobs that ended long ago, and the oldest ones beyond the limits.
