--- a/drmaa2/events.go
+++ b/drmaa2/events.go
@@ -15,9 +15,9 @@
 // streamRetryPause is how long Events waits before it reconnects.
 const streamRetryPause = 200 * time.Millisecond
 
-// Events calls each for every job state change after a cursor, or from now on if the cursor is empty, until each
-// returns an error, the node rejects the stream, or ctx ends. After a broken connection it reconnects and continues
-// without gaps or duplicates.
+// Events calls each for every job state change after a cursor, or from now on if the cursor is empty. It returns when
+// each returns an error, the node rejects the stream, the first connection fails without a cursor to continue from,
+// or ctx ends. After any other broken connection it reconnects and continues without gaps or duplicates.
 func (c *Client) Events(ctx context.Context, after string, each func(Event) error) error {
 	for {
 		received, err := c.stream(ctx, &after, each)
