--- a/test/batch_test.go
+++ b/test/batch_test.go
@@ -97,7 +97,7 @@
 			t.Errorf("the tile-charge with key %s was started %d times", key, n)
 		}
 	}
-	s.balanced()
+	s.checkCounts()
 	_, batch := s.drmaa("GET", "/counts", "")
 	if one, two := batch.Raw, s.counts().Raw; one != two {
 		t.Errorf("the fronts differ: %s and %s", one, two)
--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -57,8 +57,8 @@
 	return built, nil
 })
 
-// stepped makes the site run the program of steppedProgram, whose wall clock can be set.
-func (s *testNode) stepped() {
+// useSteppableClock makes the node run the program of steppedProgram, whose wall clock can be set.
+func (s *testNode) useSteppableClock() {
 	s.t.Helper()
 	built, err := steppedProgram()
 	if err != nil {
@@ -70,8 +70,9 @@
 
 func (s *testNode) clockFile() string { return filepath.Join(s.dir, "clock") }
 
-// step sets the offset of the process's wall clock from the machine's and returns once the process has applied it.
-func (s *testNode) step(off time.Duration) {
+// stepWallClock sets the offset of the process's wall clock from the machine's and returns once the process has applied
+// it.
+func (s *testNode) stepWallClock(off time.Duration) {
 	s.t.Helper()
 	text := strconv.FormatInt(int64(off/time.Second), 10)
 	if err := os.WriteFile(s.clockFile()+".new", []byte(text), 0o600); err != nil {
@@ -106,14 +107,14 @@
 	return answers
 }
 
-// began waits until all executors together have received the given number of attempts of a job.
-func (s *testNode) began(id string, times int) {
+// awaitStarts waits until all executors together have received the given number of attempts of a job.
+func (s *testNode) awaitStarts(id string, times int) {
 	s.t.Helper()
 	s.until(fmt.Sprintf("attempt %d of %s has started", times, id), func() bool { return len(s.starts()[id]) == times })
 }
 
-// report sends the callback by which an executor reports the final state of a job.
-func (s *testNode) report(b *testenv.Executor, id, state string) {
+// sendCallback sends the callback by which an executor reports the final state of a job.
+func (s *testNode) sendCallback(b *testenv.Executor, id, state string) {
 	s.t.Helper()
 	body := fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"result":"made","load":{"queue":0,"x0":2}}`, id, b.Name, state)
 	if m, err := testenv.Call(s.listen, "POST", "/callback", []byte(body)); err != nil || m.Status >= 300 {
@@ -121,8 +122,8 @@
 	}
 }
 
-// muted makes the executors accept jobs without sending callbacks. The test reports the final states itself.
-func (s *testNode) muted() {
+// disableCallbacks makes the executors accept jobs without sending callbacks. The test reports the final states itself.
+func (s *testNode) disableCallbacks() {
 	for _, b := range s.executors {
 		b.Set(func(how *testenv.Behavior) { how.NoCallbacks, how.JobDuration = true, 0 })
 	}
@@ -148,24 +149,24 @@
 // gets the result. A request whose executor is unresponsive still ends at its deadline, also if the clock is set back.
 func TestClockStepsDuringRequests(t *testing.T) {
 	s := newTestNode(t, 1, 0)
-	s.stepped()
-	s.muted()
+	s.useSteppableClock()
+	s.disableCallbacks()
 	s.start()
 	for i, step := range clocktest.Steps {
-		s.step(0)
+		s.stepWallClock(0)
 		id := jobID(2 * i)
 		answers := s.send("tile-charge", id)
-		s.began(id, 1)
-		s.step(step)
-		s.report(s.executors[0], id, "done")
+		s.awaitStarts(id, 1)
+		s.stepWallClock(step)
+		s.sendCallback(s.executors[0], id, "done")
 		if got := <-answers; got.status != 200 {
 			t.Errorf("step %v during a request: %+v", step, got)
 		}
-		s.step(0)
+		s.stepWallClock(0)
 		id = jobID(2*i + 1)
-		answers = s.sendFor(id, 700)
-		s.began(id, 1)
-		s.step(step)
+		answers = s.sendWithTimeLeft(id, 700)
+		s.awaitStarts(id, 1)
+		s.stepWallClock(step)
 		if got := <-answers; got.err != nil || got.status == 200 {
 			t.Errorf("step %v, unresponsive executor: %+v", step, got)
 		}
@@ -177,8 +178,8 @@
 	}
 }
 
-// sendFor posts a job whose client allows it the given time in milliseconds.
-func (s *testNode) sendFor(id string, left int) <-chan answer {
+// sendWithTimeLeft posts a job whose client allows it the given time in milliseconds.
+func (s *testNode) sendWithTimeLeft(id string, left int) <-chan answer {
 	answers := make(chan answer, 1)
 	go func() {
 		m, err := testenv.Call(s.listen, "POST", "/tile-charge/cut", []byte("body of "+id), header("X-Trace-Id", id),
@@ -196,23 +197,23 @@
 // so the request is sent again, once.
 func TestClockStepsWithinARepeatWindow(t *testing.T) {
 	s := newTestNode(t, 2, 0)
-	s.stepped()
-	s.muted()
+	s.useSteppableClock()
+	s.disableCallbacks()
 	s.start()
 	for i, step := range clocktest.Steps {
-		s.step(0)
+		s.stepWallClock(0)
 		id := jobID(i)
 		answers := s.send("area-render", id)
-		s.began(id, 1)
+		s.awaitStarts(id, 1)
 		first := s.executorOf(id)
-		s.step(step)
-		s.report(first, id, "failed")
-		s.began(id, 2)
+		s.stepWallClock(step)
+		s.sendCallback(first, id, "failed")
+		s.awaitStarts(id, 2)
 		second := s.executors[0]
 		if second == first {
 			second = s.executors[1]
 		}
-		s.report(second, id, "done")
+		s.sendCallback(second, id, "done")
 		if got := <-answers; got.status != 200 {
 			t.Errorf("step %v: %+v", step, got)
 		}
@@ -227,18 +228,18 @@
 func TestClockStepsBeyondARepeatWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	s := newTestNode(t, 2, 0)
-	s.stepped()
-	s.muted()
+	s.useSteppableClock()
+	s.disableCallbacks()
 	s.settingsJSON = strings.Replace(defaultSettings, `"window":40000.0`, fmt.Sprintf(`"window":%d`, window.Milliseconds()), 1)
 	s.start()
 	for i, step := range clocktest.Steps {
-		s.step(0)
+		s.stepWallClock(0)
 		id := jobID(i)
 		answers := s.send("area-render", id)
-		s.began(id, 1)
-		s.step(step)
+		s.awaitStarts(id, 1)
+		s.stepWallClock(step)
 		<-time.After(window) // the window started before the attempt did
-		s.report(s.executorOf(id), id, "failed")
+		s.sendCallback(s.executorOf(id), id, "failed")
 		if got := <-answers; got.err != nil || got.status == 200 {
 			t.Errorf("step %v: %+v", step, got)
 		}
@@ -252,8 +253,8 @@
 // in flight there gets its result.
 func TestClockStepsDuringADrain(t *testing.T) {
 	s := newTestNode(t, 2, 0)
-	s.stepped()
-	s.muted()
+	s.useSteppableClock()
+	s.disableCallbacks()
 	s.start()
 	listed := func(b *testenv.Executor, status string) {
 		s.discovery.Put(b, status)
@@ -263,19 +264,19 @@
 		})
 	}
 	for i, step := range clocktest.Steps {
-		s.step(0)
+		s.stepWallClock(0)
 		id := jobID(10 * i)
 		answers := s.send("tile-charge", id)
-		s.began(id, 1)
+		s.awaitStarts(id, 1)
 		drains := s.executorOf(id)
 		listed(drains, "draining")
 		before := len(drains.Starts())
-		s.step(step)
+		s.stepWallClock(step)
 		for k := range 3 {
 			other := jobID(10*i + k + 1)
 			more := s.send("tile-charge", other)
-			s.began(other, 1)
-			s.report(s.executorOf(other), other, "done")
+			s.awaitStarts(other, 1)
+			s.sendCallback(s.executorOf(other), other, "done")
 			if got := <-more; got.status != 200 {
 				t.Errorf("step %v, job sent during the drain: %+v", step, got)
 			}
@@ -283,7 +284,7 @@
 		if n := len(drains.Starts()) - before; n != 0 {
 			t.Errorf("step %v: %d jobs started on a draining executor", step, n)
 		}
-		s.report(drains, id, "done")
+		s.sendCallback(drains, id, "done")
 		if got := <-answers; got.status != 200 {
 			t.Errorf("step %v, job on the draining executor: %+v", step, got)
 		}
@@ -296,18 +297,18 @@
 func TestClockStepsDuringShutdown(t *testing.T) {
 	for i, step := range clocktest.Steps {
 		s := newTestNode(t, 1, 0)
-		s.stepped()
-		s.muted()
+		s.useSteppableClock()
+		s.disableCallbacks()
 		s.start()
 		id := jobID(i)
 		answers := s.send("tile-charge", id)
-		s.began(id, 1)
+		s.awaitStarts(id, 1)
 		ended := make(chan error, 1)
 		process := s.process
 		go func() { ended <- s.terminate() }()
 		s.until("the process is shutting down", func() bool { return s.logContains("msg=leaving") })
-		s.step(step)
-		s.report(s.executors[0], id, "done")
+		s.stepWallClock(step)
+		s.sendCallback(s.executors[0], id, "done")
 		if got := <-answers; got.status != 200 {
 			t.Errorf("step %v: %+v", step, got)
 		}
@@ -322,7 +323,7 @@
 func TestDatesFollowTheWallClock(t *testing.T) {
 	f := makeFleet(t, 1, time.Millisecond)
 	s := f[0]
-	s.stepped()
+	s.useSteppableClock()
 	s.start()
 	at := time.Now().Add(time.Hour).UTC()
 	id := s.submitUntilAccepted(t, fmt.Sprintf(`{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"dated","startTime":%q}`, at.Format(time.RFC3339Nano)))
@@ -353,7 +354,7 @@
 		return v.Get("jobState").String() + " " + v.Get("jobSubState").String(), gjson.GetBytes(m.Body, "state.rung").Int()
 	}
 	for _, step := range []time.Duration{-time.Hour, 30 * time.Minute} {
-		s.step(step)
+		s.stepWallClock(step)
 		// A job without a start time passes through the same queue after the step. Once it is done, the queue has
 		// checked the start times again.
 		now := s.submitUntilAccepted(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"now"}`)
@@ -365,12 +366,12 @@
 			t.Errorf("step %v: the job is %s and the timer fired %d times", step, job, rung)
 		}
 	}
-	s.step(time.Hour + time.Minute)
+	s.stepWallClock(time.Hour + time.Minute)
 	s.until("the job has run and the timer has fired", func() bool {
 		job, rung := read()
 		return strings.HasPrefix(job, "DONE") && rung == 1
 	})
-	s.step(0)
+	s.stepWallClock(0)
 	if n := f.starts("dated"); n != 1 {
 		t.Errorf("the job with a start time started %d times", n)
 	}
@@ -384,11 +385,11 @@
 func TestClockStepsDuringLeaseAndTakeover(t *testing.T) {
 	f := makeFleet(t, 3, time.Millisecond)
 	for _, s := range f {
-		s.stepped()
+		s.useSteppableClock()
 	}
 	f.startAll()
 	for _, s := range f {
-		s.until("it holds its lease", func() bool { return strings.Contains(s.wholeLog(), `msg="partition claimed"`) })
+		s.until("it holds its lease", func() bool { return strings.Contains(s.allLogs(), `msg="partition claimed"`) })
 	}
 	template := `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q,"submitAsHold":true}`
 	run := func(s *testNode, id string) {
@@ -410,11 +411,11 @@
 			payload := fmt.Sprintf("job %d %d", i, k)
 			payloads = append(payloads, payload)
 			id := s.submitUntilAccepted(t, fmt.Sprintf(template, payload))
-			s.step(step * time.Duration(1-k)) // by step, 0 and -step
+			s.stepWallClock(step * time.Duration(1-k)) // by step, 0 and -step
 			run(s, id)
 		}
 	}
-	if n := f.claims(t); n != len(f) {
+	if n := f.checkClaims(t); n != len(f) {
 		t.Errorf("%d claims before any node failed, want %d", n, len(f))
 	}
 	held := map[string]string{}
@@ -424,12 +425,12 @@
 		held[payload] = f[0].submitUntilAccepted(t, fmt.Sprintf(template, payload))
 	}
 	f[0].kill()
-	f[1].step(time.Hour)
-	f[2].step(-time.Hour)
+	f[1].stepWallClock(time.Hour)
+	f[2].stepWallClock(-time.Hour)
 	for _, id := range held {
 		run(f[1], id)
 	}
-	if n := f.claims(t); n != len(f)+1 {
+	if n := f.checkClaims(t); n != len(f)+1 {
 		t.Errorf("%d claims after one node failed, want %d", n, len(f)+1)
 	}
 	for _, payload := range payloads {
--- a/test/desks_test.go
+++ b/test/desks_test.go
@@ -189,7 +189,7 @@
 			for _, x := range f {
 				x.kill()
 			}
-			s.copyFolder(before)
+			s.copyStoreDir(before)
 			for _, x := range f {
 				x.startWithoutWaiting()
 			}
@@ -197,7 +197,7 @@
 			for _, x := range f {
 				x.kill()
 			}
-			s.putBack(before)
+			s.restoreStoreDir(before)
 			for _, x := range f {
 				x.startWithoutWaiting()
 			}
@@ -212,11 +212,11 @@
 		case 2:
 			s.kill()
 			before := filepath.Join(t.TempDir(), "before")
-			s.copyFolder(before)
+			s.copyStoreDir(before)
 			s.startWithoutWaiting()
 			s.until("it writes again", func() bool { _, err := s.storeCommand("set", "mark", "k", fmt.Sprint(k)); return err == nil })
 			s.kill()
-			s.putBack(before)
+			s.restoreStoreDir(before)
 			s.startWithoutWaiting()
 		}
 		s.until("it is back", func() bool { _, err := s.storeCommand("set", "mark", "k", fmt.Sprint(k)); return err == nil })
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -358,7 +358,7 @@
 
 // With the fence taken out the same late owner does start a job that another had done: what the test above rests on is seen.
 func TestLateOwnerWithoutTheFence(t *testing.T) {
-	bare := without(t, failpoint.Fence)
+	bare := buildWithoutGuard(t, failpoint.Fence)
 	f := makeFleet(t, 3, 50*time.Millisecond)
 	for _, s := range f {
 		s.program = bare
--- a/test/golden_folder_test.go
+++ b/test/golden_folder_test.go
@@ -426,10 +426,10 @@
 		set("delete", "mark", "render2")
 		set("snapshot", filepath.Join(s.dir, "backup"))
 		set("restore", filepath.Join(s.dir, "backup"))
-		s.accept("set", "class/draft", draftClass)
-		s.accept("set", "tenant/maavaade", `{"quotaRps":21}`)
-		version := s.accept("set", "class/draft", `{"deadline":4000,"aim":800,"effect":"free"}`)
-		s.inForce(version, "n0")
+		s.changeSettings("set", "class/draft", draftClass)
+		s.changeSettings("set", "tenant/maavaade", `{"quotaRps":21}`)
+		version := s.changeSettings("set", "class/draft", `{"deadline":4000,"aim":800,"effect":"free"}`)
+		s.awaitInForce(version, "n0")
 		ids := s.fill()
 		s.kill()
 		writeArchive(t, s, ids, name, "store", "settings.json", "backup")
@@ -452,7 +452,7 @@
 	s.start()
 	untilGolden(t, "store-records.txt", func() string { return s.readRecords(ids) })
 	untilGolden(t, "store-tables.txt", s.readStore)
-	if !s.takes("draft", "00000000000000d0") {
+	if !s.servesClass("draft", "00000000000000d0") {
 		t.Error("the class that came through the store is not taken")
 	}
 	s.goesOn(ids)
--- a/test/golden_written_test.go
+++ b/test/golden_written_test.go
@@ -40,8 +40,8 @@
 	s.extraConfig = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {n0: %q}\nsettings:\n  enabled: true\n  cache: settings.json\n",
 		s.store, s.store)
 	s.start()
-	version := s.accept("set", "class/draft", draftClass)
-	s.inForce(version, "n0")
+	version := s.changeSettings("set", "class/draft", draftClass)
+	s.awaitInForce(version, "n0")
 	wait := func(path, state string) {
 		s.until(path+" is "+state, func() bool {
 			_, v := s.drmaa("GET", path, "")
--- a/test/links_test.go
+++ b/test/links_test.go
@@ -21,23 +21,24 @@
 )
 
 var (
-	runFaults = flag.Int("faults", 64, "number of faults that TestFaultsEverywhere injects; the long run uses 1200")
-	runSeed   = flag.Uint64("run-seed", 1, "random seed of TestFaultsEverywhere")
+	faultCount = flag.Int("faults", 64, "number of faults that TestFaultsEverywhere injects; the long run uses 1200")
+	faultSeed  = flag.Uint64("run-seed", 1, "random seed of TestFaultsEverywhere")
 )
 
-// linked is a fleet with a proxy on each link: between every two processes, for both the store and the batch address,
-// and from each process to its executors and its discovery.
-type linked struct {
+// proxiedFleet is a fleet with a proxy on each link: between every two processes, for both the store and the batch
+// address, and from each process to its executors and its discovery.
+type proxiedFleet struct {
 	fleet
-	between map[[2]int][]*testenv.Link // from, to
-	own     [][]*testenv.Link          // by process, to its executors and its discovery
-	steps   []string
-	rng     *rand.Rand
+	nodeLinks map[[2]int][]*testenv.Link // from, to
+	ownLinks  [][]*testenv.Link          // by process, to its executors and its discovery
+	steps     []string
+	rng       *rand.Rand
 }
 
-func newLinked(t *testing.T, n int, seed uint64, run time.Duration) *linked {
+func newProxiedFleet(t *testing.T, n int, seed uint64, run time.Duration) *proxiedFleet {
 	t.Helper()
-	l := &linked{between: map[[2]int][]*testenv.Link{}, own: make([][]*testenv.Link, n), rng: rand.New(rand.NewPCG(seed, 0))}
+	l := &proxiedFleet{nodeLinks: map[[2]int][]*testenv.Link{}, ownLinks: make([][]*testenv.Link, n),
+		rng: rand.New(rand.NewPCG(seed, 0))}
 	link := func(s *testNode, target string) *testenv.Link {
 		x, err := testenv.NewLink(s.ctx, s.g, target)
 		if err != nil {
@@ -52,7 +53,7 @@
 			for _, addr := range []string{to.store, to.batch} {
 				if k != i {
 					x := link(s, addr)
-					l.between[[2]int{i, k}] = append(l.between[[2]int{i, k}], x)
+					l.nodeLinks[[2]int{i, k}] = append(l.nodeLinks[[2]int{i, k}], x)
 					env = append(env, addr+"="+x.Addr)
 				}
 			}
@@ -60,12 +61,12 @@
 		s.env = append(s.env, "GATETACK_LINKS="+strings.Join(env, ","))
 		for rack, b := range s.executors {
 			x := link(s, b.Addr)
-			l.own[i] = append(l.own[i], x)
+			l.ownLinks[i] = append(l.ownLinks[i], x)
 			s.discovery.Put(&testenv.Executor{Name: b.Name, Addr: x.Addr, Zone: "tallinn", Type: "type-a", Group: rack + 1}, "ready")
 		}
 		x := link(s, s.discovery.Addr)
 		s.discovery.Addr = x.Addr
-		l.own[i] = append(l.own[i], x)
+		l.ownLinks[i] = append(l.ownLinks[i], x)
 	}
 	l.startAll()
 	t.Cleanup(func() {
@@ -76,27 +77,27 @@
 	return l
 }
 
-// cut blocks or unblocks the data from one process to another, on connections opened by either.
-func (l *linked) cut(from, to int, on bool) {
-	for _, x := range l.between[[2]int{from, to}] {
+// setBlocked blocks or unblocks the data from one process to another, on connections opened by either.
+func (l *proxiedFleet) setBlocked(from, to int, on bool) {
+	for _, x := range l.nodeLinks[[2]int{from, to}] {
 		x.Set(testenv.Fault{BlockUp: on})
 	}
-	for _, x := range l.between[[2]int{to, from}] {
+	for _, x := range l.nodeLinks[[2]int{to, from}] {
 		x.Set(testenv.Fault{BlockDown: on})
 	}
 }
 
-func (l *linked) each(i int, do func(*testenv.Link)) {
+func (l *proxiedFleet) eachLink(i int, do func(*testenv.Link)) {
 	for k := range l.fleet {
-		for _, x := range append(l.between[[2]int{i, k}], l.between[[2]int{k, i}]...) {
+		for _, x := range append(l.nodeLinks[[2]int{i, k}], l.nodeLinks[[2]int{k, i}]...) {
 			do(x)
 		}
 	}
 }
 
-// fault injects one random fault and returns the function that ends it. down holds the processes that do not run, at
-// most two of five.
-func (l *linked) fault(down map[int]bool) (lift func()) {
+// injectFault injects one random fault and returns the function that ends it. down holds the processes that do not run,
+// at most two of five.
+func (l *proxiedFleet) injectFault(down map[int]bool) (lift func()) {
 	n := len(l.fleet)
 	i, k := l.rng.IntN(n), l.rng.IntN(n-1)
 	if k >= i {
@@ -105,21 +106,21 @@
 	say := func(format string, args ...any) {
 		l.steps = append(l.steps, fmt.Sprintf("%3d %s", len(l.steps)+1, fmt.Sprintf(format, args...)))
 	}
-	heal := func() { l.cut(i, k, false); l.cut(k, i, false) }
+	heal := func() { l.setBlocked(i, k, false); l.setBlocked(k, i, false) }
 	alone := func(f testenv.Fault) func() {
-		l.each(i, func(x *testenv.Link) { x.Set(f) })
-		return func() { l.each(i, func(x *testenv.Link) { x.Set(testenv.Fault{}) }) }
+		l.eachLink(i, func(x *testenv.Link) { x.Set(f) })
+		return func() { l.eachLink(i, func(x *testenv.Link) { x.Set(testenv.Fault{}) }) }
 	}
 	s := l.fleet[i]
 	switch kind := l.rng.IntN(14); {
 	case kind == 0:
 		say("cut from n%d to n%d", i, k)
-		l.cut(i, k, true)
+		l.setBlocked(i, k, true)
 		return heal
 	case kind == 1:
 		say("cut between n%d and n%d", i, k)
-		l.cut(i, k, true)
-		l.cut(k, i, true)
+		l.setBlocked(i, k, true)
+		l.setBlocked(k, i, true)
 		return heal
 	case kind == 2:
 		say("n%d is cut off from all other processes", i)
@@ -127,7 +128,7 @@
 	case kind == 3:
 		say("n%d receives but cannot send", i)
 		for k := range n {
-			l.cut(i, k, true)
+			l.setBlocked(i, k, true)
 		}
 		return alone(testenv.Fault{BlockUp: false})
 	case kind == 4:
@@ -135,13 +136,13 @@
 		return alone(testenv.Fault{Delay: time.Duration(20+l.rng.IntN(200)) * time.Millisecond})
 	case kind == 5:
 		say("resets at n%d", i)
-		l.each(i, (*testenv.Link).Reset)
+		l.eachLink(i, (*testenv.Link).Reset)
 	case kind == 6:
 		after := 500 + l.rng.IntN(4000)
 		say("connections of n%d are reset after %d bytes", i, after)
 		return alone(testenv.Fault{ResetAfter: after})
 	case kind == 7:
-		x := l.own[i][l.rng.IntN(len(l.own[i]))]
+		x := l.ownLinks[i][l.rng.IntN(len(l.ownLinks[i]))]
 		f := testenv.Fault{BlockUp: l.rng.IntN(2) == 0, BlockDown: l.rng.IntN(2) == 0, ResetAfter: 100}
 		say("link to an executor or the discovery of n%d: %+v", i, f)
 		x.Set(f)
@@ -149,8 +150,8 @@
 		return func() { x.Set(testenv.Fault{}) }
 	case down[i] || len(down) > n/2-1:
 		say("resets at n%d and n%d", i, k)
-		l.each(i, (*testenv.Link).Reset)
-		l.each(k, (*testenv.Link).Reset)
+		l.eachLink(i, (*testenv.Link).Reset)
+		l.eachLink(k, (*testenv.Link).Reset)
 	case kind <= 9:
 		say("n%d is stopped", i)
 		s.signal(syscall.SIGSTOP)
@@ -183,13 +184,13 @@
 	return func() {}
 }
 
-// client records the responses that one client got.
-type client struct {
+// jobClient records the responses that one client got.
+type jobClient struct {
 	mu   sync.Mutex
-	jobs map[string]*kept // by payload
+	jobs map[string]*clientJob // by payload
 }
 
-type kept struct {
+type clientJob struct {
 	id, class string
 	held      bool
 	end       string // the final state, once one was reported
@@ -204,9 +205,9 @@
 	return m.Status, gjson.ParseBytes(m.Body)
 }
 
-// work submits jobs to random nodes until stop is closed. It repeats each submission under the job's own idempotency
-// key until a node accepts it, releases held jobs and records final states. A final state must not change.
-func (c *client) work(t *testing.T, f fleet, name string, rng *rand.Rand, stop <-chan struct{}) {
+// submitJobs submits jobs to random nodes until stop is closed. It repeats each submission under the job's own
+// idempotency key until a node accepts it, releases held jobs and records final states. A final state must not change.
+func (c *jobClient) submitJobs(t *testing.T, f fleet, name string, rng *rand.Rand, stop <-chan struct{}) {
 	ended := func() bool {
 		select {
 		case <-stop:
@@ -216,7 +217,7 @@
 		}
 	}
 	for n := 0; !ended(); n++ {
-		k := &kept{class: []string{"tile-charge", "area-render"}[rng.IntN(2)], held: rng.IntN(2) == 0}
+		k := &clientJob{class: []string{"tile-charge", "area-render"}[rng.IntN(2)], held: rng.IntN(2) == 0}
 		payload := fmt.Sprintf("%s-%d", name, n)
 		body := fmt.Sprintf(`{"jobCategory":%q,"accountingId":"maavaade","payload":%q,"idempotencyKey":%q,"submitAsHold":%v}`, k.class, payload, payload, k.held)
 		for k.id == "" { // repeated until a node accepts the job or stop is closed
@@ -239,14 +240,14 @@
 			if k.held {
 				f[rng.IntN(len(f))].call("POST", "/jobs/"+k.id+"/release", "")
 			}
-			c.look(t, f[rng.IntN(len(f))], payload, k)
+			c.pollState(t, f[rng.IntN(len(f))], payload, k)
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-// look queries a node for the state of a job and reports whether that is final.
-func (c *client) look(t *testing.T, s *testNode, payload string, k *kept) bool {
+// pollState queries a node for the state of a job and reports whether that is final.
+func (c *jobClient) pollState(t *testing.T, s *testNode, payload string, k *clientJob) bool {
 	status, v := s.call("GET", "/jobs/"+k.id, "")
 	if status != 200 {
 		return false
@@ -263,15 +264,16 @@
 	return state == "DONE" || state == "FAILED" || state == "UNDETERMINED"
 }
 
-var taken = regexp.MustCompile(`msg="partition claimed" partition=(\S+) epoch=(\d+) previous_epoch=(\d+)`)
+var claimPattern = regexp.MustCompile(`msg="partition claimed" partition=(\S+) epoch=(\d+) previous_epoch=(\d+)`)
 
-// claims reads all claims from the logs of the processes and returns their number. It checks that the claims of each
-// partition form one chain: each epoch occurs once, and each claim replaces an epoch no older than the claim before it.
-func (f fleet) claims(t *testing.T) (n int) {
+// checkClaims reads all claims from the logs of the processes and returns their number. It checks that the claims of
+// each partition form one chain: each epoch occurs once, and each claim replaces an epoch no older than that of the
+// claim before it.
+func (f fleet) checkClaims(t *testing.T) (n int) {
 	type claim struct{ epoch, was uint64 }
 	by := map[string][]claim{}
 	for _, s := range f {
-		for _, x := range taken.FindAllStringSubmatch(s.wholeLog(), -1) {
+		for _, x := range claimPattern.FindAllStringSubmatch(s.allLogs(), -1) {
 			epoch, _ := strconv.ParseUint(x[2], 10, 64)
 			was, _ := strconv.ParseUint(x[3], 10, 64)
 			by[x[1]] = append(by[x[1]], claim{epoch, was})
@@ -293,19 +295,19 @@
 // at every node. No at-most-once job started twice, and a keyed job started in one rack only. A job reported as never
 // run did not start, and one reported as done did.
 func TestFaultsEverywhere(t *testing.T) {
-	l := newLinked(t, 5, *runSeed, 30*time.Millisecond)
+	l := newProxiedFleet(t, 5, *faultSeed, 30*time.Millisecond)
 	stop := make(chan struct{})
 	var g sync.WaitGroup
-	clients := make([]*client, 4)
+	clients := make([]*jobClient, 4)
 	for i := range clients {
-		clients[i] = &client{jobs: map[string]*kept{}}
-		rng := rand.New(rand.NewPCG(*runSeed, uint64(i+1)))
-		g.Go(func() { clients[i].work(t, l.fleet, fmt.Sprint("c", i), rng, stop) })
+		clients[i] = &jobClient{jobs: map[string]*clientJob{}}
+		rng := rand.New(rand.NewPCG(*faultSeed, uint64(i+1)))
+		g.Go(func() { clients[i].submitJobs(t, l.fleet, fmt.Sprint("c", i), rng, stop) })
 	}
 	down := map[int]bool{}
 	var lifts []func()
-	for n := range *runFaults {
-		lifts = append(lifts, l.fault(down))
+	for n := range *faultCount {
+		lifts = append(lifts, l.injectFault(down))
 		time.Sleep(time.Duration(100+l.rng.IntN(300)) * time.Millisecond)
 		for len(lifts) > 0 && (len(lifts) > 3 || l.rng.IntN(3) == 0) {
 			lifts[0]()
@@ -324,11 +326,11 @@
 	}
 	close(stop)
 	g.Wait()
-	jobs := map[string]*kept{}
+	jobs := map[string]*clientJob{}
 	for _, c := range clients {
 		maps.Copy(jobs, c.jobs)
 	}
-	c := &client{}
+	c := &jobClient{}
 	ends := map[string]int{}
 	for payload, k := range jobs {
 		for _, s := range l.fleet {
@@ -336,7 +338,7 @@
 				if k.held {
 					s.call("POST", "/jobs/"+k.id+"/release", "")
 				}
-				return c.look(t, s, payload, k)
+				return c.pollState(t, s, payload, k)
 			})
 		}
 	}
@@ -367,15 +369,15 @@
 			t.Errorf("%s, job %s: reported as %s %s, but started at %v", payload, k.id, told[0], sub, at)
 		}
 	}
-	claims := l.claims(t)
-	t.Logf("%d faults, %d jobs, %d claims; final states %v", *runFaults, len(jobs), claims, ends)
-	if len(jobs) < *runFaults/2 || claims < 5 || ends["DONE "] == 0 {
+	claims := l.checkClaims(t)
+	t.Logf("%d faults, %d jobs, %d claims; final states %v", *faultCount, len(jobs), claims, ends)
+	if len(jobs) < *faultCount/2 || claims < 5 || ends["DONE "] == 0 {
 		t.Errorf("%d jobs with final states %v and %d claims: too few for a conclusive run", len(jobs), ends, claims)
 	}
 }
 
-// wholeLog returns the logs of all runs of the process.
-func (s *testNode) wholeLog() string {
+// allLogs returns the logs of all runs of the process.
+func (s *testNode) allLogs() string {
 	var all strings.Builder
 	names, _ := os.ReadDir(s.dir)
 	for _, x := range names {
@@ -393,9 +395,9 @@
 // its executors and clients. An owner that is cut off releases no job meanwhile. The test logs the time without an
 // owner and checks no bound on it.
 func TestTimeWithoutOwner(t *testing.T) {
-	l := newLinked(t, 3, 1, 20*time.Millisecond)
+	l := newProxiedFleet(t, 3, 1, 20*time.Millisecond)
 	old, other := l.fleet[0], l.fleet[1]
-	alone := func(f testenv.Fault) { l.each(0, func(x *testenv.Link) { x.Set(f) }) }
+	alone := func(f testenv.Fault) { l.eachLink(0, func(x *testenv.Link) { x.Set(f) }) }
 	for _, x := range []struct {
 		what        string
 		cause, lift func()
--- a/test/moments_test.go
+++ b/test/moments_test.go
@@ -32,8 +32,8 @@
 	return c
 }
 
-// ends waits for the program to exit and returns its exit error.
-func (s *testNode) ends() error {
+// awaitExitOrTimeout waits for the program to exit and returns its exit error.
+func (s *testNode) awaitExitOrTimeout() error {
 	s.t.Helper()
 	select {
 	case err := <-s.exited:
@@ -83,7 +83,7 @@
 	if all, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(all), "HTTP/1.1 503 ") {
 		t.Errorf("%q %v", all, err)
 	}
-	if err := s.ends(); err != nil {
+	if err := s.awaitExitOrTimeout(); err != nil {
 		t.Errorf("the process exited with %v", err)
 	}
 	if n := len(s.executors[0].Starts()); n != 0 {
@@ -105,7 +105,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := s.ends(); err != nil {
+	if err := s.awaitExitOrTimeout(); err != nil {
 		t.Errorf("the process exited with %v", err)
 	}
 	if !s.logContains("msg=leaving") {
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -58,8 +58,8 @@
 	return string(out), err
 }
 
-// accept repeats a settings change at a member until it is accepted and returns the version.
-func (s *testNode) accept(args ...string) uint64 {
+// changeSettings repeats a settings change at a member until it is accepted and returns the version.
+func (s *testNode) changeSettings(args ...string) uint64 {
 	s.t.Helper()
 	var out string
 	s.until("settings change is accepted: "+strings.Join(args, " "), func() bool {
@@ -70,14 +70,14 @@
 	return gjson.Get(out, "version").Uint()
 }
 
-// takes reports whether a process serves requests of a class.
-func (s *testNode) takes(class, id string) bool {
+// servesClass reports whether a process serves requests of a class.
+func (s *testNode) servesClass(class, id string) bool {
 	m, err := s.post(class, id)
 	return err == nil && m.Status == 200
 }
 
-// inForce waits until a member reports the version, or a later one, in force at each of the named processes.
-func (s *testNode) inForce(version uint64, names ...string) {
+// awaitInForce waits until a member reports the version, or a later one, in force at each of the named processes.
+func (s *testNode) awaitInForce(version uint64, names ...string) {
 	s.t.Helper()
 	s.until(fmt.Sprintf("settings version %d is in force at %v", version, names), func() bool {
 		out, err := s.settings("status", "--output", "json")
@@ -106,21 +106,21 @@
 // time creates no new version.
 func TestSettingsReachAll(t *testing.T) {
 	f := newSettingsFleet(t, 3, 2, nil)
-	version := f.fleet[1].accept("set", "class/draft", draftClass)
-	f.fleet[0].inForce(version, f.names()...)
+	version := f.fleet[1].changeSettings("set", "class/draft", draftClass)
+	f.fleet[0].awaitInForce(version, f.names()...)
 	for i, s := range f.fleet {
-		if !s.takes("draft", fmt.Sprintf("00000000000000%02x", i)) {
+		if !s.servesClass("draft", fmt.Sprintf("00000000000000%02x", i)) {
 			t.Errorf("%s has version %d in force but does not serve the class added by it", s.name, version)
 		}
 	}
-	if again := f.fleet[2].accept("set", "class/draft", draftClass); again != version {
+	if again := f.fleet[2].changeSettings("set", "class/draft", draftClass); again != version {
 		t.Errorf("repeating the same change returned version %d, want %d", again, version)
 	}
 	for i := range 20 {
-		version = f.fleet[i%3].accept("set", "tenant/maavaade", fmt.Sprintf(`{"quotaRps":%d}`, 20+i))
-		f.fleet[0].inForce(version, f.names()...)
+		version = f.fleet[i%3].changeSettings("set", "tenant/maavaade", fmt.Sprintf(`{"quotaRps":%d}`, 20+i))
+		f.fleet[0].awaitInForce(version, f.names()...)
 	}
-	f.reportRollout(t)
+	f.logRolloutTimes(t)
 	out, err := f.fleet[0].settings("status")
 	if err != nil || !strings.Contains(out, fmt.Sprintf("version %d accepted, in force at 5 of 5 processes", version)) {
 		t.Errorf("status: %v\n%s", err, out)
@@ -128,18 +128,18 @@
 }
 
 var (
-	loggedInForce  = regexp.MustCompile(`time=(\S+) \S+ msg="settings activated" version=(\d+)`)
-	loggedAccepted = regexp.MustCompile(`time=(\S+) \S+ msg="settings accepted" version=(\d+) changed=[1-9]\d* took=(\S+)`)
+	activationTimePattern = regexp.MustCompile(`time=(\S+) \S+ msg="settings activated" version=(\d+)`)
+	acceptancePattern     = regexp.MustCompile(`time=(\S+) \S+ msg="settings accepted" version=(\d+) changed=[1-9]\d* took=(\S+)`)
 )
 
-// reportRollout logs the time from the request for a change until the last process had it in force, taken from the
+// logRolloutTimes logs the time from the request for a change until the last process had it in force, taken from the
 // logs of the processes. It checks no bound.
-func (f *settingsFleet) reportRollout(t *testing.T) {
+func (f *settingsFleet) logRolloutTimes(t *testing.T) {
 	t.Helper()
 	asked, last := map[string]time.Time{}, map[string]time.Time{}
 	for _, s := range f.fleet {
-		log := s.wholeLog()
-		for _, m := range loggedAccepted.FindAllStringSubmatch(log, -1) {
+		log := s.allLogs()
+		for _, m := range acceptancePattern.FindAllStringSubmatch(log, -1) {
 			at, err := time.Parse(time.RFC3339Nano, m[1])
 			took, tookErr := time.ParseDuration(m[3])
 			if err != nil || tookErr != nil {
@@ -147,7 +147,7 @@
 			}
 			asked[m[2]] = at.Add(-took)
 		}
-		for _, m := range loggedInForce.FindAllStringSubmatch(log, -1) {
+		for _, m := range activationTimePattern.FindAllStringSubmatch(log, -1) {
 			at, err := time.Parse(time.RFC3339Nano, m[1])
 			if err != nil {
 				t.Fatalf("cannot parse log line %q: %v", m[0], err)
@@ -173,7 +173,7 @@
 // and the expected value; the settings stay unchanged. One invalid item rejects the whole change.
 func TestSettingsBadChanges(t *testing.T) {
 	f := newSettingsFleet(t, 3, 0, nil)
-	version := f.fleet[0].accept("set", "tenant/maavaade", `{"quotaRps":9}`)
+	version := f.fleet[0].changeSettings("set", "tenant/maavaade", `{"quotaRps":9}`)
 	file := filepath.Join(f.fleet[0].dir, "changes.yaml")
 	write := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -217,8 +217,8 @@
 	}
 	// A valid change of several items is applied as a whole.
 	write("class/draft: {deadline: 5000, aim: 900, effect: free}\ntenant/maavaade: null\ngeneral: {limits: {maxAttempts: 2}}\n")
-	next := f.fleet[2].accept("apply", file, "--if", fmt.Sprint(version))
-	f.fleet[1].inForce(next, f.names()...)
+	next := f.fleet[2].changeSettings("apply", file, "--if", fmt.Sprint(version))
+	f.fleet[1].awaitInForce(next, f.names()...)
 	out, err := f.fleet[1].settings("list", "--output", "json")
 	if keys := gjson.Get(out, "changes.#.key").Raw; err != nil || keys != `["class/draft","general"]` {
 		t.Errorf("settings after the valid change: %v %s", err, out)
@@ -236,19 +236,20 @@
 		other := f.fleet[(round+1)%3]
 		victim.kill()
 		for n := range 3 {
-			version := other.accept("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, 100*round+n+1))
+			version := other.changeSettings("set", "class/draft",
+				fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, 100*round+n+1))
 			if version <= last {
 				t.Errorf("version %d after %d", version, last)
 			}
 			last = version
 		}
-		other.inForce(last, f.fleet[3].name, f.fleet[4].name)
+		other.awaitInForce(last, f.fleet[3].name, f.fleet[4].name)
 		victim.start()
-		other.inForce(last, f.names()...)
+		other.awaitInForce(last, f.names()...)
 	}
 	for _, s := range f.fleet {
 		reached := uint64(0)
-		for _, order := range s.inForceOrders() {
+		for _, order := range s.activatedVersions() {
 			if !slices.IsSorted(order) {
 				t.Errorf("%s activated settings versions out of order: %v", s.name, order)
 			}
@@ -257,16 +258,16 @@
 		if reached != last {
 			t.Errorf("%s has settings version %d in force, want %d", s.name, reached, last)
 		}
-		if !s.takes("draft", "00000000000000c1") {
+		if !s.servesClass("draft", "00000000000000c1") {
 			t.Errorf("%s does not serve class draft", s.name)
 		}
 	}
 }
 
-var putInForce = regexp.MustCompile(`msg="settings activated" version=(\d+)`)
+var activationPattern = regexp.MustCompile(`msg="settings activated" version=(\d+)`)
 
-// inForceOrders reads from the logs the settings versions that a process activated, in order, for each of its runs.
-func (s *testNode) inForceOrders() (lives [][]uint64) {
+// activatedVersions reads from the logs the settings versions that a process activated, in order, for each of its runs.
+func (s *testNode) activatedVersions() (lives [][]uint64) {
 	s.t.Helper()
 	logs, err := filepath.Glob(filepath.Join(s.dir, "log*"))
 	if err != nil {
@@ -278,7 +279,7 @@
 			s.t.Fatal(err)
 		}
 		var order []uint64
-		for _, m := range putInForce.FindAllStringSubmatch(string(text), -1) {
+		for _, m := range activationPattern.FindAllStringSubmatch(string(text), -1) {
 			version, _ := strconv.ParseUint(m[1], 10, 64)
 			order = append(order, version)
 		}
@@ -306,7 +307,7 @@
 	})
 	cut := testenv.Fault{BlockUp: true, BlockDown: true}
 	set := func(aim int) uint64 {
-		return f.fleet[0].accept("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, aim))
+		return f.fleet[0].changeSettings("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, aim))
 	}
 	for i := range links { // links[i] is the only one that works
 		for k, link := range links {
@@ -314,19 +315,19 @@
 				link.Set(cut)
 			}
 		}
-		f.fleet[1].inForce(set(100+i), f.names()...)
+		f.fleet[1].awaitInForce(set(100+i), f.names()...)
 	}
 	for _, link := range links {
 		link.Set(cut)
 	}
 	version := set(200)
-	f.fleet[2].inForce(version, "n0", "n1", "n2", "f1")
+	f.fleet[2].awaitInForce(version, "n0", "n1", "n2", "f1")
 	f.fleet[0].until("the status names f0 as behind", func() bool {
 		out, err := f.fleet[2].settings("status")
 		return err == nil && strings.Contains(out, "not yet in force at f0") && strings.Count(out, "not yet in force") == 1
 	})
 	links[1].Set(testenv.Fault{})
-	f.fleet[2].inForce(version, f.names()...)
+	f.fleet[2].awaitInForce(version, f.names()...)
 }
 
 // A started process has the settings that were in force, not those of its base file. This covers a follower whose
@@ -334,13 +335,13 @@
 func TestSettingsAfterRestart(t *testing.T) {
 	f := newSettingsFleet(t, 3, 1, nil)
 	follower := f.fleet[3]
-	version := f.fleet[0].accept("set", "class/draft", draftClass)
-	f.fleet[0].inForce(version, f.names()...)
+	version := f.fleet[0].changeSettings("set", "class/draft", draftClass)
+	f.fleet[0].awaitInForce(version, f.names()...)
 
 	late := newTestNode(t, 2, 20*time.Millisecond)
 	late.name, late.extraConfig = "f9", strings.Replace(follower.extraConfig, "  cache: settings.json\n", "", 1)
 	late.start()
-	if !late.takes("draft", "00000000000000d0") {
+	if !late.servesClass("draft", "00000000000000d0") {
 		t.Error("a new process does not serve class draft from its start on")
 	}
 	late.kill()
@@ -349,7 +350,7 @@
 	}
 	for i, s := range []*testNode{follower, f.fleet[0]} {
 		s.start()
-		if !s.takes("draft", fmt.Sprintf("00000000000000d%d", i+1)) {
+		if !s.servesClass("draft", fmt.Sprintf("00000000000000d%d", i+1)) {
 			t.Errorf("%s, started alone, does not serve class draft", s.name)
 		}
 	}
@@ -364,7 +365,7 @@
 	}
 	f.fleet[1].start()
 	f.fleet[2].start()
-	follower.until("it serves class draft again", func() bool { return follower.takes("draft", "00000000000000d7") })
+	follower.until("it serves class draft again", func() bool { return follower.servesClass("draft", "00000000000000d7") })
 	// A process that has not contacted any restarted member is still reported as behind, until it is forgotten.
 	f.fleet[1].until("the status names f9 as behind", func() bool {
 		out, err := f.fleet[1].settings("status")
@@ -393,34 +394,34 @@
 	}
 	lacking := strings.TrimRight(defaultSettings[:from], " ,\n") + defaultSettings[to:] // has no class area-render
 	f := newSettingsFleet(t, 3, 2, func(f *settingsFleet) { f.fleet[4].settingsJSON = lacking })
-	version := f.fleet[0].accept("set", "class/area-render", `{"worth":3}`)
-	f.fleet[1].inForce(version, "n0", "n1", "n2", "f0")
+	version := f.fleet[0].changeSettings("set", "class/area-render", `{"worth":3}`)
+	f.fleet[1].awaitInForce(version, "n0", "n1", "n2", "f0")
 	odd := f.fleet[4]
 	odd.until("the status names f1 with the reason", func() bool {
 		out, err := f.fleet[2].settings("status")
 		return err == nil && strings.Contains(out, "in force at 4 of 5 processes") && strings.Contains(out, "not yet in force at f1") &&
 			strings.Contains(out, "class/area-render: deadline: absent, expected a value, as the base configuration has none of this name")
 	})
-	if odd.takes("area-render", "00000000000000e0") {
+	if odd.servesClass("area-render", "00000000000000e0") {
 		t.Error("f1 serves a class that it could not activate")
 	}
-	next := f.fleet[1].accept("set", "class/area-render", `{"deadline":25000,"effect":"free"}`)
-	f.fleet[2].inForce(next, f.names()...)
-	if !odd.takes("area-render", "00000000000000e1") {
+	next := f.fleet[1].changeSettings("set", "class/area-render", `{"deadline":25000,"effect":"free"}`)
+	f.fleet[2].awaitInForce(next, f.names()...)
+	if !odd.servesClass("area-render", "00000000000000e1") {
 		t.Error("f1 does not serve the class that it has in force")
 	}
 	// The reloaded base file takes effect, and the replicated settings still override it.
 	draft := `{"name":"draft","aim":900.0,"deadline":5000.0,"worth":2.0,"effect":"free","window":0.0},`
 	odd.writeConfig(odd.discovery.Addr, strings.Replace(lacking, `{"name":"tile-charge"`, draft+` {"name":"tile-charge"`, 1))
 	odd.signal(syscall.SIGHUP)
-	odd.until("the new base file is in force", func() bool { return odd.takes("draft", "00000000000000e2") })
-	if !odd.takes("area-render", "00000000000000e3") {
+	odd.until("the new base file is in force", func() bool { return odd.servesClass("draft", "00000000000000e2") })
+	if !odd.servesClass("area-render", "00000000000000e3") {
 		t.Error("SIGHUP dropped the class from the replicated settings")
 	}
-	back := f.fleet[0].accept("delete", "class/area-render")
-	f.fleet[0].inForce(back, f.names()...)
-	odd.until("the class is no longer served", func() bool { return !odd.takes("area-render", "00000000000000e4") })
-	if !odd.takes("draft", "00000000000000e5") || !f.fleet[0].takes("area-render", "00000000000000e6") {
+	back := f.fleet[0].changeSettings("delete", "class/area-render")
+	f.fleet[0].awaitInForce(back, f.names()...)
+	odd.until("the class is no longer served", func() bool { return !odd.servesClass("area-render", "00000000000000e4") })
+	if !odd.servesClass("draft", "00000000000000e5") || !f.fleet[0].servesClass("area-render", "00000000000000e6") {
 		t.Error("the classes of the base files are not served")
 	}
 }
@@ -430,7 +431,7 @@
 func TestSettingsAfterLongSilence(t *testing.T) {
 	f := newSettingsFleet(t, 1, 1, nil)
 	member, follower := f.fleet[0], f.fleet[1]
-	member.inForce(member.accept("set", "class/draft", draftClass), f.names()...)
+	member.awaitInForce(member.changeSettings("set", "class/draft", draftClass), f.names()...)
 	follower.signal(syscall.SIGSTOP)
 	file := filepath.Join(member.dir, "tenants.yaml")
 	var last uint64
@@ -442,10 +443,10 @@
 		if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		last = member.accept("apply", file)
+		last = member.changeSettings("apply", file)
 	}
 	follower.signal(syscall.SIGCONT)
-	member.inForce(last, f.names()...)
+	member.awaitInForce(last, f.names()...)
 	m, err := testenv.Call(follower.listen, "POST", "/tile-charge/cut", []byte("x"), header("X-Trace-Id", "00000000000000f1"), header("X-Customer", "t1019"),
 		header("X-Expires-In-Ms", "7500"), header("Idempotency-Key", "k1"))
 	if err != nil || m.Status != 200 {
@@ -478,23 +479,23 @@
 	})
 	n0, n1, n2 := f.fleet[0], f.fleet[1], f.fleet[2]
 	set := func(aim int) uint64 {
-		return n0.accept("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, aim))
+		return n0.changeSettings("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, aim))
 	}
 	away.Set(cut)
-	n1.inForce(set(100), f.names()...) // the follower now follows n2
+	n1.awaitInForce(set(100), f.names()...) // the follower now follows n2
 	away.Set(testenv.Fault{})
 	for _, link := range around {
 		link.Set(cut)
 	}
 	version := set(101)
-	n1.inForce(version, "n0", "n1", "f0")
+	n1.awaitInForce(version, "n0", "n1", "f0")
 	if out, err := n1.settings("status"); err != nil || !strings.Contains(out, "not asked: n2") || !strings.Contains(out, "not yet in force at n2") {
 		t.Errorf("status: %v %s", err, out)
 	}
 	for _, link := range around {
 		link.Set(testenv.Fault{})
 	}
-	n1.inForce(version, f.names()...)
+	n1.awaitInForce(version, f.names()...)
 	n2.until("n2 reports the same status", func() bool {
 		out, err := n2.settings("status")
 		return err == nil && strings.Contains(out, "in force at 4 of 4 processes")
--- a/test/slow_test.go
+++ b/test/slow_test.go
@@ -14,8 +14,8 @@
 	"gatetack/internal/testenv"
 )
 
-// load runs clients that each submit a fixed number of jobs and returns their results.
-func (s *testNode) load(class, prefix string, clients, jobs int) *testenv.LoadResult {
+// runLoad runs clients that each submit a fixed number of jobs and returns their results.
+func (s *testNode) runLoad(class, prefix string, clients, jobs int) *testenv.LoadResult {
 	s.t.Helper()
 	l := testenv.Load{Addr: s.listen, Clients: clients, Class: class, Deadline: 7500 * time.Millisecond, Objective: 7 * time.Second,
 		Jobs: jobs, Prefix: prefix}
@@ -31,9 +31,9 @@
 	return gjson.ParseBytes(m.Body)
 }
 
-// balanced waits until all jobs have ended and checks that each accepted job is counted with one outcome and that no
+// checkCounts waits until all jobs have ended and checks that each accepted job is counted with one outcome and that no
 // at-most-once job started twice.
-func (s *testNode) balanced() {
+func (s *testNode) checkCounts() {
 	s.t.Helper()
 	s.until("all jobs have ended", func() bool { return s.counts().Get("open").Int() == 0 })
 	n := s.counts()
@@ -51,8 +51,8 @@
 	}
 }
 
-// slowBox puts a proxy in front of executor i and lists the proxy's address as that of the executor.
-func (s *testNode) slowBox(i int, up, down testenv.Script) *testenv.SlowProxy {
+// addSlowProxy puts a proxy in front of executor i and lists the proxy's address as that of the executor.
+func (s *testNode) addSlowProxy(i int, up, down testenv.Script) *testenv.SlowProxy {
 	s.t.Helper()
 	p, err := testenv.NewSlowProxy(s.ctx, s.g, s.executors[i].Addr, up, down, 1)
 	if err != nil {
@@ -63,8 +63,8 @@
 	return p
 }
 
-// slowPeers runs n slow peers of all kinds until stop is called, which returns the result of each.
-func (s *testNode) slowPeers(n int) (stop func() []testenv.SlowPeerResult) {
+// startSlowPeers runs n slow peers of all kinds until stop is called, which returns the result of each.
+func (s *testNode) startSlowPeers(n int) (stop func() []testenv.SlowPeerResult) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	var g errgroup.Group
 	var mu sync.Mutex
@@ -94,10 +94,10 @@
 		s.start()
 		stop := func() []testenv.SlowPeerResult { return nil }
 		if beside {
-			stop = s.slowPeers(20)
+			stop = s.startSlowPeers(20)
 			s.until("the slow peers have submitted jobs", func() bool { return s.counts().Get("taken").Int() >= 8 })
 		}
-		d := s.load("area-render", "10adc1e0", 5, 20)
+		d := s.runLoad("area-render", "10adc1e0", 5, 20)
 		served[beside] = d.Served
 		if d.Total() != 100 || d.Incomplete != 0 || d.Failed != 0 {
 			t.Errorf("with slow peers %v: %+v", beside, d)
@@ -110,7 +110,7 @@
 				t.Errorf("a slow peer that submitted a job got no byte of an answer: %+v", e)
 			}
 		}
-		s.balanced()
+		s.checkCounts()
 	}
 	if served[true] < served[false]*98/100 {
 		t.Errorf("%d of 100 jobs served with slow peers, %d without them", served[true], served[false])
@@ -122,10 +122,10 @@
 // gets jobs again.
 func TestTricklingBox(t *testing.T) {
 	s := newTestNode(t, 5, 30*time.Millisecond)
-	drip := s.slowBox(0, testenv.Script{}, testenv.Script{Rate: 1})
+	drip := s.addSlowProxy(0, testenv.Script{}, testenv.Script{Rate: 1})
 	s.executors[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
 	s.start()
-	d := s.load("area-render", "10adc1e0", 4, 25)
+	d := s.runLoad("area-render", "10adc1e0", 4, 25)
 	if d.Served < 98 || d.Incomplete+d.Failed > 0 {
 		t.Errorf("%d of 100 jobs served with a slow executor: %+v", d.Served, d)
 	}
@@ -144,46 +144,46 @@
 	round := 0
 	s.until("the recovered executor gets jobs again", func() bool {
 		round++
-		s.load("area-render", fmt.Sprintf("10ad%04x", round), 12, 10) // more at a time than the other executors' slots
+		s.runLoad("area-render", fmt.Sprintf("10ad%04x", round), 12, 10) // more at a time than the other executors' slots
 		return len(s.executors[0].Starts()) > drew+10
 	})
-	s.balanced()
+	s.checkCounts()
 }
 
 // An executor accepts connections and never sends a byte. A tile-charge job sent to it is not sent again and gets one
 // answer.
 func TestMuteBoxAndTileCharges(t *testing.T) {
 	s := newTestNode(t, 3, 20*time.Millisecond)
-	s.slowBox(0, testenv.Script{}, testenv.Script{Delay: time.Hour})
+	s.addSlowProxy(0, testenv.Script{}, testenv.Script{Delay: time.Hour})
 	s.executors[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
 	s.start()
-	d := s.load("tile-charge", "10adc1e0", 4, 30)
+	d := s.runLoad("tile-charge", "10adc1e0", 4, 30)
 	if d.Total() != 120 || d.Incomplete != 0 || d.Failed > len(s.executors[0].Starts()) || d.Served < 100 {
 		t.Errorf("%+v, %d jobs were sent to the unresponsive executor", d, len(s.executors[0].Starts()))
 	}
-	s.balanced()
+	s.checkCounts()
 }
 
 // All executors are slow at once. None is ejected for it, and the node keeps serving.
 func TestAllBoxesSlow(t *testing.T) {
 	s := newTestNode(t, 3, 20*time.Millisecond)
 	for i := range s.executors {
-		s.slowBox(i, testenv.Script{}, testenv.Script{Delay: 700 * time.Millisecond, Rate: 2000, Chunk: 8})
+		s.addSlowProxy(i, testenv.Script{}, testenv.Script{Delay: 700 * time.Millisecond, Rate: 2000, Chunk: 8})
 	}
 	s.start()
-	if d := s.load("tile-charge", "10adc1e0", 6, 8); d.Served < 46 || d.Incomplete+d.Failed > 0 {
+	if d := s.runLoad("tile-charge", "10adc1e0", 6, 8); d.Served < 46 || d.Incomplete+d.Failed > 0 {
 		t.Errorf("%+v", d)
 	}
-	s.balanced()
+	s.checkCounts()
 }
 
 // A drain takes effect although attempts are receiving slow responses from the executor.
 func TestDrainWhileDripping(t *testing.T) {
 	s := newTestNode(t, 2, 20*time.Millisecond)
-	s.slowBox(0, testenv.Script{}, testenv.Script{Rate: 1})
+	s.addSlowProxy(0, testenv.Script{}, testenv.Script{Rate: 1})
 	s.start()
 	var g errgroup.Group
-	g.Go(func() error { s.load("area-render", "10adc1e0", 4, 60); return nil })
+	g.Go(func() error { s.runLoad("area-render", "10adc1e0", 4, 60); return nil })
 	s.until("the executor that will drain has a job", func() bool { return len(s.executors[0].Starts()) > 0 })
 	s.discovery.Put(s.executors[0], "draining")
 	told := time.Now()
@@ -193,7 +193,7 @@
 			t.Errorf("job %s was sent %v after the drain was listed", x.ID, late)
 		}
 	}
-	s.balanced()
+	s.checkCounts()
 }
 
 // Three hundred slow peers connect to a node with a limit of 256 sockets and 32 MB. The node keeps serving, reloads on
@@ -202,7 +202,7 @@
 	s := newTestNode(t, 3, 20*time.Millisecond)
 	s.sockets, s.memoryMB = 256, 32
 	s.start()
-	stop := s.slowPeers(300)
+	stop := s.startSlowPeers(300)
 	defer stop()
 	s.until("the node has accepted jobs", func() bool { // it may reject the connection that asks for the counts
 		m, err := testenv.Call(s.listen, "GET", "/counts", nil)
@@ -212,7 +212,7 @@
 		t.Fatal(err)
 	}
 	s.until("the node has reloaded its configuration", func() bool { return s.logContains("msg=reload") })
-	d := s.load("area-render", "10adc1e0", 5, 12)
+	d := s.runLoad("area-render", "10adc1e0", 5, 12)
 	if d.Served < 50 {
 		t.Errorf("%d of 60 jobs served with 300 slow peers: %+v", d.Served, d)
 	}
