--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -259,7 +259,7 @@
 		if r.Partial {
 			state = "partial: " + r.PartialWhy
 		}
-		rows = append(rows, []string{"`" + name + "`", "`" + r.Commit + "`", "`" + r.Command + "`", fmt.Sprint(r.Description.Seed), r.Began.Format("2006-01-02 15:04"),
+		rows = append(rows, []string{"`" + name + "`", "`" + r.Commit + "`", "`" + r.Command + "`", fmt.Sprint(r.Description.Seed), r.StartedAt.Format("2006-01-02 15:04"),
 			fmt.Sprintf("%d cores, %s GiB, %s", r.Machine.Cores, short(math.Round(float64(r.Machine.MemoryMB)/102.4)/10), r.Machine.Go), state})
 	}
 	for _, name := range all.Names() {
--- a/internal/scale/faults/faults.go
+++ b/internal/scale/faults/faults.go
@@ -89,7 +89,7 @@
 	Change                          // the dispatchers' configuration is changed
 )
 
-// Action is one step of a fault at a time since the load's start.
+// Action is one step of a fault. At is the time since the load's start.
 type Action struct {
 	At              time.Duration
 	Kind            ActionKind
@@ -172,7 +172,7 @@
 	return minimum + time.Duration(s.random.Int64N(int64(maximum-minimum)))
 }
 
-// outage kills executors at a time and restarts them after the duration down. The endpoint list shows both changes with a delay.
+// outage kills executors at the time at and restarts them after the duration down. The endpoint list shows both changes with a delay.
 func (s *schedule) outage(why Name, at, down time.Duration, executors []int) {
 	up := at + down
 	s.actions = append(s.actions,
--- a/internal/scale/faults/faults_test.go
+++ b/internal/scale/faults/faults_test.go
@@ -99,7 +99,7 @@
 }
 
 // The error of an invalid fault has the fault and the expected values.
-func TestBadFaults(t *testing.T) {
+func TestInvalidFaults(t *testing.T) {
 	for _, text := range []string{"", "zones", "zone=2", "machine=", "machine=-1", "rolling=many", "machine=NaN"} {
 		_, err := Parse(text)
 		fe := (*fleet.FieldError)(nil)
--- a/internal/scale/fleet/description.go
+++ b/internal/scale/fleet/description.go
@@ -69,9 +69,9 @@
 		minReal = 0
 	}
 	integers := []struct {
-		field       string
-		value       int
-		least, most int
+		field            string
+		value            int
+		minimum, maximum int
 	}{
 		{"executors", d.Executors, 1, MaxExecutors},
 		{"dispatchers", d.Dispatchers, minReal, MaxDispatchers},
@@ -86,8 +86,8 @@
 		{"dispatcher-sockets", d.Sockets, 256, 20000},
 	}
 	for _, w := range integers {
-		if w.value < w.least || w.value > w.most {
-			return &FieldError{w.field, w.value, fmt.Sprintf("a whole number from %d to %d", w.least, w.most)}
+		if w.value < w.minimum || w.value > w.maximum {
+			return &FieldError{w.field, w.value, fmt.Sprintf("a whole number from %d to %d", w.minimum, w.maximum)}
 		}
 	}
 	if !(d.Starts > 0) || d.Starts > MaxStarts {
--- a/internal/scale/hollow/clients_test.go
+++ b/internal/scale/hollow/clients_test.go
@@ -61,7 +61,7 @@
 }
 
 // A rejected request must be retried under another id after its Retry-After, and each task must be counted once.
-func TestRefusedComesAgain(t *testing.T) {
+func TestRejectedRequestIsRetried(t *testing.T) {
 	var calls atomic.Int64
 	c, record := playTo(t, func(m *http1.Message) http1.Response {
 		if calls.Add(1)%2 == 1 {
@@ -77,7 +77,7 @@
 }
 
 // An answer with another request's result must count as a violation, not as served.
-func TestAnothersResult(t *testing.T) {
+func TestResultOfAnotherRequestIsAViolation(t *testing.T) {
 	c, record := playTo(t, func(*http1.Message) http1.Response {
 		return http1.Response{Status: 200, Body: []byte("result of another")}
 	})
@@ -127,9 +127,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, _ := s.since(0, 0)
-	if !whole.Snapshot || len(whole.Endpoints) != 30 || whole.Index != firstIndex {
-		t.Fatalf("%+v", whole)
+	snapshot, _ := s.since(0, 0)
+	if !snapshot.Snapshot || len(snapshot.Endpoints) != 30 || snapshot.Index != firstIndex {
+		t.Fatalf("%+v", snapshot)
 	}
 	s.Set([]int{3, 4}, StatusDraining, time.Time{})
 	s.Set([]int{3}, StatusRemoved, time.Time{})
@@ -141,8 +141,8 @@
 	if last, _ := s.since(delta.Index, 0); len(last.Endpoints) != 0 {
 		t.Errorf("%+v after the last change, want no entries", last)
 	}
-	if again, _ := s.since(999, 0); !again.Snapshot || len(again.Endpoints) != 29 {
-		t.Errorf("unknown index: %d entries, snapshot %v", len(again.Endpoints), again.Snapshot)
+	if unknown, _ := s.since(999, 0); !unknown.Snapshot || len(unknown.Endpoints) != 29 {
+		t.Errorf("unknown index: %d entries, snapshot %v", len(unknown.Endpoints), unknown.Snapshot)
 	}
 	m, err := testenv.Call(n.Discovery(1), "GET", "/v1/servers", nil)
 	if err != nil || m.Status != 200 {
--- a/internal/scale/hollow/discovery.go
+++ b/internal/scale/hollow/discovery.go
@@ -29,13 +29,13 @@
 	numbers map[string]int32
 
 	mu      sync.Mutex
-	entries []Row // entries by executor number
-	log     []int // executors whose entries changed; the first change has index 2
+	entries []Entry // entries by executor number
+	log     []int   // executors whose entries changed; the first change has index 2
 	changed chan struct{}
 }
 
-// Row is the entry of an executor in the list.
-type Row struct {
+// Entry is the entry of an executor in the list.
+type Entry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Zone    string  `json:"zone"`
@@ -65,7 +65,7 @@
 	s := &Discovery{network: n, members: d.StoreMembers, record: r, traffic: t, lim: limits.New(0, 0, 0, 0, 0), numbers: map[string]int32{}, changed: make(chan struct{})}
 	for _, x := range plan {
 		s.numbers[x.Name] = int32(x.Number)
-		s.entries = append(s.entries, Row{Name: x.Name, Zone: d.ZoneName(x.Zone), Type: fleet.Kinds[x.Kind],
+		s.entries = append(s.entries, Entry{Name: x.Name, Zone: d.ZoneName(x.Zone), Type: fleet.Kinds[x.Kind],
 			Group: x.Rack, Status: StatusReady, Weight: float64(x.Slots)})
 	}
 	for i := range d.TotalDispatchers() {
@@ -105,9 +105,9 @@
 
 // answer is one message of the list protocol: a snapshot or a delta.
 type answer struct {
-	Index     int   `json:"index"`
-	Snapshot  bool  `json:"snapshot"`
-	Endpoints []Row `json:"endpoints"`
+	Index     int     `json:"index"`
+	Snapshot  bool    `json:"snapshot"`
+	Endpoints []Entry `json:"endpoints"`
 }
 
 // since returns the changes after an index, or a snapshot if the list never had that index, with the addresses for a dispatcher.
@@ -117,8 +117,8 @@
 		dispatcher = anyDispatcher
 	}
 	for i := range a.Endpoints {
-		row := &a.Endpoints[i]
-		row.Address = s.network.Executor(int(s.numbers[row.Name]), dispatcher)
+		entry := &a.Endpoints[i]
+		entry.Address = s.network.Executor(int(s.numbers[entry.Name]), dispatcher)
 	}
 	return a, changed
 }
@@ -127,12 +127,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := firstIndex + len(s.log)
-	a := answer{Index: now, Endpoints: []Row{}}
+	a := answer{Index: now, Endpoints: []Entry{}}
 	if index < firstIndex || index > now {
 		a.Snapshot = true
-		for _, row := range s.entries {
-			if row.Status != StatusRemoved {
-				a.Endpoints = append(a.Endpoints, row)
+		for _, entry := range s.entries {
+			if entry.Status != StatusRemoved {
+				a.Endpoints = append(a.Endpoints, entry)
 			}
 		}
 		return a, s.changed
@@ -214,9 +214,9 @@
 func (s *Discovery) recordListed(a answer, dispatcher int) {
 	s.traffic.in(RoleDiscovery)
 	now := s.record.Now()
-	for _, row := range a.Endpoints {
-		e := verdict.Event{At: now, Kind: verdict.Listed, Dispatcher: int16(dispatcher), Executor: s.numbers[row.Name]}
-		switch row.Status {
+	for _, entry := range a.Endpoints {
+		e := verdict.Event{At: now, Kind: verdict.Listed, Dispatcher: int16(dispatcher), Executor: s.numbers[entry.Name]}
+		switch entry.Status {
 		case StatusDraining:
 			e.Condition = verdict.Draining
 		case StatusRemoved:
--- a/internal/scale/hollow/executor_test.go
+++ b/internal/scale/hollow/executor_test.go
@@ -101,16 +101,16 @@
 	return out
 }
 
-// hand sends a task to an executor's address as a dispatcher does.
-func hand(addr string, number uint64, run time.Duration) (*http1.Message, error) {
+// sendTask sends a task to an executor's address as a dispatcher does.
+func sendTask(addr string, number uint64, run time.Duration) (*http1.Message, error) {
 	task := workload.Task{Number: int(number), Class: fleet.ClassOnce, Slots: 1, Run: run}
 	return testenv.Call(addr, "POST", target(task), []byte("task"), http1.Field{Name: "X-Trace-Id", Value: verdict.ID(RequestID(0, number))},
 		http1.Field{Name: "X-Expires-In-Ms", Value: "9000"})
 }
 
-func (w *world) hand(t *testing.T, executor int, number uint64, run time.Duration) int {
+func (w *world) sendTask(t *testing.T, executor int, number uint64, run time.Duration) int {
 	t.Helper()
-	m, err := hand(w.network.Executor(executor, anyDispatcher), number, run)
+	m, err := sendTask(w.network.Executor(executor, anyDispatcher), number, run)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 
 // A hollow executor must make the same callbacks for a task as the fake executor of package testenv: equal numbers of callbacks in
 // each state, and numbers of bytes that agree within a tenth, compared by their least-squares slopes over several numbers of tasks.
-func TestHollowTellsWhatTheRealOneTells(t *testing.T) {
+func TestHollowExecutorMakesTheCallbacksOfTheFakeOne(t *testing.T) {
 	const run = 10 * time.Millisecond
 	sizes := []int{8, 32, 128}
 	measure := func(t *testing.T, addr string, d *dispatcher) (messages, bytes []float64) {
@@ -140,7 +140,7 @@
 			d.mu.Unlock()
 			for range size {
 				next++
-				if m, err := hand(addr, next, run); err != nil || m.Status != 202 {
+				if m, err := sendTask(addr, next, run); err != nil || m.Status != 202 {
 					t.Fatalf("%v %v", m, err)
 				}
 			}
@@ -179,18 +179,18 @@
 	}
 }
 
-// An executor tells of an attempt's progress before it tells of its end. Two timers of their own told of each: where
-// they came due together, one of 9 ms and one of 10 ms on a busy machine as well, "running" could follow "done", and
-// TestHollowTellsWhatTheRealOneTells, which counts messages once all tasks are told done, missed some at times. Here
-// both come due in the same instant; before the end was chained to the progress, hundreds of a thousand came late.
-func TestProgressIsToldBeforeTheEnd(t *testing.T) {
+// An executor must report an attempt's progress before its end. With a separate timer for each, "running" could follow
+// "done" when both were due together, and on a busy machine even when they were due 1 ms apart. A test that counts
+// callbacks once all tasks are done then missed some. Here both are due at the same time: with separate timers, hundreds
+// of a thousand progress callbacks came late.
+func TestProgressIsReportedBeforeTheEnd(t *testing.T) {
 	const tasks, run = 1000, 2 * time.Millisecond
 	w := newWorld(t, someExecutors(1, tasks), ExecutorSettings{ProgressInterval: run - time.Nanosecond})
 	if err := w.executors.Boot(0, false); err != nil {
 		t.Fatal(err)
 	}
 	for number := uint64(1); number <= tasks; number++ {
-		if status := w.hand(t, 0, number, run); status != 202 {
+		if status := w.sendTask(t, 0, number, run); status != 202 {
 			t.Fatalf("task %d: %d", number, status)
 		}
 	}
@@ -220,16 +220,16 @@
 		t.Fatal(err)
 	}
 	for number, want := range map[uint64]int{1: 202, 2: 202} {
-		if got := w.hand(t, 0, number, time.Hour); got != want {
+		if got := w.sendTask(t, 0, number, time.Hour); got != want {
 			t.Fatalf("task %d: %d", number, got)
 		}
 	}
 	for number := uint64(3); number < 5; number++ {
-		if got := w.hand(t, 0, number, time.Hour); got != 202 {
+		if got := w.sendTask(t, 0, number, time.Hour); got != 202 {
 			t.Fatalf("task %d: %d", number, got)
 		}
 	}
-	m, err := hand(w.network.Executor(0, anyDispatcher), 5, time.Hour)
+	m, err := sendTask(w.network.Executor(0, anyDispatcher), 5, time.Hour)
 	if err != nil || m.Status != 503 || m.Get("X-Never-Ran") != "1" || !strings.Contains(m.Get("Endpoint-Load-Metrics"), "queue=2, x0=0") {
 		t.Errorf("%+v %v", m, err)
 	}
@@ -240,14 +240,14 @@
 }
 
 // Killing an executor loses its tasks. Connections fail until the next incarnation, which starts cold.
-func TestLives(t *testing.T) {
+func TestKilledExecutorLosesItsTasks(t *testing.T) {
 	w := newWorld(t, someExecutors(1, 1), ExecutorSettings{})
 	if err := w.executors.Boot(0, false); err != nil {
 		t.Fatal(err)
 	}
-	w.hand(t, 0, 1, 50*time.Millisecond)
+	w.sendTask(t, 0, 1, 50*time.Millisecond)
 	w.executors.Kill(0)
-	if _, err := hand(w.network.Executor(0, anyDispatcher), 2, time.Millisecond); err == nil {
+	if _, err := sendTask(w.network.Executor(0, anyDispatcher), 2, time.Millisecond); err == nil {
 		t.Error("an executor that is down accepted a task")
 	}
 	if _, up := w.executors.Booted(0); up {
@@ -256,11 +256,11 @@
 	if err := w.executors.Boot(0, true); err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
-	w.hand(t, 0, 3, 100*time.Millisecond)
+	start := time.Now()
+	w.sendTask(t, 0, 3, 100*time.Millisecond)
 	testenv.Until(t, "the task of the next incarnation to be done", func() bool { return w.count("done") == 1 })
-	if took := time.Since(began); took < 195*time.Millisecond {
-		t.Errorf("a task of 100ms took %v on an executor with half of its capacity", took)
+	if elapsed := time.Since(start); elapsed < 195*time.Millisecond {
+		t.Errorf("a task of 100ms took %v on an executor with half of its capacity", elapsed)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -290,7 +290,7 @@
 			w.cuts.Set(1, c.cut, true)
 			answered := make(chan error, 1)
 			go func() {
-				m, err := hand(w.network.Executor(0, anyDispatcher), 1, time.Millisecond)
+				m, err := sendTask(w.network.Executor(0, anyDispatcher), 1, time.Millisecond)
 				if err == nil && m.Status != 202 {
 					err = fmt.Errorf("status %d", m.Status)
 				}
@@ -316,7 +316,7 @@
 }
 
 // Requests that no dispatcher sends must get an error status, and a cancellation must have no effect.
-func TestOddRequests(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	w := newWorld(t, someExecutors(1, 1), ExecutorSettings{})
 	if err := w.executors.Boot(0, false); err != nil {
 		t.Fatal(err)
--- a/internal/scale/play/changes.go
+++ b/internal/scale/play/changes.go
@@ -48,18 +48,18 @@
 	c.made++
 	number := c.made
 	c.mu.Unlock()
-	began := time.Now()
+	start := time.Now()
 	by := c.applyByFile
 	if c.r.Description.StoreMembers > 0 {
 		by = c.applyByStore
 	}
 	c.g.Go(func() {
 		if err := by(ctx, number); err != nil {
-			c.r.note("change %d: %v", number, err)
+			c.r.addNote("change %d: %v", number, err)
 			c.countNotInForce()
 			return
 		}
-		c.waitInForce(ctx, number, began)
+		c.waitInForce(ctx, number, start)
 	})
 }
 
@@ -121,10 +121,10 @@
 }
 
 // waitInForce waits until a change is in force at all dispatchers that are up, and records how long that took.
-func (c *changes) waitInForce(ctx context.Context, number int, began time.Time) {
+func (c *changes) waitInForce(ctx context.Context, number int, start time.Time) {
 	for _, x := range c.r.dispatchers {
 		for x.current() != nil && !c.inForce(x.number, number) {
-			if time.Since(began) > changeTimeout {
+			if time.Since(start) > changeTimeout {
 				c.countNotInForce()
 				return
 			}
@@ -137,7 +137,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.latencies.RecordValue(time.Since(began).Microseconds())
+	_ = c.latencies.RecordValue(time.Since(start).Microseconds())
 }
 
 // inForce reports whether a dispatcher knows the class of a change, or of a later one. A request without headers to the path of a
@@ -164,8 +164,8 @@
 	return result.Changes{Made: c.made, NotInForce: c.notInForce, InForce: latency(c.latencies, int64(c.made))}
 }
 
-// note adds a note to the result.
-func (r *run) note(format string, args ...any) {
+// addNote adds a addNote to the result.
+func (r *run) addNote(format string, args ...any) {
 	r.changes.mu.Lock()
 	defer r.changes.mu.Unlock()
 	r.changes.noted = append(r.changes.noted, fmt.Sprintf(format, args...))
--- a/internal/scale/play/clients.go
+++ b/internal/scale/play/clients.go
@@ -51,7 +51,7 @@
 	for part := range d.Clients {
 		p, err := r.startClients(part)
 		if err != nil {
-			r.note("clients %d: %v", part, err)
+			r.addNote("clients %d: %v", part, err)
 			continue
 		}
 		children = append(children, p)
@@ -60,7 +60,7 @@
 	for part, p := range children {
 		r.waitForClients(ctx, p)
 		if err := r.merge(part); err != nil {
-			r.note("clients %d: %v", part, errors.Join(err, p.Err()))
+			r.addNote("clients %d: %v", part, errors.Join(err, p.Err()))
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	case <-ctx.Done():
 	}
 	if err := p.Signal(syscall.SIGTERM); err != nil {
-		r.note("%v", err)
+		r.addNote("%v", err)
 	}
 	select {
 	case <-p.Ended():
--- a/internal/scale/play/hollow_test.go
+++ b/internal/scale/play/hollow_test.go
@@ -13,7 +13,7 @@
 // A hollow dispatcher must exchange as many messages and bytes with executors per task as a real one: the least-squares slopes over
 // three sizes of the same load must agree within a tenth. Tasks are shorter than the progress interval, so that the number of
 // messages does not depend on the machine's speed.
-func TestHollowDispatcherSendsWhatARealOneSends(t *testing.T) {
+func TestHollowDispatcherTrafficMatchesARealOne(t *testing.T) {
 	t.Parallel()
 	spans := []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second}
 	measure := func(t *testing.T, dispatchers, hollow int) (tasks, messages, bytes []float64) {
@@ -53,15 +53,15 @@
 		return
 	}
 	for _, c := range []struct {
-		what         string
+		quantity     string
 		real, hollow float64
 	}{
 		{"messages", slope(realTasks, realMessages), slope(hollowTasks, hollowMessages)},
 		{"bytes", slope(realTasks, realBytes), slope(hollowTasks, hollowBytes)},
 	} {
-		t.Logf("%s per attempt: real %.2f, hollow %.2f", c.what, c.real, c.hollow)
+		t.Logf("%s per attempt: real %.2f, hollow %.2f", c.quantity, c.real, c.hollow)
 		if c.hollow < 0.9*c.real || c.hollow > 1.1*c.real {
-			t.Errorf("%s per attempt: real %.2f, hollow %.2f, want them within a tenth", c.what, c.real, c.hollow)
+			t.Errorf("%s per attempt: real %.2f, hollow %.2f, want them within a tenth", c.quantity, c.real, c.hollow)
 		}
 	}
 }
--- a/internal/scale/play/inject.go
+++ b/internal/scale/play/inject.go
@@ -36,7 +36,7 @@
 	case faults.Boot:
 		for _, x := range a.Executors {
 			if err := r.executors.Boot(x, true); err != nil {
-				r.note("an executor did not restart: %v", err)
+				r.addNote("an executor did not restart: %v", err)
 			}
 		}
 	case faults.ListDraining:
--- a/internal/scale/play/leader.go
+++ b/internal/scale/play/leader.go
@@ -44,17 +44,17 @@
 	defer r.leaderMu.Unlock()
 	x := r.waitForLeader(ctx)
 	if x == nil {
-		r.note("the store had no leader to kill")
+		r.addNote("the store had no leader to kill")
 		return
 	}
 	r.killed = x
 	r.kill(x)
-	began := time.Now()
+	start := time.Now()
 	if next := r.waitForLeader(ctx); next != nil {
-		r.note("leader %d was killed; %d became leader after %v", x.number, next.number, time.Since(began).Round(time.Millisecond))
+		r.addNote("leader %d was killed; %d became leader after %v", x.number, next.number, time.Since(start).Round(time.Millisecond))
 		return
 	}
-	r.note("leader %d was killed; no member became leader within %v", x.number, time.Since(began).Round(time.Millisecond))
+	r.addNote("leader %d was killed; no member became leader within %v", x.number, time.Since(start).Round(time.Millisecond))
 }
 
 // waitForLeader waits until the store has a leader and returns it, or nil after a timeout.
@@ -74,11 +74,11 @@
 	if r.killed == nil {
 		return
 	}
-	began := time.Now()
+	start := time.Now()
 	if err := r.startDispatcher(ctx, r.killed); err != nil {
-		r.note("member %d did not restart: %v", r.killed.number, err)
+		r.addNote("member %d did not restart: %v", r.killed.number, err)
 		return
 	}
-	r.note("member %d served again %v after its restart", r.killed.number, time.Since(began).Round(time.Millisecond))
+	r.addNote("member %d served again %v after its restart", r.killed.number, time.Since(start).Round(time.Millisecond))
 	r.killed = nil
 }
--- a/internal/scale/play/play.go
+++ b/internal/scale/play/play.go
@@ -45,13 +45,13 @@
 const (
 	executorBytes = 64 << 10
 	taskBytes     = 16 << 10
-	rowBytes      = 4 << 10 // per executor at a hollow dispatcher
+	entryBytes    = 4 << 10 // per executor at a hollow dispatcher
 	toolBytes     = 256 << 20
 )
 
 // memoryNeeded returns the memory that a run may use, in bytes.
 func memoryNeeded(d *fleet.Description) int64 {
-	return toolBytes + int64(d.Hollow)*int64(d.Executors)*rowBytes + int64(d.Executors)*executorBytes + int64(d.Running)*taskBytes + int64(d.Dispatchers)*int64(d.MemoryMB)<<20
+	return toolBytes + int64(d.Hollow)*int64(d.Executors)*entryBytes + int64(d.Executors)*executorBytes + int64(d.Running)*taskBytes + int64(d.Dispatchers)*int64(d.MemoryMB)<<20
 }
 
 // descriptorsNeeded returns the number of descriptors that the tool's process needs: for the listeners of executors, the connections of
--- a/internal/scale/play/play_test.go
+++ b/internal/scale/play/play_test.go
@@ -93,7 +93,7 @@
 }
 
 // Client processes must submit the same load as clients in the tool's process, and their events must be judged with the others.
-func TestClientsOfTheirOwn(t *testing.T) {
+func TestClientProcesses(t *testing.T) {
 	t.Parallel()
 	d := small()
 	d.Clients, d.Duration = 2, 4*time.Second
--- a/internal/scale/play/report.go
+++ b/internal/scale/play/report.go
@@ -18,7 +18,7 @@
 	"gatetack/internal/scale/workload"
 )
 
-// requestedRate returns the requested task starts per second at a time.
+// requestedRate returns the requested task starts per second at the time now.
 func (r *run) requestedRate(now time.Time) float64 {
 	d := &r.Description
 	if d.StartsTo <= d.Starts {
@@ -31,7 +31,7 @@
 func (r *run) report(s *sampler, played time.Duration) *result.Result {
 	events := r.record.Events()
 	end := r.record.Now()
-	out := &result.Result{Tool: result.Tool, Format: result.Format, Commit: r.Commit, Command: r.Command, Machine: machine(), Began: r.loadStart.UTC().Truncate(time.Second),
+	out := &result.Result{Tool: result.Tool, Format: result.Format, Commit: r.Commit, Command: r.Command, Machine: machine(), StartedAt: r.loadStart.UTC().Truncate(time.Second),
 		Description: r.Description, Faults: faultNames(r.Faults), Seconds: played.Seconds(), Verdict: verdict.JudgeEvents(verdict.RulesFor(&r.Description, max(r.lag.worst(), r.clientLag)), events, end),
 		Traffic: r.traffic.Sum(), Saturated: s.saturated, ToolLag: r.lag.sum(), MemoryMB: float64(s.peak) / (1 << 20), Changes: r.changes.sum(), Notes: r.notes()}
 	out.Machine.LoadBefore = r.loadAverage
@@ -93,8 +93,8 @@
 	for _, x := range r.plan {
 		out.Slots += x.Slots
 	}
-	starts, asked := map[int]int{}, map[int]int{}
-	begun := map[int32]int32{} // number of running tasks by executor
+	starts, requested := map[int]int{}, map[int]int{}
+	running := map[int32]int32{} // number of running tasks by executor
 	seen := map[int32]bool{}
 	now, total, tasks := 0, 0, 0
 	for _, e := range events {
@@ -104,26 +104,26 @@
 			if !seen[e.Task] {
 				seen[e.Task] = true
 				tasks++
-				asked[second]++
+				requested[second]++
 			}
 		case verdict.Started:
 			now++
 			total++
 			starts[second]++
-			begun[e.Executor]++
+			running[e.Executor]++
 			out.Peak = max(out.Peak, now)
 		case verdict.Ended:
 			now--
-			begun[e.Executor]--
+			running[e.Executor]--
 		case verdict.Died:
-			now -= int(begun[e.Executor])
-			begun[e.Executor] = 0
+			now -= int(running[e.Executor])
+			running[e.Executor] = 0
 		}
 	}
 	for _, n := range starts {
 		out.StartsPeakPS = max(out.StartsPeakPS, n)
 	}
-	for _, n := range asked {
+	for _, n := range requested {
 		out.RequestedPeakPS = max(out.RequestedPeakPS, n)
 	}
 	out.StartsPerS = float64(total) / d.Duration.Seconds()
--- a/internal/scale/play/virtual.go
+++ b/internal/scale/play/virtual.go
@@ -39,9 +39,9 @@
 
 // End adds the time of a step.
 func (m *threadMeter) End(dispatcher int) {
-	took := m.now() - m.began
-	m.spent[dispatcher] += took
-	m.worst = max(m.worst, took)
+	elapsed := m.now() - m.began
+	m.spent[dispatcher] += elapsed
+	m.worst = max(m.worst, elapsed)
 }
 
 // RunVirtual runs the decision modules of a fleet alone, on virtual time.
@@ -74,7 +74,7 @@
 	if m.err != nil {
 		return nil, fmt.Errorf("processor time: %w", m.err)
 	}
-	out := &result.Result{Tool: result.Tool, Format: result.Format, Commit: o.Commit, Command: o.Command, Machine: machine(), Began: began.UTC().Truncate(time.Second),
+	out := &result.Result{Tool: result.Tool, Format: result.Format, Commit: o.Commit, Command: o.Command, Machine: machine(), StartedAt: began.UTC().Truncate(time.Second),
 		Description: *d, Faults: faultNames(o.Faults), Virtual: true, Seconds: d.Duration.Seconds(), RulesKept: found.Passed(), Verdict: found,
 		Traffic:  map[string]hollow.RoleTraffic{hollow.RolePeer.String(): {MessagesOut: int64(counts.GossipMessages), BytesIn: int64(counts.GossipBytes)}},
 		MemoryMB: float64(heapBytes()-before) / (1 << 20)}
@@ -113,8 +113,8 @@
 
 func virtualJobs(kind workload.Kind, c *virtual.Counts) result.Jobs {
 	h := hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), latencyDigits)
-	for _, told := range c.StartLatencies[kind] {
-		_ = h.RecordValue(max(1, told.Microseconds()))
+	for _, latency := range c.StartLatencies[kind] {
+		_ = h.RecordValue(max(1, latency.Microseconds()))
 	}
 	j := result.Jobs{Kind: kind.String(), Tasks: int64(c.Tasks[kind]), Served: int64(c.Served[kind]), Rejected: int64(c.Rejected[kind]), Failed: int64(c.Failed[kind])}
 	j.StartNotified = latency(h, j.Tasks)
--- a/internal/scale/process/measure.go
+++ b/internal/scale/process/measure.go
@@ -99,13 +99,13 @@
 
 // BudgetError is the error of a run that needs more of a resource than is available.
 type BudgetError struct {
-	What       string
+	Resource   string
 	Need, Have int64
 }
 
 // Error returns the resource, the amount needed and the amount available.
 func (e *BudgetError) Error() string {
-	return fmt.Sprintf("%s: %d are needed, and %d may be used", e.What, e.Need, e.Have)
+	return fmt.Sprintf("%s: %d are needed, and %d may be used", e.Resource, e.Need, e.Have)
 }
 
 // CheckStart checks that a run's needs are within the budget and the free memory of the machine.
--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -29,7 +29,7 @@
 	Commit      string                        `json:"commit"`
 	Command     string                        `json:"command"`
 	Machine     Machine                       `json:"machine"`
-	Began       time.Time                     `json:"began"`
+	StartedAt   time.Time                     `json:"began"`
 	Description fleet.Description             `json:"description"`
 	Faults      []string                      `json:"faults"`
 	Virtual     bool                          `json:"virtualTime"` // the decision modules ran alone, on virtual time; each entry of Processes is a module
--- a/internal/scale/result/result_test.go
+++ b/internal/scale/result/result_test.go
@@ -51,7 +51,7 @@
 }
 
 // A file with unknown fields, wrong types, several objects or truncated text must be an error.
-func TestBadText(t *testing.T) {
+func TestMalformedResults(t *testing.T) {
 	text, err := json.Marshal(some())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/verdict/cold.go
+++ b/internal/scale/verdict/cold.go
@@ -5,7 +5,7 @@
 // coldBudgets tracks the work that all dispatchers together sent to each cold executor. Work is the expected running time of a class,
 // since the running time of a single task is not known when it is sent. The work in any window of length OverloadWindow must not
 // exceed OverloadMultiple times the capacity that the executor has at the end of the window. The largest attempt in the window does
-// not count, since an attempt can not be sent in parts. The rule applies only if at least two thirds of the work came from
+// not count, since an attempt cannot be sent in parts. The rule applies only if at least two thirds of the work came from
 // dispatchers that were notified of the executor's start, or count as notified.
 type coldBudgets struct {
 	rules        Rules
@@ -45,7 +45,7 @@
 	}
 }
 
-// share returns the share of its capacity that an executor has at a time after its start.
+// share returns the share of its capacity that an executor has when the time since has passed after its start.
 func (c *coldBudgets) share(since time.Duration) float64 {
 	return min(1, c.rules.SlowStartMinShare+(1-c.rules.SlowStartMinShare)*float64(since)/float64(c.rules.SlowStartDuration))
 }
--- a/internal/scale/verdict/judge.go
+++ b/internal/scale/verdict/judge.go
@@ -112,10 +112,10 @@
 }
 
 type task struct {
-	starts  int
-	taken   bool
-	takenAt time.Duration
-	rack    int
+	starts     int
+	accepted   bool
+	acceptedAt time.Duration
+	rack       int
 }
 
 // New returns a judge for the rules.
@@ -250,10 +250,10 @@
 // rejected checks that a rejection was allowed: it means that a retry is safe, so no executor may have accepted the task.
 func (j *Judge) rejected(e Event, r *request) {
 	t := j.tasks[r.task]
-	if t == nil || !t.taken || j.rules.Effects[r.class] == Repeatable {
+	if t == nil || !t.accepted || j.rules.Effects[r.class] == Repeatable {
 		return
 	}
-	j.violation(SingleRun, e.Request, e.At, "rejected, though an executor accepted it at %v", t.takenAt)
+	j.violation(SingleRun, e.Request, e.At, "rejected, though an executor accepted it at %v", t.acceptedAt)
 }
 
 // attempt evaluates an attempt that reached an executor.
@@ -268,22 +268,22 @@
 	if e.Kind == AttemptRejected {
 		return
 	}
-	j.shares.taken(e)
-	j.taken(e)
+	j.shares.accepted(e)
+	j.accepted(e)
 }
 
-func (j *Judge) taken(e Event) {
+func (j *Judge) accepted(e Event) {
 	t := j.task(e.Task)
 	rack := j.rules.Executors[e.Executor].Rack
 	switch effect := j.rules.Effects[e.Class]; {
-	case !t.taken:
-		t.taken, t.takenAt, t.rack = true, e.At, rack
+	case !t.accepted:
+		t.accepted, t.acceptedAt, t.rack = true, e.At, rack
 	case effect == Once:
-		j.violation(SingleRun, e.Request, e.At, "a second attempt reached executor %d; the first one was accepted at %v", e.Executor, t.takenAt)
+		j.violation(SingleRun, e.Request, e.At, "a second attempt reached executor %d; the first one was accepted at %v", e.Executor, t.acceptedAt)
 	case effect == KeyedByRack && rack != t.rack:
 		j.violation(SingleRun, e.Request, e.At, "a repeat reached rack %d; the first attempt was accepted in rack %d", rack, t.rack)
-	case effect == KeyedByRack && e.At-t.takenAt > j.rules.DedupWindow+j.rules.TimeTolerance:
-		j.violation(SingleRun, e.Request, e.At, "a repeat arrived %v after the first attempt", e.At-t.takenAt)
+	case effect == KeyedByRack && e.At-t.acceptedAt > j.rules.DedupWindow+j.rules.TimeTolerance:
+		j.violation(SingleRun, e.Request, e.At, "a repeat arrived %v after the first attempt", e.At-t.acceptedAt)
 	}
 }
 
@@ -307,7 +307,7 @@
 	}
 }
 
-// Finish ends the run at a time and returns the verdict. Unanswered requests are open before their deadline, and lost after it.
+// Finish ends the run at the time at and returns the verdict. Unanswered requests are open before their deadline, and lost after it.
 func (j *Judge) Finish(at time.Duration) *Verdict {
 	for id, r := range j.requests {
 		if r.answered {
--- a/internal/scale/verdict/judge_test.go
+++ b/internal/scale/verdict/judge_test.go
@@ -27,12 +27,12 @@
 		ShareGrace: 5 * second, TimeTolerance: 50 * time.Millisecond}
 }
 
-// The following functions return an event of one request at a time.
+// The following functions return an event of one request at the time at.
 func submitted(at time.Duration, request uint64, class uint8) Event {
 	return Event{At: at, Kind: Submitted, Request: request, Task: int32(request), Class: class, Slots: 1, Deadline: at + 8*second}
 }
 
-func taken(at time.Duration, request uint64, class uint8, executor int32) Event {
+func accepted(at time.Duration, request uint64, class uint8, executor int32) Event {
 	return Event{At: at, Kind: Accepted, Request: request, Task: int32(request), Class: class, Executor: executor, Slots: 1, FirstByte: at, Work: second}
 }
 
@@ -50,7 +50,7 @@
 
 // served returns all events of a request that is served.
 func served(at time.Duration, request uint64, class uint8, executor int32) []Event {
-	return []Event{submitted(at, request, class), taken(at+1, request, class, executor), started(at+2, request, class, executor),
+	return []Event{submitted(at, request, class), accepted(at+1, request, class, executor), started(at+2, request, class, executor),
 		ended(at+second, request, executor), answered(at+second+1, request, Served)}
 }
 
@@ -67,7 +67,7 @@
 }
 
 // Each sequence of events must give exactly one violation, of the expected rule and with the request that shows it.
-func TestBrokenRules(t *testing.T) {
+func TestEachRuleViolation(t *testing.T) {
 	for name, c := range map[string]struct {
 		events  []Event
 		rule    Rule
@@ -83,12 +83,12 @@
 		"lost before its dispatcher died": {[]Event{submitted(2*second, 7, once), {At: second, Kind: DispatcherDied, Dispatcher: 1}},
 			FinalAnswer, 7, "no answer"},
 		"started twice": {join(served(second, 7, once, 0), []Event{started(3*second, 7, once, 1)}), SingleRun, 7, "started 2 times"},
-		"sent twice":    {join(served(second, 7, once, 0), []Event{taken(3*second, 7, once, 1)}), SingleRun, 7, "second attempt"},
+		"sent twice":    {join(served(second, 7, once, 0), []Event{accepted(3*second, 7, once, 1)}), SingleRun, 7, "second attempt"},
 		"started twice under two requests": {join(served(second, 7, once, 0), []Event{
 			{At: 3 * second, Kind: Started, Request: 8, Task: 7, Class: once, Executor: 1, Slots: 1}}), SingleRun, 8, "started 2 times"},
-		"rejected though accepted":     {[]Event{submitted(second, 7, once), taken(second, 7, once, 0), answered(2*second, 7, Rejected)}, SingleRun, 7, "rejected, though"},
-		"key repeated in another rack": {join(served(second, 7, keyed, 0), []Event{taken(3*second, 7, keyed, 2)}), SingleRun, 7, "rack 1"},
-		"key repeated too late":        {join(served(second, 7, keyed, 0), []Event{taken(42*second, 7, keyed, 1)}), SingleRun, 7, "after the first attempt"},
+		"rejected though accepted":     {[]Event{submitted(second, 7, once), accepted(second, 7, once, 0), answered(2*second, 7, Rejected)}, SingleRun, 7, "rejected, though"},
+		"key repeated in another rack": {join(served(second, 7, keyed, 0), []Event{accepted(3*second, 7, keyed, 2)}), SingleRun, 7, "rack 1"},
+		"key repeated too late":        {join(served(second, 7, keyed, 0), []Event{accepted(42*second, 7, keyed, 1)}), SingleRun, 7, "after the first attempt"},
 		"sent after a drain": {join([]Event{listed(second, 0, Draining)}, served(2*second, 7, free, 0)), Drain, 7,
 			"after it was notified"},
 		"sent after a removal": {join([]Event{listed(second, 0, Removed), listed(1200*time.Millisecond, 0, Draining)}, served(1600*time.Millisecond, 7, free, 0)),
@@ -127,13 +127,13 @@
 }
 
 // Sequences of events that look like violations but are not must give none.
-func TestKeptRules(t *testing.T) {
+func TestEventsWithoutViolations(t *testing.T) {
 	for name, events := range map[string][]Event{
 		"served":                              join(served(second, 1, once, 0), served(second, 2, keyed, 1), served(second, 3, free, 2)),
-		"free runs twice":                     join(served(second, 7, free, 0), []Event{taken(2*second, 7, free, 2), started(2*second, 7, free, 2)}),
-		"key repeated in its rack and window": join(served(second, 7, keyed, 0), []Event{taken(30*second, 7, keyed, 1)}),
+		"free runs twice":                     join(served(second, 7, free, 0), []Event{accepted(2*second, 7, free, 2), started(2*second, 7, free, 2)}),
+		"key repeated in its rack and window": join(served(second, 7, keyed, 0), []Event{accepted(30*second, 7, keyed, 1)}),
 		"rejected, then accepted elsewhere": {submitted(second, 7, once), {At: second, Kind: AttemptRejected, Request: 7, Task: 7, Class: once, Executor: 0, FirstByte: second},
-			taken(second, 7, once, 1), started(second, 7, once, 1), ended(2*second, 7, 1), answered(2*second, 7, Served)},
+			accepted(second, 7, once, 1), started(second, 7, once, 1), ended(2*second, 7, 1), answered(2*second, 7, Served)},
 		"rejected, then retried": {submitted(second, 7, once), answered(second, 7, Rejected),
 			{At: 2 * second, Kind: Submitted, Request: 8, Task: 7, Class: once, Slots: 1, Deadline: 9 * second}, {At: 2 * second, Kind: Accepted, Request: 8, Task: 7, Class: once},
 			{At: 2 * second, Kind: Started, Request: 8, Task: 7, Class: once}, answered(3*second, 8, Served)},
@@ -166,7 +166,7 @@
 
 // Reserved slots are a share of the slots of executors that are up: after deaths a tenant has fewer reserved slots, and waiting beyond
 // them is no violation.
-func TestShareGoesByWhatStands(t *testing.T) {
+func TestReservedShareFollowsCapacity(t *testing.T) {
 	var events []Event
 	for x := int32(1); x < 4; x++ {
 		events = append(events, Event{At: second, Kind: Died, Executor: x})
@@ -190,7 +190,7 @@
 }
 
 // Arbitrary events in any order must not panic, must count each submitted request, and must give equal verdicts when repeated.
-func TestAnyEvents(t *testing.T) {
+func TestArbitraryEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		events := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Event {
 			request := rapid.Uint64Range(1, 9).Draw(t, "request")
--- a/internal/scale/verdict/shares.go
+++ b/internal/scale/verdict/shares.go
@@ -14,7 +14,7 @@
 	waiting   map[int32]*waitingTask
 	running   map[int32]runningTask // by task
 	up        []bool                // executors
-	warmFrom  []time.Duration
+	warmAt    []time.Duration
 	capacity  int
 	nextCheck time.Duration
 	warming   []warming
@@ -54,7 +54,7 @@
 
 func newShares(rules Rules) shares {
 	s := shares{rules: rules, tenants: make([]tenantShare, len(rules.ReservedShares)), waiting: map[int32]*waitingTask{},
-		running: map[int32]runningTask{}, up: make([]bool, len(rules.Executors)), warmFrom: make([]time.Duration, len(rules.Executors))}
+		running: map[int32]runningTask{}, up: make([]bool, len(rules.Executors)), warmAt: make([]time.Duration, len(rules.Executors))}
 	for i, x := range rules.Executors {
 		s.up[i] = true
 		s.capacity += x.Slots
@@ -80,7 +80,7 @@
 	}
 }
 
-func (s *shares) taken(e Event) { s.withdrawn(e.Task) }
+func (s *shares) accepted(e Event) { s.withdrawn(e.Task) }
 
 func (s *shares) started(e Event) {
 	s.withdrawn(e.Task)
@@ -100,7 +100,7 @@
 		return
 	}
 	s.up[e.Executor] = false
-	if s.warmFrom[e.Executor] <= e.At {
+	if s.warmAt[e.Executor] <= e.At {
 		s.capacity -= s.rules.Executors[e.Executor].Slots
 	}
 	for task, r := range s.running {
@@ -113,8 +113,8 @@
 
 func (s *shares) booted(e Event) {
 	s.up[e.Executor] = true
-	s.warmFrom[e.Executor] = e.At + s.rules.SlowStartDuration
-	s.warming = append(s.warming, warming{s.warmFrom[e.Executor], e.Executor})
+	s.warmAt[e.Executor] = e.At + s.rules.SlowStartDuration
+	s.warming = append(s.warming, warming{s.warmAt[e.Executor], e.Executor})
 }
 
 // addWarmed adds the slots of executors that have become warm to the capacity.
@@ -122,7 +122,7 @@
 	for len(s.warming) > 0 && s.warming[0].at <= now {
 		w := s.warming[0]
 		s.warming = s.warming[1:]
-		if s.up[w.executor] && s.warmFrom[w.executor] == w.at {
+		if s.up[w.executor] && s.warmAt[w.executor] == w.at {
 			s.capacity += s.rules.Executors[w.executor].Slots
 		}
 	}
--- a/internal/scale/virtual/executor.go
+++ b/internal/scale/virtual/executor.go
@@ -74,17 +74,17 @@
 // arrive accepts or rejects an attempt.
 func (x *executor) arrive(t *attempt) {
 	w := x.world
-	back := w.latency(t.dispatcher.number, x)
+	replyLatency := w.latency(t.dispatcher.number, x)
 	switch {
 	case t.over:
 		return // canceled before it arrived
 	case !x.up:
-		w.after(back, func() { t.dispatcher.end(t, dispatch.ConnectFailed, nil) })
+		w.after(replyLatency, func() { t.dispatcher.end(t, dispatch.ConnectFailed, nil) })
 		return
 	case len(x.waiting) >= queuePerSlot*x.plan.Slots || t.job.task.Slots > x.plan.Slots:
 		w.observe(t.event(verdict.AttemptRejected))
 		report := x.report()
-		w.after(back, func() { t.dispatcher.end(t, dispatch.Full, report) })
+		w.after(replyLatency, func() { t.dispatcher.end(t, dispatch.Full, report) })
 		return
 	}
 	w.observe(t.event(verdict.Accepted))
@@ -109,8 +109,8 @@
 func (x *executor) start(t *attempt) {
 	w := x.world
 	w.observe(t.event(verdict.Started))
-	back := w.latency(t.dispatcher.number, x)
-	w.after(back, func() {
+	replyLatency := w.latency(t.dispatcher.number, x)
+	w.after(replyLatency, func() {
 		if !t.started {
 			t.started = true
 			w.counts.StartLatencies[t.job.task.Kind] = append(w.counts.StartLatencies[t.job.task.Kind], w.now-t.job.due)
--- a/internal/scale/virtual/world.go
+++ b/internal/scale/virtual/world.go
@@ -131,17 +131,17 @@
 // list changes the condition of executors in the list and notifies all dispatchers.
 func (w *World) list(executors []int, c dispatch.Condition) {
 	w.listVersion++
-	var rows []dispatch.EndpointUpdate
+	var updates []dispatch.EndpointUpdate
 	for _, i := range executors {
 		x := w.executors[i]
 		if c == dispatch.Ready && !x.up {
 			continue
 		}
 		x.status = c
-		rows = append(rows, x.entry())
+		updates = append(updates, x.entry())
 	}
 	for _, d := range w.dispatchers {
-		d.listChanged(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Version: w.listVersion, Updates: rows}, executors, c)
+		d.listChanged(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Version: w.listVersion, Updates: updates}, executors, c)
 	}
 }
 
--- a/internal/scale/virtual/world_test.go
+++ b/internal/scale/virtual/world_test.go
@@ -87,7 +87,7 @@
 // With enough free slots a task starts one message latency after it is due and ends after its running time, and the number of running
 // tasks matches the target. A module without a load report of an executor assumes two slots, so that at the start a task can wait
 // behind another on an executor with one slot. A few tasks may therefore miss their deadlines.
-func TestAtRest(t *testing.T) {
+func TestFleetWithFreeSlots(t *testing.T) {
 	d := some()
 	d.Executors, d.Duration = 400, time.Minute
 	v, c := playOne(t, d, nil)
--- a/internal/scale/workload/workload.go
+++ b/internal/scale/workload/workload.go
@@ -90,7 +90,7 @@
 	return next, true
 }
 
-// rate returns the requested task starts per second at a time: constant, or on a linear ramp.
+// rate returns the requested task starts per second at the time at: constant, or on a linear ramp.
 func (g *Generator) rate(at time.Duration) float64 {
 	d := &g.description
 	if d.StartsTo <= d.Starts {
