--- a/cmd/gatetack/settings.go
+++ b/cmd/gatetack/settings.go
@@ -194,10 +194,10 @@
 
 // describeLastReport describes when the process last reported.
 func describeLastReport(p settings.Progress) string {
-	if p.SilentMs < 0 {
+	if p.ReportAgeMs < 0 {
 		return "not heard"
 	}
-	return fmt.Sprintf("heard %d ms ago", p.SilentMs)
+	return fmt.Sprintf("heard %d ms ago", p.ReportAgeMs)
 }
 
 // showStatus prints a summary line and one line for each process that is behind.
--- a/internal/jobstore/bolt_test.go
+++ b/internal/jobstore/bolt_test.go
@@ -48,8 +48,8 @@
 			model[c.Key] = string(c.Value)
 		}
 	}
-	bad := []Change{{Kind: "job", Key: "k00", Value: []byte("bad")}, {Kind: "job"}}
-	if err := b.Write(t.Context(), bad...); err == nil {
+	invalid := []Change{{Kind: "job", Key: "k00", Value: []byte("bad")}, {Kind: "job"}}
+	if err := b.Write(t.Context(), invalid...); err == nil {
 		t.Fatal("a change without a key was accepted")
 	}
 }
--- a/internal/membership/assessment_test.go
+++ b/internal/membership/assessment_test.go
@@ -67,23 +67,23 @@
 // lostWrite is a store in which some members, among them n0, acknowledged an entry and voted in term 2, and n0 lost
 // both.
 type lostWrite struct {
-	members  int
-	majority int
-	holders  int // bit set of the members that acknowledged the entry and voted
+	members      int
+	majority     int
+	acknowledged int // bit set of the members that acknowledged the entry and voted
 }
 
-func (w lostWrite) holds(member int) bool { return w.holders&(1<<member) != 0 }
+func (w lostWrite) hasEntry(member int) bool { return w.acknowledged&(1<<member) != 0 }
 
 var (
-	lostEntry   = Position{2, 9}
-	entryBefore = Position{1, 8}
+	lostEntry     = Position{2, 9}
+	previousEntry = Position{1, 8}
 )
 
 func (w lostWrite) progress(member int) Progress {
-	if w.holds(member) {
+	if w.hasEntry(member) {
 		return Progress{lostEntry, 2}
 	}
-	return Progress{entryBefore, 1}
+	return Progress{previousEntry, 1}
 }
 
 // assess returns the assessment of n0 after a set of members answered, and the number of answers.
@@ -94,7 +94,7 @@
 			answers[fmt.Sprint("n", i)] = w.progress(i)
 		}
 	}
-	folder := Folder{Name: "n0", Identity: "f", Last: entryBefore, Term: 1}
+	folder := Folder{Name: "n0", Identity: "f", Last: previousEntry, Term: 1}
 	return Assess(folder, nil, memberNames(w.members), answers), len(answers)
 }
 
@@ -103,7 +103,7 @@
 func (w lostWrite) certainVotes() int {
 	votes := 0
 	for i := 1; i < w.members; i++ {
-		if !w.holds(i) {
+		if !w.hasEntry(i) {
 			votes++
 		}
 	}
@@ -119,17 +119,17 @@
 	t.Helper()
 	assessment, answers := w.assess(answering)
 	for candidate := range w.members {
-		if candidate > 0 && w.holds(candidate) {
+		if candidate > 0 && w.hasEntry(candidate) {
 			continue
 		}
 		votes, ownVote := w.certainVotes(), 0
-		if assessment.Floor.Allows(3, entryBefore) {
+		if assessment.Floor.Allows(3, previousEntry) {
 			ownVote = 1
 		}
 		wins := votes+ownVote >= w.majority
 		if wins && assessment.Complete {
 			t.Fatalf("%d members: %b have the write, %b answered, n%d wins the election without it",
-				w.members, w.holders, answering, candidate)
+				w.members, w.acknowledged, answering, candidate)
 		}
 		if wins && answers == RequiredWitnesses(w.members)-1 {
 			out.fewerWitnesses++
@@ -139,7 +139,7 @@
 		}
 		if assessment.Complete && assessment.Floor.Allows(2, lostEntry) && votes+1 >= w.majority {
 			t.Fatalf("%d members: %b voted in term 2, %b answered, and n%d gets a second vote in it",
-				w.members, w.holders, answering, candidate)
+				w.members, w.acknowledged, answering, candidate)
 		}
 	}
 	return out
@@ -152,9 +152,9 @@
 func TestLostWritesAndVotesWinNoElection(t *testing.T) {
 	for n := 2; n <= 7; n++ {
 		var total weakerRuleWins
-		for holders := range 1 << n {
-			w := lostWrite{members: n, majority: n/2 + 1, holders: holders}
-			if !w.holds(0) || bits.OnesCount(uint(holders)) < w.majority {
+		for acknowledged := range 1 << n {
+			w := lostWrite{members: n, majority: n/2 + 1, acknowledged: acknowledged}
+			if !w.hasEntry(0) || bits.OnesCount(uint(acknowledged)) < w.majority {
 				continue
 			}
 			for answering := 0; answering < 1<<n; answering += 2 {
--- a/internal/pki/pki_test.go
+++ b/internal/pki/pki_test.go
@@ -91,8 +91,8 @@
 	if err := exchange(addr, &tls.Config{InsecureSkipVerify: true}); err == nil {
 		t.Error("a client without a certificate was accepted")
 	}
-	_, strangers := newFolders(t, "n1")
-	if err := exchange(addr, open(t, strangers[0]).Client()); err == nil {
+	_, otherNodes := newFolders(t, "n1")
+	if err := exchange(addr, open(t, otherNodes[0]).Client()); err == nil {
 		t.Error("a client of another authority was accepted")
 	}
 	expired := filepath.Join(t.TempDir(), "expired")
@@ -109,7 +109,7 @@
 		!strings.Contains(err.Error(), "expired") {
 		t.Errorf("an expired server: %v", err)
 	}
-	if err := exchange(serve(t, open(t, strangers[0])), client.Client()); err == nil {
+	if err := exchange(serve(t, open(t, otherNodes[0])), client.Client()); err == nil {
 		t.Error("a server of another authority was accepted")
 	}
 	// A revoked certificate is rejected from the next connection on, by both sides.
--- a/internal/settings/rollout.go
+++ b/internal/settings/rollout.go
@@ -32,8 +32,8 @@
 // Progress is the latest report of a process, and its age.
 type Progress struct {
 	Report
-	SilentMs int64 `json:"silentMs"` // time since the last report
-	BehindMs int64 `json:"behindMs"` // since acceptance of the first version that is not active, 0 if none
+	ReportAgeMs int64 `json:"silentMs"` // time since the last report
+	BehindMs    int64 `json:"behindMs"` // since acceptance of the first version that is not active, 0 if none
 }
 
 // Rollout tracks which version is active in which process. Callers pass the current time, as a duration on a monotonic
@@ -102,7 +102,7 @@
 	for _, h := range t.observed {
 		out = append(
 			out,
-			Progress{Report: h.report, SilentMs: (now - h.at).Milliseconds(), BehindMs: t.behind(h.report.ActiveVersion, now)},
+			Progress{Report: h.report, ReportAgeMs: (now - h.at).Milliseconds(), BehindMs: t.behind(h.report.ActiveVersion, now)},
 		)
 	}
 	slices.SortFunc(out, func(a, b Progress) int { return strings.Compare(a.Process, b.Process) })
@@ -129,7 +129,7 @@
 
 // isStale reports whether the last report is so old that another incarnation of the same name may be running.
 func (p *Progress) isStale() bool {
-	return p.SilentMs < 0 || p.SilentMs > incarnationTimeout.Milliseconds()
+	return p.ReportAgeMs < 0 || p.ReportAgeMs > incarnationTimeout.Milliseconds()
 }
 
 // supersedes reports whether p is to be used in place of other, which is of the same process.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -116,16 +116,16 @@
 
 // Items that are valid individually can be invalid together.
 func TestMergedSettingsAreValidated(t *testing.T) {
-	var many []Change
+	var classes []Change
 	for i := range 254 {
-		many = append(many, change(fmt.Sprintf("class/c%03d", i), `{"deadline":5000,"effect":"free"}`))
+		classes = append(classes, change(fmt.Sprintf("class/c%03d", i), `{"deadline":5000,"effect":"free"}`))
 	}
-	if err := Validate(baseRules(), documentOf(t, many[:253]...)); err != nil {
+	if err := Validate(baseRules(), documentOf(t, classes[:253]...)); err != nil {
 		t.Errorf("255 classes: %v", err)
 	}
 	if err := Validate(
 		baseRules(),
-		documentOf(t, many...),
+		documentOf(t, classes...),
 	); err == nil ||
 		!strings.Contains(err.Error(), "256 classes with it, expected 255 at most") {
 		t.Errorf("256 classes: %v", err)
--- a/internal/settingsync/roster.go
+++ b/internal/settingsync/roster.go
@@ -85,13 +85,13 @@
 	var out, missing []settings.Progress
 	names := map[string]bool{}
 	for _, p := range observed {
-		if names[p.Process] = true; s.enrolled(p.Process) || p.SilentMs < recent {
+		if names[p.Process] = true; s.enrolled(p.Process) || p.ReportAgeMs < recent {
 			out = append(out, p)
 		}
 	}
 	for _, e := range s.cfg.Store.View().List(RosterTable, "", "", maxItems) {
 		if !names[e.Key] {
-			missing = append(missing, settings.Progress{Report: settings.Report{Process: e.Key}, SilentMs: neverObserved})
+			missing = append(missing, settings.Progress{Report: settings.Report{Process: e.Key}, ReportAgeMs: neverObserved})
 		}
 	}
 	return settings.Newest(out, missing)
--- a/internal/settingsync/settingsync_test.go
+++ b/internal/settingsync/settingsync_test.go
@@ -207,14 +207,14 @@
 	first := apply(t, s, oneChange("class/a", `{"worth":2}`))
 	waitFor(t, "the first version is active", func() bool { return target.latest() == first })
 	store.mu.Lock()
-	grown := store.changed
+	changed := store.changed
 	store.mu.Unlock()
 	store.compact()
 	second := store.apply(
 		transaction(first, []settings.Change{{Key: "class/a", Value: json.RawMessage(`{"worth":3}`)}}),
 	).Version
 	store.compact()
-	<-grown
+	<-changed
 	waitFor(t, "the second version is active", func() bool { return target.latest() == second })
 	store.apply(
 		&kv.Txn{
@@ -262,7 +262,7 @@
 	}
 }
 
-// scriptedUpstream answers polls one after the other, and then tells nothing new.
+// scriptedUpstream answers polls with the given responses in order, and then without an update.
 type scriptedUpstream struct {
 	mu        sync.Mutex
 	responses []func(settings.Report) (settings.Update, error)
@@ -403,10 +403,10 @@
 			return &http1.Message{Status: 200, Body: []byte(`{"version":7,"from":5,"changes":[]}`)}, nil
 		},
 	}
-	asked := map[string]int{}
+	polls := map[string]int{}
 	members := []string{"down", "busy", "garbage", "stale", "good"}
 	r := NewRemote(members, func(_ context.Context, addr, _, _ string, _ []byte) (*http1.Message, error) {
-		asked[addr]++
+		polls[addr]++
 		return answers[addr]()
 	}, time.Second)
 	r.current = 0
@@ -416,16 +416,16 @@
 			got = u
 		}
 	}
-	if got.Version != 7 || len(asked) != len(members) {
-		t.Errorf("got %+v; polled %v", got, asked)
+	if got.Version != 7 || len(polls) != len(members) {
+		t.Errorf("got %+v; polls %v", got, polls)
 	}
 	if _, err := r.Poll(
 		t.Context(),
 		settings.Report{Process: "p", ReceivedVersion: 5},
 		0,
 	); err != nil ||
-		asked["good"] != 2 {
-		t.Errorf("it does not keep polling the member that responds: %v, %v", err, asked)
+		polls["good"] != 2 {
+		t.Errorf("it does not keep polling the member that responds: %v, %v", err, polls)
 	}
 }
 
@@ -491,7 +491,7 @@
 	waitFor(t, "the restarted member has caught up", func() bool { return restarted.localStatus().Version == version })
 	status := restarted.fleetStatus(t.Context())
 	if len(status.Processes) != 1 || status.Processes[0].Process != "p" || status.Processes[0].ActiveVersion != 0 ||
-		status.Processes[0].SilentMs != neverObserved {
+		status.Processes[0].ReportAgeMs != neverObserved {
 		t.Errorf("%+v", status)
 	}
 	if r := restarted.Handle(
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -86,7 +86,7 @@
 	case "remove":
 		x, err = all.Remove(name, v.Get("force").Bool())
 	default:
-		err = fmt.Errorf("verb %q: expected join, promote, leave or remove", verb)
+		err = fmt.Errorf("%q is none of join, promote, leave and remove", verb)
 	}
 	if err != nil {
 		return http1.JSON(409, map[string]string{"error": err.Error()})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -220,7 +220,7 @@
 	return errors.Join(err, s.guard.Close(), s.disk.Close())
 }
 
-// IsLeader reports whether this member leads.
+// IsLeader reports whether this member is the leader.
 func (s *Store) IsLeader() bool { return s.raft.State() == raft.Leader }
 
 // expireLeases commits an empty transaction with the current time when a lease expires, while this member is the
