--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -342,7 +342,7 @@
 		return err == nil && (m.Status == 201 || m.Status == 409)
 	})
 	s.until("the actor's timer is set", func() bool {
-		status, _, err := s.deskCall("clock", 1, 0)
+		status, _, err := s.callActor("clock", 1, 0)
 		return err == nil && status == 200
 	})
 	read := func() (job string, rung int64) {
--- a/test/deployments_test.go
+++ b/test/deployments_test.go
@@ -23,63 +23,63 @@
 // class is one class of a deployment of our own making.
 type class struct {
 	name, effect, scope string
-	deadline            int // ms
-	widths              []int
+	deadlineMs          int // ms
+	slots               []int
 }
 
 // deployment is settings that span, together with the others of the table, what the protocol allows.
 type deployment struct {
-	name      string
-	classes   []class
-	zones     []string
-	lists     string // subscribe or automatic
-	reports   string // piggyback, pull or silent
-	fields    string
-	told      bool // starts and progress
-	peers     bool
-	attempts  int
-	copies    bool
-	cancel    bool
-	byWork    bool
-	grace     int // ms
-	retries   bool
-	connected int // connIdle, ms
-	window    int // ms in which repeats of keyed jobs are dropped; 0: longer than any of them lasts
-	within    int // ms in which the list is asked for, 0: 5000
-	multiple  float64
+	name            string
+	classes         []class
+	zones           []string
+	discoveryMode   string // subscribe or automatic
+	reportMode      string // piggyback, pull or silent
+	reportFields    string
+	notifiesStarts  bool // starts and progress
+	peers           bool
+	maxAttempts     int
+	mayDuplicate    bool
+	cancels         bool
+	weightByWork    bool
+	drainGraceMs    int // ms
+	sendsRetryAfter bool
+	connIdleMs      int // connIdle, ms
+	dedupWindowMs   int // ms in which repeats of keyed jobs are dropped; 0: longer than any of them lasts
+	pollWithinMs    int // ms in which the list is asked for, 0: 5000
+	budgetMultiple  float64
 }
 
 var deployments = []deployment{
-	{name: "reports in answers, lists asked for, one zone, a keyed class", lists: "subscribe", reports: "piggyback", fields: `"pending","x0"`,
-		told: true, attempts: 3, copies: true, cancel: true, grace: 500, retries: true, connected: 60000, zones: []string{"east"},
+	{name: "reports in answers, lists asked for, one zone, a keyed class", discoveryMode: "subscribe", reportMode: "piggyback", reportFields: `"pending","x0"`,
+		notifiesStarts: true, maxAttempts: 3, mayDuplicate: true, cancels: true, drainGraceMs: 500, sendsRetryAfter: true, connIdleMs: 60000, zones: []string{"east"},
 		classes: []class{{"bill", "single_shot", "", 3000, []int{1}}, {"draw", "guarded", "cell", 5000, []int{1}}}},
-	{name: "reports by probe, pushed lists, nothing told, wide jobs, three that never run twice", lists: "automatic", reports: "pull",
-		fields: `"pending","served_ps","x0"`, attempts: 6, copies: true, cancel: true, byWork: true, grace: 3000, retries: true,
-		connected: 30000, zones: []string{"north", "south"},
+	{name: "reports by probe, pushed lists, nothing told, wide jobs, three that never run twice", discoveryMode: "automatic", reportMode: "pull",
+		reportFields: `"pending","served_ps","x0"`, maxAttempts: 6, mayDuplicate: true, cancels: true, weightByWork: true, drainGraceMs: 3000, sendsRetryAfter: true,
+		connIdleMs: 30000, zones: []string{"north", "south"},
 		classes: []class{{"look", "free", "", 2000, []int{1}}, {"book", "single_shot", "", 3000, []int{1, 1, 2, 4}},
 			{"enrol", "single_shot", "", 5000, []int{1, 2, 4}}, {"remind", "single_shot", "", 2000, []int{1, 2}}}},
-	{name: "no reports, one attempt, no copies, no cancel, four zones", lists: "automatic", reports: "silent", attempts: 1, grace: 1000,
-		connected: 2000, zones: []string{"a", "b", "c", "d"},
+	{name: "no reports, one attempt, no copies, no cancel, four zones", discoveryMode: "automatic", reportMode: "silent", maxAttempts: 1, drainGraceMs: 1000,
+		connIdleMs: 2000, zones: []string{"a", "b", "c", "d"},
 		classes: []class{{"read", "free", "", 2000, []int{1}}, {"write", "single_shot", "", 3000, []int{1, 2}}}},
-	{name: "messages between nodes, keyed by zone and anywhere", lists: "subscribe", reports: "piggyback", fields: `"busy_reqs","cpu_share"`,
-		told: true, peers: true, attempts: 4, copies: true, cancel: true, grace: 500, retries: true, connected: 5000,
+	{name: "messages between nodes, keyed by zone and anywhere", discoveryMode: "subscribe", reportMode: "piggyback", reportFields: `"busy_reqs","cpu_share"`,
+		notifiesStarts: true, peers: true, maxAttempts: 4, mayDuplicate: true, cancels: true, drainGraceMs: 500, sendsRetryAfter: true, connIdleMs: 5000,
 		zones: []string{"x", "y"}, classes: []class{{"zonal", "guarded", "zone", 3000, []int{1}}, {"anywhere", "guarded", "all", 3000, []int{1, 2}},
 			{"once", "single_shot", "", 3000, []int{1}}}},
-	{name: "starts told and no progress, weights live, one class that may not be copied", lists: "subscribe", reports: "pull", fields: `"x0"`,
-		told: true, attempts: 2, cancel: false, grace: 800, retries: false, connected: 60000, zones: []string{"p", "q", "r"},
+	{name: "starts told and no progress, weights live, one class that may not be copied", discoveryMode: "subscribe", reportMode: "pull", reportFields: `"x0"`,
+		notifiesStarts: true, maxAttempts: 2, cancels: false, drainGraceMs: 800, sendsRetryAfter: false, connIdleMs: 60000, zones: []string{"p", "q", "r"},
 		classes: []class{{"only", "guarded", "cell", 3000, []int{1, 2}}}},
 }
 
 const (
-	coldFrom    = 0.3
-	warmWithin  = 4000
-	fall        = 1000
-	multiple    = 2.5
-	boxSlots    = 4
-	jobTime     = 60 * time.Millisecond
-	ruleSlack   = 50 * time.Millisecond // of the protocol, on every limit of time
-	restartSlop = 50 * time.Millisecond
-	clientSlack = time.Second // a client of this test may be slow to see its answer on a busy machine
+	coldShare      = 0.3
+	warmUpMs       = 4000
+	budgetWindowMs = 1000
+	multiple       = 2.5
+	executorSlots  = 4
+	jobDuration    = 60 * time.Millisecond
+	protocolSlack  = 50 * time.Millisecond // of the protocol, on every limit of time
+	restartSlack   = 50 * time.Millisecond
+	clientSlack    = time.Second // a client of this test may be slow to see its answer on a busy machine
 )
 
 func (d *deployment) settings() string {
@@ -91,17 +91,17 @@
 			scope = "all"
 		}
 		classes = append(classes, fmt.Sprintf(`{"name":%q,"aim":%d,"deadline":%d,"worth":5.0,"effect":%q,"dedupScope":%q,"window":%d}`,
-			c.name, jobTime.Milliseconds(), c.deadline, c.effect, scope, cmp.Or(d.window, 20000)))
+			c.name, jobDuration.Milliseconds(), c.deadlineMs, c.effect, scope, cmp.Or(d.dedupWindowMs, 20000)))
 		minus, stretch = append(minus, "-1"), append(stretch, "2.0")
 	}
 	balancers, worth, progress := 1, "request", 0
 	if d.peers {
 		balancers = 2
 	}
-	if d.byWork {
+	if d.weightByWork {
 		worth = "work"
 	}
-	if d.told {
+	if d.notifiesStarts {
 		progress = 200
 	}
 	return fmt.Sprintf(`{"me":0,"balancers":%d,"zone":0,"zones":[%s],"kinds":["k1","k2"],"step":4.0,"discovery":%q,"weights":"nominal",
@@ -111,8 +111,8 @@
  "mayDuplicate":%v,"multiplex":1,"peers":%v,"probing":%v,"retryAfter":%v},
 "invariants":{"answerSlack":16.0,"askWithin":%d,"coldFrom":%v,"drainGrace":%d,"fall":%d,"fallMultiple":%v,"warmWithin":%d},
 "fees":{"crossZone":0.1,"probe":0.002},"requestClasses":[%s],"tenants":[{"name":"pohjakaart","portion":1.0,"quotaRps":100.0}]}`,
-		balancers, quote(d.zones), d.lists, worth, d.reports, d.fields, strings.Join(minus, ","), strings.Join(stretch, ","), d.told, progress,
-		d.cancel, d.connected, d.attempts, d.copies, d.peers, d.reports == "pull", d.retries, cmp.Or(d.within, 5000), coldFrom, d.grace, fall, cmp.Or(d.multiple, multiple), warmWithin,
+		balancers, quote(d.zones), d.discoveryMode, worth, d.reportMode, d.reportFields, strings.Join(minus, ","), strings.Join(stretch, ","), d.notifiesStarts, progress,
+		d.cancels, d.connIdleMs, d.maxAttempts, d.mayDuplicate, d.peers, d.reportMode == "pull", d.sendsRetryAfter, cmp.Or(d.pollWithinMs, 5000), coldShare, d.drainGraceMs, budgetWindowMs, cmp.Or(d.budgetMultiple, multiple), warmUpMs,
 		strings.Join(classes, ","))
 }
 
@@ -120,28 +120,28 @@
 func (d *deployment) place(b *testenv.Executor, i int) {
 	b.Zone, b.Type, b.Group = d.zones[i%len(d.zones)], "k1", i/2
 	b.Set(func(how *testenv.Behavior) {
-		how.FreeSlots, how.Slots, how.NoProgress, how.NoLoadReport = boxSlots, boxSlots, !d.told, d.reports != "piggyback"
+		how.FreeSlots, how.Slots, how.NoProgress, how.NoLoadReport = executorSlots, executorSlots, !d.notifiesStarts, d.reportMode != "piggyback"
 	})
 }
 
-// mortal is a box that can be made to die as a process does: its connections break and new ones are refused.
-func mortal(t *testing.T, s *testNode, name string) (*testenv.Executor, context.CancelFunc) {
+// newKillableExecutor is a box that can be made to die as a process does: its connections break and new ones are refused.
+func newKillableExecutor(t *testing.T, s *testNode, name string) (*testenv.Executor, context.CancelFunc) {
 	t.Helper()
 	ctx, kill := context.WithCancel(s.ctx)
-	b, err := testenv.NewExecutor(ctx, s.g, name, s.listen, jobTime)
+	b, err := testenv.NewExecutor(ctx, s.g, name, s.listen, jobDuration)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return b, kill
 }
 
-type handed struct {
-	class  *class
-	id     string
-	slots  int
-	status int // 0: no whole answer came
-	begun  time.Time
-	ended  time.Time
+type submittedJob struct {
+	class       *class
+	id          string
+	slots       int
+	status      int // 0: no whole answer came
+	submittedAt time.Time
+	answeredAt  time.Time
 }
 
 // TestDeployments plays the same day under settings that differ in all that a deployment may differ in: an executor stands
@@ -151,7 +151,7 @@
 func TestDeployments(t *testing.T) {
 	for i := range deployments {
 		d := &deployments[i]
-		t.Run(d.name, func(t *testing.T) { d.play(t, int64(i+1)) })
+		t.Run(d.name, func(t *testing.T) { d.run(t, int64(i+1)) })
 	}
 }
 
@@ -160,22 +160,22 @@
 	some := rapid.Custom(func(t *rapid.T) *deployment {
 		on := func(what string) bool { return rapid.Bool().Draw(t, what) }
 		ms := func(what string, least, most int) int { return rapid.IntRange(least, most).Draw(t, what) }
-		d := &deployment{lists: rapid.SampledFrom([]string{"subscribe", "automatic"}).Draw(t, "lists"),
-			reports: rapid.SampledFrom([]string{"piggyback", "pull", "silent"}).Draw(t, "reports"), fields: `"pending","x0"`, told: on("told"), peers: on("peers"),
-			attempts: ms("attempts", 1, 6), copies: on("copies"), cancel: on("cancel"), byWork: on("by work"), grace: ms("grace", 300, 3000),
-			retries: on("retries"), connected: ms("idle", 1000, 60000), window: ms("window", 300, 5000), within: ms("within", 3000, 12000),
-			multiple: rapid.Float64Range(2, 4).Draw(t, "multiple")}
+		d := &deployment{discoveryMode: rapid.SampledFrom([]string{"subscribe", "automatic"}).Draw(t, "lists"),
+			reportMode: rapid.SampledFrom([]string{"piggyback", "pull", "silent"}).Draw(t, "reports"), reportFields: `"pending","x0"`, notifiesStarts: on("told"), peers: on("peers"),
+			maxAttempts: ms("attempts", 1, 6), mayDuplicate: on("copies"), cancels: on("cancel"), weightByWork: on("by work"), drainGraceMs: ms("grace", 300, 3000),
+			sendsRetryAfter: on("retries"), connIdleMs: ms("idle", 1000, 60000), dedupWindowMs: ms("window", 300, 5000), pollWithinMs: ms("within", 3000, 12000),
+			budgetMultiple: rapid.Float64Range(2, 4).Draw(t, "multiple")}
 		for i := range ms("zones", 1, 4) {
 			d.zones = append(d.zones, fmt.Sprint("zone-", i))
 		}
 		for i := range ms("classes", 1, 4) {
-			c := class{name: fmt.Sprint("class-", i), deadline: ms("deadline", 2000, 6000),
+			c := class{name: fmt.Sprint("class-", i), deadlineMs: ms("deadline", 2000, 6000),
 				effect: rapid.SampledFrom([]string{"free", "guarded", "single_shot"}).Draw(t, "effect")}
 			if c.effect == "guarded" {
 				c.scope = rapid.SampledFrom([]string{"all", "zone", "cell"}).Draw(t, "scope")
 			}
 			for range ms("widths", 1, 3) {
-				c.widths = append(c.widths, ms("width", 1, 4))
+				c.slots = append(c.slots, ms("width", 1, 4))
 			}
 			d.classes = append(d.classes, c)
 		}
@@ -185,17 +185,17 @@
 		d := some.Example(seed)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Logf("%+v", d)
-			d.play(t, int64(100+seed))
+			d.run(t, int64(100+seed))
 		})
 	}
 }
 
-func (d *deployment) play(t *testing.T, seed int64) {
+func (d *deployment) run(t *testing.T, seed int64) {
 	s := newTestNode(t, 0, 0)
 	s.settingsJSON = d.settings()
 	var kills []context.CancelFunc
 	for i := range 6 {
-		b, kill := mortal(t, s, fmt.Sprintf("s-%08x", i+1))
+		b, kill := newKillableExecutor(t, s, fmt.Sprintf("s-%08x", i+1))
 		d.place(b, i)
 		s.executors, kills = append(s.executors, b), append(kills, kill)
 		s.discovery.Put(b, "ready")
@@ -207,7 +207,7 @@
 	s.start()
 
 	var mu sync.Mutex
-	var jobs []*handed
+	var jobs []*submittedJob
 	var answered atomic.Int64
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
@@ -220,21 +220,21 @@
 					return
 				case <-time.After(time.Duration(5+rng.Intn(20)) * time.Millisecond):
 				}
-				j := &handed{class: &d.classes[rng.Intn(len(d.classes))], id: fmt.Sprintf("%04x%04x%08x", seed, c, n), begun: time.Now()}
+				j := &submittedJob{class: &d.classes[rng.Intn(len(d.classes))], id: fmt.Sprintf("%04x%04x%08x", seed, c, n), submittedAt: time.Now()}
 				j.slots = 1
-				if w := j.class.widths; len(w) > 0 {
+				if w := j.class.slots; len(w) > 0 {
 					j.slots = w[rng.Intn(len(w))]
 				}
 				m, err := testenv.Call(s.listen, "POST", "/"+j.class.name+"/x", []byte("body"), header("X-Trace-Id", j.id),
-					header("X-Customer", "pohjakaart"), header("X-Expires-In-Ms", strconv.Itoa(j.class.deadline)),
+					header("X-Customer", "pohjakaart"), header("X-Expires-In-Ms", strconv.Itoa(j.class.deadlineMs)),
 					header("Idempotency-Key", "key-"+j.id), header("X-Props", "slots="+strconv.Itoa(j.slots)))
-				j.ended = time.Now()
+				j.answeredAt = time.Now()
 				wait := time.Duration(0)
 				if err == nil {
 					j.status = m.Status
 					answered.Add(1)
 					if m.Status == 503 {
-						wait = comeBack(m)
+						wait = retryAfter(m)
 					}
 				} else {
 					wait = 20 * time.Millisecond
@@ -272,7 +272,7 @@
 	told := time.Now()
 	after(30, "jobs are answered beside a drain")
 
-	cold, _ := mortal(t, s, "s-000000c0")
+	cold, _ := newKillableExecutor(t, s, "s-000000c0")
 	cold.StartedAt = time.Now()
 	d.place(cold, 6)
 	for _, b := range s.executors[1:] {
@@ -280,9 +280,9 @@
 	}
 	s.executors = append(s.executors, cold)
 	next.Put(cold, "ready")
-	if d.attempts > 1 {
+	if d.maxAttempts > 1 {
 		s.until("the cold box is used", func() bool { return len(cold.Starts()) > 3 })
-		time.Sleep(fall * time.Millisecond)
+		time.Sleep(budgetWindowMs * time.Millisecond)
 	}
 	for _, b := range s.executors[1:] {
 		b.Set(func(how *testenv.Behavior) { how.RejectAll = false })
@@ -305,10 +305,10 @@
 	served := 0
 	for _, j := range jobs {
 		j := j
-		if j.status == 0 && (!j.begun.Before(up.Add(restartSlop)) || !j.ended.After(killed.Add(-restartSlop))) {
+		if j.status == 0 && (!j.submittedAt.Before(up.Add(restartSlack)) || !j.answeredAt.After(killed.Add(-restartSlack))) {
 			t.Errorf("job %s of %s had no answer", j.id, j.class.name)
 		}
-		if late := j.ended.Sub(j.begun) - time.Duration(j.class.deadline)*time.Millisecond; late > clientSlack {
+		if late := j.answeredAt.Sub(j.submittedAt) - time.Duration(j.class.deadlineMs)*time.Millisecond; late > clientSlack {
 			t.Errorf("job %s of %s was answered %v after its client gave up", j.id, j.class.name, late)
 		}
 		if j.status == 200 {
@@ -317,13 +317,13 @@
 				t.Errorf("job %s of %s was served and started nowhere", j.id, j.class.name)
 			}
 		}
-		d.repeats(t, s, j)
+		d.checkStarts(t, s, j)
 	}
 	if served < len(jobs)/3 {
 		t.Errorf("%d of %d jobs were served", served, len(jobs))
 	}
 	for _, x := range drained.Starts() {
-		if late := x.At.Sub(told) - time.Duration(d.grace)*time.Millisecond; late > ruleSlack {
+		if late := x.At.Sub(told) - time.Duration(d.drainGraceMs)*time.Millisecond; late > protocolSlack {
 			t.Errorf("job %s started at a box %v past the drain's grace", x.ID, late)
 		}
 	}
@@ -331,11 +331,11 @@
 	for _, j := range jobs {
 		width[j.id] = j.slots
 	}
-	pushed(t, cold, width, cmp.Or(d.multiple, multiple))
+	checkColdBudget(t, cold, width, cmp.Or(d.budgetMultiple, multiple))
 }
 
-// repeats checks that a job started as often, and where, as its class allows.
-func (d *deployment) repeats(t *testing.T, s *testNode, j *handed) {
+// checkStarts checks that a job started as often, and where, as its class allows.
+func (d *deployment) checkStarts(t *testing.T, s *testNode, j *submittedJob) {
 	t.Helper()
 	var at []*testenv.Executor
 	first, last := time.Time{}, time.Time{}
@@ -354,11 +354,11 @@
 		}
 	}
 	switch {
-	case len(at) > d.attempts:
-		t.Errorf("job %s of %s started %d times, %d attempts are allowed", j.id, j.class.name, len(at), d.attempts)
+	case len(at) > d.maxAttempts:
+		t.Errorf("job %s of %s started %d times, %d attempts are allowed", j.id, j.class.name, len(at), d.maxAttempts)
 	case j.class.effect == "single_shot" && len(at) > 1:
 		t.Errorf("job %s of %s, which must never run twice, started %d times", j.id, j.class.name, len(at))
-	case j.class.effect == "guarded" && last.Sub(first) > time.Duration(cmp.Or(d.window, 20000))*time.Millisecond+ruleSlack:
+	case j.class.effect == "guarded" && last.Sub(first) > time.Duration(cmp.Or(d.dedupWindowMs, 20000))*time.Millisecond+protocolSlack:
 		t.Errorf("job %s of %s started again %v after its first start, past its window", j.id, j.class.name, last.Sub(first))
 	case j.class.effect == "guarded":
 		for _, b := range at {
@@ -369,25 +369,25 @@
 	}
 }
 
-// pushed checks the budget of a box that came cold: what was sent to it in any window against what it could do then.
-func pushed(t *testing.T, cold *testenv.Executor, width map[string]int, multiple float64) {
+// checkColdBudget checks the budget of a box that came cold: what was sent to it in any window against what it could do then.
+func checkColdBudget(t *testing.T, cold *testenv.Executor, width map[string]int, multiple float64) {
 	t.Helper()
 	all := cold.Starts()
 	for i := range all {
 		sum := 0.0
-		for k := i; k >= 0 && all[i].At.Sub(all[k].At) <= fall*time.Millisecond; k-- {
-			sum += float64(max(1, width[all[k].ID])) * float64(jobTime.Milliseconds())
+		for k := i; k >= 0 && all[i].At.Sub(all[k].At) <= budgetWindowMs*time.Millisecond; k-- {
+			sum += float64(max(1, width[all[k].ID])) * float64(jobDuration.Milliseconds())
 		}
 		age := float64(all[i].At.Sub(cold.StartedAt).Milliseconds())
-		share := min(1, coldFrom+(1-coldFrom)*age/warmWithin)
-		if most := multiple * share * boxSlots * fall; sum > most {
-			t.Errorf("%.0f ms of work came to a cold box within %d ms, %.0f push it over", sum, fall, most)
+		share := min(1, coldShare+(1-coldShare)*age/warmUpMs)
+		if most := multiple * share * executorSlots * budgetWindowMs; sum > most {
+			t.Errorf("%.0f ms of work came to a cold box within %d ms, %.0f push it over", sum, budgetWindowMs, most)
 			return
 		}
 	}
 }
 
-func comeBack(m *http1.Message) time.Duration {
+func retryAfter(m *http1.Message) time.Duration {
 	seconds, err := strconv.ParseFloat(m.Get("Retry-After"), 64)
 	if err != nil {
 		return 30 * time.Millisecond
@@ -403,7 +403,7 @@
 			s := newTestNode(t, 0, 0)
 			s.settingsJSON = d.settings()
 			for i := range 4 {
-				b, _ := mortal(t, s, fmt.Sprintf("s-%08x", i+1))
+				b, _ := newKillableExecutor(t, s, fmt.Sprintf("s-%08x", i+1))
 				d.place(b, i)
 				b.Set(func(how *testenv.Behavior) { how.JobDuration, how.FreeSlots, how.Slots = 20*time.Millisecond, 16, 0 })
 				s.executors = append(s.executors, b)
--- a/test/desks_test.go
+++ b/test/desks_test.go
@@ -23,12 +23,12 @@
 )
 
 var (
-	deskFaults = flag.Int("desk-faults", 8, "how many faults TestDesksFollowAndSurvive causes; the long run takes 200")
-	deskSeed   = flag.Uint64("desk-seed", 1, "what it draws from")
+	actorFaults = flag.Int("desk-faults", 8, "how many faults TestDesksFollowAndSurvive causes; the long run takes 200")
+	actorSeed   = flag.Uint64("desk-seed", 1, "what it draws from")
 )
 
-// counter is a function whose state tells of each call exactly once, and that hands in a job with each tenth.
-const counter = `start: {n: 0, sum: 0, jobs: 0, failed: 0}
+// counterFunction is a function whose state tells of each call exactly once, and that hands in a job with each tenth.
+const counterFunction = `start: {n: 0, sum: 0, jobs: 0, failed: 0}
 on:
   call:
     state: '{"n": state.n + 1.0, "sum": state.sum + event.body.v * (state.n + 1.0), "jobs": state.jobs, "failed": state.failed}'
@@ -40,8 +40,8 @@
     state: '{"n": state.n, "sum": state.sum, "jobs": state.jobs + 1.0, "failed": state.failed + (event.served ? 0.0 : 1.0)}'
 `
 
-// deskCall makes one call at a process, as a device does that is in its zone.
-func (s *testNode) deskCall(id string, n uint64, v int) (int, gjson.Result, error) {
+// callActor makes one call at a process, as a device does that is in its zone.
+func (s *testNode) callActor(id string, n uint64, v int) (int, gjson.Result, error) {
 	body, _ := json.Marshal(map[string]any{"number": n, "body": map[string]int{"v": v}})
 	m, err := testenv.Call(s.batch, "POST", "/drmaa2/v1/desks/"+id+"/calls", body)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return m.Status, gjson.ParseBytes(m.Body), nil
 }
 
-func zoned(t *testing.T, n int) fleet {
+func newTwoZoneFleet(t *testing.T, n int) fleet {
 	f := makeFleet(t, n, 20*time.Millisecond)
 	for i, s := range f {
 		s.settingsJSON = strings.Replace(defaultSettings, `"zone":0`, fmt.Sprintf(`"zone":%d`, i%2), 1)
@@ -63,8 +63,8 @@
 // A desk follows its device: calls that come through another zone for a while have it moved there, by one epoch more, and no call is
 // lost or done twice; a call that is made again gets the same answer at any process.
 func TestDeskFollowsItsDevice(t *testing.T) {
-	f := zoned(t, 3)
-	body, _ := json.Marshal(map[string]string{"id": "crew", "function": counter})
+	f := newTwoZoneFleet(t, 3)
+	body, _ := json.Marshal(map[string]string{"id": "crew", "function": counterFunction})
 	f[0].until("the desk is made", func() bool {
 		m, err := testenv.Call(f[0].batch, "POST", "/drmaa2/v1/desks", body)
 		return err == nil && (m.Status == 201 || m.Status == 409)
@@ -74,7 +74,7 @@
 		t.Helper()
 		n++
 		s.until("a call is answered", func() bool {
-			status, v, err := s.deskCall("crew", n, 1)
+			status, v, err := s.callActor("crew", n, 1)
 			if err == nil && status == 200 {
 				if at = v.Get("node").String(); v.Get("answer.n").Uint() != n {
 					t.Fatalf("call %d is answered %s", n, v.Raw)
@@ -90,10 +90,10 @@
 		t.Errorf("its desk is at %s", at)
 	}
 	f[1].until("its desk is where its device is", func() bool { call(f[1]); return at == "n1" })
-	if status, v, err := f[2].deskCall("crew", n, 1); err != nil || status != 200 || v.Get("answer.n").Uint() != n {
+	if status, v, err := f[2].callActor("crew", n, 1); err != nil || status != 200 || v.Get("answer.n").Uint() != n {
 		t.Errorf("the last call again, elsewhere: %d %s %v", status, v.Raw, err)
 	}
-	if status, v, _ := f[0].deskCall("crew", n+5, 1); status != 409 || v.Get("next").Uint() != n+1 || v.Get("do").String() == "" {
+	if status, v, _ := f[0].callActor("crew", n+5, 1); status != 409 || v.Get("next").Uint() != n+1 || v.Get("do").String() == "" {
 		t.Errorf("a call out of order: %d %s", status, v.Raw)
 	}
 	// The process that has it is killed: it goes on elsewhere with all that was answered.
@@ -111,11 +111,11 @@
 // made again; each desk's state is the oracle's, by the same calls through one state machine without faults; each job of a desk
 // started once.
 func TestDesksFollowAndSurvive(t *testing.T) {
-	f := zoned(t, 5)
-	rng := rand.New(rand.NewPCG(*deskSeed, 0))
+	f := newTwoZoneFleet(t, 5)
+	rng := rand.New(rand.NewPCG(*actorSeed, 0))
 	const devices = 8
 	body := func(id string) []byte {
-		b, _ := json.Marshal(map[string]string{"id": id, "function": counter})
+		b, _ := json.Marshal(map[string]string{"id": id, "function": counterFunction})
 		return b
 	}
 	var up [5]atomic.Bool
@@ -135,7 +135,7 @@
 	calls := make([]uint64, devices)
 	seen := make([]map[string]bool, devices)
 	for d := range devices {
-		draw := rand.New(rand.NewPCG(*deskSeed, uint64(d+1)))
+		draw := rand.New(rand.NewPCG(*actorSeed, uint64(d+1)))
 		seen[d] = map[string]bool{}
 		g.Go(func() {
 			id, zone := fmt.Sprint("crew-", d), d%2
@@ -151,7 +151,7 @@
 					time.Sleep(10 * time.Millisecond)
 					i = draw.IntN(5)
 				}
-				status, v, err := f[i].deskCall(id, n, d+1)
+				status, v, err := f[i].callActor(id, n, d+1)
 				if err != nil || status != 200 {
 					if status == 409 && v.Get("next").Uint() > n {
 						text := fmt.Sprintf("%s: call %d is refused, %s", id, n, v.Raw)
@@ -174,7 +174,7 @@
 		})
 	}
 	var steps []string
-	for k := range *deskFaults {
+	for k := range *actorFaults {
 		i := rng.IntN(5)
 		s := f[i]
 		what := rng.IntN(3)
@@ -231,7 +231,7 @@
 	if text := wrong.Load(); text != nil {
 		t.Fatalf("%s\n%s", *text, strings.Join(steps, "\n"))
 	}
-	fn, err := actor.Compile([]byte(counter))
+	fn, err := actor.Compile([]byte(counterFunction))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/golden_folder_test.go
+++ b/test/golden_folder_test.go
@@ -29,19 +29,19 @@
 
 // goldenIDs are those of the jobs and arrays in an archive.
 type goldenIDs struct {
-	Jobs   []string `json:"jobs"`
-	Arrays []string `json:"arrays"`
-	Held   string   `json:"held"` // an array all of whose members wait
+	Jobs      []string `json:"jobs"`
+	Arrays    []string `json:"arrays"`
+	HeldArray string   `json:"held"` // an array all of whose members wait
 }
 
 const (
 	goldenIDsFile   = "ids.json"
-	goldenHeldKey   = `{"jobCategory":"area-render","accountingId":"maavaade","payload":"x","submitAsHold":true,"priority":7,"jobName":"later","idempotencyKey":"k1","args":["a","b c"]}`
+	goldenKeyedJob  = `{"jobCategory":"area-render","accountingId":"maavaade","payload":"x","submitAsHold":true,"priority":7,"jobName":"later","idempotencyKey":"k1","args":["a","b c"]}`
 	goldenHeldArray = `{"jobTemplate":{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"part $PARAMETRIC_INDEX","submitAsHold":true},"beginIndex":2,"endIndex":8,"step":2}`
 )
 
-// fill brings jobs of each state, arrays and sessions on record.
-func (s *testNode) fill() (ids goldenIDs) {
+// createRecords brings jobs of each state, arrays and sessions on record.
+func (s *testNode) createRecords() (ids goldenIDs) {
 	s.t.Helper()
 	post := func(path, body, field string) string {
 		s.t.Helper()
@@ -73,7 +73,7 @@
 	post("/sessions", `{"sessionName":"night"}`, "sessionName")
 	post("/sessions", `{"sessionName":"day"}`, "sessionName")
 	state("/jobs/"+job("/jobs", tile), "DONE")
-	job("/jobs", goldenHeldKey)
+	job("/jobs", goldenKeyedJob)
 	begin := time.Now().Add(2 * time.Second).UTC() // over by the time that the archive is read, so that the day does not matter
 	start := begin.Format(time.RFC3339)
 	job("/sessions/night/jobs", `{"jobCategory":"tile-charge","accountingId":"pohjakaart","submitAsHold":true,"startTime":"`+start+`"}`)
@@ -81,7 +81,7 @@
 	s.drmaa("POST", "/jobs/"+ended+"/terminate", "")
 	state("/jobs/"+ended, "FAILED")
 	state("/arrays/"+array(`{"jobTemplate":`+tile+`,"endIndex":3,"maxParallel":2}`), "DONE")
-	ids.Held = array(goldenHeldArray)
+	ids.HeldArray = array(goldenHeldArray)
 	part := array(`{"jobTemplate":` + tile + `,"endIndex":60,"maxParallel":1}`)
 	s.until("some of an array have ended", func() bool {
 		_, v := s.drmaa("GET", "/arrays/"+part, "")
@@ -98,7 +98,7 @@
 	running := array(`{"jobTemplate":` + tile + `,"endIndex":3,"maxParallel":1}`)
 	state("/jobs/"+running+"-1", "RUNNING")
 	s.drmaa("POST", "/arrays/"+running+"/hold", "")
-	ids.Jobs = append(ids.Jobs, running+"-1", running+"-2", part+"-1", ids.Held+"-4")
+	ids.Jobs = append(ids.Jobs, running+"-1", running+"-2", part+"-1", ids.HeldArray+"-4")
 	time.Sleep(3 * time.Second) // what the jobs' states are comes on record behind them
 	return ids
 }
@@ -116,7 +116,7 @@
 	var out strings.Builder
 	read := func(path string) {
 		m, err := testenv.Call(s.batch, "GET", "/drmaa2/v1"+path, nil)
-		out.WriteString("== " + goldenText(path) + "\n" + goldenAnswer(m, err))
+		out.WriteString("== " + replaceVolatile(path) + "\n" + formatResponse(m, err))
 	}
 	read("/sessions")
 	for _, id := range ids.Jobs {
@@ -245,13 +245,13 @@
 	t.Errorf("%s:\n%s", name, diff)
 }
 
-// goesOn checks that a node works on with what was on record: a key names its job, and what was held runs once it is released.
-func (s *testNode) goesOn(ids goldenIDs) {
+// checkRecordsInUse checks that a node works on with what was on record: a key names its job, and what was held runs once it is released.
+func (s *testNode) checkRecordsInUse(ids goldenIDs) {
 	s.t.Helper()
-	if status, v := s.drmaa("POST", "/jobs", goldenHeldKey); status != 200 || v.Get("jobId").String() != ids.Jobs[1] {
+	if status, v := s.drmaa("POST", "/jobs", goldenKeyedJob); status != 200 || v.Get("jobId").String() != ids.Jobs[1] {
 		s.t.Errorf("a job that was submitted under its key before: %d %s, want 200 and job %s", status, v.Raw, ids.Jobs[1])
 	}
-	for _, path := range []string{"/jobs/" + ids.Jobs[1], "/arrays/" + ids.Held} {
+	for _, path := range []string{"/jobs/" + ids.Jobs[1], "/arrays/" + ids.HeldArray} {
 		if status, v := s.drmaa("POST", path+"/release", ""); status != 200 {
 			s.t.Errorf("release %s: %d %s", path, status, v.Raw)
 		}
@@ -262,10 +262,10 @@
 	}
 }
 
-var goldenFinish = regexp.MustCompile(`"finishTime":"[^"]*"`)
+var finishTimePattern = regexp.MustCompile(`"finishTime":"[^"]*"`)
 
-// renewEnds makes what is on record end now: records of jobs that ended long ago are taken away.
-func renewEnds(t *testing.T, path string) {
+// setFinishTimesToNow makes what is on record end now: records of jobs that ended long ago are taken away.
+func setFinishTimesToNow(t *testing.T, path string) {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, nil)
 	if err != nil {
@@ -280,8 +280,8 @@
 		}
 		next := map[string][]byte{}
 		err := jobs.ForEach(func(k, v []byte) error {
-			if goldenFinish.Match(v) {
-				next[string(k)] = goldenFinish.ReplaceAll(v, now)
+			if finishTimePattern.Match(v) {
+				next[string(k)] = finishTimePattern.ReplaceAll(v, now)
 			}
 			return nil
 		})
@@ -296,8 +296,8 @@
 	}
 }
 
-// tablesOf tells all that a bbolt file holds: tables, keys, and values where they are text.
-func tablesOf(t *testing.T, path string) string {
+// dumpTables tells all that a bbolt file holds: tables, keys, and values where they are text.
+func dumpTables(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true})
 	if err != nil {
@@ -323,8 +323,8 @@
 	return out.String()
 }
 
-// goldenIncarnation is the record of the node's last incarnation, whose value is a time.
-var goldenIncarnation = regexp.MustCompile(`^("incarnation" "n0" )\d{13}$`)
+// incarnationPattern is the record of the node's last incarnation, whose value is a time.
+var incarnationPattern = regexp.MustCompile(`^("incarnation" "n0" )\d{13}$`)
 
 // A node alone starts on the file of records that the program wrote before its code was reshaped, and tells the same of each job,
 // array and session.
@@ -334,7 +334,7 @@
 	s.extraConfig = "  dir: batch\n"
 	if goldenUpdate() {
 		s.start()
-		ids := s.fill()
+		ids := s.createRecords()
 		s.kill()
 		writeArchive(t, s, ids, name, "batch")
 		if err := os.RemoveAll(filepath.Join(s.dir, "batch")); err != nil {
@@ -344,19 +344,19 @@
 	}
 	ids := unpack(t, name, s.dir)
 	file := filepath.Join(s.dir, "batch", "batch.db")
-	compareGolden(t, "records-tables.txt", tablesOf(t, file))
-	renewEnds(t, file)
+	compareGolden(t, "records-tables.txt", dumpTables(t, file))
+	setFinishTimesToNow(t, file)
 	s.start()
 	untilGolden(t, "records.txt", func() string { return s.readRecords(ids) })
-	s.goesOn(ids)
+	s.checkRecordsInUse(ids)
 	if err := s.terminate(); err != nil {
 		t.Fatal(err)
 	}
 	// What it has written meanwhile has the same form; sizes in bytes hang on the digits of times.
-	lines := strings.Split(strings.TrimSpace(goldenStored(tablesOf(t, file))), "\n")
+	lines := strings.Split(strings.TrimSpace(replaceStoredVolatile(dumpTables(t, file))), "\n")
 	lines = slices.DeleteFunc(lines, func(line string) bool { return strings.HasPrefix(line, `"\x00tallies"`) })
 	for i, line := range lines {
-		lines[i] = goldenIncarnation.ReplaceAllString(line, "${1}LIFE")
+		lines[i] = incarnationPattern.ReplaceAllString(line, "${1}LIFE")
 	}
 	slices.Sort(lines)
 	compareGolden(t, "records-written.txt", strings.Join(lines, "\n")+"\n")
@@ -372,17 +372,17 @@
 	return string(out)
 }
 
-// goldenVersion is that of a record which a new life writes again as it takes it up.
-var goldenVersion = regexp.MustCompile(`"version":\d+`)
+// versionPattern is that of a record which a new life writes again as it takes it up.
+var versionPattern = regexp.MustCompile(`"version":\d+`)
 
-// listed are a table's values in the store, by their keys, with their versions where nobody writes them again.
-func (s *testNode) listed(table string) string {
+// listTable are a table's values in the store, by their keys, with their versions where nobody writes them again.
+func (s *testNode) listTable(table string) string {
 	s.t.Helper()
 	var out strings.Builder
 	for line := range strings.Lines(s.command("store", "list", table, "--store-addr", s.store)) {
-		text := goldenText(strings.TrimSpace(line))
+		text := replaceVolatile(strings.TrimSpace(line))
 		if table == "array" || table == "sent" || table == "open" {
-			text = goldenVersion.ReplaceAllString(text, `"version":N`)
+			text = versionPattern.ReplaceAllString(text, `"version":N`)
 		}
 		fmt.Fprintf(&out, "%s %s\n", table, text)
 	}
@@ -394,7 +394,7 @@
 	s.t.Helper()
 	var out strings.Builder
 	for _, table := range []string{"mark", "session", "same", "array", "open", "sent"} {
-		out.WriteString(s.listed(table))
+		out.WriteString(s.listTable(table))
 	}
 	out.WriteString(s.command("store", "history", "mark", "render1", "--store-addr", s.store))
 	out.WriteString(s.command("settings", "list", "--output", "json", "--store-addr", s.store))
@@ -430,7 +430,7 @@
 		s.changeSettings("set", "tenant/maavaade", `{"quotaRps":21}`)
 		version := s.changeSettings("set", "class/draft", `{"deadline":4000,"aim":800,"effect":"free"}`)
 		s.awaitInForce(version, "n0")
-		ids := s.fill()
+		ids := s.createRecords()
 		s.kill()
 		writeArchive(t, s, ids, name, "store", "settings.json", "backup")
 		if err := os.RemoveAll(filepath.Join(s.dir, "store")); err != nil {
@@ -455,5 +455,5 @@
 	if !s.servesClass("draft", "00000000000000d0") {
 		t.Error("the class that came through the store is not taken")
 	}
-	s.goesOn(ids)
+	s.checkRecordsInUse(ids)
 }
--- a/test/golden_test.go
+++ b/test/golden_test.go
@@ -66,8 +66,8 @@
 	return strings.Join(out, "\n")
 }
 
-// goldenVolatile are the parts of answers that are others in each run.
-var goldenVolatile = []struct {
+// volatileParts are the parts of answers that are others in each run.
+var volatileParts = []struct {
 	pattern *regexp.Regexp
 	text    string
 }{
@@ -78,28 +78,28 @@
 	{regexp.MustCompile(`\b[0-9a-f]{16}\b`), "TRACE"},
 }
 
-func goldenText(text string) string {
-	for _, v := range goldenVolatile {
+func replaceVolatile(text string) string {
+	for _, v := range volatileParts {
 		text = v.pattern.ReplaceAllString(text, v.text)
 	}
 	return text
 }
 
-// goldenValue is a JSON text by its value: keys in order, and what is volatile taken out; another text stays as it is.
-func goldenValue(text string) string {
+// normalizeJSON is a JSON text by its value: keys in order, and what is volatile taken out; another text stays as it is.
+func normalizeJSON(text string) string {
 	var value any
 	if err := json.Unmarshal([]byte(text), &value); err != nil {
-		return goldenText(text)
+		return replaceVolatile(text)
 	}
 	data, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
-		return goldenText(text)
+		return replaceVolatile(text)
 	}
-	return goldenText(string(data))
+	return replaceVolatile(string(data))
 }
 
-// goldenAnswer is an answer with its fields, but for those that are others in each run.
-func goldenAnswer(m *http1.Message, err error) string {
+// formatResponse is an answer with its fields, but for those that are others in each run.
+func formatResponse(m *http1.Message, err error) string {
 	if err != nil {
 		return "error: " + err.Error()
 	}
@@ -109,28 +109,28 @@
 		if strings.EqualFold(f.Name, "Date") || strings.EqualFold(f.Name, "Content-Length") {
 			continue
 		}
-		value := goldenText(f.Value)
+		value := replaceVolatile(f.Value)
 		if f.Name == "Retry-After" {
-			value = goldenDigit.ReplaceAllString(value, "9")
+			value = digitPattern.ReplaceAllString(value, "9")
 		}
 		out.WriteString(f.Name + ": " + value + "\n")
 	}
-	body := goldenValue(string(m.Body))
+	body := normalizeJSON(string(m.Body))
 	if gjson.GetBytes(m.Body, "taken").Exists() { // counts: their keys
-		body = goldenCount.ReplaceAllString(body, ": N")
+		body = jsonNumberPattern.ReplaceAllString(body, ": N")
 	}
 	return out.String() + body + "\n"
 }
 
 var (
-	goldenDigit = regexp.MustCompile(`[0-9]`)
-	goldenCount = regexp.MustCompile(`: \d+`)
+	digitPattern      = regexp.MustCompile(`[0-9]`)
+	jsonNumberPattern = regexp.MustCompile(`: \d+`)
 )
 
-var goldenSubcommand = regexp.MustCompile(`(?m)^  ([a-z][a-z-]*) +\S`)
+var subcommandPattern = regexp.MustCompile(`(?m)^  ([a-z][a-z-]*) +\S`)
 
-// helpOf appends the help of a command and of all below it.
-func helpOf(t *testing.T, out *strings.Builder, words ...string) {
+// writeHelp appends the help of a command and of all below it.
+func writeHelp(t *testing.T, out *strings.Builder, words ...string) {
 	t.Helper()
 	cmd := exec.Command(program, append(words, "--help")...)
 	cmd.Env = append(os.Environ(), "HOME=/nowhere")
@@ -144,9 +144,9 @@
 		return
 	}
 	below, _, _ = strings.Cut(below, "\n\n")
-	for _, m := range goldenSubcommand.FindAllStringSubmatch(below, -1) {
+	for _, m := range subcommandPattern.FindAllStringSubmatch(below, -1) {
 		if m[1] != "help" && m[1] != "completion" {
-			helpOf(t, out, append(words[:len(words):len(words)], m[1])...)
+			writeHelp(t, out, append(words[:len(words):len(words)], m[1])...)
 		}
 	}
 }
@@ -154,7 +154,7 @@
 // The help of every command.
 func TestGoldenHelp(t *testing.T) {
 	var out strings.Builder
-	helpOf(t, &out)
+	writeHelp(t, &out)
 	compareGolden(t, "help.txt", out.String())
 }
 
@@ -173,7 +173,7 @@
 	s.start()
 	var out strings.Builder
 	note := func(what string, m *http1.Message, err error) {
-		out.WriteString("== " + what + "\n" + goldenAnswer(m, err))
+		out.WriteString("== " + what + "\n" + formatResponse(m, err))
 	}
 	call := func(method, path, body string, fields ...http1.Field) {
 		m, err := testenv.Call(s.listen, method, path, []byte(body), fields...)
@@ -294,7 +294,7 @@
 				array = id
 			}
 		}
-		out.WriteString("== " + step.method + " " + step.path + " " + step.body + "\n" + goldenAnswer(m, err))
+		out.WriteString("== " + step.method + " " + step.path + " " + step.body + "\n" + formatResponse(m, err))
 	}
 	events := s.events(t, first)
 	out.WriteString("== events\n" + events)
@@ -335,15 +335,15 @@
 	lines := bufio.NewScanner(answer.Body)
 	for n := 0; n < count && lines.Scan(); {
 		if text := strings.TrimSpace(lines.Text()); text != "" {
-			out.WriteString(goldenEvent(t, text) + "\n")
+			out.WriteString(normalizeEvent(t, text) + "\n")
 			n++
 		}
 	}
 	return out.String()
 }
 
-// goldenEvent is an event by its value.
-func goldenEvent(t *testing.T, line string) string {
+// normalizeEvent is an event by its value.
+func normalizeEvent(t *testing.T, line string) string {
 	t.Helper()
 	var value map[string]any
 	if err := json.Unmarshal([]byte(line), &value); err != nil {
@@ -353,7 +353,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return goldenText(string(data))
+	return replaceVolatile(string(data))
 }
 
 // events are those after a cursor, each by its value.
@@ -365,7 +365,7 @@
 	}
 	var out strings.Builder
 	for line := range strings.Lines(string(m.Body)) {
-		out.WriteString(goldenEvent(t, line) + "\n")
+		out.WriteString(normalizeEvent(t, line) + "\n")
 	}
 	return out.String()
 }
--- a/test/golden_written_test.go
+++ b/test/golden_written_test.go
@@ -14,8 +14,8 @@
 	"gatetack/internal/testenv"
 )
 
-// goldenWritten are the parts of stored values and members' answers that are others in each run, beside goldenVolatile.
-var goldenWritten = []struct {
+// storedVolatile are the parts of stored values and members' answers that are others in each run, beside goldenVolatile.
+var storedVolatile = []struct {
 	pattern *regexp.Regexp
 	text    string
 }{
@@ -25,9 +25,9 @@
 	{regexp.MustCompile(`\b[0-9a-f]{32}\b`), "HASH"},
 }
 
-func goldenStored(text string) string {
-	text = goldenText(text)
-	for _, w := range goldenWritten {
+func replaceStoredVolatile(text string) string {
+	text = replaceVolatile(text)
+	for _, w := range storedVolatile {
 		text = w.pattern.ReplaceAllString(text, w.text)
 	}
 	return text
@@ -50,7 +50,7 @@
 	}
 	s.drmaa("POST", "/sessions", `{"sessionName":"night"}`)
 	wait("/jobs/"+s.submit(tile), "DONE")
-	s.submit(goldenHeldKey)
+	s.submit(goldenKeyedJob)
 	_, array := s.drmaa("POST", "/arrays", `{"jobTemplate":`+tile+`,"endIndex":2,"maxParallel":1}`)
 	wait("/arrays/"+array.Get("jobArrayId").String(), "DONE")
 	s.drmaa("POST", "/arrays", goldenHeldArray)
@@ -62,7 +62,7 @@
 		var out strings.Builder
 		for _, table := range []string{"lease", "duty", "settings", "session", "same", "array", "open", "sent", "job"} {
 			for line := range strings.Lines(s.command("store", "list", table, "--store-addr", s.store)) {
-				fmt.Fprintf(&out, "%s %s\n", table, goldenStored(strings.TrimSpace(line)))
+				fmt.Fprintf(&out, "%s %s\n", table, replaceStoredVolatile(strings.TrimSpace(line)))
 			}
 		}
 		return out.String()
@@ -92,7 +92,7 @@
 		{"GET", "/v1/nothing", ""},
 	} {
 		m, err := testenv.Call(s.store, call.method, call.path, []byte(call.body))
-		out.WriteString("== " + call.method + " " + call.path + " " + call.body + "\n" + goldenCounted(goldenAnswer(m, err)))
+		out.WriteString("== " + call.method + " " + call.path + " " + call.body + "\n" + replaceVolatileNumbers(formatResponse(m, err)))
 	}
 	status, err := testenv.Call(s.store, "GET", "/v1/status", nil)
 	if err != nil {
@@ -108,15 +108,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "written-cache.json", goldenStored(string(cache)))
+	compareGolden(t, "written-cache.json", replaceStoredVolatile(string(cache)))
 }
 
-var goldenSpaced = regexp.MustCompile(`("(born|life|since|version|created|index|term|epoch|silentMs|behindMs|expires|previous|number|held|inForce)": )-?\d+`)
+var volatileNumbers = regexp.MustCompile(`("(born|life|since|version|created|index|term|epoch|silentMs|behindMs|expires|previous|number|held|inForce)": )-?\d+`)
 
-// goldenDelta is what tells an answer of all items from one of what followed: a member gives either.
-var goldenDelta = regexp.MustCompile(`\n +"snapshot": true,|version \d+ stands`)
+// snapshotMarks is what tells an answer of all items from one of what followed: a member gives either.
+var snapshotMarks = regexp.MustCompile(`\n +"snapshot": true,|version \d+ stands`)
 
-// goldenCounted is an answer without the numbers that are others in each run.
-func goldenCounted(text string) string {
-	return goldenDelta.ReplaceAllString(goldenSpaced.ReplaceAllString(text, "${1}N"), "")
+// replaceVolatileNumbers is an answer without the numbers that are others in each run.
+func replaceVolatileNumbers(text string) string {
+	return snapshotMarks.ReplaceAllString(volatileNumbers.ReplaceAllString(text, "${1}N"), "")
 }
