--- a/test/architecture_test.go
+++ b/test/architecture_test.go
@@ -11,7 +11,7 @@
 
 const architecturePage = "../docs/ARCHITECTURE.md"
 
-// packagesOf gives the folders below root that hold Go files, as paths from root.
+// packagesOf returns the folders below root that contain Go files, as paths relative to root.
 func packagesOf(t *testing.T, root string) []string {
 	t.Helper()
 	var packages []string
@@ -40,7 +40,7 @@
 	return packages
 }
 
-// missingPackages gives the packages that the page does not name in code quotes.
+// missingPackages returns the packages that the page does not name in code quotes.
 func missingPackages(page string, packages []string) (missing []string) {
 	for _, name := range packages {
 		if !strings.Contains(page, "`"+name+"`") {
--- a/test/array_test.go
+++ b/test/array_test.go
@@ -10,10 +10,10 @@
 	"gatetack/internal/testenv"
 )
 
-// A node is killed once a member of an array has ended and was counted, the array's record with it, and before the record of the
-// member's own end. The node is killed once more before the other member has its turn. The first is in doubt, and counts once; the
-// other waits all the while, and runs once it is released.
-func TestKilledBetweenACountAndItsMember(t *testing.T) {
+// A node is killed between two writes: after an array's record has counted a member that ended, and before the member's own record is
+// written. It is killed once more while the other member is held. The first member is indeterminate and is counted once; the other
+// one stays held and runs after its release.
+func TestKillBetweenArrayCountAndMemberRecord(t *testing.T) {
 	s := newTestNode(t, 1, 300*time.Millisecond)
 	s.extraConfig = "  dir: " + s.dir + "/batch\n"
 	s.env = []string{"GATETACK_HOLD_AT=" + failpoint.JobEnded}
@@ -33,25 +33,25 @@
 			t.Fatalf("hold: %d %s", status, v.Raw)
 		}
 	}
-	s.until("the first runs", func() bool { return len(s.executors[0].Starts()) == 1 })
+	s.until("the first member runs", func() bool { return len(s.executors[0].Starts()) == 1 })
 	hold()
-	s.until("it has ended", func() bool { return array().Get("done").Int() == 1 })
-	hold() // the array goes on record as it stands; the member's end can not
+	s.until("the first member has ended", func() bool { return array().Get("done").Int() == 1 })
+	hold() // writes the array's record; the member's own record is blocked by the failpoint
 	s.kill()
 	s.env = nil
-	for life := range 2 {
+	for restart := range 2 {
 		s.start()
-		s.until("what is on record is taken up, each member counted once", func() bool {
+		s.until("the records are restored, with each member counted once", func() bool {
 			v := array()
 			return v.Get("done").Int() == 0 && v.Get("failed").Int() == 1
 		})
 		if _, v := s.drmaa("GET", "/jobs/"+id+"-1", ""); v.Get("jobState").String() != "UNDETERMINED" {
-			t.Errorf("life %d, the first: %s", life, v.Raw)
+			t.Errorf("restart %d, first member: %s", restart, v.Raw)
 		}
 		if _, v := s.drmaa("GET", "/jobs/"+id+"-2", ""); v.Get("jobState").String() != "QUEUED_HELD" {
-			t.Errorf("life %d, the second: %s", life, v.Raw)
+			t.Errorf("restart %d, second member: %s", restart, v.Raw)
 		}
-		if life == 0 {
+		if restart == 0 {
 			s.kill()
 		}
 	}
@@ -61,7 +61,7 @@
 	}
 	s.until("the array has ended", func() bool { return array().Get("done").Int() >= 1 })
 	if v := array(); v.Get("done").Int() != 1 || v.Get("failed").Int() != 1 || v.Get("jobState").String() != "FAILED" {
-		t.Errorf("in the end: %s", v.Raw)
+		t.Errorf("the array has ended with %s, want 1 done and 1 failed", v.Raw)
 	}
 	if n := len(s.executors[0].Starts()); n != 2 {
 		t.Errorf("%d starts, want one for each member", n)
--- a/test/batch_test.go
+++ b/test/batch_test.go
@@ -20,8 +20,8 @@
 
 var kills = flag.Int("kills", 3, "how often the node is killed in TestKilledUnderLoad; the long run takes 20")
 
-// Both fronts under load, with the node killed and started again: no tile-charge is started twice, whichever front it
-// came by, all jobs are told truly, and arrays end.
+// The node is killed and restarted under load on both fronts. No tile-charge is started twice, by whichever front it was submitted;
+// all jobs and arrays reach a final state, and the counters balance.
 func TestKilledUnderLoad(t *testing.T) {
 	s := newTestNode(t, 4, 25*time.Millisecond)
 	for _, b := range s.executors {
@@ -54,8 +54,8 @@
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		// Members of the latest array are under way when the node is lost.
-		s.until("members have begun", func() bool { a, err := c.JobArray(ctx, a.JobArrayID); return err == nil && a.Done >= 5 })
+		// Members of the latest array are in flight when the node is killed.
+		s.until("five members of the array are done", func() bool { a, err := c.JobArray(ctx, a.JobArrayID); return err == nil && a.Done >= 5 })
 		if life < *kills {
 			s.kill()
 		}
@@ -79,7 +79,7 @@
 		}
 	}
 	if done < len(arrays)*60-*kills*20 {
-		t.Errorf("%d of %d members are done", done, len(arrays)*60)
+		t.Errorf("%d of %d array members are done", done, len(arrays)*60)
 	}
 	for _, id := range plain {
 		if j, err := c.Job(ctx, id); err != nil || !j.Ended() {
@@ -94,18 +94,18 @@
 	}
 	for key, n := range keys {
 		if n > 1 {
-			t.Errorf("the tile-charge with key %s was started %d times", key, n)
+			t.Errorf("the tile-charge with key %s was started %d times, want once", key, n)
 		}
 	}
 	s.checkCounts()
 	_, batch := s.drmaa("GET", "/counts", "")
 	if one, two := batch.Raw, s.counts().Raw; one != two {
-		t.Errorf("the fronts differ: %s and %s", one, two)
+		t.Errorf("counters of the batch front %s, of the platform front %s; want the same", one, two)
 	}
 }
 
-// A large array while half the boxes drain: maxParallel and the drains hold, and each member runs once.
-func TestArrayWhileBoxesDrain(t *testing.T) {
+// Half the executors drain while a large array runs: draining executors get no more jobs, and each member runs once.
+func TestArrayWhileExecutorsDrain(t *testing.T) {
 	s := newTestNode(t, 4, 10*time.Millisecond)
 	for _, b := range s.executors {
 		b.Set(func(h *testenv.Behavior) { h.FreeSlots = 16 })
@@ -117,12 +117,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.until("it has begun", func() bool { a, err := c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Done > 100 })
+	s.until("more than 100 members are done", func() bool { a, err := c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Done > 100 })
 	for _, b := range s.executors[:2] {
 		s.discovery.Put(b, "draining")
 	}
 	told := time.Now()
-	s.until("it has ended", func() bool { a, err = c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Ended() })
+	s.until("the array has ended", func() bool { a, err = c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Ended() })
 	if a.Done != 800 {
 		t.Errorf("%+v", a)
 	}
@@ -140,8 +140,8 @@
 	}
 }
 
-// A watch goes on across a connection that breaks, without a gap or a repeat, and the command line speaks to the front:
-// each exit code is what the page says.
+// The commands exit with the documented codes, and an event watch resumes after its connection breaks, without missing or repeating
+// an event.
 func TestCommandLine(t *testing.T) {
 	s := newTestNode(t, 2, 20*time.Millisecond)
 	s.extraConfig = "  dir: " + filepath.Join(s.dir, "batch") + "\n"
@@ -201,7 +201,7 @@
 	gatetack(1, "job", "list", "--addr", "127.0.0.1:1")
 	gatetack(0, "completion", "bash")
 
-	// The watch: a proxy cuts its connection now and then.
+	// The watch runs through a proxy that resets its connection several times.
 	cut, err := testenv.NewSlowProxy(s.ctx, s.g, s.batch, testenv.Script{}, testenv.Script{StallAfter: 900, End: testenv.Reset}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -213,7 +213,7 @@
 	seen := make(chan drmaa2.Event, 1000)
 	var g errgroup.Group
 	g.Go(func() error { return w.Events(ctx, "", func(e drmaa2.Event) error { seen <- e; return nil }) })
-	s.until("the watch stands", func() bool { return cut.Accepted() > 0 })
+	s.until("the watch is connected", func() bool { return cut.Accepted() > 0 })
 	time.Sleep(50 * time.Millisecond)
 	want := map[string]bool{}
 	for range 20 {
@@ -231,24 +231,24 @@
 		select {
 		case e := <-seen:
 			if told[e.Cursor] {
-				t.Errorf("event %s was told twice", e.Cursor)
+				t.Errorf("event %s was received twice", e.Cursor)
 			}
 			told[e.Cursor] = true
 			if e.JobState == "DONE" {
 				delete(want, e.JobID)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("never told of the end of %d jobs", len(want))
+			t.Fatalf("no DONE event of %d jobs within 20 s", len(want))
 		}
 	}
 	if cut.Accepted() < 3 {
-		t.Errorf("the watch's connection was made %d times: nothing broke", cut.Accepted())
+		t.Errorf("the watch connected %d times, want at least 3: its connection did not break", cut.Accepted())
 	}
 	stop()
 	_ = g.Wait()
 }
 
-// A node that is alone starts from the operators' file, with no variable of the platform's.
+// A standalone node starts from the operator's file, without the platform's environment variables.
 func TestStandalone(t *testing.T) {
 	dir := t.TempDir()
 	ports, err := testenv.FreeAddrs(2)
--- a/test/commands_test.go
+++ b/test/commands_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// The commands that do not serve: what they print, and what they say of a configuration that can not be used.
+// The commands other than a running serve print the expected text, and fail with the fault of an unusable configuration.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -57,7 +57,7 @@
 	}
 }
 
-// The program that is shipped has no hooks for tests: it is built without the tag, and knows none of their variables.
+// The released program is built without the tag faults and contains none of the environment variables of the test hooks.
 func TestShippedProgramHasNoFailpoints(t *testing.T) {
 	shipped := filepath.Join(t.TempDir(), "gatetack")
 	if out, err := exec.Command("go", "build", "-o", shipped, "gatetack/cmd/gatetack").CombinedOutput(); err != nil {
@@ -70,7 +70,7 @@
 		}
 		for _, name := range []string{"GATETACK_STOP_AT", "GATETACK_HOLD_AT", "GATETACK_CLOCK", "GATETACK_LINKS"} {
 			if bytes.Contains(b, []byte(name)) != has {
-				t.Errorf("%s: %s is in it: %v", path, name, !has)
+				t.Errorf("%s: contains %s: %v", path, name, !has)
 			}
 		}
 	}
--- a/test/conform_test.go
+++ b/test/conform_test.go
@@ -9,7 +9,7 @@
 	"gatetack/internal/testenv"
 )
 
-// The conformance suite passes against the built program, with jobs on record in a file of its own, and without.
+// The conformance suite passes against the built program, with and without a file of persisted jobs.
 func TestConformance(t *testing.T) {
 	for _, dir := range []string{"", filepath.Join(t.TempDir(), "batch")} {
 		s := newTestNode(t, 4, 20*time.Millisecond)
@@ -22,7 +22,7 @@
 		s.start()
 		out, err := exec.Command(program, "conform", "--addr", s.batch, "--failed").CombinedOutput()
 		if err != nil {
-			t.Errorf("with a file %q: %v\n%s", dir, err, out)
+			t.Errorf("batch folder %q: %v\n%s", dir, err, out)
 		}
 	}
 }
--- a/test/data_test.go
+++ b/test/data_test.go
@@ -11,7 +11,7 @@
 	"gatetack/internal/testenv"
 )
 
-// useTwoZones puts a process's two boxes in two halls, with a link between them and data sets in them.
+// useTwoZones puts a node's two executors into two zones and configures a link between the zones and data sets in them.
 func (s *testNode) useTwoZones(sets string) {
 	s.t.Helper()
 	for i, b := range s.executors {
@@ -24,11 +24,10 @@
 	s.extraConfig += "data:\n  file: data.yaml\n"
 }
 
-// Five processes, each with a box in two halls and the operators' word on which data stand where. Jobs that name their inputs run
-// where those are, at whichever process they are handed in; jobs without any run in the process's own hall. Then the hall of the data
-// drains: they run elsewhere, and after it is back where they were. Nothing is lost and no choice stays reserved, judged by the
-// boxes: a job whose data were in a hall that took work never started in the other one.
-func TestJobsRunWhereTheirDataAre(t *testing.T) {
+// Five nodes have an executor in each of two zones, and the operators' file says which data sets are in which zone. Jobs that name
+// their inputs run in the zone of these, at whichever node they are submitted. Once the executors of that zone drain, the jobs run
+// in the other zone. A job never starts outside the zone of its data while that zone accepts work.
+func TestJobsRunInTheZoneOfTheirData(t *testing.T) {
 	f := makeFleet(t, 5, 20*time.Millisecond)
 	for _, s := range f {
 		s.useTwoZones("- {name: scene-t, bytes: 8e9, halls: [tartu]}\n- {name: scene-n, bytes: 8e9, halls: [tallinn]}\n")
@@ -51,14 +50,14 @@
 			})
 			_, v := s.drmaa("GET", "/jobs/"+id, "")
 			if got := v.Get("allocatedMachines").Raw + v.Get("machines").Raw + v.Raw; !strings.Contains(got, f[0].executors[box].Name) {
-				t.Errorf("%s at %s: %s, want box %s", input, s.name, v.Raw, f[0].executors[box].Name)
+				t.Errorf("input %s at %s: job %s, want it at executor %s", input, s.name, v.Raw, f[0].executors[box].Name)
 			}
 			if text := v.Get("annotation").String(); text != "" && !strings.HasPrefix(text, "data: ") {
-				t.Errorf("it says %q of its place", text)
+				t.Errorf("annotation %q, want the prefix \"data: \"", text)
 			}
 		}
 	}
-	time.Sleep(1200 * time.Millisecond) // each has looked at its halls
+	time.Sleep(1200 * time.Millisecond) // each node has refreshed its view of the zones
 	round("scene-t", 1)
 	round("scene-n", 0)
 	for _, s := range f {
--- a/test/deployments_test.go
+++ b/test/deployments_test.go
@@ -20,22 +20,22 @@
 	"gatetack/internal/testenv"
 )
 
-// class is one class of a deployment of our own making.
+// class is one request class of a deployment under test.
 type class struct {
 	name, effect, scope string
 	deadlineMs          int // ms
 	slots               []int
 }
 
-// deployment is settings that span, together with the others of the table, what the protocol allows.
+// deployment holds the settings of one deployment; the table of deployments covers the options of the protocol.
 type deployment struct {
 	name            string
 	classes         []class
 	zones           []string
-	discoveryMode   string // subscribe or automatic
-	reportMode      string // piggyback, pull or silent
+	discoveryMode   string // "subscribe" or "automatic"
+	reportMode      string // "piggyback", "pull" or "silent"
 	reportFields    string
-	notifiesStarts  bool // starts and progress
+	notifiesStarts  bool // executors notify starts and progress
 	peers           bool
 	maxAttempts     int
 	mayDuplicate    bool
@@ -44,28 +44,28 @@
 	drainGraceMs    int // ms
 	sendsRetryAfter bool
 	connIdleMs      int // connIdle, ms
-	dedupWindowMs   int // ms in which repeats of keyed jobs are dropped; 0: longer than any of them lasts
-	pollWithinMs    int // ms in which the list is asked for, 0: 5000
+	dedupWindowMs   int // executors drop repeats of keyed jobs within this time; 0 for 20 s, longer than any job lasts
+	pollWithinMs    int // the node polls the endpoint list within this time; 0 for 5000
 	budgetMultiple  float64
 }
 
 var deployments = []deployment{
-	{name: "reports in answers, lists asked for, one zone, a keyed class", discoveryMode: "subscribe", reportMode: "piggyback", reportFields: `"pending","x0"`,
+	{name: "reports in responses, subscribed lists, one zone, a keyed class", discoveryMode: "subscribe", reportMode: "piggyback", reportFields: `"pending","x0"`,
 		notifiesStarts: true, maxAttempts: 3, mayDuplicate: true, cancels: true, drainGraceMs: 500, sendsRetryAfter: true, connIdleMs: 60000, zones: []string{"east"},
 		classes: []class{{"bill", "single_shot", "", 3000, []int{1}}, {"draw", "guarded", "cell", 5000, []int{1}}}},
-	{name: "reports by probe, pushed lists, nothing told, wide jobs, three that never run twice", discoveryMode: "automatic", reportMode: "pull",
+	{name: "reports by probe, automatic lists, no notifications, jobs of several slots, three classes at most once", discoveryMode: "automatic", reportMode: "pull",
 		reportFields: `"pending","served_ps","x0"`, maxAttempts: 6, mayDuplicate: true, cancels: true, weightByWork: true, drainGraceMs: 3000, sendsRetryAfter: true,
 		connIdleMs: 30000, zones: []string{"north", "south"},
 		classes: []class{{"look", "free", "", 2000, []int{1}}, {"book", "single_shot", "", 3000, []int{1, 1, 2, 4}},
 			{"enrol", "single_shot", "", 5000, []int{1, 2, 4}}, {"remind", "single_shot", "", 2000, []int{1, 2}}}},
-	{name: "no reports, one attempt, no copies, no cancel, four zones", discoveryMode: "automatic", reportMode: "silent", maxAttempts: 1, drainGraceMs: 1000,
+	{name: "no reports, one attempt, no duplicates, no cancellation, four zones", discoveryMode: "automatic", reportMode: "silent", maxAttempts: 1, drainGraceMs: 1000,
 		connIdleMs: 2000, zones: []string{"a", "b", "c", "d"},
 		classes: []class{{"read", "free", "", 2000, []int{1}}, {"write", "single_shot", "", 3000, []int{1, 2}}}},
-	{name: "messages between nodes, keyed by zone and anywhere", discoveryMode: "subscribe", reportMode: "piggyback", reportFields: `"busy_reqs","cpu_share"`,
+	{name: "messages between nodes, classes keyed by zone and globally", discoveryMode: "subscribe", reportMode: "piggyback", reportFields: `"busy_reqs","cpu_share"`,
 		notifiesStarts: true, peers: true, maxAttempts: 4, mayDuplicate: true, cancels: true, drainGraceMs: 500, sendsRetryAfter: true, connIdleMs: 5000,
 		zones: []string{"x", "y"}, classes: []class{{"zonal", "guarded", "zone", 3000, []int{1}}, {"anywhere", "guarded", "all", 3000, []int{1, 2}},
 			{"once", "single_shot", "", 3000, []int{1}}}},
-	{name: "starts told and no progress, weights live, one class that may not be copied", discoveryMode: "subscribe", reportMode: "pull", reportFields: `"x0"`,
+	{name: "starts and progress notified, two attempts, one class without duplicates", discoveryMode: "subscribe", reportMode: "pull", reportFields: `"x0"`,
 		notifiesStarts: true, maxAttempts: 2, cancels: false, drainGraceMs: 800, sendsRetryAfter: false, connIdleMs: 60000, zones: []string{"p", "q", "r"},
 		classes: []class{{"only", "guarded", "cell", 3000, []int{1, 2}}}},
 }
@@ -77,9 +77,9 @@
 	multiple       = 2.5
 	executorSlots  = 4
 	jobDuration    = 60 * time.Millisecond
-	protocolSlack  = 50 * time.Millisecond // of the protocol, on every limit of time
+	protocolSlack  = 50 * time.Millisecond // the protocol's tolerance on every time limit
 	restartSlack   = 50 * time.Millisecond
-	clientSlack    = time.Second // a client of this test may be slow to see its answer on a busy machine
+	clientSlack    = time.Second // a client of this test may read its response late on a busy machine
 )
 
 func (d *deployment) settings() string {
@@ -116,7 +116,7 @@
 		strings.Join(classes, ","))
 }
 
-// place gives a box its zone and rack: racks of two boxes.
+// place sets an executor's zone, its rack, shared by two executors, and its behavior.
 func (d *deployment) place(b *testenv.Executor, i int) {
 	b.Zone, b.Type, b.Group = d.zones[i%len(d.zones)], "k1", i/2
 	b.Set(func(how *testenv.Behavior) {
@@ -124,7 +124,8 @@
 	})
 }
 
-// newKillableExecutor is a box that can be made to die as a process does: its connections break and new ones are refused.
+// newKillableExecutor returns an executor and a function that ends it as the death of a process does: its connections break, and new
+// ones are rejected.
 func newKillableExecutor(t *testing.T, s *testNode, name string) (*testenv.Executor, context.CancelFunc) {
 	t.Helper()
 	ctx, kill := context.WithCancel(s.ctx)
@@ -139,15 +140,15 @@
 	class       *class
 	id          string
 	slots       int
-	status      int // 0: no whole answer came
+	status      int // 0 if no complete response arrived
 	submittedAt time.Time
 	answeredAt  time.Time
 }
 
-// TestDeployments plays the same day under settings that differ in all that a deployment may differ in: an executor stands
-// still, one dies, the list moves, one drains that only the new list tells of, one comes cold while all others turn jobs
-// away, and the node is killed and starts anew. Each job has one answer but for those that were open at the kill; nothing
-// that must not start twice does; nothing new goes to the drained one; the cold one is not pushed over.
+// TestDeployments runs the same sequence of events under settings that differ in every option: an executor hangs, one dies, discovery
+// moves to another address, one executor drains by the new list only, a cold one is added while all others reject jobs, and the node
+// is killed and restarted. Each job not open at the kill has a response, no job starts more often than its class allows, the
+// draining executor gets no new jobs, and the cold one is not overloaded.
 func TestDeployments(t *testing.T) {
 	for i := range deployments {
 		d := &deployments[i]
@@ -155,7 +156,7 @@
 	}
 }
 
-// The same day under settings that nobody chose: effects, scopes, windows, deadlines and rights of classes as they are drawn.
+// TestGeneratedSettings runs the same sequence under generated settings: random classes, scopes, windows, deadlines and limits.
 func TestGeneratedSettings(t *testing.T) {
 	some := rapid.Custom(func(t *rapid.T) *deployment {
 		on := func(what string) bool { return rapid.Bool().Draw(t, what) }
@@ -251,11 +252,11 @@
 		from := answered.Load()
 		s.until(what, func() bool { return answered.Load() >= from+n })
 	}
-	after(60, "a first load is answered")
+	after(60, "a first load is served or rejected")
 	s.executors[1].Set(func(how *testenv.Behavior) { how.UnresponsiveUntil = time.Now().Add(400 * time.Millisecond) })
-	after(30, "jobs are answered beside a box that stands still")
+	after(30, "jobs are answered while an executor hangs")
 	kills[2]()
-	after(30, "jobs are answered beside a box that died")
+	after(30, "jobs are answered after an executor died")
 
 	for i, b := range s.executors {
 		if i != 2 {
@@ -266,11 +267,11 @@
 	if err := s.process.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	s.until("the list that moved is watched", func() bool { return next.Watches() > 0 })
+	s.until("the new discovery is watched", func() bool { return next.Watches() > 0 })
 	drained := s.executors[0]
 	next.Put(drained, "draining")
 	told := time.Now()
-	after(30, "jobs are answered beside a drain")
+	after(30, "jobs are answered while an executor drains")
 
 	cold, _ := newKillableExecutor(t, s, "s-000000c0")
 	cold.StartedAt = time.Now()
@@ -281,24 +282,24 @@
 	s.executors = append(s.executors, cold)
 	next.Put(cold, "ready")
 	if d.maxAttempts > 1 {
-		s.until("the cold box is used", func() bool { return len(cold.Starts()) > 3 })
+		s.until("the cold executor is used", func() bool { return len(cold.Starts()) > 3 })
 		time.Sleep(budgetWindowMs * time.Millisecond)
 	}
 	for _, b := range s.executors[1:] {
 		b.Set(func(how *testenv.Behavior) { how.RejectAll = false })
 	}
-	after(30, "jobs are answered once the others take work again")
+	after(30, "jobs are answered once the other executors accept work again")
 
 	killed := time.Now()
 	s.kill()
 	s.discovery = next
 	s.start()
 	up := time.Now()
-	after(60, "jobs are answered after the node's next start")
+	after(60, "jobs are answered after the node's restart")
 	close(stop)
 	clients.Wait()
 	if err := s.terminate(); err != nil {
-		t.Errorf("leaving: %v", err)
+		t.Errorf("shutdown: %v", err)
 	}
 
 	starts := s.starts()
@@ -306,25 +307,25 @@
 	for _, j := range jobs {
 		j := j
 		if j.status == 0 && (!j.submittedAt.Before(up.Add(restartSlack)) || !j.answeredAt.After(killed.Add(-restartSlack))) {
-			t.Errorf("job %s of %s had no answer", j.id, j.class.name)
+			t.Errorf("job %s of %s, not open at the kill, got no response", j.id, j.class.name)
 		}
 		if late := j.answeredAt.Sub(j.submittedAt) - time.Duration(j.class.deadlineMs)*time.Millisecond; late > clientSlack {
-			t.Errorf("job %s of %s was answered %v after its client gave up", j.id, j.class.name, late)
+			t.Errorf("job %s of %s was answered %v after its deadline", j.id, j.class.name, late)
 		}
 		if j.status == 200 {
 			served++
 			if len(starts[j.id]) == 0 {
-				t.Errorf("job %s of %s was served and started nowhere", j.id, j.class.name)
+				t.Errorf("job %s of %s was served and started at no executor", j.id, j.class.name)
 			}
 		}
 		d.checkStarts(t, s, j)
 	}
 	if served < len(jobs)/3 {
-		t.Errorf("%d of %d jobs were served", served, len(jobs))
+		t.Errorf("%d of %d jobs were served, want at least a third", served, len(jobs))
 	}
 	for _, x := range drained.Starts() {
 		if late := x.At.Sub(told) - time.Duration(d.drainGraceMs)*time.Millisecond; late > protocolSlack {
-			t.Errorf("job %s started at a box %v past the drain's grace", x.ID, late)
+			t.Errorf("job %s started at the draining executor %v after the drain grace period", x.ID, late)
 		}
 	}
 	width := map[string]int{}
@@ -334,7 +335,7 @@
 	checkColdBudget(t, cold, width, cmp.Or(d.budgetMultiple, multiple))
 }
 
-// checkStarts checks that a job started as often, and where, as its class allows.
+// checkStarts checks that a job started only as often and where its class allows.
 func (d *deployment) checkStarts(t *testing.T, s *testNode, j *submittedJob) {
 	t.Helper()
 	var at []*testenv.Executor
@@ -355,21 +356,21 @@
 	}
 	switch {
 	case len(at) > d.maxAttempts:
-		t.Errorf("job %s of %s started %d times, %d attempts are allowed", j.id, j.class.name, len(at), d.maxAttempts)
+		t.Errorf("job %s of %s started %d times, want at most %d", j.id, j.class.name, len(at), d.maxAttempts)
 	case j.class.effect == "single_shot" && len(at) > 1:
-		t.Errorf("job %s of %s, which must never run twice, started %d times", j.id, j.class.name, len(at))
+		t.Errorf("job %s of %s, which must not run twice, started %d times", j.id, j.class.name, len(at))
 	case j.class.effect == "guarded" && last.Sub(first) > time.Duration(cmp.Or(d.dedupWindowMs, 20000))*time.Millisecond+protocolSlack:
-		t.Errorf("job %s of %s started again %v after its first start, past its window", j.id, j.class.name, last.Sub(first))
+		t.Errorf("job %s of %s started again %v after its first start, outside its deduplication window", j.id, j.class.name, last.Sub(first))
 	case j.class.effect == "guarded":
 		for _, b := range at {
 			if j.class.scope == "zone" && b.Zone != at[0].Zone || j.class.scope == "cell" && b.Group != at[0].Group {
-				t.Errorf("job %s of %s started at %s and at %s, past its group", j.id, j.class.name, at[0].Name, b.Name)
+				t.Errorf("job %s of %s started at %s and at %s, outside its deduplication scope", j.id, j.class.name, at[0].Name, b.Name)
 			}
 		}
 	}
 }
 
-// checkColdBudget checks the budget of a box that came cold: what was sent to it in any window against what it could do then.
+// checkColdBudget checks that the work sent to a cold executor in any window stays within its capacity at that time.
 func checkColdBudget(t *testing.T, cold *testenv.Executor, width map[string]int, multiple float64) {
 	t.Helper()
 	all := cold.Starts()
@@ -381,7 +382,7 @@
 		age := float64(all[i].At.Sub(cold.StartedAt).Milliseconds())
 		share := min(1, coldShare+(1-coldShare)*age/warmUpMs)
 		if most := multiple * share * executorSlots * budgetWindowMs; sum > most {
-			t.Errorf("%.0f ms of work came to a cold box within %d ms, %.0f push it over", sum, budgetWindowMs, most)
+			t.Errorf("a cold executor got %.0f ms of work within %d ms, want at most %.0f", sum, budgetWindowMs, most)
 			return
 		}
 	}
--- a/test/desks_test.go
+++ b/test/desks_test.go
@@ -23,11 +23,12 @@
 )
 
 var (
-	actorFaults = flag.Int("desk-faults", 8, "how many faults TestDesksFollowAndSurvive causes; the long run takes 200")
-	actorSeed   = flag.Uint64("desk-seed", 1, "what it draws from")
+	actorFaults = flag.Int("desk-faults", 8, "number of faults that TestActorsMigrateAndSurviveFaults causes; the long run takes 200")
+	actorSeed   = flag.Uint64("desk-seed", 1, "seed of its random choices")
 )
 
-// counterFunction is a function whose state tells of each call exactly once, and that hands in a job with each tenth.
+// counterFunction is an actor function whose state shows each lost, repeated or reordered call, and that submits a job at each tenth
+// call.
 const counterFunction = `start: {n: 0, sum: 0, jobs: 0, failed: 0}
 on:
   call:
@@ -40,7 +41,7 @@
     state: '{"n": state.n, "sum": state.sum, "jobs": state.jobs + 1.0, "failed": state.failed + (event.served ? 0.0 : 1.0)}'
 `
 
-// callActor makes one call at a process, as a device does that is in its zone.
+// callActor makes one call to an actor at a node, as a client in the node's zone does.
 func (s *testNode) callActor(id string, n uint64, v int) (int, gjson.Result, error) {
 	body, _ := json.Marshal(map[string]any{"number": n, "body": map[string]int{"v": v}})
 	m, err := testenv.Call(s.batch, "POST", "/drmaa2/v1/desks/"+id+"/calls", body)
@@ -60,12 +61,12 @@
 	return f
 }
 
-// A desk follows its device: calls that come through another zone for a while have it moved there, by one epoch more, and no call is
-// lost or done twice; a call that is made again gets the same answer at any process.
-func TestDeskFollowsItsDevice(t *testing.T) {
+// Calls that arrive through another zone for a while make an actor migrate there. No call is lost or executed twice, and a repeated
+// call gets the same response at any node.
+func TestActorMigratesToItsClientsZone(t *testing.T) {
 	f := newTwoZoneFleet(t, 3)
 	body, _ := json.Marshal(map[string]string{"id": "crew", "function": counterFunction})
-	f[0].until("the desk is made", func() bool {
+	f[0].until("the actor is created", func() bool {
 		m, err := testenv.Call(f[0].batch, "POST", "/drmaa2/v1/desks", body)
 		return err == nil && (m.Status == 201 || m.Status == 409)
 	})
@@ -77,7 +78,7 @@
 			status, v, err := s.callActor("crew", n, 1)
 			if err == nil && status == 200 {
 				if at = v.Get("node").String(); v.Get("answer.n").Uint() != n {
-					t.Fatalf("call %d is answered %s", n, v.Raw)
+					t.Fatalf("call %d was answered %s", n, v.Raw)
 				}
 			}
 			return err == nil && status == 200
@@ -87,30 +88,30 @@
 		call(f[0])
 	}
 	if at != "n0" {
-		t.Errorf("its desk is at %s", at)
+		t.Errorf("the actor is at %s, want n0", at)
 	}
-	f[1].until("its desk is where its device is", func() bool { call(f[1]); return at == "n1" })
+	f[1].until("the actor has migrated to its client's zone", func() bool { call(f[1]); return at == "n1" })
 	if status, v, err := f[2].callActor("crew", n, 1); err != nil || status != 200 || v.Get("answer.n").Uint() != n {
-		t.Errorf("the last call again, elsewhere: %d %s %v", status, v.Raw, err)
+		t.Errorf("the last call repeated at another node: %d %s %v", status, v.Raw, err)
 	}
 	if status, v, _ := f[0].callActor("crew", n+5, 1); status != 409 || v.Get("next").Uint() != n+1 || v.Get("do").String() == "" {
 		t.Errorf("a call out of order: %d %s", status, v.Raw)
 	}
-	// The process that has it is killed: it goes on elsewhere with all that was answered.
+	// The node that owns the actor is killed; the actor continues at another node with every answered call in its state.
 	f[1].kill()
 	for range 3 {
 		call(f[2])
 	}
 	if at == "n1" {
-		t.Error("a killed process answers")
+		t.Error("a killed node answered")
 	}
 }
 
-// The joint test. Five processes in two zones, devices that call and move between them and whose desks hand in jobs with data, while
-// processes are killed, stopped for longer than their leases, all killed at once, and folders put back as they were before. Judged from outside: each call has one answer, the same wherever it is
-// made again; each desk's state is the oracle's, by the same calls through one state machine without faults; each job of a desk
-// started once.
-func TestDesksFollowAndSurvive(t *testing.T) {
+// Clients in two zones call actors at five nodes and move between the zones, and the actors submit jobs with input data, while nodes
+// are killed, stopped for longer than their leases or all killed at once, and store folders are restored to earlier copies. Each call
+// must get its own answer. The state of each actor must equal that of an oracle, which applies the same calls to one state machine
+// without faults, and no job of an actor may start twice.
+func TestActorsMigrateAndSurviveFaults(t *testing.T) {
 	f := newTwoZoneFleet(t, 5)
 	rng := rand.New(rand.NewPCG(*actorSeed, 0))
 	const devices = 8
@@ -124,7 +125,7 @@
 	}
 	for d := range devices {
 		id := fmt.Sprint("crew-", d)
-		f[0].until("a desk is made", func() bool {
+		f[0].until("an actor is created", func() bool {
 			m, err := testenv.Call(f[d%5].batch, "POST", "/drmaa2/v1/desks", body(id))
 			return err == nil && (m.Status == 201 || m.Status == 409)
 		})
@@ -154,7 +155,7 @@
 				status, v, err := f[i].callActor(id, n, d+1)
 				if err != nil || status != 200 {
 					if status == 409 && v.Get("next").Uint() > n {
-						text := fmt.Sprintf("%s: call %d is refused, %s", id, n, v.Raw)
+						text := fmt.Sprintf("%s: call %d was rejected: %s", id, n, v.Raw)
 						wrong.Store(&text)
 						return
 					}
@@ -162,7 +163,7 @@
 					continue
 				}
 				if v.Get("answer.n").Uint() != n {
-					text := fmt.Sprintf("%s: call %d is answered %s", id, n, v.Raw)
+					text := fmt.Sprintf("%s: call %d was answered %s", id, n, v.Raw)
 					wrong.Store(&text)
 					return
 				}
@@ -181,7 +182,7 @@
 		if k%8 == 3 {
 			what = 3
 		}
-		steps = append(steps, fmt.Sprintf("%d: n%d %s", k+1, i, []string{"killed", "stopped", "put back", "and all others killed, its folder put back"}[what]))
+		steps = append(steps, fmt.Sprintf("%d: n%d %s", k+1, i, []string{"killed", "stopped", "restored from a copy", "and all others killed, its folder restored from a copy"}[what]))
 		up[i].Store(false)
 		switch what {
 		case 3:
@@ -193,7 +194,7 @@
 			for _, x := range f {
 				x.startWithoutWaiting()
 			}
-			s.until("all write again", func() bool { _, err := s.storeCommand("set", "mark", "k", fmt.Sprint(k)); return err == nil })
+			s.until("the store accepts writes again", func() bool { _, err := s.storeCommand("set", "mark", "k", fmt.Sprint(k)); return err == nil })
 			for _, x := range f {
 				x.kill()
 			}
@@ -214,12 +215,12 @@
 			before := filepath.Join(t.TempDir(), "before")
 			s.copyStoreDir(before)
 			s.startWithoutWaiting()
-			s.until("it writes again", func() bool { _, err := s.storeCommand("set", "mark", "k", fmt.Sprint(k)); return err == nil })
+			s.until("the node writes to the store again", func() bool { _, err := s.storeCommand("set", "mark", "k", fmt.Sprint(k)); return err == nil })
 			s.kill()
 			s.restoreStoreDir(before)
 			s.startWithoutWaiting()
 		}
-		s.until("it is back", func() bool { _, err := s.storeCommand("set", "mark", "k", fmt.Sprint(k)); return err == nil })
+		s.until("the node is back", func() bool { _, err := s.storeCommand("set", "mark", "k", fmt.Sprint(k)); return err == nil })
 		up[i].Store(true)
 		if text := wrong.Load(); text != nil {
 			t.Fatalf("%s\n%s", *text, strings.Join(steps, "\n"))
@@ -256,7 +257,7 @@
 				return false
 			}
 			state = gjson.ParseBytes(m.Body)
-			// A job that was sent when its node was lost is in doubt, and is not sent again: its end is an operator's to tell.
+			// A job that was sent when its node was lost is indeterminate and is not sent again until an operator resolves it.
 			return state.Get("state.jobs").Num+state.Get("jobs").Num == want.Get("jobs").Num
 		})
 		if state.Get("last").Uint() != calls[d] || state.Get("state.n").Num != want.Get("n").Num || state.Get("state.sum").Num != want.Get("sum").Num {
@@ -272,9 +273,10 @@
 				unstarted++
 			}
 		}
-		// One that never started was told to its desk as failed - its deadline passed while its node was stopped - or is in doubt.
+		// A job that never started either is indeterminate or was reported to its actor as failed, since its deadline passed while its
+		// node was stopped.
 		if told := int(state.Get("state.failed").Num + state.Get("jobs").Num); unstarted > told {
-			t.Errorf("%s: %d jobs never started, and %d are told as failed or in doubt\n%s", id, unstarted, told, strings.Join(steps, "\n"))
+			t.Errorf("%s: %d jobs never started, and only %d are reported as failed or indeterminate\n%s", id, unstarted, told, strings.Join(steps, "\n"))
 		}
 		if len(seen[d]) > 1 {
 			moved++
@@ -290,13 +292,13 @@
 		}
 	}
 	if slices.Sort(took); len(took) > 0 {
-		t.Logf("%d moves in the last lives' logs: a desk stood for %v in the median, %v at most", len(took), took[len(took)/2], took[len(took)-1])
+		t.Logf("%d migrations in the logs of the last runs: an actor was paused for a median of %v, %v at most", len(took), took[len(took)/2], took[len(took)-1])
 	}
 	all := slices.Clone(calls)
 	slices.Sort(all)
-	t.Logf("%d to %d calls a device, %d of %d desks moved, %d jobs started once and %d not at all, %s", all[0], all[devices-1], moved, devices,
+	t.Logf("%d to %d calls per actor, %d of %d actors migrated, %d jobs started once and %d never; faults: %s", all[0], all[devices-1], moved, devices,
 		started[1], started[0], strings.Join(steps, "; "))
 	if moved == 0 || started[1] == 0 {
-		t.Error("no desk ever moved")
+		t.Error("no actor migrated or no job started")
 	}
 }
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -16,19 +16,19 @@
 	"gatetack/internal/testenv"
 )
 
-// fleet is processes of the program that are members of one store. Each has boxes of its own addresses, by the same names:
-// as on the platform, a box is reached by each node at another address, and calls that node back.
+// fleet is a set of nodes that are members of one store. The executors of all nodes have the same names and different addresses:
+// as on the platform, each node reaches an executor at another address, and the executor calls that node back.
 type fleet []*testNode
 
 func newFleet(t *testing.T, n int, run time.Duration, env ...string) fleet {
 	t.Helper()
 	f := makeFleet(t, n, run)
-	f[0].env = env // the first one's alone
+	f[0].env = env // of the first node only
 	f.startAll()
 	return f
 }
 
-// makeFleet makes a fleet that is not started yet.
+// makeFleet creates a fleet without starting its nodes.
 func makeFleet(t *testing.T, n int, run time.Duration) fleet {
 	t.Helper()
 	var f fleet
@@ -49,12 +49,12 @@
 	return f
 }
 
-// startAll starts all at once.
+// startAll starts all nodes concurrently and waits until they serve.
 func (f fleet) startAll() {
 	done := make(chan struct{})
 	for _, s := range f[1:] {
 		go func() {
-			defer func() { done <- struct{}{} }() // also where it does not serve, which ends the test
+			defer func() { done <- struct{}{} }() // also if the node does not serve, which ends the test
 			s.start()
 		}()
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-// signal stops a process as it stands, or lets it go on.
+// signal sends a signal to the process.
 func (s *testNode) signal(sig syscall.Signal) {
 	s.t.Helper()
 	if err := s.process.Process.Signal(sig); err != nil {
@@ -72,7 +72,7 @@
 	}
 }
 
-// starts counts, at all boxes of all processes, how often the job with a payload started.
+// starts returns how often the job with a payload was started, over all executors of all nodes.
 func (f fleet) starts(payload string) (n int) {
 	for _, s := range f {
 		for _, b := range s.executors {
@@ -89,7 +89,7 @@
 func (s *testNode) submitUntilAccepted(t *testing.T, template string) string {
 	t.Helper()
 	var id string
-	s.until("a submission is taken", func() bool {
+	s.until("a submission is accepted", func() bool {
 		status, v := s.drmaa("POST", "/jobs", template)
 		id = v.Get("jobId").String()
 		return status == 201
@@ -97,14 +97,14 @@
 	return id
 }
 
-// A node is stopped in the middle of its work for longer than its lease, others take its duty over and its waiting jobs go
-// on; then it is let go on. Woken late it does no harm: nothing that waited there starts a second time, what had been sent is
-// told as in doubt and is not sent again, and it tells of its former jobs what their owner does.
-func TestLateOwnerDoesNoHarm(t *testing.T) {
+// A node is stopped for longer than its lease, another one takes over its partition and runs its waiting jobs, and then the node is
+// resumed. It must not start any of these jobs a second time. The job that had been sent is reported as indeterminate and is not
+// sent again, and the resumed node gives the same answers about its former jobs as their new owner.
+func TestResumedOwnerStartsNothingTwice(t *testing.T) {
 	f := newFleet(t, 3, 50*time.Millisecond)
 	old := f[0]
 	for _, b := range old.executors {
-		b.Set(func(h *testenv.Behavior) { h.JobDuration = time.Hour }) // what it sends stays out
+		b.Set(func(h *testenv.Behavior) { h.JobDuration = time.Hour }) // a job that was sent stays in flight
 	}
 	template := `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q%s}`
 	sent := old.submitUntilAccepted(t, fmt.Sprintf(template, "sent", ""))
@@ -120,9 +120,9 @@
 		due[p] = old.submitUntilAccepted(t, fmt.Sprintf(template, p, fmt.Sprintf(`,"startTime":%q`, at.UTC().Format(time.RFC3339Nano))))
 	}
 	old.signal(syscall.SIGSTOP)
-	old.until("it stands still", old.isStopped) // else it can still do what it is asked, and its answer is lost
+	old.until("the process is stopped", old.isStopped) // a process that still runs may do what a call asks for, and its response is lost
 
-	// Any other node takes calls for them, and passes them to whoever has them now.
+	// Any other node accepts calls for these jobs and forwards them to their present owner.
 	for i, id := range mapValues(held) {
 		s := f[1+i%2]
 		s.until("a held job of the stopped node can be released", func() bool {
@@ -140,11 +140,11 @@
 		}
 	}
 	if got := state(f[2], sent); got != "UNDETERMINED" {
-		t.Errorf("the job that was sent is told as %s, want UNDETERMINED: it may have run", got)
+		t.Errorf("the job that was sent is reported as %s, want UNDETERMINED: it may have run", got)
 	}
 
 	old.signal(syscall.SIGCONT)
-	old.until("it tells of its former jobs what their owner does", func() bool {
+	old.until("the resumed node answers about its former jobs as their owner does", func() bool {
 		for _, id := range held {
 			if state(old, id) != "DONE" {
 				return false
@@ -156,45 +156,45 @@
 	for _, jobs := range []map[string]string{held, due, {"sent": sent}} {
 		for p := range jobs {
 			if n := f.starts(p); n != 1 {
-				t.Errorf("%s started %d times, want once", p, n)
+				t.Errorf("job %q started %d times, want once", p, n)
 			}
 		}
 	}
 	if got := state(f[1], sent); got != "UNDETERMINED" {
-		t.Errorf("the job that was sent is told as %s after its old owner woke up", got)
+		t.Errorf("the job that was sent is reported as %s after its former owner resumed, want UNDETERMINED", got)
 	}
-	// Who found out what became of the one in doubt says so at any node, and it is so at each, with who said it.
+	// An operator resolves the indeterminate job at any node, and every node reports the outcome and the operator's name.
 	doubt := func(args ...string) (string, error) {
 		out, err := exec.Command(program, append([]string{"job", "doubt", "--addr", f[2].batch}, args...)...).CombinedOutput()
 		return string(out), err
 	}
 	if out, err := doubt("list"); err != nil || !strings.Contains(out, sent) {
-		t.Errorf("in doubt: %v %s", err, out)
+		t.Errorf("job doubt list: %v %s", err, out)
 	}
 	if out, err := doubt("resolve", sent, "--as", "unsent", "--by", "kadri"); err == nil {
-		t.Errorf("a job that must never run twice is said never to have run, and nobody insists: %s", out)
+		t.Errorf("a job that must not run twice was resolved as unsent without force: %s", out)
 	}
 	if out, err := doubt("resolve", sent, "--as", "done", "--by", "kadri", "--why", "the tile is there"); err != nil {
 		t.Errorf("%v %s", err, out)
 	}
 	for _, s := range f {
-		s.until("it is told as done, and by whom", func() bool {
+		s.until("the job is reported as done, with the operator's name", func() bool {
 			_, v := s.drmaa("GET", "/jobs/"+sent, "")
 			return v.Get("jobState").String() == "DONE" && strings.Contains(v.Get("annotation").String(), "by kadri")
 		})
 	}
 	if out, err := doubt("resolve", sent, "--as", "failed", "--by", "kadri"); err == nil {
-		t.Errorf("what is done is undone: %s", out)
+		t.Errorf("a job resolved as done was resolved again as failed: %s", out)
 	}
-	// It does not claim back what it lost, and takes new work under a duty of its own.
+	// The resumed node does not reclaim its former partition and accepts new jobs in a new one.
 	id := old.submitUntilAccepted(t, fmt.Sprintf(template, "after", `,"submitAsHold":true`))
 	if status, v := old.drmaa("POST", "/jobs/"+id+"/terminate", ""); status != 200 {
-		t.Errorf("a new job of the node that woke up: %d %s", status, v.Raw)
+		t.Errorf("terminating a new job of the resumed node: %d %s", status, v.Raw)
 	}
 }
 
-// A node is killed: its duty has another owner, and its waiting jobs go on there; started anew it begins another, and its
-// former jobs are answered through it. The command tells who has what, and takes a duty from its owner.
+// A killed node's partition gets another owner, which runs its waiting jobs. After its restart the node owns a new partition and
+// forwards calls for its former jobs. The duty command shows the owners, releases a lease and moves it to another node.
 func TestDutyCommands(t *testing.T) {
 	f := newFleet(t, 3, 20*time.Millisecond)
 	template := `{"jobCategory":"area-render","accountingId":"maavaade","payload":%q,"submitAsHold":true}`
@@ -219,24 +219,24 @@
 		return name
 	}
 	if got := owner(); got != "n0" {
-		t.Fatalf("the duty is %s's:\n%s", got, duties("list"))
+		t.Fatalf("the partition is owned by %q, want n0:\n%s", got, duties("list"))
 	}
 	f[0].kill()
 	var heir string
-	f[1].until("another has it", func() bool { heir = owner(); return heir != "" && heir != "n0" })
+	f[1].until("the partition has another owner", func() bool { heir = owner(); return heir != "" && heir != "n0" })
 	f[0].start()
 	if text := duties("show", key); !strings.Contains(text, "taken over from n0") || strings.Count(text, "epoch ") < 2 {
 		t.Error(text)
 	}
-	// Asked through the node that is back, and taken from the heir by an operator: the third, or whoever is next, has it.
-	f[0].until("the former owner passes calls on", func() bool {
+	// The restarted node is asked for the job; then an operator takes the partition from its new owner, and any node may get it.
+	f[0].until("the former owner forwards calls", func() bool {
 		status, v := f[0].drmaa("GET", "/jobs/"+id, "")
 		return status == 200 && v.Get("jobState").String() == "QUEUED_HELD"
 	})
 	duties("release", key)
-	f[1].until("it has an owner again", func() bool { return owner() != "" })
+	f[1].until("the partition has an owner again", func() bool { return owner() != "" })
 	duties("move", key, "n2")
-	f[2].until("it is where it was moved to", func() bool { return owner() == "n2" })
+	f[2].until("the partition is at the node to which it was moved", func() bool { return owner() == "n2" })
 	f[0].until("the job is released", func() bool {
 		status, _ := f[0].drmaa("POST", "/jobs/"+id+"/release", "")
 		return status == 200
@@ -250,8 +250,8 @@
 	}
 }
 
-// A name that is started twice: the later process has all that is written under the name, and the earlier one takes no batch
-// jobs any more. Nothing of either runs twice.
+// Two processes are started under the same node name. The later one owns all that is stored under the name, and the earlier one
+// accepts no more batch jobs. No job of either runs twice.
 func TestNameStartedTwice(t *testing.T) {
 	f := newFleet(t, 3, 20*time.Millisecond)
 	template := `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q,"submitAsHold":true}`
@@ -260,16 +260,16 @@
 	twin := newTestNode(t, 2, 20*time.Millisecond)
 	twin.name = "n0"
 	twin.extraConfig = strings.Replace(f[0].extraConfig, "listen: "+f[0].store, "listen: "+twin.store, 1)
-	// The same name at another address is a member of the store only by joining; the operators' mistake is the earlier
-	// process woken after another machine was given its name, its folder lost.
+	// A node with the same name at another address becomes a member of the store only by joining. The operators' mistake in this test
+	// is that the earlier process resumes after its name was given to another machine, which has an empty folder.
 	twin.extraConfig = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  join: %s\n", twin.store, f[1].store)
-	twin.until("the store has seen the first one go", func() bool {
+	twin.until("the store lets the second process join in place of the first one", func() bool {
 		out, _ := exec.Command(program, "store", "join", "n0", twin.store, "--store-addr", f[1].store).CombinedOutput()
 		return strings.Contains(string(out), twin.store)
 	})
 	twin.start()
 	f = append(f, twin)
-	twin.until("the later one takes jobs", func() bool {
+	twin.until("the later process accepts jobs", func() bool {
 		status, _ := twin.drmaa("POST", "/jobs", fmt.Sprintf(template, "of the twin"))
 		return status == 201
 	})
@@ -287,7 +287,7 @@
 		t.Errorf("it started %d times", n)
 	}
 	if status, v := f[0].drmaa("POST", "/jobs", fmt.Sprintf(template, "late")); status == 201 {
-		t.Errorf("the earlier process takes a job: %s", v.Raw)
+		t.Errorf("the earlier process accepted a job: %s", v.Raw)
 	}
 }
 
@@ -312,19 +312,19 @@
 	return err == nil && len(threads) > 0
 }
 
-// An owner stands still at a named point of its work for longer than its lease and is let go on once another has its duty: a
-// job whose hand-over was not on record goes on there and nowhere else, one whose intent was is told as in doubt there, and
-// whatever the late one goes on with starts no job a second time.
+// An owner is stopped at a failpoint for longer than its lease and is resumed once another node owns its partition. A job whose
+// hand-over was not stored runs at the new owner only; one whose intent to send was stored is indeterminate there. The resumed
+// owner starts no job a second time.
 func TestOwnerStoppedAtNamedPoints(t *testing.T) {
 	for _, x := range []struct {
 		point string
-		want  string // the state that the heir tells in the end
+		want  string // the final state that the new owner reports
 	}{{"hand", "DONE"}, {"intent", "UNDETERMINED"}, {"byte", "UNDETERMINED"}} {
 		t.Run(x.point, func(t *testing.T) {
 			f := newFleet(t, 3, 50*time.Millisecond, "GATETACK_STOP_AT="+x.point)
 			old, heir := f[0], f[1]
 			id := old.submitUntilAccepted(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"the job","submitAsHold":true}`)
-			go func() { // its answer may never come
+			go func() { // the response may never come
 				_, _ = testenv.Call(old.batch, "POST", "/drmaa2/v1/jobs/"+id+"/release", nil)
 			}()
 			old.until("the owner stands at the point", old.isStopped)
@@ -332,32 +332,33 @@
 				_, v := s.drmaa("GET", "/jobs/"+id, "")
 				return v.Get("jobState").String()
 			}
-			heir.until("another has the job", func() bool {
+			heir.until("another node owns the job", func() bool {
 				got := state(heir)
 				return heir.logContains("partition adopted") || f[2].logContains("partition adopted") || got == "UNDETERMINED"
 			})
 			if x.want == "DONE" {
-				heir.until("it can be released there", func() bool {
+				heir.until("the job can be released at the new owner", func() bool {
 					status, v := heir.drmaa("POST", "/jobs/"+id+"/release", "")
-					return status == 200 || v.Get("jobState").String() == "DONE" // its release may have been on record
+					return status == 200 || v.Get("jobState").String() == "DONE" // the first release may have been stored
 				})
 			}
-			heir.until("the heir tells of it as "+x.want, func() bool { return state(heir) == x.want })
+			heir.until("the new owner reports the job as "+x.want, func() bool { return state(heir) == x.want })
 			old.signal(syscall.SIGCONT)
-			old.until("the late one tells the same", func() bool { return state(old) == x.want })
-			time.Sleep(time.Second) // for what it might yet send, or write
+			old.until("the resumed owner reports the same state", func() bool { return state(old) == x.want })
+			time.Sleep(time.Second) // for sends and writes that may still follow
 			if n := f.starts("the job"); n > 1 || x.point != "intent" && n != 1 {
 				t.Errorf("it started %d times", n)
 			}
 			if got := state(heir); got != x.want {
-				t.Errorf("the heir tells of it as %s after the late one woke up, want %s", got, x.want)
+				t.Errorf("the new owner reports the job as %s after the former one resumed, want %s", got, x.want)
 			}
 		})
 	}
 }
 
-// With the fence taken out the same late owner does start a job that another had done: what the test above rests on is seen.
-func TestLateOwnerWithoutTheFence(t *testing.T) {
+// With the fencing check compiled out, the resumed owner starts a job that another node has done. This shows that the test above
+// depends on the fence.
+func TestResumedOwnerWithoutFence(t *testing.T) {
 	bare := buildWithoutGuard(t, failpoint.Fence)
 	f := makeFleet(t, 3, 50*time.Millisecond)
 	for _, s := range f {
@@ -369,17 +370,17 @@
 	id := old.submitUntilAccepted(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"the job","submitAsHold":true}`)
 	go func() { _, _ = testenv.Call(old.batch, "POST", "/drmaa2/v1/jobs/"+id+"/release", nil) }()
 	old.until("the owner stands at the point", old.isStopped)
-	heir.until("it is done at another", func() bool {
+	heir.until("the job is done at the new owner", func() bool {
 		_, _ = heir.drmaa("POST", "/jobs/"+id+"/release", "")
 		_, v := heir.drmaa("GET", "/jobs/"+id, "")
 		return v.Get("jobState").String() == "DONE"
 	})
 	old.signal(syscall.SIGCONT)
-	old.until("the late one starts it again", func() bool { return f.starts("the job") == 2 })
+	old.until("the resumed owner starts the job again", func() bool { return f.starts("the job") == 2 })
 }
 
-// A fleet is upgraded one node after the other, each ended in order, and then stopped and started as a whole, while jobs are
-// held, wait for their time and run: each runs once, and none is in doubt.
+// The nodes of a fleet are shut down and restarted one after the other, and then all at once, while jobs are held, wait for their
+// start time or run. Each job runs once, and none becomes indeterminate.
 func TestRollingUpgrade(t *testing.T) {
 	f := newFleet(t, 3, 200*time.Millisecond)
 	jobs := map[string]string{} // ids by payload
@@ -403,12 +404,12 @@
 				}
 				_, v := s.call("GET", "/jobs/"+id, "")
 				if v.Get("jobState").String() == "UNDETERMINED" {
-					t.Fatalf("%s is in doubt: %s", p, v.Raw)
+					t.Fatalf("job %q is indeterminate: %s", p, v.Raw)
 				}
 				return v.Get("jobState").String() == "DONE"
 			})
 			if n := f.starts(p); n != 1 {
-				t.Errorf("%s started %d times", p, n)
+				t.Errorf("job %q started %d times, want once", p, n)
 			}
 		}
 	}
@@ -434,9 +435,9 @@
 	ended()
 }
 
-// A node is lost while a box works on its job; another takes its duty over and tells of the job as in doubt. Once a process is
-// at the node's address again the box tells it how the job ended, and that is told at every node: it ran once, and is done.
-func TestBoxTellsAfterTheLoss(t *testing.T) {
+// A node is lost while an executor runs its job, and the new owner of its partition reports the job as indeterminate. Once a process
+// listens at the node's address again, the executor's callback reaches it, and every node reports the job as done. It ran once.
+func TestExecutorCallbackAfterNodeLoss(t *testing.T) {
 	f := newFleet(t, 3, 9*time.Second)
 	id := f[0].submitUntilAccepted(t, `{"jobCategory":"area-render","accountingId":"maavaade","payload":"long"}`)
 	f[0].until("it runs", func() bool { return f.starts("long") == 1 })
@@ -445,12 +446,12 @@
 		_, v := s.call("GET", "/jobs/"+id, "")
 		return v.Get("jobState").String()
 	}
-	f[1].until("it is in doubt", func() bool { return state(f[1]) == "UNDETERMINED" })
+	f[1].until("the job is indeterminate", func() bool { return state(f[1]) == "UNDETERMINED" })
 	f[0].start()
 	for _, s := range f {
-		s.until("it is done at "+s.name, func() bool { return state(s) == "DONE" })
+		s.until("the job is done at "+s.name, func() bool { return state(s) == "DONE" })
 		if _, v := s.call("GET", "/jobs/"+id, ""); !strings.HasPrefix(v.Get("result").String(), "tile of ") {
-			t.Errorf("%s tells %s", s.name, v.Raw)
+			t.Errorf("%s: job %s, want the executor's result", s.name, v.Raw)
 		}
 	}
 	if n := f.starts("long"); n != 1 {
@@ -458,6 +459,6 @@
 	}
 	rows, _ := f[1].storeCommand("list", "sent")
 	if strings.Contains(rows, id) {
-		t.Errorf("what it was sent under is still on record: %s", rows)
+		t.Errorf("the record of the send is still stored: %s", rows)
 	}
 }
--- a/test/fronts_test.go
+++ b/test/fronts_test.go
@@ -14,14 +14,14 @@
 	"gatetack/internal/testenv"
 )
 
-// Jobs go through both fronts at a time; the counts are the same at both, and no box gets a job twice.
+// Jobs go through both fronts at the same time. Both fronts report the same counters, and no executor gets a job twice.
 func TestBothFronts(t *testing.T) {
 	s := newTestNode(t, 3, 30*time.Millisecond)
 	for _, b := range s.executors { // callbacks may repeat, and may come before the 202
 		b.Set(func(h *testenv.Behavior) { h.EarlyCallbacks, h.CallbackRepeats = b == s.executors[0], 3 })
 	}
 	s.start()
-	// The module refuses what comes beyond its tokens, so both ends are seen; what a client is told is what counts.
+	// The node rejects jobs beyond its tokens, so some are served and some rejected; the clients' responses are the expected counts.
 	const n = 24
 	var mu sync.Mutex
 	served, refused := map[string]int{}, map[string]int{}
@@ -34,7 +34,7 @@
 		case no:
 			refused[front]++
 		default:
-			t.Errorf("%s: neither served nor refused: %s", front, what)
+			t.Errorf("%s front: response is neither served nor rejected: %s", front, what)
 		}
 	}
 	var g errgroup.Group
@@ -70,25 +70,25 @@
 		t.Fatal(err)
 	}
 	if batch.Raw != string(platform.Body) {
-		t.Errorf("the fronts differ: %s and %s", batch.Raw, platform.Body)
+		t.Errorf("counters of the batch front %s, of the platform front %s; want the same", batch.Raw, platform.Body)
 	}
 	if served["platform"] == 0 || served["batch"] == 0 {
-		t.Errorf("served %v: one of the fronts serves nothing", served)
+		t.Errorf("served %v: one of the fronts served no job", served)
 	}
 	all := served["platform"] + served["batch"]
 	for name, want := range map[string]int{"taken": 2 * n, "served": all, "refused": refused["platform"] + refused["batch"],
 		"sends": all, "failed": 0, "open": 0} {
 		if got := int(batch.Get(name).Int()); got != want {
-			t.Errorf("%s is %d, want %d by what the clients were told", name, got, want)
+			t.Errorf("counter %s is %d, want %d by the clients' responses", name, got, want)
 		}
 	}
 	starts := s.starts()
 	if len(starts) != all {
-		t.Errorf("%d jobs reached the boxes, want %d", len(starts), all)
+		t.Errorf("%d jobs reached the executors, want %d", len(starts), all)
 	}
 	for id, l := range starts {
 		if len(l) != 1 {
-			t.Errorf("job %s was started %d times", id, len(l))
+			t.Errorf("job %s was started %d times, want once", id, len(l))
 		}
 		if x := l[0]; strings.HasPrefix(x.Body, "body of ") && (x.Target[len(x.Target)-8:] != "/cut?z=3" || x.Idempotency != "key-"+id) {
 			t.Errorf("job %s was changed on its way: %+v", id, x)
@@ -97,13 +97,13 @@
 	for _, b := range s.executors {
 		for _, status := range b.CallbackStatuses() {
 			if status != 200 && status != 204 {
-				t.Errorf("a callback got %d", status)
+				t.Errorf("a callback got status %d, want 200 or 204", status)
 			}
 		}
 	}
 }
 
-// After a drain was told, a box gets nothing more than 500 ms later, through either front.
+// An executor gets no jobs through either front later than 500 ms after it was listed as draining.
 func TestDrain(t *testing.T) {
 	s := newTestNode(t, 2, 20*time.Millisecond)
 	s.start()
@@ -121,7 +121,7 @@
 	}
 	load(0, 20)
 	if len(drained.Starts()) == 0 {
-		t.Fatal("the box got nothing before its drain: the test would show nothing")
+		t.Fatal("the executor got no job before its drain, so the test would prove nothing")
 	}
 	s.discovery.Put(drained, "draining")
 	told := time.Now()
@@ -132,11 +132,11 @@
 		}
 	}
 	if len(s.executors[1].Starts()) == 0 {
-		t.Error("the other box got nothing")
+		t.Error("the other executor got no job")
 	}
 }
 
-// A termination ends a job that was not sent, and does not stop one that was: its result still comes.
+// A termination ends a job that was not sent. A job that was sent is not stopped, and its result still arrives.
 func TestTerminate(t *testing.T) {
 	s := newTestNode(t, 1, 700*time.Millisecond)
 	s.start()
@@ -149,7 +149,7 @@
 	if status, v = s.drmaa("DELETE", "/jobs/"+running, ""); status != 409 || v.Get("jobState").String() != "RUNNING" {
 		t.Errorf("terminating a running job: %d %s", status, v.Raw)
 	}
-	// Others fill the box; what it has no room for is held at the node, or refused when that is too much.
+	// More jobs fill the executor; the node queues those without a free slot, and rejects those beyond its queue limit.
 	ended, others := "", []string{}
 	for i := 0; ended == "" && i < 200; i++ {
 		id := s.submit(`{"jobCategory":"area-render","accountingId":"maavaade"}`)
@@ -184,11 +184,11 @@
 		t.Errorf("counts: %s", v.Raw)
 	}
 	if got := s.executors[0].Canceled(); len(got) != 0 {
-		t.Errorf("jobs were given up at the box: %v", got)
+		t.Errorf("jobs were canceled at the executor: %v", got)
 	}
 }
 
-// A status query across a restart tells nothing that is not known, and nothing is run again.
+// After a restart without stored jobs, a status query reports no state that the node does not know, and no job runs again.
 func TestRestart(t *testing.T) {
 	s := newTestNode(t, 1, 10*time.Second)
 	s.start()
@@ -201,17 +201,17 @@
 	s.start()
 	status, v := s.drmaa("GET", "/jobs/"+old, "")
 	if status != 200 || v.Get("jobState").String() != "UNDETERMINED" {
-		t.Errorf("a job of an earlier life: %d %s", status, v.Raw)
+		t.Errorf("a job of an earlier incarnation: %d %s, want UNDETERMINED", status, v.Raw)
 	}
 	if status, v = s.drmaa("DELETE", "/jobs/"+old, ""); status != 409 || v.Get("jobState").String() != "UNDETERMINED" {
-		t.Errorf("terminating it: %d %s", status, v.Raw)
+		t.Errorf("terminating the job of an earlier incarnation: %d %s", status, v.Raw)
 	}
 	if status, _ = s.drmaa("GET", "/jobs/n0.zz.1", ""); status != 404 {
-		t.Errorf("an id of no life: %d", status)
+		t.Errorf("an ID of no incarnation: status %d, want 404", status)
 	}
 	next := s.submit(`{"jobCategory":"area-render","accountingId":"maavaade"}`)
 	if next == old {
-		t.Errorf("the id %s was given twice", next)
+		t.Errorf("the ID %s was assigned twice", next)
 	}
 	s.until("the new job runs", func() bool { return len(s.executors[0].Starts()) == 2 })
 	if a := s.executors[0].Starts(); a[0].ID == a[1].ID {
@@ -219,7 +219,7 @@
 	}
 }
 
-// Bad input is refused with the field's name, and nothing of it enters the core.
+// A bad submission is rejected with the name of the field, and does not reach the core.
 func TestBadSubmissions(t *testing.T) {
 	s := newTestNode(t, 1, 10*time.Millisecond)
 	s.start()
@@ -248,11 +248,11 @@
 		t.Errorf("PUT: %d", status)
 	}
 	if _, v := s.drmaa("GET", "/counts", ""); v.Get("taken").Int() != 0 || v.Get("sends").Int() != 0 {
-		t.Errorf("something entered the core: %s", v.Raw)
+		t.Errorf("a bad submission reached the core: %s", v.Raw)
 	}
 }
 
-// A job whose time is over fails in time, at both fronts alike; one that nothing was sent of is refused.
+// A sent job fails at its deadline; a job whose deadline passes before it is sent is rejected.
 func TestDeadlines(t *testing.T) {
 	s := newTestNode(t, 1, 20*time.Second)
 	s.start()
@@ -265,20 +265,20 @@
 	}
 	status, v = s.drmaa("GET", "/jobs/"+id+"/wait", "")
 	if status != 200 || v.Get("jobState").String() != "FAILED" || v.Get("jobSubState").String() != "failed" {
-		t.Errorf("a sent job whose time is over: %d %s", status, v.Raw)
+		t.Errorf("a sent job past its deadline: %d %s", status, v.Raw)
 	}
-	s.until("the attempt is given up at the box", func() bool { return len(s.executors[0].Canceled()) == 1 })
+	s.until("the attempt is canceled at the executor", func() bool { return len(s.executors[0].Canceled()) == 1 })
 	m, err := s.post("tile-charge", "00000000000000aa", header("X-Expires-In-Ms", "1"))
 	if err != nil || m.Status != 503 {
-		t.Errorf("a job without time: %v %v, want a refusal", m, err)
+		t.Errorf("a job without time left: %v %v, want status 503", m, err)
 	}
 }
 
-// SIGTERM: what was taken is answered, new connections are served meanwhile, and the program ends well.
+// After SIGTERM, admitted requests are answered, new connections are served meanwhile, and the program exits without an error.
 func TestLeave(t *testing.T) {
 	s := newTestNode(t, 1, 600*time.Millisecond)
 	s.start()
-	old, err := testenv.Dial(s.listen) // a connection that stands idle while the program leaves
+	old, err := testenv.Dial(s.listen) // a connection that stays idle while the program shuts down
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -286,7 +286,7 @@
 	if m, err := old.Do("GET", "/healthz", nil); err != nil || m.Status != 200 {
 		t.Fatalf("%v %v", m, err)
 	}
-	used, err := testenv.Dial(s.listen) // one whose client goes on using it: it may have no other node to go to
+	used, err := testenv.Dial(s.listen) // a connection whose client keeps using it, as it may know no other node
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -303,7 +303,7 @@
 		if i == 0 {
 			s.until("the first job runs", func() bool { return len(s.executors[0].Starts()) == 1 })
 			g.Go(s.terminate)
-			s.until("the signal has come", func() bool { return s.logContains("msg=leaving") })
+			s.until("the signal is logged", func() bool { return s.logContains("msg=leaving") })
 			// The second comes on a new connection after the signal.
 		}
 	}
--- a/test/golden_folder_test.go
+++ b/test/golden_folder_test.go
@@ -24,14 +24,14 @@
 	"gatetack/internal/testenv"
 )
 
-// The archives under testdata/golden are what the program at 46e7a41 left on disk when it was killed: jobs that had ended, that
-// waited and that ran, arrays, sessions, duties, settings. Every later program starts on a copy of them and reads the same.
+// The archives under testdata/golden hold the files that the program at commit 46e7a41 left on disk when it was killed: jobs that
+// had ended, waited or ran, arrays, sessions, leases and settings. Every later program starts on a copy of them and reads the same.
 
-// goldenIDs are those of the jobs and arrays in an archive.
+// goldenIDs are the IDs of the jobs and arrays in an archive.
 type goldenIDs struct {
 	Jobs      []string `json:"jobs"`
 	Arrays    []string `json:"arrays"`
-	HeldArray string   `json:"held"` // an array all of whose members wait
+	HeldArray string   `json:"held"` // an array with all members held
 }
 
 const (
@@ -40,7 +40,7 @@
 	goldenHeldArray = `{"jobTemplate":{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"part $PARAMETRIC_INDEX","submitAsHold":true},"beginIndex":2,"endIndex":8,"step":2}`
 )
 
-// createRecords brings jobs of each state, arrays and sessions on record.
+// createRecords creates jobs of each state, arrays and sessions.
 func (s *testNode) createRecords() (ids goldenIDs) {
 	s.t.Helper()
 	post := func(path, body, field string) string {
@@ -74,7 +74,7 @@
 	post("/sessions", `{"sessionName":"day"}`, "sessionName")
 	state("/jobs/"+job("/jobs", tile), "DONE")
 	job("/jobs", goldenKeyedJob)
-	begin := time.Now().Add(2 * time.Second).UTC() // over by the time that the archive is read, so that the day does not matter
+	begin := time.Now().Add(2 * time.Second).UTC() // in the past when the archive is read, so that the date does not matter
 	start := begin.Format(time.RFC3339)
 	job("/sessions/night/jobs", `{"jobCategory":"tile-charge","accountingId":"pohjakaart","submitAsHold":true,"startTime":"`+start+`"}`)
 	ended := job("/jobs", `{"jobCategory":"tile-charge","accountingId":"maavaade","submitAsHold":true}`)
@@ -83,12 +83,12 @@
 	state("/arrays/"+array(`{"jobTemplate":`+tile+`,"endIndex":3,"maxParallel":2}`), "DONE")
 	ids.HeldArray = array(goldenHeldArray)
 	part := array(`{"jobTemplate":` + tile + `,"endIndex":60,"maxParallel":1}`)
-	s.until("some of an array have ended", func() bool {
+	s.until("two members of the array have ended", func() bool {
 		_, v := s.drmaa("GET", "/arrays/"+part, "")
 		return v.Get("done").Int() >= 2
 	})
 	s.drmaa("POST", "/arrays/"+part+"/hold", "")
-	s.until("nothing of it runs", func() bool {
+	s.until("no member of the array runs", func() bool {
 		_, v := s.drmaa("GET", "/arrays/"+part, "")
 		return v.Get("held").Bool() && v.Get("nextIndex").Int() == v.Get("done").Int()+v.Get("failed").Int()+1
 	})
@@ -99,18 +99,18 @@
 	state("/jobs/"+running+"-1", "RUNNING")
 	s.drmaa("POST", "/arrays/"+running+"/hold", "")
 	ids.Jobs = append(ids.Jobs, running+"-1", running+"-2", part+"-1", ids.HeldArray+"-4")
-	time.Sleep(3 * time.Second) // what the jobs' states are comes on record behind them
+	time.Sleep(3 * time.Second) // the states of jobs are persisted some time after the jobs
 	return ids
 }
 
-// setJobDuration sets for how long each box runs a job.
+// setJobDuration sets how long each executor runs a job.
 func (s *testNode) setJobDuration(span time.Duration) {
 	for _, b := range s.executors {
 		b.Set(func(h *testenv.Behavior) { h.JobDuration = span })
 	}
 }
 
-// readRecords tells what a node says of all that is on record.
+// readRecords returns a node's responses about all recorded sessions, jobs and arrays.
 func (s *testNode) readRecords(ids goldenIDs) string {
 	s.t.Helper()
 	var out strings.Builder
@@ -131,7 +131,7 @@
 	return out.String()
 }
 
-// archive packs files of a folder.
+// archive packs files of a folder into a compressed tar archive.
 func archive(t *testing.T, dir string, names ...string) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -169,7 +169,7 @@
 	return out.Bytes()
 }
 
-// unpack brings an archive's files into a folder and gives the ids in it.
+// unpack extracts an archive into a folder and returns the IDs stored in it.
 func unpack(t *testing.T, name, dir string) (ids goldenIDs) {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join(goldenFolder, name))
@@ -207,7 +207,7 @@
 	return ids
 }
 
-// writeArchive keeps a killed node's folder.
+// writeArchive writes files of a killed node's folder and the IDs to a golden archive.
 func writeArchive(t *testing.T, s *testNode, ids goldenIDs, name string, files ...string) {
 	t.Helper()
 	text, err := json.MarshalIndent(ids, "", "  ")
@@ -223,7 +223,7 @@
 	}
 }
 
-// untilGolden waits until what is read is as a golden file has it: what was on record is taken up bit by bit.
+// untilGolden waits until read returns the content of a golden file: a node restores its records gradually after its start.
 func untilGolden(t *testing.T, name string, read func() string) {
 	t.Helper()
 	if goldenUpdate() {
@@ -245,11 +245,11 @@
 	t.Errorf("%s:\n%s", name, diff)
 }
 
-// checkRecordsInUse checks that a node works on with what was on record: a key names its job, and what was held runs once it is released.
+// checkRecordsInUse checks that a node uses restored records: an idempotency key names its job, and held jobs run once released.
 func (s *testNode) checkRecordsInUse(ids goldenIDs) {
 	s.t.Helper()
 	if status, v := s.drmaa("POST", "/jobs", goldenKeyedJob); status != 200 || v.Get("jobId").String() != ids.Jobs[1] {
-		s.t.Errorf("a job that was submitted under its key before: %d %s, want 200 and job %s", status, v.Raw, ids.Jobs[1])
+		s.t.Errorf("resubmission under a recorded idempotency key: %d %s, want 200 and job %s", status, v.Raw, ids.Jobs[1])
 	}
 	for _, path := range []string{"/jobs/" + ids.Jobs[1], "/arrays/" + ids.HeldArray} {
 		if status, v := s.drmaa("POST", path+"/release", ""); status != 200 {
@@ -264,7 +264,7 @@
 
 var finishTimePattern = regexp.MustCompile(`"finishTime":"[^"]*"`)
 
-// setFinishTimesToNow makes what is on record end now: records of jobs that ended long ago are taken away.
+// setFinishTimesToNow sets the finish times of recorded jobs to now: the node deletes records of jobs that ended long ago.
 func setFinishTimesToNow(t *testing.T, path string) {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, nil)
@@ -276,7 +276,7 @@
 	err = db.Update(func(tx *bolt.Tx) error {
 		jobs := tx.Bucket([]byte("job"))
 		if jobs == nil {
-			return errors.New("no table job")
+			return errors.New("the file has no table named job")
 		}
 		next := map[string][]byte{}
 		err := jobs.ForEach(func(k, v []byte) error {
@@ -292,11 +292,11 @@
 		return err
 	})
 	if err = errors.Join(err, db.Close()); err != nil || changed == 0 {
-		t.Fatalf("%d ends on record: %v", changed, err)
+		t.Fatalf("changed the finish times of %d recorded jobs: %v", changed, err)
 	}
 }
 
-// dumpTables tells all that a bbolt file holds: tables, keys, and values where they are text.
+// dumpTables returns the tables, keys and values of a bbolt file; values that are not JSON are quoted.
 func dumpTables(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true})
@@ -323,11 +323,11 @@
 	return out.String()
 }
 
-// incarnationPattern is the record of the node's last incarnation, whose value is a time.
+// incarnationPattern matches the record of the node's last incarnation, whose value is a time.
 var incarnationPattern = regexp.MustCompile(`^("incarnation" "n0" )\d{13}$`)
 
-// A node alone starts on the file of records that the program wrote before its code was reshaped, and tells the same of each job,
-// array and session.
+// A standalone node starts on the records file of an earlier program and answers the same about each job, array and session. The
+// test guards the file's format against unintended changes.
 func TestGoldenRecords(t *testing.T) {
 	const name = "records.tar.gz"
 	s := newTestNode(t, 3, 10*time.Millisecond)
@@ -352,7 +352,7 @@
 	if err := s.terminate(); err != nil {
 		t.Fatal(err)
 	}
-	// What it has written meanwhile has the same form; sizes in bytes hang on the digits of times.
+	// Records written since then have the same form; the sizes in the tallies depend on the digits of times and are left out.
 	lines := strings.Split(strings.TrimSpace(replaceStoredVolatile(dumpTables(t, file))), "\n")
 	lines = slices.DeleteFunc(lines, func(line string) bool { return strings.HasPrefix(line, `"\x00tallies"`) })
 	for i, line := range lines {
@@ -362,7 +362,7 @@
 	compareGolden(t, "records-written.txt", strings.Join(lines, "\n")+"\n")
 }
 
-// command runs a command of the program and gives what it printed.
+// command runs a command of the program and returns its output.
 func (s *testNode) command(args ...string) string {
 	s.t.Helper()
 	out, err := exec.Command(program, args...).CombinedOutput()
@@ -372,10 +372,10 @@
 	return string(out)
 }
 
-// versionPattern is that of a record which a new life writes again as it takes it up.
+// versionPattern matches the version of a record, which a restarted node rewrites when it restores the record.
 var versionPattern = regexp.MustCompile(`"version":\d+`)
 
-// listTable are a table's values in the store, by their keys, with their versions where nobody writes them again.
+// listTable returns a table of the store, without the versions in tables whose records a restarted node rewrites.
 func (s *testNode) listTable(table string) string {
 	s.t.Helper()
 	var out strings.Builder
@@ -389,7 +389,7 @@
 	return out.String()
 }
 
-// readStore tells what a member says of its tables, settings and duties.
+// readStore returns a member's responses about its tables, settings and leases.
 func (s *testNode) readStore() string {
 	s.t.Helper()
 	var out strings.Builder
@@ -405,8 +405,8 @@
 	return out.String()
 }
 
-// A member of a store of one starts on the folder that the program wrote before its code was reshaped: the log, its snapshot, the
-// records in it, settings and duties; and on the settings that it cached.
+// The member of a single-member store starts on the folder of an earlier program, with its log, snapshot, records, settings and
+// leases, and on the settings cached there. The test guards the formats of these files against unintended changes.
 func TestGoldenStoreFolder(t *testing.T) {
 	const name = "store.tar.gz"
 	s := newTestNode(t, 3, 10*time.Millisecond)
@@ -447,13 +447,13 @@
 	}
 	compareGolden(t, "settings-cache.json", string(cache))
 	if out := s.command("store", "recover", dir, "--name", "n0", "--members", "n0="+s.store); !strings.Contains(out, "done: start its node") {
-		t.Fatalf("the member's address can not be changed: %s", out)
+		t.Fatalf("the member's address was not changed: %s", out)
 	}
 	s.start()
 	untilGolden(t, "store-records.txt", func() string { return s.readRecords(ids) })
 	untilGolden(t, "store-tables.txt", s.readStore)
 	if !s.servesClass("draft", "00000000000000d0") {
-		t.Error("the class that came through the store is not taken")
+		t.Error("a request of the class added through the store was not accepted")
 	}
 	s.checkRecordsInUse(ids)
 }
--- a/test/golden_test.go
+++ b/test/golden_test.go
@@ -21,14 +21,14 @@
 	"gatetack/internal/testenv"
 )
 
-// The golden files under testdata/golden hold what the program said, wrote and read before its code was reshaped. A change of
-// shape or name changes none of them. GOLDEN_UPDATE=1 writes them anew, for a change of behaviour that is meant.
+// The golden files under testdata/golden pin what the program prints, answers and stores. A refactoring or a rename changes none of
+// them. GOLDEN_UPDATE=1 rewrites them after an intended change of behaviour.
 
 const goldenFolder = "testdata/golden"
 
 func goldenUpdate() bool { return os.Getenv("GOLDEN_UPDATE") != "" }
 
-// compareGolden compares a text with a golden file, line by line.
+// compareGolden compares a text with a golden file line by line, or rewrites the file if GOLDEN_UPDATE is set.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join(goldenFolder, name)
@@ -47,7 +47,7 @@
 	}
 }
 
-// goldenDiff names the first lines that differ, the empty text where none does.
+// goldenDiff returns the first lines that differ, or an empty string if the texts are equal.
 func goldenDiff(want, got string) string {
 	a, b := strings.Split(want, "\n"), strings.Split(got, "\n")
 	var out []string
@@ -66,13 +66,13 @@
 	return strings.Join(out, "\n")
 }
 
-// volatileParts are the parts of answers that are others in each run.
+// volatileParts are the parts of responses that differ between runs.
 var volatileParts = []struct {
 	pattern *regexp.Regexp
 	text    string
 }{
 	{regexp.MustCompile(`\b(n0)\.[0-9a-f]{8,}\.`), "$1.LIFE."},
-	{regexp.MustCompile(`\b[0-9a-f]{9,12}\.(\d+)\b`), "LIFE.$1"}, // a cursor
+	{regexp.MustCompile(`\b[0-9a-f]{9,12}\.(\d+)\b`), "LIFE.$1"}, // cursors of events
 	{regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?(Z|[+-]\d\d:\d\d)`), "TIME"},
 	{regexp.MustCompile(`\b127\.\d+\.\d+\.\d+:\d+`), "ADDRESS"},
 	{regexp.MustCompile(`\b[0-9a-f]{16}\b`), "TRACE"},
@@ -85,7 +85,7 @@
 	return text
 }
 
-// normalizeJSON is a JSON text by its value: keys in order, and what is volatile taken out; another text stays as it is.
+// normalizeJSON formats a JSON text with sorted keys and replaces its volatile parts; in any other text it only replaces these.
 func normalizeJSON(text string) string {
 	var value any
 	if err := json.Unmarshal([]byte(text), &value); err != nil {
@@ -98,7 +98,7 @@
 	return replaceVolatile(string(data))
 }
 
-// formatResponse is an answer with its fields, but for those that are others in each run.
+// formatResponse formats a response with its header fields, without the fields that differ between runs.
 func formatResponse(m *http1.Message, err error) string {
 	if err != nil {
 		return "error: " + err.Error()
@@ -116,7 +116,7 @@
 		out.WriteString(f.Name + ": " + value + "\n")
 	}
 	body := normalizeJSON(string(m.Body))
-	if gjson.GetBytes(m.Body, "taken").Exists() { // counts: their keys
+	if gjson.GetBytes(m.Body, "taken").Exists() { // a response of /counts: only its keys are compared
 		body = jsonNumberPattern.ReplaceAllString(body, ": N")
 	}
 	return out.String() + body + "\n"
@@ -129,7 +129,7 @@
 
 var subcommandPattern = regexp.MustCompile(`(?m)^  ([a-z][a-z-]*) +\S`)
 
-// writeHelp appends the help of a command and of all below it.
+// writeHelp appends the help of a command and of all its subcommands.
 func writeHelp(t *testing.T, out *strings.Builder, words ...string) {
 	t.Helper()
 	cmd := exec.Command(program, append(words, "--help")...)
@@ -151,14 +151,14 @@
 	}
 }
 
-// The help of every command.
+// The help text of every command is unchanged.
 func TestGoldenHelp(t *testing.T) {
 	var out strings.Builder
 	writeHelp(t, &out)
 	compareGolden(t, "help.txt", out.String())
 }
 
-// The codes of all errors that reach an operator or a client.
+// The codes of all errors that reach an operator or a client are unchanged.
 func TestGoldenErrorCodes(t *testing.T) {
 	var out strings.Builder
 	for _, kind := range operr.Kinds() {
@@ -167,7 +167,7 @@
 	compareGolden(t, "error-codes.txt", out.String())
 }
 
-// The platform's answers, with their fields: served, refused, failed, and those to what is no job.
+// The platform front's responses are unchanged: to served, rejected and failed requests, to malformed ones and to other calls.
 func TestGoldenPlatformAnswers(t *testing.T) {
 	s := newTestNode(t, 1, 10*time.Millisecond)
 	s.start()
@@ -181,7 +181,7 @@
 	}
 	m, err := s.post("tile-charge", "0000000000000001")
 	note("served", m, err)
-	s.until("the count is there", func() bool { return s.counter("open") == 0 })
+	s.until("the counters show no open request", func() bool { return s.counter("open") == 0 })
 	call("GET", "/healthz", "")
 	call("GET", "/counts", "")
 	call("GET", "/nothing", "")
@@ -204,7 +204,7 @@
 	compareGolden(t, "platform-answers.txt", out.String())
 }
 
-// goldenBatchSteps are calls of the batch front; ID and ARRAY stand for those of the job and the array that came last.
+// goldenBatchSteps are calls of the batch front; ID and ARRAY stand for the IDs of the latest job and array.
 var goldenBatchSteps = []struct{ method, path, body string }{
 	{"GET", "/manager", ""},
 	{"GET", "/manager/supports/BULK_JOBS_MAXPARALLEL", ""},
@@ -269,7 +269,7 @@
 	{"GET", "/nothing", ""},
 }
 
-// The batch front's answers, and the events of all that happened.
+// The batch front's responses and the events of all these calls are unchanged.
 func TestGoldenBatchAnswers(t *testing.T) {
 	s := newTestNode(t, 1, 10*time.Millisecond)
 	s.start()
@@ -299,12 +299,12 @@
 	events := s.events(t, first)
 	out.WriteString("== events\n" + events)
 	if stream := s.eventStream(t, first, strings.Count(events, "\n")); stream != events {
-		t.Errorf("the stream tells other events than the list: %s", goldenDiff(events, stream))
+		t.Errorf("the event stream differs from the polled events: %s", goldenDiff(events, stream))
 	}
 	compareGolden(t, "batch-answers.txt", out.String())
 }
 
-// nextCursor is that of the latest event.
+// nextCursor returns the cursor of the latest event.
 func (s *testNode) nextCursor(t *testing.T) string {
 	t.Helper()
 	m, err := testenv.Call(s.batch, "GET", "/drmaa2/v1/events?timeoutMs=1", nil)
@@ -314,7 +314,7 @@
 	return m.Get("X-Cursor")
 }
 
-// eventStream reads so many events after a cursor from a stream of them.
+// eventStream reads count events after a cursor from the event stream.
 func (s *testNode) eventStream(t *testing.T, after string, count int) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(s.ctx, 20*time.Second)
@@ -329,7 +329,7 @@
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if form := answer.Header.Get("Content-Type"); answer.StatusCode != 200 || form != "application/x-ndjson" {
-		t.Errorf("a stream of events: %d %s", answer.StatusCode, form)
+		t.Errorf("event stream: status %d, content type %s", answer.StatusCode, form)
 	}
 	var out strings.Builder
 	lines := bufio.NewScanner(answer.Body)
@@ -342,7 +342,7 @@
 	return out.String()
 }
 
-// normalizeEvent is an event by its value.
+// normalizeEvent formats an event with sorted keys and replaces its volatile parts.
 func normalizeEvent(t *testing.T, line string) string {
 	t.Helper()
 	var value map[string]any
@@ -356,7 +356,7 @@
 	return replaceVolatile(string(data))
 }
 
-// events are those after a cursor, each by its value.
+// events polls the events after a cursor and normalizes each of them.
 func (s *testNode) events(t *testing.T, after string) string {
 	t.Helper()
 	m, err := testenv.Call(s.batch, "GET", "/drmaa2/v1/events?timeoutMs=100&after="+after, nil)
--- a/test/golden_written_test.go
+++ b/test/golden_written_test.go
@@ -14,7 +14,7 @@
 	"gatetack/internal/testenv"
 )
 
-// storedVolatile are the parts of stored values and members' answers that are others in each run, beside goldenVolatile.
+// storedVolatile are the parts of stored values and of members' responses that differ between runs, in addition to volatileParts.
 var storedVolatile = []struct {
 	pattern *regexp.Regexp
 	text    string
@@ -33,8 +33,8 @@
 	return text
 }
 
-// What the program writes into the store's tables, and what a member answers those who follow, ask and change, has the form that it
-// had before the code was reshaped: table names, keys, JSON fields, statuses and codes.
+// The forms of stored values and of members' responses are unchanged: table names, keys, JSON fields, statuses and error codes. The
+// responses are those to followers of the settings, to readers and to writers.
 func TestGoldenWrittenForms(t *testing.T) {
 	s := newTestNode(t, 3, 10*time.Millisecond)
 	s.extraConfig = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {n0: %q}\nsettings:\n  enabled: true\n  cache: settings.json\n",
@@ -56,7 +56,7 @@
 	s.drmaa("POST", "/arrays", goldenHeldArray)
 	s.setJobDuration(time.Hour)
 	wait("/jobs/"+s.submit(`{"jobCategory":"area-render","accountingId":"maavaade","payload":"long"}`), "RUNNING")
-	time.Sleep(500 * time.Millisecond) // states come on record behind their jobs
+	time.Sleep(500 * time.Millisecond) // a job's state is persisted some time after the job itself
 
 	tables := func() string {
 		var out strings.Builder
@@ -113,10 +113,10 @@
 
 var volatileNumbers = regexp.MustCompile(`("(born|life|since|version|created|index|term|epoch|silentMs|behindMs|expires|previous|number|held|inForce)": )-?\d+`)
 
-// snapshotMarks is what tells an answer of all items from one of what followed: a member gives either.
+// snapshotMarks match the texts by which a snapshot response differs from a delta response: a member may send either.
 var snapshotMarks = regexp.MustCompile(`\n +"snapshot": true,|version \d+ stands`)
 
-// replaceVolatileNumbers is an answer without the numbers that are others in each run.
+// replaceVolatileNumbers removes from a response the numbers and the snapshot marks that differ between runs.
 func replaceVolatileNumbers(text string) string {
 	return snapshotMarks.ReplaceAllString(volatileNumbers.ReplaceAllString(text, "${1}N"), "")
 }
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -1,5 +1,5 @@
-// Package test starts the built program and speaks to it over sockets, with stand-ins for the render boxes
-// and for the list of them.
+// Package test runs the built program as a process and tests it over sockets, with test doubles for the
+// executors and for discovery.
 package test
 
 import (
@@ -35,14 +35,14 @@
 		fmt.Fprintf(os.Stderr, "%s\n%v\n", out, err)
 		os.Exit(1)
 	}
-	// A race-built program sleeps a second at its end otherwise, and each command of a test with it.
+	// A program built with -race sleeps for one second at exit by default, which would delay each command of a test.
 	_ = os.Setenv("GORACE", "atexit_sleep_ms=0")
 	code := m.Run()
 	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-// testNode is a node under test with what it needs.
+// testNode is a node under test with its process, executors and discovery.
 type testNode struct {
 	t              *testing.T
 	ctx            context.Context
@@ -53,20 +53,20 @@
 	listen         string
 	batch          string
 	store          string
-	name           string // n0 where nothing is said
-	settingsJSON   string // the node's settings, where they are not the usual ones
-	knownExecutors string // the list of executors that it held before, none where nothing is said
+	name           string // n0 by default
+	settingsJSON   string // the node's settings; defaultSettings if empty
+	knownExecutors string // the endpoint list cached by an earlier run, as JSON; null if empty
 	env            []string
-	extraConfig    string // lines of the operator's file
-	sockets        int    // granted to the node, with the memory, where a test needs less than usual
-	memoryMB       int    // in MB
-	program        string // another build, where a test needs one
+	extraConfig    string // lines appended to the operator's configuration file
+	sockets        int    // limit of the node, set together with memoryMB; 0 for the defaults of the tests
+	memoryMB       int
+	program        string // path of another build of the program; the shared build if empty
 	process        *exec.Cmd
 	exited         chan error
 	log            *os.File
 }
 
-// defaultSettings of the site, as the simulator's first message has them.
+// defaultSettings are the settings as they stand in the first message of the simulator.
 const defaultSettings = testenv.Settings
 
 func newTestNode(t *testing.T, boxes int, run time.Duration) *testNode {
@@ -103,7 +103,7 @@
 	return s
 }
 
-// writeConfig writes the platform's configuration in one piece and gives its path.
+// writeConfig replaces the platform's configuration file atomically and returns its path.
 func (s *testNode) writeConfig(discovery, settings string) string {
 	s.t.Helper()
 	config := filepath.Join(s.dir, "config.json")
@@ -123,7 +123,7 @@
 	return config
 }
 
-// start runs the program until it serves.
+// start runs the program and waits until it serves.
 func (s *testNode) start() {
 	s.t.Helper()
 	s.startWithoutWaiting()
@@ -133,7 +133,7 @@
 	})
 }
 
-// startWithoutWaiting runs the program, and does not wait until it serves.
+// startWithoutWaiting runs the program and does not wait until it serves.
 func (s *testNode) startWithoutWaiting(env ...string) {
 	s.t.Helper()
 	if s.settingsJSON == "" {
@@ -160,7 +160,7 @@
 	s.g.Go(func() error { exited <- p.Wait(); return nil })
 }
 
-// logContains says whether the program's log holds a text.
+// logContains reports whether the program's log contains text.
 func (s *testNode) logContains(text string) bool {
 	all, _ := os.ReadFile(s.log.Name())
 	return strings.Contains(string(all), text)
@@ -172,14 +172,14 @@
 	return strings.Count(string(all), text)
 }
 
-// kill ends the program at once, as a lost machine does.
+// kill ends the program with SIGKILL, as the loss of a machine does.
 func (s *testNode) kill() {
 	_ = s.process.Process.Kill()
 	_ = s.awaitExit() // killed
 	s.process = nil
 }
 
-// awaitExit waits until the program has ended and returns how.
+// awaitExit waits for the program to end and returns its exit error.
 func (s *testNode) awaitExit() error { return <-s.exited }
 
 func (s *testNode) until(what string, ok func() bool) {
@@ -187,7 +187,7 @@
 	testenv.Until(s.t, what, ok)
 }
 
-// post hands a job in through the platform's front and waits for its answer.
+// post sends a request to the platform front and waits for its response.
 func (s *testNode) post(class, id string, fields ...http1.Field) (*http1.Message, error) {
 	fields = append(fields, header("X-Trace-Id", id), header("X-Customer", "pohjakaart"),
 		header("X-Expires-In-Ms", "7500"), header("Idempotency-Key", "key-"+id))
@@ -196,7 +196,7 @@
 
 func header(name, value string) http1.Field { return http1.Field{Name: name, Value: value} }
 
-// drmaa calls the batch front.
+// drmaa calls the batch front and returns the status and the body of the response.
 func (s *testNode) drmaa(method, path, body string) (int, gjson.Result) {
 	s.t.Helper()
 	var b []byte
@@ -219,7 +219,7 @@
 	return v.Get("jobId").String()
 }
 
-// starts are the requests that all boxes got, by id.
+// starts returns the requests that the executors received, by their ID.
 func (s *testNode) starts() map[string][]testenv.Start {
 	out := map[string][]testenv.Start{}
 	for _, b := range s.executors {
@@ -230,7 +230,7 @@
 	return out
 }
 
-// terminate asks the program to leave and waits until it has.
+// terminate sends SIGTERM to the program and waits for its exit.
 func (s *testNode) terminate() error {
 	if err := s.process.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -240,13 +240,13 @@
 		s.process = nil
 		return err
 	case <-time.After(30 * time.Second):
-		return errors.New("it does not leave")
+		return errors.New("the program did not exit within 30 s of SIGTERM")
 	}
 }
 
 const tile = `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"cut"}`
 
-// counter is one of the program's counts, -1 where it does not tell them.
+// counter returns one of the program's counters, or -1 if the program does not answer.
 func (s *testNode) counter(name string) int {
 	m, err := testenv.Call(s.listen, "GET", "/counts", nil)
 	if err != nil || m.Status != 200 {
--- a/test/pages_test.go
+++ b/test/pages_test.go
@@ -15,10 +15,10 @@
 	namedTest    = regexp.MustCompile(`\b(?:([a-z]\w*)\.)?((?:Test|Fuzz|Benchmark)[A-Z]\w*)`)
 )
 
-// The roadmap tells of earlier rounds by the names of their time.
+// historyPage describes earlier states of the project and keeps the test names of their time.
 const historyPage = "ROADMAP.md"
 
-// definedTests gives the tests, fuzz targets and benchmarks of the repository, each alone and with its package's folder.
+// definedTests returns the tests, fuzz targets and benchmarks of the repository, each by its name alone and qualified by its package.
 func definedTests(t *testing.T) map[string]bool {
 	t.Helper()
 	defined := map[string]bool{}
@@ -39,7 +39,7 @@
 	return defined
 }
 
-// packageName gives the name of the package in a folder; that of a command is main.
+// packageName returns the name of the package in a folder, which is main for a command.
 func packageName(dir string) string {
 	if strings.HasPrefix(dir, "cmd"+string(filepath.Separator)) {
 		return "main"
@@ -47,7 +47,7 @@
 	return filepath.Base(dir)
 }
 
-// linesOf gives the lines of a file and their numbers.
+// linesOf iterates over the lines of a file and their numbers.
 func linesOf(t *testing.T, path string) func(yield func(string, int) bool) {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -64,7 +64,7 @@
 	}
 }
 
-// undefinedTests gives the names in a line that no test has.
+// undefinedTests returns the test names in a line that are not defined.
 func undefinedTests(line string, defined map[string]bool) (undefined []string) {
 	for _, match := range namedTest.FindAllStringSubmatch(line, -1) {
 		name := match[2]
@@ -78,7 +78,7 @@
 	return undefined
 }
 
-// A page that names a test as its proof must not outlive a rename of it.
+// Guards against pages that still name a test by its old name after a rename.
 func TestPagesNameTestsThatExist(t *testing.T) {
 	defined, named := definedTests(t), 0
 	err := filepath.WalkDir("../docs", func(path string, entry fs.DirEntry, err error) error {
@@ -88,7 +88,7 @@
 		for line, number := range linesOf(t, path) {
 			named += len(namedTest.FindAllString(line, -1))
 			for _, name := range undefinedTests(line, defined) {
-				t.Errorf("%s:%d names %s, which no package has", path, number, name)
+				t.Errorf("%s:%d names %s, which is defined in no package", path, number, name)
 			}
 		}
 		return nil
@@ -97,13 +97,13 @@
 		t.Fatal(err)
 	}
 	if named < 100 {
-		t.Errorf("only %d names of tests were found in the pages", named)
+		t.Errorf("found %d test names in the pages, want at least 100", named)
 	}
 }
 
 func TestUndefinedTestsAreFound(t *testing.T) {
 	defined := map[string]bool{"TestA": true, "node.TestA": true}
 	if got := undefinedTests("`node.TestA`, `TestA`, `store.TestA`, `TestB`", defined); strings.Join(got, " ") != "store.TestA TestB" {
-		t.Errorf("found %q", got)
+		t.Errorf("undefined tests: %q, want store.TestA and TestB", got)
 	}
 }
