--- a/internal/scale/fleet/description.go
+++ b/internal/scale/fleet/description.go
@@ -13,20 +13,20 @@
 type Description struct {
 	Seed           uint64        `yaml:"seed" json:"seed"`
 	Executors      int           `yaml:"executors" json:"executors"`
-	Dispatchers    int           `yaml:"dispatchers" json:"dispatchers"`              // real processes
+	Dispatchers    int           `yaml:"dispatchers" json:"dispatchers"`              // number of real dispatcher processes
 	Hollow         int           `yaml:"hollow-dispatchers" json:"hollowDispatchers"` // additional hollow dispatchers in the tool's process
 	StoreMembers   int           `yaml:"store-members" json:"storeMembers"`           // number of real dispatchers that are members of the replicated store; 0 for no store
-	Tenants        int           `yaml:"tenants" json:"tenants"`                      //
-	Regions        int           `yaml:"regions" json:"regions"`                      //
-	ZonesPerRegion int           `yaml:"zones" json:"zonesPerRegion"`                 //
-	Starts         float64       `yaml:"starts" json:"startsPerSecond"`               // requested task starts per second
-	StartsTo       float64       `yaml:"starts-to" json:"startsPerSecondTo"`          // requested rate at the end of a ramp; 0 for a constant rate
-	Running        int           `yaml:"running" json:"running"`                      // target number of running tasks
-	Duration       time.Duration `yaml:"duration" json:"duration"`                    // duration of the load; answers may arrive after it
-	MemoryMB       int           `yaml:"dispatcher-memory" json:"memoryMB"`           // memory limit of each dispatcher
-	Sockets        int           `yaml:"dispatcher-sockets" json:"sockets"`           // socket limit of each dispatcher
-	Clients        int           `yaml:"client-processes" json:"clientProcesses"`     // number of processes that the clients run in; 0 to run them in the tool's process
-	BatchShare     float64       `yaml:"batch-share" json:"batchShare"`               // share of array jobs submitted through the batch fronts of the store members
+	Tenants        int           `yaml:"tenants" json:"tenants"`
+	Regions        int           `yaml:"regions" json:"regions"`
+	ZonesPerRegion int           `yaml:"zones" json:"zonesPerRegion"`
+	Starts         float64       `yaml:"starts" json:"startsPerSecond"`           // requested task starts per second
+	StartsTo       float64       `yaml:"starts-to" json:"startsPerSecondTo"`      // requested rate at the end of a ramp; 0 for a constant rate
+	Running        int           `yaml:"running" json:"running"`                  // target number of running tasks
+	Duration       time.Duration `yaml:"duration" json:"duration"`                // duration of the load; answers may arrive after it
+	MemoryMB       int           `yaml:"dispatcher-memory" json:"memoryMB"`       // memory limit of each dispatcher
+	Sockets        int           `yaml:"dispatcher-sockets" json:"sockets"`       // socket limit of each dispatcher
+	Clients        int           `yaml:"client-processes" json:"clientProcesses"` // number of processes that the clients run in; 0 to run them in the tool's process
+	BatchShare     float64       `yaml:"batch-share" json:"batchShare"`           // share of array jobs submitted through the batch fronts of the store members
 }
 
 // Default returns the fleet that is used without a description file and flags.
--- a/internal/scale/hollow/clients_test.go
+++ b/internal/scale/hollow/clients_test.go
@@ -72,7 +72,7 @@
 	v := verdict.JudgeEvents(verdict.Rules{Effects: make([]verdict.Effect, fleet.Classes), Dispatchers: 2, ReservedShares: make([]float64, 4)}, record.Events(), record.Now())
 	r := c.Results()
 	if n := total(&r.Tasks); n == 0 || total(&r.Served)+total(&r.Rejected) != n || int64(v.Counts.Served) != total(&r.Served) || v.Counts.Rejected == 0 || !v.Passed() {
-		t.Errorf("%d tasks, %d served, %d refused: %+v", n, total(&r.Served), total(&r.Rejected), v)
+		t.Errorf("%d tasks, %d served, %d rejected: %+v", n, total(&r.Served), total(&r.Rejected), v)
 	}
 }
 
--- a/internal/scale/hollow/dispatcher.go
+++ b/internal/scale/hollow/dispatcher.go
@@ -60,7 +60,7 @@
 // callbackFront accepts callbacks only.
 type callbackFront struct{ executors *attempts.Client }
 
-// Handle answers a callback as the platform's front does.
+// Handle answers a callback as the platform front does.
 func (f callbackFront) Handle(_ context.Context, m *http1.Message) http1.Response {
 	if m.Method != "POST" || m.Path() != "/callback" {
 		return http1.Text(404, "callbacks alone are taken here")
--- a/internal/scale/play/changes.go
+++ b/internal/scale/play/changes.go
@@ -164,7 +164,7 @@
 	return result.Changes{Made: c.made, NotInForce: c.notInForce, InForce: latency(c.latencies, int64(c.made))}
 }
 
-// addNote adds a addNote to the result.
+// addNote adds a note to the result.
 func (r *run) addNote(format string, args ...any) {
 	r.changes.mu.Lock()
 	defer r.changes.mu.Unlock()
--- a/internal/scale/play/play_test.go
+++ b/internal/scale/play/play_test.go
@@ -65,7 +65,7 @@
 	}
 	for _, j := range r.Jobs {
 		if j.Served+j.Rejected+j.Failed != j.Tasks {
-			t.Errorf("%s: %d tasks, and %d served, %d refused, %d failed", j.Kind, j.Tasks, j.Served, j.Rejected, j.Failed)
+			t.Errorf("%s: %d tasks, but %d served, %d rejected, %d failed", j.Kind, j.Tasks, j.Served, j.Rejected, j.Failed)
 		}
 	}
 	c := r.Verdict.Counts
@@ -189,7 +189,7 @@
 			}
 			for _, j := range r.Jobs {
 				if j.Served+j.Rejected+j.Failed != j.Tasks {
-					t.Errorf("%s: %d tasks, and %d served, %d refused, %d failed", j.Kind, j.Tasks, j.Served, j.Rejected, j.Failed)
+					t.Errorf("%s: %d tasks, but %d served, %d rejected, %d failed", j.Kind, j.Tasks, j.Served, j.Rejected, j.Failed)
 				}
 			}
 			t.Logf("%+v", r.Verdict.Counts)
--- a/internal/scale/play/sample.go
+++ b/internal/scale/play/sample.go
@@ -31,7 +31,7 @@
 	first, last process.Usage
 	seen        bool
 	peak        process.Usage
-	peakCPU     float64 // cores, in the busiest second
+	peakCPU     float64 // most cores used in a sample interval
 	ended       string
 	target      *dispatcher
 	child       *process.Process // a process of clients, nil for others
@@ -47,7 +47,7 @@
 // machineName is the name under which all processes of the machine, including other users', are measured.
 const machineName = "the machine"
 
-// toolName is the name of the tool's own process.
+// toolName is the name under which the tool's own process is measured.
 const toolName = "hollow parties"
 
 func newSampler(r *run) *sampler {
@@ -79,7 +79,7 @@
 	}
 }
 
-// add watches a child of the tool's as well.
+// add adds a child of the tool to the measured processes.
 func (s *sampler) add(p *process.Process) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scale/process/process_test.go
+++ b/internal/scale/process/process_test.go
@@ -122,9 +122,11 @@
 func TestRunBeyondItsBudgetIsAnError(t *testing.T) {
 	be := (*BudgetError)(nil)
 	for name, err := range map[string]error{
-		"processes before": DefaultBudget.CheckStart(1, 201), "memory before": DefaultBudget.CheckStart(DefaultBudget.MemoryBytes+1, 1),
+		"processes before":        DefaultBudget.CheckStart(1, 201),
+		"memory before":           DefaultBudget.CheckStart(DefaultBudget.MemoryBytes+1, 1),
 		"memory that is not free": Budget{MemoryBytes: 1 << 60, Processes: 9}.CheckStart(1<<50, 1),
-		"processes during":        DefaultBudget.CheckUsage(1, 201), "memory during": DefaultBudget.CheckUsage(DefaultBudget.MemoryBytes+1, 1),
+		"processes during":        DefaultBudget.CheckUsage(1, 201),
+		"memory during":           DefaultBudget.CheckUsage(DefaultBudget.MemoryBytes+1, 1),
 	} {
 		if !errors.As(err, &be) {
 			t.Errorf("%s: got %v, want a BudgetError", name, err)
--- a/internal/scale/verdict/judge.go
+++ b/internal/scale/verdict/judge.go
@@ -37,7 +37,7 @@
 const (
 	Repeatable  Effect = iota // idempotent, may run any number of times
 	KeyedByRack               // repeats are deduplicated within a rack and the time window
-	Once                      // must not run twice
+	Once                      // runs at most once
 )
 
 // Executor has the properties of an executor that the judge needs.
--- a/internal/testenv/standin.go
+++ b/internal/testenv/standin.go
@@ -42,7 +42,7 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not true within 20 s:", condition)
+			t.Fatal("timed out after 20 s waiting for:", condition)
 		}
 	}
 }
