--- a/test/array_test.go
+++ b/test/array_test.go
@@ -10,9 +10,9 @@
 	"gatetack/internal/testenv"
 )
 
-// A node is killed between two writes: after an array's record has counted a member that ended, and before the member's own record is
-// written. It is killed once more while the other member is held. The first member is indeterminate and is counted once; the other
-// one stays held and runs after its release.
+// A node is killed between two writes: after an array's record has counted a member that ended, and before the member's own record
+// is written. It is killed once more while the other member is held. The first member is indeterminate and is counted once; the
+// other one stays held and runs after its release.
 func TestKillBetweenArrayCountAndMemberRecord(t *testing.T) {
 	s := newTestNode(t, 1, 300*time.Millisecond)
 	s.extraConfig = "  dir: " + s.dir + "/batch\n"
@@ -20,7 +20,7 @@
 	s.start()
 	status, v := s.drmaa("POST", "/arrays", `{"jobTemplate":`+tile+`,"endIndex":2,"maxParallel":1}`)
 	if status != 201 {
-		t.Fatalf("%d %s", status, v.Raw)
+		t.Fatalf("submit an array: %d %s", status, v.Raw)
 	}
 	id := v.Get("jobArrayId").String()
 	array := func() gjson.Result {
--- a/test/batch_test.go
+++ b/test/batch_test.go
@@ -71,7 +71,7 @@
 		for i := 1; i <= 60; i++ {
 			j, err := c.Job(ctx, fmt.Sprintf("%s-%d", id, i))
 			if err != nil || !j.Ended() {
-				t.Fatalf("%s-%d: %+v %v", id, i, j, err)
+				t.Fatalf("job %s-%d has not ended: %+v %v", id, i, j, err)
 			}
 			if j.JobState == "DONE" {
 				done++
@@ -83,7 +83,7 @@
 	}
 	for _, id := range plain {
 		if j, err := c.Job(ctx, id); err != nil || !j.Ended() {
-			t.Errorf("%s: %+v %v", id, j, err)
+			t.Errorf("job %s has not ended: %+v %v", id, j, err)
 		}
 	}
 	keys := map[string]int{}
@@ -104,7 +104,7 @@
 	}
 }
 
-// Half the executors drain while a large array runs: draining executors get no more jobs, and each member runs once.
+// Half the executors drain while a large array runs: a draining executor gets no jobs after 500 ms, and each member runs once.
 func TestArrayWhileExecutorsDrain(t *testing.T) {
 	s := newTestNode(t, 4, 10*time.Millisecond)
 	for _, b := range s.executors {
@@ -124,7 +124,7 @@
 	told := time.Now()
 	s.until("the array has ended", func() bool { a, err = c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Ended() })
 	if a.Done != 800 {
-		t.Errorf("%+v", a)
+		t.Errorf("array %+v, want all 800 members done", a)
 	}
 	for _, b := range s.executors[:2] {
 		for _, x := range b.Starts() {
@@ -279,14 +279,14 @@
 		return cmd
 	}
 	if out, err := bare("check-config", "--config", file).CombinedOutput(); err != nil || !strings.Contains(string(out), "batch jobs on record") {
-		t.Fatalf("%v %s", err, out)
+		t.Fatalf("check-config: %v %s", err, out)
 	}
 	bad := filepath.Join(dir, "bad.yaml")
 	if err := os.WriteFile(bad, []byte(strings.Replace(text, "balancers: 1", "balancers: many", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if out, err := bare("check-config", "--config", bad).CombinedOutput(); err == nil || !strings.Contains(string(out), "balancers") || !strings.Contains(string(out), "line ") {
-		t.Errorf("%v %s", err, out)
+		t.Errorf("check-config with an invalid number of balancers: %v %s, want the key and its line", err, out)
 	}
 	cmd := bare("serve", "--config", file)
 	if err := cmd.Start(); err != nil {
--- a/test/deployments_test.go
+++ b/test/deployments_test.go
@@ -124,8 +124,8 @@
 	})
 }
 
-// newKillableExecutor returns an executor and a function that ends it as the death of a process does: its connections break, and new
-// ones are rejected.
+// newKillableExecutor returns an executor and a function that ends it as the death of a process does: its connections break, and
+// new ones are rejected.
 func newKillableExecutor(t *testing.T, s *testNode, name string) (*testenv.Executor, context.CancelFunc) {
 	t.Helper()
 	ctx, kill := context.WithCancel(s.ctx)
@@ -145,10 +145,10 @@
 	answeredAt  time.Time
 }
 
-// TestDeployments runs the same sequence of events under settings that differ in every option: an executor hangs, one dies, discovery
-// moves to another address, one executor drains by the new list only, a cold one is added while all others reject jobs, and the node
-// is killed and restarted. Each job not open at the kill has a response, no job starts more often than its class allows, the
-// draining executor gets no new jobs, and the cold one is not overloaded.
+// TestDeployments runs the same sequence of events under settings that differ in every option: an executor hangs, one dies,
+// discovery moves to another address, one executor drains by the new list only, a cold one is added while all others reject jobs,
+// and the node is killed and restarted. Each job not open at the kill has a response, no job starts more often than its class
+// allows, the draining executor gets no new jobs, and the cold one is not overloaded.
 func TestDeployments(t *testing.T) {
 	for i := range deployments {
 		d := &deployments[i]
--- a/test/desks_test.go
+++ b/test/desks_test.go
@@ -27,8 +27,8 @@
 	actorSeed   = flag.Uint64("desk-seed", 1, "seed of its random choices")
 )
 
-// counterFunction is an actor function whose state shows each lost, repeated or reordered call, and that submits a job at each tenth
-// call.
+// counterFunction is an actor function whose state shows each lost, repeated or reordered call, and that submits a job at each
+// tenth call.
 const counterFunction = `start: {n: 0, sum: 0, jobs: 0, failed: 0}
 on:
   call:
@@ -107,10 +107,10 @@
 	}
 }
 
-// Clients in two zones call actors at five nodes and move between the zones, and the actors submit jobs with input data, while nodes
-// are killed, stopped for longer than their leases or all killed at once, and store folders are restored to earlier copies. Each call
-// must get its own answer. The state of each actor must equal that of an oracle, which applies the same calls to one state machine
-// without faults, and no job of an actor may start twice.
+// Clients in two zones call actors at five nodes and move between the zones, and the actors submit jobs with input data, while
+// nodes are killed, stopped for longer than their leases or all killed at once, and store folders are restored to earlier copies.
+// Each call must get its own response. The state of each actor must equal that of an oracle, which applies the same calls to one
+// state machine without faults, and no job of an actor may start twice.
 func TestActorsMigrateAndSurviveFaults(t *testing.T) {
 	f := newTwoZoneFleet(t, 5)
 	rng := rand.New(rand.NewPCG(*actorSeed, 0))
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -120,7 +120,7 @@
 		due[p] = old.submitUntilAccepted(t, fmt.Sprintf(template, p, fmt.Sprintf(`,"startTime":%q`, at.UTC().Format(time.RFC3339Nano))))
 	}
 	old.signal(syscall.SIGSTOP)
-	old.until("the process is stopped", old.isStopped) // a process that still runs may do what a call asks for, and its response is lost
+	old.until("the process is stopped", old.isStopped) // a process still running could execute a call whose response is then lost
 
 	// Any other node accepts calls for these jobs and forwards them to their present owner.
 	for i, id := range mapValues(held) {
@@ -152,7 +152,7 @@
 		}
 		return true
 	})
-	time.Sleep(time.Second) // for what it might yet send
+	time.Sleep(time.Second) // for sends that may still follow
 	for _, jobs := range []map[string]string{held, due, {"sent": sent}} {
 		for p := range jobs {
 			if n := f.starts(p); n != 1 {
@@ -175,7 +175,7 @@
 		t.Errorf("a job that must not run twice was resolved as unsent without force: %s", out)
 	}
 	if out, err := doubt("resolve", sent, "--as", "done", "--by", "kadri", "--why", "the tile is there"); err != nil {
-		t.Errorf("%v %s", err, out)
+		t.Errorf("resolving the job as done: %v %s", err, out)
 	}
 	for _, s := range f {
 		s.until("the job is reported as done, with the operator's name", func() bool {
@@ -228,7 +228,7 @@
 	if text := duties("show", key); !strings.Contains(text, "taken over from n0") || strings.Count(text, "epoch ") < 2 {
 		t.Error(text)
 	}
-	// The restarted node is asked for the job; then an operator takes the partition from its new owner, and any node may get it.
+	// The restarted node is queried for the job; then an operator takes the partition from its new owner, and any node may get it.
 	f[0].until("the former owner forwards calls", func() bool {
 		status, v := f[0].drmaa("GET", "/jobs/"+id, "")
 		return status == 200 && v.Get("jobState").String() == "QUEUED_HELD"
@@ -241,17 +241,17 @@
 		status, _ := f[0].drmaa("POST", "/jobs/"+id+"/release", "")
 		return status == 200
 	})
-	f[2].until("it is done", func() bool {
+	f[2].until("the job is done", func() bool {
 		_, v := f[2].drmaa("GET", "/jobs/"+id, "")
 		return v.Get("jobState").String() == "DONE"
 	})
 	if n := f.starts("kept"); n != 1 {
-		t.Errorf("it started %d times", n)
+		t.Errorf("the job started %d times", n)
 	}
 }
 
 // Two processes are started under the same node name. The later one owns all that is stored under the name, and the earlier one
-// accepts no more batch jobs. No job of either runs twice.
+// accepts no batch jobs. No job of either runs twice.
 func TestNameStartedTwice(t *testing.T) {
 	f := newFleet(t, 3, 20*time.Millisecond)
 	template := `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q,"submitAsHold":true}`
@@ -277,14 +277,14 @@
 		status, _ := f[1].drmaa("POST", "/jobs/"+id+"/release", "")
 		return status == 200
 	})
-	f[1].until("it is done", func() bool {
+	f[1].until("the job is done", func() bool {
 		_, v := f[1].drmaa("GET", "/jobs/"+id, "")
 		return v.Get("jobState").String() == "DONE"
 	})
 	f[0].signal(syscall.SIGCONT)
 	time.Sleep(2 * time.Second)
 	if n := f.starts("twin"); n != 1 {
-		t.Errorf("it started %d times", n)
+		t.Errorf("the job started %d times", n)
 	}
 	if status, v := f[0].drmaa("POST", "/jobs", fmt.Sprintf(template, "late")); status == 201 {
 		t.Errorf("the earlier process accepted a job: %s", v.Raw)
@@ -298,8 +298,8 @@
 	return out
 }
 
-// isStopped says whether the process stands still, as it does at a point where it is to stop: each of its threads, for one goes on for
-// a moment after another was isStopped.
+// isStopped reports whether every thread of the process is stopped. After a signal or at a failpoint, some threads run on for a
+// moment after others have stopped.
 func (s *testNode) isStopped() bool {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", s.process.Process.Pid))
 	for _, path := range threads {
@@ -327,7 +327,7 @@
 			go func() { // the response may never come
 				_, _ = testenv.Call(old.batch, "POST", "/drmaa2/v1/jobs/"+id+"/release", nil)
 			}()
-			old.until("the owner stands at the point", old.isStopped)
+			old.until("the owner is stopped at the failpoint", old.isStopped)
 			state := func(s *testNode) string {
 				_, v := s.drmaa("GET", "/jobs/"+id, "")
 				return v.Get("jobState").String()
@@ -347,7 +347,7 @@
 			old.until("the resumed owner reports the same state", func() bool { return state(old) == x.want })
 			time.Sleep(time.Second) // for sends and writes that may still follow
 			if n := f.starts("the job"); n > 1 || x.point != "intent" && n != 1 {
-				t.Errorf("it started %d times", n)
+				t.Errorf("the job started %d times", n)
 			}
 			if got := state(heir); got != x.want {
 				t.Errorf("the new owner reports the job as %s after the former one resumed, want %s", got, x.want)
@@ -369,7 +369,7 @@
 	old, heir := f[0], f[1]
 	id := old.submitUntilAccepted(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"the job","submitAsHold":true}`)
 	go func() { _, _ = testenv.Call(old.batch, "POST", "/drmaa2/v1/jobs/"+id+"/release", nil) }()
-	old.until("the owner stands at the point", old.isStopped)
+	old.until("the owner is stopped at the failpoint", old.isStopped)
 	heir.until("the job is done at the new owner", func() bool {
 		_, _ = heir.drmaa("POST", "/jobs/"+id+"/release", "")
 		_, v := heir.drmaa("GET", "/jobs/"+id, "")
@@ -435,12 +435,13 @@
 	ended()
 }
 
-// A node is lost while an executor runs its job, and the new owner of its partition reports the job as indeterminate. Once a process
-// listens at the node's address again, the executor's callback reaches it, and every node reports the job as done. It ran once.
+// A node is lost while an executor runs its job, and the new owner of its partition reports the job as indeterminate. Once a
+// process listens at the node's address again, the executor's callback reaches it, and every node reports the job as done. It ran
+// once.
 func TestExecutorCallbackAfterNodeLoss(t *testing.T) {
 	f := newFleet(t, 3, 9*time.Second)
 	id := f[0].submitUntilAccepted(t, `{"jobCategory":"area-render","accountingId":"maavaade","payload":"long"}`)
-	f[0].until("it runs", func() bool { return f.starts("long") == 1 })
+	f[0].until("the job runs", func() bool { return f.starts("long") == 1 })
 	f[0].kill()
 	state := func(s *testNode) string {
 		_, v := s.call("GET", "/jobs/"+id, "")
@@ -455,7 +456,7 @@
 		}
 	}
 	if n := f.starts("long"); n != 1 {
-		t.Errorf("it started %d times", n)
+		t.Errorf("the job started %d times", n)
 	}
 	rows, _ := f[1].storeCommand("list", "sent")
 	if strings.Contains(rows, id) {
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -166,7 +166,7 @@
 	return strings.Contains(string(all), text)
 }
 
-// logCount counts the logCount of the program's log that hold a text.
+// logCount returns how often text occurs in the program's log.
 func (s *testNode) logCount(text string) int {
 	all, _ := os.ReadFile(s.log.Name())
 	return strings.Count(string(all), text)
--- a/test/pages_test.go
+++ b/test/pages_test.go
@@ -18,7 +18,8 @@
 // historyPage describes earlier states of the project and keeps the test names of their time.
 const historyPage = "ROADMAP.md"
 
-// definedTests returns the tests, fuzz targets and benchmarks of the repository, each by its name alone and qualified by its package.
+// definedTests returns the tests, fuzz targets and benchmarks of the repository, each by its plain name and by its name qualified
+// with the package.
 func definedTests(t *testing.T) map[string]bool {
 	t.Helper()
 	defined := map[string]bool{}
