--- a/internal/settings/rollout.go
+++ b/internal/settings/rollout.go
@@ -102,7 +102,11 @@
 	for _, h := range t.observed {
 		out = append(
 			out,
-			Progress{Report: h.report, ReportAgeMs: (now - h.at).Milliseconds(), BehindMs: t.behind(h.report.ActiveVersion, now)},
+			Progress{
+				Report:      h.report,
+				ReportAgeMs: (now - h.at).Milliseconds(),
+				BehindMs:    t.behind(h.report.ActiveVersion, now),
+			},
 		)
 	}
 	slices.SortFunc(out, func(a, b Progress) int { return strings.Compare(a.Process, b.Process) })
--- a/internal/settings/rollout_test.go
+++ b/internal/settings/rollout_test.go
@@ -109,7 +109,8 @@
 		if got := tracker.Progress(incarnationTimeout + 1); len(got) != 1 || got[0].Report != after {
 			t.Errorf("step of %v: %+v, want %+v", step, got, after)
 		}
-		silent, reporting := []Progress{{Report: before, ReportAgeMs: 10_001}}, []Progress{{Report: after, ReportAgeMs: 10_000}}
+		silent, reporting := []Progress{{Report: before, ReportAgeMs: 10_001}},
+			[]Progress{{Report: after, ReportAgeMs: 10_000}}
 		for _, got := range [][]Progress{Newest(silent, reporting), Newest(reporting, silent)} {
 			if len(got) != 1 || got[0].Report != after {
 				t.Errorf("step of %v, of two members: %+v", step, got)
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -31,7 +31,7 @@
 	writeStarted time.Time // of the write that has not returned, zero for none
 	lastErr      error     // of the last write, nil if it succeeded
 
-	closed    chan struct{}
+	closed    chan struct{} // closed by release
 	closeOnce sync.Once
 	abandoned atomic.Bool // closed during a write: no further messages are sent to other members
 }
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -108,7 +108,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("raft does not call the unresponsive member")
 	}
-	// Calls in flight have long timeouts, so that the shutdown cannot succeed by waiting for them.
+	// At least one call to the unresponsive member is in flight during the shutdown.
 	ended := make(chan struct{})
 	go func() { lead.stop(); close(ended) }()
 	testenv.Until(t, "the leader has shut down", func() bool {
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -175,8 +175,8 @@
 	)
 }
 
-// verifyPages reads all pages of the log file. It does so in its own goroutine, because the check that bbolt provides
-// runs in another one, where a panic cannot be recovered. Keys out of order indicate misplaced pages.
+// verifyPages reads all pages of the log file in the goroutine of the caller, because the check that bbolt provides
+// runs in another goroutine, whose panics cannot be recovered. Keys out of order indicate misplaced pages.
 func verifyPages(path string) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // reading a page beyond the end of the file is a memory fault
 	defer func() {
