--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -195,7 +195,7 @@
 
 // The wall clock is set while an attempt of a keyed request is in flight. The attempt fails within the retry window,
 // so the request is sent again, once.
-func TestClockStepsWithinARepeatWindow(t *testing.T) {
+func TestClockStepsWithinRetryWindow(t *testing.T) {
 	s := newTestNode(t, 2, 0)
 	s.useSteppableClock()
 	s.disableCallbacks()
@@ -225,7 +225,7 @@
 
 // The retry window has ended by the monotonic clock when the attempt fails. The request is not sent again, however the
 // wall clock was set.
-func TestClockStepsBeyondARepeatWindow(t *testing.T) {
+func TestClockStepsBeyondRetryWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	s := newTestNode(t, 2, 0)
 	s.useSteppableClock()
--- a/test/errors_test.go
+++ b/test/errors_test.go
@@ -20,7 +20,7 @@
 )
 
 // Each kind of error has a remedy in a sentence and a row on the page docs/on-call.md.
-func TestErrorsSayWhatCanBeDone(t *testing.T) {
+func TestErrorKindsHaveRemedies(t *testing.T) {
 	page, err := os.ReadFile("../docs/on-call.md")
 	if err != nil {
 		t.Fatal(err)
--- a/test/lies_test.go
+++ b/test/lies_test.go
@@ -102,7 +102,7 @@
 // never had the acknowledged write must not deny the write, whether the machine still has its marks or only the other
 // members know the positions. Once a member that has the write is back, all members have it. Afterwards the affected
 // member forms a quorum with a member that was killed without losing data.
-func TestDiskThatLied(t *testing.T) {
+func TestDiskLosesAcknowledgedWrite(t *testing.T) {
 	for _, x := range []struct {
 		what string
 		lost bool
@@ -141,8 +141,8 @@
 }
 
 // With the guard of the votes disabled, the same member elects one that never had the write, and the write is denied.
-// This shows that TestDiskThatLied depends on the guard.
-func TestDiskThatLiedWithoutTheFloor(t *testing.T) {
+// This shows that TestDiskLosesAcknowledgedWrite depends on the guard.
+func TestDiskLosesAcknowledgedWriteWithoutVoteGuard(t *testing.T) {
 	f := newFleetWithLostWrite(t, buildWithoutGuard(t, failpoint.Floor), false)
 	f[2].until("the write is denied", func() bool { return f[1].deniesValue("promised", "kept") || f[2].deniesValue("promised", "kept") })
 }
--- a/test/links_test.go
+++ b/test/links_test.go
@@ -21,8 +21,8 @@
 )
 
 var (
-	faultCount = flag.Int("faults", 64, "number of faults that TestFaultsEverywhere injects; the long run uses 1200")
-	faultSeed  = flag.Uint64("run-seed", 1, "random seed of TestFaultsEverywhere")
+	faultCount = flag.Int("faults", 64, "number of faults that TestRandomFaults injects; the long run uses 1200")
+	faultSeed  = flag.Uint64("run-seed", 1, "random seed of TestRandomFaults")
 )
 
 // proxiedFleet is a fleet with a proxy on each link: between every two processes, for both the store and the batch
@@ -294,7 +294,7 @@
 // submit, release and query jobs through all of them. At the end each acknowledged job has one final state, the same
 // at every node. No at-most-once job started twice, and a keyed job started in one rack only. A job reported as never
 // run did not start, and one reported as done did.
-func TestFaultsEverywhere(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	l := newProxiedFleet(t, 5, *faultSeed, 30*time.Millisecond)
 	stop := make(chan struct{})
 	var g sync.WaitGroup
--- a/test/moments_test.go
+++ b/test/moments_test.go
@@ -47,7 +47,7 @@
 // A client pipelines two jobs on one connection. The deadline of the second counts from its own last byte. It has
 // passed when the first is done, so the second is answered without being sent. If the deadline counted from the start
 // of its processing, the second would be sent with more time left than its client allows.
-func TestTimeOfAJobBehindAnother(t *testing.T) {
+func TestDeadlineOfPipelinedJob(t *testing.T) {
 	s := newTestNode(t, 1, 1200*time.Millisecond)
 	s.start()
 	c := s.connect()
@@ -65,7 +65,7 @@
 
 // A job arrives when a node that is shutting down is about to exit: its connection is in the accept queue of the
 // listener. The client gets a complete answer, the job is not sent, and the process exits without an error.
-func TestJobInTheMomentOfTheEnd(t *testing.T) {
+func TestJobArrivesDuringExit(t *testing.T) {
 	s := newTestNode(t, 1, 10*time.Millisecond)
 	s.env = []string{"GATETACK_STOP_AT=" + failpoint.Shutdown}
 	s.start()
@@ -92,7 +92,7 @@
 }
 
 // A node gets SIGTERM before it listens. The process exits without an error, and no client connects before.
-func TestTermBeforeTheListener(t *testing.T) {
+func TestSigtermBeforeListening(t *testing.T) {
 	s := newTestNode(t, 1, 10*time.Millisecond)
 	s.startWithoutWaiting("GATETACK_STOP_AT=" + failpoint.Listen)
 	s.until("the process is about to listen", s.isStopped)
--- a/test/races_test.go
+++ b/test/races_test.go
@@ -13,7 +13,7 @@
 // A node that is shutting down gets SIGHUP and a second SIGTERM, while one of its jobs runs longer than the time after
 // which the node may be killed, and a connection has half a request. The job is answered, the request is answered once
 // it is complete, the configuration is reloaded, and the process exits without an error.
-func TestSignalsBesideOneAnother(t *testing.T) {
+func TestRepeatedSignalsDuringShutdown(t *testing.T) {
 	s := newTestNode(t, 1, 4500*time.Millisecond)
 	s.start()
 	var g errgroup.Group
--- a/test/retune_test.go
+++ b/test/retune_test.go
@@ -15,7 +15,7 @@
 // SIGHUP under load with changed settings: an added class is served under its own rules, a removed class is served for
 // a while longer, and jobs in flight end under the rules that applied when they arrived. Each of five invalid files
 // changes nothing, and the log names the file, the field and the expected value.
-func TestRetune(t *testing.T) {
+func TestReloadSettings(t *testing.T) {
 	s := newTestNode(t, 2, 300*time.Millisecond)
 	s.start()
 	hup := func() {
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -171,7 +171,7 @@
 
 // Each member rejects an invalid change, or one conditional on an outdated version, with an error that names the field
 // and the expected value; the settings stay unchanged. One invalid item rejects the whole change.
-func TestSettingsBadChanges(t *testing.T) {
+func TestSettingsInvalidChanges(t *testing.T) {
 	f := newSettingsFleet(t, 3, 0, nil)
 	version := f.fleet[0].changeSettings("set", "tenant/maavaade", `{"quotaRps":9}`)
 	file := filepath.Join(f.fleet[0].dir, "changes.yaml")
@@ -386,7 +386,7 @@
 // A process whose base configuration conflicts with a change keeps its settings, and the status names it with the
 // reason while the other processes activate the change. It activates the next change that it can apply. A base file
 // reloaded on SIGHUP takes effect under the replicated settings.
-func TestSettingsThatOneProcessCanNotUse(t *testing.T) {
+func TestSettingsConflictWithBaseConfiguration(t *testing.T) {
 	from := strings.Index(defaultSettings, `{"name":"area-render"`)
 	to := strings.Index(defaultSettings, "],\n\"tenants\"")
 	if from < 0 || to < from {
@@ -428,7 +428,7 @@
 
 // A follower is stopped while more changes are made than are kept for deltas. Once it continues, it gets all of them
 // by a snapshot. A document of 1,020 tenants is transferred completely.
-func TestSettingsAfterLongSilence(t *testing.T) {
+func TestSettingsSnapshotAfterLongStop(t *testing.T) {
 	f := newSettingsFleet(t, 1, 1, nil)
 	member, follower := f.fleet[0], f.fleet[1]
 	member.awaitInForce(member.changeSettings("set", "class/draft", draftClass), f.names()...)
--- a/test/slow_test.go
+++ b/test/slow_test.go
@@ -120,7 +120,7 @@
 // An executor accepts jobs, sends its 202 at one byte per second and sends no callbacks. The other clients' jobs are
 // served: those sent to it are retried elsewhere in its rack, and it soon gets no more jobs. Once it has recovered, it
 // gets jobs again.
-func TestTricklingBox(t *testing.T) {
+func TestSlowExecutorResponses(t *testing.T) {
 	s := newTestNode(t, 5, 30*time.Millisecond)
 	drip := s.addSlowProxy(0, testenv.Script{}, testenv.Script{Rate: 1})
 	s.executors[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
@@ -152,7 +152,7 @@
 
 // An executor accepts connections and never sends a byte. A tile-charge job sent to it is not sent again and gets one
 // answer.
-func TestMuteBoxAndTileCharges(t *testing.T) {
+func TestUnresponsiveExecutorAtMostOnce(t *testing.T) {
 	s := newTestNode(t, 3, 20*time.Millisecond)
 	s.addSlowProxy(0, testenv.Script{}, testenv.Script{Delay: time.Hour})
 	s.executors[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
@@ -165,7 +165,7 @@
 }
 
 // All executors are slow at once. None is ejected for it, and the node keeps serving.
-func TestAllBoxesSlow(t *testing.T) {
+func TestAllExecutorsSlow(t *testing.T) {
 	s := newTestNode(t, 3, 20*time.Millisecond)
 	for i := range s.executors {
 		s.addSlowProxy(i, testenv.Script{}, testenv.Script{Delay: 700 * time.Millisecond, Rate: 2000, Chunk: 8})
@@ -178,7 +178,7 @@
 }
 
 // A drain takes effect although attempts are receiving slow responses from the executor.
-func TestDrainWhileDripping(t *testing.T) {
+func TestDrainDuringSlowResponses(t *testing.T) {
 	s := newTestNode(t, 2, 20*time.Millisecond)
 	s.addSlowProxy(0, testenv.Script{}, testenv.Script{Rate: 1})
 	s.start()
--- a/test/startup_test.go
+++ b/test/startup_test.go
@@ -70,7 +70,7 @@
 }
 
 // If discovery rejects the request, the process uses its saved list.
-func TestOldListIsUsedWhereDiscoveryRefuses(t *testing.T) {
+func TestOldListIsUsedWhenDiscoveryRejects(t *testing.T) {
 	_, old, _, done := restartWithOldList(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
