--- a/test/clock_test.go
+++ b/test/clock_test.go
@@ -179,11 +179,12 @@
 }
 
 // sendWithTimeLeft posts a job whose client allows it the given time in milliseconds.
-func (s *testNode) sendWithTimeLeft(id string, left int) <-chan answer {
+func (s *testNode) sendWithTimeLeft(id string, timeLeftMs int) <-chan answer {
 	answers := make(chan answer, 1)
 	go func() {
 		m, err := testenv.Call(s.listen, "POST", "/tile-charge/cut", []byte("body of "+id), header("X-Trace-Id", id),
-			header("X-Customer", "pohjakaart"), header("X-Expires-In-Ms", strconv.Itoa(left)), header("Idempotency-Key", "key-"+id))
+			header("X-Customer", "pohjakaart"), header("X-Expires-In-Ms", strconv.Itoa(timeLeftMs)),
+			header("Idempotency-Key", "key-"+id))
 		if err != nil {
 			answers <- answer{err: err}
 			return
@@ -256,7 +257,7 @@
 	s.useSteppableClock()
 	s.disableCallbacks()
 	s.start()
-	listed := func(b *testenv.Executor, status string) {
+	awaitListed := func(b *testenv.Executor, status string) {
 		s.discovery.Put(b, status)
 		s.until(b.Name+" is "+status, func() bool {
 			_, v := s.drmaa("GET", "/monitoring/machines", "")
@@ -268,9 +269,9 @@
 		id := jobID(10 * i)
 		answers := s.send("tile-charge", id)
 		s.awaitStarts(id, 1)
-		drains := s.executorOf(id)
-		listed(drains, "draining")
-		before := len(drains.Starts())
+		draining := s.executorOf(id)
+		awaitListed(draining, "draining")
+		before := len(draining.Starts())
 		s.stepWallClock(step)
 		for k := range 3 {
 			other := jobID(10*i + k + 1)
@@ -281,14 +282,14 @@
 				t.Errorf("step %v, job sent during the drain: %+v", step, got)
 			}
 		}
-		if n := len(drains.Starts()) - before; n != 0 {
+		if n := len(draining.Starts()) - before; n != 0 {
 			t.Errorf("step %v: %d jobs started on a draining executor", step, n)
 		}
-		s.sendCallback(drains, id, "done")
+		s.sendCallback(draining, id, "done")
 		if got := <-answers; got.status != 200 {
 			t.Errorf("step %v, job on the draining executor: %+v", step, got)
 		}
-		listed(drains, "ready")
+		awaitListed(draining, "ready")
 	}
 }
 
@@ -418,16 +419,16 @@
 	if n := f.checkClaims(t); n != len(f) {
 		t.Errorf("%d claims before any node failed, want %d", n, len(f))
 	}
-	held := map[string]string{}
+	heldJobs := map[string]string{}
 	for i := range 3 {
 		payload := fmt.Sprintf("left %d", i)
 		payloads = append(payloads, payload)
-		held[payload] = f[0].submitUntilAccepted(t, fmt.Sprintf(template, payload))
+		heldJobs[payload] = f[0].submitUntilAccepted(t, fmt.Sprintf(template, payload))
 	}
 	f[0].kill()
 	f[1].stepWallClock(time.Hour)
 	f[2].stepWallClock(-time.Hour)
-	for _, id := range held {
+	for _, id := range heldJobs {
 		run(f[1], id)
 	}
 	if n := f.checkClaims(t); n != len(f)+1 {
--- a/test/kill_soak_test.go
+++ b/test/kill_soak_test.go
@@ -20,26 +20,26 @@
 // killSoakSeeds is the number of seeds that TestKillSoak runs. CI runs the default.
 var killSoakSeeds = flag.Int("kill-soak-seeds", 4, "number of seeds of TestKillSoak, starting at 1")
 
-// Parameters of TestKillSoak. A node may be killed soakDeadline, the longest deadline of a request, plus soakKillSpare
-// after SIGTERM. A request that arrives within soakKillSpare after the signal must still be answered.
+// Parameters of TestKillSoak. A node may be killed soakDeadline, the longest deadline of a request, plus soakKillMargin
+// after SIGTERM. A request that arrives within soakKillMargin after the signal must still be answered.
 const (
-	soakDeadline  = 300 * time.Millisecond
-	soakKillSpare = 700 * time.Millisecond
-	soakLateness  = 500 * time.Millisecond // an answer may be this much later than its deadline
-	soakBefore    = 400 * time.Millisecond // duration of the load before the first signal
-	soakSockets   = 256                    // limit of the node, and the number of idle connections in some runs
+	soakDeadline   = 300 * time.Millisecond
+	soakKillMargin = 700 * time.Millisecond
+	soakLateness   = 500 * time.Millisecond // an answer may be this much later than its deadline
+	soakLoadTime   = 400 * time.Millisecond // duration of the load before the first signal
+	soakSockets    = 256                    // limit of the node, and the number of idle connections in some runs
 )
 
 // killSoak holds the random parameters of one run.
 type killSoak struct {
-	seed    int64
-	clients int
-	run     time.Duration // run time of a job
-	hanging bool          // one executor accepts jobs and sends no callbacks
-	slots   int           // of each executor
-	crowd   int           // idle connections
-	signals []syscall.Signal
-	gap     time.Duration // between signals
+	seed      int64
+	clients   int
+	run       time.Duration // run time of a job
+	hanging   bool          // one executor accepts jobs and sends no callbacks
+	slots     int           // of each executor
+	idleConns int           // number of idle connections to the node
+	signals   []syscall.Signal
+	gap       time.Duration // between signals
 }
 
 func drawKillSoak(seed int64) killSoak {
@@ -50,7 +50,7 @@
 		{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM}, {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM}}
 	k.signals = series[random.Intn(len(series))]
 	if random.Intn(3) == 0 {
-		k.crowd = soakSockets
+		k.idleConns = soakSockets
 	}
 	return k
 }
@@ -72,20 +72,20 @@
 func TestKillSoak(t *testing.T) {
 	for seed := int64(1); seed <= int64(*killSoakSeeds); seed++ {
 		k := drawKillSoak(seed)
-		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { k.play(t) })
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { k.test(t) })
 	}
 }
 
-func (k killSoak) play(t *testing.T) {
+func (k killSoak) test(t *testing.T) {
 	s := newTestNode(t, 3, k.run)
 	s.settingsJSON = strings.NewReplacer(`"aim":400.0,"deadline":7500.0`, `"aim":150.0,"deadline":300.0`,
 		`"aim":1500.0,"deadline":25000.0`, `"aim":200.0,"deadline":300.0`).Replace(defaultSettings)
 	s.sockets, s.memoryMB = soakSockets, 32
-	for i, box := range s.executors {
-		box.Set(func(b *testenv.Behavior) { b.Slots, b.NoCallbacks = k.slots, k.hanging && i == 0 })
+	for i, executor := range s.executors {
+		executor.Set(func(b *testenv.Behavior) { b.Slots, b.NoCallbacks = k.slots, k.hanging && i == 0 })
 	}
 	s.start()
-	for range k.crowd {
+	for range k.idleConns {
 		if c, err := net.Dial("tcp", s.listen); err == nil {
 			defer func() { _ = c.Close() }()
 		}
@@ -93,7 +93,7 @@
 	lag := watchLag(t)
 	ctx, stop := context.WithCancel(context.Background())
 	load := k.startLoad(ctx, s)
-	time.Sleep(soakBefore)
+	time.Sleep(soakLoadTime)
 	var termAt time.Time
 	for _, sig := range k.signals {
 		if termAt.IsZero() && sig == syscall.SIGTERM {
@@ -105,7 +105,7 @@
 		time.Sleep(k.gap)
 	}
 	// The machine may have delayed the program as much as it delayed the test, so the kill is postponed by that time.
-	time.Sleep(time.Until(termAt.Add(soakDeadline + soakKillSpare)))
+	time.Sleep(time.Until(termAt.Add(soakDeadline + soakKillMargin)))
 	time.Sleep(time.Duration(lag.Load()))
 	killedAt := time.Now()
 	_ = s.process.Process.Kill()
@@ -113,7 +113,7 @@
 	requests := load()
 	_ = s.awaitExit() // killed, or exited before
 	s.process = nil
-	k.judge(t, s, requests, termAt, killedAt, time.Duration(lag.Load()))
+	k.check(t, s, requests, termAt, killedAt, time.Duration(lag.Load()))
 }
 
 // startLoad starts clients that send one request after another until the context ends. Each client uses a connection
@@ -165,7 +165,8 @@
 // errClosing reports that the request was answered and that the server closes the connection after the answer.
 var errClosing = errors.New("request answered, server closes the connection")
 
-func (k killSoak) judge(t *testing.T, s *testNode, requests []soakRequest, termAt, killedAt time.Time, lag time.Duration) {
+func (k killSoak) check(t *testing.T, s *testNode, requests []soakRequest, termAt, killedAt time.Time,
+	lag time.Duration) {
 	starts := s.starts()
 	answered, afterSignal := 0, 0
 	for _, r := range requests {
@@ -180,8 +181,8 @@
 			continue
 		}
 		began := starts[r.id]
-		owed := r.sentAt.Before(killedAt.Add(-soakDeadline)) // if the connection was open until the kill
-		if len(began) > 0 || owed && !r.at.Before(killedAt) {
+		answerRequired := r.sentAt.Before(killedAt.Add(-soakDeadline)) // if the connection was open until the kill
+		if len(began) > 0 || answerRequired && !r.at.Before(killedAt) {
 			t.Errorf("request %s was not answered: sent %v after SIGTERM, failed %v before the kill (%v), %d starts",
 				r.id, r.sentAt.Sub(termAt), killedAt.Sub(r.at), r.err, len(began))
 		}
--- a/test/lies_test.go
+++ b/test/lies_test.go
@@ -14,12 +14,13 @@
 // buildWithoutGuard builds the program with the named guard disabled.
 func buildWithoutGuard(t *testing.T, guard string) string {
 	t.Helper()
-	bare := filepath.Join(t.TempDir(), "bare")
-	if out, err := exec.Command("go", "build", "-race", "-tags", "faults", "-ldflags", "-X gatetack/internal/failpoint.Without="+guard, "-o", bare,
+	binary := filepath.Join(t.TempDir(), "bare")
+	if out, err := exec.Command("go", "build", "-race", "-tags", "faults",
+		"-ldflags", "-X gatetack/internal/failpoint.Without="+guard, "-o", binary,
 		"gatetack/cmd/gatetack").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	return bare
+	return binary
 }
 
 // storeDir returns the directory of the process's store.
@@ -104,9 +105,9 @@
 // member forms a quorum with a member that was killed without losing data.
 func TestDiskLosesAcknowledgedWrite(t *testing.T) {
 	for _, x := range []struct {
-		what string
-		lost bool
-		says string
+		what    string
+		lost    bool
+		logText string
 	}{
 		{"marks are kept", false, "store member lost acknowledged entries, restricting its votes"},
 		{"marks are lost", true, "store member not voting, waiting for the positions of others"},
@@ -121,7 +122,7 @@
 				}
 				time.Sleep(300 * time.Millisecond)
 			}
-			f[1].until("n1 logs that its votes are restricted", func() bool { return f[1].logContains(x.says) })
+			f[1].until("n1 logs that its votes are restricted", func() bool { return f[1].logContains(x.logText) })
 			f[0].startWithoutWaiting()
 			for _, s := range f {
 				s.awaitValue("promised", "kept")
--- a/test/links_test.go
+++ b/test/links_test.go
@@ -103,83 +103,83 @@
 	if k >= i {
 		k++
 	}
-	say := func(format string, args ...any) {
+	logStep := func(format string, args ...any) {
 		l.steps = append(l.steps, fmt.Sprintf("%3d %s", len(l.steps)+1, fmt.Sprintf(format, args...)))
 	}
 	heal := func() { l.setBlocked(i, k, false); l.setBlocked(k, i, false) }
-	alone := func(f testenv.Fault) func() {
+	setAllLinks := func(f testenv.Fault) func() {
 		l.eachLink(i, func(x *testenv.Link) { x.Set(f) })
 		return func() { l.eachLink(i, func(x *testenv.Link) { x.Set(testenv.Fault{}) }) }
 	}
 	s := l.fleet[i]
 	switch kind := l.rng.IntN(14); {
 	case kind == 0:
-		say("cut from n%d to n%d", i, k)
+		logStep("cut from n%d to n%d", i, k)
 		l.setBlocked(i, k, true)
 		return heal
 	case kind == 1:
-		say("cut between n%d and n%d", i, k)
+		logStep("cut between n%d and n%d", i, k)
 		l.setBlocked(i, k, true)
 		l.setBlocked(k, i, true)
 		return heal
 	case kind == 2:
-		say("n%d is cut off from all other processes", i)
-		return alone(testenv.Fault{BlockUp: true, BlockDown: true})
+		logStep("n%d is cut off from all other processes", i)
+		return setAllLinks(testenv.Fault{BlockUp: true, BlockDown: true})
 	case kind == 3:
-		say("n%d receives but cannot send", i)
+		logStep("n%d receives but cannot send", i)
 		for k := range n {
 			l.setBlocked(i, k, true)
 		}
-		return alone(testenv.Fault{BlockUp: false})
+		return setAllLinks(testenv.Fault{BlockUp: false})
 	case kind == 4:
-		say("delay at n%d", i)
-		return alone(testenv.Fault{Delay: time.Duration(20+l.rng.IntN(200)) * time.Millisecond})
+		logStep("delay at n%d", i)
+		return setAllLinks(testenv.Fault{Delay: time.Duration(20+l.rng.IntN(200)) * time.Millisecond})
 	case kind == 5:
-		say("resets at n%d", i)
+		logStep("resets at n%d", i)
 		l.eachLink(i, (*testenv.Link).Reset)
 	case kind == 6:
 		after := 500 + l.rng.IntN(4000)
-		say("connections of n%d are reset after %d bytes", i, after)
-		return alone(testenv.Fault{ResetAfter: after})
+		logStep("connections of n%d are reset after %d bytes", i, after)
+		return setAllLinks(testenv.Fault{ResetAfter: after})
 	case kind == 7:
 		x := l.ownLinks[i][l.rng.IntN(len(l.ownLinks[i]))]
 		f := testenv.Fault{BlockUp: l.rng.IntN(2) == 0, BlockDown: l.rng.IntN(2) == 0, ResetAfter: 100}
-		say("link to an executor or the discovery of n%d: %+v", i, f)
+		logStep("link to an executor or the discovery of n%d: %+v", i, f)
 		x.Set(f)
 		x.Reset()
 		return func() { x.Set(testenv.Fault{}) }
 	case down[i] || len(down) > n/2-1:
-		say("resets at n%d and n%d", i, k)
+		logStep("resets at n%d and n%d", i, k)
 		l.eachLink(i, (*testenv.Link).Reset)
 		l.eachLink(k, (*testenv.Link).Reset)
 	case kind <= 9:
-		say("n%d is stopped", i)
+		logStep("n%d is stopped", i)
 		s.signal(syscall.SIGSTOP)
 		down[i] = true
 		return func() { s.signal(syscall.SIGCONT); delete(down, i) }
 	default:
 		clock := []string{"0s", "1h", "-1h"}[l.rng.IntN(3)]
-		again := func() { s.startWithoutWaiting("GATETACK_CLOCK=" + clock); delete(down, i) }
+		restart := func() { s.startWithoutWaiting("GATETACK_CLOCK=" + clock); delete(down, i) }
 		down[i] = true
 		if kind == 10 {
-			say("n%d shuts down, its clock is %s ahead after its restart", i, clock)
+			logStep("n%d shuts down, its clock is %s ahead after its restart", i, clock)
 			_ = s.process.Process.Signal(syscall.SIGTERM)
 			return func() {
 				select {
 				case err := <-s.exited:
 					s.process = nil
 					if err != nil {
-						say("n%d ended with %v", i, err)
+						logStep("n%d ended with %v", i, err)
 					}
 				case <-time.After(2 * time.Second):
 					s.kill()
 				}
-				again()
+				restart()
 			}
 		}
-		say("n%d is killed, its clock is %s ahead after its restart", i, clock)
+		logStep("n%d is killed, its clock is %s ahead after its restart", i, clock)
 		s.kill()
-		return again
+		return restart
 	}
 	return func() {}
 }
@@ -191,9 +191,9 @@
 }
 
 type clientJob struct {
-	id, class string
-	held      bool
-	end       string // the final state, once one was reported
+	id, class  string
+	held       bool
+	finalState string // empty until a final state is reported
 }
 
 // call calls the batch front of a node that may not be running. It returns status 0 if the call fails.
@@ -255,11 +255,11 @@
 	state := v.Get("jobState").String()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if k.end != "" && state != k.end {
-		t.Errorf("%s, job %s: final state was %s, now %s reports %s", payload, k.id, k.end, s.name, v.Raw)
+	if k.finalState != "" && state != k.finalState {
+		t.Errorf("%s, job %s: final state was %s, now %s reports %s", payload, k.id, k.finalState, s.name, v.Raw)
 	}
 	if state == "DONE" || state == "FAILED" {
-		k.end = state
+		k.finalState = state
 	}
 	return state == "DONE" || state == "FAILED" || state == "UNDETERMINED"
 }
@@ -270,7 +270,7 @@
 // each partition form one chain: each epoch occurs once, and each claim replaces an epoch no older than that of the
 // claim before it.
 func (f fleet) checkClaims(t *testing.T) (n int) {
-	type claim struct{ epoch, was uint64 }
+	type claim struct{ epoch, previous uint64 }
 	by := map[string][]claim{}
 	for _, s := range f {
 		for _, x := range claimPattern.FindAllStringSubmatch(s.allLogs(), -1) {
@@ -282,7 +282,7 @@
 	for key, all := range by {
 		slices.SortFunc(all, func(a, b claim) int { return int(a.epoch) - int(b.epoch) })
 		for i, x := range all {
-			if n++; x.was >= x.epoch || i > 0 && x.was < all[i-1].epoch {
+			if n++; x.previous >= x.epoch || i > 0 && x.previous < all[i-1].epoch {
 				t.Errorf("partition %s: claims %v overlap", key, all)
 			}
 		}
@@ -331,7 +331,7 @@
 		maps.Copy(jobs, c.jobs)
 	}
 	c := &jobClient{}
-	ends := map[string]int{}
+	finalStates := map[string]int{}
 	for payload, k := range jobs {
 		for _, s := range l.fleet {
 			s.until(payload+" has a final state at "+s.name, func() bool {
@@ -351,28 +351,29 @@
 		}
 	}
 	for payload, k := range jobs {
-		var told []string
+		var states []string
 		var sub string
 		for _, s := range l.fleet {
 			_, v := s.call("GET", "/jobs/"+k.id, "")
-			told = append(told, v.Get("jobState").String())
+			states = append(states, v.Get("jobState").String())
 			sub = v.Get("jobSubState").String()
 		}
-		ends[told[0]+" "+sub]++
-		at := starts[payload]
-		switch slices.Sort(told); {
-		case told[0] != told[len(told)-1]:
-			t.Errorf("%s, job %s: nodes report different states %v", payload, k.id, told)
-		case k.class == "tile-charge" && len(at) > 1, len(slices.Compact(slices.Sorted(slices.Values(at)))) > 1:
-			t.Errorf("%s, job %s of %s: started at %v", payload, k.id, k.class, at)
-		case told[0] == "DONE" && len(at) == 0, told[0] == "FAILED" && sub != "failed" && len(at) > 0:
-			t.Errorf("%s, job %s: reported as %s %s, but started at %v", payload, k.id, told[0], sub, at)
+		finalStates[states[0]+" "+sub]++
+		startedAt := starts[payload]
+		switch slices.Sort(states); {
+		case states[0] != states[len(states)-1]:
+			t.Errorf("%s, job %s: nodes report different states %v", payload, k.id, states)
+		case k.class == "tile-charge" && len(startedAt) > 1,
+			len(slices.Compact(slices.Sorted(slices.Values(startedAt)))) > 1:
+			t.Errorf("%s, job %s of %s: started at %v", payload, k.id, k.class, startedAt)
+		case states[0] == "DONE" && len(startedAt) == 0, states[0] == "FAILED" && sub != "failed" && len(startedAt) > 0:
+			t.Errorf("%s, job %s: reported as %s %s, but started at %v", payload, k.id, states[0], sub, startedAt)
 		}
 	}
 	claims := l.checkClaims(t)
-	t.Logf("%d faults, %d jobs, %d claims; final states %v", *faultCount, len(jobs), claims, ends)
-	if len(jobs) < *faultCount/2 || claims < 5 || ends["DONE "] == 0 {
-		t.Errorf("%d jobs with final states %v and %d claims: too few for a conclusive run", len(jobs), ends, claims)
+	t.Logf("%d faults, %d jobs, %d claims; final states %v", *faultCount, len(jobs), claims, finalStates)
+	if len(jobs) < *faultCount/2 || claims < 5 || finalStates["DONE "] == 0 {
+		t.Errorf("%d jobs with final states %v and %d claims: too few for a conclusive run", len(jobs), finalStates, claims)
 	}
 }
 
@@ -396,22 +397,24 @@
 // owner and checks no bound on it.
 func TestTimeWithoutOwner(t *testing.T) {
 	l := newProxiedFleet(t, 3, 1, 20*time.Millisecond)
-	old, other := l.fleet[0], l.fleet[1]
-	alone := func(f testenv.Fault) { l.eachLink(0, func(x *testenv.Link) { x.Set(f) }) }
+	firstOwner, other := l.fleet[0], l.fleet[1]
+	setOwnerLinks := func(f testenv.Fault) { l.eachLink(0, func(x *testenv.Link) { x.Set(f) }) }
 	for _, x := range []struct {
 		what        string
 		cause, lift func()
 	}{
-		{"killed", old.kill, func() { old.startWithoutWaiting() }},
-		{"stopped", func() { old.signal(syscall.SIGSTOP) }, func() { old.signal(syscall.SIGCONT) }},
-		{"cut off", func() { alone(testenv.Fault{BlockUp: true, BlockDown: true}) }, func() { alone(testenv.Fault{}) }},
+		{"killed", firstOwner.kill, func() { firstOwner.startWithoutWaiting() }},
+		{"stopped", func() { firstOwner.signal(syscall.SIGSTOP) }, func() { firstOwner.signal(syscall.SIGCONT) }},
+		{"cut off", func() { setOwnerLinks(testenv.Fault{BlockUp: true, BlockDown: true}) },
+			func() { setOwnerLinks(testenv.Fault{}) }},
 	} {
 		var took []time.Duration
 		for n := range *rounds {
 			payload := fmt.Sprintf("%s %d", x.what, n)
 			var id string
-			old.until("the owner accepts a job", func() bool {
-				status, v := old.call("POST", "/jobs", fmt.Sprintf(`{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q,"submitAsHold":true}`, payload))
+			firstOwner.until("the owner accepts a job", func() bool {
+				status, v := firstOwner.call("POST", "/jobs",
+					fmt.Sprintf(`{"jobCategory":"tile-charge","accountingId":"maavaade","payload":%q,"submitAsHold":true}`, payload))
 				id = v.Get("jobId").String()
 				return status == 201
 			})
@@ -431,7 +434,7 @@
 			other.until("another process is the owner", func() bool { got := owner(); return got != "" && got != "n0" })
 			took = append(took, time.Since(began))
 			if x.what == "cut off" { // clients still reach it, but it must not release their jobs
-				if status, v := old.call("POST", "/jobs/"+id+"/release", ""); status == 200 {
+				if status, v := firstOwner.call("POST", "/jobs/"+id+"/release", ""); status == 200 {
 					t.Errorf("%s: released by a node that is cut off: %s", payload, v.Raw)
 				}
 			}
--- a/test/moments_test.go
+++ b/test/moments_test.go
@@ -15,9 +15,9 @@
 )
 
 // jobRequest returns the bytes of a job request whose client allows it the given time in milliseconds.
-func jobRequest(id string, left int) string {
+func jobRequest(id string, timeLeftMs int) string {
 	return fmt.Sprintf("POST /tile-charge/cut HTTP/1.1\r\nHost: test\r\nX-Trace-Id: %s\r\nX-Customer: pohjakaart\r\n"+
-		"X-Expires-In-Ms: %d\r\nIdempotency-Key: key-%s\r\nContent-Length: 4\r\n\r\nbody", id, left, id)
+		"X-Expires-In-Ms: %d\r\nIdempotency-Key: key-%s\r\nContent-Length: 4\r\n\r\nbody", id, timeLeftMs, id)
 }
 
 // connect opens a connection to the node that is closed at the end of the test.
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -55,7 +55,7 @@
 	hup()
 	s.until("the new discovery is watched", func() bool { return next.Watches() == 1 })
 	next.Put(drained, "draining")
-	told := time.Now()
+	drainedAt := time.Now()
 
 	s.writeConfig("nowhere", defaultSettings)
 	hup()
@@ -66,13 +66,13 @@
 	hup()
 	s.until("the file that is not JSON is rejected", func() bool { return s.logContains("not valid JSON") })
 
-	time.Sleep(time.Until(told.Add(700 * time.Millisecond)))
+	time.Sleep(time.Until(drainedAt.Add(700 * time.Millisecond)))
 	close(done)
 	if err := errors.Join(load.Wait(), jobs.Wait()); err != nil {
 		t.Errorf("job without an expected answer: %v", err)
 	}
 	for _, x := range drained.Starts() {
-		if late := x.At.Sub(told); late > 500*time.Millisecond {
+		if late := x.At.Sub(drainedAt); late > 500*time.Millisecond {
 			t.Errorf("job %s was sent %v after the new discovery listed the drain", x.ID, late)
 		}
 	}
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -113,8 +113,8 @@
 			t.Errorf("%s has version %d in force but does not serve the class added by it", s.name, version)
 		}
 	}
-	if again := f.fleet[2].changeSettings("set", "class/draft", draftClass); again != version {
-		t.Errorf("repeating the same change returned version %d, want %d", again, version)
+	if repeated := f.fleet[2].changeSettings("set", "class/draft", draftClass); repeated != version {
+		t.Errorf("repeating the same change returned version %d, want %d", repeated, version)
 	}
 	for i := range 20 {
 		version = f.fleet[i%3].changeSettings("set", "tenant/maavaade", fmt.Sprintf(`{"quotaRps":%d}`, 20+i))
@@ -267,7 +267,7 @@
 var activationPattern = regexp.MustCompile(`msg="settings activated" version=(\d+)`)
 
 // activatedVersions reads from the logs the settings versions that a process activated, in order, for each of its runs.
-func (s *testNode) activatedVersions() (lives [][]uint64) {
+func (s *testNode) activatedVersions() (runs [][]uint64) {
 	s.t.Helper()
 	logs, err := filepath.Glob(filepath.Join(s.dir, "log*"))
 	if err != nil {
@@ -283,9 +283,9 @@
 			version, _ := strconv.ParseUint(m[1], 10, 64)
 			order = append(order, version)
 		}
-		lives = append(lives, order)
+		runs = append(runs, order)
 	}
-	return lives
+	return runs
 }
 
 // The links from a follower to the members are cut, first all but one and then all. While the follower is behind, the
@@ -392,36 +392,37 @@
 	if from < 0 || to < from {
 		t.Fatal("the test environment's settings lack the expected classes or their order")
 	}
-	lacking := strings.TrimRight(defaultSettings[:from], " ,\n") + defaultSettings[to:] // has no class area-render
-	f := newSettingsFleet(t, 3, 2, func(f *settingsFleet) { f.fleet[4].settingsJSON = lacking })
+	reducedSettings := strings.TrimRight(defaultSettings[:from], " ,\n") + defaultSettings[to:] // no class area-render
+	f := newSettingsFleet(t, 3, 2, func(f *settingsFleet) { f.fleet[4].settingsJSON = reducedSettings })
 	version := f.fleet[0].changeSettings("set", "class/area-render", `{"worth":3}`)
 	f.fleet[1].awaitInForce(version, "n0", "n1", "n2", "f0")
-	odd := f.fleet[4]
-	odd.until("the status names f1 with the reason", func() bool {
+	follower := f.fleet[4]
+	follower.until("the status names f1 with the reason", func() bool {
 		out, err := f.fleet[2].settings("status")
 		return err == nil && strings.Contains(out, "in force at 4 of 5 processes") && strings.Contains(out, "not yet in force at f1") &&
 			strings.Contains(out, "class/area-render: deadline: absent, expected a value, as the base configuration has none of this name")
 	})
-	if odd.servesClass("area-render", "00000000000000e0") {
+	if follower.servesClass("area-render", "00000000000000e0") {
 		t.Error("f1 serves a class that it could not activate")
 	}
 	next := f.fleet[1].changeSettings("set", "class/area-render", `{"deadline":25000,"effect":"free"}`)
 	f.fleet[2].awaitInForce(next, f.names()...)
-	if !odd.servesClass("area-render", "00000000000000e1") {
+	if !follower.servesClass("area-render", "00000000000000e1") {
 		t.Error("f1 does not serve the class that it has in force")
 	}
 	// The reloaded base file takes effect, and the replicated settings still override it.
 	draft := `{"name":"draft","aim":900.0,"deadline":5000.0,"worth":2.0,"effect":"free","window":0.0},`
-	odd.writeConfig(odd.discovery.Addr, strings.Replace(lacking, `{"name":"tile-charge"`, draft+` {"name":"tile-charge"`, 1))
-	odd.signal(syscall.SIGHUP)
-	odd.until("the new base file is in force", func() bool { return odd.servesClass("draft", "00000000000000e2") })
-	if !odd.servesClass("area-render", "00000000000000e3") {
+	follower.writeConfig(follower.discovery.Addr,
+		strings.Replace(reducedSettings, `{"name":"tile-charge"`, draft+` {"name":"tile-charge"`, 1))
+	follower.signal(syscall.SIGHUP)
+	follower.until("the new base file is in force", func() bool { return follower.servesClass("draft", "00000000000000e2") })
+	if !follower.servesClass("area-render", "00000000000000e3") {
 		t.Error("SIGHUP dropped the class from the replicated settings")
 	}
-	back := f.fleet[0].changeSettings("delete", "class/area-render")
-	f.fleet[0].awaitInForce(back, f.names()...)
-	odd.until("the class is no longer served", func() bool { return !odd.servesClass("area-render", "00000000000000e4") })
-	if !odd.servesClass("draft", "00000000000000e5") || !f.fleet[0].servesClass("area-render", "00000000000000e6") {
+	deletion := f.fleet[0].changeSettings("delete", "class/area-render")
+	f.fleet[0].awaitInForce(deletion, f.names()...)
+	follower.until("the class is no longer served", func() bool { return !follower.servesClass("area-render", "00000000000000e4") })
+	if !follower.servesClass("draft", "00000000000000e5") || !f.fleet[0].servesClass("area-render", "00000000000000e6") {
 		t.Error("the classes of the base files are not served")
 	}
 }
@@ -458,8 +459,8 @@
 // gets the changes accepted there. The member itself gets them once its links work again.
 func TestSettingsMemberCutOff(t *testing.T) {
 	cut := testenv.Fault{BlockUp: true, BlockDown: true}
-	var around []*testenv.Link // between n2 and the other members
-	var away *testenv.Link     // from the follower to n0
+	var memberLinks []*testenv.Link // between n2 and the other members
+	var followerLink *testenv.Link  // from the follower to n0
 	f := newSettingsFleet(t, 3, 1, func(f *settingsFleet) {
 		link := func(from, to *testNode) *testenv.Link {
 			x, err := testenv.NewLink(from.ctx, from.g, to.store)
@@ -470,8 +471,8 @@
 			return x
 		}
 		n0, n1, n2, follower := f.fleet[0], f.fleet[1], f.fleet[2], f.fleet[3]
-		around = append(around, link(n0, n2), link(n1, n2), link(n2, n0), link(n2, n1))
-		away = link(follower, n0)
+		memberLinks = append(memberLinks, link(n0, n2), link(n1, n2), link(n2, n0), link(n2, n1))
+		followerLink = link(follower, n0)
 		for _, s := range f.fleet {
 			s.env = []string{"GATETACK_LINKS=" + strings.Join(s.env, ",")}
 		}
@@ -481,10 +482,10 @@
 	set := func(aim int) uint64 {
 		return n0.changeSettings("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, aim))
 	}
-	away.Set(cut)
+	followerLink.Set(cut)
 	n1.awaitInForce(set(100), f.names()...) // the follower now follows n2
-	away.Set(testenv.Fault{})
-	for _, link := range around {
+	followerLink.Set(testenv.Fault{})
+	for _, link := range memberLinks {
 		link.Set(cut)
 	}
 	version := set(101)
@@ -492,7 +493,7 @@
 	if out, err := n1.settings("status"); err != nil || !strings.Contains(out, "not asked: n2") || !strings.Contains(out, "not yet in force at n2") {
 		t.Errorf("status: %v %s", err, out)
 	}
-	for _, link := range around {
+	for _, link := range memberLinks {
 		link.Set(testenv.Fault{})
 	}
 	n1.awaitInForce(version, f.names()...)
--- a/test/slow_test.go
+++ b/test/slow_test.go
@@ -86,23 +86,23 @@
 // job is counted with one outcome.
 func TestTwentySlowPeers(t *testing.T) {
 	served := map[bool]int{}
-	for _, beside := range []bool{false, true} {
+	for _, withSlowPeers := range []bool{false, true} {
 		s := newTestNode(t, 4, 30*time.Millisecond)
 		for _, b := range s.executors {
 			b.Set(func(h *testenv.Behavior) { h.ResultBytes, h.FreeSlots = 60000, 16 })
 		}
 		s.start()
 		stop := func() []testenv.SlowPeerResult { return nil }
-		if beside {
+		if withSlowPeers {
 			stop = s.startSlowPeers(20)
 			s.until("the slow peers have submitted jobs", func() bool { return s.counts().Get("taken").Int() >= 8 })
 		}
 		d := s.runLoad("area-render", "10adc1e0", 5, 20)
-		served[beside] = d.Served
+		served[withSlowPeers] = d.Served
 		if d.Total() != 100 || d.Incomplete != 0 || d.Failed != 0 {
-			t.Errorf("with slow peers %v: %+v", beside, d)
+			t.Errorf("with slow peers %v: %+v", withSlowPeers, d)
 		}
-		if beside {
+		if withSlowPeers {
 			s.until("the slow senders are disconnected", func() bool { return s.counts().Get("slow.client_sends").Int() >= 4 })
 		}
 		for _, e := range stop() {
@@ -122,30 +122,30 @@
 // gets jobs again.
 func TestSlowExecutorResponses(t *testing.T) {
 	s := newTestNode(t, 5, 30*time.Millisecond)
-	drip := s.addSlowProxy(0, testenv.Script{}, testenv.Script{Rate: 1})
+	proxy := s.addSlowProxy(0, testenv.Script{}, testenv.Script{Rate: 1})
 	s.executors[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
 	s.start()
 	d := s.runLoad("area-render", "10adc1e0", 4, 25)
 	if d.Served < 98 || d.Incomplete+d.Failed > 0 {
 		t.Errorf("%d of 100 jobs served with a slow executor: %+v", d.Served, d)
 	}
-	drew := len(s.executors[0].Starts())
-	if drew == 0 {
+	received := len(s.executors[0].Starts())
+	if received == 0 {
 		t.Fatal("the slow executor got no job: the run is inconclusive")
 	}
-	if drew > 15 {
-		t.Errorf("the slow executor got %d of 100 jobs, want at most 15", drew)
+	if received > 15 {
+		t.Errorf("the slow executor got %d of 100 jobs, want at most 15", received)
 	}
 	if n := s.counts(); n.Get("slow.box_late").Int() == 0 {
 		t.Errorf("slow.box_late was not counted: %s", n.Raw)
 	}
-	drip.Set(testenv.Script{}, testenv.Script{})
+	proxy.Set(testenv.Script{}, testenv.Script{})
 	s.executors[0].Set(func(h *testenv.Behavior) { h.NoCallbacks = false })
 	round := 0
 	s.until("the recovered executor gets jobs again", func() bool {
 		round++
 		s.runLoad("area-render", fmt.Sprintf("10ad%04x", round), 12, 10) // more at a time than the other executors' slots
-		return len(s.executors[0].Starts()) > drew+10
+		return len(s.executors[0].Starts()) > received+10
 	})
 	s.checkCounts()
 }
@@ -186,10 +186,10 @@
 	g.Go(func() error { s.runLoad("area-render", "10adc1e0", 4, 60); return nil })
 	s.until("the executor that will drain has a job", func() bool { return len(s.executors[0].Starts()) > 0 })
 	s.discovery.Put(s.executors[0], "draining")
-	told := time.Now()
+	drainedAt := time.Now()
 	_ = g.Wait()
 	for _, x := range s.executors[0].Starts() {
-		if late := x.At.Sub(told); late > 500*time.Millisecond {
+		if late := x.At.Sub(drainedAt); late > 500*time.Millisecond {
 			t.Errorf("job %s was sent %v after the drain was listed", x.ID, late)
 		}
 	}
--- a/test/startup_test.go
+++ b/test/startup_test.go
@@ -41,9 +41,9 @@
 // Until discovery has answered, a restarted process sends nothing to the executors of its saved list and reports that
 // it is not ready. Once discovery has answered, the accepted job is sent to an executor of the new list.
 func TestOldListIsNotUsedBeforeDiscoveryAnswers(t *testing.T) {
-	asked, release := make(chan struct{}, 16), make(chan string)
+	requested, release := make(chan struct{}, 16), make(chan string)
 	s, old, current, done := restartWithOldList(t, func(w http.ResponseWriter, r *http.Request) {
-		asked <- struct{}{}
+		requested <- struct{}{}
 		select {
 		case list := <-release:
 			_, _ = w.Write([]byte(list))
@@ -52,7 +52,7 @@
 		case <-r.Context().Done():
 		}
 	})
-	<-asked
+	<-requested
 	s.until("the job is accepted", func() bool { return s.counter("taken") == 1 })
 	if m, err := testenv.Call(s.listen, "GET", "/healthz", nil); err != nil || m.Status == 200 {
 		t.Errorf("ready before discovery has answered: %v, %v", m, err)
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -42,11 +42,11 @@
 		!strings.HasPrefix(v.Get("result").String(), "tile of ") {
 		t.Errorf("job that had ended before the restart: %d %s", status, v.Raw)
 	}
-	seen := map[string]int{}
+	stateCounts := map[string]int{}
 	for payload, id := range ids {
 		_, v := s.drmaa("GET", "/jobs/"+id, "")
 		state, sub := v.Get("jobState").String(), v.Get("jobSubState").String()
-		seen[state+" "+sub]++
+		stateCounts[state+" "+sub]++
 		switch {
 		case started[payload] && state != "UNDETERMINED":
 			t.Errorf("%s was started, but is reported as %s", payload, v.Raw)
@@ -54,8 +54,8 @@
 			t.Errorf("%s has an unexpected state: %s", payload, v.Raw)
 		}
 	}
-	if seen["UNDETERMINED "] == 0 || len(seen) < 2 {
-		t.Errorf("states %v: too few kinds for a conclusive run", seen)
+	if stateCounts["UNDETERMINED "] == 0 || len(stateCounts) < 2 {
+		t.Errorf("states %v: too few kinds for a conclusive run", stateCounts)
 	}
 	if n := len(s.executors[0].Starts()); n != before {
 		t.Errorf("%d starts after the restart", n-before)
