--- a/test/batch_test.go
+++ b/test/batch_test.go
@@ -35,8 +35,8 @@
 	defer cancel()
 	tileJob := drmaa2.Template{JobCategory: "tile-charge", AccountingID: "maavaade", Payload: "part $PARAMETRIC_INDEX"}
 	var arrays, plain []string
-	for life := range *kills + 1 {
-		if life > 0 {
+	for run := range *kills + 1 {
+		if run > 0 {
 			s.start()
 		}
 		a, err := c.RunBulkJobs(ctx, drmaa2.Bulk{JobTemplate: tileJob, BeginIndex: 1, EndIndex: 60, MaxParallel: 5})
@@ -45,9 +45,10 @@
 		}
 		arrays = append(arrays, a.JobArrayID)
 		var g errgroup.Group
-		lctx, stop := context.WithCancel(ctx)
-		load := testenv.Load{Addr: s.listen, Clients: 3, Class: "tile-charge", Deadline: 5 * time.Second, Objective: time.Second, Prefix: fmt.Sprintf("10ad%04x", life)}
-		g.Go(func() error { load.Run(lctx); return nil })
+		loadCtx, stop := context.WithCancel(ctx)
+		load := testenv.Load{Addr: s.listen, Clients: 3, Class: "tile-charge",
+			Deadline: 5 * time.Second, Objective: time.Second, Prefix: fmt.Sprintf("10ad%04x", run)}
+		g.Go(func() error { load.Run(loadCtx); return nil })
 		for range 12 {
 			if info, _, err := c.RunJob(ctx, tileJob); err == nil {
 				plain = append(plain, info.JobID)
@@ -56,7 +57,7 @@
 		}
 		// Members of the latest array are in flight when the node is killed.
 		s.until("five members of the array are done", func() bool { a, err := c.JobArray(ctx, a.JobArrayID); return err == nil && a.Done >= 5 })
-		if life < *kills {
+		if run < *kills {
 			s.kill()
 		}
 		stop()
@@ -121,14 +122,15 @@
 	for _, b := range s.executors[:2] {
 		s.discovery.Put(b, "draining")
 	}
-	told := time.Now()
-	s.until("the array has ended", func() bool { a, err = c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Ended() })
+	drainedAt := time.Now()
+	s.until("the array has ended",
+		func() bool { a, err = c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Ended() })
 	if a.Done != 800 {
 		t.Errorf("array %+v, want all 800 members done", a)
 	}
 	for _, b := range s.executors[:2] {
 		for _, x := range b.Starts() {
-			if late := x.At.Sub(told); late > 500*time.Millisecond {
+			if late := x.At.Sub(drainedAt); late > 500*time.Millisecond {
 				t.Errorf("job %s was sent %v after the drain", x.ID, late)
 			}
 		}
@@ -210,9 +212,9 @@
 	defer c.Close()
 	ctx, stop := context.WithCancel(s.ctx)
 	defer stop()
-	seen := make(chan drmaa2.Event, 1000)
+	events := make(chan drmaa2.Event, 1000)
 	var g errgroup.Group
-	g.Go(func() error { return w.Events(ctx, "", func(e drmaa2.Event) error { seen <- e; return nil }) })
+	g.Go(func() error { return w.Events(ctx, "", func(e drmaa2.Event) error { events <- e; return nil }) })
 	s.until("the watch is connected", func() bool { return cut.Accepted() > 0 })
 	time.Sleep(50 * time.Millisecond)
 	want := map[string]bool{}
@@ -226,14 +228,14 @@
 		}
 		want[info.JobID] = true
 	}
-	told := map[string]bool{}
+	received := map[string]bool{}
 	for len(want) > 0 {
 		select {
-		case e := <-seen:
-			if told[e.Cursor] {
+		case e := <-events:
+			if received[e.Cursor] {
 				t.Errorf("event %s was received twice", e.Cursor)
 			}
-			told[e.Cursor] = true
+			received[e.Cursor] = true
 			if e.JobState == "DONE" {
 				delete(want, e.JobID)
 			}
--- a/test/ci_test.go
+++ b/test/ci_test.go
@@ -34,17 +34,19 @@
 		{"a listed name is only the prefix of a test's name", passes + more, bad, false, "there is no test TestBad"},
 		{"a subtest that fails is listed", passes + nested, "TestNested/bad | always | go test -run '^TestNested$' ./... | seen | issue 7\n", true, "found below"},
 		{"a subtest fails that is not the listed one", passes + nested, "TestNested/good | always | go test -run '^TestNested$' ./... | seen | issue 7\n", false, "found below"},
-		{"four that fail are listed", passes + fails + more + nested + "func TestD(t *testing.T) { t.Fatal(4) }\n", bad +
-			"TestBadToo | always | go test -run '^TestBadToo$' ./... | seen | issue 7\n" +
-			"TestNested/bad | always | go test -run '^TestNested$/^bad$' ./... | seen | issue 7\n" +
-			"TestD | always | go test -run '^TestD$' ./... | seen | issue 7\n", true, "issue 7"},
+		{"four that fail are listed",
+			passes + fails + more + nested + "func TestD(t *testing.T) { t.Fatal(4) }\n", bad +
+				"TestBadToo | always | go test -run '^TestBadToo$' ./... | seen | issue 7\n" +
+				"TestNested/bad | always | go test -run '^TestNested$/^bad$' ./... | seen | issue 7\n" +
+				"TestD | always | go test -run '^TestD$' ./... | seen | issue 7\n", true, "issue 7"},
 		{"a line names no test", passes, "TestGone | always | go test -run '^TestGone$' ./... | seen | issue 7\n", false, "there is no test TestGone"},
 		{"a test listed as failing always passes", passes, "TestGood | always | go test -run '^TestGood$' ./... | seen | issue 7\n", false, "passes now"},
 		{"a test listed as failing at times passes", passes, "TestGood | at times | go test -run '^TestGood$' ./... | seen | issue 7\n", true, "passed in this run"},
 		{"a test listed as failing at times fails", passes + fails, "TestBad | at times | go test -run '^TestBad$' ./... | seen | issue 7\n", true, "found this"},
 		{"a frequency that is neither always nor at times", passes + fails, "TestBad | seldom | go test -run '^TestBad$' ./... | seen | issue 7\n", false, "is not"},
 		{"a line without a command", passes + fails, "TestBad | always | | seen | issue 7\n", false, "is not"},
-		{"a command other than go test", passes + fails, "TestBad | always | false | seen | issue 7\n", false, "is not"},
+		{"a command other than go test", passes + fails,
+			"TestBad | always | false | seen | issue 7\n", false, "is not"},
 		{"a command that does not run the listed test", passes + fails, "TestBad | at times | go test -run '^TestGood$' ./... | seen | issue 7\n", false, "does not run it"},
 		{"a command that runs no test", passes + fails, "TestBad | at times | go test -run '^TestGone$' ./... | seen | issue 7\n", false, "does not run it"},
 		{"a command by which another test fails too", passes + fails + more, bad + "TestBadToo | always | go test -run '^TestBad' ./... | seen | issue 7\n", false, "fails by TestBad"},
@@ -52,7 +54,8 @@
 		{"a line without a reason", passes + fails, "TestBad | always | go test -run '^TestBad$' ./... | | issue 7\n", false, "is not"},
 		{"a line without an issue", passes + fails, "TestBad | always | go test -run '^TestBad$' ./... | seen\n", false, "is not"},
 		{"a line in the former form", passes + fails, "TestBad, a real fault, issue 7\n", false, "is not"},
-		{"the listed test does not compile", passes + "func TestBad(t *testing.T) { nothing }\n", bad, false, "undefined"},
+		{"the listed test does not compile",
+			passes + "func TestBad(t *testing.T) { nothing }\n", bad, false, "undefined"},
 	} {
 		t.Run(x.what, func(t *testing.T) {
 			dir := t.TempDir()
--- a/test/copies_test.go
+++ b/test/copies_test.go
@@ -68,7 +68,8 @@
 	})
 	// Its vote counts again: it forms a quorum with one other member.
 	f[2].kill()
-	f[1].until("a write succeeds with the quorum", func() bool { _, err := f[1].storeCommand("set", "mark", "after", "y"); return err == nil })
+	f[1].until("a write succeeds with the quorum",
+		func() bool { _, err := f[1].storeCommand("set", "mark", "after", "y"); return err == nil })
 }
 
 // A new store accepts no writes until enough members have confirmed that they know no earlier member of the same name.
@@ -76,14 +77,17 @@
 	f := makeFleet(t, 3, 20*time.Millisecond)
 	f[0].start()
 	f[1].start()
-	f[0].until("the member waits for one more witness", func() bool { return f[0].logContains("store waiting for witnesses") })
+	f[0].until("the member waits for one more witness",
+		func() bool { return f[0].logContains("store waiting for witnesses") })
 	if out, err := f[0].storeCommand("set", "mark", "early", "x"); err == nil {
 		t.Errorf("a write succeeded before there were enough witnesses: %s", out)
 	}
 	f[2].start()
-	f[0].until("the store accepts writes", func() bool { _, err := f[0].storeCommand("set", "mark", "k", "x"); return err == nil })
+	f[0].until("the store accepts writes",
+		func() bool { _, err := f[0].storeCommand("set", "mark", "k", "x"); return err == nil })
 	f[2].kill()
-	f[0].until("two of three members accept writes", func() bool { _, err := f[0].storeCommand("set", "mark", "k2", "x"); return err == nil })
+	f[0].until("two of three members accept writes",
+		func() bool { _, err := f[0].storeCommand("set", "mark", "k2", "x"); return err == nil })
 	f[0].kill()
 	f[0].start()
 	f[0].until("a restarted member with its folder accepts writes again", func() bool { _, err := f[0].storeCommand("set", "mark", "k3", "x"); return err == nil })
--- a/test/data_test.go
+++ b/test/data_test.go
@@ -50,7 +50,8 @@
 			})
 			_, v := s.drmaa("GET", "/jobs/"+id, "")
 			if got := v.Get("allocatedMachines").Raw + v.Get("machines").Raw + v.Raw; !strings.Contains(got, f[0].executors[box].Name) {
-				t.Errorf("input %s at %s: job %s, want it at executor %s", input, s.name, v.Raw, f[0].executors[box].Name)
+				t.Errorf("input %s at %s: job %s, want it at executor %s",
+					input, s.name, v.Raw, f[0].executors[box].Name)
 			}
 			if text := v.Get("annotation").String(); text != "" && !strings.HasPrefix(text, "data: ") {
 				t.Errorf("annotation %q, want the prefix \"data: \"", text)
@@ -62,7 +63,8 @@
 	round("scene-n", 0)
 	for _, s := range f {
 		b := s.executors[1]
-		s.discovery.Put(&testenv.Executor{Name: b.Name, Addr: b.Addr, Zone: "tartu", Type: "type-a", Group: 2}, "draining")
+		s.discovery.Put(&testenv.Executor{Name: b.Name, Addr: b.Addr,
+			Zone: "tartu", Type: "type-a", Group: 2}, "draining")
 	}
 	time.Sleep(1500 * time.Millisecond)
 	round("scene-t", 0)
--- a/test/deployments_test.go
+++ b/test/deployments_test.go
@@ -62,7 +62,8 @@
 		connIdleMs: 2000, zones: []string{"a", "b", "c", "d"},
 		classes: []class{{"read", "free", "", 2000, []int{1}}, {"write", "single_shot", "", 3000, []int{1, 2}}}},
 	{name: "messages between nodes, classes keyed by zone and globally", discoveryMode: "subscribe", reportMode: "piggyback", reportFields: `"busy_reqs","cpu_share"`,
-		notifiesStarts: true, peers: true, maxAttempts: 4, mayDuplicate: true, cancels: true, drainGraceMs: 500, sendsRetryAfter: true, connIdleMs: 5000,
+		notifiesStarts: true, peers: true, maxAttempts: 4, mayDuplicate: true,
+		cancels: true, drainGraceMs: 500, sendsRetryAfter: true, connIdleMs: 5000,
 		zones: []string{"x", "y"}, classes: []class{{"zonal", "guarded", "zone", 3000, []int{1}}, {"anywhere", "guarded", "all", 3000, []int{1, 2}},
 			{"once", "single_shot", "", 3000, []int{1}}}},
 	{name: "starts and progress notified, two attempts, one class without duplicates", discoveryMode: "subscribe", reportMode: "pull", reportFields: `"x0"`,
@@ -270,7 +271,7 @@
 	s.until("the new discovery is watched", func() bool { return next.Watches() > 0 })
 	drained := s.executors[0]
 	next.Put(drained, "draining")
-	told := time.Now()
+	drainedAt := time.Now()
 	after(30, "jobs are answered while an executor drains")
 
 	cold, _ := newKillableExecutor(t, s, "s-000000c0")
@@ -324,7 +325,7 @@
 		t.Errorf("%d of %d jobs were served, want at least a third", served, len(jobs))
 	}
 	for _, x := range drained.Starts() {
-		if late := x.At.Sub(told) - time.Duration(d.drainGraceMs)*time.Millisecond; late > protocolSlack {
+		if late := x.At.Sub(drainedAt) - time.Duration(d.drainGraceMs)*time.Millisecond; late > protocolSlack {
 			t.Errorf("job %s started at the draining executor %v after the drain grace period", x.ID, late)
 		}
 	}
@@ -364,7 +365,8 @@
 	case j.class.effect == "guarded":
 		for _, b := range at {
 			if j.class.scope == "zone" && b.Zone != at[0].Zone || j.class.scope == "cell" && b.Group != at[0].Group {
-				t.Errorf("job %s of %s started at %s and at %s, outside its deduplication scope", j.id, j.class.name, at[0].Name, b.Name)
+				t.Errorf("job %s of %s started at %s and at %s, outside its deduplication scope",
+					j.id, j.class.name, at[0].Name, b.Name)
 			}
 		}
 	}
--- a/test/desks_test.go
+++ b/test/desks_test.go
@@ -23,8 +23,9 @@
 )
 
 var (
-	actorFaults = flag.Int("desk-faults", 8, "number of faults that TestActorsMigrateAndSurviveFaults causes; the long run takes 200")
-	actorSeed   = flag.Uint64("desk-seed", 1, "seed of its random choices")
+	actorFaults = flag.Int("desk-faults", 8,
+		"number of faults that TestActorsMigrateAndSurviveFaults causes; the long run takes 200")
+	actorSeed = flag.Uint64("desk-seed", 1, "seed of its random choices")
 )
 
 // counterFunction is an actor function whose state shows each lost, repeated or reordered call, and that submits a job at each
@@ -131,13 +132,13 @@
 		})
 	}
 	var stop atomic.Bool
-	var wrong atomic.Pointer[string]
+	var failure atomic.Pointer[string]
 	var g sync.WaitGroup
 	calls := make([]uint64, devices)
-	seen := make([]map[string]bool, devices)
+	nodesSeen := make([]map[string]bool, devices)
 	for d := range devices {
 		draw := rand.New(rand.NewPCG(*actorSeed, uint64(d+1)))
-		seen[d] = map[string]bool{}
+		nodesSeen[d] = map[string]bool{}
 		g.Go(func() {
 			id, zone := fmt.Sprint("crew-", d), d%2
 			for n := uint64(1); !stop.Load(); {
@@ -156,7 +157,7 @@
 				if err != nil || status != 200 {
 					if status == 409 && v.Get("next").Uint() > n {
 						text := fmt.Sprintf("%s: call %d was rejected: %s", id, n, v.Raw)
-						wrong.Store(&text)
+						failure.Store(&text)
 						return
 					}
 					time.Sleep(20 * time.Millisecond)
@@ -164,10 +165,10 @@
 				}
 				if v.Get("answer.n").Uint() != n {
 					text := fmt.Sprintf("%s: call %d was answered %s", id, n, v.Raw)
-					wrong.Store(&text)
+					failure.Store(&text)
 					return
 				}
-				seen[d][v.Get("node").String()] = true
+				nodesSeen[d][v.Get("node").String()] = true
 				calls[d] = n
 				n++
 				time.Sleep(15 * time.Millisecond)
@@ -178,13 +179,14 @@
 	for k := range *actorFaults {
 		i := rng.IntN(5)
 		s := f[i]
-		what := rng.IntN(3)
+		fault := rng.IntN(3)
 		if k%8 == 3 {
-			what = 3
+			fault = 3
 		}
-		steps = append(steps, fmt.Sprintf("%d: n%d %s", k+1, i, []string{"killed", "stopped", "restored from a copy", "and all others killed, its folder restored from a copy"}[what]))
+		steps = append(steps, fmt.Sprintf("%d: n%d %s", k+1, i,
+			[]string{"killed", "stopped", "restored from a copy", "and all others killed, its folder restored from a copy"}[fault]))
 		up[i].Store(false)
-		switch what {
+		switch fault {
 		case 3:
 			before := filepath.Join(t.TempDir(), "before")
 			for _, x := range f {
@@ -220,23 +222,24 @@
 			s.restoreStoreDir(before)
 			s.startWithoutWaiting()
 		}
-		s.until("the node is back", func() bool { _, err := s.storeCommand("set", "mark", "k", fmt.Sprint(k)); return err == nil })
+		s.until("the node is back",
+			func() bool { _, err := s.storeCommand("set", "mark", "k", fmt.Sprint(k)); return err == nil })
 		up[i].Store(true)
-		if text := wrong.Load(); text != nil {
+		if text := failure.Load(); text != nil {
 			t.Fatalf("%s\n%s", *text, strings.Join(steps, "\n"))
 		}
 	}
 	time.Sleep(time.Second)
 	stop.Store(true)
 	g.Wait()
-	if text := wrong.Load(); text != nil {
+	if text := failure.Load(); text != nil {
 		t.Fatalf("%s\n%s", *text, strings.Join(steps, "\n"))
 	}
 	fn, err := actor.Compile([]byte(counterFunction))
 	if err != nil {
 		t.Fatal(err)
 	}
-	moved, started := 0, [2]int{}
+	migrated, started := 0, [2]int{}
 	for d := range devices {
 		id := fmt.Sprint("crew-", d)
 		oracle := actor.New(id, fn)
@@ -278,27 +281,28 @@
 		if told := int(state.Get("state.failed").Num + state.Get("jobs").Num); unstarted > told {
 			t.Errorf("%s: %d jobs never started, and only %d are reported as failed or indeterminate\n%s", id, unstarted, told, strings.Join(steps, "\n"))
 		}
-		if len(seen[d]) > 1 {
-			moved++
+		if len(nodesSeen[d]) > 1 {
+			migrated++
 		}
 	}
-	var took []time.Duration
+	var durations []time.Duration
 	for _, s := range f {
 		text, _ := os.ReadFile(s.log.Name())
 		for _, m := range regexp.MustCompile(`msg="desk moved".* took=(\S+)`).FindAllSubmatch(text, -1) {
 			if d, err := time.ParseDuration(string(m[1])); err == nil {
-				took = append(took, d)
+				durations = append(durations, d)
 			}
 		}
 	}
-	if slices.Sort(took); len(took) > 0 {
-		t.Logf("%d migrations in the logs of the last runs: an actor was paused for a median of %v, %v at most", len(took), took[len(took)/2], took[len(took)-1])
+	if slices.Sort(durations); len(durations) > 0 {
+		t.Logf("%d migrations in the logs of the last runs: an actor was paused for a median of %v, %v at most",
+			len(durations), durations[len(durations)/2], durations[len(durations)-1])
 	}
 	all := slices.Clone(calls)
 	slices.Sort(all)
-	t.Logf("%d to %d calls per actor, %d of %d actors migrated, %d jobs started once and %d never; faults: %s", all[0], all[devices-1], moved, devices,
+	t.Logf("%d to %d calls per actor, %d of %d actors migrated, %d jobs started once and %d never; faults: %s", all[0], all[devices-1], migrated, devices,
 		started[1], started[0], strings.Join(steps, "; "))
-	if moved == 0 || started[1] == 0 {
+	if migrated == 0 || started[1] == 0 {
 		t.Error("no actor migrated or no job started")
 	}
 }
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -120,7 +120,7 @@
 		due[p] = old.submitUntilAccepted(t, fmt.Sprintf(template, p, fmt.Sprintf(`,"startTime":%q`, at.UTC().Format(time.RFC3339Nano))))
 	}
 	old.signal(syscall.SIGSTOP)
-	old.until("the process is stopped", old.isStopped) // a process still running could execute a call whose response is then lost
+	old.until("the process is stopped", old.isStopped) // a running process could still execute a call and lose its response
 
 	// Any other node accepts calls for these jobs and forwards them to their present owner.
 	for i, id := range mapValues(held) {
@@ -200,8 +200,8 @@
 	template := `{"jobCategory":"area-render","accountingId":"maavaade","payload":%q,"submitAsHold":true}`
 	id := f[0].submitUntilAccepted(t, fmt.Sprintf(template, "kept"))
 	part := id[:strings.LastIndexByte(id, '.')]
-	life := part[strings.LastIndexByte(part, '.')+1:]
-	key := "n0." + strings.Repeat("0", 12-len(life)) + life
+	incarnation := part[strings.LastIndexByte(part, '.')+1:]
+	key := "n0." + strings.Repeat("0", 12-len(incarnation)) + incarnation
 	duties := func(args ...string) string {
 		t.Helper()
 		out, err := exec.Command(program, append([]string{"duty"}, append(args, "--store-addr", f[1].store)...)...).CombinedOutput()
@@ -222,8 +222,9 @@
 		t.Fatalf("the partition is owned by %q, want n0:\n%s", got, duties("list"))
 	}
 	f[0].kill()
-	var heir string
-	f[1].until("the partition has another owner", func() bool { heir = owner(); return heir != "" && heir != "n0" })
+	var newOwner string
+	f[1].until("the partition has another owner",
+		func() bool { newOwner = owner(); return newOwner != "" && newOwner != "n0" })
 	f[0].start()
 	if text := duties("show", key); !strings.Contains(text, "taken over from n0") || strings.Count(text, "epoch ") < 2 {
 		t.Error(text)
@@ -322,7 +323,7 @@
 	}{{"hand", "DONE"}, {"intent", "UNDETERMINED"}, {"byte", "UNDETERMINED"}} {
 		t.Run(x.point, func(t *testing.T) {
 			f := newFleet(t, 3, 50*time.Millisecond, "GATETACK_STOP_AT="+x.point)
-			old, heir := f[0], f[1]
+			old, newOwner := f[0], f[1]
 			id := old.submitUntilAccepted(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"the job","submitAsHold":true}`)
 			go func() { // the response may never come
 				_, _ = testenv.Call(old.batch, "POST", "/drmaa2/v1/jobs/"+id+"/release", nil)
@@ -332,24 +333,24 @@
 				_, v := s.drmaa("GET", "/jobs/"+id, "")
 				return v.Get("jobState").String()
 			}
-			heir.until("another node owns the job", func() bool {
-				got := state(heir)
-				return heir.logContains("partition adopted") || f[2].logContains("partition adopted") || got == "UNDETERMINED"
+			newOwner.until("another node owns the job", func() bool {
+				got := state(newOwner)
+				return newOwner.logContains("partition adopted") || f[2].logContains("partition adopted") || got == "UNDETERMINED"
 			})
 			if x.want == "DONE" {
-				heir.until("the job can be released at the new owner", func() bool {
-					status, v := heir.drmaa("POST", "/jobs/"+id+"/release", "")
-					return status == 200 || v.Get("jobState").String() == "DONE" // the first release may have been stored
+				newOwner.until("the job can be released at the new owner", func() bool {
+					status, v := newOwner.drmaa("POST", "/jobs/"+id+"/release", "")
+					return status == 200 || v.Get("jobState").String() == "DONE" // the first release may be stored
 				})
 			}
-			heir.until("the new owner reports the job as "+x.want, func() bool { return state(heir) == x.want })
+			newOwner.until("the new owner reports the job as "+x.want, func() bool { return state(newOwner) == x.want })
 			old.signal(syscall.SIGCONT)
 			old.until("the resumed owner reports the same state", func() bool { return state(old) == x.want })
 			time.Sleep(time.Second) // for sends and writes that may still follow
 			if n := f.starts("the job"); n > 1 || x.point != "intent" && n != 1 {
 				t.Errorf("the job started %d times", n)
 			}
-			if got := state(heir); got != x.want {
+			if got := state(newOwner); got != x.want {
 				t.Errorf("the new owner reports the job as %s after the former one resumed, want %s", got, x.want)
 			}
 		})
@@ -359,20 +360,21 @@
 // With the fencing check compiled out, the resumed owner starts a job that another node has done. This shows that the test above
 // depends on the fence.
 func TestResumedOwnerWithoutFence(t *testing.T) {
-	bare := buildWithoutGuard(t, failpoint.Fence)
+	unfenced := buildWithoutGuard(t, failpoint.Fence)
 	f := makeFleet(t, 3, 50*time.Millisecond)
 	for _, s := range f {
-		s.program = bare
+		s.program = unfenced
 	}
 	f[0].env = []string{"GATETACK_STOP_AT=" + failpoint.JobHandOver}
 	f.startAll()
-	old, heir := f[0], f[1]
-	id := old.submitUntilAccepted(t, `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"the job","submitAsHold":true}`)
+	old, newOwner := f[0], f[1]
+	id := old.submitUntilAccepted(t,
+		`{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"the job","submitAsHold":true}`)
 	go func() { _, _ = testenv.Call(old.batch, "POST", "/drmaa2/v1/jobs/"+id+"/release", nil) }()
 	old.until("the owner is stopped at the failpoint", old.isStopped)
-	heir.until("the job is done at the new owner", func() bool {
-		_, _ = heir.drmaa("POST", "/jobs/"+id+"/release", "")
-		_, v := heir.drmaa("GET", "/jobs/"+id, "")
+	newOwner.until("the job is done at the new owner", func() bool {
+		_, _ = newOwner.drmaa("POST", "/jobs/"+id+"/release", "")
+		_, v := newOwner.drmaa("GET", "/jobs/"+id, "")
 		return v.Get("jobState").String() == "DONE"
 	})
 	old.signal(syscall.SIGCONT)
@@ -458,8 +460,8 @@
 	if n := f.starts("long"); n != 1 {
 		t.Errorf("the job started %d times", n)
 	}
-	rows, _ := f[1].storeCommand("list", "sent")
-	if strings.Contains(rows, id) {
-		t.Errorf("the record of the send is still stored: %s", rows)
+	sentRecords, _ := f[1].storeCommand("list", "sent")
+	if strings.Contains(sentRecords, id) {
+		t.Errorf("the record of the send is still stored: %s", sentRecords)
 	}
 }
--- a/test/fronts_test.go
+++ b/test/fronts_test.go
@@ -124,10 +124,10 @@
 		t.Fatal("the executor got no job before its drain, so the test would prove nothing")
 	}
 	s.discovery.Put(drained, "draining")
-	told := time.Now()
+	drainedAt := time.Now()
 	load(20, 70) // for more than 500 ms
 	for _, x := range drained.Starts() {
-		if late := x.At.Sub(told); late > 500*time.Millisecond {
+		if late := x.At.Sub(drainedAt); late > 500*time.Millisecond {
 			t.Errorf("job %s was sent %v after the drain", x.ID, late)
 		}
 	}
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -76,7 +76,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &testNode{t: t, ctx: ctx, g: g, name: "n0", dir: t.TempDir(), listen: ports[0], batch: ports[1], store: ports[2]}
+	s := &testNode{t: t, ctx: ctx, g: g, name: "n0", dir: t.TempDir(),
+		listen: ports[0], batch: ports[1], store: ports[2]}
 	if s.discovery, err = testenv.NewDiscovery(ctx, g); err != nil {
 		t.Fatal(err)
 	}
