--- a/internal/clockcheck/analysis_test.go
+++ b/internal/clockcheck/analysis_test.go
@@ -16,7 +16,7 @@
 
 // finding is a decision on the wall clock.
 type finding struct {
-	function string // that contains it, as nameOf has it
+	function string // enclosing function, in the form of nameOf
 	position token.Position
 	what     string
 }
@@ -25,16 +25,16 @@
 	return fmt.Sprintf("%s:%d: %s: %s", filepath.Base(f.position.Filename), f.position.Line, f.function, f.what)
 }
 
-// symbol identifies a variable, field, parameter or function result. Objects of one declaration differ between the
-// package that was checked from source and its importers, so that they are told apart by name and line.
+// symbol identifies a variable, field, parameter or function result. The types.Object of one declaration differs
+// between the package checked from source and its importers, so a symbol is identified by file, line and name.
 type symbol struct {
 	file string
 	line int
 	name string
 }
 
-// analysis finds the symbols that hold readings of the wall clock, in any function, and the decisions that are made
-// on them. It does not follow calls of interface methods and function values.
+// analysis finds the symbols that contain readings of the wall clock in all functions, and the decisions that depend on
+// them. It does not follow calls of interface methods and function values.
 type analysis struct {
 	module   string
 	fileSet  *token.FileSet
@@ -46,7 +46,7 @@
 	reports  bool
 }
 
-// analyze returns the findings in some packages of a module.
+// analyze returns the findings in the given packages of a module.
 func analyze(module string, pkgs []*packages.Package) []finding {
 	a := &analysis{module: module, fileSet: pkgs[0].Fset, wall: map[symbol]bool{}}
 	for a.grew = true; a.grew; {
@@ -138,7 +138,7 @@
 		return
 	}
 	if results := a.function.Signature().Results(); results.Len() != len(statement.Results) {
-		return // in a function literal, or of named results
+		return // a return of a function literal, or one with named results
 	}
 	for i, value := range statement.Results {
 		if isTimeOrNumber(a.function.Signature().Results().At(i).Type()) && a.isWall(value) {
@@ -153,7 +153,7 @@
 		return
 	}
 	parameters := callee.Signature().Params()
-	single := parameters.Len() // those before a variadic one
+	single := parameters.Len() // number of parameters before a variadic one
 	if callee.Signature().Variadic() {
 		single--
 	}
@@ -164,7 +164,7 @@
 	}
 }
 
-// mark notes that what an expression names holds a reading of the wall clock.
+// mark records that the variable or field in an expression contains a reading of the wall clock.
 func (a *analysis) mark(target ast.Expr) {
 	switch target := ast.Unparen(target).(type) {
 	case *ast.Ident:
@@ -215,7 +215,7 @@
 	return function
 }
 
-// isWall reports whether an expression is a time without a monotonic reading, or a number that was made of one.
+// isWall reports whether an expression is a time without a monotonic reading or a number derived from one.
 func (a *analysis) isWall(e ast.Expr) bool {
 	switch e := ast.Unparen(e).(type) {
 	case *ast.Ident:
@@ -234,7 +234,7 @@
 	case *ast.BinaryExpr:
 		x, y := a.isWall(e.X), a.isWall(e.Y)
 		if e.Op == token.SUB && x && y {
-			return false // a span, which is reported where it is made
+			return false // a duration, which is reported where it is computed
 		}
 		return isArithmetic(e.Op) && (x || y)
 	}
@@ -255,7 +255,7 @@
 	return !a.ours(field) || a.isStored(e, field)
 }
 
-// isStored reports whether a field of a type that is written as JSON is meant.
+// isStored reports whether a selector refers to a field that is encoded as JSON.
 func (a *analysis) isStored(e *ast.SelectorExpr, field *types.Var) bool {
 	selection := a.info.Selections[e]
 	if selection == nil {
@@ -337,7 +337,7 @@
 	switch e.Op {
 	case token.SUB:
 		if x && y {
-			a.report(e, pkg, "a span between two readings of the wall clock")
+			a.report(e, pkg, "a difference of two readings of the wall clock")
 		}
 	case token.LSS, token.GTR, token.LEQ, token.GEQ:
 		if x && !a.isZero(e.Y) || y && !a.isZero(e.X) {
@@ -362,7 +362,7 @@
 	a.findings = append(a.findings, finding{name, a.fileSet.Position(n.Pos()), what})
 }
 
-// nameOf is the name of a function with those of its package and its receiver's type: package.Type.Method.
+// nameOf returns the name of a function qualified by its package and receiver type: package.Type.Method.
 func nameOf(function *types.Func) string {
 	name := function.Name()
 	if receiver := function.Signature().Recv(); receiver != nil {
@@ -385,7 +385,7 @@
 	return ok && named.Obj().Pkg() != nil && named.Obj().Pkg().Path() == "time" && named.Obj().Name() == "Time"
 }
 
-// isTimeOrNumber keeps structs, strings and booleans that come of a reading apart from readings.
+// isTimeOrNumber reports whether a type can represent a reading. Structs, strings and booleans derived from one cannot.
 func isTimeOrNumber(t types.Type) bool {
 	if isTime(t) {
 		return true
@@ -394,7 +394,7 @@
 	return ok && basic.Info()&types.IsNumeric != 0
 }
 
-// element is the type of what a pointer, slice, array or map holds, or the type itself.
+// element returns the element type of a pointer, slice, array or map, or the type itself.
 func element(t types.Type) types.Type {
 	switch u := t.Underlying().(type) {
 	case *types.Pointer:
--- a/internal/clockcheck/clockcheck_test.go
+++ b/internal/clockcheck/clockcheck_test.go
@@ -1,8 +1,8 @@
-// Package clockcheck fails when a decision in the shipped program goes by the wall clock. An operator or a time
-// server may set that clock by an hour at any moment, so deadlines, windows, waits, leases and ages have to be
-// measured on the monotonic clock, which Go's time.Time carries beside the wall clock until it is converted, stored
-// or parsed. The few decisions that are about dates, and are to follow a clock that was set, are listed in allowed
-// with the reason.
+// Package clockcheck tests that no decision in the released program depends on the wall clock. An operator or a time
+// server may set that clock by an hour at any time, so deadlines, windows, waits, leases and ages must be measured on
+// the monotonic clock. Go's time.Time contains a monotonic reading beside the wall clock until it is converted, stored
+// or parsed. The few decisions about dates, which must follow a clock that is set, are listed in allowed with the
+// reason.
 package clockcheck
 
 import (
@@ -15,7 +15,7 @@
 
 const module = "gatetack"
 
-// load returns packages with their syntax and types.
+// load returns the packages that match the patterns, with their syntax and types.
 func load(t *testing.T, patterns ...string) []*packages.Package {
 	t.Helper()
 	config := &packages.Config{Mode: packages.LoadSyntax, Dir: "../.."}
@@ -24,12 +24,12 @@
 		t.Fatal(err)
 	}
 	if packages.PrintErrors(pkgs) > 0 {
-		t.Fatal("packages that do not compile")
+		t.Fatal("loaded packages have errors")
 	}
 	return pkgs
 }
 
-// shipped returns the import paths of the packages that a program is built of and that are ours.
+// shipped returns the import paths of this module's packages that are linked into a program.
 func shipped(t *testing.T, program string) (paths []string) {
 	t.Helper()
 	config := &packages.Config{Mode: packages.NeedName | packages.NeedImports | packages.NeedDeps, Dir: "../.."}
@@ -45,7 +45,7 @@
 	return paths
 }
 
-// A decision of the shipped program goes by the wall clock only in the places that are listed with their reason.
+// Only the functions listed in allowed make decisions by the wall clock in the released program.
 func TestDecisionsUseTheMonotonicClock(t *testing.T) {
 	pkgs := load(t, shipped(t, module+"/cmd/gatetack")...)
 	unused := map[string]bool{}
@@ -59,11 +59,11 @@
 		delete(unused, f.function)
 	}
 	for function := range unused {
-		t.Errorf("%s is allowed to decide by the wall clock and does not: remove it from the list", function)
+		t.Errorf("%s does not decide by the wall clock: remove it from the allowed functions", function)
 	}
 }
 
-// The analysis finds each kind of bad line in a package made for it, and nothing in the good ones.
+// The analysis finds each kind of wall-clock decision in the sample package and reports no other function of it.
 func TestAnalysisFindsEachKindOfDecision(t *testing.T) {
 	const path = module + "/internal/clockcheck/testdata/sample"
 	var bad []string
@@ -75,6 +75,6 @@
 	want := []string{"ageOfStored", "comparedNumbers", "connectionDeadline", "expiredAtParsed", "roundedBefore",
 		"sinceUTC", "spanOfNumbers", "throughField", "throughParameter", "throughResult", "untilUnix"}
 	if !slices.Equal(bad, want) {
-		t.Errorf("found in %v, want %v", bad, want)
+		t.Errorf("functions with findings: %v, want %v", bad, want)
 	}
 }
--- a/internal/clocktest/clocktest.go
+++ b/internal/clocktest/clocktest.go
@@ -1,5 +1,6 @@
-// Package clocktest makes the times that a program reads after its wall clock was set: the wall clock has moved, the
-// monotonic clock runs on. Tests pass them to code that is given the time. Nothing that is shipped imports it.
+// Package clocktest returns times as a program reads them after its wall clock was set: the wall clock has moved, and
+// the monotonic clock has not. Tests pass them to code that takes the time as a parameter. Only tests import the
+// package.
 package clocktest
 
 import (
@@ -8,11 +9,11 @@
 	"unsafe"
 )
 
-// Steps are the steps of the wall clock that decisions have to bear, either way.
+// Steps lists the forward and backward steps of the wall clock that must not change a decision.
 var Steps = []time.Duration{time.Second, 30 * time.Second, time.Hour, -time.Second, -30 * time.Second, -time.Hour}
 
-// representation is the memory layout of time.Time. With a monotonic reading, wall holds a flag, 33 bits of seconds
-// and 30 bits of nanoseconds, and extension the monotonic reading.
+// representation is the memory layout of time.Time. In a time with a monotonic reading, wall contains a flag, 33 bits
+// of seconds and 30 bits of nanoseconds, and extension contains the monotonic reading.
 type representation struct {
 	wall      uint64
 	extension int64
@@ -21,15 +22,15 @@
 
 const nanosecondBits = 30
 
-// Step returns a time with the same monotonic reading and a wall clock that was set by whole seconds. It panics for
-// other steps, for times without a monotonic reading, and where the layout of time.Time is no longer the one that it
-// knows.
+// Step returns t with its wall clock moved by the given whole seconds and its monotonic reading unchanged. It panics
+// if by is not a whole number of seconds, if t has no monotonic reading, or if time.Time does not have the layout of
+// representation.
 func Step(t time.Time, by time.Duration) time.Time {
 	stepped := t
 	r := (*representation)(unsafe.Pointer(&stepped))
 	r.wall += uint64(int64(by/time.Second) << nanosecondBits)
 	if by%time.Second != 0 || stepped.Sub(t) != 0 || stepped.Round(0).Sub(t.Round(0)) != by {
-		panic(fmt.Sprintf("clocktest: %v can not be stepped by %v", t, by))
+		panic(fmt.Sprintf("clocktest: cannot step %v by %v", t, by))
 	}
 	return stepped
 }
--- a/internal/testrand/testrand.go
+++ b/internal/testrand/testrand.go
@@ -1,6 +1,6 @@
-// Package testrand fixes the seed of the random tests, so that each run tries the same cases and has the same
-// verdict. A test package imports it for its effect; -rapid.seed still overrides it. It is no test file since every
-// such package imports it, and a test file can not be imported; the program that is shipped does not link it.
+// Package testrand sets a fixed seed for property-based tests, so that each run tries the same cases and has the same
+// result. Test packages import it for its side effect; the flag -rapid.seed overrides the seed. It is not a test file
+// because test files cannot be imported. The released program does not link it.
 package testrand
 
 import (
