--- a/internal/clockcheck/analysis_test.go
+++ b/internal/clockcheck/analysis_test.go
@@ -36,24 +36,24 @@
 // analysis finds the symbols that contain readings of the wall clock in all functions, and the decisions that depend on
 // them. It does not follow calls of interface methods and function values.
 type analysis struct {
-	module   string
-	fileSet  *token.FileSet
-	wall     map[symbol]bool
-	grew     bool
-	info     *types.Info
-	function *types.Func // whose body is being walked
-	findings []finding
-	reports  bool
+	module    string
+	fileSet   *token.FileSet
+	wall      map[symbol]bool
+	changed   bool
+	info      *types.Info
+	function  *types.Func // whose body is being walked
+	findings  []finding
+	reporting bool
 }
 
 // analyze returns the findings in the given packages of a module.
 func analyze(module string, pkgs []*packages.Package) []finding {
 	a := &analysis{module: module, fileSet: pkgs[0].Fset, wall: map[symbol]bool{}}
-	for a.grew = true; a.grew; {
-		a.grew = false
+	for a.changed = true; a.changed; {
+		a.changed = false
 		a.walk(pkgs)
 	}
-	a.reports = true
+	a.reporting = true
 	a.walk(pkgs)
 	return a.findings
 }
@@ -149,16 +149,16 @@
 
 func (a *analysis) arguments(call *ast.CallExpr) {
 	callee := a.callee(call)
-	if callee == nil || !a.ours(callee) {
+	if callee == nil || !a.inModule(callee) {
 		return
 	}
 	parameters := callee.Signature().Params()
-	single := parameters.Len() // number of parameters before a variadic one
+	fixedCount := parameters.Len() // number of parameters before a variadic one
 	if callee.Signature().Variadic() {
-		single--
+		fixedCount--
 	}
 	for i, argument := range call.Args {
-		if i < single && a.isWall(argument) {
+		if i < fixedCount && a.isWall(argument) {
 			a.add(a.symbolOf(parameters.At(i)))
 		}
 	}
@@ -182,7 +182,7 @@
 
 func (a *analysis) add(s symbol) {
 	if s.name != "_" && !a.wall[s] {
-		a.wall[s], a.grew = true, true
+		a.wall[s], a.changed = true, true
 	}
 }
 
@@ -197,7 +197,7 @@
 	return s
 }
 
-func (a *analysis) ours(object types.Object) bool {
+func (a *analysis) inModule(object types.Object) bool {
 	return object.Pkg() != nil && (object.Pkg().Path() == a.module || strings.HasPrefix(object.Pkg().Path(), a.module+"/"))
 }
 
@@ -252,7 +252,7 @@
 	if !isTime(field.Type()) || !field.IsField() {
 		return false
 	}
-	return !a.ours(field) || a.isStored(e, field)
+	return !a.inModule(field) || a.isStored(e, field)
 }
 
 // isStored reports whether a selector refers to a field that is encoded as JSON.
@@ -295,7 +295,7 @@
 	if callee == nil {
 		return false
 	}
-	if a.ours(callee) {
+	if a.inModule(callee) {
 		return a.wall[a.resultOf(callee, i)] && monotonic[nameOf(callee)] == ""
 	}
 	if isTimeMethod(callee) {
@@ -314,7 +314,7 @@
 
 func (a *analysis) checkCall(call *ast.CallExpr, pkg *packages.Package) {
 	callee := a.callee(call)
-	if callee == nil || a.ours(callee) {
+	if callee == nil || a.inModule(callee) {
 		return
 	}
 	name := callee.Name()
@@ -352,7 +352,7 @@
 }
 
 func (a *analysis) report(n ast.Node, pkg *packages.Package, what string) {
-	if !a.reports {
+	if !a.reporting {
 		return
 	}
 	name := pkg.Name + ".init"
--- a/internal/clockcheck/clockcheck_test.go
+++ b/internal/clockcheck/clockcheck_test.go
@@ -29,8 +29,8 @@
 	return pkgs
 }
 
-// shipped returns the import paths of this module's packages that are linked into a program.
-func shipped(t *testing.T, program string) (paths []string) {
+// linkedPackages returns the import paths of this module's packages that are linked into a program.
+func linkedPackages(t *testing.T, program string) (paths []string) {
 	t.Helper()
 	config := &packages.Config{Mode: packages.NeedName | packages.NeedImports | packages.NeedDeps, Dir: "../.."}
 	pkgs, err := packages.Load(config, program)
@@ -47,7 +47,7 @@
 
 // Only the functions listed in allowed make decisions by the wall clock in the released program.
 func TestDecisionsUseTheMonotonicClock(t *testing.T) {
-	pkgs := load(t, shipped(t, module+"/cmd/gatetack")...)
+	pkgs := load(t, linkedPackages(t, module+"/cmd/gatetack")...)
 	unused := map[string]bool{}
 	for function := range allowed {
 		unused[function] = true
@@ -66,15 +66,15 @@
 // The analysis finds each kind of wall-clock decision in the sample package and reports no other function of it.
 func TestAnalysisFindsEachKindOfDecision(t *testing.T) {
 	const path = module + "/internal/clockcheck/testdata/sample"
-	var bad []string
+	var reported []string
 	for _, f := range analyze(module, load(t, path)) {
-		bad = append(bad, strings.TrimPrefix(f.function, "sample."))
+		reported = append(reported, strings.TrimPrefix(f.function, "sample."))
 	}
-	slices.Sort(bad)
-	bad = slices.Compact(bad)
+	slices.Sort(reported)
+	reported = slices.Compact(reported)
 	want := []string{"ageOfStored", "comparedNumbers", "connectionDeadline", "expiredAtParsed", "roundedBefore",
 		"sinceUTC", "spanOfNumbers", "throughField", "throughParameter", "throughResult", "untilUnix"}
-	if !slices.Equal(bad, want) {
-		t.Errorf("functions with findings: %v, want %v", bad, want)
+	if !slices.Equal(reported, want) {
+		t.Errorf("functions with findings: %v, want %v", reported, want)
 	}
 }
