--- a/cmd/batchbench/main.go
+++ b/cmd/batchbench/main.go
@@ -1,6 +1,6 @@
-// Command batchbench measures the batch front of a built node: submissions a second, how long waits take and what memory
-// the node has with many jobs on record, and what a busy batch client costs the platform's front. It is a tool of the
-// project's developers; the operators' page (docs/batch.md) shows its tables.
+// Command batchbench measures the batch front of a built node program: submissions per second, the duration of waits, the
+// memory of the node with many recorded jobs, and the effect of a busy batch client on the platform front. It is a
+// tool for the developers of the project; the operators' page docs/batch.md shows its tables.
 package main
 
 import (
@@ -31,7 +31,7 @@
 	fmt.Println("| jobs on record | start s | submissions a second | p50 ms | p99 ms | submit to end p50 ms | p99 ms | page of 500 ms | filter over all ms | memory MB |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, n := range *sizes {
-		if err := onRecord(*program, n, *clients, *span); err != nil {
+		if err := measureBatchFront(*program, n, *clients, *span); err != nil {
 			fmt.Fprintln(os.Stderr, "batchbench:", err)
 			os.Exit(1)
 		}
@@ -39,26 +39,26 @@
 	fmt.Println("\n| batch clients beside | in time | refused | p50 ms | p99 ms | submissions a second |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
 	for _, n := range []int{0, 1, 0, 1} {
-		if err := beside(*program, n, *span+3*time.Second); err != nil {
+		if err := measurePlatformFront(*program, n, *span+3*time.Second); err != nil {
 			fmt.Fprintln(os.Stderr, "batchbench:", err)
 			os.Exit(1)
 		}
 	}
 }
 
-// place is a node with what it needs.
-type place struct {
+// testSite is a node with its discovery service and executors.
+type testSite struct {
 	ctx           context.Context
 	g             *errgroup.Group
 	cancel        func()
 	listen, batch string
 	node          *testenv.Node
-	began         time.Duration
+	startupTime   time.Duration
 }
 
-func start(program, dir string) (*place, error) {
+func start(program, dir string) (*testSite, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &place{ctx: ctx, g: &errgroup.Group{}, cancel: cancel}
+	p := &testSite{ctx: ctx, g: &errgroup.Group{}, cancel: cancel}
 	ports, err := testenv.FreeAddrs(2)
 	if err != nil {
 		return nil, err
@@ -76,21 +76,21 @@
 		b.Set(func(h *testenv.Behavior) { h.Slots, h.FreeSlots = 4, 4 })
 		list.Put(b, "ready")
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	p.node, err = testenv.StartNode(testenv.NodeOptions{Program: program, Listen: p.listen, Discovery: list.Addr, MemoryMB: 192, Sockets: 1024,
 		ConfigText: "batch:\n  listen: " + p.batch + "\n  dir: " + dir + "\n"})
-	p.began = time.Since(began)
+	p.startupTime = time.Since(startedAt)
 	return p, err
 }
 
-func (p *place) stop() {
+func (p *testSite) stop() {
 	p.node.Stop()
 	p.cancel()
 	_ = p.g.Wait()
 }
 
-// fill writes so many ended jobs of an earlier life.
-func fill(dir string, n int) error {
+// writeEndedJobs writes n ended jobs of an earlier incarnation to the job store.
+func writeEndedJobs(dir string, n int) error {
 	b, err := jobstore.OpenBolt(dir)
 	if err != nil {
 		return err
@@ -118,13 +118,14 @@
 	return nil
 }
 
-func onRecord(program string, n, clients int, span time.Duration) error {
+// measureBatchFront measures a node that starts with n ended jobs in its store, and prints a table row.
+func measureBatchFront(program string, n, clients int, span time.Duration) error {
 	dir, err := os.MkdirTemp("", "batchbench")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	if err := fill(dir, n); err != nil {
+	if err := writeEndedJobs(dir, n); err != nil {
 		return err
 	}
 	p, err := start(program, dir)
@@ -132,13 +133,13 @@
 		return err
 	}
 	defer p.stop()
-	// Submissions: jobs on hold, so that nothing but the front and its record is measured.
+	// Submissions: the jobs are on hold, so that only the front and its job store are measured.
 	submit := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var count atomic.Int64
 	sctx, cancel := context.WithTimeout(p.ctx, span)
 	var g errgroup.Group
-	began := time.Now()
+	startedAt := time.Now()
 	for range clients {
 		g.Go(func() error {
 			c := drmaa2.New(p.batch, "")
@@ -149,10 +150,10 @@
 				if err != nil {
 					return err
 				}
-				took := time.Since(at)
+				latency := time.Since(at)
 				count.Add(1)
 				mu.Lock()
-				_ = submit.RecordValue(took.Microseconds())
+				_ = submit.RecordValue(latency.Microseconds())
 				mu.Unlock()
 				if err := c.Control(p.ctx, info.JobID, "terminate", false); err != nil {
 					return err
@@ -166,8 +167,8 @@
 	if err != nil {
 		return err
 	}
-	rate := float64(count.Load()) / time.Since(began).Seconds()
-	// Waits: from the submission to the answer of the wait; a job runs 100 ms.
+	rate := float64(count.Load()) / time.Since(startedAt).Seconds()
+	// Waits: measured from the submission to the answer of the wait. A job runs for 100 ms.
 	wait := hdrhistogram.New(1, 60_000_000, 3)
 	c := drmaa2.New(p.batch, "")
 	defer c.Close()
@@ -192,15 +193,15 @@
 		return err
 	}
 	all := time.Since(at)
-	kb, _ := p.node.Usage()
+	rssKB, _ := p.node.Usage()
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	fmt.Printf("| %d | %.2f | %.0f | %.1f | %.1f | %.0f | %.0f | %.0f | %.0f | %.1f |\n", n, p.began.Seconds(), rate, ms(submit, 50), ms(submit, 99),
-		ms(wait, 50), ms(wait, 99), float64(page.Microseconds())/1000, float64(all.Microseconds())/1000, float64(kb)/1024)
+	fmt.Printf("| %d | %.2f | %.0f | %.1f | %.1f | %.0f | %.0f | %.0f | %.0f | %.1f |\n", n, p.startupTime.Seconds(), rate, ms(submit, 50), ms(submit, 99),
+		ms(wait, 50), ms(wait, 99), float64(page.Microseconds())/1000, float64(all.Microseconds())/1000, float64(rssKB)/1024)
 	return nil
 }
 
-// beside plays the platform's clients with so many busy batch clients beside them.
-func beside(program string, n int, span time.Duration) error {
+// measurePlatformFront runs clients of the platform front while n busy batch clients run, and prints a table row.
+func measurePlatformFront(program string, n int, span time.Duration) error {
 	dir, err := os.MkdirTemp("", "batchbench")
 	if err != nil {
 		return err
--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,5 +1,5 @@
-// Command capacity measures the slopes of each role alone and writes the tables of the operators' capacity page from the result
-// files. It is a tool of the project's developers; docs/CAPACITY.md is the page.
+// Command capacity measures how the costs of each role grow with the size of the fleet, and writes the tables of the
+// operators' capacity page, docs/CAPACITY.md, from the result files. It is a tool for the developers of the project.
 package main
 
 import (
@@ -49,7 +49,7 @@
 				return err
 			}
 			if info, err := os.Stat(out); err != nil || !info.IsDir() {
-				return fmt.Errorf("--out is %q, expected a folder that exists", out)
+				return fmt.Errorf("--out is %q, expected an existing directory", out)
 			}
 			var failed error
 			for _, role := range roles {
@@ -64,7 +64,7 @@
 	return cmd
 }
 
-// rolesOf finds roles by their names.
+// rolesOf returns the roles with the given names, or all roles if there are no names.
 func rolesOf(names []string) ([]measure.Role, error) {
 	if len(names) == 0 {
 		return measure.Roles, nil
@@ -86,7 +86,8 @@
 	return roles, nil
 }
 
-// measureRole measures a role and writes its file. What was measured before a failure is written beside it, marked partial.
+// measureRole measures a role and writes its result file. If the measurement fails, the series that are complete are
+// written to a separate file that is marked partial.
 func measureRole(ctx context.Context, role measure.Role, out, node string, seed uint64) error {
 	program, err := os.Executable()
 	if err != nil {
@@ -96,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	series, failed := role.Measure(ctx, measure.Options{Program: program, Node: node, Seed: seed})
 	result := capacity.Result{Run: run, Series: series}
 	path := filepath.Join(out, role.Name+".json")
@@ -107,22 +108,22 @@
 	if err := errors.Join(failed, result.Write(path)); err != nil {
 		return fmt.Errorf("role %s: %w", role.Name, err)
 	}
-	fmt.Printf("%s: %d series in %v, %s\n", role.Name, len(series), time.Since(began).Round(time.Second), path)
+	fmt.Printf("%s: %d series in %v, %s\n", role.Name, len(series), time.Since(startedAt).Round(time.Second), path)
 	return nil
 }
 
-// measuredFiles are those of the program that is measured: not the pages, nor this tool.
+// measuredFiles are the Git path patterns of the measured program, without this tool.
 var measuredFiles = []string{":(top)*.go", ":(top,exclude)cmd/capacity", ":(top,exclude)internal/capacity"}
 
-// describeRun says what is measured, and where.
+// describeRun returns the description of a run: the measured commit, the command and the machine.
 func describeRun(role string, seed uint64) (capacity.Run, error) {
 	commit, err := exec.Command("git", append([]string{"log", "-1", "--format=%h", "--abbrev=12", "--"}, measuredFiles...)...).Output()
 	if err != nil {
-		return capacity.Run{}, fmt.Errorf("the commit that is measured: %w", err)
+		return capacity.Run{}, fmt.Errorf("find the measured commit: %w", err)
 	}
 	changed, err := exec.Command("git", append([]string{"status", "--porcelain", "--untracked-files=no", "--"}, measuredFiles...)...).Output()
 	if err != nil {
-		return capacity.Run{}, fmt.Errorf("whether files were changed: %w", err)
+		return capacity.Run{}, fmt.Errorf("check for changed files: %w", err)
 	}
 	machine, err := describeMachine()
 	return capacity.Run{Commit: strings.TrimSpace(string(commit)), Changed: len(changed) > 0,
@@ -133,12 +134,12 @@
 func describeMachine() (capacity.Machine, error) {
 	var info unix.Sysinfo_t
 	if err := unix.Sysinfo(&info); err != nil {
-		return capacity.Machine{}, fmt.Errorf("the machine's memory: %w", err)
+		return capacity.Machine{}, fmt.Errorf("read the size of the memory: %w", err)
 	}
 	machine := capacity.Machine{Processor: "not told", Cores: runtime.NumCPU(), MemoryMiB: int(info.Totalram * uint64(info.Unit) >> 20), Go: runtime.Version()}
 	data, err := os.ReadFile("/proc/cpuinfo")
 	if err != nil {
-		return machine, fmt.Errorf("the machine's processor: %w", err)
+		return machine, fmt.Errorf("read the processor model: %w", err)
 	}
 	for line := range strings.Lines(string(data)) {
 		if name, value, ok := strings.Cut(line, ":"); ok && strings.TrimSpace(name) == "model name" {
@@ -159,21 +160,21 @@
 			if err != nil {
 				return err
 			}
-			was, err := os.ReadFile(page)
+			current, err := os.ReadFile(page)
 			if err != nil {
 				return err
 			}
-			now, err := capacity.Rewrite(string(was), all)
+			updated, err := capacity.Rewrite(string(current), all)
 			if err != nil {
 				return fmt.Errorf("%s: %w", page, err)
 			}
 			switch {
-			case now == string(was):
+			case updated == string(current):
 				return nil
 			case check:
-				return fmt.Errorf("%s differs from its files or the limits: go run ./cmd/capacity page", page)
+				return fmt.Errorf("%s differs from its result files or the limits; run: go run ./cmd/capacity page", page)
 			}
-			return os.WriteFile(page, []byte(now), 0o644)
+			return os.WriteFile(page, []byte(updated), 0o644)
 		},
 	}
 	cmd.Flags().StringVar(&page, "page", "docs/CAPACITY.md", "the page")
@@ -182,7 +183,7 @@
 	return cmd
 }
 
-// memberCommand runs a member of the store that is measured.
+// memberCommand runs a member of the measured store.
 func memberCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "member CONFIG", Short: "a member of the measured store; started by measure", Hidden: true, Args: cobra.ExactArgs(1),
--- a/cmd/slowpeerbench/main.go
+++ b/cmd/slowpeerbench/main.go
@@ -1,6 +1,6 @@
-// Command slowpeers measures what slow peers cost the others: it starts a built node with stand-ins for executors and the
-// list, plays clients against it, and adds slow peers of each kind. It is a tool of the project's developers; the
-// operators' page (docs/slow-peers.md) shows its tables.
+// Command slowpeerbench measures the effect of slow peers on other clients: it starts a built node program with test
+// executors and a test discovery service, runs clients against it, and adds slow peers of each kind. It is a tool for the
+// developers of the project; the operators' page docs/slow-peers.md shows its tables.
 package main
 
 import (
@@ -68,7 +68,7 @@
 		}
 		for _, n := range peers {
 			for range o.rounds {
-				if err := play(o, kind, n); err != nil {
+				if err := runCase(o, kind, n); err != nil {
 					return fmt.Errorf("%s with %d: %w", kind, n, err)
 				}
 			}
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// play starts a node and what it needs, and prints one line.
-func play(o *options, kind string, peers int) error {
+// runCase starts a node with its executors, runs the clients and the slow peers of one case, and prints a table row.
+func runCase(o *options, kind string, peers int) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g := &errgroup.Group{}
@@ -100,7 +100,7 @@
 		if i == 0 && strings.HasPrefix(kind, "box-") {
 			var up, down testenv.Script
 			switch kind {
-			case "box-202": // takes jobs, and says so at one byte a second; what it ran it never tells
+			case "box-202": // accepts jobs, sends the 202 at one byte per second and makes no callbacks
 				down.Rate = 1
 				b.Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
 			case "box-mute":
@@ -109,7 +109,7 @@
 			case "box-unread":
 				up.StallAfter = 1
 			default:
-				return fmt.Errorf("no case is named %q", kind)
+				return fmt.Errorf("unknown case %q", kind)
 			}
 			slow, err := testenv.NewSlowProxy(ctx, g, b.Addr, up, down, 1)
 			if err != nil {
@@ -124,10 +124,10 @@
 		return err
 	}
 	defer node.Stop()
-	pctx, over := context.WithTimeout(ctx, o.span)
-	defer over()
+	pctx, stop := context.WithTimeout(ctx, o.span)
+	defer stop()
 	var mu sync.Mutex
-	var ended []testenv.SlowPeerResult
+	var results []testenv.SlowPeerResult
 	var slow errgroup.Group
 	for i := range peers {
 		k := testenv.SlowKind(kind)
@@ -138,44 +138,44 @@
 			e := testenv.SlowPeer(pctx, ports[0], k, i, 25*time.Second)
 			mu.Lock()
 			defer mu.Unlock()
-			ended = append(ended, e)
+			results = append(results, e)
 			return nil
 		})
 	}
 	load := testenv.Load{Addr: ports[0], Clients: o.clients, Class: "area-render", Deadline: 25 * time.Second, Objective: 1900 * time.Millisecond,
 		Prefix: "10adc1e0"}
 	var done *testenv.LoadResult
-	var play errgroup.Group
-	play.Go(func() error { done = load.Run(pctx); return nil })
-	most, fds := 0, 0
+	var clients errgroup.Group
+	clients.Go(func() error { done = load.Run(pctx); return nil })
+	maxRSS, maxFDs := 0, 0
 	for pctx.Err() == nil {
-		rss, n := node.Usage()
-		most, fds = max(most, rss), max(fds, n)
+		rss, fds := node.Usage()
+		maxRSS, maxFDs = max(maxRSS, rss), max(maxFDs, fds)
 		time.Sleep(50 * time.Millisecond)
 	}
-	_, tally := counts(ports[0])
-	node.Stop() // ends what still waits
-	_ = play.Wait()
+	_, slowCounts := slowPeerCounts(ports[0])
+	node.Stop() // ends requests that are still open
+	_ = clients.Wait()
 	_ = slow.Wait()
-	answered, gone, there := 0, 0, 0
-	for _, e := range ended {
+	answered, closed, open := 0, 0, 0
+	for _, e := range results {
 		switch {
 		case e.Status > 0:
 			answered++
 		case e.Closed:
-			gone++
+			closed++
 		default:
-			there++
+			open++
 		}
 	}
 	ms := func(q float64) float64 { return float64(done.Latency.ValueAtQuantile(q)) / 1000 }
 	fmt.Printf("| %s | %d | %d | %d | %d | %d | %.0f | %.0f | %.1f | %d | %d | %d | %d | %s |\n", kind, peers, done.WithinObjective, done.Served,
-		done.Rejected, done.Failed, ms(50), ms(99), float64(most)/1024, fds, answered, gone, there, tally)
+		done.Rejected, done.Failed, ms(50), ms(99), float64(maxRSS)/1024, maxFDs, answered, closed, open, slowCounts)
 	return nil
 }
 
-// counts asks the node for its counts, and for those of slow peers that are not zero.
-func counts(addr string) (gjson.Result, string) {
+// slowPeerCounts returns the counts of the node, and those of slow peers that are not zero as text.
+func slowPeerCounts(addr string) (gjson.Result, string) {
 	m, err := testenv.Call(addr, "GET", "/counts", nil)
 	if err != nil {
 		return gjson.Result{}, err.Error()
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -15,7 +15,7 @@
 	rewriteWith = "go run ./cmd/capacity page"
 )
 
-// The page holds what the result files and the limits in the code say now.
+// The page agrees with the result files and the limits in the code.
 func TestPageAgreesWithFilesAndLimits(t *testing.T) {
 	all, err := Load(resultsPath)
 	if err != nil {
@@ -36,14 +36,15 @@
 	wasLines, nowLines := strings.Split(was, "\n"), strings.Split(now, "\n")
 	for i := range min(len(wasLines), len(nowLines)) {
 		if wasLines[i] != nowLines[i] {
-			t.Fatalf("docs/CAPACITY.md, line %d, is\n%s\nand by its files and the limits in the code should be\n%s\nRun: %s",
+			t.Fatalf("docs/CAPACITY.md, line %d, is\n%s\nexpected from its result files and the limits in the code\n%s\nRun: %s",
 				i+1, wasLines[i], nowLines[i], rewriteWith)
 		}
 	}
-	t.Fatalf("docs/CAPACITY.md has %d lines, %d by its files and the limits. Run: %s", len(wasLines), len(nowLines), rewriteWith)
+	t.Fatalf("docs/CAPACITY.md has %d lines, expected %d from its result files and the limits. Run: %s", len(wasLines), len(nowLines), rewriteWith)
 }
 
-// A changed figure, limit or result file changes the page, or the test above binds nothing.
+// Rewrite replaces a wrong figure or an extra row. If it did not, the comparison of the page with its files would
+// detect nothing.
 func TestPageFollowsItsFigures(t *testing.T) {
 	data, err := os.ReadFile(pagePath)
 	if err != nil {
@@ -55,22 +56,22 @@
 		strings.Replace(page, "<!-- /capacity:roles -->", "| by hand |\n<!-- /capacity:roles -->", 1),
 	} {
 		if spoiled == page {
-			t.Fatal("the page has nothing that could be spoiled")
+			t.Fatal("the page does not contain the text to be modified")
 		}
 		all, err := Load(resultsPath)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if now, err := Rewrite(spoiled, all); err != nil || now == spoiled {
-			t.Errorf("a spoiled page stays as it is, %v", err)
+			t.Errorf("Rewrite left a modified page unchanged, error %v", err)
 		}
 	}
 	if _, err := Rewrite(strings.ReplaceAll(page, "<!-- capacity:bounds -->", ""), &Results{Files: map[string]Result{}}); err == nil {
-		t.Error("a page without a table's mark is taken")
+		t.Error("Rewrite accepted a page without the mark of a table")
 	}
 }
 
-// Each row's slope is there, or the page says that it was not measured; none stands in the files that no row or table shows.
+// A row with a series has a size, a unit and a mechanism. A missing series is logged; the page calls it not measured.
 func TestRowsNameSeries(t *testing.T) {
 	all, err := Load(resultsPath)
 	if err != nil {
@@ -81,7 +82,7 @@
 			continue
 		}
 		if r.Size == nil || r.Unit == "" || r.Mechanism == "" {
-			t.Errorf("%s, %s: a row without size, unit or mechanism", r.Role, r.What)
+			t.Errorf("%s, %s: row lacks a size, unit or mechanism", r.Role, r.What)
 		}
 		if _, _, ok := all.Series(r.SeriesID); !ok {
 			t.Logf("%s is not measured", r.SeriesID)
@@ -112,33 +113,33 @@
 			t.Errorf("%s: %v at 20,000, want %v", c.form, fit.At(20000), want)
 		}
 		if fit.Extrapolated(4*6200) || !fit.Extrapolated(4*6200+1) {
-			t.Errorf("%s: extrapolated is not from four times the largest size on", c.form)
+			t.Errorf("%s: Extrapolated does not begin above four times the largest size", c.form)
 		}
 	}
 }
 
-// The mix adds up to the operators' jobs a day, and its running tasks have slots.
+// The mix adds up to the operators' number of jobs per day, and the target has enough slots for its running tasks.
 func TestMixGivesTheTarget(t *testing.T) {
 	jobs := 0.0
 	for _, m := range DayMix {
 		jobs += m.Jobs
-		if m.Kind == "gangs" && m.Size > GangMost {
-			t.Errorf("gangs of %v, %d at most", m.Size, GangMost)
+		if m.Kind == "gangs" && m.Size > MaxGangSize {
+			t.Errorf("gangs of %v tasks, expected at most %d", m.Size, MaxGangSize)
 		}
 	}
-	if jobs != JobsDay {
-		t.Errorf("%v jobs a day, want %d", jobs, JobsDay)
+	if jobs != JobsPerDay {
+		t.Errorf("%v jobs per day, want %d", jobs, JobsPerDay)
 	}
-	if mean := TasksDay() / secondsPerDay; mean > Target.Starts {
-		t.Errorf("%v starts a second in the mean, over the peak of %v", mean, Target.Starts)
+	if mean := TasksPerDay() / secondsPerDay; mean > Target.Starts {
+		t.Errorf("mean of %v starts per second exceeds the peak of %v", mean, Target.Starts)
 	}
 	const slots, few, many = 14, 5400, 800
 	if few+many != Target.Executors || few+4*many != Accelerators || slots*Target.Executors < Target.Running {
-		t.Error("executors, accelerators and slots do not give the target's figures")
+		t.Error("executors, accelerators and slots do not match the target")
 	}
 }
 
-// A file that cannot be used is refused by the name of its field and what was expected.
+// An invalid result file is rejected with an error that names the file, the field and the expected value.
 func TestBadResultFiles(t *testing.T) {
 	good := `{"run":{"commit":"c","changed":false,"command":"x","seed":1,"at":"2026-01-01T00:00:00Z","machine":{"processor":"p","cores":8,"memory_mib":1,"go":"g"},"partial":false},` +
 		`"series":[{"id":"a","role":"r","what":"w","unit":"us","grows":"n","fixed":"","points":[{"size":1,"value":1},{"size":2,"value":1},{"size":3,"value":1},{"size":30,"value":1}]}]}`
@@ -161,7 +162,7 @@
 		_, err := Load(dir)
 		if c.field == "" {
 			if err != nil {
-				t.Errorf("a good file is refused: %v", err)
+				t.Errorf("valid file rejected: %v", err)
 			}
 			continue
 		}
@@ -171,7 +172,7 @@
 	}
 }
 
-// What the page says of the aggregator by hand agrees with constants that package dispatch does not export.
+// The handwritten sentences of the page about the aggregator agree with unexported constants of package dispatch.
 func TestPageNamesTheHubsLimits(t *testing.T) {
 	page, err := os.ReadFile(pagePath)
 	if err != nil {
@@ -187,7 +188,7 @@
 			t.Fatal(err)
 		}
 		if !regexp.MustCompile(c.constant).Match(source) {
-			t.Errorf("internal/dispatch/%s has no %s any more: docs/CAPACITY.md says %q", c.file, c.constant, c.sentence)
+			t.Errorf("internal/dispatch/%s has no match for %s, but docs/CAPACITY.md says %q", c.file, c.constant, c.sentence)
 		}
 		if !strings.Contains(strings.Join(strings.Fields(string(page)), " "), c.sentence) {
 			t.Errorf("docs/CAPACITY.md does not say %q", c.sentence)
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -8,10 +8,10 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Form is how a quantity grows with a size.
+// Form is the way in which a quantity grows with a size.
 type Form string
 
-// The forms that are tried, the plainest first.
+// The forms that are tried, simplest first.
 const (
 	Constant  Form = "constant"
 	Linear    Form = "linear"
@@ -19,48 +19,48 @@
 	Quadratic Form = "quadratic"
 )
 
-// Fit is a form with its coefficients: Base + Slope * term(size), with a relative residual.
+// Fit is a form with its coefficients, Base + Slope * term(size), and its relative residual.
 type Fit struct {
 	Form     Form
 	Base     float64
 	Slope    float64
-	Residual float64 // root of the mean square of (fitted - measured) / measured
-	Largest  float64 // the largest size measured
+	Residual float64 // root mean square of (fitted - measured) / measured
+	Largest  float64 // largest measured size
 }
 
-// plainer is how much larger a plainer form's residual may be before a steeper one is taken; well is the residual that is good
-// enough in any case.
+// A simpler form is chosen if its residual is at most residualTolerance times the smallest residual. A residual of
+// at most goodResidual is accepted in any case.
 const (
-	plainer = 1.25
-	well    = 0.03
-	// extrapolatedFrom times the largest size measured, a figure is called extrapolated.
-	extrapolatedFrom = 4
+	residualTolerance = 1.25
+	goodResidual      = 0.03
+	// A value at more than extrapolationFactor times the largest measured size is called extrapolated.
+	extrapolationFactor = 4
 )
 
-// errNoFit says that no form fits.
+// errNoFit reports that no form fits the points.
 var errNoFit = errors.New("capacity: no form can be fitted")
 
-// FitSeries picks the plainest form whose residual is near the least.
+// FitSeries returns the simplest form whose residual is close to the smallest one.
 func FitSeries(points []Point) (Fit, error) {
 	var fits []Fit
-	least := math.Inf(1)
+	minResidual := math.Inf(1)
 	for _, form := range []Form{Constant, Linear, NLogN, Quadratic} {
 		fit, err := fitForm(form, points)
 		if err != nil {
 			continue
 		}
 		fits = append(fits, fit)
-		least = min(least, fit.Residual)
+		minResidual = min(minResidual, fit.Residual)
 	}
 	for _, fit := range fits {
-		if fit.Residual <= max(well, plainer*least) {
+		if fit.Residual <= max(goodResidual, residualTolerance*minResidual) {
 			return fit, nil
 		}
 	}
 	return Fit{}, errNoFit
 }
 
-// term is what a form grows by.
+// term returns the term of the form that grows with the size.
 func (f Form) term(size float64) float64 {
 	switch f {
 	case Linear:
@@ -73,7 +73,8 @@
 	return 0
 }
 
-// fitForm solves the least squares of the relative errors: each point counts alike, however large it is.
+// fitForm fits a form by least squares of the relative errors, so that each point has the same weight regardless of
+// its value.
 func fitForm(form Form, points []Point) (Fit, error) {
 	columns := 2
 	if form == Constant {
@@ -106,15 +107,15 @@
 	}
 	sum := 0.0
 	for _, p := range points {
-		miss := fit.At(p.Size)/p.Value - 1
-		sum += miss * miss
+		relativeError := fit.At(p.Size)/p.Value - 1
+		sum += relativeError * relativeError
 	}
 	fit.Residual = math.Sqrt(sum / float64(len(points)))
 	return fit, nil
 }
 
-// At is the fitted value at a size.
+// At returns the fitted value at a size.
 func (f Fit) At(size float64) float64 { return max(0, f.Base+f.Slope*f.Form.term(size)) }
 
-// Extrapolated says whether a size lies too far beyond the largest one measured.
-func (f Fit) Extrapolated(size float64) bool { return size > extrapolatedFrom*f.Largest }
+// Extrapolated reports whether a size is too far above the largest measured one.
+func (f Fit) Extrapolated(size float64) bool { return size > extrapolationFactor*f.Largest }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Each table of the page stands between two lines of comment with its name.
+// Each table of the page is enclosed in two comment lines with its name.
 const (
 	beginMark = "<!-- capacity:%s -->\n"
 	endMark   = "<!-- /capacity:%s -->"
@@ -17,7 +17,7 @@
 
 const notMeasured = "not measured"
 
-// tables are those of the page by their names.
+// tables maps the names of the page's tables to the functions that write them.
 var tables = map[string]func(*Results) (string, error){
 	"target": targetTable,
 	"roles":  rolesTable,
@@ -31,7 +31,7 @@
 	"scaleruns": scaleRunsTable,
 }
 
-// Rewrite gives the page with all its tables written anew.
+// Rewrite returns the page with all its tables regenerated.
 func Rewrite(page string, all *Results) (string, error) {
 	var failed error
 	for name, write := range tables {
@@ -44,37 +44,37 @@
 	return page, failed
 }
 
-// replace puts a table between its marks.
+// replace replaces the table between the marks of a name.
 func replace(page, name, text string) (string, error) {
-	begin, end := fmt.Sprintf(beginMark, name), fmt.Sprintf(endMark, name)
-	head, rest, ok := strings.Cut(page, begin)
+	opening, closing := fmt.Sprintf(beginMark, name), fmt.Sprintf(endMark, name)
+	head, rest, ok := strings.Cut(page, opening)
 	if !ok {
-		return page, fmt.Errorf("the line %q is missing", strings.TrimSpace(begin))
+		return page, fmt.Errorf("the line %q is missing", strings.TrimSpace(opening))
 	}
-	_, tail, ok := strings.Cut(rest, end)
+	_, tail, ok := strings.Cut(rest, closing)
 	if !ok {
-		return page, fmt.Errorf("the line %q is missing after %q", end, strings.TrimSpace(begin))
+		return page, fmt.Errorf("the line %q is missing after %q", closing, strings.TrimSpace(opening))
 	}
-	return head + begin + text + end + tail, nil
+	return head + opening + text + closing + tail, nil
 }
 
-// table writes rows under a head.
+// table formats rows as a Markdown table.
 func table(head []string, rows [][]string) string {
 	var b strings.Builder
 	line := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
 	line(head)
-	rule := make([]string, len(head))
-	for i := range rule {
-		rule[i] = "---"
+	delimiters := make([]string, len(head))
+	for i := range delimiters {
+		delimiters[i] = "---"
 	}
-	line(rule)
+	line(delimiters)
 	for _, row := range rows {
 		line(row)
 	}
 	return b.String()
 }
 
-// rolesTable has a line for each role and resource.
+// rolesTable has a row for each role and resource.
 func rolesTable(all *Results) (string, error) {
 	head := []string{"role", "what", "slope", "today", "a tenth", "the target", "budget", "factor", "carried by", "how known"}
 	var rows [][]string
@@ -91,7 +91,7 @@
 func (r Row) cells(all *Results) ([]string, error) {
 	series, run, ok := all.Series(r.SeriesID)
 	if !ok {
-		return []string{r.Role, r.What, notMeasured, "", "", "", r.BudgetIs, "", r.Mechanism, notMeasured}, nil
+		return []string{r.Role, r.What, notMeasured, "", "", "", r.BudgetText, "", r.Mechanism, notMeasured}, nil
 	}
 	fit, err := FitSeries(series.Points)
 	if err != nil {
@@ -103,23 +103,23 @@
 	}
 	budget, factor := "none given", ""
 	if r.Budget != nil {
-		budget = r.BudgetIs
+		budget = r.BudgetText
 		if r.Need != nil {
-			budget = amount(r.Budget(Target, fit), r.Unit) + " " + r.BudgetIs
+			budget = amount(r.Budget(Target, fit), r.Unit) + " " + r.BudgetText
 		}
 		factor = factorText(r.Figure(Target, fit) / r.Budget(Target, fit))
 	}
-	known := "measured"
+	provenance := "measured"
 	if fit.Extrapolated(r.Size(Target)) {
-		known = "extrapolated"
+		provenance = "extrapolated"
 	}
 	if run.Partial {
-		known += ", partial run"
+		provenance += ", partial run"
 	}
-	return append(cells, budget, factor, r.Mechanism, known), nil
+	return append(cells, budget, factor, r.Mechanism, provenance), nil
 }
 
-// factorText says how much is left or missing.
+// factorText describes the ratio of the need to the budget: the factor that is missing or left.
 func factorText(needed float64) string {
 	if needed > 1 {
 		return "**missing " + short(needed) + "**"
@@ -130,7 +130,7 @@
 	return "left " + short(1/needed)
 }
 
-// slopesTable has a line for each series with its points and its fit.
+// slopesTable has a row for each series with its points and its fit.
 func slopesTable(all *Results) (string, error) {
 	var rows [][]string
 	for _, file := range all.Names() {
@@ -151,7 +151,7 @@
 	return table([]string{"role", "what (unit)", "grows with", "measured", "fit", "residual", "command"}, rows), nil
 }
 
-// formula is a fit in words.
+// formula returns the fit as text.
 func (f Fit) formula() string {
 	if f.Form == Constant {
 		return "constant " + short(f.Base)
@@ -162,19 +162,19 @@
 func boundsTable(*Results) (string, error) {
 	var rows [][]string
 	for _, b := range Bounds() {
-		rows = append(rows, []string{"`" + b.Name + "`", b.What, short(b.Has), short(b.Need), b.Why, factorText(b.Factor())})
+		rows = append(rows, []string{"`" + b.Name + "`", b.What, short(b.Limit), short(b.Need), b.Reason, factorText(b.Factor())})
 	}
 	return table([]string{"limit", "what", "in the code", "needed at the target", "why", "factor"}, rows), nil
 }
 
-// breaksTable puts what breaks on the way to the target in order.
+// breaksTable lists what breaks on the way to the target, by the size at which it breaks.
 func breaksTable(all *Results) (string, error) {
-	type broken struct {
+	type breakage struct {
 		at   float64
 		what string
 		how  string
 	}
-	var list []broken
+	var list []breakage
 	for _, r := range Rows {
 		series, _, ok := all.Series(r.SeriesID)
 		if !ok || r.Budget == nil {
@@ -185,31 +185,31 @@
 			return "", fmt.Errorf("%s: %w", series.ID, err)
 		}
 		if at := r.BreaksAt(fit); at <= 1 {
-			list = append(list, broken{at, r.Role + ": " + r.What, factorText(r.Figure(Target, fit) / r.Budget(Target, fit))})
+			list = append(list, breakage{at, r.Role + ": " + r.What, factorText(r.Figure(Target, fit) / r.Budget(Target, fit))})
 		}
 	}
 	for _, b := range Bounds() {
 		if b.Factor() > 1 && b.Grows {
-			list = append(list, broken{1 / b.Factor(), "limit `" + b.Name + "`: " + b.What, factorText(b.Factor())})
+			list = append(list, breakage{1 / b.Factor(), "limit `" + b.Name + "`: " + b.What, factorText(b.Factor())})
 		}
 	}
-	slices.SortStableFunc(list, func(a, b broken) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(list, func(a, b breakage) int { return cmp.Compare(a.at, b.at) })
 	var rows [][]string
 	for i, b := range list {
-		s := Target.part(b.at)
+		s := Target.scaled(b.at)
 		rows = append(rows, []string{fmt.Sprint(i + 1), b.what, fmt.Sprintf("%s executors, %s running, %s starts a second", short(s.Executors), short(s.Running), short(s.Starts)), b.how})
 	}
 	return table([]string{"", "what breaks", "at", "at the target"}, rows), nil
 }
 
-// Fault is one of the faults that the operators count.
+// Fault is a kind of fault in the operators' figures.
 type Fault struct {
-	What  string
-	Often string
-	Rows  float64 // of the list that change
+	What      string
+	Frequency string
+	Rows      float64 // updates of the endpoint list
 }
 
-// Faults are those of the target. Each executor that goes and comes back changes its row twice.
+// Faults lists the faults of the target. An executor that fails and recovers causes two updates of the endpoint list.
 var Faults = []Fault{
 	{"a machine fails", "59 a day", 2},
 	{"a machine is restarted or replaced", "2,000 a day", 2},
@@ -218,21 +218,21 @@
 }
 
 func faultsTable(all *Results) (string, error) {
-	row, _, okRow := all.Series("list.row.executors")
-	list, _, okList := all.Series("list.bytes.executors")
+	updateSeries, _, hasUpdates := all.Series("list.row.executors")
+	listSeries, _, hasList := all.Series("list.bytes.executors")
 	var rows [][]string
 	for _, f := range Faults {
-		cells := []string{f.What, f.Often, short(math.Round(f.Rows)), notMeasured, notMeasured, "`" + "internal/dispatch" + "`, `internal/discovery`"}
-		if okRow && okList {
-			rowFit, err := FitSeries(row.Points)
+		cells := []string{f.What, f.Frequency, short(math.Round(f.Rows)), notMeasured, notMeasured, "`" + "internal/dispatch" + "`, `internal/discovery`"}
+		if hasUpdates && hasList {
+			updateFit, err := FitSeries(updateSeries.Points)
 			if err != nil {
 				return "", err
 			}
-			listFit, err := FitSeries(list.Points)
+			listFit, err := FitSeries(listSeries.Points)
 			if err != nil {
 				return "", err
 			}
-			cells[3] = amount(f.Rows*rowFit.At(Target.Executors)*perMicro, "core seconds")
+			cells[3] = amount(f.Rows*updateFit.At(Target.Executors)*perMicro, "core seconds")
 			cells[4] = amount(f.Rows*listFit.At(Target.Executors)/Target.Executors, "bytes")
 		}
 		rows = append(rows, cells)
@@ -247,7 +247,7 @@
 		jobs += m.Jobs
 		rows = append(rows, []string{m.Kind, short(m.Jobs), short(m.Size), short(m.Jobs * m.Size)})
 	}
-	rows = append(rows, []string{"all", short(jobs), "", short(TasksDay())})
+	rows = append(rows, []string{"all", short(jobs), "", short(TasksPerDay())})
 	return table([]string{"kind", "jobs a day", "tasks of one", "tasks a day"}, rows), nil
 }
 
@@ -277,27 +277,27 @@
 	return table([]string{"file", "program measured", "command", "seed", "at", "machine", "state"}, rows), nil
 }
 
-// amount is a value with its unit, in the unit's usual multiples.
+// amount formats a value with its unit, in the usual multiples of the unit.
 func amount(value float64, unit string) string {
 	switch unit {
 	case "bytes", "bytes/s":
-		per := strings.TrimPrefix(unit, "bytes")
+		suffix := strings.TrimPrefix(unit, "bytes")
 		for _, m := range []struct {
 			from float64
 			name string
 		}{{1e9, "GB"}, {1e6, "MB"}, {1e3, "KB"}} {
 			if value >= m.from {
-				return short(value/m.from) + " " + m.name + per
+				return short(value/m.from) + " " + m.name + suffix
 			}
 		}
-		return short(value) + " B" + per
+		return short(value) + " B" + suffix
 	case "cores":
 		return short(100*value) + "% of a core"
 	}
 	return short(value) + " " + unit
 }
 
-// short is a number of three digits that count, large ones with commas.
+// short formats a number with three significant digits and thousands separators. Whole numbers keep all their digits.
 func short(value float64) string {
 	if value == 0 {
 		return "0"
@@ -310,13 +310,13 @@
 	if digits < 0 && value != math.Trunc(value) {
 		text = fmt.Sprintf("%.0f", value)
 	}
-	whole, part, fraction := strings.Cut(text, ".")
+	whole, decimals, fraction := strings.Cut(text, ".")
 	for i := len(whole) - 3; i > 0; i -= 3 {
 		whole = whole[:i] + "," + whole[i:]
 	}
 	if fraction {
-		if part = strings.TrimRight(part, "0"); part != "" {
-			return whole + "." + part
+		if decimals = strings.TrimRight(decimals, "0"); decimals != "" {
+			return whole + "." + decimals
 		}
 	}
 	return whole
--- a/internal/capacity/result.go
+++ b/internal/capacity/result.go
@@ -1,5 +1,5 @@
-// Package capacity turns measured slopes into the operators' capacity page: result files, fits, the target's sizes, the limits
-// in the code, and the tables of docs/CAPACITY.md. It measures nothing itself: package measure does.
+// Package capacity computes the tables of the operators' capacity page, docs/CAPACITY.md, from result files, fits, the
+// sizes of the target and the limits in the code. The measurements are made by package measure.
 package capacity
 
 import (
@@ -17,7 +17,7 @@
 	"gatetack/internal/scale/result"
 )
 
-// Machine is what the figures were measured on.
+// Machine describes the machine on which a measurement ran.
 type Machine struct {
 	Processor string `json:"processor"`
 	Cores     int    `json:"cores"`
@@ -25,59 +25,59 @@
 	Go        string `json:"go"`
 }
 
-// Run says where a result file comes from.
+// Run describes the run that produced a result file.
 type Run struct {
 	Commit  string    `json:"commit"`
-	Changed bool      `json:"changed"` // files were changed since the commit
+	Changed bool      `json:"changed"` // the working tree had changes since the commit
 	Command string    `json:"command"`
 	Seed    uint64    `json:"seed"`
 	At      time.Time `json:"at"`
 	Machine Machine   `json:"machine"`
-	Partial bool      `json:"partial"` // it ended early
+	Partial bool      `json:"partial"` // the run ended early
 }
 
-// Point is one measured size.
+// Point is the value measured at one size.
 type Point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
 }
 
-// Series is one slope: what one quantity of a role costs as one thing grows and all others stay.
+// Series is the value of one quantity of a role at several sizes of one parameter, while all other sizes stay fixed.
 type Series struct {
 	ID     string  `json:"id"`
 	Role   string  `json:"role"`
 	What   string  `json:"what"`
 	Unit   string  `json:"unit"`
-	Grows  string  `json:"grows"` // the thing that grows
-	Fixed  string  `json:"fixed"` // the sizes of the others
+	Grows  string  `json:"grows"` // the parameter
+	Fixed  string  `json:"fixed"` // the other sizes
 	Points []Point `json:"points"`
 }
 
-// Result is a result file.
+// Result is the content of a result file.
 type Result struct {
 	Run    Run      `json:"run"`
 	Series []Series `json:"series"`
 }
 
-// Results are all result files by their names, and all series by their ids.
+// Results holds all result files by name and all series by ID.
 type Results struct {
 	Files     map[string]Result
 	ScaleRuns map[string]*result.Result
-	byID      map[string]located
+	byID      map[string]locatedSeries
 }
 
-type located struct {
+type locatedSeries struct {
 	file   string
 	series Series
 }
 
-// Series gives a series and the run that measured it.
+// Series returns a series and the run that measured it.
 func (r *Results) Series(id string) (Series, Run, bool) {
 	found, ok := r.byID[id]
 	return found.series, r.Files[found.file].Run, ok
 }
 
-// Names are the files' names in order.
+// Names returns the sorted names of the result files.
 func (r *Results) Names() []string {
 	var names []string
 	for name := range r.Files {
@@ -89,20 +89,20 @@
 
 const (
 	resultSuffix = ".json"
-	// scaleRunPrefix begins the names of files that are the scale run's and have a form of their own.
+	// scaleRunPrefix is the prefix of the names of scale run results, which have their own format.
 	scaleRunPrefix = "scalerun-"
-	// leastPoints and leastSpread are what a slope is measured at.
-	leastPoints = 4
-	leastSpread = 30
+	// A series has at least minPoints sizes, and the ratio of its largest to its smallest size is at least minSizeRatio.
+	minPoints    = 4
+	minSizeRatio = 30
 )
 
-// Load reads all result files of a folder.
+// Load reads all result files of a directory.
 func Load(dir string) (*Results, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, fmt.Errorf("capacity: %w", err)
 	}
-	all := &Results{Files: map[string]Result{}, ScaleRuns: map[string]*result.Result{}, byID: map[string]located{}}
+	all := &Results{Files: map[string]Result{}, ScaleRuns: map[string]*result.Result{}, byID: map[string]locatedSeries{}}
 	for _, entry := range entries {
 		name := entry.Name()
 		if entry.IsDir() || !strings.HasSuffix(name, resultSuffix) {
@@ -138,14 +138,14 @@
 	r.Files[name] = file
 	for _, s := range file.Series {
 		if other, double := r.byID[s.ID]; double {
-			return fmt.Errorf("series %s stands in %s as well, expected once", s.ID, other.file)
+			return fmt.Errorf("series %s is also in %s, expected it in one file", s.ID, other.file)
 		}
-		r.byID[s.ID] = located{name, s}
+		r.byID[s.ID] = locatedSeries{name, s}
 	}
 	return nil
 }
 
-// check names the first field that cannot be used, and what was expected.
+// check returns an error for the first invalid field, with the actual and the expected value.
 func (r *Result) check() error {
 	switch {
 	case r.Run.Commit == "":
@@ -169,24 +169,24 @@
 			return fmt.Errorf("%s is empty, expected a text", field.name)
 		}
 	}
-	if len(s.Points) < leastPoints {
-		return fmt.Errorf("points: %d, expected %d sizes at least", len(s.Points), leastPoints)
+	if len(s.Points) < minPoints {
+		return fmt.Errorf("points: %d, expected at least %d sizes", len(s.Points), minPoints)
 	}
 	for i, p := range s.Points {
 		if !(p.Size > 0) || !(p.Value >= 0) || math.IsInf(p.Size+p.Value, 0) {
-			return fmt.Errorf("points[%d]: size %v and value %v, expected numbers over 0 and of 0 or more", i, p.Size, p.Value)
+			return fmt.Errorf("points[%d]: size %v and value %v, expected a size above 0 and a value of 0 or more", i, p.Size, p.Value)
 		}
 		if i > 0 && p.Size <= s.Points[i-1].Size {
-			return fmt.Errorf("points[%d]: size %v, expected one over %v", i, p.Size, s.Points[i-1].Size)
+			return fmt.Errorf("points[%d]: size %v, expected more than %v", i, p.Size, s.Points[i-1].Size)
 		}
 	}
-	if last := s.Points[len(s.Points)-1].Size; last < leastSpread*s.Points[0].Size {
-		return fmt.Errorf("points: sizes from %v to %v, expected a factor of %d at least", s.Points[0].Size, last, leastSpread)
+	if last := s.Points[len(s.Points)-1].Size; last < minSizeRatio*s.Points[0].Size {
+		return fmt.Errorf("points: sizes from %v to %v, expected at least a factor of %d", s.Points[0].Size, last, minSizeRatio)
 	}
 	return nil
 }
 
-// Write puts a result file into a folder, in one step.
+// Write writes a result file atomically. Only the result of a partial run may be invalid.
 func (r *Result) Write(path string) error {
 	if err := r.check(); err != nil && !r.Run.Partial {
 		return fmt.Errorf("capacity: %s: %w", path, err)
--- a/internal/capacity/rows.go
+++ b/internal/capacity/rows.go
@@ -1,45 +1,45 @@
 package capacity
 
-// Row is one line of the page's table of roles: what a role needs of one resource, beside its budget.
+// Row is a row of the page's table of roles: what a role needs of one resource, and its budget.
 type Row struct {
-	Role      string
-	What      string
-	SeriesID  string // the slope that it rests on; empty: not measured
-	Size      func(Size) float64
-	Rate      func(Size) float64 // how often the series' quantity is spent; nil: once
-	Scale     float64            // from the series' unit, times the rate, to the row's
-	Unit      string
-	Budget    func(Size, Fit) float64 // nil: none is given
-	BudgetIs  string
-	Mechanism string
-	// Capacity rows compare what is needed with what the slope says can be borne.
+	Role       string
+	What       string
+	SeriesID   string // empty if the resource is not measured
+	Size       func(Size) float64
+	Rate       func(Size) float64 // how often per second the series' quantity is needed; nil: once
+	Scale      float64            // factor from the series' unit, times the rate, to Unit
+	Unit       string
+	Budget     func(Size, Fit) float64 // nil if there is no budget
+	BudgetText string
+	Mechanism  string
+	// Need is set for capacity rows, which compare a required rate or number with the one that the series allows.
 	Need func(Size) float64
 }
 
-// Sizes that slopes are taken at.
+// Sizes at which series are evaluated.
 func executors(s Size) float64 { return s.Executors }
 func tenants(s Size) float64   { return s.Tenants }
 func processes(s Size) float64 { return s.Processes }
 func running(s Size) float64   { return s.Running }
 
 // Rates at which costs recur.
-func startsPerProcess(s Size) float64  { return s.Starts / s.Processes }
-func startsOfSite(s Size) float64      { return measuredExecutors * s.Starts / s.Executors }
-func starts(s Size) float64            { return s.Starts }
-func taskWrites(s Size) float64        { return s.Starts * WritesPerTask }
-func leaseWrites(s Size) float64       { return s.Processes / leaseSeconds }
-func zoneRows(s Size) float64          { return s.Executors / Zones }
-func changesPerSecond(s Size) float64  { return s.ChangesDay / secondsPerDay }
-func stepsPerSecond(Size) float64      { return ownerSteps }
-func storeWrites(s Size) float64       { return taskWrites(s) + renewalsPerLease*leaseWrites(s) }
-func allTasksOfProcess(s Size) float64 { return s.Running / s.Processes }
+func startsPerProcess(s Size) float64     { return s.Starts / s.Processes }
+func startsOfMeasuredSite(s Size) float64 { return measuredExecutors * s.Starts / s.Executors }
+func starts(s Size) float64               { return s.Starts }
+func taskWrites(s Size) float64           { return s.Starts * WritesPerTask }
+func leaseWrites(s Size) float64          { return s.Processes / leaseSeconds }
+func zoneUpdates(s Size) float64          { return s.Executors / Zones }
+func changesPerSecond(s Size) float64     { return s.ChangesPerDay / secondsPerDay }
+func stepsPerSecond(Size) float64         { return leaseholderSteps }
+func storeWrites(s Size) float64          { return taskWrites(s) + renewalsPerLease*leaseWrites(s) }
+func runningPerProcess(s Size) float64    { return s.Running / s.Processes }
 
 const (
 	leaseSeconds     = 3
-	renewalsPerLease = 3 // as the owner's loop makes them
-	// measuredExecutors share the starts of the one process whose executors are measured.
+	renewalsPerLease = 3 // as made by package leaseholder
+	// measuredExecutors is the number of executors that share the starts of the measured process.
 	measuredExecutors = 8
-	ownerSteps        = 10 // of the owner's loop, a second
+	leaseholderSteps  = 10 // of the leaseholder loop, per second
 	perMicro          = 1e-6
 	perMilli          = 1e-3
 )
@@ -48,86 +48,86 @@
 	return func(Size, Fit) float64 { return value }
 }
 
-// Rows are all roles.
+// Rows lists the rows of all roles.
 var Rows = []Row{
 	{Role: "dispatcher: decision", What: "processor, by executors", SeriesID: "decision.job.executors", Size: executors, Rate: startsPerProcess, Scale: perMicro,
-		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetIs: "2.9% of a core", Mechanism: "`internal/dispatch`"},
+		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetText: "2.9% of a core", Mechanism: "`internal/dispatch`"},
 	{Role: "dispatcher: decision", What: "processor, by tenants", SeriesID: "decision.job.tenants", Size: tenants, Rate: startsPerProcess, Scale: perMicro,
-		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetIs: "2.9% of a core", Mechanism: "`internal/dispatch`"},
-	{Role: "dispatcher: decision", What: "processor, by running tasks of the process", SeriesID: "decision.job.running", Size: allTasksOfProcess, Rate: startsPerProcess, Scale: perMicro,
-		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetIs: "2.9% of a core", Mechanism: "`internal/dispatch`"},
+		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetText: "2.9% of a core", Mechanism: "`internal/dispatch`"},
+	{Role: "dispatcher: decision", What: "processor, by running tasks of the process", SeriesID: "decision.job.running", Size: runningPerProcess, Rate: startsPerProcess, Scale: perMicro,
+		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetText: "2.9% of a core", Mechanism: "`internal/dispatch`"},
 	{Role: "dispatcher: decision", What: "memory, by executors", SeriesID: "decision.bytes.executors", Size: executors, Scale: 1,
-		Unit: "bytes", Budget: fixedBudget(NodeBytes), BudgetIs: "64 MB", Mechanism: "`internal/dispatch`"},
+		Unit: "bytes", Budget: fixedBudget(NodeBytes), BudgetText: "64 MB", Mechanism: "`internal/dispatch`"},
 	{Role: "dispatcher: front, core and carriers", What: "processor", SeriesID: "dispatcher.cores.starts", Size: startsPerProcess, Scale: 1,
-		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetIs: "2.9% of a core", Mechanism: "`internal/http1`, `internal/platform`, `internal/node`, `internal/executor`"},
+		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetText: "2.9% of a core", Mechanism: "`internal/http1`, `internal/platform`, `internal/node`, `internal/executor`"},
 	{Role: "dispatcher: front, core and carriers", What: "bytes in, of clients, executors and lists", SeriesID: "dispatcher.in.starts", Size: startsPerProcess, Scale: 1,
-		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetIs: "4 KB/s", Mechanism: "`internal/http1`, `internal/executor`"},
+		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetText: "4 KB/s", Mechanism: "`internal/http1`, `internal/executor`"},
 	{Role: "dispatcher: front, core and carriers", What: "bytes out", SeriesID: "dispatcher.out.starts", Size: startsPerProcess, Scale: 1,
-		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetIs: "4 KB/s", Mechanism: "`internal/http1`, `internal/executor`"},
+		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetText: "4 KB/s", Mechanism: "`internal/http1`, `internal/executor`"},
 	{Role: "dispatcher: front, core and carriers", What: "read and write calls", SeriesID: "dispatcher.calls.starts", Size: startsPerProcess, Scale: 1,
 		Unit: "calls/s", Mechanism: "`internal/http1`, `internal/executor`"},
 	{Role: "dispatcher: front, core and carriers", What: "memory of its own", SeriesID: "dispatcher.memory.starts", Size: startsPerProcess, Scale: 1,
-		Unit: "bytes", Budget: fixedBudget(NodeBytes), BudgetIs: "64 MB", Mechanism: "all packages of the program"},
+		Unit: "bytes", Budget: fixedBudget(NodeBytes), BudgetText: "64 MB", Mechanism: "all packages of the program"},
 	{Role: "hub", What: "processor, by executors", SeriesID: "hub.start.executors", Size: executors, Rate: starts, Scale: perMicro,
-		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetIs: "2.9% of a core", Mechanism: "`internal/dispatch/aggregator_server.go`"},
+		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetText: "2.9% of a core", Mechanism: "`internal/dispatch/aggregator_server.go`"},
 	{Role: "hub", What: "processor, by running tasks", SeriesID: "hub.start.running", Size: running, Rate: starts, Scale: perMicro,
-		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetIs: "2.9% of a core", Mechanism: "`internal/dispatch/aggregator_server.go`"},
+		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetText: "2.9% of a core", Mechanism: "`internal/dispatch/aggregator_server.go`"},
 	{Role: "hub", What: "bytes out", SeriesID: "hub.out.executors", Size: executors, Rate: starts, Scale: 1,
-		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetIs: "4 KB/s", Mechanism: "`internal/dispatch/aggregator_server.go`, `internal/peer`"},
+		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetText: "4 KB/s", Mechanism: "`internal/dispatch/aggregator_server.go`, `internal/peer`"},
 	{Role: "hub", What: "bytes in", SeriesID: "hub.in.executors", Size: executors, Rate: starts, Scale: 1,
-		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetIs: "4 KB/s", Mechanism: "`internal/dispatch/aggregator_server.go`, `internal/peer`"},
+		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetText: "4 KB/s", Mechanism: "`internal/dispatch/aggregator_server.go`, `internal/peer`"},
 	{Role: "hub", What: "messages in and out", SeriesID: "hub.messages.executors", Size: executors, Rate: starts, Scale: 1,
 		Unit: "messages/s", Mechanism: "`internal/peer`"},
 	{Role: "hub", What: "memory", SeriesID: "hub.bytes.executors", Size: executors, Scale: 1,
-		Unit: "bytes", Budget: fixedBudget(NodeBytes), BudgetIs: "64 MB", Mechanism: "`internal/dispatch/aggregator_server.go`"},
+		Unit: "bytes", Budget: fixedBudget(NodeBytes), BudgetText: "64 MB", Mechanism: "`internal/dispatch/aggregator_server.go`"},
 	{Role: "hub", What: "executors with work, beside those that an answer names", SeriesID: "hub.named.executors", Size: executors, Need: executors,
-		Unit: "executors", Budget: func(s Size, f Fit) float64 { return f.At(s.Executors) }, BudgetIs: "named in one answer", Mechanism: "`internal/dispatch/aggregator_server.go`"},
+		Unit: "executors", Budget: func(s Size, f Fit) float64 { return f.At(s.Executors) }, BudgetText: "named in one answer", Mechanism: "`internal/dispatch/aggregator_server.go`"},
 	{Role: "each process that asks the hub", What: "bytes in", SeriesID: "hub.out.executors", Size: executors, Rate: startsPerProcess, Scale: 1,
-		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetIs: "4 KB/s", Mechanism: "`internal/dispatch/aggregator_server.go`, `internal/peer`"},
+		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetText: "4 KB/s", Mechanism: "`internal/dispatch/aggregator_server.go`, `internal/peer`"},
 	{Role: "store member as leader", What: "writes of tasks and leases", SeriesID: "store.rate.held", Size: running, Need: storeWrites,
-		Unit: "writes/s", Budget: func(s Size, f Fit) float64 { return f.At(s.Running) }, BudgetIs: "taken", Mechanism: "`internal/store`, one raft log"},
+		Unit: "writes/s", Budget: func(s Size, f Fit) float64 { return f.At(s.Running) }, BudgetText: "taken", Mechanism: "`internal/store`, one raft log"},
 	{Role: "store member as leader", What: "processor", SeriesID: "store.leader.held", Size: running, Rate: storeWrites, Scale: perMicro,
-		Unit: "cores", Budget: fixedBudget(SetAsideCores), BudgetIs: "8 cores of a set-aside machine", Mechanism: "`internal/store`"},
+		Unit: "cores", Budget: fixedBudget(ControlMachineCores), BudgetText: "8 cores of a set-aside machine", Mechanism: "`internal/store`"},
 	{Role: "store member as leader", What: "bytes out to two members", SeriesID: "store.leader.out.held", Size: running, Rate: storeWrites, Scale: 1,
 		Unit: "bytes/s", Mechanism: "`internal/store`"},
 	{Role: "store member as leader", What: "TCP segments out", SeriesID: "store.leader.segments.held", Size: running, Rate: storeWrites, Scale: 1,
 		Unit: "segments/s", Mechanism: "`internal/store`"},
 	{Role: "store member as follower", What: "processor", SeriesID: "store.follower.held", Size: running, Rate: storeWrites, Scale: perMicro,
-		Unit: "cores", Budget: fixedBudget(SetAsideCores), BudgetIs: "8 cores of a set-aside machine", Mechanism: "`internal/store`"},
+		Unit: "cores", Budget: fixedBudget(ControlMachineCores), BudgetText: "8 cores of a set-aside machine", Mechanism: "`internal/store`"},
 	{Role: "store member as follower", What: "bytes in", SeriesID: "store.follower.in.held", Size: running, Rate: storeWrites, Scale: 1,
 		Unit: "bytes/s", Mechanism: "`internal/store`"},
 	{Role: "each dispatcher that uses the store, being a member", What: "bytes in", SeriesID: "store.follower.in.held", Size: running, Rate: storeWrites, Scale: 1,
-		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetIs: "4 KB/s", Mechanism: "`internal/store`: no process uses it but as a member"},
+		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetText: "4 KB/s", Mechanism: "`internal/store`: no process uses it but as a member"},
 	{Role: "each dispatcher that uses the store, being a member", What: "processor", SeriesID: "store.follower.held", Size: running, Rate: storeWrites, Scale: perMicro,
-		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetIs: "2.9% of a core", Mechanism: "`internal/store`: no process uses it but as a member"},
+		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetText: "2.9% of a core", Mechanism: "`internal/store`: no process uses it but as a member"},
 	{Role: "each dispatcher that uses the store, being a member", What: "memory of the records", SeriesID: "statemachine.bytes.running", Size: running, Scale: 1,
-		Unit: "bytes", Budget: fixedBudget(NodeBytes), BudgetIs: "64 MB", Mechanism: "`internal/kv`"},
+		Unit: "bytes", Budget: fixedBudget(NodeBytes), BudgetText: "64 MB", Mechanism: "`internal/kv`"},
 	{Role: "each store member", What: "processor of the state machine alone", SeriesID: "statemachine.task.running", Size: running, Rate: starts, Scale: perMicro,
-		Unit: "cores", Budget: fixedBudget(1), BudgetIs: "1 core, for it takes one write after another", Mechanism: "`internal/kv`"},
+		Unit: "cores", Budget: fixedBudget(1), BudgetText: "1 core, for it takes one write after another", Mechanism: "`internal/kv`"},
 	{Role: "each store member", What: "memory of the records", SeriesID: "statemachine.bytes.running", Size: running, Scale: 1,
-		Unit: "bytes", Budget: fixedBudget(SetAsideMemory), BudgetIs: "24 GiB of a set-aside machine", Mechanism: "`internal/kv`"},
+		Unit: "bytes", Budget: fixedBudget(ControlMachineBytes), BudgetText: "24 GiB of a set-aside machine", Mechanism: "`internal/kv`"},
 	{Role: "each store member", What: "processor of a snapshot", SeriesID: "statemachine.snapshot.running", Size: running, Scale: perMilli,
 		Unit: "core seconds", Mechanism: "`internal/kv`"},
 	{Role: "owner of duties", What: "processor of the loop, in each process", SeriesID: "duties.step.nodes", Size: processes, Rate: stepsPerSecond, Scale: perMicro,
-		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetIs: "2.9% of a core", Mechanism: "`internal/leaseholder`, `internal/lease`"},
+		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetText: "2.9% of a core", Mechanism: "`internal/leaseholder`, `internal/lease`"},
 	{Role: "owner of duties", What: "writes to the store, of all processes", SeriesID: "duties.writes.nodes", Size: processes, Rate: leaseWrites, Scale: 1,
 		Unit: "writes/s", Mechanism: "`internal/leaseholder`"},
-	{Role: "distributor of lists", What: "processor of a zone that returns, in each process", SeriesID: "list.row.executors", Size: executors, Rate: zoneRows, Scale: perMicro,
-		Unit: "core seconds", Budget: fixedBudget(NodeCores * ChangeWithin), BudgetIs: "2.9% of a core for 6 s", Mechanism: "`internal/dispatch`, `internal/discovery`"},
+	{Role: "distributor of lists", What: "processor of a zone that returns, in each process", SeriesID: "list.row.executors", Size: executors, Rate: zoneUpdates, Scale: perMicro,
+		Unit: "core seconds", Budget: fixedBudget(NodeCores * MaxChangeSeconds), BudgetText: "2.9% of a core for 6 s", Mechanism: "`internal/dispatch`, `internal/discovery`"},
 	{Role: "distributor of lists", What: "bytes of the whole list, to a process that begins", SeriesID: "list.bytes.executors", Size: executors, Scale: 1,
-		Unit: "bytes", Budget: fixedBudget(NodeTraffic * ChangeWithin), BudgetIs: "4 KB/s for 6 s", Mechanism: "`internal/discovery`"},
+		Unit: "bytes", Budget: fixedBudget(NodeTraffic * MaxChangeSeconds), BudgetText: "4 KB/s for 6 s", Mechanism: "`internal/discovery`"},
 	{Role: "distributor of lists", What: "processor of reading the whole list", SeriesID: "list.read.executors", Size: executors, Scale: perMicro,
-		Unit: "core seconds", Budget: fixedBudget(NodeCores * ChangeWithin), BudgetIs: "2.9% of a core for 6 s", Mechanism: "`internal/node`"},
+		Unit: "core seconds", Budget: fixedBudget(NodeCores * MaxChangeSeconds), BudgetText: "2.9% of a core for 6 s", Mechanism: "`internal/node`"},
 	{Role: "distributor of settings", What: "processor of the day's changes, in each process", SeriesID: "settings.retune.tenants", Size: tenants, Rate: changesPerSecond, Scale: perMicro,
-		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetIs: "2.9% of a core", Mechanism: "`internal/settings`, `internal/dispatch`"},
+		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetText: "2.9% of a core", Mechanism: "`internal/settings`, `internal/dispatch`"},
 	{Role: "distributor of settings", What: "time until a change is in force at the last process", Mechanism: "`internal/settings`, `internal/settingsync`; smaller runs: [design](design/settings.md)"},
-	{Role: "control on an executor's machine", What: "bytes in: starts and answers to callbacks", SeriesID: "executor.in.starts", Size: startsOfSite, Scale: 1,
-		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetIs: "4 KB/s", Mechanism: "`internal/executor`"},
-	{Role: "control on an executor's machine", What: "bytes out: callbacks and answers to starts", SeriesID: "executor.out.starts", Size: startsOfSite, Scale: 1,
-		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetIs: "4 KB/s", Mechanism: "`internal/executor`"},
+	{Role: "control on an executor's machine", What: "bytes in: starts and answers to callbacks", SeriesID: "executor.in.starts", Size: startsOfMeasuredSite, Scale: 1,
+		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetText: "4 KB/s", Mechanism: "`internal/executor`"},
+	{Role: "control on an executor's machine", What: "bytes out: callbacks and answers to starts", SeriesID: "executor.out.starts", Size: startsOfMeasuredSite, Scale: 1,
+		Unit: "bytes/s", Budget: fixedBudget(NodeTraffic), BudgetText: "4 KB/s", Mechanism: "`internal/executor`"},
 	{Role: "control on an executor's machine", What: "connections, probes, processor", Mechanism: "`internal/executor`"},
 	{Role: "client of the store", What: "processor of a write", SeriesID: "store.client.held", Size: running, Rate: func(s Size) float64 { return storeWrites(s) / s.Processes }, Scale: perMicro,
-		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetIs: "2.9% of a core", Mechanism: "`internal/store`"},
+		Unit: "cores", Budget: fixedBudget(NodeCores), BudgetText: "2.9% of a core", Mechanism: "`internal/store`"},
 	{Role: "client of a front", What: "bytes out, of all clients of a process", SeriesID: "client.out.starts", Size: startsPerProcess, Scale: 1,
 		Unit: "bytes/s", Mechanism: "`internal/platform`"},
 	{Role: "client of a front", What: "bytes in, of all clients of a process", SeriesID: "client.in.starts", Size: startsPerProcess, Scale: 1,
@@ -135,7 +135,7 @@
 	{Role: "client of the batch front", What: "bytes and processor of a job", Mechanism: "`internal/batch`"},
 }
 
-// Figure is what the row needs at a size.
+// Figure returns what the row needs at a size.
 func (r Row) Figure(s Size, fit Fit) float64 {
 	if r.Need != nil {
 		return r.Need(s)
@@ -147,12 +147,12 @@
 	return value
 }
 
-// BreaksAt gives the part of the target's size, from 0 on, at which the row's need passes its budget; 1 is the target, and
-// over 1 says that it does not break on the way.
+// BreaksAt returns the fraction of the target's size at which the need of the row exceeds its budget. 1 is the target;
+// 2 means that the row stays within its budget up to the target.
 func (r Row) BreaksAt(fit Fit) float64 {
 	const steps = 1000
 	for i := 1; i <= steps; i++ {
-		s := Target.part(float64(i) / steps)
+		s := Target.scaled(float64(i) / steps)
 		if r.Figure(s, fit) > r.Budget(s, fit) {
 			return float64(i) / steps
 		}
@@ -160,7 +160,7 @@
 	return 2
 }
 
-// part is a fleet of a part of the size, all its numbers alike.
-func (s Size) part(p float64) Size {
-	return Size{Executors: s.Executors * p, Tenants: s.Tenants * p, Processes: s.Processes * p, Running: s.Running * p, Starts: s.Starts * p, ChangesDay: s.ChangesDay * p}
+// scaled returns a fleet with all numbers scaled by the fraction p.
+func (s Size) scaled(p float64) Size {
+	return Size{Executors: s.Executors * p, Tenants: s.Tenants * p, Processes: s.Processes * p, Running: s.Running * p, Starts: s.Starts * p, ChangesPerDay: s.ChangesPerDay * p}
 }
--- a/internal/capacity/scaleruns.go
+++ b/internal/capacity/scaleruns.go
@@ -8,7 +8,7 @@
 	"gatetack/internal/scale/result"
 )
 
-// scaleNames are the scale runs' files in order.
+// scaleNames returns the sorted file names of the scale runs.
 func (r *Results) scaleNames() []string {
 	var names []string
 	for name := range r.ScaleRuns {
@@ -18,7 +18,7 @@
 	return names
 }
 
-// scaleRunsTable has a line for each scale run whose file is there.
+// scaleRunsTable has a row for each scale run result.
 func scaleRunsTable(all *Results) (string, error) {
 	head := []string{"file", "played", "starts a second, running at most", "urgent told started within 2.2 s", "served, failed, lost", "rules",
 		"a dispatcher: processor, memory, bytes in and out", "an executor: bytes in and out", "saturated first"}
@@ -38,15 +38,15 @@
 	if r.Partial {
 		played += "; **partial**"
 	}
-	kept := "kept"
+	rules := "kept"
 	if !r.RulesKept {
-		kept = "**broken**"
+		rules = "**broken**"
 	}
 	return []string{"`" + name + "`", played, fmt.Sprintf("%s asked, %s begun; %s running", short(r.Running.RequestedPerS), short(r.Running.StartsPerS), short(float64(r.Running.Peak))),
-		urgentStarts(r), outcomes(r), kept, dispatcherUse(r), executorTraffic(r), saturatedFirst(r)}
+		urgentStarts(r), outcomes(r), rules, dispatcherUse(r), executorTraffic(r), saturatedFirst(r)}
 }
 
-// urgentStarts is the part of urgent tasks that were told started in time.
+// urgentStarts returns the share of urgent tasks whose start notification was in time.
 func urgentStarts(r *result.Result) string {
 	for _, jobs := range r.Jobs {
 		if jobs.Kind == "urgent" {
@@ -56,14 +56,14 @@
 	return notMeasured
 }
 
-func percent(part float64) string { return short(100*part) + "%" }
+func percent(share float64) string { return short(100*share) + "%" }
 
 func outcomes(r *result.Result) string {
 	counts := r.Verdict.Counts
 	return fmt.Sprintf("%s, %s, %s of %s", short(float64(counts.Served)), short(float64(counts.Failed)), short(float64(counts.Lost)), short(float64(counts.Requests)))
 }
 
-// dispatcherUse is what dispatchers used in the mean, and at most.
+// dispatcherUse returns the mean and peak resource use of the dispatchers.
 func dispatcherUse(r *result.Result) string {
 	if r.Virtual || r.Seconds <= 0 {
 		return notMeasured
@@ -84,7 +84,7 @@
 	return fmt.Sprintf("%s, %s at most; %s MB at most; %s", amount(cores/n, "cores"), amount(peak, "cores"), short(memory), amount(traffic/n, "bytes/s"))
 }
 
-// executorTraffic is what went to and from an executor in the mean.
+// executorTraffic returns the mean traffic of an executor, in both directions.
 func executorTraffic(r *result.Result) string {
 	if r.Virtual || r.Seconds <= 0 || r.Description.Executors == 0 {
 		return notMeasured
