--- a/internal/capacity/bounds.go
+++ b/internal/capacity/bounds.go
@@ -9,9 +9,9 @@
 	Limit  float64
 	Need   float64 // at the target
 	Reason string  // how the required value is derived
-	// Grows is true if the required value grows with the fleet. The load of one process stays constant if processes are
-	// added in proportion to the fleet.
-	Grows bool
+	// GrowsWithFleet is true if the required value grows with the fleet. The load of one process stays constant if
+	// processes are added in proportion to the fleet.
+	GrowsWithFleet bool
 }
 
 // Bounds returns the limits of a process with the default resource limits.
@@ -21,7 +21,7 @@
 	const rowBytes = 150 // of an endpoint list entry, the longest of the protocol's examples
 	return []Bound{
 		{"StoreValues", "kept values of a kind in the store", float64(lim.StoreValues), Target.Running, "one for each task that runs", true},
-		{"StoreBytes", "their bytes", float64(lim.StoreBytes), Target.Running * RecordKeptBytes, "600 bytes for each task that runs", true},
+		{"StoreBytes", "their bytes", float64(lim.StoreBytes), Target.Running * RecordBytes, "600 bytes for each task that runs", true},
 		{"StoreConns", "calls that the leader serves at a time", float64(lim.StoreConns), Target.Processes, "one for each process that writes", true},
 		{"BatchOut", "queued jobs of a process with the core", float64(lim.BatchOut), perProcess, "running tasks over processes", false},
 		{"MaxOpen", "requests that a process holds open", float64(lim.MaxOpen), perProcess, "likewise", false},
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -25,22 +25,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	was := string(data)
-	now, err := Rewrite(was, all)
+	current := string(data)
+	updated, err := Rewrite(current, all)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if now == was {
+	if updated == current {
 		return
 	}
-	wasLines, nowLines := strings.Split(was, "\n"), strings.Split(now, "\n")
-	for i := range min(len(wasLines), len(nowLines)) {
-		if wasLines[i] != nowLines[i] {
+	currentLines, updatedLines := strings.Split(current, "\n"), strings.Split(updated, "\n")
+	for i := range min(len(currentLines), len(updatedLines)) {
+		if currentLines[i] != updatedLines[i] {
 			t.Fatalf("docs/CAPACITY.md, line %d, is\n%s\nexpected from its result files and the limits in the code\n%s\nRun: %s",
-				i+1, wasLines[i], nowLines[i], rewriteWith)
+				i+1, currentLines[i], updatedLines[i], rewriteWith)
 		}
 	}
-	t.Fatalf("docs/CAPACITY.md has %d lines, expected %d from its result files and the limits. Run: %s", len(wasLines), len(nowLines), rewriteWith)
+	t.Fatalf("docs/CAPACITY.md has %d lines, expected %d from its result files and the limits. Run: %s", len(currentLines), len(updatedLines), rewriteWith)
 }
 
 // Rewrite replaces a wrong figure or an extra row. If it did not, the comparison of the page with its files would
@@ -51,18 +51,18 @@
 		t.Fatal(err)
 	}
 	page := string(data)
-	for _, spoiled := range []string{
+	for _, modified := range []string{
 		strings.Replace(page, "| 4,096 |", "| 8,192 |", 1),
 		strings.Replace(page, "<!-- /capacity:roles -->", "| by hand |\n<!-- /capacity:roles -->", 1),
 	} {
-		if spoiled == page {
+		if modified == page {
 			t.Fatal("the page does not contain the text to be modified")
 		}
 		all, err := Load(resultsPath)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if now, err := Rewrite(spoiled, all); err != nil || now == spoiled {
+		if updated, err := Rewrite(modified, all); err != nil || updated == modified {
 			t.Errorf("Rewrite left a modified page unchanged, error %v", err)
 		}
 	}
@@ -82,7 +82,7 @@
 			continue
 		}
 		if r.Size == nil || r.Unit == "" || r.Mechanism == "" {
-			t.Errorf("%s, %s: row lacks a size, unit or mechanism", r.Role, r.What)
+			t.Errorf("%s, %s: row lacks a size, unit or mechanism", r.Role, r.Resource)
 		}
 		if _, _, ok := all.Series(r.SeriesID); !ok {
 			t.Logf("%s is not measured", r.SeriesID)
@@ -119,7 +119,7 @@
 }
 
 // The mix adds up to the operators' number of jobs per day, and the target has enough slots for its running tasks.
-func TestMixGivesTheTarget(t *testing.T) {
+func TestMixMatchesTarget(t *testing.T) {
 	jobs := 0.0
 	for _, m := range DayMix {
 		jobs += m.Jobs
@@ -173,7 +173,7 @@
 }
 
 // The handwritten sentences of the page about the aggregator agree with unexported constants of package dispatch.
-func TestPageNamesTheHubsLimits(t *testing.T) {
+func TestPageAgreesWithAggregatorLimits(t *testing.T) {
 	page, err := os.ReadFile(pagePath)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/capacity/measure/cpu.go
+++ b/internal/capacity/measure/cpu.go
@@ -8,16 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// processorTime is the processor time this process has used so far, of all its threads, the collector's included.
+// processorTime returns the processor time that all threads of this process have used, including the garbage collector.
 func processorTime() time.Duration {
 	var at unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_PROCESS_CPUTIME_ID, &at); err != nil {
-		panic(fmt.Sprintf("measure: the processor clock cannot be read: %v", err))
+		panic(fmt.Sprintf("measure: cannot read the processor clock: %v", err))
 	}
 	return time.Duration(at.Nano())
 }
 
-// heapBytes is the memory that live objects take, after a collection.
+// heapBytes returns the memory of live objects after a garbage collection.
 func heapBytes() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -26,23 +26,23 @@
 	return stats.HeapAlloc
 }
 
-// leastRounds and leastSpan bound how long one figure is measured: long enough that the clock's grain does not show, short
-// enough that a whole role stays under a minute.
+// minRounds and minSpan bound the measurement of one value: long enough that the resolution of the clock does not
+// matter, and short enough that a whole role takes less than a minute.
 const (
-	leastRounds = 3
-	leastSpan   = 400 * time.Millisecond
+	minRounds = 3
+	minSpan   = 400 * time.Millisecond
 )
 
-// perOperation runs an operation again and again and gives the processor time of one.
+// perOperation repeats an operation and returns the mean processor time of one call.
 func perOperation(operation func() error) (time.Duration, error) {
-	for range leastRounds {
+	for range minRounds {
 		if err := operation(); err != nil {
 			return 0, err
 		}
 	}
 	runtime.GC()
 	before, rounds := processorTime(), 0
-	for rounds < leastRounds || processorTime()-before < leastSpan {
+	for rounds < minRounds || processorTime()-before < minSpan {
 		if err := operation(); err != nil {
 			return 0, err
 		}
--- a/internal/capacity/measure/dispatcher.go
+++ b/internal/capacity/measure/dispatcher.go
@@ -16,20 +16,20 @@
 	"gatetack/internal/testenv"
 )
 
-// DispatcherCost is what the built program uses, front, core, decision and carriers together.
+// DispatcherCost is the resource use of the built node program: front, core, decision module and connections to executors.
 type DispatcherCost struct {
-	Cores        float64 // processor seconds a second
-	BytesIn      float64 // a second, by read calls
-	BytesOut     float64 // a second, by write calls
-	Calls        float64 // read and write calls a second
-	PrivateBytes float64 // of memory of its own
+	Cores        float64 // processor seconds per second
+	BytesIn      float64 // per second, by read calls
+	BytesOut     float64 // per second, by write calls
+	Calls        float64 // read and write calls per second
+	PrivateBytes float64 // private memory
 
-	ClientBytesIn, ClientBytesOut     float64 // a second, of all clients
-	ExecutorBytesIn, ExecutorBytesOut float64 // a second, at one executor: starts, callbacks and their answers
-	ExecutorConnections               float64 // that stand at one executor
+	ClientBytesIn, ClientBytesOut     float64 // per second, of all clients
+	ExecutorBytesIn, ExecutorBytesOut float64 // per second, at one executor: starts, callbacks and their answers
+	ExecutorConnections               float64 // established connections at one executor
 }
 
-// Figures of the small site that a dispatcher is measured at.
+// Sizes of the small site in which a dispatcher is measured.
 const (
 	siteExecutors   = 8
 	siteSlots       = 64
@@ -43,7 +43,7 @@
 	siteClass       = "tile-charge"
 )
 
-// Dispatcher measures the built program under so many starts a second, asked for at an even pace whatever its answers are.
+// Dispatcher measures the node program under an open-loop load with the given number of task starts per second.
 func Dispatcher(ctx context.Context, program string, starts int) (DispatcherCost, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	group := &errgroup.Group{}
@@ -69,16 +69,16 @@
 		list.Put(executor, "ready")
 		executors[executor.Addr] = true
 	}
-	return startAndLoad(ctx, program, ports[0], list.Addr, &openLoad{executors: executors, starts: starts})
+	return startAndLoad(ctx, program, ports[0], list.Addr, &openLoopLoad{executors: executors, starts: starts})
 }
 
-// siteSettings are the small site's, with quotas that no measured load passes.
+// siteSettings returns the settings of the small site, with quotas above every measured load.
 func siteSettings() string {
 	return strings.NewReplacer(`"quotaRps":20.0`, `"quotaRps":2000.0`, `"quotaRps":12.0`, `"quotaRps":2000.0`).Replace(testenv.Settings)
 }
 
-// startAndLoad starts the program, loads it and ends it.
-func startAndLoad(ctx context.Context, program, listen, discovery string, load *openLoad) (DispatcherCost, error) {
+// startAndLoad starts the node program, measures it under the load and kills it.
+func startAndLoad(ctx context.Context, program, listen, discovery string, load *openLoopLoad) (DispatcherCost, error) {
 	dir, err := os.MkdirTemp("", "capacity-dispatcher-")
 	if err != nil {
 		return DispatcherCost{}, err
@@ -103,14 +103,14 @@
 			break
 		}
 		if node.HasEnded() || time.Now().After(end) {
-			return DispatcherCost{}, fmt.Errorf("measure: %s does not become ready", program)
+			return DispatcherCost{}, fmt.Errorf("measure: %s did not become ready in time", program)
 		}
 	}
 	return load.measure(ctx, node.Pid, listen)
 }
 
-// measure asks for starts, and measures the node once the load has settled.
-func (l *openLoad) measure(ctx context.Context, pid int, address string) (DispatcherCost, error) {
+// measure starts the load and measures the node after the settling time.
+func (l *openLoopLoad) measure(ctx context.Context, pid int, address string) (DispatcherCost, error) {
 	ctx, cancel := context.WithTimeout(ctx, siteSettle+siteSpan)
 	defer cancel()
 	l.start(ctx, address)
@@ -119,21 +119,21 @@
 	if err != nil {
 		return DispatcherCost{}, err
 	}
-	servedBefore, began := l.served.Load(), time.Now()
+	servedBefore, startedAt := l.served.Load(), time.Now()
 	time.Sleep(siteSpan - siteSettle/2)
 	after, err := process.Measure(pid)
 	if err != nil {
 		return DispatcherCost{}, err
 	}
-	connections, err := standingConnections(l.executors)
+	connections, err := establishedConnections(l.executors)
 	if err != nil {
 		return DispatcherCost{}, err
 	}
-	span, served := time.Since(began).Seconds(), l.served.Load()-servedBefore
+	span, served := time.Since(startedAt).Seconds(), l.served.Load()-servedBefore
 	cancel()
 	l.group.Wait()
-	if least := 0.9 * float64(l.starts) * span; float64(served) < least {
-		return DispatcherCost{}, fmt.Errorf("measure: %d jobs were served in %.1f s, expected %.0f at least", served, span, least)
+	if minServed := 0.9 * float64(l.starts) * span; float64(served) < minServed {
+		return DispatcherCost{}, fmt.Errorf("measure: %d jobs were served in %.1f s, expected at least %.0f", served, span, minServed)
 	}
 	cost := DispatcherCost{
 		Cores:        (after.CPU - before.CPU).Seconds() / span,
@@ -144,42 +144,43 @@
 	}
 	jobs, rate := float64(l.answered.Load()), float64(served)/span
 	cost.ClientBytesIn, cost.ClientBytesOut = float64(l.in.Load())/jobs*rate, float64(l.out.Load())/jobs*rate
-	// What the node reads and writes beside its clients is its executors', but for the list's beats.
+	// The traffic of the node that is not with its clients is with its executors, except for the heartbeats of the
+	// endpoint list.
 	cost.ExecutorBytesIn = max(0, cost.BytesOut-cost.ClientBytesIn) / siteExecutors
 	cost.ExecutorBytesOut = max(0, cost.BytesIn-cost.ClientBytesOut) / siteExecutors
 	cost.ExecutorConnections = float64(connections) / siteExecutors
 	return cost, nil
 }
 
-// openLoad hands in jobs at an even pace over a number of connections.
-type openLoad struct {
-	starts    int             // a second
+// openLoopLoad submits jobs at a constant rate over a number of connections.
+type openLoopLoad struct {
+	starts    int             // per second
 	executors map[string]bool // their addresses
 	group     sync.WaitGroup
 	served    atomic.Int64
-	answered  atomic.Int64 // whatever the answer was
-	in, out   atomic.Int64 // bytes of connections that were closed
+	answered  atomic.Int64 // with any status
+	in, out   atomic.Int64 // bytes on closed connections
 }
 
-func (l *openLoad) start(ctx context.Context, address string) {
-	due := make(chan int, l.starts*int((siteSettle+siteSpan)/time.Second+1)) // room for all: what is due waits for nobody
+func (l *openLoopLoad) start(ctx context.Context, address string) {
+	due := make(chan int, l.starts*int((siteSettle+siteSpan)/time.Second+1)) // room for all jobs, so that the pacing never blocks
 	for range siteConnections {
 		l.group.Go(func() { l.connection(ctx, address, due) })
 	}
 	l.group.Go(func() {
 		defer close(due)
-		began := time.Now()
+		startedAt := time.Now()
 		for n := 0; ctx.Err() == nil; n++ {
-			time.Sleep(time.Until(began.Add(time.Duration(n) * time.Second / time.Duration(l.starts))))
+			time.Sleep(time.Until(startedAt.Add(time.Duration(n) * time.Second / time.Duration(l.starts))))
 			due <- n
 		}
 	})
 }
 
-// connection hands in what is due, one job after another.
-func (l *openLoad) connection(ctx context.Context, address string, due <-chan int) {
+// connection submits the jobs that are due, one after another.
+func (l *openLoopLoad) connection(ctx context.Context, address string, due <-chan int) {
 	var conn *testenv.Conn
-	hangUp := func() {
+	closeConn := func() {
 		if conn == nil {
 			return
 		}
@@ -190,7 +191,7 @@
 		_ = conn.Close()
 		conn = nil
 	}
-	defer hangUp()
+	defer closeConn()
 	for n := range due {
 		if ctx.Err() != nil {
 			return
@@ -210,7 +211,7 @@
 			l.served.Add(1)
 		}
 		if err != nil || message.Close {
-			hangUp()
+			closeConn()
 		}
 	}
 }
--- a/internal/capacity/measure/duties.go
+++ b/internal/capacity/measure/duties.go
@@ -16,12 +16,12 @@
 	"gatetack/internal/limits"
 )
 
-// fleetStore is the store as one owner sees it: the leases and duties of all nodes, which stand still but for the owner's own.
+// fleetStore is an in-memory store with the leases and partitions of all nodes. Only the measured node changes its own.
 type fleetStore struct {
 	mu    sync.Mutex
 	state *kv.State
 	index uint64
-	views int // how often it was looked at
+	views int // number of View calls
 	txns  int
 }
 
@@ -50,7 +50,7 @@
 	return e.Value, true
 }
 
-var errNotUsed = errors.New("measure: the owner's loop needs none of this")
+var errNotUsed = errors.New("measure: operation is not used by the leaseholder loop")
 
 func (s *fleetStore) Write(context.Context, ...jobstore.Change) error { return errNotUsed }
 func (s *fleetStore) Get(context.Context, string, string) ([]byte, bool, error) {
@@ -60,7 +60,7 @@
 	return nil, errNotUsed
 }
 
-// noJobs is a batch front without jobs on record.
+// noJobs is a batch front without recorded jobs.
 type noJobs struct{}
 
 func (noJobs) OpenPartitions(context.Context, string) ([]string, error) { return nil, nil }
@@ -69,54 +69,54 @@
 func (noJobs) SetIncarnationStart(int64)                                {}
 func (noJobs) HasRecords(_ context.Context, _ string) (bool, error)     { return false, nil }
 
-// DutyCost is what the owner's loop costs one node.
-type DutyCost struct {
-	MicrosPerStep float64 // of processor time; it steps thirty times a lease
-	WritesPerTerm float64 // to the store, for each time of a lease
+// LeaseCost is the cost of the leaseholder loop on one node.
+type LeaseCost struct {
+	MicrosPerStep  float64 // processor time; the loop makes 30 steps per lease TTL
+	WritesPerLease float64 // writes to the store per lease TTL
 }
 
 const (
 	stepsPerLease = 30
-	dutyLease     = 300 * time.Millisecond // a tenth of the lease in force, so that a second shows enough steps
-	dutySpan      = 1500 * time.Millisecond
+	leaseTTL      = 300 * time.Millisecond // a tenth of the default TTL, so that a second contains enough steps
+	leaseSpan     = 1500 * time.Millisecond
 )
 
-// DutySteps measures the owner's loop of one node among others, each with a lease and one duty.
-func DutySteps(nodes int) (DutyCost, error) {
+// LeaseSteps measures the leaseholder loop of one node in a fleet where each node has a lease and owns one partition.
+func LeaseSteps(nodes int) (LeaseCost, error) {
 	s := &fleetStore{state: kv.New(kv.Bounds{Key: 512, Value: 1 << 16, Ops: 256, Results: 8192})}
 	for i := range nodes - 1 {
-		life := lease.Incarnation{Node: fmt.Sprintf("node-%d", i+1), StartedMs: int64(1 + i)}
-		record, err := json.Marshal(map[string]any{"born": life.StartedMs, "addr": "10.0.0.1:8443"})
+		incarnation := lease.Incarnation{Node: fmt.Sprintf("node-%d", i+1), StartedMs: int64(1 + i)}
+		record, err := json.Marshal(map[string]any{"born": incarnation.StartedMs, "addr": "10.0.0.1:8443"})
 		if err != nil {
-			return DutyCost{}, err
+			return LeaseCost{}, err
 		}
-		held, err := json.Marshal(life)
+		owner, err := json.Marshal(incarnation)
 		if err != nil {
-			return DutyCost{}, err
+			return LeaseCost{}, err
 		}
 		if _, err := s.Txn(context.Background(), &kv.Txn{Ops: []kv.Op{
-			{Verb: kv.Put, Table: leaseholder.LeaseTable, Key: life.Node, Value: record, Keep: true},
-			{Verb: kv.Put, Table: leaseholder.PartitionTable, Key: life.PartitionKey(), Value: held, Keep: true}}}); err != nil {
-			return DutyCost{}, err
+			{Verb: kv.Put, Table: leaseholder.LeaseTable, Key: incarnation.Node, Value: record, Keep: true},
+			{Verb: kv.Put, Table: leaseholder.PartitionTable, Key: incarnation.PartitionKey(), Value: owner, Keep: true}}}); err != nil {
+			return LeaseCost{}, err
 		}
 	}
 	lim := limits.New(0, 0, 0, 0, 0)
-	lim.LeaseTTL = dutyLease
+	lim.LeaseTTL = leaseTTL
 	o, err := leaseholder.New(s, lease.Incarnation{Node: "node-0", StartedMs: 1}, "10.0.0.1:8443", lim, slog.New(slog.DiscardHandler))
 	if err != nil {
-		return DutyCost{}, err
+		return LeaseCost{}, err
 	}
 	o.Connect(noJobs{}, nil)
 	return s.loop(o)
 }
 
-// loop runs the owner for a while and counts.
-func (s *fleetStore) loop(o *leaseholder.Holder) (DutyCost, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), dutySpan+dutyLease)
+// loop runs the leaseholder for leaseSpan and measures its steps.
+func (s *fleetStore) loop(o *leaseholder.Holder) (LeaseCost, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), leaseSpan+leaseTTL)
 	defer cancel()
 	done := make(chan error, 1)
 	go func() { done <- o.Run(ctx) }()
-	time.Sleep(dutyLease) // it has its lease and its own duty by then
+	time.Sleep(leaseTTL) // by then the node has its lease and owns its partition
 	views, txns := s.counts()
 	used := processorTime()
 	err := <-done
@@ -124,9 +124,9 @@
 	viewsAfter, txnsAfter := s.counts()
 	steps := float64(viewsAfter - views)
 	if steps < stepsPerLease {
-		return DutyCost{}, fmt.Errorf("measure: the owner's loop made %v steps, expected %d at least", steps, stepsPerLease)
+		return LeaseCost{}, fmt.Errorf("measure: the leaseholder loop made %v steps, expected at least %d", steps, stepsPerLease)
 	}
-	return DutyCost{MicrosPerStep: used.Seconds() * 1e6 / steps, WritesPerTerm: float64(txnsAfter-txns) * stepsPerLease / steps}, err
+	return LeaseCost{MicrosPerStep: used.Seconds() * 1e6 / steps, WritesPerLease: float64(txnsAfter-txns) * stepsPerLease / steps}, err
 }
 
 func (s *fleetStore) counts() (views, txns int) {
--- a/internal/capacity/measure/hub.go
+++ b/internal/capacity/measure/hub.go
@@ -9,108 +9,109 @@
 	"gatetack/internal/dispatch"
 )
 
-// The form of messages to and from a hub, as internal/dispatch/aggregator_server.go writes them: a head, then entries of a worker's tag and the number
-// of slots out there.
+// The format of messages to and from an aggregator, as in internal/dispatch/aggregator_message.go: a header byte, then
+// entries with the tag of an executor and the number of slots in use there.
 const (
-	hubChange   = 0
-	hubAsk      = 1 << 6
-	hubWhole    = 2 << 6
-	tagStep     = 16 // the lower four bits of an entry are the number
-	tags        = 1 << 12
-	entryBytes  = 2
-	mostEntries = 127
-	// listensFor is how long a hub listens at most until it answers: some of its longest mean runs.
-	listensFor = 2e7
-	// hubQuota is the sum of the tenants' quotas: as much as lets a hub be used at all, whatever the load that is measured.
-	hubQuota = 900
-	// datagramOverhead is the head of an IPv4 packet and of a UDP datagram.
+	updateMessage   = 0
+	queryMessage    = 1 << 6
+	snapshotMessage = 2 << 6
+	tagStep         = 16 // the lower four bits of an entry are the number of slots
+	tagCount        = 1 << 12
+	entryBytes      = 2
+	maxEntries      = 127
+	// warmUpMs exceeds the time after its start that an aggregator needs until it is ready, a number of mean runs.
+	warmUpMs = 2e7
+	// totalQuota is the sum of the tenants' quotas. It is low enough that an aggregator is used, independent of the
+	// measured load.
+	totalQuota = 900
+	// datagramOverhead is the size of an IPv4 header and a UDP header.
 	datagramOverhead = 28
 )
 
-// hubSettings are those of a fleet whose processes tell a hub.
-func (f Fleet) hubSettings() dispatch.Settings {
+// aggregatorSettings returns the settings of a fleet whose processes use an aggregator.
+func (f Fleet) aggregatorSettings() dispatch.Settings {
 	s := f.settings()
 	s.GossipAllowed = true
 	for i := range s.Tenants {
-		s.Tenants[i].Quota = hubQuota / float64(len(s.Tenants))
+		s.Tenants[i].Quota = totalQuota / float64(len(s.Tenants))
 	}
-	for i := range s.Classes { // entries that are not reminded of lapse after some mean runs: not while it is measured
+	for i := range s.Classes { // entries expire some mean runs after their last update; this keeps them during the measurement
 		s.Classes[i].Objective, s.Classes[i].Deadline = 1e7, 1e8
 	}
 	return s
 }
 
-// errNoHub says that with these settings no hub is used.
-var errNoHub = errors.New("measure: these processes tell no hub")
+// errNoAggregator reports that no aggregator is used with these settings.
+var errNoAggregator = errors.New("measure: the processes use no aggregator")
 
-// findHub gives the process that all take for the hub.
-func findHub(f Fleet) (int, error) {
-	module, err := dispatch.New(f.hubSettings(), f.Seed)
+// findAggregator returns the number of the process that all processes use as the aggregator.
+func findAggregator(f Fleet) (int, error) {
+	module, err := dispatch.New(f.aggregatorSettings(), f.Seed)
 	if err != nil {
 		return 0, err
 	}
-	actions := module.Step(startMS, []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Updates: f.rows()},
-		{Kind: dispatch.EvRequest, Job: 1, TimeLeft: classDeadlineMS, Work: jobWorkMS, Flags: dispatch.FlagWorkHint, Slots: 1}}, nil)
+	actions := module.Step(startMs, []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Updates: f.endpointUpdates()},
+		{Kind: dispatch.EvRequest, Job: 1, TimeLeft: classDeadlineMs, Work: jobWorkMs, Flags: dispatch.FlagWorkHint, Slots: 1}}, nil)
 	for _, action := range actions {
 		if action.Kind == dispatch.ActGossip && action.To != dispatch.AllPeers {
 			return int(action.To), nil
 		}
 	}
-	// Process 0 told nobody: it may be the hub itself.
-	return 0, errNoHub
+	// Process 0 sent no message to a single peer: it may be the aggregator itself.
+	return 0, errNoAggregator
 }
 
-// hub is the decision module of the process that is the hub, with what the others told it.
-type hub struct {
+// aggregator drives the decision module of the process that is the aggregator, with the loads that the others sent to it.
+type aggregator struct {
 	module  *dispatch.Dispatcher
-	me      int
+	self    int
 	fleet   Fleet
 	random  *rand.Rand
 	now     float64
 	actions []dispatch.Action
-	tagOf   []uint16
-	// What went through it since it was made.
+	tags    []uint16
+	// Counts since the aggregator was created.
 	messagesIn, messagesOut, bytesIn, bytesOut int
 }
 
-func newHub(f Fleet) (*hub, error) {
-	me, err := findHub(f)
+func newAggregator(f Fleet) (*aggregator, error) {
+	self, err := findAggregator(f)
 	if err != nil {
 		return nil, err
 	}
-	s := f.hubSettings()
-	s.Node = me
+	s := f.aggregatorSettings()
+	s.Node = self
 	module, err := dispatch.New(s, f.Seed)
 	if err != nil {
 		return nil, err
 	}
-	h := &hub{module: module, me: me, fleet: f, random: rand.New(rand.NewPCG(f.Seed, 2)), now: startMS}
-	h.actions = module.Step(h.now, []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Updates: f.rows()}}, nil)
+	h := &aggregator{module: module, self: self, fleet: f, random: rand.New(rand.NewPCG(f.Seed, 2)), now: startMs}
+	h.actions = module.Step(h.now, []dispatch.Event{{Kind: dispatch.EvEndpoints, Form: dispatch.ListCached, Updates: f.endpointUpdates()}}, nil)
 	for range f.Executors {
-		h.tagOf = append(h.tagOf, uint16(h.random.IntN(tags)*tagStep))
+		h.tags = append(h.tags, uint16(h.random.IntN(tagCount)*tagStep))
 	}
-	h.tellAll()
-	h.now += listensFor
-	h.tellAll() // what it is not reminded of lapses meanwhile
+	h.sendLoads()
+	h.now += warmUpMs
+	h.sendLoads() // entries that are not sent again expire in the meantime
 	return h, nil
 }
 
-// tellAll has every process tell all that it has out, each executor holding as many as another.
-func (h *hub) tellAll() {
+// sendLoads sends the in-flight tasks of every process to the aggregator, spread evenly over the executors.
+func (h *aggregator) sendLoads() {
 	perProcess := h.fleet.Running / h.fleet.Processes
 	next := 0
 	for from := range h.fleet.Processes {
-		if from == h.me {
+		if from == h.self {
 			continue
 		}
-		data := []byte{hubChange}
+		data := []byte{updateMessage}
 		for range perProcess {
-			tag := h.tagOf[next%len(h.tagOf)]
+			tag := h.tags[next%len(h.tags)]
 			next++
 			data = binary.BigEndian.AppendUint16(data, tag|1)
-			if len(data) > entryBytes*mostEntries-1 {
+			if len(data) > entryBytes*maxEntries-1 {
 				h.deliver(from, data)
-				data = []byte{hubChange}
+				data = []byte{updateMessage}
 			}
 		}
 		if len(data) > 1 {
@@ -119,8 +120,8 @@
 	}
 }
 
-// deliver hands the hub a message of another process.
-func (h *hub) deliver(from int, data []byte) {
+// deliver passes a message of another process to the aggregator.
+func (h *aggregator) deliver(from int, data []byte) {
 	h.messagesIn++
 	h.bytesIn += len(data) + datagramOverhead
 	h.actions = h.module.Step(h.now, []dispatch.Event{{Kind: dispatch.EvGossip, From: uint32(from), Data: data}}, h.actions[:0])
@@ -132,37 +133,38 @@
 	}
 }
 
-// start is all that one start costs the hub: a process asks as its job comes, and tells of the send and of the end.
-func (h *hub) start() {
+// start sends all messages of one task start: the query of a process when its job arrives, an update after the send and
+// one after the end.
+func (h *aggregator) start() {
 	from := h.random.IntN(h.fleet.Processes)
-	if from == h.me {
+	if from == h.self {
 		from = (from + 1) % h.fleet.Processes
 	}
-	tag := h.tagOf[h.random.IntN(len(h.tagOf))]
+	tag := h.tags[h.random.IntN(len(h.tags))]
 	message := func(kind byte, slots uint16) []byte {
 		return binary.BigEndian.AppendUint16([]byte{kind}, tag|slots)
 	}
 	h.now++
-	h.deliver(from, message(hubAsk, 1))
-	h.deliver(from, message(hubChange, 2))
-	h.deliver(from, message(hubChange, 1))
+	h.deliver(from, message(queryMessage, 1))
+	h.deliver(from, message(updateMessage, 2))
+	h.deliver(from, message(updateMessage, 1))
 }
 
-// HubCost is what one start costs the hub.
-type HubCost struct {
+// AggregatorCost is the cost of one task start at the aggregator.
+type AggregatorCost struct {
 	Microseconds, BytesIn, BytesOut, MessagesIn, MessagesOut float64
-	Named                                                    float64 // executors that its answer names
+	NamedExecutors                                           float64 // executors in an answer
 	HeapBytes                                                float64
 }
 
-// HubPerStart measures what a start costs the hub of a fleet.
-func HubPerStart(f Fleet) (HubCost, error) {
+// AggregatorPerStart measures the cost of one task start at the aggregator of a fleet.
+func AggregatorPerStart(f Fleet) (AggregatorCost, error) {
 	empty := heapBytes()
-	h, err := newHub(f)
+	h, err := newAggregator(f)
 	if err != nil {
-		return HubCost{}, err
+		return AggregatorCost{}, err
 	}
-	held := heapBytes()
+	used := heapBytes()
 	h.messagesIn, h.messagesOut, h.bytesIn, h.bytesOut = 0, 0, 0, 0
 	const startsPerRound = 20
 	starts := 0
@@ -174,15 +176,15 @@
 		return nil
 	})
 	if h.messagesOut < starts {
-		return HubCost{}, errors.New("measure: the hub did not answer each question")
+		return AggregatorCost{}, errors.New("measure: the aggregator answered fewer queries than it received")
 	}
 	runtime.KeepAlive(h)
 	n := float64(starts)
-	return HubCost{
+	return AggregatorCost{
 		Microseconds: float64(cost.Nanoseconds()) / 1000 / startsPerRound,
 		BytesIn:      float64(h.bytesIn) / n, BytesOut: float64(h.bytesOut) / n,
 		MessagesIn: float64(h.messagesIn) / n, MessagesOut: float64(h.messagesOut) / n,
-		Named:     (float64(h.bytesOut)/float64(h.messagesOut) - datagramOverhead - 1) / entryBytes,
-		HeapBytes: float64(held) - float64(empty),
+		NamedExecutors: (float64(h.bytesOut)/float64(h.messagesOut) - datagramOverhead - 1) / entryBytes,
+		HeapBytes:      float64(used) - float64(empty),
 	}, err
 }
--- a/internal/capacity/measure/list.go
+++ b/internal/capacity/measure/list.go
@@ -9,8 +9,8 @@
 	"gatetack/internal/node"
 )
 
-// listLine is a whole list of so many executors as discovery tells it, on one line.
-func listLine(executors int) []byte {
+// endpointListLine returns an endpoint list snapshot with the given number of executors as one line of the discovery watch.
+func endpointListLine(executors int) []byte {
 	var line bytes.Buffer
 	line.WriteString(`{"index":41,"snapshot":true,"endpoints":[`)
 	for i := range executors {
@@ -24,19 +24,19 @@
 	return line.Bytes()
 }
 
-// ListCost is what a whole list costs a process that reads it, without what the decision module does with it.
+// ListCost is the cost of parsing an endpoint list snapshot, without the work of the decision module on it.
 type ListCost struct {
 	Bytes  float64
-	Micros float64 // of processor time
+	Micros float64 // processor time
 }
 
-// WholeList measures the reading of a whole list.
-func WholeList(executors int) (ListCost, error) {
-	line := listLine(executors)
+// ReadEndpointList measures the parsing of an endpoint list snapshot.
+func ReadEndpointList(executors int) (ListCost, error) {
+	line := endpointListLine(executors)
 	used, err := perOperation(func() error {
 		list, err := node.ParseEndpointList(gjson.ParseBytes(line))
 		if err == nil && len(list.Entries) != executors {
-			return fmt.Errorf("measure: %d executors were read of %d", len(list.Entries), executors)
+			return fmt.Errorf("measure: the parsed list has %d executors, expected %d", len(list.Entries), executors)
 		}
 		return err
 	})
--- a/internal/capacity/measure/measure_test.go
+++ b/internal/capacity/measure/measure_test.go
@@ -9,7 +9,7 @@
 	"gatetack/internal/capacity"
 )
 
-// TestMain lets this test's binary stand for the tool that the store's members are processes of.
+// TestMain makes the test binary run as a member of the store, in place of the tool.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "member" {
 		if err := RunMember(os.Args[2], os.Stdin, os.Stdout); err != nil {
@@ -23,47 +23,48 @@
 
 var smallFleet = Fleet{Executors: 40, Tenants: 3, Processes: 320, Running: 20, Seed: 1}
 
-// Each driver drives what it says: counts are checked, how fast it is is not.
+// Only the presence of a result is checked, not the speed.
 func TestDecisionDrivers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		figure func(Fleet) (float64, error)
-	}{{"job", DecisionPerJob}, {"list row", ListRowChange}, {"retune", RetunePerChange}} {
+	}{{"job", DecisionMicrosPerJob}, {"endpoint update", EndpointUpdateMicros}, {"quota change", QuotaChangeMicros}} {
 		if value, err := c.figure(smallFleet); err != nil || value <= 0 {
 			t.Errorf("%s: %v, %v", c.name, value, err)
 		}
 	}
 }
 
-// A start costs the hub three messages in and one out, and its answer names all executors that have work, up to what fits.
-func TestHubDriver(t *testing.T) {
+// A task start causes three messages to the aggregator and one answer, which names all executors with tasks, up to the
+// maximum number of entries.
+func TestAggregatorDriver(t *testing.T) {
 	f := smallFleet
 	f.Running = 400
-	small, err := HubPerStart(f)
+	small, err := AggregatorPerStart(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if small.MessagesIn != 3 || small.MessagesOut != 1 || small.Named < 1 || small.Named > float64(f.Executors) {
-		t.Errorf("%+v of %d executors", small, f.Executors)
+	if small.MessagesIn != 3 || small.MessagesOut != 1 || small.NamedExecutors < 1 || small.NamedExecutors > float64(f.Executors) {
+		t.Errorf("cost is %+v with %d executors", small, f.Executors)
 	}
 	f.Executors, f.Running = 400, 4000
-	large, err := HubPerStart(f)
-	if err != nil || large.Named != mostEntries {
-		t.Errorf("%+v, %v, want %d executors named", large, err, mostEntries)
+	large, err := AggregatorPerStart(f)
+	if err != nil || large.NamedExecutors != maxEntries {
+		t.Errorf("cost is %+v, %v, want %d executors named", large, err, maxEntries)
 	}
 }
 
-func TestWholeListDriver(t *testing.T) {
-	cost, err := WholeList(40)
+func TestEndpointListDriver(t *testing.T) {
+	cost, err := ReadEndpointList(40)
 	if err != nil || cost.Bytes < 40*100 {
 		t.Errorf("%+v, %v", cost, err)
 	}
 }
 
-// Each process renews its lease three times in the time that it lasts.
-func TestDutyDriver(t *testing.T) {
-	cost, err := DutySteps(5)
-	if err != nil || cost.WritesPerTerm < 1 || cost.WritesPerTerm > 4 {
+// A node renews its lease three times per TTL.
+func TestLeaseDriver(t *testing.T) {
+	cost, err := LeaseSteps(5)
+	if err != nil || cost.WritesPerLease < 1 || cost.WritesPerLease > 4 {
 		t.Errorf("%+v, %v", cost, err)
 	}
 }
@@ -75,10 +76,11 @@
 	}
 }
 
-// A write goes whole to both followers: the leader sends at least twice its record, each follower takes in at least the record.
+// A write is replicated to both followers in full: the leader sends at least twice the size of the record, and each
+// follower receives at least its size.
 func TestStoreDriver(t *testing.T) {
 	const value = 600
-	cost, err := StoreWrites(context.Background(), StoreLoad{Program: os.Args[0], Members: 3, Held: 50, Value: value, Clients: 2, Writes: 60})
+	cost, err := StoreWrites(context.Background(), StoreLoad{Program: os.Args[0], Members: 3, Records: 50, RecordBytes: value, Clients: 2, Writes: 60})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,12 +89,12 @@
 	}
 }
 
-// No two slopes have one name, and those that rows of the page rest on are measured by some role.
-func TestRolesMeasureWhatRowsRestOn(t *testing.T) {
+// Role names are unique, and each result file in docs/capacity belongs to a role.
+func TestResultFilesBelongToRoles(t *testing.T) {
 	known := map[string]bool{}
 	for _, role := range Roles {
 		if known[role.Name] {
-			t.Errorf("two roles are called %s", role.Name)
+			t.Errorf("two roles have the name %s", role.Name)
 		}
 		known[role.Name] = true
 	}
@@ -102,7 +104,7 @@
 	}
 	for _, name := range all.Names() {
 		if !known[name[:len(name)-len(".json")]] {
-			t.Errorf("%s is no role's file", name)
+			t.Errorf("%s belongs to no role", name)
 		}
 	}
 }
--- a/internal/capacity/measure/member.go
+++ b/internal/capacity/measure/member.go
@@ -14,26 +14,26 @@
 	"gatetack/internal/store"
 )
 
-// MemberConfig is what a member of the measured store is started with, in a process of its own.
+// MemberConfig is the configuration of a member of the measured store, which runs in its own process.
 type MemberConfig struct {
 	Name    string            `json:"name"`
 	Dir     string            `json:"dir"`
 	Members map[string]string `json:"members"` // addresses by name
-	Values  int               `json:"values"`  // of a table, in place of the limit that is in force
-	Bytes   int               `json:"bytes"`   // likewise
-	Conns   int               `json:"conns"`   // of calls that are served at a time, likewise
+	Values  int               `json:"values"`  // per table, replaces the default limit
+	Bytes   int               `json:"bytes"`   // per table, replaces the default limit
+	Conns   int               `json:"conns"`   // concurrent calls, replaces the default limit
 }
 
-// MemberStats is what a member's process has used so far.
+// MemberStats is the resource use of a member's process since its start.
 type MemberStats struct {
 	ProcessorNS int64  `json:"processor_ns"`
 	HeapBytes   uint64 `json:"heap_bytes"`
-	Leads       bool   `json:"leads"`
+	IsLeader    bool   `json:"leads"`
 	Index       uint64 `json:"index"`
-	Traffic            // of the connections between members: those of clients, one to a call, are closed by then
+	Traffic            // of connections between members; each client call closes its connection before the stats are read
 }
 
-// measuredLimits are a member's limits: the usual ones, but for how much a table may hold.
+// measuredLimits returns the default limits of a member with the limits that the configuration replaces.
 func measuredLimits(c MemberConfig) limits.Limits {
 	lim := limits.New(0, 0, 0, 0, 0)
 	if c.Values > 0 {
@@ -48,11 +48,11 @@
 	return lim
 }
 
-// RunMember runs a member of the store until its input ends, and writes what it has used for each line that it reads.
+// RunMember runs a member of the store until its input ends. It answers each input line with the member's stats.
 func RunMember(config string, in io.Reader, out io.Writer) error {
 	var c MemberConfig
 	if err := json.Unmarshal([]byte(config), &c); err != nil {
-		return fmt.Errorf("measure: a member's configuration: %w", err)
+		return fmt.Errorf("measure: parse member configuration: %w", err)
 	}
 	member, err := store.Open(store.Config{Name: c.Name, Dir: c.Dir, Listen: c.Members[c.Name], Members: c.Members},
 		measuredLimits(c), nil, slog.New(slog.DiscardHandler))
@@ -78,7 +78,7 @@
 }
 
 func memberStats(member *store.Store) (MemberStats, error) {
-	stats := MemberStats{ProcessorNS: processorTime().Nanoseconds(), Leads: member.IsLeader(), Index: member.View().Index()}
+	stats := MemberStats{ProcessorNS: processorTime().Nanoseconds(), IsLeader: member.IsLeader(), Index: member.View().Index()}
 	var err error
 	if stats.Traffic, err = openTraffic(); err != nil {
 		return stats, err
--- a/internal/capacity/measure/settings.go
+++ b/internal/capacity/measure/settings.go
@@ -7,9 +7,9 @@
 	"gatetack/internal/dispatch"
 )
 
-// RetunePerChange is the processor time, in microseconds, that a process takes to put one changed quota in force in its decision
-// module. Reading and checking the configuration comes on top.
-func RetunePerChange(f Fleet) (float64, error) {
+// QuotaChangeMicros returns the processor time, in microseconds, that the decision module needs to apply one changed
+// quota. Reading and validating the configuration is not included.
+func QuotaChangeMicros(f Fleet) (float64, error) {
 	d, err := newDispatcher(f)
 	if err != nil {
 		return 0, err
--- a/internal/capacity/measure/sockets.go
+++ b/internal/capacity/measure/sockets.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Traffic is what went over connections, as the kernel counts it.
+// Traffic is the traffic of connections as counted by the kernel.
 type Traffic struct {
 	BytesOut    uint64 `json:"bytes_out"`
 	BytesIn     uint64 `json:"bytes_in"`
@@ -27,30 +27,30 @@
 	t.SegmentsIn += uint64(info.Segs_in)
 }
 
-// trafficOf is what went over one connection.
+// trafficOf returns the traffic of one connection.
 func trafficOf(c net.Conn) (Traffic, error) {
 	var sum Traffic
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
-		return sum, fmt.Errorf("measure: a connection of %T, not of TCP", c)
+		return sum, fmt.Errorf("measure: connection is a %T, expected a TCP connection", c)
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return sum, err
 	}
 	var info *unix.TCPInfo
-	var asked error
-	if err := raw.Control(func(fd uintptr) { info, asked = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) }); err != nil {
+	var optionErr error
+	if err := raw.Control(func(fd uintptr) { info, optionErr = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) }); err != nil {
 		return sum, err
 	}
-	if asked != nil {
-		return sum, asked
+	if optionErr != nil {
+		return sum, optionErr
 	}
 	sum.add(info)
 	return sum, nil
 }
 
-// ownSockets calls each for all TCP sockets of this process. Those that are closed meanwhile are passed over.
+// ownSockets calls each for all TCP sockets of this process. It skips sockets that are closed in the meantime.
 func ownSockets(each func(fd int, info *unix.TCPInfo)) error {
 	const folder = "/proc/self/fd"
 	names, err := os.ReadDir(folder)
@@ -73,15 +73,15 @@
 	return nil
 }
 
-// openTraffic adds up what went over this process's open TCP connections.
+// openTraffic returns the total traffic of the open TCP connections of this process.
 func openTraffic() (Traffic, error) {
 	var sum Traffic
 	err := ownSockets(func(_ int, info *unix.TCPInfo) { sum.add(info) })
 	return sum, err
 }
 
-// standingConnections counts this process's connections whose own address is one of some.
-func standingConnections(addresses map[string]bool) (int, error) {
+// establishedConnections counts the established connections of this process whose local address is in addresses.
+func establishedConnections(addresses map[string]bool) (int, error) {
 	n := 0
 	err := ownSockets(func(fd int, info *unix.TCPInfo) {
 		const established = 1
--- a/internal/capacity/measure/statemachine.go
+++ b/internal/capacity/measure/statemachine.go
@@ -9,82 +9,82 @@
 	"gatetack/internal/limits"
 )
 
-// stateMachine is the store's state machine alone, without a log, with the records of so many tasks that run.
+// stateMachine is the state machine of the store without a log, with the records of the running tasks.
 type stateMachine struct {
-	state *kv.State
-	index uint64
-	value int
-	first int // the oldest task that runs
-	next  int // the number of the next one
+	state      *kv.State
+	index      uint64
+	valueBytes int
+	oldest     int // number of the oldest running task
+	next       int // number of the next task
 }
 
-// newStateMachine makes one whose bounds are the store's, but for how much a table may hold.
-func newStateMachine(tasks, value int) (*stateMachine, error) {
+// newStateMachine returns a state machine with the bounds of the store, except for the size of a table.
+func newStateMachine(tasks, valueBytes int) (*stateMachine, error) {
 	lim := limits.New(0, 0, 0, 0, 0)
-	s := &stateMachine{value: value,
+	s := &stateMachine{valueBytes: valueBytes,
 		state: kv.New(kv.Bounds{History: 8, Key: 512, Value: lim.StoreBodyBytes, Ops: 256, Results: 8192})}
 	for range tasks {
-		if err := s.begin(); err != nil {
+		if err := s.startTask(); err != nil {
 			return nil, err
 		}
 	}
 	return s, nil
 }
 
-// apply makes a transaction under the duty's epoch.
+// apply applies a transaction.
 func (s *stateMachine) apply(ops ...kv.Op) error {
 	s.index++
 	result := s.state.Apply(s.index, &kv.Txn{At: int64(s.index), ID: fmt.Sprintf("measured-%012d", s.index), Ops: ops})
 	if !result.OK() {
-		return fmt.Errorf("measure: a transaction was refused: %+v", result)
+		return fmt.Errorf("measure: transaction failed: %+v", result)
 	}
 	return nil
 }
 
 func taskKey(n int) string { return fmt.Sprintf("measured.0000019abcde.%012x", n) }
 
-func (s *stateMachine) record(key string, keep bool) kv.Op {
-	return kv.Op{Verb: kv.Put, Table: recordsTable, Key: key, Value: make([]byte, s.value), Keep: keep}
+func (s *stateMachine) putRecord(key string, keep bool) kv.Op {
+	return kv.Op{Verb: kv.Put, Table: recordsTable, Key: key, Value: make([]byte, s.valueBytes), Keep: keep}
 }
 
 func put(table, key, value string) kv.Op {
 	return kv.Op{Verb: kv.Put, Table: table, Key: key, Value: []byte(value), Keep: true}
 }
 
-// begin writes what stands of a task that runs: its submission, its intent and its start.
-func (s *stateMachine) begin() error {
+// startTask makes the writes of a task up to its start: its submission, its intent and its start.
+func (s *stateMachine) startTask() error {
 	key := taskKey(s.next)
 	s.next++
-	if err := s.apply(s.record(key, true), put(openTable, key, key)); err != nil {
+	if err := s.apply(s.putRecord(key, true), put(openTable, key, key)); err != nil {
 		return err
 	}
-	if err := s.apply(s.record(key, true), put(openTable, key, key), put(sentTable, key, key)); err != nil {
+	if err := s.apply(s.putRecord(key, true), put(openTable, key, key), put(sentTable, key, key)); err != nil {
 		return err
 	}
-	return s.apply(s.record(key, true), put(openTable, key, key), put(sentTable, key, key))
+	return s.apply(s.putRecord(key, true), put(openTable, key, key), put(sentTable, key, key))
 }
 
-// end writes the end of the oldest task, and lets its record go as the store's bound does.
-func (s *stateMachine) end() error {
-	key := taskKey(s.first)
-	s.first++
-	if err := s.apply(s.record(key, false), kv.Op{Verb: kv.Delete, Table: openTable, Key: key}, kv.Op{Verb: kv.Delete, Table: sentTable, Key: key}); err != nil {
+// endTask writes the end of the oldest task and deletes its record, as the store does at its limit of ended records.
+func (s *stateMachine) endTask() error {
+	key := taskKey(s.oldest)
+	s.oldest++
+	if err := s.apply(s.putRecord(key, false), kv.Op{Verb: kv.Delete, Table: openTable, Key: key}, kv.Op{Verb: kv.Delete, Table: sentTable, Key: key}); err != nil {
 		return err
 	}
 	return s.apply(kv.Op{Verb: kv.Delete, Table: recordsTable, Key: key})
 }
 
-// StateMachineCost is what the state machine takes.
+// StateMachineCost is the cost of the state machine.
 type StateMachineCost struct {
-	MicrosPerTask  float64 // of processor time, for all writes of one task
-	BytesPerState  float64 // of memory
-	SnapshotMillis float64 // of processor time, for one snapshot
+	MicrosPerTask  float64 // processor time of all writes of one task
+	BytesPerState  float64 // live memory
+	SnapshotMillis float64 // processor time of one snapshot
 }
 
-// StateMachineAt measures the state machine with so many tasks that run, each with a record of so many bytes.
-func StateMachineAt(tasks, value int) (StateMachineCost, error) {
+// StateMachineAt measures the state machine with the given number of running tasks and bytes per record.
+func StateMachineAt(tasks, valueBytes int) (StateMachineCost, error) {
 	empty := heapBytes()
-	s, err := newStateMachine(tasks, value)
+	s, err := newStateMachine(tasks, valueBytes)
 	if err != nil {
 		return StateMachineCost{}, err
 	}
@@ -92,10 +92,10 @@
 	const tasksPerRound = 50
 	used, err := perOperation(func() error {
 		for range tasksPerRound {
-			if err := s.begin(); err != nil {
+			if err := s.startTask(); err != nil {
 				return err
 			}
-			if err := s.end(); err != nil {
+			if err := s.endTask(); err != nil {
 				return err
 			}
 		}
--- a/internal/capacity/measure/store.go
+++ b/internal/capacity/measure/store.go
@@ -22,54 +22,54 @@
 	"gatetack/internal/store"
 )
 
-// StoreLoad says what is written to the measured store.
+// StoreLoad is the load of the measured store.
 type StoreLoad struct {
-	Program string // the tool itself, which each member is a process of
-	Members int
-	Held    int // task records that the store holds while it is measured
-	Value   int // bytes of a task's record
-	Clients int // that write side by side
-	Conns   int // connections of calls that the leader serves, 0 for its usual limit
-	Writes  int // that are measured
+	Program     string // path of this tool, which runs as each member
+	Members     int
+	Records     int // task records in the store during the measurement
+	RecordBytes int // size of a task record
+	Clients     int // concurrent writers
+	Conns       int // concurrent calls that the leader serves; 0 for the default limit
+	Writes      int // number of measured writes
 }
 
-// StoreCost is what writes cost the members.
+// StoreCost is the cost of writes at the members, per write unless the name says otherwise.
 type StoreCost struct {
 	WritesPerSecond  float64
 	MedianMS         float64
-	LeaderMicros     float64 // processor time of one write
+	LeaderMicros     float64 // processor time
 	FollowerMicros   float64
 	ClientMicros     float64
-	LeaderBytesOut   float64 // to the other members, of one write
+	LeaderBytesOut   float64 // to the other members
 	LeaderBytesIn    float64
 	FollowerBytesOut float64
 	FollowerBytesIn  float64
 	LeaderSegsOut    float64
 	FollowerSegsOut  float64
-	Repeats          float64 // calls that had to be made again, to one write
+	Retries          float64 // calls that were retried
 	LeaderHeap       float64
 	FollowerHeap     float64
 }
 
 const (
-	fillBatch    = 100 // records put by one transaction while the store is filled
+	fillBatch    = 100 // records per transaction while the store is filled
 	fillClients  = 4
 	memberWait   = 20 * time.Second
 	recordsTable = "job"
 	openTable    = "open"
 	sentTable    = "sent"
-	dutiesTable  = "duty"
-	dutyKey      = "measured.1"
+	leaseTable   = "duty"
+	leaseKey     = "measured.1"
 )
 
-// memberProcess is a member's process.
+// memberProcess is the process of a member.
 type memberProcess struct {
 	command *exec.Cmd
 	in      io.WriteCloser
 	out     *bufio.Reader
 }
 
-// startMember starts a member's process.
+// startMember starts the process of a member.
 func startMember(program string, c MemberConfig) (*memberProcess, error) {
 	config, err := json.Marshal(c)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return p, p.command.Start()
 }
 
-// stats asks the process what it has used.
+// stats asks the process for its resource use.
 func (p *memberProcess) stats() (MemberStats, error) {
 	var stats MemberStats
 	if _, err := io.WriteString(p.in, "\n"); err != nil {
@@ -101,7 +101,7 @@
 	return stats, json.Unmarshal(line, &stats)
 }
 
-// stop ends the process: a member whose input ends leaves.
+// stop closes the input of the process, upon which the member shuts down, and kills it if that takes longer than memberWait.
 func (p *memberProcess) stop() {
 	_ = p.in.Close()
 	timer := time.AfterFunc(memberWait, func() { _ = p.command.Process.Kill() })
@@ -109,19 +109,19 @@
 	_ = p.command.Wait()
 }
 
-// cluster is a store of several processes.
+// cluster is a store whose members are separate processes.
 type cluster struct {
 	members   []*memberProcess
 	addresses []string
 	lim       limits.Limits
-	repeats   atomic.Int64 // calls that were made again
+	retries   atomic.Int64 // retried calls
 
-	mu      sync.Mutex             // held while the members are asked
-	leader  int                    // which of them leads
-	address atomic.Pointer[string] // and where
+	mu      sync.Mutex             // held while the members are asked for the leader
+	leader  int                    // index of the leader
+	address atomic.Pointer[string] // address of the leader
 }
 
-// freeAddresses gives loopback addresses that nothing listens on.
+// freeAddresses returns loopback addresses with free ports.
 func freeAddresses(n int) ([]string, error) {
 	var out []string
 	for range n {
@@ -135,7 +135,7 @@
 	return out, nil
 }
 
-// startCluster starts the members and waits for a leader.
+// startCluster starts the members and waits until one of them is the leader.
 func startCluster(load StoreLoad, dir string) (*cluster, error) {
 	addresses, err := freeAddresses(load.Members)
 	if err != nil {
@@ -150,7 +150,7 @@
 	for i := range addresses {
 		name := fmt.Sprintf("m%d", i)
 		p, err := startMember(load.Program, MemberConfig{Name: name, Dir: filepath.Join(dir, name), Members: members,
-			Values: spare * (load.Held + load.Writes), Bytes: 1 << 30, Conns: load.Conns})
+			Values: spare * (load.Records + load.Writes), Bytes: 1 << 30, Conns: load.Conns})
 		if err != nil {
 			c.stop()
 			return nil, err
@@ -177,7 +177,7 @@
 	group.Wait()
 }
 
-// transact has the leader make a transaction, as a member that follows asks for it.
+// transact sends a transaction to the leader in the same way as a follower does.
 func (c *cluster) transact(ctx context.Context, t *kv.Txn) (*kv.Result, error) {
 	body, err := t.Marshal()
 	if err != nil {
@@ -192,12 +192,13 @@
 		return nil, err
 	}
 	if !result.OK() {
-		return nil, fmt.Errorf("measure: a transaction was refused: %+v", result)
+		return nil, fmt.Errorf("measure: transaction failed: %+v", result)
 	}
 	return result, nil
 }
 
-// call asks the leader. One that has no connection left, or leads no more, is asked again after as long as package store waits.
+// call sends a transaction to the leader. If the call fails, for example because the leader has no free connection or
+// has lost its leadership, call retries after the same backoff as package store.
 func (c *cluster) call(ctx context.Context, body []byte) (*http1.Message, error) {
 	for end := time.Now().Add(c.lim.StoreCallTimeout); ; {
 		address := *c.address.Load()
@@ -206,12 +207,12 @@
 		case err == nil && message.Status == 200:
 			return message, nil
 		case err == nil:
-			err = fmt.Errorf("measure: the leader says %d: %s", message.Status, message.Body)
+			err = fmt.Errorf("measure: the leader answered with status %d: %s", message.Status, message.Body)
 		}
 		if time.Now().After(end) {
 			return nil, err
 		}
-		c.repeats.Add(1)
+		c.retries.Add(1)
 		time.Sleep(c.lim.StoreElectionTimeout / 10)
 		c.mu.Lock()
 		if *c.address.Load() == address {
@@ -224,14 +225,14 @@
 	}
 }
 
-// findLeader asks the members which of them leads.
+// findLeader asks the members which of them is the leader.
 func (c *cluster) findLeader() error {
 	for i, p := range c.members {
 		stats, err := p.stats()
 		if err != nil {
 			return err
 		}
-		if stats.Leads {
+		if stats.IsLeader {
 			c.leader = i
 			c.address.Store(&c.addresses[i])
 			return nil
@@ -242,30 +243,31 @@
 
 var errNoLeader = errors.New("measure: the members have no leader")
 
-// fill puts the records in that the store holds while it is measured, and gives the epoch of the duty they belong to.
+// fill writes the records that the store holds during the measurement, and returns the epoch of the lease that fences
+// the measured writes.
 func (c *cluster) fill(ctx context.Context, load StoreLoad) (epoch uint64, err error) {
-	claim, err := c.transact(ctx, &kv.Txn{Ops: []kv.Op{{Verb: kv.Put, Table: dutiesTable, Key: dutyKey, Value: []byte("{}"), Keep: true}}})
+	claim, err := c.transact(ctx, &kv.Txn{Ops: []kv.Op{{Verb: kv.Put, Table: leaseTable, Key: leaseKey, Value: []byte("{}"), Keep: true}}})
 	if err != nil {
 		return 0, err
 	}
-	return claim.Version, c.each(ctx, fillClients, (load.Held+fillBatch-1)/fillBatch, func(i int) error {
+	return claim.Version, c.forEach(ctx, fillClients, (load.Records+fillBatch-1)/fillBatch, func(i int) error {
 		t := &kv.Txn{}
-		for k := i * fillBatch; k < min((i+1)*fillBatch, load.Held); k++ {
-			t.Ops = append(t.Ops, recordOps(fmt.Sprintf("held.%09d", k), load.Value)...)
+		for k := i * fillBatch; k < min((i+1)*fillBatch, load.Records); k++ {
+			t.Ops = append(t.Ops, recordOps(fmt.Sprintf("held.%09d", k), load.RecordBytes)...)
 		}
 		_, err := c.transact(ctx, t)
 		return err
 	})
 }
 
-// recordOps are what a submission writes: a task's record and its place among the open ones.
-func recordOps(key string, value int) []kv.Op {
-	return []kv.Op{{Verb: kv.Put, Table: recordsTable, Key: key, Value: make([]byte, value), Keep: true},
+// recordOps returns the operations of a submission: the record of a task and its entry in the table of open tasks.
+func recordOps(key string, valueBytes int) []kv.Op {
+	return []kv.Op{{Verb: kv.Put, Table: recordsTable, Key: key, Value: make([]byte, valueBytes), Keep: true},
 		{Verb: kv.Put, Table: openTable, Key: key, Value: []byte(key), Keep: true}}
 }
 
-// each calls work for all numbers below n from several goroutines, until one fails.
-func (c *cluster) each(ctx context.Context, workers, n int, work func(int) error) error {
+// forEach calls work for all numbers below n on several goroutines until a call fails.
+func (c *cluster) forEach(ctx context.Context, workers, n int, work func(int) error) error {
 	var next atomic.Int64
 	var failed atomic.Pointer[error]
 	var group sync.WaitGroup
@@ -285,7 +287,7 @@
 	return ctx.Err()
 }
 
-// StoreWrites measures fenced writes of task records by a store whose members are processes of their own.
+// StoreWrites measures fenced writes of task records by a store whose members are separate processes.
 func StoreWrites(ctx context.Context, load StoreLoad) (StoreCost, error) {
 	dir, err := os.MkdirTemp("", "capacity-store-")
 	if err != nil {
@@ -301,7 +303,7 @@
 	if err != nil {
 		return StoreCost{}, err
 	}
-	return c.write(ctx, load, epoch)
+	return c.measureWrites(ctx, load, epoch)
 }
 
 func (c *cluster) allStats() ([]MemberStats, error) {
@@ -316,8 +318,8 @@
 	return all, nil
 }
 
-// write makes the measured writes. Each goes under the epoch of its duty, as package leaseholder has it.
-func (c *cluster) write(ctx context.Context, load StoreLoad, epoch uint64) (StoreCost, error) {
+// measureWrites makes and measures the writes. Each is fenced with the epoch of its lease, as in package leaseholder.
+func (c *cluster) measureWrites(ctx context.Context, load StoreLoad, epoch uint64) (StoreCost, error) {
 	c.mu.Lock()
 	err := c.findLeader()
 	leader := c.leader
@@ -329,39 +331,39 @@
 	if err != nil {
 		return StoreCost{}, err
 	}
-	took := make([]time.Duration, load.Writes)
-	repeats := c.repeats.Load()
-	client, began := processorTime(), time.Now()
-	err = c.each(ctx, load.Clients, load.Writes, func(i int) error {
+	latencies := make([]time.Duration, load.Writes)
+	retriesBefore := c.retries.Load()
+	clientBefore, startedAt := processorTime(), time.Now()
+	err = c.forEach(ctx, load.Clients, load.Writes, func(i int) error {
 		t := &kv.Txn{ID: fmt.Sprintf("measured-%012d", i),
-			Ops: append([]kv.Op{{Verb: kv.Check, Table: dutiesTable, Key: dutyKey, Cond: true, If: epoch}},
-				recordOps(fmt.Sprintf("written.%09d", i), load.Value)...)}
-		asked := time.Now()
+			Ops: append([]kv.Op{{Verb: kv.Check, Table: leaseTable, Key: leaseKey, Cond: true, If: epoch}},
+				recordOps(fmt.Sprintf("written.%09d", i), load.RecordBytes)...)}
+		sentAt := time.Now()
 		_, err := c.transact(ctx, t)
-		took[i] = time.Since(asked)
+		latencies[i] = time.Since(sentAt)
 		return err
 	})
 	if err != nil {
 		return StoreCost{}, err
 	}
-	span, clientUsed := time.Since(began), processorTime()-client
+	span, clientUsed := time.Since(startedAt), processorTime()-clientBefore
 	after, err := c.allStats()
 	if err != nil {
 		return StoreCost{}, err
 	}
-	if c.leader != leader || !after[leader].Leads {
-		return StoreCost{}, errors.New("measure: the leader changed while it was measured")
+	if c.leader != leader || !after[leader].IsLeader {
+		return StoreCost{}, errors.New("measure: the leader changed during the measurement")
 	}
-	slices.Sort(took)
-	cost := StoreCost{WritesPerSecond: float64(load.Writes) / span.Seconds(), MedianMS: took[len(took)/2].Seconds() * 1000,
+	slices.Sort(latencies)
+	cost := StoreCost{WritesPerSecond: float64(load.Writes) / span.Seconds(), MedianMS: latencies[len(latencies)/2].Seconds() * 1000,
 		ClientMicros: clientUsed.Seconds() * 1e6 / float64(load.Writes),
-		Repeats:      float64(c.repeats.Load()-repeats) / float64(load.Writes)}
-	c.share(&cost, before, after, float64(load.Writes))
+		Retries:      float64(c.retries.Load()-retriesBefore) / float64(load.Writes)}
+	c.addMemberCosts(&cost, before, after, float64(load.Writes))
 	return cost, nil
 }
 
-// share takes what the members used, by their roles; followers count by their mean.
-func (c *cluster) share(cost *StoreCost, before, after []MemberStats, writes float64) {
+// addMemberCosts adds the resource use of the members to the cost by role. Values of followers are means.
+func (c *cluster) addMemberCosts(cost *StoreCost, before, after []MemberStats, writes float64) {
 	followers := float64(len(after) - 1)
 	for i := range after {
 		a, b := after[i], before[i]
--- a/internal/capacity/measure/suite.go
+++ b/internal/capacity/measure/suite.go
@@ -1,5 +1,6 @@
-// Package measure drives each role alone and gives its slopes. Processor time is that of the process, of all threads; bytes and
-// messages are counted where they pass. Nothing here speaks to anything but loopback.
+// Package measure loads each role in isolation and measures how its costs grow with the size of the fleet. Processor
+// time is that of all threads of the process. Bytes and messages are counted where they are sent or received. The
+// package uses loopback connections only.
 package measure
 
 import (
@@ -9,45 +10,45 @@
 	"gatetack/internal/capacity"
 )
 
-// Options are those of a measurement.
+// Options are the settings of a measurement.
 type Options struct {
-	Program string // the tool itself, which the store's members are processes of
-	Node    string // the built program
+	Program string // path of this tool, which runs as each member of the store
+	Node    string // path of the built node program
 	Seed    uint64
 }
 
-// Role measures all slopes of one role.
+// Role names a role and the function that measures all its series.
 type Role struct {
 	Name    string
 	Measure func(context.Context, Options) ([]capacity.Series, error)
 }
 
-// Roles are all that can be measured.
+// Roles lists all roles that can be measured.
 var Roles = []Role{
-	{"dispatcher", dispatcherRole}, {"decision", decisionRole}, {"list", listRole}, {"hub", hubRole}, {"settings", settingsRole}, {"duties", dutiesRole},
+	{"dispatcher", dispatcherRole}, {"decision", decisionRole}, {"list", listRole}, {"hub", aggregatorRole}, {"settings", settingsRole}, {"duties", leaseRole},
 	{"statemachine", stateMachineRole}, {"store", storeRole},
 }
 
-// The sizes that slopes are measured at.
+// The sizes at which series are measured.
 var (
-	executorSizes = []int{200, 800, 3100, 6200}
-	tenantSizes   = []int{15, 50, 150, 450}
-	startSizes    = []int{10, 30, 100, 300}
-	runningSizes  = []int{2800, 8400, 28000, 84000}
-	ownRunning    = []int{9, 27, 90, 270}
-	nodeSizes     = []int{10, 32, 100, 320}
+	executorSizes       = []int{200, 800, 3100, 6200}
+	tenantSizes         = []int{15, 50, 150, 450}
+	startRates          = []int{10, 30, 100, 300}
+	runningSizes        = []int{2800, 8400, 28000, 84000}
+	processRunningSizes = []int{9, 27, 90, 270}
+	nodeSizes           = []int{10, 32, 100, 320}
 )
 
-// The sizes of what does not grow in a series.
+// The sizes that stay fixed while another one grows.
 const (
-	usualExecutors = 6200
-	usualTenants   = 450
-	usualProcesses = 320
-	usualRunning   = 84000
-	tasksPerWorker = 13.5 // 84,000 over 6,200
-	recordBytes    = capacity.RecordKeptBytes
-	storeClients   = 4
-	storeWrites    = 1500
+	defaultExecutors = 6200
+	defaultTenants   = 450
+	defaultProcesses = 320
+	defaultRunning   = 84000
+	tasksPerExecutor = 13.5 // 84,000 running tasks on 6,200 executors
+	recordBytes      = capacity.RecordBytes
+	storeClients     = 4
+	storeWrites      = 1500
 )
 
 // slope is a series that is being measured.
@@ -55,15 +56,15 @@
 	capacity.Series
 }
 
-func newSlope(id, role, what, unit, grows, fixed string) *slope {
-	return &slope{capacity.Series{ID: id, Role: role, What: what, Unit: unit, Grows: grows, Fixed: fixed}}
+func newSlope(id, role, quantity, unit, growsWith, fixed string) *slope {
+	return &slope{capacity.Series{ID: id, Role: role, Quantity: quantity, Unit: unit, GrowsWith: growsWith, Fixed: fixed}}
 }
 
 func (s *slope) add(size int, value float64) {
 	s.Points = append(s.Points, capacity.Point{Size: float64(size), Value: value})
 }
 
-// sweep measures a slope of one figure at all sizes.
+// sweep measures one quantity at all sizes.
 func (s *slope) sweep(ctx context.Context, sizes []int, figure func(size int) (float64, error)) (capacity.Series, error) {
 	for _, size := range sizes {
 		if err := ctx.Err(); err != nil {
@@ -78,22 +79,23 @@
 	return s.Series, nil
 }
 
-// fleetOf is a process's part of a fleet of the usual sizes.
-func fleetOf(o Options) Fleet {
-	return Fleet{Executors: usualExecutors, Tenants: usualTenants, Processes: usualProcesses, Running: usualRunning / usualProcesses, Seed: o.Seed}
+// defaultFleet returns the share of one process in a fleet of the default sizes.
+func defaultFleet(o Options) Fleet {
+	return Fleet{Executors: defaultExecutors, Tenants: defaultTenants, Processes: defaultProcesses, Running: defaultRunning / defaultProcesses, Seed: o.Seed}
 }
 
-type single struct {
+// sweepSpec is a series with its sizes and the function that measures its value at a size.
+type sweepSpec struct {
 	slope  *slope
 	sizes  []int
 	figure func(int) (float64, error)
 }
 
-// sweepAll measures slopes one after another, and gives those that were measured before one failed.
-func sweepAll(ctx context.Context, all []single) ([]capacity.Series, error) {
+// sweepAll measures series one after another. On an error it returns the series that are already complete.
+func sweepAll(ctx context.Context, all []sweepSpec) ([]capacity.Series, error) {
 	var out []capacity.Series
-	for _, one := range all {
-		series, err := one.slope.sweep(ctx, one.sizes, one.figure)
+	for _, spec := range all {
+		series, err := spec.slope.sweep(ctx, spec.sizes, spec.figure)
 		if err != nil {
 			return out, err
 		}
@@ -118,7 +120,7 @@
 		newSlope("executor.out.starts", executor, "bytes out, to one process", "bytes/s", grows, fixed),
 		newSlope("executor.connections.starts", executor, "connections that stand, of one process", "connections", grows, fixed),
 	}
-	for _, n := range startSizes {
+	for _, n := range startRates {
 		cost, err := Dispatcher(ctx, o.Node, n)
 		if err != nil {
 			return nil, err
@@ -131,7 +133,7 @@
 	return seriesOf(slopes), nil
 }
 
-// seriesOf gives what was measured of several slopes.
+// seriesOf returns the series of several slopes.
 func seriesOf(slopes []*slope) []capacity.Series {
 	var all []capacity.Series
 	for _, s := range slopes {
@@ -144,23 +146,23 @@
 	const role = "dispatcher: decision"
 	at := func(change func(*Fleet, int), figure func(Fleet) (float64, error)) func(int) (float64, error) {
 		return func(size int) (float64, error) {
-			f := fleetOf(o)
+			f := defaultFleet(o)
 			change(&f, size)
 			return figure(f)
 		}
 	}
 	executors := func(f *Fleet, n int) {
-		f.Executors, f.Running = n, max(1, int(tasksPerWorker*float64(n))/usualProcesses)
+		f.Executors, f.Running = n, max(1, int(tasksPerExecutor*float64(n))/defaultProcesses)
 	}
 	tenants := func(f *Fleet, n int) { f.Tenants = n }
 	running := func(f *Fleet, n int) { f.Running = n }
-	return sweepAll(ctx, []single{
+	return sweepAll(ctx, []sweepSpec{
 		{newSlope("decision.job.executors", role, "processor time of a job", "us", "executors", "450 tenants, 320 processes, 13.5 tasks an executor"),
-			executorSizes, at(executors, DecisionPerJob)},
+			executorSizes, at(executors, DecisionMicrosPerJob)},
 		{newSlope("decision.job.tenants", role, "processor time of a job", "us", "tenants", "6,200 executors, 262 tasks of this process"),
-			tenantSizes, at(tenants, DecisionPerJob)},
+			tenantSizes, at(tenants, DecisionMicrosPerJob)},
 		{newSlope("decision.job.running", role, "processor time of a job", "us", "running tasks of the process", "6,200 executors, 450 tenants"),
-			ownRunning, at(running, DecisionPerJob)},
+			processRunningSizes, at(running, DecisionMicrosPerJob)},
 		{newSlope("decision.bytes.executors", role, "memory", "bytes", "executors", "450 tenants, 320 processes, 13.5 tasks an executor"),
 			executorSizes, at(executors, DecisionBytes)},
 	})
@@ -168,24 +170,24 @@
 
 func listRole(ctx context.Context, o Options) ([]capacity.Series, error) {
 	const role = "distributor of lists"
-	rowChange := func(n int) (float64, error) {
-		f := fleetOf(o)
+	endpointUpdate := func(n int) (float64, error) {
+		f := defaultFleet(o)
 		f.Executors, f.Running = n, 1
-		return ListRowChange(f)
+		return EndpointUpdateMicros(f)
 	}
-	size := func(n int) (float64, error) { return float64(len(listLine(n))), nil }
-	reading := func(n int) (float64, error) {
-		cost, err := WholeList(n)
+	bytes := func(n int) (float64, error) { return float64(len(endpointListLine(n))), nil }
+	parse := func(n int) (float64, error) {
+		cost, err := ReadEndpointList(n)
 		return cost.Micros, err
 	}
-	return sweepAll(ctx, []single{
-		{newSlope("list.row.executors", role, "processor time of one changed row, in each process", "us", "executors", "450 tenants"), executorSizes, rowChange},
-		{newSlope("list.bytes.executors", role, "bytes of a whole list, to each process that begins", "bytes", "executors", ""), executorSizes, size},
-		{newSlope("list.read.executors", role, "processor time of reading a whole list", "us", "executors", ""), executorSizes, reading},
+	return sweepAll(ctx, []sweepSpec{
+		{newSlope("list.row.executors", role, "processor time of one changed row, in each process", "us", "executors", "450 tenants"), executorSizes, endpointUpdate},
+		{newSlope("list.bytes.executors", role, "bytes of a whole list, to each process that begins", "bytes", "executors", ""), executorSizes, bytes},
+		{newSlope("list.read.executors", role, "processor time of reading a whole list", "us", "executors", ""), executorSizes, parse},
 	})
 }
 
-func hubRole(ctx context.Context, o Options) ([]capacity.Series, error) {
+func aggregatorRole(ctx context.Context, o Options) ([]capacity.Series, error) {
 	const role = "hub"
 	const fixedExecutors = "320 processes, 13.5 tasks an executor"
 	cpu := newSlope("hub.start.executors", role, "processor time of a start", "us", "executors", fixedExecutors)
@@ -196,24 +198,25 @@
 	memory := newSlope("hub.bytes.executors", role, "memory", "bytes", "executors", fixedExecutors)
 	all := []*slope{cpu, in, out, messages, named, memory}
 	for _, n := range executorSizes {
-		f := fleetOf(o)
-		f.Executors, f.Running = n, int(tasksPerWorker*float64(n))
-		cost, err := HubPerStart(f)
+		f := defaultFleet(o)
+		f.Executors, f.Running = n, int(tasksPerExecutor*float64(n))
+		cost, err := AggregatorPerStart(f)
 		if err != nil {
 			return nil, err
 		}
-		for i, value := range []float64{cost.Microseconds, cost.BytesIn, cost.BytesOut, cost.MessagesIn + cost.MessagesOut, cost.Named, cost.HeapBytes} {
+		for i, value := range []float64{cost.Microseconds, cost.BytesIn, cost.BytesOut, cost.MessagesIn + cost.MessagesOut, cost.NamedExecutors, cost.HeapBytes} {
 			all[i].add(n, value)
 		}
 	}
 	series := seriesOf(all)
-	// No slope by processes: a hub is used with some 66 to 1,000 of them, less than the factor that a slope is measured over.
-	more, err := sweepAll(ctx, []single{
+	// There is no series by processes, because an aggregator serves some 66 to 1,000 of them, a smaller factor than a series
+	// has to span.
+	more, err := sweepAll(ctx, []sweepSpec{
 		{newSlope("hub.start.running", role, "processor time of a start", "us", "running tasks", "6,200 executors, 320 processes"), runningSizes,
 			func(n int) (float64, error) {
-				f := fleetOf(o)
+				f := defaultFleet(o)
 				f.Running = n
-				cost, err := HubPerStart(f)
+				cost, err := AggregatorPerStart(f)
 				return cost.Microseconds, err
 			}},
 	})
@@ -222,17 +225,17 @@
 
 func settingsRole(ctx context.Context, o Options) ([]capacity.Series, error) {
 	const role = "distributor of settings"
-	return sweepAll(ctx, []single{
+	return sweepAll(ctx, []sweepSpec{
 		{newSlope("settings.retune.tenants", role, "processor time of one changed quota, in each process", "us", "tenants", "6,200 executors"), tenantSizes,
 			func(n int) (float64, error) {
-				f := fleetOf(o)
+				f := defaultFleet(o)
 				f.Tenants = n
-				return RetunePerChange(f)
+				return QuotaChangeMicros(f)
 			}},
 	})
 }
 
-func dutiesRole(ctx context.Context, _ Options) ([]capacity.Series, error) {
+func leaseRole(ctx context.Context, _ Options) ([]capacity.Series, error) {
 	const role = "owner of duties"
 	steps := newSlope("duties.step.nodes", role, "processor time of a step of the loop, ten a second", "us", "processes", "one duty a process")
 	writes := newSlope("duties.writes.nodes", role, "writes to the store for each time of a lease (3 s), of one process", "writes", "processes", "one duty a process")
@@ -240,12 +243,12 @@
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
-		cost, err := DutySteps(n)
+		cost, err := LeaseSteps(n)
 		if err != nil {
 			return nil, err
 		}
 		steps.add(n, cost.MicrosPerStep)
-		writes.add(n, cost.WritesPerTerm)
+		writes.add(n, cost.WritesPerLease)
 	}
 	return []capacity.Series{steps.Series, writes.Series}, nil
 }
@@ -287,7 +290,7 @@
 		newSlope("store.client.held", client, "processor time of a write", "us", "records held", fixed),
 	}
 	for _, n := range runningSizes {
-		cost, err := StoreWrites(ctx, StoreLoad{Program: o.Program, Members: 3, Held: n, Value: recordBytes, Clients: storeClients, Writes: storeWrites})
+		cost, err := StoreWrites(ctx, StoreLoad{Program: o.Program, Members: 3, Records: n, RecordBytes: recordBytes, Clients: storeClients, Writes: storeWrites})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -91,13 +91,13 @@
 func (r Row) cells(all *Results) ([]string, error) {
 	series, run, ok := all.Series(r.SeriesID)
 	if !ok {
-		return []string{r.Role, r.What, notMeasured, "", "", "", r.BudgetText, "", r.Mechanism, notMeasured}, nil
+		return []string{r.Role, r.Resource, notMeasured, "", "", "", r.BudgetText, "", r.Mechanism, notMeasured}, nil
 	}
 	fit, err := FitSeries(series.Points)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", series.ID, err)
 	}
-	cells := []string{r.Role, r.What, fmt.Sprintf("%s, by %s", fit.Form, series.Grows)}
+	cells := []string{r.Role, r.Resource, fmt.Sprintf("%s, by %s", fit.Form, series.GrowsWith)}
 	for _, s := range sizes {
 		cells = append(cells, amount(r.Figure(s, fit), r.Unit))
 	}
@@ -144,7 +144,7 @@
 			for _, p := range s.Points {
 				points = append(points, fmt.Sprintf("%s: %s", short(p.Size), short(p.Value)))
 			}
-			rows = append(rows, []string{s.Role, s.What + " (" + s.Unit + ")", s.Grows, strings.Join(points, "; "),
+			rows = append(rows, []string{s.Role, s.Quantity + " (" + s.Unit + ")", s.GrowsWith, strings.Join(points, "; "),
 				fit.formula(), fmt.Sprintf("%.1f%%", 100*fit.Residual), "`" + result.Run.Command + "`"})
 		}
 	}
@@ -185,11 +185,11 @@
 			return "", fmt.Errorf("%s: %w", series.ID, err)
 		}
 		if at := r.BreaksAt(fit); at <= 1 {
-			list = append(list, breakage{at, r.Role + ": " + r.What, factorText(r.Figure(Target, fit) / r.Budget(Target, fit))})
+			list = append(list, breakage{at, r.Role + ": " + r.Resource, factorText(r.Figure(Target, fit) / r.Budget(Target, fit))})
 		}
 	}
 	for _, b := range Bounds() {
-		if b.Factor() > 1 && b.Grows {
+		if b.Factor() > 1 && b.GrowsWithFleet {
 			list = append(list, breakage{1 / b.Factor(), "limit `" + b.Name + "`: " + b.What, factorText(b.Factor())})
 		}
 	}
@@ -206,7 +206,7 @@
 type Fault struct {
 	What      string
 	Frequency string
-	Rows      float64 // updates of the endpoint list
+	Updates   float64 // updates of the endpoint list
 }
 
 // Faults lists the faults of the target. An executor that fails and recovers causes two updates of the endpoint list.
@@ -222,7 +222,7 @@
 	listSeries, _, hasList := all.Series("list.bytes.executors")
 	var rows [][]string
 	for _, f := range Faults {
-		cells := []string{f.What, f.Frequency, short(math.Round(f.Rows)), notMeasured, notMeasured, "`" + "internal/dispatch" + "`, `internal/discovery`"}
+		cells := []string{f.What, f.Frequency, short(math.Round(f.Updates)), notMeasured, notMeasured, "`" + "internal/dispatch" + "`, `internal/discovery`"}
 		if hasUpdates && hasList {
 			updateFit, err := FitSeries(updateSeries.Points)
 			if err != nil {
@@ -232,8 +232,8 @@
 			if err != nil {
 				return "", err
 			}
-			cells[3] = amount(f.Rows*updateFit.At(Target.Executors)*perMicro, "core seconds")
-			cells[4] = amount(f.Rows*listFit.At(Target.Executors)/Target.Executors, "bytes")
+			cells[3] = amount(f.Updates*updateFit.At(Target.Executors)*perMicro, "core seconds")
+			cells[4] = amount(f.Updates*listFit.At(Target.Executors)/Target.Executors, "bytes")
 		}
 		rows = append(rows, cells)
 	}
--- a/internal/capacity/result.go
+++ b/internal/capacity/result.go
@@ -44,13 +44,13 @@
 
 // Series is the value of one quantity of a role at several sizes of one parameter, while all other sizes stay fixed.
 type Series struct {
-	ID     string  `json:"id"`
-	Role   string  `json:"role"`
-	What   string  `json:"what"`
-	Unit   string  `json:"unit"`
-	Grows  string  `json:"grows"` // the parameter
-	Fixed  string  `json:"fixed"` // the other sizes
-	Points []Point `json:"points"`
+	ID        string  `json:"id"`
+	Role      string  `json:"role"`
+	Quantity  string  `json:"what"`
+	Unit      string  `json:"unit"`
+	GrowsWith string  `json:"grows"` // the parameter
+	Fixed     string  `json:"fixed"` // the other sizes
+	Points    []Point `json:"points"`
 }
 
 // Result is the content of a result file.
@@ -164,7 +164,7 @@
 }
 
 func (s *Series) check() error {
-	for _, field := range []struct{ name, value string }{{"id", s.ID}, {"role", s.Role}, {"what", s.What}, {"unit", s.Unit}, {"grows", s.Grows}} {
+	for _, field := range []struct{ name, value string }{{"id", s.ID}, {"role", s.Role}, {"what", s.Quantity}, {"unit", s.Unit}, {"grows", s.GrowsWith}} {
 		if field.value == "" {
 			return fmt.Errorf("%s is empty, expected a text", field.name)
 		}
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -45,8 +45,8 @@
 // start and its end (in internal/batch).
 const WritesPerTask = 4
 
-// RecordKeptBytes is the number of bytes in the store per running task, equal to the record size of the measurement.
-const RecordKeptBytes = 600
+// RecordBytes is the number of bytes in the store per running task, equal to the record size of the measurement.
+const RecordBytes = 600
 
 // Mix is a kind of job in the assumed mix of jobs.
 type Mix struct {
