--- a/test/data_test.go
+++ b/test/data_test.go
@@ -34,7 +34,7 @@
 	}
 	f.startAll()
 	n := 0
-	round := func(input string, box int) {
+	round := func(input string, executor int) {
 		t.Helper()
 		var ids []string
 		for i := range 10 {
@@ -49,9 +49,9 @@
 				return v.Get("jobState").String() == "DONE"
 			})
 			_, v := s.drmaa("GET", "/jobs/"+id, "")
-			if got := v.Get("allocatedMachines").Raw + v.Get("machines").Raw + v.Raw; !strings.Contains(got, f[0].executors[box].Name) {
+			if got := v.Get("allocatedMachines").Raw + v.Get("machines").Raw + v.Raw; !strings.Contains(got, f[0].executors[executor].Name) {
 				t.Errorf("input %s at %s: job %s, want it at executor %s",
-					input, s.name, v.Raw, f[0].executors[box].Name)
+					input, s.name, v.Raw, f[0].executors[executor].Name)
 			}
 			if text := v.Get("annotation").String(); text != "" && !strings.HasPrefix(text, "data: ") {
 				t.Errorf("annotation %q, want the prefix \"data: \"", text)
--- a/test/deployments_test.go
+++ b/test/deployments_test.go
@@ -23,7 +23,7 @@
 // class is one request class of a deployment under test.
 type class struct {
 	name, effect, scope string
-	deadlineMs          int // ms
+	deadlineMs          int
 	slots               []int
 }
 
@@ -41,46 +41,53 @@
 	mayDuplicate    bool
 	cancels         bool
 	weightByWork    bool
-	drainGraceMs    int // ms
+	drainGraceMs    int
 	sendsRetryAfter bool
-	connIdleMs      int // connIdle, ms
+	connIdleMs      int
 	dedupWindowMs   int // executors drop repeats of keyed jobs within this time; 0 for 20 s, longer than any job lasts
 	pollWithinMs    int // the node polls the endpoint list within this time; 0 for 5000
 	budgetMultiple  float64
 }
 
 var deployments = []deployment{
-	{name: "reports in responses, subscribed lists, one zone, a keyed class", discoveryMode: "subscribe", reportMode: "piggyback", reportFields: `"pending","x0"`,
-		notifiesStarts: true, maxAttempts: 3, mayDuplicate: true, cancels: true, drainGraceMs: 500, sendsRetryAfter: true, connIdleMs: 60000, zones: []string{"east"},
+	{name: "reports in responses, subscribed lists, one zone, a keyed class", discoveryMode: "subscribe", reportMode: "piggyback",
+		reportFields:   `"pending","x0"`,
+		notifiesStarts: true, maxAttempts: 3, mayDuplicate: true, cancels: true,
+		drainGraceMs: 500, sendsRetryAfter: true, connIdleMs: 60000, zones: []string{"east"},
 		classes: []class{{"bill", "single_shot", "", 3000, []int{1}}, {"draw", "guarded", "cell", 5000, []int{1}}}},
 	{name: "reports by probe, automatic lists, no notifications, jobs of several slots, three classes at most once", discoveryMode: "automatic", reportMode: "pull",
-		reportFields: `"pending","served_ps","x0"`, maxAttempts: 6, mayDuplicate: true, cancels: true, weightByWork: true, drainGraceMs: 3000, sendsRetryAfter: true,
+		reportFields: `"pending","served_ps","x0"`, maxAttempts: 6, mayDuplicate: true, cancels: true,
+		weightByWork: true, drainGraceMs: 3000, sendsRetryAfter: true,
 		connIdleMs: 30000, zones: []string{"north", "south"},
 		classes: []class{{"look", "free", "", 2000, []int{1}}, {"book", "single_shot", "", 3000, []int{1, 1, 2, 4}},
 			{"enrol", "single_shot", "", 5000, []int{1, 2, 4}}, {"remind", "single_shot", "", 2000, []int{1, 2}}}},
-	{name: "no reports, one attempt, no duplicates, no cancellation, four zones", discoveryMode: "automatic", reportMode: "silent", maxAttempts: 1, drainGraceMs: 1000,
+	{name: "no reports, one attempt, no duplicates, no cancellation, four zones", discoveryMode: "automatic", reportMode: "silent",
+		maxAttempts: 1, drainGraceMs: 1000,
 		connIdleMs: 2000, zones: []string{"a", "b", "c", "d"},
 		classes: []class{{"read", "free", "", 2000, []int{1}}, {"write", "single_shot", "", 3000, []int{1, 2}}}},
-	{name: "messages between nodes, classes keyed by zone and globally", discoveryMode: "subscribe", reportMode: "piggyback", reportFields: `"busy_reqs","cpu_share"`,
+	{name: "messages between nodes, classes keyed by zone and globally", discoveryMode: "subscribe", reportMode: "piggyback",
+		reportFields:   `"busy_reqs","cpu_share"`,
 		notifiesStarts: true, peers: true, maxAttempts: 4, mayDuplicate: true,
 		cancels: true, drainGraceMs: 500, sendsRetryAfter: true, connIdleMs: 5000,
 		zones: []string{"x", "y"}, classes: []class{{"zonal", "guarded", "zone", 3000, []int{1}}, {"anywhere", "guarded", "all", 3000, []int{1, 2}},
 			{"once", "single_shot", "", 3000, []int{1}}}},
-	{name: "starts and progress notified, two attempts, one class without duplicates", discoveryMode: "subscribe", reportMode: "pull", reportFields: `"x0"`,
-		notifiesStarts: true, maxAttempts: 2, cancels: false, drainGraceMs: 800, sendsRetryAfter: false, connIdleMs: 60000, zones: []string{"p", "q", "r"},
+	{name: "starts and progress notified, two attempts, one class without duplicates", discoveryMode: "subscribe", reportMode: "pull",
+		reportFields:   `"x0"`,
+		notifiesStarts: true, maxAttempts: 2, cancels: false, drainGraceMs: 800, sendsRetryAfter: false,
+		connIdleMs: 60000, zones: []string{"p", "q", "r"},
 		classes: []class{{"only", "guarded", "cell", 3000, []int{1, 2}}}},
 }
 
 const (
-	coldShare      = 0.3
-	warmUpMs       = 4000
-	budgetWindowMs = 1000
-	multiple       = 2.5
-	executorSlots  = 4
-	jobDuration    = 60 * time.Millisecond
-	protocolSlack  = 50 * time.Millisecond // the protocol's tolerance on every time limit
-	restartSlack   = 50 * time.Millisecond
-	clientSlack    = time.Second // a client of this test may read its response late on a busy machine
+	coldShare             = 0.3
+	warmUpMs              = 4000
+	budgetWindowMs        = 1000
+	defaultBudgetMultiple = 2.5
+	executorSlots         = 4
+	jobDuration           = 60 * time.Millisecond
+	protocolSlack         = 50 * time.Millisecond // the protocol's tolerance on every time limit
+	restartSlack          = 50 * time.Millisecond
+	clientSlack           = time.Second // a client of this test may read its response late on a busy machine
 )
 
 func (d *deployment) settings() string {
@@ -113,7 +120,7 @@
 "invariants":{"answerSlack":16.0,"askWithin":%d,"coldFrom":%v,"drainGrace":%d,"fall":%d,"fallMultiple":%v,"warmWithin":%d},
 "fees":{"crossZone":0.1,"probe":0.002},"requestClasses":[%s],"tenants":[{"name":"pohjakaart","portion":1.0,"quotaRps":100.0}]}`,
 		balancers, quote(d.zones), d.discoveryMode, worth, d.reportMode, d.reportFields, strings.Join(minus, ","), strings.Join(stretch, ","), d.notifiesStarts, progress,
-		d.cancels, d.connIdleMs, d.maxAttempts, d.mayDuplicate, d.peers, d.reportMode == "pull", d.sendsRetryAfter, cmp.Or(d.pollWithinMs, 5000), coldShare, d.drainGraceMs, budgetWindowMs, cmp.Or(d.budgetMultiple, multiple), warmUpMs,
+		d.cancels, d.connIdleMs, d.maxAttempts, d.mayDuplicate, d.peers, d.reportMode == "pull", d.sendsRetryAfter, cmp.Or(d.pollWithinMs, 5000), coldShare, d.drainGraceMs, budgetWindowMs, cmp.Or(d.budgetMultiple, defaultBudgetMultiple), warmUpMs,
 		strings.Join(classes, ","))
 }
 
@@ -126,7 +133,7 @@
 }
 
 // newKillableExecutor returns an executor and a function that ends it as the death of a process does: its connections break, and
-// new ones are rejected.
+// new ones fail.
 func newKillableExecutor(t *testing.T, s *testNode, name string) (*testenv.Executor, context.CancelFunc) {
 	t.Helper()
 	ctx, kill := context.WithCancel(s.ctx)
@@ -162,10 +169,13 @@
 	some := rapid.Custom(func(t *rapid.T) *deployment {
 		on := func(what string) bool { return rapid.Bool().Draw(t, what) }
 		ms := func(what string, least, most int) int { return rapid.IntRange(least, most).Draw(t, what) }
-		d := &deployment{discoveryMode: rapid.SampledFrom([]string{"subscribe", "automatic"}).Draw(t, "lists"),
-			reportMode: rapid.SampledFrom([]string{"piggyback", "pull", "silent"}).Draw(t, "reports"), reportFields: `"pending","x0"`, notifiesStarts: on("told"), peers: on("peers"),
-			maxAttempts: ms("attempts", 1, 6), mayDuplicate: on("copies"), cancels: on("cancel"), weightByWork: on("by work"), drainGraceMs: ms("grace", 300, 3000),
-			sendsRetryAfter: on("retries"), connIdleMs: ms("idle", 1000, 60000), dedupWindowMs: ms("window", 300, 5000), pollWithinMs: ms("within", 3000, 12000),
+		d := &deployment{discoveryMode: rapid.SampledFrom([]string{"subscribe", "automatic"}).Draw(t, "discovery mode"),
+			reportMode: rapid.SampledFrom([]string{"piggyback", "pull", "silent"}).Draw(t, "report mode"), reportFields: `"pending","x0"`,
+			notifiesStarts: on("notifies starts"), peers: on("peers"),
+			maxAttempts: ms("attempts", 1, 6), mayDuplicate: on("may duplicate"), cancels: on("cancels"),
+			weightByWork: on("weight by work"), drainGraceMs: ms("drain grace", 300, 3000),
+			sendsRetryAfter: on("sends retry-after"), connIdleMs: ms("idle", 1000, 60000),
+			dedupWindowMs: ms("dedup window", 300, 5000), pollWithinMs: ms("poll within", 3000, 12000),
 			budgetMultiple: rapid.Float64Range(2, 4).Draw(t, "multiple")}
 		for i := range ms("zones", 1, 4) {
 			d.zones = append(d.zones, fmt.Sprint("zone-", i))
@@ -176,8 +186,8 @@
 			if c.effect == "guarded" {
 				c.scope = rapid.SampledFrom([]string{"all", "zone", "cell"}).Draw(t, "scope")
 			}
-			for range ms("widths", 1, 3) {
-				c.slots = append(c.slots, ms("width", 1, 4))
+			for range ms("slot counts", 1, 3) {
+				c.slots = append(c.slots, ms("slots", 1, 4))
 			}
 			d.classes = append(d.classes, c)
 		}
@@ -333,7 +343,7 @@
 	for _, j := range jobs {
 		width[j.id] = j.slots
 	}
-	checkColdBudget(t, cold, width, cmp.Or(d.budgetMultiple, multiple))
+	checkColdBudget(t, cold, width, cmp.Or(d.budgetMultiple, defaultBudgetMultiple))
 }
 
 // checkStarts checks that a job started only as often and where its class allows.
@@ -372,7 +382,7 @@
 	}
 }
 
-// checkColdBudget checks that the work sent to a cold executor in any window stays within its capacity at that time.
+// checkColdBudget checks that the work sent to a cold executor in any window is at most a multiple of its capacity at that time.
 func checkColdBudget(t *testing.T, cold *testenv.Executor, width map[string]int, multiple float64) {
 	t.Helper()
 	all := cold.Starts()
@@ -383,8 +393,8 @@
 		}
 		age := float64(all[i].At.Sub(cold.StartedAt).Milliseconds())
 		share := min(1, coldShare+(1-coldShare)*age/warmUpMs)
-		if most := multiple * share * executorSlots * budgetWindowMs; sum > most {
-			t.Errorf("a cold executor got %.0f ms of work within %d ms, want at most %.0f", sum, budgetWindowMs, most)
+		if limit := multiple * share * executorSlots * budgetWindowMs; sum > limit {
+			t.Errorf("a cold executor got %.0f ms of work within %d ms, want at most %.0f", sum, budgetWindowMs, limit)
 			return
 		}
 	}
--- a/test/golden_test.go
+++ b/test/golden_test.go
@@ -22,7 +22,7 @@
 )
 
 // The golden files under testdata/golden pin what the program prints, answers and stores. A refactoring or a rename changes none of
-// them. GOLDEN_UPDATE=1 rewrites them after an intended change of behaviour.
+// them. GOLDEN_UPDATE=1 rewrites them after an intended change of behavior.
 
 const goldenFolder = "testdata/golden"
 
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -69,7 +69,7 @@
 // defaultSettings are the settings as they stand in the first message of the simulator.
 const defaultSettings = testenv.Settings
 
-func newTestNode(t *testing.T, boxes int, run time.Duration) *testNode {
+func newTestNode(t *testing.T, executorCount int, run time.Duration) *testNode {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
 	ports, err := testenv.FreeAddrs(3)
@@ -81,7 +81,7 @@
 	if s.discovery, err = testenv.NewDiscovery(ctx, g); err != nil {
 		t.Fatal(err)
 	}
-	for i := range boxes {
+	for i := range executorCount {
 		b, err := testenv.NewExecutor(ctx, g, fmt.Sprintf("s-%08x", i+1), s.listen, run)
 		if err != nil {
 			t.Fatal(err)
