--- a/test/kill_soak_test.go
+++ b/test/kill_soak_test.go
@@ -42,7 +42,7 @@
 	gap       time.Duration // between signals
 }
 
-func drawKillSoak(seed int64) killSoak {
+func randomKillSoak(seed int64) killSoak {
 	random := rand.New(rand.NewSource(seed))
 	k := killSoak{seed: seed, clients: 4 + random.Intn(28), run: time.Duration(10+random.Intn(150)) * time.Millisecond,
 		hanging: random.Intn(3) == 0, slots: 1 + random.Intn(10), gap: time.Duration(random.Intn(60)) * time.Millisecond}
@@ -71,7 +71,7 @@
 // go test -run '^TestKillSoak$' ./test -kill-soak-seeds 50
 func TestKillSoak(t *testing.T) {
 	for seed := int64(1); seed <= int64(*killSoakSeeds); seed++ {
-		k := drawKillSoak(seed)
+		k := randomKillSoak(seed)
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { k.test(t) })
 	}
 }
@@ -180,11 +180,11 @@
 			}
 			continue
 		}
-		began := starts[r.id]
+		attempts := starts[r.id]
 		answerRequired := r.sentAt.Before(killedAt.Add(-soakDeadline)) // if the connection was open until the kill
-		if len(began) > 0 || answerRequired && !r.at.Before(killedAt) {
+		if len(attempts) > 0 || answerRequired && !r.at.Before(killedAt) {
 			t.Errorf("request %s was not answered: sent %v after SIGTERM, failed %v before the kill (%v), %d starts",
-				r.id, r.sentAt.Sub(termAt), killedAt.Sub(r.at), r.err, len(began))
+				r.id, r.sentAt.Sub(termAt), killedAt.Sub(r.at), r.err, len(attempts))
 		}
 	}
 	for id, began := range starts {
--- a/test/lies_test.go
+++ b/test/lies_test.go
@@ -105,14 +105,14 @@
 // member forms a quorum with a member that was killed without losing data.
 func TestDiskLosesAcknowledgedWrite(t *testing.T) {
 	for _, x := range []struct {
-		what    string
+		name    string
 		lost    bool
 		logText string
 	}{
 		{"marks are kept", false, "store member lost acknowledged entries, restricting its votes"},
 		{"marks are lost", true, "store member not voting, waiting for the positions of others"},
 	} {
-		t.Run(x.what, func(t *testing.T) {
+		t.Run(x.name, func(t *testing.T) {
 			f := newFleetWithLostWrite(t, "", x.lost)
 			for range 4 { // for longer than an election takes
 				for _, s := range f[1:] {
--- a/test/links_test.go
+++ b/test/links_test.go
@@ -400,7 +400,7 @@
 	firstOwner, other := l.fleet[0], l.fleet[1]
 	setOwnerLinks := func(f testenv.Fault) { l.eachLink(0, func(x *testenv.Link) { x.Set(f) }) }
 	for _, x := range []struct {
-		what        string
+		name        string
 		cause, lift func()
 	}{
 		{"killed", firstOwner.kill, func() { firstOwner.startWithoutWaiting() }},
@@ -410,7 +410,7 @@
 	} {
 		var took []time.Duration
 		for n := range *rounds {
-			payload := fmt.Sprintf("%s %d", x.what, n)
+			payload := fmt.Sprintf("%s %d", x.name, n)
 			var id string
 			firstOwner.until("the owner accepts a job", func() bool {
 				status, v := firstOwner.call("POST", "/jobs",
@@ -418,9 +418,9 @@
 				id = v.Get("jobId").String()
 				return status == 201
 			})
-			part := id[:strings.LastIndexByte(id, '.')]
-			at := strings.LastIndexByte(part, '.')
-			key := fmt.Sprintf("%s.%012s", part[:at], part[at+1:])
+			partition := id[:strings.LastIndexByte(id, '.')]
+			at := strings.LastIndexByte(partition, '.')
+			key := fmt.Sprintf("%s.%012s", partition[:at], partition[at+1:])
 			owner := func() string {
 				m, err := testenv.CallFor(other.store, time.Second, "GET", "/v1/kv/duty/"+key+"?stale=1", nil)
 				if err != nil || m.Status != 200 {
@@ -433,7 +433,7 @@
 			began := time.Now()
 			other.until("another process is the owner", func() bool { got := owner(); return got != "" && got != "n0" })
 			took = append(took, time.Since(began))
-			if x.what == "cut off" { // clients still reach it, but it must not release their jobs
+			if x.name == "cut off" { // clients still reach it, but it must not release their jobs
 				if status, v := firstOwner.call("POST", "/jobs/"+id+"/release", ""); status == 200 {
 					t.Errorf("%s: released by a node that is cut off: %s", payload, v.Raw)
 				}
@@ -449,7 +449,7 @@
 			}
 		}
 		slices.Sort(took)
-		t.Logf("%s, %d times: new owner after %v (median), %v (maximum)", x.what, len(took),
+		t.Logf("%s, %d times: new owner after %v (median), %v (maximum)", x.name, len(took),
 			took[len(took)/2].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond))
 	}
 }
--- a/test/retune_test.go
+++ b/test/retune_test.go
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 	}
-	ask := func(class, id string) int {
+	statusOf := func(class, id string) int {
 		t.Helper()
 		m, err := s.post(class, id)
 		if err != nil {
@@ -32,7 +32,7 @@
 		}
 		return m.Status
 	}
-	if got := ask("draft", "00000000000000a1"); got != 404 {
+	if got := statusOf("draft", "00000000000000a1"); got != 404 {
 		t.Fatalf("request of a class that is not configured yet: %d, want 404", got)
 	}
 	// These jobs start before the settings change and are answered after it.
@@ -73,20 +73,20 @@
 		if !s.logContains(x.want) {
 			t.Errorf("the log does not contain %q", x.want)
 		}
-		if got := ask("draft", "00000000000000a2"); got != 404 {
+		if got := statusOf("draft", "00000000000000a2"); got != 404 {
 			t.Errorf("after a file with the fault %q: request of the new class: %d, want 404", x.want, got)
 		}
 	}
 	s.writeConfig(s.discovery.Addr, next)
 	hup()
 	s.until("the new settings are in force", func() bool { return s.logContains("retuned=true") })
-	if got := ask("draft", "00000000000000c1"); got != 200 {
+	if got := statusOf("draft", "00000000000000c1"); got != 200 {
 		t.Errorf("job of the added class: %d, want 200", got)
 	}
-	if got := ask("area-render", "00000000000000c2"); got != 200 {
+	if got := statusOf("area-render", "00000000000000c2"); got != 200 {
 		t.Errorf("job of the removed class, just after the change: %d, want 200", got)
 	}
-	if got := ask("tile-charge", "00000000000000c3"); got != 200 {
+	if got := statusOf("tile-charge", "00000000000000c3"); got != 200 {
 		t.Errorf("job of an unchanged class: %d, want 200", got)
 	}
 	open.Wait()
@@ -95,12 +95,12 @@
 			t.Errorf("job %d, in flight when the settings changed: %d, want 200", i, got)
 		}
 	}
-	s.until("the removed class is no longer served", func() bool { return ask("area-render", "00000000000000c4") == 404 })
+	s.until("the removed class is rejected", func() bool { return statusOf("area-render", "00000000000000c4") == 404 })
 	// The added class is at most once: a job that fails on an executor is not sent again.
 	for _, b := range s.executors {
 		b.Set(func(how *testenv.Behavior) { how.FailJobs = true })
 	}
-	if got := ask("draft", "00000000000000c5"); got != 500 {
+	if got := statusOf("draft", "00000000000000c5"); got != 500 {
 		t.Errorf("failing job of the added class: %d, want 500", got)
 	}
 	if n := len(s.starts()["00000000000000c5"]); n != 1 {
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -136,7 +136,7 @@
 // logs of the processes. It checks no bound.
 func (f *settingsFleet) logRolloutTimes(t *testing.T) {
 	t.Helper()
-	asked, last := map[string]time.Time{}, map[string]time.Time{}
+	requestedAt, lastInForce := map[string]time.Time{}, map[string]time.Time{}
 	for _, s := range f.fleet {
 		log := s.allLogs()
 		for _, m := range acceptancePattern.FindAllStringSubmatch(log, -1) {
@@ -145,21 +145,21 @@
 			if err != nil || tookErr != nil {
 				t.Fatalf("cannot parse log line %q: %v, %v", m[0], err, tookErr)
 			}
-			asked[m[2]] = at.Add(-took)
+			requestedAt[m[2]] = at.Add(-took)
 		}
 		for _, m := range activationTimePattern.FindAllStringSubmatch(log, -1) {
 			at, err := time.Parse(time.RFC3339Nano, m[1])
 			if err != nil {
 				t.Fatalf("cannot parse log line %q: %v", m[0], err)
 			}
-			if at.After(last[m[2]]) {
-				last[m[2]] = at
+			if at.After(lastInForce[m[2]]) {
+				lastInForce[m[2]] = at
 			}
 		}
 	}
 	var took []time.Duration
-	for version, at := range asked {
-		took = append(took, last[version].Sub(at))
+	for version, at := range requestedAt {
+		took = append(took, lastInForce[version].Sub(at))
 	}
 	if len(took) == 0 {
 		t.Fatal("no log contains an accepted settings change")
