--- a/cmd/batchbench/main.go
+++ b/cmd/batchbench/main.go
@@ -1,5 +1,5 @@
-// Command batchbench measures the batch front of a built node program: submissions per second, the duration of waits, the
-// memory of the node with many recorded jobs, and the effect of a busy batch client on the platform front. It is a
+// Command batchbench measures the batch front of a built node program: submissions per second, the duration of waits,
+// the memory of the node with many recorded jobs, and the effect of a busy batch client on the platform front. It is a
 // tool for the developers of the project; the operators' page docs/batch.md shows its tables.
 package main
 
--- a/cmd/slowpeerbench/main.go
+++ b/cmd/slowpeerbench/main.go
@@ -1,6 +1,6 @@
 // Command slowpeerbench measures the effect of slow peers on other clients: it starts a built node program with test
-// executors and a test discovery service, runs clients against it, and adds slow peers of each kind. It is a tool for the
-// developers of the project; the operators' page docs/slow-peers.md shows its tables.
+// executors and a test discovery service, runs clients against it, and adds slow peers of each kind. It is a tool for
+// the developers of the project; the operators' page docs/slow-peers.md shows its tables.
 package main
 
 import (
--- a/internal/capacity/bounds.go
+++ b/internal/capacity/bounds.go
@@ -18,7 +18,7 @@
 func Bounds() []Bound {
 	lim := limits.New(0, 0, 0, 0, 0)
 	perProcess := Target.Running / Target.Processes
-	const rowBytes = 150 // of an endpoint list entry, the longest of the protocol's examples
+	const entryBytes = 150 // of an endpoint list entry, the longest of the protocol's examples
 	return []Bound{
 		{"StoreValues", "kept values of a kind in the store", float64(lim.StoreValues), Target.Running, "one for each task that runs", true},
 		{"StoreBytes", "their bytes", float64(lim.StoreBytes), Target.Running * RecordBytes, "600 bytes for each task that runs", true},
@@ -30,8 +30,8 @@
 		{"BatchSessions", "sessions of jobs", float64(lim.BatchSessions), Target.Tenants, "one a team", true},
 		{"BatchEvents", "changes kept for those who watch", float64(lim.BatchEvents), Target.Starts * eventsPerTask * MaxChangeSeconds, "4 a task, all of the store's, for 6 s", true},
 		{"InventoryRows", "rows of the inventory", float64(lim.InventoryRows), Target.Executors, "one an executor", true},
-		{"InventoryBytes", "bytes of the inventory", float64(lim.InventoryBytes), Target.Executors * rowBytes, "150 bytes a row", true},
-		{"WatchLine", "bytes of a line of the list's watch", float64(lim.WatchLine), Target.Executors * rowBytes, "the whole list on one line", true},
+		{"InventoryBytes", "bytes of the inventory", float64(lim.InventoryBytes), Target.Executors * entryBytes, "150 bytes a row", true},
+		{"WatchLine", "bytes of a line of the list's watch", float64(lim.WatchLine), Target.Executors * entryBytes, "the whole list on one line", true},
 		{"PeerBytes", "bytes of a message between processes", float64(lim.PeerBytes), Target.Executors * 2, "2 bytes for each executor in a hub's answer", true},
 	}
 }
--- a/internal/capacity/measure/dispatcher.go
+++ b/internal/capacity/measure/dispatcher.go
@@ -16,7 +16,8 @@
 	"gatetack/internal/testenv"
 )
 
-// DispatcherCost is the resource use of the built node program: front, core, decision module and connections to executors.
+// DispatcherCost is the resource use of the built node program: front, core, decision module and connections
+// to executors.
 type DispatcherCost struct {
 	Cores        float64 // processor seconds per second
 	BytesIn      float64 // per second, by read calls
--- a/internal/capacity/measure/hub.go
+++ b/internal/capacity/measure/hub.go
@@ -61,7 +61,8 @@
 	return 0, errNoAggregator
 }
 
-// aggregator drives the decision module of the process that is the aggregator, with the loads that the others sent to it.
+// aggregator drives the decision module of the process that is the aggregator, with the loads that the other
+// processes sent to it.
 type aggregator struct {
 	module  *dispatch.Dispatcher
 	self    int
@@ -97,57 +98,57 @@
 }
 
 // sendLoads sends the in-flight tasks of every process to the aggregator, spread evenly over the executors.
-func (h *aggregator) sendLoads() {
-	perProcess := h.fleet.Running / h.fleet.Processes
+func (a *aggregator) sendLoads() {
+	perProcess := a.fleet.Running / a.fleet.Processes
 	next := 0
-	for from := range h.fleet.Processes {
-		if from == h.self {
+	for from := range a.fleet.Processes {
+		if from == a.self {
 			continue
 		}
 		data := []byte{updateMessage}
 		for range perProcess {
-			tag := h.tags[next%len(h.tags)]
+			tag := a.tags[next%len(a.tags)]
 			next++
 			data = binary.BigEndian.AppendUint16(data, tag|1)
 			if len(data) > entryBytes*maxEntries-1 {
-				h.deliver(from, data)
+				a.deliver(from, data)
 				data = []byte{updateMessage}
 			}
 		}
 		if len(data) > 1 {
-			h.deliver(from, data)
+			a.deliver(from, data)
 		}
 	}
 }
 
 // deliver passes a message of another process to the aggregator.
-func (h *aggregator) deliver(from int, data []byte) {
-	h.messagesIn++
-	h.bytesIn += len(data) + datagramOverhead
-	h.actions = h.module.Step(h.now, []dispatch.Event{{Kind: dispatch.EvGossip, From: uint32(from), Data: data}}, h.actions[:0])
-	for _, action := range h.actions {
+func (a *aggregator) deliver(from int, data []byte) {
+	a.messagesIn++
+	a.bytesIn += len(data) + datagramOverhead
+	a.actions = a.module.Step(a.now, []dispatch.Event{{Kind: dispatch.EvGossip, From: uint32(from), Data: data}}, a.actions[:0])
+	for _, action := range a.actions {
 		if action.Kind == dispatch.ActGossip {
-			h.messagesOut++
-			h.bytesOut += len(action.Data) + datagramOverhead
+			a.messagesOut++
+			a.bytesOut += len(action.Data) + datagramOverhead
 		}
 	}
 }
 
 // start sends all messages of one task start: the query of a process when its job arrives, an update after the send and
 // one after the end.
-func (h *aggregator) start() {
-	from := h.random.IntN(h.fleet.Processes)
-	if from == h.self {
-		from = (from + 1) % h.fleet.Processes
+func (a *aggregator) start() {
+	from := a.random.IntN(a.fleet.Processes)
+	if from == a.self {
+		from = (from + 1) % a.fleet.Processes
 	}
-	tag := h.tags[h.random.IntN(len(h.tags))]
+	tag := a.tags[a.random.IntN(len(a.tags))]
 	message := func(kind byte, slots uint16) []byte {
 		return binary.BigEndian.AppendUint16([]byte{kind}, tag|slots)
 	}
-	h.now++
-	h.deliver(from, message(queryMessage, 1))
-	h.deliver(from, message(updateMessage, 2))
-	h.deliver(from, message(updateMessage, 1))
+	a.now++
+	a.deliver(from, message(queryMessage, 1))
+	a.deliver(from, message(updateMessage, 2))
+	a.deliver(from, message(updateMessage, 1))
 }
 
 // AggregatorCost is the cost of one task start at the aggregator.
--- a/internal/capacity/measure/list.go
+++ b/internal/capacity/measure/list.go
@@ -9,7 +9,8 @@
 	"gatetack/internal/node"
 )
 
-// endpointListLine returns an endpoint list snapshot with the given number of executors as one line of the discovery watch.
+// endpointListLine returns an endpoint list snapshot with the given number of executors as one line of the
+// discovery watch.
 func endpointListLine(executors int) []byte {
 	var line bytes.Buffer
 	line.WriteString(`{"index":41,"snapshot":true,"endpoints":[`)
--- a/internal/capacity/measure/store.go
+++ b/internal/capacity/measure/store.go
@@ -101,7 +101,8 @@
 	return stats, json.Unmarshal(line, &stats)
 }
 
-// stop closes the input of the process, upon which the member shuts down, and kills it if that takes longer than memberWait.
+// stop closes the input of the process, upon which the member shuts down. It kills the process if that takes longer than
+// memberWait.
 func (p *memberProcess) stop() {
 	_ = p.in.Close()
 	timer := time.AfterFunc(memberWait, func() { _ = p.command.Process.Kill() })
@@ -114,7 +115,7 @@
 	members   []*memberProcess
 	addresses []string
 	lim       limits.Limits
-	retries   atomic.Int64 // retried calls
+	retries   atomic.Int64
 
 	mu      sync.Mutex             // held while the members are asked for the leader
 	leader  int                    // index of the leader
--- a/internal/capacity/measure/suite.go
+++ b/internal/capacity/measure/suite.go
@@ -209,8 +209,8 @@
 		}
 	}
 	series := seriesOf(all)
-	// There is no series by processes, because an aggregator serves some 66 to 1,000 of them, a smaller factor than a series
-	// has to span.
+	// There is no series by processes, because an aggregator serves some 66 to 1,000 of them, a smaller factor than a
+	// series has to span.
 	more, err := sweepAll(ctx, []sweepSpec{
 		{newSlope("hub.start.running", role, "processor time of a start", "us", "running tasks", "6,200 executors, 320 processes"), runningSizes,
 			func(n int) (float64, error) {
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -11,8 +11,8 @@
 	ChangesPerDay float64 // configuration changes per day
 }
 
-// The sizes that the page shows. Today is the largest test of the second kind of standing test, where 80 processes share
-// 60 executors (docs/design/hub.md). Configuration changes are not counted there.
+// The sizes that the page shows. Today is the largest test of the second kind of standing test, where 80 processes
+// share 60 executors (docs/design/hub.md). Configuration changes are not counted there.
 var (
 	Today  = Size{Name: "today", Executors: 60, Tenants: 4, Processes: 80, Running: 240, Starts: 85}
 	Tenth  = Size{Name: "a tenth", Executors: 620, Tenants: 45, Processes: 32, Running: 8_400, Starts: 150, ChangesPerDay: 1_500}
@@ -22,10 +22,10 @@
 
 // The resources that the operators grant for control, and their figures for the target.
 const (
-	NodeCores             = 0.029    // cores per node
-	NodeBytes             = 64e6     // memory per node
-	NodeTraffic           = 4e3      // bytes per second per node
-	ControlMachines       = 10       // machines for control
+	NodeCores             = 0.029 // cores per node
+	NodeBytes             = 64e6  // memory per node
+	NodeTraffic           = 4e3   // bytes per second per node
+	ControlMachines       = 10
 	ControlMachineCores   = 8        // assumed equal to those of the measurement machine
 	ControlMachineBytes   = 24 << 30 // bytes, assumed equal to those of the measurement machine
 	MaxChangeSeconds      = 6.0      // seconds until a change is in force on all nodes
