--- a/cmd/gatetack/process_control.go
+++ b/cmd/gatetack/process_control.go
@@ -62,7 +62,8 @@
 		return nil, err
 	}
 	return store.Open(store.Config{Keys: ring, Name: c.Name, Dir: f.Store.Dir, Listen: f.Store.Listen,
-		Members: f.Store.Members, Join: f.Store.Join, WatermarkDir: f.StoreMarks(), TrustDisk: f.Store.Trust}, c.Limits, slow, log)
+		Members: f.Store.Members, Join: f.Store.Join, WatermarkDir: f.StoreMarks(),
+		TrustDisk: f.Store.Trust}, c.Limits, slow, log)
 }
 
 // openKeys opens a directory of keys and logs an error when replaced keys cannot be used. It returns nil if dir is
--- a/internal/executor/endpoints.go
+++ b/internal/executor/endpoints.go
@@ -43,8 +43,8 @@
 }
 
 // UpdateEndpoint applies an executor's entry from an endpoint list that was received at the given time. After a drain
-// or removal, attempts in progress may still be sent for DrainSpare. Idle connections to an earlier address or to an
-// earlier incarnation of the executor are closed.
+// or removal, attempts in progress may still be sent for DrainSendGrace. Idle connections to an earlier address or to
+// an earlier incarnation of the executor are closed.
 func (c *Client) UpdateEndpoint(id uint32, e node.Endpoint, at time.Time) {
 	t := &c.endpoints
 	t.mu.Lock()
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -49,8 +49,8 @@
 	return out
 }
 
-// newClient returns a client for tests that do not concern the time left in requests: the large TimeSpare keeps a test
-// that is delayed on a busy machine from rebuilding requests.
+// newClient returns a client for tests that do not concern the time left in requests: the large TimeLeftMargin keeps a
+// test that is delayed on a busy machine from rebuilding requests.
 func newClient(t *testing.T, lim limits.Limits) (*Client, *resultRecorder) {
 	lim.TimeLeftMargin = time.Hour
 	return newClientWithLimits(t, lim)
@@ -279,8 +279,8 @@
 	}
 }
 
-// Nothing is written to an executor whose drain was notified longer than DrainSpare ago, not even over a connection
-// that was being opened at the time.
+// Nothing is written to an executor whose drain was notified longer than DrainSendGrace ago, not even over a
+// connection that was being opened at the time.
 func TestDrainDuringSend(t *testing.T) {
 	lim := testenv.Limits
 	lim.DrainSendGrace = 0
--- a/internal/executor/reuse.go
+++ b/internal/executor/reuse.go
@@ -11,9 +11,9 @@
 const reuseBuckets = 12
 
 // reuseHistory counts how many reused connections were found broken by the next request, by their idle time in
-// doubling ranges, the first up to KeptFirst. Executors, or proxies before them, may drop idle connections long before
-// connIdle without any sign until the next request. A request that breaks on such a connection may have run, and must
-// not run twice in some classes.
+// doubling ranges, the first up to KeepAliveMinIdle. Executors, or proxies before them, may drop idle connections long
+// before connIdle without any sign until the next request. A request that breaks on such a connection may have run,
+// and must not run twice in some classes.
 type reuseHistory struct {
 	decayedAt    time.Time
 	uses, breaks [reuseBuckets]float64
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -136,7 +136,7 @@
 	leave()
 	<-c.notified // the notification blocks from here on
 	if reason := c.jobs[0].PreSendCheck(); reason != precheck.ClientDisconnected {
-		t.Errorf("the check returned %v, want ClientLeft", reason)
+		t.Errorf("the check returned %v, want ClientDisconnected", reason)
 	}
 	c.notified <- true
 	if r := <-answered; r.Status != 500 || !r.Close {
--- a/internal/precheck/precheck.go
+++ b/internal/precheck/precheck.go
@@ -63,7 +63,7 @@
 	Now      time.Time
 	Deadline time.Time // of the attempt
 	Ended    bool      // the attempt was canceled, or its job already has its final result
-	Job      Reason    // set by the front: Allowed, ClientLeft or LeaseLost
+	Job      Reason    // set by the front: Allowed, ClientDisconnected or LeaseLost
 	Executor Executor
 	Retry    RetryRules
 }
--- a/internal/settingsync/roster.go
+++ b/internal/settingsync/roster.go
@@ -97,5 +97,5 @@
 	return settings.Newest(out, missing)
 }
 
-// neverObserved is the SilentMs of a process of which no member has received a report since the member started.
+// neverObserved is the ReportAgeMs of a process of which no member has received a report since the member started.
 const neverObserved = -1
