--- a/cmd/gatetack/callbacks.go
+++ b/cmd/gatetack/callbacks.go
@@ -10,36 +10,36 @@
 	"gatetack/internal/platform"
 )
 
-// callbackRouter takes callbacks for the executors of this process and stores those of attempts that it does not know
-// for the other process of the node, if one runs beside it: while one replaces the other, all of them come to the new
-// one. A callback of neither process is answered as any other, because it may be a duplicate or belong to an attempt
-// that has ended. One that could not be stored for the other process is rejected, so that the executor calls again.
+// callbackRouter delivers callbacks to the executor client of this process. It stores callbacks of unknown attempts for
+// the other process of the node, if there is one: while one process replaces the other, all callbacks arrive at the new
+// one. A callback that belongs to neither process is acknowledged like any other, since it may be a duplicate or belong
+// to an attempt that has ended. A callback that cannot be stored is rejected, so that the executor retries it.
 type callbackRouter struct {
 	executors *executor.Client
-	relay     *callbackrelay.Relay        // nil: no other process of the node can run
+	relay     *callbackrelay.Relay        // nil: the node has no second process
 	batch     atomic.Pointer[batch.Front] // nil until the batch front is open
 }
 
 // Callback delivers the body of one callback.
 func (r *callbackRouter) Callback(body []byte) error {
 	err := r.executors.Callback(body)
-	if !errors.Is(err, executor.ErrNotOurs) {
+	if !errors.Is(err, executor.ErrUnknownAttempt) {
 		return err
 	}
 	if front := r.batch.Load(); front != nil {
-		front.Late(body)
+		front.LateCallback(body)
 	}
 	if r.relay == nil {
 		return nil
 	}
 	if _, err := r.relay.Forward(body); err != nil {
-		return &platform.CallbackRefusedError{Err: err}
+		return &platform.CallbackRejectedError{Err: err}
 	}
 	return nil
 }
 
-// take delivers a callback that the other process stored. It reports whether the callback was of an attempt of this
-// process.
-func (r *callbackRouter) take(body []byte) bool {
-	return !errors.Is(r.executors.Callback(body), executor.ErrNotOurs)
+// deliverStored delivers a callback that the other process stored. It reports whether the callback belongs to an
+// attempt of this process.
+func (r *callbackRouter) deliverStored(body []byte) bool {
+	return !errors.Is(r.executors.Callback(body), executor.ErrUnknownAttempt)
 }
--- a/cmd/gatetack/process_fronts.go
+++ b/cmd/gatetack/process_fronts.go
@@ -23,22 +23,23 @@
 	"gatetack/internal/platform"
 )
 
-// handoverFolder is the folder under the system's temporary one in which two processes of a node exchange callbacks.
+// handoverFolder is the subdirectory of the system's temporary directory in which two processes of a node exchange
+// callbacks.
 const handoverFolder = "gatetack-handover"
 
-// Spare connections of a front, which get one answer and are closed, as a part of its connections.
+// Divisors of a front's connections that yield the number of its overflow connections, which get a single response.
 const (
-	operatorSparePart = 4
-	batchSparePart    = 8
+	operatorOverflowDivisor = 4
+	batchOverflowDivisor    = 8
 )
 
-// frontLimits are the limits of a front beside the clients' one.
-func frontLimits(lim limits.Limits, connections, sparePart int) limits.Limits {
-	lim.ClientConns, lim.SpareConns, lim.DoorConns = connections, connections/sparePart, 1
+// frontLimits returns the limits of a front other than the clients' front.
+func frontLimits(lim limits.Limits, connections, overflowDivisor int) limits.Limits {
+	lim.ClientConns, lim.OverflowConns, lim.RejectConns = connections, connections/overflowDivisor, 1
 	return lim
 }
 
-// startClients opens the platform's front, and starts the core and the endpoint list with it.
+// startClients opens the platform front and starts the core and the source of the endpoint list.
 func (p *process) startClients() error {
 	cfg := p.config
 	listener, err := listen(cfg, p.log)
@@ -46,12 +47,13 @@
 		return err
 	}
 	p.callbacks = &callbackRouter{executors: p.executors}
-	if cfg.Passed >= 0 {
+	if cfg.PassedSocket >= 0 {
 		p.startRelay()
 	}
-	p.clients = http1.NewServer(cfg.Limits, platform.New(p.core, p.callbacks, cfg.Limits, p.log), p.core.Slow(), p.log)
+	p.clients = http1.NewServer(
+		cfg.Limits, platform.New(p.core, p.callbacks, cfg.Limits, p.log), p.core.SlowPeers(), p.log)
 	p.lifetime.start(p.core.Run)
-	p.lifetime.start(p.lists.Run)
+	p.lifetime.start(p.endpoints.Run)
 	p.lifetime.start(func(ctx context.Context) error {
 		p.accepting.Store(true)
 		return p.clients.Serve(ctx, listener)
@@ -59,38 +61,38 @@
 	return nil
 }
 
-// startRelay exchanges callbacks with the process of this node that runs beside this one while one replaces the other.
+// startRelay starts to exchange callbacks with the other process of this node during a replacement.
 func (p *process) startRelay() {
 	folder := filepath.Join(os.TempDir(), handoverFolder)
-	relay := callbackrelay.New(folder, p.config.Limits.Follow, p.config.Limits.Stay, p.log)
-	if err := relay.Register(); err != nil { // Run tries again
+	relay := callbackrelay.New(folder, p.config.Limits.DrainCheckInterval, p.config.Limits.ShutdownGrace, p.log)
+	if err := relay.Register(); err != nil { // Run retries
 		p.log.Error("callback directory not usable", "err", err)
 	}
 	p.lifetime.onEnd(func() { _ = relay.Close() })
 	p.callbacks.relay = relay
-	p.lifetime.start(func(ctx context.Context) error { return relay.Run(ctx, p.callbacks.take) })
+	p.lifetime.start(func(ctx context.Context) error { return relay.Run(ctx, p.callbacks.deliverStored) })
 }
 
-// startOperator opens the operator's address.
+// startOperator opens the operator's front.
 func (p *process) startOperator(ctx context.Context) error {
 	listener, err := net.Listen("tcp", p.config.Operator)
 	if err != nil {
 		return fmt.Errorf("operator: %w", err)
 	}
-	lim := frontLimits(p.config.Limits, p.config.Limits.Operators, operatorSparePart)
-	lim.Pace.PerPeer = false
-	server := http1.NewServer(lim, operator.New(p.core, p.accepting.Load, p.log), p.core.Slow(), p.log)
+	lim := frontLimits(p.config.Limits, p.config.Limits.OperatorConns, operatorOverflowDivisor)
+	lim.SlowPeers.SharePerAddress = false
+	server := http1.NewServer(lim, operator.New(p.core, p.accepting.Load, p.log), p.core.SlowPeers(), p.log)
 	p.lifetime.start(func(running context.Context) error { return server.Serve(running, listener) })
 	p.lifetime.start(func(context.Context) error {
-		followDrain(ctx, p.core, p.clients, p.config.Limits.Follow)
+		followDrain(ctx, p.core, p.clients, p.config.Limits.DrainCheckInterval)
 		return nil
 	})
 	return nil
 }
 
-// followDrain applies the core's drain state to the clients' front until the node is notified to leave, when leave
-// takes over: while drained, each answer ends its connection and idle connections are closed, so that clients go
-// elsewhere; jobs under way are answered first.
+// followDrain applies the core's drain state to the clients' front until the node shuts down, when shutDown takes over.
+// While the node is drained, each response closes its connection and idle connections are closed, so that clients go
+// to other nodes; requests in progress are answered first.
 func followDrain(ctx context.Context, core *node.Core, front *http1.Server, interval time.Duration) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -109,8 +111,8 @@
 	}
 }
 
-// batchServer is the batch front with its listener and, where the node is a member of the store, the owner of its
-// partitions and the host of its actors.
+// batchServer is the batch front with its server and, if the node is a member of the store, the owner of its partitions
+// and the host of its actors.
 type batchServer struct {
 	front  *batch.Front
 	server *http1.Server
@@ -125,7 +127,7 @@
 		return err
 	}
 	options := batch.Options{Core: p.core, Store: p.jobRecords, Node: p.config.Name, Version: version,
-		Life: p.incarnation, Limits: p.config.Limits, Log: p.log}
+		StartedAt: p.incarnation, Limits: p.config.Limits, Log: p.log}
 	b := &batchServer{}
 	if p.store != nil {
 		self := lease.Incarnation{Node: p.config.Name, StartedMs: p.incarnation.UnixMilli()}
@@ -133,7 +135,7 @@
 		if err != nil {
 			return err
 		}
-		options.Store, options.Fleet = b.owner, b.owner
+		options.Store, options.Router = b.owner, b.owner
 	}
 	if p.file.Data.File != "" {
 		if options.Placer, err = p.startPlacer(); err != nil {
@@ -141,8 +143,8 @@
 		}
 	}
 	b.front = batch.New(options)
-	lim := frontLimits(p.config.Limits, p.config.Limits.BatchConns, batchSparePart)
-	b.server = http1.NewServer(lim, b.front, p.core.Slow(), p.log)
+	lim := frontLimits(p.config.Limits, p.config.Limits.BatchConns, batchOverflowDivisor)
+	b.server = http1.NewServer(lim, b.front, p.core.SlowPeers(), p.log)
 	p.callbacks.batch.Store(b.front)
 	if b.owner != nil {
 		p.startActors(b, ring)
@@ -153,7 +155,7 @@
 	return nil
 }
 
-// listenBatch opens the batch front's address, with mutual TLS where keys are named.
+// listenBatch opens the listener of the batch front, with mutual TLS if keys are configured.
 func (p *process) listenBatch() (net.Listener, *pki.Ring, error) {
 	listener, err := net.Listen("tcp", p.file.Batch.Listen)
 	if err != nil {
@@ -169,7 +171,7 @@
 	return listener, ring, nil
 }
 
-// startPlacer prices zones for jobs that name their inputs.
+// startPlacer starts the placer, which computes the cost of zones for jobs that name their inputs.
 func (p *process) startPlacer() (batch.Placer, error) {
 	placer, err := locality.Open(p.file.Data.File, p.config.Names, p.config.Settings, p.core, p.log)
 	if err != nil {
@@ -182,7 +184,8 @@
 	return placer, nil
 }
 
-// startActors runs the owner of the node's partitions and the host of its actors, and connects both to the batch front.
+// startActors starts the owner of the node's partitions and the host of its actors, and connects both to the batch
+// front.
 func (p *process) startActors(b *batchServer, ring *pki.Ring) {
 	b.owner.Connect(b.front, ring)
 	p.lifetime.start(b.owner.Run)
@@ -191,11 +194,11 @@
 			Front: b.front, Forward: b.owner.Forward, Prefix: batch.Prefix, Capacity: p.config.Limits.StoreValues / 2,
 			Rules: migration.DefaultRules(), Limits: p.config.Limits, Log: p.log},
 	)
-	b.front.SetDesks(b.actors)
+	b.front.SetActors(b.actors)
 	p.lifetime.start(b.actors.Run)
 }
 
-// zone is the name of the node's zone, empty where the settings name none.
+// zone returns the name of the node's zone, or "" if the settings have none.
 func (p *process) zone() string {
 	if zones := p.config.Names.Zones; p.config.Settings.Zone < len(zones) {
 		return zones[p.config.Settings.Zone]
--- a/cmd/gatetack/settings_applier.go
+++ b/cmd/gatetack/settings_applier.go
@@ -12,24 +12,24 @@
 	"gatetack/internal/settings"
 )
 
-// settingsApplier puts settings in force: those of the store over those of the base configuration, whichever of the two
-// has changed. The core's changes of rules must not overlap, so all of them go through one applier.
+// settingsApplier activates settings: those of the base configuration with those of the store merged in, after a change
+// of either. Updates of the core's rules must not overlap, so all of them go through one applier.
 type settingsApplier struct {
-	core   *node.Core
-	limits limits.Limits
-	stay   *atomic.Int64 // after SIGTERM: grows with the longest deadline, since the node may be killed that much later
+	core          *node.Core
+	limits        limits.Limits
+	shutdownGrace *atomic.Int64 // time served after SIGTERM; grows with the longest deadline, which delays the kill
 
 	mu       sync.Mutex
 	base     config.Config
-	document *settings.Document // the store's settings in force
+	document *settings.Document // active settings of the store
 }
 
-// rulesOf are the settings of a configuration, over which the store's are laid.
+// rulesOf returns the settings of a configuration into which those of the store are merged.
 func rulesOf(cfg *config.Config) settings.Rules {
 	return settings.Rules{Settings: cfg.Settings, Classes: cfg.Names.Classes, Tenants: cfg.Names.Tenants}
 }
 
-// overlay puts a document's settings in the place of a configuration's own.
+// overlay merges the settings of a document into a configuration.
 func overlay(cfg *config.Config, document *settings.Document) error {
 	merged, err := settings.Merge(rulesOf(cfg), document)
 	if err != nil {
@@ -37,21 +37,21 @@
 	}
 	cfg.Settings = merged.Settings
 	cfg.Names.Classes, cfg.Names.Tenants = merged.Classes, merged.Tenants
-	cfg.Limits.Longest(longestDeadline(merged))
+	cfg.Limits.SetLongestDeadline(longestDeadline(merged))
 	return nil
 }
 
-// longestDeadline is that of any class.
+// longestDeadline returns the longest deadline of all classes.
 func longestDeadline(rules settings.Rules) time.Duration {
 	longest := 0.0
 	for _, class := range rules.Settings.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return node.Span(longest)
+	return node.FromMs(longest)
 }
 
-// Validate reports why this process could not put a document in force now: the merged settings must be usable, and the
-// classes whose rules they change must find places beside those that open jobs still use.
+// Validate returns an error if this process cannot activate a document now: the merged settings must be valid, and the
+// table of rules must have space for the changed classes in addition to the rules that open jobs still use.
 func (a *settingsApplier) Validate(document *settings.Document) error {
 	base := a.baseConfig()
 	if err := settings.Validate(rulesOf(base), document); err != nil {
@@ -60,14 +60,14 @@
 	if err := overlay(base, document); err != nil {
 		return err
 	}
-	if _, _, err := a.core.Rules().Retune(base.Settings, base.Names, time.Now(), a.limits.Retired); err != nil {
+	if _, _, err := a.core.Rules().Update(base.Settings, base.Names, time.Now(), a.limits.RetiredClassTTL); err != nil {
 		return &settings.InvalidError{Item: "the merged settings", Got: err.Error(),
 			Expected: "settings that can be put in force now"}
 	}
 	return nil
 }
 
-// Activate has the core act on the settings of the store from now on.
+// Activate activates the settings of the store in the core.
 func (a *settingsApplier) Activate(ctx context.Context, document *settings.Document) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -78,20 +78,19 @@
 	return nil
 }
 
-// apply has the core act on a base configuration and a document over it.
+// apply activates a base configuration with a document merged in.
 func (a *settingsApplier) apply(ctx context.Context, cfg config.Config, document *settings.Document) error {
 	if err := overlay(&cfg, document); err != nil {
 		return err
 	}
-	if err := a.core.Retune(ctx, cfg.Settings, cfg.Names, a.limits.Retired); err != nil {
+	if err := a.core.UpdateSettings(ctx, cfg.Settings, cfg.Names, a.limits.RetiredClassTTL); err != nil {
 		return err
 	}
-	a.stay.Store(max(a.stay.Load(), int64(cfg.Limits.Stay)))
+	a.shutdownGrace.Store(max(a.shutdownGrace.Load(), int64(cfg.Limits.ShutdownGrace)))
 	return nil
 }
 
-// replaceBase takes over a base configuration that was read again. It reports whether other settings are in force by
-// that.
+// replaceBase activates a reloaded base configuration. It reports whether the settings have changed.
 func (a *settingsApplier) replaceBase(ctx context.Context, next *config.Config) (changed bool, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,7 +104,7 @@
 	return changed, nil
 }
 
-// baseConfig is a copy of the base configuration.
+// baseConfig returns a copy of the base configuration.
 func (a *settingsApplier) baseConfig() *config.Config {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -1,6 +1,6 @@
-// Command scalerun plays a described fleet: real dispatchers as processes, beside them thousands of hollow executors and clients, with
-// faults, all drawn from a seed. It measures from outside, judges what it saw, prints a table and writes a JSON file of results. It is
-// a tool of the project's developers; docs/design/scale-run.md says what is hollow about each party.
+// Command scalerun runs a described fleet: real dispatchers as processes, with thousands of hollow executors and clients, and faults,
+// all generated from a seed. It measures from outside, judges the observed events, prints a table and writes a JSON result file. It is
+// a tool for the project's developers; docs/design/scale-run.md describes how the hollow parties differ from real ones.
 package main
 
 import (
@@ -28,13 +28,13 @@
 
 // Exit codes.
 const (
-	exitFailed = 1 // nothing was played
-	exitBroken = 2 // a rule was broken
+	exitFailed = 1 // the run did not start
+	exitBroken = 2 // a rule was violated
 	exitEarly  = 3 // the run ended early
 )
 
 var (
-	errBroken = errors.New("a rule was broken")
+	errBroken = errors.New("a rule was violated")
 	errEarly  = errors.New("the run ended early, and its result is partial")
 )
 
@@ -55,7 +55,7 @@
 	os.Exit(exitFailed)
 }
 
-// options are the command's words.
+// options are the values of the command's flags.
 type options struct {
 	description fleet.Description
 	file        string
@@ -100,7 +100,7 @@
 	return cmd
 }
 
-// clientsCommand is what the tool starts itself with where clients run in processes of their own.
+// clientsCommand returns the hidden command with which the tool starts client processes.
 func clientsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: play.ClientsCommand + " ORDER", Hidden: true, Args: cobra.ExactArgs(1),
@@ -109,7 +109,7 @@
 }
 
 func run(cmd *cobra.Command, o *options) error {
-	if err := describe(cmd, o); err != nil {
+	if err := readDescription(cmd, o); err != nil {
 		return err
 	}
 	specs, err := parseFaults(o.faults)
@@ -120,7 +120,7 @@
 		return err
 	}
 	if o.virtual {
-		r, err := play.RunVirtual(play.Options{Description: o.description, Faults: specs, Command: words(), Commit: commit()})
+		r, err := play.RunVirtual(play.Options{Description: o.description, Faults: specs, Command: commandLine(), Commit: commit()})
 		if err != nil {
 			return err
 		}
@@ -129,7 +129,7 @@
 	dir, keep := o.logs, o.logs != ""
 	if !keep {
 		if dir, err = os.MkdirTemp("", "scalerun"); err != nil {
-			return fmt.Errorf("folder for logs: %w", err)
+			return fmt.Errorf("directory for logs: %w", err)
 		}
 		defer func() { _ = os.RemoveAll(dir) }()
 	}
@@ -140,49 +140,49 @@
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("the tool's own program: %w", err)
+		return fmt.Errorf("path of the tool's own program: %w", err)
 	}
 	r, err := play.Run(cmd.Context(), play.Options{Self: self, Description: o.description, Faults: specs, Program: o.program, Dir: dir,
-		Command: words(), Commit: commit(), Budget: process.Bounds})
+		Command: commandLine(), Commit: commit(), Budget: process.DefaultBudget})
 	if err != nil {
 		return err
 	}
 	return finish(cmd.OutOrStdout(), o.out, r)
 }
 
-// describe reads the description's file, and puts the flags that were given before it.
-func describe(cmd *cobra.Command, o *options) error {
+// readDescription reads the description file and overrides its fields by the flags that were given.
+func readDescription(cmd *cobra.Command, o *options) error {
 	if o.file != "" {
-		given := o.description
+		flags := o.description
 		text, err := os.ReadFile(o.file)
 		if err != nil {
 			return fmt.Errorf("description: %w", err)
 		}
-		read := fleet.Default()
+		description := fleet.Default()
 		dec := yaml.NewDecoder(bytes.NewReader(text))
 		dec.KnownFields(true)
-		if err := dec.Decode(&read); err != nil && !errors.Is(err, io.EOF) {
+		if err := dec.Decode(&description); err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("description %s: %w", o.file, err)
 		}
-		o.description = read
-		override(cmd, &o.description, &given)
+		o.description = description
+		override(cmd, &o.description, &flags)
 	}
 	return o.description.Check()
 }
 
-// override takes the fields over whose flags were given.
-func override(cmd *cobra.Command, to, given *fleet.Description) {
-	for name, take := range map[string]func(){
-		"seed": func() { to.Seed = given.Seed }, "executors": func() { to.Executors = given.Executors },
-		"dispatchers": func() { to.Dispatchers = given.Dispatchers }, "hollow-dispatchers": func() { to.Hollow = given.Hollow }, "store-members": func() { to.StoreMembers = given.StoreMembers },
-		"tenants": func() { to.Tenants = given.Tenants }, "regions": func() { to.Regions = given.Regions },
-		"zones": func() { to.ZonesPerRegion = given.ZonesPerRegion }, "starts": func() { to.Starts = given.Starts },
-		"starts-to": func() { to.StartsTo = given.StartsTo }, "running": func() { to.Running = given.Running },
-		"duration": func() { to.Duration = given.Duration }, "dispatcher-memory": func() { to.MemoryMB = given.MemoryMB },
-		"dispatcher-sockets": func() { to.Sockets = given.Sockets }, "client-processes": func() { to.Clients = given.Clients }, "batch-share": func() { to.BatchShare = given.BatchShare },
+// override copies the fields whose flags were given.
+func override(cmd *cobra.Command, to, flags *fleet.Description) {
+	for name, set := range map[string]func(){
+		"seed": func() { to.Seed = flags.Seed }, "executors": func() { to.Executors = flags.Executors },
+		"dispatchers": func() { to.Dispatchers = flags.Dispatchers }, "hollow-dispatchers": func() { to.Hollow = flags.Hollow }, "store-members": func() { to.StoreMembers = flags.StoreMembers },
+		"tenants": func() { to.Tenants = flags.Tenants }, "regions": func() { to.Regions = flags.Regions },
+		"zones": func() { to.ZonesPerRegion = flags.ZonesPerRegion }, "starts": func() { to.Starts = flags.Starts },
+		"starts-to": func() { to.StartsTo = flags.StartsTo }, "running": func() { to.Running = flags.Running },
+		"duration": func() { to.Duration = flags.Duration }, "dispatcher-memory": func() { to.MemoryMB = flags.MemoryMB },
+		"dispatcher-sockets": func() { to.Sockets = flags.Sockets }, "client-processes": func() { to.Clients = flags.Clients }, "batch-share": func() { to.BatchShare = flags.BatchShare },
 	} {
 		if cmd.Flags().Changed(name) {
-			take()
+			set()
 		}
 	}
 }
@@ -202,7 +202,7 @@
 	return out, nil
 }
 
-// checkOut says before the run whether its result can be written.
+// checkOut checks before the run that the directory of the result file exists.
 func checkOut(path string) error {
 	if path == "" {
 		return nil
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// build builds the dispatcher from the module that the command is run in.
+// build builds the dispatcher program from the module in the current directory.
 func build(dir string) (string, error) {
 	program := filepath.Join(dir, "gatetack")
 	out, err := exec.Command("go", "build", "-o", program, "gatetack/cmd/gatetack").CombinedOutput()
@@ -224,12 +224,12 @@
 	return program, nil
 }
 
-// words are the command's own, as the result has them.
-func words() string {
+// commandLine returns the command line for the result.
+func commandLine() string {
 	return strings.Join(append([]string{"go run ./cmd/scalerun"}, os.Args[1:]...), " ")
 }
 
-// commit names what is played, with a mark where files have changed since.
+// commit returns the current commit, with the suffix -changed if files have uncommitted changes.
 func commit() string {
 	out, err := exec.Command("git", "rev-parse", "--short=12", "HEAD").Output()
 	if err != nil {
@@ -252,7 +252,7 @@
 		}
 	}
 	switch {
-	case !r.Kept:
+	case !r.RulesKept:
 		return errBroken
 	case r.Partial:
 		return errEarly
--- a/cmd/slowpeerbench/main.go
+++ b/cmd/slowpeerbench/main.go
@@ -1,6 +1,6 @@
-// Command slowpeers measures what slow peers cost the others: it starts a built node with stand-ins for executors and the
-// list, plays clients against it, and adds slow peers of each kind. It is a tool of the project's developers; the
-// operators' page (docs/slow-peers.md) shows its tables.
+// Command slowpeerbench measures the effect of slow peers on other clients: it starts a built node program with test
+// executors and a test discovery service, runs clients against it, and adds slow peers of each kind. It is a tool for
+// the developers of the project; the operators' page docs/slow-peers.md shows its tables.
 package main
 
 import (
@@ -54,10 +54,10 @@
 	kinds := o.kinds
 	if len(kinds) == 0 {
 		kinds = []string{"none", "box-202", "box-mute", "box-unread"}
-		for _, k := range testenv.Kinds {
+		for _, k := range testenv.SlowKinds {
 			kinds = append(kinds, string(k))
 		}
-		kinds = append(kinds, string(testenv.Quick), "mixed")
+		kinds = append(kinds, string(testenv.FastReader), "mixed")
 	}
 	fmt.Println("| case | peers | in time | served | refused | failed | p50 ms | p99 ms | memory MB | descriptors | answered | let go | still there | slow |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -68,7 +68,7 @@
 		}
 		for _, n := range peers {
 			for range o.rounds {
-				if err := play(o, kind, n); err != nil {
+				if err := runCase(o, kind, n); err != nil {
 					return fmt.Errorf("%s with %d: %w", kind, n, err)
 				}
 			}
@@ -77,41 +77,41 @@
 	return nil
 }
 
-// play starts a node and what it needs, and prints one line.
-func play(o *options, kind string, peers int) error {
+// runCase starts a node with its executors, runs the clients and the slow peers of one case, and prints a table row.
+func runCase(o *options, kind string, peers int) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g := &errgroup.Group{}
 	defer func() { cancel(); _ = g.Wait() }()
-	ports, err := testenv.Ports(1)
+	ports, err := testenv.FreeAddrs(1)
 	if err != nil {
 		return err
 	}
-	list, err := testenv.NewList(ctx, g)
+	list, err := testenv.NewDiscovery(ctx, g)
 	if err != nil {
 		return err
 	}
 	for i := range o.executors {
-		b, err := testenv.NewBox(ctx, g, fmt.Sprintf("s-%08x", i+1), ports[0], o.run)
+		b, err := testenv.NewExecutor(ctx, g, fmt.Sprintf("s-%08x", i+1), ports[0], o.run)
 		if err != nil {
 			return err
 		}
-		b.Set(func(h *testenv.Behaviour) { h.Slots, h.Free, h.Result = 4, 4, o.result })
+		b.Set(func(h *testenv.Behavior) { h.Slots, h.FreeSlots, h.ResultBytes = 4, 4, o.result })
 		if i == 0 && strings.HasPrefix(kind, "box-") {
 			var up, down testenv.Script
 			switch kind {
-			case "box-202": // takes jobs, and says so at one byte a second; what it ran it never tells
+			case "box-202": // accepts jobs, sends the 202 at one byte per second and makes no callbacks
 				down.Rate = 1
-				b.Set(func(h *testenv.Behaviour) { h.Mute = true })
+				b.Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
 			case "box-mute":
-				down.Stall = 1
-				b.Set(func(h *testenv.Behaviour) { h.Mute = true })
+				down.StallAfter = 1
+				b.Set(func(h *testenv.Behavior) { h.NoCallbacks = true })
 			case "box-unread":
-				up.Stall = 1
+				up.StallAfter = 1
 			default:
-				return fmt.Errorf("no case is named %q", kind)
+				return fmt.Errorf("unknown case %q", kind)
 			}
-			slow, err := testenv.NewSlow(ctx, g, b.Addr, up, down, 1)
+			slow, err := testenv.NewSlowProxy(ctx, g, b.Addr, up, down, 1)
 			if err != nil {
 				return err
 			}
@@ -119,63 +119,63 @@
 		}
 		list.Put(b, "ready")
 	}
-	node, err := testenv.StartNode(testenv.Process{Program: o.program, Listen: ports[0], Discovery: list.Addr, MemoryMB: o.memory, Sockets: o.sockets, Log: o.log})
+	node, err := testenv.StartNode(testenv.NodeOptions{Program: o.program, Listen: ports[0], Discovery: list.Addr, MemoryMB: o.memory, Sockets: o.sockets, LogPath: o.log})
 	if err != nil {
 		return err
 	}
 	defer node.Stop()
-	pctx, over := context.WithTimeout(ctx, o.span)
-	defer over()
+	pctx, stop := context.WithTimeout(ctx, o.span)
+	defer stop()
 	var mu sync.Mutex
-	var ended []testenv.Ended
+	var results []testenv.SlowPeerResult
 	var slow errgroup.Group
 	for i := range peers {
-		k := testenv.Kind(kind)
+		k := testenv.SlowKind(kind)
 		if kind == "mixed" {
-			k = testenv.Kinds[i%len(testenv.Kinds)]
+			k = testenv.SlowKinds[i%len(testenv.SlowKinds)]
 		}
 		slow.Go(func() error {
 			e := testenv.SlowPeer(pctx, ports[0], k, i, 25*time.Second)
 			mu.Lock()
 			defer mu.Unlock()
-			ended = append(ended, e)
+			results = append(results, e)
 			return nil
 		})
 	}
-	load := testenv.Load{Addr: ports[0], Clients: o.clients, Class: "area-render", Deadline: 25 * time.Second, Aim: 1900 * time.Millisecond,
+	load := testenv.Load{Addr: ports[0], Clients: o.clients, Class: "area-render", Deadline: 25 * time.Second, Objective: 1900 * time.Millisecond,
 		Prefix: "10adc1e0"}
-	var done *testenv.Done
-	var play errgroup.Group
-	play.Go(func() error { done = load.Run(pctx); return nil })
-	most, fds := 0, 0
+	var done *testenv.LoadResult
+	var clients errgroup.Group
+	clients.Go(func() error { done = load.Run(pctx); return nil })
+	maxRSS, maxFDs := 0, 0
 	for pctx.Err() == nil {
-		rss, n := node.Usage()
-		most, fds = max(most, rss), max(fds, n)
+		rss, fds := node.Usage()
+		maxRSS, maxFDs = max(maxRSS, rss), max(maxFDs, fds)
 		time.Sleep(50 * time.Millisecond)
 	}
-	_, tally := counts(ports[0])
-	node.Stop() // ends what still waits
-	_ = play.Wait()
+	_, slowCounts := slowPeerCounts(ports[0])
+	node.Stop() // ends requests that are still open
+	_ = clients.Wait()
 	_ = slow.Wait()
-	answered, gone, there := 0, 0, 0
-	for _, e := range ended {
+	answered, closed, open := 0, 0, 0
+	for _, e := range results {
 		switch {
 		case e.Status > 0:
 			answered++
 		case e.Closed:
-			gone++
+			closed++
 		default:
-			there++
+			open++
 		}
 	}
 	ms := func(q float64) float64 { return float64(done.Latency.ValueAtQuantile(q)) / 1000 }
-	fmt.Printf("| %s | %d | %d | %d | %d | %d | %.0f | %.0f | %.1f | %d | %d | %d | %d | %s |\n", kind, peers, done.InTime, done.Served,
-		done.Refused, done.Failed, ms(50), ms(99), float64(most)/1024, fds, answered, gone, there, tally)
+	fmt.Printf("| %s | %d | %d | %d | %d | %d | %.0f | %.0f | %.1f | %d | %d | %d | %d | %s |\n", kind, peers, done.WithinObjective, done.Served,
+		done.Rejected, done.Failed, ms(50), ms(99), float64(maxRSS)/1024, maxFDs, answered, closed, open, slowCounts)
 	return nil
 }
 
-// counts asks the node for its counts, and for those of slow peers that are not zero.
-func counts(addr string) (gjson.Result, string) {
+// slowPeerCounts returns the counts of the node, and those of slow peers that are not zero as text.
+func slowPeerCounts(addr string) (gjson.Result, string) {
 	m, err := testenv.Call(addr, "GET", "/counts", nil)
 	if err != nil {
 		return gjson.Result{}, err.Error()
--- a/drmaa2/client_test.go
+++ b/drmaa2/client_test.go
@@ -16,8 +16,8 @@
 	"gatetack/internal/limits"
 )
 
-// fakeNode answers each request on its connections with a status and a body, and closes a connection after a number of
-// answers without saying so in them.
+// fakeNode sends a fixed status and body as the response to each request, and closes a connection after a number of
+// responses without announcing it.
 type fakeNode struct {
 	address     string
 	requests    atomic.Int32
@@ -63,26 +63,26 @@
 	}
 }
 
-// A call that only reads is sent again on a new connection when the idle one had been closed; it reaches the node once.
-func TestReadIsSentAgainOnClosedIdleConnection(t *testing.T) {
+// A GET is sent again on a new connection when the idle one had been closed, and reaches the node once.
+func TestGetIsRetriedOnClosedIdleConnection(t *testing.T) {
 	node := startFakeNode(t, 1, "200 OK", `{"jobId":"n0-1","jobState":"DONE"}`)
 	client := New(node.address, "")
 	defer client.Close()
 	for range 3 {
 		info, err := client.Job(t.Context(), "n0-1")
 		if err != nil || info.JobState != StateDone {
-			t.Fatalf("%+v, %v", info, err)
+			t.Fatalf("job info %+v, error %v", info, err)
 		}
 	}
 	if got := node.requests.Load(); got != 3 {
-		t.Errorf("%d requests came to the node, want 3", got)
+		t.Errorf("node received %d requests, want 3", got)
 	}
 	if got := node.connections.Load(); got != 3 {
 		t.Errorf("%d connections, want 3", got)
 	}
 }
 
-func TestIdleConnectionIsUsedAgain(t *testing.T) {
+func TestIdleConnectionIsReused(t *testing.T) {
 	node := startFakeNode(t, 10, "200 OK", `{}`)
 	client := New(node.address, "")
 	defer client.Close()
@@ -106,24 +106,24 @@
 		t.Fatalf("%v, want %s", err, CodeTryLater)
 	}
 	if rejection.Status != http.StatusServiceUnavailable || rejection.RetryAfter != 1500*time.Millisecond {
-		t.Errorf("%+v", rejection)
+		t.Errorf("error fields %+v", rejection)
 	}
 	if got := err.Error(); got != "TRY_LATER (jobs): too many" {
-		t.Errorf("%q", got)
+		t.Errorf("error text %q", got)
 	}
 }
 
-func TestAnswerThatIsNoErrorOfAFrontIsInternal(t *testing.T) {
+func TestOtherErrorResponseIsInternal(t *testing.T) {
 	node := startFakeNode(t, 1, "502 Bad Gateway", "upstream is down\n")
 	client := New(node.address, "")
 	defer client.Close()
 	_, err := client.Job(t.Context(), "n0-1")
 	if !errors.Is(err, &Error{Code: CodeInternal}) || err.Error() != "INTERNAL: status 502: upstream is down" {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want INTERNAL with the status and the body", err)
 	}
 }
 
-// An event is handed on once its line is whole, wherever the bytes were split, and the cursor follows it.
+// An event is delivered once its line is complete, wherever the bytes are split, and the cursor is updated with it.
 func TestEventReaderJoinsLinesAtEverySplit(t *testing.T) {
 	stream := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	const body = `{"cursor":"1","jobId":"a"}` + "\n\n" + `{"cursor":"2","jobId":"b"}` + "\n"
--- a/internal/actor/actor_test.go
+++ b/internal/actor/actor_test.go
@@ -27,8 +27,9 @@
 	return &Event{Kind: Call, At: int64(1000 * n), Number: n, Body: json.RawMessage(body)}
 }
 
-// A crew's pass: once all tiles are there, whatever comes twice, one area job is submitted, under a key of its own; its end is told.
-func TestPass(t *testing.T) {
+// Once all tiles have arrived, one area job is submitted under its own key, even if calls are repeated. Its end is
+// visible in the state.
+func TestSurveyFunction(t *testing.T) {
 	f := compile(t, SurveyFunction)
 	d := New("crew-7", f)
 	for i, body := range []string{`{"op":"begin","want":2}`, `{"op":"tile","tile":"a","category":"area-render","account":"maavaade"}`,
@@ -48,23 +49,23 @@
 	}
 	j := d.Jobs["area"]
 	if j.Key != "desk/crew-7/4/area" || j.Category != "area-render" || d.Timers["late"] != 1000+3600000 {
-		t.Errorf("%+v %v", j, d.Timers)
+		t.Errorf("open job %+v, timers %v", j, d.Timers)
 	}
 	end := &Event{Kind: JobEnded, At: 9000, Job: "area", Key: j.Key, Served: true}
 	next, _, err := d.Apply(f, end)
 	if err != nil || len(next.Jobs) != 0 || len(next.Timers) != 0 || !strings.Contains(string(next.State), "served") {
-		t.Errorf("%+v %v", next, err)
+		t.Errorf("actor after the end of its job: %+v, error %v", next, err)
 	}
 	if twice, _, _ := next.Apply(f, end); twice != next {
-		t.Error("an end that came again had an effect")
+		t.Error("a duplicate end of a job had an effect")
 	}
 	if _, _, err := next.Apply(f, call(7, `{}`)); !errors.As(err, new(*OrderError)) {
-		t.Errorf("a call out of order: %v", err)
+		t.Errorf("call out of order: error %v, want an OrderError", err)
 	}
 }
 
-// A slot that is not confirmed lapses and is given back; one that is does not.
-func TestSlots(t *testing.T) {
+// A slot that is not confirmed lapses and is returned; a confirmed one does not.
+func TestBookingFunction(t *testing.T) {
 	f := compile(t, BookingFunction)
 	d := New("team", f)
 	for i, body := range []string{`{"op":"book","slot":"9:00","forMs":5000}`, `{"op":"book","slot":"9:30","forMs":5000}`, `{"op":"confirm","slot":"9:30"}`} {
@@ -75,21 +76,21 @@
 	}
 	name, due, ok := d.NextTimer()
 	if !ok || name != "slot 9:00" || due != 6000 || len(d.Timers) != 1 {
-		t.Fatalf("%v", d.Timers)
+		t.Fatalf("timers %v, want slot 9:00 at 6000", d.Timers)
 	}
 	stale := &Event{Kind: TimerFired, At: 7000, Name: name, Due: due - 1}
 	if x, _, _ := d.Apply(f, stale); x != d {
-		t.Error("a timer of before had an effect")
+		t.Error("an outdated timer had an effect")
 	}
 	d, _, err := d.Apply(f, &Event{Kind: TimerFired, At: 7000, Name: name, Due: due})
 	if err != nil || len(d.Jobs) != 1 || len(d.Timers) != 0 {
-		t.Errorf("%+v %v", d, err)
+		t.Errorf("actor after the timer: %+v, error %v", d, err)
 	}
 }
 
-// A function that grows, costs too much or fails leaves the actor as before the call, the same number may be called again, and each
-// error says what can be done.
-func TestFunctionsThatFail(t *testing.T) {
+// A function whose state is too large, whose cost is too high or that fails leaves the actor unchanged, the same call
+// number can be used again, and each error says what can be done.
+func TestFailingFunctions(t *testing.T) {
 	for name, on := range map[string]string{
 		"doubles":           `state: "event.body.x + event.body.x"`,
 		"costs":             `state: "event.body.l.map(a, event.body.l.map(b, event.body.l.map(c, a + b + c)))"`,
@@ -108,24 +109,24 @@
 		many, _ := json.Marshal(timers)
 		body := `{"x":"` + strings.Repeat("x", 200<<10) + `","l":[` + strings.Join(list, ",") + `],"t":` + string(many) + `}`
 		_, _, err := d.Apply(f, call(1, body))
-		if !errors.As(err, new(*CallError)) || operr.Do(err) == "" {
-			t.Errorf("%s: %v", name, err)
+		if !errors.As(err, new(*CallError)) || operr.Remedy(err) == "" {
+			t.Errorf("%s: error %v, want a CallError with a remedy", name, err)
 		}
 		if d.LastCall != 0 || string(d.State) != "{}" {
-			t.Errorf("%s: the desk is %+v", name, d)
+			t.Errorf("%s: actor is %+v", name, d)
 		}
 	}
 	for text, where := range map[string]string{"on: {fall: {}}": "on.fall", "on: {call: {stat: '1'}}": "on.call.stat", "on: {call: {state: '1 +'}}": "on.call.state",
 		"on: {call: {state: 'now()'}}": "on.call.state", "x": "text"} {
 		_, err := Compile([]byte(text))
 		if bad := (*FunctionError)(nil); !errors.As(err, &bad) || bad.Where != where {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: error %v", text, err)
 		}
 	}
 }
 
-// Whatever comes twice, late or before its turn: the actor is the one to which each event was applied once, in its order; and it is
-// the same wherever it was written and read in between.
+// Whatever events are duplicated, late or early, the actor equals one to which each event was applied once and in
+// order, regardless of where it was encoded and decoded in between.
 func TestReplayAgainstAnOracle(t *testing.T) {
 	f := compile(t, BookingFunction)
 	rapid.Check(t, func(t *rapid.T) {
@@ -154,9 +155,9 @@
 				continue
 			}
 			next, _, err := oracle.Apply(f, e)
-			if err != nil { // as a job that has not ended yet: the call is made again later, by its number
+			if err != nil { // for instance because a job has not ended: the call is made again later under its number
 				if _, _, again := d.Apply(f, e); again == nil {
-					t.Fatal("one fails and the other does not")
+					t.Fatal("the oracle rejects the event and the actor accepts it")
 				}
 				if e.Kind == Call {
 					number--
@@ -172,7 +173,7 @@
 			}
 			if old := done[rapid.IntRange(0, len(done)-1).Draw(t, "old")]; old.Kind != Call || old.Number+maxAnswers > oracle.LastCall {
 				if x, _, err := d.Apply(f, old); err != nil || x != d {
-					t.Fatalf("%+v again: %v", old, err)
+					t.Fatalf("duplicate event %+v had an effect or failed: %v", old, err)
 				}
 			}
 			if rapid.Bool().Draw(t, "written") {
@@ -187,32 +188,33 @@
 	})
 }
 
-// FuzzDecode: what was written is read back; cut anywhere, or with a byte changed, it is an error of its type and never another actor.
+// FuzzDecode checks that an encoded actor decodes to the same actor, and that a truncated or altered one is a
+// StoredError and never another actor.
 func FuzzDecode(f *testing.F) {
 	fn := compile(f, BookingFunction)
 	d := New("d", fn)
 	d, _, _ = d.Apply(fn, call(1, `{"op":"book","slot":"1","forMs":5}`))
-	whole := d.Encode()
+	encoded := d.Encode()
 	f.Add(0, byte(0))
 	f.Add(9, byte(1))
-	f.Add(len(whole)-2, byte(128))
+	f.Add(len(encoded)-2, byte(128))
 	f.Fuzz(func(t *testing.T, at int, bit byte) {
-		if at < 0 || at >= len(whole) {
+		if at < 0 || at >= len(encoded) {
 			return
 		}
-		if _, err := Decode(whole[:at]); !errors.As(err, new(*StoredError)) {
-			t.Errorf("cut at %d: %v", at, err)
+		if _, err := Decode(encoded[:at]); !errors.As(err, new(*StoredError)) {
+			t.Errorf("truncated at %d: error %v, want a StoredError", at, err)
 		}
-		bad := bytes.Clone(whole)
+		bad := bytes.Clone(encoded)
 		bad[at] ^= bit
 		got, err := Decode(bad)
-		if bit != 0 && !errors.As(err, new(*StoredError)) || bit == 0 && (err != nil || !bytes.Equal(got.Encode(), whole)) {
-			t.Errorf("byte %d with %x: %v", at, bit, err)
+		if bit != 0 && !errors.As(err, new(*StoredError)) || bit == 0 && (err != nil || !bytes.Equal(got.Encode(), encoded)) {
+			t.Errorf("byte %d changed by %x: error %v", at, bit, err)
 		}
 	})
 }
 
-// BenchmarkCall is what a call costs at a actor, by the size of its state: applied, and written as it goes to the store.
+// BenchmarkCall measures applying a call to an actor and encoding the result, by the size of the actor's state.
 func BenchmarkCall(b *testing.B) {
 	f := compile(b, "start: {pad: '', n: 0}\non: {call: {state: '{\"pad\": event.body.pad, \"n\": state.n + 1.0}', answer: 'state.n'}}\n")
 	for _, size := range []int{1 << 10, 64 << 10, 250 << 10} {
--- a/internal/actor/encoding.go
+++ b/internal/actor/encoding.go
@@ -9,7 +9,7 @@
 	"gatetack/internal/operr"
 )
 
-// encodingHeader begins an encoded actor; a checksum and the actor's JSON follow.
+// encodingHeader starts an encoded actor; a checksum and the actor's JSON follow.
 const encodingHeader = "gtdesk1\n"
 
 // Encode returns the stored form of an actor.
@@ -22,11 +22,11 @@
 // Decode reads what Encode returned. The error is a *StoredError.
 func Decode(data []byte) (*Actor, error) {
 	if len(data) < len(encodingHeader)+8 || string(data[:len(encodingHeader)]) != encodingHeader {
-		return nil, &StoredError{"not a desk"}
+		return nil, &StoredError{"the header of a desk is missing"}
 	}
 	text := data[len(encodingHeader)+8:]
 	if binary.BigEndian.Uint64(data[len(encodingHeader):]) != xxhash.Sum64(text) {
-		return nil, &StoredError{"its checksum does not hold"}
+		return nil, &StoredError{"checksum mismatch"}
 	}
 	a := &Actor{}
 	if err := json.Unmarshal(text, a); err != nil {
@@ -40,12 +40,12 @@
 
 func (e *StoredError) Error() string { return "desk: a stored desk can not be read: " + e.Why }
 
-// Code is its kind.
+// Code returns the error code.
 func (*StoredError) Code() string { return "desk.stored" }
 
-// Do is what can be done.
-func (*StoredError) Do() string {
+// Remedy returns what the operator can do.
+func (*StoredError) Remedy() string {
 	return "look at its earlier versions (`gatetack store history desk ID`) and put the last good one back"
 }
 
-var _ = operr.Kind(&StoredError{})
+var _ = operr.Register(&StoredError{})
--- a/internal/actor/function.go
+++ b/internal/actor/function.go
@@ -21,21 +21,21 @@
 const (
 	maxSourceBytes = 64 << 10
 	maxStateBytes  = 256 << 10 // bytes of JSON
-	maxCost        = 1 << 20   // as the CEL library counts it: it grows with what is read and made, and bounds time and memory
-	maxEffects     = 32        // jobs and timers of an event
+	maxCost        = 1 << 20   // CEL cost, which grows with the data read and created; it bounds time and memory
+	maxEffects     = 32        // jobs and timers per event
 	maxNameBytes   = 128
 )
 
-// Function is a program in CEL expressions: for each kind of event the next state, the answer of the caller, the jobs to submit and
-// the timers to set. It has no clock, no randomness and no unbounded loop, and keeps nothing but its state. It is identified by the
-// hash of its text.
+// Function is a program of CEL expressions that compute, for each kind of event, the next state, the answer to the
+// caller, the jobs to submit and the timers to set. A function has no clock, no randomness and no unbounded loop, and
+// keeps nothing but its state. It is identified by the hash of its text.
 type Function struct {
 	Hash  string
-	Start json.RawMessage // the first state of an actor
+	Start json.RawMessage // the start state of an actor
 	rules map[EventKind]rule
 }
 
-// rule is what happens at one kind of event. A nil program changes nothing.
+// rule handles one kind of event. A nil program changes nothing.
 type rule struct{ state, answer, jobs, timers cel.Program }
 
 type source struct {
@@ -48,11 +48,11 @@
 
 func (e *FunctionError) Error() string { return fmt.Sprintf("desk: function: %s: %s", e.Where, e.Why) }
 
-// Code is its kind.
+// Code returns the error code.
 func (*FunctionError) Code() string { return "desk.function" }
 
-// Do is what can be done.
-func (*FunctionError) Do() string {
+// Remedy returns what the caller can do.
+func (*FunctionError) Remedy() string {
 	return "correct the function at the place that is named, and create the desk again"
 }
 
@@ -60,14 +60,14 @@
 type CallError struct{ Why string }
 
 func (e *CallError) Error() string {
-	return "desk: the function failed, and the desk is as before the call: " + e.Why
+	return "desk: the function failed, and the desk is unchanged: " + e.Why
 }
 
-// Code is its kind.
+// Code returns the error code.
 func (*CallError) Code() string { return "desk.call" }
 
-// Do is what can be done.
-func (*CallError) Do() string {
+// Remedy returns what the caller can do.
+func (*CallError) Remedy() string {
 	return "correct the call and make it again under the same number"
 }
 
@@ -78,17 +78,17 @@
 	return fmt.Sprintf("desk: call %d is out of order: %d is next", e.Number, e.Next)
 }
 
-// Code is its kind.
+// Code returns the error code.
 func (*OrderError) Code() string { return "desk.order" }
 
-// Do is what can be done.
-func (*OrderError) Do() string {
+// Remedy returns what the caller can do.
+func (*OrderError) Remedy() string {
 	return "call with the number that is next; what was answered to much earlier calls is no longer kept"
 }
 
-var _ = []struct{}{operr.Kind(&FunctionError{}), operr.Kind(&CallError{}), operr.Kind(&OrderError{})}
+var _ = []struct{}{operr.Register(&FunctionError{}), operr.Register(&CallError{}), operr.Register(&OrderError{})}
 
-// env declares what an expression may name: the state and the event.
+// env declares the variables of expressions: state and event.
 var env = sync.OnceValues(func() (*cel.Env, error) {
 	return cel.NewEnv(cel.Variable("state", cel.DynType), cel.Variable("event", cel.DynType), cel.ParserRecursionLimit(64))
 })
@@ -96,7 +96,7 @@
 // Compile parses a function.
 func Compile(text []byte) (*Function, error) {
 	if len(text) > maxSourceBytes {
-		return nil, &FunctionError{"text", fmt.Sprintf("%d bytes, expected %d at most", len(text), maxSourceBytes)}
+		return nil, &FunctionError{"text", fmt.Sprintf("got %d bytes, expected at most %d", len(text), maxSourceBytes)}
 	}
 	var src source
 	dec := yaml.NewDecoder(bytes.NewReader(text))
@@ -106,7 +106,7 @@
 	}
 	start, err := json.Marshal(src.Start)
 	if err != nil || len(start) > maxStateBytes {
-		return nil, &FunctionError{"start", fmt.Sprintf("expected what JSON can say, of %d bytes at most", maxStateBytes)}
+		return nil, &FunctionError{"start", fmt.Sprintf("expected a JSON value of at most %d bytes", maxStateBytes)}
 	}
 	e, err := env()
 	if err != nil {
@@ -137,7 +137,7 @@
 	return f, nil
 }
 
-// evaluate returns the value of an expression as JSON, the same text for the same value.
+// evaluate returns the value of an expression as JSON. Equal values give equal text.
 func evaluate(p cel.Program, state, event any) (out json.RawMessage, err error) {
 	defer func() {
 		if x := recover(); x != nil {
@@ -157,7 +157,7 @@
 		return nil, &CallError{err.Error()}
 	}
 	if len(out) > maxStateBytes {
-		return nil, &CallError{fmt.Sprintf("%d bytes were made, %d at most are kept", len(out), maxStateBytes)}
+		return nil, &CallError{fmt.Sprintf("result has %d bytes, expected at most %d", len(out), maxStateBytes)}
 	}
 	return out, nil
 }
@@ -203,29 +203,30 @@
 	return next, answer, fx, fx.validate()
 }
 
-// Effects are what an event causes beside the next state: jobs to submit and timers to set or clear.
+// Effects are the effects of an event beside the next state: jobs to submit and timers to set or clear.
 type Effects struct {
 	Jobs   []JobRequest
-	Timers map[string]float64 // by name: ms from the event on, 0 clears
+	Timers map[string]float64 // by name: ms after the event; 0 clears the timer
 }
 
-// JobRequest is a job that a function wants submitted. Its key is made of the actor and the event, so that it is submitted once.
+// JobRequest is a job that a function requests. Its idempotency key is derived from the actor and the event, so that
+// it is submitted once.
 type JobRequest struct {
 	Name     string   `json:"name"`
 	Category string   `json:"category"`
 	Account  string   `json:"account"`
 	Payload  string   `json:"payload"`
-	Inputs   []string `json:"inputs,omitempty"` // data sets that it needs
+	Inputs   []string `json:"inputs,omitempty"` // names of data sets
 }
 
 func (fx *Effects) validate() error {
 	if len(fx.Jobs)+len(fx.Timers) > maxEffects {
-		return &CallError{fmt.Sprintf("%d effects, %d at most", len(fx.Jobs)+len(fx.Timers), maxEffects)}
+		return &CallError{fmt.Sprintf("got %d effects, expected at most %d", len(fx.Jobs)+len(fx.Timers), maxEffects)}
 	}
 	seen := map[string]bool{}
 	for _, j := range fx.Jobs {
 		if j.Name == "" || len(j.Name) > maxNameBytes || seen[j.Name] {
-			return &CallError{fmt.Sprintf("a job's name %q: expected one of its own, of 1 to %d bytes", j.Name, maxNameBytes)}
+			return &CallError{fmt.Sprintf("job name %q: expected a unique name of 1 to %d bytes", j.Name, maxNameBytes)}
 		}
 		seen[j.Name] = true
 	}
--- a/internal/actorhost/calls.go
+++ b/internal/actorhost/calls.go
@@ -15,10 +15,10 @@
 	"gatetack/internal/migration"
 )
 
-// Call makes a client's call at the owner of an actor, wherever that is by now. Via is the zone of the client; hop says that another
-// node forwarded the call, which is then not forwarded again.
+// Call makes a client's call at the current owner of an actor. Via is the client's zone. If hop is set, another node
+// forwarded the call, and it is not forwarded again.
 func (h *Host) Call(ctx context.Context, id string, number uint64, body json.RawMessage, via string, hop bool) (answer json.RawMessage, at string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, h.Limits.StoreCall)
+	ctx, cancel := context.WithTimeout(ctx, h.Limits.StoreCallTimeout)
 	defer cancel()
 	for {
 		answer, at, err = h.tryCall(ctx, id, number, body, via, hop)
@@ -31,7 +31,7 @@
 		}
 	}
 	if errors.Is(err, errNotOwner) {
-		err = &UnavailableError{id, "it moved meanwhile"}
+		err = &UnavailableError{id, "its owner changed during the call"}
 	}
 	return answer, at, err
 }
@@ -48,12 +48,12 @@
 		if r.OK() {
 			return nil, "", &NotFoundError{id}
 		}
-		return nil, "", &UnavailableError{id, "it is not known here yet"}
+		return nil, "", &UnavailableError{id, "this node does not know its owner yet"}
 	}
 	if node != h.Name {
-		row, alive := hostOf(v, node)
+		row, found := hostOf(v, node)
 		switch {
-		case !alive:
+		case !found:
 			return nil, "", h.takeOver(ctx, id, node, epoch)
 		case hop:
 			return nil, "", errNotOwner
@@ -71,7 +71,8 @@
 	return answer, h.Name, err
 }
 
-// takeOver makes this node the owner of an actor whose node is lost: its entry in the host table has expired in the log.
+// takeOver makes this node the owner of an actor whose node is lost, which means that its entry in the host table has
+// expired by the log's time.
 func (h *Host) takeOver(ctx context.Context, id, node string, epoch uint64) error {
 	value, _ := json.Marshal(ownerRow{h.Name})
 	r, err := h.txn(ctx, kv.Op{Verb: kv.Check, Table: HostTable, Key: node, Cond: true},
@@ -83,11 +84,11 @@
 	if err != nil {
 		return &UnavailableError{id, err.Error()}
 	}
-	return errNotOwner // the caller looks the owner up again: it is this node or a faster one
+	return errNotOwner // the caller looks up the owner again: it is this node or one that was faster
 }
 
-// migrate moves an actor after its device if the planner decides so. The lock of x is held: calls that come meanwhile wait, and go on
-// at the new owner.
+// migrate moves an actor closer to its device if the planner decides so. x.mu is held: calls that arrive meanwhile
+// wait, and are made at the new owner.
 func (h *Host) migrate(ctx context.Context, id string, x *hostedActor) {
 	v := h.Store.View()
 	here := migration.Node{Name: h.Name, Zone: h.Zone}
@@ -106,10 +107,10 @@
 	}
 	began := time.Now()
 	value, _ := json.Marshal(ownerRow{to})
-	// If the target is lost by then, the actor is taken over as any other of a lost node.
+	// If the target is lost by then, the actor is taken over like any other actor of a lost node.
 	r, err := h.txn(ctx, kv.Op{Verb: kv.Put, Table: OwnerTable, Key: id, Value: value, Keep: true, Cond: true, If: x.epoch})
 	if err != nil {
-		x.state = nil // it may have moved: the next load tells
+		x.state = nil // the migration may have been committed: the next load checks the owner
 		return
 	}
 	if !r.OK() {
@@ -120,7 +121,7 @@
 	h.Log.Info("desk moved", "desk", id, "to", to, "zone", row.Zone, "epoch", r.Version, "took", time.Since(began))
 }
 
-// zoneHeader tells the owner of an actor the zone of the client.
+// zoneHeader is the header field with the client's zone in a forwarded call.
 const zoneHeader = "X-Gatetack-Zone"
 
 // forward makes a call at the owner of an actor.
@@ -144,7 +145,7 @@
 		return nil, "", &UnavailableError{id, v.Get("message").String()}
 	}
 	if m.Status != 200 {
-		return nil, "", &UnavailableError{id, "the node that has it says " + string(m.Body)}
+		return nil, "", &UnavailableError{id, "unexpected response of its owner: " + string(m.Body)}
 	}
 	return json.RawMessage(v.Get("answer").Raw), v.Get("node").String(), nil
 }
--- a/internal/actorhost/errors.go
+++ b/internal/actorhost/errors.go
@@ -7,19 +7,19 @@
 	"gatetack/internal/operr"
 )
 
-// errNotOwner reports that this node does not, or no longer, own an actor. The caller looks its owner up again.
-var errNotOwner = errors.New("desks: the desk is another node's by now")
+// errNotOwner reports that this node does not, or no longer, own an actor. The caller looks up the owner again.
+var errNotOwner = errors.New("desks: another node owns the desk")
 
 // NotFoundError reports that there is no such actor.
 type NotFoundError struct{ ID string }
 
-func (e *NotFoundError) Error() string { return fmt.Sprintf("desks: there is no desk %q", e.ID) }
+func (e *NotFoundError) Error() string { return fmt.Sprintf("desks: desk %q does not exist", e.ID) }
 
-// Code is its kind.
+// Code returns the error code.
 func (*NotFoundError) Code() string { return "desks.unknown" }
 
-// Do is what can be done.
-func (*NotFoundError) Do() string { return "create the desk first" }
+// Remedy returns what the caller can do.
+func (*NotFoundError) Remedy() string { return "create the desk first" }
 
 // UnavailableError reports that an actor can not be reached at the moment.
 type UnavailableError struct{ ID, Why string }
@@ -28,23 +28,25 @@
 	return fmt.Sprintf("desks: %q can not be reached: %s", e.ID, e.Why)
 }
 
-// Code is its kind.
+// Code returns the error code.
 func (*UnavailableError) Code() string { return "desks.away" }
 
-// Do is what can be done.
-func (*UnavailableError) Do() string {
+// Remedy returns what the caller can do.
+func (*UnavailableError) Remedy() string {
 	return "make the same call, with its number, again in a moment: it has one effect"
 }
 
-// ExistsError reports that an actor of the same id exists.
+// ExistsError reports that an actor with the ID exists.
 type ExistsError struct{ ID string }
 
-func (e *ExistsError) Error() string { return fmt.Sprintf("desks: %q is there already", e.ID) }
+func (e *ExistsError) Error() string { return fmt.Sprintf("desks: %q already exists", e.ID) }
 
-// Code is its kind.
+// Code returns the error code.
 func (*ExistsError) Code() string { return "desks.exists" }
 
-// Do is what can be done.
-func (*ExistsError) Do() string { return "call it, or choose another name" }
+// Remedy returns what the caller can do.
+func (*ExistsError) Remedy() string { return "call it, or choose another name" }
 
-var _ = []struct{}{operr.Kind(&NotFoundError{}), operr.Kind(&UnavailableError{}), operr.Kind(&ExistsError{})}
+var _ = []struct{}{
+	operr.Register(&NotFoundError{}), operr.Register(&UnavailableError{}), operr.Register(&ExistsError{}),
+}
--- a/internal/actorhost/explore_test.go
+++ b/internal/actorhost/explore_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// The hand-over's protocol as a model: two nodes, a store, a client that calls 1, 2, 3 in turn at either node and again until it is
-// answered. Transactions are made at any later moment, or never, and their answers may be lost; a node may stand still with one on
-// its way for as long as all else takes; leases end and come back. Explored in full to a bound.
+// A model of the migration protocol: two nodes, a store, and a client that makes calls 1, 2, 3 in turn at either node
+// and repeats each until it is answered. A transaction is committed at any later moment, or never, and its result may
+// be lost; a node may be stopped with a transaction in flight for any time; leases expire and are renewed. The state
+// space is explored exhaustively up to a bound.
 
 type txn struct {
 	kind           uint8 // 0 none, 1 apply, 2 move, 3 claim
@@ -16,20 +17,20 @@
 	copy           bool
 	epoch, version uint8
 	last           uint8
-	out            txn
+	pending        txn
 	lease          bool
 }
 
 type modelWorld struct {
 	owner, epoch, version, last uint8
-	acked                       uint8
+	answered                    uint8
 	nodes                       [2]modelNode
 }
 
 type guards struct{ epoch, version, lease bool }
 
-// explore walks all states. It gives their number, and what is wrong in one of them.
-func explore(g guards, calls, epochs uint8) (states int, wrong string) {
+// explore visits all states. It returns their number and a violation in one of them, if any.
+func explore(g guards, calls, epochs uint8) (states int, violation string) {
 	first := modelWorld{owner: 0, epoch: 1, version: 1}
 	first.nodes[0].lease, first.nodes[1].lease = true, true
 	seen := map[modelWorld]bool{first: true}
@@ -40,84 +41,84 @@
 			todo = append(todo, w)
 		}
 	}
-	for len(todo) > 0 && wrong == "" {
+	for len(todo) > 0 && violation == "" {
 		w := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		if w.last < w.acked {
-			return len(seen), "a call that was answered is gone"
+		if w.last < w.answered {
+			return len(seen), "an answered call is lost"
 		}
 		for i := range w.nodes {
 			n := w.nodes[i]
 			x := w
-			if n.lease { // it ends, or comes back
+			if n.lease { // it expires, or is renewed
 				x.nodes[i].lease = false
 			} else {
 				x.nodes[i].lease = true
 			}
 			push(x)
-			if !n.copy && n.out.kind == 0 && w.owner == uint8(i) {
+			if !n.copy && n.pending.kind == 0 && w.owner == uint8(i) {
 				x := w
 				x.nodes[i].copy, x.nodes[i].epoch, x.nodes[i].version, x.nodes[i].last = true, w.epoch, w.version, w.last
 				push(x)
 			}
-			if n.copy && n.out.kind == 0 {
-				if next := w.acked + 1; next <= calls {
+			if n.copy && n.pending.kind == 0 {
+				if next := w.answered + 1; next <= calls {
 					x := w
-					if n.last >= next { // answered before: from what it remembers
-						x.acked = next
+					if n.last >= next { // answered before: the answer is remembered
+						x.answered = next
 						push(x)
 					} else if n.last+1 == next {
-						x.nodes[i].out = txn{1, n.epoch, n.version, next}
+						x.nodes[i].pending = txn{1, n.epoch, n.version, next}
 						push(x)
 					}
 				}
 				if w.epoch < epochs {
 					x := w
-					x.nodes[i].out = txn{2, n.epoch, 0, 0}
+					x.nodes[i].pending = txn{2, n.epoch, 0, 0}
 					push(x)
 				}
 			}
-			if !n.copy && n.out.kind == 0 && w.owner != uint8(i) && w.epoch < epochs && (!w.nodes[1-i].lease || !g.lease) {
+			if !n.copy && n.pending.kind == 0 && w.owner != uint8(i) && w.epoch < epochs && (!w.nodes[1-i].lease || !g.lease) {
 				x := w
-				x.nodes[i].out = txn{3, w.epoch, 0, 0}
+				x.nodes[i].pending = txn{3, w.epoch, 0, 0}
 				push(x)
 			}
-			if n.out.kind == 0 {
+			if n.pending.kind == 0 {
 				continue
 			}
-			x = w // it was never made, or is not known to have been: the copy is read anew
-			x.nodes[i].out, x.nodes[i].copy = txn{}, false
+			x = w // the transaction is not committed, or not known to be: the copy is read again
+			x.nodes[i].pending, x.nodes[i].copy = txn{}, false
 			push(x)
-			made := n.out.epoch == w.epoch || !g.epoch
+			made := n.pending.epoch == w.epoch || !g.epoch
 			x = w
-			x.nodes[i].out = txn{}
-			switch n.out.kind {
+			x.nodes[i].pending = txn{}
+			switch n.pending.kind {
 			case 1:
-				if made = made && (n.out.version == w.version || !g.version); !made {
+				if made = made && (n.pending.version == w.version || !g.version); !made {
 					x.nodes[i].copy = false
 					push(x)
 					continue
 				}
 				if w.owner != uint8(i) {
-					return len(seen), "one that is not the owner applied a call"
+					return len(seen), "a node that is not the owner applied a call"
 				}
-				if n.out.number != w.last+1 {
-					return len(seen), "a call was applied twice, or one was lost"
+				if n.pending.number != w.last+1 {
+					return len(seen), "a call was applied twice or lost"
 				}
-				x.last, x.version = n.out.number, w.version+1
+				x.last, x.version = n.pending.number, w.version+1
 				x.nodes[i].last, x.nodes[i].version = x.last, x.version
 				lost := x
-				lost.nodes[i].copy = false // its answer was lost
+				lost.nodes[i].copy = false // the result of the transaction was lost
 				push(lost)
-				x.acked = max(x.acked, n.out.number)
+				x.answered = max(x.answered, n.pending.number)
 			case 2, 3:
-				if n.out.kind == 3 {
+				if n.pending.kind == 3 {
 					made = made && (!w.nodes[1-i].lease || !g.lease)
 				}
 				x.nodes[i].copy = false
 				if made {
 					x.epoch++
-					if x.owner = uint8(i); n.out.kind == 2 {
+					if x.owner = uint8(i); n.pending.kind == 2 {
 						x.owner = uint8(1 - i)
 					}
 				}
@@ -125,25 +126,25 @@
 			push(x)
 		}
 	}
-	return len(seen), wrong
+	return len(seen), violation
 }
 
-// With its guards the hand-over loses nothing, does nothing twice, and nobody but the owner applies anything; with the epoch taken
-// out that is found, and with the epoch and the version of the actor taken out a call is lost or done twice. The lease is no guard: without
-// it a actor is only taken over sooner.
-func TestHandOverExplored(t *testing.T) {
-	states, wrong := explore(guards{true, true, true}, 3, 5)
+// With all guards the migration loses no call, applies none twice, and only the owner applies calls. Without the epoch
+// the exploration must find a violation; without the epoch and the version of the actor a call is lost or applied
+// twice. The lease is not a guard: without it, an actor is only taken over sooner.
+func TestMigrationStatesExplored(t *testing.T) {
+	states, violation := explore(guards{true, true, true}, 3, 5)
 	t.Logf("%d states", states)
-	if wrong != "" || states < 10000 {
-		t.Errorf("%s in %d states", wrong, states)
+	if violation != "" || states < 10000 {
+		t.Errorf("%s in %d states", violation, states)
 	}
-	if _, wrong := explore(guards{true, true, false}, 3, 5); wrong != "" {
-		t.Errorf("without leases: %s", wrong)
+	if _, violation := explore(guards{true, true, false}, 3, 5); violation != "" {
+		t.Errorf("without leases: %s", violation)
 	}
-	if _, wrong := explore(guards{false, true, true}, 3, 5); wrong == "" {
-		t.Error("nothing is found without the epoch")
+	if _, violation := explore(guards{false, true, true}, 3, 5); violation == "" {
+		t.Error("no violation found without the epoch")
 	}
-	if _, wrong := explore(guards{false, false, true}, 3, 5); wrong == "" {
-		t.Error("nothing is found without the epoch and the version")
+	if _, violation := explore(guards{false, false, true}, 3, 5); violation == "" {
+		t.Error("no violation found without the epoch and the version")
 	}
 }
--- a/internal/batch/adopt.go
+++ b/internal/batch/adopt.go
@@ -14,16 +14,16 @@
 	"gatetack/internal/jobstore"
 )
 
-// load takes up what an earlier life of this node left: its sessions, arrays, and jobs that wait here. What may have been
-// sent is told as UNDETERMINED, and what was on its way to the core without a send on record as unsent; neither is run
-// again. Members of an array that were never sent have their turn again.
+// load reads the sessions and, where this node alone owns its records, adopts the arrays and unfinished jobs of its
+// earlier incarnations. A job that may have been sent becomes UNDETERMINED and one that was handed to the core
+// without a recorded send ends as unsent; neither runs again. Array members that were never sent are queued again.
 func (f *Front) load(ctx context.Context) error {
-	if err := f.sessionsOnRecord(ctx, func(x sessionRecord) { f.sessions[x.Name] = &session{r: x} }); err != nil {
+	if err := f.forEachStoredSession(ctx, func(x sessionRecord) { f.sessions[x.Name] = &session{r: x} }); err != nil {
 		return err
 	}
-	if f.fleet != nil {
-		if !f.fleet.Ready() { // it has what earlier lives left taken up, one by one
-			return errors.New("the duties of this node's earlier lives are being claimed")
+	if f.router != nil {
+		if !f.router.Ready() { // the partitions of earlier incarnations are adopted one by one
+			return errors.New("the partitions of this node's earlier incarnations are being claimed")
 		}
 		return nil
 	}
@@ -34,8 +34,9 @@
 	return err
 }
 
-// Adopt takes up what is on record of a partition, or of all lives of a node, and says how much waits: what was never
-// handed to the core goes on waiting, what may have been sent is told as such, and is not run again here.
+// Adopt takes over the recorded jobs of a partition, or of all incarnations of a node, and returns how many jobs and
+// arrays are still waiting. Jobs that were never handed to the core keep waiting; jobs that may have been sent are
+// marked UNDETERMINED and are not run again here.
 func (f *Front) Adopt(ctx context.Context, partition string) (int, error) {
 	a := &adoption{front: f, prefix: partition + ".", now: time.Now(), arrays: map[string]*adoptedArray{}}
 	if err := a.readArrays(ctx); err != nil {
@@ -48,30 +49,30 @@
 		if err := x.reconcile(ctx, f); err != nil {
 			return 0, err
 		}
-		if !x.over() && !a.readTemplate(x) {
+		if !x.finished() && !a.readTemplate(x) {
 			delete(a.arrays, id)
 		}
 	}
 	for i := range a.open {
-		if err := a.take(ctx, &a.open[i]); err != nil {
+		if err := a.settle(ctx, &a.open[i]); err != nil {
 			return 0, err
 		}
 	}
 	return a.enqueue(partition), nil
 }
 
-// adoption is what is on record of a partition while it is taken up.
+// adoption is the state of one call of Front.Adopt.
 type adoption struct {
 	front   *Front
-	prefix  string // of the keys of the partition's rows
+	prefix  string // prefix of the record keys of the partition
 	now     time.Time
 	arrays  map[string]*adoptedArray
-	open    []Record // of jobs that have not ended, in the order of their keys
-	waiting []*job   // those that go on waiting, members of arrays aside
+	open    []Record // jobs that have not ended, in key order
+	waiting []*job   // jobs that keep waiting, without array members
 }
 
 func (a *adoption) readArrays(ctx context.Context) error {
-	return a.front.pages(ctx, kindArray, a.prefix, func(row jobstore.Row) error {
+	return a.front.forEachRow(ctx, kindArray, a.prefix, func(row jobstore.Row) error {
 		x := &adoptedArray{array: &array{}, open: map[int]bool{}}
 		if err := json.Unmarshal(row.Value, &x.r); err != nil {
 			return err
@@ -82,99 +83,99 @@
 }
 
 func (a *adoption) readOpen(ctx context.Context) error {
-	return a.front.pages(ctx, kindOpen, a.prefix, func(row jobstore.Row) error {
+	return a.front.forEachRow(ctx, kindOpen, a.prefix, func(row jobstore.Row) error {
 		value, found, err := a.front.store.Get(ctx, kindJob, row.Key)
 		if err != nil || !found {
 			return err
 		}
 		r := parseRecord(value)
 		a.open = append(a.open, r)
-		if x := a.arrayOf(&r); x != nil && !r.State.over() {
+		if x := a.findArray(&r); x != nil && !r.State.final() {
 			x.open[*r.Index] = true
 		}
 		return nil
 	})
 }
 
-// arrayOf is the array whose member a record is of, nil if it is none's.
-func (a *adoption) arrayOf(r *Record) *adoptedArray {
+// findArray returns the array that a record is a member of, or nil.
+func (a *adoption) findArray(r *Record) *adoptedArray {
 	if !r.member() {
 		return nil
 	}
 	return a.arrays[r.Array]
 }
 
-// readTemplate reads the template of an array whose members are to go on, and says whether it can.
+// readTemplate parses the template of an array whose members are still to run, and reports whether it is valid.
 func (a *adoption) readTemplate(x *adoptedArray) bool {
-	t, bad := a.front.read(gjson.ParseBytes(x.r.Template), x.r.Submitted)
+	t, bad := a.front.readTemplate(gjson.ParseBytes(x.r.Template), x.r.Submitted)
 	if bad != nil {
-		a.front.log.Warn("an array on record can not be taken up", "array", x.r.ID, "field", bad.field, "why", bad.text)
+		a.front.log.Warn("recorded array can not be adopted: invalid template", "array", x.r.ID, "field", bad.field, "why", bad.text)
 		return false
 	}
-	t.job.Method, t.job.Idempotency = "POST", trace()+trace()
+	t.job.Method, t.job.IdempotencyKey = "POST", newTraceID()+newTraceID()
 	x.t = *t
 	return true
 }
 
-// take settles what becomes of a job that had not ended.
-func (a *adoption) take(ctx context.Context, r *Record) error {
-	x := a.arrayOf(r)
+// settle decides and records what becomes of a job that had not ended.
+func (a *adoption) settle(ctx context.Context, r *Record) error {
+	x := a.findArray(r)
 	switch {
-	case r.State.over():
-	case r.unsent() && x != nil && x.r.Cut:
+	case r.State.final():
+	case r.unsent() && x != nil && x.r.Terminated:
 		r.State, r.SubState, r.Annotation, r.Finished = Failed, subTerminated, terminatedUnsent, a.now
 	case r.unsent() && x != nil:
-		x.again = append(x.again, *r.Index) // its record stands until its turn: another restart finds it
+		x.requeued = append(x.requeued, *r.Index) // another restart finds its record
 		return nil
-	case r.unsent() && !r.Handed && r.Array == "":
-		a.wait(r)
+	case r.unsent() && !r.HandedOver && r.Array == "":
+		a.queueJob(r)
 		return nil
 	default:
-		*r = told(*r, formerly)
+		*r = afterRestart(*r, earlierIncarnation)
 		if r.State == Undetermined {
 			r.Finished = a.now
 		}
 	}
 	changes := r.changes()
-	for i := range changes { // nothing of it is open in this life, and an executor may tell only of one that is in doubt
+	for i := range changes { // nothing is open in this incarnation; only callbacks for an UNDETERMINED job are accepted
 		if k := changes[i].Kind; k == kindOpen || k == kindSent && r.State != Undetermined {
 			changes[i].Value = nil
 		}
 	}
-	if x != nil && x.open[*r.Index] { // it and its count go on record together
-		x.ended(r)
+	if x != nil && x.open[*r.Index] { // the member and its array's counts are written together
+		x.countEnded(r)
 		changes = append(changes, x.change())
 	}
 	return a.front.store.Write(ctx, changes...)
 }
 
-// wait makes a job go on waiting that was never handed to the core.
-func (a *adoption) wait(r *Record) {
-	t, bad := a.front.parse(r.Template, r.Submitted)
+// queueJob collects a job that was never handed to the core, so that enqueue puts it in the queue.
+func (a *adoption) queueJob(r *Record) {
+	t, bad := a.front.parseTemplate(r.Template, r.Submitted)
 	if bad != nil {
 		return
 	}
-	j := &job{f: a.front, queue: true, ref: jobqueue.JobRef{ID: r.ID}, in: t.job, until: r.Deadline, hash: t.hash,
-		changed: make(chan struct{}), ready: closed, r: *r}
+	j := &job{f: a.front, queue: true, ref: jobqueue.JobRef{ID: r.ID}, in: t.job, deadline: r.Deadline, hash: t.hash,
+		changed: make(chan struct{}), ready: closedChan, r: *r}
 	j.in.Method = "POST"
-	if j.in.Idempotency == "" {
-		j.in.Idempotency = trace() + trace()
+	if j.in.IdempotencyKey == "" {
+		j.in.IdempotencyKey = newTraceID() + newTraceID()
 	}
 	a.waiting = append(a.waiting, j)
 }
 
-// enqueue puts what waits in the queue, and says how much that is.
+// enqueue puts the collected jobs and arrays in the queue and returns their number.
 func (a *adoption) enqueue(partition string) int {
 	f, unfinished := a.front, 0
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, x := range a.arrays {
 		f.arrays[id] = x.array
-		if !x.over() {
+		if !x.finished() {
 			unfinished++
-			f.queue.Restore(x.r.item(), jobqueue.Progress{Next: x.r.Next, Requeued: x.again, Skipped: x.apart}, a.now)
+			f.queue.Restore(x.r.item(), jobqueue.Progress{Next: x.r.Next, Requeued: x.requeued, Skipped: x.skipped}, a.now)
 		}
-		if len(x.again) > 0 { // others take theirs up at the same moment
+		if len(x.requeued) > 0 { // executors may be busy: other nodes may requeue members at the same time
 			f.ramp.Restart()
 		}
 	}
@@ -182,25 +183,25 @@
 		if f.jobs[j.r.ID] != nil {
 			continue
 		}
-		f.keep(j)
-		f.waits[j.r.ID] = j
+		f.register(j)
+		f.waiting[j.r.ID] = j
 		f.queue.Add(jobqueue.Item{ID: j.r.ID, Session: j.r.Session, Priority: j.r.Priority, Start: j.r.Start, Held: j.r.State == QueuedHeld}, a.now)
 	}
 	if len(a.waiting) > 0 {
 		f.ramp.Restart()
 	}
-	f.log.Info("batch jobs on record", "of", partition, "waiting", f.queue.Waiting(), "arrays", unfinished)
+	f.log.Info("batch jobs adopted", "of", partition, "waiting", f.queue.Waiting(), "arrays", unfinished)
 	f.wake()
 	return len(a.waiting) + unfinished
 }
 
-// pages calls each for all rows of a kind whose keys begin with a prefix.
-func (f *Front) pages(ctx context.Context, kind, prefix string, each func(jobstore.Row) error) error {
-	return f.pagesAfter(ctx, kind, prefix, prefix, each)
+// forEachRow calls each for all rows of a kind whose keys have a prefix.
+func (f *Front) forEachRow(ctx context.Context, kind, prefix string, each func(jobstore.Row) error) error {
+	return f.forEachRowAfter(ctx, kind, prefix, prefix, each)
 }
 
-// pagesAfter calls each for those of them whose keys come after one that need not be there.
-func (f *Front) pagesAfter(ctx context.Context, kind, prefix, after string, each func(jobstore.Row) error) error {
+// forEachRowAfter is forEachRow for the rows whose keys sort after a given key, which need not exist.
+func (f *Front) forEachRowAfter(ctx context.Context, kind, prefix, after string, each func(jobstore.Row) error) error {
 	for {
 		rows, err := f.store.Page(ctx, kind, after, 256)
 		if err != nil {
@@ -215,7 +216,7 @@
 			}
 			after = r.Key
 		}
-		if len(rows) == 0 { // a page may be cut short by its bytes
+		if len(rows) == 0 { // a shorter page is not the last one: pages are also limited by size
 			return nil
 		}
 	}
--- a/internal/batch/array.go
+++ b/internal/batch/array.go
@@ -12,8 +12,8 @@
 	"gatetack/internal/jobstore"
 )
 
-// arrayRecord is what is known of a job array (DRMAAv2, section 8.2): its range, and how many of its members have ended
-// how. Members become jobs of their own when their turn comes; until then the array stands for them.
+// arrayRecord is the stored state of a job array (DRMAAv2, section 8.2): its index range and how many of its members
+// are done or failed. A member becomes a job of its own when its turn comes; until then the array represents it.
 type arrayRecord struct {
 	ID          string          `json:"jobArrayId"`
 	Session     string          `json:"sessionName"`
@@ -30,8 +30,8 @@
 	Deadline    time.Time       `json:"deadlineTime,omitzero"`
 	Held        bool            `json:"held"`
 	Jobs        int             `json:"jobs"`
-	Next        int             `json:"nextIndex"` // members before it had their turn
-	Cut         bool            `json:"terminated,omitempty"`
+	Next        int             `json:"nextIndex"` // members with lower indices had their turn
+	Terminated  bool            `json:"terminated,omitempty"`
 	Done        int             `json:"done"`
 	Failed      int             `json:"failed"`
 	Template    json.RawMessage `json:"template,omitempty"`
@@ -50,7 +50,7 @@
 	return a.r
 }
 
-func (a *array) set(change func(*arrayRecord)) {
+func (a *array) update(change func(*arrayRecord)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	change(&a.r)
@@ -63,10 +63,10 @@
 
 func (r *arrayRecord) change() jobstore.Change {
 	v, _ := json.Marshal(r)
-	return jobstore.Change{Kind: kindArray, Key: key(r.ID), Value: v, Keep: r.Done+r.Failed < r.Jobs}
+	return jobstore.Change{Kind: kindArray, Key: recordKey(r.ID), Value: v, Keep: r.Done+r.Failed < r.Jobs}
 }
 
-// recordArray puts an array on record as it is.
+// recordArray stores the current state of an array.
 func (f *Front) recordArray(ctx context.Context, a *array) error {
 	if f.store == nil {
 		return nil
@@ -75,15 +75,15 @@
 	if err := f.store.Write(ctx, c); err != nil {
 		return err
 	}
-	if c.Keep && a.over() { // it ended meanwhile: its last record may have been written before this one, which is older
+	if c.Keep && a.finished() { // this older state may have overwritten its end: write again
 		return f.store.Write(ctx, a.change())
 	}
 	return nil
 }
 
-// ended counts a member that has ended.
-func (a *array) ended(r *Record) {
-	a.set(func(x *arrayRecord) {
+// countEnded counts a member that has ended.
+func (a *array) countEnded(r *Record) {
+	a.update(func(x *arrayRecord) {
 		if r.State == Done {
 			x.Done++
 		} else {
@@ -92,12 +92,12 @@
 	})
 }
 
-func (a *array) over() bool {
+func (a *array) finished() bool {
 	r := a.record()
 	return r.Done+r.Failed >= r.Jobs
 }
 
-// status is an array as its clients see it.
+// status returns the array as clients see it.
 func (r arrayRecord) status() map[string]any {
 	out := map[string]any{}
 	r.Template = nil
@@ -123,47 +123,48 @@
 		Begin: r.Begin, End: r.End, Step: r.Step, MaxParallel: r.MaxParallel}
 }
 
-// member makes the job of a member whose turn has come, or finds it if it had one before. The front's lock is held.
-func (f *Front) member(a *array, ref jobqueue.JobRef, now time.Time) *job {
+// memberJob returns the job of a member whose turn has come, creating it if the member had no turn before. f.mu is
+// held.
+func (f *Front) memberJob(a *array, ref jobqueue.JobRef, now time.Time) *job {
 	id := memberID(ref.ID, ref.Index)
 	if j := f.jobs[id]; j != nil {
 		return j
 	}
 	x := a.record()
-	j := &job{f: f, array: a, ref: ref, queue: true, in: a.t.member(ref.Index), until: x.Deadline, changed: make(chan struct{}), ready: closed,
+	j := &job{f: f, array: a, ref: ref, queue: true, in: a.t.memberJob(ref.Index), deadline: x.Deadline, changed: make(chan struct{}), ready: closedChan,
 		r: a.memberRecord(&x, ref.Index)}
-	f.keep(j)
-	a.set(func(x *arrayRecord) { x.Next = max(x.Next, ref.Index+x.Step) })
+	f.register(j)
+	a.update(func(x *arrayRecord) { x.Next = max(x.Next, ref.Index+x.Step) })
 	return j
 }
 
-// closed is a channel that always was.
-var closed = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
+// closedChan is a channel that is always closed.
+var closedChan = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
 func (a *array) memberRecord(x *arrayRecord, index int) Record {
 	return Record{ID: memberID(x.ID, index), State: Queued, SubState: subHeld, Name: x.Name, Category: x.Category, Account: x.Account,
 		Session: x.Session, Array: x.ID, Index: &index, Priority: x.Priority, Submitted: x.Submitted, Start: x.Start, Deadline: x.Deadline}
 }
 
-// finished lets an array go whose members have all ended: from the memory where it is on record, or as the last of so
-// many where it is not. The front's lock is held.
-func (f *Front) finished(a *array) {
-	if f.ended = append(f.ended, a.r.ID); f.store == nil && len(f.ended) <= f.lim.BatchJobs/4 {
+// releaseArray removes from memory an array whose members have all ended. Without a store the latest such arrays are
+// kept for queries. f.mu is held.
+func (f *Front) releaseArray(a *array) {
+	if f.finishedArrays = append(f.finishedArrays, a.r.ID); f.store == nil && len(f.finishedArrays) <= f.lim.BatchJobs/4 {
 		return
 	}
-	delete(f.arrays, f.ended[0])
-	f.ended = f.ended[1:]
+	delete(f.arrays, f.finishedArrays[0])
+	f.finishedArrays = f.finishedArrays[1:]
 }
 
-// arrayOf finds an array, here or on record.
-func (f *Front) arrayOf(ctx context.Context, id string) (*array, bool, error) {
+// findArray looks an array up in memory and then in the store.
+func (f *Front) findArray(ctx context.Context, id string) (*array, bool, error) {
 	f.mu.Lock()
 	a := f.arrays[id]
 	f.mu.Unlock()
-	if a != nil || f.store == nil || f.ids.origin(id) == noID {
+	if a != nil || f.store == nil || f.ids.origin(id) == unknownOrigin {
 		return a, a != nil, nil
 	}
-	value, found, err := f.store.Get(ctx, kindArray, key(id))
+	value, found, err := f.store.Get(ctx, kindArray, recordKey(id))
 	if err != nil || !found {
 		return nil, false, err
 	}
@@ -171,13 +172,14 @@
 	return a, true, json.Unmarshal(value, &a.r)
 }
 
-// unborn tells of a member that is no job of its own: its turn has not come, or never will.
-func (f *Front) unborn(ctx context.Context, id string) (Record, bool) {
+// pendingMember returns a record for an array member that is not a job of its own, because its turn has not come or
+// its array was terminated before it.
+func (f *Front) pendingMember(ctx context.Context, id string) (Record, bool) {
 	n, ok := parseID(id)
 	if !ok || !n.member {
 		return Record{}, false
 	}
-	a, ok, err := f.arrayOf(ctx, strings.TrimSuffix(id, "-"+strconv.Itoa(n.index)))
+	a, ok, err := f.findArray(ctx, strings.TrimSuffix(id, "-"+strconv.Itoa(n.index)))
 	if !ok || err != nil {
 		return Record{}, false
 	}
@@ -187,7 +189,7 @@
 	}
 	r := a.memberRecord(&x, n.index)
 	switch {
-	case x.Cut:
+	case x.Terminated:
 		r.State, r.SubState = Failed, subTerminated
 	case x.Held:
 		r.State = QueuedHeld
--- a/internal/batch/arraycontrol.go
+++ b/internal/batch/arraycontrol.go
@@ -9,9 +9,9 @@
 	"gatetack/internal/http1"
 )
 
-// arrayCall answers a call about an array.
+// arrayCall handles a call on an array.
 func (f *Front) arrayCall(ctx context.Context, session, id, call string) http1.Response {
-	a, ok, err := f.arrayOf(ctx, id)
+	a, ok, err := f.findArray(ctx, id)
 	if err != nil {
 		return tryLater("the store can not tell: " + err.Error())
 	}
@@ -20,92 +20,93 @@
 	}
 	switch call {
 	case "":
-		return reply(200, a.record().status())
+		return jsonResponse(200, a.record().status())
 	case "terminate":
 		return f.terminateArray(ctx, a)
 	case "hold", "release":
 		return f.holdArray(ctx, a, call == "hold")
 	}
-	return f.noSuspend(call)
+	return f.suspendUnsupported(call)
 }
 
-// noSuspend refuses what nothing here can do.
-func (f *Front) noSuspend(call string) http1.Response {
+// suspendUnsupported rejects suspend and resume, which executors do not offer.
+func (f *Front) suspendUnsupported(call string) http1.Response {
 	return problem(501, "UNSUPPORTED_OPERATION", "", call+": nothing stops or continues a job at a render box")
 }
 
-// holdArray keeps back the members whose turn is yet to come, or lets them go.
+// holdArray holds the members whose turn is yet to come, or releases them.
 func (f *Front) holdArray(ctx context.Context, a *array, held bool) http1.Response {
 	now := time.Now()
 	f.mu.Lock()
 	id := a.record().ID
-	was := f.queue.IsHeld(id)
+	wasHeld := f.queue.IsHeld(id)
 	done := false
 	if held {
 		done = f.queue.Hold(id, now)
 	} else {
-		done = was && f.queue.Release(id, now)
+		done = wasHeld && f.queue.Release(id, now)
 	}
 	if done {
-		a.set(func(r *arrayRecord) { r.Held = held })
+		a.update(func(r *arrayRecord) { r.Held = held })
 	}
 	f.mu.Unlock()
 	if !done {
-		return reply(409, map[string]any{"error": "INVALID_STATE", "message": "no member of the array waits, or none is on hold", "jobArray": a.record().status()})
+		return jsonResponse(409, map[string]any{"error": "INVALID_STATE", "message": "no member of the array waits, or none is on hold", "jobArray": a.record().status()})
 	}
 	f.wake()
 	if err := f.recordArray(ctx, a); err != nil {
 		return tryLater("it is so, but could not be recorded: " + err.Error())
 	}
-	return reply(200, a.record().status())
+	return jsonResponse(200, a.record().status())
 }
 
-// terminateArray ends the members that were not sent. Those that were go on, and are counted as what they are.
+// terminateArray ends the members that were not sent. Members that were sent keep running, and are counted by how
+// they end.
 func (f *Front) terminateArray(ctx context.Context, a *array) http1.Response {
 	now := time.Now()
 	x := a.record()
 	f.mu.Lock()
-	again := f.queue.Requeued(x.ID)
+	requeued := f.queue.Requeued(x.ID)
 	refs := f.queue.Remove(x.ID, now)
-	var back []*job // members that had their turn, came back, and wait again
+	var waiting []*job // members that had their turn, were requeued, and wait again
 	ended := 0
 	for _, r := range refs {
 		switch j := f.jobs[memberID(r.ID, r.Index)]; {
 		case j != nil:
-			back = append(back, j)
-		case slices.Contains(again, r.Index): // in an earlier life
-			back = append(back, f.endedMember(a, r))
+			waiting = append(waiting, j)
+		case slices.Contains(requeued, r.Index): // the turn was in an earlier incarnation
+			waiting = append(waiting, f.memberWithoutTurn(a, r))
 		default:
 			ended++
 		}
 	}
-	a.set(func(r *arrayRecord) {
+	a.update(func(r *arrayRecord) {
 		if ended > 0 {
-			r.Cut = true
+			r.Terminated = true
 			r.Failed += ended
 		}
 	})
-	var out []*job
+	var sent []*job
 	for _, j := range f.order {
-		if j.array == a && !slices.Contains(back, j) {
-			if r := j.record(); !r.State.over() {
-				out = append(out, j)
+		if j.array == a && !slices.Contains(waiting, j) {
+			if r := j.record(); !r.State.final() {
+				sent = append(sent, j)
 			}
 		}
 	}
-	if a.over() {
-		f.finished(a)
+	if a.finished() {
+		f.releaseArray(a)
 	}
 	f.mu.Unlock()
-	for _, j := range back {
+	for _, j := range waiting {
 		j.end(func(r *Record) {
 			r.State, r.SubState, r.Annotation = Failed, subTerminated, terminatedUnsent
 		}, now)
 	}
 	still := 0
-	for _, j := range out {
+	for _, j := range sent {
 		if core := j.coreID(); core == 0 || f.core.Terminate(ctx, core) != nil {
-			if r := j.record(); !r.State.over() {
+			if r := j.record(); !r.State.final() {
 				still++
 			}
 		}
@@ -114,8 +115,8 @@
 		return tryLater("it is so, but could not be recorded: " + err.Error())
 	}
 	if still > 0 {
-		return reply(409, map[string]any{"error": "INVALID_STATE", "jobArray": a.record().status(), "stillOut": still,
+		return jsonResponse(409, map[string]any{"error": "INVALID_STATE", "jobArray": a.record().status(), "stillOut": still,
 			"message": fmt.Sprintf("%d members were sent to executors, are not stopped there, and their results still come; the others are terminated", still)})
 	}
-	return reply(200, a.record().status())
+	return jsonResponse(200, a.record().status())
 }
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -1,7 +1,7 @@
-// Package batch is the front for DRMAA-style batch submission: an HTTP/1.1 + JSON binding of DRMAAv2's interfaces
-// (GFD.194: session manager, job sessions, jobs, arrays, monitoring). Jobs go through the same core as the platform's;
-// those that wait - on hold, for a time, or for their turn in an array - wait here, and internal/jobqueue says which goes
-// next.
+// Package batch is the front for DRMAA-style batch submission: an HTTP/1.1 + JSON binding of the interfaces of
+// DRMAAv2 (GFD.194: session manager, job sessions, jobs, arrays, monitoring). Its jobs go through the same core as
+// those of the platform front. Jobs that are on hold, have a later start time, or are array members whose turn has
+// not come wait in this package; package jobqueue decides which is next.
 package batch
 
 import (
@@ -20,96 +20,97 @@
 	"gatetack/internal/recovery"
 )
 
-// Core takes jobs.
+// Core runs jobs.
 type Core interface {
 	Submit(node.Job, node.Client) (uint32, error)
 	Terminate(ctx context.Context, id uint32) error
 	Counts(context.Context) (node.Counts, error)
-	Machines(context.Context) ([]node.Machine, error)
+	Executors(context.Context) ([]node.ExecutorInfo, error)
 	Rules() *node.Rules
 }
 
-// Fleet says which node has which jobs, where several share what is on record. A partition is the jobs of one life of one
-// node. Store then makes only what is written for a partition that this node has.
-type Fleet interface {
-	Ready() bool                                             // what earlier lives of this node left was taken up
-	Locate(partition string) (addr string, ours, known bool) // known: it has, or had, an owner; what none has is not on record
+// PartitionRouter locates the owner of a partition where several nodes share the stored records. A partition is the
+// jobs of one incarnation of one node. The store then rejects writes to a partition that this node does not own.
+type PartitionRouter interface {
+	Ready() bool                                             // this node's earlier partitions were adopted
+	Locate(partition string) (addr string, ours, known bool) // known: it has or had an owner and may have records
 	Forward(ctx context.Context, addr string, m *http1.Message) (*http1.Message, error)
 }
 
-// Placer says what each zone costs a job that names its inputs, and why. It is told once how the job ended: at which box, if any,
-// and whether it was served.
+// Placer returns the price of each zone for a job that names its inputs, and a reason. The function ended must be
+// called once when the job ends, with the executor that ran it, if any, and whether it was served.
 type Placer interface {
-	Place(inputs []string, class int, left time.Duration) (prices []float64, why string, ended func(box string, served bool))
+	Place(inputs []string, class int, timeLeft time.Duration) (prices []float64, why string, ended func(box string, served bool))
 }
 
-// Desks answers calls under /desks.
-type Desks interface {
+// ActorHandler handles calls to actors, under the path /desks.
+type ActorHandler interface {
 	Handle(ctx context.Context, m *http1.Message, path []string) http1.Response
 }
 
-// Prefix of all paths of this front.
+// Prefix is the prefix of all paths of this front.
 const Prefix = "/drmaa2/v1"
 
-// Options are what a front is made of.
+// Options configures a Front.
 type Options struct {
-	Core    Core
-	Store   jobstore.Store // nil: nothing outlives the node
-	Fleet   Fleet          // nil: this node alone has what is on record
-	Placer  Placer         // nil: no zone costs a job more for its inputs
-	Node    string
-	Version string
-	Life    time.Time
-	Limits  limits.Limits
-	Log     *slog.Logger
+	Core      Core
+	Store     jobstore.Store  // nil: nothing outlives the process
+	Router    PartitionRouter // nil: this node alone owns the stored records
+	Placer    Placer          // nil: inputs do not affect the zone
+	Node      string
+	Version   string
+	StartedAt time.Time
+	Limits    limits.Limits
+	Log       *slog.Logger
 }
 
-// Front answers batch clients.
+// Front handles the requests of batch clients.
 type Front struct {
-	core    Core
-	store   jobstore.Store
-	lim     limits.Limits
-	log     *slog.Logger
-	version string
-	fleet   Fleet
-	placer  Placer
-	desks   Desks
-	ids     ids
-	events  *events
-	stop    atomic.Bool
-	kick    chan struct{} // something may be handed to the core
+	core     Core
+	store    jobstore.Store
+	lim      limits.Limits
+	log      *slog.Logger
+	version  string
+	router   PartitionRouter
+	placer   Placer
+	actors   ActorHandler
+	ids      ids
+	events   *events
+	draining atomic.Bool
+	wakeup   chan struct{} // signals that jobs may be ready for the core
 
-	mu       sync.Mutex
-	jobs     map[string]*job
-	order    []*job // as they came; those that are over go first
-	bytes    int    // of results kept
-	queue    *jobqueue.Queue
-	waits    map[string]*job // by the queue's name
-	arrays   map[string]*array
-	ended    []string // arrays whose members have all ended, and that are kept
-	sessions map[string]*session
-	same     map[string]*job          // by session and idempotency key, of jobs that are kept
-	loaded   chan struct{}            // closed once what an earlier life left was read
-	ramp     recovery.ConcurrencyRamp // how much may be with the core: little after what another left was taken up, then more
+	mu               sync.Mutex
+	jobs             map[string]*job
+	order            []*job // in order of arrival; the oldest ended ones are evicted first
+	bytes            int    // total size of the results in memory
+	queue            *jobqueue.Queue
+	waiting          map[string]*job // by ID in the queue
+	arrays           map[string]*array
+	finishedArrays   []string // arrays whose members have all ended and that are still in memory
+	sessions         map[string]*session
+	byIdempotencyKey map[string]*job          // by session and idempotency key, of jobs in memory
+	loaded           chan struct{}            // closed when the records of earlier incarnations have been read
+	ramp             recovery.ConcurrencyRamp // limits the jobs in the core: few at first after an adoption, then more
 
-	dirty chan *job // whose states are to be recorded
-	// How many are not on record yet; dirty is empty already while the last one is being written.
+	dirty chan *job // jobs whose states are to be recorded
+	// unsaved counts the states that are not recorded yet, including those taken from dirty whose write is in
+	// progress.
 	unsaved    atomic.Int64
 	unrecorded unrecorded
 
-	late     chan struct{} // a place for each late callback that is looked into
-	settling sync.Mutex    // one decision on a job in doubt at a time
+	lateCallbacks chan struct{} // semaphore of late callbacks in progress
+	resolving     sync.Mutex    // serializes the resolutions of UNDETERMINED jobs
 }
 
-// New makes a front for one life of a node.
+// New returns a front for one incarnation of a node.
 func New(o Options) *Front {
 	f := &Front{core: o.Core, store: o.Store, lim: o.Limits, log: o.Log,
-		version: o.Version, fleet: o.Fleet, placer: o.Placer, ids: ids{node: o.Node}, events: newEvents(o.Life.UnixMilli(), o.Limits.BatchEvents),
-		kick: make(chan struct{}, 1), jobs: map[string]*job{}, queue: jobqueue.New(), waits: map[string]*job{},
-		arrays: map[string]*array{}, sessions: map[string]*session{}, same: map[string]*job{},
-		dirty: make(chan *job, o.Limits.MaxOpen), late: make(chan struct{}, o.Limits.BatchLate)}
-	f.ids.life.Store(o.Life.UnixMilli())
-	f.sessions[defaultSession] = &session{r: sessionRecord{Name: defaultSession, Created: o.Life.UTC()}}
+		version: o.Version, router: o.Router, placer: o.Placer, ids: ids{node: o.Node}, events: newEvents(o.StartedAt.UnixMilli(), o.Limits.BatchEvents),
+		wakeup: make(chan struct{}, 1), jobs: map[string]*job{}, queue: jobqueue.New(), waiting: map[string]*job{},
+		arrays: map[string]*array{}, sessions: map[string]*session{}, byIdempotencyKey: map[string]*job{},
+		dirty: make(chan *job, o.Limits.MaxOpen), lateCallbacks: make(chan struct{}, o.Limits.BatchCallbackChecks)}
+	f.ids.incarnation.Store(o.StartedAt.UnixMilli())
+	f.sessions[defaultSession] = &session{r: sessionRecord{Name: defaultSession, Created: o.StartedAt.UTC()}}
 	f.loaded = make(chan struct{})
 	f.ramp = recovery.ConcurrencyRamp{Min: f.lim.BatchOut / 8, Max: f.lim.BatchOut}
 	f.ramp.JumpToMax()
@@ -123,13 +124,16 @@
 
 func (f *Front) class(i int) *dispatch.Class { return &f.core.Rules().Settings.Classes[i] }
 
-// most is how long a client may be told to stay away.
-func (f *Front) most() time.Duration { return node.Span(f.core.Rules().Settings.MaxRetryAfter) }
+// maxRetryAfter is the longest Retry-After that a client may be sent.
+func (f *Front) maxRetryAfter() time.Duration {
+	return node.FromMs(f.core.Rules().Settings.MaxRetryAfter)
+}
 
-// Drain refuses new submissions from now on, and hands nothing more to the core. All else is still answered.
-func (f *Front) Drain() { f.stop.Store(true) }
+// Drain rejects new submissions from now on and hands no more jobs to the core. All other requests are still handled.
+func (f *Front) Drain() { f.draining.Store(true) }
 
-// Run takes up what an earlier life left, hands waiting jobs to the core, and records ends, until the context ends.
+// Run adopts the records of earlier incarnations, then hands waiting jobs to the core and records their ends until
+// the context is canceled.
 func (f *Front) Run(ctx context.Context) error {
 	for !f.ready() {
 		err := f.load(ctx)
@@ -140,10 +144,11 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		// Until it is known what an earlier life left, nothing new is taken: a job could be taken twice.
-		f.log.Warn("what was on record can not be read yet", "err", err)
+		// No submission is accepted until the records of earlier incarnations are known: a job could be accepted
+		// twice.
+		f.log.Warn("stored batch records can not be read yet", "err", err)
 		select {
-		case <-time.After(f.lim.StoreBeat):
+		case <-time.After(f.lim.StoreElectionTimeout):
 		case <-ctx.Done():
 			return nil
 		}
@@ -153,15 +158,15 @@
 	defer timer.Stop()
 	sweep := time.NewTicker(time.Minute)
 	defer sweep.Stop()
-	again := time.NewTicker(f.lim.StoreBeat)
-	defer again.Stop()
+	retry := time.NewTicker(f.lim.StoreElectionTimeout)
+	defer retry.Stop()
 	for {
 		select {
 		case j := <-f.dirty:
 			f.save(ctx, j)
-		case <-again.C:
+		case <-retry.C:
 			f.saveUnrecorded(ctx)
-		case <-f.kick:
+		case <-f.wakeup:
 			timer.Reset(f.pump(ctx))
 		case <-timer.C:
 			timer.Reset(f.pump(ctx))
@@ -173,7 +178,7 @@
 	}
 }
 
-// ready says whether what is on record was read.
+// ready reports whether the stored records were read.
 func (f *Front) ready() bool {
 	select {
 	case <-f.loaded:
@@ -185,45 +190,47 @@
 
 func (f *Front) wake() {
 	select {
-	case f.kick <- struct{}{}:
+	case f.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// keep makes a job known by its id.
-func (f *Front) keep(j *job) {
+// register makes a job known by its ID. f.mu is held.
+func (f *Front) register(j *job) {
 	f.jobs[j.r.ID] = j
 	f.order = append(f.order, j)
 }
 
-// over keeps a job that has ended for later queries, within bounds: the oldest ones go first.
-func (f *Front) over(j *job, now time.Time) {
+// jobEnded counts the end of a job and keeps the job for later queries. The oldest ended jobs beyond the limits are
+// evicted.
+func (f *Front) jobEnded(j *job, now time.Time) {
 	r := j.record()
 	f.mu.Lock()
 	if f.jobs[r.ID] != j {
 		f.mu.Unlock()
-		return // let go of: its end is another node's to count
+		return // it was dropped: the partition's new owner counts its end
 	}
 	f.bytes += r.Size
 	if j.queue {
 		f.queue.Ended(j.ref, now)
-		if !j.raisedRamp {
+		if !j.startCounted {
 			f.ramp.Succeeded()
 		}
 		if j.array == nil {
-			delete(f.waits, j.ref.ID)
+			delete(f.waiting, j.ref.ID)
 		}
 	}
 	if j.array != nil {
-		// After a kill a member can be counted that was counted before: the array goes only once none of it waits or is out.
-		j.array.ended(&r)
-		if j.array.over() && !f.queue.Contains(r.Array) {
-			f.finished(j.array)
+		// After a crash a member may be counted that was counted before: the array is released only when none of its
+		// members waits or is running.
+		j.array.countEnded(&r)
+		if j.array.finished() && !f.queue.Contains(r.Array) {
+			f.releaseArray(j.array)
 		}
 	}
-	for i := 0; i < len(f.order) && (len(f.order) > f.lim.BatchJobs || f.bytes > f.lim.BatchBytes); {
+	for i := 0; i < len(f.order) && (len(f.order) > f.lim.BatchJobs || f.bytes > f.lim.BatchResultBytes); {
 		old := f.order[i]
-		if r := old.record(); !r.State.over() || old == j {
+		if r := old.record(); !r.State.final() || old == j {
 			i++
 			continue
 		} else {
@@ -232,20 +239,20 @@
 		f.order = append(f.order[:i], f.order[i+1:]...)
 	}
 	f.mu.Unlock()
-	f.later(j)
+	f.recordLater(j)
 	f.wake()
 }
 
-// forget drops a job that is over from memory. Its place in order is the caller's.
+// forget removes an ended job from the maps. The caller removes it from f.order.
 func (f *Front) forget(j *job, r *Record) {
 	f.bytes -= r.Size
 	delete(f.jobs, r.ID)
-	if k := sameKey(r.Session, j.in.Idempotency); f.same[k] == j {
-		delete(f.same, k)
+	if k := sessionKey(r.Session, j.in.IdempotencyKey); f.byIdempotencyKey[k] == j {
+		delete(f.byIdempotencyKey, k)
 	}
 }
 
-// find gives a job of this life, or the record of one of another.
+// find returns a job of this incarnation, or the record of a job of another.
 func (f *Front) find(ctx context.Context, id string) (*job, Record, bool) {
 	f.mu.Lock()
 	j := f.jobs[id]
@@ -253,27 +260,27 @@
 	if j != nil {
 		return j, j.record(), true
 	}
-	from := f.ids.origin(id)
-	if from == noID {
+	origin := f.ids.origin(id)
+	if origin == unknownOrigin {
 		return nil, Record{}, false
 	}
 	if f.store != nil {
-		value, found, err := f.store.Get(ctx, kindJob, key(id))
+		value, found, err := f.store.Get(ctx, kindJob, recordKey(id))
 		if err != nil {
 			return nil, Record{ID: id, State: Undetermined, Annotation: "the store can not tell: " + err.Error()}, true
 		}
 		if found {
-			return nil, f.told(parseRecord(value)), true
+			return nil, f.currentRecord(parseRecord(value)), true
 		}
 	}
-	if r, ok := f.unborn(ctx, id); ok {
+	if r, ok := f.pendingMember(ctx, id); ok {
 		return nil, r, true
 	}
 	r := Record{ID: id, State: Undetermined}
-	switch from {
-	case ours:
+	switch origin {
+	case thisIncarnation:
 		r.Annotation = "it has ended and is no longer kept"
-	case formerly:
+	case earlierIncarnation:
 		r.Annotation = "it is of an earlier life of this node, and nothing is on record"
 	default:
 		r.Annotation = "it is another node's, and nothing is on record"
@@ -281,12 +288,12 @@
 	return nil, r, true
 }
 
-// SetDesks has calls under /desks answered. It must be called before the front serves.
-func (f *Front) SetDesks(d Desks) { f.desks = d }
+// SetActors sets the handler of calls under /desks. It must be called before the front serves requests.
+func (f *Front) SetActors(d ActorHandler) { f.actors = d }
 
-// Handle answers one request.
+// Handle handles one request.
 func (f *Front) Handle(ctx context.Context, m *http1.Message) http1.Response {
 	r := f.route(ctx, m)
-	r.KnownClient = r.Status < 400 // a client that it understood keeps its connection as one of the platform's does
+	r.KnownClient = r.Status < 400 // a client whose request was valid keeps its connection, as on the platform front
 	return r
 }
--- a/internal/batch/events.go
+++ b/internal/batch/events.go
@@ -20,29 +20,30 @@
 	At      time.Time `json:"time"`
 }
 
-// events are the latest changes, numbered one after another within a life of the node. A client that comes back says
-// which one it saw last, and goes on without a gap or a repeat, or is told that it fell too far behind.
+// events is a ring of the latest job state changes, numbered consecutively within an incarnation of the node. A
+// client that reconnects passes the cursor of the last event it saw and continues without gaps or duplicates, or is
+// notified that events were lost.
 type events struct {
-	mu    sync.Mutex
-	life  int64
-	ring  []Event
-	last  uint64        // the number of the latest
-	grown chan struct{} // closed at the next one
+	mu          sync.Mutex
+	incarnation int64
+	ring        []Event
+	last        uint64        // number of the latest event
+	added       chan struct{} // closed when the next event is added
 }
 
-func newEvents(life int64, size int) *events {
-	return &events{life: life, ring: make([]Event, max(size, 1)), grown: make(chan struct{})}
+func newEvents(incarnation int64, size int) *events {
+	return &events{incarnation: incarnation, ring: make([]Event, max(size, 1)), added: make(chan struct{})}
 }
 
-// begin gives the events of this process another incarnation. A client that has a cursor of the one before is told that
+// setIncarnation sets the incarnation that cursors carry. A client with a cursor of the previous one is notified that
 // events were lost.
-func (e *events) begin(incarnation int64) {
+func (e *events) setIncarnation(incarnation int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.life = incarnation
+	e.incarnation = incarnation
 }
 
-func (e *events) cursor(n uint64) string { return fmt.Sprintf("%x.%d", e.life, n) }
+func (e *events) cursor(n uint64) string { return fmt.Sprintf("%x.%d", e.incarnation, n) }
 
 func (e *events) add(r *Record) {
 	e.mu.Lock()
@@ -50,57 +51,58 @@
 	e.last++
 	e.ring[e.last%uint64(len(e.ring))] = Event{Cursor: e.cursor(e.last), Event: "NEW_STATE", ID: r.ID, Session: r.Session,
 		State: r.State, Sub: r.SubState, At: time.Now().UTC()}
-	close(e.grown)
-	e.grown = make(chan struct{})
+	close(e.added)
+	e.added = make(chan struct{})
 }
 
-// now is the cursor of the latest event.
-func (e *events) now() string {
+// latestCursor returns the cursor of the latest event.
+func (e *events) latestCursor() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cursor(e.last)
 }
 
-// parse reads a cursor; an empty one stands for now. One of another life is behind by all that is gone with it.
+// parse reads a cursor; an empty one means the latest event. For a cursor of an earlier incarnation, whose events are
+// gone, lost is true.
 func (e *events) parse(text string) (n uint64, lost bool, err error) {
 	if text == "" {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		return e.last, false, nil
 	}
-	life, number, ok := strings.Cut(text, ".")
-	l, err1 := strconv.ParseInt(life, 16, 64)
+	incarnation, number, ok := strings.Cut(text, ".")
+	parsed, err1 := strconv.ParseInt(incarnation, 16, 64)
 	n, err2 := strconv.ParseUint(number, 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case !ok || err1 != nil || err2 != nil:
-	case predecessor(l, e.life):
+	case predecessor(parsed, e.incarnation):
 		return 0, true, nil
-	case l == e.life && n <= e.last:
+	case parsed == e.incarnation && n <= e.last:
 		return n, false, nil
 	}
 	return 0, false, fmt.Errorf("%q is no cursor that this node gave", text)
 }
 
-// after gives up to limit events that follow number n, the number to go on from, and a channel that is closed when
-// there are more. Lost says that some that followed are no longer kept.
-func (e *events) after(n uint64, limit int, pick func(*Event) bool) (out []Event, next uint64, lost bool, more <-chan struct{}) {
+// after returns up to limit events that follow number n, the number to continue from, and a channel that is closed
+// when more events are added. If events after n are no longer in the ring, lost is true.
+func (e *events) after(n uint64, limit int, match func(*Event) bool) (out []Event, next uint64, lost bool, more <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	size := uint64(len(e.ring))
 	if e.last > size && n < e.last-size {
-		return nil, e.last - size, true, e.grown
+		return nil, e.last - size, true, e.added
 	}
 	for ; n < e.last && len(out) < limit; n++ {
-		if x := &e.ring[(n+1)%size]; pick(x) {
+		if x := &e.ring[(n+1)%size]; match(x) {
 			out = append(out, *x)
 		}
 	}
-	return out, n, false, e.grown
+	return out, n, false, e.added
 }
 
-// lostEvent tells a client that events are missing: what it knows of jobs is to be read anew.
+// lostEvent notifies a client that events are missing and that it has to read the job states again.
 func lostEvent(cursor string) []byte {
 	b, _ := json.Marshal(map[string]any{"event": "LOST", "cursor": cursor,
 		"message": "events were not kept so long: read the jobs' states anew and go on from this cursor"})
--- a/internal/batch/ids.go
+++ b/internal/batch/ids.go
@@ -9,102 +9,105 @@
 	"gatetack/internal/lease"
 )
 
-// ids name jobs by node and life, so that after a restart a job of an earlier life is told from one of this.
+// ids generates job IDs that contain the node and its incarnation, so that jobs of earlier incarnations can be told
+// apart.
 type ids struct {
-	node string
-	life atomic.Int64
-	last atomic.Uint64
+	node        string
+	incarnation atomic.Int64
+	last        atomic.Uint64
 }
 
-func (x *ids) next() string { return fmt.Sprintf("%s.%x.%d", x.node, x.life.Load(), x.last.Add(1)) }
+func (x *ids) next() string {
+	return fmt.Sprintf("%s.%x.%d", x.node, x.incarnation.Load(), x.last.Add(1))
+}
 
-// name is an id taken apart: NODE.LIFE.NUMBER, and -INDEX behind it for a member of an array.
-type name struct {
-	node   string
-	life   int64
-	number uint64
-	index  int
-	member bool
+// jobID is a parsed ID: NODE.INCARNATION.NUMBER, followed by -INDEX for an array member.
+type jobID struct {
+	node        string
+	incarnation int64
+	number      uint64
+	index       int
+	member      bool
 }
 
-const mostIndex = 1 << 30
+const maxIndex = 1 << 30
 
-// parseID takes an id apart; ok is false for what no node ever gave.
-func parseID(id string) (n name, ok bool) {
+// parseID parses an ID; ok is false for text that no node generates.
+func parseID(id string) (n jobID, ok bool) {
 	if len(id) > 200 {
 		return n, false
 	}
-	head, last, ok := cutLast(id)
+	head, last, ok := cutLastDot(id)
 	if !ok {
 		return n, false
 	}
 	if number, index, member := strings.Cut(last, "-"); member {
 		i, err := strconv.ParseUint(index, 10, 31)
-		if err != nil || i > mostIndex || strconv.FormatUint(i, 10) != index {
+		if err != nil || i > maxIndex || strconv.FormatUint(i, 10) != index {
 			return n, false
 		}
 		n.index, n.member, last = int(i), true, number
 	}
-	node, text, ok := cutLast(head)
+	node, text, ok := cutLastDot(head)
 	number, err := strconv.ParseUint(last, 10, 64)
-	life, err2 := strconv.ParseInt(text, 16, 64)
-	if !ok || err != nil || err2 != nil || number == 0 || node == "" || life < 0 {
+	incarnation, err2 := strconv.ParseInt(text, 16, 64)
+	if !ok || err != nil || err2 != nil || number == 0 || node == "" || incarnation < 0 {
 		return n, false
 	}
-	n.node, n.life, n.number = node, life, number
+	n.node, n.incarnation, n.number = node, incarnation, number
 	return n, true
 }
 
-// key orders ids as their jobs were submitted, node by node.
-func (n name) key() string {
-	k := fmt.Sprintf("%s.%012x.%012x", n.node, n.life, n.number)
+// key returns the record key of an ID. Keys sort by node and, within a node, in the order of submission.
+func (n jobID) key() string {
+	k := fmt.Sprintf("%s.%012x.%012x", n.node, n.incarnation, n.number)
 	if n.member {
 		k += fmt.Sprintf("-%08x", n.index)
 	}
 	return k
 }
 
-// partition names the jobs of one life of one node: their keys begin with it.
-func (n name) partition() string {
-	return lease.Incarnation{Node: n.node, StartedMs: n.life}.PartitionKey()
+// partition returns the partition of the ID, which is a prefix of its key.
+func (n jobID) partition() string {
+	return lease.Incarnation{Node: n.node, StartedMs: n.incarnation}.PartitionKey()
 }
 
-// key is that of an id that one of this front's own.
-func key(id string) string {
+// recordKey returns the record key of a valid ID.
+func recordKey(id string) string {
 	n, _ := parseID(id)
 	return n.key()
 }
 
 func memberID(array string, index int) string { return array + "-" + strconv.Itoa(index) }
 
-// origin is where an id comes from.
+// origin says which node and incarnation generated an ID.
 type origin uint8
 
 const (
-	noID      origin = iota
-	ours             // this life of this node gave it
-	formerly         // an earlier life of this node did
-	elsewhere        // another node did
+	unknownOrigin      origin = iota
+	thisIncarnation           // of this node
+	earlierIncarnation        // of this node
+	otherNode
 )
 
-// origin tells where an id comes from.
+// origin returns the origin of an ID.
 func (x *ids) origin(id string) origin {
 	n, ok := parseID(id)
-	current := x.life.Load()
+	current := x.incarnation.Load()
 	switch {
 	case !ok:
-		return noID
+		return unknownOrigin
 	case n.node != x.node:
-		return elsewhere
-	case predecessor(n.life, current):
-		return formerly
-	case n.life == current && n.number <= x.last.Load():
-		return ours
+		return otherNode
+	case predecessor(n.incarnation, current):
+		return earlierIncarnation
+	case n.incarnation == current && n.number <= x.last.Load():
+		return thisIncarnation
 	}
-	return noID
+	return unknownOrigin
 }
 
-func cutLast(s string) (before, after string, ok bool) {
+func cutLastDot(s string) (before, after string, ok bool) {
 	at := strings.LastIndexByte(s, '.')
 	if at < 0 {
 		return "", "", false
--- a/internal/batch/late.go
+++ b/internal/batch/late.go
@@ -10,19 +10,21 @@
 	"gatetack/internal/http1"
 )
 
-// kindSent says which job was sent under a trace id: a box that calls back after its sender was lost names nothing else.
-const kindSent = "sent" // by trace id, of jobs that have not ended: the id
+// kindSent is the kind of the records that map the trace ID of an attempt to its job. A callback that arrives after
+// the sender was lost names nothing else.
+const kindSent = "sent" // by trace ID, of jobs that have not ended: the job ID
 
-// local is a store that tells what this node has of it, at no cost: callbacks of no job on record come at any rate.
-type local interface {
+// localReader is a store that can read this node's replica without a round trip. Callbacks that match no stored job
+// may arrive at any rate, so looking them up must be cheap.
+type localReader interface {
 	Local(kind, key string) ([]byte, bool)
 }
 
-// Late takes a callback of an attempt that no process of this node knows: one of a life that is over, or of a node that is lost
-// and whose address this one took over. Where it is of a job in doubt, the doubt ends with it, at whichever node has the job.
-// It does not wait.
-func (f *Front) Late(body []byte) {
-	s, ok := f.store.(local)
+// LateCallback handles a callback of an attempt that no process of this node knows: one of an earlier incarnation, or
+// of a lost node whose address this one took over. If its job is UNDETERMINED, the callback resolves the job, at
+// whichever node owns it. LateCallback does not block.
+func (f *Front) LateCallback(body []byte) {
+	s, ok := f.store.(localReader)
 	v := gjson.ParseBytes(body)
 	trace, state := v.Get("id").String(), v.Get("state").String()
 	if !ok || trace == "" || state != "done" && state != "failed" && state != "returned" {
@@ -33,18 +35,18 @@
 		return
 	}
 	select {
-	case f.late <- struct{}{}:
+	case f.lateCallbacks <- struct{}{}:
 	default:
-		return // as many as there may be are being looked into, and a doubt stays one
+		return // too many late callbacks are in progress: the job stays UNDETERMINED
 	}
 	go func() {
-		defer func() { <-f.late }()
-		// Its partition may have no owner yet, or one that has not taken it up.
+		defer func() { <-f.lateCallbacks }()
+		// The partition may have no owner yet, or one that has not adopted it.
 		ctx, cancel := context.WithTimeout(context.Background(), 4*f.lim.LeaseTTL)
 		defer cancel()
-		for !f.settled(ctx, string(id), body) {
+		for !f.deliverLateCallback(ctx, string(id), body) {
 			select {
-			case <-time.After(f.lim.StoreBeat):
+			case <-time.After(f.lim.StoreElectionTimeout):
 			case <-ctx.Done():
 				return
 			}
@@ -52,14 +54,14 @@
 	}()
 }
 
-// settled says whether nothing more is to be done about a late callback.
-func (f *Front) settled(ctx context.Context, id string, body []byte) bool {
+// deliverLateCallback delivers a late callback to the job's owner, and reports whether the callback needs no retry.
+func (f *Front) deliverLateCallback(ctx context.Context, id string, body []byte) bool {
 	part, ok := partitionOf(id)
 	if !ok {
 		return true
 	}
-	if f.fleet != nil {
-		addr, ours, known := f.fleet.Locate(part)
+	if f.router != nil {
+		addr, ours, known := f.router.Locate(part)
 		if !known {
 			return true
 		}
@@ -67,31 +69,31 @@
 			if addr == "" {
 				return false
 			}
-			m, err := f.fleet.Forward(ctx, addr, &http1.Message{Method: "POST", Target: Prefix + "/jobs/" + id + "/callback", Body: body})
+			m, err := f.router.Forward(ctx, addr, &http1.Message{Method: "POST", Target: Prefix + "/jobs/" + id + "/callback", Body: body})
 			return err == nil && m.Status != 503
 		}
 	}
-	return f.callback(ctx, id, body).Status != 503
+	return f.resolveByCallback(ctx, id, body).Status != 503
 }
 
-// callback ends the doubt of a job by what the box tells that it was last sent to. Anything else changes nothing: a job that
-// goes on here is told by the core, and an end is never changed.
-func (f *Front) callback(ctx context.Context, id string, body []byte) http1.Response {
-	f.settling.Lock()
-	defer f.settling.Unlock()
-	if f.foreign(id) || f.store == nil || !gjson.ValidBytes(body) {
+// resolveByCallback resolves an UNDETERMINED job by a callback from the executor that it was last sent to. Any other
+// callback changes nothing: the core handles those of jobs that run here, and an end is final.
+func (f *Front) resolveByCallback(ctx context.Context, id string, body []byte) http1.Response {
+	f.resolving.Lock()
+	defer f.resolving.Unlock()
+	if f.ownedElsewhere(id) || f.store == nil || !gjson.ValidBytes(body) {
 		return tryLater("it is not this node's job")
 	}
-	value, found, err := f.store.Get(ctx, kindJob, key(id))
+	value, found, err := f.store.Get(ctx, kindJob, recordKey(id))
 	if err != nil {
 		return tryLater(err.Error())
 	}
 	r, v := parseRecord(value), gjson.ParseBytes(body)
 	f.mu.Lock()
-	alive := f.jobs[id] != nil
+	running := f.jobs[id] != nil
 	f.mu.Unlock()
 	switch {
-	case !found || alive || r.State.over() || r.Trace != v.Get("id").String() || !slices.Contains(r.Machines, v.Get("from").String()):
+	case !found || running || r.State.final() || r.Trace != v.Get("id").String() || !slices.Contains(r.Machines, v.Get("from").String()):
 		return http1.Response{Status: 204}
 	case r.State != Undetermined:
 		return tryLater("the job has not been taken up yet")
@@ -109,17 +111,17 @@
 		return http1.Response{Status: 204}
 	}
 	r.Annotation, r.Finished = "told by its box after the node that sent it had ended", time.Now()
-	if err := f.decided(ctx, &r); err != nil {
+	if err := f.recordResolution(ctx, &r); err != nil {
 		return tryLater(err.Error())
 	}
-	f.log.Info("a box told of a job in doubt", "job", id, "from", v.Get("from").String(), "state", r.State)
+	f.log.Info("undetermined job resolved by a callback", "job", id, "from", v.Get("from").String(), "state", r.State)
 	return http1.Response{Status: 204}
 }
 
-// decided records the end of a job that was in doubt. Its array counted it as failed when it was taken up.
-func (f *Front) decided(ctx context.Context, r *Record) error {
+// recordResolution records the end of a job that was UNDETERMINED. Its array counted it as failed at the adoption.
+func (f *Front) recordResolution(ctx context.Context, r *Record) error {
 	all := r.changes()
-	a, found, err := f.arrayOf(ctx, r.Array)
+	a, found, err := f.findArray(ctx, r.Array)
 	if err != nil {
 		return err
 	}
@@ -133,7 +135,7 @@
 		return err
 	}
 	if found {
-		a.set(recount)
+		a.update(recount)
 	}
 	f.events.add(r)
 	return nil
--- a/internal/batch/list.go
+++ b/internal/batch/list.go
@@ -13,7 +13,7 @@
 	"gatetack/internal/http1"
 )
 
-// Fields are what filters of jobs may name.
+// Fields are the fields that job filters may name.
 var Fields = filter.Schema{
 	{Name: "id", Kind: filter.Text, Help: "the job's id"}, {Name: "state", Kind: filter.Word, Words: States, Help: "jobState"},
 	{Name: "sub", Kind: filter.Text, Help: "jobSubState"}, {Name: "category", Kind: filter.Text, Help: "jobCategory: the class"},
@@ -25,7 +25,7 @@
 	{Name: "age", Kind: filter.Span, Help: "since the submission"}, {Name: "wallclock", Kind: filter.Span, Help: "from dispatch to end"},
 }
 
-// Row gives a record's fields to a filter.
+// Row returns a record's fields for a filter.
 func (r *Record) Row(now time.Time) filter.Row {
 	return func(name string) any {
 		switch name {
@@ -68,8 +68,8 @@
 	}
 }
 
-// list gives a page of jobs (getJobs): those that a filter picks, from a cursor on. A page may hold fewer than asked for,
-// also none, while there is a cursor to go on from: no call looks at more than so many records.
+// list returns a page of jobs (getJobs) that match a filter, starting after a cursor. A page with a next cursor may
+// hold fewer jobs than asked for, or none, because the number of records that one call scans is limited.
 func (f *Front) list(ctx context.Context, session, target string) http1.Response {
 	_, query, _ := strings.Cut(target, "?")
 	q, err := url.ParseQuery(query)
@@ -81,19 +81,19 @@
 			return problem(400, "INVALID_ARGUMENT", name, "no argument of a list")
 		}
 	}
-	want := State(q.Get("jobState"))
-	if want != "" && !slices.Contains(States, string(want)) {
+	state := State(q.Get("jobState"))
+	if state != "" && !slices.Contains(States, string(state)) {
 		return problem(400, "INVALID_ARGUMENT", "jobState", "no state of a job")
 	}
-	pick, err := filter.Parse(Fields, q.Get("filter"))
+	condition, err := filter.Parse(Fields, q.Get("filter"))
 	if err != nil {
 		return problem(400, "INVALID_ARGUMENT", "filter", err.Error())
 	}
-	limit := f.lim.BatchPage
+	limit := f.lim.BatchPageJobs
 	if text := q.Get("limit"); text != "" {
 		n, err := strconv.Atoi(text)
-		if err != nil || n < 1 || n > f.lim.BatchPage {
-			return problem(400, "INVALID_ARGUMENT", "limit", fmt.Sprintf("not a whole number from 1 to %d", f.lim.BatchPage))
+		if err != nil || n < 1 || n > f.lim.BatchPageJobs {
+			return problem(400, "INVALID_ARGUMENT", "limit", fmt.Sprintf("not a whole number from 1 to %d", f.lim.BatchPageJobs))
 		}
 		limit = n
 	}
@@ -108,16 +108,16 @@
 	now := time.Now()
 	out, next := []Record{}, ""
 	take := func(r Record) bool {
-		if (session == "" || r.Session == session) && (want == "" || r.State == want) && pick.Match(r.Row(now), now) {
-			r.Result = nil // told by the job's own info
-			out = append(out, r.shown())
+		if (session == "" || r.Session == session) && (state == "" || r.State == state) && condition.Match(r.Row(now), now) {
+			r.Result = nil // only in the info of the single job
+			out = append(out, r.public())
 		}
 		if next = r.ID; len(out) < limit {
 			return true
 		}
 		return false
 	}
-	done, err := f.each(ctx, after, take)
+	done, err := f.forEachJob(ctx, after, take)
 	if err != nil {
 		return tryLater("the store can not tell: " + err.Error())
 	}
@@ -125,25 +125,25 @@
 	if !done {
 		body["next"] = next
 	}
-	return reply(200, body)
+	return jsonResponse(200, body)
 }
 
-// each calls take for the jobs after a key in their order, until it has enough or BatchLook were looked at, and says
-// whether that were all.
-func (f *Front) each(ctx context.Context, after string, take func(Record) bool) (done bool, err error) {
+// forEachJob calls take for the jobs after a key in key order, until take returns false or BatchPageScanned records
+// were scanned. It reports whether those were all.
+func (f *Front) forEachJob(ctx context.Context, after string, take func(Record) bool) (done bool, err error) {
 	if f.store == nil {
 		f.mu.Lock()
 		jobs := slices.Clone(f.order)
 		f.mu.Unlock()
-		slices.SortFunc(jobs, func(a, b *job) int { return strings.Compare(key(a.r.ID), key(b.r.ID)) })
+		slices.SortFunc(jobs, func(a, b *job) int { return strings.Compare(recordKey(a.r.ID), recordKey(b.r.ID)) })
 		for i, j := range jobs {
-			if key(j.r.ID) > after && !take(j.record()) {
+			if recordKey(j.r.ID) > after && !take(j.record()) {
 				return i == len(jobs)-1, nil
 			}
 		}
 		return true, nil
 	}
-	for looked := 0; looked < f.lim.BatchLook; {
+	for looked := 0; looked < f.lim.BatchPageScanned; {
 		rows, err := f.store.Page(ctx, kindJob, after, 256)
 		if err != nil {
 			return false, err
@@ -155,15 +155,15 @@
 			j := f.jobs[r.ID]
 			f.mu.Unlock()
 			if j != nil {
-				r = j.record() // newer than its record
+				r = j.record() // newer than the stored record
 			} else {
-				r = f.told(r)
+				r = f.currentRecord(r)
 			}
 			if !take(r) {
 				return false, nil
 			}
 		}
-		if len(rows) == 0 { // a page may be cut short by its bytes
+		if len(rows) == 0 { // a shorter page is not the last one: pages are also limited by size
 			return true, nil
 		}
 		looked += len(rows)
--- a/internal/batch/monitor.go
+++ b/internal/batch/monitor.go
@@ -18,35 +18,36 @@
 	"gatetack/internal/node"
 )
 
-// Capabilities are DRMAAv2's optional ones (GFD.194, section 4.5), and whether this node has them.
+// Capabilities maps the optional capabilities of DRMAAv2 (GFD.194, section 4.5) to whether this node supports them.
 var Capabilities = map[string]bool{
 	"ADVANCE_RESERVATION": false, "RESERVE_SLOTS": false, "CALLBACK": true, "BULK_JOBS_MAXPARALLEL": true,
 	"JT_EMAIL": false, "JT_STAGING": false, "JT_DEADLINE": true, "JT_MAXSLOTS": true, "JT_ACCOUNTINGID": true,
 	"RT_STARTNOW": false, "RT_DURATION": false, "RT_MACHINEOS": false, "RT_MACHINEARCH": false,
 }
 
-// manager tells what this implementation is (SessionManager).
+// manager describes this implementation (SessionManager).
 func (f *Front) manager() http1.Response {
-	return reply(200, map[string]any{"drmsName": "gatetack", "drmsVersion": f.version, "drmaaName": "gatetack DRMAAv2 over HTTP",
+	return jsonResponse(200, map[string]any{"drmsName": "gatetack", "drmsVersion": f.version, "drmaaName": "gatetack DRMAAv2 over HTTP",
 		"drmaaVersion": "2.0", "contact": f.ids.node, "capabilities": Capabilities})
 }
 
 func (f *Front) supports(capability string) http1.Response {
-	has, known := Capabilities[capability]
+	supported, known := Capabilities[capability]
 	if !known {
 		return problem(400, "INVALID_ARGUMENT", "capability", "no capability of DRMAAv2 is named "+quote(capability))
 	}
-	return reply(200, map[string]any{"capability": capability, "supported": has})
+	return jsonResponse(200, map[string]any{"capability": capability, "supported": supported})
 }
 
-// categories are the classes (JobSession::jobCategories).
+// categories lists the classes (JobSession::jobCategories).
 func (f *Front) categories() http1.Response {
-	return reply(200, map[string]any{"jobCategories": slices.DeleteFunc(slices.Clone(f.names().Classes), func(name string) bool { return name == "" })})
+	return jsonResponse(200, map[string]any{"jobCategories": slices.DeleteFunc(slices.Clone(f.names().Classes), func(name string) bool { return name == "" })})
 }
 
-var effects = map[dispatch.RetrySafety]string{dispatch.Idempotent: "free", dispatch.Keyed: "guarded", dispatch.AtMostOnce: "single_shot"}
+var retrySafetyNames = map[dispatch.RetrySafety]string{dispatch.Idempotent: "free", dispatch.Keyed: "guarded", dispatch.AtMostOnce: "single_shot"}
 
-// queues are the classes as queues, with what waits and runs of each (MonitoringSession::getAllQueues).
+// queues lists the classes as queues, with the number of waiting and running jobs of each
+// (MonitoringSession::getAllQueues).
 func (f *Front) queues() http1.Response {
 	waiting, running := map[string]int{}, map[string]int{}
 	f.mu.Lock()
@@ -54,12 +55,12 @@
 		switch r := j.record(); {
 		case r.State == Running:
 			running[r.Category]++
-		case !r.State.over():
+		case !r.State.final():
 			waiting[r.Category]++
 		}
 	}
 	for _, a := range f.arrays {
-		if r := a.record(); !r.Cut && r.Next <= r.End {
+		if r := a.record(); !r.Terminated && r.Next <= r.End {
 			waiting[r.Category] += (r.End-r.Next)/r.Step + 1
 		}
 	}
@@ -71,44 +72,44 @@
 		}
 		c := f.class(i)
 		list = append(list, map[string]any{"name": name, "deadlineMs": c.Deadline, "aimMs": c.Objective, "worth": c.PriorityWeight,
-			"effect": effects[c.RetrySafety], "waiting": waiting[name], "running": running[name]})
+			"effect": retrySafetyNames[c.RetrySafety], "waiting": waiting[name], "running": running[name]})
 	}
-	return reply(200, map[string]any{"queues": list})
+	return jsonResponse(200, map[string]any{"queues": list})
 }
 
-// MachineFields are what filters of machines may name.
+// MachineFields are the fields that machine filters may name.
 var MachineFields = filter.Schema{
 	{Name: "name", Kind: filter.Text}, {Name: "status", Kind: filter.Word, Words: []string{"ready", "draining", "gone"}},
 	{Name: "zone", Kind: filter.Text}, {Name: "type", Kind: filter.Text}, {Name: "group", Kind: filter.Number},
 	{Name: "weight", Kind: filter.Number}, {Name: "out", Kind: filter.Number, Help: "attempts of this node that are out"},
 }
 
-// machines are the boxes as this node sees them (MonitoringSession::getAllMachines).
+// machines lists the executors as this node sees them (MonitoringSession::getAllMachines).
 func (f *Front) machines(ctx context.Context, target string) http1.Response {
 	_, query, _ := strings.Cut(target, "?")
 	q, err := url.ParseQuery(query)
 	if err != nil {
 		return problem(400, "INVALID_ARGUMENT", "query", err.Error())
 	}
-	pick, err := filter.Parse(MachineFields, q.Get("filter"))
+	condition, err := filter.Parse(MachineFields, q.Get("filter"))
 	if err != nil {
 		return problem(400, "INVALID_ARGUMENT", "filter", err.Error())
 	}
-	all, err := f.core.Machines(ctx)
+	all, err := f.core.Executors(ctx)
 	if err != nil {
 		return problem(500, "INTERNAL", "", err.Error())
 	}
 	list := []map[string]any{}
 	for i := range all {
-		if m := &all[i]; pick.Match(machineRow(m), time.Now()) {
+		if m := &all[i]; condition.Match(machineRow(m), time.Now()) {
 			list = append(list, map[string]any{"name": m.Name, "address": m.Address, "status": m.Status, "zone": m.Zone, "type": m.Kind,
-				"group": m.Group, "weight": m.Weight, "sinceMs": m.SinceMS, "out": m.Out, "available": m.Status == "ready"})
+				"group": m.Group, "weight": m.Weight, "sinceMs": m.StartedAtMs, "out": m.InFlight, "available": m.Status == "ready"})
 		}
 	}
-	return reply(200, map[string]any{"machines": list})
+	return jsonResponse(200, map[string]any{"machines": list})
 }
 
-func machineRow(m *node.Machine) filter.Row {
+func machineRow(m *node.ExecutorInfo) filter.Row {
 	return func(name string) any {
 		switch name {
 		case "name":
@@ -124,12 +125,13 @@
 		case "weight":
 			return m.Weight
 		}
-		return float64(m.Out)
+		return float64(m.InFlight)
 	}
 }
 
-// watch gives the changes of jobs' states after a cursor: as one answer, once there are any or the time to wait is over;
-// or, with stream=1, as one JSON object a line for as long as the client reads. An empty line comes every 2 s.
+// watch returns the job state changes after a cursor. The response is sent as soon as there are changes or the
+// timeout has passed. With stream=1 it is one JSON object per line for as long as the client reads, with an empty
+// line every 2 s.
 func (f *Front) watch(ctx context.Context, session, target string) http1.Response {
 	_, query, _ := strings.Cut(target, "?")
 	q, err := url.ParseQuery(query)
@@ -140,25 +142,25 @@
 	if err != nil {
 		return problem(400, "INVALID_ARGUMENT", "after", err.Error())
 	}
-	pick := func(e *Event) bool { return session == "" || e.Session == session }
+	match := func(e *Event) bool { return session == "" || e.Session == session }
 	if id := q.Get("jobId"); id != "" {
-		of := pick
-		pick = func(e *Event) bool { return of(e) && (e.ID == id || strings.HasPrefix(e.ID, id+"-")) }
+		of := match
+		match = func(e *Event) bool { return of(e) && (e.ID == id || strings.HasPrefix(e.ID, id+"-")) }
 	}
 	fields := []http1.Field{{Name: "Content-Type", Value: "application/x-ndjson"}}
 	if q.Get("stream") == "1" {
 		return http1.Response{Status: 200, Fields: fields, Close: true, Stream: func(ctx context.Context, w io.Writer) error {
-			return f.follow(ctx, w, n, behind, pick)
+			return f.streamEvents(ctx, w, n, behind, match)
 		}}
 	}
-	_, most, bad := f.waitArgs("", q.Get("timeoutMs"))
+	_, maxWait, bad := f.waitArgs("", q.Get("timeoutMs"))
 	if bad != nil {
-		return refuse(bad)
+		return invalidArgument(bad)
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
-		out, next, lost, more := f.events.after(n, 256, pick)
+		out, next, lost, more := f.events.after(n, 256, match)
 		var body bytes.Buffer
 		if lost || behind {
 			body.Write(lostEvent(f.events.cursor(next)))
@@ -183,14 +185,14 @@
 	}
 }
 
-var errFellBehind = errors.New("batch: a watch fell too far behind")
+var errFellBehind = errors.New("batch: event stream fell too far behind")
 
-// follow writes a stream of events.
-func (f *Front) follow(ctx context.Context, w io.Writer, n uint64, behind bool, pick func(*Event) bool) error {
+// streamEvents writes a stream of events.
+func (f *Front) streamEvents(ctx context.Context, w io.Writer, n uint64, behind bool, match func(*Event) bool) error {
 	beat := time.NewTicker(2 * time.Second)
 	defer beat.Stop()
 	for {
-		out, next, lost, more := f.events.after(n, 64, pick)
+		out, next, lost, more := f.events.after(n, 64, match)
 		if lost || behind {
 			if _, err := w.Write(append(lostEvent(f.events.cursor(next)), '\n')); err != nil {
 				return err
@@ -221,8 +223,8 @@
 	}
 }
 
-// route finds what a path stands for. Paths under /jobs and /arrays are the default session's; /sessions/NAME/... are a
-// session's own; /monitoring/... are of all.
+// route dispatches a request by its path. Paths under /jobs and /arrays belong to the default session,
+// /sessions/NAME/... to the named session, and /monitoring/... covers all sessions.
 func (f *Front) route(ctx context.Context, m *http1.Message) http1.Response {
 	path, ok := strings.CutPrefix(m.Path(), Prefix)
 	if !ok {
@@ -238,7 +240,7 @@
 	}
 	switch {
 	case p[0] == "counts" && len(p) == 1:
-		return get(m, func() http1.Response {
+		return ifGet(m, func() http1.Response {
 			n, err := f.core.Counts(ctx)
 			if err != nil {
 				return problem(500, "INTERNAL", "", err.Error())
@@ -246,17 +248,17 @@
 			return http1.Response{Status: 200, Fields: jsonType(), Body: n.JSON()}
 		})
 	case p[0] == "manager" && len(p) == 1:
-		return get(m, f.manager)
+		return ifGet(m, f.manager)
 	case p[0] == "manager" && len(p) == 3 && p[1] == "supports":
-		return get(m, func() http1.Response { return f.supports(p[2]) })
+		return ifGet(m, func() http1.Response { return f.supports(p[2]) })
 	case p[0] == "reservations" || p[0] == "monitoring" && len(p) > 1 && p[1] == "reservations":
 		return problem(501, "UNSUPPORTED_OPERATION", "", "nothing is reserved: supports(ADVANCE_RESERVATION) is false")
 	case p[0] == "categories" && len(p) == 1:
-		return get(m, f.categories)
+		return ifGet(m, f.categories)
 	case p[0] == "monitoring" && len(p) == 2:
 		return f.monitoring(ctx, m, p[1])
-	case p[0] == "desks" && f.desks != nil:
-		return f.desks.Handle(ctx, m, p[1:])
+	case p[0] == "desks" && f.actors != nil:
+		return f.actors.Handle(ctx, m, p[1:])
 	case p[0] == "sessions":
 		return f.sessionRoute(ctx, m, p[1:])
 	case p[0] == "jobs", p[0] == "arrays", p[0] == "events":
@@ -265,16 +267,16 @@
 	return problem(404, "INVALID_ARGUMENT", "", "no such path")
 }
 
-func get(m *http1.Message, do func() http1.Response) http1.Response {
+func ifGet(m *http1.Message, do func() http1.Response) http1.Response {
 	if m.Method != "GET" {
-		return method("GET")
+		return methodNotAllowed("GET")
 	}
 	return do()
 }
 
 func (f *Front) monitoring(ctx context.Context, m *http1.Message, what string) http1.Response {
 	if m.Method != "GET" {
-		return method("GET")
+		return methodNotAllowed("GET")
 	}
 	switch what {
 	case "jobs":
@@ -294,9 +296,9 @@
 	if len(p) > 0 {
 		name = p[0]
 	}
-	if len(p) > 1 && m.Method == "GET" && f.enter(name) {
-		// What only looks at jobs of a session that is known here asks no leader.
-	} else if err := f.learn(ctx, name); err != nil {
+	if len(p) > 1 && m.Method == "GET" && f.hasSession(name) {
+		// A read in a session that is known here needs no read at the leader.
+	} else if err := f.refreshSessions(ctx, name); err != nil {
 		return tryLater("which sessions there are can not be told: " + err.Error())
 	}
 	switch {
@@ -305,58 +307,58 @@
 	case len(p) == 0 && m.Method == "POST":
 		return f.createSession(ctx, m.Body)
 	case len(p) == 0:
-		return method("GET", "POST")
+		return methodNotAllowed("GET", "POST")
 	case len(p) == 1 && m.Method == "GET":
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if s := f.sessions[p[0]]; s != nil {
-			return reply(200, s.status())
+			return jsonResponse(200, s.status())
 		}
 		return noSession(p[0])
 	case len(p) == 1 && m.Method == "DELETE":
 		return f.destroySession(ctx, p[0])
 	case len(p) == 1:
-		return method("GET", "DELETE")
+		return methodNotAllowed("GET", "DELETE")
 	case len(p) == 2 && (p[1] == "open" || p[1] == "close") && m.Method != "POST":
-		return method("POST")
+		return methodNotAllowed("POST")
 	case len(p) == 2 && p[1] == "open":
 		return f.openSession(p[0], 200)
 	case len(p) == 2 && p[1] == "close":
 		return f.closeSession(p[0], m.Get("X-Session-Instance"))
 	}
-	if r, ok := f.instance(p[0], m); !ok {
+	if r, ok := f.checkInstance(p[0], m); !ok {
 		return r
 	}
 	if p[1] == "categories" && len(p) == 2 {
-		return get(m, f.categories)
+		return ifGet(m, f.categories)
 	}
 	return f.jobRoute(ctx, m, p[0], p[1:])
 }
 
-// jobRoute is what a session's clients may call; an empty one stands for the default session, whose clients see all jobs
-// by their ids.
+// jobRoute dispatches the calls that clients of a session may make. An empty session means the default session, whose
+// clients see all jobs by ID.
 func (f *Front) jobRoute(ctx context.Context, m *http1.Message, session string, p []string) http1.Response {
 	in := session
 	if in == "" {
 		in = defaultSession
 	}
-	if r, ok := f.passed(ctx, m, p); ok {
+	if r, ok := f.forward(ctx, m, p); ok {
 		return r
 	}
 	switch {
 	case p[0] == "events" && len(p) == 1:
-		return get(m, func() http1.Response { return f.watch(ctx, session, m.Target) })
+		return ifGet(m, func() http1.Response { return f.watch(ctx, session, m.Target) })
 	case p[0] == "arrays" && len(p) == 1 && m.Method == "POST":
-		return f.bulk(ctx, in, m.Body)
+		return f.submitArray(ctx, in, m.Body)
 	case p[0] == "arrays" && len(p) == 1:
-		return method("POST")
+		return methodNotAllowed("POST")
 	case p[0] == "arrays" && len(p) == 2 && m.Method == "DELETE":
 		return f.arrayCall(ctx, session, p[1], "terminate")
 	case p[0] == "arrays" && len(p) == 2:
-		return get(m, func() http1.Response { return f.arrayCall(ctx, session, p[1], "") })
+		return ifGet(m, func() http1.Response { return f.arrayCall(ctx, session, p[1], "") })
 	case p[0] == "arrays" && len(p) == 3 && calls[p[2]] == "POST" && p[2] != "reap" && p[2] != "resolve" && p[2] != "callback":
 		if m.Method != "POST" {
-			return method("POST")
+			return methodNotAllowed("POST")
 		}
 		return f.arrayCall(ctx, session, p[1], p[2])
 	case p[0] != "jobs" || len(p) > 3:
@@ -365,10 +367,10 @@
 	case len(p) == 1 && m.Method == "GET":
 		return f.list(ctx, session, m.Target)
 	case len(p) == 1:
-		return method("GET", "POST")
+		return methodNotAllowed("GET", "POST")
 	case len(p) == 2 && p[1] == "wait":
 		if m.Method != "POST" {
-			return method("POST")
+			return methodNotAllowed("POST")
 		}
 		return f.waitAny(ctx, session, m.Body)
 	case len(p) == 2 && m.Method == "GET":
@@ -376,17 +378,17 @@
 	case len(p) == 2 && m.Method == "DELETE":
 		return f.terminate(ctx, session, p[1])
 	case len(p) == 2:
-		return method("GET", "DELETE")
+		return methodNotAllowed("GET", "DELETE")
 	case calls[p[2]] == "":
 	case calls[p[2]] != m.Method:
-		return method(calls[p[2]])
+		return methodNotAllowed(calls[p[2]])
 	default:
 		return f.jobCall(ctx, m, session, p[1], p[2])
 	}
 	return problem(404, "INVALID_ARGUMENT", "", "no such path")
 }
 
-// calls are what can be asked of a job by name, and how.
+// calls maps the calls on a job to their methods.
 var calls = map[string]string{"terminate": "POST", "hold": "POST", "release": "POST", "suspend": "POST", "resume": "POST",
 	"reap": "POST", "resolve": "POST", "callback": "POST", "wait": "GET", "template": "GET", "state": "GET"}
 
@@ -402,7 +404,7 @@
 		if m.Get(leaseholder.ForwardedByHeader) == "" {
 			return problem(404, "INVALID_ARGUMENT", "", "boxes call the platform's front")
 		}
-		return f.callback(ctx, id, m.Body)
+		return f.resolveByCallback(ctx, id, m.Body)
 	case "resolve":
 		return f.resolve(ctx, session, id, m.Body)
 	case "wait":
@@ -413,9 +415,9 @@
 	_, r, ok := f.visible(ctx, session, id)
 	switch {
 	case !ok:
-		return unknown(id)
+		return unknownJob(id)
 	case call == "state":
-		return reply(200, map[string]any{"jobId": r.ID, "jobState": r.State, "jobSubState": r.SubState})
+		return jsonResponse(200, map[string]any{"jobId": r.ID, "jobState": r.State, "jobSubState": r.SubState})
 	}
-	return f.noSuspend(call)
+	return f.suspendUnsupported(call)
 }
--- a/internal/batch/reconcile.go
+++ b/internal/batch/reconcile.go
@@ -6,53 +6,54 @@
 	"gatetack/internal/jobstore"
 )
 
-// adoptedArray is an array on record while it is taken up. Members and their array are written by several calls at a time, and a
-// process can end between any two of them: the array's record can be older or newer than those of its members. What is certain is
-// which members have not ended, for each is among the open ones from its turn to its end. The rest follows from that.
+// adoptedArray is a stored array during its adoption. An array and its members are written by several concurrent
+// calls, and a process can end between any two of them, so the array's record can be older or newer than those of its
+// members. Only the set of members that have not ended is certain, because each member is among the open records from
+// its turn to its end. The counts are derived from it.
 type adoptedArray struct {
 	*array
-	open  map[int]bool // members that had not ended
-	again []int        // members that wait again, since nothing of them was sent
-	apart []int        // members on record whose turn is yet to come by the array's record
+	open     map[int]bool // members that have not ended
+	requeued []int        // members that wait again, because they were never sent
+	skipped  []int        // members with records whose turn, by the array's record, has not come
 }
 
-// settled says whether the array's record says by itself that all members have ended, and none is open.
-func (x *adoptedArray) settled() bool {
+// consistent reports whether the array's record says that all members have ended and no member is open.
+func (x *adoptedArray) consistent() bool {
 	r := &x.r
-	return (r.Cut || r.Next > r.End) && len(x.open) == 0 && r.Done+r.Failed == r.Jobs
+	return (r.Terminated || r.Next > r.End) && len(x.open) == 0 && r.Done+r.Failed == r.Jobs
 }
 
-// reconcile brings the array's record in line with those of its members.
+// reconcile updates the array's record to match those of its members.
 func (x *adoptedArray) reconcile(ctx context.Context, f *Front) error {
-	if x.settled() {
+	if x.consistent() {
 		return nil
 	}
-	if err := f.members(ctx, &x.r, x.r.Next, func(r *Record) { x.apart = append(x.apart, *r.Index) }); err != nil {
+	if err := f.forEachStoredMember(ctx, &x.r, x.r.Next, func(r *Record) { x.skipped = append(x.skipped, *r.Index) }); err != nil {
 		return err
 	}
 	r := &x.r
-	turns := min((r.Next-r.Begin)/r.Step, r.Jobs) + len(x.apart)
+	turns := min((r.Next-r.Begin)/r.Step, r.Jobs) + len(x.skipped)
 	ended, cut := turns-len(x.open), 0
-	if r.Cut {
+	if r.Terminated {
 		cut = r.Jobs - turns
 	}
 	if r.Done+r.Failed == ended+cut {
 		return nil
 	}
-	was := *r
+	before := *r
 	if err := x.recount(ctx, f, ended, cut); err != nil {
 		return err
 	}
-	f.log.Warn("an array's counts did not fit its members' records", "array", r.ID, "done", r.Done, "failed", r.Failed,
-		"done before", was.Done, "failed before", was.Failed)
+	f.log.Warn("array counts corrected to match the records of its members", "array", r.ID, "done", r.Done, "failed", r.Failed,
+		"done before", before.Done, "failed before", before.Failed)
 	return f.store.Write(ctx, x.change())
 }
 
-// recount counts anew how the members ended that had their turn, and adds those that were cut off before theirs. Records of some
-// may be gone, for the oldest ones go first: of them the array's own counts say how they ended.
+// recount counts how the members that had their turn ended, and adds those that were terminated before it. Records of
+// some members may have been evicted, oldest first; for those the array's own counts are used.
 func (x *adoptedArray) recount(ctx context.Context, f *Front, ended, cut int) error {
 	done, failed := 0, 0
-	err := f.members(ctx, &x.r, x.r.Begin, func(r *Record) {
+	err := f.forEachStoredMember(ctx, &x.r, x.r.Begin, func(r *Record) {
 		switch {
 		case x.open[*r.Index]:
 		case r.State == Done:
@@ -64,20 +65,20 @@
 	if err != nil {
 		return err
 	}
-	gone := max(0, ended-done-failed)
-	x.r.Done = done + min(gone, max(0, x.r.Done-done))
+	evicted := max(0, ended-done-failed)
+	x.r.Done = done + min(evicted, max(0, x.r.Done-done))
 	x.r.Failed = ended + cut - x.r.Done
 	return nil
 }
 
-// members calls each for the members of an array that are on record, from an index on.
-func (f *Front) members(ctx context.Context, x *arrayRecord, from int, each func(*Record)) error {
-	prefix := key(x.ID) + "-"
+// forEachStoredMember calls each for the stored members of an array, starting at an index.
+func (f *Front) forEachStoredMember(ctx context.Context, x *arrayRecord, from int, each func(*Record)) error {
+	prefix := recordKey(x.ID) + "-"
 	after := prefix
 	if from > 0 {
-		after = key(memberID(x.ID, from-1))
+		after = recordKey(memberID(x.ID, from-1))
 	}
-	return f.pagesAfter(ctx, kindJob, prefix, after, func(row jobstore.Row) error {
+	return f.forEachRowAfter(ctx, kindJob, prefix, after, func(row jobstore.Row) error {
 		if r := parseRecord(row.Value); r.member() {
 			each(&r)
 		}
--- a/internal/batch/session.go
+++ b/internal/batch/session.go
@@ -14,11 +14,11 @@
 	"gatetack/internal/jobstore"
 )
 
-// defaultSession is the one that jobs belong to whose clients name none. It always is, and is never destroyed.
+// defaultSession is the session of jobs whose clients name none. It always exists and can not be destroyed.
 const defaultSession = "default"
 
-// sessionRecord is a job session (GFD.194, sections 7.1 and 8.2). It outlives its clients and the node, until it is
-// destroyed.
+// sessionRecord is the stored state of a job session (GFD.194, sections 7.1 and 8.2). A session outlives its clients
+// and the process, until it is destroyed.
 type sessionRecord struct {
 	Name    string    `json:"sessionName"`
 	Contact string    `json:"contact,omitempty"`
@@ -27,23 +27,23 @@
 
 type session struct {
 	r         sessionRecord
-	instances map[string]bool // opened and not closed, in this life
+	instances map[string]bool // opened in this incarnation and not closed
 }
 
 func noSession(name string) http1.Response {
 	return problem(404, "INVALID_SESSION", "sessionName", "no job session is named "+quote(name))
 }
 
-// enter says whether a session is there.
-func (f *Front) enter(name string) bool {
+// hasSession reports whether a session is known.
+func (f *Front) hasSession(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sessions[name] != nil
 }
 
-// sessionsOnRecord gives each session on record to a function that holds the front's lock.
-func (f *Front) sessionsOnRecord(ctx context.Context, each func(sessionRecord)) error {
-	return f.pages(ctx, kindSession, "", func(r jobstore.Row) error {
+// forEachStoredSession calls each for all stored sessions, with f.mu held.
+func (f *Front) forEachStoredSession(ctx context.Context, each func(sessionRecord)) error {
+	return f.forEachRow(ctx, kindSession, "", func(r jobstore.Row) error {
 		var x sessionRecord
 		if err := json.Unmarshal(r.Value, &x); err != nil {
 			return err
@@ -55,14 +55,15 @@
 	})
 }
 
-// learn has this node know a session, or all where none is named, as nodes that share records made and destroyed them.
-func (f *Front) learn(ctx context.Context, name string) error {
-	if f.fleet == nil || name == defaultSession {
+// refreshSessions updates this node's view of a session, or of all sessions if name is empty, from the shared
+// records.
+func (f *Front) refreshSessions(ctx context.Context, name string) error {
+	if f.router == nil || name == defaultSession {
 		return nil
 	}
-	there := map[string]sessionRecord{}
+	stored := map[string]sessionRecord{}
 	if name == "" {
-		if err := f.sessionsOnRecord(ctx, func(x sessionRecord) { there[x.Name] = x }); err != nil {
+		if err := f.forEachStoredSession(ctx, func(x sessionRecord) { stored[x.Name] = x }); err != nil {
 			return err
 		}
 	} else if value, found, err := f.store.Get(ctx, kindSession, name); err != nil {
@@ -72,16 +73,16 @@
 		if err := json.Unmarshal(value, &x); err != nil {
 			return err
 		}
-		there[name] = x
+		stored[name] = x
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for known := range f.sessions {
-		if _, ok := there[known]; !ok && known != defaultSession && (name == "" || known == name) {
+		if _, ok := stored[known]; !ok && known != defaultSession && (name == "" || known == name) {
 			delete(f.sessions, known)
 		}
 	}
-	for _, x := range there {
+	for _, x := range stored {
 		if f.sessions[x.Name] == nil {
 			f.sessions[x.Name] = &session{r: x}
 		}
@@ -89,16 +90,16 @@
 	return nil
 }
 
-// busy says whether a job or an array of a session is on record that has not ended, at whichever node.
-func (f *Front) busy(ctx context.Context, name string) (bool, error) {
-	if f.fleet == nil {
+// hasOpenJobs reports whether any node has a stored job or array of a session that has not ended.
+func (f *Front) hasOpenJobs(ctx context.Context, name string) (bool, error) {
+	if f.router == nil {
 		return false, nil
 	}
 	open := false
 	for _, kind := range []string{kindJob, kindArray} {
-		if err := f.pages(ctx, kind, "", func(r jobstore.Row) error {
+		if err := f.forEachRow(ctx, kind, "", func(r jobstore.Row) error {
 			v := gjson.ParseBytes(r.Value)
-			over := v.Get("finishTime").Exists() // also of one that is in doubt
+			over := v.Get("finishTime").Exists() // also set for UNDETERMINED jobs
 			if kind == kindArray {
 				over = v.Get("done").Int()+v.Get("failed").Int() >= v.Get("jobs").Int()
 			}
@@ -124,27 +125,27 @@
 		list = append(list, s.status())
 	}
 	sort.Slice(list, func(i, k int) bool { return list[i]["sessionName"].(string) < list[k]["sessionName"].(string) })
-	return reply(200, map[string]any{"sessions": list})
+	return jsonResponse(200, map[string]any{"sessions": list})
 }
 
-// createSession makes a session (createJobSession). A name that is taken is refused: two clients that both create it
-// must not share it by accident.
+// createSession creates a session (createJobSession). A name in use is rejected: two clients that both create a
+// session of the same name must not share it by accident.
 func (f *Front) createSession(ctx context.Context, body []byte) http1.Response {
-	if r, ok := f.open(ctx); !ok {
+	if r, ok := f.checkAccepting(ctx); !ok {
 		return r
 	}
 	if !gjson.ValidBytes(body) || !gjson.ParseBytes(body).IsObject() {
 		return problem(400, "INVALID_ARGUMENT", "body", "not an object of valid JSON")
 	}
 	r := sessionRecord{Created: time.Now().UTC()}
-	var bad *fault
+	var bad *argumentError
 	gjson.ParseBytes(body).ForEach(func(k, v gjson.Result) bool {
 		name := k.String()
 		switch {
 		case name != "sessionName" && name != "contact":
-			bad = &fault{"INVALID_ARGUMENT", name, "no argument of a session"}
+			bad = &argumentError{"INVALID_ARGUMENT", name, "no argument of a session"}
 		case v.Type != gjson.String:
-			bad = &fault{"INVALID_ARGUMENT", name, "not a string"}
+			bad = &argumentError{"INVALID_ARGUMENT", name, "not a string"}
 		case name == "sessionName":
 			r.Name = v.Str
 		default:
@@ -155,12 +156,12 @@
 	switch {
 	case bad != nil:
 	case !http1.IsVisibleASCII(r.Name) || len(r.Name) > 64 || strings.ContainsAny(r.Name, "/?#%"):
-		bad = &fault{"INVALID_ARGUMENT", "sessionName", "not a word of 1 to 64 visible characters without / ? # or %"}
+		bad = &argumentError{"INVALID_ARGUMENT", "sessionName", "not a word of 1 to 64 visible characters without / ? # or %"}
 	case r.Contact != "" && r.Contact != f.ids.node:
-		bad = &fault{"INVALID_ARGUMENT", "contact", "this node's is " + quote(f.ids.node)}
+		bad = &argumentError{"INVALID_ARGUMENT", "contact", "this node's is " + quote(f.ids.node)}
 	}
 	if bad != nil {
-		return refuse(bad)
+		return invalidArgument(bad)
 	}
 	f.mu.Lock()
 	switch {
@@ -186,7 +187,7 @@
 			return tryLater("the session could not be recorded: " + err.Error())
 		}
 		f.mu.Lock()
-		if f.sessions[r.Name] == nil { // a call that came before it was on record took it for destroyed
+		if f.sessions[r.Name] == nil { // a concurrent refreshSessions found no record and deleted it
 			f.sessions[r.Name] = s
 		}
 		f.mu.Unlock()
@@ -194,8 +195,8 @@
 	return f.openSession(r.Name, 201)
 }
 
-// openSession gives an instance of a session (openJobSession). Several clients may have one open: each has an instance
-// of its own, and all see its jobs.
+// openSession opens an instance of a session (openJobSession). Several clients may have the session open: each has an
+// instance of its own, and all see its jobs.
 func (f *Front) openSession(name string, status int) http1.Response {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -206,17 +207,17 @@
 	if len(s.instances) >= f.lim.BatchConns*16 {
 		return problem(503, "TRY_LATER", "", "the session is open as often as it may be")
 	}
-	id := trace()
+	id := newTraceID()
 	if s.instances == nil {
 		s.instances = map[string]bool{}
 	}
 	s.instances[id] = true
 	out := s.status()
 	out["instance"] = id
-	return reply(status, out)
+	return jsonResponse(status, out)
 }
 
-// closeSession ends an instance (closeJobSession). Calls that name it are refused from then on.
+// closeSession closes an instance (closeJobSession). Calls that name it are rejected from then on.
 func (f *Front) closeSession(name, instance string) http1.Response {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,12 +229,12 @@
 		return problem(409, "INVALID_SESSION", "instance", "no such instance of the session is open")
 	}
 	delete(s.instances, instance)
-	return reply(200, s.status())
+	return jsonResponse(200, s.status())
 }
 
-// destroySession takes a session away (destroyJobSession), unless an instance is open or a job of it has not ended.
+// destroySession deletes a session (destroyJobSession), unless an instance is open or a job of it has not ended.
 func (f *Front) destroySession(ctx context.Context, name string) http1.Response {
-	elsewhere, err := f.busy(ctx, name)
+	openElsewhere, err := f.hasOpenJobs(ctx, name)
 	if err != nil {
 		return tryLater("whether its jobs have ended can not be told: " + err.Error())
 	}
@@ -241,7 +242,7 @@
 	s := f.sessions[name]
 	open := 0
 	for _, j := range f.order {
-		if r := j.record(); r.Session == name && !r.State.over() {
+		if r := j.record(); r.Session == name && !r.State.final() {
 			open++
 		}
 	}
@@ -260,7 +261,7 @@
 	case len(s.instances) > 0:
 		f.mu.Unlock()
 		return problem(409, "INVALID_STATE", "sessionName", "an instance of the session is open")
-	case open > 0 || elsewhere:
+	case open > 0 || openElsewhere:
 		f.mu.Unlock()
 		return problem(409, "INVALID_STATE", "sessionName", "jobs of the session have not ended")
 	}
@@ -277,8 +278,8 @@
 	return http1.Response{Status: 204}
 }
 
-// instance checks that a call which names an instance of its session names one that is open.
-func (f *Front) instance(name string, m *http1.Message) (http1.Response, bool) {
+// checkInstance checks that the session exists and that the instance a call names, if any, is open.
+func (f *Front) checkInstance(name string, m *http1.Message) (http1.Response, bool) {
 	id := m.Get("X-Session-Instance")
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/batch/submit.go
+++ b/internal/batch/submit.go
@@ -19,28 +19,28 @@
 
 func quote(s string) string { return strconv.Quote(s) }
 
-// trace makes an id under which a job goes to a box.
-func trace() string {
+// newTraceID returns a random ID for sending a job to an executor.
+func newTraceID() string {
 	var raw [8]byte
 	_, _ = rand.Read(raw[:])
 	return hex.EncodeToString(raw[:])
 }
 
-// sameRecord is what a session's idempotency key stands for.
-type sameRecord struct {
+// keyRecord is the stored job of an idempotency key.
+type keyRecord struct {
 	ID   string `json:"id"`
 	Hash string `json:"hash"`
 }
 
-func (s sameRecord) json() []byte {
+func (s keyRecord) json() []byte {
 	b, _ := json.Marshal(s)
 	return b
 }
 
-// open says whether submissions are taken now. At the node's start it waits a while for what is on record to be read: a
-// job must not be taken twice.
-func (f *Front) open(ctx context.Context) (http1.Response, bool) {
-	if f.stop.Load() {
+// checkAccepting reports whether submissions are accepted. While the node starts it waits a limited time for the
+// stored records to be read: a job must not be accepted twice.
+func (f *Front) checkAccepting(ctx context.Context) (http1.Response, bool) {
+	if f.draining.Load() {
 		return tryLater("the node is leaving"), false
 	}
 	if !f.ready() {
@@ -48,76 +48,77 @@
 		case <-f.loaded:
 		case <-ctx.Done():
 			return http1.Response{Status: 503, Close: true}, false
-		case <-time.After(f.lim.StoreCall):
+		case <-time.After(f.lim.StoreCallTimeout):
 			return tryLater("what an earlier life left is being read"), false
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.waits)+len(f.arrays) >= f.lim.BatchWaiting {
+	if len(f.waiting)+len(f.arrays) >= f.lim.BatchWaitingItems {
 		return tryLater("too many jobs wait here"), false
 	}
 	return http1.Response{}, true
 }
 
-// submit takes a job template (runJob). What is wrong with it is said before anything enters the core.
+// submit handles a job template (runJob). An invalid template is rejected before anything reaches the core.
 func (f *Front) submit(ctx context.Context, session string, body []byte) http1.Response {
-	if r, ok := f.open(ctx); !ok {
+	if r, ok := f.checkAccepting(ctx); !ok {
 		return r
 	}
 	now := time.Now()
-	t, bad := f.parse(body, now)
+	t, bad := f.parseTemplate(body, now)
 	if bad != nil {
-		return refuse(bad)
+		return invalidArgument(bad)
 	}
-	if t.same != "" {
-		if r, ok := f.again(ctx, session, t); ok {
+	if t.idempotencyKey != "" {
+		if r, ok := f.findByKey(ctx, session, t); ok {
 			return r
 		}
 	}
 	j := f.newJob(session, t, now)
-	if !f.claim(session, t, j) {
-		return f.submit(ctx, session, body) // another with the same key came in between: it is found now
+	if !f.claimKey(session, t, j) {
+		return f.submit(ctx, session, body) // a concurrent submission has claimed the key: find its job
 	}
-	r, err := f.take(ctx, session, t, j, now)
+	r, err := f.accept(ctx, session, t, j, now)
 	if err != nil {
 		f.mu.Lock()
 		j.mu.Lock()
-		j.gone = true
+		j.submitFailed = true
 		j.mu.Unlock()
-		k := sameKey(session, t.same)
-		mine := f.same[k] == j
-		if mine {
-			delete(f.same, k)
+		k := sessionKey(session, t.idempotencyKey)
+		claimed := f.byIdempotencyKey[k] == j
+		if claimed {
+			delete(f.byIdempotencyKey, k)
 		}
 		f.mu.Unlock()
-		if mine && f.store != nil && !errors.Is(err, jobstore.ErrExists) {
-			if err := f.unsame(ctx, k, j.r.ID); err != nil {
-				f.log.Warn("an idempotency key of a job that was not taken stays on record", "err", err)
+		if claimed && f.store != nil && !errors.Is(err, jobstore.ErrExists) {
+			if err := f.deleteKeyRecord(ctx, k, j.r.ID); err != nil {
+				f.log.Warn("record of the idempotency key of a rejected job not deleted", "err", err)
 			}
 		}
 	}
 	close(j.ready)
 	if errors.Is(err, jobstore.ErrExists) {
-		return f.submit(ctx, session, body) // another node took a job under this key meanwhile: it is found now
+		return f.submit(ctx, session, body) // another node has accepted a job under this key: find it
 	}
 	return r
 }
 
-// unsame takes a key's record away, if it is a job's: the client was told to try again, and its key must not stand for what was
-// not taken. Where another node took a job under it, it stays.
-func (f *Front) unsame(ctx context.Context, k, id string) error {
-	value, found, err := f.store.Get(ctx, kindSame, k)
+// deleteKeyRecord deletes the record of an idempotency key if it belongs to the given job: the client was asked to
+// try again, so its key must not stand for a job that was not accepted. If another node accepted a job under the key,
+// the record stays.
+func (f *Front) deleteKeyRecord(ctx context.Context, k, id string) error {
+	value, found, err := f.store.Get(ctx, kindIdempotencyKey, k)
 	if err != nil || !found || gjson.GetBytes(value, "id").String() != id {
 		return err
 	}
-	return f.store.Write(ctx, jobstore.Change{Kind: kindSame, Key: k})
+	return f.store.Write(ctx, jobstore.Change{Kind: kindIdempotencyKey, Key: k})
 }
 
 func (f *Front) newJob(session string, t *template, now time.Time) *job {
-	j := &job{f: f, in: t.job, until: t.until, hash: t.hash, changed: make(chan struct{}), ready: make(chan struct{}),
-		queue: t.waits(now), r: Record{ID: f.ids.next(), State: Queued, SubState: subHeld, Name: t.name, Session: session,
-			Category: f.names().Classes[t.job.Class], Priority: t.priority, Submitted: now, Start: t.start, Deadline: t.until}}
+	j := &job{f: f, in: t.job, deadline: t.deadline, hash: t.hash, changed: make(chan struct{}), ready: make(chan struct{}),
+		queue: t.mustWait(now), r: Record{ID: f.ids.next(), State: Queued, SubState: subHeld, Name: t.name, Session: session,
+			Category: f.names().Classes[t.job.Class], Priority: t.priority, Submitted: now, Start: t.start, Deadline: t.deadline}}
 	if len(f.names().Tenants) > 0 {
 		j.r.Account = f.names().Tenants[t.job.Tenant]
 	}
@@ -128,42 +129,42 @@
 		j.r.SubState = subDeferred
 	}
 	j.r.Template, j.ref = t.raw, jobqueue.JobRef{ID: j.r.ID}
-	j.in.Trace, j.in.Method = trace(), "POST"
-	if j.in.Idempotency == "" {
-		j.in.Idempotency = trace() + trace()
+	j.in.TraceID, j.in.Method = newTraceID(), "POST"
+	if j.in.IdempotencyKey == "" {
+		j.in.IdempotencyKey = newTraceID() + newTraceID()
 	}
 	return j
 }
 
-// claim takes a session's idempotency key for a job, unless another has it.
-func (f *Front) claim(session string, t *template, j *job) bool {
-	if t.same == "" {
+// claimKey reserves a session's idempotency key for a job, unless another job has it.
+func (f *Front) claimKey(session string, t *template, j *job) bool {
+	if t.idempotencyKey == "" {
 		return true
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	k := sameKey(session, t.same)
-	if f.same[k] != nil {
+	k := sessionKey(session, t.idempotencyKey)
+	if f.byIdempotencyKey[k] != nil {
 		return false
 	}
-	f.same[k] = j
+	f.byIdempotencyKey[k] = j
 	return true
 }
 
-// again finds what was submitted under an idempotency key before: a submission whose answer was lost gives the first job
-// back. Another template under the same key is a mistake, and is told so.
-func (f *Front) again(ctx context.Context, session string, t *template) (http1.Response, bool) {
+// findByKey returns the job that was submitted under an idempotency key before, so that a client that lost the
+// response can submit again. Another template under the same key is an error.
+func (f *Front) findByKey(ctx context.Context, session string, t *template) (http1.Response, bool) {
 	f.mu.Lock()
-	j := f.same[sameKey(session, t.same)]
+	j := f.byIdempotencyKey[sessionKey(session, t.idempotencyKey)]
 	f.mu.Unlock()
 	if j != nil {
-		select { // it may be on its way still
+		select { // it may still be in progress
 		case <-j.ready:
 		case <-ctx.Done():
 			return http1.Response{Status: 503, Close: true}, true
 		}
 		j.mu.Lock()
-		gone := j.gone
+		gone := j.submitFailed
 		j.mu.Unlock()
 		switch {
 		case gone:
@@ -171,71 +172,72 @@
 		case j.hash != t.hash:
 			return problem(409, "INVALID_ARGUMENT", "idempotencyKey", "another template was submitted under this key, as job "+j.record().ID), true
 		}
-		return f.answer(200, j.record()), true
+		return f.jobResponse(200, j.record()), true
 	}
 	if f.store == nil {
 		return http1.Response{}, false
 	}
-	value, found, err := f.store.Get(ctx, kindSame, sameKey(session, t.same))
+	value, found, err := f.store.Get(ctx, kindIdempotencyKey, sessionKey(session, t.idempotencyKey))
 	if err != nil {
 		return tryLater("whether this was submitted before can not be told: " + err.Error()), true
 	}
 	if !found {
 		return http1.Response{}, false
 	}
-	var same sameRecord
+	var same keyRecord
 	_ = json.Unmarshal(value, &same)
 	if same.Hash != fmt.Sprintf("%016x", t.hash) {
 		return problem(409, "INVALID_ARGUMENT", "idempotencyKey", "another template was submitted under this key, as job "+same.ID), true
 	}
 	_, r, ok := f.find(ctx, same.ID)
-	if !ok { // it is of a life that this node knows nothing of, and its key is not free
+	if !ok { // the job's incarnation is unknown to this node, and the key is not free
 		return tryLater("the job under this key, " + same.ID + ", can not be told of here"), true
 	}
-	return f.answer(200, r), true
+	return f.jobResponse(200, r), true
 }
 
-// take puts a job on record, and then gives it to the core or lets it wait. A job that was not taken comes with an error.
-func (f *Front) take(ctx context.Context, session string, t *template, j *job, now time.Time) (http1.Response, error) {
+// accept records a job, and then submits it to the core or queues it. It returns an error for a job that was not
+// accepted.
+func (f *Front) accept(ctx context.Context, session string, t *template, j *job, now time.Time) (http1.Response, error) {
 	var more []jobstore.Change
-	if t.same != "" {
-		j.r.Same, j.r.Hash = sameKey(session, t.same), fmt.Sprintf("%016x", t.hash)
-		more = append(more, jobstore.Change{Kind: kindSame, Key: j.r.Same, Value: sameRecord{j.r.ID, j.r.Hash}.json(), New: true, Keep: true})
+	if t.idempotencyKey != "" {
+		j.r.KeyRecord, j.r.TemplateHash = sessionKey(session, t.idempotencyKey), fmt.Sprintf("%016x", t.hash)
+		more = append(more, jobstore.Change{Kind: kindIdempotencyKey, Key: j.r.KeyRecord, Value: keyRecord{j.r.ID, j.r.TemplateHash}.json(), New: true, Keep: true})
 	}
-	if !f.enter(session) {
+	if !f.hasSession(session) {
 		return noSession(session), errors.New("no such session")
 	}
-	j.r.Handed = !j.queue
-	if err := f.inTime(ctx, j, more); err != nil {
+	j.r.HandedOver = !j.queue
+	if err := f.recordNew(ctx, j, more); err != nil {
 		return tryLater("the job could not be recorded: " + err.Error()), err
 	}
 	f.events.add(&j.r)
 	if j.queue {
 		f.mu.Lock()
-		f.keep(j)
-		f.waits[j.r.ID] = j
+		f.register(j)
+		f.waiting[j.r.ID] = j
 		f.queue.Add(jobqueue.Item{ID: j.r.ID, Session: session, Priority: t.priority, Start: t.start, Held: t.hold}, now)
 		f.mu.Unlock()
 		f.wake()
 		return f.created(j), nil
 	}
 	f.mu.Lock()
-	f.keep(j)
+	f.register(j)
 	f.mu.Unlock()
-	if err := f.give(j.in, j); err != nil {
+	if err := f.submitToCore(j.in, j); err != nil {
 		return tryLater(err.Error()), err
 	}
 	return f.created(j), nil
 }
 
-var errSlow = errors.New("the store is too slow")
+var errStoreSlow = errors.New("the store is too slow")
 
-// inTime puts a new job on record, or refuses it once that takes too long. What is written after all is taken away again:
-// a job that was refused must not be found after a restart as one that was taken.
-func (f *Front) inTime(ctx context.Context, j *job, more []jobstore.Change) error {
+// recordNew records a new job, or rejects it when the write takes too long. If the write succeeds later, the record
+// is deleted again: a rejected job must not look accepted after a restart.
+func (f *Front) recordNew(ctx context.Context, j *job, more []jobstore.Change) error {
 	done := make(chan error, 1)
-	go func() { done <- f.put(context.WithoutCancel(ctx), j, nil, more...) }()
-	timer := time.NewTimer(f.lim.StoreCall)
+	go func() { done <- f.writeRecord(context.WithoutCancel(ctx), j, nil, more...) }()
+	timer := time.NewTimer(f.lim.StoreCallTimeout)
 	defer timer.Stop()
 	select {
 	case err := <-done:
@@ -252,49 +254,49 @@
 			undo[i].Value, undo[i].New = nil, false
 		}
 		if err := f.store.Write(context.WithoutCancel(ctx), undo...); err != nil {
-			f.log.Warn("the record of a job that was refused stays", "job", r.ID, "err", err)
+			f.log.Warn("record of a rejected job not deleted", "job", r.ID, "err", err)
 		}
 	}()
-	return errSlow
+	return errStoreSlow
 }
 
 func (f *Front) created(j *job) http1.Response {
-	r := f.answer(201, j.record())
+	r := f.jobResponse(201, j.record())
 	r.Fields = append(r.Fields, http1.Field{Name: "Location", Value: Prefix + "/jobs/" + j.r.ID})
 	return r
 }
 
-// bulk takes a job array (runBulkJobs, GFD.194 section 8.2.7).
-func (f *Front) bulk(ctx context.Context, session string, body []byte) http1.Response {
-	if r, ok := f.open(ctx); !ok {
+// submitArray handles a job array (runBulkJobs, GFD.194 section 8.2.7).
+func (f *Front) submitArray(ctx context.Context, session string, body []byte) http1.Response {
+	if r, ok := f.checkAccepting(ctx); !ok {
 		return r
 	}
-	if nested(body) > 16 || !gjson.ValidBytes(body) || !gjson.ParseBytes(body).IsObject() {
+	if nestingDepth(body) > 16 || !gjson.ValidBytes(body) || !gjson.ParseBytes(body).IsObject() {
 		return problem(400, "INVALID_ARGUMENT", "body", "not an object of valid JSON, nested at most 16 levels deep")
 	}
 	x := arrayRecord{Begin: 1, End: -1, Step: 1, Session: session}
 	root := gjson.ParseBytes(body)
-	var bad *fault
+	var bad *argumentError
 	var t *template
 	now := time.Now()
 	root.ForEach(func(k, v gjson.Result) bool {
 		var err error
 		switch k.String() {
 		case "jobTemplate":
-			t, bad = f.read(v, now)
+			t, bad = f.readTemplate(v, now)
 		case "beginIndex":
-			x.Begin, err = whole(v, 0, mostIndex)
+			x.Begin, err = wholeNumber(v, 0, maxIndex)
 		case "endIndex":
-			x.End, err = whole(v, 0, mostIndex)
+			x.End, err = wholeNumber(v, 0, maxIndex)
 		case "step":
-			x.Step, err = whole(v, 1, mostIndex)
+			x.Step, err = wholeNumber(v, 1, maxIndex)
 		case "maxParallel":
-			x.MaxParallel, err = whole(v, 0, mostIndex)
+			x.MaxParallel, err = wholeNumber(v, 0, maxIndex)
 		default:
 			err = fmt.Errorf("no argument of a bulk submission")
 		}
 		if err != nil {
-			bad = &fault{"INVALID_ARGUMENT", k.String(), err.Error()}
+			bad = &argumentError{"INVALID_ARGUMENT", k.String(), err.Error()}
 		}
 		return bad == nil
 	})
@@ -302,27 +304,27 @@
 	switch {
 	case bad != nil:
 	case t == nil:
-		bad = &fault{"INVALID_ARGUMENT", "jobTemplate", "missing"}
-	case t.same != "":
-		bad = &fault{"UNSUPPORTED_ATTRIBUTE", "idempotencyKey", "an array is not submitted under a key"}
+		bad = &argumentError{"INVALID_ARGUMENT", "jobTemplate", "missing"}
+	case t.idempotencyKey != "":
+		bad = &argumentError{"UNSUPPORTED_ATTRIBUTE", "idempotencyKey", "an array is not submitted under a key"}
 	case x.End < 0:
-		bad = &fault{"INVALID_ARGUMENT", "endIndex", "missing"}
+		bad = &argumentError{"INVALID_ARGUMENT", "endIndex", "missing"}
 	case x.End < x.Begin:
-		bad = &fault{"INVALID_ARGUMENT", "endIndex", "before beginIndex"}
-	case item.Size() > f.lim.BatchArray:
-		bad = &fault{"INVALID_ARGUMENT", "endIndex", fmt.Sprintf("more than %d members", f.lim.BatchArray)}
+		bad = &argumentError{"INVALID_ARGUMENT", "endIndex", "before beginIndex"}
+	case item.Size() > f.lim.BatchArrayMembers:
+		bad = &argumentError{"INVALID_ARGUMENT", "endIndex", fmt.Sprintf("more than %d members", f.lim.BatchArrayMembers)}
 	}
 	if bad != nil {
-		return refuse(bad)
+		return invalidArgument(bad)
 	}
 	x.ID, x.Name, x.Category, x.Priority = f.ids.next(), t.name, f.names().Classes[t.job.Class], t.priority
 	if len(f.names().Tenants) > 0 {
 		x.Account = f.names().Tenants[t.job.Tenant]
 	}
-	x.Submitted, x.Start, x.Deadline, x.Held, x.Jobs, x.Next, x.Template = now, t.start, t.until, t.hold, item.Size(), x.Begin, t.raw
-	t.job.Method, t.job.Idempotency = "POST", trace()+trace()
+	x.Submitted, x.Start, x.Deadline, x.Held, x.Jobs, x.Next, x.Template = now, t.start, t.deadline, t.hold, item.Size(), x.Begin, t.raw
+	t.job.Method, t.job.IdempotencyKey = "POST", newTraceID()+newTraceID()
 	a := &array{t: *t, r: x}
-	if !f.enter(session) {
+	if !f.hasSession(session) {
 		return noSession(session)
 	}
 	if f.store != nil {
@@ -335,7 +337,7 @@
 	f.queue.Add(x.item(), now)
 	f.mu.Unlock()
 	f.wake()
-	r := reply(201, x.status())
+	r := jsonResponse(201, x.status())
 	r.Fields = append(r.Fields, http1.Field{Name: "Location", Value: Prefix + "/arrays/" + x.ID})
 	return r
 }
--- a/internal/batch/sweep.go
+++ b/internal/batch/sweep.go
@@ -8,19 +8,19 @@
 	"gatetack/internal/jobstore"
 )
 
-// sweeper is a store that can take old records away.
+// sweeper is a store that can delete old records.
 type sweeper interface {
-	Sweep(kind string, most jobstore.Usage, limit int, fate func(key string, value []byte) jobstore.Retention) (int, error)
+	Sweep(kind string, limits jobstore.Usage, limit int, fate func(key string, value []byte) jobstore.Retention) (int, error)
 }
 
-// sweep takes away records of jobs that ended long ago, or the first ones where there are too many.
+// sweep deletes the records of jobs that ended long ago, and the oldest ones beyond the limits.
 func (f *Front) sweep() {
 	s, ok := f.store.(sweeper)
 	if !ok {
 		return
 	}
-	before := time.Now().Add(-f.lim.BatchAge)
-	gone, err := s.Sweep(kindJob, jobstore.Usage{Values: f.lim.BatchValues, Bytes: f.lim.BatchRecords}, 10000,
+	before := time.Now().Add(-f.lim.BatchStoredAge)
+	deleted, err := s.Sweep(kindJob, jobstore.Usage{Values: f.lim.BatchStoredJobs, Bytes: f.lim.BatchStoredBytes}, 10000,
 		func(_ string, v []byte) jobstore.Retention {
 			switch end := gjson.GetBytes(v, "finishTime"); {
 			case !end.Exists():
@@ -30,7 +30,7 @@
 			}
 			return jobstore.Evictable
 		})
-	if err != nil || gone > 0 {
-		f.log.Info("old records of batch jobs", "gone", gone, "err", err)
+	if err != nil || deleted > 0 {
+		f.log.Info("old batch job records deleted", "gone", deleted, "err", err)
 	}
 }
--- a/internal/batch/template.go
+++ b/internal/batch/template.go
@@ -17,27 +17,27 @@
 	"gatetack/internal/node"
 )
 
-// template is a job template that was found good.
+// template is a valid job template.
 type template struct {
-	name     string
-	job      node.Job
-	until    time.Time // the client's deadline, zero for the class's from when the job is handed to the core
-	start    time.Time
-	hold     bool
-	priority int
-	same     string // the client's idempotency key
-	hash     uint64
-	raw      []byte
+	name           string
+	job            node.Job
+	deadline       time.Time // set by the client; if zero, the class's deadline applies from the hand-over to the core
+	start          time.Time
+	hold           bool
+	priority       int
+	idempotencyKey string // set by the client
+	hash           uint64
+	raw            []byte
 }
 
-// waits says whether a job of this template waits here before it is handed to the core.
-func (t *template) waits(now time.Time) bool { return t.hold || t.start.After(now) }
+// mustWait reports whether a job of this template waits in the queue before it is handed to the core.
+func (t *template) mustWait(now time.Time) bool { return t.hold || t.start.After(now) }
 
-// fault is what is wrong with a template, and where.
-type fault struct{ code, field, text string }
+// argumentError is an invalid argument or template attribute.
+type argumentError struct{ code, field, text string }
 
-// unsupported are attributes of DRMAAv2's job template (GFD.194, section 5.6) that this node has no use for, and why. A
-// job that asks for one must not run as if it had not.
+// unsupported maps the attributes of the DRMAAv2 job template (GFD.194, section 5.6) that this node does not support
+// to the reasons. A job that sets one is rejected: it must not run as if the attribute were not set.
 var unsupported = map[string]string{
 	"jobEnvironment":    "a render box runs a request, not a process with an environment",
 	"workingDirectory":  "a render box runs a request, not a process in a folder",
@@ -58,26 +58,26 @@
 	"resourceLimits":    "a job at a box is not stopped, so no limit could be kept; deadlineTime bounds the wait",
 }
 
-// placeholder stands for a member's index in the path and the payload of an array's template.
+// placeholder is replaced by a member's index in the path and the payload of an array's template.
 const placeholder = "$PARAMETRIC_INDEX"
 
-const mostPriority = 1024
+const maxPriority = 1024
 
-// parse reads a job template: jobCategory is the class, accountingId the tenant, remoteCommand the path, args its query,
-// deadlineTime when the client gives up; payload is the body and idempotencyKey what the name says.
-func (f *Front) parse(body []byte, now time.Time) (*template, *fault) {
-	if len(body) > 0 && nested(body) > 16 {
-		return nil, &fault{"INVALID_ARGUMENT", "body", "nested deeper than 16 levels"}
+// parseTemplate reads a job template: jobCategory is the class, accountingId the tenant, remoteCommand the path, args
+// its query, deadlineTime the client's deadline, payload the body, and idempotencyKey the idempotency key.
+func (f *Front) parseTemplate(body []byte, now time.Time) (*template, *argumentError) {
+	if len(body) > 0 && nestingDepth(body) > 16 {
+		return nil, &argumentError{"INVALID_ARGUMENT", "body", "nested deeper than 16 levels"}
 	}
 	if !gjson.ValidBytes(body) {
-		return nil, &fault{"INVALID_ARGUMENT", "body", "not valid JSON"}
+		return nil, &argumentError{"INVALID_ARGUMENT", "body", "not valid JSON"}
 	}
-	return f.read(gjson.ParseBytes(body), now)
+	return f.readTemplate(gjson.ParseBytes(body), now)
 }
 
-// nested is how deeply a text's objects and lists stand in one another, without a parser that calls itself.
-func nested(b []byte) int {
-	depth, most, quoted := 0, 0, false
+// nestingDepth returns how deeply objects and lists are nested in JSON text, without recursion.
+func nestingDepth(b []byte) int {
+	depth, maxDepth, quoted := 0, 0, false
 	for i := 0; i < len(b); i++ {
 		switch c := b[i]; {
 		case quoted && c == '\\':
@@ -87,23 +87,23 @@
 		case quoted:
 		case c == '{' || c == '[':
 			depth++
-			most = max(most, depth)
+			maxDepth = max(maxDepth, depth)
 		case c == '}' || c == ']':
 			depth--
 		}
 	}
-	return most
+	return maxDepth
 }
 
-func (f *Front) read(root gjson.Result, now time.Time) (*template, *fault) {
-	invalid := func(field, text string) *fault { return &fault{"INVALID_ARGUMENT", field, text} }
+func (f *Front) readTemplate(root gjson.Result, now time.Time) (*template, *argumentError) {
+	invalid := func(field, text string) *argumentError { return &argumentError{"INVALID_ARGUMENT", field, text} }
 	if !root.IsObject() {
 		return nil, invalid("body", "not an object")
 	}
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(root.Raw))
 	t := &template{job: node.Job{Slots: 1, Class: -1, Tenant: -1}, hash: h.Sum64(), raw: []byte(root.Raw)}
-	var bad *fault
+	var bad *argumentError
 	seen := map[string]bool{}
 	var args []string
 	rerunnable := (*bool)(nil)
@@ -115,21 +115,21 @@
 		}
 		seen[name] = true
 		if why, no := unsupported[name]; no {
-			bad = &fault{"UNSUPPORTED_ATTRIBUTE", name, why}
+			bad = &argumentError{"UNSUPPORTED_ATTRIBUTE", name, why}
 			return false
 		}
 		var err error
 		switch name {
 		case "args":
-			args, err = strs(v, 256)
+			args, err = stringList(v, 256)
 		case "inputs":
-			t.job.Inputs, err = strs(v, 16)
+			t.job.Inputs, err = stringList(v, 16)
 		case "rerunnable":
 			var on bool
 			on, err = boolean(v)
 			rerunnable = &on
 		default:
-			err = f.attribute(t, name, v)
+			err = f.setAttribute(t, name, v)
 		}
 		if err != nil {
 			bad = invalid(name, err.Error())
@@ -166,33 +166,33 @@
 			}
 			t.job.Target += sep + "arg=" + strings.ReplaceAll(url.QueryEscape(a), url.QueryEscape(placeholder), placeholder)
 		}
-		if len(t.job.Target) > f.lim.Line/2 {
+		if len(t.job.Target) > f.lim.LineBytes/2 {
 			return nil, invalid("args", "longer than a request's first line may be")
 		}
 	}
-	// The class says what a repeat may do. A template may agree with it; it can not widen it, nor is there a way to tell
-	// a box that drops repeats not to.
+	// The class determines whether a retry is allowed. A template may only agree with it: it can not allow more, and
+	// there is no way to make an executor that drops duplicates accept them.
 	if rerunnable != nil && *rerunnable != (class.RetrySafety != dispatch.AtMostOnce) {
 		if *rerunnable {
 			return nil, invalid("rerunnable", "a job of this category must never run twice")
 		}
-		return nil, &fault{"UNSUPPORTED_ATTRIBUTE", "rerunnable", "jobs of this category may be repeated, where their boxes drop the repeat"}
+		return nil, &argumentError{"UNSUPPORTED_ATTRIBUTE", "rerunnable", "jobs of this category may be repeated, where their boxes drop the repeat"}
 	}
-	if !t.start.IsZero() && t.start.Sub(now) > f.lim.BatchAhead {
-		return nil, invalid("startTime", "further off than "+f.lim.BatchAhead.String())
+	if !t.start.IsZero() && t.start.Sub(now) > f.lim.MaxBatchStartDelay {
+		return nil, invalid("startTime", "further off than "+f.lim.MaxBatchStartDelay.String())
 	}
-	begin := now
+	startAt := now
 	if t.start.After(now) {
-		begin = t.start
+		startAt = t.start
 	}
-	if !t.until.IsZero() {
-		switch left := t.until.Sub(begin); {
-		case left <= 0 && begin.After(now):
+	if !t.deadline.IsZero() {
+		switch remaining := t.deadline.Sub(startAt); {
+		case remaining <= 0 && startAt.After(now):
 			return nil, invalid("deadlineTime", "it is before startTime")
-		case left <= 0:
+		case remaining <= 0:
 			return nil, invalid("deadlineTime", "it has passed")
-		case left > f.lim.BatchDeadline:
-			return nil, invalid("deadlineTime", "further off than "+f.lim.BatchDeadline.String())
+		case remaining > f.lim.MaxBatchDeadline:
+			return nil, invalid("deadlineTime", "further off than "+f.lim.MaxBatchDeadline.String())
 		}
 	}
 	return t, nil
@@ -205,7 +205,7 @@
 	return v.Bool(), nil
 }
 
-func strs(v gjson.Result, most int) ([]string, error) {
+func stringList(v gjson.Result, maxItems int) ([]string, error) {
 	if !v.IsArray() {
 		return nil, errors.New("not a list of strings")
 	}
@@ -214,29 +214,29 @@
 		if x.Type != gjson.String {
 			return nil, errors.New("not a list of strings")
 		}
-		if out = append(out, x.Str); len(out) > most {
-			return nil, fmt.Errorf("more than %d", most)
+		if out = append(out, x.Str); len(out) > maxItems {
+			return nil, fmt.Errorf("more than %d", maxItems)
 		}
 	}
 	return out, nil
 }
 
-func whole(v gjson.Result, least, most float64) (int, error) {
-	if v.Type != gjson.Number || v.Num != math.Trunc(v.Num) || v.Num < least || v.Num > most {
-		return 0, fmt.Errorf("not a whole number from %.0f to %.0f", least, most)
+func wholeNumber(v gjson.Result, minValue, maxValue float64) (int, error) {
+	if v.Type != gjson.Number || v.Num != math.Trunc(v.Num) || v.Num < minValue || v.Num > maxValue {
+		return 0, fmt.Errorf("not a whole number from %.0f to %.0f", minValue, maxValue)
 	}
 	return int(v.Num), nil
 }
 
-// attribute takes in one attribute.
-func (f *Front) attribute(t *template, name string, v gjson.Result) error {
+// setAttribute sets one attribute of a template.
+func (f *Front) setAttribute(t *template, name string, v gjson.Result) error {
 	switch name {
 	case "jobName", "jobCategory", "accountingId", "remoteCommand", "deadlineTime", "startTime", "payload", "idempotencyKey":
 		if v.Type != gjson.String {
 			return errors.New("not a string")
 		}
 	case "minSlots", "maxSlots", "minPhysMemory":
-		if _, err := whole(v, 1, 1024); err != nil {
+		if _, err := wholeNumber(v, 1, 1024); err != nil {
 			return err
 		}
 	case "submitAsHold", "priority":
@@ -260,8 +260,8 @@
 			return errors.New("names no tenant")
 		}
 	case "remoteCommand":
-		// It becomes a part of a request's first line: anything else there could be read as another request.
-		if !http1.IsVisibleASCII(v.Str) || len(v.Str) > f.lim.Line/2 || v.Str[0] != '/' {
+		// The value becomes part of the request line: any other character could start another request.
+		if !http1.IsVisibleASCII(v.Str) || len(v.Str) > f.lim.LineBytes/2 || v.Str[0] != '/' {
 			return errors.New("not a path")
 		}
 		t.job.Target = v.Str
@@ -269,17 +269,17 @@
 		if !http1.IsVisibleASCII(v.Str) || len(v.Str) > 256 {
 			return errors.New("not a word of 1 to 256 visible characters")
 		}
-		t.job.Idempotency, t.same = v.Str, v.Str
+		t.job.IdempotencyKey, t.idempotencyKey = v.Str, v.Str
 	case "payload":
 		t.job.Body = []byte(v.Str)
 	case "deadlineTime":
-		t.until, err = moment(v.Str)
+		t.deadline, err = parseTime(v.Str)
 	case "startTime":
-		t.start, err = moment(v.Str)
+		t.start, err = parseTime(v.Str)
 	case "submitAsHold":
 		t.hold, err = boolean(v)
 	case "priority":
-		t.priority, err = whole(v, -mostPriority, mostPriority)
+		t.priority, err = wholeNumber(v, -maxPriority, maxPriority)
 	case "minSlots", "maxSlots":
 		if t.job.Slots > 1 && t.job.Slots != v.Num {
 			return errors.New("minSlots and maxSlots differ")
@@ -291,7 +291,7 @@
 	return err
 }
 
-func moment(text string) (time.Time, error) {
+func parseTime(text string) (time.Time, error) {
 	at, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
 		return at, errors.New("not a time as RFC 3339 has it")
@@ -299,15 +299,15 @@
 	return at, nil
 }
 
-// member is the template of an array's member: the index takes the placeholder's place.
-func (t *template) member(index int) node.Job {
+// memberJob returns the job of an array member, with the placeholder replaced by the index.
+func (t *template) memberJob(index int) node.Job {
 	j, text := t.job, strconv.Itoa(index)
 	j.Target = strings.ReplaceAll(j.Target, placeholder, text)
 	if len(j.Body) > 0 {
 		j.Body = []byte(strings.ReplaceAll(string(j.Body), placeholder, text))
 	}
-	if j.Idempotency != "" {
-		j.Idempotency += "-" + text // one for each: boxes drop a repeat by it
+	if j.IdempotencyKey != "" {
+		j.IdempotencyKey += "-" + text // one key per member, because executors drop duplicates by key
 	}
 	return j
 }
--- a/internal/capacity/measure/settings.go
+++ b/internal/capacity/measure/settings.go
@@ -7,9 +7,9 @@
 	"gatetack/internal/dispatch"
 )
 
-// RetunePerChange is the processor time, in microseconds, that a process takes to put one changed quota in force in its decision
-// module. Reading and checking the configuration comes on top.
-func RetunePerChange(f Fleet) (float64, error) {
+// QuotaChangeMicros returns the processor time, in microseconds, that the decision module needs to apply one changed
+// quota. Reading and validating the configuration is not included.
+func QuotaChangeMicros(f Fleet) (float64, error) {
 	d, err := newDispatcher(f)
 	if err != nil {
 		return 0, err
@@ -21,7 +21,7 @@
 	used, err := perOperation(func() error {
 		for range changesPerRound {
 			settings.Tenants[d.random.IntN(len(settings.Tenants))].Quota = 1 + d.random.Float64()*1e6
-			if err := d.module.Retune(settings, map[int]int{}); err != nil {
+			if err := d.module.UpdateSettings(settings, map[int]int{}); err != nil {
 				return fmt.Errorf("measure: %w", err)
 			}
 			d.now++
--- a/internal/config/pairs.go
+++ b/internal/config/pairs.go
@@ -7,13 +7,13 @@
 	"github.com/tidwall/gjson"
 )
 
-// flatten writes nested JSON as the pairs of the simulator's first message: a list of plain values is joined with
-// commas, a list of objects has its length under .count and its items under their numbers.
+// flatten converts nested JSON to the pairs of the simulator's first message. A list of scalars becomes one value
+// joined with commas; a list of objects has its length under .count and each item under its index.
 func flatten(pairs map[string]string, path string, v gjson.Result) {
 	switch {
 	case v.IsObject():
 		v.ForEach(func(key, item gjson.Result) bool {
-			flatten(pairs, below(path, key.String()), item)
+			flatten(pairs, joinPath(path, key.String()), item)
 			return true
 		})
 	case v.IsArray():
@@ -26,9 +26,9 @@
 
 func flattenList(pairs map[string]string, path string, items []gjson.Result) {
 	if len(items) > 0 && (items[0].IsObject() || items[0].IsArray()) {
-		pairs[below(path, "count")] = strconv.Itoa(len(items))
+		pairs[joinPath(path, "count")] = strconv.Itoa(len(items))
 		for i, item := range items {
-			flatten(pairs, below(path, strconv.Itoa(i)), item)
+			flatten(pairs, joinPath(path, strconv.Itoa(i)), item)
 		}
 		return
 	}
@@ -39,15 +39,16 @@
 	pairs[path] = strings.Join(texts, ",")
 }
 
-// below is the path of a key of the value at a path.
-func below(path, key string) string {
+// joinPath returns the path of a key of the object at path.
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-// plainText is a plain value as a pair has it: blanks and commas separate pairs and items there.
+// plainText returns a scalar as the value of a pair. Spaces and commas are replaced, since they separate pairs and list
+// items.
 func plainText(v gjson.Result) string {
 	if v.Type == gjson.String {
 		return strings.NewReplacer(" ", "_", ",", "_").Replace(v.Str)
@@ -55,7 +56,7 @@
 	return v.Raw
 }
 
-// splitList is the list of a pair.
+// splitList splits the value of a pair into list items.
 func splitList(text string) []string {
 	if text == "" {
 		return nil
@@ -63,7 +64,7 @@
 	return strings.Split(text, ",")
 }
 
-// namesOf are the names of the items of a list of objects.
+// namesOf returns the names of the items of a list of objects.
 func namesOf(pairs map[string]string, list string, items int) []string {
 	var names []string
 	for i := range items {
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -1,33 +1,35 @@
 package dispatch
 
-// The life of an attempt: its send, the notes on it and its outcome.
+// The lifecycle of an attempt: its send, the notifications about it and its outcome.
 
-// maxRetryDoublings is how often the time doubles after which an unresponsive executor is tried with another job.
-const maxRetryDoublings = 3
+// maxTrialDoublings is how many times the delay doubles before an unresponsive executor gets another job.
+const maxTrialDoublings = 3
 
-// Weights of one attempt in the learned times until an executor says that it has started it.
+// Parameters of the estimate of the time from the send of an attempt to its start notification.
 const (
-	startDelayWeight  = 0.02
-	startLagWeight    = 0.01 // for lags over the least
-	maxStartLagFactor = 4    // a longer lag counts as so many times the least: it tells of a queue
+	startDelayWeight  = 0.02 // weight of one attempt in the mean start delay
+	startLagWeight    = 0.01 // weight of one attempt in the least start lag, for lags above it
+	maxStartLagFactor = 4    // a lag counts as at most this multiple of the least one: a longer lag comes from a queue
 )
 
+// sendAttempt sends a job to an executor and accounts for the slots, memory and connection that it uses.
 func (d *Dispatcher) sendAttempt(job *job, executor *executor) {
 	d.chargeSlowStart(job, executor)
 	shared := d.sharesConnection(executor)
 	if executor.outlier.unresponsive {
-		d.delayNextRetry(executor)
+		d.delayNextTrial(executor)
 	}
 	d.placement.lastDispatchAt = d.now
 	d.act(Action{Kind: ActSend, Job: job.id, Executor: executor.id})
-	sent := attempt{executor: executor, sentAt: d.now, heardAt: d.now, hadFreeSlots: executor.load.freeSlots >= job.slots}
+	sent := attempt{executor: executor, sentAt: d.now, lastNotificationAt: d.now,
+		hadFreeSlots: executor.load.freeSlots >= job.slots}
 	if job.key != 0 && cacheMissProbability(job, executor, d.settings.Nodes) >= cacheMissThreshold {
 		sent.fetchesKey = true
 		d.affinity.fetchingSlots += job.slots
 	}
-	sent.openedConnection = executor.connections.take(shared)
+	sent.openedConnection = executor.connections.acquire(shared)
 	job.attempts = append(job.attempts, sent)
-	if !d.settings.NotesStart && sent.hadFreeSlots {
+	if !d.settings.StartNotifications && sent.hadFreeSlots {
 		d.observeRun(job, &job.attempts[len(job.attempts)-1])
 	}
 	job.inFlight++
@@ -44,14 +46,15 @@
 	}
 }
 
-// delayNextRetry sets when an unresponsive executor gets another job, if this one does not end its silence.
-func (d *Dispatcher) delayNextRetry(executor *executor) {
+// delayNextTrial sets the time of the next job for an executor that is still unresponsive after the current one.
+func (d *Dispatcher) delayNextTrial(executor *executor) {
 	outlier := &executor.outlier
-	outlier.retryAt = d.now + d.unresponsiveTimeout()/2*doublings(outlier.retries, maxRetryDoublings)*(0.75+0.5*d.random())
-	outlier.retries++
+	outlier.trialAt = d.now +
+		d.unresponsiveTimeout()/2*backoffFactor(outlier.trials, maxTrialDoublings)*(0.75+0.5*d.random())
+	outlier.trials++
 }
 
-// attemptOf gives the job and the attempt that an event is about, nil if there is none in flight.
+// attemptOf returns the job and the attempt that an event refers to, or nil if that attempt is not in flight.
 func (d *Dispatcher) attemptOf(event *Event) (*job, *attempt) {
 	job := d.jobs.byID[event.Job]
 	if job == nil || int(event.Attempt) >= len(job.attempts) || job.attempts[event.Attempt].resolved {
@@ -60,6 +63,7 @@
 	return job, &job.attempts[event.Attempt]
 }
 
+// handleOutcome ends an attempt and, if the outcome is final, its job.
 func (d *Dispatcher) handleOutcome(event *Event) {
 	job, attempt := d.attemptOf(event)
 	if job == nil {
@@ -71,9 +75,9 @@
 	executor := attempt.executor
 	d.endObservedRun(job, attempt, event.Outcome == Served)
 	d.resolve(job, attempt)
-	d.noteMayHaveRun(job, attempt, event.Outcome)
-	d.judgeOutcome(job, attempt, event.Outcome)
-	d.learnClassOutcome(job, executor, event)
+	d.recordMayHaveRun(job, attempt, event.Outcome)
+	d.observeOutcome(job, attempt, event.Outcome)
+	d.observeClassOutcome(job, executor, event)
 	d.handleLoadReport(executor, event.Report)
 	if event.Final {
 		d.finishJob(job)
@@ -83,12 +87,12 @@
 		return
 	}
 	if job.inFlight == 0 {
-		// It is ended or attempted again once the batch is taken in: a later event of the batch may end it.
+		// The job is ended or retried at the end of the batch, because a later event of the batch may end it.
 		d.enqueue(job)
 	}
 }
 
-// resolve takes an attempt out of what is in flight.
+// resolve removes an attempt from those in flight and releases its slots, memory and connection.
 func (d *Dispatcher) resolve(job *job, attempt *attempt) {
 	executor := attempt.executor
 	attempt.resolved = true
@@ -111,18 +115,19 @@
 	}
 }
 
-func (d *Dispatcher) handleNote(event *Event) {
+// handleNotification records a start, a sign of progress or an overdue acknowledgement of an attempt.
+func (d *Dispatcher) handleNotification(event *Event) {
 	job, attempt := d.attemptOf(event)
 	if job == nil {
 		return
 	}
-	if event.Topic == NoteAckOverdue {
+	if event.Topic == NotificationAckOverdue {
 		d.handleOverdueAck(job, attempt)
 		return
 	}
 	executor := attempt.executor
-	d.noteAlive(executor)
-	attempt.heardAt, attempt.ackOverdue = d.now, false
+	d.recordActivity(executor)
+	attempt.lastNotificationAt, attempt.ackOverdue = d.now, false
 	if attempt.writtenOff {
 		attempt.writtenOff = false
 		executor.inFlight.slots += job.slots
@@ -132,8 +137,8 @@
 	}
 	attempt.startedAt = d.now
 	d.observeRun(job, attempt)
-	d.serviceTimes.learnStart(d.now - attempt.sentAt)
+	d.serviceTimes.observeStartLag(d.now - attempt.sentAt)
 	executor.countUnstarted(d.now)
 	d.needsPlacement = true
-	job.queued = false // no hedge of a job that runs
+	job.queued = false // a job that runs is not hedged
 }
--- a/internal/dispatch/dispatcher_bench_test.go
+++ b/internal/dispatch/dispatcher_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkJob is one job in a large fleet that serves at once: its request, its send and its outcome.
+// BenchmarkJob measures one job in a large fleet that serves immediately: its request, its send and its outcome.
 func BenchmarkJob(b *testing.B) {
 	for _, executors := range []int{1000, 6200, 20000} {
 		b.Run(fmt.Sprintf("executors=%d", executors), func(b *testing.B) {
@@ -16,7 +16,7 @@
 				b.Fatal(err)
 			}
 			now := 100000.0
-			actions := d.Step(now, []Event{{Kind: EvEndpoints, Form: ListCached, Rows: fleet(executors)}}, nil)
+			actions := d.Step(now, []Event{{Kind: EvEndpoints, Form: ListCached, Updates: fleet(executors)}}, nil)
 			for id := uint32(1); id <= uint32(b.N); id++ {
 				now += 10
 				events := []Event{request(id, 0, 0, 1)}
