--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// base gives settings of a small site: three tenants, one class of each effect, reports in answers.
+// base returns the settings of a small site: three tenants, one class of each retry safety, load reports in outcomes.
 func base() Settings {
 	return Settings{
-		Nodes: 1, Step: 1,
+		Nodes: 1, MinStepInterval: 1,
 		Classes: []Class{
 			{Objective: 400, ObjectivePerWork: 2, Deadline: 6000, PriorityWeight: 1, RetrySafety: Idempotent, Kind: -1},
 			{
@@ -14,23 +14,23 @@
 				Deadline:         6000,
 				PriorityWeight:   1,
 				RetrySafety:      Keyed,
-				Scope:            ScopeCell,
-				Window:           2000,
+				DedupScope:       ScopeCell,
+				DedupWindow:      2000,
 				Kind:             -1,
 			},
 			{Objective: 400, ObjectivePerWork: 2, Deadline: 6000, PriorityWeight: 1, RetrySafety: AtMostOnce, Kind: -1},
 		},
 		Tenants:   []Tenant{{ReservedShare: 0.5}, {ReservedShare: 0.3}, {ReservedShare: 0.2}},
-		Telemetry: ReportAnswers, Fields: []Field{FieldFree},
-		ProgressInterval: 1000, NotesStart: true,
-		MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, Multiplex: 1,
-		ConnIdle: 5000, ConnectTimeout: 250,
-		AnswerSlack: 16, PollWithin: 10000, DrainGrace: 500,
-		OverloadMultiple: 4, OverloadWindow: 1500, SlowStartFrom: 0.3, SlowStartWithin: 9000,
+		Telemetry: ReportAnswers, ReportFields: []ReportField{FieldFree},
+		ProgressInterval: 1000, StartNotifications: true,
+		MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, MaxConcurrentStreams: 1,
+		ConnIdleTimeout: 5000, ConnectTimeout: 250,
+		AnswerSlack: 16, MaxPollInterval: 10000, DrainGrace: 500,
+		OverloadMultiple: 4, OverloadWindow: 1500, SlowStartMinShare: 0.3, MaxSlowStartDuration: 9000,
 	}
 }
 
-// rig drives a Dispatcher and keeps what it answered.
+// rig drives a Dispatcher on a simulated clock and keeps the actions of its last step.
 type rig struct {
 	t    *testing.T
 	d    *Dispatcher
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, d: d, now: 100000}
-	r.step(Event{Kind: EvEndpoints, Form: ListCached, Rows: rows})
+	r.step(Event{Kind: EvEndpoints, Form: ListCached, Updates: rows})
 	return r
 }
 
@@ -68,12 +68,12 @@
 		Work: 200, Flags: FlagWorkHint, Slots: slots}
 }
 
-func outcome(job uint32, attempt uint16, worker uint32, o Outcome, report ...float32) Event {
-	return Event{Kind: EvOutcome, Job: job, Attempt: attempt, Executor: worker, Outcome: o,
+func outcome(job uint32, attempt uint16, executor uint32, o Outcome, report ...float32) Event {
+	return Event{Kind: EvOutcome, Job: job, Attempt: attempt, Executor: executor, Outcome: o,
 		Final: o == Served, Report: report}
 }
 
-// find gives the actions of a kind for a job.
+// actionsOf returns the actions of a kind for a job.
 func actionsOf(actions []Action, kind ActionKind, job uint32) []Action {
 	var got []Action
 	for _, a := range actions {
@@ -84,7 +84,7 @@
 	return got
 }
 
-// fleet lists n executors of one kind, ids from 100 on.
+// fleet returns the list entries of n executors of one kind, with numbers from 100 on.
 func fleet(n int) []EndpointUpdate {
 	rows := make([]EndpointUpdate, n)
 	for i := range rows {
--- a/internal/dispatch/golden_encode_test.go
+++ b/internal/dispatch/golden_encode_test.go
@@ -10,8 +10,8 @@
 	"gatetack/internal/dispatch"
 )
 
-// goldenAction is an action in a form of its own, so that the golden files outlive renames and reorderings in the
-// package.
+// goldenAction encodes an action independently of the names and the order of the package's declarations, so that
+// renames and reorderings do not change the golden files.
 func goldenAction(t *testing.T, a *dispatch.Action) (decision []byte, logText string) {
 	t.Helper()
 	big := binary.BigEndian
@@ -43,7 +43,7 @@
 		t.Fatalf("action of unknown kind %d", a.Kind)
 	}
 	on := byte(0)
-	if a.On {
+	if a.Subscribe {
 		on = 1
 	}
 	decision = append(decision, 0, on)
@@ -52,16 +52,16 @@
 	decision = big.AppendUint32(decision, a.Job)
 	decision = big.AppendUint32(decision, a.Executor)
 	decision = big.AppendUint32(decision, a.Token)
-	decision = big.AppendUint64(decision, math.Float64bits(a.For))
+	decision = big.AppendUint64(decision, math.Float64bits(a.Delay))
 	decision = big.AppendUint32(decision, uint32(len(a.Data)))
 	decision = append(decision, a.Data...)
 	return decision, a.Text
 }
 
-// goldenActionText is an action for people.
+// goldenActionText formats an action as readable text.
 func goldenActionText(t *testing.T, a *dispatch.Action) string {
 	decision, text := goldenAction(t, a)
 	kind, _, _ := bytes.Cut(decision, []byte{0})
 	return fmt.Sprintf("%s on=%v job=%d attempt=%d executor=%d to=%d token=%d for=%v data=%x %s",
-		kind, a.On, a.Job, a.Attempt, a.Executor, a.To, a.Token, a.For, a.Data, text)
+		kind, a.Subscribe, a.Job, a.Attempt, a.Executor, a.To, a.Token, a.Delay, a.Data, text)
 }
--- a/internal/dispatch/golden_faults_test.go
+++ b/internal/dispatch/golden_faults_test.go
@@ -7,19 +7,20 @@
 	"gatetack/internal/dispatch"
 )
 
-// This file holds the faults of the golden runs: executors, nodes, discovery, and what no host should give.
+// This file holds the faults of the golden runs: of executors, nodes and discovery, and events that violate the
+// contract of the host.
 
-// listed sends changed rows to all who watch.
-func (c *goldenCluster) listed(rows ...dispatch.EndpointUpdate) {
+// publishUpdates sends endpoint updates to all nodes that watch the endpoint list.
+func (c *goldenCluster) publishUpdates(updates ...dispatch.EndpointUpdate) {
 	c.version++
 	for i, n := range c.nodes {
 		if n.watching {
-			c.give(
+			c.deliver(
 				i,
-				n.life,
+				n.incarnation,
 				c.random.span(1, 30),
 				dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta, Version: c.version,
-					Rows: append([]dispatch.EndpointUpdate(nil), rows...)},
+					Updates: append([]dispatch.EndpointUpdate(nil), updates...)},
 			)
 		}
 	}
@@ -29,49 +30,49 @@
 	return c.executors[c.random.below(len(c.executors))]
 }
 
-func (c *goldenCluster) faultAtExecutor() {
+func (c *goldenCluster) injectExecutorFault() {
 	e := c.anyExecutor()
 	span := c.random.span(200, 1500)
-	var mend func()
+	var repair func()
 	switch c.random.below(6) {
 	case 0:
 		e.down = true
-		mend = func() { e.down = false }
+		repair = func() { e.down = false }
 	case 1:
-		e.hung = true
-		mend = func() {
-			e.hung = false
-			for _, a := range slices.Clone(e.outs) {
-				if a.began && !a.ended && c.now >= a.stop {
-					c.end(a, dispatch.Served, 1)
+		e.unresponsive = true
+		repair = func() {
+			e.unresponsive = false
+			for _, a := range slices.Clone(e.attempts) {
+				if a.started && !a.ended && c.now >= a.endsAt {
+					c.endAttempt(a, dispatch.Served, 1)
 				}
 			}
-			c.advance(e)
+			c.startQueued(e)
 		}
 	case 2:
-		e.deaf = true
-		mend = func() { e.deaf = false }
+		e.rejectsConnections = true
+		repair = func() { e.rejectsConnections = false }
 	case 3:
-		e.errs = 0.7
-		mend = func() { e.errs = 0 }
+		e.errorRate = 0.7
+		repair = func() { e.errorRate = 0 }
 	case 4:
-		e.badKind = c.random.below(4)
+		e.failingClass = c.random.below(4)
 		span *= 3
-		mend = func() { e.badKind = -1 }
+		repair = func() { e.failingClass = -1 }
 	default:
-		e.drains = true
-		mend = func() { e.drains = false }
+		e.rejectsJobs = true
+		repair = func() { e.rejectsJobs = false }
 	}
-	c.at(span, mend)
+	c.schedule(span, repair)
 }
 
-// kill ends a process of an executor: what is out there is lost.
-func (c *goldenCluster) kill(e *goldenExecutor) {
-	e.life++
-	e.busy, e.running, e.queue, e.hung = 0, 0, nil, false
-	outs := e.outs
-	e.outs = nil
-	for _, a := range outs {
+// killExecutor ends the process of an executor: the attempts in flight there are lost.
+func (c *goldenCluster) killExecutor(e *goldenExecutor) {
+	e.incarnation++
+	e.busySlots, e.running, e.queue, e.unresponsive = 0, 0, nil, false
+	lost := e.attempts
+	e.attempts = nil
+	for _, a := range lost {
 		if a.ended {
 			continue
 		}
@@ -79,38 +80,38 @@
 		if c.random.chance(0.2) {
 			outcome = dispatch.TimedOut
 		}
-		c.end(a, outcome, 1)
+		c.endAttempt(a, outcome, 1)
 	}
 }
 
 func (c *goldenCluster) restartExecutor() {
 	e := c.anyExecutor()
-	if e.row.Condition == dispatch.Removed {
+	if e.endpoint.Condition == dispatch.Removed {
 		return
 	}
-	c.kill(e)
+	c.killExecutor(e)
 	e.down = true
-	c.at(c.random.span(20, 300), func() {
-		e.down, e.row.StartedAt, e.row.Condition = false, c.now, dispatch.Ready
-		c.listed(e.row)
+	c.schedule(c.random.span(20, 300), func() {
+		e.down, e.endpoint.StartedAt, e.endpoint.Condition = false, c.now, dispatch.Ready
+		c.publishUpdates(e.endpoint)
 	})
 }
 
 func (c *goldenCluster) drainExecutor() {
 	e := c.anyExecutor()
-	if e.row.Condition != dispatch.Ready {
+	if e.endpoint.Condition != dispatch.Ready {
 		return
 	}
-	e.row.Condition = dispatch.Draining
-	c.listed(e.row)
-	c.at(400, func() {
-		e.row.Condition = dispatch.Removed
-		c.kill(e)
-		c.listed(e.row)
-		c.at(700, func() {
-			e.row.Condition, e.row.StartedAt = dispatch.Ready, c.now
-			e.row.Zone = uint8(c.random.below(3))
-			c.listed(e.row)
+	e.endpoint.Condition = dispatch.Draining
+	c.publishUpdates(e.endpoint)
+	c.schedule(400, func() {
+		e.endpoint.Condition = dispatch.Removed
+		c.killExecutor(e)
+		c.publishUpdates(e.endpoint)
+		c.schedule(700, func() {
+			e.endpoint.Condition, e.endpoint.StartedAt = dispatch.Ready, c.now
+			e.endpoint.Zone = uint8(c.random.below(3))
+			c.publishUpdates(e.endpoint)
 		})
 	})
 }
@@ -122,14 +123,14 @@
 		return
 	}
 	n.down = true
-	n.life++
-	c.at(c.random.span(50, 900), func() { c.startNode(i) })
+	n.incarnation++
+	c.schedule(c.random.span(50, 900), func() { c.startNode(i) })
 }
 
-func (c *goldenCluster) cutNode() {
+func (c *goldenCluster) partitionNode() {
 	n := c.nodes[c.random.below(len(c.nodes))]
-	n.cut = true
-	c.at(c.random.span(200, 2500), func() { n.cut = false })
+	n.partitioned = true
+	c.schedule(c.random.span(200, 2500), func() { n.partitioned = false })
 }
 
 func (c *goldenCluster) stopDiscovery() {
@@ -137,40 +138,40 @@
 	for i, n := range c.nodes {
 		if n.watching && c.plan.settings(i).PollsList {
 			n.watching = false
-			c.give(i, n.life, 2, dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListFailed})
+			c.deliver(i, n.incarnation, 2, dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListFailed})
 		}
 	}
-	c.at(c.random.span(300, 1500), func() { c.discovery = true })
+	c.schedule(c.random.span(300, 1500), func() { c.discovery = true })
 }
 
-// weights changes sizes as a list with live weights does: often, and nothing else.
-func (c *goldenCluster) weights() {
-	var rows []dispatch.EndpointUpdate
+// changeWeights changes only the weights, often, as a list with live weights does.
+func (c *goldenCluster) changeWeights() {
+	var updates []dispatch.EndpointUpdate
 	for i, e := range c.executors {
-		if e.row.Condition != dispatch.Removed {
-			e.row.Weight = float64(1+i%3) / (1 + float64(e.running+len(e.queue))/e.slots)
-			rows = append(rows, e.row)
+		if e.endpoint.Condition != dispatch.Removed {
+			e.endpoint.Weight = float64(1+i%3) / (1 + float64(e.running+len(e.queue))/e.slots)
+			updates = append(updates, e.endpoint)
 		}
 	}
 	if len(c.nodes) > 0 && c.plan.settings(0).LiveWeights {
-		c.listed(rows...)
+		c.publishUpdates(updates...)
 	}
 }
 
-// oddEvent gives a node what no host should.
-func (c *goldenCluster) oddEvent() {
+// injectMalformedEvent gives a node an event that violates the contract of the host.
+func (c *goldenCluster) injectMalformedEvent() {
 	i := c.random.below(len(c.nodes))
 	n := c.nodes[i]
 	if n.down {
 		return
 	}
 	job := uint32(c.random.below(int(c.nextJob)))
-	odd := []dispatch.Event{
+	malformed := []dispatch.Event{
 		{Kind: dispatch.EvOutcome, Job: 1 << 30, Executor: 100, Outcome: dispatch.Served, Report: []float32{1, 2, 3}},
 		{Kind: dispatch.EvOutcome, Job: job, Attempt: 77, Executor: 103, Outcome: dispatch.Full},
-		{Kind: dispatch.EvNote, Job: job, Attempt: 9, Topic: dispatch.NoteProgress},
+		{Kind: dispatch.EvNotification, Job: job, Attempt: 9, Topic: dispatch.NotificationProgress},
 		{Kind: dispatch.EvStreamStarted, Job: 1 << 30},
-		{Kind: dispatch.EvClientGone, Job: 1 << 30},
+		{Kind: dispatch.EvClientDisconnected, Job: 1 << 30},
 		{Kind: dispatch.EvGossip, From: 5000, Data: []byte{1, 2, 3}},
 		{
 			Kind: dispatch.EvGossip,
@@ -186,29 +187,29 @@
 			Report:   []float32{float32(math.NaN()), float32(math.Inf(1)), -1},
 		},
 		{Kind: dispatch.EvTimer, Token: 1 << 30},
-		{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: c.version, Rows: c.rows()},
+		{Kind: dispatch.EvEndpoints, Form: dispatch.ListSnapshot, Version: c.version, Updates: c.endpointUpdates()},
 		{
-			Kind: dispatch.EvEndpoints,
-			Form: dispatch.ListDelta,
-			Rows: []dispatch.EndpointUpdate{{Executor: 1 << 30, Condition: dispatch.Removed}},
+			Kind:    dispatch.EvEndpoints,
+			Form:    dispatch.ListDelta,
+			Updates: []dispatch.EndpointUpdate{{Executor: 1 << 30, Condition: dispatch.Removed}},
 		},
 	}
-	n.pending = append(n.pending, odd[c.random.below(len(odd))])
-	if c.random.chance(0.3) { // numbers of no sense; nobody waits for its answer
-		n.requests[c.nextJob] = &goldenRequest{due: c.now + 300, event: dispatch.Event{Work: 50, TimeLeft: 300}}
+	n.pending = append(n.pending, malformed[c.random.below(len(malformed))])
+	if c.random.chance(0.3) { // a request with invalid numbers, whose answer is ignored
+		n.requests[c.nextJob] = &goldenRequest{deadline: c.now + 300, event: dispatch.Event{Work: 50, TimeLeft: 300}}
 		n.pending = append(
 			n.pending,
 			dispatch.Event{Kind: dispatch.EvRequest, Job: c.nextJob, Class: 250, Tenant: 60000, Slots: math.NaN(),
 				Memory: -3, TimeLeft: 300, Work: math.Inf(1), Flags: dispatch.FlagWorkHint},
 		)
-		life, id := n.life, c.nextJob
-		c.at(305, func() { c.leave(i, life, id) })
+		incarnation, id := n.incarnation, c.nextJob
+		c.schedule(305, func() { c.disconnectClient(i, incarnation, id) })
 		c.nextJob++
 	}
 }
 
-// retune gives a node new classes, tenants and prices while jobs are open.
-func (c *goldenCluster) retune() {
+// updateSettings changes the classes, tenants and fees of a node while jobs are open.
+func (c *goldenCluster) updateSettings() {
 	i := c.random.below(len(c.nodes))
 	n := c.nodes[i]
 	if n.down {
@@ -228,10 +229,11 @@
 		)
 	}
 	if c.random.chance(0.2) {
-		s.MaxAttempts = 0 // refused
+		s.MaxAttempts = 0 // rejected by validation
 	}
-	// A smaller list than what stands is refused as well, and so is a class with open jobs: that is part of the run.
-	if err := n.dispatcher.Retune(s, map[int]int{len(s.Classes) - 1: 0}); err == nil {
+	// The call also fails for shorter lists than the current ones and for the removal of a class with open jobs. Such
+	// calls are part of the run.
+	if err := n.dispatcher.UpdateSettings(s, map[int]int{len(s.Classes) - 1: 0}); err == nil {
 		n.pending = append(n.pending, dispatch.Event{Kind: dispatch.EvTimer})
 	}
 }
--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -17,28 +17,28 @@
 	"gatetack/internal/dispatch"
 )
 
-// The golden files of this package hold what the module decided, and told other nodes, before its code was reshaped. A
-// change of shape or name changes nothing of them. GOLDEN_UPDATE=1 writes them anew, for a change of behaviour that is
-// meant; GOLDEN_TRACE=FOLDER writes each step's actions as text there, so that two builds can be compared line by line.
-// They hold on amd64: other processors may round sums of products in another way.
+// The golden files of this package record the decisions of the Dispatcher and its messages to other nodes. Refactoring
+// and renames must not change them. GOLDEN_UPDATE=1 writes them again after an intended change of behaviour.
+// GOLDEN_TRACE=FOLDER writes the actions of each step as text to that folder, so that two builds can be compared line
+// by line. The files are valid on amd64: other processors may round sums of products differently.
 
 const (
-	goldenFolder     = "testdata/golden"
-	goldenStepBytes  = 2  // of each step's hash that are kept, to name the first step that differs
-	goldenPerKind    = 12 // messages of each kind that are kept whole
-	goldenMostTraced = 5  // steps that a failure shows
+	goldenFolder       = "testdata/golden"
+	stepHashBytes      = 2  // bytes of each step's hash that are stored, to find the first step that differs
+	maxMessagesPerKind = 12 // messages of each kind that are stored completely
+	maxTracedSteps     = 5  // steps that are logged on a failure
 )
 
-// goldenRun is what is kept of a run.
+// goldenRun is the stored summary of a run.
 type goldenRun struct {
 	Steps     int            `json:"steps"`
-	Decisions string         `json:"decisions"` // SHA-256 over all actions; of log lines only that there is one
-	LogLines  string         `json:"logLines"`  // SHA-256 over their texts
+	Decisions string         `json:"decisions"` // SHA-256 of all actions, without the texts of log lines
+	LogLines  string         `json:"logLines"`  // SHA-256 of the texts of log lines
 	Actions   map[string]int `json:"actions"`
 	Events    map[string]int `json:"events"`
 }
 
-// goldenMessage is a message that a node told.
+// goldenMessage is a message that a node sent.
 type goldenMessage struct {
 	Kind string `json:"kind"`
 	Step int    `json:"step"`
@@ -48,18 +48,18 @@
 }
 
 type goldenRecorder struct {
-	t        *testing.T
-	run      goldenRun
-	whole    hash.Hash
-	logs     hash.Hash
-	steps    []byte
-	messages []goldenMessage
-	perKind  map[string]int
-	trace    *bytes.Buffer
+	t         *testing.T
+	run       goldenRun
+	decisions hash.Hash
+	logLines  hash.Hash
+	steps     []byte
+	messages  []goldenMessage
+	perKind   map[string]int
+	trace     *bytes.Buffer
 }
 
 func newGoldenRecorder(t *testing.T) *goldenRecorder {
-	r := &goldenRecorder{t: t, whole: sha256.New(), logs: sha256.New(), perKind: map[string]int{}}
+	r := &goldenRecorder{t: t, decisions: sha256.New(), logLines: sha256.New(), perKind: map[string]int{}}
 	r.run.Actions, r.run.Events = map[string]int{}, map[string]int{}
 	if os.Getenv("GOLDEN_TRACE") != "" {
 		r.trace = &bytes.Buffer{}
@@ -77,29 +77,29 @@
 		kind, _, _ := bytes.Cut(decision, []byte{0})
 		r.run.Actions[string(kind)]++
 		if a.Kind == dispatch.ActLog {
-			_, _ = fmt.Fprintf(r.logs, "%d %s\n", r.run.Steps, text) // a hash does not fail
+			_, _ = fmt.Fprintf(r.logLines, "%d %s\n", r.run.Steps, text) // writing to a hash never fails
 		}
 		if a.Kind == dispatch.ActGossip {
-			r.keep(node, a)
+			r.keepMessage(node, a)
 		}
 		if r.trace != nil {
 			fmt.Fprintf(r.trace, "%d node=%d %s\n", r.run.Steps, node, goldenActionText(r.t, a))
 		}
 	}
 	sum := one.Sum(nil)
-	r.whole.Write(sum)
-	r.steps = append(r.steps, sum[:goldenStepBytes]...)
+	r.decisions.Write(sum)
+	r.steps = append(r.steps, sum[:stepHashBytes]...)
 	r.run.Steps++
 }
 
-func (r *goldenRecorder) keep(node int, a *dispatch.Action) {
+func (r *goldenRecorder) keepMessage(node int, a *dispatch.Action) {
 	kind := messageKind(a)
-	if r.perKind[kind]++; r.perKind[kind] <= goldenPerKind {
+	if r.perKind[kind]++; r.perKind[kind] <= maxMessagesPerKind {
 		r.messages = append(r.messages, goldenMessage{kind, r.run.Steps, node, a.To, hex.EncodeToString(a.Data)})
 	}
 }
 
-// messageKind tells the kinds of messages apart by their bytes.
+// messageKind returns the kind of a message from its bytes.
 func messageKind(a *dispatch.Action) string {
 	if a.To == dispatch.AllPeers {
 		if len(a.Data) == 0 {
@@ -111,12 +111,12 @@
 	if a.Data[0]>>6 == 3 && a.Data[0]&0x3f == 0 {
 		kind = "answer of an aggregator that does not know yet"
 	}
-	marks := false
+	quarantines := false
 	for i := 1; i+2 <= len(a.Data); i += 2 {
-		marks = marks || a.Data[i+1]&15 >= 12
+		quarantines = quarantines || a.Data[i+1]&15 >= 12
 	}
 	switch {
-	case marks:
+	case quarantines:
 		return kind + ", with marks"
 	case len(a.Data) > 1:
 		return kind + ", with entries"
@@ -125,20 +125,20 @@
 }
 
 func (r *goldenRecorder) finish(c *goldenCluster) {
-	r.run.Decisions = hex.EncodeToString(r.whole.Sum(nil))
-	r.run.LogLines = hex.EncodeToString(r.logs.Sum(nil))
+	r.run.Decisions = hex.EncodeToString(r.decisions.Sum(nil))
+	r.run.LogLines = hex.EncodeToString(r.logLines.Sum(nil))
 	names := map[dispatch.EventKind]string{
-		dispatch.EvEndpoints:     "list",
-		dispatch.EvTimer:         "timer",
-		dispatch.EvClientGone:    "gone",
-		dispatch.EvNote:          "note",
-		dispatch.EvGossip:        "peer",
-		dispatch.EvStreamStarted: "first",
-		dispatch.EvOutcome:       "outcome",
-		dispatch.EvRequest:       "request",
-		dispatch.EvHealthCheck:   "probed",
+		dispatch.EvEndpoints:          "list",
+		dispatch.EvTimer:              "timer",
+		dispatch.EvClientDisconnected: "gone",
+		dispatch.EvNotification:       "note",
+		dispatch.EvGossip:             "peer",
+		dispatch.EvStreamStarted:      "first",
+		dispatch.EvOutcome:            "outcome",
+		dispatch.EvRequest:            "request",
+		dispatch.EvHealthCheck:        "probed",
 	}
-	for kind, n := range c.kinds {
+	for kind, n := range c.eventCounts {
 		r.run.Events[names[kind]] = n
 	}
 }
@@ -172,7 +172,8 @@
 	return append(data, '\n')
 }
 
-// What the module decides in runs of a cluster with faults of every kind, step by step, and each message between nodes.
+// TestGoldenDecisions compares the decisions of each step, and the messages between nodes, in runs of a cluster with
+// all kinds of faults.
 func TestGoldenDecisions(t *testing.T) {
 	for _, plan := range goldenPlans() {
 		t.Run(plan.name, func(t *testing.T) {
@@ -201,7 +202,7 @@
 	}
 }
 
-// compareSteps names the first step whose actions are others.
+// compareSteps reports the first step whose actions differ, and logs the actions from there.
 func compareSteps(t *testing.T, plan goldenPlan, want, got []byte) {
 	t.Helper()
 	if bytes.Equal(want, got) {
@@ -211,12 +212,12 @@
 	for first < min(len(want), len(got)) && want[first] == got[first] {
 		first++
 	}
-	first /= goldenStepBytes
+	first /= stepHashBytes
 	t.Errorf("%s: the actions of step %d differ from the golden ones (%d steps, want %d)", plan.name, first,
-		len(got)/goldenStepBytes, len(want)/goldenStepBytes)
+		len(got)/stepHashBytes, len(want)/stepHashBytes)
 	step := 0
 	newGoldenCluster(t, plan, func(node int, actions []dispatch.Action) {
-		if step >= first && step < first+goldenMostTraced {
+		if step >= first && step < first+maxTracedSteps {
 			for i := range actions {
 				t.Logf("step %d node %d: %s", step, node, goldenActionText(t, &actions[i]))
 			}
@@ -247,9 +248,9 @@
 	}
 }
 
-// The runs bring every kind of event, action and message to the module, and a run repeated is the same to the last
-// byte.
-func TestGoldenRunsAreWhole(t *testing.T) {
+// TestGoldenRunsCoverAllKinds checks that the runs contain every kind of event, action and message, and that a repeated
+// run is identical.
+func TestGoldenRunsCoverAllKinds(t *testing.T) {
 	events, actions, messages := map[string]int{}, map[string]int{}, map[string]int{}
 	for _, plan := range goldenPlans() {
 		var run goldenRun
@@ -262,24 +263,24 @@
 		for kind, n := range run.Actions {
 			actions[kind] += n
 		}
-		var told []goldenMessage
-		if err := json.Unmarshal(readGolden(t, plan.name+".messages.json"), &told); err != nil {
+		var sent []goldenMessage
+		if err := json.Unmarshal(readGolden(t, plan.name+".messages.json"), &sent); err != nil {
 			t.Fatal(err)
 		}
-		for _, m := range told {
+		for _, m := range sent {
 			messages[m.Kind]++
 		}
 	}
-	least := func(what string, counts map[string]int, kinds ...string) {
+	requireKinds := func(what string, counts map[string]int, kinds ...string) {
 		for _, kind := range kinds {
 			if counts[kind] < 1 {
 				t.Errorf("no %s of kind %q in the golden runs; there are %v", what, kind, counts)
 			}
 		}
 	}
-	least("event", events, "list", "timer", "gone", "note", "peer", "first", "outcome", "request", "probed")
-	least("action", actions, "send", "refuse", "fail", "cancel", "timer", "probe", "watch", "tell", "log")
-	least("message", messages, "gossip", "gossip, nothing out", "change, with entries", "change, with marks",
+	requireKinds("event", events, "list", "timer", "gone", "note", "peer", "first", "outcome", "request", "probed")
+	requireKinds("action", actions, "send", "refuse", "fail", "cancel", "timer", "probe", "watch", "tell", "log")
+	requireKinds("message", messages, "gossip", "gossip, nothing out", "change, with entries", "change, with marks",
 		"question, with entries", "question", "question with all that is out, with entries",
 		"answer of an aggregator that does not know yet", "answer, with entries", "answer, with marks")
 	plan := goldenPlans()[0]
--- a/internal/endpointwatch/clock_steps_test.go
+++ b/internal/endpointwatch/clock_steps_test.go
@@ -9,9 +9,9 @@
 	"gatetack/internal/clocktest"
 )
 
-// event is one event that a Tracker is notified of.
+// event is an event that is reported to a Tracker.
 type event struct {
-	kind int // an index into the cases of apply
+	kind int // selects the case in apply
 	at   time.Time
 	end  CallEnd
 	draw float64
@@ -19,7 +19,7 @@
 
 const eventKinds = 5
 
-// apply notifies a Tracker of an event, and returns what follows from it.
+// apply reports the event to a Tracker, and returns the next call if the event ends one.
 func (e event) apply(tracker *Tracker) NextCall {
 	switch e.kind {
 	case 0:
@@ -36,15 +36,14 @@
 	return NextCall{}
 }
 
-// However the wall clock is set between events, a Tracker gives the same times, on the monotonic clock, as one whose
-// wall clock was left alone.
+// Steps of the wall clock between events do not change the times that a Tracker returns on the monotonic clock.
 func TestDeadlinesIgnoreWallClockSteps(t *testing.T) {
-	began := time.Now()
+	startedAt := time.Now()
 	same := func(a, b time.Time) bool {
-		return a.IsZero() == b.IsZero() && (a.IsZero() || a.Sub(began) == b.Sub(began))
+		return a.IsZero() == b.IsZero() && (a.IsZero() || a.Sub(startedAt) == b.Sub(startedAt))
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		offset, now := time.Duration(0), began
+		offset, now := time.Duration(0), startedAt
 		plain, stepped := Tracker{Timeouts: timeouts}, Tracker{Timeouts: timeouts}
 		plain.Started(now)
 		stepped.Started(now)
@@ -54,7 +53,7 @@
 			e := event{
 				kind: rapid.IntRange(0, eventKinds-1).Draw(t, "event"),
 				at:   now,
-				end:  CallEnd(rapid.IntRange(0, int(CallCut)).Draw(t, "end")),
+				end:  CallEnd(rapid.IntRange(0, int(CallTruncated)).Draw(t, "end")),
 				draw: draws.Draw(t, "draw"),
 			}
 			want := e.apply(&plain)
@@ -65,8 +64,8 @@
 			if !same(plain.NotifiedFrom(), stepped.NotifiedFrom()) {
 				t.Fatalf("after event %d notified from %v, want %v", e.kind, stepped.NotifiedFrom(), plain.NotifiedFrom())
 			}
-			if !same(plain.SilenceDeadline(), stepped.SilenceDeadline()) {
-				t.Fatalf("after event %d silent from %v, want %v", e.kind, stepped.SilenceDeadline(), plain.SilenceDeadline())
+			if !same(plain.IdleDeadline(), stepped.IdleDeadline()) {
+				t.Fatalf("after event %d deadline %v, want %v", e.kind, stepped.IdleDeadline(), plain.IdleDeadline())
 			}
 		}
 	})
--- a/internal/executor/clientleft_test.go
+++ b/internal/executor/clientleft_test.go
@@ -21,66 +21,66 @@
 	"gatetack/internal/testenv"
 )
 
-// coreSettings allow retries, hedged requests and cancelling.
+// coreSettings allows retries, hedged attempts and cancels.
 func coreSettings() dispatch.Settings {
 	return dispatch.Settings{
-		Nodes:            1,
-		Step:             4,
-		MaxAttempts:      3,
-		HedgingAllowed:   true,
-		CancelAllowed:    true,
-		Multiplex:        1,
-		ConnIdle:         60000,
-		ConnectTimeout:   250,
-		MaxRetryAfter:    2000,
-		PollWithin:       10000,
-		DrainGrace:       500,
-		OverloadMultiple: 2.5,
-		OverloadWindow:   2000,
-		SlowStartFrom:    0.3,
-		SlowStartWithin:  8400,
+		Nodes:                1,
+		MinStepInterval:      4,
+		MaxAttempts:          3,
+		HedgingAllowed:       true,
+		CancelAllowed:        true,
+		MaxConcurrentStreams: 1,
+		ConnIdleTimeout:      60000,
+		ConnectTimeout:       250,
+		MaxRetryAfter:        2000,
+		MaxPollInterval:      10000,
+		DrainGrace:           500,
+		OverloadMultiple:     2.5,
+		OverloadWindow:       2000,
+		SlowStartMinShare:    0.3,
+		MaxSlowStartDuration: 8400,
 		Classes: []dispatch.Class{
 			{Objective: 1500, Deadline: 25000, PriorityWeight: 1, RetrySafety: dispatch.Idempotent, Kind: -1},
 		},
 	}
 }
 
-// quietClient stands for a client that waits for its answer.
-type quietClient struct{ answers chan node.Answer }
+// answerClient is a client that waits for its answer.
+type answerClient struct{ answers chan node.Answer }
 
-func newQuietClient() quietClient { return quietClient{make(chan node.Answer, 1)} }
+func newAnswerClient() answerClient { return answerClient{make(chan node.Answer, 1)} }
 
-func (quietClient) Sent(string)            {}
-func (quietClient) Started()               {}
-func (quietClient) Returned(bool)          {}
-func (q quietClient) Answer(a node.Answer) { q.answers <- a }
+func (answerClient) Sent(string)            {}
+func (answerClient) Started()               {}
+func (answerClient) Requeued(bool)          {}
+func (q answerClient) Answer(a node.Answer) { q.answers <- a }
 
-// standingCore is what a core's sends and their results go through. At the send of a number the core's goroutine stands
-// still, its events are full, and the client leaves; the core goes on once the attempt has ended.
-type standingCore struct {
+// stalledCore stands between a core and its executor adapter. At the send with the number stallAt the core's goroutine
+// blocks, its event queue is full, and the client leaves; the core continues once the attempt has ended.
+type stalledCore struct {
 	*Client
-	core     *node.Core
-	standsAt int // counted from 1
-	leave    func()
+	core    *node.Core
+	stallAt int // counted from 1
+	leave   func()
 
-	sends int
-	ended chan dispatch.Outcome
-	at    uint64 // the attempt at whose send the core stands
-	mu    sync.Mutex
+	sends          int
+	ended          chan dispatch.Outcome
+	stalledAttempt uint64 // the attempt at whose send the core stalls
+	mu             sync.Mutex
 }
 
-func (s *standingCore) Send(a node.Attempt) {
-	if s.sends++; s.sends != s.standsAt {
+func (s *stalledCore) Send(a node.Attempt) {
+	if s.sends++; s.sends != s.stallAt {
 		s.Client.Send(a)
 		return
 	}
 	s.mu.Lock()
-	s.at = a.ID
+	s.stalledAttempt = a.ID
 	s.mu.Unlock()
-	for i := 0; ; i++ { // by the requests of others
+	for i := 0; ; i++ { // fill the event queue with other requests
 		if _, err := s.core.Submit(
-			node.Job{Left: time.Second, Slots: 1, Trace: string(rune('a' + i))},
-			newQuietClient(),
+			node.Job{TimeLeft: time.Second, Slots: 1, TraceID: string(rune('a' + i))},
+			newAnswerClient(),
 		); err != nil {
 			break
 		}
@@ -94,21 +94,21 @@
 	}
 }
 
-func (s *standingCore) Result(r node.Result) {
+func (s *stalledCore) Result(r node.Result) {
 	s.mu.Lock()
-	here := r.Attempt == s.at && r.Outcome != 0
+	stalled := r.Attempt == s.stalledAttempt && r.Outcome != 0
 	s.mu.Unlock()
-	if here {
+	if stalled {
 		s.ended <- r.Outcome
 	}
 	s.core.Result(r)
 }
 
-func (s *standingCore) Probed(w uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
-	s.core.Probed(w, o, elapsed, report)
+func (s *stalledCore) HealthChecked(w uint32, o dispatch.Outcome, elapsed time.Duration, report []float32) {
+	s.core.HealthChecked(w, o, elapsed, report)
 }
 
-// rawExecutor listens and counts the whole requests with a body that come, and answers all alike.
+// rawExecutor counts the whole requests with a body that it receives, and gives all of them the same answer.
 type rawExecutor struct {
 	name, addr string
 	mu         sync.Mutex
@@ -138,7 +138,7 @@
 					if err != nil {
 						return nil
 					}
-					if strings.Contains(text, "body") { // the others are there to fill the core's events
+					if strings.Contains(text, "body") { // the other requests only fill the core's event queue
 						x.mu.Lock()
 						x.requests++
 						x.mu.Unlock()
@@ -152,49 +152,49 @@
 	return x
 }
 
-func (x *rawExecutor) entry() node.Entry {
-	return node.Entry{Name: x.name, Address: x.addr, Status: "ready", Weight: 1}
+func (x *rawExecutor) entry() node.Endpoint {
+	return node.Endpoint{Name: x.name, Address: x.addr, Status: "ready", Weight: 1}
 }
 
-// startNode runs a core that stands still at the send of a number, 0 for none.
-func startNode(t *testing.T, lim limits.Limits, standsAt int, leave func(), known ...node.Entry) *standingCore {
+// startNode runs a core that stalls at the send with the number stallAt, 0 for none.
+func startNode(t *testing.T, lim limits.Limits, stallAt int, leave func(), known ...node.Endpoint) *stalledCore {
 	t.Helper()
-	core, err := node.New(coreSettings(), 1, node.List{Entries: known}, node.Names{}, lim, testenv.Quiet)
+	core, err := node.New(coreSettings(), 1, node.EndpointList{Entries: known}, node.Names{}, lim, testenv.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
-	s := &standingCore{core: core, standsAt: standsAt, leave: leave, ended: make(chan dispatch.Outcome, 1)}
-	s.Client = New(ctx, g, lim, node.Names{}, s, &slowpeer.Tally{}, testenv.Quiet)
-	core.Connect(s, noLists{}, noPeers{})
+	s := &stalledCore{core: core, stallAt: stallAt, leave: leave, ended: make(chan dispatch.Outcome, 1)}
+	s.Client = New(ctx, g, lim, node.Names{}, s, &slowpeer.Counters{}, testenv.DiscardLog)
+	core.Connect(s, noEndpoints{}, noPeers{})
 	g.Go(func() error { return core.Run(ctx) })
 	t.Cleanup(func() { cancel(); _ = g.Wait() })
 	return s
 }
 
-type noLists struct{}
+type noEndpoints struct{}
 
-func (noLists) Watch(bool) {}
-func (noLists) Fetch()     {}
+func (noEndpoints) Watch(bool) {}
+func (noEndpoints) Fetch()     {}
 
 type noPeers struct{}
 
-func (noPeers) Tell(uint16, []byte) {}
+func (noPeers) SendGossip(uint16, []byte) {}
 
-// No attempt begins after its client has left, whatever it is made for, though the core has not heard of that and
-// can't: its events are full, and its goroutine stands still until the attempt has ended.
-func TestNoAttemptBeginsAfterTheClientLeft(t *testing.T) {
+// No attempt of any kind is sent after its client has left, even if the core cannot know it yet: its event queue is
+// full, and its goroutine blocks until the attempt has ended.
+func TestNoAttemptIsSentAfterClientDisconnect(t *testing.T) {
 	const rejected = "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, x := range map[string]struct {
-		answer   string
-		standsAt int
-		queued   bool // no executor is known at first
+		answer  string
+		stallAt int  // counted from 1
+		queued  bool // no executor is known at first
 	}{
 		"first attempt":             {acceptedAnswer, 1, false},
 		"after a wait in the queue": {acceptedAnswer, 1, true},
 		"retry":                     {rejected, 2, false},
-		"hedged request":            {"", 2, false},
+		"hedged attempt":            {"", 2, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			lim := withShortAcks()
@@ -202,89 +202,90 @@
 			one, two := startExecutor(t, "s-1", x.answer), startExecutor(t, "s-2", x.answer)
 			client, leave := context.WithCancel(t.Context())
 			defer leave()
-			known := []node.Entry{one.entry(), two.entry()}
+			known := []node.Endpoint{one.entry(), two.entry()}
 			first := known
 			if x.queued {
 				first = nil
 			}
-			n := startNode(t, lim, x.standsAt, leave, first...)
+			n := startNode(t, lim, x.stallAt, leave, first...)
 			job := node.Job{
-				Left:   20 * time.Second,
-				Slots:  1,
-				Trace:  "00000000000000aa",
-				Method: "POST",
-				Target: "/x/y",
-				Body:   []byte("body"),
+				TimeLeft: 20 * time.Second,
+				Slots:    1,
+				TraceID:  "00000000000000aa",
+				Method:   "POST",
+				Target:   "/x/y",
+				Body:     []byte("body"),
 			}
-			job.Still = func() precheck.Reason {
+			job.PreSendCheck = func() precheck.Reason {
 				if client.Err() != nil {
-					return precheck.ClientLeft
+					return precheck.ClientDisconnected
 				}
 				return precheck.Allowed
 			}
-			id, err := n.core.Submit(job, newQuietClient())
+			id, err := n.core.Submit(job, newAnswerClient())
 			if err != nil {
 				t.Fatal(err)
 			}
 			if x.queued {
-				n.core.List(node.List{Form: dispatch.ListSnapshot, Entries: known})
+				n.core.UpdateEndpoints(node.EndpointList{Form: dispatch.ListSnapshot, Entries: known})
 			}
 			select {
 			case <-client.Done():
 			case <-time.After(20 * time.Second):
-				t.Fatal("the send does not come")
+				t.Fatal("the attempt was not sent within 20 s")
 			}
-			n.core.Gone(id) // it waits for a place among the events, until the core goes on
-			testenv.Until(t, "the core has heard of it", func() bool {
+			n.core.ClientGone(id) // blocks until the event queue has room
+			testenv.Until(t, "the core has counted the client's leaving", func() bool {
 				counts, err := n.core.Counts(t.Context())
-				return err == nil && counts.Gone == 1
+				return err == nil && counts.ClientsGone == 1
 			})
-			if o := <-n.ended; o != dispatch.CanceledBeforeSend || one.count()+two.count() != x.standsAt-1 {
-				t.Errorf("the attempt ended with %d; %d requests came, want %d", o, one.count()+two.count(), x.standsAt-1)
+			if o := <-n.ended; o != dispatch.CanceledBeforeSend || one.count()+two.count() != x.stallAt-1 {
+				t.Errorf("the attempt ended with %d after %d requests, want canceled before send after %d",
+					o, one.count()+two.count(), x.stallAt-1)
 			}
 		})
 	}
 }
 
-// A dial that comes up late, after its client has left, carries nothing.
-func TestLateDialAfterTheClientLeftCarriesNothing(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
-	came := make(chan string, 1)
-	startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
+// Nothing is written to a connection that is established only after the client has left.
+func TestNothingIsWrittenAfterClientDisconnectDuringDial(t *testing.T) {
+	c, s := newClient(t, testenv.Limits)
+	received := make(chan string, 1)
+	startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); received <- string(all) })
 	client, leave := context.WithCancel(t.Context())
 	real := c.pool.dial
 	c.pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := real(ctx, network, addr)
-		leave() // while it came up
+		leave() // while the connection is being established
 		return conn, err
 	}
 	a := newAttempt(1)
-	a.Job.Still = func() precheck.Reason {
+	a.Job.PreSendCheck = func() precheck.Reason {
 		if client.Err() != nil {
-			return precheck.ClientLeft
+			return precheck.ClientDisconnected
 		}
 		return precheck.Allowed
 	}
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	c.pool.closeIdle(c.address(7)) // one that carried nothing is kept
-	if got, text := s.outcomes(1), <-came; got[0] != dispatch.CanceledBeforeSend || text != "" {
+	c.pool.closeIdle(c.address(7)) // a connection on which nothing was written is kept
+	if got, text := s.outcomes(1), <-received; got[0] != dispatch.CanceledBeforeSend || text != "" {
 		t.Errorf("outcomes %v, %q was written", got, text)
 	}
 }
 
-// A job that was terminated while it waited is sent nowhere, though an executor comes up then.
+// A job that was terminated while queued is not sent when an executor becomes ready.
 func TestTerminatedJobIsNotSent(t *testing.T) {
 	x := startExecutor(t, "s-1", acceptedAnswer)
-	n := startNode(t, testenv.Lim, 0, nil)
-	waiting := newQuietClient()
+	n := startNode(t, testenv.Limits, 0, nil)
+	waiting := newAnswerClient()
 	job := node.Job{
-		Left:   20 * time.Second,
-		Slots:  1,
-		Trace:  "00000000000000aa",
-		Method: "POST",
-		Target: "/x/y",
-		Body:   []byte("body"),
+		TimeLeft: 20 * time.Second,
+		Slots:    1,
+		TraceID:  "00000000000000aa",
+		Method:   "POST",
+		Target:   "/x/y",
+		Body:     []byte("body"),
 	}
 	id, err := n.core.Submit(job, waiting)
 	if err != nil {
@@ -294,37 +295,37 @@
 		t.Fatal(err)
 	}
 	if a := <-waiting.answers; a.End != node.Terminated {
-		t.Errorf("%+v", a)
+		t.Errorf("answer %+v, want terminated", a)
 	}
-	n.core.List(node.List{Form: dispatch.ListSnapshot, Entries: []node.Entry{x.entry()}})
-	job.Trace = "00000000000000bb"
-	if _, err := n.core.Submit(job, newQuietClient()); err != nil {
+	n.core.UpdateEndpoints(node.EndpointList{Form: dispatch.ListSnapshot, Entries: []node.Endpoint{x.entry()}})
+	job.TraceID = "00000000000000bb"
+	if _, err := n.core.Submit(job, newAnswerClient()); err != nil {
 		t.Fatal(err)
 	}
 	testenv.Until(t, "the next job is sent", func() bool { return x.count() == 1 })
 	if counts, err := n.core.Counts(t.Context()); err != nil || counts.Sends != 1 {
-		t.Errorf("%d sends, %v", counts.Sends, err)
+		t.Errorf("%d sends, %v, want 1", counts.Sends, err)
 	}
 }
 
-// An attempt of a job that was answered or terminated after it was decided on is not sent, though the core can take
-// nothing: the job's own mark is read at the last moment.
-func TestAnsweredJobIsNotSentThoughTheEventsAreFull(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
-	came := make(chan string, 1)
-	startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
+// An attempt whose job is answered or terminated meanwhile is not sent, even if the core can handle no event: the
+// job's Answered flag is read at the last moment.
+func TestAnsweredJobIsNotSentWithFullEventQueue(t *testing.T) {
+	c, s := newClient(t, testenv.Limits)
+	received := make(chan string, 1)
+	startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); received <- string(all) })
 	a := newAttempt(1)
 	a.Answered = &atomic.Bool{}
-	looks := 0
-	a.Job.Still = func() precheck.Reason {
-		if looks++; looks == 3 { // before the last byte
+	checks := 0
+	a.Job.PreSendCheck = func() precheck.Reason {
+		if checks++; checks == 3 { // before the last byte
 			a.Answered.Store(true)
 		}
 		return precheck.Allowed
 	}
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
-	got, text := s.outcomes(1), <-came
+	got, text := s.outcomes(1), <-received
 	if got[0] != dispatch.CanceledBeforeSend || !strings.HasSuffix(text, "\r\n\r\nbod") {
 		t.Errorf("outcomes %v, %q was written", got, text)
 	}
--- a/internal/executor/deadline_test.go
+++ b/internal/executor/deadline_test.go
@@ -16,24 +16,24 @@
 	"gatetack/internal/testenv"
 )
 
-// holdUp is how long a process may stand still between its clock and a write; shortHoldUp is less, and still more than
-// the time that a request tells may be off by.
+// stall is how long the process is delayed between reading the clock and a write; shortStall is less, but more than
+// the inaccuracy allowed for the time left that a request states.
 const (
-	holdUp      = 150 * time.Millisecond
-	shortHoldUp = 100 * time.Millisecond
+	stall      = 150 * time.Millisecond
+	shortStall = 100 * time.Millisecond
 )
 
-// toldTime reads what a request's head tells its executor; ok is false where it tells nothing.
-func toldTime(head string) (told time.Duration, ok bool) {
+// sentTimeLeft returns the time left that a request's head states; ok is false if it states none.
+func sentTimeLeft(head string) (timeLeft time.Duration, ok bool) {
 	_, rest, _ := strings.Cut(head, "\r\nX-Expires-In-Ms: ")
 	text, _, _ := strings.Cut(rest, "\r\n")
 	ms, err := strconv.Atoi(text)
 	return time.Duration(ms) * time.Millisecond, err == nil
 }
 
-// Nothing is written for an attempt with less than a millisecond left, or with no more than the pause before the last
-// byte takes: in whole milliseconds its executor could only be told more than that.
-func TestAttemptWithNoTimeToTellIsNotSent(t *testing.T) {
+// Nothing is written for an attempt with less than a millisecond left, or with less left than the pause before the
+// last byte takes: in whole milliseconds, the request could only state more than that.
+func TestAttemptWithoutTimeLeftIsNotSent(t *testing.T) {
 	for name, x := range map[string]struct {
 		left   time.Duration
 		settle time.Duration
@@ -42,15 +42,15 @@
 		"less than the pause": {300 * time.Millisecond, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lim := testenv.Lim
-			lim.SettleLeast, lim.SettleMost = x.settle, x.settle
+			lim := testenv.Limits
+			lim.MinLastByteDelay, lim.MaxLastByteDelay = x.settle, x.settle
 			c, s := newClientWithLimits(t, lim)
-			came := make(chan string, 1)
-			startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); came <- string(all) })
+			received := make(chan string, 1)
+			startRawExecutor(t, c, func(conn net.Conn) { all, _ := io.ReadAll(conn); received <- string(all) })
 			a := newAttempt(1)
-			looks := 0
-			a.Job.Still = func() precheck.Reason {
-				if looks++; looks == 2 { // before the first byte
+			checks := 0
+			a.Job.PreSendCheck = func() precheck.Reason {
+				if checks++; checks == 2 { // before the first byte
 					c.attempts.byID[1].Deadline = time.Now().Add(x.left)
 				}
 				return precheck.Allowed
@@ -58,36 +58,36 @@
 			c.Send(a)
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 			c.pool.closeIdle(c.address(7))
-			if got, text := s.outcomes(1), <-came; got[0] != dispatch.CanceledBeforeSend || text != "" {
+			if got, text := s.outcomes(1), <-received; got[0] != dispatch.CanceledBeforeSend || text != "" {
 				t.Errorf("outcomes %v, %q was written", got, text)
 			}
 		})
 	}
 }
 
-// sendsOnWire is what a client's connections wrote.
-type sendsOnWire struct {
+// wireRecorder counts the whole requests that a client's connections carried.
+type wireRecorder struct {
 	mu    sync.Mutex
-	whole int // connections that carried the last byte
+	whole int // connections on which the last byte was written
 }
 
-func (s *sendsOnWire) requests() int {
+func (s *wireRecorder) requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.whole
 }
 
-// watchWrites holds the process up in the moments that a test names, and checks at each last byte, before the hold-up
-// there, that what the request tells is at most what its client has left.
-func watchWrites(t *testing.T, c *Client, until func() time.Time, hold func(conn int, moment string)) *sendsOnWire {
-	seen := &sendsOnWire{}
+// recordWrites delays the process at the points that a test names. At each last byte, before the delay there, it
+// checks that the request states at most the time that its client has left.
+func recordWrites(t *testing.T, c *Client, until func() time.Time, hold func(conn int, moment string)) *wireRecorder {
+	seen := &wireRecorder{}
 	scriptConns(c, func(n int, conn *scriptedConn) {
 		head := ""
 		conn.write = func(b []byte) (int, error) {
 			if last := strings.HasSuffix(head+string(b), "\r\n\r\nbody"); last {
 				left := time.Until(until())
-				if told, ok := toldTime(head); !ok || told > left {
-					t.Errorf("connection %d tells %v, its client has %v left", n, told, left)
+				if stated, ok := sentTimeLeft(head); !ok || stated > left {
+					t.Errorf("connection %d states %v, its client has %v left", n, stated, left)
 				}
 				hold(n, "last byte")
 				seen.mu.Lock()
@@ -109,10 +109,10 @@
 	return seen
 }
 
-// The time that a request tells is at most what its client has left when its last byte is about to go, of first
-// attempts, retries and hedged requests alike, however long the process was held up between the clock and a write. What
-// is told too late is made anew on another connection; the connection before it never carries its last byte.
-func TestToldTimeHoldsWhenHeldUp(t *testing.T) {
+// The time left that a request states is at most what its client has left when the last byte is about to be written,
+// for first attempts, retries and hedged attempts, however long the process was delayed between reading the clock and
+// a write. A request that states too much is rebuilt on another connection, and its last byte is never written.
+func TestSentTimeLeftWithDelayedProcess(t *testing.T) {
 	kinds := map[string]func(a *node.Attempt){
 		"first": func(*node.Attempt) {},
 		"retry": func(a *node.Attempt) {
@@ -123,32 +123,32 @@
 			a.Deadline = time.Now().Add(4 * time.Second)
 		},
 	}
-	type holding struct {
+	type stallPoint struct {
 		moment string
 		length time.Duration
-		conns  int // that it takes
+		conns  int // connections that the attempt needs
 	}
-	holdings := []holding{
+	stalls := []stallPoint{
 		{"none", 0, 1},
-		{"head", holdUp, 2},
-		{"head", shortHoldUp, 2},
-		{"pause", holdUp, 2},
-		{"pause", shortHoldUp, 2},
-		{"last byte", holdUp, 1},
+		{"head", stall, 2},
+		{"head", shortStall, 2},
+		{"pause", stall, 2},
+		{"pause", shortStall, 2},
+		{"last byte", stall, 1},
 	}
 	for kind, set := range kinds {
-		for _, held := range holdings {
-			t.Run(fmt.Sprintf("%s/held up at %s for %v", kind, held.moment, held.length), func(t *testing.T) {
-				for range 5 { // a busy machine may hold it up further, and then nothing is sent
-					c, s := newClientWithLimits(t, testenv.Lim)
+		for _, at := range stalls {
+			t.Run(fmt.Sprintf("%s/delayed at %s for %v", kind, at.moment, at.length), func(t *testing.T) {
+				for range 5 { // a busy machine may delay it further, and then nothing is sent
+					c, s := newClientWithLimits(t, testenv.Limits)
 					n := startRawExecutor(t, c, answering(acceptedAnswer))
 					a := newAttempt(1)
 					a.Rules = precheck.RetryRules{Attempt: 1, MaxAttempts: 3}
 					set(&a)
-					client := a.Deadline.Add(testenv.Lim.AnswerEarly)
-					seen := watchWrites(t, c, func() time.Time { return client }, func(conn int, at string) {
-						if at == held.moment && conn == 0 {
-							time.Sleep(held.length)
+					client := a.Deadline.Add(testenv.Limits.ResponseMargin)
+					seen := recordWrites(t, c, func() time.Time { return client }, func(conn int, moment string) {
+						if moment == at.moment && conn == 0 {
+							time.Sleep(at.length)
 						}
 					})
 					c.Send(a)
@@ -158,31 +158,31 @@
 					if len(got) == 1 && got[0] == dispatch.CanceledBeforeSend && seen.requests() == 0 {
 						continue
 					}
-					if len(got) != 1 || got[0] != dispatch.Served || seen.requests() != 1 || n() < held.conns {
-						t.Errorf("outcomes %v, %d requests whole over %d connections, want %d", got, seen.requests(), n(), held.conns)
+					if len(got) != 1 || got[0] != dispatch.Served || seen.requests() != 1 || n() < at.conns {
+						t.Errorf("outcomes %v, %d whole requests over %d connections, want %d", got, seen.requests(), n(), at.conns)
 					}
 					return
 				}
-				t.Error("it was never sent")
+				t.Error("the attempt was not sent in 5 tries")
 			})
 		}
 	}
 }
 
-// A process that is held up each time sends nothing rather than tell too much.
-func TestHeldUpEachTimeIsNotSent(t *testing.T) {
-	c, s := newClientWithLimits(t, testenv.Lim)
+// An attempt that is delayed each time is not sent, since its request would state too much time left.
+func TestRepeatedlyDelayedAttemptIsNotSent(t *testing.T) {
+	c, s := newClientWithLimits(t, testenv.Limits)
 	startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(1)
-	client := a.Deadline.Add(testenv.Lim.AnswerEarly)
-	seen := watchWrites(t, c, func() time.Time { return client }, func(_ int, moment string) {
+	client := a.Deadline.Add(testenv.Limits.ResponseMargin)
+	seen := recordWrites(t, c, func() time.Time { return client }, func(_ int, moment string) {
 		if moment == "head" {
-			time.Sleep(holdUp)
+			time.Sleep(stall)
 		}
 	})
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	if got := s.outcomes(1); got[0] != dispatch.CanceledBeforeSend || seen.requests() != 0 {
-		t.Errorf("outcomes %v, %d requests whole", got, seen.requests())
+		t.Errorf("outcomes %v, %d whole requests, want canceled before send and none", got, seen.requests())
 	}
 }
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -22,7 +22,7 @@
 	_ "gatetack/internal/testrand"
 )
 
-// sink keeps what the client tells the core.
+// resultRecorder records the results that the client reports.
 type resultRecorder struct {
 	mu      sync.Mutex
 	results []node.Result
@@ -34,7 +34,7 @@
 	s.results = append(s.results, r)
 }
 
-func (s *resultRecorder) Probed(w uint32, o dispatch.Outcome, _ time.Duration, report []float32) {
+func (s *resultRecorder) HealthChecked(w uint32, o dispatch.Outcome, _ time.Duration, report []float32) {
 	s.Result(node.Result{Attempt: uint64(w) + 1<<40, Outcome: o, Report: report})
 }
 
@@ -49,35 +49,36 @@
 	return out
 }
 
-// setup makes a client for tests of all but the time that executors are told: a busy machine that holds one of them up
-// makes no request anew.
+// newClient returns a client for tests that do not concern the time left in requests: the large TimeLeftMargin keeps a
+// test that is delayed on a busy machine from rebuilding requests.
 func newClient(t *testing.T, lim limits.Limits) (*Client, *resultRecorder) {
-	lim.TimeSpare = time.Hour
+	lim.TimeLeftMargin = time.Hour
 	return newClientWithLimits(t, lim)
 }
 
-// setupExactly makes a client with the limits as they are.
+// newClientWithLimits returns a client with the given limits unchanged.
 func newClientWithLimits(t *testing.T, lim limits.Limits) (*Client, *resultRecorder) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g, s := &errgroup.Group{}, &resultRecorder{}
-	c := New(ctx, g, lim, node.Names{Fields: []string{"pending", "x0"}}, s, &slowpeer.Tally{}, testenv.Quiet)
+	c := New(ctx, g, lim, node.Names{Fields: []string{"pending", "x0"}}, s, &slowpeer.Counters{}, testenv.DiscardLog)
 	t.Cleanup(func() { cancel(); _ = g.Wait() })
 	return c, s
 }
 
-// restless are limits by which a connection is used again at once, for tests of what is seen of the connection itself.
-func withoutRest() limits.Limits {
-	lim := testenv.Lim
-	lim.Rest = 0
+// withoutRestPeriod returns limits under which an idle connection is reused at once.
+func withoutRestPeriod() limits.Limits {
+	lim := testenv.Limits
+	lim.ReuseDelay = 0
 	return lim
 }
 
 func newAttempt(id uint64) node.Attempt {
-	return node.Attempt{ID: id, Worker: 7, Deadline: time.Now().Add(10 * time.Second),
-		Job: &node.Job{Trace: "00000000000000aa", Method: "POST", Target: "/tile-charge/x", Body: []byte("body")}}
+	return node.Attempt{ID: id, Executor: 7, Deadline: time.Now().Add(10 * time.Second),
+		Job: &node.Job{TraceID: "00000000000000aa", Method: "POST", Target: "/tile-charge/x", Body: []byte("body")}}
 }
 
-// box is a raw executor: it reads a request's end and does what script says, one connection after another.
+// startRawExecutor listens as executor 7 and runs script[i] on connection i, the last script on all further
+// connections.
 func startRawExecutor(t *testing.T, c *Client, script ...func(net.Conn)) (accepted func() int) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -114,11 +115,11 @@
 		mu.Unlock()
 		_ = g.Wait()
 	})
-	c.Told(7, node.Entry{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
+	c.UpdateEndpoint(7, node.Endpoint{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
 	return func() int { mu.Lock(); defer mu.Unlock(); return n }
 }
 
-// request reads one whole request with a body of four bytes, or none.
+// readRequest reads one whole request with a body of four bytes or none.
 func readRequest(r *bufio.Reader) (string, error) {
 	var all strings.Builder
 	length := 0
@@ -155,17 +156,18 @@
 
 const acceptedAnswer = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
-// What an executor says at once, and what that says of whether the job ran.
-func TestAnswers(t *testing.T) {
+// The outcome of an attempt follows from the executor's immediate answer, and from what that answer shows about
+// whether the job ran.
+func TestOutcomeOfImmediateAnswers(t *testing.T) {
 	for _, x := range []struct {
 		name   string
 		script func(net.Conn)
 		want   dispatch.Outcome
 	}{
-		{"turned away", answering("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\n" +
+		{"rejected", answering("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\n" +
 			"Endpoint-Load-Metrics: TEXT queue=4, x0=0.5\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
-		{"turned away late", answering("HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
-		// A 503 without the word may have run: taken as never run, a tile-charge could be sent twice.
+		{"rejected late", answering("HTTP/1.1 504 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"), dispatch.Full},
+		// A 503 without X-Never-Ran may have run: if it counted as never run, a tile-charge could be sent twice.
 		{"503 alone", answering("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), dispatch.Errored},
 		{"500", answering("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), dispatch.Errored},
 		{"breaks before its answer", answering(), dispatch.Reset},
@@ -173,7 +175,7 @@
 		{"garbage", answering("what?\r\n\r\n"), dispatch.Reset},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c, s := newClient(t, testenv.Lim)
+			c, s := newClient(t, testenv.Limits)
 			script := x.script
 			if x.name == "breaks before its answer" {
 				script = func(conn net.Conn) { _, _ = readRequest(bufio.NewReader(conn)) }
@@ -182,9 +184,9 @@
 			c.Send(newAttempt(1))
 			testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 			if got := s.outcomes(1); len(got) != 1 || got[0] != x.want {
-				t.Errorf("%v, want %d", got, x.want)
+				t.Errorf("outcomes %v, want %d", got, x.want)
 			}
-			if x.name == "turned away" &&
+			if x.name == "rejected" &&
 				(len(s.results[0].Report) != 2 || s.results[0].Report[0] != 4 || s.results[0].Report[1] != 0.5) {
 				t.Errorf("load report %v", s.results[0].Report)
 			}
@@ -192,9 +194,10 @@
 	}
 }
 
-// Callbacks: one may come before the 202, they repeat, and stale ones are passed over. Each attempt has one end.
-func TestCallbacks(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+// A callback may arrive before the 202, may be repeated, and may be stale; stale ones are ignored. Each attempt has
+// one outcome.
+func TestCallbacksGiveOneOutcome(t *testing.T) {
+	c, s := newClient(t, testenv.Limits)
 	early := make(chan bool)
 	startRawExecutor(t, c, func(conn net.Conn) {
 		if _, err := readRequest(bufio.NewReader(conn)); err == nil {
@@ -203,43 +206,44 @@
 			_, _ = io.WriteString(conn, acceptedAnswer)
 		}
 	})
-	tell := func(from, state string) {
+	callback := func(from, state string) {
 		if err := c.Callback(
 			[]byte(
 				`{"id":"00000000000000aa","from":"` + from + `","state":"` + state + `","result":"tile","load":{"queue":1,"x0":2}}`,
 			),
 		); err != nil &&
-			!errors.Is(err, ErrNotOurs) {
+			!errors.Is(err, ErrUnknownAttempt) {
 			t.Error(err)
 		}
 	}
-	tell("s-7", "done") // of nothing that is live
+	callback("s-7", "done") // no attempt is active
 	c.Send(newAttempt(1))
 	<-early
-	tell("s-8", "done") // of another executor
-	tell("s-7", "started")
+	callback("s-8", "done") // from another executor
+	callback("s-7", "started")
 	for range 10 {
-		tell("s-7", "done")
+		callback("s-7", "done")
 	}
-	tell("s-7", "lost")
+	callback("s-7", "lost")
 	early <- true
 	testenv.Until(
 		t,
-		"the connection is back",
+		"the connection is returned to the pool",
 		func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 },
 	)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.results) != 2 || s.results[0].Topic != dispatch.NoteStarted || s.results[1].Outcome != dispatch.Served ||
+	if len(s.results) != 2 || s.results[0].Topic != dispatch.NotificationStarted ||
+		s.results[1].Outcome != dispatch.Served ||
 		string(s.results[1].Body) != "tile" || len(s.results[1].Report) != 2 {
-		t.Errorf("%+v", s.results)
+		t.Errorf("results %+v, want a notification of the start and one served outcome", s.results)
 	}
 }
 
-// A callback that says done and brings no result must not become an answer that no executor made.
-func TestDoneWithoutAResult(t *testing.T) {
+// A "done" callback without a result must not become an answer that no executor produced.
+func TestDoneCallbackWithoutResult(t *testing.T) {
 	for _, rest := range []string{``, `,"result":null`, `,"result":7`, `,"result":{}`} {
-		c, s := newClient(t, testenv.Lim)
+		c, s := newClient(t, testenv.Limits)
 		startRawExecutor(t, c, answering(acceptedAnswer))
 		c.Send(newAttempt(1))
 		testenv.Until(t, "an outcome", func() bool {
@@ -247,56 +251,56 @@
 			return len(s.outcomes(1)) > 0
 		})
 		if got := s.outcomes(1); got[0] != dispatch.Errored {
-			t.Errorf("%q: %v", rest, got)
+			t.Errorf("callback with %q: outcomes %v, want errored", rest, got)
 		}
 	}
 }
 
-// A callback that comes before anything of an attempt was written is of an earlier one: after "returned", a
-// repeat of that word must not end the next attempt at the same executor.
-func TestStaleCallbackBeforeTheSend(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+// A callback that arrives before anything of an attempt was written concerns an earlier one: a repeated "returned"
+// must not end the next attempt at the same executor.
+func TestStaleCallbackBeforeSend(t *testing.T) {
+	c, s := newClient(t, testenv.Limits)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(2)
-	hold, held := make(chan bool), make(chan bool)
-	a.Job.Before = func(string) error { held <- true; <-hold; return nil }
+	resume, blocked := make(chan bool), make(chan bool)
+	a.Job.BeforeSend = func(string) error { blocked <- true; <-resume; return nil }
 	c.Send(a)
-	<-held
+	<-blocked
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"returned"}`))
-	hold <- true
+	resume <- true
 	testenv.Until(t, "the send", func() bool { return n() == 1 })
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":"x"}`))
 	testenv.Until(t, "an outcome", func() bool {
 		err := c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":"x"}`))
-		return len(s.outcomes(2)) > 0 || err != nil && !errors.Is(err, ErrNotOurs)
+		return len(s.outcomes(2)) > 0 || err != nil && !errors.Is(err, ErrUnknownAttempt)
 	})
 	if got := s.outcomes(2); len(got) != 1 || got[0] != dispatch.Served {
 		t.Errorf("%v", got)
 	}
 }
 
-// Nothing is written to an executor whose drain was told, not even over a connection that was being made; and
-// a drain that was told a moment ago still lets through what was decided before.
-func TestDrainAtTheMomentOfSending(t *testing.T) {
-	lim := testenv.Lim
-	lim.DrainSpare = 0
+// Nothing is written to an executor whose drain was notified longer than DrainSendGrace ago, not even over a
+// connection that was being opened at the time.
+func TestDrainDuringSend(t *testing.T) {
+	lim := testenv.Limits
+	lim.DrainSendGrace = 0
 	c, s := newClient(t, lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(1)
-	a.Job.Before = func(string) error {
-		c.Told(7, node.Entry{Name: "s-7", Status: "draining"}, time.Now().Add(-time.Millisecond))
+	a.Job.BeforeSend = func(string) error {
+		c.UpdateEndpoint(7, node.Endpoint{Name: "s-7", Status: "draining"}, time.Now().Add(-time.Millisecond))
 		return nil
 	}
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	if got := s.outcomes(1); got[0] != dispatch.CanceledBeforeSend || n() != 0 {
-		t.Errorf("%v, %d connections", got, n())
+		t.Errorf("outcomes %v over %d connections, want canceled before send over none", got, n())
 	}
 }
 
-// A connection that the executor closed while it stood idle is not used: what is written to it counts as sent.
-func TestClosedIdleConnections(t *testing.T) {
-	c, s := newClient(t, withoutRest())
+// A connection that the executor closed while it was idle is not reused: a request written to it would count as sent.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	c, s := newClient(t, withoutRestPeriod())
 	closed := make(chan bool)
 	n := startRawExecutor(
 		t,
@@ -308,7 +312,7 @@
 	<-closed
 	testenv.Until(
 		t,
-		"the connection is back",
+		"the connection is returned to the pool",
 		func() bool { c.pool.mu.Lock(); defer c.pool.mu.Unlock(); return len(c.pool.idle) == 1 },
 	)
 	_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":""}`))
@@ -319,62 +323,64 @@
 	}
 }
 
-// reset ends a connection as a machine does that has forgotten it, once something of a request has come.
+// resetConnection resets a connection when the first byte of a request arrives, as a machine does that has lost the
+// connection's state.
 func resetConnection(c net.Conn) {
 	_, _ = c.Read(make([]byte, 1))
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-// The last byte of a request is held back for a moment. A connection that breaks meanwhile, or says something, never
-// got the request: on a kept one the attempt goes on over another, on a new one it could not connect. Taken as a
-// reset, each would end a tile-charge for good.
-func TestBrokenBeforeTheLastByte(t *testing.T) {
-	lim := testenv.Lim
-	lim.SettleLeast, lim.SettleMost = 20*time.Second, 20*time.Second // each verdict below comes of what the box does
+// The last byte of a request is held back for a short time. If the connection breaks meanwhile, or the executor sends
+// something, the executor never had the request. On a reused connection the attempt continues on another one, and on a
+// new one it ends as failed to connect. If it ended as reset, a tile-charge would fail finally, since it may have run.
+func TestConnectionBrokenBeforeLastByte(t *testing.T) {
+	lim := testenv.Limits
+	lim.MinLastByteDelay, lim.MaxLastByteDelay = 20*time.Second,
+		20*time.Second // the verdicts follow from what the executor does
 	c, s := newClient(t, lim)
-	came := make(chan string, 1)
+	received := make(chan string, 1)
 	n := startRawExecutor(t, c, resetConnection, resetConnection, func(conn net.Conn) {
 		b := make([]byte, 4096)
 		k := 0
-		for !strings.HasSuffix(string(b[:k]), "\r\n\r\nbod") { // and no more
+		for !strings.HasSuffix(string(b[:k]), "\r\n\r\nbod") { // and nothing more
 			m, err := conn.Read(b[k:])
 			if err != nil {
 				break
 			}
 			k += m
 		}
-		came <- string(b[:k])
+		received <- string(b[:k])
 		_, _ = conn.Read(b)
 	})
 	addr := c.address(7)
-	var kept []*connection
+	var reused []*connection
 	for range 2 {
 		conn, err := c.pool.get(context.Background(), addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		kept = append(kept, conn)
+		reused = append(reused, conn)
 	}
 	testenv.Until(t, "both are taken", func() bool { return n() == 2 })
-	for _, conn := range kept {
+	for _, conn := range reused {
 		c.pool.release(conn)
 	}
 	lasting := newAttempt(1)
-	lasting.Deadline = time.Now().Add(time.Minute) // or its time would be over before the pause is
+	lasting.Deadline = time.Now().Add(time.Minute) // later than the end of the pause
 	c.Send(lasting)
-	if text := <-came; !strings.HasSuffix(text, "\r\n\r\nbod") ||
+	if text := <-received; !strings.HasSuffix(text, "\r\n\r\nbod") ||
 		!strings.HasPrefix(text, "POST /tile-charge/x HTTP/1.1\r\n") {
-		t.Errorf("before the last byte: %q", text)
+		t.Errorf("received before the last byte: %q", text)
 	}
 	if got := s.outcomes(1); len(got) != 0 || n() != 3 {
-		t.Errorf("after two stale connections: %v on connection %d", got, n())
+		t.Errorf("after two stale connections: outcomes %v on connection %d", got, n())
 	}
-	c.GiveUp(1)
+	c.Cancel(1)
 
 	garbled := func(conn net.Conn) {
 		_, _ = conn.Read(make([]byte, 1))
-		_, _ = io.WriteString(conn, acceptedAnswer) // of what?
+		_, _ = io.WriteString(conn, acceptedAnswer) // before the request is complete
 		_, _ = io.Copy(io.Discard, conn)
 	}
 	scripts := map[string]func(net.Conn){"new and reset": resetConnection, "new and garbled": garbled}
@@ -384,46 +390,47 @@
 		c.Send(lasting)
 		testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 		if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.ConnectFailed || n() != 1 {
-			t.Errorf("%s: %v over %d connections, want one that could not connect", name, got, n())
+			t.Errorf("%s: outcomes %v over %d connections, want one failed to connect", name, got, n())
 		}
 	}
 }
 
-// Where connections break after some idle time, those that stood as long are no longer used; those that stood for
-// less are, a break now and then among many uses says nothing, and in time the others are tried again.
-func TestTrustInKeptConnections(t *testing.T) {
-	p := newPool(testenv.Lim, nil)
+// If connections break after some idle time, connections that have been idle as long are no longer reused, while those
+// with less idle time are. A single break among many uses has no effect, and in time longer idle times are tried
+// again.
+func TestMaxIdleTimeFollowsBrokenConnections(t *testing.T) {
+	p := newPool(testenv.Limits, nil)
 	now := time.Now()
-	saw := func(stood time.Duration, broke bool, n int) {
+	observe := func(idleFor time.Duration, broke bool, n int) {
 		for range n {
-			p.recordReuse(&connection{idleFor: stood}, broke, now)
+			p.recordReuse(&connection{idleFor: idleFor}, broke, now)
 		}
 	}
 	want := func(what string, d time.Duration) {
 		t.Helper()
 		if got := p.maxIdleTime(now); got != d {
-			t.Errorf("%s: trusted for %v, want %v", what, got, d)
+			t.Errorf("%s: reused after up to %v, want %v", what, got, d)
 		}
 	}
-	want("at first", testenv.Lim.WorkerIdle)
-	saw(10*time.Millisecond, false, 60)
-	saw(10*time.Millisecond, true, 1)
-	want("one break in many uses", testenv.Lim.WorkerIdle)
-	saw(300*time.Millisecond, true, 1)
+	want("at first", testenv.Limits.ExecutorIdleTimeout)
+	observe(10*time.Millisecond, false, 60)
+	observe(10*time.Millisecond, true, 1)
+	want("one break in many uses", testenv.Limits.ExecutorIdleTimeout)
+	observe(300*time.Millisecond, true, 1)
 	want("one break in few uses", 256*time.Millisecond)
-	saw(200*time.Millisecond, false, 3)
-	saw(200*time.Millisecond, true, 2)
-	want("breaks of younger ones", 128*time.Millisecond)
-	now = now.Add(10 * testenv.Lim.KeptMemory)
-	want("long after", testenv.Lim.WorkerIdle)
-	saw(time.Hour, true, 3)
-	want("the longest span", min(testenv.Lim.KeptFirst<<10, testenv.Lim.WorkerIdle))
+	observe(200*time.Millisecond, false, 3)
+	observe(200*time.Millisecond, true, 2)
+	want("breaks after less idle time", 128*time.Millisecond)
+	now = now.Add(10 * testenv.Limits.KeepAliveHalfLife)
+	want("after the observations have decayed", testenv.Limits.ExecutorIdleTimeout)
+	observe(time.Hour, true, 3)
+	want("the longest idle time", min(testenv.Limits.KeepAliveMinIdle<<10, testenv.Limits.ExecutorIdleTimeout))
 }
 
-// Attempts follow one another on one connection; one that has stood idle for too long is not used again.
-func TestConnectionsAreKept(t *testing.T) {
-	lim := withoutRest()
-	lim.WorkerIdle = time.Hour
+// Consecutive attempts use one connection. A connection that has been idle for too long is not reused.
+func TestConnectionReuse(t *testing.T) {
+	lim := withoutRestPeriod()
+	lim.ExecutorIdleTimeout = time.Hour
 	c, s := newClient(t, lim)
 	n := startRawExecutor(t, c, answering(acceptedAnswer, acceptedAnswer, acceptedAnswer))
 	for id := range uint64(3) {
@@ -432,7 +439,7 @@
 			_ = c.Callback([]byte(`{"id":"00000000000000aa","from":"s-7","state":"done","result":""}`))
 			return len(s.outcomes(id+1)) == 1
 		})
-		testenv.Until(t, "the connection is back", func() bool {
+		testenv.Until(t, "the connection is returned to the pool", func() bool {
 			c.pool.mu.Lock()
 			defer c.pool.mu.Unlock()
 			idle := 0
@@ -445,23 +452,24 @@
 			t.Fatalf("%d connections after %d attempts", n(), id+1)
 		}
 	}
-	c.pool.limits.WorkerIdle = 0
+	c.pool.limits.ExecutorIdleTimeout = 0
 	c.Send(newAttempt(9))
 	testenv.Until(t, "a new connection", func() bool { return n() == 2 })
 }
 
-// An address where nobody listens: never ran. No executor of that number: never sent.
-func TestNoConnection(t *testing.T) {
-	c, s := newClient(t, withoutRest())
+// An attempt to an address where nothing listens ends as failed to connect. An attempt to an unknown executor ends as
+// canceled before send.
+func TestConnectFailure(t *testing.T) {
+	c, s := newClient(t, withoutRestPeriod())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Told(7, node.Entry{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
+	c.UpdateEndpoint(7, node.Endpoint{Name: "s-7", Address: ln.Addr().String(), Status: "ready"}, time.Now())
 	_ = ln.Close()
 	c.Send(newAttempt(1))
 	b := newAttempt(2)
-	b.Worker = 8
+	b.Executor = 8
 	c.Send(b)
 	testenv.Until(t, "two outcomes", func() bool { return len(s.outcomes(1)) == 1 && len(s.outcomes(2)) == 1 })
 	if s.outcomes(1)[0] != dispatch.ConnectFailed || s.outcomes(2)[0] != dispatch.CanceledBeforeSend {
@@ -469,9 +477,9 @@
 	}
 }
 
-// Giving up: before the 202 by closing the connection, after it by DELETE. Neither has an outcome of its own.
-func TestGiveUp(t *testing.T) {
-	c, s := newClient(t, withoutRest())
+// A cancel closes the connection before the 202, and sends a DELETE after it. Neither leads to an outcome.
+func TestCancel(t *testing.T) {
+	c, s := newClient(t, withoutRestPeriod())
 	got, ended := make(chan string, 4), make(chan bool, 1)
 	startRawExecutor(t, c, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
@@ -489,10 +497,10 @@
 	})
 	c.Send(newAttempt(1))
 	<-got
-	c.GiveUp(1)
+	c.Cancel(1)
 	<-ended
 	c.Send(newAttempt(2))
-	testenv.Until(t, "the connection is back", func() bool {
+	testenv.Until(t, "the connection is returned to the pool", func() bool {
 		c.pool.mu.Lock()
 		defer c.pool.mu.Unlock()
 		for _, l := range c.pool.idle {
@@ -502,7 +510,7 @@
 		}
 		return false
 	})
-	c.GiveUp(2)
+	c.Cancel(2)
 	if text := <-got; !strings.HasPrefix(text, "DELETE /jobs/00000000000000aa HTTP/1.1\r\n") {
 		t.Errorf("%q", text)
 	}
@@ -512,9 +520,9 @@
 	}
 }
 
-// Garbage for callbacks and load reports is refused or passed over.
+// Malformed callbacks and load reports are rejected or ignored.
 func TestGarbage(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+	c, s := newClient(t, testenv.Limits)
 	good := `{"id":"00000000000000aa","from":"s-7","state":"done","result":"x","load":{"queue":1}}`
 	rapid.Check(t, func(t *rapid.T) {
 		b := []byte(good)
@@ -528,12 +536,12 @@
 	}
 }
 
-// A send that can't be recorded is not made, and its attempt ends as never sent.
-func TestUnrecordedSendIsNotMade(t *testing.T) {
-	c, s := newClient(t, testenv.Lim)
+// An attempt that cannot be recorded is not sent, and ends as canceled before send.
+func TestUnrecordedAttemptIsNotSent(t *testing.T) {
+	c, s := newClient(t, testenv.Limits)
 	n := startRawExecutor(t, c, answering(acceptedAnswer))
 	a := newAttempt(1)
-	a.Job.Before = func(string) error { return errors.New("no space is left on the disk") }
+	a.Job.BeforeSend = func(string) error { return errors.New("no space left on device") }
 	c.Send(a)
 	testenv.Until(t, "an outcome", func() bool { return len(s.outcomes(1)) > 0 })
 	if got := s.outcomes(1); len(got) != 1 || got[0] != dispatch.CanceledBeforeSend || n() != 0 {
--- a/internal/executor/healthcheck.go
+++ b/internal/executor/healthcheck.go
@@ -11,7 +11,7 @@
 	"gatetack/internal/http1"
 )
 
-// call makes a short request without a body, on an executor's address, within the context's deadline.
+// call sends a short request without a body to an address and returns the response, within the context's deadline.
 func (c *Client) call(ctx context.Context, address, method, target string) (*http1.Message, error) {
 	deadline, _ := ctx.Deadline()
 	conn, err := c.dial(ctx, deadline, func() (string, bool) { return address, true })
@@ -30,18 +30,18 @@
 	return message, err
 }
 
-// Probe checks an executor's health and asks for its load report. The result goes to the sink.
-func (c *Client) Probe(id uint32) {
+// CheckHealth checks an executor's health and requests its load report. The result goes to the sink.
+func (c *Client) CheckHealth(id uint32) {
 	c.group.Go(func() error {
-		began := time.Now()
-		ctx, cancel := context.WithTimeout(c.ctx, c.limits.Probe)
+		start := time.Now()
+		ctx, cancel := context.WithTimeout(c.ctx, c.limits.ProbeTimeout)
 		defer cancel()
 		message, err := c.call(ctx, c.address(id), "GET", "/load")
 		outcome, report := outcomeOfHealthCheck(ctx, message, err), []float32(nil)
 		if outcome == dispatch.Served {
 			report = c.reportFromJSON(gjson.ParseBytes(message.Body))
 		}
-		c.handler.Probed(id, outcome, time.Since(began), report)
+		c.sink.HealthChecked(id, outcome, time.Since(start), report)
 		return nil
 	})
 }
@@ -50,7 +50,7 @@
 	connect := (*ConnectError)(nil)
 	switch {
 	case isLocalFault(err):
-		return dispatch.CanceledBeforeSend // it says nothing of the executor
+		return dispatch.CanceledBeforeSend // no sign of a fault of the executor
 	case errors.As(err, &connect):
 		return dispatch.ConnectFailed
 	case err != nil && ctx.Err() != nil:
--- a/internal/executor/loadreport.go
+++ b/internal/executor/loadreport.go
@@ -14,7 +14,7 @@
 	loadReportFormat = "TEXT " // name=value, name=value
 )
 
-// reportFromHeader reads a load report from an answer, nil for none.
+// reportFromHeader parses the load report in an answer's header. It returns nil if there is none.
 func (c *Client) reportFromHeader(message *http1.Message) []float32 {
 	text := strings.TrimPrefix(message.Get(loadReportHeader), loadReportFormat)
 	if text == "" {
@@ -27,18 +27,18 @@
 			values[name] = number
 		}
 	}
-	return c.names.Report(func(name string) (float64, bool) {
+	return c.names.LoadReport(func(name string) (float64, bool) {
 		value, ok := values[name]
 		return value, ok
 	})
 }
 
-// reportFromJSON reads a load report from an object, nil for none.
+// reportFromJSON parses the load report in a JSON object. It returns nil if there is none.
 func (c *Client) reportFromJSON(object gjson.Result) []float32 {
 	if !object.IsObject() {
 		return nil
 	}
-	return c.names.Report(func(name string) (float64, bool) {
+	return c.names.LoadReport(func(name string) (float64, bool) {
 		value := object.Get(name)
 		return value.Float(), value.Type == gjson.Number
 	})
--- a/internal/executor/pool.go
+++ b/internal/executor/pool.go
@@ -12,44 +12,46 @@
 	"gatetack/internal/slowpeer"
 )
 
-// pool keeps idle connections by address and holds all of them within the budget.
+// pool keeps idle connections by address and limits the number of all connections.
 type pool struct {
 	limits    limits.Limits
-	slowPeers *slowpeer.Tally
+	slowPeers *slowpeer.Counters
 	// dial opens a connection. Tests replace it.
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	mu    sync.Mutex
-	idle  map[string][]*connection // the one used last at the end
-	open  *slowpeer.Ledger[string] // by address: an executor that holds all it gets must leave some to the others
+	mu   sync.Mutex
+	idle map[string][]*connection // the most recently used last
+	// open counts the connections by address and limits each executor's share, so that a slow executor leaves some
+	// connections to the others.
+	open  *slowpeer.Ledger[string]
 	reuse reuseHistory
 }
 
-func newPool(lim limits.Limits, slow *slowpeer.Tally) *pool {
+func newPool(lim limits.Limits, slow *slowpeer.Counters) *pool {
 	return &pool{
 		limits:    lim,
 		slowPeers: slow,
-		dial:      (&net.Dialer{Timeout: lim.Connect}).DialContext,
+		dial:      (&net.Dialer{Timeout: lim.ConnectTimeout}).DialContext,
 		idle:      map[string][]*connection{},
-		open:      slowpeer.NewLedger[string](lim.WorkerConns, lim.Pace.Least, lim.Pace.Alpha),
+		open:      slowpeer.NewLedger[string](lim.ExecutorConns, lim.SlowPeers.MinPerPeer, lim.SlowPeers.Alpha),
 	}
 }
 
-// recordReuse takes in what came of a reused connection.
+// recordReuse records whether a reused connection was found broken.
 func (p *pool) recordReuse(conn *connection, broke bool, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reuse.record(&p.limits, conn.idleFor, broke, now)
 }
 
-// maxIdleTime is how long a connection may have been idle and still be used.
+// maxIdleTime returns how long a connection may have been idle and still be reused.
 func (p *pool) maxIdleTime(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reuse.maxIdleTime(&p.limits, now)
 }
 
-// get gives an idle connection that is still open, or a new one. It fails with a ConnectError.
+// get returns an idle connection that is still open, or a new one. Its error is a ConnectError.
 func (p *pool) get(ctx context.Context, addr string) (*connection, error) {
 	if conn := p.getIdle(addr); conn != nil {
 		return conn, nil
@@ -57,30 +59,30 @@
 	if err := p.reserve(addr); err != nil {
 		return nil, err
 	}
-	began := time.Now()
+	start := time.Now()
 	dialed, err := p.dial(ctx, "tcp", addr)
 	if err != nil {
 		p.mu.Lock()
-		p.open.Give(addr, 1)
+		p.open.Release(addr, 1)
 		p.mu.Unlock()
 		return nil, newConnectError(addr, err)
 	}
-	paced := http1.NewMinRateConn(dialed, p.limits.Pace.BoxIn, p.limits.Pace.BoxOut)
+	paced := http1.NewMinRateConn(dialed, p.limits.SlowPeers.ExecutorIn, p.limits.SlowPeers.ExecutorOut)
 	return &connection{
 		MinRateConn: paced,
 		addr:        addr,
-		input:       http1.NewRing(p.limits.Ring),
-		output:      http1.NewWriter(paced, p.limits.Ring),
+		input:       http1.NewRing(p.limits.RingBytes),
+		output:      http1.NewWriter(paced, p.limits.RingBytes),
 		parser:      http1.NewParser(p.limits, true),
-		connectTime: time.Since(began),
+		connectTime: time.Since(start),
 	}, nil
 }
 
-// getIdle gives an idle connection that is still open, nil for none, and closes those that are not.
+// getIdle returns an idle connection that is still open, or nil. It closes those that are not.
 func (p *pool) getIdle(addr string) *connection {
 	maxIdle := p.maxIdleTime(time.Now())
 	for {
-		conn := p.takeIdle(addr)
+		conn := p.takeRestedIdle(addr)
 		if conn == nil {
 			return nil
 		}
@@ -92,15 +94,16 @@
 	}
 }
 
-// takeIdle takes the idle connection that was used last and has rested: a second answer can follow the first by some
-// milliseconds, and would be taken for that of the next request, which then runs here and is sent elsewhere too, or is
-// waited for in vain.
-func (p *pool) takeIdle(addr string) *connection {
+// takeRestedIdle takes the most recently used idle connection that has been idle for at least the rest period. An
+// executor may send a second answer some milliseconds after the first. On a connection that is reused at once, it
+// would be taken for the answer to the next request, which would then run here and elsewhere too, or be waited for in
+// vain.
+func (p *pool) takeRestedIdle(addr string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := p.idle[addr]
 	for i := len(idle) - 1; i >= 0; i-- {
-		if conn := idle[i]; time.Since(conn.idleSince) >= p.limits.Rest {
+		if conn := idle[i]; time.Since(conn.idleSince) >= p.limits.ReuseDelay {
 			p.idle[addr] = slices.Delete(idle, i, i+1)
 			return conn
 		}
@@ -108,32 +111,34 @@
 	return nil
 }
 
-// reserve counts a connection about to be made. At the budget it closes an idle one of another executor.
+// reserve counts a connection that is about to be opened. If the limit is reached, it closes an idle connection to
+// make room.
 func (p *pool) reserve(addr string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	verdict := p.open.Take(addr, 1)
-	if verdict == slowpeer.LetGo && p.closeOldestIdle() {
-		verdict = p.open.Take(addr, 1)
+	verdict := p.open.Acquire(addr, 1)
+	if verdict == slowpeer.Disconnect && p.closeOldestIdle() {
+		verdict = p.open.Acquire(addr, 1)
 	}
 	switch verdict {
-	case slowpeer.HoldBack:
-		p.slowPeers.Add(slowpeer.BoxShare)
+	case slowpeer.Restrict:
+		p.slowPeers.Add(slowpeer.ExecutorOverShare)
 		return &ConnectError{Address: addr, Err: errExecutorShare}
-	case slowpeer.LetGo:
+	case slowpeer.Disconnect:
 		return &ConnectError{Address: addr, Local: true, Err: errConnectionBudget}
 	}
 	return nil
 }
 
-// evictIdle gives the descriptor of an idle connection back to the machine.
+// evictIdle closes an idle connection to free its descriptor.
 func (p *pool) evictIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeOldestIdle()
 }
 
-// closeOldestIdle closes the connection that has been idle the longest, if there is one. The lock is held.
+// closeOldestIdle closes the connection that has been idle the longest, and reports whether there was one. The caller
+// holds the lock.
 func (p *pool) closeOldestIdle() bool {
 	var oldest *connection
 	for _, idle := range p.idle {
@@ -146,12 +151,12 @@
 	}
 	p.idle[oldest.addr] = p.idle[oldest.addr][1:]
 	_ = oldest.Close()
-	p.open.Give(oldest.addr, 1)
+	p.open.Release(oldest.addr, 1)
 	return true
 }
 
-// release gives back a connection that stands between requests. Those that were idle for too long are at the front, and
-// are closed.
+// release returns a connection to the pool. It closes the connections to the same address that have been idle for too
+// long, which are at the front of the list.
 func (p *pool) release(conn *connection) {
 	conn.BoundReads(time.Time{})
 	conn.BoundWrites(time.Time{})
@@ -159,21 +164,23 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := p.idle[conn.addr]
-	tooOld := func(other *connection) bool { return conn.idleSince.Sub(other.idleSince) >= p.limits.WorkerIdle }
-	for len(idle) > 0 && (len(idle) >= p.limits.IdleConns || tooOld(idle[0])) {
+	tooOld := func(other *connection) bool {
+		return conn.idleSince.Sub(other.idleSince) >= p.limits.ExecutorIdleTimeout
+	}
+	for len(idle) > 0 && (len(idle) >= p.limits.IdleConnsPerExecutor || tooOld(idle[0])) {
 		_ = idle[0].Close()
-		p.open.Give(conn.addr, 1)
+		p.open.Release(conn.addr, 1)
 		idle = idle[1:]
 	}
 	p.idle[conn.addr] = append(idle, conn)
 }
 
-// close ends a connection that was taken from the pool.
+// close closes a connection that was taken from the pool.
 func (p *pool) close(conn *connection) {
 	_ = conn.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open.Give(conn.addr, 1)
+	p.open.Release(conn.addr, 1)
 }
 
 // closeIdle closes the idle connections to an address.
@@ -182,7 +189,7 @@
 	defer p.mu.Unlock()
 	for _, conn := range p.idle[addr] {
 		_ = conn.Close()
-		p.open.Give(addr, 1)
+		p.open.Release(addr, 1)
 	}
 	delete(p.idle, addr)
 }
--- a/internal/http1/registry.go
+++ b/internal/http1/registry.go
@@ -6,12 +6,12 @@
 	"gatetack/internal/slowpeer"
 )
 
-// This file holds the server's view of its connections: all that is guarded by Server.mu, but for eviction.
+// This file contains the server's bookkeeping of connections under Server.mu, except for eviction.
 
-// setPhase moves a connection to a phase, and fails if it was closed or is retiring. Closing a connection and
-// taking a request from it exclude one another here: a request that was taken and lost with its connection would
-// be sent again by its client, and run twice. From retiring it returns only with a request that its last read
-// found.
+// setPhase moves a connection to a phase. It returns false if the connection is closed or retiring. Closing a
+// connection and accepting a request from it are mutually exclusive: a client would resend a request that was accepted
+// but lost with its connection, and the request would run twice. A retiring connection becomes active again only with
+// a request that its last read found.
 func (s *Server) setPhase(c *conn, next phase) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,11 +22,11 @@
 		return false
 	case c.phase == retiring:
 		s.open++
-		c.service = max(c.service, singleAnswer)
+		c.service = max(c.service, singleResponse)
 	}
 	if next == handling {
-		// A client that asks for the next answer has read the last, or gives it up.
-		c.unreadAnswer = false
+		// A client that sends the next request has read the last response or no longer needs it.
+		c.unreadResponse = false
 		c.RestartSendMeter()
 	}
 	if c.phase != next && c.hadRequest {
@@ -40,17 +40,17 @@
 	return true
 }
 
-// noteAnswer notes what the answer to a request showed of its client.
-func (s *Server) noteAnswer(c *conn, knownClient, unread bool) {
+// recordResponse records after a response whether the client is known and whether the response is still unread.
+func (s *Server) recordResponse(c *conn, knownClient, unread bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.knownClient = c.knownClient || knownClient
 	if unread && c.phase != closed {
-		c.unreadAnswer = true
+		c.unreadResponse = true
 	}
 }
 
-// remove forgets a connection whose descriptor is closed.
+// remove unregisters a connection after its descriptor is closed.
 func (s *Server) remove(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
@@ -58,14 +58,14 @@
 		s.open--
 	}
 	if c.shareOwner != "" {
-		s.shares.Give(c.shareOwner, 1)
+		s.shares.Release(c.shareOwner, 1)
 	}
 	close(c.ended)
 	s.mu.Unlock()
 	s.signalFreed()
 }
 
-// signalFreed wakes the accept loop, should it wait for a descriptor.
+// signalFreed wakes the accept loop if it waits for a descriptor.
 func (s *Server) signalFreed() {
 	select {
 	case s.descriptorFreed <- struct{}{}:
@@ -73,18 +73,19 @@
 	}
 }
 
-// descriptorsExhausted says whether there is no descriptor for one more connection, however short-lived.
+// descriptorsExhausted reports whether no descriptor is left for one more connection, even a short-lived one.
 func (s *Server) descriptorsExhausted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.conns) >= s.limits.ClientConns+s.limits.SpareConns+s.limits.DoorConns
+	return len(s.conns) >= s.limits.ClientConns+s.limits.OverflowConns+s.limits.RejectConns
 }
 
-// retire has a connection closed under which no request is handled. Its session closes it after a last read, so that a
-// request which came after the decision, or which the reader had not counted yet, is answered first. s.mu is held.
+// retire starts to close a connection on which no request is being handled. The session closes it after a last read, so
+// that a request which arrived after the decision, or which the reader had not yet counted, is answered first. The
+// caller holds s.mu.
 func (s *Server) retire(c *conn) {
 	c.phase = retiring
-	c.unreadAnswer = false
+	c.unreadResponse = false
 	s.open--
 	c.BoundReads(expiredDeadline)
 }
@@ -95,36 +96,36 @@
 	return c.phase == retiring
 }
 
-// closeNow closes a connection whatever is still to be read or written on it. s.mu is held.
+// closeNow closes a connection regardless of unread or unsent data. The caller holds s.mu.
 func (s *Server) closeNow(c *conn) {
 	c.phase = closed
-	c.unreadAnswer = false
+	c.unreadResponse = false
 	s.open--
 	_ = c.Close()
 }
 
-// retireSlowReaders closes the connections whose client reads a finished answer below the minimum rate. Such
-// answers hold no request and no buffer of the node's, but the kernel holds their bytes, and goes on sending
-// them for a while.
+// retireSlowReaders closes the connections whose clients read a finished response below the minimum rate. Such a
+// response occupies no request and no buffer of the node, but the kernel buffers its bytes and continues to send them
+// for a while after the close.
 func (s *Server) retireSlowReaders() {
 	for _, c := range s.slowReaders() {
-		s.reportSlowClient(slowpeer.ClientReads, c, c.slowReader)
+		s.reportSlowClient(slowpeer.ClientReadsSlowly, c, c.slowReader)
 	}
 }
 
 func (s *Server) slowReaders() (slow []*conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pressure := s.limits.Pace.Full(s.open, s.limits.ClientConns)
+	pressure := s.limits.SlowPeers.Pressure(s.open, s.limits.ClientConns)
 	for c := range s.conns {
-		if !c.unreadAnswer {
+		if !c.unreadResponse {
 			continue
 		}
 		c.Tighten(pressure)
 		unacknowledged, tooSlow := c.Unacknowledged()
 		switch {
 		case unacknowledged == 0:
-			c.unreadAnswer = false
+			c.unreadResponse = false
 		case tooSlow != nil && (c.phase == idle || c.phase == reading):
 			c.slowReader = tooSlow
 			slow = append(slow, c)
@@ -134,14 +135,14 @@
 	return slow
 }
 
-// OpenConns is how many connections are open.
+// OpenConns returns the number of open connections.
 func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// LastActive is when a connection was last accepted, or a request last began or ended.
+// LastActive returns when a connection was last accepted or a request last started or ended.
 func (s *Server) LastActive() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/inventory/source_test.go
+++ b/internal/inventory/source_test.go
@@ -37,21 +37,21 @@
   status: draining
 `
 
-// Both forms give the same rows.
-func TestCSVAndYAMLGiveTheSameRows(t *testing.T) {
-	want := []node.Entry{
+// Equivalent CSV and YAML files result in the same endpoints.
+func TestCSVAndYAMLGiveSameEndpoints(t *testing.T) {
+	want := []node.Endpoint{
 		{Name: "s-1", Address: "127.0.0.1:9001", Zone: "tallinn", Kind: "type-a", Group: 1, Status: "ready", Weight: 1},
 		{Name: "s-2", Address: "127.0.0.1:9002", Zone: "tartu", Kind: "type-b", Group: 2, Status: "draining", Weight: 1}}
 	for name, text := range map[string]string{"a.csv": asCSV, "a.yaml": asYAML, "a.YML": asYAML} {
-		got, err := Parse(name, []byte(text), names, testenv.Lim)
+		got, err := Parse(name, []byte(text), names, testenv.Limits)
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %+v %v", name, got, err)
+			t.Errorf("%s: got %+v, %v", name, got, err)
 		}
 	}
 }
 
-// A bad row is refused with its line.
-func TestBadRowIsRejectedWithItsLine(t *testing.T) {
+// An invalid row is rejected with an error that names its line.
+func TestInvalidRowIsRejectedWithLine(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		line       int
@@ -73,16 +73,16 @@
 		{"a.yaml", strings.Replace(asYAML, "  zone:", "  hall:", 1), 4, "hall"},
 		{"a.yaml", "boxes: 3", 1, "list"},
 	} {
-		_, err := Parse(c.name, []byte(c.text), names, testenv.Lim)
+		_, err := Parse(c.name, []byte(c.text), names, testenv.Limits)
 		var re *RowError
 		if !errors.As(err, &re) || re.Line != c.line || !strings.Contains(err.Error(), c.about) {
-			t.Errorf("%v, want line %d about %s\n%s", err, c.line, c.about, c.text)
+			t.Errorf("got error %v, want line %d and %q, file:\n%s", err, c.line, c.about, c.text)
 		}
 	}
 }
 
-// Garbage gives rows that are whole, or an error.
-func TestCorruptedFileGivesWholeRowsOrAnError(t *testing.T) {
+// A corrupted file results in complete rows or an error.
+func TestCorruptedFileGivesCompleteRowsOrError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name, text := "a.csv", asCSV
 		if rapid.Bool().Draw(t, "yaml") {
@@ -92,7 +92,7 @@
 		for range rapid.IntRange(1, 5).Draw(t, "hits") {
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
-		rows, err := Parse(name, b[:rapid.IntRange(0, len(b)).Draw(t, "cut")], names, testenv.Lim)
+		rows, err := Parse(name, b[:rapid.IntRange(0, len(b)).Draw(t, "cut")], names, testenv.Limits)
 		for _, r := range rows {
 			if err != nil || r.Name == "" || r.Address == "" || r.Status != "ready" && r.Status != "draining" {
 				t.Fatal(rows, err)
@@ -101,8 +101,8 @@
 	})
 }
 
-// A change of the file is delivered; a bad one is not, and leaves the former list in use.
-func TestChangeOfFileIsDelivered(t *testing.T) {
+// A valid change of the file is delivered. An invalid change is not, and the previous list stays in use.
+func TestFileChangeIsDelivered(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boxes.csv")
 	write := func(text string) {
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
@@ -112,19 +112,19 @@
 			t.Fatal(err)
 		}
 	}
-	lim := testenv.Lim
-	lim.InventoryLook = time.Millisecond
+	lim := testenv.Limits
+	lim.InventoryCheckInterval = time.Millisecond
 	write(strings.SplitAfter(asCSV, "\n")[1])
-	s := &testenv.Lists{}
-	if _, err := Open(path, names, lim, s, nil, testenv.Quiet); err != nil {
-		t.Errorf("a header alone is an empty list: %v", err)
+	s := &testenv.ListRecorder{}
+	if _, err := Open(path, names, lim, s, nil, testenv.DiscardLog); err != nil {
+		t.Errorf("file with only a header, want an empty list: %v", err)
 	}
 	write("name,address,zone,type,group,status\nx,,,,,\n")
-	if _, err := Open(path, names, lim, s, nil, testenv.Quiet); err == nil {
-		t.Error("a bad row at the start")
+	if _, err := Open(path, names, lim, s, nil, testenv.DiscardLog); err == nil {
+		t.Error("Open accepted a file with an invalid row")
 	}
 	write(asCSV)
-	src, err := Open(path, names, lim, s, nil, testenv.Quiet)
+	src, err := Open(path, names, lim, s, nil, testenv.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,21 +132,21 @@
 	var g errgroup.Group
 	g.Go(func() error { return src.Run(ctx) })
 	defer func() { cancel(); _ = g.Wait() }()
-	until := func(what string, ok func([]node.List) bool) {
+	until := func(what string, ok func([]node.EndpointList) bool) {
 		t.Helper()
 		testenv.Until(t, what, func() bool { return ok(s.All()) })
 	}
 	src.Watch(true)
-	until("the list", func(l []node.List) bool { return len(l) == 1 && len(l[0].Entries) == 2 })
+	until("the list", func(l []node.EndpointList) bool { return len(l) == 1 && len(l[0].Entries) == 2 })
 	write(strings.Replace(asCSV, "tartu", "riga", 1))
 	write(strings.Replace(asCSV, "s-1", "", 1))
 	write(strings.Replace(asCSV, "draining", "ready", 1))
-	until("the change", func(l []node.List) bool {
+	until("the change", func(l []node.EndpointList) bool {
 		return len(l) == 2 && len(l[1].Entries) == 2 && l[1].Entries[1].Status == "ready"
 	})
 }
 
-// store stands for the nodes' store.
+// store is an in-memory Store.
 type store struct {
 	mu    sync.Mutex
 	value []byte
@@ -165,18 +165,18 @@
 	return k.value, k.value != nil
 }
 
-// stuck is a store without a leader: a call lasts until it is given up.
+// stuck is a store without a leader: Put blocks until its context ends.
 type stuck struct{ store }
 
 func (*stuck) Put(ctx context.Context, _, _ string, _ []byte) error { <-ctx.Done(); return ctx.Err() }
 
-// A store that does not answer holds up nothing of what the file tells: a drain must be delivered at once.
-func TestStoreWithoutLeaderDelaysNothing(t *testing.T) {
-	path, s := filepath.Join(t.TempDir(), "boxes.csv"), &testenv.Lists{}
+// A store that does not respond does not delay changes of the file: a drain must be delivered at once.
+func TestStoreWithoutLeaderDoesNotDelayFileChanges(t *testing.T) {
+	path, s := filepath.Join(t.TempDir(), "boxes.csv"), &testenv.ListRecorder{}
 	if err := os.WriteFile(path, []byte(asCSV), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	src, err := Open(path, names, testenv.Lim, s, &stuck{}, testenv.Quiet)
+	src, err := Open(path, names, testenv.Limits, s, &stuck{}, testenv.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,21 +195,20 @@
 	})
 }
 
-// With a store, what one node takes in reaches the others; rows of the store that can not be used leave the list
-// as it was.
-func TestLaterRowsReachOtherNodes(t *testing.T) {
-	lim := testenv.Lim
-	lim.InventoryLook = time.Millisecond
+// With a store, a later inventory of one node reaches the others. Invalid rows in the store leave the list unchanged.
+func TestLaterInventoryReachesOtherNodes(t *testing.T) {
+	lim := testenv.Limits
+	lim.InventoryCheckInterval = time.Millisecond
 	k := &store{}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
 	defer func() { cancel(); _ = g.Wait() }()
-	begin := func(text string, at time.Time) (string, *testenv.Lists) {
-		path, s := filepath.Join(t.TempDir(), "boxes.csv"), &testenv.Lists{}
+	startNode := func(text string, at time.Time) (string, *testenv.ListRecorder) {
+		path, s := filepath.Join(t.TempDir(), "boxes.csv"), &testenv.ListRecorder{}
 		if err := errors.Join(os.WriteFile(path, []byte(text), 0o600), os.Chtimes(path, at, at)); err != nil {
 			t.Fatal(err)
 		}
-		src, err := Open(path, names, lim, s, k, testenv.Quiet)
+		src, err := Open(path, names, lim, s, k, testenv.DiscardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -217,14 +216,14 @@
 		src.Watch(true)
 		return path, s
 	}
-	last := func(s *testenv.Lists, rows int) func() bool {
+	last := func(s *testenv.ListRecorder, rows int) func() bool {
 		return func() bool { l := s.All(); return len(l) > 0 && len(l[len(l)-1].Entries) == rows }
 	}
 	now := time.Now()
 	short := strings.Join(strings.SplitAfter(asCSV, "\n")[:3], "")
-	path, a := begin(asCSV, now.Add(-time.Hour))
+	path, a := startNode(asCSV, now.Add(-time.Hour))
 	testenv.Until(t, "its own rows", last(a, 2))
-	_, b := begin(short, now.Add(-time.Minute))
+	_, b := startNode(short, now.Add(-time.Minute))
 	testenv.Until(t, "the later rows of another", last(a, 1))
 	k.mu.Lock()
 	k.value = []byte(`{"at":` + strconv.FormatInt(now.UnixMilli(), 10) + `,"rows":[{"Name":"s-9"}]}`)
@@ -234,20 +233,20 @@
 		t.Fatal(err)
 	}
 	testenv.Until(t, "the newest rows at both", func() bool { return last(a, 3)() && last(b, 3)() })
-	for _, s := range []*testenv.Lists{a, b} {
+	for _, s := range []*testenv.ListRecorder{a, b} {
 		for _, l := range s.All() {
 			for _, e := range l.Entries {
 				if e.Name == "s-9" {
-					t.Error("a bad row of the store was taken over")
+					t.Error("an invalid row of the store was adopted")
 				}
 			}
 		}
 	}
 }
 
-// The inventory in the store is stored data: other versions of the program read it by these keys.
-func TestStoredInventoryKeepsItsForm(t *testing.T) {
-	entries, err := Parse("a.csv", []byte(asCSV), names, testenv.Lim)
+// The encoding of the inventory in the store is stable, since other versions of the program read it.
+func TestStoredInventoryEncodingIsStable(t *testing.T) {
+	entries, err := Parse("a.csv", []byte(asCSV), names, testenv.Limits)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -261,6 +260,6 @@
 		`{"Name":"s-2","Address":"127.0.0.1:9002","Zone":"tartu","Kind":"type-b","Group":2,"Status":"draining",` +
 		`"Weight":1,"SinceMS":0}]}`
 	if string(got) != want {
-		t.Errorf("%s\nwant %s", got, want)
+		t.Errorf("got encoding %s\nwant %s", got, want)
 	}
 }
--- a/internal/leaseholder/fence_test.go
+++ b/internal/leaseholder/fence_test.go
@@ -16,11 +16,11 @@
 	"gatetack/internal/testenv"
 )
 
-// benchmarkClients is how many clients write at a time.
+// benchmarkClients is the number of clients that write concurrently.
 const benchmarkClients = 16
 
-// BenchmarkFence writes what a submission does, the two records of a job, to a store of three members on this
-// machine's disk: as the store takes it, and under a partition's epoch.
+// BenchmarkFence writes the two records of a submitted job to a store of three members on this machine's disk, without
+// fencing and under the epoch of a partition.
 func BenchmarkFence(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	var running sync.WaitGroup
@@ -51,7 +51,7 @@
 
 // startMembers starts a store of three members and returns one of them.
 func startMembers(ctx context.Context, b *testing.B, running *sync.WaitGroup) *store.Store {
-	ports, err := testenv.Ports(3)
+	ports, err := testenv.FreeAddrs(3)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -70,20 +70,20 @@
 	return started[0]
 }
 
-// benchmarkWrites writes b.N jobs by benchmarkClients clients, and reports their rate and latency.
+// benchmarkWrites writes b.N jobs with benchmarkClients clients and reports the rate and latency of the writes.
 func benchmarkWrites(ctx context.Context, b *testing.B, to jobstore.Store, nextKey func() string) {
 	var mu sync.Mutex
-	var took []time.Duration
+	var latencies []time.Duration
 	var clients sync.WaitGroup
 	keys := make(chan string)
 	for range benchmarkClients {
 		clients.Go(func() {
 			for key := range keys {
-				began := time.Now()
+				startedAt := time.Now()
 				err := to.Write(ctx, jobstore.Change{Kind: "job", Key: key, Value: make([]byte, 600)},
 					jobstore.Change{Kind: "open", Key: key, Value: []byte(key)})
 				mu.Lock()
-				took = append(took, time.Since(began))
+				latencies = append(latencies, time.Since(startedAt))
 				if err != nil {
 					b.Error(err)
 				}
@@ -96,8 +96,8 @@
 	}
 	close(keys)
 	clients.Wait()
-	slices.Sort(took)
+	slices.Sort(latencies)
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "writes/s")
-	b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "median-ms")
-	b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
+	b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds())/1000, "median-ms")
+	b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds())/1000, "p99-ms")
 }
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -6,35 +6,36 @@
 	"gatetack/internal/dispatch"
 )
 
-// execute carries out one action of the module.
+// execute carries out one action of the dispatch module.
 func (c *Core) execute(a *dispatch.Action, now time.Time) {
 	switch a.Kind {
 	case dispatch.ActSend:
 		c.send(a, now)
 	case dispatch.ActReject:
-		c.answerByID(a.Job, Answer{End: Refused, RetryAfter: Span(a.For), Why: "no room for it in time"})
+		c.answerByID(a.Job, Answer{End: Rejected, RetryAfter: FromMs(a.Delay), Reason: "no room for it in time"})
 	case dispatch.ActFail:
-		c.answerByID(a.Job, Answer{End: Failed, Why: "it may have run, and can not be tried again in time"})
+		c.answerByID(a.Job, Answer{End: Failed, Reason: "it may have run, and can not be tried again in time"})
 	case dispatch.ActCancel:
 		c.cancel(a, now)
 	case dispatch.ActTimer:
-		c.startTimer(now.Add(Span(a.For)), moduleTimer(a.Token))
+		c.startTimer(now.Add(FromMs(a.Delay)), moduleTimer(a.Token))
 	case dispatch.ActHealthCheck:
-		c.carriers.executors.Probe(a.Executor)
+		c.adapters.executors.CheckHealth(a.Executor)
 	case dispatch.ActClose:
-		c.carriers.executors.CloseIdle(a.Executor)
+		c.adapters.executors.CloseIdle(a.Executor)
 	case dispatch.ActPollList:
-		c.carriers.endpoints.Watch(a.On)
+		c.adapters.endpoints.Watch(a.Subscribe)
 	case dispatch.ActFetch:
-		c.carriers.endpoints.Fetch()
+		c.adapters.endpoints.Fetch()
 	case dispatch.ActGossip:
-		c.carriers.peers.Tell(a.To, a.Data)
+		c.adapters.peers.SendGossip(a.To, a.Data)
 	case dispatch.ActLog:
 		c.log.Info("dispatch module", "message", a.Text)
 	}
 }
 
-// send starts a job's next attempt. One that can't be sent any more ends at once.
+// send starts the job's next attempt. The attempt ends at once as canceled before send if the job is answered, the
+// executor is no longer listed, or no time is left.
 func (c *Core) send(a *dispatch.Action, now time.Time) {
 	j := c.jobs.byID[a.Job]
 	if j == nil {
@@ -43,9 +44,9 @@
 	rules := j.retryRules()
 	attempt := c.jobs.addAttempt(j, a.Executor, now)
 	endpoint, listed := c.endpoints.byID[a.Executor]
-	until := j.deadline.Add(-c.limits.AnswerEarly)
-	if a.For > 0 {
-		until = earlier(until, now.Add(Span(a.For)))
+	until := j.deadline.Add(-c.limits.ResponseMargin)
+	if a.Delay > 0 {
+		until = earlier(until, now.Add(FromMs(a.Delay)))
 	}
 	if j.answered.Load() || !listed || !until.After(now) {
 		c.finish(attempt, dispatch.CanceledBeforeSend, nil, nil, now)
@@ -54,14 +55,14 @@
 	c.counters.Sends++
 	j.client.Sent(endpoint.Name)
 	c.startTimer(until, attemptTimeout(attempt.id))
-	c.carriers.executors.Send(Attempt{
-		ID:       attempt.id,
-		Worker:   a.Executor,
-		Deadline: until,
-		Job:      &j.request,
-		Answered: &j.answered,
-		Born:     endpoint.SinceMS,
-		Rules:    rules,
+	c.adapters.executors.Send(Attempt{
+		ID:                attempt.id,
+		Executor:          a.Executor,
+		Deadline:          until,
+		Job:               &j.request,
+		Answered:          &j.answered,
+		ExecutorStartedAt: endpoint.StartedAtMs,
+		Rules:             rules,
 	})
 }
 
@@ -72,7 +73,7 @@
 		return
 	}
 	if attempt := j.attempts[a.Attempt]; !attempt.ended {
-		c.carriers.executors.GiveUp(attempt.id)
-		c.finish(attempt, dispatch.Cancelled, nil, nil, now)
+		c.adapters.executors.Cancel(attempt.id)
+		c.finish(attempt, dispatch.Canceled, nil, nil, now)
 	}
 }
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -21,26 +21,26 @@
 
 func settings() dispatch.Settings {
 	return dispatch.Settings{
-		Nodes:            1,
-		Step:             4,
-		PollsList:        true,
-		Telemetry:        dispatch.ReportAnswers,
-		Fields:           []dispatch.Field{dispatch.FieldPending, dispatch.FieldFree},
-		NotesStart:       true,
-		ProgressInterval: 1000,
-		MaxAttempts:      3,
-		HedgingAllowed:   true,
-		CancelAllowed:    true,
-		Multiplex:        1,
-		ConnIdle:         60000,
-		ConnectTimeout:   250,
-		MaxRetryAfter:    2000,
-		PollWithin:       10000,
-		DrainGrace:       500,
-		OverloadMultiple: 2.5,
-		OverloadWindow:   2000,
-		SlowStartFrom:    0.3,
-		SlowStartWithin:  8400,
+		Nodes:                1,
+		MinStepInterval:      4,
+		PollsList:            true,
+		Telemetry:            dispatch.ReportAnswers,
+		ReportFields:         []dispatch.ReportField{dispatch.FieldPending, dispatch.FieldFree},
+		StartNotifications:   true,
+		ProgressInterval:     1000,
+		MaxAttempts:          3,
+		HedgingAllowed:       true,
+		CancelAllowed:        true,
+		MaxConcurrentStreams: 1,
+		ConnIdleTimeout:      60000,
+		ConnectTimeout:       250,
+		MaxRetryAfter:        2000,
+		MaxPollInterval:      10000,
+		DrainGrace:           500,
+		OverloadMultiple:     2.5,
+		OverloadWindow:       2000,
+		SlowStartMinShare:    0.3,
+		MaxSlowStartDuration: 8400,
 		Classes: []dispatch.Class{
 			{Objective: 400, ObjectivePerWork: 2, Deadline: 7500, PriorityWeight: 8, RetrySafety: dispatch.AtMostOnce, Kind: -1},
 			{
@@ -49,8 +49,8 @@
 				Deadline:         25000,
 				PriorityWeight:   24,
 				RetrySafety:      dispatch.Keyed,
-				Scope:            dispatch.ScopeCell,
-				Window:           40000,
+				DedupScope:       dispatch.ScopeCell,
+				DedupWindow:      40000,
 				Kind:             -1,
 			},
 		},
@@ -58,42 +58,44 @@
 	}
 }
 
-// host drives a core without its goroutine, on a clock of its own, and stands for all it speaks to.
-type fakeCarriers struct {
+// fakeAdapters drives a core without its goroutine, on a clock of its own, and implements all its adapters.
+type fakeAdapters struct {
 	core           *Core
 	now            time.Time
 	attempts       []Attempt
 	canceled       map[uint64]bool
-	sends          map[*Job][]uint32 // where each job went
+	sends          map[*Job][]uint32 // executors that each job was sent to
 	watches        int
 	endpointStatus map[string]string
 }
 
-func (h *fakeCarriers) Told(_ uint32, e Entry, _ time.Time) { h.endpointStatus[e.Name] = e.Status }
-func (h *fakeCarriers) Send(a Attempt) {
+func (h *fakeAdapters) UpdateEndpoint(_ uint32, e Endpoint, _ time.Time) {
+	h.endpointStatus[e.Name] = e.Status
+}
+func (h *fakeAdapters) Send(a Attempt) {
 	h.attempts = append(h.attempts, a)
-	h.sends[a.Job] = append(h.sends[a.Job], a.Worker)
+	h.sends[a.Job] = append(h.sends[a.Job], a.Executor)
 }
-func (h *fakeCarriers) GiveUp(id uint64)    { h.canceled[id] = true }
-func (h *fakeCarriers) Probe(uint32)        {}
-func (h *fakeCarriers) CloseIdle(uint32)    {}
-func (h *fakeCarriers) Watch(bool)          { h.watches++ }
-func (h *fakeCarriers) Fetch()              {}
-func (h *fakeCarriers) Tell(uint16, []byte) {}
+func (h *fakeAdapters) Cancel(id uint64)          { h.canceled[id] = true }
+func (h *fakeAdapters) CheckHealth(uint32)        {}
+func (h *fakeAdapters) CloseIdle(uint32)          {}
+func (h *fakeAdapters) Watch(bool)                { h.watches++ }
+func (h *fakeAdapters) Fetch()                    {}
+func (h *fakeAdapters) SendGossip(uint16, []byte) {}
 
 type fatal interface{ Fatal(...any) }
 
-func newFakeCarriers(t fatal, rows ...Entry) *fakeCarriers {
-	h := startFakeCarriers(t, rows...)
+func newFakeAdapters(t fatal, rows ...Endpoint) *fakeAdapters {
+	h := startFakeAdapters(t, rows...)
 	h.run(0)
 	return h
 }
 
-// startHost makes one that has taken in nothing yet.
-func startFakeCarriers(t fatal, rows ...Entry) *fakeCarriers {
-	h := &fakeCarriers{canceled: map[uint64]bool{}, sends: map[*Job][]uint32{}, endpointStatus: map[string]string{}}
-	c, err := New(settings(), 1, List{Entries: rows}, Names{Zones: []string{"tallinn"}, Kinds: []string{"type-a"}}, lim,
-		slog.New(slog.NewTextHandler(io.Discard, nil)))
+// startFakeAdapters returns adapters of a core that has not handled any event yet.
+func startFakeAdapters(t fatal, rows ...Endpoint) *fakeAdapters {
+	h := &fakeAdapters{canceled: map[uint64]bool{}, sends: map[*Job][]uint32{}, endpointStatus: map[string]string{}}
+	c, err := New(settings(), 1, EndpointList{Entries: rows},
+		Names{Zones: []string{"tallinn"}, Kinds: []string{"type-a"}}, lim, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,8 +105,8 @@
 	return h
 }
 
-// run lets time pass in small steps and takes in what is queued.
-func (h *fakeCarriers) run(d time.Duration) {
+// run advances the time in small steps and handles queued events.
+func (h *fakeAdapters) run(d time.Duration) {
 	for end := h.now.Add(d); ; h.now = h.now.Add(2 * time.Millisecond) {
 		for len(h.core.intake.events) > 0 {
 			h.core.handle(<-h.core.intake.events)
@@ -116,11 +118,12 @@
 	}
 }
 
-func readyEndpoint(name string) Entry {
-	return Entry{Name: name, Address: "127.0.0.1:1", Zone: "tallinn", Kind: "type-a", Group: 1, Status: "ready", Weight: 1}
+func readyEndpoint(name string) Endpoint {
+	return Endpoint{
+		Name: name, Address: "127.0.0.1:1", Zone: "tallinn", Kind: "type-a", Group: 1, Status: "ready", Weight: 1}
 }
 
-// client counts what a job's client is told.
+// recordingClient records the notifications of a job's client.
 type recordingClient struct {
 	answers                 []Answer
 	sent, started, returned int
@@ -129,18 +132,18 @@
 
 func (c *recordingClient) Sent(string)   { c.sent++ }
 func (c *recordingClient) Started()      { c.started++ }
-func (c *recordingClient) Returned(bool) { c.returned++ }
+func (c *recordingClient) Requeued(bool) { c.returned++ }
 func (c *recordingClient) Answer(a Answer) {
 	if c.answers = append(c.answers, a); len(c.answers) > 1 {
-		c.t.Fatal("a second answer", c.answers)
+		c.t.Fatal("the client got a second answer:", c.answers)
 	}
 }
 
-// A tile-charge that may have run is never sent again, and is failed at once: its client must not be held.
+// An at-most-once job that may have run is not sent again. It fails at once instead of keeping its client waiting.
 func TestTileChargeRunsOnce(t *testing.T) {
 	for _, o := range []dispatch.Outcome{dispatch.Errored, dispatch.Reset} {
-		h, cl := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
-		if _, err := h.core.Submit(Job{Left: 7500 * time.Millisecond, Slots: 1, Trace: "a"}, cl); err != nil {
+		h, cl := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
+		if _, err := h.core.Submit(Job{TimeLeft: 7500 * time.Millisecond, Slots: 1, TraceID: "a"}, cl); err != nil {
 			t.Fatal(err)
 		}
 		h.run(10 * time.Millisecond)
@@ -150,24 +153,24 @@
 		h.core.Result(Result{Attempt: h.attempts[0].ID, Outcome: o})
 		h.run(50 * time.Millisecond)
 		if len(h.attempts) != 1 || len(cl.answers) != 1 || cl.answers[0].End != Failed {
-			t.Errorf("after %d: %d sends, answers %v", o, len(h.attempts), cl.answers)
+			t.Errorf("outcome %d: %d sends, answers %v, want one send and a failure", o, len(h.attempts), cl.answers)
 		}
 	}
 }
 
-// A box that has been told to drain, or is missing from a whole list, gets nothing new.
-func TestListsReachTheModule(t *testing.T) {
-	h := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2"))
+// An executor that is draining, or that a snapshot of the endpoint list does not contain, gets no new jobs.
+func TestDrainingAndUnlistedExecutorsGetNoJobs(t *testing.T) {
+	h := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2"))
 	if !h.core.Ready() || h.watches != 1 {
-		t.Fatalf("ready %v, %d watches", h.core.Ready(), h.watches)
+		t.Fatalf("ready %v, %d watches, want ready after one watch", h.core.Ready(), h.watches)
 	}
 	gone := readyEndpoint("s-1")
 	gone.Status = "draining"
-	h.core.List(List{Form: dispatch.ListDelta, Entries: []Entry{gone}})
+	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListDelta, Entries: []Endpoint{gone}})
 	h.run(10 * time.Millisecond)
 	for i := range 4 {
 		if _, err := h.core.Submit(
-			Job{Left: 7500 * time.Millisecond, Slots: 1, Trace: string(rune('a' + i))},
+			Job{TimeLeft: 7500 * time.Millisecond, Slots: 1, TraceID: string(rune('a' + i))},
 			&recordingClient{t: t},
 		); err != nil {
 			t.Fatal(err)
@@ -175,60 +178,62 @@
 	}
 	h.run(20 * time.Millisecond)
 	if len(h.attempts) == 0 {
-		t.Fatal("nothing was sent")
+		t.Fatal("no job was sent")
 	}
 	for _, a := range h.attempts {
-		if a.Worker == WorkerID("s-1") {
-			t.Error("a draining box got a job")
+		if a.Executor == ExecutorID("s-1") {
+			t.Error("a draining executor got a job")
 		}
 	}
-	h.core.List(List{Form: dispatch.ListSnapshot, Entries: []Entry{gone}})
+	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{gone}})
 	h.run(10 * time.Millisecond)
 	if h.endpointStatus["s-2"] != "gone" || h.core.Ready() {
-		t.Errorf("a box that a whole list lacks is %q; ready %v", h.endpointStatus["s-2"], h.core.Ready())
+		t.Errorf("status of an executor that the snapshot does not contain: %q, ready %v; want gone, not ready",
+			h.endpointStatus["s-2"], h.core.Ready())
 	}
-	h.core.List(List{Form: dispatch.ListFailed})
+	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListFailed})
 	h.run(3 * time.Second)
 	if h.watches < 2 {
-		t.Error("a failed watch was not begun anew")
+		t.Error("a failed watch was not restarted")
 	}
 }
 
-// A second job of an id that is open fails: callbacks name a job by its id alone.
-func TestIDsAreNotShared(t *testing.T) {
-	h, first, second := newFakeCarriers(t, readyEndpoint("s-1")), &recordingClient{t: t}, &recordingClient{t: t}
+// A second job with the trace ID of an open job fails, since callbacks name a job by its trace ID alone.
+func TestDuplicateTraceIDFails(t *testing.T) {
+	h, first, second := newFakeAdapters(t, readyEndpoint("s-1")), &recordingClient{t: t}, &recordingClient{t: t}
 	for _, cl := range []*recordingClient{first, second} {
-		if _, err := h.core.Submit(Job{Left: time.Second, Slots: 1, Trace: "a"}, cl); err != nil {
+		if _, err := h.core.Submit(Job{TimeLeft: time.Second, Slots: 1, TraceID: "a"}, cl); err != nil {
 			t.Fatal(err)
 		}
 	}
 	h.run(10 * time.Millisecond)
 	if len(second.answers) != 1 || second.answers[0].End != Failed || len(first.answers) != 0 || len(h.attempts) != 1 {
-		t.Errorf("first %v, second %v, %d sends", first.answers, second.answers, len(h.attempts))
+		t.Errorf("first job: %v, second job: %v, %d sends; want only the second answered, as failed",
+			first.answers, second.answers, len(h.attempts))
 	}
 }
 
-// A full queue is answered, not blocked on and not dropped.
-func TestFullQueue(t *testing.T) {
+// A job that finds the event queue full is answered with an error: Submit neither blocks nor drops it.
+func TestSubmitWithFullQueue(t *testing.T) {
 	small := lim
 	small.Events = 2
-	c, err := New(settings(), 1, List{}, Names{}, small, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c, err := New(settings(), 1, EndpointList{}, Names{}, small, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err = c.Submit(Job{Trace: "a"}, &recordingClient{t: t}); err != nil {
+	if _, err = c.Submit(Job{TraceID: "a"}, &recordingClient{t: t}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err = c.Submit(Job{Trace: "b"}, &recordingClient{t: t}); !errors.Is(err, ErrFull) || c.Open() != 1 {
-		t.Errorf("%v, %d open", err, c.Open())
+	if _, err = c.Submit(Job{TraceID: "b"}, &recordingClient{t: t}); !errors.Is(err, ErrQueueFull) || c.Open() != 1 {
+		t.Errorf("got %v with %d open jobs, want ErrQueueFull with 1", err, c.Open())
 	}
 }
 
-// A list in discovery's form, cut or spoiled anywhere, gives a list or an error.
-func TestParseListOnGarbage(t *testing.T) {
+// An endpoint list that is truncated or corrupted at any position parses to a list or returns an error.
+func TestParseEndpointListOnCorruptInput(t *testing.T) {
 	good := `{"index":41,"snapshot":true,"endpoints":[{"name":"s-5be2a07c","address":"10.1.0.18:8443","zone":"a",` +
 		`"type":"m2","group":3,"status":"ready","weight":1.0,"since_ms":0}]}`
-	l, err := ParseList(gjson.Parse(good))
+	l, err := ParseEndpointList(gjson.Parse(good))
 	if err != nil || l.Index != 41 || l.Form != dispatch.ListSnapshot || len(l.Entries) != 1 || l.Entries[0].Group != 3 {
 		t.Fatalf("%+v %v", l, err)
 	}
@@ -237,17 +242,18 @@
 		for range rapid.IntRange(1, 5).Draw(t, "hits") {
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
-		l, err := ParseList(gjson.ParseBytes(b[:rapid.IntRange(0, len(b)).Draw(t, "cut")]))
+		l, err := ParseEndpointList(gjson.ParseBytes(b[:rapid.IntRange(0, len(b)).Draw(t, "cut")]))
 		for _, e := range l.Entries {
 			if err == nil && e.Name == "" {
-				t.Fatal("an entry without a name")
+				t.Fatal("an entry without a name was accepted")
 			}
 		}
 	})
 }
 
-// Values come in the settings' order, by the names of either page; without any there is no report.
-func TestReport(t *testing.T) {
+// The values of a load report are returned in the order of the settings, whichever of its two names a field has.
+// Without any known field there is no report.
+func TestLoadReport(t *testing.T) {
 	n := Names{Fields: []string{"pending", "x0"}}
 	for _, c := range []struct {
 		in   map[string]float64
@@ -257,25 +263,25 @@
 		{map[string]float64{"x0": 3, "pending": 2}, []float32{2, 3}},
 		{nil, nil},
 	} {
-		got := n.Report(func(name string) (float64, bool) { v, ok := c.in[name]; return v, ok })
+		got := n.LoadReport(func(name string) (float64, bool) { v, ok := c.in[name]; return v, ok })
 		if len(got) != len(c.want) || len(got) == 2 && (got[0] != c.want[0] || got[1] != c.want[1]) {
-			t.Errorf("%v: %v", c.in, got)
+			t.Errorf("report of %v: got %v", c.in, got)
 		}
 	}
 }
 
-// Two copies that are both served at the same moment give one answer: without the guard in Core.answer the client
-// would get a second one, and the counts would be wrong.
-func TestTwoCopiesOneAnswer(t *testing.T) {
-	h, cl := newFakeCarriers(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
-	id, err := h.core.Submit(Job{Class: 1, Left: 25 * time.Second, Slots: 1, Trace: "a"}, cl)
+// Two hedged attempts that are both served at the same moment lead to one answer. Without the guard in Core.answer the
+// client would get a second answer, and the counts would be wrong.
+func TestHedgedAttemptsGiveOneAnswer(t *testing.T) {
+	h, cl := newFakeAdapters(t, readyEndpoint("s-1"), readyEndpoint("s-2")), &recordingClient{t: t}
+	id, err := h.core.Submit(Job{Class: 1, TimeLeft: 25 * time.Second, Slots: 1, TraceID: "a"}, cl)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.run(10 * time.Millisecond)
-	other := WorkerID("s-1")
-	if h.attempts[0].Worker == other {
-		other = WorkerID("s-2")
+	other := ExecutorID("s-1")
+	if h.attempts[0].Executor == other {
+		other = ExecutorID("s-2")
 	}
 	h.core.execute(&dispatch.Action{Kind: dispatch.ActSend, Job: id, Executor: other}, h.now)
 	if len(h.attempts) != 2 {
@@ -284,88 +290,90 @@
 	for _, a := range h.attempts {
 		h.core.Result(Result{Attempt: a.ID, Outcome: dispatch.Served, Body: []byte("tile")})
 	}
-	h.core.Gone(id) // and the client leaves as its answer is on the way
+	h.core.ClientGone(id) // the client leaves while its answer is on the way
 	h.run(50 * time.Millisecond)
-	if n := h.core.counters.Counts; len(cl.answers) != 1 || n.Served != 1 || n.Gone != 0 || h.core.Open() != 0 ||
+	if n := h.core.counters.Counts; len(cl.answers) != 1 || n.Served != 1 || n.ClientsGone != 0 || h.core.Open() != 0 ||
 		len(h.core.jobs.byID) != 0 {
-		t.Errorf("answers %v, counts %+v, %d open", cl.answers, n, h.core.Open())
+		t.Errorf("answers %v, counts %+v, %d open; want one answer and no open job", cl.answers, n, h.core.Open())
 	}
 }
 
-// An attempt of which nothing is heard ends as timed out, is given up, and the job is failed while its client
-// still waits; the module's own word comes before the core's last resort.
-func TestTimeOut(t *testing.T) {
-	h, cl := newFakeCarriers(t, readyEndpoint("s-1")), &recordingClient{t: t}
-	if _, err := h.core.Submit(Job{Left: time.Second, Slots: 1, Trace: "a"}, cl); err != nil {
+// An attempt without any response times out and is canceled, and its job fails before its client's deadline. The
+// module's decision comes before the core's own fallback.
+func TestAttemptTimeout(t *testing.T) {
+	h, cl := newFakeAdapters(t, readyEndpoint("s-1")), &recordingClient{t: t}
+	if _, err := h.core.Submit(Job{TimeLeft: time.Second, Slots: 1, TraceID: "a"}, cl); err != nil {
 		t.Fatal(err)
 	}
 	h.run(960 * time.Millisecond)
 	if len(cl.answers) != 0 || len(h.attempts) != 1 {
-		t.Fatalf("too early: %v, %d sends", cl.answers, len(h.attempts))
+		t.Fatalf("before the time-out: answers %v, %d sends, want no answer and one send", cl.answers, len(h.attempts))
 	}
 	h.run(25 * time.Millisecond)
 	if len(cl.answers) != 1 || cl.answers[0].End != Failed || !h.canceled[h.attempts[0].ID] {
-		t.Errorf("15 ms before the client gives up: %v, given up %v", cl.answers, h.canceled)
+		t.Errorf("15 ms before the client's deadline: answers %v, canceled %v, want one failure and a cancel",
+			cl.answers, h.canceled)
 	}
 }
 
-// A node that may be killed any moment answers what came after its signal: unanswered, that would count as lost.
-// What nothing was sent of is refused, what came before may still be served, and nothing more is taken.
+// A process that may be killed at any moment answers the jobs that came after its signal, since a job without an
+// answer counts as lost. Jobs that were never sent are rejected, jobs that were sent before the signal may still be
+// served, and new jobs are rejected.
 func TestLeave(t *testing.T) {
-	h := newFakeCarriers(t, readyEndpoint("s-1"))
+	h := newFakeAdapters(t, readyEndpoint("s-1"))
 	submit := func(trace string) *recordingClient {
 		cl := &recordingClient{t: t}
-		if _, err := h.core.Submit(Job{Trace: trace, Left: 7 * time.Second, Slots: 1}, cl); err != nil {
+		if _, err := h.core.Submit(Job{TraceID: trace, TimeLeft: 7 * time.Second, Slots: 1}, cl); err != nil {
 			t.Fatal(err)
 		}
 		h.run(20 * time.Millisecond)
 		return cl
 	}
 	old := submit("old")
-	told := h.now
+	signaledAt := h.now
 	h.run(4 * time.Millisecond)
 	sent, held := submit("sent"), (*recordingClient)(nil)
 	for i := 0; held == nil; i++ {
 		if i > 20 {
-			t.Fatal("the module holds nothing: the test would show nothing")
+			t.Fatal("the module queued no job, so the test has no job that was never sent")
 		}
 		if cl := submit(string(rune('a' + i))); cl.sent == 0 && len(cl.answers) == 0 {
 			held = cl
 		}
 	}
 	if old.sent != 1 || sent.sent != 1 {
-		t.Fatalf("sent %d and %d, want one each: the test would show nothing", old.sent, sent.sent)
+		t.Fatalf("the jobs had %d and %d sends, want one each", old.sent, sent.sent)
 	}
-	h.core.Leave(told)
+	h.core.ShutDown(signaledAt)
 	h.run(20 * time.Millisecond)
 	late := submit("late")
-	for what, cl := range map[string]*recordingClient{"held": held, "late": late} {
-		if len(cl.answers) != 1 || cl.answers[0].End != Refused || cl.answers[0].RetryAfter <= 0 || cl.sent != 0 {
-			t.Errorf("%s: %+v, sent %d", what, cl.answers, cl.sent)
+	for name, cl := range map[string]*recordingClient{"held": held, "late": late} {
+		if len(cl.answers) != 1 || cl.answers[0].End != Rejected || cl.answers[0].RetryAfter <= 0 || cl.sent != 0 {
+			t.Errorf("%s: answers %+v after %d sends, want one rejection with a retry-after", name, cl.answers, cl.sent)
 		}
 	}
 	if len(sent.answers) != 1 || sent.answers[0].End != Failed {
-		t.Errorf("a job that may have run: %+v", sent.answers)
+		t.Errorf("a job that may have run: answers %+v, want a failure", sent.answers)
 	}
 	if len(old.answers) != 0 {
-		t.Fatalf("a job from before: %+v", old.answers)
+		t.Fatalf("a job that was sent before the signal: answers %+v, want none yet", old.answers)
 	}
 	h.core.Result(Result{Attempt: h.attempts[0].ID, Outcome: dispatch.Served, Body: []byte("tile")})
 	h.run(20 * time.Millisecond)
 	if len(old.answers) != 1 || old.answers[0].End != Served {
-		t.Errorf("a job from before that was served: %+v", old.answers)
+		t.Errorf("a job that was sent before the signal and served: answers %+v", old.answers)
 	}
 }
 
-// Where the operators' file bounds the jobs that one customer may have open, one more is turned away at once, others
-// are not, and an end makes room.
-func TestCustomersShare(t *testing.T) {
-	h := newFakeCarriers(t, readyEndpoint("s-1"))
-	h.core.limits.Pace.Requests = 2
+// With a limit on the open jobs of a tenant, one job beyond it is rejected at once, other tenants' jobs are accepted,
+// and an answered job frees its place.
+func TestTenantLimit(t *testing.T) {
+	h := newFakeAdapters(t, readyEndpoint("s-1"))
+	h.core.limits.SlowPeers.MaxCustomerRequests = 2
 	h.core.open.byTenant = make([]atomic.Int64, 2)
 	submit := func(id string, tenant int) (uint32, error) {
 		return h.core.Submit(
-			Job{Trace: id, Class: 1, Tenant: tenant, Left: 5 * time.Second, Slots: 1},
+			Job{TraceID: id, Class: 1, Tenant: tenant, TimeLeft: 5 * time.Second, Slots: 1},
 			&recordingClient{t: t},
 		)
 	}
@@ -377,40 +385,42 @@
 	if _, err := submit(
 		"c",
 		0,
-	); !errors.Is(err, ErrShare) || h.core.Open() != 2 ||
-		h.core.Slow().Count(slowpeer.ClientShare) != 1 {
-		t.Errorf("%v, %d open", err, h.core.Open())
+	); !errors.Is(err, ErrTenantLimit) || h.core.Open() != 2 ||
+		h.core.SlowPeers().Count(slowpeer.ClientOverShare) != 1 {
+		t.Errorf("got %v with %d open jobs, want ErrTenantLimit with 2", err, h.core.Open())
 	}
 	if _, err := submit("d", 1); err != nil {
-		t.Errorf("another customer: %v", err)
+		t.Errorf("another tenant's job: %v", err)
 	}
 	h.run(6 * time.Second)
 	if _, err := submit("e", 0); err != nil || h.core.Open() != 1 {
-		t.Errorf("after their ends: %v, %d open", err, h.core.Open())
+		t.Errorf("after the end of the first jobs: %v, %d open", err, h.core.Open())
 	}
 }
 
-// A node that starts while discovery is down is ready after a while, with no list or one that names nobody who takes
-// work; once a list of this life has come, that says.
-func TestReadyWithoutAList(t *testing.T) {
-	drains := readyEndpoint("s-1")
-	drains.Status = "draining"
-	for _, known := range [][]Entry{nil, {drains}} {
-		h := newFakeCarriers(t, known...)
+// A node that starts while discovery is down becomes ready after ReadyBy, with no cached list or with one that
+// contains no ready executor. Once discovery has sent a list to this process, that list determines whether the node is
+// ready.
+func TestReadyWithoutEndpointList(t *testing.T) {
+	draining := readyEndpoint("s-1")
+	draining.Status = "draining"
+	for _, known := range [][]Endpoint{nil, {draining}} {
+		h := newFakeAdapters(t, known...)
 		c := h.core
-		c.handle(endpointUpdate{List{Form: dispatch.ListFailed}})
-		h.now = c.clock.start.Add(c.limits.ReadyBy - 1)
+		c.handle(endpointUpdate{EndpointList{Form: dispatch.ListFailed}})
+		h.now = c.clock.start.Add(c.limits.ReadyTimeout - 1)
 		if c.Ready() {
-			t.Error("ready before")
+			t.Error("ready before ReadyBy")
 		}
 		if h.now = h.now.Add(1); !c.Ready() {
-			t.Error("not ready")
+			t.Error("not ready after ReadyBy")
 		}
-		if c.handle(endpointUpdate{List{Form: dispatch.ListSnapshot}}); c.Ready() {
-			t.Error("ready though the list names nobody")
+		if c.handle(endpointUpdate{EndpointList{Form: dispatch.ListSnapshot}}); c.Ready() {
+			t.Error("ready though the list is empty")
 		}
-		if c.handle(endpointUpdate{List{Form: dispatch.ListSnapshot, Entries: []Entry{readyEndpoint("s-1")}}}); !c.Ready() {
-			t.Error("not ready with a list")
+		if c.handle(endpointUpdate{
+			EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-1")}}}); !c.Ready() {
+			t.Error("not ready though the list contains a ready executor")
 		}
 	}
 }
--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -8,33 +8,33 @@
 	"gatetack/internal/slowpeer"
 )
 
-// counters are what the core's goroutine counts, and the slow peers that fronts and carriers count.
+// counters holds the counts of the core's goroutine, and the slow peers that fronts and adapters report.
 type counters struct {
 	Counts
-	slowPeers slowpeer.Tally
+	slowPeers slowpeer.Counters
 }
 
-// Counts are what the node did since its start. Both fronts show the same ones.
+// Counts is what the node has done since its start. Both fronts report the same counts.
 type Counts struct {
-	Taken, Served, Refused, Failed, Terminated, Gone int
-	Sends, Open, Queued, Running                     int
-	// Slow are the slow peers by kind, as JSON; see slowpeer.Tally.
-	Slow []byte
-	// Knows tells how current the node's knowledge is; see recovery.Knowledge.
-	Knows map[string]string
+	Accepted, Served, Rejected, Failed, Terminated, ClientsGone int
+	Sends, Open, Queued, Running                                int
+	// SlowPeers holds the slow peers by kind, as JSON; see slowpeer.Counters.
+	SlowPeers []byte
+	// Knowledge maps each kind of data to how current it is; see recovery.Knowledge.
+	Knowledge map[string]string
 }
 
-// JSON gives the counts as both fronts show them.
+// JSON returns the counts in the form in which both fronts report them.
 func (n Counts) JSON() []byte {
 	out := fmt.Appendf(nil, `{"taken":%d,"served":%d,"refused":%d,"failed":%d,"terminated":%d,"gone":%d,`+
-		`"sends":%d,"open":%d,"queued":%d,"running":%d`, n.Taken, n.Served, n.Refused, n.Failed, n.Terminated, n.Gone,
-		n.Sends, n.Open, n.Queued, n.Running)
-	if len(n.Slow) > 0 {
-		out = append(append(out, `,"slow":`...), n.Slow...)
+		`"sends":%d,"open":%d,"queued":%d,"running":%d`, n.Accepted, n.Served, n.Rejected, n.Failed, n.Terminated,
+		n.ClientsGone, n.Sends, n.Open, n.Queued, n.Running)
+	if len(n.SlowPeers) > 0 {
+		out = append(append(out, `,"slow":`...), n.SlowPeers...)
 	}
-	if len(n.Knows) > 0 {
-		knows, _ := json.Marshal(n.Knows)
-		out = append(append(out, `,"knows":`...), knows...)
+	if len(n.Knowledge) > 0 {
+		knowledge, _ := json.Marshal(n.Knowledge)
+		out = append(append(out, `,"knows":`...), knowledge...)
 	}
 	return append(out, '}')
 }
@@ -44,8 +44,8 @@
 	switch end {
 	case Served:
 		n.Served++
-	case Refused:
-		n.Refused++
+	case Rejected:
+		n.Rejected++
 	case Failed:
 		n.Failed++
 	case Terminated:
@@ -53,14 +53,14 @@
 	}
 }
 
-// Slow counts the slow peers that the core's carriers and fronts find; the counts show them.
-func (c *Core) Slow() *slowpeer.Tally { return &c.counters.slowPeers }
+// SlowPeers returns the counters to which adapters and fronts add slow peers. Counts reports them.
+func (c *Core) SlowPeers() *slowpeer.Counters { return &c.counters.slowPeers }
 
-// currentCounts adds to the counts what is open at this moment.
+// currentCounts returns the counts together with the jobs that are open, queued and running at the moment.
 func (c *Core) currentCounts(now time.Time) Counts {
 	counts := c.counters.Counts
-	counts.Slow = c.counters.slowPeers.JSON()
-	counts.Knows = c.endpoints.knowledge.Stages(c.clock.sinceStart(now))
+	counts.SlowPeers = c.counters.slowPeers.JSON()
+	counts.Knowledge = c.endpoints.knowledge.Stages(c.clock.sinceStart(now))
 	counts.Open = c.Open()
 	for _, j := range c.jobs.byID {
 		if !j.answered.Load() && j.inFlight > 0 {
--- a/internal/node/endpoint.go
+++ b/internal/node/endpoint.go
@@ -10,46 +10,47 @@
 	"gatetack/internal/dispatch"
 )
 
-// Entry is one executor in a list.
-type Entry struct {
+// Endpoint is the entry of one executor in an endpoint list.
+type Endpoint struct {
 	Name, Address, Zone, Kind string
 	Group                     int
 	Status                    string
 	Weight                    float64
-	SinceMS                   float64
+	StartedAtMs               float64
 }
 
-// List is what discovery or an inventory tells: the whole list or changes of it.
-type List struct {
+// EndpointList is an endpoint list from discovery or from an inventory: a snapshot or a delta.
+type EndpointList struct {
 	Form    dispatch.ListForm
 	Index   uint64
-	Entries []Entry
+	Entries []Endpoint
 }
 
-// ParseList reads a list in discovery's form. Form is full or delta.
-func ParseList(v gjson.Result) (List, error) {
-	l := List{Form: dispatch.ListDelta, Index: v.Get("index").Uint()}
+// ParseEndpointList parses a list in discovery's format. Its form is ListSnapshot or ListDelta.
+func ParseEndpointList(v gjson.Result) (EndpointList, error) {
+	l := EndpointList{Form: dispatch.ListDelta, Index: v.Get("index").Uint()}
 	if v.Get("snapshot").Bool() {
 		l.Form = dispatch.ListSnapshot
 	}
 	entries := v.Get("endpoints")
 	if !entries.IsArray() {
-		return l, errors.New("a list without endpoints")
+		return l, errors.New("endpoint list: endpoints is missing or not an array")
 	}
 	for i, e := range entries.Array() {
-		x := Entry{Name: e.Get("name").String(), Address: e.Get("address").String(), Zone: e.Get("zone").String(),
+		x := Endpoint{Name: e.Get("name").String(), Address: e.Get("address").String(), Zone: e.Get("zone").String(),
 			Kind: e.Get("type").String(), Group: int(e.Get("group").Int()), Status: e.Get("status").String(),
-			Weight: e.Get("weight").Float(), SinceMS: e.Get("since_ms").Float()}
+			Weight: e.Get("weight").Float(), StartedAtMs: e.Get("since_ms").Float()}
 		if x.Name == "" {
-			return l, fmt.Errorf("entry %d has no name", i)
+			return l, fmt.Errorf("endpoint list: entry %d has no name", i)
 		}
 		l.Entries = append(l.Entries, x)
 	}
 	return l, nil
 }
 
-// Condition of an entry. A word that is not known is taken as draining: nothing new goes there.
-func (e *Entry) Condition() dispatch.Condition {
+// Condition returns the condition that the entry's status stands for. An unknown status counts as draining, so that
+// the executor gets no new work.
+func (e *Endpoint) Condition() dispatch.Condition {
 	switch e.Status {
 	case "ready":
 		return dispatch.Ready
@@ -59,8 +60,9 @@
 	return dispatch.Draining
 }
 
-// WorkerID is an executor's number at every node: peers name executors to one another by it.
-func WorkerID(name string) uint32 {
+// ExecutorID returns the number of an executor. It depends on the name alone, so that all nodes use the same number
+// for an executor in the messages to one another.
+func ExecutorID(name string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
 	return h.Sum32()
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	unknownPosition = 255 // of a name that the settings do not have
+	unknownPosition = 255 // of a name that the settings do not contain
 	maxPosition     = 254
 	statusGone      = "gone"
 )
 
-// endpointTable holds the executors that the endpoint list names, and how far the list is to be relied on.
+// endpointTable holds the listed executors and how current the endpoint list is.
 type endpointTable struct {
-	byID      map[uint32]Entry
+	byID      map[uint32]Endpoint
 	knowledge *recovery.Knowledge
 }
 
 func newEndpointTable(s dispatch.Settings, lim limits.Limits) endpointTable {
-	// A list that must be asked for counts as it was for the time to ask within, and several times that after a failed
-	// call.
-	fresh := max(Span(s.PollWithin), lim.Staleness.MaxStaleness)
-	usable := time.Duration(lim.Staleness.FailedPollFactor) * fresh
+	// A polled list stays fresh for the poll interval, and usable for FailedPollFactor times as long, which covers
+	// failed calls.
+	fresh := max(FromMs(s.MaxPollInterval), lim.ListTimeouts.MaxStaleness)
+	usable := time.Duration(lim.ListTimeouts.FailedPollFactor) * fresh
 	bounds := map[recovery.Kind]recovery.AgeBounds{recovery.EndpointList: {Fresh: fresh, Usable: usable}}
-	return endpointTable{byID: map[uint32]Entry{}, knowledge: recovery.NewKnowledge(bounds)}
+	return endpointTable{byID: map[uint32]Endpoint{}, knowledge: recovery.NewKnowledge(bounds)}
 }
 
-// hasReady says whether an executor takes work.
+// hasReady reports whether any listed executor is ready.
 func (t *endpointTable) hasReady() bool {
 	for _, endpoint := range t.byID {
 		if endpoint.Condition() == dispatch.Ready {
@@ -41,35 +41,36 @@
 	return false
 }
 
-// ListConfirmed takes in that the list of executors stands as it was last told.
+// ListConfirmed reports that the endpoint list is unchanged since the last update.
 func (c *Core) ListConfirmed() { c.post(listConfirmed{}) }
 
-// confirmEndpoints notifies the module that the list stands, as a change of no row: an executor's start that is
-// notified later happened after now. Before the first list of this process there is nothing to confirm.
+// confirmEndpoints notifies the module that the list is unchanged, as a delta without rows: the module concludes that
+// a start of an executor that is listed later happened after this moment. Before the first list of this process there
+// is nothing to confirm.
 func (c *Core) confirmEndpoints() {
 	if c.status.endpointsConfirmed.Load() {
 		c.queueEvent(dispatch.Event{Kind: dispatch.EvEndpoints, Form: dispatch.ListDelta})
 	}
 }
 
-// updateEndpoints passes a list, or a change of it, on to the module and to what carries attempts.
-func (c *Core) updateEndpoints(l List, now time.Time) {
+// applyEndpointList passes a snapshot or delta on to the module and to the executor adapter.
+func (c *Core) applyEndpointList(l EndpointList, now time.Time) {
 	c.confirmKnowledge(l, now)
 	if l.Form == dispatch.ListSnapshot || l.Form == dispatch.ListCached {
 		c.removeUnlisted(l, now)
 	}
 	e := dispatch.Event{Kind: dispatch.EvEndpoints, Form: l.Form, Version: uint32(l.Index)}
 	for i := range l.Entries {
-		if c.updateEndpoint(&l.Entries[i], now) {
-			e.Rows = append(e.Rows, c.row(&l.Entries[i]))
+		if c.applyEndpoint(&l.Entries[i], now) {
+			e.Updates = append(e.Updates, c.toEndpointUpdate(&l.Entries[i]))
 		}
 	}
 	c.status.hasReadyExecutor.Store(c.endpoints.hasReady())
 	c.queueEvent(e)
 }
 
-// confirmKnowledge notes how current the list is now.
-func (c *Core) confirmKnowledge(l List, now time.Time) {
+// confirmKnowledge records how current the endpoint list is after an update.
+func (c *Core) confirmKnowledge(l EndpointList, now time.Time) {
 	age := c.clock.sinceStart(now)
 	switch l.Form {
 	case dispatch.ListFailed:
@@ -82,26 +83,28 @@
 	}
 }
 
-// removeUnlisted removes the executors that a snapshot of the list does not name.
-func (c *Core) removeUnlisted(l List, now time.Time) {
+// removeUnlisted removes the executors that a snapshot of the list does not contain.
+func (c *Core) removeUnlisted(l EndpointList, now time.Time) {
 	listed := map[uint32]bool{}
 	for i := range l.Entries {
-		listed[WorkerID(l.Entries[i].Name)] = true
+		listed[ExecutorID(l.Entries[i].Name)] = true
 	}
 	for id, endpoint := range c.endpoints.byID {
 		if !listed[id] {
 			endpoint.Status = statusGone
-			c.carriers.executors.Told(id, endpoint, now)
+			c.adapters.executors.UpdateEndpoint(id, endpoint, now)
 			delete(c.endpoints.byID, id)
 		}
 	}
 }
 
-// updateEndpoint takes in one executor's entry, unless it shares its number with another executor.
-func (c *Core) updateEndpoint(endpoint *Entry, now time.Time) bool {
-	id := WorkerID(endpoint.Name)
+// applyEndpoint applies the entry of one executor. It ignores the entry and returns false if another executor has the
+// same number.
+func (c *Core) applyEndpoint(endpoint *Endpoint, now time.Time) bool {
+	id := ExecutorID(endpoint.Name)
 	if known, ok := c.endpoints.byID[id]; ok && known.Name != endpoint.Name {
-		c.log.Error("executor ignored, its number is another's", "executor", endpoint.Name, "other", known.Name)
+		c.log.Error("executor ignored: its number is already in use by another executor",
+			"executor", endpoint.Name, "other", known.Name)
 		return false
 	}
 	if endpoint.Condition() == dispatch.Removed {
@@ -109,24 +112,24 @@
 	} else {
 		c.endpoints.byID[id] = *endpoint
 	}
-	c.carriers.executors.Told(id, *endpoint, now)
+	c.adapters.executors.UpdateEndpoint(id, *endpoint, now)
 	return true
 }
 
-// row is an executor's entry as the module takes it.
-func (c *Core) row(endpoint *Entry) dispatch.EndpointUpdate {
+// toEndpointUpdate converts an executor's entry to the module's form.
+func (c *Core) toEndpointUpdate(endpoint *Endpoint) dispatch.EndpointUpdate {
 	return dispatch.EndpointUpdate{
-		Executor:  WorkerID(endpoint.Name),
+		Executor:  ExecutorID(endpoint.Name),
 		Zone:      position(c.names.Zones, endpoint.Zone),
 		Kind:      position(c.names.Kinds, endpoint.Kind),
 		Cell:      uint16(endpoint.Group),
 		Condition: endpoint.Condition(),
 		Weight:    endpoint.Weight,
-		StartedAt: endpoint.SinceMS,
+		StartedAt: endpoint.StartedAtMs,
 	}
 }
 
-// position of a name in a list of the settings.
+// position returns the index of a name in a list of the settings, at most maxPosition, or unknownPosition.
 func position(names []string, name string) uint8 {
 	i := slices.Index(names, name)
 	if i < 0 {
@@ -135,22 +138,22 @@
 	return uint8(min(i, maxPosition))
 }
 
-// Machine is an executor as the node sees it.
-type Machine struct {
-	Entry
-	Out int // attempts of this node that are out there
+// ExecutorInfo is a listed executor together with this node's load on it.
+type ExecutorInfo struct {
+	Endpoint
+	InFlight int // attempts of this node
 }
 
-// machines are the listed executors, by name.
-func (c *Core) machines() []Machine {
+// listedExecutors returns the listed executors, sorted by name.
+func (c *Core) listedExecutors() []ExecutorInfo {
 	inFlight := map[uint32]int{}
 	for _, a := range c.jobs.attempts {
 		inFlight[a.executor]++
 	}
-	var all []Machine
+	var all []ExecutorInfo
 	for id, endpoint := range c.endpoints.byID {
-		all = append(all, Machine{endpoint, inFlight[id]})
+		all = append(all, ExecutorInfo{endpoint, inFlight[id]})
 	}
-	slices.SortFunc(all, func(a, b Machine) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b ExecutorInfo) int { return strings.Compare(a.Name, b.Name) })
 	return all
 }
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Names are the names that the settings give to the positions the decision module counts by.
+// Names holds the names of the settings, each at the index by which the dispatch module counts it.
 type Names struct {
-	Classes, Tenants, Zones, Kinds, Fields []string // a class's place that is no longer named has none
+	Classes, Tenants, Zones, Kinds, Fields []string // a class that the settings no longer contain has the empty name
 
-	Retired []Retired
+	Retired []RetiredClass
 }
 
-// Class finds a class by its name: one that is named now, or that was until shortly before now.
+// Class returns the index of a class by its name. It also finds a class that was retired recently.
 func (n *Names) Class(name string) (int, bool) {
 	if name == "" {
 		return -1, false
@@ -21,27 +21,29 @@
 	if i := slices.Index(n.Classes, name); i >= 0 {
 		return i, true
 	}
-	i := slices.IndexFunc(n.Retired, func(x Retired) bool { return x.Name == name && time.Now().Before(x.Until) })
+	i := slices.IndexFunc(n.Retired,
+		func(x RetiredClass) bool { return x.Name == name && time.Now().Before(x.AcceptedUntil) })
 	if i < 0 {
 		return -1, false
 	}
 	return n.Retired[i].Class, true
 }
 
-// Tenant finds a tenant by its name.
+// Tenant returns the index of a tenant by its name.
 func (n *Names) Tenant(name string) (int, bool) { i := slices.Index(n.Tenants, name); return i, i >= 0 }
 
-// fieldNames are the names that load reports use for the fields of the settings, where they differ.
-var fieldNames = map[string]string{"pending": "queue", "busy_reqs": "inflight", "cpu_share": "util",
+// loadReportAliases maps the name of a field in the settings to its name in load reports, where they differ.
+var loadReportAliases = map[string]string{"pending": "queue", "busy_reqs": "inflight", "cpu_share": "util",
 	"svc_ms": "latency_ms", "served_ps": "qps", "failed_ps": "eps"}
 
-// Report orders the values of a load report as the settings name them; nil if it holds none of them.
-func (n *Names) Report(value func(name string) (float64, bool)) []float32 {
+// LoadReport returns the values of a load report in the order of the settings' fields, with NaN for a missing value
+// that others follow. It returns nil if the report has none of the fields.
+func (n *Names) LoadReport(value func(name string) (float64, bool)) []float32 {
 	var out []float32
 	for i, name := range n.Fields {
 		v, ok := value(name)
 		if !ok {
-			v, ok = value(fieldNames[name])
+			v, ok = value(loadReportAliases[name])
 		}
 		if !ok {
 			continue
--- a/internal/node/openjobs.go
+++ b/internal/node/openjobs.go
@@ -6,32 +6,33 @@
 	"gatetack/internal/slowpeer"
 )
 
-// openJobs counts the jobs that are owed an answer. Any goroutine may use it.
+// openJobs counts the jobs that are not answered yet. It is safe for concurrent use.
 type openJobs struct {
 	total    atomic.Int64
-	byTenant []atomic.Int64 // where the operators' file bounds them
+	byTenant []atomic.Int64 // used if the limits bound the open jobs of a tenant
 }
 
-// reserve counts an open job, unless there are too many: of all, or of its tenant where the file bounds those. Which
-// job is admitted is the module's decision; this keeps what waits to be given to it from growing without bound.
+// reserve counts an open job. It fails if there are too many open jobs, in total or of the job's tenant where the
+// limits bound these. Admission is the module's decision; reserve keeps the number of jobs that wait for that decision
+// bounded.
 func (c *Core) reserve(j *job) error {
 	if int(c.open.total.Add(1)) > c.limits.MaxOpen {
 		c.open.total.Add(-1)
-		return ErrFull
+		return ErrQueueFull
 	}
-	maxOpen := c.limits.Pace.Requests
+	maxOpen := c.limits.SlowPeers.MaxCustomerRequests
 	if maxOpen > 0 && j.request.Tenant < len(c.open.byTenant) && int(c.open.byTenant[j.request.Tenant].Add(1)) > maxOpen {
 		c.unreserve(j)
-		c.counters.slowPeers.Add(slowpeer.ClientShare)
-		return ErrShare
+		c.counters.slowPeers.Add(slowpeer.ClientOverShare)
+		return ErrTenantLimit
 	}
 	return nil
 }
 
-// unreserve gives back what reserve counted.
+// unreserve takes back the count of reserve.
 func (c *Core) unreserve(j *job) {
 	c.open.total.Add(-1)
-	if c.limits.Pace.Requests > 0 && j.request.Tenant < len(c.open.byTenant) {
+	if c.limits.SlowPeers.MaxCustomerRequests > 0 && j.request.Tenant < len(c.open.byTenant) {
 		c.open.byTenant[j.request.Tenant].Add(-1)
 	}
 }
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -7,16 +7,16 @@
 	"gatetack/internal/dispatch"
 )
 
-// restarted is a core that was started with an old list, which nobody has confirmed.
-func newHoldingCarriers(t *testing.T, rows ...Entry) *fakeCarriers {
+// newHoldingAdapters returns adapters of a core that was started with a cached list which is not confirmed yet.
+func newHoldingAdapters(t *testing.T, rows ...Endpoint) *fakeAdapters {
 	t.Helper()
-	h := startFakeCarriers(t, rows...)
+	h := startFakeAdapters(t, rows...)
 	h.core.AwaitList(len(rows))
 	h.run(0)
 	return h
 }
 
-func (h *fakeCarriers) sent() int {
+func (h *fakeAdapters) sent() int {
 	n := 0
 	for _, to := range h.sends {
 		n += len(to)
@@ -24,110 +24,114 @@
 	return n
 }
 
-// Nothing is sent on the list of an earlier life before a list of this one has come, and then nothing to an executor
-// that was gone meanwhile. What had been taken is sent at once, with the time that its client has left by then.
+// Before discovery has sent a list to this process nothing is sent on the cached list of an earlier process, and
+// afterwards nothing to an executor that has been removed meanwhile. Jobs that were held are sent at once, with the
+// time that their client has left by then.
 func TestJobsAreHeldUntilTheListIsConfirmed(t *testing.T) {
-	h := newHoldingCarriers(t, readyEndpoint("s-gone"))
+	h := newHoldingAdapters(t, readyEndpoint("s-gone"))
 	held := &recordingClient{t: t}
-	if _, err := h.core.Submit(Job{Trace: "a", Class: 0, Left: 7 * time.Second, Slots: 1}, held); err != nil {
+	if _, err := h.core.Submit(Job{TraceID: "a", Class: 0, TimeLeft: 7 * time.Second, Slots: 1}, held); err != nil {
 		t.Fatal(err)
 	}
 	h.run(time.Second)
 	if h.sent() != 0 || h.core.Ready() {
-		t.Fatalf("%d sends and ready %v on a list that nobody has confirmed", h.sent(), h.core.Ready())
+		t.Fatalf("%d sends, ready %v before the list is confirmed, want 0 sends, not ready", h.sent(), h.core.Ready())
 	}
-	h.core.List(List{Form: dispatch.ListSnapshot, Entries: []Entry{readyEndpoint("s-new")}})
+	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-new")}})
 	h.run(time.Second)
-	if !h.core.Ready() || h.sent() != 1 || h.attempts[0].Worker != WorkerID("s-new") {
-		t.Fatalf("ready %v, sent %v", h.core.Ready(), h.sends)
+	if !h.core.Ready() || h.sent() != 1 || h.attempts[0].Executor != ExecutorID("s-new") {
+		t.Fatalf("ready %v, sends %v, want one send to s-new", h.core.Ready(), h.sends)
 	}
 	if latest := h.core.clock.start.Add(7 * time.Second); h.attempts[0].Deadline.After(latest) {
-		t.Errorf("sent until %v after the start, its client leaves after 7 s", h.attempts[0].Deadline.Sub(h.core.clock.start))
+		t.Errorf("the attempt ends %v after the start, later than its client's deadline at 7 s",
+			h.attempts[0].Deadline.Sub(h.core.clock.start))
 	}
 }
 
-// Where the first call fails, or is not answered for as long as a call may take, the core goes on with the list it has.
-func TestCoreGoesOnWithTheOldList(t *testing.T) {
-	for what, wait := range map[string]func(h *fakeCarriers){
-		"the call fails": func(h *fakeCarriers) { h.core.ListCallFailed(); h.run(time.Second) },
-		"no answer": func(h *fakeCarriers) {
-			h.run(lim.Staleness.PollWait + 2*lim.Staleness.AnswerTimeout + time.Second)
+// If the first call fails, or is not answered within the time a call may take, the core continues with the cached
+// list.
+func TestCoreContinuesWithCachedList(t *testing.T) {
+	for name, wait := range map[string]func(h *fakeAdapters){
+		"the call fails": func(h *fakeAdapters) { h.core.ListCallFailed(); h.run(time.Second) },
+		"no answer": func(h *fakeAdapters) {
+			h.run(lim.ListTimeouts.PollWait + 2*lim.ListTimeouts.AnswerTimeout + time.Second)
 		},
 	} {
-		h := newHoldingCarriers(t, readyEndpoint("s-old"))
+		h := newHoldingAdapters(t, readyEndpoint("s-old"))
 		if _, err := h.core.Submit(
-			Job{Trace: "a", Class: 0, Left: 7 * time.Second, Slots: 1},
+			Job{TraceID: "a", Class: 0, TimeLeft: 7 * time.Second, Slots: 1},
 			&recordingClient{t: t},
 		); err != nil {
 			t.Fatal(err)
 		}
 		h.run(100 * time.Millisecond)
 		if h.sent() != 0 {
-			t.Errorf("%s: sent before", what)
+			t.Errorf("%s: a job was sent while jobs are held", name)
 		}
 		if wait(h); h.sent() != 1 || !h.core.Ready() {
-			t.Errorf("%s: %d sends, ready %v", what, h.sent(), h.core.Ready())
+			t.Errorf("%s: %d sends, ready %v, want 1 send, ready", name, h.sent(), h.core.Ready())
 		}
 	}
 }
 
-// A job whose time ends while it is held is refused, and so is one that is held when the node is told to leave.
+// A job whose deadline passes while it is held is rejected, and so is a job that is held when the node shuts down.
 func TestHeldJobsAreAnswered(t *testing.T) {
-	for what, end := range map[string]func(h *fakeCarriers){
-		"its time ends":   func(h *fakeCarriers) { h.run(time.Second) },
-		"the node leaves": func(h *fakeCarriers) { h.core.Leave(h.now); h.run(0) },
+	for name, end := range map[string]func(h *fakeAdapters){
+		"deadline": func(h *fakeAdapters) { h.run(time.Second) },
+		"shutdown": func(h *fakeAdapters) { h.core.ShutDown(h.now); h.run(0) },
 	} {
-		h := newHoldingCarriers(t, readyEndpoint("s-old"))
+		h := newHoldingAdapters(t, readyEndpoint("s-old"))
 		cl := &recordingClient{t: t}
-		if _, err := h.core.Submit(Job{Trace: "a", Class: 0, Left: time.Second, Slots: 1}, cl); err != nil {
+		if _, err := h.core.Submit(Job{TraceID: "a", Class: 0, TimeLeft: time.Second, Slots: 1}, cl); err != nil {
 			t.Fatal(err)
 		}
 		h.run(10 * time.Millisecond)
-		if end(h); len(cl.answers) != 1 || cl.answers[0].End != Refused {
-			t.Errorf("%s: %+v", what, cl.answers)
+		if end(h); len(cl.answers) != 1 || cl.answers[0].End != Rejected {
+			t.Errorf("%s: answers %+v, want one rejection", name, cl.answers)
 		}
-		h.core.List(List{Form: dispatch.ListSnapshot, Entries: []Entry{readyEndpoint("s-old")}})
+		h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-old")}})
 		if h.run(time.Second); h.sent() != 0 {
-			t.Errorf("%s: sent after its answer", what)
+			t.Errorf("%s: the job was sent after its answer", name)
 		}
 	}
 }
 
-// New rules that come while jobs are held are put in force after them: open jobs keep the rules they came under.
-func TestRetuneWaitsForHeldJobs(t *testing.T) {
-	h := newHoldingCarriers(t, readyEndpoint("s-old"))
+// New rules that arrive while jobs are held are put in force after the held jobs, which keep the rules under which
+// they were accepted.
+func TestUpdateSettingsWaitsForHeldJobs(t *testing.T) {
+	h := newHoldingAdapters(t, readyEndpoint("s-old"))
 	to := make(chan error, 1)
-	rules, from, err := h.core.Rules().Retune(settings(), h.core.names, h.now, time.Second)
+	rules, from, err := h.core.Rules().Update(settings(), h.core.names, h.now, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.core.post(configChange{rules, from, to})
 	h.run(100 * time.Millisecond)
 	if len(to) != 0 {
-		t.Error("put in force while jobs are held")
+		t.Error("the rules were put in force while jobs are held")
 	}
 	h.core.ListCallFailed()
 	if h.run(100 * time.Millisecond); len(to) != 1 || h.core.Rules() != rules {
-		t.Error("not put in force after that")
+		t.Error("the rules were not put in force after the wait")
 	}
 }
 
-// A watch that says that nothing has changed confirms the list to the module, once this process has had a list.
+// A watch that reports no change confirms the list to the module, once this process has received a list.
 func TestConfirmedListReachesTheModule(t *testing.T) {
-	h := newFakeCarriers(t, readyEndpoint("s-1"))
+	h := newFakeAdapters(t, readyEndpoint("s-1"))
 	confirm := func() []dispatch.Event {
 		h.core.ListConfirmed()
 		h.core.handle(<-h.core.intake.events)
 		return h.core.pending.events
 	}
 	if batch := confirm(); len(batch) != 0 {
-		t.Errorf("%+v, though there is no list to confirm yet", batch)
+		t.Errorf("events %+v before there is a list to confirm, want none", batch)
 	}
-	h.core.List(List{Form: dispatch.ListSnapshot, Entries: []Entry{readyEndpoint("s-1")}})
+	h.core.UpdateEndpoints(EndpointList{Form: dispatch.ListSnapshot, Entries: []Endpoint{readyEndpoint("s-1")}})
 	h.run(100 * time.Millisecond)
 	batch := confirm()
 	if len(batch) != 1 || batch[0].Kind != dispatch.EvEndpoints || batch[0].Form != dispatch.ListDelta ||
-		len(batch[0].Rows) != 0 {
-		t.Errorf("%+v, want one change of no row", batch)
+		len(batch[0].Updates) != 0 {
+		t.Errorf("events %+v, want one delta without rows", batch)
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -18,7 +18,7 @@
 	got map[uint32]string
 }
 
-func (s *sink) Peer(from uint32, data []byte) {
+func (s *sink) PeerMessage(from uint32, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.got[from] = string(data)
@@ -30,30 +30,30 @@
 	return s.got[from] == text
 }
 
-// Messages reach the node they are for, from the number of the one that sent them; a stranger's and one that is
-// too long reach nobody: a datagram over 256 bytes voids the run.
-func TestMessagesReachTheirNodeAlone(t *testing.T) {
+// Messages reach the node to which they are sent, with the index of their sender. Messages from unknown addresses, and
+// messages over the limit of 256 bytes for a datagram between nodes, reach no node.
+func TestMessagesReachOnlyTheirNode(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var g errgroup.Group
 	var addrs []string
-	var held []net.PacketConn
+	var listeners []net.PacketConn
 	for range 2 {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		held = append(held, c) // until both are found: one given back may come again
+		listeners = append(listeners, c) // kept open until both ports are known, since a released port may be assigned again
 		addrs = append(addrs, c.LocalAddr().String())
 	}
-	for _, c := range held {
+	for _, c := range listeners {
 		_ = c.Close()
 	}
 	var sockets []*Socket
 	var sinks []*sink
 	for i := range 2 {
 		k := &sink{got: map[uint32]string{}}
-		s, err := Listen(addrs[i], addrs, addrs[1-i], testenv.Lim, k, testenv.Quiet)
+		s, err := Listen(addrs[i], addrs, addrs[1-i], testenv.Limits, k, testenv.DiscardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,13 +64,13 @@
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("waited in vain:", what)
+				t.Fatal("not within 20 s:", what)
 			}
 		}
 	}
-	sockets[0].Tell(1, []byte("to one"))
+	sockets[0].SendGossip(1, []byte("to one"))
 	until("a message to one", func() bool { return sinks[1].has(0, "to one") })
-	sockets[1].Tell(dispatch.AllPeers, []byte("to all"))
+	sockets[1].SendGossip(dispatch.AllPeers, []byte("to all"))
 	until("a message to all", func() bool { return sinks[0].has(1, "to all") })
 	stranger, err := net.Dial("udp", addrs[0])
 	if err != nil {
@@ -78,12 +78,12 @@
 	}
 	defer func() { _ = stranger.Close() }()
 	_, _ = stranger.Write([]byte("stranger"))
-	sockets[1].Tell(0, make([]byte, 257))
-	sockets[1].Tell(9, []byte("nobody"))
-	sockets[1].Tell(0, []byte("last"))
+	sockets[1].SendGossip(0, make([]byte, 257))
+	sockets[1].SendGossip(9, []byte("unknown node"))
+	sockets[1].SendGossip(0, []byte("last"))
 	until("the last message", func() bool { return sinks[0].has(1, "last") })
 	if len(sinks[0].got) != 1 {
-		t.Errorf("%v", sinks[0].got)
+		t.Errorf("node 0 received %v, want messages of node 1 alone", sinks[0].got)
 	}
 	cancel()
 	if err := g.Wait(); err != nil {
@@ -91,15 +91,16 @@
 	}
 }
 
-// While a process replaces this one, both listen on the same address: the second may not fail for the first.
+// While a process replaces this one, both listen on the same address: the second listen must not fail because of the
+// first.
 func TestTwoProcessesListenOnOneAddress(t *testing.T) {
-	first, err := Listen("127.0.0.1:0", nil, "", testenv.Lim, &sink{got: map[uint32]string{}}, testenv.Quiet)
+	first, err := Listen("127.0.0.1:0", nil, "", testenv.Limits, &sink{got: map[uint32]string{}}, testenv.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = first.conn.Close() }()
 	at := first.conn.LocalAddr().String()
-	second, err := Listen(at, nil, "", testenv.Lim, &sink{got: map[uint32]string{}}, testenv.Quiet)
+	second, err := Listen(at, nil, "", testenv.Limits, &sink{got: map[uint32]string{}}, testenv.DiscardLog)
 	if err != nil {
 		t.Fatalf("a second socket on %s: %v", at, err)
 	}
--- a/internal/precheck/precheck_test.go
+++ b/internal/precheck/precheck_test.go
@@ -10,14 +10,14 @@
 	_ "gatetack/internal/testrand"
 )
 
-// forbids is the oracle: each reason by itself, without an order among them.
+// forbids is the test oracle. It evaluates one reason independently of the others and of their order.
 func forbids(r Reason, a *Check) bool {
 	at := func(t time.Time) bool { return a.Now.Equal(t) || a.Now.After(t) }
 	repeat := a.Retry.MayHaveRun
 	switch r {
 	case Ended:
 		return a.Ended
-	case ClientLeft, LeaseLost:
+	case ClientDisconnected, LeaseLost:
 		return a.Job == r
 	case DeadlinePassed:
 		return at(a.Deadline)
@@ -27,17 +27,17 @@
 		return a.Executor.SendsEndAt != (time.Time{}) && at(a.Executor.SendsEndAt)
 	case Restarted:
 		return a.Executor.StartedAt < a.Executor.ExpectedStart || a.Executor.StartedAt > a.Executor.ExpectedStart
-	case AttemptsUsedUp:
+	case AttemptsExhausted:
 		return a.Retry.Attempt >= a.Retry.MaxAttempts+1
 	case MustNotRunTwice:
 		return repeat && a.Retry.RetrySafety != dispatch.Idempotent && a.Retry.RetrySafety != dispatch.Keyed
-	case WindowOver:
+	case IdempotencyWindowOver:
 		return repeat && a.Retry.RetrySafety == dispatch.Keyed && at(a.Retry.WindowEnd)
 	}
 	return false
 }
 
-// An attempt is allowed exactly if no reason forbids it, and the reason that is given does.
+// An attempt is allowed exactly if no reason forbids it, and a returned reason does apply.
 func TestReasonAgainstAnOracle(t *testing.T) {
 	seen := map[Reason]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -48,16 +48,16 @@
 			}
 			return now.Add(time.Duration(rapid.IntRange(-1, 1).Draw(t, name)))
 		}
-		seldom := func(name string) bool { return rapid.IntRange(0, 9).Draw(t, name) == 0 }
-		a := &Check{Now: now, Ended: seldom("over"), Deadline: near("deadline"),
-			Executor: Executor{Listed: !seldom("unlisted"), ExpectedStart: 7, StartedAt: 7}}
-		if seldom("job") {
-			a.Job = rapid.SampledFrom([]Reason{ClientLeft, LeaseLost}).Draw(t, "why")
+		rarely := func(name string) bool { return rapid.IntRange(0, 9).Draw(t, name) == 0 }
+		a := &Check{Now: now, Ended: rarely("over"), Deadline: near("deadline"),
+			Executor: Executor{Listed: !rarely("unlisted"), ExpectedStart: 7, StartedAt: 7}}
+		if rarely("job") {
+			a.Job = rapid.SampledFrom([]Reason{ClientDisconnected, LeaseLost}).Draw(t, "why")
 		}
 		if rapid.Bool().Draw(t, "drains") {
 			a.Executor.SendsEndAt = near("stop")
 		}
-		if seldom("restarted") {
+		if rarely("restarted") {
 			a.Executor.StartedAt = float64(rapid.IntRange(6, 8).Draw(t, "began"))
 		}
 		a.Retry = RetryRules{
@@ -72,17 +72,17 @@
 		got := a.Reason()
 		seen[got]++
 		if got != Allowed && !forbids(got, a) {
-			t.Fatalf("%v is given, and does not hold: %+v", got, a)
+			t.Fatalf("returned reason %v does not apply to %+v", got, a)
 		}
-		for r := Allowed + 1; r <= WindowOver; r++ {
+		for r := Allowed + 1; r <= IdempotencyWindowOver; r++ {
 			if got == Allowed && forbids(r, a) {
-				t.Fatalf("it is allowed though %v: %+v", r, a)
+				t.Fatalf("allowed although %v applies to %+v", r, a)
 			}
 		}
 	})
-	for r := Allowed; r <= WindowOver; r++ {
+	for r := Allowed; r <= IdempotencyWindowOver; r++ {
 		if seen[r] == 0 {
-			t.Errorf("%q never came up", r)
+			t.Errorf("reason %q was never returned", r)
 		}
 	}
 }
--- a/internal/scale/faults/faults.go
+++ b/internal/scale/faults/faults.go
@@ -1,4 +1,4 @@
-// Package faults draws from a seed which faults a scale run has and when. It does no I/O and reads no clock.
+// Package faults generates the schedule of faults of a scale run from a seed. It does no I/O and reads no clock.
 package faults
 
 import (
@@ -13,50 +13,50 @@
 	"gatetack/internal/scale/fleet"
 )
 
-// Name of a kind of fault.
+// Name is the name of a kind of fault.
 type Name string
 
 // The kinds of faults.
 const (
-	Machine     Name = "machine"     // machines fail: 59 a day, hastened by the value
-	Rolling     Name = "rolling"     // so many executors are drained, restarted and come back cold, spread over the run
-	Rack        Name = "rack"        // a rack is out for a third of the run and comes back cold
-	Zone        Name = "zone"        // a zone, likewise
-	CutInward   Name = "cut-in"      // nothing reaches a region's executors from other regions, for a third of the run
-	CutOutward  Name = "cut-out"     // nothing reaches other regions from them, likewise
-	Cut         Name = "cut"         // both
-	Leader      Name = "leader"      // the store's leader is killed, and started again later
-	Reconfigure Name = "reconfigure" // the dispatchers' configuration changes, every so many seconds
+	Machine     Name = "machine"     // machines fail at the rate of the operators' fleet times the value
+	Rolling     Name = "rolling"     // a number of executors are drained and restarted cold, one after another over the run
+	Rack        Name = "rack"        // a rack fails for a third of the run and restarts cold
+	Zone        Name = "zone"        // a zone fails for a third of the run and restarts cold
+	CutInward   Name = "cut-in"      // a region's executors receive nothing from other regions, for a third of the run
+	CutOutward  Name = "cut-out"     // other regions receive nothing from a region's executors, for a third of the run
+	Cut         Name = "cut"         // both directions are cut
+	Leader      Name = "leader"      // the store's leader is killed and restarted after a third of the run
+	Reconfigure Name = "reconfigure" // the dispatchers' configuration changes at an interval in seconds
 )
 
-// machinesPerDay fail in the operators' fleet of fleetSize.
+// machinesPerDay is how many of the fleetSize machines of the operators' fleet fail a day.
 const (
 	machinesPerDay = 59
 	fleetSize      = 6200
 )
 
-// values are what a fault's value is when none is given; a fault that takes none has 0.
-var values = map[Name]float64{Machine: 1000, Rolling: 20, Rack: 0, Zone: 0, CutInward: 0, CutOutward: 0, Cut: 0, Leader: 0, Reconfigure: 1}
+// defaultValues are the values of faults that are given without one. A fault that takes no value has 0.
+var defaultValues = map[Name]float64{Machine: 1000, Rolling: 20, Rack: 0, Zone: 0, CutInward: 0, CutOutward: 0, Cut: 0, Leader: 0, Reconfigure: 1}
 
-// Spec is a fault that was asked for.
+// Spec is a requested fault.
 type Spec struct {
 	Name  Name
 	Value float64
 }
 
-// Parse reads NAME or NAME=VALUE.
+// Parse parses NAME or NAME=VALUE.
 func Parse(text string) (Spec, error) {
 	name, value, given := strings.Cut(text, "=")
 	s := Spec{Name: Name(name)}
-	usual, ok := values[s.Name]
+	defaultValue, ok := defaultValues[s.Name]
 	if !ok {
 		return s, &fleet.FieldError{Field: "fault", Got: text, Expected: "one of " + names()}
 	}
-	if s.Value = usual; !given {
+	if s.Value = defaultValue; !given {
 		return s, nil
 	}
 	v, err := strconv.ParseFloat(value, 64)
-	if err != nil || usual == 0 || !(v > 0) {
+	if err != nil || defaultValue == 0 || !(v > 0) {
 		return s, &fleet.FieldError{Field: "fault", Got: text, Expected: fmt.Sprintf("%s=NUMBER over 0 for machine, rolling or reconfigure, and no value for others", name)}
 	}
 	s.Value = v
@@ -65,51 +65,51 @@
 
 func names() string {
 	var all []string
-	for n := range values {
+	for n := range defaultValues {
 		all = append(all, string(n))
 	}
 	slices.Sort(all)
 	return strings.Join(all, ", ")
 }
 
-// ActionKind says what is done.
+// ActionKind is the kind of an Action. The comments of the constants name the fields of Action that are set.
 type ActionKind uint8
 
 // The actions.
 const (
-	Kill          ActionKind = iota // Executors end
-	Boot                            // Executors begin cold lives
-	ListDraining                    // the list tells of Executors
-	ListGone                        // likewise
-	ListReady                       // likewise, with their new lives
-	SetCut                          // Region, Inward, Outward
-	LiftCut                         // likewise
-	KillLeader                      // of the store
-	RestartLeader                   // the member that was killed
-	Change                          // of the configuration
+	Kill          ActionKind = iota // Executors are killed
+	Boot                            // Executors start cold
+	ListDraining                    // Executors become draining in the endpoint list
+	ListRemoved                     // Executors become removed in the endpoint list
+	ListReady                       // Executors become ready in the endpoint list, with their new start times
+	SetCut                          // Region is cut off in the directions Inward and Outward
+	LiftCut                         // the cut by SetCut with the same fields is lifted
+	KillLeader                      // the store's leader is killed
+	RestartLeader                   // the member killed by KillLeader is restarted
+	Change                          // the dispatchers' configuration is changed
 )
 
-// Action is one thing that is done at a time.
+// Action is one step of a fault. At is the time since the load's start.
 type Action struct {
 	At              time.Duration
 	Kind            ActionKind
 	Executors       []int
 	Region          int
 	Inward, Outward bool
-	Why             Name
+	Cause           Name
 }
 
-// How late the list knows what has become of an executor.
+// Delays until the endpoint list shows a change of an executor, and durations of repairs and restarts.
 const (
-	goneAfterLeast  = time.Second
-	goneAfterMost   = 3 * time.Second
-	readyAfterLeast = 500 * time.Millisecond
-	readyAfterMost  = 2 * time.Second
-	repairs         = 5 * time.Second // of a machine that failed
-	restarts        = time.Second     // of one that is restarted in order
+	minRemovedDelay = time.Second
+	maxRemovedDelay = 3 * time.Second
+	minReadyDelay   = 500 * time.Millisecond
+	maxReadyDelay   = 2 * time.Second
+	repairDuration  = 5 * time.Second // downtime of a machine that failed
+	restartDuration = time.Second     // downtime of an executor in a rolling restart
 )
 
-// schedule draws actions.
+// schedule generates actions.
 type schedule struct {
 	d       *fleet.Description
 	plan    []fleet.Executor
@@ -117,7 +117,7 @@
 	actions []Action
 }
 
-// Schedule draws what the faults that were asked for lead to, in the order of time.
+// Schedule returns the actions of the requested faults in the order of their times.
 func Schedule(d *fleet.Description, plan []fleet.Executor, specs []Spec) ([]Action, error) {
 	s := &schedule{d: d, plan: plan, random: rand.New(rand.NewPCG(d.Seed, 0xfa17))}
 	for _, spec := range specs {
@@ -134,32 +134,32 @@
 	third := s.d.Duration / 3
 	switch spec.Name {
 	case Machine:
-		s.machines(spec.Value)
+		s.machineFailures(spec.Value)
 	case Rolling:
-		s.rolling(int(spec.Value))
+		s.rollingRestart(int(spec.Value))
 	case Rack:
 		rack := s.plan[s.random.IntN(len(s.plan))].Rack
-		s.outage(Rack, third, s.d.Duration/3, s.pick(func(x fleet.Executor) bool { return x.Rack == rack }))
+		s.outage(Rack, third, s.d.Duration/3, s.matching(func(x fleet.Executor) bool { return x.Rack == rack }))
 	case Zone:
 		zone := s.random.IntN(min(s.d.Zones(), len(s.plan)))
-		s.outage(Zone, third, s.d.Duration/3, s.pick(func(x fleet.Executor) bool { return x.Zone == zone }))
+		s.outage(Zone, third, s.d.Duration/3, s.matching(func(x fleet.Executor) bool { return x.Zone == zone }))
 	case CutInward, CutOutward, Cut:
 		a := Action{At: third, Kind: SetCut, Region: s.random.IntN(s.d.Regions), Inward: spec.Name != CutOutward,
-			Outward: spec.Name != CutInward, Why: spec.Name}
+			Outward: spec.Name != CutInward, Cause: spec.Name}
 		s.actions = append(s.actions, a)
 		a.At, a.Kind = a.At+third, LiftCut
 		s.actions = append(s.actions, a)
 	case Leader:
-		s.actions = append(s.actions, Action{At: third, Kind: KillLeader, Why: Leader}, Action{At: 2 * third, Kind: RestartLeader, Why: Leader})
+		s.actions = append(s.actions, Action{At: third, Kind: KillLeader, Cause: Leader}, Action{At: 2 * third, Kind: RestartLeader, Cause: Leader})
 	case Reconfigure:
 		every := time.Duration(spec.Value * float64(time.Second))
 		for at := every; at < s.d.Duration; at += every {
-			s.actions = append(s.actions, Action{At: at, Kind: Change, Why: Reconfigure})
+			s.actions = append(s.actions, Action{At: at, Kind: Change, Cause: Reconfigure})
 		}
 	}
 }
 
-func (s *schedule) pick(match func(fleet.Executor) bool) (out []int) {
+func (s *schedule) matching(match func(fleet.Executor) bool) (out []int) {
 	for _, x := range s.plan {
 		if match(x) {
 			out = append(out, x.Number)
@@ -168,34 +168,34 @@
 	return out
 }
 
-func (s *schedule) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.random.Int64N(int64(most-least)))
+func (s *schedule) between(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(s.random.Int64N(int64(maximum-minimum)))
 }
 
-// outage takes executors down at a moment and up again after a while; the list learns of it late.
+// outage kills executors at the time at and restarts them after the duration down. The endpoint list shows both changes with a delay.
 func (s *schedule) outage(why Name, at, down time.Duration, executors []int) {
 	up := at + down
 	s.actions = append(s.actions,
-		Action{At: at, Kind: Kill, Executors: executors, Why: why},
-		Action{At: at + min(down/2, s.between(goneAfterLeast, goneAfterMost)), Kind: ListGone, Executors: executors, Why: why},
-		Action{At: up, Kind: Boot, Executors: executors, Why: why},
-		Action{At: up + s.between(readyAfterLeast, readyAfterMost), Kind: ListReady, Executors: executors, Why: why})
+		Action{At: at, Kind: Kill, Executors: executors, Cause: why},
+		Action{At: at + min(down/2, s.between(minRemovedDelay, maxRemovedDelay)), Kind: ListRemoved, Executors: executors, Cause: why},
+		Action{At: up, Kind: Boot, Executors: executors, Cause: why},
+		Action{At: up + s.between(minReadyDelay, maxReadyDelay), Kind: ListReady, Executors: executors, Cause: why})
 }
 
-// machines draws single failures at the operators' rate, times a factor.
-func (s *schedule) machines(factor float64) {
+// machineFailures adds failures of single machines at the rate of the operators' fleet times factor.
+func (s *schedule) machineFailures(factor float64) {
 	perSecond := factor * machinesPerDay / (24 * time.Hour).Seconds() * float64(len(s.plan)) / fleetSize
 	for at := time.Duration(0); ; {
 		at += time.Duration(s.random.ExpFloat64() / perSecond * float64(time.Second))
 		if at >= s.d.Duration {
 			return
 		}
-		s.outage(Machine, at, repairs, []int{s.random.IntN(len(s.plan))})
+		s.outage(Machine, at, repairDuration, []int{s.random.IntN(len(s.plan))})
 	}
 }
 
-// rolling restarts executors in turn: each is drained, ends once what it runs may have ended, and comes back cold.
-func (s *schedule) rolling(count int) {
+// rollingRestart restarts executors one after another: each is drained, stopped after twice the mean running time, and restarted cold.
+func (s *schedule) rollingRestart(count int) {
 	count = min(count, len(s.plan))
 	order := s.random.Perm(len(s.plan))[:count]
 	drain := 2 * s.d.MeanRun()
@@ -204,10 +204,10 @@
 		one := []int{x}
 		down := at + drain
 		s.actions = append(s.actions,
-			Action{At: at, Kind: ListDraining, Executors: one, Why: Rolling},
-			Action{At: down, Kind: Kill, Executors: one, Why: Rolling},
-			Action{At: down, Kind: ListGone, Executors: one, Why: Rolling},
-			Action{At: down + restarts, Kind: Boot, Executors: one, Why: Rolling},
-			Action{At: down + restarts + s.between(readyAfterLeast, readyAfterMost), Kind: ListReady, Executors: one, Why: Rolling})
+			Action{At: at, Kind: ListDraining, Executors: one, Cause: Rolling},
+			Action{At: down, Kind: Kill, Executors: one, Cause: Rolling},
+			Action{At: down, Kind: ListRemoved, Executors: one, Cause: Rolling},
+			Action{At: down + restartDuration, Kind: Boot, Executors: one, Cause: Rolling},
+			Action{At: down + restartDuration + s.between(minReadyDelay, maxReadyDelay), Kind: ListReady, Executors: one, Cause: Rolling})
 	}
 }
--- a/internal/scale/faults/faults_test.go
+++ b/internal/scale/faults/faults_test.go
@@ -12,7 +12,7 @@
 	"gatetack/internal/scale/fleet"
 )
 
-func schedule0(t *testing.T, d fleet.Description, texts ...string) []Action {
+func mustSchedule(t *testing.T, d fleet.Description, texts ...string) []Action {
 	t.Helper()
 	var specs []Spec
 	for _, text := range texts {
@@ -29,48 +29,48 @@
 	return actions
 }
 
-// A zone goes out whole, the list learns of it later, and it comes back before the list says so.
+// All executors of a zone fail together. The list shows the outage and the restart only after they happen.
 func TestZone(t *testing.T) {
 	d := fleet.Default()
-	actions := schedule0(t, d, "zone")
+	actions := mustSchedule(t, d, "zone")
 	var kinds []ActionKind
 	for _, a := range actions {
 		kinds = append(kinds, a.Kind)
 		if len(a.Executors) != 54 && len(a.Executors) != 53 {
-			t.Errorf("%d executors, want a zone's", len(a.Executors))
+			t.Errorf("%d executors, want those of one zone", len(a.Executors))
 		}
 	}
-	if want := []ActionKind{Kill, ListGone, Boot, ListReady}; !slices.Equal(kinds, want) {
+	if want := []ActionKind{Kill, ListRemoved, Boot, ListReady}; !slices.Equal(kinds, want) {
 		t.Fatalf("%v, want %v", kinds, want)
 	}
 	if out := actions[2].At - actions[0].At; out != d.Duration/3 || actions[3].At >= d.Duration {
-		t.Errorf("out for %v, listed again at %v", out, actions[3].At)
+		t.Errorf("zone down for %v, ready in the list at %v", out, actions[3].At)
 	}
 }
 
-// Executors that are restarted in turn are told of before, end once what they run may have ended, and are told of once back.
+// In a rolling restart an executor is listed as draining before it stops, and as ready only after it has restarted.
 func TestRolling(t *testing.T) {
 	d := fleet.Default()
 	by := map[int][]ActionKind{}
-	for _, a := range schedule0(t, d, "rolling=7") {
+	for _, a := range mustSchedule(t, d, "rolling=7") {
 		by[a.Executors[0]] = append(by[a.Executors[0]], a.Kind)
 	}
 	if len(by) != 7 {
 		t.Errorf("%d executors, want 7", len(by))
 	}
 	for x, kinds := range by {
-		if want := []ActionKind{ListDraining, Kill, ListGone, Boot, ListReady}; !slices.Equal(kinds, want) {
+		if want := []ActionKind{ListDraining, Kill, ListRemoved, Boot, ListReady}; !slices.Equal(kinds, want) {
 			t.Errorf("executor %d: %v, want %v", x, kinds, want)
 		}
 	}
 }
 
-// The operators' 59 failures a day, hastened: 6,200 executors with a factor of 1,000 have 41 a minute.
+// 59 failures a day times a factor of 1,000 on 6,200 executors are 41 a minute.
 func TestMachines(t *testing.T) {
 	d := fleet.Default()
 	d.Executors, d.Duration = 6200, 10*time.Minute
 	failures := 0
-	for _, a := range schedule0(t, d, "machine=1000") {
+	for _, a := range mustSchedule(t, d, "machine=1000") {
 		if a.Kind == Kill {
 			failures++
 		}
@@ -82,24 +82,24 @@
 
 func TestCuts(t *testing.T) {
 	for text, want := range map[string][2]bool{"cut-in": {true, false}, "cut-out": {false, true}, "cut": {true, true}} {
-		actions := schedule0(t, fleet.Default(), text)
+		actions := mustSchedule(t, fleet.Default(), text)
 		if len(actions) != 2 || actions[0].Kind != SetCut || actions[1].Kind != LiftCut || [2]bool{actions[0].Inward, actions[0].Outward} != want {
 			t.Errorf("%s: %+v", text, actions)
 		}
 	}
 }
 
-// Equal seeds give equal faults.
+// Equal seeds must give equal schedules.
 func TestSeeds(t *testing.T) {
 	d := fleet.Default()
 	all := []string{"zone", "rack", "machine", "rolling", "cut", "reconfigure=2"}
-	if diff := cmp.Diff(schedule0(t, d, all...), schedule0(t, d, all...)); diff != "" {
+	if diff := cmp.Diff(mustSchedule(t, d, all...), mustSchedule(t, d, all...)); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// A fault that can not be played is named, with what was expected.
-func TestBadFaults(t *testing.T) {
+// The error of an invalid fault has the fault and the expected values.
+func TestInvalidFaults(t *testing.T) {
 	for _, text := range []string{"", "zones", "zone=2", "machine=", "machine=-1", "rolling=many", "machine=NaN"} {
 		_, err := Parse(text)
 		fe := (*fleet.FieldError)(nil)
@@ -109,6 +109,6 @@
 	}
 	d := fleet.Default()
 	if _, err := Schedule(&d, d.Plan(), []Spec{{Name: Leader}}); err == nil || !strings.Contains(err.Error(), "store-members") {
-		t.Errorf("a leader without a store: %v", err)
+		t.Errorf("leader fault without a store: %v", err)
 	}
 }
--- a/internal/scale/hollow/clients_test.go
+++ b/internal/scale/hollow/clients_test.go
@@ -17,12 +17,12 @@
 	"gatetack/internal/testenv"
 )
 
-// front stands in for a dispatcher's front.
+// front is a fake front of a dispatcher.
 type front func(m *http1.Message) http1.Response
 
 func (f front) Handle(_ context.Context, m *http1.Message) http1.Response { return f(m) }
 
-// playTo plays a short load against stand-ins for two dispatchers.
+// playTo submits a short load to fake fronts of two dispatchers.
 func playTo(t *testing.T, answer front) (*Clients, *Record) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -36,7 +36,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		server := http1.NewServer(testenv.Lim, answer, nil, testenv.Quiet)
+		server := http1.NewServer(testenv.Limits, answer, nil, testenv.DiscardLog)
 		g.Go(func() error { return server.Serve(ctx, ln) })
 	}
 	t.Cleanup(func() { cancel(); _ = g.Wait(); _ = n.Close() })
@@ -60,8 +60,8 @@
 	return sum
 }
 
-// What is refused comes again under another id, after it was told to, with the same idempotency key, and no answer is counted twice.
-func TestRefusedComesAgain(t *testing.T) {
+// A rejected request must be retried under another id after its Retry-After, and each task must be counted once.
+func TestRejectedRequestIsRetried(t *testing.T) {
 	var calls atomic.Int64
 	c, record := playTo(t, func(m *http1.Message) http1.Response {
 		if calls.Add(1)%2 == 1 {
@@ -69,26 +69,26 @@
 		}
 		return http1.Response{Status: 200, Body: []byte(resultOf(m.Get("X-Trace-Id")))}
 	})
-	v := verdict.Run(verdict.Rules{Effects: make([]verdict.Effect, fleet.Classes), Dispatchers: 2, Portions: make([]float64, 4)}, record.Events(), record.Now())
+	v := verdict.JudgeEvents(verdict.Rules{Effects: make([]verdict.Effect, fleet.Classes), Dispatchers: 2, ReservedShares: make([]float64, 4)}, record.Events(), record.Now())
 	r := c.Results()
-	if n := total(&r.Tasks); n == 0 || total(&r.Served)+total(&r.Refused) != n || int64(v.Counts.Served) != total(&r.Served) || v.Counts.Refused == 0 || !v.Kept() {
-		t.Errorf("%d tasks, %d served, %d refused: %+v", n, total(&r.Served), total(&r.Refused), v)
+	if n := total(&r.Tasks); n == 0 || total(&r.Served)+total(&r.Rejected) != n || int64(v.Counts.Served) != total(&r.Served) || v.Counts.Rejected == 0 || !v.Passed() {
+		t.Errorf("%d tasks, %d served, %d rejected: %+v", n, total(&r.Served), total(&r.Rejected), v)
 	}
 }
 
-// An answer that no executor made for the request is no answer.
-func TestAnothersResult(t *testing.T) {
+// An answer with another request's result must count as a violation, not as served.
+func TestResultOfAnotherRequestIsAViolation(t *testing.T) {
 	c, record := playTo(t, func(*http1.Message) http1.Response {
 		return http1.Response{Status: 200, Body: []byte("result of another")}
 	})
-	v := verdict.Run(verdict.Rules{Effects: make([]verdict.Effect, fleet.Classes), Dispatchers: 2, Portions: make([]float64, 4)}, record.Events(), record.Now())
+	v := verdict.JudgeEvents(verdict.Rules{Effects: make([]verdict.Effect, fleet.Classes), Dispatchers: 2, ReservedShares: make([]float64, 4)}, record.Events(), record.Now())
 	r := c.Results()
-	if total(&r.Served) != 0 || v.Broken[verdict.FinalAnswer] != int(total(&r.Tasks)) {
+	if total(&r.Served) != 0 || v.ViolationCounts[verdict.FinalAnswer] != int(total(&r.Tasks)) {
 		t.Errorf("%d served of %d: %+v", total(&r.Served), total(&r.Tasks), v.Counts)
 	}
 }
 
-// The load does not wait for answers: a dispatcher that answers after half a second gets all tasks at the moments they are due.
+// The load is open-loop: a dispatcher that answers after half a second must get all tasks at the times they are due.
 func TestOpenLoop(t *testing.T) {
 	_, record := playTo(t, func(m *http1.Message) http1.Response {
 		time.Sleep(500 * time.Millisecond)
@@ -106,12 +106,12 @@
 	}
 	for _, e := range record.Events() {
 		if e.Kind == verdict.Submitted && e.At-due[e.Task] > 400*time.Millisecond {
-			t.Errorf("task %d was due at %v and came at %v", e.Task, due[e.Task], e.At)
+			t.Errorf("task %d was due at %v and submitted at %v", e.Task, due[e.Task], e.At)
 		}
 	}
 }
 
-// A watch tells what changed since a version, each dispatcher at its own address, and what it was told is on record.
+// The list must give the changes since an index, a snapshot for an unknown index, and record the entries sent to each dispatcher.
 func TestDiscovery(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
@@ -127,28 +127,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, _ := s.since(0, 0)
-	if !whole.Snapshot || len(whole.Endpoints) != 30 || whole.Index != firstIndex {
-		t.Fatalf("%+v", whole)
+	snapshot, _ := s.since(0, 0)
+	if !snapshot.Snapshot || len(snapshot.Endpoints) != 30 || snapshot.Index != firstIndex {
+		t.Fatalf("%+v", snapshot)
 	}
 	s.Set([]int{3, 4}, StatusDraining, time.Time{})
-	s.Set([]int{3}, StatusGone, time.Time{})
+	s.Set([]int{3}, StatusRemoved, time.Time{})
 	s.Set([]int{4}, StatusReady, time.UnixMilli(77))
 	delta, _ := s.since(firstIndex, 0)
-	if delta.Snapshot || len(delta.Endpoints) != 2 || delta.Endpoints[0].Status != StatusGone || delta.Endpoints[1].SinceMS != 77 {
+	if delta.Snapshot || len(delta.Endpoints) != 2 || delta.Endpoints[0].Status != StatusRemoved || delta.Endpoints[1].SinceMS != 77 {
 		t.Errorf("%+v", delta)
 	}
 	if last, _ := s.since(delta.Index, 0); len(last.Endpoints) != 0 {
-		t.Errorf("%+v after the last change", last)
+		t.Errorf("%+v after the last change, want no entries", last)
 	}
-	if again, _ := s.since(999, 0); !again.Snapshot || len(again.Endpoints) != 29 {
-		t.Errorf("a version that never was: %d rows, whole %v", len(again.Endpoints), again.Snapshot)
+	if unknown, _ := s.since(999, 0); !unknown.Snapshot || len(unknown.Endpoints) != 29 {
+		t.Errorf("unknown index: %d entries, snapshot %v", len(unknown.Endpoints), unknown.Snapshot)
 	}
 	m, err := testenv.Call(n.Discovery(1), "GET", "/v1/servers", nil)
 	if err != nil || m.Status != 200 {
 		t.Fatalf("%+v %v", m, err)
 	}
-	testenv.Until(t, "what was told is on record", func() bool { return len(record.Events()) == 29 })
+	testenv.Until(t, "the sent entries to be recorded", func() bool { return len(record.Events()) == 29 })
 	for _, e := range record.Events() {
 		if e.Dispatcher != 1 || e.Kind != verdict.Listed || e.Condition != verdict.Ready {
 			t.Fatalf("%+v", e)
@@ -156,7 +156,7 @@
 	}
 }
 
-// Messages between dispatchers come from the address that the receiver knows the sender by, and do not pass a cut.
+// A message between dispatchers must come from the address by which the receiver knows the sender, and must not pass a cut.
 func TestPeers(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
--- a/internal/scale/hollow/discovery.go
+++ b/internal/scale/hollow/discovery.go
@@ -19,23 +19,23 @@
 	"gatetack/internal/scale/verdict"
 )
 
-// Discovery serves the list of executors and watches on it, to each dispatcher at an address of its own.
+// Discovery serves the endpoint list and watches on it, at a separate address for each dispatcher.
 type Discovery struct {
 	record  *Record
 	traffic *Traffic
 	lim     limits.Limits
 	network *Network
 	members int
-	number  map[string]int32
+	numbers map[string]int32
 
 	mu      sync.Mutex
-	rows    []Row // by executor
-	log     []int // executors whose rows changed, the first change having index 2
+	entries []Entry // entries by executor number
+	log     []int   // executors whose entries changed; the first change has index 2
 	changed chan struct{}
 }
 
-// Row is an executor in the list.
-type Row struct {
+// Entry is the entry of an executor in the list.
+type Entry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Zone    string  `json:"zone"`
@@ -46,29 +46,29 @@
 	SinceMS int64   `json:"since_ms"`
 }
 
-// Statuses of a row.
+// The statuses of an entry.
 const (
 	StatusReady    = "ready"
 	StatusDraining = "draining"
-	StatusGone     = "gone"
+	StatusRemoved  = "gone"
 )
 
-// firstIndex is the version of the list that a run begins with.
+// firstIndex is the index of the initial list.
 const firstIndex = 1
 
-// beatEvery is the time between empty lines of a watch on which nothing changes.
-const beatEvery = 2 * time.Second
+// heartbeatInterval is the time between empty lines on a watch without changes.
+const heartbeatInterval = 2 * time.Second
 
-// NewDiscovery serves the list of a fleet.
+// NewDiscovery starts to serve the endpoint list of a fleet.
 func NewDiscovery(ctx context.Context, g *errgroup.Group, d *fleet.Description, plan []fleet.Executor, n *Network, r *Record,
 	t *Traffic) (*Discovery, error) {
-	s := &Discovery{network: n, members: d.StoreMembers, record: r, traffic: t, lim: limits.New(0, 0, 0, 0, 0), number: map[string]int32{}, changed: make(chan struct{})}
+	s := &Discovery{network: n, members: d.StoreMembers, record: r, traffic: t, lim: limits.New(0, 0, 0, 0, 0), numbers: map[string]int32{}, changed: make(chan struct{})}
 	for _, x := range plan {
-		s.number[x.Name] = int32(x.Number)
-		s.rows = append(s.rows, Row{Name: x.Name, Zone: d.ZoneName(x.Zone), Type: fleet.Kinds[x.Kind],
+		s.numbers[x.Name] = int32(x.Number)
+		s.entries = append(s.entries, Entry{Name: x.Name, Zone: d.ZoneName(x.Zone), Type: fleet.Kinds[x.Kind],
 			Group: x.Rack, Status: StatusReady, Weight: float64(x.Slots)})
 	}
-	for i := range d.AllDispatchers() {
+	for i := range d.TotalDispatchers() {
 		ln, err := net.Listen("tcp", n.Discovery(i))
 		if err != nil {
 			return nil, fmt.Errorf("discovery for dispatcher %d: %w", i, err)
@@ -88,14 +88,14 @@
 	return s, nil
 }
 
-// Set changes rows. Those that become ready with since over zero began then.
+// Set changes the status of executors. If since is not zero, it is their new start time.
 func (s *Discovery) Set(executors []int, status string, since time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, i := range executors {
-		s.rows[i].Status = status
+		s.entries[i].Status = status
 		if !since.IsZero() {
-			s.rows[i].SinceMS = since.UnixMilli()
+			s.entries[i].SinceMS = since.UnixMilli()
 		}
 		s.log = append(s.log, i)
 	}
@@ -103,22 +103,22 @@
 	s.changed = make(chan struct{})
 }
 
-// answer is one line of the list.
+// answer is one message of the list protocol: a snapshot or a delta.
 type answer struct {
-	Index     int   `json:"index"`
-	Snapshot  bool  `json:"snapshot"`
-	Endpoints []Row `json:"endpoints"`
+	Index     int     `json:"index"`
+	Snapshot  bool    `json:"snapshot"`
+	Endpoints []Entry `json:"endpoints"`
 }
 
-// since gives what changed after a version, or the whole list where the version is not one of this list's, as a dispatcher is told.
+// since returns the changes after an index, or a snapshot if the list never had that index, with the addresses for a dispatcher.
 func (s *Discovery) since(index, dispatcher int) (answer, <-chan struct{}) {
 	a, changed := s.changes(index)
 	if dispatcher >= s.members {
-		dispatcher = everybody
+		dispatcher = anyDispatcher
 	}
 	for i := range a.Endpoints {
-		row := &a.Endpoints[i]
-		row.Address = s.network.Executor(int(s.number[row.Name]), dispatcher)
+		entry := &a.Endpoints[i]
+		entry.Address = s.network.Executor(int(s.numbers[entry.Name]), dispatcher)
 	}
 	return a, changed
 }
@@ -127,21 +127,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := firstIndex + len(s.log)
-	a := answer{Index: now, Endpoints: []Row{}}
+	a := answer{Index: now, Endpoints: []Entry{}}
 	if index < firstIndex || index > now {
 		a.Snapshot = true
-		for _, row := range s.rows {
-			if row.Status != StatusGone {
-				a.Endpoints = append(a.Endpoints, row)
+		for _, entry := range s.entries {
+			if entry.Status != StatusRemoved {
+				a.Endpoints = append(a.Endpoints, entry)
 			}
 		}
 		return a, s.changed
 	}
-	told := map[int]bool{}
+	listed := map[int]bool{}
 	for _, i := range s.log[index-firstIndex:] {
-		if !told[i] {
-			told[i] = true
-			a.Endpoints = append(a.Endpoints, s.rows[i])
+		if !listed[i] {
+			listed[i] = true
+			a.Endpoints = append(a.Endpoints, s.entries[i])
 		}
 	}
 	return a, s.changed
@@ -152,7 +152,7 @@
 	defer stop()
 	defer func() { _ = conn.Close() }()
 	c := s.traffic.count(conn, RoleDiscovery)
-	in, parser := http1.NewRing(s.lim.Ring), http1.NewParser(s.lim, false)
+	in, parser := http1.NewRing(s.lim.RingBytes), http1.NewParser(s.lim, false)
 	for {
 		m, err := parser.Read(in, c)
 		if err != nil {
@@ -168,14 +168,14 @@
 		if err != nil {
 			return
 		}
-		if http1.NewWriter(c, s.lim.Ring).Response(&http1.Response{Status: 200, Body: append(text, '\n')}) != nil {
+		if http1.NewWriter(c, s.lim.RingBytes).Response(&http1.Response{Status: 200, Body: append(text, '\n')}) != nil {
 			return
 		}
-		s.told(a, dispatcher)
+		s.recordListed(a, dispatcher)
 	}
 }
 
-// watch writes changes as they come.
+// watch sends changes as they happen.
 func (s *Discovery) watch(ctx context.Context, c io.Writer, target string, dispatcher int) {
 	if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
@@ -185,8 +185,8 @@
 	if err != nil {
 		index = 0
 	}
-	beat := time.NewTicker(beatEvery)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		a, changed := s.since(index, dispatcher)
 		text := []byte("\n")
@@ -199,28 +199,28 @@
 		if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text); err != nil {
 			return
 		}
-		s.told(a, dispatcher)
+		s.recordListed(a, dispatcher)
 		index = a.Index
 		select {
 		case <-changed:
-		case <-beat.C:
+		case <-heartbeat.C:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// told notes what a dispatcher has been told.
-func (s *Discovery) told(a answer, dispatcher int) {
+// recordListed records the entries that a dispatcher was sent.
+func (s *Discovery) recordListed(a answer, dispatcher int) {
 	s.traffic.in(RoleDiscovery)
 	now := s.record.Now()
-	for _, row := range a.Endpoints {
-		e := verdict.Event{At: now, Kind: verdict.Listed, Dispatcher: int16(dispatcher), Executor: s.number[row.Name]}
-		switch row.Status {
+	for _, entry := range a.Endpoints {
+		e := verdict.Event{At: now, Kind: verdict.Listed, Dispatcher: int16(dispatcher), Executor: s.numbers[entry.Name]}
+		switch entry.Status {
 		case StatusDraining:
 			e.Condition = verdict.Draining
-		case StatusGone:
-			e.Condition = verdict.Gone
+		case StatusRemoved:
+			e.Condition = verdict.Removed
 		}
 		s.record.Add(e)
 	}
