--- a/internal/scale/play/clients.go
+++ b/internal/scale/play/clients.go
@@ -18,20 +18,20 @@
 	"gatetack/internal/scale/workload"
 )
 
-// ClientsCommand is the tool's own command by which it starts clients in processes of their own.
+// ClientsCommand is the tool's hidden command that runs a client process.
 const ClientsCommand = "clients"
 
-// clientsOrder says which part of a load a process of clients plays, and where its report goes.
+// clientsOrder tells a client process which part of a load to submit and where to write its report.
 type clientsOrder struct {
 	Description fleet.Description
-	Block       int // of addresses
+	Block       int // number of the block of addresses
 	Part, Parts int
-	Zero        int64 // the run's first moment and
-	Start       int64 // the load's, in Unix nanoseconds
+	Zero        int64 // time from which the record's times count, and
+	Start       int64 // start of the load, both in Unix nanoseconds
 	Report      string
 }
 
-// clientsReport is what it has seen.
+// clientsReport has the events and counts of a client process.
 type clientsReport struct {
 	Events  []verdict.Event
 	Results hollow.ResultCounts
@@ -39,7 +39,7 @@
 	Lag     time.Duration
 }
 
-// submit plays the load's clients, here or in processes of their own.
+// submit runs the load's clients, in this process or in client processes.
 func (r *run) submit(ctx context.Context, s *sampler) {
 	d := &r.Description
 	if d.Clients == 0 {
@@ -51,21 +51,21 @@
 	for part := range d.Clients {
 		p, err := r.startClients(part)
 		if err != nil {
-			r.note("clients %d: %v", part, err)
+			r.addNote("clients %d: %v", part, err)
 			continue
 		}
 		children = append(children, p)
 		s.add(p)
 	}
 	for part, p := range children {
-		r.await(ctx, p)
+		r.waitForClients(ctx, p)
 		if err := r.merge(part); err != nil {
-			r.note("clients %d: %v", part, errors.Join(err, p.Err()))
+			r.addNote("clients %d: %v", part, errors.Join(err, p.Err()))
 		}
 	}
 }
 
-// noteDue notes when all tasks are due: this process, which learns of starts, draws the same load.
+// noteDue records when all tasks are due. This process records the starts, so it generates the same load as the client processes.
 func (r *run) noteDue() {
 	load := workload.New(r.Description)
 	for t, ok := load.Next(); ok; t, ok = load.Next() {
@@ -92,27 +92,27 @@
 		Log: filepath.Join(r.Dir, fmt.Sprintf("clients-%d.log", part))})
 }
 
-// reportWithin is how long a process of clients that was told to end may take to report.
-const reportWithin = 20 * time.Second
+// reportTimeout is how long a client process may take to write its report after it was asked to end.
+const reportTimeout = 20 * time.Second
 
-// await waits for the end of a process of clients, and asks it to end once the run does.
-func (r *run) await(ctx context.Context, p *process.Process) {
+// waitForClients waits until a client process has ended, and asks it to end when the context ends.
+func (r *run) waitForClients(ctx context.Context, p *process.Process) {
 	select {
 	case <-p.Ended():
 		return
 	case <-ctx.Done():
 	}
 	if err := p.Signal(syscall.SIGTERM); err != nil {
-		r.note("%v", err)
+		r.addNote("%v", err)
 	}
 	select {
 	case <-p.Ended():
-	case <-time.After(reportWithin):
+	case <-time.After(reportTimeout):
 		p.Kill()
 	}
 }
 
-// merge takes in what a process of clients has seen.
+// merge adds the report of a client process to the run.
 func (r *run) merge(part int) error {
 	file, err := os.Open(r.reportPath(part))
 	if err != nil {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// RunClients plays a part of a load, as its order says, and writes a report of it.
+// RunClients runs a client process: it submits the part of a load that its order file names and writes a report.
 func RunClients(ctx context.Context, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -149,7 +149,7 @@
 	go late.watch(watching)
 	defer stop()
 	record, traffic := hollow.NewRecordFrom(time.Unix(0, order.Zero)), &hollow.Traffic{}
-	clients := hollow.NewClients(d.Rules(), d.AllDispatchers(), nil, hollow.JoinNetwork(order.Block), record, traffic)
+	clients := hollow.NewClients(d.Rules(), d.TotalDispatchers(), nil, hollow.JoinNetwork(order.Block), record, traffic)
 	clients.UseBatch(d.StoreMembers)
 	clients.SetPart(order.Part)
 	clients.Play(ctx, hollow.Part{Load: workload.New(*d), Part: order.Part, Parts: order.Parts}, time.Unix(0, order.Start))
--- a/internal/scale/play/dispatchers.go
+++ b/internal/scale/play/dispatchers.go
@@ -19,16 +19,16 @@
 	"gatetack/internal/scale/verdict"
 )
 
-// dispatcher is a real one: the built program as a process.
+// dispatcher is a real dispatcher, which runs the built program as a process.
 type dispatcher struct {
 	number int
 	dir    string
 
 	mu      sync.Mutex
-	process *process.Process // nil while it is down
+	process *process.Process // nil while the dispatcher is down
 }
 
-// current is the process it has now, nil for none.
+// current returns the dispatcher's current process, or nil if it is down.
 func (x *dispatcher) current() *process.Process {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -41,7 +41,7 @@
 	x.process = p
 }
 
-// startDispatchers starts all at once and waits until they serve.
+// startDispatchers starts all dispatchers concurrently and waits until they serve.
 func (r *run) startDispatchers(ctx context.Context) error {
 	for i := range r.Description.Dispatchers {
 		r.dispatchers = append(r.dispatchers, &dispatcher{number: i, dir: filepath.Join(r.Dir, fleet.DispatcherName(i))})
@@ -53,42 +53,42 @@
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	if r.Description.StoreMembers > 0 && r.untilLeader(ctx) == nil {
-		return errors.New("store: no member led in time")
+	if r.Description.StoreMembers > 0 && r.waitForLeader(ctx) == nil {
+		return errors.New("store: no member became leader in time")
 	}
 	for number, h := range r.hollow {
-		if err := r.untilReady(ctx, number, h); err != nil {
+		if err := r.waitUntilReady(ctx, number, h); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// untilReady waits until a hollow dispatcher can serve.
-func (r *run) untilReady(ctx context.Context, number int, h *hollow.Dispatcher) error {
-	for end := time.Now().Add(readyWithin); !h.Ready(); {
+// waitUntilReady waits until a hollow dispatcher is ready.
+func (r *run) waitUntilReady(ctx context.Context, number int, h *hollow.Dispatcher) error {
+	for end := time.Now().Add(readyTimeout); !h.Ready(); {
 		if ctx.Err() != nil || time.Now().After(end) {
-			return fmt.Errorf("hollow dispatcher %d: not ready within %v", number, readyWithin)
+			return fmt.Errorf("hollow dispatcher %d: not ready within %v", number, readyTimeout)
 		}
-		time.Sleep(readyEvery)
+		time.Sleep(readyPollInterval)
 	}
 	return nil
 }
 
-const readyEvery = 10 * time.Millisecond
+const readyPollInterval = 10 * time.Millisecond
 
 func (r *run) startDispatcher(ctx context.Context, x *dispatcher) error {
 	if err := os.MkdirAll(x.dir, 0o700); err != nil {
-		return fmt.Errorf("folder of dispatcher %d: %w", x.number, err)
+		return fmt.Errorf("directory of dispatcher %d: %w", x.number, err)
 	}
 	if err := r.writeConfig(x, 0); err != nil {
 		return err
 	}
 	args := []string{"serve", "--log-level", "info"}
-	if file := r.operatorsFile(x.number); file != "" {
+	if file := r.operatorConfig(x.number); file != "" {
 		path := filepath.Join(x.dir, "gatetack.yaml")
 		if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
-			return fmt.Errorf("operators' file of dispatcher %d: %w", x.number, err)
+			return fmt.Errorf("operators' configuration of dispatcher %d: %w", x.number, err)
 		}
 		args = append(args, "--config", path)
 	}
@@ -98,27 +98,27 @@
 		return err
 	}
 	x.set(p)
-	return p.Until(ctx, readyWithin, func() bool { return r.healthy(x.number) })
+	return p.WaitUntil(ctx, readyTimeout, func() bool { return r.healthy(x.number) })
 }
 
 func (x *dispatcher) config() string { return filepath.Join(x.dir, "config.json") }
 
-// configuration of a dispatcher, as it is after so many changes.
+// configuration returns a dispatcher's configuration after the given number of changes.
 func (r *run) configuration(number, changes int) ([]byte, error) {
 	d := &r.Description
 	at := fleet.Addresses{Listen: r.network.Dispatcher(number), Discovery: r.network.Discovery(number),
 		PeerListen: r.network.PeerListen(number), PeersAll: r.network.PeersAll(number)}
-	for i := range d.AllDispatchers() {
+	for i := range d.TotalDispatchers() {
 		at.Peers = append(at.Peers, r.network.Peer(number, i))
 	}
 	return d.Config(number, changes, at)
 }
 
-// hollowDispatchers begins those that stand in this process, by their numbers.
+// hollowDispatchers starts the hollow dispatchers in this process and returns them by their numbers.
 func (r *run) hollowDispatchers(ctx context.Context, g *errgroup.Group) (map[int]*hollow.Dispatcher, error) {
 	d := &r.Description
 	out := map[int]*hollow.Dispatcher{}
-	for number := d.Dispatchers; number < d.AllDispatchers(); number++ {
+	for number := d.Dispatchers; number < d.TotalDispatchers(); number++ {
 		text, err := r.configuration(number, 0)
 		if err != nil {
 			return nil, err
@@ -130,7 +130,7 @@
 	return out, nil
 }
 
-// writeConfig writes a dispatcher's configuration, as it is after so many changes, in one piece.
+// writeConfig atomically writes a dispatcher's configuration after the given number of changes.
 func (r *run) writeConfig(x *dispatcher, changes int) error {
 	text, err := r.configuration(x.number, changes)
 	if err != nil {
@@ -142,9 +142,9 @@
 	return os.Rename(x.config()+".new", x.config())
 }
 
-// operatorsFile is what a dispatcher is started with beside its configuration, where there is a store: its members have a batch front,
-// and all others follow the settings in it.
-func (r *run) operatorsFile(number int) string {
+// operatorConfig returns the operators' configuration file of a dispatcher, or "" without a store. Store members have a batch front;
+// all other dispatchers follow the settings in the store.
+func (r *run) operatorConfig(number int) string {
 	d := &r.Description
 	if d.StoreMembers == 0 {
 		return ""
@@ -161,30 +161,30 @@
 		r.network.Batch(number), r.network.Store(number), strings.Join(members, ", "))
 }
 
-// probeWithin is how long a check of a dispatcher's health may take.
-const probeWithin = 2 * time.Second
+// probeTimeout is the timeout of a status call to a dispatcher.
+const probeTimeout = 2 * time.Second
 
 func (r *run) healthy(number int) bool {
-	status, err := r.ask(number, "GET", "/healthz")
+	status, err := r.call(number, "GET", "/healthz")
 	return err == nil && status == 200
 }
 
-// ask makes a call of no client's.
-func (r *run) ask(number int, method, target string) (int, error) {
-	var untold hollow.Traffic // the tool's own calls are no traffic of the fleet's
-	c, err := hollow.Dial(r.network.Dispatcher(number), &untold, hollow.RoleClient)
+// call makes a request to a dispatcher and returns the status of the answer.
+func (r *run) call(number int, method, target string) (int, error) {
+	var uncounted hollow.Traffic // the tool's own calls do not count as traffic of the fleet
+	c, err := hollow.Dial(r.network.Dispatcher(number), &uncounted, hollow.RoleClient)
 	if err != nil {
 		return 0, err
 	}
 	defer func() { _ = c.Close() }()
-	m, err := c.Do(time.Now().Add(probeWithin), method, target, nil, nil)
+	m, err := c.Do(time.Now().Add(probeTimeout), method, target, nil, nil)
 	if err != nil {
 		return 0, err
 	}
 	return m.Status, nil
 }
 
-// ended names a dispatcher that has ended by itself.
+// ended returns an error if a dispatcher has ended by itself.
 func (r *run) ended() error {
 	for _, x := range r.dispatchers {
 		p := x.current()
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// stopDispatchers ends those that still run.
+// stopDispatchers kills the dispatchers that still run.
 func (r *run) stopDispatchers() {
 	for _, x := range r.dispatchers {
 		if p := x.current(); p != nil {
@@ -211,9 +211,9 @@
 	}
 }
 
-// kill ends one outright.
+// kill kills a dispatcher.
 func (r *run) kill(x *dispatcher) {
-	// What breaks with it is seen from the moment of the signal on.
+	// Connections can break from the time of the signal on, so the event is recorded before.
 	r.record.Add(verdict.Event{Kind: verdict.DispatcherDied, Dispatcher: int16(x.number)})
 	if p := x.current(); p != nil {
 		x.set(nil)
--- a/internal/scale/play/inject.go
+++ b/internal/scale/play/inject.go
@@ -9,15 +9,15 @@
 	"gatetack/internal/scale/hollow"
 )
 
-// inject carries out the faults when they are due.
+// inject carries out the actions of the faults at their times.
 func (r *run) inject(ctx context.Context) {
-	var slow sync.WaitGroup
-	defer slow.Wait()
+	var background sync.WaitGroup
+	defer background.Wait()
 	for _, a := range r.actions {
 		select {
 		case <-time.After(time.Until(r.loadStart.Add(a.At))):
 			if a.Kind == faults.KillLeader || a.Kind == faults.RestartLeader {
-				slow.Go(func() { r.act(ctx, a) })
+				background.Go(func() { r.act(ctx, a) })
 				continue
 			}
 			r.act(ctx, a)
@@ -36,13 +36,13 @@
 	case faults.Boot:
 		for _, x := range a.Executors {
 			if err := r.executors.Boot(x, true); err != nil {
-				r.note("an executor did not come back: %v", err)
+				r.addNote("an executor did not restart: %v", err)
 			}
 		}
 	case faults.ListDraining:
 		r.discovery.Set(a.Executors, hollow.StatusDraining, time.Time{})
-	case faults.ListGone:
-		r.discovery.Set(a.Executors, hollow.StatusGone, time.Time{})
+	case faults.ListRemoved:
+		r.discovery.Set(a.Executors, hollow.StatusRemoved, time.Time{})
 	case faults.ListReady:
 		r.listReady(a.Executors)
 	case faults.SetCut, faults.LiftCut:
@@ -57,19 +57,19 @@
 	case faults.RestartLeader:
 		r.restartLeader(ctx)
 	case faults.Change:
-		r.changes.make(ctx)
+		r.changes.apply(ctx)
 	}
 }
 
-// listReady tells of executors that stand, with the starts of their lives.
+// listReady lists the executors that are up as ready, with their start times.
 func (r *run) listReady(executors []int) {
-	born := map[time.Time][]int{}
+	byStart := map[time.Time][]int{}
 	for _, x := range executors {
 		if at, up := r.executors.Booted(x); up {
-			born[at] = append(born[at], x)
+			byStart[at] = append(byStart[at], x)
 		}
 	}
-	for at, group := range born {
+	for at, group := range byStart {
 		r.discovery.Set(group, hollow.StatusReady, at)
 	}
 }
--- a/internal/scale/play/play.go
+++ b/internal/scale/play/play.go
@@ -1,5 +1,5 @@
-// Package play puts a scale run together: it starts the real dispatchers, the hollow parties around them, the load and the faults,
-// measures from outside, and has what was seen judged.
+// Package play runs a scale run: it starts the real dispatchers, the hollow parties around them, the load and the faults, measures
+// from outside, and judges the observed events.
 package play
 
 import (
@@ -18,55 +18,56 @@
 	"gatetack/internal/scale/result"
 )
 
-// Options say what is played.
+// Options are the options of a run.
 type Options struct {
 	Description fleet.Description
 	Faults      []faults.Spec
-	Program     string // the dispatcher's, built
-	Self        string // the tool's own, for clients in processes of their own
-	Dir         string // for configurations and logs
-	Command     string // as it stands in the result
+	Program     string // path of the built dispatcher program
+	Self        string // path of the tool's own program, which also runs the client processes
+	Dir         string // directory for configurations and logs
+	Command     string // command line in the result
 	Commit      string
 	Budget      process.Budget
 }
 
-// Times of a run beside its load's.
+// Timeouts and durations of a run, and the length of the executors' queues.
 const (
-	readyWithin  = 30 * time.Second       // of a dispatcher, from its start
-	settleFor    = time.Second            // between the last dispatcher's readiness and the load's start
-	answerSpare  = 5 * time.Second        // past the longest deadline, all answers must have come
-	batchSpare   = 15 * time.Second       // and what became of batch jobs be known
-	clientsLead  = 500 * time.Millisecond // in which processes of clients start
-	queuePerSlot = 4                      // tasks that may wait at an executor
+	readyTimeout         = 30 * time.Second       // time for a dispatcher to become ready after its start
+	settleDuration       = time.Second            // time between the last dispatcher's readiness and the load's start
+	answerGrace          = 5 * time.Second        // time after the longest deadline by which all answers must have arrived
+	batchGrace           = 15 * time.Second       // the same with batch jobs, whose states are polled after the deadline
+	clientsStartDuration = 500 * time.Millisecond // time for client processes to start
+	queuePerSlot         = 4                      // number of tasks that may wait at an executor, per slot
 )
 
-// A hollow executor takes about so much, connections included, and a running task so much; dispatchers may use what they are granted.
+// Approximate memory of a hollow executor with its connections, of a running task, and of the tool. Real dispatchers have their own
+// memory limit.
 const (
 	executorBytes = 64 << 10
 	taskBytes     = 16 << 10
-	rowBytes      = 4 << 10 // of an executor at a hollow dispatcher
+	entryBytes    = 4 << 10 // per executor at a hollow dispatcher
 	toolBytes     = 256 << 20
 )
 
-// need is the memory a run may use.
-func need(d *fleet.Description) int64 {
-	return toolBytes + int64(d.Hollow)*int64(d.Executors)*rowBytes + int64(d.Executors)*executorBytes + int64(d.Running)*taskBytes + int64(d.Dispatchers)*int64(d.MemoryMB)<<20
+// memoryNeeded returns the memory that a run may use, in bytes.
+func memoryNeeded(d *fleet.Description) int64 {
+	return toolBytes + int64(d.Hollow)*int64(d.Executors)*entryBytes + int64(d.Executors)*executorBytes + int64(d.Running)*taskBytes + int64(d.Dispatchers)*int64(d.MemoryMB)<<20
 }
 
-// descriptors that the tool itself needs: executors listen, dispatchers keep connections to them, and clients have one for each task
-// that waits.
-func descriptors(d *fleet.Description) int64 {
-	n := d.Executors*(1+d.StoreMembers) + d.AllDispatchers()*d.Sockets/executorPart + d.AllDispatchers()*d.AllDispatchers()
+// descriptorsNeeded returns the number of descriptors that the tool's process needs: for the listeners of executors, the connections of
+// dispatchers to them, the sockets between dispatchers, and a client connection for each waiting task.
+func descriptorsNeeded(d *fleet.Description) int64 {
+	n := d.Executors*(1+d.StoreMembers) + d.TotalDispatchers()*d.Sockets/executorSocketsDivisor + d.TotalDispatchers()*d.TotalDispatchers()
 	if d.Clients == 0 {
 		n += 2 * d.Running
 	}
 	return int64(n)
 }
 
-// executorPart of a dispatcher's descriptors may be connections to executors.
-const executorPart = 3
+// executorSocketsDivisor limits a dispatcher's connections to executors: one third of its descriptors.
+const executorSocketsDivisor = 3
 
-// run is one that is played.
+// run is the state of a run.
 type run struct {
 	Options
 	plan        []fleet.Executor
@@ -81,16 +82,17 @@
 	starter     *process.Starter
 	dispatchers []*dispatcher
 	hollow      map[int]*hollow.Dispatcher
-	leaderMu    sync.Mutex  // held while the leader is killed or started again
-	killed      *dispatcher // the store's leader that was killed, until it is started again
+	leaderMu    sync.Mutex  // held while the leader is killed or restarted
+	killed      *dispatcher // the store's leader that was killed, until it is restarted
 	changes     *changes
 	lag         lag
-	clientLag   time.Duration // the worst of the clients' processes
-	load        float64       // of the machine, before the run
+	clientLag   time.Duration // longest lag of the client processes
+	loadAverage float64       // load average of the machine before the run
 	loadStart   time.Time
 }
 
-// Run plays a fleet. An error means that nothing was played; a run that ended early gives a partial result.
+// Run runs a fleet with its load and faults. It returns an error if the run could not start. A run that ended early has a partial
+// result.
 func Run(ctx context.Context, o Options) (*result.Result, error) {
 	d := &o.Description
 	if err := d.Check(); err != nil {
@@ -101,44 +103,44 @@
 	if r.actions, err = faults.Schedule(d, r.plan, o.Faults); err != nil {
 		return nil, err
 	}
-	if err := o.Budget.Before(need(d), d.Dispatchers+d.Clients+1); err != nil {
+	if err := o.Budget.CheckStart(memoryNeeded(d), d.Dispatchers+d.Clients+1); err != nil {
 		return nil, err
 	}
-	if err := process.Descriptors(descriptors(d)); err != nil {
+	if err := process.CheckDescriptors(descriptorsNeeded(d)); err != nil {
 		return nil, err
 	}
 	if r.network, err = hollow.NewNetwork(); err != nil {
 		return nil, err
 	}
 	defer func() { _ = r.network.Close() }()
-	if r.load, err = process.LoadAverage(); err != nil {
+	if r.loadAverage, err = process.LoadAverage(); err != nil {
 		return nil, err
 	}
 	r.starter = process.NewStarter()
 	defer r.starter.Close()
 
-	stand, leave := context.WithCancel(context.Background())
+	environment, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
 	defer func() {
 		r.stopDispatchers()
-		leave()
+		cancel()
 		_ = g.Wait()
 	}()
 	r.record = hollow.NewRecord()
-	if err := r.stand(stand, g); err != nil {
+	if err := r.startEnvironment(environment, g); err != nil {
 		return nil, err
 	}
 	if err := r.startDispatchers(ctx); err != nil {
 		return nil, err
 	}
-	return r.play(ctx, stand)
+	return r.play(ctx, environment)
 }
 
-// stand sets up what stands around the dispatchers.
-func (r *run) stand(ctx context.Context, g *errgroup.Group) error {
+// startEnvironment starts the hollow parties around the dispatchers.
+func (r *run) startEnvironment(ctx context.Context, g *errgroup.Group) error {
 	d := &r.Description
-	settings := hollow.ExecutorSettings{Rules: d.Rules(), ProgressEvery: d.ProgressEvery(), QueuePerSlot: queuePerSlot, StoreMembers: d.StoreMembers, ExpectedRun: d.ExpectedRun, DispatcherRegion: d.DispatcherRegion}
-	r.executors = hollow.NewExecutors(ctx, g, r.plan, settings, r.network, r.record, &r.traffic, r.cuts, d.AllDispatchers())
+	settings := hollow.ExecutorSettings{Rules: d.Rules(), ProgressInterval: d.ProgressInterval(), QueuePerSlot: queuePerSlot, StoreMembers: d.StoreMembers, ExpectedRun: d.ExpectedRun, DispatcherRegion: d.DispatcherRegion}
+	r.executors = hollow.NewExecutors(ctx, g, r.plan, settings, r.network, r.record, &r.traffic, r.cuts, d.TotalDispatchers())
 	for i := range r.plan {
 		if err := r.executors.Boot(i, false); err != nil {
 			return err
@@ -148,69 +150,69 @@
 	if r.discovery, err = hollow.NewDiscovery(ctx, g, d, r.plan, r.network, r.record, &r.traffic); err != nil {
 		return err
 	}
-	if _, err = hollow.NewPeers(ctx, g, d.AllDispatchers(), d.DispatcherRegion, r.network, &r.traffic, r.cuts); err != nil {
+	if _, err = hollow.NewPeers(ctx, g, d.TotalDispatchers(), d.DispatcherRegion, r.network, &r.traffic, r.cuts); err != nil {
 		return err
 	}
-	standing, err := r.hollowDispatchers(ctx, g)
+	hollowDispatchers, err := r.hollowDispatchers(ctx, g)
 	if err != nil {
 		return err
 	}
-	r.hollow = standing
-	r.clients = hollow.NewClients(d.Rules(), d.AllDispatchers(), standing, r.network, r.record, &r.traffic)
+	r.hollow = hollowDispatchers
+	r.clients = hollow.NewClients(d.Rules(), d.TotalDispatchers(), hollowDispatchers, r.network, r.record, &r.traffic)
 	r.clients.UseBatch(d.StoreMembers)
 	r.changes = newChanges(r)
 	g.Go(func() error { r.lag.watch(ctx); return nil })
 	return nil
 }
 
-// spare is how long past the longest deadline a run may last.
-func (r *run) spare() time.Duration {
+// grace returns how long a run may last after the longest deadline.
+func (r *run) grace() time.Duration {
 	if r.Description.BatchShare > 0 {
-		return batchSpare
+		return batchGrace
 	}
-	return answerSpare
+	return answerGrace
 }
 
-// errTime ends a run early.
-var errTime = errors.New("answers were still owed when the longest deadline had passed")
+// errAnswersPending is the reason of a run that ended early because answers were missing.
+var errAnswersPending = errors.New("answers were still pending after the longest deadline")
 
-// play runs load, faults and measuring to their ends.
-func (r *run) play(ctx context.Context, stand context.Context) (*result.Result, error) {
+// play runs the load, the faults and the measurement until they end.
+func (r *run) play(ctx context.Context, environment context.Context) (*result.Result, error) {
 	d := &r.Description
-	time.Sleep(settleFor)
+	time.Sleep(settleDuration)
 	rules := d.Rules()
 	longest := max(rules.Deadlines[fleet.ClassOnce], rules.Deadlines[fleet.ClassUrgent])
-	playing, end := context.WithCancelCause(ctx)
-	defer end(nil)
-	timer := time.AfterFunc(d.Duration+longest+r.spare(), func() { end(errTime) })
+	playCtx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	timer := time.AfterFunc(d.Duration+longest+r.grace(), func() { cancel(errAnswersPending) })
 	defer timer.Stop()
 
 	samples := newSampler(r)
-	samples.take() // processor time counts from here
+	samples.sample() // processor time is counted from here
 	r.loadStart = time.Now()
 	if d.Clients > 0 {
-		r.loadStart = r.loadStart.Add(clientsLead)
+		r.loadStart = r.loadStart.Add(clientsStartDuration)
 	}
-	beside, stop := context.WithCancel(playing)
+	background, stop := context.WithCancel(playCtx)
 	var g errgroup.Group
-	g.Go(func() error { r.inject(beside); return nil })
+	g.Go(func() error { r.inject(background); return nil })
 	g.Go(func() error {
-		if err := samples.run(beside); err != nil {
-			end(err)
+		if err := samples.run(background); err != nil {
+			cancel(err)
 		}
 		return nil
 	})
-	r.submit(playing, samples)
+	r.submit(playCtx, samples)
 	played := time.Since(r.loadStart)
-	why := context.Cause(playing)
+	cause := context.Cause(playCtx)
 	stop()
 	_ = g.Wait()
-	samples.take()
+	samples.sample()
 	r.changes.wait()
 	r.clients.Close()
 	out := r.report(samples, played)
-	if why != nil {
-		out.Partial, out.PartialWhy = true, fmt.Sprint(why)
+	if cause != nil {
+		out.Partial, out.PartialWhy = true, fmt.Sprint(cause)
 	}
-	return out, stand.Err()
+	return out, environment.Err()
 }
--- a/internal/scale/play/play_test.go
+++ b/internal/scale/play/play_test.go
@@ -40,7 +40,7 @@
 	os.Exit(code)
 }
 
-// small is a fleet that plays in some seconds.
+// small returns a fleet whose run takes some seconds.
 func small() fleet.Description {
 	d := fleet.Default()
 	d.Executors, d.Dispatchers, d.Tenants, d.Starts, d.Running, d.Duration = 60, 3, 4, 40, 20, 6*time.Second
@@ -49,30 +49,30 @@
 }
 
 func options(t *testing.T, d fleet.Description, specs ...faults.Spec) Options {
-	return Options{Description: d, Faults: specs, Program: program, Self: self, Dir: t.TempDir(), Command: "test", Commit: "test", Budget: process.Bounds}
+	return Options{Description: d, Faults: specs, Program: program, Self: self, Dir: t.TempDir(), Command: "test", Commit: "test", Budget: process.DefaultBudget}
 }
 
-// The short form of a run: real dispatchers, a zone out and back cold, changes of the configuration. What is judged are counts and
-// rules, whatever the machine's speed.
+// A short run with real dispatchers, a zone that fails and restarts cold, and configuration changes. The checks concern only counts
+// and rules, which do not depend on the machine's speed.
 func TestShortRun(t *testing.T) {
 	t.Parallel()
 	r, err := Run(context.Background(), options(t, small(), faults.Spec{Name: faults.Zone}, faults.Spec{Name: faults.Reconfigure, Value: 2}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !r.Kept || r.Partial {
+	if !r.RulesKept || r.Partial {
 		t.Errorf("partial %v %s; %+v", r.Partial, r.PartialWhy, r.Verdict.Violations)
 	}
 	for _, j := range r.Jobs {
-		if j.Served+j.Refused+j.Failed != j.Tasks {
-			t.Errorf("%s: %d tasks, and %d served, %d refused, %d failed", j.Kind, j.Tasks, j.Served, j.Refused, j.Failed)
+		if j.Served+j.Rejected+j.Failed != j.Tasks {
+			t.Errorf("%s: %d tasks, but %d served, %d rejected, %d failed", j.Kind, j.Tasks, j.Served, j.Rejected, j.Failed)
 		}
 	}
 	c := r.Verdict.Counts
 	if c.Served == 0 || c.Starts < c.Served || c.Lost+c.Crashed+c.Open+c.Doubled != 0 {
 		t.Errorf("%+v", c)
 	}
-	if r.Changes.Made != 2 || int(r.Changes.InForce.Count)+r.Changes.Missing != 2 {
+	if r.Changes.Made != 2 || int(r.Changes.InForce.Count)+r.Changes.NotInForce != 2 {
 		t.Errorf("changes: %+v", r.Changes)
 	}
 	if len(r.Processes) != 4 || r.Processes[0].Role != "dispatcher" || r.Processes[0].PrivateMB <= 0 || r.Processes[0].Descriptors == 0 {
@@ -92,8 +92,8 @@
 	}
 }
 
-// Clients in processes of their own submit the same load, and what they saw is judged with the rest.
-func TestClientsOfTheirOwn(t *testing.T) {
+// Client processes must submit the same load as clients in the tool's process, and their events must be judged with the others.
+func TestClientProcesses(t *testing.T) {
 	t.Parallel()
 	d := small()
 	d.Clients, d.Duration = 2, 4*time.Second
@@ -101,24 +101,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tasks, told := int64(0), int64(0)
+	tasks, notified := int64(0), int64(0)
 	for _, j := range r.Jobs {
 		tasks += j.Tasks
-		told += j.StartTold.Count
+		notified += j.StartNotified.Count
 	}
 	load, want := workload.New(d), int64(0)
 	for _, ok := load.Next(); ok; _, ok = load.Next() {
 		want++
 	}
-	if c := r.Verdict.Counts; !r.Kept || r.Partial || tasks != want || int64(c.Served+c.Failed) != want || told == 0 {
-		t.Errorf("%d tasks of %d, %d starts told; %+v %+v %v", tasks, want, told, c, r.Verdict.Violations, r.Notes)
+	if c := r.Verdict.Counts; !r.RulesKept || r.Partial || tasks != want || int64(c.Served+c.Failed) != want || notified == 0 {
+		t.Errorf("%d tasks of %d, %d starts notified; %+v %+v %v", tasks, want, notified, c, r.Verdict.Violations, r.Notes)
 	}
 	if n := len(r.Processes); n != d.Dispatchers+1+d.Clients {
-		t.Errorf("%d processes", n)
+		t.Errorf("%d processes measured", n)
 	}
 }
 
-// A run that is interrupted writes what it has, marked partial, and leaves no process.
+// An interrupted run must give a partial result and leave no process.
 func TestInterrupted(t *testing.T) {
 	t.Parallel()
 	d := small()
@@ -139,18 +139,18 @@
 	if !r.Partial || r.PartialWhy == "" {
 		t.Errorf("partial %v, why %q", r.Partial, r.PartialWhy)
 	}
-	if n := r.Verdict.Broken[verdict.FinalAnswer]; n != 0 {
-		t.Errorf("%d requests count as lost that were open when the run was interrupted", n)
+	if n := r.Verdict.ViolationCounts[verdict.FinalAnswer]; n != 0 {
+		t.Errorf("%d requests that were open when the run was interrupted count as lost", n)
 	}
 }
 
-// served says whether the first dispatcher has begun to serve.
+// served reports whether the first dispatcher has written to its log.
 func served(dir string) bool {
 	info, err := os.Stat(filepath.Join(dir, fleet.DispatcherName(0), "log"))
 	return err == nil && info.Size() > 0
 }
 
-// A run that needs more than it may is not begun, and one that comes to need more ends early and says so.
+// A run that needs more memory or processes than its budget must not start.
 func TestBounds(t *testing.T) {
 	t.Parallel()
 	o := options(t, small())
@@ -164,7 +164,7 @@
 	}
 }
 
-// Each fault that goes over sockets is played with all rules kept, and each task has one end.
+// Each fault on sockets must leave all rules kept, and each task must end exactly once.
 func TestFaults(t *testing.T) {
 	t.Parallel()
 	for _, name := range []faults.Name{faults.Cut, faults.CutInward, faults.CutOutward, faults.Rack, faults.Machine, faults.Rolling} {
@@ -174,7 +174,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			switch name { // some of each in a short run of few executors
+			switch name { // values that give several faults in a short run with few executors
 			case faults.Machine:
 				spec.Value = 20000
 			case faults.Rolling:
@@ -184,12 +184,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !r.Kept || r.Partial {
+			if !r.RulesKept || r.Partial {
 				t.Errorf("partial %v %s; %+v", r.Partial, r.PartialWhy, r.Verdict.Violations)
 			}
 			for _, j := range r.Jobs {
-				if j.Served+j.Refused+j.Failed != j.Tasks {
-					t.Errorf("%s: %d tasks, and %d served, %d refused, %d failed", j.Kind, j.Tasks, j.Served, j.Refused, j.Failed)
+				if j.Served+j.Rejected+j.Failed != j.Tasks {
+					t.Errorf("%s: %d tasks, but %d served, %d rejected, %d failed", j.Kind, j.Tasks, j.Served, j.Rejected, j.Failed)
 				}
 			}
 			t.Logf("%+v", r.Verdict.Counts)
--- a/internal/scale/play/report.go
+++ b/internal/scale/play/report.go
@@ -18,8 +18,8 @@
 	"gatetack/internal/scale/workload"
 )
 
-// asked is how many starts a second are asked for at a moment.
-func (r *run) asked(now time.Time) float64 {
+// requestedRate returns the requested task starts per second at the time now.
+func (r *run) requestedRate(now time.Time) float64 {
 	d := &r.Description
 	if d.StartsTo <= d.Starts {
 		return d.Starts
@@ -27,15 +27,15 @@
 	return d.Starts + (d.StartsTo-d.Starts)*min(1, float64(now.Sub(r.loadStart))/float64(d.Duration))
 }
 
-// report judges the run and puts its result together.
+// report judges the run and returns its result.
 func (r *run) report(s *sampler, played time.Duration) *result.Result {
 	events := r.record.Events()
 	end := r.record.Now()
-	out := &result.Result{Tool: result.Tool, Format: result.Format, Commit: r.Commit, Command: r.Command, Machine: machine(), Began: r.loadStart.UTC().Truncate(time.Second),
-		Description: r.Description, Faults: faultNames(r.Faults), Seconds: played.Seconds(), Verdict: verdict.Run(verdict.For(&r.Description, max(r.lag.worst(), r.clientLag)), events, end),
+	out := &result.Result{Tool: result.Tool, Format: result.Format, Commit: r.Commit, Command: r.Command, Machine: machine(), StartedAt: r.loadStart.UTC().Truncate(time.Second),
+		Description: r.Description, Faults: faultNames(r.Faults), Seconds: played.Seconds(), Verdict: verdict.JudgeEvents(verdict.RulesFor(&r.Description, max(r.lag.worst(), r.clientLag)), events, end),
 		Traffic: r.traffic.Sum(), Saturated: s.saturated, ToolLag: r.lag.sum(), MemoryMB: float64(s.peak) / (1 << 20), Changes: r.changes.sum(), Notes: r.notes()}
-	out.Machine.LoadAt = r.load
-	out.Kept = out.Verdict.Kept()
+	out.Machine.LoadBefore = r.loadAverage
+	out.RulesKept = out.Verdict.Passed()
 	out.Jobs = r.jobs()
 	whole, part, none, spread := r.record.Gangs()
 	out.Gangs = result.Gangs{Whole: whole, Part: part, None: none, SpreadMS: float64(spread) / float64(time.Millisecond)}
@@ -63,21 +63,21 @@
 	var out []result.Jobs
 	for kind := range workload.Kinds {
 		j := result.Jobs{Kind: kind.String(), Tasks: counts.Tasks[kind], Served: counts.Served[kind],
-			Refused: counts.Refused[kind], Failed: counts.Failed[kind]}
-		j.StartTold = latency(latencies[kind], j.Tasks)
+			Rejected: counts.Refused[kind], Failed: counts.Failed[kind]}
+		j.StartNotified = latency(latencies[kind], j.Tasks)
 		out = append(out, j)
 	}
 	return out
 }
 
-// latency sums up a histogram in microseconds, of so many that were due.
+// latency summarizes a histogram in microseconds. The share within the target is relative to the number of due tasks.
 func latency(h *hdrhistogram.Histogram, due int64) result.Latency {
 	ms := func(quantile float64) float64 { return float64(h.ValueAtQuantile(quantile)) / 1000 }
 	l := result.Latency{Count: h.TotalCount(), P50: ms(50), P90: ms(90), P99: ms(99), Max: float64(h.Max()) / 1000}
 	if due > 0 {
 		within := int64(0)
 		for _, bar := range h.Distribution() {
-			if bar.To <= fleet.UrgentWithin.Microseconds() {
+			if bar.To <= fleet.UrgentStartTarget.Microseconds() {
 				within += bar.Count
 			}
 		}
@@ -86,15 +86,15 @@
 	return l
 }
 
-// running counts what ran at a time and what was started in each second; events are in the order of their times by now.
+// running counts concurrently running tasks and starts per second. The events must be in the order of their times.
 func (r *run) running(events []verdict.Event) result.Running {
 	d := &r.Description
 	out := result.Running{MeanRunMillis: float64(d.MeanRun()) / float64(time.Millisecond)}
 	for _, x := range r.plan {
 		out.Slots += x.Slots
 	}
-	starts, asked := map[int]int{}, map[int]int{}
-	begun := map[int32]int32{} // tasks that run, by executor
+	starts, requested := map[int]int{}, map[int]int{}
+	running := map[int32]int32{} // number of running tasks by executor
 	seen := map[int32]bool{}
 	now, total, tasks := 0, 0, 0
 	for _, e := range events {
@@ -104,30 +104,30 @@
 			if !seen[e.Task] {
 				seen[e.Task] = true
 				tasks++
-				asked[second]++
+				requested[second]++
 			}
 		case verdict.Started:
 			now++
 			total++
 			starts[second]++
-			begun[e.Executor]++
+			running[e.Executor]++
 			out.Peak = max(out.Peak, now)
 		case verdict.Ended:
 			now--
-			begun[e.Executor]--
+			running[e.Executor]--
 		case verdict.Died:
-			now -= int(begun[e.Executor])
-			begun[e.Executor] = 0
+			now -= int(running[e.Executor])
+			running[e.Executor] = 0
 		}
 	}
 	for _, n := range starts {
 		out.StartsPeakPS = max(out.StartsPeakPS, n)
 	}
-	for _, n := range asked {
-		out.AskedPeakPS = max(out.AskedPeakPS, n)
+	for _, n := range requested {
+		out.RequestedPeakPS = max(out.RequestedPeakPS, n)
 	}
 	out.StartsPerS = float64(total) / d.Duration.Seconds()
-	out.AskedPerS = float64(tasks) / d.Duration.Seconds()
+	out.RequestedPerS = float64(tasks) / d.Duration.Seconds()
 	return out
 }
 
--- a/internal/scale/play/sample.go
+++ b/internal/scale/play/sample.go
@@ -12,7 +12,7 @@
 	"gatetack/internal/scale/result"
 )
 
-// sampler measures all processes of a run, the tool's own among them, once a second.
+// sampler measures all processes of a run, including the tool's own, once a second.
 type sampler struct {
 	r         *run
 	mu        sync.Mutex
@@ -20,34 +20,34 @@
 	began     time.Time
 	watched   []*watched
 	saturated *result.Saturated
-	busy      time.Duration // of the machine, at the last look
-	peak      int64         // bytes of private memory together
+	busy      time.Duration // processor time of the machine at the last sample
+	peak      int64         // most private memory of all processes together, in bytes
 }
 
 type watched struct {
 	name, role  string
 	pid         int
-	cores       float64 // it may use
+	cores       float64 // number of cores it may use
 	first, last process.Usage
 	seen        bool
 	peak        process.Usage
-	peakCPU     float64 // cores, in the busiest second
+	peakCPU     float64 // most cores used in a sample interval
 	ended       string
 	target      *dispatcher
-	child       *process.Process // of the tool's
-	spent       process.Usage    // of earlier processes of a dispatcher that was started again
+	child       *process.Process // a process of clients, nil for others
+	spent       process.Usage    // usage of the earlier processes of a restarted dispatcher
 }
 
-// sampleEvery is the time between two looks, and saturatedFrom the part of what a process may use from which it counts as saturated.
+// sampleInterval is the time between two samples. A process is saturated if it uses saturatedShare of the cores that it may use.
 const (
-	sampleEvery   = time.Second
-	saturatedFrom = 0.9
+	sampleInterval = time.Second
+	saturatedShare = 0.9
 )
 
-// machineName stands for all processes of the machine, others' among them.
+// machineName is the name under which all processes of the machine, including other users', are measured.
 const machineName = "the machine"
 
-// toolName is the name of the tool's own process.
+// toolName is the name under which the tool's own process is measured.
 const toolName = "hollow parties"
 
 func newSampler(r *run) *sampler {
@@ -59,9 +59,9 @@
 	return s
 }
 
-// run measures until the context ends; an error says that a bound was passed.
+// run samples until the context ends. It returns an error if the run exceeds its budget or a dispatcher ends by itself.
 func (s *sampler) run(ctx context.Context) error {
-	tick := time.NewTicker(sampleEvery)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -69,32 +69,32 @@
 		case <-ctx.Done():
 			return nil
 		}
-		bytes := s.take()
+		bytes := s.sample()
 		if err := s.r.ended(); err != nil {
 			return err
 		}
-		if err := s.r.Budget.During(bytes, len(s.watched)); err != nil {
-			return fmt.Errorf("the run needs more than it may: %w", err)
+		if err := s.r.Budget.CheckUsage(bytes, len(s.watched)); err != nil {
+			return fmt.Errorf("run exceeds its budget: %w", err)
 		}
 	}
 }
 
-// add watches a child of the tool's as well.
+// add adds a child of the tool to the measured processes.
 func (s *sampler) add(p *process.Process) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watched = append(s.watched, &watched{name: p.Name, role: "tool", pid: p.Pid, cores: float64(runtime.NumCPU()), child: p})
 }
 
-// take measures once, and gives the private memory of all.
-func (s *sampler) take() int64 {
+// sample measures all processes once and returns their private memory.
+func (s *sampler) sample() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	span := now.Sub(s.at)
 	bytes := int64(0)
 	for _, w := range s.watched {
-		if w.follow() {
+		if w.refreshProcess() {
 			bytes += s.measure(w, now, span)
 		}
 	}
@@ -104,7 +104,7 @@
 	return bytes
 }
 
-// machine looks whether all cores together are used up, whoever uses them.
+// machine measures the processor time of all processes of the machine and notes if it is saturated.
 func (s *sampler) machine(now time.Time, span time.Duration) {
 	busy, err := process.MachineBusy()
 	if err != nil {
@@ -112,21 +112,21 @@
 	}
 	cores := float64(busy-s.busy) / float64(span)
 	if s.busy > 0 {
-		s.full(machineName, now, span, cores, float64(runtime.NumCPU()))
+		s.noteSaturation(machineName, now, span, cores, float64(runtime.NumCPU()))
 	}
 	s.busy = busy
 }
 
-// full notes the first that uses up what it may.
-func (s *sampler) full(name string, now time.Time, span time.Duration, cores, may float64) {
-	if s.saturated == nil && span > sampleEvery/2 && cores >= saturatedFrom*may {
-		s.saturated = &result.Saturated{Process: name, AtSeconds: now.Sub(s.r.loadStart).Seconds(), Cores: cores, StartsPerS: s.r.asked(now)}
+// noteSaturation records the first process that is saturated.
+func (s *sampler) noteSaturation(name string, now time.Time, span time.Duration, cores, available float64) {
+	if s.saturated == nil && span > sampleInterval/2 && cores >= saturatedShare*available {
+		s.saturated = &result.Saturated{Process: name, AtSeconds: now.Sub(s.r.loadStart).Seconds(), Cores: cores, StartsPerS: s.r.requestedRate(now)}
 	}
 }
 
-// follow goes over to the process that a dispatcher has now.
-func (w *watched) follow() bool {
-	if w.child != nil && w.child.Gone() {
+// refreshProcess switches to the current process of a dispatcher. It returns false if there is no running process.
+func (w *watched) refreshProcess() bool {
+	if w.child != nil && w.child.HasEnded() {
 		return false
 	}
 	if w.target == nil {
@@ -161,11 +161,11 @@
 	w.peak.PrivateBytes = max(w.peak.PrivateBytes, u.PrivateBytes)
 	w.peak.Descriptors = max(w.peak.Descriptors, u.Descriptors)
 	w.last = u
-	s.full(w.name, now, span, cores, w.cores)
+	s.noteSaturation(w.name, now, span, cores, w.cores)
 	return u.PrivateBytes
 }
 
-// total is what all processes under a name have used since the load's start.
+// total returns what all processes under a name have used since the load's start.
 func (w *watched) total() process.Usage {
 	return process.Usage{CPU: w.spent.CPU + w.last.CPU - w.first.CPU,
 		ReadBytes: w.spent.ReadBytes + w.last.ReadBytes - w.first.ReadBytes, WrittenBytes: w.spent.WrittenBytes + w.last.WrittenBytes - w.first.WrittenBytes,
--- a/internal/scale/result/result_test.go
+++ b/internal/scale/result/result_test.go
@@ -12,8 +12,8 @@
 )
 
 func some() *Result {
-	return &Result{Tool: Tool, Format: Format, Commit: "abc", Command: "go run ./cmd/scalerun", Description: fleet.Default(), Kept: true,
-		Verdict: &verdict.Verdict{Broken: map[verdict.Rule]int{}}}
+	return &Result{Tool: Tool, Format: Format, Commit: "abc", Command: "go run ./cmd/scalerun", Description: fleet.Default(), RulesKept: true,
+		Verdict: &verdict.Verdict{ViolationCounts: map[verdict.Rule]int{}}}
 }
 
 func TestWriteAndRead(t *testing.T) {
@@ -27,14 +27,14 @@
 	}
 }
 
-// A file that can not be used is an error that names the field and what was expected.
+// The error for a file with an invalid field must have the field's name and the expected value.
 func TestBadFields(t *testing.T) {
 	for want, change := range map[string]func(*Result){
 		"tool: other, expected scalerun":        func(r *Result) { r.Tool = "other" },
 		"format: 2, expected 1":                 func(r *Result) { r.Format = 2 },
 		`commit: "", expected`:                  func(r *Result) { r.Commit = "" },
 		"verdict: absent, expected":             func(r *Result) { r.Verdict = nil },
-		"rulesKept: false, expected":            func(r *Result) { r.Kept = false },
+		"rulesKept: false, expected":            func(r *Result) { r.RulesKept = false },
 		`partialWhy: "", expected`:              func(r *Result) { r.Partial = true },
 		"executors: 0, expected a whole number": func(r *Result) { r.Description.Executors = 0 },
 	} {
@@ -50,8 +50,8 @@
 	}
 }
 
-// Nor is what is no result at all.
-func TestBadText(t *testing.T) {
+// A file with unknown fields, wrong types, several objects or truncated text must be an error.
+func TestMalformedResults(t *testing.T) {
 	text, err := json.Marshal(some())
 	if err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 	}
 }
 
-// The result files of this repository can be read.
+// The result files in this repository must be readable.
 func TestCommittedResults(t *testing.T) {
 	files, err := filepath.Glob("../../../docs/capacity/scalerun-*.json")
 	if err != nil {
--- a/internal/scale/verdict/cold.go
+++ b/internal/scale/verdict/cold.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// coldBudgets keeps what cold executors were sent by all dispatchers together, in work as it is expected of a class: how long one task
-// will run is known to nobody when it is sent. Over any window of the stated length that must stay
-// under a multiple of what the executor can do at the window's end. A budget can not be spent in parts of an attempt, so the
-// largest one in the window does not count. The rule holds where two thirds of the work came from dispatchers that were told of the
-// executor's start, or count as told.
+// coldBudgets tracks the work that all dispatchers together sent to each cold executor. Work is the expected running time of a class,
+// since the running time of a single task is not known when it is sent. The work in any window of length OverloadWindow must not
+// exceed OverloadMultiple times the capacity that the executor has at the end of the window. The largest attempt in the window does
+// not count, since an attempt cannot be sent in parts. The rule applies only if at least two thirds of the work came from
+// dispatchers that were notified of the executor's start, or count as notified.
 type coldBudgets struct {
-	rules Rules
-	lives map[int32]*coldLife
+	rules        Rules
+	incarnations map[int32]*coldIncarnation
 }
 
-type coldLife struct {
-	slots   int32
-	booted  time.Duration
-	told    []time.Duration // by dispatcher, 0 for not yet
-	arrived []arrival
+type coldIncarnation struct {
+	slots    int32
+	booted   time.Duration
+	listedAt []time.Duration // by dispatcher, 0 if not yet notified
+	arrived  []arrival
 }
 
 type arrival struct {
@@ -27,57 +27,57 @@
 
 type overBudget struct{ sent, budget time.Duration }
 
-// informedPart is how much of the work must have come from dispatchers that knew.
-const informedPart = 2.0 / 3
+// minInformedShare is the share of the work that must have come from notified dispatchers for the rule to apply.
+const minInformedShare = 2.0 / 3
 
-func newColdBudgets(rules Rules) coldBudgets { return coldBudgets{rules, map[int32]*coldLife{}} }
+func newColdBudgets(rules Rules) coldBudgets { return coldBudgets{rules, map[int32]*coldIncarnation{}} }
 
 func (c *coldBudgets) booted(e Event) {
-	c.lives[e.Executor] = &coldLife{slots: e.Slots, booted: e.At, told: make([]time.Duration, c.rules.Dispatchers)}
+	c.incarnations[e.Executor] = &coldIncarnation{slots: e.Slots, booted: e.At, listedAt: make([]time.Duration, c.rules.Dispatchers)}
 }
 
-func (c *coldBudgets) died(e Event) { delete(c.lives, e.Executor) }
+func (c *coldBudgets) died(e Event) { delete(c.incarnations, e.Executor) }
 
 func (c *coldBudgets) listed(e Event) {
-	life := c.lives[e.Executor]
-	if life != nil && e.Condition == Ready && life.told[e.Dispatcher] == 0 {
-		life.told[e.Dispatcher] = e.At
+	incarnation := c.incarnations[e.Executor]
+	if incarnation != nil && e.Condition == Ready && incarnation.listedAt[e.Dispatcher] == 0 {
+		incarnation.listedAt[e.Dispatcher] = e.At
 	}
 }
 
-// share is the part of its capacity that an executor has at a time after its start.
+// share returns the share of its capacity that an executor has when the time since has passed after its start.
 func (c *coldBudgets) share(since time.Duration) float64 {
-	return min(1, c.rules.ColdFrom+(1-c.rules.ColdFrom)*float64(since)/float64(c.rules.WarmWithin))
+	return min(1, c.rules.SlowStartMinShare+(1-c.rules.SlowStartMinShare)*float64(since)/float64(c.rules.SlowStartDuration))
 }
 
-// attempt takes in what reached an executor, and says by how much it is over its budget then.
+// attempt records an attempt that reached an executor, and reports whether the executor is now over its budget.
 func (c *coldBudgets) attempt(e Event) (overBudget, bool) {
-	life := c.lives[e.Executor]
-	if life == nil {
+	incarnation := c.incarnations[e.Executor]
+	if incarnation == nil {
 		return overBudget{}, false
 	}
-	since := e.At - life.booted
-	if since >= c.rules.WarmWithin {
-		delete(c.lives, e.Executor)
+	since := e.At - incarnation.booted
+	if since >= c.rules.SlowStartDuration {
+		delete(c.incarnations, e.Executor)
 		return overBudget{}, false
 	}
-	life.arrived = append(life.arrived, arrival{e.At, e.Work, e.Dispatcher})
+	incarnation.arrived = append(incarnation.arrived, arrival{e.At, e.Work, e.Dispatcher})
 	var sent, informed, largest time.Duration
-	for i := len(life.arrived) - 1; i >= 0 && life.arrived[i].at > e.At-c.rules.Fall; i-- {
-		a := life.arrived[i]
+	for i := len(incarnation.arrived) - 1; i >= 0 && incarnation.arrived[i].at > e.At-c.rules.OverloadWindow; i-- {
+		a := incarnation.arrived[i]
 		sent += a.work
 		largest = max(largest, a.work)
-		if c.knew(life, a) {
+		if c.informed(incarnation, a) {
 			informed += a.work
 		}
 	}
-	budget := time.Duration(c.rules.FallMultiple * c.share(since+c.rules.MeasuredWithin) * float64(life.slots) * float64(c.rules.Fall))
-	over := sent-largest > budget && float64(informed) >= informedPart*float64(sent)
+	budget := time.Duration(c.rules.OverloadMultiple * c.share(since+c.rules.TimeTolerance) * float64(incarnation.slots) * float64(c.rules.OverloadWindow))
+	over := sent-largest > budget && float64(informed) >= minInformedShare*float64(sent)
 	return overBudget{sent, budget}, over
 }
 
-// knew says whether the dispatcher of an arrival was told of the life, or counts as told.
-func (c *coldBudgets) knew(life *coldLife, a arrival) bool {
-	told := life.told[a.dispatcher]
-	return told > 0 && told <= a.at || a.at-life.booted >= c.rules.ListedWithin
+// informed reports whether the dispatcher of an arrival was notified of the incarnation, or counts as notified.
+func (c *coldBudgets) informed(incarnation *coldIncarnation, a arrival) bool {
+	listedAt := incarnation.listedAt[a.dispatcher]
+	return listedAt > 0 && listedAt <= a.at || a.at-incarnation.booted >= c.rules.MaxListDelay
 }
--- a/internal/scale/verdict/drains.go
+++ b/internal/scale/verdict/drains.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// drains keeps when each dispatcher was told that an executor drains or is gone.
+// drains records when each dispatcher was notified that an executor is draining or removed.
 type drains struct {
-	rules Rules
-	told  []map[int32]time.Duration // by dispatcher
+	rules    Rules
+	listedAt []map[int32]time.Duration // by dispatcher
 }
 
 func newDrains(rules Rules) drains {
-	d := drains{rules: rules, told: make([]map[int32]time.Duration, rules.Dispatchers)}
-	for i := range d.told {
-		d.told[i] = map[int32]time.Duration{}
+	d := drains{rules: rules, listedAt: make([]map[int32]time.Duration, rules.Dispatchers)}
+	for i := range d.listedAt {
+		d.listedAt[i] = map[int32]time.Duration{}
 	}
 	return d
 }
 
 func (d *drains) listed(e Event) {
-	told := d.told[e.Dispatcher]
+	listedAt := d.listedAt[e.Dispatcher]
 	if e.Condition == Ready {
-		delete(told, e.Executor)
+		delete(listedAt, e.Executor)
 		return
 	}
-	if _, ok := told[e.Executor]; !ok {
-		told[e.Executor] = e.At
+	if _, ok := listedAt[e.Executor]; !ok {
+		listedAt[e.Executor] = e.At
 	}
 }
 
-// late says whether an attempt began to be sent past the grace of its executor's drain, and how long after the drain was told.
+// late reports whether an attempt's first byte was sent after the grace of its executor's drain, and how long after the dispatcher was
+// notified of the drain.
 func (d *drains) late(e Event) (time.Duration, bool) {
-	told, ok := d.told[e.Dispatcher][e.Executor]
+	listedAt, ok := d.listedAt[e.Dispatcher][e.Executor]
 	if !ok {
 		return 0, false
 	}
-	since := e.FirstByte - told
-	return since, since > d.rules.DrainGrace+d.rules.MeasuredWithin
+	since := e.FirstByte - listedAt
+	return since, since > d.rules.DrainGrace+d.rules.TimeTolerance
 }
--- a/internal/scale/verdict/shares.go
+++ b/internal/scale/verdict/shares.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// shares keeps what each tenant has running and asks for. A tenant is held under its share while a task of its waits and, with that
-// task, it would still have no more slots than are reserved for it. For a while that is the time work takes to start; past the
-// grace the rule is broken. What is reserved goes by the slots of the executors that stand and are warm.
+// shares tracks the running and waiting tasks of each tenant. A tenant is held below its reserved share while one of its tasks waits
+// although, with that task running, the tenant would not exceed its reserved slots. This is normal for the time that a task takes to
+// start; beyond the grace period it violates the rule. Reserved slots are a share of the slots of executors that are up and warm.
 type shares struct {
-	rules    Rules
-	tenants  []tenantShare
-	waiting  map[int32]*waitingTask
-	running  map[int32]runningTask // by task
-	up       []bool                // executors
-	warmFrom []time.Duration
-	capacity int
-	lookAt   time.Duration
-	warming  []warming
+	rules     Rules
+	tenants   []tenantShare
+	waiting   map[int32]*waitingTask
+	running   map[int32]runningTask // by task
+	up        []bool                // executors
+	warmAt    []time.Duration
+	capacity  int
+	nextCheck time.Duration
+	warming   []warming
 }
 
 type tenantShare struct {
-	running int
-	waits   []*waitingTask // the oldest first; those that are over are dropped when looked at
-	since   time.Duration  // since when it has been held under its share; 0 for not
-	told    bool           // of this time
+	running  int
+	waiting  []*waitingTask // oldest first; entries that are over are removed when the tenant is checked
+	since    time.Duration  // since when it has been held below its share; 0 if it is not
+	reported bool           // the violation since then has been reported
 }
 
 type waitingTask struct {
@@ -49,12 +49,12 @@
 	since                     time.Duration
 }
 
-// lookEvery is the time between two looks at all tenants.
-const lookEvery = 100 * time.Millisecond
+// checkInterval is the minimum time between two checks of all tenants.
+const checkInterval = 100 * time.Millisecond
 
 func newShares(rules Rules) shares {
-	s := shares{rules: rules, tenants: make([]tenantShare, len(rules.Portions)), waiting: map[int32]*waitingTask{},
-		running: map[int32]runningTask{}, up: make([]bool, len(rules.Executors)), warmFrom: make([]time.Duration, len(rules.Executors))}
+	s := shares{rules: rules, tenants: make([]tenantShare, len(rules.ReservedShares)), waiting: map[int32]*waitingTask{},
+		running: map[int32]runningTask{}, up: make([]bool, len(rules.Executors)), warmAt: make([]time.Duration, len(rules.Executors))}
 	for i, x := range rules.Executors {
 		s.up[i] = true
 		s.capacity += x.Slots
@@ -64,13 +64,13 @@
 
 func (s *shares) submitted(e Event) {
 	if s.waiting[e.Task] != nil {
-		s.waiting[e.Task].request = e.Request // tried again
+		s.waiting[e.Task].request = e.Request // a retry
 		return
 	}
 	w := &waitingTask{e.Request, int(e.Slots), false}
 	s.waiting[e.Task] = w
 	t := &s.tenants[e.Tenant]
-	t.waits = append(t.waits, w)
+	t.waiting = append(t.waiting, w)
 }
 
 func (s *shares) withdrawn(task int32) {
@@ -80,7 +80,7 @@
 	}
 }
 
-func (s *shares) taken(e Event) { s.withdrawn(e.Task) }
+func (s *shares) accepted(e Event) { s.withdrawn(e.Task) }
 
 func (s *shares) started(e Event) {
 	s.withdrawn(e.Task)
@@ -100,7 +100,7 @@
 		return
 	}
 	s.up[e.Executor] = false
-	if s.warmFrom[e.Executor] <= e.At {
+	if s.warmAt[e.Executor] <= e.At {
 		s.capacity -= s.rules.Executors[e.Executor].Slots
 	}
 	for task, r := range s.running {
@@ -113,53 +113,53 @@
 
 func (s *shares) booted(e Event) {
 	s.up[e.Executor] = true
-	s.warmFrom[e.Executor] = e.At + s.rules.WarmWithin
-	s.warming = append(s.warming, warming{s.warmFrom[e.Executor], e.Executor})
+	s.warmAt[e.Executor] = e.At + s.rules.SlowStartDuration
+	s.warming = append(s.warming, warming{s.warmAt[e.Executor], e.Executor})
 }
 
-// warm takes in the executors that are warm by now.
-func (s *shares) warm(now time.Duration) {
+// addWarmed adds the slots of executors that have become warm to the capacity.
+func (s *shares) addWarmed(now time.Duration) {
 	for len(s.warming) > 0 && s.warming[0].at <= now {
 		w := s.warming[0]
 		s.warming = s.warming[1:]
-		if s.up[w.executor] && s.warmFrom[w.executor] == w.at {
+		if s.up[w.executor] && s.warmAt[w.executor] == w.at {
 			s.capacity += s.rules.Executors[w.executor].Slots
 		}
 	}
 }
 
-// advance looks at all tenants, no more often than lookEvery, and gives those that have newly been held for too long.
+// advance checks all tenants if checkInterval has passed, and returns those whose time below their share newly exceeds the grace.
 func (s *shares) advance(now time.Duration) []*underShare {
-	if now < s.lookAt {
+	if now < s.nextCheck {
 		return nil
 	}
-	s.lookAt = now + lookEvery
-	s.warm(now)
+	s.nextCheck = now + checkInterval
+	s.addWarmed(now)
 	var found []*underShare
 	for i := range s.tenants {
-		if under := s.look(i, now); under != nil {
+		if under := s.checkTenant(i, now); under != nil {
 			found = append(found, under)
 		}
 	}
 	return found
 }
 
-func (s *shares) look(tenant int, now time.Duration) *underShare {
+func (s *shares) checkTenant(tenant int, now time.Duration) *underShare {
 	t := &s.tenants[tenant]
-	for len(t.waits) > 0 && t.waits[0].over {
-		t.waits = t.waits[1:]
+	for len(t.waiting) > 0 && t.waiting[0].over {
+		t.waiting = t.waiting[1:]
 	}
-	reserved := int(math.Floor(s.rules.Portions[tenant] * float64(s.capacity)))
-	if len(t.waits) == 0 || t.running+t.waits[0].slots > reserved {
-		t.since, t.told = 0, false
+	reserved := int(math.Floor(s.rules.ReservedShares[tenant] * float64(s.capacity)))
+	if len(t.waiting) == 0 || t.running+t.waiting[0].slots > reserved {
+		t.since, t.reported = 0, false
 		return nil
 	}
 	if t.since == 0 {
 		t.since = now
 	}
-	if t.told || now-t.since <= s.rules.ShareGrace+s.rules.MeasuredWithin {
+	if t.reported || now-t.since <= s.rules.ShareGrace+s.rules.TimeTolerance {
 		return nil
 	}
-	t.told = true
-	return &underShare{t.waits[0].request, tenant, t.running, reserved, t.since}
+	t.reported = true
+	return &underShare{t.waiting[0].request, tenant, t.running, reserved, t.since}
 }
--- a/internal/scale/virtual/world_test.go
+++ b/internal/scale/virtual/world_test.go
@@ -32,23 +32,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := New(d, actions, verdict.For(&d, 0), m)
+	w, err := New(d, actions, verdict.RulesFor(&d, 0), m)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return w.Play()
 }
 
-// Each fault is played with all rules kept, and each task has one end.
+// Each fault must leave all rules kept, and each task must end exactly once.
 func TestFaults(t *testing.T) {
 	for _, name := range []faults.Name{faults.Zone, faults.Rack, faults.Machine, faults.Rolling} {
 		t.Run(string(name), func(t *testing.T) {
 			v, c := playOne(t, some(), nil, name)
-			if !v.Kept() || v.Counts.Lost+v.Counts.Open+v.Counts.Doubled != 0 {
+			if !v.Passed() || v.Counts.Lost+v.Counts.Open+v.Counts.Doubled != 0 {
 				t.Errorf("%+v %+v", v.Counts, v.Violations)
 			}
 			for kind := range workload.Kinds {
-				if n := c.Served[kind] + c.Refused[kind] + c.Failed[kind]; n != c.Tasks[kind] {
+				if n := c.Served[kind] + c.Rejected[kind] + c.Failed[kind]; n != c.Tasks[kind] {
 					t.Errorf("%s: %d tasks, %d ends", kind, c.Tasks[kind], n)
 				}
 			}
@@ -59,13 +59,13 @@
 	}
 }
 
-// counter counts steps.
+// counter counts the calls of a Meter by dispatcher.
 type counter struct{ begun, ended []int }
 
 func (c *counter) Begin(d int) { c.begun[d]++ }
 func (c *counter) End(d int)   { c.ended[d]++ }
 
-// Equal seeds give equal runs, and each step is measured.
+// Equal seeds must give equal runs, and each step must be measured.
 func TestEqualSeeds(t *testing.T) {
 	one, other := &counter{make([]int, 4), make([]int, 4)}, &counter{make([]int, 4), make([]int, 4)}
 	v1, c1 := playOne(t, some(), one, faults.Zone)
@@ -84,22 +84,22 @@
 	}
 }
 
-// With room for all, a task starts after one trip, ends after its run, and what runs at a time is what was asked for. A module that has
-// no report of an executor yet tries it with two slots, so that at the start a task can wait behind another on an executor with one:
-// of such a few may be too late.
-func TestAtRest(t *testing.T) {
+// With enough free slots a task starts one message latency after it is due and ends after its running time, and the number of running
+// tasks matches the target. A module without a load report of an executor assumes two slots, so that at the start a task can wait
+// behind another on an executor with one slot. A few tasks may therefore miss their deadlines.
+func TestFleetWithFreeSlots(t *testing.T) {
 	d := some()
 	d.Executors, d.Duration = 400, time.Minute
 	v, c := playOne(t, d, nil)
-	if late := v.Counts.Failed + v.Counts.Refused; v.Counts.Served+late != v.Counts.Requests || late > v.Counts.Requests/1000 {
+	if late := v.Counts.Failed + v.Counts.Rejected; v.Counts.Served+late != v.Counts.Requests || late > v.Counts.Requests/1000 {
 		t.Errorf("%+v", v.Counts)
 	}
 	if c.RunningPeak < 40 || c.RunningPeak > 400 {
-		t.Errorf("%d running at most, 90 are asked for on the mean", c.RunningPeak)
+		t.Errorf("peak of %d running tasks, want 40 to 400 for a target mean of 90", c.RunningPeak)
 	}
-	for _, told := range c.Told[workload.Urgent] {
-		if told < 2*hopSame || told > fleet.UrgentWithin {
-			t.Errorf("an urgent task was told to have started %v after it was due", told)
+	for _, latency := range c.StartLatencies[workload.Urgent] {
+		if latency < 2*sameZoneLatency || latency > fleet.UrgentStartTarget {
+			t.Errorf("start of an urgent task notified %v after it was due", latency)
 		}
 	}
 }
--- a/internal/settingsync/errors.go
+++ b/internal/settingsync/errors.go
@@ -6,7 +6,7 @@
 	"gatetack/internal/operr"
 )
 
-// CacheError reports that a file of the cache can not be read or written. A file that can not be read counts as none.
+// CacheError reports that a file of the cache cannot be read or written. An unreadable file is treated as absent.
 type CacheError struct {
 	Op   string // "read" or "write"
 	Path string
@@ -23,12 +23,12 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*CacheError) Code() string { return "settings.cache" }
 
-// Do says what an operator can do.
-func (*CacheError) Do() string {
+// Remedy says what an operator can do.
+func (*CacheError) Remedy() string {
 	return "nothing, where a member answers: the file is written anew; otherwise look at the disk, or remove the file"
 }
 
-// NotReadyError reports that a member does not know what was accepted: it has not caught up, or knows no leader.
+// NotReadyError reports that a member cannot know the latest settings: it has not caught up, or knows no leader.
 type NotReadyError struct{}
 
 func (*NotReadyError) Error() string {
@@ -38,16 +38,16 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*NotReadyError) Code() string { return "settings.not_ready" }
 
-// Do says what an operator can do.
-func (*NotReadyError) Do() string {
+// Remedy says what an operator can do.
+func (*NotReadyError) Remedy() string {
 	return "ask another member, or wait until the store has a leader (`gatetack store status`)"
 }
 
-// UnknownError reports that it is not known whether a change was accepted.
+// UnknownError reports that it is unknown whether a change was accepted.
 type UnknownError struct{ Err error }
 
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("settings: it is not known whether the change was accepted: %v", e.Err)
+	return fmt.Sprintf("settings: unknown whether the change was accepted: %v", e.Err)
 }
 
 func (e *UnknownError) Unwrap() error { return e.Err }
@@ -55,27 +55,27 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*UnknownError) Code() string { return "settings.unknown" }
 
-// Do says what an operator can do.
-func (*UnknownError) Do() string {
+// Remedy says what an operator can do.
+func (*UnknownError) Remedy() string {
 	return "set the same values again: what is set already is not changed a second time"
 }
 
-// BusyError reports that others changed the settings during each attempt at a change.
+// BusyError reports that other changes interfered with each attempt at a change.
 type BusyError struct{ Attempts int }
 
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("settings: others changed the settings during each of %d tries", e.Attempts)
+	return fmt.Sprintf("settings: other changes interfered with each of %d attempts", e.Attempts)
 }
 
 // Code identifies the kind of error in logs and on the on-call page.
 func (*BusyError) Code() string { return "settings.busy" }
 
-// Do says what an operator can do.
-func (*BusyError) Do() string {
+// Remedy says what an operator can do.
+func (*BusyError) Remedy() string {
 	return "set it again; several items can be changed at once with `apply`"
 }
 
-// StaleMemberError reports that a member has an older version than the process that polls it.
+// StaleMemberError reports that a member has an earlier version than the process that polls it.
 type StaleMemberError struct {
 	Member                      string
 	MemberVersion, LocalVersion uint64
@@ -83,7 +83,7 @@
 
 func (e *StaleMemberError) Error() string {
 	return fmt.Sprintf(
-		"settings: member %s has version %d, and version %d is held here",
+		"settings: member %s has version %d, the local version is %d",
 		e.Member,
 		e.MemberVersion,
 		e.LocalVersion,
@@ -93,13 +93,13 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*StaleMemberError) Code() string { return "settings.stale_member" }
 
-// Do says what an operator can do.
-func (*StaleMemberError) Do() string {
+// Remedy says what an operator can do.
+func (*StaleMemberError) Remedy() string {
 	return "nothing, where the member catches up; " +
 		"after a restore of the store, make any change to the settings: it gets a newer version"
 }
 
-// MemberError reports a response of a member that is not as expected.
+// MemberError reports a failed call to a member or an invalid response.
 type MemberError struct {
 	Member string
 	Status int // of the response, 0 for none
@@ -113,8 +113,8 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*MemberError) Code() string { return "settings.member" }
 
-// Do says what an operator can do.
-func (*MemberError) Do() string {
+// Remedy says what an operator can do.
+func (*MemberError) Remedy() string {
 	return "look at that member and the link to it; another one is asked meanwhile"
 }
 
@@ -125,7 +125,7 @@
 }
 
 func (e *ActivationError) Error() string {
-	return fmt.Sprintf("settings: version %d can not be put in force here: %v", e.Version, e.Err)
+	return fmt.Sprintf("settings: version %d cannot be activated in this process: %v", e.Version, e.Err)
 }
 
 func (e *ActivationError) Unwrap() error { return e.Err }
@@ -133,18 +133,18 @@
 // Code identifies the kind of error in logs and on the on-call page.
 func (*ActivationError) Code() string { return "settings.not_in_force" }
 
-// Do says what an operator can do.
-func (*ActivationError) Do() string {
+// Remedy says what an operator can do.
+func (*ActivationError) Remedy() string {
 	return "compare this process's base configuration with that of the others, " +
 		"or set what is named to what it can use; it tries again by itself"
 }
 
 var _ = []struct{}{
-	operr.Kind(&NotReadyError{}),
-	operr.Kind(&UnknownError{}),
-	operr.Kind(&BusyError{}),
-	operr.Kind(&StaleMemberError{}),
-	operr.Kind(&MemberError{}),
-	operr.Kind(&ActivationError{}),
-	operr.Kind(&CacheError{}),
+	operr.Register(&NotReadyError{}),
+	operr.Register(&UnknownError{}),
+	operr.Register(&BusyError{}),
+	operr.Register(&StaleMemberError{}),
+	operr.Register(&MemberError{}),
+	operr.Register(&ActivationError{}),
+	operr.Register(&CacheError{}),
 }
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -1,4 +1,5 @@
-// Package simprotocol turns frames and settings into the types of package dispatch and back. It decides nothing.
+// Package simprotocol decodes the simulator's frames and settings into the types of package dispatch and encodes
+// actions into reply frames. It makes no dispatch decisions.
 package simprotocol
 
 import (
@@ -16,28 +17,28 @@
 
 // The record codes of a batch.
 const (
-	CodeList     Code = 0
-	CodeTimer    Code = 1
-	CodeGone     Code = 2
-	CodeNote     Code = 3
-	CodePeer     Code = 4
-	CodeInit     Code = 5
-	CodeFirst    Code = 6
-	CodeStop     Code = 7
-	CodeOutcome  Code = 8
-	CodeRequest  Code = 9
-	CodeProbed   Code = 10
-	maxFrame          = 1 << 30
-	batchHeader       = 12
-	rowSize           = 21
-	leastRecord       = 3
-	replyHeader       = 8
-	readChunk         = 1 << 16
-	maxTellBytes      = 256
+	CodeList      Code = 0
+	CodeTimer     Code = 1
+	CodeGone      Code = 2
+	CodeNote      Code = 3
+	CodePeer      Code = 4
+	CodeInit      Code = 5
+	CodeFirst     Code = 6
+	CodeStop      Code = 7
+	CodeOutcome   Code = 8
+	CodeRequest   Code = 9
+	CodeProbed    Code = 10
+	maxFrame           = 1 << 30
+	batchHeader        = 12
+	entrySize          = 21
+	minRecordSize      = 3
+	replyHeader        = 8
+	readChunk          = 1 << 16
+	maxTellBytes       = 256
 )
 
-// Record is one record of a batch. For CodeInit, Seed and Info hold; for CodeStop nothing more; for every
-// other code, Event.
+// Record is one record of a batch. Seed and Info are set for CodeInit, and Event is set for all other codes
+// except CodeStop.
 type Record struct {
 	Code     Code
 	Instance uint16
@@ -46,7 +47,7 @@
 	Event    dispatch.Event
 }
 
-// Batch is one frame from the simulator. Its slices are reused by the next Read.
+// Batch is one frame from the simulator. The next Read reuses its slices.
 type Batch struct {
 	Clock   float64
 	Records []Record
@@ -54,26 +55,26 @@
 
 // Reader reads batches.
 type Reader struct {
-	r      io.Reader
-	offset int64 // of the frame being read
-	buf    []byte
-	rows   []dispatch.EndpointUpdate
-	floats []float32
-	batch  Batch
+	r       io.Reader
+	offset  int64 // of the current frame in the stream, in bytes
+	buf     []byte
+	updates []dispatch.EndpointUpdate
+	floats  []float32
+	batch   Batch
 }
 
-// NewReader reads batches from r.
+// NewReader returns a Reader that reads batches from r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: r} }
 
-// FrameError tells where a frame is malformed.
+// FrameError is the error of a malformed frame.
 type FrameError struct {
-	Offset int64 // in the stream
+	Offset int64 // of the malformed part in the stream, in bytes
 	Err    error
 }
 
 func (e *FrameError) Error() string { return fmt.Sprintf("wire: at byte %d: %v", e.Offset, e.Err) }
 
-// Unwrap gives the reason.
+// Unwrap returns the cause.
 func (e *FrameError) Unwrap() error { return e.Err }
 
 var (
@@ -82,7 +83,7 @@
 	errTrailing = errors.New("bytes left after the last record")
 )
 
-// Read gives the next batch, or io.EOF at a clean end of input.
+// Read returns the next batch, or io.EOF if the input ends between frames.
 func (r *Reader) Read() (*Batch, error) {
 	var head [4]byte
 	n, err := io.ReadFull(r.r, head[:])
@@ -100,14 +101,14 @@
 		return nil, &FrameError{r.offset + 4 + int64(len(r.buf)), fmt.Errorf("frame body: %w", err)}
 	}
 	c := cursor{b: r.buf, r: r}
-	r.rows, r.floats = r.rows[:0], r.floats[:0]
+	r.updates, r.floats = r.updates[:0], r.floats[:0]
 	r.batch.Records = r.batch.Records[:0]
 	r.batch.Clock = c.f64()
 	count := c.u32()
 	if math.IsNaN(r.batch.Clock) || math.IsInf(r.batch.Clock, 0) {
 		return nil, &FrameError{r.offset + 4, fmt.Errorf("clock is %v", r.batch.Clock)}
 	}
-	if int64(count)*leastRecord > int64(len(r.buf)-batchHeader) {
+	if int64(count)*minRecordSize > int64(len(r.buf)-batchHeader) {
 		return nil, &FrameError{r.offset + 12, fmt.Errorf("%d records: %w", count, errCount)}
 	}
 	for range count {
@@ -129,7 +130,8 @@
 	return &r.batch, nil
 }
 
-// fill reads size bytes, growing the buffer only as bytes arrive: a length field alone takes no memory.
+// fill reads size bytes into the buffer. It grows the buffer only as bytes arrive, so that a large length field
+// alone allocates no memory.
 func (r *Reader) fill(size int) error {
 	r.buf = r.buf[:0]
 	for len(r.buf) < size {
@@ -152,7 +154,7 @@
 	return nil
 }
 
-// cursor walks a frame; the first error sticks.
+// cursor decodes a frame from start to end and keeps the first error.
 type cursor struct {
 	b   []byte
 	at  int
@@ -237,17 +239,17 @@
 		return
 	}
 	e.Form = dispatch.ListForm(form)
-	if int64(n)*rowSize > int64(len(c.b)-c.at) {
+	if int64(n)*entrySize > int64(len(c.b)-c.at) {
 		c.err = fmt.Errorf("%d list entries: %w", n, errCount)
 		return
 	}
-	from := len(c.r.rows)
+	from := len(c.r.updates)
 	for range n {
-		row := dispatch.EndpointUpdate{Executor: c.u32(), Zone: c.u8(), Kind: c.u8(), Cell: c.u16()}
-		row.Condition, row.Weight, row.StartedAt = dispatch.Condition(c.u8()), c.f32(), c.f64()
-		c.r.rows = append(c.r.rows, row)
+		update := dispatch.EndpointUpdate{Executor: c.u32(), Zone: c.u8(), Kind: c.u8(), Cell: c.u16()}
+		update.Condition, update.Weight, update.StartedAt = dispatch.Condition(c.u8()), c.f32(), c.f64()
+		c.r.updates = append(c.r.updates, update)
 	}
-	e.Rows = c.r.rows[from:len(c.r.rows):len(c.r.rows)]
+	e.Updates = c.r.updates[from:len(c.r.updates):len(c.r.updates)]
 }
 
 func (c *cursor) record(rec *Record) {
@@ -260,9 +262,9 @@
 	case CodeTimer:
 		e.Kind, e.Token = dispatch.EvTimer, c.u32()
 	case CodeGone:
-		e.Kind, e.Job = dispatch.EvClientGone, c.u32()
+		e.Kind, e.Job = dispatch.EvClientDisconnected, c.u32()
 	case CodeNote:
-		e.Kind = dispatch.EvNote
+		e.Kind = dispatch.EvNotification
 		e.Job, e.Attempt, e.Executor, e.Topic, e.Amount = c.u32(), c.u16(), c.u32(), c.u8(), c.f32()
 	case CodePeer:
 		e.Kind, e.From = dispatch.EvGossip, c.u32()
@@ -310,7 +312,7 @@
 	codeFail   = 11
 )
 
-// Reply collects the records of one reply.
+// Reply encodes the records of one reply frame.
 type Reply struct {
 	buf   []byte
 	count uint32
@@ -321,7 +323,7 @@
 	p.buf, p.count = append(p.buf[:0], make([]byte, replyHeader)...), 0
 }
 
-// Add writes an action of an instance.
+// Add appends the record of an instance's action.
 func (p *Reply) Add(instance uint16, a *dispatch.Action) error {
 	be := binary.BigEndian
 	head := func(code byte) { p.buf = be.AppendUint16(append(p.buf, code), instance) }
@@ -330,11 +332,11 @@
 	case dispatch.ActSend:
 		head(codeSend)
 		p.buf = be.AppendUint32(be.AppendUint32(p.buf, a.Job), a.Executor)
-		f64(a.For)
+		f64(a.Delay)
 	case dispatch.ActReject:
 		head(codeRefuse)
 		p.buf = be.AppendUint32(p.buf, a.Job)
-		f64(a.For)
+		f64(a.Delay)
 	case dispatch.ActFail:
 		head(codeFail)
 		p.buf = be.AppendUint32(p.buf, a.Job)
@@ -343,7 +345,7 @@
 		p.buf = be.AppendUint16(be.AppendUint32(p.buf, a.Job), a.Attempt)
 	case dispatch.ActTimer:
 		head(codeDefer)
-		f64(a.For)
+		f64(a.Delay)
 		p.buf = be.AppendUint32(p.buf, a.Token)
 	case dispatch.ActHealthCheck:
 		head(codeProbe)
@@ -354,7 +356,7 @@
 	case dispatch.ActPollList:
 		head(codeWatch)
 		on := byte(0)
-		if a.On {
+		if a.Subscribe {
 			on = 1
 		}
 		p.buf = append(p.buf, on)
@@ -378,7 +380,7 @@
 	return nil
 }
 
-// Bytes gives the finished frame; it holds until the next Reset.
+// Bytes returns the finished frame, which is valid until the next Reset.
 func (p *Reply) Bytes() []byte {
 	binary.BigEndian.PutUint32(p.buf, p.count)
 	binary.BigEndian.PutUint32(p.buf[4:], uint32(len(p.buf)-replyHeader))
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -14,7 +14,7 @@
 	"gatetack/internal/dispatch"
 )
 
-// frame builds a batch from records in hex.
+// frame encodes a batch from records in hexadecimal.
 func frame(clock float64, records ...string) []byte {
 	var body []byte
 	for _, r := range records {
@@ -30,7 +30,7 @@
 	return append(be.AppendUint32(out, uint32(len(records))), body...)
 }
 
-// The records that the page of the wire gives as examples, and those it gives none for, made by its tables.
+// samples has the example records of the protocol's documentation, and one built from its tables for each other code.
 var samples = []struct {
 	name string
 	hex  string
@@ -42,18 +42,18 @@
 	{"timer", "01 0003 0000004d",
 		Record{Code: CodeTimer, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvTimer, Token: 77}}},
 	{"gone", "02 0005 0e6f2b19",
-		Record{Code: CodeGone, Instance: 5, Event: dispatch.Event{Kind: dispatch.EvClientGone, Job: 0x0e6f2b19}}},
+		Record{Code: CodeGone, Instance: 5, Event: dispatch.Event{Kind: dispatch.EvClientDisconnected, Job: 0x0e6f2b19}}},
 	{"list", "00 0003 00000029 02 00000002 03124a07 00 00 0000 01 3f800000 0000000000000000 " +
 		"2c9011f2 01 00 0000 01 3fc00000 40b7d40000000000",
 		Record{
 			Code:     CodeList,
 			Instance: 3,
 			Event: dispatch.Event{Kind: dispatch.EvEndpoints, Version: 41, Form: dispatch.ListCached,
-				Rows: []dispatch.EndpointUpdate{{Executor: 0x03124a07, Condition: dispatch.Ready, Weight: 1},
+				Updates: []dispatch.EndpointUpdate{{Executor: 0x03124a07, Condition: dispatch.Ready, Weight: 1},
 					{Executor: 0x2c9011f2, Zone: 1, Condition: dispatch.Ready, Weight: 1.5, StartedAt: 6100}}},
 		}},
 	{"note", "03 0003 5d3a91c4 0000 03124a07 01 3f000000",
-		Record{Code: CodeNote, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvNote, Job: 0x5d3a91c4,
+		Record{Code: CodeNote, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvNotification, Job: 0x5d3a91c4,
 			Executor: 0x03124a07, Topic: 1, Amount: 0.5}}},
 	{"outcome", "08 0003 5d3a91c4 0000 03124a07 0064 4032800000000000 01 00000000 00",
 		Record{Code: CodeOutcome, Instance: 3, Event: dispatch.Event{Kind: dispatch.EvOutcome, Job: 0x5d3a91c4,
@@ -114,9 +114,9 @@
 	for _, s := range samples {
 		whole := frame(240, s.hex)
 		for n := 1; n < len(whole); n++ {
-			// Cut off in the stream, and cut off within a frame whose length says so.
+			// Truncated in the stream, and truncated within a frame whose length field matches.
 			if _, err := NewReader(bytes.NewReader(whole[:n])).Read(); err == nil || errors.Is(err, io.EOF) {
-				t.Fatalf("%s cut to %d bytes: %v", s.name, n, err)
+				t.Fatalf("%s truncated to %d bytes: %v", s.name, n, err)
 			}
 			if n < 16 {
 				continue
@@ -166,13 +166,13 @@
 	}
 }
 
-func TestLengthAloneTakesNoMemory(t *testing.T) {
+func TestLengthFieldAloneAllocatesNoMemory(t *testing.T) {
 	r := NewReader(bytes.NewReader([]byte{0x3f, 0xff, 0xff, 0xff, 1, 2, 3}))
 	if _, err := r.Read(); err == nil {
 		t.Fatal("no error")
 	}
 	if cap(r.buf) > 2*readChunk {
-		t.Errorf("%d bytes taken for a frame of 3", cap(r.buf))
+		t.Errorf("%d bytes allocated for a frame of which 3 bytes arrived", cap(r.buf))
 	}
 }
 
@@ -181,9 +181,9 @@
 		action dispatch.Action
 		want   string
 	}{
-		{dispatch.Action{Kind: dispatch.ActSend, Job: 0x5d3a91c4, Executor: 0x03124a07, For: 80},
+		{dispatch.Action{Kind: dispatch.ActSend, Job: 0x5d3a91c4, Executor: 0x03124a07, Delay: 80},
 			"07 0003 5d3a91c4 03124a07 4054000000000000"},
-		{dispatch.Action{Kind: dispatch.ActTimer, For: 500, Token: 77}, "05 0003 407f400000000000 0000004d"},
+		{dispatch.Action{Kind: dispatch.ActTimer, Delay: 500, Token: 77}, "05 0003 407f400000000000 0000004d"},
 		{
 			dispatch.Action{Kind: dispatch.ActLog, Text: "two servers known"},
 			"08 0003 0011 74776f2073657276657273206b6e6f776e",
@@ -197,8 +197,8 @@
 			dispatch.Action{Kind: dispatch.ActGossip, To: dispatch.AllPeers, Data: []byte("hi 7")},
 			"00 0003 ffff 0004 68692037",
 		},
-		{dispatch.Action{Kind: dispatch.ActReject, Job: 0x0e6f2b19, For: 500}, "02 0003 0e6f2b19 407f400000000000"},
-		{dispatch.Action{Kind: dispatch.ActPollList, On: true}, "03 0003 01"},
+		{dispatch.Action{Kind: dispatch.ActReject, Job: 0x0e6f2b19, Delay: 500}, "02 0003 0e6f2b19 407f400000000000"},
+		{dispatch.Action{Kind: dispatch.ActPollList, Subscribe: true}, "03 0003 01"},
 	}
 	var p Reply
 	for _, tt := range tests {
@@ -221,7 +221,7 @@
 	}
 	if p.Add(3, &dispatch.Action{Kind: 99}) == nil ||
 		p.Add(3, &dispatch.Action{Kind: dispatch.ActGossip, Data: make([]byte, 257)}) == nil {
-		t.Error("an action that the wire does not know was written")
+		t.Error("an action that the protocol does not have was encoded")
 	}
 }
 
@@ -264,9 +264,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Nodes != 3 || s.Node != 2 || !s.PollsList || s.ProgressInterval != 1000 || !s.NotesStart ||
+	if s.Nodes != 3 || s.Node != 2 || !s.PollsList || s.ProgressInterval != 1000 || !s.StartNotifications ||
 		s.Fees.CrossZone != 0.02 ||
-		s.SlowStartFrom != 0.31 || s.MaxAttempts != 4 || !s.HedgingAllowed ||
+		s.SlowStartMinShare != 0.31 || s.MaxAttempts != 4 || !s.HedgingAllowed ||
 		!s.WeightByWork {
 		t.Errorf("got %+v", s)
 	}
@@ -277,7 +277,7 @@
 			Deadline:         6000,
 			PriorityWeight:   1,
 			RetrySafety:      dispatch.Idempotent,
-			Scope:            dispatch.ScopeAll,
+			DedupScope:       dispatch.ScopeAll,
 			Kind:             -1,
 		},
 		{
@@ -286,31 +286,31 @@
 			Deadline:         5000,
 			PriorityWeight:   1,
 			RetrySafety:      dispatch.Keyed,
-			Scope:            dispatch.ScopeCell,
-			Window:           40000,
+			DedupScope:       dispatch.ScopeCell,
+			DedupWindow:      40000,
 			Kind:             1,
 		},
 	}
 	if !reflect.DeepEqual(s.Classes, want) {
 		t.Errorf("classes %+v", s.Classes)
 	}
-	fields := []dispatch.Field{
+	fields := []dispatch.ReportField{
 		dispatch.FieldErrors,
 		dispatch.FieldBusy,
 		dispatch.FieldUtil,
 		dispatch.FieldFree,
 		dispatch.FieldOther,
 	}
-	if !reflect.DeepEqual(s.Fields, fields) || s.Telemetry != dispatch.ReportHealthChecks {
-		t.Errorf("fields %v, how %v", s.Fields, s.Telemetry)
+	if !reflect.DeepEqual(s.ReportFields, fields) || s.Telemetry != dispatch.ReportHealthChecks {
+		t.Errorf("fields %v, telemetry %v", s.ReportFields, s.Telemetry)
 	}
 	if len(s.Tenants) != 1 || s.Tenants[0] != (dispatch.Tenant{ReservedShare: 0.23, Quota: 13}) {
 		t.Errorf("tenants %+v", s.Tenants)
 	}
 }
 
-// Where a client may not be told when to come back, the longest time to tell is none.
-func TestRetryAfterNeedsLeave(t *testing.T) {
+// MaxRetryAfter is 0 unless the setting limits.retryAfter permits Retry-After in answers.
+func TestRetryAfterNeedsPermission(t *testing.T) {
 	for line, want := range map[string]float64{"limits.retryAfter=true": 2000, "limits.retryAfter=false": 0, "": 0} {
 		s, err := ParseSettings([]byte(info + "limits.maxRetryAfter=2000.0\n" + line + "\n"))
 		if err != nil || s.MaxRetryAfter != want {
@@ -319,7 +319,7 @@
 	}
 }
 
-func TestSettingsThatCannotBeRead(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for line, key := range map[string]string{
 		"balancers=many":                  "balancers",
 		"balancers=1.5":                   "balancers",
@@ -335,16 +335,16 @@
 		s, err := ParseSettings([]byte(info + line + "\n"))
 		if key == "" {
 			if err != nil {
-				t.Errorf("%s: %v, want the documented default", line, err)
+				t.Errorf("%s: got error %v, want the documented default", line, err)
 			}
 			if strings.Contains(line, "effect") && s.Classes[1].RetrySafety != dispatch.AtMostOnce {
-				t.Error("an unknown effect must be taken as the strictest")
+				t.Error("an unknown effect is not treated as the strictest one")
 			}
 			continue
 		}
 		var se *SettingError
 		if !errors.As(err, &se) || se.Key != key {
-			t.Errorf("%s: %v, want an error that names %s", line, err, key)
+			t.Errorf("%s: got error %v, want one that names %s", line, err, key)
 		}
 	}
 }
@@ -362,7 +362,7 @@
 			if err != nil {
 				return
 			}
-			if len(b.Records)*leastRecord > len(in) {
+			if len(b.Records)*minRecordSize > len(in) {
 				t.Fatalf("%d records from %d bytes", len(b.Records), len(in))
 			}
 			for i := range b.Records {
--- a/internal/slowpeer/meter.go
+++ b/internal/slowpeer/meter.go
@@ -1,120 +1,121 @@
-// Package slowpeer decides about slow peers: whether one that is waited for is kept, held back or let go. It does no I/O,
-// reads no clock and starts no goroutine; who asks gives it the time. Its carriers are http1 (both directions of every
-// connection) and executor (what executors owe); what it finds out about executors goes to the decision module, which alone
+// Package slowpeer detects slow peers and decides whether to keep, restrict or disconnect them. It does no I/O, reads
+// no clock and starts no goroutine; callers pass the time. It is used by http1 (both directions of every connection)
+// and executor (acknowledgements pending at executors). Findings about executors go to the decision module, which alone
 // decides what follows for jobs.
 //
-// Three things are decided, each by a type of its own:
+// Each of three decisions has its own type:
 //
-//   - Meter: does one direction of one connection move at its least rate?
-//   - Ledger: may one peer take more of a budget that all peers share?
-//   - Acks: is an executor late to acknowledge, against its own usual and its peers'?
+//   - Meter: does one direction of a connection transfer bytes at its minimum rate?
+//   - Ledger: may a peer use more of a budget that all peers share?
+//   - AckTracker: is an executor late to acknowledge a job, compared with its own history and with other executors?
 package slowpeer
 
 import "time"
 
-// Rate is what is asked of a peer that is waited for.
-type Rate struct {
-	Bytes  int           `yaml:"rate"`   // a second, at least; 0 asks for nothing
-	Grace  time.Duration `yaml:"grace"`  // for how long nothing at all may move
-	Window time.Duration `yaml:"window"` // what moved faster than asked is credited for so long
-	Tight  float64       `yaml:"tight"`  // with the budget used up the rate is so many times as high, and the grace so much shorter
+// MinRate is the minimum rate of a peer from which bytes are expected, or which is expected to read bytes.
+type MinRate struct {
+	BytesPerSecond int           `yaml:"rate"`   // minimum rate; 0 for none
+	Grace          time.Duration `yaml:"grace"`  // how long no byte at all needs to be transferred
+	Window         time.Duration `yaml:"window"` // maximum credit for bytes transferred faster than the minimum rate
+	PressureFactor float64       `yaml:"tight"`  // multiplies the rate and divides the grace when the budget is used up
 }
 
-// Verdict is what becomes of a peer.
+// Verdict is the decision about a peer.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Keep Verdict = iota
-	HoldBack
-	LetGo
+	Restrict
+	Disconnect
 )
 
-// Meter follows one direction of one connection while bytes are waited for. What is asked accrues as a debt of
-// bytes, and what moves pays it: a stall is forgiven up to the grace and a burst pays ahead up to the window, while a
-// drip, which starts a plain time-out anew with each byte, pays less than accrues and is let go.
+// Meter measures one direction of one connection while bytes are expected. A debt of bytes accrues at the minimum rate
+// and is reduced by each transferred byte. A stall is tolerated up to the grace period, and a burst earns credit for up
+// to the window. A peer that transfers single bytes slowly would reset a plain timeout with each byte; here its debt
+// grows until it is disconnected.
 //
-// With r the rate that moves and R the one asked for: a peer that never goes without for the grace and moves R in every
-// window is never let go, and one that moves r < R is let go after (Grace + Window) * R / (R - r) at the latest.
+// Let r be the actual rate and R the minimum rate. A peer that never stalls for the grace period and transfers at R in
+// every window is never disconnected; a peer with r < R is disconnected after at most (Grace + Window) * R / (R - r).
 type Meter struct {
-	rate    Rate
-	tight   float64 // what the rate is multiplied by now, from 1 on
-	debt    float64 // bytes; below zero is credit
-	at      time.Time
-	waiting bool
-	moved   int64
-	since   time.Time
+	rate           MinRate
+	pressureFactor float64 // current multiple of the rate, 1 or more
+	debt           float64 // bytes; negative for credit
+	accruedAt      time.Time
+	waiting        bool
+	bytes          int64
+	since          time.Time
 }
 
-// NewMeter makes a meter on which nothing is waited for yet.
-func NewMeter(r Rate) Meter {
-	if r.Tight < 1 {
-		r.Tight = 1
+// NewMeter returns a Meter that does not expect bytes yet.
+func NewMeter(r MinRate) Meter {
+	if r.PressureFactor < 1 {
+		r.PressureFactor = 1
 	}
-	return Meter{rate: r, tight: 1}
+	return Meter{rate: r, pressureFactor: 1}
 }
 
-// Start says that from now on something is waited for. A debt of earlier is forgotten: a peer that was slow once and
-// has nothing waiting owes nothing.
+// Start records that bytes are expected from now on. It clears the debt: a peer that was slow earlier and then had
+// nothing pending starts without a debt.
 func (m *Meter) Start(now time.Time) {
-	m.debt, m.at, m.since, m.waiting, m.moved = 0, now, now, true, 0
+	m.debt, m.accruedAt, m.since, m.waiting, m.bytes = 0, now, now, true, 0
 }
 
-// Stop says that nothing is waited for any more.
+// Stop records that no bytes are expected any more.
 func (m *Meter) Stop() { m.waiting = false }
 
-// Waiting says whether something is waited for.
+// Waiting reports whether bytes are expected.
 func (m *Meter) Waiting() bool { return m.waiting }
 
-// Moved takes in that n bytes moved up to now.
+// Moved records the transfer of n bytes at now.
 func (m *Meter) Moved(n int, now time.Time) {
 	if !m.waiting {
 		return
 	}
 	m.accrue(now)
-	m.moved += int64(n)
-	m.debt = max(m.debt-float64(n), -m.asked()*m.rate.Window.Seconds())
+	m.bytes += int64(n)
+	m.debt = max(m.debt-float64(n), -m.requiredRate()*m.rate.Window.Seconds())
 }
 
-// Press sets how full the budget is, from 0 to 1: the fuller, the higher the rate and the shorter the grace.
-func (m *Meter) Press(full float64, now time.Time) {
+// SetPressure sets the pressure on the budget, from 0 to 1: the higher, the higher the rate and the shorter the grace.
+func (m *Meter) SetPressure(pressure float64, now time.Time) {
 	if m.waiting {
 		m.accrue(now)
 	}
-	m.tight = 1 + (m.rate.Tight-1)*min(max(full, 0), 1)
+	m.pressureFactor = 1 + (m.rate.PressureFactor-1)*min(max(pressure, 0), 1)
 }
 
-// Until is when the peer is let go if nothing more moves, and whether anything is asked of it.
-func (m *Meter) Until() (time.Time, bool) {
-	if !m.waiting || m.rate.Bytes <= 0 {
+// Deadline returns when the peer is disconnected if no more bytes are transferred, and whether a minimum rate applies.
+func (m *Meter) Deadline() (time.Time, bool) {
+	if !m.waiting || m.rate.BytesPerSecond <= 0 {
 		return time.Time{}, false
 	}
-	left := m.grace()*m.asked() - m.debt
-	return m.at.Add(time.Duration(left / m.asked() * float64(time.Second))), true
+	allowance := m.grace()*m.requiredRate() - m.debt
+	return m.accruedAt.Add(time.Duration(allowance / m.requiredRate() * float64(time.Second))), true
 }
 
-// Judge says whether the peer is kept now.
-func (m *Meter) Judge(now time.Time) Verdict {
-	if until, asked := m.Until(); asked && !now.Before(until) {
-		return LetGo
+// Check returns Disconnect if the peer has missed its deadline, and Keep otherwise.
+func (m *Meter) Check(now time.Time) Verdict {
+	if deadline, required := m.Deadline(); required && !now.Before(deadline) {
+		return Disconnect
 	}
 	return Keep
 }
 
-// Figures are the bytes that moved since Start and what they were a second.
-func (m *Meter) Figures(now time.Time) (moved int64, rate float64) {
+// Throughput returns the number of bytes transferred since Start and their rate per second.
+func (m *Meter) Throughput(now time.Time) (moved int64, rate float64) {
 	if span := now.Sub(m.since).Seconds(); span > 0 {
-		rate = float64(m.moved) / span
+		rate = float64(m.bytes) / span
 	}
-	return m.moved, rate
+	return m.bytes, rate
 }
 
-func (m *Meter) asked() float64 { return float64(m.rate.Bytes) * m.tight }
-func (m *Meter) grace() float64 { return m.rate.Grace.Seconds() / m.tight }
+func (m *Meter) requiredRate() float64 { return float64(m.rate.BytesPerSecond) * m.pressureFactor }
+func (m *Meter) grace() float64        { return m.rate.Grace.Seconds() / m.pressureFactor }
 
 func (m *Meter) accrue(now time.Time) {
-	if now.After(m.at) {
-		m.debt += m.asked() * now.Sub(m.at).Seconds()
-		m.at = now
+	if now.After(m.accruedAt) {
+		m.debt += m.requiredRate() * now.Sub(m.accruedAt).Seconds()
+		m.accruedAt = now
 	}
 }
--- a/internal/testenv/load.go
+++ b/internal/testenv/load.go
@@ -16,7 +16,7 @@
 	"gatetack/internal/http1"
 )
 
-// Settings are those of a small site of one node with the platform's two classes, as its configuration has them.
+// Settings are the settings of a small site: one node, two zones and the platform's two request classes, as in its configuration file.
 const Settings = `{"me":0,"balancers":1,"zone":0,"zones":["tallinn","tartu"],"kinds":["type-a","type-b"],"step":4.0,
 "discovery":"subscribe","weights":"rough","workload":"jobs","worthBy":"request","overShareWorth":0.2,
 "telemetry":{"how":"piggyback","fields":["pending","x0"]},
@@ -29,36 +29,36 @@
  {"name":"area-render","aim":1500.0,"deadline":25000.0,"worth":24.0,"effect":"guarded","dedupScope":"cell","window":40000.0}],
 "tenants":[{"name":"pohjakaart","portion":0.6,"quotaRps":20.0},{"name":"maavaade","portion":0.4,"quotaRps":12.0}]}`
 
-// Load is a number of clients, each of which hands in one job after another at a node and waits for its answer.
+// Load is a closed-loop load: each of its clients submits one job at a time to a node and waits for the answer.
 type Load struct {
-	Addr     string
-	Clients  int
-	Class    string
-	Deadline time.Duration // a client's patience
-	Aim      time.Duration // an answer is in time up to it
-	Jobs     int           // that each client hands in; 0: until the context ends
-	Prefix   string        // 8 hexadecimal digits that tell this load's ids from others'
+	Addr      string
+	Clients   int
+	Class     string
+	Deadline  time.Duration // time left that each job is submitted with
+	Objective time.Duration // latency objective, by which an answer counts as WithinObjective
+	Jobs      int           // number of jobs that each client submits; 0: until the context ends
+	Prefix    string        // 8 hexadecimal digits that keep this load's ids distinct from those of other loads
 }
 
-// Done is what came of a load.
-type Done struct {
-	Served, InTime, Refused, Failed, Broken int                     // Broken: no whole answer came
-	Latency                                 *hdrhistogram.Histogram // of served jobs, in microseconds
+// LoadResult counts how the jobs of a load ended.
+type LoadResult struct {
+	Served, WithinObjective, Rejected, Failed, Incomplete int                     // Incomplete: no complete answer was received
+	Latency                                               *hdrhistogram.Histogram // of served jobs, in microseconds
 }
 
-// All is how many jobs were handed in.
-func (d *Done) All() int { return d.Served + d.Refused + d.Failed + d.Broken }
+// Total returns the number of jobs that were submitted.
+func (d *LoadResult) Total() int { return d.Served + d.Rejected + d.Failed + d.Incomplete }
 
-// Job gives the headers of a job.
-func Job(id string, deadline time.Duration) []http1.Field {
+// JobFields returns the header fields of a job request.
+func JobFields(id string, deadline time.Duration) []http1.Field {
 	return []http1.Field{{Name: "X-Trace-Id", Value: id}, {Name: "X-Customer", Value: "pohjakaart"},
 		{Name: "X-Expires-In-Ms", Value: strconv.FormatInt(deadline.Milliseconds(), 10)},
 		{Name: "Idempotency-Key", Value: "key-" + id}}
 }
 
-// Run plays a load. A client that is refused comes back when it was told to, else after a short while, with a new job.
-func (l *Load) Run(ctx context.Context) *Done {
-	d := &Done{Latency: hdrhistogram.New(1, 60_000_000, 3)}
+// Run runs the load. A client whose job is rejected submits its next one after the Retry-After of the answer, or after 20 ms if it has none.
+func (l *Load) Run(ctx context.Context) *LoadResult {
+	d := &LoadResult{Latency: hdrhistogram.New(1, 60_000_000, 3)}
 	var mu sync.Mutex
 	var g errgroup.Group
 	for i := range l.Clients {
@@ -77,21 +77,21 @@
 						continue
 					}
 				}
-				began := time.Now()
-				m, err := c.Do("POST", "/"+l.Class+"/cut", []byte("scene"), Job(fmt.Sprintf("%s%04x%04x", l.Prefix, i, n), l.Deadline)...)
-				took := time.Since(began)
+				start := time.Now()
+				m, err := c.Do("POST", "/"+l.Class+"/cut", []byte("scene"), JobFields(fmt.Sprintf("%s%04x%04x", l.Prefix, i, n), l.Deadline)...)
+				elapsed := time.Since(start)
 				mu.Lock()
 				switch {
 				case err != nil:
-					d.Broken++
+					d.Incomplete++
 				case m.Status == 200:
 					d.Served++
-					_ = d.Latency.RecordValue(took.Microseconds())
-					if took <= l.Aim {
-						d.InTime++
+					_ = d.Latency.RecordValue(elapsed.Microseconds())
+					if elapsed <= l.Objective {
+						d.WithinObjective++
 					}
 				case m.Status == 503:
-					d.Refused++
+					d.Rejected++
 				default:
 					d.Failed++
 				}
@@ -115,36 +115,37 @@
 	return d
 }
 
-// Kind is a way for a peer of a node to be slow.
-type Kind string
+// SlowKind is a way in which a peer of a node is slow.
+type SlowKind string
 
-// The kinds. All but the last are clients, or take the part of a box that calls back.
+// The kinds of slow peers. All are clients except SlowCallback, which acts as an executor. FastReader is not slow.
 const (
-	Reads    Kind = "reads"    // hands in a job, reads one byte a second of its answer
-	Stops    Kind = "stops"    // hands in a job, reads one byte of its answer and no more, then closes
-	Head     Kind = "head"     // sends a byte a second of a request's head
-	Body     Kind = "body"     // sends the head at once, and a byte a second of the body
-	Callback Kind = "callback" // a callback that drips
-	Says     Kind = "says"     // says nothing
-	Was      Kind = "was"      // was fast with its first job, reads one byte a second of its second answer
-	Quick    Kind = "quick"    // hands in the job that Reads does, and reads its answer at once: for comparison
+	SlowReader     SlowKind = "reads"    // submits a job and reads its answer at one byte a second
+	StalledReader  SlowKind = "stops"    // submits a job, reads one byte of its answer, then closes after 3 s
+	SlowHead       SlowKind = "head"     // sends a request's head at one byte a second
+	SlowBody       SlowKind = "body"     // sends the head at once and the body at one byte a second
+	SlowCallback   SlowKind = "callback" // sends a callback at one byte a second
+	IdleClient     SlowKind = "says"     // connects and sends nothing
+	SlowSecondRead SlowKind = "was"      // reads the first answer at once and the second at one byte a second
+	FastReader     SlowKind = "quick"    // submits the same job as SlowReader and reads its answer at once, for comparison
 )
 
-// Kinds are all that are slow.
-var Kinds = []Kind{Reads, Stops, Head, Body, Callback, Says, Was}
+// SlowKinds lists all kinds that are slow.
+var SlowKinds = []SlowKind{SlowReader, StalledReader, SlowHead, SlowBody, SlowCallback, IdleClient, SlowSecondRead}
 
-// Ended is how a slow peer's time ended.
-type Ended struct {
-	Kind   Kind
-	Status int  // of an answer that came whole, else 0
-	Job    bool // it handed a job in whole
-	Closed bool // the node closed the connection
-	Bytes  int  // that came
+// SlowPeerResult is how the connection of a slow peer ended.
+type SlowPeerResult struct {
+	Kind    SlowKind
+	Status  int  // status of the answer if it was received completely, else 0
+	JobSent bool // it sent a complete job request
+	Closed  bool // the node closed the connection
+	Bytes   int  // number of bytes received
 }
 
-// SlowPeer plays one slow peer until the node lets it go, it has its answer, or the context ends. N makes its ids its own.
-func SlowPeer(ctx context.Context, addr string, k Kind, n int, deadline time.Duration) Ended {
-	e := Ended{Kind: k}
+// SlowPeer runs one slow peer until the node closes the connection, the answer is received, or the context ends. The request ids
+// contain n, which must differ between peers.
+func SlowPeer(ctx context.Context, addr string, k SlowKind, n int, deadline time.Duration) SlowPeerResult {
+	e := SlowPeerResult{Kind: k}
 	c, err := net.DialTimeout("tcp", addr, 2*time.Second)
 	if err != nil {
 		e.Closed = true
@@ -153,25 +154,25 @@
 	defer func() { _ = c.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
-	_ = c.(*net.TCPConn).SetReadBuffer(2048) // what the kernel takes for it is little
-	drip := func(ctx context.Context, text string) {
+	_ = c.(*net.TCPConn).SetReadBuffer(2048) // so that the kernel buffers little of the answer
+	sendSlowly := func(ctx context.Context, text string) {
 		for i := range len(text) {
 			if _, err := io.WriteString(c, text[i:i+1]); err != nil || !pause(ctx, time.Second) {
 				return
 			}
 		}
 	}
-	ask := func(i int) string {
+	jobRequest := func(i int) string {
 		id := fmt.Sprintf("510%05x%08x", n, i)
 		text := "POST /area-render/slow HTTP/1.1\r\nHost: test\r\nContent-Length: 5\r\n"
-		for _, f := range Job(id, deadline) {
+		for _, f := range JobFields(id, deadline) {
 			text += f.Name + ": " + f.Value + "\r\n"
 		}
 		return text + "\r\n"
 	}
-	in, p := http1.NewRing(4096), http1.NewParser(Lim, true)
-	answer := func(each int, gap time.Duration) {
-		one := make([]byte, each)
+	in, p := http1.NewRing(4096), http1.NewParser(Limits, true)
+	readAnswer := func(size int, gap time.Duration) {
+		buf := make([]byte, size)
 		for {
 			m, err := p.Feed(in)
 			if m != nil {
@@ -181,8 +182,8 @@
 			if err != nil {
 				return
 			}
-			k, err := c.Read(one)
-			in.Put(one[:k])
+			k, err := c.Read(buf)
+			in.Put(buf[:k])
 			e.Bytes += k
 			if err != nil {
 				e.Closed = ctx.Err() == nil && !errors.Is(err, net.ErrClosed)
@@ -194,47 +195,47 @@
 		}
 	}
 	switch k {
-	case Reads, Stops, Was, Quick:
-		if k == Was {
-			_, _ = io.WriteString(c, ask(0)+"scene")
-			answer(4096, 0)
+	case SlowReader, StalledReader, SlowSecondRead, FastReader:
+		if k == SlowSecondRead {
+			_, _ = io.WriteString(c, jobRequest(0)+"scene")
+			readAnswer(4096, 0)
 			e.Status = 0
 		}
-		if _, err := io.WriteString(c, ask(1)+"scene"); err != nil {
+		if _, err := io.WriteString(c, jobRequest(1)+"scene"); err != nil {
 			return e
 		}
-		e.Job = true
+		e.JobSent = true
 		switch k {
-		case Quick:
-			answer(4096, 0)
-		case Stops:
+		case FastReader:
+			readAnswer(4096, 0)
+		case StalledReader:
 			_, _ = c.Read(make([]byte, 1))
 			e.Bytes = 1
 			pause(ctx, 3*time.Second)
 		default:
-			answer(1, time.Second)
+			readAnswer(1, time.Second)
 		}
-	case Head, Body, Callback:
+	case SlowHead, SlowBody, SlowCallback:
 		ctx, cancel := context.WithCancel(ctx)
 		var g errgroup.Group
 		g.Go(func() error {
 			switch k {
-			case Head:
-				drip(ctx, ask(0))
-			case Body:
-				_, _ = io.WriteString(c, ask(0))
-				drip(ctx, "scene")
+			case SlowHead:
+				sendSlowly(ctx, jobRequest(0))
+			case SlowBody:
+				_, _ = io.WriteString(c, jobRequest(0))
+				sendSlowly(ctx, "scene")
 			default:
-				drip(ctx, "POST /callback HTTP/1.1\r\nContent-Length: 59\r\n\r\n"+
+				sendSlowly(ctx, "POST /callback HTTP/1.1\r\nContent-Length: 59\r\n\r\n"+
 					`{"id":"00000000000000aa","from":"s-00000001","state":"done"}`)
 			}
 			return nil
 		})
-		answer(4096, 0)
+		readAnswer(4096, 0)
 		cancel()
 		_ = g.Wait()
-	case Says:
-		answer(4096, 0)
+	case IdleClient:
+		readAnswer(4096, 0)
 	}
 	return e
 }
--- a/internal/testenv/standin.go
+++ b/internal/testenv/standin.go
@@ -1,6 +1,6 @@
-// Package testenv has small stand-ins for render boxes and for the list of them, for tests of this project
-// alone. They keep to the protocol's page and record what comes. They are no test file since the tests of a dozen packages and two
-// measuring tools share them, and a test file can not be imported; the program that is shipped does not link them, and they do not
+// Package testenv has fake executors, a fake discovery service, faulty links and clients for the tests of this project. They follow
+// the protocol and record the requests they receive. They are not in test files because the tests of a dozen packages and two
+// measuring tools share them, and a test file cannot be imported. The shipped program does not link this package, and it does not
 // import testing.
 package testenv
 
@@ -23,94 +23,95 @@
 	"gatetack/internal/node"
 )
 
-// Lim are the limits that the stand-ins use.
-var Lim = limits.New(0, 0, 0, 0, 0)
+// Limits are the limits that the fakes and the clients use.
+var Limits = limits.New(0, 0, 0, 0, 0)
 
-// Quiet logs nowhere.
-var Quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+// DiscardLog discards all log records.
+var DiscardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// TestReporter is the part of testing.TB that Until needs. The measuring tools link this package too, and package testing
-// belongs in test files.
+// TestReporter is the part of testing.TB that Until needs. It is declared here since the measuring tools link this package and must
+// not link testing.
 type TestReporter interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// Until waits for something to become true. Its bound is far over what is expected, so that no verdict depends on
-// the machine's speed.
-func Until(t TestReporter, what string, ok func() bool) {
+// Until waits until ok returns true and fails the test after 20 s. The timeout is far longer than expected, so that no test result
+// depends on the machine's speed.
+func Until(t TestReporter, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain:", what)
+			t.Fatal("timed out after 20 s waiting for:", condition)
 		}
 	}
 }
 
-// Lists keeps the lists that are told to it, as the core would take them.
-type Lists struct {
+// ListRecorder records the endpoint lists that are passed to it, in place of the core.
+type ListRecorder struct {
 	mu        sync.Mutex
-	all       []node.List
+	all       []node.EndpointList
 	confirmed int
 }
 
-// List takes one.
-func (s *Lists) List(l node.List) {
+// UpdateEndpoints records an endpoint list.
+func (s *ListRecorder) UpdateEndpoints(l node.EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.all = append(s.all, l)
 }
 
-// ListCallFailed is of no interest here.
-func (s *Lists) ListCallFailed() {}
+// ListCallFailed does nothing.
+func (s *ListRecorder) ListCallFailed() {}
 
-// ListConfirmed counts the lines of a watch that told of no change.
-func (s *Lists) ListConfirmed() {
+// ListConfirmed counts the lines of a watch that reported no change.
+func (s *ListRecorder) ListConfirmed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.confirmed++
 }
 
-// Confirmed is how many lines told of no change so far.
-func (s *Lists) Confirmed() int {
+// Confirmed returns how many lines reported no change so far.
+func (s *ListRecorder) Confirmed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.confirmed
 }
 
-// All are those that came so far.
-func (s *Lists) All() []node.List {
+// All returns the lists recorded so far.
+func (s *ListRecorder) All() []node.EndpointList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]node.List(nil), s.all...)
+	return append([]node.EndpointList(nil), s.all...)
 }
 
-// own is the loopback address of this process's Ports: what another process of the tests is given can not be one of them.
+// own is the loopback address that FreeAddrs listens on. It differs between processes, so that two test processes never get the same
+// address.
 var own = fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()>>16&63, os.Getpid()>>8&255, os.Getpid()&255)
 
-// given are the addresses that Ports gave: who was given one listens there later, and no one else may be given it meanwhile.
-var given sync.Map
+// returnedAddrs holds the addresses that FreeAddrs has returned. Their callers listen on them later, so they must not be returned again.
+var returnedAddrs sync.Map
 
-// Ports gives n addresses that are free and were given to nobody before, each another. They are on a loopback address on which
-// nothing else here listens, so that no stand-in that asks for any port gets one of them.
-func Ports(n int) ([]string, error) {
+// FreeAddrs returns n distinct addresses that are free and were not returned before. They are on a loopback address on which
+// nothing else in the tests listens, so that no fake that listens on port 0 gets one of them.
+func FreeAddrs(n int) ([]string, error) {
 	var out []string
 	for len(out) < n {
 		ln, err := net.Listen("tcp", own)
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = ln.Close() }() // held until all are found
-		if addr := ln.Addr().String(); !had(addr) {
+		defer func() { _ = ln.Close() }() // stays open until all addresses are found
+		if addr := ln.Addr().String(); !alreadyReturned(addr) {
 			out = append(out, addr)
 		}
 	}
 	return out, nil
 }
 
-// had says whether an address was given already, and notes it.
-func had(addr string) bool {
-	_, had := given.LoadOrStore(addr, true)
+// alreadyReturned reports whether an address was returned before, and marks it as returned.
+func alreadyReturned(addr string) bool {
+	_, had := returnedAddrs.LoadOrStore(addr, true)
 	return had
 }
 
@@ -122,18 +123,18 @@
 	w  *http1.Writer
 }
 
-// Dial connects.
+// Dial connects to a server under test.
 func Dial(addr string) (*Conn, error) {
 	c, err := net.DialTimeout("tcp", addr, 2*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	return &Conn{c, http1.NewRing(4096), http1.NewParser(Lim, true), http1.NewWriter(c, 4096)}, nil
+	return &Conn{c, http1.NewRing(4096), http1.NewParser(Limits, true), http1.NewWriter(c, 4096)}, nil
 }
 
-const answerWithin = 40 * time.Second // what a test waits for the answer to a call
+const callTimeout = 40 * time.Second // timeout of a call in tests
 
-// Do sends a request and reads its answer.
+// Do sends a request and returns its answer.
 func (c *Conn) Do(method, target string, body []byte, fields ...http1.Field) (*http1.Message, error) {
 	fields = append(fields, http1.Field{Name: "Host", Value: "test"})
 	if err := c.w.Request(method, target, fields, body); err != nil {
@@ -142,147 +143,147 @@
 	if err := c.w.Flush(); err != nil {
 		return nil, err
 	}
-	_ = c.SetReadDeadline(time.Now().Add(answerWithin))
+	_ = c.SetReadDeadline(time.Now().Add(callTimeout))
 	return c.p.Read(c.in, c.Conn)
 }
 
-// CallFor makes one request, and gives up after a while.
-func CallFor(addr string, most time.Duration, method, target string, body []byte, fields ...http1.Field) (*http1.Message, error) {
+// CallFor makes one request on a new connection and closes the connection after the given time.
+func CallFor(addr string, timeout time.Duration, method, target string, body []byte, fields ...http1.Field) (*http1.Message, error) {
 	c, err := Dial(addr)
 	if err != nil {
 		return nil, err
 	}
-	defer time.AfterFunc(most, func() { _ = c.Close() }).Stop()
+	defer time.AfterFunc(timeout, func() { _ = c.Close() }).Stop()
 	defer func() { _ = c.Close() }()
 	return c.Do(method, target, body, fields...)
 }
 
-// Call makes one request on a connection of its own.
+// Call makes one request on a new connection.
 func Call(addr, method, target string, body []byte, fields ...http1.Field) (*http1.Message, error) {
-	return CallFor(addr, answerWithin, method, target, body, fields...)
+	return CallFor(addr, callTimeout, method, target, body, fields...)
 }
 
-// Start is a request that a box got whole.
+// Start is a job request that an executor received completely and accepted.
 type Start struct {
 	ID, Target, Body, Idempotency string
 	At                            time.Time
 }
 
-// Behaviour is how a box does its work.
-type Behaviour struct {
-	Run    time.Duration // of a job
-	Slots  int           // jobs that run at a time, 0 for any number: the others wait
-	Result int           // bytes that a result is filled up to
-	Free   int           // free slots that it always tells of
-	Full   bool          // turn all away
-	Fail   bool          // run each job and tell that it failed
-	Early  bool          // all callbacks before the 202
-	Mute   bool          // take jobs, run them and tell nothing
-	Untold bool          // tell of no starts and no progress
-	Bare   bool          // say nothing of its load where a job ends
-	Still  time.Time     // answer and begin nothing before
-	Repeat int           // how often each callback is made
-}
-
-// Box stands in for a render box: it takes jobs, runs each for a while and calls back.
-type Box struct {
+// Behavior is how a fake executor handles jobs.
+type Behavior struct {
+	JobDuration       time.Duration // how long a job runs
+	Slots             int           // number of jobs that run at a time, 0 for no limit; the others wait
+	ResultBytes       int           // minimum length of a result in bytes
+	FreeSlots         int           // free slots in its load reports
+	RejectAll         bool          // reject all jobs
+	FailJobs          bool          // run each job and report that it failed
+	EarlyCallbacks    bool          // make all callbacks before the 202 answer
+	NoCallbacks       bool          // accept and run jobs but make no callbacks
+	NoProgress        bool          // make no callbacks for starts and progress
+	NoLoadReport      bool          // send no load report when a job ends
+	UnresponsiveUntil time.Time     // answer no request before this time
+	CallbackRepeats   int           // number of times that each callback is made
+}
+
+// Executor is a fake executor: it accepts jobs, runs each for a fixed time and makes callbacks.
+type Executor struct {
 	Name, Addr string
-	Zone, Type string // as the list has them; tallinn and type-a where nothing is said
+	Zone, Type string // as in the endpoint list; empty for tallinn and type-a
 	Group      int
-	Born       time.Time // of its last start, where the list tells it
+	StartedAt  time.Time // time of its last start in the endpoint list, zero for none
 
 	mu       sync.Mutex
-	node     string // where callbacks go
-	how      Behaviour
+	node     string // address that receives callbacks
+	behavior Behavior
 	running  int
-	room     chan struct{} // told when a job ends
+	jobEnded chan struct{} // closed and replaced when a job ends
 	starts   []Start
-	gaveUp   []string
-	callback []int // statuses that callbacks got
+	canceled []string
+	callback []int // statuses of the answers to callbacks
 	g        *errgroup.Group
 	ctx      context.Context
 }
 
-// NewBox starts a box that calls back at node.
-func NewBox(ctx context.Context, g *errgroup.Group, name, node string, run time.Duration) (*Box, error) {
+// NewExecutor starts an executor that makes its callbacks to node.
+func NewExecutor(ctx context.Context, g *errgroup.Group, name, node string, run time.Duration) (*Executor, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &Box{Name: name, Addr: ln.Addr().String(), node: node, how: Behaviour{Run: run, Repeat: 1, Free: 2}, g: g, ctx: ctx,
-		room: make(chan struct{})}
-	s := http1.NewServer(Lim, b, nil, Quiet)
+	b := &Executor{Name: name, Addr: ln.Addr().String(), node: node, behavior: Behavior{JobDuration: run, CallbackRepeats: 1, FreeSlots: 2}, g: g, ctx: ctx,
+		jobEnded: make(chan struct{})}
+	s := http1.NewServer(Limits, b, nil, DiscardLog)
 	g.Go(func() error { return s.Serve(ctx, ln) })
 	return b, nil
 }
 
-// Set changes how a box behaves.
-func (b *Box) Set(change func(*Behaviour)) {
+// Set changes the behavior of the executor.
+func (b *Executor) Set(change func(*Behavior)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	change(&b.how)
+	change(&b.behavior)
 }
 
-// Starts are the requests that came, in order.
-func (b *Box) Starts() []Start {
+// Starts returns the accepted job requests in the order of arrival.
+func (b *Executor) Starts() []Start {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]Start(nil), b.starts...)
 }
 
-// GaveUp are the ids that were given up.
-func (b *Box) GaveUp() []string {
+// Canceled returns the ids of the jobs that were canceled.
+func (b *Executor) Canceled() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]string(nil), b.gaveUp...)
+	return append([]string(nil), b.canceled...)
 }
 
-// Answers are the statuses that callbacks got.
-func (b *Box) Answers() []int {
+// CallbackStatuses returns the statuses of the answers to callbacks.
+func (b *Executor) CallbackStatuses() []int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]int(nil), b.callback...)
 }
 
-// Handle answers a node.
-func (b *Box) Handle(_ context.Context, m *http1.Message) http1.Response {
+// Handle answers a request of a node.
+func (b *Executor) Handle(_ context.Context, m *http1.Message) http1.Response {
 	if m.Method == "DELETE" {
 		b.mu.Lock()
-		b.gaveUp = append(b.gaveUp, strings.TrimPrefix(m.Target, "/jobs/"))
+		b.canceled = append(b.canceled, strings.TrimPrefix(m.Target, "/jobs/"))
 		b.mu.Unlock()
 		return http1.Response{Status: 204}
 	}
 	b.mu.Lock()
-	how := b.how
+	behavior := b.behavior
 	b.mu.Unlock()
-	pause(b.ctx, time.Until(how.Still))
+	pause(b.ctx, time.Until(behavior.UnresponsiveUntil))
 	if m.Method == "GET" && m.Target == "/load" {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return http1.Response{Status: 200, Body: []byte(b.load(how))}
+		return http1.Response{Status: 200, Body: []byte(b.load(behavior))}
 	}
 	id := m.Get("X-Trace-Id")
 	b.mu.Lock()
-	if !how.Full {
+	if !behavior.RejectAll {
 		b.starts = append(b.starts, Start{id, m.Target, string(m.Body), m.Get("Idempotency-Key"), time.Now()})
 	}
 	b.mu.Unlock()
-	if how.Full {
+	if behavior.RejectAll {
 		return http1.Response{Status: 503, Fields: []http1.Field{{Name: "X-Never-Ran", Value: "1"},
 			{Name: "Endpoint-Load-Metrics", Value: "TEXT queue=4, x0=0"}}}
 	}
-	if how.Early {
-		b.work(id, how)
+	if behavior.EarlyCallbacks {
+		b.work(id, behavior)
 	} else {
-		b.g.Go(func() error { b.work(id, how); return nil })
+		b.g.Go(func() error { b.work(id, behavior); return nil })
 	}
 	return http1.Response{Status: 202}
 }
 
-func (b *Box) work(id string, how Behaviour) {
+func (b *Executor) work(id string, behavior Behavior) {
 	for {
 		b.mu.Lock()
-		ok, room := how.Slots == 0 || b.running < how.Slots, b.room
+		ok, jobEnded := behavior.Slots == 0 || b.running < behavior.Slots, b.jobEnded
 		if ok {
 			b.running++
 		}
@@ -291,7 +292,7 @@
 			break
 		}
 		select {
-		case <-room:
+		case <-jobEnded:
 		case <-b.ctx.Done():
 			return
 		}
@@ -300,49 +301,49 @@
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.running--
-		close(b.room)
-		b.room = make(chan struct{})
+		close(b.jobEnded)
+		b.jobEnded = make(chan struct{})
 	}()
-	if !how.Mute && !how.Untold {
-		b.tell(id, `"state":"started"`)
+	if !behavior.NoCallbacks && !behavior.NoProgress {
+		b.notify(id, `"state":"started"`)
 	}
 	select {
-	case <-time.After(how.Run):
+	case <-time.After(behavior.JobDuration):
 	case <-b.ctx.Done():
 		return
 	}
-	if how.Mute {
+	if behavior.NoCallbacks {
 		return
 	}
-	if !how.Untold {
-		b.tell(id, `"state":"running","share":0.9`)
+	if !behavior.NoProgress {
+		b.notify(id, `"state":"running","share":0.9`)
 	}
-	if how.Fail {
-		b.tell(id, `"state":"failed"`)
+	if behavior.FailJobs {
+		b.notify(id, `"state":"failed"`)
 		return
 	}
 	result := "tile of " + id
-	if n := how.Result - len(result); n > 0 {
+	if n := behavior.ResultBytes - len(result); n > 0 {
 		result += strings.Repeat(".", n)
 	}
 	load := ""
-	if !how.Bare {
-		load = `,"load":{"queue":0,"x0":` + strconv.Itoa(how.Free) + `}`
+	if !behavior.NoLoadReport {
+		load = `,"load":{"queue":0,"x0":` + strconv.Itoa(behavior.FreeSlots) + `}`
 	}
-	b.tell(id, `"state":"done","result":"`+result+`"`+load)
+	b.notify(id, `"state":"done","result":"`+result+`"`+load)
 }
 
-// load is what a probe is told; the lock is held.
-func (b *Box) load(how Behaviour) string {
-	return `{"queue":0,"qps":` + strconv.Itoa(len(b.starts)) + `,"x0":` + strconv.Itoa(max(0, how.Free-b.running)) + `}`
+// load returns the body of the answer to a health check. The caller holds b.mu.
+func (b *Executor) load(behavior Behavior) string {
+	return `{"queue":0,"qps":` + strconv.Itoa(len(b.starts)) + `,"x0":` + strconv.Itoa(max(0, behavior.FreeSlots-b.running)) + `}`
 }
 
-func (b *Box) tell(id, rest string) {
+func (b *Executor) notify(id, rest string) {
 	b.mu.Lock()
-	node, repeat := b.node, b.how.Repeat
+	node, repeat := b.node, b.behavior.CallbackRepeats
 	b.mu.Unlock()
 	for range repeat {
-		for range 10 { // each call is tried until it is answered, ten times at most
+		for range 10 { // each callback is retried until it is answered, up to ten times
 			m, err := Call(node, "POST", "/callback", []byte(`{"id":"`+id+`","from":"`+b.Name+`",`+rest+`}`))
 			if err == nil {
 				b.mu.Lock()
@@ -357,21 +358,21 @@
 	}
 }
 
-// List stands in for discovery: it serves the whole list and watches on it.
-type List struct {
+// Discovery is a fake discovery service: it serves the endpoint list and watches on it.
+type Discovery struct {
 	Addr string
 
-	mu      sync.Mutex
-	index   int
-	entries map[string]string // by name, as JSON
-	changed chan struct{}
-	mute    bool
-	watches int
+	mu           sync.Mutex
+	index        int
+	entries      map[string]string // by name, as JSON
+	changed      chan struct{}
+	unresponsive bool
+	watches      int
 }
 
-// NewList starts a list.
-func NewList(ctx context.Context, g *errgroup.Group) (*List, error) {
-	l := &List{entries: map[string]string{}, changed: make(chan struct{})}
+// NewDiscovery starts a discovery service with an empty list.
+func NewDiscovery(ctx context.Context, g *errgroup.Group) (*Discovery, error) {
+	l := &Discovery{entries: map[string]string{}, changed: make(chan struct{})}
 	var err error
 	l.Addr, err = accept(ctx, g, func(c net.Conn) {
 		stop := context.AfterFunc(ctx, func() { _ = c.Close() })
@@ -382,55 +383,55 @@
 	return l, err
 }
 
-// Put sets an executor's row.
-func (l *List) Put(b *Box, status string) {
+// Put sets the list entry of an executor.
+func (l *Discovery) Put(b *Executor, status string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index++
-	l.entries[b.Name] = Row(b, status)
+	l.entries[b.Name] = EndpointJSON(b, status)
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Row is a box in discovery's form.
-func Row(b *Box, status string) string {
-	zone, kind, group, born := "tallinn", "type-a", 1, int64(0)
+// EndpointJSON returns the list entry of an executor as JSON.
+func EndpointJSON(b *Executor, status string) string {
+	zone, kind, group, startedAt := "tallinn", "type-a", 1, int64(0)
 	if b.Zone != "" {
 		zone, kind, group = b.Zone, b.Type, b.Group
 	}
-	if !b.Born.IsZero() {
-		born = b.Born.UnixMilli()
+	if !b.StartedAt.IsZero() {
+		startedAt = b.StartedAt.UnixMilli()
 	}
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":%d,"status":%q,`+
-		`"weight":1.0,"since_ms":%d}`, b.Name, b.Addr, zone, kind, group, status, born)
+		`"weight":1.0,"since_ms":%d}`, b.Name, b.Addr, zone, kind, group, status, startedAt)
 }
 
-// Mute keeps watches open and silent, as a machine that was cut off does.
-func (l *List) Mute(on bool) {
+// SetUnresponsive makes watches stay open without sending anything, as a host behind a network partition does.
+func (l *Discovery) SetUnresponsive(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.mute = on
+	l.unresponsive = on
 }
 
-// Watches is how many watches were begun.
-func (l *List) Watches() int {
+// Watches returns how many watches were started.
+func (l *Discovery) Watches() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.watches
 }
 
-func (l *List) json() (string, <-chan struct{}, bool) {
+func (l *Discovery) json() (string, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var rows []string
+	var entries []string
 	for _, e := range l.entries {
-		rows = append(rows, e)
+		entries = append(entries, e)
 	}
-	return `{"index":` + strconv.Itoa(l.index) + `,"snapshot":true,"endpoints":[` + strings.Join(rows, ",") + "]}\n", l.changed, l.mute
+	return `{"index":` + strconv.Itoa(l.index) + `,"snapshot":true,"endpoints":[` + strings.Join(entries, ",") + "]}\n", l.changed, l.unresponsive
 }
 
-func (l *List) serve(ctx context.Context, c net.Conn) {
-	in, p := http1.NewRing(4096), http1.NewParser(Lim, false)
+func (l *Discovery) serve(ctx context.Context, c net.Conn) {
+	in, p := http1.NewRing(4096), http1.NewParser(Limits, false)
 	for {
 		m, err := p.Feed(in)
 		if err != nil {
@@ -454,13 +455,13 @@
 		l.watches++
 		l.mu.Unlock()
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		beat := time.NewTicker(2 * time.Second)
-		defer beat.Stop()
+		heartbeat := time.NewTicker(2 * time.Second)
+		defer heartbeat.Stop()
 		for {
 			l.mu.Lock()
-			mute := l.mute
+			unresponsive := l.unresponsive
 			l.mu.Unlock()
-			if !mute {
+			if !unresponsive {
 				if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text); err != nil {
 					return
 				}
@@ -468,7 +469,7 @@
 			select {
 			case <-changed:
 				text, changed, _ = l.json()
-			case <-beat.C:
+			case <-heartbeat.C:
 				text = "\n"
 			case <-ctx.Done():
 				return
--- a/test/batch_test.go
+++ b/test/batch_test.go
@@ -20,14 +20,14 @@
 
 var kills = flag.Int("kills", 3, "how often the node is killed in TestKilledUnderLoad; the long run takes 20")
 
-// Both fronts under load, with the node killed and started again: no tile-charge is started twice, whichever front it
-// came by, all jobs are told truly, and arrays end.
+// The node is killed and restarted under load on both fronts. No tile-charge is started twice, by whichever front it was submitted;
+// all jobs and arrays reach a final state, and the counters balance.
 func TestKilledUnderLoad(t *testing.T) {
-	s := newSite(t, 4, 25*time.Millisecond)
-	for _, b := range s.boxes {
-		b.Set(func(h *testenv.Behaviour) { h.Free, h.Slots = 4, 4 })
+	s := newTestNode(t, 4, 25*time.Millisecond)
+	for _, b := range s.executors {
+		b.Set(func(h *testenv.Behavior) { h.FreeSlots, h.Slots = 4, 4 })
 	}
-	s.extra = "  dir: " + filepath.Join(s.dir, "batch") + "\n"
+	s.extraConfig = "  dir: " + filepath.Join(s.dir, "batch") + "\n"
 	s.start()
 	c := drmaa2.New(s.batch, "")
 	defer c.Close()
@@ -35,8 +35,8 @@
 	defer cancel()
 	tileJob := drmaa2.Template{JobCategory: "tile-charge", AccountingID: "maavaade", Payload: "part $PARAMETRIC_INDEX"}
 	var arrays, plain []string
-	for life := range *kills + 1 {
-		if life > 0 {
+	for run := range *kills + 1 {
+		if run > 0 {
 			s.start()
 		}
 		a, err := c.RunBulkJobs(ctx, drmaa2.Bulk{JobTemplate: tileJob, BeginIndex: 1, EndIndex: 60, MaxParallel: 5})
@@ -45,18 +45,19 @@
 		}
 		arrays = append(arrays, a.JobArrayID)
 		var g errgroup.Group
-		lctx, stop := context.WithCancel(ctx)
-		load := testenv.Load{Addr: s.listen, Clients: 3, Class: "tile-charge", Deadline: 5 * time.Second, Aim: time.Second, Prefix: fmt.Sprintf("10ad%04x", life)}
-		g.Go(func() error { load.Run(lctx); return nil })
+		loadCtx, stop := context.WithCancel(ctx)
+		load := testenv.Load{Addr: s.listen, Clients: 3, Class: "tile-charge",
+			Deadline: 5 * time.Second, Objective: time.Second, Prefix: fmt.Sprintf("10ad%04x", run)}
+		g.Go(func() error { load.Run(loadCtx); return nil })
 		for range 12 {
 			if info, _, err := c.RunJob(ctx, tileJob); err == nil {
 				plain = append(plain, info.JobID)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		// Members of the latest array are under way when the node is lost.
-		s.until("members have begun", func() bool { a, err := c.JobArray(ctx, a.JobArrayID); return err == nil && a.Done >= 5 })
-		if life < *kills {
+		// Members of the latest array are in flight when the node is killed.
+		s.until("five members of the array are done", func() bool { a, err := c.JobArray(ctx, a.JobArrayID); return err == nil && a.Done >= 5 })
+		if run < *kills {
 			s.kill()
 		}
 		stop()
@@ -64,14 +65,14 @@
 		c.Close()
 	}
 	for _, id := range arrays {
-		s.until("the array ends", func() bool { a, err := c.JobArray(ctx, id); return err == nil && a.Over() })
+		s.until("the array ends", func() bool { a, err := c.JobArray(ctx, id); return err == nil && a.Ended() })
 	}
 	done := 0
 	for _, id := range arrays {
 		for i := 1; i <= 60; i++ {
 			j, err := c.Job(ctx, fmt.Sprintf("%s-%d", id, i))
-			if err != nil || !j.Over() {
-				t.Fatalf("%s-%d: %+v %v", id, i, j, err)
+			if err != nil || !j.Ended() {
+				t.Fatalf("job %s-%d has not ended: %+v %v", id, i, j, err)
 			}
 			if j.JobState == "DONE" {
 				done++
@@ -79,11 +80,11 @@
 		}
 	}
 	if done < len(arrays)*60-*kills*20 {
-		t.Errorf("%d of %d members are done", done, len(arrays)*60)
+		t.Errorf("%d of %d array members are done", done, len(arrays)*60)
 	}
 	for _, id := range plain {
-		if j, err := c.Job(ctx, id); err != nil || !j.Over() {
-			t.Errorf("%s: %+v %v", id, j, err)
+		if j, err := c.Job(ctx, id); err != nil || !j.Ended() {
+			t.Errorf("job %s has not ended: %+v %v", id, j, err)
 		}
 	}
 	keys := map[string]int{}
@@ -94,21 +95,21 @@
 	}
 	for key, n := range keys {
 		if n > 1 {
-			t.Errorf("the tile-charge with key %s was started %d times", key, n)
+			t.Errorf("the tile-charge with key %s was started %d times, want once", key, n)
 		}
 	}
-	s.balanced()
+	s.checkCounts()
 	_, batch := s.drmaa("GET", "/counts", "")
 	if one, two := batch.Raw, s.counts().Raw; one != two {
-		t.Errorf("the fronts differ: %s and %s", one, two)
+		t.Errorf("counters of the batch front %s, of the platform front %s; want the same", one, two)
 	}
 }
 
-// A large array while half the boxes drain: maxParallel and the drains hold, and each member runs once.
-func TestArrayWhileBoxesDrain(t *testing.T) {
-	s := newSite(t, 4, 10*time.Millisecond)
-	for _, b := range s.boxes {
-		b.Set(func(h *testenv.Behaviour) { h.Free = 16 })
+// Half the executors drain while a large array runs: a draining executor gets no jobs after 500 ms, and each member runs once.
+func TestArrayWhileExecutorsDrain(t *testing.T) {
+	s := newTestNode(t, 4, 10*time.Millisecond)
+	for _, b := range s.executors {
+		b.Set(func(h *testenv.Behavior) { h.FreeSlots = 16 })
 	}
 	s.start()
 	c := drmaa2.New(s.batch, "")
@@ -117,18 +118,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.until("it has begun", func() bool { a, err := c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Done > 100 })
-	for _, b := range s.boxes[:2] {
-		s.list.Put(b, "draining")
+	s.until("more than 100 members are done", func() bool { a, err := c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Done > 100 })
+	for _, b := range s.executors[:2] {
+		s.discovery.Put(b, "draining")
 	}
-	told := time.Now()
-	s.until("it has ended", func() bool { a, err = c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Over() })
+	drainedAt := time.Now()
+	s.until("the array has ended",
+		func() bool { a, err = c.JobArray(s.ctx, a.JobArrayID); return err == nil && a.Ended() })
 	if a.Done != 800 {
-		t.Errorf("%+v", a)
+		t.Errorf("array %+v, want all 800 members done", a)
 	}
-	for _, b := range s.boxes[:2] {
+	for _, b := range s.executors[:2] {
 		for _, x := range b.Starts() {
-			if late := x.At.Sub(told); late > 500*time.Millisecond {
+			if late := x.At.Sub(drainedAt); late > 500*time.Millisecond {
 				t.Errorf("job %s was sent %v after the drain", x.ID, late)
 			}
 		}
@@ -140,11 +142,11 @@
 	}
 }
 
-// A watch goes on across a connection that breaks, without a gap or a repeat, and the command line speaks to the front:
-// each exit code is what the page says.
+// The commands exit with the documented codes, and an event watch resumes after its connection breaks, without missing or repeating
+// an event.
 func TestCommandLine(t *testing.T) {
-	s := newSite(t, 2, 20*time.Millisecond)
-	s.extra = "  dir: " + filepath.Join(s.dir, "batch") + "\n"
+	s := newTestNode(t, 2, 20*time.Millisecond)
+	s.extraConfig = "  dir: " + filepath.Join(s.dir, "batch") + "\n"
 	s.start()
 	gatetack := func(code int, args ...string) string {
 		t.Helper()
@@ -195,14 +197,14 @@
 		t.Error(out)
 	}
 	gatetack(0, "session", "destroy", "night")
-	if out := gatetack(0, "machine", "list", "--filter", "status = ready"); !strings.Contains(out, s.boxes[0].Name) {
+	if out := gatetack(0, "machine", "list", "--filter", "status = ready"); !strings.Contains(out, s.executors[0].Name) {
 		t.Error(out)
 	}
 	gatetack(1, "job", "list", "--addr", "127.0.0.1:1")
 	gatetack(0, "completion", "bash")
 
-	// The watch: a proxy cuts its connection now and then.
-	cut, err := testenv.NewSlow(s.ctx, s.g, s.batch, testenv.Script{}, testenv.Script{Stall: 900, End: testenv.Reset}, 1)
+	// The watch runs through a proxy that resets its connection several times.
+	cut, err := testenv.NewSlowProxy(s.ctx, s.g, s.batch, testenv.Script{}, testenv.Script{StallAfter: 900, End: testenv.Reset}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,10 +212,10 @@
 	defer c.Close()
 	ctx, stop := context.WithCancel(s.ctx)
 	defer stop()
-	seen := make(chan drmaa2.Event, 1000)
+	events := make(chan drmaa2.Event, 1000)
 	var g errgroup.Group
-	g.Go(func() error { return w.Events(ctx, "", func(e drmaa2.Event) error { seen <- e; return nil }) })
-	s.until("the watch stands", func() bool { return cut.Taken() > 0 })
+	g.Go(func() error { return w.Events(ctx, "", func(e drmaa2.Event) error { events <- e; return nil }) })
+	s.until("the watch is connected", func() bool { return cut.Accepted() > 0 })
 	time.Sleep(50 * time.Millisecond)
 	want := map[string]bool{}
 	for range 20 {
@@ -226,39 +228,39 @@
 		}
 		want[info.JobID] = true
 	}
-	told := map[string]bool{}
+	received := map[string]bool{}
 	for len(want) > 0 {
 		select {
-		case e := <-seen:
-			if told[e.Cursor] {
-				t.Errorf("event %s was told twice", e.Cursor)
+		case e := <-events:
+			if received[e.Cursor] {
+				t.Errorf("event %s was received twice", e.Cursor)
 			}
-			told[e.Cursor] = true
+			received[e.Cursor] = true
 			if e.JobState == "DONE" {
 				delete(want, e.JobID)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("never told of the end of %d jobs", len(want))
+			t.Fatalf("no DONE event of %d jobs within 20 s", len(want))
 		}
 	}
-	if cut.Taken() < 3 {
-		t.Errorf("the watch's connection was made %d times: nothing broke", cut.Taken())
+	if cut.Accepted() < 3 {
+		t.Errorf("the watch connected %d times, want at least 3: its connection did not break", cut.Accepted())
 	}
 	stop()
 	_ = g.Wait()
 }
 
-// A node that is alone starts from the operators' file, with no variable of the platform's.
+// A standalone node starts from the operator's file, without the platform's environment variables.
 func TestStandalone(t *testing.T) {
 	dir := t.TempDir()
-	ports, err := testenv.Ports(2)
+	ports, err := testenv.FreeAddrs(2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
 	defer func() { cancel(); _ = g.Wait() }()
-	b, err := testenv.NewBox(ctx, &g, "render1", ports[0], 20*time.Millisecond)
+	b, err := testenv.NewExecutor(ctx, &g, "render1", ports[0], 20*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -279,14 +281,14 @@
 		return cmd
 	}
 	if out, err := bare("check-config", "--config", file).CombinedOutput(); err != nil || !strings.Contains(string(out), "batch jobs on record") {
-		t.Fatalf("%v %s", err, out)
+		t.Fatalf("check-config: %v %s", err, out)
 	}
 	bad := filepath.Join(dir, "bad.yaml")
 	if err := os.WriteFile(bad, []byte(strings.Replace(text, "balancers: 1", "balancers: many", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if out, err := bare("check-config", "--config", bad).CombinedOutput(); err == nil || !strings.Contains(string(out), "balancers") || !strings.Contains(string(out), "line ") {
-		t.Errorf("%v %s", err, out)
+		t.Errorf("check-config with an invalid number of balancers: %v %s, want the key and its line", err, out)
 	}
 	cmd := bare("serve", "--config", file)
 	if err := cmd.Start(); err != nil {
--- a/test/golden_folder_test.go
+++ b/test/golden_folder_test.go
@@ -24,24 +24,24 @@
 	"gatetack/internal/testenv"
 )
 
-// The archives under testdata/golden are what the program at 46e7a41 left on disk when it was killed: jobs that had ended, that
-// waited and that ran, arrays, sessions, duties, settings. Every later program starts on a copy of them and reads the same.
+// The archives under testdata/golden hold the files that the program at commit 46e7a41 left on disk when it was killed: jobs that
+// had ended, waited or ran, arrays, sessions, leases and settings. Every later program starts on a copy of them and reads the same.
 
-// goldenIDs are those of the jobs and arrays in an archive.
+// goldenIDs are the IDs of the jobs and arrays in an archive.
 type goldenIDs struct {
-	Jobs   []string `json:"jobs"`
-	Arrays []string `json:"arrays"`
-	Held   string   `json:"held"` // an array all of whose members wait
+	Jobs      []string `json:"jobs"`
+	Arrays    []string `json:"arrays"`
+	HeldArray string   `json:"held"` // an array with all members held
 }
 
 const (
 	goldenIDsFile   = "ids.json"
-	goldenHeldKey   = `{"jobCategory":"area-render","accountingId":"maavaade","payload":"x","submitAsHold":true,"priority":7,"jobName":"later","idempotencyKey":"k1","args":["a","b c"]}`
+	goldenKeyedJob  = `{"jobCategory":"area-render","accountingId":"maavaade","payload":"x","submitAsHold":true,"priority":7,"jobName":"later","idempotencyKey":"k1","args":["a","b c"]}`
 	goldenHeldArray = `{"jobTemplate":{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"part $PARAMETRIC_INDEX","submitAsHold":true},"beginIndex":2,"endIndex":8,"step":2}`
 )
 
-// fill brings jobs of each state, arrays and sessions on record.
-func (s *site) fill() (ids goldenIDs) {
+// createRecords creates jobs of each state, arrays and sessions.
+func (s *testNode) createRecords() (ids goldenIDs) {
 	s.t.Helper()
 	post := func(path, body, field string) string {
 		s.t.Helper()
@@ -73,50 +73,50 @@
 	post("/sessions", `{"sessionName":"night"}`, "sessionName")
 	post("/sessions", `{"sessionName":"day"}`, "sessionName")
 	state("/jobs/"+job("/jobs", tile), "DONE")
-	job("/jobs", goldenHeldKey)
-	begin := time.Now().Add(2 * time.Second).UTC() // over by the time that the archive is read, so that the day does not matter
+	job("/jobs", goldenKeyedJob)
+	begin := time.Now().Add(2 * time.Second).UTC() // in the past when the archive is read, so that the date does not matter
 	start := begin.Format(time.RFC3339)
 	job("/sessions/night/jobs", `{"jobCategory":"tile-charge","accountingId":"pohjakaart","submitAsHold":true,"startTime":"`+start+`"}`)
 	ended := job("/jobs", `{"jobCategory":"tile-charge","accountingId":"maavaade","submitAsHold":true}`)
 	s.drmaa("POST", "/jobs/"+ended+"/terminate", "")
 	state("/jobs/"+ended, "FAILED")
 	state("/arrays/"+array(`{"jobTemplate":`+tile+`,"endIndex":3,"maxParallel":2}`), "DONE")
-	ids.Held = array(goldenHeldArray)
+	ids.HeldArray = array(goldenHeldArray)
 	part := array(`{"jobTemplate":` + tile + `,"endIndex":60,"maxParallel":1}`)
-	s.until("some of an array have ended", func() bool {
+	s.until("two members of the array have ended", func() bool {
 		_, v := s.drmaa("GET", "/arrays/"+part, "")
 		return v.Get("done").Int() >= 2
 	})
 	s.drmaa("POST", "/arrays/"+part+"/hold", "")
-	s.until("nothing of it runs", func() bool {
+	s.until("no member of the array runs", func() bool {
 		_, v := s.drmaa("GET", "/arrays/"+part, "")
 		return v.Get("held").Bool() && v.Get("nextIndex").Int() == v.Get("done").Int()+v.Get("failed").Int()+1
 	})
-	s.run(time.Hour)
+	s.setJobDuration(time.Hour)
 	state("/jobs/"+job("/jobs", tile), "RUNNING")
 	state("/jobs/"+job("/jobs", `{"jobCategory":"area-render","accountingId":"maavaade","payload":"long"}`), "RUNNING")
 	running := array(`{"jobTemplate":` + tile + `,"endIndex":3,"maxParallel":1}`)
 	state("/jobs/"+running+"-1", "RUNNING")
 	s.drmaa("POST", "/arrays/"+running+"/hold", "")
-	ids.Jobs = append(ids.Jobs, running+"-1", running+"-2", part+"-1", ids.Held+"-4")
-	time.Sleep(3 * time.Second) // what the jobs' states are comes on record behind them
+	ids.Jobs = append(ids.Jobs, running+"-1", running+"-2", part+"-1", ids.HeldArray+"-4")
+	time.Sleep(3 * time.Second) // the states of jobs are persisted some time after the jobs
 	return ids
 }
 
-// run sets for how long each box runs a job.
-func (s *site) run(span time.Duration) {
-	for _, b := range s.boxes {
-		b.Set(func(h *testenv.Behaviour) { h.Run = span })
+// setJobDuration sets how long each executor runs a job.
+func (s *testNode) setJobDuration(span time.Duration) {
+	for _, b := range s.executors {
+		b.Set(func(h *testenv.Behavior) { h.JobDuration = span })
 	}
 }
 
-// readRecords tells what a node says of all that is on record.
-func (s *site) readRecords(ids goldenIDs) string {
+// readRecords returns a node's responses about all recorded sessions, jobs and arrays.
+func (s *testNode) readRecords(ids goldenIDs) string {
 	s.t.Helper()
 	var out strings.Builder
 	read := func(path string) {
 		m, err := testenv.Call(s.batch, "GET", "/drmaa2/v1"+path, nil)
-		out.WriteString("== " + goldenText(path) + "\n" + goldenAnswer(m, err))
+		out.WriteString("== " + replaceVolatile(path) + "\n" + formatResponse(m, err))
 	}
 	read("/sessions")
 	for _, id := range ids.Jobs {
@@ -131,7 +131,7 @@
 	return out.String()
 }
 
-// archive packs files of a folder.
+// archive packs files of a folder into a compressed tar archive.
 func archive(t *testing.T, dir string, names ...string) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -169,7 +169,7 @@
 	return out.Bytes()
 }
 
-// unpack brings an archive's files into a folder and gives the ids in it.
+// unpack extracts an archive into a folder and returns the IDs stored in it.
 func unpack(t *testing.T, name, dir string) (ids goldenIDs) {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join(goldenFolder, name))
@@ -207,8 +207,8 @@
 	return ids
 }
 
-// writeArchive keeps a killed node's folder.
-func writeArchive(t *testing.T, s *site, ids goldenIDs, name string, files ...string) {
+// writeArchive writes files of a killed node's folder and the IDs to a golden archive.
+func writeArchive(t *testing.T, s *testNode, ids goldenIDs, name string, files ...string) {
 	t.Helper()
 	text, err := json.MarshalIndent(ids, "", "  ")
 	if err != nil {
@@ -223,7 +223,7 @@
 	}
 }
 
-// untilGolden waits until what is read is as a golden file has it: what was on record is taken up bit by bit.
+// untilGolden waits until read returns the content of a golden file: a node restores its records gradually after its start.
 func untilGolden(t *testing.T, name string, read func() string) {
 	t.Helper()
 	if goldenUpdate() {
@@ -245,13 +245,13 @@
 	t.Errorf("%s:\n%s", name, diff)
 }
 
-// goesOn checks that a node works on with what was on record: a key names its job, and what was held runs once it is released.
-func (s *site) goesOn(ids goldenIDs) {
+// checkRecordsInUse checks that a node uses restored records: an idempotency key names its job, and held jobs run once released.
+func (s *testNode) checkRecordsInUse(ids goldenIDs) {
 	s.t.Helper()
-	if status, v := s.drmaa("POST", "/jobs", goldenHeldKey); status != 200 || v.Get("jobId").String() != ids.Jobs[1] {
-		s.t.Errorf("a job that was submitted under its key before: %d %s, want 200 and job %s", status, v.Raw, ids.Jobs[1])
+	if status, v := s.drmaa("POST", "/jobs", goldenKeyedJob); status != 200 || v.Get("jobId").String() != ids.Jobs[1] {
+		s.t.Errorf("resubmission under a recorded idempotency key: %d %s, want 200 and job %s", status, v.Raw, ids.Jobs[1])
 	}
-	for _, path := range []string{"/jobs/" + ids.Jobs[1], "/arrays/" + ids.Held} {
+	for _, path := range []string{"/jobs/" + ids.Jobs[1], "/arrays/" + ids.HeldArray} {
 		if status, v := s.drmaa("POST", path+"/release", ""); status != 200 {
 			s.t.Errorf("release %s: %d %s", path, status, v.Raw)
 		}
@@ -262,10 +262,10 @@
 	}
 }
 
-var goldenFinish = regexp.MustCompile(`"finishTime":"[^"]*"`)
+var finishTimePattern = regexp.MustCompile(`"finishTime":"[^"]*"`)
 
-// renewEnds makes what is on record end now: records of jobs that ended long ago are taken away.
-func renewEnds(t *testing.T, path string) {
+// setFinishTimesToNow sets the finish times of recorded jobs to now: the node deletes records of jobs that ended long ago.
+func setFinishTimesToNow(t *testing.T, path string) {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, nil)
 	if err != nil {
@@ -276,12 +276,12 @@
 	err = db.Update(func(tx *bolt.Tx) error {
 		jobs := tx.Bucket([]byte("job"))
 		if jobs == nil {
-			return errors.New("no table job")
+			return errors.New("the file has no table named job")
 		}
 		next := map[string][]byte{}
 		err := jobs.ForEach(func(k, v []byte) error {
-			if goldenFinish.Match(v) {
-				next[string(k)] = goldenFinish.ReplaceAll(v, now)
+			if finishTimePattern.Match(v) {
+				next[string(k)] = finishTimePattern.ReplaceAll(v, now)
 			}
 			return nil
 		})
@@ -292,12 +292,12 @@
 		return err
 	})
 	if err = errors.Join(err, db.Close()); err != nil || changed == 0 {
-		t.Fatalf("%d ends on record: %v", changed, err)
+		t.Fatalf("changed the finish times of %d recorded jobs: %v", changed, err)
 	}
 }
 
-// tablesOf tells all that a bbolt file holds: tables, keys, and values where they are text.
-func tablesOf(t *testing.T, path string) string {
+// dumpTables returns the tables, keys and values of a bbolt file; values that are not JSON are quoted.
+func dumpTables(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true})
 	if err != nil {
@@ -323,47 +323,47 @@
 	return out.String()
 }
 
-// goldenIncarnation is the record of the node's last incarnation, whose value is a time.
-var goldenIncarnation = regexp.MustCompile(`^("incarnation" "n0" )\d{13}$`)
+// incarnationPattern matches the record of the node's last incarnation, whose value is a time.
+var incarnationPattern = regexp.MustCompile(`^("incarnation" "n0" )\d{13}$`)
 
-// A node alone starts on the file of records that the program wrote before its code was reshaped, and tells the same of each job,
-// array and session.
+// A standalone node starts on the records file of an earlier program and answers the same about each job, array and session. The
+// test guards the file's format against unintended changes.
 func TestGoldenRecords(t *testing.T) {
 	const name = "records.tar.gz"
-	s := newSite(t, 3, 10*time.Millisecond)
-	s.extra = "  dir: batch\n"
+	s := newTestNode(t, 3, 10*time.Millisecond)
+	s.extraConfig = "  dir: batch\n"
 	if goldenUpdate() {
 		s.start()
-		ids := s.fill()
+		ids := s.createRecords()
 		s.kill()
 		writeArchive(t, s, ids, name, "batch")
 		if err := os.RemoveAll(filepath.Join(s.dir, "batch")); err != nil {
 			t.Fatal(err)
 		}
-		s.run(10 * time.Millisecond)
+		s.setJobDuration(10 * time.Millisecond)
 	}
 	ids := unpack(t, name, s.dir)
 	file := filepath.Join(s.dir, "batch", "batch.db")
-	compareGolden(t, "records-tables.txt", tablesOf(t, file))
-	renewEnds(t, file)
+	compareGolden(t, "records-tables.txt", dumpTables(t, file))
+	setFinishTimesToNow(t, file)
 	s.start()
 	untilGolden(t, "records.txt", func() string { return s.readRecords(ids) })
-	s.goesOn(ids)
-	if err := s.term(); err != nil {
+	s.checkRecordsInUse(ids)
+	if err := s.terminate(); err != nil {
 		t.Fatal(err)
 	}
-	// What it has written meanwhile has the same form; sizes in bytes hang on the digits of times.
-	lines := strings.Split(strings.TrimSpace(goldenStored(tablesOf(t, file))), "\n")
+	// Records written since then have the same form; the sizes in the tallies depend on the digits of times and are left out.
+	lines := strings.Split(strings.TrimSpace(replaceStoredVolatile(dumpTables(t, file))), "\n")
 	lines = slices.DeleteFunc(lines, func(line string) bool { return strings.HasPrefix(line, `"\x00tallies"`) })
 	for i, line := range lines {
-		lines[i] = goldenIncarnation.ReplaceAllString(line, "${1}LIFE")
+		lines[i] = incarnationPattern.ReplaceAllString(line, "${1}LIFE")
 	}
 	slices.Sort(lines)
 	compareGolden(t, "records-written.txt", strings.Join(lines, "\n")+"\n")
 }
 
-// command runs a command of the program and gives what it printed.
-func (s *site) command(args ...string) string {
+// command runs a command of the program and returns its output.
+func (s *testNode) command(args ...string) string {
 	s.t.Helper()
 	out, err := exec.Command(program, args...).CombinedOutput()
 	if err != nil {
@@ -372,29 +372,29 @@
 	return string(out)
 }
 
-// goldenVersion is that of a record which a new life writes again as it takes it up.
-var goldenVersion = regexp.MustCompile(`"version":\d+`)
+// versionPattern matches the version of a record, which a restarted node rewrites when it restores the record.
+var versionPattern = regexp.MustCompile(`"version":\d+`)
 
-// listed are a table's values in the store, by their keys, with their versions where nobody writes them again.
-func (s *site) listed(table string) string {
+// listTable returns a table of the store, without the versions in tables whose records a restarted node rewrites.
+func (s *testNode) listTable(table string) string {
 	s.t.Helper()
 	var out strings.Builder
 	for line := range strings.Lines(s.command("store", "list", table, "--store-addr", s.store)) {
-		text := goldenText(strings.TrimSpace(line))
+		text := replaceVolatile(strings.TrimSpace(line))
 		if table == "array" || table == "sent" || table == "open" {
-			text = goldenVersion.ReplaceAllString(text, `"version":N`)
+			text = versionPattern.ReplaceAllString(text, `"version":N`)
 		}
 		fmt.Fprintf(&out, "%s %s\n", table, text)
 	}
 	return out.String()
 }
 
-// readStore tells what a member says of its tables, settings and duties.
-func (s *site) readStore() string {
+// readStore returns a member's responses about its tables, settings and leases.
+func (s *testNode) readStore() string {
 	s.t.Helper()
 	var out strings.Builder
 	for _, table := range []string{"mark", "session", "same", "array", "open", "sent"} {
-		out.WriteString(s.listed(table))
+		out.WriteString(s.listTable(table))
 	}
 	out.WriteString(s.command("store", "history", "mark", "render1", "--store-addr", s.store))
 	out.WriteString(s.command("settings", "list", "--output", "json", "--store-addr", s.store))
@@ -405,12 +405,12 @@
 	return out.String()
 }
 
-// A member of a store of one starts on the folder that the program wrote before its code was reshaped: the log, its snapshot, the
-// records in it, settings and duties; and on the settings that it cached.
+// The member of a single-member store starts on the folder of an earlier program, with its log, snapshot, records, settings and
+// leases, and on the settings cached there. The test guards the formats of these files against unintended changes.
 func TestGoldenStoreFolder(t *testing.T) {
 	const name = "store.tar.gz"
-	s := newSite(t, 3, 10*time.Millisecond)
-	s.extra = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {n0: %q}\nsettings:\n  enabled: true\n  cache: settings.json\n",
+	s := newTestNode(t, 3, 10*time.Millisecond)
+	s.extraConfig = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {n0: %q}\nsettings:\n  enabled: true\n  cache: settings.json\n",
 		s.store, s.store)
 	if goldenUpdate() {
 		s.start()
@@ -426,17 +426,17 @@
 		set("delete", "mark", "render2")
 		set("snapshot", filepath.Join(s.dir, "backup"))
 		set("restore", filepath.Join(s.dir, "backup"))
-		s.accept("set", "class/draft", draftClass)
-		s.accept("set", "tenant/maavaade", `{"quotaRps":21}`)
-		version := s.accept("set", "class/draft", `{"deadline":4000,"aim":800,"effect":"free"}`)
-		s.inForce(version, "n0")
-		ids := s.fill()
+		s.changeSettings("set", "class/draft", draftClass)
+		s.changeSettings("set", "tenant/maavaade", `{"quotaRps":21}`)
+		version := s.changeSettings("set", "class/draft", `{"deadline":4000,"aim":800,"effect":"free"}`)
+		s.awaitInForce(version, "n0")
+		ids := s.createRecords()
 		s.kill()
 		writeArchive(t, s, ids, name, "store", "settings.json", "backup")
 		if err := os.RemoveAll(filepath.Join(s.dir, "store")); err != nil {
 			t.Fatal(err)
 		}
-		s.run(10 * time.Millisecond)
+		s.setJobDuration(10 * time.Millisecond)
 	}
 	ids := unpack(t, name, s.dir)
 	dir := filepath.Join(s.dir, "store")
@@ -447,13 +447,13 @@
 	}
 	compareGolden(t, "settings-cache.json", string(cache))
 	if out := s.command("store", "recover", dir, "--name", "n0", "--members", "n0="+s.store); !strings.Contains(out, "done: start its node") {
-		t.Fatalf("the member's address can not be changed: %s", out)
+		t.Fatalf("the member's address was not changed: %s", out)
 	}
 	s.start()
 	untilGolden(t, "store-records.txt", func() string { return s.readRecords(ids) })
 	untilGolden(t, "store-tables.txt", s.readStore)
-	if !s.takes("draft", "00000000000000d0") {
-		t.Error("the class that came through the store is not taken")
+	if !s.servesClass("draft", "00000000000000d0") {
+		t.Error("a request of the class added through the store was not accepted")
 	}
-	s.goesOn(ids)
+	s.checkRecordsInUse(ids)
 }
--- a/test/golden_test.go
+++ b/test/golden_test.go
@@ -21,14 +21,14 @@
 	"gatetack/internal/testenv"
 )
 
-// The golden files under testdata/golden hold what the program said, wrote and read before its code was reshaped. A change of
-// shape or name changes none of them. GOLDEN_UPDATE=1 writes them anew, for a change of behaviour that is meant.
+// The golden files under testdata/golden pin what the program prints, answers and stores. A refactoring or a rename changes none of
+// them. GOLDEN_UPDATE=1 rewrites them after an intended change of behavior.
 
 const goldenFolder = "testdata/golden"
 
 func goldenUpdate() bool { return os.Getenv("GOLDEN_UPDATE") != "" }
 
-// compareGolden compares a text with a golden file, line by line.
+// compareGolden compares a text with a golden file line by line, or rewrites the file if GOLDEN_UPDATE is set.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join(goldenFolder, name)
@@ -47,7 +47,7 @@
 	}
 }
 
-// goldenDiff names the first lines that differ, the empty text where none does.
+// goldenDiff returns the first lines that differ, or an empty string if the texts are equal.
 func goldenDiff(want, got string) string {
 	a, b := strings.Split(want, "\n"), strings.Split(got, "\n")
 	var out []string
@@ -66,40 +66,40 @@
 	return strings.Join(out, "\n")
 }
 
-// goldenVolatile are the parts of answers that are others in each run.
-var goldenVolatile = []struct {
+// volatileParts are the parts of responses that differ between runs.
+var volatileParts = []struct {
 	pattern *regexp.Regexp
 	text    string
 }{
 	{regexp.MustCompile(`\b(n0)\.[0-9a-f]{8,}\.`), "$1.LIFE."},
-	{regexp.MustCompile(`\b[0-9a-f]{9,12}\.(\d+)\b`), "LIFE.$1"}, // a cursor
+	{regexp.MustCompile(`\b[0-9a-f]{9,12}\.(\d+)\b`), "LIFE.$1"}, // cursors of events
 	{regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?(Z|[+-]\d\d:\d\d)`), "TIME"},
 	{regexp.MustCompile(`\b127\.\d+\.\d+\.\d+:\d+`), "ADDRESS"},
 	{regexp.MustCompile(`\b[0-9a-f]{16}\b`), "TRACE"},
 }
 
-func goldenText(text string) string {
-	for _, v := range goldenVolatile {
+func replaceVolatile(text string) string {
+	for _, v := range volatileParts {
 		text = v.pattern.ReplaceAllString(text, v.text)
 	}
 	return text
 }
 
-// goldenValue is a JSON text by its value: keys in order, and what is volatile taken out; another text stays as it is.
-func goldenValue(text string) string {
+// normalizeJSON formats a JSON text with sorted keys and replaces its volatile parts; in any other text it only replaces these.
+func normalizeJSON(text string) string {
 	var value any
 	if err := json.Unmarshal([]byte(text), &value); err != nil {
-		return goldenText(text)
+		return replaceVolatile(text)
 	}
 	data, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
-		return goldenText(text)
+		return replaceVolatile(text)
 	}
-	return goldenText(string(data))
+	return replaceVolatile(string(data))
 }
 
-// goldenAnswer is an answer with its fields, but for those that are others in each run.
-func goldenAnswer(m *http1.Message, err error) string {
+// formatResponse formats a response with its header fields, without the fields that differ between runs.
+func formatResponse(m *http1.Message, err error) string {
 	if err != nil {
 		return "error: " + err.Error()
 	}
@@ -109,28 +109,28 @@
 		if strings.EqualFold(f.Name, "Date") || strings.EqualFold(f.Name, "Content-Length") {
 			continue
 		}
-		value := goldenText(f.Value)
+		value := replaceVolatile(f.Value)
 		if f.Name == "Retry-After" {
-			value = goldenDigit.ReplaceAllString(value, "9")
+			value = digitPattern.ReplaceAllString(value, "9")
 		}
 		out.WriteString(f.Name + ": " + value + "\n")
 	}
-	body := goldenValue(string(m.Body))
-	if gjson.GetBytes(m.Body, "taken").Exists() { // counts: their keys
-		body = goldenCount.ReplaceAllString(body, ": N")
+	body := normalizeJSON(string(m.Body))
+	if gjson.GetBytes(m.Body, "taken").Exists() { // a response of /counts: only its keys are compared
+		body = jsonNumberPattern.ReplaceAllString(body, ": N")
 	}
 	return out.String() + body + "\n"
 }
 
 var (
-	goldenDigit = regexp.MustCompile(`[0-9]`)
-	goldenCount = regexp.MustCompile(`: \d+`)
+	digitPattern      = regexp.MustCompile(`[0-9]`)
+	jsonNumberPattern = regexp.MustCompile(`: \d+`)
 )
 
-var goldenSubcommand = regexp.MustCompile(`(?m)^  ([a-z][a-z-]*) +\S`)
+var subcommandPattern = regexp.MustCompile(`(?m)^  ([a-z][a-z-]*) +\S`)
 
-// helpOf appends the help of a command and of all below it.
-func helpOf(t *testing.T, out *strings.Builder, words ...string) {
+// writeHelp appends the help of a command and of all its subcommands.
+func writeHelp(t *testing.T, out *strings.Builder, words ...string) {
 	t.Helper()
 	cmd := exec.Command(program, append(words, "--help")...)
 	cmd.Env = append(os.Environ(), "HOME=/nowhere")
@@ -144,21 +144,21 @@
 		return
 	}
 	below, _, _ = strings.Cut(below, "\n\n")
-	for _, m := range goldenSubcommand.FindAllStringSubmatch(below, -1) {
+	for _, m := range subcommandPattern.FindAllStringSubmatch(below, -1) {
 		if m[1] != "help" && m[1] != "completion" {
-			helpOf(t, out, append(words[:len(words):len(words)], m[1])...)
+			writeHelp(t, out, append(words[:len(words):len(words)], m[1])...)
 		}
 	}
 }
 
-// The help of every command.
+// The help text of every command is unchanged.
 func TestGoldenHelp(t *testing.T) {
 	var out strings.Builder
-	helpOf(t, &out)
+	writeHelp(t, &out)
 	compareGolden(t, "help.txt", out.String())
 }
 
-// The codes of all errors that reach an operator or a client.
+// The codes of all errors that reach an operator or a client are unchanged.
 func TestGoldenErrorCodes(t *testing.T) {
 	var out strings.Builder
 	for _, kind := range operr.Kinds() {
@@ -167,13 +167,13 @@
 	compareGolden(t, "error-codes.txt", out.String())
 }
 
-// The platform's answers, with their fields: served, refused, failed, and those to what is no job.
+// The platform front's responses are unchanged: to served, rejected and failed requests, to malformed ones and to other calls.
 func TestGoldenPlatformAnswers(t *testing.T) {
-	s := newSite(t, 1, 10*time.Millisecond)
+	s := newTestNode(t, 1, 10*time.Millisecond)
 	s.start()
 	var out strings.Builder
 	note := func(what string, m *http1.Message, err error) {
-		out.WriteString("== " + what + "\n" + goldenAnswer(m, err))
+		out.WriteString("== " + what + "\n" + formatResponse(m, err))
 	}
 	call := func(method, path, body string, fields ...http1.Field) {
 		m, err := testenv.Call(s.listen, method, path, []byte(body), fields...)
@@ -181,7 +181,7 @@
 	}
 	m, err := s.post("tile-charge", "0000000000000001")
 	note("served", m, err)
-	s.until("the count is there", func() bool { return s.count("open") == 0 })
+	s.until("the counters show no open request", func() bool { return s.counter("open") == 0 })
 	call("GET", "/healthz", "")
 	call("GET", "/counts", "")
 	call("GET", "/nothing", "")
@@ -195,16 +195,16 @@
 		header("X-Expires-In-Ms", "soon"))
 	call("POST", "/tile-charge/cut", "x", header("X-Trace-Id", "0000000000000005"), header("X-Customer", "pohjakaart"),
 		header("X-Expires-In-Ms", "1"))
-	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Fail = true })
+	s.executors[0].Set(func(h *testenv.Behavior) { h.FailJobs = true })
 	m, err = s.post("tile-charge", "0000000000000006")
 	note("failed", m, err)
-	s.boxes[0].Set(func(h *testenv.Behaviour) { h.Fail, h.Full = false, true })
+	s.executors[0].Set(func(h *testenv.Behavior) { h.FailJobs, h.RejectAll = false, true })
 	m, err = s.post("tile-charge", "0000000000000007")
 	note("refused", m, err)
 	compareGolden(t, "platform-answers.txt", out.String())
 }
 
-// goldenBatchSteps are calls of the batch front; ID and ARRAY stand for those of the job and the array that came last.
+// goldenBatchSteps are calls of the batch front; ID and ARRAY stand for the IDs of the latest job and array.
 var goldenBatchSteps = []struct{ method, path, body string }{
 	{"GET", "/manager", ""},
 	{"GET", "/manager/supports/BULK_JOBS_MAXPARALLEL", ""},
@@ -269,9 +269,9 @@
 	{"GET", "/nothing", ""},
 }
 
-// The batch front's answers, and the events of all that happened.
+// The batch front's responses and the events of all these calls are unchanged.
 func TestGoldenBatchAnswers(t *testing.T) {
-	s := newSite(t, 1, 10*time.Millisecond)
+	s := newTestNode(t, 1, 10*time.Millisecond)
 	s.start()
 	var out strings.Builder
 	job, array := "", ""
@@ -294,18 +294,18 @@
 				array = id
 			}
 		}
-		out.WriteString("== " + step.method + " " + step.path + " " + step.body + "\n" + goldenAnswer(m, err))
+		out.WriteString("== " + step.method + " " + step.path + " " + step.body + "\n" + formatResponse(m, err))
 	}
 	events := s.events(t, first)
 	out.WriteString("== events\n" + events)
 	if stream := s.eventStream(t, first, strings.Count(events, "\n")); stream != events {
-		t.Errorf("the stream tells other events than the list: %s", goldenDiff(events, stream))
+		t.Errorf("the event stream differs from the polled events: %s", goldenDiff(events, stream))
 	}
 	compareGolden(t, "batch-answers.txt", out.String())
 }
 
-// nextCursor is that of the latest event.
-func (s *site) nextCursor(t *testing.T) string {
+// nextCursor returns the cursor of the latest event.
+func (s *testNode) nextCursor(t *testing.T) string {
 	t.Helper()
 	m, err := testenv.Call(s.batch, "GET", "/drmaa2/v1/events?timeoutMs=1", nil)
 	if err != nil || m.Status != 200 {
@@ -314,8 +314,8 @@
 	return m.Get("X-Cursor")
 }
 
-// eventStream reads so many events after a cursor from a stream of them.
-func (s *site) eventStream(t *testing.T, after string, count int) string {
+// eventStream reads count events after a cursor from the event stream.
+func (s *testNode) eventStream(t *testing.T, after string, count int) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(s.ctx, 20*time.Second)
 	defer cancel()
@@ -329,21 +329,21 @@
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if form := answer.Header.Get("Content-Type"); answer.StatusCode != 200 || form != "application/x-ndjson" {
-		t.Errorf("a stream of events: %d %s", answer.StatusCode, form)
+		t.Errorf("event stream: status %d, content type %s", answer.StatusCode, form)
 	}
 	var out strings.Builder
 	lines := bufio.NewScanner(answer.Body)
 	for n := 0; n < count && lines.Scan(); {
 		if text := strings.TrimSpace(lines.Text()); text != "" {
-			out.WriteString(goldenEvent(t, text) + "\n")
+			out.WriteString(normalizeEvent(t, text) + "\n")
 			n++
 		}
 	}
 	return out.String()
 }
 
-// goldenEvent is an event by its value.
-func goldenEvent(t *testing.T, line string) string {
+// normalizeEvent formats an event with sorted keys and replaces its volatile parts.
+func normalizeEvent(t *testing.T, line string) string {
 	t.Helper()
 	var value map[string]any
 	if err := json.Unmarshal([]byte(line), &value); err != nil {
@@ -353,11 +353,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return goldenText(string(data))
+	return replaceVolatile(string(data))
 }
 
-// events are those after a cursor, each by its value.
-func (s *site) events(t *testing.T, after string) string {
+// events polls the events after a cursor and normalizes each of them.
+func (s *testNode) events(t *testing.T, after string) string {
 	t.Helper()
 	m, err := testenv.Call(s.batch, "GET", "/drmaa2/v1/events?timeoutMs=100&after="+after, nil)
 	if err != nil || m.Status != 200 {
@@ -365,7 +365,7 @@
 	}
 	var out strings.Builder
 	for line := range strings.Lines(string(m.Body)) {
-		out.WriteString(goldenEvent(t, line) + "\n")
+		out.WriteString(normalizeEvent(t, line) + "\n")
 	}
 	return out.String()
 }
--- a/test/golden_written_test.go
+++ b/test/golden_written_test.go
@@ -14,8 +14,8 @@
 	"gatetack/internal/testenv"
 )
 
-// goldenWritten are the parts of stored values and members' answers that are others in each run, beside goldenVolatile.
-var goldenWritten = []struct {
+// storedVolatile are the parts of stored values and of members' responses that differ between runs, in addition to volatileParts.
+var storedVolatile = []struct {
 	pattern *regexp.Regexp
 	text    string
 }{
@@ -25,23 +25,23 @@
 	{regexp.MustCompile(`\b[0-9a-f]{32}\b`), "HASH"},
 }
 
-func goldenStored(text string) string {
-	text = goldenText(text)
-	for _, w := range goldenWritten {
+func replaceStoredVolatile(text string) string {
+	text = replaceVolatile(text)
+	for _, w := range storedVolatile {
 		text = w.pattern.ReplaceAllString(text, w.text)
 	}
 	return text
 }
 
-// What the program writes into the store's tables, and what a member answers those who follow, ask and change, has the form that it
-// had before the code was reshaped: table names, keys, JSON fields, statuses and codes.
+// The forms of stored values and of members' responses are unchanged: table names, keys, JSON fields, statuses and error codes. The
+// responses are those to followers of the settings, to readers and to writers.
 func TestGoldenWrittenForms(t *testing.T) {
-	s := newSite(t, 3, 10*time.Millisecond)
-	s.extra = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {n0: %q}\nsettings:\n  enabled: true\n  cache: settings.json\n",
+	s := newTestNode(t, 3, 10*time.Millisecond)
+	s.extraConfig = fmt.Sprintf("store:\n  dir: store\n  listen: %s\n  members: {n0: %q}\nsettings:\n  enabled: true\n  cache: settings.json\n",
 		s.store, s.store)
 	s.start()
-	version := s.accept("set", "class/draft", draftClass)
-	s.inForce(version, "n0")
+	version := s.changeSettings("set", "class/draft", draftClass)
+	s.awaitInForce(version, "n0")
 	wait := func(path, state string) {
 		s.until(path+" is "+state, func() bool {
 			_, v := s.drmaa("GET", path, "")
@@ -50,19 +50,19 @@
 	}
 	s.drmaa("POST", "/sessions", `{"sessionName":"night"}`)
 	wait("/jobs/"+s.submit(tile), "DONE")
-	s.submit(goldenHeldKey)
+	s.submit(goldenKeyedJob)
 	_, array := s.drmaa("POST", "/arrays", `{"jobTemplate":`+tile+`,"endIndex":2,"maxParallel":1}`)
 	wait("/arrays/"+array.Get("jobArrayId").String(), "DONE")
 	s.drmaa("POST", "/arrays", goldenHeldArray)
-	s.run(time.Hour)
+	s.setJobDuration(time.Hour)
 	wait("/jobs/"+s.submit(`{"jobCategory":"area-render","accountingId":"maavaade","payload":"long"}`), "RUNNING")
-	time.Sleep(500 * time.Millisecond) // states come on record behind their jobs
+	time.Sleep(500 * time.Millisecond) // a job's state is persisted some time after the job itself
 
 	tables := func() string {
 		var out strings.Builder
 		for _, table := range []string{"lease", "duty", "settings", "session", "same", "array", "open", "sent", "job"} {
 			for line := range strings.Lines(s.command("store", "list", table, "--store-addr", s.store)) {
-				fmt.Fprintf(&out, "%s %s\n", table, goldenStored(strings.TrimSpace(line)))
+				fmt.Fprintf(&out, "%s %s\n", table, replaceStoredVolatile(strings.TrimSpace(line)))
 			}
 		}
 		return out.String()
@@ -92,7 +92,7 @@
 		{"GET", "/v1/nothing", ""},
 	} {
 		m, err := testenv.Call(s.store, call.method, call.path, []byte(call.body))
-		out.WriteString("== " + call.method + " " + call.path + " " + call.body + "\n" + goldenCounted(goldenAnswer(m, err)))
+		out.WriteString("== " + call.method + " " + call.path + " " + call.body + "\n" + replaceVolatileNumbers(formatResponse(m, err)))
 	}
 	status, err := testenv.Call(s.store, "GET", "/v1/status", nil)
 	if err != nil {
@@ -108,15 +108,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "written-cache.json", goldenStored(string(cache)))
+	compareGolden(t, "written-cache.json", replaceStoredVolatile(string(cache)))
 }
 
-var goldenSpaced = regexp.MustCompile(`("(born|life|since|version|created|index|term|epoch|silentMs|behindMs|expires|previous|number|held|inForce)": )-?\d+`)
+var volatileNumbers = regexp.MustCompile(`("(born|life|since|version|created|index|term|epoch|silentMs|behindMs|expires|previous|number|held|inForce)": )-?\d+`)
 
-// goldenDelta is what tells an answer of all items from one of what followed: a member gives either.
-var goldenDelta = regexp.MustCompile(`\n +"snapshot": true,|version \d+ stands`)
+// snapshotMarks match the texts by which a snapshot response differs from a delta response: a member may send either.
+var snapshotMarks = regexp.MustCompile(`\n +"snapshot": true,|version \d+ stands`)
 
-// goldenCounted is an answer without the numbers that are others in each run.
-func goldenCounted(text string) string {
-	return goldenDelta.ReplaceAllString(goldenSpaced.ReplaceAllString(text, "${1}N"), "")
+// replaceVolatileNumbers removes from a response the numbers and the snapshot marks that differ between runs.
+func replaceVolatileNumbers(text string) string {
+	return snapshotMarks.ReplaceAllString(volatileNumbers.ReplaceAllString(text, "${1}N"), "")
 }
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -1,5 +1,5 @@
-// Package test starts the built program and speaks to it over sockets, with stand-ins for the render boxes
-// and for the list of them.
+// Package test runs the built program as a process and tests it over sockets, with test doubles for the
+// executors and for discovery.
 package test
 
 import (
@@ -35,58 +35,59 @@
 		fmt.Fprintf(os.Stderr, "%s\n%v\n", out, err)
 		os.Exit(1)
 	}
-	// A race-built program sleeps a second at its end otherwise, and each command of a test with it.
+	// A program built with -race sleeps for one second at exit by default, which would delay each command of a test.
 	_ = os.Setenv("GORACE", "atexit_sleep_ms=0")
 	code := m.Run()
 	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-// site is a node under test with what it needs.
-type site struct {
-	t       *testing.T
-	ctx     context.Context
-	g       *errgroup.Group
-	dir     string
-	list    *testenv.List
-	boxes   []*testenv.Box
-	listen  string
-	batch   string
-	store   string
-	name    string // n0 where nothing is said
-	rules   string // the node's settings, where they are not the usual ones
-	known   string // the list of executors that it held before, none where nothing is said
-	env     []string
-	extra   string // lines of the operator's file
-	sockets int    // granted to the node, with the memory, where a test needs less than usual
-	memory  int    // in MB
-	program string // another build, where a test needs one
-	process *exec.Cmd
-	exited  chan error
-	log     *os.File
+// testNode is a node under test with its process, executors and discovery.
+type testNode struct {
+	t              *testing.T
+	ctx            context.Context
+	g              *errgroup.Group
+	dir            string
+	discovery      *testenv.Discovery
+	executors      []*testenv.Executor
+	listen         string
+	batch          string
+	store          string
+	name           string // n0 by default
+	settingsJSON   string // the node's settings; defaultSettings if empty
+	knownExecutors string // the endpoint list cached by an earlier run, as JSON; null if empty
+	env            []string
+	extraConfig    string // lines appended to the operator's configuration file
+	sockets        int    // limit of the node, set together with memoryMB; 0 for the defaults of the tests
+	memoryMB       int
+	program        string // path of another build of the program; the shared build if empty
+	process        *exec.Cmd
+	exited         chan error
+	log            *os.File
 }
 
-// settings of the site, as the simulator's first message has them.
-const settings = testenv.Settings
+// defaultSettings are the settings as they stand in the first message of the simulator.
+const defaultSettings = testenv.Settings
 
-func newSite(t *testing.T, boxes int, run time.Duration) *site {
+func newTestNode(t *testing.T, executorCount int, run time.Duration) *testNode {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &errgroup.Group{}
-	ports, err := testenv.Ports(3)
+	ports, err := testenv.FreeAddrs(3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &site{t: t, ctx: ctx, g: g, name: "n0", dir: t.TempDir(), listen: ports[0], batch: ports[1], store: ports[2]}
-	if s.list, err = testenv.NewList(ctx, g); err != nil {
+	s := &testNode{t: t, ctx: ctx, g: g, name: "n0", dir: t.TempDir(),
+		listen: ports[0], batch: ports[1], store: ports[2]}
+	if s.discovery, err = testenv.NewDiscovery(ctx, g); err != nil {
 		t.Fatal(err)
 	}
-	for i := range boxes {
-		b, err := testenv.NewBox(ctx, g, fmt.Sprintf("s-%08x", i+1), s.listen, run)
+	for i := range executorCount {
+		b, err := testenv.NewExecutor(ctx, g, fmt.Sprintf("s-%08x", i+1), s.listen, run)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.boxes = append(s.boxes, b)
-		s.list.Put(b, "ready")
+		s.executors = append(s.executors, b)
+		s.discovery.Put(b, "ready")
 	}
 	t.Cleanup(func() {
 		if s.process != nil {
@@ -103,17 +104,17 @@
 	return s
 }
 
-// configure writes the platform's configuration in one piece and gives its path.
-func (s *site) configure(discovery, settings string) string {
+// writeConfig replaces the platform's configuration file atomically and returns its path.
+func (s *testNode) writeConfig(discovery, settings string) string {
 	s.t.Helper()
 	config := filepath.Join(s.dir, "config.json")
 	sockets, memory := 1024, 192
 	if s.sockets > 0 {
-		sockets, memory = s.sockets, s.memory
+		sockets, memory = s.sockets, s.memoryMB
 	}
 	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},"known":%s,"settings":%s}`, s.name, s.listen, discovery, memory, sockets,
-		cmp.Or(s.known, "null"), settings)
+		cmp.Or(s.knownExecutors, "null"), settings)
 	if err := os.WriteFile(config+".new", []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
@@ -123,25 +124,25 @@
 	return config
 }
 
-// start runs the program until it serves.
-func (s *site) start() {
+// start runs the program and waits until it serves.
+func (s *testNode) start() {
 	s.t.Helper()
-	s.startAnew()
+	s.startWithoutWaiting()
 	s.until("the node serves", func() bool {
 		m, err := testenv.Call(s.listen, "GET", "/healthz", nil)
 		return err == nil && m.Status == 200
 	})
 }
 
-// startAnew runs the program, and does not wait until it serves.
-func (s *site) startAnew(env ...string) {
+// startWithoutWaiting runs the program and does not wait until it serves.
+func (s *testNode) startWithoutWaiting(env ...string) {
 	s.t.Helper()
-	if s.rules == "" {
-		s.rules = settings
+	if s.settingsJSON == "" {
+		s.settingsJSON = defaultSettings
 	}
-	config := s.configure(s.list.Addr, s.rules)
+	config := s.writeConfig(s.discovery.Addr, s.settingsJSON)
 	file := filepath.Join(s.dir, "gatetack.yaml")
-	if err := os.WriteFile(file, []byte("batch:\n  listen: "+s.batch+"\n"+s.extra), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte("batch:\n  listen: "+s.batch+"\n"+s.extraConfig), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
 	var err error
@@ -149,7 +150,7 @@
 		s.t.Fatal(err)
 	}
 	s.process = exec.Command(cmp.Or(s.program, program), "serve", "--config", file, "--log-level", "debug")
-	s.process.Env = append(os.Environ(), "EDGE_CONFIG="+config, "EDGE_DISCOVERY="+s.list.Addr)
+	s.process.Env = append(os.Environ(), "EDGE_CONFIG="+config, "EDGE_DISCOVERY="+s.discovery.Addr)
 	s.process.Env = append(append(s.process.Env, s.env...), env...)
 	s.process.Stderr = s.log
 	if err := s.process.Start(); err != nil {
@@ -160,35 +161,35 @@
 	s.g.Go(func() error { exited <- p.Wait(); return nil })
 }
 
-// logged says whether the program's log holds a text.
-func (s *site) logged(text string) bool {
+// logContains reports whether the program's log contains text.
+func (s *testNode) logContains(text string) bool {
 	all, _ := os.ReadFile(s.log.Name())
 	return strings.Contains(string(all), text)
 }
 
-// lines counts the lines of the program's log that hold a text.
-func (s *site) lines(text string) int {
+// logCount returns how often text occurs in the program's log.
+func (s *testNode) logCount(text string) int {
 	all, _ := os.ReadFile(s.log.Name())
 	return strings.Count(string(all), text)
 }
 
-// kill ends the program at once, as a lost machine does.
-func (s *site) kill() {
+// kill ends the program with SIGKILL, as the loss of a machine does.
+func (s *testNode) kill() {
 	_ = s.process.Process.Kill()
 	_ = s.awaitExit() // killed
 	s.process = nil
 }
 
-// awaitExit waits until the program has ended and returns how.
-func (s *site) awaitExit() error { return <-s.exited }
+// awaitExit waits for the program to end and returns its exit error.
+func (s *testNode) awaitExit() error { return <-s.exited }
 
-func (s *site) until(what string, ok func() bool) {
+func (s *testNode) until(what string, ok func() bool) {
 	s.t.Helper()
 	testenv.Until(s.t, what, ok)
 }
 
-// post hands a job in through the platform's front and waits for its answer.
-func (s *site) post(class, id string, fields ...http1.Field) (*http1.Message, error) {
+// post sends a request to the platform front and waits for its response.
+func (s *testNode) post(class, id string, fields ...http1.Field) (*http1.Message, error) {
 	fields = append(fields, header("X-Trace-Id", id), header("X-Customer", "pohjakaart"),
 		header("X-Expires-In-Ms", "7500"), header("Idempotency-Key", "key-"+id))
 	return testenv.Call(s.listen, "POST", "/"+class+"/cut?z=3", []byte("body of "+id), fields...)
@@ -196,8 +197,8 @@
 
 func header(name, value string) http1.Field { return http1.Field{Name: name, Value: value} }
 
-// drmaa calls the batch front.
-func (s *site) drmaa(method, path, body string) (int, gjson.Result) {
+// drmaa calls the batch front and returns the status and the body of the response.
+func (s *testNode) drmaa(method, path, body string) (int, gjson.Result) {
 	s.t.Helper()
 	var b []byte
 	if body != "" {
@@ -210,7 +211,7 @@
 	return m.Status, gjson.ParseBytes(m.Body)
 }
 
-func (s *site) submit(body string) string {
+func (s *testNode) submit(body string) string {
 	s.t.Helper()
 	status, v := s.drmaa("POST", "/jobs", body)
 	if status != 201 {
@@ -219,10 +220,10 @@
 	return v.Get("jobId").String()
 }
 
-// starts are the requests that all boxes got, by id.
-func (s *site) starts() map[string][]testenv.Start {
+// starts returns the requests that the executors received, by their ID.
+func (s *testNode) starts() map[string][]testenv.Start {
 	out := map[string][]testenv.Start{}
-	for _, b := range s.boxes {
+	for _, b := range s.executors {
 		for _, x := range b.Starts() {
 			out[x.ID] = append(out[x.ID], x)
 		}
@@ -230,8 +231,8 @@
 	return out
 }
 
-// term asks the program to leave and waits until it has.
-func (s *site) term() error {
+// terminate sends SIGTERM to the program and waits for its exit.
+func (s *testNode) terminate() error {
 	if err := s.process.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
@@ -240,14 +241,14 @@
 		s.process = nil
 		return err
 	case <-time.After(30 * time.Second):
-		return errors.New("it does not leave")
+		return errors.New("the program did not exit within 30 s of SIGTERM")
 	}
 }
 
 const tile = `{"jobCategory":"tile-charge","accountingId":"maavaade","payload":"cut"}`
 
-// count is one of the program's counts, -1 where it does not tell them.
-func (s *site) count(name string) int {
+// counter returns one of the program's counters, or -1 if the program does not answer.
+func (s *testNode) counter(name string) int {
 	m, err := testenv.Call(s.listen, "GET", "/counts", nil)
 	if err != nil || m.Status != 200 {
 		return -1
