--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -18,24 +18,25 @@
 	"gatetack/internal/testenv"
 )
 
-// settingsFleet is members of a store that act on its settings, and processes beside them that follow.
+// settingsFleet consists of store members that activate the replicated settings and of processes that follow them.
 type settingsFleet struct {
-	fleet // the members first
+	fleet // members come before followers
 }
 
-// newSettingsFleet starts members, and then followers, which are none, once a test has prepared them.
+// newSettingsFleet starts the members and then the followers, which are not members of the store. prepare, if set, is
+// called before the first process starts.
 func newSettingsFleet(t *testing.T, members, followers int, prepare func(f *settingsFleet)) *settingsFleet {
 	t.Helper()
 	f := &settingsFleet{fleet: makeFleet(t, members, 20*time.Millisecond)}
 	var addresses []string
 	for _, s := range f.fleet {
-		s.extra += "settings:\n  enabled: true\n  cache: settings.json\n"
+		s.extraConfig += "settings:\n  enabled: true\n  cache: settings.json\n"
 		addresses = append(addresses, s.store)
 	}
 	for i := range followers {
-		s := newSite(t, 2, 20*time.Millisecond)
+		s := newTestNode(t, 2, 20*time.Millisecond)
 		s.name = fmt.Sprintf("f%d", i)
-		s.extra = "settings:\n  enabled: true\n  cache: settings.json\n  follow: [" + strings.Join(addresses, ", ") + "]\n"
+		s.extraConfig = "settings:\n  enabled: true\n  cache: settings.json\n  follow: [" + strings.Join(addresses, ", ") + "]\n"
 		f.fleet = append(f.fleet, s)
 	}
 	if prepare != nil {
@@ -48,8 +49,8 @@
 	return f
 }
 
-// settings runs a command on settings at a member.
-func (s *site) settings(args ...string) (string, error) {
+// settings runs "gatetack settings" with the given arguments against a member and returns its combined output.
+func (s *testNode) settings(args ...string) (string, error) {
 	cmd := exec.Command(program, append([]string{"settings"}, append(args, "--store-addr", s.store, "--timeout", "8s")...)...)
 	timer := time.AfterFunc(15*time.Second, func() { _ = cmd.Process.Kill() })
 	defer timer.Stop()
@@ -57,11 +58,11 @@
 	return string(out), err
 }
 
-// accept makes a change at a member until it is accepted, and returns its version.
-func (s *site) accept(args ...string) uint64 {
+// changeSettings repeats a settings change at a member until it is accepted and returns the version.
+func (s *testNode) changeSettings(args ...string) uint64 {
 	s.t.Helper()
 	var out string
-	s.until("a change is accepted: "+strings.Join(args, " "), func() bool {
+	s.until("settings change is accepted: "+strings.Join(args, " "), func() bool {
 		var err error
 		out, err = s.settings(append(args, "--output", "json")...)
 		return err == nil
@@ -69,16 +70,16 @@
 	return gjson.Get(out, "version").Uint()
 }
 
-// takes reports whether a process takes jobs of a class by now.
-func (s *site) takes(class, id string) bool {
+// servesClass reports whether a process serves requests of a class.
+func (s *testNode) servesClass(class, id string) bool {
 	m, err := s.post(class, id)
 	return err == nil && m.Status == 200
 }
 
-// inForce waits until a member tells that each of some processes has a version in force.
-func (s *site) inForce(version uint64, names ...string) {
+// awaitInForce waits until a member reports the version, or a later one, in force at each of the named processes.
+func (s *testNode) awaitInForce(version uint64, names ...string) {
 	s.t.Helper()
-	s.until(fmt.Sprintf("version %d is in force at %v", version, names), func() bool {
+	s.until(fmt.Sprintf("settings version %d is in force at %v", version, names), func() bool {
 		out, err := s.settings("status", "--output", "json")
 		if err != nil {
 			return false
@@ -101,24 +102,25 @@
 
 const draftClass = `{"deadline":5000,"aim":900,"effect":"free"}`
 
-// A class that is accepted at one member is taken by all processes, members or not, and a change set twice has one effect.
+// A class that one member accepts is served by all processes, members and followers. Setting the same value a second
+// time creates no new version.
 func TestSettingsReachAll(t *testing.T) {
 	f := newSettingsFleet(t, 3, 2, nil)
-	version := f.fleet[1].accept("set", "class/draft", draftClass)
-	f.fleet[0].inForce(version, f.names()...)
+	version := f.fleet[1].changeSettings("set", "class/draft", draftClass)
+	f.fleet[0].awaitInForce(version, f.names()...)
 	for i, s := range f.fleet {
-		if !s.takes("draft", fmt.Sprintf("00000000000000%02x", i)) {
-			t.Errorf("%s has version %d in force and does not take the class that it brought", s.name, version)
+		if !s.servesClass("draft", fmt.Sprintf("00000000000000%02x", i)) {
+			t.Errorf("%s has version %d in force but does not serve the class added by it", s.name, version)
 		}
 	}
-	if again := f.fleet[2].accept("set", "class/draft", draftClass); again != version {
-		t.Errorf("the same change again made version %d after %d", again, version)
+	if repeated := f.fleet[2].changeSettings("set", "class/draft", draftClass); repeated != version {
+		t.Errorf("repeating the same change returned version %d, want %d", repeated, version)
 	}
 	for i := range 20 {
-		version = f.fleet[i%3].accept("set", "tenant/maavaade", fmt.Sprintf(`{"quotaRps":%d}`, 20+i))
-		f.fleet[0].inForce(version, f.names()...)
+		version = f.fleet[i%3].changeSettings("set", "tenant/maavaade", fmt.Sprintf(`{"quotaRps":%d}`, 20+i))
+		f.fleet[0].awaitInForce(version, f.names()...)
 	}
-	f.reportRollout(t)
+	f.logRolloutTimes(t)
 	out, err := f.fleet[0].settings("status")
 	if err != nil || !strings.Contains(out, fmt.Sprintf("version %d accepted, in force at 5 of 5 processes", version)) {
 		t.Errorf("status: %v\n%s", err, out)
@@ -126,52 +128,52 @@
 }
 
 var (
-	loggedInForce  = regexp.MustCompile(`time=(\S+) \S+ msg="settings activated" version=(\d+)`)
-	loggedAccepted = regexp.MustCompile(`time=(\S+) \S+ msg="settings accepted" version=(\d+) changed=[1-9]\d* took=(\S+)`)
+	activationTimePattern = regexp.MustCompile(`time=(\S+) \S+ msg="settings activated" version=(\d+)`)
+	acceptancePattern     = regexp.MustCompile(`time=(\S+) \S+ msg="settings accepted" version=(\d+) changed=[1-9]\d* took=(\S+)`)
 )
 
-// reportRollout tells how long after a member was asked for a change the last process had it in force, by the processes' logs. It
-// judges nothing.
-func (f *settingsFleet) reportRollout(t *testing.T) {
+// logRolloutTimes logs the time from the request for a change until the last process had it in force, taken from the
+// logs of the processes. It checks no bound.
+func (f *settingsFleet) logRolloutTimes(t *testing.T) {
 	t.Helper()
-	asked, last := map[string]time.Time{}, map[string]time.Time{}
+	requestedAt, lastInForce := map[string]time.Time{}, map[string]time.Time{}
 	for _, s := range f.fleet {
-		log := s.wholeLog()
-		for _, m := range loggedAccepted.FindAllStringSubmatch(log, -1) {
+		log := s.allLogs()
+		for _, m := range acceptancePattern.FindAllStringSubmatch(log, -1) {
 			at, err := time.Parse(time.RFC3339Nano, m[1])
 			took, tookErr := time.ParseDuration(m[3])
 			if err != nil || tookErr != nil {
-				t.Fatalf("%q can not be read: %v, %v", m[0], err, tookErr)
+				t.Fatalf("cannot parse log line %q: %v, %v", m[0], err, tookErr)
 			}
-			asked[m[2]] = at.Add(-took)
+			requestedAt[m[2]] = at.Add(-took)
 		}
-		for _, m := range loggedInForce.FindAllStringSubmatch(log, -1) {
+		for _, m := range activationTimePattern.FindAllStringSubmatch(log, -1) {
 			at, err := time.Parse(time.RFC3339Nano, m[1])
 			if err != nil {
-				t.Fatalf("%q can not be read: %v", m[0], err)
+				t.Fatalf("cannot parse log line %q: %v", m[0], err)
 			}
-			if at.After(last[m[2]]) {
-				last[m[2]] = at
+			if at.After(lastInForce[m[2]]) {
+				lastInForce[m[2]] = at
 			}
 		}
 	}
 	var took []time.Duration
-	for version, at := range asked {
-		took = append(took, last[version].Sub(at))
+	for version, at := range requestedAt {
+		took = append(took, lastInForce[version].Sub(at))
 	}
 	if len(took) == 0 {
-		t.Fatal("no log tells of a change")
+		t.Fatal("no log contains an accepted settings change")
 	}
 	slices.Sort(took)
-	t.Logf("%d changes at %d processes: in force at the last after %v in the median, %v at most", len(took), len(f.fleet),
+	t.Logf("%d changes at %d processes: in force at all after %v (median), %v (maximum)", len(took), len(f.fleet),
 		took[len(took)/2].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond))
 }
 
-// A change that can not be used is refused at each member by field and by what was expected, and changes nothing; so is one for a
-// version that is over. What some items of one change lack keeps all of them out.
-func TestSettingsBadChanges(t *testing.T) {
+// Each member rejects an invalid change, or one conditional on an outdated version, with an error that names the field
+// and the expected value; the settings stay unchanged. One invalid item rejects the whole change.
+func TestSettingsInvalidChanges(t *testing.T) {
 	f := newSettingsFleet(t, 3, 0, nil)
-	version := f.fleet[0].accept("set", "tenant/maavaade", `{"quotaRps":9}`)
+	version := f.fleet[0].changeSettings("set", "tenant/maavaade", `{"quotaRps":9}`)
 	file := filepath.Join(f.fleet[0].dir, "changes.yaml")
 	write := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -206,25 +208,26 @@
 				t.Errorf("%s: apply %q: %v %s, expected %q", s.name, x.text, err, out, x.want)
 			}
 		}
-		if out, err := s.stored("set", "settings", "class/draft", draftClass); err == nil || !strings.Contains(out, "gatetack settings") {
-			t.Errorf("%s: a write past the validation: %v %s", s.name, err, out)
+		if out, err := s.storeCommand("set", "settings", "class/draft", draftClass); err == nil || !strings.Contains(out, "gatetack settings") {
+			t.Errorf("%s: write that bypasses validation: %v %s", s.name, err, out)
 		}
 		if out, err := s.settings("list", "--output", "json"); err != nil || gjson.Get(out, "version").Uint() != version || gjson.Get(out, "changes.#").Int() != 1 {
-			t.Errorf("%s: after that: %v %s", s.name, err, out)
+			t.Errorf("%s: settings after the rejected changes: %v %s", s.name, err, out)
 		}
 	}
-	// And a good one of several items is made whole.
+	// A valid change of several items is applied as a whole.
 	write("class/draft: {deadline: 5000, aim: 900, effect: free}\ntenant/maavaade: null\ngeneral: {limits: {maxAttempts: 2}}\n")
-	next := f.fleet[2].accept("apply", file, "--if", fmt.Sprint(version))
-	f.fleet[1].inForce(next, f.names()...)
+	next := f.fleet[2].changeSettings("apply", file, "--if", fmt.Sprint(version))
+	f.fleet[1].awaitInForce(next, f.names()...)
 	out, err := f.fleet[1].settings("list", "--output", "json")
 	if keys := gjson.Get(out, "changes.#.key").Raw; err != nil || keys != `["class/draft","general"]` {
-		t.Errorf("items after it: %v %s", err, out)
+		t.Errorf("settings after the valid change: %v %s", err, out)
 	}
 }
 
-// Members are killed one after the other, the leader among them, while changes are made at the others: each that was accepted is in
-// force at every process in the end, also at those that were away, and none goes back to an older version.
+// Members, including the leader, are killed one after the other while changes are made at another member. The last
+// accepted version is in force at every process at the end, also at restarted ones, and no process reverts to an older
+// version.
 func TestSettingsMemberKilled(t *testing.T) {
 	f := newSettingsFleet(t, 3, 2, nil)
 	var last uint64
@@ -233,37 +236,38 @@
 		other := f.fleet[(round+1)%3]
 		victim.kill()
 		for n := range 3 {
-			version := other.accept("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, 100*round+n+1))
+			version := other.changeSettings("set", "class/draft",
+				fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, 100*round+n+1))
 			if version <= last {
 				t.Errorf("version %d after %d", version, last)
 			}
 			last = version
 		}
-		other.inForce(last, f.fleet[3].name, f.fleet[4].name)
+		other.awaitInForce(last, f.fleet[3].name, f.fleet[4].name)
 		victim.start()
-		other.inForce(last, f.names()...)
+		other.awaitInForce(last, f.names()...)
 	}
 	for _, s := range f.fleet {
 		reached := uint64(0)
-		for _, order := range s.inForceOrders() {
+		for _, order := range s.activatedVersions() {
 			if !slices.IsSorted(order) {
-				t.Errorf("%s put in force, one after the other: %v", s.name, order)
+				t.Errorf("%s activated settings versions out of order: %v", s.name, order)
 			}
 			reached = max(reached, slices.Max(append(order, 0)))
 		}
 		if reached != last {
-			t.Errorf("%s has version %d in force, expected %d", s.name, reached, last)
+			t.Errorf("%s has settings version %d in force, want %d", s.name, reached, last)
 		}
-		if !s.takes("draft", "00000000000000c1") {
-			t.Errorf("%s does not take the class", s.name)
+		if !s.servesClass("draft", "00000000000000c1") {
+			t.Errorf("%s does not serve class draft", s.name)
 		}
 	}
 }
 
-var putInForce = regexp.MustCompile(`msg="settings activated" version=(\d+)`)
+var activationPattern = regexp.MustCompile(`msg="settings activated" version=(\d+)`)
 
-// inForceOrders reads from the logs which versions a process put in force, one after the other, in each of its lives.
-func (s *site) inForceOrders() (lives [][]uint64) {
+// activatedVersions reads from the logs the settings versions that a process activated, in order, for each of its runs.
+func (s *testNode) activatedVersions() (runs [][]uint64) {
 	s.t.Helper()
 	logs, err := filepath.Glob(filepath.Join(s.dir, "log*"))
 	if err != nil {
@@ -275,17 +279,17 @@
 			s.t.Fatal(err)
 		}
 		var order []uint64
-		for _, m := range putInForce.FindAllStringSubmatch(string(text), -1) {
+		for _, m := range activationPattern.FindAllStringSubmatch(string(text), -1) {
 			version, _ := strconv.ParseUint(m[1], 10, 64)
 			order = append(order, version)
 		}
-		lives = append(lives, order)
+		runs = append(runs, order)
 	}
-	return lives
+	return runs
 }
 
-// A follower whose links to its members are cut, first all but one and then all, is told by name as behind while it is; the others
-// are not held up; and it has the latest once one link is back.
+// The links from a follower to the members are cut, first all but one and then all. While the follower is behind, the
+// status names it; the other processes are not delayed. It has the latest version once one link works again.
 func TestSettingsFollowerCut(t *testing.T) {
 	var links []*testenv.Link
 	f := newSettingsFleet(t, 3, 2, func(f *settingsFleet) {
@@ -301,132 +305,134 @@
 		}
 		s.env = append(s.env, "GATETACK_LINKS="+strings.Join(routes, ","))
 	})
-	cut := testenv.Fault{Up: true, Down: true}
+	cut := testenv.Fault{BlockUp: true, BlockDown: true}
 	set := func(aim int) uint64 {
-		return f.fleet[0].accept("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, aim))
+		return f.fleet[0].changeSettings("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, aim))
 	}
-	for i := range links { // each in turn is the one that is left
+	for i := range links { // links[i] is the only one that works
 		for k, link := range links {
 			if link.Set(testenv.Fault{}); k != i {
 				link.Set(cut)
 			}
 		}
-		f.fleet[1].inForce(set(100+i), f.names()...)
+		f.fleet[1].awaitInForce(set(100+i), f.names()...)
 	}
 	for _, link := range links {
 		link.Set(cut)
 	}
 	version := set(200)
-	f.fleet[2].inForce(version, "n0", "n1", "n2", "f1")
-	f.fleet[0].until("f0 is told as behind", func() bool {
+	f.fleet[2].awaitInForce(version, "n0", "n1", "n2", "f1")
+	f.fleet[0].until("the status names f0 as behind", func() bool {
 		out, err := f.fleet[2].settings("status")
 		return err == nil && strings.Contains(out, "not yet in force at f0") && strings.Count(out, "not yet in force") == 1
 	})
 	links[1].Set(testenv.Fault{})
-	f.fleet[2].inForce(version, f.names()...)
+	f.fleet[2].awaitInForce(version, f.names()...)
 }
 
-// Processes that start anew have the settings that were in force, not those of their base file: a follower none of whose members
-// answers, a member whose store has no leader, and a follower that never ran before.
+// A started process has the settings that were in force, not those of its base file. This covers a follower whose
+// members do not answer, a member whose store has no leader, and a follower that never ran before.
 func TestSettingsAfterRestart(t *testing.T) {
 	f := newSettingsFleet(t, 3, 1, nil)
 	follower := f.fleet[3]
-	version := f.fleet[0].accept("set", "class/draft", draftClass)
-	f.fleet[0].inForce(version, f.names()...)
+	version := f.fleet[0].changeSettings("set", "class/draft", draftClass)
+	f.fleet[0].awaitInForce(version, f.names()...)
 
-	late := newSite(t, 2, 20*time.Millisecond)
-	late.name, late.extra = "f9", strings.Replace(follower.extra, "  cache: settings.json\n", "", 1)
+	late := newTestNode(t, 2, 20*time.Millisecond)
+	late.name, late.extraConfig = "f9", strings.Replace(follower.extraConfig, "  cache: settings.json\n", "", 1)
 	late.start()
-	if !late.takes("draft", "00000000000000d0") {
-		t.Error("a process that never ran before does not take the class from its start on")
+	if !late.servesClass("draft", "00000000000000d0") {
+		t.Error("a new process does not serve class draft from its start on")
 	}
 	late.kill()
 	for _, s := range f.fleet {
 		s.kill()
 	}
-	for i, s := range []*site{follower, f.fleet[0]} {
+	for i, s := range []*testNode{follower, f.fleet[0]} {
 		s.start()
-		if !s.takes("draft", fmt.Sprintf("00000000000000d%d", i+1)) {
-			t.Errorf("%s, alone, does not take the class", s.name)
+		if !s.servesClass("draft", fmt.Sprintf("00000000000000d%d", i+1)) {
+			t.Errorf("%s, started alone, does not serve class draft", s.name)
 		}
 	}
-	// A cache that is cut off is as none, and says so: the base file holds until a member answers.
+	// A truncated cache is logged and ignored: the base file applies until a member answers.
 	follower.kill()
 	if err := os.Truncate(filepath.Join(follower.dir, "settings.json"), 10); err != nil {
 		t.Fatal(err)
 	}
 	follower.start()
-	if !follower.logged("the cache can not be used") || !follower.logged("no settings from any member before the start") {
-		t.Error("a cache that was cut off is not told")
+	if !follower.logContains("the cache can not be used") || !follower.logContains("no settings from any member before the start") {
+		t.Error("the follower did not log that its settings cache is truncated")
 	}
 	f.fleet[1].start()
 	f.fleet[2].start()
-	follower.until("it takes the class again", func() bool { return follower.takes("draft", "00000000000000d7") })
-	// One that no member has heard since their starts is still told as missing, until it is forgotten.
-	f.fleet[1].until("f9 is told as missing", func() bool {
+	follower.until("it serves class draft again", func() bool { return follower.servesClass("draft", "00000000000000d7") })
+	// A process that has not contacted any restarted member is still reported as behind, until it is forgotten.
+	f.fleet[1].until("the status names f9 as behind", func() bool {
 		out, err := f.fleet[1].settings("status")
 		return err == nil && strings.Contains(out, "not yet in force at f9") && strings.Contains(out, "not heard")
 	})
 	if out, err := f.fleet[2].settings("forget", "f8"); err == nil {
-		t.Errorf("a process that never was is forgotten: %s", out)
+		t.Errorf("forget of an unknown process succeeded: %s", out)
 	}
 	if out, err := f.fleet[2].settings("forget", "f9"); err != nil {
 		t.Errorf("forget: %v %s", err, out)
 	}
-	f.fleet[1].until("f9 is told no longer", func() bool {
+	f.fleet[1].until("the status no longer names f9", func() bool {
 		out, err := f.fleet[1].settings("status")
 		return err == nil && strings.Contains(out, "in force at 4 of 4 processes")
 	})
 }
 
-// A process whose base configuration does not go with a change keeps what it has and is told by name with its reason, while the
-// others have it; with a change that it can use it has that at once. SIGHUP's file goes on to work beneath.
-func TestSettingsThatOneProcessCanNotUse(t *testing.T) {
-	from := strings.Index(settings, `{"name":"area-render"`)
-	to := strings.Index(settings, "],\n\"tenants\"")
+// A process whose base configuration conflicts with a change keeps its settings, and the status names it with the
+// reason while the other processes activate the change. It activates the next change that it can apply. A base file
+// reloaded on SIGHUP takes effect under the replicated settings.
+func TestSettingsConflictWithBaseConfiguration(t *testing.T) {
+	from := strings.Index(defaultSettings, `{"name":"area-render"`)
+	to := strings.Index(defaultSettings, "],\n\"tenants\"")
 	if from < 0 || to < from {
-		t.Fatal("the stand-in's settings are not as this test takes them to be")
-	}
-	lacking := strings.TrimRight(settings[:from], " ,\n") + settings[to:] // has no class area-render
-	f := newSettingsFleet(t, 3, 2, func(f *settingsFleet) { f.fleet[4].rules = lacking })
-	version := f.fleet[0].accept("set", "class/area-render", `{"worth":3}`)
-	f.fleet[1].inForce(version, "n0", "n1", "n2", "f0")
-	odd := f.fleet[4]
-	odd.until("f1 is told by its reason", func() bool {
+		t.Fatal("the test environment's settings lack the expected classes or their order")
+	}
+	reducedSettings := strings.TrimRight(defaultSettings[:from], " ,\n") + defaultSettings[to:] // no class area-render
+	f := newSettingsFleet(t, 3, 2, func(f *settingsFleet) { f.fleet[4].settingsJSON = reducedSettings })
+	version := f.fleet[0].changeSettings("set", "class/area-render", `{"worth":3}`)
+	f.fleet[1].awaitInForce(version, "n0", "n1", "n2", "f0")
+	follower := f.fleet[4]
+	follower.until("the status names f1 with the reason", func() bool {
 		out, err := f.fleet[2].settings("status")
 		return err == nil && strings.Contains(out, "in force at 4 of 5 processes") && strings.Contains(out, "not yet in force at f1") &&
 			strings.Contains(out, "class/area-render: deadline: absent, expected a value, as the base configuration has none of this name")
 	})
-	if odd.takes("area-render", "00000000000000e0") {
-		t.Error("f1 takes a class that it could not put in force")
+	if follower.servesClass("area-render", "00000000000000e0") {
+		t.Error("f1 serves a class that it could not activate")
 	}
-	next := f.fleet[1].accept("set", "class/area-render", `{"deadline":25000,"effect":"free"}`)
-	f.fleet[2].inForce(next, f.names()...)
-	if !odd.takes("area-render", "00000000000000e1") {
-		t.Error("f1 does not take the class that it has in force")
+	next := f.fleet[1].changeSettings("set", "class/area-render", `{"deadline":25000,"effect":"free"}`)
+	f.fleet[2].awaitInForce(next, f.names()...)
+	if !follower.servesClass("area-render", "00000000000000e1") {
+		t.Error("f1 does not serve the class that it has in force")
 	}
-	// The base file of a process: what it says anew holds, and what the store says still lies over it.
+	// The reloaded base file takes effect, and the replicated settings still override it.
 	draft := `{"name":"draft","aim":900.0,"deadline":5000.0,"worth":2.0,"effect":"free","window":0.0},`
-	odd.configure(odd.list.Addr, strings.Replace(lacking, `{"name":"tile-charge"`, draft+` {"name":"tile-charge"`, 1))
-	odd.signal(syscall.SIGHUP)
-	odd.until("the new base holds", func() bool { return odd.takes("draft", "00000000000000e2") })
-	if !odd.takes("area-render", "00000000000000e3") {
-		t.Error("after SIGHUP the store's class is gone")
-	}
-	back := f.fleet[0].accept("delete", "class/area-render")
-	f.fleet[0].inForce(back, f.names()...)
-	odd.until("the store's class is gone with its item", func() bool { return !odd.takes("area-render", "00000000000000e4") })
-	if !odd.takes("draft", "00000000000000e5") || !f.fleet[0].takes("area-render", "00000000000000e6") {
-		t.Error("what the base files say does not hold")
+	follower.writeConfig(follower.discovery.Addr,
+		strings.Replace(reducedSettings, `{"name":"tile-charge"`, draft+` {"name":"tile-charge"`, 1))
+	follower.signal(syscall.SIGHUP)
+	follower.until("the new base file is in force", func() bool { return follower.servesClass("draft", "00000000000000e2") })
+	if !follower.servesClass("area-render", "00000000000000e3") {
+		t.Error("SIGHUP dropped the class from the replicated settings")
+	}
+	deletion := f.fleet[0].changeSettings("delete", "class/area-render")
+	f.fleet[0].awaitInForce(deletion, f.names()...)
+	follower.until("the class is no longer served", func() bool { return !follower.servesClass("area-render", "00000000000000e4") })
+	if !follower.servesClass("draft", "00000000000000e5") || !f.fleet[0].servesClass("area-render", "00000000000000e6") {
+		t.Error("the classes of the base files are not served")
 	}
 }
 
-// A follower stands still while more changes than are kept for deltas are made: it has them by a snapshot once it goes on. A
-// document of 1,020 tenants comes whole.
-func TestSettingsAfterLongSilence(t *testing.T) {
+// A follower is stopped while more changes are made than are kept for deltas. Once it continues, it gets all of them
+// by a snapshot. A document of 1,020 tenants is transferred completely.
+func TestSettingsSnapshotAfterLongStop(t *testing.T) {
 	f := newSettingsFleet(t, 1, 1, nil)
 	member, follower := f.fleet[0], f.fleet[1]
-	member.inForce(member.accept("set", "class/draft", draftClass), f.names()...)
+	member.awaitInForce(member.changeSettings("set", "class/draft", draftClass), f.names()...)
 	follower.signal(syscall.SIGSTOP)
 	file := filepath.Join(member.dir, "tenants.yaml")
 	var last uint64
@@ -438,25 +444,25 @@
 		if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		last = member.accept("apply", file)
+		last = member.changeSettings("apply", file)
 	}
 	follower.signal(syscall.SIGCONT)
-	member.inForce(last, f.names()...)
+	member.awaitInForce(last, f.names()...)
 	m, err := testenv.Call(follower.listen, "POST", "/tile-charge/cut", []byte("x"), header("X-Trace-Id", "00000000000000f1"), header("X-Customer", "t1019"),
 		header("X-Expires-In-Ms", "7500"), header("Idempotency-Key", "k1"))
 	if err != nil || m.Status != 200 {
-		t.Errorf("a job of the last tenant: %v, %+v", err, m)
+		t.Errorf("request of the last tenant: %v, %+v", err, m)
 	}
 }
 
-// A member is cut off from the other members and not from the process that follows it: that goes on to another member, and has what is
-// accepted there. Once the link is back the member itself has it.
+// A member is cut off from the other members but not from its follower. The follower moves on to another member and
+// gets the changes accepted there. The member itself gets them once its links work again.
 func TestSettingsMemberCutOff(t *testing.T) {
-	cut := testenv.Fault{Up: true, Down: true}
-	var around []*testenv.Link // between n2 and the other members
-	var away *testenv.Link     // from the follower to n0
+	cut := testenv.Fault{BlockUp: true, BlockDown: true}
+	var memberLinks []*testenv.Link // between n2 and the other members
+	var followerLink *testenv.Link  // from the follower to n0
 	f := newSettingsFleet(t, 3, 1, func(f *settingsFleet) {
-		link := func(from, to *site) *testenv.Link {
+		link := func(from, to *testNode) *testenv.Link {
 			x, err := testenv.NewLink(from.ctx, from.g, to.store)
 			if err != nil {
 				t.Fatal(err)
@@ -465,33 +471,33 @@
 			return x
 		}
 		n0, n1, n2, follower := f.fleet[0], f.fleet[1], f.fleet[2], f.fleet[3]
-		around = append(around, link(n0, n2), link(n1, n2), link(n2, n0), link(n2, n1))
-		away = link(follower, n0)
+		memberLinks = append(memberLinks, link(n0, n2), link(n1, n2), link(n2, n0), link(n2, n1))
+		followerLink = link(follower, n0)
 		for _, s := range f.fleet {
 			s.env = []string{"GATETACK_LINKS=" + strings.Join(s.env, ",")}
 		}
-		follower.extra = strings.Replace(follower.extra, n1.store+", ", "", 1) // follows n0 and n2
+		follower.extraConfig = strings.Replace(follower.extraConfig, n1.store+", ", "", 1) // follows n0 and n2
 	})
 	n0, n1, n2 := f.fleet[0], f.fleet[1], f.fleet[2]
 	set := func(aim int) uint64 {
-		return n0.accept("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, aim))
+		return n0.changeSettings("set", "class/draft", fmt.Sprintf(`{"deadline":5000,"aim":%d,"effect":"free"}`, aim))
 	}
-	away.Set(cut)
-	n1.inForce(set(100), f.names()...) // now it follows n2
-	away.Set(testenv.Fault{})
-	for _, link := range around {
+	followerLink.Set(cut)
+	n1.awaitInForce(set(100), f.names()...) // the follower now follows n2
+	followerLink.Set(testenv.Fault{})
+	for _, link := range memberLinks {
 		link.Set(cut)
 	}
 	version := set(101)
-	n1.inForce(version, "n0", "n1", "f0")
+	n1.awaitInForce(version, "n0", "n1", "f0")
 	if out, err := n1.settings("status"); err != nil || !strings.Contains(out, "not asked: n2") || !strings.Contains(out, "not yet in force at n2") {
 		t.Errorf("status: %v %s", err, out)
 	}
-	for _, link := range around {
+	for _, link := range memberLinks {
 		link.Set(testenv.Fault{})
 	}
-	n1.inForce(version, f.names()...)
-	n2.until("n2 tells the same", func() bool {
+	n1.awaitInForce(version, f.names()...)
+	n2.until("n2 reports the same status", func() bool {
 		out, err := n2.settings("status")
 		return err == nil && strings.Contains(out, "in force at 4 of 4 processes")
 	})
--- a/test/startup_test.go
+++ b/test/startup_test.go
@@ -11,17 +11,17 @@
 	"gatetack/internal/testenv"
 )
 
-// restartWithOldList starts a process whose former life knew one executor, which is gone since. Discovery leaves each call to
-// answer. The job is handed in before anything was answered.
-func restartWithOldList(t *testing.T, answer http.HandlerFunc) (s *site, old, current *testenv.Box, done chan *http1.Message) {
+// restartWithOldList starts a process whose saved list has one executor, which the current list no longer has. answer
+// handles each request to discovery. A job is submitted once the process listens, and its answer is delivered on done.
+func restartWithOldList(t *testing.T, answer http.HandlerFunc) (s *testNode, old, current *testenv.Executor, done chan *http1.Message) {
 	t.Helper()
-	s = newSite(t, 2, 10*time.Millisecond)
-	old, current = s.boxes[0], s.boxes[1]
+	s = newTestNode(t, 2, 10*time.Millisecond)
+	old, current = s.executors[0], s.executors[1]
 	discovery := httptest.NewServer(answer)
 	t.Cleanup(discovery.CloseClientConnections)
-	s.list.Addr = strings.TrimPrefix(discovery.URL, "http://")
-	s.known = `{"index":3,"snapshot":true,"endpoints":[` + testenv.Row(old, "ready") + `]}`
-	s.startAnew()
+	s.discovery.Addr = strings.TrimPrefix(discovery.URL, "http://")
+	s.knownExecutors = `{"index":3,"snapshot":true,"endpoints":[` + testenv.EndpointJSON(old, "ready") + `]}`
+	s.startWithoutWaiting()
 	done = make(chan *http1.Message, 1)
 	s.until("the process listens", func() bool {
 		_, err := testenv.Call(s.listen, "GET", "/healthz", nil)
@@ -38,12 +38,12 @@
 	return s, old, current, done
 }
 
-// A process sends nothing on the list that its former life held while discovery has yet to answer, and says that it is not ready.
-// Once the answer is there, what it took goes to an executor of the new list.
+// Until discovery has answered, a restarted process sends nothing to the executors of its saved list and reports that
+// it is not ready. Once discovery has answered, the accepted job is sent to an executor of the new list.
 func TestOldListIsNotUsedBeforeDiscoveryAnswers(t *testing.T) {
-	asked, release := make(chan struct{}, 16), make(chan string)
+	requested, release := make(chan struct{}, 16), make(chan string)
 	s, old, current, done := restartWithOldList(t, func(w http.ResponseWriter, r *http.Request) {
-		asked <- struct{}{}
+		requested <- struct{}{}
 		select {
 		case list := <-release:
 			_, _ = w.Write([]byte(list))
@@ -52,29 +52,29 @@
 		case <-r.Context().Done():
 		}
 	})
-	<-asked
-	s.until("the job is taken", func() bool { return s.count("taken") == 1 })
+	<-requested
+	s.until("the job is accepted", func() bool { return s.counter("taken") == 1 })
 	if m, err := testenv.Call(s.listen, "GET", "/healthz", nil); err != nil || m.Status == 200 {
 		t.Errorf("ready before discovery has answered: %v, %v", m, err)
 	}
-	if n := s.count("sends"); n != 0 {
+	if n := s.counter("sends"); n != 0 {
 		t.Errorf("%d sends before discovery has answered", n)
 	}
-	release <- `{"index":9,"snapshot":true,"endpoints":[` + testenv.Row(current, "ready") + "]}\n"
+	release <- `{"index":9,"snapshot":true,"endpoints":[` + testenv.EndpointJSON(current, "ready") + "]}\n"
 	if m := <-done; m == nil || m.Status != 200 {
-		t.Errorf("%+v", m)
+		t.Errorf("answer to the job: %+v", m)
 	}
 	if len(old.Starts()) != 0 || len(current.Starts()) != 1 {
-		t.Errorf("%d sent to the executor that is gone, %d to the one that is listed", len(old.Starts()), len(current.Starts()))
+		t.Errorf("%d jobs sent to the removed executor, %d to the listed one", len(old.Starts()), len(current.Starts()))
 	}
 }
 
-// Where discovery turns the call away the process goes on with the list it has.
-func TestOldListIsUsedWhereDiscoveryRefuses(t *testing.T) {
+// If discovery rejects the request, the process uses its saved list.
+func TestOldListIsUsedWhenDiscoveryRejects(t *testing.T) {
 	_, old, _, done := restartWithOldList(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	if m := <-done; m == nil || m.Status != 200 || len(old.Starts()) != 1 {
-		t.Errorf("%+v, %d sends", m, len(old.Starts()))
+		t.Errorf("answer to the job: %+v, %d jobs sent to the executor of the saved list", m, len(old.Starts()))
 	}
 }
